--- a/mallowbeam/__main__.py
+++ b/mallowbeam/__main__.py
@@ -14,21 +14,26 @@
     """What the first argument names; without one, the gateway in service."""
     name = sys.argv[1] if len(sys.argv) > 1 else ""
     if name == "data-plane":
-        hold_hangups()                         # before the imports, the longest part of a start
+        hold_hangups()  # before the imports, the longest part of a start
         from mallowbeam.data_plane.role import main as run_data_plane
+
         return run_data_plane()
     if name == "control-plane":
         hold_hangups()
         from mallowbeam.control_plane.role import main as run_control_plane
+
         return run_control_plane()
     if name == "fleet":
         from mallowbeam.cli.system import main as run_fleet_command
+
         return run_fleet_command(sys.argv[2:])
     if name:
         from mallowbeam.cli.app import app
+
         app()
     hangups = hold_hangups()
     from mallowbeam.program import run
+
     return run(hangups=hangups)
 
 
--- a/mallowbeam/control/booking.py
+++ b/mallowbeam/control/booking.py
@@ -10,17 +10,17 @@
 from mallowbeam.control.requests import EPS, Request, Volume
 
 CHOICES, HOLE = 6, 1.25  # other nodes, hashed too, lest all turn to one; how much later the first may be
-RUN = 2                 # largest requests: what may be out beyond the room behind one of the same data
+RUN = 2  # largest requests: what may be out beyond the room behind one of the same data
 LOOK, SILENT = 0.1, 1.5  # cycles: how often a node at work is looked at; without an answer, as when it hangs
-ACTIVE = 2.0            # seconds for which a volume counts in the sharing of a node after its last request
-CROWD = 0.3             # of the dearest unit: what one must be worth where waiting takes up the aim
-CAPACITY_DEALT = 0.9    # of a node's power is dealt out by weight (the users' terms)
+ACTIVE = 2.0  # seconds for which a volume counts in the sharing of a node after its last request
+CROWD = 0.3  # of the dearest unit: what one must be worth where waiting takes up the aim
+CAPACITY_DEALT = 0.9  # of a node's power is dealt out by weight (the users' terms)
 
 
 class Booking:
     """The Scheduler's part that books requests and lays them out."""
 
-    asked, asked_at = 0.0, 0.0                 # units booked here within about a cold node's window, and when
+    asked, asked_at = 0.0, 0.0  # units booked here within about a cold node's window, and when
 
     def _book(self, request: Request) -> None:
         if request.done or request.out:
@@ -42,8 +42,11 @@
     def _choose(self, request: Request) -> Node | None:
         """The open node that holds the shard; for a new object the one hashed, unless a hole is earlier."""
         # Guards against a booking where it may never be sent: it would be held there to its deadline.
-        nodes = [node for node in self.open if request.shard in (None, node.shard)
-                 and (not request.ran or self._may_repeat(request, node))]
+        nodes = [
+            node
+            for node in self.open
+            if request.shard in (None, node.shard) and (not request.ran or self._may_repeat(request, node))
+        ]
         key = crc32(request.data.encode())
         best, least = None, 0.0
         for turn in range(min(CHOICES + 1, len(nodes))):
@@ -59,8 +62,9 @@
             return 60.0 + node.silence()
         ahead = sum(entry[2].units for entry in node.queue) + node.out_units + units - node.window
         # Guards new objects against a node that fails them at once, and so always seems to have a hole.
-        return (max(0.0, ahead) * node.slot() + node.serve_time(units)
-                + (10 * self.cycle if node.fails else 0.0))
+        return (
+            max(0.0, ahead) * node.slot() + node.serve_time(units) + (10 * self.cycle if node.fails else 0.0)
+        )
 
     def _value(self, node: Node) -> None:
         """What each booking's units are worth now: inside the reserve, the share by weight, or spare."""
@@ -69,7 +73,7 @@
             node.shares = {volume: share for volume, share in node.shares.items() if now - share[1] <= ACTIVE}
             node.weights_at, node.weights = now, sum(volume.plan.weight for volume in node.shares)
         power = CAPACITY_DEALT * node.window / max(node.n_latency, 1e-3) / max(node.weights, 1e-9)
-        left: dict[Volume, list[float]] = {}   # anew each time: the classes worth most take what is due first
+        left: dict[Volume, list[float]] = {}  # anew each time: the classes worth most take what is due first
         for request in sorted((entry[2] for entry in node.queue), key=lambda r: -r.cls.worth):
             volume = request.volume
             if volume not in left:
@@ -88,7 +92,7 @@
         node.refresh()
         waiting = max(node.n_latency, node.silence()) - self.floor
         part = min(1.0, max(0.0, waiting) / max(self.cycle - self.floor, self.cycle / 4))
-        return max(node.bid(self.now), CROWD * self.top * part ** 2)
+        return max(node.bid(self.now), CROWD * self.top * part**2)
 
     def _run_node(self, node: Node) -> None:
         if node.open and node.silence() > SILENT * self.cycle:
@@ -104,7 +108,7 @@
             node.queue = [entry for entry in node.queue if not entry[2].done and not entry[2].out]
         if (node.queue or node.out) and node.wake <= self.now + EPS:
             node.wake = self.now + LOOK * self.cycle
-            self._at(node.wake, node)          # one pending wake a node, however often it is looked at
+            self._at(node.wake, node)  # one pending wake a node, however often it is looked at
 
     def _layout(self, node: Node) -> tuple[list[Request], list[Request]]:
         """Order of bookings: in their aims (the least due give way), then late; and those without a slot."""
@@ -112,7 +116,7 @@
         now, slot, room = self.now, node.slot(), node.window - node.out_units
         refused = [entry[2] for entry in node.queue if self._cold_bars(node, entry[2])]
         queue = [entry[2] for entry in node.queue if entry[2] not in refused]
-        heap, total = [], 0                    # of those that meet their aims: the one due the least first
+        heap, total = [], 0  # of those that meet their aims: the one due the least first
         for request in queue:
             request.late, time = False, node.serve_time(request.units)
             heappush(heap, (request.density, -request.seq, request))
@@ -122,7 +126,7 @@
                 victim.late = True
                 total -= victim.units
                 if now + time < victim.aim_at and not victim.priced:
-                    victim.priced = True       # lost to others, not to its own size
+                    victim.priced = True  # lost to others, not to its own size
                     node.bid(now, victim.density)
                 if victim is request:
                     break
@@ -155,10 +159,12 @@
             # Room left for dearer units that is still empty at a request's last chance is of use to nobody.
             last = self.now + node.serve_time(request.units) + 2 * LOOK * self.cycle > request.aim_at
             if request.density * (request.cls.late_worth if request.late else 1.0) < price and (
-                    node.out_units or request.late or not last):
+                node.out_units or request.late or not last
+            ):
                 continue
             if node.out_units + request.units > room and (
-                    node.out_units or self.now - node.sent_at < request.units / node.window * node.n_latency):
+                node.out_units or self.now - node.sent_at < request.units / node.window * node.n_latency
+            ):
                 break
             if request.data != node.last and node.cycle_used and node.cycle_used + request.units > slots:
                 break
--- a/mallowbeam/control/nodes.py
+++ b/mallowbeam/control/nodes.py
@@ -7,14 +7,14 @@
 from mallowbeam.control.requests import PRICE_LASTS, Attempt, Request, Volume
 
 MEMORY, PRIOR = 1.0, 0.5  # seconds for which an answer says much; what all nodes' latency counts, in answers
-CLIP = 3.0              # a sample counts as at most this many times the mean: one pause can't poison it
-PRICE_STEP = 0.5        # how far one request without a slot moves a node's price towards its worth
-TARGET = 0.35           # of the cycle: the latency steered to; the rest is for waiting here, still movable
+CLIP = 3.0  # a sample counts as at most this many times the mean: one pause can't poison it
+PRICE_STEP = 0.5  # how far one request without a slot moves a node's price towards its worth
+TARGET = 0.35  # of the cycle: the latency steered to; the rest is for waiting here, still movable
 GROW, SHRINK = 0.7, 0.3  # units that a round trip under target adds to the room; share that twice it takes
 M_EXTRA, M_MOST = 4, 32  # a cycle has room for the largest request and this more, and no more than M_MOST
 WATCH_AGAIN, AGENT_AGAIN = 1.0, 0.05  # seconds to a failed call's repeat: most for few; at its agent
 MOST_AGAIN, FLEET_CALLS = 2.2, 5.0  # the most in any fleet (`net/discovery.py`); calls a second by all hosts
-UNTOLD = 3.0            # seconds by which lists run late: so long a node not reached is taken for cold
+UNTOLD = 3.0  # seconds by which lists run late: so long a node not reached is taken for cold
 BREAKS, REFUSAL = 6, 3  # broken connections in a row after which a node has ended; one refused counts 3
 EVEN_PART, LOAD_PART = 0.5, 0.7  # of what a cold node bears: dealt out over hosts, or over what they ask
 COLD_PART = (0.35, 0.04, 0.04)  # of what is asked, in what tips it: by tier, whatever the load
@@ -36,9 +36,9 @@
         self.window = float(sched.settings.units_top)  # units that may be out at once
         self.last_answer = self.held = sched.now  # held: nothing goes before this time
         self.sent_at, self.wake, self.last = -1e9, -1e9, ""  # last: the data of what was sent there last
-        self.answered = -1e9                   # when the latest sent of those that it answered went out
-        self.suspect, self.breaks = False, 0   # silent or not reached; connections broken since an answer
-        self.faults, self.fails = 0.0, False   # share of its answers of late that were errors; too many
+        self.answered = -1e9  # when the latest sent of those that it answered went out
+        self.suspect, self.breaks = False, 0  # silent or not reached; connections broken since an answer
+        self.faults, self.fails = 0.0, False  # share of its answers of late that were errors; too many
         self.cold_from = self.cold_until = -1e9  # its start, as told or presumed, and when it is warm
         self.cold_sent: list[list[float]] = []  # when units went there while cold, and how many
         self.shares: dict[Volume, list[float]] = {}  # share level, filled at, last request
@@ -116,10 +116,10 @@
             node.state = entry.state
             if node.state is io.NodeState.READY:
                 if fresh and since is None and event.kind is io.ListKind.CHANGES:
-                    since = self.now           # a machine that joins unexplained is a replacement, so cold
+                    since = self.now  # a machine that joins unexplained is a replacement, so cold
                 if since is not None and (fresh or since != node.since):
                     self._chill(node, since)
-                    self._alive(node)          # it runs: what fell silent did so before
+                    self._alive(node)  # it runs: what fell silent did so before
                 node.since = since
             self._admit(node)
 
@@ -132,7 +132,7 @@
             if banned is not None and not event.out:
                 if (node.since or 0.0) < banned:  # no list has told of a start: the latest is presumed
                     self._chill(node, self.now)
-                node.suspect = True            # what was known of it is forgotten, as with a first answer
+                node.suspect = True  # what was known of it is forgotten, as with a first answer
                 self._alive(node)
             self._admit(node)
 
@@ -179,7 +179,7 @@
         """Whether a node is too cold for it: past its even part a host sends a part, by key and demand."""
         if self.now >= node.cold_until:
             return False
-        s = self.settings                      # the ramp is taken at the middle of the rule's window
+        s = self.settings  # the ramp is taken at the middle of the rule's window
         age = max(0.0, self.now - node.cold_from - s.fall_window / 2)
         ramp = min(1.0, s.cold_start + (1.0 - s.cold_start) * age / s.cold_time)
         tips, bears = (s.fall_multiple or 0.0) * ramp, (s.cold_units or 0.0) * ramp / max(s.cold_start, 1e-9)
@@ -190,6 +190,7 @@
         if even < request.units:
             heard = 1.0 - exp((self.born - self.now) / s.fall_window)
             share += LOAD_PART * bears * max(1, s.shards) * heard / (self.asked * max(1, s.hosts))
-        dealt = crc32(request.data.encode()) < min(share, MOST_PART * tips) * 2 ** 32
-        return sent > even and (not dealt or request.tries > 0
-                                or sent > max(SURGE_PART * bears, min(request.units, bears)))
+        dealt = crc32(request.data.encode()) < min(share, MOST_PART * tips) * 2**32
+        return sent > even and (
+            not dealt or request.tries > 0 or sent > max(SURGE_PART * bears, min(request.units, bears))
+        )
--- a/mallowbeam/control/requests.py
+++ b/mallowbeam/control/requests.py
@@ -2,9 +2,9 @@
 
 from mallowbeam import interface as io
 
-PRICE_LASTS = 2.0       # seconds: surges come and go within seconds, and so must what they make slots worth
-EPS = 2e-6              # seconds: a clock that counts in microseconds may round a timer down
-KEPT = 0.5              # of a limit's store: left to the dearest that it refused in PRICE_LASTS
+PRICE_LASTS = 2.0  # seconds: surges come and go within seconds, and so must what they make slots worth
+EPS = 2e-6  # seconds: a clock that counts in microseconds may round a timer down
+KEPT = 0.5  # of a limit's store: left to the dearest that it refused in PRICE_LASTS
 
 
 class Volume:
@@ -13,8 +13,8 @@
     def __init__(self, name: tuple, hosts: int, units_top: int, since: float) -> None:
         self.name, self.hosts, self.units_top, self.at = name, hosts, units_top, since
         self.plan, self.part, self.limit_level = io.Plan(""), None, 0.0
-        self.dear, self.dear_at = 0.0, since   # what the limit refused: a unit's worth, and when
-        self.pending = self.coming = 0         # units booked and not sent; and those whose body still comes
+        self.dear, self.dear_at = 0.0, since  # what the limit refused: a unit's worth, and when
+        self.pending = self.coming = 0  # units booked and not sent; and those whose body still comes
         self.reserve_level = self.reserve_top = 0.0
 
     def parts(self) -> float:
@@ -36,8 +36,10 @@
     def refill(self, now: float) -> None:
         """Let both stores fill up to now; the reserve counts whole, less what is told of other hosts."""
         passed, self.at = now - self.at, now
-        self.limit_level = min(self.plan.limit_burst / self.parts() - self.coming,
-                               self.limit_level + passed * self.plan.limit / self.parts())
+        self.limit_level = min(
+            self.plan.limit_burst / self.parts() - self.coming,
+            self.limit_level + passed * self.plan.limit / self.parts(),
+        )
         self.reserve_level = min(self.reserve_top, self.reserve_level + passed * self.plan.reserve)
 
     def limit_wait(self, now: float, units: int, worth: float = 0.0) -> float:
@@ -57,16 +59,23 @@
 class Request:
     """A request this host has taken."""
 
-    def __init__(self, event: io.RequestArrived, cls: io.RequestClass, volume: Volume, now: float,
-                 seq: int, spent: float) -> None:
+    def __init__(
+        self,
+        event: io.RequestArrived,
+        cls: io.RequestClass,
+        volume: Volume,
+        now: float,
+        seq: int,
+        spent: float,
+    ) -> None:
         self.id, self.cls, self.volume, self.units = event.request, cls, volume, max(1, event.units)
         self.shard, self.key, self.seq = event.shard, event.key if cls.ordered else None, seq
         self.data, self.deadline = event.key or event.request, now + event.expires_in
         self.aim_at = min(now + cls.aim - spent, self.deadline)
-        self.density, self.tier = 0.0, 2       # a unit's worth now; 0 inside reserve, 1 inside share, 2 spare
-        self.tries = 0                         # attempts so far, as the wire numbers them
+        self.density, self.tier = 0.0, 2  # a unit's worth now; 0 inside reserve, 1 inside share, 2 spare
+        self.tries = 0  # attempts so far, as the wire numbers them
         self.out: dict[int, Attempt] = {}
-        self.ran: list[tuple] = []             # attempts that may have run: at which node, and when sent
+        self.ran: list[tuple] = []  # attempts that may have run: at which node, and when sent
         self.done = self.late = self.asked = self.priced = self.drawn = False  # drawn: from its limit
 
 
--- a/mallowbeam/control/scheduler.py
+++ b/mallowbeam/control/scheduler.py
@@ -12,8 +12,8 @@
 from mallowbeam.control.sending import Sending
 
 FIRST_SLOT, FIRST_MOST = 1 / 20, 0.3  # of the cycle, a unit and a usual request, before anything was measured
-CREEP = 0.01            # a second: how fast the lowest measured latency may be forgotten, for a slower day
-FORGET = 30.0           # seconds after which what a volume has drawn says nothing any more
+CREEP = 0.01  # a second: how fast the lowest measured latency may be forgotten, for a slower day
+FORGET = 30.0  # seconds after which what a volume has drawn says nothing any more
 
 
 class Scheduler(Health, Booking, Sending):
@@ -32,17 +32,17 @@
         self.top = self.dearest * max((p.price for p in settings.plans.values()), default=1.0)  # of a unit
         self.plans = {("", name): (plan, None) for name, plan in settings.plans.items()}  # by volume; parts
         self.changed: dict[tuple, float] = {}  # and when, as long as that matters
-        self.nodes, self.requests = {}, {}     # by id
-        self.open: list[Node] = []             # where new work may go
-        self.banned: dict[str, float] = {}     # out by hand, and since when: whatever discovery says
+        self.nodes, self.requests = {}, {}  # by id
+        self.open: list[Node] = []  # where new work may go
+        self.banned: dict[str, float] = {}  # out by hand, and since when: whatever discovery says
         self.most_tries = settings.max_attempts or float("inf")
         self.volumes: dict[tuple, Volume] = {}  # by name and plan, and shard where it has an allotment there
         self.full_time: dict[str, float] = {}  # class: the longest time that a try came with
         self.chains: dict[str, deque[Request]] = {}  # ordered keys: requests in the order taken
-        self.rests: dict[str, float] = {}      # ordered keys: when an attempt that may still run is settled
+        self.rests: dict[str, float] = {}  # ordered keys: when an attempt that may still run is settled
         self.taken, self.extras = deque(), deque()  # times of requests taken, and of further attempts
         self.timer_set, self.seq, self.watch_failures = float("inf"), 0, 0
-        self.timers, self.touched = [], {}     # what is due, by time; nodes to be looked at in this step
+        self.timers, self.touched = [], {}  # what is due, by time; nodes to be looked at in this step
         self.actions: list[io.Action] = [io.Watch(True)] if settings.discovery_on_request else []
 
     def step(self, now: float, events: list[io.Event]) -> list[io.Action]:
@@ -66,18 +66,27 @@
             return
         self.surveyed = self.now
         # Guards memory: forget ids that may never come back, and timers of requests that are over.
-        self._budget_left()                    # drops what is past its window
+        self._budget_left()  # drops what is past its window
         self.rests = {key: until for key, until in self.rests.items() if until > self.now}
         self.changed = {name: at for name, at in self.changed.items() if self.now - at <= FORGET}
-        self.volumes = {name: volume for name, volume in self.volumes.items()
-                        if volume.pending or volume.coming or self.now - volume.at <= FORGET}
-        self.nodes = {name: node for name, node in self.nodes.items()
-                      if node.state is not io.NodeState.GONE or node.out or self.now <= node.cold_until}
+        self.volumes = {
+            name: volume
+            for name, volume in self.volumes.items()
+            if volume.pending or volume.coming or self.now - volume.at <= FORGET
+        }
+        self.nodes = {
+            name: node
+            for name, node in self.nodes.items()
+            if node.state is not io.NodeState.GONE or node.out or self.now <= node.cold_until
+        }
         if len(self.timers) > 2 * (len(self.requests) + len(self.nodes)) + 1000:
             self.timers = [entry for entry in self.timers if not getattr(entry[2], "done", False)]
             heapify(self.timers)
-        known = sorted(node.mean for node in self.nodes.values()
-                       if not node.suspect and node.weight * exp((node.fresh_at - self.now) / MEMORY) > 0.1)
+        known = sorted(
+            node.mean
+            for node in self.nodes.values()
+            if not node.suspect and node.weight * exp((node.fresh_at - self.now) / MEMORY) > 0.1
+        )
         # With few answers the median fades to the lowest: one that stood would shut every node for good.
         self.prior += min(1.0, passed / MEMORY / 2) * (self.floor - self.prior)
         if len(known) > 2:
@@ -93,7 +102,7 @@
     def _on_timer(self, _: io.TimerFired) -> None:
         due = self.now + EPS
         if due < self.timer_set:
-            return                             # an older timer: the one that counts is still to come
+            return  # an older timer: the one that counts is still to come
         self.timer_set = float("inf")
         while self.timers and self.timers[0][0] <= due:
             what = heappop(self.timers)[2]
@@ -172,9 +181,14 @@
 
 
 HANDLERS = {
-    io.RequestArrived: Scheduler._on_request, io.ClientGone: Scheduler._on_gone,
-    io.AttemptEnded: Scheduler._on_ended, io.StreamStarted: Scheduler._on_stream,
-    io.Upload: Scheduler._on_upload, io.SentBeside: Scheduler._on_beside,
-    io.NodesListed: Scheduler._on_list, io.ByHand: Scheduler._on_hand, io.PlanChanged: Scheduler._on_plan,
+    io.RequestArrived: Scheduler._on_request,
+    io.ClientGone: Scheduler._on_gone,
+    io.AttemptEnded: Scheduler._on_ended,
+    io.StreamStarted: Scheduler._on_stream,
+    io.Upload: Scheduler._on_upload,
+    io.SentBeside: Scheduler._on_beside,
+    io.NodesListed: Scheduler._on_list,
+    io.ByHand: Scheduler._on_hand,
+    io.PlanChanged: Scheduler._on_plan,
     io.TimerFired: Scheduler._on_timer,
 }
--- a/mallowbeam/control/sending.py
+++ b/mallowbeam/control/sending.py
@@ -5,7 +5,7 @@
 from mallowbeam.control.requests import EPS, Attempt, Request
 
 SMOOTH, FAULTY = 0.1, 0.3  # weight of one answer in a node's share of errors; the share that fails a node
-STUCK = 5.0             # times the expected time after which an attempt passed over by later ones is given up
+STUCK = 5.0  # times the expected time after which an attempt passed over by later ones is given up
 MAY_STILL_RUN = (io.Outcome.TIMEOUT, io.Outcome.RESET, io.Outcome.CANCELLED)
 UNSENT = (io.Outcome.NO_CONNECTION, io.Outcome.NOT_SENT)  # on sockets: its last byte never left
 NEVER_RAN = (*UNSENT, io.Outcome.REJECTED, io.Outcome.ASTRAY)
@@ -31,19 +31,30 @@
         first, sent_at = request.ran[0]
         if cls.repeat is io.Repeat.UNSAFE or self.now > sent_at + cls.repeat_window - self.settings.tick:
             return False
-        return node is None or cls.scope is io.Scope.ALL or (
-            node.zone == first.zone if cls.scope is io.Scope.ZONE else node.shard == first.shard)
+        return (
+            node is None
+            or cls.scope is io.Scope.ALL
+            or (node.zone == first.zone if cls.scope is io.Scope.ZONE else node.shard == first.shard)
+        )
 
     def _forbidden(self, request: Request, node: Node) -> bool:  # when it is decided, and when it begins
-        return (request.done or not node.open or request.deadline <= self.now
-                or not self._may_repeat(request, node))
+        return (
+            request.done
+            or not node.open
+            or request.deadline <= self.now
+            or not self._may_repeat(request, node)
+        )
 
     def may_begin(self, now: float, name: str, number: int) -> bool:
         """Whether an attempt's first byte may go out, its connection being up: the last look, on sockets."""
         self.now, request = now, self.requests.get(name)
         attempt = request.out.get(number) if request else None
-        begins = (attempt is not None and now < attempt.until and not self._forbidden(request, attempt.node)
-                  and attempt.cold_from == attempt.node.cold_from)
+        begins = (
+            attempt is not None
+            and now < attempt.until
+            and not self._forbidden(request, attempt.node)
+            and attempt.cold_from == attempt.node.cold_from
+        )
         if begins and now < attempt.node.cold_until:  # what counts at a cold node is when it comes there
             attempt.cold[1], attempt.cold = 0, [now, request.units]
             attempt.node.cold_sent.append(attempt.cold)
@@ -52,11 +63,21 @@
     def _send(self, request: Request, node: Node) -> bool:
         """The one way out to a node.  Every rule on sending is checked here."""
         # Order by key: only the oldest that is not over, and only once the key has rested.
-        turn = not (chain := self.chains.get(request.key)) or chain[0] is request and (
-            request.tries > 0 or self.rests.get(request.key, 0.0) <= self.now)
-        if (self._forbidden(request, node) or request.out or request.shard not in (None, node.shard)
-                or request.tries >= self.most_tries or not turn or self._cold_bars(node, request)
-                or request.tries and not self._budget_left()):
+        turn = (
+            not (chain := self.chains.get(request.key))
+            or chain[0] is request
+            and (request.tries > 0 or self.rests.get(request.key, 0.0) <= self.now)
+        )
+        if (
+            self._forbidden(request, node)
+            or request.out
+            or request.shard not in (None, node.shard)
+            or request.tries >= self.most_tries
+            or not turn
+            or self._cold_bars(node, request)
+            or request.tries
+            and not self._budget_left()
+        ):
             return False
         if not request.drawn:
             if request.volume.limit_wait(self.now, request.units) > 0:
@@ -128,7 +149,7 @@
         node, outcome, worked = attempt.node, event.outcome, self._idle(attempt)
         self.touched[node.id], volume = node, request.volume
         volume.coming -= attempt.coming
-        if outcome in UNSENT:                  # no node has it: it is charged to nothing
+        if outcome in UNSENT:  # no node has it: it is charged to nothing
             attempt.cold[1] = 0
             volume.reserve_level += request.units * (not attempt.number and request.tier == 0)
             if attempt.coming and request.tries == attempt.number + 1:
@@ -158,8 +179,14 @@
         if outcome in MAY_STILL_RUN and request.key:
             self.rests[request.key] = self.now + self.settings.order_settle
         again = outcome is io.Outcome.RESET or attempt.stuck
-        if (event.finished or outcome in MAY_STILL_RUN and not again or outcome is io.Outcome.ASTRAY or not
-                self._may_repeat(request) or request.tries >= self.most_tries):  # it would wait in vain
+        if (
+            event.finished
+            or outcome in MAY_STILL_RUN
+            and not again
+            or outcome is io.Outcome.ASTRAY
+            or not self._may_repeat(request)
+            or request.tries >= self.most_tries
+        ):  # it would wait in vain
             self._end(request, owed=not event.finished)
         else:
             self._book(request)
@@ -172,9 +199,14 @@
             if attempt.sent_at >= node.answered:
                 break
             time = node.serve_time(request.units)
-            if (not attempt.stuck and not request.done
-                    and request.cls.repeat is not io.Repeat.UNSAFE and not request.tries >= self.most_tries
-                    and self.now - attempt.sent_at > STUCK * time and self.now + time < request.aim_at):
+            if (
+                not attempt.stuck
+                and not request.done
+                and request.cls.repeat is not io.Repeat.UNSAFE
+                and not request.tries >= self.most_tries
+                and self.now - attempt.sent_at > STUCK * time
+                and self.now + time < request.aim_at
+            ):
                 attempt.stuck = True
                 self.actions.append(io.Cancel(request.id, attempt.number))
 
@@ -207,7 +239,7 @@
         while chain and chain[0].done and not chain[0].out:
             chain.popleft()
         if chain and not chain[0].asked and not chain[0].done:
-            if rest > self.now + EPS:          # else the timer due now would be set again, for ever
+            if rest > self.now + EPS:  # else the timer due now would be set again, for ever
                 self._at(rest, key)
             else:
                 self._book(chain[0])
--- a/mallowbeam/facade.py
+++ b/mallowbeam/facade.py
@@ -54,7 +54,7 @@
     tries: list[Try] = field(default_factory=list)
     cancels: list[tuple[str, int]] = field(default_factory=list)
     verdicts: list[Verdict] = field(default_factory=list)
-    watch: bool = False                        # begin a watch on the list of nodes
+    watch: bool = False  # begin a watch on the list of nodes
 
 
 class Facade:
@@ -62,8 +62,8 @@
 
     def __init__(self, settings: io.Settings, now: float) -> None:
         self._scheduler = Scheduler(settings, now)
-        self._attempts: dict[str, int] = {}    # requests that are not over: attempts so far
-        self.wake = NEVER                      # when `tick` is due
+        self._attempts: dict[str, int] = {}  # requests that are not over: attempts so far
+        self.wake = NEVER  # when `tick` is due
 
     def knows(self, request: str) -> bool:
         """Whether this id is in use: held, or over with an attempt still out."""
@@ -82,21 +82,41 @@
     @property
     def nodes_avoided(self) -> int:
         """How many of them get no new work now, or next to none."""
-        return sum(node.state is not GONE and (not node.open or node.suspect or node.fails)
-                   for node in self._scheduler.nodes.values())
+        return sum(
+            node.state is not GONE and (not node.open or node.suspect or node.fails)
+            for node in self._scheduler.nodes.values()
+        )
 
     def pick(self, now: float, request: str, **fields) -> Orders:
         """A request has come; the fields are those of `interface.RequestArrived`."""
         self._attempts[request] = 0
         return self._step(now, io.RequestArrived(request, **fields))
 
-    def report(self, now: float, tried: Try, outcome: io.Outcome, latency: float,
-               used: float | None = None, elsewhere: int = 0) -> Orders:
+    def report(
+        self,
+        now: float,
+        tried: Try,
+        outcome: io.Outcome,
+        latency: float,
+        used: float | None = None,
+        elsewhere: int = 0,
+    ) -> Orders:
         """An attempt has ended; `OK` means that its answer goes to the client."""
         if outcome is io.Outcome.OK:
             self._attempts.pop(tried.request, None)
-        return self._step(now, io.AttemptEnded(tried.request, tried.number, tried.node, outcome, latency,
-                                               tried.request not in self._attempts, used, elsewhere))
+        return self._step(
+            now,
+            io.AttemptEnded(
+                tried.request,
+                tried.number,
+                tried.node,
+                outcome,
+                latency,
+                tried.request not in self._attempts,
+                used,
+                elsewhere,
+            ),
+        )
 
     def may_begin(self, now: float, tried: Try) -> bool:
         """Whether an attempt's first byte may go out, its connection being up; asked once, just before."""
@@ -116,8 +136,9 @@
         self._attempts.pop(request, None)
         return self._step(now, io.ClientGone(request))
 
-    def listed(self, now: float, kind: io.ListKind, version: int = 0,
-               entries: list[io.NodeEntry] | None = None) -> Orders:
+    def listed(
+        self, now: float, kind: io.ListKind, version: int = 0, entries: list[io.NodeEntry] | None = None
+    ) -> Orders:
         """Word from discovery, a failure included."""
         return self._step(now, io.NodesListed(kind, version, entries or []))
 
@@ -128,13 +149,15 @@
             return None
         return self._step(now, io.ByHand(node, out))
 
-    def sent_beside(self, now: float, volume: str, plan: str, hosts: int, node: str, units: int,
-                    drawn: int) -> Orders:
+    def sent_beside(
+        self, now: float, volume: str, plan: str, hosts: int, node: str, units: int, drawn: int
+    ) -> Orders:
         """Another process of this host has sent to a node."""
         return self._step(now, io.SentBeside(volume, plan, hosts, node, units, drawn))
 
-    def planned(self, now: float, plan: io.Plan, volume: str = "", shard: int | None = None,
-                part: float | None = None) -> Orders:
+    def planned(
+        self, now: float, plan: io.Plan, volume: str = "", shard: int | None = None, part: float | None = None
+    ) -> Orders:
         """From now on this plan holds, for all volumes on it or as one's allotment: `interface.PlanChanged`.
 
         Raises `BadPlan`, or `TooManyAllotments` for a new one past MOST_ALLOTMENTS; nothing has changed then.
@@ -152,26 +175,45 @@
 
     def entries(self, now: float) -> list[io.NodeEntry]:
         """The list as it stands here; a node held cold counts from the start told or presumed."""
-        return [io.NodeEntry(node.id, node.state, node.shard, node.zone,
-                             node.cold_from if now < node.cold_until else node.since)
-                for node in self._scheduler.nodes.values() if node.state is not GONE]
+        return [
+            io.NodeEntry(
+                node.id,
+                node.state,
+                node.shard,
+                node.zone,
+                node.cold_from if now < node.cold_until else node.since,
+            )
+            for node in self._scheduler.nodes.values()
+            if node.state is not GONE
+        ]
 
     def state(self, now: float) -> dict[str, object]:
         """What another process of this host must know to decide as this one would, in plain values.
 
         An allotment at one shard is told of, but not the level of its store: that starts at the bottom.
         """
-        volumes = [(*key, volume) for key, volume in self._scheduler.volumes.items()
-                   if volume.plan.limit > 0 and len(key) == 2]
+        volumes = [
+            (*key, volume)
+            for key, volume in self._scheduler.volumes.items()
+            if volume.plan.limit > 0 and len(key) == 2
+        ]
         for *_, volume in volumes:
             volume.refill(now)
-        plans = [[name[0], asdict(plan), name[2] if len(name) > 2 else None, part]
-                 for name, (plan, part) in self._scheduler.plans.items()
-                 if name[0] or part is not None or plan != self._scheduler.settings.plans.get(name[1])]
-        return {"out": self._scheduler.banned, "plans": plans,
-                "stores": [[name, plan, v.hosts, v.limit_level] for name, plan, v in volumes],
-                "cold": [[node.id, sum(units for _, units in node.cold_sent)]
-                         for node in self._scheduler.nodes.values() if node.cold_sent]}
+        plans = [
+            [name[0], asdict(plan), name[2] if len(name) > 2 else None, part]
+            for name, (plan, part) in self._scheduler.plans.items()
+            if name[0] or part is not None or plan != self._scheduler.settings.plans.get(name[1])
+        ]
+        return {
+            "out": self._scheduler.banned,
+            "plans": plans,
+            "stores": [[name, plan, v.hosts, v.limit_level] for name, plan, v in volumes],
+            "cold": [
+                [node.id, sum(units for _, units in node.cold_sent)]
+                for node in self._scheduler.nodes.values()
+                if node.cold_sent
+            ],
+        }
 
     def inherit(self, now: float, state: dict) -> None:
         """Take in the state of the process before this one, once the list is known."""
--- a/mallowbeam/fleet/agreement.py
+++ b/mallowbeam/fleet/agreement.py
@@ -42,11 +42,14 @@
 from mallowbeam.fleet.policy_text import read_policy
 from mallowbeam.fleet.wire import Wire
 
-MOST_HOSTED = 1024          # members whose topics are remembered; the operators' file names fewer
-ONE_SEND = 1 << 18          # bytes of entries in a message; more than any entry, as pieces can't be checked
-SNAPSHOT = 2                # its format; 1 held version and body alone
-UNSENT = {FAIL_REASON.MISSING_LEADER: NoLeader, FAIL_REASON.REQUEST_DENIED: NoLeader,
-          FAIL_REASON.QUEUE_FULL: QueueFull}   # why nothing was put in; else its end is not known
+MOST_HOSTED = 1024  # members whose topics are remembered; the operators' file names fewer
+ONE_SEND = 1 << 18  # bytes of entries in a message; more than any entry, as pieces can't be checked
+SNAPSHOT = 2  # its format; 1 held version and body alone
+UNSENT = {
+    FAIL_REASON.MISSING_LEADER: NoLeader,
+    FAIL_REASON.REQUEST_DENIED: NoLeader,
+    FAIL_REASON.QUEUE_FULL: QueueFull,
+}  # why nothing was put in; else its end is not known
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,8 +107,8 @@
         super().__init__()
         self.version, self.body = 0, "{}"
         self.log, self.own, self.told = log, (name, life), told
-        self.hosted: dict[str, str] = {}       # by member, as its marks say: no part of the states
-        self.heard: dict[str, float] = {}      # and when its newest came out here, by this process's clock
+        self.hosted: dict[str, str] = {}  # by member, as its marks say: no part of the states
+        self.heard: dict[str, float] = {}  # and when its newest came out here, by this process's clock
         self.broken: MallowbeamError | None = None
         self._tell(Change(), *log.whole())
 
@@ -131,13 +134,13 @@
                 raise LogUnusable(f"a policy was judged by {', '.join(missing)}, off here", "sections")
             try:
                 policy = read_policy(body)
-            except MallowbeamError as error:   # of another program's pusher; the same text for all
+            except MallowbeamError as error:  # of another program's pusher; the same text for all
                 return Refusal(error.what, error.where, error.cure)
             heard = self.log.push(policy, topics)
         except (LogUnusable, *LOCAL) as error:
             self._break(error)
             return None
-        except Exception as error:             # noqa: BLE001 (of what was put in: see the head)
+        except Exception as error:  # noqa: BLE001 (of what was put in: see the head)
             return self._alike(error)
         if isinstance(heard, Refusal):
             return heard
@@ -168,7 +171,7 @@
                     self._tell(told)
             except LOCAL as error:
                 self._break(error)
-            except Exception as error:         # noqa: BLE001 (of what was put in: see the head)
+            except Exception as error:  # noqa: BLE001 (of what was put in: see the head)
                 self._alike(error)
 
     @staticmethod
@@ -192,7 +195,7 @@
 
     def _serialize(self) -> dict[str, Any]:
         """The states, and nothing that is this process's."""
-        if self.broken is not None:            # an older snapshot that is right stays
+        if self.broken is not None:  # an older snapshot that is right stays
             raise LogUnusable("no snapshot of states that are not the fleet's", "snapshot")
         return {"format": SNAPSHOT, "version": self.version, "body": self.body, "log": self.log.dump()}
 
@@ -204,7 +207,7 @@
             heard = self.log.load(data["log"]) if version > 1 else []
             self.version, self.body = data["version"], data["body"]
             self._tell(Change(self.version, self.body), *heard)
-        except Exception as error:             # noqa: BLE001 (the engine would swallow it and go on)
+        except Exception as error:  # noqa: BLE001 (the engine would swallow it and go on)
             self._break(error)
 
 
@@ -216,20 +219,45 @@
     this process's alone.
     """
 
-    def __init__(self, name: str, life: str, members: Mapping[str, str], folder: Path, told: Told,
-                 dial: Mapping[str, str] | None = None, log: Log | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        life: str,
+        members: Mapping[str, str],
+        folder: Path,
+        told: Told,
+        dial: Mapping[str, str] | None = None,
+        log: Log | None = None,
+    ) -> None:
         self.name, self.life, self.members = name, life, members
         self.ledger = Ledger(log or Log(()), name, life, told)
-        others = [Member(address, (dial or {}).get(other))
-                  for other, address in members.items() if other != name]
+        others = [
+            Member(address, (dial or {}).get(other)) for other, address in members.items() if other != name
+        ]
         begin_at_snapshot(folder / "journal", folder / "snapshot")
-        self.engine = SyncObj(Member(members[name]), others, SyncObjConf(
-            autoTickPeriod=0.02, raftMinTimeout=0.4, raftMaxTimeout=0.9, appendEntriesPeriod=0.1,
-            connectionRetryTime=0.2, connectionTimeout=1.5, leaderFallbackTimeout=1.0,
-            commandsWaitLeader=False, commandsQueueSize=1000, journalFile=str(folder / "journal"),
-            appendEntriesBatchSizeBytes=ONE_SEND,
-            fullDumpFile=str(folder / "snapshot"), logCompactionMinEntries=2000, logCompactionMinTime=30,
-            useFork=False), consumers=[self.ledger], transportClass=self._wired)
+        self.engine = SyncObj(
+            Member(members[name]),
+            others,
+            SyncObjConf(
+                autoTickPeriod=0.02,
+                raftMinTimeout=0.4,
+                raftMaxTimeout=0.9,
+                appendEntriesPeriod=0.1,
+                connectionRetryTime=0.2,
+                connectionTimeout=1.5,
+                leaderFallbackTimeout=1.0,
+                commandsWaitLeader=False,
+                commandsQueueSize=1000,
+                journalFile=str(folder / "journal"),
+                appendEntriesBatchSizeBytes=ONE_SEND,
+                fullDumpFile=str(folder / "snapshot"),
+                logCompactionMinEntries=2000,
+                logCompactionMinTime=30,
+                useFork=False,
+            ),
+            consumers=[self.ledger],
+            transportClass=self._wired,
+        )
         cut_whole(self.engine, folder / "journal")  # long before its first cut
 
     def _wired(self, engine: Any, own: Any, others: Any) -> Wire:
@@ -256,6 +284,7 @@
         `done` is called in the engine's thread with the new version, or why there is none.  `EndUnknown` says
         that it may yet be committed: what became of it, the log tells.
         """
+
         def ended(told: int | Refusal | None, error: Any) -> None:
             if error in UNSENT:
                 return done(UNSENT[error]("nothing was put in"))
@@ -264,6 +293,7 @@
             if isinstance(told, Refusal):
                 return done(PolicyRefused(told.what, told.where, told.remedy))
             return done(told or Overtaken("another change came first", f"version {base}"))
+
         self.ledger.change(base, body, self.ledger.topics, callback=ended)
 
     def silent(self, name: str) -> float:
@@ -273,8 +303,9 @@
     def leader(self) -> str | None:
         """Which member leads, as far as is known here."""
         node = self.engine.getStatus()["leader"]
-        return next((name for name, address in self.members.items()
-                     if node is not None and address == node.id), None)
+        return next(
+            (name for name, address in self.members.items() if node is not None and address == node.id), None
+        )
 
     def close(self) -> None:
         """Leave; the journal stays."""
--- a/mallowbeam/fleet/errors.py
+++ b/mallowbeam/fleet/errors.py
@@ -89,5 +89,7 @@
     """The log tells what this program can't take in, so that its states would not be the fleet's."""
 
     status = 503
-    remedy = ("run the fleet's version with the fleet's sections on; if it has them, and while all other "
-              "members serve, stop it, move its folder away, and start it: it learns all from them")
+    remedy = (
+        "run the fleet's version with the fleet's sections on; if it has them, and while all other "
+        "members serve, stop it, move its folder away, and start it: it learns all from them"
+    )
--- a/mallowbeam/fleet/handed.py
+++ b/mallowbeam/fleet/handed.py
@@ -26,8 +26,8 @@
 Holder = str
 Floor = Callable[[Resource, Holder], N]
 
-MOST_OPEN = 8               # epochs not settled at once; the next one is refused until a release or a lapse
-SLACK = 1e-9                # of a capacity, by which a sum of floats may be above it
+MOST_OPEN = 8  # epochs not settled at once; the next one is refused until a release or a lapse
+SLACK = 1e-9  # of a capacity, by which a sum of floats may be above it
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,11 +78,11 @@
     """The replicated side: `rows` stand as of `settled`, the open epochs change them in turn."""
 
     holders: tuple[str, ...] = ()
-    epoch: int = 0                             # the newest
+    epoch: int = 0  # the newest
     settled: int = 0
     rows: dict[str, dict[str, N]] = {}
     open: tuple[Opened[N], ...] = ()
-    released: dict[str, int] = {}              # by holder, its newest
+    released: dict[str, int] = {}  # by holder, its newest
 
     @property
     def amounts(self) -> dict[str, dict[str, N]]:
@@ -95,13 +95,22 @@
     @property
     def owing(self) -> dict[str, int]:
         """Who owes a release, and up to which epoch."""
-        return {holder: opened.epoch for opened in self.open for holder in opened.losers
-                if self.released.get(holder, 0) < opened.epoch}
-
-
-def next_epoch(handed: Handed[N], amounts: Mapping[str, Mapping[str, N]], floor: Floor[N],
-               capacity: Callable[[Resource], N], whole: bool = True,
-               least: Callable[[Resource], N] | None = None) -> Handed[N]:
+        return {
+            holder: opened.epoch
+            for opened in self.open
+            for holder in opened.losers
+            if self.released.get(holder, 0) < opened.epoch
+        }
+
+
+def next_epoch(
+    handed: Handed[N],
+    amounts: Mapping[str, Mapping[str, N]],
+    floor: Floor[N],
+    capacity: Callable[[Resource], N],
+    whole: bool = True,
+    least: Callable[[Resource], N] | None = None,
+) -> Handed[N]:
     """Open an epoch that grants these amounts; the same state when they change nothing.
 
     `whole`: a resource that is not named goes back to its floors; else it keeps its row.  `least` is the sum
@@ -112,7 +121,7 @@
     rows = {name: dict(row) for name, row in amounts.items() if row != before.get(name, {})}
     for name, row in (amounts if whole else rows).items():
         floors = least(name) if least else sum(floor(name, holder) for holder in handed.holders)
-        if name in rows or not sum(row.values()) + floors <= capacity(name):    # else it surely fits still
+        if name in rows or not sum(row.values()) + floors <= capacity(name):  # else it surely fits still
             _check(handed, name, row, floor, floors, capacity(name))
     if whole:
         rows.update((name, dict[str, N]()) for name, row in before.items() if row and name not in amounts)
@@ -120,8 +129,12 @@
         return handed
     if len(handed.open) >= MOST_OPEN:
         raise TooManyOpen(f"{MOST_OPEN} epochs are open", ", ".join(sorted(handed.owing)))
-    losers = {holder for name, row in rows.items() for holder, had in before.get(name, {}).items()
-              if row.get(holder, floor(name, holder)) < had}
+    losers = {
+        holder
+        for name, row in rows.items()
+        for holder, had in before.get(name, {}).items()
+        if row.get(holder, floor(name, holder)) < had
+    }
     opened = Opened(handed.epoch + 1, rows, tuple(sorted(losers)))
     return settle(msgspec.structs.replace(handed, epoch=opened.epoch, open=(*handed.open, opened)))
 
@@ -133,8 +146,9 @@
     return settle(msgspec.structs.replace(handed, released={**handed.released, holder: epoch}))
 
 
-def _check(handed: Handed[N], name: Resource, row: Mapping[Holder, N], floor: Floor[N], least: N,
-           capacity: N) -> None:
+def _check(
+    handed: Handed[N], name: Resource, row: Mapping[Holder, N], floor: Floor[N], least: N, capacity: N
+) -> None:
     if least > capacity * (1 + SLACK):
         raise FloorsTooHigh(f"floors of {least} in all, capacity {capacity}", name)
     total = least
--- a/mallowbeam/fleet/handover.py
+++ b/mallowbeam/fleet/handover.py
@@ -79,32 +79,50 @@
     `again` is after how many seconds a release not seen in the log is put in once more.
     """
 
-    def __init__(self, me: Holder, holders: Sequence[Holder], floor: Floor[N], lease: float,
-                 begun: float = NEVER, drift: float = 0.1, linger: float = 0.0, again: float = 0.5) -> None:
+    def __init__(
+        self,
+        me: Holder,
+        holders: Sequence[Holder],
+        floor: Floor[N],
+        lease: float,
+        begun: float = NEVER,
+        drift: float = 0.1,
+        linger: float = 0.0,
+        again: float = 0.5,
+    ) -> None:
         self.me, self.holders = me, tuple(holders)
         self.floor: Floor[N] = floor
         self.lease, self.linger, self.again = lease, linger * (1 + drift), again
-        self.wait = (lease + linger) * (1 + drift)     # a grower's, from when it heard of the epoch
+        self.wait = (lease + linger) * (1 + drift)  # a grower's, from when it heard of the epoch
         self.begun = begun
-        self.known_at = NEVER                  # when the newest own mark that came back was put in
-        self.epoch = 0                         # the newest heard of
-        self.gone = 0                          # everybody's lease of before this epoch is surely over
-        self.rows: dict[Resource, Row[N]] = {}                      # the newest of each resource
-        self.open: dict[Resource, list[tuple[int, Row[N]]]] = {}    # its rows from the complete one on
-        self.mine: dict[Resource, N] = {}                           # what may be used of those
-        self.waits: dict[Resource, frozenset[Holder]] = {}          # whom those wait for
-        self.waiting: dict[Holder, set[Resource]] = {}              # the same by holder
-        self.touched: set[Resource] = set()    # by releases, and not looked at yet
+        self.known_at = NEVER  # when the newest own mark that came back was put in
+        self.epoch = 0  # the newest heard of
+        self.gone = 0  # everybody's lease of before this epoch is surely over
+        self.rows: dict[Resource, Row[N]] = {}  # the newest of each resource
+        self.open: dict[Resource, list[tuple[int, Row[N]]]] = {}  # its rows from the complete one on
+        self.mine: dict[Resource, N] = {}  # what may be used of those
+        self.waits: dict[Resource, frozenset[Holder]] = {}  # whom those wait for
+        self.waiting: dict[Holder, set[Resource]] = {}  # the same by holder
+        self.touched: set[Resource] = set()  # by releases, and not looked at yet
         self.rel: dict[Holder, int] = {}
-        self.heard: dict[int, tuple[float, float]] = {}             # by epoch: when, and under which proof
-        self.owed: list[int] = []              # epochs in which something fell here, not released yet
-        self.out: dict[Resource, N] = {}       # what is really out, where it is told
-        self.put: tuple[int, float] = (0, NEVER)                    # the newest release put in, and when
+        self.heard: dict[int, tuple[float, float]] = {}  # by epoch: when, and under which proof
+        self.owed: list[int] = []  # epochs in which something fell here, not released yet
+        self.out: dict[Resource, N] = {}  # what is really out, where it is told
+        self.put: tuple[int, float] = (0, NEVER)  # the newest release put in, and when
 
     @classmethod
-    def resume(cls, handed: Handed[N], now: float, me: Holder, floor: Floor[N], lease: float,
-               begun: float = NEVER, drift: float = 0.1, linger: float = 0.0,
-               again: float = 0.5) -> Handover[N]:
+    def resume(
+        cls,
+        handed: Handed[N],
+        now: float,
+        me: Holder,
+        floor: Floor[N],
+        lease: float,
+        begun: float = NEVER,
+        drift: float = 0.1,
+        linger: float = 0.0,
+        again: float = 0.5,
+    ) -> Handover[N]:
         """A new life's view out of the log's state; the floor until a mark has come back."""
         view = cls(me, handed.holders, floor, lease, begun, drift, linger, again)
         view._restore(handed, now)
@@ -147,7 +165,7 @@
         """What may be used here now; new connections are opened only while fewer are out."""
         floor = self.floor(resource, self.me)
         if now <= self.begun + self.linger:
-            return floor * 0                   # Guards what an earlier life may still hold at a silent node.
+            return floor * 0  # Guards what an earlier life may still hold at a silent node.
         if not self.live(now):
             return floor
         if (mine := self.mine.get(resource)) is not None:
@@ -164,8 +182,11 @@
         if not self.live(now) or (rows := self.open.get(resource)) is None:
             return self.usable(resource, now)
         floor = self.floor(resource, self.me)
-        return min(row.get(self.me, floor) for at, (epoch, row) in enumerate(rows)
-                   if not at or self._over(epoch, now))
+        return min(
+            row.get(self.me, floor)
+            for at, (epoch, row) in enumerate(rows)
+            if not at or self._over(epoch, now)
+        )
 
     def using(self, resource: Resource, amount: N, now: float) -> list[Release]:
         """What is really out of a resource, so that a release waits for it; untold it counts as fitting."""
@@ -196,16 +217,22 @@
 
         For whoever proposes the next epoch, so that a dead holder does not keep epochs open.
         """
-        return {holder: opened.epoch for opened in handed.open if opened.epoch <= self.gone
-                for holder in opened.losers if handed.released.get(holder, 0) < opened.epoch}
+        return {
+            holder: opened.epoch
+            for opened in handed.open
+            if opened.epoch <= self.gone
+            for holder in opened.losers
+            if handed.released.get(holder, 0) < opened.epoch
+        }
 
     def shown(self, now: float) -> dict[Resource, Shown[N]]:
         """For the page, by resource."""
         told = {}
         for resource, row in self.rows.items():
             target = row.get(self.me, self.floor(resource, self.me))
-            told[resource] = Shown(target, self.usable(resource, now),
-                                   tuple(sorted(self.waits.get(resource, ()))))
+            told[resource] = Shown(
+                target, self.usable(resource, now), tuple(sorted(self.waits.get(resource, ())))
+            )
         return told
 
     # --- within -----------------------------------------------------------------------------------
@@ -267,7 +294,7 @@
             del self.open[resource]
             self.mine.pop(resource, None)
             if not self.rows[resource]:
-                del self.rows[resource]        # everybody at the floor: nothing to remember
+                del self.rows[resource]  # everybody at the floor: nothing to remember
             return
         self.waits[resource] = frozenset(waits)
         for holder in waits:
@@ -275,8 +302,9 @@
         floor = self.floor(resource, self.me)
         self.mine[resource] = min(row.get(self.me, floor) for _, row in rows)
 
-    def _blocking(self, resource: Resource, rows: list[tuple[int, Row[N]]], at: int,
-                  now: float) -> Holder | None:
+    def _blocking(
+        self, resource: Resource, rows: list[tuple[int, Row[N]]], at: int, now: float
+    ) -> Holder | None:
         """Who keeps the epoch at this place from being complete; None when nobody does."""
         epoch, row = rows[at]
         if self.gone >= epoch:
@@ -285,13 +313,13 @@
             if out > row.get(self.me, self.floor(resource, self.me)) and not self._over(epoch, now):
                 return self.me
         for place in range(at - 1, -1, -1):
-            until = rows[place + 1][0]         # who is at this epoch or a later one has left that row behind
+            until = rows[place + 1][0]  # who is at this epoch or a later one has left that row behind
             for holder, had in rows[place][1].items():
                 if (amount := row.get(holder)) is None:
                     amount = self.floor(resource, holder)
                 if had > amount and holder != self.me and self.base(holder) < until:
                     return holder
-        return None                            # one that is in none of them had its floor: it can't have lost
+        return None  # one that is in none of them had its floor: it can't have lost
 
     def base(self, holder: Holder) -> int:
         """The newest epoch that this holder surely keeps to."""
--- a/mallowbeam/fleet/hands.py
+++ b/mallowbeam/fleet/hands.py
@@ -33,7 +33,7 @@
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
-        self.pushed: dict[str, Plan] = {}      # whole plans that were changed since the start
+        self.pushed: dict[str, Plan] = {}  # whole plans that were changed since the start
 
     @property
     def settings(self) -> Mapping[str, Plan]:
@@ -41,8 +41,9 @@
         plans: Mapping[str, Plan] = self.gateway.config.settings.plans
         return plans
 
-    def planned(self, plan: Plan, volume: str = "", shard: int | None = None,
-                part: float | None = None) -> bool:
+    def planned(
+        self, plan: Plan, volume: str = "", shard: int | None = None, part: float | None = None
+    ) -> bool:
         """Let these figures hold; False where this gateway's module can't take them at all.
 
         Raises the facade's `MallowbeamError` where it refuses them; nothing has changed then.
@@ -63,8 +64,17 @@
 class GatewayHands:
     """One subsystem's hands; `put` takes an entry of its topic's into the log."""
 
-    def __init__(self, name: str, me: str, members: tuple[str, ...], gateway: Gateway, drains: Drains,
-                 plans: Plans, put: Callable[[str, Entry], bool], leads: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        name: str,
+        me: str,
+        members: tuple[str, ...],
+        gateway: Gateway,
+        drains: Drains,
+        plans: Plans,
+        put: Callable[[str, Entry], bool],
+        leads: Callable[[], bool],
+    ) -> None:
         self.name, self.me, self.members = name, me, members
         self.leader, self.is_open = leads, True
         self._gateway, self._drains, self._plans, self._put = gateway, drains, plans, put
@@ -78,8 +88,9 @@
         """Take a node out here, or want it out no more."""
         self._drains.want(self.name, node, out)
 
-    def planned(self, plan: Plan, volume: str = "", shard: int | None = None,
-                part: float | None = None) -> bool:
+    def planned(
+        self, plan: Plan, volume: str = "", shard: int | None = None, part: float | None = None
+    ) -> bool:
         """A plan's figures, or one volume's allotment, from now on."""
         return self._plans.planned(plan, volume, shard, part)
 
@@ -98,8 +109,9 @@
         def told(fields: Mapping[str, object]) -> None:
             try:
                 observer(fields)
-            except Exception as error:         # noqa: BLE001 (Guards the call: it is decided on all the same)
+            except Exception as error:  # noqa: BLE001 (Guards the call: it is decided on all the same)
                 failed(repr(error))
+
         self._gateway.observers.append(told)
 
     def nodes(self) -> list[NodeEntry]:
--- a/mallowbeam/fleet/journal.py
+++ b/mallowbeam/fleet/journal.py
@@ -39,13 +39,13 @@
     try:
         with gzip.open(snapshot) as file:
             before: Line = pysyncobj.pickle.load(file)[2]
-    except Exception:                          # whatever is wrong with it, the engine says so
+    except Exception:  # whatever is wrong with it, the engine says so
         return
     journal = FileJournal(str(path))
     lines: list[Line] = journal[:]
     journal._destroy()
     if lines[:1] != [before] and before in lines:
-        rewrite(path, lines[lines.index(before):])
+        rewrite(path, lines[lines.index(before) :])
 
 
 def cut_whole(engine: Any, path: Path) -> None:
@@ -53,9 +53,10 @@
     journal = engine._SyncObj__raftLog
 
     def cut(upto: int) -> None:
-        journal.onOneSecondTimer()             # its commit index, where that is not on disk yet
+        journal.onOneSecondTimer()  # its commit index, where that is not on disk yet
         rewrite(path, journal[upto:])
         journal._destroy()
         engine._SyncObj__raftLog = FileJournal(str(path))
         cut_whole(engine, path)
+
     journal.deleteEntriesTo = cut
--- a/mallowbeam/fleet/log.py
+++ b/mallowbeam/fleet/log.py
@@ -26,12 +26,12 @@
 
 from mallowbeam.errors import MallowbeamError
 
-FORMAT = 1                  # of an entry's bytes; a newer one is passed over by all alike
-MOST_ENTRY = 64 * 1024      # bytes of one entry; a longer one is passed over
-MOST_MISSED = 16            # names of topics not hosted here that are remembered
+FORMAT = 1  # of an entry's bytes; a newer one is passed over by all alike
+MOST_ENTRY = 64 * 1024  # bytes of one entry; a longer one is passed over
+MOST_MISSED = 16  # names of topics not hosted here that are remembered
 LOCAL = (MemoryError, RecursionError, OSError)  # raised by the place, not by what an entry says
 
-State = Any                 # a frozen msgspec.Struct of the topic's own
+State = Any  # a frozen msgspec.Struct of the topic's own
 States = Mapping[str, State]  # by topic; all of them as they stand before this entry
 
 
@@ -48,8 +48,10 @@
 class BadSnapshot(MallowbeamError):
     """A snapshot of the states that this program can't take in."""
 
-    remedy = ("run the version that wrote it, with the same sections on; or, while all other members serve, "
-              "stop the gateway, move its folder away, and start it: it learns all from them")
+    remedy = (
+        "run the version that wrote it, with the same sections on; or, while all other members serve, "
+        "stop the gateway, move its folder away, and start it: it learns all from them"
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,8 +67,8 @@
     """A replicated machine, the same on every member."""
 
     name: ClassVar[str]
-    entries: ClassVar[Any]                     # the type (a union of Entry structs) that is decoded
-    state: ClassVar[type]                      # the type of its state, for snapshots
+    entries: ClassVar[Any]  # the type (a union of Entry structs) that is decoded
+    state: ClassVar[type]  # the type of its state, for snapshots
 
     def start(self) -> State:
         """The state before any entry."""
@@ -84,9 +86,9 @@
 
     index: int
     topic: str
-    by: str                                    # the member that put it in
-    entry: Entry | None                        # None: the state came whole, out of a snapshot or a push
-    state: State                               # after it
+    by: str  # the member that put it in
+    entry: Entry | None  # None: the state came whole, out of a snapshot or a push
+    state: State  # after it
     refusal: Refusal | None = None
 
 
@@ -97,7 +99,7 @@
         self.topics, self.index = topics, 0
         self.by_name = {topic.name: topic for topic in topics}
         self.states: dict[str, State] = {topic.name: topic.start() for topic in topics}
-        self.missed: set[str] = set()          # topics that had entries here and were not hosted
+        self.missed: set[str] = set()  # topics that had entries here and were not hosted
 
     def encode(self, topic: str, by: str, entry: Entry) -> bytes:
         """An entry's bytes; raises `EntryTooLarge`."""
@@ -138,10 +140,13 @@
             return judge()
         except LOCAL:
             raise
-        except Exception as error:             # noqa: BLE001 (whatever it is)
+        except Exception as error:  # noqa: BLE001 (whatever it is)
             logger.opt(exception=error).error("fleet log: topic {} failed at entry {}", name, self.index)
-            return Refusal(f"{name} failed: {type(error).__name__}", name,
-                           "report it with the log's line; what was asked for has not taken hold")
+            return Refusal(
+                f"{name} failed: {type(error).__name__}",
+                name,
+                "report it with the log's line; what was asked for has not taken hold",
+            )
 
     def push(self, policy: Any, names: Collection[str] | None = None) -> list[Committed] | Refusal:
         """A policy takes hold for all topics (or these), or is refused by one of them and for all."""
@@ -168,11 +173,16 @@
         """
         try:
             version, index, raw, missed = msgspec.msgpack.decode(
-                body, type=tuple[int, int, dict[str, msgspec.Raw], list[str]])
+                body, type=tuple[int, int, dict[str, msgspec.Raw], list[str]]
+            )
             if version != FORMAT:
                 raise BadSnapshot(f"format {version}, not {FORMAT}", "snapshot")
-            states = {topic.name: msgspec.msgpack.decode(raw[topic.name], type=topic.state)
-                      if topic.name in raw else topic.start() for topic in self.topics}
+            states = {
+                topic.name: msgspec.msgpack.decode(raw[topic.name], type=topic.state)
+                if topic.name in raw
+                else topic.start()
+                for topic in self.topics
+            }
         except (msgspec.ValidationError, msgspec.DecodeError) as error:
             raise BadSnapshot(str(error), "snapshot") from None
         if lost := sorted(set(missed) & set(self.by_name)):
--- a/mallowbeam/fleet/maintenance/core.py
+++ b/mallowbeam/fleet/maintenance/core.py
@@ -25,7 +25,7 @@
 from mallowbeam.fleet.maintenance.machine import Maintenance
 from mallowbeam.fleet.maintenance.state import AWAY, DRAINED, Item, Maintained, NodeFacts
 
-MOST_SENT = 64              # own reports on their way that are remembered; older ones count as lost
+MOST_SENT = 64  # own reports on their way that are remembered; older ones count as lost
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,15 +33,15 @@
     """All in seconds; `lease` is that of the policy, the same on all gateways."""
 
     lease: float = 2.0
-    drift: float = 1.1                         # by how much clocks may differ in pace, as a factor
-    grace: float = 0.25                        # after which a drain that was told holds here
-    report: float = 0.5                        # between reports while machines are on their way
-    idle: float = 30.0                         # the same while none are
-    soon: float = 0.1                          # between reports where there is news
-    again: float = 1.0                         # after which a proposal counts as lost
-    look: float = 0.2                          # between looks at the order while only reports come in
-    rank: float = 0.5                          # by which each member waits for the one before it
-    warm: float = 5.0                          # for which a machine that is back is cold
+    drift: float = 1.1  # by how much clocks may differ in pace, as a factor
+    grace: float = 0.25  # after which a drain that was told holds here
+    report: float = 0.5  # between reports while machines are on their way
+    idle: float = 30.0  # the same while none are
+    soon: float = 0.1  # between reports where there is news
+    again: float = 1.0  # after which a proposal counts as lost
+    look: float = 0.2  # between looks at the order while only reports come in
+    rank: float = 0.5  # by which each member waits for the one before it
+    warm: float = 5.0  # for which a machine that is back is cold
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,8 +49,8 @@
     """What the gateway sees now."""
 
     nodes: Mapping[str, NodeFacts] = field(default_factory=dict)
-    in_hand: int = 0                           # requests that it has taken and not answered
-    gave_up: bool = False                      # it uses none of what it was allotted
+    in_hand: int = 0  # requests that it has taken and not answered
+    gave_up: bool = False  # it uses none of what it was allotted
     leader: str | None = None
     zone: str = ""
 
@@ -109,17 +109,18 @@
 class MaintenanceCore:
     """One gateway's view of the order, and what it has to do."""
 
-    def __init__(self, name: str, life: str, members: Sequence[str], now: float,
-                 times: Times | None = None) -> None:
+    def __init__(
+        self, name: str, life: str, members: Sequence[str], now: float, times: Times | None = None
+    ) -> None:
         self.name, self.life, self.times = name, life, times or Times()
         self.machine = Maintenance(members)
         self.state, self.heard, self.local = Maintained(), 0, Local()
-        self.drained: dict[str, float] = {}    # by machine: when that was done here
+        self.drained: dict[str, float] = {}  # by machine: when that was done here
         self.warming: dict[str, float] = {}
         self.stepped: tuple[bool, float] | None = None  # whether it refuses too, and since when
-        self.confirmed = 0                     # the newest own report that came back
+        self.confirmed = 0  # the newest own report that came back
         self.number, self.sent = 0, dict[int, float]()  # own reports on their way, and when put in
-        self.proven = float("-inf")            # when the newest that came back was put in
+        self.proven = float("-inf")  # when the newest that came back was put in
         self.known = self.base = float("-inf")  # the newest mark's put-in, and that before it was asked
         self.last: dict[str, float] = {name: now for name in members}  # when each was last heard of
         self.timed: dict[tuple[str, int], float] = {}  # by machine and `began`: when that was heard
@@ -199,10 +200,14 @@
             was = before.items.get(name)
             if was is None or was.turn != item.turn:
                 actions.append(Note(f"{name} {item.step}: {item.why}"))
-        self.warming = {name: at for name, at in self.warming.items()
-                        if name in items and items[name].step == "warming"}
-        self.timed = {key: at for key, at in self.timed.items()
-                      if key[0] in items and items[key[0]].step in AWAY and items[key[0]].began == key[1]}
+        self.warming = {
+            name: at for name, at in self.warming.items() if name in items and items[name].step == "warming"
+        }
+        self.timed = {
+            key: at
+            for key, at in self.timed.items()
+            if key[0] in items and items[key[0]].step in AWAY and items[key[0]].began == key[1]
+        }
         self._step(items.get(self.name), now, actions)
         return actions
 
@@ -227,28 +232,36 @@
             if item.step not in ("draining", "empty"):
                 continue
             if name == self.name:
-                quiet = self.stepped is not None and self.stepped[0] and (
-                    now >= self.stepped[1] + self.times.grace) and self.local.in_hand == 0
+                quiet = (
+                    self.stepped is not None
+                    and self.stepped[0]
+                    and (now >= self.stepped[1] + self.times.grace)
+                    and self.local.in_hand == 0
+                )
             elif item.gateway:
-                quiet = True                   # gateways send nothing to one another
+                quiet = True  # gateways send nothing to one another
             else:
                 facts = self.local.nodes.get(name)
                 quiet = now >= self.drained.get(name, now) + self.times.grace and (
-                    facts is None or facts.work == 0)
+                    facts is None or facts.work == 0
+                )
             if quiet:
                 said.append(name)
         return said
 
     def _report(self, now: float, actions: list[Action]) -> None:
         warm = sorted(name for name, at in self.warming.items() if now >= at + self.times.warm)
-        nodes = dict(sorted(self.local.nodes.items())[:s.MOST_NODES])
-        if not self.state.active:              # nobody asks for what changes at each moment
+        nodes = dict(sorted(self.local.nodes.items())[: s.MOST_NODES])
+        if not self.state.active:  # nobody asks for what changes at each moment
             nodes = {name: msgspec.structs.replace(facts, work=0, load=0.0) for name, facts in nodes.items()}
         news = s.Report(self.life, 0, 0, self.local.zone, nodes, self._empty(now), warm, self.local.gave_up)
         calm = {name: msgspec.structs.replace(facts, work=0, load=0.0) for name, facts in nodes.items()}
         key = msgspec.structs.replace(news, nodes=calm)
-        period = self.times.report if self.state.active else (
-            self.times.idle if self.confirmed == self.number else self.times.again)
+        period = (
+            self.times.report
+            if self.state.active
+            else (self.times.idle if self.confirmed == self.number else self.times.again)
+        )
         if now < self.reported + (period if key == self.was else self.times.soon):
             return
         self.number, self.reported, self.was = self.number + 1, now, key
@@ -261,14 +274,21 @@
 
     def _due(self, now: float) -> list[Entry]:
         state, looked = self.state, self.looked
-        if looked is None or looked[0] is not state and (
-                looked[0].items is not state.items or looked[0].gone != state.gone
-                or now >= looked[1] + self.times.look):
+        if (
+            looked is None
+            or looked[0] is not state
+            and (
+                looked[0].items is not state.items
+                or looked[0].gone != state.gone
+                or now >= looked[1] + self.times.look
+            )
+        ):
             looked = self.looked = (state, now, self.machine.due(state))
         found = list(looked[2])
         items = self.state.items
-        self.said_back = {name for name in self.said_back
-                          if name in items and items[name].step in ("out", "lost")}
+        self.said_back = {
+            name for name in self.said_back if name in items and items[name].step in ("out", "lost")
+        }
         found += [s.Back(name) for name in sorted(self.said_back)]
         span = self.times.lease * self.times.drift
         for name, at in self.last.items():
@@ -277,8 +297,11 @@
                 report = self.state.reports.get(name)
                 found.append(s.Gone(name, report.life, report.number) if report else s.Gone(name, "", 0))
         for (name, began), at in self.timed.items():
-            times = [self.state.requests[id].time_s for id in self.state.items[name].asked
-                     if id in self.state.requests]
+            times = [
+                self.state.requests[id].time_s
+                for id in self.state.items[name].asked
+                if id in self.state.requests
+            ]
             if times and now >= at + min(times):
                 found.append(s.TimeUp(name, began))
         return found
--- a/mallowbeam/fleet/maintenance/machine.py
+++ b/mallowbeam/fleet/maintenance/machine.py
@@ -92,15 +92,18 @@
         match item.step, to:
             case "agreed", "draining":
                 report = now.reports.get(item.machine)
-                if item.gateway and item.machine not in now.gone and not (
-                        report and report.gave_up and report.heard >= item.at):
+                if (
+                    item.gateway
+                    and item.machine not in now.gone
+                    and not (report and report.gave_up and report.heard >= item.at)
+                ):
                     return "it has not given up its allotments yet"
                 return ""
             case ("draining", "empty") | ("empty", "out"):
                 return self._unsaid(now, item, "empty")
-            case ("agreed" | "draining" | "empty"), "proposed":
+            case (("agreed" | "draining" | "empty"), "proposed"):
                 return ""
-            case ("out" | "lost"), "back":
+            case (("out" | "lost"), "back"):
                 return "" if self._up_again(now, item, view) else "it has not been seen down and up again"
             case "back", "warming":
                 return ""
@@ -115,8 +118,11 @@
             report = now.reports.get(name)
             if name in now.gone:
                 continue
-            if report is None or report.heard < since or item.machine not in (
-                    report.empty if what == "empty" else report.warm):
+            if (
+                report is None
+                or report.heard < since
+                or item.machine not in (report.empty if what == "empty" else report.warm)
+            ):
                 return f"{name} has not said that {item.machine} is {what}"
         return ""
 
@@ -125,8 +131,11 @@
             report = now.reports.get(item.machine)
             return report is not None and item.machine not in now.gone and report.life != item.life
         facts = (view or picture(now, self.members)).nodes.get(item.machine)
-        return facts is not None and facts.up and (
-            item.seen_down or bool(item.started) and facts.started not in (0, item.started))
+        return (
+            facts is not None
+            and facts.up
+            and (item.seen_down or bool(item.started) and facts.started not in (0, item.started))
+        )
 
     def due(self, now: Maintained) -> list[Entry]:
         """The entries that the state calls for, clocks apart."""
@@ -138,13 +147,13 @@
         for name in sorted(now.items):
             item = now.items[name]
             if item.step in s.RECALLED and not self.hindered(now, item, "proposed", view):
-                recalls.append(item)           # it would not be let go now
+                recalls.append(item)  # it would not be let go now
                 continue
             for to in AFTER.get(item.step, ()):
                 if not self.hindered(now, item, to, view):
                     found.append(s.Move(name, to, item.turn))
                     break
-        if recalls:                            # one at a time, the last begun first: that may be enough
+        if recalls:  # one at a time, the last begun first: that may be enough
             last = max(recalls, key=lambda item: (item.began, item.machine))
             found.append(s.Move(last.machine, "proposed", last.turn))
         elif self.order.choose(now, view).machine is not None:
@@ -170,14 +179,18 @@
         if to == "out":
             facts = picture(now, self.members).nodes.get(item.machine)
             report = now.reports.get(item.machine)
-            after = replace(after, started=facts.started if facts else 0, seen_down=False,
-                            life=report.life if report else "")
+            after = replace(
+                after,
+                started=facts.started if facts else 0,
+                seen_down=False,
+                life=report.life if report else "",
+            )
         elif to == "warming":
             live = [name for name in self.members if name not in now.gone]
             after = replace(after, warm={name: 1.0 / len(live) for name in live} if not item.gateway else {})
         elif to == "done" and item.dropped:
             after = replace(after, step="aborted")
-        order = (*now.order, s.Turn(index, item.machine, after.step, why))[-s.MOST_ORDER:]
+        order = (*now.order, s.Turn(index, item.machine, after.step, why))[-s.MOST_ORDER :]
         return replace(now, items=now.items | {item.machine: after}, order=order)
 
     def _report(self, now: Maintained, index: int, by: str, entry: s.Report) -> Maintained | Refusal:
@@ -188,8 +201,11 @@
             return Refusal("an older report", by, "nothing: a newer one is here")
         if before is not None and now.active:
             # Guards the capacity: a node that discovery forgets while machines are out is down, not gone.
-            kept = {name: replace(facts, up=False, work=0) for name, facts in before.nodes.items()
-                    if name not in entry.nodes}
+            kept = {
+                name: replace(facts, up=False, work=0)
+                for name, facts in before.nodes.items()
+                if name not in entry.nodes
+            }
             if kept:
                 entry = replace(entry, nodes=dict(entry.nodes) | kept)
         after = replace(now, reports=now.reports | {by: entry}, gone=now.gone - {by})
@@ -197,8 +213,12 @@
             return after
         view = picture(after, self.members)
         for name, item in after.items.items():
-            if (item.step in ("out", "lost") and not item.seen_down
-                    and name in view.nodes and not view.nodes[name].up):
+            if (
+                item.step in ("out", "lost")
+                and not item.seen_down
+                and name in view.nodes
+                and not view.nodes[name].up
+            ):
                 after = replace(after, items=after.items | {name: replace(item, seen_down=True)})
             if item.step == "empty" and name not in entry.empty and entry.heard >= item.drained:
                 after = self._step(after, index, item, "draining", f"{by} has work out there again")
@@ -208,12 +228,18 @@
         item = now.items.get(machine)
         if item is None or item.began != began or item.step not in s.AWAY:
             return DUPLICATE
-        late = {"agreed": "it never gave up its allotments", "draining": self._unsaid(now, item, "empty"),
-                "out": "it never came back"}.get(item.step, f"it stood at {item.step}")
+        late = {
+            "agreed": "it never gave up its allotments",
+            "draining": self._unsaid(now, item, "empty"),
+            "out": "it never came back",
+        }.get(item.step, f"it stood at {item.step}")
         why = f"time is up: {late or f'it stood at {item.step}'}"
         after = self._step(now, index, item, "lost" if item.step == "out" else "failed", why)
-        stops = {id: f"{machine}: {why}" for id in item.asked
-                 if id in now.requests and now.requests[id].on_time_up == "stop"}
+        stops = {
+            id: f"{machine}: {why}"
+            for id in item.asked
+            if id in now.requests and now.requests[id].on_time_up == "stop"
+        }
         return replace(after, stopped=after.stopped | stops)
 
     def _why(self, now: Maintained, item: Item, to: str) -> str:
@@ -234,15 +260,26 @@
         return "agreed in its turn; nothing new goes there" if to == "draining" else f"after {item.step}"
 
 
-AFTER: dict[str, tuple[s.Step, ...]] = {   # where a machine goes by itself, by its step
-    "agreed": ("draining",), "draining": ("empty",), "empty": ("out",), "out": ("back",),
-    "lost": ("back",), "back": ("warming",), "warming": ("done",)}
+AFTER: dict[str, tuple[s.Step, ...]] = {  # where a machine goes by itself, by its step
+    "agreed": ("draining",),
+    "draining": ("empty",),
+    "empty": ("out",),
+    "out": ("back",),
+    "lost": ("back",),
+    "back": ("warming",),
+    "warming": ("done",),
+}
 
 
 def shown(topic: Maintenance, now: Maintained) -> dict[str, Any]:
     """What `/policy` shows: each machine's step, the order so far, and what comes next, each with its why."""
-    return {"machines": {name: {"step": item.step, "why": item.why, "requests": list(item.asked)}
-                         for name, item in sorted(now.items.items())},
-            "order": [msgspec.to_builtins(turn) for turn in now.order if turn.step == "agreed"],
-            "next": topic.order.choose(now).why, "stopped": dict(now.stopped),
-            "gone": sorted(now.gone)}
+    return {
+        "machines": {
+            name: {"step": item.step, "why": item.why, "requests": list(item.asked)}
+            for name, item in sorted(now.items.items())
+        },
+        "order": [msgspec.to_builtins(turn) for turn in now.order if turn.step == "agreed"],
+        "next": topic.order.choose(now).why,
+        "stopped": dict(now.stopped),
+        "gone": sorted(now.gone),
+    }
--- a/mallowbeam/fleet/maintenance/order.py
+++ b/mallowbeam/fleet/maintenance/order.py
@@ -21,11 +21,11 @@
     """What all gateways see together; `away` and `down` are machines that are not there."""
 
     nodes: dict[str, NodeFacts]
-    zones: dict[str, str]                      # of nodes and gateways
+    zones: dict[str, str]  # of nodes and gateways
     members: tuple[str, ...]
-    away: frozenset[str] = frozenset()         # under way by an order
-    down: frozenset[str] = frozenset()         # by themselves
-    lost: frozenset[str] = frozenset()         # out past their time
+    away: frozenset[str] = frozenset()  # under way by an order
+    down: frozenset[str] = frozenset()  # by themselves
+    lost: frozenset[str] = frozenset()  # out past their time
 
     @property
     def absent(self) -> frozenset[str]:
@@ -69,9 +69,16 @@
 
 def _joined(told: list[NodeFacts]) -> NodeFacts:
     zone, shard, weight = _most([(facts.zone, facts.shard, facts.weight) for facts in told])
-    return NodeFacts(zone, shard, weight, sum([facts.up for facts in told]) * 2 > len(told),
-                     sum([facts.work for facts in told]), max([facts.load for facts in told]),
-                     True in [facts.sole for facts in told], _most([facts.started for facts in told]))
+    return NodeFacts(
+        zone,
+        shard,
+        weight,
+        sum([facts.up for facts in told]) * 2 > len(told),
+        sum([facts.work for facts in told]),
+        max([facts.load for facts in told]),
+        True in [facts.sole for facts in told],
+        _most([facts.started for facts in told]),
+    )
 
 
 def _most(told: list[T]) -> T:
@@ -108,8 +115,14 @@
     if (facts := view.nodes.get(machine)) is None:
         return ""
     left = _left(view, machine, (n for n, f in view.nodes.items() if f.zone == facts.zone))
-    return "" if left >= rule.zone_floor - 1e-9 else (
-        f"zone {facts.zone!r} would keep {left:.2f} of its capacity, {rule.id} wants {rule.zone_floor:.2f}")
+    return (
+        ""
+        if left >= rule.zone_floor - 1e-9
+        else (
+            f"zone {facts.zone!r} would keep {left:.2f} of its capacity, "
+            f"{rule.id} wants {rule.zone_floor:.2f}"
+        )
+    )
 
 
 def shard_capacity(view: Picture, machine: str, rule: Request) -> str:
@@ -117,8 +130,14 @@
     if (facts := view.nodes.get(machine)) is None:
         return ""
     left = _left(view, machine, (n for n, f in view.nodes.items() if f.shard == facts.shard))
-    return "" if left >= rule.shard_floor - 1e-9 else (
-        f"shard {facts.shard} would keep {left:.2f} of its capacity, {rule.id} wants {rule.shard_floor:.2f}")
+    return (
+        ""
+        if left >= rule.shard_floor - 1e-9
+        else (
+            f"shard {facts.shard} would keep {left:.2f} of its capacity, "
+            f"{rule.id} wants {rule.shard_floor:.2f}"
+        )
+    )
 
 
 def sole_data(view: Picture, machine: str, rule: Request) -> str:
@@ -137,8 +156,13 @@
         return ""
     for name in sorted(view.absent - {machine}):
         other = view.nodes.get(name)
-        if other is not None and (rule.repeats == "all" or rule.repeats == "zone" and other.zone == facts.zone
-                                  or rule.repeats == "shard" and other.shard == facts.shard):
+        if other is not None and (
+            rule.repeats == "all"
+            or rule.repeats == "zone"
+            and other.zone == facts.zone
+            or rule.repeats == "shard"
+            and other.shard == facts.shard
+        ):
             return f"{name} is not there and shares repeats with it ({rule.id}: {rule.repeats})"
     return ""
 
@@ -150,8 +174,10 @@
     there = sorted(name for name in view.members if name in view.absent and name != machine)
     if len(there) + 1 <= (len(view.members) - 1) // 2:
         return ""
-    return (f"{len(there) + 1} of {len(view.members)} gateways would not be there"
-            f"{f' ({_names(there)} now)' if there else ''}: the log needs more than half")
+    return (
+        f"{len(there) + 1} of {len(view.members)} gateways would not be there"
+        f"{f' ({_names(there)} now)' if there else ''}: the log needs more than half"
+    )
 
 
 LIMITS: tuple[Limit, ...] = (in_all, in_zone, zone_capacity, shard_capacity, sole_data, apart, majority)
@@ -210,13 +236,21 @@
         another, so that few are disturbed; least work out there first, as it is soonest empty, then the least
         load; then by name.
         """
-        begun = {view.zones.get(item.machine, "") for item in state.items.values()
-                 if item.step in AWAY or item.step == "done"}
+        begun = {
+            view.zones.get(item.machine, "")
+            for item in state.items.values()
+            if item.step in AWAY or item.step == "done"
+        }
         return sorted(
-            (item for item in state.items.values()
-             if item.step == "proposed" and not state.halted(item)),
-            key=lambda item: (item.gateway, view.zones.get(item.machine, "") not in begun,
-                              _work(view, item.machine), round(_load(view, item.machine), 2), item.machine))
+            (item for item in state.items.values() if item.step == "proposed" and not state.halted(item)),
+            key=lambda item: (
+                item.gateway,
+                view.zones.get(item.machine, "") not in begun,
+                _work(view, item.machine),
+                round(_load(view, item.machine), 2),
+                item.machine,
+            ),
+        )
 
     def choose(self, state: Maintained, view: Picture | None = None) -> Choice:
         """The next machine, the same on every gateway that has read as far."""
@@ -226,8 +260,14 @@
             if why := self.hinders(state, item, view):
                 passed.append(f"{item.machine} may not go: {why}")
                 continue
-            place = "a gateway, as no node may go" if item.gateway else (
-                f"zone {view.zones.get(item.machine, '')!r}, {_work(view, item.machine)} attempts out there")
+            place = (
+                "a gateway, as no node may go"
+                if item.gateway
+                else (
+                    f"zone {view.zones.get(item.machine, '')!r}, "
+                    f"{_work(view, item.machine)} attempts out there"
+                )
+            )
             told = f"{item.machine} is next of {len(waiting)} that wait: {place}"
             return Choice(item.machine, told + (f"; {passed[0]}" if passed else ""))
         if passed:
--- a/mallowbeam/fleet/maintenance/part.py
+++ b/mallowbeam/fleet/maintenance/part.py
@@ -39,11 +39,16 @@
         self.hands = hands
         self.topic = Maintenance(hands.members)
         now = time.monotonic()
-        self.core = c.MaintenanceCore(hands.me, f"{time.time_ns():x}", hands.members, now, c.Times(
-            lease=section.lease_s, report=section.report_s, warm=section.warm_s))
+        self.core = c.MaintenanceCore(
+            hands.me,
+            f"{time.time_ns():x}",
+            hands.members,
+            now,
+            c.Times(lease=section.lease_s, report=section.report_s, warm=section.warm_s),
+        )
         self.allotments: list[Callable[[bool], bool]] = []
         self.warmers: list[Callable[[str, float], None]] = []
-        self.down = False                      # it has been told to step down
+        self.down = False  # it has been told to step down
         hands.gateway().gates.append(lambda: self.core.serves(time.monotonic()))
 
     def committed(self, told: Committed, now: float) -> None:
@@ -57,8 +62,12 @@
     def tick(self, now: float) -> None:
         """What the gateway sees now, and what is due."""
         hands = self.hands
-        nodes = {entry.node: NodeFacts(entry.zone, entry.shard, entry.weight, entry.state is NodeState.READY,
-                                       hands.out(entry.node)) for entry in hands.nodes()}
+        nodes = {
+            entry.node: NodeFacts(
+                entry.zone, entry.shard, entry.weight, entry.state is NodeState.READY, hands.out(entry.node)
+            )
+            for entry in hands.nodes()
+        }
         gave_up = self.down and all([give(True) for give in self.allotments])
         self.core.reports(c.Local(nodes, hands.held(), gave_up, hands.me if hands.leader() else None))
         self._do(self.core.tick(now))
@@ -79,10 +88,12 @@
     def gauges(self) -> Mapping[str, float]:
         """How many machines are where."""
         items = self.core.state.items.values()
-        return {"waiting": sum(item.step == "proposed" for item in items),
-                "away": sum(item.step in AWAY for item in items),
-                "lost": sum(item.step == "lost" for item in items),
-                "over": sum(item.step in OVER for item in items)}
+        return {
+            "waiting": sum(item.step == "proposed" for item in items),
+            "away": sum(item.step in AWAY for item in items),
+            "lost": sum(item.step == "lost" for item in items),
+            "over": sum(item.step in OVER for item in items),
+        }
 
     def _do(self, actions: list[c.Action]) -> None:
         for action in actions:
--- a/mallowbeam/fleet/maintenance/state.py
+++ b/mallowbeam/fleet/maintenance/state.py
@@ -19,13 +19,14 @@
 
 from mallowbeam.fleet.log import Entry
 
-MOST_REQUESTS = 64          # in one policy; more are refused
-MOST_MACHINES = 1024        # in one request; more are refused
-MOST_NODES = 600            # of one report, by what an entry may hold; the rest is left out of the order
-MOST_ORDER = 1024           # past decisions kept to be shown; the oldest are forgotten
-
-Step = Literal["proposed", "agreed", "draining", "empty", "out", "back", "warming", "done", "failed",
-               "aborted", "lost"]
+MOST_REQUESTS = 64  # in one policy; more are refused
+MOST_MACHINES = 1024  # in one request; more are refused
+MOST_NODES = 600  # of one report, by what an entry may hold; the rest is left out of the order
+MOST_ORDER = 1024  # past decisions kept to be shown; the oldest are forgotten
+
+Step = Literal[
+    "proposed", "agreed", "draining", "empty", "out", "back", "warming", "done", "failed", "aborted", "lost"
+]
 AWAY = frozenset({"agreed", "draining", "empty", "out", "back", "warming"})  # under way: counted as not there
 DRAINED = frozenset({"draining", "empty", "out", "back", "lost"})  # nothing new is sent there
 OVER = frozenset({"done", "failed", "aborted"})
@@ -40,11 +41,11 @@
 
     id: Name
     machines: Annotated[tuple[Name, ...], Meta(min_length=1, max_length=MOST_MACHINES)]
-    at_once: Count = 1                         # machines not there at once, in all
-    at_once_zone: Count = 1                    # the same in one zone
-    zone_floor: Share = 0.5                    # share of a zone's weight that stays
-    shard_floor: Share = 0.0                   # share of a shard's weight that stays
-    sole_data: bool = False                    # may take out a node whose data nobody else serves
+    at_once: Count = 1  # machines not there at once, in all
+    at_once_zone: Count = 1  # the same in one zone
+    zone_floor: Share = 0.5  # share of a zone's weight that stays
+    shard_floor: Share = 0.0  # share of a shard's weight that stays
+    sole_data: bool = False  # may take out a node whose data nobody else serves
     repeats: Literal["", "all", "zone", "shard"] = ""  # nodes that share repeats are not out together
     time_s: Annotated[float, Meta(gt=0.0, le=604800.0)] = 3600.0  # for one machine, agreed to done
     on_time_up: Literal["go on", "stop"] = "stop"
@@ -63,10 +64,10 @@
     shard: int = 0
     weight: float = 1.0
     up: bool = True
-    work: int = 0                              # attempts out there
-    load: float = 0.0                          # share of its time at work
-    sole: bool = False                         # this gateway knows of data that nobody else serves
-    started: int = 0                           # which start of it discovery tells of, 0 for not told
+    work: int = 0  # attempts out there
+    load: float = 0.0  # share of its time at work
+    sole: bool = False  # this gateway knows of data that nobody else serves
+    started: int = 0  # which start of it discovery tells of, 0 for not told
 
 
 # --- entries ------------------------------------------------------------------------------------
@@ -80,9 +81,9 @@
     heard: int
     zone: str
     nodes: dict[str, NodeFacts]
-    empty: list[str] = []                      # it has sent nothing there since told, and has nothing out
-    warm: list[str] = []                       # warm enough there, by its own clock
-    gave_up: bool = False                      # it uses none of what it was allotted
+    empty: list[str] = []  # it has sent nothing there since told, and has nothing out
+    warm: list[str] = []  # warm enough there, by its own clock
+    gave_up: bool = False  # it uses none of what it was allotted
 
 
 class Gone(Entry, frozen=True):
@@ -131,18 +132,18 @@
 
     machine: str
     gateway: bool
-    asked: tuple[str, ...]                     # by which requests
+    asked: tuple[str, ...]  # by which requests
     step: Step = "proposed"
     turn: int = 0
-    at: int = 0                                # the entry that made this step
-    began: int = 0                             # the entry that agreed on it
-    drained: int = 0                           # the entry that began to drain it
+    at: int = 0  # the entry that made this step
+    began: int = 0  # the entry that agreed on it
+    drained: int = 0  # the entry that began to drain it
     why: str = ""
-    started: int = 0                           # the node's start, as it went out
-    life: str = ""                             # the gateway's life, as it went out
-    seen_down: bool = False                    # down since it went out
-    dropped: bool = False                      # its request is taken back: it only comes back
-    warm: dict[str, float] = {}                # each gateway's share of the cold bound
+    started: int = 0  # the node's start, as it went out
+    life: str = ""  # the gateway's life, as it went out
+    seen_down: bool = False  # down since it went out
+    dropped: bool = False  # its request is taken back: it only comes back
+    warm: dict[str, float] = {}  # each gateway's share of the cold bound
 
 
 class Turn(msgspec.Struct, frozen=True):
@@ -161,16 +162,18 @@
     items: dict[str, Item] = {}
     reports: dict[str, Report] = {}
     gone: frozenset[str] = frozenset()
-    stopped: dict[str, str] = {}               # requests that go no further, and why
-    drains: frozenset[str] = frozenset()       # nodes that the policy itself drains: not there
+    stopped: dict[str, str] = {}  # requests that go no further, and why
+    drains: frozenset[str] = frozenset()  # nodes that the policy itself drains: not there
     order: tuple[Turn, ...] = ()
     turn: int = 0
 
     @property
     def active(self) -> bool:
         """Whether any machine is still on its way; one whose request is stopped waits for the operators."""
-        return any(item.step not in OVER and not (item.step == "proposed" and self.halted(item))
-                   for item in self.items.values())
+        return any(
+            item.step not in OVER and not (item.step == "proposed" and self.halted(item))
+            for item in self.items.values()
+        )
 
     def halted(self, item: Item) -> bool:
         """Whether a request that asked for it goes no further."""
--- a/mallowbeam/fleet/page.py
+++ b/mallowbeam/fleet/page.py
@@ -30,14 +30,14 @@
 from mallowbeam.operators import PolicySection
 
 BACK = "/fleet/maintenance/back"
-MOST_DIGITS = 12            # of a version in If-Match
+MOST_DIGITS = 12  # of a version in If-Match
 ALLOWED = {b"/policy": b"GET, PUT", b"/fleet": b"GET", b"/fleet/metrics": b"GET"}
 
 
 class FleetPages:
     """The front."""
 
-    max_body = whole = MOST                    # held whole: a push may come in pieces
+    max_body = whole = MOST  # held whole: a push may come in pieces
     budget: Budget | None = None
 
     def __init__(self, service: FleetService) -> None:
@@ -102,8 +102,9 @@
     return Reply(status, head + body)
 
 
-def open_policy(gateway: Gateway, section: PolicySection, connections: int,
-                sections: Mapping[str, Any] | None = None) -> Server:
+def open_policy(
+    gateway: Gateway, section: PolicySection, connections: int, sections: Mapping[str, Any] | None = None
+) -> Server:
     """The part, and the listener of its pages; `sections` are those of subsystems on; raises `BadConfig`."""
     assert section.listen is not None
     pages = FleetPages(FleetService(gateway, section, sections))
--- a/mallowbeam/fleet/policy.py
+++ b/mallowbeam/fleet/policy.py
@@ -25,7 +25,7 @@
 
 from mallowbeam.errors import MallowbeamError
 
-MOST_MARKS = 64             # marks on their way that are remembered; older ones count as lost
+MOST_MARKS = 64  # marks on their way that are remembered; older ones count as lost
 
 
 class Phase(Enum):
@@ -86,8 +86,8 @@
     beat: float
     refuses_stale: bool = True
     phase: Phase = Phase.LEARNING
-    change: Change = field(default_factory=Change)   # in force here
-    newest: Change = field(default_factory=Change)   # committed, as far as the log has told
+    change: Change = field(default_factory=Change)  # in force here
+    newest: Change = field(default_factory=Change)  # committed, as far as the log has told
     known_at: float = float("-inf")
     last: int = 0
     marks: OrderedDict[int, float] = field(default_factory=OrderedDict)
@@ -127,9 +127,9 @@
     def marked(self, number: int, now: float) -> list[Action]:
         """A mark of this gateway's own came out of the log: all that was committed before it is here."""
         if (put_in := self.marks.pop(number, None)) is None:
-            return []                          # of an earlier life, or given up
+            return []  # of an earlier life, or given up
         while self.marks and next(iter(self.marks)) < number:
-            self.marks.popitem(last=False)     # overtaken: it proves less
+            self.marks.popitem(last=False)  # overtaken: it proves less
         self.known_at = max(self.known_at, put_in)
         actions: list[Action] = []
         if now <= self.known_at + self.lease and self.phase is not Phase.CURRENT:
--- a/mallowbeam/fleet/policy_text.py
+++ b/mallowbeam/fleet/policy_text.py
@@ -19,9 +19,9 @@
 from mallowbeam.fleet.errors import BadPolicy
 from mallowbeam.interface import Plan
 
-MOST = 64 * 1024            # bytes of a policy
-MOST_PLANS = 1000           # of one policy; each is one event for the module
-MOST_DEPTH = 32             # of what lies within what: far from where any reader gives up
+MOST = 64 * 1024  # bytes of a policy
+MOST_PLANS = 1000  # of one policy; each is one event for the module
+MOST_DEPTH = 32  # of what lies within what: far from where any reader gives up
 SUBSYSTEMS = ("maintenance", "shares", "pools")  # each a section of a policy, and of the operators' file
 
 Name = Annotated[str, Meta(min_length=1, max_length=256)]
@@ -107,8 +107,12 @@
     """
     level = [raw]
     for _ in range(MOST_DEPTH + 1):
-        level = [item for outer in level if isinstance(outer, dict | list)
-                 for item in (outer.values() if isinstance(outer, dict) else outer)]
+        level = [
+            item
+            for outer in level
+            if isinstance(outer, dict | list)
+            for item in (outer.values() if isinstance(outer, dict) else outer)
+        ]
         if not level:
             return True
     return False
@@ -120,8 +124,12 @@
         if getattr(policy, name) is None:
             continue
         if name not in on:
-            raise BadPolicy("this subsystem is off", name, f"turn the section {name} on in the operators' "
-                            "file of every member, or leave it out of the policy")
+            raise BadPolicy(
+                "this subsystem is off",
+                name,
+                f"turn the section {name} on in the operators' "
+                "file of every member, or leave it out of the policy",
+            )
         if name in _TYPES:
             section_of(policy, name, _TYPES[name])
 
--- a/mallowbeam/fleet/pools/canonical.py
+++ b/mallowbeam/fleet/pools/canonical.py
@@ -106,21 +106,45 @@
     recall = None if pools.recall == m.RECALL else pools.recall
     classes = [replace(c, of=simple(c.of)) for c in pools.classes]
     budgets = [replace(b, nodes=simple(b.nodes), when=simple(b.when)) for b in pools.budgets]
-    gateways = [replace(g, who=simple(g.who), nodes=simple(g.nodes), when=simple(g.when),
-                        terms=_default(g.terms, m.SEAT)) for g in pools.gateways]
-    shares = [replace(s, who=simple(s.who), nodes=simple(s.nodes), when=simple(s.when),
-                      terms=_default(s.terms, m.SEAT, True)) for s in pools.shares]
-    tenants = [replace(t, who=simple(t.who), nodes=simple(t.nodes), gateways=simple(t.gateways),
-                       when=simple(t.when), terms=_default(t.terms, 0, _plain(t.loan) != m.Loan()),
-                       loan=_plain(t.loan)) for t in pools.tenants]
+    gateways = [
+        replace(
+            g, who=simple(g.who), nodes=simple(g.nodes), when=simple(g.when), terms=_default(g.terms, m.SEAT)
+        )
+        for g in pools.gateways
+    ]
+    shares = [
+        replace(
+            s,
+            who=simple(s.who),
+            nodes=simple(s.nodes),
+            when=simple(s.when),
+            terms=_default(s.terms, m.SEAT, True),
+        )
+        for s in pools.shares
+    ]
+    tenants = [
+        replace(
+            t,
+            who=simple(t.who),
+            nodes=simple(t.nodes),
+            gateways=simple(t.gateways),
+            when=simple(t.when),
+            terms=_default(t.terms, 0, _plain(t.loan) != m.Loan()),
+            loan=_plain(t.loan),
+        )
+        for t in pools.tenants
+    ]
     return m.Pools(
         recall,
         ordered(classes, lambda a, b: not _names(a, b) and not _names(b, a)),
         ordered(budgets, lambda a, b: apart(a.nodes, b.nodes)),
         ordered(gateways, lambda a, b: apart(a.who, b.who) or apart(a.nodes, b.nodes)),
         ordered(shares, lambda a, b: apart(a.who, b.who) or apart(a.nodes, b.nodes)),
-        ordered(tenants, lambda a, b: (apart(a.who, b.who) or apart(a.nodes, b.nodes)
-                                       or apart(a.gateways, b.gateways))))
+        ordered(
+            tenants,
+            lambda a, b: (apart(a.who, b.who) or apart(a.nodes, b.nodes) or apart(a.gateways, b.gateways)),
+        ),
+    )
 
 
 def simple(of: Expr) -> Expr:
@@ -188,8 +212,11 @@
 
 def _default(terms: m.Terms, floor: int, says_more: bool = False) -> m.Terms:
     """Without what says only the default; a rule must say something: a weight, where nothing else is left."""
-    kept = m.Terms(None if terms.weight == m.WEIGHT else terms.weight,
-                   None if terms.floor == floor and terms.ceiling != 0 else terms.floor, terms.ceiling)
+    kept = m.Terms(
+        None if terms.weight == m.WEIGHT else terms.weight,
+        None if terms.floor == floor and terms.ceiling != 0 else terms.floor,
+        terms.ceiling,
+    )
     return replace(kept, weight=m.WEIGHT) if kept == m.Terms() and not says_more else kept
 
 
--- a/mallowbeam/fleet/pools/check.py
+++ b/mallowbeam/fleet/pools/check.py
@@ -29,7 +29,7 @@
 from mallowbeam.fleet.pools.model import Expr
 from mallowbeam.fleet.pools.select import Traits, Worlds, facts_in, matches, tenant_traits, traits
 
-MOST_CASES = 500_000        # kinds of nodes x gateways x tenants looked at; beyond: PoolBound
+MOST_CASES = 500_000  # kinds of nodes x gateways x tenants looked at; beyond: PoolBound
 
 
 def check(pools: m.Pools, fleet: m.Fleet) -> None:
@@ -45,8 +45,11 @@
     if not found:
         cases = Cases(pools, fleet)
         if cases.count > MOST_CASES:
-            yield PoolBound(f"{cases.count} combinations of nodes, gateways and tenants to check, at most "
-                            f"{MOST_CASES}", remedy="tell fewer apart by name: use zones, models and classes")
+            yield PoolBound(
+                f"{cases.count} combinations of nodes, gateways and tenants to check, at most "
+                f"{MOST_CASES}",
+                remedy="tell fewer apart by name: use zones, models and classes",
+            )
             return
         yield from cases.budgets()
         yield from cases.seats()
@@ -57,12 +60,18 @@
 
 
 def _names(pools: m.Pools, fleet: m.Fleet) -> Iterator[PoolError]:
-    nodes = {"name": {n.name for n in fleet.nodes}, "zone": {n.zone for n in fleet.nodes},
-             "model": {n.model for n in fleet.nodes}}
+    nodes = {
+        "name": {n.name for n in fleet.nodes},
+        "zone": {n.zone for n in fleet.nodes},
+        "model": {n.model for n in fleet.nodes},
+    }
     edges = {"name": {g.name for g in fleet.gateways}, "zone": {g.zone for g in fleet.gateways}}
     classes: set[str] = set()
-    tenants = {"name": {t.name for t in fleet.tenants}, "plan": {t.plan for t in fleet.tenants} | fleet.plans,
-               "class": classes}
+    tenants = {
+        "name": {t.name for t in fleet.tenants},
+        "plan": {t.plan for t in fleet.tenants} | fleet.plans,
+        "class": classes,
+    }
     facts = {"zone": nodes["zone"] | edges["zone"], "machine": nodes["name"] | edges["name"]}
     for each in pools.classes:
         yield from _known(each.of, "tenant", tenants)
@@ -77,9 +86,13 @@
         yield from _known(rule.when, "fact", facts)
     for share in pools.shares:
         if share.through is not None and not any(
-                g.name == share.through and matches(share.who, traits(g)) for g in fleet.gateways):
-            yield PoolName(f'"{share.through}" is none of the gateways that share', place=share.at,
-                           remedy="name one of those that the rule is about")
+            g.name == share.through and matches(share.who, traits(g)) for g in fleet.gateways
+        ):
+            yield PoolName(
+                f'"{share.through}" is none of the gateways that share',
+                place=share.at,
+                remedy="name one of those that the rule is about",
+            )
     for loan in pools.tenants:
         yield from _known(loan.who, "tenant", tenants)
         yield from _known(loan.loan.to, "tenant", tenants)
@@ -110,8 +123,11 @@
 def _unknown(sort: str, name: str, known: set[str], at: m.Place) -> PoolName:
     near = get_close_matches(name, sorted(known), 1)
     known_here = ", ".join(sorted(known)[:8]) or "none"
-    hint = f'did you mean "{near[0]}"?' if near else (
-        "define the class above its first use" if sort == "class" else f"known here: {known_here}")
+    hint = (
+        f'did you mean "{near[0]}"?'
+        if near
+        else ("define the class above its first use" if sort == "class" else f"known here: {known_here}")
+    )
     return PoolName(f'no {sort} is named "{name}"', remedy=hint, place=at)
 
 
@@ -120,17 +136,29 @@
     for rule in rules:
         terms, seats = rule.terms, not isinstance(rule, m.Tenants)
         if terms.weight == 0:
-            yield PoolTerms("a weight of 0: it would never get more than its floor", place=rule.at,
-                            remedy="give a weight of 1 or more, or a ceiling")
+            yield PoolTerms(
+                "a weight of 0: it would never get more than its floor",
+                place=rule.at,
+                remedy="give a weight of 1 or more, or a ceiling",
+            )
         if terms.ceiling is not None and terms.floor is not None and terms.ceiling < terms.floor:
-            yield PoolTerms(f"the ceiling of {terms.ceiling} is below the floor of {terms.floor}",
-                            place=rule.at, remedy="raise the ceiling or lower the floor")
+            yield PoolTerms(
+                f"the ceiling of {terms.ceiling} is below the floor of {terms.floor}",
+                place=rule.at,
+                remedy="raise the ceiling or lower the floor",
+            )
         if seats and terms.floor == 0 and terms.ceiling != 0:
-            yield PoolTerms("a floor of 0: these gateways might never reach the node", place=rule.at,
-                            remedy="say who shares (`share gateways ...`), or who holds none: `ceiling 0`")
+            yield PoolTerms(
+                "a floor of 0: these gateways might never reach the node",
+                place=rule.at,
+                remedy="say who shares (`share gateways ...`), or who holds none: `ceiling 0`",
+            )
         if isinstance(rule, m.Share) and terms.ceiling == 0:
-            yield PoolTerms("they share nothing: the ceiling is 0", place=rule.at,
-                            remedy="use `gateways ...: ceiling 0;` for those that hold none")
+            yield PoolTerms(
+                "they share nothing: the ceiling is 0",
+                place=rule.at,
+                remedy="use `gateways ...: ceiling 0;` for those that hold none",
+            )
 
 
 # --- cases --------------------------------------------------------------------------------------------
@@ -177,15 +205,22 @@
             if self.reached >> i & 1:
                 continue
             if not self.where[i]:
-                yield PoolUnreachable("its condition can never hold", place=rule.at,
-                                      remedy="correct what stands after `when`, or take the rule out")
+                yield PoolUnreachable(
+                    "its condition can never hold",
+                    place=rule.at,
+                    remedy="correct what stands after `when`, or take the rule out",
+                )
             elif not self.seen >> i & 1:
-                yield PoolUnreachable("it is about nothing in this fleet", place=rule.at,
-                                      remedy="correct what it chooses, or take it out")
+                yield PoolUnreachable(
+                    "it is about nothing in this fleet",
+                    place=rule.at,
+                    remedy="correct what it chooses, or take it out",
+                )
             else:
                 line = self.rules[self.before[i]].at.line
-                yield PoolUnreachable(f"earlier rules decide all that it is about, as the one on line {line}",
-                                      place=rule.at)
+                yield PoolUnreachable(
+                    f"earlier rules decide all that it is about, as the one on line {line}", place=rule.at
+                )
 
 
 class Cases:
@@ -198,21 +233,27 @@
         worlds = self.worlds = Worlds(set().union(*map(facts_in, whens)))
         self.first_budget, self.first_terms, self.first_share, self.first_loan = (
             First(kind, [rule.when for rule in kind], worlds)
-            for kind in (p.budgets, p.gateways, p.shares, p.tenants))
+            for kind in (p.budgets, p.gateways, p.shares, p.tenants)
+        )
         self.pools = p
         tenants = [(t, _mask([r.who for r in p.tenants], tenant_traits(t, p.classes))) for t in fleet.tenants]
         every = Counter(mask for t, mask in tenants if t.gateways is None)
         self.node_kinds: dict[tuple[int, int, int, int], str] = {}
         for node in fleet.nodes:
             at = traits(node)
-            kind = (_mask([r.nodes for r in p.budgets], at), _mask([r.nodes for r in p.gateways], at),
-                    _mask([r.nodes for r in p.shares], at), _mask([r.nodes for r in p.tenants], at))
+            kind = (
+                _mask([r.nodes for r in p.budgets], at),
+                _mask([r.nodes for r in p.gateways], at),
+                _mask([r.nodes for r in p.shares], at),
+                _mask([r.nodes for r in p.tenants], at),
+            )
             self.node_kinds.setdefault(kind, node.name)
         # gateways alike to all rules and with tenants alike: how many, and one of their names
         self.edge_kinds: dict[tuple[int, int, int, tuple[tuple[int, int], ...]], tuple[int, str]] = {}
         for gateway in fleet.gateways:
-            through = every + Counter(mask for t, mask in tenants
-                                      if t.gateways and gateway.name in t.gateways)
+            through = every + Counter(
+                mask for t, mask in tenants if t.gateways and gateway.name in t.gateways
+            )
             edge = (*self._edge(traits(gateway)), tuple(sorted(through.items())))
             self.edge_kinds[edge] = (self.edge_kinds.get(edge, (0, ""))[0] + 1, gateway.name)
         zones = sorted({g.zone for g in fleet.gateways})
@@ -222,8 +263,11 @@
 
     def _edge(self, of_it: Traits) -> tuple[int, int, int]:
         p = self.pools
-        return (_mask([r.who for r in p.gateways], of_it), _mask([r.who for r in p.shares], of_it),
-                _mask([r.gateways for r in p.tenants], of_it))
+        return (
+            _mask([r.who for r in p.gateways], of_it),
+            _mask([r.who for r in p.shares], of_it),
+            _mask([r.gateways for r in p.tenants], of_it),
+        )
 
     def budgets(self) -> Iterator[PoolError]:
         """Budgets that can't be reached."""
@@ -258,8 +302,14 @@
         yield from self.first_terms.unreachable()
         yield from self.first_share.unreachable()
 
-    def _add(self, kind: tuple[int, int, int, int], edge: tuple[int, int, int], times: int,
-             floors: list[list[tuple[int, int]]], groups: list[set[int]]) -> None:
+    def _add(
+        self,
+        kind: tuple[int, int, int, int],
+        edge: tuple[int, int, int],
+        times: int,
+        floors: list[list[tuple[int, int]]],
+        groups: list[set[int]],
+    ) -> None:
         for group, floor, worlds in self._floors(kind, edge):
             for w in self._each(worlds):
                 if group is None:
@@ -267,8 +317,9 @@
                 else:
                     groups[w].add(group)
 
-    def _floors(self, kind: tuple[int, int, int, int],
-                edge: tuple[int, int, int]) -> Iterator[tuple[int | None, int, int]]:
+    def _floors(
+        self, kind: tuple[int, int, int, int], edge: tuple[int, int, int]
+    ) -> Iterator[tuple[int | None, int, int]]:
         """Of one kind of gateway at one of nodes: group, floor, and the worlds of that."""
         for group, worlds in self.first_share.of(kind[2] & edge[1]):
             if group is not None:
@@ -294,10 +345,12 @@
     def _beyond(self, budget: m.Budget, node: str, need: int, seats: int, world: int) -> PoolError:
         where = f'at node "{node}" {self.worlds.told(world)}'
         if seats > budget.connections:
-            return PoolTooFew(f"{budget.connections} connections for {seats} gateways or groups {where}",
-                              place=budget.at)
-        return PoolOvercommitted(f"floors of {need} connections in a budget of {budget.connections} {where}",
-                                 place=budget.at)
+            return PoolTooFew(
+                f"{budget.connections} connections for {seats} gateways or groups {where}", place=budget.at
+            )
+        return PoolOvercommitted(
+            f"floors of {need} connections in a budget of {budget.connections} {where}", place=budget.at
+        )
 
     def _each(self, worlds: int) -> Iterator[int]:
         while worlds:
@@ -326,11 +379,13 @@
                                 f'floors of tenants add up to {needs[w]} at gateway "{name}", node "{node}" '
                                 f"{self.worlds.told(w)}, where the gateway is sure of {sure}",
                                 place=self.pools.tenants[last].at,
-                                remedy="raise the gateway's floor there, or lower the tenants' floors")
+                                remedy="raise the gateway's floor there, or lower the tenants' floors",
+                            )
         yield from self.first_loan.unreachable()
 
-    def _sure(self, kind: tuple[int, int, int, int], edge: tuple[int, int, int],
-              name: str) -> Iterator[tuple[int, int]]:
+    def _sure(
+        self, kind: tuple[int, int, int, int], edge: tuple[int, int, int], name: str
+    ) -> Iterator[tuple[int, int]]:
         """What a gateway has at least at any size: its floor, or that of a group that goes through it."""
         for group, floor, worlds in self._floors(kind, edge):
             yield (floor if group is None or self.pools.shares[group].through == name else 0), worlds
--- a/mallowbeam/fleet/pools/errors.py
+++ b/mallowbeam/fleet/pools/errors.py
@@ -62,5 +62,7 @@
 class PoolTooFew(PoolError):
     """A budget below one connection for each gateway, and nobody is said to share."""
 
-    remedy = ("say who shares: `share gateways name \"g1\", \"g2\": in turns;` (or `through \"g1\"`), or who "
-              "holds none: `gateways name \"g3\": ceiling 0;`")
+    remedy = (
+        'say who shares: `share gateways name "g1", "g2": in turns;` (or `through "g1"`), or who '
+        'holds none: `gateways name "g3": ceiling 0;`'
+    )
--- a/mallowbeam/fleet/pools/evaluate.py
+++ b/mallowbeam/fleet/pools/evaluate.py
@@ -82,14 +82,18 @@
     @cached_property
     def borrowers(self) -> dict[int, frozenset[str]]:
         """By the place of a tenants' rule: to whom it lends."""
-        return {i: frozenset(name for name, of_it in self.tenants.items() if matches(rule.loan.to, of_it))
-                for i, rule in enumerate(self.loans)}
+        return {
+            i: frozenset(name for name, of_it in self.tenants.items() if matches(rule.loan.to, of_it))
+            for i, rule in enumerate(self.loans)
+        }
 
     @cached_property
     def who(self) -> dict[int, frozenset[str]]:
         """By the place of a tenants' rule: the tenants that it is about."""
-        return {i: frozenset(name for name, of_it in self.tenants.items() if matches(rule.who, of_it))
-                for i, rule in enumerate(self.loans)}
+        return {
+            i: frozenset(name for name, of_it in self.tenants.items() if matches(rule.who, of_it))
+            for i, rule in enumerate(self.loans)
+        }
 
     def total(self, node: str) -> int | None:
         """A node's connections in all; None where no budget bounds it."""
@@ -101,7 +105,7 @@
         at = self.nodes[node]
         rules = [i for i, rule in enumerate(self.rules) if matches(rule.nodes, at)]
         shares = [i for i, rule in enumerate(self.shares) if matches(rule.nodes, at)]
-        kind = (*rules, -1, *shares)           # nodes that no rule tells apart have the same seats
+        kind = (*rules, -1, *shares)  # nodes that no rule tells apart have the same seats
         if kind not in self._seats:
             self._seats[kind] = self._seat(rules, shares)
         return self._seats[kind]
@@ -114,12 +118,14 @@
             if group is not None:
                 members.setdefault(group, []).append(name)
             else:
-                terms = next((self.rules[i].terms for i in rules
-                              if matches(self.rules[i].who, of_it)), m.Terms())
+                terms = next(
+                    (self.rules[i].terms for i in rules if matches(self.rules[i].who, of_it)), m.Terms()
+                )
                 seats.append(seat(name, terms, m.SEAT))
         # A group is called by its members, so that ties do not go by the order of rules.
-        groups: Groups = {"\0".join(["", *sorted(names)]): (self.shares[i], names)
-                          for i, names in members.items()}
+        groups: Groups = {
+            "\0".join(["", *sorted(names)]): (self.shares[i], names) for i, names in members.items()
+        }
         return seats + [seat(name, rule.terms, m.SEAT) for name, (rule, _) in groups.items()], groups
 
     def node(self, node: str) -> NodeBudget | None:
@@ -134,7 +140,7 @@
 
     def _within(self, count: int, rule: m.Share, members: list[str]) -> dict[str, int]:
         """What a group has, by member."""
-        if rule.through in members:            # else it is gone: they take turns
+        if rule.through in members:  # else it is gone: they take turns
             return {name: count if name == rule.through else 0 for name in members}
         each, more = divmod(count, len(members))
         return {name: each + ((i - self.turn) % len(members) < more) for i, name in enumerate(members)}
@@ -149,8 +155,9 @@
 
     def _terms(self, node: str, gateway: str) -> tuple[list[Seat], dict[str, Offer]]:
         at, by = self.nodes[node], self.edges[gateway]
-        rules = tuple(i for i, rule in enumerate(self.loans)
-                      if matches(rule.nodes, at) and matches(rule.gateways, by))
+        rules = tuple(
+            i for i, rule in enumerate(self.loans) if matches(rule.nodes, at) and matches(rule.gateways, by)
+        )
         if (made := self._offers.get((gateway, rules))) is None:
             lends = {i: self._lends(i) for i in (None, *rules)}
             seats: list[Seat] = []
@@ -168,8 +175,12 @@
         if rule is None:
             return Lends(100, 0, frozenset(self.tenants), self.recall / 1000)
         loan = self.loans[rule].loan
-        return Lends(100 if loan.percent is None else loan.percent, loan.keep or 0, self.borrowers[rule],
-                     (self.recall if loan.recall is None else loan.recall) / 1000)
+        return Lends(
+            100 if loan.percent is None else loan.percent,
+            loan.keep or 0,
+            self.borrowers[rule],
+            (self.recall if loan.recall is None else loan.recall) / 1000,
+        )
 
 
 def gateways(view: View) -> dict[str, dict[str, int]]:
@@ -180,6 +191,9 @@
 
 def table(view: View) -> dict[tuple[str, str, str], int]:
     """Connections by node, gateway and tenant: the whole of it, for small fleets and for tests."""
-    return {(node, gateway, tenant): own
-            for node, by in gateways(view).items() for gateway, count in by.items()
-            for tenant, own in view.here(node, gateway, count).items()}
+    return {
+        (node, gateway, tenant): own
+        for node, by in gateways(view).items()
+        for gateway, count in by.items()
+        for tenant, own in view.here(node, gateway, count).items()
+    }
--- a/mallowbeam/fleet/pools/lend.py
+++ b/mallowbeam/fleet/pools/lend.py
@@ -27,7 +27,7 @@
 
 from mallowbeam.fleet.pools.evaluate import Lends, Offer
 
-MOST_WAITING = 1024         # wants that wait at one node for a recall; beyond: refused at once
+MOST_WAITING = 1024  # wants that wait at one node for a recall; beyond: refused at once
 FREE = Offer(None, Lends(0, 0, frozenset(), 0.0))  # of a tenant that the budgets do not know
 
 
@@ -59,9 +59,9 @@
 class Want(Enum):
     """How a wish for a connection stands."""
 
-    OPEN = "open"                              # open one now
-    WAIT = "wait"                              # one was called back; ask again as `until` has it
-    REFUSE = "refuse"                          # none is there, and none is coming
+    OPEN = "open"  # open one now
+    WAIT = "wait"  # one was called back; ask again as `until` has it
+    REFUSE = "refuse"  # none is there, and none is coming
 
 
 @dataclass(slots=True)
@@ -70,10 +70,10 @@
 
     own: Mapping[str, int]
     offers: Mapping[str, Offer]
-    total: int | None                          # None: not bounded
+    total: int | None  # None: not bounded
     busy: dict[str, int] = field(default_factory=dict)
     idle: dict[str, int] = field(default_factory=dict)
-    called: dict[str, int] = field(default_factory=dict)   # by borrower: to be given back
+    called: dict[str, int] = field(default_factory=dict)  # by borrower: to be given back
     waiting: dict[str, int] = field(default_factory=dict)  # by owner: what it waits for
 
     def open(self, tenant: str) -> int:
@@ -148,13 +148,16 @@
         held = self.nodes[node]
         waits = held.waiting.get(tenant, 0)
         if sum(held.waiting.values()) >= MOST_WAITING or held.open(tenant) + waits >= held.own.get(tenant, 0):
-            return Want.REFUSE, 0.0            # it has all its own: there is nothing to call back
+            return Want.REFUSE, 0.0  # it has all its own: there is nothing to call back
         if sum(held.called.values()) > sum(held.waiting.values()):
-            held.waiting[tenant] = waits + 1   # one is coming back that nobody waits for any more
+            held.waiting[tenant] = waits + 1  # one is coming back that nobody waits for any more
             return Want.WAIT, min(held.offers.get(tenant, FREE).lends.recall, patience)
         recall = held.offers.get(tenant, FREE).lends.recall
-        borrower = max(held.own.keys() | held.busy.keys() | held.idle.keys(), default=None, key=lambda who: (
-            held.loan(who) - held.called.get(who, 0), held.idle.get(who, 0), who))
+        borrower = max(
+            held.own.keys() | held.busy.keys() | held.idle.keys(),
+            default=None,
+            key=lambda who: (held.loan(who) - held.called.get(who, 0), held.idle.get(who, 0), who),
+        )
         if borrower is not None and held.loan(borrower) > held.called.get(borrower, 0):
             held.called[borrower] = held.called.get(borrower, 0) + 1
             held.waiting[tenant] = waits + 1
@@ -206,7 +209,7 @@
         if (held := self.nodes.get(node)) is not None:
             self._gone(held, held.busy if busy else held.idle, tenant)
             if held.total is None and not held.all():
-                del self.nodes[node]           # what is not bounded is remembered while it is open
+                del self.nodes[node]  # what is not bounded is remembered while it is open
 
     # --- inside -----------------------------------------------------------------------------------
 
@@ -218,7 +221,7 @@
         if count <= held.own.get(tenant, 0):
             return True
         if held.called.get(tenant):
-            return False                       # it gives back: nothing new on loan meanwhile
+            return False  # it gives back: nothing new on loan meanwhile
         # All loans out, and this one, against all that may be lent; and this one against who lends to it.
         loans = sum(held.loan(who) for who in held.busy.keys() | held.idle.keys() if who != tenant)
         to_it = everything = 0
--- a/mallowbeam/fleet/pools/model.py
+++ b/mallowbeam/fleet/pools/model.py
@@ -8,19 +8,19 @@
 
 from dataclasses import dataclass, field
 
-MOST_TEXT = 64 * 1024       # bytes of a text, as of a whole policy; beyond: PoolBound
-MOST_RULES = 512            # rules of all kinds together; beyond: PoolBound
-MOST_DEPTH = 16             # parentheses and `not` inside each other; beyond: PoolBound
-MOST_FACTS = 8              # facts that conditions name: checks look at 2**8 worlds; beyond: PoolBound
-MOST_CONNECTIONS = 65_535   # connections of a budget, floor or ceiling; beyond: PoolBound
-MOST_WEIGHT = 10_000        # a weight; beyond: PoolBound
-MOST_RECALL = 60_000        # milliseconds until a loan has to be back; beyond: PoolBound
-MOST_NAME = 128             # characters of a name; beyond: PoolBound
-LANGUAGE = 1                # the version in the first line; a newer one is refused
+MOST_TEXT = 64 * 1024  # bytes of a text, as of a whole policy; beyond: PoolBound
+MOST_RULES = 512  # rules of all kinds together; beyond: PoolBound
+MOST_DEPTH = 16  # parentheses and `not` inside each other; beyond: PoolBound
+MOST_FACTS = 8  # facts that conditions name: checks look at 2**8 worlds; beyond: PoolBound
+MOST_CONNECTIONS = 65_535  # connections of a budget, floor or ceiling; beyond: PoolBound
+MOST_WEIGHT = 10_000  # a weight; beyond: PoolBound
+MOST_RECALL = 60_000  # milliseconds until a loan has to be back; beyond: PoolBound
+MOST_NAME = 128  # characters of a name; beyond: PoolBound
+LANGUAGE = 1  # the version in the first line; a newer one is refused
 
-WEIGHT = 1                  # of a gateway, group or tenant that no rule gives one
-SEAT = 1                    # the floor of a gateway or group that no rule gives one: it can reach the node
-RECALL = 2_000              # milliseconds: well above an aim, so that most busy loans end by themselves
+WEIGHT = 1  # of a gateway, group or tenant that no rule gives one
+SEAT = 1  # the floor of a gateway or group that no rule gives one: it can reach the node
+RECALL = 2_000  # milliseconds: well above an aim, so that most busy loans end by themselves
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,10 +107,10 @@
 class Loan:
     """What a tenant lends at its gateway when idle: `percent` of its own, `keep` always kept, to whom."""
 
-    percent: int | None = None                 # None: all of it
+    percent: int | None = None  # None: all of it
     to: Expr = EVERY
-    keep: int | None = None                    # None: 0
-    recall: int | None = None                  # milliseconds; None: the text's
+    keep: int | None = None  # None: 0
+    recall: int | None = None  # milliseconds; None: the text's
 
 
 @dataclass(frozen=True, slots=True)
@@ -175,7 +175,7 @@
 class Pools:
     """A whole text."""
 
-    recall: int | None = None                  # milliseconds
+    recall: int | None = None  # milliseconds
     classes: tuple[Class, ...] = ()
     budgets: tuple[Budget, ...] = ()
     gateways: tuple[Gateways, ...] = ()
@@ -220,7 +220,7 @@
     nodes: tuple[Node, ...]
     tenants: tuple[Tenant, ...] = ()
     most: int = 0
-    plans: frozenset[str] = frozenset()        # plans known besides those of the tenants
+    plans: frozenset[str] = frozenset()  # plans known besides those of the tenants
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/fleet/pools/select.py
+++ b/mallowbeam/fleet/pools/select.py
@@ -11,8 +11,8 @@
 from mallowbeam.fleet.pools import model as m
 from mallowbeam.fleet.pools.model import Expr
 
-Traits = Mapping[str, frozenset[str]]          # of a node, gateway or tenant: names by key
-Fact = tuple[str, str]                         # ("zone", name) or ("machine", name)
+Traits = Mapping[str, frozenset[str]]  # of a node, gateway or tenant: names by key
+Fact = tuple[str, str]  # ("zone", name) or ("machine", name)
 
 
 def traits(thing: m.Node | m.Gateway) -> Traits:
@@ -81,8 +81,9 @@
         self.facts = sorted(facts)
         self.count = 1 << len(self.facts)
         self.all = (1 << self.count) - 1
-        self.where = {fact: sum(1 << w for w in range(self.count) if w >> i & 1)
-                      for i, fact in enumerate(self.facts)}
+        self.where = {
+            fact: sum(1 << w for w in range(self.count) if w >> i & 1) for i, fact in enumerate(self.facts)
+        }
 
     def of(self, condition: Expr) -> int:
         """The worlds in which it holds."""
@@ -107,6 +108,9 @@
 
     def told(self, world: int) -> str:
         """A world in words."""
-        true = [f'zone "{name}" is out' if kind == "zone" else f'machine "{name}" is in maintenance'
-                for i, (kind, name) in enumerate(self.facts) if world >> i & 1]
+        true = [
+            f'zone "{name}" is out' if kind == "zone" else f'machine "{name}" is in maintenance'
+            for i, (kind, name) in enumerate(self.facts)
+            if world >> i & 1
+        ]
         return "when " + " and ".join(true) if true else "in peace"
--- a/mallowbeam/fleet/pools/split.py
+++ b/mallowbeam/fleet/pools/split.py
@@ -52,7 +52,7 @@
     made: list[Kind] = []
     for (weight, floor, ceiling), names in kinds.items():
         most = total if ceiling is None else min(ceiling, total)
-        if beyond:                             # floors alone, by weight; 0 counts as the least there is
+        if beyond:  # floors alone, by weight; 0 counts as the least there is
             made.append(Kind(names, weight or 1, 0, min(floor, most)))
         else:
             made.append(Kind(names, weight or 1, floor, max(most, floor) if weight else floor))
@@ -87,7 +87,7 @@
     while high - low > 1:
         middle = (low + high) // 2
         low, high = (middle, high) if count(at(middle)) <= total else (low, middle)
-    have, more = at(low), at(high)             # at most one step apart, as no weight is above W
+    have, more = at(low), at(high)  # at most one step apart, as no weight is above W
     if count(more) == total:
         have = more
     out = {name: each for each, kind in zip(have, kinds, strict=True) for name in kind.names}
--- a/mallowbeam/fleet/service.py
+++ b/mallowbeam/fleet/service.py
@@ -32,8 +32,8 @@
 from mallowbeam.net.gateway import Gateway
 from mallowbeam.operators import PolicySection
 
-PUSH_S = 3.0                # seconds that a push is waited for before its end is called unknown
-POLICY = "policy"           # under this name the policy wants nodes out, beside the subsystems
+PUSH_S = 3.0  # seconds that a push is waited for before its end is called unknown
+POLICY = "policy"  # under this name the policy wants nodes out, beside the subsystems
 
 
 def hold(folder: Path) -> RealDisk:
@@ -58,8 +58,9 @@
 class FleetService:
     """A part of the gateway."""
 
-    def __init__(self, gateway: Gateway, section: PolicySection,
-                 sections: Mapping[str, Any] | None = None) -> None:
+    def __init__(
+        self, gateway: Gateway, section: PolicySection, sections: Mapping[str, Any] | None = None
+    ) -> None:
         assert section.folder is not None and section.name is not None
         self.gateway, self.section, self.me = gateway, section, section.name
         self.core = PolicyCore(section.lease_s, section.beat_s, section.when_stale == "refuse")
@@ -67,23 +68,32 @@
         self.agreement: Agreement | None = None
         self.failed: MallowbeamError | None = None  # why this member takes nothing in any more
         self.hosted: dict[str, tuple[str, ...]] = {}  # by member: its subsystems, as its marks say
-        self.leading: str | None = None        # as of the last beat
+        self.leading: str | None = None  # as of the last beat
         self.counts = {"proposed": 0, "dropped": 0, "refused": 0, "faults": 0}
         self.folder = Path(section.folder)
-        self.disk = hold(self.folder)          # until this process ends, however it ends
+        self.disk = hold(self.folder)  # until this process ends, however it ends
         self.beating: asyncio.Task[None] | None = None
         self.leaving: asyncio.Task[None] | None = None
         self.loop: asyncio.AbstractEventLoop | None = None
-        self.subsystems: dict[str, Subsystem] = {name: self._open(name, own)
-                                                 for name, own in (sections or {}).items()}
+        self.subsystems: dict[str, Subsystem] = {
+            name: self._open(name, own) for name, own in (sections or {}).items()
+        }
         self.log = Log([part.topic for part in self.subsystems.values()])
         gateway.parts.append(self)
         gateway.gates.append(self.serves)
 
     def _open(self, name: str, section: Any) -> Subsystem:
         """Load a subsystem that is on."""
-        hands = GatewayHands(name, self.me, tuple(sorted(self.section.members)), self.gateway, self.drains,
-                             self.plans, self._put, lambda: self.leading == self.me)
+        hands = GatewayHands(
+            name,
+            self.me,
+            tuple(sorted(self.section.members)),
+            self.gateway,
+            self.drains,
+            self.plans,
+            self._put,
+            lambda: self.leading == self.me,
+        )
         part: Subsystem = import_module(f"mallowbeam.fleet.{name}.part").open_part(hands, section)
         assert part.topic.name == name
         return part
@@ -136,7 +146,7 @@
         """
         try:
             getattr(self.subsystems[name], method)(*given)
-        except Exception as error:             # noqa: BLE001 (whatever it is)
+        except Exception as error:  # noqa: BLE001 (whatever it is)
             self.counts["faults"] += 1
             logger.opt(exception=error).error("fleet: {} failed in {}", name, method)
 
@@ -145,7 +155,7 @@
     def _told(self, heard: tuple[Heard, ...]) -> None:
         """The log has committed something; in its thread."""
         assert self.loop is not None
-        with suppress(RuntimeError):           # the loop is closed: the gateway has ended
+        with suppress(RuntimeError):  # the loop is closed: the gateway has ended
             self.loop.call_soon_threadsafe(self._learn, heard)
 
     def _learn(self, heard: tuple[Heard, ...]) -> None:
@@ -182,8 +192,11 @@
         self.leaving = asyncio.create_task(self._leave())
 
     def _unlike(self, name: str) -> NotAlike:
-        return NotAlike(f"{name} runs with {', '.join(self.hosted[name]) or 'no subsystem'}, {self.me} with "
-                        f"{', '.join(self.subsystems) or 'none'}", "sections")
+        return NotAlike(
+            f"{name} runs with {', '.join(self.hosted[name]) or 'no subsystem'}, {self.me} with "
+            f"{', '.join(self.subsystems) or 'none'}",
+            "sections",
+        )
 
     def _do(self, actions: list[Action]) -> None:
         for action in actions:
@@ -193,7 +206,8 @@
                         self.agreement.mark(number)
                 case Entered(phase):
                     logger.bind(policy=phase.value, version=self.core.change.version).info(
-                        "policy {}: version {}", phase.value, self.core.change.version)
+                        "policy {}: version {}", phase.value, self.core.change.version
+                    )
                 case Apply(change, before):
                     self._apply(change, before)
 
@@ -206,7 +220,8 @@
             self.drains.want(POLICY, node, True)
         self._plan(now, was)
         logger.bind(policy="applied", version=change.version, digest=digest(change)).info(
-            "policy applied: version {} ({})", change.version, digest(change))
+            "policy applied: version {} ({})", change.version, digest(change)
+        )
 
     def _plan(self, now: Policy, was: Policy) -> None:
         """Plans that the policy changes; those it names no more are as the platform's settings say."""
@@ -218,7 +233,7 @@
             try:
                 if not self.plans.planned(texts[name].over(base) if name in texts else base):
                     logger.error("policy: plan {} can't take hold while the gateway runs", name)
-            except MallowbeamError as error:   # the rest of the policy holds all the same
+            except MallowbeamError as error:  # the rest of the policy holds all the same
                 logger.error("policy: {}", error.line)
 
     # --- what is put in ---------------------------------------------------------------------------
@@ -244,8 +259,11 @@
         if self.agreement is None:
             raise NoLeader("this gateway has left the log")
         for name, topics in self.hosted.items():  # one that is down leaves when it comes back: see change()
-            if (topics != tuple(sorted(self.subsystems)) and name in self.section.members
-                    and self.agreement.silent(name) < self.section.lease_s):
+            if (
+                topics != tuple(sorted(self.subsystems))
+                and name in self.section.members
+                and self.agreement.silent(name) < self.section.lease_s
+            ):
                 raise self._unlike(name)
         loop = asyncio.get_running_loop()
         ended: asyncio.Future[int | FleetError] = loop.create_future()
@@ -255,7 +273,7 @@
                 ended.set_result(told)
 
         def done(told: int | FleetError) -> None:
-            with suppress(RuntimeError):       # the loop is closed
+            with suppress(RuntimeError):  # the loop is closed
                 loop.call_soon_threadsafe(settle, told)
 
         self.agreement.push(base, body, done)
@@ -274,25 +292,39 @@
         """What is in force here, and how sure that is."""
         core = self.core
         self._do(core.tick(time.monotonic()))  # told as the clock has it, not the last tick
-        return {"name": self.me, "phase": core.phase.value, "serves": self.serves(),
-                "leader": self.agreement.leader() if self.agreement else None,
-                "version": core.change.version, "digest": digest(core.change),
-                "policy": json.loads(core.change.body),
-                "failed": self.failed.told() if self.failed else None,
-                "engine": self.agreement.shown() if self.agreement else None}
+        return {
+            "name": self.me,
+            "phase": core.phase.value,
+            "serves": self.serves(),
+            "leader": self.agreement.leader() if self.agreement else None,
+            "version": core.change.version,
+            "digest": digest(core.change),
+            "policy": json.loads(core.change.body),
+            "failed": self.failed.told() if self.failed else None,
+            "engine": self.agreement.shown() if self.agreement else None,
+        }
 
     def fleet(self) -> dict[str, object]:
         """Members and subsystems."""
-        return {"name": self.me, "members": sorted(self.section.members), "leader": self.leading,
-                "index": self.log.index, "hosted": self.hosted,
-                "subsystems": {name: part.shown() for name, part in self.subsystems.items()}}
+        return {
+            "name": self.me,
+            "members": sorted(self.section.members),
+            "leader": self.leading,
+            "index": self.log.index,
+            "hosted": self.hosted,
+            "subsystems": {name: part.shown() for name, part in self.subsystems.items()},
+        }
 
     def figures(self) -> dict[str, Mapping[str, float]]:
         """Figures by subsystem; the log's own under no name."""
         now = time.monotonic()
-        own = {"policy_version": float(self.core.change.version), "policy_serves": float(self.serves()),
-               "log_index": float(self.log.index), "leads": float(self.leading == self.me),
-               "failed": float(self.failed is not None),
-               "proof_age_seconds": now - self.core.known_at,
-               **{f"entries_{name}": float(count) for name, count in self.counts.items()}}
+        own = {
+            "policy_version": float(self.core.change.version),
+            "policy_serves": float(self.serves()),
+            "log_index": float(self.log.index),
+            "leads": float(self.leading == self.me),
+            "failed": float(self.failed is not None),
+            "proof_age_seconds": now - self.core.known_at,
+            **{f"entries_{name}": float(count) for name, count in self.counts.items()},
+        }
         return {"": own, **{name: part.gauges() for name, part in self.subsystems.items()}}
--- a/mallowbeam/fleet/shares/core.py
+++ b/mallowbeam/fleet/shares/core.py
@@ -28,7 +28,7 @@
 from mallowbeam.fleet.shares.topic import MOST_FLOWS, Close, Demand, Gone, Released, SharesState, targets
 
 T = TypeVar("T")
-MOST_ROWS = 4000            # of one report, some 16 KiB; the others go with the next one
+MOST_ROWS = 4000  # of one report, some 16 KiB; the others go with the next one
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,14 +55,14 @@
 class Times:
     """Seconds, the same on every gateway."""
 
-    epoch: float = 1.0                         # at least between two epochs
-    window: float = 0.3                        # of counting; a report goes at most once in it
-    patience: int = 2                          # epochs that others wait for the leader's word
-    quiet: float = 5.0                         # without a word, after which a gateway asks for nothing
-    beat: float = 1.5                          # between words of one that has nothing to tell
+    epoch: float = 1.0  # at least between two epochs
+    window: float = 0.3  # of counting; a report goes at most once in it
+    patience: int = 2  # epochs that others wait for the leader's word
+    quiet: float = 5.0  # without a word, after which a gateway asks for nothing
+    beat: float = 1.5  # between words of one that has nothing to tell
     lease: float = 3.0
     drift: float = 0.1
-    again: float = 0.5                         # before a proposal that was not seen is made again
+    again: float = 0.5  # before a proposal that was not seen is made again
 
 
 @dataclass(slots=True)
@@ -78,25 +78,26 @@
 
     meter: Meter = field(default_factory=lambda: Meter(MOST_FLOWS))
     heard: dict[str, float] = field(default_factory=dict)
-    lost: dict[str, bool] = field(default_factory=dict)        # nodes, as discovery told us
-    proposed: dict[str, float] = field(default_factory=dict)   # by what: when
-    mine: dict[int, int] = field(default_factory=dict)         # the newest targets
-    told: dict[int, int] = field(default_factory=dict)         # the newest allotments, by flow
+    lost: dict[str, bool] = field(default_factory=dict)  # nodes, as discovery told us
+    proposed: dict[str, float] = field(default_factory=dict)  # by what: when
+    mine: dict[int, int] = field(default_factory=dict)  # the newest targets
+    told: dict[int, int] = field(default_factory=dict)  # the newest allotments, by flow
     handover: Handover[int] = field(init=False)
     ticked: float = field(init=False)
     windowed: float = field(init=False)
     closed: float = field(init=False)
     spoke: float = float("-inf")
     number: int = -1
-    stale: bool = True                         # what may be served has to be looked at again
-    later: bool = False                        # the same, at the next tick
-    live: bool = False                         # whether the allotments told rest on the lease
+    stale: bool = True  # what may be served has to be looked at again
+    later: bool = False  # the same, at the next tick
+    live: bool = False  # whether the allotments told rest on the lease
 
     def __post_init__(self) -> None:
         """Nothing is known yet: floors only."""
         t = self.times
-        self.handover = Handover(self.me, self.gateways, self._floor, t.lease, self.begun, t.drift,
-                                 again=t.again)
+        self.handover = Handover(
+            self.me, self.gateways, self._floor, t.lease, self.begun, t.drift, again=t.again
+        )
         self.ticked = self.windowed = self.closed = self.begun
         self.heard = dict.fromkeys(self.gateways, self.begun)
 
@@ -120,7 +121,7 @@
         """A flow's number; None where the set-up does not know one of them."""
         state = self.state
         t, n = bisect_left(state.tenants, tenant), bisect_left(state.nodes, node)
-        if state.tenants[t:t + 1] != (tenant,) or state.nodes[n:n + 1] != (node,):
+        if state.tenants[t : t + 1] != (tenant,) or state.nodes[n : n + 1] != (node,):
             return None
         return t * len(state.nodes) + n
 
@@ -144,7 +145,7 @@
             self._renumbered(before)
         handed, releases = self.state.handed, []
         if isinstance(told.entry, Released) and handed.epoch == self.handover.epoch:
-            self.later = True                  # what may grow by it does so at the next tick, for all at once
+            self.later = True  # what may grow by it does so at the next tick, for all at once
         elif handed is not before.handed:
             releases = self.handover.follow(handed, now)
             self.stale = True
@@ -168,8 +169,9 @@
         else:
             actions = []
         actions += self._released(self.handover.tick(now))
-        self.stale = (self.stale or self.later or gone != self.handover.gone
-                      or self.handover.live(now) != self.live)
+        self.stale = (
+            self.stale or self.later or gone != self.handover.gone or self.handover.live(now) != self.live
+        )
         self.later = False
         if self.state.setup.nodes:
             actions += self._report(now) + self._told_lost(now) + self._close(now)
@@ -189,7 +191,7 @@
         self.windowed = now
         said = self.state.demand.get(self.me, {})
         rows = self.meter.window(seconds, said)
-        self.stale = True                      # what is lent within this gateway follows what is asked for
+        self.stale = True  # what is lent within this gateway follows what is asked for
         if not rows and now < self.spoke + self.times.beat and self.me not in self.state.quiet:
             return []
         self.spoke = now
@@ -199,8 +201,11 @@
     def _told_lost(self, now: float) -> list[Action]:
         actions: list[Action] = []
         for node, gone in self.lost.items():
-            if node in self.state.setup.nodes and gone != (self.me in self.state.gone.get(node, ())) \
-                    and self._again(f"gone {node}", now):
+            if (
+                node in self.state.setup.nodes
+                and gone != (self.me in self.state.gone.get(node, ()))
+                and self._again(f"gone {node}", now)
+            ):
                 actions.append(Propose(Gone(node, gone)))
         return actions
 
@@ -210,8 +215,11 @@
     def _close(self, now: float) -> list[Action]:
         """End the epoch, when that is due and ours to do."""
         t, state = self.times, self.state
-        quiet = tuple(name for name in self.gateways if name != self.me and name not in state.quiet
-                      and now > self.heard[name] + t.quiet)
+        quiet = tuple(
+            name
+            for name in self.gateways
+            if name != self.me and name not in state.quiet and now > self.heard[name] + t.quiet
+        )
         if not quiet and not state.dirty:
             return []
         due = self.closed + t.epoch
@@ -239,29 +247,41 @@
             return []
         self.stale, self.live = False, self.handover.live(now)
         state, usable = self.state, self.handover.usable
-        new = divide(state, self.mine, self.meter.wants(),
-                     lambda resource: usable(resource, now))
+        new = divide(state, self.mine, self.meter.wants(), lambda resource: usable(resource, now))
         before, self.told = self.told, new
         count = len(state.nodes)
-        return [Allot(state.tenants[flow // count], state.nodes[flow % count], new.get(flow, 0) / 1000)
-                for flow in sorted(before.keys() | new.keys()) if before.get(flow, 0) != new.get(flow, 0)]
+        return [
+            Allot(state.tenants[flow // count], state.nodes[flow % count], new.get(flow, 0) / 1000)
+            for flow in sorted(before.keys() | new.keys())
+            if before.get(flow, 0) != new.get(flow, 0)
+        ]
 
     def _renumbered(self, before: SharesState) -> None:
         """Flows have new numbers: what is kept by them is carried over."""
         count = len(before.nodes)
 
         def moved(rows: Mapping[int, T]) -> dict[int, T]:
-            names = {flow: self.flow(before.tenants[flow // count], before.nodes[flow % count])
-                     for flow in rows}
+            names = {
+                flow: self.flow(before.tenants[flow // count], before.nodes[flow % count]) for flow in rows
+            }
             return {new: rows[flow] for flow, new in names.items() if new is not None}
+
         self.meter = Meter(MOST_FLOWS, moved(self.meter.counts), moved(self.meter.past))
         self.told, self.mine = moved(self.told), moved(self.mine)
 
     def shown(self, now: float) -> dict[str, object]:
         """For the page: where it stands, who is waited for, and what may be served here."""
         state, count = self.state, len(self.state.nodes)
-        return {"number": state.number, "epoch": state.handed.epoch, "settled": state.handed.settled,
-                "live": self.handover.live(now), "quiet": list(state.quiet), "gone": sorted(state.gone),
-                "owing": state.handed.owing,
-                "allotted": {f"{state.tenants[flow // count]}@{state.nodes[flow % count]}": rate / 1000
-                             for flow, rate in sorted(self.told.items())}}
+        return {
+            "number": state.number,
+            "epoch": state.handed.epoch,
+            "settled": state.handed.settled,
+            "live": self.handover.live(now),
+            "quiet": list(state.quiet),
+            "gone": sorted(state.gone),
+            "owing": state.handed.owing,
+            "allotted": {
+                f"{state.tenants[flow // count]}@{state.nodes[flow % count]}": rate / 1000
+                for flow, rate in sorted(self.told.items())
+            },
+        }
--- a/mallowbeam/fleet/shares/divide.py
+++ b/mallowbeam/fleet/shares/divide.py
@@ -14,12 +14,13 @@
 
 from mallowbeam.fleet.shares.topic import SharesState
 
-BACK = 10                   # of a target that is lent, the part that stays
+BACK = 10  # of a target that is lent, the part that stays
 Usable = Callable[[str], int]
 
 
-def divide(state: SharesState, targets: Mapping[int, int], wants: Mapping[int, int],
-           usable: Usable) -> dict[int, int]:
+def divide(
+    state: SharesState, targets: Mapping[int, int], wants: Mapping[int, int], usable: Usable
+) -> dict[int, int]:
     """Rates by flow, whose sums fit what is usable; `wants` is what is asked for here now, new flows too."""
     if not (count := len(state.nodes)):
         return {}
@@ -28,7 +29,7 @@
     zones = sorted({setup.nodes[name].zone for name in state.nodes} & setup.zones.keys())
     zone_at = {zone: at for at, zone in enumerate(zones)}
     zone_of = [zone_at.get(setup.nodes[name].zone, -1) for name in state.nodes]
-    has: list[dict[int, int]] = [{}, {}, {}]   # usable, by place: nodes, zones, tenants
+    has: list[dict[int, int]] = [{}, {}, {}]  # usable, by place: nodes, zones, tenants
 
     def places(flow: int) -> list[tuple[int, int, str]]:
         tenant, node = flow // count, flow % count
@@ -72,8 +73,12 @@
     return rates
 
 
-def _lend(rates: dict[int, int], wants: Mapping[int, int], links: Mapping[int, list[tuple[int, int, str]]],
-          has: list[dict[int, int]]) -> None:
+def _lend(
+    rates: dict[int, int],
+    wants: Mapping[int, int],
+    links: Mapping[int, list[tuple[int, int, str]]],
+    has: list[dict[int, int]],
+) -> None:
     """Let those that are short have what the others at their places do not ask for, and what is over."""
     lack = {flow: want - rates.get(flow, 0) for flow, want in wants.items() if want > rates.get(flow, 0)}
     needs: list[dict[int, int]] = [{}, {}, {}]
@@ -91,5 +96,7 @@
     rates.update(kept)
     for flow in sorted(lack):
         short = lack[flow]
-        rates[flow] = rates.get(flow, 0) + max(0, min(
-            short, *(short * left[kind][place] // needs[kind][place] for kind, place, _ in links[flow])))
+        rates[flow] = rates.get(flow, 0) + max(
+            0,
+            min(short, *(short * left[kind][place] // needs[kind][place] for kind, place, _ in links[flow])),
+        )
--- a/mallowbeam/fleet/shares/fair.py
+++ b/mallowbeam/fleet/shares/fair.py
@@ -20,12 +20,12 @@
 from dataclasses import dataclass
 from heapq import heapify, heappop, heappush
 
-MILLI = 1000                # of a unit, of a weight
-SHIFT = 32                  # bits of a level below the point: rounding stays under a milli-unit a flow
+MILLI = 1000  # of a unit, of a weight
+SHIFT = 32  # bits of a level below the point: rounding stays under a milli-unit a flow
 MOST_WEIGHT = 1000 * MILLI  # so that a level's product stays a small whole number
 
-NONE = 1 << 62              # milli-units: no bound
-Flow = int                  # tenant x nodes + node, by their places in sorted order
+NONE = 1 << 62  # milli-units: no bound
+Flow = int  # tenant x nodes + node, by their places in sorted order
 Rates = dict[Flow, int]
 
 
@@ -33,10 +33,10 @@
 class Network:
     """What flows share: figures by place; None where there is no such bound."""
 
-    nodes: Sequence[int]                       # capacity
-    zone_of: Sequence[int]                     # by node, a place in `zones`
-    zones: Sequence[int | None]                # capacity
-    weights: Sequence[int]                     # by tenant
+    nodes: Sequence[int]  # capacity
+    zone_of: Sequence[int]  # by node, a place in `zones`
+    zones: Sequence[int | None]  # capacity
+    weights: Sequence[int]  # by tenant
     reserves: Sequence[int]
     limits: Sequence[int | None]
 
@@ -46,14 +46,22 @@
     flows = sorted(flow for flow, asked in demand.items() if asked > 0)
     count = len(net.nodes)
     reserved = [flow for flow in flows if net.reserves[flow // count]]
-    caps = [reserve if limit is None else min(reserve, limit)
-            for reserve, limit in zip(net.reserves, net.limits, strict=True)]
+    caps = [
+        reserve if limit is None else min(reserve, limit)
+        for reserve, limit in zip(net.reserves, net.limits, strict=True)
+    ]
     floors = _fill(net, reserved, demand, {}, net.reserves, caps) if reserved else {}
     return _fill(net, flows, demand, floors, net.weights, net.limits)
 
 
-def _fill(net: Network, flows: Sequence[Flow], demand: Mapping[Flow, int], floors: Rates,
-          paces: Sequence[int], limits: Sequence[int | None]) -> Rates:
+def _fill(
+    net: Network,
+    flows: Sequence[Flow],
+    demand: Mapping[Flow, int],
+    floors: Rates,
+    paces: Sequence[int],
+    limits: Sequence[int | None],
+) -> Rates:
     """Raise all flows from their floors by their paces until each has enough or a link is full."""
     count, zones = len(net.nodes), len(net.zones)
     caps = [*net.nodes, *(NONE if cap is None else cap for cap in (*net.zones, *limits))]
@@ -63,17 +71,17 @@
         node, link, asked = flow % count, flow // count + first, demand[flow]
         sums[link] += asked
         if asked > caps[link]:
-            asked = caps[link]                 # no flow is above its tenant's limit
+            asked = caps[link]  # no flow is above its tenant's limit
         sums[node] += asked
         sums[zone_link[node]] += asked
     tight = [total > cap for cap, total in zip(caps, sums, strict=True)]
     rates: Rates = {}
-    held = [0] * len(caps)                     # by link: what does not rise: floors not yet left, and stopped
-    slope = [0] * len(caps)                    # by link: the paces of all that rises
+    held = [0] * len(caps)  # by link: what does not rise: floors not yet left, and stopped
+    slope = [0] * len(caps)  # by link: the paces of all that rises
     members: list[list[Flow]] = [[] for _ in caps]
-    links: dict[Flow, list[int]] = {}          # of the flows that may still rise
+    links: dict[Flow, list[int]] = {}  # of the flows that may still rise
     rising: set[Flow] = set()
-    events: list[tuple[int, Flow]] = []        # a level; who has enough there, or -1 - who leaves its floor
+    events: list[tuple[int, Flow]] = []  # a level; who has enough there, or -1 - who leaves its floor
     for flow in flows:
         node, tenant, asked = flow % count, flow // count, demand[flow]
         zone, limit = zone_link[node], tenant + first
@@ -84,7 +92,7 @@
             mine.append(limit)
         floor = floors.get(flow, 0)
         if not mine or floor >= asked:
-            rates[flow] = asked                # nothing that it uses can be full, or its floor is enough
+            rates[flow] = asked  # nothing that it uses can be full, or its floor is enough
             for link in mine:
                 held[link] += asked
             continue
@@ -102,7 +110,7 @@
                 slope[link] += pace
     events.sort()
     full = [((caps[link] - held[link] << SHIFT) // climb, link) for link, climb in enumerate(slope) if climb]
-    known = [NONE << SHIFT] * len(caps)        # by link: its lowest level in `full`
+    known = [NONE << SHIFT] * len(caps)  # by link: its lowest level in `full`
     for level, link in full:
         known[link] = level
     heapify(full)
@@ -111,10 +119,10 @@
         if full and (at == last or full[0][0] <= events[at][0]):
             seen, link = heappop(full)
             if seen > known[link]:
-                continue                       # a lower one has been here since
+                continue  # a lower one has been here since
             known[link] = NONE << SHIFT
             if not (climb := slope[link]):
-                continue                       # nothing on it rises now
+                continue  # nothing on it rises now
             level = (caps[link] - held[link] << SHIFT) // climb
             if level > seen:
                 known[link] = level
--- a/mallowbeam/fleet/shares/meter.py
+++ b/mallowbeam/fleet/shares/meter.py
@@ -12,10 +12,10 @@
 
 from mallowbeam.fleet.shares.packed import STEPS, code
 
-HEADROOM = 1.003            # told over measured: with the rounding up, 0.6% at most
-SHORT, WELL = 3, 0.7        # windows, and the part of what was told that is well below
-FIRST = 1000                # milli-units a second, until the first window is over
-LONG, BAND = 12, 0.96       # windows, and what is a little below
+HEADROOM = 1.003  # told over measured: with the rounding up, 0.6% at most
+SHORT, WELL = 3, 0.7  # windows, and the part of what was told that is well below
+FIRST = 1000  # milli-units a second, until the first window is over
+LONG, BAND = 12, 0.96  # windows, and what is a little below
 
 
 @dataclass(slots=True)
@@ -44,7 +44,7 @@
     def window(self, seconds: float, told: Mapping[int, int]) -> dict[int, int]:
         """A window is over: the codes by flow of what should be told anew."""
         for flow in self.past.keys() | self.counts.keys():
-            past = (self.counts.get(flow, 0.0) * 1000 / seconds, *self.past.get(flow, ())[:LONG - 1])
+            past = (self.counts.get(flow, 0.0) * 1000 / seconds, *self.past.get(flow, ())[: LONG - 1])
             if any(past):
                 self.past[flow] = past
             else:
--- a/mallowbeam/fleet/shares/packed.py
+++ b/mallowbeam/fleet/shares/packed.py
@@ -12,13 +12,13 @@
 
 from mallowbeam.errors import MallowbeamError
 
-ONE = 1 << 60               # fixed point, while the steps are made
+ONE = 1 << 60  # fixed point, while the steps are made
 
 
 def _steps() -> tuple[int, ...]:
     root = 2 * ONE
     for _ in range(8):
-        root = isqrt(root * ONE)               # 2 ** (1 / 256)
+        root = isqrt(root * ONE)  # 2 ** (1 / 256)
     steps, at = [0], ONE
     while steps[-1] < MOST_STEP:
         if (step := -(-at // ONE)) > steps[-1]:
@@ -27,8 +27,8 @@
     return tuple(steps)
 
 
-MOST_STEP = 10 ** 9         # milli-units a second
-STEPS = _steps()            # the same, by code
+MOST_STEP = 10**9  # milli-units a second
+STEPS = _steps()  # the same, by code
 
 
 class BadRows(MallowbeamError):
--- a/mallowbeam/fleet/shares/part.py
+++ b/mallowbeam/fleet/shares/part.py
@@ -34,10 +34,10 @@
 from mallowbeam.net.log import Sparse
 from mallowbeam.operators import SharesSection
 
-MIX_S = 1.0                 # seconds between looks at how a tenant's calls part into placed and new ones
-LEAST = 0.01                # units of late under which a plan or a mix is forgotten: some 8 s after one call
-MIX_STEP = 0.05             # of all, by which that must have moved; and the least part that either has
-MOST_PLANS = 4              # of one tenant at once; under a further one there is no allotment
+MIX_S = 1.0  # seconds between looks at how a tenant's calls part into placed and new ones
+LEAST = 0.01  # units of late under which a plan or a mix is forgotten: some 8 s after one call
+MIX_STEP = 0.05  # of all, by which that must have moved; and the least part that either has
+MOST_PLANS = 4  # of one tenant at once; under a further one there is no allotment
 
 owns("shares", Setup)
 
@@ -46,12 +46,12 @@
 class Tenant:
     """What is known of one tenant here."""
 
-    plans: dict[str, float]                    # under which it asks, and units of late
-    rates: dict[str, float]                    # by node, units a second
+    plans: dict[str, float]  # under which it asks, and units of late
+    rates: dict[str, float]  # by node, units a second
     held: dict[tuple[str, int | None], float]  # by plan and shard: what the module was last told
-    placed: float = 0.0                        # units asked for of late, for shards
-    new: float = 0.0                           # and for new objects
-    mix: float = 0.0                           # the part of its rates that is for new objects
+    placed: float = 0.0  # units asked for of late, for shards
+    new: float = 0.0  # and for new objects
+    mix: float = 0.0  # the part of its rates that is for new objects
 
 
 class SharesPart:
@@ -61,13 +61,19 @@
         self.hands, self.section, self.units_top = hands, section, units_top
         self.topic = SharesTopic(hands.members)
         self.now = self.mixed = time.monotonic()
-        times = Times(epoch=section.epoch_s, window=section.window_s, quiet=section.quiet_s,
-                      lease=section.lease_s, beat=min(1.5, section.quiet_s / 3))
-        self.shares = Shares(hands.me, hands.members, self.topic.start(), self.now, hands.propose,
-                             self._allotted, times)
+        times = Times(
+            epoch=section.epoch_s,
+            window=section.window_s,
+            quiet=section.quiet_s,
+            lease=section.lease_s,
+            beat=min(1.5, section.quiet_s / 3),
+        )
+        self.shares = Shares(
+            hands.me, hands.members, self.topic.start(), self.now, hands.propose, self._allotted, times
+        )
         self.tenants: dict[str, Tenant] = {}
-        self.shards: dict[str, int] = {}       # by node, as listed
-        self.at: dict[int, list[str]] = {}     # nodes by shard
+        self.shards: dict[str, int] = {}  # by node, as listed
+        self.at: dict[int, list[str]] = {}  # nodes by shard
         self.gone: dict[str, bool] = {}
         self.known: dict[str, Plan | None] = {}  # plans that anybody asked under, as in force
         self.refused = 0
@@ -83,8 +89,11 @@
         if self.shares.core.state.roll != before:
             setup = self.shares.core.state.setup
             for name, tenant in list(self.tenants.items()):
-                tenant.rates = {node: rate for node, rate in tenant.rates.items()
-                                if node in setup.nodes and name in setup.tenants}
+                tenant.rates = {
+                    node: rate
+                    for node, rate in tenant.rates.items()
+                    if node in setup.nodes and name in setup.tenants
+                }
                 self._hold(name, tenant)
                 if name not in setup.tenants and not tenant.held:
                     del self.tenants[name]
@@ -103,13 +112,13 @@
                 self.at.setdefault(shard, []).append(node)
             for name, tenant in self.tenants.items():
                 self._hold(name, tenant)
-        if listed:                             # an empty list is discovery's fault, not all nodes' loss
+        if listed:  # an empty list is discovery's fault, not all nodes' loss
             for node in setup.nodes:
                 if (gone := node not in listed) != self.gone.get(node, False):
                     self.gone[node] = gone
                     self.shares.node(node, gone, now)
         if (known := {plan: self.hands.plan(plan) for plan in self.known}) != self.known:
-            self.known = known                 # a policy changed a plan: its allotments rest on it
+            self.known = known  # a policy changed a plan: its allotments rest on it
             for name, tenant in self.tenants.items():
                 self._hold(name, tenant, True)
         if now >= self.mixed + MIX_S:
@@ -221,9 +230,12 @@
     def gauges(self) -> Mapping[str, float]:
         """The newest epoch, and what is held here."""
         state = self.shares.core.state
-        return {"epoch": float(state.number), "owing": float(len(state.handed.owing)),
-                "allotments": float(sum(len(tenant.held) for tenant in self.tenants.values())),
-                "refused": float(self.refused)}
+        return {
+            "epoch": float(state.number),
+            "owing": float(len(state.handed.owing)),
+            "allotments": float(sum(len(tenant.held) for tenant in self.tenants.values())),
+            "refused": float(self.refused),
+        }
 
 
 def open_part(hands: Hands, section: SharesSection) -> SharesPart:
--- a/mallowbeam/fleet/shares/rows.py
+++ b/mallowbeam/fleet/shares/rows.py
@@ -22,7 +22,7 @@
 
     tenants: Sequence[str]
     nodes: Sequence[str]
-    zones: Sequence[str]                       # by node
+    zones: Sequence[str]  # by node
 
 
 def ratios(rates: Mapping[int, int], sums: Mapping[int, int]) -> dict[int, float]:
@@ -34,8 +34,13 @@
     return {flow: rate / sums[flow] for flow, rate in rates.items()}
 
 
-def grant(places: Places, floors: Mapping[str, int], rates: Mapping[int, int], sums: Mapping[int, int],
-          demand: Mapping[str, Mapping[int, int]]) -> Rows:
+def grant(
+    places: Places,
+    floors: Mapping[str, int],
+    rates: Mapping[int, int],
+    sums: Mapping[int, int],
+    demand: Mapping[str, Mapping[int, int]],
+) -> Rows:
     """Each gateway's sums, by resource; who is not named has its floor, as its sum is no more.
 
     Each gateway's flows are in order, so that a tenant's come together.
@@ -66,13 +71,17 @@
         for row, sum_, floor in zip(at_zone, by_zone, zone_floors, strict=True):
             if sum_ > floor:
                 row[gateway] = sum_
-    named = (*(f"n:{name}" for name in places.nodes), *(f"z:{name}" for name in zones),
-             *(f"t:{name}" for name in places.tenants))
+    named = (
+        *(f"n:{name}" for name in places.nodes),
+        *(f"z:{name}" for name in zones),
+        *(f"t:{name}" for name in places.tenants),
+    )
     return {name: row for name, row in zip(named, (*at_node, *at_zone, *of_tenant), strict=True) if row}
 
 
-def _empty(prefix: str, names: Sequence[str],
-           floors: Mapping[str, int]) -> tuple[list[dict[str, int]], list[int]]:
+def _empty(
+    prefix: str, names: Sequence[str], floors: Mapping[str, int]
+) -> tuple[list[dict[str, int]], list[int]]:
     return [{} for _ in names], [floors.get(prefix + name, 0) for name in names]
 
 
--- a/mallowbeam/fleet/shares/service.py
+++ b/mallowbeam/fleet/shares/service.py
@@ -20,8 +20,16 @@
 class Shares:
     """One gateway's part in the shares."""
 
-    def __init__(self, me: str, gateways: Sequence[str], state: SharesState, now: float, propose: Proposes,
-                 allotted: Allotted, times: Times | None = None) -> None:
+    def __init__(
+        self,
+        me: str,
+        gateways: Sequence[str],
+        state: SharesState,
+        now: float,
+        propose: Proposes,
+        allotted: Allotted,
+        times: Times | None = None,
+    ) -> None:
         self.core = SharesCore(me, tuple(sorted(gateways)), state, now, times or Times())
         self.propose, self.allotted = propose, allotted
 
--- a/mallowbeam/fleet/shares/topic.py
+++ b/mallowbeam/fleet/shares/topic.py
@@ -30,10 +30,10 @@
 from mallowbeam.fleet.shares.packed import STEPS, BadRows, unpack
 from mallowbeam.fleet.shares.rows import Places, grant, open_epoch, ratios, trim
 
-MOST_TENANTS = 10_000       # in a set-up; a push beyond is refused
+MOST_TENANTS = 10_000  # in a set-up; a push beyond is refused
 MOST_NODES = 2_000
-MOST_RATE = 10 ** 9         # milli-units a second of one capacity, reserve or limit
-MOST_FLOWS = 16_000         # of one gateway; a report beyond is refused, and what is new goes by the probe
+MOST_RATE = 10**9  # milli-units a second of one capacity, reserve or limit
+MOST_FLOWS = 16_000  # of one gateway; a report beyond is refused, and what is new goes by the probe
 
 
 class Share(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -57,7 +57,7 @@
     tenants: dict[str, Share] = {}
     nodes: dict[str, Node] = {}
     zones: dict[str, int] = {}
-    probe: int = 10         # thousandths of each capacity and limit set aside as floors, over all gateways
+    probe: int = 10  # thousandths of each capacity and limit set aside as floors, over all gateways
 
 
 class Demand(Entry, frozen=True):
@@ -103,15 +103,15 @@
     roll: int = 0
     tenants: tuple[str, ...] = ()
     nodes: tuple[str, ...] = ()
-    floors: dict[str, int] = {}                # by resource, of each gateway
-    demand: dict[str, dict[int, int]] = {}     # by gateway and flow
-    total: dict[int, int] = {}                 # by flow
-    gone: dict[str, tuple[str, ...]] = {}      # by node, who says so
+    floors: dict[str, int] = {}  # by resource, of each gateway
+    demand: dict[str, dict[int, int]] = {}  # by gateway and flow
+    total: dict[int, int] = {}  # by flow
+    gone: dict[str, tuple[str, ...]] = {}  # by node, who says so
     quiet: tuple[str, ...] = ()
-    dirty: int = 0                             # 1: an epoch is due; 2: at once
-    number: int = 0                            # of the newest close
-    rates: dict[int, int] = {}                 # of it, by flow
-    asked: dict[str, dict[int, int]] = {}      # the picture of it
+    dirty: int = 0  # 1: an epoch is due; 2: at once
+    number: int = 0  # of the newest close
+    rates: dict[int, int] = {}  # of it, by flow
+    asked: dict[str, dict[int, int]] = {}  # the picture of it
     asked_total: dict[int, int] = {}
 
     @property
@@ -134,9 +134,13 @@
         place = {zone: at for at, zone in enumerate(zones)}
         shares = [self.setup.tenants[name] for name in self.tenants]
         return Network(
-            [self.capacity(f"n:{name}") or 0 for name in self.nodes], [place[zone] for zone in self.zones],
-            [self.setup.zones.get(zone) for zone in zones], [share.weight for share in shares],
-            [share.reserve for share in shares], [share.limit for share in shares])
+            [self.capacity(f"n:{name}") or 0 for name in self.nodes],
+            [place[zone] for zone in self.zones],
+            [self.setup.zones.get(zone) for zone in zones],
+            [share.weight for share in shares],
+            [share.reserve for share in shares],
+            [share.limit for share in shares],
+        )
 
 
 class SharesTopic:
@@ -220,8 +224,9 @@
                 total[flow] = sum_
             else:
                 total.pop(flow, None)
-        return msgspec.structs.replace(state, demand={**state.demand, by: after}, total=total, quiet=quiet,
-                                       dirty=max(state.dirty, 1))
+        return msgspec.structs.replace(
+            state, demand={**state.demand, by: after}, total=total, quiet=quiet, dirty=max(state.dirty, 1)
+        )
 
     def _close(self, state: SharesState, entry: Close) -> SharesState | Refusal:
         if entry.number != state.number + 1:
@@ -239,8 +244,15 @@
             handed = open_epoch(state.handed, rows, state.floors)
         except (BadTarget, TooManyOpen) as error:
             return Refusal(error.what, error.where, error.cure)
-        return msgspec.structs.replace(state, handed=handed, number=entry.number, dirty=0, rates=rates,
-                                       asked=state.demand, asked_total=state.total)
+        return msgspec.structs.replace(
+            state,
+            handed=handed,
+            number=entry.number,
+            dirty=0,
+            rates=rates,
+            asked=state.demand,
+            asked_total=state.total,
+        )
 
 
 def targets(state: SharesState, gateway: str) -> dict[int, int]:
@@ -290,8 +302,12 @@
                 del total[flow]
     gone = {node: left for node, by in state.gone.items() if (left := tuple(x for x in by if x not in quiet))}
     return msgspec.structs.replace(
-        state, total=total, gone=gone, quiet=tuple(sorted({*state.quiet, *quiet})),
-        demand={name: rows for name, rows in state.demand.items() if name not in quiet})
+        state,
+        total=total,
+        gone=gone,
+        quiet=tuple(sorted({*state.quiet, *quiet})),
+        demand={name: rows for name, rows in state.demand.items() if name not in quiet},
+    )
 
 
 def _renumbered(state: SharesState, tenants: tuple[str, ...], nodes: tuple[str, ...]) -> SharesState:
@@ -307,9 +323,16 @@
             if tenant is not None and node is not None:
                 after[tenant * len(nodes) + node] = value
         return after
+
     return msgspec.structs.replace(
-        state, roll=state.roll + 1, tenants=tenants, nodes=nodes, total=moved(state.total),
-        rates=moved(state.rates), asked_total=moved(state.asked_total),
+        state,
+        roll=state.roll + 1,
+        tenants=tenants,
+        nodes=nodes,
+        total=moved(state.total),
+        rates=moved(state.rates),
+        asked_total=moved(state.asked_total),
         gone={node: by for node, by in state.gone.items() if node in node_at},
         demand={name: moved(rows) for name, rows in state.demand.items()},
-        asked={name: moved(rows) for name, rows in state.asked.items()})
+        asked={name: moved(rows) for name, rows in state.asked.items()},
+    )
--- a/mallowbeam/fleet/subsystem.py
+++ b/mallowbeam/fleet/subsystem.py
@@ -38,8 +38,8 @@
 class Hands(Protocol):
     """What a subsystem may do and see; each call at once and on the loop."""
 
-    me: str                                    # this member's name
-    members: tuple[str, ...]                   # all members' names, sorted
+    me: str  # this member's name
+    members: tuple[str, ...]  # all members' names, sorted
 
     def propose(self, entry: Entry) -> bool:
         """Put an entry of its topic into the log: fire and forget; False where it is dropped at once.
@@ -53,8 +53,9 @@
     def drain(self, node: str, out: bool) -> None:
         """Take a node out of service here or call it back; out while anybody still wants it out."""
 
-    def planned(self, plan: Plan, volume: str = "", shard: int | None = None,
-                part: float | None = None) -> bool:
+    def planned(
+        self, plan: Plan, volume: str = "", shard: int | None = None, part: float | None = None
+    ) -> bool:
         """A plan's figures, or one volume's allotment, from now on, as `facade.planned` takes them.
 
         False where this gateway's module has no such call; raises its `MallowbeamError` where it refuses.
--- a/mallowbeam/fleet/wire.py
+++ b/mallowbeam/fleet/wire.py
@@ -28,12 +28,15 @@
 from pysyncobj.tcp_connection import CONNECTION_STATE, TcpConnection
 from pysyncobj.transport import TCPTransport
 
-PING_S = 0.3                # seconds between pings; some of them within any `connectionTimeout`
+PING_S = 0.3  # seconds between pings; some of them within any `connectionTimeout`
 
-Told = dict[str, Any]       # a message of the engine's
+Told = dict[str, Any]  # a message of the engine's
 
-STATES = {CONNECTION_STATE.DISCONNECTED: "down", CONNECTION_STATE.CONNECTING: "dialling",
-          CONNECTION_STATE.CONNECTED: "up"}
+STATES = {
+    CONNECTION_STATE.DISCONNECTED: "down",
+    CONNECTION_STATE.CONNECTING: "dialling",
+    CONNECTION_STATE.CONNECTED: "up",
+}
 
 
 class Wire(TCPTransport):  # type: ignore[misc]
@@ -43,11 +46,11 @@
         self.life = time.time_ns()
         self.dials = itertools.count(1)
         self.newest: dict[Node, tuple[int, int]] = {}  # the newest link's life and number, by who dialled it
-        self.since: dict[Node, float] = {}     # when a link came up or went down
+        self.since: dict[Node, float] = {}  # when a link came up or went down
         self.waiting: dict[TcpConnection, float] = {}  # callers that have not said who they are
         self.pinged = 0.0
-        self.ticked, self.slowest = 0.0, 0.0   # the last tick, and the longest wait for one in seconds
-        self.went_back = 0                     # answers that asked for older entries
+        self.ticked, self.slowest = 0.0, 0.0  # the last tick, and the longest wait for one in seconds
+        self.went_back = 0  # answers that asked for older entries
         super().__init__(engine, own, others)
 
     # --- links ------------------------------------------------------------------------------------
@@ -75,7 +78,7 @@
         before = self._connections.get(node)
         super()._onIncomingMessageReceived(conn, address)
         if before is not None and before is not conn:
-            before.disconnect()                # what it still carries is not read
+            before.disconnect()  # what it still carries is not read
 
     def _late(self, node: Node, life: int, number: int) -> bool:
         """Guards against a link older than one that stood already: it would cut that one's answers off."""
@@ -104,7 +107,7 @@
         self.pinged, limit = now, now - self._syncObj.conf.connectionTimeout
         for node, conn in list(self._connections.items()):
             if conn.state == CONNECTION_STATE.CONNECTED:
-                conn.send({"type": "ping"})    # and gives up a link that was silent too long
+                conn.send({"type": "ping"})  # and gives up a link that was silent too long
             elif conn.state == CONNECTION_STATE.CONNECTING and self._lastConnectAttempt[node] < limit:
                 conn.disconnect()
         for conn in [conn for conn, began in self.waiting.items() if began < limit]:
@@ -132,8 +135,9 @@
             held = self._pass_over(message)
         super()._onMessageReceived(node, message)
         if held:
-            self.send(node, {"type": "next_node_idx", "next_node_idx": held + 1,
-                             "reset": False, "success": True})
+            self.send(
+                node, {"type": "next_node_idx", "next_node_idx": held + 1, "reset": False, "success": True}
+            )
 
     def _pass_over(self, message: Told) -> int:
         """Take out of a leader's message what stands here already.
@@ -178,14 +182,25 @@
         end = log[-1] if len(log) else (b"", 0, 0)
         leader = status["leader"]
         return {
-            "state": ("follower", "candidate", "leader")[status["state"]], "term": status["raft_term"],
+            "state": ("follower", "candidate", "leader")[status["state"]],
+            "term": status["raft_term"],
             "voted_for": names.get(engine._SyncObj__votedForNodeId),
             "leader": names.get(leader.id) if leader else None,
-            "log_end": end[1], "log_end_term": end[2], "committed": status["commit_idx"],
-            "applied": status["last_applied"], "went_back": self.went_back,
-            "tick_s": round(now - (self.ticked or now), 2), "slowest_tick_s": round(self.slowest, 2),
-            "links": {names[node.id]: {
-                "state": STATES[conn.state], "dialled": "here" if self._shouldConnect(node) else "there",
-                "for_s": round(now - self.since.get(node, now), 1),
-                "match": status.get(f"match_idx_server_{node.id}", 0) if status["state"] == 2 else None}
-                for node, conn in list(self._connections.items()) if node.id in names}}
+            "log_end": end[1],
+            "log_end_term": end[2],
+            "committed": status["commit_idx"],
+            "applied": status["last_applied"],
+            "went_back": self.went_back,
+            "tick_s": round(now - (self.ticked or now), 2),
+            "slowest_tick_s": round(self.slowest, 2),
+            "links": {
+                names[node.id]: {
+                    "state": STATES[conn.state],
+                    "dialled": "here" if self._shouldConnect(node) else "there",
+                    "for_s": round(now - self.since.get(node, now), 1),
+                    "match": status.get(f"match_idx_server_{node.id}", 0) if status["state"] == 2 else None,
+                }
+                for node, conn in list(self._connections.items())
+                if node.id in names
+            },
+        }
--- a/mallowbeam/fronts/objects/access.py
+++ b/mallowbeam/fronts/objects/access.py
@@ -19,8 +19,8 @@
 from mallowbeam.fronts.objects.errors import Error
 from mallowbeam.net.config import BadConfig
 
-MOST_FILE = 4 << 20         # bytes of the file
-LOOK_AGAIN = 1.0            # seconds between looks whether it has changed
+MOST_FILE = 4 << 20  # bytes of the file
+LOOK_AGAIN = 1.0  # seconds between looks whether it has changed
 
 
 class Grant(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -49,7 +49,7 @@
     """The keys of a file by their ids; raises `BadConfig`."""
     try:
         told = msgspec.json.decode(data, type=KeyFile)
-    except msgspec.DecodeError as error:       # it names the place, and never a value
+    except msgspec.DecodeError as error:  # it names the place, and never a value
         raise BadConfig(str(error)) from None
     keys = {key.id: key for key in told.keys}
     if len(keys) < len(told.keys):
@@ -59,8 +59,10 @@
 
 def may(key: Key, what: str, bucket: str, name: bytes) -> bool:
     """Whether a key may do that to a name."""
-    return any(grant.bucket in ("*", bucket) and what in grant.do and name.startswith(grant.prefix.encode())
-               for grant in key.allow)
+    return any(
+        grant.bucket in ("*", bucket) and what in grant.do and name.startswith(grant.prefix.encode())
+        for grant in key.allow
+    )
 
 
 def require(key: Key | None, what: str, bucket: str, name: bytes) -> None:
@@ -75,9 +77,9 @@
 
     path: Path
     keys: dict[str, Key] = field(default_factory=dict)
-    seen: tuple[int, int, int] = (0, 0, 0)     # the file's inode, size and time of change
-    look_at: float = 0.0                       # steady time of the next look
-    trouble: str = ""                          # what was last told of a file that can't be used
+    seen: tuple[int, int, int] = (0, 0, 0)  # the file's inode, size and time of change
+    look_at: float = 0.0  # steady time of the next look
+    trouble: str = ""  # what was last told of a file that can't be used
 
     def open(self) -> None:
         """Read the file for the first time; raises `BadConfig`."""
--- a/mallowbeam/fronts/objects/batches.py
+++ b/mallowbeam/fronts/objects/batches.py
@@ -13,8 +13,8 @@
 from mallowbeam.fronts.objects.errors import ERRORS, Error
 from mallowbeam.fronts.objects.listings import NAMESPACE, put
 
-MOST = 1000                 # names in one call
-MOST_BYTES = 2 << 20        # of its document
+MOST = 1000  # names in one call
+MOST_BYTES = 2 << 20  # of its document
 
 
 def read(body: bytes) -> tuple[list[str], bool]:
--- a/mallowbeam/fronts/objects/bodies.py
+++ b/mallowbeam/fronts/objects/bodies.py
@@ -23,17 +23,20 @@
 KNOWN = frozenset({SUM + b"crc32", SUM + b"crc32c", *HASHES})
 CHUNK = re.compile(rb"([0-9a-fA-F]{1,8})(;chunk-signature=[0-9a-f]{64})?\Z")
 TRAILER = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}):[ \t]*([\x21-\x7e]{0,256})[ \t]*\Z")
-MOST_LINE = 512             # bytes of a chunk's head or a trailer
+MOST_LINE = 512  # bytes of a chunk's head or a trailer
 MOST_TRAILERS = 8
 # Of the framing alone: what a node gets is the bare body.
-FRAMING = frozenset((b"x-amz-decoded-content-length", b"x-amz-trailer", b"content-length",
-                     b"transfer-encoding"))
+FRAMING = frozenset(
+    (b"x-amz-decoded-content-length", b"x-amz-trailer", b"content-length", b"transfer-encoding")
+)
 
 
 def chunked(headers: Mapping[bytes, bytes]) -> bool:
     """Whether a body is framed as `aws-chunked`."""
-    return (headers.get(b"x-amz-content-sha256", b"").startswith(b"STREAMING-")
-            or b"aws-chunked" in headers.get(b"content-encoding", b"").lower())
+    return (
+        headers.get(b"x-amz-content-sha256", b"").startswith(b"STREAMING-")
+        or b"aws-chunked" in headers.get(b"content-encoding", b"").lower()
+    )
 
 
 class Chunks:
@@ -41,11 +44,11 @@
 
     def __init__(self, signatures: ChunkSignatures | None = None) -> None:
         self.signatures, self.told = signatures, ""  # the chain, and what the chunk that comes says
-        self.digest = hashlib.sha256()         # of that chunk, where it is signed
-        self.signed = b""                      # the trailers as they are signed
-        self.rest = bytearray()                # of a line that has not come whole
-        self.left = 0                          # bytes of a chunk still to come, with its CRLF
-        self.last = self.over = False          # the empty chunk has come; and the line that ends it all
+        self.digest = hashlib.sha256()  # of that chunk, where it is signed
+        self.signed = b""  # the trailers as they are signed
+        self.rest = bytearray()  # of a line that has not come whole
+        self.left = 0  # bytes of a chunk still to come, with its CRLF
+        self.last = self.over = False  # the empty chunk has come; and the line that ends it all
         self.trailers: dict[bytes, bytes] = {}
 
     def feed(self, data: bytes | bytearray) -> list[memoryview]:
@@ -53,15 +56,15 @@
         view, at, out = memoryview(data), 0, []
         while at < len(view):
             if self.left > 2:
-                piece = view[at:at + self.left - 2]
+                piece = view[at : at + self.left - 2]
                 out.append(piece)
                 if self.signatures is not None:
                     self.digest.update(piece)
                 self.left -= len(piece)
                 at += len(piece)
                 continue
-            end = bytes(view[at:at + MOST_LINE]).find(b"\n")
-            part = bytes(view[at:at + MOST_LINE] if end < 0 else view[at:at + end + 1])
+            end = bytes(view[at : at + MOST_LINE]).find(b"\n")
+            part = bytes(view[at : at + MOST_LINE] if end < 0 else view[at : at + end + 1])
             self.rest += part
             at += len(part)
             if len(self.rest) > MOST_LINE:
@@ -76,7 +79,7 @@
         if not line.endswith(b"\r\n") or self.over:
             raise Error("InvalidRequest")
         line = line[:-2]
-        if self.left:                          # the CRLF behind a chunk
+        if self.left:  # the CRLF behind a chunk
             if line:
                 raise Error("InvalidRequest")
             self.left = 0
@@ -122,8 +125,9 @@
 class Body:
     """What a client says of a body, counted along as it comes."""
 
-    def __init__(self, headers: Mapping[bytes, bytes], signatures: ChunkSignatures | None = None,
-                 named: bool = True) -> None:
+    def __init__(
+        self, headers: Mapping[bytes, bytes], signatures: ChunkSignatures | None = None, named: bool = True
+    ) -> None:
         self.headers, self.size = headers, 0
         self.chunks = Chunks(signatures) if chunked(headers) else None
         told = headers.get(b"x-amz-decoded-content-length")
@@ -134,8 +138,9 @@
         asked = {name for name in headers if name.startswith(SUM)} | trailing
         # One that is not known here goes unchecked to its node, but not one that only a trailer tells.
         self.sums: dict[bytes, int] = dict.fromkeys(asked & {SUM + b"crc32", SUM + b"crc32c"}, 0)
-        self.hashes: dict[bytes, Any] = {name: HASHES[name](usedforsecurity=False)
-                                         for name in asked & HASHES.keys()}
+        self.hashes: dict[bytes, Any] = {
+            name: HASHES[name](usedforsecurity=False) for name in asked & HASHES.keys()
+        }
         if {name for name in trailing if name.startswith(SUM)} - KNOWN:
             raise Error("NotImplemented")
         # Of a body that its node names, and of which no client tells it, the MD5 is nobody's business here.
@@ -189,6 +194,7 @@
 def castagnoli(data: memoryview, value: int) -> int:
     """CRC-32C, carried on."""
     from crc32c import crc32c  # only where a client uses it
+
     return crc32c(data, value)
 
 
