--- a/mallowbeam/fronts/objects/buffered.py
+++ b/mallowbeam/fronts/objects/buffered.py
@@ -42,18 +42,35 @@
 from mallowbeam.net.gateway import Gateway
 from mallowbeam.operators import BufferSection, convert
 
-BARRIER = b"x-mallowbeam-barrier"             # on a write: `sync` or `through`
-BARRIER_ID = b"x-mallowbeam-barrier-id"       # on an answer: the barrier's number
-SLICE = 2000                # buffered names looked at in one go
+BARRIER = b"x-mallowbeam-barrier"  # on a write: `sync` or `through`
+BARRIER_ID = b"x-mallowbeam-barrier-id"  # on an answer: the barrier's number
+SLICE = 2000  # buffered names looked at in one go
 DURABLE = (b"x-mallowbeam-durable", b"buffer")
 NUMBER = re.compile(r"[0-9]{1,18}\Z")
 # What a node is asked to keep with an object, and what concerns this hop only: writes with other headers of
 # S3's are not taken in, since only a node can say what they come to.
-KEPT = frozenset((b"content-type", b"content-encoding", b"content-language", b"content-disposition",
-                  b"cache-control", b"expires"))
-UNTOUCHED = frozenset((b"x-amz-date", b"x-amz-content-sha256", b"x-amz-sdk-checksum-algorithm",
-                       b"x-amz-user-agent", b"x-amz-security-token", b"x-amz-checksum-algorithm",
-                       b"x-amz-trailer", b"x-amz-decoded-content-length"))
+KEPT = frozenset(
+    (
+        b"content-type",
+        b"content-encoding",
+        b"content-language",
+        b"content-disposition",
+        b"cache-control",
+        b"expires",
+    )
+)
+UNTOUCHED = frozenset(
+    (
+        b"x-amz-date",
+        b"x-amz-content-sha256",
+        b"x-amz-sdk-checksum-algorithm",
+        b"x-amz-user-agent",
+        b"x-amz-security-token",
+        b"x-amz-checksum-algorithm",
+        b"x-amz-trailer",
+        b"x-amz-decoded-content-length",
+    )
+)
 
 
 def read_buffer_settings(raw: Mapping[str, object], objects: ObjectSettings, gateway: Gateway) -> Settings:
@@ -67,13 +84,22 @@
     if objects.max_body > section.max_bytes // 4:
         raise BadConfig("buffer.max_bytes: must hold at least four of the largest bodies")
     limits = Limits(
-        max_bytes=section.max_bytes, max_records=section.max_records, max_age=section.max_age_s,
-        in_flight=section.in_flight, per_shard=section.per_shard, flush_bytes=section.flush_bytes,
-        repeat_share=section.repeat_share, deadline=cls.deadline, shards=known.shards,
-        keyed=cls.repeat is not Repeat.UNSAFE, sole_writer=section.sole_writer,
-        window=cls.repeat_window if cls.repeat is Repeat.KEYED else None)
-    return Settings(section.folder, frozenset(section.buckets), limits, section.segment_bytes,
-                    section.cache_bytes)
+        max_bytes=section.max_bytes,
+        max_records=section.max_records,
+        max_age=section.max_age_s,
+        in_flight=section.in_flight,
+        per_shard=section.per_shard,
+        flush_bytes=section.flush_bytes,
+        repeat_share=section.repeat_share,
+        deadline=cls.deadline,
+        shards=known.shards,
+        keyed=cls.repeat is not Repeat.UNSAFE,
+        sole_writer=section.sole_writer,
+        window=cls.repeat_window if cls.repeat is Repeat.KEYED else None,
+    )
+    return Settings(
+        section.folder, frozenset(section.buckets), limits, section.segment_bytes, section.cache_bytes
+    )
 
 
 class BufferedObjects(Objects):
@@ -94,7 +120,7 @@
         """A call on a bucket: a barrier of a buffered one, or what the front offers for any."""
         if call.bucket in self.buffer.settings.buckets:
             if self.buffer.phase is not Phase.OPEN:
-                raise slow_down()              # what it holds is not known here
+                raise slow_down()  # what it holds is not known here
             if "barrier" in call.query:
                 return await self._barrier_call(call)
         return await super().on_bucket(call)
@@ -154,7 +180,7 @@
         if offer is Offer.SLOW or known is not None and offer is not Offer.TAKE:
             raise slow_down()
         if offer is Offer.DIRECT or conditional and known is None or not self._bufferable(request):
-            if barrier is not None:            # a barrier that nothing durable stands for is none
+            if barrier is not None:  # a barrier that nothing durable stands for is none
                 raise slow_down()
             await self._stand_clear(request)
             return await self._direct(request, request_id, closing)
@@ -166,7 +192,7 @@
             raise Error("InternalError") from None
         try:
             lsn = await buffer.barrier(request.bucket) if barrier is not None else None
-        except (NotTaken, Doubtful):           # the write stands, so this is no refusal
+        except (NotTaken, Doubtful):  # the write stands, so this is no refusal
             raise Error("InternalError") from None
         if lsn is not None and barrier == b"through":
             await self._through(request.bucket, lsn, self._deadline(request.message))
@@ -187,15 +213,20 @@
         """Whether a write's conditions hold against what is buffered of its key; raises `Error`."""
         known = self._standing(request)
         if known is None or self.buffer.newest(request.bucket, request.path) is not known:
-            raise slow_down()                  # it has just gone to its node, or may yet fail to be durable
+            raise slow_down()  # it has just gone to its node, or may yet fail to be durable
         if not write_allowed(request.headers, known.etag if known.method == "PUT" else None):
             raise Error("PreconditionFailed")
 
     @staticmethod
     def _bufferable(request: Request) -> bool:
         """Whether nothing but keeping the bytes and their description is asked of the node."""
-        return all(not name.startswith(b"x-amz-") or name in UNTOUCHED or name in KNOWN
-                   or name.startswith(b"x-amz-meta-") for name, _ in request.message.headers)
+        return all(
+            not name.startswith(b"x-amz-")
+            or name in UNTOUCHED
+            or name in KNOWN
+            or name.startswith(b"x-amz-meta-")
+            for name, _ in request.message.headers
+        )
 
     async def _take(self, request: Request, request_id: str, conditional: bool) -> Entry:
         """Bring a write into the log: its body whole or in pieces, checked against what its client says."""
@@ -203,10 +234,22 @@
         token = request.headers.get(b"idempotency-key", request_id.encode())
         if not TOKEN.match(token):
             raise Error("InvalidArgument")
-        kept = [header for header in bare(message.headers)
-                if header[0] in KEPT or header[0].startswith(b"x-amz-meta-")]
-        write = Write(request.method.decode(), request.bucket, request.path, request.place, kept, token, "",
-                      0, time.time())
+        kept = [
+            header
+            for header in bare(message.headers)
+            if header[0] in KEPT or header[0].startswith(b"x-amz-meta-")
+        ]
+        write = Write(
+            request.method.decode(),
+            request.bucket,
+            request.path,
+            request.place,
+            kept,
+            token,
+            "",
+            0,
+            time.time(),
+        )
         if request.method == b"DELETE":
             return await buffer.put(write, b"")
         body = Body(request.headers, request.signatures)
@@ -232,7 +275,7 @@
             body.end()
             write.etag = body.etag
             await buffer.complete(upload, write)
-            if conditional:                    # other writes may have come while the body did
+            if conditional:  # other writes may have come while the body did
                 self._check(request)
             return await buffer.put(write, b"")
         finally:
@@ -273,8 +316,9 @@
         expected = self._seconds(before)
         held = self.buffer.core.blocked(bucket) is not None
         if held or expected > seconds or not await self.buffer.through(lsn, seconds):
-            raise Error("SlowDown", [(b"retry-after", b"%d" % max(1, math.ceil(expected))),
-                                     (BARRIER_ID, b"%d" % lsn)])
+            raise Error(
+                "SlowDown", [(b"retry-after", b"%d" % max(1, math.ceil(expected))), (BARRIER_ID, b"%d" % lsn)]
+            )
 
     # --- reads ----------------------------------------------------------------------------------
 
@@ -289,9 +333,13 @@
             write, whole = await self.buffer.words(entry)
         except (Failed, ValueError):
             raise Error("InternalError") from None
-        headers: Headers = [*write.headers, (b"etag", write.etag.encode()), (b"accept-ranges", b"bytes"),
-                            (b"last-modified", formatdate(write.at, usegmt=True).encode()),
-                            (b"x-amz-request-id", request_id.encode())]
+        headers: Headers = [
+            *write.headers,
+            (b"etag", write.etag.encode()),
+            (b"accept-ranges", b"bytes"),
+            (b"last-modified", formatdate(write.at, usegmt=True).encode()),
+            (b"x-amz-request-id", request_id.encode()),
+        ]
         status = read_status(request.headers, write.etag, write.at)
         if status == 412:
             raise Error("PreconditionFailed")
@@ -313,7 +361,7 @@
                 async for part in self.buffer.body(write, whole, start, end):
                     await channel.send(part)
             except Failed:
-                return False                   # the client can tell that it is not whole
+                return False  # the client can tell that it is not whole
             return True
 
         return Reply(status, write=stream)
@@ -349,18 +397,32 @@
         """Whether the gateway begins new work."""
         return self.gateway.begins
 
-    def _buffer_call(self, write: Write, method: bytes, body: bytes, expires: float,
-                     headers: Headers) -> Call:
+    def _buffer_call(
+        self, write: Write, method: bytes, body: bytes, expires: float, headers: Headers
+    ) -> Call:
         """A call of the buffer's own, as the module and a node see it."""
         known, settings = self.gateway.config.settings, self.settings
         cls = settings.read_class if method == b"HEAD" else settings.write_class
         request_id = secrets.token_hex(8)
-        fields = self.fields(cls, expires, write.bucket, write.place % known.shards, f"{write.place:016x}",
-                             max(1, math.ceil(len(body) / settings.unit_bytes)), method != b"HEAD")
+        fields = self.fields(
+            cls,
+            expires,
+            write.bucket,
+            write.place % known.shards,
+            f"{write.place:016x}",
+            max(1, math.ceil(len(body) / settings.unit_bytes)),
+            method != b"HEAD",
+        )
         passed = [header for header in headers if header[0] not in HOP_BY_HOP]
-        return Call(request_id, fields, method, write.target,
-                    [*passed, (b"x-request-id", request_id.encode())], body,
-                    final=lambda status: 200 <= status < 500)
+        return Call(
+            request_id,
+            fields,
+            method,
+            write.target,
+            [*passed, (b"x-request-id", request_id.encode())],
+            body,
+            final=lambda status: 200 <= status < 500,
+        )
 
     async def send(self, write: Write, body: bytes, expires: float, seen: str | None) -> Sent:
         """One attempt at storing a write; see `service.Sender`."""
@@ -370,7 +432,8 @@
         elif seen == "" and write.method == "PUT":
             headers.append((b"if-none-match", b"*"))
         answer = await self.gateway.submit(
-            self._buffer_call(write, write.method.encode(), body, expires, headers))
+            self._buffer_call(write, write.method.encode(), body, expires, headers)
+        )
         status = answer.status
         if answer.kind is Kind.REFUSED:
             return Sent(Outcome.REFUSED, answer.retry_after or 0.0)
@@ -378,8 +441,11 @@
             return Sent(Outcome.UNKNOWN)
         if 200 <= status < 300 or status == 404 and write.method == "DELETE":
             return Sent(Outcome.STORED)
-        return Sent(Outcome.DECLINED, reason=f"its node answers {status}" + (
-            ": another version has come there since" if status == 412 else ""))
+        return Sent(
+            Outcome.DECLINED,
+            reason=f"its node answers {status}"
+            + (": another version has come there since" if status == 412 else ""),
+        )
 
     async def look(self, write: Write, expires: float) -> Looked:
         """Which version the node has; see `service.Sender`."""
--- a/mallowbeam/fronts/objects/calls.py
+++ b/mallowbeam/fronts/objects/calls.py
@@ -16,17 +16,33 @@
 from mallowbeam.http.framing import Message
 
 MOST_PARTS = 10_000
-MOST_KEY = 1024             # bytes of an object's name
+MOST_KEY = 1024  # bytes of an object's name
 BUCKET = re.compile(r"[a-z0-9][a-z0-9.-]{1,61}[a-z0-9]\Z")
 # The calls offered, by method, and the query that each may have (x-id: some clients name the operation).
-QUERIES = {b"GET": {"uploadId", "max-parts", "part-number-marker", "x-id"}, b"HEAD": set(),
-           b"PUT": {"partNumber", "uploadId", "x-id"}, b"DELETE": {"uploadId", "x-id"},
-           b"POST": {"uploads", "uploadId", "x-id"}}
+QUERIES = {
+    b"GET": {"uploadId", "max-parts", "part-number-marker", "x-id"},
+    b"HEAD": set(),
+    b"PUT": {"partNumber", "uploadId", "x-id"},
+    b"DELETE": {"uploadId", "x-id"},
+    b"POST": {"uploads", "uploadId", "x-id"},
+}
 BUCKET_CALL = re.compile(rb"/([a-z0-9][a-z0-9.-]{1,61}[a-z0-9])/?(?:\?([\x21-\x7e]*))?\Z")
-LISTING = {"list-type", "prefix", "delimiter", "max-keys", "continuation-token", "start-after", "marker",
-           "encoding-type", "fetch-owner", "x-id"}
-SIGNED = frozenset(f"X-Amz-{name}" for name in (
-    "Algorithm", "Credential", "Date", "Expires", "SignedHeaders", "Signature", "Security-Token"))
+LISTING = {
+    "list-type",
+    "prefix",
+    "delimiter",
+    "max-keys",
+    "continuation-token",
+    "start-after",
+    "marker",
+    "encoding-type",
+    "fetch-owner",
+    "x-id",
+}
+SIGNED = frozenset(
+    f"X-Amz-{name}"
+    for name in ("Algorithm", "Credential", "Date", "Expires", "SignedHeaders", "Signature", "Security-Token")
+)
 
 
 class Request:
@@ -41,11 +57,11 @@
         if not path.startswith(b"/") or not BUCKET.match(bucket.decode("latin-1")):
             raise Error("InvalidBucketName")
         if not key:
-            raise Error("NotImplemented")      # calls on buckets: what a bucket holds is spread over nodes
+            raise Error("NotImplemented")  # calls on buckets: what a bucket holds is spread over nodes
         if len(name) > MOST_KEY:
             raise Error("KeyTooLongError")
         try:
-            name.decode()                      # S3's names are UTF-8
+            name.decode()  # S3's names are UTF-8
         except UnicodeDecodeError:
             raise Error("InvalidURI") from None
         self.place = crc32(bucket + b"/" + name)
@@ -55,9 +71,12 @@
         self.query = dict(parse_qsl(raw_query.decode("latin-1"), keep_blank_values=True))
         self.signatures: ChunkSignatures | None = None  # of its body's chunks, where they are signed
         # A signature ends here; an upload's id is the node's own there.
-        pairs = [pair for pair in raw_query.split(b"&") if pair
-                 and pair.partition(b"=")[0].decode("latin-1") not in (*SIGNED, "uploadId")]
-        self.upload: str | None = None         # the id that the client knows
+        pairs = [
+            pair
+            for pair in raw_query.split(b"&")
+            if pair and pair.partition(b"=")[0].decode("latin-1") not in (*SIGNED, "uploadId")
+        ]
+        self.upload: str | None = None  # the id that the client knows
         self.shard = self.place % shards
         if "uploadId" in self.query:
             self.upload = self.query["uploadId"]
@@ -90,8 +109,9 @@
             raise Error("NotImplemented")
         if set(query) - QUERIES[method] - SIGNED:
             raise Error("NotImplemented")
-        if part is not None and not (part.isascii() and part.isdigit() and len(part) < 6
-                                     and 1 <= int(part) <= MOST_PARTS):
+        if part is not None and not (
+            part.isascii() and part.isdigit() and len(part) < 6 and 1 <= int(part) <= MOST_PARTS
+        ):
             raise Error("InvalidArgument")
         if method == b"PUT" and (part is None) != (upload is None):
             raise Error("InvalidArgument")
--- a/mallowbeam/fronts/objects/errors.py
+++ b/mallowbeam/fronts/objects/errors.py
@@ -55,9 +55,11 @@
 def error_body(code: str, target: bytes, request_id: str) -> bytes:
     """S3's error document."""
     resource = escape(target.partition(b"?")[0].decode("latin-1"))
-    return (f'<?xml version="1.0" encoding="UTF-8"?>\n<Error><Code>{code}</Code><Message>{ERRORS[code][1]}'
-            f"</Message><Resource>{resource}</Resource><RequestId>{escape(request_id)}</RequestId>"
-            "</Error>").encode()
+    return (
+        f'<?xml version="1.0" encoding="UTF-8"?>\n<Error><Code>{code}</Code><Message>{ERRORS[code][1]}'
+        f"</Message><Resource>{resource}</Resource><RequestId>{escape(request_id)}</RequestId>"
+        "</Error>"
+    ).encode()
 
 
 def slow_down(seconds: float | None = None) -> Error:
--- a/mallowbeam/fronts/objects/front.py
+++ b/mallowbeam/fronts/objects/front.py
@@ -44,9 +44,9 @@
 from mallowbeam.net.gateway import Gateway
 
 T = TypeVar("T")
-IN_THREAD = 256 * 1024      # bytes of a body from which on its digests would hold up other calls
-AT_ONCE = 16                # names of one batch that are on their way
-MOST_MS = 86_400_000        # a deadline of over a day is senseless
+IN_THREAD = 256 * 1024  # bytes of a body from which on its digests would hold up other calls
+AT_ONCE = 16  # names of one batch that are on their way
+MOST_MS = 86_400_000  # a deadline of over a day is senseless
 # What concerns one connection, or the talk between gateway and node, is not passed on.
 OWN_REQUEST = HOP_BY_HOP | {b"x-deadline-ms", b"x-request-id", b"idempotency-key"}
 OWN_ANSWER = HOP_BY_HOP | {b"x-meter", b"x-delta", b"x-load", b"x-not-run", b"x-amz-request-id"}
@@ -59,7 +59,7 @@
     bucket: str
     query: Mapping[str, str]
     headers: Mapping[bytes, bytes]
-    key: Key | None                            # who makes it, None where nobody need say
+    key: Key | None  # who makes it, None where nobody need say
     signatures: ChunkSignatures | None
     request_id: str
     closing: Callable[[], bool]
@@ -110,14 +110,23 @@
         finally:
             self.budget.used -= taken
 
-    def read_bucket(self, message: Message, match: re.Match[bytes], request_id: str,
-                    closing: Callable[[], bool]) -> BucketCall:
+    def read_bucket(
+        self, message: Message, match: re.Match[bytes], request_id: str, closing: Callable[[], bool]
+    ) -> BucketCall:
         """A call on a bucket taken apart, by one who is who he says; raises `Error`."""
-        query = dict(parse_qsl((match[2] or b"").decode("latin-1"), keep_blank_values=True,
-                               errors="surrogateescape"))
+        query = dict(
+            parse_qsl((match[2] or b"").decode("latin-1"), keep_blank_values=True, errors="surrogateescape")
+        )
         headers = dict(reversed(message.headers))
-        return BucketCall(message, match[1].decode(), query, headers, *self.identify(message, headers, query),
-                          request_id, closing)
+        return BucketCall(
+            message,
+            match[1].decode(),
+            query,
+            headers,
+            *self.identify(message, headers, query),
+            request_id,
+            closing,
+        )
 
     def read(self, message: Message) -> Request:
         """A call taken apart, by one who may make it; raises `Error`."""
@@ -193,9 +202,16 @@
         request_id = secrets.token_hex(8)
         key = f"{crc32(query.bucket.encode()):016x}"
         fields = self.fields(self.settings.read_class, seconds, query.bucket, ask.shard, key, 1, False)
-        answer = await self.gateway.submit(Call(
-            request_id, fields, b"GET", target(query, ask), [(b"x-request-id", request_id.encode())],
-            final=lambda status: 200 <= status < 500))
+        answer = await self.gateway.submit(
+            Call(
+                request_id,
+                fields,
+                b"GET",
+                target(query, ask),
+                [(b"x-request-id", request_id.encode())],
+                final=lambda status: 200 <= status < 500,
+            )
+        )
         if answer.kind is Kind.REFUSED:
             raise slow_down(answer.retry_after)
         if answer.kind is Kind.FAILED or answer.status != 200:
@@ -206,8 +222,9 @@
         """Names of a listing that are other than the nodes have them, None for one that is not there."""
         return {}
 
-    def identify(self, message: Message, headers: Mapping[bytes, bytes],
-                 query: Mapping[str, str]) -> tuple[Key | None, ChunkSignatures | None]:
+    def identify(
+        self, message: Message, headers: Mapping[bytes, bytes], query: Mapping[str, str]
+    ) -> tuple[Key | None, ChunkSignatures | None]:
         """Who makes a call, proven, and what its chunks rest on; None where none need say; raises `Error`."""
         if self.access is None:
             return None, None
@@ -221,8 +238,9 @@
         return key, ChunkSignatures(claim, key.secret) if claim.payload.startswith(CHUNKED) else None
 
     @staticmethod
-    async def unwrap(message: Message, headers: Mapping[bytes, bytes],
-                     signatures: ChunkSignatures | None) -> None:
+    async def unwrap(
+        message: Message, headers: Mapping[bytes, bytes], signatures: ChunkSignatures | None
+    ) -> None:
         """Check a body held whole and take its framing off; a large one in a thread, as digests take long."""
         if len(message.body) > IN_THREAD:
             await asyncio.to_thread(unwrap, message, headers, signatures)
@@ -273,12 +291,19 @@
         passed.append((b"x-request-id", request_id.encode()))
         if not request.reads:
             passed.append((b"idempotency-key", token))
-        fields = self.fields(cls.name, seconds, request.bucket, request.shard, request.key,
-                             request.units, not request.reads)
+        fields = self.fields(
+            cls.name, seconds, request.bucket, request.shard, request.key, request.units, not request.reads
+        )
         return Call(
-            request_id, fields, request.method, request.target, passed, request.message.body,
+            request_id,
+            fields,
+            request.method,
+            request.target,
+            passed,
+            request.message.body,
             final=lambda status: 200 <= status < 500,
-            streamed=lambda status: request.method == b"GET" and status in (200, 206) and not request.upload)
+            streamed=lambda status: request.method == b"GET" and status in (200, 206) and not request.upload,
+        )
 
     def seconds(self, cls: str, asked: bytes | None) -> float:
         """What a call of that class may take here, by its client's word or its class; raises `Error`."""
@@ -288,13 +313,21 @@
             raise Error("InvalidArgument")
         return time_left(deadline)
 
-    def fields(self, cls: str, expires: float, bucket: str, shard: int, key: str, units: int,
-               writes: bool) -> dict[str, object]:
+    def fields(
+        self, cls: str, expires: float, bucket: str, shard: int, key: str, units: int, writes: bool
+    ) -> dict[str, object]:
         """What the module is told of a call."""
         settings = self.settings
-        return dict(cls=cls, expires_in=expires, shard=shard, key=key, volume=bucket, is_write=writes,
-                    units=min(units, self.gateway.config.settings.units_top),
-                    plan=settings.plans.get(bucket, settings.plan))
+        return dict(
+            cls=cls,
+            expires_in=expires,
+            shard=shard,
+            key=key,
+            volume=bucket,
+            is_write=writes,
+            units=min(units, self.gateway.config.settings.units_top),
+            plan=settings.plans.get(bucket, settings.plan),
+        )
 
     @staticmethod
     def error(error: Error, message: Message, request_id: str, close: bool) -> Reply:
@@ -325,8 +358,9 @@
         size = None if answer.status in (204, 304) else len(body)
         return Reply(answer.status, write_head(answer.status, headers, size, close) + body)
 
-    def _streamed(self, request: Request, answer: Answer, stream: Stream, request_id: str,
-                  closing: Callable[[], bool]) -> Reply:
+    def _streamed(
+        self, request: Request, answer: Answer, stream: Stream, request_id: str, closing: Callable[[], bool]
+    ) -> Reply:
         """A body that is passed on as it comes, cut here where the node left the range to us."""
         headers, status, length = passed_on(answer, request_id), answer.status, length_of(answer.headers)
         start, end = 0, length
--- a/mallowbeam/fronts/objects/listings.py
+++ b/mallowbeam/fronts/objects/listings.py
@@ -24,10 +24,10 @@
 from mallowbeam.fronts.objects.errors import Error
 
 NAMESPACE = "http://s3.amazonaws.com/doc/2006-03-01/"
-MOST_KEYS = 1000            # names on a page
-LEAST_ASKED = 16            # names asked of a node at once, where the page wants that many
-EXTRA = 1.25                # of its even part a node is asked for: names spread evenly, but not exactly
-LAST = "\U0010ffff" * 4     # behind a prefix: after every name that begins with it, but for absurd ones
+MOST_KEYS = 1000  # names on a page
+LEAST_ASKED = 16  # names asked of a node at once, where the page wants that many
+EXTRA = 1.25  # of its even part a node is asked for: names spread evenly, but not exactly
+LAST = "\U0010ffff" * 4  # behind a prefix: after every name that begins with it, but for absurd ones
 
 
 class Item(NamedTuple):
@@ -48,8 +48,8 @@
     """A node's next names are wanted."""
 
     shard: int
-    after: str                                 # names behind this one
-    token: str                                 # or the node's own word for where it was, if it gave one
+    after: str  # names behind this one
+    token: str  # or the node's own word for where it was, if it gave one
     most: int
 
 
@@ -60,7 +60,7 @@
     items: deque[Item] = field(default_factory=deque)
     token: str = ""
     after: str = ""
-    more: bool = True                          # whether it may have further names
+    more: bool = True  # whether it may have further names
 
 
 @dataclass(slots=True, frozen=True)
@@ -70,11 +70,11 @@
     bucket: str
     prefix: str = ""
     delimiter: str = ""
-    after: str = ""                            # names behind this one only
+    after: str = ""  # names behind this one only
     most: int = MOST_KEYS
-    second: bool = True                        # ListObjectsV2
-    encoded: bool = False                      # names in percent-encoding
-    told: tuple[tuple[str, str], ...] = ()     # what the answer repeats of the call
+    second: bool = True  # ListObjectsV2
+    encoded: bool = False  # names in percent-encoding
+    told: tuple[tuple[str, str], ...] = ()  # what the answer repeats of the call
 
     @classmethod
     def read(cls, bucket: str, query: Mapping[str, str]) -> Query:
@@ -92,11 +92,19 @@
             after = query.get("start-after" if second else "marker", "")
         try:
             (prefix + delimiter + after).encode()
-        except UnicodeEncodeError:             # names are UTF-8
+        except UnicodeEncodeError:  # names are UTF-8
             raise Error("InvalidArgument") from None
         names = ("continuation-token", "start-after") if second else ("marker",)
-        return cls(bucket, prefix, delimiter, after, min(MOST_KEYS, int(most)), second,
-                   "encoding-type" in query, tuple((name, query[name]) for name in names if name in query))
+        return cls(
+            bucket,
+            prefix,
+            delimiter,
+            after,
+            min(MOST_KEYS, int(most)),
+            second,
+            "encoding-type" in query,
+            tuple((name, query[name]) for name in names if name in query),
+        )
 
 
 def seal_token(last: str, bucket: str, prefix: str, delimiter: str) -> str:
@@ -126,12 +134,19 @@
         self.want = query.most + 1 if query.most else 0
         self.parts = [Part(after=skip(query.after, query.delimiter, query.prefix)) for _ in range(shards)]
         self.overlay = dict(overlay or {})
-        self.items: list[Item] = []            # the page, in order
+        self.items: list[Item] = []  # the page, in order
         self.over = not self.want
-        self.asked = 0                         # names asked of nodes
-        self._laid = deque(sorted(
-            {rolled(item, query) for name, item in self.overlay.items()
-             if item is not None and name.startswith(query.prefix)}, key=lambda item: item.order))
+        self.asked = 0  # names asked of nodes
+        self._laid = deque(
+            sorted(
+                {
+                    rolled(item, query)
+                    for name, item in self.overlay.items()
+                    if item is not None and name.startswith(query.prefix)
+                },
+                key=lambda item: item.order,
+            )
+        )
 
     def needs(self) -> list[Ask]:
         """What must be asked before the page can go on; empty when it is done."""
@@ -140,8 +155,11 @@
             return []
         left = self.want - len(self.items)
         count = max(min(LEAST_ASKED, left), min(left, int(left / self.shards * EXTRA) + 1))
-        asks = [Ask(shard, part.after, part.token, count) for shard, part in enumerate(self.parts)
-                if part.more and not part.items]
+        asks = [
+            Ask(shard, part.after, part.token, count)
+            for shard, part in enumerate(self.parts)
+            if part.more and not part.items
+        ]
         self.asked += count * len(asks)
         return asks
 
@@ -159,7 +177,7 @@
         if items:
             part.after = items[-1].name
         elif more:
-            raise Error("InternalError")       # nothing, and more of it
+            raise Error("InternalError")  # nothing, and more of it
         part.token, part.more = token, more
 
     def _merge(self) -> None:
@@ -170,7 +188,7 @@
                 if part.items:
                     heads.append((part.items[0].order, part.items))
                 elif part.more:
-                    return                     # its next name may be the first of all
+                    return  # its next name may be the first of all
             if self._laid:
                 heads.append((self._laid[0].order, self._laid))
             if not heads:
@@ -193,7 +211,7 @@
 
     def page(self) -> bytes:
         """S3's document of the page."""
-        query, items = self.query, self.items[:self.query.most]
+        query, items = self.query, self.items[: self.query.most]
 
         def word(text: str) -> str:
             return quote(text, safe="/", errors="surrogateescape") if query.encoded else text
@@ -215,8 +233,11 @@
         if self.truncated:
             last = items[-1].name
             if query.second:
-                put(root, "NextContinuationToken",
-                    seal_token(last, query.bucket, query.prefix, query.delimiter))
+                put(
+                    root,
+                    "NextContinuationToken",
+                    seal_token(last, query.bucket, query.prefix, query.delimiter),
+                )
             else:
                 put(root, "NextMarker", word(last))
         for item in items:
@@ -224,8 +245,13 @@
                 put(SubElement(root, "CommonPrefixes"), "Prefix", word(item.name))
                 continue
             entry = SubElement(root, "Contents")
-            for tag, value in (("Key", word(item.name)), ("LastModified", item.modified), ("ETag", item.etag),
-                               ("Size", str(item.size)), ("StorageClass", "STANDARD")):
+            for tag, value in (
+                ("Key", word(item.name)),
+                ("LastModified", item.modified),
+                ("ETag", item.etag),
+                ("Size", str(item.size)),
+                ("StorageClass", "STANDARD"),
+            ):
                 put(entry, tag, value)
         return bytes(tostring(root, encoding="UTF-8", xml_declaration=True))
 
@@ -240,7 +266,7 @@
     if query.delimiter:
         at = item.name.find(query.delimiter, len(query.prefix))
         if at >= 0:
-            return Item(item.name[:at + len(query.delimiter)])
+            return Item(item.name[: at + len(query.delimiter)])
     return item
 
 
@@ -253,11 +279,17 @@
 
 def target(query: Query, ask: Ask) -> bytes:
     """The call that asks a node."""
-    words = {"list-type": "2", "encoding-type": "url", "max-keys": str(ask.most), "prefix": query.prefix,
-             "delimiter": query.delimiter}
+    words = {
+        "list-type": "2",
+        "encoding-type": "url",
+        "max-keys": str(ask.most),
+        "prefix": query.prefix,
+        "delimiter": query.delimiter,
+    }
     words["continuation-token" if ask.token else "start-after"] = ask.token or ask.after
-    text = "&".join(f"{name}={quote(value, safe='', errors='surrogateescape')}"
-                    for name, value in words.items() if value)
+    text = "&".join(
+        f"{name}={quote(value, safe='', errors='surrogateescape')}" for name, value in words.items() if value
+    )
     return b"/" + query.bucket.encode() + b"?" + text.encode()
 
 
@@ -269,8 +301,14 @@
             match element.tag.rpartition("}")[2]:
                 case "Contents":
                     told = {child.tag.rpartition("}")[2]: child.text or "" for child in element}
-                    items.append(Item(unquote(told["Key"], errors="surrogateescape"), int(told["Size"]),
-                                      told.get("ETag", ""), told.get("LastModified", "")))
+                    items.append(
+                        Item(
+                            unquote(told["Key"], errors="surrogateescape"),
+                            int(told["Size"]),
+                            told.get("ETag", ""),
+                            told.get("LastModified", ""),
+                        )
+                    )
                 case "CommonPrefixes":
                     items.append(Item(unquote(element[0].text or "", errors="surrogateescape")))
                 case "IsTruncated":
--- a/mallowbeam/fronts/objects/ranges.py
+++ b/mallowbeam/fronts/objects/ranges.py
@@ -35,7 +35,7 @@
     if asked is None:
         return None
     first, last = asked
-    if first is None:                          # the last so many bytes
+    if first is None:  # the last so many bytes
         assert last is not None
         if last == 0 or length == 0:
             raise Unsatisfiable
--- a/mallowbeam/fronts/objects/settings.py
+++ b/mallowbeam/fronts/objects/settings.py
@@ -18,11 +18,11 @@
     read_class: str
     write_class: str
     plan: str
-    plans: dict[str, str]                      # of single buckets
+    plans: dict[str, str]  # of single buckets
     unit_bytes: int
     max_body: int
     held: int
-    keys: str | None = None                    # the file of those who may call; None: whoever reaches it
+    keys: str | None = None  # the file of those who may call; None: whoever reaches it
 
 
 def read_object_settings(raw: dict[str, Any], gateway: Gateway) -> ObjectSettings:
@@ -33,8 +33,16 @@
     except ValueError as error:
         raise BadConfig(f"objects.listen: {error}") from None
     settings = ObjectSettings(
-        listen, section.classes.read, section.classes.write, section.plan, section.plans, section.unit_bytes,
-        section.max_body_bytes, section.held_bytes, section.keys)
+        listen,
+        section.classes.read,
+        section.classes.write,
+        section.plan,
+        section.plans,
+        section.unit_bytes,
+        section.max_body_bytes,
+        section.held_bytes,
+        section.keys,
+    )
     known = gateway.config.settings
     for name in (settings.read_class, settings.write_class):
         if name not in known.classes:
--- a/mallowbeam/fronts/objects/signatures.py
+++ b/mallowbeam/fronts/objects/signatures.py
@@ -20,16 +20,19 @@
 from mallowbeam.http.framing import Headers, Message
 
 ALGORITHM = "AWS4-HMAC-SHA256"
-SKEW = 900                  # seconds by which a client's clock may be off
-MOST_EXPIRES = 604_800      # seconds for which a presigned URL may be good
+SKEW = 900  # seconds by which a client's clock may be off
+MOST_EXPIRES = 604_800  # seconds for which a presigned URL may be good
 AUTHORIZATION = re.compile(
     r"AWS4-HMAC-SHA256 +Credential=([^/, ]{1,128})/(\d{8})/([^/, ]{1,64})/s3/aws4_request *,"
-    r" *SignedHeaders=([a-z0-9;-]{1,2048}) *, *Signature=([0-9a-f]{64})\Z")
+    r" *SignedHeaders=([a-z0-9;-]{1,2048}) *, *Signature=([0-9a-f]{64})\Z"
+)
 CREDENTIAL = re.compile(r"([^/]{1,128})/(\d{8})/([^/]{1,64})/s3/aws4_request\Z")
 DATE = re.compile(r"\d{8}T\d{6}Z\Z")
 EMPTY = hashlib.sha256().hexdigest()
-PAYLOADS = re.compile(r"[0-9a-f]{64}\Z|UNSIGNED-PAYLOAD\Z|STREAMING-UNSIGNED-PAYLOAD-TRAILER\Z"
-                      r"|STREAMING-AWS4-HMAC-SHA256-PAYLOAD(-TRAILER)?\Z")
+PAYLOADS = re.compile(
+    r"[0-9a-f]{64}\Z|UNSIGNED-PAYLOAD\Z|STREAMING-UNSIGNED-PAYLOAD-TRAILER\Z"
+    r"|STREAMING-AWS4-HMAC-SHA256-PAYLOAD(-TRAILER)?\Z"
+)
 CHUNKED = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD"
 
 
@@ -40,11 +43,11 @@
     key: str
     day: str
     region: str
-    date: str                                  # as S3 writes it: 20261201T175355Z
-    signed: tuple[str, ...]                    # names of the headers that are signed
+    date: str  # as S3 writes it: 20261201T175355Z
+    signed: tuple[str, ...]  # names of the headers that are signed
     signature: str
-    payload: str                               # what stands for the body in what is signed
-    expires: int | None = None                 # seconds, of a presigned URL
+    payload: str  # what stands for the body in what is signed
+    expires: int | None = None  # seconds, of a presigned URL
 
     @property
     def scope(self) -> str:
@@ -82,12 +85,26 @@
     match = CREDENTIAL.match(query.get("X-Amz-Credential", ""))
     date, expires = query.get("X-Amz-Date", ""), query.get("X-Amz-Expires", "")
     signature, signed = query.get("X-Amz-Signature", ""), query.get("X-Amz-SignedHeaders", "")
-    if (match is None or query.get("X-Amz-Algorithm") != ALGORITHM or not DATE.match(date)
-            or not re.fullmatch(r"[0-9a-f]{64}", signature) or not re.fullmatch(r"[a-z0-9;-]{1,2048}", signed)
-            or not re.fullmatch(r"\d{1,6}", expires) or not 1 <= int(expires) <= MOST_EXPIRES):
+    if (
+        match is None
+        or query.get("X-Amz-Algorithm") != ALGORITHM
+        or not DATE.match(date)
+        or not re.fullmatch(r"[0-9a-f]{64}", signature)
+        or not re.fullmatch(r"[a-z0-9;-]{1,2048}", signed)
+        or not re.fullmatch(r"\d{1,6}", expires)
+        or not 1 <= int(expires) <= MOST_EXPIRES
+    ):
         raise Error("AuthorizationQueryParametersError")
-    return Claim(match[1], match[2], match[3], date, tuple(signed.split(";")), signature,
-                 "UNSIGNED-PAYLOAD", int(expires))
+    return Claim(
+        match[1],
+        match[2],
+        match[3],
+        date,
+        tuple(signed.split(";")),
+        signature,
+        "UNSIGNED-PAYLOAD",
+        int(expires),
+    )
 
 
 def in_time(claim: Claim, now: float) -> None:
@@ -97,13 +114,14 @@
     except ValueError:
         raise Error("AccessDenied") from None
     if claim.date[:8] != claim.day:
-        raise Error("AuthorizationHeaderMalformed" if claim.expires is None
-                    else "AuthorizationQueryParametersError")
+        raise Error(
+            "AuthorizationHeaderMalformed" if claim.expires is None else "AuthorizationQueryParametersError"
+        )
     if claim.expires is None:
         if abs(now - made) > SKEW:
             raise Error("RequestTimeTooSkewed")
     elif now < made - SKEW or now > made + claim.expires:
-        raise Error("AccessDenied")            # not yet good, or over
+        raise Error("AccessDenied")  # not yet good, or over
 
 
 def canonical(method: bytes, target: bytes, headers: Headers, claim: Claim) -> str:
@@ -121,8 +139,11 @@
         encoded = quote(unquote_to_bytes(name), safe="-._~")
         if encoded != "X-Amz-Signature":
             pairs.append((encoded, quote(unquote_to_bytes(value), safe="-._~")))
-    lines = [method.decode("latin-1"), quote(unquote_to_bytes(path), safe="/-._~"),
-             "&".join(f"{name}={value}" for name, value in sorted(pairs))]
+    lines = [
+        method.decode("latin-1"),
+        quote(unquote_to_bytes(path), safe="/-._~"),
+        "&".join(f"{name}={value}" for name, value in sorted(pairs)),
+    ]
     lines += [f"{name}:{','.join(told.get(name, ['']))}" for name in claim.signed]
     return "\n".join([*lines, "", ";".join(claim.signed), claim.payload])
 
--- a/mallowbeam/fronts/platform.py
+++ b/mallowbeam/fronts/platform.py
@@ -18,16 +18,25 @@
 TARGET = re.compile(rb"/([^/?]+)/([0-9a-f]{16})/([0-9a-f]{16})(?:\?[\x21-\x7e]{0,1024})?\Z")
 REQUEST_ID = re.compile(rb"[0-9a-f]{16}\Z")
 EXTENT = re.compile(rb"units=(\d{1,9}),shard=(-?\d{1,9}),hosts=(\d{1,9})\Z")
-HELD = 24 * 1024 * 1024     # bytes of bodies held at once, over all connections: memory is bounded
-MOST_MS = 3_600_000         # a deadline of over an hour is senseless
+HELD = 24 * 1024 * 1024  # bytes of bodies held at once, over all connections: memory is bounded
+MOST_MS = 3_600_000  # a deadline of over an hour is senseless
 STANDSTILL, LEAST = 0.2, 0.05  # of the aim, and seconds: nodes write their small answers in one go
-FAILED = 502                # what a client is told of a failure: neither 429 nor 503, which would refuse
+FAILED = 502  # what a client is told of a failure: neither 429 nor 503, which would refuse
 REFUSED = 503
 RETRY_AFTER = [(b"retry-after", b"0.3")]  # with a refusal that the module has no part in
 # Guards nodes against what they might not read, and close on: only what the protocol names is passed on.
-PASSED_ON = frozenset((b"x-request-id", b"x-class", b"x-storage-class", b"x-extent", b"x-retry",
-                       b"idempotency-key", b"content-type"))
-SINGLE = PASSED_ON | {b"x-deadline-ms"}    # and each at most once: readers may differ on which counts
+PASSED_ON = frozenset(
+    (
+        b"x-request-id",
+        b"x-class",
+        b"x-storage-class",
+        b"x-extent",
+        b"x-retry",
+        b"idempotency-key",
+        b"content-type",
+    )
+)
+SINGLE = PASSED_ON | {b"x-deadline-ms"}  # and each at most once: readers may differ on which counts
 
 
 class BadRequest(MallowbeamError):
@@ -103,14 +112,30 @@
         if not 1 <= units <= settings.units_top or shard < -1 or not 1 <= hosts <= settings.hosts:
             raise BadRequest("X-Extent is senseless")
         return Call(
-            request_id.decode(), dict(
-                cls=cls.name, expires_in=time_left(min(deadline, cls.deadline) - waited),
-                shard=None if shard < 0 else shard, units=units, volume=path[2].decode(), plan=plan.name,
-                hosts_of_volume=hosts, key=path[3].decode(), is_retry=headers.get(b"x-retry") == b"1",
-                is_write=request.method == b"PUT"),
-            request.method, request.target, [h for h in request.headers if h[0] in PASSED_ON],
-            request.body, streamed=(200).__eq__, standstill=max(LEAST, cls.aim * STANDSTILL), hold=MAX_BODY,
-            most=MOST, upload=request.stream, length=request.length)
+            request_id.decode(),
+            dict(
+                cls=cls.name,
+                expires_in=time_left(min(deadline, cls.deadline) - waited),
+                shard=None if shard < 0 else shard,
+                units=units,
+                volume=path[2].decode(),
+                plan=plan.name,
+                hosts_of_volume=hosts,
+                key=path[3].decode(),
+                is_retry=headers.get(b"x-retry") == b"1",
+                is_write=request.method == b"PUT",
+            ),
+            request.method,
+            request.target,
+            [h for h in request.headers if h[0] in PASSED_ON],
+            request.body,
+            streamed=(200).__eq__,
+            standstill=max(LEAST, cls.aim * STANDSTILL),
+            hold=MAX_BODY,
+            most=MOST,
+            upload=request.stream,
+            length=request.length,
+        )
 
     @staticmethod
     def streamed(answer: Answer, stream: Stream, request: Message, closing: Callable[[], bool]) -> Reply:
@@ -123,7 +148,7 @@
                 await channel.send(write_head(200, [], size, closing(), chunked))
                 return await copy(stream, channel, 0, size, chunked)
             finally:
-                stream.close()                 # its attempt waits for no client that has gone
+                stream.close()  # its attempt waits for no client that has gone
 
         return Reply(200, write=write)
 
--- a/mallowbeam/interface.py
+++ b/mallowbeam/interface.py
@@ -31,7 +31,7 @@
     OK = "ok"
     ERROR = "error"
     REJECTED = "rejected"
-    ASTRAY = "astray"                          # turned away unrun, by a node that will not take it later
+    ASTRAY = "astray"  # turned away unrun, by a node that will not take it later
     TIMEOUT = "timeout"
     NO_CONNECTION = "no connection"
     RESET = "reset"
@@ -46,7 +46,7 @@
     FULL = "full"
     CACHED = "cached"
     FAILED = "failed"
-    SILENT = "silent"                          # on sockets: a call was neither answered nor ended
+    SILENT = "silent"  # on sockets: a call was neither answered nor ended
 
 
 class NodeState(Enum):
@@ -71,7 +71,7 @@
     repeat_window: float = 0.0
     streamed: bool = False
     ordered: bool = False
-    writes: bool | None = None                 # None where the settings don't tell
+    writes: bool | None = None  # None where the settings don't tell
 
 
 @dataclass(slots=True, frozen=True)
@@ -178,7 +178,7 @@
 
     node: str
     out: bool
-    since: float | None = None                 # when that was said, where it was not just now
+    since: float | None = None  # when that was said, where it was not just now
 
 
 @dataclass(slots=True)
@@ -206,8 +206,8 @@
     """
 
     plan: Plan
-    volume: str = ""                           # empty: all on the plan of this name, and those to come
-    shard: int | None = None                   # with a volume: its requests for this shard, counted apart
+    volume: str = ""  # empty: all on the plan of this name, and those to come
+    shard: int | None = None  # with a volume: its requests for this shard, counted apart
     part: float | None = None
 
 
@@ -284,8 +284,20 @@
     payload: bytes
 
 
-Event = (RequestArrived | NodesListed | ByHand | SentBeside | PlanChanged | AttemptEnded | StreamStarted
-         | Upload | ClientGone | TimerFired | ProbeEnded | PeerMessage)
+Event = (
+    RequestArrived
+    | NodesListed
+    | ByHand
+    | SentBeside
+    | PlanChanged
+    | AttemptEnded
+    | StreamStarted
+    | Upload
+    | ClientGone
+    | TimerFired
+    | ProbeEnded
+    | PeerMessage
+)
 
 
 # --- actions ----------------------------------------------------------------------------------
--- a/mallowbeam/lab/ack.py
+++ b/mallowbeam/lab/ack.py
@@ -15,9 +15,9 @@
 from mallowbeam.lab.rig import Rig
 from mallowbeam.standins.node import ObjectNode
 
-PAUSE = 0.075, 0.230        # seconds that a node stands still
-APART = 1.5, 3.0            # seconds between two pauses of a node
-WORK = 0.005                # seconds that a node takes for a write
+PAUSE = 0.075, 0.230  # seconds that a node stands still
+APART = 1.5, 3.0  # seconds between two pauses of a node
+WORK = 0.005  # seconds that a node takes for a write
 
 
 @dataclass(slots=True)
@@ -58,15 +58,18 @@
 
 async def pauses(nodes: list[ObjectNode], seed: int) -> None:
     """Each node stands still now and then."""
+
     async def one(node: ObjectNode, chance: random.Random) -> None:
         while True:
             await asyncio.sleep(chance.uniform(*APART))
             node.stand_still(chance.uniform(*PAUSE))
+
     await asyncio.gather(*(one(node, random.Random(seed + i)) for i, node in enumerate(nodes)))
 
 
-async def load(port: int, bucket: str, rate: float, seconds: float,
-               seed: int) -> tuple[list[float], int, float]:
+async def load(
+    port: int, bucket: str, rate: float, seconds: float, seed: int
+) -> tuple[list[float], int, float]:
     """Latencies, refusals and the time it took, at so many calls a second."""
     caller, chance, tasks = Caller(port), random.Random(seed), []
     latencies, refused, body = list[float](), 0, bytes(1024)
@@ -101,16 +104,26 @@
             for stand in (False, True):
                 for i, bucket in enumerate(("direct", "buffered")):
                     pausing = asyncio.create_task(pauses(nodes, turn)) if stand else None
-                    latencies, refused, took = await load(rig.port, bucket, rate, seconds,
-                                                          turn * 10 + stand * 2 + i)
+                    latencies, refused, took = await load(
+                        rig.port, bucket, rate, seconds, turn * 10 + stand * 2 + i
+                    )
                     if pausing is not None:
                         pausing.cancel()
                     latencies.sort()
                     n = len(latencies)
-                    results.append(Result(
-                        bucket, stand, rate, round(n / took, 1), refused, round(1000 * latencies[n // 2], 2),
-                        round(1000 * latencies[int(n * 0.99)], 2), round(1000 * latencies[-1], 2)))
-                    await asyncio.sleep(1.0)   # the flush ends before the next load
+                    results.append(
+                        Result(
+                            bucket,
+                            stand,
+                            rate,
+                            round(n / took, 1),
+                            refused,
+                            round(1000 * latencies[n // 2], 2),
+                            round(1000 * latencies[int(n * 0.99)], 2),
+                            round(1000 * latencies[-1], 2),
+                        )
+                    )
+                    await asyncio.sleep(1.0)  # the flush ends before the next load
     finally:
         rig.close()
     return results
--- a/mallowbeam/lab/ask.py
+++ b/mallowbeam/lab/ask.py
@@ -19,18 +19,30 @@
     body: bytes
 
 
-async def ask(port: int, method: str, target: str, body: bytes = b"",
-              headers: dict[str, str] | None = None, host: str = "127.0.0.1") -> Answered:
+async def ask(
+    port: int,
+    method: str,
+    target: str,
+    body: bytes = b"",
+    headers: dict[str, str] | None = None,
+    host: str = "127.0.0.1",
+) -> Answered:
     """One call on a connection of its own; raises OSError or EOFError where no whole answer came."""
     reader, writer = await asyncio.open_connection(host, port)
     try:
-        lines = [f"{method} {target} HTTP/1.1", "host: x", "connection: close",
-                 f"content-length: {len(body)}", *(f"{n}: {v}" for n, v in (headers or {}).items())]
+        lines = [
+            f"{method} {target} HTTP/1.1",
+            "host: x",
+            "connection: close",
+            f"content-length: {len(body)}",
+            *(f"{n}: {v}" for n, v in (headers or {}).items()),
+        ]
         writer.write("\r\n".join([*lines, "", ""]).encode() + body)
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
         status = int(head[0].split()[1])
-        told = {name.lower(): value.strip()
-                for name, _, value in (line.partition(":") for line in head[1:-2])}
+        told = {
+            name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:-2])
+        }
         data = b""
         if method != "HEAD" and status not in (204, 304):
             data = await reader.readexactly(int(told.get("content-length", "0")))
--- a/mallowbeam/lab/crash.py
+++ b/mallowbeam/lab/crash.py
@@ -24,8 +24,8 @@
 BUCKET = "plates"
 CLIENTS = 8
 BRIEFLY = {"x-deadline-ms": "150"}  # reads and barriers wait no longer: what is tried here is the writes
-HOT = 4                     # keys that each client writes again and again
-PATIENCE = 60.0             # seconds for the last life to flush all
+HOT = 4  # keys that each client writes again and again
+PATIENCE = 60.0  # seconds for the last life to flush all
 FAULTS = ("refuse", "error", "stall", "cut", "run-cut", "answer-cut")
 
 
@@ -66,15 +66,19 @@
             self.counts["reads"] += 1
             return
         if kind < 0.16:
-            answer = await ask(self.rig.port, "POST", f"/{BUCKET}?barrier="
-                               + chance.choice(("sync", "through")), headers=BRIEFLY)
+            answer = await ask(
+                self.rig.port,
+                "POST",
+                f"/{BUCKET}?barrier=" + chance.choice(("sync", "through")),
+                headers=BRIEFLY,
+            )
             self.counts["barriers"] += answer.status == 200
             return
         body: bytes | None = None
         if kind < 0.9:
             size = 300_000 if kind < 0.17 else chance.randrange(1, 3000)
             body = f"{key} {self.fresh()} ".encode() + bytes(size)
-        known.append(body)                     # from now on it may be there
+        known.append(body)  # from now on it may be there
         method = "DELETE" if body is None else "PUT"
         answer = await ask(self.rig.port, method, f"/{BUCKET}/{key}", body or b"")
         if answer.status in (200, 204):
@@ -82,7 +86,7 @@
             self.counts["acknowledged"] += 1
             self.counts["buffered"] += "x-mallowbeam-durable" in answer.headers
         elif answer.status == 503:
-            known.remove(body)                 # refused: it is never there
+            known.remove(body)  # refused: it is never there
             self.counts["refused"] += 1
             await asyncio.sleep(0.02)
         else:
@@ -93,11 +97,20 @@
         chance, rig = self.chance, self.rig
         for node in rig.nodes:
             node.script.clear()
-            node.script.add(*(Rule(chance.choice(FAULTS), skip=chance.randrange(40), seconds=chance.random(),
-                                   times=chance.randrange(1, 3)) for _ in range(chance.randrange(4))))
+            node.script.add(
+                *(
+                    Rule(
+                        chance.choice(FAULTS),
+                        skip=chance.randrange(40),
+                        seconds=chance.random(),
+                        times=chance.randrange(1, 3),
+                    )
+                    for _ in range(chance.randrange(4))
+                )
+            )
         rig.start()
         over = asyncio.Event()
-        if chance.random() < 0.15:             # within the start, or while the folder is being read
+        if chance.random() < 0.15:  # within the start, or while the folder is being read
             await asyncio.sleep(chance.uniform(0.2, 0.7))
             self.counts["killed early"] += 1
             rig.end()
@@ -141,8 +154,9 @@
             self.wrong += [f"{token} ran {n} times" for token, n in runs.items() if n > 1]
         for key, allowed in self.wanted.items():
             if there.get(key) not in allowed:
-                self.wrong.append(f"{key}: its node has {short(there.get(key))}, "
-                                  f"not one of {[*map(short, allowed)]}")
+                self.wrong.append(
+                    f"{key}: its node has {short(there.get(key))}, " f"not one of {[*map(short, allowed)]}"
+                )
 
 
 def short(body: bytes | None) -> str:
@@ -154,9 +168,17 @@
     """So many kills, then a settled end."""
     folder.mkdir(parents=True)
     nodes = [ObjectNode(), ObjectNode()]
-    rig = Rig(folder, nodes, buffer={
-        "buckets": [BUCKET], "max_bytes": 16 << 20, "segment_bytes": 1 << 20, "cache_bytes": 65536,
-        "max_records": 5000})
+    rig = Rig(
+        folder,
+        nodes,
+        buffer={
+            "buckets": [BUCKET],
+            "max_bytes": 16 << 20,
+            "segment_bytes": 1 << 20,
+            "cache_bytes": 65536,
+            "max_records": 5000,
+        },
+    )
     trial = Lane(rig, random.Random(seed))
     try:
         for _ in range(kills):
@@ -169,12 +191,14 @@
     return trial
 
 
-async def crash(folder: Path, kills: int, lanes: int, seed: int,
-                told: asyncio.Queue[int] | None = None) -> tuple[Counter[str], list[str]]:
+async def crash(
+    folder: Path, kills: int, lanes: int, seed: int, told: asyncio.Queue[int] | None = None
+) -> tuple[Counter[str], list[str]]:
     """Kill so many gateways, over several lanes at once; what was counted, and what was wrong."""
     each = [kills // lanes + (i < kills % lanes) for i in range(lanes)]
-    trials = await asyncio.gather(*(lane(folder / f"lane-{i}", seed * 1000 + i, n, told or asyncio.Queue())
-                                    for i, n in enumerate(each)))
+    trials = await asyncio.gather(
+        *(lane(folder / f"lane-{i}", seed * 1000 + i, n, told or asyncio.Queue()) for i, n in enumerate(each))
+    )
     counts: Counter[str] = Counter()
     for trial in trials:
         counts += trial.counts
--- a/mallowbeam/lab/days/draw.py
+++ b/mallowbeam/lab/days/draw.py
@@ -10,20 +10,25 @@
 from mallowbeam.lab.days.site import Site
 
 Value = int | float | str
-FIRST_S = 1.0               # the earliest moment of a trouble
-SPARE_S = 2.0               # before the day's end, without a new one
-MOST_MOMENTS = 6            # at which troubles begin together
+FIRST_S = 1.0  # the earliest moment of a trouble
+SPARE_S = 2.0  # before the day's end, without a new one
+MOST_MOMENTS = 6  # at which troubles begin together
 MOST_AT_ONCE = 4
-TOGETHER_WITHIN_S = 0.8     # troubles of one moment begin within this span
-MOST_CHANGES = 8            # of the configuration, besides the troubles
+TOGETHER_WITHIN_S = 0.8  # troubles of one moment begin within this span
+MOST_CHANGES = 8  # of the configuration, besides the troubles
 OPTIONAL_CHANCE = 0.5
 PLACE_CHANCE = 0.3
-CORE_CHANCE = 0.6           # a kind that may strike members does
+CORE_CHANCE = 0.6  # a kind that may strike members does
 CLOSING_CHANCE = 0.7
 DOWN = Span(0.5, 2.0)
 LARGEST_SEED = 2**28
-PLACES = {"zone": "zones", "to_zone": "zones", "region": "regions", "service": "services",
-          "class": "request_classes"}
+PLACES = {
+    "zone": "zones",
+    "to_zone": "zones",
+    "region": "regions",
+    "service": "services",
+    "class": "request_classes",
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,9 +66,12 @@
 
 def kinds_of(site: Site) -> tuple[Kind, ...]:
     """The kinds that occur on a deployment."""
-    return tuple(kind for kind in KINDS
-                 if (not kind.only_if or kind.only_if in site.contracts)
-                 and (not kind.only_named or kind.name in site.named_kinds))
+    return tuple(
+        kind
+        for kind in KINDS
+        if (not kind.only_if or kind.only_if in site.contracts)
+        and (not kind.only_named or kind.name in site.named_kinds)
+    )
 
 
 def draw_day(site: Site, seed: int) -> Day:
@@ -84,16 +92,21 @@
 def _changes(random: Random, site: Site) -> list[Entry]:
     """Ordinary changes over the day: much of what may break shows only in them."""
     change = next(kind for kind in KINDS if kind.name == "config_change")
-    return [_entry(random, site, change, random.uniform(FIRST_S, site.length_s - SPARE_S))
-            for _ in range(random.randint(0, MOST_CHANGES))]
+    return [
+        _entry(random, site, change, random.uniform(FIRST_S, site.length_s - SPARE_S))
+        for _ in range(random.randint(0, MOST_CHANGES))
+    ]
 
 
 def _entry(random: Random, site: Site, kind: Kind, at: float) -> Entry:
     fields: list[tuple[str, Value]] = [("at", round(at, 2)), ("kind", kind.name)]
     fields += _target(random, site, kind)
     fields += [(name, _number(random, span)) for name, span in kind.fields.items()]
-    fields += [(name, _number(random, span)) for name, span in kind.optional.items()
-               if random.random() < OPTIONAL_CHANCE]
+    fields += [
+        (name, _number(random, span))
+        for name, span in kind.optional.items()
+        if random.random() < OPTIONAL_CHANCE
+    ]
     if how := _how(random, kind.variants):
         fields.append(("how", how))
     return Entry(kind.planned, tuple(fields))
--- a/mallowbeam/lab/faults/broken.py
+++ b/mallowbeam/lab/faults/broken.py
@@ -40,4 +40,5 @@
     for how in sys.argv.pop(1).split("+"):
         HOW[how]()
     from mallowbeam.__main__ import main
+
     sys.exit(main())
--- a/mallowbeam/lab/faults/checks.py
+++ b/mallowbeam/lab/faults/checks.py
@@ -12,10 +12,10 @@
 
 from mallowbeam.lab.faults import seen as s
 
-HOLDS_S = 0.25              # seconds after which a drain that was told holds: the contract's
-SLACK_S = 0.05              # seconds beside it: a request's way over loopback and two processes' turns
-KILLED_S = 1.0              # seconds by which a kill may be recorded after what it broke off
-NOT_RUN = (429, 503)        # answers that promise that nothing ran
+HOLDS_S = 0.25  # seconds after which a drain that was told holds: the contract's
+SLACK_S = 0.05  # seconds beside it: a request's way over loopback and two processes' turns
+KILLED_S = 1.0  # seconds by which a kill may be recorded after what it broke off
+NOT_RUN = (429, 503)  # answers that promise that nothing ran
 OUT = ("draining", "empty", "out", "back", "lost")  # steps in which nothing new may arrive
 AWAY = ("draining", "empty", "out")  # steps that count as out at once
 END = math.inf
@@ -43,18 +43,26 @@
             wrong.append(f"{name} never ended")
             continue
         if len(ends) > 1:
-            wrong.append(f"{name} was answered {len(ends)} times: "
-                         + ", ".join(f"{end.status} at {end.at:.3f}" for end in ends))
+            wrong.append(
+                f"{name} was answered {len(ends)} times: "
+                + ", ".join(f"{end.status} at {end.at:.3f}" for end in ends)
+            )
         end = ends[0]
-        if end.status == 0 and end.sent and not any(
-                began <= end.at + KILLED_S and asked.at <= ended for began, ended in lost[asked.gateway]):
+        if (
+            end.status == 0
+            and end.sent
+            and not any(
+                began <= end.at + KILLED_S and asked.at <= ended for began, ended in lost[asked.gateway]
+            )
+        ):
             wrong.append(f"{name} ended at {end.at:.3f} without an answer, its gateway undisturbed")
         if not end.sent and ran[asked.id]:
             wrong.append(f"{name} never went out, and ran at {ran[asked.id][0].node}")
         if end.status in NOT_RUN and ran[asked.id]:
             run = ran[asked.id][0]
-            wrong.append(f"{name} was answered {end.status} at {end.at:.3f}, "
-                         f"and {run.node} ran it at {run.at:.3f}")
+            wrong.append(
+                f"{name} was answered {end.status} at {end.at:.3f}, " f"and {run.node} ran it at {run.at:.3f}"
+            )
         if 200 <= end.status < 300 and not any(run.at <= end.at for run in ran[asked.id]):
             wrong.append(f"{name} was answered {end.status} at {end.at:.3f}, and no node had run it")
     for id in sorted({*answers, *ran} - known):
@@ -111,8 +119,10 @@
         slack = SLACK_S + got.late
         for began, ended in spans.get((gateway, got.node), []):
             if began + HOLDS_S + slack < got.at < ended:
-                wrong.append(f"{got.at:.3f} {got.node}: request {got.id} of {gateway}, "
-                             f"{got.at - began:.3f} s after that was told of the drain")
+                wrong.append(
+                    f"{got.at:.3f} {got.node}: request {got.id} of {gateway}, "
+                    f"{got.at - began:.3f} s after that was told of the drain"
+                )
         for began, ended in work[got.node]:
             if began + slack < got.at < ended:
                 wrong.append(f"{got.at:.3f} {got.node}: request {got.id} of {gateway} while it is worked at")
@@ -159,12 +169,16 @@
     for place in places:
         if place.name in away and place.zone:
             zones[place.zone].add(place.name)
-    wrong += [f"{', '.join(sorted(names))} out in zone {zone}, {limits.at_once_zone} allowed"
-              for zone, names in sorted(zones.items()) if len(names) > limits.at_once_zone]
+    wrong += [
+        f"{', '.join(sorted(names))} out in zone {zone}, {limits.at_once_zone} allowed"
+        for zone, names in sorted(zones.items())
+        if len(names) > limits.at_once_zone
+    ]
     nodes = [place for place in places if not place.gateway]
     for what, floor, groups in (
-            ("zone", limits.zone_floor, _groups((p.zone, p) for p in nodes)),
-            ("shard", limits.shard_floor, _groups((str(p.shard), p) for p in nodes))):
+        ("zone", limits.zone_floor, _groups((p.zone, p) for p in nodes)),
+        ("shard", limits.shard_floor, _groups((str(p.shard), p) for p in nodes)),
+    ):
         for group, members in sorted(groups.items()):
             whole = sum(p.weight for p in members)
             left = sum(p.weight for p in members if p.name not in away)
@@ -188,8 +202,12 @@
     """(d) All orders shown, and the steps that gateways' logs tell, are beginnings of one another."""
     shown = list(record.of(s.Shown))
     longest = max((look.order for look in shown), key=len, default=())
-    wrong = [f"{look.at:.3f} {look.gateway} shows the order {', '.join(look.order)}; "
-             f"others {', '.join(longest)}" for look in shown if look.order != longest[:len(look.order)]]
+    wrong = [
+        f"{look.at:.3f} {look.gateway} shows the order {', '.join(look.order)}; "
+        f"others {', '.join(longest)}"
+        for look in shown
+        if look.order != longest[: len(look.order)]
+    ]
     newest: dict[str, s.Shown] = {}
     for look in shown:
         before = newest.get(look.gateway)
@@ -212,15 +230,20 @@
     if not whole:
         return []
     best = max(whole, key=lambda name: len(whole[name]))
-    wrong = [f"{name}'s log tells {_first(story, whole[best])}, {best}'s other steps there"
-             for name, story in sorted(whole.items()) if story != whole[best][:len(story)]]
+    wrong = [
+        f"{name}'s log tells {_first(story, whole[best])}, {best}'s other steps there"
+        for name, story in sorted(whole.items())
+        if story != whole[best][: len(story)]
+    ]
     for name in sorted(hurt & set(told)):
         for machine in sorted({machine for machine, _ in told[name]}):
             for began, own in _lives(record, name, machine):
                 rest = iter(step for of, step in whole[best] if of == machine)
                 if not all(step in rest for step in own):
-                    wrong.append(f"{began:.3f} {name}'s log tells {machine} {', '.join(own)}: "
-                                 f"not in {best}'s order")
+                    wrong.append(
+                        f"{began:.3f} {name}'s log tells {machine} {', '.join(own)}: "
+                        f"not in {best}'s order"
+                    )
     return wrong
 
 
@@ -243,8 +266,9 @@
     return f"{len(story)} steps"
 
 
-def within_units(record: s.Record, capacity: Mapping[str, float], limit: Mapping[str, float], window: float,
-                 slack: float) -> list[str]:
+def within_units(
+    record: s.Record, capacity: Mapping[str, float], limit: Mapping[str, float], window: float, slack: float
+) -> list[str]:
     """(e) Units that arrive at each node, and of each volume, in any window: rate x window and the slack.
 
     Windows begin with an arrival, as the fullest one does; all gateways' requests count together.
@@ -261,8 +285,10 @@
         if rate is not None:
             at, most = fullest(units, window)
             if most > rate * window + slack + 1e-9:
-                wrong.append(f"{at:.3f} {what} {name}: {most:g} units in {window:g} s, "
-                             f"{rate:g} a second and {slack:g} allowed")
+                wrong.append(
+                    f"{at:.3f} {what} {name}: {most:g} units in {window:g} s, "
+                    f"{rate:g} a second and {slack:g} allowed"
+                )
     return wrong
 
 
@@ -290,10 +316,14 @@
     # What is closed or granted at one moment counts before what is opened in it.
     events: list[s.Linked | s.Budget] = sorted(
         [*record.of(s.Linked), *record.of(s.Budget)],
-        key=lambda e: (e.at, 1 if isinstance(e, s.Budget) else 2 * e.opened))
+        key=lambda e: (e.at, 1 if isinstance(e, s.Budget) else 2 * e.opened),
+    )
     for event in events:
-        keys = {(event.node, ""), (event.node, event.tenant)} if isinstance(event, s.Linked) else {
-            (event.node, event.tenant)}
+        keys = (
+            {(event.node, ""), (event.node, event.tenant)}
+            if isinstance(event, s.Linked)
+            else {(event.node, event.tenant)}
+        )
         for key in sorted(keys):
             if isinstance(event, s.Linked):
                 counts[key] += 1 if event.opened else -1
@@ -301,10 +331,16 @@
                 budgets[key] = event.count
             if counts[key] < 0:
                 wrong.append(f"{event.at:.3f} {key[0]}: closed what was not open {key[1]}".rstrip())
-            if (most := budgets.get(key)) is not None and counts[key] > most and (
-                    isinstance(event, s.Budget) or event.opened):
-                wrong.append(f"{event.at:.3f} {key[0]}: {counts[key]} connections open"
-                             + (f" of {key[1]}" if key[1] else "") + f", budget {most}")
+            if (
+                (most := budgets.get(key)) is not None
+                and counts[key] > most
+                and (isinstance(event, s.Budget) or event.opened)
+            ):
+                wrong.append(
+                    f"{event.at:.3f} {key[0]}: {counts[key]} connections open"
+                    + (f" of {key[1]}" if key[1] else "")
+                    + f", budget {most}"
+                )
     return wrong
 
 
@@ -315,8 +351,10 @@
     for cold in record.of(s.Cold):
         count = sum(got.node == cold.node and cold.at <= got.at < cold.until for got in arrived)
         if count > most:
-            wrong.append(f"{cold.at:.3f} {cold.node}: {count} requests by {cold.until:.3f} while cold, "
-                         f"{most:.1f} allowed")
+            wrong.append(
+                f"{cold.at:.3f} {cold.node}: {count} requests by {cold.until:.3f} while cold, "
+                f"{most:.1f} allowed"
+            )
     return wrong
 
 
@@ -332,8 +370,14 @@
     return wrong
 
 
-def maintenance(record: s.Record, places: Sequence[s.Place], limits: s.Limits,
-                machines: Iterable[str]) -> list[str]:
+def maintenance(
+    record: s.Record, places: Sequence[s.Place], limits: s.Limits, machines: Iterable[str]
+) -> list[str]:
     """All that a trial of maintenance promises."""
-    return [*seen_enough(record, machines), *one_answer(record), *nothing_new(record),
-            *few_out(record, places, limits), *one_order(record)]
+    return [
+        *seen_enough(record, machines),
+        *one_answer(record),
+        *nothing_new(record),
+        *few_out(record, places, limits),
+        *one_order(record),
+    ]
--- a/mallowbeam/lab/faults/fleet.py
+++ b/mallowbeam/lab/faults/fleet.py
@@ -22,8 +22,8 @@
 from mallowbeam.standins.discovery import Discovery, member
 from mallowbeam.standins.node import ObjectNode
 
-BEAT, LEASE = 0.1, 1.5      # seconds, of the gateways here
-ASK_S = 1.0                 # seconds after which a gateway that says nothing is not waited for
+BEAT, LEASE = 0.1, 1.5  # seconds, of the gateways here
+ASK_S = 1.0  # seconds after which a gateway that says nothing is not waited for
 PUSH_S = 5.0
 
 
@@ -45,10 +45,11 @@
         self.links: dict[tuple[str, str], Link] = {}  # by who dials and who is dialled
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.stopped: set[str] = set()
-        self.broken: dict[str, str] = {}       # by gateway: how it is broken on purpose (`broken.py`)
+        self.broken: dict[str, str] = {}  # by gateway: how it is broken on purpose (`broken.py`)
         # A connection for each call: one kept over a SIGKILL would be a fault of the trial's own.
-        self.client = httpx.AsyncClient(trust_env=False, verify=False, timeout=None,
-                                        limits=httpx.Limits(max_keepalive_connections=0))
+        self.client = httpx.AsyncClient(
+            trust_env=False, verify=False, timeout=None, limits=httpx.Limits(max_keepalive_connections=0)
+        )
 
     async def __aenter__(self) -> Self:
         """All up."""
@@ -86,12 +87,20 @@
     def _write(self, name: str) -> None:
         """A gateway's two files."""
         clients, page, _ = self.ports[name]
-        fronts = {"policy": {
-            "folder": str(self.folder / name / "log"), "name": name, "listen": f"127.0.0.1:{page}",
-            "members": {other: f"127.0.0.1:{ports[2]}" for other, ports in self.ports.items()},
-            "dial": {far: f"127.0.0.1:{link.port}"
-                     for (near, far), link in self.links.items() if near == name},
-            "beat_s": BEAT, "lease_s": LEASE, "when_stale": self.when_stale}} | self.sections()
+        fronts = {
+            "policy": {
+                "folder": str(self.folder / name / "log"),
+                "name": name,
+                "listen": f"127.0.0.1:{page}",
+                "members": {other: f"127.0.0.1:{ports[2]}" for other, ports in self.ports.items()},
+                "dial": {
+                    far: f"127.0.0.1:{link.port}" for (near, far), link in self.links.items() if near == name
+                },
+                "beat_s": BEAT,
+                "lease_s": LEASE,
+                "when_stale": self.when_stale,
+            }
+        } | self.sections()
         write_files(self.folder / name, name, clients, self.discovery, fronts)
 
     def sections(self) -> dict[str, Any]:
@@ -108,8 +117,15 @@
         place = self.folder / name
         with open(place / "log.txt", "ab") as log:
             how = [self.broken[name]] if name in self.broken else []
-            self.processes[name] = launch(place, log, *how, "serve", "--log-format", "json",
-                                          module="mallowbeam.lab.faults.broken" if how else "mallowbeam")
+            self.processes[name] = launch(
+                place,
+                log,
+                *how,
+                "serve",
+                "--log-format",
+                "json",
+                module="mallowbeam.lab.faults.broken" if how else "mallowbeam",
+            )
         self._fault("start", name)
 
     def kill(self, name: str) -> None:
@@ -176,8 +192,16 @@
                 told: dict[str, Any] = (await self.client.get(self.page(name))).json()
         except (httpx.HTTPError, TimeoutError, ValueError):
             return None
-        seen = Seen(self.now(), asked, name, told["phase"], told["serves"], told["version"],
-                    json.dumps(told["policy"], separators=(",", ":"), sort_keys=True), told["leader"])
+        seen = Seen(
+            self.now(),
+            asked,
+            name,
+            told["phase"],
+            told["serves"],
+            told["version"],
+            json.dumps(told["policy"], separators=(",", ":"), sort_keys=True),
+            told["leader"],
+        )
         self.history.add(seen)
         self.diagnosis.add(self.now(), name, told.get("engine") or {})
         return seen
@@ -193,8 +217,9 @@
         version, why = 0, "unknown"
         with suppress(httpx.HTTPError, TimeoutError, ValueError):
             async with asyncio.timeout(PUSH_S):
-                answer = await self.client.put(self.page(via), content=body.encode(),
-                                               headers={"If-Match": f'"{base}"'})
+                answer = await self.client.put(
+                    self.page(via), content=body.encode(), headers={"If-Match": f'"{base}"'}
+                )
                 told = answer.json()
                 version = told.get("version", 0)
                 why = "unknown" if answer.status_code == 504 else told.get("what", "")
@@ -207,8 +232,11 @@
         end = self.now() + seconds
         while self.now() < end:
             seen = await self.look(via)
-            if seen is not None and seen.serves and (
-                    pushed := await self.push(via, seen.version, drains)).version:
+            if (
+                seen is not None
+                and seen.serves
+                and (pushed := await self.push(via, seen.version, drains)).version
+            ):
                 return pushed.version
             await asyncio.sleep(0.05)
         raise TimeoutError(f"no change at {via} in {seconds} s: {self.state({})}")
@@ -240,6 +268,8 @@
     async def settled(self, version: int = 0, names: Iterable[str] | None = None) -> dict[str, Seen]:
         """Wait until these gateways (all) serve one version, at least this one."""
         wanted = set(names or self.names)
-        return await self.until(lambda seen: wanted <= set(seen) and all(
-            seen[name].serves and seen[name].version >= version for name in wanted)
-            and len({seen[name].version for name in wanted}) == 1)
+        return await self.until(
+            lambda seen: wanted <= set(seen)
+            and all(seen[name].serves and seen[name].version >= version for name in wanted)
+            and len({seen[name].version for name in wanted}) == 1
+        )
--- a/mallowbeam/lab/faults/history.py
+++ b/mallowbeam/lab/faults/history.py
@@ -34,7 +34,7 @@
     serves: bool
     version: int
     body: str
-    leader: str | None = None                  # as it knows
+    leader: str | None = None  # as it knows
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,8 +110,10 @@
     for seen in history.seen():
         told = [p.version for p in history.pushed() if p.version and p.at + lease < seen.asked]
         if seen.serves and told and seen.version < max(told):
-            wrong.append(f"{seen.gateway} serves version {seen.version} at {seen.asked:.2f} s, "
-                         f"with {max(told)} told over {lease} s before")
+            wrong.append(
+                f"{seen.gateway} serves version {seen.version} at {seen.asked:.2f} s, "
+                f"with {max(told)} told over {lease} s before"
+            )
     return wrong
 
 
@@ -119,8 +121,9 @@
     """At the end all gateways serve one version, the newest that any pusher was told of or a later one."""
     last = {seen.gateway: seen for seen in history.seen()}
     wrong = [f"{name} was never seen" for name in sorted(gateways - set(last))]
-    wrong += [f"{name} does not serve at the end ({seen.phase})"
-              for name, seen in last.items() if not seen.serves]
+    wrong += [
+        f"{name} does not serve at the end ({seen.phase})" for name, seen in last.items() if not seen.serves
+    ]
     versions = {seen.version for seen in last.values()}
     if len(versions) > 1:
         wrong.append(f"at the end there are versions {sorted(versions)}")
@@ -132,5 +135,9 @@
 
 def check(history: History, gateways: set[str], lease: float) -> list[str]:
     """All that is wrong with a history, empty where nothing is."""
-    return [*one_log(history), *never_back(history), *within_lease(history, lease),
-            *agreed(history, gateways)]
+    return [
+        *one_log(history),
+        *never_back(history),
+        *within_lease(history, lease),
+        *agreed(history, gateways),
+    ]
--- a/mallowbeam/lab/faults/links.py
+++ b/mallowbeam/lab/faults/links.py
@@ -17,7 +17,7 @@
 
     def __init__(self, target: int) -> None:
         self.target, self.port = target, 0
-        self.cut, self.delay = False, 0.0      # seconds by which each piece is late
+        self.cut, self.delay = False, 0.0  # seconds by which each piece is late
         self.server: asyncio.Server | None = None
         self.flows: set[asyncio.Task[None]] = set()
         self.whole = asyncio.Event()
@@ -72,7 +72,7 @@
                 await self.whole.wait()
                 writer.write(data)
                 await writer.drain()
-        if self.delay:                         # an end is told as late as all else, and not through a cut
+        if self.delay:  # an end is told as late as all else, and not through a cut
             await asyncio.sleep(self.delay)
         await self.whole.wait()
 
--- a/mallowbeam/lab/faults/load.py
+++ b/mallowbeam/lab/faults/load.py
@@ -19,10 +19,10 @@
 from mallowbeam.standins.faults import Rule, Script
 from mallowbeam.standins.node import Answer, Connection, ObjectNode
 
-WAIT_S = 4.0                # seconds that a client waits for an answer; deadlines are shorter
-LINGER_S = 0.05             # seconds that it listens for a second answer
-TICK_S = 0.01               # seconds between two looks at how late the recorder itself is
-MOST_OUT = 400              # requests of the clients that are out; beyond these none is asked
+WAIT_S = 4.0  # seconds that a client waits for an answer; deadlines are shorter
+LINGER_S = 0.05  # seconds that it listens for a second answer
+TICK_S = 0.01  # seconds between two looks at how late the recorder itself is
+MOST_OUT = 400  # requests of the clients that are out; beyond these none is asked
 
 
 class Late:
@@ -117,8 +117,17 @@
 class Clients:
     """The clients of one gateway."""
 
-    def __init__(self, record: s.Record, gateway: str, port: int, began: float, seed: int, rate: float,
-                 shards: int, volumes: int = 4) -> None:
+    def __init__(
+        self,
+        record: s.Record,
+        gateway: str,
+        port: int,
+        began: float,
+        seed: int,
+        rate: float,
+        shards: int,
+        volumes: int = 4,
+    ) -> None:
         self.record, self.gateway, self.port, self.began = record, gateway, port, began
         self.rng, self.rate, self.shards, self.volumes = random.Random(seed), rate, shards, volumes
         self.number = int(gateway[1:]) << 32
@@ -136,8 +145,11 @@
                 await asyncio.sleep(max(0.0, due - time.monotonic()))
                 if len(self.out) < MOST_OUT:
                     self.number += 1
-                    task = asyncio.create_task(self._ask(self.number, self.rng.randrange(self.volumes) + 1,
-                                                         self.rng.randrange(self.shards)))
+                    task = asyncio.create_task(
+                        self._ask(
+                            self.number, self.rng.randrange(self.volumes) + 1, self.rng.randrange(self.shards)
+                        )
+                    )
                     self.out.add(task)
                     task.add_done_callback(self.out.discard)
         finally:
@@ -145,10 +157,12 @@
 
     async def _ask(self, number: int, volume: int, shard: int) -> None:
         name, place = f"{number:016x}", f"{volume:016x}"
-        head = (f"PUT /new-write/{place}/{name} HTTP/1.1\r\nHost: x\r\nX-Request-Id: {name}\r\n"
-                f"X-Class: new-write\r\nX-Storage-Class: silver\r\nX-Deadline-Ms: 1500\r\n"
-                f"X-Extent: units=1,shard={shard},hosts=1\r\nIdempotency-Key: {name}\r\n"
-                "Content-Length: 1\r\n\r\nx").encode()
+        head = (
+            f"PUT /new-write/{place}/{name} HTTP/1.1\r\nHost: x\r\nX-Request-Id: {name}\r\n"
+            f"X-Class: new-write\r\nX-Storage-Class: silver\r\nX-Deadline-Ms: 1500\r\n"
+            f"X-Extent: units=1,shard={shard},hosts=1\r\nIdempotency-Key: {name}\r\n"
+            "Content-Length: 1\r\n\r\nx"
+        ).encode()
         self.record.add(s.Asked(self._now(), self.gateway, name, place, shard=shard))
         writer: asyncio.StreamWriter | None = None
         statuses: list[int] = []
--- a/mallowbeam/lab/faults/maintenance.py
+++ b/mallowbeam/lab/faults/maintenance.py
@@ -21,11 +21,11 @@
 from mallowbeam.standins.discovery import member
 from mallowbeam.standins.node import Answer, ObjectNode
 
-ZONES, NODES = "ab", 6      # of the trial: each cell has a node in either zone
-DELAY_S = 0.03              # for which a node is at work on a request
-LOAD_S = 0.03               # between a client's requests, one client at each gateway
-WORK_S = 0.6                # that the operators take at a machine
-MOST_S = 60.0               # of one trial
+ZONES, NODES = "ab", 6  # of the trial: each cell has a node in either zone
+DELAY_S = 0.03  # for which a node is at work on a request
+LOAD_S = 0.03  # between a client's requests, one client at each gateway
+WORK_S = 0.6  # that the operators take at a machine
+MOST_S = 60.0  # of one trial
 
 
 @dataclass
@@ -82,8 +82,16 @@
 
     def listed(self) -> list[dict[str, object]]:
         """The list as discovery has it."""
-        return [member(f"n{i}", node.host_port, i // len(ZONES), self.phases[f"n{i}"],
-                       f"hall-{ZONES[i % len(ZONES)]}") for i, node in enumerate(self.nodes)]
+        return [
+            member(
+                f"n{i}",
+                node.host_port,
+                i // len(ZONES),
+                self.phases[f"n{i}"],
+                f"hall-{ZONES[i % len(ZONES)]}",
+            )
+            for i, node in enumerate(self.nodes)
+        ]
 
     def sections(self) -> dict[str, Any]:
         """What each gateway has on."""
@@ -107,8 +115,9 @@
             name = self.rng.choice(self.up)
             if (told := await self.ask(name, "/policy")) is not None:
                 try:
-                    answer = await self.client.put(self.page(name), json=body, timeout=5.0,
-                                                   headers={"If-Match": f'"{told["version"]}"'})
+                    answer = await self.client.put(
+                        self.page(name), json=body, timeout=5.0, headers={"If-Match": f'"{told["version"]}"'}
+                    )
                 except httpx.HTTPError:
                     continue
                 if answer.status_code == 200:
@@ -132,9 +141,16 @@
             if told["index"] > index:
                 newest, index = part, told["index"]
         machines: dict[str, Any] = newest.get("machines", {})
-        self.record.away.append((time.monotonic(), [
-            name for name, item in machines.items()
-            if item["step"] in ("draining", "empty", "out", "back", "warming")]))
+        self.record.away.append(
+            (
+                time.monotonic(),
+                [
+                    name
+                    for name, item in machines.items()
+                    if item["step"] in ("draining", "empty", "out", "back", "warming")
+                ],
+            )
+        )
         for name, item in machines.items():
             steps = self.record.steps.setdefault(name, [])
             if steps[-1:] != [item["step"]]:
@@ -157,7 +173,7 @@
             self.laid("done", machine)
             try:
                 node.listen()
-            except OSError:                    # its port is somebody's by now: it comes back elsewhere
+            except OSError:  # its port is somebody's by now: it comes back elsewhere
                 node.address = ("127.0.0.1", 0)
                 node.listen()
             self.record.worked.append((began, time.monotonic(), machine))
@@ -186,13 +202,20 @@
         async with httpx.AsyncClient(trust_env=False, timeout=4.0) as client:
             while True:
                 number += 1
-                headers = {"X-Request-Id": f"{number:016x}", "X-Class": "new-write",
-                           "X-Storage-Class": "silver", "X-Deadline-Ms": "1500",
-                           "X-Extent": f"units=1,shard={number % (NODES // len(ZONES))},hosts=1",
-                           "Idempotency-Key": f"{number:016x}"}
+                headers = {
+                    "X-Request-Id": f"{number:016x}",
+                    "X-Class": "new-write",
+                    "X-Storage-Class": "silver",
+                    "X-Deadline-Ms": "1500",
+                    "X-Extent": f"units=1,shard={number % (NODES // len(ZONES))},hosts=1",
+                    "Idempotency-Key": f"{number:016x}",
+                }
                 try:
-                    answer = await client.put(f"http://127.0.0.1:{self.ports[name][0]}/new-write/{1:016x}/"
-                                              f"{number:016x}", content=b"x", headers=headers)
+                    answer = await client.put(
+                        f"http://127.0.0.1:{self.ports[name][0]}/new-write/{1:016x}/" f"{number:016x}",
+                        content=b"x",
+                        headers=headers,
+                    )
                     answers = self.record.answers.setdefault(name, {})
                     answers[answer.status_code] = answers.get(answer.status_code, 0) + 1
                 except httpx.HTTPError:
@@ -225,16 +248,21 @@
                 self.start(name)
 
 
-async def play(seed: int, folder: Path, machines: tuple[str, ...] = ("n0", "n3", "g4"),
-               fault: str = "") -> Record:
+async def play(
+    seed: int, folder: Path, machines: tuple[str, ...] = ("n0", "n3", "g4"), fault: str = ""
+) -> Record:
     """One trial; its record, `ended` where every machine is done."""
     async with Trial(folder, seed) as trial:
         fault = fault or trial.rng.choice(("stop", "leader", "cut"))
         await trial.settled()
         loads = [asyncio.create_task(trial.load(name)) for name in trial.names]
         await asyncio.sleep(1.0)
-        await trial.request({"drains": [], "maintenance": {"requests": [
-            {"id": "work", "machines": list(machines), "time_s": MOST_S}]}})
+        await trial.request(
+            {
+                "drains": [],
+                "maintenance": {"requests": [{"id": "work", "machines": list(machines), "time_s": MOST_S}]},
+            }
+        )
         disturbed: asyncio.Task[None] | None = None
         end = trial.now() + MOST_S
         while trial.now() < end:
@@ -268,13 +296,16 @@
     longest = max((order for orders in record.orders.values() for order in orders), key=len, default=[])
     for name, orders in record.orders.items():
         for order in orders:
-            if order != longest[:len(order)]:
+            if order != longest[: len(order)]:
                 wrong.append(f"{name} shows the order {order}, others {longest}")
     spans = [(began, ended) for began, ended, _ in record.worked]
-    if any(a[0] < b[1] and b[0] < a[1] for i, a in enumerate(spans) for b in spans[i + 1:]) and at_once < 2:
+    if any(a[0] < b[1] and b[0] < a[1] for i, a in enumerate(spans) for b in spans[i + 1 :]) and at_once < 2:
         wrong.append(f"two machines were worked at together: {record.worked}")
-    wrong += [f"{name} left {count} requests without an answer" for name, count in record.lost.items()
-              if name not in record.disturbed]
+    wrong += [
+        f"{name} left {count} requests without an answer"
+        for name, count in record.lost.items()
+        if name not in record.disturbed
+    ]
     return wrong
 
 
--- a/mallowbeam/lab/faults/model.py
+++ b/mallowbeam/lab/faults/model.py
@@ -26,7 +26,7 @@
 from mallowbeam.fleet.handed import MOST_OPEN, Handed, N, next_epoch, release
 from mallowbeam.fleet.handover import Handover, Release
 
-SLACK = 1e-9                # of a capacity: a sum of floats
+SLACK = 1e-9  # of a capacity: a sum of floats
 GATEWAYS = ("a", "b", "c")
 Rows = Mapping[str, Mapping[str, N]]
 
@@ -41,8 +41,8 @@
     drift: float = 0.5
     linger: float = 0.0
     rates: tuple[float, ...] = (1.0, 1.5, 1.0)
-    lives: int = 2                             # restarts of each at most
-    counted: bool = False                      # whole connections that stay out until they are closed
+    lives: int = 2  # restarts of each at most
+    counted: bool = False  # whole connections that stay out until they are closed
     kind: type[Handover[Any]] = Handover
     names: tuple[str, ...] = GATEWAYS
 
@@ -74,7 +74,7 @@
 
     mark: Mark | None
     state: Handed[N]
-    key: int                                   # of all lines up to this one
+    key: int  # of all lines up to this one
 
 
 @dataclass
@@ -104,9 +104,20 @@
         """Changed no more: its key says all that decides what it will do."""
         v = self.view
         opened = tuple((name, rows[0][0]) for name, rows in sorted(v.open.items()))
-        self.key = (self.life, self.at, v.epoch, v.gone, v.known_at, v.begun, opened, tuple(v.owed),
-                    v.put[0], tuple(sorted(v.rel.items())), tuple(sorted(v.heard.items())),
-                    tuple(sorted(self.out.items())))
+        self.key = (
+            self.life,
+            self.at,
+            v.epoch,
+            v.gone,
+            v.known_at,
+            v.begun,
+            opened,
+            tuple(v.owed),
+            v.put[0],
+            tuple(sorted(v.rel.items())),
+            tuple(sorted(v.heard.items())),
+            tuple(sorted(self.out.items())),
+        )
         return self
 
 
@@ -117,10 +128,10 @@
     script: Script[N]
     time: int
     log: tuple[Line[N], ...]
-    commits: tuple[int, ...]                   # when each epoch of the script was committed
+    commits: tuple[int, ...]  # when each epoch of the script was committed
     way: frozenset[Mark | Word]
     seats: tuple[Seat[N], ...]
-    ghosts: tuple[tuple[float, tuple[tuple[str, N], ...]], ...] = ()   # a dead life's connections, until when
+    ghosts: tuple[tuple[float, tuple[tuple[str, N], ...]], ...] = ()  # a dead life's connections, until when
 
     @classmethod
     def begin(cls, script: Script[N]) -> World[N]:
@@ -129,8 +140,9 @@
         state = next_epoch(Handed[N](holders=script.names), rows, script.least, capacity.__getitem__)
         seats = []
         for name in script.names:
-            view = script.kind.resume(state, 0.0, name, script.least, script.lease, -1e9, script.drift,
-                                      script.linger, 1e9)
+            view = script.kind.resume(
+                state, 0.0, name, script.least, script.lease, -1e9, script.drift, script.linger, 1e9
+            )
             view.proven(0.0)
             seats.append(Seat(0, 1, view))
         world = cls(script, 0, (Line(None, state, 0),), (0,), frozenset(), tuple(seats))
@@ -142,8 +154,14 @@
     @property
     def key(self) -> tuple[object, ...]:
         """Equal for worlds that can't be told apart from here on."""
-        return (self.time, self.log[-1].key, self.commits, self.way,
-                tuple(seat.key for seat in self.seats), self.ghosts)
+        return (
+            self.time,
+            self.log[-1].key,
+            self.commits,
+            self.way,
+            tuple(seat.key for seat in self.seats),
+            self.ghosts,
+        )
 
     def now(self, number: int) -> float:
         """What this gateway's steady clock says."""
@@ -201,7 +219,7 @@
             said = self._take(number, seat)
         elif what == "jump":
             said = seat.view.follow(self.log[-1].state, now)
-            for line in self.log[seat.at:]:
+            for line in self.log[seat.at :]:
                 self._prove(number, seat, line.mark)
             seat.at = len(self.log)
         elif what == "tick":
@@ -249,7 +267,7 @@
         self._prove(number, seat, line.mark)
         said = [] if line.mark else seat.view.follow(line.state, self.now(number))
         while seat.at < len(self.log) and (mark := self.log[seat.at].mark) is not None and mark.by != number:
-            seat.at += 1                       # of no concern here: taken in along with it
+            seat.at += 1  # of no concern here: taken in along with it
         return said
 
     def _prove(self, number: int, seat: Seat[N], mark: Mark | None) -> None:
@@ -261,8 +279,17 @@
         ghosts = self.ghosts
         if script.linger and seat.out:
             ghosts += ((self.time + script.linger, tuple(sorted(seat.out.items()))),)
-        view = script.kind.resume(self.log[seat.at - 1].state, now, script.names[number], script.least,
-                                  script.lease, now, script.drift, script.linger, 1e9)
+        view = script.kind.resume(
+            self.log[seat.at - 1].state,
+            now,
+            script.names[number],
+            script.least,
+            script.lease,
+            now,
+            script.drift,
+            script.linger,
+            1e9,
+        )
         return replace(self, ghosts=ghosts), Seat(seat.life + 1, seat.at, view)
 
     # --- what is in use ---------------------------------------------------------------------------
@@ -292,7 +319,7 @@
             if self.time > at + script.lease / min(script.rates) + script.linger:
                 first = epoch
         for resource in script.epochs[0][1]:
-            most = max(capacity[resource] for _, capacity in script.epochs[first:len(self.commits)])
+            most = max(capacity[resource] for _, capacity in script.epochs[first : len(self.commits)])
             total = sum(self.used(number, resource) for number in range(len(self.seats)))
             total += sum(amount for _, held in self.ghosts for name, amount in held if name == resource)
             if total > most * (1 + SLACK):
@@ -323,7 +350,7 @@
     `after`: what has happened before that.  Stops at `most` worlds and says how many they were.
     """
     begin = follow(script, after)
-    seen = {hash(begin.key)}                   # 64 bits of each: two alike are not to be feared
+    seen = {hash(begin.key)}  # 64 bits of each: two alike are not to be feared
     layer: list[tuple[World[N], tuple[Any, ...]]] = [(begin, ())]
     for last in range(depth - 1, -1, -1):
         below: list[tuple[World[N], tuple[Any, ...]]] = []
@@ -373,9 +400,11 @@
 
 TEN = {"t1": 10, "t2": 10}
 SHIFTS: Sequence[tuple[Rows[int], Mapping[str, int]]] = (
-    ({"t1": {"a": 8}, "t2": {"b": 8}}, TEN), ({"t1": {"b": 8}, "t2": {"c": 8}}, TEN),
+    ({"t1": {"a": 8}, "t2": {"b": 8}}, TEN),
+    ({"t1": {"b": 8}, "t2": {"c": 8}}, TEN),
     ({"t1": {"c": 5}, "t2": {"a": 8}}, {"t1": 7, "t2": 10}),
-    ({"t1": {"a": 5}, "t2": {"b": 8}}, {"t1": 7, "t2": 10}))
-SHARES = Script(SHIFTS, 1)                     # two tenants' units move on in each epoch
+    ({"t1": {"a": 5}, "t2": {"b": 8}}, {"t1": 7, "t2": 10}),
+)
+SHARES = Script(SHIFTS, 1)  # two tenants' units move on in each epoch
 COUNTED = Script(SHIFTS, 1, counted=True)
 LINGERS = Script(SHIFTS, 1, counted=True, linger=1.0)
--- a/mallowbeam/lab/faults/orderly.py
+++ b/mallowbeam/lab/faults/orderly.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-TOLD_S = 0.25               # seconds after which a drain that was told holds
-SURE_S = 8.0                # seconds after which all know of a machine that is down: an election, a lease
-CAUGHT_UP_S = 2.0           # seconds before the end by which all have read all
+TOLD_S = 0.25  # seconds after which a drain that was told holds
+SURE_S = 8.0  # seconds after which all know of a machine that is down: an election, a lease
+CAUGHT_UP_S = 2.0  # seconds before the end by which all have read all
 AWAY = ("agreed", "draining", "empty", "out", "back", "warming")
 
 
@@ -106,8 +106,11 @@
 
     def binding(self, requests: list[Mapping[str, Any]]) -> list[Mapping[str, Any]]:
         """The requests in force that have a machine away."""
-        return [request for request in requests if (self.ids is None or request["id"] in self.ids)
-                and self.away() & set(request["machines"])]
+        return [
+            request
+            for request in requests
+            if (self.ids is None or request["id"] in self.ids) and self.away() & set(request["machines"])
+        ]
 
     def take(self, event: Event) -> None:
         if isinstance(event, Moved):
@@ -127,8 +130,9 @@
         return {name for name, at in self.down.items() if now > at + SURE_S}
 
 
-def too_many(history: History, places: Mapping[str, Place],
-             requests: Iterable[Mapping[str, Any]]) -> list[str]:
+def too_many(
+    history: History, places: Mapping[str, Place], requests: Iterable[Mapping[str, Any]]
+) -> list[str]:
     """Never more away than each request that has a machine away allows, in all and in one zone."""
     wrong, times, asked = [], _Times(), list(requests)
     for event in history:
@@ -141,12 +145,16 @@
         there -= {name for name, step in times.step.items() if step == "lost"}
         for request in times.binding(asked):
             if len(there) > request.get("at_once", 1):
-                wrong.append(f"{event.at:.2f}: {sorted(there)} away, {request['id']} allows "
-                             f"{request.get('at_once', 1)}")
+                wrong.append(
+                    f"{event.at:.2f}: {sorted(there)} away, {request['id']} allows "
+                    f"{request.get('at_once', 1)}"
+                )
             zone = [name for name in there if places[name].zone == places[event.machine].zone]
             if len(zone) > request.get("at_once_zone", 1):
-                wrong.append(f"{event.at:.2f}: {sorted(zone)} away in a zone, {request['id']} allows "
-                             f"{request.get('at_once_zone', 1)}")
+                wrong.append(
+                    f"{event.at:.2f}: {sorted(zone)} away in a zone, {request['id']} allows "
+                    f"{request.get('at_once_zone', 1)}"
+                )
     return wrong
 
 
@@ -154,13 +162,17 @@
     """Each storage node as it begins to drain or goes out, with the times as of then."""
     for event in history:
         times.take(event)
-        if isinstance(event, Moved) and event.step in ("draining", "out") and (
-                not places[event.machine].gateway):
+        if (
+            isinstance(event, Moved)
+            and event.step in ("draining", "out")
+            and (not places[event.machine].gateway)
+        ):
             yield event
 
 
-def below_floor(history: History, places: Mapping[str, Place],
-                requests: Iterable[Mapping[str, Any]]) -> list[str]:
+def below_floor(
+    history: History, places: Mapping[str, Place], requests: Iterable[Mapping[str, Any]]
+) -> list[str]:
     """No machine is let go where its zone or shard keeps too little, those dead by themselves counted."""
     wrong, times, asked = [], _Times(), list(requests)
     for event in _let_go(history, places, times):
@@ -168,10 +180,15 @@
         lost = {name for name, step in times.step.items() if step == "lost"}
         gone = away | lost | (times.surely_down(event.at) if event.step == "out" else set())
         for request in times.binding(asked):
-            for what, floor in (("zone", request.get("zone_floor", 0.5)),
-                                ("shard", request.get("shard_floor", 0.0))):
-                group = [name for name, place in places.items() if not place.gateway
-                         and getattr(place, what) == getattr(places[event.machine], what)]
+            for what, floor in (
+                ("zone", request.get("zone_floor", 0.5)),
+                ("shard", request.get("shard_floor", 0.0)),
+            ):
+                group = [
+                    name
+                    for name, place in places.items()
+                    if not place.gateway and getattr(place, what) == getattr(places[event.machine], what)
+                ]
                 left = sum(places[name].weight for name in group if name not in gone)
                 share = left / sum(places[name].weight for name in group)
                 if share < floor - 1e-9:
@@ -193,13 +210,14 @@
         by, other = first.setdefault(index, (gateway, frozenset(steps)))
         if other != steps:
             wrong.append(f"place {index}: {by} reads {sorted(other)}, {gateway} {sorted(steps)}")
-    committed: dict[int, float] = {}           # each place where anybody reads a step, and when first
+    committed: dict[int, float] = {}  # each place where anybody reads a step, and when first
     for _, index, at in read:
         committed[index] = min(at, committed.get(index, at))
     ends = [e.at for e in history if isinstance(e, Ended)]
     for name in {gateway for gateway, *_ in read}:
         missed = {index for index, at in committed.items() if ends and at < ends[-1] - CAUGHT_UP_S} - {
-            index for gateway, index, _ in read if gateway == name}
+            index for gateway, index, _ in read if gateway == name
+        }
         wrong += [f"place {index}: {name} never read it" for index in sorted(missed)]
     return wrong
 
@@ -219,8 +237,11 @@
             case Moved(at, _, machine, step):
                 if step == "out":
                     out.add(machine)
-                    wrong += [f"{at:.2f}: {machine} is let go with {one.gateway}'s work until {one.end:.2f}"
-                              for one in busy.get(machine, ()) if one.end > at]
+                    wrong += [
+                        f"{at:.2f}: {machine} is let go with {one.gateway}'s work until {one.end:.2f}"
+                        for one in busy.get(machine, ())
+                        if one.end > at
+                    ]
                 elif step != "lost":
                     out.discard(machine)
             case Arrival(at, gateway, node, _):
@@ -248,19 +269,27 @@
 
 def unended(history: History) -> list[str]:
     """All comes to rest once all is healed."""
-    return [f"{event.at:.2f}: machines are still on their way" for event in history
-            if isinstance(event, Ended) and not event.rest]
+    return [
+        f"{event.at:.2f}: machines are still on their way"
+        for event in history
+        if isinstance(event, Ended) and not event.rest
+    ]
 
 
-def together(history: History, places: Mapping[str, Place],
-             requests: Iterable[Mapping[str, Any]]) -> list[str]:
+def together(
+    history: History, places: Mapping[str, Place], requests: Iterable[Mapping[str, Any]]
+) -> list[str]:
     """Nodes that share repeats are not let go together."""
     wrong, times, asked = [], _Times(), list(requests)
     for event in _let_go(history, places, times):
         away = times.away()
         for what in {request["repeats"] for request in times.binding(asked) if request.get("repeats")}:
-            near = {name for name in away if not places[name].gateway and (
-                what == "all" or getattr(places[name], what) == getattr(places[event.machine], what))}
+            near = {
+                name
+                for name in away
+                if not places[name].gateway
+                and (what == "all" or getattr(places[name], what) == getattr(places[event.machine], what))
+            }
             if len(near) > 1:
                 wrong.append(f"{event.at:.2f}: {sorted(near)} share repeats by {what}")
     return wrong
--- a/mallowbeam/lab/faults/seen.py
+++ b/mallowbeam/lab/faults/seen.py
@@ -41,7 +41,7 @@
     at: float
     node: str
     id: str
-    late: float = 0.0                          # by which the recorder itself may have been late then
+    late: float = 0.0  # by which the recorder itself may have been late then
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/lab/faults/shares.py
+++ b/mallowbeam/lab/faults/shares.py
@@ -21,11 +21,11 @@
 from mallowbeam.standins.node import Answer, ObjectNode
 
 HEAVY, LIGHT = f"{1:016x}", f"{2:016x}"  # volumes; the first has twice the weight
-CAPACITY = 30.0             # units a second that the node is said to hold
-EPOCH = 0.5                 # seconds
-ASKS = 8.0                  # units a second that each tenant asks for at each gateway
-BUSY = 3.0                  # times as much that the heavy one asks for at the gateway that is killed
-UNITS_TOP = 8               # the example's
+CAPACITY = 30.0  # units a second that the node is said to hold
+EPOCH = 0.5  # seconds
+ASKS = 8.0  # units a second that each tenant asks for at each gateway
+BUSY = 3.0  # times as much that the heavy one asks for at the gateway that is killed
+UNITS_TOP = 8  # the example's
 SETTLE_S, COUNT_S, AFTER_S = 4.0, 5.0, 5.0
 VICTIM = "g4"
 
@@ -35,10 +35,10 @@
     """What happened: when the node got a unit of which volume, and when what was done."""
 
     got: list[tuple[float, str]] = field(default_factory=list)
-    held: tuple[float, float] = (0.0, 0.0)     # from when to when shares held, all gateways up
+    held: tuple[float, float] = (0.0, 0.0)  # from when to when shares held, all gateways up
     killed: float = 0.0
     ended: float = 0.0
-    allotted: float = 0.0                      # to the heavy one at the gateway that was killed
+    allotted: float = 0.0  # to the heavy one at the gateway that was killed
     gateways: int = 5
 
 
@@ -66,20 +66,35 @@
 
     def sections(self) -> dict[str, Any]:
         """What each gateway has on."""
-        return {"shares": {"on": True, "epoch_s": EPOCH, "window_s": 0.3, "lease_s": LEASE,
-                           "quiet_s": LEASE + 0.5}}
+        return {
+            "shares": {
+                "on": True,
+                "epoch_s": EPOCH,
+                "window_s": 0.3,
+                "lease_s": LEASE,
+                "quiet_s": LEASE + 0.5,
+            }
+        }
 
     async def share(self, seconds: float = 20.0) -> None:
         """Push the shares until they are committed."""
-        body = {"drains": [], "shares": {
-            "tenants": {HEAVY: {"weight": 2000}, LIGHT: {"weight": 1000}},
-            "nodes": {"n0": {"capacity": int(CAPACITY * 1000)}}}}
+        body = {
+            "drains": [],
+            "shares": {
+                "tenants": {HEAVY: {"weight": 2000}, LIGHT: {"weight": 1000}},
+                "nodes": {"n0": {"capacity": int(CAPACITY * 1000)}},
+            },
+        }
         end, said = self.now() + seconds, ""
         while self.now() < end:
             if (seen := await self.look("g0")) is not None:
                 with suppress(httpx.HTTPError):
-                    answer = await self.client.put(self.page("g0"), content=json.dumps(body).encode(),
-                                                   headers={"If-Match": f'"{seen.version}"'}, timeout=PUSH_S)
+                    answer = await self.client.put(
+                        self.page("g0"),
+                        content=json.dumps(body).encode(),
+                        headers={"If-Match": f'"{seen.version}"'},
+                        timeout=PUSH_S,
+                    )
                     if answer.status_code == 200:
                         return
                     said = answer.text
@@ -97,13 +112,23 @@
         number = (int(name[1:]) << 40) + (int(volume, 16) << 32)
         out: set[asyncio.Task[None]] = set()
         async with httpx.AsyncClient(trust_env=False, timeout=4.0) as client:
+
             async def one(key: str) -> None:
-                headers = {"X-Request-Id": key, "X-Class": "new-write", "X-Storage-Class": "silver",
-                           "X-Deadline-Ms": "400", "X-Extent": "units=1,shard=0,hosts=1",
-                           "Idempotency-Key": key}
+                headers = {
+                    "X-Request-Id": key,
+                    "X-Class": "new-write",
+                    "X-Storage-Class": "silver",
+                    "X-Deadline-Ms": "400",
+                    "X-Extent": "units=1,shard=0,hosts=1",
+                    "Idempotency-Key": key,
+                }
                 with suppress(httpx.HTTPError):
-                    await client.put(f"http://127.0.0.1:{self.ports[name][0]}/new-write/{volume}/{key}",
-                                     content=b"x", headers=headers)
+                    await client.put(
+                        f"http://127.0.0.1:{self.ports[name][0]}/new-write/{volume}/{key}",
+                        content=b"x",
+                        headers=headers,
+                    )
+
             while True:
                 number += 1
                 task = asyncio.create_task(one(f"{number:016x}"))
@@ -118,9 +143,13 @@
         record = trial.record
         await trial.settled()
         await trial.share()
-        loads = {(name, volume): asyncio.create_task(trial.load(
-            name, volume, ASKS * (BUSY if (name, volume) == (VICTIM, HEAVY) else 1)))
-            for name in trial.names for volume in (HEAVY, LIGHT)}
+        loads = {
+            (name, volume): asyncio.create_task(
+                trial.load(name, volume, ASKS * (BUSY if (name, volume) == (VICTIM, HEAVY) else 1))
+            )
+            for name in trial.names
+            for volume in (HEAVY, LIGHT)
+        }
         await asyncio.sleep(SETTLE_S)
         began = time.monotonic()
         await asyncio.sleep(COUNT_S)
--- a/mallowbeam/lab/faults/trial.py
+++ b/mallowbeam/lab/faults/trial.py
@@ -13,9 +13,9 @@
 from mallowbeam.lab.faults.fleet import LEASE, Fleet
 from mallowbeam.lab.faults.history import check
 
-STEPS = 8                   # faults and changes of one trial
-REST_S = 30.0               # seconds that a healed fleet is waited for, and told where it found no rest
-LATE_S = 10.0               # seconds from the last heal to rest, beyond which a trial says what to look at
+STEPS = 8  # faults and changes of one trial
+REST_S = 30.0  # seconds that a healed fleet is waited for, and told where it found no rest
+LATE_S = 10.0  # seconds from the last heal to rest, beyond which a trial says what to look at
 NODES = ("n0", "n1", "n7", "n9")
 
 
@@ -24,15 +24,15 @@
     """What came of one trial; times in seconds."""
 
     seed: int
-    pushed: int                                # changes proposed
-    committed: int                             # and told to be committed
-    unknown: int                               # and whose end their pusher was not told
-    looks: int                                 # words of gateways that the checkers read
-    took_hold: list[float]                     # from a push's beginning until every gateway up has it
-    rest: float                                # from the last heal until all serve one version
-    agree: float                               # the part of it after all gateways' pages answered
+    pushed: int  # changes proposed
+    committed: int  # and told to be committed
+    unknown: int  # and whose end their pusher was not told
+    looks: int  # words of gateways that the checkers read
+    took_hold: list[float]  # from a push's beginning until every gateway up has it
+    rest: float  # from the last heal until all serve one version
+    agree: float  # the part of it after all gateways' pages answered
     wrong: list[str]
-    look_at: list[str]                         # where it was late: engines by second, links
+    look_at: list[str]  # where it was late: engines by second, links
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
     agree_p50: float
     agree_p99: float
     agree_max: float
-    late: int                                  # trials at rest later than `LATE_S`, or not at all
+    late: int  # trials at rest later than `LATE_S`, or not at all
     wrong: int
 
 
@@ -61,12 +61,23 @@
     took = sorted(seconds for result in results for seconds in result.took_hold)
     rest = sorted(result.rest for result in results)
     agree = sorted(result.agree for result in results)
-    return Summary(len(results), sum(r.pushed for r in results), sum(r.committed for r in results),
-                   sum(r.unknown for r in results), sum(r.looks for r in results),
-                   quantile(took, 0.5), quantile(took, 0.99),
-                   quantile(rest, 0.5), quantile(rest, 0.99), max(rest, default=0.0),
-                   quantile(agree, 0.5), quantile(agree, 0.99), max(agree, default=0.0),
-                   sum(seconds > LATE_S for seconds in rest), sum(len(r.wrong) for r in results))
+    return Summary(
+        len(results),
+        sum(r.pushed for r in results),
+        sum(r.committed for r in results),
+        sum(r.unknown for r in results),
+        sum(r.looks for r in results),
+        quantile(took, 0.5),
+        quantile(took, 0.99),
+        quantile(rest, 0.5),
+        quantile(rest, 0.99),
+        max(rest, default=0.0),
+        quantile(agree, 0.5),
+        quantile(agree, 0.99),
+        max(agree, default=0.0),
+        sum(seconds > LATE_S for seconds in rest),
+        sum(len(r.wrong) for r in results),
+    )
 
 
 def quantile(ordered: list[float], part: float) -> float:
@@ -98,10 +109,18 @@
             look_at = [*fleet.diagnosis.lines(fleet.names), f"again: {replay(seed)}"]
         pushes = list(fleet.history.pushed())
         rest, agree = [healed[2] - began for began in healed[:2]] if len(healed) == 3 else [REST_S] * 2
-        return Result(seed, len(pushes), sum(p.version > 0 for p in pushes),
-                      sum(p.why == "unknown" for p in pushes), sum(1 for _ in fleet.history.seen()), took,
-                      rest, agree,
-                      wrong + check(fleet.history, set(fleet.names), LEASE), look_at)
+        return Result(
+            seed,
+            len(pushes),
+            sum(p.version > 0 for p in pushes),
+            sum(p.why == "unknown" for p in pushes),
+            sum(1 for _ in fleet.history.seen()),
+            took,
+            rest,
+            agree,
+            wrong + check(fleet.history, set(fleet.names), LEASE),
+            look_at,
+        )
 
 
 async def _changes(fleet: Fleet, draw: random.Random) -> None:
@@ -111,7 +130,7 @@
         base = max((seen.version for seen in (await fleet.look_all()).values()), default=0)
         drains = draw.sample(NODES, draw.randint(0, 3))
         push = asyncio.create_task(fleet.push(draw.choice(fleet.up), base, drains))
-        if draw.random() < 0.3:                # a fault in the middle of the change
+        if draw.random() < 0.3:  # a fault in the middle of the change
             await asyncio.sleep(draw.random() * 0.1)
             await _fault(fleet, draw)
         while not push.done():
--- a/mallowbeam/lab/faults/walk.py
+++ b/mallowbeam/lab/faults/walk.py
@@ -20,9 +20,9 @@
 from mallowbeam.fleet.policy import Mark, PolicyCore
 from mallowbeam.lab.faults.orderly import Arrival, Asked, Down, Ended, Event, Moved, Read, Told
 
-TICK = 0.05                 # simulated seconds of one step
-LEASE, BEAT = 2.0, 0.25     # of the gate
-WORK_S = 0.6                # the longest that one request is at a node
+TICK = 0.05  # simulated seconds of one step
+LEASE, BEAT = 2.0, 0.25  # of the gate
+WORK_S = 0.6  # the longest that one request is at a node
 MACHINE = "maintenance"
 
 TIMES = c.Times(lease=LEASE, warm=1.0, report=0.4)
@@ -111,16 +111,32 @@
                     self.in_hand.append(end)
                     walk.add(Arrival(now, self.name, to, end))
         for name, node in walk.nodes.items():
-            if rng.random() < 0.2:             # discovery tells each gateway when it likes
+            if rng.random() < 0.2:  # discovery tells each gateway when it likes
                 self.view[name] = node.up
         counts = dict.fromkeys(walk.nodes, 0)
         for _, name in self.work:
             counts[name] += 1
-        self.core.reports(c.Local({name: s.NodeFacts(node.zone, node.shard, node.weight, self.view[name],
-                                                     counts[name], 0.1 * counts[name], False,
-                                                     node.started if self.view[name] else 0)
-                                   for name, node in walk.nodes.items()},
-                                  len(self.in_hand), self.given, walk.leader, walk.zone_of[self.name]))
+        self.core.reports(
+            c.Local(
+                {
+                    name: s.NodeFacts(
+                        node.zone,
+                        node.shard,
+                        node.weight,
+                        self.view[name],
+                        counts[name],
+                        0.1 * counts[name],
+                        False,
+                        node.started if self.view[name] else 0,
+                    )
+                    for name, node in walk.nodes.items()
+                },
+                len(self.in_hand),
+                self.given,
+                walk.leader,
+                walk.zone_of[self.name],
+            )
+        )
         while hears and self.read < len(walk.items) and walk.items[self.read].at + self.lag <= now:
             self.hear(walk.items[self.read])
             self.lag = rng.choice((0.0, 0.0, 0.05, 0.3))
@@ -156,17 +172,28 @@
 
 def changed(before: s.Maintained, after: s.Maintained) -> list[tuple[str, str]]:
     """The machines that took a step."""
-    return [(name, item.step) for name, item in sorted(after.items.items())
-            if (was := before.items.get(name)) is None or was.turn != item.turn]
+    return [
+        (name, item.step)
+        for name, item in sorted(after.items.items())
+        if (was := before.items.get(name)) is None or was.turn != item.turn
+    ]
 
 
 class Walk:
     """One run.  `topic` makes each replica's machine, a test makes a broken one."""
 
-    def __init__(self, seed: int, gateways: int = 5, nodes: int = 6, zones: int = 3, loss: float = 0.05,
-                 topic: Callable[[tuple[str, ...]], Maintenance] = Maintenance,
-                 gateway: type[Gateway] = Gateway, times: c.Times = TIMES,
-                 work_s: float = WORK_S) -> None:
+    def __init__(
+        self,
+        seed: int,
+        gateways: int = 5,
+        nodes: int = 6,
+        zones: int = 3,
+        loss: float = 0.05,
+        topic: Callable[[tuple[str, ...]], Maintenance] = Maintenance,
+        gateway: type[Gateway] = Gateway,
+        times: c.Times = TIMES,
+        work_s: float = WORK_S,
+    ) -> None:
         self.rng, self.now, self.loss, self.times = random.Random(seed), 0.0, loss, times
         self.work_s = work_s
         self.members = tuple(f"g{i}" for i in range(gateways))
@@ -180,7 +207,7 @@
         self.leader: str | None = None
         self.elected = 0.0
         self.plans: list[tuple[float, Callable[[], None]]] = []
-        self.works: dict[str, float] = {}      # how long an operator takes at a machine
+        self.works: dict[str, float] = {}  # how long an operator takes at a machine
         self.refusals: list[Refusal] = []
         self.hooks: list[Callable[[str, str], None]] = []
         self.gateways = {name: gateway(self, name) for name in self.members}
@@ -240,7 +267,7 @@
         self.on_way = [one for one in self.on_way if one[0] > self.now]
         for _, item, leader in due:
             if leader != self.leader and self.rng.random() < 0.5:
-                continue                       # its leader is gone: it was lost with it, or was not
+                continue  # its leader is gone: it was lost with it, or was not
             item.at = self.now
             self.items.append(item)
             if item.mark:
--- a/mallowbeam/lab/faults/walks.py
+++ b/mallowbeam/lab/faults/walks.py
@@ -12,21 +12,28 @@
 from mallowbeam.lab.faults import orderly as o
 from mallowbeam.lab.faults.walk import Walk
 
-FAULTS_S = 40.0             # simulated seconds in which faults are laid
+FAULTS_S = 40.0  # simulated seconds in which faults are laid
 
 
 def places(walk: Walk) -> dict[str, o.Place]:
     """Where each machine stands."""
     return {name: o.Place(node.zone, node.shard, node.weight) for name, node in walk.nodes.items()} | {
-        name: o.Place(walk.zone_of[name], gateway=True) for name in walk.members}
+        name: o.Place(walk.zone_of[name], gateway=True) for name in walk.members
+    }
 
 
 def judge(walk: Walk, requests: list[dict[str, Any]]) -> list[str]:
     """Everything that is wrong with a walk."""
     at, seen = places(walk), walk.history
-    return [*o.too_many(seen, at, requests), *o.below_floor(seen, at, requests), *o.orders_differ(seen),
-            *o.sent_to_drained(seen), *o.without_quorum(seen, at), *o.together(seen, at, requests),
-            *o.unended(seen)]
+    return [
+        *o.too_many(seen, at, requests),
+        *o.below_floor(seen, at, requests),
+        *o.orders_differ(seen),
+        *o.sent_to_drained(seen),
+        *o.without_quorum(seen, at),
+        *o.together(seen, at, requests),
+        *o.unended(seen),
+    ]
 
 
 @dataclass
@@ -35,7 +42,7 @@
 
     seed: int
     wrong: list[str]
-    states: int                                # committed steps of machines
+    states: int  # committed steps of machines
     entries: int
     steps: set[str] = field(default_factory=set)
 
@@ -45,11 +52,18 @@
     rng, found = walk.rng, []
     machines = [*walk.nodes, *walk.members]
     for number in range(rng.choice((1, 1, 2))):
-        found.append({
-            "id": f"r{number}", "machines": rng.sample(machines, rng.randint(2, 5)),
-            "at_once": rng.choice((1, 2, 3)), "at_once_zone": rng.choice((1, 2)),
-            "zone_floor": rng.choice((0.3, 0.5)), "repeats": rng.choice(("", "", "zone", "shard")),
-            "time_s": rng.choice((12.0, 40.0)), "on_time_up": rng.choice(("go on", "go on", "stop"))})
+        found.append(
+            {
+                "id": f"r{number}",
+                "machines": rng.sample(machines, rng.randint(2, 5)),
+                "at_once": rng.choice((1, 2, 3)),
+                "at_once_zone": rng.choice((1, 2)),
+                "zone_floor": rng.choice((0.3, 0.5)),
+                "repeats": rng.choice(("", "", "zone", "shard")),
+                "time_s": rng.choice((12.0, 40.0)),
+                "on_time_up": rng.choice(("go on", "go on", "stop")),
+            }
+        )
     return found
 
 
@@ -90,24 +104,30 @@
     walk.insist(rng.choice(walk.members), requests)
     disturb(walk, walk.now + FAULTS_S / 2)
     known = list(requests)
-    if rng.random() < 0.3:                     # taken back in the middle
+    if rng.random() < 0.3:  # taken back in the middle
         requests = requests[1:]
         walk.push(rng.choice(walk.members), requests)
     disturb(walk, walk.now + FAULTS_S / 2)
     walk.part(())
     for name in walk.nodes:
         walk.mend(name)
-    for name in walk.works:                    # a machine that never came back, once somebody looks at it
+    for name in walk.works:  # a machine that never came back, once somebody looks at it
         walk.later(30.0, lambda name=name: back(walk, name))  # type: ignore[misc]
     walk.works = {name: max(span, 1.0) for name, span in walk.works.items()}
     walk.rest(400.0)
-    return Outcome(seed, judge(walk, known), sum(isinstance(e, o.Moved) for e in walk.history),
-                   len(walk.items), {e.step for e in walk.history if isinstance(e, o.Moved)})
+    return Outcome(
+        seed,
+        judge(walk, known),
+        sum(isinstance(e, o.Moved) for e in walk.history),
+        len(walk.items),
+        {e.step for e in walk.history if isinstance(e, o.Moved)},
+    )
 
 
 def back(walk: Walk, machine: str) -> None:
     """An operator says that a machine is back."""
     from mallowbeam.fleet.maintenance.state import Back
+
     for one in walk.gateways.values():
         if one.up and not one.stopped:
             walk.propose(one, Back(machine))
@@ -120,8 +140,10 @@
         for line in end.wrong[:5]:
             print(f"seed {end.seed}: {line}")
     bad, steps = sum(bool(end.wrong) for end in ends), set[str]().union(*(end.steps for end in ends))
-    print(f"{runs} walks from {seed}: {bad} wrong; {sum(end.states for end in ends)} steps, "
-          f"{sum(end.entries for end in ends)} entries; seen {', '.join(sorted(steps))}")
+    print(
+        f"{runs} walks from {seed}: {bad} wrong; {sum(end.states for end in ends)} steps, "
+        f"{sum(end.entries for end in ends)} entries; seen {', '.join(sorted(steps))}"
+    )
     return int(bad > 0)
 
 
--- a/mallowbeam/lab/faults/work.py
+++ b/mallowbeam/lab/faults/work.py
@@ -26,13 +26,14 @@
 from mallowbeam.lab.faults.trial import quantile
 
 FAULTS = ("kill", "stop", "cut", "leader", "slow", "row", "node", "none")
-RATE = 20.0                 # requests a second at each gateway
-PUSH_S = 20.0               # seconds in which a push must be committed
-ROW_S = 15.0                # seconds that a gateway restarted in a row is waited for
-AROUND_S = 0.3              # seconds of the record told on either side of what is wrong
-MOST_TOLD = 40              # lines of them
-STEP = re.compile(r"maintenance: (\S+) "
-                  r"(proposed|agreed|draining|empty|out|back|warming|done|lost|failed|aborted): ")
+RATE = 20.0  # requests a second at each gateway
+PUSH_S = 20.0  # seconds in which a push must be committed
+ROW_S = 15.0  # seconds that a gateway restarted in a row is waited for
+AROUND_S = 0.3  # seconds of the record told on either side of what is wrong
+MOST_TOLD = 40  # lines of them
+STEP = re.compile(
+    r"maintenance: (\S+) " r"(proposed|agreed|draining|empty|out|back|warming|done|lost|failed|aborted): "
+)
 
 
 @dataclass(slots=True)
@@ -43,12 +44,12 @@
     faults: tuple[str, ...]
     asked: int
     served: int
-    refused: int                               # with the promise that nothing ran
-    lost: int                                  # ended without an answer, wherever that was allowed
+    refused: int  # with the promise that nothing ran
+    lost: int  # ended without an answer, wherever that was allowed
     arrivals: int
-    worked: int                                # machines that were worked at
-    took: float                                # from the push until all machines are done
-    late: float                                # how late the recorder was at most
+    worked: int  # machines that were worked at
+    took: float  # from the push until all machines are done
+    late: float  # how late the recorder was at most
     wrong: list[str]
     look_at: list[str]
 
@@ -73,11 +74,19 @@
 def summary(results: Sequence[Result]) -> Summary:
     """All trials in one."""
     took = sorted(r.took for r in results)
-    return Summary(len(results), sum(r.asked for r in results), sum(r.served for r in results),
-                   sum(r.refused for r in results), sum(r.lost for r in results),
-                   sum(r.arrivals for r in results), sum(r.worked for r in results),
-                   quantile(took, 0.5), max(took, default=0.0), max((r.late for r in results), default=0.0),
-                   sum(len(r.wrong) for r in results))
+    return Summary(
+        len(results),
+        sum(r.asked for r in results),
+        sum(r.served for r in results),
+        sum(r.refused for r in results),
+        sum(r.lost for r in results),
+        sum(r.arrivals for r in results),
+        sum(r.worked for r in results),
+        quantile(took, 0.5),
+        max(took, default=0.0),
+        max((r.late for r in results), default=0.0),
+        sum(len(r.wrong) for r in results),
+    )
 
 
 class Watched(Trial):
@@ -102,8 +111,15 @@
         """A page becomes part of the record."""
         part = told["subsystems"]["maintenance"]
         steps = self.steps[told["name"]] = {name: item["step"] for name, item in part["machines"].items()}
-        self.seen.add(s.Shown(self.now(), told["name"], told["index"], steps,
-                              tuple(f"{turn['index']} {turn['machine']}" for turn in part["order"])))
+        self.seen.add(
+            s.Shown(
+                self.now(),
+                told["name"],
+                told["index"],
+                steps,
+                tuple(f"{turn['index']} {turn['machine']}" for turn in part["order"]),
+            )
+        )
 
     def at_rest(self) -> bool:
         """Whether every gateway shows that all machines are done: none has any step left to hear."""
@@ -119,13 +135,22 @@
 
     def places(self) -> list[s.Place]:
         """Nodes and gateways."""
-        return [*(s.Place(f"n{i}", ZONES[i % len(ZONES)], i // len(ZONES)) for i in range(len(self.nodes))),
-                *(s.Place(name, gateway=True) for name in self.names)]
+        return [
+            *(s.Place(f"n{i}", ZONES[i % len(ZONES)], i // len(ZONES)) for i in range(len(self.nodes))),
+            *(s.Place(name, gateway=True) for name in self.names),
+        ]
 
     def clients(self, name: str) -> Clients:
         """The clients of one gateway."""
-        return Clients(self.seen, name, self.ports[name][0], self.zero, self.seed * 31 + int(name[1:]), RATE,
-                       len(self.nodes) // len(ZONES))
+        return Clients(
+            self.seen,
+            name,
+            self.ports[name][0],
+            self.zero,
+            self.seed * 31 + int(name[1:]),
+            RATE,
+            len(self.nodes) // len(ZONES),
+        )
 
     def read_logs(self) -> None:
         """What gateways' logs say that they heard, and when."""
@@ -191,9 +216,15 @@
                     await asyncio.sleep(0.1)
 
 
-async def play(seed: int, folder: Path, broken: dict[str, str] | None = None, at_once: int = 0,
-               most: float = MOST_S, faults: Sequence[str] | None = None,
-               machines: Sequence[str] | None = None) -> Result:
+async def play(
+    seed: int,
+    folder: Path,
+    broken: dict[str, str] | None = None,
+    at_once: int = 0,
+    most: float = MOST_S,
+    faults: Sequence[str] | None = None,
+    machines: Sequence[str] | None = None,
+) -> Result:
     """One trial; what does not come to rest is among what is wrong."""
     draw = random.Random(seed * 7 + 1)
     limits = s.Limits(at_once or draw.choice((1, 2)), 1)
@@ -203,16 +234,32 @@
     made.broken |= broken or {}
     async with made as trial:
         await trial.settled()
-        tasks = [asyncio.create_task(trial.late.watch()),
-                 *(asyncio.create_task(trial.clients(name).run()) for name in trial.names)]
+        tasks = [
+            asyncio.create_task(trial.late.watch()),
+            *(asyncio.create_task(trial.clients(name).run()) for name in trial.names),
+        ]
         wrong, began = list[str](), trial.now()
         try:
             await asyncio.sleep(0.5)
             began = trial.now()
-            await trial.request({"drains": [], "maintenance": {"requests": [
-                {"id": "work", "machines": list(machines), "at_once": limits.at_once,
-                 "at_once_zone": limits.at_once_zone, "zone_floor": limits.zone_floor, "time_s": MOST_S}]}},
-                PUSH_S)
+            await trial.request(
+                {
+                    "drains": [],
+                    "maintenance": {
+                        "requests": [
+                            {
+                                "id": "work",
+                                "machines": list(machines),
+                                "at_once": limits.at_once,
+                                "at_once_zone": limits.at_once_zone,
+                                "zone_floor": limits.zone_floor,
+                                "time_s": MOST_S,
+                            }
+                        ]
+                    },
+                },
+                PUSH_S,
+            )
             wrong += await _until_done(trial, draw, faults, set(machines), most)
         except TimeoutError as error:
             wrong.append(f"not at rest: {error}")
@@ -225,8 +272,9 @@
         return _result(seed, tuple(faults), trial, took, wrong)
 
 
-async def _until_done(trial: Watched, draw: random.Random, faults: Sequence[str], machines: set[str],
-                      most: float) -> list[str]:
+async def _until_done(
+    trial: Watched, draw: random.Random, faults: Sequence[str], machines: set[str], most: float
+) -> list[str]:
     """Look on, and lay the faults one after the other, until all gateways show all machines as done."""
     gateways = {name for name in machines if name in trial.names}
 
@@ -261,12 +309,25 @@
     answers = [answer.status for answer in trial.seen.of(s.Answered)]
     look_at = []
     if wrong:
-        look_at = [*around(trial.seen, wrong), *trial.diagnosis.lines(trial.names),
-                   f"again: {replay(seed, 'maintenance')}"]
-    return Result(seed, faults, sum(1 for _ in trial.seen.of(s.Asked)), answers.count(200),
-                  sum(status in checks.NOT_RUN for status in answers), answers.count(0),
-                  sum(1 for _ in trial.seen.of(s.Arrived)), len(trial.record.worked), took,
-                  max(over for _, over in trial.late.spans), wrong, look_at)
+        look_at = [
+            *around(trial.seen, wrong),
+            *trial.diagnosis.lines(trial.names),
+            f"again: {replay(seed, 'maintenance')}",
+        ]
+    return Result(
+        seed,
+        faults,
+        sum(1 for _ in trial.seen.of(s.Asked)),
+        answers.count(200),
+        sum(status in checks.NOT_RUN for status in answers),
+        answers.count(0),
+        sum(1 for _ in trial.seen.of(s.Arrived)),
+        len(trial.record.worked),
+        took,
+        max(over for _, over in trial.late.spans),
+        wrong,
+        look_at,
+    )
 
 
 def around(record: s.Record, wrong: Sequence[str]) -> list[str]:
@@ -274,8 +335,13 @@
     found = re.match(r"[\d.]+", wrong[0])
     at = float(found[0]) if found else 0.0
     kept: list[s.Event] = [event for event in record.events if isinstance(event, s.Told | s.Laid)]
-    kept += [event for event in record.events if isinstance(event, s.Arrived | s.Answered | s.Asked)
-             and abs(event.at - at) < AROUND_S and event.id in wrong[0]]
+    kept += [
+        event
+        for event in record.events
+        if isinstance(event, s.Arrived | s.Answered | s.Asked)
+        and abs(event.at - at) < AROUND_S
+        and event.id in wrong[0]
+    ]
     kept.sort(key=lambda event: abs(event.at - at))
     return [str(event) for event in sorted(kept[:MOST_TOLD], key=lambda event: event.at)]
 
--- a/mallowbeam/lab/recover.py
+++ b/mallowbeam/lab/recover.py
@@ -26,13 +26,13 @@
     """One folder come up."""
 
     records: int
-    held: int                                  # writes that were not settled
+    held: int  # writes that were not settled
     megabytes: float
-    read_s: float                              # the files alone, from the page cache
+    read_s: float  # the files alone, from the page cache
     recover_s: float
     mb_per_s: float
-    peak_mb: float                             # of the process
-    before_mb: float                           # of the same before it began
+    peak_mb: float  # of the process
+    before_mb: float  # of the same before it began
 
 
 def fill(folder: Path, records: int, size: int, settled: float) -> None:
@@ -47,10 +47,19 @@
         items = []
         for number in range(first, min(first + BATCH, records)):
             lsn += 1
-            words = Write("PUT", "b", b"/b/%d" % number, number, [(b"content-type", b"text/plain")],
-                          b"%016x" % number, '"0123456789abcdef0123456789abcdef"', size, time.time())
+            words = Write(
+                "PUT",
+                "b",
+                b"/b/%d" % number,
+                number,
+                [(b"content-type", b"text/plain")],
+                b"%016x" % number,
+                '"0123456789abcdef0123456789abcdef"',
+                size,
+                time.time(),
+            )
             items.append(Item(Kind.WRITE, lsn, pack(Kind.WRITE, words, body)))
-        over = [item.lsn for item in items[:int(len(items) * settled)]]
+        over = [item.lsn for item in items[: int(len(items) * settled)]]
         if over:
             lsn += 1
             items.append(Item(Kind.DONE, lsn, pack(Kind.DONE, Done(over))))
@@ -66,6 +75,7 @@
 def come_up(folder: Path) -> Result:
     """Read the files alone, then recover them, in this process."""
     import random
+
     disk, size = RealDisk(str(folder)), 0
     began = time.perf_counter()
     for number in numbers(disk):
@@ -83,15 +93,27 @@
     took = time.perf_counter() - began
     held = len(core.entries)
     log.close()
-    return Result(found.last, held, round(size / 1e6, 1), round(read, 3), round(took, 3),
-                  round(size / 1e6 / took, 1), round(peak(), 1), round(before, 1))
+    return Result(
+        found.last,
+        held,
+        round(size / 1e6, 1),
+        round(read, 3),
+        round(took, 3),
+        round(size / 1e6 / took, 1),
+        round(peak(), 1),
+        round(before, 1),
+    )
 
 
 def measure(folder: Path, records: int, size: int, settled: float) -> Result:
     """A folder filled here, and brought up in a process of its own, so that memory is told apart."""
     fill(folder, records, size, settled)
-    done = subprocess.run([sys.executable, "-m", "mallowbeam.lab.recover", str(folder)], capture_output=True,
-                          check=True, text=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "mallowbeam.lab.recover", str(folder)],
+        capture_output=True,
+        check=True,
+        text=True,
+    )
     return Result(**json.loads(done.stdout))
 
 
--- a/mallowbeam/lab/rig.py
+++ b/mallowbeam/lab/rig.py
@@ -36,21 +36,34 @@
     """A gateway's two files: the platform's, with the example's settings and what is listed, and `fronts`."""
     settings = json.loads(EXAMPLE.read_text())["settings"]
     settings["FamilyInfo"]["SlotsTotal"] = len(discovery.members)
-    config = {"name": name, "listen": f"127.0.0.1:{port}", "seed": "5eed", "discovery": discovery.host_port,
-              "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-              "known": {"revision": 1, "complete": True, "members": discovery.members}, "settings": settings}
+    config = {
+        "name": name,
+        "listen": f"127.0.0.1:{port}",
+        "seed": "5eed",
+        "discovery": discovery.host_port,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": {"revision": 1, "complete": True, "members": discovery.members},
+        "settings": settings,
+    }
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "config.json").write_text(json.dumps(config))
     (folder / "fronts.json").write_text(json.dumps(fronts))
 
 
-def launch(folder: Path, log: IO[bytes], *arguments: str,
-           module: str = "mallowbeam") -> subprocess.Popen[bytes]:
+def launch(
+    folder: Path, log: IO[bytes], *arguments: str, module: str = "mallowbeam"
+) -> subprocess.Popen[bytes]:
     """Start a gateway, or what stands for one, on the two files in its folder."""
-    env = {**os.environ, "BALANCER_CONFIG": str(folder / "config.json"), "TMPDIR": str(folder),
-           "MALLOWBEAM_FRONTS": str(folder / "fronts.json"), "PYTHONPATH": str(ROOT)}
-    return subprocess.Popen([sys.executable, "-m", module, *arguments], env=env, cwd=ROOT,
-                            stdout=log, stderr=log)
+    env = {
+        **os.environ,
+        "BALANCER_CONFIG": str(folder / "config.json"),
+        "TMPDIR": str(folder),
+        "MALLOWBEAM_FRONTS": str(folder / "fronts.json"),
+        "PYTHONPATH": str(ROOT),
+    }
+    return subprocess.Popen(
+        [sys.executable, "-m", module, *arguments], env=env, cwd=ROOT, stdout=log, stderr=log
+    )
 
 
 @dataclass
@@ -74,10 +87,18 @@
         self.store.mkdir(parents=True)
         members = [member(f"n{i}", node.host_port, i) for i, node in enumerate(self.nodes)]
         self.discovery = Discovery(members)
-        fronts = {"objects": {
-            "listen": f"127.0.0.1:{self.ports[1]}", "classes": {"read": "read", "write": "new-write"},
-            "plan": "silver", "plans": {}, "authentication": "off", "unit_bytes": 1048576,
-            "max_body_bytes": 2097152, "held_bytes": 16777216}}
+        fronts = {
+            "objects": {
+                "listen": f"127.0.0.1:{self.ports[1]}",
+                "classes": {"read": "read", "write": "new-write"},
+                "plan": "silver",
+                "plans": {},
+                "authentication": "off",
+                "unit_bytes": 1048576,
+                "max_body_bytes": 2097152,
+                "held_bytes": 16777216,
+            }
+        }
         if self.buffer:
             fronts["buffer"] = {"folder": str(self.store), **self.buffer}
         write_files(self.folder, "lab", self.ports[0], self.discovery, fronts)
--- a/mallowbeam/lab/shares.py
+++ b/mallowbeam/lab/shares.py
@@ -23,11 +23,11 @@
     """One epoch's cost."""
 
     flows: int
-    first_bytes: int                           # everybody's first report
-    log_bytes: int                             # of an epoch in service
+    first_bytes: int  # everybody's first report
+    log_bytes: int  # of an epoch in service
     reports_ms: float
     close_ms: float
-    hear_ms: float                             # of the close: handover and division
+    hear_ms: float  # of the close: handover and division
     releases_ms: float
 
     @property
@@ -43,16 +43,25 @@
     shares: Setup
 
 
-def measure(gateways: int, tenants: int, nodes: int, spread: int, places: int, churn: float,
-            seed: int = 1) -> Cost:
+def measure(
+    gateways: int, tenants: int, nodes: int, spread: int, places: int, churn: float, seed: int = 1
+) -> Cost:
     """Run two epochs of a made-up fleet; `spread` gateways and `places` nodes for each tenant."""
     rng = random.Random(seed)
     names = [f"g{at:03}" for at in range(gateways)]
     setup = Setup(
-        {f"t{at:04}": Share(rng.choice([1000, 2000, 4000]), rng.choice([0, 0, 20_000]),
-                            rng.choice([None, None, 200_000])) for at in range(tenants)},
-        {f"n{at:03}": Node(int(tenants * places * 40_000 / nodes * rng.uniform(0.6, 1.4)), f"z{at % 10}")
-         for at in range(nodes)}, {"z0": int(tenants * places * 4_000 * 0.8)})
+        {
+            f"t{at:04}": Share(
+                rng.choice([1000, 2000, 4000]), rng.choice([0, 0, 20_000]), rng.choice([None, None, 200_000])
+            )
+            for at in range(tenants)
+        },
+        {
+            f"n{at:03}": Node(int(tenants * places * 40_000 / nodes * rng.uniform(0.6, 1.4)), f"z{at % 10}")
+            for at in range(nodes)
+        },
+        {"z0": int(tenants * places * 4_000 * 0.8)},
+    )
     log = Log([SharesTopic(tuple(names))])
     log.push(Push(setup))
     core = SharesCore(names[0], names, log.states["shares"], 0.0)
@@ -98,8 +107,14 @@
     first, _ = epoch(flows, 1.0)
     best: tuple[int, list[float]] | None = None
     for turn in range(8):
-        changes = {name: {flow: code(int(rng.uniform(0.2, 1.8) * 50_000 / spread)) for flow in rows
-                          if rng.random() < churn} for name, rows in flows.items()}
+        changes = {
+            name: {
+                flow: code(int(rng.uniform(0.2, 1.8) * 50_000 / spread))
+                for flow in rows
+                if rng.random() < churn
+            }
+            for name, rows in flows.items()
+        }
         told = epoch(changes, 2.0 + turn)
         if best is None or sum(told[1]) < sum(best[1]):
             best = told
@@ -112,10 +127,12 @@
     sparse, dense = ((10, 4, 0.1), (10, 4, 0.25), (40, 4, 0.1)), ((200, 4, 0.02),)
     for spread, places, churn in dense if "dense" in sys.argv else sparse:
         cost = measure(200, 1000, 200, spread, places, churn)
-        print(f"200 x 1,000 x 200, each tenant at {spread} gateways and {places} nodes ({cost.flows} flows), "
-              f"{churn:.0%} changed: {cost.whole_ms:.1f} ms (reports {cost.reports_ms:.1f}, close "
-              f"{cost.close_ms:.1f}, heard {cost.hear_ms:.1f}, releases {cost.releases_ms:.1f}), "
-              f"{cost.log_bytes / 1024:.1f} KiB; the first reports {cost.first_bytes / 1024:.1f} KiB")
+        print(
+            f"200 x 1,000 x 200, each tenant at {spread} gateways and {places} nodes ({cost.flows} flows), "
+            f"{churn:.0%} changed: {cost.whole_ms:.1f} ms (reports {cost.reports_ms:.1f}, close "
+            f"{cost.close_ms:.1f}, heard {cost.hear_ms:.1f}, releases {cost.releases_ms:.1f}), "
+            f"{cost.log_bytes / 1024:.1f} KiB; the first reports {cost.first_bytes / 1024:.1f} KiB"
+        )
 
 
 if __name__ == "__main__":
--- a/mallowbeam/lab/sharesim.py
+++ b/mallowbeam/lab/sharesim.py
@@ -16,8 +16,8 @@
 from mallowbeam.fleet.shares.core import Action, Allot, Propose, SharesCore, Times
 from mallowbeam.fleet.shares.topic import Setup, SharesState, SharesTopic
 
-STEP = 0.1                  # seconds of true time
-Demands = dict[tuple[str, str, str], float]    # gateway, tenant, node: units a second
+STEP = 0.1  # seconds of true time
+Demands = dict[tuple[str, str, str], float]  # gateway, tenant, node: units a second
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
     log: Log
     core: SharesCore
     life: int = 0
-    at: int = 0                                # entries told so far
+    at: int = 0  # entries told so far
     alive: bool = True
     stopped: bool = False
     woke: bool = False
@@ -55,8 +55,15 @@
 class Fleet:
     """All of it; `seed` makes delays, clocks and losses."""
 
-    def __init__(self, setup: Setup, gateways: int = 5, seed: int = 1, loss: float = 0.0,
-                 times: Times | None = None, core: type[SharesCore] = SharesCore) -> None:
+    def __init__(
+        self,
+        setup: Setup,
+        gateways: int = 5,
+        seed: int = 1,
+        loss: float = 0.0,
+        times: Times | None = None,
+        core: type[SharesCore] = SharesCore,
+    ) -> None:
         self.rng, self.loss, self.times, self.now = random.Random(seed), loss, times or Times(), 0.0
         self.names = [f"g{at}" for at in range(gateways)]
         self.kind = core
@@ -65,8 +72,8 @@
         self.side = dict.fromkeys(self.names, 0)
         self.leader = self.names[0]
         self.demand: Demands = {}
-        self.bounds: dict[str, list[tuple[float, float]]] = {}     # by resource: since when, how much
-        self.worst = 0.0                       # the highest part of a bound that was in use
+        self.bounds: dict[str, list[tuple[float, float]]] = {}  # by resource: since when, how much
+        self.worst = 0.0  # the highest part of a bound that was in use
         self.worth, self.pushed = 0.0, False
         self.members = {name: self._member(name, 0) for name in self.names}
         self.push(setup)
@@ -133,8 +140,12 @@
     def connected(self, name: str) -> bool:
         """Whether it is on the side of the majority, and runs."""
         member = self.members[name]
-        same = sum(self.side[other] == self.side[name] and self.members[other].alive
-                   and not self.members[other].stopped for other in self.names)
+        same = sum(
+            self.side[other] == self.side[name]
+            and self.members[other].alive
+            and not self.members[other].stopped
+            for other in self.names
+        )
         return member.alive and not member.stopped and same * 2 > len(self.names)
 
     def run(self, seconds: float) -> Fleet:
@@ -165,7 +176,7 @@
                 self._do(member, core.observed(tenant, node, rate * STEP, now))
         if member.woke:
             member.woke = False
-            return                             # the first moment awake: requests come before words and ticks
+            return  # the first moment awake: requests come before words and ticks
         core.leads = member.name == self.leader
         while self.connected(member.name) and member.at < len(self.entries):
             since, entry = self.entries[member.at]
@@ -244,7 +255,8 @@
             member = self.members[name]
             if member.alive and not member.stopped:
                 told[tenant, node] = told.get((tenant, node), 0.0) + min(
-                    asked, member.serves.get((tenant, node), 0.0))
+                    asked, member.serves.get((tenant, node), 0.0)
+                )
         return told
 
 
--- a/mallowbeam/lab/shareworth.py
+++ b/mallowbeam/lab/shareworth.py
@@ -17,7 +17,7 @@
 from mallowbeam.fleet.shares.topic import Node, Setup, Share
 from mallowbeam.lab.sharesim import Demands, Fleet, totals
 
-SHIFT_S = 10.0              # between two shifts of all demand; seldom is harder
+SHIFT_S = 10.0  # between two shifts of all demand; seldom is harder
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,17 +40,22 @@
     shares = [setup.tenants[name] for name in sorted(setup.tenants)]
     nodes = [setup.nodes[name] for name in sorted(setup.nodes)]
     return Network(
-        [node.capacity // parts for node in nodes], [zones.index(node.zone) for node in nodes],
+        [node.capacity // parts for node in nodes],
+        [zones.index(node.zone) for node in nodes],
         [setup.zones[zone] // parts if zone in setup.zones else None for zone in zones],
-        [share.weight for share in shares], [share.reserve // parts for share in shares],
-        [None if share.limit is None else share.limit // parts for share in shares])
+        [share.weight for share in shares],
+        [share.reserve // parts for share in shares],
+        [None if share.limit is None else share.limit // parts for share in shares],
+    )
 
 
 def served(setup: Setup, demand: Mapping[tuple[str, str], float], parts: int = 1) -> float:
     """Units a second that the filling serves of this demand."""
     tenants, nodes = sorted(setup.tenants), sorted(setup.nodes)
-    flows = {tenants.index(tenant) * len(nodes) + nodes.index(node): int(asked * 1000)
-             for (tenant, node), asked in demand.items()}
+    flows = {
+        tenants.index(tenant) * len(nodes) + nodes.index(node): int(asked * 1000)
+        for (tenant, node), asked in demand.items()
+    }
     return sum(allot(network(setup, parts), flows).values()) / 1000
 
 
@@ -58,9 +63,13 @@
     """One day of shifts: each time some tenants' work moves to other gateways."""
     rng = random.Random(seed)
     setup = Setup(
-        {f"t{at}": Share(rng.choice([1000, 2000]), rng.choice([0, 20_000]), rng.choice([None, 120_000]))
-         for at in range(8)},
-        {f"n{at}": Node(100_000, "xy"[at % 2]) for at in range(4)}, {"x": 180_000})
+        {
+            f"t{at}": Share(rng.choice([1000, 2000]), rng.choice([0, 20_000]), rng.choice([None, 120_000]))
+            for at in range(8)
+        },
+        {f"n{at}": Node(100_000, "xy"[at % 2]) for at in range(4)},
+        {"x": 180_000},
+    )
     fleet = Fleet(setup, gateways, seed)
     static = oracle = 0.0
     for shift in range(shifts):
@@ -72,7 +81,7 @@
                     demand[name, tenant, node] = rng.uniform(5, 50)
         fleet.demand = demand
         if not shift:
-            fleet.run(SHIFT_S)                 # all three start in peace
+            fleet.run(SHIFT_S)  # all three start in peace
             fleet.worth = 0.0
         fleet.run(SHIFT_S)
         oracle += SHIFT_S * served(setup, totals(demand))
@@ -87,8 +96,10 @@
     days = [day(seed) for seed in range(int(sys.argv[1]) if len(sys.argv) > 1 else 10)]
     whole = Worth(sum(d.static for d in days), sum(d.shares for d in days), sum(d.oracle for d in days))
     for told in (*days, whole):
-        print(f"static {told.static:.0f} shares {told.shares:.0f} oracle {told.oracle:.0f}: "
-              f"{told.part:.2f} of the gain")
+        print(
+            f"static {told.static:.0f} shares {told.shares:.0f} oracle {told.oracle:.0f}: "
+            f"{told.part:.2f} of the gain"
+        )
 
 
 if __name__ == "__main__":
--- a/mallowbeam/lab/starts.py
+++ b/mallowbeam/lab/starts.py
@@ -19,17 +19,17 @@
 from mallowbeam.standins.discovery import Discovery, member
 from mallowbeam.standins.faults import Rule
 
-PATIENCE = 30.0             # seconds after which a gateway was not ready
-LOOK = 0.01                 # seconds between two looks
+PATIENCE = 30.0  # seconds after which a gateway was not ready
+LOOK = 0.01  # seconds between two looks
 
 
 @dataclass(slots=True)
 class Start:
     """One gateway's start."""
 
-    ready_s: float          # from exec to the first 200; `PATIENCE` if there was none
-    cpu_s: float            # processor time up to there
-    peak_kb: int            # memory, at its peak up to there
+    ready_s: float  # from exec to the first 200; `PATIENCE` if there was none
+    cpu_s: float  # processor time up to there
+    peak_kb: int  # memory, at its peak up to there
 
 
 def start(folder: Path, name: str, discovery: Discovery) -> Start:
@@ -45,8 +45,9 @@
         took = time.monotonic() - began
         fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
         peak = re.search(r"VmHWM:\s+(\d+)", Path(f"/proc/{process.pid}/status").read_text())
-        return Start(took, (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK"),
-                     int(peak[1]) if peak else 0)
+        return Start(
+            took, (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK"), int(peak[1]) if peak else 0
+        )
     finally:
         process.kill()
         process.wait()
--- a/mallowbeam/lab/stores.py
+++ b/mallowbeam/lab/stores.py
@@ -133,7 +133,10 @@
 
 
 BACKENDS: dict[str, Callable[[Path], Backend]] = {
-    "log": LogBackend, "lmdb": LmdbBackend, "sqlite": SqliteBackend}
+    "log": LogBackend,
+    "lmdb": LmdbBackend,
+    "sqlite": SqliteBackend,
+}
 
 
 @dataclass(slots=True)
@@ -145,8 +148,8 @@
     acks_per_s: float
     p50_ms: float
     p99_ms: float
-    batch: float                               # records for each sync
-    written_per_taken: float                   # bytes sent to the device for each byte of body
+    batch: float  # records for each sync
+    written_per_taken: float  # bytes sent to the device for each byte of body
     recover_s: float
     records: int
 
@@ -171,7 +174,7 @@
         while True:
             await more.wait()
             batch = queue[:1] if alone else queue[:]
-            del queue[:len(batch)]
+            del queue[: len(batch)]
             if not queue:
                 more.clear()
             await loop.run_in_executor(thread, backend.commit, [(n, body) for n, body, _ in batch])
@@ -210,10 +213,17 @@
     recover = time.perf_counter() - began
     assert count == len(latencies), f"{name} lost {len(latencies) - count} records"
     latencies.sort()
-    return Result(name + (" alone" if alone else ""), writers, round(len(latencies) / took, 1),
-                  round(1000 * latencies[len(latencies) // 2], 3),
-                  round(1000 * latencies[int(len(latencies) * 0.99)], 3), round(len(latencies) / batches, 1),
-                  round(out / (len(latencies) * len(BODY)), 2), round(recover, 3), count)
+    return Result(
+        name + (" alone" if alone else ""),
+        writers,
+        round(len(latencies) / took, 1),
+        round(1000 * latencies[len(latencies) // 2], 3),
+        round(1000 * latencies[int(len(latencies) * 0.99)], 3),
+        round(len(latencies) / batches, 1),
+        round(out / (len(latencies) * len(BODY)), 2),
+        round(recover, 3),
+        count,
+    )
 
 
 def compare(folder: Path, seconds: float, rounds: int) -> list[Result]:
--- a/mallowbeam/net/admin.py
+++ b/mallowbeam/net/admin.py
@@ -16,7 +16,7 @@
 from mallowbeam.net.gateway import Gateway
 
 ID = re.compile(r"[\x21-\x7e]+\Z")
-MAX_ID = 256                # bytes of a body: no id is longer
+MAX_ID = 256  # bytes of a body: no id is longer
 
 
 class Admin:
@@ -27,9 +27,11 @@
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
         self.calls: dict[bytes, tuple[bytes, Callable[[Message], Reply]]] = {
-            b"/_ready": (b"GET", self._ready), b"/_vars": (b"GET", self._vars),
+            b"/_ready": (b"GET", self._ready),
+            b"/_vars": (b"GET", self._vars),
             b"/_storage-nodes/detach": (b"PUT", lambda request: self._by_hand(request, True)),
-            b"/_storage-nodes/attach": (b"PUT", lambda request: self._by_hand(request, False))}
+            b"/_storage-nodes/attach": (b"PUT", lambda request: self._by_hand(request, False)),
+        }
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
         """One call to its answer."""
@@ -52,11 +54,14 @@
 
     def _vars(self, _: Message) -> Reply:
         gateway = self.gateway
-        text = gateway.metrics.write({
-            "pending": sum(server.pending for server in gateway.servers),
-            "members": gateway.facade.nodes_listed,
-            "members_unavailable": gateway.facade.nodes_avoided,
-            **{name: value for part in gateway.parts for name, value in part.gauges().items()}})
+        text = gateway.metrics.write(
+            {
+                "pending": sum(server.pending for server in gateway.servers),
+                "members": gateway.facade.nodes_listed,
+                "members_unavailable": gateway.facade.nodes_avoided,
+                **{name: value for part in gateway.parts for name, value in part.gauges().items()},
+            }
+        )
         return plain(200, text, True)
 
     def _by_hand(self, request: Message, out: bool) -> Reply:
@@ -92,5 +97,5 @@
         return None
     # Guards the operators: a second process with this address would answer for the first now and then.
     server = Server(gateway.config.admin, Admin(gateway), ADMIN_SOCKETS, Caller, shared=False)
-    server.last_answers()                      # one call a connection
+    server.last_answers()  # one call a connection
     return server
--- a/mallowbeam/net/attempts.py
+++ b/mallowbeam/net/attempts.py
@@ -23,7 +23,7 @@
 from mallowbeam.net.log import Sparse
 from mallowbeam.net.metrics import Metrics
 
-MOST_DIGITS = 9             # of a figure that a node tells
+MOST_DIGITS = 9  # of a figure that a node tells
 
 Outcome = io.Outcome
 # What a node turns away unrun: as it is full, or as it is not the place or the time for it.
@@ -37,16 +37,16 @@
     facade: Facade
     metrics: Metrics
     pool: Pool
-    addresses: dict[str, str]                  # of nodes that are up
+    addresses: dict[str, str]  # of nodes that are up
     exchanges: dict[str, Exchange]
     tasks: dict[tuple[str, int], asyncio.Task]  # the attempts that are out
     sister: Sister | None
     no_room: Sparse
     spoilt: Sparse
     now: Callable[[], float]
-    _apply: Callable[[Orders], None]           # do what the module wants done
-    _left: Callable[[Call], float]             # seconds that a call may take from now on
-    _over: Callable[[str], None]               # an id may be free again
+    _apply: Callable[[Orders], None]  # do what the module wants done
+    _left: Callable[[Call], float]  # seconds that a call may take from now on
+    _over: Callable[[str], None]  # an id may be free again
 
     def _try(self, tried: Try) -> None:
         """Start an attempt; however its task ends, even before its first step, one report follows."""
@@ -59,14 +59,16 @@
         if self.sister is not None:
             told, units = exchange.call.fields, exchange.call.fields["units"]
             hosts = told.get("hosts_of_volume") or self.config.settings.hosts
-            self.sister.tell("sent", [told["volume"], told["plan"], hosts, tried.node, units,
-                                      0 if tried.number else units])
+            self.sister.tell(
+                "sent", [told["volume"], told["plan"], hosts, tried.node, units, 0 if tried.number else units]
+            )
         task = asyncio.create_task(self._attempt(tried, exchange, started))
         self.tasks[tried.request, tried.number] = task
         task.add_done_callback(lambda done: self._ended(tried, started, done))
 
-    async def _attempt(self, tried: Try, exchange: Exchange,
-                       started: float) -> tuple[Outcome, Message | None]:
+    async def _attempt(
+        self, tried: Try, exchange: Exchange, started: float
+    ) -> tuple[Outcome, Message | None]:
         """One attempt: connect, write, read; the outcome says whether it can have run."""
         call, link, kept = exchange.call, None, False
         left = exchange.deadline - started
@@ -76,23 +78,34 @@
                 loop = asyncio.get_running_loop()
                 if (link := await self._ready(tried, address)) is None:
                     return Outcome.NOT_SENT, None
-                waits = (limit.when() - loop.time() if call.upload is None
-                         else float(call.fields["expires_in"]))
-                headers = [(b"host", address.encode()), *call.headers,
-                           (b"x-deadline-ms", b"%d" % max(1, round(waits * 1000)))]
+                waits = (
+                    limit.when() - loop.time() if call.upload is None else float(call.fields["expires_in"])
+                )
+                headers = [
+                    (b"host", address.encode()),
+                    *call.headers,
+                    (b"x-deadline-ms", b"%d" % max(1, round(waits * 1000))),
+                ]
                 if call.upload is None:
-                    await link.request(write_request(call.method, call.target, headers, len(call.body)),
-                                       call.body, bodiless=call.method == b"HEAD")
+                    await link.request(
+                        write_request(call.method, call.target, headers, len(call.body)),
+                        call.body,
+                        bodiless=call.method == b"HEAD",
+                    )
                 else:
-                    limit.reschedule(None)     # the client's time counts from its last byte
+                    limit.reschedule(None)  # the client's time counts from its last byte
                     await self._upload(tried, exchange, link, headers)
-                    limit.reschedule(loop.time() + (
-                        exchange.deadline - self.now() if link.written else MARGIN))
+                    limit.reschedule(
+                        loop.time() + (exchange.deadline - self.now() if link.written else MARGIN)
+                    )
                 self.metrics.upstream_requests += link.written
                 answer = await link.head()
-                if call.final(answer.status) and call.streamed(answer.status) and await link.exceeds(
-                        answer, call.hold, call.most, call.standstill):
-                    limit.reschedule(None)     # the answer has begun: it is the client's now
+                if (
+                    call.final(answer.status)
+                    and call.streamed(answer.status)
+                    and await link.exceeds(answer, call.hold, call.most, call.standstill)
+                ):
+                    limit.reschedule(None)  # the answer has begun: it is the client's now
                     await self._pass_on(tried, exchange, link, answer, started)
                 else:
                     await link.body(answer, call.standstill)
@@ -100,7 +113,7 @@
             if link.written:
                 kept = self.pool.put(link, answer)
             elif outcome not in NOT_RUN.values():
-                outcome = Outcome.NOT_SENT     # said before the request was whole
+                outcome = Outcome.NOT_SENT  # said before the request was whole
             return outcome, answer
         except asyncio.CancelledError:
             if link is not None and link.written:
@@ -121,7 +134,7 @@
         except Broken:
             return self._unless(link, Outcome.RESET), None
         except Exception as error:
-            if link is not None:               # it may have run
+            if link is not None:  # it may have run
                 raise
             # Guards a write that never left: before there is a connection nothing can have run.
             logger.opt(exception=error).error("an attempt failed unforeseen")
@@ -147,7 +160,7 @@
                 if not link.channel.stale():
                     kept = True
                     return link
-                if not link.idle_since:        # a new one: the node lives, and takes nothing on it
+                if not link.idle_since:  # a new one: the node lives, and takes nothing on it
                     return None
             finally:
                 if not kept:
@@ -188,8 +201,9 @@
         exchange.deadline = self.now() + left
         self._apply(self.facade.uploading(self.now(), tried, left))
 
-    async def _pass_on(self, tried: Try, exchange: Exchange, link: Link, answer: Message,
-                       started: float) -> None:
+    async def _pass_on(
+        self, tried: Try, exchange: Exchange, link: Link, answer: Message, started: float
+    ) -> None:
         """Hand an answer on in pieces, reading no faster than the client takes them."""
         stream = Stream(closed=asyncio.current_task().cancel)
         most = exchange.call.most
@@ -219,7 +233,7 @@
             outcome = Outcome.CANCELLED
         elif error := task.exception():
             logger.opt(exception=error).error("an attempt failed unforeseen")
-            outcome = Outcome.RESET            # it may have run
+            outcome = Outcome.RESET  # it may have run
         else:
             outcome, answer = task.result()
         exchange = self.exchanges.get(tried.request)
--- a/mallowbeam/net/beside.py
+++ b/mallowbeam/net/beside.py
@@ -32,10 +32,10 @@
     exchanges: dict[str, Exchange]
     servers: list[Server]
     handed_over: asyncio.Event
-    sister: Sister | None                      # the other process, while there are two
+    sister: Sister | None  # the other process, while there are two
     now: Callable[[], float]
-    _apply: Callable[[Orders], None]           # do what the module wants done
-    _listing: Callable[[Listing], None]        # take in a list
+    _apply: Callable[[Orders], None]  # do what the module wants done
+    _listing: Callable[[Listing], None]  # take in a list
 
     def deal(self, beside: int) -> None:
         """While there are two processes, keep to this one's part of descriptors and memory.
@@ -55,7 +55,7 @@
         self.sister = None
         self.deal(0)
         if self.handed_over.is_set() and self.phase is not Phase.STOPPED:
-            self.watch.resume()                # nobody tells what discovery says any more
+            self.watch.resume()  # nobody tells what discovery says any more
 
     def sent_beside(self, sent: list) -> None:
         """The other process has sent something that counts here too."""
@@ -67,10 +67,15 @@
 
     def legacy(self) -> Mapping[str, object]:
         """All that a new process needs to go on where this one stands."""
-        return {"discovery": self.watch.address, "whole": self.watch.revision is None,
-                "list": write_listing(self.watch.revision or 0, True, self.facade.entries(self.now()),
-                                      self.addresses),
-                "ids": list(self.exchanges), **self.facade.state(self.now())}
+        return {
+            "discovery": self.watch.address,
+            "whole": self.watch.revision is None,
+            "list": write_listing(
+                self.watch.revision or 0, True, self.facade.entries(self.now()), self.addresses
+            ),
+            "ids": list(self.exchanges),
+            **self.facade.state(self.now()),
+        }
 
     def _tell(self, kind: str, value: object) -> None:
         """Tell the other process, where there is one."""
@@ -87,8 +92,12 @@
 
         Guards the one final answer: what the module is done with is held until its front has the answer.
         """
-        return (request in self.exchanges or self.facade.knows(request)
-                or self.sister is not None and request in self.sister.ids)
+        return (
+            request in self.exchanges
+            or self.facade.knows(request)
+            or self.sister is not None
+            and request in self.sister.ids
+        )
 
     def moved(self, address: str) -> None:
         """Discovery is elsewhere from now on, as SIGHUP here or at the other process says."""
--- a/mallowbeam/net/calls.py
+++ b/mallowbeam/net/calls.py
@@ -14,8 +14,8 @@
 from mallowbeam.http.framing import Headers
 from mallowbeam.http.stream import Stream
 
-SILENT = 10.0               # seconds without a byte after which a streamed answer has broken off
-MARGIN = 0.01               # seconds kept of a client's deadline for the way in and the way back
+SILENT = 10.0  # seconds without a byte after which a streamed answer has broken off
+MARGIN = 0.01  # seconds kept of a client's deadline for the way in and the way back
 
 
 class Phase(Enum):
@@ -25,7 +25,7 @@
     SERVING = "serving"
     HANDED_OVER = "handed over"  # a new process takes what comes; its own connections come to an end
     LAME_DUCK = "lame duck"  # told to stop: still takes what comes
-    DRAINING = "draining"    # takes nothing, finishes what it holds
+    DRAINING = "draining"  # takes nothing, finishes what it holds
     STOPPED = "stopped"
 
 
@@ -54,18 +54,18 @@
     """A request as a front hands it in: what the module is told, and what goes to a node."""
 
     id: str
-    fields: dict[str, object]                  # as `interface.RequestArrived` names them
+    fields: dict[str, object]  # as `interface.RequestArrived` names them
     method: bytes
     target: bytes
     headers: Headers
     body: bytes | bytearray = b""
     final: Callable[[int], bool] = (200).__eq__  # which statuses of a node are the client's answer
     streamed: Callable[[int], bool] = lambda status: False  # and which of them are passed on in pieces
-    standstill: float = SILENT                 # seconds without a byte in its body that end an answer
-    hold: int = 0                              # bytes up to which a streamed answer is held whole after all
-    most: int | None = None                    # and those that are passed on at most
-    upload: Stream | None = None               # the body where it passes through: it can be sent once
-    length: int | None = None                  # and its length, None where it comes in chunks
+    standstill: float = SILENT  # seconds without a byte in its body that end an answer
+    hold: int = 0  # bytes up to which a streamed answer is held whole after all
+    most: int | None = None  # and those that are passed on at most
+    upload: Stream | None = None  # the body where it passes through: it can be sent once
+    length: int | None = None  # and its length, None where it comes in chunks
 
 
 class Part(Protocol):
--- a/mallowbeam/net/config.py
+++ b/mallowbeam/net/config.py
@@ -20,9 +20,9 @@
 # discovery's call.  For a moment more: the call that a move of discovery replaces, the other process, a file
 # that is read, the connection that makes another one go.  The rest is in hand.
 OWN_SOCKETS = 24
-FRONT_SOCKETS = 2           # each further front: its listener, and the connection that makes another one go
-ADMIN_SOCKETS = 16          # connections at the operators' door, where there is one
-NODE_SHARE = 0.4            # of the rest: connections to nodes; the others are for clients
+FRONT_SOCKETS = 2  # each further front: its listener, and the connection that makes another one go
+ADMIN_SOCKETS = 16  # connections at the operators' door, where there is one
+NODE_SHARE = 0.4  # of the rest: connections to nodes; the others are for clients
 LEAST_SOCKETS = 64
 
 
@@ -38,12 +38,12 @@
 
     name: str
     listen: tuple[str, int]
-    admin: tuple[str, int] | None              # the operators' door, None where there is none
+    admin: tuple[str, int] | None  # the operators' door, None where there is none
     discovery: str
-    node_sockets: int                          # connections to nodes, at most
-    client_sockets: int                        # connections of clients, at most, over all fronts
-    own_sockets: int                           # descriptors of the program itself and its operators' door
-    memory: int                                # bytes that the program may use
+    node_sockets: int  # connections to nodes, at most
+    client_sockets: int  # connections of clients, at most, over all fronts
+    own_sockets: int  # descriptors of the program itself and its operators' door
+    memory: int  # bytes that the program may use
     known: Listing
     settings: io.Settings
     idle_limit: float | None
@@ -126,7 +126,14 @@
     return Config(
         name=str(env.get("BALANCER_NAME") or raw["name"]),
         listen=read_address(env.get("BALANCER_LISTEN") or raw["listen"]),
-        admin=read_address(door) if door else None, discovery=discovery,
-        node_sockets=node_sockets, client_sockets=dealt - node_sockets,
-        own_sockets=own, memory=memory, known=read_listing(raw["known"]), settings=settings,
-        idle_limit=seconds("Ceilings.ConnIdle"), connect_timeout=seconds("Ceilings.ConnectTimeout"))
+        admin=read_address(door) if door else None,
+        discovery=discovery,
+        node_sockets=node_sockets,
+        client_sockets=dealt - node_sockets,
+        own_sockets=own,
+        memory=memory,
+        known=read_listing(raw["known"]),
+        settings=settings,
+        idle_limit=seconds("Ceilings.ConnIdle"),
+        connect_timeout=seconds("Ceilings.ConnectTimeout"),
+    )
--- a/mallowbeam/net/discovery.py
+++ b/mallowbeam/net/discovery.py
@@ -31,15 +31,15 @@
 # draw (MOST_AGAIN in `control/nodes.py`), then the next call, which is answered or turned away after a second
 # in discovery's queue: ANSWER + 2.2 + 1.0 = 5.4 s.  Where the first was an open watch that fell silent, the
 # module asks at once: WAITS[1] + OVERDUE + 1.0 = 5.4 s.  At an agent: AGENT_RETRY + AGENT_OVERDUE + 0.05 s.
-WAITS = (2.0, 4.0)          # seconds that one call may wait for news, drawn: silence counts for 6 s only
-OVERDUE = 0.4               # seconds past its wait after which a call has fallen silent
-ANSWER = 2.2                # seconds for a call that waits for no news, with its connection, queue and answer
-NO_WAIT = 0.1               # seconds for news in the first call after a failure
+WAITS = (2.0, 4.0)  # seconds that one call may wait for news, drawn: silence counts for 6 s only
+OVERDUE = 0.4  # seconds past its wait after which a call has fallen silent
+ANSWER = 2.2  # seconds for a call that waits for no news, with its connection, queue and answer
+NO_WAIT = 0.1  # seconds for news in the first call after a failure
 AGENT_WAIT, AGENT_RETRY = 1.0, 0.1  # seconds that a call to the agent waits, and after a failure
-AGENT_OVERDUE = 0.1         # with the latter, within the time that is granted for a drain
+AGENT_OVERDUE = 0.1  # with the latter, within the time that is granted for a drain
 CONNECT_TIMEOUT = 1.0
-MAX_LIST = 1024 * 1024      # bytes of a list
-LOST = 1.0                  # seconds to the next call where the module could not be told of a failure
+MAX_LIST = 1024 * 1024  # bytes of a list
+LOST = 1.0  # seconds to the next call where the module could not be told of a failure
 
 
 class Silent(MallowbeamError):
@@ -54,12 +54,18 @@
     `pushed` says that discovery is an agent on this machine; `draw` gives random numbers from 0 to 1.
     """
 
-    def __init__(self, address: str, revision: int, told: Callable[[Listing | io.ListKind], None],
-                 pushed: bool = False, draw: Callable[[], float] = random.random) -> None:
+    def __init__(
+        self,
+        address: str,
+        revision: int,
+        told: Callable[[Listing | io.ListKind], None],
+        pushed: bool = False,
+        draw: Callable[[], float] = random.random,
+    ) -> None:
         self.address, self.told, self.pushed, self.draw = address, told, pushed, draw
-        self.revision: int | None = revision   # None: ask for the whole list first
-        self.anew = False                      # the last call failed or fell silent
-        self.paused = False                    # the other process of this gateway watches for both
+        self.revision: int | None = revision  # None: ask for the whole list first
+        self.anew = False  # the last call failed or fell silent
+        self.paused = False  # the other process of this gateway watches for both
         self.failed, self.fell_silent = Sparse("discovery call failed"), Sparse("discovery fell silent")
         self.task: asyncio.Task | None = None
 
@@ -131,7 +137,7 @@
         self.task, self.anew = None, True
         try:
             self.told(ended)
-        except Exception as error:             # the module, which says when to go on, may not have heard
+        except Exception as error:  # the module, which says when to go on, may not have heard
             logger.opt(exception=error).error("a list failed unforeseen")
             asyncio.get_running_loop().call_later(LOST, self.begin)
 
@@ -139,11 +145,11 @@
         """Take in the answer to a call that asked for what is newer than `asked`, or for the whole list."""
         self.anew = False
         if self.revision is not None and asked != self.revision and listing.revision <= self.revision:
-            return                             # the other process has told of it, or of more, meanwhile
+            return  # the other process has told of it, or of more, meanwhile
         if not listing.complete:
             if asked is None:
                 raise BadListing("changes, where the whole list was asked for")
-            if listing.revision < asked:       # it counts anew: what it leaves out is not known
+            if listing.revision < asked:  # it counts anew: what it leaves out is not known
                 self.revision = None
                 return
         self._known(listing, self.told)
--- a/mallowbeam/net/gateway.py
+++ b/mallowbeam/net/gateway.py
@@ -29,11 +29,11 @@
 from mallowbeam.net.log import Sparse
 from mallowbeam.net.metrics import Metrics
 
-LAME_DUCK = 0.5             # seconds after SIGTERM in which all goes on as before, at least
-STAY = 3.5                  # seconds after SIGTERM by which all is answered, at the latest
-LEAVE = 0.5                 # and the last of them, in which nothing new is taken
-SWEEP = 0.2                 # seconds between looks at what has been idle or stalled
-GATED = 1.0                 # seconds that a client refused at a shut gate is asked to stay away
+LAME_DUCK = 0.5  # seconds after SIGTERM in which all goes on as before, at least
+STAY = 3.5  # seconds after SIGTERM by which all is answered, at the latest
+LEAVE = 0.5  # and the last of them, in which nothing new is taken
+SWEEP = 0.2  # seconds between looks at what has been idle or stalled
+GATED = 1.0  # seconds that a client refused at a shut gate is asked to stay away
 MAX_ANSWER = 4 * 1024 * 1024  # bytes of an answer that is not passed on in pieces
 
 
@@ -46,22 +46,28 @@
         self.epoch = time.time() - time.monotonic()
         self.facade = Facade(config.settings, self.now())
         self.metrics = Metrics(config.settings.classes)
-        self.pool = Pool(config.node_sockets, config.idle_limit, config.connect_timeout,
-                         min(MAX_ANSWER, config.memory // 32), Budget(config.memory // 8))
-        self.watch = Watch(config.discovery, config.known.revision, self._told,
-                           not config.settings.discovery_on_request)
+        self.pool = Pool(
+            config.node_sockets,
+            config.idle_limit,
+            config.connect_timeout,
+            min(MAX_ANSWER, config.memory // 32),
+            Budget(config.memory // 8),
+        )
+        self.watch = Watch(
+            config.discovery, config.known.revision, self._told, not config.settings.discovery_on_request
+        )
         self.addresses: dict[str, str] = {}
         self.exchanges: dict[str, Exchange] = {}
         self.tasks: dict[tuple[str, int], asyncio.Task] = {}
-        self.servers: list[Server] = []        # the clients' doors
-        self.parts: list[Part] = []            # the subsystems that are on
+        self.servers: list[Server] = []  # the clients' doors
+        self.parts: list[Part] = []  # the subsystems that are on
         self.gates: list[Callable[[], bool]] = []  # what must hold for it to serve, where they say so
         self.observers: list[Callable[[Mapping[str, object]], None]] = []  # told of a call before the module
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = NEVER
         self.stopping, self.handed_over = asyncio.Event(), asyncio.Event()
-        self.leave_at = NEVER                  # when all must be answered
-        self.sister: Sister | None = None      # the other process of this gateway, while there are two
+        self.leave_at = NEVER  # when all must be answered
+        self.sister: Sister | None = None  # the other process of this gateway, while there are two
         self.no_room = Sparse("no room for a connection to a node")
         self.spoilt = Sparse("a node's answer can't be read")
 
@@ -71,8 +77,13 @@
 
     # --- phases --------------------------------------------------------------------------------
 
-    async def run(self, servers: list[Server], admin: Server | None = None,
-                  legacy: Legacy | None = None, meet: bool = False) -> None:
+    async def run(
+        self,
+        servers: list[Server],
+        admin: Server | None = None,
+        legacy: Legacy | None = None,
+        meet: bool = False,
+    ) -> None:
         """Serve until told to stop, then finish what is held; the operators' door is open throughout.
 
         `legacy` is what the process before this one hands over, `meet` says whether to wait for the next.
@@ -86,7 +97,7 @@
             self.sister = Sister(legacy.sock, self, legacy.rest, leads=True)
             self.sister.ids.update(legacy.state["ids"])
             self.deal(0)
-            if legacy.state.get("whole"):      # the old process moved, and heard nothing there yet
+            if legacy.state.get("whole"):  # the old process moved, and heard nothing there yet
                 self.watch.revision = None
         if not self.config.settings.discovery_on_request:
             self.watch.begin()
@@ -107,11 +118,11 @@
         self._enter(Phase.DRAINING)
         await asyncio.gather(*(server.drain(self._rest()) for server in servers))
         faults = await self._each(part.stop() for part in self.parts)
-        if admin is not None:                  # the operators' calls have their answers too
+        if admin is not None:  # the operators' calls have their answers too
             await admin.drain(self._rest())
         sweeper.cancel()
         self._enter(Phase.STOPPED)
-        if faults:                             # the program's end tells of it too
+        if faults:  # the program's end tells of it too
             raise faults[0]
 
     @staticmethod
@@ -156,16 +167,16 @@
         for server in self.servers:
             server.last_answers()
         for server in self.servers:
-            await server.shut()                # its accept queue is the new process's
+            await server.shut()  # its accept queue is the new process's
         await self._each(part.hand_over() for part in self.parts)
-        if self.sister is not None:            # else it is gone in this very moment
-            self.watch.pause()                 # what the new one hears it tells
+        if self.sister is not None:  # else it is gone in this very moment
+            self.watch.pause()  # what the new one hears it tells
         while not self.stopping.is_set() and any(server.connections for server in self.servers):
             self._tell("clients", sum(len(server.connections) for server in self.servers))
             with suppress(TimeoutError):
                 async with asyncio.timeout(LAME_DUCK / 5):
                     await self.stopping.wait()
-        if self.stopping.is_set():             # idle connections have a moment for their next request
+        if self.stopping.is_set():  # idle connections have a moment for their next request
             self._leave()
             await asyncio.sleep(LAME_DUCK)
 
@@ -197,8 +208,12 @@
     @property
     def ready(self) -> bool:
         """Whether clients should be sent here; no from the very signal on."""
-        return (self.phase is Phase.SERVING and not self.stopping.is_set() and not self.handed_over.is_set()
-                and self.open)
+        return (
+            self.phase is Phase.SERVING
+            and not self.stopping.is_set()
+            and not self.handed_over.is_set()
+            and self.open
+        )
 
     @property
     def open(self) -> bool:
@@ -212,8 +227,12 @@
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
-        logger.info("phase {}: {} requests held, {} nodes known", phase.value, len(self.exchanges),
-                    len(self.addresses))
+        logger.info(
+            "phase {}: {} requests held, {} nodes known",
+            phase.value,
+            len(self.exchanges),
+            len(self.addresses),
+        )
 
     async def _sweep(self, servers: list[Server]) -> None:
         while True:
@@ -240,7 +259,7 @@
         except asyncio.CancelledError:
             if exchange.answer.done() and not exchange.answer.cancelled():
                 if stream := exchange.answer.result().stream:
-                    stream.close()             # it began at the very moment the client left
+                    stream.close()  # it began at the very moment the client left
             self._apply(self.facade.leave(self.now(), call.id))
             raise
         finally:
@@ -267,7 +286,8 @@
                 self.timer.cancel()
             self.timer_at = self.facade.wake
             self.timer = asyncio.get_running_loop().call_later(
-                max(0.0, self.timer_at - self.now()) + 0.0005, self._wake)
+                max(0.0, self.timer_at - self.now()) + 0.0005, self._wake
+            )
 
     def _wake(self) -> None:
         self.timer, self.timer_at = None, NEVER
@@ -285,7 +305,7 @@
         if isinstance(listing, io.ListKind):
             self._apply(self.facade.listed(self.now(), listing))
         else:
-            if self.sister is not None:        # else a whole list is written out for nobody
+            if self.sister is not None:  # else a whole list is written out for nobody
                 self.sister.tell("list", write_listing(*listing) | {"discovery": self.watch.address})
             self._listing(listing)
 
@@ -300,7 +320,7 @@
         logger.info("storage node {} {} by hand", node, "out" if out else "back")
         if not told:
             self._tell("hand", [node, out])
-        if out and node in self.addresses:     # it is about to be restarted: no idle connection is of use
+        if out and node in self.addresses:  # it is about to be restarted: no idle connection is of use
             self.pool.forget(self.addresses[node])
         self._apply(orders)
         return True
--- a/mallowbeam/net/handover.py
+++ b/mallowbeam/net/handover.py
@@ -24,9 +24,9 @@
 from mallowbeam.net.config import Config
 from mallowbeam.net.listing import Listing, read_listing
 
-PATIENCE = 1.0              # seconds for the old process to hand over: a wedged one holds up no start
-VERSION = 1                 # of what is said here: an old process that speaks another hands over nothing
-MOST_DOORS = 8              # listening sockets handed over at most
+PATIENCE = 1.0  # seconds for the old process to hand over: a wedged one holds up no start
+VERSION = 1  # of what is said here: an old process that speaks another hands over nothing
+MOST_DOORS = 8  # listening sockets handed over at most
 MOST_SAID = 4 * 1024 * 1024  # bytes of one line, and of lines that wait to be read
 
 
@@ -72,9 +72,9 @@
     """What a new process has from the old one: the line to it, its listening sockets and its state."""
 
     sock: socket.socket
-    doors: dict[str, socket.socket]            # by the name of their front
+    doors: dict[str, socket.socket]  # by the name of their front
     state: dict
-    rest: bytes                                # what came behind the state
+    rest: bytes  # what came behind the state
 
     def config(self, own: Config) -> Config:
         """The configuration, with the list and discovery's address as the old process has them."""
@@ -121,7 +121,7 @@
         legacy.config(config)
         return legacy
     except (FileNotFoundError, ConnectionRefusedError):
-        pass                                   # nobody serves; a file that an ended process left says nothing
+        pass  # nobody serves; a file that an ended process left says nothing
     except (OSError, ValueError, KeyError, TypeError) as error:
         logger.warning("no handover: {}", error or type(error).__name__)
     sock.close()
@@ -139,7 +139,7 @@
     def __init__(self, sock: socket.socket, gateway: Host, heard: bytes = b"", leads: bool = False) -> None:
         sock.setblocking(False)
         self.sock, self.gateway, self.leads = sock, gateway, leads
-        self.ids: set[str] = set()             # requests that it holds
+        self.ids: set[str] = set()  # requests that it holds
         self.out, self.more = bytearray(), asyncio.Event()
         self.tasks = [asyncio.create_task(self._write()), asyncio.create_task(self._read(heard))]
         # Guards the next upgrade: a task that is cancelled before its first step runs nothing of its own.
@@ -199,7 +199,7 @@
                 gateway.told_beside(read_listing(value), value.get("discovery"))
             case "discovery":
                 gateway.moved(value)
-                if self.leads:                 # Guards two reloads that cross: both end at one address
+                if self.leads:  # Guards two reloads that cross: both end at one address
                     self.tell("discovery", value)
             case "hand":
                 gateway.by_hand(*value, told=True)
@@ -234,8 +234,11 @@
                     continue
                 try:
                     names = [server.name for server in gateway.servers]
-                    socket.send_fds(sock, [json.dumps({"doors": names}).encode() + b"\n"],
-                                    [server.sock.fileno() for server in gateway.servers])
+                    socket.send_fds(
+                        sock,
+                        [json.dumps({"doors": names}).encode() + b"\n"],
+                        [server.sock.fileno() for server in gateway.servers],
+                    )
                 except OSError as error:
                     logger.warning("no handover: {}", error)
                     sock.close()
--- a/mallowbeam/net/health.py
+++ b/mallowbeam/net/health.py
@@ -25,10 +25,16 @@
     if path == b"/livez":
         return plain(200, "alive", close)
     if path == b"/status":
-        body = json.dumps({
-            "phase": gateway.phase.value, "ready": gateway.ready, "held": len(gateway.exchanges),
-            "nodes_open": gateway.facade.nodes_open, "node_connections": gateway.pool.count,
-            "client_connections": sum(len(s.connections) for s in gateway.servers)}).encode()
+        body = json.dumps(
+            {
+                "phase": gateway.phase.value,
+                "ready": gateway.ready,
+                "held": len(gateway.exchanges),
+                "nodes_open": gateway.facade.nodes_open,
+                "node_connections": gateway.pool.count,
+                "client_connections": sum(len(s.connections) for s in gateway.servers),
+            }
+        ).encode()
         head = write_head(200, [(b"content-type", b"application/json")], len(body), close)
         return Reply(200, head + body)
     return None
@@ -90,7 +96,7 @@
                 await loop.sock_sendall(self.sock, agent_line(self.server.front))
                 self.sock.shutdown(socket.SHUT_WR)
                 while await loop.sock_recv_into(self.sock, buffer):
-                    pass                       # what the balancer may send with a check says nothing here
+                    pass  # what the balancer may send with a check says nothing here
         except (OSError, TimeoutError, asyncio.CancelledError):
             pass
         finally:
