--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -77,13 +77,21 @@
 def test_a_broken_off_answer_is_no_completed_one():
     metrics = Metrics(["read"])
     metrics.ended("read", 200, False)
-    metrics.ended("none", 200, True)           # a class that nobody has must not grow the table
+    metrics.ended("none", 200, True)  # a class that nobody has must not grow the table
     assert metrics.requests == {"read": {"completed": 0, "rejected": 0, "failed": 1}}
 
 
-@pytest.mark.parametrize(("call", "status"), [
-    ("GET /other", 404), ("PUT /_ready", "405 allow:.GET"), ("POST /_vars", "405 allow:.GET"),
-    ("PUT /_ready content-length:999", 413), (f"GET /_ready x:{'y' * 20000}", 431), ("GET /_ready?x", 200)])
+@pytest.mark.parametrize(
+    ("call", "status"),
+    [
+        ("GET /other", 404),
+        ("PUT /_ready", "405 allow:.GET"),
+        ("POST /_vars", "405 allow:.GET"),
+        ("PUT /_ready content-length:999", 413),
+        (f"GET /_ready x:{'y' * 20000}", 431),
+        ("GET /_ready?x", 200),
+    ],
+)
 def test_a_call_that_is_none_is_told_so(call, status):
     play(f"q1 send {call}\nq1 expect {status}\nq1 expect end")
 
@@ -114,7 +122,8 @@
 
 
 def test_a_node_out_by_hand_gets_nothing_until_it_is_called_back():
-    play("""
+    play(
+        """
         q1 send PUT /_storage-nodes/detach body=n0
         q1 expect 200
         q2 send GET /_vars
@@ -131,7 +140,9 @@
         n0 expect GET
         n0 send 200 body=x
         c1 expect 200
-    """, nodes=2)
+    """,
+        nodes=2,
+    )
 
 
 @pytest.mark.parametrize("call", ["detach", "attach"])
--- a/tests/test_admission_fleet.py
+++ b/tests/test_admission_fleet.py
@@ -32,7 +32,7 @@
 
     name: str
     rate: float
-    chain: tuple[tuple[int, int], ...]      # of each shared part: mean tokens, and how many there are
+    chain: tuple[tuple[int, int], ...]  # of each shared part: mean tokens, and how many there are
     own: int
     spread: float
     own_most: int
@@ -103,7 +103,7 @@
         job.on_read, job.unread = on_read, -1.0
         self.arrivals += 1
         self.queue.append(job)
-        self.queue.sort(key=lambda other: (other.unread < 0, other.urgency))   # those begun go on first
+        self.queue.sort(key=lambda other: (other.unread < 0, other.urgency))  # those begun go on first
         self._wake()
         return True
 
@@ -231,9 +231,17 @@
 class World:
     """Gateways, instances and clients on one event heap."""
 
-    def __init__(self, settings: PlannerSettings, load: float = 1.0, seed: int = 1, gateways: int = 7,
-                 prefill: int = 4, decode: int = 5, seconds: float = 20.0,
-                 kinds: tuple[Kind, ...] = KINDS) -> None:
+    def __init__(
+        self,
+        settings: PlannerSettings,
+        load: float = 1.0,
+        seed: int = 1,
+        gateways: int = 7,
+        prefill: int = 4,
+        decode: int = 5,
+        seconds: float = 20.0,
+        kinds: tuple[Kind, ...] = KINDS,
+    ) -> None:
         self.kinds = kinds
         self.now, self.events, self.turn = 0.0, [], 0
         self.random = random.Random(seed)
@@ -245,8 +253,10 @@
         stages = ["prefill"] * prefill + ["decode"] * decode
         order = list(range(len(stages)))
         self.random.shuffle(order)
-        self.servers = {f"s{k}": Server(self, f"s{k}", ZONES[place % 3], stages[k], speeds[place % 3])
-                        for place, k in enumerate(order)}
+        self.servers = {
+            f"s{k}": Server(self, f"s{k}", ZONES[place % 3], stages[k], speeds[place % 3])
+            for place, k in enumerate(order)
+        }
         self.planners = [Planner(settings, f"g{k}") for k in range(gateways)]
         for planner in self.planners:
             planner.gateways_changed(gateways)
@@ -257,8 +267,14 @@
         self.number = 0
 
     def entry(self, server: Server) -> messages.Instance:
-        return messages.Instance(id=server.name, backend="llm", zone=server.zone, slots=ENGINE.slots,
-                                 stage=server.stage, state=messages.READY)
+        return messages.Instance(
+            id=server.name,
+            backend="llm",
+            zone=server.zone,
+            slots=ENGINE.slots,
+            stage=server.stage,
+            state=messages.READY,
+        )
 
     def at(self, when: float, what: Callable[[], None]) -> None:
         self.turn += 1
@@ -293,8 +309,18 @@
         parts.append(PromptPart(f"own-{self.number}", own))
         answer = max(1, int(self.random.expovariate(1 / kind.out)))
         gateway = self.random.choices(range(len(self.planners)), self.shares)[0]
-        request = PlanRequest(f"r{self.number}", "llm", ENGINE, tuple(parts), sum(p.tokens for p in parts),
-                              3 * kind.out, kind.priority, kind.aim_s, kind.time_s, ZONES[gateway % 3])
+        request = PlanRequest(
+            f"r{self.number}",
+            "llm",
+            ENGINE,
+            tuple(parts),
+            sum(p.tokens for p in parts),
+            3 * kind.out,
+            kind.priority,
+            kind.aim_s,
+            kind.time_s,
+            ZONES[gateway % 3],
+        )
         tally = self.tallies[kind.name]
         tally.asked += 1
         tally.large += own > 2.5 * kind.own
@@ -317,7 +343,7 @@
         tally = self.tallies[job.kind.name]
         tally.refusals += 1
         places = sum(min(server.taken, ENGINE.slots) for server in self.servers.values())
-        waits = any(len(server.queue) > 1 for server in self.servers.values())   # the first is being read
+        waits = any(len(server.queue) > 1 for server in self.servers.values())  # the first is being read
         tally.refused_early += not waits and places < ENGINE.slots * len(self.servers) / 2
         left = job.kind.time_s - (self.now - job.first_try)
         if job.tries < 2 and after < left / 3:
--- a/tests/test_admission_simulation.py
+++ b/tests/test_admission_simulation.py
@@ -29,8 +29,9 @@
     for kind in world.kinds:
         tally = world.tallies[kind.name]
         owed += tally.asked * kind.worth
-        earned += kind.worth * (tally.in_time + 0.75 * tally.again + 0.5 * tally.late
-                                - 0.3 * tally.refused_twice)
+        earned += kind.worth * (
+            tally.in_time + 0.75 * tally.again + 0.5 * tally.late - 0.3 * tally.refused_twice
+        )
     return earned / owed
 
 
@@ -47,9 +48,12 @@
             f" refused {tally.refused * part:4.1f}% lost {tally.lost * part:4.1f}%"
             f" held {tally.held * part:4.1f}% split {tally.split * part:5.1f}% paused {tally.paused}"
             f" first ms p50 {tally.first(.5) * 1e3:4.0f} p90 {tally.first(.9) * 1e3:4.0f}"
-            f" p99 {tally.first(.99) * 1e3:4.0f} largest served {tally.large_share * 100:.0f}%")
-    lines.append(f"worth {worth(world):.3f} moved {world.moved_gb:.1f} GB ({world.moved_far_gb:.1f} far)"
-                 f" shared read again {world.reread / 1e3:.0f}k tokens")
+            f" p99 {tally.first(.99) * 1e3:4.0f} largest served {tally.large_share * 100:.0f}%"
+        )
+    lines.append(
+        f"worth {worth(world):.3f} moved {world.moved_gb:.1f} GB ({world.moved_far_gb:.1f} far)"
+        f" shared read again {world.reread / 1e3:.0f}k tokens"
+    )
     return "\n".join(lines)
 
 
--- a/tests/test_begins.py
+++ b/tests/test_begins.py
@@ -58,9 +58,13 @@
 
 def test_a_keyed_repeat_whose_window_has_closed_meanwhile_is_not_sent():
     """Seen on zone+brink: a write was sent again outside its window, as its connection came up late."""
-    turned_down((
-        "c1 send write\nn0 expect PUT", "n0 close"), later(0.35), "c1 expect 502\nn0 expect nothing",
-        reached=1, Classes=SHORT)
+    turned_down(
+        ("c1 send write\nn0 expect PUT", "n0 close"),
+        later(0.35),
+        "c1 expect 502\nn0 expect nothing",
+        reached=1,
+        Classes=SHORT,
+    )
 
 
 def test_what_has_no_time_left_is_refused_and_not_sent():
@@ -84,12 +88,13 @@
 def test_a_verdict_that_came_meanwhile_ends_it():
     async def verdict(world: World) -> None:
         await later(0.0)(world)
-        world.gateway.epoch += 1.6             # the module's own timer is due
+        world.gateway.epoch += 1.6  # the module's own timer is due
         world.gateway.facade.wake = 0.0
         world.gateway._wake()
 
-    turned_down("c1 send write deadline=1500", verdict, "c1 expect 502\nn0 expect nothing",
-                Ceilings={"Cancel": False})
+    turned_down(
+        "c1 send write deadline=1500", verdict, "c1 expect 502\nn0 expect nothing", Ceilings={"Cancel": False}
+    )
 
 
 def test_a_node_that_started_meanwhile_gets_it_as_a_cold_one_on_the_same_connection():
@@ -97,8 +102,13 @@
         async with World() as world:
             gate = world.hold_connecting()
             await world.play("c1 send read")
-            started = {"id": "n0", "cell": 0, "phase": "up", "host_port": world.parties["n0"].address,
-                       "up_since_ms": round(world.gateway.now() * 1000)}
+            started = {
+                "id": "n0",
+                "cell": 0,
+                "phase": "up",
+                "host_port": world.parties["n0"].address,
+                "up_since_ms": round(world.gateway.now() * 1000),
+            }
             told = json.dumps({"revision": 2, "complete": False, "members": [started]})
             await world.play(f"d expect GET since=1\nd send 200 'body={told}'\nd expect GET since=2")
             gate.set()
@@ -118,7 +128,7 @@
             gate = world.hold_connecting()
             await world.play("c1 send read deadline=280")
             async with asyncio.timeout(5):
-                await world.held.wait()        # from here on the attempt's time runs
+                await world.held.wait()  # from here on the attempt's time runs
             await asyncio.sleep(0.1)
             gate.set()
             await world.play("n0 expect GET\nn0 send 200 body=x\nc1 expect 200")
@@ -133,7 +143,7 @@
 
 def test_what_never_began_is_charged_to_nothing():
     rig = Rig(limit_at_arrival=True, **(COLD | {"hosts": 1, "cold_units": 100.0}))
-    rig.wait(2.0)                              # the limit's store fills
+    rig.wait(2.0)  # the limit's store fills
     rig.step(io.NodesListed(io.ListKind.CHANGES, 2, [io.NodeEntry("n0", shard=0, zone="a", since=rig.now)]))
     for plan in ("basic", "gold"):
         send = of(rig.step(rig.request(plan=plan, units=2)), io.Send)[0]
@@ -166,10 +176,15 @@
     assert [rig.now, 2] in rig.host.nodes["n0"].cold_sent
 
 
-@pytest.mark.parametrize(("listed", "goes"), [
-    ([], True), ([io.NodeEntry("n0", io.NodeState.DRAINING)], False),
-    ([io.NodeEntry("n0", io.NodeState.GONE)], False),
-    ([io.NodeEntry("n0", shard=0, zone="a", since=100.0)], False)])
+@pytest.mark.parametrize(
+    ("listed", "goes"),
+    [
+        ([], True),
+        ([io.NodeEntry("n0", io.NodeState.DRAINING)], False),
+        ([io.NodeEntry("n0", io.NodeState.GONE)], False),
+        ([io.NodeEntry("n0", shard=0, zone="a", since=100.0)], False),
+    ],
+)
 def test_what_the_list_said_meanwhile_counts(listed, goes):
     rig = Rig(limit_at_arrival=True, **COLD)
     send = of(rig.step(rig.request(units=1)), io.Send)[0]
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -28,14 +28,17 @@
     return data + b"0" + extra + b"\r\n" + lines + b"\r\n"
 
 
-@given(st.lists(st.binary(max_size=60), max_size=6), st.lists(st.integers(1, 40), min_size=1, max_size=20),
-       st.booleans())
+@given(
+    st.lists(st.binary(max_size=60), max_size=6),
+    st.lists(st.integers(1, 40), min_size=1, max_size=20),
+    st.booleans(),
+)
 def test_chunks_come_apart_wherever_the_bytes_are_cut(pieces, cuts, signed):
     data = framed(pieces, {b"x-amz-checksum-crc32": b"AAAAAA=="}, SIGNED if signed else b"")
     chunks, out, at, turn = Chunks(), b"", 0, 0
     while at < len(data):
         size = cuts[turn % len(cuts)]
-        out += b"".join(chunks.feed(data[at:at + size]))
+        out += b"".join(chunks.feed(data[at : at + size]))
         at, turn = at + size, turn + 1
     chunks.end()
     assert out == b"".join(pieces) and chunks.over
@@ -53,12 +56,22 @@
     assert len(chunks.rest) <= 1024
 
 
-@pytest.mark.parametrize("data, code", [
-    (b"zz\r\n", "InvalidRequest"), (b"5\r\nhello", "IncompleteBody"), (b"5\r\nhelloX\r\n", "InvalidRequest"),
-    (b"5\nhello", "InvalidRequest"), (b"0\r\nbad trailer\r\n\r\n", "InvalidRequest"), (b"", "IncompleteBody"),
-    (b"0\r\n\r\nmore\r\n", "InvalidRequest"), (b"5;chunk-signature=short\r\n", "InvalidRequest"),
-    (b"x" * 2000, "InvalidRequest"), (framed([], {b"a%d" % i: b"" for i in range(9)}), "InvalidRequest"),
-    (b"fffffffff\r\n", "InvalidRequest")])
+@pytest.mark.parametrize(
+    "data, code",
+    [
+        (b"zz\r\n", "InvalidRequest"),
+        (b"5\r\nhello", "IncompleteBody"),
+        (b"5\r\nhelloX\r\n", "InvalidRequest"),
+        (b"5\nhello", "InvalidRequest"),
+        (b"0\r\nbad trailer\r\n\r\n", "InvalidRequest"),
+        (b"", "IncompleteBody"),
+        (b"0\r\n\r\nmore\r\n", "InvalidRequest"),
+        (b"5;chunk-signature=short\r\n", "InvalidRequest"),
+        (b"x" * 2000, "InvalidRequest"),
+        (framed([], {b"a%d" % i: b"" for i in range(9)}), "InvalidRequest"),
+        (b"fffffffff\r\n", "InvalidRequest"),
+    ],
+)
 def test_framing_that_breaks_is_told(data, code):
     chunks = Chunks()
     with pytest.raises(Error) as error:
@@ -95,19 +108,28 @@
             told(framed([b"hello"], wrong), headers)
 
 
-@pytest.mark.parametrize("headers, code", [
-    ({b"x-amz-decoded-content-length": b"6"}, "IncompleteBody"),
-    ({b"x-amz-decoded-content-length": b"4"}, "IncompleteBody"),
-    ({b"x-amz-decoded-content-length": b"-1"}, "InvalidArgument"),
-    ({b"x-amz-trailer": b"x-amz-checksum-crc64nvme"}, "NotImplemented")])
+@pytest.mark.parametrize(
+    "headers, code",
+    [
+        ({b"x-amz-decoded-content-length": b"6"}, "IncompleteBody"),
+        ({b"x-amz-decoded-content-length": b"4"}, "IncompleteBody"),
+        ({b"x-amz-decoded-content-length": b"-1"}, "InvalidArgument"),
+        ({b"x-amz-trailer": b"x-amz-checksum-crc64nvme"}, "NotImplemented"),
+    ],
+)
 def test_what_is_said_of_a_framed_body_must_hold(headers, code):
     with pytest.raises(Error, match=code):
         told(framed([b"hello"]), STREAMING | headers)
 
 
 def test_a_node_gets_the_bare_body_and_the_coding_that_is_the_objects_own():
-    headers = [(b"content-encoding", b"aws-chunked,gzip"), (b"x-amz-decoded-content-length", b"5"),
-               (b"x-amz-trailer", b"x"), (b"x-amz-content-sha256", b"STREAMING-X"), (b"content-type", b"a/b")]
+    headers = [
+        (b"content-encoding", b"aws-chunked,gzip"),
+        (b"x-amz-decoded-content-length", b"5"),
+        (b"x-amz-trailer", b"x"),
+        (b"x-amz-content-sha256", b"STREAMING-X"),
+        (b"content-type", b"a/b"),
+    ]
     assert bare(headers) == [(b"content-encoding", b"gzip"), (b"content-type", b"a/b")]
     assert bare([(b"content-encoding", b"aws-chunked")]) == []
 
@@ -127,18 +149,32 @@
             assert got["Body"].read() == body and got["ContentType"] == "text/x"
         upload = s3.create_multipart_upload(Bucket=bucket, Key="m")["UploadId"]
         part = s3.upload_part(Bucket=bucket, Key="m", UploadId=upload, PartNumber=1, Body=b"part")
-        s3.complete_multipart_upload(Bucket=bucket, Key="m", UploadId=upload, MultipartUpload={
-            "Parts": [{"PartNumber": 1, "ETag": part["ETag"]}]})
+        s3.complete_multipart_upload(
+            Bucket=bucket,
+            Key="m",
+            UploadId=upload,
+            MultipartUpload={"Parts": [{"PartNumber": 1, "ETag": part["ETag"]}]},
+        )
         assert s3.get_object(Bucket=bucket, Key="m")["Body"].read() == b"part"
         s3.delete_object(Bucket=bucket, Key="m")
         with pytest.raises(ClientError, match="NoSuchKey"):
             s3.get_object(Bucket=bucket, Key="m")
         s3.close()
 
-    lines = [f"PUT /{bucket}/bad HTTP/1.1", "host: x", "content-length: 46",
-             "x-amz-trailer: x-amz-checksum-crc32",
-             "x-amz-content-sha256: STREAMING-UNSIGNED-PAYLOAD-TRAILER", "",
-             "5", "hello", "0", "x-amz-checksum-crc32:AAAAAA==", "", ""]
+    lines = [
+        f"PUT /{bucket}/bad HTTP/1.1",
+        "host: x",
+        "content-length: 46",
+        "x-amz-trailer: x-amz-checksum-crc32",
+        "x-amz-content-sha256: STREAMING-UNSIGNED-PAYLOAD-TRAILER",
+        "",
+        "5",
+        "hello",
+        "0",
+        "x-amz-checksum-crc32:AAAAAA==",
+        "",
+        "",
+    ]
     wrong = r"\r\n".join(lines)
 
     async def play() -> None:
--- a/tests/test_broken_off.py
+++ b/tests/test_broken_off.py
@@ -19,8 +19,11 @@
     async def run() -> None:
         async with World() as world:
             client = Raw(getattr(world, front))
-            client.say(request(1, *keep, version="1.0") if front == "platform" else
-                       "\r\n".join(["GET /plates/a HTTP/1.0", "host: x", *keep, "", ""]).encode())
+            client.say(
+                request(1, *keep, version="1.0")
+                if front == "platform"
+                else "\r\n".join(["GET /plates/a HTTP/1.0", "host: x", *keep, "", ""]).encode()
+            )
             await world.play("n0 expect GET\nn0 send raw 'HTTP/1.1 200 OK\\r\\n\\r\\n' fill=100000")
             await client.read(until=b"x" * 90_000)
             if broken:
@@ -43,8 +46,9 @@
         async with World() as world:
             client, _ = await come(world, request(1))
             start = "ffffff\\r\\n" if "chunked" in form else ""
-            await world.play(f"n0 expect GET\n"
-                             f"n0 send raw 'HTTP/1.1 200 OK\\r\\n{form}\\r\\n\\r\\n{start}' fill=100000")
+            await world.play(
+                f"n0 expect GET\n" f"n0 send raw 'HTTP/1.1 200 OK\\r\\n{form}\\r\\n\\r\\n{start}' fill=100000"
+            )
             await client.read(until=b"x" * 1000)
             await world.play("n0 close")
             got = await client.read()
--- a/tests/test_buffer_bounds.py
+++ b/tests/test_buffer_bounds.py
@@ -132,8 +132,9 @@
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             reader, writer = await asyncio.open_connection(*world.objects)
-            writer.write(b"PUT /plates/a HTTP/1.1\r\nhost: x\r\ncontent-length: 900000\r\n\r\n"
-                         + bytes(600_000))
+            writer.write(
+                b"PUT /plates/a HTTP/1.1\r\nhost: x\r\ncontent-length: 900000\r\n\r\n" + bytes(600_000)
+            )
             await writer.drain()
             async with asyncio.timeout(10):
                 while not world.buffer_part.core.live.get(world.buffer_part.core.newest):
@@ -151,19 +152,21 @@
 
 def test_a_bronze_limit_holds_for_the_flush_as_for_clients(nodes, tmp_path):
     """Bronze bears 49 units a second and 67 at once, 8 more in slack: the flush waits its turn."""
+
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             world.buffer_part.sender.settings.plans["plates"] = "bronze"
             for i in range(160):
                 await world.play(f"o1 send PUT /plates/k{i} body=v\no1 expect 200 x-mallowbeam-durable")
-                if i % 2:                      # the same volume's clients surge meanwhile
-                    await world.play(f"o2 send PUT /plates/direct{i} body=v x-amz-tagging:a=b\n"
-                                     "o2 expect '200|503'")
+                if i % 2:  # the same volume's clients surge meanwhile
+                    await world.play(
+                        f"o2 send PUT /plates/direct{i} body=v x-amz-tagging:a=b\n" "o2 expect '200|503'"
+                    )
             await world.flushed()
 
     run(play())
     times = sorted(r.at for n in nodes for r in n.store.history)
-    assert len(times) >= 160                   # a direct one may always be refused
+    assert len(times) >= 160  # a direct one may always be refused
     for i in range(len(times)):
         for j in range(i + 1, len(times)):
             assert j - i + 1 <= 67 + 8 + 49 * (times[j] - times[i] + 0.15) + 1
@@ -171,6 +174,7 @@
 
 def test_an_upgrade_hands_the_folder_over(nodes, tmp_path):
     """What the old process acknowledged the new one serves and flushes; the old one says SlowDown."""
+
     async def play() -> None:
         async with Buffered(nodes, tmp_path, meet=True) as old:
             old.keep_still()
@@ -238,6 +242,7 @@
 
 def test_a_direct_write_is_refused_while_its_key_cannot_be_cleared(nodes, tmp_path):
     """Else the buffered one, taken in before it, would replace it."""
+
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             world.keep_still()
@@ -254,9 +259,17 @@
     assert writes(nodes) == ["PUT /plates/b"]
 
 
-@pytest.mark.parametrize("there, seen, outcome", [
-    ("", "", Outcome.STORED), ("other", "", Outcome.DECLINED), ("other", "seen", Outcome.STORED),
-    ("", "seen", Outcome.DECLINED), ("newer", "seen", Outcome.DECLINED), ("newer", None, Outcome.STORED)])
+@pytest.mark.parametrize(
+    "there, seen, outcome",
+    [
+        ("", "", Outcome.STORED),
+        ("other", "", Outcome.DECLINED),
+        ("other", "seen", Outcome.STORED),
+        ("", "seen", Outcome.DECLINED),
+        ("newer", "seen", Outcome.DECLINED),
+        ("newer", None, Outcome.STORED),
+    ],
+)
 def test_what_follows_a_reading_back_is_tied_to_what_was_seen(nodes, tmp_path, there, seen, outcome):
     """`seen` is the version of `other`, "" for none: whoever wrote since must not be replaced."""
     other = f'"{hashlib.md5(b"other").hexdigest()}"'
@@ -278,6 +291,7 @@
 
 def test_a_body_that_outgrows_the_buffer_on_its_way_in_is_refused_and_leaves_nothing(nodes, tmp_path):
     """Its length is not told, so that it is found out only on the way."""
+
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             core = world.buffer_part.core
@@ -336,8 +350,11 @@
             world.keep_still()
             for key in keys_at(0, 3):
                 await world.play(f"o1 send PUT /plates/{key} body={key}\no1 expect 200 x-mallowbeam-durable")
-            members = [member("n0", nodes[0].host_port, 0, "draining"), member("n9", new.host_port, 0),
-                       member("n1", nodes[1].host_port, 1)]
+            members = [
+                member("n0", nodes[0].host_port, 0, "draining"),
+                member("n9", new.host_port, 0),
+                member("n1", nodes[1].host_port, 1),
+            ]
             body = json.dumps({"revision": 7, "complete": True, "members": members})
             await world.play(f"d expect GET\nd send 200 'body={body}'")
             async with asyncio.timeout(10):
--- a/tests/test_buffer_core.py
+++ b/tests/test_buffer_core.py
@@ -108,6 +108,7 @@
 
 def test_a_version_that_came_from_elsewhere_is_held_where_others_may_write():
     from dataclasses import replace
+
     world = World(replace(LIMITS, sole_writer=False))
     lsn = world.offer("a", b"k")
     world.commit()
@@ -140,14 +141,18 @@
     world.commit()
     assert sent(world) == [] and world.core.before(barrier) == 1
     assert world.core.release(world.now, lsn, True)
-    world.nodes.applied["a", b"1"] = lsn       # dropped: it counts for the barrier as if it were there
+    world.nodes.applied["a", b"1"] = lsn  # dropped: it counts for the barrier as if it were there
     assert sent(world) == [behind] and lsn not in world.core.entries
 
 
 def test_what_is_full_goes_direct_unless_its_order_forbids():
     from dataclasses import replace
-    for limits in (replace(LIMITS, max_records=1), replace(LIMITS, max_bytes=COST + 10),
-                   replace(LIMITS, max_age=5.0)):
+
+    for limits in (
+        replace(LIMITS, max_records=1),
+        replace(LIMITS, max_bytes=COST + 10),
+        replace(LIMITS, max_age=5.0),
+    ):
         world = World(limits)
         world.offer("a", b"k")
         world.commit()
@@ -193,8 +198,9 @@
 
 def test_repeats_keep_within_their_budget_and_a_floor():
     """All nodes fail: after the stock is used, repeats go at the floor's rate whatever waits."""
-    world = World(Limits(shards=1, in_flight=64, per_shard=64, repeat_floor=2.0, window=None,
-                         backoff_most=0.1))
+    world = World(
+        Limits(shards=1, in_flight=64, per_shard=64, repeat_floor=2.0, window=None, backoff_most=0.1)
+    )
     for i in range(40):
         world.offer("a", b"%d" % i)
     world.commit()
@@ -228,6 +234,7 @@
 
 def test_an_old_segment_that_one_held_write_keeps_is_emptied_by_copying():
     from dataclasses import replace
+
     world = World(replace(LIMITS, max_bytes=3000, max_records=1000))
     held = world.offer("a", b"k")
     barrier = world.barrier("a")
@@ -248,6 +255,7 @@
 
 def test_doubt_costs_a_read_before_anything_else_without_keys():
     from dataclasses import replace
+
     world = World(replace(LIMITS, keyed=False))
     lsn = world.offer("a", b"k")
     world.commit()
@@ -286,7 +294,7 @@
     world.commit()
     done = world.pending
     assert done and done[0][0] == "done"
-    world.pending = []                         # the disk did not take that word
+    world.pending = []  # the disk did not take that word
     world.plan()
     assert not world.pending and not world.sends
     world.core.not_settled(done[0][1])
--- a/tests/test_buffer_crash.py
+++ b/tests/test_buffer_crash.py
@@ -30,7 +30,7 @@
 def test_a_reader_who_sees_what_was_never_offered_is_noticed(tmp_path, monkeypatch):
     class Chance(random.Random):
         def random(self) -> float:
-            return 0.1                         # a read
+            return 0.1  # a read
 
     trial = asyncio.run(lane(tmp_path / "lane", 7, 0, asyncio.Queue()))
 
--- a/tests/test_buffer_format.py
+++ b/tests/test_buffer_format.py
@@ -27,8 +27,10 @@
 from mallowbeam.standins.disk import SimDisk
 
 
-@pytest.mark.parametrize("change, words", [
-    ({"version": 2}, "version 2"), ({"format": "else"}, "no buffer"), (None, "can't be read")])
+@pytest.mark.parametrize(
+    "change, words",
+    [({"version": 2}, "version 2"), ({"format": "else"}, "no buffer"), (None, "can't be read")],
+)
 def test_what_is_not_ours_or_newer_is_refused(change, words):
     disk, _ = filled(2)
     told = json.loads(disk.files["folder.json"].now)
@@ -64,10 +66,17 @@
     assert 3 in stands and 99 not in stands
 
 
-@given(st.lists(st.one_of(
-    st.tuples(st.just("record"), st.binary(max_size=300)),
-    st.tuples(st.just("junk"), st.binary(max_size=300)),
-    st.tuples(st.just("zeros"), st.integers(0, 300))), max_size=12), st.integers(1, 64))
+@given(
+    st.lists(
+        st.one_of(
+            st.tuples(st.just("record"), st.binary(max_size=300)),
+            st.tuples(st.just("junk"), st.binary(max_size=300)),
+            st.tuples(st.just("zeros"), st.integers(0, 300)),
+        ),
+        max_size=12,
+    ),
+    st.integers(1, 64),
+)
 def test_a_scan_gives_back_every_record_and_accounts_for_every_byte(things, chunk):
     marker, data, wanted = 0x51A7C0DE, b"", []
     for lsn, (kind, value) in enumerate(things, 1):
@@ -76,7 +85,7 @@
             data += b"".join(frame(marker, Kind.PIECE, lsn, 0, [value]))
         else:
             data += value if kind == "junk" else bytes(value)
-    parts = iter([data[at:at + chunk] for at in range(0, len(data), chunk)])
+    parts = iter([data[at : at + chunk] for at in range(0, len(data), chunk)])
     found = list(scan(parts, 1, marker, 0))
     assert [(r.lsn, bytes(r.payload)) for r in found if isinstance(r, Record)] == wanted
     at = SEGMENT.size
@@ -84,7 +93,7 @@
         assert thing.offset == at
         at = thing.end if isinstance(thing, Record) else thing.offset + thing.length
         if isinstance(thing, Bad):
-            piece = data[thing.offset - SEGMENT.size:][:thing.length]
+            piece = data[thing.offset - SEGMENT.size :][: thing.length]
             assert thing.blank == (not any(piece))
     assert at == SEGMENT.size + len(data)
 
@@ -101,9 +110,9 @@
     """More than a megabyte of it, so that the scan does not hold all at once."""
     marker = 0x51A7C0DE
     good = b"".join(frame(marker, Kind.PIECE, 1, 0, [b"behind"]))
-    for short in range(-1, 5):                 # bytes of the marker that come before the second read ends
+    for short in range(-1, 5):  # bytes of the marker that come before the second read ends
         data = b"j" * ((2 << 20) - short) + good
-        parts = iter([data[at:at + (1 << 20)] for at in range(0, len(data), 1 << 20)])
+        parts = iter([data[at : at + (1 << 20)] for at in range(0, len(data), 1 << 20)])
         bad, record = scan(parts, 1, marker, 0)
         assert isinstance(bad, Bad) and bad.length == len(data) - len(good) and not bad.blank
         assert isinstance(record, Record) and record.payload == b"behind"
@@ -128,6 +137,7 @@
 
 def test_a_large_log_is_read_through_in_little_memory():
     import tracemalloc
+
     disk = SimDisk()
     log = Log(disk, 64 << 20)
     log.settle(log.open())
--- a/tests/test_buffer_front.py
+++ b/tests/test_buffer_front.py
@@ -107,21 +107,35 @@
     run(play())
 
 
-@pytest.mark.parametrize("headers, etag, allowed", [
-    ({}, None, True), ({b"if-none-match": b"*"}, None, True), ({b"if-none-match": b"*"}, '"a"', False),
-    ({b"if-match": b"*"}, None, False), ({b"if-match": b'"b", "a"'}, '"a"', True),
-    ({b"if-match": b"a"}, '"a"', True),
-    ({b"if-match": b'W/"a"'}, '"a"', False), ({b"if-none-match": b'W/"a"'}, '"a"', False)])
+@pytest.mark.parametrize(
+    "headers, etag, allowed",
+    [
+        ({}, None, True),
+        ({b"if-none-match": b"*"}, None, True),
+        ({b"if-none-match": b"*"}, '"a"', False),
+        ({b"if-match": b"*"}, None, False),
+        ({b"if-match": b'"b", "a"'}, '"a"', True),
+        ({b"if-match": b"a"}, '"a"', True),
+        ({b"if-match": b'W/"a"'}, '"a"', False),
+        ({b"if-none-match": b'W/"a"'}, '"a"', False),
+    ],
+)
 def test_conditions_on_writes(headers, etag, allowed):
     assert write_allowed(headers, etag) is allowed
 
 
-@pytest.mark.parametrize("headers, status", [
-    ({}, 200), ({b"if-modified-since": b"Tue, 01 Dec 2026 00:00:00 GMT"}, 304),
-    ({b"if-modified-since": b"Tue, 01 Dec 2020 00:00:00 GMT"}, 200), ({b"if-modified-since": b"never"}, 200),
-    ({b"if-unmodified-since": b"Tue, 01 Dec 2020 00:00:00 GMT"}, 412),
-    ({b"if-match": b'"a"', b"if-unmodified-since": b"Tue, 01 Dec 2020 00:00:00 GMT"}, 200),
-    ({b"if-none-match": b'"b"', b"if-modified-since": b"Tue, 01 Dec 2026 00:00:00 GMT"}, 200)])
+@pytest.mark.parametrize(
+    "headers, status",
+    [
+        ({}, 200),
+        ({b"if-modified-since": b"Tue, 01 Dec 2026 00:00:00 GMT"}, 304),
+        ({b"if-modified-since": b"Tue, 01 Dec 2020 00:00:00 GMT"}, 200),
+        ({b"if-modified-since": b"never"}, 200),
+        ({b"if-unmodified-since": b"Tue, 01 Dec 2020 00:00:00 GMT"}, 412),
+        ({b"if-match": b'"a"', b"if-unmodified-since": b"Tue, 01 Dec 2020 00:00:00 GMT"}, 200),
+        ({b"if-none-match": b'"b"', b"if-modified-since": b"Tue, 01 Dec 2026 00:00:00 GMT"}, 200),
+    ],
+)
 def test_conditions_on_reads(headers, status):
     """The order of RFC 9110, 13.2.2: tags go before dates."""
     assert read_status(headers, '"a"', 1_700_000_000.4) == status
@@ -153,8 +167,12 @@
             world.keep_still()
             await world.play("o1 send PUT /plates/a body=one\no1 expect 200")
             reader, writer = await asyncio.open_connection(*world.objects)
-            writer.write(b"PUT /plates/a HTTP/1.1\r\nhost: x\r\nif-match: \"" + tag
-                         + b"\"\r\ncontent-length: 600000\r\n\r\n" + bytes(500_000))
+            writer.write(
+                b'PUT /plates/a HTTP/1.1\r\nhost: x\r\nif-match: "'
+                + tag
+                + b'"\r\ncontent-length: 600000\r\n\r\n'
+                + bytes(500_000)
+            )
             await asyncio.sleep(0.1)
             await world.play("o1 send PUT /plates/a body=two\no1 expect 200")
             writer.write(bytes(100_000))
@@ -171,11 +189,12 @@
         async with Buffered(nodes, tmp_path) as world:
             hold(nodes, 0.5)
             reader, writer = await asyncio.open_connection(*world.objects)
-            writer.write(b"PUT /plates/big HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n"
-                         b"x-amz-checksum-crc32c: " + base64.b64encode(crc32c(body).to_bytes(4, "big"))
-                         + b"\r\n\r\n")
+            writer.write(
+                b"PUT /plates/big HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n"
+                b"x-amz-checksum-crc32c: " + base64.b64encode(crc32c(body).to_bytes(4, "big")) + b"\r\n\r\n"
+            )
             for at in range(0, len(body), 50_000):
-                piece = body[at:at + 50_000]
+                piece = body[at : at + 50_000]
                 writer.write(b"%x\r\n%b\r\n" % (len(piece), piece))
             writer.write(b"0\r\n\r\n")
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
--- a/tests/test_buffer_log.py
+++ b/tests/test_buffer_log.py
@@ -35,6 +35,7 @@
 def test_the_power_goes_again_at_every_call_of_the_recovery_and_of_the_life_after_it():
     """Two crashes in a row, the second at each call from the first of the recovery on."""
     for first_cut, seed in ((17, 1), (40, 2), (58, 3)):
+
         def disk() -> tuple[Work, SimDisk]:
             work = Work()
             return work, run(work, SimDisk(), first_cut).crashed(seed)  # noqa: B023
@@ -51,6 +52,7 @@
 
 def test_a_checker_that_sees_no_loss_would_be_none():
     """A log that does not sync is caught by the same judge."""
+
     class Lazy(SimDisk):
         def open(self, name, new=False):
             file = super().open(name, new)
@@ -84,8 +86,10 @@
         if lost:
             assert [a.acknowledged for a in apart] == [True]
             assert apart[0].offset <= offset < apart[0].offset + apart[0].length
-            assert copy.files[apart[0].name].now == copy.files[name].now[
-                apart[0].offset:apart[0].offset + apart[0].length]
+            assert (
+                copy.files[apart[0].name].now
+                == copy.files[name].now[apart[0].offset : apart[0].offset + apart[0].length]
+            )
         assert all(data == body(lsn) for lsn, data in stands.items())
 
 
@@ -145,7 +149,7 @@
     log.commit([Item(Kind.VOID, 4, pack(Kind.VOID, Done([2]))), write(5)])
     assert log.number == bad + 1 and len(disk.files[name_of(bad)].now) == size
     log.close()
-    for seed in range(20):                     # whether or not the failed batch reached the disk
+    for seed in range(20):  # whether or not the failed batch reached the disk
         _, stands, *_ = opened(disk.crashed(seed))
         assert stands == {1: body(1), 5: body(5)}
 
--- a/tests/test_buffer_model.py
+++ b/tests/test_buffer_model.py
@@ -15,8 +15,9 @@
     def begin(self) -> None:
         self.world = World()
 
-    @rule(key=st.integers(0, 4), bucket=st.sampled_from("ab"),
-          method=st.sampled_from(["PUT", "PUT", "DELETE"]))
+    @rule(
+        key=st.integers(0, 4), bucket=st.sampled_from("ab"), method=st.sampled_from(["PUT", "PUT", "DELETE"])
+    )
     def put(self, key: int, bucket: str, method: str) -> None:
         self.world.offer(bucket, b"%d" % key, method)
 
@@ -38,8 +39,10 @@
         self.world.plan(direct)
 
     @precondition(lambda self: self.world.sends)
-    @rule(which=st.integers(0, 9),
-          how=st.sampled_from(["stored", "stored", "stored", "ran", "late", "refused", "gone"]))
+    @rule(
+        which=st.integers(0, 9),
+        how=st.sampled_from(["stored", "stored", "stored", "ran", "late", "refused", "gone"]),
+    )
     def answer(self, which: int, how: str) -> None:
         self.world.answer(sorted(self.world.sends)[which % len(self.world.sends)], how)
 
@@ -67,6 +70,7 @@
 
 
 # Some 45 steps a run, over 10,000 in all; what fails is printed with what reproduces it.
-Machine.TestCase.settings = hypothesis_settings(max_examples=300, stateful_step_count=50, deadline=None,
-                                                print_blob=True)
+Machine.TestCase.settings = hypothesis_settings(
+    max_examples=300, stateful_step_count=50, deadline=None, print_blob=True
+)
 TestTheCoreAgainstAModel = Machine.TestCase
--- a/tests/test_buffer_order.py
+++ b/tests/test_buffer_order.py
@@ -94,6 +94,7 @@
 
 def test_a_barrier_that_cannot_pass_in_time_is_answered_at_once(nodes, tmp_path):
     """A held write stands before it: no waiting for the deadline, and its number to ask for later."""
+
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             key = keys_at(0, 1)[0]
@@ -113,6 +114,7 @@
 
 def test_a_crash_between_a_barriers_word_and_its_flush(nodes, tmp_path):
     """Acknowledged, killed before a byte went out, killed again: the order still holds."""
+
     async def first() -> None:
         async with Buffered(nodes, tmp_path) as world:
             hold(nodes, 3600)
@@ -162,6 +164,7 @@
 
 def test_a_node_that_answers_and_dies_and_comes_back_empty(nodes, tmp_path):
     """Its 200 counts; what was still meant for it goes to the one in its place."""
+
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             nodes[0].script.add(Rule("answer-die", "PUT"))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -26,8 +26,14 @@
 
 
 def mallowbeam(*args: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "mallowbeam", *args], cwd=ROOT, capture_output=True,
-                          text=True, timeout=60, env={**os.environ, "COLUMNS": "200"})
+    return subprocess.run(
+        [sys.executable, "-m", "mallowbeam", *args],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env={**os.environ, "COLUMNS": "200"},
+    )
 
 
 def operators(**buffer) -> dict:
@@ -36,14 +42,18 @@
     return raw
 
 
-@pytest.mark.parametrize("change, words", [
-    ({"max_bytes": 1000}, r"buffer\.max_bytes: expected `int` >= 4194304"),
-    ({"max_bytes": "1 MiB"}, r"buffer\.max_bytes: expected `int`, got `str`"),
-    ({"buckets": ["UPPER"]}, r"buffer\.buckets\[.*\]: expected `str` matching"),
-    ({"buckets": []}, r"buffer\.buckets: must name"),
-    ({"color": 1}, r"buffer: object contains unknown field `color`"),
-    ({"repeat_share": 2}, r"buffer\.repeat_share: expected `float` <= 1"),
-    ({"max_bytes": 8 << 20}, r"buffer\.segment_bytes: must be at most a quarter")])
+@pytest.mark.parametrize(
+    "change, words",
+    [
+        ({"max_bytes": 1000}, r"buffer\.max_bytes: expected `int` >= 4194304"),
+        ({"max_bytes": "1 MiB"}, r"buffer\.max_bytes: expected `int`, got `str`"),
+        ({"buckets": ["UPPER"]}, r"buffer\.buckets\[.*\]: expected `str` matching"),
+        ({"buckets": []}, r"buffer\.buckets: must name"),
+        ({"color": 1}, r"buffer: object contains unknown field `color`"),
+        ({"repeat_share": 2}, r"buffer\.repeat_share: expected `float` <= 1"),
+        ({"max_bytes": 8 << 20}, r"buffer\.segment_bytes: must be at most a quarter"),
+    ],
+)
 def test_a_wrong_setting_is_one_line_with_its_place(change, words):
     with pytest.raises(BadConfig, match=words) as error:
         check(operators(**change))
@@ -61,12 +71,21 @@
     for path in (EXAMPLE / "fronts.json", EXAMPLE / "buffered.json", ROOT / "deploy" / "fronts.json"):
         done = mallowbeam("config", "check", str(path))
         assert (done.returncode, done.stderr) == (0, "")
-    done = mallowbeam("config", "check", str(EXAMPLE / "fronts.json"), "--balancer",
-                      str(EXAMPLE / "config.json"))
+    done = mallowbeam(
+        "config", "check", str(EXAMPLE / "fronts.json"), "--balancer", str(EXAMPLE / "config.json")
+    )
     assert done.returncode == 0, done.stderr
     told = json.loads(mallowbeam("config", "schema").stdout)
     assert told == schema() and set(told["$defs"]["Operators"]["properties"]) == {
-        "objects", "health", "agent_check", "buffer", "policy", "maintenance", "shares", "pools"}
+        "objects",
+        "health",
+        "agent_check",
+        "buffer",
+        "policy",
+        "maintenance",
+        "shares",
+        "pools",
+    }
 
 
 def test_a_bad_file_ends_the_check_with_status_2(tmp_path):
@@ -129,19 +148,34 @@
 
 def test_drain_brings_a_folder_to_the_nodes_and_lets_go_what_was_held(tmp_path):
     node = ObjectNode()
-    rig = Rig(tmp_path / "rig", [node], buffer={"buckets": ["plates"], "max_bytes": 16 << 20,
-                                                "segment_bytes": 1 << 20})
+    rig = Rig(
+        tmp_path / "rig",
+        [node],
+        buffer={"buckets": ["plates"], "max_bytes": 16 << 20, "segment_bytes": 1 << 20},
+    )
     try:
         rig.store.rmdir()
         folder_with(rig.store, b"one", b"two", b"three", hold=2)
-        args = ["buffer", "drain", "--fronts", str(rig.folder / "fronts.json"), "--balancer",
-                str(rig.folder / "config.json"), "--seconds", "20", "--json"]
+        args = [
+            "buffer",
+            "drain",
+            "--fronts",
+            str(rig.folder / "fronts.json"),
+            "--balancer",
+            str(rig.folder / "config.json"),
+            "--seconds",
+            "20",
+            "--json",
+        ]
         done = mallowbeam(*args)
         assert (done.returncode, json.loads(done.stdout)) == (1, {"left": 1, "held": 1}), done.stderr
         done = mallowbeam(*args, "--send-held", "2")
         assert (done.returncode, json.loads(done.stdout)) == (0, {"left": 0, "held": 0}), done.stderr
         assert {path: stored.body for path, stored in node.store.objects.items()} == {
-            "/plates/k1": b"one", "/plates/k2": b"two", "/plates/k3": b"three"}
+            "/plates/k1": b"one",
+            "/plates/k2": b"two",
+            "/plates/k3": b"three",
+        }
         assert json.loads(mallowbeam("buffer", "show", str(rig.store), "--json").stdout)["writes"] == 0
     finally:
         rig.close()
@@ -149,18 +183,20 @@
 
 def test_the_gateway_alone_loads_nothing_of_it_all(tmp_path):
     """Off costs nothing: neither the command line nor the buffer, nor what they need, is imported."""
-    code = ("import sys, mallowbeam.__main__\n"
-            "async def run(*_, **__): pass\n"
-            "from mallowbeam import program\n"
-            "program.Gateway.run = run\n"         # with its doors made, all that is on has been loaded
-            "assert program.run() == 0\n"
-            "bad = [m for m in sys.modules if m.split('.')[0] in ('typer', 'click', 'rich', 'msgspec', "
-            "'crc32c', 'lmdb', 'pydantic', 'pysyncobj', 'httpx', 'prometheus_client', 'lark') "
-            "or m.startswith(('mallowbeam.buffer', "
-            "'mallowbeam.cli', 'mallowbeam.fleet', 'mallowbeam.lab', 'mallowbeam.standins', "
-            "'mallowbeam.operators', "
-            "'mallowbeam.fronts.objects'))]\n"
-            "assert not bad, bad")
+    code = (
+        "import sys, mallowbeam.__main__\n"
+        "async def run(*_, **__): pass\n"
+        "from mallowbeam import program\n"
+        "program.Gateway.run = run\n"  # with its doors made, all that is on has been loaded
+        "assert program.run() == 0\n"
+        "bad = [m for m in sys.modules if m.split('.')[0] in ('typer', 'click', 'rich', 'msgspec', "
+        "'crc32c', 'lmdb', 'pydantic', 'pysyncobj', 'httpx', 'prometheus_client', 'lark') "
+        "or m.startswith(('mallowbeam.buffer', "
+        "'mallowbeam.cli', 'mallowbeam.fleet', 'mallowbeam.lab', 'mallowbeam.standins', "
+        "'mallowbeam.operators', "
+        "'mallowbeam.fronts.objects'))]\n"
+        "assert not bad, bad"
+    )
     env = {**os.environ, "BALANCER_CONFIG": str(tmp_path / "config.json"), "TMPDIR": str(tmp_path)}
     env.pop("MALLOWBEAM_FRONTS", None)
     discovery, (sock, port) = Discovery([]), hold_port()
@@ -175,10 +211,19 @@
     done = mallowbeam("serve", "--log-format", "yaml")
     assert done.returncode == 2 and "text or json" in done.stderr
     rig = Rig(tmp_path / "rig", [ObjectNode()], buffer={"buckets": ["plates"]})
-    env = {**os.environ, "TMPDIR": str(rig.folder), "BALANCER_CONFIG": str(rig.folder / "config.json"),
-           "MALLOWBEAM_FRONTS": str(rig.folder / "fronts.json")}
-    process = subprocess.Popen([sys.executable, "-m", "mallowbeam", "serve", "--log-format", "json"],
-                               cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True)
+    env = {
+        **os.environ,
+        "TMPDIR": str(rig.folder),
+        "BALANCER_CONFIG": str(rig.folder / "config.json"),
+        "MALLOWBEAM_FRONTS": str(rig.folder / "fronts.json"),
+    }
+    process = subprocess.Popen(
+        [sys.executable, "-m", "mallowbeam", "serve", "--log-format", "json"],
+        cwd=ROOT,
+        env=env,
+        stderr=subprocess.PIPE,
+        text=True,
+    )
     try:
         lines = [json.loads(process.stderr.readline())["record"] for _ in range(2)]
         assert {line["level"]["name"] for line in lines} == {"INFO"}
@@ -203,8 +248,12 @@
     (tmp_path / "config.json").write_text(json.dumps(config))
     for sock in held:
         sock.close()
-    process = subprocess.Popen([sys.executable, "-m", "mallowbeam.standins", str(tmp_path / "config.json")],
-                               cwd=ROOT, stdout=subprocess.PIPE, text=True)
+    process = subprocess.Popen(
+        [sys.executable, "-m", "mallowbeam.standins", str(tmp_path / "config.json")],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        text=True,
+    )
     try:
         assert "2 nodes and discovery are up" in process.stdout.readline()
         with urllib.request.urlopen(f"http://{config['discovery']}/v1/servers", timeout=10) as answer:
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -13,7 +13,7 @@
 from mallowbeam.http import connection as connections
 from mallowbeam.http.connection import PIPELINED
 
-MANY = 200                  # more than what is read ahead
+MANY = 200  # more than what is read ahead
 WAYS = {"close": Raw.leave, "reset": lambda client: client.leave(reset=True), "half": Raw.end}
 
 
@@ -51,7 +51,7 @@
                 await until(lambda: len(here.channel.framer.ready) > PIPELINED)
             WAYS[way](client)
             await nothing_more(world)
-            if way == "half":                  # an end of its sending counts as one of the connection
+            if way == "half":  # an end of its sending counts as one of the connection
                 assert await client.read() == b""
 
     uvloop.run(run())
@@ -66,7 +66,7 @@
             client, here = await come(world, b"".join(request(i) for i in range(1, MANY)))
             await world.play("n0 expect GET")
             await until(lambda: here.held)
-            here.looks.cancel()                # no look comes now
+            here.looks.cancel()  # no look comes now
             client.leave()
             await world.play("n0 send 200 body=one")
             await until(lambda: not world.gateway.servers[-1].connections)
@@ -100,9 +100,9 @@
         async with World() as world:
             head = request(1, "content-length: 30000000", "idempotency-key: k", method="PUT", cls="new-write")
             client, here = await come(world, b"")
-            world.parties["n0"].still = True   # it reads nothing
+            world.parties["n0"].still = True  # it reads nothing
             client.say(head)
-            while not here.held:               # the gateway's and the kernel's buffers are full
+            while not here.held:  # the gateway's and the kernel's buffers are full
                 try:
                     client.sock.send(b"x" * 65536)
                 except BlockingIOError:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -17,7 +17,7 @@
 from mallowbeam.http.connection import Connection
 from mallowbeam.http.framing import Channel
 
-LATER = 60.0                # seconds after which anything idle or stalled has been so for too long
+LATER = 60.0  # seconds after which anything idle or stalled has been so for too long
 
 
 def sweep(here: Connection) -> None:
@@ -62,7 +62,7 @@
             arrive(client, here, request(2)[:20])
             WAYS[way](here)
             await until(lambda: here.part is not None)
-            sweep(here)                        # and its time is over
+            sweep(here)  # and its time is over
             assert (await client.read()).startswith(b"HTTP/1.1 408")
 
     uvloop.run(run())
@@ -106,7 +106,7 @@
             crossing.act = lambda: arrive(client, here, b"".join(request(i) for i in range(count)))
             WAYS[way](here)
             assert await client.read() == b""  # an end, and no reset
-            client.say(request(999))           # and once more, after it
+            client.say(request(999))  # and once more, after it
             client.leave()
             await until(lambda: here.task.done())
             await world.play("n0 expect nothing")
@@ -134,10 +134,15 @@
     uvloop.run(run())
 
 
-@pytest.mark.parametrize("behind", [
-    b"".join(request(i) for i in range(2, 400)), b"x" * 100_000,
-    request(2, "content-length: 90000", method="PUT", cls="new-write") + b"x" * 90_000],
-    ids=["pipeline", "garbage", "upload"])
+@pytest.mark.parametrize(
+    "behind",
+    [
+        b"".join(request(i) for i in range(2, 400)),
+        b"x" * 100_000,
+        request(2, "content-length: 90000", method="PUT", cls="new-write") + b"x" * 90_000,
+    ],
+    ids=["pipeline", "garbage", "upload"],
+)
 def test_what_follows_a_request_that_closes_is_read_and_dropped(monkeypatch, behind):
     """Guards the last answer: the reader stopped at the first bytes, and the close over the rest reset it."""
     crossing = Crossing(monkeypatch)
@@ -169,7 +174,7 @@
             await world.play("n0 expect GET\nn0 send 200 body=one")
             await until(lambda: here.stage is Stage.LINGERING)
             with pytest.raises(ConnectionError):
-                while True:                    # far more than the sockets hold between them
+                while True:  # far more than the sockets hold between them
                     await client.loop.sock_sendall(client.sock, b"x" * 65536)
 
     uvloop.run(run())
@@ -220,7 +225,7 @@
             client, here = await come(world, request(1)[:40])
             await until(lambda: here.part is not None)
             here.leave()
-            client.say(request(1)[40:])        # it crosses the end
+            client.say(request(1)[40:])  # it crosses the end
             assert await client.read() == b""
             client.leave()
             await until(lambda: here.task.done())
@@ -307,7 +312,7 @@
             sweep(here)
             assert here.spare and not here.leaving
             here.leave()
-            arrive(client, here, request(1))   # it is read, so that this is no reset
+            arrive(client, here, request(1))  # it is read, so that this is no reset
             await asyncio.wait_for(here.task, 5)
             assert await client.read() == b""
             await world.play("n0 expect nothing")
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -9,22 +9,33 @@
 
 from mallowbeam import Scheduler
 
-SITE = dict(cold_units=76.0, cold_start=0.18, cold_time=17.0, fall_multiple=4.0, fall_window=3.0, units_top=8,
-            shards=1, lasts=6.0)
-FELL = (2039, 2043)                            # draws in which a node fell before the mend
+SITE = dict(
+    cold_units=76.0,
+    cold_start=0.18,
+    cold_time=17.0,
+    fall_multiple=4.0,
+    fall_window=3.0,
+    units_top=8,
+    shards=1,
+    lasts=6.0,
+)
+FELL = (2039, 2043)  # draws in which a node fell before the mend
 HARD = {
     "hosts restart in the middle of the window": dict(
-        hosts=30, restarts=True, demand=8.0, known=0.2, again=False),
+        hosts=30, restarts=True, demand=8.0, known=0.2, again=False
+    ),
     "demand through one host of 200": dict(hosts=200, only=7, demand=8.0),
     "a request larger than the whole budget": dict(hosts=20, units_top=20, cold_units=4.0, demand=4.0),
     "a window longer than the time that it is cold": dict(
-        hosts=20, cold_time=2.0, fall_window=6.0, demand=8.0),
+        hosts=20, cold_time=2.0, fall_window=6.0, demand=8.0
+    ),
     "an even part below one unit": dict(hosts=30, cold_units=24.0, units_top=1, demand=8.0, spread=True),
     "several shards cold at once": dict(hosts=40, shards=6, cold_units=14.0, demand=4.0, hot=True),
     "two starts within one window": dict(hosts=12, again=True, demand=8.0, burst=2.5),
     "hosts told late": dict(hosts=20, told_late=True, demand=4.0),
     "connections that come up late, and attempts again": dict(
-        hosts=30, late=0.3, faulty=0.4, demand=8.0, max_attempts=4),
+        hosts=30, late=0.3, faulty=0.4, demand=8.0, max_attempts=4
+    ),
     "a hot volume, few keys, a burst": dict(hosts=20, hot=True, spread=False, keys=60, burst=2.5, demand=4.0),
 }
 
@@ -45,6 +56,7 @@
 
 def test_the_count_can_fail():
     """Where hosts know of no such rule the node falls, though all have been told of its start."""
+
     def heedless(settings, now):
         return Scheduler(replace(settings, fall_window=None), now)
 
@@ -52,12 +64,30 @@
     assert all(node.fell for node in fleet.play())
 
 
-@pytest.mark.parametrize(("hosts", "spread", "shards"), [
-    (1, True, 1), (5, True, 1), (40, True, 1), (40, False, 1), (200, False, 20)])
+@pytest.mark.parametrize(
+    ("hosts", "spread", "shards"),
+    [(1, True, 1), (5, True, 1), (40, True, 1), (40, False, 1), (200, False, 20)],
+)
 def test_a_cold_node_is_not_left_idle(hosts, spread, shards):
     """Guards the other side: where as much is asked as a warm one serves, it does half of what it can do."""
-    fleet = Fleet(3, **SITE | dict(
-        hosts=hosts, spread=spread, shards=shards, demand=1.0, faulty=0.0, late=0.0, burst=1.0, known=3.0,
-        told_late=False, restarts=False, again=False, hot=False, keys=10 ** 9))
+    fleet = Fleet(
+        3,
+        **SITE
+        | dict(
+            hosts=hosts,
+            spread=spread,
+            shards=shards,
+            demand=1.0,
+            faulty=0.0,
+            late=0.0,
+            burst=1.0,
+            known=3.0,
+            told_late=False,
+            restarts=False,
+            again=False,
+            hot=False,
+            keys=10**9,
+        ),
+    )
     used = [node.used() for node in fleet.play()]
     assert sum(used) / len(used) > 0.5
--- a/tests/test_command_copies.py
+++ b/tests/test_command_copies.py
@@ -27,17 +27,34 @@
 from mallowbeam.configuration.versions import ConfigurationVersions
 
 FIRST = Call(1, "first", 0)
-CALLS = [FIRST, *(Call(revision, content, based_on)
-                  for revision in (2, 3) for content in ("left", "right") for based_on in (1, 2, 3))]
+CALLS = [
+    FIRST,
+    *(
+        Call(revision, content, based_on)
+        for revision in (2, 3)
+        for content in ("left", "right")
+        for based_on in (1, 2, 3)
+    ),
+]
 COPIES = 2
 PARSER = ConfigurationParser()
 WIDE, NARROW = Bounds(100, 100), Bounds(1, 1)
 RANDOM_SEEDS = 1_000
 
 BROKEN: tuple[type[ConfigurationVersions], ...] = (
-    ComparesNothing, DropsRefusalsOfTheNextBase, DropsTheOldestRefusal, ForgetsDigests, ForgetsOnRestart,
-    ForgetsRefusals, ForgetsRefusalsOnRestart, KeepsAll, KnowsByBaseAlone, KnowsByNumberAlone,
-    RefusesTheForgotten, RemembersRefusalsWithoutBase, TakesAnyNumber,
+    ComparesNothing,
+    DropsRefusalsOfTheNextBase,
+    DropsTheOldestRefusal,
+    ForgetsDigests,
+    ForgetsOnRestart,
+    ForgetsRefusals,
+    ForgetsRefusalsOnRestart,
+    KeepsAll,
+    KnowsByBaseAlone,
+    KnowsByNumberAlone,
+    RefusesTheForgotten,
+    RemembersRefusalsWithoutBase,
+    TakesAnyNumber,
 )
 
 
@@ -55,8 +72,9 @@
 
 def play_all(kind: type[ConfigurationVersions], bounds: Bounds, calls: int) -> int:
     """Each choice of so many different calls, their copies in each order; returns the applications."""
-    return sum(apply_in_all_orders(started(kind, bounds), chosen, COPIES)
-               for chosen in combinations(CALLS, calls))
+    return sum(
+        apply_in_all_orders(started(kind, bounds), chosen, COPIES) for chosen in combinations(CALLS, calls)
+    )
 
 
 def play_random(kind: type[ConfigurationVersions], seed: int) -> Judge:
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -35,7 +35,7 @@
 from mallowbeam.simulation.machine import Machine
 from mallowbeam.simulation.network import Network
 
-OWN, FIRST, SECOND = 1, 2, 3   # ids of members; the latter two lead in turn
+OWN, FIRST, SECOND = 1, 2, 3  # ids of members; the latter two lead in turn
 ROUND_TRIP_S = 0.01
 SLACK_S = 0.02
 COMMAND = Command(acquire_lease=AcquireLease(subject="s", holder=1))
@@ -120,6 +120,7 @@
 
     def submit(self, group: Group) -> object:
         """The outcome of one command, or the error's class."""
+
         async def run() -> None:
             began = time.monotonic()
             try:
@@ -127,6 +128,7 @@
             except (NothingProposedError, OutcomeUnknownError) as error:
                 self.answers.append(type(error))
             self.lasted = time.monotonic() - began
+
         self.loop.enter(lambda: self.loop.create_task(run()))
         self.simulator.run_until(self.simulator.now + 3 * PATIENCE)
         return self.answers[-1]
@@ -180,6 +182,7 @@
         def take(recipient: int, frame: PeerFrame) -> bool:
             responses.append(frame.propose_response)
             return True
+
         group.send = take  # type: ignore[method-assign]
         request = ProposeRequest(id=5, command=COMMAND)
         self.loop.enter(lambda: group.commands.propose(FIRST, request))
--- a/tests/test_configuration_calls.py
+++ b/tests/test_configuration_calls.py
@@ -20,8 +20,13 @@
 from mallowbeam.simulation.fleet_processes import ApiCall, message_of
 
 STATUSES = {
-    "DONE": 200, "ALREADY_DONE": 200, "VERSION_MISMATCH": 412, "REVISION_NOT_ABOVE": 400,
-    "OUTCOME_UNKNOWN": 504, "REFUSED": 504, "INVALID_OUTCOME": 422,
+    "DONE": 200,
+    "ALREADY_DONE": 200,
+    "VERSION_MISMATCH": 412,
+    "REVISION_NOT_ABOVE": 400,
+    "OUTCOME_UNKNOWN": 504,
+    "REFUSED": 504,
+    "INVALID_OUTCOME": 422,
 }
 
 
@@ -54,8 +59,14 @@
         """The answer's status where the replicated state comes to a result."""
         parser = ConfigurationParser()
         in_touch = ServingGate(lambda: 1.0, lambda: 0.0, lambda: False)
-        api = ControlApi(parser, ConfigurationVersions(parser), cast(Commands, Decided(result)),
-                         cast(Instances, None), cast(StatusPage, Alone()), in_touch)
+        api = ControlApi(
+            parser,
+            ConfigurationVersions(parser),
+            cast(Commands, Decided(result)),
+            cast(Instances, None),
+            cast(StatusPage, Alone()),
+            in_touch,
+        )
         call = ApiCall("PUT", "/mallowbeam/config", body_of(document()), (("If-Match", "0"),))
         reply = asyncio.run(api.handle(message_of(call, 1.0), lambda: False))
         return reply.status
--- a/tests/test_configuration_changes.py
+++ b/tests/test_configuration_changes.py
@@ -33,7 +33,14 @@
 amounts = st.floats(0, 1e9)
 names = st.sampled_from(["a", "b", "c", "d", "é"])
 engines = st.builds(
-    Engine, numbers, st.integers(0, 2**64 - 1), numbers, amounts, numbers, amounts, amounts,
+    Engine,
+    numbers,
+    st.integers(0, 2**64 - 1),
+    numbers,
+    amounts,
+    numbers,
+    amounts,
+    amounts,
     st.lists(names, max_size=2).map(tuple),
 )
 backends = st.builds(Backend, names, st.sampled_from(["", "/healthz"]), numbers, st.none() | engines)
--- a/tests/test_configuration_documents.py
+++ b/tests/test_configuration_documents.py
@@ -326,10 +326,16 @@
         self.assertEqual(configuration.limits, ClientLimits())
 
     def test_numbers_are_rounded_and_cut(self) -> None:
-        configuration = parsed(edited({
-            "routes[0].timeout_ms": 0.25, "routes[0].gap_aim_ms": 10**30, "limits.max_body_bytes": 2**40,
-            "backends[0].engine.kv_capacity": 2**70,
-        }))
+        configuration = parsed(
+            edited(
+                {
+                    "routes[0].timeout_ms": 0.25,
+                    "routes[0].gap_aim_ms": 10**30,
+                    "limits.max_body_bytes": 2**40,
+                    "backends[0].engine.kv_capacity": 2**70,
+                }
+            )
+        )
         route = configuration.routes["alpha.example /one/"]
         self.assertEqual((route.timeout_ms, route.gap_aim_ms), (1, 2**32 - 1))
         self.assertEqual(configuration.limits.max_body_bytes, 2**32 - 1)
@@ -338,12 +344,20 @@
         self.assertEqual(engine.kv_capacity, 2**64 - 1)
 
     def test_weights_keep_their_proportions(self) -> None:
-        for first, second, expected in ((0.75, 0.25, (1_000_000, 333_334)), (2**40, 1, (1_000_000, 1)),
-                                        (0.5, 0, (1_000_000, 0)), (1e-300, 1e300, (1, 1_000_000))):
-            route = parsed(edited({
-                "routes[1].weighted_backends[0].weight": first,
-                "routes[1].weighted_backends[1].weight": second,
-            })).routes["alpha.example /two/"]
+        for first, second, expected in (
+            (0.75, 0.25, (1_000_000, 333_334)),
+            (2**40, 1, (1_000_000, 1)),
+            (0.5, 0, (1_000_000, 0)),
+            (1e-300, 1e300, (1, 1_000_000)),
+        ):
+            route = parsed(
+                edited(
+                    {
+                        "routes[1].weighted_backends[0].weight": first,
+                        "routes[1].weighted_backends[1].weight": second,
+                    }
+                )
+            ).routes["alpha.example /two/"]
             self.assertEqual(tuple(entry.weight for entry in route.backends), expected)
 
     def test_a_backend_beside_weighted_ones_gets_nothing(self) -> None:
--- a/tests/test_configuration_identity.py
+++ b/tests/test_configuration_identity.py
@@ -87,8 +87,10 @@
 
     FIELDS = r"""{"z": [1E22, 1e-7, 0.1, 100.0, -0.0, 5e-324, 12345678901234567890, true, null],
         "\u00e4": "\u0007 \" \\ \/ \u2028 \ud83d\ude00 \u007f", "a": {"b": 1, "B": 2}}"""
-    CANONICAL = ('{"a":{"B":2,"b":1},"z":[1e22,1e-7,0.1,100.0,-0.0,5e-324,12345678901234567890,true,null],'
-                 '"\u00e4":"\\u0007 \\" \\\\ / \u2028 \U0001f600 \x7f"}')
+    CANONICAL = (
+        '{"a":{"B":2,"b":1},"z":[1e22,1e-7,0.1,100.0,-0.0,5e-324,12345678901234567890,true,null],'
+        '"\u00e4":"\\u0007 \\" \\\\ / \u2028 \U0001f600 \x7f"}'
+    )
 
     def test_it_stays_as_it_is(self) -> None:
         body = b'{"revision": 7, "backends": [], "routes": [], "x": ' + self.FIELDS.encode() + b"}"
--- a/tests/test_configuration_patch.py
+++ b/tests/test_configuration_patch.py
@@ -35,29 +35,39 @@
     "lists that are no object": ({"revision": 9, "upsert": []}, "CONFIG_FIELD", "upsert"),
     "a list that is none": ({"revision": 9, "upsert": {"routes": {}}}, "CONFIG_FIELD", "upsert.routes"),
     "an entry that is no object": (
-        {"revision": 9, "upsert": {"routes": [3]}}, "CONFIG_FIELD", "upsert.routes[0]",
+        {"revision": 9, "upsert": {"routes": [3]}},
+        "CONFIG_FIELD",
+        "upsert.routes[0]",
     ),
     "an entry without a name": (
         {"revision": 9, "upsert": {"routes": [FIRST, {**SECOND, "name": ""}]}},
-        "CONFIG_FIELD", "upsert.routes[1].name",
+        "CONFIG_FIELD",
+        "upsert.routes[1].name",
     ),
     "a bad field": (
         {"revision": 9, "upsert": {"routes": [{**FIRST, "timeout_ms": "x"}]}},
-        "CONFIG_FIELD", "upsert.routes[0].timeout_ms",
+        "CONFIG_FIELD",
+        "upsert.routes[0].timeout_ms",
     ),
     "a removed entry that is no name": (
-        {"revision": 9, "remove": {"routes": [{"name": "r-1"}]}}, "CONFIG_FIELD", "remove.routes",
+        {"revision": 9, "remove": {"routes": [{"name": "r-1"}]}},
+        "CONFIG_FIELD",
+        "remove.routes",
     ),
     "twice in one list": (
         {"revision": 9, "upsert": {"routes": [FIRST, FIRST]}},
-        "CONFIG_DUPLICATE_NAME", "upsert.routes[1].name",
+        "CONFIG_DUPLICATE_NAME",
+        "upsert.routes[1].name",
     ),
     "removed twice": (
-        {"revision": 9, "remove": {"routes": ["r-1", "r-1"]}}, "CONFIG_DUPLICATE_NAME", "remove.routes[1]",
+        {"revision": 9, "remove": {"routes": ["r-1", "r-1"]}},
+        "CONFIG_DUPLICATE_NAME",
+        "remove.routes[1]",
     ),
     "in both lists": (
         {"revision": 9, "upsert": {"routes": [FIRST]}, "remove": {"routes": ["r-1"]}},
-        "CONFIG_DUPLICATE_NAME", "remove.routes[0]",
+        "CONFIG_DUPLICATE_NAME",
+        "remove.routes[0]",
     ),
 }
 
@@ -66,32 +76,46 @@
     "no such list": ({"remove": {"tenants": ["t"]}}, "CONFIG_NAME_NOT_FOUND", "remove.tenants[0]"),
     "no list": ({"upsert": {"limits": [{"name": "x"}]}}, "CONFIG_FIELD", "limits"),
     "a removed service that a route names": (
-        {"remove": {"backends": ["records"]}}, "CONFIG_UNKNOWN_BACKEND", "remove.backends",
+        {"remove": {"backends": ["records"]}},
+        "CONFIG_UNKNOWN_BACKEND",
+        "remove.backends",
     ),
     "a service that is not there": (
         {"upsert": {"routes": [{**FIRST, "backend": "none"}]}},
-        "CONFIG_UNKNOWN_BACKEND", "upsert.routes[0].backend",
+        "CONFIG_UNKNOWN_BACKEND",
+        "upsert.routes[0].backend",
     ),
     "no time-out": (
         {"upsert": {"routes": [{**FIRST, "timeout_ms": 0}]}},
-        "CONFIG_NO_TIMEOUT", "upsert.routes[0].timeout_ms",
+        "CONFIG_NO_TIMEOUT",
+        "upsert.routes[0].timeout_ms",
     ),
     "no weight": (
         {"upsert": {"routes": [{**SECOND, "weighted_backends": [{"backend": "models", "weight": 0}]}]}},
-        "CONFIG_NO_WEIGHT", "upsert.routes[0].weighted_backends",
+        "CONFIG_NO_WEIGHT",
+        "upsert.routes[0].weighted_backends",
     ),
     "a place that another route has": (
         {"upsert": {"routes": [{**FIRST, "name": "r-3"}]}},
-        "CONFIG_SAME_PLACE", "upsert.routes[0].path_prefix",
+        "CONFIG_SAME_PLACE",
+        "upsert.routes[0].path_prefix",
     ),
     "two places made one": (
         {"upsert": {"routes": [{**FIRST, "path_prefix": "/two/"}]}},
-        "CONFIG_SAME_PLACE", "upsert.routes[0].path_prefix",
+        "CONFIG_SAME_PLACE",
+        "upsert.routes[0].path_prefix",
     ),
     "two added routes with one place": (
-        {"upsert": {"routes": [{**FIRST, "name": "r-3", "path_prefix": "/x/"},
-                               {**FIRST, "name": "r-4", "path_prefix": "/x/"}]}},
-        "CONFIG_SAME_PLACE", "upsert.routes[1].path_prefix",
+        {
+            "upsert": {
+                "routes": [
+                    {**FIRST, "name": "r-3", "path_prefix": "/x/"},
+                    {**FIRST, "name": "r-4", "path_prefix": "/x/"},
+                ]
+            }
+        },
+        "CONFIG_SAME_PLACE",
+        "upsert.routes[1].path_prefix",
     ),
 }
 
@@ -99,17 +123,22 @@
     "nothing but a number": {},
     "nulls": {"upsert": None, "remove": None},
     "empty lists": {"upsert": {"routes": []}, "remove": {"backends": []}},
-    "two routes change places": {"upsert": {"routes": [{**FIRST, "path_prefix": "/two/"},
-                                                       {**SECOND, "path_prefix": "/one/"}]}},
-    "one takes a removed one's place": {"upsert": {"routes": [{**FIRST, "name": "r-3"}]},
-                                        "remove": {"routes": ["r-1"]}},
+    "two routes change places": {
+        "upsert": {"routes": [{**FIRST, "path_prefix": "/two/"}, {**SECOND, "path_prefix": "/one/"}]}
+    },
+    "one takes a removed one's place": {
+        "upsert": {"routes": [{**FIRST, "name": "r-3"}]},
+        "remove": {"routes": ["r-1"]},
+    },
     "a service goes with its routes": {
         "upsert": {"routes": [{**SECOND, "weighted_backends": [{"backend": "models", "weight": 1}]}]},
         "remove": {"backends": ["records"]},
     },
     "a service comes with its route": {
-        "upsert": {"backends": [{**RECORDS, "name": "new"}],
-                   "routes": [{**FIRST, "name": "r-3", "path_prefix": "/new/", "backend": "new"}]},
+        "upsert": {
+            "backends": [{**RECORDS, "name": "new"}],
+            "routes": [{**FIRST, "name": "r-3", "path_prefix": "/new/", "backend": "new"}],
+        },
     },
     "fields that are not known": {"upsert": {"routes": [{**FIRST, "later": {"a": [1]}}]}},
     "a list that is not known": {"upsert": {"tenants": [{"name": "t", "key": "k"}]}},
@@ -203,8 +232,9 @@
             new = apply_patch(old, patch)
             change = difference(old.configuration, new.configuration)
             sizes.append((patch_command(patch, 7).ByteSize(), change.ByteSize()))
-            shared = sum(new.configuration.routes[place] is route for place, route in
-                         old.configuration.routes.items())
+            shared = sum(
+                new.configuration.routes[place] is route for place, route in old.configuration.routes.items()
+            )
             self.assertEqual(shared, routes - 1, "entries that are not named are the same objects")
         self.assertEqual(sizes[0], sizes[1])
         self.assertLess(max(sizes[0]), 600)
--- a/tests/test_configuration_taken.py
+++ b/tests/test_configuration_taken.py
@@ -49,10 +49,12 @@
         again.restore(saved(taken))
         for one in (taken, again):
             self.assertEqual(len(one), 3)
-            self.assertEqual([one.may_be_forgotten(n) for n in (1, 2, 4, 5, 6, 7)],
-                             [True, True, True, True, False, False])
-            self.assertEqual([one.holds(n, digest(n)) for n in (2, 5, 6, 9, 12)],
-                             [False, False, True, True, True])
+            self.assertEqual(
+                [one.may_be_forgotten(n) for n in (1, 2, 4, 5, 6, 7)], [True, True, True, True, False, False]
+            )
+            self.assertEqual(
+                [one.holds(n, digest(n)) for n in (2, 5, 6, 9, 12)], [False, False, True, True, True]
+            )
 
     def test_a_snapshot_is_bounded(self) -> None:
         taken = TakenConfigurations()
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -11,9 +11,11 @@
 from mallowbeam.http import closing, connection
 from mallowbeam.net import gateway
 
-PLAIN = ("GET /read/00000000000000aa/0000000000000001 HTTP/1.1\\r\\nhost: x\\r\\nx-class: read\\r\\n"
-         "x-storage-class: silver\\r\\nx-deadline-ms: 900\\r\\nx-extent: units=1,shard=0,hosts=1\\r\\n"
-         "x-request-id: 00000000000000f{}\\r\\n\\r\\n")
+PLAIN = (
+    "GET /read/00000000000000aa/0000000000000001 HTTP/1.1\\r\\nhost: x\\r\\nx-class: read\\r\\n"
+    "x-storage-class: silver\\r\\nx-deadline-ms: 900\\r\\nx-extent: units=1,shard=0,hosts=1\\r\\n"
+    "x-request-id: 00000000000000f{}\\r\\n\\r\\n"
+)
 NL = "\\r\\n"
 
 
@@ -40,14 +42,19 @@
     """)
 
 
-@pytest.mark.parametrize(("raw", "status"), [
-    ("GET / HTTP/1.1\\r\\nhost x\\r\\n\\r\\n", 400), ("NONSENSE\\r\\n\\r\\n", 400),
-    ("GET / HTTP/1.1\\r\\nhost: x\\r\\nx: " + "y" * 20000 + "\\r\\n\\r\\n", 431),
-    ("GET / HTTP/1.1\\r\\nhost: x\\r\\nx: " + "y" * 20000, 431),
-    ("GET /" + "y" * 20000 + " HTTP/1.1\\r\\nhost: x\\r\\n\\r\\n", 431),
-    ("PUT / HTTP/1.1\\r\\nhost: x\\r\\ncontent-length: 60000000\\r\\n\\r\\n", 413),
-    ("PUT / HTTP/1.1\\r\\nhost: x\\r\\ncontent-length: 1\\r\\ncontent-length: 2\\r\\n\\r\\n", 400),
-    ("GET / HTTP/1.1\\r\\nhost: x\\r\\nupgrade: h2c\\r\\nconnection: upgrade\\r\\n\\r\\n", 400)])
+@pytest.mark.parametrize(
+    ("raw", "status"),
+    [
+        ("GET / HTTP/1.1\\r\\nhost x\\r\\n\\r\\n", 400),
+        ("NONSENSE\\r\\n\\r\\n", 400),
+        ("GET / HTTP/1.1\\r\\nhost: x\\r\\nx: " + "y" * 20000 + "\\r\\n\\r\\n", 431),
+        ("GET / HTTP/1.1\\r\\nhost: x\\r\\nx: " + "y" * 20000, 431),
+        ("GET /" + "y" * 20000 + " HTTP/1.1\\r\\nhost: x\\r\\n\\r\\n", 431),
+        ("PUT / HTTP/1.1\\r\\nhost: x\\r\\ncontent-length: 60000000\\r\\n\\r\\n", 413),
+        ("PUT / HTTP/1.1\\r\\nhost: x\\r\\ncontent-length: 1\\r\\ncontent-length: 2\\r\\n\\r\\n", 400),
+        ("GET / HTTP/1.1\\r\\nhost: x\\r\\nupgrade: h2c\\r\\nconnection: upgrade\\r\\n\\r\\n", 400),
+    ],
+)
 def test_what_breaks_http_or_a_bound_gets_its_status_and_a_close(raw, status):
     play(f"""
         c1 send raw '{raw}'
@@ -71,11 +78,16 @@
             room = world.gateway.servers[-1].most - world.gateway.servers[-1].spare
             world.gateway.submit = lambda call: asyncio.Event().wait()
             await world.play("".join(f"c{i} send read\n" for i in range(room)) + "wait 0.1")
-            await world.play("".join(f"""
+            await world.play(
+                "".join(
+                    f"""
                 c{i} send read
                 c{i} expect 503 retry-after 'connection: close'
                 c{i} expect end
-            """ for i in range(room, room + 9)))
+            """
+                    for i in range(room, room + 9)
+                )
+            )
 
     uvloop.run(run())
 
@@ -88,8 +100,11 @@
         async with World(sockets=120) as world:
             here = world.gateway.servers[-1]
             first = [await asyncio.open_connection(*world.platform)]
-            await world.play("".join(f"c{i} send GET /healthz\nc{i} expect 200\n"
-                                     for i in range(here.most - here.spare + 5)))
+            await world.play(
+                "".join(
+                    f"c{i} send GET /healthz\nc{i} expect 200\n" for i in range(here.most - here.spare + 5)
+                )
+            )
             await world.play("wait 0.05")
             assert any(not c.answered for c in here.connections)
             first[0][1].write(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n")
@@ -104,7 +119,7 @@
     async def run() -> None:
         async with World(sockets=120) as world:
             await world.play("c1 send GET /healthz\nc1 expect 200")
-            connection, = world.gateway.servers[-1].connections
+            (connection,) = world.gateway.servers[-1].connections
             assert connection.spare
             world.parties["c1"].raw("GET /healthz")
             while not connection.channel.stale():  # the loop has not read it yet
@@ -115,7 +130,7 @@
             _, writer = await asyncio.open_connection(*world.platform)
             while len(world.gateway.servers[-1].connections) < 2:
                 await asyncio.sleep(0)
-            fresh, = world.gateway.servers[-1].connections - {connection}
+            (fresh,) = world.gateway.servers[-1].connections - {connection}
             assert fresh.idle and not fresh.spare
             writer.close()
 
@@ -162,11 +177,13 @@
 
     async def run() -> None:
         async with World() as world:
-            await world.play(f"{front}1 send raw 'PUT /a/b HTTP/1.1{NL}content-length: 60000000{NL}{NL}'\n"
-                             f"{front}1 expect 413")
+            await world.play(
+                f"{front}1 send raw 'PUT /a/b HTTP/1.1{NL}content-length: 60000000{NL}{NL}'\n"
+                f"{front}1 expect 413"
+            )
             writer = world.parties[f"{front}1"].writer
             with pytest.raises(ConnectionError):
-                for _ in range(512):           # 32 MB: far more than the sockets hold between them
+                for _ in range(512):  # 32 MB: far more than the sockets hold between them
                     writer.write(b"x" * 65536)
                     await writer.drain()
 
--- a/tests/test_consensus_durable.py
+++ b/tests/test_consensus_durable.py
@@ -99,7 +99,7 @@
         output = host.output()
         self.assertEqual(len(output.write.entries), 3)
         appends = [request for request in bodies(output.send, "append_request") if request.entries]
-        self.assertEqual([len(request.entries) for request in appends], [3])      # member 3 is only probed
+        self.assertEqual([len(request.entries) for request in appends], [3])  # member 3 is only probed
 
 
 if __name__ == "__main__":
--- a/tests/test_consensus_freshness.py
+++ b/tests/test_consensus_freshness.py
@@ -7,7 +7,7 @@
 
 from consensus_host import Host, entry
 
-LONG_S = 2.0                # what comes first after a start may have been on its way for long
+LONG_S = 2.0  # what comes first after a start may have been on its way for long
 
 
 class Freshness(unittest.TestCase):
--- a/tests/test_consensus_leading.py
+++ b/tests/test_consensus_leading.py
@@ -70,9 +70,11 @@
     def test_refusals(self) -> None:
         host = Host()
         host.append(2, 1, (1, 1))
-        for call in (lambda: host.node.propose(b"a", host.now),
-                     lambda: host.node.change_membership(membership(3), host.now),
-                     lambda: host.node.transfer_leadership(None, host.now)):
+        for call in (
+            lambda: host.node.propose(b"a", host.now),
+            lambda: host.node.change_membership(membership(3), host.now),
+            lambda: host.node.transfer_leadership(None, host.now),
+        ):
             with self.assertRaises(NotLeaderError) as caught:
                 call()
             self.assertEqual(caught.exception.leader_id, 2)
@@ -120,8 +122,10 @@
         self.assertEqual(rounds, {before + 1})
         self.assertEqual(host.confirm(2, 2, round_number=before).reads, [])
         results = host.confirm(2, 2, round_number=before + 1).reads
-        self.assertEqual([(result.read_id, result.confirmed, result.index) for result in results],
-                         [(5, True, 2), (6, True, 2)])
+        self.assertEqual(
+            [(result.read_id, result.confirmed, result.index) for result in results],
+            [(5, True, 2), (6, True, 2)],
+        )
 
     def test_refusal_of_entries_confirms_a_round(self) -> None:
         host = Host()
@@ -164,21 +168,21 @@
         host.tick(0.2)
         host.tick(0.2)
         self.assertAlmostEqual(host.node.freshness(host.now), 0.4)
-        host.confirm(2, 2, round_number=2)                # began 0.2 s ago
+        host.confirm(2, 2, round_number=2)  # began 0.2 s ago
         self.assertAlmostEqual(host.node.freshness(host.now), 0.2)
 
     def test_freshness_of_a_follower(self) -> None:
         host = Host()
         host.append(2, 1, (1, 1), commit=1)
-        self.assertEqual(host.node.freshness(host.now), inf)          # it may have been held up
+        self.assertEqual(host.node.freshness(host.now), inf)  # it may have been held up
         host.now += 0.1
         host.append(2, 1, (1, 1), commit=1)
         self.assertEqual(host.node.freshness(host.now), 0.0)
         host.now += 0.1
-        host.append(2, 1, (1, 1), commit=5)                           # it lacks entries that are committed
+        host.append(2, 1, (1, 1), commit=5)  # it lacks entries that are committed
         self.assertAlmostEqual(host.node.freshness(host.now), 0.1)
         host.now += 0.1
-        host.append(3, 2, (1, 1), commit=1)                           # a leader that committed nothing yet
+        host.append(3, 2, (1, 1), commit=1)  # a leader that committed nothing yet
         self.assertAlmostEqual(host.node.freshness(host.now), 0.2)
 
     def test_freshness_after_a_freeze(self) -> None:
@@ -218,7 +222,7 @@
         host.lead()
         without_2 = Membership(members=[Member(id=1, voter=True), Member(id=3, voter=True)])
         with self.assertRaisesRegex(MembershipChangeError, "out of touch"):
-            host.node.change_membership(without_2, host.now)          # member 3 has never answered
+            host.node.change_membership(without_2, host.now)  # member 3 has never answered
         host.node.change_membership(membership(2), host.now)
 
     def test_in_force_when_appended_and_rolled_back(self) -> None:
--- a/tests/test_consensus_quorum.py
+++ b/tests/test_consensus_quorum.py
@@ -81,8 +81,9 @@
     def test_the_outgoing_voters_are_those_in_force_and_stay_members(self) -> None:
         three = membership(3, 1)
         joint = replaced(three, [3], [4])
-        self.refused(three, Membership(members=joint.members, target_voters=3, outgoing_voters=[1, 2]),
-                     "outgoing")
+        self.refused(
+            three, Membership(members=joint.members, target_voters=3, outgoing_voters=[1, 2]), "outgoing"
+        )
         self.refused(three, without_member_kept_outgoing(joint, 3), "outgoing")
 
     def test_nothing_follows_a_joint_membership_but_its_end(self) -> None:
@@ -111,8 +112,9 @@
     @staticmethod
     def _drawn(draw: Random) -> Membership:
         count = draw.randint(1, 6)
-        members = [Member(id=number, voter=number == 1 or draw.random() < 0.6)
-                   for number in range(1, count + 1)]
+        members = [
+            Member(id=number, voter=number == 1 or draw.random() < 0.6) for number in range(1, count + 1)
+        ]
         return Membership(members=members, target_voters=draw.randint(1, 5))
 
 
@@ -142,7 +144,7 @@
         host = self.lead(out=3)
         joint = self.joint_index(host)
         host.confirm(4, joint)
-        self.assertLess(host.node.commit_index, joint)         # 1 and 4 are no majority of 1, 2 and 3
+        self.assertLess(host.node.commit_index, joint)  # 1 and 4 are no majority of 1, 2 and 3
         self.assertFalse(host.node.membership_committed)
         output = host.confirm(2, joint)
         self.assertEqual(host.node.commit_index, joint)
@@ -186,7 +188,7 @@
         self.assertIs(host.node.role, Role.LEADER)
         host.write()
         host.confirm(2, joint + 1)
-        self.assertIs(host.node.role, Role.LEADER)             # its own disk does not count any more
+        self.assertIs(host.node.role, Role.LEADER)  # its own disk does not count any more
         output = host.confirm(4, joint + 1)
         self.assertIs(host.node.role, Role.FOLLOWER)
         self.assertEqual(len(bodies(output.send, "timeout_now")), 1)
@@ -208,7 +210,7 @@
     def test_compaction_in_the_middle_keeps_both_sets(self) -> None:
         host = self.lead(out=3)
         joint = self.joint_index(host)
-        host.node.transfer_leadership(2, host.now)             # so that it stays in the middle
+        host.node.transfer_leadership(2, host.now)  # so that it stays in the middle
         host.confirm(4, joint)
         host.confirm(2, joint)
         host.node.compact(joint, b"state")
@@ -230,7 +232,7 @@
         asked = {send.recipient for send in output.send}
         self.assertEqual(asked, {2, 3, 4})
         host.receive(3, vote_response=VoteResponse(term=2, granted=True, pre_vote=True))
-        self.assertIs(host.node.role, Role.PRE_CANDIDATE)      # 1 and 3 are no majority of 1, 2 and 4
+        self.assertIs(host.node.role, Role.PRE_CANDIDATE)  # 1 and 3 are no majority of 1, 2 and 4
         host.receive(4, vote_response=VoteResponse(term=2, granted=True, pre_vote=True))
         host.write()
         host.receive(3, vote_response=VoteResponse(term=2, granted=True))
@@ -249,7 +251,7 @@
         host.tick(1.0)
         self.assertIs(host.node.role, Role.PRE_CANDIDATE)
         host.receive(1, vote_response=VoteResponse(term=2, granted=True, pre_vote=True))
-        self.assertIs(host.node.role, Role.PRE_CANDIDATE)      # 3 counts among 1, 2 and 3 only
+        self.assertIs(host.node.role, Role.PRE_CANDIDATE)  # 3 counts among 1, 2 and 3 only
         host.receive(4, vote_response=VoteResponse(term=2, granted=True, pre_vote=True))
         self.assertIs(host.node.role, Role.CANDIDATE)
 
@@ -269,8 +271,10 @@
         there = replaced(first, [1], [2])
         back = replaced(without_outgoing(there), [2], [1])
         changes = (there, without_outgoing(there), back, without_outgoing(back))
-        entries = tuple(Entry(index=index, term=1, kind=MEMBERSHIP, payload=change.SerializeToString())
-                        for index, change in enumerate(changes, 2))
+        entries = tuple(
+            Entry(index=index, term=1, kind=MEMBERSHIP, payload=change.SerializeToString())
+            for index, change in enumerate(changes, 2)
+        )
         host = Host(1, 1, entries, own=2)
         output = host.tick(1.0)
         self.assertIs(host.node.role, Role.PRE_CANDIDATE)
--- a/tests/test_consensus_replication.py
+++ b/tests/test_consensus_replication.py
@@ -29,7 +29,7 @@
         refusal = AppendResponse(term=host.node.term, success=False, hint_index=4, round=1)
         (request,) = bodies(host.receive(3, append_response=refusal).send, "append_request")
         self.assertEqual((request.previous_index, request.entries[0].index), (4, 5))
-        output = host.receive(3, append_response=refusal)             # a duplicate tells nothing new
+        output = host.receive(3, append_response=refusal)  # a duplicate tells nothing new
         self.assertEqual(output.send, [])
 
     def test_hint_skips_a_term(self) -> None:
--- a/tests/test_consensus_scenarios.py
+++ b/tests/test_consensus_scenarios.py
@@ -27,8 +27,10 @@
             return parse(path)
 
     def test_parse(self) -> None:
-        scenario = self._parse("# a comment\ngroup 3 voters 1 learners\nseeds 2 4\nset heartbeat 0.2\n"
-                               "at 1.5 kill leader as old  # another\n")
+        scenario = self._parse(
+            "# a comment\ngroup 3 voters 1 learners\nseeds 2 4\nset heartbeat 0.2\n"
+            "at 1.5 kill leader as old  # another\n"
+        )
         self.assertEqual((scenario.voters, scenario.learners, scenario.seeds), (3, 1, range(2, 5)))
         self.assertEqual(scenario.settings.heartbeat, 0.2)
         self.assertEqual(scenario.statements, [Statement(5, 1.5, ("kill", "leader", "as", "old"))])
--- a/tests/test_consensus_snapshots.py
+++ b/tests/test_consensus_snapshots.py
@@ -17,7 +17,7 @@
 )
 
 STATE = bytes(range(10))
-SLOW = 3                       # the member that lies behind
+SLOW = 3  # the member that lies behind
 
 
 def leader(**settings: object) -> Host:
@@ -68,8 +68,10 @@
         self.assertEqual(offsets(more), [8])
         self.assertEqual(b"".join(chunk.data for chunk in chunks + more), STATE)
         self.assertEqual({chunk.size for chunk in chunks + more}, {len(STATE)})
-        self.assertEqual({(chunk.head.index, chunk.head.term, chunk.head.state) for chunk in chunks + more},
-                         {(2, host.node.term, b"")})
+        self.assertEqual(
+            {(chunk.head.index, chunk.head.term, chunk.head.state) for chunk in chunks + more},
+            {(2, host.node.term, b"")},
+        )
         self.assertEqual(offsets(answer(host, 8)), [])
         self.assertEqual(offsets(answer(host, 10)), [])
 
@@ -269,7 +271,7 @@
         self.assertEqual(output.send, [])
         (response,) = bodies(output.write.then_send, "append_response")
         self.assertEqual((response.success, response.match_index), (True, 2))
-        output = self._receive(host, 10)       # asked again before it is durable
+        output = self._receive(host, 10)  # asked again before it is durable
         (response,) = bodies(output.write.then_send, "append_response")
         self.assertEqual(response.match_index, 2)
 
@@ -289,8 +291,16 @@
 
     def _receive(self, host: Host, offset: int, term: int = 1, sender: int = 2, commit: int = 1):
         head = Entry(index=2, term=term, kind=COMMAND)
-        chunk = EntryChunk(term=term, round=1, previous_term=1, head=head, commit=commit, size=len(STATE),
-                           offset=offset, data=STATE[offset:offset + 4])
+        chunk = EntryChunk(
+            term=term,
+            round=1,
+            previous_term=1,
+            head=head,
+            commit=commit,
+            size=len(STATE),
+            offset=offset,
+            data=STATE[offset : offset + 4],
+        )
         return host.receive(sender, entry_chunk=chunk)
 
 
--- a/tests/test_consensus_snapshots_received.py
+++ b/tests/test_consensus_snapshots_received.py
@@ -18,14 +18,25 @@
 class Receiving(unittest.TestCase):
     """A follower's part."""
 
-    def _chunk(self, host: Host, offset: int, data: bytes = b"", *, term: int = 1, index: int = 9,
-               size: int = len(STATE), sender: int = 2, joint: bool = False):
+    def _chunk(
+        self,
+        host: Host,
+        offset: int,
+        data: bytes = b"",
+        *,
+        term: int = 1,
+        index: int = 9,
+        size: int = len(STATE),
+        sender: int = 2,
+        joint: bool = False,
+    ):
         voters = membership(3)
         if joint:
             voters.outgoing_voters.extend([1, 2, 4])
         head = Snapshot(index=index, term=1, membership=voters)
-        chunk = SnapshotChunk(term=term, round=7, head=head, size=size, offset=offset,
-                              data=data or STATE[offset:offset + 4])
+        chunk = SnapshotChunk(
+            term=term, round=7, head=head, size=size, offset=offset, data=data or STATE[offset : offset + 4]
+        )
         return host.receive(sender, snapshot_chunk=chunk)
 
     def _received(self, output) -> list[int]:
@@ -122,8 +133,9 @@
     """A membership that is in force at the snapshot's index is sent with it, whatever its form."""
 
     def test_sent(self) -> None:
-        joint = Membership(members=[Member(id=number, voter=True) for number in (OWN, 2, SLOW)],
-                           outgoing_voters=[OWN, 2, 4])
+        joint = Membership(
+            members=[Member(id=number, voter=True) for number in (OWN, 2, SLOW)], outgoing_voters=[OWN, 2, 4]
+        )
         host = Host()
         host.lead()
         host.node._state.log.memberships.current.membership.CopyFrom(joint)
--- a/tests/test_consensus_walks.py
+++ b/tests/test_consensus_walks.py
@@ -21,8 +21,13 @@
     def _have_seen(self, outcomes) -> None:
         """The schedules reach what they are there for."""
         self.assertEqual(len(outcomes), SCHEDULES)
-        for name, least in {"acknowledged": 15, "reads_confirmed": 8, "terms": 1.5, "snapshots": 0.2,
-                            "changes": 0.5}.items():
+        for name, least in {
+            "acknowledged": 15,
+            "reads_confirmed": 8,
+            "terms": 1.5,
+            "snapshots": 0.2,
+            "changes": 0.5,
+        }.items():
             mean = sum(getattr(outcome, name) for outcome in outcomes) / SCHEDULES
             self.assertGreater(mean, least, name)
 
--- a/tests/test_control_booking.py
+++ b/tests/test_control_booking.py
@@ -31,8 +31,9 @@
 
 
 def test_more_worth_pushes_less_worth_out():
-    rig = Rig(plans={p.name: p for p in (io.Plan("gold", reserve=1000, price=10.0),
-                                         io.Plan("basic", price=0.1))})
+    rig = Rig(
+        plans={p.name: p for p in (io.Plan("gold", reserve=1000, price=10.0), io.Plan("basic", price=0.1))}
+    )
     rig.step(*[rig.request(plan="basic", volume="b") for _ in range(60)])
     gold = rig.request(plan="gold", volume="g")
     actions = rig.step(gold) + rig.wait(0.2)
@@ -134,10 +135,10 @@
     rig = Rig(nodes=8)
     first = of(rig.step(rig.request("keyed", shard=None, units=1)), io.Send)[0]
     for node in rig.host.nodes.values():
-        node.held = rig.now + 9.0              # nothing goes out: where it is booked can be seen
-    rig.host.nodes[first.node].window = 0.0    # any other node has an earlier hole
+        node.held = rig.now + 9.0  # nothing goes out: where it is booked can be seen
+    rig.host.nodes[first.node].window = 0.0  # any other node has an earlier hole
     rig.step(rig.ended(first, io.Outcome.ERROR), after=0.01)
-    holder, = [node for node in rig.host.nodes.values() if node.queue]
+    (holder,) = [node for node in rig.host.nodes.values() if node.queue]
     assert holder.zone == rig.host.nodes[first.node].zone
 
 
--- a/tests/test_control_cold.py
+++ b/tests/test_control_cold.py
@@ -30,15 +30,16 @@
     assert 0 < cold_share("silver", 0.0, since) < cold_share("gold", 0.0, since)
 
 
-@pytest.mark.parametrize(("hosts", "age", "least", "most"), [
-    (1, 0.0, 12, 13), (4, 0.0, 3, 7), (1, 4.5, 20, 40)])
+@pytest.mark.parametrize(
+    ("hosts", "age", "least", "most"), [(1, 0.0, 12, 13), (4, 0.0, 3, 7), (1, 4.5, 20, 40)]
+)
 def test_a_cold_node_gets_each_hosts_even_part_of_what_it_always_bears(hosts, age, least, most):
     """Guards against an idle node: units beyond reserves were barred for the whole time that it was cold."""
     rig = Rig(nodes=0, now=1000.0, **(COLD | {"hosts": hosts, "fall_multiple": 3.0}))
     rig.step(io.NodesListed(io.ListKind.CHANGES, 2, [io.NodeEntry("n0", shard=0, since=1000.0)]))
     rig.wait(age)
     sent = 0
-    for _ in range(60):                        # within less than the rule's window
+    for _ in range(60):  # within less than the rule's window
         for send in of(rig.step(rig.request(units=1, plan="silver"), after=0.02), io.Send):
             sent += 1
             rig.step(rig.ended(send), after=0.005)
@@ -50,7 +51,7 @@
     rig = Rig(nodes=0, now=1000.0, **(COLD | {"hosts": 40}))
     rig.step(io.NodesListed(io.ListKind.CHANGES, 2, [io.NodeEntry("n0", shard=0, since=1000.0)]))
     sent = 0
-    for _ in range(200):                       # within half of the rule's window
+    for _ in range(200):  # within half of the rule's window
         for send in of(rig.step(rig.request(units=1, plan="silver"), after=0.0045), io.Send):
             sent += 1
             rig.step(rig.ended(send))
@@ -67,7 +68,7 @@
     rigs = [Rig(nodes=0, now=1000.0, hosts=hosts, seed=n, **settings) for n in range(hosts)]
     for rig in rigs:
         rig.step(io.NodesListed(io.ListKind.CHANGES, 2, [io.NodeEntry("n0", shard=0, since=1000.0)]))
-    for turn in range(240):                    # 6 s, a request of 1 unit each 25 ms: 40 a second
+    for turn in range(240):  # 6 s, a request of 1 unit each 25 ms: 40 a second
         rig = rigs[turn % hosts]
         rig.wait(1000.0 + turn * 0.025 - rig.now)
         for send in of(rig.step(rig.request(units=1, plan="silver", key=f"{turn:016x}")), io.Send):
--- a/tests/test_control_limits.py
+++ b/tests/test_control_limits.py
@@ -16,8 +16,15 @@
 def test_a_volume_of_no_stated_hosts_is_held_to_come_through_all(count):
     rig = Rig(hosts=4)
     rig.wait(5.0)
-    sent = sum(s.request != "" for s in of(rig.step(*[
-        rig.request(volume="b", plan="basic", units=1, hosts_of_volume=count) for _ in range(40)]), io.Send))
+    sent = sum(
+        s.request != ""
+        for s in of(
+            rig.step(
+                *[rig.request(volume="b", plan="basic", units=1, hosts_of_volume=count) for _ in range(40)]
+            ),
+            io.Send,
+        )
+    )
     assert sent <= 40 / 4
 
 
@@ -41,7 +48,7 @@
 def test_a_first_attempt_whose_connection_never_came_up_takes_nothing_from_the_limit():
     """Day split+mass: units drawn at a full store 0.25 s before any node had them took it past the slack."""
     rig = Rig(nodes=2, limit_at_arrival=True)
-    rig.wait(5.0)                              # the host's part stands full, as the platform's store does
+    rig.wait(5.0)  # the host's part stands full, as the platform's store does
     store = Store(rig.settings.plans["basic"], rig.now)
     first = of(rig.step(rig.request(plan="basic", volume="b", units=8, shard=None)), io.Send)[0]
     again = of(rig.step(rig.ended(first, io.Outcome.NO_CONNECTION), after=0.3), io.Send)
@@ -66,13 +73,22 @@
     bronze = io.Plan("bronze", limit=12, limit_burst=48, limit_slack=8, price=0.8)
     draw = random.Random(23)
     cut = set(draw.sample(range(200), 40))
-    rigs = [Rig(nodes=0 if n in cut else 10, now=0.0, hosts=200, seed=n, limit_at_arrival=True,
-                plans={"bronze": bronze}) for n in range(200)]
+    rigs = [
+        Rig(
+            nodes=0 if n in cut else 10,
+            now=0.0,
+            hosts=200,
+            seed=n,
+            limit_at_arrival=True,
+            plans={"bronze": bronze},
+        )
+        for n in range(200)
+    ]
     volumes = {f"v{v}": draw.sample(range(200), draw.choice((1, 2, 3))) for v in range(60)}
     stores = {name: Store(bronze, 0.0) for name in volumes}
     due: list[tuple[float, int, int, object]] = []  # when, order, which host, what comes
     order = count()
-    for second in range(20):                   # each second some volumes are quiet, some surge
+    for second in range(20):  # each second some volumes are quiet, some surge
         for name, hosts in volumes.items():
             for _ in range(draw.choice((0, 1, 3, 8, 30))):
                 heappush(due, (second + draw.random(), next(order), draw.choice(hosts), name))
@@ -80,7 +96,7 @@
     for n in cut:
         heappush(due, (2.0, next(order), n, listed))  # the list comes 2 s late
     counted: set[str] = set()
-    asked: dict[str, tuple[str, int]] = {}     # each request's volume and units
+    asked: dict[str, tuple[str, int]] = {}  # each request's volume and units
     tries: dict[tuple[int, str], int] = {}
     while due:
         now, _, n, what = heappop(due)
@@ -93,16 +109,29 @@
         elif isinstance(what, io.Event):
             event = what
         else:
-            event = rig.request(request=f"q{next(order)}", plan="bronze", volume=str(what), shard=None,
-                                hosts_of_volume=len(volumes[str(what)]), units=draw.randint(1, 4))
+            event = rig.request(
+                request=f"q{next(order)}",
+                plan="bronze",
+                volume=str(what),
+                shard=None,
+                hosts_of_volume=len(volumes[str(what)]),
+                units=draw.randint(1, 4),
+            )
             asked[event.request] = (event.volume, event.units)
         for send in of(rig.step(event), io.Send):
             number = tries[n, send.request] = tries.get((n, send.request), -1) + 1
             if 6.0 <= now < 12.0 and send.node in ("n0", "n1"):
                 outcome, after = io.Outcome.NO_CONNECTION, 0.25
             else:
-                outcome, after = draw.choices([(io.Outcome.OK, 0.05), (io.Outcome.TIMEOUT, 0.3), (
-                    io.Outcome.RESET, 0.02), (io.Outcome.NO_CONNECTION, 0.25)], weights=(80, 8, 7, 5))[0]
+                outcome, after = draw.choices(
+                    [
+                        (io.Outcome.OK, 0.05),
+                        (io.Outcome.TIMEOUT, 0.3),
+                        (io.Outcome.RESET, 0.02),
+                        (io.Outcome.NO_CONNECTION, 0.25),
+                    ],
+                    weights=(80, 8, 7, 5),
+                )[0]
             if outcome is not io.Outcome.NO_CONNECTION and send.request not in counted:
                 counted.add(send.request)
                 stores[asked[send.request][0]].take(now, asked[send.request][1])
@@ -121,8 +150,14 @@
         rig.step(rig.ended(send))
         rig.wait(0.02)
     for i in range(50):
-        rig.step(io.NodesListed(io.ListKind.CHANGES, 2 + i, [
-            io.NodeEntry(f"m{i}", shard=1), io.NodeEntry(f"m{i - 1}", io.NodeState.GONE, 1)]), after=0.1)
+        rig.step(
+            io.NodesListed(
+                io.ListKind.CHANGES,
+                2 + i,
+                [io.NodeEntry(f"m{i}", shard=1), io.NodeEntry(f"m{i - 1}", io.NodeState.GONE, 1)],
+            ),
+            after=0.1,
+        )
     rig.wait(35.0)
     rig.step(rig.request(units=1))
     assert set(rig.host.nodes) == {"n0", "m49"}
@@ -222,7 +257,7 @@
     rig = Rig(hosts=1)
     rig.step(rig.request("keyed", plan="basic", volume="b", units=1))
     rig.wait(5.0)
-    send, = of(rig.step(rig.request("keyed", plan="basic", volume="b", units=8)), io.Send)
+    (send,) = of(rig.step(rig.request("keyed", plan="basic", volume="b", units=8)), io.Send)
     rig.step(io.Upload(send.request, 0))
     rig.wait(5.0)
     volume = rig.host.volumes["b", "basic"]
--- a/tests/test_control_nodes.py
+++ b/tests/test_control_nodes.py
@@ -73,7 +73,7 @@
 def test_discovery_is_asked_again_within_seconds_however_often_it_failed():
     """Guards drains: they count as told a few seconds later, whether word of them came or not."""
     rig = Rig(discovery_on_request=True)
-    for _ in range(2000):                      # no overflow either, however long discovery is down
+    for _ in range(2000):  # no overflow either, however long discovery is down
         rig.step(io.NodesListed(io.ListKind.FAILED))
         assert of(rig.wait(1.5), io.Watch)
 
@@ -81,7 +81,7 @@
 def test_new_objects_keep_away_from_a_node_that_fails_at_once():
     """Guards against a node that answers everything with an error: always idle, it drew all new objects."""
     rig = Rig(nodes=2, max_attempts=4)
-    for _ in range(3):                         # reads must go there, and are tried again
+    for _ in range(3):  # reads must go there, and are tried again
         sends = of(rig.step(rig.request(units=1, shard=0)), io.Send)
         for attempt in range(4):
             sends = of(rig.step(rig.ended(sends[0], io.Outcome.ERROR, attempt), after=0.001), io.Send)
@@ -90,7 +90,7 @@
     sends = [of(rig.step(rig.request("log", units=1, shard=None, volume="w")), io.Send) for _ in range(4)]
     assert {send.node for sent in sends for send in sent} == {"n1"}
     while rig.host.nodes["n0"].fails:
-        send, = of(rig.step(rig.request(units=1, shard=0)), io.Send)
+        (send,) = of(rig.step(rig.request(units=1, shard=0)), io.Send)
         rig.step(rig.ended(send), after=0.05)
 
 
@@ -192,7 +192,7 @@
     """Guards the others: a client that reads slowly kept its units out at the node, and made it look slow."""
     rig = Rig()
     node = rig.host.nodes["n0"]
-    send, = of(rig.step(rig.request(units=2)), io.Send)
+    (send,) = of(rig.step(rig.request(units=2)), io.Send)
     rig.step(io.StreamStarted(send.request, 0, "n0", 0.05), after=0.05)
     before = node.n_latency
     assert node.out_units == 0 and not rig.wait(9.0)
@@ -231,7 +231,7 @@
     service, told, now = OneQueue(rate), set(), 0.0
     due = [(0.0, n, None) for n in range(hosts)]  # when, which host, how its call ended (None: it begins)
     while due and now < within:
-        now, n, served = heappop(due)          # no two of one host, so nothing beyond it is compared
+        now, n, served = heappop(due)  # no two of one host, so nothing beyond it is compared
         if served is None:
             end, good = service.call(now)
             heappush(due, (end, n, good))
--- a/tests/test_control_plane_calls.py
+++ b/tests/test_control_plane_calls.py
@@ -39,8 +39,7 @@
 
     async def call(self) -> asyncio.Task[object]:
         """A command on its way to the leader."""
-        task: asyncio.Task[object] = self.loop.create_task(
-            self.commands.submit(Command(), self.loop.time()))
+        task: asyncio.Task[object] = self.loop.create_task(self.commands.submit(Command(), self.loop.time()))
         await asyncio.sleep(0.01)
         return task
 
@@ -62,6 +61,7 @@
                 self.assertFalse(second.done())
                 after.commands.propose_response(applied(after.sent[0].propose.id, 8))
                 self.assertEqual(getattr(await second, "index", None), 8)
+
         play(scenario())
 
     def test_answers_that_pass_each_other_reach_their_own_calls(self) -> None:
@@ -71,6 +71,7 @@
             for number in (2, 0, 1):
                 member.commands.propose_response(applied(member.sent[number].propose.id, 10 + number))
             self.assertEqual([getattr(await call, "index", None) for call in calls], [10, 11, 12])
+
         play(scenario())
 
     def test_an_answer_that_comes_again_or_to_a_call_given_up_reaches_no_other(self) -> None:
@@ -89,6 +90,7 @@
             await asyncio.sleep(0.01)
             self.assertFalse(second.done())
             second.cancel()
+
         play(scenario())
 
     def test_an_answer_to_a_read_is_none_to_a_command(self) -> None:
@@ -96,10 +98,12 @@
             member = Member()
             call = await member.call()
             member.commands.read_index_response(
-                ReadIndexResponse(id=member.sent[0].propose.id, confirmed=True, index=9))
+                ReadIndexResponse(id=member.sent[0].propose.id, confirmed=True, index=9)
+            )
             await asyncio.sleep(0.01)
             self.assertFalse(call.done())
             call.cancel()
+
         play(scenario())
 
 
--- a/tests/test_control_plane_cores.py
+++ b/tests/test_control_plane_cores.py
@@ -37,8 +37,9 @@
         self.assertEqual(len({state.identity for state in states}), 3)
         members = states[0].snapshot.membership.members
         self.assertEqual({member.id for member in members}, {state.identity for state in states})
-        self.assertEqual({member.address for member in members},
-                         {"10.0.0.1:7660", "10.0.0.2:7660", "10.0.0.3:7660"})
+        self.assertEqual(
+            {member.address for member in members}, {"10.0.0.1:7660", "10.0.0.2:7660", "10.0.0.3:7660"}
+        )
         self.assertTrue(all(member.voter for member in members))
         self.assertEqual(states[0].snapshot.membership.target_voters, 3)
 
--- a/tests/test_control_plane_disk_writer.py
+++ b/tests/test_control_plane_disk_writer.py
@@ -47,6 +47,7 @@
 
 def play(store: object, writes: Sequence[Write]) -> list[list[int]]:
     """Hand writes over before the thread begins; the tickets that were told durable, by sync."""
+
     async def run() -> list[list[int]]:
         told: list[list[int]] = []
         all_durable = asyncio.Event()
@@ -55,6 +56,7 @@
             told.append([write.ticket for write in done])
             if told[-1][-1] == writes[-1].ticket:
                 all_durable.set()
+
         writer = DiskWriter(store, durable)
         for write in writes:
             writer.submit(write)
@@ -62,6 +64,7 @@
         await asyncio.wait_for(all_durable.wait(), 60.0)
         await writer.stop(10.0)
         return told
+
     with mock.patch.object(disk_writer, "RETRY_S", 0.001):
         return asyncio.run(run())
 
@@ -88,6 +91,7 @@
     def test_entries_without_room_go_with_the_snapshot_that_makes_it(self) -> None:
         def full(writes: Sequence[Write]) -> bool:
             return all(write.snapshot is None for write in writes)
+
         large = 5 * MEGABYTE
         writes = [entry_write(1, large), entry_write(2, large), snapshot_write(3, 2)]
         store = NotingStore(full)
@@ -103,6 +107,7 @@
             if next(refused, False):
                 raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
             return pwrite(*arguments)
+
         with tempfile.TemporaryDirectory() as folder:
             store = ReplicaStore.open(folder, 32)
             store.create(1, Snapshot(index=0, term=0, membership=FOUNDERS))
--- a/tests/test_control_plane_instances.py
+++ b/tests/test_control_plane_instances.py
@@ -15,7 +15,7 @@
 from mallowbeam.registry.table import InstanceTable
 from mallowbeam.rpc.messages_pb2 import PeerFrame, RegistryGossip
 
-OTHER = 7                  # the other member's id
+OTHER = 7  # the other member's id
 
 
 class Links:
@@ -36,11 +36,18 @@
     def setUp(self) -> None:
         self.links = Links()
         table = InstanceTable(heartbeat_interval_s=1.0, started_at=time.monotonic())
-        table.merge(RegistryGossip(whole=True), time.monotonic())      # it knows all that there is
+        table.merge(RegistryGossip(whole=True), time.monotonic())  # it knows all that there is
         gate = ServingGate(time.monotonic, lambda: 0.0, lambda: False)
         self.instances = Instances(
-            table, Retirements(), cast(Commands, None), cast(PeerLinks, self.links), changed=lambda: None,
-            gateways=lambda: 0, gate=gate, random=Random(1))
+            table,
+            Retirements(),
+            cast(Commands, None),
+            cast(PeerLinks, self.links),
+            changed=lambda: None,
+            gateways=lambda: 0,
+            gate=gate,
+            random=Random(1),
+        )
 
     def asked(self) -> list[int]:
         """Whom one look asks for all that they know."""
--- a/tests/test_control_plane_large_bodies.py
+++ b/tests/test_control_plane_large_bodies.py
@@ -35,9 +35,9 @@
 HERE = Path(__file__).parent
 CONFIG, INSTANCE = "/mallowbeam/config", "/mallowbeam/instances/i-1"
 CALLERS, MEMBERS = 8, 3
-LOAD_S = 60                    # the load's bound; it ends long before, once so many changes were taken:
+LOAD_S = 60  # the load's bound; it ends long before, once so many changes were taken:
 MOST_TAKEN = 4
-MEMORY_MIB = 296               # of a machine of the core
+MEMORY_MIB = 296  # of a machine of the core
 
 
 def large(revision: int, size: int = MOST_BODY - 4096) -> bytes:
@@ -86,8 +86,15 @@
     """A control API in touch with its group."""
     gate = ServingGate(lambda: 1.0, lambda: 0.0, lambda: False)
     status = SimpleNamespace(other_controls=lambda: ["127.0.0.1:1"])
-    return ControlApi(parser, ConfigurationVersions(parser), cast(Commands, log),
-                      cast(Instances, Heartbeats()), cast(StatusPage, status), gate, work)
+    return ControlApi(
+        parser,
+        ConfigurationVersions(parser),
+        cast(Commands, log),
+        cast(Instances, Heartbeats()),
+        cast(StatusPage, status),
+        gate,
+        work,
+    )
 
 
 class Framing(unittest.TestCase):
@@ -103,7 +110,7 @@
 
     def test_a_second_large_body_is_refused_at_its_head(self) -> None:
         request = call(CONFIG, large(2))
-        head = request[:request.index(b"\r\n\r\n") + 4]
+        head = request[: request.index(b"\r\n\r\n") + 4]
         first, second = self.fed(head), self.fed(head)
         self.assertIsNone(first.fault)
         self.assertEqual((second.fault.status, str(second.fault)), (503, ANOTHER_LARGE_BODY))
@@ -230,8 +237,14 @@
         gate = ServingGate(lambda: 1.0, lambda: 0.0, lambda: False)
         parser = Noted()
         status = SimpleNamespace(other_controls=lambda: [])
-        api = ControlApi(parser, ConfigurationVersions(parser), cast(Commands, Log()),
-                         cast(Instances, None), cast(StatusPage, status), gate)
+        api = ControlApi(
+            parser,
+            ConfigurationVersions(parser),
+            cast(Commands, Log()),
+            cast(Instances, None),
+            cast(StatusPage, status),
+            gate,
+        )
         framer = Framer(answers=False, max_body=MOST_BODY)
         framer.feed(memoryview(call(CONFIG, large(2))))
         answer: Awaitable = api.handle(framer.ready.popleft(), lambda: False)
@@ -257,8 +270,14 @@
     def test_changes_are_taken_and_memory_is_bounded_with_eight_callers(self) -> None:
         path = os.pathsep.join((str(HERE.parent), str(HERE)))
         environment = {**os.environ, "PYTHONPATH": path, "PYTHONDONTWRITEBYTECODE": "1"}
-        script = [sys.executable, str(HERE / "large_bodies_load.py"),
-                  str(MEMBERS), str(CALLERS), str(LOAD_S), str(MOST_TAKEN)]
+        script = [
+            sys.executable,
+            str(HERE / "large_bodies_load.py"),
+            str(MEMBERS),
+            str(CALLERS),
+            str(LOAD_S),
+            str(MOST_TAKEN),
+        ]
         ended = subprocess.run(script, env=environment, capture_output=True, check=False, text=True)
         self.assertEqual(ended.returncode, 0, ended.stderr)
         seen = json.loads(ended.stdout.splitlines()[-1])
--- a/tests/test_control_plane_membership.py
+++ b/tests/test_control_plane_membership.py
@@ -33,12 +33,19 @@
     return Membership(members=members, target_voters=target)
 
 
-def group(of: Membership, silences: dict[int, float] | None = None,
-          matches: dict[int, int] | None = None, leave: frozenset[int] = frozenset()) -> Group:
+def group(
+    of: Membership,
+    silences: dict[int, float] | None = None,
+    matches: dict[int, int] | None = None,
+    leave: frozenset[int] = frozenset(),
+) -> Group:
     """A group led by member 1; others are heard and caught up unless said otherwise."""
     silences, matches = silences or {}, matches or {}
-    progress = {known.id: Progress(matches.get(known.id, COMMIT), silences.get(known.id, 0.0))
-                for known in of.members if known.id != 1}
+    progress = {
+        known.id: Progress(matches.get(known.id, COMMIT), silences.get(known.id, 0.0))
+        for known in of.members
+        if known.id != 1
+    }
     return Group(1, of, COMMIT, progress, leave)
 
 
@@ -117,7 +124,7 @@
         self.assertEqual(set(first.outgoing_voters), {1, 2, 3})
         self.assertEqual(ids(first), {1, 2, 3, 4})
         second = next_change(group(settled(first)))
-        self.assertEqual(ids(second), {1, 2, 4})               # the old identity can't come back
+        self.assertEqual(ids(second), {1, 2, 4})  # the old identity can't come back
         self.assertEqual(voters(second), {1, 2, 4})
         self.assertIsNone(next_change(group(second)))
 
@@ -147,8 +154,9 @@
 
     def test_one_that_leaves_comes_before_one_that_is_silent(self) -> None:
         of = membership(*(member(id) for id in range(1, 6)), member(6, voter=False), target=5)
-        self.assertEqual(voters(next_change(group(of, silences={3: 9.0}, leave=frozenset({5})))),
-                         {1, 2, 3, 4, 6})
+        self.assertEqual(
+            voters(next_change(group(of, silences={3: 9.0}, leave=frozenset({5})))), {1, 2, 3, 4, 6}
+        )
 
     def test_a_successor_of_the_same_zone_is_taken(self) -> None:
         far, near = member(4, voter=False), member(5, voter=False)
@@ -291,8 +299,10 @@
     @staticmethod
     def _draw(draw: random.Random) -> tuple[Membership, dict[int, float], dict[int, int]]:
         count = draw.randint(1, 7)
-        known = [member(id, voter=id == 1 or draw.random() < 0.6, address=f"10.0.0.{draw.randint(1, 6)}:7000")
-                 for id in range(1, count + 1)]
+        known = [
+            member(id, voter=id == 1 or draw.random() < 0.6, address=f"10.0.0.{draw.randint(1, 6)}:7000")
+            for id in range(1, count + 1)
+        ]
         of = membership(*known, target=draw.randint(1, 5))
         silences = {one.id: draw.choice([0.0, 0.4, 1.0, 1.6, 2.5, 40.0]) for one in known}
         matches = {one.id: draw.choice([COMMIT, COMMIT - 3, 0]) for one in known}
--- a/tests/test_control_plane_serving.py
+++ b/tests/test_control_plane_serving.py
@@ -39,8 +39,8 @@
 
 SCENARIOS = Path(__file__).parent / "scenarios" / "system"
 OTHERS = ["10.0.0.2:8146", "10.0.0.3:8146"]
-STEPS_OF_A_READ = range(0, 60, 3)              # of the member's process, more than it takes
-LONG = 20.0                                    # seconds for which a process stands still
+STEPS_OF_A_READ = range(0, 60, 3)  # of the member's process, more than it takes
+LONG = 20.0  # seconds for which a process stands still
 
 
 class Situation:
@@ -133,8 +133,12 @@
 
     def test_without_evidence_nothing_of_the_replicated_state_is_said(self) -> None:
         gate = Situation(leads=True).gate
-        for said in (Said.CONFIGURATION_READ, Said.CHANGE_ACKNOWLEDGED, Said.CHANGE_REFUSED,
-                     Said.RETIREMENT_ACKNOWLEDGED):
+        for said in (
+            Said.CONFIGURATION_READ,
+            Said.CHANGE_ACKNOWLEDGED,
+            Said.CHANGE_REFUSED,
+            Said.RETIREMENT_ACKNOWLEDGED,
+        ):
             for evidence in (NOTHING, AppliedEntry(0)):
                 self.assertFalse(gate.may(said, evidence))
             with self.assertRaises(OutOfTouchError):
@@ -143,9 +147,13 @@
         self.assertFalse(gate.may(Said.CHANGE_ACKNOWLEDGED, ConfirmedRead(100.0)))
 
     def test_each_bound_to_the_millisecond(self) -> None:
-        bounds = ((Said.FEED_TABLE, FEED_SILENCE_S), (Said.FEED_CONFIGURATION, FEED_SILENCE_S),
-                  (Said.HEARTBEAT_ACKNOWLEDGED, HEARTBEAT_SILENCE_S),
-                  (Said.RETIREMENT_KNOWN, HEARTBEAT_SILENCE_S), (Said.INSTANCE_ORDER, ORDER_SILENCE_S))
+        bounds = (
+            (Said.FEED_TABLE, FEED_SILENCE_S),
+            (Said.FEED_CONFIGURATION, FEED_SILENCE_S),
+            (Said.HEARTBEAT_ACKNOWLEDGED, HEARTBEAT_SILENCE_S),
+            (Said.RETIREMENT_KNOWN, HEARTBEAT_SILENCE_S),
+            (Said.INSTANCE_ORDER, ORDER_SILENCE_S),
+        )
         for said, bound in bounds:
             self.assertTrue(Situation(bound - 0.001, leads=True).gate.may(said), said)
             self.assertFalse(Situation(bound + 0.001, leads=True).gate.may(said), said)
@@ -157,7 +165,7 @@
 
     def test_calls_are_refused_at_once_only_after_a_start_has_had_its_time(self) -> None:
         situation = Situation(math.inf)
-        situation.gate.check_reachable()       # the process began just now
+        situation.gate.check_reachable()  # the process began just now
         situation.freeze(REACHABLE_SILENCE_S + 0.1)
         with self.assertRaises(OutOfTouchError):
             situation.gate.check_reachable()
@@ -170,8 +178,8 @@
 
     def __init__(self, situation: Situation) -> None:
         self.situation = situation
-        self.frozen_s = 0.0                    # before the answer is known here
-        self.frozen_after_s = 0.0              # after it
+        self.frozen_s = 0.0  # before the answer is known here
+        self.frozen_after_s = 0.0  # after it
         self.outcome = Outcome(DONE, 5)
         self.calls = 0
 
@@ -213,10 +221,24 @@
         self.gate = self.situation.gate
         commands = cast(Commands, self.log)
         retirements = SimpleNamespace(kind=self.kinds.get)
-        instances = Instances(cast("object", Table()), retirements, commands, SimpleNamespace(),
-                              lambda: None, lambda: 0, self.gate, SimpleNamespace())
-        self.api = ControlApi(ConfigurationParser(), cast(ConfigurationVersions, versions), commands,
-                              instances, cast(StatusPage, status), self.gate)
+        instances = Instances(
+            cast("object", Table()),
+            retirements,
+            commands,
+            SimpleNamespace(),
+            lambda: None,
+            lambda: 0,
+            self.gate,
+            SimpleNamespace(),
+        )
+        self.api = ControlApi(
+            ConfigurationParser(),
+            cast(ConfigurationVersions, versions),
+            commands,
+            instances,
+            cast(StatusPage, status),
+            self.gate,
+        )
 
     async def call(self, method: str, path: str, body: bytes = b"", based_on: int | None = None) -> Reply:
         headers = () if based_on is None else (("If-Match", str(based_on)),)
--- a/tests/test_control_plane_serving_variants.py
+++ b/tests/test_control_plane_serving_variants.py
@@ -94,10 +94,13 @@
     def test_reads_without_a_barrier(self) -> None:
         async def confirmed(self: Commands, since: float) -> None:
             await asyncio.sleep(0)
+
         reachable = mock.patch.object(ServingGate, "check_reachable", lambda _: None)
         with mock.patch.object(Commands, "read_barrier", confirmed), reachable:
-            self.assertIn("m2 answered GET /mallowbeam/config with 200 after",
-                          self.violation("cut_off_leader_asked.txt"))
+            self.assertIn(
+                "m2 answered GET /mallowbeam/config with 200 after",
+                self.violation("cut_off_leader_asked.txt"),
+            )
 
     def test_heartbeats_acknowledged_for_too_long(self) -> None:
         """As it was: the instances turned to the others only after these had taken them for gone."""
@@ -112,9 +115,12 @@
     def test_drains_acknowledged_without_the_log(self) -> None:
         async def retire(*_: object) -> None:
             await asyncio.sleep(0)
+
         with mock.patch.object(Instances, "_retire", retire):
-            self.assertIn("acknowledged that a leaves, which no member has applied",
-                          self.violation("drain_at_cut_off_member.txt"))
+            self.assertIn(
+                "acknowledged that a leaves, which no member has applied",
+                self.violation("drain_at_cut_off_member.txt"),
+            )
 
 
 if __name__ == "__main__":
--- a/tests/test_control_plane_stage_orders.py
+++ b/tests/test_control_plane_stage_orders.py
@@ -67,16 +67,25 @@
         leader = self.leader
         gate = ServingGate(lambda: leader.now, leader.silence, lambda: leader.is_leader)
         self.gate = gate
-        self.orders = StageOrders(cast(RaftDriver, leader), 7, cast(InstanceTable, None),
-                                  cast(ConfigurationVersions, None), lambda: None, gate, LEASE_S)
+        self.orders = StageOrders(
+            cast(RaftDriver, leader),
+            7,
+            cast(InstanceTable, None),
+            cast(ConfigurationVersions, None),
+            lambda: None,
+            gate,
+            LEASE_S,
+        )
         lease = self.orders._lease
         lease.acquired(2, TOKEN, leader.now - lease.settings.wait_s)
 
     async def exchange(self, while_connecting: Callable[[], None]) -> OrderResult:
         """One order; something happens while its connection comes up."""
+
         async def connect(*_: object) -> Link:
             while_connecting()
             return self.link
+
         clock = SimpleNamespace(monotonic=lambda: self.leader.now)
         with mock.patch.multiple(stage_orders, connect=connect, time=clock):
             return await self.orders._exchange(ORDER)
@@ -91,23 +100,27 @@
     async def test_frozen_while_the_connection_came_up(self) -> None:
         def freeze() -> None:
             self.leader.now += 20.0
+
         self.assertIs(await self.exchange(freeze), OrderResult.NOT_SENT)
         self.assertFalse(self.written())
 
     async def test_cut_off_while_the_connection_came_up(self) -> None:
         def cut_off() -> None:
-            self.leader.now += 0.6             # it still believes that it leads: check-quorum takes 0.8 s
+            self.leader.now += 0.6  # it still believes that it leads: check-quorum takes 0.8 s
+
         self.assertIs(await self.exchange(cut_off), OrderResult.NOT_SENT)
         self.assertFalse(self.written())
 
     async def test_leadership_lost_and_won_again_meanwhile(self) -> None:
         def lose() -> None:
             self.leader.is_leader = False
+
         self.assertIs(await self.exchange(lose), OrderResult.NOT_SENT)
 
         def win_again() -> None:
             self.leader.is_leader = True
             self.leader.node.term = 4
+
         self.assertIs(await self.exchange(win_again), OrderResult.NOT_SENT)
         self.assertFalse(self.written())
 
@@ -119,7 +132,7 @@
     async def test_an_order_that_does_not_arrive_is_dropped_by_the_kernel_too(self) -> None:
         """A process frozen behind a cut closes nothing; the order would be delivered once the cut is over."""
         await self.exchange(lambda: None)
-        before = self.link.done[:self.link.done.index(("request",))]
+        before = self.link.done[: self.link.done.index(("request",))]
         self.assertIn((socket.SOL_SOCKET, socket.SO_LINGER, RESET), before)
         self.assertIn((socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 600), before)
 
--- a/tests/test_control_plane_unusable.py
+++ b/tests/test_control_plane_unusable.py
@@ -25,8 +25,10 @@
 
 class Diverged(unittest.TestCase):
     def test_a_member_whose_log_contradicts_the_group_comes_back_as_a_new_one(self) -> None:
-        player = FleetPlayer(HEAD + "at 12 expect voters 3\nat 12 put 2 on 1\nby 14 expect taken 2\n"
-                             "by 15 expect members revision 2\nend 15")
+        player = FleetPlayer(
+            HEAD + "at 12 expect voters 3\nat 12 put 2 on 1\nby 14 expect taken 2\n"
+            "by 15 expect members revision 2\nend 15"
+        )
         before: list[int] = []
 
         def contradict() -> None:
@@ -38,6 +40,7 @@
             player.do_kill("leader")
             player.simulator.after(2.0, lambda: player.do_start("members"))
             self.member = member
+
         player.simulator.at(8.5, contradict)
         player.play()
         self.assertNotEqual(self.member.replica.identity, before[0])
@@ -53,17 +56,19 @@
             driver._step()
         self.assertIsInstance(seen[0], DivergedError)
         driver._put(raft_driver._Transfer())
-        self.assertEqual(len(driver._events), 1)               # it waits for ever
+        self.assertEqual(len(driver._events), 1)  # it waits for ever
 
 
 class RemovedLate(unittest.TestCase):
     """A member that was away for longer than learners are kept comes back with its old store."""
 
-    TEXT = HEAD + ("at 8 add m4\nat 10 kill m3\nby 14 expect voters 3\nat 14 put 2 on 1\n"
-                   "by 17 expect taken 2\nat 20 put 3 on 2\nby 23 expect taken 3\nat 23 put 4 on 3\n"
-                   "by 26 expect taken 4\n"
-                   "at 60 start m3\nby 64 expect m3 revision 4\nat 64 kill m4\nby 68 expect voters 3\n"
-                   "at 68 kill m1\nat 70 put 5 on 4 via m3\nby 76 expect taken 5\nend 77")
+    TEXT = HEAD + (
+        "at 8 add m4\nat 10 kill m3\nby 14 expect voters 3\nat 14 put 2 on 1\n"
+        "by 17 expect taken 2\nat 20 put 3 on 2\nby 23 expect taken 3\nat 23 put 4 on 3\n"
+        "by 26 expect taken 4\n"
+        "at 60 start m3\nby 64 expect m3 revision 4\nat 64 kill m4\nby 68 expect voters 3\n"
+        "at 68 kill m1\nat 70 put 5 on 4 via m3\nby 76 expect taken 5\nend 77"
+    )
 
     def test_it_joins_again_and_gets_a_place(self) -> None:
         player = FleetPlayer(self.TEXT)
@@ -72,8 +77,10 @@
 
     def test_also_where_the_log_was_compacted(self) -> None:
         player = FleetPlayer(self.TEXT)
-        with mock.patch.object(raft_driver, "COMPACT_ENTRIES", 3), \
-                mock.patch("mallowbeam.control_plane.member.TRAILING_ENTRIES", 0):
+        with (
+            mock.patch.object(raft_driver, "COMPACT_ENTRIES", 3),
+            mock.patch("mallowbeam.control_plane.member.TRAILING_ENTRIES", 0),
+        ):
             player.play()
         node = player.members["m3"].program._driver.node
         self.assertGreater(node._state.log.snapshot.index, 3)
@@ -100,9 +107,15 @@
 
     def _settings(self) -> NodeSettings:
         settings = settings_of("m1", SEEDS[0], SEEDS, member=True, bootstrap=True)
-        return mock.Mock(wraps=settings, data_dir=self.folder, bootstrap=True, seeds=settings.seeds,
-                         limits=settings.limits, bind_addresses=settings.bind_addresses,
-                         port_range=settings.port_range)
+        return mock.Mock(
+            wraps=settings,
+            data_dir=self.folder,
+            bootstrap=True,
+            seeds=settings.seeds,
+            limits=settings.limits,
+            bind_addresses=settings.bind_addresses,
+            port_range=settings.port_range,
+        )
 
     @property
     def first(self) -> int:
@@ -178,6 +191,7 @@
             context.stopping = asyncio.Event()
             FakeMember.context, FakeMember.made = context, []
             await role.serve(context)
+
         with mock.patch.multiple(role, open_store=opening, open_anew=opening, ControlMember=FakeMember):
             with mock.patch.object(FakeMember, "disk_ended", disk_ended, create=True):
                 asyncio.run(serve())
@@ -193,6 +207,7 @@
         def init(self, settings: object, opened, original=FakeMember.__init__) -> None:
             original(self, settings, opened)
             self.disk_ended = False
+
         with mock.patch.object(FakeMember, "__init__", init), self.assertRaises(DivergedError):
             self.play()
         self.assertEqual(len(FakeMember.made), 1)
--- a/tests/test_control_plans.py
+++ b/tests/test_control_plans.py
@@ -80,7 +80,7 @@
 def test_what_is_on_its_way_when_a_plan_gets_a_limit_is_no_credit():
     """Guards the limit: what was never drawn from it would be given back if it is not sent."""
     rig = Rig(limit_at_arrival=True)
-    send, = of(rig.step(rig.request(plan="silver", volume="b", units=8)), io.Send)
+    (send,) = of(rig.step(rig.request(plan="silver", volume="b", units=8)), io.Send)
     rig.step(io.PlanChanged(io.Plan("silver", limit=10.0, limit_burst=40.0, limit_slack=6.0)))
     rig.step(rig.ended(send, io.Outcome.NOT_SENT))
     assert rig.host.volumes["b", "silver"].limit_level <= -6.0
@@ -91,7 +91,7 @@
     for limit, burst, goes in ((0.001, 0.0, False), (0.0, 0.0, True)):
         rig = Rig()
         rig.wait(5.0)
-        first, = of(rig.step(rig.request(plan="basic", volume="b", units=8)), io.Send)
+        (first,) = of(rig.step(rig.request(plan="basic", volume="b", units=8)), io.Send)
         waits = rig.request("log", plan="basic", volume="b", units=4)
         assert rig.step(waits) == []
         rig.step(io.PlanChanged(io.Plan("basic", limit=limit, limit_burst=burst)))
@@ -160,7 +160,7 @@
 def test_an_allotment_at_a_shard_counts_apart_and_what_waits_for_it_comes_along():
     rig = Rig(nodes=2)
     rig.wait(5.0)
-    first, = of(rig.step(rig.request(plan="basic", volume="b", units=8)), io.Send)
+    (first,) = of(rig.step(rig.request(plan="basic", volume="b", units=8)), io.Send)
     rig.step(rig.request("log", plan="basic", volume="b", units=4))
     main = rig.host.volumes["b", "basic"]
     assert main.pending == 4
@@ -217,8 +217,12 @@
     host = facade.Facade(make_settings(), 100.0)
     assert host.planned(100.0, replace(BASIC, limit=5.0)) == facade.Orders()
     host.planned(100.0, replace(BASIC, limit=3.0), "b", shard=1, part=0.25)
-    for bad in (dict(plan=replace(BASIC, limit=-1.0)), dict(plan=BASIC, part=1.5), dict(plan=BASIC, shard=2),
-                dict(plan=replace(BASIC, weight=float("inf")))):
+    for bad in (
+        dict(plan=replace(BASIC, limit=-1.0)),
+        dict(plan=BASIC, part=1.5),
+        dict(plan=BASIC, shard=2),
+        dict(plan=replace(BASIC, weight=float("inf"))),
+    ):
         with pytest.raises(facade.BadPlan) as caught:
             host.planned(100.0, **bad)
         assert caught.value.remedy
@@ -239,8 +243,9 @@
     count as the platform does: a request's units go at its first attempt that reached a node.
     """
     draw = random.Random(29)
-    rigs = [Rig(nodes=6, now=0.0, hosts=200, seed=n, limit_at_arrival=True, plans={"p": poor})
-            for n in range(200)]
+    rigs = [
+        Rig(nodes=6, now=0.0, hosts=200, seed=n, limit_at_arrival=True, plans={"p": poor}) for n in range(200)
+    ]
     hosts = {f"v{v}": draw.sample(range(200), draw.choice((1, 2, 3))) for v in range(60)}
     moving = [name for v, name in enumerate(hosts) if v < 30]
     stores, held = {name: Store(poor, 0.0) for name in hosts}, {n: poor for n in range(200)}
@@ -271,12 +276,18 @@
             rigs[n].timer, events = None, [io.TimerFired(0)]
         elif isinstance(what, io.Plan):
             held[n] = what
-            events = [io.PlanChanged(what), *(io.PlanChanged(what, name, part=part)
-                                              for (name, where), part in parts.items() if where == n)]
+            events = [
+                io.PlanChanged(what),
+                *(
+                    io.PlanChanged(what, name, part=part)
+                    for (name, where), part in parts.items()
+                    if where == n
+                ),
+            ]
         elif isinstance(what, tuple) and what[0] == "platform":
             for store in stores.values():
                 store.change(now, what[1])
-        elif isinstance(what, tuple):          # the one shrinks first; what that frees comes to another later
+        elif isinstance(what, tuple):  # the one shrinks first; what that frees comes to another later
             _, name, freed = what
             if not freed:
                 n = draw.choice(hosts[name])
@@ -288,14 +299,29 @@
         elif isinstance(what, io.AttemptEnded):
             events = [what]
         else:
-            events = [rigs[n].request(request=f"q{next(order)}", plan="p", volume=what, shard=None,
-                                      hosts_of_volume=len(hosts[what]), units=draw.randint(1, 4))]
+            events = [
+                rigs[n].request(
+                    request=f"q{next(order)}",
+                    plan="p",
+                    volume=what,
+                    shard=None,
+                    hosts_of_volume=len(hosts[what]),
+                    units=draw.randint(1, 4),
+                )
+            ]
             asked[events[0].request] = (what, events[0].units)
         rigs[n].now = now
         for send in of(rigs[n].step(*events), io.Send):
             number = tries[send.request] = tries.get(send.request, -1) + 1
-            outcome, after = draw.choices([(io.Outcome.OK, 0.05), (io.Outcome.TIMEOUT, 0.3), (
-                io.Outcome.RESET, 0.02), (io.Outcome.NO_CONNECTION, 0.25)], weights=(80, 8, 7, 5))[0]
+            outcome, after = draw.choices(
+                [
+                    (io.Outcome.OK, 0.05),
+                    (io.Outcome.TIMEOUT, 0.3),
+                    (io.Outcome.RESET, 0.02),
+                    (io.Outcome.NO_CONNECTION, 0.25),
+                ],
+                weights=(80, 8, 7, 5),
+            )[0]
             if outcome is not io.Outcome.NO_CONNECTION and send.request not in counted:
                 counted.add(send.request)
                 stores[asked[send.request][0]].take(now, asked[send.request][1])
@@ -347,8 +373,12 @@
         change(self, plan, part, now)
         if before.limit:
             gained = max(0.0, plan.limit_slack / self.parts() - slack)
-            self.limit_level = {"full": plan.limit_burst / self.parts(), "slack": self.limit_level + gained,
-                                "forgiven": max(level, 0.0)}[broken]
+            self.limit_level = {
+                "full": plan.limit_burst / self.parts(),
+                "slack": self.limit_level + gained,
+                "forgiven": max(level, 0.0),
+            }[broken]
+
     monkeypatch.setattr(Volume, "change", without)
 
 
--- a/tests/test_control_sending.py
+++ b/tests/test_control_sending.py
@@ -29,8 +29,15 @@
 
 def test_events_of_things_unknown_are_ignored():
     rig = Rig()
-    assert rig.step(io.ClientGone("nobody"), io.TimerFired(99), io.StreamStarted("x", 0, "n9", 0.1),
-                    io.AttemptEnded("x", 0, "n9", io.Outcome.OK, 0.1, True)) == []
+    assert (
+        rig.step(
+            io.ClientGone("nobody"),
+            io.TimerFired(99),
+            io.StreamStarted("x", 0, "n9", 0.1),
+            io.AttemptEnded("x", 0, "n9", io.Outcome.OK, 0.1, True),
+        )
+        == []
+    )
 
 
 def test_a_started_stream_is_left_to_its_client():
@@ -134,7 +141,7 @@
     """Guards slow clients: their time counts from the last byte, and what has been passed on is gone."""
     rig = Rig()
     node = rig.host.nodes["n0"]
-    send, = of(rig.step(rig.request("keyed", units=2)), io.Send)
+    (send,) = of(rig.step(rig.request("keyed", units=2)), io.Send)
     rig.step(io.Upload(send.request, 0))
     assert node.out_units == 0, "its node has nothing to do yet"
     assert not rig.wait(30.0) and not node.suspect
@@ -147,7 +154,7 @@
 
 def test_a_large_body_that_never_comes_to_its_end_is_ended_with_its_attempt():
     rig = Rig()
-    send, = of(rig.step(rig.request("keyed", units=2)), io.Send)
+    (send,) = of(rig.step(rig.request("keyed", units=2)), io.Send)
     rig.step(io.Upload(send.request, 0))
     assert of(rig.step(rig.ended(send, io.Outcome.NOT_SENT), after=9.0), io.Refuse)
     assert not rig.host.requests and rig.host.nodes["n0"].out_units == 0
@@ -156,7 +163,7 @@
 def test_a_node_that_is_not_the_place_is_asked_once_and_not_taken_for_full():
     """Day bulk+slow+pieces: reads of data that lies elsewhere went out four times, and closed windows."""
     rig = Rig()
-    send, = of(rig.step(rig.request(units=2)), io.Send)
+    (send,) = of(rig.step(rig.request(units=2)), io.Send)
     window = rig.host.nodes["n0"].window
     seen = rig.step(rig.ended(send, io.Outcome.ASTRAY), after=0.01)
     assert of(seen, io.Refuse) and not of(seen, io.Send)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,15 +36,19 @@
 
     def come(self, data: bytes) -> None:
         """Bytes have come: the read is over, and the task that waits for it has not gone on yet."""
-        self.buffer[:len(data)] = data
+        self.buffer[: len(data)] = data
         self.read.set_result(len(data))
 
 
 @pytest.mark.parametrize("then", ["pause", "move", "pause and resume"])
-@pytest.mark.parametrize("came", [b"HTTP/1.1 200 OK\r\nconte",
-                                  b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n",
-                                  b'HTTP/1.1 200 OK\r\ncontent-length: 45\r\n\r\n'
-                                  b'{"revision":9,"complete":true,"members":[]}  '])
+@pytest.mark.parametrize(
+    "came",
+    [
+        b"HTTP/1.1 200 OK\r\nconte",
+        b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\ncontent-length: 45\r\n\r\n" b'{"revision":9,"complete":true,"members":[]}  ',
+    ],
+)
 def test_an_answer_in_the_step_in_which_its_watch_is_given_up_is_told_to_nobody(monkeypatch, came, then):
     """Nor does the end of the old run end the new one: a watch would be lost for good."""
     told: list = []
@@ -65,7 +69,7 @@
         await until(lambda: links and links[0].channel.loop.read)
         links[0].channel.loop.come(came)
         if then == "move":
-            watch.address = "127.0.0.1:1"      # so that it moves to where the stand-in is
+            watch.address = "127.0.0.1:1"  # so that it moves to where the stand-in is
             watch.move(stand.address)
         else:
             watch.pause()
@@ -76,8 +80,10 @@
         if watch.task:
             await until(lambda: len(links) == 2 and links[1].channel.loop.read)
             assert watch.revision == (None if then == "move" else 1)
-            links[1].channel.loop.come(b"HTTP/1.1 200 OK\r\ncontent-length: 43\r\n\r\n"
-                                       b'{"revision":7,"complete":true,"members":[]}')
+            links[1].channel.loop.come(
+                b"HTTP/1.1 200 OK\r\ncontent-length: 43\r\n\r\n"
+                b'{"revision":7,"complete":true,"members":[]}'
+            )
             await until(lambda: told)
             assert [listing.revision for listing in told] == [7] and watch.revision == 7
         watch.pause()
@@ -160,8 +166,9 @@
     async def run(here: Crossing) -> None:
         n0 = here.parties["n0"].address
         await here.play("d expect GET since=1")
-        here.gateway.told_beside(read_listing(json.loads(body(5, UP.replace("$n0", n0), whole=False))),
-                                 here.parties["d"].address)
+        here.gateway.told_beside(
+            read_listing(json.loads(body(5, UP.replace("$n0", n0), whole=False))), here.parties["d"].address
+        )
         await here.play(f"d send 200 'body={body(4, DRAINING, whole=False)}'\nd expect GET since=5")
         assert here.serves()
 
@@ -225,6 +232,7 @@
 
 def test_a_watch_that_failed_before_a_move_is_begun_at_once_at_the_new_address():
     """The repeat that is due finds a watch that goes on."""
+
     async def run(here: Crossing) -> None:
         await here.play("d expect GET since=1\nd send 503")
         await until(lambda: here.gateway.watch.task is None)
--- a/tests/test_crossings_upgrade.py
+++ b/tests/test_crossings_upgrade.py
@@ -45,7 +45,7 @@
         await old.play("n0 send 200 body=held\nc1 expect 200 held")
         await until(old.task.done)
         if old.gateway.sister is not None:
-            old.gateway.sister.close()         # as its end would
+            old.gateway.sister.close()  # as its end would
         await until(lambda: new.gateway.sister is None)
         assert old.task.result() is None and new.gateway.phase is Phase.SERVING
         assert new.gateway.pool.most == new.gateway.pool.whole
@@ -65,9 +65,9 @@
             asyncio.get_running_loop().call_soon(old.hup, "e")
             return legacy()
 
-        if when == "after":                    # in the step after the state is written
+        if when == "after":  # in the step after the state is written
             old.gateway.legacy = state
-        else:                                  # and in one before, with nothing heard at the new address yet
+        else:  # and in one before, with nothing heard at the new address yet
             old.hup("e")
 
     async def run(old: Crossing, new: Crossing) -> None:
@@ -145,7 +145,7 @@
         await until(lambda: old.gateway.watch.paused)
         old.hup("e")
         new.hup("f")
-        for _ in range(3):                     # all that is said about it is heard
+        for _ in range(3):  # all that is said about it is heard
             await told(old, new)
             await told(new, old)
         assert old.gateway.watch.address == new.gateway.watch.address
@@ -164,7 +164,7 @@
         await until(lambda: old.gateway.watch.paused)
         old.gateway._apply(Orders(watch=True))  # the repeat that was due
         assert old.gateway.watch.task is None
-        new.gateway.sister.close()             # gone: now nobody else watches
+        new.gateway.sister.close()  # gone: now nobody else watches
         await until(lambda: old.gateway.sister is None)
         assert old.gateway.watch.task is not None
 
--- a/tests/test_data_plane_answers.py
+++ b/tests/test_data_plane_answers.py
@@ -25,7 +25,7 @@
 
 ID = b"9c41d07be2a35f68"
 HEAD = b"POST / HTTP/1.1\r\ncontent-length: %d\r\n\r\n"
-LARGE = 2 * 1024 * 1024     # bytes: more than the small buffers below hold
+LARGE = 2 * 1024 * 1024  # bytes: more than the small buffers below hold
 SMALL_BUFFER = 8 * 1024
 EARLY = b"HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 2\r\n\r\nno"
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
@@ -40,8 +40,13 @@
 
     async def _answer(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         self.seen.append(seen)
-        return self._whole(writer, seen, self.status, b"" if seen.method == "HEAD" else b"it failed",
-                           f"Content-Type: text/event-stream\r\n{self._stamp}")
+        return self._whole(
+            writer,
+            seen,
+            self.status,
+            b"" if seen.method == "HEAD" else b"it failed",
+            f"Content-Type: text/event-stream\r\n{self._stamp}",
+        )
 
 
 @dataclass
@@ -66,6 +71,7 @@
                 await add(bench, Typed("i-1", "decode"), ENGINE)
                 answer = await bench.ask("/stream/")
                 self.assertEqual((answer.status, answer.whole, answer.body), (500, True, b"it failed"))
+
         play(scenario())
 
     def test_the_answer_to_head_has_no_body_whatever_its_type(self) -> None:
@@ -78,13 +84,15 @@
                 self.assertIn(b" 200 ", head)
                 writer.write(request_bytes("/nowhere/"))
                 self.assertIn(b" 404 ", (await reader.readuntil(b"\r\n\r\n")))
+
         play(scenario())
 
     def test_the_answer_behind_a_late_one_reaches_its_caller(self) -> None:
         @dataclass
         class Late(ModelServer):
-            async def _answer(self, seen: Seen, reader: asyncio.StreamReader,
-                              writer: asyncio.StreamWriter) -> bool:
+            async def _answer(
+                self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+            ) -> bool:
                 if before := writer.__dict__.get("before"):
                     self._whole(writer, before, 200, b"late", self._stamp)
                 writer.__dict__["before"] = seen
@@ -102,6 +110,7 @@
                     await asyncio.sleep(0.1)
                 # The first two share a connection; behind the late answer it is not used again.
                 self.assertEqual((len(one.seen), one.connections), (3, 2))
+
         play(scenario())
 
     def test_a_late_prefill_answer_gives_its_handle_to_nobody_else(self) -> None:
@@ -117,6 +126,7 @@
                     self.assertTrue(handle.endswith(id), (handle, id))
                     await asyncio.sleep(0.1)
                 self.assertGreaterEqual(len(prefill.seen), 2)
+
         play(scenario())
 
     def test_a_request_whose_time_the_prompt_has_used_up_is_not_sent_and_is_refused(self) -> None:
@@ -130,6 +140,7 @@
                 prefill.script.append(Fault.SILENT)
                 answer = await bench.ask("/stream/", headers={"Deadline-Ms": "300"})
                 self.assertEqual((answer.status, len(decode.seen)), (503, 1))
+
         play(scenario())
 
 
@@ -156,7 +167,7 @@
             ends = {len(b"id: 1" + ending), len(stream)}
             progress = StreamProgress(False)
             for position in range(len(stream)):
-                progress.feed(stream[position:position + 1])
+                progress.feed(stream[position : position + 1])
                 self.assertEqual(progress.inside_event, position + 1 not in ends, (ending, position))
 
     def test_one_that_is_resumable_too(self) -> None:
@@ -172,6 +183,7 @@
 
     def play(self, scenario: Callable[[Link, socket.socket], Awaitable[None]]) -> None:
         """Run a scenario with a link whose large request the kernel does not take whole, and its peer."""
+
         async def whole() -> None:
             with socket.create_server(("127.0.0.1", 0)) as listener:
                 listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
@@ -184,6 +196,7 @@
                 finally:
                     link.close()
                     peer.close()
+
         for run in (asyncio.run, uvloop.run):
             run(asyncio.wait_for(whole(), 10.0))
 
@@ -193,6 +206,7 @@
             answer = await link.ask(HEAD % LARGE, b"b" * LARGE)
             self.assertEqual((answer.status, await link.body(answer)), (503, b"no"))
             self.assertEqual((link.written, link.begun, link.reusable(answer)), (False, True, False))
+
         self.play(scenario)
 
     def test_the_rest_of_a_body_is_sent_whole_behind_an_early_answer(self) -> None:
@@ -208,15 +222,17 @@
             while not link.written:
                 await asyncio.sleep(0)
             self.assertTrue(link.reusable(answer))
+
         self.play(scenario)
 
     def test_a_reset_that_the_write_is_told_of_is_no_orderly_end(self) -> None:
         async def scenario(link: Link, peer: socket.socket) -> None:
             peer.sendall(NO_LENGTH)
             answer = await link.ask(HEAD % LARGE, b"b" * LARGE)
-            peer.close()                       # over bytes that nobody read: a reset
+            peer.close()  # over bytes that nobody read: a reset
             with self.assertRaises(Broken):
                 await link.body(answer)
+
         self.play(scenario)
 
     def test_a_close_over_a_blocked_write_leaves_nothing_behind(self) -> None:
@@ -229,6 +245,7 @@
             link.close()
             await asyncio.wait([writer])
             self.assertFalse(link.written)
+
         self.play(scenario)
 
 
@@ -280,6 +297,7 @@
             reused = instance.connections == 1 and bool(link.idle_since)
             pool.drop("p-1", link)
             instance.stop()
+
         play(scenario())
         return reused
 
@@ -303,6 +321,7 @@
             pool.drop("i-1", other)
             for one in instances:
                 one.stop()
+
         play(scenario())
 
     def test_one_on_which_something_came_before_the_request_is_none(self) -> None:
@@ -314,11 +333,13 @@
                 link = await connect(*arguments)  # type: ignore[arg-type]
                 await asyncio.sleep(0.1)
                 return link
+
             pool = LinkPool(10)
             with patch.object(link_pool, "connect", slowly), self.assertRaises(Unsent):
                 await pool.take("i-1", address, 1)
             self.assertEqual(pool._count, 0)
             instance.stop()
+
         play(scenario())
 
 
--- a/tests/test_data_plane_budget.py
+++ b/tests/test_data_plane_budget.py
@@ -47,8 +47,11 @@
         seen = count(retries, begin, begin + WINDOW_S)
         if not seen:
             continue
-        most = max(count(requests, begin, begin + WINDOW_S), count(requests, begin - WINDOW_S, begin),
-                   count(requests, begin - WINDOW_S / 2, begin + WINDOW_S / 2))
+        most = max(
+            count(requests, begin, begin + WINDOW_S),
+            count(requests, begin - WINDOW_S, begin),
+            count(requests, begin - WINDOW_S / 2, begin + WINDOW_S / 2),
+        )
         worst = max(worst, seen - (ratio * most + min_retries))
     return worst
 
@@ -65,7 +68,7 @@
         self.settings = settings_from(random)
         self.budgets = [RetryBudget(self.settings) for _ in range(gateways)]
         self.counted = Counted()
-        self.rate, self.failing = 10.0, 0.5    # events a second; the share that asks for retries
+        self.rate, self.failing = 10.0, 0.5  # events a second; the share that asks for retries
         self.shares = [1.0] * gateways
 
     def play(self, seconds: float) -> Counted:
@@ -128,7 +131,7 @@
         requests = [START + number for number in range(20)]
         self.assertLessEqual(excess(Counted(requests, [START + 15.0, START + 15.1]), 0.2, 0), 0)
         self.assertGreater(excess(Counted(requests, [START + 15.0, START + 15.1, START + 15.2]), 0.2, 0), 0)
-        self.assertGreater(excess(Counted(requests, [START + 35.0]), 0.2, 0), 0)   # long behind them
+        self.assertGreater(excess(Counted(requests, [START + 35.0]), 0.2, 0), 0)  # long behind them
         self.assertLessEqual(excess(Counted(requests, [START + 35.0]), 0.2, 1), 0)
 
 
@@ -213,9 +216,9 @@
     """What the role makes of the bounds in its settings file."""
 
     GATEWAYS = 87
-    TOLD = 60                   # by a member that has not heard of all of them yet
-    REQUESTS = 230              # of clients, at each gateway in a window
-    CHECKS = 60                 # calls that only look which configuration is in force: none by the bound
+    TOLD = 60  # by a member that has not heard of all of them yet
+    REQUESTS = 230  # of clients, at each gateway in a window
+    CHECKS = 60  # calls that only look which configuration is in force: none by the bound
 
     def test_checks_and_a_low_count_of_gateways_stay_within_it(self) -> None:
         bounds = Bounds(retry_budget_ratio=0.2, budget_window_s=WINDOW_S, min_retries=214)
--- a/tests/test_data_plane_failures.py
+++ b/tests/test_data_plane_failures.py
@@ -21,9 +21,11 @@
 from tests.virtual_time import play
 
 ROUTES = configuration(
-    route("/safe/", "safe"), route("/unsafe/", "unsafe"),
+    route("/safe/", "safe"),
+    route("/unsafe/", "unsafe"),
     route("/once/", "stream", ENGINE, gap_aim_ms=100, max_retries=1),
-    route("/resume/", "stream", ENGINE, resumable=True, gap_aim_ms=100, max_retries=2))
+    route("/resume/", "stream", ENGINE, resumable=True, gap_aim_ms=100, max_retries=2),
+)
 NO_BUDGET = BudgetSettings(ratio=0.0, min_retries=0)
 PROMPT = {"Token-Usage": "1000,5", "Prompt-Prefix": "aa:600,bb:400"}
 
@@ -52,6 +54,7 @@
                 answer = await bench.ask("/resume/", headers=PROMPT)
                 self.assertEqual((answer.status, answer.body), (200, events()))
                 self.assertEqual([len(one.seen) for one in (prefill, *decodes)], [0, 1, 1, 0])
+
         play(scenario())
 
     def test_stream_that_breaks_after_a_hand_over_is_resumed(self):
@@ -64,6 +67,7 @@
                     answer = await bench.ask("/resume/", headers=PROMPT)
                     self.assertEqual((answer.whole, answer.body), (True, events()), fault)
                     self.assertEqual([len(one.seen) for one in (prefill, *decodes)], [1, 1, 1, 0], fault)
+
         play(scenario())
 
 
--- a/tests/test_data_plane_feed_link.py
+++ b/tests/test_data_plane_feed_link.py
@@ -17,9 +17,9 @@
 from tests.virtual_time import play
 
 IP = "127.0.0.1"
-NOT_A_FRAME = b"\xff" * 16                     # no protobuf message begins with this
+NOT_A_FRAME = b"\xff" * 16  # no protobuf message begins with this
 HELLO = FeedHello(gateway="g-1", configuration_revision=7)
-PATIENCE_S = 30.0                              # of virtual time
+PATIENCE_S = 30.0  # of virtual time
 
 
 class Member:
@@ -100,6 +100,7 @@
 class Following(unittest.TestCase):
     def play(self, scenario: Callable[[Member, Member], Awaitable[None]]) -> None:
         """Run a scenario with two members."""
+
         async def whole() -> None:
             members = Member(), Member()
             for member in members:
@@ -109,6 +110,7 @@
             finally:
                 for member in members:
                     member.stop()
+
         play(whole())
 
     def test_says_hello_and_hands_on_each_frame(self) -> None:
@@ -121,6 +123,7 @@
                 await until(lambda: bench.changes == 3)
                 self.assertEqual([one.heartbeat.gateways for one in bench.script.frames], [0, 1, 2])
                 self.assertEqual(bench.script.told, [("connected", member.address)])
+
         self.play(scenario)
 
     def test_a_refused_connection_is_told(self) -> None:
@@ -130,6 +133,7 @@
                 async with Bench(Script(Connect(bad), Connect(member.address))) as bench:
                     await until(lambda bench=bench: len(bench.script.told) == 2)
                     self.assertEqual(bench.script.told, [("failed", bad), ("connected", member.address)])
+
         self.play(scenario)
 
     def test_an_end_by_the_member_is_told_at_once(self) -> None:
@@ -145,6 +149,7 @@
                 first, second = member.address, other.address
                 told = [("connected", first), ("failed", first), ("connected", second)]
                 self.assertEqual(bench.script.told, told)
+
         self.play(scenario)
 
     def test_a_feed_that_is_given_up_is_closed_and_not_told_as_failed(self) -> None:
@@ -155,6 +160,7 @@
                 told = [("connected", member.address), ("connected", other.address)]
                 self.assertEqual(bench.script.told, told)
                 self.assertFalse(member.connections[0].open)
+
         self.play(scenario)
 
     def test_a_new_connection_ends_the_one_before(self) -> None:
@@ -164,6 +170,7 @@
                 other.connections[0].send(frame(2))
                 await until(lambda: bench.changes)
                 self.assertEqual([one.heartbeat.gateways for one in bench.script.frames], [2])
+
         self.play(scenario)
 
     def test_what_is_no_message_ends_the_feed_and_nothing_behind_it_counts(self) -> None:
@@ -175,6 +182,7 @@
                 await until(lambda: ("failed", member.address) in bench.script.told)
                 await until(lambda: member.ended)
                 self.assertEqual(bench.changes, 0)
+
         self.play(scenario)
 
     def test_frames_go_to_the_member_that_is_followed(self) -> None:
@@ -185,6 +193,7 @@
                 self.assertTrue(bench.link.send(GatewayFrame(hello=FeedHello(gateway="again"))))
                 await until(lambda: len(member.frames) == 2)
                 self.assertEqual(member.frames[1].gateway.hello.gateway, "again")
+
         self.play(scenario)
 
     def test_the_end_closes_the_connection(self) -> None:
@@ -193,6 +202,7 @@
                 await until(lambda: member.frames)
             await until(lambda: member.ended)
             self.assertFalse(bench.link.send(GatewayFrame()))
+
         self.play(scenario)
 
 
--- a/tests/test_data_plane_idle.py
+++ b/tests/test_data_plane_idle.py
@@ -31,8 +31,17 @@
             self.assertEqual(idle_s(value), MOST_IDLE_S * USED_SHARE, value)
 
     def test_little_where_nothing_can_be_read(self) -> None:
-        for values in ((), (b"",), (b"max=5",), (b"timeout=",), (b"timeout=-5",), (b"timeout=1.5",),
-                       (b"timeout=x",), (b"timeout=999999999",), (b"timeout",)):
+        for values in (
+            (),
+            (b"",),
+            (b"max=5",),
+            (b"timeout=",),
+            (b"timeout=-5",),
+            (b"timeout=1.5",),
+            (b"timeout=x",),
+            (b"timeout=999999999",),
+            (b"timeout",),
+        ):
             self.assertEqual(idle_s(*values), UNSTATED_IDLE_S * USED_SHARE, values)
 
 
--- a/tests/test_data_plane_path.py
+++ b/tests/test_data_plane_path.py
@@ -19,7 +19,7 @@
 from mallowbeam.standins.model_server import Fault
 from tests.gateway_bench import ENGINE, Bench, events, read_answer, read_head, request_bytes
 
-PATIENCE_S = 20.0           # for what takes milliseconds: only a failure comes near it
+PATIENCE_S = 20.0  # for what takes milliseconds: only a failure comes near it
 
 
 class OneByName(LeastLoadedPlanner):
@@ -57,8 +57,10 @@
         async with Bench() as bench:
             one = await bench.add("i-1")
             began = time.monotonic()
-            answer = await bench.ask("/safe/a?b=1", headers={"X-Other": "kept", "Connection": "x-hop",
-                                                             "X-Hop": "dropped", "Stage": "prefill"})
+            answer = await bench.ask(
+                "/safe/a?b=1",
+                headers={"X-Other": "kept", "Connection": "x-hop", "X-Hop": "dropped", "Stage": "prefill"},
+            )
             self.assertEqual((answer.status, answer.body), (200, b"answer"))
             self.assertEqual(answer.headers["server-signature"], "stamp.i-1")
             self.assertEqual(answer.headers["request-id"], "9c41d07be2a35f68")
@@ -79,8 +81,10 @@
         async with Bench() as bench:
             one = await bench.add("i-1")
             reader, writer = await bench.client()
-            writer.write(b"POST /unsafe/ HTTP/1.1\r\nHost: host.example:80\r\nRequest-Id: a1\r\n"
-                         b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
+            writer.write(
+                b"POST /unsafe/ HTTP/1.1\r\nHost: host.example:80\r\nRequest-Id: a1\r\n"
+                b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
+            )
             self.assertEqual((await read_answer(reader)).status, 200)
             self.assertEqual(one.seen[0].body, b"abcde")
 
@@ -249,8 +253,9 @@
             one.script.append(Fault.CUT)
             answer = await bench.ask("/resume/", headers={"Last-Event-Id": "1", "Priority": "7"})
             self.assertEqual((answer.whole, answer.body), (True, events(2)))
-            self.assertEqual([one.seen[0].headers["last-event-id"], two.seen[0].headers["last-event-id"]],
-                             ["1", "2"])
+            self.assertEqual(
+                [one.seen[0].headers["last-event-id"], two.seen[0].headers["last-event-id"]], ["1", "2"]
+            )
             self.assertEqual([seen.repeated for seen in one.seen + two.seen], [frozenset()] * 2)
             self.assertEqual(two.seen[0].headers["priority"], "3")  # as the plan says
 
@@ -272,8 +277,11 @@
 
 class Prefill(unittest.IsolatedAsyncioTestCase):
     async def bench(self, bench: Bench):
-        return (await bench.add("p-1", ENGINE, "prefill"), await bench.add("d-1", ENGINE, "decode"),
-                await bench.add("d-2", ENGINE, "decode"))
+        return (
+            await bench.add("p-1", ENGINE, "prefill"),
+            await bench.add("d-1", ENGINE, "decode"),
+            await bench.add("d-2", ENGINE, "decode"),
+        )
 
     async def test_without_a_prompt_nothing_is_read_apart(self):
         """An instance runs such a request though it is asked to read it: it would run on one more."""
--- a/tests/test_data_plane_request.py
+++ b/tests/test_data_plane_request.py
@@ -24,8 +24,16 @@
 
 def route(hostname: str, prefix: str, *backends: tuple[str, int]) -> Route:
     weighted = tuple(WeightedBackend(name, weight) for name, weight in backends or (("s", 1),))
-    return Route(hostname=hostname, path_prefix=prefix, route_type="safe", name=f"{hostname}{prefix}",
-                 timeout_ms=1000, target_latency_ms=100, max_retries=1, backends=weighted)
+    return Route(
+        hostname=hostname,
+        path_prefix=prefix,
+        route_type="safe",
+        name=f"{hostname}{prefix}",
+        timeout_ms=1000,
+        target_latency_ms=100,
+        max_retries=1,
+        backends=weighted,
+    )
 
 
 def message(*headers: tuple[bytes, bytes], request_id: bytes = REQUEST_ID) -> Message:
@@ -42,17 +50,36 @@
 
 class Routes(unittest.TestCase):
     def test_the_longest_prefix_of_the_host_wins(self) -> None:
-        table = RouteTable([route("a.example", "/"), route("a.example", "/a/b/"), route("a.example", "/a/"),
-                            route("b.example", "/a/b/c/")])
-        for target, prefix in ((b"/a/b/c/", "/a/b/"), (b"/a/b", "/a/"), (b"/a/", "/a/"), (b"/a", "/"),
-                               (b"/", "/"), (b"/x?/a/b/", "/"), (b"/a/b/?x=/", "/a/b/")):
+        table = RouteTable(
+            [
+                route("a.example", "/"),
+                route("a.example", "/a/b/"),
+                route("a.example", "/a/"),
+                route("b.example", "/a/b/c/"),
+            ]
+        )
+        for target, prefix in (
+            (b"/a/b/c/", "/a/b/"),
+            (b"/a/b", "/a/"),
+            (b"/a/", "/a/"),
+            (b"/a", "/"),
+            (b"/", "/"),
+            (b"/x?/a/b/", "/"),
+            (b"/a/b/?x=/", "/a/b/"),
+        ):
             found = table.find(b"a.example", target)
             self.assertEqual(found.path_prefix if found else None, prefix, target)
 
     def test_no_route(self) -> None:
         table = RouteTable([route("a.example", "/a/")])
-        for host, target in ((b"a.example", b"/"), (b"a.example", b"/ab/"), (b"b.example", b"/a/"),
-                             (b"", b"/a/"), (b"a.example.", b"/a/"), (b"\xff", b"/a/")):
+        for host, target in (
+            (b"a.example", b"/"),
+            (b"a.example", b"/ab/"),
+            (b"b.example", b"/a/"),
+            (b"", b"/a/"),
+            (b"a.example.", b"/a/"),
+            (b"\xff", b"/a/"),
+        ):
             self.assertIsNone(table.find(host, target), (host, target))
         self.assertIsNone(RouteTable().find(b"a.example", b"/a/"))
 
@@ -64,8 +91,11 @@
 
     def test_agrees_with_a_look_at_every_route(self) -> None:
         random = Random(SEED)
-        places = {("h" + random.choice("12"), "/" + "".join(random.choice("ab") + "/" for _ in range(depth)))
-                  for depth in (0, 1, 2, 3, 4) for _ in range(6)}
+        places = {
+            ("h" + random.choice("12"), "/" + "".join(random.choice("ab") + "/" for _ in range(depth)))
+            for depth in (0, 1, 2, 3, 4)
+            for _ in range(6)
+        }
         routes = [route(*place) for place in sorted(places)]
         table = RouteTable(routes)
         for _ in range(500):
@@ -97,15 +127,23 @@
 
 class Reading(unittest.TestCase):
     def test_all_that_a_request_says(self) -> None:
-        seen = read((b"deadline-ms", b"3000"), (b"last-event-id", b"12"), (b"model", b"m"),
-                    (b"token-usage", b"1460,80"),
-                    (b"prompt-prefix", b"5c1e07a2:800, 91bd3f06:410,e4402b7d:250"))
-        self.assertEqual((seen.request_id, seen.host, seen.method, seen.target, seen.body),
-                         (REQUEST_ID, b"a.example", b"POST", b"/a/1", b"body"))
+        seen = read(
+            (b"deadline-ms", b"3000"),
+            (b"last-event-id", b"12"),
+            (b"model", b"m"),
+            (b"token-usage", b"1460,80"),
+            (b"prompt-prefix", b"5c1e07a2:800, 91bd3f06:410,e4402b7d:250"),
+        )
+        self.assertEqual(
+            (seen.request_id, seen.host, seen.method, seen.target, seen.body),
+            (REQUEST_ID, b"a.example", b"POST", b"/a/1", b"body"),
+        )
         self.assertEqual((seen.deadline_ms, seen.last_event_id), (3000, b"12"))
         self.assertEqual((seen.prompt_tokens, seen.answer_tokens), (1460, 80))
-        self.assertEqual(seen.prompt_parts, (PromptPart("5c1e07a2", 800), PromptPart("91bd3f06", 410),
-                                             PromptPart("e4402b7d", 250)))
+        self.assertEqual(
+            seen.prompt_parts,
+            (PromptPart("5c1e07a2", 800), PromptPart("91bd3f06", 410), PromptPart("e4402b7d", 250)),
+        )
 
     def test_what_is_missing_has_a_default(self) -> None:
         seen = read()
@@ -123,15 +161,25 @@
                 read((name, b"1"), (name, b"2"))
 
     def test_only_end_to_end_headers_go_on(self) -> None:
-        seen = read((b"x-other", b"1"), (b"x-hop", b"2"), (b"connection", b"close, X-Hop"),
-                    (b"te", b"trailers"), (b"keep-alive", b"timeout=5"), (b"content-length", b"4"),
-                    (b"transfer-encoding", b"chunked"), (b"x-other", b"3"))
-        self.assertEqual(seen.headers, [(b"host", b"a.example"), (b"request-id", REQUEST_ID),
-                                        (b"x-other", b"1"), (b"x-other", b"3")])
+        seen = read(
+            (b"x-other", b"1"),
+            (b"x-hop", b"2"),
+            (b"connection", b"close, X-Hop"),
+            (b"te", b"trailers"),
+            (b"keep-alive", b"timeout=5"),
+            (b"content-length", b"4"),
+            (b"transfer-encoding", b"chunked"),
+            (b"x-other", b"3"),
+        )
+        self.assertEqual(
+            seen.headers,
+            [(b"host", b"a.example"), (b"request-id", REQUEST_ID), (b"x-other", b"1"), (b"x-other", b"3")],
+        )
 
     def test_every_connection_header_counts(self) -> None:
-        seen = read((b"x-one", b"1"), (b"connection", b"close"), (b"x-two", b"2"),
-                    (b"connection", b"x-one, x-two"))
+        seen = read(
+            (b"x-one", b"1"), (b"connection", b"close"), (b"x-two", b"2"), (b"connection", b"x-one, x-two")
+        )
         self.assertEqual([name for name, _ in seen.headers], [b"host", b"request-id"])
 
     def test_a_connection_header_takes_neither_id_nor_host_away(self) -> None:
@@ -143,15 +191,33 @@
             self.assertNotIn(name, [known for known, _ in read((name, b"1")).headers])
 
     def test_deadlines(self) -> None:
-        cases = {b"0": 0, b"1": 1, b"00250": 250, b"-1": MOST_MS, b"1.5": 1, b"7.": 7, b"": MOST_MS,
-                 b".5": MOST_MS, b"1.x": MOST_MS, b"1.5.5": MOST_MS, b"x": MOST_MS, b"9" * 9: MOST_MS,
-                 b"9" * 30: MOST_MS}
+        cases = {
+            b"0": 0,
+            b"1": 1,
+            b"00250": 250,
+            b"-1": MOST_MS,
+            b"1.5": 1,
+            b"7.": 7,
+            b"": MOST_MS,
+            b".5": MOST_MS,
+            b"1.x": MOST_MS,
+            b"1.5.5": MOST_MS,
+            b"x": MOST_MS,
+            b"9" * 9: MOST_MS,
+            b"9" * 30: MOST_MS,
+        }
         for value, expected in cases.items():
             self.assertEqual(read((b"deadline-ms", value)).deadline_ms, expected, value)
 
     def test_token_counts_that_cannot_be_read_are_none(self) -> None:
-        for value, expected in ((b"10", (10, 0)), (b"10,x", (10, 0)), (b",5", (0, 5)), (b"-1,-2", (0, 0)),
-                                (b" 10 , 5 ", (10, 5)), (b"1e3,5", (0, 5))):
+        for value, expected in (
+            (b"10", (10, 0)),
+            (b"10,x", (10, 0)),
+            (b",5", (0, 5)),
+            (b"-1,-2", (0, 0)),
+            (b" 10 , 5 ", (10, 5)),
+            (b"1e3,5", (0, 5)),
+        ):
             seen = read((b"token-usage", value))
             self.assertEqual((seen.prompt_tokens, seen.answer_tokens), expected, value)
 
--- a/tests/test_data_plane_role.py
+++ b/tests/test_data_plane_role.py
@@ -25,7 +25,7 @@
 from tests.gateway_bench import DEFAULT, Answer, read_answer, request_bytes
 
 ROOT = Path(__file__).parent.parent
-PATIENCE_S = 60.0           # for what takes a second: only a failure comes near it
+PATIENCE_S = 60.0  # for what takes a second: only a failure comes near it
 HEARTBEAT = FeedHeartbeat(gateways=1, table_complete=True)
 SETTINGS = """
 node_name = "edge-1"
@@ -68,7 +68,7 @@
 
     def __init__(self, instance: ModelServer) -> None:
         self.instance, self.hellos = instance, []
-        self.told = asyncio.Event()            # whether it says what it knows
+        self.told = asyncio.Event()  # whether it says what it knows
 
     def opened(self, connection: FrameConnection) -> None:
         pass
@@ -83,10 +83,22 @@
     async def feed(self, connection: FrameConnection) -> None:
         connection.send(FeedFrame(heartbeat=FeedHeartbeat(gateways=1)))
         await self.told.wait()
-        row = Instance(id=self.instance.id, backend="plain", address=self.instance.address, zone="z1",
-                       slots=8, state=READY, sequence=1)
-        connection.send(FeedFrame(heartbeat=HEARTBEAT, configuration=to_update(DEFAULT),
-                                  instances=InstancesUpdate(whole=True, instances=[row])))
+        row = Instance(
+            id=self.instance.id,
+            backend="plain",
+            address=self.instance.address,
+            zone="z1",
+            slots=8,
+            state=READY,
+            sequence=1,
+        )
+        connection.send(
+            FeedFrame(
+                heartbeat=HEARTBEAT,
+                configuration=to_update(DEFAULT),
+                instances=InstancesUpdate(whole=True, instances=[row]),
+            )
+        )
         while connection.send(FeedFrame(heartbeat=HEARTBEAT)):
             await asyncio.sleep(0.25)
 
@@ -124,8 +136,14 @@
             path = Path(folder) / "settings.toml"
             path.write_text(SETTINGS.format(ip=IP, feed=feed, front=front, readiness=readiness))
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "mallowbeam", "data-plane", cwd=ROOT,
-                env={**os.environ, "MALLOWBEAM_NODE_FILE": str(path)}, stderr=asyncio.subprocess.PIPE)
+                sys.executable,
+                "-m",
+                "mallowbeam",
+                "data-plane",
+                cwd=ROOT,
+                env={**os.environ, "MALLOWBEAM_NODE_FILE": str(path)},
+                stderr=asyncio.subprocess.PIPE,
+            )
             try:
                 await self.walk(process, member, front, readiness)
             finally:
--- a/tests/test_data_plane_sends.py
+++ b/tests/test_data_plane_sends.py
@@ -132,8 +132,9 @@
         policy.ended(self.sent(policy, "i-1"), AttemptEnd.REJECTED, NOW)
         self.assertEqual([policy.status_when_given_up(late) for late in (False, True)], [UNAVAILABLE] * 2)
         policy.ended(self.sent(policy, "i-2"), AttemptEnd.BROKEN, NOW)
-        self.assertEqual([policy.status_when_given_up(late) for late in (False, True)],
-                         [BAD_GATEWAY, GATEWAY_TIMEOUT])
+        self.assertEqual(
+            [policy.status_when_given_up(late) for late in (False, True)], [BAD_GATEWAY, GATEWAY_TIMEOUT]
+        )
 
 
 class Prompts(OneRequest):
@@ -221,15 +222,24 @@
 
     def test_answers(self) -> None:
         cases = [
-            (answer(200, SIGNED), AttemptEnd.ANSWERED), (answer(204, SIGNED), AttemptEnd.ANSWERED),
-            (answer(200), AttemptEnd.BROKEN), (answer(206), AttemptEnd.BROKEN),
-            (answer(404, SIGNED), AttemptEnd.ANSWERED), (answer(404), AttemptEnd.ANSWERED),
-            (answer(400), AttemptEnd.ANSWERED), (answer(400, NOT_EXECUTED), AttemptEnd.REJECTED),
-            (answer(429), AttemptEnd.FAILED), (answer(429, NOT_EXECUTED), AttemptEnd.REJECTED),
-            (answer(408), AttemptEnd.FAILED), (answer(503), AttemptEnd.FAILED),
-            (answer(503, SIGNED), AttemptEnd.FAILED), (answer(503, NOT_EXECUTED), AttemptEnd.REJECTED),
-            (answer(500, SIGNED), AttemptEnd.FAILED), (answer(504), AttemptEnd.FAILED),
-            (answer(421), AttemptEnd.MISDIRECTED), (answer(421, NOT_EXECUTED), AttemptEnd.MISDIRECTED),
+            (answer(200, SIGNED), AttemptEnd.ANSWERED),
+            (answer(204, SIGNED), AttemptEnd.ANSWERED),
+            (answer(200), AttemptEnd.BROKEN),
+            (answer(206), AttemptEnd.BROKEN),
+            (answer(404, SIGNED), AttemptEnd.ANSWERED),
+            (answer(404), AttemptEnd.ANSWERED),
+            (answer(400), AttemptEnd.ANSWERED),
+            (answer(400, NOT_EXECUTED), AttemptEnd.REJECTED),
+            (answer(429), AttemptEnd.FAILED),
+            (answer(429, NOT_EXECUTED), AttemptEnd.REJECTED),
+            (answer(408), AttemptEnd.FAILED),
+            (answer(503), AttemptEnd.FAILED),
+            (answer(503, SIGNED), AttemptEnd.FAILED),
+            (answer(503, NOT_EXECUTED), AttemptEnd.REJECTED),
+            (answer(500, SIGNED), AttemptEnd.FAILED),
+            (answer(504), AttemptEnd.FAILED),
+            (answer(421), AttemptEnd.MISDIRECTED),
+            (answer(421, NOT_EXECUTED), AttemptEnd.MISDIRECTED),
         ]
         for read, expected in cases:
             self.assertEqual(self.judged(read), expected, (read.status, read.headers))
@@ -241,8 +251,11 @@
 
     def test_an_answer_to_another_request_proves_nothing(self) -> None:
         for first in (True, False):
-            for read in (answer(200, SIGNED, id=b"other"), answer(503, NOT_EXECUTED, id=b"other"),
-                         answer(421, id=b"other")):
+            for read in (
+                answer(200, SIGNED, id=b"other"),
+                answer(503, NOT_EXECUTED, id=b"other"),
+                answer(421, id=b"other"),
+            ):
                 self.assertEqual(self.judged(read, first), AttemptEnd.BROKEN)
 
     def test_one_without_a_name_counts_where_there_was_no_earlier_request(self) -> None:
@@ -253,8 +266,15 @@
         self.assertEqual({status for status in range(200, 600) if not may_pass_on(answer(status))}, PROMISES)
 
     def test_when_to_come_again(self) -> None:
-        for value, expected in ((b"0.25", 0.25), (b"3", 3.0), (b"1e9", MOST_RETRY_AFTER_S), (b"0", None),
-                                (b"-1", None), (b"nan", None), (b"soon", None)):
+        for value, expected in (
+            (b"0.25", 0.25),
+            (b"3", 3.0),
+            (b"1e9", MOST_RETRY_AFTER_S),
+            (b"0", None),
+            (b"-1", None),
+            (b"nan", None),
+            (b"soon", None),
+        ):
             self.assertEqual(retry_after(answer(503, (b"retry-after", value))), expected, value)
         self.assertEqual(retry_after(answer(503, (b"retry-after", b"inf"))), MOST_RETRY_AFTER_S)
         self.assertIsNone(retry_after(answer(503)))
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -30,8 +30,17 @@
 
 
 def plan(reader: str | None = "p-1") -> Plan:
-    return Plan(1, reader, "d-1", 0.25, 9, 0.4, read_tokens=8000, ways=12,
-                expected=Expectation(0.05, 0.2, 0.01, 0.02, 0.3))
+    return Plan(
+        1,
+        reader,
+        "d-1",
+        0.25,
+        9,
+        0.4,
+        read_tokens=8000,
+        ways=12,
+        expected=Expectation(0.05, 0.2, 0.01, 0.02, 0.3),
+    )
 
 
 class Lines(unittest.TestCase):
@@ -49,9 +58,26 @@
     def test_a_request_that_was_read_apart(self) -> None:
         steps = [("begun", 10.25), ("prefill_done", 10.5), ("first_token", 10.6)]
         (line,) = self.lines(plan(), steps, 10.75)
-        for word in ("completed", "service=models", "prompt=9000", "reader=p-1", "decoder=d-1", "ways=12",
-                     "held=0.250", "units=9", "unread=8000", "loss=0.300", "wait=0.050", "read=0.200",
-                     "move=0.010", "join=0.020", "first=0.400", "read=0.250", "first=0.600", "all=0.750"):
+        for word in (
+            "completed",
+            "service=models",
+            "prompt=9000",
+            "reader=p-1",
+            "decoder=d-1",
+            "ways=12",
+            "held=0.250",
+            "units=9",
+            "unread=8000",
+            "loss=0.300",
+            "wait=0.050",
+            "read=0.200",
+            "move=0.010",
+            "join=0.020",
+            "first=0.400",
+            "read=0.250",
+            "first=0.600",
+            "all=0.750",
+        ):
             self.assertIn(f" {word} ", f" {line} ")
 
     def test_steps_that_were_not_reached(self) -> None:
--- a/tests/test_deploy_build.py
+++ b/tests/test_deploy_build.py
@@ -22,7 +22,7 @@
     "sha256sum": "coreutils",
 }
 PACKAGE_OF_MODULE = {"compileall": "python3", "mallowbeam": "python3", "pip": "python3-pip"}
-LINKED_LIBRARIES = ("libc6", "libgcc-s1", "libstdc++6")   # by the compiled modules of the libraries
+LINKED_LIBRARIES = ("libc6", "libgcc-s1", "libstdc++6")  # by the compiled modules of the libraries
 COMMAND = re.compile(r"(?:^|[;&|(`])[ \t]*([^\s;&|()`\"'<>]+)", re.MULTILINE)
 ASSIGNMENT = re.compile(r"\w+=")
 MODULE = re.compile(r"python3 -m (\S+)")
@@ -77,8 +77,7 @@
 
     def test_commands_are_found_wherever_they_stand(self):
         script = 'stamp="$(sha256sum a | cut -c1)"\n[ -f b ] && exit 0\n# curl c\nd; e || f\n: > g\n`h i`\n'
-        self.assertEqual(commands_of(script),
-                         {"sha256sum", "cut", "[", "exit", "d", "e", "f", ":", "h"})
+        self.assertEqual(commands_of(script), {"sha256sum", "cut", "[", "exit", "d", "e", "f", ":", "h"})
 
     def test_an_unknown_command_and_an_unlisted_package_are_caught(self):
         packages = SYSTEM["packages"]
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -22,7 +22,7 @@
 from mallowbeam.control.sending import MAY_STILL_RUN
 from mallowbeam.net.config import read_config
 
-SPARE = 1.3             # a usual node bears this many times what every node bears cold
+SPARE = 1.3  # a usual node bears this many times what every node bears cold
 MAY_HAVE_RUN = (*MAY_STILL_RUN, io.Outcome.ERROR)
 
 
@@ -37,9 +37,9 @@
     def __init__(self, settings: io.Settings) -> None:
         self.settings, self.broken = settings, []
         self.finals: dict[str, int] = {}
-        self.out: dict[str, int] = {}           # attempts out, by request
+        self.out: dict[str, int] = {}  # attempts out, by request
         self.sends: dict[str, list[tuple[float, str]]] = {}
-        self.ran: dict[str, bool] = {}          # whether an attempt may have run
+        self.ran: dict[str, bool] = {}  # whether an attempt may have run
         self.draining: dict[tuple[int, str], float] = {}  # when each host was told that a node drains
         self.stores: dict[str, Store] = {}
         self.counted: set[str] = set()
@@ -62,8 +62,11 @@
             self.broken.append(f"{request}: more attempts than allowed")
         if self.ran.get(request) and cls.repeat is io.Repeat.UNSAFE:
             self.broken.append(f"{request}: an unsafe request repeated after it may have run")
-        if self.ran.get(request) and cls.repeat is io.Repeat.KEYED and (
-                now - self.sends[request][0][0] > cls.repeat_window or self.sends[request][0][1] != node):
+        if (
+            self.ran.get(request)
+            and cls.repeat is io.Repeat.KEYED
+            and (now - self.sends[request][0][0] > cls.repeat_window or self.sends[request][0][1] != node)
+        ):
             self.broken.append(f"{request}: a keyed repeat outside its node's window")
         self.out[request] += 1
         self.sends[request].append((now, node))
@@ -121,16 +124,25 @@
     order = count()
     timers: list[float | None] = [None] * hosts
     plans, classes = list(settings.plans.values()), list(settings.classes.values())
-    volumes = {f"v{v}": (draw.choice(plans), draw.sample(range(hosts), draw.randint(1, min(3, hosts))))
-               for v in range(12)}
+    volumes = {
+        f"v{v}": (draw.choice(plans), draw.sample(range(hosts), draw.randint(1, min(3, hosts))))
+        for v in range(12)
+    }
     for n in range(hosts):
         heappush(due, (0.0, next(order), n, io.NodesListed(io.ListKind.FULL, 1, entries)))
         draining = [replace(entries[3], state=io.NodeState.DRAINING)]
         gone = [replace(entries[6], state=io.NodeState.GONE)]
         back = [replace(entries[6], since=8.0)]
         for told, changed in ((5.0, draining), (7.0, gone), (8.0, back)):
-            heappush(due, (told + 0.9 * draw.random(), next(order), n,
-                           io.NodesListed(io.ListKind.CHANGES, int(told), changed)))
+            heappush(
+                due,
+                (
+                    told + 0.9 * draw.random(),
+                    next(order),
+                    n,
+                    io.NodesListed(io.ListKind.CHANGES, int(told), changed),
+                ),
+            )
     checker.starts("n6", 8.0)
     for second in range(20):
         for name, (_, through) in volumes.items():
@@ -154,9 +166,16 @@
             plan, through = volumes[str(what)]
             cls = draw.choice(classes)
             event = io.RequestArrived(
-                request=f"q{next(order)}", cls=cls.name, shard=draw.choice((*range(nodes), *[6] * 1)),
-                units=draw.randint(1, 8), volume=str(what), plan=plan.name, hosts_of_volume=len(through),
-                key=f"{draw.getrandbits(64):016x}", expires_in=cls.deadline)
+                request=f"q{next(order)}",
+                cls=cls.name,
+                shard=draw.choice((*range(nodes), *[6] * 1)),
+                units=draw.randint(1, 8),
+                volume=str(what),
+                plan=plan.name,
+                hosts_of_volume=len(through),
+                key=f"{draw.getrandbits(64):016x}",
+                expires_in=cls.deadline,
+            )
             asked[event.request] = event
             checker.arrived(event)
         for action in rigs[n].step(now, [event]):
@@ -169,15 +188,24 @@
                 cls = settings.classes[request.cls]
                 checker.sent(now, cls, action.request, action.node, n)
                 number = len(checker.sends[action.request]) - 1
-                outcome, after = draw.choices([(io.Outcome.OK, 0.05), (io.Outcome.TIMEOUT, 0.4), (
-                    io.Outcome.RESET, 0.02), (io.Outcome.NO_CONNECTION, 0.25), (io.Outcome.ERROR, 0.03)],
-                    weights=(84, 5, 4, 4, 3))[0]
+                outcome, after = draw.choices(
+                    [
+                        (io.Outcome.OK, 0.05),
+                        (io.Outcome.TIMEOUT, 0.4),
+                        (io.Outcome.RESET, 0.02),
+                        (io.Outcome.NO_CONNECTION, 0.25),
+                        (io.Outcome.ERROR, 0.03),
+                    ],
+                    weights=(84, 5, 4, 4, 3),
+                )[0]
                 if outcome is not io.Outcome.NO_CONNECTION:
                     checker.worked(now, action.node, request.units)
-                    checker.reached(now, settings.plans[request.plan], request.volume, request.request,
-                                    request.units)
-                ended = io.AttemptEnded(action.request, number, action.node, outcome, after,
-                                        finished=outcome is io.Outcome.OK)
+                    checker.reached(
+                        now, settings.plans[request.plan], request.volume, request.request, request.units
+                    )
+                ended = io.AttemptEnded(
+                    action.request, number, action.node, outcome, after, finished=outcome is io.Outcome.OK
+                )
                 heappush(due, (now + after, next(order), n, ("end", ended)))
         if timers[n] is not None:
             heappush(due, (timers[n], next(order), n, "timer"))
@@ -203,22 +231,26 @@
     for request in ("a", "b", "c", "d", "e"):
         checker.arrived(io.RequestArrived(request, "fetch", expires_in=2.0))
     checker.sent(0.0, fetch, "a", "n0")
-    checker.sent(0.0, fetch, "a", "n0")          # two at once
+    checker.sent(0.0, fetch, "a", "n0")  # two at once
     checker.drains(0, "n1", 1.0)
-    checker.sent(1.3, fetch, "b", "n1")           # after the drain's grace
+    checker.sent(1.3, fetch, "b", "n1")  # after the drain's grace
     checker.sent(0.0, store, "c", "n2")
     checker.ended("c", io.Outcome.TIMEOUT)
-    checker.sent(3.5, store, "c", "n2")           # a keyed repeat after its window
+    checker.sent(3.5, store, "c", "n2")  # a keyed repeat after its window
     checker.answered("d")
-    checker.answered("d")                         # twice
+    checker.answered("d")  # twice
     plain = settings.plans["plain"]
     for i in range(40):
         checker.reached(0.0, plain, "v", f"x{i}", 8)  # all at once, far over the store
     checker.starts("n3", 0.0)
     for i in range(20):
-        checker.worked(0.1 * i, "n3", 8)          # 160 units where some 80 tip it over
+        checker.worked(0.1 * i, "n3", 8)  # 160 units where some 80 tip it over
     said = [line.split(": ")[1] for line in checker.close()]
-    assert said[:4] == ["a second attempt while one is out", "new work for n1 after it was told to drain",
-                        "a keyed repeat outside its node's window", "a second final answer"]
+    assert said[:4] == [
+        "a second attempt while one is out",
+        "new work for n1 after it was told to drain",
+        "a keyed repeat outside its node's window",
+        "a second final answer",
+    ]
     assert "pushed over cold" in " ".join(said)
     assert "over its limit" in said[4] and said.count("no final answer") == 4
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,10 +17,12 @@
 from mallowbeam.net import config as configs
 from mallowbeam.net.config import FRONT_SOCKETS, LEAST_SOCKETS, OWN_SOCKETS
 
-MOMENTS = 3                 # a second call to discovery at a move, another process, a file that is read
-READ = (b"GET /read/00000000000000aa/0000000000000001 HTTP/1.1\r\nhost: x\r\n"
-        b"x-request-id: 0000000000000001\r\nx-class: read\r\nx-storage-class: silver\r\n"
-        b"x-deadline-ms: 2000\r\nx-extent: units=1,shard=0,hosts=1\r\n\r\n")
+MOMENTS = 3  # a second call to discovery at a move, another process, a file that is read
+READ = (
+    b"GET /read/00000000000000aa/0000000000000001 HTTP/1.1\r\nhost: x\r\n"
+    b"x-request-id: 0000000000000001\r\nx-class: read\r\nx-storage-class: silver\r\n"
+    b"x-deadline-ms: 2000\r\nx-extent: units=1,shard=0,hosts=1\r\n\r\n"
+)
 
 
 def count(pid: int) -> int:
@@ -61,15 +63,22 @@
     files = 100
     node = socket.create_server(("127.0.0.1", 0))
     member = json.loads((EXAMPLE / "config.json").read_text())["known"]["members"][0]
-    listing = {"revision": 9, "complete": True,
-               "members": [member | {"id": "n9", "cell": 0, "host_port": address(node)}]}
-    with (node, discovery() as down, program(tmp_path, {"discovery": address(down)}, files) as (process, at),
-          ExitStack() as crowd):
-        for _ in range(files + 20):             # each rests after an answer, for as long as it may
+    listing = {
+        "revision": 9,
+        "complete": True,
+        "members": [member | {"id": "n9", "cell": 0, "host_port": address(node)}],
+    }
+    with (
+        node,
+        discovery() as down,
+        program(tmp_path, {"discovery": address(down)}, files) as (process, at),
+        ExitStack() as crowd,
+    ):
+        for _ in range(files + 20):  # each rests after an answer, for as long as it may
             assert healthy(crowd.enter_context(connect(at)))
             assert count(process.pid) <= files - share(files) - MOMENTS
         full = count(process.pid)
-        assert full > files // 2               # the crowd is there
+        assert full > files // 2  # the crowd is there
         down.listen()
         with down.accept()[0] as call:
             assert answer(call, b"200 OK", json.dumps(listing).encode()).startswith(b"GET /v1/servers")
@@ -92,8 +101,11 @@
     for name, port in doors.items():
         fronts[name]["listen"] = f"127.0.0.1:{port}"
     fronts["objects"] |= {"authentication": "off", "keys": None}
-    with (discovery() as down, ExitStack() as crowd,
-          program(tmp_path, {"discovery": address(down)}, files, json.dumps(fronts)) as (process, at)):
+    with (
+        discovery() as down,
+        ExitStack() as crowd,
+        program(tmp_path, {"discovery": address(down)}, files, json.dumps(fronts)) as (process, at),
+    ):
         for _ in range(48):
             for port in (at[1], doors["objects"], doors["health"]):
                 sock = crowd.enter_context(connect(("127.0.0.1", port)))
@@ -105,8 +117,10 @@
         assert "cannot accept" not in process.communicate(timeout=PATIENCE)[1]
 
 
-@pytest.mark.parametrize(("said", "allowed", "counts"), [
-    (512, 256, 256), (512, 512, 512), (512, 4096, 512), (512, None, 512), (512, 40, LEAST_SOCKETS)])
+@pytest.mark.parametrize(
+    ("said", "allowed", "counts"),
+    [(512, 256, 256), (512, 512, 512), (512, 4096, 512), (512, None, 512), (512, 40, LEAST_SOCKETS)],
+)
 def test_the_lower_limit_counts(said: int, allowed: int | None, counts: int) -> None:
     raw = json.loads((EXAMPLE / "config.json").read_text()) | {"limits": {"sockets": said}}
     raw.pop("admin_addr", None)
@@ -126,11 +140,14 @@
     """Nodes that stand still fill their own share and no more: discovery is asked again and again."""
     stand = socket.create_server(("127.0.0.1", 0), backlog=512)
     member = json.loads((EXAMPLE / "config.json").read_text())["known"]["members"][0]
-    known = {"revision": 1, "complete": True, "members": [member | {"id": "n0", "cell": 0,
-                                                                   "host_port": address(stand)}]}
+    known = {
+        "revision": 1,
+        "complete": True,
+        "members": [member | {"id": "n0", "cell": 0, "host_port": address(stand)}],
+    }
     calls: list[bytes] = []
 
-    def down() -> None:                        # it is there, and turns each call away
+    def down() -> None:  # it is there, and turns each call away
         while True:
             try:
                 with here.accept()[0] as call:
@@ -140,8 +157,12 @@
                 return
 
     more = threading.Event()
-    with (stand, socket.create_server(("127.0.0.1", 0)) as here, ExitStack() as crowd,
-          program(tmp_path, {"discovery": address(here), "known": known}, LEAST_SOCKETS) as (process, at)):
+    with (
+        stand,
+        socket.create_server(("127.0.0.1", 0)) as here,
+        ExitStack() as crowd,
+        program(tmp_path, {"discovery": address(here), "known": known}, LEAST_SOCKETS) as (process, at),
+    ):
         threading.Thread(target=down, daemon=True).start()
         for i in range(40):
             sock = crowd.enter_context(connect(at))
