--- a/tests/test_drawn_settings.py
+++ b/tests/test_drawn_settings.py
@@ -12,36 +12,67 @@
 from mallowbeam import interface as io
 
 MAY_RUN = (io.Outcome.OK, io.Outcome.ERROR, io.Outcome.TIMEOUT, io.Outcome.RESET, io.Outcome.CANCELLED)
-SLACK = 0.008                                  # seconds past the deadline in which an answer still counts
+SLACK = 0.008  # seconds past the deadline in which an answer still counts
 
 
 def draw_settings(draw: random.Random) -> io.Settings:
     """Any customer's: short and long times, rules that are there or not, tight limits, odd sizes."""
     top, hosts = draw.choice((1, 1, 2, 8, 40)), draw.choice((1, 1, 3, 200))
     classes, plans = {}, {}
-    for name in "abc"[:draw.choice((1, 1, 2, 3))]:
+    for name in "abc"[: draw.choice((1, 1, 2, 3))]:
         deadline = draw.choice((0.2, 0.2, 1.0, 8.0))
         classes[name] = io.RequestClass(
-            name, draw.uniform(0.1, 5.0), deadline * draw.choice((0.25, 0.5, 1.0)), deadline,
-            draw.choice((0.0, 0.2)), draw.choice(list(io.Repeat)), draw.choice(list(io.Scope)),
-            draw.choice((0.0, 0.3, 2.0)), ordered=draw.random() < 0.2)
+            name,
+            draw.uniform(0.1, 5.0),
+            deadline * draw.choice((0.25, 0.5, 1.0)),
+            deadline,
+            draw.choice((0.0, 0.2)),
+            draw.choice(list(io.Repeat)),
+            draw.choice(list(io.Scope)),
+            draw.choice((0.0, 0.3, 2.0)),
+            ordered=draw.random() < 0.2,
+        )
     for name in draw.choice(((), ("p",), ("p", "q"))):
         limit = draw.choice((0.0, 2.0, 40.0))
         burst, slack = top * draw.choice((0.5, 1.0, 2.0 * hosts)), draw.choice((0.0, 0.5 * top, 8.0))
-        plans[name] = io.Plan(name, 5.0, draw.choice((0.0, 20.0)), draw.choice((0.5, 2.0)), 1.0, limit,
-                              *((burst, slack) if limit else ()))
-    cold = dict(cold_units=draw.choice((1.0, 24.0)), cold_start=draw.choice((0.1, 0.5)),
-                cold_time=draw.choice((0.0, 0.5, 10.0)), fall_multiple=draw.choice((1.5, 4.0)),
-                fall_window=draw.choice((0.3, 3.0)))
+        plans[name] = io.Plan(
+            name,
+            5.0,
+            draw.choice((0.0, 20.0)),
+            draw.choice((0.5, 2.0)),
+            1.0,
+            limit,
+            *((burst, slack) if limit else ()),
+        )
+    cold = dict(
+        cold_units=draw.choice((1.0, 24.0)),
+        cold_start=draw.choice((0.1, 0.5)),
+        cold_time=draw.choice((0.0, 0.5, 10.0)),
+        fall_multiple=draw.choice((1.5, 4.0)),
+        fall_window=draw.choice((0.3, 3.0)),
+    )
     budget = dict(budget_floor=2.0, budget_share=0.1, budget_window=draw.choice((0.3, 5.0)))
     return make_settings(
-        seed=draw.getrandbits(32), hosts=hosts, zone="", tick=draw.choice((0.0, 0.002)), classes=classes,
-        plans=plans, usual_units=(1 + top) / 2, units_top=top, may_cancel=draw.random() < 0.5,
-        max_attempts=draw.choice((None, 1, 4)), retry_after=draw.random() < 0.5,
-        max_retry_after=draw.choice((0.0, 0.1, 2.0)), drain_grace=draw.choice((0.0, 0.25, None)),
-        discovery_on_request=draw.random() < 0.5, ask_every=draw.choice((None, 0.3)),
-        order_settle=draw.choice((0.0, 0.3)), limit_at_arrival=draw.random() < 0.5,
-        **(cold if draw.random() < 0.6 else {}), **(budget if draw.random() < 0.3 else {}))
+        seed=draw.getrandbits(32),
+        hosts=hosts,
+        zone="",
+        tick=draw.choice((0.0, 0.002)),
+        classes=classes,
+        plans=plans,
+        usual_units=(1 + top) / 2,
+        units_top=top,
+        may_cancel=draw.random() < 0.5,
+        max_attempts=draw.choice((None, 1, 4)),
+        retry_after=draw.random() < 0.5,
+        max_retry_after=draw.choice((0.0, 0.1, 2.0)),
+        drain_grace=draw.choice((0.0, 0.25, None)),
+        discovery_on_request=draw.random() < 0.5,
+        ask_every=draw.choice((None, 0.3)),
+        order_settle=draw.choice((0.0, 0.3)),
+        limit_at_arrival=draw.random() < 0.5,
+        **(cold if draw.random() < 0.6 else {}),
+        **(budget if draw.random() < 0.3 else {}),
+    )
 
 
 class Service:
@@ -67,8 +98,9 @@
         self.latency = draw.choice((0.005, 0.05, 0.5))
         self.step(io.NodesListed(io.ListKind.CACHED, 1, [self.entry(name) for name in self.nodes]))
 
-    def entry(self, name: str, state: io.NodeState = io.NodeState.READY,
-              since: float | None = None) -> io.NodeEntry:
+    def entry(
+        self, name: str, state: io.NodeState = io.NodeState.READY, since: float | None = None
+    ) -> io.NodeEntry:
         return io.NodeEntry(name, state, self.nodes[name][0], self.nodes[name][1], since)
 
     def at(self, when: float, what) -> None:
@@ -97,8 +129,12 @@
             assert 0 <= (action.retry_after or 0.0) <= self.settings.max_retry_after
             cls = self.settings.classes[self.asked[name].cls]
             may_have_run = name in self.ran or any(known == name for known, _ in self.out)
-            assert (not may_have_run or cls.repeat is io.Repeat.SAFE
-                    or cls.repeat is io.Repeat.KEYED and cls.scope is io.Scope.ALL), "an untrue refusal"
+            assert (
+                not may_have_run
+                or cls.repeat is io.Repeat.SAFE
+                or cls.repeat is io.Repeat.KEYED
+                and cls.scope is io.Scope.ALL
+            ), "an untrue refusal"
 
     def sent(self, send: io.Send) -> None:
         name, request = send.request, self.asked[send.request]
@@ -122,7 +158,7 @@
             after, outcome = send.timeout, io.Outcome.TIMEOUT
         unsent = outcome in (io.Outcome.NOT_SENT, io.Outcome.NO_CONNECTION)
         if self.settings.limit_at_arrival and not unsent:
-            self.draws(name)                   # its last byte is there at once
+            self.draws(name)  # its last byte is there at once
         elif not self.settings.limit_at_arrival and outcome is not io.Outcome.NOT_SENT:
             self.draws(name)
         self.at(self.now + after, lambda: self.ended(name, number, outcome))
@@ -134,8 +170,11 @@
         if plan is None or plan.limit <= 0 or name in self.drawn:
             return
         self.drawn.add(name)
-        part = io.Plan("", limit=plan.limit / request.hosts_of_volume,
-                       limit_burst=plan.limit_burst / request.hosts_of_volume)
+        part = io.Plan(
+            "",
+            limit=plan.limit / request.hosts_of_volume,
+            limit_burst=plan.limit_burst / request.hosts_of_volume,
+        )
         store = self.stores.setdefault(request.volume, Store(part, 100.0))
         store.take(self.now, request.units)
         assert store.level >= -plan.limit_slack / request.hosts_of_volume - 1e-3, "past its limit"
@@ -148,8 +187,11 @@
         if outcome is io.Outcome.OK and name not in self.over:
             self.over[name] = "OK"
             self.served += 1
-        self.step(io.AttemptEnded(name, number, node, outcome, self.now - self.began[name, number],
-                                  name in self.over))
+        self.step(
+            io.AttemptEnded(
+                name, number, node, outcome, self.now - self.began[name, number], name in self.over
+            )
+        )
 
     def arrive(self) -> None:
         draw, s = self.draw, self.settings
@@ -158,9 +200,16 @@
         plan = draw.choice([*s.plans, "none"])
         lasts = cls.deadline * draw.choice((1.0, 1.0, 0.3, 0.001))
         self.asked[name] = request = io.RequestArrived(
-            name, cls.name, lasts, draw.choice((None, 0, 1, 2)), draw.randint(1, s.units_top),
-            f"{plan}{draw.randrange(2)}", plan, s.hosts if s.hosts < 200 else 2,
-            draw.choice((f"k{draw.randrange(5)}", f"{self.seq:016x}", None)))
+            name,
+            cls.name,
+            lasts,
+            draw.choice((None, 0, 1, 2)),
+            draw.randint(1, s.units_top),
+            f"{plan}{draw.randrange(2)}",
+            plan,
+            s.hosts if s.hosts < 200 else 2,
+            draw.choice((f"k{draw.randrange(5)}", f"{self.seq:016x}", None)),
+        )
         self.until[name] = self.now + lasts
         self.step(request)
         if draw.random() < 0.05:
@@ -177,8 +226,9 @@
             return self.step(io.NodesListed(draw.choice((io.ListKind.FAILED, io.ListKind.SILENT))))
         state = draw.choice((io.NodeState.READY, io.NodeState.READY, *io.NodeState))
         (self.closed.discard if state is io.NodeState.READY else self.closed.add)(name)
-        self.step(io.NodesListed(io.ListKind.CHANGES, 2, [
-            self.entry(name, state, draw.choice((None, self.now)))]))
+        self.step(
+            io.NodesListed(io.ListKind.CHANGES, 2, [self.entry(name, state, draw.choice((None, self.now)))])
+        )
         return None
 
     def play(self, requests: int) -> None:
@@ -211,10 +261,10 @@
     """Guards the cheap: half of the store was left to a dearer request that is larger than the store."""
     plan = io.Plan("p", limit=1.0, limit_burst=8.0)
     rig = Rig(plans={"p": plan})
-    rig.wait(60.0)                             # the store is full
+    rig.wait(60.0)  # the store is full
     assert of(rig.step(rig.request("read", units=9, plan="p")), io.Refuse)
     sent = sum(len(of(rig.step(rig.request("log", units=1, plan="p")), io.Send)) for _ in range(8))
-    assert sent == 7                           # all but what rounding may take
+    assert sent == 7  # all but what rounding may take
 
 
 @pytest.mark.parametrize("cold_time", [0.0, None])
@@ -223,7 +273,7 @@
     rig = Rig(**COLD | dict(cold_time=cold_time, cold_units=1.0, hosts=200))
     for _ in range(2):
         rig.step(rig.ended(of(rig.step(rig.request(units=1)), io.Send)[0], io.Outcome.NO_CONNECTION))
-    assert rig.host.nodes["n0"].suspect        # so it gets a trickle
+    assert rig.host.nodes["n0"].suspect  # so it gets a trickle
     assert of(rig.step(rig.request(plan="silver", units=8), after=0.3), io.Send)
 
 
@@ -243,10 +293,11 @@
     seen = []
     at = rig.host._at
     monkeypatch.setattr(rig.host, "_at", lambda *what: at(*what) if len(seen) < 100 else pytest.fail("spins"))
-    monkeypatch.setattr(rig.host, "_advance", lambda key, advance=rig.host._advance: (
-        seen.append(key), advance(key)))
+    monkeypatch.setattr(
+        rig.host, "_advance", lambda key, advance=rig.host._advance: (seen.append(key), advance(key))
+    )
     rig.wait(0.3 - 1e-6)
-    rig.timer = None                           # it fires now, rounded down
+    rig.timer = None  # it fires now, rounded down
     rig.step(io.TimerFired(0))
     assert of(rig.wait(0.2), io.Send)
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -38,8 +38,12 @@
     """Guards the one base: an error that an operator meets without a word of what to do."""
     all_types()
     bases = (Exception, ValueError, OSError, RuntimeError)
-    outside = [kind for base in bases for kind in base.__subclasses__()
-               if kind.__module__.startswith("mallowbeam.") and not issubclass(kind, MallowbeamError)]
+    outside = [
+        kind
+        for base in bases
+        for kind in base.__subclasses__()
+        if kind.__module__.startswith("mallowbeam.") and not issubclass(kind, MallowbeamError)
+    ]
     assert [kind.__name__ for kind in outside] == ["PowerCut"]  # of the simulated disk: no operator meets it
 
 
@@ -61,8 +65,14 @@
 
     error = Coded("it is off")
     assert (error.code, error.step, error.peer, error.where) == ("CODED", "read", None, "")
-    assert error.told() == {"error": "Coded", "what": "it is off", "where": "", "remedy": "turn it",
-                            "code": "CODED", "step": "read"}
+    assert error.told() == {
+        "error": "Coded",
+        "what": "it is off",
+        "where": "",
+        "remedy": "turn it",
+        "code": "CODED",
+        "step": "read",
+    }
     own = Coded("it is off", code="OWN", step="write", peer=7)
     assert (own.code, own.step, own.peer, str(own)) == ("OWN", "write", 7, "member 7: it is off")
     assert str(Coded("it is off", peer="127.0.0.1:7660")) == "127.0.0.1:7660: it is off"
--- a/tests/test_exchange_model.py
+++ b/tests/test_exchange_model.py
@@ -21,9 +21,12 @@
 
 DEPTH = int(os.environ.get("EXCHANGE_DEPTH", "4"))  # events in one order
 SHOW = "EXCHANGE_SHOW" in os.environ
-ROUTES = configuration(route("/unsafe/", "unsafe"), route("/safe/", "safe"),
-                       route("/stream/", "stream", gap_aim_ms=100),
-                       route("/apart/", "stream", ENGINE, gap_aim_ms=100))
+ROUTES = configuration(
+    route("/unsafe/", "unsafe"),
+    route("/safe/", "safe"),
+    route("/stream/", "stream", gap_aim_ms=100),
+    route("/apart/", "stream", ENGINE, gap_aim_ms=100),
+)
 SETTINGS = {
     "held": Setting(),
     "many_connections": Setting(connections=10),
@@ -47,7 +50,7 @@
     def explore(self, name: str) -> None:
         explorer = Explorer(SETTINGS[name], ROUTES)
         explorer.explore(DEPTH)
-        self.assertGreater(explorer.runs, 2 ** DEPTH)
+        self.assertGreater(explorer.runs, 2**DEPTH)
         if SHOW:
             print(name, explorer.runs, "orders")
 
@@ -66,8 +69,11 @@
 def reuse_behind_surplus(stack: ExitStack) -> None:
     """What lies unread, or was parsed behind the answer, is not looked for."""
     stack.enter_context(patch.object(Channel, "stale", lambda self: self.peek() is False))
-    stack.enter_context(patch.object(
-        Link, "reusable", lambda self, answer: self.written and answer.whole and answer.keep_alive))
+    stack.enter_context(
+        patch.object(
+            Link, "reusable", lambda self, answer: self.written and answer.whole and answer.keep_alive
+        )
+    )
 
 
 def reuse_of_an_ended_connection(stack: ExitStack) -> None:
@@ -82,6 +88,7 @@
     async def forgetting(self: Link, answer: Message) -> None:
         await more(self, answer)
         self.channel.framer.ready.clear()
+
     stack.enter_context(patch.object(Link, "more", forgetting))
 
 
@@ -97,17 +104,20 @@
             give_back(self, instance, link, kept)
         else:
             give_back(self, instance, link, answer)
+
     stack.enter_context(patch.object(LinkPool, "give_back", keeping))
 
 
 def reuse_with_a_rest_due(stack: ExitStack) -> None:
     """After an early answer the connection is kept, though the request is not whole at the instance."""
+
     def reusable(self: Link, answer: Message) -> bool:
         return answer.whole and answer.keep_alive and not answer.until_close and self.channel.framer.empty
 
     def keeping(self: LinkPool, instance: str, link: Link, answer: Message | None) -> None:
         link.channel._unblock()
         give_back(self, instance, link, answer)
+
     give_back = LinkPool.give_back
     stack.enter_context(patch.object(Link, "reusable", reusable))
     stack.enter_context(patch.object(LinkPool, "give_back", keeping))
@@ -119,6 +129,7 @@
 
     def trusting(self: SendPolicy, ticket: SendTicket, end: AttemptEnd, now: float) -> None:
         ended(self, ticket, AttemptEnd.NOT_SENT if end is AttemptEnd.BROKEN else end, now)
+
     stack.enter_context(patch.object(SendPolicy, "ended", trusting))
 
 
@@ -134,22 +145,27 @@
     async def trusting(self: Attempt, order: SendOrder) -> AttemptEnd:
         end = await send(self, replace(order, deadline=order.deadline - 0.5))
         return AttemptEnd.NOT_SENT if end is AttemptEnd.TIMED_OUT else end
+
     stack.enter_context(patch.object(Attempt, "send", trusting))
 
 
 def names_not_compared(stack: ExitStack) -> None:
     """An answer counts for the request that waits, whatever id it names."""
+
     def unnamed(answer: Message, request_id: bytes, first: bool, signed: bool = True) -> AttemptEnd:
         echoed = answer.get(b"request-id") or request_id
         return judge_answer(answer, echoed, True, signed)
+
     stack.enter_context(patch.object(attempt, "judge_answer", unnamed))
     stack.enter_context(patch.object(attempt, "names_another", lambda *_: False))
 
 
 def nameless_answers_believed(stack: ExitStack) -> None:
     """An answer without an id counts also where there was an earlier request."""
+
     def believing(answer: Message, request_id: bytes, first: bool, signed: bool = True) -> AttemptEnd:
         return judge_answer(answer, request_id, True, signed)
+
     stack.enter_context(patch.object(attempt, "judge_answer", believing))
 
 
@@ -162,6 +178,7 @@
             return await read(self)
         except Broken:
             return False
+
     stack.enter_context(patch.object(Link, "_read", forgiving))
 
 
@@ -172,6 +189,7 @@
     async def forgetting(self: Link, rest: list[memoryview]) -> None:
         await write_rest(self, rest)
         self._refused = False
+
     stack.enter_context(patch.object(Link, "_write_rest", forgetting))
 
 
@@ -195,6 +213,7 @@
         if answer is not None and link.reusable(answer):
             return self.give_back(instance, link, answer)
         return drop(self, instance, link)
+
     stack.enter_context(patch.object(Link, "body", noting))
     stack.enter_context(patch.object(LinkPool, "drop", keeping))
 
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -19,7 +19,7 @@
 
 def test_a_request_is_tried_and_its_answer_ends_it():
     f = facade()
-    tried, = f.pick(100.0, "a", **FIELDS).tries
+    (tried,) = f.pick(100.0, "a", **FIELDS).tries
     assert (tried.request, tried.number, tried.node) == ("a", 0, "n0")
     orders = f.report(100.05, tried, io.Outcome.OK, 0.05)
     assert not orders.tries and not orders.verdicts and not f.knows("a")
@@ -27,26 +27,26 @@
 
 def test_attempts_are_numbered_in_turn():
     f = facade()
-    first, = f.pick(100.0, "a", **FIELDS).tries
+    (first,) = f.pick(100.0, "a", **FIELDS).tries
     orders = f.report(100.01, first, io.Outcome.ERROR, 0.01)
     assert [tried.number for tried in orders.tries] == [1]
 
 
 def test_without_a_node_the_verdict_is_a_refusal_at_once():
     f = Facade(make_settings(), 100.0)
-    verdict, = f.pick(100.0, "a", **FIELDS).verdicts
+    (verdict,) = f.pick(100.0, "a", **FIELDS).verdicts
     assert verdict.request == "a" and verdict.refused and verdict.retry_after > 0
 
 
 def test_a_write_that_may_have_run_fails():
     f = facade()
-    tried, = f.pick(100.0, "a", **(FIELDS | {"cls": "log"})).tries
+    (tried,) = f.pick(100.0, "a", **(FIELDS | {"cls": "log"})).tries
     assert f.report(100.4, tried, io.Outcome.TIMEOUT, 0.4).verdicts == [Verdict("a", False, None)]
 
 
 def test_leaving_cancels_what_is_out():
     f = facade()
-    tried, = f.pick(100.0, "a", **FIELDS).tries
+    (tried,) = f.pick(100.0, "a", **FIELDS).tries
     assert f.leave(100.1, "a").cancels == [("a", 0)]
     assert f.knows("a")
     f.report(100.1, tried, io.Outcome.CANCELLED, 0.1)
@@ -67,7 +67,7 @@
 
 def test_a_streamed_answer_that_breaks_off_gets_no_second_answer():
     f = facade()
-    tried, = f.pick(100.0, "a", **FIELDS).tries
+    (tried,) = f.pick(100.0, "a", **FIELDS).tries
     f.begun(100.1, tried, 0.1)
     orders = f.report(100.2, tried, io.Outcome.RESET, 0.2)
     assert not orders.verdicts and not orders.tries
--- a/tests/test_feed_publisher.py
+++ b/tests/test_feed_publisher.py
@@ -19,7 +19,7 @@
 
 STATUS = MemberStatus(leader_silence_ms=7, gateways=3, members=("10.0.0.1:1", "10.0.0.2:1"))
 HELD_BACK = MemberStatus(5_000, 3, STATUS.members, FeedAllowance(configuration=False, table=False))
-LATE = 10.0                                    # the table is complete
+LATE = 10.0  # the table is complete
 
 
 class Source:
@@ -34,8 +34,12 @@
         if revision >= self.revision:
             return None
         whole = revision < 3
-        return ConfigurationUpdate(revision=self.revision, whole=whole, based_on=0 if whole else revision,
-                                   routes=[Route(name=f"r{self.revision}")])
+        return ConfigurationUpdate(
+            revision=self.revision,
+            whole=whole,
+            based_on=0 if whole else revision,
+            routes=[Route(name=f"r{self.revision}")],
+        )
 
 
 class Publishing(unittest.TestCase):
@@ -49,12 +53,14 @@
         heartbeat = Instance(id=id, address=address, stage=stage, sequence=sequence)
         self.table.heard(heartbeat, now)
 
-    def frames(self, now: float, status: MemberStatus = STATUS,
-               busy: tuple[int, ...] = ()) -> list[FeedBatch]:
+    def frames(
+        self, now: float, status: MemberStatus = STATUS, busy: tuple[int, ...] = ()
+    ) -> list[FeedBatch]:
         batches = self.publisher.frames(now, status, busy)
         for batch in batches:
-            self.assertEqual([FeedFrame.FromString(body) for body in FrameReader().feed(batch.encoded)],
-                             [batch.frame])
+            self.assertEqual(
+                [FeedFrame.FromString(body) for body in FrameReader().feed(batch.encoded)], [batch.frame]
+            )
         return batches
 
     def test_the_first_frame_has_everything(self) -> None:
@@ -98,7 +104,7 @@
         self.frames(LATE)
         self.beat("a", 1)
         self.frames(LATE + 0.01)
-        self.beat("a", 2)                      # a renewal is no change
+        self.beat("a", 2)  # a renewal is no change
         self.assertEqual(self.frames(LATE + 0.02), [])
         self.assertEqual(self.publisher.frames_at(), LATE + HEARTBEAT_INTERVAL_S)
         (batch,) = self.frames(LATE + HEARTBEAT_INTERVAL_S)
--- a/tests/test_feed_subscriber.py
+++ b/tests/test_feed_subscriber.py
@@ -36,21 +36,33 @@
     return (update.revision,) if update.whole else (*(held or ()), update.revision)
 
 
-def frame(*instances: Instance, whole: bool = False, complete: bool = True, silence_ms: int = 0,
-          gateways: int = 1, members: tuple[str, ...] = (), revision: int = 0,
-          based_on: int | None = None) -> FeedFrame:
-    made = FeedFrame(heartbeat=FeedHeartbeat(leader_silence_ms=silence_ms, gateways=gateways, members=members,
-                                             table_complete=complete))
+def frame(
+    *instances: Instance,
+    whole: bool = False,
+    complete: bool = True,
+    silence_ms: int = 0,
+    gateways: int = 1,
+    members: tuple[str, ...] = (),
+    revision: int = 0,
+    based_on: int | None = None,
+) -> FeedFrame:
+    made = FeedFrame(
+        heartbeat=FeedHeartbeat(
+            leader_silence_ms=silence_ms, gateways=gateways, members=members, table_complete=complete
+        )
+    )
     if instances or whole:
         made.instances.CopyFrom(InstancesUpdate(whole=whole, instances=instances))
     if revision:
-        made.configuration.CopyFrom(ConfigurationUpdate(revision=revision, whole=based_on is None,
-                                                        based_on=based_on or 0))
+        made.configuration.CopyFrom(
+            ConfigurationUpdate(revision=revision, whole=based_on is None, based_on=based_on or 0)
+        )
     return made
 
 
-def instance(id: str, state: int = READY, sequence: int = 1, address: str = "10.1.0.1:80",
-             stage: str = "decode") -> Instance:
+def instance(
+    id: str, state: int = READY, sequence: int = 1, address: str = "10.1.0.1:80", stage: str = "decode"
+) -> Instance:
     return Instance(id=id, state=state, sequence=sequence, address=address, stage=stage)
 
 
@@ -132,7 +144,7 @@
             tried.append(self.connect(1.3))
             self.feed.failed(tried[-1], 1.3)
         self.assertEqual(set(tried[:2]), set(SEEDS) - {first})
-        self.assertEqual(tried[2], first)      # the others can't be reached: better than none
+        self.assertEqual(tried[2], first)  # the others can't be reached: better than none
 
     def test_a_new_feed_has_time_to_get_in_touch(self) -> None:
         first = self.connect(0.0)
@@ -160,7 +172,7 @@
         self.connect(0.0)
         members = ("10.0.1.1:1", "10.0.1.2:1")
         self.feed.received(frame(whole=True, members=members), 0.1)
-        self.feed.received(frame(), 0.2)       # no list: as before
+        self.feed.received(frame(), 0.2)  # no list: as before
         link = self.feed._link
         assert link is not None
         self.feed.failed(link.address, 0.3)
@@ -183,7 +195,7 @@
 class HeldUp(Case):
     """Frames that waited on the way: over a cut, in a frozen process, behind a slow link."""
 
-    CLOCK = 5_000.0                            # of the member, when the gateway's shows 0
+    CLOCK = 5_000.0  # of the member, when the gateway's shows 0
 
     def take(self, now: float, sent: float, silence_ms: int = 50, **more: object) -> None:
         """A frame that was sent at a time of the gateway's clock."""
@@ -199,10 +211,10 @@
         """Each frame said 50 ms of silence, and was taken for news of now."""
         self.connect(0.0)
         self.take(0.1, 0.1, whole=True)
-        for sent in (0.35, 0.6, 0.85):         # held up, and brought in one burst
+        for sent in (0.35, 0.6, 0.85):  # held up, and brought in one burst
             self.take(20.0, sent)
             self.assertTrue(self.out_of_touch())
-        self.take(20.25, 20.25)                # the member goes on
+        self.take(20.25, 20.25)  # the member goes on
         self.assertFalse(self.out_of_touch())
 
     def test_a_gateway_that_stood_still_does_not_begin_with_what_waited(self) -> None:
@@ -216,7 +228,7 @@
     def test_a_link_that_lags_tells_how_old_its_words_are(self) -> None:
         self.connect(0.0)
         late = 0.0
-        for step in range(80):                 # a queue builds up: each frame is later than the one before
+        for step in range(80):  # a queue builds up: each frame is later than the one before
             sent = 0.25 * step
             late = 0.3 * sent
             self.take(0.1 + sent + late, sent, whole=step == 0, revision=3 if step == 79 else 0)
@@ -227,7 +239,7 @@
         """A gateway whose own link is loaded gains nothing by a new connection."""
         self.connect(0.0)
         self.take(0.1, 0.1)
-        self.take(2.0, 0.4, whole=True, revision=3)        # 1.6 s late
+        self.take(2.0, 0.4, whole=True, revision=3)  # 1.6 s late
         self.assertFalse(self.out_of_touch())
         self.assertFalse(self.feed.ready(2.0))
         self.take(2.1, 2.1)
--- a/tests/test_feed_subscriber_tables.py
+++ b/tests/test_feed_subscriber_tables.py
@@ -61,8 +61,9 @@
         self.connect(0.0)
         self.feed.received(frame(instance("a", sequence=9, stage="prefill"), whole=True), 0.1)
         self.again(1.0)
-        self.feed.received(frame(instance("a", sequence=4), instance("b", ENDED, 1), whole=True,
-                                 complete=False), 1.3)
+        self.feed.received(
+            frame(instance("a", sequence=4), instance("b", ENDED, 1), whole=True, complete=False), 1.3
+        )
         self.assertEqual(self.feed.instances["a"].stage, "prefill")
         self.feed.received(frame(instance("a", ENDED, 4), whole=True, complete=False), 1.4)
         self.assertEqual(self.states(), {"a": READY})
@@ -84,9 +85,18 @@
         events = self.feed.received(frame(instance("a", sequence=8), whole=True), 0.2)
         self.assertEqual((events.instances.changed, events.instances.ended), ((), ()))
 
-    @given(st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from([READY, DRAINS, ENDED]),
-                              st.sampled_from([1, 2, 3, RETIRED_SEQUENCE]), st.booleans(), st.booleans()),
-                    max_size=25))
+    @given(
+        st.lists(
+            st.tuples(
+                st.sampled_from("abc"),
+                st.sampled_from([READY, DRAINS, ENDED]),
+                st.sampled_from([1, 2, 3, RETIRED_SEQUENCE]),
+                st.booleans(),
+                st.booleans(),
+            ),
+            max_size=25,
+        )
+    )
     def test_states_only_move_on(self, words: list[tuple[str, int, int, bool, bool]]) -> None:
         feed = FeedSubscriber(SEEDS, "z", Random(1), apply)
         action = feed.next_action(0.0)
--- a/tests/test_fleet_agreement.py
+++ b/tests/test_fleet_agreement.py
@@ -23,7 +23,7 @@
 def test_every_member_is_told_the_same_entries_and_refusals_in_the_same_order(fleet):
     for name in fleet.up:
         fleet.put(name, "shares", Add(2))
-        fleet.put(name, "pools", Add(40))      # the third is beyond 100
+        fleet.put(name, "pools", Add(40))  # the third is beyond 100
         fleet.put(name, "pools", Fail())
     fleet.proven()
     told = [told.entries for told in fleet.told.values()]
@@ -54,7 +54,7 @@
     fleet.stop("g1")
     fleet.put("g0", "shares", Add(1))
     fleet.start("g1")
-    fleet.proven("g0", "g1")                   # else g2 would take along the only other copy of what is new
+    fleet.proven("g0", "g1")  # else g2 would take along the only other copy of what is new
     fleet.stop("g2")
     shutil.rmtree(fleet.folder / "g2")
     fleet.start("g2")
--- a/tests/test_fleet_attempts.py
+++ b/tests/test_fleet_attempts.py
@@ -102,8 +102,14 @@
     def test_an_instance_at_which_the_fleet_fails_is_left_out(self) -> None:
         gateway = new_gateway()
         among = ["a", "b", "c", "d"]
-        gateway.attempts_told([attempts("a", SUSPECT_FAILURES, 1), attempts("b", SUSPECT_FAILURES, 9),
-                               attempts("c", SUSPECT_FAILURES - 1)], 1.0)
+        gateway.attempts_told(
+            [
+                attempts("a", SUSPECT_FAILURES, 1),
+                attempts("b", SUSPECT_FAILURES, 9),
+                attempts("c", SUSPECT_FAILURES - 1),
+            ],
+            1.0,
+        )
         self.assertEqual(gateway.health.excluded(among, 1.1), {"a"})
         self.assertEqual(gateway.health.excluded(among, 1.1 + EjectionSettings().suspected_s), set())
 
--- a/tests/test_fleet_log.py
+++ b/tests/test_fleet_log.py
@@ -41,12 +41,20 @@
     assert log.states == {"shares": Sum(3, "g1"), "pools": Sum()}
 
 
-@pytest.mark.parametrize("unknown", [
-    body(FORMAT + 1, "shares", "g1", Add(3)), body(FORMAT, "elsewhere", "g1", Add(3)),
-    body(FORMAT, "shares", "g1", Stranger()), body(FORMAT, "shares"), b"\xc1", b"",
-    body(FORMAT, "shares", "g1", {"kind": "add", "amount": 1, "new": 2}),
-    body(FORMAT, "shares", "g1" * MOST_ENTRY, Add(3))], ids=[
-        "newer", "topic", "kind", "short", "no type", "empty", "field", "long"])
+@pytest.mark.parametrize(
+    "unknown",
+    [
+        body(FORMAT + 1, "shares", "g1", Add(3)),
+        body(FORMAT, "elsewhere", "g1", Add(3)),
+        body(FORMAT, "shares", "g1", Stranger()),
+        body(FORMAT, "shares"),
+        b"\xc1",
+        b"",
+        body(FORMAT, "shares", "g1", {"kind": "add", "amount": 1, "new": 2}),
+        body(FORMAT, "shares", "g1" * MOST_ENTRY, Add(3)),
+    ],
+    ids=["newer", "topic", "kind", "short", "no type", "empty", "field", "long"],
+)
 def test_what_is_not_known_or_too_long_is_passed_over_and_counted(unknown):
     """Guards equal indices: a member that does not know an entry still counts it, as the others do."""
     log = make_log()
@@ -68,9 +76,11 @@
 
 def test_what_comes_of_this_place_is_no_refusal():
     """Guards the states: out of memory here, the others have taken the entry in."""
+
     class Full(Adder):
         def apply(self, *_: object) -> Sum:
             raise MemoryError
+
     log = Log([Full("shares")])
     with pytest.raises(MemoryError):
         log.apply(log.encode("shares", "g1", Add(1)))
@@ -85,9 +95,19 @@
     assert [told.state.most for told in log.push(Policy(shares={"most": 7}, pools={"most": 60}))] == [7, 60]
 
 
-@given(st.lists(st.one_of(st.binary(max_size=40), st.builds(
-    lambda topic, by, amount: body(FORMAT, topic, by, Add(amount)),
-    st.sampled_from(["shares", "pools", "none"]), st.text(max_size=3), st.integers(-5, 60)))))
+@given(
+    st.lists(
+        st.one_of(
+            st.binary(max_size=40),
+            st.builds(
+                lambda topic, by, amount: body(FORMAT, topic, by, Add(amount)),
+                st.sampled_from(["shares", "pools", "none"]),
+                st.text(max_size=3),
+                st.integers(-5, 60),
+            ),
+        )
+    )
+)
 def test_two_members_agree_on_any_bytes_also_over_a_snapshot(bodies):
     one, two = make_log(), make_log()
     for entry in bodies:
@@ -169,14 +189,19 @@
     assert isinstance(refusal, Refusal) and "new" in refusal.what
 
 
-@pytest.mark.parametrize("breaks", [
-    lambda member: member.change(0, "{}", ("maintenance",)),
-    lambda member: member.ledger._deserialize({"format": 3}),
-    lambda member: member.ledger._deserialize({"format": 2, "version": 1, "body": "{}", "log": b"\xc1"}),
-    lambda member: member.put(member.ledger.log.encode("pools", "g1", Add(10**6)))],
-    ids=["topic", "newer", "bad", "memory"])
+@pytest.mark.parametrize(
+    "breaks",
+    [
+        lambda member: member.change(0, "{}", ("maintenance",)),
+        lambda member: member.ledger._deserialize({"format": 3}),
+        lambda member: member.ledger._deserialize({"format": 2, "version": 1, "body": "{}", "log": b"\xc1"}),
+        lambda member: member.put(member.ledger.log.encode("pools", "g1", Add(10**6))),
+    ],
+    ids=["topic", "newer", "bad", "memory"],
+)
 def test_a_member_that_lost_the_thread_says_so_once_takes_nothing_in_and_writes_no_snapshot(
-        breaks, monkeypatch):
+    breaks, monkeypatch
+):
     member = Direct()
     with monkeypatch.context() as patch:
         patch.setattr(Adder, "apply", no_memory)
--- a/tests/test_fleet_service.py
+++ b/tests/test_fleet_service.py
@@ -91,8 +91,14 @@
         monkeypatch.setattr("mallowbeam.fleet.policy_text._TYPES", {})  # whatever another test has loaded
         self.sock, port = hold_port(socket.SO_REUSEADDR)
         self.gateway = Recorder()
-        section = PolicySection(folder=str(folder / "log"), name="g0", listen="127.0.0.1:1",
-                                members={"g0": f"127.0.0.1:{port}"}, beat_s=0.05, lease_s=20.0)
+        section = PolicySection(
+            folder=str(folder / "log"),
+            name="g0",
+            listen="127.0.0.1:1",
+            members={"g0": f"127.0.0.1:{port}"},
+            beat_s=0.05,
+            lease_s=20.0,
+        )
         self.service = FleetService(self.gateway, section, {"shares": SharesSection(on=True)})
         self.part: Part = self.service.subsystems["shares"]
         self.pages = FleetPages(self.service)
@@ -128,7 +134,9 @@
                 await world.service.stop()
                 world.service.disk.close()
                 world.sock.close()
+
         asyncio.run(run())
+
     return played
 
 
@@ -149,6 +157,7 @@
         status, text = await world.ask("GET", "/fleet/metrics")
         assert b"mallowbeam_fleet_shares_total 5.0\n" in text and b"fleet_shares_odd_name 1.0\n" in text
         assert b"mallowbeam_fleet_policy_serves 1.0\n" in text and b"process_" not in text
+
     play(scene)
 
 
@@ -159,6 +168,7 @@
         await world.service.stop()
         assert not world.part.hands.propose(Add(1)) and world.service.counts["dropped"] == 2
         assert (await world.push(0, {}))[1]["error"] == "NoLeader"
+
     play(scene)
 
 
@@ -174,6 +184,7 @@
         both = {"drains": ["n1"], "plans": [{"name": "gold", "limit": 13}, {"name": "silver", "limit": 1}]}
         assert (await world.push(3, both))[0] == 200
         assert [plan.name for plan in plans[4:]] == ["silver"] and world.gateway.hands == [("n1", True)]
+
     play(scene)
 
 
@@ -188,6 +199,7 @@
         assert sorted(told[2:]) == [("n1", False), ("n2", False)]
         hands.gate(False)
         assert not all(gate() for gate in world.gateway.gates)
+
     play(scene)
 
 
@@ -206,32 +218,38 @@
             (await world.push(0, {"pools": {}}), 400, "BadPolicy", "pools"),
             (await world.push(0, {"plans": [{"name": "tin"}]}), 400, "BadPolicy", "plans"),
             (await world.push(0, {"shares": {"most": 40}}), 409, "PolicyRefused", "shares.most"),
-            (await world.push(3, {}), 412, "Overtaken", "version 3")]
+            (await world.push(3, {}), 412, "Overtaken", "version 3"),
+        ]
         for (status, told), wanted, name, where in calls:
             assert (status, told["error"], told["where"]) == (wanted, name, where), told
             assert told["what"] and told["remedy"]
         assert (await world.ask("GET", "/policy"))[1]["version"] == 0
         told = json.loads(world.pages.complain(413, "too long").data.partition(b"\r\n\r\n")[2])
         assert told["error"] == "Unreadable" and told["remedy"]
+
     play(scene)
 
 
 def test_a_push_may_come_in_pieces(play):
     """Guards pushes by any client: httpx sends head and body apart."""
+
     async def scene(world: World) -> None:
         sock, port = hold_port()
         server = Server(read_address(f"127.0.0.1:{port}"), world.pages, 8, name="policy")
         server.start()
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        head = (b'PUT /policy HTTP/1.1\r\nhost: x\r\nif-match: "0"\r\n'
-                b"content-length: 2\r\nconnection: close\r\n\r\n")
+        head = (
+            b'PUT /policy HTTP/1.1\r\nhost: x\r\nif-match: "0"\r\n'
+            b"content-length: 2\r\nconnection: close\r\n\r\n"
+        )
         for piece in (head, b"{", b"}"):
             writer.write(piece)
-            await asyncio.sleep(0.05)          # so that it goes out; nothing hangs on how long
+            await asyncio.sleep(0.05)  # so that it goes out; nothing hangs on how long
         assert (await reader.read()).endswith(b'{"version":1}')
         writer.close()
         await server.drain()
         sock.close()
+
     play(scene)
 
 
@@ -244,6 +262,7 @@
         assert (status, told["error"]) == (409, "NotAlike") and "g1" in told["what"]
         del world.service.agreement.ledger.heard["g1"]
         assert (await world.push(0, {}))[0] == 200
+
     play(scene)
 
 
@@ -258,18 +277,27 @@
         proofs = len(world.part.proofs)
         world.service._learn((Change(1, '{"drains":["n1"]}'),))
         assert world.gateway.hands == [] and len(world.part.proofs) == proofs
+
     play(scene)
 
 
-@pytest.mark.parametrize(("answer", "code", "said"), [
-    ((200, {"version": 3}), 0, "version 3 is committed"),
-    ((409, {"what": "less than there is", "where": "pools.most", "remedy": "allow 50"}), 1,
-     "pools.most: less than there is (allow 50)"),
-    ((504, {"what": "no word", "where": "", "remedy": "look"}), 3, "no word (look)"),
-    ((0, {"what": "no answer"}), 3, "no answer")])
+@pytest.mark.parametrize(
+    ("answer", "code", "said"),
+    [
+        ((200, {"version": 3}), 0, "version 3 is committed"),
+        (
+            (409, {"what": "less than there is", "where": "pools.most", "remedy": "allow 50"}),
+            1,
+            "pools.most: less than there is (allow 50)",
+        ),
+        ((504, {"what": "no word", "where": "", "remedy": "look"}), 3, "no word (look)"),
+        ((0, {"what": "no answer"}), 3, "no answer"),
+    ],
+)
 def test_the_command_line_says_what_where_and_what_to_do(monkeypatch, tmp_path, answer, code, said):
     async def told(address: str, method: str, *_: object):
         return (200, {"serves": True, "version": 2}) if method == "GET" else answer
+
     monkeypatch.setattr("mallowbeam.cli.policy._ask", told)
     (tmp_path / "p.json").write_text("{}")
     done = CliRunner().invoke(app, ["push", str(tmp_path / "p.json"), "--at", "h:1"])
@@ -280,21 +308,29 @@
 
 
 def test_equal_policies_have_one_spelling():
-    one = read_policy('{"plans": [{"name": "b", "limit": 1}, {"name": "a"}], "drains": ["y", "x", "x"],'
-                      ' "shares": {"b": 1, "a": {"d": 1, "c": 2}}}')
-    two = read_policy('{"shares": {"a": {"c": 2, "d": 1}, "b": 1}, "drains": ["x", "y"],'
-                      ' "plans": [{"name": "a"}, {"limit": 1.0, "name": "b"}]}')
+    one = read_policy(
+        '{"plans": [{"name": "b", "limit": 1}, {"name": "a"}], "drains": ["y", "x", "x"],'
+        ' "shares": {"b": 1, "a": {"d": 1, "c": 2}}}'
+    )
+    two = read_policy(
+        '{"shares": {"a": {"c": 2, "d": 1}, "b": 1}, "drains": ["x", "y"],'
+        ' "plans": [{"name": "a"}, {"limit": 1.0, "name": "b"}]}'
+    )
     assert canonical(one) == canonical(two) and read_policy(canonical(one)) == read_policy(canonical(two))
     assert canonical(read_policy("{}")) == '{"drains":[]}', "as ever"
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ('{"plans": [{"name": "a"}, {"name": "a"}]}', "twice"),
-    ('{"plans": [{"name": "a", "weight": 0}]}', "weight"),
-    ('{"shares": ' + '{"a":' * MOST_DEPTH + "[1]" + "}" * MOST_DEPTH + "}", "levels"),
-    ('{"shares": ' + '{"a":' * 5000 + "1" + "}" * 5000 + "}", ""),
-    ('{"drains": ["' + "x" * 70_000 + '"]}', "at most 65536")],
-    ids=["twice", "weightless", "deep", "deeper than a stack", "long"])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ('{"plans": [{"name": "a"}, {"name": "a"}]}', "twice"),
+        ('{"plans": [{"name": "a", "weight": 0}]}', "weight"),
+        ('{"shares": ' + '{"a":' * MOST_DEPTH + "[1]" + "}" * MOST_DEPTH + "}", "levels"),
+        ('{"shares": ' + '{"a":' * 5000 + "1" + "}" * 5000 + "}", ""),
+        ('{"drains": ["' + "x" * 70_000 + '"]}', "at most 65536"),
+    ],
+    ids=["twice", "weightless", "deep", "deeper than a stack", "long"],
+)
 def test_a_policy_that_can_not_be_is_refused_with_a_remedy(text, said):
     with pytest.raises(BadPolicy) as caught:
         read_policy(text)
@@ -312,8 +348,13 @@
 
 
 def test_each_error_of_the_fleet_has_a_status_and_a_remedy():
-    kinds = [kind for kind in vars(fleet_errors).values() if isinstance(kind, type)
-             and issubclass(kind, fleet_errors.FleetError) and kind is not fleet_errors.FleetError]
+    kinds = [
+        kind
+        for kind in vars(fleet_errors).values()
+        if isinstance(kind, type)
+        and issubclass(kind, fleet_errors.FleetError)
+        and kind is not fleet_errors.FleetError
+    ]
     assert NoLeader in kinds
     for kind in kinds:
         told = kind("what", "where").told()
--- a/tests/test_fleet_variants.py
+++ b/tests/test_fleet_variants.py
@@ -14,12 +14,15 @@
 from mallowbeam.simulation.loss_budget import LossBudget
 from mallowbeam.simulation.scenario import Violation
 
-LATE_GATEWAY = M3_CUT_OFF + """at 8 call a m1
+LATE_GATEWAY = (
+    M3_CUT_OFF
+    + """at 8 call a m1
 at 8 call b m1
 at 8 kill g1
 at 8 seeds g1 m3
 at 12.5 start g1
 end 14"""
+)
 
 
 def player_of(variant: Variant) -> FleetPlayer:
@@ -49,12 +52,14 @@
         with variant.patch(), case.assertRaises(Violation) as caught:
             player_of(variant).play()
         case.assertIn(variant.told, str(caught.exception))
+
     return test
 
 
 def _passed(variant: Variant) -> Callable[[unittest.TestCase], None]:
     def test(_: unittest.TestCase) -> None:
         player_of(variant).play()
+
     return test
 
 
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -72,7 +72,7 @@
         async with World() as world:
             client, here = await come(world, raw)
             await serves_others(world)
-            got = await client.read()          # its end, and no reset
+            got = await client.read()  # its end, and no reset
             assert got.startswith((b"HTTP/1.1 400", b"HTTP/1.1 413", b"HTTP/1.1 431")), got
             assert got.count(b"HTTP/1.1") == 1
             client.leave()
@@ -84,9 +84,16 @@
 
 
 @pytest.mark.parametrize("front", ["objects", "health", "admin"])
-@pytest.mark.parametrize("raw", [b"NONSENSE\r\n\r\n", TLS, b"GET / HTTP/1.1\r\nx: " + b"y" * 30_000,
-                                 b"PUT /a/b HTTP/1.1\r\ncontent-length: -1\r\n\r\n"],
-                         ids=["line", "TLS", "head", "length"])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"NONSENSE\r\n\r\n",
+        TLS,
+        b"GET / HTTP/1.1\r\nx: " + b"y" * 30_000,
+        b"PUT /a/b HTTP/1.1\r\ncontent-length: -1\r\n\r\n",
+    ],
+    ids=["line", "TLS", "head", "length"],
+)
 def test_every_door_does_so(front, raw):
     async def run() -> None:
         async with World() as world:
@@ -98,12 +105,16 @@
 
 
 ENDLESS = {
-    "a line": (b"GET /", b"x" * 65536), "a header": (b"GET / HTTP/1.1\r\nx: ", b"y" * 65536),
-    "headers": (b"GET / HTTP/1.1\r\n", b"x: y\r\n" * 10_000), "blank lines": (b"", b"\r\n" * 30_000),
+    "a line": (b"GET /", b"x" * 65536),
+    "a header": (b"GET / HTTP/1.1\r\nx: ", b"y" * 65536),
+    "headers": (b"GET / HTTP/1.1\r\n", b"x: y\r\n" * 10_000),
+    "blank lines": (b"", b"\r\n" * 30_000),
     "chunk marks": (put("transfer-encoding: chunked") + b"1;", b"x" * 65536),
     "trailers": (put("transfer-encoding: chunked") + b"0\r\n", b"x: y\r\n" * 10_000),
-    "a body": (put("content-length: 10") + b"x" * 10, b"x" * 65536), "noise": (b"", bytes(range(256)) * 256),
-    "requests": (b"", b"GET / HTTP/1.1\r\nconnection: close\r\n\r\n" * 1500)}
+    "a body": (put("content-length: 10") + b"x" * 10, b"x" * 65536),
+    "noise": (b"", bytes(range(256)) * 256),
+    "requests": (b"", b"GET / HTTP/1.1\r\nconnection: close\r\n\r\n" * 1500),
+}
 
 
 @pytest.mark.parametrize("start, more", ENDLESS.values(), ids=ENDLESS.keys())
@@ -122,7 +133,7 @@
                     most = max(most, here.channel.framer.quiet)
 
             flooding = asyncio.create_task(flood())
-            if start.endswith(b"x" * 10):      # a whole request comes first, and it is answered first
+            if start.endswith(b"x" * 10):  # a whole request comes first, and it is answered first
                 await world.play("n0 expect PUT\nn0 send 200 body=stored")
             await serves_others(world)
             with pytest.raises(ConnectionError):
@@ -157,11 +168,13 @@
 
 
 TRICKLES = {
-    "line": (b"G", b"ET "), "head": (request(1)[:40], b"xxx"),
+    "line": (b"G", b"ET "),
+    "head": (request(1)[:40], b"xxx"),
     "upload": (put("content-length: 90000", body=b"x"), b"xxx"),
     "body": (put("content-length: 9", body=b"x"), b"xxx"),
     "chunk": (put("transfer-encoding: chunked", body=b"1"), b"000"),
-    "trailer": (put("transfer-encoding: chunked", body=b"1\r\nx\r\n0\r\nx"), b"xxx")}
+    "trailer": (put("transfer-encoding: chunked", body=b"1\r\nx\r\n0\r\nx"), b"xxx"),
+}
 
 
 @pytest.mark.parametrize("raw, drops", TRICKLES.values(), ids=TRICKLES.keys())
@@ -202,7 +215,7 @@
                 arrive(client, here, b"x" * piece)
                 sent += piece
                 await until(lambda: here.taking is None or here.taking.came == sent)  # noqa: B023
-                here.since = start             # the taker's time does not count, nor does this machine's
+                here.since = start  # the taker's time does not count, nor does this machine's
             await world.play("n0 expect PUT\nn0 send 200 body=stored")
             assert (await client.read(until=b"stored")).startswith(b"HTTP/1.1 200")
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -15,7 +15,7 @@
     for other in rig.host.nodes.values():
         other.held = rig.now + 9.0
     rig.wait(5.0)
-    if plan == "basic":                        # a limited volume starts with its part spent
+    if plan == "basic":  # a limited volume starts with its part spent
         rig.step(rig.request(cls, plan=plan, volume=plan))
         rig.wait(1.0)
     key = "0a" if cls == "ordered" else "0b"
@@ -97,8 +97,9 @@
 
 
 def test_not_to_a_cold_node_beyond_what_is_reserved():
-    rig, request, node = booked(plan="silver", cold_units=0.0, cold_start=0.2, cold_time=10.0,
-                                fall_multiple=2.0, fall_window=2.0)
+    rig, request, node = booked(
+        plan="silver", cold_units=0.0, cold_start=0.2, cold_time=10.0, fall_multiple=2.0, fall_window=2.0
+    )
     node.cold_from, node.cold_until = rig.now, rig.now + 9.0
     assert request.tier > 0 and not sends(rig, request, node)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -62,12 +62,14 @@
         assert old.gateway.metrics.upstream_requests == 2 and new.gateway.metrics.upstream_requests == 1
         assert new.gateway.sister is None or not new.gateway.sister.ids
 
-    upgrade("""
+    upgrade(
+        """
         c1 send GET /healthz
         c1 expect 200
         c2 send read
         n0 expect GET
-    """, """
+    """,
+        """
         n0 send 200 body=held
         c2 expect 200 held 'connection: close'
         c1 send read
@@ -81,7 +83,9 @@
         c3 expect 200 new
         c3 send GET /healthz
         c3 expect 200
-    """, ended)
+    """,
+        ended,
+    )
 
 
 def test_what_waits_in_the_backlog_is_taken_by_the_new_process():
@@ -90,7 +94,7 @@
     async def run() -> None:
         async with World(meet=True) as old:
             server = old.gateway.servers[-1]
-            server.acceptor.cancel()           # a busy old process: it gets round to nobody
+            server.acceptor.cancel()  # a busy old process: it gets round to nobody
             await asyncio.sleep(0)
             await old.play("c1 send GET /healthz")
             async with World(before=old) as new:
@@ -102,8 +106,10 @@
 
 def test_bans_lists_and_discovery_s_address_are_in_hand_before_the_yes():
     """Guards the rules on drains: a new process's configuration is older than what the old one knows."""
-    changed = ('{"revision":7,"complete":false,"members":[{"id":"n0","host_port":"$n0","cell":0,'
-               '"phase":"draining"}]}')
+    changed = (
+        '{"revision":7,"complete":false,"members":[{"id":"n0","host_port":"$n0","cell":0,'
+        '"phase":"draining"}]}'
+    )
 
     async def check(old: World, new: World) -> None:
         assert new.gateway.facade.takes("n2") and not new.gateway.facade.takes("n0")
@@ -112,19 +118,24 @@
         old.gateway.by_hand("n1", False)
         await until(lambda: new.gateway.facade.takes("n1") and not old.gateway.facade.takes("n2"))
 
-    upgrade(f"""
+    upgrade(
+        f"""
         q1 send PUT /_storage-nodes/detach body=n1
         q1 expect 200
         d expect GET since=1
         d send 200 'body={changed}'
         d expect GET since=7
-    """, """
+    """,
+        """
         d expect GET since=7
         c1 send read shard=1
         c1 expect 503
         c1 send read shard=0
         c1 expect 503
-    """, check, nodes=3)
+    """,
+        check,
+        nodes=3,
+    )
 
 
 def test_limit_stores_cold_units_and_ids_count_for_both():
@@ -137,9 +148,12 @@
         sent = [w.gateway.facade._scheduler.nodes["n0"].cold_sent for w in (old, new)]
         assert [sum(units for _, units in each) for each in sent] == [16, 16]
 
-    started = ('{"revision":2,"complete":false,"members":[{"id":"n0","host_port":"$n0","cell":0,'
-               '"phase":"up","up_since_ms":99999999999999}]}')
-    upgrade(f"""
+    started = (
+        '{"revision":2,"complete":false,"members":[{"id":"n0","host_port":"$n0","cell":0,'
+        '"phase":"up","up_since_ms":99999999999999}]}'
+    )
+    upgrade(
+        f"""
         d expect GET since=1
         d send 200 'body={started}'
         d expect GET since=2
@@ -148,12 +162,17 @@
         wait 0.8
         c1 send read id=00000000000000ff plan=bronze units=8
         n0 expect GET
-    """, """
+    """,
+        """
         c2 send read id=00000000000000ff
         c2 expect 400
         c2 send read id=00000000000000ee plan=bronze units=8
         n0 expect GET
-    """, check, FamilyInfo={"ColdBears": 1000.0}, **COLD)
+    """,
+        check,
+        FamilyInfo={"ColdBears": 1000.0},
+        **COLD,
+    )
 
 
 def test_what_either_hears_of_the_list_binds_both():
@@ -164,11 +183,15 @@
         old.gateway.told_beside(old.gateway.config.known)  # older than what is known: changes nothing
         assert not old.gateway.facade.takes("n0")
 
-    upgrade("d expect GET since=1\nc1 send GET /healthz\nc1 expect 200", f"""
+    upgrade(
+        "d expect GET since=1\nc1 send GET /healthz\nc1 expect 200",
+        f"""
         d expect GET since=1
         d send 200 'body={gone}'
         d expect GET since=2
-    """, check)
+    """,
+        check,
+    )
 
 
 def test_a_reload_of_either_moves_both_and_one_watch_stays():
@@ -188,7 +211,7 @@
             assert world.gateway.pool.budget.most == world.gateway.pool.budget.whole // 2
         old.gateway.stop()
         await until(old.task.done)
-        old.gateway.sister.close()             # as its end would
+        old.gateway.sister.close()  # as its end would
         await until(lambda: new.gateway.sister is None)
         assert new.gateway.pool.most == new.gateway.pool.whole
         assert new.gateway.servers[-1].most == new.gateway.servers[-1].whole
@@ -213,13 +236,18 @@
         old.bind(path)
         old.listen(1)
         monkeypatch.setattr(handover.os, "getuid", lambda: 987654)
-        speak(old, b'{"doors": []}\n{"state": {"version": 1, "discovery": "127.0.0.1:1", "list": '
-                   b'{"revision": 1, "complete": true, "members": []}}}\n')
+        speak(
+            old,
+            b'{"doors": []}\n{"state": {"version": 1, "discovery": "127.0.0.1:1", "list": '
+            b'{"revision": 1, "complete": true, "members": []}}}\n',
+        )
         assert handover.take_over(config) is None
 
 
-@pytest.mark.parametrize("says", [b"", b"noise\n", b'{"doors": []}\n{"state": {}}\n',
-                                  b'{"doors": []}\n{"state": {"version": 0}}\n'])
+@pytest.mark.parametrize(
+    "says",
+    [b"", b"noise\n", b'{"doors": []}\n{"state": {}}\n', b'{"doors": []}\n{"state": {"version": 0}}\n'],
+)
 def test_an_old_process_that_hands_over_nothing_holds_up_no_start(monkeypatch, says):
     monkeypatch.setattr(handover, "PATIENCE", 0.1)
     config = configs.decode(json.loads((EXAMPLE / "config.json").read_text()), {})
@@ -256,7 +284,7 @@
                     assert urllib.request.urlopen(f"http://{doors[1]}/_ready", timeout=PATIENCE).status == 200
                     break
                 except urllib.error.HTTPError as error:
-                    assert error.code == 503   # not before it takes clients
+                    assert error.code == 503  # not before it takes clients
             first.send_signal(signal.SIGTERM)
             assert first.wait(PATIENCE) == 0
             with connect(address) as late:
--- a/tests/test_handover_core.py
+++ b/tests/test_handover_core.py
@@ -46,6 +46,7 @@
 
 # --- the replicated side --------------------------------------------------------------------------
 
+
 def test_an_epoch_names_who_owes_and_is_settled_once_they_released():
     handed = opened({"x": {"a": 8}}, {"x": {"b": 7, "c": 2}})
     assert (handed.epoch, handed.settled, handed.owing) == (2, 1, {"a": 2})
@@ -59,7 +60,7 @@
 def test_epochs_are_settled_in_their_order():
     handed = opened({"x": {"a": 8}, "y": {"b": 8}}, {"y": {"b": 8}}, {})
     assert handed.owing == {"a": 2, "b": 3}
-    assert release(handed, "b", 3).settled == 1            # a still owes the one before it
+    assert release(handed, "b", 3).settled == 1  # a still owes the one before it
     assert release(release(handed, "b", 3), "a", 2).settled == 3
     assert release(release(handed, "b", 3), "a", 2).rows == {}
 
@@ -73,13 +74,16 @@
     assert next_epoch(more, {"y": {"c": 2}}, floor, ten, whole=False).amounts["x"] == {"a": 5, "b": 4}
 
 
-@pytest.mark.parametrize("rows, capacity, kind", [
-    ({"x": {"a": 9}}, 10, BadTarget),                      # with the two floors it is 11
-    ({"x": {"a": 0}}, 10, BadTarget),
-    ({"x": {"d": 2}}, 10, BadTarget),
-    ({"x": {"a": float("nan")}}, 10, BadTarget),
-    ({"x": {}}, 2, FloorsTooHigh),
-])
+@pytest.mark.parametrize(
+    "rows, capacity, kind",
+    [
+        ({"x": {"a": 9}}, 10, BadTarget),  # with the two floors it is 11
+        ({"x": {"a": 0}}, 10, BadTarget),
+        ({"x": {"d": 2}}, 10, BadTarget),
+        ({"x": {"a": float("nan")}}, 10, BadTarget),
+        ({"x": {}}, 2, FloorsTooHigh),
+    ],
+)
 def test_a_target_that_must_not_be_is_refused_with_a_remedy(rows, capacity, kind):
     with pytest.raises(kind) as told:
         next_epoch(Handed(holders=NAMES), rows, floor, lambda resource: capacity)
@@ -117,6 +121,7 @@
 
 # --- one gateway's view ---------------------------------------------------------------------------
 
+
 def test_a_loser_has_less_at_once_and_a_grower_waits_for_it():
     before = opened({"x": {"a": 8}})
     loser, grower = view("a", before), view("b", before)
@@ -135,7 +140,7 @@
 def test_a_grower_waits_for_lease_and_drift_from_when_it_heard():
     grower = view("b", opened({"x": {"a": 8}}))
     grower.agreed(Target(2, {"x": {"b": 8}}), 3.0)
-    grower.agreed(Target(2, {"x": {"b": 8}}), 5.0)         # told twice: counted from the first time
+    grower.agreed(Target(2, {"x": {"b": 8}}), 5.0)  # told twice: counted from the first time
     grower.proven(6.0)
     grower.proven(1.0)
     grower.tick(7.4)
@@ -162,7 +167,7 @@
     assert loser.agreed(Target(3, {"x": {"a": 3, "b": 6}}), 1.6) == []
     assert (loser.usable("x", 1.6), loser.most("x", 1.6)) == (3, 8)
     loser.proven(3.0)
-    assert loser.using("x", 5, 2.0) == [Release(2)]        # the older one fits already
+    assert loser.using("x", 5, 2.0) == [Release(2)]  # the older one fits already
     assert loser.most("x", 5.0) == 5 and loser.most("x", 5.01) == 3
     assert loser.using("x", 3, 2.1) == [Release(3)]
     assert loser.tick(2.2) == [] and loser.tick(2.7) == [Release(3)]
@@ -182,7 +187,7 @@
     away = view("c", first)
     handed = release(opened({"x": {"b": 8}}, {"x": {"c": 8}}, handed=first), "a", 2)
     handed = opened({"x": {"c": 7}}, {"x": {"a": 6}}, handed=release(handed, "b", 3))
-    assert away.follow(handed, 1.0) == [Release(5)]        # it knows of 3 as settled, 4 and 5 as open
+    assert away.follow(handed, 1.0) == [Release(5)]  # it knows of 3 as settled, 4 and 5 as open
     assert (away.usable("x", 1.0), away.epoch) == (1, 5)
     assert away.follow(handed, 1.1) == [] and away.follow(release(handed, "c", 5), 1.2) == []
     assert not away.open
@@ -222,8 +227,12 @@
     grower.released("a", 2, 0.6)
     grower.agreed(Target(3, {"x": {"b": 8}}), 1.0)
     assert grower.usable("x", 1.0) == 8
-    assert view("a", release(opened({"x": {"a": 8}, "y": {"b": 3}}, {"y": {"a": 3}}, {"x": {"b": 8}}), "a", 3)
-                ).tick(1.0) == []
+    assert (
+        view(
+            "a", release(opened({"x": {"a": 8}, "y": {"b": 3}}, {"y": {"a": 3}}, {"x": {"b": 8}}), "a", 3)
+        ).tick(1.0)
+        == []
+    )
 
 
 def test_a_state_taken_in_whole_keeps_the_clocks_of_the_epochs_known():
--- a/tests/test_handover_model.py
+++ b/tests/test_handover_model.py
@@ -24,12 +24,18 @@
 )
 
 DEPTH = 5
-SCRIPTS = {"shares": SHARES, "counted": COUNTED, "lingers": LINGERS,
-           "floats": replace(SHARES, floor=0.7, rates=(1.5, 1.0, 1.2))}
+SCRIPTS = {
+    "shares": SHARES,
+    "counted": COUNTED,
+    "lingers": LINGERS,
+    "floats": replace(SHARES, floor=0.7, rates=(1.5, 1.0, 1.2)),
+}
 
 
-@pytest.mark.parametrize("name, depth, worlds", [
-    ("shares", 5, 9000), ("counted", 4, 1600), ("lingers", 5, 13000), ("floats", 4, 1600)])
+@pytest.mark.parametrize(
+    "name, depth, worlds",
+    [("shares", 5, 9000), ("counted", 4, 1600), ("lingers", 5, 13000), ("floats", 4, 1600)],
+)
 def test_every_order_of_events_keeps_the_sum_within_the_capacity(name, depth, worlds):
     found = explore(SCRIPTS[name], depth)
     assert found.wrong == "", found.trace
@@ -76,14 +82,22 @@
     floor = data.draw(st.integers(0, 2) if whole else st.floats(0, 2), "floor")
 
     def epoch():
-        rows = {name: {who: floor + data.draw(number) for who in data.draw(st.sets(st.sampled_from("abc")))}
-                for name in TEN}
+        rows = {
+            name: {who: floor + data.draw(number) for who in data.draw(st.sets(st.sampled_from("abc")))}
+            for name in TEN
+        }
         fits = {name: sum(row.values()) + (3 - len(row)) * floor for name, row in rows.items()}
-        return rows, fits                      # the capacity is what the epoch grants: no room to hide in
+        return rows, fits  # the capacity is what the epoch grants: no room to hide in
 
     epochs = [epoch() for _ in range(data.draw(st.integers(2, 7), "epochs"))]
-    script = Script(epochs, floor, counted=whole, linger=data.draw(st.sampled_from([0.0, 1.0]), "linger"),
-                    rates=tuple(data.draw(st.tuples(*[st.sampled_from([1.0, 1.2, 1.5])] * 3))), lives=10)
+    script = Script(
+        epochs,
+        floor,
+        counted=whole,
+        linger=data.draw(st.sampled_from([0.0, 1.0]), "linger"),
+        rates=tuple(data.draw(st.tuples(*[st.sampled_from([1.0, 1.2, 1.5])] * 3))),
+        lives=10,
+    )
     found = walk(script, data.draw(st.integers(0, 1000), "seed"), 120)
     assert found.wrong == "", found.trace
 
@@ -113,8 +127,12 @@
 def unmet(world):
     """Which newest targets are not what may be used."""
     rows = world.log[-1].state.amounts
-    return [(seat.view.me, name) for number, seat in enumerate(world.seats) for name in TEN
-            if seat.view.usable(name, world.now(number)) != rows.get(name, {}).get(seat.view.me, 1)]
+    return [
+        (seat.view.me, name)
+        for number, seat in enumerate(world.seats)
+        for name in TEN
+        if seat.view.usable(name, world.now(number)) != rows.get(name, {}).get(seat.view.me, 1)
+    ]
 
 
 @pytest.mark.parametrize("script", [SHARES, COUNTED, LINGERS], ids=["shares", "counted", "lingers"])
@@ -145,12 +163,13 @@
     for _ in range(14):
         world = world.after("epoch") if "epoch" in world.choices() else world
         world = healed(world, 2, [name for name in "abc" if name != lost])
-    assert len(world.commits) == 15            # none was refused for long
+    assert len(world.commits) == 15  # none was refused for long
     assert len(world.log[-1].state.open) <= 3
 
 
 # --- variants broken on purpose: each one must be found -------------------------------------------
 
+
 class GrowsAtOnce(Handover):
     def _blocking(self, resource, rows, at, now):
         return None
@@ -250,10 +269,12 @@
     return [f"mark {name}", f"commit Mark(by={number}, life=0, put_in={put_in})", f"take {name}"]
 
 
-TWICE = replace(SHARES, epochs=[({"t1": {who: 8}, "t2": {whose: 8}}, TEN)
-                                for who, whose in ("aa", "ba", "bb")])
-THERE_AND_BACK = replace(SHARES, epochs=[({"t1": {"a": 6, "c": 3}}, TEN), ({"t1": {"b": 8}}, TEN),
-                                         ({"t1": {"a": 6, "c": 3}}, TEN)])
+TWICE = replace(
+    SHARES, epochs=[({"t1": {who: 8}, "t2": {whose: 8}}, TEN) for who, whose in ("aa", "ba", "bb")]
+)
+THERE_AND_BACK = replace(
+    SHARES, epochs=[({"t1": {"a": 6, "c": 3}}, TEN), ({"t1": {"b": 8}}, TEN), ({"t1": {"a": 6, "c": 3}}, TEN)]
+)
 BROKEN = [
     (GrowsAtOnce, SHARES, []),
     (IgnoresItsLease, SHARES, ["epoch", "take b"]),
@@ -263,11 +284,25 @@
     (WaitsTooShort, SHARES, ["epoch", "take b", "time", *mark(1, 1.5)]),
     (CountsFromThePast, SHARES, ["time", *mark(0, 1.0), "epoch", "take b", "time", *mark(1, 3.0)]),
     (TrustsAnyRelease, TWICE, ["epoch"]),
-    (TakesTheNewest, THERE_AND_BACK, ["epoch", "take b", "time", "time", *mark(1, 3.0), "epoch", "take a",
-                                      "mark a", "commit Mark(by=0, life=0, put_in=2.0)"]),
+    (
+        TakesTheNewest,
+        THERE_AND_BACK,
+        [
+            "epoch",
+            "take b",
+            "time",
+            "time",
+            *mark(1, 3.0),
+            "epoch",
+            "take a",
+            "mark a",
+            "commit Mark(by=0, life=0, put_in=2.0)",
+        ],
+    ),
     (ReleasesTooSoon, COUNTED, ["epoch"]),
     (NeverCloses, COUNTED, ["epoch", "take b", "time"]),
-    (ForgetsItsDead, LINGERS, [])]
+    (ForgetsItsDead, LINGERS, []),
+]
 
 
 @pytest.mark.parametrize("kind, script, before", BROKEN, ids=[kind.__name__ for kind, *_ in BROKEN])
@@ -275,4 +310,4 @@
     assert explore(script, 2, before).wrong == ""
     found = explore(replace(script, kind=kind), DEPTH, before)
     assert found.wrong
-    assert follow(replace(script, kind=kind), found.trace).wrong() == found.wrong     # and replays
+    assert follow(replace(script, kind=kind), found.trace).wrong() == found.wrong  # and replays
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -15,8 +15,12 @@
         self.assertEqual(known, [KnownRed("tests/test_a.py::A::test_b", "a fault", "12")])
 
     def test_a_line_without_a_cause_or_an_issue_is_refused(self) -> None:
-        for line in ("tests/test_a.py::A::test_b", "tests/test_a.py::A::test_b | a fault", "a |  | 12",
-                     LINE + " | more"):
+        for line in (
+            "tests/test_a.py::A::test_b",
+            "tests/test_a.py::A::test_b | a fault",
+            "a |  | 12",
+            LINE + " | more",
+        ):
             with self.subTest(line), self.assertRaisesRegex(ValueError, "line 2"):
                 parse("# a remark\n" + line)
 
--- a/tests/test_lab_ablation.py
+++ b/tests/test_lab_ablation.py
@@ -70,19 +70,29 @@
     def test_pairs_come_day_by_day_and_what_is_done_is_left_out(self) -> None:
         plays = [Play("s", *day) for day in read_days(["a:1", "b:2"])]
         jobs = jobs_of(read_variants(VARIANTS), plays, [(BASE, "s a:1"), ("no-orders", "s b:2")])
-        self.assertEqual([(job.variant.name, job.play.day) for job in jobs],
-                         [("no-waiting", "a"), ("no-orders", "a"), (BASE, "b"), ("no-waiting", "b")])
+        self.assertEqual(
+            [(job.variant.name, job.play.day) for job in jobs],
+            [("no-waiting", "a"), ("no-orders", "a"), (BASE, "b"), ("no-waiting", "b")],
+        )
 
 
 class Tables(unittest.TestCase):
     def test_differences_of_pairs(self) -> None:
-        results = [Result(BASE, "a", 0.6), Result(BASE, "b", 0.5), Result(BASE, "c", 0.9),
-                   Result("x", "a", 0.5), Result("x", "b", 0.55), Result("y", "a", 0.3),
-                   Result("z", "d", 0.1)]
+        results = [
+            Result(BASE, "a", 0.6),
+            Result(BASE, "b", 0.5),
+            Result(BASE, "c", 0.9),
+            Result("x", "a", 0.5),
+            Result("x", "b", 0.55),
+            Result("y", "a", 0.3),
+            Result("z", "d", 0.1),
+        ]
         first, second = effects(results)
         self.assertEqual((first.variant, first.difference, first.runs), ("y", 0.3, 1))
-        self.assertEqual((second.variant, second.difference, second.least, second.most, second.runs),
-                         ("x", 0.025, -0.05, 0.1, 2))
+        self.assertEqual(
+            (second.variant, second.difference, second.least, second.most, second.runs),
+            ("x", 0.025, -0.05, 0.1, 2),
+        )
         self.assertIn("y +0.3000 " + "+" * 30, plot([first, second]))
 
     def test_no_pair_no_row(self) -> None:
@@ -111,8 +121,11 @@
             (repository / "deploy").mkdir(parents=True)
             (repository / "deploy" / "kept").write_text("x")
             for command in (["init", "-q"], ["add", "-A"], ["commit", "-q", "-m", "first"]):
-                subprocess.run(["git", "-c", "user.name=x", "-c", "user.email=x@y.z", *command],
-                               cwd=repository, check=True)
+                subprocess.run(
+                    ["git", "-c", "user.name=x", "-c", "user.email=x@y.z", *command],
+                    cwd=repository,
+                    check=True,
+                )
             bench = place / "bench"
             bench.write_text(program)
             bench.chmod(0o755)
@@ -130,8 +143,10 @@
 
     def test_each_variant_has_its_settings(self) -> None:
         rows = effects(self.play(BENCH))
-        self.assertEqual([(row.variant, row.difference, row.runs) for row in rows],
-                         [("no-orders", 0.1, 2), ("no-waiting", 0.1, 2)])
+        self.assertEqual(
+            [(row.variant, row.difference, row.runs) for row in rows],
+            [("no-orders", 0.1, 2), ("no-waiting", 0.1, 2)],
+        )
 
     def test_a_play_without_a_result_ends_the_trial(self) -> None:
         with self.assertRaises(BaseExceptionGroup) as caught:
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -68,8 +68,15 @@
         self.assertTrue(any(len(entry.how) >= 3 for day in self.days for entry in day.entries))
         kinds = [[entry.kind for entry in day.entries if entry.kind != "config_change"] for day in self.days]
         self.assertTrue(any(len(names) > len(set(names)) for names in kinds))
-        self.assertTrue(any(abs(one.at - other.at) < 0.5 for day in self.days
-                            for one in day.entries for other in day.entries if one is not other))
+        self.assertTrue(
+            any(
+                abs(one.at - other.at) < 0.5
+                for day in self.days
+                for one in day.entries
+                for other in day.entries
+                if one is not other
+            )
+        )
 
     def test_moments_and_numbers_are_within_their_bounds(self) -> None:
         spans = {kind.name: {**kind.fields, **kind.optional} for kind in KINDS}
@@ -81,8 +88,13 @@
                     self.assertTrue(span.least <= value <= span.most, entry)
 
     def test_places_are_the_sites(self) -> None:
-        names = {"zone": SITE.zones, "to_zone": SITE.zones, "service": SITE.services,
-                 "class": SITE.request_classes, "on": tuple(SITE.machine_classes)}
+        names = {
+            "zone": SITE.zones,
+            "to_zone": SITE.zones,
+            "service": SITE.services,
+            "class": SITE.request_classes,
+            "on": tuple(SITE.machine_classes),
+        }
         seen = set()
         for day in self.days:
             for entry in day.entries:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -9,8 +9,14 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-BELOW_NET = {"mallowbeam", "mallowbeam.control", "mallowbeam.facade", "mallowbeam.interface",
-             "mallowbeam.settings", "mallowbeam.errors"}
+BELOW_NET = {
+    "mallowbeam",
+    "mallowbeam.control",
+    "mallowbeam.facade",
+    "mallowbeam.interface",
+    "mallowbeam.settings",
+    "mallowbeam.errors",
+}
 
 
 def name_of(path: Path) -> str:
@@ -28,8 +34,10 @@
         if isinstance(node, ast.Import):
             found |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom) and node.module:
-            found |= {f"{node.module}.{alias.name}" if f"{node.module}.{alias.name}" in MODULES
-                      else node.module for alias in node.names}
+            found |= {
+                f"{node.module}.{alias.name}" if f"{node.module}.{alias.name}" in MODULES else node.module
+                for alias in node.names
+            }
     return found & MODULES.keys()
 
 
@@ -54,11 +62,16 @@
 
 @pytest.mark.parametrize("name", sorted(name for name in MODULES if name.startswith("mallowbeam.net.")))
 def test_net_imports_only_what_is_below_it(name):
-    assert {other for other in imported(MODULES[name])
-            if not other.startswith(("mallowbeam.net", "mallowbeam.http"))} <= BELOW_NET
+    assert {
+        other
+        for other in imported(MODULES[name])
+        if not other.startswith(("mallowbeam.net", "mallowbeam.http"))
+    } <= BELOW_NET
 
 
 @pytest.mark.parametrize("name", sorted(name for name in MODULES if name.startswith("mallowbeam.http.")))
 def test_http_imports_only_the_errors_below_it(name):
-    assert {other for other in imported(MODULES[name])
-            if not other.startswith("mallowbeam.http")} <= {"mallowbeam", "mallowbeam.errors"}
+    assert {other for other in imported(MODULES[name]) if not other.startswith("mallowbeam.http")} <= {
+        "mallowbeam",
+        "mallowbeam.errors",
+    }
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -41,7 +41,8 @@
 @pytest.mark.parametrize("rests", [True, False])
 def test_a_connection_rests_after_an_answer_before_the_next_request(monkeypatch, rests):
     """Guards an answer's owner: a second answer some milliseconds late is read by nobody."""
-    played("""
+    played(
+        """
         c1 send read
         n0 expect GET
         n0 send 200 body=first
@@ -51,7 +52,9 @@
         n0 expect GET
         n0 send 200 body=second
         c1 expect 200 '\\n\\nsecond$'
-    """ if rests else """
+    """
+        if rests
+        else """
         c1 send read
         n0 expect GET
         n0 send 200 body=first
@@ -60,12 +63,16 @@
         n0 expect GET
         n0 send 200 body=second
         c1 expect 200 '\\n\\nsecond$'
-    """, rest=1e6 if rests else -1.0, monkeypatch=monkeypatch,
-        check=lambda world: same_connection(world) is not rests or pytest.fail("connections"))
+    """,
+        rest=1e6 if rests else -1.0,
+        monkeypatch=monkeypatch,
+        check=lambda world: same_connection(world) is not rests or pytest.fail("connections"),
+    )
 
 
-@pytest.mark.parametrize("stray", [
-    "x", "HTTP/1.1 2", *(f"{HEAD}content-length: 5\\r\\n\\r\\n{body}" for body in ("str", "stray"))])
+@pytest.mark.parametrize(
+    "stray", ["x", "HTTP/1.1 2", *(f"{HEAD}content-length: 5\\r\\n\\r\\n{body}" for body in ("str", "stray"))]
+)
 def test_what_comes_between_the_connection_s_choice_and_the_write_is_nobody_s_answer(monkeypatch, stray):
     """The crossing is forced: the node's bytes come once the connection is taken, before the first byte."""
     monkeypatch.setattr(upstream, "REST", -1.0)
@@ -73,7 +80,7 @@
     async def run() -> None:
         async with World() as world:
             await world.play("c1 send read\nn0 expect GET\nn0 send 200 body=a\nc1 expect 200 a")
-            link, = next(iter(world.gateway.pool.idle.values()))
+            (link,) = next(iter(world.gateway.pool.idle.values()))
             node = world.parties["n0"].writer.transport.get_extra_info("socket")
             may_begin = world.gateway.facade.may_begin
 
@@ -104,7 +111,7 @@
             """)
             node = world.parties["n0"].writer
             await node.drain()
-            if len(body) > 65536:              # it is being passed on
+            if len(body) > 65536:  # it is being passed on
                 async with asyncio.timeout(5):
                     while world.gateway.exchanges:
                         await asyncio.sleep(0)
@@ -120,11 +127,15 @@
 
 
 def test_a_node_may_reset_long_after_the_request_began():
-    played("""
+    played(
+        """
         c1 send read deadline=1500
         n0 expect GET
         n0 send raw 'HTTP/1.1 200 OK\\r\\ncontent-le'
-    """, "n0 close", "n0 expect GET\nn0 send 200 body=x\nc1 expect 200 x")
+    """,
+        "n0 close",
+        "n0 expect GET\nn0 send 200 body=x\nc1 expect 200 x",
+    )
 
 
 # --- how many there are ----------------------------------------------------------------------------------
@@ -151,7 +162,7 @@
             if what == "malformed":
                 place = "nowhere"
             task = asyncio.create_task(links.take(place))
-            await asyncio.sleep(0)             # its first step: connecting
+            await asyncio.sleep(0)  # its first step: connecting
             if what in ("cancel", "timeout", "forget"):
                 async with asyncio.timeout(5):
                     while True:
@@ -172,7 +183,7 @@
                 links.drop(task.result())
             elif what in ("refused", "malformed"):
                 assert isinstance(task.exception(), Unsent)
-            elif not task.cancelled():         # it was up already: then it is handed over whole
+            elif not task.cancelled():  # it was up already: then it is handed over whole
                 links.drop(task.result())
             assert links.count == 0 and not any(links.idle.values())
             if what in ("cancel", "timeout", "forget"):
--- a/tests/test_listings.py
+++ b/tests/test_listings.py
@@ -53,8 +53,11 @@
                     items.append(item)
                     self.asked += 1
             last, at = name, at + 1
-        more = any(name.startswith(self.query.prefix) and (not items or rolled(Item(name, 1), self.query).name
-                                                           != items[-1].name) for name in names[at:at + 2000])
+        more = any(
+            name.startswith(self.query.prefix)
+            and (not items or rolled(Item(name, 1), self.query).name != items[-1].name)
+            for name in names[at : at + 2000]
+        )
         return items, last if more else "", more
 
 
@@ -67,9 +70,13 @@
     return merge
 
 
-@given(st.lists(st.sets(NAMES, max_size=12), min_size=1, max_size=4), st.sampled_from(["", "a", "a/", "é"]),
-       st.sampled_from(["", "/", "b"]), st.integers(1, 5),
-       st.dictionaries(NAMES, st.booleans(), max_size=4))
+@given(
+    st.lists(st.sets(NAMES, max_size=12), min_size=1, max_size=4),
+    st.sampled_from(["", "a", "a/", "é"]),
+    st.sampled_from(["", "/", "b"]),
+    st.integers(1, 5),
+    st.dictionaries(NAMES, st.booleans(), max_size=4),
+)
 def test_pages_put_together_are_the_sorted_names(parts, prefix, delimiter, most, laid):
     """Against one plain list: every name once, in order, whatever the size of a page."""
     names, seen = set(), []
@@ -80,8 +87,9 @@
     overlay = {name: Item(name, 2) if there else None for name, there in laid.items()}
     names = {name for name in names | {n for n, there in laid.items() if there} if laid.get(name, True)}
     base = Query("bucket", prefix, delimiter, "", most)
-    wanted = sorted({rolled(Item(name, 0), base).name for name in names if name.startswith(prefix)},
-                    key=str.encode)
+    wanted = sorted(
+        {rolled(Item(name, 0), base).name for name in names if name.startswith(prefix)}, key=str.encode
+    )
     after = ""
     for _ in range(100):
         merge = page(Query("bucket", prefix, delimiter, after, most), placed, overlay)
@@ -103,13 +111,15 @@
         peak = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
         assert [item.name for item in merge.items[:1000]] == [
-            f"{i:07d}" for i in range(int(after or -1) + 1, int(after or -1) + 1001)]
+            f"{i:07d}" for i in range(int(after or -1) + 1, int(after or -1) + 1001)
+        ]
         assert merge.truncated and merge.asked < 1600
-        assert peak < 12 << 20                 # mostly the plain nodes' own copies
+        assert peak < 12 << 20  # mostly the plain nodes' own copies
 
 
-@pytest.mark.parametrize("token", ["", "x", "bm9uZQ==", "WzIsMCwiYSJd", "WzEsMCwiYSJd", "WzEsMCwxXQ==",
-                                   "[" * 99])
+@pytest.mark.parametrize(
+    "token", ["", "x", "bm9uZQ==", "WzIsMCwiYSJd", "WzEsMCwiYSJd", "WzEsMCwxXQ==", "[" * 99]
+)
 def test_a_token_made_up_is_refused(token):
     with pytest.raises(Error, match="InvalidArgument"):
         Query.read("bucket", {"list-type": "2", "continuation-token": token})
@@ -123,8 +133,16 @@
             Query.read(bucket, {"list-type": "2", "continuation-token": token} | more)
 
 
-@pytest.mark.parametrize("query", [{"max-keys": "-1"}, {"max-keys": "x"}, {"encoding-type": "xml"},
-                                   {"list-type": "3"}, {"max-keys": "9" * 30}])
+@pytest.mark.parametrize(
+    "query",
+    [
+        {"max-keys": "-1"},
+        {"max-keys": "x"},
+        {"encoding-type": "xml"},
+        {"list-type": "3"},
+        {"max-keys": "9" * 30},
+    ],
+)
 def test_a_malformed_listing_call_is_refused(query):
     with pytest.raises(Error, match="InvalidArgument"):
         Query.read("bucket", query)
@@ -139,9 +157,16 @@
         merge.feed(0, [], "", True)
 
 
-@pytest.mark.parametrize("body", [b"", b"<a", b"<a><Contents><Key>x</Key></Contents></a>",
-                                  b"<a><CommonPrefixes/></a>",
-                                  b'<!DOCTYPE a [<!ENTITY b "c">]><a>&b;</a>'])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"<a",
+        b"<a><Contents><Key>x</Key></Contents></a>",
+        b"<a><CommonPrefixes/></a>",
+        b'<!DOCTYPE a [<!ENTITY b "c">]><a>&b;</a>',
+    ],
+)
 def test_a_part_that_cannot_be_read_is_an_error(body):
     with pytest.raises(Error, match="InternalError"):
         read_part(body)
@@ -151,7 +176,8 @@
     query = Query("bucket", "a&b=/ü", "/")
     assert target(query, Ask(0, "x y", "", 7)) == (
         b"/bucket?list-type=2&encoding-type=url&max-keys=7&prefix=a%26b%3D%2F%C3%BC&delimiter=%2F"
-        b"&start-after=x%20y")
+        b"&start-after=x%20y"
+    )
 
 
 @pytest.mark.parametrize("bucket", ["plates", "buffered"])
@@ -169,8 +195,9 @@
             found = [entry for one in pages for entry in one["Contents"]]
             assert [entry["Key"] for entry in found] == sorted(keys, key=str.encode)
             assert all(entry["Size"] == len(entry["Key"].encode()) for entry in found)
-            pages = s3.get_paginator(operation).paginate(Bucket=bucket, Delimiter="/",
-                                                         PaginationConfig={"PageSize": 1})
+            pages = s3.get_paginator(operation).paginate(
+                Bucket=bucket, Delimiter="/", PaginationConfig={"PageSize": 1}
+            )
             rolled_up = [p["Prefix"] for one in pages for p in one.get("CommonPrefixes", [])]
             assert rolled_up == ["mon/", "tue/"]
         assert s3.list_objects_v2(Bucket=bucket, Prefix="tue/", MaxKeys=3)["KeyCount"] == 3
@@ -189,6 +216,7 @@
 
 def test_what_is_buffered_is_listed_and_what_is_deleted_here_is_not(nodes, tmp_path):
     """While nothing goes out: the nodes still have the old, and have not got the new."""
+
     async def run() -> None:
         section = {"folder": str(tmp_path), "buckets": ["plates"], "max_bytes": 64 << 20}
         async with World(servers=[node.host_port for node in nodes], buffer=section) as world:
@@ -218,7 +246,10 @@
 @pytest.mark.parametrize("fault, status", [("refuse", "503"), ("error", "500"), ("status", "500")])
 def test_a_node_that_cannot_be_asked_makes_the_page_an_error_and_never_a_hole(nodes, fault, status):
     nodes[1].script.add(Rule(fault, "GET", times=-1, status=404))
-    play(f"""
+    play(
+        f"""
         o1 send GET /plates?list-type=2 x-deadline-ms:300
         o1 expect '{status}|503' '<Code>(SlowDown|InternalError)<'
-    """, servers=[node.host_port for node in nodes])
+    """,
+        servers=[node.host_port for node in nodes],
+    )
--- a/tests/test_lists_bad.py
+++ b/tests/test_lists_bad.py
@@ -27,39 +27,96 @@
     write_listing,
 )
 
-MEMBER = {"id": "n0", "host_port": "127.0.0.1:9", "locality": "a", "flavor": "m", "cell": 0, "phase": "up",
-          "size": 1.0, "up_since_ms": 0}
+MEMBER = {
+    "id": "n0",
+    "host_port": "127.0.0.1:9",
+    "locality": "a",
+    "flavor": "m",
+    "cell": 0,
+    "phase": "up",
+    "size": 1.0,
+    "up_since_ms": 0,
+}
 GOOD = {"revision": 2, "complete": True, "members": [MEMBER]}
-GONE = object()             # a field that is missing
-
-WRONG_TOP = [("revision", value) for value in (GONE, "2", None, True, 2.5, -1, 10 ** 30, [])] + [
-    ("complete", value) for value in (GONE, None, 1, "false", [])] + [
-    ("members", value) for value in (GONE, None, {}, "", 7, [None], [7], [[]], ["n0"], [{}] * 100_000)]
-WRONG_MEMBER = [("id", value) for value in (GONE, None, 7, "", [], "a\nb", "\ud800", "x" * 257)] + [
-    ("phase", value) for value in (GONE, None, "", "UP", "gone", 1, [])] + [
-    ("up_since_ms", value) for value in ("0", None, True, -1, math.nan, math.inf, -math.inf, 1e300, 10 ** 400,
-                                         [], {})] + [
-    ("cell", value) for value in ("0", None, True, 0.5, -2, 10 ** 30, [])] + [
-    ("size", value) for value in ("1", None, False, -1.0, math.nan, math.inf, [])] + [
-    ("locality", value) for value in (7, True, "a\r\nb", [])] + [
-    ("flavor", value) for value in (7, 0.0, {})] + [
-    ("host_port", value) for value in (
-        GONE, None, 7, [], "", ":", "9", "127.0.0.1", "127.0.0.1:", ":80", "127.0.0.1:0", "127.0.0.1:99999",
-        "127.0.0.1:-1", "127.0.0.1:x", "127.0.0.1: 9", "127.0.0.1:\u00b2", "127.0.0.1:1e3", "a b:80",
-        "a..b:80", ".:80", "a/b:80", "http://a:80", "\u00e9:80", "x" * 64 + ":80", "::g:80", "[::1:x]:80",
-        "[]:80", "a:b:80", "a\u0000b:80")]
+GONE = object()  # a field that is missing
+
+WRONG_TOP = (
+    [("revision", value) for value in (GONE, "2", None, True, 2.5, -1, 10**30, [])]
+    + [("complete", value) for value in (GONE, None, 1, "false", [])]
+    + [("members", value) for value in (GONE, None, {}, "", 7, [None], [7], [[]], ["n0"], [{}] * 100_000)]
+)
+WRONG_MEMBER = (
+    [("id", value) for value in (GONE, None, 7, "", [], "a\nb", "\ud800", "x" * 257)]
+    + [("phase", value) for value in (GONE, None, "", "UP", "gone", 1, [])]
+    + [
+        ("up_since_ms", value)
+        for value in ("0", None, True, -1, math.nan, math.inf, -math.inf, 1e300, 10**400, [], {})
+    ]
+    + [("cell", value) for value in ("0", None, True, 0.5, -2, 10**30, [])]
+    + [("size", value) for value in ("1", None, False, -1.0, math.nan, math.inf, [])]
+    + [("locality", value) for value in (7, True, "a\r\nb", [])]
+    + [("flavor", value) for value in (7, 0.0, {})]
+    + [
+        ("host_port", value)
+        for value in (
+            GONE,
+            None,
+            7,
+            [],
+            "",
+            ":",
+            "9",
+            "127.0.0.1",
+            "127.0.0.1:",
+            ":80",
+            "127.0.0.1:0",
+            "127.0.0.1:99999",
+            "127.0.0.1:-1",
+            "127.0.0.1:x",
+            "127.0.0.1: 9",
+            "127.0.0.1:\u00b2",
+            "127.0.0.1:1e3",
+            "a b:80",
+            "a..b:80",
+            ".:80",
+            "a/b:80",
+            "http://a:80",
+            "\u00e9:80",
+            "x" * 64 + ":80",
+            "::g:80",
+            "[::1:x]:80",
+            "[]:80",
+            "a:b:80",
+            "a\u0000b:80",
+        )
+    ]
+)
 
 
 def without(raw: dict, name: str, value: object) -> dict:
     return {key: old for key, old in raw.items() if key != name} if value is GONE else raw | {name: value}
 
 
-BAD = ([without(GOOD, *wrong) for wrong in WRONG_TOP]
-       + [GOOD | {"members": [MEMBER | {"id": "n1"}, without(MEMBER, *wrong)]} for wrong in WRONG_MEMBER]
-       + [GOOD | {"members": [MEMBER, MEMBER | {"phase": "draining"}]}, [], [GOOD], None, "list", 7])
-GARBAGE = [b"", b"nonsense", b"{", b"[" * 100_000, b'{"a":' * 100_000, b"\xff\xfe", b"\x00" * 50, b"{}",
-           json.dumps(GOOD).encode()[:-1], json.dumps(GOOD).encode() + b"}", b"9" * 5000,
-           b'{"revision":1e999,"complete":true,"members":[]}', json.dumps(GOOD).encode("utf-16") + b"x"]
+BAD = (
+    [without(GOOD, *wrong) for wrong in WRONG_TOP]
+    + [GOOD | {"members": [MEMBER | {"id": "n1"}, without(MEMBER, *wrong)]} for wrong in WRONG_MEMBER]
+    + [GOOD | {"members": [MEMBER, MEMBER | {"phase": "draining"}]}, [], [GOOD], None, "list", 7]
+)
+GARBAGE = [
+    b"",
+    b"nonsense",
+    b"{",
+    b"[" * 100_000,
+    b'{"a":' * 100_000,
+    b"\xff\xfe",
+    b"\x00" * 50,
+    b"{}",
+    json.dumps(GOOD).encode()[:-1],
+    json.dumps(GOOD).encode() + b"}",
+    b"9" * 5000,
+    b'{"revision":1e999,"complete":true,"members":[]}',
+    json.dumps(GOOD).encode("utf-16") + b"x",
+]
 BODIES = GARBAGE + [json.dumps(raw).encode() for raw in BAD]
 
 
@@ -72,10 +129,15 @@
 
 def test_good_lists_are_read_in_every_form_that_the_page_allows():
     """Fields beyond those named, whole numbers or decimals, names, IPv6, no address where none counts."""
-    fine = [MEMBER | {"up_since_ms": 1.5e12, "size": 1, "more": [{}]}, MEMBER | {"host_port": "[::1]:80"},
-            MEMBER | {"host_port": "node-1.local:80"}, MEMBER | {"host_port": "::1:80"},
-            {"id": "n0", "phase": "removed"}, {"id": "n0", "phase": "draining"},
-            {"id": "n0", "phase": "up", "host_port": "a:1", "locality": None, "flavor": None, "cell": -1}]
+    fine = [
+        MEMBER | {"up_since_ms": 1.5e12, "size": 1, "more": [{}]},
+        MEMBER | {"host_port": "[::1]:80"},
+        MEMBER | {"host_port": "node-1.local:80"},
+        MEMBER | {"host_port": "::1:80"},
+        {"id": "n0", "phase": "removed"},
+        {"id": "n0", "phase": "draining"},
+        {"id": "n0", "phase": "up", "host_port": "a:1", "locality": None, "flavor": None, "cell": -1},
+    ]
     for member in fine:
         listing = decode_listing(json.dumps(GOOD | {"members": [member], "more": None}, indent=3).encode())
         assert listing.entries[0].node == "n0" and set(listing.addresses) <= {"n0"}
@@ -91,9 +153,11 @@
         assert ("n0" in listing.addresses) is open_now
 
 
-JSON = st.recursive(st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
-                    lambda some: st.lists(some, max_size=3)
-                    | st.dictionaries(st.text(max_size=3), some, max_size=3), max_leaves=6)
+JSON = st.recursive(
+    st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
+    lambda some: st.lists(some, max_size=3) | st.dictionaries(st.text(max_size=3), some, max_size=3),
+    max_leaves=6,
+)
 
 
 @given(st.data())
@@ -106,8 +170,11 @@
     except BadListing:
         return
     assert all(can_be_connected(address) for address in listing.addresses.values())
-    assert all(math.isfinite(number) and number >= 0
-               for entry in listing.entries for number in (entry.since or 0, entry.weight))
+    assert all(
+        math.isfinite(number) and number >= 0
+        for entry in listing.entries
+        for number in (entry.since or 0, entry.weight)
+    )
 
 
 @pytest.mark.parametrize("address", ["127.0.0.1:1", "localhost:1", "[::1]:1", "::1:1"])
@@ -155,11 +222,19 @@
     assert not [line for line in lines if "Traceback" in line]
 
 
-@pytest.mark.parametrize("answer", [
-    "d send 404", "d send 400 body={}", "d send 204", "d send 302 location:http://127.0.0.1:1/",
-    "d send raw 'HTTP/1.1 200 OK\\r\\ncontent-length: x\\r\\n\\r\\n'", "d send raw 'SSH-2.0-x\\r\\n\\r\\n'",
-    "d send raw 'HTTP/1.1 200 OK\\r\\ncontent-length: 2\\r\\ncontent-length: 3\\r\\n\\r\\n{}'",
-    "d send 200 'body={\"revision\":4,\"complete\":false,\"members\":[]}'"])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        "d send 404",
+        "d send 400 body={}",
+        "d send 204",
+        "d send 302 location:http://127.0.0.1:1/",
+        "d send raw 'HTTP/1.1 200 OK\\r\\ncontent-length: x\\r\\n\\r\\n'",
+        "d send raw 'SSH-2.0-x\\r\\n\\r\\n'",
+        "d send raw 'HTTP/1.1 200 OK\\r\\ncontent-length: 2\\r\\ncontent-length: 3\\r\\n\\r\\n{}'",
+        'd send 200 \'body={"revision":4,"complete":false,"members":[]}\'',
+    ],
+)
 def test_an_answer_for_the_whole_list_that_is_none_is_a_failed_call(monkeypatch, answer):
     """Among them: changes alone, where the whole list was asked for."""
     soon(monkeypatch)
@@ -194,11 +269,14 @@
 
 
 def test_a_connection_that_closes_with_each_answer_goes_on_on_new_ones():
-    asked = "".join(f"""
+    asked = "".join(
+        f"""
         d expect GET since={n}&
         d send 200 connection:close 'body={{"revision":{n + 1},"complete":false,"members":[]}}'
         d expect end
-    """ for n in range(1, 6))
+    """
+        for n in range(1, 6)
+    )
     play(asked + "d expect GET since=6&")
 
 
--- a/tests/test_lost_cores.py
+++ b/tests/test_lost_cores.py
@@ -19,7 +19,7 @@
 
 SEEDS = range(1, 13)
 BROKEN_SEEDS = range(1, 9)
-CHANGED_AT = 8.0               # the second configuration is sent then
+CHANGED_AT = 8.0  # the second configuration is sent then
 ANSWERED_BY = 12.0
 WRITE = Disk.write
 
@@ -145,8 +145,10 @@
         return False
 
     def test_what_is_not_durable_yet_is_lost_with_the_power(self) -> None:
-        with (mock.patch.object(Disk, "_process_ended", loses_what_was_under_way),
-              mock.patch.object(Disk, "write", tells_before_it_is_durable)):
+        with (
+            mock.patch.object(Disk, "_process_ended", loses_what_was_under_way),
+            mock.patch.object(Disk, "write", tells_before_it_is_durable),
+        ):
             self.assertTrue(any(self.caught(disks_and_power_lost(seed)) for seed in BROKEN_SEEDS))
 
     def test_half_of_the_members_is_no_majority(self) -> None:
--- a/tests/test_maintenance_broken.py
+++ b/tests/test_maintenance_broken.py
@@ -51,8 +51,10 @@
 
 def blind(members):
     """Takes what is down for up."""
+
     def up(limit):
         return lambda view, machine, rule: limit(dataclasses.replace(view, down=frozenset()), machine, rule)
+
     return Maintenance(members, tuple(up(limit) for limit in r.LIMITS))
 
 
@@ -76,8 +78,11 @@
 
         class Mixed(r.Order):
             def waiting(self, state, view):
-                return sorted(super().waiting(state, view),
-                              key=lambda item: zlib.crc32(f"{item.machine}{salt}".encode()))
+                return sorted(
+                    super().waiting(state, view),
+                    key=lambda item: zlib.crc32(f"{item.machine}{salt}".encode()),
+                )
+
         self.order = Mixed(self.members)
 
 
@@ -194,7 +199,7 @@
     walk.run(4.0)
     walk.insist("g0", [asked])
     for one in walk.gateways.values():
-        one.in_hand.append(walk.now + 12.0)    # the first is held at draining while others die
+        one.in_hand.append(walk.now + 12.0)  # the first is held at draining while others die
     walk.kill("g3")
     walk.kill("g4")
     walk.run(40.0)
@@ -227,8 +232,14 @@
 @pytest.mark.parametrize("checker, at_once", [(o.below_floor, 9), (o.too_many, 1)])
 def test_what_is_down_is_taken_for_up(checker, at_once):
     def run(topic):
-        asked = {"id": "a", "machines": ["n1"], "at_once": at_once, "at_once_zone": 9, "sole_data": True,
-                 "zone_floor": 0.5 if at_once > 1 else 0.0}
+        asked = {
+            "id": "a",
+            "machines": ["n1"],
+            "at_once": at_once,
+            "at_once_zone": 9,
+            "sole_data": True,
+            "zone_floor": 0.5 if at_once > 1 else 0.0,
+        }
         walk = Walk(5, topic=topic)
         walk.run(4.0)
         walk.fail("n4")
@@ -236,14 +247,22 @@
         walk.insist("g2", [asked])
         walk.run(15.0)
         return checker(walk.history, places(walk), [asked])
+
     assert run(blind) and not run(Maintenance)
 
 
 @pytest.mark.parametrize("checker, at_once", [(o.below_floor, 9), (o.too_many, 1)])
 def test_limits_that_are_not_looked_at_again(checker, at_once):
     def run(topic):
-        asked = {"id": "a", "machines": ["n1"], "at_once": at_once, "at_once_zone": 9, "time_s": 60.0,
-                 "zone_floor": 0.5 if at_once > 1 else 0.0, "sole_data": True}
+        asked = {
+            "id": "a",
+            "machines": ["n1"],
+            "at_once": at_once,
+            "at_once_zone": 9,
+            "time_s": 60.0,
+            "zone_floor": 0.5 if at_once > 1 else 0.0,
+            "sole_data": True,
+        }
         walk = Walk(5, topic=topic)
         walk.run(4.0)
         walk.insist("g2", [asked])
@@ -253,12 +272,14 @@
         walk.fail("n4")
         walk.run(20.0)
         return checker(walk.history, places(walk), [asked])
+
     assert run(NeverAgain) and not run(Maintenance)
 
 
 @pytest.mark.parametrize("gateway", [Gateless, EarlyGateway])
 def test_a_stopped_gateway_that_wakes(gateway):
     """Its gate alone keeps it from what went out meanwhile; `Gone` before the lease's end is too soon."""
+
     def run(kind):
         found = []
         for seed in range(3):
@@ -271,10 +292,11 @@
             walk.stop("g3")
             walk.run(30.0, lambda w=walk: w.state.items["n0"].step == "out")
             walk.go("g3")
-            walk.part(["g3"])                  # it hears nothing for a while
+            walk.part(["g3"])  # it hears nothing for a while
             walk.run(3.0)
             found += o.sent_to_drained(walk.history)
         return found
+
     assert run(gateway) and not run(Gateway)
 
 
@@ -285,6 +307,7 @@
 
     class Lazy(Gateway):
         core_type = Silent
+
     walk = Walk(1, gateway=Lazy)
     walk.run(4.0)
     walk.insist("g0", [{"id": "a", "machines": ["n0"]}])
--- a/tests/test_maintenance_core.py
+++ b/tests/test_maintenance_core.py
@@ -73,14 +73,14 @@
     rig = Rig()
     assert reports(rig.wait(0.1, lost=True))
     assert not reports(rig.wait(0.5))
-    assert reports(rig.wait(1.0))              # again, and this one comes back
+    assert reports(rig.wait(1.0))  # again, and this one comes back
     assert not reports(rig.wait(5.0))
     assert reports(rig.wait(30.0))
 
 
 def test_serves_by_its_reports_lease_while_machines_are_on_their_way():
     rig = Rig(known=99.0)
-    assert rig.core.serves(1e6)                # nothing is asked for
+    assert rig.core.serves(1e6)  # nothing is asked for
     rig.push("n0")
     assert rig.core.serves(101.0) and not rig.core.serves(101.1)  # by the mark before it was asked
     rig.wait(0.5)
@@ -89,11 +89,11 @@
 
 def test_gone_only_once_it_has_proven_to_have_heard_all():
     rig = Rig()
-    rig.now += 50.0                            # nothing was asked for: nobody had to say anything
+    rig.now += 50.0  # nothing was asked for: nobody had to say anything
     rig.push("n0")
     assert not [e for e in rig.wait(1.0) if isinstance(e, s.Gone)]
     rig.put("g0", s.Report("l", 2, 0, "z", NODES))
-    for _ in range(4):                         # its own reports are lost: it may have missed the others'
+    for _ in range(4):  # its own reports are lost: it may have missed the others'
         assert not [e for e in rig.wait(1.0, lost=True) if isinstance(e, s.Gone)]
     found = []
     for _ in range(6):
@@ -138,14 +138,14 @@
     assert not any("g1" in e.empty for e in reports(rig.wait(0.6)))
     rig.core.reports(c.Local(NODES, in_hand=0, gave_up=True))
     assert any("g1" in e.empty for e in reports(rig.wait(0.6)))
-    rig.push("n0")                             # taken back before it was out
+    rig.push("n0")  # taken back before it was out
     assert c.StepUp() in rig.did
 
 
 def test_time_is_counted_from_agreement_by_its_own_clock():
     rig = Rig()
     rig.push("n0", time_s=5.0)
-    rig.now += 60.0                            # waiting is not counted
+    rig.now += 60.0  # waiting is not counted
     rig.put("g0", s.Next(0))
     assert not [e for e in rig.wait(4.0, lost=True) if isinstance(e, s.TimeUp)]
     rig.wait(1.5, lost=True)
--- a/tests/test_maintenance_machine.py
+++ b/tests/test_maintenance_machine.py
@@ -41,13 +41,16 @@
     return log.states["maintenance"]
 
 
-@pytest.mark.parametrize("asked, what, remedy", [
-    (ask("n9"), "no live gateway lists it", "listed"),
-    (ask("n0", zone_floor=0.9), "zone 'a' would keep 0.67", "zone_floor"),
-    (ask("n0", shard_floor=0.8), "shard 0 would keep 0.50", "shard_floor"),
-    (ask("n0", at_once=0), "Expected `int` >= 1", "docs/maintenance.md"),
-    (ask("n0", k=1), "unknown field", "docs/maintenance.md"),
-])
+@pytest.mark.parametrize(
+    "asked, what, remedy",
+    [
+        (ask("n9"), "no live gateway lists it", "listed"),
+        (ask("n0", zone_floor=0.9), "zone 'a' would keep 0.67", "zone_floor"),
+        (ask("n0", shard_floor=0.8), "shard 0 would keep 0.50", "shard_floor"),
+        (ask("n0", at_once=0), "Expected `int` >= 1", "docs/maintenance.md"),
+        (ask("n0", k=1), "unknown field", "docs/maintenance.md"),
+    ],
+)
 def test_what_cannot_be_met_is_refused_at_once(asked, what, remedy):
     log = fleet()
     told = push(log, asked)
@@ -61,8 +64,10 @@
     assert "only n9 serves shard 9" in push(alone, ask("n9")).what
     assert not isinstance(push(alone, ask("n9", sole_data=True)), Refusal)
     assert "needs more than half" in push(fleet(("g0", "g1")), ask("g0")).what
-    assert "only n0 serves some of its data" in push(
-        fleet(told=nodes(n0=s.NodeFacts("a", 0, sole=True))), ask("n0")).what
+    assert (
+        "only n0 serves some of its data"
+        in push(fleet(told=nodes(n0=s.NodeFacts("a", 0, sole=True))), ask("n0")).what
+    )
 
 
 def test_a_node_that_the_policy_drains_is_not_there():
@@ -125,7 +130,7 @@
     draining(log)
     empty(log, "g0", "g1", number=2)
     assert "g2 has not said" in put(log, "g0", s.Move("n0", "empty", 2)).refusal.what
-    empty(log, "g2", number=2, heard=1)        # said before it heard of the drain: no word
+    empty(log, "g2", number=2, heard=1)  # said before it heard of the drain: no word
     assert "g2 has not said" in put(log, "g0", s.Move("n0", "empty", 2)).refusal.what
     assert put(log, "g0", s.Gone("g2", "l", 1)).refusal is not None  # it has been heard since
     assert put(log, "g0", s.Gone("g2", "l", 2)).refusal is None
@@ -161,7 +166,7 @@
     draining(log)
     assert "can't change while n0 is draining" in push(log, ask("n0", at_once=2)).what
     assert "is away for another request" not in str(push(log, ask("n0"), ask("n0", id="b")))
-    assert not isinstance(push(log, ask("n0", "n3")), Refusal)   # more machines may join
+    assert not isinstance(push(log, ask("n0", "n3")), Refusal)  # more machines may join
     assert "2 requests are called a" in push(log, ask("n0", "n3"), ask("n1")).what
 
 
@@ -180,7 +185,8 @@
     for name in MEMBERS:
         put(log, name, s.Report("l", 2, log.index, "z", {k: v for k, v in nodes().items() if k != "n2"}))
     assert "would keep 0.33" in put(log, "g0", s.Next(0)).refusal.what or (
-        "n2 is not there" in put(log, "g0", s.Next(0)).refusal.what)
+        "n2 is not there" in put(log, "g0", s.Next(0)).refusal.what
+    )
 
 
 def test_state_outlives_a_snapshot_and_a_core_follows_it():
@@ -195,8 +201,10 @@
 
 def test_a_report_of_all_nodes_fits_an_entry():
     core = c.MaintenanceCore("g1", "x", MEMBERS, 0.0)
-    many = {f"storage-node-{i:04}": s.NodeFacts("zone-a", i, 1.5, True, 2**15, 0.123456789, True, 2**40)
-            for i in range(900)}
+    many = {
+        f"storage-node-{i:04}": s.NodeFacts("zone-a", i, 1.5, True, 2**15, 0.123456789, True, 2**40)
+        for i in range(900)
+    }
     core.reports(c.Local(many))
     (report,) = [a.entry for a in core.tick(1.0) if isinstance(a, c.Propose)]
     assert len(report.nodes) == s.MOST_NODES
--- a/tests/test_maintenance_part.py
+++ b/tests/test_maintenance_part.py
@@ -69,8 +69,19 @@
     def say():
         """All gateways' words."""
         for number, by in enumerate(hands.members):
-            put(by, s.Report(f"l{log.index}", number, log.index, "z", {
-                entry.node: s.NodeFacts(entry.zone) for entry in hands.nodes()}, ["n0", "g0"], ["n0"], True))
+            put(
+                by,
+                s.Report(
+                    f"l{log.index}",
+                    number,
+                    log.index,
+                    "z",
+                    {entry.node: s.NodeFacts(entry.zone) for entry in hands.nodes()},
+                    ["n0", "g0"],
+                    ["n0"],
+                    True,
+                ),
+            )
 
     part.tick(99.0)
     say()
@@ -94,6 +105,7 @@
         request = Message()
         request.method, request.target = method, target
         return asyncio.run(pages.handle(request, lambda: False)).status
+
     assert ask(b"PUT", b"/fleet/maintenance/back?n0") == 409
     go(rig, "n0", "empty", "out")
     assert ask(b"GET", b"/fleet/maintenance/back?n0") == 405
@@ -130,5 +142,5 @@
 def test_the_door_is_shut_by_the_clock_once_no_report_comes_back(rig):
     assert rig.hands.gates[0]()
     rig.push("n0")
-    assert not rig.hands.gates[0]()            # no mark and no report of its own has come back yet
+    assert not rig.hands.gates[0]()  # no mark and no report of its own has come back yet
     assert rig.part.shown()["counted"] is False
--- a/tests/test_maintenance_walks.py
+++ b/tests/test_maintenance_walks.py
@@ -58,6 +58,7 @@
             name = walk.leader
             walk.kill(name)
             walk.later(4.0, lambda: walk.start(name))
+
     walk.hooks.append(kill)
     walk.run(4.0)
     walk.insist("g1", [asked])
@@ -82,14 +83,17 @@
     asked = request("n0")
     walk = begun(asked)
     walk.works["n0"] = 8.0
-    assert walk.run(20.0, lambda: walk.state.items["n0"].step in ("agreed", "draining")
-                    and any(node == "n0" for _, node in walk.gateways["g3"].work))
+    assert walk.run(
+        20.0,
+        lambda: walk.state.items["n0"].step in ("agreed", "draining")
+        and any(node == "n0" for _, node in walk.gateways["g3"].work),
+    )
     walk.stop("g3")
     until(walk, "n0", "out")
-    assert "g3" in walk.state.gone             # its lease has run out, and no sooner
+    assert "g3" in walk.state.gone  # its lease has run out, and no sooner
     assert "n0" not in walk.gateways["g3"].drained
     walk.go("g3")
-    assert not walk.gateways["g3"].serves()    # before it has heard anything
+    assert not walk.gateways["g3"].serves()  # before it has heard anything
     ends_well(walk, asked)
 
 
@@ -102,7 +106,7 @@
     assert not walk.push("g3", [asked])
     walk.run(5.0)
     assert not walk.state.items
-    walk.insist("g1", [asked])                 # the large side goes on by itself
+    walk.insist("g1", [asked])  # the large side goes on by itself
     until(walk, "n0", "out")
     walk.part(())
     ends_well(walk, asked)
@@ -112,7 +116,7 @@
     asked = request("n0", "n1", at_once=3, at_once_zone=1)
     walk = begun(asked)
     walk.works["n0"] = 20.0
-    walk.fail("n4")                            # n1's only neighbour in its zone
+    walk.fail("n4")  # n1's only neighbour in its zone
     until(walk, "n0", "out")
     walk.run(8.0)
     assert walk.state.items["n1"].step == "proposed"
@@ -211,7 +215,8 @@
     assert "out" not in steps(walk, "g0") or judge(walk, [asked]) == []
     assert walk.state.items["g0"].step == "proposed"
     assert "3 of 5 gateways would not be there" in walk.state.items["g0"].why + (
-        walk.gateways["g1"].core.machine.order.choose(walk.state).why)
+        walk.gateways["g1"].core.machine.order.choose(walk.state).why
+    )
     ends_well(walk, asked)
 
 
--- a/tests/test_membership_plays.py
+++ b/tests/test_membership_plays.py
@@ -16,9 +16,9 @@
 
 SCENARIOS = Path(__file__).parent / "scenarios" / "system"
 
-CATCH_UP_S = 4.0               # what operators are promised to leave between two losses
-REPAIRED_S = 3.0               # until the next loss is survived, after any repair
-GIVEN_S = 0.5                  # after SIGTERM, where a learner stands by
+CATCH_UP_S = 4.0  # what operators are promised to leave between two losses
+REPAIRED_S = 3.0  # until the next loss is survived, after any repair
+GIVEN_S = 0.5  # after SIGTERM, where a learner stands by
 SEEDS = {"planned_then_loss": 5, "planned_then_wipe": 5}
 OTHER_SEEDS = 2
 
@@ -39,6 +39,7 @@
 def _test_of(name: str):
     def test(self: Plays) -> None:
         self._play(name)
+
     test.__doc__ = PLAYS[name].__doc__
     return test
 
@@ -58,7 +59,7 @@
             player = FleetPlayer((SCENARIOS / "planned_replacement_then_loss.txt").read_text())
             with self.assertRaises(Violation):
                 player.play()
-            repairs = run("silent_then_loss", 3, 1).repairs    # its place is still taken once it is silent
+            repairs = run("silent_then_loss", 3, 1).repairs  # its place is still taken once it is silent
         self.assertLess(max(repairs["silent"]), REPAIRED_S)
 
     def test_a_wiped_member_that_asks_the_seeds_alone(self) -> None:
--- a/tests/test_nodes_listed.py
+++ b/tests/test_nodes_listed.py
@@ -8,9 +8,12 @@
 
 
 def test_draining_nodes_get_nothing_new_and_the_watch_goes_on():
-    drained = ('{"revision":2,"complete":false,"members":[{"id":"n0","host_port":"$n0","cell":0,'
-               '"phase":"draining"}]}')
-    play(f"""
+    drained = (
+        '{"revision":2,"complete":false,"members":[{"id":"n0","host_port":"$n0","cell":0,'
+        '"phase":"draining"}]}'
+    )
+    play(
+        f"""
         d expect GET 'since=1&timeout_ms='
         d send 200 'body={drained}'
         d expect GET 'since=2&timeout_ms='
@@ -21,11 +24,20 @@
         c1 send read shard=0
         c1 expect 503
         n0 expect nothing
-    """, nodes=2)
-
-
-@pytest.mark.parametrize("failure", ["d send 503", "d close", "d send 200 body=nonsense",
-                                     "d send 200 'body={\"revision\":1,\"complete\":true,\"members\":[{}]}'"])
+    """,
+        nodes=2,
+    )
+
+
+@pytest.mark.parametrize(
+    "failure",
+    [
+        "d send 503",
+        "d close",
+        "d send 200 body=nonsense",
+        'd send 200 \'body={"revision":1,"complete":true,"members":[{}]}\'',
+    ],
+)
 def test_a_failed_watch_is_begun_again(failure):
     play(f"""
         d expect GET since=1
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -46,7 +46,8 @@
 def test_an_object_is_put_read_in_ranges_and_deleted(nodes, shard):
     """Node 0 cuts ranges itself, node 1 answers the whole object: the client can't tell."""
     path = f"/plates/{key_at(shard)}"
-    play(f"""
+    play(
+        f"""
         o1 send PUT {path} body={BODY}
         o1 expect 200 etag x-amz-request-id
         o1 send GET {path}
@@ -69,7 +70,9 @@
         o1 expect 204
         o1 send GET {path}
         o1 expect 404 '<Code>NoSuchKey<'
-    """, servers=addresses(nodes))
+    """,
+        servers=addresses(nodes),
+    )
     assert [run.split()[0] for run in runs(nodes)].count("PUT") == 1
 
 
@@ -81,8 +84,12 @@
                 o1 expect 200
             """)
             reader, writer = await asyncio.open_connection(*world.objects)
-            for name, extra in ((key_at(1), ""), (key_at(1), "range: bytes=8-99\r\n"), ("none", ""),
-                                (key_at(1), "connection: close\r\n")):
+            for name, extra in (
+                (key_at(1), ""),
+                (key_at(1), "range: bytes=8-99\r\n"),
+                ("none", ""),
+                (key_at(1), "connection: close\r\n"),
+            ):
                 writer.write(f"HEAD /plates/{name} HTTP/1.1\r\nhost: x\r\n{extra}\r\n".encode())
             async with asyncio.timeout(10):
                 return await reader.read()
@@ -231,20 +238,29 @@
     """)
 
 
-@pytest.mark.parametrize(("line", "expected"), [
-    ("GET /", "400 InvalidBucketName"), ("GET /UPPER/a", "400 InvalidBucketName"),
-    ("GET /plates/%FF", "400 InvalidURI"), ("GET /plates?prefix=%FF", "400 InvalidArgument"),
-    ("GET /plates?list-type=2&prefix=%80", "400 InvalidArgument"),
-    ("PUT /plates", "501"),
-    ("GET /plates/a?acl", "501 NotImplemented"), ("PATCH /plates/a", "405 MethodNotAllowed"),
-    ("PUT /plates/a x-amz-copy-source:/b/c", "501"), ("PUT /plates/a?partNumber=1", "400 InvalidArgument"),
-    ("PUT /plates/a?partNumber=0&uploadId=1.0.eA", "400 InvalidArgument"),
-    ("PUT /plates/a?partNumber=1&uploadId=junk", "404 NoSuchUpload"),
-    ("PUT /plates/a?partNumber=1&uploadId=1.7.eA", "404 NoSuchUpload"),
-    ("POST /plates/a", "400 InvalidArgument"), ("GET /plates/a x-deadline-ms:soon", "400 InvalidArgument"),
-    (f"GET /plates/{'k' * 1025}", "400 KeyTooLongError"),
-    ("PUT /plates/a content-length:8388609", "413 EntityTooLarge"),
-    ("PUT /plates/a 'idempotency-key:a b'", "400 InvalidArgument")])
+@pytest.mark.parametrize(
+    ("line", "expected"),
+    [
+        ("GET /", "400 InvalidBucketName"),
+        ("GET /UPPER/a", "400 InvalidBucketName"),
+        ("GET /plates/%FF", "400 InvalidURI"),
+        ("GET /plates?prefix=%FF", "400 InvalidArgument"),
+        ("GET /plates?list-type=2&prefix=%80", "400 InvalidArgument"),
+        ("PUT /plates", "501"),
+        ("GET /plates/a?acl", "501 NotImplemented"),
+        ("PATCH /plates/a", "405 MethodNotAllowed"),
+        ("PUT /plates/a x-amz-copy-source:/b/c", "501"),
+        ("PUT /plates/a?partNumber=1", "400 InvalidArgument"),
+        ("PUT /plates/a?partNumber=0&uploadId=1.0.eA", "400 InvalidArgument"),
+        ("PUT /plates/a?partNumber=1&uploadId=junk", "404 NoSuchUpload"),
+        ("PUT /plates/a?partNumber=1&uploadId=1.7.eA", "404 NoSuchUpload"),
+        ("POST /plates/a", "400 InvalidArgument"),
+        ("GET /plates/a x-deadline-ms:soon", "400 InvalidArgument"),
+        (f"GET /plates/{'k' * 1025}", "400 KeyTooLongError"),
+        ("PUT /plates/a content-length:8388609", "413 EntityTooLarge"),
+        ("PUT /plates/a 'idempotency-key:a b'", "400 InvalidArgument"),
+    ],
+)
 def test_what_s3_would_turn_down_never_reaches_a_node(line, expected):
     status, *code = expected.split()
     play(f"""
@@ -272,7 +288,9 @@
 def test_bodies_held_at_once_are_bounded():
     """Guards the memory limit: past the bound a body is turned down, and room returns with each answer."""
     part = "send PUT /plates/a content-length:8388608 fill=8388607"
-    play("".join(f"o{i} {part}\n" for i in range(1, 5)) + f"""
+    play(
+        "".join(f"o{i} {part}\n" for i in range(1, 5))
+        + f"""
         wait 0.2
         o5 {part}
         o5 expect 503 SlowDown
@@ -282,20 +300,26 @@
         n0 expect PUT
         n0 send 200
         o6 expect 200
-    """)
+    """
+    )
 
 
 @given(st.integers(0, 50), st.one_of(st.none(), st.integers(0, 60)), st.one_of(st.none(), st.integers(0, 60)))
 def test_a_cut_is_what_the_standard_says(length, first, last):
     """Against a slow reading of RFC 9110: each position taken or not, by itself."""
+
     def text(n):
         return "" if n is None else str(n)
+
     header = f"bytes={text(first)}-{text(last)}".encode()
     if first is None and last is None or first is not None and last is not None and first > last:
         assert cut(header, length) is None
         return
-    wanted = [i for i in range(length) if (
-        i >= length - last if first is None else i >= first and (last is None or i <= last))]
+    wanted = [
+        i
+        for i in range(length)
+        if (i >= length - last if first is None else i >= first and (last is None or i <= last))
+    ]
     try:
         start, end = cut(header, length)
     except Unsatisfiable:
@@ -307,8 +331,19 @@
 def unsteady() -> Turns:
     """By turns, each way in which a node can err."""
     stall = Rule("stall", seconds=1.0)
-    return Turns([None, Rule("refuse"), None, Rule("error"), Rule("answer-cut"), None, Rule("cut"),
-                  Rule("run-cut"), stall])
+    return Turns(
+        [
+            None,
+            Rule("refuse"),
+            None,
+            Rule("error"),
+            Rule("answer-cut"),
+            None,
+            Rule("cut"),
+            Rule("run-cut"),
+            stall,
+        ]
+    )
 
 
 def test_whatever_nodes_do_each_call_gets_one_answer_and_no_part_runs_twice(nodes):
@@ -317,8 +352,11 @@
 
     async def call(world: World, method: str, path: str, body: bytes = b"") -> int:
         reader, writer = await asyncio.open_connection(*world.objects)
-        writer.write(f"{method} {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\nx-deadline-ms: 700\r\n"
-                     f"content-length: {len(body)}\r\n\r\n".encode() + body)
+        writer.write(
+            f"{method} {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\nx-deadline-ms: 700\r\n"
+            f"content-length: {len(body)}\r\n\r\n".encode()
+            + body
+        )
         async with asyncio.timeout(20):
             data = await reader.read()
         writer.close()
--- a/tests/test_operator_races.py
+++ b/tests/test_operator_races.py
@@ -16,7 +16,7 @@
 from mallowbeam.simulation.scenario import Violation, scenario_tests
 
 FOLDER = Path(__file__).parent / "scenarios" / "operators"
-SNAPSHOT_ENTRIES = 4        # so that members that were away get snapshots
+SNAPSHOT_ENTRIES = 4  # so that members that were away get snapshots
 SEEDS = range(1, 7)
 ROUNDS = 3
 
@@ -29,8 +29,10 @@
 @contextmanager
 def members_with(kind: type[ConfigurationVersions]) -> Iterator[None]:
     """Members that take snapshots often, with a state machine of this kind."""
-    with mock.patch.object(raft_driver, "COMPACT_ENTRIES", SNAPSHOT_ENTRIES), \
-            mock.patch.object(state_machine, "ConfigurationVersions", kind):
+    with (
+        mock.patch.object(raft_driver, "COMPACT_ENTRIES", SNAPSHOT_ENTRIES),
+        mock.patch.object(state_machine, "ConfigurationVersions", kind),
+    ):
         yield
 
 
--- a/tests/test_packaging.py
+++ b/tests/test_packaging.py
@@ -27,8 +27,11 @@
     def test_every_package_is_held_to_strict_types(self) -> None:
         judged = {name.replace("/", ".") for name in project()["tool"]["mypy"]["files"]}
         self.assertTrue(project()["tool"]["mypy"]["strict"])
-        left = {name for name in packages() - BEFORE_TYPES
-                if not any(f"{name}.".startswith(f"{one}.") for one in judged)}
+        left = {
+            name
+            for name in packages() - BEFORE_TYPES
+            if not any(f"{name}.".startswith(f"{one}.") for one in judged)
+        }
         self.assertEqual(left, set())
 
     def test_errors_are_ignored_in_earlier_code_only(self) -> None:
--- a/tests/test_pairing_losses.py
+++ b/tests/test_pairing_losses.py
@@ -50,14 +50,24 @@
     """Which way a long prompt goes, on engines of unequal memory a token."""
 
     def share_read_apart(self, kv_token_bytes: int, link_mbps: float) -> float:
-        engine = Engine(slots=64, kv_capacity=250_000, kv_token_bytes=kv_token_bytes, link_mbps=link_mbps,
-                        stride=8, handle_ttl_s=5.0, switch_s=1.0)
+        engine = Engine(
+            slots=64,
+            kv_capacity=250_000,
+            kv_token_bytes=kv_token_bytes,
+            link_mbps=link_mbps,
+            stride=8,
+            handle_ttl_s=5.0,
+            switch_s=1.0,
+        )
         planner = Planner(PlannerSettings(), "g")
         stages = [PREFILL] * 18 + [DECODE] * 27
-        planner.instances_changed([
-            Instance(id=f"i-{number:02}", backend="m", zone="z", slots=64, state=READY, stage=stage)
-            for number, stage in enumerate(stages)
-        ], 0.0)
+        planner.instances_changed(
+            [
+                Instance(id=f"i-{number:02}", backend="m", zone="z", slots=64, state=READY, stage=stage)
+                for number, stage in enumerate(stages)
+            ],
+            0.0,
+        )
         planner.gateways_changed(GATEWAYS)
         apart = 0
         for number in range(100):
--- a/tests/test_pairing_stage_share.py
+++ b/tests/test_pairing_stage_share.py
@@ -19,16 +19,24 @@
 SETTINGS = StageShareSettings()
 SLOTS, SWITCH_S = 64, 1.0
 # Reading that keeps some 40 instances busy, at 40,000 tokens a second each, and hardly any decoding.
-HEAVY_READING = StageDemand(backend="m", reading=60.0, read_tokens=1.6e6, done_tokens=7e5, decoding=20.0,
-                            generated=3e3, first_tokens=1e3)
+HEAVY_READING = StageDemand(
+    backend="m",
+    reading=60.0,
+    read_tokens=1.6e6,
+    done_tokens=7e5,
+    decoding=20.0,
+    generated=3e3,
+    first_tokens=1e3,
+)
 
 
 class Fleet:
     """Instances that do what they are ordered at once, beside one `StageShare`."""
 
     def __init__(self, prefill: int, decode: int) -> None:
-        self.stages = {f"i-{number:02}": PREFILL if number < prefill else DECODE
-                       for number in range(prefill + decode)}
+        self.stages = {
+            f"i-{number:02}": PREFILL if number < prefill else DECODE for number in range(prefill + decode)
+        }
         self.share = StageShare(SETTINGS)
         self.now = 0.0
 
--- a/tests/test_phases.py
+++ b/tests/test_phases.py
@@ -91,7 +91,7 @@
     async def run() -> None:
         async with World() as world:
             await world.play("g close\nwait 0.05\nc1 send write deadline=2000\nn0 expect PUT")
-            exchange, = world.gateway.exchanges.values()
+            (exchange,) = world.gateway.exchanges.values()
             assert exchange.deadline < world.gateway.leave_at + 0.1
             await world.play("n0 send 200 body=x\nc1 expect 200\ng expect end")
 
@@ -117,11 +117,16 @@
     async def run() -> None:
         async with World() as world:
             socks: list[socket.socket] = []
-            at(monkeypatch, Phase.DRAINING, lambda: socks.extend(
-                knock(address, HEALTHZ) for address in [world.platform] * 20 + [world.objects] * 5))
+            at(
+                monkeypatch,
+                Phase.DRAINING,
+                lambda: socks.extend(
+                    knock(address, HEALTHZ) for address in [world.platform] * 20 + [world.objects] * 5
+                ),
+            )
             await world.play("g close\ng expect end")
             assert len(socks) == 25
-            for sock in socks:                 # all is out by the gateway's end
+            for sock in socks:  # all is out by the gateway's end
                 sock.setblocking(False)
                 with sock:
                     assert re.match(rb"HTTP/1.1 [45]", sock.recv(4096))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -97,15 +97,30 @@
 OK = f"HTTP/1.1 200 OK{NL}"
 
 
-@pytest.mark.parametrize(("front", "spoilt"), [("c", f"{OK}content-length: 3000000000{NL}{NL}ok"), *(
-    (front, spoilt) for front in "co" for spoilt in (
-        f"\\x00\\x01noise{NL}{NL}", f"HTTP/1.1 2x0 OK{NL}{NL}", f"{OK}content-length: -5{NL}{NL}ok",
-        f"{OK}content-length: 2{NL}content-length: 3{NL}{NL}ok", f"{OK}content-length: {LONG}{NL}{NL}ok",
-        f"{OK}transfer-encoding: chunked{NL}{NL}zz{NL}ok", f"{OK}transfer-encoding: gzip{NL}{NL}ok",
-        f"{OK}x: " + "y" * 20000,
-        f"HTTP/1.1 404 No{NL}transfer-encoding: chunked{NL}{NL}0{NL}x: " + "y" * 40000,
-        f"HTTP/1.1 100 Continue{NL}{NL}" * 40, f"HTTP/1.1 101 On{NL}{NL}{OK}content-length: 0{NL}{NL}"))],
-    ids=lambda value: value[:50])
+@pytest.mark.parametrize(
+    ("front", "spoilt"),
+    [
+        ("c", f"{OK}content-length: 3000000000{NL}{NL}ok"),
+        *(
+            (front, spoilt)
+            for front in "co"
+            for spoilt in (
+                f"\\x00\\x01noise{NL}{NL}",
+                f"HTTP/1.1 2x0 OK{NL}{NL}",
+                f"{OK}content-length: -5{NL}{NL}ok",
+                f"{OK}content-length: 2{NL}content-length: 3{NL}{NL}ok",
+                f"{OK}content-length: {LONG}{NL}{NL}ok",
+                f"{OK}transfer-encoding: chunked{NL}{NL}zz{NL}ok",
+                f"{OK}transfer-encoding: gzip{NL}{NL}ok",
+                f"{OK}x: " + "y" * 20000,
+                f"HTTP/1.1 404 No{NL}transfer-encoding: chunked{NL}{NL}0{NL}x: " + "y" * 40000,
+                f"HTTP/1.1 100 Continue{NL}{NL}" * 40,
+                f"HTTP/1.1 101 On{NL}{NL}{OK}content-length: 0{NL}{NL}",
+            )
+        ),
+    ],
+    ids=lambda value: value[:50],
+)
 def test_a_spoilt_answer_is_a_failed_attempt_of_a_node_that_lives(front, spoilt):
     """Guards against holding the node cold: the request is tried again there, and so is the next."""
     read = {"c": "c1 send read", "o": "o1 send GET /plates/a"}[front]
@@ -226,10 +241,28 @@
     """)
 
 
-@pytest.mark.parametrize("change", [
-    "cls=unknown", "plan=unknown", "deadline=0", "deadline=soon", "deadline=99999999", "units=0", "units=99",
-    "shard=-2", "hosts=0", "hosts=9", "id=xyz", "volume=none", "key=0", "body=x", "cls=new-write",
-    "x-request-id:00000000000000ff", "x-extent:units=1,shard=0,hosts=1"])
+@pytest.mark.parametrize(
+    "change",
+    [
+        "cls=unknown",
+        "plan=unknown",
+        "deadline=0",
+        "deadline=soon",
+        "deadline=99999999",
+        "units=0",
+        "units=99",
+        "shard=-2",
+        "hosts=0",
+        "hosts=9",
+        "id=xyz",
+        "volume=none",
+        "key=0",
+        "body=x",
+        "cls=new-write",
+        "x-request-id:00000000000000ff",
+        "x-extent:units=1,shard=0,hosts=1",
+    ],
+)
 def test_a_senseless_request_is_400_and_its_connection_goes_on(change):
     play(f"""
         c1 send read {change}
@@ -267,7 +300,7 @@
     async def run() -> None:
         async with World() as world:
             await world.play("c1 send read deadline=3600000\nn0 expect GET")
-            exchange, = world.gateway.exchanges.values()
+            (exchange,) = world.gateway.exchanges.values()
             assert exchange.deadline < world.gateway.now() + 1.5
             await world.play("n0 send 200 body=x\nc1 expect 200")
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -117,7 +117,7 @@
                 if isinstance(action, Mark) and self.draw.random() < 0.8:  # else there was no leader
                     self.log.append((f"{n} {self.lives[n]}", action.number, 0))
         elif what == "hear":
-            for whose, number, version in self.log[self.heard[n]:self.heard[n] + self.draw.randint(1, 30)]:
+            for whose, number, version in self.log[self.heard[n] : self.heard[n] + self.draw.randint(1, 30)]:
                 self.heard[n] += 1
                 if not whose:
                     self.cores[n].committed(Change(version, f'{{"drains":["n{version}"]}}'))
@@ -134,8 +134,17 @@
         else:
             self.now += 2.0
         for i, policy in enumerate(self.cores):
-            self.history.add(Seen(self.now, self.now, f"g{i}", policy.phase.value, policy.serves(self.now),
-                                  policy.change.version, policy.change.body))
+            self.history.add(
+                Seen(
+                    self.now,
+                    self.now,
+                    f"g{i}",
+                    policy.phase.value,
+                    policy.serves(self.now),
+                    policy.change.version,
+                    policy.change.body,
+                )
+            )
 
     def wrong(self) -> list[str]:
         return [line for line in check(self.history, set(), 1.0) if "at the end" not in line]
@@ -193,20 +202,32 @@
 TOLD = Pushed(1.0, 0.9, "a", 0, ONE, 1, "")
 
 
-@pytest.mark.parametrize(("events", "said"), [
-    ([TOLD, seen(1.1, "a", 1, ONE), seen(1.1, "b", 1, ONE)], None),
-    ([Pushed(1.0, 0.9, "a", 0, TWO, 0, "no leader"), TOLD, seen(1.1, "a", 1, TWO), seen(1.2, "b", 1, TWO)],
-     "a policy that was refused"),
-    ([TOLD, seen(1.1, "a", 2, TWO), seen(1.1, "b", 1, ONE)], "nobody pushed"),
-    ([TOLD, Pushed(1.2, 1.1, "b", 0, TWO, 1, ""), seen(1.3, "a", 1, ONE)], "told to two pushes"),
-    ([TOLD, Pushed(1.2, 1.1, "b", 1, TWO, 0, "unknown"), seen(1.3, "a", 1, TWO)],
-     "another policy as version 1"),
-    ([TOLD, seen(1.1, "a", 1, ONE), seen(1.2, "a", 0, "{}")], "serves version 0 after 1"),
-    ([TOLD, seen(9.0, "a", 0, "{}")], "told over"),
-    ([TOLD, seen(1.1, "a", 1, ONE), seen(1.1, "b", 0, "{}")], "at the end there are versions"),
-    ([TOLD, seen(1.1, "a", 1, ONE), seen(1.1, "b", 1, ONE, False)], "does not serve at the end"),
-    ([TOLD, seen(1.1, "a", 1, ONE)], "b was never seen"),
-])
+@pytest.mark.parametrize(
+    ("events", "said"),
+    [
+        ([TOLD, seen(1.1, "a", 1, ONE), seen(1.1, "b", 1, ONE)], None),
+        (
+            [
+                Pushed(1.0, 0.9, "a", 0, TWO, 0, "no leader"),
+                TOLD,
+                seen(1.1, "a", 1, TWO),
+                seen(1.2, "b", 1, TWO),
+            ],
+            "a policy that was refused",
+        ),
+        ([TOLD, seen(1.1, "a", 2, TWO), seen(1.1, "b", 1, ONE)], "nobody pushed"),
+        ([TOLD, Pushed(1.2, 1.1, "b", 0, TWO, 1, ""), seen(1.3, "a", 1, ONE)], "told to two pushes"),
+        (
+            [TOLD, Pushed(1.2, 1.1, "b", 1, TWO, 0, "unknown"), seen(1.3, "a", 1, TWO)],
+            "another policy as version 1",
+        ),
+        ([TOLD, seen(1.1, "a", 1, ONE), seen(1.2, "a", 0, "{}")], "serves version 0 after 1"),
+        ([TOLD, seen(9.0, "a", 0, "{}")], "told over"),
+        ([TOLD, seen(1.1, "a", 1, ONE), seen(1.1, "b", 0, "{}")], "at the end there are versions"),
+        ([TOLD, seen(1.1, "a", 1, ONE), seen(1.1, "b", 1, ONE, False)], "does not serve at the end"),
+        ([TOLD, seen(1.1, "a", 1, ONE)], "b was never seen"),
+    ],
+)
 def test_the_checkers_name_what_is_wrong(events, said):
     wrong = check(History([*events, Fault(9.9, "heal", ())]), {"a", "b"}, LEASE)
     assert (wrong == []) if said is None else any(said in line for line in wrong), wrong
@@ -229,6 +250,7 @@
 
 def played(folder: Path, trial: Callable[[Fleet], Awaitable[None]], **changes) -> list[str]:
     """A trial on five gateways; what the checkers say of it."""
+
     async def play() -> list[str]:
         async with Fleet(folder, **changes) as fleet:
             await fleet.settled()
@@ -236,6 +258,7 @@
             fleet.heal()
             await fleet.settled(max((p.version for p in fleet.history.pushed()), default=0))
             return check(fleet.history, set(fleet.names), LEASE)
+
     return asyncio.run(play())
 
 
@@ -249,6 +272,7 @@
         fleet.heal()
         back = await fleet.until(lambda seen: seen.get("g0") is not None and seen["g0"].serves)
         assert back["g0"].version == second, "it served nothing before it had learned"
+
     assert played(tmp_path, trial) == []
 
 
@@ -265,6 +289,7 @@
                 await asyncio.gather(fleet.look_all(), asyncio.sleep(0.03))
             fleet.heal()
         assert len(list(fleet.history.pushed())) == 3
+
     assert played(tmp_path, trial) == []
 
 
@@ -275,6 +300,7 @@
         assert await fleet.change("g0", ["n0"])
         cut = await fleet.until(lambda seen: "g4" in seen and not seen["g4"].serves)
         assert cut["g4"].phase == "stale" and cut["g4"].version == 0, "the last committed one stays in force"
+
     assert played(tmp_path, trial) == []
 
 
@@ -287,14 +313,17 @@
         fleet.go("g3")
         for _ in range(20):
             await fleet.look("g3")
+
     assert played(tmp_path, trial) == []
 
 
 def test_the_checkers_catch_gateways_that_serve_on_when_cut_off(tmp_path):
     """A checker that can't fail proves nothing: `when_stale` at `serve` gives up just what it looks for."""
+
     async def trial(fleet: Fleet) -> None:
         fleet.part(["g4"])
         assert await fleet.change("g0", ["n0"])
         end = fleet.now() + LEASE + 0.2
         await fleet.until(lambda seen: fleet.now() > end)
+
     assert any("g4 serves version 0" in line for line in played(tmp_path, trial, when_stale="serve"))
--- a/tests/test_pools_check.py
+++ b/tests/test_pools_check.py
@@ -21,74 +21,137 @@
 CASES = [  # kind, words in it, a text that fails, one that passes
     (PoolName, 'no node is named "n9"', 'budget 9 for nodes name "n9";', 'budget 9 for nodes name "n5";'),
     (PoolName, 'did you mean "big"', 'budget 9 for nodes model "bigg";', 'budget 9 for nodes model "big";'),
-    (PoolName, 'no gateway is named "x"',
-     'gateways not name "x": weight 2;', 'gateways not name "g1": weight 2;'),
+    (
+        PoolName,
+        'no gateway is named "x"',
+        'gateways not name "x": weight 2;',
+        'gateways not name "g1": weight 2;',
+    ),
     (PoolName, 'no plan is named "tin"', 'tenants plan "tin": weight 2;', 'tenants plan "gold": weight 2;'),
-    (PoolName, 'no tenant is named "w"', 'tenants all: lend 5% to name "w";',
-     'tenants all: lend 5% to name "v1";'),
-    (PoolName, "define the class above",
-     'class "z" is all; class "a" is class "b"; class "b" is all; tenants class "a": weight 2;',
-     'class "b" is all; class "a" is class "b"; tenants class "a": weight 2;'),
+    (
+        PoolName,
+        'no tenant is named "w"',
+        'tenants all: lend 5% to name "w";',
+        'tenants all: lend 5% to name "v1";',
+    ),
+    (
+        PoolName,
+        "define the class above",
+        'class "z" is all; class "a" is class "b"; class "b" is all; tenants class "a": weight 2;',
+        'class "b" is all; class "a" is class "b"; tenants class "a": weight 2;',
+    ),
     (PoolName, 'no class is named "a"', 'class "a" is class "a";', 'class "a" is all;'),
-    (PoolName, 'no zone is named "z"', 'budget 9 for nodes all when zone "z" is out;',
-     'budget 9 for nodes all when zone "c" is out;'),
-    (PoolName, 'no machine is named "m"', 'budget 9 for nodes all when machine "m" is in maintenance;',
-     'budget 9 for nodes all when machine "g1" is in maintenance;'),
-    (PoolName, '"g4" is none of the gateways', 'share gateways name "g0", "g1": through "g4";',
-     'share gateways name "g0", "g1": through "g1";'),
-    (PoolTerms, "a weight of 0", "gateways all: weight 0;",
-     "gateways all: weight 1;"),
-    (PoolTerms, "below the floor", "tenants all: floor 1 ceiling 0;",
-     "tenants all: ceiling 0;"),
-    (PoolTerms, "a floor of 0", "gateways all: floor 0;",
-     'gateways name "g1": ceiling 0;'),
-    (PoolTerms, "share nothing", "share gateways all: in turns ceiling 0;",
-     "share gateways all: in turns;"),
-    (PoolTooFew, "4 connections for 5 gateways",
-     "budget 4 for nodes all;",
-     'budget 4 for nodes all; share gateways name "g3", "g4": in turns;'),
-    (PoolTooFew, "4 connections for 5 gateways",
-     "budget 4 for nodes all;",
-     'budget 4 for nodes all; gateways name "g3": ceiling 0;'),
-    (PoolTooFew, 'when zone "a" is out',
-     'budget 9 for nodes all when not zone "a" is out; budget 3 for nodes all;',
-     'budget 9 for nodes all when not zone "a" is out; budget 3 for nodes all;'
-     'share gateways zone "a", "b" when zone "a" is out: in turns;'),
-    (PoolOvercommitted, "floors of 10 connections in a budget of 9",
-     "budget 9 for nodes all; gateways all: floor 2;",
-     "budget 10 for nodes all; gateways all: floor 2;"),
-    (PoolOvercommitted, 'node "n0" when zone "b" is out',
-     'budget 9 for nodes all; gateways all at nodes zone "a" when zone "b" is out: floor 2;',
-     'budget 9 for nodes zone "b", "c"; gateways all at nodes zone "a" when zone "b" is out: floor 2;'),
-    (PoolOvercommitted, "floors of tenants add up to 4",
-     "budget 9 for nodes all; tenants all: floor 1;",
-     "budget 20 for nodes all; gateways all: floor 4; tenants all: floor 1;"),
-    (PoolOvercommitted, "floors of tenants add up to 4", "budget 9 for nodes all; tenants all: floor 1;",
-     'budget 9 for nodes zone "b", "c"; tenants all at nodes zone "a": floor 1;'),
-    (PoolOvercommitted, "where the gateway is sure of 0",
-     'budget 9 for nodes all; share gateways name "g1", "g2": in turns floor 2; tenants name "v1": floor 1;',
-     'budget 9 for nodes all; share gateways name "g1", "g2": in turns floor 2;'
-     'tenants name "v1" at gateways not name "g1", "g2": floor 1;'),
-    (PoolUnreachable, "condition can never hold",
-     'budget 9 for nodes all when zone "a" is out and not zone "a" is out;',
-     'budget 9 for nodes all when zone "a" is out and not zone "b" is out;'),
-    (PoolUnreachable, "about nothing in this fleet",
-     'budget 9 for nodes zone "a" and zone "b";',
-     'budget 9 for nodes zone "a" and model "big";'),
-    (PoolUnreachable, "as the one on line 2",
-     'budget 9 for nodes all;\nbudget 8 for nodes zone "a";',
-     'budget 8 for nodes zone "a";\nbudget 9 for nodes all;'),
-    (PoolUnreachable, "as the one on line 2",
-     'gateways all when zone "a" is out: weight 2;\ngateways all when not zone "a" is out: weight 3;\n'
-     'gateways zone "a": weight 4;',
-     'gateways all when zone "a" is out: weight 2;\ngateways all when zone "b" is out: weight 3;\n'
-     'gateways zone "a": weight 4;'),
-    (PoolUnreachable, "as the one on line 2",
-     'tenants plan "gold", "basic": weight 2;\ntenants name "v1": weight 3;',
-     'tenants plan "gold": weight 2;\ntenants name "v1": weight 3;'),
-    (PoolUnreachable, "as the one on line 2",
-     'share gateways zone "a": in turns;\nshare gateways name "g0": in turns;',
-     'share gateways zone "a": in turns;\nshare gateways name "g1": in turns;'),
+    (
+        PoolName,
+        'no zone is named "z"',
+        'budget 9 for nodes all when zone "z" is out;',
+        'budget 9 for nodes all when zone "c" is out;',
+    ),
+    (
+        PoolName,
+        'no machine is named "m"',
+        'budget 9 for nodes all when machine "m" is in maintenance;',
+        'budget 9 for nodes all when machine "g1" is in maintenance;',
+    ),
+    (
+        PoolName,
+        '"g4" is none of the gateways',
+        'share gateways name "g0", "g1": through "g4";',
+        'share gateways name "g0", "g1": through "g1";',
+    ),
+    (PoolTerms, "a weight of 0", "gateways all: weight 0;", "gateways all: weight 1;"),
+    (PoolTerms, "below the floor", "tenants all: floor 1 ceiling 0;", "tenants all: ceiling 0;"),
+    (PoolTerms, "a floor of 0", "gateways all: floor 0;", 'gateways name "g1": ceiling 0;'),
+    (PoolTerms, "share nothing", "share gateways all: in turns ceiling 0;", "share gateways all: in turns;"),
+    (
+        PoolTooFew,
+        "4 connections for 5 gateways",
+        "budget 4 for nodes all;",
+        'budget 4 for nodes all; share gateways name "g3", "g4": in turns;',
+    ),
+    (
+        PoolTooFew,
+        "4 connections for 5 gateways",
+        "budget 4 for nodes all;",
+        'budget 4 for nodes all; gateways name "g3": ceiling 0;',
+    ),
+    (
+        PoolTooFew,
+        'when zone "a" is out',
+        'budget 9 for nodes all when not zone "a" is out; budget 3 for nodes all;',
+        'budget 9 for nodes all when not zone "a" is out; budget 3 for nodes all;'
+        'share gateways zone "a", "b" when zone "a" is out: in turns;',
+    ),
+    (
+        PoolOvercommitted,
+        "floors of 10 connections in a budget of 9",
+        "budget 9 for nodes all; gateways all: floor 2;",
+        "budget 10 for nodes all; gateways all: floor 2;",
+    ),
+    (
+        PoolOvercommitted,
+        'node "n0" when zone "b" is out',
+        'budget 9 for nodes all; gateways all at nodes zone "a" when zone "b" is out: floor 2;',
+        'budget 9 for nodes zone "b", "c"; gateways all at nodes zone "a" when zone "b" is out: floor 2;',
+    ),
+    (
+        PoolOvercommitted,
+        "floors of tenants add up to 4",
+        "budget 9 for nodes all; tenants all: floor 1;",
+        "budget 20 for nodes all; gateways all: floor 4; tenants all: floor 1;",
+    ),
+    (
+        PoolOvercommitted,
+        "floors of tenants add up to 4",
+        "budget 9 for nodes all; tenants all: floor 1;",
+        'budget 9 for nodes zone "b", "c"; tenants all at nodes zone "a": floor 1;',
+    ),
+    (
+        PoolOvercommitted,
+        "where the gateway is sure of 0",
+        'budget 9 for nodes all; share gateways name "g1", "g2": in turns floor 2; '
+        'tenants name "v1": floor 1;',
+        'budget 9 for nodes all; share gateways name "g1", "g2": in turns floor 2;'
+        'tenants name "v1" at gateways not name "g1", "g2": floor 1;',
+    ),
+    (
+        PoolUnreachable,
+        "condition can never hold",
+        'budget 9 for nodes all when zone "a" is out and not zone "a" is out;',
+        'budget 9 for nodes all when zone "a" is out and not zone "b" is out;',
+    ),
+    (
+        PoolUnreachable,
+        "about nothing in this fleet",
+        'budget 9 for nodes zone "a" and zone "b";',
+        'budget 9 for nodes zone "a" and model "big";',
+    ),
+    (
+        PoolUnreachable,
+        "as the one on line 2",
+        'budget 9 for nodes all;\nbudget 8 for nodes zone "a";',
+        'budget 8 for nodes zone "a";\nbudget 9 for nodes all;',
+    ),
+    (
+        PoolUnreachable,
+        "as the one on line 2",
+        'gateways all when zone "a" is out: weight 2;\ngateways all when not zone "a" is out: weight 3;\n'
+        'gateways zone "a": weight 4;',
+        'gateways all when zone "a" is out: weight 2;\ngateways all when zone "b" is out: weight 3;\n'
+        'gateways zone "a": weight 4;',
+    ),
+    (
+        PoolUnreachable,
+        "as the one on line 2",
+        'tenants plan "gold", "basic": weight 2;\ntenants name "v1": weight 3;',
+        'tenants plan "gold": weight 2;\ntenants name "v1": weight 3;',
+    ),
+    (
+        PoolUnreachable,
+        "as the one on line 2",
+        'share gateways zone "a": in turns;\nshare gateways name "g0": in turns;',
+        'share gateways zone "a": in turns;\nshare gateways name "g1": in turns;',
+    ),
 ]
 
 
@@ -100,8 +163,9 @@
     check(parse("pools 1;\n" + right), FLEET)
 
 
-@pytest.mark.parametrize("most, budget, fits", [
-    (5, 5, True), (6, 5, False), (6, 6, True), (3, 3, True), (4, 3, False)])
+@pytest.mark.parametrize(
+    "most, budget, fits", [(5, 5, True), (6, 5, False), (6, 6, True), (3, 3, True), (4, 3, False)]
+)
 def test_floors_hold_at_any_allowed_size_of_the_fleet(most, budget, fits):
     """Guards a fleet that may grow (gateways not named yet) or never be whole at once."""
     fleet = m.Fleet(FLEET.gateways, FLEET.nodes, FLEET.tenants, most=most)
--- a/tests/test_pools_examples.py
+++ b/tests/test_pools_examples.py
@@ -14,14 +14,16 @@
 from mallowbeam.fleet.pools.grammar import parse
 
 EXAMPLES = sorted((Path(__file__).resolve().parent.parent / "docs" / "pools").glob("*.pool"))
-MARK = "#= "                # a line of the table: the world, the node (and gateway), who has how many
+MARK = "#= "  # a line of the table: the world, the node (and gateway), who has how many
 
 
 def row(pools: m.Pools, world: str, place: str) -> str:
     """A line of the table as the program has it; a world is `-` or facts and a turn, joined by `+`."""
     words = [] if world == "-" else world.split("+")
-    facts = m.Facts(frozenset(w[5:] for w in words if w.startswith("zone=")),
-                    frozenset(w[8:] for w in words if w.startswith("machine=")))
+    facts = m.Facts(
+        frozenset(w[5:] for w in words if w.startswith("zone=")),
+        frozenset(w[8:] for w in words if w.startswith("machine=")),
+    )
     view = View(pools, FLEET, facts, sum(int(w[5:]) for w in words if w.startswith("turn=")))
     node, _, gateway = place.partition("/")
     budget = view.node(node)
@@ -29,8 +31,10 @@
         held = "not bounded"
     elif gateway:
         offers = view.offers(node, gateway)
-        held = ", ".join(f"{name} {count} lends {offers[name].lends.percent}%"
-                         for name, count in view.here(node, gateway, budget.gateways[gateway]).items())
+        held = ", ".join(
+            f"{name} {count} lends {offers[name].lends.percent}%"
+            for name, count in view.here(node, gateway, budget.gateways[gateway]).items()
+        )
     else:
         by = sorted(budget.gateways.items())
         held = f"{budget.total}: " + ", ".join(f"{name} {count}" for name, count in by)
@@ -49,4 +53,4 @@
     assert parse(canonical(pools)) == parse(canonical(parse(canonical(pools))))
     told = [line for line in text.splitlines() if line.startswith(MARK)]
     assert len(told) >= 2
-    assert told == [row(pools, *line[len(MARK):].split()[:2]) for line in told]
+    assert told == [row(pools, *line[len(MARK) :].split()[:2]) for line in told]
--- a/tests/test_pools_language.py
+++ b/tests/test_pools_language.py
@@ -33,22 +33,27 @@
 """
 
 # Two groups whose order the canonical text changes: what each has may not hang on that.
-SWAPPED = parse('pools 1; budget 57 for nodes all; share gateways name "g1": in turns ceiling 9;'
-                'share gateways name "g0": in turns ceiling 9; gateways all: ceiling 13;')
+SWAPPED = parse(
+    'pools 1; budget 57 for nodes all; share gateways name "g1": in turns ceiling 9;'
+    'share gateways name "g0": in turns ceiling 9; gateways all: ceiling 13;'
+)
 
 
 def facts_of(draw_from: int) -> m.Facts:
     """One of the sixteen worlds of the tests' facts."""
     held = [fact for i, fact in enumerate(FACTS) if draw_from >> i & 1]
-    return m.Facts(frozenset(f.zone for f in held if isinstance(f, m.ZoneOut)),
-                   frozenset(f.machine for f in held if isinstance(f, m.InMaintenance)))
+    return m.Facts(
+        frozenset(f.zone for f in held if isinstance(f, m.ZoneOut)),
+        frozenset(f.machine for f in held if isinstance(f, m.InMaintenance)),
+    )
 
 
 def test_a_whole_text_reads_as_it_is_meant():
     made = parse(TEXT)
     assert made.recall == 1000 and [c.name for c in made.classes] == ["batch", "rest"]
-    assert made.budgets[0].nodes == m.And((m.Is("zone", ("a",)), m.Or((
-        m.Is("model", ("big",)), m.Not(m.Is("name", ("n1", "n2")))))))
+    assert made.budgets[0].nodes == m.And(
+        (m.Is("zone", ("a",)), m.Or((m.Is("model", ("big",)), m.Not(m.Is("name", ("n1", "n2"))))))
+    )
     assert made.budgets[0].when == m.Not(m.ZoneOut("b")) and made.budgets[1].when == m.EVERY
     assert made.gateways[0].terms == m.Terms(3, 2, 12)
     assert [share.through for share in made.shares] == [None, "g4"]
@@ -57,8 +62,12 @@
     assert not list(faults(made, FLEET))
 
 
-@settings(max_examples=LONG or 250, derandomize=not LONG, suppress_health_check=list(HealthCheck),
-          phases=(Phase.explicit, Phase.generate))  # an example of this size shrinks for minutes
+@settings(
+    max_examples=LONG or 250,
+    derandomize=not LONG,
+    suppress_health_check=list(HealthCheck),
+    phases=(Phase.explicit, Phase.generate),
+)  # an example of this size shrinks for minutes
 @example(SWAPPED, 1, 0)
 @given(pools(), st.integers(0, 15), st.integers(0, 1 << 30))
 def test_random_texts_come_back_and_mean_what_their_canonical_text_means(made, world, seed):
@@ -68,13 +77,15 @@
     assert canonical(parse(text)) == text
     facts = facts_of(world)
     assert table(View(parse(text), FLEET, facts)) == table(View(made, FLEET, facts))
-    for error in faults(made, FLEET):          # the checks end, and say what they say in our words
+    for error in faults(made, FLEET):  # the checks end, and say what they say in our words
         assert isinstance(error, PoolError) and error.cure
     # rules of different kinds in any order are the same value
     chance = random.Random(seed)
     head, *rules = show(made).splitlines()
-    kinds = [[line for line in rules if line.split()[0] == kind]
-             for kind in ("recall", "class", "budget", "gateways", "share", "tenants")]
+    kinds = [
+        [line for line in rules if line.split()[0] == kind]
+        for kind in ("recall", "class", "budget", "gateways", "share", "tenants")
+    ]
     mixed = []
     while any(kinds):
         mixed.append(chance.choice([kind for kind in kinds if kind]).pop(0))
@@ -102,18 +113,24 @@
 
 
 def test_words_that_mean_the_same_have_one_digest():
-    one = parse('pools 1; budget 9 for nodes zone "a", "b"; budget 8 for nodes zone "c";'
-                'gateways all: weight 2;')
-    for text in ('pools 1; gateways all: floor 1 weight 2; budget 8 for nodes zone "c";'
-                 'budget 9 for nodes zone "b", "a", "b";',
-                 'pools 01;recall 2s; budget 9 for nodes (zone "a", "b"); gateways all: weight 2;'
-                 'budget 8 for nodes not not zone "c";'):
+    one = parse(
+        'pools 1; budget 9 for nodes zone "a", "b"; budget 8 for nodes zone "c";' "gateways all: weight 2;"
+    )
+    for text in (
+        'pools 1; gateways all: floor 1 weight 2; budget 8 for nodes zone "c";'
+        'budget 9 for nodes zone "b", "a", "b";',
+        'pools 01;recall 2s; budget 9 for nodes (zone "a", "b"); gateways all: weight 2;'
+        'budget 8 for nodes not not zone "c";',
+    ):
         assert digest(parse(text)) == digest(one), text
 
 
 def test_operands_in_any_order_have_one_digest():
-    texts = ('zone "a" and not name "n1" and model "big"', 'model "big" and zone "a" and not name "n1"',
-             '(not name "n1" and model "big") and zone "a" and model "big"')
+    texts = (
+        'zone "a" and not name "n1" and model "big"',
+        'model "big" and zone "a" and not name "n1"',
+        '(not name "n1" and model "big") and zone "a" and model "big"',
+    )
     assert len({digest(parse(f"pools 1; budget 9 for nodes {text};")) for text in texts}) == 1
 
 
@@ -128,33 +145,59 @@
 # --- errors ---------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("text, kind, line, column, there, remedy", [
-    ("", PoolSyntax, 1, 1, "", "put `pools` there"),
-    ("pools 2;", PoolSyntax, 1, 7, "2;", "bring the gateways up to date"),
-    ("pools 1;\nbudget 7 nodes all;", PoolSyntax, 2, 10, "nodes all;", "put `for` there"),
-    ("pools 1;\nbudget 7 for nodes all", PoolSyntax, 2, 23, "", "`;`"),
-    ("pools 1;\n  budget @", PoolSyntax, 2, 10, "@", "put a number there"),
-    ('pools 1; budget 7 for nodes class "x";', PoolSyntax, 1, 29, 'class "x";', "choose them by name, zone"),
-    ('pools 1; gateways all when name "a" is out: floor 1;', PoolSyntax, 1, 28, "name", 'zone "a" is out'),
-    ("pools 1; share gateways all: floor 1;", PoolSyntax, 1, 10, "share", "in turns"),
-    ("pools 1; share gateways all: in turns in turns;", PoolName, 1, 39, "in turns;", "keep one"),
-    ("pools 1; gateways all: floor 1 floor 2;", PoolName, 1, 32, "floor 2;", "keep one"),
-    ("pools 1; recall 1s; recall 2s;", PoolName, 1, 21, "recall 2s;", "keep one"),
-    ('pools 1; class "a" is all; class "a" is all;', PoolName, 1, 34, '"a" is', "keep one"),
-    ("pools 1; budget 0 for nodes all;", PoolBound, 1, 17, "0 for", "from 1 to 65535"),
-    ("pools 1; budget 65536 for nodes all;", PoolBound, 1, 17, "65536", "from 1 to 65535"),
-    ("pools 1; gateways all: weight 10001;", PoolBound, 1, 31, "10001", "from 0 to 10000"),
-    ("pools 1; tenants all: lend 101%;", PoolBound, 1, 28, "101%", "from 0 to 100"),
-    ("pools 1; recall 61s;", PoolBound, 1, 17, "61s;", "from 1 to 60"),
-    ("pools 1; budget 7 for nodes " + "not " * 17 + "all;", PoolBound, 1, 97, "all;", "two rules"),
-    ('pools 1; budget 7 for nodes name "' + "x" * 129 + '";', PoolBound, 1, 34, '"xxx', "bounds"),
-    ("pools 1;" + "budget 7 for nodes all;" * 513, PoolBound, 1, 9 + 512 * 23, "budget", "into one rule"),
-    ("pools 1; budget 7 for nodes all when " + " or ".join(f'zone "z{i}" is out' for i in range(9)) + ";",
-     PoolBound, 1, 38 + 8 * 20, 'zone "z8"', "fewer zones"),
-    ("pools 1;" + " " * 65_536, PoolBound, 1, 1, "pools 1;", "bounds"),
-    ("pools 1;\n \ud800", PoolSyntax, 2, 2, "", "format"),
-    ("pools 1; budget " + "9" * 60_000 + " for nodes all;", PoolBound, 1, 17, "999", "from 1"),
-], ids=range(24))
+@pytest.mark.parametrize(
+    "text, kind, line, column, there, remedy",
+    [
+        ("", PoolSyntax, 1, 1, "", "put `pools` there"),
+        ("pools 2;", PoolSyntax, 1, 7, "2;", "bring the gateways up to date"),
+        ("pools 1;\nbudget 7 nodes all;", PoolSyntax, 2, 10, "nodes all;", "put `for` there"),
+        ("pools 1;\nbudget 7 for nodes all", PoolSyntax, 2, 23, "", "`;`"),
+        ("pools 1;\n  budget @", PoolSyntax, 2, 10, "@", "put a number there"),
+        (
+            'pools 1; budget 7 for nodes class "x";',
+            PoolSyntax,
+            1,
+            29,
+            'class "x";',
+            "choose them by name, zone",
+        ),
+        (
+            'pools 1; gateways all when name "a" is out: floor 1;',
+            PoolSyntax,
+            1,
+            28,
+            "name",
+            'zone "a" is out',
+        ),
+        ("pools 1; share gateways all: floor 1;", PoolSyntax, 1, 10, "share", "in turns"),
+        ("pools 1; share gateways all: in turns in turns;", PoolName, 1, 39, "in turns;", "keep one"),
+        ("pools 1; gateways all: floor 1 floor 2;", PoolName, 1, 32, "floor 2;", "keep one"),
+        ("pools 1; recall 1s; recall 2s;", PoolName, 1, 21, "recall 2s;", "keep one"),
+        ('pools 1; class "a" is all; class "a" is all;', PoolName, 1, 34, '"a" is', "keep one"),
+        ("pools 1; budget 0 for nodes all;", PoolBound, 1, 17, "0 for", "from 1 to 65535"),
+        ("pools 1; budget 65536 for nodes all;", PoolBound, 1, 17, "65536", "from 1 to 65535"),
+        ("pools 1; gateways all: weight 10001;", PoolBound, 1, 31, "10001", "from 0 to 10000"),
+        ("pools 1; tenants all: lend 101%;", PoolBound, 1, 28, "101%", "from 0 to 100"),
+        ("pools 1; recall 61s;", PoolBound, 1, 17, "61s;", "from 1 to 60"),
+        ("pools 1; budget 7 for nodes " + "not " * 17 + "all;", PoolBound, 1, 97, "all;", "two rules"),
+        ('pools 1; budget 7 for nodes name "' + "x" * 129 + '";', PoolBound, 1, 34, '"xxx', "bounds"),
+        ("pools 1;" + "budget 7 for nodes all;" * 513, PoolBound, 1, 9 + 512 * 23, "budget", "into one rule"),
+        (
+            "pools 1; budget 7 for nodes all when "
+            + " or ".join(f'zone "z{i}" is out' for i in range(9))
+            + ";",
+            PoolBound,
+            1,
+            38 + 8 * 20,
+            'zone "z8"',
+            "fewer zones",
+        ),
+        ("pools 1;" + " " * 65_536, PoolBound, 1, 1, "pools 1;", "bounds"),
+        ("pools 1;\n \ud800", PoolSyntax, 2, 2, "", "format"),
+        ("pools 1; budget " + "9" * 60_000 + " for nodes all;", PoolBound, 1, 17, "999", "from 1"),
+    ],
+    ids=range(24),
+)
 def test_an_error_says_where_what_and_what_to_do(text, kind, line, column, there, remedy):
     with pytest.raises(PoolError) as caught:
         parse(text)
@@ -171,8 +214,22 @@
 def test_mutated_texts_end_in_a_meaning_or_in_our_error():
     """Guards every push: no other error, bounded time and memory, whatever the text."""
     chance, slowest, read = random.Random(SEED), 0.0, 0
-    words = TEXT.split() + ["not", "(", ")", '"', "\x00", "#", "\n", "é", "9" * 12, "%", "ms", "all",
-                            "is", ";"]
+    words = TEXT.split() + [
+        "not",
+        "(",
+        ")",
+        '"',
+        "\x00",
+        "#",
+        "\n",
+        "é",
+        "9" * 12,
+        "%",
+        "ms",
+        "all",
+        "is",
+        ";",
+    ]
     parse(TEXT)
     tracemalloc.start()
     for _ in range(10 * LONG or 1_000):
@@ -181,7 +238,7 @@
             at, to = sorted((chance.randrange(len(text) + 1), chance.randrange(len(text) + 1)))
             match chance.randrange(5):
                 case 0:
-                    text = text[:at] + text[at + chance.randint(1, 8):]
+                    text = text[:at] + text[at + chance.randint(1, 8) :]
                 case 1:
                     text = text[:at] + chance.choice(words) + text[at:]
                 case 2:
@@ -189,7 +246,7 @@
                 case 3:
                     text = (text[:at] + text[at:to] * 2 + text[to:])[:70_000]
                 case 4:
-                    text = text[:at] + " " + chance.choice(words) + " " + text[min(to, at + 12):]
+                    text = text[:at] + " " + chance.choice(words) + " " + text[min(to, at + 12) :]
         began = time.perf_counter()
         try:
             list(faults(parse(text), FLEET))
@@ -203,13 +260,18 @@
     assert read and peak < 64e6
 
 
-@pytest.mark.parametrize("text", [
-    "pools 1;" + "budget 7 for nodes (" * 3200, "pools 1; budget 7 for nodes " + "(" * 65_000,
-    "pools 1; budget 7 for nodes " + "not " * 16_000 + "all;",
-    'pools 1; budget 7 for nodes name "a"' + ',"a"' * 16_000
-    + ";",
-    "pools 1; budget 7 for nodes " + "all or " * 9_000 + "all;",
-    "pools 1; tenants all:" + " floor 1" * 8_000 + ";"], ids=range(6))
+@pytest.mark.parametrize(
+    "text",
+    [
+        "pools 1;" + "budget 7 for nodes (" * 3200,
+        "pools 1; budget 7 for nodes " + "(" * 65_000,
+        "pools 1; budget 7 for nodes " + "not " * 16_000 + "all;",
+        'pools 1; budget 7 for nodes name "a"' + ',"a"' * 16_000 + ";",
+        "pools 1; budget 7 for nodes " + "all or " * 9_000 + "all;",
+        "pools 1; tenants all:" + " floor 1" * 8_000 + ";",
+    ],
+    ids=range(6),
+)
 def test_the_largest_texts_end_as_others_do(text):
     try:
         parse(text)
--- a/tests/test_pools_lend.py
+++ b/tests/test_pools_lend.py
@@ -18,8 +18,12 @@
 
 def lending(own, total=None, **offers):
     made = Lending()
-    made.set("n", own, {name: offers.get(name, offer()) for name in ALL},
-             sum(own.values()) if total is None else total)
+    made.set(
+        "n",
+        own,
+        {name: offers.get(name, offer()) for name in ALL},
+        sum(own.values()) if total is None else total,
+    )
     return made
 
 
@@ -35,10 +39,15 @@
     assert open_all(lending({"a": 2, "b": 2, "c": 4}), "a") == 8
 
 
-@pytest.mark.parametrize("offers, count", [
-    (dict(b=offer(percent=50), c=offer(percent=25)), 2 + 1 + 1),
-    (dict(b=offer(keep=1), c=offer(keep=4)), 2 + 1),
-    (dict(b=offer(to={"c"}), c=offer(percent=0)), 2), (dict(a=offer(ceiling=3)), 3)])
+@pytest.mark.parametrize(
+    "offers, count",
+    [
+        (dict(b=offer(percent=50), c=offer(percent=25)), 2 + 1 + 1),
+        (dict(b=offer(keep=1), c=offer(keep=4)), 2 + 1),
+        (dict(b=offer(to={"c"}), c=offer(percent=0)), 2),
+        (dict(a=offer(ceiling=3)), 3),
+    ],
+)
 def test_what_is_lent_follows_the_rule(offers, count):
     assert open_all(lending({"a": 2, "b": 2, "c": 4}, **offers), "a") == count
 
@@ -46,11 +55,11 @@
 def test_a_loan_is_called_back_idle_ones_at_once():
     made = lending({"a": 2, "b": 2, "c": 0})
     open_all(made, "a")
-    assert made.keep("n", "a")                 # one of the four is idle
+    assert made.keep("n", "a")  # one of the four is idle
     assert made.want("n", "b", 9.0) == (Want.WAIT, 2.0)
     assert made.idle_to_close("n") == {"a": 1}
     made.closed("n", "a", busy=False)
-    assert not made.may_open("n", "a") and not made.may_open("n", "c")   # it is b's, who waits
+    assert not made.may_open("n", "a") and not made.may_open("n", "c")  # it is b's, who waits
     made.waited("n", "b")
     assert made.want("n", "b", 9.0)[0] is Want.OPEN
 
@@ -60,14 +69,14 @@
     open_all(made, "a")
     assert made.want("n", "b", 0.25) == (Want.WAIT, 0.25)
     assert made.want("n", "b", 9.0) == (Want.WAIT, 2.0)
-    assert made.want("n", "b", 9.0)[0] is Want.REFUSE      # both of b's are called: no third one is coming
-    assert made.want("n", "c", 9.0)[0] is Want.REFUSE      # c has none of its own to call back
+    assert made.want("n", "b", 9.0)[0] is Want.REFUSE  # both of b's are called: no third one is coming
+    assert made.want("n", "c", 9.0)[0] is Want.REFUSE  # c has none of its own to call back
     assert made.idle_to_close("n") == {} and not made.keep("n", "a")
     made.closed("n", "a", busy=True)
     made.waited("n", "b")
     assert made.may_open("n", "b")
     made.opened("n", "b")
-    assert not made.keep("n", "a")                         # the second one is still called
+    assert not made.keep("n", "a")  # the second one is still called
 
 
 def test_a_borrower_that_gives_back_keeps_its_own():
@@ -83,10 +92,10 @@
     made = lending({"a": 2, "b": 2, "c": 2})
     made.opened("n", "c")
     assert open_all(made, "a") == 5 and made.want("n", "b", 9.0)[0] is Want.WAIT
-    made.waited("n", "b")                      # b gave up, and c has closed its own: all of theirs is idle
+    made.waited("n", "b")  # b gave up, and c has closed its own: all of theirs is idle
     made.closed("n", "c", busy=True)
     assert not made.may_open("n", "a")
-    made.closed("n", "a", busy=True)           # given back
+    made.closed("n", "a", busy=True)  # given back
     assert made.may_open("n", "a")
 
 
@@ -147,8 +156,13 @@
     """A walk of the pool's calls, and at its end the owner of most gets its own back."""
     chance = random.Random(seed)
     own = {name: chance.randrange(5) for name in sorted(ALL)}
-    made = lending(own, **{name: offer(chance.choice([None, 6]), chance.choice([0, 50, 100]),
-                                           chance.randrange(2)) for name in ALL})
+    made = lending(
+        own,
+        **{
+            name: offer(chance.choice([None, 6]), chance.choice([0, 50, 100]), chance.randrange(2))
+            for name in ALL
+        },
+    )
     held = made.nodes["n"]
     waits: list[str] = []
     for _ in range(400):
--- a/tests/test_pools_split.py
+++ b/tests/test_pools_split.py
@@ -28,12 +28,19 @@
     beyond = sum(seat.floor for seat in some) > total
     have = {seat.name: 0 if beyond else seat.floor for seat in some}
     while sum(have.values()) < total:
-        open_ = [seat for seat in some if beyond and have[seat.name] < seat.floor
-                 or not beyond and (seat.ceiling is None or have[seat.name] < seat.ceiling)]
+        open_ = [
+            seat
+            for seat in some
+            if beyond
+            and have[seat.name] < seat.floor
+            or not beyond
+            and (seat.ceiling is None or have[seat.name] < seat.ceiling)
+        ]
         if not open_:
             break
-        best = min(open_, key=lambda seat: (-Fraction(seat.weight, 2 * have[seat.name] + 1),
-                                            ties(salt)(seat.name)))
+        best = min(
+            open_, key=lambda seat: (-Fraction(seat.weight, 2 * have[seat.name] + 1), ties(salt)(seat.name))
+        )
         have[best.name] += 1
     return have
 
@@ -69,8 +76,10 @@
     after = split(total + 1, some)
     assert all(after[name] >= have[name] for name in have)
     one = some[who % len(some)]
-    heavier = [seat if seat is not one else Seat(one.name, one.weight + more, one.floor, one.ceiling)
-               for seat in some]
+    heavier = [
+        seat if seat is not one else Seat(one.name, one.weight + more, one.floor, one.ceiling)
+        for seat in some
+    ]
     assert split(total, heavier)[one.name] >= have[one.name]
     fewer = [seat for seat in some if seat is not one]
     if sum(seat.floor for seat in some) <= total:
@@ -82,7 +91,7 @@
     whole = sum(weights.values())
     have = {name: total * weight // whole for name, weight in weights.items()}
     rest = sorted(weights, key=lambda name: (-(total * weights[name] % whole), name))
-    return have | {name: have[name] + 1 for name in rest[:total - sum(have.values())]}
+    return have | {name: have[name] + 1 for name in rest[: total - sum(have.values())]}
 
 
 def test_the_paradox_that_largest_remainder_has():
--- a/tests/test_processes_errors.py
+++ b/tests/test_processes_errors.py
@@ -13,8 +13,23 @@
 
 PAGE = Path(__file__).parent.parent / "docs" / "on-call.md"
 SECTION = "## The router fleet"
-NEW_PARTS = ("admission", "cli.system", "configuration", "consensus", "control_plane", "data_plane", "feed",
-             "health", "pairing", "processes", "registry", "rpc", "scheduling", "simulation", "streams")
+NEW_PARTS = (
+    "admission",
+    "cli.system",
+    "configuration",
+    "consensus",
+    "control_plane",
+    "data_plane",
+    "feed",
+    "health",
+    "pairing",
+    "processes",
+    "registry",
+    "rpc",
+    "scheduling",
+    "simulation",
+    "streams",
+)
 CODE = r"^[A-Z][A-Z0-9]*(_[A-Z0-9]+)*$"
 
 
@@ -39,19 +54,27 @@
         load_new_parts()
 
     def test_each_code_has_one_type_and_the_usual_form(self):
-        for code in code_table():              # raises where two types share one
+        for code in code_table():  # raises where two types share one
             self.assertRegex(code, CODE)
 
     def test_each_error_of_the_new_parts_has_a_code(self):
-        without = [kind.__name__ for kind in error_types() if in_new_parts(kind.__module__)
-                   and not any(codes_of(one) for one in kind.__mro__ if issubclass(one, MallowbeamError))
-                   and not kind.__subclasses__()]
+        without = [
+            kind.__name__
+            for kind in error_types()
+            if in_new_parts(kind.__module__)
+            and not any(codes_of(one) for one in kind.__mro__ if issubclass(one, MallowbeamError))
+            and not kind.__subclasses__()
+        ]
         self.assertEqual(without, [])
 
     def test_each_code_has_a_row_on_the_page(self):
         rows = fleet_section()
-        missing = [code for code, kind in code_table().items() if in_new_parts(kind.__module__)
-                   and not any(f"| `{kind.__name__}` | `{code}` |" in row for row in rows)]
+        missing = [
+            code
+            for code, kind in code_table().items()
+            if in_new_parts(kind.__module__)
+            and not any(f"| `{kind.__name__}` | `{code}` |" in row for row in rows)
+        ]
         self.assertEqual(missing, [])
 
     def test_codes_of_a_class_are_its_own(self):
--- a/tests/test_processes_main.py
+++ b/tests/test_processes_main.py
@@ -33,12 +33,20 @@
     def run_main(self, argument: str) -> subprocess.CompletedProcess[str]:
         environment = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}
         program = PROGRAM.format(argument=argument)
-        return subprocess.run([sys.executable, "-c", program], cwd=ROOT, env=environment, capture_output=True,
-                              text=True, timeout=MOST_S)
+        return subprocess.run(
+            [sys.executable, "-c", program],
+            cwd=ROOT,
+            env=environment,
+            capture_output=True,
+            text=True,
+            timeout=MOST_S,
+        )
 
     def test_each_role_is_loaded_alone_with_hangups_held(self):
-        for argument, module, code in (("data-plane", "mallowbeam.data_plane.role", 3),
-                                       ("control-plane", "mallowbeam.control_plane.role", 4)):
+        for argument, module, code in (
+            ("data-plane", "mallowbeam.data_plane.role", 3),
+            ("control-plane", "mallowbeam.control_plane.role", 4),
+        ):
             with self.subTest(argument):
                 ended = self.run_main(argument)
                 self.assertEqual(ended.stderr, "")
--- a/tests/test_processes_metrics.py
+++ b/tests/test_processes_metrics.py
@@ -12,22 +12,33 @@
 from mallowbeam.simulation.fleet_processes import ApiCall, message_of
 
 SETTINGS: dict[str, object] = {
-    "node_name": "n", "role": "data-plane", "machine_class": "edge", "ip": "10.1.0.1", "zone": "z",
-    "region": "r", "port_range": [7000, 7010],
+    "node_name": "n",
+    "role": "data-plane",
+    "machine_class": "edge",
+    "ip": "10.1.0.1",
+    "zone": "z",
+    "region": "r",
+    "port_range": [7000, 7010],
 }
 
 
 class Text(unittest.TestCase):
     def test_families_stand_together(self) -> None:
-        text = exposition([
-            Metric("requests_total", 3, "Requests.", "counter", ("status", "200")),
-            Metric("ready", 1, "Ready."),
-            Metric("requests_total", 1, "Requests.", "counter", ("status", 'a"b\\c\n')),
-        ]).decode()
-        self.assertEqual(text, (
-            "# HELP requests_total Requests.\n# TYPE requests_total counter\n"
-            'requests_total{status="200"} 3\nrequests_total{status="a\\"b\\\\c\\n"} 1\n'
-            "# HELP ready Ready.\n# TYPE ready gauge\nready 1\n"))
+        text = exposition(
+            [
+                Metric("requests_total", 3, "Requests.", "counter", ("status", "200")),
+                Metric("ready", 1, "Ready."),
+                Metric("requests_total", 1, "Requests.", "counter", ("status", 'a"b\\c\n')),
+            ]
+        ).decode()
+        self.assertEqual(
+            text,
+            (
+                "# HELP requests_total Requests.\n# TYPE requests_total counter\n"
+                'requests_total{status="200"} 3\nrequests_total{status="a\\"b\\\\c\\n"} 1\n'
+                "# HELP ready Ready.\n# TYPE ready gauge\nready 1\n"
+            ),
+        )
 
 
 class Page(unittest.TestCase):
--- a/tests/test_processes_role.py
+++ b/tests/test_processes_role.py
@@ -24,7 +24,7 @@
 port_range = [7000, 7001]
 heartbeat_ms = {}
 """
-MOST_S = 30.0               # for a whole process; none waits for it
+MOST_S = 30.0  # for a whole process; none waits for it
 
 
 class WithFile(unittest.TestCase):
@@ -73,10 +73,10 @@
     def test_a_change_without_a_signal_is_seen_by_size_or_time(self):
         self.context.reload_if_changed()
         self.assertEqual(self.seen, [])
-        self.write(SETTINGS.format(1000))      # another size
+        self.write(SETTINGS.format(1000))  # another size
         self.context.reload_if_changed()
         before = self.path.stat()
-        self.write(SETTINGS.format(2000))      # the same size, another time
+        self.write(SETTINGS.format(2000))  # the same size, another time
         os.utime(self.path, ns=(before.st_atime_ns, before.st_mtime_ns + 1))
         self.context.reload_if_changed()
         self.assertEqual(self.seen, [1000.0, 2000.0])
@@ -93,6 +93,7 @@
     def test_one_callback_that_fails_does_not_keep_the_others_from_it(self):
         def fails(_: object) -> None:
             raise RuntimeError("no")
+
         context = RoleContext(read_settings(str(self.path)), str(self.path))
         context.on_reload(fails)
         context.on_reload(lambda settings: self.seen.append(settings.heartbeat_ms))
@@ -116,8 +117,14 @@
 
     def run_text(self, program: str) -> subprocess.CompletedProcess[str]:
         environment = {**os.environ, "MALLOWBEAM_NODE_FILE": str(self.path), "PYTHONDONTWRITEBYTECODE": "1"}
-        return subprocess.run([sys.executable, "-c", program], cwd=ROOT, env=environment, capture_output=True,
-                              text=True, timeout=MOST_S)
+        return subprocess.run(
+            [sys.executable, "-c", program],
+            cwd=ROOT,
+            env=environment,
+            capture_output=True,
+            text=True,
+            timeout=MOST_S,
+        )
 
     def test_each_stop_signal_ends_it_as_planned(self):
         for name in ("SIGTERM", "SIGINT"):
--- a/tests/test_processes_settings.py
+++ b/tests/test_processes_settings.py
@@ -21,8 +21,15 @@
     split_address,
 )
 
-LEAST = {"node_name": "core-1", "role": "control-plane", "machine_class": "core", "ip": "10.0.0.1",
-         "zone": "a", "region": "r", "port_range": [7000, 7001]}
+LEAST = {
+    "node_name": "core-1",
+    "role": "control-plane",
+    "machine_class": "core",
+    "ip": "10.0.0.1",
+    "zone": "a",
+    "region": "r",
+    "port_range": [7000, 7001],
+}
 WHOLE = """
 node_name = "core-1"
 role = "control-plane"
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -29,7 +29,7 @@
 @contextmanager
 def program(tmp_path: Path, change: dict, files: int = 1024, fronts: str | None = None) -> Iterator:
     """The program on a changed example configuration, and its listening address."""
-    held, port = hold_port()                   # nobody else is given it meanwhile
+    held, port = hold_port()  # nobody else is given it meanwhile
     raw = json.loads((EXAMPLE / "config.json").read_text()) | {"listen": f"127.0.0.1:{port}"} | change
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
@@ -38,8 +38,12 @@
         (tmp_path / "fronts.json").write_text(fronts)
         env["MALLOWBEAM_FRONTS"] = str(tmp_path / "fronts.json")
     process = subprocess.Popen(
-        [sys.executable, "-m", "mallowbeam"], env=env, stderr=subprocess.PIPE, text=True,
-        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (files, files)))
+        [sys.executable, "-m", "mallowbeam"],
+        env=env,
+        stderr=subprocess.PIPE,
+        text=True,
+        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (files, files)),
+    )
     watchdog = threading.Timer(2 * PATIENCE, process.kill)  # a test that waits for ever fails instead
     watchdog.start()
     try:
@@ -71,23 +75,35 @@
     with program(tmp_path, {}) as (process, address), connect(address) as sock:
         assert healthy(sock)
         process.send_signal(signal.SIGTERM)
-        with connect(address) as late:         # new connections are still taken for a while
+        with connect(address) as late:  # new connections are still taken for a while
             late.sendall(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n")
             assert late.recv(4096).startswith(b"HTTP/1.1 503")
         assert process.wait(PATIENCE) == 0
         assert "Traceback" not in process.stderr.read()
 
 
-@pytest.mark.parametrize(("change", "fronts", "word"), [
-    ({"settings": {}}, None, "classes"), ({"known": {"members": 3}}, None, "malformed"),
-    ({"listen": "nowhere"}, None, "nowhere"), ({"listen": "192.0.2.1:80"}, None, "listen"),
-    ({"settings": None}, None, "malformed"), ({"discovery": "x"}, None, "address"),
-    ({"limits": {"sockets": 63}}, None, "sockets"),
-    ({"limits": {"sockets": 64}, "admin_addr": "127.0.0.1:0"},
-     '{"health": {"listen": "127.0.0.1:0"}, "agent_check": {"listen": "127.0.0.1:0"}}', "limits.sockets"),
-    ({"limits": {"memory_mb": 0}}, None, "memory"),
-    ({}, "{", "fronts.json"), ({}, '{"health": {"listen": "x"}}', "health.listen"),
-    ({}, '{"objects": {"listen": "127.0.0.1:1"}}', "objects: "), ({}, '{"objects": 3}', "objects: expected")])
+@pytest.mark.parametrize(
+    ("change", "fronts", "word"),
+    [
+        ({"settings": {}}, None, "classes"),
+        ({"known": {"members": 3}}, None, "malformed"),
+        ({"listen": "nowhere"}, None, "nowhere"),
+        ({"listen": "192.0.2.1:80"}, None, "listen"),
+        ({"settings": None}, None, "malformed"),
+        ({"discovery": "x"}, None, "address"),
+        ({"limits": {"sockets": 63}}, None, "sockets"),
+        (
+            {"limits": {"sockets": 64}, "admin_addr": "127.0.0.1:0"},
+            '{"health": {"listen": "127.0.0.1:0"}, "agent_check": {"listen": "127.0.0.1:0"}}',
+            "limits.sockets",
+        ),
+        ({"limits": {"memory_mb": 0}}, None, "memory"),
+        ({}, "{", "fronts.json"),
+        ({}, '{"health": {"listen": "x"}}', "health.listen"),
+        ({}, '{"objects": {"listen": "127.0.0.1:1"}}', "objects: "),
+        ({}, '{"objects": 3}', "objects: expected"),
+    ],
+)
 def test_a_bad_configuration_ends_it_with_one_plain_line(tmp_path, change, fronts, word):
     with program(tmp_path, change, fronts=fronts) as (process, _):
         _, text = process.communicate(timeout=PATIENCE)
@@ -97,24 +113,27 @@
 
 def test_a_start_waits_for_no_answer_of_discovery():
     """Guards the return of many at once: it turns them all away, and each is ready from its own list."""
-    first, = starts.run(count=1, hosts=3)
+    (first,) = starts.run(count=1, hosts=3)
     assert first.ready_s < starts.PATIENCE and first.cpu_s > 0 and first.peak_kb > 0
 
 
 def test_a_start_loads_only_what_is_on():
     """Guards the return of many at once: each second without a gateway loses its requests."""
-    run = subprocess.run([sys.executable, "-c",
-                          "import sys, mallowbeam.__main__, mallowbeam.program; print(*sys.modules)"],
-                         capture_output=True, text=True, check=True)
+    run = subprocess.run(
+        [sys.executable, "-c", "import sys, mallowbeam.__main__, mallowbeam.program; print(*sys.modules)"],
+        capture_output=True,
+        text=True,
+        check=True,
+    )
     assert not {"mallowbeam.fronts.objects", "xml.sax", "urllib.request"} & set(run.stdout.split())
 
 
 def test_no_configuration_at_all():
     env = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER")}
-    run = subprocess.run([sys.executable, "-m", "mallowbeam"], env=env, capture_output=True, text=True,
-                         check=False)
-    assert run.returncode == 2 and run.stderr.startswith(
-        "mallowbeam: BALANCER_CONFIG is not set (")
+    run = subprocess.run(
+        [sys.executable, "-m", "mallowbeam"], env=env, capture_output=True, text=True, check=False
+    )
+    assert run.returncode == 2 and run.stderr.startswith("mallowbeam: BALANCER_CONFIG is not set (")
 
 
 def test_descriptors_running_out_crash_nothing(tmp_path):
@@ -191,11 +210,15 @@
     """The program, held in the middle of its start: it waits for its file until the last is called."""
     path = tmp_path / "config.json"
     os.mkfifo(path)
-    process = subprocess.Popen([sys.executable, "-m", "mallowbeam"], stderr=subprocess.PIPE, text=True,
-                               env={**os.environ, "BALANCER_CONFIG": str(path)})
+    process = subprocess.Popen(
+        [sys.executable, "-m", "mallowbeam"],
+        stderr=subprocess.PIPE,
+        text=True,
+        env={**os.environ, "BALANCER_CONFIG": str(path)},
+    )
     watchdog = threading.Timer(PATIENCE, process.kill)
     watchdog.start()
-    file = open(path, "w")                     # it has come so far
+    file = open(path, "w")  # it has come so far
     try:
         yield process, path, lambda: (file.write(json.dumps(raw)), file.close())
     finally:
@@ -207,9 +230,11 @@
 def test_a_sighup_in_the_middle_of_the_start_is_not_lost(tmp_path):
     """The crossing: the file that says where discovery is now replaces one that is being read."""
     old, new = socket.create_server(("127.0.0.1", 0)), socket.create_server(("127.0.0.1", 0))
-    raws = [json.loads((EXAMPLE / "config.json").read_text()) | {
-                "listen": f"127.0.0.1:{free_port()}", "discovery": "{}:{}".format(*sock.getsockname())}
-            for sock in (old, new)]
+    raws = [
+        json.loads((EXAMPLE / "config.json").read_text())
+        | {"listen": f"127.0.0.1:{free_port()}", "discovery": "{}:{}".format(*sock.getsockname())}
+        for sock in (old, new)
+    ]
     with old, new, starting(tmp_path, raws[0]) as (process, path, go_on):
         (tmp_path / "new").write_text(json.dumps(raws[1]))
         (tmp_path / "new").rename(path)
@@ -222,12 +247,14 @@
 
 def test_a_sighup_while_the_program_is_loaded_does_not_end_it():
     """The crossing: it comes with the first import of the gateway's own files."""
-    code = ("import os, runpy, signal, sys\n"
-            "class Crossing:\n"
-            "    def find_spec(name, *_):\n"
-            "        if name == 'mallowbeam.program': os.kill(os.getpid(), signal.SIGHUP)\n"
-            "sys.meta_path.insert(0, Crossing)\n"
-            "runpy.run_module('mallowbeam', run_name='__main__')\n")
+    code = (
+        "import os, runpy, signal, sys\n"
+        "class Crossing:\n"
+        "    def find_spec(name, *_):\n"
+        "        if name == 'mallowbeam.program': os.kill(os.getpid(), signal.SIGHUP)\n"
+        "sys.meta_path.insert(0, Crossing)\n"
+        "runpy.run_module('mallowbeam', run_name='__main__')\n"
+    )
     env = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER")}
     run = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True, check=False)
     assert run.returncode == 2 and "BALANCER_CONFIG is not set" in run.stderr
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -12,12 +12,18 @@
 NEVER_RAN = (io.Outcome.REJECTED, io.Outcome.ASTRAY, io.Outcome.NO_CONNECTION, io.Outcome.NOT_SENT)
 CLASSES = ("read", "log", "keyed", "ordered")
 MOVE = st.one_of(
-    st.tuples(st.just("ask"), st.sampled_from(CLASSES), st.integers(-1, 2), st.integers(1, 8),
-              st.sampled_from(["gold", "basic"])),
+    st.tuples(
+        st.just("ask"),
+        st.sampled_from(CLASSES),
+        st.integers(-1, 2),
+        st.integers(1, 8),
+        st.sampled_from(["gold", "basic"]),
+    ),
     st.tuples(st.just("end"), st.sampled_from(list(io.Outcome)), st.integers(0, 50)),
     st.tuples(st.just("gone"), st.integers(0, 50)),
     st.tuples(st.just("list"), st.integers(0, 2), st.sampled_from(list(io.NodeState)), st.booleans()),
-    st.tuples(st.just("wait"), st.floats(0.002, 0.6)))
+    st.tuples(st.just("wait"), st.floats(0.002, 0.6)),
+)
 
 
 class Referee:
@@ -73,8 +79,12 @@
             self.at = now
             assert self.level >= -SLACK - 1e-6, "over the limit"
         if cls.ordered:
-            turn = [r for r in self.asked.values() if r.cls == request.cls and (
-                r.request not in self.over or any(k[0] == r.request for k in self.out))]
+            turn = [
+                r
+                for r in self.asked.values()
+                if r.cls == request.cls
+                and (r.request not in self.over or any(k[0] == r.request for k in self.out))
+            ]
             assert turn[0].request == send.request, "out of turn"
         self.out[(send.request, number)] = send.node
         self.sent.append((now, send.node, send.request, request.units))
@@ -92,8 +102,19 @@
 @given(st.lists(MOVE, max_size=120))
 @example([("ask", "read", 0, 1, "basic"), ("ask", "log", 0, 1, "gold"), ("end", io.Outcome.ASTRAY, 0)])
 def test_rules_hold_whatever_comes(moves):
-    rig = Rig(nodes=3, cold_units=24.0, cold_start=0.2, cold_time=10.0, fall_multiple=2.0, fall_window=2.0,
-              hosts=2, budget_floor=3.0, budget_share=0.1, budget_window=5.0, order_settle=0.1)
+    rig = Rig(
+        nodes=3,
+        cold_units=24.0,
+        cold_start=0.2,
+        cold_time=10.0,
+        fall_multiple=2.0,
+        fall_window=2.0,
+        hosts=2,
+        budget_floor=3.0,
+        budget_share=0.1,
+        budget_window=5.0,
+        order_settle=0.1,
+    )
     referee = Referee(rig)
     referee.taken_at = {}
     plain_step = rig.step
@@ -107,8 +128,14 @@
     for move in moves:
         if move[0] == "ask":
             _, cls, shard, units, plan = move
-            request = rig.request(cls, shard=None if shard < 0 else shard, units=units, plan=plan,
-                                  volume=plan, key="0a" if cls == "ordered" else f"{rig.count:016x}")
+            request = rig.request(
+                cls,
+                shard=None if shard < 0 else shard,
+                units=units,
+                plan=plan,
+                volume=plan,
+                key="0a" if cls == "ordered" else f"{rig.count:016x}",
+            )
             referee.asked[request.request] = request
             referee.deadline[request.request] = rig.now + request.expires_in
             referee.taken_at[request.request] = rig.now
@@ -119,7 +146,8 @@
             outcome = move[1]
             if outcome not in NEVER_RAN:
                 referee.ran.setdefault(request, []).append(
-                    next(t for t, _, r, _ in referee.sent if r == request))
+                    next(t for t, _, r, _ in referee.sent if r == request)
+                )
             served = outcome is io.Outcome.OK and request not in referee.over
             if served:
                 referee.over.add(request)
@@ -137,8 +165,11 @@
             since = rig.now if restarted else referee.cold.get(name)
             if restarted and state is io.NodeState.READY:
                 referee.cold[name] = rig.now
-            step(io.NodesListed(io.ListKind.CHANGES, 2, [io.NodeEntry(name, state, number, "ab"[number % 2],
-                                                                      since)]))
+            step(
+                io.NodesListed(
+                    io.ListKind.CHANGES, 2, [io.NodeEntry(name, state, number, "ab"[number % 2], since)]
+                )
+            )
         elif move[0] == "wait":
             rig.wait(move[1])
     rig.wait(4.0)
@@ -160,4 +191,5 @@
             sends += of(actions, io.Send)
             seen.append(actions)
         return seen
+
     assert play() == play()
--- a/tests/test_registry_parse.py
+++ b/tests/test_registry_parse.py
@@ -19,14 +19,22 @@
 from mallowbeam.rpc.messages_pb2 import DRAINS, READY, Instance, Model
 
 GOOD: dict[str, object] = {
-    "backend": "chat", "address": "10.1.2.3:8080", "zone": "north", "revision": "v1", "slots": 64,
-    "state": "ready", "warmup_left_ms": 250, "stage": "decode",
-    "models": [{"name": "m", "revision": 3, "adapters": []}], "sequence": 4,
+    "backend": "chat",
+    "address": "10.1.2.3:8080",
+    "zone": "north",
+    "revision": "v1",
+    "slots": 64,
+    "state": "ready",
+    "warmup_left_ms": 250,
+    "stage": "decode",
+    "models": [{"name": "m", "revision": 3, "adapters": []}],
+    "sequence": 4,
 }
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=8), inner, max_size=3),
-    max_leaves=8)
+    max_leaves=8,
+)
 
 
 def body(**changes: object) -> bytes:
@@ -41,10 +49,22 @@
         self.assertEqual((caught.exception.code, caught.exception.where), (code, where))
 
     def test_whole_heartbeat(self) -> None:
-        self.assertEqual(parse_heartbeat("i-1", body()), Instance(
-            id="i-1", backend="chat", address="10.1.2.3:8080", zone="north", revision="v1", slots=64,
-            state=READY, warmup_left_ms=250, stage="decode", sequence=4,
-            models=[Model(name="m", revision=3)]))
+        self.assertEqual(
+            parse_heartbeat("i-1", body()),
+            Instance(
+                id="i-1",
+                backend="chat",
+                address="10.1.2.3:8080",
+                zone="north",
+                revision="v1",
+                slots=64,
+                state=READY,
+                warmup_left_ms=250,
+                stage="decode",
+                sequence=4,
+                models=[Model(name="m", revision=3)],
+            ),
+        )
 
     def test_unknown_fields_are_skipped(self) -> None:
         self.assertEqual(parse_heartbeat("i-1", body(later={"a": [1]})), parse_heartbeat("i-1", body()))
@@ -52,8 +72,10 @@
     def test_what_may_be_absent(self) -> None:
         absent = ["zone", "revision", "slots", "warmup_left_ms", "stage", "models"]
         heartbeat = parse_heartbeat("i-1", body(**dict.fromkeys(absent, ...), state="draining"))
-        self.assertEqual(heartbeat, Instance(id="i-1", backend="chat", address="10.1.2.3:8080", slots=1,
-                                             state=DRAINS, sequence=4))
+        self.assertEqual(
+            heartbeat,
+            Instance(id="i-1", backend="chat", address="10.1.2.3:8080", slots=1, state=DRAINS, sequence=4),
+        )
 
     def test_what_must_be_there(self) -> None:
         for name in ("backend", "address", "state", "sequence"):
@@ -74,18 +96,42 @@
         self.refused("HEARTBEAT_TOO_LARGE", "body", body() + b" " * MOST_BODY_BYTES)
 
     def test_types(self) -> None:
-        for name, wrong in (("slots", True), ("slots", 1.5), ("slots", "8"), ("sequence", 4.0), ("zone", 7),
-                            ("state", "gone"), ("state", ["ready"]), ("models", {}), ("warmup_left_ms", "1"),
-                            ("warmup_left_ms", True), ("stage", "\ud800")):
+        for name, wrong in (
+            ("slots", True),
+            ("slots", 1.5),
+            ("slots", "8"),
+            ("sequence", 4.0),
+            ("zone", 7),
+            ("state", "gone"),
+            ("state", ["ready"]),
+            ("models", {}),
+            ("warmup_left_ms", "1"),
+            ("warmup_left_ms", True),
+            ("stage", "\ud800"),
+        ):
             with self.subTest(name=name, wrong=wrong):
                 self.refused("HEARTBEAT_BAD_FIELD", name, body(**{name: wrong}))
-        self.refused("HEARTBEAT_BAD_FIELD", "models[1].revision", body(models=[{"name": "a"}, {
-            "name": "b", "revision": -1}]))
+        self.refused(
+            "HEARTBEAT_BAD_FIELD",
+            "models[1].revision",
+            body(models=[{"name": "a"}, {"name": "b", "revision": -1}]),
+        )
         self.refused("HEARTBEAT_BAD_FIELD", "models[0]", body(models=["a"]))
 
     def test_addresses(self) -> None:
-        for wrong in ("10.1.2.3", "10.1.2.3:0", "10.1.2.3:65536", "256.1.2.3:80", "host:80", "10.1.2.3:80 ",
-                      "", "\u0661.1.1.1:80", "1.1.1.1:80\n", None, 4):
+        for wrong in (
+            "10.1.2.3",
+            "10.1.2.3:0",
+            "10.1.2.3:65536",
+            "256.1.2.3:80",
+            "host:80",
+            "10.1.2.3:80 ",
+            "",
+            "\u0661.1.1.1:80",
+            "1.1.1.1:80\n",
+            None,
+            4,
+        ):
             with self.subTest(wrong):
                 self.refused("HEARTBEAT_BAD_FIELD", "address", body(address=wrong))
 
--- a/tests/test_registry_processes.py
+++ b/tests/test_registry_processes.py
@@ -26,7 +26,7 @@
     from test_registry_world import World
 
 TICK = 0.02
-INTERVAL = 1.2                                 # between two heartbeats of an instance
+INTERVAL = 1.2  # between two heartbeats of an instance
 STATES = {READY: "ready", DRAINS: "draining"}
 
 
@@ -73,8 +73,16 @@
     member: str = ""
 
     def heartbeat(self, sequence: int, state: int) -> Instance:
-        return Instance(id=self.id, backend=self.backend, address=self.address, zone="z", slots=8,
-                        state=state, stage=self.stage, sequence=sequence)
+        return Instance(
+            id=self.id,
+            backend=self.backend,
+            address=self.address,
+            zone="z",
+            slots=8,
+            state=state,
+            stage=self.stage,
+            sequence=sequence,
+        )
 
 
 class Member:
@@ -82,7 +90,7 @@
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name, self.up, self.frozen = world, name, False, False
-        self.durable = 0                       # log entries on its disk
+        self.durable = 0  # log entries on its disk
         self.links: dict[str, Connection] = {}
 
     def start(self, now: float) -> None:
@@ -94,7 +102,7 @@
         self.census = GatewayCensus()
         self.current_at = now - 10.0
         self.in_touch_since: float | None = None
-        for entry in self.world.log[:self.durable]:
+        for entry in self.world.log[: self.durable]:
             self.apply(entry, now)
 
     def apply(self, entry: RetireInstance | int, now: float) -> None:
@@ -113,7 +121,7 @@
             self.in_touch_since = now if self.in_touch_since is None else self.in_touch_since
             if now - self.in_touch_since >= self.world.election:
                 self.current_at = now
-                for entry in self.world.log[self.durable:]:
+                for entry in self.world.log[self.durable :]:
                     self.apply(entry, now)
                 self.durable = len(self.world.log)
         else:
@@ -132,8 +140,11 @@
                 if name != self.name:
                     self.world.send_peer(self.name, name, batch)
         if self.table.ask_whole(now, missing):
-            others = [name for name in self.world.members
-                      if name != self.name and self.world.joined(self.name, name)]
+            others = [
+                name
+                for name in self.world.members
+                if name != self.name and self.world.joined(self.name, name)
+            ]
             if others:
                 ask = RegistryGossip(wants_whole=True, gateways=len(self.publisher))
                 self.world.send_peer(self.name, self.world.random.choice(others), ask)
@@ -149,8 +160,12 @@
     def feed(self, now: float) -> None:
         silence = round((now - self.current_at) * 1000)
         gate = ServingGate(lambda: now, lambda: now - self.current_at, lambda: False)
-        status = MemberStatus(silence, self.census.total(len(self.publisher), now),
-                              tuple(f"{name}:1" for name in self.world.members), gate.feed_allowance())
+        status = MemberStatus(
+            silence,
+            self.census.total(len(self.publisher), now),
+            tuple(f"{name}:1" for name in self.world.members),
+            gate.feed_allowance(),
+        )
         for batch in self.publisher.frames(now, status):
             frame = FeedFrame.FromString(batch.encoded[4:])
             for number in batch.subscribers:
@@ -163,9 +178,12 @@
     def __init__(self, world: World, name: str, seeds: list[str]) -> None:
         self.world, self.name = world, name
         self.subscriber: FeedSubscriber[int] = world.subscriber_type(
-            [f"{seed}:1" for seed in seeds], "z", Random(world.random.random()),
-            lambda held, update: update.revision)
-        self.number = 0                        # of its present connection
+            [f"{seed}:1" for seed in seeds],
+            "z",
+            Random(world.random.random()),
+            lambda held, update: update.revision,
+        )
+        self.number = 0  # of its present connection
         self.dialling: tuple[str, float] | None = None
         self.connects = 0
         self.revision = 0
@@ -194,7 +212,7 @@
         if member is None or not member.up:
             self.dialling = None
             if self.world.path(self.name, name) and self.world.path(name, self.name):
-                self.subscriber.failed(address, now)   # refused at once
+                self.subscriber.failed(address, now)  # refused at once
         elif self.world.joined(self.name, name):
             self.dialling = None
             self.number = self.world.open_feed(self, member)
--- a/tests/test_registry_random.py
+++ b/tests/test_registry_random.py
@@ -16,7 +16,7 @@
 from mallowbeam.rpc.messages_pb2 import DRAINING, DRAINS, GONE
 
 TROUBLES_UNTIL = 30.0
-CALM = 16.0                                    # expiry, completeness, a member left aside
+CALM = 16.0  # expiry, completeness, a member left aside
 SEEDS = range(1, 31)
 
 
@@ -36,9 +36,30 @@
         return self.random.choice(running) if running else None
 
     def step(self) -> None:
-        kinds = ["kill", "restart", "restart", "freeze", "thaw", "thaw", "cut", "cut", "one_way", "heal",
-                 "heal", "drain", "drain", "delete", "crash", "start", "reuse", "put", "put", "late", "stage",
-                 "all"]
+        kinds = [
+            "kill",
+            "restart",
+            "restart",
+            "freeze",
+            "thaw",
+            "thaw",
+            "cut",
+            "cut",
+            "one_way",
+            "heal",
+            "heal",
+            "drain",
+            "drain",
+            "delete",
+            "crash",
+            "start",
+            "reuse",
+            "put",
+            "put",
+            "late",
+            "stage",
+            "all",
+        ]
         getattr(self, self.random.choice(kinds))()
 
     def kill(self) -> None:
@@ -120,8 +141,11 @@
             self.world.servers[id].stage = self.random.choice(["prefill", "decode"])
 
 
-def play(seed: int, table_type: type[InstanceTable] = InstanceTable,
-         subscriber_type: type[FeedSubscriber[int]] = FeedSubscriber) -> None:
+def play(
+    seed: int,
+    table_type: type[InstanceTable] = InstanceTable,
+    subscriber_type: type[FeedSubscriber[int]] = FeedSubscriber,
+) -> None:
     """One random scenario; raises Broken."""
     random = Random(seed)
     members = [f"m{number}" for number in range(1, random.choice([1, 3, 3, 5]) + 1)]
--- a/tests/test_registry_scenarios.py
+++ b/tests/test_registry_scenarios.py
@@ -32,13 +32,21 @@
 class Player:
     """Plays one scenario; raises Broken where it does not hold, with the line."""
 
-    def __init__(self, text: str, table_type: type[InstanceTable] = InstanceTable,
-                 subscriber_type: type[FeedSubscriber[int]] = FeedSubscriber) -> None:
+    def __init__(
+        self,
+        text: str,
+        table_type: type[InstanceTable] = InstanceTable,
+        subscriber_type: type[FeedSubscriber[int]] = FeedSubscriber,
+    ) -> None:
         lines = [(number, line.split("#")[0].split()) for number, line in enumerate(text.splitlines(), 1)]
         self.lines = [(number, words) for number, words in lines if words]
         names = {words[0]: words[1:] for _, words in self.lines if words[0] not in ("at", "never", "end")}
-        self.world = World(names["members"], names.get("gateways", []), table_type=table_type,
-                           subscriber_type=subscriber_type)
+        self.world = World(
+            names["members"],
+            names.get("gateways", []),
+            table_type=table_type,
+            subscriber_type=subscriber_type,
+        )
         for id in names.get("instances", []):
             self.world.start_server(id)
         self.nevers: list[tuple[str, str, str, float, float]] = []
