--- a/tests/test_registry_table.py
+++ b/tests/test_registry_table.py
@@ -22,12 +22,20 @@
     RegistryGossip,
 )
 
-STEP = 0.25                                    # between two calls of expire()
+STEP = 0.25  # between two calls of expire()
 
 
 def beat(id: str = "a", sequence: int = 1, state: int = READY, address: str = "", **more: object) -> Instance:
-    return Instance(id=id, backend="s", address=address or f"10.0.0.{ord(id[0]) % 200}:80", zone="z", slots=4,
-                    state=state, sequence=sequence, **more)
+    return Instance(
+        id=id,
+        backend="s",
+        address=address or f"10.0.0.{ord(id[0]) % 200}:80",
+        zone="z",
+        slots=4,
+        state=state,
+        sequence=sequence,
+        **more,
+    )
 
 
 def states(table: InstanceTable) -> dict[str, int]:
@@ -193,7 +201,7 @@
         self.one.heard(beat(sequence=1), 1.0)
         self.other.merge(self.one.gossip(3.0), 103.0)
         run(self.other, 103.0, 106.4)
-        self.other.out_of_touch(0.0)           # as though it had been in touch all the time
+        self.other.out_of_touch(0.0)  # as though it had been in touch all the time
         self.assertEqual(states(self.other), {"a": READY})
         self.assertEqual(self.other.expire(106.45), ["a"])
 
@@ -227,7 +235,7 @@
         self.one.heard(beat(sequence=1), 0.1)
         self.other.merge(self.one.gossip(0.1), 0.1)
         self.one.heard(beat(sequence=2, stage="prefill"), 1.1)
-        self.one.gossip(1.1)                   # lost
+        self.one.gossip(1.1)  # lost
         self.one.heard(beat(sequence=3, stage="prefill"), 2.1)
         self.other.merge(self.one.gossip(2.1), 2.1)
         self.assertTrue(self.other.merge(self.one.whole(2.2), 2.2))
@@ -242,7 +250,7 @@
         self.assertFalse(self.one.ask_whole(3.0))
         batch = RegistryGossip()
         batch.seen.add(id="x", sequence=4)
-        self.one.merge(batch, 3.0)             # of an instance that is not known here
+        self.one.merge(batch, 3.0)  # of an instance that is not known here
         self.assertTrue(self.one.ask_whole(3.1))
         self.one.merge(self.other.whole(3.2), 3.2)
         self.assertFalse(self.one.ask_whole(4.0))
@@ -273,8 +281,10 @@
         for source in sources:
             table.merge(source.whole(2.0), 2.0)
             expected.merge(source.whole(2.0), 2.0)
-        known = [{i.id: (i.state, i.stage if i.state != ENDED else "") for i in t.changes_since(-1).instances}
-                 for t in (expected, table)]
+        known = [
+            {i.id: (i.state, i.stage if i.state != ENDED else "") for i in t.changes_since(-1).instances}
+            for t in (expected, table)
+        ]
         self.assertEqual(known[0], known[1])
 
 
@@ -302,8 +312,15 @@
             id = random.choice("abcdef")
             if random.random() < 0.1:
                 table.retire(id, random.choice([DRAINING, GONE]), now)
-            table.heard(beat(id, sequence, stage=random.choice(["prefill", "decode"]),
-                             address=f"10.0.0.{random.randint(1, 4)}:80"), now)
+            table.heard(
+                beat(
+                    id,
+                    sequence,
+                    stage=random.choice(["prefill", "decode"]),
+                    address=f"10.0.0.{random.randint(1, 4)}:80",
+                ),
+                now,
+            )
             table.expire(now)
             if random.random() < 0.2:
                 copies.append((table.version, whole(table)))
@@ -320,8 +337,11 @@
 
 
 def decided(instances: dict[str, Instance]) -> dict[str, tuple[int, str, str]]:
-    return {id: (instance.state, instance.stage, instance.address) for id, instance in instances.items()
-            if instance.state != ENDED}
+    return {
+        id: (instance.state, instance.stage, instance.address)
+        for id, instance in instances.items()
+        if instance.state != ENDED
+    }
 
 
 class Census(unittest.TestCase):
--- a/tests/test_registry_world.py
+++ b/tests/test_registry_world.py
@@ -18,17 +18,23 @@
 from mallowbeam.registry import Heard, InstanceTable
 from mallowbeam.rpc.messages_pb2 import DRAINS, GONE, READY, FeedHello, RegistryGossip, RetireInstance
 
-LINK_TIMEOUT = 1.5                             # unacknowledged bytes end a connection
-DRAIN_BOUND = 2.0                              # after an acknowledgement, no gateway uses the instance
-CONTACT = 3.0                                  # what has been in touch for so long has to keep the bounds
+LINK_TIMEOUT = 1.5  # unacknowledged bytes end a connection
+DRAIN_BOUND = 2.0  # after an acknowledgement, no gateway uses the instance
+CONTACT = 3.0  # what has been in touch for so long has to keep the bounds
 
 
 class World:
     """All processes, the paths between them, and the clock."""
 
-    def __init__(self, members: list[str], gateways: list[str], seed: int = 1,
-                 table_type: type[InstanceTable] = InstanceTable,
-                 subscriber_type: type[FeedSubscriber[int]] = FeedSubscriber, election: float = 0.3) -> None:
+    def __init__(
+        self,
+        members: list[str],
+        gateways: list[str],
+        seed: int = 1,
+        table_type: type[InstanceTable] = InstanceTable,
+        subscriber_type: type[FeedSubscriber[int]] = FeedSubscriber,
+        election: float = 0.3,
+    ) -> None:
         self.random = Random(seed)
         self.now = 0.0
         self.table_type, self.subscriber_type, self.election = table_type, subscriber_type, election
@@ -37,8 +43,8 @@
         self.feeds: dict[int, Connection] = {}
         self.last_feed = 0
         self.servers: dict[str, Server] = {}
-        self.acknowledged: dict[str, float] = {}       # id to the time of its first acknowledged retirement
-        self.healed_at = 0.0                           # when trouble was last seen
+        self.acknowledged: dict[str, float] = {}  # id to the time of its first acknowledged retirement
+        self.healed_at = 0.0  # when trouble was last seen
         self.members: dict[str, Member] = {}
         for name in members:
             self.members[name] = Member(self, name)
@@ -61,8 +67,9 @@
 
     def flows(self, connection: Connection) -> bool:
         """Whether bytes arrive: acknowledgements need the way back."""
-        return (self.path(connection.sender, connection.recipient)
-                and self.path(connection.recipient, connection.sender))
+        return self.path(connection.sender, connection.recipient) and self.path(
+            connection.recipient, connection.sender
+        )
 
     def send_peer(self, sender: str, recipient: str, gossip: RegistryGossip) -> None:
         link = self.members[sender].links.get(recipient)
@@ -187,7 +194,7 @@
         command = RetireInstance(id=id, kind=kind)
         self.log.append(command)
         if member.in_touch_since is not None:
-            for entry in self.log[member.durable:]:
+            for entry in self.log[member.durable :]:
                 member.apply(entry, self.now)
             member.durable = len(self.log)
         self.acknowledged.setdefault(id, self.now)
--- a/tests/test_relay_patience.py
+++ b/tests/test_relay_patience.py
@@ -12,7 +12,7 @@
 from mallowbeam.streams.silence import client_patience_s, resume_after_s
 
 TARGET_S, GAP_S, TIME_S = 0.25, 0.3, 60.0
-INSTANCES = 2                  # that a request may be sent to
+INSTANCES = 2  # that a request may be sent to
 
 
 def patience_after(sends: int, resumable: bool = True) -> float:
--- a/tests/test_replayed.py
+++ b/tests/test_replayed.py
@@ -20,8 +20,13 @@
     """The digest can fail: another size of one request changes it."""
     (settings, steps), digest = load(FILE.read_bytes())
     at = next(n for n, (_, came) in enumerate(steps) if any(isinstance(e, io.RequestArrived) for e in came))
-    steps[at] = (steps[at][0], [replace(event, units=event.units % 8 + 1)
-                                if isinstance(event, io.RequestArrived) else event for event in steps[at][1]])
+    steps[at] = (
+        steps[at][0],
+        [
+            replace(event, units=event.units % 8 + 1) if isinstance(event, io.RequestArrived) else event
+            for event in steps[at][1]
+        ],
+    )
     assert sha256(replay((settings, steps), digits=4)).hexdigest() != digest
 
 
--- a/tests/test_rpc_connection.py
+++ b/tests/test_rpc_connection.py
@@ -51,9 +51,10 @@
                 taken.append(body)
                 if len(taken) > ends_at:
                     connection.abort()
+
             connection = self.open(received)
             connection.data_received(encoded(b"0", b"1", b"2"))
-            self.assertEqual(taken, [b"0", b"1", b"2"][:ends_at + 1])
+            self.assertEqual(taken, [b"0", b"1", b"2"][: ends_at + 1])
 
     async def test_a_read_behind_the_end_is_not_handed_on(self) -> None:
         taken: list[bytes] = []
--- a/tests/test_rules_budget.py
+++ b/tests/test_rules_budget.py
@@ -14,11 +14,13 @@
 
 PROMPT = {"Token-Usage": "1000,5", "Prompt-Prefix": "aa:600,bb:400"}
 ROUTES = configuration(
-    route("/safe/", "safe", max_retries=3), route("/unsafe/", "unsafe", max_retries=3),
+    route("/safe/", "safe", max_retries=3),
+    route("/unsafe/", "unsafe", max_retries=3),
     route("/stream/", "stream", ENGINE, gap_aim_ms=100, max_retries=3),
-    route("/resume/", "stream", ENGINE, resumable=True, gap_aim_ms=100, max_retries=3))
+    route("/resume/", "stream", ENGINE, resumable=True, gap_aim_ms=100, max_retries=3),
+)
 BUDGET = 50
-MOST_INSTANCES = 3          # of each route
+MOST_INSTANCES = 3  # of each route
 
 
 def one_too_many(arrivals: int, first_prefill_taken: bool) -> int:
@@ -29,8 +31,9 @@
 class Charged(unittest.TestCase):
     """The budget's charge is what the service sees, for every way that a request can go."""
 
-    def ask(self, target: str, faults: dict[str, Sequence[Fault]], readers: Sequence[str] = (),
-            lost: bool = False) -> tuple[int, int, list[int]]:
+    def ask(
+        self, target: str, faults: dict[str, Sequence[Fault]], readers: Sequence[str] = (), lost: bool = False
+    ) -> tuple[int, int, list[int]]:
         """Status, what was charged, and arrivals at each instance."""
         result: list[tuple[int, int, list[int]]] = []
 
@@ -46,6 +49,7 @@
                 budget = bench.gateway.budgets.of(backend)
                 left = int(budget.available(now(), 1))
                 result.append((answer.status, BUDGET - left, [len(one.seen) for one in instances]))
+
         play(scenario())
         return result[0]
 
@@ -54,8 +58,9 @@
 
     def test_one_that_is_rejected_does_and_no_second_one_is_made(self) -> None:
         for fault in (Fault.REJECT, Fault.MISDIRECT, Fault.FAIL, Fault.RESET):
-            self.assertEqual(self.ask("/stream/", {"p-1": [fault]}, ["p-1", "p-2"]),
-                             (200, 1, [1, 0, 1, 0, 0]), fault)
+            self.assertEqual(
+                self.ask("/stream/", {"p-1": [fault]}, ["p-1", "p-2"]), (200, 1, [1, 0, 1, 0, 0]), fault
+            )
 
     def test_each_arrival_after_the_first_is_charged(self) -> None:
         for fault in (Fault.REJECT, Fault.MISDIRECT, Fault.RESET, Fault.FAIL, Fault.UNPROVEN_503):
--- a/tests/test_rules_config.py
+++ b/tests/test_rules_config.py
@@ -38,8 +38,13 @@
 class Changes(unittest.TestCase):
     """Each change is seen by the next request, on old connections and new ones."""
 
-    async def asked(self, bench: Bench, kept: tuple[asyncio.StreamReader, asyncio.StreamWriter], target: str,
-                    host: str = HOST) -> str:
+    async def asked(
+        self,
+        bench: Bench,
+        kept: tuple[asyncio.StreamReader, asyncio.StreamWriter],
+        target: str,
+        host: str = HOST,
+    ) -> str:
         """The status, or the instance that signed; the same on both connections."""
         kept[1].write(request_bytes(target, headers={"Host": host}))
         answers = [await read_answer(kept[0]), await bench.ask(target, headers={"Host": host})]
@@ -67,6 +72,7 @@
                 self.assertEqual([await self.asked(bench, kept, one) for one in ("/a/", "/b/")], ["404", OLD])
                 await change(to("/a/", (PLAIN, 1)))
                 self.assertEqual([await self.asked(bench, kept, one) for one in ("/a/", "/b/")], [OLD, "404"])
+
         play(scenario())
 
     def test_hosts_that_share_prefixes_and_prefixes_inside_others(self) -> None:
@@ -77,14 +83,22 @@
                 await bench.add(NEW, "new")
                 kept = await bench.client()
                 for host, target, expected in (
-                        (HOST, "/a/", OLD), (HOST, "/a/b", OLD), (HOST, "/a/b/", NEW),
-                        (HOST, "/a/b/c?d", NEW), (HOST, "/ab/", "404"), (HOST, "/", "404"),
-                        (OTHER, "/a/", NEW), (OTHER, "/a/b/", NEW), ("third.example", "/a/", "404")):
+                    (HOST, "/a/", OLD),
+                    (HOST, "/a/b", OLD),
+                    (HOST, "/a/b/", NEW),
+                    (HOST, "/a/b/c?d", NEW),
+                    (HOST, "/ab/", "404"),
+                    (HOST, "/", "404"),
+                    (OTHER, "/a/", NEW),
+                    (OTHER, "/a/b/", NEW),
+                    ("third.example", "/a/", "404"),
+                ):
                     self.assertEqual(await self.asked(bench, kept, target, host), expected, (host, target))
                 without = with_backend(configuration(*routes[1:]), "new")
                 bench.gateway.set_configuration(without, 0.0)
                 self.assertEqual(await self.asked(bench, kept, "/a/b/"), NEW)
                 self.assertEqual(await self.asked(bench, kept, "/a/"), "404")
+
         play(scenario())
 
     def test_a_weight_of_0_gets_nothing_and_others_their_share(self) -> None:
@@ -102,6 +116,7 @@
                 counts = Counter({name: len(one.seen) for name, one in instances.items()})
                 self.assertGreater(counts[PLAIN], 240)
                 self.assertGreater(counts["new"], 100 + 60)
+
         play(scenario())
 
     def test_routes_added_later_are_served_as_well(self) -> None:
@@ -113,16 +128,19 @@
                 bench.gateway.set_configuration(configuration(*first, *later), 0.0)
                 for one in (*first, *later):
                     self.assertEqual((await bench.ask(one.path_prefix)).status, 200, one.path_prefix)
+
         play(scenario())
 
     def test_nothing_is_sent_to_a_service_that_no_route_names_any_more(self) -> None:
         """The second send of a request whose service was dropped meanwhile: no instance of it is left."""
+
         async def scenario() -> None:
             async with Bench(DEFAULT, ByName()) as bench:
                 one = await bench.add("d-1", ENGINE, "decode")
                 bench.gateway.set_configuration(configuration(route("/safe/", "safe")), 0.0)
                 self.assertEqual((await bench.ask("/stream/")).status, 404)
                 self.assertEqual(one.seen, [])
+
         play(scenario())
 
 
--- a/tests/test_rules_gone.py
+++ b/tests/test_rules_gone.py
@@ -19,7 +19,7 @@
 from tests.virtual_time import play
 
 GONE_S = 0.5
-AFTER_S = 10.0              # for how long nothing more may come
+AFTER_S = 10.0  # for how long nothing more may come
 LONG = {"Deadline-Ms": "60000", "Token-Usage": "1000,5", "Prompt-Prefix": "aa:600,bb:400"}
 PATHS = ("/safe/", "/unsafe/")
 STREAMS = ("/stream/", "/resume/")
@@ -40,16 +40,31 @@
 class Case(unittest.TestCase):
     WAYS: Sequence[Callable[[asyncio.StreamWriter], None]] = (closes, resets)
 
-    def leave(self, target: str, after_s: float, planner: Callable[[], Planner],
-              make: Callable[[], list[Timed]], arrivals: int, working: int) -> None:
+    def leave(
+        self,
+        target: str,
+        after_s: float,
+        planner: Callable[[], Planner],
+        make: Callable[[], list[Timed]],
+        arrivals: int,
+        working: int,
+    ) -> None:
         """Ask, leave `after_s` later, when so many requests have arrived and are worked on."""
         for way in self.WAYS:
             instances = make()
             with self.subTest(target=target, way=way.__name__):
                 play(self._leave(target, after_s, planner(), instances, arrivals, working, way))
 
-    async def _leave(self, target: str, after_s: float, planner: Planner, instances: list[Timed],
-                     arrivals: int, working: int, way: Callable[[asyncio.StreamWriter], None]) -> None:
+    async def _leave(
+        self,
+        target: str,
+        after_s: float,
+        planner: Planner,
+        instances: list[Timed],
+        arrivals: int,
+        working: int,
+        way: Callable[[asyncio.StreamWriter], None],
+    ) -> None:
         async with Bench(DEFAULT, planner) as bench:
             for one in instances:
                 await add(bench, one, ENGINE if one.stage else PLAIN)
@@ -80,34 +95,49 @@
 
     def test_before_a_further_send(self) -> None:
         """The first instance would turn it away later: nobody waits for the second one's answer."""
+
         def make() -> list[Timed]:
             first = Timed("i-1", takes_s=1.8)
             first.script.append(Fault.REJECT)
             return [first, Timed("i-2")]
+
         for target in PATHS:
             self.leave(target, 0.9, ByName, make, 1, 1)
 
     def test_while_the_prompt_is_read(self) -> None:
         for target in STREAMS:
-            self.leave(target, 0.3, lambda: ByName("p-1"),
-                       lambda: [Timed("p-1", "prefill", takes_s=1.0), Timed("d-1", "decode")], 1, 1)
+            self.leave(
+                target,
+                0.3,
+                lambda: ByName("p-1"),
+                lambda: [Timed("p-1", "prefill", takes_s=1.0), Timed("d-1", "decode")],
+                1,
+                1,
+            )
 
     def test_while_its_memory_is_handed_over(self) -> None:
         for target in STREAMS:
-            self.leave(target, 0.5, lambda: ByName("p-1"),
-                       lambda: [Timed("p-1", "prefill", takes_s=0.2), Timed("d-1", "decode", takes_s=5.0)],
-                       2, 1)
+            self.leave(
+                target,
+                0.5,
+                lambda: ByName("p-1"),
+                lambda: [Timed("p-1", "prefill", takes_s=0.2), Timed("d-1", "decode", takes_s=5.0)],
+                2,
+                1,
+            )
 
     def test_inside_a_stream(self) -> None:
         for target in STREAMS:
-            self.leave(target, 1.0, ByName,
-                       lambda: [Trickling("d-1", "decode"), Timed("d-2", "decode")], 1, 1)
+            self.leave(
+                target, 1.0, ByName, lambda: [Trickling("d-1", "decode"), Timed("d-2", "decode")], 1, 1
+            )
 
     def test_before_a_stream_that_is_silent_is_taken_up_elsewhere(self) -> None:
         def make() -> list[Timed]:
             first = Timed("d-1", "decode")
             first.script.append(Fault.PAUSE)
             return [first, Timed("d-2", "decode")]
+
         self.leave("/resume/", 0.8, ByName, make, 1, 1)
 
     def test_while_a_connection_comes_up(self) -> None:
@@ -126,6 +156,7 @@
                     self.assertEqual(second.arrivals, [])
             finally:
                 dark.close()
+
         play(scenario())
 
     def test_what_waits_behind_it_on_its_connection_is_never_sent(self) -> None:
@@ -139,10 +170,12 @@
                 writer.close()
                 await asyncio.sleep(AFTER_S)
                 self.assertEqual((len(one.arrivals), one.working), (1, 0))
+
         play(scenario())
 
     def test_one_that_stays_is_served(self) -> None:
         """The check can fail: with its client there, an instance works on."""
+
         async def scenario() -> None:
             async with Bench(DEFAULT, ByName()) as bench:
                 one = Trickling("d-1", "decode")
@@ -151,6 +184,7 @@
                 writer.write(request_bytes("/stream/", headers=LONG))
                 await asyncio.sleep(1.0 + GONE_S)
                 self.assertEqual(one.working, 1)
+
         play(scenario())
 
 
--- a/tests/test_rules_headers.py
+++ b/tests/test_rules_headers.py
@@ -9,11 +9,19 @@
 from tests.gateway_bench import ENGINE, Bench, events, read_head
 from tests.virtual_time import play
 
-SYSTEMS = {"Stage": "prefill", "Kv-From": "10.9.9.9:1/feedbeef", "Target-Instance": "i-other",
-           "Priority": "0", "Expect-Version": "77"}
-PROMPT = {"Model": "m;v=2, \"x\"", "Token-Usage": "1000, 5", "Prompt-Prefix": "aa:600, bb:400"}
-SPELLINGS = (SYSTEMS, {name.upper(): value for name, value in SYSTEMS.items()},
-             {name.lower(): f"  {value}  " for name, value in SYSTEMS.items()})
+SYSTEMS = {
+    "Stage": "prefill",
+    "Kv-From": "10.9.9.9:1/feedbeef",
+    "Target-Instance": "i-other",
+    "Priority": "0",
+    "Expect-Version": "77",
+}
+PROMPT = {"Model": 'm;v=2, "x"', "Token-Usage": "1000, 5", "Prompt-Prefix": "aa:600, bb:400"}
+SPELLINGS = (
+    SYSTEMS,
+    {name.upper(): value for name, value in SYSTEMS.items()},
+    {name.lower(): f"  {value}  " for name, value in SYSTEMS.items()},
+)
 
 
 class SystemsHeaders(unittest.TestCase):
@@ -34,6 +42,7 @@
                     self.assertEqual((await bench.ask("/unsafe/", headers=sent)).status, 200)
                     self.check(instance, instance.seen[0], None, None)
                     self.assertNotIn("kv-from", instance.seen[0].headers)
+
         play(scenario())
 
     def test_where_the_prompt_is_read_apart(self) -> None:
@@ -47,6 +56,7 @@
                     self.check(reader, reader.seen[0], "prefill", "5")
                     self.check(decoder, decoder.seen[0], None, "0")
                     self.assertTrue(decoder.seen[0].headers["kv-from"].startswith(reader.address))
+
         play(scenario())
 
     def test_at_every_further_send(self) -> None:
@@ -60,16 +70,19 @@
                 for instance in (first, second):
                     self.check(instance, instance.seen[0], None, "5")
                     self.assertNotIn("kv-from", instance.seen[0].headers)
+
         play(scenario())
 
     def test_a_client_s_expected_version_ejects_nobody(self) -> None:
         """Each 421 opens an instance's circuit: a version that nobody has would close the whole service."""
+
         async def scenario() -> None:
             async with Bench(planner=ByName()) as bench:
                 await add(bench, _OfVersion("i-1"))
                 for _ in range(3):
                     answer = await bench.ask("/safe/", headers={"Expect-Version": "77"})
                     self.assertEqual(answer.status, 200)
+
         play(scenario())
 
 
@@ -87,6 +100,7 @@
                     for name, value in PROMPT.items():
                         self.assertEqual(seen.headers[name.lower()], value, (instance.id, name))
                     self.assertEqual((seen.method, seen.target, seen.body), ("POST", "/resume/", b"question"))
+
         play(scenario())
 
     def test_no_connection_header_takes_them_away(self) -> None:
@@ -98,6 +112,7 @@
                 self.assertEqual((await bench.ask("/stream/", headers=headers)).body, events(3))
                 for name, value in PROMPT.items():
                     self.assertEqual(instance.seen[0].headers.get(name.lower()), value)
+
         play(scenario())
 
     def test_none_is_made_up(self) -> None:
@@ -107,6 +122,7 @@
                 await bench.ask("/stream/", headers={"Token-Usage": "x"})
                 self.assertEqual(instance.seen[0].headers["token-usage"], "x")
                 self.assertFalse({"model", "prompt-prefix", "last-event-id"} & set(instance.seen[0].headers))
+
         play(scenario())
 
 
@@ -129,21 +145,23 @@
                 reader, writer = await bench.client()
                 writer.write(data)
                 result.append(((await read_head(reader)).status, instance.seen))
+
         play(scenario())
         return result[0]
 
     def test_refused(self) -> None:
         for data in (
-                POST + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n" + CHUNKED,
-                POST + b"Content-Length: 5\r\nContent-Length: 6\r\n\r\nabcdef",
-                POST + b"Content-Length: +3\r\n\r\nabc",
-                POST + b"Stage : prefill\r\nContent-Length: 3\r\n\r\nabc",
-                POST + b"X-A: 1\r\n Stage: prefill\r\nContent-Length: 3\r\n\r\nabc",
-                POST + b"X-A: 1\rStage: prefill\r\nContent-Length: 3\r\n\r\nabc",
-                POST + b"X-A: a\0b\r\nContent-Length: 3\r\n\r\nabc",
-                POST.replace(b"\r\n", b"\n") + b"Content-Length: 3\n\nabc",
-                POST + b"Transfer-Encoding: identity\r\nContent-Length: 3\r\n\r\nabc",
-                POST + b"Transfer-Encoding: gzip, chunked\r\n\r\n" + CHUNKED):
+            POST + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n" + CHUNKED,
+            POST + b"Content-Length: 5\r\nContent-Length: 6\r\n\r\nabcdef",
+            POST + b"Content-Length: +3\r\n\r\nabc",
+            POST + b"Stage : prefill\r\nContent-Length: 3\r\n\r\nabc",
+            POST + b"X-A: 1\r\n Stage: prefill\r\nContent-Length: 3\r\n\r\nabc",
+            POST + b"X-A: 1\rStage: prefill\r\nContent-Length: 3\r\n\r\nabc",
+            POST + b"X-A: a\0b\r\nContent-Length: 3\r\n\r\nabc",
+            POST.replace(b"\r\n", b"\n") + b"Content-Length: 3\n\nabc",
+            POST + b"Transfer-Encoding: identity\r\nContent-Length: 3\r\n\r\nabc",
+            POST + b"Transfer-Encoding: gzip, chunked\r\n\r\n" + CHUNKED,
+        ):
             self.assertEqual(self.seen(data), (400, []), data)
 
     def test_a_body_is_a_body_whatever_it_holds(self) -> None:
--- a/tests/test_rules_instances.py
+++ b/tests/test_rules_instances.py
@@ -11,7 +11,7 @@
 from tests.timed_instances import Timed
 from tests.virtual_time import play
 
-RESTS_S = 1.0               # longer than `Forgetful` holds a connection, shorter than it says
+RESTS_S = 1.0  # longer than `Forgetful` holds a connection, shorter than it says
 
 
 class DroppedIdle(unittest.TestCase):
@@ -32,6 +32,7 @@
             statuses, forgetful, other = await self.ask_twice("/unsafe/")
             self.assertEqual(statuses, [200, 502])
             self.assertEqual((forgetful.reset, len(forgetful.seen), len(other.seen)), (1, 1, 0))
+
         play(scenario())
 
     def test_what_may_is(self) -> None:
@@ -39,6 +40,7 @@
             statuses, forgetful, other = await self.ask_twice("/safe/")
             self.assertEqual(statuses, [200, 200])
             self.assertEqual((forgetful.reset, len(forgetful.seen), len(other.seen)), (1, 1, 1))
+
         play(scenario())
 
 
@@ -55,6 +57,7 @@
                     await asyncio.sleep(5.0)
                     bench.gateway.sweep(1000.0)
                 self.assertEqual({(seen.method, seen.target) for seen in instance.seen}, {("POST", "/safe/")})
+
         play(scenario())
 
     def test_an_instance_that_ended_gets_nothing_however_well_it_answers(self) -> None:
@@ -66,6 +69,7 @@
                 set_state(bench, "i-1", ENDED)
                 self.assertEqual((await bench.ask("/unsafe/")).headers["server-signature"], "stamp.i-2")
                 self.assertEqual(first.seen, [])
+
         play(scenario())
 
 
--- a/tests/test_rules_limits.py
+++ b/tests/test_rules_limits.py
@@ -11,12 +11,20 @@
 from tests.gateway_bench import DEFAULT, Answer, Bench, read_answer, read_head, request_bytes
 from tests.virtual_time import play
 
-SMALL, LARGE = 20_000, 90_000   # bytes of a body
-HEAD = 6_000                    # bytes of a head
+SMALL, LARGE = 20_000, 90_000  # bytes of a body
+HEAD = 6_000  # bytes of a head
 MOST_HEAD = 16 * 1024
 METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
-TARGETS = ("/safe/", "/safe/a%2Fb", "/safe//", "/safe/;p=1", "/safe/?", "/safe/?a=/&b=%20", "/safe/~a@b:c",
-           "/safe/" + "x" * 4000)
+TARGETS = (
+    "/safe/",
+    "/safe/a%2Fb",
+    "/safe//",
+    "/safe/;p=1",
+    "/safe/?",
+    "/safe/?a=/&b=%20",
+    "/safe/~a@b:c",
+    "/safe/" + "x" * 4000,
+)
 
 
 def limits(**values: int) -> Configuration:
@@ -26,7 +34,7 @@
 def chunked(body: bytes, pieces: int) -> bytes:
     """A request with a body in pieces, without a length."""
     size = -(-len(body) // pieces) or 1
-    parts = [body[at:at + size] for at in range(0, len(body), size)]
+    parts = [body[at : at + size] for at in range(0, len(body), size)]
     head = request_bytes("/safe/", body=b"").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
     return head + b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts) + b"0\r\n\r\n"
 
@@ -52,8 +60,10 @@
                     instance = await bench.add("i-1")
                     for data in (request_bytes("/safe/", body=b"b" * size), chunked(b"b" * size, 7)):
                         self.assertEqual((await self.send(bench, data)).status, status, size)
-                    self.assertEqual([len(seen.body) for seen in instance.seen],
-                                     [size, size] if status == 200 else [])
+                    self.assertEqual(
+                        [len(seen.body) for seen in instance.seen], [size, size] if status == 200 else []
+                    )
+
         play(scenario())
 
     def test_heads_up_to_the_limit(self) -> None:
@@ -64,6 +74,7 @@
                     for size in (most - 1, most):
                         self.assertEqual((await self.send(bench, with_head_of(size))).status, 200, size)
                     self.assertEqual((await self.send(bench, with_head_of(2 * most))).status, 431)
+
         play(scenario())
 
     def test_any_method_and_form_of_target(self) -> None:
@@ -83,6 +94,7 @@
                     self.assertEqual(instance.seen[-1].target, "/safe/x?y=1")
                 for host in ("HOST.example", "host.example:8080"):
                     self.assertEqual((await bench.ask("/safe/", headers={"Host": host})).status, 200, host)
+
         play(scenario())
 
     def test_without_a_configuration_all_get_503(self) -> None:
@@ -91,6 +103,7 @@
                 for target in (*TARGETS, "/nowhere/", "/"):
                     answer = await bench.ask(target)
                     self.assertEqual((answer.status, "retry-after" in answer.headers), (503, True), target)
+
         play(scenario())
 
 
@@ -110,11 +123,15 @@
                 writer.write(request_bytes("/safe/"))
                 await read_answer(reader)
                 await self.change(bench, limits(max_body_bytes=LARGE, max_header_bytes=3 * HEAD))
-                for data in (request_bytes("/safe/", body=b"b" * LARGE), chunked(b"b" * LARGE, 5),
-                             with_head_of(3 * HEAD)):
+                for data in (
+                    request_bytes("/safe/", body=b"b" * LARGE),
+                    chunked(b"b" * LARGE, 5),
+                    with_head_of(3 * HEAD),
+                ):
                     writer.write(data)
                     self.assertEqual((await read_answer(reader)).status, 200)
                 self.assertEqual([len(seen.body) for seen in instance.seen[1:]], [LARGE, LARGE, 0])
+
         play(scenario())
 
     def test_raised_ones_hold_for_a_connection_opened_before_any_configuration(self) -> None:
@@ -128,24 +145,27 @@
                 await self.change(bench, limits(max_body_bytes=size))
                 writer.write(request_bytes("/safe/", body=b"b" * size))
                 self.assertEqual((await read_answer(reader)).status, 200)
+
         play(scenario())
 
     def test_lowered_ones_let_a_body_end_that_has_begun(self) -> None:
         """It went to the instance as far as it had come, as if that were all."""
+
         async def scenario() -> None:
             for lowered in (SMALL, LARGE // 2):
                 async with Bench(limits(max_body_bytes=LARGE), ByName()) as bench:
                     instance = await bench.add("i-1")
                     reader, writer = await bench.client()
                     data = request_bytes("/safe/", body=b"b" * LARGE)
-                    writer.write(data[:LARGE // 3])
+                    writer.write(data[: LARGE // 3])
                     await asyncio.sleep(0.01)
                     await self.change(bench, limits(max_body_bytes=lowered))
-                    for piece in (data[LARGE // 3:-10], data[-10:]):
+                    for piece in (data[LARGE // 3 : -10], data[-10:]):
                         writer.write(piece)
                         await asyncio.sleep(0.01)
                     self.assertEqual((await read_answer(reader)).status, 200)
                     self.assertEqual([len(seen.body) for seen in instance.seen], [LARGE])
+
         play(scenario())
 
     def test_beyond_lowered_ones_nothing_reaches_an_instance(self) -> None:
@@ -160,6 +180,7 @@
                     writer.write(data)
                     self.assertEqual((await read_answer(reader)).status, 413)
                     self.assertEqual(len(instance.seen), 1)
+
         play(scenario())
 
 
--- a/tests/test_rules_orders.py
+++ b/tests/test_rules_orders.py
@@ -26,7 +26,7 @@
 SECONDS = 60.0
 LEASE_S = 3.0
 NOW = 100.0
-HOLDER, TERM = 0xabc, 4
+HOLDER, TERM = 0xABC, 4
 LEADS = Standing(True, TERM, 0.0)
 
 
@@ -80,8 +80,12 @@
         later = NOW + lease.settings.wait_s
         self.assertIsNone(lease.token(LEADS, later - 0.01))
         self.assertEqual(lease.token(LEADS, later), 7)
-        for standing in (Standing(True, 4, 5.0), Standing(True, 4, 0.51), Standing(True, 5, 0.0),
-                         Standing(False, 4, 0.0)):
+        for standing in (
+            Standing(True, 4, 5.0),
+            Standing(True, 4, 0.51),
+            Standing(True, 5, 0.0),
+            Standing(False, 4, 0.0),
+        ):
             self.assertIsNone(lease.token(standing, later), standing)
         lease.rejected(later)
         self.assertIsNone(lease.token(LEADS, later + 100.0))
@@ -106,7 +110,7 @@
     silent: bool = False
     busy: bool = False
     sequence: int = 0
-    fence: int = 0                             # the highest token seen
+    fence: int = 0  # the highest token seen
     stage: str = "decode"
     taken: list[dict[str, object]] = field(default_factory=list)
     statuses: list[int] = field(default_factory=list)
@@ -146,8 +150,10 @@
 
     async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
-        headers = {name.lower(): value.strip() for name, _, value in
-                   (line.partition(":") for line in head.split("\r\n")[1:] if line)}
+        headers = {
+            name.lower(): value.strip()
+            for name, _, value in (line.partition(":") for line in head.split("\r\n")[1:] if line)
+        }
         order = json.loads(await reader.readexactly(int(headers["content-length"])))
         status = self.judge(headers, order)
         self.statuses.append(status)
@@ -180,16 +186,18 @@
     async def test_op_holder_token_and_instance_are_named(self) -> None:
         async with Ordered() as instance:
             self.assertEqual(await Leader()._exchange(self.to(instance)), OrderResult.TAKEN)
-            self.assertEqual(instance.taken, [{"op": "stage", "stage": "prefill", "holder": f"{HOLDER:016x}",
-                                               "fencing_token": 7}])
+            self.assertEqual(
+                instance.taken,
+                [{"op": "stage", "stage": "prefill", "holder": f"{HOLDER:016x}", "fencing_token": 7}],
+            )
 
     async def test_what_each_answer_means(self) -> None:
         async with Ordered() as instance:
             leader = Leader()
-            self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.TAKEN)           # 202
-            self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.UNKNOWN)         # 409
+            self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.TAKEN)  # 202
+            self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.UNKNOWN)  # 409
             instance.stage, instance.busy = "prefill", False
-            self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.TAKEN)           # 200
+            self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.TAKEN)  # 200
             self.assertEqual(await leader._exchange(self.to(instance, id="i-0")), OrderResult.REFUSED)
             self.assertEqual(instance.statuses, [202, 409, 200, 421])
             self.assertEqual(len(instance.taken), 1)
@@ -251,6 +259,7 @@
                 first.busy = False
                 answer = await bench.ask("/stream/")
                 self.assertEqual(answer.headers["server-signature"], "stamp.d-1")
+
         play(scenario())
 
     def test_a_prompt_is_read_where_it_is_answered(self) -> None:
@@ -262,6 +271,7 @@
                 answer = await bench.ask("/stream/")
                 self.assertEqual((answer.whole, answer.body), (True, events()))
                 self.assertNotIn("kv-from", decoder.seen[0].headers)
+
         play(scenario())
 
     def test_alone_it_is_a_refusal_that_promises(self) -> None:
@@ -270,6 +280,7 @@
                 await add(bench, Switching("d-1", "decode"), ENGINE)
                 answer = await bench.ask("/stream/")
                 self.assertEqual((answer.status, "retry-after" in answer.headers), (503, True))
+
         play(scenario())
 
     def test_none_is_sent_once_the_members_have_told_of_the_order(self) -> None:
@@ -285,6 +296,7 @@
                 self.assertEqual((await bench.ask("/stream/")).body, events())
                 self.assertEqual((first.seen, len(second.seen)), ([], 1))
                 self.assertNotEqual(bench.gateway.view.instances["d-1"].state, DRAINS)
+
         play(scenario())
 
 
--- a/tests/test_rules_priority.py
+++ b/tests/test_rules_priority.py
@@ -18,8 +18,8 @@
 from mallowbeam.rpc.messages_pb2 import READY, Backend, Engine, Instance
 
 SEEDS = (1, 2, 3)
-MARGIN = 0.05               # of the requests of a kind
-USUAL, BURST = 0.7, 1.5     # load
+MARGIN = 0.05  # of the requests of a kind
+USUAL, BURST = 0.7, 1.5  # load
 BEGINS_S, ENDS_S, SECONDS = 4.0, 7.0, 14.0
 
 
@@ -35,15 +35,16 @@
 def served() -> dict[str, float]:
     """The share served of each kind, over all seeds."""
     worlds = [BurstWorld(PlannerSettings(), USUAL, seed=seed, seconds=SECONDS).run() for seed in SEEDS]
-    return {kind.name: sum(world.tallies[kind.name].served for world in worlds) / len(worlds)
-            for kind in worlds[0].kinds}
+    return {
+        kind.name: sum(world.tallies[kind.name].served for world in worlds) / len(worlds)
+        for kind in worlds[0].kinds
+    }
 
 
 def put_behind(shares: dict[str, float], priorities: dict[str, int]) -> dict[tuple[str, str], float]:
     """By how much each kind is served less often than a less urgent one, beyond the margin."""
     pairs = [(one, other) for one in shares for other in shares if priorities[one] < priorities[other]]
-    return {(one, other): over for one, other in pairs
-            if (over := shares[other] - shares[one] - MARGIN) > 0}
+    return {(one, other): over for one, other in pairs if (over := shares[other] - shares[one] - MARGIN) > 0}
 
 
 class ABurst(unittest.TestCase):
@@ -67,10 +68,15 @@
         planner = Planner(PlannerSettings(), "g")
         engine = Engine(slots=64, kv_capacity=400_000, kv_token_bytes=18_432, link_mbps=500_000.0)
         planner.configuration_changed([Backend(name="s", engine=engine)], 0.0)
-        planner.instances_changed([Instance(id=f"{stage}-{number}", backend="s", stage=stage, slots=64,
-                                            state=READY) for stage in ("prefill", "decode")
-                                   for number in range(3)], 0.0)
-        for urgent in range(3):                # all priorities are known
+        planner.instances_changed(
+            [
+                Instance(id=f"{stage}-{number}", backend="s", stage=stage, slots=64, state=READY)
+                for stage in ("prefill", "decode")
+                for number in range(3)
+            ],
+            0.0,
+        )
+        for urgent in range(3):  # all priorities are known
             planner.plan(self.request(f"known-{urgent}", urgent), 0.0)
         planner.guard.waited("s", 500_000, 0.9, 0.0)
         requests = [self.request(f"r-{number}", priority) for number in range(self.REQUESTS)]
@@ -79,8 +85,17 @@
     @staticmethod
     def request(name: str, priority: int) -> PlanRequest:
         engine = Engine(slots=64, kv_capacity=400_000, kv_token_bytes=18_432, link_mbps=500_000.0)
-        return PlanRequest(name, "s", engine, (PromptPart(name, 2000),), 2000, 10, priority=priority,
-                           target_latency_s=0.4, time_left_s=3.0)
+        return PlanRequest(
+            name,
+            "s",
+            engine,
+            (PromptPart(name, 2000),),
+            2000,
+            10,
+            priority=priority,
+            target_latency_s=0.4,
+            time_left_s=3.0,
+        )
 
     def test_the_more_urgent_are_refused_less_often(self) -> None:
         shares = [self.refused(priority) for priority in (0, 1, 2)]
--- a/tests/test_rules_stop.py
+++ b/tests/test_rules_stop.py
@@ -39,7 +39,8 @@
 LONG = {"Deadline-Ms": "60000"}
 LONG_MS = 30_000
 ROUTES = configuration(
-    route("/unsafe/", "unsafe", timeout_ms=LONG_MS), route("/stream/", "stream", ENGINE, timeout_ms=LONG_MS))
+    route("/unsafe/", "unsafe", timeout_ms=LONG_MS), route("/stream/", "stream", ENGINE, timeout_ms=LONG_MS)
+)
 WITHOUT_ROUTES = configuration(route("/other/", "unsafe"), revision=2)
 READINESS = b"GET /mallowbeam/readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 SETTINGS = """
@@ -95,8 +96,15 @@
         """Start an instance and tell the gateway of it."""
         await instance.start()
         self.instances.append(instance)
-        row = Instance(id=instance.id, backend=ENGINE if instance.stage else PLAIN, address=instance.address,
-                       zone="z1", slots=8, state=READY, stage=instance.stage)
+        row = Instance(
+            id=instance.id,
+            backend=ENGINE if instance.stage else PLAIN,
+            address=instance.address,
+            zone="z1",
+            slots=8,
+            state=READY,
+            stage=instance.stage,
+        )
         self.table[instance.id] = row
         self.plane.gateway.instances_changed(InstanceChanges([row], ()), 0.0)
         return instance
@@ -142,6 +150,7 @@
 class Case(unittest.TestCase):
     def play(self, scenario: Callable[[Process], Awaitable[None]]) -> None:
         """Run a scenario beside the process."""
+
         async def whole() -> None:
             with tempfile.TemporaryDirectory() as folder:
                 process = Process(folder)
@@ -154,6 +163,7 @@
                     await task
                     for instance in process.instances:
                         await instance.stop()
+
         play(whole())
 
 
@@ -163,7 +173,7 @@
     def __init__(self, process: Process, offset_s: float) -> None:
         self._process, self._offset_s = process, offset_s
         self.out_at: float | None = None
-        self.back_at: float | None = None      # ready again after it was out
+        self.back_at: float | None = None  # ready again after it was out
 
     async def run(self) -> None:
         await asyncio.sleep(self._offset_s)
@@ -180,6 +190,7 @@
 class Readiness(Case):
     def test_two_questions_in_a_row_fail_and_clients_are_taken_until_then(self) -> None:
         for offset_s in (0.0, 0.3, 0.6, 0.95):
+
             async def scenario(process: Process, offset_s: float = offset_s) -> None:
                 await process.add(Timed("i-1"))
                 platform = Platform(process, offset_s)
@@ -194,6 +205,7 @@
                 self.assertLess(platform.out_at - stopped_at, OUT_WITHIN_S)
                 await asking
                 self.assertIsNone(platform.back_at)
+
             self.play(scenario)
 
 
@@ -206,12 +218,13 @@
             await asyncio.sleep(0.1)
             stopped_at = process.told_to_stop()
             await asyncio.sleep(2.0)
-            asked.append(asyncio.ensure_future(process.ask("/unsafe/")))   # the platform may still send it
+            asked.append(asyncio.ensure_future(process.ask("/unsafe/")))  # the platform may still send it
             bodies = [answer.body for answer in await asyncio.gather(*asked)]
             self.assertEqual(bodies, [b"answer", events(), b"answer"])
             while process.ended_at is None:
                 await asyncio.sleep(0.05)
             self.assertLess(process.ended_at - stopped_at, GRACE_S)
+
         self.play(scenario)
 
     def test_it_ends_within_the_grace_time_whatever_is_held(self) -> None:
@@ -222,21 +235,25 @@
             stopped_at = process.told_to_stop()
             await asyncio.sleep(GRACE_S)
             assert process.ended_at is not None
-            self.assertGreater(process.ended_at - stopped_at, GRACE_S - 1.0)   # it had nearly all of it
+            self.assertGreater(process.ended_at - stopped_at, GRACE_S - 1.0)  # it had nearly all of it
             await asyncio.gather(asked, return_exceptions=True)
+
         self.play(scenario)
 
     def test_kept_connections_are_told_to_close_and_lose_nothing(self) -> None:
         """Each of these clients sends on until it is told, or finds its connection at an end."""
+
         async def scenario(process: Process) -> None:
             instance = await process.add(Timed("i-1", takes_s=0.03))
-            clients = [asyncio.ensure_future(self.keep_asking(process, 0.011 * number))
-                       for number in range(9)]
+            clients = [
+                asyncio.ensure_future(self.keep_asking(process, 0.011 * number)) for number in range(9)
+            ]
             await asyncio.sleep(1.0)
             process.told_to_stop()
             counts = await asyncio.gather(*clients)
             self.assertEqual(len(instance.arrivals), sum(answered for answered, _ in counts))
             self.assertGreater(sum(told for _, told in counts), 0)
+
         self.play(scenario)
 
     async def keep_asking(self, process: Process, pause_s: float) -> tuple[int, bool]:
@@ -249,7 +266,7 @@
             try:
                 answer = await read_answer(reader)
             except asyncio.IncompleteReadError as error:
-                self.assertEqual(error.partial, b"")   # an orderly end in place of an answer
+                self.assertEqual(error.partial, b"")  # an orderly end in place of an answer
                 return answered, False
             self.assertEqual((answer.status, answer.whole), (200, True))
             answered += 1
@@ -266,6 +283,7 @@
             process.told_to_stop()
             for reader, _ in idle:
                 self.assertEqual(await reader.read(), b"")
+
         self.play(scenario)
 
 
@@ -287,6 +305,7 @@
             kept[1].write(request_bytes("/unsafe/", headers=LONG))
             self.assertEqual((await read_answer(kept[0])).status, 200)
             self.assertEqual([(await one).body for one in asked], [b"answer", events()])
+
         self.play(scenario)
 
 
@@ -300,6 +319,7 @@
             process.plane.gateway.set_configuration(WITHOUT_ROUTES, now())
             self.assertEqual((await process.ask("/unsafe/")).status, 404)
             self.assertEqual([(await one).body for one in asked], [b"answer", events()])
+
         self.play(scenario)
 
 
--- a/tests/test_rules_streams.py
+++ b/tests/test_rules_streams.py
@@ -32,8 +32,9 @@
 RESET = struct.pack("ii", 1, 0)
 ROUTES = configuration(
     route("/resume/", "stream", ENGINE, resumable=True, gap_aim_ms=100, max_retries=3),
-    route("/stream/", "stream", ENGINE, gap_aim_ms=100, max_retries=3))
-LAST = 5                    # events of a stream
+    route("/stream/", "stream", ENGINE, gap_aim_ms=100, max_retries=3),
+)
+LAST = 5  # events of a stream
 WAYS = ("close", "reset", "ended")
 
 
@@ -41,12 +42,12 @@
 class Cutting(ModelServer):
     """Sends so many bytes of its stream, then breaks off: by a close, a reset, or a framing's end."""
 
-    cut_at: int | None = None                  # None: the whole stream
+    cut_at: int | None = None  # None: the whole stream
     way: str = "close"
-    numbered: bool = True                      # events have ids
-    from_start: bool = False                   # whatever Last-Event-Id says
+    numbered: bool = True  # events have ids
+    from_start: bool = False  # whatever Last-Event-Id says
     versions: str = "3"
-    changed_at: int = 0                        # the event that names another version first
+    changed_at: int = 0  # the event that names another version first
     chunked: bool = True
 
     def data(self, behind: int) -> bytes:
@@ -58,15 +59,20 @@
             written += b"data: token %d\n\n" % number
         return written
 
-    async def _stream(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                      fault: Fault | None) -> bool:
+    async def _stream(
+        self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, fault: Fault | None
+    ) -> bool:
         coding = "Transfer-Encoding: chunked\r\n" if self.chunked else ""
-        writer.write((f"HTTP/1.1 200 OK\r\nRequest-Id: {seen.headers['request-id']}\r\n"
-                      f"{self._stamp}Versions: {self.versions}\r\nContent-Type: text/event-stream\r\n"
-                      f"{coding}\r\n").encode())
-        sent = self.data(int(seen.headers.get("last-event-id", "0")))[:self.cut_at]
-        for at in range(0, len(sent), 7):      # pieces that no event's end falls on
-            piece = sent[at:at + 7]
+        writer.write(
+            (
+                f"HTTP/1.1 200 OK\r\nRequest-Id: {seen.headers['request-id']}\r\n"
+                f"{self._stamp}Versions: {self.versions}\r\nContent-Type: text/event-stream\r\n"
+                f"{coding}\r\n"
+            ).encode()
+        )
+        sent = self.data(int(seen.headers.get("last-event-id", "0")))[: self.cut_at]
+        for at in range(0, len(sent), 7):  # pieces that no event's end falls on
+            piece = sent[at : at + 7]
             writer.write(chunk(piece) if self.chunked else piece)
             await asyncio.sleep(0.001)
         if self.cut_at is None or self.way == "ended":
@@ -84,8 +90,9 @@
 
 
 class TakenUpBySystem(unittest.TestCase):
-    async def ask(self, *instances: ModelServer, target: str = "/resume/",
-                  headers: dict[str, str] | None = None) -> Answer:
+    async def ask(
+        self, *instances: ModelServer, target: str = "/resume/", headers: dict[str, str] | None = None
+    ) -> Answer:
         async with Bench(ROUTES, ByName()) as bench:
             for one in instances:
                 await add(bench, one, ENGINE)
@@ -105,45 +112,62 @@
                     expected = whole[:cut_at] if ended else whole
                     self.assertEqual((answer.whole, answer.body), (True, expected), (way, cut_at))
                     begun = cut_at >= first_event or ended
-                    self.assertEqual(answer.headers["server-signature"],
-                                     "stamp.d-1" if begun else "stamp.d-2")
+                    self.assertEqual(
+                        answer.headers["server-signature"], "stamp.d-1" if begun else "stamp.d-2"
+                    )
                     self.assertEqual(answer.headers["versions"], "3" if begun else "9")
                     behind = [seen.headers.get("last-event-id") for seen in second.seen]
                     passed = cut_at // first_event
                     self.assertEqual(behind, [] if ended else [str(passed) if passed else None])
+
         play(scenario())
 
     def test_twice_in_one_answer(self) -> None:
         async def scenario() -> None:
             for cut_at in range(60):
-                answer = await self.ask(Cutting("d-1", "decode", cut_at=30),
-                                        Cutting("d-2", "decode", cut_at=cut_at, way="reset"),
-                                        Cutting("d-3", "decode"))
+                answer = await self.ask(
+                    Cutting("d-1", "decode", cut_at=30),
+                    Cutting("d-2", "decode", cut_at=cut_at, way="reset"),
+                    Cutting("d-3", "decode"),
+                )
                 self.assertEqual((answer.whole, answer.body), (True, events()), cut_at)
                 self.assertEqual(answer.headers["server-signature"], "stamp.d-1")
+
         play(scenario())
 
     def test_an_instance_that_starts_over_repeats_nothing(self) -> None:
         async def scenario() -> None:
-            answer = await self.ask(Cutting("d-1", "decode", cut_at=45),
-                                    Cutting("d-2", "decode", from_start=True), Cutting("d-3", "decode"))
+            answer = await self.ask(
+                Cutting("d-1", "decode", cut_at=45),
+                Cutting("d-2", "decode", from_start=True),
+                Cutting("d-3", "decode"),
+            )
             self.assertEqual((answer.whole, answer.body), (True, events()))
-            answer = await self.ask(Cutting("d-1", "decode", cut_at=45),
-                                    *(Cutting(f"d-{number}", "decode", from_start=True) for number in (2, 3)))
+            answer = await self.ask(
+                Cutting("d-1", "decode", cut_at=45),
+                *(Cutting(f"d-{number}", "decode", from_start=True) for number in (2, 3)),
+            )
             self.assertEqual((answer.whole, ids(answer.body)), (False, [1, 2]))
+
         play(scenario())
 
     def test_events_without_ids_are_not_begun_again(self) -> None:
         """The second instance was asked for the whole stream, and the client got the first events twice."""
+
         async def scenario() -> None:
-            cut, good = Cutting("d-1", "decode", cut_at=20, numbered=False), \
-                Cutting("d-2", "decode", numbered=False)
+            cut, good = (
+                Cutting("d-1", "decode", cut_at=20, numbered=False),
+                Cutting("d-2", "decode", numbered=False),
+            )
             answer = await self.ask(cut, good)
             self.assertEqual((answer.whole, answer.body), (False, b"data: token 1\n\n"))
             self.assertEqual(good.seen, [])
-            cut, good = Cutting("d-1", "decode", cut_at=5, numbered=False), \
-                Cutting("d-2", "decode", numbered=False)
-            self.assertEqual((await self.ask(cut, good)).body, good.data(0))   # nothing had gone out
+            cut, good = (
+                Cutting("d-1", "decode", cut_at=5, numbered=False),
+                Cutting("d-2", "decode", numbered=False),
+            )
+            self.assertEqual((await self.ask(cut, good)).body, good.data(0))  # nothing had gone out
+
         play(scenario())
 
     def test_where_it_may_not_be_resumed_it_runs_once(self) -> None:
@@ -151,9 +175,11 @@
             for cut_at in (0, 10, 45):
                 for way in WAYS[:2]:
                     second = Cutting("d-2", "decode")
-                    answer = await self.ask(Cutting("d-1", "decode", cut_at=cut_at, way=way), second,
-                                            target="/stream/")
+                    answer = await self.ask(
+                        Cutting("d-1", "decode", cut_at=cut_at, way=way), second, target="/stream/"
+                    )
                     self.assertEqual((answer.status == 200 and answer.whole, second.seen), (False, []))
+
         play(scenario())
 
 
@@ -168,11 +194,12 @@
                     half = await first.ask("/resume/")
                     got = half.body if half.status == 200 else b""
                     self.assertFalse(half.status == 200 and half.whole)
-                    await add(second, Cutting("d-2", "decode", cut_at=25), ENGINE)   # breaks once more
+                    await add(second, Cutting("d-2", "decode", cut_at=25), ENGINE)  # breaks once more
                     await add(second, Cutting("d-3", "decode"), ENGINE)
                     behind = {"Last-Event-Id": str(ids(got)[-1])} if got else {}
                     rest = await second.ask("/resume/", headers=behind)
                     self.assertEqual((rest.whole, got + rest.body), (True, whole), cut_at)
+
         play(scenario())
 
 
@@ -187,6 +214,7 @@
                         answer = await bench.ask(target)
                         self.assertEqual((answer.headers["versions"], answer.body), ("17", one.data(0)))
                         self.assertEqual(answer.body.count(b"versions: 4\nid: %d\n" % changed_at), 1)
+
         play(scenario())
 
     def test_an_event_with_a_change_is_not_cut_in_two(self) -> None:
@@ -197,6 +225,7 @@
                     await add(bench, Cutting("d-1", "decode", cut_at=cut_at, changed_at=3), ENGINE)
                     await add(bench, Cutting("d-2", "decode", changed_at=3), ENGINE)
                     self.assertEqual((await bench.ask("/resume/")).body, whole)
+
         play(scenario())
 
 
@@ -215,6 +244,7 @@
                     writer.write(data)
                     old = await reader.read()
                     self.assertTrue(old.endswith(events()), "an old client's answer ends with a reset")
+
         play(scenario())
 
     def test_reset_it_is_not(self) -> None:
@@ -224,6 +254,7 @@
                 await add(bench, cut, ENGINE)
                 answer = await bench.ask("/stream/")
                 self.assertFalse(answer.whole)
+
         play(scenario())
 
 
@@ -241,6 +272,7 @@
                 self.assertEqual((answer.status, answer.whole, ids(answer.body)), (200, False, [1]))
                 stages = {seen.headers.get("stage") for one in readers for seen in one.seen}
                 self.assertLessEqual(stages, {"prefill"})
+
         play(scenario())
 
     def test_no_plan_names_a_prefill_instance_for_an_answer(self) -> None:
@@ -248,12 +280,22 @@
         engine = Engine(slots=8, kv_capacity=100_000, kv_token_bytes=1, link_mbps=1000.0)
         planner.configuration_changed([Backend("s", engine=None)], 0.0)
         stages = {"p-1": "prefill", "p-2": "prefill", "d-1": "decode", "d-2": "decode"}
-        planner.instances_changed([Instance(id=id, backend="s", stage=stage, slots=8, state=READY)
-                                   for id, stage in stages.items()], 0.0)
+        planner.instances_changed(
+            [Instance(id=id, backend="s", stage=stage, slots=8, state=READY) for id, stage in stages.items()],
+            0.0,
+        )
         for excluded in (set(), {"d-1"}, {"d-1", "d-2"}, {"p-1", "p-2"}, {"p-1", "p-2", "d-1"}):
             for resumed in (False, True):
-                request = PlanRequest("r", "s", engine, (PromptPart("aa", 5000),), 5000, 10,
-                                      excluded=frozenset(excluded), resumed=resumed)
+                request = PlanRequest(
+                    "r",
+                    "s",
+                    engine,
+                    (PromptPart("aa", 5000),),
+                    5000,
+                    10,
+                    excluded=frozenset(excluded),
+                    resumed=resumed,
+                )
                 planned = planner.plan(request, 1.0)
                 if isinstance(planned, Plan):
                     self.assertEqual(stages[planned.decode_instance], "decode", excluded)
@@ -263,11 +305,14 @@
 
     def test_one_that_changed_its_stage_meanwhile_gets_nothing(self) -> None:
         """It would answer 421, which counts as an arrival and opens its circuit."""
+
         async def scenario() -> None:
             for changed, to in (("d-1", "prefill"), ("p-1", "decode")):
                 async with Bench(ROUTES, Held(0.2, "p-1")) as bench:
-                    instances = {id: Timed(id, stage) for id, stage in
-                                 (("p-1", "prefill"), ("d-1", "decode"), ("d-2", "decode"))}
+                    instances = {
+                        id: Timed(id, stage)
+                        for id, stage in (("p-1", "prefill"), ("d-1", "decode"), ("d-2", "decode"))
+                    }
                     for one in instances.values():
                         await add(bench, one, ENGINE)
                     reader, writer = await bench.client()
@@ -279,6 +324,7 @@
                     bench.tell(row)
                     self.assertEqual((await read_answer(reader)).body, events())
                     self.assertEqual(instances[changed].seen, [])
+
         play(scenario())
 
 
--- a/tests/test_rules_time.py
+++ b/tests/test_rules_time.py
@@ -23,13 +23,16 @@
 from tests.virtual_time import play
 
 TIMEOUT_S = 2.0
-LATE_S = 0.5                # within which a request that reached its route's time-out is answered
-LONG_MS = 60_000            # what a patient client waits
+LATE_S = 0.5  # within which a request that reached its route's time-out is answered
+LONG_MS = 60_000  # what a patient client waits
 PROMPT = {"Token-Usage": "1000,5", "Prompt-Prefix": "aa:600,bb:400"}
 ROUTES = configuration(
-    route("/safe/", "safe"), route("/unsafe/", "unsafe"), route("/stream/", "stream", ENGINE, gap_aim_ms=100),
+    route("/safe/", "safe"),
+    route("/unsafe/", "unsafe"),
+    route("/stream/", "stream", ENGINE, gap_aim_ms=100),
     route("/resume/", "stream", ENGINE, resumable=True, gap_aim_ms=100, max_retries=3),
-    route("/long/", "stream", ENGINE, resumable=True, gap_aim_ms=100, timeout_ms=600_000))
+    route("/long/", "stream", ENGINE, resumable=True, gap_aim_ms=100, timeout_ms=600_000),
+)
 
 
 class Case(unittest.TestCase):
@@ -64,6 +67,7 @@
                     handed = self.check_handed_on(began, 1500, instances)
                     self.assertEqual(len(handed), 3)
                     self.assertLess(handed[2], 1500 - 600)
+
         play(scenario())
 
     def test_from_prefill_to_decode_and_to_a_resumption(self) -> None:
@@ -80,10 +84,12 @@
                 handed = self.check_handed_on(began, 1800, [reader, *decoders])
                 self.assertEqual(len(handed), 3)
                 self.assertLess(handed[2], 1800 - 600)
+
         play(scenario())
 
     def test_a_fraction_of_a_millisecond(self) -> None:
         """A value with one was read as none: the instance was handed the route's whole time-out."""
+
         async def scenario() -> None:
             for value in ("700.5", "700.", "700"):
                 async with Bench(ROUTES, ByName()) as bench:
@@ -92,6 +98,7 @@
                     began = now()
                     self.assertEqual((await bench.ask("/safe/", headers={"Deadline-Ms": value})).status, 200)
                     self.check_handed_on(began, 700, [one])
+
         play(scenario())
 
     def test_after_a_wait_for_its_cycle(self) -> None:
@@ -103,6 +110,7 @@
                 self.assertEqual((await bench.ask("/unsafe/", headers={"Deadline-Ms": "1500"})).status, 200)
                 (handed,) = self.check_handed_on(began, 1500, [one])
                 self.assertLess(handed, 800)
+
         play(scenario())
 
     def test_never_more_than_the_route_s_time_out_and_never_missing(self) -> None:
@@ -117,10 +125,12 @@
                     writer.write(data if named else data.replace(b"Deadline-Ms: gone\r\n", b""))
                     self.assertEqual((await read_answer(reader)).status, 200)
                     self.check_handed_on(began, TIMEOUT_S * 1000, [one])
+
         play(scenario())
 
     def test_a_prompt_that_took_all_the_time_is_not_sent_on(self) -> None:
         """It was written to the decode instance with a millisecond left, and counted as run."""
+
         async def scenario() -> None:
             async with Bench(ROUTES, ByName("p-1")) as bench:
                 reader, decoder = Timed("p-1", "prefill", takes_s=9.0), Timed("d-1", "decode")
@@ -131,6 +141,7 @@
                 decoder.arrivals.clear()
                 answer = await bench.ask("/stream/", headers={**PROMPT, "Deadline-Ms": "900"})
                 self.assertEqual((answer.status, len(reader.arrivals), decoder.arrivals), (503, 1, []))
+
         play(scenario())
 
 
@@ -153,9 +164,11 @@
 class RouteTimeouts(Case):
     """A route's time-out ends every phase of a request within half a second."""
 
-    def expect(self, target: str, status: int, planner: Planner, *instances: Timed,
-               whole: bool = True) -> None:
+    def expect(
+        self, target: str, status: int, planner: Planner, *instances: Timed, whole: bool = True
+    ) -> None:
         """Ask at a fleet of these instances: the answer is in time, and no instance works on it any more."""
+
         async def scenario() -> None:
             async with Bench(ROUTES, planner) as bench:
                 for one in instances:
@@ -167,6 +180,7 @@
                     self.assertGreater(client.took_s, TIMEOUT_S - 0.1)
                 await asyncio.sleep(LATE_S)
                 self.assertEqual([one.working for one in instances], [0] * len(instances))
+
         play(scenario())
 
     def test_held_for_a_cycle_that_begins_too_late(self) -> None:
@@ -192,8 +206,9 @@
 
     def test_a_stream_without_end_breaks_off(self) -> None:
         for target in ("/stream/", "/resume/"):
-            self.expect(target, 200, ByName(), Trickling("d-1", "decode"), Trickling("d-2", "decode"),
-                        whole=False)
+            self.expect(
+                target, 200, ByName(), Trickling("d-1", "decode"), Trickling("d-2", "decode"), whole=False
+            )
 
     def test_a_large_answer_without_end_breaks_off(self) -> None:
         self.expect("/stream/", 200, ByName(), Trickling("d-1", "decode", plain=True), whole=False)
@@ -208,6 +223,7 @@
                     self.assertEqual((await Patient(bench, "/unsafe/").ask()).status, 503)
             finally:
                 dark.close()
+
         play(scenario())
 
     def test_one_that_is_not_reached_ends_nothing(self) -> None:
@@ -215,6 +231,7 @@
             async with Bench(ROUTES, ByName()) as bench:
                 await add(bench, Timed("d-1", "decode", takes_s=30.0), ENGINE)
                 self.assertEqual((await Patient(bench, "/long/").ask(40.0)).body, events())
+
         play(scenario())
 
 
--- a/tests/test_scheduling_cycles.py
+++ b/tests/test_scheduling_cycles.py
@@ -81,7 +81,7 @@
             take(book, booking, 4, 0.0)
         book.advance(3.0)
         self.assertEqual(len(book.cycles), 2)
-        book.release(0)                      # its cycle has passed
+        book.release(0)  # its cycle has passed
         self.assertEqual(take(book, 9, 1, 3.0), ((5, 1),))
 
     def test_the_first_cycle_begins_with_a_booking(self) -> None:
--- a/tests/test_shares_broken.py
+++ b/tests/test_shares_broken.py
@@ -102,6 +102,7 @@
                 assert "allowed" in str(error)
                 return True
         return False
+
     assert over()
 
 
--- a/tests/test_shares_core.py
+++ b/tests/test_shares_core.py
@@ -35,7 +35,7 @@
     it = log()
     demand(it, "g1", {0: 5_000})
     leader, other = core(it, leads=True), core(it)
-    assert closes(leader.tick(0.1))            # a policy was pushed: at once
+    assert closes(leader.tick(0.1))  # a policy was pushed: at once
     late = [at / 10 for at in range(1, 60) if closes(other.tick(at / 10))]
     assert T.epoch * (1 + T.patience) <= late[0] <= T.epoch * (1 + T.patience) + 0.2
 
--- a/tests/test_shares_fair.py
+++ b/tests/test_shares_fair.py
@@ -21,11 +21,13 @@
     z = draw(st.integers(1, 2))
     zones = st.integers(0, z - 1)
     net = Network(
-        draw(st.lists(RATES, min_size=n, max_size=n)), draw(st.lists(zones, min_size=n, max_size=n)),
+        draw(st.lists(RATES, min_size=n, max_size=n)),
+        draw(st.lists(zones, min_size=n, max_size=n)),
         draw(st.lists(st.none() | RATES, min_size=z, max_size=z)),
         draw(st.lists(st.sampled_from([500, 1000, 2000, 3500]), min_size=t, max_size=t)),
         draw(st.lists(st.sampled_from([0, 0, 20_000, 90_000]), min_size=t, max_size=t)),
-        draw(st.lists(st.none() | RATES, min_size=t, max_size=t)))
+        draw(st.lists(st.none() | RATES, min_size=t, max_size=t)),
+    )
     demand = draw(st.dictionaries(st.integers(0, t * n - 1), RATES, max_size=12))
     return net, demand
 
@@ -86,12 +88,15 @@
 def test_a_reserve_that_fits_is_kept(case):
     net, demand = case
     count = len(net.nodes)
-    ample = replace(net, nodes=[10**9] * count, zones=[None] * len(net.zones),
-                    limits=[None] * len(net.weights))
-    floors = allot(replace(ample, weights=net.reserves, limits=list(net.reserves)), {
-        flow: d for flow, d in demand.items() if net.reserves[flow // count]})
+    ample = replace(
+        net, nodes=[10**9] * count, zones=[None] * len(net.zones), limits=[None] * len(net.weights)
+    )
+    floors = allot(
+        replace(ample, weights=net.reserves, limits=list(net.reserves)),
+        {flow: d for flow, d in demand.items() if net.reserves[flow // count]},
+    )
     if any(used > cap for used, cap in sums(net, floors)):
-        return                                 # not all reserves fit here
+        return  # not all reserves fit here
     rates = allot(net, demand)
     assert all(rates.get(flow, 0) >= floor - 2 for flow, floor in floors.items())
 
@@ -119,11 +124,13 @@
 
 def test_the_oracle_tells_a_filling_that_forgets_limits_weights_or_reserves():
     """Broken on purpose: each of them is caught by the same comparison."""
-    net = Network([100_000, 50_000], [0, 0], [None], [1000, 3000, 1000], [0, 0, 60_000],
-                  [10_000, None, None])
+    net = Network([100_000, 50_000], [0, 0], [None], [1000, 3000, 1000], [0, 0, 60_000], [10_000, None, None])
     demand = {flow: 80_000 for flow in range(6)}
     wanted = lexicographic(net, demand)
     assert not differs(allot(net, demand), wanted)
-    for broken in (replace(net, limits=[None] * 3), replace(net, weights=[1000] * 3),
-                   replace(net, reserves=[0] * 3)):
+    for broken in (
+        replace(net, limits=[None] * 3),
+        replace(net, weights=[1000] * 3),
+        replace(net, reserves=[0] * 3),
+    ):
         assert differs(allot(broken, demand), wanted)
--- a/tests/test_shares_fleet.py
+++ b/tests/test_shares_fleet.py
@@ -11,18 +11,28 @@
 from mallowbeam.lab.sharesim import Fleet, totals
 
 T = Times()
-THREE = 3 * T.epoch + 1.5                      # three epochs, the window of counting and the words' way
+THREE = 3 * T.epoch + 1.5  # three epochs, the window of counting and the words' way
 LEASE = T.lease * 1.2 + T.quiet
 
 SETUP = Setup(
     {"a": Share(2000), "b": Share(1000, reserve=40_000), "c": Share(1000, limit=60_000), "d": Share(1000)},
-    {"n0": Node(100_000, "x"), "n1": Node(80_000, "x"), "n2": Node(120_000, "y")}, {"x": 150_000})
+    {"n0": Node(100_000, "x"), "n1": Node(80_000, "x"), "n2": Node(120_000, "y")},
+    {"x": 150_000},
+)
 
 
 def fleet(seed=1, **more) -> Fleet:
     it = Fleet(SETUP, seed=seed, **more)
-    it.demand = {("g0", "a", "n0"): 90, ("g1", "a", "n1"): 30, ("g0", "b", "n0"): 50, ("g2", "b", "n2"): 40,
-                 ("g1", "c", "n0"): 60, ("g3", "c", "n2"): 70, ("g4", "d", "n1"): 80, ("g2", "d", "n2"): 30}
+    it.demand = {
+        ("g0", "a", "n0"): 90,
+        ("g1", "a", "n1"): 30,
+        ("g0", "b", "n0"): 50,
+        ("g2", "b", "n2"): 40,
+        ("g1", "c", "n0"): 60,
+        ("g3", "c", "n2"): 70,
+        ("g4", "d", "n1"): 80,
+        ("g2", "d", "n2"): 30,
+    }
     return it
 
 
@@ -31,14 +41,22 @@
     tenants, nodes = sorted(setup.tenants), sorted(setup.nodes)
     zones = sorted({node.zone for node in setup.nodes.values()})
     shares = [setup.tenants[name] for name in tenants]
-    net = Network([0 if name in gone else setup.nodes[name].capacity for name in nodes],
-                  [zones.index(setup.nodes[name].zone) for name in nodes],
-                  [setup.zones.get(zone) for zone in zones],
-                  [s.weight for s in shares], [s.reserve for s in shares], [s.limit for s in shares])
-    demand = {tenants.index(t) * len(nodes) + nodes.index(n): int(asked * 1000)
-              for (t, n), asked in totals(it.demand).items()}
-    return {(tenants[flow // len(nodes)], nodes[flow % len(nodes)]): rate / 1000
-            for flow, rate in lexicographic(net, demand).items()}
+    net = Network(
+        [0 if name in gone else setup.nodes[name].capacity for name in nodes],
+        [zones.index(setup.nodes[name].zone) for name in nodes],
+        [setup.zones.get(zone) for zone in zones],
+        [s.weight for s in shares],
+        [s.reserve for s in shares],
+        [s.limit for s in shares],
+    )
+    demand = {
+        tenants.index(t) * len(nodes) + nodes.index(n): int(asked * 1000)
+        for (t, n), asked in totals(it.demand).items()
+    }
+    return {
+        (tenants[flow // len(nodes)], nodes[flow % len(nodes)]): rate / 1000
+        for flow, rate in lexicographic(net, demand).items()
+    }
 
 
 def fair(it: Fleet, gone=()) -> None:
@@ -61,7 +79,7 @@
     number = it.state.number
     it.run(10)
     fair(it)
-    assert it.state.number == number           # nothing changed: no epoch
+    assert it.state.number == number  # nothing changed: no epoch
 
 
 @SEEDS
@@ -110,10 +128,15 @@
     it = fleet(seed).run(10)
     it.demand["g3", "a", "n0"] = it.demand.pop(("g0", "a", "n0"))
     it.run(0.6)
-    it.push(Setup({**SETUP.tenants, "b": Share(3000, reserve=40_000), "c": Share(500, limit=30_000)},
-                  SETUP.nodes, SETUP.zones))
+    it.push(
+        Setup(
+            {**SETUP.tenants, "b": Share(3000, reserve=40_000), "c": Share(500, limit=30_000)},
+            SETUP.nodes,
+            SETUP.zones,
+        )
+    )
     fair(it.run(THREE))
-    it.run(T.lease * 1.1 + 2)                  # from here on the checker holds the new limit
+    it.run(T.lease * 1.1 + 2)  # from here on the checker holds the new limit
     fair(it.run(1))
 
 
@@ -122,7 +145,7 @@
     it = fleet(seed).run(10)
     it.node("n0", True)
     it.run(1.2)
-    assert it.used()["n:n0"] <= 1.0            # floors
+    assert it.used()["n:n0"] <= 1.0  # floors
     fair(it.run(THREE), {"n0"})
     it.node("n0", False)
     fair(it.run(THREE))
--- a/tests/test_shares_part.py
+++ b/tests/test_shares_part.py
@@ -83,8 +83,9 @@
                 part.proven(self.now - 0.05, self.now)
                 for (gateway, volume, plan, shard), rate in self.asks.items():
                     if gateway == name:
-                        part.observed({"volume": volume, "plan": plan, "shard": shard,
-                                       "units": rate / 10}, self.now)
+                        part.observed(
+                            {"volume": volume, "plan": plan, "shard": shard, "units": rate / 10}, self.now
+                        )
                 part.tick(self.now)
             for name, hands in self.hands.items():
                 put, hands.put = hands.put, []
@@ -95,8 +96,12 @@
         return self
 
     def limit(self, volume):
-        return sum(plan.limit * part for hands in self.hands.values()
-                   for (name, *_), (plan, part) in hands.held.items() if name == volume)
+        return sum(
+            plan.limit * part
+            for hands in self.hands.values()
+            for (name, *_), (plan, part) in hands.held.items()
+            if name == volume
+        )
 
 
 @pytest.fixture
@@ -109,7 +114,7 @@
 def test_a_tenant_of_twice_the_weight_is_allotted_twice_as_much(fleet):
     assert fleet.limit("a") == pytest.approx(20, rel=0.03)
     assert fleet.limit("b") == pytest.approx(10, rel=0.03)
-    (plan, part), = fleet.hands["g0"].held.values()
+    ((plan, part),) = fleet.hands["g0"].held.values()
     assert (plan.weight, part, plan.limit_burst) == (3.0, 1.0, 8 + plan.limit)  # else its own
     assert set(fleet.hands["g0"].held) == {("a", "gold", 4)}
     assert fleet.limit("a") + fleet.limit("b") <= 30
@@ -126,7 +131,7 @@
     fleet.asks.pop(("g0", "a", "gold", 4))
     fleet.run(8)
     plan, part = fleet.hands["g0"].held["a", "gold", 4]
-    assert part == 0.0 and plan.limit > 0      # to the module a limit of 0 is none
+    assert part == 0.0 and plan.limit > 0  # to the module a limit of 0 is none
     fleet.parts["g0"].observed({"volume": "a", "plan": "gold", "shard": 4, "units": 1}, fleet.now)
     plan, part = fleet.hands["g0"].held["a", "gold", 4]
     assert part == 1.0 and 0 < plan.limit <= 0.1  # its floor, before that call is decided on
@@ -223,8 +228,10 @@
     assert "shares.nodes" in str(told.value.where)
 
 
-@pytest.mark.parametrize(("name", "times"), [
-    ("lease_s", {}), ("quiet_s", {"lease_s": 6.0}), ("window_s", {"lease_s": 4.0, "epoch_s": 0.2})])
+@pytest.mark.parametrize(
+    ("name", "times"),
+    [("lease_s", {}), ("quiet_s", {"lease_s": 6.0}), ("window_s", {"lease_s": 4.0, "epoch_s": 0.2})],
+)
 def test_a_section_whose_times_do_not_agree_is_refused(name, times):
     policy = {"folder": "x", "name": "g0", "listen": "h:1", "members": {"g0": "h:2"}, "lease_s": 4.0}
     with pytest.raises(BadConfig, match=rf"shares\.{name}"):
@@ -236,5 +243,5 @@
     hands = GatewayHands("shares", "g0", NAMES, gateway, None, None, None, None)
     hands.observe(lambda fields: seen.append(fields["volume"]))
     gateway.observers[0]({"volume": "a"})
-    gateway.observers[0]({})                   # a KeyError: logged
+    gateway.observers[0]({})  # a KeyError: logged
     assert seen == ["a"]
--- a/tests/test_shares_storm.py
+++ b/tests/test_shares_storm.py
@@ -36,8 +36,13 @@
             it.demand[rng.choice(it.names), key[1], rng.choice(sorted(SETUP.nodes))] = it.demand.pop(key)
         case 8:
             limit = rng.choice((20_000, 60_000, 90_000))
-            it.push(Setup({**SETUP.tenants, "a": Share(rng.choice((500, 3000))), "c": Share(limit=limit)},
-                          SETUP.nodes, SETUP.zones))
+            it.push(
+                Setup(
+                    {**SETUP.tenants, "a": Share(rng.choice((500, 3000))), "c": Share(limit=limit)},
+                    SETUP.nodes,
+                    SETUP.zones,
+                )
+            )
 
 
 @pytest.mark.parametrize("seed", range(int(os.environ.get("SHARES_SEEDS", "12"))))
--- a/tests/test_shares_topic.py
+++ b/tests/test_shares_topic.py
@@ -27,8 +27,9 @@
 )
 
 NAMES = ("g0", "g1", "g2")
-SETUP = Setup({"a": Share(), "b": Share(3000, limit=40_000)},
-              {"n0": Node(60_000, "x"), "n1": Node(50_000, "x")})
+SETUP = Setup(
+    {"a": Share(), "b": Share(3000, limit=40_000)}, {"n0": Node(60_000, "x"), "n1": Node(50_000, "x")}
+)
 
 
 @dataclass(frozen=True)
@@ -98,7 +99,7 @@
     assert it.states["shares"] is before
     it.push(Push(Setup({**SETUP.tenants, "0": Share()}, SETUP.nodes)))
     assert put(it, "g0", Demand(before.roll, pack({0: 9}))).refusal is not None
-    assert it.states["shares"].total == {2: before.total[0]}   # the same flow under its new number
+    assert it.states["shares"].total == {2: before.total[0]}  # the same flow under its new number
 
 
 def test_a_silent_gateway_asks_for_nothing_until_it_reports_again():
@@ -113,12 +114,18 @@
     assert it.states["shares"].quiet == ("g2",)
 
 
-@pytest.mark.parametrize(("setup", "where"), [
-    (Setup({"a": Share(0)}), "shares.tenants.a"), (Setup({"a": Share(limit=-1)}), "shares.tenants.a"),
-    (Setup(nodes={"n": Node(-5)}), "shares.nodes.n"), (Setup(probe=900), "shares.probe"),
-    (Setup({**SETUP.tenants, "b": Share(limit=10)}, SETUP.nodes), "shares.tenants.b"),
-    (Setup(SETUP.tenants, {"n0": Node(1)}), "shares.nodes.n0"),
-    (Setup(SETUP.tenants, SETUP.nodes, {"x": 3}), "shares.zones.x")])
+@pytest.mark.parametrize(
+    ("setup", "where"),
+    [
+        (Setup({"a": Share(0)}), "shares.tenants.a"),
+        (Setup({"a": Share(limit=-1)}), "shares.tenants.a"),
+        (Setup(nodes={"n": Node(-5)}), "shares.nodes.n"),
+        (Setup(probe=900), "shares.probe"),
+        (Setup({**SETUP.tenants, "b": Share(limit=10)}, SETUP.nodes), "shares.tenants.b"),
+        (Setup(SETUP.tenants, {"n0": Node(1)}), "shares.nodes.n0"),
+        (Setup(SETUP.tenants, SETUP.nodes, {"x": 3}), "shares.zones.x"),
+    ],
+)
 def test_a_setup_that_cannot_hold_is_refused_whole(setup, where):
     it = log()
     before = it.states["shares"]
@@ -143,14 +150,15 @@
         rows = meter.window(1.0, told)
         told.update((flow, STEPS[step]) for flow, step in rows.items())
         return bool(rows)
+
     assert window(10) and not window(10) and window(12)
-    assert not any(window(11 + at % 2) for at in range(30))    # a flicker that comes back
+    assert not any(window(11 + at % 2) for at in range(30))  # a flicker that comes back
     assert [window(5) for _ in range(3)] == [False, False, True]
     assert not any(window(4.7) for _ in range(LONG - 1)) and window(4.7)
     assert [window(0) for _ in range(3)] == [False, False, True] and told[1] == 0
     assert meter.came(2, 1) and not meter.came(2, 1)
     meter.came(3, 1)
-    assert not meter.came(4, 1) and 4 not in meter.counts      # full: not counted
+    assert not meter.came(4, 1) and 4 not in meter.counts  # full: not counted
 
 
 def test_the_state_is_plain_data():
@@ -163,8 +171,14 @@
 
 def test_the_service_hands_on_what_the_core_returns():
     it, entries, allotted = log(), [], {}
-    part = Shares("g0", NAMES, it.states["shares"], 0.0, entries.append,
-                  lambda tenant, node, rate, of: allotted.update({(tenant, node): rate}))
+    part = Shares(
+        "g0",
+        NAMES,
+        it.states["shares"],
+        0.0,
+        entries.append,
+        lambda tenant, node, rate, of: allotted.update({(tenant, node): rate}),
+    )
     part.proven(0.0, 0.0)
     for at in range(1, 30):
         part.observed("a", "plan", "n0", 2.0, at / 10)
--- a/tests/test_shares_trial.py
+++ b/tests/test_shares_trial.py
@@ -12,13 +12,17 @@
     return Record(got, (0.0, 5.0), 5.0, 10.0, 8.0)
 
 
-@pytest.mark.parametrize("broken", [
-    lambda record: record.got.extend([(1.0, LIGHT)] * 40),
-    lambda record: record.got.extend([(6.0, HEAVY)] * 110),
-    lambda record: record.got.extend([(1.0, HEAVY), (1.0, HEAVY), (1.0, LIGHT)] * 40),
-    lambda record: record.got.clear() or record.got.extend([(1.0, HEAVY), (1.0, HEAVY), (1.0, LIGHT)] * 9),
-    lambda record: setattr(record, "allotted", 0.0),
-])
+@pytest.mark.parametrize(
+    "broken",
+    [
+        lambda record: record.got.extend([(1.0, LIGHT)] * 40),
+        lambda record: record.got.extend([(6.0, HEAVY)] * 110),
+        lambda record: record.got.extend([(1.0, HEAVY), (1.0, HEAVY), (1.0, LIGHT)] * 40),
+        lambda record: record.got.clear()
+        or record.got.extend([(1.0, HEAVY), (1.0, HEAVY), (1.0, LIGHT)] * 9),
+        lambda record: setattr(record, "allotted", 0.0),
+    ],
+)
 def test_the_checker_catches(broken):
     record = good()
     assert check(record) == []
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -128,8 +128,11 @@
         self.told: list[object] = []
 
     def write(self, number: int) -> None:
-        self.disk.write(lambda: self.durable.append(number), lambda: self.told.append(number),
-                        lambda error: self.told.append(error.errno))
+        self.disk.write(
+            lambda: self.durable.append(number),
+            lambda: self.told.append(number),
+            lambda error: self.told.append(error.errno),
+        )
 
     def test_writes_become_durable_one_after_another(self):
         for number in range(3):
--- a/tests/test_simulation_loop.py
+++ b/tests/test_simulation_loop.py
@@ -48,6 +48,7 @@
                     await asyncio.get_running_loop().create_future()
             except TimeoutError:
                 self.seen.append(round(time.monotonic() - began, 6))
+
         self.near.create_task(work())
         self.run_for(10.0)
         self.assertEqual(self.seen, [1.5, 3.5])
@@ -66,6 +67,7 @@
             transport.write(b"hello")
             await asyncio.sleep(1.0)
             transport.close()
+
         self.far.create_task(serve())
         self.near.create_task(ask())
         self.run_for(3.0)
@@ -78,6 +80,7 @@
                 await asyncio.get_running_loop().create_connection(Client, "b", 81)
             except ConnectionRefusedError as error:
                 self.seen.append(str(error))
+
         self.near.create_task(ask())
         self.run_for(1.0)
         self.assertEqual(self.seen, ["b:81: connection refused"])
@@ -89,6 +92,7 @@
                     await asyncio.get_running_loop().create_connection(Client, "b", 81)
             except TimeoutError:
                 self.seen.append("given up")
+
         self.network.isolate("b")
         self.near.create_task(ask())
         self.run_for(1.0)
@@ -107,6 +111,7 @@
                     await loop.create_server(Echo, "b", 80)
                 except OSError:
                     self.seen.append("taken")
+
         self.far.create_task(serve())
         self.run_for(1.0)
         self.assertEqual(self.seen, ["taken"])
@@ -118,6 +123,7 @@
                 self.seen.append("no")
             finally:
                 self.near.call_soon(lambda: self.seen.append("no"))
+
         self.near.create_task(work())
         self.run_for(0.5)
         self.a.kill()
--- a/tests/test_simulation_network.py
+++ b/tests/test_simulation_network.py
@@ -78,6 +78,7 @@
                 network.send(one, "b", lambda: arrivals.append(simulator.now))
             simulator.run_until(1.0)
             return arrivals
+
         self.assertEqual(play(4), play(4))
         self.assertNotEqual(play(4), play(5))
 
@@ -91,9 +92,11 @@
         self.streams.listen(self.b, 80, self.accepted)
 
     def handlers(self, who: str) -> StreamHandlers:
-        return StreamHandlers(received=lambda data: self.seen.append((who, data)),
-                              ended=lambda: self.seen.append((who, "end")),
-                              lost=lambda error: self.seen.append((who, type(error).__name__)))
+        return StreamHandlers(
+            received=lambda data: self.seen.append((who, data)),
+            ended=lambda: self.seen.append((who, "end")),
+            lost=lambda error: self.seen.append((who, type(error).__name__)),
+        )
 
     def accepted(self, endpoint: Endpoint) -> None:
         self.far = endpoint
--- a/tests/test_simulation_scenarios.py
+++ b/tests/test_simulation_scenarios.py
@@ -42,8 +42,12 @@
     def holds(self, words: Sequence[str]) -> bool:
         match words:
             case (who, "hears", whom):
-                return all(self.simulator.now - self.heard[name].get(other, -9.0) < 0.3
-                           for name in self.names(who) for other in self.names(whom) if other != name)
+                return all(
+                    self.simulator.now - self.heard[name].get(other, -9.0) < 0.3
+                    for name in self.names(who)
+                    for other in self.names(whom)
+                    if other != name
+                )
             case (who, "wrote", least):
                 return all(self.written[name] >= int(least) for name in self.names(who))
         raise ValueError("no such condition")
@@ -88,7 +92,9 @@
         self.assertIn("never", self.violation(QUIET + "never all hears all from 1 to 2\nend 3"))
 
     def test_each_trouble(self):
-        self.play(QUIET + """
+        self.play(
+            QUIET
+            + """
             at 1 cut a b
             by 2 expect a hears c
             at 2 expect b hears c
@@ -113,10 +119,13 @@
             at 13 path b c 0.001 0.002
             at 14 clock a 1.5
             by 15 expect all hears all
-        """)
+        """
+        )
 
     def test_disks(self):
-        self.play(QUIET + """
+        self.play(
+            QUIET
+            + """
             at 1 stall-disk a
             at 2 fill-disk b
             never a wrote 40 from 0 to 5
@@ -125,7 +134,8 @@
             at 5 slow-disk c
             at 6 mend-disk all
             by 9 expect all wrote 60
-        """)
+        """
+        )
 
     def test_the_same_text_gives_the_same_run(self):
         text = "seed {}\n" + QUIET + "at 0 path a b 0.001 0.1 0.5\nend 20"
@@ -135,9 +145,22 @@
 
     def test_texts_that_cannot_be_played_name_their_line(self):
         cases = [
-            "dancers a", "at 1 dance", "at x kill a", "at 1 kill z", "at 1 kill", "at 1 cut a", "seed x",
-            "seed", "at 1 expect a", "never a hears b", "always from 1 to 2", "at 1 slow a", "end", "by 1",
-            "at 1 expect z hears a", "never a hears b from x to y",
+            "dancers a",
+            "at 1 dance",
+            "at x kill a",
+            "at 1 kill z",
+            "at 1 kill",
+            "at 1 cut a",
+            "seed x",
+            "seed",
+            "at 1 expect a",
+            "never a hears b",
+            "always from 1 to 2",
+            "at 1 slow a",
+            "end",
+            "by 1",
+            "at 1 expect z hears a",
+            "never a hears b from x to y",
         ]
         for line in cases:
             with self.subTest(line), self.assertRaises(ScenarioError) as caught:
--- a/tests/test_simulation_walks.py
+++ b/tests/test_simulation_walks.py
@@ -12,8 +12,15 @@
 LANES = 4
 WALKS = 32
 DRAWS = 500
-CALM = Plan(members=3, bounded=True, trouble_pace=0.2, change_pace=1.0, large=False,
-            compact_entries=10, trailing_entries=4)
+CALM = Plan(
+    members=3,
+    bounded=True,
+    trouble_pace=0.2,
+    change_pace=1.0,
+    large=False,
+    compact_entries=10,
+    trailing_entries=4,
+)
 
 
 class Budgets(unittest.TestCase):
@@ -65,8 +72,9 @@
         self.assertEqual({plan.members for plan in plans}, {3, 4, 5, 6, 8})
         self.assertEqual({plan.bounded for plan in plans}, {True, False})
         self.assertEqual({plan.large for plan in plans}, {True, False})
-        self.assertEqual({(plan.members, plan.tolerance) for plan in plans},
-                         {(3, 1), (4, 1), (5, 2), (6, 2), (8, 2)})
+        self.assertEqual(
+            {(plan.members, plan.tolerance) for plan in plans}, {(3, 1), (4, 1), (5, 2), (6, 2), (8, 2)}
+        )
 
     def test_every_kind_of_trouble_is_drawn(self) -> None:
         members = Walk(1, plan=CALM).members
@@ -89,8 +97,9 @@
     def test_random_walks(self) -> None:
         with ProcessPoolExecutor(LANES, initializer=_log_nowhere) as pool:
             results = list(pool.map(try_seed, range(1, WALKS + 1)))
-        failed = [f"seed {result.seed}: {result.failure.splitlines()[0]}" for result in results
-                  if result.failure]
+        failed = [
+            f"seed {result.seed}: {result.failure.splitlines()[0]}" for result in results if result.failure
+        ]
         self.assertFalse(failed, "\n".join(failed))
         self.assertGreater(sum(result.taken for result in results), 10 * WALKS)
 
--- a/tests/test_storage_damage.py
+++ b/tests/test_storage_damage.py
@@ -30,7 +30,7 @@
             writes = draw_batch(model, chance)
             store.write(writes)
             model = model.after_all(writes)
-        for _ in range(10):                    # so that the tree has branches
+        for _ in range(10):  # so that the tree has branches
             writes = [Write(1, None, draw_entries(model.last + 1, 30, 99, chance))]
             store.write(writes)
             model = model.after_all(writes)
@@ -60,7 +60,7 @@
     def test_any_damage_is_told_or_without_effect(self) -> None:
         chance, told = random.Random(8), 0
         start = newer_slot(self.whole) * seal.PAGE_BYTES
-        numbers = pages.check_pages(self.whole, self.whole[start:start + seal.META_BYTES])
+        numbers = pages.check_pages(self.whole, self.whole[start : start + seal.META_BYTES])
         in_use, free = numbers.in_use, numbers.free
         for _ in range(200):
             data = damaged(self.whole, chance, sorted(in_use if chance.random() < 0.8 else free))
@@ -97,7 +97,7 @@
     def test_the_page_check_reads_every_page_in_use(self) -> None:
         """Used, free and meta pages are all there is, so nothing in use escapes the check."""
         start = newer_slot(self.whole) * seal.PAGE_BYTES
-        found = pages.check_pages(self.whole, self.whole[start:start + seal.META_BYTES])
+        found = pages.check_pages(self.whole, self.whole[start : start + seal.META_BYTES])
         every = found.in_use | found.free
         self.assertEqual(every, set(range(max(every) + 1)))
 
@@ -114,10 +114,21 @@
 
     def test_a_missing_part_a_moved_record_and_an_unknown_kind_are_told(self) -> None:
         items = self.items((records.ENTRY, 1, bytes(9000)))
-        moved = [(key, value) for (key, _), (_, value) in zip(
-            self.items((records.ENTRY, 2, b"x")), self.items((records.ENTRY, 1, b"x")), strict=True)]
-        wrong = [items[1:], items[:-1], [items[0], items[2]], moved, self.items((9, 1, b"")), [(b"key", b"")],
-                 [(items[0][0], b"1234567")]]
+        moved = [
+            (key, value)
+            for (key, _), (_, value) in zip(
+                self.items((records.ENTRY, 2, b"x")), self.items((records.ENTRY, 1, b"x")), strict=True
+            )
+        ]
+        wrong = [
+            items[1:],
+            items[:-1],
+            [items[0], items[2]],
+            moved,
+            self.items((9, 1, b"")),
+            [(b"key", b"")],
+            [(items[0][0], b"1234567")],
+        ]
         for found in wrong:
             with self.assertRaises(StoreDamagedError):
                 list(records.decode_records(found))
@@ -129,8 +140,14 @@
         entry = (records.ENTRY, 2, Entry(index=2).SerializeToString())
         misplaced = (records.ENTRY, 1, Entry(index=2).SerializeToString())
         short = (records.HARD_STATE, 0, b"1")
-        for wrong in ((hard_state,), (taken,), (hard_state, taken, second), (hard_state, taken, entry),
-                      (hard_state, taken, misplaced), (short, taken)):
+        for wrong in (
+            (hard_state,),
+            (taken,),
+            (hard_state, taken, second),
+            (hard_state, taken, entry),
+            (hard_state, taken, misplaced),
+            (short, taken),
+        ):
             with self.assertRaises(StoreDamagedError):
                 batch.restore_items(self.items(*wrong))
 
@@ -138,14 +155,16 @@
 def newer_slot(whole: bytes) -> int:
     """The meta page of the last transaction."""
     starts = [slot * seal.PAGE_BYTES + seal.TRANSACTION_OFFSET for slot in seal.SLOTS]
-    return int(whole[starts[0]:starts[0] + 8][::-1] < whole[starts[1]:starts[1] + 8][::-1])
+    return int(whole[starts[0] : starts[0] + 8][::-1] < whole[starts[1] : starts[1] + 8][::-1])
 
 
 def looks_torn(whole: bytes, data: bytes) -> bool:
     """Whether bytes differ only where a transaction writes into its meta page: its roots and the seal."""
     start = newer_slot(whole) * seal.PAGE_BYTES
-    written = {*range(start + seal.ROOTS_OFFSET, start + seal.META_BYTES),
-               *range(start + seal.SEAL_OFFSET, start + seal.SEAL_OFFSET + seal.SEAL.size)}
+    written = {
+        *range(start + seal.ROOTS_OFFSET, start + seal.META_BYTES),
+        *range(start + seal.SEAL_OFFSET, start + seal.SEAL_OFFSET + seal.SEAL.size),
+    }
     return all(at in written for at in range(len(whole)) if whole[at] != data[at])
 
 
@@ -156,15 +175,15 @@
     kind = chance.randrange(5)
     if kind == 0:
         data[page + chance.randrange(seal.PAGE_BYTES)] ^= 1 << chance.randrange(8)
-    elif kind == 1:                            # where pages and nodes keep their numbers
+    elif kind == 1:  # where pages and nodes keep their numbers
         data[page + chance.randrange(64)] ^= 1 << chance.randrange(8)
     elif kind == 2:
-        data[page:page + seal.PAGE_BYTES] = bytes(seal.PAGE_BYTES)
+        data[page : page + seal.PAGE_BYTES] = bytes(seal.PAGE_BYTES)
     elif kind == 3:
-        data[page:page + seal.PAGE_BYTES] = chance.randbytes(seal.PAGE_BYTES)
-    else:                                      # another page's bytes
+        data[page : page + seal.PAGE_BYTES] = chance.randbytes(seal.PAGE_BYTES)
+    else:  # another page's bytes
         other = chance.randrange(len(data) // seal.PAGE_BYTES) * seal.PAGE_BYTES
-        data[page:page + seal.PAGE_BYTES] = whole[other:other + seal.PAGE_BYTES]
+        data[page : page + seal.PAGE_BYTES] = whole[other : other + seal.PAGE_BYTES]
     return bytes(data)
 
 
--- a/tests/test_storage_large.py
+++ b/tests/test_storage_large.py
@@ -10,11 +10,11 @@
 from pathlib import Path
 
 HERE = Path(__file__).parent
-COUNT = 100                    # by then, the file and the process have long stopped growing
+COUNT = 100  # by then, the file and the process have long stopped growing
 BODY = 4 * 1024 * 1024
 DISK_MB = 128
-MOST_S = 300.0                 # many times what it takes, so that a load which stands still fails
-MEMORY_MIB = 296               # of a machine of the core
+MOST_S = 300.0  # many times what it takes, so that a load which stands still fails
+MEMORY_MIB = 296  # of a machine of the core
 
 
 class LargeConfigurations(unittest.TestCase):
@@ -22,8 +22,9 @@
         path = os.pathsep.join((str(HERE.parent), str(HERE)))
         environment = {**os.environ, "PYTHONPATH": path, "PYTHONDONTWRITEBYTECODE": "1"}
         script = [sys.executable, str(HERE / "snapshot_load.py"), str(COUNT), str(BODY), str(DISK_MB)]
-        ended = subprocess.run(script, env=environment, capture_output=True, check=False, text=True,
-                               timeout=MOST_S)
+        ended = subprocess.run(
+            script, env=environment, capture_output=True, check=False, text=True, timeout=MOST_S
+        )
         self.assertEqual(ended.returncode, 0, ended.stderr)
         seen = json.loads(ended.stdout.splitlines()[-1])
         self.assertGreaterEqual(seen["taken"], COUNT)
--- a/tests/test_storage_power.py
+++ b/tests/test_storage_power.py
@@ -18,7 +18,7 @@
 
 SEEDS = range(100, 102)
 BATCHES = 5
-TRIES = 40                                 # seeds in which a missing protection must be noticed
+TRIES = 40  # seeds in which a missing protection must be noticed
 
 
 class PowerLoss(unittest.TestCase):
@@ -27,9 +27,18 @@
         for seed in SEEDS:
             counts += Trial(seed, images_a_moment=2, refused=0.4).run(BATCHES)
         self.assertGreater(counts["images"], 200)
-        for call in ("lmdb.open replica.new", "rename replica.new", "put and delete replica.lmdb",
-                     "commit: page replica.lmdb", "commit: meta page replica.lmdb", "pwrite replica.lmdb",
-                     "sync replica.lmdb", "unlink replica.lmdb", "acknowledged", "refused"):
+        for call in (
+            "lmdb.open replica.new",
+            "rename replica.new",
+            "put and delete replica.lmdb",
+            "commit: page replica.lmdb",
+            "commit: meta page replica.lmdb",
+            "pwrite replica.lmdb",
+            "sync replica.lmdb",
+            "unlink replica.lmdb",
+            "acknowledged",
+            "refused",
+        ):
             self.assertGreater(counts[f"power lost, {call} (depth 0)"], 0, call)
         self.assertGreater(counts["power lost, reopened: pwrite replica.lmdb (depth 1)"], 0)
         self.assertGreater(counts["written on"], 20)
@@ -38,8 +47,13 @@
 class MissingProtections(unittest.TestCase):
     """Each variant lacks one step; some image must then be lost."""
 
-    def notices(self, broken: Callable[[Trial], contextlib.AbstractContextManager[Any]],
-                first_seed: int = 200, batches: int = BATCHES, **chances: float) -> None:
+    def notices(
+        self,
+        broken: Callable[[Trial], contextlib.AbstractContextManager[Any]],
+        first_seed: int = 200,
+        batches: int = BATCHES,
+        **chances: float,
+    ) -> None:
         for seed in range(first_seed, first_seed + TRIES):
             trial = Trial(seed, **chances)
             try:
@@ -59,8 +73,13 @@
         self.notices(lambda trial: mock.patch.object(seal, "_read_page", trusting), first_seed=210)
 
     def test_no_sync_while_opening(self) -> None:
-        self.notices(lambda trial: deaf_in(trial, ReplicaStore, "_restore_meta_pages"),
-                     first_seed=212, batches=2, killed=1.0, again=1.0)
+        self.notices(
+            lambda trial: deaf_in(trial, ReplicaStore, "_restore_meta_pages"),
+            first_seed=212,
+            batches=2,
+            killed=1.0,
+            again=1.0,
+        )
 
     def test_no_sync_of_the_meta_page(self) -> None:
         self.notices(lambda trial: deaf_in(trial, ReplicaStore, "_seal_and_sync"))
@@ -78,8 +97,7 @@
             with mock.patch.object(store, "sync_folder", lambda folder: None):
                 return whole(folder, disk_mb)
 
-        self.notices(lambda trial: mock.patch.object(ReplicaStore, "open", unsynced),
-                     batches=0, killed=1.0)
+        self.notices(lambda trial: mock.patch.object(ReplicaStore, "open", unsynced), batches=0, killed=1.0)
 
     def test_no_roll_back_after_a_failure(self) -> None:
         newest = seal.newest_sealed
@@ -91,11 +109,13 @@
 
     def test_no_replacement_of_a_torn_meta_page(self) -> None:
         """lmdb may end the process here, so it runs in one of its own."""
-        script = ("from unittest import mock\n"
-                  "from storage_trial import Trial\n"
-                  "from mallowbeam.consensus.storage import seal\n"
-                  "with mock.patch.object(seal, 'replace_page', lambda *_: None):\n"
-                  f"    for seed in range(200, 230): Trial(seed, refused=1.0).run({BATCHES})\n")
+        script = (
+            "from unittest import mock\n"
+            "from storage_trial import Trial\n"
+            "from mallowbeam.consensus.storage import seal\n"
+            "with mock.patch.object(seal, 'replace_page', lambda *_: None):\n"
+            f"    for seed in range(200, 230): Trial(seed, refused=1.0).run({BATCHES})\n"
+        )
         here = Path(__file__).parent
         path = {"PYTHONPATH": f"{here}:{here.parent}", "PYTHONDONTWRITEBYTECODE": "1"}
         ended = subprocess.run([sys.executable, "-c", script], env=path, capture_output=True, check=False)
--- a/tests/test_storage_store.py
+++ b/tests/test_storage_store.py
@@ -30,8 +30,10 @@
 
 
 def entries(first: int, count: int, term: int = 1, size: int = 50) -> tuple[Entry, ...]:
-    return tuple(Entry(index=first + position, term=term, kind=COMMAND, payload=bytes([term]) * size)
-                 for position in range(count))
+    return tuple(
+        Entry(index=first + position, term=term, kind=COMMAND, payload=bytes([term]) * size)
+        for position in range(count)
+    )
 
 
 def snapshot(index: int, term: int = 1, size: int = 50) -> Snapshot:
@@ -51,8 +53,13 @@
         self.addCleanup(lambda: self.store.close())
         self.store.create(IDENTITY, FIRST)
 
-    def write(self, added: Sequence[Entry] = (), *, hard_state: HardState | None = None,
-              taken: Snapshot | None = None) -> None:
+    def write(
+        self,
+        added: Sequence[Entry] = (),
+        *,
+        hard_state: HardState | None = None,
+        taken: Snapshot | None = None,
+    ) -> None:
         self.store.write([Write(1, hard_state, tuple(added), taken)])
 
     def reopen(self) -> Restored:
@@ -101,12 +108,17 @@
     def test_entries_and_a_snapshot_that_covers_some_of_them_in_one_write(self) -> None:
         self.write(entries(1, 10), taken=snapshot(8))
         self.assertEqual(self.indexes(), [9, 10])
-        self.write(entries(7, 5))              # those in the snapshot are left out
+        self.write(entries(7, 5))  # those in the snapshot are left out
         self.assertEqual(self.indexes(), [9, 10, 11])
 
     def test_a_batch_of_writes_is_applied_in_order(self) -> None:
-        self.store.write([Write(1, HardState(1, 1), entries(1, 3)), Write(2, HardState(2, 0)),
-                          Write(3, None, entries(3, 1, term=2))])
+        self.store.write(
+            [
+                Write(1, HardState(1, 1), entries(1, 3)),
+                Write(2, HardState(2, 0)),
+                Write(3, None, entries(3, 1, term=2)),
+            ]
+        )
         expected = Restored(HardState(2, 0), FIRST, entries(1, 2) + entries(3, 1, term=2))
         self.assertEqual(self.reopen(), expected)
 
@@ -214,7 +226,7 @@
 
 
 class Refusals(StoreCase):
-    disk_mb = 8                                # the map has 4 MB, entries may fill 2
+    disk_mb = 8  # the map has 4 MB, entries may fill 2
 
     def test_entries_stop_where_a_snapshot_still_has_room(self) -> None:
         next_index = 1
@@ -224,7 +236,7 @@
                 next_index += 10
         self.assertEqual((caught.exception.code, caught.exception.step), ("STORE_FULL", "bound"))
         self.write(hard_state=HardState(4, 4))
-        for index in (3, 9, 15, next_index - 1):   # a sixth of the map, less what lmdb needs beside it
+        for index in (3, 9, 15, next_index - 1):  # a sixth of the map, less what lmdb needs beside it
             self.write(taken=snapshot(index, size=600_000))
         self.write(entries(next_index, 10, size=1000))
         self.assertEqual(len(self.reopen().entries), 10)
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -15,8 +15,10 @@
 
 NL = "\\r\\n"
 WRITE = "/new-write/00000000000000aa/0000000000000001"
-HEAD = ("x-request-id:00000000000000f1 x-class:new-write x-storage-class:silver x-deadline-ms:2000 "
-        "x-extent:units=1,shard=0,hosts=1 idempotency-key:k")
+HEAD = (
+    "x-request-id:00000000000000f1 x-class:new-write x-storage-class:silver x-deadline-ms:2000 "
+    "x-extent:units=1,shard=0,hosts=1 idempotency-key:k"
+)
 RAW = f"PUT {WRITE} HTTP/1.1{NL}" + NL.join(HEAD.split()).replace(":", ": ") + NL
 ZERO = f"PUT {WRITE} HTTP/1.0{NL}" + NL.join(HEAD.split()).replace(":", ": ") + NL
 LARGE = 300_000
@@ -37,7 +39,7 @@
         assert await stream.get() == b"x"
         stream.close()
         stream.close()
-        await filler                           # who waits to hand in more goes on
+        await filler  # who waits to hand in more goes on
         assert closed == [1]
 
     async def fill(stream: Stream) -> None:
@@ -80,7 +82,7 @@
             async with asyncio.timeout(PATIENCE):
                 while not any(c.writing for c in world.gateway.servers[-1].connections):
                     await asyncio.sleep(0)
-            await asyncio.sleep(0.4)           # past the deadline: what has begun is the client's
+            await asyncio.sleep(0.4)  # past the deadline: what has begun is the client's
             await world.play("n0 send raw '' fill=200000\nc1 expect 200")
             assert bytes(world.parties["c1"].seen[0].body) == b"x" * 300_000
             await world.play("c1 send read\nn0 expect GET\nn0 send 200 body=x\nc1 expect 200 x")
@@ -210,13 +212,17 @@
     """)
 
 
-@pytest.mark.parametrize(("request_", "body"), [
-    (f"{RAW}transfer-encoding: chunked{NL}{NL}3;a=b{NL}abc{NL}2{NL}de{NL}0{NL}x-t: 1{NL}{NL}", "abcde"),
-    (f"{NL}{NL}{RAW}content-length: 2 {NL}{NL}ab", "ab"),
-    (f"{RAW}x-trace: t \\t{NL}content-length: 2\\t{NL}{NL}ab", "ab"),
-    (f"{RAW.replace(' /', ' http://api.internal:80/')}content-length: 2{NL}{NL}ab", "ab"),
-    (f"{ZERO}content-length: 2{NL}{NL}ab", "ab")],
-    ids=["chunks", "blank lines", "space", "absolute", "1.0"])
+@pytest.mark.parametrize(
+    ("request_", "body"),
+    [
+        (f"{RAW}transfer-encoding: chunked{NL}{NL}3;a=b{NL}abc{NL}2{NL}de{NL}0{NL}x-t: 1{NL}{NL}", "abcde"),
+        (f"{NL}{NL}{RAW}content-length: 2 {NL}{NL}ab", "ab"),
+        (f"{RAW}x-trace: t \\t{NL}content-length: 2\\t{NL}{NL}ab", "ab"),
+        (f"{RAW.replace(' /', ' http://api.internal:80/')}content-length: 2{NL}{NL}ab", "ab"),
+        (f"{ZERO}content-length: 2{NL}{NL}ab", "ab"),
+    ],
+    ids=["chunks", "blank lines", "space", "absolute", "1.0"],
+)
 def test_every_form_of_a_request_reaches_the_node_as_one(request_, body):
     play(f"""
         c1 send raw '{request_}'
@@ -230,8 +236,11 @@
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 @pytest.mark.parametrize("form", ["chunks", "close", "length"])
 def test_every_form_of_an_answer_reaches_the_client_whole(size, version, form):
-    answer = {"chunks": f"transfer-encoding: chunked{NL}{NL}{size:x};e=f{NL}", "close": NL,
-              "length": f"content-length: {size}{NL}{NL}"}[form]
+    answer = {
+        "chunks": f"transfer-encoding: chunked{NL}{NL}{size:x};e=f{NL}",
+        "close": NL,
+        "length": f"content-length: {size}{NL}{NL}",
+    }[form]
     end = {"chunks": f"n0 send raw '{NL}0{NL}x-t: 1{NL}{NL}'", "close": "n0 end", "length": ""}[form]
     head = RAW.replace("HTTP/1.1", f"HTTP/{version}")
     play(f"""
@@ -251,8 +260,9 @@
     async def run() -> None:
         async with World() as world:
             name, _, line = call.partition(" ")
-            reader, writer = await asyncio.open_connection(*{
-                "c1": world.platform, "h1": world.health, "q1": world.admin}[name])
+            reader, writer = await asyncio.open_connection(
+                *{"c1": world.platform, "h1": world.health, "q1": world.admin}[name]
+            )
             start = line.removeprefix("send ")
             writer.write(f"{start} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n".encode())
             data = await reader.read()
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -11,7 +11,7 @@
 from mallowbeam.streams.silence import client_patience_s, resume_after_s
 
 SEEDS = range(40)
-RUNS = 5                       # most instances that one answer is taken from, in the random walks
+RUNS = 5  # most instances that one answer is taken from, in the random walks
 
 
 def event(number: int, newline: str = "\n", lines: int = 1) -> bytes:
@@ -62,7 +62,7 @@
             data = stream(1, 20, newline)
             whole, _ = parse([data])
             self.assertEqual(b"".join(one.raw for one in whole), data)
-            self.assertEqual(parse(data[at:at + 1] for at in range(len(data)))[0], whole)
+            self.assertEqual(parse(data[at : at + 1] for at in range(len(data)))[0], whole)
             for seed in SEEDS:
                 self.assertEqual(parse(cut(data, Random(seed)))[0], whole, (newline, seed))
 
@@ -89,9 +89,18 @@
         self.assertTrue(parser.endless)
 
     def test_ids(self) -> None:
-        cases = {b"id: 5\ndata: x\n\n": 5, b"id:5\n\n": 5, b"versions: 2\nid: 5\n\n": 5,
-                 b"data: id: 5\n\n": None, b"data: x\n\n": None, b"id: x\n\n": None, b"id: -1\n\n": None,
-                 b"id:\n\n": None, b"id: 5\r\ndata: x\r\n\r\n": 5, b"idle: 5\n\n": None}
+        cases = {
+            b"id: 5\ndata: x\n\n": 5,
+            b"id:5\n\n": 5,
+            b"versions: 2\nid: 5\n\n": 5,
+            b"data: id: 5\n\n": None,
+            b"data: x\n\n": None,
+            b"id: x\n\n": None,
+            b"id: -1\n\n": None,
+            b"id:\n\n": None,
+            b"id: 5\r\ndata: x\r\n\r\n": 5,
+            b"idle: 5\n\n": None,
+        }
         for raw, expected in cases.items():
             self.assertEqual(read_id(raw), expected, raw)
         self.assertEqual(parse_id(b"9" * MOST_ID_DIGITS), int("9" * MOST_ID_DIGITS))
@@ -106,7 +115,7 @@
             progress = StreamProgress(resumable=True)
             passed = progress.feed(data[:position])
             whole = max(index for index, end in enumerate(ends) if end <= position)
-            self.assertEqual(passed, data[:ends[whole]])
+            self.assertEqual(passed, data[: ends[whole]])
             self.assertEqual((progress.events, progress.partial), (whole, position not in ends))
             self.assertEqual(progress.last_event_id, b"%d" % whole if whole else None)
 
@@ -128,7 +137,7 @@
             passed = b""
             for _ in range(random.randrange(RUNS)):
                 rest = stream(int(progress.last_event_id or b"0") + 1, last)
-                part = rest[:random.randrange(len(rest) + 1)]
+                part = rest[: random.randrange(len(rest) + 1)]
                 passed += b"".join(progress.feed(packet) for packet in cut(part, random))
                 progress.broken()
             passed += progress.feed(stream(int(progress.last_event_id or b"0") + 1, last))
@@ -150,7 +159,7 @@
             passed = progress.feed(stream(1, 3) + event(wrong) + event(4))
             self.assertEqual(ids_in(passed), [1, 2, 3])
             self.assertIn(str(wrong), progress.fault)
-            self.assertEqual(progress.feed(event(5)), b"")     # nothing more of this instance
+            self.assertEqual(progress.feed(event(5)), b"")  # nothing more of this instance
             self.assertEqual(progress.last_event_id, b"3")
 
     def test_ids_may_skip_numbers(self) -> None:
@@ -167,7 +176,7 @@
         data = stream(1, 6) + b"id: 2\ndata: again\n\nhalf an ev"
         for size in (1, 2, 5, len(data)):
             progress = StreamProgress(resumable=False)
-            passed = [progress.feed(data[at:at + size]) for at in range(0, len(data), size)]
+            passed = [progress.feed(data[at : at + size]) for at in range(0, len(data), size)]
             self.assertEqual(b"".join(passed), data)
             self.assertTrue(all(passed))
             self.assertEqual((progress.fault, progress.partial), ("", False))
--- a/tests/test_system_broken.py
+++ b/tests/test_system_broken.py
@@ -19,7 +19,7 @@
 
 class BrokenVariants(unittest.TestCase):
     def violation(self, text: str) -> str:
-        FleetPlayer(HEAD + text)               # the text itself is good
+        FleetPlayer(HEAD + text)  # the text itself is good
         with self.assertRaises(Violation) as caught:
             FleetPlayer(HEAD + text).play()
         return str(caught.exception)
@@ -28,8 +28,11 @@
         def early(self: Disk, change: Step, done: Step, failed: object = None) -> None:
             self._machine.after_true(0.0, done)
             self._machine.after_true(1.0, change)
-        text = "at 8 put 2 on 1\nby 9 expect taken 2\nat 9 power-off members\nat 10 start members\n" \
+
+        text = (
+            "at 8 put 2 on 1\nby 9 expect taken 2\nat 9 power-off members\nat 10 start members\n"
             "at 14 get\nend 16"
+        )
         FleetPlayer(HEAD + text).play()
         with mock.patch.object(Disk, "write", early):
             self.assertIn("revision 2 was acknowledged, ", self.violation(text))
@@ -41,6 +44,7 @@
             if now > 10.0:
                 self.configuration_revision = 0
             return take(self, frame, now)
+
         with mock.patch.object(FeedSubscriber, "received", forgets):
             self.assertIn("the configuration went back", self.violation("end 12"))
 
@@ -52,6 +56,7 @@
             for instance in self.held.values():
                 instance.state = 0
             return changes
+
         text = "at 8 drain a\nby 9 expect acknowledged a\nnever g1 a ready from 9.5 to 12\nend 12"
         FleetPlayer(HEAD + text).play()
         with mock.patch.object(InstanceCopy, "apply", overlooks):
@@ -68,15 +73,24 @@
 
         def claim() -> None:
             for member in player.members.values():
-                member.program._driver.node._state.role = player.members[player.names("leader")[0]] \
-                    .program._driver.node.role
+                member.program._driver.node._state.role = player.members[
+                    player.names("leader")[0]
+                ].program._driver.node.role
+
         player.simulator.at(9.0, claim)
         with self.assertRaisesRegex(Violation, "lead term"):
             player.play()
 
     def test_a_fleet_that_is_not_whole_again(self):
-        plan = Plan(members=3, bounded=False, trouble_pace=0.4, change_pace=1.0, large=False,
-                    compact_entries=2000, trailing_entries=64)
+        plan = Plan(
+            members=3,
+            bounded=False,
+            trouble_pace=0.4,
+            change_pace=1.0,
+            large=False,
+            compact_entries=2000,
+            trailing_entries=64,
+        )
         with mock.patch.object(Walk, "_mend_all"), self.assertRaisesRegex(Violation, "not whole again"):
             for seed in range(1, 6):
                 Walk(seed, plan=plan).play()
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -55,8 +55,9 @@
 
     def test_the_first_one_builds_on_0(self):
         member = self.member(lambda method, _: (404 if method == "GET" else 200, {}, {}))
-        code, out, _ = self.run_command("config", "put", self.file(DOCUMENT), "--control", member.address,
-                                        "--json")
+        code, out, _ = self.run_command(
+            "config", "put", self.file(DOCUMENT), "--control", member.address, "--json"
+        )
         self.assertEqual((code, json.loads(out)["based_on"]), (0, 0))
 
     def test_a_given_revision_is_not_asked_for(self):
@@ -174,19 +175,26 @@
     def test_each_kind_of_change(self):
         split = [{"backend": "one", "weight": 90}, {"backend": "two", "weight": 10}]
         route = {key: value for key, value in ROUTE.items() if key != "backend"}
-        new = {**DOCUMENT, "revision": 9, "limits": {**DOCUMENT["limits"], "idle_timeout_ms": 9000},
-               "routes": [{**route, "weighted_backends": split}, {**ROUTE, "path_prefix": "/y/"}],
-               "backends": [*DOCUMENT["backends"], {"name": "three"}]}
+        new = {
+            **DOCUMENT,
+            "revision": 9,
+            "limits": {**DOCUMENT["limits"], "idle_timeout_ms": 9000},
+            "routes": [{**route, "weighted_backends": split}, {**ROUTE, "path_prefix": "/y/"}],
+            "backends": [*DOCUMENT["backends"], {"name": "three"}],
+        }
         a, b = self.file(DOCUMENT, "a"), self.file(new, "b")
         code, out, _ = self.run_command("config", "diff", a, b)
         self.assertEqual(code, 1)
-        self.assertEqual(out.splitlines(), [
-            "~ revision revision: 7 -> 9",
-            "~ route a.example /x/ backends: one=1 -> one=90,two=10",
-            "+ route a.example /y/",
-            "+ backend three",
-            "~ limits idle_timeout_ms: 15000 -> 9000",
-        ])
+        self.assertEqual(
+            out.splitlines(),
+            [
+                "~ revision revision: 7 -> 9",
+                "~ route a.example /x/ backends: one=1 -> one=90,two=10",
+                "+ route a.example /y/",
+                "+ backend three",
+                "~ limits idle_timeout_ms: 15000 -> 9000",
+            ],
+        )
         code, out, _ = self.run_command("config", "diff", b, a, "--json")
         told = json.loads(out)["changes"]
         self.assertEqual(code, 1)
@@ -194,8 +202,9 @@
         self.assertIn(removed, told)
 
     def test_fields_that_this_version_does_not_use(self):
-        code, out, _ = self.run_command("config", "diff", self.file(DOCUMENT, "a"),
-                                        self.file({**DOCUMENT, "later": 1}, "b"))
+        code, out, _ = self.run_command(
+            "config", "diff", self.file(DOCUMENT, "a"), self.file({**DOCUMENT, "later": 1}, "b")
+        )
         self.assertEqual(code, 1)
         self.assertIn("fields that this version does not use", out)
 
@@ -205,18 +214,21 @@
         member = self.member(lambda *_: (200, STATUS, {}))
         code, out, err = self.run_command("status", "--control", member.address)
         self.assertEqual((code, err), (0, ""))
-        self.assertEqual(out.splitlines(), [
-            f"asked {member.address} (leader, member 00ff), term 4, leader 00ff, commit 12, applied 11",
-            "",
-            "configuration 7, gateways 5, instances 3",
-            "",
-            "MEMBER  PEER ADDRESS   CONTROL        ZONE  ROLE     SILENT MS",
-            "00ff    10.0.0.1:7660  10.0.0.1:8146  a     leader   0",
-            "0010    10.0.0.1:7660  10.0.0.1:8146  a     learner  40",
-            "",
-            "BACKEND  STAGE   ZONE  STATE  INSTANCES",
-            "one      decode  a     ready  3",
-        ])
+        self.assertEqual(
+            out.splitlines(),
+            [
+                f"asked {member.address} (leader, member 00ff), term 4, leader 00ff, commit 12, applied 11",
+                "",
+                "configuration 7, gateways 5, instances 3",
+                "",
+                "MEMBER  PEER ADDRESS   CONTROL        ZONE  ROLE     SILENT MS",
+                "00ff    10.0.0.1:7660  10.0.0.1:8146  a     leader   0",
+                "0010    10.0.0.1:7660  10.0.0.1:8146  a     learner  40",
+                "",
+                "BACKEND  STAGE   ZONE  STATE  INSTANCES",
+                "one      decode  a     ready  3",
+            ],
+        )
 
     def test_every_instance(self):
         member = self.member(lambda *_: (200, STATUS, {}))
@@ -236,11 +248,18 @@
             self.assertIn("leader none", out)
 
     def test_what_is_missing_or_wrong_is_named(self):
-        cases = [("term", {key: value for key, value in STATUS.items() if key != "term"}),
-                 ("members", {**STATUS, "members": 3}),
-                 ("silence_ms", {**STATUS, "members": [{**MEMBER, "silence_ms": "long"}]}),
-                 ("stage", {**STATUS, "instances": [{"id": "i", "backend": "b", "address": "", "zone": "",
-                                                     "state": ""}]})]
+        cases = [
+            ("term", {key: value for key, value in STATUS.items() if key != "term"}),
+            ("members", {**STATUS, "members": 3}),
+            ("silence_ms", {**STATUS, "members": [{**MEMBER, "silence_ms": "long"}]}),
+            (
+                "stage",
+                {
+                    **STATUS,
+                    "instances": [{"id": "i", "backend": "b", "address": "", "zone": "", "state": ""}],
+                },
+            ),
+        ]
         for name, document in cases:
             member = self.member(lambda *_, document=document: (200, document, {}))
             code, _, err = self.run_command("status", "--control", member.address)
--- a/tests/test_uploads.py
+++ b/tests/test_uploads.py
@@ -59,7 +59,7 @@
     assert first.get(b"idempotency-key") == second.get(b"idempotency-key") is not None
 
 
-@given(st.integers(0, 10 ** 9 - 1), st.text(min_size=1, max_size=60).filter(lambda t: t.isprintable()))
+@given(st.integers(0, 10**9 - 1), st.text(min_size=1, max_size=60).filter(lambda t: t.isprintable()))
 def test_an_upload_id_comes_back_as_it_was(shard, inner):
     assert unpack_upload(pack_upload(shard, inner)) == (shard, inner)
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -16,8 +16,8 @@
 from mallowbeam.control.nodes import MOST_AGAIN
 from mallowbeam.net import discovery
 
-COUNTS = 6.0                # seconds after silence by which what was missed counts as told
-GRANTED = 0.25              # seconds that a drain may be missed by
+COUNTS = 6.0  # seconds after silence by which what was missed counts as told
+GRANTED = 0.25  # seconds that a drain may be missed by
 
 
 def ask(rig: Rig) -> float:
@@ -59,7 +59,7 @@
 def test_a_hosts_own_agent_is_asked_again_within_what_a_drain_grants(kind):
     """Guards drains where lists are pushed: what the agent gets at its return counts from that moment."""
     rig = Rig(hosts=200)
-    for _ in range(500):                       # however long it is silent
+    for _ in range(500):  # however long it is silent
         rig.step(io.NodesListed(kind))
         assert ask(rig) + discovery.AGENT_RETRY + discovery.AGENT_OVERDUE <= GRANTED + 1e-9
 
@@ -111,13 +111,16 @@
 def test_an_agent_is_asked_with_shorter_waits_after_silence_until_it_answers(monkeypatch):
     """Guards drains where lists are pushed: nothing tells a broken watch from a discovery that is down."""
     monkeypatch.setattr(discovery, "AGENT_WAIT", 0.15)
-    play("""
+    play(
+        """
         d expect GET 'since=1&timeout_ms=150'
         d expect GET 'since=1&timeout_ms=100'
         d expect GET 'since=1&timeout_ms=100'
         d send 200 'body={"revision":5,"complete":true,"members":[]}'
         d expect GET 'since=5&timeout_ms=150'
-    """, pushed=True)
+    """,
+        pushed=True,
+    )
 
 
 def test_a_call_for_the_whole_list_falls_silent_too(monkeypatch):
--- a/tests/test_watch_failing.py
+++ b/tests/test_watch_failing.py
@@ -24,8 +24,8 @@
 from mallowbeam.control import nodes
 from mallowbeam.net import discovery
 
-TOLD = 5.45                 # seconds after the return by which each host has the news: 6 are granted
-GRANTED = 0.26              # the same where lists are pushed
+TOLD = 5.45  # seconds after the return by which each host has the news: 6 are granted
+GRANTED = 0.26  # the same where lists are pushed
 FAILURES = ["refused", "lost", "reset", "silent", "503", "half", "cut"]
 
 
@@ -80,8 +80,9 @@
 @pytest.mark.parametrize("failing", FAILURES)
 def test_what_an_agent_has_at_its_return_is_told_at_once(failing, hosts):
     """Guards the drains where lists are pushed: a call that began in vain held up the next for a second."""
-    waits, _ = through(failing, crc32(failing.encode()) + hosts, hosts, lambda: (0.0, True), pushed=True,
-                       alive=2)
+    waits, _ = through(
+        failing, crc32(failing.encode()) + hosts, hosts, lambda: (0.0, True), pushed=True, alive=2
+    )
     assert None not in waits and max(waits) <= GRANTED
 
 
@@ -90,9 +91,10 @@
     """Guards discovery, which serves a hundred calls a second and turns away who would wait over a second."""
     waits, service = through(failing, 11, 200, Turns(100.0))
     assert None not in waits and max(waits) <= 6.0
-    most = max(sum(at <= call < at + 1.0 for call in service.calls) for at in service.calls
-               if at >= service.back)
-    assert most <= 125                         # a second, of openings: 162 to 175 of a reset before the draw
+    most = max(
+        sum(at <= call < at + 1.0 for call in service.calls) for at in service.calls if at >= service.back
+    )
+    assert most <= 125  # a second, of openings: 162 to 175 of a reset before the draw
 
 
 async def told_of(serve: Callable) -> object:
@@ -106,8 +108,14 @@
             return await told.get()
 
 
-@pytest.mark.parametrize("first", [b"HTTP/1.1 200 OK\r\nx-y: ", b"HTTP/1.1 200 OK\r\n\r\n",
-                                   b"HTTP/1.1 200 OK\r\ncontent-length: 99999\r\n\r\n"])
+@pytest.mark.parametrize(
+    "first",
+    [
+        b"HTTP/1.1 200 OK\r\nx-y: ",
+        b"HTTP/1.1 200 OK\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\ncontent-length: 99999\r\n\r\n",
+    ],
+)
 def test_an_answer_at_a_byte_a_time_is_given_up_in_time(monkeypatch, first):
     """Guards the bound: a byte that comes must not give its call more time."""
     monkeypatch.setattr(discovery, "WAITS", (0.1, 0.1))
@@ -123,9 +131,16 @@
     assert uvloop.run(told_of(trickle)) is io.ListKind.SILENT
 
 
-@pytest.mark.parametrize("first", [b"HTTP/1.1 200 OK\r\n\r\n", b"HTTP/1.1 200 OK\r\nx-y: ", b"",
-                                   b"HTTP/1.1 200 OK\r\ncontent-length: 99999999\r\n\r\n",
-                                   b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nfffffff\r\n"])
+@pytest.mark.parametrize(
+    "first",
+    [
+        b"HTTP/1.1 200 OK\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nx-y: ",
+        b"",
+        b"HTTP/1.1 200 OK\r\ncontent-length: 99999999\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nfffffff\r\n",
+    ],
+)
 def test_an_answer_without_end_is_given_up_at_its_bound(monkeypatch, first):
     """Guards memory: a list has its most bytes, a head too, and a hundred interim answers are no answer."""
     monkeypatch.setattr(discovery, "MAX_LIST", 1 << 18)
@@ -141,11 +156,18 @@
                 await writer.drain()
 
     assert uvloop.run(told_of(flood)) is io.ListKind.FAILED
-    assert sum(held) < 64 << 20                # what the kernel and the two ends hold of it, and no more
-
-
-@pytest.mark.parametrize("sent", ["HTTP/1.1 2", r"HTTP/1.1 200 OK\r\nx-y: z", r"HTTP/1.1 200 OK\r\n\r\n{",
-                                  r"HTTP/1.1 200 OK\r\ncontent-length: 900\r\n\r\n{}"])
+    assert sum(held) < 64 << 20  # what the kernel and the two ends hold of it, and no more
+
+
+@pytest.mark.parametrize(
+    "sent",
+    [
+        "HTTP/1.1 2",
+        r"HTTP/1.1 200 OK\r\nx-y: z",
+        r"HTTP/1.1 200 OK\r\n\r\n{",
+        r"HTTP/1.1 200 OK\r\ncontent-length: 900\r\n\r\n{}",
+    ],
+)
 @pytest.mark.parametrize("then", ["d end", "d close", ""])
 def test_an_answer_that_stops_or_breaks_off_is_a_failed_call(monkeypatch, sent, then):
     """Half a head, half a body: given up by the end, the reset or the time-out, and asked again."""
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -25,8 +25,8 @@
 from mallowbeam.lab.faults.diagnosis import KEPT, Diagnosis
 from mallowbeam.lab.rig import hold_port
 
-NOTHING = b"\x01"           # the engine's entry without effect
-WAIT_S = 30.0               # seconds after which a test gives up
+NOTHING = b"\x01"  # the engine's entry without effect
+WAIT_S = 30.0  # seconds after which a test gives up
 
 
 def log_of(folder: Path, terms: list[int]) -> Path:
@@ -49,6 +49,7 @@
 
     def start(name: str, folder: Path) -> None:
         up[name] = Agreement(name, "life", addresses, folder, lambda *_: None)
+
     try:
         yield up, start
     finally:
@@ -67,7 +68,7 @@
     with members("abc") as (up, start):
         for name, terms in (("b", kept), ("c", parted), ("a", parted)):
             start(name, log_of(tmp_path / name, terms))
-            if name != "b":                    # c has an older log: it votes for b, and b not for it
+            if name != "b":  # c has an older log: it votes for b, and b not for it
                 until(lambda: all(one.shown().get("committed", 0) > 300 for one in up.values()))
         assert {one.leader() for one in up.values()} == {"b"}
         assert all(up[name].wire.went_back < 10 for name in "ac"), [up[n].wire.went_back for n in "ac"]
@@ -97,6 +98,7 @@
 
     def hear(self) -> object:
         """The next message; None where the link was ended."""
+
         def take(count: int) -> bytes:
             while len(self.held) < count:
                 data = self.sock.recv(4096)
@@ -105,6 +107,7 @@
                 self.held += data
             taken, self.held = self.held[:count], self.held[count:]
             return taken
+
         try:
             return pickle.loads(zlib.decompress(take(struct.unpack("i", take(4))[0])))
         except (EOFError, ConnectionError):
@@ -116,7 +119,7 @@
     """A member whose only other one is the test: its port, and the test's address, which dials."""
     (tmp_path / "a").mkdir()
     held, port = hold_port(socket.SO_REUSEADDR)
-    far = "127.0.0.1:9"                        # greater than any port of the kernel's, as text
+    far = "127.0.0.1:9"  # greater than any port of the kernel's, as text
     agreement = Agreement("a", "life", {"a": f"127.0.0.1:{port}", "b": far}, tmp_path / "a", lambda *_: None)
     yield agreement, port, far
     agreement.close()
@@ -132,7 +135,7 @@
     second.send((far, 7, 3))
     assert second.hear() is not None
     while first.hear() is not None:
-        pass                                   # ended once the newer stands
+        pass  # ended once the newer stands
     late.send((far, 7, 2))
     assert late.hear() is None
     assert second.hear() is not None, "and the newer one stands on"
@@ -140,8 +143,9 @@
     assert again.hear() is not None, "a new life counts from one again"
 
 
-@pytest.mark.parametrize("said", [
-    ["status"], "readonly", "127.0.0.1:9", ("127.0.0.1:1", 7, 1), {"type": "x"}, None])
+@pytest.mark.parametrize(
+    "said", [["status"], "readonly", "127.0.0.1:9", ("127.0.0.1:1", 7, 1), {"type": "x"}, None]
+)
 def test_a_caller_that_does_not_say_who_it_is_is_refused(near, said):
     """Guards the engine's thread, and its commands; None says nothing at all and is given up in time."""
     caller = Caller(near[1])
@@ -195,8 +199,12 @@
     return wire, passed, sent
 
 
-@given(st.integers(1, 8), st.lists(st.sampled_from([2, 4]), max_size=6),
-       st.lists(st.sampled_from([3, 5]), max_size=6), st.data())  # past the shared part no term is in both
+@given(
+    st.integers(1, 8),
+    st.lists(st.sampled_from([2, 4]), max_size=6),
+    st.lists(st.sampled_from([3, 5]), max_size=6),
+    st.data(),
+)  # past the shared part no term is in both
 def test_entries_alike_stay_and_what_parts_goes_whatever_comes_again(shared, mine, leaders, data):
     """As Raft says: what is alike stays, and from the first entry that parts all is replaced."""
     base = [0, *[1] * shared]
@@ -204,12 +212,19 @@
     at = data.draw(st.integers(1, len(there)))
     upto = data.draw(st.integers(at, len(there)))
     wire, passed, sent = alone(here)
-    wire._onMessageReceived("n", {
-        "type": "append_entries", "term": 5, "commit_index": upto,
-        "prevLogIdx": at, "prevLogTerm": there[at - 1],
-        "entries": [(NOTHING, index, there[index - 1]) for index in range(at + 1, upto + 1)]})
+    wire._onMessageReceived(
+        "n",
+        {
+            "type": "append_entries",
+            "term": 5,
+            "commit_index": upto,
+            "prevLogIdx": at,
+            "prevLogTerm": there[at - 1],
+            "entries": [(NOTHING, index, there[index - 1]) for index in range(at + 1, upto + 1)],
+        },
+    )
     message, after = passed[0], list(here)
-    if "prevLogIdx" in message:                # what the engine does with it
+    if "prevLogIdx" in message:  # what the engine does with it
         prev = message["prevLogIdx"]
         if prev > len(here) or here[prev - 1] != message["prevLogTerm"]:
             assert at > len(here) or here[at - 1] != there[at - 1], "refused only where it does not fit"
@@ -231,8 +246,9 @@
     """Guards the commit: what was acknowledged to a leader of before may have been removed since."""
     wire, passed, _ = alone([0, 1, 1])
     for term in (4, 5):
-        wire._onMessageReceived("n", {"type": "next_node_idx", "term": term, "next_node_idx": 4,
-                                      "reset": False, "success": True})
+        wire._onMessageReceived(
+            "n", {"type": "next_node_idx", "term": term, "next_node_idx": 4, "reset": False, "success": True}
+        )
     assert [message["term"] for message in passed] == [5]
 
 
@@ -262,15 +278,22 @@
 
 def test_a_member_that_was_restarted_does_not_vote_twice_in_a_term(tmp_path):
     """Guards an upgrade of the engine: its vote and term have to be on disk before they are told."""
+
     def asked(by: str) -> list[str]:
         wire = Silent()
         nodes = {name: TCPNode(f"127.0.0.1:{port}") for name, port in (("a", 1), ("b", 2), ("c", 3))}
-        engine = SyncObj(nodes["a"], [nodes["b"], nodes["c"]], SyncObjConf(
-            autoTick=False, journalFile=str(tmp_path / "journal")), transport=wire)
-        wire._onMessageReceived(nodes[by], {"type": "request_vote", "term": 4, "last_log_index": 9,
-                                            "last_log_term": 3})
-        del engine                             # gone without a word, as by SIGKILL
+        engine = SyncObj(
+            nodes["a"],
+            [nodes["b"], nodes["c"]],
+            SyncObjConf(autoTick=False, journalFile=str(tmp_path / "journal")),
+            transport=wire,
+        )
+        wire._onMessageReceived(
+            nodes[by], {"type": "request_vote", "term": 4, "last_log_index": 9, "last_log_term": 3}
+        )
+        del engine  # gone without a word, as by SIGKILL
         return [to for to, message in wire.sent if message["type"] == "response_vote"]
+
     assert asked("b") == ["127.0.0.1:2"] and asked("c") == []
 
 
@@ -296,11 +319,11 @@
         until(lambda: ends(tmp_path / "a")[0] > 1)
         assert journal_file.stat().st_ino != number, "another file took its name, whole"
     first, _ = ends(tmp_path / "a")
-    journal_file.write_bytes(old)              # as it was before the cut
+    journal_file.write_bytes(old)  # as it was before the cut
     journal = FileJournal(str(journal_file))
     last = journal[-1][1] + 3
     for index in range(last - 2, last + 1):
-        journal.add(NOTHING, index, 2)         # and what was acknowledged since
+        journal.add(NOTHING, index, 2)  # and what was acknowledged since
     journal._destroy()
     with members("a") as (up, start):
         start("a", tmp_path / "a")
@@ -314,10 +337,19 @@
 
 def test_a_diagnosis_names_each_gateway_by_second_and_forgets_the_oldest():
     told = Diagnosis()
-    engine = {"state": "candidate", "term": 4, "voted_for": "g0", "leader": None, "log_end": 9,
-              "log_end_term": 3, "committed": 7, "went_back": 1,
-              "tick_s": 0.25, "slowest_tick_s": 3.5,
-              "links": {"g1": {"state": "dialling", "dialled": "here", "for_s": 2.5, "match": None}}}
+    engine = {
+        "state": "candidate",
+        "term": 4,
+        "voted_for": "g0",
+        "leader": None,
+        "log_end": 9,
+        "log_end_term": 3,
+        "committed": 7,
+        "went_back": 1,
+        "tick_s": 0.25,
+        "slowest_tick_s": 3.5,
+        "links": {"g1": {"state": "dialling", "dialled": "here", "for_s": 2.5, "match": None}},
+    }
     for second in range(KEPT + 5):
         told.add(second + 0.5, "g0", engine)
     said = told.lines(["g0", "g1"])
--- a/tests/test_written.py
+++ b/tests/test_written.py
@@ -35,8 +35,14 @@
         return count
 
 
-async def struck(link: Link, peer: socket.socket, whole: int, write, strike: Callable[[asyncio.Task], object],
-                 at: int | None = None) -> asyncio.Task:
+async def struck(
+    link: Link,
+    peer: socket.socket,
+    whole: int,
+    write,
+    strike: Callable[[asyncio.Task], object],
+    at: int | None = None,
+) -> asyncio.Task:
     """Write; once the peer has `at` bytes (all, unless told), strike, before the writing task goes on."""
     link.channel.sock.whole = whole
     task, got, at = asyncio.create_task(write()), 0, whole if at is None else at
@@ -64,8 +70,10 @@
     "whole": (b"head" + BODY, lambda link: link.request(b"head", BODY)),
     "large": (b"head" + b"b" * (CHUNK + 1), lambda link: link.request(b"head", b"b" * (CHUNK + 1))),
     "pieces": (b"head" + BODY, lambda link: pieces(link, len(BODY))),
-    "chunks": (b"head" + b"64\r\n" + BODY[:100] + b"\r\n64\r\n" + BODY[100:] + b"\r\n0\r\n\r\n",
-               lambda link: pieces(link, None)),
+    "chunks": (
+        b"head" + b"64\r\n" + BODY[:100] + b"\r\n64\r\n" + BODY[100:] + b"\r\n0\r\n\r\n",
+        lambda link: pieces(link, None),
+    ),
 }
 
 
@@ -99,8 +107,14 @@
         data, write = WRITES[how]
         last = {"whole": len(data), "large": CHUNK + 1, "pieces": 100, "chunks": 5}[how]
         link._writable = link.channel._writable = asyncio.Event().wait
-        task = await struck(link, peer, len(data), lambda: write(link), lambda task: None
-                            if task.done() else task.cancel(), len(data) - last)
+        task = await struck(
+            link,
+            peer,
+            len(data),
+            lambda: write(link),
+            lambda task: None if task.done() else task.cancel(),
+            len(data) - last,
+        )
         while not task.done():
             task.cancel()
             await asyncio.sleep(0)
@@ -117,7 +131,7 @@
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         peer.close()
         with pytest.raises(Unsent):
-            for _ in range(3):                 # the first write may still be taken
+            for _ in range(3):  # the first write may still be taken
                 await link.request(b"head", b"b" * CHUNK)
         assert not link.written
 
@@ -157,11 +171,11 @@
                             await asyncio.sleep(0)
                 task = next(iter(world.gateway.tasks.values()))
                 limit = next(at for at in limits if at._task is task and at._state.name == "ENTERED")
-                limit._on_timeout()            # in the step in which the node has all of it
+                limit._on_timeout()  # in the step in which the node has all of it
                 monkeypatch.setattr(attempts.asyncio, "timeout", timeout)
                 await world.play("c1 expect 502")
                 with pytest.raises(BlockingIOError):
-                    node.accept()              # nobody came with it again
+                    node.accept()  # nobody came with it again
                 peer.close()
 
     uvloop.run(run())
--- a/tests/timed_instances.py
+++ b/tests/timed_instances.py
@@ -34,7 +34,7 @@
 
     takes_s: float = 0.0
     arrivals: list[Arrival] = field(default_factory=list)
-    working: int = 0                           # requests on which it works now
+    working: int = 0  # requests on which it works now
 
     async def _answer(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         if not seen.target.startswith("/mallowbeam/"):
@@ -65,11 +65,16 @@
     apart_s: float = 0.2
     plain: bool = False
 
-    async def _stream(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                      fault: object) -> bool:
+    async def _stream(
+        self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, fault: object
+    ) -> bool:
         kind = "text/plain" if self.plain else "text/event-stream"
-        writer.write((f"HTTP/1.1 200 OK\r\nRequest-Id: {seen.headers['request-id']}\r\n{self._stamp}"
-                      f"Content-Type: {kind}\r\nTransfer-Encoding: chunked\r\n\r\n").encode())
+        writer.write(
+            (
+                f"HTTP/1.1 200 OK\r\nRequest-Id: {seen.headers['request-id']}\r\n{self._stamp}"
+                f"Content-Type: {kind}\r\nTransfer-Encoding: chunked\r\n\r\n"
+            ).encode()
+        )
         number = int(seen.headers.get("last-event-id", "0"))
         while True:
             number += 1
--- a/tests/topics.py
+++ b/tests/topics.py
@@ -103,8 +103,9 @@
         place = self.folder / name
         place.mkdir(parents=True, exist_ok=True)
         self.told[name] = Told()
-        self.up[name] = Agreement(name, f"{time.monotonic_ns()}", self.addresses, place, self.told[name],
-                                  log=make_log(*topics))
+        self.up[name] = Agreement(
+            name, f"{time.monotonic_ns()}", self.addresses, place, self.told[name], log=make_log(*topics)
+        )
 
     def stop(self, name: str) -> None:
         agreement = self.up.pop(name)
@@ -135,11 +136,12 @@
                     return True
                 self.up[name].mark(number)
                 return False
+
             self.until(back)
 
     def push(self, name: str, base: int, body: str) -> Any:
         """A push's end."""
-        self.proven(name)                      # a leader is there: what is put in is not lost
+        self.proven(name)  # a leader is there: what is put in is not lost
         over, ends = threading.Event(), list[Any]()
         self.up[name].push(base, body, lambda told: (ends.append(told), over.set()))
         assert over.wait(30)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -13,9 +13,9 @@
 from typing import Any
 from unittest.mock import patch
 
-SETTLE_S = 0.0005           # real time given to loopback before the clock jumps
+SETTLE_S = 0.0005  # real time given to loopback before the clock jumps
 START_S = 1000.0
-STUCK_S = 5.0               # real time without a timer and without input, after which a test is stuck
+STUCK_S = 5.0  # real time without a timer and without input, after which a test is stuck
 
 
 class _Selector(selectors.DefaultSelector):
