--- a/mallowbeam/__init__.py
+++ b/mallowbeam/__init__.py
@@ -1,5 +1,1 @@
-"""mallowbeam: the decisions of a storage gateway.  See `mallowbeam.interface` for its types."""
-
-from mallowbeam.control import Scheduler
-
-__all__ = ["Scheduler"]
+"""Two programs in one tree: a router fleet for language models (`router`) and a storage gateway."""
--- a/mallowbeam/__main__.py
+++ b/mallowbeam/__main__.py
@@ -7,7 +7,7 @@
 
 import sys
 
-from mallowbeam.hangups import hold_hangups
+from mallowbeam.reload_signal import hold_hangups
 
 
 def main() -> int:
@@ -15,12 +15,12 @@
     name = sys.argv[1] if len(sys.argv) > 1 else ""
     if name == "data-plane":
         hold_hangups()  # before the imports, the longest part of a start
-        from mallowbeam.data_plane.role import main as run_data_plane
+        from mallowbeam.router.data_plane.role import main as run_data_plane
 
         return run_data_plane()
     if name == "control-plane":
         hold_hangups()
-        from mallowbeam.control_plane.role import main as run_control_plane
+        from mallowbeam.router.control_plane.role import main as run_control_plane
 
         return run_control_plane()
     if name == "fleet":
@@ -32,7 +32,7 @@
 
         app()
     hangups = hold_hangups()
-    from mallowbeam.program import run
+    from mallowbeam.storage_gateway.application import run
 
     return run(hangups=hangups)
 
--- a/mallowbeam/cli/app.py
+++ b/mallowbeam/cli/app.py
@@ -28,7 +28,7 @@
     log_format: Annotated[str, typer.Option(help="text or json")] = "text",
 ) -> None:
     """Run the gateway, as `python -m mallowbeam` does."""
-    from mallowbeam.program import run
+    from mallowbeam.storage_gateway.application import run
 
     if log_format not in ("text", "json"):
         raise typer.BadParameter("text or json", param_hint="--log-format")
--- a/mallowbeam/cli/buffer.py
+++ b/mallowbeam/cli/buffer.py
@@ -24,10 +24,10 @@
 )
 from rich.table import Table
 
-from mallowbeam.buffer import inspect
-from mallowbeam.buffer.disk import Locked
-from mallowbeam.buffer.errors import Failed
-from mallowbeam.buffer.records import Newer
+from mallowbeam.storage_gateway.write_buffer import inspect
+from mallowbeam.storage_gateway.write_buffer.disk import Locked
+from mallowbeam.storage_gateway.write_buffer.errors import Failed
+from mallowbeam.storage_gateway.write_buffer.records import Newer
 
 app = typer.Typer(no_args_is_help=True, help="Look at and empty a write-back buffer's folder.")
 Folder = Annotated[Path, typer.Argument(help="the buffer's folder", exists=True, file_okay=False)]
@@ -132,7 +132,7 @@
     as_json: AsJson = False,
 ) -> None:
     """Bring all that the folder holds to the nodes, with no gateway running; status 1 where some is left."""
-    from mallowbeam.net.config import BadConfig
+    from mallowbeam.storage_gateway.server.config import BadConfig
 
     try:
         left, held = asyncio.run(drained(fronts, balancer, seconds, send_held or [], drop_held or []))
@@ -147,9 +147,9 @@
     fronts: Path, balancer: Path, seconds: float, send: list[int], drop: list[int]
 ) -> tuple[int, int]:
     """Run a gateway without doors until its buffer is empty; how many writes are left, and how many held."""
-    from mallowbeam.net.config import read_config, read_file
-    from mallowbeam.net.gateway import Gateway
-    from mallowbeam.program import open_buffered
+    from mallowbeam.storage_gateway.application import open_buffered
+    from mallowbeam.storage_gateway.server.config import read_config, read_file
+    from mallowbeam.storage_gateway.server.gateway import Gateway
 
     config = read_config({**os.environ, "BALANCER_CONFIG": str(balancer)})
     gateway = Gateway(config)
--- a/mallowbeam/cli/config.py
+++ b/mallowbeam/cli/config.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from mallowbeam.net.config import BadConfig, read_config, read_file
+from mallowbeam.storage_gateway.server.config import BadConfig, read_config, read_file
 
 app = typer.Typer(no_args_is_help=True, help="Check the configuration; print the operators' file's schema.")
 DEFAULT = Path(__file__).parent.parent.parent / "deploy" / "fronts.json"
@@ -21,7 +21,7 @@
     balancer: Annotated[Path | None, typer.Option(help="the platform's configuration beside it")] = None,
 ) -> None:
     """Check every section, those that are off too; with --balancer also what the two files must agree on."""
-    from mallowbeam import operators
+    from mallowbeam.storage_gateway import operator_settings as operators
 
     try:
         raw = read_file(str(fronts))
@@ -36,8 +36,8 @@
 
 def agree(raw: dict[str, object], balancer: Path) -> None:
     """Build the gateway and its fronts without listening; raises `BadConfig`."""
-    from mallowbeam.fronts.objects.settings import read_object_settings
-    from mallowbeam.net.gateway import Gateway
+    from mallowbeam.storage_gateway.frontends.object_api.settings import read_object_settings
+    from mallowbeam.storage_gateway.server.gateway import Gateway
 
     config = read_config({**os.environ, "BALANCER_CONFIG": str(balancer)})
     gateway = Gateway(config)
@@ -45,8 +45,8 @@
     if isinstance(objects, dict) and objects.get("listen") is not None:
         settings = read_object_settings(objects, gateway)
         if isinstance(buffer, dict) and buffer.get("folder") is not None:
-            from mallowbeam.buffer.reopen import probe
-            from mallowbeam.fronts.objects.buffered import read_buffer_settings
+            from mallowbeam.storage_gateway.frontends.object_api.buffered import read_buffer_settings
+            from mallowbeam.storage_gateway.write_buffer.reopen import probe
 
             why = probe(read_buffer_settings(buffer, settings, gateway), wait=True)
             if why is not None:
@@ -56,6 +56,6 @@
 @app.command()
 def schema() -> None:
     """Print the JSON Schema of the operators' file."""
-    from mallowbeam import operators
+    from mallowbeam.storage_gateway import operator_settings as operators
 
     typer.echo(json.dumps(operators.schema(), indent=2))
--- a/mallowbeam/cli/system.py
+++ b/mallowbeam/cli/system.py
@@ -24,10 +24,10 @@
     FleetCommandError,
 )
 from mallowbeam.cli.system_status import STATUS_PATH, read_status, status_text
-from mallowbeam.configuration.errors import ConfigurationError
-from mallowbeam.configuration.parsing import parse_configuration
-from mallowbeam.configuration.patch import parse_patch
 from mallowbeam.errors import MallowbeamError
+from mallowbeam.router.configuration.errors import ConfigurationError
+from mallowbeam.router.configuration.parsing import parse_configuration
+from mallowbeam.router.configuration.patch import parse_patch
 
 CONFIG_PATH = "/mallowbeam/config"
 INSTANCES_PATH = "/mallowbeam/instances/"
--- a/mallowbeam/cli/system_config.py
+++ b/mallowbeam/cli/system_config.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 
 from mallowbeam.cli.system_errors import CommandFileError
-from mallowbeam.configuration.model import Backend, Configuration, Route, WeightedBackend
-from mallowbeam.configuration.parsing import ParsedConfiguration, parse_configuration
+from mallowbeam.router.configuration.model import Backend, Configuration, Route, WeightedBackend
+from mallowbeam.router.configuration.parsing import ParsedConfiguration, parse_configuration
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/lab/ablation/run.py
+++ b/mallowbeam/lab/ablation/run.py
@@ -12,7 +12,7 @@
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.lab.ablation.plan import Job, overrides_text
 from mallowbeam.lab.ablation.results import Result, keep_result, read_output
-from mallowbeam.processes.overrides import OVERRIDES_PATH
+from mallowbeam.router.processes.overrides import OVERRIDES_PATH
 
 Told = Callable[[str], None]
 
--- a/mallowbeam/lab/crash.py
+++ b/mallowbeam/lab/crash.py
@@ -15,11 +15,11 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from mallowbeam.buffer import inspect
 from mallowbeam.lab.ask import ask
 from mallowbeam.lab.rig import Rig
 from mallowbeam.standins.faults import Rule
 from mallowbeam.standins.node import ObjectNode
+from mallowbeam.storage_gateway.write_buffer import inspect
 
 BUCKET = "plates"
 CLIENTS = 8
--- a/mallowbeam/lab/faults/broken.py
+++ b/mallowbeam/lab/faults/broken.py
@@ -10,7 +10,7 @@
 import sys
 from collections.abc import Callable
 
-from mallowbeam.fleet.maintenance import core, order, part
+from mallowbeam.storage_gateway.coordination.maintenance import core, order, part
 
 
 def deaf() -> None:
--- a/mallowbeam/lab/faults/model.py
+++ b/mallowbeam/lab/faults/model.py
@@ -23,8 +23,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, Generic
 
-from mallowbeam.fleet.handed import MOST_OPEN, Handed, N, next_epoch, release
-from mallowbeam.fleet.handover import Handover, Release
+from mallowbeam.storage_gateway.coordination.handed import MOST_OPEN, Handed, N, next_epoch, release
+from mallowbeam.storage_gateway.coordination.handover import Handover, Release
 
 SLACK = 1e-9  # of a capacity: a sum of floats
 GATEWAYS = ("a", "b", "c")
--- a/mallowbeam/lab/faults/walk.py
+++ b/mallowbeam/lab/faults/walk.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from mallowbeam.fleet.log import Committed, Entry, Log, Refusal
-from mallowbeam.fleet.maintenance import core as c
-from mallowbeam.fleet.maintenance import state as s
-from mallowbeam.fleet.maintenance.machine import Maintenance
-from mallowbeam.fleet.policy import Mark, PolicyCore
 from mallowbeam.lab.faults.orderly import Arrival, Asked, Down, Ended, Event, Moved, Read, Told
+from mallowbeam.storage_gateway.coordination.log import Committed, Entry, Log, Refusal
+from mallowbeam.storage_gateway.coordination.maintenance import core as c
+from mallowbeam.storage_gateway.coordination.maintenance import state as s
+from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance
+from mallowbeam.storage_gateway.coordination.policy import Mark, PolicyCore
 
 TICK = 0.05  # simulated seconds of one step
 LEASE, BEAT = 2.0, 0.25  # of the gate
--- a/mallowbeam/lab/faults/walks.py
+++ b/mallowbeam/lab/faults/walks.py
@@ -126,7 +126,7 @@
 
 def back(walk: Walk, machine: str) -> None:
     """An operator says that a machine is back."""
-    from mallowbeam.fleet.maintenance.state import Back
+    from mallowbeam.storage_gateway.coordination.maintenance.state import Back
 
     for one in walk.gateways.values():
         if one.up and not one.stopped:
--- a/mallowbeam/lab/recover.py
+++ b/mallowbeam/lab/recover.py
@@ -11,11 +11,11 @@
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-from mallowbeam.buffer.core import Core, Limits
-from mallowbeam.buffer.disk import RealDisk
-from mallowbeam.buffer.log import Found, Item, Log, name_of, numbers
-from mallowbeam.buffer.records import Done, Kind, Write, pack
-from mallowbeam.buffer.reopen import boot_clock, no_collection, replay
+from mallowbeam.storage_gateway.write_buffer.core import Core, Limits
+from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
+from mallowbeam.storage_gateway.write_buffer.log import Found, Item, Log, name_of, numbers
+from mallowbeam.storage_gateway.write_buffer.records import Done, Kind, Write, pack
+from mallowbeam.storage_gateway.write_buffer.reopen import boot_clock, no_collection, replay
 
 BATCH = 2000
 SEGMENT = 64 << 20
--- a/mallowbeam/lab/shares.py
+++ b/mallowbeam/lab/shares.py
@@ -12,10 +12,18 @@
 import time
 from dataclasses import dataclass
 
-from mallowbeam.fleet.log import Log
-from mallowbeam.fleet.shares.core import SharesCore
-from mallowbeam.fleet.shares.packed import code, pack
-from mallowbeam.fleet.shares.topic import Close, Demand, Node, Released, Setup, Share, SharesTopic
+from mallowbeam.storage_gateway.coordination.log import Log
+from mallowbeam.storage_gateway.coordination.shares.core import SharesCore
+from mallowbeam.storage_gateway.coordination.shares.packed import code, pack
+from mallowbeam.storage_gateway.coordination.shares.topic import (
+    Close,
+    Demand,
+    Node,
+    Released,
+    Setup,
+    Share,
+    SharesTopic,
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/lab/sharesim.py
+++ b/mallowbeam/lab/sharesim.py
@@ -12,9 +12,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from mallowbeam.fleet.log import Committed, Entry, Log
-from mallowbeam.fleet.shares.core import Action, Allot, Propose, SharesCore, Times
-from mallowbeam.fleet.shares.topic import Setup, SharesState, SharesTopic
+from mallowbeam.storage_gateway.coordination.log import Committed, Entry, Log
+from mallowbeam.storage_gateway.coordination.shares.core import Action, Allot, Propose, SharesCore, Times
+from mallowbeam.storage_gateway.coordination.shares.topic import Setup, SharesState, SharesTopic
 
 STEP = 0.1  # seconds of true time
 Demands = dict[tuple[str, str, str], float]  # gateway, tenant, node: units a second
--- a/mallowbeam/lab/shareworth.py
+++ b/mallowbeam/lab/shareworth.py
@@ -13,9 +13,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from mallowbeam.fleet.shares.fair import Network, allot
-from mallowbeam.fleet.shares.topic import Node, Setup, Share
 from mallowbeam.lab.sharesim import Demands, Fleet, totals
+from mallowbeam.storage_gateway.coordination.shares.fair import Network, allot
+from mallowbeam.storage_gateway.coordination.shares.topic import Node, Setup, Share
 
 SHIFT_S = 10.0  # between two shifts of all demand; seldom is harder
 
--- a/mallowbeam/lab/stores.py
+++ b/mallowbeam/lab/stores.py
@@ -19,9 +19,9 @@
 import lmdb
 import uvloop
 
-from mallowbeam.buffer.disk import RealDisk
-from mallowbeam.buffer.log import Found, Item, Log
-from mallowbeam.buffer.records import Kind, Write, pack, unpack
+from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
+from mallowbeam.storage_gateway.write_buffer.log import Found, Item, Log
+from mallowbeam.storage_gateway.write_buffer.records import Kind, Write, pack, unpack
 
 BODY = os.urandom(1024)
 
--- a/mallowbeam/admission/guard.py
+++ b/mallowbeam/router/admission/guard.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
-from mallowbeam.admission.messages import PlanRequest
-from mallowbeam.admission.settings import PlannerSettings
-from mallowbeam.pairing.hashing import MASK, stable_hash
-from mallowbeam.pairing.instances import InstanceBook
+from mallowbeam.router.admission.messages import PlanRequest
+from mallowbeam.router.admission.settings import PlannerSettings
+from mallowbeam.router.pairing.hashing import MASK, stable_hash
+from mallowbeam.router.pairing.instances import InstanceBook
 from mallowbeam.scheduling.slot_time import FadingMean
 
 TARGET_MEMORY_S = 10.0  # of the mean target latency of a service
--- a/mallowbeam/admission/planner.py
+++ b/mallowbeam/router/admission/planner.py
@@ -13,8 +13,8 @@
 from math import ceil
 from typing import Protocol
 
-from mallowbeam.admission.guard import OverloadGuard
-from mallowbeam.admission.messages import (
+from mallowbeam.router.admission.guard import OverloadGuard
+from mallowbeam.router.admission.messages import (
     Expectation,
     Outcome,
     Plan,
@@ -22,11 +22,11 @@
     Refusal,
     RefusalReason,
 )
-from mallowbeam.admission.settings import PlannerSettings
-from mallowbeam.pairing.hashing import MASK, stable_hash
-from mallowbeam.pairing.instances import Engine, InstanceBook, InstanceEntry, InstanceTable
-from mallowbeam.pairing.prompt import Prompt
-from mallowbeam.pairing.ways import Pairing, Way
+from mallowbeam.router.admission.settings import PlannerSettings
+from mallowbeam.router.pairing.hashing import MASK, stable_hash
+from mallowbeam.router.pairing.instances import Engine, InstanceBook, InstanceEntry, InstanceTable
+from mallowbeam.router.pairing.prompt import Prompt
+from mallowbeam.router.pairing.ways import Pairing, Way
 from mallowbeam.scheduling.cycles import Placement
 
 READY, ENDED = 0, 2  # of `messages.InstanceState`
--- a/mallowbeam/admission/settings.py
+++ b/mallowbeam/router/admission/settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from mallowbeam.pairing.settings import PairingSettings
+from mallowbeam.router.pairing.settings import PairingSettings
 from mallowbeam.scheduling.slot_time import SlotTimeSettings
 
 
--- a/mallowbeam/configuration/changes.py
+++ b/mallowbeam/router/configuration/changes.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterator, Mapping
 from typing import TypeVar
 
-from mallowbeam.configuration.errors import UpdateMismatch
-from mallowbeam.configuration.model import (
+from mallowbeam.router.configuration.errors import UpdateMismatch
+from mallowbeam.router.configuration.model import (
     Backend,
     ClientLimits,
     Configuration,
@@ -18,7 +18,7 @@
     Route,
     WeightedBackend,
 )
-from mallowbeam.rpc import messages_pb2 as messages
+from mallowbeam.router.rpc import messages_pb2 as messages
 
 Value = TypeVar("Value", Route, Backend)
 
--- a/mallowbeam/configuration/checks.py
+++ b/mallowbeam/router/configuration/checks.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from mallowbeam.configuration.errors import (
+from mallowbeam.router.configuration.errors import (
     DuplicateBackend,
     NoTimeout,
     NoWeight,
@@ -13,7 +13,7 @@
     SharedKey,
     UnknownBackend,
 )
-from mallowbeam.configuration.model import Backend, Route
+from mallowbeam.router.configuration.model import Backend, Route
 
 KEY_FIELDS = ("key", "keys")  # of a tenant: one string, or a list of them
 
--- a/mallowbeam/configuration/document.py
+++ b/mallowbeam/router/configuration/document.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from mallowbeam.configuration.model import Backend, Configuration, Route
+from mallowbeam.router.configuration.model import Backend, Configuration, Route
 
 DIGEST_BYTES = 16
 ENCODER = msgspec.json.Encoder(order="sorted")
--- a/mallowbeam/configuration/parsing.py
+++ b/mallowbeam/router/configuration/parsing.py
@@ -15,8 +15,8 @@
 import msgspec
 from marshmallow import Schema, ValidationError
 
-from mallowbeam.configuration.checks import backends_by_name, check_tenant_keys, routes_by_place
-from mallowbeam.configuration.document import (
+from mallowbeam.router.configuration.checks import backends_by_name, check_tenant_keys, routes_by_place
+from mallowbeam.router.configuration.document import (
     ENCODER,
     ConfigurationDocument,
     Entry,
@@ -24,9 +24,13 @@
     canonical_document,
     digest_of,
 )
-from mallowbeam.configuration.errors import ConfigurationTooLarge, InvalidField, UnreadableConfiguration
-from mallowbeam.configuration.model import Backend, ClientLimits, Configuration, Route
-from mallowbeam.configuration.schemas import BackendSchema, DocumentSchema, RouteSchema
+from mallowbeam.router.configuration.errors import (
+    ConfigurationTooLarge,
+    InvalidField,
+    UnreadableConfiguration,
+)
+from mallowbeam.router.configuration.model import Backend, ClientLimits, Configuration, Route
+from mallowbeam.router.configuration.schemas import BackendSchema, DocumentSchema, RouteSchema
 
 MOST_BODY_BYTES = 8 * 1024 * 1024  # of one body; a longer one is refused with 413
 MOST_NESTING = 100  # levels inside an entry; far from the interpreter's bound, wherever a member parses from
--- a/mallowbeam/configuration/patch.py
+++ b/mallowbeam/router/configuration/patch.py
@@ -14,15 +14,15 @@
 import msgspec
 from marshmallow import Schema
 
-from mallowbeam.configuration.checks import check_route, check_tenant_keys
-from mallowbeam.configuration.document import (
+from mallowbeam.router.configuration.checks import check_route, check_tenant_keys
+from mallowbeam.router.configuration.document import (
     ENCODER,
     ConfigurationDocument,
     Entry,
     ParsedEntry,
     digest_of,
 )
-from mallowbeam.configuration.errors import (
+from mallowbeam.router.configuration.errors import (
     ConfigurationTooLarge,
     DuplicateName,
     InvalidField,
@@ -30,8 +30,8 @@
     SamePlace,
     UnknownBackend,
 )
-from mallowbeam.configuration.model import Backend, Configuration, Route
-from mallowbeam.configuration.parsing import (
+from mallowbeam.router.configuration.model import Backend, Configuration, Route
+from mallowbeam.router.configuration.parsing import (
     ENTRIES_DECODER,
     MEMBERS_DECODER,
     MOST_BODY_BYTES,
@@ -41,7 +41,13 @@
     load,
     read_entry,
 )
-from mallowbeam.configuration.schemas import BackendSchema, DocumentSchema, LenientSchema, RouteSchema, Text
+from mallowbeam.router.configuration.schemas import (
+    BackendSchema,
+    DocumentSchema,
+    LenientSchema,
+    RouteSchema,
+    Text,
+)
 
 UPSERT, REMOVE, REVISION = "upsert", "remove", "revision"
 ROUTES, BACKENDS = "routes", "backends"
--- a/mallowbeam/configuration/refusals.py
+++ b/mallowbeam/router/configuration/refusals.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from mallowbeam.rpc.messages_pb2 import CommandResult, RefusedConfiguration, ReplicatedState
+from mallowbeam.router.rpc.messages_pb2 import CommandResult, RefusedConfiguration, ReplicatedState
 
 MOST_REFUSED = 1_024  # remembered; beyond it further ones get no clear answer
 
--- a/mallowbeam/configuration/schemas.py
+++ b/mallowbeam/router/configuration/schemas.py
@@ -12,7 +12,7 @@
 
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, missing, post_load
 
-from mallowbeam.configuration.model import (
+from mallowbeam.router.configuration.model import (
     MOST_UINT32,
     MOST_UINT64,
     Backend,
--- a/mallowbeam/configuration/taken.py
+++ b/mallowbeam/router/configuration/taken.py
@@ -9,7 +9,7 @@
 import struct
 from bisect import bisect_left
 
-from mallowbeam.rpc.messages_pb2 import ReplicatedState
+from mallowbeam.router.rpc.messages_pb2 import ReplicatedState
 
 RECORD = struct.Struct(">Q16s")  # revision, digest
 MOST_TAKEN = 65_536  # remembered: 28 hours at 56,000 changes a day, 1.5 MiB of memory and of a snapshot
--- a/mallowbeam/configuration/versions.py
+++ b/mallowbeam/router/configuration/versions.py
@@ -8,14 +8,14 @@
 
 import zlib
 
-from mallowbeam.configuration.document import ConfigurationDocument, digest_of
-from mallowbeam.configuration.errors import ConfigurationError, NameNotFound
-from mallowbeam.configuration.model import Configuration
-from mallowbeam.configuration.parsing import ConfigurationParser, ParsedConfiguration
-from mallowbeam.configuration.patch import ConfigurationPatch, apply_patch, parse_patch
-from mallowbeam.configuration.refusals import MOST_REFUSED, CallIdentity, RefusedCalls
-from mallowbeam.configuration.taken import MOST_TAKEN, TakenConfigurations
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.configuration.document import ConfigurationDocument, digest_of
+from mallowbeam.router.configuration.errors import ConfigurationError, NameNotFound
+from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.configuration.parsing import ConfigurationParser, ParsedConfiguration
+from mallowbeam.router.configuration.patch import ConfigurationPatch, apply_patch, parse_patch
+from mallowbeam.router.configuration.refusals import MOST_REFUSED, CallIdentity, RefusedCalls
+from mallowbeam.router.configuration.taken import MOST_TAKEN, TakenConfigurations
+from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
     INVALID_OUTCOME,
--- a/mallowbeam/consensus/election.py
+++ b/mallowbeam/router/consensus/election.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from mallowbeam.consensus.state import MemberState, Role
-from mallowbeam.rpc.messages_pb2 import RaftMessage, VoteRequest, VoteResponse
+from mallowbeam.router.consensus.state import MemberState, Role
+from mallowbeam.router.rpc.messages_pb2 import RaftMessage, VoteRequest, VoteResponse
 
 FIRST_RETRY_SCALE = 0.5  # of an election timeout: how long the first campaign waits for its outcome
 PUT_OFF_SHARE = 0.25  # of the least election timeout: how long a grant puts off the own campaign
--- a/mallowbeam/consensus/follower.py
+++ b/mallowbeam/router/consensus/follower.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from mallowbeam.consensus.chunk_receiver import ChunkReceiver, Content, TransferKey
-from mallowbeam.consensus.state import MemberState
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.consensus.chunk_receiver import ChunkReceiver, Content, TransferKey
+from mallowbeam.router.consensus.state import MemberState
+from mallowbeam.router.rpc.messages_pb2 import (
     AppendRequest,
     AppendResponse,
     Entry,
--- a/mallowbeam/consensus/interface.py
+++ b/mallowbeam/router/consensus/interface.py
@@ -1,8 +1,8 @@
 """What goes into the Raft core and what comes out of it.
 
-The host (``control_plane``) drives one :class:`~mallowbeam.consensus.node.RaftNode`: it hands in ticks,
-messages and proposals with the steady clock's time in seconds, then calls ``output()`` and does what it says,
-in this order:
+The host (``control_plane``) drives one :class:`~mallowbeam.router.consensus.node.RaftNode`: it passes ticks,
+messages and proposals in, with the steady clock's time in seconds, then calls ``output()`` and does what it
+says, in this order:
 
 1. send ``Output.send`` at once;
 2. hand ``Output.write`` to storage; writes are made durable in the order in which they were handed over;
@@ -18,7 +18,7 @@
 
 from dataclasses import dataclass, field
 
-from mallowbeam.rpc.messages_pb2 import Entry, RaftMessage, Snapshot
+from mallowbeam.router.rpc.messages_pb2 import Entry, RaftMessage, Snapshot
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/consensus/leadership.py
+++ b/mallowbeam/router/consensus/leadership.py
@@ -7,21 +7,26 @@
 from dataclasses import dataclass
 from math import inf
 
-from mallowbeam.consensus.errors import MembershipChangeError, NotLeaderError, OverloadedError, TransferError
-from mallowbeam.consensus.interface import MemberProgress, Proposal, ReadResult
-from mallowbeam.consensus.membership import (
+from mallowbeam.router.consensus.errors import (
+    MembershipChangeError,
+    NotLeaderError,
+    OverloadedError,
+    TransferError,
+)
+from mallowbeam.router.consensus.interface import MemberProgress, Proposal, ReadResult
+from mallowbeam.router.consensus.membership import (
     CHANGE_STEP,
     check_change,
     members_of,
     quorum_of,
     without_outgoing,
 )
-from mallowbeam.consensus.progress import Progress
-from mallowbeam.consensus.quorum import Quorum
-from mallowbeam.consensus.reads import ReadQueue
-from mallowbeam.consensus.replication import Replicator
-from mallowbeam.consensus.state import MemberState
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.consensus.progress import Progress
+from mallowbeam.router.consensus.quorum import Quorum
+from mallowbeam.router.consensus.reads import ReadQueue
+from mallowbeam.router.consensus.replication import Replicator
+from mallowbeam.router.consensus.state import MemberState
+from mallowbeam.router.rpc.messages_pb2 import (
     COMMAND,
     MEMBERSHIP,
     NO_OPERATION,
--- a/mallowbeam/consensus/log.py
+++ b/mallowbeam/router/consensus/log.py
@@ -5,9 +5,9 @@
 from bisect import bisect_left
 from collections.abc import Sequence
 
-from mallowbeam.consensus.errors import DivergedError
-from mallowbeam.consensus.membership import MembershipHistory
-from mallowbeam.rpc.messages_pb2 import Entry, EntryKind, Snapshot
+from mallowbeam.router.consensus.errors import DivergedError
+from mallowbeam.router.consensus.membership import MembershipHistory
+from mallowbeam.router.rpc.messages_pb2 import Entry, EntryKind, Snapshot
 
 
 class RaftLog:
--- a/mallowbeam/consensus/membership.py
+++ b/mallowbeam/router/consensus/membership.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from mallowbeam.consensus.errors import MembershipChangeError
-from mallowbeam.consensus.quorum import Quorum
-from mallowbeam.rpc.messages_pb2 import MEMBERSHIP, Entry, Membership
+from mallowbeam.router.consensus.errors import MembershipChangeError
+from mallowbeam.router.consensus.quorum import Quorum
+from mallowbeam.router.rpc.messages_pb2 import MEMBERSHIP, Entry, Membership
 
 CHANGE_STEP = "change membership"
 
--- a/mallowbeam/consensus/node.py
+++ b/mallowbeam/router/consensus/node.py
@@ -5,10 +5,10 @@
 from math import inf
 from random import Random
 
-from mallowbeam.consensus.election import Election
-from mallowbeam.consensus.errors import DivergedError, NotLeaderError
-from mallowbeam.consensus.follower import Follower
-from mallowbeam.consensus.interface import (
+from mallowbeam.router.consensus.election import Election
+from mallowbeam.router.consensus.errors import DivergedError, NotLeaderError
+from mallowbeam.router.consensus.follower import Follower
+from mallowbeam.router.consensus.interface import (
     MemberProgress,
     Output,
     Proposal,
@@ -16,9 +16,9 @@
     ReadResult,
     Restored,
 )
-from mallowbeam.consensus.leadership import Leadership
-from mallowbeam.consensus.state import MemberState, Role
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.consensus.leadership import Leadership
+from mallowbeam.router.consensus.state import MemberState, Role
+from mallowbeam.router.rpc.messages_pb2 import (
     AppendRequest,
     AppendResponse,
     EntryChunk,
--- a/mallowbeam/consensus/persistence.py
+++ b/mallowbeam/router/consensus/persistence.py
@@ -5,9 +5,9 @@
 from collections import deque
 from dataclasses import dataclass
 
-from mallowbeam.consensus.interface import HardState, Send, Write
-from mallowbeam.consensus.log import RaftLog
-from mallowbeam.rpc.messages_pb2 import RaftMessage, Snapshot
+from mallowbeam.router.consensus.interface import HardState, Send, Write
+from mallowbeam.router.consensus.log import RaftLog
+from mallowbeam.router.rpc.messages_pb2 import RaftMessage, Snapshot
 
 
 @dataclass(slots=True)
--- a/mallowbeam/consensus/progress.py
+++ b/mallowbeam/router/consensus/progress.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from mallowbeam.consensus.transfer import Transfer
+from mallowbeam.router.consensus.transfer import Transfer
 
 
 class Mode(Enum):
--- a/mallowbeam/consensus/reads.py
+++ b/mallowbeam/router/consensus/reads.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from mallowbeam.consensus.interface import ReadResult
+from mallowbeam.router.consensus.interface import ReadResult
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/consensus/replication.py
+++ b/mallowbeam/router/consensus/replication.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Sequence
 
-from mallowbeam.consensus.progress import Mode, Progress
-from mallowbeam.consensus.state import MemberState
-from mallowbeam.consensus.transfer import EntryTransfer, LeaderState, SnapshotTransfer, Transfer
-from mallowbeam.rpc.messages_pb2 import AppendRequest, Entry, RaftMessage, SnapshotProgress
+from mallowbeam.router.consensus.progress import Mode, Progress
+from mallowbeam.router.consensus.state import MemberState
+from mallowbeam.router.consensus.transfer import EntryTransfer, LeaderState, SnapshotTransfer, Transfer
+from mallowbeam.router.rpc.messages_pb2 import AppendRequest, Entry, RaftMessage, SnapshotProgress
 
 
 class Replicator:
--- a/mallowbeam/consensus/state.py
+++ b/mallowbeam/router/consensus/state.py
@@ -6,11 +6,11 @@
 from math import inf
 from random import Random
 
-from mallowbeam.consensus.interface import RaftSettings, ReadResult, Restored
-from mallowbeam.consensus.log import RaftLog
-from mallowbeam.consensus.persistence import Persistence
-from mallowbeam.consensus.quorum import Quorum
-from mallowbeam.rpc.messages_pb2 import Snapshot
+from mallowbeam.router.consensus.interface import RaftSettings, ReadResult, Restored
+from mallowbeam.router.consensus.log import RaftLog
+from mallowbeam.router.consensus.persistence import Persistence
+from mallowbeam.router.consensus.quorum import Quorum
+from mallowbeam.router.rpc.messages_pb2 import Snapshot
 
 
 class Role(Enum):
--- a/mallowbeam/consensus/storage/__init__.py
+++ b/mallowbeam/router/consensus/storage/__init__.py
@@ -3,7 +3,7 @@
 The format is described in ``docs/formats/replica-store.md``.
 """
 
-from mallowbeam.consensus.storage.errors import (
+from mallowbeam.router.consensus.storage.errors import (
     StoreDamagedError,
     StoreError,
     StoreFailedError,
@@ -11,7 +11,7 @@
     StoreOrderError,
     StoreVersionError,
 )
-from mallowbeam.consensus.storage.store import ReplicaStore
+from mallowbeam.router.consensus.storage.store import ReplicaStore
 
 __all__ = [
     "ReplicaStore",
--- a/mallowbeam/consensus/storage/batch.py
+++ b/mallowbeam/router/consensus/storage/batch.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable, Sequence
 from typing import Any, TypeVar
 
-from mallowbeam.consensus.interface import HardState, Restored, Write
-from mallowbeam.consensus.storage import records
-from mallowbeam.consensus.storage.errors import StoreDamagedError, StoreOrderError, StoreVersionError
-from mallowbeam.rpc.messages_pb2 import Entry, Snapshot
+from mallowbeam.router.consensus.interface import HardState, Restored, Write
+from mallowbeam.router.consensus.storage import records
+from mallowbeam.router.consensus.storage.errors import StoreDamagedError, StoreOrderError, StoreVersionError
+from mallowbeam.router.rpc.messages_pb2 import Entry, Snapshot
 
 _Numbered = TypeVar("_Numbered", Entry, Snapshot)
 
--- a/mallowbeam/consensus/storage/files.py
+++ b/mallowbeam/router/consensus/storage/files.py
@@ -9,7 +9,7 @@
 
 import lmdb
 
-from mallowbeam.consensus.storage.errors import StoreDamagedError, StoreFailedError, StoreFullError
+from mallowbeam.router.consensus.storage.errors import StoreDamagedError, StoreFailedError, StoreFullError
 
 FULL = (errno.ENOSPC, errno.EDQUOT)
 UNREADABLE = (lmdb.InvalidError, lmdb.VersionMismatchError, lmdb.CorruptedError, lmdb.PageNotFoundError)
--- a/mallowbeam/consensus/storage/pages.py
+++ b/mallowbeam/router/consensus/storage/pages.py
@@ -11,8 +11,8 @@
 import struct
 from dataclasses import dataclass, field
 
-from mallowbeam.consensus.storage.errors import StoreDamagedError
-from mallowbeam.consensus.storage.seal import PAGE_BYTES, SLOTS
+from mallowbeam.router.consensus.storage.errors import StoreDamagedError
+from mallowbeam.router.consensus.storage.seal import PAGE_BYTES, SLOTS
 
 PAGE_HEAD = struct.Struct("<QHHHH")  # number, pad, flags, lower, upper
 OVERFLOW_COUNT = struct.Struct("<I")  # in place of lower and upper: pages of an overflow value
--- a/mallowbeam/consensus/storage/records.py
+++ b/mallowbeam/router/consensus/storage/records.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator
 from zlib import crc32
 
-from mallowbeam.consensus.storage.errors import StoreDamagedError
+from mallowbeam.router.consensus.storage.errors import StoreDamagedError
 
 FORMAT_VERSION = 1
 PART_BYTES = 4096 - 16  # a page without its header
--- a/mallowbeam/consensus/storage/store.py
+++ b/mallowbeam/router/consensus/storage/store.py
@@ -14,21 +14,21 @@
 import lmdb
 from google.protobuf.message import DecodeError
 
-from mallowbeam.consensus.interface import Restored, Write
-from mallowbeam.consensus.storage import batch, pages, seal
-from mallowbeam.consensus.storage.errors import (
+from mallowbeam.router.consensus.interface import Restored, Write
+from mallowbeam.router.consensus.storage import batch, pages, seal
+from mallowbeam.router.consensus.storage.errors import (
     StoreDamagedError,
     StoreFullError,
     StoreOrderError,
     StoreVersionError,
 )
-from mallowbeam.consensus.storage.files import (
+from mallowbeam.router.consensus.storage.files import (
     make_folder,
     raised_as_store_error,
     remove_file,
     sync_folder,
 )
-from mallowbeam.rpc.messages_pb2 import Snapshot
+from mallowbeam.router.rpc.messages_pb2 import Snapshot
 
 FILE = "replica.lmdb"
 UNFINISHED = "replica.new"  # a store whose first state was never acknowledged
--- a/mallowbeam/consensus/transfer.py
+++ b/mallowbeam/router/consensus/transfer.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from mallowbeam.rpc.messages_pb2 import Entry, EntryChunk, RaftMessage, Snapshot, SnapshotChunk
+from mallowbeam.router.rpc.messages_pb2 import Entry, EntryChunk, RaftMessage, Snapshot, SnapshotChunk
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/control_plane/api.py
+++ b/mallowbeam/router/control_plane/api.py
@@ -6,11 +6,15 @@
 import time
 from collections.abc import Awaitable, Callable
 
-from mallowbeam.configuration.errors import ConfigurationError
-from mallowbeam.configuration.parsing import ConfigurationParser
-from mallowbeam.configuration.patch import parse_patch
-from mallowbeam.configuration.versions import ConfigurationVersions, patch_command, put_command
-from mallowbeam.control_plane.answers import (
+from mallowbeam.errors import MallowbeamError
+from mallowbeam.http.budget import ANOTHER_LARGE_BODY, Budget
+from mallowbeam.http.framing import Message
+from mallowbeam.http.front import Reply
+from mallowbeam.router.configuration.errors import ConfigurationError
+from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.configuration.patch import parse_patch
+from mallowbeam.router.configuration.versions import ConfigurationVersions, patch_command, put_command
+from mallowbeam.router.control_plane.answers import (
     CallError,
     InvalidOutcomeError,
     LargeBodyError,
@@ -20,18 +24,14 @@
     body_reply,
     error_reply,
 )
-from mallowbeam.control_plane.commands import Commands
-from mallowbeam.control_plane.instances import Instances
-from mallowbeam.control_plane.large_bodies import LARGE_BODY, LargeBodies, Work, run_in_thread
-from mallowbeam.control_plane.serving import AppliedEntry, ConfirmedRead, Said, ServingGate
-from mallowbeam.control_plane.status import StatusPage
-from mallowbeam.errors import MallowbeamError
-from mallowbeam.http.budget import ANOTHER_LARGE_BODY, Budget
-from mallowbeam.http.framing import Message
-from mallowbeam.http.front import Reply
-from mallowbeam.registry.errors import HeartbeatError
-from mallowbeam.registry.parse import check_id, parse_heartbeat
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.instances import Instances
+from mallowbeam.router.control_plane.large_bodies import LARGE_BODY, LargeBodies, Work, run_in_thread
+from mallowbeam.router.control_plane.serving import AppliedEntry, ConfirmedRead, Said, ServingGate
+from mallowbeam.router.control_plane.status import StatusPage
+from mallowbeam.router.registry.errors import HeartbeatError
+from mallowbeam.router.registry.parse import check_id, parse_heartbeat
+from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
     INVALID_OUTCOME,
--- a/mallowbeam/control_plane/attempt_words.py
+++ b/mallowbeam/router/control_plane/attempt_words.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from mallowbeam.health.fleet_attempts import (
+from mallowbeam.router.health.fleet_attempts import (
     MOST_TAKEN,
     MOST_TOLD,
     AttemptTable,
@@ -14,7 +14,7 @@
     failing,
     messages_of,
 )
-from mallowbeam.rpc.messages_pb2 import InstanceAttempts, RegistryGossip
+from mallowbeam.router.rpc.messages_pb2 import InstanceAttempts, RegistryGossip
 
 TELL_S = 0.4  # between two words to the other members, at the least
 
--- a/mallowbeam/control_plane/commands.py
+++ b/mallowbeam/router/control_plane/commands.py
@@ -11,13 +11,13 @@
 import time
 from typing import TypeVar
 
-from mallowbeam.consensus.errors import ConsensusError
-from mallowbeam.control_plane.answers import NothingProposedError, OutcomeUnknownError
-from mallowbeam.control_plane.peer_links import PeerLinks
-from mallowbeam.control_plane.raft_driver import RaftDriver
-from mallowbeam.control_plane.state_machine import Outcome
-from mallowbeam.control_plane.waiting import ProposalLost, ReadRefused
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.consensus.errors import ConsensusError
+from mallowbeam.router.control_plane.answers import NothingProposedError, OutcomeUnknownError
+from mallowbeam.router.control_plane.peer_links import PeerLinks
+from mallowbeam.router.control_plane.raft_driver import RaftDriver
+from mallowbeam.router.control_plane.state_machine import Outcome
+from mallowbeam.router.control_plane.waiting import ProposalLost, ReadRefused
+from mallowbeam.router.rpc.messages_pb2 import (
     APPLIED,
     NOT_LEADER,
     UNKNOWN,
--- a/mallowbeam/control_plane/disk_writer.py
+++ b/mallowbeam/router/control_plane/disk_writer.py
@@ -14,9 +14,9 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from mallowbeam.consensus.interface import Write
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.processes.logs import get_logger
+from mallowbeam.router.consensus.interface import Write
+from mallowbeam.router.processes.logs import get_logger
 
 RETRY_S = 0.25  # seconds between two attempts at a write that the disk refused
 MOST_TOGETHER = 8 * 1024 * 1024  # bytes that go to the store together; one write that is larger goes alone
--- a/mallowbeam/control_plane/feeds.py
+++ b/mallowbeam/router/control_plane/feeds.py
@@ -5,11 +5,11 @@
 import time
 from collections.abc import Callable
 
-from mallowbeam.feed.publisher import FeedPublisher, MemberStatus
-from mallowbeam.health.fleet_attempts import AttemptTable
-from mallowbeam.pairing.stage_demand import DemandTable
-from mallowbeam.rpc.connection import FrameConnection
-from mallowbeam.rpc.messages_pb2 import GatewayFrame
+from mallowbeam.router.feed.publisher import FeedPublisher, MemberStatus
+from mallowbeam.router.health.fleet_attempts import AttemptTable
+from mallowbeam.router.pairing.stage_demand import DemandTable
+from mallowbeam.router.rpc.connection import FrameConnection
+from mallowbeam.router.rpc.messages_pb2 import GatewayFrame
 
 BUSY_BYTES = 256 * 1024  # unsent on a feed, beyond which nothing is added until it has drained
 MOST_FEEDS = 1024  # gateways that one member takes; others go to another member
--- a/mallowbeam/control_plane/first_start.py
+++ b/mallowbeam/router/control_plane/first_start.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from mallowbeam.rpc.messages_pb2 import Member, Membership, Snapshot
+from mallowbeam.router.rpc.messages_pb2 import Member, Membership, Snapshot
 
 ID_BYTES = 8
 FIRST_INDEX = 1  # of the seeds' snapshot; a joiner's is 0, so that it is sent a whole one
--- a/mallowbeam/control_plane/group.py
+++ b/mallowbeam/router/control_plane/group.py
@@ -11,10 +11,10 @@
 
 from google.protobuf.message import DecodeError
 
-from mallowbeam.consensus.errors import ConsensusError
-from mallowbeam.control_plane.leaving import LeaveRequests
-from mallowbeam.control_plane.link_listener import join_answer
-from mallowbeam.control_plane.membership_policy import (
+from mallowbeam.router.consensus.errors import ConsensusError
+from mallowbeam.router.control_plane.leaving import LeaveRequests
+from mallowbeam.router.control_plane.link_listener import join_answer
+from mallowbeam.router.control_plane.membership_policy import (
     Group,
     Progress,
     admit,
@@ -22,11 +22,11 @@
     leaving,
     next_change,
 )
-from mallowbeam.control_plane.raft_driver import RaftDriver
-from mallowbeam.control_plane.state_machine import Outcome
-from mallowbeam.processes.logs import get_logger
-from mallowbeam.rpc.connection import FrameConnection, connect
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.control_plane.raft_driver import RaftDriver
+from mallowbeam.router.control_plane.state_machine import Outcome
+from mallowbeam.router.processes.logs import get_logger
+from mallowbeam.router.rpc.connection import FrameConnection, connect
+from mallowbeam.router.rpc.messages_pb2 import (
     JoinRequest,
     JoinResponse,
     LeaveRequest,
--- a/mallowbeam/control_plane/instances.py
+++ b/mallowbeam/router/control_plane/instances.py
@@ -10,15 +10,15 @@
 from collections.abc import Callable
 from random import Random
 
-from mallowbeam.control_plane.attempt_words import AttemptWords
-from mallowbeam.control_plane.commands import Commands
-from mallowbeam.control_plane.peer_links import PeerLinks
-from mallowbeam.control_plane.serving import AppliedEntry, Said, ServingGate
-from mallowbeam.control_plane.stage_orders import StageOrders
-from mallowbeam.registry.census import GatewayCensus
-from mallowbeam.registry.retirements import Retirements
-from mallowbeam.registry.table import InstanceTable
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.control_plane.attempt_words import AttemptWords
+from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.peer_links import PeerLinks
+from mallowbeam.router.control_plane.serving import AppliedEntry, Said, ServingGate
+from mallowbeam.router.control_plane.stage_orders import StageOrders
+from mallowbeam.router.registry.census import GatewayCensus
+from mallowbeam.router.registry.retirements import Retirements
+from mallowbeam.router.registry.table import InstanceTable
+from mallowbeam.router.rpc.messages_pb2 import (
     DRAINING,
     DRAINS,
     GONE,
--- a/mallowbeam/control_plane/large_bodies.py
+++ b/mallowbeam/router/control_plane/large_bodies.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 from typing import Protocol, TypeVar
 
-from mallowbeam.configuration.parsing import ConfigurationParser
-from mallowbeam.configuration.patch import parse_patch
-from mallowbeam.configuration.versions import patch_command, put_command
-from mallowbeam.control_plane.answers import LargeBodyError
 from mallowbeam.http.budget import ANOTHER_LARGE_BODY
-from mallowbeam.rpc.messages_pb2 import PutConfiguration
+from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.configuration.patch import parse_patch
+from mallowbeam.router.configuration.versions import patch_command, put_command
+from mallowbeam.router.control_plane.answers import LargeBodyError
+from mallowbeam.router.rpc.messages_pb2 import PutConfiguration
 
 LARGE_BODY = 256 * 1024  # bytes above which a body is large
 
--- a/mallowbeam/control_plane/leaving.py
+++ b/mallowbeam/router/control_plane/leaving.py
@@ -12,11 +12,11 @@
 import time
 from collections.abc import Callable
 
-from mallowbeam.control_plane.membership_policy import Leaving
-from mallowbeam.control_plane.peer_links import PeerLinks
-from mallowbeam.control_plane.raft_driver import RaftDriver
-from mallowbeam.processes.logs import get_logger
-from mallowbeam.rpc.messages_pb2 import LeaveRequest, LeaveResponse, PeerFrame
+from mallowbeam.router.control_plane.membership_policy import Leaving
+from mallowbeam.router.control_plane.peer_links import PeerLinks
+from mallowbeam.router.control_plane.raft_driver import RaftDriver
+from mallowbeam.router.processes.logs import get_logger
+from mallowbeam.router.rpc.messages_pb2 import LeaveRequest, LeaveResponse, PeerFrame
 
 # Seconds for the place to be given away. Room for two elections that begin meanwhile (0.8 s each at most) and
 # for a learner to catch up; with the hand-overs (0.5 s each) and the disk's last writes (0.5 s) it is hardly
--- a/mallowbeam/control_plane/link_listener.py
+++ b/mallowbeam/router/control_plane/link_listener.py
@@ -7,10 +7,10 @@
 
 from google.protobuf.message import DecodeError
 
-from mallowbeam.control_plane.peer_links import PeerLinks
-from mallowbeam.processes.logs import get_logger
-from mallowbeam.rpc.connection import FrameConnection
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.control_plane.peer_links import PeerLinks
+from mallowbeam.router.processes.logs import get_logger
+from mallowbeam.router.rpc.connection import FrameConnection
+from mallowbeam.router.rpc.messages_pb2 import (
     GatewayFrame,
     JoinRequest,
     JoinResponse,
--- a/mallowbeam/control_plane/member.py
+++ b/mallowbeam/router/control_plane/member.py
@@ -7,38 +7,38 @@
 import time
 from math import inf
 
-from mallowbeam.configuration.parsing import ConfigurationParser
-from mallowbeam.consensus.interface import RaftSettings
-from mallowbeam.consensus.node import RaftNode
-from mallowbeam.control_plane.api import ControlApi
-from mallowbeam.control_plane.attempt_words import AttemptWords
-from mallowbeam.control_plane.commands import Commands
-from mallowbeam.control_plane.disk_writer import DiskWriter
-from mallowbeam.control_plane.feeds import Feeds
-from mallowbeam.control_plane.first_start import peer_address
-from mallowbeam.control_plane.group import GroupKeeper
-from mallowbeam.control_plane.instances import Instances
-from mallowbeam.control_plane.large_bodies import Work, run_in_thread
-from mallowbeam.control_plane.leaving import Departure
-from mallowbeam.control_plane.link_listener import LinkListener
-from mallowbeam.control_plane.opening import OpenedStore, WatchedStore
-from mallowbeam.control_plane.peer_links import PeerLinks
-from mallowbeam.control_plane.raft_driver import RaftDriver
-from mallowbeam.control_plane.serving import ServingGate
-from mallowbeam.control_plane.stage_orders import StageOrders
-from mallowbeam.control_plane.state_machine import ConfigurationFeed, ReplicatedStateMachine
-from mallowbeam.control_plane.status import StatusPage
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.feed.publisher import FeedPublisher
 from mallowbeam.http.server import Server
-from mallowbeam.pairing.stage_share import StageShareSettings
-from mallowbeam.processes.logs import get_logger
-from mallowbeam.processes.metrics import metrics_server
-from mallowbeam.processes.overrides import overridden, read_overrides
-from mallowbeam.processes.settings import NodeSettings, split_address
-from mallowbeam.registry.table import InstanceTable
-from mallowbeam.rpc.connection import FrameConnection, listen
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.consensus.interface import RaftSettings
+from mallowbeam.router.consensus.node import RaftNode
+from mallowbeam.router.control_plane.api import ControlApi
+from mallowbeam.router.control_plane.attempt_words import AttemptWords
+from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.disk_writer import DiskWriter
+from mallowbeam.router.control_plane.feeds import Feeds
+from mallowbeam.router.control_plane.first_start import peer_address
+from mallowbeam.router.control_plane.group import GroupKeeper
+from mallowbeam.router.control_plane.instances import Instances
+from mallowbeam.router.control_plane.large_bodies import Work, run_in_thread
+from mallowbeam.router.control_plane.leaving import Departure
+from mallowbeam.router.control_plane.link_listener import LinkListener
+from mallowbeam.router.control_plane.opening import OpenedStore, WatchedStore
+from mallowbeam.router.control_plane.peer_links import PeerLinks
+from mallowbeam.router.control_plane.raft_driver import RaftDriver
+from mallowbeam.router.control_plane.serving import ServingGate
+from mallowbeam.router.control_plane.stage_orders import StageOrders
+from mallowbeam.router.control_plane.state_machine import ConfigurationFeed, ReplicatedStateMachine
+from mallowbeam.router.control_plane.status import StatusPage
+from mallowbeam.router.feed.publisher import FeedPublisher
+from mallowbeam.router.pairing.stage_share import StageShareSettings
+from mallowbeam.router.processes.logs import get_logger
+from mallowbeam.router.processes.metrics import metrics_server
+from mallowbeam.router.processes.overrides import overridden, read_overrides
+from mallowbeam.router.processes.settings import NodeSettings, split_address
+from mallowbeam.router.registry.table import InstanceTable
+from mallowbeam.router.rpc.connection import FrameConnection, listen
+from mallowbeam.router.rpc.messages_pb2 import (
     JoinRequest,
     LeaveRequest,
     LeaveResponse,
--- a/mallowbeam/control_plane/membership_policy.py
+++ b/mallowbeam/router/control_plane/membership_policy.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from mallowbeam.consensus.membership import joint_change
-from mallowbeam.rpc.messages_pb2 import JoinRequest, Member, Membership
+from mallowbeam.router.consensus.membership import joint_change
+from mallowbeam.router.rpc.messages_pb2 import JoinRequest, Member, Membership
 
 CAUGHT_UP_ENTRIES = 8  # a learner this close to the commit index may be promoted
 HEARD_LATELY = 0.5  # seconds; a learner must have been heard within them to be promoted
--- a/mallowbeam/control_plane/opening.py
+++ b/mallowbeam/router/control_plane/opening.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from mallowbeam.consensus.interface import Restored, Write
-from mallowbeam.consensus.storage import ReplicaStore, StoreDamagedError
-from mallowbeam.consensus.storage.files import make_folder, raised_as_store_error, sync_folder
-from mallowbeam.control_plane.first_start import first_state
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.processes.logs import get_logger
-from mallowbeam.processes.settings import NodeSettings
+from mallowbeam.router.consensus.interface import Restored, Write
+from mallowbeam.router.consensus.storage import ReplicaStore, StoreDamagedError
+from mallowbeam.router.consensus.storage.files import make_folder, raised_as_store_error, sync_folder
+from mallowbeam.router.control_plane.first_start import first_state
+from mallowbeam.router.processes.logs import get_logger
+from mallowbeam.router.processes.settings import NodeSettings
 
 FOLDER = "replica"
 DISCARDED = "discarded"  # a file that says: no identity of a first start is taken here again
--- a/mallowbeam/control_plane/peer_links.py
+++ b/mallowbeam/router/control_plane/peer_links.py
@@ -10,9 +10,9 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
-from mallowbeam.processes.logs import get_logger
-from mallowbeam.rpc.connection import FrameConnection, connect
-from mallowbeam.rpc.messages_pb2 import LinkFrame, Member, PeerFrame
+from mallowbeam.router.processes.logs import get_logger
+from mallowbeam.router.rpc.connection import FrameConnection, connect
+from mallowbeam.router.rpc.messages_pb2 import LinkFrame, Member, PeerFrame
 
 CONNECT_TIMEOUT = 0.5  # seconds
 FIRST_PAUSE = 0.05  # seconds before a link is dialled again; doubled with each failure up to
--- a/mallowbeam/control_plane/raft_driver.py
+++ b/mallowbeam/router/control_plane/raft_driver.py
@@ -13,14 +13,14 @@
 from math import inf
 from typing import Protocol
 
-from mallowbeam.consensus.errors import ConsensusError, DivergedError
-from mallowbeam.consensus.interface import Output, Proposal, ReadResult, Send, Write
-from mallowbeam.consensus.node import RaftNode, Role
-from mallowbeam.control_plane.state_machine import Outcome, ReplicatedStateMachine
-from mallowbeam.control_plane.waiting import AppliedWaiters, Changes, ProposalWaiters, ReadRefused
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.processes.logs import get_logger
-from mallowbeam.rpc.messages_pb2 import COMMAND, DONE, Entry, Membership, RaftMessage, Snapshot
+from mallowbeam.router.consensus.errors import ConsensusError, DivergedError
+from mallowbeam.router.consensus.interface import Output, Proposal, ReadResult, Send, Write
+from mallowbeam.router.consensus.node import RaftNode, Role
+from mallowbeam.router.control_plane.state_machine import Outcome, ReplicatedStateMachine
+from mallowbeam.router.control_plane.waiting import AppliedWaiters, Changes, ProposalWaiters, ReadRefused
+from mallowbeam.router.processes.logs import get_logger
+from mallowbeam.router.rpc.messages_pb2 import COMMAND, DONE, Entry, Membership, RaftMessage, Snapshot
 
 COMPACT_ENTRIES = 2000  # applied since the last snapshot after which the next one is taken
 COMPACT_BYTES = 4 * 1024 * 1024  # likewise, of payloads
--- a/mallowbeam/control_plane/role.py
+++ b/mallowbeam/router/control_plane/role.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from mallowbeam.consensus.storage import StoreFailedError, StoreFullError
-from mallowbeam.control_plane.member import ControlMember
-from mallowbeam.control_plane.opening import OpenedStore, open_anew, open_store
-from mallowbeam.processes.logs import get_logger
-from mallowbeam.processes.role import RoleContext, run_role
-from mallowbeam.processes.settings import NodeSettings
+from mallowbeam.router.consensus.storage import StoreFailedError, StoreFullError
+from mallowbeam.router.control_plane.member import ControlMember
+from mallowbeam.router.control_plane.opening import OpenedStore, open_anew, open_store
+from mallowbeam.router.processes.logs import get_logger
+from mallowbeam.router.processes.role import RoleContext, run_role
+from mallowbeam.router.processes.settings import NodeSettings
 
 RETRY_S = 0.5  # seconds between two attempts at a disk that refuses
 
--- a/mallowbeam/control_plane/serving.py
+++ b/mallowbeam/router/control_plane/serving.py
@@ -14,8 +14,8 @@
 from enum import Enum, auto
 from types import MappingProxyType
 
-from mallowbeam.control_plane.answers import OutOfTouchError
-from mallowbeam.feed.publisher import FeedAllowance
+from mallowbeam.router.control_plane.answers import OutOfTouchError
+from mallowbeam.router.feed.publisher import FeedAllowance
 
 CALL_AGE_S = 1.0  # a confirmed read is answered up to this age of its call: callers wait so long
 FEED_SILENCE_S = 1.0  # out of touch for longer: no configuration and no table to gateways
--- a/mallowbeam/control_plane/stage_orders.py
+++ b/mallowbeam/router/control_plane/stage_orders.py
@@ -14,24 +14,24 @@
 from collections.abc import Callable, Coroutine
 from contextlib import suppress
 
-from mallowbeam.configuration.versions import ConfigurationVersions
-from mallowbeam.consensus.errors import ConsensusError
-from mallowbeam.control_plane.raft_driver import RaftDriver
-from mallowbeam.control_plane.serving import Said, ServingGate
 from mallowbeam.http.client import Broken, Link, Unsent, connect
 from mallowbeam.http.framing import write_request
-from mallowbeam.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
-from mallowbeam.pairing.stage_demand import DemandTable, add_up
-from mallowbeam.pairing.stage_share import (
+from mallowbeam.router.configuration.versions import ConfigurationVersions
+from mallowbeam.router.consensus.errors import ConsensusError
+from mallowbeam.router.control_plane.raft_driver import RaftDriver
+from mallowbeam.router.control_plane.serving import Said, ServingGate
+from mallowbeam.router.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
+from mallowbeam.router.pairing.stage_demand import DemandTable, add_up
+from mallowbeam.router.pairing.stage_share import (
     OrderResult,
     StageInstance,
     StageOrder,
     StageShare,
     StageShareSettings,
 )
-from mallowbeam.processes.logs import get_logger
-from mallowbeam.registry.table import InstanceTable
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.processes.logs import get_logger
+from mallowbeam.router.registry.table import InstanceTable
+from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
     READY,
--- a/mallowbeam/control_plane/state_machine.py
+++ b/mallowbeam/router/control_plane/state_machine.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from mallowbeam.configuration.changes import difference, to_update
-from mallowbeam.configuration.model import Configuration
-from mallowbeam.configuration.parsing import ConfigurationParser
-from mallowbeam.configuration.versions import ConfigurationVersions
-from mallowbeam.registry.leases import Leases
-from mallowbeam.registry.retirements import Retirements
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.configuration.changes import difference, to_update
+from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.configuration.versions import ConfigurationVersions
+from mallowbeam.router.registry.leases import Leases
+from mallowbeam.router.registry.retirements import Retirements
+from mallowbeam.router.rpc.messages_pb2 import (
     DONE,
     REFUSED,
     Command,
--- a/mallowbeam/control_plane/status.py
+++ b/mallowbeam/router/control_plane/status.py
@@ -7,14 +7,14 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from mallowbeam.configuration.versions import ConfigurationVersions
-from mallowbeam.control_plane.peer_links import PeerLinks
-from mallowbeam.control_plane.raft_driver import RaftDriver
-from mallowbeam.control_plane.serving import ServingGate
-from mallowbeam.feed.publisher import NO_TABLE, MemberStatus
-from mallowbeam.processes.metrics import Metric
-from mallowbeam.registry.table import InstanceTable
-from mallowbeam.rpc.messages_pb2 import DRAINS, ENDED, Instance, Member
+from mallowbeam.router.configuration.versions import ConfigurationVersions
+from mallowbeam.router.control_plane.peer_links import PeerLinks
+from mallowbeam.router.control_plane.raft_driver import RaftDriver
+from mallowbeam.router.control_plane.serving import ServingGate
+from mallowbeam.router.feed.publisher import NO_TABLE, MemberStatus
+from mallowbeam.router.processes.metrics import Metric
+from mallowbeam.router.registry.table import InstanceTable
+from mallowbeam.router.rpc.messages_pb2 import DRAINS, ENDED, Instance, Member
 
 MOST_SILENCE_MS = 2**32 - 1
 MOST_SILENCE_S = MOST_SILENCE_MS / 1000
--- a/mallowbeam/control_plane/waiting.py
+++ b/mallowbeam/router/control_plane/waiting.py
@@ -6,8 +6,8 @@
 import heapq
 from collections.abc import Iterator
 
-from mallowbeam.consensus.errors import ConsensusError
-from mallowbeam.control_plane.state_machine import Outcome
+from mallowbeam.router.consensus.errors import ConsensusError
+from mallowbeam.router.control_plane.state_machine import Outcome
 
 
 class ProposalLost(ConsensusError):
--- a/mallowbeam/data_plane/answers.py
+++ b/mallowbeam/router/data_plane/answers.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from mallowbeam.data_plane.client_request import named_by_connection
 from mallowbeam.http.framing import HOP_BY_HOP, Headers, Message, write_head
 from mallowbeam.http.front import Reply
+from mallowbeam.router.data_plane.client_request import named_by_connection
 
 BODILESS = (204, 304)
 UNAVAILABLE = 503
--- a/mallowbeam/data_plane/attempt.py
+++ b/mallowbeam/router/data_plane/attempt.py
@@ -10,13 +10,13 @@
 import time
 from dataclasses import dataclass
 
-from mallowbeam.data_plane.client_request import ClientRequest
-from mallowbeam.data_plane.fleet_view import FleetView
-from mallowbeam.data_plane.link_pool import LinkPool
-from mallowbeam.data_plane.outcomes import AttemptEnd, judge_answer, names_another
 from mallowbeam.http.client import Broken, Link, NoRoom, Spoilt, Unsent
 from mallowbeam.http.framing import Headers, Message, write_request
-from mallowbeam.rpc.messages_pb2 import Instance
+from mallowbeam.router.data_plane.client_request import ClientRequest
+from mallowbeam.router.data_plane.fleet_view import FleetView
+from mallowbeam.router.data_plane.link_pool import LinkPool
+from mallowbeam.router.data_plane.outcomes import AttemptEnd, judge_answer, names_another
+from mallowbeam.router.rpc.messages_pb2 import Instance
 
 HELD_BYTES = 64 * 1024  # an answer up to this size is held whole before any of it is passed on
 WAY_BACK_S = 0.005  # of the time that is left, kept for the answer's way back
--- a/mallowbeam/data_plane/attempt_meter.py
+++ b/mallowbeam/router/data_plane/attempt_meter.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from mallowbeam.health.fleet_attempts import AttemptSum
-from mallowbeam.rpc.messages_pb2 import InstanceAttempts
+from mallowbeam.router.health.fleet_attempts import AttemptSum
+from mallowbeam.router.rpc.messages_pb2 import InstanceAttempts
 
 
 class AttemptMeter:
--- a/mallowbeam/data_plane/client_request.py
+++ b/mallowbeam/router/data_plane/client_request.py
@@ -6,7 +6,7 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.framing import HOP_BY_HOP, TOKEN, Headers, Message
-from mallowbeam.pairing.kept_parts import PromptPart
+from mallowbeam.router.pairing.kept_parts import PromptPart
 
 MOST_MS = 3_600_000  # a longer Deadline-Ms is read as this many milliseconds
 MOST_TOKENS = 1 << 30  # a larger token count is read as none
--- a/mallowbeam/data_plane/decision_log.py
+++ b/mallowbeam/router/data_plane/decision_log.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from mallowbeam.admission.messages import Outcome, Plan, PlanRequest, Refusal
-from mallowbeam.configuration.model import Backend
-from mallowbeam.data_plane.planning import Planner
-from mallowbeam.rpc.messages_pb2 import Instance
+from mallowbeam.router.admission.messages import Outcome, Plan, PlanRequest, Refusal
+from mallowbeam.router.configuration.model import Backend
+from mallowbeam.router.data_plane.planning import Planner
+from mallowbeam.router.rpc.messages_pb2 import Instance
 
 Write = Callable[[str], None]
 
--- a/mallowbeam/data_plane/demand.py
+++ b/mallowbeam/router/data_plane/demand.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from mallowbeam.admission.messages import Outcome, Plan, PlanRequest, Refusal, RefusalReason
-from mallowbeam.configuration.model import Backend
-from mallowbeam.data_plane.planning import Planner
-from mallowbeam.rpc.messages_pb2 import Instance, StageDemand
+from mallowbeam.router.admission.messages import Outcome, Plan, PlanRequest, Refusal, RefusalReason
+from mallowbeam.router.configuration.model import Backend
+from mallowbeam.router.data_plane.planning import Planner
+from mallowbeam.router.rpc.messages_pb2 import Instance, StageDemand
 
 LEAST_PERIOD_S = 0.1  # a shorter one gives no sample
 DIRECT_TOKENS = 1024  # to be read at most, where reading apart saves less than way and move cost
--- a/mallowbeam/data_plane/exchange.py
+++ b/mallowbeam/router/data_plane/exchange.py
@@ -11,20 +11,20 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from mallowbeam.admission.messages import Outcome, Plan, PlanRequest, Refusal
-from mallowbeam.configuration.model import Engine, Route
-from mallowbeam.data_plane.answers import own_answer, whole_answer
-from mallowbeam.data_plane.attempt import Attempt, SendOrder
-from mallowbeam.data_plane.client_request import ClientRequest
-from mallowbeam.data_plane.demand import Tokens
-from mallowbeam.data_plane.gateway import Gateway
-from mallowbeam.data_plane.outcomes import AttemptEnd, may_pass_on
-from mallowbeam.data_plane.prefill import Handle, read_handle
-from mallowbeam.data_plane.send_policy import SendPolicy
 from mallowbeam.http.client import Broken
 from mallowbeam.http.framing import Headers, Message
 from mallowbeam.http.front import Reply
-from mallowbeam.streams.progress import StreamProgress
+from mallowbeam.router.admission.messages import Outcome, Plan, PlanRequest, Refusal
+from mallowbeam.router.configuration.model import Engine, Route
+from mallowbeam.router.data_plane.answers import own_answer, whole_answer
+from mallowbeam.router.data_plane.attempt import Attempt, SendOrder
+from mallowbeam.router.data_plane.client_request import ClientRequest
+from mallowbeam.router.data_plane.demand import Tokens
+from mallowbeam.router.data_plane.gateway import Gateway
+from mallowbeam.router.data_plane.outcomes import AttemptEnd, may_pass_on
+from mallowbeam.router.data_plane.prefill import Handle, read_handle
+from mallowbeam.router.data_plane.send_policy import SendPolicy
+from mallowbeam.router.streams.progress import StreamProgress
 
 LEAST_LEFT_S = 0.01  # a request with less time is given up
 RETRY_AFTER_S = 0.3  # with a refusal for which nobody names a time
--- a/mallowbeam/data_plane/feed_link.py
+++ b/mallowbeam/router/data_plane/feed_link.py
@@ -8,12 +8,12 @@
 
 from google.protobuf.message import DecodeError
 
-from mallowbeam.configuration.model import Configuration
-from mallowbeam.feed.limits import CONNECT_TIMEOUT_S
-from mallowbeam.feed.subscriber import Close, Connect, FeedEvents, FeedSubscriber
-from mallowbeam.processes.logs import get_logger
-from mallowbeam.rpc.connection import FrameConnection, connect
-from mallowbeam.rpc.messages_pb2 import FeedFrame, GatewayFrame, LinkFrame
+from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.feed.limits import CONNECT_TIMEOUT_S
+from mallowbeam.router.feed.subscriber import Close, Connect, FeedEvents, FeedSubscriber
+from mallowbeam.router.processes.logs import get_logger
+from mallowbeam.router.rpc.connection import FrameConnection, connect
+from mallowbeam.router.rpc.messages_pb2 import FeedFrame, GatewayFrame, LinkFrame
 
 LEAST_WAIT_S = 0.01  # between two questions to the subscriber
 LOOK_S = 0.25  # while a feed is open, its silence is looked at in steps of this
--- a/mallowbeam/data_plane/fleet_view.py
+++ b/mallowbeam/router/data_plane/fleet_view.py
@@ -7,11 +7,11 @@
 
 from collections.abc import Collection, Mapping
 
-from mallowbeam.configuration.model import Backend, Configuration, Route
-from mallowbeam.data_plane.routing import RouteTable
-from mallowbeam.feed.instances import InstanceChanges
-from mallowbeam.pairing.stages import PREFILL
-from mallowbeam.rpc.messages_pb2 import READY, Instance
+from mallowbeam.router.configuration.model import Backend, Configuration, Route
+from mallowbeam.router.data_plane.routing import RouteTable
+from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.pairing.stages import PREFILL
+from mallowbeam.router.rpc.messages_pb2 import READY, Instance
 
 DEFAULT_CONNECTIONS = 64  # to one instance, from all gateways, where the configuration gives no bound
 
--- a/mallowbeam/data_plane/front.py
+++ b/mallowbeam/router/data_plane/front.py
@@ -5,15 +5,15 @@
 import time
 from collections.abc import Callable
 
-from mallowbeam.configuration.model import ClientLimits
-from mallowbeam.data_plane.answers import own_answer
-from mallowbeam.data_plane.client_request import BadRequest, ClientRequest, read_request
-from mallowbeam.data_plane.exchange import Exchange
-from mallowbeam.data_plane.gateway import Gateway
-from mallowbeam.data_plane.relay import Relay
-from mallowbeam.data_plane.routing import choose_backend
 from mallowbeam.http.framing import Budget, Message
 from mallowbeam.http.front import Reply
+from mallowbeam.router.configuration.model import ClientLimits
+from mallowbeam.router.data_plane.answers import own_answer
+from mallowbeam.router.data_plane.client_request import BadRequest, ClientRequest, read_request
+from mallowbeam.router.data_plane.exchange import Exchange
+from mallowbeam.router.data_plane.gateway import Gateway
+from mallowbeam.router.data_plane.relay import Relay
+from mallowbeam.router.data_plane.routing import choose_backend
 
 HELD_BYTES = 24 * 1024 * 1024  # of request bodies, over all connections, at most
 MEMORY_SHARE = 0.125  # of the process's memory, that request bodies may have
--- a/mallowbeam/data_plane/gateway.py
+++ b/mallowbeam/router/data_plane/gateway.py
@@ -5,18 +5,18 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from mallowbeam.configuration.model import Configuration
-from mallowbeam.data_plane.attempt_meter import AttemptMeter
-from mallowbeam.data_plane.demand import DemandMeter
-from mallowbeam.data_plane.fleet_view import FleetView
-from mallowbeam.data_plane.link_pool import LinkPool
-from mallowbeam.data_plane.outcomes import AttemptEnd
-from mallowbeam.data_plane.planning import Planner
-from mallowbeam.data_plane.prefill import HandleRelease
-from mallowbeam.data_plane.retry_budget import RetryBudgets
-from mallowbeam.feed.instances import InstanceChanges
-from mallowbeam.health.ejection import Ejection
-from mallowbeam.rpc.messages_pb2 import DRAINS, ENDED, Instance, InstanceAttempts
+from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.data_plane.attempt_meter import AttemptMeter
+from mallowbeam.router.data_plane.demand import DemandMeter
+from mallowbeam.router.data_plane.fleet_view import FleetView
+from mallowbeam.router.data_plane.link_pool import LinkPool
+from mallowbeam.router.data_plane.outcomes import AttemptEnd
+from mallowbeam.router.data_plane.planning import Planner
+from mallowbeam.router.data_plane.prefill import HandleRelease
+from mallowbeam.router.data_plane.retry_budget import RetryBudgets
+from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.health.ejection import Ejection
+from mallowbeam.router.rpc.messages_pb2 import DRAINS, ENDED, Instance, InstanceAttempts
 
 UNREACHED = frozenset(
     (AttemptEnd.NO_CONNECTION, AttemptEnd.NOT_SENT, AttemptEnd.BROKEN, AttemptEnd.TIMED_OUT)
--- a/mallowbeam/data_plane/planning.py
+++ b/mallowbeam/router/data_plane/planning.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from mallowbeam.admission.messages import Outcome, Plan, PlanRequest, Refusal, RefusalReason
-from mallowbeam.configuration.model import Backend
-from mallowbeam.rpc.messages_pb2 import ENDED, READY, Instance
+from mallowbeam.router.admission.messages import Outcome, Plan, PlanRequest, Refusal, RefusalReason
+from mallowbeam.router.configuration.model import Backend
+from mallowbeam.router.rpc.messages_pb2 import ENDED, READY, Instance
 
 RETRY_AFTER_S = 0.3  # with a refusal, where no instance could be named
 
--- a/mallowbeam/data_plane/prefill.py
+++ b/mallowbeam/router/data_plane/prefill.py
@@ -8,10 +8,10 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from mallowbeam.data_plane.attempt import Attempt
-from mallowbeam.data_plane.link_pool import LinkPool
 from mallowbeam.http.client import Broken, NoRoom, Unsent
 from mallowbeam.http.framing import write_request
+from mallowbeam.router.data_plane.attempt import Attempt
+from mallowbeam.router.data_plane.link_pool import LinkPool
 
 MOST_FREEING = 64  # handles being freed at once; one beyond that lapses by itself
 FREE_TIMEOUT_S = 1.0
--- a/mallowbeam/data_plane/readiness.py
+++ b/mallowbeam/router/data_plane/readiness.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from mallowbeam.data_plane.answers import own_answer
 from mallowbeam.http.framing import Budget, Message
 from mallowbeam.http.front import Reply
+from mallowbeam.router.data_plane.answers import own_answer
 
 PATH = b"/mallowbeam/readyz"
 MOST_BODY = 1024
--- a/mallowbeam/data_plane/relay.py
+++ b/mallowbeam/router/data_plane/relay.py
@@ -10,14 +10,14 @@
 import time
 from collections.abc import Callable
 
-from mallowbeam.admission.messages import Outcome
-from mallowbeam.data_plane.answers import passed_headers
-from mallowbeam.data_plane.exchange import Exchange, read_piece
-from mallowbeam.data_plane.outcomes import AttemptEnd
 from mallowbeam.http.client import Broken
 from mallowbeam.http.framing import Channel, Message, in_chunks, write_head
 from mallowbeam.http.front import Reply
-from mallowbeam.streams.silence import client_patience_s, resume_after_s
+from mallowbeam.router.admission.messages import Outcome
+from mallowbeam.router.data_plane.answers import passed_headers
+from mallowbeam.router.data_plane.exchange import Exchange, read_piece
+from mallowbeam.router.data_plane.outcomes import AttemptEnd
+from mallowbeam.router.streams.silence import client_patience_s, resume_after_s
 
 LAST_CHUNK = b"0\r\n\r\n"
 
--- a/mallowbeam/data_plane/role.py
+++ b/mallowbeam/router/data_plane/role.py
@@ -8,27 +8,27 @@
 from collections.abc import Iterator
 from random import Random
 
-from mallowbeam.admission.planner import Planner as FleetPlanner
-from mallowbeam.admission.settings import PlannerSettings
-from mallowbeam.configuration.changes import apply_update
-from mallowbeam.configuration.model import Configuration
-from mallowbeam.data_plane.decision_log import DecisionLog
-from mallowbeam.data_plane.demand import MeasuredPlanner
-from mallowbeam.data_plane.feed_link import FeedLink
-from mallowbeam.data_plane.front import ClientFront
-from mallowbeam.data_plane.gateway import Gateway
-from mallowbeam.data_plane.link_pool import LinkPool
-from mallowbeam.data_plane.planning import Planner
-from mallowbeam.data_plane.readiness import ReadinessFront
-from mallowbeam.data_plane.retry_budget import BudgetSettings, RetryBudgets
-from mallowbeam.feed.subscriber import FeedEvents, FeedSubscriber
 from mallowbeam.http.server import Server
-from mallowbeam.processes.logs import get_logger
-from mallowbeam.processes.metrics import Metric, metrics_server
-from mallowbeam.processes.overrides import overridden, read_overrides
-from mallowbeam.processes.role import RoleContext, run_role
-from mallowbeam.processes.settings import Bounds, NodeSettings, SettingsField, split_address
-from mallowbeam.rpc.messages_pb2 import GatewayFrame
+from mallowbeam.router.admission.planner import Planner as FleetPlanner
+from mallowbeam.router.admission.settings import PlannerSettings
+from mallowbeam.router.configuration.changes import apply_update
+from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.data_plane.decision_log import DecisionLog
+from mallowbeam.router.data_plane.demand import MeasuredPlanner
+from mallowbeam.router.data_plane.feed_link import FeedLink
+from mallowbeam.router.data_plane.front import ClientFront
+from mallowbeam.router.data_plane.gateway import Gateway
+from mallowbeam.router.data_plane.link_pool import LinkPool
+from mallowbeam.router.data_plane.planning import Planner
+from mallowbeam.router.data_plane.readiness import ReadinessFront
+from mallowbeam.router.data_plane.retry_budget import BudgetSettings, RetryBudgets
+from mallowbeam.router.feed.subscriber import FeedEvents, FeedSubscriber
+from mallowbeam.router.processes.logs import get_logger
+from mallowbeam.router.processes.metrics import Metric, metrics_server
+from mallowbeam.router.processes.overrides import overridden, read_overrides
+from mallowbeam.router.processes.role import RoleContext, run_role
+from mallowbeam.router.processes.settings import Bounds, NodeSettings, SettingsField, split_address
+from mallowbeam.router.rpc.messages_pb2 import GatewayFrame
 
 TICK_S = 1.0  # between two looks at idle connections and counts
 TELL_S = 0.5  # between two words to the member: demand, and how attempts ended
--- a/mallowbeam/data_plane/routing.py
+++ b/mallowbeam/router/data_plane/routing.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from zlib import crc32
 
-from mallowbeam.configuration.model import Route
+from mallowbeam.router.configuration.model import Route
 
 
 class RouteTable:
--- a/mallowbeam/data_plane/send_policy.py
+++ b/mallowbeam/router/data_plane/send_policy.py
@@ -10,8 +10,8 @@
 
 from dataclasses import dataclass
 
-from mallowbeam.data_plane.outcomes import AttemptEnd
-from mallowbeam.data_plane.retry_budget import RetryBudget
+from mallowbeam.router.data_plane.outcomes import AttemptEnd
+from mallowbeam.router.data_plane.retry_budget import RetryBudget
 
 MOST_CONNECT_FAILURES = 4  # attempts that found no connection, in one request
 NEVER_ARRIVED = frozenset((AttemptEnd.NO_CONNECTION, AttemptEnd.NOT_SENT, AttemptEnd.NO_ROOM))
--- a/mallowbeam/feed/__init__.py
+++ b/mallowbeam/router/feed/__init__.py
@@ -1,14 +1,14 @@
 """What members tell gateways: snapshot, changes, heartbeats; the decisions of both ends."""
 
-from mallowbeam.feed.instances import InstanceChanges
-from mallowbeam.feed.publisher import (
+from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.feed.publisher import (
     ConfigurationSource,
     FeedAllowance,
     FeedBatch,
     FeedPublisher,
     MemberStatus,
 )
-from mallowbeam.feed.subscriber import Action, Close, Connect, FeedEvents, FeedSubscriber, Wait
+from mallowbeam.router.feed.subscriber import Action, Close, Connect, FeedEvents, FeedSubscriber, Wait
 
 __all__ = [
     "Action",
--- a/mallowbeam/feed/candidates.py
+++ b/mallowbeam/router/feed/candidates.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from mallowbeam.feed.limits import (
+from mallowbeam.router.feed.limits import (
     BACKOFF_JITTER,
     BACKOFF_LEAST_S,
     BACKOFF_MOST_S,
--- a/mallowbeam/feed/instances.py
+++ b/mallowbeam/router/feed/instances.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from mallowbeam.registry.limits import MOST_RETIRED, RETIRED_SEQUENCE
-from mallowbeam.registry.rows import same_for_gateways
-from mallowbeam.rpc.messages_pb2 import DRAINS, ENDED, Instance, InstancesUpdate
+from mallowbeam.router.registry.limits import MOST_RETIRED, RETIRED_SEQUENCE
+from mallowbeam.router.registry.rows import same_for_gateways
+from mallowbeam.router.rpc.messages_pb2 import DRAINS, ENDED, Instance, InstancesUpdate
 
 Value = TypeVar("Value")
 
--- a/mallowbeam/feed/lateness.py
+++ b/mallowbeam/router/feed/lateness.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from mallowbeam.feed.limits import MOST_CLOCK_DRIFT
+from mallowbeam.router.feed.limits import MOST_CLOCK_DRIFT
 
 
 class FrameLateness:
--- a/mallowbeam/feed/publisher.py
+++ b/mallowbeam/router/feed/publisher.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass
 from typing import NamedTuple, Protocol
 
-from mallowbeam.feed.limits import HEARTBEAT_INTERVAL_S
-from mallowbeam.registry.table import InstanceTable
-from mallowbeam.rpc.framing import encode_frame
-from mallowbeam.rpc.messages_pb2 import ConfigurationUpdate, FeedFrame, FeedHello, InstanceAttempts
+from mallowbeam.router.feed.limits import HEARTBEAT_INTERVAL_S
+from mallowbeam.router.registry.table import InstanceTable
+from mallowbeam.router.rpc.framing import encode_frame
+from mallowbeam.router.rpc.messages_pb2 import ConfigurationUpdate, FeedFrame, FeedHello, InstanceAttempts
 
 NO_TABLE = -1  # version of a subscriber that has not got the table
 NO_MEMBERS = -1  # likewise, the list of members
--- a/mallowbeam/feed/subscriber.py
+++ b/mallowbeam/router/feed/subscriber.py
@@ -10,10 +10,10 @@
 from typing import Generic, TypeVar
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.feed.candidates import Candidates
-from mallowbeam.feed.instances import InstanceChanges, InstanceCopy
-from mallowbeam.feed.lateness import FrameLateness
-from mallowbeam.feed.limits import (
+from mallowbeam.router.feed.candidates import Candidates
+from mallowbeam.router.feed.instances import InstanceChanges, InstanceCopy
+from mallowbeam.router.feed.lateness import FrameLateness
+from mallowbeam.router.feed.limits import (
     CONNECT_TIMEOUT_S,
     GATEWAYS_WINDOW_S,
     MOST_LATENESS_S,
@@ -22,7 +22,7 @@
     READY_WITHOUT_COMPLETE_S,
     UNFIT_DWELL_S,
 )
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.rpc.messages_pb2 import (
     ConfigurationUpdate,
     FeedFrame,
     FeedHeartbeat,
--- a/mallowbeam/health/fleet_attempts.py
+++ b/mallowbeam/router/health/fleet_attempts.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from mallowbeam.registry.latest_reports import LatestReports
-from mallowbeam.rpc.messages_pb2 import InstanceAttempts
+from mallowbeam.router.registry.latest_reports import LatestReports
+from mallowbeam.router.rpc.messages_pb2 import InstanceAttempts
 
 ATTEMPTS_KEPT_S = 1.6  # how long a source's word holds without a new one
 MOST_TAKEN = 4_096  # instances of which one source may tell; further ones are left out
--- a/mallowbeam/pairing/instances.py
+++ b/mallowbeam/router/pairing/instances.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterable, Iterator
 from typing import Protocol
 
-from mallowbeam.pairing.hashing import Ring
-from mallowbeam.pairing.kept_parts import KeptParts
-from mallowbeam.pairing.reading import ReadingModel
-from mallowbeam.pairing.settings import PairingSettings
-from mallowbeam.pairing.stages import PREFILL
+from mallowbeam.router.pairing.hashing import Ring
+from mallowbeam.router.pairing.kept_parts import KeptParts
+from mallowbeam.router.pairing.reading import ReadingModel
+from mallowbeam.router.pairing.settings import PairingSettings
+from mallowbeam.router.pairing.stages import PREFILL
 from mallowbeam.scheduling.cycles import CycleBook
 from mallowbeam.scheduling.slot_time import FadingMean, SlotTimer, SlotTimeSettings
 
--- a/mallowbeam/pairing/losses.py
+++ b/mallowbeam/router/pairing/losses.py
@@ -7,11 +7,11 @@
 
 from __future__ import annotations
 
-from mallowbeam.pairing.instances import InstanceBook, InstanceTable
-from mallowbeam.pairing.load import FleetLoad
-from mallowbeam.pairing.prompt import Prompt
-from mallowbeam.pairing.settings import PairingSettings
-from mallowbeam.pairing.stages import DECODE
+from mallowbeam.router.pairing.instances import InstanceBook, InstanceTable
+from mallowbeam.router.pairing.load import FleetLoad
+from mallowbeam.router.pairing.prompt import Prompt
+from mallowbeam.router.pairing.settings import PairingSettings
+from mallowbeam.router.pairing.stages import DECODE
 
 REJECTED_LOSS, NO_ROOM_LOSS = 5.0, 10.0  # so that such instances come after all others
 LEAST_TARGET_S = 1e-3
--- a/mallowbeam/pairing/prompt.py
+++ b/mallowbeam/router/pairing/prompt.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from mallowbeam.pairing.instances import Engine
-from mallowbeam.pairing.kept_parts import PromptPart
+from mallowbeam.router.pairing.instances import Engine
+from mallowbeam.router.pairing.kept_parts import PromptPart
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/pairing/reading.py
+++ b/mallowbeam/router/pairing/reading.py
@@ -10,7 +10,7 @@
 
 from math import exp
 
-from mallowbeam.pairing.settings import PairingSettings
+from mallowbeam.router.pairing.settings import PairingSettings
 from mallowbeam.scheduling.slot_time import FadingMean
 
 PACE_MEMORY_S = 20.0  # in which a sample's weight for the pace falls to 1/e
--- a/mallowbeam/pairing/stage_demand.py
+++ b/mallowbeam/router/pairing/stage_demand.py
@@ -9,8 +9,8 @@
 
 from collections.abc import Iterable
 
-from mallowbeam.registry.latest_reports import LatestReports
-from mallowbeam.rpc.messages_pb2 import StageDemand
+from mallowbeam.router.registry.latest_reports import LatestReports
+from mallowbeam.router.rpc.messages_pb2 import StageDemand
 
 DEMAND_KEPT_S = 3.0  # how long a source's word holds without a new one
 MOST_BACKENDS = 64  # services that one source may tell of; further ones are left out
--- a/mallowbeam/pairing/stage_share.py
+++ b/mallowbeam/router/pairing/stage_share.py
@@ -13,9 +13,9 @@
 from enum import Enum
 from math import floor, inf
 
-from mallowbeam.pairing.stage_work import StageWork, WorkMeter, WorkSettings
-from mallowbeam.pairing.stages import DECODE, PREFILL
-from mallowbeam.rpc.messages_pb2 import StageDemand
+from mallowbeam.router.pairing.stage_work import StageWork, WorkMeter, WorkSettings
+from mallowbeam.router.pairing.stages import DECODE, PREFILL
+from mallowbeam.router.rpc.messages_pb2 import StageDemand
 
 WINDOW_S = 60.0  # of `StageShareSettings.most_orders`
 
--- a/mallowbeam/pairing/stage_work.py
+++ b/mallowbeam/router/pairing/stage_work.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from math import exp, hypot
 
-from mallowbeam.rpc.messages_pb2 import StageDemand
+from mallowbeam.router.rpc.messages_pb2 import StageDemand
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/pairing/ways.py
+++ b/mallowbeam/router/pairing/ways.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass
 from itertools import islice
 
-from mallowbeam.pairing.hashing import WINDOW, score, stable_hash
-from mallowbeam.pairing.instances import InstanceBook, InstanceTable
-from mallowbeam.pairing.load import FleetLoad
-from mallowbeam.pairing.losses import Losses
-from mallowbeam.pairing.prompt import Prompt
-from mallowbeam.pairing.reading import KeptShare
-from mallowbeam.pairing.settings import PairingSettings
-from mallowbeam.pairing.stages import DECODE, PREFILL
+from mallowbeam.router.pairing.hashing import WINDOW, score, stable_hash
+from mallowbeam.router.pairing.instances import InstanceBook, InstanceTable
+from mallowbeam.router.pairing.load import FleetLoad
+from mallowbeam.router.pairing.losses import Losses
+from mallowbeam.router.pairing.prompt import Prompt
+from mallowbeam.router.pairing.reading import KeptShare
+from mallowbeam.router.pairing.settings import PairingSettings
+from mallowbeam.router.pairing.stages import DECODE, PREFILL
 
 BITS_PER_MBIT = 1e6
 OVERDUE = 3.0  # usual latencies after which a plain answer is overdue
--- a/mallowbeam/processes/metrics.py
+++ b/mallowbeam/router/processes/metrics.py
@@ -12,7 +12,7 @@
 from mallowbeam.http.framing import Budget, Message, write_head
 from mallowbeam.http.front import Reply
 from mallowbeam.http.server import Server
-from mallowbeam.processes.settings import NodeSettings
+from mallowbeam.router.processes.settings import NodeSettings
 
 CONNECTIONS = 4
 MOST_BODY = 1024
--- a/mallowbeam/processes/overrides.py
+++ b/mallowbeam/router/processes/overrides.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from mallowbeam.processes.settings import SettingsField, SettingsUnreadable
+from mallowbeam.router.processes.settings import SettingsField, SettingsUnreadable
 
 OVERRIDES_PATH = "deploy/decisions.toml"  # below the folder in which a role is started
 
--- a/mallowbeam/processes/role.py
+++ b/mallowbeam/router/processes/role.py
@@ -17,9 +17,9 @@
 import uvloop
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.hangups import hold_hangups
-from mallowbeam.processes.logs import get_logger, set_up_logging
-from mallowbeam.processes.settings import NodeSettings, SettingsError, read_settings, settings_path
+from mallowbeam.reload_signal import hold_hangups
+from mallowbeam.router.processes.logs import get_logger, set_up_logging
+from mallowbeam.router.processes.settings import NodeSettings, SettingsError, read_settings, settings_path
 
 EXIT_STOPPED = 0
 EXIT_FAILED = 1
--- a/mallowbeam/registry/census.py
+++ b/mallowbeam/router/registry/census.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from mallowbeam.registry.limits import GATEWAY_COUNT_KEPT_S
+from mallowbeam.router.registry.limits import GATEWAY_COUNT_KEPT_S
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/registry/leases.py
+++ b/mallowbeam/router/registry/leases.py
@@ -9,8 +9,8 @@
 
 from typing import NamedTuple
 
-from mallowbeam.registry.limits import MOST_LEASES
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.registry.limits import MOST_LEASES
+from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
     REFUSED,
--- a/mallowbeam/registry/parse.py
+++ b/mallowbeam/router/registry/parse.py
@@ -10,8 +10,8 @@
 import re
 from typing import Any
 
-from mallowbeam.registry.errors import HeartbeatError
-from mallowbeam.registry.limits import (
+from mallowbeam.router.registry.errors import HeartbeatError
+from mallowbeam.router.registry.limits import (
     MOST_BODY_BYTES,
     MOST_ID_LENGTH,
     MOST_MODELS,
@@ -20,7 +20,7 @@
     MOST_SLOTS,
     MOST_WARMUP_MS,
 )
-from mallowbeam.rpc.messages_pb2 import DRAINS, READY, Instance, InstanceState, Model
+from mallowbeam.router.rpc.messages_pb2 import DRAINS, READY, Instance, InstanceState, Model
 
 ID_FORM = re.compile(r"[!-~]+")  # visible ASCII
 ADDRESS_FORM = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})", re.ASCII)
--- a/mallowbeam/registry/retirements.py
+++ b/mallowbeam/router/registry/retirements.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from mallowbeam.registry.limits import MOST_RETIRED
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.registry.limits import MOST_RETIRED
+from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
     GONE,
--- a/mallowbeam/registry/rows.py
+++ b/mallowbeam/router/registry/rows.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from mallowbeam.rpc.messages_pb2 import ENDED, HeartbeatSeen, Instance
+from mallowbeam.router.rpc.messages_pb2 import ENDED, HeartbeatSeen, Instance
 
 MOST_AGE_MS = 2**32 - 1
 UNHEARD = -1  # sequence of an instance of which no heartbeat is known
--- a/mallowbeam/registry/switches.py
+++ b/mallowbeam/router/registry/switches.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from mallowbeam.rpc.messages_pb2 import StageSwitch
+from mallowbeam.router.rpc.messages_pb2 import StageSwitch
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/registry/table.py
+++ b/mallowbeam/router/registry/table.py
@@ -15,8 +15,8 @@
 from collections.abc import Iterator
 from enum import Enum
 
-from mallowbeam.registry.changes import ChangeLog
-from mallowbeam.registry.limits import (
+from mallowbeam.router.registry.changes import ChangeLog
+from mallowbeam.router.registry.limits import (
     COMPLETE_INTERVALS,
     COMPLETE_MARGIN_S,
     ENDED_KEPT_S,
@@ -30,10 +30,10 @@
     WHOLE_RETRY_S,
     WHOLE_SETTLE_S,
 )
-from mallowbeam.registry.retirements import Retirements
-from mallowbeam.registry.rows import UNHEARD, Row, heartbeat_seen, same_for_gateways
-from mallowbeam.registry.switches import StageSwitches
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.registry.retirements import Retirements
+from mallowbeam.router.registry.rows import UNHEARD, Row, heartbeat_seen, same_for_gateways
+from mallowbeam.router.registry.switches import StageSwitches
+from mallowbeam.router.rpc.messages_pb2 import (
     DONE,
     DRAINING,
     DRAINS,
--- a/mallowbeam/rpc/connection.py
+++ b/mallowbeam/router/rpc/connection.py
@@ -9,7 +9,7 @@
 
 from google.protobuf.message import Message
 
-from mallowbeam.rpc.framing import FrameError, FrameReader, encode_frame
+from mallowbeam.router.rpc.framing import FrameError, FrameReader, encode_frame
 
 USER_TIMEOUT_MS = 1500  # unacknowledged bytes on a silent network end the connection after this time
 KEEPALIVE_IDLE_S = 1  # seconds of rest before the kernel probes
--- a/mallowbeam/streams/progress.py
+++ b/mallowbeam/router/streams/progress.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from mallowbeam.streams.events import EventParser, parse_id
+from mallowbeam.router.streams.events import EventParser, parse_id
 
 EVENT_END = b"\n\n"  # counted in what is passed on byte by byte; one that is cut in two is missed
 EVENT_ENDS = (EVENT_END, b"\r\n\r\n")
--- a/mallowbeam/simulation/fleet.py
+++ b/mallowbeam/simulation/fleet.py
@@ -33,8 +33,8 @@
 
 from collections.abc import Container, Sequence
 
-from mallowbeam.configuration.model import Configuration
-from mallowbeam.feed.subscriber import FeedSubscriber
+from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.feed.subscriber import FeedSubscriber
 from mallowbeam.simulation.dialing import Streams
 from mallowbeam.simulation.fleet_callers import SimulatedInstance
 from mallowbeam.simulation.fleet_checkers import ALWAYS, LOOK_S, Checker, ReachWatch, World
--- a/mallowbeam/simulation/fleet_checkers.py
+++ b/mallowbeam/simulation/fleet_checkers.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from mallowbeam.consensus.node import RaftNode
-from mallowbeam.rpc.messages_pb2 import Membership
+from mallowbeam.router.consensus.node import RaftNode
+from mallowbeam.router.rpc.messages_pb2 import Membership
 from mallowbeam.simulation.fleet_history import History
 from mallowbeam.simulation.fleet_processes import SimulatedGateway, SimulatedMember
 from mallowbeam.simulation.loss_budget import LossBudget
--- a/mallowbeam/simulation/fleet_history.py
+++ b/mallowbeam/simulation/fleet_history.py
@@ -10,7 +10,7 @@
 import zlib
 from dataclasses import dataclass, field
 
-from mallowbeam.rpc.messages_pb2 import DONE, Command, CommandResult
+from mallowbeam.router.rpc.messages_pb2 import DONE, Command, CommandResult
 
 SLOWEST_ANSWER_S = 1.5  # from a call's arrival at a member that runs to its answer
 CUT_OFF_S = 3.0  # without a majority in reach, after which a member confirms nothing
--- a/mallowbeam/simulation/fleet_processes.py
+++ b/mallowbeam/simulation/fleet_processes.py
@@ -15,22 +15,22 @@
 from types import ModuleType, SimpleNamespace
 from typing import Any, cast
 
-from mallowbeam.configuration.changes import apply_update
-from mallowbeam.configuration.model import Configuration
-from mallowbeam.consensus.interface import Write
-from mallowbeam.consensus.storage import ReplicaStore
-from mallowbeam.control_plane import member as member_module
-from mallowbeam.control_plane.first_start import first_state
-from mallowbeam.control_plane.large_bodies import run_at_once
-from mallowbeam.control_plane.member import ControlMember
-from mallowbeam.control_plane.opening import OpenedStore
-from mallowbeam.control_plane.state_machine import Outcome, ReplicatedStateMachine
-from mallowbeam.data_plane.feed_link import FeedLink
-from mallowbeam.feed.subscriber import FeedSubscriber
 from mallowbeam.http.framing import Message
 from mallowbeam.http.front import Front
-from mallowbeam.processes.settings import BindAddresses, NodeSettings
-from mallowbeam.rpc.messages_pb2 import DRAINS
+from mallowbeam.router.configuration.changes import apply_update
+from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.consensus.interface import Write
+from mallowbeam.router.consensus.storage import ReplicaStore
+from mallowbeam.router.control_plane import member as member_module
+from mallowbeam.router.control_plane.first_start import first_state
+from mallowbeam.router.control_plane.large_bodies import run_at_once
+from mallowbeam.router.control_plane.member import ControlMember
+from mallowbeam.router.control_plane.opening import OpenedStore
+from mallowbeam.router.control_plane.state_machine import Outcome, ReplicatedStateMachine
+from mallowbeam.router.data_plane.feed_link import FeedLink
+from mallowbeam.router.feed.subscriber import FeedSubscriber
+from mallowbeam.router.processes.settings import BindAddresses, NodeSettings
+from mallowbeam.router.rpc.messages_pb2 import DRAINS
 from mallowbeam.simulation.dialing import Streams
 from mallowbeam.simulation.disk import Disk
 from mallowbeam.simulation.fleet_history import Answer, ApiCall, History
--- a/mallowbeam/simulation/replica.py
+++ b/mallowbeam/simulation/replica.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from mallowbeam.consensus.interface import HardState, Restored, Write
-from mallowbeam.rpc.messages_pb2 import Entry, Snapshot
+from mallowbeam.router.consensus.interface import HardState, Restored, Write
+from mallowbeam.router.rpc.messages_pb2 import Entry, Snapshot
 
 
 class Replica:
--- a/mallowbeam/simulation/walk.py
+++ b/mallowbeam/simulation/walk.py
@@ -18,9 +18,9 @@
 from io import StringIO
 from random import Random
 
-from mallowbeam.control_plane import member as member_module
-from mallowbeam.control_plane import raft_driver
-from mallowbeam.processes.logs import set_up_logging
+from mallowbeam.router.control_plane import member as member_module
+from mallowbeam.router.control_plane import raft_driver
+from mallowbeam.router.processes.logs import set_up_logging
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.fleet_checkers import WITHIN_TOLERANCE, InTouchChecker
 from mallowbeam.simulation.fleet_processes import replaced
--- a/mallowbeam/standins/disk.py
+++ b/mallowbeam/standins/disk.py
@@ -1,8 +1,8 @@
 """A disk that keeps no more than it promised: what was not synced is lost, torn or reordered at a power cut.
 
-The calls are those of `mallowbeam.buffer.disk`.  Every call that changes something is counted; the power goes
-at the one told.  What a cut leaves is drawn from a seed: of each unsynced write any set of its sectors, of
-unsynced names any.  Errors are scripted by call and file.
+The calls are those of `mallowbeam.storage_gateway.write_buffer.disk`.  Every call that changes something is
+counted; the power goes at the one told.  What a cut leaves is drawn from a seed: of each unsynced write any
+set of its sectors, of unsynced names any.  Errors are scripted by call and file.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import random
 from dataclasses import dataclass, field
 
-from mallowbeam.buffer.disk import File, Locked
+from mallowbeam.storage_gateway.write_buffer.disk import File, Locked
 
 SECTOR = 512
 
--- a/mallowbeam/program.py
+++ b/mallowbeam/storage_gateway/application.py
@@ -12,18 +12,25 @@
 import uvloop
 from loguru import logger
 
-from mallowbeam.fronts.platform import Platform
-from mallowbeam.hangups import hold_hangups
 from mallowbeam.http.connection import Connection
 from mallowbeam.http.server import Server
-from mallowbeam.net.admin import open_admin
-from mallowbeam.net.config import FRONT_SOCKETS, BadConfig, Config, read_address, read_config, read_file
-from mallowbeam.net.gateway import Gateway
-from mallowbeam.net.handover import Legacy, take_over
-from mallowbeam.net.health import AgentConnection, Health
+from mallowbeam.reload_signal import hold_hangups
+from mallowbeam.storage_gateway.frontends.platform import Platform
+from mallowbeam.storage_gateway.server.admin import open_admin
+from mallowbeam.storage_gateway.server.config import (
+    FRONT_SOCKETS,
+    BadConfig,
+    Config,
+    read_address,
+    read_config,
+    read_file,
+)
+from mallowbeam.storage_gateway.server.gateway import Gateway
+from mallowbeam.storage_gateway.server.handover import Legacy, take_over
+from mallowbeam.storage_gateway.server.health import AgentConnection, Health
 
 LOG_FORMAT = "{time:YYYY-MM-DD HH:mm:ss.SSS} {level} {message}"
-FRONTS = Path(__file__).parent.parent / "deploy" / "fronts.json"  # the fronts beside the platform's
+FRONTS = Path(__file__).parents[2] / "deploy" / "fronts.json"  # the fronts beside the platform's
 LEAST_ROOM = 2  # connections for each front's clients: one is served, one refuses those beyond
 WATCHER_CONNECTIONS = 8  # of the clients' connections, for each listener that only balancers ask
 
@@ -39,8 +46,8 @@
         objects = None
         if fronts.get("objects", {}).get("listen") is not None:
             # Loaded only where it is on: a start is short, as each second of it loses requests.
-            from mallowbeam.fronts.objects.front import Objects
-            from mallowbeam.fronts.objects.settings import read_object_settings
+            from mallowbeam.storage_gateway.frontends.object_api.front import Objects
+            from mallowbeam.storage_gateway.frontends.object_api.settings import read_object_settings
 
             objects = read_object_settings(fronts["objects"], gateway)
         if fronts.get("policy", {}).get("folder") is not None:
@@ -87,8 +94,8 @@
 def open_fleet(gateway: Gateway, fronts: dict) -> Server:
     """The fleet's log, with the subsystems that are on; raises `BadConfig`."""
     try:
-        from mallowbeam.fleet.page import open_policy
-        from mallowbeam.operators import SUBSYSTEMS, PolicySection, convert
+        from mallowbeam.storage_gateway.coordination.page import open_policy
+        from mallowbeam.storage_gateway.operator_settings import SUBSYSTEMS, PolicySection, convert
 
         sections = {
             name: convert(kind, fronts[name], name)
@@ -105,10 +112,13 @@
 def open_buffered(gateway: Gateway, fronts: dict, legacy: Legacy | None):
     """The object front with the write-back buffer behind it; raises `BadConfig`."""
     try:
-        from mallowbeam.fronts.objects.buffered import BufferedObjects, read_buffer_settings
+        from mallowbeam.storage_gateway.frontends.object_api.buffered import (
+            BufferedObjects,
+            read_buffer_settings,
+        )
     except ImportError as error:
         raise BadConfig(f"the buffer needs {error.name}: install the extra `buffer`") from None
-    from mallowbeam.fronts.objects.settings import read_object_settings
+    from mallowbeam.storage_gateway.frontends.object_api.settings import read_object_settings
 
     objects = read_object_settings(fronts["objects"], gateway)
     settings = read_buffer_settings(fronts["buffer"], objects, gateway)
@@ -161,7 +171,7 @@
     try:
         fronts = read_file(os.environ.get("MALLOWBEAM_FRONTS") or str(FRONTS))
         if any_on(fronts):
-            from mallowbeam.operators import check
+            from mallowbeam.storage_gateway.operator_settings import check
 
             check(fronts)
         uvloop.run(serve(read_config(os.environ), fronts, hangups))
--- a/mallowbeam/fleet/agreement.py
+++ b/mallowbeam/storage_gateway/coordination/agreement.py
@@ -27,7 +27,7 @@
 from pysyncobj.node import TCPNode
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.fleet.errors import (
+from mallowbeam.storage_gateway.coordination.errors import (
     EndUnknown,
     FleetError,
     LogUnusable,
@@ -36,11 +36,11 @@
     PolicyRefused,
     QueueFull,
 )
-from mallowbeam.fleet.journal import begin_at_snapshot, cut_whole
-from mallowbeam.fleet.log import LOCAL, Committed, Log, Refusal
-from mallowbeam.fleet.policy import Change
-from mallowbeam.fleet.policy_text import read_policy
-from mallowbeam.fleet.wire import Wire
+from mallowbeam.storage_gateway.coordination.journal import begin_at_snapshot, cut_whole
+from mallowbeam.storage_gateway.coordination.log import LOCAL, Committed, Log, Refusal
+from mallowbeam.storage_gateway.coordination.policy import Change
+from mallowbeam.storage_gateway.coordination.policy_text import read_policy
+from mallowbeam.storage_gateway.coordination.wire import Wire
 
 MOST_HOSTED = 1024  # members whose topics are remembered; the operators' file names fewer
 ONE_SEND = 1 << 18  # bytes of entries in a message; more than any entry, as pieces can't be checked
--- a/mallowbeam/fleet/handover.py
+++ b/mallowbeam/storage_gateway/coordination/handover.py
@@ -54,7 +54,7 @@
 from dataclasses import dataclass
 from typing import Generic
 
-from mallowbeam.fleet.handed import Floor, Handed, Holder, N, Release, Resource, Target
+from mallowbeam.storage_gateway.coordination.handed import Floor, Handed, Holder, N, Release, Resource, Target
 
 __all__ = ["Handover", "Release", "Shown", "Target"]
 
--- a/mallowbeam/fleet/hands.py
+++ b/mallowbeam/storage_gateway/coordination/hands.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from mallowbeam.fleet.log import Entry
-from mallowbeam.interface import NodeEntry, Plan
-from mallowbeam.net.gateway import Gateway
-from mallowbeam.net.log import Sparse
+from mallowbeam.storage_gateway.coordination.log import Entry
+from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, Plan
+from mallowbeam.storage_gateway.server.gateway import Gateway
+from mallowbeam.storage_gateway.server.log import Sparse
 
 
 class Drains:
--- a/mallowbeam/fleet/maintenance/asked.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/asked.py
@@ -14,10 +14,10 @@
 import msgspec
 from msgspec.structs import replace
 
-from mallowbeam.fleet.log import Refusal
-from mallowbeam.fleet.maintenance import state as s
-from mallowbeam.fleet.maintenance.order import Order, Picture, picture
-from mallowbeam.fleet.maintenance.state import Item, Maintained, Request, Section
+from mallowbeam.storage_gateway.coordination.log import Refusal
+from mallowbeam.storage_gateway.coordination.maintenance import state as s
+from mallowbeam.storage_gateway.coordination.maintenance.order import Order, Picture, picture
+from mallowbeam.storage_gateway.coordination.maintenance.state import Item, Maintained, Request, Section
 
 CURES = {  # what an operator changes where a limit lets a machine go in no order
     "zone_capacity": "lower zone_floor, or add capacity to the zone first",
--- a/mallowbeam/fleet/maintenance/core.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/core.py
@@ -20,10 +20,16 @@
 
 import msgspec
 
-from mallowbeam.fleet.log import Committed, Entry
-from mallowbeam.fleet.maintenance import state as s
-from mallowbeam.fleet.maintenance.machine import Maintenance
-from mallowbeam.fleet.maintenance.state import AWAY, DRAINED, Item, Maintained, NodeFacts
+from mallowbeam.storage_gateway.coordination.log import Committed, Entry
+from mallowbeam.storage_gateway.coordination.maintenance import state as s
+from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance
+from mallowbeam.storage_gateway.coordination.maintenance.state import (
+    AWAY,
+    DRAINED,
+    Item,
+    Maintained,
+    NodeFacts,
+)
 
 MOST_SENT = 64  # own reports on their way that are remembered; older ones count as lost
 
--- a/mallowbeam/fleet/maintenance/machine.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/machine.py
@@ -19,11 +19,11 @@
 import msgspec
 from msgspec.structs import replace
 
-from mallowbeam.fleet.log import Entry, Refusal, States
-from mallowbeam.fleet.maintenance import asked
-from mallowbeam.fleet.maintenance import state as s
-from mallowbeam.fleet.maintenance.order import LIMITS, Limit, Order, Picture, picture
-from mallowbeam.fleet.maintenance.state import Item, Maintained
+from mallowbeam.storage_gateway.coordination.log import Entry, Refusal, States
+from mallowbeam.storage_gateway.coordination.maintenance import asked
+from mallowbeam.storage_gateway.coordination.maintenance import state as s
+from mallowbeam.storage_gateway.coordination.maintenance.order import LIMITS, Limit, Order, Picture, picture
+from mallowbeam.storage_gateway.coordination.maintenance.state import Item, Maintained
 
 DUPLICATE = Refusal("this step is taken already", "", "nothing: another gateway asked first")
 
--- a/mallowbeam/fleet/maintenance/order.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/order.py
@@ -13,7 +13,13 @@
 from dataclasses import dataclass, field, replace
 from typing import TypeVar
 
-from mallowbeam.fleet.maintenance.state import AWAY, Item, Maintained, NodeFacts, Request
+from mallowbeam.storage_gateway.coordination.maintenance.state import (
+    AWAY,
+    Item,
+    Maintained,
+    NodeFacts,
+    Request,
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/fleet/maintenance/part.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/part.py
@@ -12,15 +12,15 @@
 
 from loguru import logger
 
-from mallowbeam.fleet.errors import FleetError
-from mallowbeam.fleet.log import Committed
-from mallowbeam.fleet.maintenance import core as c
-from mallowbeam.fleet.maintenance.machine import Maintenance, shown
-from mallowbeam.fleet.maintenance.state import AWAY, OVER, NodeFacts, Section
-from mallowbeam.fleet.policy_text import owns
-from mallowbeam.fleet.subsystem import Hands
-from mallowbeam.interface import NodeState
-from mallowbeam.operators import MaintenanceSection
+from mallowbeam.storage_gateway.coordination.errors import FleetError
+from mallowbeam.storage_gateway.coordination.log import Committed
+from mallowbeam.storage_gateway.coordination.maintenance import core as c
+from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance, shown
+from mallowbeam.storage_gateway.coordination.maintenance.state import AWAY, OVER, NodeFacts, Section
+from mallowbeam.storage_gateway.coordination.policy_text import owns
+from mallowbeam.storage_gateway.coordination.subsystem import Hands
+from mallowbeam.storage_gateway.operator_settings import MaintenanceSection
+from mallowbeam.storage_gateway.scheduler.interface import NodeState
 
 owns("maintenance", Section)
 
--- a/mallowbeam/fleet/page.py
+++ b/mallowbeam/storage_gateway/coordination/page.py
@@ -19,15 +19,21 @@
 import msgspec
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.fleet.errors import BadPolicy, FleetError, NoBase, NoSuchPage, NotByThisMethod
-from mallowbeam.fleet.metrics import CONTENT_TYPE, FleetMetrics
-from mallowbeam.fleet.policy_text import MOST
-from mallowbeam.fleet.service import FleetService
 from mallowbeam.http.framing import Budget, Headers, Message, write_head
 from mallowbeam.http.server import Reply, Server
-from mallowbeam.net.config import read_address
-from mallowbeam.net.gateway import Gateway
-from mallowbeam.operators import PolicySection
+from mallowbeam.storage_gateway.coordination.errors import (
+    BadPolicy,
+    FleetError,
+    NoBase,
+    NoSuchPage,
+    NotByThisMethod,
+)
+from mallowbeam.storage_gateway.coordination.metrics import CONTENT_TYPE, FleetMetrics
+from mallowbeam.storage_gateway.coordination.policy_text import MOST
+from mallowbeam.storage_gateway.coordination.service import FleetService
+from mallowbeam.storage_gateway.operator_settings import PolicySection
+from mallowbeam.storage_gateway.server.config import read_address
+from mallowbeam.storage_gateway.server.gateway import Gateway
 
 BACK = "/fleet/maintenance/back"
 MOST_DIGITS = 12  # of a version in If-Match
--- a/mallowbeam/fleet/policy_text.py
+++ b/mallowbeam/storage_gateway/coordination/policy_text.py
@@ -16,8 +16,8 @@
 import msgspec
 from msgspec import Meta
 
-from mallowbeam.fleet.errors import BadPolicy
-from mallowbeam.interface import Plan
+from mallowbeam.storage_gateway.coordination.errors import BadPolicy
+from mallowbeam.storage_gateway.scheduler.interface import Plan
 
 MOST = 64 * 1024  # bytes of a policy
 MOST_PLANS = 1000  # of one policy; each is one event for the module
--- a/mallowbeam/fleet/pools/canonical.py
+++ b/mallowbeam/storage_gateway/coordination/pools/canonical.py
@@ -14,8 +14,8 @@
 from dataclasses import replace
 from typing import TypeVar
 
-from mallowbeam.fleet.pools import model as m
-from mallowbeam.fleet.pools.model import EVERY, Expr
+from mallowbeam.storage_gateway.coordination.pools import model as m
+from mallowbeam.storage_gateway.coordination.pools.model import EVERY, Expr
 
 R = TypeVar("R", m.Class, m.Budget, m.Gateways, m.Share, m.Tenants)
 
--- a/mallowbeam/fleet/pools/check.py
+++ b/mallowbeam/storage_gateway/coordination/pools/check.py
@@ -15,8 +15,8 @@
 from collections.abc import Iterator, Mapping, Sequence
 from difflib import get_close_matches
 
-from mallowbeam.fleet.pools import model as m
-from mallowbeam.fleet.pools.errors import (
+from mallowbeam.storage_gateway.coordination.pools import model as m
+from mallowbeam.storage_gateway.coordination.pools.errors import (
     PoolBound,
     PoolError,
     PoolName,
@@ -25,9 +25,16 @@
     PoolTooFew,
     PoolUnreachable,
 )
-from mallowbeam.fleet.pools.evaluate import seat
-from mallowbeam.fleet.pools.model import Expr
-from mallowbeam.fleet.pools.select import Traits, Worlds, facts_in, matches, tenant_traits, traits
+from mallowbeam.storage_gateway.coordination.pools.evaluate import seat
+from mallowbeam.storage_gateway.coordination.pools.model import Expr
+from mallowbeam.storage_gateway.coordination.pools.select import (
+    Traits,
+    Worlds,
+    facts_in,
+    matches,
+    tenant_traits,
+    traits,
+)
 
 MOST_CASES = 500_000  # kinds of nodes x gateways x tenants looked at; beyond: PoolBound
 
--- a/mallowbeam/fleet/pools/errors.py
+++ b/mallowbeam/storage_gateway/coordination/pools/errors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.fleet.pools.model import NOWHERE, Place
+from mallowbeam.storage_gateway.coordination.pools.model import NOWHERE, Place
 
 
 class PoolError(MallowbeamError):
--- a/mallowbeam/fleet/pools/evaluate.py
+++ b/mallowbeam/storage_gateway/coordination/pools/evaluate.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass
 from functools import cached_property
 
-from mallowbeam.fleet.pools import model as m
-from mallowbeam.fleet.pools.select import Traits, holds, matches, tenant_traits, traits
-from mallowbeam.fleet.pools.split import Seat, split, ties
+from mallowbeam.storage_gateway.coordination.pools import model as m
+from mallowbeam.storage_gateway.coordination.pools.select import Traits, holds, matches, tenant_traits, traits
+from mallowbeam.storage_gateway.coordination.pools.split import Seat, split, ties
 
 PEACE = m.Facts()
 Groups = dict[str, tuple[m.Share, list[str]]]  # by a group's seat: its rule and members
--- a/mallowbeam/fleet/pools/grammar.py
+++ b/mallowbeam/storage_gateway/coordination/pools/grammar.py
@@ -13,9 +13,9 @@
 from lark import Lark, Token
 from lark.exceptions import LarkError, UnexpectedInput
 
-from mallowbeam.fleet.pools import model as m
-from mallowbeam.fleet.pools.errors import PoolBound, PoolName, PoolSyntax
-from mallowbeam.fleet.pools.model import EVERY, Expr, Place
+from mallowbeam.storage_gateway.coordination.pools import model as m
+from mallowbeam.storage_gateway.coordination.pools.errors import PoolBound, PoolName, PoolSyntax
+from mallowbeam.storage_gateway.coordination.pools.model import EVERY, Expr, Place
 
 GRAMMAR = r"""
 start: "pools" INT ";" (recall | class | budget | gateways | share | tenants)*
--- a/mallowbeam/fleet/pools/lend.py
+++ b/mallowbeam/storage_gateway/coordination/pools/lend.py
@@ -25,7 +25,7 @@
 from enum import Enum
 from typing import Protocol
 
-from mallowbeam.fleet.pools.evaluate import Lends, Offer
+from mallowbeam.storage_gateway.coordination.pools.evaluate import Lends, Offer
 
 MOST_WAITING = 1024  # wants that wait at one node for a recall; beyond: refused at once
 FREE = Offer(None, Lends(0, 0, frozenset(), 0.0))  # of a tenant that the budgets do not know
--- a/mallowbeam/fleet/pools/select.py
+++ b/mallowbeam/storage_gateway/coordination/pools/select.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Mapping, Sequence
 
-from mallowbeam.fleet.pools import model as m
-from mallowbeam.fleet.pools.model import Expr
+from mallowbeam.storage_gateway.coordination.pools import model as m
+from mallowbeam.storage_gateway.coordination.pools.model import Expr
 
 Traits = Mapping[str, frozenset[str]]  # of a node, gateway or tenant: names by key
 Fact = tuple[str, str]  # ("zone", name) or ("machine", name)
--- a/mallowbeam/fleet/service.py
+++ b/mallowbeam/storage_gateway/coordination/service.py
@@ -19,18 +19,33 @@
 
 from loguru import logger
 
-from mallowbeam.buffer.disk import Locked, RealDisk
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.fleet.agreement import Agreement, Broken, Heard, Hosted, Proof
-from mallowbeam.fleet.errors import BadPolicy, EndUnknown, FleetError, LogUnusable, NoLeader, NotAlike
-from mallowbeam.fleet.hands import Drains, GatewayHands, Plans
-from mallowbeam.fleet.log import Committed, Entry, Log
-from mallowbeam.fleet.policy import Action, Apply, Change, Entered, Mark, OutOfOrder, PolicyCore
-from mallowbeam.fleet.policy_text import Policy, canonical, check_sections, read_policy
-from mallowbeam.fleet.subsystem import Subsystem
-from mallowbeam.net.config import BadConfig
-from mallowbeam.net.gateway import Gateway
-from mallowbeam.operators import PolicySection
+from mallowbeam.storage_gateway.coordination.agreement import Agreement, Broken, Heard, Hosted, Proof
+from mallowbeam.storage_gateway.coordination.errors import (
+    BadPolicy,
+    EndUnknown,
+    FleetError,
+    LogUnusable,
+    NoLeader,
+    NotAlike,
+)
+from mallowbeam.storage_gateway.coordination.hands import Drains, GatewayHands, Plans
+from mallowbeam.storage_gateway.coordination.log import Committed, Entry, Log
+from mallowbeam.storage_gateway.coordination.policy import (
+    Action,
+    Apply,
+    Change,
+    Entered,
+    Mark,
+    OutOfOrder,
+    PolicyCore,
+)
+from mallowbeam.storage_gateway.coordination.policy_text import Policy, canonical, check_sections, read_policy
+from mallowbeam.storage_gateway.coordination.subsystem import Subsystem
+from mallowbeam.storage_gateway.operator_settings import PolicySection
+from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.server.gateway import Gateway
+from mallowbeam.storage_gateway.write_buffer.disk import Locked, RealDisk
 
 PUSH_S = 3.0  # seconds that a push is waited for before its end is called unknown
 POLICY = "policy"  # under this name the policy wants nodes out, beside the subsystems
@@ -94,7 +109,8 @@
             self._put,
             lambda: self.leading == self.me,
         )
-        part: Subsystem = import_module(f"mallowbeam.fleet.{name}.part").open_part(hands, section)
+        module = import_module(f"{__package__}.{name}.part")
+        part: Subsystem = module.open_part(hands, section)
         assert part.topic.name == name
         return part
 
--- a/mallowbeam/fleet/shares/core.py
+++ b/mallowbeam/storage_gateway/coordination/shares/core.py
@@ -19,13 +19,21 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from mallowbeam.fleet.handed import Release
-from mallowbeam.fleet.handover import Handover
-from mallowbeam.fleet.log import Committed, Entry
-from mallowbeam.fleet.shares.divide import divide
-from mallowbeam.fleet.shares.meter import Meter
-from mallowbeam.fleet.shares.packed import pack
-from mallowbeam.fleet.shares.topic import MOST_FLOWS, Close, Demand, Gone, Released, SharesState, targets
+from mallowbeam.storage_gateway.coordination.handed import Release
+from mallowbeam.storage_gateway.coordination.handover import Handover
+from mallowbeam.storage_gateway.coordination.log import Committed, Entry
+from mallowbeam.storage_gateway.coordination.shares.divide import divide
+from mallowbeam.storage_gateway.coordination.shares.meter import Meter
+from mallowbeam.storage_gateway.coordination.shares.packed import pack
+from mallowbeam.storage_gateway.coordination.shares.topic import (
+    MOST_FLOWS,
+    Close,
+    Demand,
+    Gone,
+    Released,
+    SharesState,
+    targets,
+)
 
 T = TypeVar("T")
 MOST_ROWS = 4000  # of one report, some 16 KiB; the others go with the next one
--- a/mallowbeam/fleet/shares/part.py
+++ b/mallowbeam/storage_gateway/coordination/shares/part.py
@@ -24,15 +24,15 @@
 from dataclasses import dataclass, replace
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.fleet.log import Committed
-from mallowbeam.fleet.policy_text import owns
-from mallowbeam.fleet.shares.core import Times
-from mallowbeam.fleet.shares.service import Shares
-from mallowbeam.fleet.shares.topic import Setup, SharesTopic
-from mallowbeam.fleet.subsystem import Hands
-from mallowbeam.interface import Plan
-from mallowbeam.net.log import Sparse
-from mallowbeam.operators import SharesSection
+from mallowbeam.storage_gateway.coordination.log import Committed
+from mallowbeam.storage_gateway.coordination.policy_text import owns
+from mallowbeam.storage_gateway.coordination.shares.core import Times
+from mallowbeam.storage_gateway.coordination.shares.service import Shares
+from mallowbeam.storage_gateway.coordination.shares.topic import Setup, SharesTopic
+from mallowbeam.storage_gateway.coordination.subsystem import Hands
+from mallowbeam.storage_gateway.operator_settings import SharesSection
+from mallowbeam.storage_gateway.scheduler.interface import Plan
+from mallowbeam.storage_gateway.server.log import Sparse
 
 MIX_S = 1.0  # seconds between looks at how a tenant's calls part into placed and new ones
 LEAST = 0.01  # units of late under which a plan or a mix is forgotten: some 8 s after one call
--- a/mallowbeam/fleet/shares/rows.py
+++ b/mallowbeam/storage_gateway/coordination/shares/rows.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from mallowbeam.fleet.handed import MOST_OPEN, Handed, Opened, TooManyOpen, settle
+from mallowbeam.storage_gateway.coordination.handed import MOST_OPEN, Handed, Opened, TooManyOpen, settle
 
 Rows = dict[str, dict[str, int]]
 
--- a/mallowbeam/fleet/shares/service.py
+++ b/mallowbeam/storage_gateway/coordination/shares/service.py
@@ -9,9 +9,9 @@
 
 from collections.abc import Callable, Sequence
 
-from mallowbeam.fleet.log import Committed, Entry
-from mallowbeam.fleet.shares.core import Action, Allot, Propose, SharesCore, Times
-from mallowbeam.fleet.shares.topic import SharesState
+from mallowbeam.storage_gateway.coordination.log import Committed, Entry
+from mallowbeam.storage_gateway.coordination.shares.core import Action, Allot, Propose, SharesCore, Times
+from mallowbeam.storage_gateway.coordination.shares.topic import SharesState
 
 Proposes = Callable[[Entry], object]
 Allotted = Callable[[str, str, float, float], None]  # tenant, node, units a second, our part of them
--- a/mallowbeam/fleet/shares/topic.py
+++ b/mallowbeam/storage_gateway/coordination/shares/topic.py
@@ -22,13 +22,13 @@
 import msgspec
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.fleet.errors import BadPolicy
-from mallowbeam.fleet.handed import BadTarget, Handed, TooManyOpen, release
-from mallowbeam.fleet.log import Entry, Refusal
-from mallowbeam.fleet.policy_text import section_of
-from mallowbeam.fleet.shares.fair import MILLI, MOST_WEIGHT, Network, allot
-from mallowbeam.fleet.shares.packed import STEPS, BadRows, unpack
-from mallowbeam.fleet.shares.rows import Places, grant, open_epoch, ratios, trim
+from mallowbeam.storage_gateway.coordination.errors import BadPolicy
+from mallowbeam.storage_gateway.coordination.handed import BadTarget, Handed, TooManyOpen, release
+from mallowbeam.storage_gateway.coordination.log import Entry, Refusal
+from mallowbeam.storage_gateway.coordination.policy_text import section_of
+from mallowbeam.storage_gateway.coordination.shares.fair import MILLI, MOST_WEIGHT, Network, allot
+from mallowbeam.storage_gateway.coordination.shares.packed import STEPS, BadRows, unpack
+from mallowbeam.storage_gateway.coordination.shares.rows import Places, grant, open_epoch, ratios, trim
 
 MOST_TENANTS = 10_000  # in a set-up; a push beyond is refused
 MOST_NODES = 2_000
--- a/mallowbeam/fleet/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem.py
@@ -1,7 +1,7 @@
 """What a subsystem of the fleet is to the service, and what the service's hands do for it.
 
 A subsystem is one of the sections `maintenance`, `shares` and `pools` of the operators' file.  Where one is
-on, the service imports `mallowbeam.fleet.<name>.part` and calls its `open_part(hands, section)`, which hands
+on, the service imports `<name>.part` of this package and calls its `open_part(hands, section)`, which hands
 back a `Subsystem`.  Its topic's name is the section's.  All of its methods are called on the gateway's loop.
 """
 
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from mallowbeam.fleet.log import Committed, Entry, Topic
-from mallowbeam.interface import NodeEntry, Plan
+from mallowbeam.storage_gateway.coordination.log import Committed, Entry, Topic
+from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, Plan
 
 
 class Subsystem(Protocol):
--- a/mallowbeam/fronts/objects/access.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/access.py
@@ -16,8 +16,8 @@
 from loguru import logger
 from msgspec import Meta
 
-from mallowbeam.fronts.objects.errors import Error
-from mallowbeam.net.config import BadConfig
+from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.server.config import BadConfig
 
 MOST_FILE = 4 << 20  # bytes of the file
 LOOK_AGAIN = 1.0  # seconds between looks whether it has changed
--- a/mallowbeam/fronts/objects/batches.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/batches.py
@@ -10,8 +10,8 @@
 from defusedxml import DefusedXmlException
 from defusedxml.ElementTree import fromstring
 
-from mallowbeam.fronts.objects.errors import ERRORS, Error
-from mallowbeam.fronts.objects.listings import NAMESPACE, put
+from mallowbeam.storage_gateway.frontends.object_api.errors import ERRORS, Error
+from mallowbeam.storage_gateway.frontends.object_api.listings import NAMESPACE, put
 
 MOST = 1000  # names in one call
 MOST_BYTES = 2 << 20  # of its document
--- a/mallowbeam/fronts/objects/bodies.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/bodies.py
@@ -14,9 +14,9 @@
 from typing import Any
 from zlib import crc32
 
-from mallowbeam.fronts.objects.errors import Error
-from mallowbeam.fronts.objects.signatures import ChunkSignatures
 from mallowbeam.http.framing import Headers, Message
+from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.signatures import ChunkSignatures
 
 SUM = b"x-amz-checksum-"
 HASHES = {SUM + b"sha1": hashlib.sha1, SUM + b"sha256": hashlib.sha256}
--- a/mallowbeam/fronts/objects/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -18,29 +18,29 @@
 from email.utils import formatdate
 from urllib.parse import unquote
 
-from mallowbeam.buffer.core import Entry, Limits, Offer, Outcome
-from mallowbeam.buffer.errors import Failed
-from mallowbeam.buffer.intake import PIECE
-from mallowbeam.buffer.records import Write
-from mallowbeam.buffer.reopen import probe
-from mallowbeam.buffer.service import Buffer
-from mallowbeam.buffer.store import Doubtful, NotTaken
-from mallowbeam.buffer.terms import Looked, Phase, Sent, Settings, Upload
-from mallowbeam.fronts.objects.access import require
-from mallowbeam.fronts.objects.bodies import KNOWN, Body, bare
-from mallowbeam.fronts.objects.calls import Request
-from mallowbeam.fronts.objects.conditions import read_status, write_allowed
-from mallowbeam.fronts.objects.errors import Error, slow_down
-from mallowbeam.fronts.objects.front import BucketCall, Objects, cut_here, range_of
-from mallowbeam.fronts.objects.listings import Item, Query
-from mallowbeam.fronts.objects.settings import ObjectSettings
 from mallowbeam.http.framing import HOP_BY_HOP, TOKEN, Channel, Headers, Message, write_head
 from mallowbeam.http.front import Reply
-from mallowbeam.interface import Repeat
-from mallowbeam.net.calls import Call, Kind
-from mallowbeam.net.config import BadConfig
-from mallowbeam.net.gateway import Gateway
-from mallowbeam.operators import BufferSection, convert
+from mallowbeam.storage_gateway.frontends.object_api.access import require
+from mallowbeam.storage_gateway.frontends.object_api.bodies import KNOWN, Body, bare
+from mallowbeam.storage_gateway.frontends.object_api.calls import Request
+from mallowbeam.storage_gateway.frontends.object_api.conditions import read_status, write_allowed
+from mallowbeam.storage_gateway.frontends.object_api.errors import Error, slow_down
+from mallowbeam.storage_gateway.frontends.object_api.front import BucketCall, Objects, cut_here, range_of
+from mallowbeam.storage_gateway.frontends.object_api.listings import Item, Query
+from mallowbeam.storage_gateway.frontends.object_api.settings import ObjectSettings
+from mallowbeam.storage_gateway.operator_settings import BufferSection, convert
+from mallowbeam.storage_gateway.scheduler.interface import Repeat
+from mallowbeam.storage_gateway.server.calls import Call, Kind
+from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.server.gateway import Gateway
+from mallowbeam.storage_gateway.write_buffer.core import Entry, Limits, Offer, Outcome
+from mallowbeam.storage_gateway.write_buffer.errors import Failed
+from mallowbeam.storage_gateway.write_buffer.intake import PIECE
+from mallowbeam.storage_gateway.write_buffer.records import Write
+from mallowbeam.storage_gateway.write_buffer.reopen import probe
+from mallowbeam.storage_gateway.write_buffer.service import Buffer
+from mallowbeam.storage_gateway.write_buffer.store import Doubtful, NotTaken
+from mallowbeam.storage_gateway.write_buffer.terms import Looked, Phase, Sent, Settings, Upload
 
 BARRIER = b"x-mallowbeam-barrier"  # on a write: `sync` or `through`
 BARRIER_ID = b"x-mallowbeam-barrier-id"  # on an answer: the barrier's number
--- a/mallowbeam/fronts/objects/calls.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/calls.py
@@ -8,12 +8,12 @@
 from urllib.parse import parse_qsl, quote, unquote_to_bytes
 from zlib import crc32
 
-from mallowbeam.fronts.objects.errors import Error
-from mallowbeam.fronts.objects.ranges import span
-from mallowbeam.fronts.objects.settings import ObjectSettings
-from mallowbeam.fronts.objects.signatures import ChunkSignatures
-from mallowbeam.fronts.objects.uploads import unpack_upload
 from mallowbeam.http.framing import Message
+from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.ranges import span
+from mallowbeam.storage_gateway.frontends.object_api.settings import ObjectSettings
+from mallowbeam.storage_gateway.frontends.object_api.signatures import ChunkSignatures
+from mallowbeam.storage_gateway.frontends.object_api.uploads import unpack_upload
 
 MOST_PARTS = 10_000
 MOST_KEY = 1024  # bytes of an object's name
--- a/mallowbeam/fronts/objects/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -18,16 +18,6 @@
 from urllib.parse import parse_qsl, quote, unquote_to_bytes
 from zlib import crc32
 
-from mallowbeam.fronts.objects import batches
-from mallowbeam.fronts.objects.access import Access, Key, require
-from mallowbeam.fronts.objects.bodies import unwrap
-from mallowbeam.fronts.objects.calls import BUCKET_CALL, LISTING, SIGNED, Request
-from mallowbeam.fronts.objects.errors import CODE_OF, ERRORS, Error, error_body, slow_down
-from mallowbeam.fronts.objects.listings import Ask, Item, Merge, Query, read_part, target
-from mallowbeam.fronts.objects.ranges import Unsatisfiable, cut
-from mallowbeam.fronts.objects.settings import ObjectSettings
-from mallowbeam.fronts.objects.signatures import CHUNKED, ChunkSignatures, read_claim, verify
-from mallowbeam.fronts.objects.uploads import rename_upload
 from mallowbeam.http.framing import (
     HOP_BY_HOP,
     TOKEN,
@@ -40,8 +30,36 @@
 )
 from mallowbeam.http.front import Reply
 from mallowbeam.http.stream import Stream, copy
-from mallowbeam.net.calls import Answer, Call, Kind, length_of, read_deadline, time_left
-from mallowbeam.net.gateway import Gateway
+from mallowbeam.storage_gateway.frontends.object_api import batches
+from mallowbeam.storage_gateway.frontends.object_api.access import Access, Key, require
+from mallowbeam.storage_gateway.frontends.object_api.bodies import unwrap
+from mallowbeam.storage_gateway.frontends.object_api.calls import BUCKET_CALL, LISTING, SIGNED, Request
+from mallowbeam.storage_gateway.frontends.object_api.errors import (
+    CODE_OF,
+    ERRORS,
+    Error,
+    error_body,
+    slow_down,
+)
+from mallowbeam.storage_gateway.frontends.object_api.listings import (
+    Ask,
+    Item,
+    Merge,
+    Query,
+    read_part,
+    target,
+)
+from mallowbeam.storage_gateway.frontends.object_api.ranges import Unsatisfiable, cut
+from mallowbeam.storage_gateway.frontends.object_api.settings import ObjectSettings
+from mallowbeam.storage_gateway.frontends.object_api.signatures import (
+    CHUNKED,
+    ChunkSignatures,
+    read_claim,
+    verify,
+)
+from mallowbeam.storage_gateway.frontends.object_api.uploads import rename_upload
+from mallowbeam.storage_gateway.server.calls import Answer, Call, Kind, length_of, read_deadline, time_left
+from mallowbeam.storage_gateway.server.gateway import Gateway
 
 T = TypeVar("T")
 IN_THREAD = 256 * 1024  # bytes of a body from which on its digests would hold up other calls
--- a/mallowbeam/fronts/objects/listings.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/listings.py
@@ -21,7 +21,7 @@
 from defusedxml import DefusedXmlException
 from defusedxml.ElementTree import fromstring
 
-from mallowbeam.fronts.objects.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.errors import Error
 
 NAMESPACE = "http://s3.amazonaws.com/doc/2006-03-01/"
 MOST_KEYS = 1000  # names on a page
--- a/mallowbeam/fronts/objects/settings.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/settings.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from mallowbeam.net.config import BadConfig, read_address
-from mallowbeam.net.gateway import Gateway
-from mallowbeam.operators import ObjectsSection, convert
+from mallowbeam.storage_gateway.operator_settings import ObjectsSection, convert
+from mallowbeam.storage_gateway.server.config import BadConfig, read_address
+from mallowbeam.storage_gateway.server.gateway import Gateway
 
 
 @dataclass(slots=True, frozen=True)
--- a/mallowbeam/fronts/objects/signatures.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/signatures.py
@@ -16,8 +16,8 @@
 from time import strptime
 from urllib.parse import quote, unquote_to_bytes
 
-from mallowbeam.fronts.objects.errors import Error
 from mallowbeam.http.framing import Headers, Message
+from mallowbeam.storage_gateway.frontends.object_api.errors import Error
 
 ALGORITHM = "AWS4-HMAC-SHA256"
 SKEW = 900  # seconds by which a client's clock may be off
--- a/mallowbeam/fronts/objects/uploads.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/uploads.py
@@ -9,7 +9,7 @@
 from defusedxml import DefusedXmlException
 from defusedxml.ElementTree import fromstring
 
-from mallowbeam.fronts.objects.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.errors import Error
 
 register_namespace("", "http://s3.amazonaws.com/doc/2006-03-01/")
 
--- a/mallowbeam/fronts/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -10,10 +10,10 @@
 from mallowbeam.http.framing import MAX_BODY, TOKEN, Budget, Channel, Message, in_chunks, write_head
 from mallowbeam.http.front import Reply, plain
 from mallowbeam.http.stream import MOST, Stream, copy
-from mallowbeam.interface import Repeat
-from mallowbeam.net.calls import Answer, Call, Kind, length_of, read_deadline, time_left
-from mallowbeam.net.gateway import Gateway
-from mallowbeam.net.health import page
+from mallowbeam.storage_gateway.scheduler.interface import Repeat
+from mallowbeam.storage_gateway.server.calls import Answer, Call, Kind, length_of, read_deadline, time_left
+from mallowbeam.storage_gateway.server.gateway import Gateway
+from mallowbeam.storage_gateway.server.health import page
 
 TARGET = re.compile(rb"/([^/?]+)/([0-9a-f]{16})/([0-9a-f]{16})(?:\?[\x21-\x7e]{0,1024})?\Z")
 REQUEST_ID = re.compile(rb"[0-9a-f]{16}\Z")
--- a/mallowbeam/operators.py
+++ b/mallowbeam/storage_gateway/operator_settings.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta
 
-from mallowbeam.net.config import BadConfig
+from mallowbeam.storage_gateway.server.config import BadConfig
 
 MIB = 1 << 20
 Size = Annotated[int, Meta(ge=1)]
--- a/mallowbeam/control/__init__.py
+++ b/mallowbeam/storage_gateway/scheduler/__init__.py
@@ -1,3 +1,3 @@
 """All decisions of a host (docs/design.md); read: interface, requests, nodes, booking, sending, scheduler."""
 
-from mallowbeam.control.scheduler import Scheduler as Scheduler
+from mallowbeam.storage_gateway.scheduler.scheduler import Scheduler as Scheduler
--- a/mallowbeam/control/booking.py
+++ b/mallowbeam/storage_gateway/scheduler/booking.py
@@ -5,9 +5,9 @@
 from math import exp
 from zlib import crc32
 
-from mallowbeam import interface as io
-from mallowbeam.control.nodes import M_EXTRA, M_MOST, Node
-from mallowbeam.control.requests import EPS, Request, Volume
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.nodes import M_EXTRA, M_MOST, Node
+from mallowbeam.storage_gateway.scheduler.requests import EPS, Request, Volume
 
 CHOICES, HOLE = 6, 1.25  # other nodes, hashed too, lest all turn to one; how much later the first may be
 RUN = 2  # largest requests: what may be out beyond the room behind one of the same data
--- a/mallowbeam/facade.py
+++ b/mallowbeam/storage_gateway/scheduler/gateway_host.py
@@ -9,9 +9,9 @@
 from dataclasses import asdict, dataclass, field
 from typing import NamedTuple
 
-from mallowbeam import interface as io
-from mallowbeam.control import Scheduler
 from mallowbeam.errors import MallowbeamError
+from mallowbeam.storage_gateway.scheduler import Scheduler
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 NEVER = float("inf")
 GONE = io.NodeState.GONE
--- a/mallowbeam/interface.py
+++ b/mallowbeam/storage_gateway/scheduler/interface.py
@@ -1,4 +1,4 @@
-"""The types through which a host talks to `mallowbeam.control`: settings, events and actions.
+"""The types through which a host talks to the decision module: settings, events and actions.
 
 All times are seconds.  `None` for a setting means that the rule or feature does not exist here.
 """
--- a/mallowbeam/control/nodes.py
+++ b/mallowbeam/storage_gateway/scheduler/nodes.py
@@ -3,8 +3,8 @@
 from math import exp
 from zlib import crc32
 
-from mallowbeam import interface as io
-from mallowbeam.control.requests import PRICE_LASTS, Attempt, Request, Volume
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.requests import PRICE_LASTS, Attempt, Request, Volume
 
 MEMORY, PRIOR = 1.0, 0.5  # seconds for which an answer says much; what all nodes' latency counts, in answers
 CLIP = 3.0  # a sample counts as at most this many times the mean: one pause can't poison it
--- a/mallowbeam/control/requests.py
+++ b/mallowbeam/storage_gateway/scheduler/requests.py
@@ -1,6 +1,6 @@
 """What asks: requests, their attempts, and the volumes whose reserves and limits they draw from."""
 
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 PRICE_LASTS = 2.0  # seconds: surges come and go within seconds, and so must what they make slots worth
 EPS = 2e-6  # seconds: a clock that counts in microseconds may round a timer down
--- a/mallowbeam/control/scheduler.py
+++ b/mallowbeam/storage_gateway/scheduler/scheduler.py
@@ -5,11 +5,11 @@
 from heapq import heapify, heappop, heappush
 from math import exp
 
-from mallowbeam import interface as io
-from mallowbeam.control.booking import Booking
-from mallowbeam.control.nodes import MEMORY, Health, Node
-from mallowbeam.control.requests import EPS, Request, Volume
-from mallowbeam.control.sending import Sending
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.booking import Booking
+from mallowbeam.storage_gateway.scheduler.nodes import MEMORY, Health, Node
+from mallowbeam.storage_gateway.scheduler.requests import EPS, Request, Volume
+from mallowbeam.storage_gateway.scheduler.sending import Sending
 
 FIRST_SLOT, FIRST_MOST = 1 / 20, 0.3  # of the cycle, a unit and a usual request, before anything was measured
 CREEP = 0.01  # a second: how fast the lowest measured latency may be forgotten, for a slower day
--- a/mallowbeam/control/sending.py
+++ b/mallowbeam/storage_gateway/scheduler/sending.py
@@ -1,8 +1,8 @@
 """Every attempt's way: what may be sent at all, what came of it, and how a request ends."""
 
-from mallowbeam import interface as io
-from mallowbeam.control.nodes import REFUSAL, SHRINK, Node
-from mallowbeam.control.requests import EPS, Attempt, Request
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.nodes import REFUSAL, SHRINK, Node
+from mallowbeam.storage_gateway.scheduler.requests import EPS, Attempt, Request
 
 SMOOTH, FAULTY = 0.1, 0.3  # weight of one answer in a node's share of errors; the share that fails a node
 STUCK = 5.0  # times the expected time after which an attempt passed over by later ones is given up
--- a/mallowbeam/settings.py
+++ b/mallowbeam/storage_gateway/scheduler/settings.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable, Iterator
 
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 SCOPES = {"all": io.Scope.ALL, "zone": io.Scope.ZONE, "cell": io.Scope.SHARD}
 
--- a/mallowbeam/wirehost.py
+++ b/mallowbeam/storage_gateway/scheduler/simulator_host.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 from typing import TextIO
 
-from mallowbeam import interface as io
-from mallowbeam.control import Scheduler
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.settings import flag, opt, read_pairs, read_settings
+from mallowbeam.storage_gateway.scheduler import Scheduler
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.settings import flag, opt, read_pairs, read_settings
 
 OUTCOMES = {
     "S": io.Outcome.OK,
--- a/mallowbeam/net/admin.py
+++ b/mallowbeam/storage_gateway/server/admin.py
@@ -12,8 +12,8 @@
 from mallowbeam.http.framing import Message
 from mallowbeam.http.front import Reply, plain
 from mallowbeam.http.server import Server
-from mallowbeam.net.config import ADMIN_SOCKETS
-from mallowbeam.net.gateway import Gateway
+from mallowbeam.storage_gateway.server.config import ADMIN_SOCKETS
+from mallowbeam.storage_gateway.server.gateway import Gateway
 
 ID = re.compile(r"[\x21-\x7e]+\Z")
 MAX_ID = 256  # bytes of a body: no id is longer
--- a/mallowbeam/net/attempts.py
+++ b/mallowbeam/storage_gateway/server/attempts.py
@@ -12,16 +12,16 @@
 
 from loguru import logger
 
-from mallowbeam import interface as io
-from mallowbeam.facade import Facade, Orders, Try
 from mallowbeam.http.client import Broken, Link, NoRoom, Pool, Spoilt, Unsent
 from mallowbeam.http.framing import Headers, Message, write_request
 from mallowbeam.http.stream import Stream
-from mallowbeam.net.calls import MARGIN, SILENT, Answer, Call, Exchange, Kind
-from mallowbeam.net.config import Config
-from mallowbeam.net.handover import Sister
-from mallowbeam.net.log import Sparse
-from mallowbeam.net.metrics import Metrics
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.gateway_host import Facade, Orders, Try
+from mallowbeam.storage_gateway.server.calls import MARGIN, SILENT, Answer, Call, Exchange, Kind
+from mallowbeam.storage_gateway.server.config import Config
+from mallowbeam.storage_gateway.server.handover import Sister
+from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.server.metrics import Metrics
 
 MOST_DIGITS = 9  # of a figure that a node tells
 
--- a/mallowbeam/net/beside.py
+++ b/mallowbeam/storage_gateway/server/beside.py
@@ -10,14 +10,14 @@
 import asyncio
 from collections.abc import Callable, Mapping
 
-from mallowbeam.facade import Facade, Orders
 from mallowbeam.http.client import Pool
 from mallowbeam.http.server import Server
-from mallowbeam.net.calls import Exchange, Phase
-from mallowbeam.net.config import Config
-from mallowbeam.net.discovery import Watch
-from mallowbeam.net.handover import Sister
-from mallowbeam.net.listing import Listing, write_listing
+from mallowbeam.storage_gateway.scheduler.gateway_host import Facade, Orders
+from mallowbeam.storage_gateway.server.calls import Exchange, Phase
+from mallowbeam.storage_gateway.server.config import Config
+from mallowbeam.storage_gateway.server.discovery import Watch
+from mallowbeam.storage_gateway.server.handover import Sister
+from mallowbeam.storage_gateway.server.listing import Listing, write_listing
 
 
 class Beside:
--- a/mallowbeam/net/config.py
+++ b/mallowbeam/storage_gateway/server/config.py
@@ -9,10 +9,10 @@
 
 from loguru import logger
 
-from mallowbeam import interface as io
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.net.listing import Listing, read_listing
-from mallowbeam.settings import flatten, opt, read_settings
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.settings import flatten, opt, read_settings
+from mallowbeam.storage_gateway.server.listing import Listing, read_listing
 
 # Descriptors that are never given to clients or nodes.  Guards against a crash over the limit on sockets, and
 # against clients that fill them: discovery's call and each listener's accept always find one.  Counted at
--- a/mallowbeam/net/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -19,12 +19,12 @@
 
 from loguru import logger
 
-from mallowbeam import interface as io
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.client import Broken, Link, Unsent, connect
 from mallowbeam.http.framing import Message, write_request
-from mallowbeam.net.listing import BadListing, Listing, decode_listing
-from mallowbeam.net.log import Sparse
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.server.listing import BadListing, Listing, decode_listing
+from mallowbeam.storage_gateway.server.log import Sparse
 
 # What discovery has, and could be asked for, counts as told 6 s later, whatever call failed.  In the worst
 # phase it is back just after a call began that still runs into its time-out; then comes the module's longest
--- a/mallowbeam/net/gateway.py
+++ b/mallowbeam/storage_gateway/server/gateway.py
@@ -14,20 +14,20 @@
 
 from loguru import logger
 
-from mallowbeam import interface as io
-from mallowbeam.facade import NEVER, Facade, Orders, Verdict
 from mallowbeam.http.client import Pool
 from mallowbeam.http.framing import Budget
 from mallowbeam.http.server import Server
-from mallowbeam.net.attempts import Attempts
-from mallowbeam.net.beside import Beside
-from mallowbeam.net.calls import MARGIN, Answer, Call, Exchange, Kind, Part, Phase
-from mallowbeam.net.config import BadConfig, Config, read_again
-from mallowbeam.net.discovery import Watch
-from mallowbeam.net.handover import Handover, Legacy, Sister
-from mallowbeam.net.listing import Listing, write_listing
-from mallowbeam.net.log import Sparse
-from mallowbeam.net.metrics import Metrics
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.gateway_host import NEVER, Facade, Orders, Verdict
+from mallowbeam.storage_gateway.server.attempts import Attempts
+from mallowbeam.storage_gateway.server.beside import Beside
+from mallowbeam.storage_gateway.server.calls import MARGIN, Answer, Call, Exchange, Kind, Part, Phase
+from mallowbeam.storage_gateway.server.config import BadConfig, Config, read_again
+from mallowbeam.storage_gateway.server.discovery import Watch
+from mallowbeam.storage_gateway.server.handover import Handover, Legacy, Sister
+from mallowbeam.storage_gateway.server.listing import Listing, write_listing
+from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.server.metrics import Metrics
 
 LAME_DUCK = 0.5  # seconds after SIGTERM in which all goes on as before, at least
 STAY = 3.5  # seconds after SIGTERM by which all is answered, at the latest
--- a/mallowbeam/net/handover.py
+++ b/mallowbeam/storage_gateway/server/handover.py
@@ -21,8 +21,8 @@
 
 from loguru import logger
 
-from mallowbeam.net.config import Config
-from mallowbeam.net.listing import Listing, read_listing
+from mallowbeam.storage_gateway.server.config import Config
+from mallowbeam.storage_gateway.server.listing import Listing, read_listing
 
 PATIENCE = 1.0  # seconds for the old process to hand over: a wedged one holds up no start
 VERSION = 1  # of what is said here: an old process that speaks another hands over nothing
--- a/mallowbeam/net/health.py
+++ b/mallowbeam/storage_gateway/server/health.py
@@ -14,8 +14,8 @@
 from mallowbeam.http.framing import Message, write_head
 from mallowbeam.http.front import Reply, plain
 from mallowbeam.http.server import Server
-from mallowbeam.net.calls import Phase
-from mallowbeam.net.gateway import Gateway
+from mallowbeam.storage_gateway.server.calls import Phase
+from mallowbeam.storage_gateway.server.gateway import Gateway
 
 
 def page(gateway: Gateway, path: bytes, close: bool) -> Reply | None:
--- a/mallowbeam/net/listing.py
+++ b/mallowbeam/storage_gateway/server/listing.py
@@ -13,8 +13,8 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from mallowbeam import interface as io
 from mallowbeam.errors import MallowbeamError
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 STATES = {"up": io.NodeState.READY, "draining": io.NodeState.DRAINING, "removed": io.NodeState.GONE}
 MOST_TEXT = 256  # characters of an id, an address, a zone or a kind of machine
--- a/mallowbeam/buffer/core.py
+++ b/mallowbeam/storage_gateway/write_buffer/core.py
@@ -14,7 +14,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-from mallowbeam.buffer.actions import (
+from mallowbeam.storage_gateway.write_buffer.actions import (
     SETTLE_MOST,
     Action,
     ActionQueue,
@@ -27,13 +27,13 @@
     Send,
     Settle,
 )
-from mallowbeam.buffer.dispatch import DROPPED, LEAST_SEND, SAFE_MARGIN, Dispatch
-from mallowbeam.buffer.entries import Counts, Entry, Group, Offer, Outcome, State
-from mallowbeam.buffer.held_writes import HeldWrites, Key, Name
-from mallowbeam.buffer.limits import NEVER, Limits
-from mallowbeam.buffer.replay import Known, Replay
-from mallowbeam.buffer.segments import MOVE_BELOW, SegmentTable
-from mallowbeam.buffer.shards import Shard
+from mallowbeam.storage_gateway.write_buffer.dispatch import DROPPED, LEAST_SEND, SAFE_MARGIN, Dispatch
+from mallowbeam.storage_gateway.write_buffer.entries import Counts, Entry, Group, Offer, Outcome, State
+from mallowbeam.storage_gateway.write_buffer.held_writes import HeldWrites, Key, Name
+from mallowbeam.storage_gateway.write_buffer.limits import NEVER, Limits
+from mallowbeam.storage_gateway.write_buffer.replay import Known, Replay
+from mallowbeam.storage_gateway.write_buffer.segments import MOVE_BELOW, SegmentTable
+from mallowbeam.storage_gateway.write_buffer.shards import Shard
 
 __all__ = [
     "DROPPED",
--- a/mallowbeam/buffer/dispatch.py
+++ b/mallowbeam/storage_gateway/write_buffer/dispatch.py
@@ -12,12 +12,12 @@
 from collections.abc import Iterable
 from heapq import heappop, heappush
 
-from mallowbeam.buffer.actions import ActionQueue, Hold, Intend, Passed, ReadBack, Send
-from mallowbeam.buffer.entries import Entry, Outcome, State
-from mallowbeam.buffer.held_writes import HeldWrites
-from mallowbeam.buffer.limits import NEVER, Limits, RepeatBudget
-from mallowbeam.buffer.segments import SegmentTable
-from mallowbeam.buffer.shards import Shard, ShardTable
+from mallowbeam.storage_gateway.write_buffer.actions import ActionQueue, Hold, Intend, Passed, ReadBack, Send
+from mallowbeam.storage_gateway.write_buffer.entries import Entry, Outcome, State
+from mallowbeam.storage_gateway.write_buffer.held_writes import HeldWrites
+from mallowbeam.storage_gateway.write_buffer.limits import NEVER, Limits, RepeatBudget
+from mallowbeam.storage_gateway.write_buffer.segments import SegmentTable
+from mallowbeam.storage_gateway.write_buffer.shards import Shard, ShardTable
 
 SAFE_MARGIN = 0.25  # seconds of the repeat window left unused: the way to the node and its clock
 LEAST_SEND = 0.1  # seconds: an attempt with less time than that is not begun
--- a/mallowbeam/buffer/flush.py
+++ b/mallowbeam/storage_gateway/write_buffer/flush.py
@@ -9,13 +9,13 @@
 import msgspec
 from loguru import logger
 
-from mallowbeam.buffer import core as decisions
-from mallowbeam.buffer.errors import Failed
-from mallowbeam.buffer.intake import Intake
-from mallowbeam.buffer.records import Barrier, Done, Held, Intent, Kind, Moved, pack
-from mallowbeam.buffer.store import Doubtful, NotTaken
-from mallowbeam.buffer.terms import Sender, Upload
-from mallowbeam.net.log import Sparse
+from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.write_buffer import core as decisions
+from mallowbeam.storage_gateway.write_buffer.errors import Failed
+from mallowbeam.storage_gateway.write_buffer.intake import Intake
+from mallowbeam.storage_gateway.write_buffer.records import Barrier, Done, Held, Intent, Kind, Moved, pack
+from mallowbeam.storage_gateway.write_buffer.store import Doubtful, NotTaken
+from mallowbeam.storage_gateway.write_buffer.terms import Sender, Upload
 
 LATER = 0.05  # seconds for which word of what is settled waits for company
 MOST_SETTLED = 4096  # writes that one record settles
--- a/mallowbeam/buffer/groups.py
+++ b/mallowbeam/storage_gateway/write_buffer/groups.py
@@ -8,7 +8,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from mallowbeam.buffer.entries import Entry, Group, State
+from mallowbeam.storage_gateway.write_buffer.entries import Entry, Group, State
 
 
 class PassedBarrier(NamedTuple):
--- a/mallowbeam/buffer/held_writes.py
+++ b/mallowbeam/storage_gateway/write_buffer/held_writes.py
@@ -9,8 +9,8 @@
 from collections import deque
 from collections.abc import Iterator
 
-from mallowbeam.buffer.entries import Counts, Entry, State
-from mallowbeam.buffer.groups import WriteGroups
+from mallowbeam.storage_gateway.write_buffer.entries import Counts, Entry, State
+from mallowbeam.storage_gateway.write_buffer.groups import WriteGroups
 
 Name = bytes  # of an object in its bucket
 Key = tuple[str, Name]  # a bucket, and a name in it
--- a/mallowbeam/buffer/inspect.py
+++ b/mallowbeam/storage_gateway/write_buffer/inspect.py
@@ -14,11 +14,11 @@
 from pathlib import Path
 from urllib.parse import quote
 
-from mallowbeam.buffer.core import Known
-from mallowbeam.buffer.disk import RealDisk
-from mallowbeam.buffer.log import Found, Log, folder_id, name_of, numbers, walk
-from mallowbeam.buffer.records import Moved, Newer, Record, Write, unpack
-from mallowbeam.buffer.reopen import boot_clock, replay
+from mallowbeam.storage_gateway.write_buffer.core import Known
+from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
+from mallowbeam.storage_gateway.write_buffer.log import Found, Log, folder_id, name_of, numbers, walk
+from mallowbeam.storage_gateway.write_buffer.records import Moved, Newer, Record, Write, unpack
+from mallowbeam.storage_gateway.write_buffer.reopen import boot_clock, replay
 
 
 class Tally(Log):
@@ -138,7 +138,7 @@
 
 def readable(log: Log, known: Known) -> bool:
     """Whether a write and its pieces stand where the log says."""
-    from mallowbeam.buffer.errors import Failed
+    from mallowbeam.storage_gateway.write_buffer.errors import Failed
 
     try:
         write, _ = words(log, known)
--- a/mallowbeam/buffer/intake.py
+++ b/mallowbeam/storage_gateway/write_buffer/intake.py
@@ -11,11 +11,11 @@
 from collections.abc import AsyncIterator, Callable, Coroutine
 from typing import Any
 
-from mallowbeam.buffer.core import Core, Entry, Offer
-from mallowbeam.buffer.errors import Failed
-from mallowbeam.buffer.records import RECORD, Barrier, Kind, Moved, Write, pack, unpack
-from mallowbeam.buffer.store import Doubtful, NotTaken, Store
-from mallowbeam.buffer.terms import Settings, Upload
+from mallowbeam.storage_gateway.write_buffer.core import Core, Entry, Offer
+from mallowbeam.storage_gateway.write_buffer.errors import Failed
+from mallowbeam.storage_gateway.write_buffer.records import RECORD, Barrier, Kind, Moved, Write, pack, unpack
+from mallowbeam.storage_gateway.write_buffer.store import Doubtful, NotTaken, Store
+from mallowbeam.storage_gateway.write_buffer.terms import Settings, Upload
 
 PIECE = 256 * 1024  # bytes of a body that stand in one record: larger ones come in pieces
 
--- a/mallowbeam/buffer/log.py
+++ b/mallowbeam/storage_gateway/write_buffer/log.py
@@ -15,9 +15,9 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from mallowbeam.buffer.disk import Disk, File
-from mallowbeam.buffer.errors import DiskFull, Failed
-from mallowbeam.buffer.records import (
+from mallowbeam.storage_gateway.write_buffer.disk import Disk, File
+from mallowbeam.storage_gateway.write_buffer.errors import DiskFull, Failed
+from mallowbeam.storage_gateway.write_buffer.records import (
     RECORD,
     SEGMENT,
     VERSION,
--- a/mallowbeam/buffer/reopen.py
+++ b/mallowbeam/storage_gateway/write_buffer/reopen.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from mallowbeam.buffer.core import Entry, Known, Replay
-from mallowbeam.buffer.disk import Locked, RealDisk
-from mallowbeam.buffer.log import Found, Log, folder_id
-from mallowbeam.buffer.records import (
+from mallowbeam.storage_gateway.write_buffer.core import Entry, Known, Replay
+from mallowbeam.storage_gateway.write_buffer.disk import Locked, RealDisk
+from mallowbeam.storage_gateway.write_buffer.log import Found, Log, folder_id
+from mallowbeam.storage_gateway.write_buffer.records import (
     RECORD,
     Barrier,
     Done,
@@ -25,7 +25,7 @@
     Write,
     unpack,
 )
-from mallowbeam.buffer.terms import Settings
+from mallowbeam.storage_gateway.write_buffer.terms import Settings
 
 
 def boot_clock() -> float:
--- a/mallowbeam/buffer/replay.py
+++ b/mallowbeam/storage_gateway/write_buffer/replay.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from mallowbeam.buffer.entries import Entry, State
-from mallowbeam.buffer.limits import NEVER, Limits
+from mallowbeam.storage_gateway.write_buffer.entries import Entry, State
+from mallowbeam.storage_gateway.write_buffer.limits import NEVER, Limits
 
 
 class Restored(Protocol):
--- a/mallowbeam/buffer/segments.py
+++ b/mallowbeam/storage_gateway/write_buffer/segments.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from mallowbeam.buffer.entries import Entry
+from mallowbeam.storage_gateway.write_buffer.entries import Entry
 
 MOVE_BELOW = 0.25  # of an old segment that still counts: with more, copying costs too much
 
--- a/mallowbeam/buffer/service.py
+++ b/mallowbeam/storage_gateway/write_buffer/service.py
@@ -17,16 +17,16 @@
 
 from loguru import logger
 
-from mallowbeam.buffer import core as decisions
-from mallowbeam.buffer.core import Core, Replay
-from mallowbeam.buffer.disk import Disk, Locked, RealDisk
-from mallowbeam.buffer.flush import Flush
-from mallowbeam.buffer.log import Apart, Found, Log
-from mallowbeam.buffer.records import Write
-from mallowbeam.buffer.reopen import boot_clock, boot_id, no_collection, replay
-from mallowbeam.buffer.store import Store
-from mallowbeam.buffer.terms import Phase, Sender, Settings
-from mallowbeam.net.log import Sparse
+from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.write_buffer import core as decisions
+from mallowbeam.storage_gateway.write_buffer.core import Core, Replay
+from mallowbeam.storage_gateway.write_buffer.disk import Disk, Locked, RealDisk
+from mallowbeam.storage_gateway.write_buffer.flush import Flush
+from mallowbeam.storage_gateway.write_buffer.log import Apart, Found, Log
+from mallowbeam.storage_gateway.write_buffer.records import Write
+from mallowbeam.storage_gateway.write_buffer.reopen import boot_clock, boot_id, no_collection, replay
+from mallowbeam.storage_gateway.write_buffer.store import Store
+from mallowbeam.storage_gateway.write_buffer.terms import Phase, Sender, Settings
 
 LOCK_AGAIN = 0.02  # seconds between looks at a folder that the process before this one still has
 LEAVE = 1.0  # seconds that writes on their way have to end when the folder is handed over
--- a/mallowbeam/buffer/shards.py
+++ b/mallowbeam/storage_gateway/write_buffer/shards.py
@@ -7,8 +7,8 @@
 
 from collections import deque
 
-from mallowbeam.buffer.entries import Entry
-from mallowbeam.buffer.limits import Limits
+from mallowbeam.storage_gateway.write_buffer.entries import Entry
+from mallowbeam.storage_gateway.write_buffer.limits import Limits
 
 
 class Shard:
--- a/mallowbeam/buffer/store.py
+++ b/mallowbeam/storage_gateway/write_buffer/store.py
@@ -14,10 +14,10 @@
 
 from loguru import logger
 
-from mallowbeam.buffer.errors import DiskFull, Failed
-from mallowbeam.buffer.log import Item, Log, mark
-from mallowbeam.buffer.records import Done, Kind, Record, pack
 from mallowbeam.errors import MallowbeamError
+from mallowbeam.storage_gateway.write_buffer.errors import DiskFull, Failed
+from mallowbeam.storage_gateway.write_buffer.log import Item, Log, mark
+from mallowbeam.storage_gateway.write_buffer.records import Done, Kind, Record, pack
 
 MOST_BATCH = 4 << 20  # bytes synced at once
 QUIET = 0.05  # seconds without a batch after which a mark says how far the log is durable
--- a/mallowbeam/buffer/terms.py
+++ b/mallowbeam/storage_gateway/write_buffer/terms.py
@@ -6,8 +6,8 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from mallowbeam.buffer.core import Limits, Outcome
-from mallowbeam.buffer.records import Write
+from mallowbeam.storage_gateway.write_buffer.core import Limits, Outcome
+from mallowbeam.storage_gateway.write_buffer.records import Write
 
 
 class Phase(Enum):
--- a/tests/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -13,14 +13,14 @@
 import pytest
 from scenario import EXAMPLE
 
-from mallowbeam.buffer.disk import RealDisk
-from mallowbeam.buffer.log import Item, Log
-from mallowbeam.buffer.records import Barrier, Held, Kind, Write, pack
 from mallowbeam.lab.rig import Rig, hold_port, write_files
-from mallowbeam.net.config import BadConfig
-from mallowbeam.operators import check, schema
 from mallowbeam.standins.discovery import Discovery
 from mallowbeam.standins.node import ObjectNode
+from mallowbeam.storage_gateway.operator_settings import check, schema
+from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
+from mallowbeam.storage_gateway.write_buffer.log import Item, Log
+from mallowbeam.storage_gateway.write_buffer.records import Barrier, Held, Kind, Write, pack
 
 ROOT = EXAMPLE.parent
 
@@ -186,15 +186,16 @@
     code = (
         "import sys, mallowbeam.__main__\n"
         "async def run(*_, **__): pass\n"
-        "from mallowbeam import program\n"
+        "from mallowbeam.storage_gateway import application as program\n"
         "program.Gateway.run = run\n"  # with its doors made, all that is on has been loaded
         "assert program.run() == 0\n"
         "bad = [m for m in sys.modules if m.split('.')[0] in ('typer', 'click', 'rich', 'msgspec', "
         "'crc32c', 'lmdb', 'pydantic', 'pysyncobj', 'httpx', 'prometheus_client', 'lark') "
-        "or m.startswith(('mallowbeam.buffer', "
-        "'mallowbeam.cli', 'mallowbeam.fleet', 'mallowbeam.lab', 'mallowbeam.standins', "
-        "'mallowbeam.operators', "
-        "'mallowbeam.fronts.objects'))]\n"
+        "or m.startswith(('mallowbeam.storage_gateway.write_buffer', "
+        "'mallowbeam.cli', 'mallowbeam.storage_gateway.coordination', "
+        "'mallowbeam.lab', 'mallowbeam.standins', "
+        "'mallowbeam.storage_gateway.operator_settings', "
+        "'mallowbeam.storage_gateway.frontends.object_api'))]\n"
         "assert not bad, bad"
     )
     env = {**os.environ, "BALANCER_CONFIG": str(tmp_path / "config.json"), "TMPDIR": str(tmp_path)}
--- a/tests/test_system_cli.py
+++ b/tests/cli/test_system_cli.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 from unittest import mock
 
-from system_cli import DOCUMENT, MEMBER, ROOT, ROUTE, STATUS, Commands
+from project_paths import ROOT
+from system_cli import DOCUMENT, MEMBER, ROUTE, STATUS, Commands
 
 from mallowbeam.cli import system_client
 
--- a/tests/test_build.py
+++ b/tests/deploy/test_build.py
@@ -9,8 +9,7 @@
 from pathlib import Path
 
 import pytest
-
-ROOT = Path(__file__).resolve().parent.parent
+from project_paths import ROOT
 
 pytestmark = pytest.mark.skipif(shutil.which("flock") is None, reason="the build takes turns by flock(1)")
 
--- a/tests/test_deploy_build.py
+++ b/tests/deploy/test_deploy_build.py
@@ -5,9 +5,9 @@
 import re
 import tomllib
 import unittest
-from pathlib import Path
 
-DEPLOY = Path(__file__).parent.parent / "deploy"
+from project_paths import DEPLOY
+
 SYSTEM = tomllib.loads((DEPLOY / "system.toml").read_text())
 SHELL_PACKAGE = "dash"
 SHELL_BUILT_INS = frozenset({"[", ":", "cd", "exit", "set"})
--- a/tests/test_packaging.py
+++ b/tests/deploy/test_packaging.py
@@ -4,10 +4,17 @@
 
 import tomllib
 import unittest
-from pathlib import Path
 
-ROOT = Path(__file__).resolve().parent.parent
-BEFORE_TYPES = {"mallowbeam", "mallowbeam.control", "mallowbeam.http", "mallowbeam.net", "mallowbeam.fronts"}
+from project_paths import ROOT
+
+BEFORE_TYPES = {
+    "mallowbeam",
+    "mallowbeam.storage_gateway",
+    "mallowbeam.storage_gateway.scheduler",
+    "mallowbeam.http",
+    "mallowbeam.storage_gateway.server",
+    "mallowbeam.storage_gateway.frontends",
+}
 
 
 def project() -> dict:
--- a/tests/test_lab_ablation.py
+++ b/tests/lab/test_lab_ablation.py
@@ -22,7 +22,7 @@
 from mallowbeam.lab.ablation.results import Result, effects, keep_result, load_results, plot, read_output
 from mallowbeam.lab.ablation.run import AblationError, Bench, Runner
 from mallowbeam.lab.sites import SiteError, draw_site
-from mallowbeam.processes.overrides import OVERRIDES_PATH
+from mallowbeam.router.processes.overrides import OVERRIDES_PATH
 
 VARIANTS = """
 [no-waiting.planner.pairing]
--- a/tests/test_admission_fleet.py
+++ b/tests/router/admission/test_admission_fleet.py
@@ -13,10 +13,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from mallowbeam.admission.messages import Outcome, Plan, PlanRequest, PromptPart, Refusal
-from mallowbeam.admission.planner import Planner
-from mallowbeam.admission.settings import PlannerSettings
-from mallowbeam.rpc import messages_pb2 as messages
+from mallowbeam.router.admission.messages import Outcome, Plan, PlanRequest, PromptPart, Refusal
+from mallowbeam.router.admission.planner import Planner
+from mallowbeam.router.admission.settings import PlannerSettings
+from mallowbeam.router.rpc import messages_pb2 as messages
 
 ZONES = ("a", "b", "c")
 ENGINE = messages.Engine(slots=64, kv_capacity=400_000, kv_token_bytes=18_432, link_mbps=500_000.0)
--- a/tests/test_admission_simulation.py
+++ b/tests/router/admission/test_admission_simulation.py
@@ -1,7 +1,7 @@
 """What seven blind gateways do together to nine instances, in the model of `test_admission_fleet.py`.
 
 Run as a script, it reports first-token times, refusals, moved memory and shared parts read again, at several
-loads: `python tests/test_admission_simulation.py [SECONDS [LOAD...]]`.
+loads: `python tests/router/admission/test_admission_simulation.py [SECONDS [LOAD...]]`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from test_admission_fleet import KINDS, Kind, World
 
-from mallowbeam.admission.settings import PlannerSettings
+from mallowbeam.router.admission.settings import PlannerSettings
 
 QUIET, BUSY, OVER = 0.6, 1.0, 2.0
 
--- a/tests/test_rules_priority.py
+++ b/tests/router/admission/test_rules_priority.py
@@ -12,10 +12,10 @@
 
 from test_admission_fleet import World
 
-from mallowbeam.admission.messages import PlanRequest, PromptPart, Refusal
-from mallowbeam.admission.planner import Planner
-from mallowbeam.admission.settings import PlannerSettings
-from mallowbeam.rpc.messages_pb2 import READY, Backend, Engine, Instance
+from mallowbeam.router.admission.messages import PlanRequest, PromptPart, Refusal
+from mallowbeam.router.admission.planner import Planner
+from mallowbeam.router.admission.settings import PlannerSettings
+from mallowbeam.router.rpc.messages_pb2 import READY, Backend, Engine, Instance
 
 SEEDS = (1, 2, 3)
 MARGIN = 0.05  # of the requests of a kind
--- a/tests/test_configuration_calls.py
+++ b/tests/router/configuration/test_configuration_calls.py
@@ -8,15 +8,15 @@
 
 from configuration_documents import body_of, document
 
-from mallowbeam.configuration.parsing import ConfigurationParser
-from mallowbeam.configuration.versions import ConfigurationVersions
-from mallowbeam.control_plane.api import ControlApi
-from mallowbeam.control_plane.commands import Commands
-from mallowbeam.control_plane.instances import Instances
-from mallowbeam.control_plane.serving import ServingGate
-from mallowbeam.control_plane.state_machine import Outcome
-from mallowbeam.control_plane.status import StatusPage
-from mallowbeam.rpc.messages_pb2 import Command, CommandResult
+from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.configuration.versions import ConfigurationVersions
+from mallowbeam.router.control_plane.api import ControlApi
+from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.instances import Instances
+from mallowbeam.router.control_plane.serving import ServingGate
+from mallowbeam.router.control_plane.state_machine import Outcome
+from mallowbeam.router.control_plane.status import StatusPage
+from mallowbeam.router.rpc.messages_pb2 import Command, CommandResult
 from mallowbeam.simulation.fleet_processes import ApiCall, message_of
 
 STATUSES = {
--- a/tests/test_configuration_changes.py
+++ b/tests/router/configuration/test_configuration_changes.py
@@ -6,17 +6,17 @@
 import sys
 import unittest
 from dataclasses import replace
-from pathlib import Path
 from unittest.mock import patch
 
 from configuration_documents import document, large_document, parsed
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from project_paths import ROOT
 
-from mallowbeam.configuration import changes
-from mallowbeam.configuration.changes import apply_update, difference, to_update
-from mallowbeam.configuration.errors import UpdateMismatch
-from mallowbeam.configuration.model import (
+from mallowbeam.router.configuration import changes
+from mallowbeam.router.configuration.changes import apply_update, difference, to_update
+from mallowbeam.router.configuration.errors import UpdateMismatch
+from mallowbeam.router.configuration.model import (
     Backend,
     ClientLimits,
     Configuration,
@@ -24,9 +24,8 @@
     Route,
     WeightedBackend,
 )
-from mallowbeam.rpc.messages_pb2 import ConfigurationUpdate
+from mallowbeam.router.rpc.messages_pb2 import ConfigurationUpdate
 
-ROOT = Path(__file__).parent.parent
 NOT_FOR_GATEWAYS = ("marshmallow", "msgspec", "json")
 
 numbers = st.integers(0, 2**32 - 1)
@@ -168,7 +167,7 @@
 
     def test_gateways_need_no_schemas(self) -> None:
         script = (
-            "import sys, mallowbeam.configuration.model, mallowbeam.configuration.changes\n"
+            "import sys, mallowbeam.router.configuration.model, mallowbeam.router.configuration.changes\n"
             f"print([name for name in {NOT_FOR_GATEWAYS!r} if name in sys.modules])"
         )
         command = [sys.executable, "-c", script]
--- a/tests/test_configuration_documents.py
+++ b/tests/router/configuration/test_configuration_documents.py
@@ -9,10 +9,10 @@
 
 from configuration_documents import body_of, document, large_document, parsed
 
-from mallowbeam.configuration import errors
-from mallowbeam.configuration.errors import ConfigurationError
-from mallowbeam.configuration.model import ClientLimits, Engine, WeightedBackend
-from mallowbeam.configuration.parsing import (
+from mallowbeam.router.configuration import errors
+from mallowbeam.router.configuration.errors import ConfigurationError
+from mallowbeam.router.configuration.model import ClientLimits, Engine, WeightedBackend
+from mallowbeam.router.configuration.parsing import (
     MOST_BODY_BYTES,
     MOST_NESTING,
     ConfigurationParser,
--- a/tests/test_configuration_fuzz.py
+++ b/tests/router/configuration/test_configuration_fuzz.py
@@ -7,14 +7,14 @@
 
 from configuration_fuzz import run
 
-from mallowbeam.configuration import schemas
+from mallowbeam.router.configuration import schemas
 
 SEED = 7
 COUNT = 2_500
 
 
 class Fuzz(unittest.TestCase):
-    """A part of what ``PYTHONPATH=. python tests/configuration_fuzz.py`` does."""
+    """A part of what ``PYTHONPATH=. python tests/support/configuration_fuzz.py`` does."""
 
     def test_damaged_bodies(self) -> None:
         outcomes = run(SEED, COUNT)
--- a/tests/test_configuration_identity.py
+++ b/tests/router/configuration/test_configuration_identity.py
@@ -7,10 +7,10 @@
 
 from configuration_documents import body_of, document
 
-from mallowbeam.configuration.errors import ConfigurationError
-from mallowbeam.configuration.parsing import ConfigurationParser, parse_configuration
-from mallowbeam.configuration.versions import ConfigurationVersions, put_command
-from mallowbeam.rpc.messages_pb2 import ALREADY_DONE, DONE, REVISION_NOT_ABOVE, VERSION_MISMATCH
+from mallowbeam.router.configuration.errors import ConfigurationError
+from mallowbeam.router.configuration.parsing import ConfigurationParser, parse_configuration
+from mallowbeam.router.configuration.versions import ConfigurationVersions, put_command
+from mallowbeam.router.rpc.messages_pb2 import ALREADY_DONE, DONE, REVISION_NOT_ABOVE, VERSION_MISMATCH
 
 TEXT = body_of({**document(), "note": "a/b", "size": 100.0, "parts": [1, 2]}).decode()
 
--- a/tests/test_configuration_patch.py
+++ b/tests/router/configuration/test_configuration_patch.py
@@ -11,12 +11,12 @@
 from configuration_documents import body_of, document, large_document, large_route
 from configuration_scenario import patched, reloaded
 
-from mallowbeam.configuration.changes import apply_update, difference
-from mallowbeam.configuration.errors import ConfigurationError
-from mallowbeam.configuration.parsing import ConfigurationParser, parse_configuration
-from mallowbeam.configuration.patch import apply_patch, parse_patch
-from mallowbeam.configuration.versions import ConfigurationVersions, patch_command, put_command
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.configuration.changes import apply_update, difference
+from mallowbeam.router.configuration.errors import ConfigurationError
+from mallowbeam.router.configuration.parsing import ConfigurationParser, parse_configuration
+from mallowbeam.router.configuration.patch import apply_patch, parse_patch
+from mallowbeam.router.configuration.versions import ConfigurationVersions, patch_command, put_command
+from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
     INVALID_OUTCOME,
--- a/tests/test_configuration_taken.py
+++ b/tests/router/configuration/test_configuration_taken.py
@@ -4,9 +4,9 @@
 
 import unittest
 
-from mallowbeam.configuration.refusals import CallIdentity, RefusedCalls
-from mallowbeam.configuration.taken import MOST_TAKEN, MOST_TAKEN_BEFORE, RECORD, TakenConfigurations
-from mallowbeam.rpc.messages_pb2 import VERSION_MISMATCH, ReplicatedState, TakenConfiguration
+from mallowbeam.router.configuration.refusals import CallIdentity, RefusedCalls
+from mallowbeam.router.configuration.taken import MOST_TAKEN, MOST_TAKEN_BEFORE, RECORD, TakenConfigurations
+from mallowbeam.router.rpc.messages_pb2 import VERSION_MISMATCH, ReplicatedState, TakenConfiguration
 
 CHANGES_A_DAY = 56_000
 
--- a/tests/test_configuration_versions.py
+++ b/tests/router/configuration/test_configuration_versions.py
@@ -22,10 +22,10 @@
     TakesAnyNumber,
 )
 
-from mallowbeam.configuration.parsing import ConfigurationParser
-from mallowbeam.configuration.taken import RECORD
-from mallowbeam.configuration.versions import ConfigurationVersions, put_command
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.configuration.taken import RECORD
+from mallowbeam.router.configuration.versions import ConfigurationVersions, put_command
+from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
     ReplicatedState,
--- a/tests/test_operator_races.py
+++ b/tests/router/configuration/test_operator_races.py
@@ -5,17 +5,17 @@
 import unittest
 from collections.abc import Iterator
 from contextlib import contextmanager
-from pathlib import Path
 from unittest import mock
 
 from configuration_variants import ForgetsOnRestart, ForgetsRefusals, ForgetsRefusalsOnRestart
 from operator_races import RacesPlayer, RandomRace
+from project_paths import SCENARIOS as SCENARIO_FOLDER
 
-from mallowbeam.configuration.versions import ConfigurationVersions
-from mallowbeam.control_plane import raft_driver, state_machine
+from mallowbeam.router.configuration.versions import ConfigurationVersions
+from mallowbeam.router.control_plane import raft_driver, state_machine
 from mallowbeam.simulation.scenario import Violation, scenario_tests
 
-FOLDER = Path(__file__).parent / "scenarios" / "operators"
+FOLDER = SCENARIO_FOLDER / "operators"
 SNAPSHOT_ENTRIES = 4  # so that members that were away get snapshots
 SEEDS = range(1, 7)
 ROUNDS = 3
--- a/tests/test_rules_config.py
+++ b/tests/router/configuration/test_rules_config.py
@@ -7,9 +7,8 @@
 from collections import Counter
 from dataclasses import replace
 
-from mallowbeam.configuration.model import Configuration, Route, WeightedBackend
-from tests.failing_instances import ByName
-from tests.gateway_bench import (
+from failing_instances import ByName
+from gateway_bench import (
     DEFAULT,
     ENGINE,
     HOST,
@@ -20,7 +19,9 @@
     request_bytes,
     route,
 )
-from tests.virtual_time import play
+from virtual_time import play
+
+from mallowbeam.router.configuration.model import Configuration, Route, WeightedBackend
 
 OTHER = "other.example"
 OLD, NEW = "i-1", "j-1"
--- a/tests/test_consensus_durable.py
+++ b/tests/router/consensus/test_consensus_durable.py
@@ -6,9 +6,9 @@
 
 from consensus_host import OWN, Host, bodies, entry
 
-from mallowbeam.consensus.interface import HardState
-from mallowbeam.consensus.node import Role
-from mallowbeam.rpc.messages_pb2 import VoteRequest, VoteResponse
+from mallowbeam.router.consensus.interface import HardState
+from mallowbeam.router.consensus.node import Role
+from mallowbeam.router.rpc.messages_pb2 import VoteRequest, VoteResponse
 
 
 class Durable(unittest.TestCase):
--- a/tests/test_consensus_leading.py
+++ b/tests/router/consensus/test_consensus_leading.py
@@ -7,10 +7,15 @@
 
 from consensus_host import OWN, Host, bodies, entry, membership
 
-from mallowbeam.consensus.errors import MembershipChangeError, NotLeaderError, OverloadedError, TransferError
-from mallowbeam.consensus.interface import Proposal
-from mallowbeam.consensus.node import Role
-from mallowbeam.rpc.messages_pb2 import MEMBERSHIP, AppendResponse, Entry, Member, Membership
+from mallowbeam.router.consensus.errors import (
+    MembershipChangeError,
+    NotLeaderError,
+    OverloadedError,
+    TransferError,
+)
+from mallowbeam.router.consensus.interface import Proposal
+from mallowbeam.router.consensus.node import Role
+from mallowbeam.router.rpc.messages_pb2 import MEMBERSHIP, AppendResponse, Entry, Member, Membership
 
 
 class Leading(unittest.TestCase):
--- a/tests/test_consensus_quorum.py
+++ b/tests/router/consensus/test_consensus_quorum.py
@@ -9,12 +9,12 @@
 from consensus_host import Host, bodies, entry
 from consensus_world import replaced, with_member, without_member
 
-from mallowbeam.consensus.errors import MembershipChangeError
-from mallowbeam.consensus.interface import HardState, RaftSettings, Restored
-from mallowbeam.consensus.membership import check_change, joint_change, voters_of, without_outgoing
-from mallowbeam.consensus.node import RaftNode, Role
-from mallowbeam.consensus.quorum import Quorum
-from mallowbeam.rpc.messages_pb2 import MEMBERSHIP, Entry, Member, Membership, Snapshot, VoteResponse
+from mallowbeam.router.consensus.errors import MembershipChangeError
+from mallowbeam.router.consensus.interface import HardState, RaftSettings, Restored
+from mallowbeam.router.consensus.membership import check_change, joint_change, voters_of, without_outgoing
+from mallowbeam.router.consensus.node import RaftNode, Role
+from mallowbeam.router.consensus.quorum import Quorum
+from mallowbeam.router.rpc.messages_pb2 import MEMBERSHIP, Entry, Member, Membership, Snapshot, VoteResponse
 
 ABC = frozenset((1, 2, 3))
 
--- a/tests/test_consensus_replication.py
+++ b/tests/router/consensus/test_consensus_replication.py
@@ -6,8 +6,8 @@
 
 from consensus_host import Host, bodies, entry, membership
 
-from mallowbeam.consensus.errors import DivergedError
-from mallowbeam.rpc.messages_pb2 import AppendResponse, Snapshot, SnapshotRequest
+from mallowbeam.router.consensus.errors import DivergedError
+from mallowbeam.router.rpc.messages_pb2 import AppendResponse, Snapshot, SnapshotRequest
 
 
 class Replication(unittest.TestCase):
--- a/tests/test_consensus_snapshots.py
+++ b/tests/router/consensus/test_consensus_snapshots.py
@@ -6,8 +6,8 @@
 
 from consensus_host import Host, bodies
 
-from mallowbeam.consensus.errors import OverloadedError
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.consensus.errors import OverloadedError
+from mallowbeam.router.rpc.messages_pb2 import (
     COMMAND,
     AppendResponse,
     Entry,
--- a/tests/test_consensus_snapshots_received.py
+++ b/tests/router/consensus/test_consensus_snapshots_received.py
@@ -7,7 +7,7 @@
 from consensus_host import OWN, Host, bodies, entry, membership
 from test_consensus_snapshots import SLOW, STATE
 
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.rpc.messages_pb2 import (
     Member,
     Membership,
     Snapshot,
--- a/tests/test_membership_plays.py
+++ b/tests/router/consensus/test_membership_plays.py
@@ -3,18 +3,18 @@
 from __future__ import annotations
 
 import unittest
-from pathlib import Path
 from unittest import mock
 
 from membership_plays import PLAYS, SIZES, run
+from project_paths import SCENARIOS as SCENARIO_FOLDER
 
-from mallowbeam.control_plane import membership_policy
-from mallowbeam.control_plane.group import GroupKeeper
-from mallowbeam.control_plane.leaving import Departure
+from mallowbeam.router.control_plane import membership_policy
+from mallowbeam.router.control_plane.group import GroupKeeper
+from mallowbeam.router.control_plane.leaving import Departure
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.scenario import Violation
 
-SCENARIOS = Path(__file__).parent / "scenarios" / "system"
+SCENARIOS = SCENARIO_FOLDER / "system"
 
 CATCH_UP_S = 4.0  # what operators are promised to leave between two losses
 REPAIRED_S = 3.0  # until the next loss is survived, after any repair
--- a/tests/test_storage_damage.py
+++ b/tests/router/consensus/test_storage_damage.py
@@ -9,9 +9,9 @@
 
 from storage_model import FIRST, IDENTITY, Model, draw_batch, draw_entries
 
-from mallowbeam.consensus.interface import HardState, Restored, Write
-from mallowbeam.consensus.storage import ReplicaStore, StoreDamagedError, batch, pages, records, seal
-from mallowbeam.rpc.messages_pb2 import Entry
+from mallowbeam.router.consensus.interface import HardState, Restored, Write
+from mallowbeam.router.consensus.storage import ReplicaStore, StoreDamagedError, batch, pages, records, seal
+from mallowbeam.router.rpc.messages_pb2 import Entry
 
 DISK_MB = 16
 
--- a/tests/test_storage_large.py
+++ b/tests/router/consensus/test_storage_large.py
@@ -7,9 +7,9 @@
 import subprocess
 import sys
 import unittest
-from pathlib import Path
 
-HERE = Path(__file__).parent
+from project_paths import ROOT, SUPPORT
+
 COUNT = 100  # by then, the file and the process have long stopped growing
 BODY = 4 * 1024 * 1024
 DISK_MB = 128
@@ -19,9 +19,9 @@
 
 class LargeConfigurations(unittest.TestCase):
     def test_memory_and_disk_are_bounded(self) -> None:
-        path = os.pathsep.join((str(HERE.parent), str(HERE)))
+        path = os.pathsep.join((str(ROOT), str(SUPPORT)))
         environment = {**os.environ, "PYTHONPATH": path, "PYTHONDONTWRITEBYTECODE": "1"}
-        script = [sys.executable, str(HERE / "snapshot_load.py"), str(COUNT), str(BODY), str(DISK_MB)]
+        script = [sys.executable, str(SUPPORT / "snapshot_load.py"), str(COUNT), str(BODY), str(DISK_MB)]
         ended = subprocess.run(
             script, env=environment, capture_output=True, check=False, text=True, timeout=MOST_S
         )
--- a/tests/test_storage_power.py
+++ b/tests/router/consensus/test_storage_power.py
@@ -8,13 +8,13 @@
 import unittest
 from collections import Counter
 from collections.abc import Callable, Iterator
-from pathlib import Path
 from typing import Any
 from unittest import mock
 
+from project_paths import ROOT, SUPPORT
 from storage_trial import Lost, Trial
 
-from mallowbeam.consensus.storage import ReplicaStore, StoreError, seal, store
+from mallowbeam.router.consensus.storage import ReplicaStore, StoreError, seal, store
 
 SEEDS = range(100, 102)
 BATCHES = 5
@@ -112,12 +112,11 @@
         script = (
             "from unittest import mock\n"
             "from storage_trial import Trial\n"
-            "from mallowbeam.consensus.storage import seal\n"
+            "from mallowbeam.router.consensus.storage import seal\n"
             "with mock.patch.object(seal, 'replace_page', lambda *_: None):\n"
             f"    for seed in range(200, 230): Trial(seed, refused=1.0).run({BATCHES})\n"
         )
-        here = Path(__file__).parent
-        path = {"PYTHONPATH": f"{here}:{here.parent}", "PYTHONDONTWRITEBYTECODE": "1"}
+        path = {"PYTHONPATH": f"{SUPPORT}:{ROOT}", "PYTHONDONTWRITEBYTECODE": "1"}
         ended = subprocess.run([sys.executable, "-c", script], env=path, capture_output=True, check=False)
         self.assertNotEqual(ended.returncode, 0)
         told = b"Lost" in ended.stderr or b"Store" in ended.stderr
--- a/tests/test_storage_store.py
+++ b/tests/router/consensus/test_storage_store.py
@@ -15,8 +15,8 @@
 
 from storage_model import FIRST, IDENTITY, Model, draw_batch, draw_entries
 
-from mallowbeam.consensus.interface import HardState, Restored, Write
-from mallowbeam.consensus.storage import (
+from mallowbeam.router.consensus.interface import HardState, Restored, Write
+from mallowbeam.router.consensus.storage import (
     ReplicaStore,
     StoreFailedError,
     StoreFullError,
@@ -24,7 +24,7 @@
     StoreVersionError,
     records,
 )
-from mallowbeam.rpc.messages_pb2 import COMMAND, Entry, Snapshot
+from mallowbeam.router.rpc.messages_pb2 import COMMAND, Entry, Snapshot
 
 MEGABYTE = 1 << 20
 
--- a/tests/test_command_copies.py
+++ b/tests/router/control_plane/test_command_copies.py
@@ -23,8 +23,8 @@
     TakesAnyNumber,
 )
 
-from mallowbeam.configuration.parsing import ConfigurationParser
-from mallowbeam.configuration.versions import ConfigurationVersions
+from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.configuration.versions import ConfigurationVersions
 
 FIRST = Call(1, "first", 0)
 CALLS = [
--- a/tests/test_commands.py
+++ b/tests/router/control_plane/test_commands.py
@@ -9,15 +9,15 @@
 from typing import cast
 from unittest import mock
 
-from mallowbeam.consensus.errors import NotLeaderError
-from mallowbeam.control_plane import commands
-from mallowbeam.control_plane.answers import NothingProposedError, OutcomeUnknownError
-from mallowbeam.control_plane.commands import PATIENCE, Commands
-from mallowbeam.control_plane.peer_links import PeerLinks
-from mallowbeam.control_plane.raft_driver import RaftDriver
-from mallowbeam.control_plane.state_machine import Outcome
-from mallowbeam.control_plane.waiting import Changes, ProposalLost
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.consensus.errors import NotLeaderError
+from mallowbeam.router.control_plane import commands
+from mallowbeam.router.control_plane.answers import NothingProposedError, OutcomeUnknownError
+from mallowbeam.router.control_plane.commands import PATIENCE, Commands
+from mallowbeam.router.control_plane.peer_links import PeerLinks
+from mallowbeam.router.control_plane.raft_driver import RaftDriver
+from mallowbeam.router.control_plane.state_machine import Outcome
+from mallowbeam.router.control_plane.waiting import Changes, ProposalLost
+from mallowbeam.router.rpc.messages_pb2 import (
     APPLIED,
     DONE,
     NOT_LEADER,
--- a/tests/test_control_plane_calls.py
+++ b/tests/router/control_plane/test_control_plane_calls.py
@@ -7,17 +7,18 @@
 from types import SimpleNamespace
 from typing import cast
 
-from mallowbeam.control_plane.commands import Commands
-from mallowbeam.control_plane.peer_links import PeerLinks
-from mallowbeam.control_plane.raft_driver import RaftDriver
-from mallowbeam.rpc.messages_pb2 import (
+from virtual_time import play
+
+from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.peer_links import PeerLinks
+from mallowbeam.router.control_plane.raft_driver import RaftDriver
+from mallowbeam.router.rpc.messages_pb2 import (
     APPLIED,
     Command,
     PeerFrame,
     ProposeResponse,
     ReadIndexResponse,
 )
-from tests.virtual_time import play
 
 OWN, LEADER = 1, 2
 
--- a/tests/test_control_plane_cores.py
+++ b/tests/router/control_plane/test_control_plane_cores.py
@@ -8,13 +8,15 @@
 import unittest
 import zlib
 
-from mallowbeam.configuration.parsing import ConfigurationParser
-from mallowbeam.configuration.versions import put_command
-from mallowbeam.control_plane.answers import NothingProposedError, error_reply
-from mallowbeam.control_plane.first_start import derived_identity, first_state
-from mallowbeam.control_plane.state_machine import ConfigurationFeed, Outcome, ReplicatedStateMachine
-from mallowbeam.control_plane.waiting import AppliedWaiters, Changes, ProposalLost, ProposalWaiters
-from mallowbeam.rpc.messages_pb2 import (
+from control_plane_rig import configuration
+
+from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.configuration.versions import put_command
+from mallowbeam.router.control_plane.answers import NothingProposedError, error_reply
+from mallowbeam.router.control_plane.first_start import derived_identity, first_state
+from mallowbeam.router.control_plane.state_machine import ConfigurationFeed, Outcome, ReplicatedStateMachine
+from mallowbeam.router.control_plane.waiting import AppliedWaiters, Changes, ProposalLost, ProposalWaiters
+from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
     DRAINING,
@@ -25,7 +27,6 @@
     Command,
     RetireInstance,
 )
-from tests.control_plane_rig import configuration
 
 SEEDS = ("10.0.0.3:8146", "10.0.0.1:8146", "10.0.0.2:8146")
 
--- a/tests/test_control_plane_disk_writer.py
+++ b/tests/router/control_plane/test_control_plane_disk_writer.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Sequence
 from unittest import mock
 
-from mallowbeam.consensus.interface import Write
-from mallowbeam.consensus.storage import ReplicaStore, StoreFullError
-from mallowbeam.control_plane import disk_writer
-from mallowbeam.control_plane.disk_writer import DiskWriter
-from mallowbeam.rpc.messages_pb2 import COMMAND, Entry, Member, Membership, Snapshot
+from mallowbeam.router.consensus.interface import Write
+from mallowbeam.router.consensus.storage import ReplicaStore, StoreFullError
+from mallowbeam.router.control_plane import disk_writer
+from mallowbeam.router.control_plane.disk_writer import DiskWriter
+from mallowbeam.router.rpc.messages_pb2 import COMMAND, Entry, Member, Membership, Snapshot
 
 MEGABYTE = 1 << 20
 FOUNDERS = Membership(members=[Member(id=1, voter=True)], target_voters=1)
--- a/tests/test_control_plane_instances.py
+++ b/tests/router/control_plane/test_control_plane_instances.py
@@ -7,13 +7,13 @@
 from random import Random
 from typing import cast
 
-from mallowbeam.control_plane.commands import Commands
-from mallowbeam.control_plane.instances import Instances
-from mallowbeam.control_plane.peer_links import PeerLinks
-from mallowbeam.control_plane.serving import ServingGate
-from mallowbeam.registry.retirements import Retirements
-from mallowbeam.registry.table import InstanceTable
-from mallowbeam.rpc.messages_pb2 import PeerFrame, RegistryGossip
+from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.instances import Instances
+from mallowbeam.router.control_plane.peer_links import PeerLinks
+from mallowbeam.router.control_plane.serving import ServingGate
+from mallowbeam.router.registry.retirements import Retirements
+from mallowbeam.router.registry.table import InstanceTable
+from mallowbeam.router.rpc.messages_pb2 import PeerFrame, RegistryGossip
 
 OTHER = 7  # the other member's id
 
