--- a/tests/test_control_plane_large_bodies.py
+++ b/tests/router/control_plane/test_control_plane_large_bodies.py
@@ -10,29 +10,34 @@
 import threading
 import unittest
 from collections.abc import Awaitable, Callable
-from pathlib import Path
 from types import SimpleNamespace
 from typing import cast
 
 from control_plane_rig import PATIENCE, Answer, configuration, heartbeat
+from project_paths import ROOT, SUPPORT
 
-from mallowbeam.configuration.errors import ConfigurationError
-from mallowbeam.configuration.parsing import ConfigurationParser
-from mallowbeam.configuration.versions import ConfigurationVersions
-from mallowbeam.control_plane.answers import LargeBodyError
-from mallowbeam.control_plane.api import MOST_BODIES, MOST_BODY, ControlApi
-from mallowbeam.control_plane.commands import Commands
-from mallowbeam.control_plane.instances import Instances
-from mallowbeam.control_plane.large_bodies import LARGE_BODY, LargeBodies, Work, run_at_once, run_in_thread
-from mallowbeam.control_plane.serving import ServingGate
-from mallowbeam.control_plane.state_machine import Outcome
-from mallowbeam.control_plane.status import StatusPage
 from mallowbeam.http.budget import ANOTHER_LARGE_BODY, TOO_MANY_BODIES, Budget
 from mallowbeam.http.framing import Framer
 from mallowbeam.http.server import Server
-from mallowbeam.rpc.messages_pb2 import DONE, Command
+from mallowbeam.router.configuration.errors import ConfigurationError
+from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.configuration.versions import ConfigurationVersions
+from mallowbeam.router.control_plane.answers import LargeBodyError
+from mallowbeam.router.control_plane.api import MOST_BODIES, MOST_BODY, ControlApi
+from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.instances import Instances
+from mallowbeam.router.control_plane.large_bodies import (
+    LARGE_BODY,
+    LargeBodies,
+    Work,
+    run_at_once,
+    run_in_thread,
+)
+from mallowbeam.router.control_plane.serving import ServingGate
+from mallowbeam.router.control_plane.state_machine import Outcome
+from mallowbeam.router.control_plane.status import StatusPage
+from mallowbeam.router.rpc.messages_pb2 import DONE, Command
 
-HERE = Path(__file__).parent
 CONFIG, INSTANCE = "/mallowbeam/config", "/mallowbeam/instances/i-1"
 CALLERS, MEMBERS = 8, 3
 LOAD_S = 60  # the load's bound; it ends long before, once so many changes were taken:
@@ -268,11 +273,11 @@
 
 class RealMembers(unittest.TestCase):
     def test_changes_are_taken_and_memory_is_bounded_with_eight_callers(self) -> None:
-        path = os.pathsep.join((str(HERE.parent), str(HERE)))
+        path = os.pathsep.join((str(ROOT), str(SUPPORT)))
         environment = {**os.environ, "PYTHONPATH": path, "PYTHONDONTWRITEBYTECODE": "1"}
         script = [
             sys.executable,
-            str(HERE / "large_bodies_load.py"),
+            str(SUPPORT / "large_bodies_load.py"),
             str(MEMBERS),
             str(CALLERS),
             str(LOAD_S),
--- a/tests/test_control_plane_loopback.py
+++ b/tests/router/control_plane/test_control_plane_loopback.py
@@ -6,8 +6,9 @@
 import signal
 import unittest
 
-from mallowbeam.rpc.messages_pb2 import DRAINS, ENDED, FeedFrame
-from tests.control_plane_rig import Answer, Gateway, Machine, Rig, configuration, heartbeat
+from control_plane_rig import Answer, Gateway, Machine, Rig, configuration, heartbeat
+
+from mallowbeam.router.rpc.messages_pb2 import DRAINS, ENDED, FeedFrame
 
 CONFIG = "/mallowbeam/config"
 INSTANCE = "/mallowbeam/instances/i-1"
--- a/tests/test_control_plane_membership.py
+++ b/tests/router/control_plane/test_control_plane_membership.py
@@ -5,8 +5,8 @@
 import random
 import unittest
 
-from mallowbeam.consensus.membership import check_change, without_outgoing
-from mallowbeam.control_plane.membership_policy import (
+from mallowbeam.router.consensus.membership import check_change, without_outgoing
+from mallowbeam.router.control_plane.membership_policy import (
     DEAD_VOTER,
     GONE_LEARNER,
     HEARD_LATELY,
@@ -20,7 +20,7 @@
     leaving,
     next_change,
 )
-from mallowbeam.rpc.messages_pb2 import JoinRequest, Member, Membership
+from mallowbeam.router.rpc.messages_pb2 import JoinRequest, Member, Membership
 
 COMMIT = 100
 
--- a/tests/test_control_plane_peer_links.py
+++ b/tests/router/control_plane/test_control_plane_peer_links.py
@@ -5,8 +5,8 @@
 import asyncio
 import unittest
 
-from mallowbeam.control_plane.peer_links import SETTLING, UNHEARD_RESET, PeerLinks
-from mallowbeam.rpc.messages_pb2 import Member, PeerFrame
+from mallowbeam.router.control_plane.peer_links import SETTLING, UNHEARD_RESET, PeerLinks
+from mallowbeam.router.rpc.messages_pb2 import Member, PeerFrame
 
 OWN = Member(id=1, address="127.0.0.1:1")
 PEER = Member(id=2, address="127.0.0.1:2")
--- a/tests/test_control_plane_serving.py
+++ b/tests/router/control_plane/test_control_plane_serving.py
@@ -7,17 +7,20 @@
 import math
 import unittest
 from dataclasses import dataclass
-from pathlib import Path
 from types import SimpleNamespace
 from typing import cast
 
-from mallowbeam.configuration.parsing import ConfigurationParser
-from mallowbeam.configuration.versions import ConfigurationVersions
-from mallowbeam.control_plane.answers import OutOfTouchError
-from mallowbeam.control_plane.api import ControlApi
-from mallowbeam.control_plane.commands import Commands
-from mallowbeam.control_plane.instances import Instances
-from mallowbeam.control_plane.serving import (
+from control_plane_rig import configuration, heartbeat
+from project_paths import SCENARIOS as SCENARIO_FOLDER
+
+from mallowbeam.http.front import Reply
+from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.configuration.versions import ConfigurationVersions
+from mallowbeam.router.control_plane.answers import OutOfTouchError
+from mallowbeam.router.control_plane.api import ControlApi
+from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.instances import Instances
+from mallowbeam.router.control_plane.serving import (
     CALL_AGE_S,
     FEED_SILENCE_S,
     HEARTBEAT_SILENCE_S,
@@ -30,14 +33,19 @@
     Said,
     ServingGate,
 )
-from mallowbeam.control_plane.state_machine import Outcome
-from mallowbeam.control_plane.status import StatusPage
-from mallowbeam.http.front import Reply
-from mallowbeam.rpc.messages_pb2 import DONE, DRAINING, GONE, REVISION_NOT_ABOVE, VERSION_MISMATCH, Command
+from mallowbeam.router.control_plane.state_machine import Outcome
+from mallowbeam.router.control_plane.status import StatusPage
+from mallowbeam.router.rpc.messages_pb2 import (
+    DONE,
+    DRAINING,
+    GONE,
+    REVISION_NOT_ABOVE,
+    VERSION_MISMATCH,
+    Command,
+)
 from mallowbeam.simulation.fleet_processes import ApiCall, message_of
-from tests.control_plane_rig import configuration, heartbeat
 
-SCENARIOS = Path(__file__).parent / "scenarios" / "system"
+SCENARIOS = SCENARIO_FOLDER / "system"
 OTHERS = ["10.0.0.2:8146", "10.0.0.3:8146"]
 STEPS_OF_A_READ = range(0, 60, 3)  # of the member's process, more than it takes
 LONG = 20.0  # seconds for which a process stands still
--- a/tests/test_control_plane_serving_variants.py
+++ b/tests/router/control_plane/test_control_plane_serving_variants.py
@@ -9,16 +9,16 @@
 
 from test_control_plane_serving import SCENARIOS, STEPS_OF_A_READ
 
-from mallowbeam.control_plane import serving
-from mallowbeam.control_plane.commands import Commands
-from mallowbeam.control_plane.instances import Instances
-from mallowbeam.control_plane.serving import (
+from mallowbeam.router.control_plane import serving
+from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.instances import Instances
+from mallowbeam.router.control_plane.serving import (
     Always,
     InTouch,
     Said,
     ServingGate,
 )
-from mallowbeam.feed.publisher import FeedAllowance
+from mallowbeam.router.feed.publisher import FeedAllowance
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.fleet_processes import ApiCall
 from mallowbeam.simulation.scenario import Violation
--- a/tests/test_control_plane_stage_orders.py
+++ b/tests/router/control_plane/test_control_plane_stage_orders.py
@@ -10,13 +10,13 @@
 from typing import cast
 from unittest import mock
 
-from mallowbeam.configuration.versions import ConfigurationVersions
-from mallowbeam.control_plane import stage_orders
-from mallowbeam.control_plane.raft_driver import RaftDriver
-from mallowbeam.control_plane.serving import Said, ServingGate
-from mallowbeam.control_plane.stage_orders import RESET, StageOrders
-from mallowbeam.pairing.stage_share import OrderResult, StageOrder
-from mallowbeam.registry.table import InstanceTable
+from mallowbeam.router.configuration.versions import ConfigurationVersions
+from mallowbeam.router.control_plane import stage_orders
+from mallowbeam.router.control_plane.raft_driver import RaftDriver
+from mallowbeam.router.control_plane.serving import Said, ServingGate
+from mallowbeam.router.control_plane.stage_orders import RESET, StageOrders
+from mallowbeam.router.pairing.stage_share import OrderResult, StageOrder
+from mallowbeam.router.registry.table import InstanceTable
 
 ORDER = StageOrder("i", "10.1.0.1:8080", "prefill")
 LEASE_S = 3.0
--- a/tests/test_control_plane_unusable.py
+++ b/tests/router/control_plane/test_control_plane_unusable.py
@@ -9,13 +9,13 @@
 from tempfile import TemporaryDirectory
 from unittest import mock
 
-from mallowbeam.consensus.errors import DivergedError
-from mallowbeam.consensus.storage import ReplicaStore, StoreDamagedError
-from mallowbeam.control_plane import membership_policy, raft_driver, role
-from mallowbeam.control_plane.first_start import derived_identity
-from mallowbeam.control_plane.opening import FOLDER, WatchedStore, open_anew, open_store
-from mallowbeam.processes.role import RoleContext
-from mallowbeam.processes.settings import NodeSettings
+from mallowbeam.router.consensus.errors import DivergedError
+from mallowbeam.router.consensus.storage import ReplicaStore, StoreDamagedError
+from mallowbeam.router.control_plane import membership_policy, raft_driver, role
+from mallowbeam.router.control_plane.first_start import derived_identity
+from mallowbeam.router.control_plane.opening import FOLDER, WatchedStore, open_anew, open_store
+from mallowbeam.router.processes.role import RoleContext
+from mallowbeam.router.processes.settings import NodeSettings
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.fleet_processes import settings_of
 
@@ -79,7 +79,7 @@
         player = FleetPlayer(self.TEXT)
         with (
             mock.patch.object(raft_driver, "COMPACT_ENTRIES", 3),
-            mock.patch("mallowbeam.control_plane.member.TRAILING_ENTRIES", 0),
+            mock.patch("mallowbeam.router.control_plane.member.TRAILING_ENTRIES", 0),
         ):
             player.play()
         node = player.members["m3"].program._driver.node
--- a/tests/test_lost_cores.py
+++ b/tests/router/control_plane/test_lost_cores.py
@@ -10,7 +10,7 @@
 from random import Random
 from unittest import mock
 
-from mallowbeam.consensus.quorum import Quorum, majority_of
+from mallowbeam.router.consensus.quorum import Quorum, majority_of
 from mallowbeam.simulation.clock import Step
 from mallowbeam.simulation.disk import Disk
 from mallowbeam.simulation.fleet import FleetPlayer
--- a/tests/test_data_plane_answers.py
+++ b/tests/router/data_plane/test_data_plane_answers.py
@@ -10,18 +10,18 @@
 from unittest.mock import patch
 
 import uvloop
+from failing_instances import ByName, add
+from gateway_bench import ENGINE, Bench, events, read_answer, request_bytes
+from virtual_time import play
 
-from mallowbeam.data_plane import link_pool
-from mallowbeam.data_plane.link_pool import LinkPool
-from mallowbeam.data_plane.outcomes import AttemptEnd, judge_answer
-from mallowbeam.data_plane.prefill import Handle, HandleRelease
 from mallowbeam.http.client import Broken, Link, Unsent, connect
 from mallowbeam.http.framing import Message
+from mallowbeam.router.data_plane import link_pool
+from mallowbeam.router.data_plane.link_pool import LinkPool
+from mallowbeam.router.data_plane.outcomes import AttemptEnd, judge_answer
+from mallowbeam.router.data_plane.prefill import Handle, HandleRelease
+from mallowbeam.router.streams.progress import StreamProgress
 from mallowbeam.standins.model_server import Fault, ModelServer, Seen
-from mallowbeam.streams.progress import StreamProgress
-from tests.failing_instances import ByName, add
-from tests.gateway_bench import ENGINE, Bench, events, read_answer, request_bytes
-from tests.virtual_time import play
 
 ID = b"9c41d07be2a35f68"
 HEAD = b"POST / HTTP/1.1\r\ncontent-length: %d\r\n\r\n"
--- a/tests/test_data_plane_budget.py
+++ b/tests/router/data_plane/test_data_plane_budget.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from mallowbeam.data_plane.retry_budget import SLICES, BudgetSettings, RetryBudget, RetryBudgets
-from mallowbeam.data_plane.role import retry_budget
-from mallowbeam.processes.settings import Bounds
+from mallowbeam.router.data_plane.retry_budget import SLICES, BudgetSettings, RetryBudget, RetryBudgets
+from mallowbeam.router.data_plane.role import retry_budget
+from mallowbeam.router.processes.settings import Bounds
 
 WINDOW_S = 10.0
 SLICE_S = WINDOW_S / SLICES
--- a/tests/test_data_plane_failures.py
+++ b/tests/router/data_plane/test_data_plane_failures.py
@@ -5,20 +5,21 @@
 import asyncio
 import unittest
 
-from mallowbeam.data_plane.retry_budget import BudgetSettings
-from mallowbeam.standins.model_server import Fault
-from tests.failing_instances import (
+from failing_instances import (
     ByName,
     DirectFirst,
 )
-from tests.gateway_bench import (
+from gateway_bench import (
     ENGINE,
     Bench,
     configuration,
     events,
     route,
 )
-from tests.virtual_time import play
+from virtual_time import play
+
+from mallowbeam.router.data_plane.retry_budget import BudgetSettings
+from mallowbeam.standins.model_server import Fault
 
 ROUTES = configuration(
     route("/safe/", "safe"),
--- a/tests/test_data_plane_feed_link.py
+++ b/tests/router/data_plane/test_data_plane_feed_link.py
@@ -8,13 +8,14 @@
 from contextlib import suppress
 from typing import cast
 
-from mallowbeam.configuration.model import Configuration
-from mallowbeam.data_plane.feed_link import FeedLink
-from mallowbeam.feed.subscriber import Action, Close, Connect, FeedEvents, FeedSubscriber, Wait
-from mallowbeam.rpc.connection import FrameConnection, listen
-from mallowbeam.rpc.framing import HEADER, encode_frame
-from mallowbeam.rpc.messages_pb2 import FeedFrame, FeedHeartbeat, FeedHello, GatewayFrame, LinkFrame
-from tests.virtual_time import play
+from virtual_time import play
+
+from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.data_plane.feed_link import FeedLink
+from mallowbeam.router.feed.subscriber import Action, Close, Connect, FeedEvents, FeedSubscriber, Wait
+from mallowbeam.router.rpc.connection import FrameConnection, listen
+from mallowbeam.router.rpc.framing import HEADER, encode_frame
+from mallowbeam.router.rpc.messages_pb2 import FeedFrame, FeedHeartbeat, FeedHello, GatewayFrame, LinkFrame
 
 IP = "127.0.0.1"
 NOT_A_FRAME = b"\xff" * 16  # no protobuf message begins with this
--- a/tests/test_data_plane_idle.py
+++ b/tests/router/data_plane/test_data_plane_idle.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from mallowbeam.data_plane.link_pool import MOST_IDLE_S, UNSTATED_IDLE_S, USED_SHARE, idle_time_s
 from mallowbeam.http.framing import Message
+from mallowbeam.router.data_plane.link_pool import MOST_IDLE_S, UNSTATED_IDLE_S, USED_SHARE, idle_time_s
 
 
 def idle_s(*keep_alive: bytes) -> float:
--- a/tests/test_data_plane_path.py
+++ b/tests/router/data_plane/test_data_plane_path.py
@@ -8,16 +8,17 @@
 from dataclasses import replace
 from unittest import mock
 
-from mallowbeam.admission.messages import Plan, PlanRequest, Refusal, RefusalReason
-from mallowbeam.admission.planner import Planner
-from mallowbeam.admission.settings import PlannerSettings
-from mallowbeam.data_plane import link_pool
-from mallowbeam.data_plane.attempt import WAY_BACK_S
-from mallowbeam.data_plane.front import WAY_S
-from mallowbeam.data_plane.planning import LeastLoadedPlanner
-from mallowbeam.data_plane.retry_budget import BudgetSettings
+from gateway_bench import ENGINE, Bench, events, read_answer, read_head, request_bytes
+
+from mallowbeam.router.admission.messages import Plan, PlanRequest, Refusal, RefusalReason
+from mallowbeam.router.admission.planner import Planner
+from mallowbeam.router.admission.settings import PlannerSettings
+from mallowbeam.router.data_plane import link_pool
+from mallowbeam.router.data_plane.attempt import WAY_BACK_S
+from mallowbeam.router.data_plane.front import WAY_S
+from mallowbeam.router.data_plane.planning import LeastLoadedPlanner
+from mallowbeam.router.data_plane.retry_budget import BudgetSettings
 from mallowbeam.standins.model_server import Fault
-from tests.gateway_bench import ENGINE, Bench, events, read_answer, read_head, request_bytes
 
 PATIENCE_S = 20.0  # for what takes milliseconds: only a failure comes near it
 
--- a/tests/test_data_plane_request.py
+++ b/tests/router/data_plane/test_data_plane_request.py
@@ -6,17 +6,17 @@
 from collections import Counter
 from random import Random
 
-from mallowbeam.configuration.model import Route, WeightedBackend
-from mallowbeam.data_plane.client_request import (
+from mallowbeam.http.framing import Message
+from mallowbeam.router.configuration.model import Route, WeightedBackend
+from mallowbeam.router.data_plane.client_request import (
     MOST_MS,
     MOST_PARTS,
     BadRequest,
     ClientRequest,
     read_request,
 )
-from mallowbeam.data_plane.routing import RouteTable, choose_backend, host_name
-from mallowbeam.http.framing import Message
-from mallowbeam.pairing.kept_parts import PromptPart
+from mallowbeam.router.data_plane.routing import RouteTable, choose_backend, host_name
+from mallowbeam.router.pairing.kept_parts import PromptPart
 
 REQUEST_ID = b"9c41d07be2a35f68"
 SEED = 11
--- a/tests/test_data_plane_role.py
+++ b/tests/router/data_plane/test_data_plane_role.py
@@ -11,9 +11,12 @@
 import unittest
 from pathlib import Path
 
-from mallowbeam.configuration.changes import to_update
-from mallowbeam.rpc.connection import FrameConnection, listen
-from mallowbeam.rpc.messages_pb2 import (
+from gateway_bench import DEFAULT, Answer, read_answer, request_bytes
+from project_paths import ROOT
+
+from mallowbeam.router.configuration.changes import to_update
+from mallowbeam.router.rpc.connection import FrameConnection, listen
+from mallowbeam.router.rpc.messages_pb2 import (
     READY,
     FeedFrame,
     FeedHeartbeat,
@@ -22,9 +25,7 @@
     LinkFrame,
 )
 from mallowbeam.standins.model_server import ModelServer
-from tests.gateway_bench import DEFAULT, Answer, read_answer, request_bytes
 
-ROOT = Path(__file__).parent.parent
 PATIENCE_S = 60.0  # for what takes a second: only a failure comes near it
 HEARTBEAT = FeedHeartbeat(gateways=1, table_complete=True)
 SETTINGS = """
--- a/tests/test_data_plane_sends.py
+++ b/tests/router/data_plane/test_data_plane_sends.py
@@ -5,7 +5,8 @@
 import unittest
 from random import Random
 
-from mallowbeam.data_plane.outcomes import (
+from mallowbeam.http.framing import Message
+from mallowbeam.router.data_plane.outcomes import (
     MOST_RETRY_AFTER_S,
     PROMISES,
     AttemptEnd,
@@ -13,8 +14,8 @@
     may_pass_on,
     retry_after,
 )
-from mallowbeam.data_plane.retry_budget import BudgetSettings, RetryBudget
-from mallowbeam.data_plane.send_policy import (
+from mallowbeam.router.data_plane.retry_budget import BudgetSettings, RetryBudget
+from mallowbeam.router.data_plane.send_policy import (
     BAD_GATEWAY,
     GATEWAY_TIMEOUT,
     MOST_CONNECT_FAILURES,
@@ -23,7 +24,6 @@
     SendPolicy,
     SendTicket,
 )
-from mallowbeam.http.framing import Message
 
 NOW = 100.0
 SEEDS = range(400)
--- a/tests/test_decision_log.py
+++ b/tests/router/data_plane/test_decision_log.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from mallowbeam.admission.messages import (
+from mallowbeam.router.admission.messages import (
     Expectation,
     Outcome,
     Plan,
@@ -12,8 +12,8 @@
     Refusal,
     RefusalReason,
 )
-from mallowbeam.data_plane.decision_log import DecisionLog
-from mallowbeam.data_plane.planning import LeastLoadedPlanner
+from mallowbeam.router.data_plane.decision_log import DecisionLog
+from mallowbeam.router.data_plane.planning import LeastLoadedPlanner
 
 REQUEST = PlanRequest("r", "models", None, prompt_tokens=9000, answer_tokens=7, target_latency_s=0.5)
 
--- a/tests/test_exchange_model.py
+++ b/tests/router/data_plane/test_exchange_model.py
@@ -8,16 +8,17 @@
 from dataclasses import replace
 from unittest.mock import patch
 
-from mallowbeam.data_plane import attempt
-from mallowbeam.data_plane.attempt import Attempt, SendOrder
-from mallowbeam.data_plane.link_pool import LinkPool
-from mallowbeam.data_plane.outcomes import AttemptEnd, judge_answer
-from mallowbeam.data_plane.send_policy import SendPolicy, SendTicket
+from exchange_model import Explorer, Setting, Violation
+from gateway_bench import ENGINE, configuration, route
+
 from mallowbeam.http.client import Broken, Link
 from mallowbeam.http.framing import Channel, Message
-from mallowbeam.streams.progress import StreamProgress
-from tests.exchange_model import Explorer, Setting, Violation
-from tests.gateway_bench import ENGINE, configuration, route
+from mallowbeam.router.data_plane import attempt
+from mallowbeam.router.data_plane.attempt import Attempt, SendOrder
+from mallowbeam.router.data_plane.link_pool import LinkPool
+from mallowbeam.router.data_plane.outcomes import AttemptEnd, judge_answer
+from mallowbeam.router.data_plane.send_policy import SendPolicy, SendTicket
+from mallowbeam.router.streams.progress import StreamProgress
 
 DEPTH = int(os.environ.get("EXCHANGE_DEPTH", "4"))  # events in one order
 SHOW = "EXCHANGE_SHOW" in os.environ
--- a/tests/test_relay_patience.py
+++ b/tests/router/data_plane/test_relay_patience.py
@@ -6,10 +6,10 @@
 import unittest
 from types import SimpleNamespace
 
-from mallowbeam.data_plane.outcomes import AttemptEnd
-from mallowbeam.data_plane.relay import Relay
-from mallowbeam.data_plane.send_policy import SendPolicy
-from mallowbeam.streams.silence import client_patience_s, resume_after_s
+from mallowbeam.router.data_plane.outcomes import AttemptEnd
+from mallowbeam.router.data_plane.relay import Relay
+from mallowbeam.router.data_plane.send_policy import SendPolicy
+from mallowbeam.router.streams.silence import client_patience_s, resume_after_s
 
 TARGET_S, GAP_S, TIME_S = 0.25, 0.3, 60.0
 INSTANCES = 2  # that a request may be sent to
--- a/tests/test_rules_budget.py
+++ b/tests/router/data_plane/test_rules_budget.py
@@ -5,12 +5,13 @@
 import unittest
 from collections.abc import Sequence
 
-from mallowbeam.data_plane.retry_budget import BudgetSettings
+from failing_instances import ByName, LostHandles, add
+from gateway_bench import ENGINE, Bench, configuration, route
+from timed_instances import Timed, now
+from virtual_time import play
+
+from mallowbeam.router.data_plane.retry_budget import BudgetSettings
 from mallowbeam.standins.model_server import Fault
-from tests.failing_instances import ByName, LostHandles, add
-from tests.gateway_bench import ENGINE, Bench, configuration, route
-from tests.timed_instances import Timed, now
-from tests.virtual_time import play
 
 PROMPT = {"Token-Usage": "1000,5", "Prompt-Prefix": "aa:600,bb:400"}
 ROUTES = configuration(
--- a/tests/test_rules_gone.py
+++ b/tests/router/data_plane/test_rules_gone.py
@@ -11,12 +11,13 @@
 import unittest
 from collections.abc import Callable, Sequence
 
-from mallowbeam.data_plane.planning import Planner
+from failing_instances import ByName, Dark, add, add_dark
+from gateway_bench import DEFAULT, ENGINE, PLAIN, Bench, request_bytes
+from timed_instances import Held, Timed, Trickling, now
+from virtual_time import play
+
+from mallowbeam.router.data_plane.planning import Planner
 from mallowbeam.standins.model_server import Fault
-from tests.failing_instances import ByName, Dark, add, add_dark
-from tests.gateway_bench import DEFAULT, ENGINE, PLAIN, Bench, request_bytes
-from tests.timed_instances import Held, Timed, Trickling, now
-from tests.virtual_time import play
 
 GONE_S = 0.5
 AFTER_S = 10.0  # for how long nothing more may come
--- a/tests/test_rules_headers.py
+++ b/tests/router/data_plane/test_rules_headers.py
@@ -4,10 +4,11 @@
 
 import unittest
 
+from failing_instances import ByName, add
+from gateway_bench import ENGINE, Bench, events, read_head
+from virtual_time import play
+
 from mallowbeam.standins.model_server import Fault, ModelServer, Seen
-from tests.failing_instances import ByName, add
-from tests.gateway_bench import ENGINE, Bench, events, read_head
-from tests.virtual_time import play
 
 SYSTEMS = {
     "Stage": "prefill",
--- a/tests/test_rules_limits.py
+++ b/tests/router/data_plane/test_rules_limits.py
@@ -6,10 +6,11 @@
 import unittest
 from dataclasses import replace
 
-from mallowbeam.configuration.model import ClientLimits, Configuration
-from tests.failing_instances import ByName
-from tests.gateway_bench import DEFAULT, Answer, Bench, read_answer, read_head, request_bytes
-from tests.virtual_time import play
+from failing_instances import ByName
+from gateway_bench import DEFAULT, Answer, Bench, read_answer, read_head, request_bytes
+from virtual_time import play
+
+from mallowbeam.router.configuration.model import ClientLimits, Configuration
 
 SMALL, LARGE = 20_000, 90_000  # bytes of a body
 HEAD = 6_000  # bytes of a head
--- a/tests/test_rules_stop.py
+++ b/tests/router/data_plane/test_rules_stop.py
@@ -12,13 +12,8 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from mallowbeam.data_plane.role import DataPlane
-from mallowbeam.feed.instances import InstanceChanges
-from mallowbeam.processes.role import RoleContext
-from mallowbeam.processes.settings import read_settings
-from mallowbeam.rpc.messages_pb2 import READY, Instance
-from tests.failing_instances import ByName
-from tests.gateway_bench import (
+from failing_instances import ByName
+from gateway_bench import (
     ENGINE,
     PLAIN,
     Answer,
@@ -29,8 +24,14 @@
     request_bytes,
     route,
 )
-from tests.timed_instances import Timed, now
-from tests.virtual_time import play
+from timed_instances import Timed, now
+from virtual_time import play
+
+from mallowbeam.router.data_plane.role import DataPlane
+from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.processes.role import RoleContext
+from mallowbeam.router.processes.settings import read_settings
+from mallowbeam.router.rpc.messages_pb2 import READY, Instance
 
 GRACE_S = 8.0
 ASKED_EACH_S = 1.0
--- a/tests/test_rules_time.py
+++ b/tests/router/data_plane/test_rules_time.py
@@ -6,10 +6,8 @@
 import unittest
 from collections.abc import Sequence
 
-from mallowbeam.data_plane.planning import Planner
-from mallowbeam.standins.model_server import Fault
-from tests.failing_instances import ByName, Dark, add, add_dark
-from tests.gateway_bench import (
+from failing_instances import ByName, Dark, add, add_dark
+from gateway_bench import (
     ENGINE,
     Answer,
     Bench,
@@ -19,8 +17,11 @@
     request_bytes,
     route,
 )
-from tests.timed_instances import Held, Timed, Trickling, now
-from tests.virtual_time import play
+from timed_instances import Held, Timed, Trickling, now
+from virtual_time import play
+
+from mallowbeam.router.data_plane.planning import Planner
+from mallowbeam.standins.model_server import Fault
 
 TIMEOUT_S = 2.0
 LATE_S = 0.5  # within which a request that reached its route's time-out is answered
--- a/tests/test_feed_candidates.py
+++ b/tests/router/feed/test_feed_candidates.py
@@ -5,8 +5,8 @@
 import unittest
 from random import Random
 
-from mallowbeam.feed.candidates import Candidates
-from mallowbeam.feed.limits import CONNECT_TIMEOUT_S
+from mallowbeam.router.feed.candidates import Candidates
+from mallowbeam.router.feed.limits import CONNECT_TIMEOUT_S
 
 MEMBERS = ("m1", "m2", "m3", "m4", "m5")
 LOOK_S = 0.01
--- a/tests/test_feed_publisher.py
+++ b/tests/router/feed/test_feed_publisher.py
@@ -4,11 +4,11 @@
 
 import unittest
 
-from mallowbeam.feed import FeedAllowance, FeedBatch, FeedPublisher, MemberStatus
-from mallowbeam.feed.limits import HEARTBEAT_INTERVAL_S
-from mallowbeam.registry import InstanceTable
-from mallowbeam.rpc.framing import FrameReader
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.feed import FeedAllowance, FeedBatch, FeedPublisher, MemberStatus
+from mallowbeam.router.feed.limits import HEARTBEAT_INTERVAL_S
+from mallowbeam.router.registry import InstanceTable
+from mallowbeam.router.rpc.framing import FrameReader
+from mallowbeam.router.rpc.messages_pb2 import (
     GONE,
     ConfigurationUpdate,
     FeedFrame,
--- a/tests/test_feed_subscriber.py
+++ b/tests/router/feed/test_feed_subscriber.py
@@ -7,8 +7,8 @@
 from random import Random
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.feed import Close, Connect, FeedSubscriber, Wait
-from mallowbeam.feed.limits import (
+from mallowbeam.router.feed import Close, Connect, FeedSubscriber, Wait
+from mallowbeam.router.feed.limits import (
     BACKOFF_LEAST_S,
     BACKOFF_MOST_S,
     CONNECT_TIMEOUT_S,
@@ -17,7 +17,7 @@
     UNFIT_DWELL_S,
     UNFIT_LEAST_S,
 )
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.rpc.messages_pb2 import (
     READY,
     ConfigurationUpdate,
     FeedFrame,
--- a/tests/test_feed_subscriber_tables.py
+++ b/tests/router/feed/test_feed_subscriber_tables.py
@@ -9,14 +9,14 @@
 from hypothesis import strategies as st
 from test_feed_subscriber import SEEDS, Case, apply, frame, instance
 
-from mallowbeam.feed import Connect, FeedSubscriber
-from mallowbeam.feed.candidates import Candidates
-from mallowbeam.feed.limits import (
+from mallowbeam.router.feed import Connect, FeedSubscriber
+from mallowbeam.router.feed.candidates import Candidates
+from mallowbeam.router.feed.limits import (
     GATEWAYS_WINDOW_S,
     UNFIT_LEAST_S,
 )
-from mallowbeam.registry.limits import RETIRED_SEQUENCE
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.registry.limits import RETIRED_SEQUENCE
+from mallowbeam.router.rpc.messages_pb2 import (
     DRAINS,
     ENDED,
     READY,
--- a/tests/test_fleet_attempts.py
+++ b/tests/router/health/test_fleet_attempts.py
@@ -4,15 +4,15 @@
 
 import unittest
 
-from mallowbeam.control_plane.attempt_words import AttemptWords
-from mallowbeam.data_plane.attempt_meter import AttemptMeter
-from mallowbeam.data_plane.gateway import SUSPECT_FAILURES, Gateway
-from mallowbeam.data_plane.link_pool import LinkPool
-from mallowbeam.data_plane.outcomes import AttemptEnd
-from mallowbeam.data_plane.planning import LeastLoadedPlanner
-from mallowbeam.data_plane.retry_budget import BudgetSettings, RetryBudgets
-from mallowbeam.health.ejection import Ejection, EjectionSettings
-from mallowbeam.health.fleet_attempts import (
+from mallowbeam.router.control_plane.attempt_words import AttemptWords
+from mallowbeam.router.data_plane.attempt_meter import AttemptMeter
+from mallowbeam.router.data_plane.gateway import SUSPECT_FAILURES, Gateway
+from mallowbeam.router.data_plane.link_pool import LinkPool
+from mallowbeam.router.data_plane.outcomes import AttemptEnd
+from mallowbeam.router.data_plane.planning import LeastLoadedPlanner
+from mallowbeam.router.data_plane.retry_budget import BudgetSettings, RetryBudgets
+from mallowbeam.router.health.ejection import Ejection, EjectionSettings
+from mallowbeam.router.health.fleet_attempts import (
     ATTEMPTS_KEPT_S,
     MOST_TOLD,
     AttemptSum,
@@ -20,7 +20,7 @@
     add_sums,
     messages_of,
 )
-from mallowbeam.rpc.messages_pb2 import InstanceAttempts, RegistryGossip
+from mallowbeam.router.rpc.messages_pb2 import InstanceAttempts, RegistryGossip
 
 
 def attempts(id: str, failed: int = 0, answered: int = 0) -> InstanceAttempts:
--- a/tests/test_pairing_hashing.py
+++ b/tests/router/pairing/test_pairing_hashing.py
@@ -5,7 +5,7 @@
 import unittest
 from collections import Counter
 
-from mallowbeam.pairing.hashing import WINDOW, Ring, score, stable_hash
+from mallowbeam.router.pairing.hashing import WINDOW, Ring, score, stable_hash
 
 KEYS = [stable_hash(f"key-{number}") for number in range(2000)]
 
--- a/tests/test_pairing_kept_parts.py
+++ b/tests/router/pairing/test_pairing_kept_parts.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from mallowbeam.pairing.kept_parts import KeptParts, PromptPart
+from mallowbeam.router.pairing.kept_parts import KeptParts, PromptPart
 
 
 def prompt(*names: str, tokens: int = 100) -> tuple[PromptPart, ...]:
--- a/tests/test_pairing_losses.py
+++ b/tests/router/pairing/test_pairing_losses.py
@@ -4,13 +4,13 @@
 
 import unittest
 
-from mallowbeam.admission.messages import Outcome, Plan, PlanRequest, PromptPart
-from mallowbeam.admission.planner import Planner
-from mallowbeam.admission.settings import PlannerSettings
-from mallowbeam.configuration.model import Engine
-from mallowbeam.pairing.load import FleetLoad, StageLoad
-from mallowbeam.pairing.stages import DECODE, PREFILL
-from mallowbeam.rpc.messages_pb2 import READY, Instance
+from mallowbeam.router.admission.messages import Outcome, Plan, PlanRequest, PromptPart
+from mallowbeam.router.admission.planner import Planner
+from mallowbeam.router.admission.settings import PlannerSettings
+from mallowbeam.router.configuration.model import Engine
+from mallowbeam.router.pairing.load import FleetLoad, StageLoad
+from mallowbeam.router.pairing.stages import DECODE, PREFILL
+from mallowbeam.router.rpc.messages_pb2 import READY, Instance
 
 GATEWAYS, INSTANCES = 90, 45
 
--- a/tests/test_pairing_reading.py
+++ b/tests/router/pairing/test_pairing_reading.py
@@ -5,8 +5,8 @@
 import random
 import unittest
 
-from mallowbeam.pairing.reading import KeptShare, ReadingModel
-from mallowbeam.pairing.settings import PairingSettings
+from mallowbeam.router.pairing.reading import KeptShare, ReadingModel
+from mallowbeam.router.pairing.settings import PairingSettings
 
 SETTINGS = PairingSettings()
 PACE = 57_000.0
--- a/tests/test_pairing_stage_share.py
+++ b/tests/router/pairing/test_pairing_stage_share.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from mallowbeam.pairing.stage_share import (
+from mallowbeam.router.pairing.stage_share import (
     OrderResult,
     StageInstance,
     StageOrder,
@@ -12,9 +12,9 @@
     StageShareSettings,
     best_split,
 )
-from mallowbeam.pairing.stage_work import StageWork
-from mallowbeam.pairing.stages import DECODE, PREFILL
-from mallowbeam.rpc.messages_pb2 import StageDemand
+from mallowbeam.router.pairing.stage_work import StageWork
+from mallowbeam.router.pairing.stages import DECODE, PREFILL
+from mallowbeam.router.rpc.messages_pb2 import StageDemand
 
 SETTINGS = StageShareSettings()
 SLOTS, SWITCH_S = 64, 1.0
--- a/tests/test_rules_orders.py
+++ b/tests/router/pairing/test_rules_orders.py
@@ -10,17 +10,18 @@
 from random import Random
 from types import SimpleNamespace
 
-from mallowbeam.control_plane.stage_orders import StageOrders
-from mallowbeam.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
-from mallowbeam.pairing.stage_share import OrderResult, StageOrder
-from mallowbeam.registry.leases import Leases
-from mallowbeam.rpc.messages_pb2 import DRAINS, AcquireLease, Instance
+from failing_instances import ByName, add
+from gateway_bench import ENGINE, Bench, events
+from order_world import OrderWorld, faults
+from timed_instances import Timed
+from virtual_time import play
+
+from mallowbeam.router.control_plane.stage_orders import StageOrders
+from mallowbeam.router.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
+from mallowbeam.router.pairing.stage_share import OrderResult, StageOrder
+from mallowbeam.router.registry.leases import Leases
+from mallowbeam.router.rpc.messages_pb2 import DRAINS, AcquireLease, Instance
 from mallowbeam.standins.model_server import Fault, ModelServer, Seen
-from tests.failing_instances import ByName, add
-from tests.gateway_bench import ENGINE, Bench, events
-from tests.order_world import OrderWorld, faults
-from tests.timed_instances import Timed
-from tests.virtual_time import play
 
 SEEDS = range(150)
 SECONDS = 60.0
--- a/tests/test_processes_errors.py
+++ b/tests/router/processes/test_processes_errors.py
@@ -5,31 +5,16 @@
 import pkgutil
 import unittest
 from importlib import import_module
-from pathlib import Path
+
+from project_paths import DOCS
 
 import mallowbeam
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.processes.errors import code_table, codes_of, error_types
+from mallowbeam.router.processes.errors import code_table, codes_of, error_types
 
-PAGE = Path(__file__).parent.parent / "docs" / "on-call.md"
+PAGE = DOCS / "on-call.md"
 SECTION = "## The router fleet"
-NEW_PARTS = (
-    "admission",
-    "cli.system",
-    "configuration",
-    "consensus",
-    "control_plane",
-    "data_plane",
-    "feed",
-    "health",
-    "pairing",
-    "processes",
-    "registry",
-    "rpc",
-    "scheduling",
-    "simulation",
-    "streams",
-)
+NEW_PARTS = ("router", "cli.system", "scheduling", "simulation")
 CODE = r"^[A-Z][A-Z0-9]*(_[A-Z0-9]+)*$"
 
 
--- a/tests/test_processes_logs.py
+++ b/tests/router/processes/test_processes_logs.py
@@ -9,8 +9,15 @@
 import picologging
 
 from mallowbeam.http import reporting
-from mallowbeam.processes import logs
-from mallowbeam.processes.logs import BURST, MOST_EVENTS, WINDOW_S, EventBound, get_logger, set_up_logging
+from mallowbeam.router.processes import logs
+from mallowbeam.router.processes.logs import (
+    BURST,
+    MOST_EVENTS,
+    WINDOW_S,
+    EventBound,
+    get_logger,
+    set_up_logging,
+)
 
 
 class Clock:
--- a/tests/test_processes_main.py
+++ b/tests/router/processes/test_processes_main.py
@@ -7,9 +7,9 @@
 import sys
 import textwrap
 import unittest
-from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+from project_paths import ROOT
+
 MOST_S = 30.0
 PROGRAM = textwrap.dedent("""
     import signal, sys, types
@@ -17,14 +17,14 @@
         module = types.ModuleType(name)
         module.main = lambda: (print(name, callable(signal.getsignal(signal.SIGHUP))), code)[1]
         sys.modules[name] = module
-    stand_in("mallowbeam.data_plane.role", 3)
-    stand_in("mallowbeam.control_plane.role", 4)
+    stand_in("mallowbeam.router.data_plane.role", 3)
+    stand_in("mallowbeam.router.control_plane.role", 4)
     sys.argv = ["mallowbeam", {argument!r}]
     from mallowbeam.__main__ import main
     code = main()
     loaded = {{name.split(".")[0] for name in sys.modules}}
     print(sorted(loaded & {{"typer", "loguru", "defopt", "rich", "marshmallow", "lmdb", "httpx"}}))
-    print("mallowbeam.program" in sys.modules)
+    print("mallowbeam.storage_gateway.application" in sys.modules)
     sys.exit(code)
 """)
 
@@ -44,8 +44,8 @@
 
     def test_each_role_is_loaded_alone_with_hangups_held(self):
         for argument, module, code in (
-            ("data-plane", "mallowbeam.data_plane.role", 3),
-            ("control-plane", "mallowbeam.control_plane.role", 4),
+            ("data-plane", "mallowbeam.router.data_plane.role", 3),
+            ("control-plane", "mallowbeam.router.control_plane.role", 4),
         ):
             with self.subTest(argument):
                 ended = self.run_main(argument)
--- a/tests/test_processes_metrics.py
+++ b/tests/router/processes/test_processes_metrics.py
@@ -7,8 +7,8 @@
 
 from mallowbeam.http.framing import Message
 from mallowbeam.http.front import Reply
-from mallowbeam.processes.metrics import Metric, MetricsFront, exposition
-from mallowbeam.processes.settings import MetricsPage, SettingsField, parse_settings
+from mallowbeam.router.processes.metrics import Metric, MetricsFront, exposition
+from mallowbeam.router.processes.settings import MetricsPage, SettingsField, parse_settings
 from mallowbeam.simulation.fleet_processes import ApiCall, message_of
 
 SETTINGS: dict[str, object] = {
--- a/tests/test_processes_overrides.py
+++ b/tests/router/processes/test_processes_overrides.py
@@ -6,10 +6,10 @@
 import unittest
 from pathlib import Path
 
-from mallowbeam.admission.settings import PlannerSettings
-from mallowbeam.pairing.stage_share import StageShareSettings
-from mallowbeam.processes.overrides import overridden, read_overrides
-from mallowbeam.processes.settings import SettingsField, SettingsUnreadable
+from mallowbeam.router.admission.settings import PlannerSettings
+from mallowbeam.router.pairing.stage_share import StageShareSettings
+from mallowbeam.router.processes.overrides import overridden, read_overrides
+from mallowbeam.router.processes.settings import SettingsField, SettingsUnreadable
 
 
 class Overrides(unittest.TestCase):
--- a/tests/test_processes_role.py
+++ b/tests/router/processes/test_processes_role.py
@@ -10,10 +10,11 @@
 import unittest
 from pathlib import Path
 
-from mallowbeam.processes.role import RoleContext, file_signature
-from mallowbeam.processes.settings import read_settings
+from project_paths import ROOT
+
+from mallowbeam.router.processes.role import RoleContext, file_signature
+from mallowbeam.router.processes.settings import read_settings
 
-ROOT = Path(__file__).parent.parent
 SETTINGS = """
 node_name = "node-1"
 role = "data-plane"
@@ -107,7 +108,7 @@
         program = textwrap.dedent("""
             import asyncio, os, signal, sys
             from mallowbeam.errors import MallowbeamError
-            from mallowbeam.processes.role import run_role
+            from mallowbeam.router.processes.role import run_role
             PATH = os.environ["MALLOWBEAM_NODE_FILE"]
             async def serve(context):
             {}
@@ -155,7 +156,7 @@
         self.write(SETTINGS.format(100))
         program = textwrap.dedent("""
             import asyncio, os, signal, sys
-            from mallowbeam.processes import role
+            from mallowbeam.router.processes import role
             PATH = os.environ["MALLOWBEAM_NODE_FILE"]
             set_up = role.set_up_logging
             def hang_up(node):                 # the file was just read, the loop does not run yet
--- a/tests/test_processes_settings.py
+++ b/tests/router/processes/test_processes_settings.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from unittest import mock
 
-from mallowbeam.processes.settings import (
+from mallowbeam.router.processes.settings import (
     DEFAULT_PATH,
     Bounds,
     FaultTolerance,
--- a/tests/test_registry_broken.py
+++ b/tests/router/registry/test_registry_broken.py
@@ -7,12 +7,12 @@
 from test_registry_processes import Broken
 from test_registry_scenarios import FOLDER, Player
 
-from mallowbeam.feed import FeedSubscriber, InstanceChanges
-from mallowbeam.feed.instances import InstanceCopy
-from mallowbeam.registry import InstanceTable
-from mallowbeam.registry.retirements import Retirements
-from mallowbeam.registry.rows import Row
-from mallowbeam.rpc.messages_pb2 import InstancesUpdate, RegistryGossip, RetirementKind
+from mallowbeam.router.feed import FeedSubscriber, InstanceChanges
+from mallowbeam.router.feed.instances import InstanceCopy
+from mallowbeam.router.registry import InstanceTable
+from mallowbeam.router.registry.retirements import Retirements
+from mallowbeam.router.registry.rows import Row
+from mallowbeam.router.rpc.messages_pb2 import InstancesUpdate, RegistryGossip, RetirementKind
 
 
 class ForgetsRetirements(InstanceTable):
--- a/tests/test_registry_parse.py
+++ b/tests/router/registry/test_registry_parse.py
@@ -8,15 +8,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mallowbeam.registry import HeartbeatError, parse_heartbeat
-from mallowbeam.registry.limits import (
+from mallowbeam.router.registry import HeartbeatError, parse_heartbeat
+from mallowbeam.router.registry.limits import (
     MOST_BODY_BYTES,
     MOST_MODELS,
     MOST_NAME_LENGTH,
     MOST_SEQUENCE,
     MOST_SLOTS,
 )
-from mallowbeam.rpc.messages_pb2 import DRAINS, READY, Instance, Model
+from mallowbeam.router.rpc.messages_pb2 import DRAINS, READY, Instance, Model
 
 GOOD: dict[str, object] = {
     "backend": "chat",
--- a/tests/test_registry_processes.py
+++ b/tests/router/registry/test_registry_processes.py
@@ -8,11 +8,11 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from mallowbeam.control_plane.serving import ServingGate
-from mallowbeam.feed import Close, Connect, FeedPublisher, FeedSubscriber, MemberStatus
-from mallowbeam.feed.limits import CONNECT_TIMEOUT_S
-from mallowbeam.registry import GatewayCensus, Retirements
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.control_plane.serving import ServingGate
+from mallowbeam.router.feed import Close, Connect, FeedPublisher, FeedSubscriber, MemberStatus
+from mallowbeam.router.feed.limits import CONNECT_TIMEOUT_S
+from mallowbeam.router.registry import GatewayCensus, Retirements
+from mallowbeam.router.rpc.messages_pb2 import (
     DRAINS,
     READY,
     ConfigurationUpdate,
--- a/tests/test_registry_random.py
+++ b/tests/router/registry/test_registry_random.py
@@ -11,9 +11,9 @@
 from test_registry_processes import Broken
 from test_registry_world import World
 
-from mallowbeam.feed import FeedSubscriber
-from mallowbeam.registry import InstanceTable
-from mallowbeam.rpc.messages_pb2 import DRAINING, DRAINS, GONE
+from mallowbeam.router.feed import FeedSubscriber
+from mallowbeam.router.registry import InstanceTable
+from mallowbeam.router.rpc.messages_pb2 import DRAINING, DRAINS, GONE
 
 TROUBLES_UNTIL = 30.0
 CALM = 16.0  # expiry, completeness, a member left aside
--- a/tests/test_registry_replicated.py
+++ b/tests/router/registry/test_registry_replicated.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mallowbeam.registry import Leases, Retirements
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.registry import Leases, Retirements
+from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
     DRAINING,
--- a/tests/test_registry_scenarios.py
+++ b/tests/router/registry/test_registry_scenarios.py
@@ -17,16 +17,16 @@
 from __future__ import annotations
 
 import unittest
-from pathlib import Path
 
+from project_paths import SCENARIOS
 from test_registry_processes import Broken, Gateway, Member
 from test_registry_world import World
 
-from mallowbeam.feed import FeedSubscriber
-from mallowbeam.registry import InstanceTable
-from mallowbeam.rpc.messages_pb2 import DRAINING, DRAINS, ENDED, GONE
+from mallowbeam.router.feed import FeedSubscriber
+from mallowbeam.router.registry import InstanceTable
+from mallowbeam.router.rpc.messages_pb2 import DRAINING, DRAINS, ENDED, GONE
 
-FOLDER = Path(__file__).parent / "scenarios"
+FOLDER = SCENARIOS
 
 
 class Player:
--- a/tests/test_registry_table.py
+++ b/tests/router/registry/test_registry_table.py
@@ -8,10 +8,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mallowbeam.registry import GatewayCensus, Heard, InstanceTable
-from mallowbeam.registry.changes import ChangeLog
-from mallowbeam.registry.limits import ENDED_KEPT_S, GOSSIP_INTERVAL_S, RETIRED_SEQUENCE, URGENT_INTERVAL_S
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.registry import GatewayCensus, Heard, InstanceTable
+from mallowbeam.router.registry.changes import ChangeLog
+from mallowbeam.router.registry.limits import (
+    ENDED_KEPT_S,
+    GOSSIP_INTERVAL_S,
+    RETIRED_SEQUENCE,
+    URGENT_INTERVAL_S,
+)
+from mallowbeam.router.rpc.messages_pb2 import (
     DRAINING,
     DRAINS,
     ENDED,
--- a/tests/test_registry_world.py
+++ b/tests/router/registry/test_registry_world.py
@@ -14,9 +14,9 @@
 
 from test_registry_processes import INTERVAL, TICK, Broken, Connection, Gateway, Member, Server
 
-from mallowbeam.feed import FeedSubscriber
-from mallowbeam.registry import Heard, InstanceTable
-from mallowbeam.rpc.messages_pb2 import DRAINS, GONE, READY, FeedHello, RegistryGossip, RetireInstance
+from mallowbeam.router.feed import FeedSubscriber
+from mallowbeam.router.registry import Heard, InstanceTable
+from mallowbeam.router.rpc.messages_pb2 import DRAINS, GONE, READY, FeedHello, RegistryGossip, RetireInstance
 
 LINK_TIMEOUT = 1.5  # unacknowledged bytes end a connection
 DRAIN_BOUND = 2.0  # after an acknowledgement, no gateway uses the instance
--- a/tests/test_rules_instances.py
+++ b/tests/router/registry/test_rules_instances.py
@@ -5,11 +5,12 @@
 import asyncio
 import unittest
 
-from mallowbeam.rpc.messages_pb2 import ENDED
-from tests.failing_instances import ByName, Forgetful, add, set_state
-from tests.gateway_bench import DEFAULT, Bench, configuration, route
-from tests.timed_instances import Timed
-from tests.virtual_time import play
+from failing_instances import ByName, Forgetful, add, set_state
+from gateway_bench import DEFAULT, Bench, configuration, route
+from timed_instances import Timed
+from virtual_time import play
+
+from mallowbeam.router.rpc.messages_pb2 import ENDED
 
 RESTS_S = 1.0  # longer than `Forgetful` holds a connection, shorter than it says
 
--- a/tests/test_rpc_connection.py
+++ b/tests/router/rpc/test_rpc_connection.py
@@ -6,8 +6,8 @@
 import unittest
 from collections.abc import Callable
 
-from mallowbeam.rpc.connection import FrameConnection
-from mallowbeam.rpc.framing import HEADER, MOST_BYTES
+from mallowbeam.router.rpc.connection import FrameConnection
+from mallowbeam.router.rpc.framing import HEADER, MOST_BYTES
 
 
 class StandInTransport(asyncio.Transport):
--- a/tests/test_rules_streams.py
+++ b/tests/router/streams/test_rules_streams.py
@@ -9,14 +9,8 @@
 import unittest
 from dataclasses import dataclass
 
-from mallowbeam.admission.messages import Plan, PlanRequest, PromptPart
-from mallowbeam.admission.planner import Planner
-from mallowbeam.admission.settings import PlannerSettings
-from mallowbeam.configuration.model import Backend
-from mallowbeam.rpc.messages_pb2 import READY, Engine, Instance
-from mallowbeam.standins.model_server import Fault, ModelServer, Seen, chunk
-from tests.failing_instances import ByName, add
-from tests.gateway_bench import (
+from failing_instances import ByName, add
+from gateway_bench import (
     ENGINE,
     Answer,
     Bench,
@@ -26,8 +20,15 @@
     request_bytes,
     route,
 )
-from tests.timed_instances import Held, Timed
-from tests.virtual_time import play
+from timed_instances import Held, Timed
+from virtual_time import play
+
+from mallowbeam.router.admission.messages import Plan, PlanRequest, PromptPart
+from mallowbeam.router.admission.planner import Planner
+from mallowbeam.router.admission.settings import PlannerSettings
+from mallowbeam.router.configuration.model import Backend
+from mallowbeam.router.rpc.messages_pb2 import READY, Engine, Instance
+from mallowbeam.standins.model_server import Fault, ModelServer, Seen, chunk
 
 RESET = struct.pack("ii", 1, 0)
 ROUTES = configuration(
--- a/tests/test_streams.py
+++ b/tests/router/streams/test_streams.py
@@ -6,9 +6,16 @@
 from collections.abc import Iterable, Iterator
 from random import Random
 
-from mallowbeam.streams.events import MOST_EVENT_BYTES, MOST_ID_DIGITS, Event, EventParser, parse_id, read_id
-from mallowbeam.streams.progress import StreamProgress
-from mallowbeam.streams.silence import client_patience_s, resume_after_s
+from mallowbeam.router.streams.events import (
+    MOST_EVENT_BYTES,
+    MOST_ID_DIGITS,
+    Event,
+    EventParser,
+    parse_id,
+    read_id,
+)
+from mallowbeam.router.streams.progress import StreamProgress
+from mallowbeam.router.streams.silence import client_patience_s, resume_after_s
 
 SEEDS = range(40)
 RUNS = 5  # most instances that one answer is taken from, in the random walks
--- a/tests/test_fleet_variants.py
+++ b/tests/simulation/test_fleet_variants.py
@@ -8,7 +8,7 @@
 
 from fleet_variants import HEAD, M3_CUT_OFF, VARIANTS, Variant, _always_fresh
 
-from mallowbeam.consensus.node import RaftNode
+from mallowbeam.router.consensus.node import RaftNode
 from mallowbeam.simulation import fleet_checkers
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.loss_budget import LossBudget
--- a/tests/test_system_broken.py
+++ b/tests/simulation/test_system_broken.py
@@ -5,9 +5,9 @@
 import unittest
 from unittest import mock
 
-from mallowbeam.configuration.model import Configuration
-from mallowbeam.feed.instances import InstanceCopy
-from mallowbeam.feed.subscriber import FeedSubscriber
+from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.feed.instances import InstanceCopy
+from mallowbeam.router.feed.subscriber import FeedSubscriber
 from mallowbeam.simulation.clock import Step
 from mallowbeam.simulation.disk import Disk
 from mallowbeam.simulation.fleet import FleetPlayer
--- a/tests/test_system_scenarios.py
+++ b/tests/simulation/test_system_scenarios.py
@@ -3,12 +3,13 @@
 from __future__ import annotations
 
 import unittest
-from pathlib import Path
+
+from project_paths import SCENARIOS as SCENARIO_FOLDER
 
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.scenario import scenario_tests
 
-FOLDER = Path(__file__).parent / "scenarios" / "system"
+FOLDER = SCENARIO_FOLDER / "system"
 
 SystemScenarios = scenario_tests(FOLDER, FleetPlayer)
 
--- a/tests/test_system_snapshots.py
+++ b/tests/simulation/test_system_snapshots.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 import unittest
-from pathlib import Path
 
+from project_paths import SCENARIOS as SCENARIO_FOLDER
 from system_bulk import BulkPlayer
 
 from mallowbeam.simulation.scenario import scenario_tests
 
-FOLDER = Path(__file__).parent / "scenarios" / "system_bulk"
+FOLDER = SCENARIO_FOLDER / "system_bulk"
 
 BulkScenarios = scenario_tests(FOLDER, BulkPlayer)
 
--- a/tests/test_maintenance_broken.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_broken.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from mallowbeam.fleet.maintenance import core as c
-from mallowbeam.fleet.maintenance import order as r
-from mallowbeam.fleet.maintenance import state as s
-from mallowbeam.fleet.maintenance.machine import Maintenance
 from mallowbeam.lab.faults import orderly as o
 from mallowbeam.lab.faults.walk import Gateway, Walk
 from mallowbeam.lab.faults.walks import places
+from mallowbeam.storage_gateway.coordination.maintenance import core as c
+from mallowbeam.storage_gateway.coordination.maintenance import order as r
+from mallowbeam.storage_gateway.coordination.maintenance import state as s
+from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance
 
 
 def without(*limits):
--- a/tests/test_maintenance_core.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_core.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from mallowbeam.fleet.log import Log
-from mallowbeam.fleet.maintenance import core as c
-from mallowbeam.fleet.maintenance import state as s
-from mallowbeam.fleet.maintenance.machine import Maintenance
+from mallowbeam.storage_gateway.coordination.log import Log
+from mallowbeam.storage_gateway.coordination.maintenance import core as c
+from mallowbeam.storage_gateway.coordination.maintenance import state as s
+from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance
 
 MEMBERS = ("g0", "g1", "g2")
 NODES = {f"n{i}": s.NodeFacts("ab"[i % 2], i // 2) for i in range(4)}
--- a/tests/test_maintenance_machine.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_machine.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from mallowbeam.fleet.log import MOST_ENTRY, Log, Refusal
-from mallowbeam.fleet.maintenance import core as c
-from mallowbeam.fleet.maintenance import state as s
-from mallowbeam.fleet.maintenance.machine import Maintenance, shown
+from mallowbeam.storage_gateway.coordination.log import MOST_ENTRY, Log, Refusal
+from mallowbeam.storage_gateway.coordination.maintenance import core as c
+from mallowbeam.storage_gateway.coordination.maintenance import state as s
+from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance, shown
 
 MEMBERS = ("g0", "g1", "g2")
 
--- a/tests/test_maintenance_part.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_part.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from mallowbeam.fleet.log import Log
-from mallowbeam.fleet.maintenance import state as s
-from mallowbeam.fleet.maintenance.part import NotOut, open_part
-from mallowbeam.fleet.page import FleetPages
 from mallowbeam.http.framing import Message
-from mallowbeam.interface import NodeEntry, NodeState
-from mallowbeam.operators import MaintenanceSection
+from mallowbeam.storage_gateway.coordination.log import Log
+from mallowbeam.storage_gateway.coordination.maintenance import state as s
+from mallowbeam.storage_gateway.coordination.maintenance.part import NotOut, open_part
+from mallowbeam.storage_gateway.coordination.page import FleetPages
+from mallowbeam.storage_gateway.operator_settings import MaintenanceSection
+from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, NodeState
 
 
 class Hands:
--- a/tests/test_maintenance_walks.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_walks.py
@@ -6,10 +6,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mallowbeam.fleet.maintenance.state import Back
 from mallowbeam.lab.faults import orderly as o
 from mallowbeam.lab.faults.walk import Walk
 from mallowbeam.lab.faults.walks import judge, play
+from mallowbeam.storage_gateway.coordination.maintenance.state import Back
 
 
 def request(*machines, id="a", **changes):
--- a/tests/test_pools_check.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_check.py
@@ -5,10 +5,10 @@
 import pytest
 from pool_texts import FLEET
 
-from mallowbeam.fleet.pools import check as checks
-from mallowbeam.fleet.pools import model as m
-from mallowbeam.fleet.pools.check import check, faults
-from mallowbeam.fleet.pools.errors import (
+from mallowbeam.storage_gateway.coordination.pools import check as checks
+from mallowbeam.storage_gateway.coordination.pools import model as m
+from mallowbeam.storage_gateway.coordination.pools.check import check, faults
+from mallowbeam.storage_gateway.coordination.pools.errors import (
     PoolBound,
     PoolName,
     PoolOvercommitted,
@@ -16,7 +16,7 @@
     PoolTooFew,
     PoolUnreachable,
 )
-from mallowbeam.fleet.pools.grammar import parse
+from mallowbeam.storage_gateway.coordination.pools.grammar import parse
 
 CASES = [  # kind, words in it, a text that fails, one that passes
     (PoolName, 'no node is named "n9"', 'budget 9 for nodes name "n9";', 'budget 9 for nodes name "n5";'),
--- a/tests/test_pools_examples.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_examples.py
@@ -2,18 +2,17 @@
 
 from __future__ import annotations
 
-from pathlib import Path
-
 import pytest
 from pool_texts import FLEET
+from project_paths import DOCS
 
-from mallowbeam.fleet.pools import model as m
-from mallowbeam.fleet.pools.canonical import canonical
-from mallowbeam.fleet.pools.check import check
-from mallowbeam.fleet.pools.evaluate import View
-from mallowbeam.fleet.pools.grammar import parse
+from mallowbeam.storage_gateway.coordination.pools import model as m
+from mallowbeam.storage_gateway.coordination.pools.canonical import canonical
+from mallowbeam.storage_gateway.coordination.pools.check import check
+from mallowbeam.storage_gateway.coordination.pools.evaluate import View
+from mallowbeam.storage_gateway.coordination.pools.grammar import parse
 
-EXAMPLES = sorted((Path(__file__).resolve().parent.parent / "docs" / "pools").glob("*.pool"))
+EXAMPLES = sorted((DOCS / "pools").glob("*.pool"))
 MARK = "#= "  # a line of the table: the world, the node (and gateway), who has how many
 
 
--- a/tests/test_pools_language.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_language.py
@@ -11,12 +11,12 @@
 from hypothesis import strategies as st
 from pool_texts import FACTS, FLEET, LONG, SEED, pools
 
-from mallowbeam.fleet.pools import model as m
-from mallowbeam.fleet.pools.canonical import canonical, digest, show
-from mallowbeam.fleet.pools.check import faults
-from mallowbeam.fleet.pools.errors import PoolBound, PoolError, PoolName, PoolSyntax
-from mallowbeam.fleet.pools.evaluate import View, gateways, table
-from mallowbeam.fleet.pools.grammar import parse
+from mallowbeam.storage_gateway.coordination.pools import model as m
+from mallowbeam.storage_gateway.coordination.pools.canonical import canonical, digest, show
+from mallowbeam.storage_gateway.coordination.pools.check import faults
+from mallowbeam.storage_gateway.coordination.pools.errors import PoolBound, PoolError, PoolName, PoolSyntax
+from mallowbeam.storage_gateway.coordination.pools.evaluate import View, gateways, table
+from mallowbeam.storage_gateway.coordination.pools.grammar import parse
 
 TEXT = """\
 pools 1;                                        # a comment
--- a/tests/test_pools_lend.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_lend.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from mallowbeam.fleet.pools.evaluate import Lends, Offer
-from mallowbeam.fleet.pools.lend import MOST_WAITING, Lending, Want
+from mallowbeam.storage_gateway.coordination.pools.evaluate import Lends, Offer
+from mallowbeam.storage_gateway.coordination.pools.lend import MOST_WAITING, Lending, Want
 
 ALL = frozenset({"a", "b", "c"})
 
--- a/tests/test_pools_split.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_split.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from pool_texts import LONG
 
-from mallowbeam.fleet.pools.split import Seat, split, ties
+from mallowbeam.storage_gateway.coordination.pools.split import Seat, split, ties
 
 MANY = LONG or 150
 
--- a/tests/test_shares_broken.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_broken.py
@@ -5,9 +5,9 @@
 import pytest
 from test_shares_fleet import SETUP, fleet
 
-from mallowbeam.fleet.handover import Handover
-from mallowbeam.fleet.shares.core import SharesCore
-from mallowbeam.fleet.shares.topic import Setup, Share
+from mallowbeam.storage_gateway.coordination.handover import Handover
+from mallowbeam.storage_gateway.coordination.shares.core import SharesCore
+from mallowbeam.storage_gateway.coordination.shares.topic import Setup, Share
 
 
 class GrowsAtOnce(SharesCore):
--- a/tests/test_shares_fleet.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_fleet.py
@@ -5,10 +5,10 @@
 import pytest
 from shares_oracle import lexicographic
 
-from mallowbeam.fleet.shares.core import Times
-from mallowbeam.fleet.shares.fair import Network
-from mallowbeam.fleet.shares.topic import Node, Setup, Share
 from mallowbeam.lab.sharesim import Fleet, totals
+from mallowbeam.storage_gateway.coordination.shares.core import Times
+from mallowbeam.storage_gateway.coordination.shares.fair import Network
+from mallowbeam.storage_gateway.coordination.shares.topic import Node, Setup, Share
 
 T = Times()
 THREE = 3 * T.epoch + 1.5  # three epochs, the window of counting and the words' way
--- a/tests/test_shares_part.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_part.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from mallowbeam.facade import Facade, TooManyAllotments
-from mallowbeam.fleet.hands import GatewayHands
-from mallowbeam.fleet.log import Log, Refusal
-from mallowbeam.fleet.policy_text import check_sections, read_policy
-from mallowbeam.fleet.shares.part import open_part
-from mallowbeam.interface import NodeEntry, NodeState, Plan, RequestClass, Settings
-from mallowbeam.net.config import BadConfig
-from mallowbeam.operators import SharesSection, check
+from mallowbeam.storage_gateway.coordination.hands import GatewayHands
+from mallowbeam.storage_gateway.coordination.log import Log, Refusal
+from mallowbeam.storage_gateway.coordination.policy_text import check_sections, read_policy
+from mallowbeam.storage_gateway.coordination.shares.part import open_part
+from mallowbeam.storage_gateway.operator_settings import SharesSection, check
+from mallowbeam.storage_gateway.scheduler.gateway_host import Facade, TooManyAllotments
+from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, NodeState, Plan, RequestClass, Settings
+from mallowbeam.storage_gateway.server.config import BadConfig
 
 NAMES = ("g0", "g1", "g2")
 GOLD, TIN = Plan("gold", weight=3.0), Plan("tin", limit=5.0, limit_burst=9.0)
--- a/tests/test_shares_topic.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_topic.py
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mallowbeam.fleet.log import Log, Refusal
-from mallowbeam.fleet.shares.meter import LONG, Meter
-from mallowbeam.fleet.shares.packed import STEPS, BadRows, code, pack, unpack
-from mallowbeam.fleet.shares.rows import trim
-from mallowbeam.fleet.shares.service import Shares
-from mallowbeam.fleet.shares.topic import (
+from mallowbeam.storage_gateway.coordination.log import Log, Refusal
+from mallowbeam.storage_gateway.coordination.shares.meter import LONG, Meter
+from mallowbeam.storage_gateway.coordination.shares.packed import STEPS, BadRows, code, pack, unpack
+from mallowbeam.storage_gateway.coordination.shares.rows import trim
+from mallowbeam.storage_gateway.coordination.shares.service import Shares
+from mallowbeam.storage_gateway.coordination.shares.topic import (
     Close,
     Demand,
     Gone,
--- a/tests/test_fleet_agreement.py
+++ b/tests/storage_gateway/coordination/test_fleet_agreement.py
@@ -7,7 +7,7 @@
 import pytest
 from topics import Add, Broken, Change, Fail, Hosted, Members, Sum
 
-from mallowbeam.fleet.errors import Overtaken, PolicyRefused
+from mallowbeam.storage_gateway.coordination.errors import Overtaken, PolicyRefused
 
 POLICY = '{"drains":[],"pools":{"most":40},"shares":{"most":7}}'
 
--- a/tests/test_fleet_log.py
+++ b/tests/storage_gateway/coordination/test_fleet_log.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 from topics import Add, Adder, Broken, Change, Fail, Sum, Told, make_log
 
-from mallowbeam.fleet.agreement import Ledger
-from mallowbeam.fleet.errors import LogUnusable
-from mallowbeam.fleet.log import (
+from mallowbeam.storage_gateway.coordination.agreement import Ledger
+from mallowbeam.storage_gateway.coordination.errors import LogUnusable
+from mallowbeam.storage_gateway.coordination.log import (
     FORMAT,
     MOST_ENTRY,
     BadSnapshot,
@@ -20,7 +20,7 @@
     Log,
     Refusal,
 )
-from mallowbeam.fleet.policy_text import Policy
+from mallowbeam.storage_gateway.coordination.policy_text import Policy
 
 
 def body(*parts: object) -> bytes:
--- a/tests/test_fleet_service.py
+++ b/tests/storage_gateway/coordination/test_fleet_service.py
@@ -13,20 +13,26 @@
 from topics import Add, Adder, Change, Fail
 from typer.testing import CliRunner
 
-from mallowbeam import interface as io
 from mallowbeam.cli.policy import app
-from mallowbeam.fleet import errors as fleet_errors
-from mallowbeam.fleet.agreement import Broken, Hosted
-from mallowbeam.fleet.errors import BadPolicy, LogUnusable, NoLeader
-from mallowbeam.fleet.hands import GatewayHands
-from mallowbeam.fleet.page import FleetPages
-from mallowbeam.fleet.policy_text import MOST_DEPTH, canonical, check_sections, owns, read_policy
-from mallowbeam.fleet.service import FleetService
 from mallowbeam.http.framing import Message
 from mallowbeam.http.server import Server
 from mallowbeam.lab.rig import hold_port
-from mallowbeam.net.config import read_address
-from mallowbeam.operators import PolicySection, SharesSection
+from mallowbeam.storage_gateway.coordination import errors as fleet_errors
+from mallowbeam.storage_gateway.coordination.agreement import Broken, Hosted
+from mallowbeam.storage_gateway.coordination.errors import BadPolicy, LogUnusable, NoLeader
+from mallowbeam.storage_gateway.coordination.hands import GatewayHands
+from mallowbeam.storage_gateway.coordination.page import FleetPages
+from mallowbeam.storage_gateway.coordination.policy_text import (
+    MOST_DEPTH,
+    canonical,
+    check_sections,
+    owns,
+    read_policy,
+)
+from mallowbeam.storage_gateway.coordination.service import FleetService
+from mallowbeam.storage_gateway.operator_settings import PolicySection, SharesSection
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.server.config import read_address
 
 SILVER, GOLD = io.Plan("silver", rate=5, price=0.5), io.Plan("gold", reserve=10, weight=2)
 
@@ -85,10 +91,11 @@
     """The service, its part and its pages."""
 
     def __init__(self, folder, monkeypatch) -> None:
-        module = ModuleType("mallowbeam.fleet.shares.part")
+        module = ModuleType("mallowbeam.storage_gateway.coordination.shares.part")
         module.open_part = Part
         monkeypatch.setitem(sys.modules, module.__name__, module)
-        monkeypatch.setattr("mallowbeam.fleet.policy_text._TYPES", {})  # whatever another test has loaded
+        # whatever another test has loaded
+        monkeypatch.setattr("mallowbeam.storage_gateway.coordination.policy_text._TYPES", {})
         self.sock, port = hold_port(socket.SO_REUSEADDR)
         self.gateway = Recorder()
         section = PolicySection(
@@ -338,7 +345,7 @@
 
 
 def test_a_section_is_checked_against_the_type_that_its_package_states(monkeypatch):
-    monkeypatch.setattr("mallowbeam.fleet.policy_text._TYPES", {})
+    monkeypatch.setattr("mallowbeam.storage_gateway.coordination.policy_text._TYPES", {})
     owns("shares", SharesSection)
     with pytest.raises(BadPolicy) as caught:
         check_sections(read_policy('{"shares": {"on": 7}}'), ("shares",))
--- a/tests/test_handover_core.py
+++ b/tests/storage_gateway/coordination/test_handover_core.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.fleet.handed import (
+from mallowbeam.storage_gateway.coordination.handed import (
     MOST_OPEN,
     BadTarget,
     FloorsTooHigh,
@@ -18,7 +18,7 @@
     next_epoch,
     release,
 )
-from mallowbeam.fleet.handover import Handover, Release
+from mallowbeam.storage_gateway.coordination.handover import Handover, Release
 
 NAMES = ("a", "b", "c")
 
--- a/tests/test_handover_model.py
+++ b/tests/storage_gateway/coordination/test_handover_model.py
@@ -9,7 +9,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mallowbeam.fleet.handover import Handover
 from mallowbeam.lab.faults.model import (
     COUNTED,
     LINGERS,
@@ -22,6 +21,7 @@
     usual,
     walk,
 )
+from mallowbeam.storage_gateway.coordination.handover import Handover
 
 DEPTH = 5
 SCRIPTS = {
--- a/tests/test_policy.py
+++ b/tests/storage_gateway/coordination/test_policy.py
@@ -11,11 +11,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mallowbeam.fleet.policy import MOST_MARKS, Apply, Change, Entered, Mark, OutOfOrder, Phase, PolicyCore
-from mallowbeam.fleet.service import hold
 from mallowbeam.lab.faults.fleet import LEASE, Fleet
 from mallowbeam.lab.faults.history import Fault, History, Pushed, Seen, check
-from mallowbeam.net.config import BadConfig
+from mallowbeam.storage_gateway.coordination.policy import (
+    MOST_MARKS,
+    Apply,
+    Change,
+    Entered,
+    Mark,
+    OutOfOrder,
+    Phase,
+    PolicyCore,
+)
+from mallowbeam.storage_gateway.coordination.service import hold
+from mallowbeam.storage_gateway.server.config import BadConfig
 
 ONE, TWO = '{"drains":["n0"]}', '{"drains":["n1"]}'
 
--- a/tests/test_wire.py
+++ b/tests/storage_gateway/coordination/test_wire.py
@@ -20,10 +20,10 @@
 from pysyncobj.node import TCPNode
 from pysyncobj.transport import Transport
 
-from mallowbeam.fleet.agreement import Agreement
-from mallowbeam.fleet.wire import Wire
 from mallowbeam.lab.faults.diagnosis import KEPT, Diagnosis
 from mallowbeam.lab.rig import hold_port
+from mallowbeam.storage_gateway.coordination.agreement import Agreement
+from mallowbeam.storage_gateway.coordination.wire import Wire
 
 NOTHING = b"\x01"  # the engine's entry without effect
 WAIT_S = 30.0  # seconds after which a test gives up
--- a/tests/test_access.py
+++ b/tests/storage_gateway/frontends/object_api/test_access.py
@@ -19,11 +19,17 @@
 from hypothesis import strategies as st
 from scenario import EXAMPLE, World
 
-from mallowbeam.fronts.objects.access import Access, may, read_keys
-from mallowbeam.fronts.objects.errors import Error
-from mallowbeam.fronts.objects.signatures import canonical, in_time, query_claim, read_claim, verify
 from mallowbeam.http.framing import Message
-from mallowbeam.net.config import BadConfig
+from mallowbeam.storage_gateway.frontends.object_api.access import Access, may, read_keys
+from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.signatures import (
+    canonical,
+    in_time,
+    query_claim,
+    read_claim,
+    verify,
+)
+from mallowbeam.storage_gateway.server.config import BadConfig
 
 ID, SECRET = "mallowbeam-example", "mallowbeam-example-secret"
 NOW = 1_796_083_200.0  # 2026-12-01T00:00:00Z
@@ -247,7 +253,7 @@
 )
 @pytest.mark.parametrize("buffered", [False, True])
 def test_signed_chunks_are_checked_one_by_one(nodes, tmp_path, monkeypatch, trailer, spoil, status, buffered):
-    monkeypatch.setattr("mallowbeam.fronts.objects.front.time.time", lambda: NOW)
+    monkeypatch.setattr("mallowbeam.storage_gateway.frontends.object_api.front.time.time", lambda: NOW)
     section = {"folder": str(tmp_path), "buckets": ["plates"], "max_bytes": 64 << 20} if buffered else None
 
     async def play() -> tuple[bytes, bytes]:
--- a/tests/test_batches.py
+++ b/tests/storage_gateway/frontends/object_api/test_batches.py
@@ -11,9 +11,9 @@
 from clients import s3_client
 from scenario import World, play
 
-from mallowbeam.fronts.objects import batches
-from mallowbeam.fronts.objects.errors import Error
 from mallowbeam.standins.faults import Rule
+from mallowbeam.storage_gateway.frontends.object_api import batches
+from mallowbeam.storage_gateway.frontends.object_api.errors import Error
 
 BOMB = (
     b'<!DOCTYPE a [<!ENTITY a "aaaaaaaaaa"><!ENTITY b "&a;&a;&a;&a;&a;&a;&a;&a;">]>'
--- a/tests/test_bodies.py
+++ b/tests/storage_gateway/frontends/object_api/test_bodies.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 from scenario import World
 
-from mallowbeam.fronts.objects.bodies import Body, Chunks, bare
-from mallowbeam.fronts.objects.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.bodies import Body, Chunks, bare
+from mallowbeam.storage_gateway.frontends.object_api.errors import Error
 
 SIGNED = b";chunk-signature=" + b"0" * 64
 STREAMING = {b"x-amz-content-sha256": b"STREAMING-UNSIGNED-PAYLOAD-TRAILER"}
--- a/tests/test_listings.py
+++ b/tests/storage_gateway/frontends/object_api/test_listings.py
@@ -15,8 +15,9 @@
 from hypothesis import strategies as st
 from scenario import World, play
 
-from mallowbeam.fronts.objects.errors import Error
-from mallowbeam.fronts.objects.listings import (
+from mallowbeam.standins.faults import Rule
+from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.listings import (
     Ask,
     Item,
     Merge,
@@ -27,7 +28,6 @@
     seal_token,
     target,
 )
-from mallowbeam.standins.faults import Rule
 
 NAMES = st.text("ab/\U0010ffffé", min_size=1, max_size=6)
 
--- a/tests/test_objects.py
+++ b/tests/storage_gateway/frontends/object_api/test_objects.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 from scenario import World, play
 
-from mallowbeam.fronts.objects.ranges import Unsatisfiable, cut
 from mallowbeam.standins.faults import Rule, Turns
 from mallowbeam.standins.node import ObjectNode
+from mallowbeam.storage_gateway.frontends.object_api.ranges import Unsatisfiable, cut
 
 BODY = "0123456789"
 
--- a/tests/test_uploads.py
+++ b/tests/storage_gateway/frontends/object_api/test_uploads.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 from scenario import World, play
 
-from mallowbeam.fronts.objects.errors import Error
-from mallowbeam.fronts.objects.uploads import pack_upload, unpack_upload
+from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.uploads import pack_upload, unpack_upload
 
 PART = f"PUT /plates/a?partNumber=1&uploadId={pack_upload(0, 'up/1 x')}"
 
--- a/tests/test_stream.py
+++ b/tests/storage_gateway/frontends/test_stream.py
@@ -8,10 +8,10 @@
 import uvloop
 from scenario import PATIENCE, World, play
 
-from mallowbeam.fronts import platform
 from mallowbeam.http import connection
 from mallowbeam.http.stream import HELD_CHUNKS, Stream
-from mallowbeam.net import gateway
+from mallowbeam.storage_gateway.frontends import platform
+from mallowbeam.storage_gateway.server import gateway
 
 NL = "\\r\\n"
 WRITE = "/new-write/00000000000000aa/0000000000000001"
--- a/tests/test_cold_fleet.py
+++ b/tests/storage_gateway/scheduler/test_cold_fleet.py
@@ -7,7 +7,7 @@
 import pytest
 from cold_fleet import Fleet
 
-from mallowbeam import Scheduler
+from mallowbeam.storage_gateway.scheduler import Scheduler
 
 SITE = dict(
     cold_units=76.0,
--- a/tests/test_control_booking.py
+++ b/tests/storage_gateway/scheduler/test_control_booking.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from conftest import Rig, of
+from scheduler_rig import Rig, of
 
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 
 def test_idle_node_gets_a_booking_at_once():
--- a/tests/test_control_cold.py
+++ b/tests/storage_gateway/scheduler/test_control_cold.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from conftest import COLD, Rig, of
+from scheduler_rig import COLD, Rig, of
 
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 
 def cold_share(plan: str, age: float, since: float | None = 999.9) -> int:
--- a/tests/test_control_limits.py
+++ b/tests/storage_gateway/scheduler/test_control_limits.py
@@ -7,9 +7,9 @@
 from itertools import count
 
 import pytest
-from conftest import COLD, Rig, Store, of
+from scheduler_rig import COLD, Rig, Store, of
 
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 
 @pytest.mark.parametrize("count", [0, None])
--- a/tests/test_control_nodes.py
+++ b/tests/storage_gateway/scheduler/test_control_nodes.py
@@ -5,9 +5,9 @@
 from heapq import heappop, heappush
 
 import pytest
-from conftest import COLD, Rig, fill, of
+from scheduler_rig import COLD, Rig, fill, of
 
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 
 def test_a_silent_node_refuses_early_and_recovers():
--- a/tests/test_control_plans.py
+++ b/tests/storage_gateway/scheduler/test_control_plans.py
@@ -8,12 +8,12 @@
 from itertools import count
 
 import pytest
-from conftest import PLANS, Rig, Store, make_settings, of
+from scheduler_rig import PLANS, Rig, Store, make_settings, of
 
-from mallowbeam import facade
-from mallowbeam import interface as io
-from mallowbeam.control.requests import Volume
-from mallowbeam.control.scheduler import FORGET
+from mallowbeam.storage_gateway.scheduler import gateway_host as facade
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.requests import Volume
+from mallowbeam.storage_gateway.scheduler.scheduler import FORGET
 
 BASIC = next(plan for plan in PLANS if plan.name == "basic")
 
--- a/tests/test_control_sending.py
+++ b/tests/storage_gateway/scheduler/test_control_sending.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from conftest import Rig, of
+from scheduler_rig import Rig, of
 
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 PROVEN = (io.Outcome.REJECTED, io.Outcome.NO_CONNECTION)
 UNPROVEN = (io.Outcome.TIMEOUT, io.Outcome.RESET, io.Outcome.CANCELLED, io.Outcome.ERROR)
--- a/tests/test_deployments.py
+++ b/tests/storage_gateway/scheduler/test_deployments.py
@@ -14,13 +14,13 @@
 from itertools import count
 
 import pytest
-from conftest import Store
 from scenario import EXAMPLE
+from scheduler_rig import Store
 
-from mallowbeam import interface as io
-from mallowbeam.control import Scheduler
-from mallowbeam.control.sending import MAY_STILL_RUN
-from mallowbeam.net.config import read_config
+from mallowbeam.storage_gateway.scheduler import Scheduler
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.sending import MAY_STILL_RUN
+from mallowbeam.storage_gateway.server.config import read_config
 
 SPARE = 1.3  # a usual node bears this many times what every node bears cold
 MAY_HAVE_RUN = (*MAY_STILL_RUN, io.Outcome.ERROR)
--- a/tests/test_drawn_settings.py
+++ b/tests/storage_gateway/scheduler/test_drawn_settings.py
@@ -6,10 +6,10 @@
 from heapq import heappop, heappush
 
 import pytest
-from conftest import COLD, Rig, Store, make_settings, of
+from scheduler_rig import COLD, Rig, Store, make_settings, of
 
-from mallowbeam import Scheduler
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import Scheduler
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 MAY_RUN = (io.Outcome.OK, io.Outcome.ERROR, io.Outcome.TIMEOUT, io.Outcome.RESET, io.Outcome.CANCELLED)
 SLACK = 0.008  # seconds past the deadline in which an answer still counts
--- a/tests/test_facade.py
+++ b/tests/storage_gateway/scheduler/test_facade.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import pytest
-from conftest import make_settings
+from scheduler_rig import make_settings
 
-from mallowbeam import interface as io
-from mallowbeam.facade import NEVER, Facade, Verdict
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.gateway_host import NEVER, Facade, Verdict
 
 FIELDS = dict(cls="read", expires_in=1.2, shard=0, units=2, volume="v", plan="gold", hosts_of_volume=1)
 
--- a/tests/test_faults.py
+++ b/tests/storage_gateway/scheduler/test_faults.py
@@ -9,8 +9,8 @@
 import uvloop
 from scenario import World
 
-from mallowbeam.interface import Outcome
-from mallowbeam.net import gateway
+from mallowbeam.storage_gateway.scheduler.interface import Outcome
+from mallowbeam.storage_gateway.server import gateway
 
 
 def once(real: Callable) -> Callable:
--- a/tests/test_guards.py
+++ b/tests/storage_gateway/scheduler/test_guards.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from conftest import Rig, of
+from scheduler_rig import Rig, of
 
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 
 def booked(cls: str = "read", plan: str = "gold", count: int = 1, shard: int | None = 0, **settings):
--- a/tests/test_properties.py
+++ b/tests/storage_gateway/scheduler/test_properties.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from conftest import Rig, of
 from hypothesis import example, given
 from hypothesis import strategies as st
+from scheduler_rig import Rig, of
 
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 LIMITED, BURST, SLACK = 20.0, 32.0, 8.0
 NEVER_RAN = (io.Outcome.REJECTED, io.Outcome.ASTRAY, io.Outcome.NO_CONNECTION, io.Outcome.NOT_SENT)
--- a/tests/test_replayed.py
+++ b/tests/storage_gateway/scheduler/test_replayed.py
@@ -7,7 +7,7 @@
 
 from replayed import FILE, load, record, replay, store
 
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 
 def test_a_recorded_run_gives_the_actions_that_it_gave():
--- a/tests/test_wirehost.py
+++ b/tests/storage_gateway/scheduler/test_wirehost.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mallowbeam import wirehost
+from mallowbeam.storage_gateway.scheduler import simulator_host as wirehost
 
 START = (
     "TICK 10.0\n"
@@ -73,7 +73,7 @@
 )
 def test_malformed_lines_end_the_adapter_with_a_plain_message(line):
     run = subprocess.run(
-        [sys.executable, "-m", "mallowbeam.wirehost"],
+        [sys.executable, "-m", "mallowbeam.storage_gateway.scheduler.simulator_host"],
         input=f"TICK 1.0\n{line}\nEOF_BATCH\n",
         capture_output=True,
         text=True,
--- a/tests/test_admin.py
+++ b/tests/storage_gateway/server/test_admin.py
@@ -9,8 +9,8 @@
 from scenario import EXAMPLE, World, play
 
 from mallowbeam.http import connection
-from mallowbeam.net import gateway
-from mallowbeam.net.metrics import Metrics
+from mallowbeam.storage_gateway.server import gateway
+from mallowbeam.storage_gateway.server.metrics import Metrics
 
 
 def line(lane: str, result: str, count: int) -> str:
--- a/tests/test_begins.py
+++ b/tests/storage_gateway/server/test_begins.py
@@ -10,10 +10,10 @@
 
 import pytest
 import uvloop
-from conftest import COLD, Rig, of
 from scenario import World
+from scheduler_rig import COLD, Rig, of
 
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 SHORT = {"new-write": {"Window": 0.3}}
 
--- a/tests/test_connections.py
+++ b/tests/storage_gateway/server/test_connections.py
@@ -9,7 +9,7 @@
 from scenario import World, play
 
 from mallowbeam.http import closing, connection
-from mallowbeam.net import gateway
+from mallowbeam.storage_gateway.server import gateway
 
 PLAIN = (
     "GET /read/00000000000000aa/0000000000000001 HTTP/1.1\\r\\nhost: x\\r\\nx-class: read\\r\\n"
--- a/tests/test_crossings.py
+++ b/tests/storage_gateway/server/test_crossings.py
@@ -13,10 +13,10 @@
 from crossed import DRAINING, UP, Crossing, body, crossing, first_list, until
 from scenario import Stand
 
-from mallowbeam.facade import Orders
-from mallowbeam.net import discovery
-from mallowbeam.net import gateway as gateways
-from mallowbeam.net.listing import read_listing
+from mallowbeam.storage_gateway.scheduler.gateway_host import Orders
+from mallowbeam.storage_gateway.server import discovery
+from mallowbeam.storage_gateway.server import gateway as gateways
+from mallowbeam.storage_gateway.server.listing import read_listing
 
 
 class Held:
--- a/tests/test_crossings_upgrade.py
+++ b/tests/storage_gateway/server/test_crossings_upgrade.py
@@ -11,11 +11,11 @@
 from crossed import UP, Crossing, body, first_list, until, upgraded
 from scenario import PATIENCE
 
-from mallowbeam.facade import Orders
-from mallowbeam.net import gateway as gateways
-from mallowbeam.net import handover
-from mallowbeam.net.calls import Phase
-from mallowbeam.net.listing import Listing, read_listing, write_listing
+from mallowbeam.storage_gateway.scheduler.gateway_host import Orders
+from mallowbeam.storage_gateway.server import gateway as gateways
+from mallowbeam.storage_gateway.server import handover
+from mallowbeam.storage_gateway.server.calls import Phase
+from mallowbeam.storage_gateway.server.listing import Listing, read_listing, write_listing
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_descriptors.py
+++ b/tests/storage_gateway/server/test_descriptors.py
@@ -14,8 +14,8 @@
 from scenario import EXAMPLE, free_port
 from test_program import PATIENCE, connect, healthy, program
 
-from mallowbeam.net import config as configs
-from mallowbeam.net.config import FRONT_SOCKETS, LEAST_SOCKETS, OWN_SOCKETS
+from mallowbeam.storage_gateway.server import config as configs
+from mallowbeam.storage_gateway.server.config import FRONT_SOCKETS, LEAST_SOCKETS, OWN_SOCKETS
 
 MOMENTS = 3  # a second call to discovery at a move, another process, a file that is read
 READ = (
--- a/tests/test_handover.py
+++ b/tests/storage_gateway/server/test_handover.py
@@ -17,9 +17,9 @@
 from scenario import EXAMPLE, World, free_port
 from test_program import PATIENCE, connect, healthy, program
 
-from mallowbeam.net import config as configs
-from mallowbeam.net import handover
-from mallowbeam.net.calls import Phase
+from mallowbeam.storage_gateway.server import config as configs
+from mallowbeam.storage_gateway.server import handover
+from mallowbeam.storage_gateway.server.calls import Phase
 
 COLD = dict(Guarantees={"Cold": 17.0, "Fall": 3.0, "StartCapacity": 0.18, "TipMultiple": 4.0})
 
--- a/tests/test_lists_bad.py
+++ b/tests/storage_gateway/server/test_lists_bad.py
@@ -13,13 +13,13 @@
 from loguru import logger
 from scenario import EXAMPLE, World, play
 
-from mallowbeam import interface as io
-from mallowbeam.control import nodes
 from mallowbeam.http import reporting
 from mallowbeam.http.client import Unsent, connect
-from mallowbeam.net import discovery
-from mallowbeam.net.config import BadConfig, read_config
-from mallowbeam.net.listing import (
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler import nodes
+from mallowbeam.storage_gateway.server import discovery
+from mallowbeam.storage_gateway.server.config import BadConfig, read_config
+from mallowbeam.storage_gateway.server.listing import (
     BadListing,
     can_be_connected,
     decode_listing,
--- a/tests/test_phases.py
+++ b/tests/storage_gateway/server/test_phases.py
@@ -11,12 +11,12 @@
 import uvloop
 from scenario import EXAMPLE, PATIENCE, World, play
 
-from mallowbeam.net import config as configs
-from mallowbeam.net import gateway
-from mallowbeam.net.calls import Phase
-from mallowbeam.net.gateway import Gateway
-from mallowbeam.net.handover import Legacy
-from mallowbeam.program import open_servers
+from mallowbeam.storage_gateway.application import open_servers
+from mallowbeam.storage_gateway.server import config as configs
+from mallowbeam.storage_gateway.server import gateway
+from mallowbeam.storage_gateway.server.calls import Phase
+from mallowbeam.storage_gateway.server.gateway import Gateway
+from mallowbeam.storage_gateway.server.handover import Legacy
 
 HEALTHZ = b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n"
 
--- a/tests/test_program.py
+++ b/tests/storage_gateway/server/test_program.py
@@ -20,8 +20,8 @@
 
 from mallowbeam.lab import starts
 from mallowbeam.lab.rig import hold_port
-from mallowbeam.net.config import read_again, read_config
-from mallowbeam.settings import flatten, read_pairs, read_settings
+from mallowbeam.storage_gateway.scheduler.settings import flatten, read_pairs, read_settings
+from mallowbeam.storage_gateway.server.config import read_again, read_config
 
 PATIENCE = 20.0
 
@@ -120,12 +120,17 @@
 def test_a_start_loads_only_what_is_on():
     """Guards the return of many at once: each second without a gateway loses its requests."""
     run = subprocess.run(
-        [sys.executable, "-c", "import sys, mallowbeam.__main__, mallowbeam.program; print(*sys.modules)"],
+        [
+            sys.executable,
+            "-c",
+            "import sys, mallowbeam.__main__, mallowbeam.storage_gateway.application\n" "print(*sys.modules)",
+        ],
         capture_output=True,
         text=True,
         check=True,
     )
-    assert not {"mallowbeam.fronts.objects", "xml.sax", "urllib.request"} & set(run.stdout.split())
+    unneeded = {"mallowbeam.storage_gateway.frontends.object_api", "xml.sax", "urllib.request"}
+    assert not unneeded & set(run.stdout.split())
 
 
 def test_no_configuration_at_all():
@@ -251,7 +256,8 @@
         "import os, runpy, signal, sys\n"
         "class Crossing:\n"
         "    def find_spec(name, *_):\n"
-        "        if name == 'mallowbeam.program': os.kill(os.getpid(), signal.SIGHUP)\n"
+        "        if name == 'mallowbeam.storage_gateway.application':\n"
+        "            os.kill(os.getpid(), signal.SIGHUP)\n"
         "sys.meta_path.insert(0, Crossing)\n"
         "runpy.run_module('mallowbeam', run_name='__main__')\n"
     )
--- a/tests/test_watch.py
+++ b/tests/storage_gateway/server/test_watch.py
@@ -8,13 +8,13 @@
 
 import pytest
 import uvloop
-from conftest import Rig, of
 from scenario import World, play
+from scheduler_rig import Rig, of
 from test_control_nodes import OneQueue
 
-from mallowbeam import interface as io
-from mallowbeam.control.nodes import MOST_AGAIN
-from mallowbeam.net import discovery
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.nodes import MOST_AGAIN
+from mallowbeam.storage_gateway.server import discovery
 
 COUNTS = 6.0  # seconds after silence by which what was missed counts as told
 GRANTED = 0.25  # seconds that a drain may be missed by
--- a/tests/test_watch_failing.py
+++ b/tests/storage_gateway/server/test_watch_failing.py
@@ -15,14 +15,14 @@
 
 import pytest
 import uvloop
-from conftest import Rig
 from scenario import PATIENCE, play
+from scheduler_rig import Rig
 from simulated import QUEUE, Service, Turns, outage, simulate
 from test_watch import ask
 
-from mallowbeam import interface as io
-from mallowbeam.control import nodes
-from mallowbeam.net import discovery
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler import nodes
+from mallowbeam.storage_gateway.server import discovery
 
 TOLD = 5.45  # seconds after the return by which each host has the news: 6 are granted
 GRANTED = 0.26  # the same where lists are pushed
--- a/tests/test_written.py
+++ b/tests/storage_gateway/server/test_written.py
@@ -16,7 +16,7 @@
 
 from mallowbeam.http.client import Link, Unsent
 from mallowbeam.http.framing import CHUNK, Channel, Framer
-from mallowbeam.net import attempts
+from mallowbeam.storage_gateway.server import attempts
 
 BODY = b"b" * 200
 
--- a/tests/test_buffer_bounds.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_bounds.py
@@ -12,17 +12,17 @@
 import pytest
 from buffered import Buffered, keys_at, run, writes
 
-from mallowbeam.buffer.core import Outcome
-from mallowbeam.buffer.disk import RealDisk
-from mallowbeam.buffer.log import Log
-from mallowbeam.buffer.records import Done, Kind, Record, Write, pack
-from mallowbeam.buffer.reopen import known
-from mallowbeam.buffer.store import NotTaken, Store
-from mallowbeam.buffer.terms import Sent
-from mallowbeam.net.config import BadConfig
 from mallowbeam.standins.discovery import member
 from mallowbeam.standins.disk import Fault, SimDisk
 from mallowbeam.standins.node import ObjectNode
+from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.write_buffer.core import Outcome
+from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
+from mallowbeam.storage_gateway.write_buffer.log import Log
+from mallowbeam.storage_gateway.write_buffer.records import Done, Kind, Record, Write, pack
+from mallowbeam.storage_gateway.write_buffer.reopen import known
+from mallowbeam.storage_gateway.write_buffer.store import NotTaken, Store
+from mallowbeam.storage_gateway.write_buffer.terms import Sent
 
 
 def test_a_full_buffer_writes_direct_and_refuses_what_would_lose_its_order(nodes, tmp_path):
@@ -198,7 +198,7 @@
         async with Buffered(nodes, tmp_path):
             pass
 
-    monkeypatch.setattr("mallowbeam.buffer.disk.RealDisk.lock", refuse)
+    monkeypatch.setattr("mallowbeam.storage_gateway.write_buffer.disk.RealDisk.lock", refuse)
     with pytest.raises(BadConfig, match=r"buffer\.folder: .*: Read-only file system"):
         run(start())
     monkeypatch.setattr("os.access", lambda *_: False)
--- a/tests/test_buffer_core.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_core.py
@@ -7,8 +7,8 @@
 import pytest
 from buffer_world import COST, DEADLINE, LIMITS, WINDOW, World, sent
 
-from mallowbeam.buffer import core as c
-from mallowbeam.buffer.core import Core, Known, Limits, Offer, Outcome, Replay, State
+from mallowbeam.storage_gateway.write_buffer import core as c
+from mallowbeam.storage_gateway.write_buffer.core import Core, Known, Limits, Offer, Outcome, Replay, State
 
 
 def test_a_later_write_absorbs_an_earlier_one_unsent_but_never_past_a_barrier():
--- a/tests/test_buffer_format.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_format.py
@@ -9,8 +9,9 @@
 from hypothesis import strategies as st
 from logged import SMALL, filled, opened, write
 
-from mallowbeam.buffer.log import Found, Item, Log, name_of, walk
-from mallowbeam.buffer.records import (
+from mallowbeam.standins.disk import SimDisk
+from mallowbeam.storage_gateway.write_buffer.log import Found, Item, Log, name_of, walk
+from mallowbeam.storage_gateway.write_buffer.records import (
     RECORD,
     SEGMENT,
     Bad,
@@ -24,7 +25,6 @@
     scan,
     unpack,
 )
-from mallowbeam.standins.disk import SimDisk
 
 
 @pytest.mark.parametrize(
--- a/tests/test_buffer_front.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_front.py
@@ -10,9 +10,9 @@
 from buffered import Buffered, hold, run, writes
 from crc32c import crc32c
 
-from mallowbeam.buffer.log import Found
-from mallowbeam.buffer.records import Kind
-from mallowbeam.fronts.objects.conditions import read_status, write_allowed
+from mallowbeam.storage_gateway.frontends.object_api.conditions import read_status, write_allowed
+from mallowbeam.storage_gateway.write_buffer.log import Found
+from mallowbeam.storage_gateway.write_buffer.records import Kind
 
 
 def test_a_buffered_write_is_acknowledged_read_and_found_at_its_node(nodes, tmp_path):
--- a/tests/test_buffer_log.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_log.py
@@ -8,16 +8,16 @@
 import pytest
 from logged import Work, body, done, filled, judge, opened, run, write
 
-from mallowbeam.buffer.errors import DiskFull, Failed
-from mallowbeam.buffer.log import Found, Item, name_of, walk
-from mallowbeam.buffer.records import (
+from mallowbeam.standins.disk import Fault, SimDisk
+from mallowbeam.storage_gateway.write_buffer.errors import DiskFull, Failed
+from mallowbeam.storage_gateway.write_buffer.log import Found, Item, name_of, walk
+from mallowbeam.storage_gateway.write_buffer.records import (
     RECORD,
     SEGMENT,
     Done,
     Kind,
     pack,
 )
-from mallowbeam.standins.disk import Fault, SimDisk
 
 
 def test_the_power_goes_at_every_write_and_sync_of_a_workload():
--- a/tests/buffer_world.py
+++ b/tests/support/buffer_world.py
@@ -4,8 +4,8 @@
 
 import random
 
-from mallowbeam.buffer import core as c
-from mallowbeam.buffer.core import Core, Entry, Known, Limits, Offer, Outcome, Replay
+from mallowbeam.storage_gateway.write_buffer import core as c
+from mallowbeam.storage_gateway.write_buffer.core import Core, Entry, Known, Limits, Offer, Outcome, Replay
 
 WINDOW, DEADLINE = 4.0, 1.0
 LIMITS = Limits(
--- a/tests/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -1,6 +1,7 @@
 """A fleet of module instances before nodes that start cold, on drawn settings, and the platform's count.
 
-`PYTHONPATH=. python tests/cold_fleet.py SECONDS [SEED]` plays draws for so long and says how many nodes fell.
+`PYTHONPATH=. python tests/support/cold_fleet.py SECONDS [SEED]` plays draws for so long and says how many
+nodes fell.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
 
-from mallowbeam import Scheduler
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import Scheduler
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 HOSTS = (1, 2, 5, 12, 20, 30, 40, 112, 200)
 FAULTS = (
--- a/tests/command_model.py
+++ b/tests/support/command_model.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass, field
 
-from mallowbeam.configuration.taken import RECORD
-from mallowbeam.configuration.versions import ConfigurationVersions
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.configuration.taken import RECORD
+from mallowbeam.router.configuration.versions import ConfigurationVersions
+from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
     OUTCOME_UNKNOWN,
--- a/tests/configuration_costs.py
+++ b/tests/support/configuration_costs.py
@@ -1,4 +1,4 @@
-"""Measures parsing, differences and updates: ``PYTHONPATH=. python tests/configuration_costs.py``."""
+"""Measures parsing, differences and updates: ``PYTHONPATH=. python tests/support/configuration_costs.py``."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from configuration_documents import body_of, large_document
 
-from mallowbeam.configuration.changes import apply_update, difference, to_update
-from mallowbeam.configuration.model import Configuration
-from mallowbeam.configuration.parsing import ConfigurationParser, parse_configuration
-from mallowbeam.configuration.versions import ConfigurationVersions, put_command
-from mallowbeam.rpc.messages_pb2 import ConfigurationUpdate
+from mallowbeam.router.configuration.changes import apply_update, difference, to_update
+from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.configuration.parsing import ConfigurationParser, parse_configuration
+from mallowbeam.router.configuration.versions import ConfigurationVersions, put_command
+from mallowbeam.router.rpc.messages_pb2 import ConfigurationUpdate
 
 SIZES = (100, 1_000, 4_000)
 REPEATS = 7
--- a/tests/configuration_documents.py
+++ b/tests/support/configuration_documents.py
@@ -6,8 +6,8 @@
 import json
 from typing import Any
 
-from mallowbeam.configuration.model import Configuration
-from mallowbeam.configuration.parsing import parse_configuration
+from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.configuration.parsing import parse_configuration
 
 DOCUMENT: dict[str, Any] = {
     "revision": 7,
--- a/tests/configuration_fuzz.py
+++ b/tests/support/configuration_fuzz.py
@@ -1,4 +1,4 @@
-"""Random damage to configurations: ``PYTHONPATH=. python tests/configuration_fuzz.py SEED COUNT``.
+"""Random damage to configurations: ``PYTHONPATH=. python tests/support/configuration_fuzz.py SEED COUNT``.
 
 Each damaged body must be refused with a `ConfigurationError`, or taken and then carried without loss: as JSON
 in the canonical document, and as values in the message to gateways.
@@ -16,10 +16,10 @@
 
 from configuration_documents import body_of, document
 
-from mallowbeam.configuration.changes import apply_update, to_update
-from mallowbeam.configuration.errors import ConfigurationError
-from mallowbeam.configuration.parsing import ConfigurationParser, parse_configuration
-from mallowbeam.rpc.messages_pb2 import ConfigurationUpdate
+from mallowbeam.router.configuration.changes import apply_update, to_update
+from mallowbeam.router.configuration.errors import ConfigurationError
+from mallowbeam.router.configuration.parsing import ConfigurationParser, parse_configuration
+from mallowbeam.router.rpc.messages_pb2 import ConfigurationUpdate
 
 MOST_BYTES = 100_000
 VALUES: tuple[Any, ...] = (
--- a/tests/configuration_scenario.py
+++ b/tests/support/configuration_scenario.py
@@ -32,20 +32,20 @@
 import shlex
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from pathlib import Path
 from typing import Any
 
 from configuration_documents import DOCUMENT, body_of, large_route
+from project_paths import SCENARIOS as SCENARIO_FOLDER
 
-from mallowbeam.configuration.changes import apply_update, difference, to_update
-from mallowbeam.configuration.errors import ConfigurationError, UpdateMismatch
-from mallowbeam.configuration.model import Configuration
-from mallowbeam.configuration.parsing import parse_configuration
-from mallowbeam.configuration.patch import parse_patch
-from mallowbeam.configuration.versions import ConfigurationVersions, patch_command, put_command
-from mallowbeam.rpc.messages_pb2 import CommandResult, PutConfiguration, ReplicatedState
+from mallowbeam.router.configuration.changes import apply_update, difference, to_update
+from mallowbeam.router.configuration.errors import ConfigurationError, UpdateMismatch
+from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.configuration.parsing import parse_configuration
+from mallowbeam.router.configuration.patch import parse_patch
+from mallowbeam.router.configuration.versions import ConfigurationVersions, patch_command, put_command
+from mallowbeam.router.rpc.messages_pb2 import CommandResult, PutConfiguration, ReplicatedState
 
-SCENARIOS = Path(__file__).parent / "scenarios" / "configuration"
+SCENARIOS = SCENARIO_FOLDER / "configuration"
 NewVersions = Callable[[dict[str, int]], ConfigurationVersions]
 
 
--- a/tests/configuration_variants.py
+++ b/tests/support/configuration_variants.py
@@ -5,11 +5,11 @@
 import json
 import zlib
 
-from mallowbeam.configuration.parsing import ConfigurationParser
-from mallowbeam.configuration.refusals import CallIdentity, RefusedCalls
-from mallowbeam.configuration.taken import TakenConfigurations
-from mallowbeam.configuration.versions import ConfigurationVersions
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.configuration.refusals import CallIdentity, RefusedCalls
+from mallowbeam.router.configuration.taken import TakenConfigurations
+from mallowbeam.router.configuration.versions import ConfigurationVersions
+from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
     CommandResult,
--- a/tests/consensus_checkers.py
+++ b/tests/support/consensus_checkers.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING
 from zlib import crc32
 
-from mallowbeam.consensus.interface import ReadResult, Send
-from mallowbeam.consensus.membership import voters_of
-from mallowbeam.consensus.node import Role
-from mallowbeam.rpc.messages_pb2 import COMMAND, MEMBERSHIP, Entry, Membership
+from mallowbeam.router.consensus.interface import ReadResult, Send
+from mallowbeam.router.consensus.membership import voters_of
+from mallowbeam.router.consensus.node import Role
+from mallowbeam.router.rpc.messages_pb2 import COMMAND, MEMBERSHIP, Entry, Membership
 
 if TYPE_CHECKING:
     from consensus_machine import Machine
--- a/tests/consensus_host.py
+++ b/tests/support/consensus_host.py
@@ -4,9 +4,9 @@
 
 from random import Random
 
-from mallowbeam.consensus.interface import HardState, Output, RaftSettings, Restored
-from mallowbeam.consensus.node import RaftNode, Role
-from mallowbeam.rpc.messages_pb2 import (
+from mallowbeam.router.consensus.interface import HardState, Output, RaftSettings, Restored
+from mallowbeam.router.consensus.node import RaftNode, Role
+from mallowbeam.router.rpc.messages_pb2 import (
     COMMAND,
     AppendRequest,
     AppendResponse,
--- a/tests/consensus_machine.py
+++ b/tests/support/consensus_machine.py
@@ -11,10 +11,10 @@
 
 from consensus_checkers import Applied, Operation
 
-from mallowbeam.consensus.errors import ConsensusError
-from mallowbeam.consensus.interface import HardState, RaftSettings, ReadResult, Restored, Send, Write
-from mallowbeam.consensus.node import RaftNode, Role
-from mallowbeam.rpc.messages_pb2 import COMMAND, MEMBERSHIP, Entry, Membership, Snapshot
+from mallowbeam.router.consensus.errors import ConsensusError
+from mallowbeam.router.consensus.interface import HardState, RaftSettings, ReadResult, Restored, Send, Write
+from mallowbeam.router.consensus.node import RaftNode, Role
+from mallowbeam.router.rpc.messages_pb2 import COMMAND, MEMBERSHIP, Entry, Membership, Snapshot
 
 if TYPE_CHECKING:
     from consensus_world import World
--- a/tests/consensus_scenario.py
+++ b/tests/support/consensus_scenario.py
@@ -31,11 +31,12 @@
 from consensus_checkers import Violation
 from consensus_machine import Machine
 from consensus_world import World, replaced, with_member, with_place, without_member
+from project_paths import SCENARIOS as SCENARIO_FOLDER
 
-from mallowbeam.consensus.interface import RaftSettings
-from mallowbeam.consensus.membership import voters_of
+from mallowbeam.router.consensus.interface import RaftSettings
+from mallowbeam.router.consensus.membership import voters_of
 
-FOLDER = Path(__file__).parent / "scenarios" / "consensus"
+FOLDER = SCENARIO_FOLDER / "consensus"
 POLL_SECONDS = 0.002
 OPERATOR_SECONDS = 30.0  # how long an operator repeats a change
 LAG_UNDER_LOAD = 5  # entries that a member may lie behind where it agrees
--- a/tests/consensus_variants.py
+++ b/tests/support/consensus_variants.py
@@ -6,19 +6,24 @@
 from contextlib import AbstractContextManager, contextmanager
 from unittest import mock
 
-from mallowbeam.consensus import leadership, membership
-from mallowbeam.consensus.chunk_receiver import ChunkReceiver, Content, TransferKey
-from mallowbeam.consensus.election import Election
-from mallowbeam.consensus.follower import Follower
-from mallowbeam.consensus.leadership import Leadership
-from mallowbeam.consensus.log import RaftLog
-from mallowbeam.consensus.membership import MembershipAt, MembershipHistory, members_of, without_outgoing
-from mallowbeam.consensus.persistence import Persistence
-from mallowbeam.consensus.progress import Progress
-from mallowbeam.consensus.quorum import Quorum
-from mallowbeam.consensus.state import MemberState, Role
-from mallowbeam.consensus.transfer import Transfer
-from mallowbeam.rpc.messages_pb2 import Snapshot
+from mallowbeam.router.consensus import leadership, membership
+from mallowbeam.router.consensus.chunk_receiver import ChunkReceiver, Content, TransferKey
+from mallowbeam.router.consensus.election import Election
+from mallowbeam.router.consensus.follower import Follower
+from mallowbeam.router.consensus.leadership import Leadership
+from mallowbeam.router.consensus.log import RaftLog
+from mallowbeam.router.consensus.membership import (
+    MembershipAt,
+    MembershipHistory,
+    members_of,
+    without_outgoing,
+)
+from mallowbeam.router.consensus.persistence import Persistence
+from mallowbeam.router.consensus.progress import Progress
+from mallowbeam.router.consensus.quorum import Quorum
+from mallowbeam.router.consensus.state import MemberState, Role
+from mallowbeam.router.consensus.transfer import Transfer
+from mallowbeam.router.rpc.messages_pb2 import Snapshot
 
 Variant = Callable[[], AbstractContextManager[object]]
 
--- a/tests/consensus_walker.py
+++ b/tests/support/consensus_walker.py
@@ -1,6 +1,6 @@
 """Random schedules: members under random troubles, each drawn from one seed.
 
-``python tests/consensus_walker.py FIRST COUNT`` plays seeds and prints those that fail.
+``python tests/support/consensus_walker.py FIRST COUNT`` plays seeds and prints those that fail.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from consensus_machine import Machine
 from consensus_world import World, replaced, with_member, with_place, without_member
 
-from mallowbeam.consensus.interface import RaftSettings
-from mallowbeam.consensus.membership import quorum_of, voters_of
-from mallowbeam.consensus.progress import Mode
-from mallowbeam.rpc.messages_pb2 import Membership
+from mallowbeam.router.consensus.interface import RaftSettings
+from mallowbeam.router.consensus.membership import quorum_of, voters_of
+from mallowbeam.router.consensus.progress import Mode
+from mallowbeam.router.rpc.messages_pb2 import Membership
 
 TROUBLE_SECONDS = 5.0  # troubles begin within this time
 QUIET_SECONDS = 8.0  # after it all is mended; the group must be whole again by its end
@@ -343,7 +343,7 @@
     try:
         return Walk(seed).play()
     except Exception as error:
-        error.add_note(f"consensus walk, seed {seed}: python tests/consensus_walker.py {seed} 1")
+        error.add_note(f"consensus walk, seed {seed}: python tests/support/consensus_walker.py {seed} 1")
         raise
 
 
--- a/tests/consensus_world.py
+++ b/tests/support/consensus_world.py
@@ -12,9 +12,9 @@
 from consensus_checkers import Checkers
 from consensus_machine import Disk, Machine
 
-from mallowbeam.consensus.interface import RaftSettings, Send
-from mallowbeam.consensus.membership import joint_change, voters_of
-from mallowbeam.rpc.messages_pb2 import Member, Membership, Snapshot
+from mallowbeam.router.consensus.interface import RaftSettings, Send
+from mallowbeam.router.consensus.membership import joint_change, voters_of
+from mallowbeam.router.rpc.messages_pb2 import Member, Membership, Snapshot
 
 FIRST_INDEX = 1
 CHECK_LOGS_EVERY = 250  # events
--- a/tests/control_plane_rig.py
+++ b/tests/support/control_plane_rig.py
@@ -16,10 +16,11 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from mallowbeam.rpc.framing import FrameReader, encode_frame
-from mallowbeam.rpc.messages_pb2 import FeedFrame, FeedHello, GatewayFrame, LinkFrame
+from project_paths import ROOT
+
+from mallowbeam.router.rpc.framing import FrameReader, encode_frame
+from mallowbeam.router.rpc.messages_pb2 import FeedFrame, FeedHello, GatewayFrame, LinkFrame
 
-ROOT = Path(__file__).resolve().parent.parent
 PATIENCE = 30.0  # seconds for what should take a moment: only a failure takes so long
 CALL_TIMEOUT = 2.0
 UNCLEAR = (0, 503, 504)  # no answer, or one that promises nothing or asks to come again
--- a/tests/exchange_model.py
+++ b/tests/support/exchange_model.py
@@ -11,20 +11,21 @@
 from dataclasses import dataclass, replace
 from unittest.mock import patch
 
-from mallowbeam.configuration.model import Configuration
-from mallowbeam.data_plane import attempt, link_pool
-from mallowbeam.data_plane.front import ClientFront
-from mallowbeam.data_plane.gateway import Gateway
-from mallowbeam.data_plane.link_pool import LinkPool
-from mallowbeam.data_plane.retry_budget import RetryBudgets
-from mallowbeam.feed.instances import InstanceChanges
+from exchange_sockets import HEAD_END, WIDE, Arrival, Form, Line, ModelLoop, answer_body, handle_of
+from failing_instances import ByName
+from gateway_bench import BUDGET, HOST
+
 from mallowbeam.http.client import Link
 from mallowbeam.http.framing import Channel, Framer, Message
 from mallowbeam.http.front import Reply
-from mallowbeam.rpc.messages_pb2 import READY, Instance
-from tests.exchange_sockets import HEAD_END, WIDE, Arrival, Form, Line, ModelLoop, answer_body, handle_of
-from tests.failing_instances import ByName
-from tests.gateway_bench import BUDGET, HOST
+from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.data_plane import attempt, link_pool
+from mallowbeam.router.data_plane.front import ClientFront
+from mallowbeam.router.data_plane.gateway import Gateway
+from mallowbeam.router.data_plane.link_pool import LinkPool
+from mallowbeam.router.data_plane.retry_budget import RetryBudgets
+from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.rpc.messages_pb2 import READY, Instance
 
 FIRST, SECOND = b"r1", b"r2"
 LARGE_BODY = 24 * 1024  # more than the gateway copies together with a head
--- a/tests/exchange_sockets.py
+++ b/tests/support/exchange_sockets.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from tests.simulated import Jumping
+from simulated import Jumping
 
 ANSWER_BYTES = 64  # of a body
 HEAD_END = b"\r\n\r\n"
--- a/tests/failing_instances.py
+++ b/tests/support/failing_instances.py
@@ -6,11 +6,12 @@
 import socket
 from dataclasses import dataclass, field, replace
 
-from mallowbeam.admission.messages import Plan, PlanRequest, Refusal
-from mallowbeam.data_plane.planning import LeastLoadedPlanner
-from mallowbeam.rpc.messages_pb2 import READY, Instance
+from gateway_bench import Bench
+
+from mallowbeam.router.admission.messages import Plan, PlanRequest, Refusal
+from mallowbeam.router.data_plane.planning import LeastLoadedPlanner
+from mallowbeam.router.rpc.messages_pb2 import READY, Instance
 from mallowbeam.standins.model_server import ModelServer, Seen
-from tests.gateway_bench import Bench
 
 
 class ByName(LeastLoadedPlanner):
--- a/tests/fleet_variants.py
+++ b/tests/support/fleet_variants.py
@@ -15,21 +15,21 @@
 from typing import Any
 from unittest import mock
 
-from mallowbeam.configuration.versions import ConfigurationVersions
-from mallowbeam.consensus import leadership
-from mallowbeam.consensus.interface import Restored
-from mallowbeam.consensus.node import RaftNode
-from mallowbeam.consensus.state import MemberState
-from mallowbeam.control_plane import group
-from mallowbeam.control_plane.answers import VersionMismatchError
-from mallowbeam.control_plane.api import ControlApi
-from mallowbeam.control_plane.commands import Commands
-from mallowbeam.control_plane.group import GroupKeeper
-from mallowbeam.control_plane.member import ControlMember
-from mallowbeam.control_plane.membership_policy import Group
-from mallowbeam.control_plane.state_machine import Outcome, ReplicatedStateMachine
-from mallowbeam.feed.instances import InstanceCopy
-from mallowbeam.rpc.messages_pb2 import ALREADY_DONE, DONE, REFUSED, VERSION_MISMATCH, Membership
+from mallowbeam.router.configuration.versions import ConfigurationVersions
+from mallowbeam.router.consensus import leadership
+from mallowbeam.router.consensus.interface import Restored
+from mallowbeam.router.consensus.node import RaftNode
+from mallowbeam.router.consensus.state import MemberState
+from mallowbeam.router.control_plane import group
+from mallowbeam.router.control_plane.answers import VersionMismatchError
+from mallowbeam.router.control_plane.api import ControlApi
+from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.group import GroupKeeper
+from mallowbeam.router.control_plane.member import ControlMember
+from mallowbeam.router.control_plane.membership_policy import Group
+from mallowbeam.router.control_plane.state_machine import Outcome, ReplicatedStateMachine
+from mallowbeam.router.feed.instances import InstanceCopy
+from mallowbeam.router.rpc.messages_pb2 import ALREADY_DONE, DONE, REFUSED, VERSION_MISMATCH, Membership
 from mallowbeam.simulation.replica import Replica
 
 HEAD = "members m1 m2 m3\ngateways g1\ninstances a b\nat 2 put 1 on 0\nby 8 expect gateways ready\n"
--- a/tests/gateway_bench.py
+++ b/tests/support/gateway_bench.py
@@ -5,15 +5,15 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from mallowbeam.configuration.model import Backend, Configuration, Engine, Route, WeightedBackend
-from mallowbeam.data_plane.front import ClientFront
-from mallowbeam.data_plane.gateway import Gateway
-from mallowbeam.data_plane.link_pool import LinkPool
-from mallowbeam.data_plane.planning import LeastLoadedPlanner, Planner
-from mallowbeam.data_plane.retry_budget import BudgetSettings, RetryBudgets
-from mallowbeam.feed.instances import InstanceChanges
 from mallowbeam.http.server import Server
-from mallowbeam.rpc.messages_pb2 import DRAINS, READY, Instance
+from mallowbeam.router.configuration.model import Backend, Configuration, Engine, Route, WeightedBackend
+from mallowbeam.router.data_plane.front import ClientFront
+from mallowbeam.router.data_plane.gateway import Gateway
+from mallowbeam.router.data_plane.link_pool import LinkPool
+from mallowbeam.router.data_plane.planning import LeastLoadedPlanner, Planner
+from mallowbeam.router.data_plane.retry_budget import BudgetSettings, RetryBudgets
+from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.rpc.messages_pb2 import DRAINS, READY, Instance
 from mallowbeam.standins.model_server import ModelServer
 
 HOST = "host.example"
--- a/tests/known_red.py
+++ b/tests/support/known_red.py
@@ -8,9 +8,10 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass
-from pathlib import Path
 
-LIST = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
+from project_paths import ROOT
+
+LIST = ROOT / "KNOWN-RED.txt"
 SEPARATOR = " | "
 FIELDS = 3
 
--- a/tests/large_bodies_load.py
+++ b/tests/support/large_bodies_load.py
@@ -1,6 +1,6 @@
 """Callers that send large configurations at once to real members on loopback, each a process of its own.
 
-    python tests/large_bodies_load.py UP CALLERS SECONDS [MOST_TAKEN] [BYTES]        with PYTHONPATH=.:tests
+    PYTHONPATH=. python tests/support/large_bodies_load.py UP CALLERS SECONDS [MOST_TAKEN] [BYTES]
 
 Of three members `UP` are up. Each caller sends one configuration of random text until its answer is clear,
 turning to another member after each answer that is not, and then the next one. It ends after `SECONDS`, or
--- a/tests/logged.py
+++ b/tests/support/logged.py
@@ -4,16 +4,16 @@
 
 import random
 
-from mallowbeam.buffer.log import Apart, Found, Item, Log
-from mallowbeam.buffer.records import (
+from mallowbeam.standins.disk import PowerCut, SimDisk
+from mallowbeam.storage_gateway.write_buffer.log import Apart, Found, Item, Log
+from mallowbeam.storage_gateway.write_buffer.records import (
     Done,
     Kind,
     Write,
     pack,
     unpack,
 )
-from mallowbeam.buffer.reopen import replay
-from mallowbeam.standins.disk import PowerCut, SimDisk
+from mallowbeam.storage_gateway.write_buffer.reopen import replay
 
 SMALL = 4096  # bytes of a segment: a workload crosses many
 
--- a/tests/membership_plays.py
+++ b/tests/support/membership_plays.py
@@ -1,7 +1,7 @@
 """Plays of losses right after repairs, on groups of any size and any seed.
 
-``python tests/membership_plays.py FIRST COUNT [PLAY...]`` plays seeds on 3, 5, 6 and 8 members. It prints
-what failed, and how long after each kind of repair the next loss was survived, in simulated seconds.
+``python tests/support/membership_plays.py FIRST COUNT [PLAY...]`` plays seeds on 3, 5, 6 and 8 members. It
+prints what failed, and how long after each kind of repair the next loss was survived, in simulated seconds.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field
 
-from mallowbeam.processes.logs import set_up_logging
-from mallowbeam.rpc.messages_pb2 import Member, Membership
+from mallowbeam.router.processes.logs import set_up_logging
+from mallowbeam.router.rpc.messages_pb2 import Member, Membership
 from mallowbeam.simulation.fleet import FleetPlayer, term_of
 from mallowbeam.simulation.fleet_processes import SimulatedMember
 from mallowbeam.simulation.scenario import Violation
@@ -321,7 +321,7 @@
         PLAYS[name](play)
         return play.result
     except Exception as error:
-        error.add_note(f"{name}, {size} members: python tests/membership_plays.py {seed} 1 {name}")
+        error.add_note(f"{name}, {size} members: python tests/support/membership_plays.py {seed} 1 {name}")
         raise
 
 
--- a/tests/operator_races.py
+++ b/tests/support/operator_races.py
@@ -23,8 +23,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from mallowbeam.configuration.parsing import parse_configuration
-from mallowbeam.configuration.versions import ConfigurationVersions
+from mallowbeam.router.configuration.parsing import parse_configuration
+from mallowbeam.router.configuration.versions import ConfigurationVersions
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.fleet_callers import Caller
 from mallowbeam.simulation.fleet_history import ApiCall
--- a/tests/order_world.py
+++ b/tests/support/order_world.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from mallowbeam.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
-from mallowbeam.registry.leases import Leases
-from mallowbeam.rpc.messages_pb2 import DONE, AcquireLease
+from mallowbeam.router.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
+from mallowbeam.router.registry.leases import Leases
+from mallowbeam.router.rpc.messages_pb2 import DONE, AcquireLease
 
 STEP_S = 0.05
 ELECTION_S = 0.6  # more than `OrderLeaseSettings.fresh_s`
--- a/tests/pool_texts.py
+++ b/tests/support/pool_texts.py
@@ -7,7 +7,7 @@
 
 from hypothesis import strategies as st
 
-from mallowbeam.fleet.pools import model as m
+from mallowbeam.storage_gateway.coordination.pools import model as m
 
 LONG = int(os.environ.get("POOLS_LONG", "0"))  # so many random texts, ten times the mutations; 0: as in CI
 SEED = int(os.environ.get("POOLS_SEED", "33"))
--- a/tests/replayed.py
+++ b/tests/support/replayed.py
@@ -1,8 +1,8 @@
 """Events given to a Scheduler, recorded from a rich run and replayed through any module of decisions.
 
-`PYTHONPATH=. python tests/replayed.py BEFORE.py [SEEDS]` replays many runs through this tree's module and
-through another, in a file of its own, and compares the actions byte for byte.  With `record` in place of a
-file it writes the small run that test_replayed.py replays.
+`PYTHONPATH=. python tests/support/replayed.py BEFORE.py [SEEDS]` replays many runs through this tree's module
+and through another, in a file of its own, and compares the actions byte for byte.  With `record` in place
+of a file it writes the small run that test_replayed.py replays.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from pathlib import Path
 
 import msgspec
-from conftest import make_settings
+from scheduler_rig import make_settings
 
-from mallowbeam import Scheduler
-from mallowbeam import interface as io
+from mallowbeam.storage_gateway.scheduler import Scheduler
+from mallowbeam.storage_gateway.scheduler import interface as io
 
 FILE = Path(__file__).with_name("control.trace")
 KINDS = {
--- a/tests/scenario.py
+++ b/tests/support/scenario.py
@@ -24,18 +24,17 @@
 import re
 import shlex
 import socket
-from pathlib import Path
 
 import uvloop
+from project_paths import EXAMPLE
 
 from mallowbeam.http.framing import REASONS, Framer, Message
-from mallowbeam.net import config as configs
-from mallowbeam.net.admin import open_admin
-from mallowbeam.net.gateway import Gateway
-from mallowbeam.net.handover import take_over
-from mallowbeam.program import open_servers
+from mallowbeam.storage_gateway.application import open_servers
+from mallowbeam.storage_gateway.server import config as configs
+from mallowbeam.storage_gateway.server.admin import open_admin
+from mallowbeam.storage_gateway.server.gateway import Gateway
+from mallowbeam.storage_gateway.server.handover import take_over
 
-EXAMPLE = Path(__file__).parent.parent / "example"
 PATIENCE = 10.0  # seconds until what is expected counts as missing
 LARGE = 1 << 26
 
--- a/tests/simulated.py
+++ b/tests/support/simulated.py
@@ -12,15 +12,15 @@
 import re
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field, replace
-from pathlib import Path
 
-from mallowbeam import interface as io
+from project_paths import EXAMPLE
+
 from mallowbeam.http.client import Link, Unsent
 from mallowbeam.http.framing import Framer
-from mallowbeam.net import config as configs
-from mallowbeam.net.gateway import Gateway
+from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.server import config as configs
+from mallowbeam.storage_gateway.server.gateway import Gateway
 
-EXAMPLE = Path(__file__).parent.parent / "example"
 QUEUE = 1.0  # seconds that a call waits in discovery's queue before it is turned away, at most
 
 
--- a/tests/snapshot_load.py
+++ b/tests/support/snapshot_load.py
@@ -1,6 +1,6 @@
 """A member's log, disk writer and real store under large configurations that do not compress, in one process.
 
-    python tests/snapshot_load.py COUNT BYTES [DISK_MB]        with PYTHONPATH=.:tests
+    python tests/support/snapshot_load.py COUNT BYTES [DISK_MB]        with PYTHONPATH=.
 
 Prints a JSON object: peak memory of the process and largest size of the store, in MiB, what a restart reads
 back, and the seconds that all took.
@@ -17,16 +17,16 @@
 from pathlib import Path
 from random import Random
 
-from mallowbeam.configuration.parsing import ConfigurationParser
-from mallowbeam.consensus.errors import ConsensusError
-from mallowbeam.consensus.interface import RaftSettings
-from mallowbeam.consensus.node import RaftNode
-from mallowbeam.consensus.storage import ReplicaStore
-from mallowbeam.control_plane.disk_writer import DiskWriter
-from mallowbeam.control_plane.member import TRAILING_ENTRIES
-from mallowbeam.control_plane.raft_driver import RaftDriver
-from mallowbeam.control_plane.state_machine import ReplicatedStateMachine
-from mallowbeam.rpc.messages_pb2 import DONE, Command, Member, Membership, PutConfiguration, Snapshot
+from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.consensus.errors import ConsensusError
+from mallowbeam.router.consensus.interface import RaftSettings
+from mallowbeam.router.consensus.node import RaftNode
+from mallowbeam.router.consensus.storage import ReplicaStore
+from mallowbeam.router.control_plane.disk_writer import DiskWriter
+from mallowbeam.router.control_plane.member import TRAILING_ENTRIES
+from mallowbeam.router.control_plane.raft_driver import RaftDriver
+from mallowbeam.router.control_plane.state_machine import ReplicatedStateMachine
+from mallowbeam.router.rpc.messages_pb2 import DONE, Command, Member, Membership, PutConfiguration, Snapshot
 
 OWN = 1
 CALLERS = 8  # operators' orders that may be under way at once
--- a/tests/storage_disk.py
+++ b/tests/support/storage_disk.py
@@ -20,7 +20,7 @@
 
 import lmdb
 
-from mallowbeam.consensus.storage import files, seal, store
+from mallowbeam.router.consensus.storage import files, seal, store
 
 SECTOR = 512
 META_START, META_END = 32, 152  # what lmdb writes into a meta page
--- a/tests/storage_model.py
+++ b/tests/support/storage_model.py
@@ -5,8 +5,8 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from mallowbeam.consensus.interface import HardState, Restored, Write
-from mallowbeam.rpc.messages_pb2 import COMMAND, Entry, Member, Membership, Snapshot
+from mallowbeam.router.consensus.interface import HardState, Restored, Write
+from mallowbeam.router.rpc.messages_pb2 import COMMAND, Entry, Member, Membership, Snapshot
 
 IDENTITY = 0x8000_0000_0000_0001
 FIRST = Snapshot(membership=Membership(members=[Member(id=IDENTITY, address="10.0.0.1:1", voter=True)]))
--- a/tests/storage_trial.py
+++ b/tests/support/storage_trial.py
@@ -1,6 +1,6 @@
 """Trials of power loss: a store lives on a stand-in disk; after every call, images are drawn and opened.
 
-Run for longer: ``python tests/storage_trial.py --images 20000 --seed 1``.
+Run for longer: ``python tests/support/storage_trial.py --images 20000 --seed 1``.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from storage_disk import Calls, Disk, Inode, draw
 from storage_model import FIRST, IDENTITY, Model, draw_batch
 
-from mallowbeam.consensus.interface import Write
-from mallowbeam.consensus.storage import ReplicaStore, StoreFailedError, StoreFullError
-from mallowbeam.consensus.storage.store import FILE
+from mallowbeam.router.consensus.interface import Write
+from mallowbeam.router.consensus.storage import ReplicaStore, StoreFailedError, StoreFullError
+from mallowbeam.router.consensus.storage.store import FILE
 
 DISK_MB = 16
 
--- a/tests/system_bulk.py
+++ b/tests/support/system_bulk.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from mallowbeam.control_plane.peer_links import PeerLink
+from mallowbeam.router.control_plane.peer_links import PeerLink
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.fleet_history import ApiCall
 from mallowbeam.simulation.fleet_operators import CLEAR, document
--- a/tests/system_cli.py
+++ b/tests/support/system_cli.py
@@ -18,7 +18,6 @@
 from mallowbeam.cli import system
 from mallowbeam.cli.system_client import ControlClient
 
-ROOT = Path(__file__).parent.parent
 ROUTE = {
     "name": "r",
     "hostname": "a.example",
--- a/tests/timed_instances.py
+++ b/tests/support/timed_instances.py
@@ -5,9 +5,10 @@
 import asyncio
 from dataclasses import dataclass, field, replace
 
-from mallowbeam.admission.messages import Plan, PlanRequest, Refusal
+from failing_instances import ByName
+
+from mallowbeam.router.admission.messages import Plan, PlanRequest, Refusal
 from mallowbeam.standins.model_server import ModelServer, Seen, chunk
-from tests.failing_instances import ByName
 
 
 def now() -> float:
--- a/tests/topics.py
+++ b/tests/support/topics.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from mallowbeam.fleet.agreement import Agreement, Broken, Hosted, Proof
-from mallowbeam.fleet.log import Committed, Entry, Log, Refusal
-from mallowbeam.fleet.policy import Change
 from mallowbeam.lab.rig import hold_port
+from mallowbeam.storage_gateway.coordination.agreement import Agreement, Broken, Hosted, Proof
+from mallowbeam.storage_gateway.coordination.log import Committed, Entry, Log, Refusal
+from mallowbeam.storage_gateway.coordination.policy import Change
 
 
 class Add(Entry, frozen=True, tag="add"):
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -4,14 +4,14 @@
 
 import pkgutil
 from importlib import import_module
-from pathlib import Path
 
 import pytest
+from project_paths import DOCS
 
 import mallowbeam
 from mallowbeam.errors import MallowbeamError
 
-PAGE = Path(__file__).parent.parent / "docs" / "on-call.md"
+PAGE = DOCS / "on-call.md"
 
 
 def all_types() -> list[type[MallowbeamError]]:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Who may import whom: no circles; `net/` knows nothing that stands on it, `http/` only the errors."""
+"""Who may import whom: no circles; `server/` knows nothing that stands on it, `http/` only the errors."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 from pathlib import Path
 
 import pytest
+from project_paths import ROOT
 
-ROOT = Path(__file__).parent.parent
-BELOW_NET = {
+SERVER = "mallowbeam.storage_gateway.server"
+BELOW_SERVER = {
     "mallowbeam",
-    "mallowbeam.control",
-    "mallowbeam.facade",
-    "mallowbeam.interface",
-    "mallowbeam.settings",
+    "mallowbeam.storage_gateway.scheduler",
+    "mallowbeam.storage_gateway.scheduler.gateway_host",
+    "mallowbeam.storage_gateway.scheduler.interface",
+    "mallowbeam.storage_gateway.scheduler.settings",
     "mallowbeam.errors",
 }
 
@@ -51,7 +52,7 @@
 
 def test_no_module_imports_itself_by_way_of_others():
     graph = {name: imported(tree) for name, tree in MODULES.items()}
-    assert "mallowbeam.net.handover" in graph["mallowbeam.net.gateway"]
+    assert "mallowbeam.storage_gateway.server.handover" in graph["mallowbeam.storage_gateway.server.gateway"]
     check(graph)
 
 
@@ -60,13 +61,11 @@
         check({"a": {"b"}, "b": {"a"}})
 
 
-@pytest.mark.parametrize("name", sorted(name for name in MODULES if name.startswith("mallowbeam.net.")))
+@pytest.mark.parametrize("name", sorted(name for name in MODULES if name.startswith(f"{SERVER}.")))
 def test_net_imports_only_what_is_below_it(name):
     assert {
-        other
-        for other in imported(MODULES[name])
-        if not other.startswith(("mallowbeam.net", "mallowbeam.http"))
-    } <= BELOW_NET
+        other for other in imported(MODULES[name]) if not other.startswith((SERVER, "mallowbeam.http"))
+    } <= BELOW_SERVER
 
 
 @pytest.mark.parametrize("name", sorted(name for name in MODULES if name.startswith("mallowbeam.http.")))
