--- a/mallowbeam/lab/faults/broken.py
+++ b/mallowbeam/lab/faults/broken.py
@@ -10,27 +10,27 @@
 import sys
 from collections.abc import Callable
 
-from mallowbeam.storage_gateway.coordination.maintenance import core, order, part
+from mallowbeam.storage_gateway.coordination.maintenance import actions, part, selection
 
 
 def deaf() -> None:
     """Drains are told, and not done."""
     done = part.MaintenancePart._do
 
-    def _do(self: part.MaintenancePart, actions: list[core.Action]) -> None:
-        done(self, [action for action in actions if not isinstance(action, core.Drain)])
+    def _do(self: part.MaintenancePart, due: list[actions.Action]) -> None:
+        done(self, [action for action in due if not isinstance(action, actions.Drain)])
 
     part.MaintenancePart._do = _do  # type: ignore[method-assign]
 
 
 def hasty() -> None:
     """Any machine may go at any time."""
-    made = order.Order.__init__
+    made = selection.MachineSelector.__init__
 
-    def __init__(self: order.Order, members: tuple[str, ...], limits: object = ()) -> None:
+    def __init__(self: selection.MachineSelector, members: tuple[str, ...], constraints: object = ()) -> None:
         made(self, members, ())
 
-    order.Order.__init__ = __init__  # type: ignore[method-assign]
+    selection.MachineSelector.__init__ = __init__  # type: ignore[method-assign]
 
 
 HOW: dict[str, Callable[[], None]] = {"deaf": deaf, "hasty": hasty}
--- a/mallowbeam/lab/faults/walk.py
+++ b/mallowbeam/lab/faults/walk.py
@@ -15,9 +15,11 @@
 
 from mallowbeam.lab.faults.orderly import Arrival, Asked, Down, Ended, Event, Moved, Read, Told
 from mallowbeam.storage_gateway.coordination.log import Committed, Entry, Log, Refusal
-from mallowbeam.storage_gateway.coordination.maintenance import core as c
-from mallowbeam.storage_gateway.coordination.maintenance import state as s
-from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance
+from mallowbeam.storage_gateway.coordination.maintenance import actions
+from mallowbeam.storage_gateway.coordination.maintenance.entries import NodeStatus
+from mallowbeam.storage_gateway.coordination.maintenance.gateway_core import MaintenanceCore
+from mallowbeam.storage_gateway.coordination.maintenance.state import MaintenanceState
+from mallowbeam.storage_gateway.coordination.maintenance.state_machine import MaintenanceStateMachine
 from mallowbeam.storage_gateway.coordination.policy import Mark, PolicyCore
 
 TICK = 0.05  # simulated seconds of one step
@@ -25,7 +27,7 @@
 WORK_S = 0.6  # the longest that one request is at a node
 MACHINE = "maintenance"
 
-TIMES = c.Times(lease=LEASE, warm=1.0, report=0.4)
+TIMES = actions.Timings(lease_s=LEASE, warmup_s=1.0, report_s=0.4)
 
 
 @dataclass
@@ -54,7 +56,7 @@
 class Gateway:
     """One gateway: replica, core, gate and the work that it has out."""
 
-    core_type: Callable[..., c.MaintenanceCore] = c.MaintenanceCore
+    core_type: Callable[..., MaintenanceCore] = MaintenanceCore
 
     def __init__(self, walk: Walk, name: str) -> None:
         self.walk, self.name = walk, name
@@ -69,29 +71,29 @@
         self.up, self.stopped, self.read, self.lag = True, False, 0, 0.0
         self.log = Log([walk.topic()])
         self.core = self.core_type(self.name, self.life, walk.members, walk.now, walk.times)
-        self.core.machine = walk.topic()
-        self.gate = PolicyCore(walk.times.lease, BEAT)
+        self.core.state_machine = walk.topic()
+        self.gate = PolicyCore(walk.times.lease_s, BEAT)
         self.drained: set[str] = set()
         self.refuses = self.given = False
         self.work: list[tuple[float, str]] = []  # until when, at which node
         self.in_hand: list[float] = []
         self.view = {name: node.up for name, node in walk.nodes.items()}
 
-    def do(self, actions: Iterable[c.Action]) -> None:
+    def do(self, due: Iterable[actions.Action]) -> None:
         """What the core says."""
-        for action in actions:
+        for action in due:
             match action:
-                case c.Propose(entry):
+                case actions.Propose(entry):
                     self.walk.propose(self, entry)
-                case c.Drain(out):
+                case actions.Drain(out):
                     self.drained.add(out)
                     self.walk.add(Told(self.walk.now, self.name, out, True))
-                case c.Undrain(back):
+                case actions.Undrain(back):
                     self.drained.discard(back)
                     self.walk.add(Told(self.walk.now, self.name, back, False))
-                case c.StepDown(refuse):
+                case actions.StepDown(refuse):
                     self.given, self.refuses = True, refuse
-                case c.StepUp():
+                case actions.StepUp():
                     self.given = self.refuses = False
 
     def serves(self) -> bool:
@@ -116,10 +118,10 @@
         counts = dict.fromkeys(walk.nodes, 0)
         for _, name in self.work:
             counts[name] += 1
-        self.core.reports(
-            c.Local(
+        self.core.observe(
+            actions.LocalView(
                 {
-                    name: s.NodeFacts(
+                    name: NodeStatus(
                         node.zone,
                         node.shard,
                         node.weight,
@@ -152,7 +154,7 @@
         if item.mark:
             if item.life == self.life:
                 self.gate.marked(item.mark, now)
-                self.core.mark(self.gate.known_at)
+                self.core.caught_up(self.gate.known_at)
             return
         before = self.log.states[MACHINE]
         for told in take(self.log, item):
@@ -170,12 +172,12 @@
     return [] if entry is None else [entry]
 
 
-def changed(before: s.Maintained, after: s.Maintained) -> list[tuple[str, str]]:
+def changed(before: MaintenanceState, after: MaintenanceState) -> list[tuple[str, str]]:
     """The machines that took a step."""
     return [
         (name, item.step)
-        for name, item in sorted(after.items.items())
-        if (was := before.items.get(name)) is None or was.turn != item.turn
+        for name, item in sorted(after.machines.items())
+        if (was := before.machines.get(name)) is None or was.version != item.version
     ]
 
 
@@ -189,9 +191,9 @@
         nodes: int = 6,
         zones: int = 3,
         loss: float = 0.05,
-        topic: Callable[[tuple[str, ...]], Maintenance] = Maintenance,
+        topic: Callable[[tuple[str, ...]], MaintenanceStateMachine] = MaintenanceStateMachine,
         gateway: type[Gateway] = Gateway,
-        times: c.Times = TIMES,
+        times: actions.Timings = TIMES,
         work_s: float = WORK_S,
     ) -> None:
         self.rng, self.now, self.loss, self.times = random.Random(seed), 0.0, loss, times
@@ -214,7 +216,7 @@
         for one in self.gateways.values():
             one.boot()
 
-    def topic(self) -> Maintenance:
+    def topic(self) -> MaintenanceStateMachine:
         """A replica's machine."""
         return self.maker(self.members)
 
@@ -223,9 +225,9 @@
         self.history.append(event)
 
     @property
-    def state(self) -> s.Maintained:
+    def state(self) -> MaintenanceState:
         """What the log has committed."""
-        state: s.Maintained = self.reference.states[MACHINE]
+        state: MaintenanceState = self.reference.states[MACHINE]
         return state
 
     # --- the log ----------------------------------------------------------------------------------
--- a/mallowbeam/lab/faults/walks.py
+++ b/mallowbeam/lab/faults/walks.py
@@ -126,11 +126,11 @@
 
 def back(walk: Walk, machine: str) -> None:
     """An operator says that a machine is back."""
-    from mallowbeam.storage_gateway.coordination.maintenance.state import Back
+    from mallowbeam.storage_gateway.coordination.maintenance.entries import WorkCompleted
 
     for one in walk.gateways.values():
         if one.up and not one.stopped:
-            walk.propose(one, Back(machine))
+            walk.propose(one, WorkCompleted(machine))
 
 
 def main(runs: int, seed: int) -> int:
--- a/mallowbeam/storage_gateway/coordination/maintenance/part.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/part.py
@@ -14,9 +14,20 @@
 
 from mallowbeam.storage_gateway.coordination.errors import FleetError
 from mallowbeam.storage_gateway.coordination.log import Committed
-from mallowbeam.storage_gateway.coordination.maintenance import core as c
-from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance, shown
-from mallowbeam.storage_gateway.coordination.maintenance.state import AWAY, OVER, NodeFacts, Section
+from mallowbeam.storage_gateway.coordination.maintenance import actions
+from mallowbeam.storage_gateway.coordination.maintenance.entries import NodeStatus
+from mallowbeam.storage_gateway.coordination.maintenance.gateway_core import MaintenanceCore
+from mallowbeam.storage_gateway.coordination.maintenance.section import Section
+from mallowbeam.storage_gateway.coordination.maintenance.state_machine import (
+    MaintenanceStateMachine,
+    describe,
+)
+from mallowbeam.storage_gateway.coordination.maintenance.steps import (
+    FINISHED,
+    IN_PROGRESS,
+    OUT_OF_SERVICE,
+    Step,
+)
 from mallowbeam.storage_gateway.coordination.policy_text import owns
 from mallowbeam.storage_gateway.coordination.subsystem import Hands
 from mallowbeam.storage_gateway.operator_settings import MaintenanceSection
@@ -37,14 +48,14 @@
 
     def __init__(self, hands: Hands, section: MaintenanceSection) -> None:
         self.hands = hands
-        self.topic = Maintenance(hands.members)
+        self.topic = MaintenanceStateMachine(hands.members)
         now = time.monotonic()
-        self.core = c.MaintenanceCore(
+        self.core = MaintenanceCore(
             hands.me,
             f"{time.time_ns():x}",
             hands.members,
             now,
-            c.Times(lease=section.lease_s, report=section.report_s, warm=section.warm_s),
+            actions.Timings(lease_s=section.lease_s, report_s=section.report_s, warmup_s=section.warm_s),
         )
         self.allotments: list[Callable[[bool], bool]] = []
         self.warmers: list[Callable[[str, float], None]] = []
@@ -57,65 +68,67 @@
 
     def proven(self, put_in: float, now: float) -> None:
         """A mark came back."""
-        self.core.mark(put_in)
+        self.core.caught_up(put_in)
 
     def tick(self, now: float) -> None:
         """What the gateway sees now, and what is due."""
         hands = self.hands
         nodes = {
-            entry.node: NodeFacts(
+            entry.node: NodeStatus(
                 entry.zone, entry.shard, entry.weight, entry.state is NodeState.READY, hands.out(entry.node)
             )
             for entry in hands.nodes()
         }
         gave_up = self.down and all([give(True) for give in self.allotments])
-        self.core.reports(c.Local(nodes, hands.held(), gave_up, hands.me if hands.leader() else None))
+        self.core.observe(
+            actions.LocalView(nodes, hands.held(), gave_up, hands.me if hands.leader() else None)
+        )
         self._do(self.core.tick(now))
 
     def asked(self, act: str, what: str) -> dict[str, object]:
         """An operator's word at the page; raises a `FleetError`."""
-        item = self.core.state.items.get(what)
-        if act != "back" or item is None or item.step not in ("out", "lost"):
+        item = self.core.state.machines.get(what)
+        if act != "back" or item is None or item.step not in OUT_OF_SERVICE:
             step = item.step if item else "no machine of a request"
             raise NotOut(f"{what!r} is {step}", f"maintenance/{act}")
-        self.core.back(what)
+        self.core.complete_work(what)
         return {"machine": what, "step": item.step, "told": "back"}
 
     def shown(self) -> dict[str, object]:
         """Steps, order and reasons."""
-        return shown(self.topic, self.core.state) | {"counted": self.core.serves(time.monotonic())}
+        return describe(self.topic, self.core.state) | {"counted": self.core.serves(time.monotonic())}
 
     def gauges(self) -> Mapping[str, float]:
         """How many machines are where."""
-        items = self.core.state.items.values()
+        items = self.core.state.machines.values()
         return {
-            "waiting": sum(item.step == "proposed" for item in items),
-            "away": sum(item.step in AWAY for item in items),
-            "lost": sum(item.step == "lost" for item in items),
-            "over": sum(item.step in OVER for item in items),
+            "waiting": sum(item.step == Step.PROPOSED for item in items),
+            "away": sum(item.step in IN_PROGRESS for item in items),
+            "lost": sum(item.step == Step.LOST for item in items),
+            "over": sum(item.step in FINISHED for item in items),
         }
 
-    def _do(self, actions: list[c.Action]) -> None:
-        for action in actions:
+    def _do(self, due: list[actions.Action]) -> None:
+        for action in due:
             match action:
-                case c.Propose(entry):
+                case actions.Propose(entry):
                     self.hands.propose(entry)
-                case c.Drain(node):
+                case actions.Drain(node):
                     self.hands.drain(node, True)
-                case c.Undrain(back):
+                case actions.Undrain(back):
                     self.hands.drain(back, False)
-                case c.Warm(cold, share):
+                case actions.WarmUp(cold, share):
                     for warm in self.warmers:
                         warm(cold, share)
-                case c.StepDown(refuse):
+                case actions.StepDown(refuse):
                     self.down = True
                     self.hands.gate(not refuse)
-                case c.StepUp():
+                case actions.StepUp():
                     self.down = False
                     for give in self.allotments:
                         give(False)
                     self.hands.gate(True)
-                case c.Note(text):
+                case actions.LogMessage(text):
                     logger.bind(maintenance="step").info("maintenance: {}", text)
 
 
--- /dev/null
+++ b/mallowbeam/storage_gateway/coordination/maintenance/selection.py
@@ -0,0 +1,108 @@
+"""Selection of the next machine: a pure function of the replicated state.
+
+Candidates are tried in one order, and the first that all constraints admit is selected.  The constraints
+hold for each request that names the candidate, and for each request with a machine in progress.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
+from mallowbeam.storage_gateway.coordination.maintenance.constraints import CONSTRAINTS, Constraint
+from mallowbeam.storage_gateway.coordination.maintenance.fleet_view import FleetView, merge_reports
+from mallowbeam.storage_gateway.coordination.maintenance.section import Request
+from mallowbeam.storage_gateway.coordination.maintenance.state import MachineState, MaintenanceState
+from mallowbeam.storage_gateway.coordination.maintenance.steps import IN_PROGRESS, Step
+
+
+@dataclass(frozen=True, slots=True)
+class Selection:
+    """The selected machine, or None; with the reason in either case."""
+
+    machine: str | None
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class MachineSelector:
+    """Selects machines for a fleet of these gateways under these constraints."""
+
+    members: tuple[str, ...]
+    constraints: tuple[Constraint, ...] = field(default=CONSTRAINTS)
+
+    def blocking_reason(self, state: MaintenanceState, machine: MachineState, view: FleetView) -> str:
+        """Why this machine may not be out of service now; "" if it may."""
+        view = view.without(machine.name)
+        for request in self._applicable_requests(state, machine, view):
+            for constraint in self.constraints:
+                if reason := constraint(view, machine.name, request):
+                    return reason
+        return ""
+
+    def _applicable_requests(
+        self, state: MaintenanceState, machine: MachineState, view: FleetView
+    ) -> list[Request]:
+        """The requests that name this machine and those with a machine in progress, by their id."""
+        ids = set(machine.request_ids)
+        for name in view.in_progress:
+            ids |= set(state.machines[name].request_ids)
+        return [state.requests[request_id] for request_id in sorted(ids) if request_id in state.requests]
+
+    def candidates(self, state: MaintenanceState, view: FleetView) -> list[MachineState]:
+        """The machines that wait to be selected, in the order in which they are tried.
+
+        Nodes come before gateways, as the selection rests on gateways' reports; then machines of a zone
+        where maintenance has begun, so that few zones are disturbed; then those with the fewest requests in
+        flight, which are drained soonest, the least utilized, and by name.
+        """
+        begun_zones = {
+            view.zone(machine.name)
+            for machine in state.machines.values()
+            if machine.step in IN_PROGRESS or machine.step == Step.DONE
+        }
+        waiting = [
+            machine
+            for machine in state.machines.values()
+            if machine.step == Step.PROPOSED and not state.is_halted(machine)
+        ]
+        return sorted(
+            waiting,
+            key=lambda machine: (
+                machine.is_gateway,
+                view.zone(machine.name) not in begun_zones,
+                view.in_flight(machine.name),
+                round(view.utilization(machine.name), 2),
+                machine.name,
+            ),
+        )
+
+    def select(self, state: MaintenanceState, view: FleetView | None = None) -> Selection:
+        """The next machine; the same on every gateway that has applied the same entries."""
+        view = view or merge_reports(state, self.members)
+        candidates = self.candidates(state, view)
+        blocked: list[str] = []
+        for machine in candidates:
+            if reason := self.blocking_reason(state, machine, view):
+                blocked.append(f"{machine.name} may not go: {reason}")
+                continue
+            return Selection(machine.name, self._selected_reason(machine, view, len(candidates), blocked))
+        if blocked:
+            return Selection(None, f"paused: {blocked[0]}")
+        if state.halted_requests and any(
+            machine.step == Step.PROPOSED for machine in state.machines.values()
+        ):
+            return Selection(None, "stopped: " + "; ".join(state.halted_requests.values()))
+        return Selection(None, "nothing waits")
+
+    def _selected_reason(
+        self, machine: MachineState, view: FleetView, candidates: int, blocked: Sequence[str]
+    ) -> str:
+        if machine.is_gateway:
+            preference = "a gateway, as no node may go"
+        else:
+            preference = (
+                f"zone {view.zone(machine.name)!r}, {view.in_flight(machine.name)} attempts out there"
+            )
+        reason = f"{machine.name} is next of {candidates} that wait: {preference}"
+        return f"{reason}; {blocked[0]}" if blocked else reason
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_broken.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_broken.py
@@ -11,51 +11,71 @@
 from mallowbeam.lab.faults import orderly as o
 from mallowbeam.lab.faults.walk import Gateway, Walk
 from mallowbeam.lab.faults.walks import places
-from mallowbeam.storage_gateway.coordination.maintenance import core as c
-from mallowbeam.storage_gateway.coordination.maintenance import order as r
-from mallowbeam.storage_gateway.coordination.maintenance import state as s
-from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance
+from mallowbeam.storage_gateway.coordination.maintenance import actions, constraints
+from mallowbeam.storage_gateway.coordination.maintenance.entries import StatusReport, Transition
+from mallowbeam.storage_gateway.coordination.maintenance.gateway_core import MaintenanceCore
+from mallowbeam.storage_gateway.coordination.maintenance.selection import MachineSelector
+from mallowbeam.storage_gateway.coordination.maintenance.state_machine import MaintenanceStateMachine
+from mallowbeam.storage_gateway.coordination.maintenance.steps import Step
+from mallowbeam.storage_gateway.coordination.maintenance.transitions import CONSTRAINED_STEPS, TransitionGuard
 
 
-def without(*limits):
-    """A machine that knows all limits but these."""
-    return lambda members: Maintenance(members, tuple(x for x in r.LIMITS if x not in limits))
+def without(*left_out):
+    """A state machine that knows all constraints but these."""
+    kept = tuple(each for each in constraints.CONSTRAINTS if each not in left_out)
+    return lambda members: MaintenanceStateMachine(members, kept)
 
 
-class NeverAgain(Maintenance):
-    """Looks at the limits when it agrees, and not again."""
+class NeverAgain(MaintenanceStateMachine):
+    """Checks the constraints when it selects a machine, and not again."""
 
-    def hindered(self, now, item, to, view=None):
-        if (item.step, to) in (("agreed", "draining"), ("empty", "out")):
-            return self._unsaid(now, item, "empty") if to == "out" else ""
-        return "no" if to == "proposed" else super().hindered(now, item, to, view)
+    class Guard(TransitionGuard):
+        def blocked_reason(self, state, machine, target, view=None):
+            if (machine.step, target) in CONSTRAINED_STEPS:
+                return self.missing_report(state, machine, Step.EMPTY) if target == Step.OUT else ""
+            return "no" if target == Step.PROPOSED else super().blocked_reason(state, machine, target, view)
+
+    def __init__(self, members):
+        super().__init__(members, guard=self.Guard)
 
 
-class Unasked(Maintenance):
+class Unasked(MaintenanceStateMachine):
     """Believes that all is empty."""
 
-    def _unsaid(self, now, item, what):
-        return ""
+    class Guard(TransitionGuard):
+        def missing_report(self, state, machine, step):
+            return ""
 
+    def __init__(self, members):
+        super().__init__(members, guard=self.Guard)
 
-class FirstWord(Maintenance):
-    """One gateway's word is enough."""
 
-    def _unsaid(self, now, item, what):
-        said = [x for x in now.reports.values() if item.machine in (x.empty if what == "empty" else x.warm)]
-        return "" if said else "nobody has said so"
+class FirstWord(MaintenanceStateMachine):
+    """One gateway's report is enough."""
 
-    def _step(self, now, index, item, to, why):
-        return now if (item.step, to) == ("empty", "draining") else super()._step(now, index, item, to, why)
+    class Guard(TransitionGuard):
+        def missing_report(self, state, machine, step):
+            lists = [each.empty if step == Step.EMPTY else each.warm for each in state.reports.values()]
+            return "" if any(machine.name in names for names in lists) else "nobody has said so"
+
+    def __init__(self, members):
+        super().__init__(members, guard=self.Guard)
+
+    def take_step(self, state, index, machine, target, reason):
+        if (machine.step, target) == (Step.EMPTY, Step.DRAINING):
+            return state
+        return super().take_step(state, index, machine, target, reason)
 
 
 def blind(members):
     """Takes what is down for up."""
 
-    def up(limit):
-        return lambda view, machine, rule: limit(dataclasses.replace(view, down=frozenset()), machine, rule)
+    def up(constraint):
+        return lambda view, machine, request: constraint(
+            dataclasses.replace(view, down=frozenset()), machine, request
+        )
 
-    return Maintenance(members, tuple(up(limit) for limit in r.LIMITS))
+    return MaintenanceStateMachine(members, tuple(up(each) for each in constraints.CONSTRAINTS))
 
 
 class Own:
@@ -69,24 +89,23 @@
         return cls.count
 
 
-class OwnOrder(Maintenance):
+class OwnOrder(MaintenanceStateMachine):
     """Each replica has an order of its own."""
 
     def __init__(self, members):
-        super().__init__(members)
         salt = Own.number()
 
-        class Mixed(r.Order):
-            def waiting(self, state, view):
+        class Mixed(MachineSelector):
+            def candidates(self, state, view):
                 return sorted(
-                    super().waiting(state, view),
-                    key=lambda item: zlib.crc32(f"{item.machine}{salt}".encode()),
+                    super().candidates(state, view),
+                    key=lambda machine: zlib.crc32(f"{machine.name}{salt}".encode()),
                 )
 
-        self.order = Mixed(self.members)
+        super().__init__(members, selector=Mixed)
 
 
-class Forgetful(Maintenance):
+class Forgetful(MaintenanceStateMachine):
     """Some replicas pass over an entry now and then."""
 
     def __init__(self, members):
@@ -94,20 +113,20 @@
         self.odd = Own.number() % 3 == 0
 
     def apply(self, states, index, by, entry):
-        if self.odd and isinstance(entry, s.Move) and entry.to == "draining":
+        if self.odd and isinstance(entry, Transition) and entry.target == Step.DRAINING:
             return states[self.name]
         return super().apply(states, index, by, entry)
 
 
-class Local(Maintenance):
-    """The choice rests on what this replica saw of late, not on what is agreed."""
+class Local(MaintenanceStateMachine):
+    """The selection rests on what this replica saw of late, not on what is agreed."""
 
     def __init__(self, members):
         super().__init__(members)
         self.salt = Own.number()
 
     def apply(self, states, index, by, entry):
-        if isinstance(entry, s.Report) and (index + self.salt) % 2:
+        if isinstance(entry, StatusReport) and (index + self.salt) % 2:
             return states[self.name]
         return super().apply(states, index, by, entry)
 
@@ -115,8 +134,8 @@
 class Deaf(Gateway):
     """Goes on sending to what is drained."""
 
-    def do(self, actions):
-        super().do(actions)
+    def do(self, due):
+        super().do(due)
         self.drained = set()
 
 
@@ -127,24 +146,25 @@
         return not self.refuses
 
 
-class Hasty(c.MaintenanceCore):
+class Hasty(MaintenanceCore):
     """Says empty at once, whatever is out."""
 
-    def _empty(self, now):
-        return [name for name, item in self.state.items.items() if item.step in ("draining", "empty")]
+    def empty_machines(self, now):
+        machines = self.state.machines
+        return [name for name, each in machines.items() if each.step in (Step.DRAINING, Step.EMPTY)]
 
 
 class HastyGateway(Gateway):
     core_type = Hasty
 
 
-class Early(c.MaintenanceCore):
+class Early(MaintenanceCore):
     """Takes a gateway for gone that it has not heard of for a moment."""
 
-    def _due(self, now):
-        self.proven, was = now + 9.0, self.proven
-        found = super()._due(now)
-        self.proven = was
+    def due_entries(self, now):
+        renewed_at, self.lease.renewed_at = self.lease.renewed_at, now + 9.0
+        found = super().due_entries(now)
+        self.lease.renewed_at = renewed_at
         return found
 
 
@@ -152,7 +172,7 @@
     core_type = Early
 
 
-def trial(topic=Maintenance, gateway=Gateway, work_s=0.6, **changes):
+def trial(topic=MaintenanceStateMachine, gateway=Gateway, work_s=0.6, **changes):
     """A walk where each rule matters."""
     asked = {"id": "a", "machines": ["n0", "n1", "n3", "n4", "g1", "g2"], "at_once": 2, "time_s": 60.0}
     asked |= changes
@@ -166,26 +186,34 @@
     return walk, [asked]
 
 
-QUICK = c.Times(lease=5.0, report=0.1, soon=0.05, again=0.3, rank=0.1)
+QUICK = actions.Timings(
+    lease_s=5.0, report_s=0.1, changed_report_s=0.05, proposal_timeout_s=0.3, rank_delay_s=0.1
+)
+MANY = {"zone_floor": 0.0, "at_once": 9, "sole_data": True}
 WIDE = {"at_once": 9, "at_once_zone": 9, "zone_floor": 0.0, "sole_data": True}
 
 BROKEN = [
-    (o.too_many, without(r.in_all), Gateway, {}),
-    (o.too_many, without(r.in_zone), Gateway, {"zone_floor": 0.0, "at_once": 9, "sole_data": True}),
-    (o.too_many, without(r.in_all, r.in_zone), Gateway, {}),
-    (o.below_floor, without(r.zone_capacity), Gateway, WIDE | {"zone_floor": 0.5}),
-    (o.below_floor, without(r.shard_capacity), Gateway, WIDE | {"shard_floor": 0.6}),
-    (o.together, without(r.apart), Gateway, WIDE | {"repeats": "zone"}),
-    (o.together, without(r.apart), Gateway, WIDE | {"repeats": "shard"}),
-    (o.together, without(r.apart), Gateway, WIDE | {"repeats": "all"}),
+    (o.too_many, without(constraints.max_unavailable), Gateway, {}),
+    (
+        o.too_many,
+        without(constraints.max_unavailable_in_zone),
+        Gateway,
+        {"zone_floor": 0.0, "at_once": 9, "sole_data": True},
+    ),
+    (o.too_many, without(constraints.max_unavailable, constraints.max_unavailable_in_zone), Gateway, {}),
+    (o.below_floor, without(constraints.zone_capacity), Gateway, WIDE | {"zone_floor": 0.5}),
+    (o.below_floor, without(constraints.shard_capacity), Gateway, WIDE | {"shard_floor": 0.6}),
+    (o.together, without(constraints.retry_peers), Gateway, WIDE | {"repeats": "zone"}),
+    (o.together, without(constraints.retry_peers), Gateway, WIDE | {"repeats": "shard"}),
+    (o.together, without(constraints.retry_peers), Gateway, WIDE | {"repeats": "all"}),
     (o.orders_differ, OwnOrder, Gateway, {}),
     (o.orders_differ, Forgetful, Gateway, {}),
     (o.orders_differ, Local, Gateway, {}),
-    (o.sent_to_drained, Maintenance, Deaf, {}),
-    (o.sent_to_drained, Maintenance, HastyGateway, {"work_s": 6.0}),
+    (o.sent_to_drained, MaintenanceStateMachine, Deaf, {}),
+    (o.sent_to_drained, MaintenanceStateMachine, HastyGateway, {"work_s": 6.0}),
     (o.sent_to_drained, Unasked, Gateway, {"work_s": 6.0}),
     (o.sent_to_drained, FirstWord, Gateway, {"work_s": 6.0}),
-    (o.without_quorum, without(r.majority), Gateway, WIDE),
+    (o.without_quorum, without(constraints.quorum), Gateway, WIDE),
     (o.without_quorum, blind, Gateway, WIDE),
     (o.without_quorum, NeverAgain, Gateway, WIDE),
 ]
@@ -226,7 +254,7 @@
 @functools.cache
 def sound(checker, changes):
     """What the checker says of the machine, core and gateway as they are."""
-    return wrong(checker, Maintenance, Gateway, dict(changes))
+    return wrong(checker, MaintenanceStateMachine, Gateway, dict(changes))
 
 
 @pytest.mark.parametrize("checker, at_once", [(o.below_floor, 9), (o.too_many, 1)])
@@ -248,7 +276,7 @@
         walk.run(15.0)
         return checker(walk.history, places(walk), [asked])
 
-    assert run(blind) and not run(Maintenance)
+    assert run(blind) and not run(MaintenanceStateMachine)
 
 
 @pytest.mark.parametrize("checker, at_once", [(o.below_floor, 9), (o.too_many, 1)])
@@ -273,12 +301,12 @@
         walk.run(20.0)
         return checker(walk.history, places(walk), [asked])
 
-    assert run(NeverAgain) and not run(Maintenance)
+    assert run(NeverAgain) and not run(MaintenanceStateMachine)
 
 
 @pytest.mark.parametrize("gateway", [Gateless, EarlyGateway])
 def test_a_stopped_gateway_that_wakes(gateway):
-    """Its gate alone keeps it from what went out meanwhile; `Gone` before the lease's end is too soon."""
+    """Its gate alone keeps it from what went out meanwhile; `LeaseExpired` must not come too soon."""
 
     def run(kind):
         found = []
@@ -287,10 +315,10 @@
             walk.works = {"n0": 12.0}
             walk.run(4.0)
             walk.insist("g0", [{"id": "a", "machines": ["n0"], "time_s": 60.0}])
-            walk.run(20.0, lambda w=walk: w.state.items["n0"].step == "agreed")
+            walk.run(20.0, lambda w=walk: w.state.machines["n0"].step == "agreed")
             walk.gateways["g3"].view = dict.fromkeys(walk.nodes, True)
             walk.stop("g3")
-            walk.run(30.0, lambda w=walk: w.state.items["n0"].step == "out")
+            walk.run(30.0, lambda w=walk: w.state.machines["n0"].step == "out")
             walk.go("g3")
             walk.part(["g3"])  # it hears nothing for a while
             walk.run(3.0)
@@ -301,8 +329,8 @@
 
 
 def test_what_never_ends_is_caught():
-    class Silent(c.MaintenanceCore):
-        def _due(self, now):
+    class Silent(MaintenanceCore):
+        def due_entries(self, now):
             return []
 
     class Lazy(Gateway):
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_core.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_core.py
@@ -5,25 +5,34 @@
 import pytest
 
 from mallowbeam.storage_gateway.coordination.log import Log
-from mallowbeam.storage_gateway.coordination.maintenance import core as c
-from mallowbeam.storage_gateway.coordination.maintenance import state as s
-from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance
+from mallowbeam.storage_gateway.coordination.maintenance import actions
+from mallowbeam.storage_gateway.coordination.maintenance.entries import (
+    DeadlineExceeded,
+    LeaseExpired,
+    NodeStatus,
+    SelectNext,
+    StatusReport,
+    Transition,
+    WorkCompleted,
+)
+from mallowbeam.storage_gateway.coordination.maintenance.gateway_core import MaintenanceCore
+from mallowbeam.storage_gateway.coordination.maintenance.state_machine import MaintenanceStateMachine
 
 MEMBERS = ("g0", "g1", "g2")
-NODES = {f"n{i}": s.NodeFacts("ab"[i % 2], i // 2) for i in range(4)}
+NODES = {f"n{i}": NodeStatus("ab"[i % 2], i // 2) for i in range(4)}
 
 
 class Rig:
     """A core on a log of its own; it hears at once what is put in, and may be kept from it."""
 
     def __init__(self, name="g1", now=100.0, known=99.5):
-        self.log = Log([Maintenance(MEMBERS)])
-        self.core = c.MaintenanceCore(name, "l", MEMBERS, now)
-        self.core.mark(known)
-        self.core.reports(c.Local(NODES))
+        self.log = Log([MaintenanceStateMachine(MEMBERS)])
+        self.core = MaintenanceCore(name, "l", MEMBERS, now)
+        self.core.caught_up(known)
+        self.core.observe(actions.LocalView(NODES))
         self.name, self.now, self.did = name, now, []
         for by in MEMBERS:
-            self.put(by, s.Report("l" if by != name else "old", 1, 0, "z", NODES))
+            self.put(by, StatusReport("l" if by != name else "old", 1, 0, "z", NODES))
 
     def put(self, by, entry):
         told = self.log.apply(self.log.encode("maintenance", by, entry))
@@ -39,34 +48,34 @@
         """Let time pass; what the core proposes is put in, or lost, and handed back."""
         self.now += seconds
         found = self.core.tick(self.now)
-        entries = [action.entry for action in found if isinstance(action, c.Propose)]
-        self.did += [action for action in found if not isinstance(action, c.Propose)]
+        entries = [action.entry for action in found if isinstance(action, actions.Propose)]
+        self.did += [action for action in found if not isinstance(action, actions.Propose)]
         for entry in [] if lost else entries:
             self.put(self.name, entry)
         return entries
 
     def step(self, machine):
-        item = self.log.states["maintenance"].items[machine]
+        item = self.log.states["maintenance"].machines[machine]
         return item.step
 
     def draining(self, machine="n0"):
         self.push(machine)
-        self.put("g0", s.Next(0))
+        self.put("g0", SelectNext(0))
         if machine.startswith("g"):
-            self.put(machine, s.Report("l", 5, self.log.index, "z", NODES, gave_up=True))
-        self.put("g0", s.Move(machine, "draining", 1))
+            self.put(machine, StatusReport("l", 5, self.log.index, "z", NODES, released_allotments=True))
+        self.put("g0", Transition(machine, "draining", 1))
         assert self.step(machine) == "draining"
 
     def out(self):
         for turn, to in ((2, "empty"), (3, "out")):
             for by in MEMBERS:
-                self.put(by, s.Report("l", 50 + turn, self.log.index, "z", NODES, ["n0"]))
-            self.put("g0", s.Move("n0", to, turn))
+                self.put(by, StatusReport("l", 50 + turn, self.log.index, "z", NODES, ["n0"]))
+            self.put("g0", Transition("n0", to, turn))
         assert self.step("n0") == "out"
 
 
 def reports(entries):
-    return [entry for entry in entries if isinstance(entry, s.Report)]
+    return [entry for entry in entries if isinstance(entry, StatusReport)]
 
 
 def test_a_report_that_is_lost_is_made_again_and_one_that_came_back_is_not():
@@ -91,24 +100,24 @@
     rig = Rig()
     rig.now += 50.0  # nothing was asked for: nobody had to say anything
     rig.push("n0")
-    assert not [e for e in rig.wait(1.0) if isinstance(e, s.Gone)]
-    rig.put("g0", s.Report("l", 2, 0, "z", NODES))
+    assert not [e for e in rig.wait(1.0) if isinstance(e, LeaseExpired)]
+    rig.put("g0", StatusReport("l", 2, 0, "z", NODES))
     for _ in range(4):  # its own reports are lost: it may have missed the others'
-        assert not [e for e in rig.wait(1.0, lost=True) if isinstance(e, s.Gone)]
+        assert not [e for e in rig.wait(1.0, lost=True) if isinstance(e, LeaseExpired)]
     found = []
     for _ in range(6):
-        rig.put("g0", s.Report("l", 3 + rig.log.index, 0, "z", NODES))
-        found += [e for e in rig.wait(0.6) if isinstance(e, s.Gone)]
+        rig.put("g0", StatusReport("l", 3 + rig.log.index, 0, "z", NODES))
+        found += [e for e in rig.wait(0.6) if isinstance(e, LeaseExpired)]
     assert {e.gateway for e in found} == {"g2"}
 
 
 @pytest.mark.parametrize("leader, waits", [("g1", 0.0), ("g0", 0.5), ("g2", 1.0)])
 def test_the_leader_proposes_first_and_others_by_their_rank(leader, waits):
     rig = Rig()
-    rig.core.reports(c.Local(NODES, leader=leader))
+    rig.core.observe(actions.LocalView(NODES, leader=leader))
     rig.push("n0")
     spent = 0.0
-    while not any(isinstance(e, s.Next) for e in rig.wait(0.1, lost=True)):
+    while not any(isinstance(e, SelectNext) for e in rig.wait(0.1, lost=True)):
         spent += 0.1
         assert spent < 3.0
     assert spent == pytest.approx(waits, abs=0.11)
@@ -117,59 +126,59 @@
 def test_empty_is_said_after_a_moment_and_with_nothing_out():
     rig = Rig()
     rig.draining()
-    assert c.Drain("n0") in rig.did and not rig.core.may_send("n0")
+    assert actions.Drain("n0") in rig.did and not rig.core.accepts_work("n0")
     assert not any("n0" in e.empty for e in reports(rig.wait(0.2)))
-    busy = NODES | {"n0": s.NodeFacts("a", 0, work=1)}
-    rig.core.reports(c.Local(busy))
+    busy = NODES | {"n0": NodeStatus("a", 0, in_flight=1)}
+    rig.core.observe(actions.LocalView(busy))
     assert not any("n0" in e.empty for e in reports(rig.wait(0.5)))
-    rig.core.reports(c.Local(NODES))
+    rig.core.observe(actions.LocalView(NODES))
     assert any("n0" in e.empty for e in reports(rig.wait(0.2)))
 
 
 def test_a_gateway_gives_up_then_refuses_then_says_that_it_holds_nothing():
     rig = Rig()
     rig.push("g1")
-    rig.put("g0", s.Next(0))
-    assert rig.did[-1] == c.StepDown(False)
-    rig.core.reports(c.Local(NODES, in_hand=2, gave_up=True))
+    rig.put("g0", SelectNext(0))
+    assert rig.did[-1] == actions.StepDown(False)
+    rig.core.observe(actions.LocalView(NODES, in_flight=2, released_allotments=True))
     rig.wait(0.2)
-    rig.put("g0", s.Move("g1", "draining", 1))
-    assert rig.step("g1") == "draining" and c.StepDown(True) in rig.did
+    rig.put("g0", Transition("g1", "draining", 1))
+    assert rig.step("g1") == "draining" and actions.StepDown(True) in rig.did
     assert not any("g1" in e.empty for e in reports(rig.wait(0.6)))
-    rig.core.reports(c.Local(NODES, in_hand=0, gave_up=True))
+    rig.core.observe(actions.LocalView(NODES, in_flight=0, released_allotments=True))
     assert any("g1" in e.empty for e in reports(rig.wait(0.6)))
     rig.push("n0")  # taken back before it was out
-    assert c.StepUp() in rig.did
+    assert actions.StepUp() in rig.did
 
 
 def test_time_is_counted_from_agreement_by_its_own_clock():
     rig = Rig()
     rig.push("n0", time_s=5.0)
     rig.now += 60.0  # waiting is not counted
-    rig.put("g0", s.Next(0))
-    assert not [e for e in rig.wait(4.0, lost=True) if isinstance(e, s.TimeUp)]
+    rig.put("g0", SelectNext(0))
+    assert not [e for e in rig.wait(4.0, lost=True) if isinstance(e, DeadlineExceeded)]
     rig.wait(1.5, lost=True)
-    assert [e for e in rig.wait(1.0, lost=True) if isinstance(e, s.TimeUp)]
+    assert [e for e in rig.wait(1.0, lost=True) if isinstance(e, DeadlineExceeded)]
 
 
 def test_an_operators_word_is_proposed_until_the_log_has_it():
     rig = Rig()
     rig.draining()
     rig.out()
-    rig.core.back("n0")
+    rig.core.complete_work("n0")
     said = [rig.wait(0.5, lost=True) for _ in range(10)]
-    assert sum(s.Back("n0") in entries for entries in said) > 2
+    assert sum(WorkCompleted("n0") in entries for entries in said) > 2
     rig.wait(1.0)
     assert rig.step("n0") != "out"
-    assert not any(isinstance(e, s.Back) for _ in range(5) for e in rig.wait(0.5, lost=True))
+    assert not any(isinstance(e, WorkCompleted) for _ in range(5) for e in rig.wait(0.5, lost=True))
 
 
 def test_a_machine_that_is_back_gets_this_gateways_share_before_it_serves():
     rig = Rig()
     rig.draining()
     rig.out()
-    rig.put("g0", s.Back("n0"))
-    assert not rig.core.may_send("n0")
-    rig.put("g0", s.Move("n0", "warming", 5))
-    warm = c.Warm("n0", pytest.approx(1 / 3))
-    assert rig.did.index(warm) < rig.did.index(c.Undrain("n0"))
+    rig.put("g0", WorkCompleted("n0"))
+    assert not rig.core.accepts_work("n0")
+    rig.put("g0", Transition("n0", "warming", 5))
+    warm = actions.WarmUp("n0", pytest.approx(1 / 3))
+    assert rig.did.index(warm) < rig.did.index(actions.Undrain("n0"))
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_machine.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_machine.py
@@ -5,23 +5,36 @@
 import pytest
 
 from mallowbeam.storage_gateway.coordination.log import MOST_ENTRY, Log, Refusal
-from mallowbeam.storage_gateway.coordination.maintenance import core as c
-from mallowbeam.storage_gateway.coordination.maintenance import state as s
-from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance, shown
+from mallowbeam.storage_gateway.coordination.maintenance import actions
+from mallowbeam.storage_gateway.coordination.maintenance.entries import (
+    MAX_NODES,
+    DeadlineExceeded,
+    LeaseExpired,
+    NodeStatus,
+    SelectNext,
+    StatusReport,
+    Transition,
+    WorkCompleted,
+)
+from mallowbeam.storage_gateway.coordination.maintenance.gateway_core import MaintenanceCore
+from mallowbeam.storage_gateway.coordination.maintenance.state_machine import (
+    MaintenanceStateMachine,
+    describe,
+)
 
 MEMBERS = ("g0", "g1", "g2")
 
 
 def nodes(**changes):
     """Six nodes in two zones and three shards."""
-    found = {f"n{i}": s.NodeFacts("ab"[i % 2], i // 2, work=i) for i in range(6)}
+    found = {f"n{i}": NodeStatus("ab"[i % 2], i // 2, in_flight=i) for i in range(6)}
     return found | changes
 
 
 def fleet(members=MEMBERS, told=None, **requests):
-    log = Log([Maintenance(members)])
+    log = Log([MaintenanceStateMachine(members)])
     for name in members:
-        put(log, name, s.Report("l", 1, 0, "z", told or nodes()))
+        put(log, name, StatusReport("l", 1, 0, "z", told or nodes()))
     return log
 
 
@@ -56,109 +69,118 @@
     told = push(log, asked)
     assert isinstance(told, Refusal)
     assert what in told.what and remedy in told.remedy and told.where.startswith("maintenance")
-    assert state(log).items == {}
+    assert state(log).machines == {}
 
 
 def test_sole_data_and_small_fleets():
-    alone = fleet(told=nodes(n9=s.NodeFacts("a", 9)))
+    alone = fleet(told=nodes(n9=NodeStatus("a", 9)))
     assert "only n9 serves shard 9" in push(alone, ask("n9")).what
     assert not isinstance(push(alone, ask("n9", sole_data=True)), Refusal)
     assert "needs more than half" in push(fleet(("g0", "g1")), ask("g0")).what
     assert (
         "only n0 serves some of its data"
-        in push(fleet(told=nodes(n0=s.NodeFacts("a", 0, sole=True))), ask("n0")).what
+        in push(fleet(told=nodes(n0=NodeStatus("a", 0, sole_replica=True))), ask("n0")).what
     )
 
 
 def test_a_node_that_the_policy_drains_is_not_there():
     log = fleet()
     push(log, ask("n3"), drains=["n1"])
-    assert "n1 is not there, a allows 1 at once" in put(log, "g0", s.Next(0)).refusal.what
+    assert "n1 is not there, a allows 1 at once" in put(log, "g0", SelectNext(0)).refusal.what
 
 
 def test_no_report_no_request():
-    assert "no gateway has said yet" in push(Log([Maintenance(MEMBERS)]), ask("n0")).what
+    assert "no gateway has said yet" in push(Log([MaintenanceStateMachine(MEMBERS)]), ask("n0")).what
 
 
 def test_two_who_ask_for_the_next_get_one_and_it_says_why():
     log = fleet()
     push(log, ask("n2", "n0", "g1"))
-    first = put(log, "g0", s.Next(0))
-    assert first.refusal is None and state(log).items["n0"].step == "agreed"  # least work of its zone
-    assert put(log, "g1", s.Next(0)).refusal is not None
-    assert "n0 is next of 3" in state(log).items["n0"].why
-    paused = put(log, "g1", s.Next(1)).refusal
+    first = put(log, "g0", SelectNext(0))
+    assert first.refusal is None and state(log).machines["n0"].step == "agreed"  # least work of its zone
+    assert put(log, "g1", SelectNext(0)).refusal is not None
+    assert "n0 is next of 3" in state(log).machines["n0"].reason
+    paused = put(log, "g1", SelectNext(1)).refusal
     assert paused is not None and "n2 may not go: n0 is not there, a allows 1 at once" in paused.what
-    assert shown(Maintenance(MEMBERS), state(log))["next"].startswith("paused")
+    assert describe(MaintenanceStateMachine(MEMBERS), state(log))["next"].startswith("paused")
 
 
 def test_a_step_asked_for_twice_is_taken_once():
     log = fleet()
     push(log, ask("n0"))
-    put(log, "g0", s.Next(0))
-    assert put(log, "g0", s.Move("n0", "draining", 1)).refusal is None
-    assert put(log, "g1", s.Move("n0", "draining", 1)).refusal is not None
-    assert put(log, "g1", s.Move("n0", "out", 2)).refusal is not None
-    put(log, "g0", s.TimeUp("n0", 4))
-    assert state(log).items["n0"].step == "failed"
+    put(log, "g0", SelectNext(0))
+    assert put(log, "g0", Transition("n0", "draining", 1)).refusal is None
+    assert put(log, "g1", Transition("n0", "draining", 1)).refusal is not None
+    assert put(log, "g1", Transition("n0", "out", 2)).refusal is not None
+    put(log, "g0", DeadlineExceeded("n0", 4))
+    assert state(log).machines["n0"].step == "failed"
 
 
 def test_an_entry_meant_for_an_earlier_turn_is_a_duplicate():
     log = fleet()
     push(log, ask("n0", "n3", at_once=2))
-    put(log, "g0", s.Next(0))
-    assert put(log, "g1", s.Next(0)).refusal is not None  # though another could go
-    assert [item.step for item in state(log).items.values()] == ["agreed", "proposed"]
-    assert put(log, "g1", s.Move("n0", "draining", 0)).refusal is not None
-    assert put(log, "g1", s.TimeUp("n0", 1)).refusal is not None
-    assert put(log, "g1", s.Next(1)).refusal is None
+    put(log, "g0", SelectNext(0))
+    assert put(log, "g1", SelectNext(0)).refusal is not None  # though another could go
+    assert [item.step for item in state(log).machines.values()] == ["agreed", "proposed"]
+    assert put(log, "g1", Transition("n0", "draining", 0)).refusal is not None
+    assert put(log, "g1", DeadlineExceeded("n0", 1)).refusal is not None
+    assert put(log, "g1", SelectNext(1)).refusal is None
 
 
 def empty(log, *names, number, heard=None):
     for name in names:
-        put(log, name, s.Report("l", number, log.index if heard is None else heard, "z", nodes(), ["n0"]))
+        put(log, name, StatusReport("l", number, log.index if heard is None else heard, "z", nodes(), ["n0"]))
 
 
 def draining(log):
     push(log, ask("n0"))
-    put(log, "g0", s.Next(0))
-    put(log, "g0", s.Move("n0", "draining", 1))
+    put(log, "g0", SelectNext(0))
+    put(log, "g0", Transition("n0", "draining", 1))
 
 
 def test_empty_wants_every_live_gateway_after_it_heard():
     log = fleet()
     draining(log)
     empty(log, "g0", "g1", number=2)
-    assert "g2 has not said" in put(log, "g0", s.Move("n0", "empty", 2)).refusal.what
+    assert "g2 has not said" in put(log, "g0", Transition("n0", "empty", 2)).refusal.what
     empty(log, "g2", number=2, heard=1)  # said before it heard of the drain: no word
-    assert "g2 has not said" in put(log, "g0", s.Move("n0", "empty", 2)).refusal.what
-    assert put(log, "g0", s.Gone("g2", "l", 1)).refusal is not None  # it has been heard since
-    assert put(log, "g0", s.Gone("g2", "l", 2)).refusal is None
-    assert put(log, "g0", s.Move("n0", "empty", 2)).refusal is None
-    put(log, "g2", s.Report("l", 3, log.index, "z", nodes()))  # it is back, with work out there
-    assert state(log).items["n0"].step == "draining" and state(log).gone == frozenset()
+    assert "g2 has not said" in put(log, "g0", Transition("n0", "empty", 2)).refusal.what
+    assert put(log, "g0", LeaseExpired("g2", "l", 1)).refusal is not None  # it has been heard since
+    assert put(log, "g0", LeaseExpired("g2", "l", 2)).refusal is None
+    assert put(log, "g0", Transition("n0", "empty", 2)).refusal is None
+    put(log, "g2", StatusReport("l", 3, log.index, "z", nodes()))  # it is back, with work out there
+    assert state(log).machines["n0"].step == "draining" and state(log).expired_gateways == frozenset()
 
 
 def test_back_by_an_operator_by_discovery_and_not_by_itself():
-    for started, seen_down in ((0, True), (7, False)):
-        log = fleet(told=nodes(n0=s.NodeFacts("a", 0, started=5)))
+    for restart, seen_down in ((0, True), (7, False)):
+        started = nodes(n0=NodeStatus("a", 0, start_count=5))
+        log = fleet(told=started)
         draining(log)
         for name in MEMBERS:
-            put(log, name, s.Report("l", 2, log.index, "z", nodes(n0=s.NodeFacts("a", 0, started=5)), ["n0"]))
-        put(log, "g0", s.Move("n0", "empty", 2))
-        assert "g0 has not said" in put(log, "g0", s.Move("n0", "out", 3)).refusal.what  # since then
+            put(
+                log,
+                name,
+                StatusReport("l", 2, log.index, "z", started, ["n0"]),
+            )
+        put(log, "g0", Transition("n0", "empty", 2))
+        assert "g0 has not said" in put(log, "g0", Transition("n0", "out", 3)).refusal.what  # since then
         for name in MEMBERS:
-            put(log, name, s.Report("l", 3, log.index, "z", nodes(n0=s.NodeFacts("a", 0, started=5)), ["n0"]))
-        assert put(log, "g0", s.Move("n0", "out", 3)).refusal is None
-        assert put(log, "g0", s.Move("n0", "back", 4)).refusal is not None
+            put(
+                log,
+                name,
+                StatusReport("l", 3, log.index, "z", started, ["n0"]),
+            )
+        assert put(log, "g0", Transition("n0", "out", 3)).refusal is None
+        assert put(log, "g0", Transition("n0", "back", 4)).refusal is not None
         number = 4
-        for up, start in ((False, 0), (True, started or 5)) if seen_down else ((True, started),):
+        for up, start in ((False, 0), (True, restart or 5)) if seen_down else ((True, restart),):
             for name in MEMBERS:
-                facts = nodes(n0=s.NodeFacts("a", 0, up=up, started=start))
-                put(log, name, s.Report("l", number, log.index, "z", facts, ["n0"]))
+                facts = nodes(n0=NodeStatus("a", 0, up=up, start_count=start))
+                put(log, name, StatusReport("l", number, log.index, "z", facts, ["n0"]))
             number += 1
-        assert put(log, "g0", s.Move("n0", "back", 4)).refusal is None
-    assert put(log, "g0", s.Back("n0")).refusal is not None
+        assert put(log, "g0", Transition("n0", "back", 4)).refusal is None
+    assert put(log, "g0", WorkCompleted("n0")).refusal is not None
 
 
 def test_constraints_hold_still_while_a_machine_is_away():
@@ -173,8 +195,8 @@
 def test_a_request_too_narrow_for_those_away_is_refused():
     log = fleet()
     push(log, ask("n0", "n3", at_once=2))
-    put(log, "g0", s.Next(0))
-    put(log, "g0", s.Next(1))
+    put(log, "g0", SelectNext(0))
+    put(log, "g0", SelectNext(1))
     told = push(log, ask("n0", "n3", at_once=2), ask("n0", id="b"))
     assert isinstance(told, Refusal) and "raise at_once" in told.remedy
 
@@ -183,29 +205,29 @@
     log = fleet()
     push(log, ask("n0", zone_floor=0.6))
     for name in MEMBERS:
-        put(log, name, s.Report("l", 2, log.index, "z", {k: v for k, v in nodes().items() if k != "n2"}))
-    assert "would keep 0.33" in put(log, "g0", s.Next(0)).refusal.what or (
-        "n2 is not there" in put(log, "g0", s.Next(0)).refusal.what
+        put(log, name, StatusReport("l", 2, log.index, "z", {k: v for k, v in nodes().items() if k != "n2"}))
+    assert "would keep 0.33" in put(log, "g0", SelectNext(0)).refusal.what or (
+        "n2 is not there" in put(log, "g0", SelectNext(0)).refusal.what
     )
 
 
 def test_state_outlives_a_snapshot_and_a_core_follows_it():
     log = fleet()
     draining(log)
-    other = Log([Maintenance(MEMBERS)])
+    other = Log([MaintenanceStateMachine(MEMBERS)])
     told = other.load(log.dump())
     assert other.states == log.states
-    core = c.MaintenanceCore("g1", "x", MEMBERS, 10.0)
-    assert c.Drain("n0") in core.committed(told[0], 10.0) and not core.may_send("n0")
+    core = MaintenanceCore("g1", "x", MEMBERS, 10.0)
+    assert actions.Drain("n0") in core.committed(told[0], 10.0) and not core.accepts_work("n0")
 
 
 def test_a_report_of_all_nodes_fits_an_entry():
-    core = c.MaintenanceCore("g1", "x", MEMBERS, 0.0)
+    core = MaintenanceCore("g1", "x", MEMBERS, 0.0)
     many = {
-        f"storage-node-{i:04}": s.NodeFacts("zone-a", i, 1.5, True, 2**15, 0.123456789, True, 2**40)
+        f"storage-node-{i:04}": NodeStatus("zone-a", i, 1.5, True, 2**15, 0.123456789, True, 2**40)
         for i in range(900)
     }
-    core.reports(c.Local(many))
-    (report,) = [a.entry for a in core.tick(1.0) if isinstance(a, c.Propose)]
-    assert len(report.nodes) == s.MOST_NODES
+    core.observe(actions.LocalView(many))
+    (report,) = [a.entry for a in core.tick(1.0) if isinstance(a, actions.Propose)]
+    assert len(report.nodes) == MAX_NODES
     assert len(fleet().encode("maintenance", "g1", report)) < MOST_ENTRY
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_part.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_part.py
@@ -9,7 +9,13 @@
 
 from mallowbeam.http.framing import Message
 from mallowbeam.storage_gateway.coordination.log import Log
-from mallowbeam.storage_gateway.coordination.maintenance import state as s
+from mallowbeam.storage_gateway.coordination.maintenance.entries import (
+    NodeStatus,
+    SelectNext,
+    StatusReport,
+    Transition,
+    WorkCompleted,
+)
 from mallowbeam.storage_gateway.coordination.maintenance.part import NotOut, open_part
 from mallowbeam.storage_gateway.coordination.page import FleetPages
 from mallowbeam.storage_gateway.operator_settings import MaintenanceSection
@@ -71,12 +77,12 @@
         for number, by in enumerate(hands.members):
             put(
                 by,
-                s.Report(
+                StatusReport(
                     f"l{log.index}",
                     number,
                     log.index,
                     "z",
-                    {entry.node: s.NodeFacts(entry.zone) for entry in hands.nodes()},
+                    {entry.node: NodeStatus(entry.zone) for entry in hands.nodes()},
                     ["n0", "g0"],
                     ["n0"],
                     True,
@@ -91,12 +97,12 @@
 def go(rig, machine, *steps):
     for step in steps:
         rig.say()
-        rig.put("g1", s.Move(machine, step, rig.part.core.state.items[machine].turn))
+        rig.put("g1", Transition(machine, step, rig.part.core.state.machines[machine].version))
 
 
 def test_a_node_is_drained_and_called_back_by_an_operators_word_at_the_page(rig):
     rig.push("n0")
-    rig.put("g0", s.Next(0))
+    rig.put("g0", SelectNext(0))
     go(rig, "n0", "draining")
     assert rig.hands.drained == {"n0"}
     pages = FleetPages(SimpleNamespace(subsystems={"maintenance": rig.part}, figures=dict))
@@ -111,8 +117,8 @@
     assert ask(b"GET", b"/fleet/maintenance/back?n0") == 405
     assert ask(b"PUT", b"/fleet/maintenance/back?n0") == 202
     rig.part.tick(101.0)
-    assert s.Back("n0") in rig.hands.proposed
-    rig.put("g0", s.Back("n0"))
+    assert WorkCompleted("n0") in rig.hands.proposed
+    rig.put("g0", WorkCompleted("n0"))
     with pytest.raises(NotOut):
         rig.part.asked("back", "n0")
     warmed = []
@@ -126,13 +132,13 @@
     held = [True]
     rig.part.allotments.append(lambda out: not held[0])
     rig.push("g0")
-    rig.put("g1", s.Next(0))
+    rig.put("g1", SelectNext(0))
     rig.part.tick(100.0)
-    assert rig.hands.opened and not rig.hands.proposed[-1].gave_up
+    assert rig.hands.opened and not rig.hands.proposed[-1].released_allotments
     held.clear()
     held.append(False)
     rig.part.tick(101.0)
-    assert any(getattr(entry, "gave_up", False) for entry in rig.hands.proposed)
+    assert any(getattr(entry, "released_allotments", False) for entry in rig.hands.proposed)
     go(rig, "g0", "draining")
     assert not rig.hands.opened
     rig.push()
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_walks.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_walks.py
@@ -9,7 +9,7 @@
 from mallowbeam.lab.faults import orderly as o
 from mallowbeam.lab.faults.walk import Walk
 from mallowbeam.lab.faults.walks import judge, play
-from mallowbeam.storage_gateway.coordination.maintenance.state import Back
+from mallowbeam.storage_gateway.coordination.maintenance.entries import WorkCompleted
 
 
 def request(*machines, id="a", **changes):
@@ -28,13 +28,15 @@
 
 
 def until(walk, machine, step, seconds=60.0):
-    assert walk.run(seconds, lambda: machine in walk.state.items and walk.state.items[machine].step == step)
+    assert walk.run(
+        seconds, lambda: machine in walk.state.machines and walk.state.machines[machine].step == step
+    )
 
 
 def ends_well(walk, *requests, step="done"):
     assert walk.rest()
     assert judge(walk, list(requests)) == []
-    assert {item.step for item in walk.state.items.values()} == {step}
+    assert {item.step for item in walk.state.machines.values()} == {step}
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -75,7 +77,7 @@
     until(walk, "n0", "out")
     walk.start("g3")
     assert walk.run(20.0, lambda: walk.gateways["g3"].serves())
-    assert "n0" in walk.gateways["g3"].drained or walk.state.items["n0"].step != "out"
+    assert "n0" in walk.gateways["g3"].drained or walk.state.machines["n0"].step != "out"
     ends_well(walk, asked)
 
 
@@ -85,12 +87,12 @@
     walk.works["n0"] = 8.0
     assert walk.run(
         20.0,
-        lambda: walk.state.items["n0"].step in ("agreed", "draining")
+        lambda: walk.state.machines["n0"].step in ("agreed", "draining")
         and any(node == "n0" for _, node in walk.gateways["g3"].work),
     )
     walk.stop("g3")
     until(walk, "n0", "out")
-    assert "g3" in walk.state.gone  # its lease has run out, and no sooner
+    assert "g3" in walk.state.expired_gateways  # its lease has run out, and no sooner
     assert "n0" not in walk.gateways["g3"].drained
     walk.go("g3")
     assert not walk.gateways["g3"].serves()  # before it has heard anything
@@ -105,7 +107,7 @@
     walk.run(3.0)
     assert not walk.push("g3", [asked])
     walk.run(5.0)
-    assert not walk.state.items
+    assert not walk.state.machines
     walk.insist("g1", [asked])  # the large side goes on by itself
     until(walk, "n0", "out")
     walk.part(())
@@ -119,8 +121,11 @@
     walk.fail("n4")  # n1's only neighbour in its zone
     until(walk, "n0", "out")
     walk.run(8.0)
-    assert walk.state.items["n1"].step == "proposed"
-    assert "n4 is not there in zone 'b'" in walk.gateways["g0"].core.machine.order.choose(walk.state).why
+    assert walk.state.machines["n1"].step == "proposed"
+    assert (
+        "n4 is not there in zone 'b'"
+        in walk.gateways["g0"].core.state_machine.selector.select(walk.state).reason
+    )
     walk.mend("n4")
     ends_well(walk, asked)
 
@@ -133,7 +138,7 @@
     until(walk, "n1", "draining")
     walk.fail("n4")
     until(walk, "n1", "proposed")
-    assert "zone 'b' would keep 0.00" in walk.state.items["n1"].why
+    assert "zone 'b' would keep 0.00" in walk.state.machines["n1"].reason
     walk.mend("n4")
     ends_well(walk, asked)
 
@@ -145,12 +150,12 @@
     walk.gateways["g2"].work.append((1e9, "n0"))
     walk.gateways["g2"].work.append((1e9, "n1"))
     walk.run(30.0)
-    first, second = sorted(walk.state.items.values(), key=lambda item: item.began or 1e9)
-    assert first.step == "failed" and "g2 has not said" in first.why
+    first, second = sorted(walk.state.machines.values(), key=lambda item: item.agreed_index or 1e9)
+    assert first.step == "failed" and "g2 has not said" in first.reason
     assert second.step == ("failed" if then == "go on" else "proposed")
-    assert all(first.machine not in one.drained for one in walk.gateways.values())
+    assert all(first.name not in one.drained for one in walk.gateways.values())
     if then == "stop":
-        assert "time is up" in walk.state.stopped["a"]
+        assert "time is up" in walk.state.halted_requests["a"]
     assert judge(walk, [asked]) == []
 
 
@@ -159,19 +164,19 @@
     asked = request("n0", "n1", time_s=10.0, on_time_up=then)
     walk = begun(asked)
     walk.works["n0"] = walk.works["n1"] = -1
-    until(walk, "n0", "lost") if "n0" in walk.state.order[0].machine else until(walk, "n1", "lost")
-    lost = next(item for item in walk.state.items.values() if item.step == "lost")
-    other = "n1" if lost.machine == "n0" else "n0"
-    assert lost.why == "time is up: it never came back"
+    until(walk, "n0", "lost") if "n0" in walk.state.decisions[0].machine else until(walk, "n1", "lost")
+    lost = next(item for item in walk.state.machines.values() if item.step == "lost")
+    other = "n1" if lost.name == "n0" else "n0"
+    assert lost.reason == "time is up: it never came back"
     walk.works[other] = 1.0
     walk.run(20.0)
-    assert walk.state.items[other].step == ("done" if then == "go on" else "proposed")
-    assert all(lost.machine in one.drained for one in walk.gateways.values())
+    assert walk.state.machines[other].step == ("done" if then == "go on" else "proposed")
+    assert all(lost.name in one.drained for one in walk.gateways.values())
     for _ in range(3):
-        walk.propose(walk.gateways["g0"], Back(lost.machine))
+        walk.propose(walk.gateways["g0"], WorkCompleted(lost.name))
         walk.run(0.5)
     assert walk.rest()
-    assert walk.state.items[lost.machine].step == "done"
+    assert walk.state.machines[lost.name].step == "done"
     assert judge(walk, [asked]) == []
 
 
@@ -181,14 +186,14 @@
     walk = begun(one, two)
     ends_well(walk, one, two)
     assert steps(walk, "n1").count("out") == 1
-    assert walk.state.items["n1"].asked == ("a", "b")
+    assert walk.state.machines["n1"].request_ids == ("a", "b")
 
 
 def test_abort_in_the_middle():
     asked = request("n0", "n1", "n2", at_once=2, at_once_zone=1)
     walk = begun(asked)
-    assert walk.run(60.0, lambda: any(item.step == "out" for item in walk.state.items.values()))
-    out = [name for name, item in walk.state.items.items() if item.step == "out"]
+    assert walk.run(60.0, lambda: any(item.step == "out" for item in walk.state.machines.values()))
+    out = [name for name, item in walk.state.machines.items() if item.step == "out"]
     walk.insist("g4", [])
     rest = [name for name in ("n0", "n1", "n2") if name not in out]
     assert walk.rest()
@@ -213,9 +218,9 @@
     walk.kill("g4")
     walk.run(15.0)
     assert "out" not in steps(walk, "g0") or judge(walk, [asked]) == []
-    assert walk.state.items["g0"].step == "proposed"
-    assert "3 of 5 gateways would not be there" in walk.state.items["g0"].why + (
-        walk.gateways["g1"].core.machine.order.choose(walk.state).why
+    assert walk.state.machines["g0"].step == "proposed"
+    assert "3 of 5 gateways would not be there" in walk.state.machines["g0"].reason + (
+        walk.gateways["g1"].core.state_machine.selector.select(walk.state).reason
     )
     ends_well(walk, asked)
 
@@ -223,4 +228,4 @@
 def test_the_cold_bound_is_shared_out_once():
     walk = begun(request("n0"))
     until(walk, "n0", "warming")
-    assert sum(walk.state.items["n0"].warm.values()) == pytest.approx(1.0)
+    assert sum(walk.state.machines["n0"].warmup_shares.values()) == pytest.approx(1.0)
