--- a/mallowbeam/lab/faults/broken.py
+++ b/mallowbeam/lab/faults/broken.py
@@ -10,17 +10,17 @@
 import sys
 from collections.abc import Callable
 
-from mallowbeam.storage_gateway.coordination.maintenance import core, order, part
+from mallowbeam.storage_gateway.coordination.maintenance import core, order, subsystem
 
 
 def deaf() -> None:
     """Drains are told, and not done."""
-    done = part.MaintenancePart._do
+    done = subsystem.MaintenanceSubsystem._do
 
-    def _do(self: part.MaintenancePart, actions: list[core.Action]) -> None:
+    def _do(self: subsystem.MaintenanceSubsystem, actions: list[core.Action]) -> None:
         done(self, [action for action in actions if not isinstance(action, core.Drain)])
 
-    part.MaintenancePart._do = _do  # type: ignore[method-assign]
+    subsystem.MaintenanceSubsystem._do = _do  # type: ignore[method-assign]
 
 
 def hasty() -> None:
--- a/mallowbeam/lab/faults/model.py
+++ b/mallowbeam/lab/faults/model.py
@@ -23,8 +23,14 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, Generic
 
-from mallowbeam.storage_gateway.coordination.handed import MOST_OPEN, Handed, N, next_epoch, release
-from mallowbeam.storage_gateway.coordination.handover import Handover, Release
+from mallowbeam.storage_gateway.coordination.quota_epochs import (
+    MOST_OPEN,
+    N,
+    QuotaEpochs,
+    next_epoch,
+    release,
+)
+from mallowbeam.storage_gateway.coordination.quota_transfer import QuotaTransfer, Release
 
 SLACK = 1e-9  # of a capacity: a sum of floats
 GATEWAYS = ("a", "b", "c")
@@ -43,7 +49,7 @@
     rates: tuple[float, ...] = (1.0, 1.5, 1.0)
     lives: int = 2  # restarts of each at most
     counted: bool = False  # whole connections that stay out until they are closed
-    kind: type[Handover[Any]] = Handover
+    kind: type[QuotaTransfer[Any]] = QuotaTransfer
     names: tuple[str, ...] = GATEWAYS
 
     def least(self, resource: str, holder: str) -> N:
@@ -57,7 +63,7 @@
 
     by: int
     life: int
-    put_in: float
+    proposed_at: float
 
 
 @dataclass(frozen=True)
@@ -73,7 +79,7 @@
     """One entry of the log and the state after it; no mark: an epoch or a release, and the state says all."""
 
     mark: Mark | None
-    state: Handed[N]
+    state: QuotaEpochs[N]
     key: int  # of all lines up to this one
 
 
@@ -83,7 +89,7 @@
 
     life: int
     at: int
-    view: Handover[N]
+    view: QuotaTransfer[N]
     out: dict[str, N] = field(default_factory=dict)
     key: tuple[object, ...] = ()
 
@@ -137,13 +143,13 @@
     def begin(cls, script: Script[N]) -> World[N]:
         """The first epoch is settled, and everybody has just proven that it knows it."""
         rows, capacity = script.epochs[0]
-        state = next_epoch(Handed[N](holders=script.names), rows, script.least, capacity.__getitem__)
+        state = next_epoch(QuotaEpochs[N](holders=script.names), rows, script.least, capacity.__getitem__)
         seats = []
         for name in script.names:
             view = script.kind.resume(
                 state, 0.0, name, script.least, script.lease, -1e9, script.drift, script.linger, 1e9
             )
-            view.proven(0.0)
+            view.lease_renewed(0.0)
             seats.append(Seat(0, 1, view))
         world = cls(script, 0, (Line(None, state, 0),), (0,), frozenset(), tuple(seats))
         for number in range(len(seats)):
@@ -257,7 +263,7 @@
             return replace(self._grown(None, state), way=way)
         return replace(self._grown(thing, state), way=way)
 
-    def _grown(self, mark: Mark | None, state: Handed[N]) -> World[N]:
+    def _grown(self, mark: Mark | None, state: QuotaEpochs[N]) -> World[N]:
         key = hash((self.log[-1].key, mark, state.epoch, tuple(sorted(state.released.items()))))
         return replace(self, log=self.log + (Line(mark, state, key),))
 
@@ -272,7 +278,7 @@
 
     def _prove(self, number: int, seat: Seat[N], mark: Mark | None) -> None:
         if mark is not None and (mark.by, mark.life) == (number, seat.life):
-            seat.view.proven(mark.put_in)
+            seat.view.lease_renewed(mark.proposed_at)
 
     def _restart(self, number: int, seat: Seat[N]) -> tuple[World[N], Seat[N]]:
         script, now = self.script, self.now(number)
--- a/mallowbeam/lab/faults/walk.py
+++ b/mallowbeam/lab/faults/walk.py
@@ -14,11 +14,11 @@
 from typing import Any
 
 from mallowbeam.lab.faults.orderly import Arrival, Asked, Down, Ended, Event, Moved, Read, Told
-from mallowbeam.storage_gateway.coordination.log import Committed, Entry, Log, Refusal
 from mallowbeam.storage_gateway.coordination.maintenance import core as c
 from mallowbeam.storage_gateway.coordination.maintenance import state as s
 from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance
 from mallowbeam.storage_gateway.coordination.policy import Mark, PolicyCore
+from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry, Refusal, ReplicatedLog
 
 TICK = 0.05  # simulated seconds of one step
 LEASE, BEAT = 2.0, 0.25  # of the gate
@@ -67,7 +67,7 @@
         self.lives += 1
         self.life = f"{self.name}.{self.lives}"
         self.up, self.stopped, self.read, self.lag = True, False, 0, 0.0
-        self.log = Log([walk.topic()])
+        self.log = ReplicatedLog([walk.topic()])
         self.core = self.core_type(self.name, self.life, walk.members, walk.now, walk.times)
         self.core.machine = walk.topic()
         self.gate = PolicyCore(walk.times.lease, BEAT)
@@ -161,7 +161,7 @@
             self.walk.add(Read(now, self.name, self.read, machine, step))
 
 
-def take(log: Log, item: Item) -> list[Committed]:
+def take(log: ReplicatedLog, item: Item) -> list[Committed]:
     """One place of the log on one replica."""
     if item.policy is not None:
         told = log.push(item.policy)
@@ -203,7 +203,7 @@
         self.history: list[Event] = []
         self.items: list[Item] = []
         self.on_way: list[tuple[float, Item, str]] = []
-        self.reference = Log([self.topic()])
+        self.reference = ReplicatedLog([self.topic()])
         self.leader: str | None = None
         self.elected = 0.0
         self.plans: list[tuple[float, Callable[[], None]]] = []
--- a/mallowbeam/lab/shares.py
+++ b/mallowbeam/lab/shares.py
@@ -12,17 +12,17 @@
 import time
 from dataclasses import dataclass
 
-from mallowbeam.storage_gateway.coordination.log import Log
-from mallowbeam.storage_gateway.coordination.shares.core import SharesCore
-from mallowbeam.storage_gateway.coordination.shares.packed import code, pack
-from mallowbeam.storage_gateway.coordination.shares.topic import (
+from mallowbeam.storage_gateway.coordination.replicated_log import ReplicatedLog
+from mallowbeam.storage_gateway.coordination.shares.demand_encoding import code, pack
+from mallowbeam.storage_gateway.coordination.shares.gateway_core import SharesCore
+from mallowbeam.storage_gateway.coordination.shares.state_machine import (
     Close,
     Demand,
     Node,
     Released,
     Setup,
     Share,
-    SharesTopic,
+    SharesStateMachine,
 )
 
 
@@ -70,7 +70,7 @@
         },
         {"z0": int(tenants * places * 4_000 * 0.8)},
     )
-    log = Log([SharesTopic(tuple(names))])
+    log = ReplicatedLog([SharesStateMachine(tuple(names))])
     log.push(Push(setup))
     core = SharesCore(names[0], names, log.states["shares"], 0.0)
     flows: dict[str, dict[int, int]] = {name: {} for name in names}
@@ -91,7 +91,7 @@
 
     def epoch(reports: dict[str, dict[int, int]], now: float) -> tuple[int, list[float]]:
         size, spent = 0, [0.0] * 4
-        core.handover.proven(now)
+        core.handover.lease_renewed(now)
         for name in names:
             body = log.encode("shares", name, Demand(roll, pack(reports[name])))
             size += len(body)
--- a/mallowbeam/lab/sharesim.py
+++ b/mallowbeam/lab/sharesim.py
@@ -12,9 +12,19 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from mallowbeam.storage_gateway.coordination.log import Committed, Entry, Log
-from mallowbeam.storage_gateway.coordination.shares.core import Action, Allot, Propose, SharesCore, Times
-from mallowbeam.storage_gateway.coordination.shares.topic import Setup, SharesState, SharesTopic
+from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry, ReplicatedLog
+from mallowbeam.storage_gateway.coordination.shares.gateway_core import (
+    Action,
+    Allot,
+    Propose,
+    SharesCore,
+    Times,
+)
+from mallowbeam.storage_gateway.coordination.shares.state_machine import (
+    Setup,
+    SharesState,
+    SharesStateMachine,
+)
 
 STEP = 0.1  # seconds of true time
 Demands = dict[tuple[str, str, str], float]  # gateway, tenant, node: units a second
@@ -33,7 +43,7 @@
 
     name: str
     life: int
-    put_in: float
+    proposed_at: float
 
 
 @dataclass(slots=True)
@@ -42,7 +52,7 @@
 
     name: str
     rate: float
-    log: Log
+    log: ReplicatedLog
     core: SharesCore
     life: int = 0
     at: int = 0  # entries told so far
@@ -79,7 +89,7 @@
         self.push(setup)
 
     def _member(self, name: str, life: int) -> Member:
-        log, rate = Log([SharesTopic(tuple(self.names))]), self.rng.uniform(1.0, 1.001)
+        log, rate = ReplicatedLog([SharesStateMachine(tuple(self.names))]), self.rng.uniform(1.0, 1.001)
         core = self.kind(name, self.names, log.states["shares"], self.now * rate, self.times)
         return Member(name, rate, log, core, life)
 
@@ -185,7 +195,7 @@
             member.at += 1
             if isinstance(entry, Mark):
                 if (entry.name, entry.life) == (member.name, member.life):
-                    self._do(member, core.proven(entry.put_in, now))
+                    self._do(member, core.lease_renewed(entry.proposed_at, now))
                 continue
             told = member.log.push(entry) if isinstance(entry, Push) else [member.log.apply(entry)]
             for one in told if isinstance(told, list) else ():
--- a/mallowbeam/lab/shareworth.py
+++ b/mallowbeam/lab/shareworth.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 
 from mallowbeam.lab.sharesim import Demands, Fleet, totals
-from mallowbeam.storage_gateway.coordination.shares.fair import Network, allot
-from mallowbeam.storage_gateway.coordination.shares.topic import Node, Setup, Share
+from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import Network, allot
+from mallowbeam.storage_gateway.coordination.shares.state_machine import Node, Setup, Share
 
 SHIFT_S = 10.0  # between two shifts of all demand; seldom is harder
 
--- a/mallowbeam/storage_gateway/application.py
+++ b/mallowbeam/storage_gateway/application.py
@@ -94,7 +94,7 @@
 def open_fleet(gateway: Gateway, fronts: dict) -> Server:
     """The fleet's log, with the subsystems that are on; raises `BadConfig`."""
     try:
-        from mallowbeam.storage_gateway.coordination.page import open_policy
+        from mallowbeam.storage_gateway.coordination.status_pages import open_policy
         from mallowbeam.storage_gateway.operator_settings import SUBSYSTEMS, PolicySection, convert
 
         sections = {
--- a/mallowbeam/storage_gateway/coordination/maintenance/asked.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/asked.py
@@ -14,10 +14,10 @@
 import msgspec
 from msgspec.structs import replace
 
-from mallowbeam.storage_gateway.coordination.log import Refusal
 from mallowbeam.storage_gateway.coordination.maintenance import state as s
 from mallowbeam.storage_gateway.coordination.maintenance.order import Order, Picture, picture
 from mallowbeam.storage_gateway.coordination.maintenance.state import Item, Maintained, Request, Section
+from mallowbeam.storage_gateway.coordination.replicated_log import Refusal
 
 CURES = {  # what an operator changes where a limit lets a machine go in no order
     "zone_capacity": "lower zone_floor, or add capacity to the zone first",
@@ -33,7 +33,7 @@
     return Section() if told is None else msgspec.convert(told, Section, from_attributes=True)
 
 
-def pushed(order: Order, now: Maintained, index: int, policy: Any) -> Maintained | Refusal:
+def apply_policy(order: Order, now: Maintained, index: int, policy: Any) -> Maintained | Refusal:
     """The state under this policy, or why it may not take hold."""
     try:
         wanted = section(policy).requests
--- a/mallowbeam/storage_gateway/coordination/maintenance/core.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/core.py
@@ -20,7 +20,6 @@
 
 import msgspec
 
-from mallowbeam.storage_gateway.coordination.log import Committed, Entry
 from mallowbeam.storage_gateway.coordination.maintenance import state as s
 from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance
 from mallowbeam.storage_gateway.coordination.maintenance.state import (
@@ -30,6 +29,7 @@
     Maintained,
     NodeFacts,
 )
+from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry
 
 MOST_SENT = 64  # own reports on their way that are remembered; older ones count as lost
 
@@ -126,7 +126,7 @@
         self.stepped: tuple[bool, float] | None = None  # whether it refuses too, and since when
         self.confirmed = 0  # the newest own report that came back
         self.number, self.sent = 0, dict[int, float]()  # own reports on their way, and when put in
-        self.proven = float("-inf")  # when the newest that came back was put in
+        self.lease_renewed = float("-inf")  # when the newest that came back was put in
         self.known = self.base = float("-inf")  # the newest mark's put-in, and that before it was asked
         self.last: dict[str, float] = {name: now for name in members}  # when each was last heard of
         self.timed: dict[tuple[str, int], float] = {}  # by machine and `began`: when that was heard
@@ -141,9 +141,9 @@
         """The gateway's own view has changed."""
         self.local = local
 
-    def mark(self, put_in: float) -> None:
+    def mark(self, proposed_at: float) -> None:
         """A mark of this gateway's own came back: all committed before it was put in is known here."""
-        self.known = max(self.known, put_in)
+        self.known = max(self.known, proposed_at)
 
     def back(self, machine: str) -> None:
         """An operator said here that the work at a machine is done; proposed until the log has it."""
@@ -151,7 +151,7 @@
 
     def serves(self, now: float) -> bool:
         """Whether the others can still count on this gateway's word; by the clock."""
-        return not self.state.active or now <= max(self.proven, self.base) + self.times.lease
+        return not self.state.active or now <= max(self.lease_renewed, self.base) + self.times.lease
 
     def committed(self, told: Committed, now: float) -> list[Action]:
         """The log's next entry for this topic."""
@@ -160,9 +160,9 @@
             self.last[told.by] = now
         if isinstance(told.entry, s.Report) and (told.by, told.entry.life) == (self.name, self.life):
             self.confirmed = max(self.confirmed, told.entry.number)
-            put_in = self.sent.pop(told.entry.number, None)
-            if put_in is not None:
-                self.proven = max(self.proven, put_in)
+            proposed_at = self.sent.pop(told.entry.number, None)
+            if proposed_at is not None:
+                self.lease_renewed = max(self.lease_renewed, proposed_at)
         if self.state.active and not before.active:
             # Guards `Gone`: while nothing was asked for the others had little to say.  Here the lease counts
             # from a mark that is surely older than what was asked, so from before any member heard of it.
@@ -299,7 +299,7 @@
         span = self.times.lease * self.times.drift
         for name, at in self.last.items():
             # Guards a member that is only slow: it counts as gone by what this one has proven to have heard.
-            if name != self.name and name not in self.state.gone and self.proven > at + span:
+            if name != self.name and name not in self.state.gone and self.lease_renewed > at + span:
                 report = self.state.reports.get(name)
                 found.append(s.Gone(name, report.life, report.number) if report else s.Gone(name, "", 0))
         for (name, began), at in self.timed.items():
--- a/mallowbeam/storage_gateway/coordination/maintenance/machine.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/machine.py
@@ -19,11 +19,11 @@
 import msgspec
 from msgspec.structs import replace
 
-from mallowbeam.storage_gateway.coordination.log import Entry, Refusal, States
 from mallowbeam.storage_gateway.coordination.maintenance import asked
 from mallowbeam.storage_gateway.coordination.maintenance import state as s
 from mallowbeam.storage_gateway.coordination.maintenance.order import LIMITS, Limit, Order, Picture, picture
 from mallowbeam.storage_gateway.coordination.maintenance.state import Item, Maintained
+from mallowbeam.storage_gateway.coordination.replicated_log import Entry, Refusal, States
 
 DUPLICATE = Refusal("this step is taken already", "", "nothing: another gateway asked first")
 
@@ -43,9 +43,9 @@
         """Nothing asked for, nothing known."""
         return Maintained()
 
-    def pushed(self, states: States, index: int, policy: Any) -> Maintained | Refusal:
+    def apply_policy(self, states: States, index: int, policy: Any) -> Maintained | Refusal:
         """A policy's section takes hold: new machines wait, those taken back come back."""
-        return asked.pushed(self.order, states[self.name], index, policy)
+        return asked.apply_policy(self.order, states[self.name], index, policy)
 
     def apply(self, states: States, index: int, by: str, entry: Any) -> Maintained | Refusal:
         """The next state, or why there is none."""
@@ -271,7 +271,7 @@
 }
 
 
-def shown(topic: Maintenance, now: Maintained) -> dict[str, Any]:
+def describe(topic: Maintenance, now: Maintained) -> dict[str, Any]:
     """What `/policy` shows: each machine's step, the order so far, and what comes next, each with its why."""
     return {
         "machines": {
--- a/mallowbeam/storage_gateway/coordination/maintenance/order.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/order.py
@@ -197,8 +197,8 @@
 
 
 def _names(names: Sequence[str]) -> str:
-    shown = ", ".join(names[:3]) + (f" and {len(names) - 3} more" if len(names) > 3 else "")
-    return f"{shown} {'is' if len(names) == 1 else 'are'}"
+    describe = ", ".join(names[:3]) + (f" and {len(names) - 3} more" if len(names) > 3 else "")
+    return f"{describe} {'is' if len(names) == 1 else 'are'}"
 
 
 # --- the choice ---------------------------------------------------------------------------------
--- a/mallowbeam/storage_gateway/coordination/maintenance/state.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/state.py
@@ -17,7 +17,7 @@
 import msgspec
 from msgspec import Meta
 
-from mallowbeam.storage_gateway.coordination.log import Entry
+from mallowbeam.storage_gateway.coordination.replicated_log import Entry
 
 MOST_REQUESTS = 64  # in one policy; more are refused
 MOST_MACHINES = 1024  # in one request; more are refused
--- a/mallowbeam/storage_gateway/coordination/maintenance/part.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
@@ -13,12 +13,12 @@
 from loguru import logger
 
 from mallowbeam.storage_gateway.coordination.errors import FleetError
-from mallowbeam.storage_gateway.coordination.log import Committed
 from mallowbeam.storage_gateway.coordination.maintenance import core as c
-from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance, shown
+from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance, describe
 from mallowbeam.storage_gateway.coordination.maintenance.state import AWAY, OVER, NodeFacts, Section
-from mallowbeam.storage_gateway.coordination.policy_text import owns
-from mallowbeam.storage_gateway.coordination.subsystem import Hands
+from mallowbeam.storage_gateway.coordination.policy_document import owns
+from mallowbeam.storage_gateway.coordination.replicated_log import Committed
+from mallowbeam.storage_gateway.coordination.subsystem import SubsystemContext
 from mallowbeam.storage_gateway.operator_settings import MaintenanceSection
 from mallowbeam.storage_gateway.scheduler.interface import NodeState
 
@@ -32,44 +32,44 @@
     remedy = "see at /fleet which machines are out, and say so of one of them"
 
 
-class MaintenancePart:
+class MaintenanceSubsystem:
     """The subsystem; `allotments` are asked to give up what this gateway holds, and say whether they have."""
 
-    def __init__(self, hands: Hands, section: MaintenanceSection) -> None:
-        self.hands = hands
-        self.topic = Maintenance(hands.members)
+    def __init__(self, context: SubsystemContext, section: MaintenanceSection) -> None:
+        self.context = context
+        self.topic = Maintenance(context.members)
         now = time.monotonic()
         self.core = c.MaintenanceCore(
-            hands.me,
+            context.me,
             f"{time.time_ns():x}",
-            hands.members,
+            context.members,
             now,
             c.Times(lease=section.lease_s, report=section.report_s, warm=section.warm_s),
         )
         self.allotments: list[Callable[[bool], bool]] = []
         self.warmers: list[Callable[[str, float], None]] = []
         self.down = False  # it has been told to step down
-        hands.gateway().gates.append(lambda: self.core.serves(time.monotonic()))
+        context.gateway().gates.append(lambda: self.core.serves(time.monotonic()))
 
     def committed(self, told: Committed, now: float) -> None:
         """The log's next entry."""
         self._do(self.core.committed(told, now))
 
-    def proven(self, put_in: float, now: float) -> None:
+    def lease_renewed(self, proposed_at: float, now: float) -> None:
         """A mark came back."""
-        self.core.mark(put_in)
+        self.core.mark(proposed_at)
 
     def tick(self, now: float) -> None:
         """What the gateway sees now, and what is due."""
-        hands = self.hands
+        context = self.context
         nodes = {
             entry.node: NodeFacts(
-                entry.zone, entry.shard, entry.weight, entry.state is NodeState.READY, hands.out(entry.node)
+                entry.zone, entry.shard, entry.weight, entry.state is NodeState.READY, context.out(entry.node)
             )
-            for entry in hands.nodes()
+            for entry in context.nodes()
         }
         gave_up = self.down and all([give(True) for give in self.allotments])
-        self.core.reports(c.Local(nodes, hands.held(), gave_up, hands.me if hands.leader() else None))
+        self.core.reports(c.Local(nodes, context.held(), gave_up, context.me if context.leader() else None))
         self._do(self.core.tick(now))
 
     def asked(self, act: str, what: str) -> dict[str, object]:
@@ -81,9 +81,9 @@
         self.core.back(what)
         return {"machine": what, "step": item.step, "told": "back"}
 
-    def shown(self) -> dict[str, object]:
+    def describe(self) -> dict[str, object]:
         """Steps, order and reasons."""
-        return shown(self.topic, self.core.state) | {"counted": self.core.serves(time.monotonic())}
+        return describe(self.topic, self.core.state) | {"counted": self.core.serves(time.monotonic())}
 
     def gauges(self) -> Mapping[str, float]:
         """How many machines are where."""
@@ -99,26 +99,26 @@
         for action in actions:
             match action:
                 case c.Propose(entry):
-                    self.hands.propose(entry)
+                    self.context.propose(entry)
                 case c.Drain(node):
-                    self.hands.drain(node, True)
+                    self.context.drain(node, True)
                 case c.Undrain(back):
-                    self.hands.drain(back, False)
+                    self.context.drain(back, False)
                 case c.Warm(cold, share):
                     for warm in self.warmers:
                         warm(cold, share)
                 case c.StepDown(refuse):
                     self.down = True
-                    self.hands.gate(not refuse)
+                    self.context.gate(not refuse)
                 case c.StepUp():
                     self.down = False
                     for give in self.allotments:
                         give(False)
-                    self.hands.gate(True)
+                    self.context.gate(True)
                 case c.Note(text):
                     logger.bind(maintenance="step").info("maintenance: {}", text)
 
 
-def open_part(hands: Hands, section: MaintenanceSection) -> MaintenancePart:
+def open_subsystem(context: SubsystemContext, section: MaintenanceSection) -> MaintenanceSubsystem:
     """The subsystem on these hands."""
-    return MaintenancePart(hands, section)
+    return MaintenanceSubsystem(context, section)
--- a/mallowbeam/storage_gateway/coordination/policy.py
+++ b/mallowbeam/storage_gateway/coordination/policy.py
@@ -1,8 +1,8 @@
 """Which policy a gateway may serve under: the core, without I/O.
 
-The fleet's log (`fleet/agreement.py`) holds the changes in one order; a change is committed once a majority
-has it.  This core is told what the log says and decides what takes hold here, and whether this gateway may
-serve.
+The fleet's log (`coordination/raft_node.py`) holds the changes in one order; a change is committed once a
+majority has it. This core is told what the log says and decides what takes hold here, and whether this
+gateway may serve.
 
 What it rests on is one fact: a mark of this gateway's own, put into the log at time t and seen to come out of
 it, proves that everything committed before t has come out too.  So `known_at` is the time at which the newest
@@ -126,11 +126,11 @@
 
     def marked(self, number: int, now: float) -> list[Action]:
         """A mark of this gateway's own came out of the log: all that was committed before it is here."""
-        if (put_in := self.marks.pop(number, None)) is None:
+        if (proposed_at := self.marks.pop(number, None)) is None:
             return []  # of an earlier life, or given up
         while self.marks and next(iter(self.marks)) < number:
             self.marks.popitem(last=False)  # overtaken: it proves less
-        self.known_at = max(self.known_at, put_in)
+        self.known_at = max(self.known_at, proposed_at)
         actions: list[Action] = []
         if now <= self.known_at + self.lease and self.phase is not Phase.CURRENT:
             actions += self._apply()
--- a/mallowbeam/storage_gateway/coordination/policy_text.py
+++ b/mallowbeam/storage_gateway/coordination/policy_document.py
@@ -1,9 +1,9 @@
 """A policy's text: its sections, what each is checked against, and the one spelling that digests are made of.
 
-JSON.  `drains` and `plans` are the fleet's own.  The other sections belong to the subsystems: each registers
-the type of its own (`owns`) when it is loaded, and its topic judges what the section says (`Topic.pushed`).
-The log reads a text by `read_policy` alone, which knows no such type: what a member takes for a policy must
-not hang on what that member has loaded.
+JSON. `drains` and `plans` are the fleet's own. The other sections belong to the subsystems: each registers
+the type of its own (`owns`) when it is loaded, and its topic judges what the section says
+(`StateMachine.apply_policy`). The log reads a text by `read_policy` alone, which knows no such type: what a
+member takes for a policy must not hang on what that member has loaded.
 """
 
 from __future__ import annotations
--- a/mallowbeam/storage_gateway/coordination/handed.py
+++ b/mallowbeam/storage_gateway/coordination/quota_epochs.py
@@ -1,14 +1,14 @@
 """What the log holds of a handover: the epochs not yet settled, and who has released; pure functions.
 
-A topic embeds one `Handed` in its state.  `next_epoch` opens an epoch, `release` takes in a holder's word (or
-another's word that the holder's lease is surely over, which is as good), and both forget what is settled.  An
-epoch names only the rows that it changed; a *row* is one resource's amounts by holder, whole: a holder not
-named in it has its floor.  A holder whose amount fell in an epoch *owes* it a release; the epoch is settled
-once nobody owes it or one before it.  Settled rows fold into `rows`, so the state is one whole row for each
+A topic embeds one `QuotaEpochs` in its state. `next_epoch` opens an epoch, `release` takes in a holder's word
+(or another's word that the holder's lease is surely over, which is as good), and both forget what is settled.
+An epoch names only the rows that it changed; a *row* is one resource's amounts by holder, whole: a holder not
+named in it has its floor. A holder whose amount fell in an epoch *owes* it a release; the epoch is settled
+once nobody owes it or one before it. Settled rows fold into `rows`, so the state is one whole row for each
 resource and at most `MOST_OPEN` epochs of changes.
 
 At the bound `next_epoch` refuses.  Who proposes epochs puts in the releases of lapsed holders first
-(`Handover.lapsed`): a dead holder keeps an epoch open for no longer than lease and linger.
+(`QuotaTransfer.lapsed`): a dead holder keeps an epoch open for no longer than lease and linger.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Target(Generic[N]):
+class EpochTarget(Generic[N]):
     """What one epoch grants: the rows that changed, whole; who is not named in a row has its floor there.
 
     A resource that is not named keeps its row; an empty row leaves everybody its floor.
@@ -66,7 +66,7 @@
     remedy = "nothing to do: it passes as gateways release, at the latest after their lease; see who owes"
 
 
-class Opened(msgspec.Struct, Generic[N], frozen=True):
+class OpenEpoch(msgspec.Struct, Generic[N], frozen=True):
     """One epoch that is not settled: the rows it changed, and who lost and so owes it a release."""
 
     epoch: int
@@ -74,14 +74,14 @@
     losers: tuple[str, ...] = ()
 
 
-class Handed(msgspec.Struct, Generic[N], frozen=True):
+class QuotaEpochs(msgspec.Struct, Generic[N], frozen=True):
     """The replicated side: `rows` stand as of `settled`, the open epochs change them in turn."""
 
     holders: tuple[str, ...] = ()
     epoch: int = 0  # the newest
     settled: int = 0
     rows: dict[str, dict[str, N]] = {}
-    open: tuple[Opened[N], ...] = ()
+    open: tuple[OpenEpoch[N], ...] = ()
     released: dict[str, int] = {}  # by holder, its newest
 
     @property
@@ -104,13 +104,13 @@
 
 
 def next_epoch(
-    handed: Handed[N],
+    handed: QuotaEpochs[N],
     amounts: Mapping[str, Mapping[str, N]],
     floor: Floor[N],
     capacity: Callable[[Resource], N],
     whole: bool = True,
     least: Callable[[Resource], N] | None = None,
-) -> Handed[N]:
+) -> QuotaEpochs[N]:
     """Open an epoch that grants these amounts; the same state when they change nothing.
 
     `whole`: a resource that is not named goes back to its floors; else it keeps its row.  `least` is the sum
@@ -135,11 +135,11 @@
         for holder, had in before.get(name, {}).items()
         if row.get(holder, floor(name, holder)) < had
     }
-    opened = Opened(handed.epoch + 1, rows, tuple(sorted(losers)))
+    opened = OpenEpoch(handed.epoch + 1, rows, tuple(sorted(losers)))
     return settle(msgspec.structs.replace(handed, epoch=opened.epoch, open=(*handed.open, opened)))
 
 
-def release(handed: Handed[N], holder: Holder, epoch: int) -> Handed[N]:
+def release(handed: QuotaEpochs[N], holder: Holder, epoch: int) -> QuotaEpochs[N]:
     """This holder has released that epoch, or its lease is surely over; others change nothing."""
     if holder not in handed.holders or not handed.released.get(holder, 0) < epoch <= handed.epoch:
         return handed
@@ -147,7 +147,7 @@
 
 
 def _check(
-    handed: Handed[N], name: Resource, row: Mapping[Holder, N], floor: Floor[N], least: N, capacity: N
+    handed: QuotaEpochs[N], name: Resource, row: Mapping[Holder, N], floor: Floor[N], least: N, capacity: N
 ) -> None:
     if least > capacity * (1 + SLACK):
         raise FloorsTooHigh(f"floors of {least} in all, capacity {capacity}", name)
@@ -162,7 +162,7 @@
         raise BadTarget(f"{total} granted in all, capacity {capacity}", name)
 
 
-def settle(handed: Handed[N]) -> Handed[N]:
+def settle(handed: QuotaEpochs[N]) -> QuotaEpochs[N]:
     """Fold the oldest epochs into the rows as far as nobody owes them."""
     done = 0
     for opened in handed.open:
--- a/mallowbeam/storage_gateway/coordination/handover.py
+++ b/mallowbeam/storage_gateway/coordination/quota_transfer.py
@@ -1,16 +1,17 @@
 """Shrink before grow: who may use how much of what is shared, by epochs and leases; without I/O.
 
-A *resource* (a volume's units at a node, a node's connections) has one amount that all holders together
-never exceed.  An *epoch* is a number that the log commits together with the rows that it changes
-(`handed.py`).  A holder whose target fell uses no more than the new one from the moment that it hears of it,
-and says so (`Release`) once what is out fits it.  A holder whose target rose uses the old amount until every
-holder that lost has released, or their leases have surely run out.  A holder cut off keeps what it has to
-its lease's end, then its floor, which is set aside for it for good.
-
-A lease rests on the fleet's marks (`policy.py`): `proven(put_in)` is the time, on this holder's own steady
-clock, at which the newest mark that came back was put in.  What was committed after it may be unknown here,
-so past `put_in + lease` only the floor is used.  A grower counts the lease of others from when it heard of
-the epoch, which is after the commit, and longer by `drift`.  No clock is compared with another's.
+A *resource* (a volume's units at a node, a node's connections) has one amount that all holders together never
+exceed. An *epoch* is a number that the log commits together with the rows that it changes
+(`quota_epochs.py`). A holder whose target fell uses no more than the new one from the moment that it hears of
+it, and says so (`Release`) once what is out fits it. A holder whose target rose uses the old amount until
+every holder that lost has released, or their leases have surely run out. A holder cut off keeps what it has
+to its lease's end, then its floor, which is set aside for it for good.
+
+A lease rests on the fleet's marks (`policy.py`): `lease_renewed(proposed_at)` is the time, on this holder's
+own steady clock, at which the newest mark that came back was put in. What was committed after it may be
+unknown here, so past `proposed_at + lease` only the floor is used. A grower counts the lease of others from
+when it heard of the epoch, which is after the commit, and longer by `drift`. No clock is compared with
+another's.
 
 The rule for one resource.  T(e, k) is what epoch e grants holder k.  Gateway k knows a newest epoch N(k),
 and a newest epoch C(k) that is *complete* in its view: of every other holder h it knows a base, the newest
@@ -42,10 +43,11 @@
 heard of, before any grower stops waiting.  `linger` is how long a dead process's connections may stay at a
 silent node: a grower waits longer by it, and a new life uses nothing, not its floor either, until it is over.
 
-The interface, fixed: `Handover(me, holders, floor, lease, begun, drift, linger, again)`, `follow` (one call
-for a topic's core: the state after an entry), `agreed` and `released` (the same, event by event), `proven`,
-`usable`, `most`, `using`, `tick`, `lapsed`, `shown`.  What grows here grows by entries and ticks alone; what
-falls by the clock falls in `usable` itself, so a process that stood still wakes with its floor.
+The interface, fixed: `QuotaTransfer(me, holders, floor, lease, begun, drift, linger, again)`, `follow` (one
+call for a topic's core: the state after an entry), `agreed` and `released` (the same, event by event),
+`lease_renewed`, `usable`, `most`, `using`, `tick`, `lapsed`, `describe`. What grows here grows by entries and
+ticks alone; what falls by the clock falls in `usable` itself, so a process that stood still wakes with its
+floor.
 """
 
 from __future__ import annotations
@@ -54,16 +56,24 @@
 from dataclasses import dataclass
 from typing import Generic
 
-from mallowbeam.storage_gateway.coordination.handed import Floor, Handed, Holder, N, Release, Resource, Target
+from mallowbeam.storage_gateway.coordination.quota_epochs import (
+    EpochTarget,
+    Floor,
+    Holder,
+    N,
+    QuotaEpochs,
+    Release,
+    Resource,
+)
 
-__all__ = ["Handover", "Release", "Shown", "Target"]
+__all__ = ["EpochTarget", "QuotaTransfer", "Release", "ResourceStatus"]
 
 NEVER = float("-inf")
 Row = Mapping[Holder, N]
 
 
 @dataclass(frozen=True, slots=True)
-class Shown(Generic[N]):
+class ResourceStatus(Generic[N]):
     """One resource for the page: the newest target here, what may be used, and who is waited for."""
 
     target: N
@@ -71,7 +81,7 @@
     waits: tuple[Holder, ...]
 
 
-class Handover(Generic[N]):
+class QuotaTransfer(Generic[N]):
     """One gateway's view of many resources.
 
     `floor` is the same everywhere and for good: one that is cut off could not hear of a lower one.
@@ -113,7 +123,7 @@
     @classmethod
     def resume(
         cls,
-        handed: Handed[N],
+        handed: QuotaEpochs[N],
         now: float,
         me: Holder,
         floor: Floor[N],
@@ -122,7 +132,7 @@
         drift: float = 0.1,
         linger: float = 0.0,
         again: float = 0.5,
-    ) -> Handover[N]:
+    ) -> QuotaTransfer[N]:
         """A new life's view out of the log's state; the floor until a mark has come back."""
         view = cls(me, handed.holders, floor, lease, begun, drift, linger, again)
         view._restore(handed, now)
@@ -130,7 +140,7 @@
 
     # --- what the log says ------------------------------------------------------------------------
 
-    def follow(self, handed: Handed[N], now: float) -> list[Release]:
+    def follow(self, handed: QuotaEpochs[N], now: float) -> list[Release]:
         """The log's state after an entry; epochs that were passed over (a snapshot) are taken in whole."""
         if handed.settled > self.epoch:
             self._restore(handed, now)
@@ -143,7 +153,7 @@
         self._settle_touched(now)
         return self._due(now)
 
-    def agreed(self, target: Target[N], now: float) -> list[Release]:
+    def agreed(self, target: EpochTarget[N], now: float) -> list[Release]:
         """An epoch was committed; epochs come in the log's order, one heard before changes nothing."""
         if target.epoch > self.epoch:
             self._hear(target.epoch, target.amounts, now)
@@ -155,9 +165,9 @@
         self._settle_touched(now)
         return self._due(now)
 
-    def proven(self, put_in: float) -> None:
+    def lease_renewed(self, proposed_at: float) -> None:
         """When the newest mark of this life that came back was put in; entries before it come first."""
-        self.known_at = max(self.known_at, put_in)
+        self.known_at = max(self.known_at, proposed_at)
 
     # --- what may be used -------------------------------------------------------------------------
 
@@ -212,7 +222,7 @@
                 self._settle(resource, now)
         return self._due(now)
 
-    def lapsed(self, handed: Handed[N]) -> dict[Holder, int]:
+    def lapsed(self, handed: QuotaEpochs[N]) -> dict[Holder, int]:
         """Whose leases are surely over of those that owe, and up to which epoch: as good as their release.
 
         For whoever proposes the next epoch, so that a dead holder does not keep epochs open.
@@ -225,12 +235,12 @@
             if handed.released.get(holder, 0) < opened.epoch
         }
 
-    def shown(self, now: float) -> dict[Resource, Shown[N]]:
+    def describe(self, now: float) -> dict[Resource, ResourceStatus[N]]:
         """For the page, by resource."""
         told = {}
         for resource, row in self.rows.items():
             target = row.get(self.me, self.floor(resource, self.me))
-            told[resource] = Shown(
+            told[resource] = ResourceStatus(
                 target, self.usable(resource, now), tuple(sorted(self.waits.get(resource, ())))
             )
         return told
@@ -268,7 +278,7 @@
         for resource in touched & self.open.keys():
             self._settle(resource, now)
 
-    def _restore(self, handed: Handed[N], now: float) -> None:
+    def _restore(self, handed: QuotaEpochs[N], now: float) -> None:
         """All of it anew out of the log's state; what is out here is kept, and the clocks of epochs known."""
         known = self.heard
         self.rows, self.open, self.mine, self.waits, self.waiting = dict(handed.rows), {}, {}, {}, {}
--- a/mallowbeam/storage_gateway/coordination/agreement.py
+++ b/mallowbeam/storage_gateway/coordination/raft_node.py
@@ -36,11 +36,11 @@
     PolicyRefused,
     QueueFull,
 )
-from mallowbeam.storage_gateway.coordination.journal import begin_at_snapshot, cut_whole
-from mallowbeam.storage_gateway.coordination.log import LOCAL, Committed, Log, Refusal
 from mallowbeam.storage_gateway.coordination.policy import Change
-from mallowbeam.storage_gateway.coordination.policy_text import read_policy
-from mallowbeam.storage_gateway.coordination.wire import Wire
+from mallowbeam.storage_gateway.coordination.policy_document import read_policy
+from mallowbeam.storage_gateway.coordination.raft_journal import begin_at_snapshot, cut_whole
+from mallowbeam.storage_gateway.coordination.raft_transport import RaftTransport
+from mallowbeam.storage_gateway.coordination.replicated_log import LOCAL, Committed, Refusal, ReplicatedLog
 
 MOST_HOSTED = 1024  # members whose topics are remembered; the operators' file names fewer
 ONE_SEND = 1 << 18  # bytes of entries in a message; more than any entry, as pieces can't be checked
@@ -97,13 +97,13 @@
         return self._dial_port
 
 
-class Ledger(SyncObjConsumer):  # type: ignore[misc]
+class ReplicatedState(SyncObjConsumer):  # type: ignore[misc]
     """The replicated state: the newest committed policy, and the log's topics.
 
     All members run the same calls in the same order.
     """
 
-    def __init__(self, log: Log, name: str, life: str, told: Told) -> None:
+    def __init__(self, log: ReplicatedLog, name: str, life: str, told: Told) -> None:
         super().__init__()
         self.version, self.body = 0, "{}"
         self.log, self.own, self.told = log, (name, life), told
@@ -163,7 +163,7 @@
 
     @replicated  # type: ignore[untyped-decorator]
     def put(self, body: bytes) -> None:
-        """A topic's entry, as `Log.encode` writes it."""
+        """A topic's entry, as `ReplicatedLog.encode` writes it."""
         if self.broken is None:
             try:
                 told = self.log.apply(body)
@@ -211,7 +211,7 @@
             self._break(error)
 
 
-class Agreement:
+class RaftNode:
     """This process's part in the fleet's log.
 
     `name` and `life` tell its marks from others' and from those of its own earlier lives; `members` maps
@@ -227,10 +227,10 @@
         folder: Path,
         told: Told,
         dial: Mapping[str, str] | None = None,
-        log: Log | None = None,
+        log: ReplicatedLog | None = None,
     ) -> None:
         self.name, self.life, self.members = name, life, members
-        self.ledger = Ledger(log or Log(()), name, life, told)
+        self.ledger = ReplicatedState(log or ReplicatedLog(()), name, life, told)
         others = [
             Member(address, (dial or {}).get(other)) for other, address in members.items() if other != name
         ]
@@ -260,14 +260,14 @@
         )
         cut_whole(self.engine, folder / "journal")  # long before its first cut
 
-    def _wired(self, engine: Any, own: Any, others: Any) -> Wire:
-        self.wire = Wire(engine, own, others)
+    def _wired(self, engine: Any, own: Any, others: Any) -> RaftTransport:
+        self.wire = RaftTransport(engine, own, others)
         return self.wire
 
-    def shown(self) -> dict[str, object]:
+    def describe(self) -> dict[str, object]:
         """The engine as it stands: term, vote, ends of the log, links; empty where it won't stand still."""
         with suppress(RuntimeError, IndexError):  # it changed while it was read
-            return self.wire.shown({address: name for name, address in self.members.items()})
+            return self.wire.describe({address: name for name, address in self.members.items()})
         return {}
 
     def mark(self, number: int) -> None:
--- a/mallowbeam/storage_gateway/coordination/wire.py
+++ b/mallowbeam/storage_gateway/coordination/raft_transport.py
@@ -39,7 +39,7 @@
 }
 
 
-class Wire(TCPTransport):  # type: ignore[misc]
+class RaftTransport(TCPTransport):  # type: ignore[misc]
     """The engine's transport; all of it runs in the engine's thread."""
 
     def __init__(self, engine: Any, own: Node, others: set[Node]) -> None:
@@ -172,7 +172,7 @@
 
     # --- for operators ----------------------------------------------------------------------------
 
-    def shown(self, names: dict[str, str]) -> dict[str, object]:
+    def describe(self, names: dict[str, str]) -> dict[str, object]:
         """The engine as it stands, for whoever looks why a fleet has no leader; `names` are by address.
 
         Read from another thread: each figure is right, though not all of them at one instant.
--- a/mallowbeam/storage_gateway/coordination/log.py
+++ b/mallowbeam/storage_gateway/coordination/replicated_log.py
@@ -1,17 +1,17 @@
 """The fleet's log as its readers see it: typed entries in one order, and the states that follow from them.
 
-Without I/O, and without the engine: `agreement.py` puts bytes in and calls `Log.apply` with what is
+Without I/O, and without the engine: `raft_node.py` puts bytes in and calls `ReplicatedLog.apply` with what is
 committed, the same on every member in the same order.  A *topic* is a replicated machine: its state is one
 frozen value, and `apply` makes the next one of it from an entry, never from a clock, a random number or
 anything local.  An entry that can't take effect changes nothing and says why (`Refusal`); everybody sees the
 same refusal.
 
-A policy pushed is offered to every topic (`pushed`) before it takes hold: one refusal refuses it whole.
+A policy pushed is offered to every topic (`apply_policy`) before it takes hold: one refusal refuses it whole.
 
-What a topic raises unforeseen counts as a refusal too.  That is the same on every member: `apply` and
-`pushed` are given equal values and look at nothing else, so they raise alike or nowhere.  What comes of the
-place and not of the values (`LOCAL`: memory or stack is out, a call to the system failed) is let through, for
-that member alone has then lost the thread; it must leave, not go on with states of its own.
+What a topic raises unforeseen counts as a refusal too. That is the same on every member: `apply` and
+`apply_policy` are given equal values and look at nothing else, so they raise alike or nowhere. What comes of
+the place and not of the values (`LOCAL`: memory or stack is out, a call to the system failed) is let through,
+for that member alone has then lost the thread; it must leave, not go on with states of its own.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
     remedy: str = ""
 
 
-class Topic(Protocol):
+class StateMachine(Protocol):
     """A replicated machine, the same on every member."""
 
     name: ClassVar[str]
@@ -76,7 +76,7 @@
     def apply(self, states: States, index: int, by: str, entry: Any) -> State | Refusal:
         """The next state, or why there is none; `index` counts the log's entries, `by` names the member."""
 
-    def pushed(self, states: States, index: int, policy: Any) -> State | Refusal:
+    def apply_policy(self, states: States, index: int, policy: Any) -> State | Refusal:
         """The next state as this policy takes hold, or why it may not."""
 
 
@@ -92,10 +92,10 @@
     refusal: Refusal | None = None
 
 
-class Log:
+class ReplicatedLog:
     """All topics' states and the entries that make them."""
 
-    def __init__(self, topics: Sequence[Topic]) -> None:
+    def __init__(self, topics: Sequence[StateMachine]) -> None:
         self.topics, self.index = topics, 0
         self.by_name = {topic.name: topic for topic in topics}
         self.states: dict[str, State] = {topic.name: topic.start() for topic in topics}
@@ -154,7 +154,7 @@
         for topic in self.topics:
             if names is not None and topic.name not in names:
                 continue
-            told = self._judged(topic.name, partial(topic.pushed, self.states, self.index, policy))
+            told = self._judged(topic.name, partial(topic.apply_policy, self.states, self.index, policy))
             if isinstance(told, Refusal):
                 return told
             after[topic.name] = told
--- a/mallowbeam/storage_gateway/coordination/service.py
+++ b/mallowbeam/storage_gateway/coordination/service.py
@@ -20,7 +20,6 @@
 from loguru import logger
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.storage_gateway.coordination.agreement import Agreement, Broken, Heard, Hosted, Proof
 from mallowbeam.storage_gateway.coordination.errors import (
     BadPolicy,
     EndUnknown,
@@ -29,8 +28,6 @@
     NoLeader,
     NotAlike,
 )
-from mallowbeam.storage_gateway.coordination.hands import Drains, GatewayHands, Plans
-from mallowbeam.storage_gateway.coordination.log import Committed, Entry, Log
 from mallowbeam.storage_gateway.coordination.policy import (
     Action,
     Apply,
@@ -40,8 +37,20 @@
     OutOfOrder,
     PolicyCore,
 )
-from mallowbeam.storage_gateway.coordination.policy_text import Policy, canonical, check_sections, read_policy
+from mallowbeam.storage_gateway.coordination.policy_document import (
+    Policy,
+    canonical,
+    check_sections,
+    read_policy,
+)
+from mallowbeam.storage_gateway.coordination.raft_node import Broken, Heard, Hosted, Proof, RaftNode
+from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry, ReplicatedLog
 from mallowbeam.storage_gateway.coordination.subsystem import Subsystem
+from mallowbeam.storage_gateway.coordination.subsystem_context import (
+    GatewayContext,
+    NodeDrains,
+    PlanOverrides,
+)
 from mallowbeam.storage_gateway.operator_settings import PolicySection
 from mallowbeam.storage_gateway.server.config import BadConfig
 from mallowbeam.storage_gateway.server.gateway import Gateway
@@ -79,8 +88,8 @@
         assert section.folder is not None and section.name is not None
         self.gateway, self.section, self.me = gateway, section, section.name
         self.core = PolicyCore(section.lease_s, section.beat_s, section.when_stale == "refuse")
-        self.drains, self.plans = Drains(gateway), Plans(gateway)
-        self.agreement: Agreement | None = None
+        self.drains, self.plans = NodeDrains(gateway), PlanOverrides(gateway)
+        self.agreement: RaftNode | None = None
         self.failed: MallowbeamError | None = None  # why this member takes nothing in any more
         self.hosted: dict[str, tuple[str, ...]] = {}  # by member: its subsystems, as its marks say
         self.leading: str | None = None  # as of the last beat
@@ -93,13 +102,13 @@
         self.subsystems: dict[str, Subsystem] = {
             name: self._open(name, own) for name, own in (sections or {}).items()
         }
-        self.log = Log([part.topic for part in self.subsystems.values()])
+        self.log = ReplicatedLog([part.topic for part in self.subsystems.values()])
         gateway.parts.append(self)
         gateway.gates.append(self.serves)
 
     def _open(self, name: str, section: Any) -> Subsystem:
         """Load a subsystem that is on."""
-        hands = GatewayHands(
+        context = GatewayContext(
             name,
             self.me,
             tuple(sorted(self.section.members)),
@@ -109,8 +118,8 @@
             self._put,
             lambda: self.leading == self.me,
         )
-        module = import_module(f"{__package__}.{name}.part")
-        part: Subsystem = module.open_part(hands, section)
+        module = import_module(f"{__package__}.{name}.subsystem")
+        part: Subsystem = module.open_subsystem(context, section)
         assert part.topic.name == name
         return part
 
@@ -124,7 +133,7 @@
         """Join the fleet's log; until a mark has come back nothing is served."""
         self.loop = asyncio.get_running_loop()
         s, life = self.section, f"{time.time_ns():x}"
-        self.agreement = Agreement(self.me, life, s.members, self.folder, self._told, s.dial, self.log)
+        self.agreement = RaftNode(self.me, life, s.members, self.folder, self._told, s.dial, self.log)
         self.beating = asyncio.create_task(self._beat())
 
     async def hand_over(self) -> None:
@@ -193,7 +202,7 @@
                     self._do(self.core.marked(number, now))
                     if self.core.known_at > before:
                         for name in self.subsystems:
-                            self._call(name, "proven", self.core.known_at, now)
+                            self._call(name, "lease_renewed", self.core.known_at, now)
                 case Hosted(name, topics):
                     self.hosted[name] = topics
                     if topics != tuple(sorted(self.subsystems)):
@@ -304,7 +313,7 @@
 
     # --- what the pages show ----------------------------------------------------------------------
 
-    def shown(self) -> dict[str, object]:
+    def describe(self) -> dict[str, object]:
         """What is in force here, and how sure that is."""
         core = self.core
         self._do(core.tick(time.monotonic()))  # told as the clock has it, not the last tick
@@ -317,7 +326,7 @@
             "digest": digest(core.change),
             "policy": json.loads(core.change.body),
             "failed": self.failed.told() if self.failed else None,
-            "engine": self.agreement.shown() if self.agreement else None,
+            "engine": self.agreement.describe() if self.agreement else None,
         }
 
     def fleet(self) -> dict[str, object]:
@@ -328,7 +337,7 @@
             "leader": self.leading,
             "index": self.log.index,
             "hosted": self.hosted,
-            "subsystems": {name: part.shown() for name, part in self.subsystems.items()},
+            "subsystems": {name: part.describe() for name, part in self.subsystems.items()},
         }
 
     def figures(self) -> dict[str, Mapping[str, float]]:
--- a/mallowbeam/storage_gateway/coordination/shares/service.py
+++ b/mallowbeam/storage_gateway/coordination/shares/core_driver.py
@@ -9,9 +9,15 @@
 
 from collections.abc import Callable, Sequence
 
-from mallowbeam.storage_gateway.coordination.log import Committed, Entry
-from mallowbeam.storage_gateway.coordination.shares.core import Action, Allot, Propose, SharesCore, Times
-from mallowbeam.storage_gateway.coordination.shares.topic import SharesState
+from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry
+from mallowbeam.storage_gateway.coordination.shares.gateway_core import (
+    Action,
+    Allot,
+    Propose,
+    SharesCore,
+    Times,
+)
+from mallowbeam.storage_gateway.coordination.shares.state_machine import SharesState
 
 Proposes = Callable[[Entry], object]
 Allotted = Callable[[str, str, float, float], None]  # tenant, node, units a second, our part of them
@@ -37,9 +43,9 @@
         """The log has committed an entry of this topic."""
         self._do(self.core.committed(told, now))
 
-    def proven(self, put_in: float, now: float) -> None:
+    def lease_renewed(self, proposed_at: float, now: float) -> None:
         """A mark of this life's own came back."""
-        self._do(self.core.proven(put_in, now))
+        self._do(self.core.lease_renewed(proposed_at, now))
 
     def tick(self, now: float, leads: bool = False) -> None:
         """Time has passed; whether this member leads, as far as it knows."""
@@ -54,9 +60,9 @@
         """Discovery told of a node."""
         self._do(self.core.node(node, gone, now))
 
-    def shown(self, now: float) -> dict[str, object]:
+    def describe(self, now: float) -> dict[str, object]:
         """For the page."""
-        return self.core.shown(now)
+        return self.core.describe(now)
 
     def _do(self, actions: list[Action]) -> None:
         for action in actions:
--- a/mallowbeam/storage_gateway/coordination/shares/meter.py
+++ b/mallowbeam/storage_gateway/coordination/shares/demand_meter.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from mallowbeam.storage_gateway.coordination.shares.packed import STEPS, code
+from mallowbeam.storage_gateway.coordination.shares.demand_encoding import STEPS, code
 
 HEADROOM = 1.003  # told over measured: with the rounding up, 0.6% at most
 SHORT, WELL = 3, 0.7  # windows, and the part of what was told that is well below
--- a/mallowbeam/storage_gateway/coordination/shares/divide.py
+++ b/mallowbeam/storage_gateway/coordination/shares/flow_division.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Callable, Mapping
 
-from mallowbeam.storage_gateway.coordination.shares.topic import SharesState
+from mallowbeam.storage_gateway.coordination.shares.state_machine import SharesState
 
 BACK = 10  # of a target that is lent, the part that stays
 Usable = Callable[[str], int]
--- a/mallowbeam/storage_gateway/coordination/shares/core.py
+++ b/mallowbeam/storage_gateway/coordination/shares/gateway_core.py
@@ -1,15 +1,15 @@
 """One gateway's part in the shares: what it tells, when an epoch is to end, and what it may serve; no I/O.
 
-It counts what comes in and tells the fleet where that has changed (`meter.py`).  An epoch ends when the
+It counts what comes in and tells the fleet where that has changed (`demand_meter.py`). An epoch ends when the
 picture has changed: the leader proposes so once `epoch_s` have passed since the last one, or at once where a
-node was lost or a policy pushed; another gateway does when nobody did for `patience` epochs more.  A second
-proposal of the same number changes nothing.  Everything proposed may be lost, so it is proposed again as
-long as the state says that it is still due.
+node was lost or a policy pushed; another gateway does when nobody did for `patience` epochs more. A second
+proposal of the same number changes nothing. Everything proposed may be lost, so it is proposed again as long
+as the state says that it is still due.
 
-What the epoch grants is used only as the handover allows (`handover.py`): the sums of this gateway at each
-node, zone and tenant.  Within them it divides by itself (`divide`): each flow has its target, scaled down
+What the epoch grants is used only as the handover allows (`quota_transfer.py`): the sums of this gateway at
+each node, zone and tenant. Within them it divides by itself (`divide`): each flow has its target, scaled down
 where a sum is not there yet, and what is over (the gateway's floor, as a rule) is for tenants that are new
-here.  A gateway past its lease is left with the floors and divides those.
+here. A gateway past its lease is left with the floors and divides those.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from mallowbeam.storage_gateway.coordination.handed import Release
-from mallowbeam.storage_gateway.coordination.handover import Handover
-from mallowbeam.storage_gateway.coordination.log import Committed, Entry
-from mallowbeam.storage_gateway.coordination.shares.divide import divide
-from mallowbeam.storage_gateway.coordination.shares.meter import Meter
-from mallowbeam.storage_gateway.coordination.shares.packed import pack
-from mallowbeam.storage_gateway.coordination.shares.topic import (
+from mallowbeam.storage_gateway.coordination.quota_epochs import Release
+from mallowbeam.storage_gateway.coordination.quota_transfer import QuotaTransfer
+from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry
+from mallowbeam.storage_gateway.coordination.shares.demand_encoding import pack
+from mallowbeam.storage_gateway.coordination.shares.demand_meter import Meter
+from mallowbeam.storage_gateway.coordination.shares.flow_division import divide
+from mallowbeam.storage_gateway.coordination.shares.state_machine import (
     MOST_FLOWS,
     Close,
     Demand,
@@ -90,7 +90,7 @@
     proposed: dict[str, float] = field(default_factory=dict)  # by what: when
     mine: dict[int, int] = field(default_factory=dict)  # the newest targets
     told: dict[int, int] = field(default_factory=dict)  # the newest allotments, by flow
-    handover: Handover[int] = field(init=False)
+    handover: QuotaTransfer[int] = field(init=False)
     ticked: float = field(init=False)
     windowed: float = field(init=False)
     closed: float = field(init=False)
@@ -103,7 +103,7 @@
     def __post_init__(self) -> None:
         """Nothing is known yet: floors only."""
         t = self.times
-        self.handover = Handover(
+        self.handover = QuotaTransfer(
             self.me, self.gateways, self._floor, t.lease, self.begun, t.drift, again=t.again
         )
         self.ticked = self.windowed = self.closed = self.begun
@@ -138,9 +138,9 @@
         self.lost[node] = gone
         return self._told_lost(now)
 
-    def proven(self, put_in: float, now: float) -> list[Action]:
+    def lease_renewed(self, proposed_at: float, now: float) -> list[Action]:
         """A mark of this life's own came back; when it was put in."""
-        self.handover.proven(put_in)
+        self.handover.lease_renewed(proposed_at)
         self.stale = self.stale or self.handover.live(now) != self.live
         return self._allots(now)
 
@@ -277,7 +277,7 @@
         self.meter = Meter(MOST_FLOWS, moved(self.meter.counts), moved(self.meter.past))
         self.told, self.mine = moved(self.told), moved(self.mine)
 
-    def shown(self, now: float) -> dict[str, object]:
+    def describe(self, now: float) -> dict[str, object]:
         """For the page: where it stands, who is waited for, and what may be served here."""
         state, count = self.state, len(self.state.nodes)
         return {
--- a/mallowbeam/storage_gateway/coordination/shares/rows.py
+++ b/mallowbeam/storage_gateway/coordination/shares/quota_rows.py
@@ -11,7 +11,13 @@
 
 import msgspec
 
-from mallowbeam.storage_gateway.coordination.handed import MOST_OPEN, Handed, Opened, TooManyOpen, settle
+from mallowbeam.storage_gateway.coordination.quota_epochs import (
+    MOST_OPEN,
+    OpenEpoch,
+    QuotaEpochs,
+    TooManyOpen,
+    settle,
+)
 
 Rows = dict[str, dict[str, int]]
 
@@ -95,7 +101,7 @@
     return row
 
 
-def open_epoch(handed: Handed[int], amounts: Rows, floors: Mapping[str, int]) -> Handed[int]:
+def open_epoch(handed: QuotaEpochs[int], amounts: Rows, floors: Mapping[str, int]) -> QuotaEpochs[int]:
     """Open an epoch that grants these rows and no others; the same state when they change nothing.
 
     What `handed.next_epoch` does, without its check of each amount: these rows come of `grant`, whose sums
@@ -114,6 +120,6 @@
     for name, row in rows.items():
         floor, get = floors.get(name, 0), row.get
         losers.update([holder for holder, had in before.get(name, {}).items() if get(holder, floor) < had])
-    opened = Opened(handed.epoch + 1, rows, tuple(sorted(losers)))
+    opened = OpenEpoch(handed.epoch + 1, rows, tuple(sorted(losers)))
     after = msgspec.structs.replace(handed, epoch=opened.epoch, open=(*handed.open, opened))
     return after if losers else settle(after)
--- a/mallowbeam/storage_gateway/coordination/shares/topic.py
+++ b/mallowbeam/storage_gateway/coordination/shares/state_machine.py
@@ -1,10 +1,10 @@
 """The agreed picture of who asks for how much, and what the newest epoch grants; the replicated machine.
 
-Gateways report what came in at them (`Demand`), never what anybody claims.  `Close` ends an epoch: every
-member computes the same allotment out of the same picture (`fair.py`) and opens the epoch of the handover
-with it (`handed.py`).  What is handed over are gateways' sums, not single flows: a row for each node, each
-zone and each tenant, by gateway, as those are the sums that must never be above a capacity or a limit.  How
-a gateway divides its sums is its own affair (`core.py`).
+Gateways report what came in at them (`Demand`), never what anybody claims. `Close` ends an epoch: every
+member computes the same allotment out of the same picture (`max_min_fairness.py`) and opens the epoch of the
+handover with it (`quota_epochs.py`). What is handed over are gateways' sums, not single flows: a row for each
+node, each zone and each tenant, by gateway, as those are the sums that must never be above a capacity or a
+limit. How a gateway divides its sums is its own affair (`gateway_core.py`).
 
 A floor for each gateway is set aside at each node, zone and limit, once and for good: `probe` thousandths of
 it, over all gateways.  A gateway that is cut off falls back on it, and tenants new at a gateway start there.
@@ -23,12 +23,12 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.storage_gateway.coordination.errors import BadPolicy
-from mallowbeam.storage_gateway.coordination.handed import BadTarget, Handed, TooManyOpen, release
-from mallowbeam.storage_gateway.coordination.log import Entry, Refusal
-from mallowbeam.storage_gateway.coordination.policy_text import section_of
-from mallowbeam.storage_gateway.coordination.shares.fair import MILLI, MOST_WEIGHT, Network, allot
-from mallowbeam.storage_gateway.coordination.shares.packed import STEPS, BadRows, unpack
-from mallowbeam.storage_gateway.coordination.shares.rows import Places, grant, open_epoch, ratios, trim
+from mallowbeam.storage_gateway.coordination.policy_document import section_of
+from mallowbeam.storage_gateway.coordination.quota_epochs import BadTarget, QuotaEpochs, TooManyOpen, release
+from mallowbeam.storage_gateway.coordination.replicated_log import Entry, Refusal
+from mallowbeam.storage_gateway.coordination.shares.demand_encoding import STEPS, BadRows, unpack
+from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import MILLI, MOST_WEIGHT, Network, allot
+from mallowbeam.storage_gateway.coordination.shares.quota_rows import Places, grant, open_epoch, ratios, trim
 
 MOST_TENANTS = 10_000  # in a set-up; a push beyond is refused
 MOST_NODES = 2_000
@@ -98,7 +98,7 @@
 class SharesState(msgspec.Struct, frozen=True):
     """The picture and what was granted; flows are numbered by `tenants` and `nodes`, anew with each roll."""
 
-    handed: Handed[int]
+    handed: QuotaEpochs[int]
     setup: Setup = Setup()
     roll: int = 0
     tenants: tuple[str, ...] = ()
@@ -143,7 +143,7 @@
         )
 
 
-class SharesTopic:
+class SharesStateMachine:
     """The machine; `gateways` are the fleet's members, fixed by the operators' file."""
 
     name: ClassVar[str] = "shares"
@@ -155,7 +155,7 @@
 
     def start(self) -> SharesState:
         """Nothing is shared yet."""
-        return SharesState(Handed(self.gateways))
+        return SharesState(QuotaEpochs(self.gateways))
 
     def apply(self, states: Mapping[str, Any], index: int, by: str, entry: Any) -> SharesState | Refusal:
         """The next state, or why there is none."""
@@ -179,7 +179,7 @@
                 return msgspec.structs.replace(state, handed=release(state.handed, holder or by, epoch))
         return Refusal("no such entry")
 
-    def pushed(self, states: Mapping[str, Any], index: int, policy: Any) -> SharesState | Refusal:
+    def apply_policy(self, states: Mapping[str, Any], index: int, policy: Any) -> SharesState | Refusal:
         """The next state as this policy's shares take hold; one without them shares nothing any more."""
         state: SharesState = states[self.name]
         setup = getattr(policy, "shares", None)
--- a/mallowbeam/storage_gateway/coordination/shares/part.py
+++ b/mallowbeam/storage_gateway/coordination/shares/subsystem.py
@@ -1,6 +1,6 @@
 """The shares joined to their gateway: what comes in is counted, what is allotted reaches the module.
 
-A call is counted before the module decides on it (`hands.observe`).  A volume's call for a shard counts at
+A call is counted before the module decides on it (`context.observe`).  A volume's call for a shard counts at
 the nodes listed for that shard, in equal parts; one for a new object (no shard) at all nodes of the set-up,
 by their capacities.  The module counts by shard, so what holds is the sum of a shard's nodes: it is each
 node's own bound where a shard has one node.  Where a tenant also puts new objects, its rates are parted
@@ -24,12 +24,12 @@
 from dataclasses import dataclass, replace
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.storage_gateway.coordination.log import Committed
-from mallowbeam.storage_gateway.coordination.policy_text import owns
-from mallowbeam.storage_gateway.coordination.shares.core import Times
-from mallowbeam.storage_gateway.coordination.shares.service import Shares
-from mallowbeam.storage_gateway.coordination.shares.topic import Setup, SharesTopic
-from mallowbeam.storage_gateway.coordination.subsystem import Hands
+from mallowbeam.storage_gateway.coordination.policy_document import owns
+from mallowbeam.storage_gateway.coordination.replicated_log import Committed
+from mallowbeam.storage_gateway.coordination.shares.core_driver import Shares
+from mallowbeam.storage_gateway.coordination.shares.gateway_core import Times
+from mallowbeam.storage_gateway.coordination.shares.state_machine import Setup, SharesStateMachine
+from mallowbeam.storage_gateway.coordination.subsystem import SubsystemContext
 from mallowbeam.storage_gateway.operator_settings import SharesSection
 from mallowbeam.storage_gateway.scheduler.interface import Plan
 from mallowbeam.storage_gateway.server.log import Sparse
@@ -54,12 +54,12 @@
     mix: float = 0.0  # the part of its rates that is for new objects
 
 
-class SharesPart:
+class SharesSubsystem:
     """The subsystem."""
 
-    def __init__(self, hands: Hands, section: SharesSection, units_top: int = 1) -> None:
-        self.hands, self.section, self.units_top = hands, section, units_top
-        self.topic = SharesTopic(hands.members)
+    def __init__(self, context: SubsystemContext, section: SharesSection, units_top: int = 1) -> None:
+        self.context, self.section, self.units_top = context, section, units_top
+        self.topic = SharesStateMachine(context.members)
         self.now = self.mixed = time.monotonic()
         times = Times(
             epoch=section.epoch_s,
@@ -69,7 +69,7 @@
             beat=min(1.5, section.quiet_s / 3),
         )
         self.shares = Shares(
-            hands.me, hands.members, self.topic.start(), self.now, hands.propose, self._allotted, times
+            context.me, context.members, self.topic.start(), self.now, context.propose, self._allotted, times
         )
         self.tenants: dict[str, Tenant] = {}
         self.shards: dict[str, int] = {}  # by node, as listed
@@ -78,7 +78,7 @@
         self.known: dict[str, Plan | None] = {}  # plans that anybody asked under, as in force
         self.refused = 0
         self.bad = Sparse("shares: an allotment does not hold, the static part does")
-        hands.observe(lambda fields: self.observed(fields, time.monotonic()))
+        context.observe(lambda fields: self.observed(fields, time.monotonic()))
 
     # --- what the service tells -------------------------------------------------------------------
 
@@ -98,13 +98,13 @@
                 if name not in setup.tenants and not tenant.held:
                     del self.tenants[name]
 
-    def proven(self, put_in: float, now: float) -> None:
+    def lease_renewed(self, proposed_at: float, now: float) -> None:
         """A mark came back."""
-        self.shares.proven(put_in, now)
+        self.shares.lease_renewed(proposed_at, now)
 
     def tick(self, now: float) -> None:
         """What is listed now, and what is due."""
-        listed = {entry.node: entry.shard for entry in self.hands.nodes()}
+        listed = {entry.node: entry.shard for entry in self.context.nodes()}
         setup = self.shares.core.state.setup
         if listed != self.shards:
             self.shards, self.at = listed, {}
@@ -117,14 +117,14 @@
                 if (gone := node not in listed) != self.gone.get(node, False):
                     self.gone[node] = gone
                     self.shares.node(node, gone, now)
-        if (known := {plan: self.hands.plan(plan) for plan in self.known}) != self.known:
+        if (known := {plan: self.context.plan(plan) for plan in self.known}) != self.known:
             self.known = known  # a policy changed a plan: its allotments rest on it
             for name, tenant in self.tenants.items():
                 self._hold(name, tenant, True)
         if now >= self.mixed + MIX_S:
             self.mixed = now
             self._mix()
-        self.shares.tick(now, self.hands.leader())
+        self.shares.tick(now, self.context.leader())
 
     def observed(self, fields: Mapping[str, object], now: float) -> None:
         """A call came in; before it is decided on."""
@@ -135,7 +135,7 @@
         units = fields.get("units", 1)
         amount = float(units) if isinstance(units, int | float) else 1.0
         tenant = self.tenants.setdefault(name, Tenant({}, {}, {}))
-        own = self.hands.plan(plan)
+        own = self.context.plan(plan)
         fresh = own is not None and plan not in tenant.plans and len(tenant.plans) < MOST_PLANS
         if fresh:
             self.known[plan] = own
@@ -204,7 +204,7 @@
 
     def _plan(self, volume: str, plan: str, shard: int | None, rate: float | None) -> bool:
         """One allotment, None: taken back; whether it holds."""
-        if (own := self.hands.plan(plan)) is None:
+        if (own := self.context.plan(plan)) is None:
             return False
         if rate is None:
             told, part = own, None
@@ -213,7 +213,7 @@
             told = replace(own, limit=rate if rate > 0 else 1.0, limit_burst=burst, limit_slack=0.0)
             part = 1.0 if rate > 0 else 0.0
         try:
-            if self.hands.planned(told, volume, shard, part):
+            if self.context.planned(told, volume, shard, part):
                 return True
             self.bad("this gateway's module takes none")
         except MallowbeamError as error:
@@ -223,9 +223,9 @@
 
     # --- what is shown ----------------------------------------------------------------------------
 
-    def shown(self) -> dict[str, object]:
+    def describe(self) -> dict[str, object]:
         """Where the epoch stands, and what may be served here."""
-        return self.shares.shown(time.monotonic())
+        return self.shares.describe(time.monotonic())
 
     def gauges(self) -> Mapping[str, float]:
         """The newest epoch, and what is held here."""
@@ -238,6 +238,6 @@
         }
 
 
-def open_part(hands: Hands, section: SharesSection) -> SharesPart:
+def open_subsystem(context: SubsystemContext, section: SharesSection) -> SharesSubsystem:
     """The subsystem on these hands."""
-    return SharesPart(hands, section, hands.gateway().config.settings.units_top)
+    return SharesSubsystem(context, section, context.gateway().config.settings.units_top)
--- a/mallowbeam/storage_gateway/coordination/page.py
+++ b/mallowbeam/storage_gateway/coordination/status_pages.py
@@ -29,7 +29,7 @@
     NotByThisMethod,
 )
 from mallowbeam.storage_gateway.coordination.metrics import CONTENT_TYPE, FleetMetrics
-from mallowbeam.storage_gateway.coordination.policy_text import MOST
+from mallowbeam.storage_gateway.coordination.policy_document import MOST
 from mallowbeam.storage_gateway.coordination.service import FleetService
 from mallowbeam.storage_gateway.operator_settings import PolicySection
 from mallowbeam.storage_gateway.server.config import read_address
@@ -40,7 +40,7 @@
 ALLOWED = {b"/policy": b"GET, PUT", b"/fleet": b"GET", b"/fleet/metrics": b"GET"}
 
 
-class FleetPages:
+class StatusPages:
     """The front."""
 
     max_body = whole = MOST  # held whole: a push may come in pieces
@@ -76,8 +76,8 @@
             body = self.metrics.text()
             head = write_head(200, [(b"content-type", CONTENT_TYPE.encode())], len(body), closing())
             return Reply(200, head + body)
-        shown = self.service.shown() if request.target == b"/policy" else self.service.fleet()
-        return page(200, shown, closing())
+        describe = self.service.describe() if request.target == b"/policy" else self.service.fleet()
+        return page(200, describe, closing())
 
     def complain(self, status: int, text: str) -> Reply:
         """The answer to what breaks HTTP or a bound."""
@@ -113,5 +113,5 @@
 ) -> Server:
     """The part, and the listener of its pages; `sections` are those of subsystems on; raises `BadConfig`."""
     assert section.listen is not None
-    pages = FleetPages(FleetService(gateway, section, sections))
+    pages = StatusPages(FleetService(gateway, section, sections))
     return Server(read_address(section.listen), pages, connections, name="policy")
--- a/mallowbeam/storage_gateway/coordination/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem.py
@@ -1,8 +1,9 @@
 """What a subsystem of the fleet is to the service, and what the service's hands do for it.
 
-A subsystem is one of the sections `maintenance`, `shares` and `pools` of the operators' file.  Where one is
-on, the service imports `<name>.part` of this package and calls its `open_part(hands, section)`, which hands
-back a `Subsystem`.  Its topic's name is the section's.  All of its methods are called on the gateway's loop.
+A subsystem is one of the sections `maintenance`, `shares` and `pools` of the operators' file. Where one is
+on, the service imports `<name>.subsystem` of this package and calls its `open_subsystem(context, section)`,
+which hands back a `Subsystem`. Its topic's name is the section's. All of its methods are called on the
+gateway's loop.
 """
 
 from __future__ import annotations
@@ -10,32 +11,32 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from mallowbeam.storage_gateway.coordination.log import Committed, Entry, Topic
+from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry, StateMachine
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, Plan
 
 
 class Subsystem(Protocol):
     """One subsystem in one gateway: its core, and the acts that its actions name."""
 
-    topic: Topic
+    topic: StateMachine
 
     def committed(self, told: Committed, now: float) -> None:
         """The log has told this topic an entry, or its state whole (`told.entry` None); now: steady clock."""
 
-    def proven(self, put_in: float, now: float) -> None:
+    def lease_renewed(self, proposed_at: float, now: float) -> None:
         """A mark of this gateway's own came back: all committed before it was put in is known here."""
 
     def tick(self, now: float) -> None:
         """Time has passed: each half beat."""
 
-    def shown(self) -> dict[str, object]:
+    def describe(self) -> dict[str, object]:
         """What the page `/fleet` tells of it."""
 
     def gauges(self) -> Mapping[str, float]:
         """Its figures for `/fleet/metrics`, named without the subsystem's name."""
 
 
-class Hands(Protocol):
+class SubsystemContext(Protocol):
     """What a subsystem may do and see; each call at once and on the loop."""
 
     me: str  # this member's name
@@ -89,8 +90,8 @@
         """The gateway itself, for what has no call here yet; a reason to add one."""
 
 
-class OpenPart(Protocol):
-    """`open_part` of a subsystem's module `part`."""
+class SubsystemFactory(Protocol):
+    """`open_subsystem` of a subsystem's module `subsystem`."""
 
-    def __call__(self, hands: Hands, section: Any) -> Subsystem:
+    def __call__(self, context: SubsystemContext, section: Any) -> Subsystem:
         """The subsystem on these hands; `section` is its part of the operators' file."""
--- a/mallowbeam/storage_gateway/coordination/hands.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem_context.py
@@ -1,17 +1,17 @@
-"""The service's hands for one subsystem: `subsystem.Hands` over the gateway.  Decides nothing."""
+"""The service's hands for one subsystem: `subsystem.SubsystemContext` over the gateway.  Decides nothing."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from mallowbeam.storage_gateway.coordination.log import Entry
+from mallowbeam.storage_gateway.coordination.replicated_log import Entry
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, Plan
 from mallowbeam.storage_gateway.server.gateway import Gateway
 from mallowbeam.storage_gateway.server.log import Sparse
 
 
-class Drains:
+class NodeDrains:
     """Who wants which node out here: a node goes in again when nobody does any more."""
 
     def __init__(self, gateway: Gateway) -> None:
@@ -28,12 +28,12 @@
             self.gateway.by_hand(node, out, listed=False)
 
 
-class Plans:
+class PlanOverrides:
     """Plans' figures on the way to the module, which takes them by the facade's one call."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
-        self.pushed: dict[str, Plan] = {}  # whole plans that were changed since the start
+        self.overrides: dict[str, Plan] = {}  # complete plans that a policy changed since the start
 
     @property
     def settings(self) -> Mapping[str, Plan]:
@@ -53,15 +53,15 @@
             return False
         self.gateway._apply(call(self.gateway.now(), plan, volume, shard, part))
         if not volume:
-            self.pushed[plan.name] = plan
+            self.overrides[plan.name] = plan
         return True
 
     def plan(self, name: str) -> Plan | None:
         """A plan as it is in force; None for one that nobody has."""
-        return self.pushed.get(name) or self.settings.get(name)
+        return self.overrides.get(name) or self.settings.get(name)
 
 
-class GatewayHands:
+class GatewayContext:
     """One subsystem's hands; `put` takes an entry of its topic's into the log."""
 
     def __init__(
@@ -70,8 +70,8 @@
         me: str,
         members: tuple[str, ...],
         gateway: Gateway,
-        drains: Drains,
-        plans: Plans,
+        drains: NodeDrains,
+        plans: PlanOverrides,
         put: Callable[[str, Entry], bool],
         leads: Callable[[], bool],
     ) -> None:
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_broken.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_broken.py
@@ -142,9 +142,9 @@
     """Takes a gateway for gone that it has not heard of for a moment."""
 
     def _due(self, now):
-        self.proven, was = now + 9.0, self.proven
+        self.lease_renewed, was = now + 9.0, self.lease_renewed
         found = super()._due(now)
-        self.proven = was
+        self.lease_renewed = was
         return found
 
 
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_core.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_core.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from mallowbeam.storage_gateway.coordination.log import Log
 from mallowbeam.storage_gateway.coordination.maintenance import core as c
 from mallowbeam.storage_gateway.coordination.maintenance import state as s
 from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance
+from mallowbeam.storage_gateway.coordination.replicated_log import ReplicatedLog
 
 MEMBERS = ("g0", "g1", "g2")
 NODES = {f"n{i}": s.NodeFacts("ab"[i % 2], i // 2) for i in range(4)}
@@ -17,7 +17,7 @@
     """A core on a log of its own; it hears at once what is put in, and may be kept from it."""
 
     def __init__(self, name="g1", now=100.0, known=99.5):
-        self.log = Log([Maintenance(MEMBERS)])
+        self.log = ReplicatedLog([Maintenance(MEMBERS)])
         self.core = c.MaintenanceCore(name, "l", MEMBERS, now)
         self.core.mark(known)
         self.core.reports(c.Local(NODES))
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_machine.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_machine.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from mallowbeam.storage_gateway.coordination.log import MOST_ENTRY, Log, Refusal
 from mallowbeam.storage_gateway.coordination.maintenance import core as c
 from mallowbeam.storage_gateway.coordination.maintenance import state as s
-from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance, shown
+from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance, describe
+from mallowbeam.storage_gateway.coordination.replicated_log import MOST_ENTRY, Refusal, ReplicatedLog
 
 MEMBERS = ("g0", "g1", "g2")
 
@@ -19,7 +19,7 @@
 
 
 def fleet(members=MEMBERS, told=None, **requests):
-    log = Log([Maintenance(members)])
+    log = ReplicatedLog([Maintenance(members)])
     for name in members:
         put(log, name, s.Report("l", 1, 0, "z", told or nodes()))
     return log
@@ -77,7 +77,7 @@
 
 
 def test_no_report_no_request():
-    assert "no gateway has said yet" in push(Log([Maintenance(MEMBERS)]), ask("n0")).what
+    assert "no gateway has said yet" in push(ReplicatedLog([Maintenance(MEMBERS)]), ask("n0")).what
 
 
 def test_two_who_ask_for_the_next_get_one_and_it_says_why():
@@ -89,7 +89,7 @@
     assert "n0 is next of 3" in state(log).items["n0"].why
     paused = put(log, "g1", s.Next(1)).refusal
     assert paused is not None and "n2 may not go: n0 is not there, a allows 1 at once" in paused.what
-    assert shown(Maintenance(MEMBERS), state(log))["next"].startswith("paused")
+    assert describe(Maintenance(MEMBERS), state(log))["next"].startswith("paused")
 
 
 def test_a_step_asked_for_twice_is_taken_once():
@@ -192,7 +192,7 @@
 def test_state_outlives_a_snapshot_and_a_core_follows_it():
     log = fleet()
     draining(log)
-    other = Log([Maintenance(MEMBERS)])
+    other = ReplicatedLog([Maintenance(MEMBERS)])
     told = other.load(log.dump())
     assert other.states == log.states
     core = c.MaintenanceCore("g1", "x", MEMBERS, 10.0)
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_part.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_part.py
@@ -8,15 +8,15 @@
 import pytest
 
 from mallowbeam.http.framing import Message
-from mallowbeam.storage_gateway.coordination.log import Log
 from mallowbeam.storage_gateway.coordination.maintenance import state as s
-from mallowbeam.storage_gateway.coordination.maintenance.part import NotOut, open_part
-from mallowbeam.storage_gateway.coordination.page import FleetPages
+from mallowbeam.storage_gateway.coordination.maintenance.subsystem import NotOut, open_subsystem
+from mallowbeam.storage_gateway.coordination.replicated_log import ReplicatedLog
+from mallowbeam.storage_gateway.coordination.status_pages import StatusPages
 from mallowbeam.storage_gateway.operator_settings import MaintenanceSection
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, NodeState
 
 
-class Hands:
+class SubsystemContext:
     """Hands that record; what is proposed is put in by the test."""
 
     me, members = "g0", ("g0", "g1", "g2")
@@ -52,9 +52,9 @@
 
 @pytest.fixture
 def rig():
-    hands = Hands()
-    part = open_part(hands, MaintenanceSection(on=True))
-    log = Log([part.topic])
+    context = SubsystemContext()
+    part = open_subsystem(context, MaintenanceSection(on=True))
+    log = ReplicatedLog([part.topic])
 
     def put(by, entry):
         told = log.apply(log.encode("maintenance", by, entry))
@@ -68,7 +68,7 @@
 
     def say():
         """All gateways' words."""
-        for number, by in enumerate(hands.members):
+        for number, by in enumerate(context.members):
             put(
                 by,
                 s.Report(
@@ -76,7 +76,7 @@
                     number,
                     log.index,
                     "z",
-                    {entry.node: s.NodeFacts(entry.zone) for entry in hands.nodes()},
+                    {entry.node: s.NodeFacts(entry.zone) for entry in context.nodes()},
                     ["n0", "g0"],
                     ["n0"],
                     True,
@@ -85,7 +85,7 @@
 
     part.tick(99.0)
     say()
-    return SimpleNamespace(hands=hands, part=part, put=put, push=push, say=say, log=log)
+    return SimpleNamespace(context=context, part=part, put=put, push=push, say=say, log=log)
 
 
 def go(rig, machine, *steps):
@@ -98,8 +98,8 @@
     rig.push("n0")
     rig.put("g0", s.Next(0))
     go(rig, "n0", "draining")
-    assert rig.hands.drained == {"n0"}
-    pages = FleetPages(SimpleNamespace(subsystems={"maintenance": rig.part}, figures=dict))
+    assert rig.context.drained == {"n0"}
+    pages = StatusPages(SimpleNamespace(subsystems={"maintenance": rig.part}, figures=dict))
 
     def ask(method, target):
         request = Message()
@@ -111,14 +111,14 @@
     assert ask(b"GET", b"/fleet/maintenance/back?n0") == 405
     assert ask(b"PUT", b"/fleet/maintenance/back?n0") == 202
     rig.part.tick(101.0)
-    assert s.Back("n0") in rig.hands.proposed
+    assert s.Back("n0") in rig.context.proposed
     rig.put("g0", s.Back("n0"))
     with pytest.raises(NotOut):
         rig.part.asked("back", "n0")
     warmed = []
     rig.part.warmers.append(lambda node, share: warmed.append((node, round(share, 2))))
     go(rig, "n0", "warming")
-    assert rig.hands.drained == set() and warmed == [("n0", 0.33)]
+    assert rig.context.drained == set() and warmed == [("n0", 0.33)]
     assert rig.part.gauges()["away"] == 1
 
 
@@ -128,19 +128,19 @@
     rig.push("g0")
     rig.put("g1", s.Next(0))
     rig.part.tick(100.0)
-    assert rig.hands.opened and not rig.hands.proposed[-1].gave_up
+    assert rig.context.opened and not rig.context.proposed[-1].gave_up
     held.clear()
     held.append(False)
     rig.part.tick(101.0)
-    assert any(getattr(entry, "gave_up", False) for entry in rig.hands.proposed)
+    assert any(getattr(entry, "gave_up", False) for entry in rig.context.proposed)
     go(rig, "g0", "draining")
-    assert not rig.hands.opened
+    assert not rig.context.opened
     rig.push()
-    assert rig.hands.opened
+    assert rig.context.opened
 
 
 def test_the_door_is_shut_by_the_clock_once_no_report_comes_back(rig):
-    assert rig.hands.gates[0]()
+    assert rig.context.gates[0]()
     rig.push("n0")
-    assert not rig.hands.gates[0]()  # no mark and no report of its own has come back yet
-    assert rig.part.shown()["counted"] is False
+    assert not rig.context.gates[0]()  # no mark and no report of its own has come back yet
+    assert rig.part.describe()["counted"] is False
--- a/tests/storage_gateway/coordination/shares/test_shares_broken.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_broken.py
@@ -5,9 +5,9 @@
 import pytest
 from test_shares_fleet import SETUP, fleet
 
-from mallowbeam.storage_gateway.coordination.handover import Handover
-from mallowbeam.storage_gateway.coordination.shares.core import SharesCore
-from mallowbeam.storage_gateway.coordination.shares.topic import Setup, Share
+from mallowbeam.storage_gateway.coordination.quota_transfer import QuotaTransfer
+from mallowbeam.storage_gateway.coordination.shares.gateway_core import SharesCore
+from mallowbeam.storage_gateway.coordination.shares.state_machine import Setup, Share
 
 
 class GrowsAtOnce(SharesCore):
@@ -18,7 +18,7 @@
         self.handover.__class__ = Hasty
 
 
-class Hasty(Handover):
+class Hasty(QuotaTransfer):
     def usable(self, resource, now):
         row, floor = self.rows.get(resource, {}), self.floor(resource, self.me)
         return row.get(self.me, floor) if self.live(now) else floor
@@ -32,7 +32,7 @@
         self.handover.__class__ = Lasting
 
 
-class Lasting(Handover):
+class Lasting(QuotaTransfer):
     def live(self, now):
         return self.known_at > float("-inf")
 
--- a/tests/storage_gateway/coordination/shares/test_shares_core.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_core.py
@@ -7,9 +7,9 @@
 from test_shares_fleet import T, fair, fleet
 from test_shares_topic import NAMES, demand, log, put
 
-from mallowbeam.storage_gateway.coordination.shares.core import Propose, SharesCore
-from mallowbeam.storage_gateway.coordination.shares.divide import divide
-from mallowbeam.storage_gateway.coordination.shares.topic import Close
+from mallowbeam.storage_gateway.coordination.shares.flow_division import divide
+from mallowbeam.storage_gateway.coordination.shares.gateway_core import Propose, SharesCore
+from mallowbeam.storage_gateway.coordination.shares.state_machine import Close
 
 
 def closes(actions):
--- a/tests/storage_gateway/coordination/shares/test_shares_fair.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_fair.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from shares_oracle import lexicographic
 
-from mallowbeam.storage_gateway.coordination.shares.fair import Network, allot
-from mallowbeam.storage_gateway.coordination.shares.rows import ratios
+from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import Network, allot
+from mallowbeam.storage_gateway.coordination.shares.quota_rows import ratios
 
 RATES = st.integers(0, 500).map(lambda units: units * 1000)
 
--- a/tests/storage_gateway/coordination/shares/test_shares_fleet.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_fleet.py
@@ -6,9 +6,9 @@
 from shares_oracle import lexicographic
 
 from mallowbeam.lab.sharesim import Fleet, totals
-from mallowbeam.storage_gateway.coordination.shares.core import Times
-from mallowbeam.storage_gateway.coordination.shares.fair import Network
-from mallowbeam.storage_gateway.coordination.shares.topic import Node, Setup, Share
+from mallowbeam.storage_gateway.coordination.shares.gateway_core import Times
+from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import Network
+from mallowbeam.storage_gateway.coordination.shares.state_machine import Node, Setup, Share
 
 T = Times()
 THREE = 3 * T.epoch + 1.5  # three epochs, the window of counting and the words' way
--- a/tests/storage_gateway/coordination/shares/test_shares_part.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_part.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from mallowbeam.storage_gateway.coordination.hands import GatewayHands
-from mallowbeam.storage_gateway.coordination.log import Log, Refusal
-from mallowbeam.storage_gateway.coordination.policy_text import check_sections, read_policy
-from mallowbeam.storage_gateway.coordination.shares.part import open_part
+from mallowbeam.storage_gateway.coordination.policy_document import check_sections, read_policy
+from mallowbeam.storage_gateway.coordination.replicated_log import Refusal, ReplicatedLog
+from mallowbeam.storage_gateway.coordination.shares.subsystem import open_subsystem
+from mallowbeam.storage_gateway.coordination.subsystem_context import GatewayContext
 from mallowbeam.storage_gateway.operator_settings import SharesSection, check
 from mallowbeam.storage_gateway.scheduler.gateway_host import Facade, TooManyAllotments
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, NodeState, Plan, RequestClass, Settings
@@ -20,7 +20,7 @@
 SHARES = {"tenants": {"a": {"weight": 2000}, "b": {}}, "nodes": {"n0": {"capacity": 30_000}}}
 
 
-class Hands:
+class SubsystemContext:
     """One gateway's; what is proposed is kept until the test commits it."""
 
     members = NAMES
@@ -62,10 +62,10 @@
     """Three parts and the log; time in steps of 0.1 s."""
 
     def __init__(self):
-        self.hands = {name: Hands(name) for name in NAMES}
-        self.parts = {name: open_part(self.hands[name], SharesSection(on=True)) for name in NAMES}
+        self.context = {name: SubsystemContext(name) for name in NAMES}
+        self.parts = {name: open_subsystem(self.context[name], SharesSection(on=True)) for name in NAMES}
         self.now = max(part.now for part in self.parts.values())
-        self.log, self.asks = Log([self.parts["g0"].topic]), {}
+        self.log, self.asks = ReplicatedLog([self.parts["g0"].topic]), {}
         self.push(SHARES)
 
     def push(self, shares):
@@ -80,15 +80,15 @@
         for _ in range(round(seconds * 10)):
             self.now += 0.1
             for name, part in self.parts.items():
-                part.proven(self.now - 0.05, self.now)
+                part.lease_renewed(self.now - 0.05, self.now)
                 for (gateway, volume, plan, shard), rate in self.asks.items():
                     if gateway == name:
                         part.observed(
                             {"volume": volume, "plan": plan, "shard": shard, "units": rate / 10}, self.now
                         )
                 part.tick(self.now)
-            for name, hands in self.hands.items():
-                put, hands.put = hands.put, []
+            for name, context in self.context.items():
+                put, context.put = context.put, []
                 for entry in put:
                     told = self.log.apply(self.log.encode("shares", name, entry))
                     for part in self.parts.values():
@@ -98,8 +98,8 @@
     def limit(self, volume):
         return sum(
             plan.limit * part
-            for hands in self.hands.values()
-            for (name, *_), (plan, part) in hands.held.items()
+            for context in self.context.values()
+            for (name, *_), (plan, part) in context.held.items()
             if name == volume
         )
 
@@ -114,34 +114,34 @@
 def test_a_tenant_of_twice_the_weight_is_allotted_twice_as_much(fleet):
     assert fleet.limit("a") == pytest.approx(20, rel=0.03)
     assert fleet.limit("b") == pytest.approx(10, rel=0.03)
-    ((plan, part),) = fleet.hands["g0"].held.values()
+    ((plan, part),) = fleet.context["g0"].held.values()
     assert (plan.weight, part, plan.limit_burst) == (3.0, 1.0, 8 + plan.limit)  # else its own
-    assert set(fleet.hands["g0"].held) == {("a", "gold", 4)}
+    assert set(fleet.context["g0"].held) == {("a", "gold", 4)}
     assert fleet.limit("a") + fleet.limit("b") <= 30
 
 
 def test_who_asks_for_what_is_not_shared_is_left_alone(fleet):
     fleet.asks = {("g0", "c", "gold", 4): 10.0, ("g0", "a", "gold", 5): 10.0}
-    before = dict(fleet.hands["g0"].held)
+    before = dict(fleet.context["g0"].held)
     fleet.run(0.1)
-    assert fleet.hands["g0"].held.keys() == before.keys()
+    assert fleet.context["g0"].held.keys() == before.keys()
 
 
 def test_a_rate_of_nothing_bars_and_is_not_without_a_limit(fleet):
     fleet.asks.pop(("g0", "a", "gold", 4))
     fleet.run(8)
-    plan, part = fleet.hands["g0"].held["a", "gold", 4]
+    plan, part = fleet.context["g0"].held["a", "gold", 4]
     assert part == 0.0 and plan.limit > 0  # to the module a limit of 0 is none
     fleet.parts["g0"].observed({"volume": "a", "plan": "gold", "shard": 4, "units": 1}, fleet.now)
-    plan, part = fleet.hands["g0"].held["a", "gold", 4]
+    plan, part = fleet.context["g0"].held["a", "gold", 4]
     assert part == 1.0 and 0 < plan.limit <= 0.1  # its floor, before that call is decided on
 
 
 def test_allotments_are_taken_back_when_shares_go_out_of_the_policy(fleet):
     assert fleet.push(None) is None
-    assert all(not hands.held for hands in fleet.hands.values())
+    assert all(not context.held for context in fleet.context.values())
     fleet.run(2)
-    assert all(not hands.held for hands in fleet.hands.values())
+    assert all(not context.held for context in fleet.context.values())
     fleet.push(SHARES)
     assert fleet.run(5).limit("a") == pytest.approx(20, rel=0.03)
 
@@ -149,52 +149,52 @@
 def test_a_tenant_under_two_plans_has_no_more_than_its_share(fleet):
     fleet.asks["g0", "a", "tin", 4] = 40.0
     fleet.run(5)
-    assert {key[1] for key in fleet.hands["g0"].held} == {"gold", "tin"}
+    assert {key[1] for key in fleet.context["g0"].held} == {"gold", "tin"}
     assert fleet.limit("a") == pytest.approx(20, rel=0.03)
     fleet.asks.pop(("g0", "a", "gold", 4))
     fleet.run(20)
-    assert {key[1] for key in fleet.hands["g0"].held} == {"tin"}
+    assert {key[1] for key in fleet.context["g0"].held} == {"tin"}
     fleet.parts["g0"].observed({"volume": "a", "plan": "made up", "shard": 4}, fleet.now)
     assert fleet.run(1).limit("a") == pytest.approx(20, rel=0.03)
 
 
 def test_plans_of_one_tenant_are_bounded(fleet):
     for number in range(8):
-        fleet.hands["g0"].plans[f"p{number}"] = Plan(f"p{number}")
+        fleet.context["g0"].plans[f"p{number}"] = Plan(f"p{number}")
         fleet.parts["g0"].observed({"volume": "a", "plan": f"p{number}", "shard": 4}, fleet.now)
-    assert {key[1] for key in fleet.hands["g0"].held} == {"gold", "p0", "p1", "p2"}
+    assert {key[1] for key in fleet.context["g0"].held} == {"gold", "p0", "p1", "p2"}
 
 
 def test_new_objects_have_their_part_of_the_rate(fleet):
     fleet.asks["g0", "a", "gold", None] = 40.0
     fleet.run(6)
-    held = fleet.hands["g0"].held
+    held = fleet.context["g0"].held
     assert held["a", "gold", None][0].limit == pytest.approx(held["a", "gold", 4][0].limit, rel=0.2)
     assert fleet.limit("a") == pytest.approx(20, rel=0.03)
 
 
 def test_a_plan_that_a_policy_changes_changes_what_rests_on_it(fleet):
-    fleet.hands["g0"].plans["gold"] = Plan("gold", weight=7.0)
+    fleet.context["g0"].plans["gold"] = Plan("gold", weight=7.0)
     fleet.run(0.1)
-    assert fleet.hands["g0"].held["a", "gold", 4][0].weight == 7.0
+    assert fleet.context["g0"].held["a", "gold", 4][0].weight == 7.0
 
 
 def test_what_the_module_refuses_is_asked_for_again(fleet):
-    fleet.hands["g0"].full = True
+    fleet.context["g0"].full = True
     fleet.asks["g0", "b", "gold", 4] = 10.0
     fleet.run(2)
-    assert ("b", "gold", 4) not in fleet.hands["g0"].held and fleet.parts["g0"].gauges()["refused"] > 0
-    fleet.hands["g0"].full = False
+    assert ("b", "gold", 4) not in fleet.context["g0"].held and fleet.parts["g0"].gauges()["refused"] > 0
+    fleet.context["g0"].full = False
     fleet.asks["g0", "b", "gold", 4] = 20.0
     fleet.run(3)
-    assert ("b", "gold", 4) in fleet.hands["g0"].held
+    assert ("b", "gold", 4) in fleet.context["g0"].held
 
 
 def test_a_node_no_longer_listed_is_told_and_an_empty_list_is_not(fleet):
-    fleet.hands["g0"].listed = []
+    fleet.context["g0"].listed = []
     fleet.run(1)
     assert not fleet.log.states["shares"].gone
-    fleet.hands["g0"].listed = [NodeEntry("n1", NodeState.READY, 5)]
+    fleet.context["g0"].listed = [NodeEntry("n1", NodeState.READY, 5)]
     fleet.run(1)
     assert set(fleet.log.states["shares"].gone) == {"n0"}
 
@@ -202,7 +202,7 @@
 def test_the_store_lets_the_largest_call_pass():
     settings = Settings(units_top=8, plans={"gold": GOLD}, hosts=1, classes={"read": RequestClass("read")})
     part, facade = Fleet().parts["g0"], Facade(settings, 0.0)
-    part.hands.planned = lambda plan, *more: bool(facade.planned(0.0, plan, *more)) or True
+    part.context.planned = lambda plan, *more: bool(facade.planned(0.0, plan, *more)) or True
     part.shards, part.at = {"n0": 4}, {4: ["n0"]}
     part.observed({"volume": "a", "plan": "gold", "shard": 4, "units": 8}, 0.0)
     part._allotted("a", "n0", 1.0, 1.0)
@@ -240,8 +240,8 @@
 
 def test_what_an_observer_raises_stays_off_the_call():
     gateway, seen = SimpleNamespace(observers=[], gates=[]), []
-    hands = GatewayHands("shares", "g0", NAMES, gateway, None, None, None, None)
-    hands.observe(lambda fields: seen.append(fields["volume"]))
+    context = GatewayContext("shares", "g0", NAMES, gateway, None, None, None, None)
+    context.observe(lambda fields: seen.append(fields["volume"]))
     gateway.observers[0]({"volume": "a"})
     gateway.observers[0]({})  # a KeyError: logged
     assert seen == ["a"]
--- a/tests/storage_gateway/coordination/shares/test_shares_storm.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_storm.py
@@ -8,7 +8,7 @@
 import pytest
 from test_shares_fleet import LEASE, SETUP, THREE, fair, fleet
 
-from mallowbeam.storage_gateway.coordination.shares.topic import Setup, Share
+from mallowbeam.storage_gateway.coordination.shares.state_machine import Setup, Share
 
 
 def befall(it, rng) -> None:
--- a/tests/storage_gateway/coordination/shares/test_shares_topic.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_topic.py
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mallowbeam.storage_gateway.coordination.log import Log, Refusal
-from mallowbeam.storage_gateway.coordination.shares.meter import LONG, Meter
-from mallowbeam.storage_gateway.coordination.shares.packed import STEPS, BadRows, code, pack, unpack
-from mallowbeam.storage_gateway.coordination.shares.rows import trim
-from mallowbeam.storage_gateway.coordination.shares.service import Shares
-from mallowbeam.storage_gateway.coordination.shares.topic import (
+from mallowbeam.storage_gateway.coordination.replicated_log import Refusal, ReplicatedLog
+from mallowbeam.storage_gateway.coordination.shares.core_driver import Shares
+from mallowbeam.storage_gateway.coordination.shares.demand_encoding import STEPS, BadRows, code, pack, unpack
+from mallowbeam.storage_gateway.coordination.shares.demand_meter import LONG, Meter
+from mallowbeam.storage_gateway.coordination.shares.quota_rows import trim
+from mallowbeam.storage_gateway.coordination.shares.state_machine import (
     Close,
     Demand,
     Gone,
@@ -22,7 +22,7 @@
     Released,
     Setup,
     Share,
-    SharesTopic,
+    SharesStateMachine,
     targets,
 )
 
@@ -37,13 +37,13 @@
     shares: Setup | None
 
 
-def log(setup=SETUP) -> Log:
-    it = Log([SharesTopic(NAMES)])
+def log(setup=SETUP) -> ReplicatedLog:
+    it = ReplicatedLog([SharesStateMachine(NAMES)])
     assert not isinstance(it.push(Push(setup)), Refusal)
     return it
 
 
-def put(it: Log, by: str, entry):
+def put(it: ReplicatedLog, by: str, entry):
     told = it.apply(it.encode("shares", by, entry))
     assert told is not None
     return told
@@ -80,7 +80,7 @@
         put(it, "g1", Gone("n1", True))
         put(it, "g0", Released(1))
     assert one.dump() == two.dump()
-    three = Log([SharesTopic(NAMES)])
+    three = ReplicatedLog([SharesStateMachine(NAMES)])
     three.load(one.dump())
     assert three.states == one.states
     state = one.states["shares"]
@@ -179,13 +179,13 @@
         entries.append,
         lambda tenant, node, rate, of: allotted.update({(tenant, node): rate}),
     )
-    part.proven(0.0, 0.0)
+    part.lease_renewed(0.0, 0.0)
     for at in range(1, 30):
         part.observed("a", "plan", "n0", 2.0, at / 10)
-        part.proven(at / 10, at / 10)
+        part.lease_renewed(at / 10, at / 10)
         part.tick(at / 10, leads=True)
         while entries:
             part.committed(put(it, "g0", entries.pop(0)), at / 10)
-    assert allotted["a", "n0"] == pytest.approx(20, rel=0.1) and part.shown(3.0)["live"]
+    assert allotted["a", "n0"] == pytest.approx(20, rel=0.1) and part.describe(3.0)["live"]
     part.node("n0", True, 3.0)
     assert entries == [Gone("n0", True)]
--- a/tests/storage_gateway/coordination/test_fleet_agreement.py
+++ b/tests/storage_gateway/coordination/test_fleet_agreement.py
@@ -15,7 +15,7 @@
 @pytest.fixture
 def fleet(tmp_path):
     members = Members(tmp_path)
-    members.proven()
+    members.lease_renewed()
     yield members
     members.close()
 
@@ -25,7 +25,7 @@
         fleet.put(name, "shares", Add(2))
         fleet.put(name, "pools", Add(40))  # the third is beyond 100
         fleet.put(name, "pools", Fail())
-    fleet.proven()
+    fleet.lease_renewed()
     told = [told.entries for told in fleet.told.values()]
     assert told[0] == told[1] == told[2] and len(told[0]) == 9
     assert sum(committed.refusal is not None for committed in told[0]) == 4
@@ -38,7 +38,7 @@
     assert isinstance(refused, PolicyRefused) and refused.where == "pools.most" and "50" in refused.cure
     assert fleet.push("g1", 0, POLICY.replace("40", "50")) == 1
     assert isinstance(fleet.push("g2", 0, POLICY), Overtaken)
-    fleet.proven()
+    fleet.lease_renewed()
     for told in fleet.told.values():
         assert [change.version for change in told.of(Change)] == [0, 1]
         assert told.states() == {"shares": Sum(0, "", 7), "pools": Sum(50, "g0", 50)}
@@ -47,18 +47,18 @@
 def test_states_come_whole_from_a_snapshot_at_a_restart_and_to_one_that_lost_its_folder(fleet):
     fleet.put("g0", "shares", Add(5))
     assert fleet.push("g0", 0, POLICY) == 1
-    fleet.proven()
+    fleet.lease_renewed()
     for name, agreement in fleet.up.items():
         agreement.engine.forceLogCompaction()
         fleet.until(lambda name=name: (fleet.folder / name / "snapshot").exists())
     fleet.stop("g1")
     fleet.put("g0", "shares", Add(1))
     fleet.start("g1")
-    fleet.proven("g0", "g1")  # else g2 would take along the only other copy of what is new
+    fleet.lease_renewed("g0", "g1")  # else g2 would take along the only other copy of what is new
     fleet.stop("g2")
     shutil.rmtree(fleet.folder / "g2")
     fleet.start("g2")
-    fleet.proven()
+    fleet.lease_renewed()
     for told in fleet.told.values():
         assert told.states() == {"shares": Sum(6, "g0", 7), "pools": Sum(0, "", 40)}
         assert not told.of(Broken)
@@ -71,7 +71,7 @@
 def test_a_member_with_other_topics_is_known_and_leaves_at_a_push_that_it_can_not_judge(fleet):
     fleet.stop("g2")
     fleet.start("g2", "shares")
-    fleet.proven()
+    fleet.lease_renewed()
     fleet.until(lambda: Hosted("g2", ("shares",)) in fleet.told["g0"].heard)
     assert fleet.push("g0", 0, POLICY) == 1
     fleet.until(lambda: fleet.told["g2"].of(Broken))
--- a/tests/storage_gateway/coordination/test_fleet_log.py
+++ b/tests/storage_gateway/coordination/test_fleet_log.py
@@ -8,19 +8,19 @@
 from hypothesis import strategies as st
 from topics import Add, Adder, Broken, Change, Fail, Sum, Told, make_log
 
-from mallowbeam.storage_gateway.coordination.agreement import Ledger
 from mallowbeam.storage_gateway.coordination.errors import LogUnusable
-from mallowbeam.storage_gateway.coordination.log import (
+from mallowbeam.storage_gateway.coordination.policy_document import Policy
+from mallowbeam.storage_gateway.coordination.raft_node import ReplicatedState
+from mallowbeam.storage_gateway.coordination.replicated_log import (
     FORMAT,
     MOST_ENTRY,
     BadSnapshot,
     Committed,
     Entry,
     EntryTooLarge,
-    Log,
     Refusal,
+    ReplicatedLog,
 )
-from mallowbeam.storage_gateway.coordination.policy_text import Policy
 
 
 def body(*parts: object) -> bytes:
@@ -81,7 +81,7 @@
         def apply(self, *_: object) -> Sum:
             raise MemoryError
 
-    log = Log([Full("shares")])
+    log = ReplicatedLog([Full("shares")])
     with pytest.raises(MemoryError):
         log.apply(log.encode("shares", "g1", Add(1)))
 
@@ -153,7 +153,7 @@
 
     def __init__(self, *topics: str) -> None:
         self.told = Told()
-        self.ledger = Ledger(make_log(*topics), "g0", "life", self.told)
+        self.ledger = ReplicatedState(make_log(*topics), "g0", "life", self.told)
 
     def __getattr__(self, name: str):
         return lambda *given: getattr(self.ledger, name)(*given, _doApply=True)
@@ -165,7 +165,11 @@
 
 def test_the_engine_numbers_the_calls_as_journals_on_disk_do():
     """Guards journals: the engine finds a call by its place among the sorted names; see docs/formats."""
-    assert sorted(name for name in dir(Ledger) if name.endswith("_v0")) == ["change_v0", "mark_v0", "put_v0"]
+    assert sorted(name for name in dir(ReplicatedState) if name.endswith("_v0")) == [
+        "change_v0",
+        "mark_v0",
+        "put_v0",
+    ]
 
 
 def test_calls_of_journals_from_before_topics_still_do_what_they_did():
--- a/tests/storage_gateway/coordination/test_fleet_service.py
+++ b/tests/storage_gateway/coordination/test_fleet_service.py
@@ -18,18 +18,18 @@
 from mallowbeam.http.server import Server
 from mallowbeam.lab.rig import hold_port
 from mallowbeam.storage_gateway.coordination import errors as fleet_errors
-from mallowbeam.storage_gateway.coordination.agreement import Broken, Hosted
 from mallowbeam.storage_gateway.coordination.errors import BadPolicy, LogUnusable, NoLeader
-from mallowbeam.storage_gateway.coordination.hands import GatewayHands
-from mallowbeam.storage_gateway.coordination.page import FleetPages
-from mallowbeam.storage_gateway.coordination.policy_text import (
+from mallowbeam.storage_gateway.coordination.policy_document import (
     MOST_DEPTH,
     canonical,
     check_sections,
     owns,
     read_policy,
 )
+from mallowbeam.storage_gateway.coordination.raft_node import Broken, Hosted
 from mallowbeam.storage_gateway.coordination.service import FleetService
+from mallowbeam.storage_gateway.coordination.status_pages import StatusPages
+from mallowbeam.storage_gateway.coordination.subsystem_context import GatewayContext
 from mallowbeam.storage_gateway.operator_settings import PolicySection, SharesSection
 from mallowbeam.storage_gateway.scheduler import interface as io
 from mallowbeam.storage_gateway.server.config import read_address
@@ -41,7 +41,7 @@
     """A gateway that records."""
 
     def __init__(self) -> None:
-        self.parts, self.gates, self.hands, self.plans = [], [], [], []
+        self.parts, self.gates, self.drained, self.plans = [], [], [], []
         self.exchanges = {}
         self.config = SimpleNamespace(settings=SimpleNamespace(plans={"silver": SILVER, "gold": GOLD}))
         self.facade = SimpleNamespace(planned=self.planned)
@@ -58,29 +58,29 @@
         return 0.0
 
     def by_hand(self, node: str, out: bool, listed: bool = True) -> bool:
-        self.hands.append((node, out))
+        self.drained.append((node, out))
         return True
 
 
 class Part:
     """A subsystem that records what it is told, and may be made to fail."""
 
-    def __init__(self, hands: GatewayHands, section: object) -> None:
-        self.topic, self.hands, self.section = Adder("shares"), hands, section
+    def __init__(self, context: GatewayContext, section: object) -> None:
+        self.topic, self.context, self.section = Adder("shares"), context, section
         self.told, self.proofs, self.fails = [], [], False
 
     def committed(self, told, now: float) -> None:
         self.told.append(told)
         assert not self.fails
 
-    def proven(self, put_in: float, now: float) -> None:
-        assert put_in <= now
-        self.proofs.append(put_in)
+    def lease_renewed(self, proposed_at: float, now: float) -> None:
+        assert proposed_at <= now
+        self.proofs.append(proposed_at)
 
     def tick(self, now: float) -> None:
         assert not self.fails
 
-    def shown(self) -> dict[str, object]:
+    def describe(self) -> dict[str, object]:
         return {"total": self.told[-1].state.total}
 
     def gauges(self) -> dict[str, float]:
@@ -91,11 +91,11 @@
     """The service, its part and its pages."""
 
     def __init__(self, folder, monkeypatch) -> None:
-        module = ModuleType("mallowbeam.storage_gateway.coordination.shares.part")
-        module.open_part = Part
+        module = ModuleType("mallowbeam.storage_gateway.coordination.shares.subsystem")
+        module.open_subsystem = Part
         monkeypatch.setitem(sys.modules, module.__name__, module)
         # whatever another test has loaded
-        monkeypatch.setattr("mallowbeam.storage_gateway.coordination.policy_text._TYPES", {})
+        monkeypatch.setattr("mallowbeam.storage_gateway.coordination.policy_document._TYPES", {})
         self.sock, port = hold_port(socket.SO_REUSEADDR)
         self.gateway = Recorder()
         section = PolicySection(
@@ -108,7 +108,7 @@
         )
         self.service = FleetService(self.gateway, section, {"shares": SharesSection(on=True)})
         self.part: Part = self.service.subsystems["shares"]
-        self.pages = FleetPages(self.service)
+        self.pages = StatusPages(self.service)
 
     async def until(self, holds: Callable[[], object]) -> None:
         async with asyncio.timeout(30):
@@ -152,10 +152,10 @@
         part = world.part
         assert part.told[0].entry is None and part.section == SharesSection(on=True)
         await world.until(lambda: len(part.proofs) > 1)
-        assert part.hands.leader() and part.hands.members == ("g0",) and part.hands.propose(Add(5))
+        assert part.context.leader() and part.context.members == ("g0",) and part.context.propose(Add(5))
         await world.until(lambda: part.told[-1].entry == Add(5))
         part.fails = True
-        assert part.hands.propose(Fail())
+        assert part.context.propose(Fail())
         proofs = len(part.proofs)
         await world.until(lambda: part.told[-1].refusal and len(part.proofs) > proofs + 2)
         assert world.service.counts["faults"] > 0 and world.service.counts["refused"] == 1
@@ -171,9 +171,9 @@
 def test_what_is_proposed_without_a_leader_is_dropped_at_once(play):
     async def scene(world: World) -> None:
         world.service.leading = None
-        assert not world.part.hands.propose(Add(1)) and world.service.counts["dropped"] == 1
+        assert not world.part.context.propose(Add(1)) and world.service.counts["dropped"] == 1
         await world.service.stop()
-        assert not world.part.hands.propose(Add(1)) and world.service.counts["dropped"] == 2
+        assert not world.part.context.propose(Add(1)) and world.service.counts["dropped"] == 2
         assert (await world.push(0, {}))[1]["error"] == "NoLeader"
 
     play(scene)
@@ -190,21 +190,21 @@
         assert plans[3:] == [GOLD]
         both = {"drains": ["n1"], "plans": [{"name": "gold", "limit": 13}, {"name": "silver", "limit": 1}]}
         assert (await world.push(3, both))[0] == 200
-        assert [plan.name for plan in plans[4:]] == ["silver"] and world.gateway.hands == [("n1", True)]
+        assert [plan.name for plan in plans[4:]] == ["silver"] and world.gateway.drained == [("n1", True)]
 
     play(scene)
 
 
 def test_a_node_that_two_want_out_is_in_again_when_neither_does(play):
     async def scene(world: World) -> None:
-        hands, told = world.part.hands, world.gateway.hands
-        hands.drain("n1", True)
+        context, told = world.part.context, world.gateway.drained
+        context.drain("n1", True)
         await world.push(0, {"drains": ["n1", "n2"]})
-        hands.drain("n1", False)
+        context.drain("n1", False)
         assert told == [("n1", True), ("n2", True)]
         await world.push(1, {})
         assert sorted(told[2:]) == [("n1", False), ("n2", False)]
-        hands.gate(False)
+        context.gate(False)
         assert not all(gate() for gate in world.gateway.gates)
 
     play(scene)
@@ -212,7 +212,7 @@
 
 def test_every_refusal_is_json_with_what_where_and_remedy(play):
     async def scene(world: World) -> None:
-        await world.until(lambda: world.part.hands.propose(Add(50)))
+        await world.until(lambda: world.part.context.propose(Add(50)))
         await world.until(lambda: world.part.told[-1].entry == Add(50))
         swells = json.dumps({"drains": ["é" * 200 + str(i) for i in range(60)]}, ensure_ascii=False).encode()
         calls = [
@@ -280,10 +280,10 @@
         await world.until(lambda: world.service.leaving.done())
         assert world.service.agreement is None
         assert (await world.ask("GET", "/policy"))[1]["failed"]["error"] == "LogUnusable"
-        assert (await world.push(0, {}))[1]["error"] == "LogUnusable" and world.gateway.hands == []
+        assert (await world.push(0, {}))[1]["error"] == "LogUnusable" and world.gateway.drained == []
         proofs = len(world.part.proofs)
         world.service._learn((Change(1, '{"drains":["n1"]}'),))
-        assert world.gateway.hands == [] and len(world.part.proofs) == proofs
+        assert world.gateway.drained == [] and len(world.part.proofs) == proofs
 
     play(scene)
 
@@ -345,7 +345,7 @@
 
 
 def test_a_section_is_checked_against_the_type_that_its_package_states(monkeypatch):
-    monkeypatch.setattr("mallowbeam.storage_gateway.coordination.policy_text._TYPES", {})
+    monkeypatch.setattr("mallowbeam.storage_gateway.coordination.policy_document._TYPES", {})
     owns("shares", SharesSection)
     with pytest.raises(BadPolicy) as caught:
         check_sections(read_policy('{"shares": {"on": 7}}'), ("shares",))
--- a/tests/storage_gateway/coordination/test_handover_core.py
+++ b/tests/storage_gateway/coordination/test_handover_core.py
@@ -8,17 +8,17 @@
 from hypothesis import strategies as st
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.storage_gateway.coordination.handed import (
+from mallowbeam.storage_gateway.coordination.quota_epochs import (
     MOST_OPEN,
     BadTarget,
+    EpochTarget,
     FloorsTooHigh,
-    Handed,
-    Target,
+    QuotaEpochs,
     TooManyOpen,
     next_epoch,
     release,
 )
-from mallowbeam.storage_gateway.coordination.handover import Handover, Release
+from mallowbeam.storage_gateway.coordination.quota_transfer import QuotaTransfer, Release
 
 NAMES = ("a", "b", "c")
 
@@ -32,15 +32,15 @@
 
 
 def opened(*epochs, handed=None):
-    handed = handed or Handed[int](holders=NAMES)
+    handed = handed or QuotaEpochs[int](holders=NAMES)
     for rows in epochs:
         handed = next_epoch(handed, rows, floor, ten)
     return handed
 
 
 def view(me, handed, **settings):
-    core = Handover.resume(handed, 0.0, me, floor, 4.0, **settings)
-    core.proven(0.0)
+    core = QuotaTransfer.resume(handed, 0.0, me, floor, 4.0, **settings)
+    core.lease_renewed(0.0)
     return core
 
 
@@ -86,7 +86,7 @@
 )
 def test_a_target_that_must_not_be_is_refused_with_a_remedy(rows, capacity, kind):
     with pytest.raises(kind) as told:
-        next_epoch(Handed(holders=NAMES), rows, floor, lambda resource: capacity)
+        next_epoch(QuotaEpochs(holders=NAMES), rows, floor, lambda resource: capacity)
     assert isinstance(told.value, MallowbeamError) and told.value.where == "x" and told.value.cure
 
 
@@ -106,7 +106,7 @@
 
 @given(st.lists(st.tuples(st.sampled_from(NAMES), st.integers(1, 9)), max_size=30), st.data())
 def test_what_is_kept_is_bounded_and_reads_back(moves, data):
-    handed = Handed[int](holders=NAMES)
+    handed = QuotaEpochs[int](holders=NAMES)
     for who, epoch in moves:
         rows = {name: {data.draw(st.sampled_from(NAMES)): data.draw(st.integers(1, 8))} for name in "xy"}
         try:
@@ -116,7 +116,7 @@
         handed = release(handed, who, epoch)
         assert len(handed.open) <= MOST_OPEN and len(handed.rows) <= 2
         assert not handed.open or handed.owing
-        assert msgspec.msgpack.decode(msgspec.msgpack.encode(handed), type=Handed[int]) == handed
+        assert msgspec.msgpack.decode(msgspec.msgpack.encode(handed), type=QuotaEpochs[int]) == handed
 
 
 # --- one gateway's view ---------------------------------------------------------------------------
@@ -125,24 +125,24 @@
 def test_a_loser_has_less_at_once_and_a_grower_waits_for_it():
     before = opened({"x": {"a": 8}})
     loser, grower = view("a", before), view("b", before)
-    target = Target(2, {"x": {"b": 8}})
+    target = EpochTarget(2, {"x": {"b": 8}})
     assert loser.agreed(target, 1.0) == [Release(2)] and loser.usable("x", 1.0) == 1
     assert grower.agreed(target, 1.0) == [] and grower.usable("x", 1.0) == 1
-    assert grower.shown(1.0)["x"].waits == ("a",) and grower.shown(1.0)["x"].target == 8
+    assert grower.describe(1.0)["x"].waits == ("a",) and grower.describe(1.0)["x"].target == 8
     grower.released("a", 1, 1.1)
     grower.released("c", 2, 1.1)
     assert grower.usable("x", 1.1) == 1
     grower.released("a", 2, 1.2)
-    assert grower.usable("x", 1.2) == 8 and grower.shown(1.2)["x"].waits == () and not grower.open
+    assert grower.usable("x", 1.2) == 8 and grower.describe(1.2)["x"].waits == () and not grower.open
     assert grower.released("a", 2, 1.3) == [] and grower.agreed(target, 1.3) == []
 
 
 def test_a_grower_waits_for_lease_and_drift_from_when_it_heard():
     grower = view("b", opened({"x": {"a": 8}}))
-    grower.agreed(Target(2, {"x": {"b": 8}}), 3.0)
-    grower.agreed(Target(2, {"x": {"b": 8}}), 5.0)  # told twice: counted from the first time
-    grower.proven(6.0)
-    grower.proven(1.0)
+    grower.agreed(EpochTarget(2, {"x": {"b": 8}}), 3.0)
+    grower.agreed(EpochTarget(2, {"x": {"b": 8}}), 5.0)  # told twice: counted from the first time
+    grower.lease_renewed(6.0)
+    grower.lease_renewed(1.0)
     grower.tick(7.4)
     assert grower.usable("x", 7.4) == 1
     grower.tick(7.41)
@@ -153,20 +153,20 @@
 def test_by_the_clock_alone_an_old_allotment_becomes_the_floor():
     holder = view("a", opened({"x": {"a": 8}}))
     assert (holder.usable("x", 4.0), holder.usable("x", 4.01), holder.most("x", 4.01)) == (8, 1, 1)
-    fresh = Handover.resume(opened({"x": {"a": 8}}), 9.0, "a", floor, 4.0, begun=9.0)
+    fresh = QuotaTransfer.resume(opened({"x": {"a": 8}}), 9.0, "a", floor, 4.0, begun=9.0)
     assert fresh.usable("x", 9.1) == 1
-    fresh.proven(9.1)
+    fresh.lease_renewed(9.1)
     assert fresh.usable("x", 9.2) == 8 and fresh.usable("unknown", 9.2) == 1
 
 
 def test_a_release_waits_until_what_is_out_fits_and_is_put_in_again_if_lost():
     loser = view("a", opened({"x": {"a": 8}}))
     loser.using("x", 6, 0.5)
-    loser.proven(1.0)
-    assert loser.agreed(Target(2, {"x": {"a": 5, "b": 4}}), 1.5) == []
-    assert loser.agreed(Target(3, {"x": {"a": 3, "b": 6}}), 1.6) == []
+    loser.lease_renewed(1.0)
+    assert loser.agreed(EpochTarget(2, {"x": {"a": 5, "b": 4}}), 1.5) == []
+    assert loser.agreed(EpochTarget(3, {"x": {"a": 3, "b": 6}}), 1.6) == []
     assert (loser.usable("x", 1.6), loser.most("x", 1.6)) == (3, 8)
-    loser.proven(3.0)
+    loser.lease_renewed(3.0)
     assert loser.using("x", 5, 2.0) == [Release(2)]  # the older one fits already
     assert loser.most("x", 5.0) == 5 and loser.most("x", 5.01) == 3
     assert loser.using("x", 3, 2.1) == [Release(3)]
@@ -176,8 +176,8 @@
 
 def test_a_new_life_uses_and_says_nothing_while_its_dead_one_may_linger():
     handed = opened({"x": {"a": 8}}, {"x": {"b": 8}})
-    fresh = Handover.resume(handed, 10.0, "a", floor, 4.0, 10.0, 0.1, 2.0)
-    fresh.proven(10.0)
+    fresh = QuotaTransfer.resume(handed, 10.0, "a", floor, 4.0, 10.0, 0.1, 2.0)
+    fresh.lease_renewed(10.0)
     assert fresh.usable("x", 12.2) == 0 and fresh.tick(12.2) == [] and fresh.most("x", 12.2) == 0
     assert fresh.usable("x", 12.3) == 1 and fresh.tick(12.3) == [Release(2)]
 
@@ -196,19 +196,19 @@
 def test_what_is_settled_is_kept_once_and_what_did_not_change_is_not_looked_at():
     grower = view("b", opened({f"r{n}": {"a": 8} for n in range(50)}))
     for epoch in range(2, 40):
-        grower.agreed(Target(epoch, {"r1": {"ab"[epoch % 2]: 8}}), epoch * 0.1)
+        grower.agreed(EpochTarget(epoch, {"r1": {"ab"[epoch % 2]: 8}}), epoch * 0.1)
         grower.released("a", epoch, epoch * 0.1)
         grower.released("b", epoch, epoch * 0.1)
         assert list(grower.open) in ([], ["r1"]) and not any(grower.waiting.values())
-    grower.agreed(Target(40, {"r1": {}, "r2": {"a": 8}}), 4.0)
+    grower.agreed(EpochTarget(40, {"r1": {}, "r2": {"a": 8}}), 4.0)
     grower.tick(100.0)
     assert "r1" not in grower.rows and not grower.heard and not grower.mine
 
 
 def test_a_grower_waits_for_what_a_dead_holder_leaves_too():
     grower = view("b", opened({"x": {"a": 8}}), linger=2.0)
-    grower.agreed(Target(2, {"x": {"b": 8}}), 1.0)
-    grower.proven(7.0)
+    grower.agreed(EpochTarget(2, {"x": {"b": 8}}), 1.0)
+    grower.lease_renewed(7.0)
     grower.tick(7.6)
     assert grower.usable("x", 7.6) == 1
     grower.tick(7.61)
@@ -217,7 +217,7 @@
 
 def test_past_its_lease_it_closes_down_to_the_floor_while_others_move():
     holder = view("a", opened({"x": {"a": 4, "b": 4}}))
-    holder.agreed(Target(2, {"x": {"a": 4, "c": 4}}), 1.0)
+    holder.agreed(EpochTarget(2, {"x": {"a": 4, "c": 4}}), 1.0)
     assert (holder.most("x", 4.0), holder.most("x", 4.01)) == (4, 1)
 
 
@@ -225,7 +225,7 @@
     grower = view("b", opened({"x": {"a": 8}}))
     grower.released("a", 3, 0.5)
     grower.released("a", 2, 0.6)
-    grower.agreed(Target(3, {"x": {"b": 8}}), 1.0)
+    grower.agreed(EpochTarget(3, {"x": {"b": 8}}), 1.0)
     assert grower.usable("x", 1.0) == 8
     assert (
         view(
@@ -241,7 +241,7 @@
     away = view("c", first)
     away.follow(second, 1.0)
     away._restore(second, 5.0)
-    away.proven(5.0)
+    away.lease_renewed(5.0)
     away.tick(5.41)
     assert away.usable("x", 5.41) == 8
 
--- a/tests/storage_gateway/coordination/test_handover_model.py
+++ b/tests/storage_gateway/coordination/test_handover_model.py
@@ -21,7 +21,7 @@
     usual,
     walk,
 )
-from mallowbeam.storage_gateway.coordination.handover import Handover
+from mallowbeam.storage_gateway.coordination.quota_transfer import QuotaTransfer
 
 DEPTH = 5
 SCRIPTS = {
@@ -170,17 +170,17 @@
 # --- variants broken on purpose: each one must be found -------------------------------------------
 
 
-class GrowsAtOnce(Handover):
+class GrowsAtOnce(QuotaTransfer):
     def _blocking(self, resource, rows, at, now):
         return None
 
 
-class IgnoresItsLease(Handover):
+class IgnoresItsLease(QuotaTransfer):
     def live(self, now):
         return True
 
 
-class WakesWithTheOld(Handover):
+class WakesWithTheOld(QuotaTransfer):
     """Looks at its lease in ticks alone."""
 
     ticked = -1e9
@@ -193,14 +193,14 @@
         return super().live(min(now, max(self.ticked, self.known_at)))
 
 
-class TrustsItsJournal(Handover):
+class TrustsItsJournal(QuotaTransfer):
     """A new life serves what it remembers, before a mark has come back."""
 
     def live(self, now):
         return super().live(now) or self.known_at == float("-inf")
 
 
-class ForgetsTheFloor(Handover):
+class ForgetsTheFloor(QuotaTransfer):
     """Uses what the others' floors keep free, as nobody else is named in the row."""
 
     def usable(self, resource, now):
@@ -208,7 +208,7 @@
         return used + 2 if list(self.rows.get(resource, ())) == [self.me] and used > 1 else used
 
 
-class WaitsTooShort(Handover):
+class WaitsTooShort(QuotaTransfer):
     """By its own clock as if all ran alike."""
 
     def __init__(self, *given):
@@ -216,14 +216,14 @@
         self.wait = self.lease
 
 
-class TrustsAnyRelease(Handover):
+class TrustsAnyRelease(QuotaTransfer):
     """A release of an older epoch counts as one of the newest."""
 
     def _release(self, holder, epoch, now):
         super()._release(holder, self.epoch if epoch > self.rel.get(holder, 0) else epoch, now)
 
 
-class TakesTheNewest(Handover):
+class TakesTheNewest(QuotaTransfer):
     """What it may use is the newest target once that is lower, not the lowest of all open."""
 
     def _settle(self, resource, now):
@@ -233,14 +233,14 @@
             self.mine[resource] = min(first, last)
 
 
-class CountsFromThePast(Handover):
+class CountsFromThePast(QuotaTransfer):
     """The wait of others' leases begins at the last proof, not when the epoch was heard of."""
 
     def _hear(self, epoch, rows, now):
         super()._hear(epoch, rows, max(self.known_at, now - self.lease))
 
 
-class ReleasesTooSoon(Handover):
+class ReleasesTooSoon(QuotaTransfer):
     """With connections out that do not fit."""
 
     def _due(self, now):
@@ -250,12 +250,12 @@
         return said
 
 
-class NeverCloses(Handover):
+class NeverCloses(QuotaTransfer):
     def most(self, resource, now):
         return 8
 
 
-class ForgetsItsDead(Handover):
+class ForgetsItsDead(QuotaTransfer):
     """A new life does not wait for what its earlier one left at a silent node."""
 
     def __init__(self, *given):
@@ -263,10 +263,10 @@
         self.linger = 0.0
 
 
-def mark(number: int, put_in: float) -> list[str]:
+def mark(number: int, proposed_at: float) -> list[str]:
     """A mark that is put in and comes back at once, told to its gateway."""
     name = "abc"[number]
-    return [f"mark {name}", f"commit Mark(by={number}, life=0, put_in={put_in})", f"take {name}"]
+    return [f"mark {name}", f"commit Mark(by={number}, life=0, proposed_at={proposed_at})", f"take {name}"]
 
 
 TWICE = replace(
@@ -296,7 +296,7 @@
             "epoch",
             "take a",
             "mark a",
-            "commit Mark(by=0, life=0, put_in=2.0)",
+            "commit Mark(by=0, life=0, proposed_at=2.0)",
         ],
     ),
     (ReleasesTooSoon, COUNTED, ["epoch"]),
--- a/tests/storage_gateway/coordination/test_wire.py
+++ b/tests/storage_gateway/coordination/test_wire.py
@@ -22,8 +22,8 @@
 
 from mallowbeam.lab.faults.diagnosis import KEPT, Diagnosis
 from mallowbeam.lab.rig import hold_port
-from mallowbeam.storage_gateway.coordination.agreement import Agreement
-from mallowbeam.storage_gateway.coordination.wire import Wire
+from mallowbeam.storage_gateway.coordination.raft_node import RaftNode
+from mallowbeam.storage_gateway.coordination.raft_transport import RaftTransport
 
 NOTHING = b"\x01"  # the engine's entry without effect
 WAIT_S = 30.0  # seconds after which a test gives up
@@ -41,14 +41,14 @@
 
 
 @contextmanager
-def members(names: str) -> Iterator[tuple[dict[str, Agreement], Callable[[str, Path], None]]]:
+def members(names: str) -> Iterator[tuple[dict[str, RaftNode], Callable[[str, Path], None]]]:
     """The members that are up, and what starts one; ports from the kernel."""
     held = [hold_port(socket.SO_REUSEADDR) for _ in names]
     addresses = {name: f"127.0.0.1:{port}" for name, (_, port) in zip(names, held, strict=True)}
-    up: dict[str, Agreement] = {}
+    up: dict[str, RaftNode] = {}
 
     def start(name: str, folder: Path) -> None:
-        up[name] = Agreement(name, "life", addresses, folder, lambda *_: None)
+        up[name] = RaftNode(name, "life", addresses, folder, lambda *_: None)
 
     try:
         yield up, start
@@ -69,7 +69,7 @@
         for name, terms in (("b", kept), ("c", parted), ("a", parted)):
             start(name, log_of(tmp_path / name, terms))
             if name != "b":  # c has an older log: it votes for b, and b not for it
-                until(lambda: all(one.shown().get("committed", 0) > 300 for one in up.values()))
+                until(lambda: all(one.describe().get("committed", 0) > 300 for one in up.values()))
         assert {one.leader() for one in up.values()} == {"b"}
         assert all(up[name].wire.went_back < 10 for name in "ac"), [up[n].wire.went_back for n in "ac"]
 
@@ -115,12 +115,12 @@
 
 
 @pytest.fixture
-def near(tmp_path) -> Iterator[tuple[Agreement, int, str]]:
+def near(tmp_path) -> Iterator[tuple[RaftNode, int, str]]:
     """A member whose only other one is the test: its port, and the test's address, which dials."""
     (tmp_path / "a").mkdir()
     held, port = hold_port(socket.SO_REUSEADDR)
     far = "127.0.0.1:9"  # greater than any port of the kernel's, as text
-    agreement = Agreement("a", "life", {"a": f"127.0.0.1:{port}", "b": far}, tmp_path / "a", lambda *_: None)
+    agreement = RaftNode("a", "life", {"a": f"127.0.0.1:{port}", "b": far}, tmp_path / "a", lambda *_: None)
     yield agreement, port, far
     agreement.close()
     held.close()
@@ -161,13 +161,13 @@
     caller.send((far, 7, 1))
     while caller.hear() is not None:
         pass
-    until(lambda: agreement.shown()["links"]["b"]["state"] == "down")
+    until(lambda: agreement.describe()["links"]["b"]["state"] == "down")
 
 
 def test_a_dial_without_an_end_is_given_up_and_made_anew():
     """Guards a dial to a machine that is away: the kernel would try for two minutes, and nobody else may."""
     dialled, ended = [], []
-    wire = Wire.__new__(Wire)
+    wire = RaftTransport.__new__(RaftTransport)
     node = TCPNode("127.0.0.1:1")
     conn = SimpleNamespace(state=1, disconnect=lambda: ended.append(node))
     wire.pinged = wire.ticked = wire.slowest = 0.0
@@ -185,9 +185,9 @@
 # --- entries --------------------------------------------------------------------------------------
 
 
-def alone(log: list[int], commit: int = 1, term: int = 5) -> tuple[Wire, list, list]:
+def alone(log: list[int], commit: int = 1, term: int = 5) -> tuple[RaftTransport, list, list]:
     """A transport over a log of these terms, and what passes it: to the engine, and out."""
-    wire = Wire.__new__(Wire)
+    wire = RaftTransport.__new__(RaftTransport)
     wire.went_back = 0
     entries = [(NOTHING, index, of) for index, of in enumerate(log, 1)]
     wire._syncObj = SimpleNamespace(raftCurrentTerm=term, raftCommitIndex=commit, _SyncObj__raftLog=entries)
@@ -312,7 +312,7 @@
     """Guards the majority: the engine would clear a journal that begins before its snapshot, tail and all."""
     with members("a") as (up, start):
         start("a", log_of(tmp_path / "a", [0, *[1] * 20]))
-        until(lambda: up["a"].shown().get("applied", 0) > 20)
+        until(lambda: up["a"].describe().get("applied", 0) > 20)
         journal_file = tmp_path / "a" / "journal"
         old, number = journal_file.read_bytes(), journal_file.stat().st_ino
         up["a"].engine.forceLogCompaction()
@@ -327,7 +327,7 @@
     journal._destroy()
     with members("a") as (up, start):
         start("a", tmp_path / "a")
-        until(lambda: up["a"].shown().get("committed", 0) > last)
+        until(lambda: up["a"].describe().get("committed", 0) > last)
         held = {index: term for _, index, term in up["a"].wire._log}
         assert min(held) == first and held[last] == 2, "it begins at the snapshot and kept what came after"
 
--- a/tests/support/shares_oracle.py
+++ b/tests/support/shares_oracle.py
@@ -5,7 +5,7 @@
 import numpy as np
 from scipy.optimize import linprog
 
-from mallowbeam.storage_gateway.coordination.shares.fair import Network
+from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import Network
 
 
 def lexicographic(net: Network, demand: dict[int, int]) -> dict[int, float]:
--- a/tests/support/topics.py
+++ b/tests/support/topics.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from mallowbeam.lab.rig import hold_port
-from mallowbeam.storage_gateway.coordination.agreement import Agreement, Broken, Hosted, Proof
-from mallowbeam.storage_gateway.coordination.log import Committed, Entry, Log, Refusal
 from mallowbeam.storage_gateway.coordination.policy import Change
+from mallowbeam.storage_gateway.coordination.raft_node import Broken, Hosted, Proof, RaftNode
+from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry, Refusal, ReplicatedLog
 
 
 class Add(Entry, frozen=True, tag="add"):
@@ -53,7 +53,7 @@
             return Refusal(f"more than {state.most}", self.name, "add less")
         return msgspec.structs.replace(state, total=state.total + entry.amount, by=by)
 
-    def pushed(self, states: Any, index: int, policy: Any) -> Sum | Refusal:
+    def apply_policy(self, states: Any, index: int, policy: Any) -> Sum | Refusal:
         state, section = states[self.name], getattr(policy, self.name)
         if section is None:
             return state
@@ -62,8 +62,8 @@
         return msgspec.structs.replace(state, most=section["most"])
 
 
-def make_log(*names: str) -> Log:
-    return Log([Adder(name) for name in names or ("shares", "pools")])
+def make_log(*names: str) -> ReplicatedLog:
+    return ReplicatedLog([Adder(name) for name in names or ("shares", "pools")])
 
 
 class Told:
@@ -93,7 +93,7 @@
         pairs = [hold_port(socket.SO_REUSEADDR) for _ in range(size)]
         self.folder, self.held = folder, [sock for sock, _ in pairs]
         self.addresses = {f"g{i}": f"127.0.0.1:{port}" for i, (_, port) in enumerate(pairs)}
-        self.up: dict[str, Agreement] = {}
+        self.up: dict[str, RaftNode] = {}
         self.told: dict[str, Told] = {}
         self.marks = 0
         for name in self.addresses:
@@ -103,7 +103,7 @@
         place = self.folder / name
         place.mkdir(parents=True, exist_ok=True)
         self.told[name] = Told()
-        self.up[name] = Agreement(
+        self.up[name] = RaftNode(
             name, f"{time.monotonic_ns()}", self.addresses, place, self.told[name], log=make_log(*topics)
         )
 
@@ -125,7 +125,7 @@
             assert time.monotonic() < end, {name: told.heard[-5:] for name, told in self.told.items()}
             time.sleep(0.02)
 
-    def proven(self, *names: str) -> None:
+    def lease_renewed(self, *names: str) -> None:
         """Until marks put in now have come back to these members (all), so that what was before is there."""
         for name in names or tuple(self.up):
             self.marks += 1
@@ -141,7 +141,7 @@
 
     def push(self, name: str, base: int, body: str) -> Any:
         """A push's end."""
-        self.proven(name)  # a leader is there: what is put in is not lost
+        self.lease_renewed(name)  # a leader is there: what is put in is not lost
         over, ends = threading.Event(), list[Any]()
         self.up[name].push(base, body, lambda told: (ends.append(told), over.set()))
         assert over.wait(30)
@@ -149,7 +149,7 @@
 
     def put(self, name: str, topic: str, entry: Entry) -> None:
         """Put an entry in and wait until it is out, or a refusal of it."""
-        self.proven(name)
+        self.lease_renewed(name)
         agreement, told = self.up[name], self.told[name]
         body, before = agreement.ledger.log.encode(topic, name, entry), len(told.entries)
         agreement.put(body)
