--- a/mallowbeam/cli/lab.py
+++ b/mallowbeam/cli/lab.py
@@ -39,6 +39,7 @@
             *(f"{value:,}" if isinstance(value, int | float) else str(value) for value in values.values())
         )
     Console().print(table)
+    return None
 
 
 @app.command()
--- a/mallowbeam/cli/system.py
+++ b/mallowbeam/cli/system.py
@@ -34,8 +34,7 @@
 
 
 def config_check(file: str, *, json: bool = False) -> int:
-    """
-    Check a configuration without sending it; exit code 1 where it is invalid.
+    """Check a configuration without sending it; exit code 1 where it is invalid.
 
     Example: ``python -m mallowbeam fleet config check routes.json``
 
@@ -54,8 +53,7 @@
 
 
 def config_put(file: str, *, control: str, based_on: int | None = None, json: bool = False) -> int:
-    """
-    Check a configuration and put it in force; sent again, to any member, until one gives a clear answer.
+    """Check a configuration and put it in force; sent again, to any member, until one gives a clear answer.
 
     Example: ``python -m mallowbeam fleet config put routes.json --control 10.0.0.1:8146,10.0.0.2:8146``
 
@@ -70,8 +68,7 @@
 
 
 def config_patch(file: str, *, control: str, based_on: int | None = None, json: bool = False) -> int:
-    """
-    Change named entries of the configuration in force; sent again until a member gives a clear answer.
+    """Change named entries of the configuration in force; sent again until a member gives a clear answer.
 
     Example: ``python -m mallowbeam fleet config patch add-route.json --control 10.0.0.1:8146``
 
@@ -85,8 +82,7 @@
 
 
 def config_get(*, control: str) -> int:
-    """
-    Print the newest configuration whole, as JSON.
+    """Print the newest configuration whole, as JSON.
 
     Example: ``python -m mallowbeam fleet config get --control 10.0.0.1:8146 > current.json``
 
@@ -100,8 +96,7 @@
 
 
 def config_diff(a: str, b: str, *, json: bool = False) -> int:
-    """
-    Show what has to change in configuration A to make it B; exit code 1 where they differ.
+    """Show what has to change in configuration A to make it B; exit code 1 where they differ.
 
     Example: ``python -m mallowbeam fleet config diff current.json routes.json``
 
@@ -116,8 +111,7 @@
 
 
 def status(*, control: str, instances: bool = False, json: bool = False) -> int:
-    """
-    Show the fleet as one member sees it: leader, members, gateways, instances; exit code 1 without a leader.
+    """Show the fleet as one member sees it: leader, members, gateways; exit code 1 without a leader.
 
     Example: ``python -m mallowbeam fleet status --control 10.0.0.1:8146,10.0.0.2:8146``
 
@@ -132,8 +126,7 @@
 
 
 def drain(instance: str, *, control: str, json: bool = False) -> int:
-    """
-    Have an instance get no new request; done once the whole control plane keeps to it.
+    """Have an instance get no new request; done once the whole control plane keeps to it.
 
     Example: ``python -m mallowbeam fleet drain i-7f3a91c2 --control 10.0.0.1:8146``
 
--- a/mallowbeam/http/client.py
+++ b/mallowbeam/http/client.py
@@ -123,6 +123,7 @@
             return await self._send(b"%x\r\n%b\r\n" % (len(piece), piece), not piece)
         self.left -= len(piece)
         await self._send(piece, self.left <= 0)
+        return None
 
     async def _send(self, data: bytes | bytearray, last: bool) -> None:
         """Write; `last` if the request ends with it.  From its last byte to `written` nothing can strike."""
--- a/mallowbeam/http/connection.py
+++ b/mallowbeam/http/connection.py
@@ -117,6 +117,7 @@
             if self.busy is None and framer.wants_continue():
                 await self.channel.send(CONTINUE)
             await self._pass_on()
+        return None
 
     async def _receive(self) -> bool:
         """Take in what came next, in the step of its read; False at the client's end and after ours."""
--- a/mallowbeam/lab/faults/trial.py
+++ b/mallowbeam/lab/faults/trial.py
@@ -155,8 +155,8 @@
     up = fleet.up
     kind = draw.choice(("kill", "kill", "stop", "part", "slow", "leader", "start"))
     if kind == "start" or len(up) <= 2:
-        return fleet.heal()
-    if kind == "leader":
+        fleet.heal()
+    elif kind == "leader":
         seen = await fleet.look(draw.choice(up))
         if seen is not None and seen.leader in up:
             fleet.kill(str(seen.leader))
--- a/mallowbeam/router/data_plane/link_pool.py
+++ b/mallowbeam/router/data_plane/link_pool.py
@@ -78,6 +78,7 @@
         link.channel.narrow()
         link.written, link.idle_since = False, now
         idle.append(_Idle(link, now, now + idle_time_s(answer)))
+        return None
 
     def drop(self, instance: str, link: Link) -> None:
         """Close a connection that was taken."""
--- a/mallowbeam/router/registry/retirements.py
+++ b/mallowbeam/router/registry/retirements.py
@@ -36,7 +36,7 @@
     def apply(self, command: RetireInstance) -> CommandResult:
         """Take a retirement: DONE, or ALREADY_DONE where it is known. GONE after DRAINING is DONE."""
         known = self._kinds.get(command.id)
-        if known == GONE or known == command.kind:
+        if known in (GONE, command.kind):
             return ALREADY_DONE
         self._kinds.pop(command.id, None)
         self._kinds[command.id] = command.kind
--- a/mallowbeam/simulation/fleet_checkers.py
+++ b/mallowbeam/simulation/fleet_checkers.py
@@ -154,9 +154,9 @@
 
 
 class FreshGatewayChecker:
-    """Guarantee 1: what a started gateway begins with is not old: its first configuration, and the one with
-    which it becomes ready.
+    """Guarantee 1: a gateway that has started serves by no old configuration.
 
+    Judged are its first configuration and the one with which it becomes ready.
     Not judged at one that was frozen meanwhile: it takes first what came in before.
     """
 
--- a/mallowbeam/simulation/fleet_operators.py
+++ b/mallowbeam/simulation/fleet_operators.py
@@ -71,7 +71,7 @@
         before = self.acknowledged
 
         def answered(status: int, body: bytes) -> None:
-            if status != 200 and status != 404:
+            if status not in (200, 404):
                 self.machine.later(FIRST_PAUSE_S, self.get)
                 return
             self.read = json.loads(body)["revision"] if status == 200 else 0
--- a/mallowbeam/standins/connection.py
+++ b/mallowbeam/standins/connection.py
@@ -147,6 +147,8 @@
         self._write(status, headers, data, request[0], cut)
         if rule is not None and rule.action == "answer-die":
             asyncio.get_running_loop().call_soon(self.server.die)
+            return None
+        return None
 
     def _write(
         self, status: int, headers: dict[str, str], data: bytes, method: str, cut: int | None = None
--- a/mallowbeam/storage_gateway/coordination/maintenance/part.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/part.py
@@ -68,7 +68,7 @@
             )
             for entry in hands.nodes()
         }
-        gave_up = self.down and all([give(True) for give in self.allotments])
+        gave_up = self.down and all([give(True) for give in self.allotments])  # noqa: C419 -- each one is asked
         self.core.reports(c.Local(nodes, hands.held(), gave_up, hands.me if hands.leader() else None))
         self._do(self.core.tick(now))
 
--- a/mallowbeam/storage_gateway/coordination/shares/core.py
+++ b/mallowbeam/storage_gateway/coordination/shares/core.py
@@ -172,10 +172,7 @@
             self.closed = max(self.closed, now - t.epoch)
         self.ticked = now
         gone = self.handover.gone
-        if self.later:
-            actions = self._released(self.handover.follow(self.state.handed, now))
-        else:
-            actions = []
+        actions = self._released(self.handover.follow(self.state.handed, now)) if self.later else []
         actions += self._released(self.handover.tick(now))
         self.stale = (
             self.stale or self.later or gone != self.handover.gone or self.handover.live(now) != self.live
--- a/mallowbeam/storage_gateway/coordination/shares/fair.py
+++ b/mallowbeam/storage_gateway/coordination/shares/fair.py
@@ -70,8 +70,7 @@
     for flow in flows:
         node, link, asked = flow % count, flow // count + first, demand[flow]
         sums[link] += asked
-        if asked > caps[link]:
-            asked = caps[link]  # no flow is above its tenant's limit
+        asked = min(asked, caps[link])  # no flow is above its tenant's limit
         sums[node] += asked
         sums[zone_link[node]] += asked
     tight = [total > cap for cap, total in zip(caps, sums, strict=True)]
--- a/mallowbeam/storage_gateway/frontends/object_api/conditions.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/conditions.py
@@ -14,7 +14,7 @@
         tag = tag.strip()
         if weak:
             tag = tag.removeprefix("W/")
-        if tag == "*" or tag == etag or f'"{tag}"' == etag:  # some clients of S3 leave the quotes out
+        if tag in ("*", etag) or f'"{tag}"' == etag:  # some clients of S3 leave the quotes out
             return True
     return False
 
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -336,16 +336,16 @@
     ) -> dict[str, object]:
         """What the module is told of a call."""
         settings = self.settings
-        return dict(
-            cls=cls,
-            expires_in=expires,
-            shard=shard,
-            key=key,
-            volume=bucket,
-            is_write=writes,
-            units=min(units, self.gateway.config.settings.units_top),
-            plan=settings.plans.get(bucket, settings.plan),
-        )
+        return {
+            "cls": cls,
+            "expires_in": expires,
+            "shard": shard,
+            "key": key,
+            "volume": bucket,
+            "is_write": writes,
+            "units": min(units, self.gateway.config.settings.units_top),
+            "plan": settings.plans.get(bucket, settings.plan),
+        }
 
     @staticmethod
     def error(error: Error, message: Message, request_id: str, close: bool) -> Reply:
--- a/mallowbeam/storage_gateway/scheduler/booking.py
+++ b/mallowbeam/storage_gateway/scheduler/booking.py
@@ -24,7 +24,7 @@
 
     def _book(self, request: Request) -> None:
         if request.done or request.out:
-            return
+            return None
         node, volume = self._choose(request), request.volume
         if node is None:
             return self._end(request)
@@ -38,6 +38,7 @@
             volume.pending += request.units
         insort(node.queue, (request.aim_at, request.seq, request))
         self.touched[node.id] = node
+        return None
 
     def _choose(self, request: Request) -> Node | None:
         """The open node that holds the shard; for a new object the one hashed, unless a hole is earlier."""
--- a/mallowbeam/storage_gateway/scheduler/nodes.py
+++ b/mallowbeam/storage_gateway/scheduler/nodes.py
@@ -122,6 +122,7 @@
                     self._alive(node)  # it runs: what fell silent did so before
                 node.since = since
             self._admit(node)
+        return None
 
     def _on_hand(self, event: io.ByHand) -> None:
         """Out by hand, or back: one call back lifts all that stands, and the node was restarted meanwhile."""
--- a/mallowbeam/storage_gateway/server/gateway.py
+++ b/mallowbeam/storage_gateway/server/gateway.py
@@ -204,6 +204,7 @@
         logger.info("reload: discovery at {}", config.discovery)
         self._tell("discovery", config.discovery)
         self.moved(config.discovery)
+        return None
 
     @property
     def ready(self) -> bool:
--- a/mallowbeam/storage_gateway/write_buffer/store.py
+++ b/mallowbeam/storage_gateway/write_buffer/store.py
@@ -156,6 +156,7 @@
                 if not waiting.done.done():
                     waiting.done.set_result(None)
         self._sizes(dict(self.log.sizes), self.log.number)
+        return None
 
     async def _distrust(self, batch: list[Waiting], why: str) -> None:
         """A file can't be trusted: say durably, elsewhere, that what went there last was never acknowledged.
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -33,6 +33,7 @@
         text=True,
         timeout=60,
         env={**os.environ, "COLUMNS": "200"},
+        check=False,
     )
 
 
@@ -202,7 +203,9 @@
     env.pop("MALLOWBEAM_FRONTS", None)
     discovery, (sock, port) = Discovery([]), hold_port()
     write_files(tmp_path, "alone", port, discovery, {})
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, env=env, capture_output=True, text=True)
+    done = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, env=env, capture_output=True, text=True, check=False
+    )
     discovery.close()
     sock.close()
     assert done.returncode == 0, done.stderr
--- a/tests/cli/test_system_cli.py
+++ b/tests/cli/test_system_cli.py
@@ -315,7 +315,9 @@
     def test_it_is_reached_from_the_program(self):
         environment = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}
         command = [sys.executable, "-m", "mallowbeam", "fleet", "config", "check", self.file(DOCUMENT)]
-        ended = subprocess.run(command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=30)
+        ended = subprocess.run(
+            command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=30, check=False
+        )
         self.assertEqual((ended.returncode, ended.stderr), (0, ""))
         self.assertIn("valid, revision 7", ended.stdout)
 
--- a/tests/deploy/test_build.py
+++ b/tests/deploy/test_build.py
@@ -29,7 +29,9 @@
 
 
 def usable(root: Path) -> bool:
-    pip = subprocess.run([root / ".venv/bin/python", "-m", "pip", "--version"], capture_output=True)
+    pip = subprocess.run(
+        [root / ".venv/bin/python", "-m", "pip", "--version"], capture_output=True, check=False
+    )
     return pip.returncode == 0
 
 
--- a/tests/router/configuration/test_configuration_documents.py
+++ b/tests/router/configuration/test_configuration_documents.py
@@ -277,7 +277,7 @@
 
     def test_null_is_absent(self) -> None:
         for path, values in WRONG_TYPES.items():
-            if None in values or path == "routes[0].timeout_ms" or path == "routes[1].weighted_backends":
+            if None in values or path in ("routes[0].timeout_ms", "routes[1].weighted_backends"):
                 continue
             with self.subTest(path):
                 self.assertEqual(parsed(edited({path: None})), parsed(edited({path: REMOVED})))
--- a/tests/router/consensus/test_storage_store.py
+++ b/tests/router/consensus/test_storage_store.py
@@ -242,8 +242,10 @@
         self.assertEqual(len(self.reopen().entries), 10)
 
     def test_entries_at_the_bound_give_way_to_those_of_another_leader(self) -> None:
-        """They can't be committed and so never be dropped by a snapshot: a member that had to wait for one,
-        and whose acknowledgement the new leader waits for, would be stuck."""
+        """They can't be committed, and so are never dropped by a snapshot.
+
+        A member that had to wait for one, and whose acknowledgement the new leader waits for, would be stuck.
+        """
         next_index = 1
         with self.assertRaises(StoreFullError):
             while True:
--- a/tests/router/data_plane/test_data_plane_budget.py
+++ b/tests/router/data_plane/test_data_plane_budget.py
@@ -40,7 +40,7 @@
     """
     requests, retries = sorted(counted.requests), sorted(counted.retries)
     shifts = (0.0, WINDOW_S, -WINDOW_S, WINDOW_S / 2, -WINDOW_S / 2)
-    begins = {retry for retry in retries} | {retry - WINDOW_S for retry in retries}
+    begins = set(retries) | {retry - WINDOW_S for retry in retries}
     begins |= {request + shift + TINY for request in requests for shift in shifts}
     worst = -min_retries
     for begin in begins:
--- a/tests/router/processes/test_processes_main.py
+++ b/tests/router/processes/test_processes_main.py
@@ -40,6 +40,7 @@
             capture_output=True,
             text=True,
             timeout=MOST_S,
+            check=False,
         )
 
     def test_each_role_is_loaded_alone_with_hangups_held(self):
--- a/tests/router/processes/test_processes_role.py
+++ b/tests/router/processes/test_processes_role.py
@@ -125,6 +125,7 @@
             capture_output=True,
             text=True,
             timeout=MOST_S,
+            check=False,
         )
 
     def test_each_stop_signal_ends_it_as_planned(self):
--- a/tests/storage_gateway/coordination/pools/test_pools_lend.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_lend.py
@@ -42,10 +42,10 @@
 @pytest.mark.parametrize(
     "offers, count",
     [
-        (dict(b=offer(percent=50), c=offer(percent=25)), 2 + 1 + 1),
-        (dict(b=offer(keep=1), c=offer(keep=4)), 2 + 1),
-        (dict(b=offer(to={"c"}), c=offer(percent=0)), 2),
-        (dict(a=offer(ceiling=3)), 3),
+        ({"b": offer(percent=50), "c": offer(percent=25)}, 2 + 1 + 1),
+        ({"b": offer(keep=1), "c": offer(keep=4)}, 2 + 1),
+        ({"b": offer(to={"c"}), "c": offer(percent=0)}, 2),
+        ({"a": offer(ceiling=3)}, 3),
     ],
 )
 def test_what_is_lent_follows_the_rule(offers, count):
--- a/tests/storage_gateway/coordination/test_policy.py
+++ b/tests/storage_gateway/coordination/test_policy.py
@@ -30,7 +30,7 @@
 
 
 def core(**changes) -> PolicyCore:
-    return PolicyCore(**(dict(lease=1.0, beat=0.2) | changes))
+    return PolicyCore(**({"lease": 1.0, "beat": 0.2} | changes))
 
 
 # --- the core -------------------------------------------------------------------------------------
--- a/tests/storage_gateway/frontends/object_api/test_access.py
+++ b/tests/storage_gateway/frontends/object_api/test_access.py
@@ -154,6 +154,7 @@
         return judge(signed("UNSIGNED-PAYLOAD"), NOW + late)
     with pytest.raises(Error, match=code):
         judge(signed("UNSIGNED-PAYLOAD"), NOW + late)
+        return None
 
 
 def test_a_header_of_amazons_that_is_not_signed_is_refused():
--- a/tests/storage_gateway/frontends/test_stream.py
+++ b/tests/storage_gateway/frontends/test_stream.py
@@ -130,7 +130,6 @@
 
 def test_an_upload_that_breaks_at_the_node_is_refused_and_not_sent_again():
     """Guards against a second run: what has been passed on is not here any more."""
-
     met = []
 
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/storage_gateway/scheduler/test_cold_fleet.py
+++ b/tests/storage_gateway/scheduler/test_cold_fleet.py
@@ -9,34 +9,63 @@
 
 from mallowbeam.storage_gateway.scheduler import Scheduler
 
-SITE = dict(
-    cold_units=76.0,
-    cold_start=0.18,
-    cold_time=17.0,
-    fall_multiple=4.0,
-    fall_window=3.0,
-    units_top=8,
-    shards=1,
-    lasts=6.0,
-)
+SITE = {
+    "cold_units": 76.0,
+    "cold_start": 0.18,
+    "cold_time": 17.0,
+    "fall_multiple": 4.0,
+    "fall_window": 3.0,
+    "units_top": 8,
+    "shards": 1,
+    "lasts": 6.0,
+}
 FELL = (2039, 2043)  # draws in which a node fell before the mend
 HARD = {
-    "hosts restart in the middle of the window": dict(
-        hosts=30, restarts=True, demand=8.0, known=0.2, again=False
-    ),
-    "demand through one host of 200": dict(hosts=200, only=7, demand=8.0),
-    "a request larger than the whole budget": dict(hosts=20, units_top=20, cold_units=4.0, demand=4.0),
-    "a window longer than the time that it is cold": dict(
-        hosts=20, cold_time=2.0, fall_window=6.0, demand=8.0
-    ),
-    "an even part below one unit": dict(hosts=30, cold_units=24.0, units_top=1, demand=8.0, spread=True),
-    "several shards cold at once": dict(hosts=40, shards=6, cold_units=14.0, demand=4.0, hot=True),
-    "two starts within one window": dict(hosts=12, again=True, demand=8.0, burst=2.5),
-    "hosts told late": dict(hosts=20, told_late=True, demand=4.0),
-    "connections that come up late, and attempts again": dict(
-        hosts=30, late=0.3, faulty=0.4, demand=8.0, max_attempts=4
-    ),
-    "a hot volume, few keys, a burst": dict(hosts=20, hot=True, spread=False, keys=60, burst=2.5, demand=4.0),
+    "hosts restart in the middle of the window": {
+        "hosts": 30,
+        "restarts": True,
+        "demand": 8.0,
+        "known": 0.2,
+        "again": False,
+    },
+    "demand through one host of 200": {"hosts": 200, "only": 7, "demand": 8.0},
+    "a request larger than the whole budget": {
+        "hosts": 20,
+        "units_top": 20,
+        "cold_units": 4.0,
+        "demand": 4.0,
+    },
+    "a window longer than the time that it is cold": {
+        "hosts": 20,
+        "cold_time": 2.0,
+        "fall_window": 6.0,
+        "demand": 8.0,
+    },
+    "an even part below one unit": {
+        "hosts": 30,
+        "cold_units": 24.0,
+        "units_top": 1,
+        "demand": 8.0,
+        "spread": True,
+    },
+    "several shards cold at once": {"hosts": 40, "shards": 6, "cold_units": 14.0, "demand": 4.0, "hot": True},
+    "two starts within one window": {"hosts": 12, "again": True, "demand": 8.0, "burst": 2.5},
+    "hosts told late": {"hosts": 20, "told_late": True, "demand": 4.0},
+    "connections that come up late, and attempts again": {
+        "hosts": 30,
+        "late": 0.3,
+        "faulty": 0.4,
+        "demand": 8.0,
+        "max_attempts": 4,
+    },
+    "a hot volume, few keys, a burst": {
+        "hosts": 20,
+        "hot": True,
+        "spread": False,
+        "keys": 60,
+        "burst": 2.5,
+        "demand": 4.0,
+    },
 }
 
 
@@ -60,7 +89,7 @@
     def heedless(settings, now):
         return Scheduler(replace(settings, fall_window=None), now)
 
-    fleet = Fleet(1, heedless, **SITE | dict(hosts=20, demand=8.0, told_late=False, restarts=False))
+    fleet = Fleet(1, heedless, **SITE | {"hosts": 20, "demand": 8.0, "told_late": False, "restarts": False})
     assert all(node.fell for node in fleet.play())
 
 
@@ -73,21 +102,21 @@
     fleet = Fleet(
         3,
         **SITE
-        | dict(
-            hosts=hosts,
-            spread=spread,
-            shards=shards,
-            demand=1.0,
-            faulty=0.0,
-            late=0.0,
-            burst=1.0,
-            known=3.0,
-            told_late=False,
-            restarts=False,
-            again=False,
-            hot=False,
-            keys=10**9,
-        ),
+        | {
+            "hosts": hosts,
+            "spread": spread,
+            "shards": shards,
+            "demand": 1.0,
+            "faulty": 0.0,
+            "late": 0.0,
+            "burst": 1.0,
+            "known": 3.0,
+            "told_late": False,
+            "restarts": False,
+            "again": False,
+            "hot": False,
+            "keys": 10**9,
+        },
     )
     used = [node.used() for node in fleet.play()]
     assert sum(used) / len(used) > 0.5
--- a/tests/storage_gateway/scheduler/test_control_cold.py
+++ b/tests/storage_gateway/scheduler/test_control_cold.py
@@ -64,7 +64,13 @@
     A node of 20 units a second at full; the fleet asks for twice that in reads beyond reserves.
     """
     hosts, full, sent = 40, 20.0, []
-    settings = dict(cold_units=14.0, cold_start=0.18, cold_time=17.0, fall_multiple=4.0, fall_window=3.0)
+    settings = {
+        "cold_units": 14.0,
+        "cold_start": 0.18,
+        "cold_time": 17.0,
+        "fall_multiple": 4.0,
+        "fall_window": 3.0,
+    }
     rigs = [Rig(nodes=0, now=1000.0, hosts=hosts, seed=n, **settings) for n in range(hosts)]
     for rig in rigs:
         rig.step(io.NodesListed(io.ListKind.CHANGES, 2, [io.NodeEntry("n0", shard=0, since=1000.0)]))
--- a/tests/storage_gateway/scheduler/test_control_plans.py
+++ b/tests/storage_gateway/scheduler/test_control_plans.py
@@ -218,10 +218,10 @@
     assert host.planned(100.0, replace(BASIC, limit=5.0)) == facade.Orders()
     host.planned(100.0, replace(BASIC, limit=3.0), "b", shard=1, part=0.25)
     for bad in (
-        dict(plan=replace(BASIC, limit=-1.0)),
-        dict(plan=BASIC, part=1.5),
-        dict(plan=BASIC, shard=2),
-        dict(plan=replace(BASIC, weight=float("inf"))),
+        {"plan": replace(BASIC, limit=-1.0)},
+        {"plan": BASIC, "part": 1.5},
+        {"plan": BASIC, "shard": 2},
+        {"plan": replace(BASIC, weight=float("inf"))},
     ):
         with pytest.raises(facade.BadPlan) as caught:
             host.planned(100.0, **bad)
--- a/tests/storage_gateway/scheduler/test_drawn_settings.py
+++ b/tests/storage_gateway/scheduler/test_drawn_settings.py
@@ -44,14 +44,14 @@
             limit,
             *((burst, slack) if limit else ()),
         )
-    cold = dict(
-        cold_units=draw.choice((1.0, 24.0)),
-        cold_start=draw.choice((0.1, 0.5)),
-        cold_time=draw.choice((0.0, 0.5, 10.0)),
-        fall_multiple=draw.choice((1.5, 4.0)),
-        fall_window=draw.choice((0.3, 3.0)),
-    )
-    budget = dict(budget_floor=2.0, budget_share=0.1, budget_window=draw.choice((0.3, 5.0)))
+    cold = {
+        "cold_units": draw.choice((1.0, 24.0)),
+        "cold_start": draw.choice((0.1, 0.5)),
+        "cold_time": draw.choice((0.0, 0.5, 10.0)),
+        "fall_multiple": draw.choice((1.5, 4.0)),
+        "fall_window": draw.choice((0.3, 3.0)),
+    }
+    budget = {"budget_floor": 2.0, "budget_share": 0.1, "budget_window": draw.choice((0.3, 5.0))}
     return make_settings(
         seed=draw.getrandbits(32),
         hosts=hosts,
@@ -270,7 +270,7 @@
 @pytest.mark.parametrize("cold_time", [0.0, None])
 def test_where_no_node_is_ever_cold_none_is_presumed_to_be(cold_time):
     """Guards a node that lost its connections: without any such time it was held for cold, or it raised."""
-    rig = Rig(**COLD | dict(cold_time=cold_time, cold_units=1.0, hosts=200))
+    rig = Rig(**COLD | {"cold_time": cold_time, "cold_units": 1.0, "hosts": 200})
     for _ in range(2):
         rig.step(rig.ended(of(rig.step(rig.request(units=1)), io.Send)[0], io.Outcome.NO_CONNECTION))
     assert rig.host.nodes["n0"].suspect  # so it gets a trickle
--- a/tests/storage_gateway/scheduler/test_facade.py
+++ b/tests/storage_gateway/scheduler/test_facade.py
@@ -8,7 +8,15 @@
 from mallowbeam.storage_gateway.scheduler import interface as io
 from mallowbeam.storage_gateway.scheduler.gateway_host import NEVER, Facade, Verdict
 
-FIELDS = dict(cls="read", expires_in=1.2, shard=0, units=2, volume="v", plan="gold", hosts_of_volume=1)
+FIELDS = {
+    "cls": "read",
+    "expires_in": 1.2,
+    "shard": 0,
+    "units": 2,
+    "volume": "v",
+    "plan": "gold",
+    "hosts_of_volume": 1,
+}
 
 
 def facade(**settings) -> Facade:
--- a/tests/storage_gateway/server/test_clients_gone.py
+++ b/tests/storage_gateway/server/test_clients_gone.py
@@ -142,7 +142,7 @@
         async with World(Classes=PATIENT) as world:
             large = ["idempotency-key: k", "content-length: 100000"]
             small = ["idempotency-key: k", "content-length: 5"]
-            write = dict(method="PUT", cls="new-write", deadline=60_000)
+            write = {"method": "PUT", "cls": "new-write", "deadline": 60_000}
             parts = [request(i, deadline=60_000) for i in range(1, 150)]
             parts[5:5] = [request(901, *large, **write) + b"x" * 100_000]
             parts[40:40] = [request(902, *small, **write) + b"hello"]
--- a/tests/storage_gateway/server/test_crossings_upgrade.py
+++ b/tests/storage_gateway/server/test_crossings_upgrade.py
@@ -191,7 +191,6 @@
 
 def test_a_state_too_large_to_be_told_leaves_no_half_upgrade_behind(monkeypatch):
     """Guards the next upgrade: the line to the new process was given up before its tasks had begun."""
-
     whole = handover.MOST_SAID
 
     async def run() -> None:
--- a/tests/storage_gateway/server/test_handover.py
+++ b/tests/storage_gateway/server/test_handover.py
@@ -21,7 +21,7 @@
 from mallowbeam.storage_gateway.server import handover
 from mallowbeam.storage_gateway.server.calls import Phase
 
-COLD = dict(Guarantees={"Cold": 17.0, "Fall": 3.0, "StartCapacity": 0.18, "TipMultiple": 4.0})
+COLD = {"Guarantees": {"Cold": 17.0, "Fall": 3.0, "StartCapacity": 0.18, "TipMultiple": 4.0}}
 
 
 @pytest.fixture(autouse=True)
--- a/tests/storage_gateway/server/test_watch.py
+++ b/tests/storage_gateway/server/test_watch.py
@@ -38,7 +38,7 @@
         rig = Rig(discovery_on_request=True, ask_every=10.0, hosts=200, seed=seed)
         rig.step(io.NodesListed(io.ListKind.SILENT))
         assert ask(rig) == 0.0
-    assert 0.0 < min(drawn) and max(drawn) <= MOST_AGAIN + 0.001
+    assert min(drawn) > 0.0 and max(drawn) <= MOST_AGAIN + 0.001
     parts = [sum(n < drawn_at / MOST_AGAIN * 10 <= n + 1 for drawn_at in drawn) for n in range(10)]
     assert min(parts) >= 8 and max(parts) <= 36, "they are spread over all of it"
 
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -82,36 +82,31 @@
     def __init__(self, seed: int, module: Callable = Scheduler, **given) -> None:
         draw = self.draw = random.Random(seed)
         self.module, self.now, self.seq = module, 1000.0, 0
-        drawn = (
-            dict(
-                cold_units=draw.choice((4.0, 14.0, 24.0, 76.0, 76.0, 200.0)),
-                cold_start=draw.uniform(0.1, 0.5),
-                cold_time=draw.choice((1.0, 4.0, 10.0, 17.0)),
-                fall_multiple=draw.uniform(2.0, 5.0),
-                fall_window=draw.choice((0.5, 2.0, 3.0, 6.0)),
-                hosts=draw.choice(HOSTS),
-                units_top=draw.choice((1, 2, 4, 8, 8, 20)),
-                shards=draw.choice((1, 3, 6)),
-                max_attempts=draw.choice((None, 2, 4)),
-                demand=draw.choice((0.3, 1.0, 2.0, 4.0, 8.0)),  # times what a node can do by the settings
-                reserved=draw.choice((0.0, 0.3, 0.8)),  # of what a node can do: inside reserves
-                faulty=draw.choice((0.0, 0.0, 0.1, 0.4)),  # of attempts: how many end badly
-                late=draw.choice((0.0, 0.0, 0.3)),  # of connections: how many come up 1.5 s late
-                burst=draw.choice(
-                    (1.0, 1.0, 1.5, 2.5)
-                ),  # times the traffic, for 3 s, from the start or later
-                spread=draw.random() < 0.5,  # any host for any volume; some get several times the mean
-                told_late=draw.random() < 0.5,
-                restarts=draw.random() < 0.3,
-                again=draw.random() < 0.2,
-                hot=draw.random() < 0.3,  # half of all asks for one volume, through its few hosts
-                keys=draw.choice((60, 10**9, 10**9)),
-                only=None,
-                lasts=12.0,
-                known=draw.choice((0.2, 3.0)),
-            )
-            | given
-        )  # seconds of traffic that the hosts have seen before
+        drawn = {
+            "cold_units": draw.choice((4.0, 14.0, 24.0, 76.0, 76.0, 200.0)),
+            "cold_start": draw.uniform(0.1, 0.5),
+            "cold_time": draw.choice((1.0, 4.0, 10.0, 17.0)),
+            "fall_multiple": draw.uniform(2.0, 5.0),
+            "fall_window": draw.choice((0.5, 2.0, 3.0, 6.0)),
+            "hosts": draw.choice(HOSTS),
+            "units_top": draw.choice((1, 2, 4, 8, 8, 20)),
+            "shards": draw.choice((1, 3, 6)),
+            "max_attempts": draw.choice((None, 2, 4)),
+            "demand": draw.choice((0.3, 1.0, 2.0, 4.0, 8.0)),  # times what a node can do by the settings
+            "reserved": draw.choice((0.0, 0.3, 0.8)),  # of what a node can do: inside reserves
+            "faulty": draw.choice((0.0, 0.0, 0.1, 0.4)),  # of attempts: how many end badly
+            "late": draw.choice((0.0, 0.0, 0.3)),  # of connections: how many come up 1.5 s late
+            "burst": draw.choice((1.0, 1.0, 1.5, 2.5)),  # times the traffic, for 3 s, from the start or later
+            "spread": draw.random() < 0.5,  # any host for any volume; some get several times the mean
+            "told_late": draw.random() < 0.5,
+            "restarts": draw.random() < 0.3,
+            "again": draw.random() < 0.2,
+            "hot": draw.random() < 0.3,  # half of all asks for one volume, through its few hosts
+            "keys": draw.choice((60, 10**9, 10**9)),
+            "only": None,
+            "lasts": 12.0,
+            "known": draw.choice((0.2, 3.0)),
+        } | given  # seconds of traffic that the hosts have seen before
         settings = {name: drawn.pop(name) for name in list(drawn) if hasattr(io.Settings, name)}
         self.__dict__ |= drawn
         top, hosts = settings["units_top"], settings["hosts"]
--- a/tests/support/replayed.py
+++ b/tests/support/replayed.py
@@ -36,7 +36,7 @@
         io.TimerFired,
     )
 }
-RAMP = dict(cold_units=24.0, cold_start=0.2, cold_time=10.0, fall_multiple=2.0, fall_window=2.0)
+RAMP = {"cold_units": 24.0, "cold_start": 0.2, "cold_time": 10.0, "fall_multiple": 2.0, "fall_window": 2.0}
 OUTCOMES = [io.Outcome.OK] * 60 + list(io.Outcome)
 
 Run = tuple[io.Settings, list[tuple[float, list[io.Event]]]]
@@ -55,7 +55,7 @@
         discovery_on_request=draw.random() < 0.5,
         ask_every=draw.choice((None, 1.0)),
         **(RAMP if draw.random() < 0.6 else {}),
-        **(dict(budget_floor=3.0, budget_share=0.1, budget_window=5.0) if draw.random() < 0.5 else {}),
+        **({"budget_floor": 3.0, "budget_share": 0.1, "budget_window": 5.0} if draw.random() < 0.5 else {}),
     )
     scope = replace(made.classes["keyed"], scope=draw.choice(list(io.Scope)))
     return replace(made, classes=made.classes | {"keyed": scope})
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -89,10 +89,11 @@
                 came = await self.came.get()
         if patterns == ["end"]:
             assert came is None, f"not the end but:\n{words(came[0])}"
-        else:
-            message, self.writer = came
-            self.seen.append(message)
-            check(message, patterns)
+            return None
+        message, self.writer = came
+        self.seen.append(message)
+        check(message, patterns)
+        return None
 
     def _expect_nothing(self) -> None:
         rest = [came for came in iter(lambda: self.came.empty() or self.came.get_nowait(), True) if came]
@@ -130,6 +131,7 @@
         if first == "raw":
             return self.raw(*rest)
         self.write(f"HTTP/1.1 {first} {REASONS[int(first)]}", rest)
+        return None
 
 
 class Client(Party):
@@ -151,17 +153,17 @@
             return self.write(f"{first} {rest[0]} HTTP/1.1", ["host:test", *rest[1:]])
         self.count += 1
         cls, method = {"read": ("read", "GET"), "write": ("new-write", "PUT")}[first]
-        values = dict(
-            id=f"{self.number:08x}{self.count:08x}",
-            cls=cls,
-            plan="silver",
-            volume=f"{0xaa:016x}",
-            key=f"{self.count:016x}",
-            deadline="1200",
-            units="1",
-            shard="0",
-            hosts="1",
-        )
+        values = {
+            "id": f"{self.number:08x}{self.count:08x}",
+            "cls": cls,
+            "plan": "silver",
+            "volume": f"{0xaa:016x}",
+            "key": f"{self.count:016x}",
+            "deadline": "1200",
+            "units": "1",
+            "shard": "0",
+            "hosts": "1",
+        }
         own = [word for word in rest if word.startswith("body=") or ":" in word]
         values.update(word.split("=", 1) for word in rest if word not in own)
         headers = [
@@ -175,6 +177,7 @@
         if first == "write":
             headers.append(f"idempotency-key:key-{values['key']}")
         self.write(f"{method} /{cls}/{values['volume']}/{values['key']} HTTP/1.1", headers + own)
+        return None
 
 
 class World:
--- a/tests/support/scheduler_rig.py
+++ b/tests/support/scheduler_rig.py
@@ -25,28 +25,35 @@
     io.Plan("basic", rate=2, reserve=0, weight=1, price=0.7, limit=20, limit_burst=32, limit_slack=8),
 ]
 
-COLD = dict(cold_units=24.0, cold_start=0.2, cold_time=10.0, fall_multiple=2.0, fall_window=2.0, hosts=112)
+COLD = {
+    "cold_units": 24.0,
+    "cold_start": 0.2,
+    "cold_time": 10.0,
+    "fall_multiple": 2.0,
+    "fall_window": 2.0,
+    "hosts": 112,
+}
 
 
 def make_settings(**changes) -> io.Settings:
     """Settings of a small deployment; keyword arguments replace single ones."""
-    base = dict(
-        seed=7,
-        hosts=1,
-        zone="a",
-        tick=0.002,
-        classes={c.name: c for c in CLASSES},
-        plans={p.name: p for p in PLANS},
-        usual_units=2.0,
-        units_top=8,
-        share_worth=0.3,
-        spare_worth=0.05,
-        may_cancel=True,
-        max_attempts=4,
-        retry_after=True,
-        max_retry_after=1.0,
-        drain_grace=0.25,
-    )
+    base = {
+        "seed": 7,
+        "hosts": 1,
+        "zone": "a",
+        "tick": 0.002,
+        "classes": {c.name: c for c in CLASSES},
+        "plans": {p.name: p for p in PLANS},
+        "usual_units": 2.0,
+        "units_top": 8,
+        "share_worth": 0.3,
+        "spare_worth": 0.05,
+        "may_cancel": True,
+        "max_attempts": 4,
+        "retry_after": True,
+        "max_retry_after": 1.0,
+        "drain_grace": 0.25,
+    }
     return io.Settings(**(base | changes))
 
 
@@ -85,17 +92,17 @@
     def request(self, cls: str = "read", **fields) -> io.RequestArrived:
         """A request with an id of its own."""
         self.count += 1
-        values = dict(
-            request=f"r{self.count}",
-            cls=cls,
-            shard=0,
-            units=2,
-            volume="v",
-            plan="gold",
-            hosts_of_volume=1,
-            key=f"{self.count:016x}",
-            expires_in=self.settings.classes[cls].deadline,
-        )
+        values = {
+            "request": f"r{self.count}",
+            "cls": cls,
+            "shard": 0,
+            "units": 2,
+            "volume": "v",
+            "plan": "gold",
+            "hosts_of_volume": 1,
+            "key": f"{self.count:016x}",
+            "expires_in": self.settings.classes[cls].deadline,
+        }
         return io.RequestArrived(**(values | fields))
 
     def ended(
--- a/tests/support/simulated.py
+++ b/tests/support/simulated.py
@@ -129,14 +129,18 @@
         match self.failing:
             case "reset" | "refused":
                 wire.coming.put_nowait(None)
+                return None
             case "503":
                 await asyncio.sleep(QUEUE)
                 wire.put(503, b"")
+                return None
             case "half":
                 wire.put(200, b"x" * 100, sent=0.7)
+                return None
             case "cut":
                 wire.put(200, b"x" * 100, sent=0.7)
                 wire.coming.put_nowait(b"")
+                return None
             # "silent", "lost": nothing comes, and nothing ends
 
     async def _unless_down(self, seconds: float) -> None:
--- a/tests/support/system_bulk.py
+++ b/tests/support/system_bulk.py
@@ -1,4 +1,6 @@
-"""Scenarios of the fleet with many or large configurations and slow links. Beside the commands of the fleet::
+"""Scenarios of the fleet with many or large configurations and slow links.
+
+Beside the commands of the fleet::
 
     at 1 change COUNT [BYTES]        one configuration after another, each once the last is acknowledged
     at 1 bandwidth A B BYTES         a second, both ways
