--- a/mallowbeam/lab/faults/broken.py
+++ b/mallowbeam/lab/faults/broken.py
@@ -10,17 +10,18 @@
 import sys
 from collections.abc import Callable
 
-from mallowbeam.storage_gateway.coordination.maintenance import actions, part, selection
+from mallowbeam.storage_gateway.coordination.maintenance import selection, subsystem
+from mallowbeam.storage_gateway.coordination.maintenance.actions import Action, Drain
 
 
 def deaf() -> None:
     """Drains are told, and not done."""
-    done = part.MaintenancePart._do
+    done = subsystem.MaintenanceSubsystem._execute
 
-    def _do(self: part.MaintenancePart, due: list[actions.Action]) -> None:
-        done(self, [action for action in due if not isinstance(action, actions.Drain)])
+    def _execute(self: subsystem.MaintenanceSubsystem, actions: list[Action]) -> None:
+        done(self, [action for action in actions if not isinstance(action, Drain)])
 
-    part.MaintenancePart._do = _do  # type: ignore[method-assign]
+    subsystem.MaintenanceSubsystem._execute = _execute  # type: ignore[method-assign]
 
 
 def hasty() -> None:
--- a/mallowbeam/lab/faults/walk.py
+++ b/mallowbeam/lab/faults/walk.py
@@ -14,13 +14,13 @@
 from typing import Any
 
 from mallowbeam.lab.faults.orderly import Arrival, Asked, Down, Ended, Event, Moved, Read, Told
-from mallowbeam.storage_gateway.coordination.log import Committed, Entry, Log, Refusal
 from mallowbeam.storage_gateway.coordination.maintenance import actions
 from mallowbeam.storage_gateway.coordination.maintenance.entries import NodeStatus
 from mallowbeam.storage_gateway.coordination.maintenance.gateway_core import MaintenanceCore
 from mallowbeam.storage_gateway.coordination.maintenance.state import MaintenanceState
 from mallowbeam.storage_gateway.coordination.maintenance.state_machine import MaintenanceStateMachine
 from mallowbeam.storage_gateway.coordination.policy import Mark, PolicyCore
+from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry, Refusal, ReplicatedLog
 
 TICK = 0.05  # simulated seconds of one step
 LEASE, BEAT = 2.0, 0.25  # of the gate
@@ -69,7 +69,7 @@
         self.lives += 1
         self.life = f"{self.name}.{self.lives}"
         self.up, self.stopped, self.read, self.lag = True, False, 0, 0.0
-        self.log = Log([walk.topic()])
+        self.log = ReplicatedLog([walk.topic()])
         self.core = self.core_type(self.name, self.life, walk.members, walk.now, walk.times)
         self.core.state_machine = walk.topic()
         self.gate = PolicyCore(walk.times.lease_s, BEAT)
@@ -163,7 +163,7 @@
             self.walk.add(Read(now, self.name, self.read, machine, step))
 
 
-def take(log: Log, item: Item) -> list[Committed]:
+def take(log: ReplicatedLog, item: Item) -> list[Committed]:
     """One place of the log on one replica."""
     if item.policy is not None:
         told = log.push(item.policy)
@@ -205,7 +205,7 @@
         self.history: list[Event] = []
         self.items: list[Item] = []
         self.on_way: list[tuple[float, Item, str]] = []
-        self.reference = Log([self.topic()])
+        self.reference = ReplicatedLog([self.topic()])
         self.leader: str | None = None
         self.elected = 0.0
         self.plans: list[tuple[float, Callable[[], None]]] = []
--- a/mallowbeam/storage_gateway/coordination/maintenance/actions.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/actions.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from mallowbeam.storage_gateway.coordination.log import Entry
 from mallowbeam.storage_gateway.coordination.maintenance.entries import NodeStatus
+from mallowbeam.storage_gateway.coordination.replicated_log import Entry
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/storage_gateway/coordination/maintenance/entries.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/entries.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from mallowbeam.storage_gateway.coordination.log import Entry
 from mallowbeam.storage_gateway.coordination.maintenance.steps import Step
+from mallowbeam.storage_gateway.coordination.replicated_log import Entry
 
 MAX_NODES = 600  # of one report, bounded by the size of an entry; further nodes are not reported
 
--- a/mallowbeam/storage_gateway/coordination/maintenance/gateway_core.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/gateway_core.py
@@ -15,7 +15,6 @@
 
 import msgspec
 
-from mallowbeam.storage_gateway.coordination.log import Committed, Entry
 from mallowbeam.storage_gateway.coordination.maintenance.actions import (
     Action,
     Drain,
@@ -44,6 +43,7 @@
     OUT_OF_SERVICE,
     Step,
 )
+from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry
 
 NEVER = float("-inf")
 
--- a/mallowbeam/storage_gateway/coordination/maintenance/policy_requests.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/policy_requests.py
@@ -13,7 +13,6 @@
 import msgspec
 from msgspec.structs import replace
 
-from mallowbeam.storage_gateway.coordination.log import Refusal
 from mallowbeam.storage_gateway.coordination.maintenance.fleet_view import merge_reports
 from mallowbeam.storage_gateway.coordination.maintenance.request_checks import RequestChecks
 from mallowbeam.storage_gateway.coordination.maintenance.section import Request, read_section
@@ -25,6 +24,7 @@
     MaintenanceState,
 )
 from mallowbeam.storage_gateway.coordination.maintenance.steps import FINISHED, RECALLABLE, Step
+from mallowbeam.storage_gateway.coordination.replicated_log import Refusal
 
 
 def apply_policy(
--- a/mallowbeam/storage_gateway/coordination/maintenance/request_checks.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/request_checks.py
@@ -11,12 +11,12 @@
 
 from msgspec.structs import replace
 
-from mallowbeam.storage_gateway.coordination.log import Refusal
 from mallowbeam.storage_gateway.coordination.maintenance.constraints import DEFAULT_REMEDY, REMEDIES
 from mallowbeam.storage_gateway.coordination.maintenance.fleet_view import FleetView
 from mallowbeam.storage_gateway.coordination.maintenance.section import Request
 from mallowbeam.storage_gateway.coordination.maintenance.selection import MachineSelector
 from mallowbeam.storage_gateway.coordination.maintenance.state import MaintenanceState
+from mallowbeam.storage_gateway.coordination.replicated_log import Refusal
 
 
 class RequestChecks:
--- a/mallowbeam/storage_gateway/coordination/maintenance/state_machine.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/state_machine.py
@@ -16,7 +16,6 @@
 import msgspec
 from msgspec.structs import replace
 
-from mallowbeam.storage_gateway.coordination.log import Refusal, States
 from mallowbeam.storage_gateway.coordination.maintenance import policy_requests
 from mallowbeam.storage_gateway.coordination.maintenance.constraints import CONSTRAINTS, Constraint
 from mallowbeam.storage_gateway.coordination.maintenance.entries import (
@@ -39,6 +38,7 @@
 )
 from mallowbeam.storage_gateway.coordination.maintenance.steps import IN_PROGRESS, OUT_OF_SERVICE, Step
 from mallowbeam.storage_gateway.coordination.maintenance.transitions import TransitionGuard
+from mallowbeam.storage_gateway.coordination.replicated_log import Refusal, States
 
 DUPLICATE = Refusal("this step is taken already", "", "nothing: another gateway asked first")
 
@@ -65,7 +65,7 @@
         """The state before any entry."""
         return MaintenanceState()
 
-    def pushed(self, states: States, index: int, policy: Any) -> MaintenanceState | Refusal:
+    def apply_policy(self, states: States, index: int, policy: Any) -> MaintenanceState | Refusal:
         """The state under a new policy, or why the policy is rejected."""
         return policy_requests.apply_policy(self.selector, states[self.name], index, policy)
 
--- /dev/null
+++ b/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
@@ -0,0 +1,161 @@
+"""Maintenance joined to its gateway: executes the core's actions and feeds it what the gateway sees.
+
+Whether the gateway serves is checked by the clock at each request (`MaintenanceCore.serves`), not by a tick:
+a process that was suspended rejects requests before it has received anything.  An operator's report that the
+work on a machine is done (`PUT /fleet/maintenance/back?NAME`) is kept here until the log has it.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable, Mapping
+
+from loguru import logger
+
+from mallowbeam.storage_gateway.coordination.errors import FleetError
+from mallowbeam.storage_gateway.coordination.maintenance.actions import (
+    Action,
+    Drain,
+    LocalView,
+    LogMessage,
+    Propose,
+    StepDown,
+    StepUp,
+    Timings,
+    Undrain,
+    WarmUp,
+)
+from mallowbeam.storage_gateway.coordination.maintenance.entries import NodeStatus
+from mallowbeam.storage_gateway.coordination.maintenance.gateway_core import MaintenanceCore
+from mallowbeam.storage_gateway.coordination.maintenance.section import Section
+from mallowbeam.storage_gateway.coordination.maintenance.state_machine import (
+    MaintenanceStateMachine,
+    describe,
+)
+from mallowbeam.storage_gateway.coordination.maintenance.steps import (
+    FINISHED,
+    IN_PROGRESS,
+    OUT_OF_SERVICE,
+    Step,
+)
+from mallowbeam.storage_gateway.coordination.policy_document import owns
+from mallowbeam.storage_gateway.coordination.replicated_log import Committed
+from mallowbeam.storage_gateway.coordination.subsystem import SubsystemContext
+from mallowbeam.storage_gateway.operator_settings import MaintenanceSection
+from mallowbeam.storage_gateway.scheduler.interface import NodeState
+
+owns("maintenance", Section)
+
+
+class MachineNotOutError(FleetError):
+    """An operator reports work as done on a machine that is not out of service."""
+
+    error_name = "NotOut"
+    status = 409
+    remedy = "see at /fleet which machines are out, and say so of one of them"
+
+
+class MaintenanceSubsystem:
+    """The subsystem of one gateway.
+
+    `allotments` are called with True to release what this gateway holds, and return whether they have; with
+    False they may acquire again.  `warmers` are called with a cold node and this gateway's share (0 to 1) of
+    the limit for cold nodes.
+    """
+
+    def __init__(self, context: SubsystemContext, section: MaintenanceSection) -> None:
+        self.context = context
+        self.topic = MaintenanceStateMachine(context.members)
+        self.core = MaintenanceCore(
+            context.me,
+            f"{time.time_ns():x}",
+            context.members,
+            time.monotonic(),
+            Timings(lease_s=section.lease_s, report_s=section.report_s, warmup_s=section.warm_s),
+        )
+        self.allotments: list[Callable[[bool], bool]] = []
+        self.warmers: list[Callable[[str, float], None]] = []
+        self.stepped_down = False
+        context.gateway().gates.append(lambda: self.core.serves(time.monotonic()))
+
+    def committed(self, told: Committed, now: float) -> None:
+        """The log has committed an entry of this topic; `now` is the monotonic clock in seconds."""
+        self._execute(self.core.committed(told, now))
+
+    def lease_renewed(self, proposed_at: float, now: float) -> None:
+        """A marker of this gateway was committed that it proposed at this moment."""
+        self.core.caught_up(proposed_at)
+
+    def tick(self, now: float) -> None:
+        """Time has passed: pass on what the gateway sees now, and do what is due."""
+        context = self.context
+        nodes = {
+            entry.node: NodeStatus(
+                entry.zone, entry.shard, entry.weight, entry.state is NodeState.READY, context.out(entry.node)
+            )
+            for entry in context.nodes()
+        }
+        released = False
+        if self.stepped_down:
+            # A list, not a generator: every allotment is told to release.
+            released = all([release(True) for release in self.allotments])  # noqa: C419
+        leader = context.me if context.leader() else None
+        self.core.observe(LocalView(nodes, context.held(), released, leader))
+        self._execute(self.core.tick(now))
+
+    def asked(self, act: str, what: str) -> dict[str, object]:
+        """An operator's action on the page, for a machine's name.
+
+        Raises `MachineNotOutError` for any action but `back`, and for a machine that is not out of service.
+        """
+        machine = self.core.state.machines.get(what)
+        if act != "back" or machine is None or machine.step not in OUT_OF_SERVICE:
+            step = machine.step if machine else "no machine of a request"
+            raise MachineNotOutError(f"{what!r} is {step}", f"maintenance/{act}")
+        self.core.complete_work(what)
+        return {"machine": what, "step": machine.step, "told": "back"}
+
+    def describe(self) -> dict[str, object]:
+        """Steps, decisions and reasons for the page `/fleet`."""
+        return describe(self.topic, self.core.state) | {"counted": self.core.serves(time.monotonic())}
+
+    def gauges(self) -> Mapping[str, float]:
+        """The number of machines by the kind of their step; the keys are names of metrics."""
+        steps = [machine.step for machine in self.core.state.machines.values()]
+        return {
+            "waiting": steps.count(Step.PROPOSED),
+            "away": sum(step in IN_PROGRESS for step in steps),
+            "lost": steps.count(Step.LOST),
+            "over": sum(step in FINISHED for step in steps),
+        }
+
+    def _execute(self, actions: list[Action]) -> None:
+        for action in actions:
+            match action:
+                case Propose(entry):
+                    self.context.propose(entry)
+                case Drain(node):
+                    self.context.drain(node, True)
+                case Undrain(node):
+                    self.context.drain(node, False)
+                case WarmUp(node, share):
+                    for warm in self.warmers:
+                        warm(node, share)
+                case StepDown(reject):
+                    self.stepped_down = True
+                    self.context.gate(not reject)
+                case StepUp():
+                    self._step_up()
+                case LogMessage(text):
+                    logger.bind(maintenance="step").info("maintenance: {}", text)
+
+    def _step_up(self) -> None:
+        self.stepped_down = False
+        for release in self.allotments:
+            release(False)
+        self.context.gate(True)
+
+
+def open_subsystem(context: SubsystemContext, section: MaintenanceSection) -> MaintenanceSubsystem:
+    """The subsystem in the gateway of this context; the coordination service calls it by name."""
+    return MaintenanceSubsystem(context, section)
--- a/mallowbeam/storage_gateway/coordination/maintenance/transitions.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/transitions.py
@@ -7,12 +7,12 @@
 
 from __future__ import annotations
 
-from mallowbeam.storage_gateway.coordination.log import Entry
 from mallowbeam.storage_gateway.coordination.maintenance.entries import SelectNext, StatusReport, Transition
 from mallowbeam.storage_gateway.coordination.maintenance.fleet_view import FleetView, merge_reports
 from mallowbeam.storage_gateway.coordination.maintenance.selection import MachineSelector
 from mallowbeam.storage_gateway.coordination.maintenance.state import MachineState, MaintenanceState
 from mallowbeam.storage_gateway.coordination.maintenance.steps import RECALLABLE, Step
+from mallowbeam.storage_gateway.coordination.replicated_log import Entry
 
 AUTOMATIC_STEPS: dict[Step, Step] = {
     Step.AGREED: Step.DRAINING,
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_core.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_core.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from mallowbeam.storage_gateway.coordination.log import Log
 from mallowbeam.storage_gateway.coordination.maintenance import actions
 from mallowbeam.storage_gateway.coordination.maintenance.entries import (
     DeadlineExceeded,
@@ -17,6 +16,7 @@
 )
 from mallowbeam.storage_gateway.coordination.maintenance.gateway_core import MaintenanceCore
 from mallowbeam.storage_gateway.coordination.maintenance.state_machine import MaintenanceStateMachine
+from mallowbeam.storage_gateway.coordination.replicated_log import ReplicatedLog
 
 MEMBERS = ("g0", "g1", "g2")
 NODES = {f"n{i}": NodeStatus("ab"[i % 2], i // 2) for i in range(4)}
@@ -26,7 +26,7 @@
     """A core on a log of its own; it hears at once what is put in, and may be kept from it."""
 
     def __init__(self, name="g1", now=100.0, known=99.5):
-        self.log = Log([MaintenanceStateMachine(MEMBERS)])
+        self.log = ReplicatedLog([MaintenanceStateMachine(MEMBERS)])
         self.core = MaintenanceCore(name, "l", MEMBERS, now)
         self.core.caught_up(known)
         self.core.observe(actions.LocalView(NODES))
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_machine.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_machine.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from mallowbeam.storage_gateway.coordination.log import MOST_ENTRY, Log, Refusal
 from mallowbeam.storage_gateway.coordination.maintenance import actions
 from mallowbeam.storage_gateway.coordination.maintenance.entries import (
     MAX_NODES,
@@ -21,6 +20,7 @@
     MaintenanceStateMachine,
     describe,
 )
+from mallowbeam.storage_gateway.coordination.replicated_log import MOST_ENTRY, Refusal, ReplicatedLog
 
 MEMBERS = ("g0", "g1", "g2")
 
@@ -32,7 +32,7 @@
 
 
 def fleet(members=MEMBERS, told=None, **requests):
-    log = Log([MaintenanceStateMachine(members)])
+    log = ReplicatedLog([MaintenanceStateMachine(members)])
     for name in members:
         put(log, name, StatusReport("l", 1, 0, "z", told or nodes()))
     return log
@@ -90,7 +90,9 @@
 
 
 def test_no_report_no_request():
-    assert "no gateway has said yet" in push(Log([MaintenanceStateMachine(MEMBERS)]), ask("n0")).what
+    assert (
+        "no gateway has said yet" in push(ReplicatedLog([MaintenanceStateMachine(MEMBERS)]), ask("n0")).what
+    )
 
 
 def test_two_who_ask_for_the_next_get_one_and_it_says_why():
@@ -214,7 +216,7 @@
 def test_state_outlives_a_snapshot_and_a_core_follows_it():
     log = fleet()
     draining(log)
-    other = Log([MaintenanceStateMachine(MEMBERS)])
+    other = ReplicatedLog([MaintenanceStateMachine(MEMBERS)])
     told = other.load(log.dump())
     assert other.states == log.states
     core = MaintenanceCore("g1", "x", MEMBERS, 10.0)
