--- a/mallowbeam/cli/system_errors.py
+++ b/mallowbeam/cli/system_errors.py
@@ -26,6 +26,7 @@
 class FleetCommandError(MallowbeamError):
     """A sub-command of `mallowbeam fleet` could not do what it was asked for."""
 
+    error_name = "FleetCommandError"
     exit_code: ClassVar[int] = EXIT_USAGE
     remedy = "see the text, or `python -m mallowbeam fleet --help`"
 
--- a/mallowbeam/errors.py
+++ b/mallowbeam/errors.py
@@ -13,6 +13,8 @@
 class MallowbeamError(Exception):
     """An error of the project; `remedy` is one sentence that tells an operator what to do."""
 
+    error_name: ClassVar[str] = "MallowbeamError"
+    """How answers and the on-call page name the type; it stays when the class is renamed."""
     remedy: ClassVar[str] = ""
     code: str = ""
     """A name for programs and for the table of errors; empty for types from before there was one."""
@@ -21,6 +23,12 @@
     peer: int | str | None = None
     """The process at which it arose: a member's id, or an address."""
 
+    def __init_subclass__(cls, **more: object) -> None:
+        """A type that states no `error_name` goes by its class's name."""
+        super().__init_subclass__(**more)
+        if "error_name" not in vars(cls):
+            cls.error_name = cls.__name__
+
     def __init__(
         self,
         what: str = "",
@@ -51,7 +59,7 @@
 
     def told(self) -> dict[str, str]:
         """The same for a JSON answer, with the code and the step where they are known."""
-        told = {"error": type(self).__name__, "what": self.what, "where": self.where, "remedy": self.cure}
+        told = {"error": self.error_name, "what": self.what, "where": self.where, "remedy": self.cure}
         if self.code:
             told["code"] = self.code
         if self.step:
--- a/mallowbeam/http/client.py
+++ b/mallowbeam/http/client.py
@@ -25,24 +25,28 @@
 class Unsent(MallowbeamError):
     """The connection failed before the request's last byte was written: it never ran."""
 
+    error_name = "Unsent"
     remedy = "if it goes on, look at the node and at the way to it"
 
 
 class NoRoom(Unsent):
     """No socket is left here: says nothing of the node."""
 
+    error_name = "NoRoom"
     remedy = "raise the limit on sockets, or look for nodes that stand still"
 
 
 class Broken(MallowbeamError):
     """The connection broke after the request was written: it may have run."""
 
+    error_name = "Broken"
     remedy = "if it goes on, look at the node and at what lies between"
 
 
 class Spoilt(Broken):
     """What came back can't be read, or never ends: the request may have run, and the node lives."""
 
+    error_name = "Spoilt"
     remedy = "look at the node's software and at what lies between"
 
 
--- a/mallowbeam/http/framing.py
+++ b/mallowbeam/http/framing.py
@@ -47,6 +47,7 @@
 class BadMessage(MallowbeamError):
     """What came in breaks HTTP or a bound; `status` is what a server answers to it."""
 
+    error_name = "BadMessage"
     remedy = "mend the client or the node that sent it"
 
     def __init__(self, status: int, text: str) -> None:
--- a/mallowbeam/router/configuration/errors.py
+++ b/mallowbeam/router/configuration/errors.py
@@ -13,6 +13,7 @@
 class ConfigurationError(MallowbeamError):
     """A configuration that cannot be taken; nothing of it comes into force."""
 
+    error_name = "ConfigurationError"
     code = "CONFIG"
     status: ClassVar[int] = 400
     step = "parse_configuration"
@@ -22,6 +23,7 @@
 class UnreadableConfiguration(ConfigurationError):
     """The body is no JSON document, or one that cannot be kept exactly (an infinite number)."""
 
+    error_name = "UnreadableConfiguration"
     code = "CONFIG_UNREADABLE"
     remedy = "send the whole document as JSON in UTF-8"
 
@@ -29,12 +31,14 @@
 class InvalidField(ConfigurationError):
     """A field is missing, of another type, or out of its range."""
 
+    error_name = "InvalidField"
     code = "CONFIG_FIELD"
 
 
 class ConfigurationTooLarge(ConfigurationError):
     """The body is longer than a member takes."""
 
+    error_name = "ConfigurationTooLarge"
     code = "CONFIG_TOO_LARGE"
     status = 413
     remedy = "remove routes that are no longer used"
@@ -43,6 +47,7 @@
 class UnknownBackend(ConfigurationError):
     """A route names a service that the document does not hold."""
 
+    error_name = "UnknownBackend"
     code = "CONFIG_UNKNOWN_BACKEND"
     status = 422
 
@@ -50,6 +55,7 @@
 class DuplicateBackend(ConfigurationError):
     """Two services have the same name."""
 
+    error_name = "DuplicateBackend"
     code = "CONFIG_DUPLICATE_BACKEND"
     status = 422
 
@@ -57,6 +63,7 @@
 class DuplicateName(ConfigurationError):
     """A patch names an entry twice, or one of which the configuration holds two."""
 
+    error_name = "DuplicateName"
     code = "CONFIG_DUPLICATE_NAME"
     status = 422
     remedy = "name each entry once; send the whole configuration where two entries share a name"
@@ -65,6 +72,7 @@
 class NameNotFound(ConfigurationError):
     """A patch removes an entry that the configuration does not hold."""
 
+    error_name = "NameNotFound"
     code = "CONFIG_NAME_NOT_FOUND"
     status = 422
     remedy = "read the current configuration and name what is in it"
@@ -73,6 +81,7 @@
 class SamePlace(ConfigurationError):
     """Two routes have the same host and path prefix."""
 
+    error_name = "SamePlace"
     code = "CONFIG_SAME_PLACE"
     status = 422
 
@@ -80,6 +89,7 @@
 class NoWeight(ConfigurationError):
     """The weights of a route sum to 0."""
 
+    error_name = "NoWeight"
     code = "CONFIG_NO_WEIGHT"
     status = 422
 
@@ -87,6 +97,7 @@
 class NoTimeout(ConfigurationError):
     """A route has no time-out, or one of 0."""
 
+    error_name = "NoTimeout"
     code = "CONFIG_NO_TIMEOUT"
     status = 422
 
@@ -94,6 +105,7 @@
 class SharedKey(ConfigurationError):
     """Two tenants have the same key."""
 
+    error_name = "SharedKey"
     code = "CONFIG_SHARED_KEY"
     status = 422
 
@@ -101,6 +113,7 @@
 class UpdateMismatch(MallowbeamError):
     """A change builds on another revision than the one held; the whole configuration has to be asked for."""
 
+    error_name = "UpdateMismatch"
     code = "CONFIG_UPDATE_BASE"
     step = "apply_update"
     remedy = "none needed: the gateway asks for the whole configuration"
--- a/mallowbeam/router/control_plane/answers.py
+++ b/mallowbeam/router/control_plane/answers.py
@@ -99,7 +99,7 @@
     one of them would be a guess: it may be cut off as well.
     """
     told = {
-        "code": getattr(error, "code", "") or type(error).__name__,
+        "code": error.code or error.error_name,
         "where": error.where,
         "what": error.what,
         "remedy": error.cure,
--- a/mallowbeam/router/control_plane/commands.py
+++ b/mallowbeam/router/control_plane/commands.py
@@ -42,6 +42,7 @@
 class NotTaken(ConsensusError):
     """The member that was asked did not take the call: it is not the leader, or can't be reached."""
 
+    error_name = "NotTaken"
     code = "CONSENSUS_NOT_TAKEN"
     remedy = "ask the leader"
 
--- a/mallowbeam/router/data_plane/client_request.py
+++ b/mallowbeam/router/data_plane/client_request.py
@@ -22,6 +22,7 @@
 class BadRequest(MallowbeamError):
     """A request that lacks what the protocol asks of it; the text says what."""
 
+    error_name = "BadRequest"
     code = "REQUEST_MALFORMED"
     remedy = "mend the client that sent it"
 
--- a/mallowbeam/router/processes/settings.py
+++ b/mallowbeam/router/processes/settings.py
@@ -28,6 +28,7 @@
 class SettingsError(MallowbeamError):
     """The settings file of a process can't be used."""
 
+    error_name = "SettingsError"
     remedy = "mend the settings file that is named; a running process keeps the settings it has"
 
 
--- a/mallowbeam/storage_gateway/coordination/agreement.py
+++ b/mallowbeam/storage_gateway/coordination/agreement.py
@@ -27,6 +27,7 @@
 from pysyncobj.node import TCPNode
 
 from mallowbeam.errors import MallowbeamError
+from mallowbeam.storage_gateway.coordination.earlier_snapshots import register_earlier_members
 from mallowbeam.storage_gateway.coordination.errors import (
     EndUnknown,
     FleetError,
@@ -51,6 +52,8 @@
     FAIL_REASON.QUEUE_FULL: QueueFull,
 }  # why nothing was put in; else its end is not known
 
+register_earlier_members()
+
 
 @dataclass(frozen=True, slots=True)
 class Proof:
@@ -86,6 +89,10 @@
         self._dial_host, port = (dial or address).rsplit(":", 1)
         self._dial_port = int(port)
 
+    def __reduce__(self) -> tuple[type[TCPNode], tuple[str]]:
+        """In a snapshot, which other versions of this program read too, as the engine's own class."""
+        return TCPNode, (self.address,)
+
     @property
     def ip(self) -> str:
         """The host dialled."""
--- a/mallowbeam/storage_gateway/coordination/handed.py
+++ b/mallowbeam/storage_gateway/coordination/handed.py
@@ -51,18 +51,21 @@
 class BadTarget(MallowbeamError):
     """A target that must not be: it would break a capacity or a floor, or names what is unknown."""
 
+    error_name = "BadTarget"
     remedy = "propose amounts of known holders, none below its floor, that together fit the capacity"
 
 
 class FloorsTooHigh(BadTarget):
     """The floors alone are more than the capacity."""
 
+    error_name = "FloorsTooHigh"
     remedy = "lower the floors in every gateway's file, restart them all, then lower the capacity"
 
 
 class TooManyOpen(MallowbeamError):
     """As many epochs are open as may be."""
 
+    error_name = "TooManyOpen"
     remedy = "nothing to do: it passes as gateways release, at the latest after their lease; see who owes"
 
 
--- a/mallowbeam/storage_gateway/coordination/log.py
+++ b/mallowbeam/storage_gateway/coordination/log.py
@@ -42,12 +42,14 @@
 class EntryTooLarge(MallowbeamError):
     """An entry beyond its bound."""
 
+    error_name = "EntryTooLarge"
     remedy = "ask for less at once: fewer machines, tenants or rules in one push"
 
 
 class BadSnapshot(MallowbeamError):
     """A snapshot of the states that this program can't take in."""
 
+    error_name = "BadSnapshot"
     remedy = (
         "run the version that wrote it, with the same sections on; or, while all other members serve, "
         "stop the gateway, move its folder away, and start it: it learns all from them"
--- a/mallowbeam/storage_gateway/coordination/maintenance/part.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/part.py
@@ -28,6 +28,7 @@
 class NotOut(FleetError):
     """Said to be back, and not out."""
 
+    error_name = "NotOut"
     status = 409
     remedy = "see at /fleet which machines are out, and say so of one of them"
 
--- a/mallowbeam/storage_gateway/coordination/maintenance/state.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/state.py
@@ -73,7 +73,7 @@
 # --- entries ------------------------------------------------------------------------------------
 
 
-class Report(Entry, frozen=True):
+class Report(Entry, frozen=True, tag="Report"):
     """What one gateway sees, and what it has done; `heard` is how far it has followed the log."""
 
     life: str
@@ -86,7 +86,7 @@
     gave_up: bool = False  # it uses none of what it was allotted
 
 
-class Gone(Entry, frozen=True):
+class Gone(Entry, frozen=True, tag="Gone"):
     """A gateway's lease has surely run out, counted from its report `number` of `life`."""
 
     gateway: str
@@ -94,13 +94,13 @@
     number: int
 
 
-class Next(Entry, frozen=True):
+class Next(Entry, frozen=True, tag="Next"):
     """Choose the next machine now; `turn` counts choices, so that two who ask get one."""
 
     turn: int
 
 
-class Move(Entry, frozen=True):
+class Move(Entry, frozen=True, tag="Move"):
     """One machine's next step, from its step `turn`."""
 
     machine: str
@@ -108,14 +108,14 @@
     turn: int
 
 
-class TimeUp(Entry, frozen=True):
+class TimeUp(Entry, frozen=True, tag="TimeUp"):
     """A machine has had its time, by the clock of the member that says so; `began` names which time."""
 
     machine: str
     began: int
 
 
-class Back(Entry, frozen=True):
+class Back(Entry, frozen=True, tag="Back"):
     """An operator says that the work at a machine is done."""
 
     machine: str
--- a/mallowbeam/storage_gateway/coordination/page.py
+++ b/mallowbeam/storage_gateway/coordination/page.py
@@ -90,6 +90,7 @@
 class Unreadable(BadPolicy):
     """A call that breaks HTTP or a bound."""
 
+    error_name = "Unreadable"
     remedy = f"send whole HTTP/1.1 calls, with {MOST} bytes of a policy at most"
 
 
--- a/mallowbeam/storage_gateway/coordination/policy.py
+++ b/mallowbeam/storage_gateway/coordination/policy.py
@@ -72,6 +72,7 @@
 class OutOfOrder(MallowbeamError):
     """The log told a version that does not follow: it is not the log of this fleet."""
 
+    error_name = "OutOfOrder"
     remedy = "move the folder away and start the gateway again: it learns from the others"
 
 
--- a/mallowbeam/storage_gateway/coordination/shares/packed.py
+++ b/mallowbeam/storage_gateway/coordination/shares/packed.py
@@ -34,6 +34,7 @@
 class BadRows(MallowbeamError):
     """Bytes that are no rows: cut short, or flows that are not there."""
 
+    error_name = "BadRows"
     remedy = "run one version of the program on all gateways"
 
 
--- a/mallowbeam/storage_gateway/coordination/shares/topic.py
+++ b/mallowbeam/storage_gateway/coordination/shares/topic.py
@@ -60,7 +60,7 @@
     probe: int = 10  # thousandths of each capacity and limit set aside as floors, over all gateways
 
 
-class Demand(Entry, frozen=True):
+class Demand(Entry, frozen=True, tag="Demand"):
     """What came in at this gateway, where it differs from what it last said; `whole`: all of it."""
 
     roll: int
@@ -68,21 +68,21 @@
     whole: bool = False
 
 
-class Close(Entry, frozen=True):
+class Close(Entry, frozen=True, tag="Close"):
     """End the epoch of before: `number` follows the newest; who is `quiet` counts as asking for nothing."""
 
     number: int
     quiet: tuple[str, ...] = ()
 
 
-class Gone(Entry, frozen=True):
+class Gone(Entry, frozen=True, tag="Gone"):
     """Discovery told this gateway that a node is lost, or there again."""
 
     node: str
     gone: bool
 
 
-class Released(Entry, frozen=True):
+class Released(Entry, frozen=True, tag="Released"):
     """This gateway, or another whose lease is surely over, keeps to its target of that epoch."""
 
     epoch: int
@@ -92,6 +92,7 @@
 class BadSetup(MallowbeamError):
     """A set-up that can't hold."""
 
+    error_name = "BadSetup"
     remedy = "correct the policy's shares and push it again"
 
 
--- a/mallowbeam/storage_gateway/frontends/object_api/errors.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/errors.py
@@ -45,6 +45,7 @@
 class Error(MallowbeamError):
     """An S3 error that the gateway itself answers with."""
 
+    error_name = "Error"
     remedy = "the code says what the client has to change; SlowDown is repeated after its Retry-After"
 
     def __init__(self, code: str, headers: Headers | None = None) -> None:
--- a/mallowbeam/storage_gateway/frontends/object_api/ranges.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/ranges.py
@@ -12,6 +12,7 @@
 class Unsatisfiable(MallowbeamError):
     """The range lies wholly outside the body: 416."""
 
+    error_name = "Unsatisfiable"
     remedy = "ask for a range inside the object"
 
 
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -42,6 +42,7 @@
 class BadRequest(MallowbeamError):
     """A request that the protocol doesn't allow; the text says why."""
 
+    error_name = "BadRequest"
     remedy = "mend the client that sent it"
 
 
--- a/mallowbeam/storage_gateway/scheduler/gateway_host.py
+++ b/mallowbeam/storage_gateway/scheduler/gateway_host.py
@@ -21,12 +21,14 @@
 class BadPlan(MallowbeamError):
     """A plan or an allotment that the module can't hold to."""
 
+    error_name = "BadPlan"
     remedy = "Give figures of 0 or more, a part from 0 to 1, and a volume with each shard."
 
 
 class TooManyAllotments(MallowbeamError):
     """More allotments than a gateway keeps."""
 
+    error_name = "TooManyAllotments"
     remedy = "Take back allotments that are not needed (their plan's own figures, no part)."
 
 
--- a/mallowbeam/storage_gateway/scheduler/simulator_host.py
+++ b/mallowbeam/storage_gateway/scheduler/simulator_host.py
@@ -38,6 +38,7 @@
 class Malformed(MallowbeamError):
     """A line that does not follow the wire."""
 
+    error_name = "Malformed"
     remedy = "run the simulator that this version was made for"
 
 
--- a/mallowbeam/storage_gateway/server/config.py
+++ b/mallowbeam/storage_gateway/server/config.py
@@ -29,6 +29,7 @@
 class BadConfig(MallowbeamError):
     """The configuration can't be used; the text says why, on one line."""
 
+    error_name = "BadConfig"
     remedy = "mend the file that is named; mallowbeam config check says the same without a start"
 
 
--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -45,6 +45,7 @@
 class Silent(MallowbeamError):
     """A call was not answered, and not ended either: its watch is broken."""
 
+    error_name = "Silent"
     remedy = "if it goes on, look at discovery and at the way to it"
 
 
--- a/mallowbeam/storage_gateway/server/listing.py
+++ b/mallowbeam/storage_gateway/server/listing.py
@@ -28,6 +28,7 @@
 class BadListing(MallowbeamError, ValueError):
     """A list of nodes that can't be read: nothing of it was taken in."""
 
+    error_name = "BadListing"
     remedy = "look at what discovery answers; the list known before stays in force until a good one comes"
 
 
--- a/mallowbeam/storage_gateway/write_buffer/disk.py
+++ b/mallowbeam/storage_gateway/write_buffer/disk.py
@@ -15,6 +15,7 @@
 class Locked(MallowbeamError):
     """Another process has the folder."""
 
+    error_name = "Locked"
     remedy = "end the process that has it, or name another folder"
 
 
--- a/mallowbeam/storage_gateway/write_buffer/records.py
+++ b/mallowbeam/storage_gateway/write_buffer/records.py
@@ -28,6 +28,7 @@
 class Newer(MallowbeamError):
     """The folder was written by a newer version, or is no folder of ours; the text says which."""
 
+    error_name = "Newer"
     remedy = "run the version that wrote it, or name another folder"
 
 
--- a/mallowbeam/storage_gateway/write_buffer/store.py
+++ b/mallowbeam/storage_gateway/write_buffer/store.py
@@ -28,12 +28,14 @@
 class NotTaken(MallowbeamError):
     """The log does not have it, and never will: nothing was acknowledged and nothing can come back."""
 
+    error_name = "NotTaken"
     remedy = "look at the disk and at the bounds of the buffer; clients repeat by themselves"
 
 
 class Doubtful(MallowbeamError):
     """The log could not be brought to say whether it has it: it may come back after a restart."""
 
+    error_name = "Doubtful"
     remedy = "look at the disk, then run mallowbeam buffer show on the folder"
 
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("kind", all_types(), ids=lambda kind: kind.__name__)
 def test_an_error_carries_a_remedy_and_the_page_lists_it(kind):
     assert kind.remedy.strip() and "\n" not in kind.remedy
-    assert f"| `{kind.__name__}` |" in PAGE.read_text()
+    assert f"| `{kind.error_name}` |" in PAGE.read_text()
 
 
 def test_no_error_type_of_the_project_stands_outside():
