--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -23,7 +23,8 @@
 import threading
 import time
 import tomllib
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterator, Mapping
+from enum import Enum
 from importlib import import_module
 from pathlib import Path
 from typing import Any
@@ -90,20 +91,23 @@
 def plain(value: object) -> Any:
     """A value as the samples have it; a dataclass is the list of its values in their order."""
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
-        return [plain(getattr(value, one.name)) for one in dataclasses.fields(value)]
+        value = [getattr(value, one.name) for one in dataclasses.fields(value)]
     if isinstance(value, Message):
         return message_json(value)
-    if isinstance(value, bytes | bytearray | memoryview):
-        return bytes(value).hex()
-    if isinstance(value, dict) or type(value).__name__ == "mappingproxy":
-        return {str(key): plain(one) for key, one in dict(value).items()}  # type: ignore[call-overload]
     if isinstance(value, frozenset | set):
         return sorted(plain(one) for one in value)
     if isinstance(value, list | tuple):
         return [plain(one) for one in value]
-    if hasattr(value, "value") and type(value).__module__.startswith("mallowbeam"):
-        return value.value
-    return value
+    if isinstance(value, Mapping):
+        return {str(key): plain(one) for key, one in value.items()}
+    return plain_scalar(value)
+
+
+def plain_scalar(value: object) -> Any:
+    """A single value: bytes in hex, an enum by its value."""
+    if isinstance(value, bytes | bytearray | memoryview):
+        return bytes(value).hex()
+    return value.value if isinstance(value, Enum) else value
 
 
 def plain_struct(value: object) -> Any:
