--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -54,18 +54,18 @@
 from mallowbeam.router.rpc import messages_pb2 as messages
 from mallowbeam.router.rpc.framing import FrameReader, encode_frame
 from mallowbeam.storage_gateway import operator_settings as operators
-from mallowbeam.storage_gateway.coordination.agreement import Agreement, Broken
 from mallowbeam.storage_gateway.coordination.errors import FleetError
-from mallowbeam.storage_gateway.coordination.log import Log, Refusal
 from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance
-from mallowbeam.storage_gateway.coordination.page import page
 from mallowbeam.storage_gateway.coordination.policy import Change
-from mallowbeam.storage_gateway.coordination.policy_text import canonical, read_policy
+from mallowbeam.storage_gateway.coordination.policy_document import canonical, read_policy
 from mallowbeam.storage_gateway.coordination.pools import canonical as pool_text
 from mallowbeam.storage_gateway.coordination.pools.errors import PoolError
 from mallowbeam.storage_gateway.coordination.pools.grammar import parse
+from mallowbeam.storage_gateway.coordination.raft_node import Broken, RaftNode
+from mallowbeam.storage_gateway.coordination.replicated_log import Refusal, ReplicatedLog
 from mallowbeam.storage_gateway.coordination.service import digest
-from mallowbeam.storage_gateway.coordination.shares.topic import SharesTopic
+from mallowbeam.storage_gateway.coordination.shares.state_machine import SharesStateMachine
+from mallowbeam.storage_gateway.coordination.status_pages import page
 from mallowbeam.storage_gateway.frontends.object_api.access import read_keys
 from mallowbeam.storage_gateway.frontends.object_api.errors import ERRORS, error_body
 from mallowbeam.storage_gateway.scheduler import interface
@@ -280,12 +280,12 @@
 # --------------------------------------------------------------------- the log of the storage gateways' fleet
 
 
-def fleet_log(gateways: tuple[str, ...]) -> Log:
+def fleet_log(gateways: tuple[str, ...]) -> ReplicatedLog:
     """A log with the topics that have entries."""
-    return Log([Maintenance(gateways), SharesTopic(gateways)])
+    return ReplicatedLog([Maintenance(gateways), SharesStateMachine(gateways)])
 
 
-def states_of(log: Log) -> Any:
+def states_of(log: ReplicatedLog) -> Any:
     """All states by topic, by the names under which they are written."""
     return plain_struct(dict(sorted(log.states.items())))
 
@@ -357,12 +357,12 @@
     return folder
 
 
-def open_agreement(folder: Path, told: Callable[[tuple[Any, ...]], None]) -> Iterator[Agreement]:
+def open_agreement(folder: Path, told: Callable[[tuple[Any, ...]], None]) -> Iterator[RaftNode]:
     """Member g0 on that folder, the two others down."""
     sample = samples("agreement.json")
     ports = [hold_port(socket.SO_REUSEADDR) for _ in sample["members"]]
     addresses = {name: f"127.0.0.1:{port}" for name, (_, port) in zip(sample["members"], ports, strict=True)}
-    member = Agreement("g0", "a-new-life", addresses, folder, told, None, fleet_log(tuple(sample["members"])))
+    member = RaftNode("g0", "a-new-life", addresses, folder, told, None, fleet_log(tuple(sample["members"])))
     try:
         yield member
     finally:
