--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -55,7 +55,7 @@
 from mallowbeam.router.rpc.framing import FrameReader, encode_frame
 from mallowbeam.storage_gateway import operator_settings as operators
 from mallowbeam.storage_gateway.coordination.errors import FleetError
-from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance
+from mallowbeam.storage_gateway.coordination.maintenance.state_machine import MaintenanceStateMachine
 from mallowbeam.storage_gateway.coordination.policy import Change
 from mallowbeam.storage_gateway.coordination.policy_document import canonical, read_policy
 from mallowbeam.storage_gateway.coordination.pools import canonical as pool_text
@@ -282,7 +282,7 @@
 
 def fleet_log(gateways: tuple[str, ...]) -> ReplicatedLog:
     """A log with the topics that have entries."""
-    return ReplicatedLog([Maintenance(gateways), SharesStateMachine(gateways)])
+    return ReplicatedLog([MaintenanceStateMachine(gateways), SharesStateMachine(gateways)])
 
 
 def states_of(log: ReplicatedLog) -> Any:
