--- /dev/null
+++ b/mallowbeam/storage_gateway/coordination/pools/allocation.py
@@ -0,0 +1,256 @@
+"""What a document means for a fleet: connections by node, gateway and tenant.
+
+Two levels.  A node's budget is apportioned over claimants, which are gateways or groups of gateways that
+share; then what a gateway has at a node is apportioned over the tenants that connect through it.  One more
+connection in the budget goes to one claimant, and there to one tenant, so the whole is as house-monotone as
+each apportionment.
+
+For each question the first rule that matches decides all of its terms.  A node that no budget matches is
+unbounded.  A group `in turns` divides its connections among its members; where it has fewer than one for
+each, the member that comes first moves on with the epoch (`turn` is the epoch's number).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from functools import cached_property
+
+from mallowbeam.storage_gateway.coordination.pools.apportionment import Claimant, apportion, tie_breaker
+from mallowbeam.storage_gateway.coordination.pools.expressions import Expression
+from mallowbeam.storage_gateway.coordination.pools.fleet import NO_FACTS, Facts, Fleet
+from mallowbeam.storage_gateway.coordination.pools.matching import (
+    Traits,
+    gateway_traits,
+    holds,
+    matches,
+    node_traits,
+    tenant_traits,
+)
+from mallowbeam.storage_gateway.coordination.pools.rules import (
+    DEFAULT_GATEWAY_FLOOR,
+    DEFAULT_LENT_PERCENT,
+    DEFAULT_RECALL_MS,
+    DEFAULT_TENANT_FLOOR,
+    DEFAULT_WEIGHT,
+    PoolsDocument,
+    SharingRule,
+    Terms,
+)
+
+MS_PER_S = 1000
+KEY_SEPARATOR = "\0"  # in no name
+
+
+@dataclass(frozen=True, slots=True)
+class NodeBudget:
+    """A node's connections in all, and each gateway's part of them (0 for those that have none)."""
+
+    total: int
+    gateways: Mapping[str, int]
+
+
+@dataclass(frozen=True, slots=True)
+class SharingGroup:
+    """Gateways that have one part of a node's budget together."""
+
+    rule: SharingRule
+    members: list[str]
+
+
+@dataclass(frozen=True, slots=True)
+class LoanTerms:
+    """What a tenant lends."""
+
+    percent: int  # of its own connections, 0 to 100
+    reserve: int  # connections that are never lent
+    borrowers: frozenset[str]
+    recall_s: float  # within which a recalled connection is back
+
+
+@dataclass(frozen=True, slots=True)
+class TenantTerms:
+    """A tenant's terms at a node and gateway."""
+
+    ceiling: int | None  # connections that it may have with borrowed ones; None: unbounded
+    loan: LoanTerms
+
+
+TenantShares = tuple[list[Claimant], dict[str, TenantTerms]]
+GatewayShares = tuple[list[Claimant], dict[str, SharingGroup]]
+
+
+def claimant(name: str, terms: Terms, default_floor: int) -> Claimant:
+    """A claimant with these terms; a ceiling of 0 lowers the default floor as well."""
+    floor = default_floor if terms.floor is None else terms.floor
+    if terms.ceiling is not None and terms.floor is None:
+        floor = min(floor, terms.ceiling)
+    weight = DEFAULT_WEIGHT if terms.weight is None else terms.weight
+    return Claimant(name, weight, floor, terms.ceiling)
+
+
+class Allocation:
+    """A document applied to a fleet under given facts; asked node by node, and cached."""
+
+    def __init__(self, document: PoolsDocument, fleet: Fleet, facts: Facts = NO_FACTS, turn: int = 0) -> None:
+        self.fleet = fleet
+        self.turn = turn
+        self._budgets = [rule for rule in document.budgets if holds(rule.when, facts)]
+        self._gateway_rules = [rule for rule in document.gateways if holds(rule.when, facts)]
+        self._sharing_rules = [rule for rule in document.sharing if holds(rule.when, facts)]
+        self._tenant_rules = [rule for rule in document.tenants if holds(rule.when, facts)]
+        self._recall_ms = DEFAULT_RECALL_MS if document.recall_ms is None else document.recall_ms
+        self._classes = document.classes
+        self._nodes = {node.name: node_traits(node) for node in fleet.nodes}
+        self._gateways = {gateway.name: gateway_traits(gateway) for gateway in fleet.gateways}
+        # By the rules that match: nodes that no rule tells apart have the same claimants.
+        self._gateway_shares: dict[tuple[tuple[int, ...], tuple[int, ...]], GatewayShares] = {}
+        self._tenant_shares: dict[tuple[str, tuple[int, ...]], TenantShares] = {}
+
+    # --- nodes and gateways ---------------------------------------------------------------------------
+
+    def budget(self, node: str) -> int | None:
+        """A node's connections in all; None where no budget bounds it."""
+        traits = self._nodes[node]
+        return next((rule.connections for rule in self._budgets if matches(rule.nodes, traits)), None)
+
+    def node_budget(self, node: str) -> NodeBudget | None:
+        """A node's budget and each gateway's part of it; None where nothing bounds the node."""
+        total = self.budget(node)
+        if total is None:
+            return None
+        claimants, groups = self.gateway_claimants(node)
+        counts = apportion(total, claimants, node)
+        for name, group in groups.items():
+            counts |= self._within_group(counts.pop(name), group, node)
+        return NodeBudget(total, counts)
+
+    def gateway_claimants(self, node: str) -> GatewayShares:
+        """Who takes part in a node's budget: gateways and groups, and the groups by their claimant's name."""
+        traits = self._nodes[node]
+        rules = tuple(i for i, rule in enumerate(self._gateway_rules) if matches(rule.nodes, traits))
+        sharing = tuple(i for i, rule in enumerate(self._sharing_rules) if matches(rule.nodes, traits))
+        if (rules, sharing) not in self._gateway_shares:
+            self._gateway_shares[rules, sharing] = self._find_gateway_claimants(rules, sharing)
+        return self._gateway_shares[rules, sharing]
+
+    def _find_gateway_claimants(self, rules: Sequence[int], sharing: Sequence[int]) -> GatewayShares:
+        claimants: list[Claimant] = []
+        members: dict[int, list[str]] = {}
+        for name, traits in self._gateways.items():
+            shared = next((i for i in sharing if matches(self._sharing_rules[i].gateways, traits)), None)
+            if shared is not None:
+                members.setdefault(shared, []).append(name)
+            else:
+                claimants.append(claimant(name, self._gateway_terms(rules, traits), DEFAULT_GATEWAY_FLOOR))
+        # A group is named by its members, so that ties do not depend on the order of rules.
+        groups = {
+            KEY_SEPARATOR.join(["", *sorted(names)]): SharingGroup(self._sharing_rules[i], names)
+            for i, names in members.items()
+        }
+        claimants += [
+            claimant(name, group.rule.terms, DEFAULT_GATEWAY_FLOOR) for name, group in groups.items()
+        ]
+        return claimants, groups
+
+    def _gateway_terms(self, rules: Sequence[int], traits: Traits) -> Terms:
+        matching = (
+            rule for rule in (self._gateway_rules[i] for i in rules) if matches(rule.gateways, traits)
+        )
+        first = next(matching, None)
+        return Terms() if first is None else first.terms
+
+    def _within_group(self, count: int, group: SharingGroup, node: str) -> dict[str, int]:
+        """A group's connections by member."""
+        members = sorted(group.members, key=tie_breaker(node))
+        through = group.rule.through
+        if through in members:  # else it has left the fleet: they take turns
+            return {name: count if name == through else 0 for name in members}
+        each, rest = divmod(count, len(members))
+        return {
+            name: each + ((position - self.turn) % len(members) < rest)
+            for position, name in enumerate(members)
+        }
+
+    # --- tenants --------------------------------------------------------------------------------------
+
+    def tenant_connections(self, node: str, gateway: str, count: int) -> dict[str, int]:
+        """A gateway's `count` connections to a node by tenant."""
+        claimants, _ = self._tenant_claimants(node, gateway)
+        return apportion(count, claimants, f"{node}{KEY_SEPARATOR}{gateway}")
+
+    def tenant_terms(self, node: str, gateway: str) -> Mapping[str, TenantTerms]:
+        """Ceilings and loans by tenant."""
+        _, terms = self._tenant_claimants(node, gateway)
+        return terms
+
+    def _tenant_claimants(self, node: str, gateway: str) -> TenantShares:
+        node_traits_, gateway_traits_ = self._nodes[node], self._gateways[gateway]
+        rules = tuple(
+            i
+            for i, rule in enumerate(self._tenant_rules)
+            if matches(rule.nodes, node_traits_) and matches(rule.gateways, gateway_traits_)
+        )
+        found = self._tenant_shares.get((gateway, rules))
+        if found is None:
+            found = self._tenant_shares[gateway, rules] = self._find_tenant_claimants(gateway, rules)
+        return found
+
+    def _find_tenant_claimants(self, gateway: str, rules: tuple[int, ...]) -> TenantShares:
+        loans = {i: self._loan_terms(i) for i in (None, *rules)}
+        claimants: list[Claimant] = []
+        terms_by_tenant: dict[str, TenantTerms] = {}
+        for tenant in self.fleet.tenants:
+            if tenant.gateways is not None and gateway not in tenant.gateways:
+                continue
+            first = next((i for i in rules if tenant.name in self._rule_tenants[i]), None)
+            terms = Terms() if first is None else self._tenant_rules[first].terms
+            claimants.append(claimant(tenant.name, terms, DEFAULT_TENANT_FLOOR))
+            terms_by_tenant[tenant.name] = TenantTerms(terms.ceiling, loans[first])
+        return claimants, terms_by_tenant
+
+    def _loan_terms(self, rule: int | None) -> LoanTerms:
+        if rule is None:
+            everybody = frozenset(self._tenants)
+            return LoanTerms(DEFAULT_LENT_PERCENT, 0, everybody, self._recall_ms / MS_PER_S)
+        loan = self._tenant_rules[rule].loan
+        return LoanTerms(
+            DEFAULT_LENT_PERCENT if loan.percent is None else loan.percent,
+            loan.reserve or 0,
+            self._rule_borrowers[rule],
+            (self._recall_ms if loan.recall_ms is None else loan.recall_ms) / MS_PER_S,
+        )
+
+    @cached_property
+    def _tenants(self) -> dict[str, Traits]:
+        """Tenants' traits by name."""
+        return {tenant.name: tenant_traits(tenant, self._classes) for tenant in self.fleet.tenants}
+
+    @cached_property
+    def _rule_tenants(self) -> list[frozenset[str]]:
+        """The tenants that each tenant rule is about."""
+        return [self._matching_tenants(rule.tenants) for rule in self._tenant_rules]
+
+    @cached_property
+    def _rule_borrowers(self) -> list[frozenset[str]]:
+        """The tenants that may borrow under each tenant rule."""
+        return [self._matching_tenants(rule.loan.borrowers) for rule in self._tenant_rules]
+
+    def _matching_tenants(self, expression: Expression) -> frozenset[str]:
+        return frozenset(name for name, traits in self._tenants.items() if matches(expression, traits))
+
+
+def gateway_connections(allocation: Allocation) -> dict[str, dict[str, int]]:
+    """Connections by node and gateway, bounded nodes only: what the fleet agrees on."""
+    budgets = {node.name: allocation.node_budget(node.name) for node in allocation.fleet.nodes}
+    return {name: dict(budget.gateways) for name, budget in budgets.items() if budget is not None}
+
+
+def connection_table(allocation: Allocation) -> dict[tuple[str, str, str], int]:
+    """Connections by node, gateway and tenant; for small fleets and for tests."""
+    return {
+        (node, gateway, tenant): tenant_count
+        for node, gateways in gateway_connections(allocation).items()
+        for gateway, count in gateways.items()
+        for tenant, tenant_count in allocation.tenant_connections(node, gateway, count).items()
+    }
--- a/mallowbeam/storage_gateway/coordination/pools/canonical.py
+++ b/mallowbeam/storage_gateway/coordination/pools/canonical.py
@@ -1,10 +1,10 @@
-"""One text for one meaning, as far as words go: what digests are made of.
+"""The canonical text of a document, from which its digest is computed.
 
-`show` writes a value down in fixed words and spaces; reading that again gives an equal value.  `canonical`
-first brings it into order: names sorted, nested `and` and `or` flattened, defaults left out, and rules of a
-kind sorted as far as that changes nothing.  Two rules may change places only if no node, gateway and tenant
-matches both (seen from names under one key; where it can't be seen they stay).  Among all orders that
-such changes can reach the alphabetically first one is taken, so that all of them end in the same text.
+`show` writes a document in fixed words and spaces; parsing that gives an equal document.  `canonical` first
+normalises it: names sorted, nested `and` and `or` flattened, defaults left out, and rules of a kind sorted as
+far as that changes nothing.  Two rules may be exchanged only if no node, gateway and tenant matches both, as
+names under one key show it (where they do not show it the rules keep their order).  Of all orders that such
+exchanges can reach the alphabetically first one is taken, so that all of them have the same text.
 """
 
 from __future__ import annotations
@@ -14,212 +14,286 @@
 from dataclasses import replace
 from typing import TypeVar
 
-from mallowbeam.storage_gateway.coordination.pools import model as m
-from mallowbeam.storage_gateway.coordination.pools.model import EVERY, Expr
-
-R = TypeVar("R", m.Class, m.Budget, m.Gateways, m.Share, m.Tenants)
-
-
-def digest(pools: m.Pools) -> str:
-    """A short name of what a text means."""
-    return hashlib.sha256(canonical(pools).encode()).hexdigest()[:12]
-
-
-def canonical(pools: m.Pools) -> str:
-    """The one text for it."""
-    return show(normal(pools))
-
-
-# --- words --------------------------------------------------------------------------------------------
-
-
-def expr(of: Expr, inside: bool = False) -> str:
-    """An expression in words; `inside` of another one, it is put into parentheses where it has to be."""
-    match of:
-        case m.Every():
+from mallowbeam.storage_gateway.coordination.pools.expressions import (
+    EVERYTHING,
+    And,
+    Everything,
+    Expression,
+    InMaintenance,
+    KeyIn,
+    Not,
+    Or,
+    ZoneOut,
+)
+from mallowbeam.storage_gateway.coordination.pools.rules import (
+    DEFAULT_GATEWAY_FLOOR,
+    DEFAULT_LENT_PERCENT,
+    DEFAULT_RECALL_MS,
+    DEFAULT_TENANT_FLOOR,
+    DEFAULT_WEIGHT,
+    LANGUAGE_VERSION,
+    BudgetRule,
+    GatewayRule,
+    Loan,
+    PoolsDocument,
+    Rule,
+    SharingRule,
+    TenantClass,
+    TenantRule,
+    Terms,
+)
+
+DIGEST_LENGTH = 12  # hex digits
+
+RuleKind = TypeVar("RuleKind", TenantClass, BudgetRule, GatewayRule, SharingRule, TenantRule)
+
+
+def digest(document: PoolsDocument) -> str:
+    """A short name of what a document means; equal digests mean equal allocations."""
+    return hashlib.sha256(canonical(document).encode()).hexdigest()[:DIGEST_LENGTH]
+
+
+def canonical(document: PoolsDocument) -> str:
+    """The canonical text."""
+    return show(normalize(document))
+
+
+# --- text ---------------------------------------------------------------------------------------------
+
+
+def show_expression(expression: Expression, nested: bool = False) -> str:
+    """An expression as text; `nested` in another one, it is put into parentheses where it needs them."""
+    match expression:
+        case Everything():
             return "all"
-        case m.Is(key, names):
+        case KeyIn(key, names):
             return f"{key} " + ", ".join(f'"{name}"' for name in names)
-        case m.ZoneOut(zone):
+        case ZoneOut(zone):
             return f'zone "{zone}" is out'
-        case m.InMaintenance(machine):
+        case InMaintenance(machine):
             return f'machine "{machine}" is in maintenance'
-        case m.Not(one):
-            return f"not {expr(one, True)}"
-    word = " and " if isinstance(of, m.And) else " or "
-    text = word.join(expr(one, True) for one in of.of)
-    return f"({text})" if inside else text
+        case Not(operand):
+            return f"not {show_expression(operand, True)}"
+    operator = " and " if isinstance(expression, And) else " or "
+    text = operator.join(show_expression(operand, True) for operand in expression.operands)
+    return f"({text})" if nested else text
 
 
-def line(rule: m.Rule) -> str:
-    """A rule in words."""
+def show_rule(rule: Rule) -> str:
+    """A rule as a line of text."""
     match rule:
-        case m.Class(name, of):
-            return f'class "{name}" is {expr(of)};'
-        case m.Budget(connections, nodes, when):
-            return f"budget {connections} for nodes {expr(nodes)}{_part(' when ', when)};"
-        case m.Gateways(who, nodes, when, terms):
-            return f"gateways {expr(who)}{_where(nodes, EVERY, when)}:{_terms(terms)};"
-        case m.Share(who, nodes, when, terms, through):
-            last = " in turns" if through is None else f' through "{through}"'
-            return f"share gateways {expr(who)}{_where(nodes, EVERY, when)}:{_terms(terms)}{last};"
-        case m.Tenants(who, nodes, gateways, when, terms, loan):
-            return f"tenants {expr(who)}{_where(nodes, gateways, when)}:{_terms(terms)}{_loan(loan)};"
-
-
-def show(pools: m.Pools) -> str:
-    """All of it in words, rules in their order."""
-    lines = [f"pools {m.LANGUAGE};"]
-    if pools.recall is not None:
-        lines.append(f"recall {pools.recall}ms;")
-    for rules in (pools.classes, pools.budgets, pools.gateways, pools.shares, pools.tenants):
-        lines += [line(rule) for rule in rules]
+        case TenantClass(name, members):
+            return f'class "{name}" is {show_expression(members)};'
+        case BudgetRule(connections, nodes, when):
+            return f"budget {connections} for nodes {show_expression(nodes)}{_clause(' when ', when)};"
+        case GatewayRule(gateways, nodes, when, terms):
+            scope = _scope(nodes, EVERYTHING, when)
+            return f"gateways {show_expression(gateways)}{scope}:{_show_terms(terms)};"
+        case SharingRule(gateways, nodes, when, terms, through):
+            scope = _scope(nodes, EVERYTHING, when)
+            mode = " in turns" if through is None else f' through "{through}"'
+            return f"share gateways {show_expression(gateways)}{scope}:{_show_terms(terms)}{mode};"
+        case TenantRule(tenants, nodes, gateways, when, terms, loan):
+            scope = _scope(nodes, gateways, when)
+            return f"tenants {show_expression(tenants)}{scope}:{_show_terms(terms)}{_show_loan(loan)};"
+
+
+def show(document: PoolsDocument) -> str:
+    """A document as text, rules of a kind in their order."""
+    lines = [f"pools {LANGUAGE_VERSION};"]
+    if document.recall_ms is not None:
+        lines.append(f"recall {document.recall_ms}ms;")
+    for rules in (
+        document.classes,
+        document.budgets,
+        document.gateways,
+        document.sharing,
+        document.tenants,
+    ):
+        lines += [show_rule(rule) for rule in rules]
     return "\n".join(lines) + "\n"
 
 
-def _part(word: str, of: Expr) -> str:
-    return "" if of == EVERY else word + expr(of)
+def _clause(keyword: str, expression: Expression) -> str:
+    return "" if expression == EVERYTHING else keyword + show_expression(expression)
 
 
-def _where(nodes: Expr, gateways: Expr, when: Expr) -> str:
-    return _part(" at nodes ", nodes) + _part(" at gateways ", gateways) + _part(" when ", when)
+def _scope(nodes: Expression, gateways: Expression, when: Expression) -> str:
+    return _clause(" at nodes ", nodes) + _clause(" at gateways ", gateways) + _clause(" when ", when)
 
 
-def _terms(terms: m.Terms) -> str:
-    given = (("weight", terms.weight), ("floor", terms.floor), ("ceiling", terms.ceiling))
-    return "".join(f" {word} {value}" for word, value in given if value is not None)
+def _show_terms(terms: Terms) -> str:
+    values = (("weight", terms.weight), ("floor", terms.floor), ("ceiling", terms.ceiling))
+    return "".join(f" {keyword} {value}" for keyword, value in values if value is not None)
 
 
-def _loan(loan: m.Loan) -> str:
+def _show_loan(loan: Loan) -> str:
     text = ""
     if loan.percent is not None:
-        text += f" lend {loan.percent}%" + _part(" to ", loan.to)
-    text += "" if loan.keep is None else f" keep {loan.keep}"
-    return text + ("" if loan.recall is None else f" recall {loan.recall}ms")
+        text += f" lend {loan.percent}%" + _clause(" to ", loan.borrowers)
+    if loan.reserve is not None:
+        text += f" keep {loan.reserve}"
+    if loan.recall_ms is not None:
+        text += f" recall {loan.recall_ms}ms"
+    return text
 
 
-# --- order --------------------------------------------------------------------------------------------
+# --- normal form --------------------------------------------------------------------------------------
 
 
-def normal(pools: m.Pools) -> m.Pools:
-    """The same meaning, in the one order."""
-    recall = None if pools.recall == m.RECALL else pools.recall
-    classes = [replace(c, of=simple(c.of)) for c in pools.classes]
-    budgets = [replace(b, nodes=simple(b.nodes), when=simple(b.when)) for b in pools.budgets]
-    gateways = [
-        replace(
-            g, who=simple(g.who), nodes=simple(g.nodes), when=simple(g.when), terms=_default(g.terms, m.SEAT)
-        )
-        for g in pools.gateways
-    ]
-    shares = [
-        replace(
-            s,
-            who=simple(s.who),
-            nodes=simple(s.nodes),
-            when=simple(s.when),
-            terms=_default(s.terms, m.SEAT, True),
-        )
-        for s in pools.shares
-    ]
-    tenants = [
-        replace(
-            t,
-            who=simple(t.who),
-            nodes=simple(t.nodes),
-            gateways=simple(t.gateways),
-            when=simple(t.when),
-            terms=_default(t.terms, 0, _plain(t.loan) != m.Loan()),
-            loan=_plain(t.loan),
-        )
-        for t in pools.tenants
+def normalize(document: PoolsDocument) -> PoolsDocument:
+    """A document with the same meaning, in the one order and without defaults."""
+    classes = [replace(rule, members=simplify(rule.members)) for rule in document.classes]
+    budgets = [
+        replace(rule, nodes=simplify(rule.nodes), when=simplify(rule.when)) for rule in document.budgets
     ]
-    return m.Pools(
-        recall,
-        ordered(classes, lambda a, b: not _names(a, b) and not _names(b, a)),
-        ordered(budgets, lambda a, b: apart(a.nodes, b.nodes)),
-        ordered(gateways, lambda a, b: apart(a.who, b.who) or apart(a.nodes, b.nodes)),
-        ordered(shares, lambda a, b: apart(a.who, b.who) or apart(a.nodes, b.nodes)),
-        ordered(
-            tenants,
-            lambda a, b: (apart(a.who, b.who) or apart(a.nodes, b.nodes) or apart(a.gateways, b.gateways)),
-        ),
+    return PoolsDocument(
+        None if document.recall_ms == DEFAULT_RECALL_MS else document.recall_ms,
+        _sort_rules(classes, _independent_classes),
+        _sort_rules(budgets, lambda one, other: are_disjoint(one.nodes, other.nodes)),
+        _sort_rules([_normalize_gateways(rule) for rule in document.gateways], _independent_gateways),
+        _sort_rules([_normalize_sharing(rule) for rule in document.sharing], _independent_sharing),
+        _sort_rules([_normalize_tenants(rule) for rule in document.tenants], _independent_tenants),
     )
 
 
-def simple(of: Expr) -> Expr:
-    """Names and operands sorted, each once; `and` in `and` and `or` in `or` made one; no `not not`."""
-    match of:
-        case m.Is(_, names):
-            return replace(of, names=tuple(sorted(set(names))))
-        case m.Not(one):
-            inner = simple(one)
-            return inner.of if isinstance(inner, m.Not) else m.Not(inner)
-        case m.And(parts) | m.Or(parts):
-            kind = type(of)
-            flat: dict[str, Expr] = {}
-            for part in map(simple, parts):
-                for each in part.of if isinstance(part, kind) else (part,):
-                    flat[expr(each, True)] = each
-            kept = tuple(flat[text] for text in sorted(flat))
-            return kept[0] if len(kept) == 1 else kind(kept)
-    return of
-
-
-def apart(one: Expr, other: Expr) -> bool:
-    """Whether nothing can match both, as far as names under a key show it (never classes: they overlap)."""
-    ones, others = _sets(one), _sets(other)
-    return any(key in others and not ones[key] & others[key] for key in ones)
-
-
-def ordered(rules: Sequence[R], free: Callable[[R, R], bool]) -> tuple[R, ...]:
-    """The alphabetically first order in which rules that are not `free` of each other keep their order."""
-    texts = [line(rule) for rule in rules]
-    before = [{i for i in range(j) if not free(rules[i], rules[j])} for j in range(len(rules))]
-    left, done, out = set(range(len(rules))), set[int](), list[R]()
-    while left:
-        best = min((i for i in left if before[i] <= done), key=lambda i: (texts[i], i))
-        left.remove(best)
-        done.add(best)
-        out.append(rules[best])
-    return tuple(out)
-
-
-def _sets(of: Expr) -> dict[str, set[str]]:
-    """Names that a match must have, by key."""
-    found: dict[str, set[str]] = {}
-    for part in of.of if isinstance(of, m.And) else (of,):
-        if isinstance(part, m.Is) and part.key != "class":
-            found[part.key] = found.get(part.key, set(part.names)) & set(part.names)
-    return found
+def _normalize_gateways(rule: GatewayRule) -> GatewayRule:
+    return replace(
+        rule,
+        gateways=simplify(rule.gateways),
+        nodes=simplify(rule.nodes),
+        when=simplify(rule.when),
+        terms=_without_defaults(rule.terms, DEFAULT_GATEWAY_FLOOR, may_be_empty=False),
+    )
 
 
-def _names(one: m.Class, other: m.Class) -> bool:
-    return other.name in classes_in(one.of)
+def _normalize_sharing(rule: SharingRule) -> SharingRule:
+    return replace(
+        rule,
+        gateways=simplify(rule.gateways),
+        nodes=simplify(rule.nodes),
+        when=simplify(rule.when),
+        terms=_without_defaults(rule.terms, DEFAULT_GATEWAY_FLOOR, may_be_empty=True),
+    )
 
 
-def classes_in(of: Expr) -> set[str]:
-    """The classes that an expression names."""
-    match of:
-        case m.Is(key, names):
-            return set(names) if key == "class" else set()
-        case m.Not(one):
-            return classes_in(one)
-        case m.And(parts) | m.Or(parts):
-            return set().union(*map(classes_in, parts))
-    return set()
+def _normalize_tenants(rule: TenantRule) -> TenantRule:
+    loan = _normalize_loan(rule.loan)
+    return replace(
+        rule,
+        tenants=simplify(rule.tenants),
+        nodes=simplify(rule.nodes),
+        gateways=simplify(rule.gateways),
+        when=simplify(rule.when),
+        terms=_without_defaults(rule.terms, DEFAULT_TENANT_FLOOR, may_be_empty=loan != Loan()),
+        loan=loan,
+    )
 
 
-def _default(terms: m.Terms, floor: int, says_more: bool = False) -> m.Terms:
-    """Without what says only the default; a rule must say something: a weight, where nothing else is left."""
-    kept = m.Terms(
-        None if terms.weight == m.WEIGHT else terms.weight,
-        None if terms.floor == floor and terms.ceiling != 0 else terms.floor,
+def simplify(expression: Expression) -> Expression:
+    """Names and operands sorted, each once; nested `and` and `or` flattened; no `not not`."""
+    match expression:
+        case KeyIn(_, names):
+            return replace(expression, names=tuple(sorted(set(names))))
+        case Not(operand):
+            inner = simplify(operand)
+            return inner.operand if isinstance(inner, Not) else Not(inner)
+        case And(operands) | Or(operands):
+            kind = type(expression)
+            flat: dict[str, Expression] = {}
+            for operand in map(simplify, operands):
+                for each in operand.operands if isinstance(operand, kind) else (operand,):
+                    flat[show_expression(each, True)] = each
+            distinct = tuple(flat[text] for text in sorted(flat))
+            return distinct[0] if len(distinct) == 1 else kind(distinct)
+    return expression
+
+
+def _without_defaults(terms: Terms, default_floor: int, may_be_empty: bool) -> Terms:
+    """Terms without defaults; where a rule must have a term and has no other, its weight stays."""
+    explicit = Terms(
+        None if terms.weight == DEFAULT_WEIGHT else terms.weight,
+        None if terms.floor == default_floor and terms.ceiling != 0 else terms.floor,
         terms.ceiling,
     )
-    return replace(kept, weight=m.WEIGHT) if kept == m.Terms() and not says_more else kept
+    if explicit == Terms() and not may_be_empty:
+        return replace(explicit, weight=DEFAULT_WEIGHT)
+    return explicit
+
+
+def _normalize_loan(loan: Loan) -> Loan:
+    borrowers = simplify(loan.borrowers)
+    is_default = loan.percent == DEFAULT_LENT_PERCENT and borrowers == EVERYTHING
+    percent = None if is_default else loan.percent
+    return replace(loan, percent=percent, borrowers=borrowers, reserve=loan.reserve or None)
+
+
+# --- order of rules -----------------------------------------------------------------------------------
+
+
+def _sort_rules(
+    rules: Sequence[RuleKind], are_independent: Callable[[RuleKind, RuleKind], bool]
+) -> tuple[RuleKind, ...]:
+    """The alphabetically first order in which rules that depend on each other keep their order."""
+    texts = [show_rule(rule) for rule in rules]
+    predecessors = [
+        {i for i in range(j) if not are_independent(rules[i], rules[j])} for j in range(len(rules))
+    ]
+    pending = set(range(len(rules)))
+    placed: set[int] = set()
+    result: list[RuleKind] = []
+    while pending:
+        first = min((i for i in pending if predecessors[i] <= placed), key=lambda i: (texts[i], i))
+        pending.remove(first)
+        placed.add(first)
+        result.append(rules[first])
+    return tuple(result)
+
+
+def _independent_classes(one: TenantClass, other: TenantClass) -> bool:
+    return other.name not in _classes_in(one.members) and one.name not in _classes_in(other.members)
+
+
+def _independent_gateways(one: GatewayRule, other: GatewayRule) -> bool:
+    return are_disjoint(one.gateways, other.gateways) or are_disjoint(one.nodes, other.nodes)
+
+
+def _independent_sharing(one: SharingRule, other: SharingRule) -> bool:
+    return are_disjoint(one.gateways, other.gateways) or are_disjoint(one.nodes, other.nodes)
+
+
+def _independent_tenants(one: TenantRule, other: TenantRule) -> bool:
+    return (
+        are_disjoint(one.tenants, other.tenants)
+        or are_disjoint(one.nodes, other.nodes)
+        or are_disjoint(one.gateways, other.gateways)
+    )
+
 
+def are_disjoint(one: Expression, other: Expression) -> bool:
+    """Whether nothing can match both, as far as names under a key show it (not classes: they overlap)."""
+    names = _required_names(one)
+    other_names = _required_names(other)
+    return any(key in other_names and not names[key] & other_names[key] for key in names)
 
-def _plain(loan: m.Loan) -> m.Loan:
-    percent = None if loan.percent == 100 and simple(loan.to) == EVERY else loan.percent
-    return replace(loan, percent=percent, to=simple(loan.to), keep=loan.keep or None)
+
+def _required_names(expression: Expression) -> dict[str, set[str]]:
+    """By key, the names of which a match must have one."""
+    found: dict[str, set[str]] = {}
+    for operand in expression.operands if isinstance(expression, And) else (expression,):
+        if isinstance(operand, KeyIn) and operand.key != "class":
+            names = set(operand.names)
+            found[operand.key] = found.get(operand.key, names) & names
+    return found
+
+
+def _classes_in(expression: Expression) -> set[str]:
+    """The classes that an expression names."""
+    match expression:
+        case KeyIn(key, names):
+            return set(names) if key == "class" else set()
+        case Not(operand):
+            return _classes_in(operand)
+        case And(operands) | Or(operands):
+            return set().union(*map(_classes_in, operands))
+    return set()
--- a/mallowbeam/storage_gateway/coordination/pools/errors.py
+++ b/mallowbeam/storage_gateway/coordination/pools/errors.py
@@ -1,73 +1,83 @@
-"""Errors of the pool language: line, column, the text there, a remedy; the parser's own never get out."""
+"""Errors of the pool language, with position, excerpt and remedy; the parser library's own never get out."""
 
 from __future__ import annotations
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.storage_gateway.coordination.pools.model import NOWHERE, Place
+from mallowbeam.storage_gateway.coordination.pools.expressions import UNKNOWN_POSITION, SourcePosition
 
 
 class PoolError(MallowbeamError):
-    """Something is wrong with a text of the pool language; `place` is where."""
+    """A text of the pool language is wrong at `position`."""
 
     error_name = "PoolError"
     remedy = "correct the pools text there and push it again"
 
-    def __init__(self, what: str, where: str = "", remedy: str = "", place: Place = NOWHERE) -> None:
-        if place.line and not where:
-            where = f"line {place.line}, column {place.column}, at `{place.text}`"
+    def __init__(
+        self,
+        what: str,
+        where: str = "",
+        remedy: str = "",
+        position: SourcePosition = UNKNOWN_POSITION,
+    ) -> None:
+        if position.line and not where:
+            where = f"line {position.line}, column {position.column}, at `{position.text}`"
         super().__init__(what, where, remedy)
-        self.place = place
+        self.position = position
 
     def told(self) -> dict[str, str]:
-        """The base's three and the place, for a JSON answer."""
-        at = self.place
-        return super().told() | {"line": str(at.line), "column": str(at.column), "text": at.text}
+        """The base's fields and the position, for a JSON answer."""
+        position = self.position
+        return super().told() | {
+            "line": str(position.line),
+            "column": str(position.column),
+            "text": position.text,
+        }
 
 
-class PoolSyntax(PoolError):
+class PoolSyntaxError(PoolError):
     """The text does not follow the grammar."""
 
     error_name = "PoolSyntax"
     remedy = "write it as docs/formats/pool-language.md has it"
 
 
-class PoolBound(PoolError):
-    """A number, the text or what it nests is beyond a bound."""
+class PoolBoundError(PoolError):
+    """A number, the text or its nesting is beyond a bound."""
 
     error_name = "PoolBound"
     remedy = "keep within the bounds of docs/formats/pool-language.md"
 
 
-class PoolName(PoolError):
-    """A name that the fleet does not know, or one given twice."""
+class PoolNameError(PoolError):
+    """A name that the fleet does not know, or one defined twice."""
 
     error_name = "PoolName"
     remedy = "use a name that the fleet knows"
 
 
-class PoolTerms(PoolError):
-    """Terms of one rule that contradict each other or say nothing."""
+class PoolTermsError(PoolError):
+    """Terms of one rule that contradict each other or have no effect."""
 
     error_name = "PoolTerms"
     remedy = "give a weight of 1 or more, and a ceiling that is not below the floor"
 
 
-class PoolUnreachable(PoolError):
+class PoolUnreachableError(PoolError):
     """A rule that can never be the first to match."""
 
     error_name = "PoolUnreachable"
     remedy = "take the rule out, or put it before the one that covers it"
 
 
-class PoolOvercommitted(PoolError):
+class PoolOvercommittedError(PoolError):
     """Floors that add up to more than there is, at some allowed size of the fleet."""
 
     error_name = "PoolOvercommitted"
     remedy = "lower the floors, raise the budget, or allow fewer gateways"
 
 
-class PoolTooFew(PoolError):
-    """A budget below one connection for each gateway, and nobody is said to share."""
+class PoolTooFewError(PoolError):
+    """A budget below one connection for each gateway, and no rule says which gateways share."""
 
     error_name = "PoolTooFew"
     remedy = (
--- a/tests/storage_gateway/coordination/pools/test_pools_lend.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_borrowing.py
@@ -6,19 +6,19 @@
 
 import pytest
 
-from mallowbeam.storage_gateway.coordination.pools.evaluate import Lends, Offer
-from mallowbeam.storage_gateway.coordination.pools.lend import MOST_WAITING, Lending, Want
+from mallowbeam.storage_gateway.coordination.pools.allocation import LoanTerms, TenantTerms
+from mallowbeam.storage_gateway.coordination.pools.borrowing import MAX_WAITING, Acquisition, ConnectionLedger
 
 ALL = frozenset({"a", "b", "c"})
 
 
 def offer(ceiling=None, percent=100, keep=0, to=ALL, recall=2.0):
-    return Offer(ceiling, Lends(percent, keep, frozenset(to), recall))
+    return TenantTerms(ceiling, LoanTerms(percent, keep, frozenset(to), recall))
 
 
 def lending(own, total=None, **offers):
-    made = Lending()
-    made.set(
+    made = ConnectionLedger()
+    made.set_budget(
         "n",
         own,
         {name: offers.get(name, offer()) for name in ALL},
@@ -56,21 +56,23 @@
     made = lending({"a": 2, "b": 2, "c": 0})
     open_all(made, "a")
     assert made.keep("n", "a")  # one of the four is idle
-    assert made.want("n", "b", 9.0) == (Want.WAIT, 2.0)
+    assert made.acquire("n", "b", 9.0) == (Acquisition.WAIT, 2.0)
     assert made.idle_to_close("n") == {"a": 1}
     made.closed("n", "a", busy=False)
     assert not made.may_open("n", "a") and not made.may_open("n", "c")  # it is b's, who waits
     made.waited("n", "b")
-    assert made.want("n", "b", 9.0)[0] is Want.OPEN
+    assert made.acquire("n", "b", 9.0)[0] is Acquisition.OPEN
 
 
 def test_a_busy_loan_comes_back_when_its_request_ends_and_a_wait_is_bounded():
     made = lending({"a": 2, "b": 2, "c": 0})
     open_all(made, "a")
-    assert made.want("n", "b", 0.25) == (Want.WAIT, 0.25)
-    assert made.want("n", "b", 9.0) == (Want.WAIT, 2.0)
-    assert made.want("n", "b", 9.0)[0] is Want.REFUSE  # both of b's are called: no third one is coming
-    assert made.want("n", "c", 9.0)[0] is Want.REFUSE  # c has none of its own to call back
+    assert made.acquire("n", "b", 0.25) == (Acquisition.WAIT, 0.25)
+    assert made.acquire("n", "b", 9.0) == (Acquisition.WAIT, 2.0)
+    assert (
+        made.acquire("n", "b", 9.0)[0] is Acquisition.REJECT
+    )  # both of b's are called: no third one is coming
+    assert made.acquire("n", "c", 9.0)[0] is Acquisition.REJECT  # c has none of its own to call back
     assert made.idle_to_close("n") == {} and not made.keep("n", "a")
     made.closed("n", "a", busy=True)
     made.waited("n", "b")
@@ -82,7 +84,7 @@
 def test_a_borrower_that_gives_back_keeps_its_own():
     made = lending({"a": 2, "b": 1, "c": 0})
     open_all(made, "a")
-    made.want("n", "b", 9.0)
+    made.acquire("n", "b", 9.0)
     assert not made.keep("n", "a")
     made.closed("n", "a", busy=True)
     assert made.keep("n", "a") and made.keep("n", "a")
@@ -91,7 +93,7 @@
 def test_a_borrower_that_gives_back_takes_no_new_loan():
     made = lending({"a": 2, "b": 2, "c": 2})
     made.opened("n", "c")
-    assert open_all(made, "a") == 5 and made.want("n", "b", 9.0)[0] is Want.WAIT
+    assert open_all(made, "a") == 5 and made.acquire("n", "b", 9.0)[0] is Acquisition.WAIT
     made.waited("n", "b")  # b gave up, and c has closed its own: all of theirs is idle
     made.closed("n", "c", busy=True)
     assert not made.may_open("n", "a")
@@ -104,9 +106,9 @@
     made.opened("n", "b")
     made.keep("n", "b")
     assert made.reusable("n", "b", "a") and made.reusable("n", "b", "c")  # the latter by what a lends
-    made.nodes["n"].offers["a"] = offer(percent=0)
+    made.nodes["n"].terms["a"] = offer(percent=0)
     assert made.reusable("n", "b", "a") and not made.reusable("n", "b", "c")
-    made.taken("n", "b", "a")
+    made.reused("n", "b", "a")
     assert made.nodes["n"].busy == {"a": 1} and not made.nodes["n"].idle
 
 
@@ -115,7 +117,7 @@
     open_all(made, "a")
     made.keep("n", "a")
     made.keep("n", "a")
-    made.set("n", {"a": 1, "b": 1}, {}, 2)
+    made.set_budget("n", {"a": 1, "b": 1}, {}, 2)
     assert not made.fits("n", 2) and made.idle_to_close("n") == {"a": 2}
     made.closed("n", "a", busy=False)
     made.closed("n", "a", busy=False)
@@ -126,11 +128,11 @@
 
 def test_a_node_that_becomes_bounded_knows_what_is_open():
     """Guards a first push: connections of before it count."""
-    made = Lending()
+    made = ConnectionLedger()
     assert open_some(made, 5)
-    made.set("n", {"a": 2}, {}, 2)
+    made.set_budget("n", {"a": 2}, {}, 2)
     assert not made.may_open("n", "a") and not made.fits("n", 4)
-    made.set("n", {}, {}, None)
+    made.set_budget("n", {}, {}, None)
     for _ in range(5):
         assert made.may_open("n", "a")
         made.closed("n", "a", busy=True)
@@ -145,10 +147,10 @@
 
 
 def test_who_waits_is_bounded(monkeypatch):
-    made = lending({"a": 1, "b": MOST_WAITING + 5, "c": 0})
+    made = lending({"a": 1, "b": MAX_WAITING + 5, "c": 0})
     open_all(made, "a")
-    told = [made.want("n", "b", 9.0)[0] for _ in range(MOST_WAITING + 3)]
-    assert told.count(Want.WAIT) == MOST_WAITING and told[-1] is Want.REFUSE
+    told = [made.acquire("n", "b", 9.0)[0] for _ in range(MAX_WAITING + 3)]
+    assert told.count(Acquisition.WAIT) == MAX_WAITING and told[-1] is Acquisition.REJECT
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -167,12 +169,12 @@
     waits: list[str] = []
     for _ in range(400):
         who = chance.choice(sorted(ALL))
-        before = held.all()
+        before = held.total_open()
         match chance.randrange(4):
             case 0:
-                if (said := made.want("n", who, 1.0)[0]) is Want.OPEN:
+                if (said := made.acquire("n", who, 1.0)[0]) is Acquisition.OPEN:
                     made.opened("n", who)
-                elif said is Want.WAIT:
+                elif said is Acquisition.WAIT:
                     waits.append(who)
             case 1:
                 if held.busy.get(who) and not made.keep("n", who):
@@ -180,25 +182,25 @@
             case 2:
                 owner = chance.choice(sorted(ALL))
                 if held.idle.get(owner) and made.reusable("n", owner, who):
-                    made.taken("n", owner, who)
+                    made.reused("n", owner, who)
             case 3:
                 for name, count in made.idle_to_close("n").items():
                     for _ in range(count):
                         made.closed("n", name, busy=False)
                 if waits:
                     made.waited("n", waits.pop(0))
-        assert held.all() <= max(before, held.total) and held.all() <= held.total
-        counts = (held.busy, held.idle, held.called, held.waiting)
+        assert held.total_open() <= max(before, held.total) and held.total_open() <= held.total
+        counts = (held.busy, held.idle, held.recalled, held.waiting)
         assert all(count > 0 for each in counts for count in each.values())
-        assert all(n <= held.loan(name) for name, n in held.called.items())
+        assert all(n <= held.borrowed(name) for name, n in held.recalled.items())
     for name in waits:
         made.waited("n", name)
     owner = max(own, key=own.__getitem__)
     for _ in range(own[owner] - held.open(owner)):
         if not made.may_open("n", owner):
-            assert made.want("n", owner, 1.0)[0] is Want.WAIT
+            assert made.acquire("n", owner, 1.0)[0] is Acquisition.WAIT
             for name in sorted(ALL):
-                while held.called.get(name):
+                while held.recalled.get(name):
                     made.closed("n", name, busy=bool(held.busy.get(name)))
             made.waited("n", owner)
         assert made.may_open("n", owner)
--- a/tests/storage_gateway/coordination/pools/test_pools_examples.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_examples.py
@@ -6,33 +6,34 @@
 from pool_texts import FLEET
 from project_paths import DOCS
 
-from mallowbeam.storage_gateway.coordination.pools import model as m
+from mallowbeam.storage_gateway.coordination.pools.allocation import Allocation
 from mallowbeam.storage_gateway.coordination.pools.canonical import canonical
-from mallowbeam.storage_gateway.coordination.pools.check import check
-from mallowbeam.storage_gateway.coordination.pools.evaluate import View
-from mallowbeam.storage_gateway.coordination.pools.grammar import parse
+from mallowbeam.storage_gateway.coordination.pools.checks import check
+from mallowbeam.storage_gateway.coordination.pools.fleet import Facts
+from mallowbeam.storage_gateway.coordination.pools.parser import parse
+from mallowbeam.storage_gateway.coordination.pools.rules import PoolsDocument
 
 EXAMPLES = sorted((DOCS / "pools").glob("*.pool"))
 MARK = "#= "  # a line of the table: the world, the node (and gateway), who has how many
 
 
-def row(pools: m.Pools, world: str, place: str) -> str:
+def row(pools: PoolsDocument, world: str, place: str) -> str:
     """A line of the table as the program has it; a world is `-` or facts and a turn, joined by `+`."""
     words = [] if world == "-" else world.split("+")
-    facts = m.Facts(
+    facts = Facts(
         frozenset(w[5:] for w in words if w.startswith("zone=")),
         frozenset(w[8:] for w in words if w.startswith("machine=")),
     )
-    view = View(pools, FLEET, facts, sum(int(w[5:]) for w in words if w.startswith("turn=")))
+    allocation = Allocation(pools, FLEET, facts, sum(int(w[5:]) for w in words if w.startswith("turn=")))
     node, _, gateway = place.partition("/")
-    budget = view.node(node)
+    budget = allocation.node_budget(node)
     if budget is None:
         held = "not bounded"
     elif gateway:
-        offers = view.offers(node, gateway)
+        terms = allocation.tenant_terms(node, gateway)
         held = ", ".join(
-            f"{name} {count} lends {offers[name].lends.percent}%"
-            for name, count in view.here(node, gateway, budget.gateways[gateway]).items()
+            f"{name} {count} lends {terms[name].loan.percent}%"
+            for name, count in allocation.tenant_connections(node, gateway, budget.gateways[gateway]).items()
         )
     else:
         by = sorted(budget.gateways.items())
--- a/tests/storage_gateway/coordination/pools/test_pools_language.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_language.py
@@ -11,12 +11,32 @@
 from hypothesis import strategies as st
 from pool_texts import FACTS, FLEET, LONG, SEED, pools
 
-from mallowbeam.storage_gateway.coordination.pools import model as m
+from mallowbeam.storage_gateway.coordination.pools.allocation import (
+    Allocation,
+    connection_table,
+    gateway_connections,
+)
 from mallowbeam.storage_gateway.coordination.pools.canonical import canonical, digest, show
-from mallowbeam.storage_gateway.coordination.pools.check import faults
-from mallowbeam.storage_gateway.coordination.pools.errors import PoolBound, PoolError, PoolName, PoolSyntax
-from mallowbeam.storage_gateway.coordination.pools.evaluate import View, gateways, table
-from mallowbeam.storage_gateway.coordination.pools.grammar import parse
+from mallowbeam.storage_gateway.coordination.pools.checks import find_errors
+from mallowbeam.storage_gateway.coordination.pools.errors import (
+    PoolBoundError,
+    PoolError,
+    PoolNameError,
+    PoolSyntaxError,
+)
+from mallowbeam.storage_gateway.coordination.pools.expressions import (
+    EVERYTHING,
+    And,
+    InMaintenance,
+    KeyIn,
+    Not,
+    Or,
+    SourcePosition,
+    ZoneOut,
+)
+from mallowbeam.storage_gateway.coordination.pools.fleet import Facts
+from mallowbeam.storage_gateway.coordination.pools.parser import parse
+from mallowbeam.storage_gateway.coordination.pools.rules import Loan, Terms
 
 TEXT = """\
 pools 1;                                        # a comment
@@ -39,27 +59,27 @@
 )
 
 
-def facts_of(draw_from: int) -> m.Facts:
+def facts_of(draw_from: int) -> Facts:
     """One of the sixteen worlds of the tests' facts."""
     held = [fact for i, fact in enumerate(FACTS) if draw_from >> i & 1]
-    return m.Facts(
-        frozenset(f.zone for f in held if isinstance(f, m.ZoneOut)),
-        frozenset(f.machine for f in held if isinstance(f, m.InMaintenance)),
+    return Facts(
+        frozenset(f.zone for f in held if isinstance(f, ZoneOut)),
+        frozenset(f.machine for f in held if isinstance(f, InMaintenance)),
     )
 
 
 def test_a_whole_text_reads_as_it_is_meant():
     made = parse(TEXT)
-    assert made.recall == 1000 and [c.name for c in made.classes] == ["batch", "rest"]
-    assert made.budgets[0].nodes == m.And(
-        (m.Is("zone", ("a",)), m.Or((m.Is("model", ("big",)), m.Not(m.Is("name", ("n1", "n2"))))))
+    assert made.recall_ms == 1000 and [c.name for c in made.classes] == ["batch", "rest"]
+    assert made.budgets[0].nodes == And(
+        (KeyIn("zone", ("a",)), Or((KeyIn("model", ("big",)), Not(KeyIn("name", ("n1", "n2"))))))
     )
-    assert made.budgets[0].when == m.Not(m.ZoneOut("b")) and made.budgets[1].when == m.EVERY
-    assert made.gateways[0].terms == m.Terms(3, 2, 12)
-    assert [share.through for share in made.shares] == [None, "g4"]
-    assert made.tenants[0].loan == m.Loan(50, m.Is("class", ("rest",)), 1, 500)
-    assert made.budgets[1].at == m.Place(6, 1, "budget 20 for nodes all;")
-    assert not list(faults(made, FLEET))
+    assert made.budgets[0].when == Not(ZoneOut("b")) and made.budgets[1].when == EVERYTHING
+    assert made.gateways[0].terms == Terms(3, 2, 12)
+    assert [share.through for share in made.sharing] == [None, "g4"]
+    assert made.tenants[0].loan == Loan(50, KeyIn("class", ("rest",)), 1, 500)
+    assert made.budgets[1].position == SourcePosition(6, 1, "budget 20 for nodes all;")
+    assert not list(find_errors(made, FLEET))
 
 
 @settings(
@@ -76,8 +96,10 @@
     text = canonical(made)
     assert canonical(parse(text)) == text
     facts = facts_of(world)
-    assert table(View(parse(text), FLEET, facts)) == table(View(made, FLEET, facts))
-    for error in faults(made, FLEET):  # the checks end, and say what they say in our words
+    assert connection_table(Allocation(parse(text), FLEET, facts)) == connection_table(
+        Allocation(made, FLEET, facts)
+    )
+    for error in find_errors(made, FLEET):  # the checks end, and say what they say in our words
         assert isinstance(error, PoolError) and error.cure
     # rules of different kinds in any order are the same value
     chance = random.Random(seed)
@@ -96,16 +118,17 @@
 @given(pools(), st.integers(0, 15))
 def test_texts_that_pass_the_checks_deal_out_every_budget_whole(made, world):
     """Guards `check`: what it lets through leaves no gateway without its floor, and loses no connection."""
-    if any(faults(made, FLEET)):
+    if any(find_errors(made, FLEET)):
         return
-    view = View(made, FLEET, facts_of(world))
-    for node, held in gateways(view).items():
-        seats, groups = view.seats(node)
-        assert sum(seat.floor for seat in seats) <= view.total(node)
-        room = sum(view.total(node) if seat.ceiling is None else seat.ceiling for seat in seats)
-        assert sum(held.values()) == min(view.total(node), room)
-        members = {name for _, names in groups.values() for name in names}
-        assert all(held[seat.name] >= seat.floor for seat in seats if seat.name not in groups)
+    allocation = Allocation(made, FLEET, facts_of(world))
+    for node, held in gateway_connections(allocation).items():
+        claimants, groups = allocation.gateway_claimants(node)
+        budget = allocation.budget(node)
+        assert sum(each.floor for each in claimants) <= budget
+        most = sum(budget if each.ceiling is None else each.ceiling for each in claimants)
+        assert sum(held.values()) == min(budget, most)
+        members = {name for group in groups.values() for name in group.members}
+        assert all(held[each.name] >= each.floor for each in claimants if each.name not in groups)
         assert members <= set(held)
 
 
@@ -139,7 +162,7 @@
     one = parse('pools 1; budget 9 for nodes zone "a"; budget 8 for nodes model "big";')
     other = parse('pools 1; budget 8 for nodes model "big"; budget 9 for nodes zone "a";')
     assert digest(one) != digest(other)
-    assert table(View(one, FLEET)) != table(View(other, FLEET))
+    assert connection_table(Allocation(one, FLEET)) != connection_table(Allocation(other, FLEET))
 
 
 # --- errors ---------------------------------------------------------------------------------------
@@ -148,14 +171,14 @@
 @pytest.mark.parametrize(
     "text, kind, line, column, there, remedy",
     [
-        ("", PoolSyntax, 1, 1, "", "put `pools` there"),
-        ("pools 2;", PoolSyntax, 1, 7, "2;", "bring the gateways up to date"),
-        ("pools 1;\nbudget 7 nodes all;", PoolSyntax, 2, 10, "nodes all;", "put `for` there"),
-        ("pools 1;\nbudget 7 for nodes all", PoolSyntax, 2, 23, "", "`;`"),
-        ("pools 1;\n  budget @", PoolSyntax, 2, 10, "@", "put a number there"),
+        ("", PoolSyntaxError, 1, 1, "", "put `pools` there"),
+        ("pools 2;", PoolSyntaxError, 1, 7, "2;", "bring the gateways up to date"),
+        ("pools 1;\nbudget 7 nodes all;", PoolSyntaxError, 2, 10, "nodes all;", "put `for` there"),
+        ("pools 1;\nbudget 7 for nodes all", PoolSyntaxError, 2, 23, "", "`;`"),
+        ("pools 1;\n  budget @", PoolSyntaxError, 2, 10, "@", "put a number there"),
         (
             'pools 1; budget 7 for nodes class "x";',
-            PoolSyntax,
+            PoolSyntaxError,
             1,
             29,
             'class "x";',
@@ -163,38 +186,45 @@
         ),
         (
             'pools 1; gateways all when name "a" is out: floor 1;',
-            PoolSyntax,
+            PoolSyntaxError,
             1,
             28,
             "name",
             'zone "a" is out',
         ),
-        ("pools 1; share gateways all: floor 1;", PoolSyntax, 1, 10, "share", "in turns"),
-        ("pools 1; share gateways all: in turns in turns;", PoolName, 1, 39, "in turns;", "keep one"),
-        ("pools 1; gateways all: floor 1 floor 2;", PoolName, 1, 32, "floor 2;", "keep one"),
-        ("pools 1; recall 1s; recall 2s;", PoolName, 1, 21, "recall 2s;", "keep one"),
-        ('pools 1; class "a" is all; class "a" is all;', PoolName, 1, 34, '"a" is', "keep one"),
-        ("pools 1; budget 0 for nodes all;", PoolBound, 1, 17, "0 for", "from 1 to 65535"),
-        ("pools 1; budget 65536 for nodes all;", PoolBound, 1, 17, "65536", "from 1 to 65535"),
-        ("pools 1; gateways all: weight 10001;", PoolBound, 1, 31, "10001", "from 0 to 10000"),
-        ("pools 1; tenants all: lend 101%;", PoolBound, 1, 28, "101%", "from 0 to 100"),
-        ("pools 1; recall 61s;", PoolBound, 1, 17, "61s;", "from 1 to 60"),
-        ("pools 1; budget 7 for nodes " + "not " * 17 + "all;", PoolBound, 1, 97, "all;", "two rules"),
-        ('pools 1; budget 7 for nodes name "' + "x" * 129 + '";', PoolBound, 1, 34, '"xxx', "bounds"),
-        ("pools 1;" + "budget 7 for nodes all;" * 513, PoolBound, 1, 9 + 512 * 23, "budget", "into one rule"),
+        ("pools 1; share gateways all: floor 1;", PoolSyntaxError, 1, 10, "share", "in turns"),
+        ("pools 1; share gateways all: in turns in turns;", PoolNameError, 1, 39, "in turns;", "keep one"),
+        ("pools 1; gateways all: floor 1 floor 2;", PoolNameError, 1, 32, "floor 2;", "keep one"),
+        ("pools 1; recall 1s; recall 2s;", PoolNameError, 1, 21, "recall 2s;", "keep one"),
+        ('pools 1; class "a" is all; class "a" is all;', PoolNameError, 1, 34, '"a" is', "keep one"),
+        ("pools 1; budget 0 for nodes all;", PoolBoundError, 1, 17, "0 for", "from 1 to 65535"),
+        ("pools 1; budget 65536 for nodes all;", PoolBoundError, 1, 17, "65536", "from 1 to 65535"),
+        ("pools 1; gateways all: weight 10001;", PoolBoundError, 1, 31, "10001", "from 0 to 10000"),
+        ("pools 1; tenants all: lend 101%;", PoolBoundError, 1, 28, "101%", "from 0 to 100"),
+        ("pools 1; recall 61s;", PoolBoundError, 1, 17, "61s;", "from 1 to 60"),
+        ("pools 1; budget 7 for nodes " + "not " * 17 + "all;", PoolBoundError, 1, 97, "all;", "two rules"),
+        ('pools 1; budget 7 for nodes name "' + "x" * 129 + '";', PoolBoundError, 1, 34, '"xxx', "bounds"),
+        (
+            "pools 1;" + "budget 7 for nodes all;" * 513,
+            PoolBoundError,
+            1,
+            9 + 512 * 23,
+            "budget",
+            "into one rule",
+        ),
         (
             "pools 1; budget 7 for nodes all when "
             + " or ".join(f'zone "z{i}" is out' for i in range(9))
             + ";",
-            PoolBound,
+            PoolBoundError,
             1,
             38 + 8 * 20,
             'zone "z8"',
             "fewer zones",
         ),
-        ("pools 1;" + " " * 65_536, PoolBound, 1, 1, "pools 1;", "bounds"),
-        ("pools 1;\n \ud800", PoolSyntax, 2, 2, "", "format"),
-        ("pools 1; budget " + "9" * 60_000 + " for nodes all;", PoolBound, 1, 17, "999", "from 1"),
+        ("pools 1;" + " " * 65_536, PoolBoundError, 1, 1, "pools 1;", "bounds"),
+        ("pools 1;\n \ud800", PoolSyntaxError, 2, 2, "", "format"),
+        ("pools 1; budget " + "9" * 60_000 + " for nodes all;", PoolBoundError, 1, 17, "999", "from 1"),
     ],
     ids=range(24),
 )
@@ -202,8 +232,8 @@
     with pytest.raises(PoolError) as caught:
         parse(text)
     error = caught.value
-    assert type(error) is kind and (error.place.line, error.place.column) == (line, column), error.line
-    assert error.place.text.startswith(there) and remedy in error.cure, error.line
+    assert type(error) is kind and (error.position.line, error.position.column) == (line, column), error.line
+    assert error.position.text.startswith(there) and remedy in error.cure, error.line
     assert {"error", "what", "where", "remedy", "line", "column", "text"} == set(error.told())
 
 
@@ -249,10 +279,10 @@
                     text = text[:at] + " " + chance.choice(words) + " " + text[min(to, at + 12) :]
         began = time.perf_counter()
         try:
-            list(faults(parse(text), FLEET))
+            list(find_errors(parse(text), FLEET))
             read += 1
         except PoolError as error:
-            assert error.cure and error.place.line >= 1 and error.place.column >= 1, error.line
+            assert error.cure and error.position.line >= 1 and error.position.column >= 1, error.line
         slowest = max(slowest, time.perf_counter() - began)
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
@@ -276,4 +306,4 @@
     try:
         parse(text)
     except PoolError as error:
-        assert error.place.line == 1
+        assert error.position.line == 1
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -60,7 +60,7 @@
 from mallowbeam.storage_gateway.coordination.policy_document import canonical, read_policy
 from mallowbeam.storage_gateway.coordination.pools import canonical as pool_text
 from mallowbeam.storage_gateway.coordination.pools.errors import PoolError
-from mallowbeam.storage_gateway.coordination.pools.grammar import parse
+from mallowbeam.storage_gateway.coordination.pools.parser import parse
 from mallowbeam.storage_gateway.coordination.raft_node import Broken, RaftNode
 from mallowbeam.storage_gateway.coordination.replicated_log import Refusal, ReplicatedLog
 from mallowbeam.storage_gateway.coordination.service import digest
