--- a/mallowbeam/http/budget.py
+++ b/mallowbeam/http/budget.py
@@ -8,7 +8,7 @@
 ANOTHER_LARGE_BODY = "another large body is under way"
 
 
-class Budget:
+class BodyBudget:
     """Bytes of bodies that the connections of one server may hold together.
 
     With `large_from`, only one body of more bytes than that is held at a time, and what comes of it from then
@@ -22,10 +22,10 @@
         self.large: object | None = None  # the message whose body is the large one
 
 
-class Held:
+class BudgetReservation:
     """What one connection holds of a budget; without a budget all is allowed."""
 
-    def __init__(self, budget: Budget | None) -> None:
+    def __init__(self, budget: BodyBudget | None) -> None:
         self._budget = budget
         self._bytes = 0
         self._large: object | None = None  # the budget's large one, where it is held here
--- a/mallowbeam/http/client.py
+++ b/mallowbeam/http/client.py
@@ -1,9 +1,9 @@
 """Connections to nodes: opened when needed, kept while idle, retired well before the node would close them.
 
-What has run decides every error here.  Up to the last byte of a request none is whole at its node
-(`Unsent`); from then on it may have run (`Broken`).  A node that answers before it has read a request whole
-may have run it all the same: who must not send twice asks `Link.begun`, which only the kernel's count of
-bytes taken decides.  Nothing is ever sent again by this file.
+What has run decides every error here.  Up to the last byte of a request none is complete at its node
+(`RequestNotSentError`); from then on it may have run (`ConnectionBrokenError`).  A node that answers before
+it has read a complete request may have run it all the same: a caller that must not send twice checks
+`Link.begun`, which only the kernel's count of accepted bytes decides.  This module never retries.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 from bisect import bisect_right, insort
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.http.framing import CHUNK, Budget, Channel, Framer, Message
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.framing import CHUNK, Channel, Framer, Message
 
 RETIRE = 0.8  # of the nodes' idle limit: a connection idle for longer is not used again
 MAX_IDLE_EACH = 32  # idle connections kept to one node
@@ -22,27 +23,31 @@
 MOST_INTERIM = 16  # interim answers (1xx) in front of one answer
 
 
-class Unsent(MallowbeamError):
+class RequestNotSentError(MallowbeamError):
     """The connection failed before the request's last byte was written: it never ran."""
 
+    error_name = "Unsent"
     remedy = "if it goes on, look at the node and at the way to it"
 
 
-class NoRoom(Unsent):
+class ConnectionLimitError(RequestNotSentError):
     """No socket is left here: says nothing of the node."""
 
+    error_name = "NoRoom"
     remedy = "raise the limit on sockets, or look for nodes that stand still"
 
 
-class Broken(MallowbeamError):
+class ConnectionBrokenError(MallowbeamError):
     """The connection broke after the request was written: it may have run."""
 
+    error_name = "Broken"
     remedy = "if it goes on, look at the node and at what lies between"
 
 
-class Spoilt(Broken):
+class RemoteProtocolError(ConnectionBrokenError):
     """What came back can't be read, or never ends: the request may have run, and the node lives."""
 
+    error_name = "Spoilt"
     remedy = "look at the node's software and at what lies between"
 
 
@@ -65,7 +70,7 @@
     async def request(
         self, head: bytes, body: bytes | bytearray = b"", bodiless: bool = False, follows: int | None = 0
     ) -> None:
-        """Write a request; `bodiless` if its answer has no body.  Raises `Unsent`.
+        """Write a request; `bodiless` if its answer has no body.  Raises `RequestNotSentError`.
 
         `follows` tells how many bytes of its body come by `write`, None where they come in chunks.
         """
@@ -77,11 +82,13 @@
             await self._send(head + body, follows == 0)
 
     async def ask(self, head: bytes, body: bytes | bytearray = b"", bodiless: bool = False) -> Message:
-        """Write a request and return its answer, headers read; raises `Unsent` and `Broken`.
+        """Write a request and return its answer, headers read.
 
         The kernel is given the request in this step, with nothing awaited before.  What it does not take at
         once is written beside the reading: a node may answer before it has read a long body, and reads on
         later.  Until all is written the connection is of no further use.
+
+        Raises `RequestNotSentError` and `ConnectionBrokenError`.
         """
         self._begin(bodiless, 0)
         data = head if len(body) > CHUNK else head + body
@@ -105,7 +112,7 @@
         try:
             return memoryview(data)[self.channel.push(data) :]
         except OSError as error:
-            raise Unsent(str(error)) from None
+            raise RequestNotSentError(str(error)) from None
 
     async def _write_rest(self, rest: list[memoryview]) -> None:
         """Write what is left of a request; a failure shows in what is read."""
@@ -118,7 +125,7 @@
             self.written = True
 
     async def write(self, piece: bytes | bytearray) -> None:
-        """Write a piece of a request's body; in chunks, an empty one is its end.  Raises `Unsent`."""
+        """Write a piece of a body; in chunks, an empty one is its end.  Raises `RequestNotSentError`."""
         if self.left is None:
             return await self._send(b"".join((b"%x\r\n" % len(piece), piece, b"\r\n")), not piece)
         self.left -= len(piece)
@@ -130,7 +137,7 @@
         try:
             await self.channel.send(data)
         except OSError as error:
-            raise Unsent(str(error)) from None
+            raise RequestNotSentError(str(error)) from None
         self.written = last
 
     async def exceeds(self, answer: Message, hold: int, most: int | None, standstill: float | None) -> bool:
@@ -141,7 +148,7 @@
         if hold == 0:
             return True
         if answer.length is not None and most is not None and answer.length > most:
-            raise Spoilt(f"an answer of {answer.length} bytes")
+            raise RemoteProtocolError(f"an answer of {answer.length} bytes")
         if answer.length is not None and answer.length > hold:
             hold = 1  # its first bytes are worth passing on
         while len(answer.body) < hold and not answer.whole:
@@ -149,14 +156,14 @@
         return not answer.whole
 
     async def head(self) -> Message:
-        """The answer, its headers read and its body perhaps still coming; raises `Broken`."""
+        """The answer, its headers read and its body perhaps still coming; raises `ConnectionBrokenError`."""
         framer = self.channel.framer
         for _ in range(MOST_INTERIM + 1):
             answer = await self._next_head()
             if not 100 <= answer.status < 200:  # else an interim answer: the real one follows
                 break
         else:
-            raise Spoilt("interim answers without end")
+            raise RemoteProtocolError("interim answers without end")
         if framer.bodiless:
             answer.whole = True
         return answer
@@ -170,14 +177,14 @@
             if (part := framer.part) is not None and not framer.in_head:
                 return part
             if not await self._read():
-                raise Broken("the connection ended before the answer")
+                raise ConnectionBrokenError("the connection ended before the answer")
 
     async def more(self, answer: Message) -> None:
-        """Read on in an answer's body; raises `Broken`."""
+        """Read on in an answer's body; raises `ConnectionBrokenError`."""
         if not await self._read():
             # A write that failed has taken the reset that a read would have told of.
             if not answer.until_close or self._refused:
-                raise Broken("the connection ended inside the answer")
+                raise ConnectionBrokenError("the connection ended inside the answer")
             answer.whole, answer.keep_alive = True, False
         ready = self.channel.framer.ready
         if ready and ready[0] is answer:  # one behind it stays: such a connection is not used again
@@ -189,7 +196,7 @@
         Guards against one that stops short: past `standstill` seconds without a byte no more of it comes.
         """
         if answer.length is not None and answer.length > self.channel.framer.max_body and not answer.whole:
-            raise Spoilt(f"an answer of {answer.length} bytes")
+            raise RemoteProtocolError(f"an answer of {answer.length} bytes")
         while not answer.whole:
             await self._on(answer, standstill)
         return answer.body
@@ -200,17 +207,17 @@
             async with asyncio.timeout(standstill):
                 await self.more(answer)
         except TimeoutError:
-            raise Spoilt("the answer stopped short") from None
+            raise RemoteProtocolError("the answer stopped short") from None
 
     async def _read(self) -> bool:
-        """Read once; raises `Spoilt` for what can't be read, unless a whole answer came before it."""
+        """Read once; raises `RemoteProtocolError` for what is malformed, unless an answer came before it."""
         framer = self.channel.framer
         try:
             going_on = framer.fault is None and await self.channel.receive()
         except OSError as error:
-            raise Broken(str(error)) from None
+            raise ConnectionBrokenError(str(error)) from None
         if framer.fault is not None and not framer.ready:
-            raise Spoilt(str(framer.fault))
+            raise RemoteProtocolError(str(framer.fault))
         return going_on
 
     def reusable(self, answer: Message) -> bool:
@@ -231,13 +238,13 @@
         self.channel.close()
 
 
-async def connect(address: str, timeout: float, max_body: int, budget: Budget | None = None) -> Link:
-    """Open a connection, whose answers' bodies `budget` bounds together; raises `Unsent`."""
+async def connect(address: str, timeout: float, max_body: int, budget: BodyBudget | None = None) -> Link:
+    """Open a connection, whose answers' bodies `budget` bounds together; raises `RequestNotSentError`."""
     host, _, port = address.rpartition(":")
     try:
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:  # descriptors have run out: this attempt fails, nothing else
-        raise NoRoom(str(error)) from None
+        raise ConnectionLimitError(str(error)) from None
     try:
         sock.setblocking(False)
         async with asyncio.timeout(timeout):
@@ -245,7 +252,7 @@
         return Link(Channel(sock, Framer(answers=True, max_body=max_body, budget=budget)), address)
     except (OSError, TimeoutError, ValueError, OverflowError) as error:  # or the address is none
         sock.close()
-        raise Unsent(str(error) or "the connection never came up") from None
+        raise RequestNotSentError(str(error) or "the connection never came up") from None
     except BaseException:
         sock.close()
         raise
@@ -260,7 +267,7 @@
         idle_limit: float | None,
         connect_timeout: float | None,
         max_body: int,
-        budget: Budget,
+        budget: BodyBudget,
     ) -> None:
         self.whole = self.most = most  # connections in all, and how many of them may be open now
         self.max_body, self.budget = max_body, budget
@@ -284,7 +291,7 @@
                 return link
             self.drop(link)
         if self.count >= self.most and not self._evict():
-            raise NoRoom("as many connections are open as are allowed")
+            raise ConnectionLimitError("as many connections are open as are allowed")
         self.count += 1
         try:
             return await connect(address, self.connect_timeout, self.max_body, self.budget)
--- a/mallowbeam/http/connection.py
+++ b/mallowbeam/http/connection.py
@@ -3,7 +3,7 @@
 A front is called with each whole request and returns the one answer; a client that ends or resets its
 connection has gone, which cancels that call and drops what waits behind it.  While a request is answered the
 next ones are read ahead, up to a bound; past it the client's end is looked for now and then.  How it ends,
-and the one way in which others end it (`leave`), is the matter of `http/closing.py`.
+and the one way in which others end it (`leave`), is the matter of `http/shutdown.py`.
 """
 
 from __future__ import annotations
@@ -13,10 +13,19 @@
 import time
 from collections.abc import Awaitable
 
-from mallowbeam.http.ahead import Ahead
-from mallowbeam.http.closing import LINGER, LINGER_BYTES, Ending, Owner, Stage, drop, gone, reset_at_close
-from mallowbeam.http.framing import MAX_HEAD, BadMessage, Channel, Framer, Message
+from mallowbeam.http.framing import MAX_HEAD, Channel, Framer, Message, MessageError
+from mallowbeam.http.read_ahead import ReadAhead
 from mallowbeam.http.reporting import logger
+from mallowbeam.http.shutdown import (
+    LINGER,
+    LINGER_BYTES,
+    ConnectionShutdown,
+    Owner,
+    Stage,
+    drop,
+    gone,
+    reset_at_close,
+)
 from mallowbeam.http.stream import Stream
 
 PIPELINED = 2  # whole requests that may wait behind the one being answered
@@ -29,7 +38,7 @@
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-class Connection(Ending):
+class Connection(ConnectionShutdown):
     """One client's connection: a task that reads, and while a request is held one that answers."""
 
     def __init__(self, server: Owner, sock: socket.socket, over: bool = False) -> None:
@@ -44,7 +53,7 @@
                 max_head=getattr(front, "max_head", MAX_HEAD),
             ),
         )
-        self.ahead = Ahead(front.budget)  # read, and not parsed yet
+        self.ahead = ReadAhead(front.budget)  # read, and not parsed yet
         self.part: Message | None = None  # the request that is coming in
         self.since = time.monotonic()  # when that began, or the last answer went out
         self.busy: asyncio.Task[None] | None = None
@@ -267,13 +276,13 @@
         try:
             if self.over:
                 request.keep_alive = False
-                reply = self.server.front.complain(503, "too many connections")
+                reply = self.server.front.error_response(503, "too many connections")
             else:
                 reply = await self.server.front.handle(request, lambda: self.closes(request))
         except Exception as error:
             # Guards the client against a fault of ours: it still gets its one answer.
             logger.error("a request failed unforeseen", exc_info=error)
-            reply = self.server.front.complain(500, "internal error")
+            reply = self.server.front.error_response(500, "internal error")
             request.keep_alive = False
         self.channel.moved, self.writing, whole = time.monotonic(), True, False
         try:
@@ -312,7 +321,7 @@
         request.keep_alive = bool(self.channel.framer.ready) and now < self.ends_by
         return not request.keep_alive
 
-    async def _last_word(self, fault: BadMessage) -> None:
+    async def _last_word(self, fault: MessageError) -> None:
         """Answer what breaks HTTP once the request before it has its answer, then end in order."""
         if self.taking is not None and self.taking.stream is not None:
             self.taking.stream.break_off()  # what is passed on of it can't be finished
@@ -345,7 +354,7 @@
         part = self.channel.framer.part
         if part is not None and not self.channel.framer.in_head:
             self.server.front.ended(part, status, True)
-        return self.server.front.complain(status, text).data
+        return self.server.front.error_response(status, text).data
 
     def sweep(self, now: float) -> None:
         """End a connection that has been idle or stalled for too long."""
--- a/mallowbeam/http/framing.py
+++ b/mallowbeam/http/framing.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 framing on a non-blocking socket: httptools parses, this file bounds and writes.
 
-Every buffer has a bound: a message over it raises `BadMessage` with the status that says so.
+Every buffer has a bound: a message over it raises `MessageError` with the status that says so.
 """
 
 from __future__ import annotations
@@ -15,8 +15,7 @@
 import httptools
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.http.budget import Budget as Budget  # for those that have it from here
-from mallowbeam.http.budget import Held
+from mallowbeam.http.budget import BodyBudget, BudgetReservation
 from mallowbeam.http.stream import Stream
 
 CHUNK = 16 * 1024  # bytes read at once: what one connection may hold beyond its messages
@@ -45,9 +44,10 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-class BadMessage(MallowbeamError):
+class MessageError(MallowbeamError):
     """What came in breaks HTTP or a bound; `status` is what a server answers to it."""
 
+    error_name = "BadMessage"
     remedy = "mend the client or the node that sent it"
 
     def __init__(self, status: int, text: str) -> None:
@@ -104,10 +104,14 @@
     _current: Message  # the message that the parser's callbacks fill; `part` until it is whole
 
     def __init__(
-        self, answers: bool, max_body: int = MAX_BODY, budget: Budget | None = None, max_head: int = MAX_HEAD
+        self,
+        answers: bool,
+        max_body: int = MAX_BODY,
+        budget: BodyBudget | None = None,
+        max_head: int = MAX_HEAD,
     ) -> None:
         self.answers, self.max_body, self.max_head = answers, max_body, max_head
-        self.held = Held(budget)
+        self.held = BudgetReservation(budget)
         self._response_parser: httptools.HttpResponseParser | None = None
         self._request_parser: httptools.HttpRequestParser | None = None
         self.parser: httptools.HttpResponseParser | httptools.HttpRequestParser
@@ -120,7 +124,7 @@
         self.in_head, self.quiet = False, 0
         self.bodiless = False  # the next answer is to a HEAD
         self.read_at = 0.0  # when what is fed was read
-        self.fault: BadMessage | None = None  # what came after the messages in `ready` is of no use
+        self.fault: MessageError | None = None  # what came after the messages in `ready` is of no use
 
     def feed(self, data: memoryview) -> None:
         """Take in bytes; what breaks HTTP or a bound sets `fault`, and messages whole before it stand."""
@@ -130,12 +134,12 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.fault = BadMessage(400, "upgrade is not offered")
+            self.fault = MessageError(400, "upgrade is not offered")
         except httptools.HttpParserError as error:
-            self.fault = self.fault or BadMessage(400, f"malformed message: {error}")
+            self.fault = self.fault or MessageError(400, f"malformed message: {error}")
         # Guards against a header or trailer without end, which the parser would collect without bound.
         if self.quiet > max(MAX_QUIET, self.max_head):
-            self.fault = self.fault or BadMessage(431, "header too large")
+            self.fault = self.fault or MessageError(431, "header too large")
 
     def bound(self, max_body: int, max_head: int) -> None:
         """Other bounds from now on; what is coming in may still be as large as it was when it began."""
@@ -169,7 +173,7 @@
         return True
 
     def _fail(self, status: int, text: str) -> None:
-        self.fault = BadMessage(status, text)
+        self.fault = MessageError(status, text)
         raise self.fault
 
     def on_message_begin(self) -> None:  # noqa: D102 (httptools' names)
--- a/mallowbeam/http/front.py
+++ b/mallowbeam/http/handler.py
@@ -1,14 +1,15 @@
-"""What a server meets a front through: each whole request goes in, and one `Reply` comes back."""
+"""What a server meets a front through: each whole request goes in, and one `Response` comes back."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple, Protocol
 
-from mallowbeam.http.framing import Budget, Channel, Message, write_head
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.framing import Channel, Message, write_head
 
 
-class Reply(NamedTuple):
+class Response(NamedTuple):
     """An answer: its status, and its bytes or what writes them as they come (False: it broke off)."""
 
     status: int
@@ -16,7 +17,7 @@
     write: Callable[[Channel], Awaitable[bool]] | None = None
 
 
-class Front(Protocol):
+class RequestHandler(Protocol):
     """What speaks a protocol to clients."""
 
     @property
@@ -28,24 +29,26 @@
         """Bytes of a body up to which it is buffered and handed over complete; a longer one is streamed."""
 
     @property
-    def budget(self) -> Budget | None:
+    def budget(self) -> BodyBudget | None:
         """What bounds the bodies of all connections together; None for no bound."""
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """The answer to a request.
 
         `closing`, asked when the answer is known, tells whether the connection is closed after it.
         """
 
-    def complain(self, status: int, text: str) -> Reply:
+    def error_response(self, status: int, text: str) -> Response:
         """The answer to what breaks HTTP or a bound; the connection is closed after it."""
 
     def ended(self, request: Message, status: int, whole: bool) -> None:
         """A request's answer has gone out, or broken off: the one place where requests are counted."""
 
 
-def plain(status: int, text: str, close: bool, headers: list[tuple[bytes, bytes]] | None = None) -> Reply:
+def text_response(
+    status: int, text: str, close: bool, headers: list[tuple[bytes, bytes]] | None = None
+) -> Response:
     """A whole answer with a line of text."""
     body = text.encode() + b"\n"
     head = write_head(status, [(b"content-type", b"text/plain"), *(headers or [])], len(body), close)
-    return Reply(status, head + body)
+    return Response(status, head + body)
--- a/mallowbeam/http/ahead.py
+++ b/mallowbeam/http/read_ahead.py
@@ -4,16 +4,16 @@
 
 from collections import deque
 
-from mallowbeam.http.framing import Budget
+from mallowbeam.http.budget import BodyBudget
 
 MOST = 64 * 1024  # bytes that one client may have here
 PIECE = 128  # bytes that each piece counts for besides: a trickle must not hold more
 
 
-class Ahead:
+class ReadAhead:
     """Bytes that wait to be parsed, within a bound of their own and the connections' common one."""
 
-    def __init__(self, budget: Budget | None) -> None:
+    def __init__(self, budget: BodyBudget | None) -> None:
         self.pieces: deque[tuple[float, bytes]] = deque()  # with when each was read
         self.held, self.budget = 0, budget  # bytes in all
 
--- a/mallowbeam/http/reporting.py
+++ b/mallowbeam/http/reporting.py
@@ -9,14 +9,14 @@
 import logging
 import time
 
-APART = 5.0  # seconds between two lines of one kind
+WARNING_INTERVAL_S = 5.0  # seconds between two lines of one kind
 
 logger = logging.getLogger("mallowbeam.http")
 logger.propagate = False
 
 
-class Sparse:
-    """One kind of warning: a line at most every APART seconds, with the count of those left out."""
+class RateLimitedWarning:
+    """One kind of warning: at most a line every WARNING_INTERVAL_S, with the count of those left out."""
 
     def __init__(self, text: str) -> None:
         self.text, self.after, self.left_out = text, float("-inf"), 0
@@ -27,7 +27,7 @@
             self.left_out += 1
             return
         self.write("%s: %s (%d more like it before)" % (self.text, detail, self.left_out))  # noqa: UP031
-        self.after, self.left_out = time.monotonic() + APART, 0
+        self.after, self.left_out = time.monotonic() + WARNING_INTERVAL_S, 0
 
     def write(self, line: str) -> None:
         """Put a line out."""
--- a/mallowbeam/http/server.py
+++ b/mallowbeam/http/server.py
@@ -16,12 +16,12 @@
 from heapq import heapify, heappop
 from typing import Protocol
 
-from mallowbeam.http.closing import LINGER
 from mallowbeam.http.connection import Connection
-from mallowbeam.http.front import Front
-from mallowbeam.http.front import Reply as Reply  # for the fleet's page, which has them from here
-from mallowbeam.http.front import plain as plain
-from mallowbeam.http.reporting import Sparse, logger
+from mallowbeam.http.handler import RequestHandler
+from mallowbeam.http.handler import Response as Response  # for the fleet's page, which has them from here
+from mallowbeam.http.handler import text_response as text_response
+from mallowbeam.http.reporting import RateLimitedWarning, logger
+from mallowbeam.http.shutdown import LINGER
 
 BACKLOG = 512
 SPARE = 8  # one in so many connections is kept for refusing those beyond the others
@@ -99,7 +99,7 @@
     def __init__(
         self,
         address: tuple[str, int],
-        front: Front,
+        front: RequestHandler,
         most: int,
         connection: ConnectionFactory = Connection,
         name: str = "",
@@ -112,7 +112,10 @@
         self.sock = handed or bound(address, shared)
         self.address = self.sock.getsockname()
         self.connections: set[ServedConnection] = set()
-        self.crowded, self.cannot_accept = Sparse("all connections are busy"), Sparse("cannot accept")
+        self.crowded, self.cannot_accept = (
+            RateLimitedWarning("all connections are busy"),
+            RateLimitedWarning("cannot accept"),
+        )
 
     @property
     def spare(self) -> int:
@@ -220,7 +223,7 @@
                 logger.error("a connection failed unforeseen", exc_info=error)
                 connection.leave()
 
-    def last_answers(self) -> None:
+    def close_after_responses(self) -> None:
         """From now on every answer closes its connection."""
         self.closing = True
 
@@ -247,7 +250,7 @@
         A request that has not come in whole was never taken; its client has a moment to finish it, at most
         `within` seconds.
         """
-        self.last_answers()
+        self.close_after_responses()
         within = min(within, LINGER)
         end = time.monotonic() + within
         await self.shut(within)
--- a/mallowbeam/http/closing.py
+++ b/mallowbeam/http/shutdown.py
@@ -16,9 +16,9 @@
 from enum import Enum
 from typing import Protocol
 
-from mallowbeam.http.ahead import Ahead
 from mallowbeam.http.framing import Channel, Message
-from mallowbeam.http.front import Front
+from mallowbeam.http.handler import RequestHandler
+from mallowbeam.http.read_ahead import ReadAhead
 
 LINGER = 1.0  # seconds given to a client to read the last answer before the close
 LINGER_LEAST = 0.05  # and where it was told to leave, or sends without end
@@ -73,7 +73,7 @@
 class Connections(Protocol):
     """The open connections of a server, as one of them sees these."""
 
-    def discard(self, connection: Ending, /) -> None:
+    def discard(self, connection: ConnectionShutdown, /) -> None:
         """Take out a connection that is closed."""
 
 
@@ -81,7 +81,7 @@
     """What a connection belongs to."""
 
     @property
-    def front(self) -> Front:
+    def front(self) -> RequestHandler:
         """What answers its requests."""
 
     @property
@@ -93,12 +93,12 @@
         """Those that are open; one takes itself out at its end."""
 
 
-class Ending:
+class ConnectionShutdown:
     """How a client's connection ends.  A part of `Connection`, which makes what is named here."""
 
     server: Owner
     channel: Channel
-    ahead: Ahead
+    ahead: ReadAhead
     task: asyncio.Task[None]
     busy: asyncio.Task[None] | None  # what answers, while a request is held
     taking: Message | None  # a request whose body passes through
--- a/mallowbeam/router/control_plane/answers.py
+++ b/mallowbeam/router/control_plane/answers.py
@@ -7,7 +7,7 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.framing import Headers, write_head
-from mallowbeam.http.front import Reply
+from mallowbeam.http.handler import Response
 
 JSON_TYPE = (b"content-type", b"application/json")
 RETRY_AFTER = (b"retry-after", b"0.2")  # seconds, with a 503: an election takes about as long
@@ -81,18 +81,18 @@
     remedy = "read the current configuration and build the patch on it"
 
 
-def json_reply(status: int, body: Mapping[str, object], close: bool, *more: tuple[bytes, bytes]) -> Reply:
+def json_reply(status: int, body: Mapping[str, object], close: bool, *more: tuple[bytes, bytes]) -> Response:
     """A whole answer with a JSON object."""
     return body_reply(status, json.dumps(body, separators=(",", ":")).encode(), close, *more)
 
 
-def body_reply(status: int, body: bytes, close: bool, *more: tuple[bytes, bytes]) -> Reply:
+def body_reply(status: int, body: bytes, close: bool, *more: tuple[bytes, bytes]) -> Response:
     """A whole answer with JSON that is encoded already."""
     headers: Headers = [JSON_TYPE, *more]
-    return Reply(status, write_head(status, headers, len(body), close) + body)
+    return Response(status, write_head(status, headers, len(body), close) + body)
 
 
-def error_reply(status: int, error: MallowbeamError, close: bool, others: Sequence[str] = ()) -> Reply:
+def error_reply(status: int, error: MallowbeamError, close: bool, others: Sequence[str] = ()) -> Response:
     """An answer that tells what is wrong, where, and what to do.
 
     With a 5xx, `others` are the control addresses of members to which the caller may turn. A redirection to
--- a/mallowbeam/router/control_plane/api.py
+++ b/mallowbeam/router/control_plane/api.py
@@ -7,9 +7,9 @@
 from collections.abc import Awaitable, Callable
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.http.budget import ANOTHER_LARGE_BODY, Budget
+from mallowbeam.http.budget import ANOTHER_LARGE_BODY, BodyBudget
 from mallowbeam.http.framing import Message
-from mallowbeam.http.front import Reply
+from mallowbeam.http.handler import Response
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.patch import parse_patch
@@ -74,7 +74,7 @@
         work: Work = run_in_thread,
     ) -> None:
         """`work` runs what large bodies take beside the event loop."""
-        self.budget: Budget | None = Budget(MOST_BODIES, LARGE_BODY)
+        self.budget: BodyBudget | None = BodyBudget(MOST_BODIES, LARGE_BODY)
         self._large_bodies = LargeBodies(parser, work)
         self._parser, self._versions, self._commands = parser, versions, commands
         self._instances, self._status, self._gate = instances, status, gate
@@ -87,7 +87,7 @@
             (INSTANCES_PATH, b"DELETE"): self._delete_instance,
         }
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """One call to its answer."""
         since = request.at or time.monotonic()
         try:
@@ -102,7 +102,7 @@
             return error_reply(503, error, closing(), self._status.other_controls())
         return body_reply(status, body, closing())
 
-    def complain(self, status: int, text: str) -> Reply:
+    def error_response(self, status: int, text: str) -> Response:
         """The answer to what breaks HTTP or a bound; the connection is closed after it."""
         if text == ANOTHER_LARGE_BODY:
             return error_reply(status, LargeBodyError(text, "body"), True, self._status.other_controls())
--- a/mallowbeam/router/control_plane/stage_orders.py
+++ b/mallowbeam/router/control_plane/stage_orders.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Coroutine
 from contextlib import suppress
 
-from mallowbeam.http.client import Broken, Link, Unsent, connect
+from mallowbeam.http.client import ConnectionBrokenError, Link, RequestNotSentError, connect
 from mallowbeam.http.framing import write_request
 from mallowbeam.router.configuration.versions import ConfigurationVersions
 from mallowbeam.router.consensus.errors import ConsensusError
@@ -214,7 +214,7 @@
         """The order and its answer."""
         try:
             link = await connect(order.address, CONNECT_S, MOST_ANSWER_BYTES)
-        except Unsent:
+        except RequestNotSentError:
             return OrderResult.NOT_SENT
         try:
             self._bound_time_on_the_way(link.channel.sock)
@@ -222,7 +222,7 @@
             token = self._token(now)
             if token is None:  # leadership may have passed on while the connection came up
                 return OrderResult.NOT_SENT
-            with suppress(TimeoutError, Unsent, Broken):
+            with suppress(TimeoutError, RequestNotSentError, ConnectionBrokenError):
                 async with asyncio.timeout(self._lease.settings.answer_s):
                     return self._judge(await _post(link, order, self._holder, token))
             return OrderResult.UNKNOWN
--- a/mallowbeam/router/data_plane/answers.py
+++ b/mallowbeam/router/data_plane/answers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from mallowbeam.http.framing import HOP_BY_HOP, Headers, Message, write_head
-from mallowbeam.http.front import Reply
+from mallowbeam.http.handler import Response
 from mallowbeam.router.data_plane.client_request import named_by_connection
 
 BODILESS = (204, 304)
@@ -23,16 +23,16 @@
     return [(name, value) for name, value in answer.headers if name not in HOP_BY_HOP and name not in named]
 
 
-def whole_answer(answer: Message, close: bool) -> Reply:
+def whole_answer(answer: Message, close: bool) -> Response:
     """An instance's answer that was read whole."""
     length = None if answer.status in BODILESS else len(answer.body)
     head = write_head(answer.status, passed_headers(answer), length, close)
-    return Reply(answer.status, head + answer.body)
+    return Response(answer.status, head + answer.body)
 
 
 def own_answer(
     status: int, request_id: bytes, close: bool, retry_after_s: float = 0.0, text: bytes | None = None
-) -> Reply:
+) -> Response:
     """An answer of the gateway's own: it never carries an instance's signature."""
     body = text if text is not None else TEXTS.get(status, b"not served\n")
     headers: Headers = [(b"content-type", b"text/plain")]
@@ -40,4 +40,4 @@
         headers.append((b"request-id", request_id))
     if status == UNAVAILABLE and retry_after_s > 0:
         headers.append((b"retry-after", b"%.3f" % retry_after_s))
-    return Reply(status, write_head(status, headers, len(body), close) + body)
+    return Response(status, write_head(status, headers, len(body), close) + body)
--- a/mallowbeam/router/data_plane/attempt.py
+++ b/mallowbeam/router/data_plane/attempt.py
@@ -10,7 +10,13 @@
 import time
 from dataclasses import dataclass
 
-from mallowbeam.http.client import Broken, Link, NoRoom, Spoilt, Unsent
+from mallowbeam.http.client import (
+    ConnectionBrokenError,
+    ConnectionLimitError,
+    Link,
+    RemoteProtocolError,
+    RequestNotSentError,
+)
 from mallowbeam.http.framing import Headers, Message, write_request
 from mallowbeam.router.data_plane.client_request import ClientRequest
 from mallowbeam.router.data_plane.fleet_view import FleetView
@@ -55,11 +61,11 @@
                 return await self._send(order)
         except TimeoutError:
             end = AttemptEnd.TIMED_OUT
-        except NoRoom:
+        except ConnectionLimitError:
             return AttemptEnd.NO_ROOM
-        except Unsent:
+        except RequestNotSentError:
             end = AttemptEnd.NOT_SENT
-        except Broken:
+        except ConnectionBrokenError:
             end = AttemptEnd.BROKEN
         if self.link is None:
             return AttemptEnd.NO_CONNECTION
@@ -125,7 +131,7 @@
         while names_another(answer, request_id):
             late += 1
             if late > MOST_LATE_ANSWERS:
-                raise Spoilt("answers to other requests without end")
+                raise RemoteProtocolError("answers to other requests without end")
             await link.body(answer)
             answer = await link.head()
         answer.keep_alive = answer.keep_alive and not late
@@ -136,7 +142,7 @@
         try:
             async with asyncio.timeout(REJECTION_BODY_S):
                 await link.body(answer)
-        except (TimeoutError, Broken):
+        except (TimeoutError, ConnectionBrokenError):
             pass  # its head has said that nothing ran
         self.release()
 
--- a/mallowbeam/router/data_plane/exchange.py
+++ b/mallowbeam/router/data_plane/exchange.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from mallowbeam.http.client import Broken
+from mallowbeam.http.client import ConnectionBrokenError
 from mallowbeam.http.framing import Headers, Message
-from mallowbeam.http.front import Reply
+from mallowbeam.http.handler import Response
 from mallowbeam.router.admission.messages import Outcome, Plan, PlanRequest, Refusal
 from mallowbeam.router.configuration.model import Engine, Route
 from mallowbeam.router.data_plane.answers import own_answer, whole_answer
@@ -70,7 +70,7 @@
         self._head_sent = False  # part of the answer has gone out
         self._failure: Message | None = None  # a failure that is passed on if nothing better comes
 
-    async def run(self, closing: Callable[[], bool]) -> Reply | None:
+    async def run(self, closing: Callable[[], bool]) -> Response | None:
         """The answer, if it is whole; None where `attempt` holds one that is passed on as it comes."""
         try:
             begun = await self._begin()
@@ -259,7 +259,7 @@
             return AttemptEnd.ANSWERED
         except TimeoutError:
             end = AttemptEnd.TIMED_OUT
-        except Broken:
+        except ConnectionBrokenError:
             pass
         except BaseException:
             attempt.release()
@@ -281,7 +281,7 @@
             return None
         return attempt
 
-    def _last_answer(self, given_up: GivenUp, close: bool) -> Reply:
+    def _last_answer(self, given_up: GivenUp, close: bool) -> Response:
         """The answer to a request that is given up, at once."""
         if self._failure is not None:
             return whole_answer(self._failure, close)
@@ -326,9 +326,9 @@
 async def read_piece(attempt: Attempt, progress: StreamProgress) -> bytes:
     """The next bytes of a stream that can be passed on; empty at its end.
 
-    Raises `Broken` where it ends without the end that its framing asks for, or inside an event (what is
-    passed on byte by byte: only where nothing but the connection's end marks its own), and where its events
-    are out of order.
+    Raises `ConnectionBrokenError` where it ends without the end that its framing asks for, or inside an event
+    (what is passed on byte by byte: only where nothing but the connection's end marks its own), and where its
+    events are out of order.
     """
     link, answer = attempt.link, attempt.answer
     assert link is not None
@@ -339,9 +339,9 @@
             if piece := progress.feed(answer.take()):
                 return piece
         if progress.fault:
-            raise Broken(progress.fault)
+            raise ConnectionBrokenError(progress.fault)
         if answer.whole:
             if progress.partial or (answer.until_close and progress.inside_event):
-                raise Broken("the stream ended inside an event")
+                raise ConnectionBrokenError("the stream ended inside an event")
             return b""
         await link.more(answer)
--- a/mallowbeam/router/data_plane/front.py
+++ b/mallowbeam/router/data_plane/front.py
@@ -5,8 +5,9 @@
 import time
 from collections.abc import Callable
 
-from mallowbeam.http.framing import Budget, Message
-from mallowbeam.http.front import Reply
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.framing import Message
+from mallowbeam.http.handler import Response
 from mallowbeam.router.configuration.model import ClientLimits
 from mallowbeam.router.data_plane.answers import own_answer
 from mallowbeam.router.data_plane.client_request import BadRequest, ClientRequest, read_request
@@ -31,7 +32,7 @@
 
     def __init__(self, gateway: Gateway, memory_mb: float) -> None:
         self._gateway = gateway
-        self.budget: Budget | None = Budget(int(min(HELD_BYTES, memory_mb * MEGABYTE * MEMORY_SHARE)))
+        self.budget: BodyBudget | None = BodyBudget(int(min(HELD_BYTES, memory_mb * MEGABYTE * MEMORY_SHARE)))
         self.set_limits(ClientLimits())
 
     def set_limits(self, limits: ClientLimits) -> None:
@@ -41,7 +42,7 @@
         self.stalled = limits.header_timeout_ms / 1000 + SLACK_S
         self.idle = limits.idle_timeout_ms / 1000 + SLACK_S
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """One request to its one answer."""
         try:
             read = read_request(request)
@@ -62,7 +63,7 @@
             return reply
         return Relay(exchange, request, closing).reply()
 
-    def complain(self, status: int, text: str) -> Reply:
+    def error_response(self, status: int, text: str) -> Response:
         """The answer to what breaks HTTP or a bound; its connection is closed after it."""
         return own_answer(status, b"", True, RETRY_AFTER_S, text.encode() + b"\n")
 
--- a/mallowbeam/router/data_plane/link_pool.py
+++ b/mallowbeam/router/data_plane/link_pool.py
@@ -11,8 +11,9 @@
 import time
 from dataclasses import dataclass
 
-from mallowbeam.http.client import Link, NoRoom, Unsent, connect
-from mallowbeam.http.framing import Budget, Message
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.client import ConnectionLimitError, Link, RequestNotSentError, connect
+from mallowbeam.http.framing import Message
 
 CONNECT_TIMEOUT_S = 1.0
 REST_S = 0.02  # after an answer, before the next request, where there is a choice
@@ -35,7 +36,7 @@
 class LinkPool:
     """All connections to instances."""
 
-    def __init__(self, most: int, budget: Budget | None = None) -> None:
+    def __init__(self, most: int, budget: BodyBudget | None = None) -> None:
         self._most = most  # connections in all
         self._budget = budget
         self._idle: dict[str, list[_Idle]] = {}
@@ -46,16 +47,18 @@
     async def take(self, instance: str, address: str, most: int) -> Link:
         """An idle connection that still stands, or a new one; `most` bounds those to this instance.
 
-        Raises `NoRoom` at a bound, `Unsent` where no connection comes up.  An idle one is returned without a
-        wait.
+        Raises `ConnectionLimitError` at a bound, `RequestNotSentError` where no connection comes up.  An idle
+        one is returned without a wait.
         """
         link = self._reusable(instance, address, self._open.get(instance, 0) >= most)
         if link is not None:
             return link
         if self._open.get(instance, 0) >= most:
-            raise NoRoom("as many connections to this instance are open as are allowed", instance)
+            raise ConnectionLimitError(
+                "as many connections to this instance are open as are allowed", instance
+            )
         if self._count >= self._most and not self._evict():
-            raise NoRoom("as many connections are open as are allowed")
+            raise ConnectionLimitError("as many connections are open as are allowed")
         self._add(instance, 1)
         try:
             link = await self._connect(address)
@@ -112,7 +115,7 @@
         link = await connect(address, CONNECT_TIMEOUT_S, MOST_ANSWER_BYTES, self._budget)
         if link.channel.stale():
             link.close()
-            raise Unsent("the connection was ended, or something came on it, before the request")
+            raise RequestNotSentError("the connection was ended, or something came on it, before the request")
         return link
 
     def _reusable(self, instance: str, address: str, none_free: bool) -> Link | None:
--- a/mallowbeam/router/data_plane/prefill.py
+++ b/mallowbeam/router/data_plane/prefill.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from mallowbeam.http.client import Broken, NoRoom, Unsent
+from mallowbeam.http.client import ConnectionBrokenError, ConnectionLimitError, RequestNotSentError
 from mallowbeam.http.framing import write_request
 from mallowbeam.router.data_plane.attempt import Attempt
 from mallowbeam.router.data_plane.link_pool import LinkPool
@@ -75,7 +75,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _free(self, handle: Handle, most_connections: int) -> None:
-        with suppress(TimeoutError, Unsent, NoRoom, Broken):
+        with suppress(TimeoutError, RequestNotSentError, ConnectionLimitError, ConnectionBrokenError):
             async with asyncio.timeout(FREE_TIMEOUT_S):
                 await self._delete(handle, most_connections)
 
--- a/mallowbeam/router/data_plane/readiness.py
+++ b/mallowbeam/router/data_plane/readiness.py
@@ -4,8 +4,9 @@
 
 from collections.abc import Callable
 
-from mallowbeam.http.framing import Budget, Message
-from mallowbeam.http.front import Reply
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.framing import Message
+from mallowbeam.http.handler import Response
 from mallowbeam.router.data_plane.answers import own_answer
 
 PATH = b"/mallowbeam/readyz"
@@ -16,13 +17,13 @@
     """Answers 200 while the gateway is ready, 503 otherwise."""
 
     max_body = whole = MOST_BODY
-    budget: Budget | None = None
+    budget: BodyBudget | None = None
     idle = 30.0  # seconds that a caller's connection may rest
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         self._ready = ready
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """One question to its answer."""
         if request.target.partition(b"?")[0] != PATH:
             return own_answer(404, b"", closing(), text=b"no such page\n")
@@ -31,7 +32,7 @@
         ready = self._ready()
         return own_answer(200 if ready else 503, b"", closing(), text=b"ready\n" if ready else b"not ready\n")
 
-    def complain(self, status: int, text: str) -> Reply:
+    def error_response(self, status: int, text: str) -> Response:
         """The answer to what breaks HTTP."""
         return own_answer(status, b"", True, text=text.encode() + b"\n")
 
--- a/mallowbeam/router/data_plane/relay.py
+++ b/mallowbeam/router/data_plane/relay.py
@@ -10,9 +10,9 @@
 import time
 from collections.abc import Callable
 
-from mallowbeam.http.client import Broken
+from mallowbeam.http.client import ConnectionBrokenError
 from mallowbeam.http.framing import Channel, Message, in_chunks, write_head
-from mallowbeam.http.front import Reply
+from mallowbeam.http.handler import Response
 from mallowbeam.router.admission.messages import Outcome
 from mallowbeam.router.data_plane.answers import passed_headers
 from mallowbeam.router.data_plane.exchange import Exchange, read_piece
@@ -30,10 +30,10 @@
         self._chunked = True
         self._end = Outcome.CANCELLED
 
-    def reply(self) -> Reply:
+    def reply(self) -> Response:
         """The reply that passes the answer on."""
         answer = self._answer()
-        return Reply(answer.status, write=self._write)
+        return Response(answer.status, write=self._write)
 
     async def _write(self, channel: Channel) -> bool:
         """Write head and body; False if the answer broke off."""
@@ -62,7 +62,7 @@
             try:
                 async with asyncio.timeout(self._exchange.deadline - time.monotonic()):
                     await self._more(answer)
-            except (Broken, TimeoutError):
+            except (ConnectionBrokenError, TimeoutError):
                 return False
         if self._chunked:
             await channel.send(LAST_CHUNK)
@@ -95,7 +95,7 @@
                 return await read_piece(attempt, exchange.progress)
         except TimeoutError:
             end = AttemptEnd.TIMED_OUT
-        except Broken:
+        except ConnectionBrokenError:
             end = AttemptEnd.BROKEN
         exchange.gateway.attempt_ended(attempt.instance, end, time.monotonic())
         if not exchange.progress.may_resume or not await exchange.resume():
--- a/mallowbeam/router/processes/metrics.py
+++ b/mallowbeam/router/processes/metrics.py
@@ -9,8 +9,9 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from mallowbeam.http.framing import Budget, Message, write_head
-from mallowbeam.http.front import Reply
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.framing import Message, write_head
+from mallowbeam.http.handler import Response
 from mallowbeam.http.server import Server
 from mallowbeam.router.processes.settings import NodeSettings
 
@@ -57,13 +58,13 @@
     """Answers the one page."""
 
     max_body = whole = MOST_BODY
-    budget: Budget | None = None
+    budget: BodyBudget | None = None
     idle = 30.0  # seconds that a caller's connection may rest
 
     def __init__(self, path: bytes, collect: Collect) -> None:
         self._path, self._collect = path, collect
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """One question to its answer."""
         if request.target.partition(b"?")[0] != self._path:
             return _reply(404, b"no such page\n", closing())
@@ -71,7 +72,7 @@
             return _reply(405, b"GET only\n", closing())
         return _reply(200, exposition(self._collect()), closing())
 
-    def complain(self, status: int, text: str) -> Reply:
+    def error_response(self, status: int, text: str) -> Response:
         """The answer to what breaks HTTP."""
         return _reply(status, text.encode() + b"\n", True)
 
@@ -79,8 +80,8 @@
         """Nothing is counted here."""
 
 
-def _reply(status: int, body: bytes, close: bool) -> Reply:
-    return Reply(status, write_head(status, [TEXT], len(body), close) + body)
+def _reply(status: int, body: bytes, close: bool) -> Response:
+    return Response(status, write_head(status, [TEXT], len(body), close) + body)
 
 
 def metrics_server(settings: NodeSettings, collect: Collect) -> Server | None:
--- a/mallowbeam/simulation/fleet_processes.py
+++ b/mallowbeam/simulation/fleet_processes.py
@@ -16,7 +16,7 @@
 from typing import Any, cast
 
 from mallowbeam.http.framing import Message
-from mallowbeam.http.front import Front
+from mallowbeam.http.handler import RequestHandler
 from mallowbeam.router.configuration.changes import apply_update
 from mallowbeam.router.configuration.model import Configuration
 from mallowbeam.router.consensus.interface import Write
@@ -56,7 +56,9 @@
 class StandInServer:
     """Takes the place of the HTTP server: calls are handed to its front."""
 
-    def __init__(self, address: tuple[str, int], front: Front, most: int, shared: bool = True) -> None:
+    def __init__(
+        self, address: tuple[str, int], front: RequestHandler, most: int, shared: bool = True
+    ) -> None:
         self.address, self.front, self.serving = address, front, False
 
     def start(self) -> None:
--- a/mallowbeam/storage_gateway/application.py
+++ b/mallowbeam/storage_gateway/application.py
@@ -16,7 +16,7 @@
 from loguru import logger
 
 from mallowbeam.http.connection import Connection
-from mallowbeam.http.front import Front
+from mallowbeam.http.handler import RequestHandler
 from mallowbeam.http.server import ConnectionFactory, Server
 from mallowbeam.reload_signal import hold_hangups
 from mallowbeam.storage_gateway.frontends.platform import Platform
@@ -106,7 +106,9 @@
     return read_object_settings(fronts["objects"], gateway)
 
 
-def _object_front(gateway: Gateway, fronts: dict[str, Any], objects: ObjectSettings, upgrade: bool) -> Front:
+def _object_front(
+    gateway: Gateway, fronts: dict[str, Any], objects: ObjectSettings, upgrade: bool
+) -> RequestHandler:
     """The object API, with the write-back buffer behind it where that is on."""
     if fronts.get("buffer", {}).get("folder") is not None:
         return open_buffered(gateway, fronts, upgrade)
--- a/mallowbeam/storage_gateway/coordination/hands.py
+++ b/mallowbeam/storage_gateway/coordination/hands.py
@@ -8,7 +8,7 @@
 from mallowbeam.storage_gateway.coordination.log import Entry
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, Plan
 from mallowbeam.storage_gateway.server.gateway import Gateway
-from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 
 
 class Drains:
@@ -104,7 +104,7 @@
 
     def observe(self, observer: Callable[[Mapping[str, object]], None]) -> None:
         """Tell of each call before the module decides on it; what the observer raises is logged."""
-        failed = Sparse(f"fleet: {self.name} failed at a call")
+        failed = RateLimitedWarning(f"fleet: {self.name} failed at a call")
 
         def told(fields: Mapping[str, object]) -> None:
             try:
--- a/mallowbeam/storage_gateway/coordination/page.py
+++ b/mallowbeam/storage_gateway/coordination/page.py
@@ -19,8 +19,9 @@
 import msgspec
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.http.framing import Budget, Headers, Message, write_head
-from mallowbeam.http.server import Reply, Server
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.framing import Headers, Message, write_head
+from mallowbeam.http.server import Response, Server
 from mallowbeam.storage_gateway.coordination.errors import (
     BadPolicy,
     FleetError,
@@ -44,12 +45,12 @@
     """The front."""
 
     max_body = whole = MOST  # held whole: a push may come in pieces
-    budget: Budget | None = None
+    budget: BodyBudget | None = None
 
     def __init__(self, service: FleetService) -> None:
         self.service, self.metrics = service, FleetMetrics(service.figures)
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """One call to its answer."""
         try:
             return await self._answer(request, closing)
@@ -59,7 +60,7 @@
             headers = [(b"allow", allowed)] if isinstance(error, NotByThisMethod) else []
             return page(status, error.told(), closing(), headers)
 
-    async def _answer(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def _answer(self, request: Message, closing: Callable[[], bool]) -> Response:
         act, _, what = request.target.decode("latin-1").partition("?")
         if act == BACK and (part := self.service.subsystems.get("maintenance")) is not None:
             if request.method != b"PUT":
@@ -75,11 +76,11 @@
         if request.target == b"/fleet/metrics":
             body = self.metrics.text()
             head = write_head(200, [(b"content-type", CONTENT_TYPE.encode())], len(body), closing())
-            return Reply(200, head + body)
+            return Response(200, head + body)
         shown = self.service.shown() if request.target == b"/policy" else self.service.fleet()
         return page(200, shown, closing())
 
-    def complain(self, status: int, text: str) -> Reply:
+    def error_response(self, status: int, text: str) -> Response:
         """The answer to what breaks HTTP or a bound."""
         return page(status, Unreadable(text).told(), True)
 
@@ -101,11 +102,11 @@
     return int(base)
 
 
-def page(status: int, told: object, close: bool, headers: Headers | None = None) -> Reply:
+def page(status: int, told: object, close: bool, headers: Headers | None = None) -> Response:
     """An answer in JSON."""
     body = msgspec.json.encode(told)
     head = write_head(status, [(b"content-type", b"application/json"), *(headers or [])], len(body), close)
-    return Reply(status, head + body)
+    return Response(status, head + body)
 
 
 def open_policy(
--- a/mallowbeam/storage_gateway/coordination/shares/part.py
+++ b/mallowbeam/storage_gateway/coordination/shares/part.py
@@ -32,7 +32,7 @@
 from mallowbeam.storage_gateway.coordination.subsystem import Hands
 from mallowbeam.storage_gateway.operator_settings import SharesSection
 from mallowbeam.storage_gateway.scheduler.interface import Plan
-from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 
 MIX_S = 1.0  # seconds between looks at how a tenant's calls part into placed and new ones
 LEAST = 0.01  # units of late under which a plan or a mix is forgotten: some 8 s after one call
@@ -77,7 +77,7 @@
         self.gone: dict[str, bool] = {}
         self.known: dict[str, Plan | None] = {}  # plans that anybody asked under, as in force
         self.refused = 0
-        self.bad = Sparse("shares: an allotment does not hold, the static part does")
+        self.bad = RateLimitedWarning("shares: an allotment does not hold, the static part does")
         hands.observe(lambda fields: self.observed(fields, time.monotonic()))
 
     # --- what the service tells -------------------------------------------------------------------
--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -19,7 +19,7 @@
 from urllib.parse import unquote
 
 from mallowbeam.http.framing import HOP_BY_HOP, TOKEN, Channel, Headers, Message, write_head
-from mallowbeam.http.front import Reply
+from mallowbeam.http.handler import Response
 from mallowbeam.storage_gateway.frontends.object_api.access import require
 from mallowbeam.storage_gateway.frontends.object_api.bodies import KNOWN, Body, bare
 from mallowbeam.storage_gateway.frontends.object_api.calls import Request
@@ -116,7 +116,7 @@
 
     # --- calls of clients -----------------------------------------------------------------------
 
-    async def on_bucket(self, call: BucketCall) -> Reply:
+    async def on_bucket(self, call: BucketCall) -> Response:
         """A call on a bucket: a barrier of a buffered one, or what the front offers for any."""
         if call.bucket in self.buffer.settings.buckets:
             if self.buffer.phase is not Phase.OPEN:
@@ -125,7 +125,7 @@
                 return await self._barrier_call(call)
         return await super().on_bucket(call)
 
-    async def serve(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Reply:
+    async def serve(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
         """A call on an object: from here, into the buffer, or to its node."""
         if request.bucket not in self.buffer.settings.buckets:
             return await self._direct(request, request_id, closing)
@@ -143,7 +143,7 @@
         """Seconds that a write or barrier may take, by its client or its class."""
         return self.seconds(self.settings.write_class, message.get(b"x-deadline-ms"))
 
-    async def _direct(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Reply:
+    async def _direct(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
         """A call straight to its node; a large body is held whole after all."""
         async with self.held(request.message):
             return await self.pass_on(request, request_id, closing)
@@ -166,7 +166,7 @@
 
     # --- writes ---------------------------------------------------------------------------------
 
-    async def _write(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Reply:
+    async def _write(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
         """A PUT or DELETE: taken in, or sent to its node where it can't be."""
         message, buffer = request.message, self.buffer
         barrier = request.headers.get(BARRIER)
@@ -200,9 +200,9 @@
         if lsn is not None:
             headers.append((BARRIER_ID, b"%d" % lsn))
         if request.method == b"DELETE":
-            return Reply(204, write_head(204, headers, None, closing()))
+            return Response(204, write_head(204, headers, None, closing()))
         headers.append((b"etag", entry.etag.encode()))
-        return Reply(200, write_head(200, headers, 0, closing()))
+        return Response(200, write_head(200, headers, 0, closing()))
 
     def _standing(self, request: Request) -> Entry | None:
         """The last write of that name taken in, durable or about to be."""
@@ -283,7 +283,7 @@
 
     # --- barriers -------------------------------------------------------------------------------
 
-    async def _barrier_call(self, call: BucketCall) -> Reply:
+    async def _barrier_call(self, call: BucketCall) -> Response:
         """`POST /b?barrier=sync|through` sets one, `GET /b?barrier=N` tells whether it has passed."""
         buffer, message, bucket, what = self.buffer, call.message, call.bucket, call.query["barrier"]
         require(call.key, "read" if message.method == b"GET" else "write", bucket, b"")
@@ -294,7 +294,7 @@
                 raise Error("NoSuchBarrier")
             if buffer.core.before(lsn) is not None:
                 raise slow_down(self._seconds(buffer.core.before(lsn) or 0))
-            return Reply(200, write_head(200, headers, 0, call.closing()))
+            return Response(200, write_head(200, headers, 0, call.closing()))
         if message.method != b"POST":
             raise Error("MethodNotAllowed")
         if what not in ("sync", "through"):
@@ -308,7 +308,7 @@
         headers.append((BARRIER_ID, b"%d" % lsn))
         if what == "through":
             await self._through(bucket, lsn, self._deadline(message))
-        return Reply(200, write_head(200, headers, 0, call.closing()))
+        return Response(200, write_head(200, headers, 0, call.closing()))
 
     async def _through(self, bucket: str, lsn: int, seconds: float) -> None:
         """Wait for a barrier; where it won't pass in time that is said at once, with its number for later."""
@@ -322,7 +322,7 @@
 
     # --- reads ----------------------------------------------------------------------------------
 
-    async def _read(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Reply:
+    async def _read(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
         """A GET or HEAD: from here while the key is buffered, else from its node."""
         entry = self.buffer.newest(request.bucket, request.path)
         if entry is None:
@@ -344,7 +344,7 @@
         if status == 412:
             raise Error("PreconditionFailed")
         if status == 304:
-            return Reply(304, write_head(304, headers, None, closing()))
+            return Response(304, write_head(304, headers, None, closing()))
         start, end = 0, write.size
         asked = request.headers.get(b"range")
         if asked and request.headers.get(b"if-range", write.etag.encode()) == write.etag.encode():
@@ -353,7 +353,7 @@
                 headers.append(range_of(start, end, write.size))
         if request.method == b"HEAD" or not write.pieces:
             head = write_head(status, headers, end - start, closing())
-            return Reply(status, head + whole[start:end])
+            return Response(status, head + whole[start:end])
 
         async def stream(channel: Channel) -> bool:
             await channel.send(write_head(status, headers, end - start, closing()))
@@ -364,7 +364,7 @@
                 return False  # the client can tell that it is not whole
             return True
 
-        return Reply(status, write=stream)
+        return Response(status, write=stream)
 
     async def overlay(self, query: Query) -> dict[str, Item | None]:
         """What is buffered of a listing: the nodes do not have it yet, or still have what is deleted here.
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -18,17 +18,9 @@
 from urllib.parse import parse_qsl, quote, unquote_to_bytes
 from zlib import crc32
 
-from mallowbeam.http.framing import (
-    HOP_BY_HOP,
-    TOKEN,
-    Budget,
-    Channel,
-    Headers,
-    Message,
-    in_chunks,
-    write_head,
-)
-from mallowbeam.http.front import Reply
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.framing import HOP_BY_HOP, TOKEN, Channel, Headers, Message, in_chunks, write_head
+from mallowbeam.http.handler import Response
 from mallowbeam.http.stream import Stream, copy
 from mallowbeam.storage_gateway.frontends.object_api import batches
 from mallowbeam.storage_gateway.frontends.object_api.access import Access, Key, require
@@ -89,13 +81,13 @@
     def __init__(self, gateway: Gateway, settings: ObjectSettings) -> None:
         self.gateway, self.settings = gateway, settings
         self.max_body = self.whole = settings.max_body
-        self.budget = Budget(settings.held)
+        self.budget = BodyBudget(settings.held)
         self.access: Access | None = None
         if settings.keys is not None:
             self.access = Access(Path(settings.keys))
             self.access.open()
 
-    async def handle(self, message: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, message: Message, closing: Callable[[], bool]) -> Response:
         """One call to its one answer."""
         request_id = secrets.token_hex(8)
         try:
@@ -105,7 +97,7 @@
         except Error as error:
             return self.error(error, message, request_id, closing())
 
-    async def serve(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Reply:
+    async def serve(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
         """A call on an object; raises `Error`."""
         return await self.pass_on(request, request_id, closing)
 
@@ -154,7 +146,7 @@
         require(key, "read" if request.reads else "write", request.bucket, name)
         return request
 
-    async def on_bucket(self, call: BucketCall) -> Reply:
+    async def on_bucket(self, call: BucketCall) -> Response:
         """A call on a bucket as a whole: its listing, or many deletes; raises `Error`."""
         asked = set(call.query) - SIGNED
         if call.message.method == b"POST" and asked - {"x-id"} == {"delete"}:
@@ -178,12 +170,12 @@
         return self.gateway.now() + self.seconds(cls, call.headers.get(b"x-deadline-ms"))
 
     @staticmethod
-    def _document(body: bytes, call: BucketCall) -> Reply:
+    def _document(body: bytes, call: BucketCall) -> Response:
         """A document of this front's own."""
         told = [(b"content-type", b"application/xml"), (b"x-amz-request-id", call.request_id.encode())]
-        return Reply(200, write_head(200, told, len(body), call.closing()) + body)
+        return Response(200, write_head(200, told, len(body), call.closing()) + body)
 
-    async def _delete_many(self, call: BucketCall) -> Reply:
+    async def _delete_many(self, call: BucketCall) -> Response:
         """DeleteObjects: each name a call like any other, a few at a time, all within one deadline."""
         until = self._until(call, self.settings.write_class)
         async with self.held(call.message):
@@ -265,7 +257,7 @@
         else:
             unwrap(message, headers, signatures)
 
-    async def pass_on(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Reply:
+    async def pass_on(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
         """A call to its home node; raises `Error`."""
         if request.method in (b"PUT", b"POST"):
             await self.unwrap(request.message, request.headers, request.signatures)
@@ -280,14 +272,14 @@
             return self._streamed(request, answer, answer.stream, request_id, closing)
         return self._whole(request, answer, request_id, closing())
 
-    def complain(self, status: int, text: str) -> Reply:
+    def error_response(self, status: int, text: str) -> Response:
         """The answer to what breaks HTTP or a bound."""
         code = CODE_OF.get(status, "InvalidRequest")
         headers = [(b"content-type", b"application/xml")]
         if code == "SlowDown":
             headers.append((b"retry-after", b"1"))
         body = error_body(code, b"", "")
-        return Reply(ERRORS[code][0], write_head(ERRORS[code][0], headers, len(body), True) + body)
+        return Response(ERRORS[code][0], write_head(ERRORS[code][0], headers, len(body), True) + body)
 
     def ended(self, request: Message, status: int, whole: bool) -> None:
         """A call is over: reads and writes count for the classes that stand for them."""
@@ -348,14 +340,14 @@
         }
 
     @staticmethod
-    def error(error: Error, message: Message, request_id: str, close: bool) -> Reply:
+    def error(error: Error, message: Message, request_id: str, close: bool) -> Response:
         """An S3 error."""
         body = error_body(error.code, message.target, request_id)
         headers = [(b"content-type", b"application/xml"), (b"x-amz-request-id", request_id.encode())]
         head = write_head(ERRORS[error.code][0], headers + error.headers, len(body), close)
-        return Reply(ERRORS[error.code][0], head + body)
+        return Response(ERRORS[error.code][0], head + body)
 
-    def _whole(self, request: Request, answer: Answer, request_id: str, close: bool) -> Reply:
+    def _whole(self, request: Request, answer: Answer, request_id: str, close: bool) -> Response:
         """A node's answer that was read whole; what names an upload is put in the client's terms."""
         headers, body = passed_on(answer, request_id), answer.body
         if request.method == b"HEAD":
@@ -363,8 +355,8 @@
             if answer.status == 200 and length is not None and (asked := request.headers.get(b"range")):
                 if piece := cut_here(asked, length):
                     headers.append(range_of(*piece, length))
-                    return Reply(206, write_head(206, headers, piece[1] - piece[0], close))
-            return Reply(answer.status, write_head(answer.status, headers, length, close))
+                    return Response(206, write_head(206, headers, piece[1] - piece[0], close))
+            return Response(answer.status, write_head(answer.status, headers, length, close))
         if answer.status >= 400 and not body:
             code = CODE_OF.get(answer.status, "InvalidRequest")
             if code == "NoSuchKey" and request.upload:
@@ -374,11 +366,11 @@
         elif answer.status == 200 and (request.initiates or request.upload and request.method == b"GET"):
             body = rename_upload(bytes(body), request.upload, request.shard)
         size = None if answer.status in (204, 304) else len(body)
-        return Reply(answer.status, write_head(answer.status, headers, size, close) + body)
+        return Response(answer.status, write_head(answer.status, headers, size, close) + body)
 
     def _streamed(
         self, request: Request, answer: Answer, stream: Stream, request_id: str, closing: Callable[[], bool]
-    ) -> Reply:
+    ) -> Response:
         """A body that is passed on as it comes, cut here where the node left the range to us."""
         headers, status, length = passed_on(answer, request_id), answer.status, length_of(answer.headers)
         start, end = 0, length
@@ -404,7 +396,7 @@
             finally:
                 stream.close()
 
-        return Reply(status, write=write)
+        return Response(status, write=write)
 
 
 async def gather(*work: Coroutine[Any, Any, T]) -> list[T]:
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -7,8 +7,9 @@
 from collections.abc import Callable
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.http.framing import MAX_BODY, TOKEN, Budget, Channel, Message, in_chunks, write_head
-from mallowbeam.http.front import Reply, plain
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.framing import MAX_BODY, TOKEN, Channel, Message, in_chunks, write_head
+from mallowbeam.http.handler import Response, text_response
 from mallowbeam.http.stream import MOST, Stream, copy
 from mallowbeam.storage_gateway.scheduler.interface import Repeat
 from mallowbeam.storage_gateway.server.calls import Answer, Call, Kind, length_of, read_deadline, time_left
@@ -51,24 +52,24 @@
     max_body, whole = MOST, MAX_BODY
 
     def __init__(self, gateway: Gateway) -> None:
-        self.gateway, self.budget = gateway, Budget(min(HELD, gateway.config.memory // 8))
+        self.gateway, self.budget = gateway, BodyBudget(min(HELD, gateway.config.memory // 8))
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """One request to its one answer."""
         if request.target == b"/healthz" and request.method in (b"GET", b"HEAD"):
             return readiness(self.gateway, closing())
         try:
             call = self.read(request)
         except BadRequest as error:
-            return plain(400, str(error), closing())
+            return text_response(400, str(error), closing())
         answer = await self.gateway.submit(call)
         if answer.stream is not None:
             return self.streamed(answer, answer.stream, request, closing)
         return self.write(answer, closing())
 
-    def complain(self, status: int, text: str) -> Reply:
+    def error_response(self, status: int, text: str) -> Response:
         """The answer to what breaks HTTP or a bound."""
-        return plain(status, text, True, RETRY_AFTER if status == REFUSED else None)
+        return text_response(status, text, True, RETRY_AFTER if status == REFUSED else None)
 
     def ended(self, request: Message, status: int, whole: bool) -> None:
         """A request is over: it counts for the class it names."""
@@ -138,7 +139,7 @@
         )
 
     @staticmethod
-    def streamed(answer: Answer, stream: Stream, request: Message, closing: Callable[[], bool]) -> Reply:
+    def streamed(answer: Answer, stream: Stream, request: Message, closing: Callable[[], bool]) -> Response:
         """A large answer, passed on as it comes."""
         size = length_of(answer.headers)
         chunked = in_chunks(request, size)
@@ -150,14 +151,16 @@
             finally:
                 stream.close()  # its attempt waits for no client that has gone
 
-        return Reply(200, write=write)
+        return Response(200, write=write)
 
     @staticmethod
-    def write(answer: Answer, close: bool) -> Reply:
+    def write(answer: Answer, close: bool) -> Response:
         """An answer as the client gets it."""
         if answer.kind is Kind.SERVED:
-            return Reply(200, write_head(200, [], len(answer.body), close) + answer.body)
+            return Response(200, write_head(200, [], len(answer.body), close) + answer.body)
         if answer.kind is Kind.FAILED:
-            return plain(FAILED, "failed", close)
+            return text_response(FAILED, "failed", close)
         after = answer.retry_after
-        return plain(REFUSED, "refused", close, [(b"retry-after", b"%.3f" % after)] if after else None)
+        return text_response(
+            REFUSED, "refused", close, [(b"retry-after", b"%.3f" % after)] if after else None
+        )
--- a/mallowbeam/storage_gateway/server/admin.py
+++ b/mallowbeam/storage_gateway/server/admin.py
@@ -8,9 +8,10 @@
 import re
 from collections.abc import Callable
 
+from mallowbeam.http.budget import BodyBudget
 from mallowbeam.http.connection import Connection
-from mallowbeam.http.framing import Budget, Message
-from mallowbeam.http.front import Reply, plain
+from mallowbeam.http.framing import Message
+from mallowbeam.http.handler import Response, text_response
 from mallowbeam.http.server import Server
 from mallowbeam.storage_gateway.server.config import ADMIN_SOCKETS
 from mallowbeam.storage_gateway.server.gateway import Gateway
@@ -23,37 +24,37 @@
     """Answers the operators' calls."""
 
     max_body = whole = MAX_ID
-    budget: Budget | None = None
+    budget: BodyBudget | None = None
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
-        self.calls: dict[bytes, tuple[bytes, Callable[[Message], Reply]]] = {
+        self.calls: dict[bytes, tuple[bytes, Callable[[Message], Response]]] = {
             b"/_ready": (b"GET", self._ready),
             b"/_vars": (b"GET", self._vars),
             b"/_storage-nodes/detach": (b"PUT", lambda request: self._by_hand(request, True)),
             b"/_storage-nodes/attach": (b"PUT", lambda request: self._by_hand(request, False)),
         }
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """One call to its answer."""
         method, call = self.calls.get(request.target.partition(b"?")[0], (b"", None))
         if call is None:
-            return plain(404, "no such call", True)
+            return text_response(404, "no such call", True)
         if request.method != method and (request.method, method) != (b"HEAD", b"GET"):
-            return plain(405, "not by this method", True, [(b"allow", method)])
+            return text_response(405, "not by this method", True, [(b"allow", method)])
         return call(request)
 
-    def complain(self, status: int, text: str) -> Reply:
+    def error_response(self, status: int, text: str) -> Response:
         """The answer to what breaks HTTP or a bound."""
-        return plain(status, text, True)
+        return text_response(status, text, True)
 
     def ended(self, request: Message, status: int, whole: bool) -> None:
         """Operators' calls are not among the figures."""
 
-    def _ready(self, _: Message) -> Reply:
-        return plain(200 if self.gateway.ready else 503, self.gateway.phase.value, True)
+    def _ready(self, _: Message) -> Response:
+        return text_response(200 if self.gateway.ready else 503, self.gateway.phase.value, True)
 
-    def _vars(self, _: Message) -> Reply:
+    def _vars(self, _: Message) -> Response:
         gateway = self.gateway
         text = gateway.metrics.write(
             {
@@ -63,16 +64,16 @@
                 **{name: value for part in gateway.parts for name, value in part.gauges().items()},
             }
         )
-        return plain(200, text, True)
+        return text_response(200, text, True)
 
-    def _by_hand(self, request: Message, out: bool) -> Reply:
+    def _by_hand(self, request: Message, out: bool) -> Response:
         """Take a node out, or let it serve again: both hold from this yes on."""
         node = request.body.decode("latin-1").strip()
         if not ID.match(node):
-            return plain(400, "the body is not the id of a storage node", True)
+            return text_response(400, "the body is not the id of a storage node", True)
         if not self.gateway.by_hand(node, out):
-            return plain(404, "no such storage node", True)
-        return plain(200, "out" if out else "back", True)
+            return text_response(404, "no such storage node", True)
+        return text_response(200, "out" if out else "back", True)
 
 
 class Caller(Connection):
@@ -98,5 +99,5 @@
         return None
     # Guards the operators: a second process with this address would answer for the first now and then.
     server = Server(gateway.config.admin, Admin(gateway), ADMIN_SOCKETS, Caller, shared=False)
-    server.last_answers()  # one call a connection
+    server.close_after_responses()  # one call a connection
     return server
--- a/mallowbeam/storage_gateway/server/attempts.py
+++ b/mallowbeam/storage_gateway/server/attempts.py
@@ -12,7 +12,14 @@
 
 from loguru import logger
 
-from mallowbeam.http.client import Broken, Link, NoRoom, Pool, Spoilt, Unsent
+from mallowbeam.http.client import (
+    ConnectionBrokenError,
+    ConnectionLimitError,
+    Link,
+    Pool,
+    RemoteProtocolError,
+    RequestNotSentError,
+)
 from mallowbeam.http.framing import Headers, Message, write_request
 from mallowbeam.http.stream import Stream
 from mallowbeam.storage_gateway.scheduler import interface as io
@@ -20,7 +27,7 @@
 from mallowbeam.storage_gateway.server.calls import MARGIN, SILENT, Answer, Call, Exchange, Kind
 from mallowbeam.storage_gateway.server.config import Config
 from mallowbeam.storage_gateway.server.handover import Sister
-from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 from mallowbeam.storage_gateway.server.metrics import Metrics
 
 MOST_DIGITS = 9  # of a figure that a node tells
@@ -42,8 +49,8 @@
     exchanges: dict[str, Exchange]
     tasks: dict[tuple[str, int], asyncio.Task[Ended]]  # the attempts that are out
     sister: Sister | None
-    no_room: Sparse
-    spoilt: Sparse
+    no_room: RateLimitedWarning
+    spoilt: RateLimitedWarning
     now: Callable[[], float]
     _apply: Callable[[Orders], None]  # do what the module wants done
     _left: Callable[[Call], float]  # seconds that a call may take from now on
@@ -120,17 +127,17 @@
             return Outcome.NOT_SENT, None
         except TimeoutError:
             return self._unless(link, Outcome.TIMEOUT), None
-        except NoRoom as error:
+        except ConnectionLimitError as error:
             self.no_room(error)
             return Outcome.NOT_SENT, None
-        except Unsent:
+        except RequestNotSentError:
             # Guards a node that lives: one that took the connection was reached, and says no more by a reset.
             return (Outcome.NO_CONNECTION if link is None else Outcome.NOT_SENT), None
-        except Spoilt as error:
+        except RemoteProtocolError as error:
             # Guards a node that lives against being taken for a dead one: it has run this and answers others.
             self.spoilt(error)
             return self._unless(link, Outcome.ERROR), None
-        except Broken:
+        except ConnectionBrokenError:
             return self._unless(link, Outcome.RESET), None
         except Exception as error:
             if link is not None:  # it may have run
@@ -195,7 +202,7 @@
             async with asyncio.timeout(SILENT):
                 await link.write(piece)
         if body.broken:
-            raise Unsent("the client's body broke off")
+            raise RequestNotSentError("the client's body broke off")
         if call.length is None:
             await link.write(b"")
         left = self._left(call)
@@ -221,7 +228,7 @@
                 if answer.whole:
                     return await stream.put(None)
                 if most is not None and answer.came > most:
-                    raise Spoilt("an answer without end")
+                    raise RemoteProtocolError("an answer without end")
                 async with asyncio.timeout(SILENT):
                     await link.more(answer)
         except BaseException:
--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -20,11 +20,11 @@
 from loguru import logger
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.http.client import Broken, Link, Unsent, connect
+from mallowbeam.http.client import ConnectionBrokenError, Link, RequestNotSentError, connect
 from mallowbeam.http.framing import Message, write_request
 from mallowbeam.storage_gateway.scheduler import interface as io
 from mallowbeam.storage_gateway.server.listing import BadListing, Listing, decode_listing
-from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 
 # What discovery has, and could be asked for, counts as told 6 s later, whatever call failed.  In the worst
 # phase it is back just after a call began that still runs into its time-out; then comes the module's longest
@@ -66,7 +66,10 @@
         self.revision: int | None = revision  # None: ask for the whole list first
         self.anew = False  # the last call failed or fell silent
         self.paused = False  # the other process of this gateway watches for both
-        self.failed, self.fell_silent = Sparse("discovery call failed"), Sparse("discovery fell silent")
+        self.failed, self.fell_silent = (
+            RateLimitedWarning("discovery call failed"),
+            RateLimitedWarning("discovery fell silent"),
+        )
         self.task: asyncio.Task[None] | None = None
 
     def begin(self) -> None:
@@ -126,7 +129,11 @@
         except Silent:
             ended = io.ListKind.SILENT
             self.fell_silent("asked anew")
-        except (Unsent, Broken, ValueError) as error:  # no good list, or an address that is none
+        except (
+            RequestNotSentError,
+            ConnectionBrokenError,
+            ValueError,
+        ) as error:  # no good list, or an address that is none
             self.failed(str(error) or type(error).__name__)
         except Exception as error:
             # Guards the watch itself: a fault with one list must not end the sight of all later ones.
@@ -175,7 +182,10 @@
         return wait, wait + OVERDUE
 
     async def _call(self, link: Link, wait: float) -> Message:
-        """One long poll, or one call for the whole list, on a connection; raises `Unsent`, `Broken`."""
+        """One long poll, or one call for the complete list, on a connection.
+
+        Raises `RequestNotSentError` and `ConnectionBrokenError`.
+        """
         target = b"/v1/servers"
         if self.revision is not None:
             target += b"?since=%d&timeout_ms=%d" % (self.revision, wait * 1000)
@@ -183,5 +193,5 @@
         answer = await link.head()
         await link.body(answer)
         if answer.status != 200:
-            raise Broken(f"status {answer.status}")
+            raise ConnectionBrokenError(f"status {answer.status}")
         return answer
--- a/mallowbeam/storage_gateway/server/gateway.py
+++ b/mallowbeam/storage_gateway/server/gateway.py
@@ -14,8 +14,8 @@
 
 from loguru import logger
 
+from mallowbeam.http.budget import BodyBudget
 from mallowbeam.http.client import Pool
-from mallowbeam.http.framing import Budget
 from mallowbeam.http.server import Server
 from mallowbeam.storage_gateway.scheduler import interface as io
 from mallowbeam.storage_gateway.scheduler.gateway_host import NEVER, Facade, Orders, Verdict
@@ -26,7 +26,7 @@
 from mallowbeam.storage_gateway.server.discovery import Watch
 from mallowbeam.storage_gateway.server.handover import Handover, Legacy, Sister
 from mallowbeam.storage_gateway.server.listing import Listing, write_listing
-from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 from mallowbeam.storage_gateway.server.metrics import Metrics
 
 LAME_DUCK = 0.5  # seconds after SIGTERM in which all goes on as before, at least
@@ -51,7 +51,7 @@
             config.idle_limit,
             config.connect_timeout,
             min(MAX_ANSWER, config.memory // 32),
-            Budget(config.memory // 8),
+            BodyBudget(config.memory // 8),
         )
         self.watch = Watch(
             config.discovery, config.known.revision, self._told, not config.settings.discovery_on_request
@@ -68,8 +68,8 @@
         self.stopping, self.handed_over = asyncio.Event(), asyncio.Event()
         self.leave_at = NEVER  # when all must be answered
         self.sister: Sister | None = None  # the other process of this gateway, while there are two
-        self.no_room = Sparse("no room for a connection to a node")
-        self.spoilt = Sparse("a node's answer can't be read")
+        self.no_room = RateLimitedWarning("no room for a connection to a node")
+        self.spoilt = RateLimitedWarning("a node's answer can't be read")
 
     def now(self) -> float:
         """Unix time that never jumps."""
@@ -165,7 +165,7 @@
     async def _hand_over(self) -> None:
         """Let the new process take what comes, until nothing is left here or SIGTERM has come."""
         for server in self.servers:
-            server.last_answers()
+            server.close_after_responses()
         for server in self.servers:
             await server.shut()  # its accept queue is the new process's
         await self._each(part.hand_over() for part in self.parts)
--- a/mallowbeam/storage_gateway/server/health.py
+++ b/mallowbeam/storage_gateway/server/health.py
@@ -10,25 +10,26 @@
 import socket
 from collections.abc import Callable
 
-from mallowbeam.http.closing import LINGER
-from mallowbeam.http.framing import Budget, Message, write_head
-from mallowbeam.http.front import Reply, plain
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.framing import Message, write_head
+from mallowbeam.http.handler import Response, text_response
 from mallowbeam.http.server import Server
+from mallowbeam.http.shutdown import LINGER
 from mallowbeam.storage_gateway.server.calls import Phase
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
 
-def readiness(gateway: Gateway, close: bool) -> Reply:
+def readiness(gateway: Gateway, close: bool) -> Response:
     """The readiness page: 200 while clients should be sent here, 503 else, with the phase as its text."""
-    return plain(200 if gateway.ready else 503, gateway.phase.value, close)
+    return text_response(200 if gateway.ready else 503, gateway.phase.value, close)
 
 
-def page(gateway: Gateway, path: bytes, close: bool) -> Reply | None:
+def page(gateway: Gateway, path: bytes, close: bool) -> Response | None:
     """A health page, or None if there is none at that path."""
     if path == b"/healthz":
         return readiness(gateway, close)
     if path == b"/livez":
-        return plain(200, "alive", close)
+        return text_response(200, "alive", close)
     if path == b"/status":
         body = json.dumps(
             {
@@ -41,7 +42,7 @@
             }
         ).encode()
         head = write_head(200, [(b"content-type", b"application/json")], len(body), close)
-        return Reply(200, head + body)
+        return Response(200, head + body)
     return None
 
 
@@ -49,20 +50,20 @@
     """A front that serves the health pages alone."""
 
     max_body = whole = 0
-    budget: Budget | None = None
+    budget: BodyBudget | None = None
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """One page."""
         if request.method not in (b"GET", b"HEAD"):
-            return plain(405, "only GET", closing(), [(b"allow", b"GET, HEAD")])
-        return page(self.gateway, request.target, closing()) or plain(404, "no such page", closing())
+            return text_response(405, "only GET", closing(), [(b"allow", b"GET, HEAD")])
+        return page(self.gateway, request.target, closing()) or text_response(404, "no such page", closing())
 
-    def complain(self, status: int, text: str) -> Reply:
+    def error_response(self, status: int, text: str) -> Response:
         """The answer to what breaks HTTP or a bound."""
-        return plain(status, text, True)
+        return text_response(status, text, True)
 
     def ended(self, request: Message, status: int, whole: bool) -> None:
         """Checks are not among the figures."""
--- a/mallowbeam/storage_gateway/server/log.py
+++ b/mallowbeam/storage_gateway/server/log.py
@@ -7,8 +7,8 @@
 from loguru import logger
 
 from mallowbeam.http import reporting
-from mallowbeam.http.reporting import APART as APART
-from mallowbeam.http.reporting import Sparse as Sparse
+from mallowbeam.http.reporting import WARNING_INTERVAL_S as WARNING_INTERVAL_S
+from mallowbeam.http.reporting import RateLimitedWarning as RateLimitedWarning
 
 
 class Forward(logging.Handler):
--- a/mallowbeam/storage_gateway/write_buffer/flush.py
+++ b/mallowbeam/storage_gateway/write_buffer/flush.py
@@ -9,7 +9,7 @@
 import msgspec
 from loguru import logger
 
-from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 from mallowbeam.storage_gateway.write_buffer import core as decisions
 from mallowbeam.storage_gateway.write_buffer.errors import Failed
 from mallowbeam.storage_gateway.write_buffer.intake import Intake
@@ -29,8 +29,8 @@
     _settling: list[int]  # settled, and the log does not say so yet
     _timer: asyncio.TimerHandle | None
     _sending: int  # calls at the gateway
-    _held: Sparse
-    _trouble: Sparse
+    _held: RateLimitedWarning
+    _trouble: RateLimitedWarning
 
     # --- doing what the core wants --------------------------------------------------------------
 
--- a/mallowbeam/storage_gateway/write_buffer/service.py
+++ b/mallowbeam/storage_gateway/write_buffer/service.py
@@ -17,7 +17,7 @@
 
 from loguru import logger
 
-from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 from mallowbeam.storage_gateway.write_buffer import core as decisions
 from mallowbeam.storage_gateway.write_buffer.core import Core, Replay
 from mallowbeam.storage_gateway.write_buffer.disk import Disk, Locked, RealDisk
@@ -62,8 +62,8 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._main: asyncio.Task[None] | None = None
         self._sending = 0  # calls at the gateway
-        self._held = Sparse("a buffered write is held for an operator")
-        self._trouble = Sparse("the buffer's disk is in trouble")
+        self._held = RateLimitedWarning("a buffered write is held for an operator")
+        self._trouble = RateLimitedWarning("the buffer's disk is in trouble")
 
     # --- coming and going -----------------------------------------------------------------------
 
--- a/tests/http/test_accepting.py
+++ b/tests/http/test_accepting.py
@@ -13,7 +13,7 @@
 
 from mallowbeam.http import server as servers
 from mallowbeam.http.framing import Message
-from mallowbeam.http.front import Reply, plain
+from mallowbeam.http.handler import Response, text_response
 from mallowbeam.http.server import Server
 
 PATIENCE = 10.0  # seconds until what is expected counts as missing
@@ -30,13 +30,13 @@
         self.held, self.count = asyncio.Event(), 0
         self.held.set()
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         self.count += 1
         await self.held.wait()
-        return plain(200, "here", closing())
+        return text_response(200, "here", closing())
 
-    def complain(self, status: int, text: str) -> Reply:
-        return plain(status, text, True)
+    def error_response(self, status: int, text: str) -> Response:
+        return text_response(status, text, True)
 
     def ended(self, request: Message, status: int, whole: bool) -> None:
         pass
@@ -201,7 +201,7 @@
     async def play(server: Server) -> None:
         server.start()
         sock = knock(server)
-        server.last_answers()
+        server.close_after_responses()
         whole = await answer(sock)
         assert whole.startswith(b"HTTP/1.1 200") and b"connection: close" in whole
         await server.drain()
--- a/tests/http/test_broken_off.py
+++ b/tests/http/test_broken_off.py
@@ -7,7 +7,7 @@
 from raw import Raw, come, request
 from scenario import World
 
-from mallowbeam.http.closing import reset_at_close
+from mallowbeam.http.shutdown import reset_at_close
 
 
 @pytest.mark.parametrize("keep", [(), ("connection: keep-alive",)], ids=["close", "keep-alive"])
--- a/tests/http/test_closing.py
+++ b/tests/http/test_closing.py
@@ -13,9 +13,9 @@
 
 from mallowbeam.http import closing
 from mallowbeam.http import connection as connections
-from mallowbeam.http.closing import Stage
 from mallowbeam.http.connection import Connection
 from mallowbeam.http.framing import Channel
+from mallowbeam.http.shutdown import Stage
 
 LATER = 60.0  # seconds after which anything idle or stalled has been so for too long
 
@@ -342,7 +342,7 @@
     async def run() -> None:
         async with World() as world:
             server = world.gateway.servers[-1]
-            server.last_answers()
+            server.close_after_responses()
             client, here = await come(world, request(1))
             await world.play("n0 expect GET")
             send = here.channel.send
--- a/tests/http/test_waiting.py
+++ b/tests/http/test_waiting.py
@@ -6,9 +6,9 @@
 from raw import come, request, until
 from scenario import World
 
-from mallowbeam.http.ahead import MOST, PIECE, Ahead
+from mallowbeam.http.budget import BodyBudget
 from mallowbeam.http.connection import PIPELINED
-from mallowbeam.http.framing import Budget
+from mallowbeam.http.read_ahead import MOST, PIECE, ReadAhead
 
 PIPE = PIPELINED + 20
 
@@ -51,8 +51,8 @@
 
 def test_pieces_read_ahead_keep_when_they_were_read_and_are_bounded_however_small():
     """Guards memory against a trickle: a byte a read would hold a hundred times its size."""
-    budget = Budget(1 << 30)
-    ahead = Ahead(budget)
+    budget = BodyBudget(1 << 30)
+    ahead = ReadAhead(budget)
     while not ahead.full:
         ahead.put(memoryview(b"x"), float(len(ahead.pieces)))
     assert len(ahead.pieces) <= MOST / PIECE + 1 and budget.used == ahead.held
--- a/tests/router/control_plane/test_control_plane_large_bodies.py
+++ b/tests/router/control_plane/test_control_plane_large_bodies.py
@@ -16,7 +16,7 @@
 from control_plane_rig import PATIENCE, Answer, configuration, heartbeat
 from project_paths import ROOT, SUPPORT
 
-from mallowbeam.http.budget import ANOTHER_LARGE_BODY, TOO_MANY_BODIES, Budget
+from mallowbeam.http.budget import ANOTHER_LARGE_BODY, TOO_MANY_BODIES, BodyBudget
 from mallowbeam.http.framing import Framer
 from mallowbeam.http.server import Server
 from mallowbeam.router.configuration.errors import ConfigurationError
@@ -106,7 +106,7 @@
     """What the connections of one server hold together."""
 
     def setUp(self) -> None:
-        self.budget = Budget(MOST_BODIES, LARGE_BODY)
+        self.budget = BodyBudget(MOST_BODIES, LARGE_BODY)
 
     def fed(self, data: bytes) -> Framer:
         framer = Framer(answers=False, max_body=MOST_BODY, budget=self.budget)
--- a/tests/router/control_plane/test_control_plane_serving.py
+++ b/tests/router/control_plane/test_control_plane_serving.py
@@ -13,7 +13,7 @@
 from control_plane_rig import configuration, heartbeat
 from project_paths import SCENARIOS as SCENARIO_FOLDER
 
-from mallowbeam.http.front import Reply
+from mallowbeam.http.handler import Response
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.versions import ConfigurationVersions
 from mallowbeam.router.control_plane.answers import OutOfTouchError
@@ -248,21 +248,21 @@
             self.gate,
         )
 
-    async def call(self, method: str, path: str, body: bytes = b"", based_on: int | None = None) -> Reply:
+    async def call(self, method: str, path: str, body: bytes = b"", based_on: int | None = None) -> Response:
         headers = () if based_on is None else (("If-Match", str(based_on)),)
         call = ApiCall(method, path, body, headers)
         return await self.api.handle(message_of(call, self.situation.now), lambda: False)
 
-    async def get(self) -> Reply:
+    async def get(self) -> Response:
         return await self.call("GET", "/mallowbeam/config")
 
-    async def put(self) -> Reply:
+    async def put(self) -> Response:
         return await self.call("PUT", "/mallowbeam/config", json.dumps(configuration(2)).encode(), 1)
 
-    async def beat(self, state: str = "ready") -> Reply:
+    async def beat(self, state: str = "ready") -> Response:
         return await self.call("PUT", "/mallowbeam/instances/i", heartbeat(1, state))
 
-    async def delete(self) -> Reply:
+    async def delete(self) -> Response:
         return await self.call("DELETE", "/mallowbeam/instances/i")
 
     async def test_in_touch_all_is_answered(self) -> None:
--- a/tests/router/data_plane/test_data_plane_answers.py
+++ b/tests/router/data_plane/test_data_plane_answers.py
@@ -14,7 +14,7 @@
 from gateway_bench import ENGINE, Bench, events, read_answer, request_bytes
 from virtual_time import play
 
-from mallowbeam.http.client import Broken, Link, Unsent, connect
+from mallowbeam.http.client import ConnectionBrokenError, Link, RequestNotSentError, connect
 from mallowbeam.http.framing import Message
 from mallowbeam.router.data_plane import link_pool
 from mallowbeam.router.data_plane.link_pool import LinkPool
@@ -230,7 +230,7 @@
             peer.sendall(NO_LENGTH)
             answer = await link.ask(HEAD % LARGE, b"b" * LARGE)
             peer.close()  # over bytes that nobody read: a reset
-            with self.assertRaises(Broken):
+            with self.assertRaises(ConnectionBrokenError):
                 await link.body(answer)
 
         self.play(scenario)
@@ -335,7 +335,7 @@
                 return link
 
             pool = LinkPool(10)
-            with patch.object(link_pool, "connect", slowly), self.assertRaises(Unsent):
+            with patch.object(link_pool, "connect", slowly), self.assertRaises(RequestNotSentError):
                 await pool.take("i-1", address, 1)
             self.assertEqual(pool._count, 0)
             instance.stop()
--- a/tests/router/data_plane/test_exchange_model.py
+++ b/tests/router/data_plane/test_exchange_model.py
@@ -11,7 +11,7 @@
 from exchange_model import Explorer, Setting, Violation
 from gateway_bench import ENGINE, configuration, route
 
-from mallowbeam.http.client import Broken, Link
+from mallowbeam.http.client import ConnectionBrokenError, Link
 from mallowbeam.http.framing import Channel, Message
 from mallowbeam.router.data_plane import attempt
 from mallowbeam.router.data_plane.attempt import Attempt, SendOrder
@@ -177,7 +177,7 @@
     async def forgiving(self: Link) -> bool:
         try:
             return await read(self)
-        except Broken:
+        except ConnectionBrokenError:
             return False
 
     stack.enter_context(patch.object(Link, "_read", forgiving))
--- a/tests/router/processes/test_processes_metrics.py
+++ b/tests/router/processes/test_processes_metrics.py
@@ -6,7 +6,7 @@
 import unittest
 
 from mallowbeam.http.framing import Message
-from mallowbeam.http.front import Reply
+from mallowbeam.http.handler import Response
 from mallowbeam.router.processes.metrics import Metric, MetricsFront, exposition
 from mallowbeam.router.processes.settings import MetricsPage, SettingsField, parse_settings
 from mallowbeam.simulation.fleet_processes import ApiCall, message_of
@@ -42,7 +42,7 @@
 
 
 class Page(unittest.TestCase):
-    def ask(self, method: str, target: str) -> Reply:
+    def ask(self, method: str, target: str) -> Response:
         front = MetricsFront(b"/figures", lambda: [Metric("ready", 1, "Ready.")])
         message: Message = message_of(ApiCall(method, target), 1.0)
         return asyncio.run(front.handle(message, lambda: False))
--- a/tests/storage_gateway/coordination/test_fleet_service.py
+++ b/tests/storage_gateway/coordination/test_fleet_service.py
@@ -231,7 +231,7 @@
             assert (status, told["error"], told["where"]) == (wanted, name, where), told
             assert told["what"] and told["remedy"]
         assert (await world.ask("GET", "/policy"))[1]["version"] == 0
-        told = json.loads(world.pages.complain(413, "too long").data.partition(b"\r\n\r\n")[2])
+        told = json.loads(world.pages.error_response(413, "too long").data.partition(b"\r\n\r\n")[2])
         assert told["error"] == "Unreadable" and told["remedy"]
 
     play(scene)
--- a/tests/storage_gateway/server/test_links.py
+++ b/tests/storage_gateway/server/test_links.py
@@ -11,8 +11,8 @@
 from scenario import World
 
 from mallowbeam.http import client as upstream
-from mallowbeam.http.client import NoRoom, Pool, Unsent
-from mallowbeam.http.framing import Budget
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.client import ConnectionLimitError, Pool, RequestNotSentError
 
 RESET = (socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
 HEAD = "HTTP/1.1 200 OK\\r\\n"
@@ -142,7 +142,7 @@
 
 
 def pool(most: int = 2) -> Pool:
-    return Pool(most, 10.0, 5.0, 65536, Budget(1 << 20))
+    return Pool(most, 10.0, 5.0, 65536, BodyBudget(1 << 20))
 
 
 def address(listener: socket.socket) -> str:
@@ -182,7 +182,7 @@
             if what == "forget":
                 links.drop(task.result())
             elif what in ("refused", "malformed"):
-                assert isinstance(task.exception(), Unsent)
+                assert isinstance(task.exception(), RequestNotSentError)
             elif not task.cancelled():  # it was up already: then it is handed over whole
                 links.drop(task.result())
             assert links.count == 0 and not any(links.idle.values())
@@ -197,7 +197,7 @@
         with socket.create_server(("127.0.0.1", 0)) as one, socket.create_server(("127.0.0.1", 0)) as two:
             links = pool(most=2)
             held = [await links.take(address(one)) for _ in range(2)]
-            with pytest.raises(NoRoom):
+            with pytest.raises(ConnectionLimitError):
                 await links.take(address(two))
             assert links.keep(held[0])
             third = await links.take(address(two))
--- a/tests/storage_gateway/server/test_lists_bad.py
+++ b/tests/storage_gateway/server/test_lists_bad.py
@@ -14,7 +14,7 @@
 from scenario import EXAMPLE, World, play
 
 from mallowbeam.http import reporting
-from mallowbeam.http.client import Unsent, connect
+from mallowbeam.http.client import RequestNotSentError, connect
 from mallowbeam.storage_gateway.scheduler import interface as io
 from mallowbeam.storage_gateway.scheduler import nodes
 from mallowbeam.storage_gateway.server import discovery
@@ -180,7 +180,7 @@
 @pytest.mark.parametrize("address", ["127.0.0.1:1", "localhost:1", "[::1]:1", "::1:1"])
 def test_an_address_that_passes_leads_to_a_connection_or_to_unsent(address):
     assert can_be_connected(address)
-    with pytest.raises(Unsent):
+    with pytest.raises(RequestNotSentError):
         uvloop.run(connect(address, 5.0, 1024))
 
 
--- a/tests/storage_gateway/server/test_written.py
+++ b/tests/storage_gateway/server/test_written.py
@@ -14,7 +14,7 @@
 import uvloop
 from scenario import World
 
-from mallowbeam.http.client import Link, Unsent
+from mallowbeam.http.client import Link, RequestNotSentError
 from mallowbeam.http.framing import CHUNK, Channel, Framer
 from mallowbeam.storage_gateway.server import attempts
 
@@ -130,7 +130,7 @@
         link.channel.sock.holds = False
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         peer.close()
-        with pytest.raises(Unsent):
+        with pytest.raises(RequestNotSentError):
             for _ in range(3):  # the first write may still be taken
                 await link.request(b"head", b"b" * CHUNK)
         assert not link.written
--- a/tests/support/exchange_model.py
+++ b/tests/support/exchange_model.py
@@ -17,7 +17,7 @@
 
 from mallowbeam.http.client import Link
 from mallowbeam.http.framing import Channel, Framer, Message
-from mallowbeam.http.front import Reply
+from mallowbeam.http.handler import Response
 from mallowbeam.router.configuration.model import Configuration
 from mallowbeam.router.data_plane import attempt, link_pool
 from mallowbeam.router.data_plane.front import ClientFront
@@ -82,7 +82,7 @@
     def __init__(self, world: World, id: bytes) -> None:
         self.id = id
         self.whole = False  # the answer looks complete
-        self.reply: Reply | None = None
+        self.reply: Response | None = None
         self.channel = ClientChannel()
         self.task = asyncio.get_running_loop().create_task(self._run(world.front, world.request(id)))
 
--- a/tests/support/simulated.py
+++ b/tests/support/simulated.py
@@ -15,7 +15,7 @@
 
 from project_paths import EXAMPLE
 
-from mallowbeam.http.client import Link, Unsent
+from mallowbeam.http.client import Link, RequestNotSentError
 from mallowbeam.http.framing import Framer
 from mallowbeam.storage_gateway.scheduler import interface as io
 from mallowbeam.storage_gateway.server import config as configs
@@ -103,10 +103,10 @@
     async def connect(self, address: str, timeout: float, max_body: int) -> Link:
         """In the place of `upstream.connect`."""
         if self.down and self.failing == "refused":
-            raise Unsent("refused")
+            raise RequestNotSentError("refused")
         if self.down and self.failing == "lost":
             await asyncio.sleep(timeout)
-            raise Unsent("the connection never came up")
+            raise RequestNotSentError("the connection never came up")
         return Link(Wire(self, max_body), address)
 
     async def answer(self, wire: Wire, since: int | None, wait: float) -> None:
