--- a/tests/http/test_closing.py
+++ b/tests/http/test_closing.py
@@ -11,8 +11,8 @@
 from raw import Raw, arrive, come, request, until
 from scenario import World
 
-from mallowbeam.http import closing
 from mallowbeam.http import connection as connections
+from mallowbeam.http import shutdown
 from mallowbeam.http.connection import Connection
 from mallowbeam.http.framing import Channel
 from mallowbeam.http.shutdown import Stage
@@ -166,7 +166,7 @@
 
 def test_a_flood_behind_the_last_answer_is_read_within_a_bound_and_then_rests(monkeypatch):
     """Guards both: the core against a client that sends for ever, and the answer against the close."""
-    monkeypatch.setattr(closing, "LINGER", LATER)
+    monkeypatch.setattr(shutdown, "LINGER", LATER)
 
     async def run() -> None:
         async with World() as world:
@@ -283,7 +283,7 @@
 
 
 def test_a_client_that_never_ends_its_side_is_closed_when_its_time_is_over(monkeypatch):
-    monkeypatch.setattr(closing, "LINGER", 0.05)
+    monkeypatch.setattr(shutdown, "LINGER", 0.05)
 
     async def run() -> None:
         async with World() as world:
@@ -303,8 +303,8 @@
 
 
 def test_where_room_is_short_a_lingering_connection_is_cut_short(monkeypatch):
-    monkeypatch.setattr(closing, "LINGER", LATER)
-    monkeypatch.setattr(closing, "LINGER_LEAST", 0.0)
+    monkeypatch.setattr(shutdown, "LINGER", LATER)
+    monkeypatch.setattr(shutdown, "LINGER_LEAST", 0.0)
 
     async def run() -> None:
         async with World() as world:
@@ -365,7 +365,7 @@
 
 def test_requests_without_end_do_not_keep_a_connection_that_leaves(monkeypatch):
     """Guards the planned end: what crosses it is answered for a while only."""
-    monkeypatch.setattr(closing, "LINGER", 0.0)
+    monkeypatch.setattr(shutdown, "LINGER", 0.0)
     monkeypatch.setattr(connections, "LINGER", 0.0)
 
     async def run() -> None:
--- a/tests/storage_gateway/server/test_clients_gone.py
+++ b/tests/storage_gateway/server/test_clients_gone.py
@@ -9,8 +9,8 @@
 from raw import PATIENT, Raw, arrive, come, request, until
 from scenario import World
 
-from mallowbeam.http import ahead
 from mallowbeam.http import connection as connections
+from mallowbeam.http import read_ahead
 from mallowbeam.http.connection import PIPELINED
 
 MANY = 200  # more than what is read ahead
@@ -29,10 +29,10 @@
     assert connections.LOOK <= 0.05
 
 
-@pytest.fixture(params=[0, ahead.MOST], ids=["none", "much"])
+@pytest.fixture(params=[0, read_ahead.MOST], ids=["none", "much"])
 def read_ahead(monkeypatch: pytest.MonkeyPatch, request: pytest.FixtureRequest) -> int:
     """How much is read ahead: past it the client's end has to be looked for."""
-    monkeypatch.setattr(ahead, "MOST", request.param)
+    monkeypatch.setattr(read_ahead, "MOST", request.param)
     return request.param
 
 
@@ -59,7 +59,7 @@
 
 def test_a_request_whose_client_has_just_left_is_not_handed_on(monkeypatch):
     """The crossing between two looks: the answer before it comes in the very moment its client leaves."""
-    monkeypatch.setattr(ahead, "MOST", 0)
+    monkeypatch.setattr(read_ahead, "MOST", 0)
 
     async def run() -> None:
         async with World() as world:
@@ -118,7 +118,7 @@
 
 def test_a_client_that_only_waits_stays(monkeypatch):
     """The look takes no one for gone who is there: all that waits is answered."""
-    monkeypatch.setattr(ahead, "MOST", 0)
+    monkeypatch.setattr(read_ahead, "MOST", 0)
 
     async def run() -> None:
         async with World(Classes=PATIENT) as world:
--- a/tests/storage_gateway/server/test_connections.py
+++ b/tests/storage_gateway/server/test_connections.py
@@ -8,7 +8,7 @@
 import uvloop
 from scenario import World, play
 
-from mallowbeam.http import closing, connection
+from mallowbeam.http import connection, shutdown
 from mallowbeam.storage_gateway.server import gateway
 
 PLAIN = (
@@ -173,7 +173,7 @@
 @pytest.mark.parametrize("front", ["c", "o"])
 def test_what_follows_a_request_that_is_too_large_is_read_for_a_while_only(monkeypatch, front):
     """Guards the core: a client that sends 60 MB at full speed was read for as long as it went on."""
-    monkeypatch.setattr(closing, "LINGER", 60.0)
+    monkeypatch.setattr(shutdown, "LINGER", 60.0)
 
     async def run() -> None:
         async with World() as world:
--- a/tests/storage_gateway/server/test_lists_bad.py
+++ b/tests/storage_gateway/server/test_lists_bad.py
@@ -193,7 +193,7 @@
 def test_bad_lists_are_failed_calls_and_the_list_known_before_stays_whole(monkeypatch):
     """Over sockets, one after the other: asked again each time, one warning, no trace, and it serves."""
     soon(monkeypatch)
-    monkeypatch.setattr(reporting, "APART", 1e9)
+    monkeypatch.setattr(reporting, "WARNING_INTERVAL_S", 1e9)
     lines: list[str] = []
     number = logger.add(lines.append, level="DEBUG")
 
