--- a/mallowbeam/storage_gateway/application.py
+++ b/mallowbeam/storage_gateway/application.py
@@ -118,7 +118,7 @@
 def open_fleet(gateway: Gateway, fronts: dict[str, Any]) -> Server:
     """The fleet's log, with the subsystems that are on; raises `BadConfig`."""
     try:
-        from mallowbeam.storage_gateway.coordination.page import open_policy
+        from mallowbeam.storage_gateway.coordination.status_pages import open_policy
         from mallowbeam.storage_gateway.operator_settings import SUBSYSTEMS, PolicySection, convert
 
         sections = {
