--- a/mallowbeam/http/read_ahead.py
+++ b/mallowbeam/http/read_ahead.py
@@ -6,8 +6,8 @@
 
 from mallowbeam.http.budget import BodyBudget
 
-MOST = 64 * 1024  # bytes that one client may have here
-PIECE = 128  # bytes that each piece counts for besides: a trickle must not hold more
+MAX_READ_AHEAD = 64 * 1024  # bytes that one client may have here
+CHUNK_OVERHEAD = 128  # bytes that each piece counts for besides: a trickle must not hold more
 
 
 class ReadAhead:
@@ -24,17 +24,17 @@
     @property
     def full(self) -> bool:
         """Whether nothing more may be read: the rest stays with its client."""
-        return self.held >= MOST or self.budget is not None and self.budget.used >= self.budget.most
+        return self.held >= MAX_READ_AHEAD or self.budget is not None and self.budget.used >= self.budget.most
 
     def put(self, data: memoryview, at: float) -> None:
         """Keep what was read at a time."""
         self.pieces.append((at, bytes(data)))
-        self._charge(len(data) + PIECE)
+        self._charge(len(data) + CHUNK_OVERHEAD)
 
     def take(self) -> tuple[float, bytes]:
         """When the next piece was read, and the piece."""
         at, data = self.pieces.popleft()
-        self._charge(-len(data) - PIECE)
+        self._charge(-len(data) - CHUNK_OVERHEAD)
         return at, data
 
     def drop(self) -> None:
--- a/tests/http/test_waiting.py
+++ b/tests/http/test_waiting.py
@@ -8,7 +8,7 @@
 
 from mallowbeam.http.budget import BodyBudget
 from mallowbeam.http.connection import PIPELINED
-from mallowbeam.http.read_ahead import MOST, PIECE, ReadAhead
+from mallowbeam.http.read_ahead import CHUNK_OVERHEAD, MAX_READ_AHEAD, ReadAhead
 
 PIPE = PIPELINED + 20
 
@@ -55,7 +55,7 @@
     ahead = ReadAhead(budget)
     while not ahead.full:
         ahead.put(memoryview(b"x"), float(len(ahead.pieces)))
-    assert len(ahead.pieces) <= MOST / PIECE + 1 and budget.used == ahead.held
+    assert len(ahead.pieces) <= MAX_READ_AHEAD / CHUNK_OVERHEAD + 1 and budget.used == ahead.held
     assert [ahead.take() for _ in range(2)] == [(0.0, b"x"), (1.0, b"x")]
     ahead.drop()
     assert budget.used == ahead.held == 0 and not ahead
--- a/tests/storage_gateway/server/test_clients_gone.py
+++ b/tests/storage_gateway/server/test_clients_gone.py
@@ -29,18 +29,18 @@
     assert connections.LOOK <= 0.05
 
 
-@pytest.fixture(params=[0, read_ahead.MOST], ids=["none", "much"])
-def read_ahead(monkeypatch: pytest.MonkeyPatch, request: pytest.FixtureRequest) -> int:
+@pytest.fixture(params=[0, read_ahead.MAX_READ_AHEAD], ids=["none", "much"])
+def read_ahead_limit(monkeypatch: pytest.MonkeyPatch, request: pytest.FixtureRequest) -> int:
     """How much is read ahead: past it the client's end has to be looked for."""
-    monkeypatch.setattr(read_ahead, "MOST", request.param)
+    monkeypatch.setattr(read_ahead, "MAX_READ_AHEAD", request.param)
     return request.param
 
 
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("count", [1, MANY])
-def test_a_client_that_sends_much_at_once_and_goes_is_noticed(monkeypatch, read_ahead, way, count):
+def test_a_client_that_sends_much_at_once_and_goes_is_noticed(monkeypatch, read_ahead_limit, way, count):
     """Guards nodes: behind unread requests neither an end nor a reset was seen, and all were sent on."""
-    if read_ahead:
+    if read_ahead_limit:
         monkeypatch.setattr(connections, "gone", lambda sock: False)  # the reader sees it by itself
 
     async def run() -> None:
@@ -59,7 +59,7 @@
 
 def test_a_request_whose_client_has_just_left_is_not_handed_on(monkeypatch):
     """The crossing between two looks: the answer before it comes in the very moment its client leaves."""
-    monkeypatch.setattr(read_ahead, "MOST", 0)
+    monkeypatch.setattr(read_ahead, "MAX_READ_AHEAD", 0)
 
     async def run() -> None:
         async with World() as world:
@@ -118,7 +118,7 @@
 
 def test_a_client_that_only_waits_stays(monkeypatch):
     """The look takes no one for gone who is there: all that waits is answered."""
-    monkeypatch.setattr(read_ahead, "MOST", 0)
+    monkeypatch.setattr(read_ahead, "MAX_READ_AHEAD", 0)
 
     async def run() -> None:
         async with World(Classes=PATIENT) as world:
@@ -135,7 +135,7 @@
     uvloop.run(run())
 
 
-def test_what_is_read_ahead_is_answered_in_turn(read_ahead):
+def test_what_is_read_ahead_is_answered_in_turn(read_ahead_limit):
     """Hundreds at once, a body that passes through and one that is held among them, noise at the end."""
 
     async def run() -> None:
