--- a/mallowbeam/cli/system_client.py
+++ b/mallowbeam/cli/system_client.py
@@ -19,6 +19,7 @@
     ControlAddressError,
     NoAnswerError,
 )
+from mallowbeam.router.error_body import ErrorBody
 
 CONNECT_S = 1.0  # seconds for a connection to come up
 ANSWER_S = 3.0  # seconds for an answer
@@ -28,6 +29,7 @@
 LONGEST_PAUSE_S = 1.0
 MOST_REDIRECTS = 2
 MOST_ANSWER_BYTES = 64 * 1024 * 1024
+MOST_ERROR_TEXT = 200  # bytes shown of an error that is not in the control API's form
 ASK_ANOTHER = frozenset((408, 429))  # of the 4xx: they say nothing of the call itself
 NOT_EXECUTED = frozenset((408, 429, 503))  # answers which promise that nothing was changed
 REDIRECTS = frozenset((307, 308))
@@ -181,8 +183,7 @@
 
 def _told(answer: Answer) -> str:
     """What an answer says of its error, on one line."""
-    try:
-        error = json.loads(answer.body)["error"]
-        return f"{error['code']} {error['where']} {error['what']} ({error['remedy']})"
-    except (ValueError, KeyError, TypeError):
-        return answer.body[:200].decode(errors="replace").replace("\n", " ")
+    error = ErrorBody.parse(answer.body)
+    if error is not None:
+        return error.line
+    return answer.body[:MOST_ERROR_TEXT].decode(errors="replace").replace("\n", " ")
--- a/mallowbeam/router/control_plane/answers.py
+++ b/mallowbeam/router/control_plane/answers.py
@@ -8,6 +8,7 @@
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.framing import Headers, write_head
 from mallowbeam.http.front import Reply
+from mallowbeam.router.error_body import ErrorBody
 
 JSON_TYPE = (b"content-type", b"application/json")
 RETRY_AFTER = (b"retry-after", b"0.2")  # seconds, with a 503: an election takes about as long
@@ -98,14 +99,8 @@
     With a 5xx, `others` are the control addresses of members to which the caller may turn. A redirection to
     one of them would be a guess: it may be cut off as well.
     """
-    told = {
-        "code": getattr(error, "code", "") or type(error).__name__,
-        "where": error.where,
-        "what": error.what,
-        "remedy": error.cure,
-    }
     more = (RETRY_AFTER,) if status == 503 else ()
-    page: dict[str, object] = {"error": told}
+    page: dict[str, object] = {"error": ErrorBody.from_error(error).fields()}
     if status >= 500 and others:
         page["members"] = list(others)
     return json_reply(status, page, close, *more)
