--- a/mallowbeam/router/control_plane/api.py
+++ b/mallowbeam/router/control_plane/api.py
@@ -14,7 +14,7 @@
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.patch import parse_patch
 from mallowbeam.router.configuration.versions import ConfigurationVersions, patch_command, put_command
-from mallowbeam.router.control_plane.answers import (
+from mallowbeam.router.control_plane.api_errors import (
     CallError,
     InvalidOutcomeError,
     LargeBodyError,
@@ -24,11 +24,16 @@
     body_reply,
     error_reply,
 )
-from mallowbeam.router.control_plane.commands import Commands
-from mallowbeam.router.control_plane.instances import Instances
-from mallowbeam.router.control_plane.large_bodies import LARGE_BODY, LargeBodies, Work, run_in_thread
-from mallowbeam.router.control_plane.serving import AppliedEntry, ConfirmedRead, Said, ServingGate
-from mallowbeam.router.control_plane.status import StatusPage
+from mallowbeam.router.control_plane.body_admission import LARGE_BODY, LargeBodyAdmission, Work, run_in_thread
+from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
+from mallowbeam.router.control_plane.instance_service import InstanceService
+from mallowbeam.router.control_plane.response_gate import (
+    AppliedEntry,
+    ConfirmedRead,
+    ResponseGate,
+    ResponseKind,
+)
+from mallowbeam.router.control_plane.status_page import StatusPage
 from mallowbeam.router.registry.errors import HeartbeatError
 from mallowbeam.router.registry.parse import check_id, parse_heartbeat
 from mallowbeam.router.rpc.messages_pb2 import (
@@ -67,15 +72,15 @@
         self,
         parser: ConfigurationParser,
         versions: ConfigurationVersions,
-        commands: Commands,
-        instances: Instances,
+        commands: CommandForwarder,
+        instances: InstanceService,
         status: StatusPage,
-        gate: ServingGate,
+        gate: ResponseGate,
         work: Work = run_in_thread,
     ) -> None:
         """`work` runs what large bodies take beside the event loop."""
         self.budget: Budget | None = Budget(MOST_BODIES, LARGE_BODY)
-        self._large_bodies = LargeBodies(parser, work)
+        self._large_bodies = LargeBodyAdmission(parser, work)
         self._parser, self._versions, self._commands = parser, versions, commands
         self._instances, self._status, self._gate = instances, status, gate
         self._calls: dict[tuple[bytes, bytes], Call] = {
@@ -139,11 +144,11 @@
         outcome = await self._commands.submit(command, since)
         evidence = AppliedEntry(outcome.index)
         if outcome.result in REFUSALS:
-            self._gate.check(Said.CHANGE_REFUSED, evidence)
+            self._gate.check(ResponseKind.CHANGE_REFUSED, evidence)
             raise REFUSALS[outcome.result]()
         if outcome.result not in (DONE, ALREADY_DONE):
             raise OutcomeUnknownError("a copy of this call may have been taken, or may yet be", "revision")
-        self._gate.check(Said.CHANGE_ACKNOWLEDGED, evidence)
+        self._gate.check(ResponseKind.CHANGE_ACKNOWLEDGED, evidence)
         return 200, b'{"revision":%d}' % revision
 
     async def _whole(self, request: Message, based_on: int) -> PutConfiguration:
@@ -165,7 +170,7 @@
     async def _get_config(self, request: Message, since: float) -> tuple[int, bytes]:
         self._gate.check_reachable()
         await self._commands.read_barrier(since)
-        self._gate.check(Said.CONFIGURATION_READ, ConfirmedRead(since))
+        self._gate.check(ResponseKind.CONFIGURATION_READ, ConfirmedRead(since))
         body = self._versions.current_body()
         if not body:
             raise CallError("no configuration was taken yet", status=404)
--- a/mallowbeam/router/control_plane/answers.py
+++ b/mallowbeam/router/control_plane/api_errors.py
@@ -34,7 +34,7 @@
     remedy = "send the call again; if this lasts, more than half of the members can't reach each other"
 
 
-class OutOfTouchError(CallError):
+class IsolatedMemberError(CallError):
     """This member is cut off from the group, or stood still in the middle of the call."""
 
     code = "CONTROL_OUT_OF_TOUCH"
--- a/mallowbeam/router/control_plane/attempt_words.py
+++ b/mallowbeam/router/control_plane/attempt_reports.py
@@ -19,7 +19,7 @@
 TELL_S = 0.4  # between two words to the other members, at the least
 
 
-class AttemptWords:
+class AttemptReports:
     """What gateways and members told of late."""
 
     def __init__(self) -> None:
--- a/mallowbeam/router/control_plane/large_bodies.py
+++ b/mallowbeam/router/control_plane/body_admission.py
@@ -16,7 +16,7 @@
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.patch import parse_patch
 from mallowbeam.router.configuration.versions import patch_command, put_command
-from mallowbeam.router.control_plane.answers import LargeBodyError
+from mallowbeam.router.control_plane.api_errors import LargeBodyError
 from mallowbeam.router.rpc.messages_pb2 import PutConfiguration
 
 LARGE_BODY = 256 * 1024  # bytes above which a body is large
@@ -31,7 +31,7 @@
         """Run a job to its result; its exception is raised."""
 
 
-async def run_at_once(job: Callable[[], Result]) -> Result:
+async def run_inline(job: Callable[[], Result]) -> Result:
     """Run a job in this step: where there are no threads, as in the simulation."""
     return job()
 
@@ -49,7 +49,7 @@
     parser: ConfigurationParser | None = None
 
 
-class LargeBodies:
+class LargeBodyAdmission:
     """Turns large bodies into commands, one at a time."""
 
     def __init__(self, parser: ConfigurationParser, work: Work) -> None:
--- a/mallowbeam/router/control_plane/first_start.py
+++ b/mallowbeam/router/control_plane/bootstrap.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FirstState:
+class InitialState:
     """What a member writes to an empty store."""
 
     identity: int
@@ -33,28 +33,30 @@
     return f"{host}:{port}"
 
 
-def derived_identity(control: str) -> int:
+def seed_identity(control: str) -> int:
     """The id of a seed, from its control address."""
     digest = hashlib.blake2b(control.encode(), digest_size=ID_BYTES).digest()
     return int.from_bytes(digest, "big") or 1
 
 
-def drawn_identity(random: Random) -> int:
+def random_identity(random: Random) -> int:
     """The id of a disk that was empty."""
     return random.randrange(1, 1 << (8 * ID_BYTES))
 
 
-def first_state(control: str, seeds: Sequence[str], bootstrap: bool, port: int, random: Random) -> FirstState:
+def initial_state(
+    control: str, seeds: Sequence[str], bootstrap: bool, port: int, random: Random
+) -> InitialState:
     """The first state of a member with an empty store; `port` is that of all link listeners."""
     if bootstrap and control in seeds:
-        return FirstState(derived_identity(control), founders_snapshot(seeds, port))
-    return FirstState(drawn_identity(random), Snapshot())
+        return InitialState(seed_identity(control), founding_snapshot(seeds, port))
+    return InitialState(random_identity(random), Snapshot())
 
 
-def founders_snapshot(seeds: Sequence[str], port: int) -> Snapshot:
+def founding_snapshot(seeds: Sequence[str], port: int) -> Snapshot:
     """The first snapshot of the seeds: one voter for each of them, and no state."""
     members = [
-        Member(id=derived_identity(seed), address=peer_address(seed, port), control=seed, voter=True)
+        Member(id=seed_identity(seed), address=peer_address(seed, port), control=seed, voter=True)
         for seed in sorted(set(seeds))
     ]
     membership = Membership(members=members, target_voters=len(members))
--- a/mallowbeam/router/control_plane/commands.py
+++ b/mallowbeam/router/control_plane/command_forwarder.py
@@ -12,11 +12,11 @@
 from typing import TypeVar
 
 from mallowbeam.router.consensus.errors import ConsensusError
-from mallowbeam.router.control_plane.answers import NothingProposedError, OutcomeUnknownError
+from mallowbeam.router.control_plane.api_errors import NothingProposedError, OutcomeUnknownError
 from mallowbeam.router.control_plane.peer_links import PeerLinks
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
-from mallowbeam.router.control_plane.state_machine import Outcome
-from mallowbeam.router.control_plane.waiting import ProposalLost, ReadRefused
+from mallowbeam.router.control_plane.state_machine import CommandOutcome
+from mallowbeam.router.control_plane.wait_conditions import ProposalLostError, ReadNotConfirmedError
 from mallowbeam.router.rpc.messages_pb2 import (
     APPLIED,
     NOT_LEADER,
@@ -30,23 +30,23 @@
     ReadIndexResponse,
 )
 
-PATIENCE = 0.9  # seconds from a call's coming in to its answer; callers wait for one
-NO_LEADER_PATIENCE = 0.7  # seconds without any leader after which a call is turned away
-LEAST_WAIT = 0.001
+CALL_TIMEOUT_S = 0.9  # seconds from a call's coming in to its answer; callers wait for one
+NO_LEADER_TIMEOUT_S = 0.7  # seconds without any leader after which a call is turned away
+MIN_WAIT_S = 0.001
 REQUEST_ID_BITS = 62  # of the first id; later ones count up from it
-RETRY_PAUSE = 0.03  # seconds before a leader that did not take a call is asked again
+RETRY_BACKOFF_S = 0.03  # seconds before a leader that did not take a call is asked again
 
 Answer = TypeVar("Answer")
 
 
-class NotTaken(ConsensusError):
+class CommandNotAcceptedError(ConsensusError):
     """The member that was asked did not take the call: it is not the leader, or can't be reached."""
 
     code = "CONSENSUS_NOT_TAKEN"
     remedy = "ask the leader"
 
 
-class Commands:
+class CommandForwarder:
     """Passes commands and reads to the leader, and answers those that other members pass on."""
 
     def __init__(self, driver: RaftDriver, links: PeerLinks) -> None:
@@ -54,12 +54,12 @@
         self._loop = asyncio.get_running_loop()
         # Begun elsewhere in each process: answers to an earlier process are none of this one's.
         self._last_id = secrets.randbits(REQUEST_ID_BITS)
-        self._proposals: dict[int, asyncio.Future[Outcome]] = {}
+        self._proposals: dict[int, asyncio.Future[CommandOutcome]] = {}
         self._reads: dict[int, asyncio.Future[int]] = {}
 
     # ------------------------------------------------------------ for callers
 
-    async def submit(self, command: Command, since: float) -> Outcome:
+    async def submit(self, command: Command, since: float) -> CommandOutcome:
         """Have a command applied; `since` is the steady time at which the call came in.
 
         Raises NothingProposedError, or OutcomeUnknownError where it may yet be applied.
@@ -72,8 +72,8 @@
                 continue
             try:
                 outcome = await self._until_change(attempt, attempts.left())
-            except NotTaken:
-                await self._leadership_change(min(RETRY_PAUSE, attempts.left()))
+            except CommandNotAcceptedError:
+                await self._leadership_change(min(RETRY_BACKOFF_S, attempts.left()))
                 continue
             except ConsensusError:  # lost with its leader's term
                 attempts.proposed = True
@@ -96,7 +96,7 @@
             try:
                 index = await self._until_change(attempt, attempts.left())
             except ConsensusError:
-                await self._leadership_change(min(RETRY_PAUSE, attempts.left()))
+                await self._leadership_change(min(RETRY_BACKOFF_S, attempts.left()))
                 continue
             if index is not None and await self._applied(index, attempts.left()):
                 return
@@ -115,11 +115,11 @@
         if answer is None or answer.done():
             return
         if response.status == APPLIED:
-            answer.set_result(Outcome(response.result, response.index, response.token))
+            answer.set_result(CommandOutcome(response.result, response.index, response.token))
         elif response.status == NOT_LEADER:
-            answer.set_exception(NotTaken("not the leader", step="propose"))
+            answer.set_exception(CommandNotAcceptedError("not the leader", step="propose"))
         else:
-            answer.set_exception(ProposalLost("lost with the leader's term", step="propose"))
+            answer.set_exception(ProposalLostError("lost with the leader's term", step="propose"))
 
     def read_index(self, sender: int, request: ReadIndexRequest) -> None:
         """A member asks for a read index."""
@@ -134,9 +134,9 @@
         if response.confirmed:
             answer.set_result(response.index)
         else:
-            answer.set_exception(ReadRefused("not confirmed", step="read"))
+            answer.set_exception(ReadNotConfirmedError("not confirmed", step="read"))
 
-    def _answer_proposal(self, sender: int, request_id: int, done: asyncio.Future[Outcome]) -> None:
+    def _answer_proposal(self, sender: int, request_id: int, done: asyncio.Future[CommandOutcome]) -> None:
         response = ProposeResponse(id=request_id)
         if done.cancelled():
             return
@@ -159,7 +159,7 @@
 
     # ------------------------------------------------------------ attempts
 
-    def _propose_to_leader(self, command: Command) -> asyncio.Future[Outcome] | None:
+    def _propose_to_leader(self, command: Command) -> asyncio.Future[CommandOutcome] | None:
         """One attempt at the leader that is known; None without one."""
         leader = self._driver.leader_id
         if leader is None:
@@ -186,7 +186,9 @@
         """Send a request to the leader; its answer's future, forgotten once it is over."""
         answer: asyncio.Future[Answer] = self._loop.create_future()
         if not self._links.send(leader, frame):
-            answer.set_exception(NotTaken("the leader can't be reached", step="send", peer=leader))
+            answer.set_exception(
+                CommandNotAcceptedError("the leader can't be reached", step="send", peer=leader)
+            )
             return answer
         waiting[request_id] = answer
         answer.add_done_callback(lambda _: waiting.pop(request_id, None))
@@ -229,19 +231,19 @@
     """How long a call's attempts may go on."""
 
     def __init__(self, since: float) -> None:
-        self._deadline = since + PATIENCE
-        self._without_leader_until = since + NO_LEADER_PATIENCE
+        self._deadline = since + CALL_TIMEOUT_S
+        self._without_leader_until = since + NO_LEADER_TIMEOUT_S
         self.proposed = False  # what became of it is not known
         self._first = True
 
     def left(self) -> float:
         """Seconds until the call has to be answered."""
-        return max(LEAST_WAIT, self._deadline - time.monotonic())
+        return max(MIN_WAIT_S, self._deadline - time.monotonic())
 
     def left_without_leader(self) -> float:
         """Seconds that may be spent on waiting for a leader."""
         end = self._deadline if self.proposed else self._without_leader_until
-        return max(LEAST_WAIT, end - time.monotonic())
+        return max(MIN_WAIT_S, end - time.monotonic())
 
     def go_on(self, leader: int | None) -> bool:
         """Whether there is time for one more attempt."""
@@ -256,16 +258,16 @@
 
 def _status_of(error: BaseException) -> ProposeStatus:
     """What to tell of a proposal that failed."""
-    if isinstance(error, ProposalLost):
+    if isinstance(error, ProposalLostError):
         return UNKNOWN
     return NOT_LEADER  # refused by the core: nothing was proposed
 
 
-def _not_taken_as_such(answer: asyncio.Future[Outcome]) -> asyncio.Future[Outcome]:
-    """A proposal's future that tells a refusal of this member's core as `NotTaken`."""
-    translated: asyncio.Future[Outcome] = answer.get_loop().create_future()
+def _not_taken_as_such(answer: asyncio.Future[CommandOutcome]) -> asyncio.Future[CommandOutcome]:
+    """A proposal's future that tells a refusal of this member's core as `CommandNotAcceptedError`."""
+    translated: asyncio.Future[CommandOutcome] = answer.get_loop().create_future()
 
-    def done(original: asyncio.Future[Outcome]) -> None:
+    def done(original: asyncio.Future[CommandOutcome]) -> None:
         if original.cancelled():
             return
         error = original.exception()  # also where nobody waits any more: it counts as seen
@@ -273,10 +275,10 @@
             return
         if error is None:
             translated.set_result(original.result())
-        elif isinstance(error, ProposalLost):
+        elif isinstance(error, ProposalLostError):
             translated.set_exception(error)
         else:
-            translated.set_exception(NotTaken(str(error), step="propose"))
+            translated.set_exception(CommandNotAcceptedError(str(error), step="propose"))
 
     answer.add_done_callback(done)
     return translated
--- a/mallowbeam/router/control_plane/feeds.py
+++ b/mallowbeam/router/control_plane/feed_server.py
@@ -15,7 +15,7 @@
 MOST_FEEDS = 1024  # gateways that one member takes; others go to another member
 
 
-class Feeds:
+class FeedServer:
     """Subscribed gateways by their connections."""
 
     def __init__(
--- a/mallowbeam/router/control_plane/link_listener.py
+++ b/mallowbeam/router/control_plane/frame_dispatcher.py
@@ -77,7 +77,7 @@
         """A connection is over, perhaps that of a gateway."""
 
 
-class LinkListener:
+class FrameDispatcher:
     """Tells frames of members from those of gateways and hands each to its handler."""
 
     def __init__(self, links: PeerLinks, peers: PeerHandler, feeds: FeedHandler) -> None:
--- a/mallowbeam/router/control_plane/leaving.py
+++ b/mallowbeam/router/control_plane/graceful_leave.py
@@ -12,7 +12,7 @@
 import time
 from collections.abc import Callable
 
-from mallowbeam.router.control_plane.membership_policy import Leaving
+from mallowbeam.router.control_plane.membership_policy import LeaveOutcome
 from mallowbeam.router.control_plane.peer_links import PeerLinks
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
 from mallowbeam.router.processes.logs import get_logger
@@ -30,7 +30,7 @@
 log = get_logger("mallowbeam.leaving")
 
 
-class LeaveRequests:
+class PendingLeaveRequests:
     """The leader's part: who asks to leave, and what is owed to them."""
 
     def __init__(self, answer: Callable[[int, LeaveResponse], None]) -> None:
@@ -51,21 +51,21 @@
         return frozenset(self._asked)
 
     @property
-    def any_owed(self) -> bool:
+    def has_unanswered(self) -> bool:
         """Whether somebody waits for an answer."""
         return bool(self._owed)
 
-    def settle(self, outcome: Callable[[int], Leaving]) -> None:
+    def settle(self, outcome: Callable[[int], LeaveOutcome]) -> None:
         """Answer those whose place is given away, or can't be; the latest membership is committed."""
         for member, request_id in list(self._owed.items()):
             became = outcome(member)
-            if became is Leaving.WAITS:
+            if became is LeaveOutcome.PENDING:
                 continue
             del self._owed[member]
-            self._answer(member, LeaveResponse(id=request_id, given=became is Leaving.GIVEN))
+            self._answer(member, LeaveResponse(id=request_id, given=became is LeaveOutcome.DEMOTED))
 
 
-class Departure:
+class GracefulLeave:
     """The part of the member that leaves."""
 
     def __init__(
--- a/mallowbeam/router/control_plane/instances.py
+++ b/mallowbeam/router/control_plane/instance_service.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from random import Random
 
-from mallowbeam.router.control_plane.attempt_words import AttemptWords
-from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.attempt_reports import AttemptReports
+from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
 from mallowbeam.router.control_plane.peer_links import PeerLinks
-from mallowbeam.router.control_plane.serving import AppliedEntry, Said, ServingGate
-from mallowbeam.router.control_plane.stage_orders import StageOrders
+from mallowbeam.router.control_plane.response_gate import AppliedEntry, ResponseGate, ResponseKind
+from mallowbeam.router.control_plane.stage_controller import StageController
 from mallowbeam.router.registry.census import GatewayCensus
 from mallowbeam.router.registry.retirements import Retirements
 from mallowbeam.router.registry.table import InstanceTable
@@ -33,18 +33,18 @@
 OUT_OF_TOUCH = 1.0  # seconds unheard after which another member, or the group, is out of touch
 
 
-class Instances:
+class InstanceService:
     """Joins the table with the log and the other members."""
 
     def __init__(
         self,
         table: InstanceTable,
         retirements: Retirements,
-        commands: Commands,
+        commands: CommandForwarder,
         links: PeerLinks,
         changed: Callable[[], None],
         gateways: Callable[[], int],
-        gate: ServingGate,
+        gate: ResponseGate,
         random: Random,
     ) -> None:
         """`changed` is called when gateways must learn of something.
@@ -61,7 +61,7 @@
     async def heartbeat(self, instance: Instance, since: float) -> None:
         """Take a heartbeat; returns once it may be acknowledged, raises as `Commands.submit`.
 
-        A member that is out of touch with the group takes it and raises `OutOfTouchError`, so that the
+        A member that is out of touch with the group takes it and raises `IsolatedMemberError`, so that the
         instance turns to another member.
         """
         draining = instance.state == DRAINS
@@ -71,7 +71,7 @@
         if draining:
             await self._retire(instance.id, DRAINING, since)
         else:
-            self._gate.check(Said.HEARTBEAT_ACKNOWLEDGED)
+            self._gate.check(ResponseKind.HEARTBEAT_ACKNOWLEDGED)
 
     async def delete(self, id: str, since: float) -> None:
         """An instance has ended; returns once that may be acknowledged, raises as `Commands.submit`."""
@@ -81,12 +81,12 @@
     async def _retire(self, id: str, kind: RetirementKind, since: float) -> None:
         """Have the log hold a retirement, unless this member has applied it, or one that says more."""
         if self._retirements.kind(id) in (kind, GONE):
-            self._gate.check(Said.RETIREMENT_KNOWN)
+            self._gate.check(ResponseKind.RETIREMENT_KNOWN)
             return
         self._gate.check_reachable()
         command = Command(retire_instance=RetireInstance(id=id, kind=kind))
         outcome = await self._commands.submit(command, since)
-        self._gate.check(Said.RETIREMENT_ACKNOWLEDGED, AppliedEntry(outcome.index))
+        self._gate.check(ResponseKind.RETIREMENT_ACKNOWLEDGED, AppliedEntry(outcome.index))
 
     # ------------------------------------------------------------ from the log and from other members
 
@@ -131,7 +131,7 @@
         """When `pass_on` is due, by the steady clock."""
         return self._table.gossip_at()
 
-    def pass_on(self, stages: StageOrders, attempts: AttemptWords) -> None:
+    def pass_on(self, stages: StageController, attempts: AttemptReports) -> None:
         """Tell the other members what came in here since the last time, and what the gateways say."""
         now = time.monotonic()
         batch = self._table.gossip(now, self._gateways())
--- a/mallowbeam/router/control_plane/member.py
+++ b/mallowbeam/router/control_plane/member.py
@@ -13,23 +13,23 @@
 from mallowbeam.router.consensus.interface import RaftSettings
 from mallowbeam.router.consensus.node import RaftNode
 from mallowbeam.router.control_plane.api import ControlApi
-from mallowbeam.router.control_plane.attempt_words import AttemptWords
-from mallowbeam.router.control_plane.commands import Commands
-from mallowbeam.router.control_plane.disk_writer import DiskWriter
-from mallowbeam.router.control_plane.feeds import Feeds
-from mallowbeam.router.control_plane.first_start import peer_address
-from mallowbeam.router.control_plane.group import GroupKeeper
-from mallowbeam.router.control_plane.instances import Instances
-from mallowbeam.router.control_plane.large_bodies import Work, run_in_thread
-from mallowbeam.router.control_plane.leaving import Departure
-from mallowbeam.router.control_plane.link_listener import LinkListener
-from mallowbeam.router.control_plane.opening import OpenedStore, WatchedStore
+from mallowbeam.router.control_plane.attempt_reports import AttemptReports
+from mallowbeam.router.control_plane.body_admission import Work, run_in_thread
+from mallowbeam.router.control_plane.bootstrap import peer_address
+from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
+from mallowbeam.router.control_plane.feed_server import FeedServer
+from mallowbeam.router.control_plane.frame_dispatcher import FrameDispatcher
+from mallowbeam.router.control_plane.graceful_leave import GracefulLeave
+from mallowbeam.router.control_plane.instance_service import InstanceService
+from mallowbeam.router.control_plane.membership_manager import MembershipManager
 from mallowbeam.router.control_plane.peer_links import PeerLinks
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
-from mallowbeam.router.control_plane.serving import ServingGate
-from mallowbeam.router.control_plane.stage_orders import StageOrders
+from mallowbeam.router.control_plane.response_gate import ResponseGate
+from mallowbeam.router.control_plane.stage_controller import StageController
 from mallowbeam.router.control_plane.state_machine import ConfigurationFeed, ReplicatedStateMachine
-from mallowbeam.router.control_plane.status import StatusPage
+from mallowbeam.router.control_plane.status_page import StatusPage
+from mallowbeam.router.control_plane.storage_writer import StorageWriter
+from mallowbeam.router.control_plane.store_recovery import DamageReportingStore, OpenedStore
 from mallowbeam.router.feed.publisher import FeedPublisher
 from mallowbeam.router.pairing.stage_share import StageShareSettings
 from mallowbeam.router.processes.logs import get_logger
@@ -95,16 +95,16 @@
         self._machine = ReplicatedStateMachine(parser, self._retired)
         self.unusable: asyncio.Future[MallowbeamError] = self._loop.create_future()
         self.disk_ended = False  # once stopped: whether nothing is written any more
-        store = WatchedStore(
+        store = DamageReportingStore(
             opened.store, lambda error: self._loop.call_soon_threadsafe(self.store_unusable, error)
         )
-        self._disk = DiskWriter(store, lambda writes: self._driver.durable(writes))
+        self._disk = StorageWriter(store, lambda writes: self._driver.durable(writes))
         raft_settings = RaftSettings(opened.identity, trailing_entries=TRAILING_ENTRIES)
         node = RaftNode(raft_settings, opened.restored, now, random.Random())
         self._driver = RaftDriver(node, self._machine, self._disk.submit, self._send_raft, self)
-        self._gate = ServingGate(time.monotonic, self._driver.silence, lambda: self._driver.is_leader)
-        self._commands = Commands(self._driver, self._links)
-        self._instances = Instances(
+        self._gate = ResponseGate(time.monotonic, self._driver.silence, lambda: self._driver.is_leader)
+        self._commands = CommandForwarder(self._driver, self._links)
+        self._instances = InstanceService(
             self._table,
             self._machine.retirements,
             self._commands,
@@ -117,7 +117,7 @@
         self._status = StatusPage(
             self._driver, self._links, self._table, self._machine.configurations, self._gate
         )
-        self._stages = StageOrders(
+        self._stages = StageController(
             self._driver,
             opened.identity,
             self._table,
@@ -128,19 +128,19 @@
             overridden(StageShareSettings(), read_overrides(), "stages"),
         )
         feed = ConfigurationFeed(self._machine.configurations)
-        self._attempts = AttemptWords()
-        self._feeds = Feeds(
+        self._attempts = AttemptReports()
+        self._feeds = FeedServer(
             FeedPublisher(feed, self._table, self._attempts.for_gateways),
             self._status.feed_status,
             self._flush_soon,
             self._stages.gateways,
             self._attempts.gateways,
         )
-        self._group = GroupKeeper(
+        self._group = MembershipManager(
             self._driver, self._own, settings.bootstrap, seed_links(settings), self._answer_leave
         )
-        self._departure = Departure(self._driver, self._links, self._group.leave)
-        self._listener = LinkListener(self._links, self, self._feeds)
+        self._departure = GracefulLeave(self._driver, self._links, self._group.leave)
+        self._listener = FrameDispatcher(self._links, self, self._feeds)
         api = ControlApi(
             parser,
             self._machine.configurations,
--- a/mallowbeam/router/control_plane/group.py
+++ b/mallowbeam/router/control_plane/membership_manager.py
@@ -12,18 +12,18 @@
 from google.protobuf.message import DecodeError
 
 from mallowbeam.router.consensus.errors import ConsensusError
-from mallowbeam.router.control_plane.leaving import LeaveRequests
-from mallowbeam.router.control_plane.link_listener import join_answer
+from mallowbeam.router.control_plane.frame_dispatcher import join_answer
+from mallowbeam.router.control_plane.graceful_leave import PendingLeaveRequests
 from mallowbeam.router.control_plane.membership_policy import (
-    Group,
-    Progress,
-    admit,
-    holds,
+    ClusterView,
+    PeerProgress,
+    contains,
     leaving,
-    next_change,
+    next_membership,
+    with_joiner,
 )
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
-from mallowbeam.router.control_plane.state_machine import Outcome
+from mallowbeam.router.control_plane.state_machine import CommandOutcome
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.rpc.connection import FrameConnection, connect
 from mallowbeam.router.rpc.messages_pb2 import (
@@ -45,7 +45,7 @@
 log = get_logger("mallowbeam.group")
 
 
-class GroupKeeper:
+class MembershipManager:
     """Looks after the membership."""
 
     def __init__(
@@ -57,11 +57,11 @@
         answer_leave: Callable[[int, LeaveResponse], None],
     ) -> None:
         """`seeds` are the link listeners' addresses of members that may be asked."""
-        self._leaves = LeaveRequests(answer_leave)
+        self._leaves = PendingLeaveRequests(answer_leave)
         self._callers: dict[str, None] = {}  # addresses of members that call this one, oldest first
         self._seen: Membership | None = None  # the last committed one that a change was looked for at
         self._driver, self._own, self._first_start, self._seeds = driver, own, first_start, seeds
-        self._change: asyncio.Future[Outcome] | None = None
+        self._change: asyncio.Future[CommandOutcome] | None = None
         self._joining: asyncio.Task[None] | None = None
         self._stopping = False
         self._started_at = time.monotonic()
@@ -78,7 +78,7 @@
     def applied(self) -> None:
         """Entries were applied: a membership may be committed that others wait for."""
         node = self._driver.node
-        if self._driver.is_leader and (self._leaves.any_owed or node.membership is not self._seen):
+        if self._driver.is_leader and (self._leaves.has_unanswered or node.membership is not self._seen):
             self._advance()
 
     def leave(self, sender: int, request: LeaveRequest) -> None:
@@ -93,10 +93,10 @@
         membership = self._driver.node.membership
         if not self._driver.is_leader:
             self._name_leader(response)
-        elif holds(membership, request.member.id):
+        elif contains(membership, request.member.id):
             response.accepted = True
         elif self._change is None:
-            changed = admit(membership, request)
+            changed = with_joiner(membership, request)
             if changed is not None:
                 log.info("taking in %016x at %s", request.member.id, request.member.address)
                 self._propose(changed)
@@ -131,19 +131,20 @@
             return
         self._seen = node.membership
         group = self._group()
-        changed = next_change(group)
+        changed = next_membership(group)
         if changed is not None:
             log.info("changing the group: %s", _told(node.membership, changed))
             self._propose(changed)
         else:
             self._leaves.settle(lambda member: leaving(group, member))
 
-    def _group(self) -> Group:
+    def _group(self) -> ClusterView:
         node = self._driver.node
         progress = {
-            member: Progress(known.match_index, known.silence) for member, known in node.progress().items()
+            member: PeerProgress(known.match_index, known.silence)
+            for member, known in node.progress().items()
         }
-        return Group(
+        return ClusterView(
             self._own.id, node.membership, node.commit_index, progress, self._leaves.members(time.monotonic())
         )
 
@@ -151,7 +152,7 @@
         self._change = self._driver.change_membership(membership)
         self._change.add_done_callback(self._change_done)
 
-    def _change_done(self, done: asyncio.Future[Outcome]) -> None:
+    def _change_done(self, done: asyncio.Future[CommandOutcome]) -> None:
         self._change = None
         error = None if done.cancelled() else done.exception()
         if isinstance(error, ConsensusError):
@@ -161,7 +162,7 @@
 
     def _left_out(self) -> bool:
         """Whether this member is none, as far as it knows, or may have been removed without hearing of it."""
-        if not holds(self._driver.node.membership, self._own.id):
+        if not contains(self._driver.node.membership, self._own.id):
             return True
         running = time.monotonic() - self._started_at
         return min(running, self._driver.silence()) > LOST_AFTER
--- a/mallowbeam/router/control_plane/membership_policy.py
+++ b/mallowbeam/router/control_plane/membership_policy.py
@@ -17,23 +17,23 @@
 from mallowbeam.router.rpc.messages_pb2 import JoinRequest, Member, Membership
 
 CAUGHT_UP_ENTRIES = 8  # a learner this close to the commit index may be promoted
-HEARD_LATELY = 0.5  # seconds; a learner must have been heard within them to be promoted
-DEAD_VOTER = 1.5  # seconds unheard after which a caught-up learner takes a voter's place
-SURPLUS_VOTER = 2.0  # seconds unheard after which a voter beyond the target is removed
-GONE_LEARNER = 30.0  # seconds unheard after which a learner is dropped; it may join again
-MOST_MEMBERS = 31  # further ones are not accepted
+RECENT_CONTACT_S = 0.5  # seconds; a learner must have been heard within them to be promoted
+VOTER_TIMEOUT_S = 1.5  # seconds unheard after which a caught-up learner takes a voter's place
+SURPLUS_VOTER_TIMEOUT_S = 2.0  # seconds unheard after which a voter beyond the target is removed
+LEARNER_TIMEOUT_S = 30.0  # seconds unheard after which a learner is dropped; it may join again
+MAX_MEMBERS = 31  # further ones are not accepted
 
 
-class Leaving(Enum):
+class LeaveOutcome(Enum):
     """What becomes of a member that asks to leave."""
 
-    GIVEN = "given"  # it does not vote
-    WAITS = "waits"  # its place is being given away
-    NOBODY = "nobody"  # it votes, and no learner stands by
+    DEMOTED = "given"  # it does not vote
+    PENDING = "waits"  # its place is being given away
+    NO_SUCCESSOR = "nobody"  # it votes, and no learner stands by
 
 
 @dataclass(frozen=True, slots=True)
-class Progress:
+class PeerProgress:
     """What the leader knows of another member."""
 
     match_index: int  # last log index known to be durable there
@@ -41,13 +41,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
+class ClusterView:
     """The group as its leader sees it."""
 
     leader: int  # the leader's own id
     membership: Membership  # the latest in the log
     commit_index: int
-    progress: Mapping[int, Progress]
+    progress: Mapping[int, PeerProgress]
     leaving: frozenset[int] = frozenset()  # members that have asked to leave
 
     def silence(self, member: int) -> float:
@@ -60,7 +60,7 @@
     def caught_up(self, member: int) -> bool:
         """Whether a learner has nearly all that is committed and answers."""
         known = self.progress.get(member)
-        if known is None or known.silence > HEARD_LATELY:
+        if known is None or known.silence > RECENT_CONTACT_S:
             return False
         return known.match_index + CAUGHT_UP_ENTRIES >= self.commit_index
 
@@ -81,12 +81,12 @@
             learner
             for learner in self.learners
             if learner.id not in self.leaving
-            and self.silence(learner.id) <= HEARD_LATELY
+            and self.silence(learner.id) <= RECENT_CONTACT_S
             and not self._superseded(learner)
         ]
 
     @property
-    def standing_by(self) -> list[Member]:
+    def caught_up_successors(self) -> list[Member]:
         """Successors that have caught up."""
         return [learner for learner in self.successors if self.caught_up(learner.id)]
 
@@ -96,7 +96,7 @@
         return {
             learner.id
             for learner in self.learners
-            if self._superseded(learner) or self.silence(learner.id) > GONE_LEARNER
+            if self._superseded(learner) or self.silence(learner.id) > LEARNER_TIMEOUT_S
         }
 
     def _superseded(self, learner: Member) -> bool:
@@ -105,12 +105,12 @@
         return same[-1] != learner.id
 
 
-def holds(membership: Membership, member: int) -> bool:
+def contains(membership: Membership, member: int) -> bool:
     """Whether a member of that id is in the group."""
     return any(known.id == member for known in membership.members)
 
 
-def admit(membership: Membership, request: JoinRequest) -> Membership | None:
+def with_joiner(membership: Membership, request: JoinRequest) -> Membership | None:
     """The membership with a new learner in it; None where it is in already or the group is full.
 
     None too while a joint change is under way. Learners that stood at the same address are dropped: their
@@ -118,10 +118,10 @@
     first start adds a place, unless one at its address did.
     """
     joiner = request.member
-    if not joiner.id or holds(membership, joiner.id) or membership.outgoing_voters:
+    if not joiner.id or contains(membership, joiner.id) or membership.outgoing_voters:
         return None
     kept = [known for known in membership.members if known.voter or known.address != joiner.address]
-    if len(kept) >= MOST_MEMBERS:
+    if len(kept) >= MAX_MEMBERS:
         return None
     learner = Member()
     learner.CopyFrom(joiner)
@@ -131,7 +131,7 @@
     return Membership(members=[*kept, learner], target_voters=target)
 
 
-def next_change(group: Group) -> Membership | None:
+def next_membership(group: ClusterView) -> Membership | None:
     """The change that is due now, or None."""
     if group.membership.outgoing_voters:
         return None
@@ -142,18 +142,18 @@
     return None
 
 
-def leaving(group: Group, member: int) -> Leaving:
+def leaving(group: ClusterView, member: int) -> LeaveOutcome:
     """What becomes of a member that asks to leave; the latest membership is committed."""
     if group.membership.outgoing_voters:
-        return Leaving.WAITS
+        return LeaveOutcome.PENDING
     if member not in {voter.id for voter in group.voters}:
-        return Leaving.GIVEN
+        return LeaveOutcome.DEMOTED
     if group.successors or len(group.voters) > group.membership.target_voters:
-        return Leaving.WAITS
-    return Leaving.NOBODY
+        return LeaveOutcome.PENDING
+    return LeaveOutcome.NO_SUCCESSOR
 
 
-def _promoted(group: Group) -> Membership | None:
+def _promoted(group: ClusterView) -> Membership | None:
     """The group with one more voter, where a place is free; one at a voter's address is to replace that."""
     if len(group.voters) >= group.membership.target_voters:
         return None
@@ -161,7 +161,7 @@
     return _with_voters(group, promoted={free[0].id}) if free else None
 
 
-def _replaced(group: Group) -> Membership | None:
+def _replaced(group: ClusterView) -> Membership | None:
     """The joint membership in which all that stand by take the places that are to be given away."""
     places = _places(group)
     if not places:
@@ -172,9 +172,9 @@
     return joint_change(group.membership, changed)
 
 
-def _places(group: Group) -> dict[int, int]:
+def _places(group: ClusterView) -> dict[int, int]:
     """Whose place goes to which learner, by their ids: where a disk was lost, to the one at its address."""
-    successors = {learner.address: learner.id for learner in group.standing_by}
+    successors = {learner.address: learner.id for learner in group.caught_up_successors}
     places: dict[int, int] = {}
     for voter in group.voters:
         if voter.id != group.leader and voter.address in successors:
@@ -182,7 +182,7 @@
     if len(group.voters) > group.membership.target_voters:
         return places
     free = _without_own_place(group)
-    for voter in _leaving_or_dead(group, DEAD_VOTER):
+    for voter in _leaving_or_dead(group, VOTER_TIMEOUT_S):
         if voter.id in places or not free:
             continue
         successor = min(free, key=lambda learner: learner.zone != voter.zone)
@@ -191,13 +191,13 @@
     return places
 
 
-def _without_own_place(group: Group) -> list[Member]:
+def _without_own_place(group: ClusterView) -> list[Member]:
     """Those standing by that may take any place: no voter whose disk was lost is at their address."""
     addresses = {voter.address for voter in group.voters if voter.id != group.leader}
-    return [learner for learner in group.standing_by if learner.address not in addresses]
+    return [learner for learner in group.caught_up_successors if learner.address not in addresses]
 
 
-def _leaving_or_dead(group: Group, least: float) -> list[Member]:
+def _leaving_or_dead(group: ClusterView, least: float) -> list[Member]:
     """Voters that ask to leave, then those unheard for more than `least` seconds, the most silent first."""
     leaving_voters = [voter for voter in group.voters if voter.id in group.leaving]
     silent = [
@@ -206,11 +206,11 @@
     return leaving_voters + sorted(silent, key=lambda voter: -group.silence(voter.id))
 
 
-def _shrunk(group: Group) -> Membership | None:
+def _shrunk(group: ClusterView) -> Membership | None:
     """The group without a voter that it does not need: earlier programs held more voters than places."""
     if len(group.voters) <= group.membership.target_voters:
         return None
-    for voter in _leaving_or_dead(group, SURPLUS_VOTER):
+    for voter in _leaving_or_dead(group, SURPLUS_VOTER_TIMEOUT_S):
         if voter.id == group.leader:
             continue
         if voter.id in group.leaving:
@@ -221,20 +221,22 @@
     return None
 
 
-def _most_live(group: Group, membership: Membership) -> bool:
+def _most_live(group: ClusterView, membership: Membership) -> bool:
     """Whether enough of its voters live to commit anything."""
     voters = [known.id for known in membership.members if known.voter]
-    live = [voter for voter in voters if group.silence(voter) <= DEAD_VOTER]
+    live = [voter for voter in voters if group.silence(voter) <= VOTER_TIMEOUT_S]
     return 2 * len(live) > len(voters)
 
 
-def _without_dropped(group: Group) -> Membership | None:
+def _without_dropped(group: ClusterView) -> Membership | None:
     """The group without learners that are gone; None where there are none."""
     dropped = group.dropped
     return _without(group.membership, dropped) if dropped else None
 
 
-def _with_voters(group: Group, promoted: Container[int] = (), demoted: Container[int] = ()) -> Membership:
+def _with_voters(
+    group: ClusterView, promoted: Container[int] = (), demoted: Container[int] = ()
+) -> Membership:
     """The membership with some members as voters and some as learners, in the same order."""
     changed = Membership()
     changed.CopyFrom(group.membership)
--- a/mallowbeam/router/control_plane/raft_driver.py
+++ b/mallowbeam/router/control_plane/raft_driver.py
@@ -17,8 +17,13 @@
 from mallowbeam.router.consensus.errors import ConsensusError, DivergedError
 from mallowbeam.router.consensus.interface import Output, Proposal, ReadResult, Send, Write
 from mallowbeam.router.consensus.node import RaftNode, Role
-from mallowbeam.router.control_plane.state_machine import Outcome, ReplicatedStateMachine
-from mallowbeam.router.control_plane.waiting import AppliedWaiters, Changes, ProposalWaiters, ReadRefused
+from mallowbeam.router.control_plane.state_machine import CommandOutcome, ReplicatedStateMachine
+from mallowbeam.router.control_plane.wait_conditions import (
+    AppliedIndexWaiters,
+    ChangeNotifier,
+    PendingProposals,
+    ReadNotConfirmedError,
+)
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.rpc.messages_pb2 import COMMAND, DONE, Entry, Membership, RaftMessage, Snapshot
 
@@ -51,13 +56,13 @@
 @dataclass(frozen=True, slots=True)
 class _Propose:
     payload: bytes
-    answer: asyncio.Future[Outcome]
+    answer: asyncio.Future[CommandOutcome]
 
 
 @dataclass(frozen=True, slots=True)
 class _Change:
     membership: Membership
-    answer: asyncio.Future[Outcome]
+    answer: asyncio.Future[CommandOutcome]
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,13 +104,13 @@
         self._timer_at = inf
         self._reads: dict[int, asyncio.Future[int]] = {}
         self._last_read = 0
-        self._proposals = ProposalWaiters()
-        self._applied = AppliedWaiters()
+        self._proposals = PendingProposals()
+        self._applied = AppliedIndexWaiters()
         self._seen_leadership: tuple[int, int | None, Role] = (node.term, node.leader_id, node.role)
         self._seen_membership = node.membership
         self._uncompacted_entries = self._uncompacted_bytes = 0
         self.applied_index = node.commit_index
-        self.leadership_changes = Changes()
+        self.leadership_changes = ChangeNotifier()
 
     # ------------------------------------------------------------ what others may look at
 
@@ -138,20 +143,20 @@
         """A message of another member."""
         self._put(_Receive(sender, message))
 
-    def propose(self, payload: bytes) -> asyncio.Future[Outcome]:
+    def propose(self, payload: bytes) -> asyncio.Future[CommandOutcome]:
         """Propose a command; the future fails with a ConsensusError where it was not taken, or was lost."""
-        answer: asyncio.Future[Outcome] = self._loop.create_future()
+        answer: asyncio.Future[CommandOutcome] = self._loop.create_future()
         self._put(_Propose(payload, answer))
         return answer
 
-    def change_membership(self, membership: Membership) -> asyncio.Future[Outcome]:
+    def change_membership(self, membership: Membership) -> asyncio.Future[CommandOutcome]:
         """Propose a membership; the future fails as that of `propose`."""
-        answer: asyncio.Future[Outcome] = self._loop.create_future()
+        answer: asyncio.Future[CommandOutcome] = self._loop.create_future()
         self._put(_Change(membership, answer))
         return answer
 
     def read_index(self) -> asyncio.Future[int]:
-        """Ask, as the leader, for a read index; the future fails with ReadRefused without a majority."""
+        """Request a read index as the leader; the future fails with ReadNotConfirmedError without one."""
         answer: asyncio.Future[int] = self._loop.create_future()
         self._put(_Read(answer))
         return answer
@@ -227,7 +232,7 @@
             case _Transfer():
                 self._transfer(now)
 
-    def _propose(self, answer: asyncio.Future[Outcome], propose: Callable[[], Proposal]) -> None:
+    def _propose(self, answer: asyncio.Future[CommandOutcome], propose: Callable[[], Proposal]) -> None:
         try:
             proposal = propose()
         except ConsensusError as error:
@@ -266,7 +271,7 @@
     # ------------------------------------------------------------ the state machine
 
     def _apply(self, entry: Entry) -> None:
-        outcome = Outcome(DONE, entry.index)
+        outcome = CommandOutcome(DONE, entry.index)
         if entry.kind == COMMAND:
             outcome = self._machine.apply(entry.index, entry.payload)
         self.applied_index = entry.index
@@ -295,7 +300,7 @@
         if result.confirmed:
             answer.set_result(result.index)
         else:
-            answer.set_exception(ReadRefused("not confirmed", step="read"))
+            answer.set_exception(ReadNotConfirmedError("not confirmed", step="read"))
 
     # ------------------------------------------------------------ after the step
 
--- a/mallowbeam/router/control_plane/role.py
+++ b/mallowbeam/router/control_plane/role.py
@@ -8,7 +8,7 @@
 
 from mallowbeam.router.consensus.storage import StoreFailedError, StoreFullError
 from mallowbeam.router.control_plane.member import ControlMember
-from mallowbeam.router.control_plane.opening import OpenedStore, open_anew, open_store
+from mallowbeam.router.control_plane.store_recovery import OpenedStore, discard_and_reopen, open_store
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.processes.role import RoleContext, run_role
 from mallowbeam.router.processes.settings import NodeSettings
@@ -35,7 +35,7 @@
         if not member.disk_ended:
             raise member.unusable.result()  # a write is under way: not discarded beneath it
         opened.store.close()
-        how = open_anew
+        how = discard_and_reopen
 
 
 async def _run(context: RoleContext, member: ControlMember) -> None:
--- a/mallowbeam/router/control_plane/stage_orders.py
+++ b/mallowbeam/router/control_plane/stage_controller.py
@@ -19,7 +19,7 @@
 from mallowbeam.router.configuration.versions import ConfigurationVersions
 from mallowbeam.router.consensus.errors import ConsensusError
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
-from mallowbeam.router.control_plane.serving import Said, ServingGate
+from mallowbeam.router.control_plane.response_gate import ResponseGate, ResponseKind
 from mallowbeam.router.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
 from mallowbeam.router.pairing.stage_demand import DemandTable, add_up
 from mallowbeam.router.pairing.stage_share import (
@@ -54,7 +54,7 @@
 log = get_logger("mallowbeam.stages")
 
 
-class StageOrders:
+class StageController:
     """Joins demand, decisions and lease with the log, the registry and the instances."""
 
     def __init__(
@@ -64,7 +64,7 @@
         table: InstanceTable,
         versions: ConfigurationVersions,
         changed: Callable[[], None],
-        gate: ServingGate,
+        gate: ResponseGate,
         lease_s: float,
         settings: StageShareSettings | None = None,
     ) -> None:
@@ -126,7 +126,7 @@
 
     def _token(self, now: float) -> int | None:
         """The token under which an order may be sent in this step; None: none may."""
-        if not self._gate.may(Said.INSTANCE_ORDER):
+        if not self._gate.may(ResponseKind.INSTANCE_ORDER):
             return None
         return self._lease.token(self._standing(now), now)
 
--- a/mallowbeam/router/control_plane/state_machine.py
+++ b/mallowbeam/router/control_plane/state_machine.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class CommandOutcome:
     """What came of a command that was applied."""
 
     result: CommandResult
@@ -46,18 +46,18 @@
         self.leases = Leases()
         self._retired = retired
 
-    def apply(self, index: int, payload: bytes) -> Outcome:
+    def apply(self, index: int, payload: bytes) -> CommandOutcome:
         """Apply one committed command."""
         command = Command.FromString(payload)
         match command.WhichOneof("body"):
             case "put_configuration":
-                return Outcome(self.configurations.apply(command.put_configuration), index)
+                return CommandOutcome(self.configurations.apply(command.put_configuration), index)
             case "retire_instance":
-                return Outcome(self._retire(command.retire_instance), index)
+                return CommandOutcome(self._retire(command.retire_instance), index)
             case "acquire_lease":
                 grant = self.leases.apply(command.acquire_lease)
-                return Outcome(grant.result, index, grant.token)
-        return Outcome(REFUSED, index)  # of a later version of the program
+                return CommandOutcome(grant.result, index, grant.token)
+        return CommandOutcome(REFUSED, index)  # of a later version of the program
 
     def _retire(self, retirement: RetireInstance) -> CommandResult:
         result = self.retirements.apply(retirement)
--- a/mallowbeam/router/control_plane/status.py
+++ b/mallowbeam/router/control_plane/status_page.py
@@ -10,7 +10,7 @@
 from mallowbeam.router.configuration.versions import ConfigurationVersions
 from mallowbeam.router.control_plane.peer_links import PeerLinks
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
-from mallowbeam.router.control_plane.serving import ServingGate
+from mallowbeam.router.control_plane.response_gate import ResponseGate
 from mallowbeam.router.feed.publisher import NO_TABLE, MemberStatus
 from mallowbeam.router.processes.metrics import Metric
 from mallowbeam.router.registry.table import InstanceTable
@@ -30,7 +30,7 @@
         links: PeerLinks,
         table: InstanceTable,
         versions: ConfigurationVersions,
-        gate: ServingGate,
+        gate: ResponseGate,
     ) -> None:
         self._driver, self._links, self._gate = driver, links, gate
         self._table, self._versions = table, versions
--- a/mallowbeam/router/control_plane/disk_writer.py
+++ b/mallowbeam/router/control_plane/storage_writer.py
@@ -31,7 +31,7 @@
         """Make all of them durable together; raises `MallowbeamError` or OSError where the disk refuses."""
 
 
-class DiskWriter:
+class StorageWriter:
     """Hands writes to the store in a thread of its own, and tells the event loop once they are durable."""
 
     def __init__(self, store: Store, durable: Callable[[Sequence[Write]], None]) -> None:
--- a/mallowbeam/router/control_plane/opening.py
+++ b/mallowbeam/router/control_plane/store_recovery.py
@@ -11,7 +11,7 @@
 from mallowbeam.router.consensus.interface import Restored, Write
 from mallowbeam.router.consensus.storage import ReplicaStore, StoreDamagedError
 from mallowbeam.router.consensus.storage.files import make_folder, raised_as_store_error, sync_folder
-from mallowbeam.router.control_plane.first_start import first_state
+from mallowbeam.router.control_plane.bootstrap import initial_state
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.processes.settings import NodeSettings
 
@@ -38,7 +38,7 @@
     restored: Restored
 
 
-class WatchedStore:
+class DamageReportingStore:
     """A store whose damage is told once, besides being raised: no later write can mend it."""
 
     def __init__(self, store: ReplicaStore, damaged: Callable[[StoreDamagedError], object]) -> None:
@@ -60,10 +60,10 @@
         return _load(ReplicaStore.open(folder, _disk_mb(settings)), settings)
     except StoreDamagedError as error:
         log.error("the store is damaged, its member starts anew: %s", error.line)
-    return open_anew(settings)
+    return discard_and_reopen(settings)
 
 
-def open_anew(settings: NodeSettings) -> OpenedStore:
+def discard_and_reopen(settings: NodeSettings) -> OpenedStore:
     """Discard the store and open an empty one, under an identity that nobody had before."""
     folder = _folder(settings)
     _mark_discarded(folder)
@@ -104,6 +104,6 @@
     if control is None:
         raise ControlSettingsError("is missing", "bind_addresses.control")
     bootstrap = settings.bootstrap and not os.path.exists(os.path.join(_folder(settings), DISCARDED))
-    first = first_state(control, settings.seeds, bootstrap, settings.port_range[0], random.SystemRandom())
+    first = initial_state(control, settings.seeds, bootstrap, settings.port_range[0], random.SystemRandom())
     store.create(first.identity, first.snapshot)
     log.info("new identity %016x", first.identity)
--- a/mallowbeam/router/control_plane/waiting.py
+++ b/mallowbeam/router/control_plane/wait_conditions.py
@@ -7,34 +7,34 @@
 from collections.abc import Iterator
 
 from mallowbeam.router.consensus.errors import ConsensusError
-from mallowbeam.router.control_plane.state_machine import Outcome
+from mallowbeam.router.control_plane.state_machine import CommandOutcome
 
 
-class ProposalLost(ConsensusError):
+class ProposalLostError(ConsensusError):
     """A proposal was overwritten by another leader's entry, or a snapshot passed it over."""
 
     code = "CONSENSUS_PROPOSAL_LOST"
     remedy = "propose it again: commands that were taken are known again"
 
 
-class ReadRefused(ConsensusError):
+class ReadNotConfirmedError(ConsensusError):
     """A read was not confirmed: the member is not the leader, or no longer."""
 
     code = "CONSENSUS_READ_REFUSED"
     remedy = "ask the leader"
 
 
-class ProposalWaiters:
+class PendingProposals:
     """Futures of proposals by the index and term at which they stand in the log."""
 
     def __init__(self) -> None:
-        self._waiting: dict[int, list[tuple[int, asyncio.Future[Outcome]]]] = {}
+        self._waiting: dict[int, list[tuple[int, asyncio.Future[CommandOutcome]]]] = {}
 
-    def add(self, index: int, term: int, answer: asyncio.Future[Outcome]) -> None:
+    def add(self, index: int, term: int, answer: asyncio.Future[CommandOutcome]) -> None:
         """Wait for the entry at `index`, if it is still that of `term` when it is applied."""
         self._waiting.setdefault(index, []).append((term, answer))
 
-    def applied(self, index: int, term: int, outcome: Outcome) -> None:
+    def applied(self, index: int, term: int, outcome: CommandOutcome) -> None:
         """The entry at `index` was applied: answer its own proposal; others that stood there are lost."""
         for proposed_term, answer in self._waiting.pop(index, ()):
             if answer.done():
@@ -42,17 +42,17 @@
             if proposed_term == term:
                 answer.set_result(outcome)
             else:
-                answer.set_exception(ProposalLost("another entry took its place", step="propose"))
+                answer.set_exception(ProposalLostError("another entry took its place", step="propose"))
 
     def passed_over(self, index: int) -> None:
         """A snapshot was installed: what became of proposals up to its index can't be told."""
         for position in [known for known in self._waiting if known <= index]:
             for _, answer in self._waiting.pop(position):
                 if not answer.done():
-                    answer.set_exception(ProposalLost("a snapshot took its place", step="propose"))
+                    answer.set_exception(ProposalLostError("a snapshot took its place", step="propose"))
 
 
-class AppliedWaiters:
+class AppliedIndexWaiters:
     """Futures of those who wait until this member has applied an index."""
 
     def __init__(self) -> None:
@@ -77,7 +77,7 @@
                 answer.set_result(None)
 
 
-class Changes:
+class ChangeNotifier:
     """Lets many wait for the next change of something."""
 
     def __init__(self) -> None:
--- a/mallowbeam/simulation/fleet_processes.py
+++ b/mallowbeam/simulation/fleet_processes.py
@@ -22,11 +22,11 @@
 from mallowbeam.router.consensus.interface import Write
 from mallowbeam.router.consensus.storage import ReplicaStore
 from mallowbeam.router.control_plane import member as member_module
-from mallowbeam.router.control_plane.first_start import first_state
-from mallowbeam.router.control_plane.large_bodies import run_at_once
+from mallowbeam.router.control_plane.body_admission import run_inline
+from mallowbeam.router.control_plane.bootstrap import initial_state
 from mallowbeam.router.control_plane.member import ControlMember
-from mallowbeam.router.control_plane.opening import OpenedStore
-from mallowbeam.router.control_plane.state_machine import Outcome, ReplicatedStateMachine
+from mallowbeam.router.control_plane.state_machine import CommandOutcome, ReplicatedStateMachine
+from mallowbeam.router.control_plane.store_recovery import OpenedStore
 from mallowbeam.router.data_plane.feed_link import FeedLink
 from mallowbeam.router.feed.subscriber import FeedSubscriber
 from mallowbeam.router.processes.settings import BindAddresses, NodeSettings
@@ -238,8 +238,8 @@
             return self._server
 
         seeded = SimpleNamespace(Random=lambda: Random(self._random.random()))
-        with replaced(member_module, {"DiskWriter": writer, "Server": server, "random": seeded}):
-            program = ControlMember(self._settings, opened, run_at_once)
+        with replaced(member_module, {"StorageWriter": writer, "Server": server, "random": seeded}):
+            program = ControlMember(self._settings, opened, run_inline)
         self._record_applied(program._machine)
         await program.start()
         self.program = program
@@ -253,7 +253,7 @@
         """Tell the history of each entry that is applied from now on."""
         apply, name = state.apply, self.machine.name
 
-        def recording(index: int, payload: bytes) -> Outcome:
+        def recording(index: int, payload: bytes) -> CommandOutcome:
             outcome = apply(index, payload)
             self._history.applied(name, index, payload, outcome.result)
             return outcome
@@ -264,7 +264,9 @@
         """Write an empty disk's first state."""
         control = self._settings.bind_addresses.control
         assert control is not None
-        first = first_state(control, self._settings.seeds, self._settings.bootstrap, PEER_PORT, self._random)
+        first = initial_state(
+            control, self._settings.seeds, self._settings.bootstrap, PEER_PORT, self._random
+        )
         while not await self._written(loop):
             await asyncio.sleep(RETRY_S)
         return Replica(first.identity, first.snapshot)
--- a/tests/router/configuration/test_configuration_calls.py
+++ b/tests/router/configuration/test_configuration_calls.py
@@ -11,11 +11,11 @@
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.versions import ConfigurationVersions
 from mallowbeam.router.control_plane.api import ControlApi
-from mallowbeam.router.control_plane.commands import Commands
-from mallowbeam.router.control_plane.instances import Instances
-from mallowbeam.router.control_plane.serving import ServingGate
-from mallowbeam.router.control_plane.state_machine import Outcome
-from mallowbeam.router.control_plane.status import StatusPage
+from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
+from mallowbeam.router.control_plane.instance_service import InstanceService
+from mallowbeam.router.control_plane.response_gate import ResponseGate
+from mallowbeam.router.control_plane.state_machine import CommandOutcome
+from mallowbeam.router.control_plane.status_page import StatusPage
 from mallowbeam.router.rpc.messages_pb2 import Command, CommandResult
 from mallowbeam.simulation.fleet_processes import ApiCall, message_of
 
@@ -36,8 +36,8 @@
     def __init__(self, result: CommandResult) -> None:
         self.result = result
 
-    async def submit(self, command: Command, since: float) -> Outcome:
-        return Outcome(self.result, 7)
+    async def submit(self, command: Command, since: float) -> CommandOutcome:
+        return CommandOutcome(self.result, 7)
 
 
 class Alone:
@@ -58,12 +58,12 @@
     def status(self, result: CommandResult) -> int:
         """The answer's status where the replicated state comes to a result."""
         parser = ConfigurationParser()
-        in_touch = ServingGate(lambda: 1.0, lambda: 0.0, lambda: False)
+        in_touch = ResponseGate(lambda: 1.0, lambda: 0.0, lambda: False)
         api = ControlApi(
             parser,
             ConfigurationVersions(parser),
-            cast(Commands, Decided(result)),
-            cast(Instances, None),
+            cast(CommandForwarder, Decided(result)),
+            cast(InstanceService, None),
             cast(StatusPage, Alone()),
             in_touch,
         )
--- a/tests/router/consensus/test_membership_plays.py
+++ b/tests/router/consensus/test_membership_plays.py
@@ -9,8 +9,8 @@
 from project_paths import SCENARIOS as SCENARIO_FOLDER
 
 from mallowbeam.router.control_plane import membership_policy
-from mallowbeam.router.control_plane.group import GroupKeeper
-from mallowbeam.router.control_plane.leaving import Departure
+from mallowbeam.router.control_plane.graceful_leave import GracefulLeave
+from mallowbeam.router.control_plane.membership_manager import MembershipManager
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.scenario import Violation
 
@@ -48,14 +48,14 @@
     setattr(Plays, f"test_{_name}", _test_of(_name))
 
 
-async def ends_at_once(self: Departure, within: float = 0.0) -> bool:
+async def ends_at_once(self: GracefulLeave, within: float = 0.0) -> bool:
     """A member that leaves without asking for its place to be given away."""
     return False
 
 
 class BrokenVariants(unittest.TestCase):
     def test_a_member_that_ends_at_once(self) -> None:
-        with mock.patch.object(Departure, "leave", ends_at_once):
+        with mock.patch.object(GracefulLeave, "leave", ends_at_once):
             player = FleetPlayer((SCENARIOS / "planned_replacement_then_loss.txt").read_text())
             with self.assertRaises(Violation):
                 player.play()
@@ -63,12 +63,12 @@
         self.assertLess(max(repairs["silent"]), REPAIRED_S)
 
     def test_a_wiped_member_that_asks_the_seeds_alone(self) -> None:
-        with mock.patch.object(GroupKeeper, "called", lambda self, address: None):
+        with mock.patch.object(MembershipManager, "called", lambda self, address: None):
             with self.assertRaisesRegex(Violation, "repaired after wiped"):
                 run("planned_then_wipe", 5, 1)
 
     def test_a_dead_voter_that_keeps_its_place(self) -> None:
-        with mock.patch.object(membership_policy, "DEAD_VOTER", 99.0):
+        with mock.patch.object(membership_policy, "VOTER_TIMEOUT_S", 99.0):
             with self.assertRaisesRegex(Violation, "repaired after silent"):
                 run("silent_then_loss", 3, 1)
 
--- a/tests/router/control_plane/test_commands.py
+++ b/tests/router/control_plane/test_commands.py
@@ -10,13 +10,13 @@
 from unittest import mock
 
 from mallowbeam.router.consensus.errors import NotLeaderError
-from mallowbeam.router.control_plane import commands
-from mallowbeam.router.control_plane.answers import NothingProposedError, OutcomeUnknownError
-from mallowbeam.router.control_plane.commands import PATIENCE, Commands
+from mallowbeam.router.control_plane import command_forwarder
+from mallowbeam.router.control_plane.api_errors import NothingProposedError, OutcomeUnknownError
+from mallowbeam.router.control_plane.command_forwarder import CALL_TIMEOUT_S, CommandForwarder
 from mallowbeam.router.control_plane.peer_links import PeerLinks
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
-from mallowbeam.router.control_plane.state_machine import Outcome
-from mallowbeam.router.control_plane.waiting import Changes, ProposalLost
+from mallowbeam.router.control_plane.state_machine import CommandOutcome
+from mallowbeam.router.control_plane.wait_conditions import ChangeNotifier, ProposalLostError
 from mallowbeam.router.rpc.messages_pb2 import (
     APPLIED,
     DONE,
@@ -47,17 +47,17 @@
 FATES = (UNREACHABLE, REFUSED, ANSWERED, LOST, SILENT, DEPOSED)
 
 
-class Group:
+class FakeCluster:
     """Stands in for this member's driver and links: each attempt meets the next fate, the last for good."""
 
     def __init__(self, loop: SimulatedLoop, fates: tuple[str, ...], leads: bool) -> None:
         self.loop, self.fates, self.leads = loop, list(fates), leads
         self.own = Member(id=OWN)
-        self.leadership_changes = Changes()
+        self.leadership_changes = ChangeNotifier()
         self.leader_id: int | None = OWN if leads else FIRST
         self.met: list[str] = []
         self.ids: list[int] = []
-        self.commands = Commands(cast(RaftDriver, self), cast(PeerLinks, self))
+        self.commands = CommandForwarder(cast(RaftDriver, self), cast(PeerLinks, self))
 
     def next_fate(self) -> str:
         """The fate of one more attempt."""
@@ -72,21 +72,21 @@
         self.leader_id = SECOND if self.leader_id != SECOND else FIRST
         self.leadership_changes.tell()
 
-    def propose(self, payload: bytes) -> asyncio.Future[Outcome]:
+    def propose(self, payload: bytes) -> asyncio.Future[CommandOutcome]:
         """Of the driver: this member leads."""
-        answer: asyncio.Future[Outcome] = self.loop.create_future()
+        answer: asyncio.Future[CommandOutcome] = self.loop.create_future()
         self.loop.call_later(ROUND_TRIP_S, self.decide, self.next_fate(), answer)
         return answer
 
     @staticmethod
-    def decide(fate: str, answer: asyncio.Future[Outcome]) -> None:
+    def decide(fate: str, answer: asyncio.Future[CommandOutcome]) -> None:
         """The driver's answer, where there is one."""
         if answer.done():
             return
         if fate == ANSWERED:
-            answer.set_result(Outcome(DONE, 7, 3))
+            answer.set_result(CommandOutcome(DONE, 7, 3))
         elif fate == LOST:
-            answer.set_exception(ProposalLost("another entry took its place"))
+            answer.set_exception(ProposalLostError("another entry took its place"))
         elif fate in (REFUSED, UNREACHABLE):
             answer.set_exception(NotLeaderError("propose", None))
 
@@ -113,12 +113,12 @@
         self.answers: list[object] = []
         self.lasted = 0.0
 
-    def group(self, *fates: str, leads: bool = False) -> Group:
-        made: list[Group] = []
-        self.loop.enter(lambda: made.append(Group(self.loop, fates, leads)))
+    def group(self, *fates: str, leads: bool = False) -> FakeCluster:
+        made: list[FakeCluster] = []
+        self.loop.enter(lambda: made.append(FakeCluster(self.loop, fates, leads)))
         return made[0]
 
-    def submit(self, group: Group) -> object:
+    def submit(self, group: FakeCluster) -> object:
         """The outcome of one command, or the error's class."""
 
         async def run() -> None:
@@ -130,7 +130,7 @@
             self.lasted = time.monotonic() - began
 
         self.loop.enter(lambda: self.loop.create_task(run()))
-        self.simulator.run_until(self.simulator.now + 3 * PATIENCE)
+        self.simulator.run_until(self.simulator.now + 3 * CALL_TIMEOUT_S)
         return self.answers[-1]
 
 
@@ -145,17 +145,17 @@
                     answer = self.submit(group)
                     appended = MAY_BE_APPENDED.intersection(group.met)
                     if ANSWERED in group.met:
-                        self.assertEqual(answer, Outcome(DONE, 7, 3))
+                        self.assertEqual(answer, CommandOutcome(DONE, 7, 3))
                     else:
                         self.assertIs(answer, OutcomeUnknownError if appended else NothingProposedError)
-                    self.assertLessEqual(self.lasted, PATIENCE + SLACK_S)
+                    self.assertLessEqual(self.lasted, CALL_TIMEOUT_S + SLACK_S)
                     seen.add(answer)
         self.assertEqual(len(seen), 3)
         self.assertEqual(self.loop.failures, [])
 
     def test_a_command_is_proposed_again_to_the_next_leader(self) -> None:
         group = self.group(DEPOSED, LOST, ANSWERED)
-        self.assertEqual(self.submit(group), Outcome(DONE, 7, 3))
+        self.assertEqual(self.submit(group), CommandOutcome(DONE, 7, 3))
         self.assertEqual(len(set(group.ids)), 3)
 
     def test_late_and_repeated_answers_answer_nothing_else(self) -> None:
@@ -164,7 +164,7 @@
         late = ProposeResponse(id=group.ids[0], status=APPLIED, index=9, token=9)
         self.loop.enter(lambda: group.commands.propose_response(late))
         group.fates = [ANSWERED]
-        self.assertEqual(self.submit(group), Outcome(DONE, 7, 3))
+        self.assertEqual(self.submit(group), CommandOutcome(DONE, 7, 3))
         self.loop.enter(lambda: group.commands.propose_response(late))
         self.assertEqual(group.commands._proposals, {})
 
@@ -200,7 +200,9 @@
     """The table of fates finds members that promise too much."""
 
     def test_one_that_takes_a_lost_proposal_for_one_that_was_not_taken(self) -> None:
-        with mock.patch.object(commands, "ProposalLost", commands.NotTaken):
+        with mock.patch.object(
+            command_forwarder, "ProposalLostError", command_forwarder.CommandNotAcceptedError
+        ):
             self.assertIs(self.submit(self.group(LOST)), NothingProposedError)
 
 
--- a/tests/router/control_plane/test_control_plane_calls.py
+++ b/tests/router/control_plane/test_control_plane_calls.py
@@ -9,7 +9,7 @@
 
 from virtual_time import play
 
-from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
 from mallowbeam.router.control_plane.peer_links import PeerLinks
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
 from mallowbeam.router.rpc.messages_pb2 import (
@@ -32,7 +32,7 @@
         changes = SimpleNamespace(next=self.loop.create_future)
         driver = SimpleNamespace(leader_id=LEADER, leadership_changes=changes)
         links = SimpleNamespace(own=SimpleNamespace(id=OWN), send=self._send)
-        self.commands = Commands(cast(RaftDriver, driver), cast(PeerLinks, links))
+        self.commands = CommandForwarder(cast(RaftDriver, driver), cast(PeerLinks, links))
 
     def _send(self, recipient: int, frame: PeerFrame) -> bool:
         self.sent.append(frame)
--- a/tests/router/control_plane/test_control_plane_cores.py
+++ b/tests/router/control_plane/test_control_plane_cores.py
@@ -12,10 +12,19 @@
 
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.versions import put_command
-from mallowbeam.router.control_plane.answers import NothingProposedError, error_reply
-from mallowbeam.router.control_plane.first_start import derived_identity, first_state
-from mallowbeam.router.control_plane.state_machine import ConfigurationFeed, Outcome, ReplicatedStateMachine
-from mallowbeam.router.control_plane.waiting import AppliedWaiters, Changes, ProposalLost, ProposalWaiters
+from mallowbeam.router.control_plane.api_errors import NothingProposedError, error_reply
+from mallowbeam.router.control_plane.bootstrap import initial_state, seed_identity
+from mallowbeam.router.control_plane.state_machine import (
+    CommandOutcome,
+    ConfigurationFeed,
+    ReplicatedStateMachine,
+)
+from mallowbeam.router.control_plane.wait_conditions import (
+    AppliedIndexWaiters,
+    ChangeNotifier,
+    PendingProposals,
+    ProposalLostError,
+)
 from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
@@ -31,9 +40,9 @@
 SEEDS = ("10.0.0.3:8146", "10.0.0.1:8146", "10.0.0.2:8146")
 
 
-class FirstState(unittest.TestCase):
+class InitialState(unittest.TestCase):
     def test_seeds_write_the_same_first_membership(self) -> None:
-        states = [first_state(seed, SEEDS[::-1], True, 7660, random.Random(1)) for seed in SEEDS]
+        states = [initial_state(seed, SEEDS[::-1], True, 7660, random.Random(1)) for seed in SEEDS]
         self.assertEqual(len({state.snapshot.SerializeToString() for state in states}), 1)
         self.assertEqual(len({state.identity for state in states}), 3)
         members = states[0].snapshot.membership.members
@@ -46,13 +55,13 @@
 
     def test_others_draw_an_id_and_know_nobody(self) -> None:
         for control, bootstrap in (("10.0.0.4:8146", True), (SEEDS[0], False)):
-            state = first_state(control, SEEDS, bootstrap, 7660, random.Random(1))
-            self.assertNotEqual(state.identity, derived_identity(control))
+            state = initial_state(control, SEEDS, bootstrap, 7660, random.Random(1))
+            self.assertNotEqual(state.identity, seed_identity(control))
             self.assertEqual(state.snapshot.index, 0)
             self.assertFalse(state.snapshot.membership.members)
 
     def test_ids_are_not_zero(self) -> None:
-        self.assertTrue(all(derived_identity(seed) for seed in SEEDS))
+        self.assertTrue(all(seed_identity(seed) for seed in SEEDS))
 
 
 def put(parser: ConfigurationParser, revision: int, based_on: int, hostname: str = "a.example") -> bytes:
@@ -74,7 +83,7 @@
         return ReplicatedStateMachine(self.parser, lambda one: retired.append((one.id, one.kind)))
 
     def test_commands_and_their_outcomes(self) -> None:
-        self.assertEqual(self.machine.apply(5, put(self.parser, 3, 0)), Outcome(DONE, 5))
+        self.assertEqual(self.machine.apply(5, put(self.parser, 3, 0)), CommandOutcome(DONE, 5))
         self.assertEqual(self.machine.apply(6, put(self.parser, 3, 0)).result, ALREADY_DONE)
         self.assertEqual(self.machine.apply(7, put(self.parser, 4, 0)).result, VERSION_MISMATCH)
         self.assertEqual(self.machine.apply(8, retire("i", DRAINING)).result, DONE)
@@ -82,7 +91,7 @@
         self.assertEqual(self.machine.apply(10, retire("i", GONE)).result, DONE)
         self.assertEqual(self.retired, [("i", DRAINING), ("i", GONE)])
         lease = Command(acquire_lease=AcquireLease(subject="s", holder=7)).SerializeToString()
-        self.assertEqual(self.machine.apply(11, lease), Outcome(DONE, 11, 1))
+        self.assertEqual(self.machine.apply(11, lease), CommandOutcome(DONE, 11, 1))
         self.assertEqual(self.machine.apply(12, Command().SerializeToString()).result, REFUSED)
 
     def test_a_snapshot_holds_all_of_it(self) -> None:
@@ -117,26 +126,26 @@
 class Waiting(unittest.IsolatedAsyncioTestCase):
     async def test_a_proposal_is_answered_where_its_own_entry_is_applied(self) -> None:
         loop = asyncio.get_running_loop()
-        waiters = ProposalWaiters()
+        waiters = PendingProposals()
         own, lost, passed = loop.create_future(), loop.create_future(), loop.create_future()
         waiters.add(5, 2, own)
         waiters.add(5, 1, lost)
         waiters.add(6, 2, passed)
-        waiters.applied(5, 2, Outcome(DONE, 5))
-        self.assertEqual(own.result(), Outcome(DONE, 5))
-        self.assertIsInstance(lost.exception(), ProposalLost)
+        waiters.applied(5, 2, CommandOutcome(DONE, 5))
+        self.assertEqual(own.result(), CommandOutcome(DONE, 5))
+        self.assertIsInstance(lost.exception(), ProposalLostError)
         waiters.passed_over(9)
-        self.assertIsInstance(passed.exception(), ProposalLost)
+        self.assertIsInstance(passed.exception(), ProposalLostError)
 
     async def test_those_who_no_longer_wait_are_passed_by(self) -> None:
-        waiters = ProposalWaiters()
+        waiters = PendingProposals()
         gone = asyncio.get_running_loop().create_future()
         waiters.add(5, 2, gone)
         gone.cancel()
-        waiters.applied(5, 2, Outcome(DONE, 5))
+        waiters.applied(5, 2, CommandOutcome(DONE, 5))
 
     async def test_applied_indexes(self) -> None:
-        waiters = AppliedWaiters()
+        waiters = AppliedIndexWaiters()
         self.assertTrue(waiters.add(4, 4).done())
         later, sooner = waiters.add(9, 4), waiters.add(6, 4)
         waiters.reached(6)
@@ -146,7 +155,7 @@
         self.assertTrue(later.done())
 
     async def test_changes(self) -> None:
-        changes = Changes()
+        changes = ChangeNotifier()
         first, cancelled = changes.next(), changes.next()
         cancelled.cancel()
         changes.tell()
--- a/tests/router/control_plane/test_control_plane_disk_writer.py
+++ b/tests/router/control_plane/test_control_plane_disk_writer.py
@@ -12,8 +12,8 @@
 
 from mallowbeam.router.consensus.interface import Write
 from mallowbeam.router.consensus.storage import ReplicaStore, StoreFullError
-from mallowbeam.router.control_plane import disk_writer
-from mallowbeam.router.control_plane.disk_writer import DiskWriter
+from mallowbeam.router.control_plane import storage_writer
+from mallowbeam.router.control_plane.storage_writer import StorageWriter
 from mallowbeam.router.rpc.messages_pb2 import COMMAND, Entry, Member, Membership, Snapshot
 
 MEGABYTE = 1 << 20
@@ -57,7 +57,7 @@
             if told[-1][-1] == writes[-1].ticket:
                 all_durable.set()
 
-        writer = DiskWriter(store, durable)
+        writer = StorageWriter(store, durable)
         for write in writes:
             writer.submit(write)
         writer.start()
@@ -65,7 +65,7 @@
         await writer.stop(10.0)
         return told
 
-    with mock.patch.object(disk_writer, "RETRY_S", 0.001):
+    with mock.patch.object(storage_writer, "RETRY_S", 0.001):
         return asyncio.run(run())
 
 
--- a/tests/router/control_plane/test_control_plane_instances.py
+++ b/tests/router/control_plane/test_control_plane_instances.py
@@ -7,10 +7,10 @@
 from random import Random
 from typing import cast
 
-from mallowbeam.router.control_plane.commands import Commands
-from mallowbeam.router.control_plane.instances import Instances
+from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
+from mallowbeam.router.control_plane.instance_service import InstanceService
 from mallowbeam.router.control_plane.peer_links import PeerLinks
-from mallowbeam.router.control_plane.serving import ServingGate
+from mallowbeam.router.control_plane.response_gate import ResponseGate
 from mallowbeam.router.registry.retirements import Retirements
 from mallowbeam.router.registry.table import InstanceTable
 from mallowbeam.router.rpc.messages_pb2 import PeerFrame, RegistryGossip
@@ -37,11 +37,11 @@
         self.links = Links()
         table = InstanceTable(heartbeat_interval_s=1.0, started_at=time.monotonic())
         table.merge(RegistryGossip(whole=True), time.monotonic())  # it knows all that there is
-        gate = ServingGate(time.monotonic, lambda: 0.0, lambda: False)
-        self.instances = Instances(
+        gate = ResponseGate(time.monotonic, lambda: 0.0, lambda: False)
+        self.instances = InstanceService(
             table,
             Retirements(),
-            cast(Commands, None),
+            cast(CommandForwarder, None),
             cast(PeerLinks, self.links),
             changed=lambda: None,
             gateways=lambda: 0,
--- a/tests/router/control_plane/test_control_plane_large_bodies.py
+++ b/tests/router/control_plane/test_control_plane_large_bodies.py
@@ -13,7 +13,7 @@
 from types import SimpleNamespace
 from typing import cast
 
-from control_plane_rig import PATIENCE, Answer, configuration, heartbeat
+from control_plane_rig import CALL_TIMEOUT_S, Answer, configuration, heartbeat
 from project_paths import ROOT, SUPPORT
 
 from mallowbeam.http.budget import ANOTHER_LARGE_BODY, TOO_MANY_BODIES, Budget
@@ -22,20 +22,20 @@
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.versions import ConfigurationVersions
-from mallowbeam.router.control_plane.answers import LargeBodyError
 from mallowbeam.router.control_plane.api import MOST_BODIES, MOST_BODY, ControlApi
-from mallowbeam.router.control_plane.commands import Commands
-from mallowbeam.router.control_plane.instances import Instances
-from mallowbeam.router.control_plane.large_bodies import (
+from mallowbeam.router.control_plane.api_errors import LargeBodyError
+from mallowbeam.router.control_plane.body_admission import (
     LARGE_BODY,
-    LargeBodies,
+    LargeBodyAdmission,
     Work,
-    run_at_once,
     run_in_thread,
+    run_inline,
 )
-from mallowbeam.router.control_plane.serving import ServingGate
-from mallowbeam.router.control_plane.state_machine import Outcome
-from mallowbeam.router.control_plane.status import StatusPage
+from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
+from mallowbeam.router.control_plane.instance_service import InstanceService
+from mallowbeam.router.control_plane.response_gate import ResponseGate
+from mallowbeam.router.control_plane.state_machine import CommandOutcome
+from mallowbeam.router.control_plane.status_page import StatusPage
 from mallowbeam.router.rpc.messages_pb2 import DONE, Command
 
 CONFIG, INSTANCE = "/mallowbeam/config", "/mallowbeam/instances/i-1"
@@ -75,9 +75,9 @@
     def __init__(self) -> None:
         self.commands: list[Command] = []
 
-    async def submit(self, command: Command, since: float) -> Outcome:
+    async def submit(self, command: Command, since: float) -> CommandOutcome:
         self.commands.append(command)
-        return Outcome(DONE, 7)
+        return CommandOutcome(DONE, 7)
 
 
 class Heartbeats:
@@ -89,13 +89,13 @@
 
 def api_of(parser: ConfigurationParser, log: Log, work: Work = run_in_thread) -> ControlApi:
     """A control API in touch with its group."""
-    gate = ServingGate(lambda: 1.0, lambda: 0.0, lambda: False)
+    gate = ResponseGate(lambda: 1.0, lambda: 0.0, lambda: False)
     status = SimpleNamespace(other_controls=lambda: ["127.0.0.1:1"])
     return ControlApi(
         parser,
         ConfigurationVersions(parser),
-        cast(Commands, log),
-        cast(Instances, Heartbeats()),
+        cast(CommandForwarder, log),
+        cast(InstanceService, Heartbeats()),
         cast(StatusPage, status),
         gate,
         work,
@@ -164,7 +164,7 @@
 
     async def put(self, path: str, body: bytes) -> tuple[Answer, bytes]:
         """One call on its own connection, whose body is sent before anything is read: answer and head."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(CALL_TIMEOUT_S):
             return await self._put(path, body)
 
     async def _put(self, path: str, body: bytes) -> tuple[Answer, bytes]:
@@ -197,13 +197,13 @@
 class OneAtATime(unittest.IsolatedAsyncioTestCase):
     async def test_a_caller_that_leaves_keeps_the_place_until_its_work_ends(self) -> None:
         work = HeldWork()
-        bodies = LargeBodies(ConfigurationParser(), work)
+        bodies = LargeBodyAdmission(ConfigurationParser(), work)
         left = asyncio.create_task(bodies.command(bytearray(large(2)), 1))
         await work.begun.wait()
         left.cancel()
         await asyncio.gather(left, return_exceptions=True)
         with self.assertRaises(LargeBodyError):
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(CALL_TIMEOUT_S):
                 await bodies.command(bytearray(large(3)), 1)
         work.go_on.set()
         for _ in range(5):
@@ -211,7 +211,7 @@
         self.assertEqual((await bodies.command(bytearray(large(3)), 1)).revision, 3)
 
     async def test_a_body_that_is_not_valid_gives_the_place_back(self) -> None:
-        bodies = LargeBodies(ConfigurationParser(), run_at_once)
+        bodies = LargeBodyAdmission(ConfigurationParser(), run_inline)
         with self.assertRaises(ConfigurationError):
             await bodies.command(bytearray(b"{" + large(2)), 1)
         self.assertEqual((await bodies.command(bytearray(large(2)), 1)).revision, 2)
@@ -219,14 +219,14 @@
     async def test_the_body_is_let_go_and_the_parser_knows_it(self) -> None:
         parser = ConfigurationParser()
         body = bytearray(large(2))
-        command = await LargeBodies(parser, run_at_once).command(body, 1)
+        command = await LargeBodyAdmission(parser, run_inline).command(body, 1)
         self.assertEqual(len(body), 0)
         self.assertEqual(parser.recall(command.digest).configuration.revision, 2)
 
     async def test_work_leaves_the_event_loop(self) -> None:
         here = threading.get_ident()
         self.assertNotEqual(await run_in_thread(threading.get_ident), here)
-        self.assertEqual(await run_at_once(threading.get_ident), here)
+        self.assertEqual(await run_inline(threading.get_ident), here)
 
     async def test_a_member_runs_it_in_a_thread(self) -> None:
         threads: list[int] = []
@@ -239,14 +239,14 @@
                 threads.append(threading.get_ident())
                 return super().parse(body)
 
-        gate = ServingGate(lambda: 1.0, lambda: 0.0, lambda: False)
+        gate = ResponseGate(lambda: 1.0, lambda: 0.0, lambda: False)
         parser = Noted()
         status = SimpleNamespace(other_controls=lambda: [])
         api = ControlApi(
             parser,
             ConfigurationVersions(parser),
-            cast(Commands, Log()),
-            cast(Instances, None),
+            cast(CommandForwarder, Log()),
+            cast(InstanceService, None),
             cast(StatusPage, status),
             gate,
         )
--- a/tests/router/control_plane/test_control_plane_membership.py
+++ b/tests/router/control_plane/test_control_plane_membership.py
@@ -7,18 +7,18 @@
 
 from mallowbeam.router.consensus.membership import check_change, without_outgoing
 from mallowbeam.router.control_plane.membership_policy import (
-    DEAD_VOTER,
-    GONE_LEARNER,
-    HEARD_LATELY,
-    MOST_MEMBERS,
-    SURPLUS_VOTER,
-    Group,
-    Leaving,
-    Progress,
-    admit,
-    holds,
+    LEARNER_TIMEOUT_S,
+    MAX_MEMBERS,
+    RECENT_CONTACT_S,
+    SURPLUS_VOTER_TIMEOUT_S,
+    VOTER_TIMEOUT_S,
+    ClusterView,
+    LeaveOutcome,
+    PeerProgress,
+    contains,
     leaving,
-    next_change,
+    next_membership,
+    with_joiner,
 )
 from mallowbeam.router.rpc.messages_pb2 import JoinRequest, Member, Membership
 
@@ -38,15 +38,15 @@
     silences: dict[int, float] | None = None,
     matches: dict[int, int] | None = None,
     leave: frozenset[int] = frozenset(),
-) -> Group:
+) -> ClusterView:
     """A group led by member 1; others are heard and caught up unless said otherwise."""
     silences, matches = silences or {}, matches or {}
     progress = {
-        known.id: Progress(matches.get(known.id, COMMIT), silences.get(known.id, 0.0))
+        known.id: PeerProgress(matches.get(known.id, COMMIT), silences.get(known.id, 0.0))
         for known in of.members
         if known.id != 1
     }
-    return Group(1, of, COMMIT, progress, leave)
+    return ClusterView(1, of, COMMIT, progress, leave)
 
 
 def settled(changed: Membership | None) -> Membership:
@@ -70,92 +70,92 @@
 
 class Joining(unittest.TestCase):
     def test_a_joiner_becomes_a_learner(self) -> None:
-        changed = admit(THREE, JoinRequest(member=member(4)))
+        changed = with_joiner(THREE, JoinRequest(member=member(4)))
         self.assertEqual(ids(changed), {1, 2, 3, 4})
         self.assertEqual(voters(changed), {1, 2, 3})
         self.assertEqual(changed.target_voters, 3)
 
     def test_a_repeat_changes_nothing(self) -> None:
-        changed = admit(THREE, JoinRequest(member=member(4), first_start=True))
-        self.assertIsNone(admit(changed, JoinRequest(member=member(4), first_start=True)))
+        changed = with_joiner(THREE, JoinRequest(member=member(4), first_start=True))
+        self.assertIsNone(with_joiner(changed, JoinRequest(member=member(4), first_start=True)))
 
     def test_a_first_start_raises_the_target_once_for_an_address(self) -> None:
-        changed = admit(THREE, JoinRequest(member=member(4), first_start=True))
+        changed = with_joiner(THREE, JoinRequest(member=member(4), first_start=True))
         self.assertEqual(changed.target_voters, 4)
-        again = admit(changed, JoinRequest(member=member(5, address="10.0.0.4:7000"), first_start=True))
+        again = with_joiner(changed, JoinRequest(member=member(5, address="10.0.0.4:7000"), first_start=True))
         self.assertEqual(again.target_voters, 4)
         self.assertEqual(ids(again), {1, 2, 3, 5})
 
     def test_a_learner_of_the_same_address_is_superseded_and_a_voter_is_kept(self) -> None:
-        wiped = admit(THREE, JoinRequest(member=member(4, address="10.0.0.3:7000")))
+        wiped = with_joiner(THREE, JoinRequest(member=member(4, address="10.0.0.3:7000")))
         self.assertEqual(ids(wiped), {1, 2, 3, 4})
-        wiped_again = admit(wiped, JoinRequest(member=member(5, address="10.0.0.3:7000")))
+        wiped_again = with_joiner(wiped, JoinRequest(member=member(5, address="10.0.0.3:7000")))
         self.assertEqual(ids(wiped_again), {1, 2, 3, 5})
 
     def test_the_group_is_bounded(self) -> None:
-        full = membership(*(member(id) for id in range(1, MOST_MEMBERS + 1)))
-        self.assertIsNone(admit(full, JoinRequest(member=member(99))))
+        full = membership(*(member(id) for id in range(1, MAX_MEMBERS + 1)))
+        self.assertIsNone(with_joiner(full, JoinRequest(member=member(99))))
 
     def test_no_id_is_no_member(self) -> None:
-        self.assertIsNone(admit(THREE, JoinRequest()))
+        self.assertIsNone(with_joiner(THREE, JoinRequest()))
 
     def test_holds(self) -> None:
-        self.assertTrue(holds(THREE, 2))
-        self.assertFalse(holds(THREE, 4))
+        self.assertTrue(contains(THREE, 2))
+        self.assertFalse(contains(THREE, 4))
 
 
 class Promotion(unittest.TestCase):
     def test_a_learner_that_has_caught_up_votes(self) -> None:
-        changed = next_change(group(membership(member(1), member(2), member(3, voter=False))))
+        changed = next_membership(group(membership(member(1), member(2), member(3, voter=False))))
         self.assertEqual(voters(changed), {1, 2, 3})
 
     def test_one_that_lags_or_is_silent_does_not(self) -> None:
         of = membership(member(1), member(2), member(3, voter=False))
-        self.assertIsNone(next_change(group(of, matches={3: COMMIT - 9})))
-        self.assertIsNone(next_change(group(of, silences={3: HEARD_LATELY + 0.1})))
+        self.assertIsNone(next_membership(group(of, matches={3: COMMIT - 9})))
+        self.assertIsNone(next_membership(group(of, silences={3: RECENT_CONTACT_S + 0.1})))
 
     def test_it_stands_by_where_no_place_is_free(self) -> None:
-        self.assertIsNone(next_change(group(membership(*THREE.members, member(4, voter=False)))))
+        self.assertIsNone(next_membership(group(membership(*THREE.members, member(4, voter=False)))))
 
     def test_it_takes_the_place_of_the_old_identity_of_its_address_in_one_change(self) -> None:
         of = membership(member(1), member(2), member(3), member(4, voter=False, address="10.0.0.3:7000"))
-        first = next_change(group(of, silences={3: 0.2}))
+        first = next_membership(group(of, silences={3: 0.2}))
         self.assertEqual(voters(first), {1, 2, 4})
         self.assertEqual(set(first.outgoing_voters), {1, 2, 3})
         self.assertEqual(ids(first), {1, 2, 3, 4})
-        second = next_change(group(settled(first)))
+        second = next_membership(group(settled(first)))
         self.assertEqual(ids(second), {1, 2, 4})  # the old identity can't come back
         self.assertEqual(voters(second), {1, 2, 4})
-        self.assertIsNone(next_change(group(second)))
+        self.assertIsNone(next_membership(group(second)))
 
     def test_one_at_a_voters_address_waits_for_that_place_though_another_is_free(self) -> None:
         of = membership(*THREE.members, member(4, voter=False, address="10.0.0.3:7000"), target=4)
-        changed = next_change(group(of))
+        changed = next_membership(group(of))
         self.assertEqual(voters(changed), {1, 2, 4})
         self.assertEqual(set(changed.outgoing_voters), {1, 2, 3})
 
     def test_a_dead_voter_gives_its_place_and_may_return(self) -> None:
         of = membership(*THREE.members, member(4, voter=False))
-        first = next_change(group(of, silences={3: DEAD_VOTER + 0.1}))
+        first = next_membership(group(of, silences={3: VOTER_TIMEOUT_S + 0.1}))
         self.assertEqual(voters(first), {1, 2, 4})
         self.assertEqual(set(first.outgoing_voters), {1, 2, 3})
         after = settled(first)
         self.assertEqual(ids(after), {1, 2, 3, 4})
-        self.assertIsNone(next_change(group(after, silences={3: 2.0})))
-        second = next_change(group(after, silences={4: DEAD_VOTER + 0.1}))
+        self.assertIsNone(next_membership(group(after, silences={3: 2.0})))
+        second = next_membership(group(after, silences={4: VOTER_TIMEOUT_S + 0.1}))
         self.assertEqual(voters(second), {1, 2, 3})
 
     def test_several_places_are_given_in_one_change(self) -> None:
         six = [member(id) for id in range(1, 7)]
         of = membership(*six, member(7, voter=False), member(8, voter=False), target=6)
-        changed = next_change(group(of, silences={3: 2.0}, leave=frozenset({5})))
+        changed = next_membership(group(of, silences={3: 2.0}, leave=frozenset({5})))
         self.assertEqual(voters(changed), {1, 2, 4, 6, 7, 8})
         self.assertEqual(set(changed.outgoing_voters), {1, 2, 3, 4, 5, 6})
 
     def test_one_that_leaves_comes_before_one_that_is_silent(self) -> None:
         of = membership(*(member(id) for id in range(1, 6)), member(6, voter=False), target=5)
         self.assertEqual(
-            voters(next_change(group(of, silences={3: 9.0}, leave=frozenset({5})))), {1, 2, 3, 4, 6}
+            voters(next_membership(group(of, silences={3: 9.0}, leave=frozenset({5})))), {1, 2, 3, 4, 6}
         )
 
     def test_a_successor_of_the_same_zone_is_taken(self) -> None:
@@ -163,62 +163,64 @@
         far.zone, near.zone = "far", "near"
         of = membership(*THREE.members, far, near)
         of.members[2].zone = "near"
-        self.assertEqual(voters(next_change(group(of, leave=frozenset({3})))), {1, 2, 5})
+        self.assertEqual(voters(next_membership(group(of, leave=frozenset({3})))), {1, 2, 5})
 
     def test_nothing_is_due_while_a_joint_change_is_under_way(self) -> None:
         of = membership(*THREE.members, member(4, voter=False))
-        joint = next_change(group(of, leave=frozenset({3})))
-        self.assertIsNone(next_change(group(joint, silences={2: 9.0, 3: 99.0})))
-        self.assertIsNone(admit(joint, JoinRequest(member=member(9))))
+        joint = next_membership(group(of, leave=frozenset({3})))
+        self.assertIsNone(next_membership(group(joint, silences={2: 9.0, 3: 99.0})))
+        self.assertIsNone(with_joiner(joint, JoinRequest(member=member(9))))
 
     def test_no_place_goes_where_most_that_would_vote_are_dead(self) -> None:
         of = membership(*(member(id) for id in range(1, 6)), member(6, voter=False), target=5)
-        self.assertIsNone(next_change(group(of, silences={2: 9.0, 3: 9.0, 4: 9.0, 5: 9.0})))
+        self.assertIsNone(next_membership(group(of, silences={2: 9.0, 3: 9.0, 4: 9.0, 5: 9.0})))
 
     def test_a_dead_voter_of_a_group_that_is_short_stays(self) -> None:
         of = membership(*THREE.members, member(4, voter=False), target=4)
-        self.assertEqual(voters(next_change(group(of, silences={3: 9.0}))), {1, 2, 3, 4})
+        self.assertEqual(voters(next_membership(group(of, silences={3: 9.0}))), {1, 2, 3, 4})
 
     def test_a_voter_heard_lately_keeps_its_place(self) -> None:
         of = membership(*THREE.members, member(4, voter=False))
-        self.assertIsNone(next_change(group(of, silences={3: DEAD_VOTER - 0.1})))
+        self.assertIsNone(next_membership(group(of, silences={3: VOTER_TIMEOUT_S - 0.1})))
 
 
 class LeavingInOrder(unittest.TestCase):
     SPARE = membership(*THREE.members, member(4, voter=False))
 
-    def outcome(self, of: Membership, leaver: int, **known: dict[int, float]) -> Leaving:
+    def outcome(self, of: Membership, leaver: int, **known: dict[int, float]) -> LeaveOutcome:
         return leaving(group(of, leave=frozenset({leaver}), **known), leaver)
 
     def test_its_place_goes_to_one_that_stands_by(self) -> None:
-        self.assertIs(self.outcome(self.SPARE, 3), Leaving.WAITS)
-        joint = next_change(group(self.SPARE, leave=frozenset({3})))
+        self.assertIs(self.outcome(self.SPARE, 3), LeaveOutcome.PENDING)
+        joint = next_membership(group(self.SPARE, leave=frozenset({3})))
         self.assertEqual(voters(joint), {1, 2, 4})
-        self.assertIs(self.outcome(joint, 3), Leaving.WAITS)
-        self.assertIs(self.outcome(settled(joint), 3), Leaving.GIVEN)
+        self.assertIs(self.outcome(joint, 3), LeaveOutcome.PENDING)
+        self.assertIs(self.outcome(settled(joint), 3), LeaveOutcome.DEMOTED)
 
     def test_the_leaders_too(self) -> None:
-        self.assertEqual(voters(next_change(group(self.SPARE, leave=frozenset({1})))), {2, 3, 4})
+        self.assertEqual(voters(next_membership(group(self.SPARE, leave=frozenset({1})))), {2, 3, 4})
 
     def test_nobody_stands_by(self) -> None:
-        self.assertIs(self.outcome(THREE, 3), Leaving.NOBODY)
-        self.assertIs(self.outcome(self.SPARE, 3, silences={4: HEARD_LATELY + 0.1}), Leaving.NOBODY)
-        self.assertIsNone(next_change(group(THREE, leave=frozenset({3}))))
+        self.assertIs(self.outcome(THREE, 3), LeaveOutcome.NO_SUCCESSOR)
+        self.assertIs(
+            self.outcome(self.SPARE, 3, silences={4: RECENT_CONTACT_S + 0.1}), LeaveOutcome.NO_SUCCESSOR
+        )
+        self.assertIsNone(next_membership(group(THREE, leave=frozenset({3}))))
 
     def test_one_that_catches_up_is_waited_for(self) -> None:
-        self.assertIs(self.outcome(self.SPARE, 3, matches={4: 0}), Leaving.WAITS)
-        self.assertIsNone(next_change(group(self.SPARE, matches={4: 0}, leave=frozenset({3}))))
+        self.assertIs(self.outcome(self.SPARE, 3, matches={4: 0}), LeaveOutcome.PENDING)
+        self.assertIsNone(next_membership(group(self.SPARE, matches={4: 0}, leave=frozenset({3}))))
 
     def test_a_learner_that_leaves_is_not_promoted(self) -> None:
         both = frozenset({3, 4})
-        self.assertIsNone(next_change(group(self.SPARE, leave=both)))
-        self.assertIs(leaving(group(self.SPARE, leave=both), 4), Leaving.GIVEN)
-        self.assertIs(leaving(group(self.SPARE, leave=both), 3), Leaving.NOBODY)
+        self.assertIsNone(next_membership(group(self.SPARE, leave=both)))
+        self.assertIs(leaving(group(self.SPARE, leave=both), 4), LeaveOutcome.DEMOTED)
+        self.assertIs(leaving(group(self.SPARE, leave=both), 3), LeaveOutcome.NO_SUCCESSOR)
 
     def test_a_surplus_voter_needs_no_successor(self) -> None:
         four = membership(*THREE.members, member(4))
-        self.assertIs(self.outcome(four, 4), Leaving.WAITS)
-        changed = next_change(group(four, leave=frozenset({4})))
+        self.assertIs(self.outcome(four, 4), LeaveOutcome.PENDING)
+        changed = next_membership(group(four, leave=frozenset({4})))
         self.assertEqual((voters(changed), ids(changed)), ({1, 2, 3}, {1, 2, 3, 4}))
         self.assertFalse(changed.outgoing_voters)
 
@@ -227,24 +229,26 @@
     FOUR = membership(*THREE.members, member(4))
 
     def test_a_surplus_voter_that_is_silent_goes(self) -> None:
-        self.assertEqual(ids(next_change(group(self.FOUR, silences={3: SURPLUS_VOTER + 0.1}))), {1, 2, 4})
+        self.assertEqual(
+            ids(next_membership(group(self.FOUR, silences={3: SURPLUS_VOTER_TIMEOUT_S + 0.1}))), {1, 2, 4}
+        )
 
     def test_the_most_silent_one_goes(self) -> None:
         of = membership(*self.FOUR.members, member(5), member(6), member(7))
-        self.assertNotIn(3, ids(next_change(group(of, silences={2: 3.0, 3: 4.0}))))
+        self.assertNotIn(3, ids(next_membership(group(of, silences={2: 3.0, 3: 4.0}))))
 
     def test_nobody_goes_without_need(self) -> None:
-        self.assertIsNone(next_change(group(THREE, silences={3: 999.0})))
-        self.assertIsNone(next_change(group(self.FOUR, silences={3: SURPLUS_VOTER - 0.1})))
-        self.assertIsNone(next_change(group(self.FOUR)))
+        self.assertIsNone(next_membership(group(THREE, silences={3: 999.0})))
+        self.assertIsNone(next_membership(group(self.FOUR, silences={3: SURPLUS_VOTER_TIMEOUT_S - 0.1})))
+        self.assertIsNone(next_membership(group(self.FOUR)))
 
     def test_nobody_goes_where_a_majority_of_the_rest_is_not_live(self) -> None:
-        self.assertIsNone(next_change(group(self.FOUR, silences={2: 5.0, 3: 5.0, 4: 5.0})))
+        self.assertIsNone(next_membership(group(self.FOUR, silences={2: 5.0, 3: 5.0, 4: 5.0})))
 
     def test_a_learner_that_is_gone_is_dropped(self) -> None:
         of = membership(*THREE.members, member(4, voter=False))
-        self.assertEqual(ids(next_change(group(of, silences={4: GONE_LEARNER + 1}))), {1, 2, 3})
-        self.assertIsNone(next_change(group(of, silences={4: GONE_LEARNER - 1})))
+        self.assertEqual(ids(next_membership(group(of, silences={4: LEARNER_TIMEOUT_S + 1}))), {1, 2, 3})
+        self.assertIsNone(next_membership(group(of, silences={4: LEARNER_TIMEOUT_S - 1})))
 
 
 class AnyGroup(unittest.TestCase):
@@ -257,7 +261,7 @@
             of, silences, matches = self._draw(draw)
             leave = frozenset(known.id for known in of.members if draw.random() < 0.2)
             before = group(of, silences, matches, leave)
-            changed = next_change(before)
+            changed = next_membership(before)
             if changed is None:
                 continue
             with self.subTest(of=of, silences=silences, matches=matches, leave=leave):
@@ -265,7 +269,7 @@
                 joint += bool(changed.outgoing_voters)
         self.assertGreater(joint, 300)
 
-    def _check(self, before: Group, of: Membership, changed: Membership) -> None:
+    def _check(self, before: ClusterView, of: Membership, changed: Membership) -> None:
         check_change(of, changed)
         places = of.target_voters
         now, then = len(voters(of)), len(voters(changed))
@@ -278,19 +282,19 @@
             self.assertEqual(now, then)
             self.assertEqual(ids(changed), ids(of))
         if voters(of) - voters(changed):
-            live = [id for id in voters(changed) if before.silence(id) <= DEAD_VOTER]
+            live = [id for id in voters(changed) if before.silence(id) <= VOTER_TIMEOUT_S]
             self.assertGreater(2 * len(live), len(voters(changed)))
 
     def test_a_calm_group_comes_to_rest_with_all_places_taken(self) -> None:
         draw = random.Random(11)
         for _ in range(500):
             of, _, _ = self._draw(draw)
-            for _ in range(3 * MOST_MEMBERS):
-                changed = next_change(group(of))
+            for _ in range(3 * MAX_MEMBERS):
+                changed = next_membership(group(of))
                 if changed is None:
                     break
                 of = settled(changed)
-            self.assertIsNone(next_change(group(of)))
+            self.assertIsNone(next_membership(group(of)))
             surplus = len(voters(of)) - of.target_voters
             self.assertTrue(surplus >= 0 or ids(of) == voters(of))
             addresses = [known.address for known in of.members if not known.voter]
--- a/tests/router/control_plane/test_control_plane_serving.py
+++ b/tests/router/control_plane/test_control_plane_serving.py
@@ -16,25 +16,25 @@
 from mallowbeam.http.front import Reply
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.versions import ConfigurationVersions
-from mallowbeam.router.control_plane.answers import OutOfTouchError
 from mallowbeam.router.control_plane.api import ControlApi
-from mallowbeam.router.control_plane.commands import Commands
-from mallowbeam.router.control_plane.instances import Instances
-from mallowbeam.router.control_plane.serving import (
-    CALL_AGE_S,
-    FEED_SILENCE_S,
-    HEARTBEAT_SILENCE_S,
-    NOTHING,
-    ORDER_SILENCE_S,
-    REACHABLE_SILENCE_S,
+from mallowbeam.router.control_plane.api_errors import IsolatedMemberError
+from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
+from mallowbeam.router.control_plane.instance_service import InstanceService
+from mallowbeam.router.control_plane.response_gate import (
+    CALL_MAX_STALENESS_S,
+    FEED_MAX_STALENESS_S,
+    HEARTBEAT_MAX_STALENESS_S,
+    NO_EVIDENCE,
+    ORDER_MAX_STALENESS_S,
+    READ_MAX_AGE_S,
     AppliedEntry,
     ConfirmedRead,
     Evidence,
-    Said,
-    ServingGate,
+    ResponseGate,
+    ResponseKind,
 )
-from mallowbeam.router.control_plane.state_machine import Outcome
-from mallowbeam.router.control_plane.status import StatusPage
+from mallowbeam.router.control_plane.state_machine import CommandOutcome
+from mallowbeam.router.control_plane.status_page import StatusPage
 from mallowbeam.router.rpc.messages_pb2 import (
     DONE,
     DRAINING,
@@ -57,7 +57,7 @@
     def __init__(self, silence: float = 0.1, leads: bool = False) -> None:
         self.now, self.leads = 100.0, leads
         self.current_at = self.now - silence
-        self.gate = ServingGate(lambda: self.now, lambda: self.now - self.current_at, lambda: self.leads)
+        self.gate = ResponseGate(lambda: self.now, lambda: self.now - self.current_at, lambda: self.leads)
 
     def freeze(self, seconds: float = LONG) -> None:
         """The process stands still; nothing that it knows has changed when it goes on."""
@@ -109,73 +109,73 @@
     """Each thing said in each situation, against a table written by hand."""
 
     def test_every_thing_in_every_situation(self) -> None:
-        evidence: dict[Said, Evidence] = {
-            Said.CONFIGURATION_READ: ConfirmedRead(100.0),
-            Said.CHANGE_ACKNOWLEDGED: AppliedEntry(7),
-            Said.CHANGE_REFUSED: AppliedEntry(7),
-            Said.RETIREMENT_ACKNOWLEDGED: AppliedEntry(7),
+        evidence: dict[ResponseKind, Evidence] = {
+            ResponseKind.CONFIGURATION_READ: ConfirmedRead(100.0),
+            ResponseKind.CHANGE_ACKNOWLEDGED: AppliedEntry(7),
+            ResponseKind.CHANGE_REFUSED: AppliedEntry(7),
+            ResponseKind.RETIREMENT_ACKNOWLEDGED: AppliedEntry(7),
         }
         for expected in MODEL:
             situation = bring_about(expected.situation)
             wanted = {
-                Said.CONFIGURATION_READ: expected.read,
-                Said.CHANGE_ACKNOWLEDGED: expected.entry,
-                Said.CHANGE_REFUSED: expected.entry,
-                Said.RETIREMENT_ACKNOWLEDGED: expected.entry,
-                Said.HEARTBEAT_ACKNOWLEDGED: expected.heartbeat,
-                Said.RETIREMENT_KNOWN: expected.heartbeat,
-                Said.FEED_CONFIGURATION: expected.feed,
-                Said.FEED_TABLE: expected.feed,
-                Said.INSTANCE_ORDER: expected.order,
-                Said.BODY_REFUSED: True,
-                Said.UNAVAILABLE: True,
-                Said.FEED_INSTANCE_CHANGES: True,
-                Said.FEED_HEARTBEAT: True,
-                Said.FEED_MEMBERS: True,
-                Said.STATUS: True,
+                ResponseKind.CONFIGURATION_READ: expected.read,
+                ResponseKind.CHANGE_ACKNOWLEDGED: expected.entry,
+                ResponseKind.CHANGE_REFUSED: expected.entry,
+                ResponseKind.RETIREMENT_ACKNOWLEDGED: expected.entry,
+                ResponseKind.HEARTBEAT_ACKNOWLEDGED: expected.heartbeat,
+                ResponseKind.RETIREMENT_KNOWN: expected.heartbeat,
+                ResponseKind.FEED_CONFIGURATION: expected.feed,
+                ResponseKind.FEED_TABLE: expected.feed,
+                ResponseKind.INSTANCE_ORDER: expected.order,
+                ResponseKind.BODY_REFUSED: True,
+                ResponseKind.UNAVAILABLE: True,
+                ResponseKind.FEED_INSTANCE_CHANGES: True,
+                ResponseKind.FEED_HEARTBEAT: True,
+                ResponseKind.FEED_MEMBERS: True,
+                ResponseKind.STATUS: True,
             }
-            self.assertEqual(set(wanted), set(Said))
+            self.assertEqual(set(wanted), set(ResponseKind))
             for said, allowed in wanted.items():
                 with self.subTest(situation=expected.situation, said=said.name):
-                    self.assertIs(situation.gate.may(said, evidence.get(said, NOTHING)), allowed)
+                    self.assertIs(situation.gate.may(said, evidence.get(said, NO_EVIDENCE)), allowed)
 
     def test_without_evidence_nothing_of_the_replicated_state_is_said(self) -> None:
         gate = Situation(leads=True).gate
         for said in (
-            Said.CONFIGURATION_READ,
-            Said.CHANGE_ACKNOWLEDGED,
-            Said.CHANGE_REFUSED,
-            Said.RETIREMENT_ACKNOWLEDGED,
+            ResponseKind.CONFIGURATION_READ,
+            ResponseKind.CHANGE_ACKNOWLEDGED,
+            ResponseKind.CHANGE_REFUSED,
+            ResponseKind.RETIREMENT_ACKNOWLEDGED,
         ):
-            for evidence in (NOTHING, AppliedEntry(0)):
+            for evidence in (NO_EVIDENCE, AppliedEntry(0)):
                 self.assertFalse(gate.may(said, evidence))
-            with self.assertRaises(OutOfTouchError):
+            with self.assertRaises(IsolatedMemberError):
                 gate.check(said)
-        self.assertFalse(gate.may(Said.CONFIGURATION_READ, AppliedEntry(7)))
-        self.assertFalse(gate.may(Said.CHANGE_ACKNOWLEDGED, ConfirmedRead(100.0)))
+        self.assertFalse(gate.may(ResponseKind.CONFIGURATION_READ, AppliedEntry(7)))
+        self.assertFalse(gate.may(ResponseKind.CHANGE_ACKNOWLEDGED, ConfirmedRead(100.0)))
 
     def test_each_bound_to_the_millisecond(self) -> None:
         bounds = (
-            (Said.FEED_TABLE, FEED_SILENCE_S),
-            (Said.FEED_CONFIGURATION, FEED_SILENCE_S),
-            (Said.HEARTBEAT_ACKNOWLEDGED, HEARTBEAT_SILENCE_S),
-            (Said.RETIREMENT_KNOWN, HEARTBEAT_SILENCE_S),
-            (Said.INSTANCE_ORDER, ORDER_SILENCE_S),
+            (ResponseKind.FEED_TABLE, FEED_MAX_STALENESS_S),
+            (ResponseKind.FEED_CONFIGURATION, FEED_MAX_STALENESS_S),
+            (ResponseKind.HEARTBEAT_ACKNOWLEDGED, HEARTBEAT_MAX_STALENESS_S),
+            (ResponseKind.RETIREMENT_KNOWN, HEARTBEAT_MAX_STALENESS_S),
+            (ResponseKind.INSTANCE_ORDER, ORDER_MAX_STALENESS_S),
         )
         for said, bound in bounds:
             self.assertTrue(Situation(bound - 0.001, leads=True).gate.may(said), said)
             self.assertFalse(Situation(bound + 0.001, leads=True).gate.may(said), said)
         situation = Situation()
-        situation.freeze(CALL_AGE_S - 0.001)
-        self.assertTrue(situation.gate.may(Said.CONFIGURATION_READ, ConfirmedRead(100.0)))
+        situation.freeze(READ_MAX_AGE_S - 0.001)
+        self.assertTrue(situation.gate.may(ResponseKind.CONFIGURATION_READ, ConfirmedRead(100.0)))
         situation.freeze(0.002)
-        self.assertFalse(situation.gate.may(Said.CONFIGURATION_READ, ConfirmedRead(100.0)))
+        self.assertFalse(situation.gate.may(ResponseKind.CONFIGURATION_READ, ConfirmedRead(100.0)))
 
     def test_calls_are_refused_at_once_only_after_a_start_has_had_its_time(self) -> None:
         situation = Situation(math.inf)
         situation.gate.check_reachable()  # the process began just now
-        situation.freeze(REACHABLE_SILENCE_S + 0.1)
-        with self.assertRaises(OutOfTouchError):
+        situation.freeze(CALL_MAX_STALENESS_S + 0.1)
+        with self.assertRaises(IsolatedMemberError):
             situation.gate.check_reachable()
         situation.current_at = situation.now
         situation.gate.check_reachable()
@@ -188,10 +188,10 @@
         self.situation = situation
         self.frozen_s = 0.0  # before the answer is known here
         self.frozen_after_s = 0.0  # after it
-        self.outcome = Outcome(DONE, 5)
+        self.outcome = CommandOutcome(DONE, 5)
         self.calls = 0
 
-    async def submit(self, command: Command, since: float) -> Outcome:
+    async def submit(self, command: Command, since: float) -> CommandOutcome:
         self.calls += 1
         await self._stand_still()
         return self.outcome
@@ -227,9 +227,9 @@
         versions = SimpleNamespace(current_body=lambda: b'{"revision":1}', revision=1)
         status = SimpleNamespace(other_controls=lambda: OTHERS, write=lambda: b"{}")
         self.gate = self.situation.gate
-        commands = cast(Commands, self.log)
+        commands = cast(CommandForwarder, self.log)
         retirements = SimpleNamespace(kind=self.kinds.get)
-        instances = Instances(
+        instances = InstanceService(
             cast("object", Table()),
             retirements,
             commands,
@@ -283,12 +283,12 @@
             self.assertEqual((await call()).status, 200)
         for result, status in ((VERSION_MISMATCH, 412), (REVISION_NOT_ABOVE, 400)):
             self.situation.current_at = self.situation.now
-            self.log.outcome = Outcome(result, 5)
+            self.log.outcome = CommandOutcome(result, 5)
             self.assertEqual((await self.put()).status, status)
 
     async def test_no_entry_no_word(self) -> None:
         for result in (DONE, VERSION_MISMATCH, REVISION_NOT_ABOVE):
-            self.log.outcome = Outcome(result, 0)
+            self.log.outcome = CommandOutcome(result, 0)
             self.assertEqual((await self.put()).status, 503)
         self.assertEqual((await self.delete()).status, 503)
 
--- a/tests/router/control_plane/test_control_plane_serving_variants.py
+++ b/tests/router/control_plane/test_control_plane_serving_variants.py
@@ -9,14 +9,14 @@
 
 from test_control_plane_serving import SCENARIOS, STEPS_OF_A_READ
 
-from mallowbeam.router.control_plane import serving
-from mallowbeam.router.control_plane.commands import Commands
-from mallowbeam.router.control_plane.instances import Instances
-from mallowbeam.router.control_plane.serving import (
-    Always,
-    InTouch,
-    Said,
-    ServingGate,
+from mallowbeam.router.control_plane import response_gate
+from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
+from mallowbeam.router.control_plane.instance_service import InstanceService
+from mallowbeam.router.control_plane.response_gate import (
+    ResponseGate,
+    ResponseKind,
+    StateFresh,
+    Unconditional,
 )
 from mallowbeam.router.feed.publisher import FeedAllowance
 from mallowbeam.simulation.fleet import FleetPlayer
@@ -61,7 +61,7 @@
         self.assertTrue(any(not before for _, before in results))
 
     def test_without_the_gate_an_old_one_would_be(self) -> None:
-        with mock.patch.object(ServingGate, "check", lambda *_: None), self.assertRaises(AssertionError):
+        with mock.patch.object(ResponseGate, "check", lambda *_: None), self.assertRaises(AssertionError):
             for steps in STEPS_OF_A_READ:
                 self.read(steps)
 
@@ -75,28 +75,28 @@
             FleetPlayer(text).play()
         return str(caught.exception)
 
-    def without(self, said: Said) -> object:
-        conditions = {**serving.CONDITIONS, said: Always()}
-        return mock.patch.object(serving, "CONDITIONS", conditions)
+    def without(self, said: ResponseKind) -> object:
+        conditions = {**response_gate.CONDITIONS, said: Unconditional()}
+        return mock.patch.object(response_gate, "CONDITIONS", conditions)
 
     def test_a_gate_that_lets_everything_pass(self) -> None:
-        with mock.patch.object(ServingGate, "may", lambda *_: True):
+        with mock.patch.object(ResponseGate, "may", lambda *_: True):
             self.assertRegex(self.violation("gateway_reaches_only_cut_off.txt"), GIVEN_OLD)
 
     def test_feeds_without_the_gate(self) -> None:
-        with mock.patch.object(ServingGate, "feed_allowance", lambda _: FeedAllowance()):
+        with mock.patch.object(ResponseGate, "feed_allowance", lambda _: FeedAllowance()):
             self.assertRegex(self.violation("gateway_reaches_only_cut_off.txt"), GIVEN_OLD)
 
     def test_a_configuration_fed_while_cut_off(self) -> None:
-        with self.without(Said.FEED_CONFIGURATION):
+        with self.without(ResponseKind.FEED_CONFIGURATION):
             self.assertRegex(self.violation("gateway_reaches_only_cut_off.txt"), GIVEN_OLD)
 
     def test_reads_without_a_barrier(self) -> None:
-        async def confirmed(self: Commands, since: float) -> None:
+        async def confirmed(self: CommandForwarder, since: float) -> None:
             await asyncio.sleep(0)
 
-        reachable = mock.patch.object(ServingGate, "check_reachable", lambda _: None)
-        with mock.patch.object(Commands, "read_barrier", confirmed), reachable:
+        reachable = mock.patch.object(ResponseGate, "check_reachable", lambda _: None)
+        with mock.patch.object(CommandForwarder, "read_barrier", confirmed), reachable:
             self.assertIn(
                 "m2 answered GET /mallowbeam/config with 200 after",
                 self.violation("cut_off_leader_asked.txt"),
@@ -104,19 +104,19 @@
 
     def test_heartbeats_acknowledged_for_too_long(self) -> None:
         """As it was: the instances turned to the others only after these had taken them for gone."""
-        conditions = {**serving.CONDITIONS, Said.HEARTBEAT_ACKNOWLEDGED: InTouch(2.0)}
-        with mock.patch.object(serving, "CONDITIONS", conditions):
+        conditions = {**response_gate.CONDITIONS, ResponseKind.HEARTBEAT_ACKNOWLEDGED: StateFresh(2.0)}
+        with mock.patch.object(response_gate, "CONDITIONS", conditions):
             self.assertIn("always gateways", self.violation("heartbeats_at_cut_off_member.txt"))
 
     def test_heartbeats_acknowledged_while_cut_off(self) -> None:
-        with self.without(Said.HEARTBEAT_ACKNOWLEDGED):
+        with self.without(ResponseKind.HEARTBEAT_ACKNOWLEDGED):
             self.assertIn("always gateways", self.violation("heartbeats_at_cut_off_member.txt"))
 
     def test_drains_acknowledged_without_the_log(self) -> None:
         async def retire(*_: object) -> None:
             await asyncio.sleep(0)
 
-        with mock.patch.object(Instances, "_retire", retire):
+        with mock.patch.object(InstanceService, "_retire", retire):
             self.assertIn(
                 "acknowledged that a leaves, which no member has applied",
                 self.violation("drain_at_cut_off_member.txt"),
--- a/tests/router/control_plane/test_control_plane_stage_orders.py
+++ b/tests/router/control_plane/test_control_plane_stage_orders.py
@@ -11,10 +11,10 @@
 from unittest import mock
 
 from mallowbeam.router.configuration.versions import ConfigurationVersions
-from mallowbeam.router.control_plane import stage_orders
+from mallowbeam.router.control_plane import stage_controller
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
-from mallowbeam.router.control_plane.serving import Said, ServingGate
-from mallowbeam.router.control_plane.stage_orders import RESET, StageOrders
+from mallowbeam.router.control_plane.response_gate import ResponseGate, ResponseKind
+from mallowbeam.router.control_plane.stage_controller import RESET, StageController
 from mallowbeam.router.pairing.stage_share import OrderResult, StageOrder
 from mallowbeam.router.registry.table import InstanceTable
 
@@ -65,9 +65,9 @@
     def setUp(self) -> None:
         self.leader, self.link = Leader(), Link()
         leader = self.leader
-        gate = ServingGate(lambda: leader.now, leader.silence, lambda: leader.is_leader)
+        gate = ResponseGate(lambda: leader.now, leader.silence, lambda: leader.is_leader)
         self.gate = gate
-        self.orders = StageOrders(
+        self.orders = StageController(
             cast(RaftDriver, leader),
             7,
             cast(InstanceTable, None),
@@ -87,7 +87,7 @@
             return self.link
 
         clock = SimpleNamespace(monotonic=lambda: self.leader.now)
-        with mock.patch.multiple(stage_orders, connect=connect, time=clock):
+        with mock.patch.multiple(stage_controller, connect=connect, time=clock):
             return await self.orders._exchange(ORDER)
 
     def written(self) -> bool:
@@ -125,7 +125,7 @@
         self.assertFalse(self.written())
 
     async def test_the_gate_has_the_last_word(self) -> None:
-        with mock.patch.object(ServingGate, "may", lambda _, said: said is not Said.INSTANCE_ORDER):
+        with mock.patch.object(ResponseGate, "may", lambda _, said: said is not ResponseKind.INSTANCE_ORDER):
             self.assertIs(await self.exchange(lambda: None), OrderResult.NOT_SENT)
         self.assertFalse(self.written())
 
--- a/tests/router/control_plane/test_control_plane_unusable.py
+++ b/tests/router/control_plane/test_control_plane_unusable.py
@@ -12,8 +12,13 @@
 from mallowbeam.router.consensus.errors import DivergedError
 from mallowbeam.router.consensus.storage import ReplicaStore, StoreDamagedError
 from mallowbeam.router.control_plane import membership_policy, raft_driver, role
-from mallowbeam.router.control_plane.first_start import derived_identity
-from mallowbeam.router.control_plane.opening import FOLDER, WatchedStore, open_anew, open_store
+from mallowbeam.router.control_plane.bootstrap import seed_identity
+from mallowbeam.router.control_plane.store_recovery import (
+    FOLDER,
+    DamageReportingStore,
+    discard_and_reopen,
+    open_store,
+)
 from mallowbeam.router.processes.role import RoleContext
 from mallowbeam.router.processes.settings import NodeSettings
 from mallowbeam.simulation.fleet import FleetPlayer
@@ -90,7 +95,7 @@
         player = FleetPlayer(text)
         player.play()
         self.assertEqual(self._members(player), 3)
-        self.assertGreater(60 - 10, membership_policy.GONE_LEARNER)
+        self.assertGreater(60 - 10, membership_policy.LEARNER_TIMEOUT_S)
 
     @staticmethod
     def _members(player: FleetPlayer) -> int:
@@ -119,13 +124,13 @@
 
     @property
     def first(self) -> int:
-        return derived_identity(self.settings.bind_addresses.control)
+        return seed_identity(self.settings.bind_addresses.control)
 
     def test_a_store_that_is_discarded_gives_no_identity_back(self) -> None:
         opened = open_store(self.settings)
         self.assertEqual(opened.identity, self.first)
         opened.store.close()
-        anew = open_anew(self.settings)
+        anew = discard_and_reopen(self.settings)
         self.assertNotEqual(anew.identity, self.first)
         self.assertFalse(anew.restored.snapshot.membership.members)
         anew.store.close()
@@ -134,7 +139,7 @@
         open_store(self.settings).store.close()
         with mock.patch.object(ReplicaStore, "create", side_effect=KeyboardInterrupt):
             with self.assertRaises(KeyboardInterrupt):
-                open_anew(self.settings)
+                discard_and_reopen(self.settings)
         opened = open_store(self.settings)
         self.assertNotEqual(opened.identity, self.first)
         opened.store.close()
@@ -152,7 +157,7 @@
         store, told = mock.Mock(), []
         store.write.side_effect = StoreDamagedError("torn", step="commit")
         with self.assertRaises(StoreDamagedError):
-            WatchedStore(store, told.append).write([])
+            DamageReportingStore(store, told.append).write([])
         self.assertEqual([error.code for error in told], ["STORE_DAMAGED"])
 
 
@@ -192,7 +197,9 @@
             FakeMember.context, FakeMember.made = context, []
             await role.serve(context)
 
-        with mock.patch.multiple(role, open_store=opening, open_anew=opening, ControlMember=FakeMember):
+        with mock.patch.multiple(
+            role, open_store=opening, discard_and_reopen=opening, ControlMember=FakeMember
+        ):
             with mock.patch.object(FakeMember, "disk_ended", disk_ended, create=True):
                 asyncio.run(serve())
         return FakeMember.made
--- a/tests/router/health/test_fleet_attempts.py
+++ b/tests/router/health/test_fleet_attempts.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from mallowbeam.router.control_plane.attempt_words import AttemptWords
+from mallowbeam.router.control_plane.attempt_reports import AttemptReports
 from mallowbeam.router.data_plane.attempt_meter import AttemptMeter
 from mallowbeam.router.data_plane.gateway import SUSPECT_FAILURES, Gateway
 from mallowbeam.router.data_plane.link_pool import LinkPool
@@ -73,7 +73,7 @@
         self.assertEqual((len(told), told[0].id), (MOST_TOLD, f"i-{MOST_TOLD + 9:03}"))
 
     def test_members_add_each_other_s_gateways_once(self) -> None:
-        first, second = AttemptWords(), AttemptWords()
+        first, second = AttemptReports(), AttemptReports()
         first.gateways.told(1, [attempts("a", 2), attempts("c", 0, 5)], 10.0)
         second.gateways.told(1, [attempts("a", 1, 1), attempts("b", 3)], 10.0)
         for _ in range(3):
@@ -84,7 +84,7 @@
         self.assertEqual(told, {"a": (3, 1), "b": (3, 0)}, "only instances with failures are told")
 
     def test_gossip_without_a_word_changes_nothing(self) -> None:
-        words = AttemptWords()
+        words = AttemptReports()
         gossip, again = RegistryGossip(), RegistryGossip()
         words.tell(gossip, 10.0)
         words.tell(again, 10.1)
--- a/tests/router/pairing/test_rules_orders.py
+++ b/tests/router/pairing/test_rules_orders.py
@@ -16,7 +16,7 @@
 from timed_instances import Timed
 from virtual_time import play
 
-from mallowbeam.router.control_plane.stage_orders import StageOrders
+from mallowbeam.router.control_plane.stage_controller import StageController
 from mallowbeam.router.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
 from mallowbeam.router.pairing.stage_share import OrderResult, StageOrder
 from mallowbeam.router.registry.leases import Leases
@@ -165,7 +165,7 @@
         writer.close()
 
 
-class Leader(StageOrders):
+class Leader(StageController):
     """A member with a lease; all else about it is as it is told."""
 
     def __init__(self, token: int = 7, leads: bool = True, silence_s: float = 0.0) -> None:
--- a/tests/router/registry/test_registry_processes.py
+++ b/tests/router/registry/test_registry_processes.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from mallowbeam.router.control_plane.serving import ServingGate
+from mallowbeam.router.control_plane.response_gate import ResponseGate
 from mallowbeam.router.feed import Close, Connect, FeedPublisher, FeedSubscriber, MemberStatus
 from mallowbeam.router.feed.limits import CONNECT_TIMEOUT_S
 from mallowbeam.router.registry import GatewayCensus, Retirements
@@ -159,7 +159,7 @@
 
     def feed(self, now: float) -> None:
         silence = round((now - self.current_at) * 1000)
-        gate = ServingGate(lambda: now, lambda: now - self.current_at, lambda: False)
+        gate = ResponseGate(lambda: now, lambda: now - self.current_at, lambda: False)
         status = MemberStatus(
             silence,
             self.census.total(len(self.publisher), now),
--- a/tests/support/control_plane_rig.py
+++ b/tests/support/control_plane_rig.py
@@ -21,7 +21,7 @@
 from mallowbeam.router.rpc.framing import FrameReader, encode_frame
 from mallowbeam.router.rpc.messages_pb2 import FeedFrame, FeedHello, GatewayFrame, LinkFrame
 
-PATIENCE = 30.0  # seconds for what should take a moment: only a failure takes so long
+CALL_TIMEOUT_S = 30.0  # seconds for what should take a moment: only a failure takes so long
 CALL_TIMEOUT = 2.0
 UNCLEAR = (0, 503, 504)  # no answer, or one that promises nothing or asks to come again
 
@@ -112,7 +112,7 @@
     def stop(self, number: int = signal.SIGTERM) -> int:
         assert self.process is not None
         self.process.send_signal(number)
-        code = self.process.wait(PATIENCE)
+        code = self.process.wait(CALL_TIMEOUT_S)
         self.process = None
         return code
 
@@ -186,7 +186,7 @@
 
     def until(self, what: str, condition: Callable[[], object]) -> object:
         """Wait for a condition; its value. Fails with the members' logs."""
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + CALL_TIMEOUT_S
         while time.monotonic() < end:
             value = condition()
             if value:
@@ -275,7 +275,7 @@
     """A gateway's end of a feed, on a plain socket."""
 
     def __init__(self, machine: Machine, revision: int = 0) -> None:
-        self._socket = socket.create_connection((machine.ip, machine.rig.peer_port), timeout=PATIENCE)
+        self._socket = socket.create_connection((machine.ip, machine.rig.peer_port), timeout=CALL_TIMEOUT_S)
         self._reader = FrameReader()
         self._frames: list[FeedFrame] = []
         hello = FeedHello(gateway="g", incarnation=1, configuration_revision=revision)
@@ -292,7 +292,7 @@
 
     def until(self, what: str, condition: Callable[[FeedFrame], bool]) -> FeedFrame:
         """The first frame that meets a condition."""
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + CALL_TIMEOUT_S
         while time.monotonic() < end:
             frame = self.frame()
             if condition(frame):
--- a/tests/support/fleet_variants.py
+++ b/tests/support/fleet_variants.py
@@ -20,14 +20,14 @@
 from mallowbeam.router.consensus.interface import Restored
 from mallowbeam.router.consensus.node import RaftNode
 from mallowbeam.router.consensus.state import MemberState
-from mallowbeam.router.control_plane import group
-from mallowbeam.router.control_plane.answers import VersionMismatchError
+from mallowbeam.router.control_plane import membership_manager
 from mallowbeam.router.control_plane.api import ControlApi
-from mallowbeam.router.control_plane.commands import Commands
-from mallowbeam.router.control_plane.group import GroupKeeper
+from mallowbeam.router.control_plane.api_errors import VersionMismatchError
+from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
 from mallowbeam.router.control_plane.member import ControlMember
-from mallowbeam.router.control_plane.membership_policy import Group
-from mallowbeam.router.control_plane.state_machine import Outcome, ReplicatedStateMachine
+from mallowbeam.router.control_plane.membership_manager import MembershipManager
+from mallowbeam.router.control_plane.membership_policy import ClusterView
+from mallowbeam.router.control_plane.state_machine import CommandOutcome, ReplicatedStateMachine
 from mallowbeam.router.feed.instances import InstanceCopy
 from mallowbeam.router.rpc.messages_pb2 import ALREADY_DONE, DONE, REFUSED, VERSION_MISMATCH, Membership
 from mallowbeam.simulation.replica import Replica
@@ -155,7 +155,7 @@
 # ------------------------------------------------------------ 3: membership
 
 
-def _promote_all(group: Group) -> Membership | None:
+def _promote_all(group: ClusterView) -> Membership | None:
     learners = [one.id for one in group.membership.members if not one.voter]
     if not learners or not group.caught_up(learners[0]):
         return None
@@ -170,7 +170,7 @@
 def _any_membership() -> Iterator[None]:
     """The policy proposes it, and the core's own check is off too."""
     with (
-        mock.patch.object(group, "next_change", _promote_all),
+        mock.patch.object(membership_manager, "next_membership", _promote_all),
         mock.patch.object(leadership, "check_change", lambda old, new: None),
     ):
         yield
@@ -194,7 +194,7 @@
         "a wiped member is never taken in again",
         "of 3 voters are sound, 1 more may be lost",
         "at 8 wipe m3\nend 14",
-        _replaced(GroupKeeper, "join", lambda self, connection, request: None),
+        _replaced(MembershipManager, "join", lambda self, connection, request: None),
         ("RepairChecker",),
     ),
 )
@@ -218,9 +218,9 @@
 _apply_entry = ReplicatedStateMachine.apply
 
 
-def _differs_at_random(self: ReplicatedStateMachine, index: int, payload: bytes) -> Outcome:
+def _differs_at_random(self: ReplicatedStateMachine, index: int, payload: bytes) -> CommandOutcome:
     outcome = _apply_entry(self, index, payload)
-    return Outcome(REFUSED if id(self) % 3 else DONE, outcome.index) if index > 3 else outcome
+    return CommandOutcome(REFUSED if id(self) % 3 else DONE, outcome.index) if index > 3 else outcome
 
 
 LOGS = (
@@ -243,14 +243,14 @@
 # ------------------------------------------------------------ 5: answers and spread
 
 
-def _any_pending(self: Commands, response: Any) -> None:
+def _any_pending(self: CommandForwarder, response: Any) -> None:
     pending = next(iter(self._proposals), None)
     if pending is not None:
         response.id = pending
         _propose_response(self, response)
 
 
-_propose_response = Commands.propose_response
+_propose_response = CommandForwarder.propose_response
 _apply_instances = InstanceCopy.apply
 
 
@@ -267,7 +267,7 @@
         "ChangeKey",
         "at 8 operator second\nat 9 put 2 on 1 via followers\nat 9 put 3 on 1 via followers by second\n"
         "at 9 put 4 on 1 via followers\nat 9 put 5 on 1 via followers by second\nend 12",
-        lambda: mock.patch.object(Commands, "propose_response", _swapped()),
+        lambda: mock.patch.object(CommandForwarder, "propose_response", _swapped()),
     ),
     Variant(
         "drains are overlooked by a gateway",
@@ -279,11 +279,11 @@
 )
 
 
-def _swapped() -> Callable[[Commands, Any], None]:
+def _swapped() -> Callable[[CommandForwarder, Any], None]:
     """Hold one answer back and give the next two to each other's calls."""
     held: list[Any] = []
 
-    def respond(self: Commands, response: Any) -> None:
+    def respond(self: CommandForwarder, response: Any) -> None:
         if response.id not in self._proposals:
             return
         if not held:
--- a/tests/support/snapshot_load.py
+++ b/tests/support/snapshot_load.py
@@ -22,10 +22,10 @@
 from mallowbeam.router.consensus.interface import RaftSettings
 from mallowbeam.router.consensus.node import RaftNode
 from mallowbeam.router.consensus.storage import ReplicaStore
-from mallowbeam.router.control_plane.disk_writer import DiskWriter
 from mallowbeam.router.control_plane.member import TRAILING_ENTRIES
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
 from mallowbeam.router.control_plane.state_machine import ReplicatedStateMachine
+from mallowbeam.router.control_plane.storage_writer import StorageWriter
 from mallowbeam.router.rpc.messages_pb2 import DONE, Command, Member, Membership, PutConfiguration, Snapshot
 
 OWN = 1
@@ -58,7 +58,7 @@
         store = ReplicaStore.open(self.folder, self.disk_mb)
         store.create(OWN, FIRST)
         self.machine = machine = ReplicatedStateMachine(ConfigurationParser(), lambda _: None)
-        disk = DiskWriter(store, lambda writes: self.driver.durable(writes))
+        disk = StorageWriter(store, lambda writes: self.driver.durable(writes))
         settings = RaftSettings(OWN, trailing_entries=TRAILING_ENTRIES)
         node = RaftNode(settings, store.load(), time.monotonic(), Random(1))
         self.driver = RaftDriver(node, machine, disk.submit, lambda recipient, message: None, Listener())
