--- a/mallowbeam/router/error_body.py
+++ b/mallowbeam/router/error_body.py
@@ -23,8 +23,8 @@
 
     @classmethod
     def from_error(cls, error: MallowbeamError) -> ErrorBody:
-        """Describe an error of the project; one without a code is identified by the name of its class."""
-        code = getattr(error, "code", "") or type(error).__name__
+        """Describe an error of the project; one without a code is identified by its error name."""
+        code = error.code or error.error_name
         return cls(code=code, where=error.where, what=error.what, remedy=error.cure)
 
     @classmethod
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -13,7 +13,7 @@
 from mallowbeam.storage_gateway.scheduler.interface import Repeat
 from mallowbeam.storage_gateway.server.calls import Answer, Call, Kind, length_of, read_deadline, time_left
 from mallowbeam.storage_gateway.server.gateway import Gateway
-from mallowbeam.storage_gateway.server.health import page
+from mallowbeam.storage_gateway.server.health import readiness
 
 TARGET = re.compile(rb"/([^/?]+)/([0-9a-f]{16})/([0-9a-f]{16})(?:\?[\x21-\x7e]{0,1024})?\Z")
 REQUEST_ID = re.compile(rb"[0-9a-f]{16}\Z")
@@ -42,6 +42,7 @@
 class BadRequest(MallowbeamError):
     """A request that the protocol doesn't allow; the text says why."""
 
+    error_name = "BadRequest"
     remedy = "mend the client that sent it"
 
 
@@ -56,7 +57,7 @@
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
         """One request to its one answer."""
         if request.target == b"/healthz" and request.method in (b"GET", b"HEAD"):
-            return page(self.gateway, request.target, closing())
+            return readiness(self.gateway, closing())
         try:
             call = self.read(request)
         except BadRequest as error:
@@ -113,18 +114,18 @@
             raise BadRequest("X-Extent is senseless")
         return Call(
             request_id.decode(),
-            dict(
-                cls=cls.name,
-                expires_in=time_left(min(deadline, cls.deadline) - waited),
-                shard=None if shard < 0 else shard,
-                units=units,
-                volume=path[2].decode(),
-                plan=plan.name,
-                hosts_of_volume=hosts,
-                key=path[3].decode(),
-                is_retry=headers.get(b"x-retry") == b"1",
-                is_write=request.method == b"PUT",
-            ),
+            {
+                "cls": cls.name,
+                "expires_in": time_left(min(deadline, cls.deadline) - waited),
+                "shard": None if shard < 0 else shard,
+                "units": units,
+                "volume": path[2].decode(),
+                "plan": plan.name,
+                "hosts_of_volume": hosts,
+                "key": path[3].decode(),
+                "is_retry": headers.get(b"x-retry") == b"1",
+                "is_write": request.method == b"PUT",
+            },
             request.method,
             request.target,
             [h for h in request.headers if h[0] in PASSED_ON],
