--- a/mallowbeam/router/control_plane/api.py
+++ b/mallowbeam/router/control_plane/api.py
@@ -21,9 +21,8 @@
     OutcomeUnknownError,
     RevisionNotAboveError,
     VersionMismatchError,
-    body_reply,
-    error_reply,
 )
+from mallowbeam.router.control_plane.api_responses import body_reply, error_reply
 from mallowbeam.router.control_plane.body_admission import LARGE_BODY, LargeBodyAdmission, Work, run_in_thread
 from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
 from mallowbeam.router.control_plane.instance_service import InstanceService
--- a/mallowbeam/router/control_plane/api_errors.py
+++ b/mallowbeam/router/control_plane/api_errors.py
@@ -1,27 +1,19 @@
-"""JSON answers of the control API."""
+"""Errors of the control API: each class has a stable code and the HTTP status of its response."""
 
 from __future__ import annotations
 
-import json
-from collections.abc import Mapping, Sequence
-
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.http.framing import Headers, write_head
-from mallowbeam.http.front import Reply
-from mallowbeam.router.error_body import ErrorBody
-
-JSON_TYPE = (b"content-type", b"application/json")
-RETRY_AFTER = (b"retry-after", b"0.2")  # seconds, with a 503: an election takes about as long
 
 
 class CallError(MallowbeamError):
-    """A call of the control API that is not taken; `status` is the answer's."""
+    """A call of the control API that is rejected; `status` is the HTTP status of its response."""
 
     code = "CONTROL_CALL"
     status = 400
     remedy = "mend the call as told"
 
     def __init__(self, what: str, where: str = "", status: int = 0) -> None:
+        """`status` replaces the class's own for one call."""
         super().__init__(what, where)
         self.status = status or self.status
 
@@ -35,7 +27,7 @@
 
 
 class IsolatedMemberError(CallError):
-    """This member is cut off from the group, or stood still in the middle of the call."""
+    """This member has lost contact with the majority, or was suspended during the call."""
 
     code = "CONTROL_OUT_OF_TOUCH"
     status = 503
@@ -43,7 +35,7 @@
 
 
 class LargeBodyError(CallError):
-    """This member has a large body under way already; nothing was proposed."""
+    """This member already processes a large body; nothing was proposed."""
 
     code = "CONTROL_LARGE_BODY"
     status = 503
@@ -51,7 +43,7 @@
 
 
 class OutcomeUnknownError(CallError):
-    """A command was proposed, but what became of it is not known."""
+    """A command was proposed, but whether it was committed is not known."""
 
     code = "CONTROL_OUTCOME_UNKNOWN"
     status = 504
@@ -59,7 +51,7 @@
 
 
 class VersionMismatchError(CallError):
-    """A configuration builds on another version than the current one."""
+    """A configuration is based on another revision than the current one."""
 
     code = "CONFIGURATION_VERSION"
     status = 412
@@ -67,7 +59,7 @@
 
 
 class RevisionNotAboveError(CallError):
-    """A configuration's revision is not above the current one."""
+    """A configuration's revision does not exceed the current one."""
 
     code = "CONFIGURATION_REVISION"
     status = 400
@@ -75,32 +67,8 @@
 
 
 class InvalidOutcomeError(CallError):
-    """A patch would lead to a configuration that is not valid."""
+    """A patch would result in an invalid configuration."""
 
     code = "CONFIGURATION_OUTCOME"
     status = 422
     remedy = "read the current configuration and build the patch on it"
-
-
-def json_reply(status: int, body: Mapping[str, object], close: bool, *more: tuple[bytes, bytes]) -> Reply:
-    """A whole answer with a JSON object."""
-    return body_reply(status, json.dumps(body, separators=(",", ":")).encode(), close, *more)
-
-
-def body_reply(status: int, body: bytes, close: bool, *more: tuple[bytes, bytes]) -> Reply:
-    """A whole answer with JSON that is encoded already."""
-    headers: Headers = [JSON_TYPE, *more]
-    return Reply(status, write_head(status, headers, len(body), close) + body)
-
-
-def error_reply(status: int, error: MallowbeamError, close: bool, others: Sequence[str] = ()) -> Reply:
-    """An answer that tells what is wrong, where, and what to do.
-
-    With a 5xx, `others` are the control addresses of members to which the caller may turn. A redirection to
-    one of them would be a guess: it may be cut off as well.
-    """
-    more = (RETRY_AFTER,) if status == 503 else ()
-    page: dict[str, object] = {"error": ErrorBody.from_error(error).fields()}
-    if status >= 500 and others:
-        page["members"] = list(others)
-    return json_reply(status, page, close, *more)
--- a/tests/router/control_plane/test_control_plane_cores.py
+++ b/tests/router/control_plane/test_control_plane_cores.py
@@ -12,7 +12,8 @@
 
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.versions import put_command
-from mallowbeam.router.control_plane.api_errors import NothingProposedError, error_reply
+from mallowbeam.router.control_plane.api_errors import NothingProposedError
+from mallowbeam.router.control_plane.api_responses import error_reply
 from mallowbeam.router.control_plane.bootstrap import initial_state, seed_identity
 from mallowbeam.router.control_plane.state_machine import (
     CommandOutcome,
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -45,7 +45,8 @@
 from mallowbeam.router.configuration.patch import parse_patch
 from mallowbeam.router.configuration.versions import patch_command, put_command
 from mallowbeam.router.consensus.storage import ReplicaStore
-from mallowbeam.router.control_plane import answers
+from mallowbeam.router.control_plane.api_errors import CallError
+from mallowbeam.router.control_plane.api_responses import error_reply
 from mallowbeam.router.control_plane.state_machine import ReplicatedStateMachine
 from mallowbeam.router.processes.errors import codes_of, error_types
 from mallowbeam.router.processes.settings import SettingsError, parse_settings
@@ -568,11 +569,11 @@
 
 
 def test_the_control_api_answers_errors_as_before():
-    kinds = {kind.code: kind for kind in (answers.CallError, *all_below(answers.CallError))}
+    kinds = {kind.code: kind for kind in (CallError, *all_below(CallError))}
     for one in samples("errors.json")["control_api"]:
         error = kinds[one["error"]["code"]]("what is wrong", "If-Match")
         check_error(error, one["error"])
-        reply = answers.error_reply(error.status, error, False, ["10.0.0.1:8001", "10.0.0.2:8001"])
+        reply = error_reply(error.status, error, False, ["10.0.0.1:8001", "10.0.0.2:8001"])
         assert reply.status == one["status"]
         check_reply(reply.data, one["reply"])
 
@@ -590,7 +591,7 @@
         error = raised(ConfigurationError, lambda: parse_configuration(one["document"].encode()))  # noqa: B023
         check_error(error, one)
         assert sorted(error.told()) == one["told"]
-        check_reply(answers.error_reply(one["status"], error, False).data, one["reply"])
+        check_reply(error_reply(one["status"], error, False).data, one["reply"])
     for one in sample["heartbeats"]:
         body = one["body"].ljust(one["size"], "x").encode()
         check_error(raised(HeartbeatError, lambda: parse_heartbeat(one["id"], body)), one)  # noqa: B023
