--- a/mallowbeam/router/configuration/document.py
+++ b/mallowbeam/router/configuration/document.py
@@ -1,4 +1,4 @@
-"""A valid configuration with the canonical JSON of each entry, so that parts of it can be replaced."""
+"""A valid configuration with the canonical JSON of each entry, so that entries can be replaced."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationDocument:
-    """One revision, with all that the operator sent. Nothing in it is ever changed."""
+    """One revision with everything that the operator sent. Immutable."""
 
     configuration: Configuration
-    rest: Mapping[str, Any]  # the document's members without routes and services
+    rest: Mapping[str, Any]  # the document's members other than routes and services
     routes: Sequence[ParsedEntry[Route]]
     backends: Sequence[ParsedEntry[Backend]]
 
@@ -40,7 +40,7 @@
 
 
 def canonical_document(rest: Mapping[str, Any], lists: Mapping[str, Sequence[ParsedEntry[Any]]]) -> bytes:
-    """Canonical JSON of a whole document."""
+    """Canonical JSON of a complete document: `rest` and the entries of `lists`."""
     texts = {name: ENCODER.encode(value) for name, value in rest.items()}
     for name, entries in lists.items():
         texts[name] = b"[" + b",".join([entry.canonical for entry in entries]) + b"]"
@@ -48,5 +48,5 @@
 
 
 def digest_of(canonical: bytes) -> bytes:
-    """The digest by which a configuration or a patch is known again."""
+    """BLAKE2b digest (DIGEST_BYTES) that identifies a configuration or a patch."""
     return hashlib.blake2b(canonical, digest_size=DIGEST_BYTES).digest()
--- a/mallowbeam/router/configuration/model.py
+++ b/mallowbeam/router/configuration/model.py
@@ -1,6 +1,6 @@
 """The operator's configuration as the processes use it: immutable, and free of everything that parses it.
 
-Gateways import this module; it must not import marshmallow or json (a test holds it to that).
+Gateways import this module; it must not import marshmallow or json (a test enforces it).
 """
 
 from __future__ import annotations
@@ -8,13 +8,13 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-MOST_UINT32 = 2**32 - 1
-MOST_UINT64 = 2**64 - 1
+MAX_UINT32 = 2**32 - 1
+MAX_UINT64 = 2**64 - 1
 
 
 @dataclass(frozen=True, slots=True)
 class WeightedBackend:
-    """A service and its share of a route's requests; a weight of 0 receives none."""
+    """A service and its weight among a route's services; a weight of 0 receives no requests."""
 
     backend: str
     weight: int
@@ -22,36 +22,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go, and what may be done with them."""
+    """Where requests of one host and path prefix go, with the policy for their retries and latency."""
 
     hostname: str  # in lower case
     path_prefix: str
     timeout_ms: int
-    backends: tuple[WeightedBackend, ...]  # weights sum to more than 0
+    backends: tuple[WeightedBackend, ...]  # the sum of the weights is above 0
     name: str = ""
-    route_type: str = "unsafe"  # the type that promises least, where none is given
-    target_latency_ms: int = 0  # 0: none given
+    route_type: str = "unsafe"  # the type that permits least, if none is configured
+    target_latency_ms: int = 0  # 0: none configured
     priority: int = 0  # 0 is highest
     max_retries: int = 1  # instances to which one request may be sent
     session_affinity: bool = False
     resumable: bool = False
-    gap_aim_ms: int = 0  # 0: none given
-    place: str = field(init=False, repr=False, compare=False)  # host and prefix: no two routes share them
+    gap_aim_ms: int = 0  # target for the time between two events of a stream; 0: none configured
+    key: str = field(init=False, repr=False, compare=False)  # host and prefix, unique among the routes
 
     def __post_init__(self) -> None:
-        """Join the place once: it is the key of every table of routes."""
-        object.__setattr__(self, "place", f"{self.hostname} {self.path_prefix}")
+        """Build the key once: every table of routes is indexed by it."""
+        object.__setattr__(self, "key", f"{self.hostname} {self.path_prefix}")
 
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """What the operator says of a service's model servers; 0: not given."""
+    """Properties of a service's model servers; 0 if not configured."""
 
     slots: int = 0
     kv_capacity: int = 0  # tokens
     kv_token_bytes: int = 0
     link_mbps: float = 0.0
-    stride: int = 0  # tokens an event carries
+    stride: int = 0  # tokens per event of a stream
     handle_ttl_s: float = 0.0
     switch_s: float = 0.0
     models: tuple[str, ...] = ()
@@ -63,13 +63,13 @@
 
     name: str
     health_check: str = ""  # path; empty: none
-    max_connections: int = 0  # to one instance, from all callers; 0: not given
+    max_connections: int = 0  # to one instance, from all gateways together; 0: not configured
     engine: Engine | None = None  # None: no model server
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send, in bytes, and how long it may take or rest, in milliseconds."""
+    """Limits of a client's requests: sizes in bytes, time-outs in milliseconds."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 4 * 1024 * 1024
@@ -79,9 +79,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One revision of the operator's configuration. The mappings are never changed."""
+    """One revision of the operator's configuration. The mappings are never modified."""
 
     revision: int
-    routes: Mapping[str, Route]  # by `Route.place`
+    routes: Mapping[str, Route]  # by `Route.key`
     backends: Mapping[str, Backend]  # by name
     limits: ClientLimits = field(default_factory=ClientLimits)
--- a/mallowbeam/router/configuration/patch.py
+++ b/mallowbeam/router/configuration/patch.py
@@ -1,8 +1,8 @@
-"""A patch: entries of the operator's configuration to add, replace or remove, and the outcome, checked whole.
+"""Patches: entries of the operator's configuration to add, replace or remove, and the validated outcome.
 
-A patch costs what it changes: entries that it does not name are neither read nor checked again, but where it
-removes a service every route is held against that.  Any list of the document can be patched; an entry is
-known by its `name`.
+The cost of a patch is that of what it changes: entries that it does not name are neither parsed nor validated
+again, except that the removal of a service checks every route. Any list of the document can be patched; an
+entry is identified by its `name`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,15 @@
 import msgspec
 from marshmallow import Schema
 
-from mallowbeam.router.configuration.checks import check_route, check_tenant_keys
+from mallowbeam.router.configuration.decoding import (
+    ENTRIES_DECODER,
+    MEMBERS_DECODER,
+    VALUE_DECODER,
+    check_nesting,
+    decode,
+    load,
+    read_entry,
+)
 from mallowbeam.router.configuration.document import (
     ENCODER,
     ConfigurationDocument,
@@ -27,20 +35,10 @@
     DuplicateName,
     InvalidField,
     NameNotFound,
-    SamePlace,
     UnknownBackend,
 )
 from mallowbeam.router.configuration.model import Backend, Configuration, Route
-from mallowbeam.router.configuration.parsing import (
-    ENTRIES_DECODER,
-    MEMBERS_DECODER,
-    MOST_BODY_BYTES,
-    VALUE_DECODER,
-    check_nesting,
-    decode,
-    load,
-    read_entry,
-)
+from mallowbeam.router.configuration.parsing import MAX_BODY_BYTES
 from mallowbeam.router.configuration.schemas import (
     BackendSchema,
     DocumentSchema,
@@ -48,18 +46,19 @@
     RouteSchema,
     Text,
 )
+from mallowbeam.router.configuration.validation import add_route, check_route, check_tenant_keys
 
 UPSERT, REMOVE, REVISION = "upsert", "remove", "revision"
 ROUTES, BACKENDS = "routes", "backends"
 MEMBERS = frozenset((UPSERT, REMOVE, REVISION))
 NAMES_DECODER = msgspec.json.Decoder(list[str])
-NAME_SCHEMA = LenientSchema.from_dict({"name": Text(required=True, filled=True)})()
+NAME_SCHEMA = LenientSchema.from_dict({"name": Text(required=True, non_empty=True)})()
 SCHEMAS: Mapping[str, Schema] = {ROUTES: RouteSchema(), BACKENDS: BackendSchema()}
 
 
 @dataclass(frozen=True, slots=True)
 class NamedEntry:
-    """An entry that a patch adds, or puts in the place of the one with its name."""
+    """An entry that a patch adds, or that replaces the one of the same name."""
 
     name: str
     entry: ParsedEntry[Any]
@@ -67,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListPatch:
-    """What a patch does to one list."""
+    """The changes to one list."""
 
     upsert: tuple[NamedEntry, ...] = ()
     remove: tuple[str, ...] = ()
@@ -75,49 +74,49 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationPatch:
-    """A patch that is valid by itself; its outcome depends on what it is applied to."""
+    """A well-formed patch; whether its outcome is valid depends on the document it is applied to."""
 
     revision: int
     lists: Mapping[str, ListPatch]
     canonical: bytes  # JSON
 
     def digest(self, based_on: int) -> bytes:
-        """By which copies of one call are known: the same patch on another revision is another change."""
+        """Digest that identifies the change: the same patch of another revision is another change."""
         return digest_of(b"patch %d " % based_on + self.canonical)
 
 
-NOTHING = ListPatch()
+NO_CHANGE = ListPatch()
 
 
-def parse_patch(body: bytes, most_bytes: int = MOST_BODY_BYTES) -> ConfigurationPatch:
-    """Read a patch; raises a `ConfigurationError` and nothing else."""
-    if len(body) > most_bytes:
-        raise ConfigurationTooLarge(f"{len(body)} bytes; {most_bytes} are allowed")
+def parse_patch(body: bytes, max_bytes: int = MAX_BODY_BYTES) -> ConfigurationPatch:
+    """Parse a patch; raises a `ConfigurationError` and nothing else."""
+    if len(body) > max_bytes:
+        raise ConfigurationTooLarge(f"{len(body)} bytes; {max_bytes} are allowed")
     members: dict[str, msgspec.Raw] = decode(MEMBERS_DECODER, body, "")
     for name in members:
         if name not in MEMBERS:
             raise InvalidField("is no member of a patch: it would have no effect", name)
-    whole = decode(VALUE_DECODER, body, "")
-    check_nesting(whole, "")
-    fields = load(DocumentSchema(), {REVISION: whole.get(REVISION)}, "")
+    document = decode(VALUE_DECODER, body, "")
+    check_nesting(document, "")
+    fields = load(DocumentSchema(), {REVISION: document.get(REVISION)}, "")
     upsert = {name: _entries(name, text) for name, text in _lists(members, UPSERT).items()}
     remove = {name: _names(name, text) for name, text in _lists(members, REMOVE).items()}
     names = [*upsert, *(name for name in remove if name not in upsert)]
     lists = {name: ListPatch(upsert.get(name, ()), remove.get(name, ())) for name in names}
     for name, changed in lists.items():
         _check_names(name, changed)
-    return ConfigurationPatch(fields[REVISION], lists, ENCODER.encode(whole))
+    return ConfigurationPatch(fields[REVISION], lists, ENCODER.encode(document))
 
 
 def apply_patch(document: ConfigurationDocument, patch: ConfigurationPatch) -> ConfigurationDocument:
-    """The document after a patch; raises a `ConfigurationError` where the outcome is not valid."""
+    """The document after a patch; raises a `ConfigurationError` if the outcome is invalid."""
     rest = dict(document.rest)
     rest[REVISION] = patch.revision
     for name, changed in patch.lists.items():
         if name not in SCHEMAS:
             rest[name] = _patched_objects(rest.get(name), name, changed)
     check_tenant_keys(rest)
-    routes, backends = patch.lists.get(ROUTES, NOTHING), patch.lists.get(BACKENDS, NOTHING)
+    routes, backends = patch.lists.get(ROUTES, NO_CHANGE), patch.lists.get(BACKENDS, NO_CHANGE)
     return ConfigurationDocument(
         configuration=_configuration(document, patch.revision, routes, backends),
         rest=rest,
@@ -126,16 +125,16 @@
     )
 
 
-# ---------------------------------------------------------------- reading
+# ---------------------------------------------------------------- parsing
 
 
 def _lists(members: Mapping[str, msgspec.Raw], name: str) -> dict[str, msgspec.Raw]:
-    """The lists under `upsert` or `remove`; none where it is absent or null."""
+    """The lists under `upsert` or `remove`; none if it is absent or null."""
     text = members.get(name)
     if text is None or bytes(text).strip() == b"null":
         return {}
-    found: dict[str, msgspec.Raw] = decode(MEMBERS_DECODER, text, name)
-    return found
+    lists: dict[str, msgspec.Raw] = decode(MEMBERS_DECODER, text, name)
+    return lists
 
 
 def _entries(list_name: str, text: msgspec.Raw) -> tuple[NamedEntry, ...]:
@@ -162,7 +161,7 @@
 
 
 def _check_names(list_name: str, changed: ListPatch) -> None:
-    """Raise `DuplicateName` where a patch names an entry more than once."""
+    """Raise `DuplicateName` if a patch names an entry more than once."""
     seen: set[str] = set()
     named = [(entry.name, f"{UPSERT}.{list_name}[{at}].name") for at, entry in enumerate(changed.upsert)]
     named += [(name, f"{REMOVE}.{list_name}[{at}]") for at, name in enumerate(changed.remove)]
@@ -172,21 +171,21 @@
         seen.add(name)
 
 
-# ---------------------------------------------------------------- the outcome of one list
+# ---------------------------------------------------------------- applying to one list
 
 
 def _patched(
     entries: Sequence[ParsedEntry[Entry]], list_name: str, changed: ListPatch
 ) -> Sequence[ParsedEntry[Entry]]:
-    """A list after a patch: replaced entries keep their place, added ones follow in the patch's order."""
-    if changed == NOTHING:
+    """A list after a patch: replaced entries keep their position, added ones follow in the patch's order."""
+    if changed == NO_CHANGE:
         return entries
     names = [entry.value.name for entry in entries]
     return _merge(list(entries), names, list_name, changed, [named.entry for named in changed.upsert])
 
 
 def _patched_objects(entries: Any, list_name: str, changed: ListPatch) -> list[Any]:
-    """A list that this program does not read, after a patch."""
+    """A list that this program does not interpret, after a patch."""
     if entries is None:
         entries = []
     if not isinstance(entries, list):
@@ -205,14 +204,16 @@
             merged[positions[named.name]] = entry
         else:
             merged.append(entry)
-    gone = {positions[name] for name in changed.remove}
-    return [entry for position, entry in enumerate(merged) if position not in gone] if gone else merged
+    removed = {positions[name] for name in changed.remove}
+    if not removed:
+        return merged
+    return [entry for position, entry in enumerate(merged) if position not in removed]
 
 
 def _positions(names: Sequence[Any], list_name: str, changed: ListPatch) -> dict[str, int]:
-    """Where the entries stand that a patch names.
+    """Positions, by name, of the present entries that a patch names.
 
-    Raises `NameNotFound` for a removed one that is not there, `DuplicateName` where two have one name.
+    Raises `NameNotFound` if an entry to remove is missing, `DuplicateName` if two entries share a name.
     """
     wanted = {named.name for named in changed.upsert}.union(changed.remove)
     positions: dict[str, int] = {}
@@ -228,7 +229,7 @@
     return positions
 
 
-# ---------------------------------------------------------------- the outcome as gateways use it
+# ---------------------------------------------------------------- applying to what gateways use
 
 
 def _configuration(
@@ -236,14 +237,16 @@
 ) -> Configuration:
     before = document.configuration
     services = _services(before.backends, backends)
-    by_place = dict(before.routes)
-    for route in _leaving(document.routes, routes):
-        by_place.pop(route.place, None)
+    routes_by_key = dict(before.routes)
+    for route in _removed_routes(document.routes, routes):
+        routes_by_key.pop(route.key, None)
     for position, named in enumerate(routes.upsert):
-        _add_route(by_place, named.entry.value, services, f"{UPSERT}.{ROUTES}[{position}]")
+        where = f"{UPSERT}.{ROUTES}[{position}]"
+        check_route(named.entry.value, services, where)
+        add_route(routes_by_key, named.entry.value, where)
     if backends.remove:
-        _check_services(by_place.values(), services)
-    return Configuration(revision, by_place, services, before.limits)
+        _check_services(routes_by_key.values(), services)
+    return Configuration(revision, routes_by_key, services, before.limits)
 
 
 def _services(before: Mapping[str, Backend], changed: ListPatch) -> dict[str, Backend]:
@@ -255,25 +258,18 @@
     return services
 
 
-def _leaving(entries: Iterable[ParsedEntry[Route]], changed: ListPatch) -> list[Route]:
+def _removed_routes(entries: Iterable[ParsedEntry[Route]], changed: ListPatch) -> list[Route]:
     """The routes that a patch removes or replaces."""
-    if changed == NOTHING:
+    if changed == NO_CHANGE:
         return []
     names = {named.name for named in changed.upsert}.union(changed.remove)
     return [entry.value for entry in entries if entry.value.name in names]
 
 
-def _add_route(by_place: dict[str, Route], route: Route, services: dict[str, Backend], where: str) -> None:
-    check_route(route, services, where)
-    if route.place in by_place:
-        raise SamePlace(f"another route has {route.place!r}", f"{where}.path_prefix")
-    by_place[route.place] = route
-
-
 def _check_services(routes: Iterable[Route], services: Mapping[str, Backend]) -> None:
-    """Raise `UnknownBackend` where a route names a service that is not there any more."""
+    """Raise `UnknownBackend` if a route names a service that has been removed."""
     for route in routes:
         for choice in route.backends:
             if choice.backend not in services:
-                place = f"{REMOVE}.{BACKENDS}"
-                raise UnknownBackend(f"route {route.name!r} still names {choice.backend!r}", place)
+                where = f"{REMOVE}.{BACKENDS}"
+                raise UnknownBackend(f"route {route.name!r} still names {choice.backend!r}", where)
--- a/mallowbeam/router/configuration/schemas.py
+++ b/mallowbeam/router/configuration/schemas.py
@@ -1,8 +1,8 @@
-"""Schemas of the operator's configuration, with the names of its fields on the wire.
+"""marshmallow schemas of the operator's configuration; field names are those of the wire.
 
-Only what this program reads is declared; any other field is skipped here and kept in the canonical document.
-An optional field that is null counts as absent and gets the default of its dataclass. Numbers beyond what the
-messages carry are cut to the most that they carry, so that a bound set to "practically none" stays valid.
+Only fields that this program reads are declared; any other field is skipped here and kept in the canonical
+document. An optional field that is null counts as absent and gets the default of its dataclass. Numbers above
+the range of the protobuf messages are clamped, so that a limit set to "practically unlimited" stays valid.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, missing, post_load
 
 from mallowbeam.router.configuration.model import (
-    MOST_UINT32,
-    MOST_UINT64,
+    MAX_UINT32,
+    MAX_UINT64,
     Backend,
     ClientLimits,
     Engine,
@@ -22,13 +22,13 @@
     WeightedBackend,
 )
 
-SCALED_WEIGHT = 1_000_000  # the largest weight of a route whose weights aren't whole numbers of 32 bits
+SCALED_WEIGHT = 1_000_000  # the largest weight of a route whose weights aren't 32-bit integers
 
-Kind = TypeVar("Kind")
+FieldType = TypeVar("FieldType")
 
 
-def number_of(value: object) -> int | float:
-    """A finite number that is not negative; raises `ValidationError`."""
+def non_negative_number(value: object) -> int | float:
+    """Check that a value is a finite number, not negative; raises `ValidationError`."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise ValidationError("must be a number")
     if isinstance(value, float) and not math.isfinite(value):
@@ -38,27 +38,28 @@
     return value
 
 
-class Value(fields.Field[Kind]):
-    """A field that is checked by `_deserialize` alone, without marshmallow's lists of validators."""
+class CheckedField(fields.Field[FieldType]):
+    """A field that only `_deserialize` checks: marshmallow's lists of validators are skipped, for speed."""
 
     def deserialize(self, value: Any, attr: str | None = None, data: Any = None, **options: Any) -> Any:
-        """The checked value; absent ones and null take marshmallow's way."""
+        """The checked value; marshmallow handles absent values and null."""
         if value is None or value is missing:
             return super().deserialize(value, attr, data, **options)
         return self._deserialize(value, attr, data, **options)
 
 
-class Text(Value[str]):
-    """A string that UTF-8 can carry; not empty if `filled`."""
+class Text(CheckedField[str]):
+    """A string that can be encoded as UTF-8."""
 
-    def __init__(self, *, filled: bool = False, **options: Any) -> None:
+    def __init__(self, *, non_empty: bool = False, **options: Any) -> None:
+        """Reject the empty string if `non_empty`."""
         super().__init__(**options)
-        self.filled = filled
+        self.non_empty = non_empty
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **options: Any) -> str:
         if not isinstance(value, str):
             raise ValidationError("must be a string")
-        if self.filled and not value:
+        if self.non_empty and not value:
             raise ValidationError("must not be empty")
         try:
             value.encode()
@@ -67,7 +68,7 @@
         return value
 
 
-class Flag(Value[bool]):
+class Boolean(CheckedField[bool]):
     """True or false."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **options: Any) -> bool:
@@ -76,56 +77,57 @@
         return value
 
 
-class Whole(Value[int]):
-    """A whole number, not negative, cut to `most`."""
+class Integer(CheckedField[int]):
+    """An integer, not negative, clamped to a maximum."""
 
-    def __init__(self, *, most: int = MOST_UINT32, **options: Any) -> None:
+    def __init__(self, *, maximum: int = MAX_UINT32, **options: Any) -> None:
+        """Clamp values to `maximum`."""
         super().__init__(**options)
-        self.most = most
+        self.maximum = maximum
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **options: Any) -> int:
-        number = number_of(value)
+        number = non_negative_number(value)
         if number != int(number):
             raise ValidationError("must be a whole number")
-        return min(int(number), self.most)
+        return min(int(number), self.maximum)
 
 
-class Milliseconds(Value[int]):
-    """A time, rounded up to whole milliseconds."""
+class Milliseconds(CheckedField[int]):
+    """A duration, rounded up to full milliseconds."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **options: Any) -> int:
-        return min(math.ceil(number_of(value)), MOST_UINT32)
+        return min(math.ceil(non_negative_number(value)), MAX_UINT32)
 
 
-class Amount(Value[float]):
-    """A number that may have a fraction."""
+class NonNegativeFloat(CheckedField[float]):
+    """A number, not negative, that may have a fraction."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **options: Any) -> float:
-        return float(min(number_of(value), MOST_UINT64))
+        return float(min(non_negative_number(value), MAX_UINT64))
 
 
-class Weight(Value[float]):
-    """A share; whole numbers stay as they are."""
+class Weight(CheckedField[float]):
+    """The weight of a service; integers stay integers."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **options: Any) -> float:
-        return min(number_of(value), MOST_UINT64)
+        return min(non_negative_number(value), MAX_UINT64)
 
 
-class Revision(Value[int]):
-    """A configuration's number, from 1."""
+class Revision(CheckedField[int]):
+    """The revision of a configuration, from 1."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **options: Any) -> int:
-        number = number_of(value)
-        if number != int(number) or not 1 <= number <= MOST_UINT64:
-            raise ValidationError(f"must be a whole number from 1 to {MOST_UINT64}")
+        number = non_negative_number(value)
+        if number != int(number) or not 1 <= number <= MAX_UINT64:
+            raise ValidationError(f"must be a whole number from 1 to {MAX_UINT64}")
         return int(number)
 
 
-MODEL_NAME = Text(required=True, filled=True)
+MODEL_NAME = Text(required=True, non_empty=True)
 
 
-class ModelName(Value[str]):
-    """A model, as an object with its name or as the name alone."""
+class ModelName(CheckedField[str]):
+    """A model: an object with its name, or the name alone."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **options: Any) -> str:
         name = value.get("name") if isinstance(value, dict) else value
@@ -141,24 +143,24 @@
         unknown = EXCLUDE
 
 
-def given(data: dict[str, Any]) -> dict[str, Any]:
-    """The fields that are there: null counts as absent."""
+def present_fields(data: dict[str, Any]) -> dict[str, Any]:
+    """The fields that are present; null counts as absent."""
     return {name: value for name, value in data.items() if value is not None}
 
 
 class WeightedBackendSchema(LenientSchema):
     """One entry of `weighted_backends`."""
 
-    backend = Text(required=True, filled=True)
+    backend = Text(required=True, non_empty=True)
     weight = Weight(required=True)
 
 
-def whole_weights(entries: list[dict[str, Any]]) -> tuple[WeightedBackend, ...]:
-    """Entries with weights as whole numbers of 32 bits; others are scaled, and none above 0 becomes 0."""
+def integer_weights(entries: list[dict[str, Any]]) -> tuple[WeightedBackend, ...]:
+    """Services with 32-bit integer weights; other weights are scaled, and none above 0 becomes 0."""
     weights = [entry["weight"] for entry in entries]
-    most = max(weights, default=0)
-    if most > MOST_UINT32 or any(weight != int(weight) for weight in weights):
-        weights = [math.ceil(weight / most * SCALED_WEIGHT) for weight in weights]
+    largest = max(weights, default=0)
+    if largest > MAX_UINT32 or any(weight != int(weight) for weight in weights):
+        weights = [math.ceil(weight / largest * SCALED_WEIGHT) for weight in weights]
     return tuple(
         WeightedBackend(entry["backend"], int(weight)) for entry, weight in zip(entries, weights, strict=True)
     )
@@ -168,23 +170,23 @@
     """One entry of `routes`."""
 
     name = Text(allow_none=True)
-    hostname = Text(required=True, filled=True)
+    hostname = Text(required=True, non_empty=True)
     path_prefix = Text(required=True)
     route_type = Text(allow_none=True)
     timeout_ms = Milliseconds(allow_none=True)
     target_latency_ms = Milliseconds(allow_none=True)
-    priority = Whole(allow_none=True)
-    max_retries = Whole(allow_none=True)
-    session_affinity = Flag(allow_none=True)
-    resumable = Flag(allow_none=True)
+    priority = Integer(allow_none=True)
+    max_retries = Integer(allow_none=True)
+    session_affinity = Boolean(allow_none=True)
+    resumable = Boolean(allow_none=True)
     gap_aim_ms = Milliseconds(allow_none=True)
-    backend = Text(filled=True, allow_none=True)
+    backend = Text(non_empty=True, allow_none=True)
     weighted_backends = fields.List(fields.Nested(WeightedBackendSchema), allow_none=True)
 
     @post_load
     def make(self, data: dict[str, Any], **options: Any) -> Route:
-        """The route; a time-out of 0 stands for a missing one, and the checks refuse it."""
-        values = given(data)
+        """Build the route; a missing time-out becomes 0, which the validation rejects."""
+        values = present_fields(data)
         backend = values.pop("backend", None)
         weighted = values.pop("weighted_backends", None)
         if not values["path_prefix"].startswith("/"):
@@ -195,13 +197,13 @@
 
 
 def backends_of(backend: str | None, weighted: list[dict[str, Any]] | None) -> tuple[WeightedBackend, ...]:
-    """The services of a route. Beside `weighted_backends`, a `backend` is named only and gets no requests."""
+    """The services of a route; a `backend` given in addition to `weighted_backends` gets weight 0."""
     if weighted is None and backend is None:
         raise ValidationError("names no service", "backend")
     if weighted is None:
         assert backend is not None
         return (WeightedBackend(backend, 1),)
-    entries = whole_weights(weighted)
+    entries = integer_weights(weighted)
     if backend is None or any(entry.backend == backend for entry in entries):
         return entries
     return (*entries, WeightedBackend(backend, 0))
@@ -210,52 +212,52 @@
 class EngineSchema(LenientSchema):
     """A service's `engine`."""
 
-    slots = Whole(allow_none=True)
-    kv_capacity = Whole(most=MOST_UINT64, allow_none=True)
-    kv_token_bytes = Whole(allow_none=True)
-    link_mbps = Amount(allow_none=True)
-    stride = Whole(allow_none=True)
-    handle_ttl_s = Amount(allow_none=True)
-    switch_s = Amount(allow_none=True)
+    slots = Integer(allow_none=True)
+    kv_capacity = Integer(maximum=MAX_UINT64, allow_none=True)
+    kv_token_bytes = Integer(allow_none=True)
+    link_mbps = NonNegativeFloat(allow_none=True)
+    stride = Integer(allow_none=True)
+    handle_ttl_s = NonNegativeFloat(allow_none=True)
+    switch_s = NonNegativeFloat(allow_none=True)
     models = fields.List(ModelName(), allow_none=True)
 
     @post_load
     def make(self, data: dict[str, Any], **options: Any) -> Engine:
-        """The engine."""
-        values = given(data)
+        """Build the engine."""
+        values = present_fields(data)
         return Engine(models=tuple(values.pop("models", ())), **values)
 
 
 class BackendSchema(LenientSchema):
     """One entry of `backends`."""
 
-    name = Text(required=True, filled=True)
+    name = Text(required=True, non_empty=True)
     health_check = Text(allow_none=True)
-    max_connections = Whole(allow_none=True)
+    max_connections = Integer(allow_none=True)
     engine = fields.Nested(EngineSchema, allow_none=True)
 
     @post_load
     def make(self, data: dict[str, Any], **options: Any) -> Backend:
-        """The service."""
-        return Backend(**given(data))
+        """Build the service."""
+        return Backend(**present_fields(data))
 
 
 class ClientLimitsSchema(LenientSchema):
     """The document's `limits`."""
 
-    max_header_bytes = Whole(allow_none=True)
-    max_body_bytes = Whole(allow_none=True)
+    max_header_bytes = Integer(allow_none=True)
+    max_body_bytes = Integer(allow_none=True)
     header_timeout_ms = Milliseconds(allow_none=True)
     idle_timeout_ms = Milliseconds(allow_none=True)
 
     @post_load
     def make(self, data: dict[str, Any], **options: Any) -> ClientLimits:
-        """The limits."""
-        return ClientLimits(**given(data))
+        """Build the limits."""
+        return ClientLimits(**present_fields(data))
 
 
 class DocumentSchema(LenientSchema):
-    """The document without its routes and services, which are loaded one by one."""
+    """The members of the document other than routes and services, which are loaded one by one."""
 
     revision = Revision(required=True)
     limits = fields.Nested(ClientLimitsSchema, allow_none=True)
--- a/mallowbeam/router/configuration/checks.py
+++ b/mallowbeam/router/configuration/validation.py
@@ -1,4 +1,4 @@
-"""What makes a configuration invalid although each of its fields is good."""
+"""Rules on a configuration that go beyond single fields: unique names, known services, weights, time-outs."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 KEY_FIELDS = ("key", "keys")  # of a tenant: one string, or a list of them
 
 
-def backends_by_name(backends: Sequence[Backend]) -> dict[str, Backend]:
-    """Services by name; raises `DuplicateBackend`."""
+def index_backends(backends: Sequence[Backend]) -> dict[str, Backend]:
+    """Index services by name; raises `DuplicateBackend`."""
     by_name: dict[str, Backend] = {}
     for position, backend in enumerate(backends):
         if backend.name in by_name:
@@ -28,20 +28,24 @@
     return by_name
 
 
-def routes_by_place(routes: Sequence[Route], backends: dict[str, Backend]) -> dict[str, Route]:
-    """Routes by place, each checked; raises a `ConfigurationError`."""
-    by_place: dict[str, Route] = {}
+def index_routes(routes: Sequence[Route], backends: dict[str, Backend]) -> dict[str, Route]:
+    """Check routes and index them by key; raises a `ConfigurationError`."""
+    routes_by_key: dict[str, Route] = {}
     for position, route in enumerate(routes):
         check_route(route, backends, f"routes[{position}]")
-        place = route.place
-        if place in by_place:
-            raise SamePlace(f"another route has {place!r}", f"routes[{position}].path_prefix")
-        by_place[place] = route
-    return by_place
+        add_route(routes_by_key, route, f"routes[{position}]")
+    return routes_by_key
+
+
+def add_route(routes_by_key: dict[str, Route], route: Route, where: str) -> None:
+    """Add a checked route to the table; raises `SamePlace` if another one has its host and prefix."""
+    if route.key in routes_by_key:
+        raise SamePlace(f"another route has {route.key!r}", f"{where}.path_prefix")
+    routes_by_key[route.key] = route
 
 
 def check_route(route: Route, backends: dict[str, Backend], where: str) -> None:
-    """Raise a `ConfigurationError` unless the route has a time-out, weight, and services that are there."""
+    """Raise a `ConfigurationError` if the time-out is 0, the weights sum to 0 or a service is unknown."""
     if route.timeout_ms == 0:
         raise NoTimeout("must be above 0", f"{where}.timeout_ms")
     total = 0
@@ -54,7 +58,7 @@
 
 
 def check_tenant_keys(document: dict[str, Any]) -> None:
-    """Raise `SharedKey` if two entries of `tenants`, where the document has them, hold the same key."""
+    """Raise `SharedKey` if two entries of the optional list `tenants` have the same key."""
     tenants = document.get("tenants")
     if not isinstance(tenants, list):
         return
@@ -66,7 +70,7 @@
 
 
 def tenant_keys(tenant: object) -> Iterable[str]:
-    """The keys of one tenant; a form that is not known has none."""
+    """The keys of one tenant; none if its form is unknown."""
     if not isinstance(tenant, dict):
         return
     for name in KEY_FIELDS:
--- a/mallowbeam/router/configuration/versions.py
+++ b/mallowbeam/router/configuration/versions.py
@@ -1,4 +1,4 @@
-"""The replicated state machine's part for configurations: which one is current, and which were ever taken.
+"""The configuration's part of the replicated state machine: the current version and the accepted ones.
 
 Every member applies the same commands in the same order and reaches the same state; nothing here reads a
 clock, draws a random number or does I/O.
@@ -8,13 +8,13 @@
 
 import zlib
 
+from mallowbeam.router.configuration.accepted import MAX_ACCEPTED, AcceptedConfigurations
 from mallowbeam.router.configuration.document import ConfigurationDocument, digest_of
 from mallowbeam.router.configuration.errors import ConfigurationError, NameNotFound
 from mallowbeam.router.configuration.model import Configuration
 from mallowbeam.router.configuration.parsing import ConfigurationParser, ParsedConfiguration
 from mallowbeam.router.configuration.patch import ConfigurationPatch, apply_patch, parse_patch
-from mallowbeam.router.configuration.refusals import MOST_REFUSED, CallIdentity, RefusedCalls
-from mallowbeam.router.configuration.taken import MOST_TAKEN, TakenConfigurations
+from mallowbeam.router.configuration.rejections import MAX_REJECTED, CommandIdentity, RejectedCommands
 from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
@@ -27,11 +27,11 @@
     ReplicatedState,
 )
 
-COMPRESSION_LEVEL = 1  # a body is written to a log: fast counts for more than small
+COMPRESSION_LEVEL = 1  # of zlib; bodies are written to the log, where speed matters more than size
 
 
 def put_command(parsed: ParsedConfiguration, based_on: int) -> PutConfiguration:
-    """The command that proposes a configuration on top of revision `based_on`."""
+    """The command that proposes a complete configuration on top of revision `based_on`."""
     return PutConfiguration(
         body=zlib.compress(parsed.canonical, COMPRESSION_LEVEL),
         based_on=based_on,
@@ -41,7 +41,7 @@
 
 
 def patch_command(patch: ConfigurationPatch, based_on: int) -> PutConfiguration:
-    """The command that proposes a change of named entries of revision `based_on`."""
+    """The command that proposes a patch of revision `based_on`."""
     return PutConfiguration(
         body=zlib.compress(patch.canonical, COMPRESSION_LEVEL),
         based_on=based_on,
@@ -52,46 +52,46 @@
 
 
 class ConfigurationVersions:
-    """The current configuration, those that were taken, and refused calls that could still succeed."""
+    """The current configuration, those accepted before, and rejected commands that could still succeed."""
 
     def __init__(
         self,
         parser: ConfigurationParser | None = None,
-        most_taken: int = MOST_TAKEN,
-        most_refused: int = MOST_REFUSED,
+        max_accepted: int = MAX_ACCEPTED,
+        max_rejected: int = MAX_REJECTED,
     ) -> None:
-        """`parser` may be the one that the member's API uses, so that nothing is parsed twice."""
+        """Start without a configuration; share the API's `parser`, so that no body is parsed twice."""
         self._parser = parser if parser is not None else ConfigurationParser()
-        self._taken = TakenConfigurations(most_taken)
-        self._refused = RefusedCalls(most_refused)
+        self._accepted = AcceptedConfigurations(max_accepted)
+        self._rejected = RejectedCommands(max_rejected)
         self._revision = 0
-        self._body = b""  # zlib of the canonical JSON; empty where it has to be made of the document
-        self._patched = False  # whether a patch led to the current configuration
-        self._document: ConfigurationDocument | None = None  # read from the body when first needed
+        self._body = b""  # zlib of the canonical JSON; empty if it has to be built from the document
+        self._patched = False  # whether the current configuration is the outcome of a patch
+        self._document: ConfigurationDocument | None = None  # parsed from the body on first use
 
     @property
     def revision(self) -> int:
-        """The current configuration's revision; 0: none was taken yet."""
+        """Revision of the current configuration; 0 if none has been accepted yet."""
         return self._revision
 
     def apply(self, command: PutConfiguration) -> CommandResult:
-        """Apply one committed command; copies of one call get answers that agree."""
-        if self._taken.holds(command.revision, command.digest) or self._is_current(command):
+        """Apply one committed command; duplicates of one command get results that agree."""
+        if self._accepted.contains(command.revision, command.digest) or self._is_current(command):
             return ALREADY_DONE
-        call = CallIdentity(command.digest, command.based_on)
-        refused = self._refused.result(call)
-        if refused is not None:
-            return refused
-        result = self._judge(command)
+        identity = CommandIdentity(command.digest, command.based_on)
+        rejection = self._rejected.result(identity)
+        if rejection is not None:
+            return rejection
+        result = self._decide(command)
         if result == DONE:
-            result = self._take(command)
-        elif self._could_succeed_later(command) and not self._refused.add(call, result):
+            result = self._accept(command)
+        elif self._could_succeed_later(command) and not self._rejected.add(identity, result):
             return OUTCOME_UNKNOWN
         return result
 
-    def _judge(self, command: PutConfiguration) -> CommandResult:
-        """What becomes of a call of which no copy is known."""
-        if self._taken.may_be_forgotten(command.revision):
+    def _decide(self, command: PutConfiguration) -> CommandResult:
+        """The result of a command of which no duplicate is known."""
+        if self._accepted.may_be_forgotten(command.revision):
             return OUTCOME_UNKNOWN
         if command.based_on != self._revision:
             return VERSION_MISMATCH
@@ -100,59 +100,64 @@
         return DONE
 
     def _could_succeed_later(self, command: PutConfiguration) -> bool:
-        """Whether a later revision could be the one that a refused call builds on."""
+        """Whether a later revision could be the one on which a rejected command builds."""
         return self._revision < command.based_on < command.revision
 
     def _is_current(self, command: PutConfiguration) -> bool:
-        """Whether a whole document is what a patch has led to under the same number.
+        """Whether a complete document equals the outcome of the patch that gave the current revision.
 
-        A document that came whole is known by its digest: it is neither read nor digested again.
+        If the current document was sent complete, its digest is on record and need not be computed again.
         """
         if not self._patched or command.patch or command.revision != self._revision:
             return False
         return digest_of(self.current_body()) == command.digest
 
-    def _take(self, command: PutConfiguration) -> CommandResult:
+    def _accept(self, command: PutConfiguration) -> CommandResult:
+        """Make a command's configuration the current one; INVALID_OUTCOME if a patch does not apply."""
         if command.patch:
             try:
                 patch = parse_patch(zlib.decompress(command.body))
-                document = apply_patch(self._known_document(), patch)
+                document = apply_patch(self._current_document(), patch)
             except ConfigurationError:
                 return INVALID_OUTCOME
-            self._document, self._body = document, b""
+            self._document = document
+            self._body = b""
         else:
-            self._document, self._body = None, command.body
+            self._document = None
+            self._body = command.body
         self._patched = command.patch
         self._revision = command.revision
-        self._taken.add(command.revision, command.digest)
-        self._refused.drop_below(command.revision)
+        self._accepted.add(command.revision, command.digest)
+        self._rejected.drop_below(command.revision)
         return DONE
 
     def check_patch(self, patch: ConfigurationPatch, based_on: int) -> None:
-        """Raise a `ConfigurationError` where the outcome of a patch is known here, and not valid.
+        """Raise `ConfigurationError` if a patch of the current revision has an invalid outcome.
 
-        Where another revision than the one that it builds on is current here, the log decides alone.
+        A patch of any other revision passes: only the log decides whether that one is current.
         """
         if based_on == self._revision and self._revision:
-            apply_patch(self._known_document(), patch)
+            apply_patch(self._current_document(), patch)
 
     def current_body(self) -> bytes:
-        """The current configuration's canonical JSON; empty if none was taken yet."""
+        """Canonical JSON of the current configuration; empty if none has been accepted yet."""
         if self._body:
             return zlib.decompress(self._body)
         return self._document.canonical() if self._document is not None else b""
 
     def current(self) -> Configuration | None:
-        """The current configuration, parsed when first asked for; None if none was taken yet."""
-        return self._known_document().configuration if self._revision else None
+        """The current configuration, parsed on first use; None if none has been accepted yet."""
+        return self._current_document().configuration if self._revision else None
 
-    def _known_document(self) -> ConfigurationDocument:
-        """The current document; raises `NameNotFound` where none was taken yet: nothing can be patched."""
+    def _current_document(self) -> ConfigurationDocument:
+        """The current document; raises `NameNotFound` if there is none, so that nothing can be patched."""
         if self._document is None:
             if not self._body:
                 raise NameNotFound("no configuration was taken yet; send a whole one", "If-Match")
-            known = self._parser.recall(self._taken.last_digest) or self._parser.parse(self.current_body())
-            self._document = known.document
+            parsed = self._parser.recall(self._accepted.last_digest) or self._parser.parse(
+                self.current_body()
+            )
+            self._document = parsed.document
         return self._document
 
     def _compressed(self) -> bytes:
@@ -160,18 +165,18 @@
         return zlib.compress(body, COMPRESSION_LEVEL) if body else b""
 
     def save(self, state: ReplicatedState) -> None:
-        """Fill this part's fields of a snapshot."""
+        """Write the configuration's fields of a snapshot."""
         state.revision = self._revision
         state.body = self._body or self._compressed()
         state.patched = self._patched
-        self._taken.save(state)
-        self._refused.save(state)
+        self._accepted.save(state)
+        self._rejected.save(state)
 
     def restore(self, state: ReplicatedState) -> None:
-        """Take over this part of a snapshot in place of all that was held."""
+        """Replace everything by the configuration's fields of a snapshot."""
         self._revision = state.revision
         self._body = state.body
         self._patched = state.patched
         self._document = None
-        self._taken.restore(state)
-        self._refused.restore(state)
+        self._accepted.restore(state)
+        self._rejected.restore(state)
--- a/mallowbeam/router/control_plane/state_machine.py
+++ b/mallowbeam/router/control_plane/state_machine.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from mallowbeam.router.configuration.changes import difference, to_update
 from mallowbeam.router.configuration.model import Configuration
 from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.configuration.updates import full_update, incremental_update
 from mallowbeam.router.configuration.versions import ConfigurationVersions
 from mallowbeam.router.registry.leases import Leases
 from mallowbeam.router.registry.retirements import Retirements
@@ -107,7 +107,7 @@
         update = self._updates.get(revision)
         if update is None:
             held = self._recent.get(revision)
-            update = difference(held, current) if held is not None else to_update(current)
+            update = incremental_update(held, current) if held is not None else full_update(current)
             self._updates[revision] = update
         return update
 
--- a/mallowbeam/router/data_plane/role.py
+++ b/mallowbeam/router/data_plane/role.py
@@ -11,8 +11,8 @@
 from mallowbeam.http.server import Server
 from mallowbeam.router.admission.planner import Planner as FleetPlanner
 from mallowbeam.router.admission.settings import PlannerSettings
-from mallowbeam.router.configuration.changes import apply_update
 from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.configuration.updates import apply_update
 from mallowbeam.router.data_plane.decision_log import DecisionLog
 from mallowbeam.router.data_plane.demand import MeasuredPlanner
 from mallowbeam.router.data_plane.feed_link import FeedLink
--- a/mallowbeam/simulation/fleet_processes.py
+++ b/mallowbeam/simulation/fleet_processes.py
@@ -17,8 +17,8 @@
 
 from mallowbeam.http.framing import Message
 from mallowbeam.http.front import Front
-from mallowbeam.router.configuration.changes import apply_update
 from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.configuration.updates import apply_update
 from mallowbeam.router.consensus.interface import Write
 from mallowbeam.router.consensus.storage import ReplicaStore
 from mallowbeam.router.control_plane import member as member_module
--- a/tests/router/configuration/test_configuration_taken.py
+++ b/tests/router/configuration/test_configuration_accepted.py
@@ -4,8 +4,13 @@
 
 import unittest
 
-from mallowbeam.router.configuration.refusals import CallIdentity, RefusedCalls
-from mallowbeam.router.configuration.taken import MOST_TAKEN, MOST_TAKEN_BEFORE, RECORD, TakenConfigurations
+from mallowbeam.router.configuration.accepted import (
+    MAX_ACCEPTED,
+    MAX_ACCEPTED_IN_EARLIER_SNAPSHOTS,
+    RECORD,
+    AcceptedConfigurations,
+)
+from mallowbeam.router.configuration.rejections import CommandIdentity, RejectedCommands
 from mallowbeam.router.rpc.messages_pb2 import VERSION_MISMATCH, ReplicatedState, TakenConfiguration
 
 CHANGES_A_DAY = 56_000
@@ -16,7 +21,7 @@
     return number.to_bytes(16, "big")
 
 
-def saved(part: TakenConfigurations | RefusedCalls) -> ReplicatedState:
+def saved(part: AcceptedConfigurations | RejectedCommands) -> ReplicatedState:
     """A snapshot, as another process reads it."""
     state = ReplicatedState()
     part.save(state)
@@ -27,25 +32,25 @@
     """The compact records."""
 
     def test_more_than_a_day_is_remembered(self) -> None:
-        self.assertGreater(MOST_TAKEN, CHANGES_A_DAY)
+        self.assertGreater(MAX_ACCEPTED, CHANGES_A_DAY)
 
     def test_uneven_revisions_are_found_and_others_are_not(self) -> None:
-        taken = TakenConfigurations()
+        taken = AcceptedConfigurations()
         revisions = [1, 2, 7, 8, 30, 2**63, 2**64 - 1]
         for revision in revisions:
             taken.add(revision, digest(revision))
         for revision in revisions:
-            self.assertTrue(taken.holds(revision, digest(revision)))
-            self.assertFalse(taken.holds(revision, digest(0)))
+            self.assertTrue(taken.contains(revision, digest(revision)))
+            self.assertFalse(taken.contains(revision, digest(0)))
         for revision in (3, 9, 2**63 + 1):
-            self.assertFalse(taken.holds(revision, digest(revision)))
+            self.assertFalse(taken.contains(revision, digest(revision)))
             self.assertFalse(taken.may_be_forgotten(revision))
 
     def test_what_is_dropped_may_be_forgotten_and_nothing_above_it(self) -> None:
-        taken = TakenConfigurations(most=3)
+        taken = AcceptedConfigurations(most=3)
         for revision in (2, 5, 6, 9, 12):
             taken.add(revision, digest(revision))
-        again = TakenConfigurations(most=3)
+        again = AcceptedConfigurations(most=3)
         again.restore(saved(taken))
         for one in (taken, again):
             self.assertEqual(len(one), 3)
@@ -53,35 +58,35 @@
                 [one.may_be_forgotten(n) for n in (1, 2, 4, 5, 6, 7)], [True, True, True, True, False, False]
             )
             self.assertEqual(
-                [one.holds(n, digest(n)) for n in (2, 5, 6, 9, 12)], [False, False, True, True, True]
+                [one.contains(n, digest(n)) for n in (2, 5, 6, 9, 12)], [False, False, True, True, True]
             )
 
     def test_a_snapshot_is_bounded(self) -> None:
-        taken = TakenConfigurations()
-        for revision in range(1, MOST_TAKEN + 100):
+        taken = AcceptedConfigurations()
+        for revision in range(1, MAX_ACCEPTED + 100):
             taken.add(revision, digest(revision))
         state = saved(taken)
-        self.assertEqual(len(state.taken_records), MOST_TAKEN * RECORD.size)
+        self.assertEqual(len(state.taken_records), MAX_ACCEPTED * RECORD.size)
         self.assertEqual(state.forgotten_revision, 99)
 
     def test_a_snapshot_of_an_earlier_program(self) -> None:
         few = ReplicatedState(taken=[TakenConfiguration(digest=digest(n), revision=n) for n in (3, 4, 8)])
-        taken = TakenConfigurations()
+        taken = AcceptedConfigurations()
         taken.restore(few)
-        self.assertTrue(taken.holds(4, digest(4)))
+        self.assertTrue(taken.contains(4, digest(4)))
         self.assertEqual(taken.last_digest, digest(8))
         self.assertFalse(taken.may_be_forgotten(2))
 
     def test_a_full_snapshot_of_an_earlier_program_may_have_forgotten_some(self) -> None:
-        revisions = range(10, 10 + MOST_TAKEN_BEFORE)
+        revisions = range(10, 10 + MAX_ACCEPTED_IN_EARLIER_SNAPSHOTS)
         full = ReplicatedState(taken=[TakenConfiguration(digest=digest(n), revision=n) for n in revisions])
-        taken = TakenConfigurations()
+        taken = AcceptedConfigurations()
         taken.restore(full)
         self.assertTrue(taken.may_be_forgotten(9))
         self.assertFalse(taken.may_be_forgotten(10))
 
     def test_restore_replaces_everything(self) -> None:
-        taken = TakenConfigurations(most=1)
+        taken = AcceptedConfigurations(most=1)
         taken.add(1, digest(1))
         taken.add(2, digest(2))
         taken.restore(ReplicatedState())
@@ -92,28 +97,28 @@
     """Refused calls that could still succeed."""
 
     def test_a_call_is_known_by_digest_and_base(self) -> None:
-        refused = RefusedCalls()
-        self.assertTrue(refused.add(CallIdentity(digest(1), 5), VERSION_MISMATCH))
-        again = RefusedCalls()
+        refused = RejectedCommands()
+        self.assertTrue(refused.add(CommandIdentity(digest(1), 5), VERSION_MISMATCH))
+        again = RejectedCommands()
         again.restore(saved(refused))
         for one in (refused, again):
-            self.assertEqual(one.result(CallIdentity(digest(1), 5)), VERSION_MISMATCH)
-            self.assertIsNone(one.result(CallIdentity(digest(1), 4)))
-            self.assertIsNone(one.result(CallIdentity(digest(2), 5)))
+            self.assertEqual(one.result(CommandIdentity(digest(1), 5)), VERSION_MISMATCH)
+            self.assertIsNone(one.result(CommandIdentity(digest(1), 4)))
+            self.assertIsNone(one.result(CommandIdentity(digest(2), 5)))
 
     def test_at_the_bound_nothing_is_dropped(self) -> None:
-        refused = RefusedCalls(most=1)
-        self.assertTrue(refused.add(CallIdentity(digest(1), 5), VERSION_MISMATCH))
-        self.assertFalse(refused.add(CallIdentity(digest(2), 5), VERSION_MISMATCH))
-        self.assertIsNotNone(refused.result(CallIdentity(digest(1), 5)))
+        refused = RejectedCommands(most=1)
+        self.assertTrue(refused.add(CommandIdentity(digest(1), 5), VERSION_MISMATCH))
+        self.assertFalse(refused.add(CommandIdentity(digest(2), 5), VERSION_MISMATCH))
+        self.assertIsNotNone(refused.result(CommandIdentity(digest(1), 5)))
 
     def test_those_below_the_current_revision_are_dropped(self) -> None:
-        refused = RefusedCalls()
+        refused = RejectedCommands()
         for based_on in (4, 5, 6):
-            refused.add(CallIdentity(digest(1), based_on), VERSION_MISMATCH)
+            refused.add(CommandIdentity(digest(1), based_on), VERSION_MISMATCH)
         refused.drop_below(5)
         self.assertEqual(len(refused), 2)
-        self.assertIsNone(refused.result(CallIdentity(digest(1), 4)))
+        self.assertIsNone(refused.result(CommandIdentity(digest(1), 4)))
 
 
 if __name__ == "__main__":
--- a/tests/router/configuration/test_configuration_documents.py
+++ b/tests/router/configuration/test_configuration_documents.py
@@ -10,11 +10,11 @@
 from configuration_documents import body_of, document, large_document, parsed
 
 from mallowbeam.router.configuration import errors
+from mallowbeam.router.configuration.decoding import MAX_NESTING
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.model import ClientLimits, Engine, WeightedBackend
 from mallowbeam.router.configuration.parsing import (
-    MOST_BODY_BYTES,
-    MOST_NESTING,
+    MAX_BODY_BYTES,
     ConfigurationParser,
     digest_of,
     parse_configuration,
@@ -78,7 +78,7 @@
     "no retries": {"routes[0].max_retries": 0},
     "numbers without end": {"limits.max_body_bytes": 2**70, "routes[0].timeout_ms": 10**30},
     "the largest revision": {"revision": 2**64 - 1},
-    "nested as deep as allowed": {"later": nested(MOST_NESTING - 1)},
+    "nested as deep as allowed": {"later": nested(MAX_NESTING - 1)},
     "tenants with keys of their own": {"tenants": [{"name": "a", "keys": ["k", "k"]}, {"key": "l"}, 7]},
     "tenants of another form": {"tenants": {"a": {"keys": ["k"]}}},
 }
@@ -154,9 +154,9 @@
         "CONFIG_SHARED_KEY",
         "tenants[1]",
     ),
-    "nested too deep": ({"later": nested(MOST_NESTING)}, "CONFIG_UNREADABLE", ""),
+    "nested too deep": ({"later": nested(MAX_NESTING)}, "CONFIG_UNREADABLE", ""),
     "nested too deep in a route": (
-        {"routes[0].later": nested(MOST_NESTING)},
+        {"routes[0].later": nested(MAX_NESTING)},
         "CONFIG_UNREADABLE",
         "routes[0]",
     ),
@@ -283,10 +283,10 @@
                 self.assertEqual(parsed(edited({path: None})), parsed(edited({path: REMOVED})))
 
     def test_too_large(self) -> None:
-        body = body_of({**document(), "later": "x" * MOST_BODY_BYTES})
+        body = body_of({**document(), "later": "x" * MAX_BODY_BYTES})
         error = self.refusal(body)
         self.assertEqual((error.code, error.status), ("CONFIG_TOO_LARGE", 413))
-        small = ConfigurationParser(most_bytes=100)
+        small = ConfigurationParser(max_bytes=100)
         self.assertEqual(self.refusal(b"x" * 101, small).code, "CONFIG_TOO_LARGE")
         self.assertEqual(self.refusal(b"x" * 100, small).code, "CONFIG_UNREADABLE")
 
--- a/tests/router/configuration/test_configuration_patch.py
+++ b/tests/router/configuration/test_configuration_patch.py
@@ -11,10 +11,10 @@
 from configuration_documents import body_of, document, large_document, large_route
 from configuration_scenario import patched, reloaded
 
-from mallowbeam.router.configuration.changes import apply_update, difference
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.parsing import ConfigurationParser, parse_configuration
 from mallowbeam.router.configuration.patch import apply_patch, parse_patch
+from mallowbeam.router.configuration.updates import apply_update, incremental_update
 from mallowbeam.router.configuration.versions import ConfigurationVersions, patch_command, put_command
 from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
@@ -200,7 +200,7 @@
         self.assertEqual(new.canonical(), whole.canonical)
         self.assertEqual(new.configuration, whole.configuration)
         self.assertEqual(old.configuration, kept, "the document before was changed")
-        update = difference(old.configuration, new.configuration)
+        update = incremental_update(old.configuration, new.configuration)
         self.assertEqual(apply_update(old.configuration, update), whole.configuration)
         return expected
 
@@ -230,7 +230,7 @@
             route = {**large_route(7, 10), "timeout_ms": 77}
             patch = parse_patch(body_of(patch_of({"upsert": {"routes": [route]}})))
             new = apply_patch(old, patch)
-            change = difference(old.configuration, new.configuration)
+            change = incremental_update(old.configuration, new.configuration)
             sizes.append((patch_command(patch, 7).ByteSize(), change.ByteSize()))
             shared = sum(
                 new.configuration.routes[place] is route for place, route in old.configuration.routes.items()
--- a/tests/router/configuration/test_configuration_changes.py
+++ b/tests/router/configuration/test_configuration_updates.py
@@ -13,8 +13,6 @@
 from hypothesis import strategies as st
 from project_paths import ROOT
 
-from mallowbeam.router.configuration import changes
-from mallowbeam.router.configuration.changes import apply_update, difference, to_update
 from mallowbeam.router.configuration.errors import UpdateMismatch
 from mallowbeam.router.configuration.model import (
     Backend,
@@ -24,6 +22,7 @@
     Route,
     WeightedBackend,
 )
+from mallowbeam.router.configuration.updates import apply_update, full_update, incremental_update
 from mallowbeam.router.rpc.messages_pb2 import ConfigurationUpdate
 
 NOT_FOR_GATEWAYS = ("marshmallow", "msgspec", "json")
@@ -78,7 +77,7 @@
     chosen_backends = [backend for place, backend in with_backends if place in (which, "both")]
     return Configuration(
         revision,
-        {route.place: route for route in chosen_routes},
+        {route.key: route for route in chosen_routes},
         {backend.name: backend for backend in chosen_backends},
         with_limits,
     )
@@ -92,7 +91,7 @@
 
 
 class Changes(unittest.TestCase):
-    """`difference`, `to_update` and `apply_update`."""
+    """`incremental_update`, `full_update` and `apply_update`."""
 
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(placed_routes, placed_backends, limits_of_both)
@@ -104,21 +103,21 @@
     ) -> None:
         old = configuration("old", 3, with_routes, with_backends, with_limits[0])
         new = configuration("new", 5, with_routes, with_backends, with_limits[-1])
-        held = apply_update(None, over_the_wire(to_update(old)))
+        held = apply_update(None, over_the_wire(full_update(old)))
         self.assertEqual(held, old)
-        changed = apply_update(held, over_the_wire(difference(old, new)))
+        changed = apply_update(held, over_the_wire(incremental_update(old, new)))
         self.assertEqual(changed, new)
-        self.assertEqual(apply_update(held, over_the_wire(to_update(new))), new)
+        self.assertEqual(apply_update(held, over_the_wire(full_update(new))), new)
         self.assertEqual(held, old, "what was held has been changed")
 
     def test_the_property_fails_for_a_difference_that_forgets(self) -> None:
         def forgetful(old: Configuration, new: Configuration) -> ConfigurationUpdate:
-            update = difference(old, new)
+            update = incremental_update(old, new)
             del update.removed_routes[:]
             return update
 
         old, new = parsed(document()), parsed({**document(8), "routes": []})
-        self.assertEqual(apply_update(old, difference(old, new)), new)
+        self.assertEqual(apply_update(old, incremental_update(old, new)), new)
         self.assertNotEqual(apply_update(old, forgetful(old, new)), new)
 
     def test_a_difference_holds_only_what_changed(self) -> None:
@@ -127,7 +126,7 @@
         moved = value["routes"][9]
         moved["path_prefix"] = "/moved/"
         value["backends"].append({"name": "new"})
-        update = difference(parsed(large_document(200)), parsed(value))
+        update = incremental_update(parsed(large_document(200)), parsed(value))
         self.assertEqual([route.name for route in update.routes], ["r-7", "r-9"])
         self.assertEqual(list(update.removed_routes), ["host-1.example /path-9/"])
         self.assertEqual([backend.name for backend in update.backends], ["new"])
@@ -138,21 +137,26 @@
         old = parsed(large_document(50))
         new = replace(old, revision=8)
         with patch.object(Route, "__eq__", side_effect=AssertionError):
-            self.assertFalse(difference(old, new).routes)
+            self.assertFalse(incremental_update(old, new).routes)
 
     def test_no_older_revision_is_taken(self) -> None:
         old, new = parsed(document(7)), parsed(document(9))
         newest = parsed(document(12))
-        for update in (to_update(old), difference(old, new), to_update(newest), difference(new, newest)):
+        for update in (
+            full_update(old),
+            incremental_update(old, new),
+            full_update(newest),
+            incremental_update(new, newest),
+        ):
             self.assertIs(apply_update(newest, update), newest)
 
     def test_a_change_on_another_revision_is_refused(self) -> None:
         old, new, newest = (parsed(document(revision)) for revision in (7, 9, 12))
         for held in (None, old):
             with self.assertRaises(UpdateMismatch) as caught:
-                apply_update(held, difference(new, newest))
+                apply_update(held, incremental_update(new, newest))
             self.assertEqual(caught.exception.code, "CONFIG_UPDATE_BASE")
-        self.assertEqual(apply_update(old, to_update(newest)), newest)
+        self.assertEqual(apply_update(old, full_update(newest)), newest)
 
     def test_names_that_are_gone_already_are_passed_over(self) -> None:
         held = parsed(document(7))
@@ -167,13 +171,13 @@
 
     def test_gateways_need_no_schemas(self) -> None:
         script = (
-            "import sys, mallowbeam.router.configuration.model, mallowbeam.router.configuration.changes\n"
+            "import sys, mallowbeam.router.configuration.model, mallowbeam.router.configuration.updates\n"
             f"print([name for name in {NOT_FOR_GATEWAYS!r} if name in sys.modules])"
         )
         command = [sys.executable, "-c", script]
         ran = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
         self.assertEqual(ran.stdout.strip(), "[]")
-        self.assertNotIn("schemas", vars(changes))
+        self.assertNotIn("schemas", vars(updates))
 
 
 if __name__ == "__main__":
--- a/tests/router/configuration/test_configuration_versions.py
+++ b/tests/router/configuration/test_configuration_versions.py
@@ -22,8 +22,8 @@
     TakesAnyNumber,
 )
 
+from mallowbeam.router.configuration.accepted import RECORD
 from mallowbeam.router.configuration.parsing import ConfigurationParser
-from mallowbeam.router.configuration.taken import RECORD
 from mallowbeam.router.configuration.versions import ConfigurationVersions, put_command
 from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
--- a/tests/router/control_plane/test_command_copies.py
+++ b/tests/router/control_plane/test_command_copies.py
@@ -60,7 +60,7 @@
 
 def maker(kind: type[ConfigurationVersions], bounds: Bounds) -> NewVersions:
     """How to make one replica; no document is parsed here, so that one parser does for all."""
-    return lambda: kind(PARSER, most_taken=bounds.most_taken, most_refused=bounds.most_refused)
+    return lambda: kind(PARSER, max_accepted=bounds.max_accepted, max_rejected=bounds.max_rejected)
 
 
 def started(kind: type[ConfigurationVersions], bounds: Bounds) -> Replicas:
--- a/tests/router/data_plane/test_data_plane_role.py
+++ b/tests/router/data_plane/test_data_plane_role.py
@@ -14,7 +14,7 @@
 from gateway_bench import DEFAULT, Answer, read_answer, request_bytes
 from project_paths import ROOT
 
-from mallowbeam.router.configuration.changes import to_update
+from mallowbeam.router.configuration.updates import full_update
 from mallowbeam.router.rpc.connection import FrameConnection, listen
 from mallowbeam.router.rpc.messages_pb2 import (
     READY,
@@ -96,7 +96,7 @@
         connection.send(
             FeedFrame(
                 heartbeat=HEARTBEAT,
-                configuration=to_update(DEFAULT),
+                configuration=full_update(DEFAULT),
                 instances=InstancesUpdate(whole=True, instances=[row]),
             )
         )
--- a/tests/support/command_model.py
+++ b/tests/support/command_model.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass, field
 
-from mallowbeam.router.configuration.taken import RECORD
+from mallowbeam.router.configuration.accepted import RECORD
 from mallowbeam.router.configuration.versions import ConfigurationVersions
 from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
@@ -56,8 +56,8 @@
 class Bounds:
     """How much the state machine remembers."""
 
-    most_taken: int
-    most_refused: int
+    max_accepted: int
+    max_rejected: int
 
 
 @dataclass(slots=True)
@@ -102,16 +102,16 @@
     def check_bounds(self, state: ReplicatedState) -> None:
         """Whether a replica holds no more than it may."""
         taken = len(state.taken_records) // RECORD.size
-        self._must(taken <= self.bounds.most_taken, "more configurations are remembered than may be")
-        self._must(len(state.refused) <= self.bounds.most_refused, "more refusals are remembered than may be")
+        self._must(taken <= self.bounds.max_accepted, "more configurations are remembered than may be")
+        self._must(len(state.refused) <= self.bounds.max_rejected, "more refusals are remembered than may be")
 
     def _may_be_forgotten(self, call: Call) -> bool:
-        dropped = self.in_force[: max(0, len(self.in_force) - self.bounds.most_taken)]
+        dropped = self.in_force[: max(0, len(self.in_force) - self.bounds.max_accepted)]
         return bool(dropped) and call.revision <= dropped[-1].revision
 
     def _no_room(self, call: Call) -> bool:
         waiting = [one for one in self.refused if self.revision <= one.based_on < one.revision]
-        return len(waiting) >= self.bounds.most_refused and call.based_on > self.revision
+        return len(waiting) >= self.bounds.max_rejected and call.based_on > self.revision
 
     def _must(self, holds: bool, what: str) -> None:
         if not holds:
--- a/tests/support/configuration_costs.py
+++ b/tests/support/configuration_costs.py
@@ -8,9 +8,9 @@
 
 from configuration_documents import body_of, large_document
 
-from mallowbeam.router.configuration.changes import apply_update, difference, to_update
 from mallowbeam.router.configuration.model import Configuration
 from mallowbeam.router.configuration.parsing import ConfigurationParser, parse_configuration
+from mallowbeam.router.configuration.updates import apply_update, full_update, incremental_update
 from mallowbeam.router.configuration.versions import ConfigurationVersions, put_command
 from mallowbeam.router.rpc.messages_pb2 import ConfigurationUpdate
 
@@ -45,8 +45,8 @@
         alternate.reverse()
         parser.parse(alternate[0])
 
-    change = difference(old.configuration, new.configuration)
-    whole = to_update(new.configuration)
+    change = incremental_update(old.configuration, new.configuration)
+    whole = full_update(new.configuration)
     whole_bytes = whole.SerializeToString()
     command = put_command(new, 0)
     return {
@@ -56,10 +56,10 @@
         "command": milliseconds(lambda: put_command(new, 7)),
         "command KB": command.ByteSize() / 1000,
         "apply command": milliseconds(lambda: ConfigurationVersions().apply(command)),
-        "difference": milliseconds(lambda: difference(old.configuration, new.configuration)),
+        "difference": milliseconds(lambda: incremental_update(old.configuration, new.configuration)),
         "difference KB": change.ByteSize() / 1000,
         "apply difference": milliseconds(lambda: apply_update(old.configuration, change)),
-        "whole": milliseconds(lambda: to_update(new.configuration).SerializeToString()),
+        "whole": milliseconds(lambda: full_update(new.configuration).SerializeToString()),
         "whole KB": len(whole_bytes) / 1000,
         "apply whole": milliseconds(lambda: apply_bytes(whole_bytes)),
     }
--- a/tests/support/configuration_fuzz.py
+++ b/tests/support/configuration_fuzz.py
@@ -16,9 +16,9 @@
 
 from configuration_documents import body_of, document
 
-from mallowbeam.router.configuration.changes import apply_update, to_update
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.parsing import ConfigurationParser, parse_configuration
+from mallowbeam.router.configuration.updates import apply_update, full_update
 from mallowbeam.router.rpc.messages_pb2 import ConfigurationUpdate
 
 MOST_BYTES = 100_000
@@ -174,7 +174,7 @@
         raise AssertionError("the canonical document differs from the body")
     if parse_configuration(result.canonical, MOST_BYTES) != result:
         raise AssertionError("the canonical document is read otherwise than the body")
-    update = ConfigurationUpdate.FromString(to_update(result.configuration).SerializeToString())
+    update = ConfigurationUpdate.FromString(full_update(result.configuration).SerializeToString())
     if apply_update(None, update) != result.configuration:
         raise AssertionError("the message to gateways loses something")
     return "taken"
--- a/tests/support/configuration_scenario.py
+++ b/tests/support/configuration_scenario.py
@@ -37,11 +37,11 @@
 from configuration_documents import DOCUMENT, body_of, large_route
 from project_paths import SCENARIOS as SCENARIO_FOLDER
 
-from mallowbeam.router.configuration.changes import apply_update, difference, to_update
 from mallowbeam.router.configuration.errors import ConfigurationError, UpdateMismatch
 from mallowbeam.router.configuration.model import Configuration
 from mallowbeam.router.configuration.parsing import parse_configuration
 from mallowbeam.router.configuration.patch import parse_patch
+from mallowbeam.router.configuration.updates import apply_update, full_update, incremental_update
 from mallowbeam.router.configuration.versions import ConfigurationVersions, patch_command, put_command
 from mallowbeam.router.rpc.messages_pb2 import CommandResult, PutConfiguration, ReplicatedState
 
@@ -131,10 +131,10 @@
                 raise AssertionError(f"line {number}, {line.strip()!r}: {error}") from None
 
     def do_keep(self, count: str) -> None:
-        self.bounds["most_taken"] = int(count)
+        self.bounds["max_accepted"] = int(count)
 
     def do_keep_refused(self, count: str) -> None:
-        self.bounds["most_refused"] = int(count)
+        self.bounds["max_rejected"] = int(count)
 
     def do_members(self, *names: str) -> None:
         for name in names:
@@ -226,11 +226,11 @@
         known, before = gateway.sent, gateway.held
         gateway.sent = current
         try:
-            update = to_update(current) if known is None else difference(known, current)
+            update = full_update(current) if known is None else incremental_update(known, current)
             gateway.held = apply_update(before, update)
         except UpdateMismatch:
             gateway.mismatches += 1
-            gateway.held = apply_update(before, to_update(current))
+            gateway.held = apply_update(before, full_update(current))
         assert before is None or gateway.held.revision >= before.revision, "the gateway went back"
 
     def do_mismatches(self, name: str, count: str) -> None:
--- a/tests/support/configuration_variants.py
+++ b/tests/support/configuration_variants.py
@@ -5,9 +5,9 @@
 import json
 import zlib
 
+from mallowbeam.router.configuration.accepted import AcceptedConfigurations
 from mallowbeam.router.configuration.parsing import ConfigurationParser
-from mallowbeam.router.configuration.refusals import CallIdentity, RefusedCalls
-from mallowbeam.router.configuration.taken import TakenConfigurations
+from mallowbeam.router.configuration.rejections import CommandIdentity, RejectedCommands
 from mallowbeam.router.configuration.versions import ConfigurationVersions
 from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
@@ -30,7 +30,7 @@
     """Knows no configuration again."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
-        self._taken = TakenConfigurations()
+        self._accepted = AcceptedConfigurations()
         return super().apply(command)
 
 
@@ -39,7 +39,7 @@
 
     def restore(self, state: ReplicatedState) -> None:
         super().restore(state)
-        self._taken = TakenConfigurations()
+        self._accepted = AcceptedConfigurations()
 
 
 class ComparesNothing(ConfigurationVersions):
@@ -116,16 +116,16 @@
 class RefusesTheForgotten(ConfigurationVersions):
     """Refuses what it may have taken long ago."""
 
-    def _judge(self, command: PutConfiguration) -> CommandResult:
-        self._taken._forgotten_revision = 0
-        return super()._judge(command)
+    def _decide(self, command: PutConfiguration) -> CommandResult:
+        self._accepted._forgotten_revision = 0
+        return super()._decide(command)
 
 
 class ForgetsRefusals(ConfigurationVersions):
     """Takes a late copy of a call that it has refused."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
-        self._refused = RefusedCalls()
+        self._rejected = RejectedCommands()
         return super().apply(command)
 
 
@@ -134,25 +134,25 @@
 
     def restore(self, state: ReplicatedState) -> None:
         super().restore(state)
-        self._refused = RefusedCalls()
+        self._rejected = RejectedCommands()
 
 
 class DropsTheOldestRefusal(ConfigurationVersions):
     """Makes room for a refusal by forgetting one that could still succeed."""
 
-    def _judge(self, command: PutConfiguration) -> CommandResult:
-        refused = self._refused
+    def _decide(self, command: PutConfiguration) -> CommandResult:
+        refused = self._rejected
         if len(refused) >= refused._most:
             del refused._results[next(iter(refused._results))]
-        return super()._judge(command)
+        return super()._decide(command)
 
 
 class DropsRefusalsOfTheNextBase(ConfigurationVersions):
     """Forgets refusals at the very moment at which they could succeed."""
 
-    def _take(self, command: PutConfiguration) -> None:
-        super()._take(command)
-        self._refused.drop_below(command.revision + 1)
+    def _accept(self, command: PutConfiguration) -> None:
+        super()._accept(command)
+        self._rejected.drop_below(command.revision + 1)
 
 
 class KnowsByNumberAlone(ConfigurationVersions):
@@ -184,7 +184,7 @@
     """Refuses a document on the right version because it was refused on another one."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
-        for call in self._refused._results:
+        for call in self._rejected._results:
             if call.digest == command.digest:
-                return self._refused._results[CallIdentity(*call)]
+                return self._rejected._results[CommandIdentity(*call)]
         return super().apply(command)
--- a/tests/support/gateway_bench.py
+++ b/tests/support/gateway_bench.py
@@ -48,7 +48,7 @@
     backends = (Backend(PLAIN, max_connections=10), Backend(ENGINE, max_connections=10, engine=engine))
     return Configuration(
         revision=revision,
-        routes={one.place: one for one in routes},
+        routes={one.key: one for one in routes},
         backends={one.name: one for one in backends},
     )
 
--- a/tests/support/operator_races.py
+++ b/tests/support/operator_races.py
@@ -206,7 +206,7 @@
 
 def remembers(versions: ConfigurationVersions, order: RacedOrder) -> bool:
     """Whether a member knows an order as taken."""
-    return versions._taken.holds(order.revision, order.digest)
+    return versions._accepted.contains(order.revision, order.digest)
 
 
 # ---------------------------------------------------------------- random races
