--- a/tests/router/configuration/test_configuration_updates.py
+++ b/tests/router/configuration/test_configuration_updates.py
@@ -13,6 +13,7 @@
 from hypothesis import strategies as st
 from project_paths import ROOT
 
+from mallowbeam.router.configuration import updates
 from mallowbeam.router.configuration.errors import UpdateMismatch
 from mallowbeam.router.configuration.model import (
     Backend,
