--- a/mallowbeam/http/client.py
+++ b/mallowbeam/http/client.py
@@ -25,24 +25,28 @@
 class Unsent(MallowbeamError):
     """The connection failed before the request's last byte was written: it never ran."""
 
+    error_name = "Unsent"
     remedy = "if it goes on, look at the node and at the way to it"
 
 
 class NoRoom(Unsent):
     """No socket is left here: says nothing of the node."""
 
+    error_name = "NoRoom"
     remedy = "raise the limit on sockets, or look for nodes that stand still"
 
 
 class Broken(MallowbeamError):
     """The connection broke after the request was written: it may have run."""
 
+    error_name = "Broken"
     remedy = "if it goes on, look at the node and at what lies between"
 
 
 class Spoilt(Broken):
     """What came back can't be read, or never ends: the request may have run, and the node lives."""
 
+    error_name = "Spoilt"
     remedy = "look at the node's software and at what lies between"
 
 
@@ -120,7 +124,7 @@
     async def write(self, piece: bytes | bytearray) -> None:
         """Write a piece of a request's body; in chunks, an empty one is its end.  Raises `Unsent`."""
         if self.left is None:
-            return await self._send(b"%x\r\n%b\r\n" % (len(piece), piece), not piece)
+            return await self._send(b"".join((b"%x\r\n" % len(piece), piece, b"\r\n")), not piece)
         self.left -= len(piece)
         await self._send(piece, self.left <= 0)
         return None
@@ -152,10 +156,7 @@
         """The answer, its headers read and its body perhaps still coming; raises `Broken`."""
         framer = self.channel.framer
         for _ in range(MOST_INTERIM + 1):
-            while not framer.ready and (framer.part is None or framer.in_head):
-                if not await self._read():
-                    raise Broken("the connection ended before the answer")
-            answer = framer.ready.popleft() if framer.ready else framer.part
+            answer = await self._next_head()
             if not 100 <= answer.status < 200:  # else an interim answer: the real one follows
                 break
         else:
@@ -164,6 +165,17 @@
             answer.whole = True
         return answer
 
+    async def _next_head(self) -> Message:
+        """The next answer, an interim one too, as soon as its headers are read."""
+        framer = self.channel.framer
+        while True:
+            if framer.ready:
+                return framer.ready.popleft()
+            if (part := framer.part) is not None and not framer.in_head:
+                return part
+            if not await self._read():
+                raise Broken("the connection ended before the answer")
+
     async def more(self, answer: Message) -> None:
         """Read on in an answer's body; raises `Broken`."""
         if not await self._read():
--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -45,6 +45,7 @@
 class Silent(MallowbeamError):
     """A call was not answered, and not ended either: its watch is broken."""
 
+    error_name = "Silent"
     remedy = "if it goes on, look at discovery and at the way to it"
 
 
@@ -67,7 +68,7 @@
         self.anew = False  # the last call failed or fell silent
         self.paused = False  # the other process of this gateway watches for both
         self.failed, self.fell_silent = Sparse("discovery call failed"), Sparse("discovery fell silent")
-        self.task: asyncio.Task | None = None
+        self.task: asyncio.Task[None] | None = None
 
     def begin(self) -> None:
         """Start watching, unless a watch goes on or it is another process's matter."""
