--- a/mallowbeam/router/configuration/decoding.py
+++ b/mallowbeam/router/configuration/decoding.py
@@ -9,7 +9,7 @@
 from marshmallow import Schema, ValidationError
 
 from mallowbeam.router.configuration.document import ENCODER, ParsedEntry
-from mallowbeam.router.configuration.errors import InvalidField, UnreadableConfiguration
+from mallowbeam.router.configuration.errors import InvalidFieldError, UnreadableConfigurationError
 
 MAX_NESTING = 100  # levels inside an entry; far below the interpreter's limit in any thread that parses
 
@@ -20,13 +20,13 @@
 
 
 def decode(decoder: msgspec.json.Decoder[Any], text: bytes | msgspec.Raw, where: str) -> Any:
-    """Decode JSON; raises `UnreadableConfiguration`, or `InvalidField` for a value of another type."""
+    """Decode JSON; raises `UnreadableConfigurationError`, or `InvalidFieldError` for a wrong type."""
     try:
         return decoder.decode(text)
     except msgspec.ValidationError as error:
-        raise InvalidField(str(error), where) from None
+        raise InvalidFieldError(str(error), where) from None
     except (ValueError, RecursionError) as error:
-        raise UnreadableConfiguration(f"no JSON that can be read: {error}", where) from None
+        raise UnreadableConfigurationError(f"no JSON that can be read: {error}", where) from None
 
 
 def read_entry(schema: Schema, text: bytes, where: str) -> ParsedEntry[Any]:
@@ -39,7 +39,7 @@
 def entry_texts(members: dict[str, msgspec.Raw], name: str) -> list[bytes]:
     """The JSON texts of the entries of one list; raises a `ConfigurationError`."""
     if name not in members:
-        raise InvalidField("is missing", name)
+        raise InvalidFieldError("is missing", name)
     return [bytes(text) for text in decode(ENTRIES_DECODER, members[name], name)]
 
 
@@ -52,13 +52,13 @@
 
 
 def check_nesting(value: Any, where: str) -> None:
-    """Raise `UnreadableConfiguration` for lists and objects nested deeper than `MAX_NESTING`."""
+    """Raise `UnreadableConfigurationError` for lists and objects nested deeper than `MAX_NESTING`."""
     level = [value]
     for _ in range(MAX_NESTING):
         level = [child for parent in level for child in children_of(parent) if isinstance(child, dict | list)]
         if not level:
             return
-    raise UnreadableConfiguration(f"nested deeper than {MAX_NESTING} levels", where)
+    raise UnreadableConfigurationError(f"nested deeper than {MAX_NESTING} levels", where)
 
 
 def children_of(value: Any) -> Iterable[Any]:
@@ -69,12 +69,12 @@
 
 
 def load(schema: Schema, value: Any, where: str) -> Any:
-    """Load a value by a schema; raises `InvalidField` with the path of the first error below `where`."""
+    """Load a value by a schema; raises `InvalidFieldError` with the path of the first error below `where`."""
     try:
         return schema.load(value)
     except ValidationError as error:
         path, message = first_error(error.messages, where)
-        raise InvalidField(message, path) from None
+        raise InvalidFieldError(message, path) from None
 
 
 def first_error(messages: Any, where: str) -> tuple[str, str]:
--- a/mallowbeam/router/configuration/errors.py
+++ b/mallowbeam/router/configuration/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the operator's configuration: each class has a stable code and the HTTP status of its answer.
+"""Errors of the operator's configuration: each class has a stable code and the HTTP status of its response.
 
 `where` is the path inside the document at which the error lies, such as ``routes[3].timeout_ms``.
 """
@@ -11,7 +11,7 @@
 
 
 class ConfigurationError(MallowbeamError):
-    """A configuration that cannot be taken; nothing of it comes into force."""
+    """A configuration that is rejected as a whole."""
 
     error_name = "ConfigurationError"
     code = "CONFIG"
@@ -20,23 +20,23 @@
     remedy = "mend the document at the path given and send it again"
 
 
-class UnreadableConfiguration(ConfigurationError):
-    """The body is no JSON document, or one that cannot be kept exactly (an infinite number)."""
+class UnreadableConfigurationError(ConfigurationError):
+    """The body is not JSON, or cannot be represented exactly (an infinite number)."""
 
     error_name = "UnreadableConfiguration"
     code = "CONFIG_UNREADABLE"
     remedy = "send the whole document as JSON in UTF-8"
 
 
-class InvalidField(ConfigurationError):
-    """A field is missing, of another type, or out of its range."""
+class InvalidFieldError(ConfigurationError):
+    """A field is missing, of the wrong type, or out of range."""
 
     error_name = "InvalidField"
     code = "CONFIG_FIELD"
 
 
-class ConfigurationTooLarge(ConfigurationError):
-    """The body is longer than a member takes."""
+class ConfigurationTooLargeError(ConfigurationError):
+    """The body is longer than a member accepts."""
 
     error_name = "ConfigurationTooLarge"
     code = "CONFIG_TOO_LARGE"
@@ -44,24 +44,24 @@
     remedy = "remove routes that are no longer used"
 
 
-class UnknownBackend(ConfigurationError):
-    """A route names a service that the document does not hold."""
+class UnknownBackendError(ConfigurationError):
+    """A route names a service that the document does not define."""
 
     error_name = "UnknownBackend"
     code = "CONFIG_UNKNOWN_BACKEND"
     status = 422
 
 
-class DuplicateBackend(ConfigurationError):
-    """Two services have the same name."""
+class DuplicateBackendError(ConfigurationError):
+    """Two services share a name."""
 
     error_name = "DuplicateBackend"
     code = "CONFIG_DUPLICATE_BACKEND"
     status = 422
 
 
-class DuplicateName(ConfigurationError):
-    """A patch names an entry twice, or one of which the configuration holds two."""
+class DuplicateNameError(ConfigurationError):
+    """A patch names an entry twice, or a name that two entries of the configuration share."""
 
     error_name = "DuplicateName"
     code = "CONFIG_DUPLICATE_NAME"
@@ -69,8 +69,8 @@
     remedy = "name each entry once; send the whole configuration where two entries share a name"
 
 
-class NameNotFound(ConfigurationError):
-    """A patch removes an entry that the configuration does not hold."""
+class NameNotFoundError(ConfigurationError):
+    """A patch removes an entry that the configuration does not contain."""
 
     error_name = "NameNotFound"
     code = "CONFIG_NAME_NOT_FOUND"
@@ -78,15 +78,15 @@
     remedy = "read the current configuration and name what is in it"
 
 
-class SamePlace(ConfigurationError):
-    """Two routes have the same host and path prefix."""
+class DuplicateRouteError(ConfigurationError):
+    """Two routes share host and path prefix."""
 
     error_name = "SamePlace"
     code = "CONFIG_SAME_PLACE"
     status = 422
 
 
-class NoWeight(ConfigurationError):
+class NoWeightError(ConfigurationError):
     """The weights of a route sum to 0."""
 
     error_name = "NoWeight"
@@ -94,24 +94,24 @@
     status = 422
 
 
-class NoTimeout(ConfigurationError):
-    """A route has no time-out, or one of 0."""
+class NoTimeoutError(ConfigurationError):
+    """A route has no time-out, or a time-out of 0."""
 
     error_name = "NoTimeout"
     code = "CONFIG_NO_TIMEOUT"
     status = 422
 
 
-class SharedKey(ConfigurationError):
-    """Two tenants have the same key."""
+class DuplicateTenantKeyError(ConfigurationError):
+    """Two tenants share a key."""
 
     error_name = "SharedKey"
     code = "CONFIG_SHARED_KEY"
     status = 422
 
 
-class UpdateMismatch(MallowbeamError):
-    """A change builds on another revision than the one held; the whole configuration has to be asked for."""
+class UpdateMismatchError(MallowbeamError):
+    """An incremental update builds on another revision than the current one; a full update is needed."""
 
     error_name = "UpdateMismatch"
     code = "CONFIG_UPDATE_BASE"
--- a/mallowbeam/router/configuration/parsing.py
+++ b/mallowbeam/router/configuration/parsing.py
@@ -29,7 +29,7 @@
     canonical_document,
     digest_of,
 )
-from mallowbeam.router.configuration.errors import ConfigurationTooLarge
+from mallowbeam.router.configuration.errors import ConfigurationTooLargeError
 from mallowbeam.router.configuration.model import Backend, ClientLimits, Configuration, Route
 from mallowbeam.router.configuration.schemas import BackendSchema, DocumentSchema, RouteSchema
 from mallowbeam.router.configuration.validation import check_tenant_keys, index_backends, index_routes
@@ -96,7 +96,7 @@
     def parse(self, body: bytes) -> ParsedConfiguration:
         """Parse one body; raises a `ConfigurationError` and nothing else."""
         if len(body) > self._most_bytes:
-            raise ConfigurationTooLarge(f"{len(body)} bytes; {self._most_bytes} are allowed")
+            raise ConfigurationTooLargeError(f"{len(body)} bytes; {self._most_bytes} are allowed")
         members: dict[str, msgspec.Raw] = decode(MEMBERS_DECODER, body, "")
         rest = other_members(members)
         route_texts = entry_texts(members, "routes")
--- a/mallowbeam/router/configuration/patch.py
+++ b/mallowbeam/router/configuration/patch.py
@@ -31,11 +31,11 @@
     digest_of,
 )
 from mallowbeam.router.configuration.errors import (
-    ConfigurationTooLarge,
-    DuplicateName,
-    InvalidField,
-    NameNotFound,
-    UnknownBackend,
+    ConfigurationTooLargeError,
+    DuplicateNameError,
+    InvalidFieldError,
+    NameNotFoundError,
+    UnknownBackendError,
 )
 from mallowbeam.router.configuration.model import Backend, Configuration, Route
 from mallowbeam.router.configuration.parsing import MAX_BODY_BYTES
@@ -91,11 +91,11 @@
 def parse_patch(body: bytes, max_bytes: int = MAX_BODY_BYTES) -> ConfigurationPatch:
     """Parse a patch; raises a `ConfigurationError` and nothing else."""
     if len(body) > max_bytes:
-        raise ConfigurationTooLarge(f"{len(body)} bytes; {max_bytes} are allowed")
+        raise ConfigurationTooLargeError(f"{len(body)} bytes; {max_bytes} are allowed")
     members: dict[str, msgspec.Raw] = decode(MEMBERS_DECODER, body, "")
     for name in members:
         if name not in MEMBERS:
-            raise InvalidField("is no member of a patch: it would have no effect", name)
+            raise InvalidFieldError("is no member of a patch: it would have no effect", name)
     document = decode(VALUE_DECODER, body, "")
     check_nesting(document, "")
     fields = load(DocumentSchema(), {REVISION: document.get(REVISION)}, "")
@@ -148,7 +148,7 @@
 def _entry(list_name: str, text: bytes, where: str) -> NamedEntry:
     document = decode(VALUE_DECODER, text, where)
     if not isinstance(document, dict):
-        raise InvalidField("must be an object", where)
+        raise InvalidFieldError("must be an object", where)
     name = load(NAME_SCHEMA, document, where)["name"]
     schema = SCHEMAS.get(list_name)
     if schema is None:
@@ -161,13 +161,13 @@
 
 
 def _check_names(list_name: str, changed: ListPatch) -> None:
-    """Raise `DuplicateName` if a patch names an entry more than once."""
+    """Raise `DuplicateNameError` if a patch names an entry more than once."""
     seen: set[str] = set()
     named = [(entry.name, f"{UPSERT}.{list_name}[{at}].name") for at, entry in enumerate(changed.upsert)]
     named += [(name, f"{REMOVE}.{list_name}[{at}]") for at, name in enumerate(changed.remove)]
     for name, where in named:
         if name in seen:
-            raise DuplicateName(f"{name!r} is named twice in this patch", where)
+            raise DuplicateNameError(f"{name!r} is named twice in this patch", where)
         seen.add(name)
 
 
@@ -189,7 +189,7 @@
     if entries is None:
         entries = []
     if not isinstance(entries, list):
-        raise InvalidField("is no list in the configuration", list_name)
+        raise InvalidFieldError("is no list in the configuration", list_name)
     names = [entry.get("name") if isinstance(entry, dict) else None for entry in entries]
     return _merge(entries, names, list_name, changed, [named.entry.value for named in changed.upsert])
 
@@ -213,7 +213,7 @@
 def _positions(names: Sequence[Any], list_name: str, changed: ListPatch) -> dict[str, int]:
     """Positions, by name, of the present entries that a patch names.
 
-    Raises `NameNotFound` if an entry to remove is missing, `DuplicateName` if two entries share a name.
+    Raises `NameNotFoundError` if an entry to remove is missing, `DuplicateNameError` if two share a name.
     """
     wanted = {named.name for named in changed.upsert}.union(changed.remove)
     positions: dict[str, int] = {}
@@ -221,11 +221,11 @@
         if name not in wanted:
             continue
         if name in positions:
-            raise DuplicateName(f"two entries of {list_name} have the name {name!r}", list_name)
+            raise DuplicateNameError(f"two entries of {list_name} have the name {name!r}", list_name)
         positions[name] = position
     for at, name in enumerate(changed.remove):
         if name not in positions:
-            raise NameNotFound(f"{list_name} has no entry {name!r}", f"{REMOVE}.{list_name}[{at}]")
+            raise NameNotFoundError(f"{list_name} has no entry {name!r}", f"{REMOVE}.{list_name}[{at}]")
     return positions
 
 
@@ -267,9 +267,9 @@
 
 
 def _check_services(routes: Iterable[Route], services: Mapping[str, Backend]) -> None:
-    """Raise `UnknownBackend` if a route names a service that has been removed."""
+    """Raise `UnknownBackendError` if a route names a service that has been removed."""
     for route in routes:
         for choice in route.backends:
             if choice.backend not in services:
                 where = f"{REMOVE}.{BACKENDS}"
-                raise UnknownBackend(f"route {route.name!r} still names {choice.backend!r}", where)
+                raise UnknownBackendError(f"route {route.name!r} still names {choice.backend!r}", where)
--- a/mallowbeam/router/configuration/updates.py
+++ b/mallowbeam/router/configuration/updates.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator, Mapping
 from typing import TypeVar
 
-from mallowbeam.router.configuration.errors import UpdateMismatch
+from mallowbeam.router.configuration.errors import UpdateMismatchError
 from mallowbeam.router.configuration.message_codec import (
     decode_backend,
     decode_limits,
@@ -59,7 +59,7 @@
 def apply_update(current: Configuration | None, update: messages.ConfigurationUpdate) -> Configuration:
     """The configuration after an update; `current` itself if the update is not newer.
 
-    Raises `UpdateMismatch` if an incremental update builds on another revision than the current one.
+    Raises `UpdateMismatchError` if an incremental update builds on another revision than the current one.
     """
     if current is not None and update.revision <= current.revision:
         return current
@@ -67,7 +67,7 @@
         return decode_full_update(update)
     if current is None or current.revision != update.based_on:
         holds = current.revision if current is not None else 0
-        raise UpdateMismatch(f"revision {update.revision} builds on {update.based_on}; {holds} is held")
+        raise UpdateMismatchError(f"revision {update.revision} builds on {update.based_on}; {holds} is held")
     return decode_incremental_update(current, update)
 
 
--- a/mallowbeam/router/configuration/validation.py
+++ b/mallowbeam/router/configuration/validation.py
@@ -6,12 +6,12 @@
 from typing import Any
 
 from mallowbeam.router.configuration.errors import (
-    DuplicateBackend,
-    NoTimeout,
-    NoWeight,
-    SamePlace,
-    SharedKey,
-    UnknownBackend,
+    DuplicateBackendError,
+    DuplicateRouteError,
+    DuplicateTenantKeyError,
+    NoTimeoutError,
+    NoWeightError,
+    UnknownBackendError,
 )
 from mallowbeam.router.configuration.model import Backend, Route
 
@@ -19,11 +19,11 @@
 
 
 def index_backends(backends: Sequence[Backend]) -> dict[str, Backend]:
-    """Index services by name; raises `DuplicateBackend`."""
+    """Index services by name; raises `DuplicateBackendError`."""
     by_name: dict[str, Backend] = {}
     for position, backend in enumerate(backends):
         if backend.name in by_name:
-            raise DuplicateBackend(f"{backend.name!r} is there twice", f"backends[{position}].name")
+            raise DuplicateBackendError(f"{backend.name!r} is there twice", f"backends[{position}].name")
         by_name[backend.name] = backend
     return by_name
 
@@ -38,27 +38,27 @@
 
 
 def add_route(routes_by_key: dict[str, Route], route: Route, where: str) -> None:
-    """Add a checked route to the table; raises `SamePlace` if another one has its host and prefix."""
+    """Add a checked route to the table; raises `DuplicateRouteError` if its key is present."""
     if route.key in routes_by_key:
-        raise SamePlace(f"another route has {route.key!r}", f"{where}.path_prefix")
+        raise DuplicateRouteError(f"another route has {route.key!r}", f"{where}.path_prefix")
     routes_by_key[route.key] = route
 
 
 def check_route(route: Route, backends: dict[str, Backend], where: str) -> None:
     """Raise a `ConfigurationError` if the time-out is 0, the weights sum to 0 or a service is unknown."""
     if route.timeout_ms == 0:
-        raise NoTimeout("must be above 0", f"{where}.timeout_ms")
+        raise NoTimeoutError("must be above 0", f"{where}.timeout_ms")
     total = 0
     for entry in route.backends:
         if entry.backend not in backends:
-            raise UnknownBackend(f"no service is named {entry.backend!r}", f"{where}.backend")
+            raise UnknownBackendError(f"no service is named {entry.backend!r}", f"{where}.backend")
         total += entry.weight
     if total == 0:
-        raise NoWeight("the weights sum to 0", f"{where}.weighted_backends")
+        raise NoWeightError("the weights sum to 0", f"{where}.weighted_backends")
 
 
 def check_tenant_keys(document: dict[str, Any]) -> None:
-    """Raise `SharedKey` if two entries of the optional list `tenants` have the same key."""
+    """Raise `DuplicateTenantKeyError` if two entries of the optional list `tenants` have the same key."""
     tenants = document.get("tenants")
     if not isinstance(tenants, list):
         return
@@ -66,7 +66,9 @@
     for position, tenant in enumerate(tenants):
         for key in tenant_keys(tenant):
             if owners.setdefault(key, position) != position:
-                raise SharedKey(f"tenants[{owners[key]}] has the same key", f"tenants[{position}]")
+                raise DuplicateTenantKeyError(
+                    f"tenants[{owners[key]}] has the same key", f"tenants[{position}]"
+                )
 
 
 def tenant_keys(tenant: object) -> Iterable[str]:
--- a/mallowbeam/router/configuration/versions.py
+++ b/mallowbeam/router/configuration/versions.py
@@ -10,7 +10,7 @@
 
 from mallowbeam.router.configuration.accepted import MAX_ACCEPTED, AcceptedConfigurations
 from mallowbeam.router.configuration.document import ConfigurationDocument, digest_of
-from mallowbeam.router.configuration.errors import ConfigurationError, NameNotFound
+from mallowbeam.router.configuration.errors import ConfigurationError, NameNotFoundError
 from mallowbeam.router.configuration.model import Configuration
 from mallowbeam.router.configuration.parsing import ConfigurationParser, ParsedConfiguration
 from mallowbeam.router.configuration.patch import ConfigurationPatch, apply_patch, parse_patch
@@ -150,10 +150,10 @@
         return self._current_document().configuration if self._revision else None
 
     def _current_document(self) -> ConfigurationDocument:
-        """The current document; raises `NameNotFound` if there is none, so that nothing can be patched."""
+        """The current document; raises `NameNotFoundError` if there is none to patch."""
         if self._document is None:
             if not self._body:
-                raise NameNotFound("no configuration was taken yet; send a whole one", "If-Match")
+                raise NameNotFoundError("no configuration was taken yet; send a whole one", "If-Match")
             parsed = self._parser.recall(self._accepted.last_digest) or self._parser.parse(
                 self.current_body()
             )
--- a/tests/router/configuration/test_configuration_documents.py
+++ b/tests/router/configuration/test_configuration_documents.py
@@ -299,7 +299,7 @@
                 told = kind("what", "where").told()
                 self.assertEqual((told["code"], told["where"]), (kind.code, "where"))
                 self.assertTrue(told["remedy"] and told["step"])
-        self.assertIn(errors.SharedKey, classes)
+        self.assertIn(errors.DuplicateTenantKeyError, classes)
 
 
 class Values(unittest.TestCase):
--- a/tests/router/configuration/test_configuration_updates.py
+++ b/tests/router/configuration/test_configuration_updates.py
@@ -14,7 +14,7 @@
 from project_paths import ROOT
 
 from mallowbeam.router.configuration import updates
-from mallowbeam.router.configuration.errors import UpdateMismatch
+from mallowbeam.router.configuration.errors import UpdateMismatchError
 from mallowbeam.router.configuration.model import (
     Backend,
     ClientLimits,
@@ -154,7 +154,7 @@
     def test_a_change_on_another_revision_is_refused(self) -> None:
         old, new, newest = (parsed(document(revision)) for revision in (7, 9, 12))
         for held in (None, old):
-            with self.assertRaises(UpdateMismatch) as caught:
+            with self.assertRaises(UpdateMismatchError) as caught:
                 apply_update(held, incremental_update(new, newest))
             self.assertEqual(caught.exception.code, "CONFIG_UPDATE_BASE")
         self.assertEqual(apply_update(old, full_update(newest)), newest)
--- a/tests/support/configuration_scenario.py
+++ b/tests/support/configuration_scenario.py
@@ -37,7 +37,7 @@
 from configuration_documents import DOCUMENT, body_of, large_route
 from project_paths import SCENARIOS as SCENARIO_FOLDER
 
-from mallowbeam.router.configuration.errors import ConfigurationError, UpdateMismatch
+from mallowbeam.router.configuration.errors import ConfigurationError, UpdateMismatchError
 from mallowbeam.router.configuration.model import Configuration
 from mallowbeam.router.configuration.parsing import parse_configuration
 from mallowbeam.router.configuration.patch import parse_patch
@@ -228,7 +228,7 @@
         try:
             update = full_update(current) if known is None else incremental_update(known, current)
             gateway.held = apply_update(before, update)
-        except UpdateMismatch:
+        except UpdateMismatchError:
             gateway.mismatches += 1
             gateway.held = apply_update(before, full_update(current))
         assert before is None or gateway.held.revision >= before.revision, "the gateway went back"
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -39,10 +39,10 @@
 import mallowbeam
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.lab.rig import hold_port
-from mallowbeam.router.configuration.changes import apply_update, difference, to_update
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.parsing import ConfigurationParser, parse_configuration
 from mallowbeam.router.configuration.patch import parse_patch
+from mallowbeam.router.configuration.updates import apply_update, full_update, incremental_update
 from mallowbeam.router.configuration.versions import patch_command, put_command
 from mallowbeam.router.consensus.storage import ReplicaStore
 from mallowbeam.router.control_plane import answers
@@ -198,9 +198,9 @@
     new = parse_configuration(json.dumps(sample["later_document"]).encode()).configuration
     whole = messages.ConfigurationUpdate.FromString(bytes.fromhex(sample["whole_update"]["bytes"]))
     change = messages.ConfigurationUpdate.FromString(bytes.fromhex(sample["change_update"]["bytes"]))
-    assert apply_update(apply_update(None, whole), change) == apply_update(None, to_update(new))
-    assert message_json(to_update(old)) == sample["whole_update"]["value"]
-    assert message_json(difference(old, new)) == sample["change_update"]["value"]
+    assert apply_update(apply_update(None, whole), change) == apply_update(None, full_update(new))
+    assert message_json(full_update(old)) == sample["whole_update"]["value"]
+    assert message_json(incremental_update(old, new)) == sample["change_update"]["value"]
 
 
 # ------------------------------------------------------------------------------------------ replica store
