--- a/tests/router/processes/test_processes_errors.py
+++ b/tests/router/processes/test_processes_errors.py
@@ -58,7 +58,7 @@
             code
             for code, kind in code_table().items()
             if in_new_parts(kind.__module__)
-            and not any(f"| `{kind.__name__}` | `{code}` |" in row for row in rows)
+            and not any(f"| `{kind.error_name}` | `{code}` |" in row for row in rows)
         ]
         self.assertEqual(missing, [])
 
