--- a/mallowbeam/router/control_plane/api_errors.py
+++ b/mallowbeam/router/control_plane/api_errors.py
@@ -29,6 +29,7 @@
 class IsolatedMemberError(CallError):
     """This member has lost contact with the majority, or was suspended during the call."""
 
+    error_name = "OutOfTouchError"
     code = "CONTROL_OUT_OF_TOUCH"
     status = 503
     remedy = "call another member; the answer names them"
--- a/mallowbeam/router/control_plane/wait_conditions.py
+++ b/mallowbeam/router/control_plane/wait_conditions.py
@@ -13,6 +13,7 @@
 class ProposalLostError(ConsensusError):
     """A proposal was overwritten by another leader's entry, or a snapshot passed it over."""
 
+    error_name = "ProposalLost"
     code = "CONSENSUS_PROPOSAL_LOST"
     remedy = "propose it again: commands that were taken are known again"
 
@@ -20,6 +21,7 @@
 class ReadNotConfirmedError(ConsensusError):
     """A read was not confirmed: the member is not the leader, or no longer."""
 
+    error_name = "ReadRefused"
     code = "CONSENSUS_READ_REFUSED"
     remedy = "ask the leader"
 
