--- a/mallowbeam/storage_gateway/coordination/shares/part.py
+++ b/mallowbeam/storage_gateway/coordination/shares/part.py
@@ -9,8 +9,8 @@
 
 An allotment is the tenant's plan as it is in force, with the rate as its limit, all of it this gateway's
 (part 1).  A tenant that asks under several plans has its rate in equal parts under each.  The store holds
-`units_top` and an epoch's worth: with less than one call's units in it that call would never pass.  So in any
-T seconds a node gets at most its capacity times T and one epoch, and `units_top` for each tenant at each
+`max_units` and an epoch's worth: with less than one call's units in it that call would never pass.  So in any
+T seconds a node gets at most its capacity times T and one epoch, and `max_units` for each tenant at each
 gateway.  A rate of nothing is a part of nothing: to the module a limit of 0 is none.
 
 Under a plan that is not known there is no allotment.  What the module refuses is logged, and the platform's
@@ -57,8 +57,8 @@
 class SharesPart:
     """The subsystem."""
 
-    def __init__(self, hands: Hands, section: SharesSection, units_top: int = 1) -> None:
-        self.hands, self.section, self.units_top = hands, section, units_top
+    def __init__(self, hands: Hands, section: SharesSection, max_units: int = 1) -> None:
+        self.hands, self.section, self.max_units = hands, section, max_units
         self.topic = SharesTopic(hands.members)
         self.now = self.mixed = time.monotonic()
         times = Times(
@@ -209,7 +209,7 @@
         if rate is None:
             told, part = own, None
         else:
-            burst = self.units_top + rate * self.section.epoch_s
+            burst = self.max_units + rate * self.section.epoch_s
             told = replace(own, limit=rate if rate > 0 else 1.0, limit_burst=burst, limit_slack=0.0)
             part = 1.0 if rate > 0 else 0.0
         try:
@@ -240,4 +240,4 @@
 
 def open_part(hands: Hands, section: SharesSection) -> SharesPart:
     """The subsystem on these hands."""
-    return SharesPart(hands, section, hands.gateway().config.settings.units_top)
+    return SharesPart(hands, section, hands.gateway().config.settings.max_units)
--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -29,7 +29,7 @@
 from mallowbeam.storage_gateway.frontends.object_api.listings import Item, Query
 from mallowbeam.storage_gateway.frontends.object_api.settings import ObjectSettings
 from mallowbeam.storage_gateway.operator_settings import BufferSection, convert
-from mallowbeam.storage_gateway.scheduler.interface import Repeat
+from mallowbeam.storage_gateway.scheduler.interface import Idempotency
 from mallowbeam.storage_gateway.server.calls import Call, Kind
 from mallowbeam.storage_gateway.server.config import BadConfig
 from mallowbeam.storage_gateway.server.gateway import Gateway
@@ -93,9 +93,9 @@
         repeat_share=section.repeat_share,
         deadline=cls.deadline,
         shards=known.shards,
-        keyed=cls.repeat is not Repeat.UNSAFE,
+        keyed=cls.idempotency is not Idempotency.UNSAFE,
         sole_writer=section.sole_writer,
-        window=cls.repeat_window if cls.repeat is Repeat.KEYED else None,
+        window=cls.dedup_window if cls.idempotency is Idempotency.KEYED else None,
     )
     return Settings(
         section.folder, frozenset(section.buckets), limits, section.segment_bytes, section.cache_bytes
@@ -162,7 +162,7 @@
         """How long so many writes may take to reach the nodes, by what is on its way at once and answers."""
         core = self.buffer.core
         cls = self.gateway.config.settings.classes[self.settings.write_class]
-        return writes / max(1, core.allowed(self.buffer.clock(), 0)) * cls.aim
+        return writes / max(1, core.allowed(self.buffer.clock(), 0)) * cls.latency_target
 
     # --- writes ---------------------------------------------------------------------------------
 
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -337,13 +337,13 @@
         """What the module is told of a call."""
         settings = self.settings
         return {
-            "cls": cls,
+            "request_class": cls,
             "expires_in": expires,
             "shard": shard,
             "key": key,
             "volume": bucket,
             "is_write": writes,
-            "units": min(units, self.gateway.config.settings.units_top),
+            "units": min(units, self.gateway.config.settings.max_units),
             "plan": settings.plans.get(bucket, settings.plan),
         }
 
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -10,7 +10,7 @@
 from mallowbeam.http.framing import MAX_BODY, TOKEN, Budget, Channel, Message, in_chunks, write_head
 from mallowbeam.http.front import Reply, plain
 from mallowbeam.http.stream import MOST, Stream, copy
-from mallowbeam.storage_gateway.scheduler.interface import Repeat
+from mallowbeam.storage_gateway.scheduler.interface import Idempotency
 from mallowbeam.storage_gateway.server.calls import Answer, Call, Kind, length_of, read_deadline, time_left
 from mallowbeam.storage_gateway.server.gateway import Gateway
 from mallowbeam.storage_gateway.server.health import page
@@ -95,7 +95,9 @@
         if request.method == b"GET" and (request.came or request.length):
             raise BadRequest("a read has no body")
         # Guards against effects doubled: without a key, a second attempt would not be dropped as a repeat.
-        if not TOKEN.match(headers.get(b"idempotency-key", b"" if cls.repeat is Repeat.KEYED else b"-")):
+        if not TOKEN.match(
+            headers.get(b"idempotency-key", b"" if cls.idempotency is Idempotency.KEYED else b"-")
+        ):
             raise BadRequest("Idempotency-Key is missing or malformed")
         plan = settings.plans.get(headers.get(b"x-storage-class", b"").decode("latin-1"))
         if plan is None:
@@ -109,18 +111,18 @@
         # Guards the client's time: it counts from its request's last byte, which may have waited here.
         waited = time.monotonic() - request.at if request.at else 0.0
         units, shard, hosts = (int(part) for part in extent.groups())
-        if not 1 <= units <= settings.units_top or shard < -1 or not 1 <= hosts <= settings.hosts:
+        if not 1 <= units <= settings.max_units or shard < -1 or not 1 <= hosts <= settings.hosts:
             raise BadRequest("X-Extent is senseless")
         return Call(
             request_id.decode(),
             {
-                "cls": cls.name,
+                "request_class": cls.name,
                 "expires_in": time_left(min(deadline, cls.deadline) - waited),
                 "shard": None if shard < 0 else shard,
                 "units": units,
                 "volume": path[2].decode(),
                 "plan": plan.name,
-                "hosts_of_volume": hosts,
+                "volume_hosts": hosts,
                 "key": path[3].decode(),
                 "is_retry": headers.get(b"x-retry") == b"1",
                 "is_write": request.method == b"PUT",
@@ -130,7 +132,7 @@
             [h for h in request.headers if h[0] in PASSED_ON],
             request.body,
             streamed=(200).__eq__,
-            standstill=max(LEAST, cls.aim * STANDSTILL),
+            standstill=max(LEAST, cls.latency_target * STANDSTILL),
             hold=MAX_BODY,
             most=MOST,
             upload=request.stream,
--- a/mallowbeam/storage_gateway/scheduler/booking.py
+++ b/mallowbeam/storage_gateway/scheduler/booking.py
@@ -5,7 +5,9 @@
 from math import exp
 from zlib import crc32
 
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    Idempotency,
+)
 from mallowbeam.storage_gateway.scheduler.nodes import M_EXTRA, M_MOST, Node
 from mallowbeam.storage_gateway.scheduler.requests import EPS, Request, Volume
 
@@ -29,11 +31,11 @@
         if node is None:
             return self._end(request)
         if not request.asked:
-            worth = request.cls.worth * volume.plan.price
+            worth = request.request_class.value * volume.plan.price
             if (wait := volume.limit_wait(self.now, request.units + volume.pending, worth)) > 0:
                 return self._end(request, retry_after=wait)
             request.asked = True
-            faded = exp((self.asked_at - self.now) / (self.settings.fall_window or 1.0))
+            faded = exp((self.asked_at - self.now) / (self.settings.overload_window or 1.0))
             self.asked, self.asked_at = self.asked * faded + request.units, self.now
             volume.pending += request.units
         insort(node.queue, (request.aim_at, request.seq, request))
@@ -69,13 +71,13 @@
 
     def _value(self, node: Node) -> None:
         """What each booking's units are worth now: inside the reserve, the share by weight, or spare."""
-        now, settings, top = self.now, self.settings, float(self.settings.units_top)
+        now, settings, top = self.now, self.settings, float(self.settings.max_units)
         if now - node.weights_at > ACTIVE / 4:
             node.shares = {volume: share for volume, share in node.shares.items() if now - share[1] <= ACTIVE}
             node.weights_at, node.weights = now, sum(volume.plan.weight for volume in node.shares)
         power = CAPACITY_DEALT * node.window / max(node.n_latency, 1e-3) / max(node.weights, 1e-9)
         left: dict[Volume, list[float]] = {}  # anew each time: the classes worth most take what is due first
-        for request in sorted((entry[2] for entry in node.queue), key=lambda r: -r.cls.worth):
+        for request in sorted((entry[2] for entry in node.queue), key=lambda r: -r.request_class.value):
             volume = request.volume
             if volume not in left:
                 volume.refill(now)
@@ -85,8 +87,8 @@
             levels = left[volume]
             request.tier = next(tier for tier in range(3) if levels[tier] >= request.units / 2)
             levels[request.tier] -= request.units
-            worth = (1.0, settings.share_worth, settings.spare_worth)[request.tier]
-            request.density = request.cls.worth * volume.plan.price * worth
+            worth = (1.0, settings.share_value, settings.spare_value)[request.tier]
+            request.density = request.request_class.value * volume.plan.price * worth
 
     def _price(self, node: Node) -> float:
         """What a unit must be worth to go there now: bids, and as others' work takes up the aim, more."""
@@ -133,22 +135,28 @@
                     break
         order, price = [request for request in queue if not request.late], self._price(node)
         late = [request for request in queue if request.late]
-        for request in sorted(late, key=lambda r: (-r.density * r.cls.late_worth, r.seq)):
+        for request in sorted(late, key=lambda r: (-r.density * r.request_class.late_value, r.seq)):
             end = now + max(0.0, total + request.units - room) * slot + node.serve_time(request.units)
-            if end > request.deadline or node.suspect or request.density * request.cls.late_worth < price:
+            if (
+                end > request.deadline
+                or node.suspect
+                or request.density * request.request_class.late_value < price
+            ):
                 refused.append(request)
             else:
                 total += request.units
                 order.append(request)
         if node.suspect and not order:
-            order = sorted(refused, key=lambda r: (r.cls.repeat is io.Repeat.UNSAFE, r.units, r.seq))
+            order = sorted(
+                refused, key=lambda r: (r.request_class.idempotency is Idempotency.UNSAFE, r.units, r.seq)
+            )
         return order, refused
 
     def _send_due(self, node: Node, order: list[Request]) -> None:
         if self.now - node.cycle_at >= self.cycle:
             node.cycle_at, node.cycle_used = self.now, 0
         # The m of the paper: slots that a cycle holds by measured slot time, within the floor and the most.
-        slots = int(min(M_MOST, max(self.settings.units_top + M_EXTRA, self.cycle / node.slot())))
+        slots = int(min(M_MOST, max(self.settings.max_units + M_EXTRA, self.cycle / node.slot())))
         if node.suspect and self.now >= node.held and order and self._send(order[0], node):
             node.held = self.now + self.cycle
         if node.suspect or self.now < node.held:
@@ -156,10 +164,10 @@
         price = self._price(node)
         turns = {request.data: turn for turn, request in reversed(list(enumerate(order)))}
         for request in sorted(order, key=lambda r: -1 if r.data == node.last else turns[r.data]):
-            room = node.window + (RUN * self.settings.units_top if request.data == node.last else 0)
+            room = node.window + (RUN * self.settings.max_units if request.data == node.last else 0)
             # Room left for dearer units that is still empty at a request's last chance is of use to nobody.
             last = self.now + node.serve_time(request.units) + 2 * LOOK * self.cycle > request.aim_at
-            if request.density * (request.cls.late_worth if request.late else 1.0) < price and (
+            if request.density * (request.request_class.late_value if request.late else 1.0) < price and (
                 node.out_units or request.late or not last
             ):
                 continue
--- a/mallowbeam/storage_gateway/scheduler/gateway_host.py
+++ b/mallowbeam/storage_gateway/scheduler/gateway_host.py
@@ -11,10 +11,34 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.storage_gateway.scheduler import Scheduler
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    AttemptEnded,
+    Cancel,
+    ClientDisconnected,
+    DiscoveryUpdate,
+    DiscoveryUpdateKind,
+    Event,
+    Fail,
+    NodeEntry,
+    NodeState,
+    OperatorOverride,
+    Outcome,
+    Plan,
+    PlanChanged,
+    Reject,
+    RequestArrived,
+    Send,
+    SetTimer,
+    Settings,
+    SiblingSend,
+    StreamStarted,
+    TimerFired,
+    UploadProgress,
+    WatchNodes,
+)
 
 NEVER = float("inf")
-GONE = io.NodeState.GONE
+GONE = NodeState.REMOVED
 MOST_ALLOTMENTS = 20_000  # plans and allotments held at once, some 10 MB: a new one past that is refused
 
 
@@ -60,7 +84,7 @@
 class Facade:
     """One host's decisions, called from network code."""
 
-    def __init__(self, settings: io.Settings, now: float) -> None:
+    def __init__(self, settings: Settings, now: float) -> None:
         self._scheduler = Scheduler(settings, now)
         self._attempts: dict[str, int] = {}  # requests that are not over: attempts so far
         self.wake = NEVER  # when `tick` is due
@@ -90,23 +114,23 @@
     def pick(self, now: float, request: str, **fields) -> Orders:
         """A request has come; the fields are those of `interface.RequestArrived`."""
         self._attempts[request] = 0
-        return self._step(now, io.RequestArrived(request, **fields))
+        return self._step(now, RequestArrived(request, **fields))
 
     def report(
         self,
         now: float,
         tried: Try,
-        outcome: io.Outcome,
+        outcome: Outcome,
         latency: float,
         used: float | None = None,
         elsewhere: int = 0,
     ) -> Orders:
         """An attempt has ended; `OK` means that its answer goes to the client."""
-        if outcome is io.Outcome.OK:
+        if outcome is Outcome.OK:
             self._attempts.pop(tried.request, None)
         return self._step(
             now,
-            io.AttemptEnded(
+            AttemptEnded(
                 tried.request,
                 tried.number,
                 tried.node,
@@ -125,38 +149,38 @@
     def begun(self, now: float, tried: Try, latency: float) -> Orders:
         """A streamed answer has begun: the request is over but for the rest of this attempt."""
         self._attempts.pop(tried.request, None)
-        return self._step(now, io.StreamStarted(tried.request, tried.number, tried.node, latency))
+        return self._step(now, StreamStarted(tried.request, tried.number, tried.node, latency))
 
     def uploading(self, now: float, tried: Try, left: float | None) -> Orders:
         """A large body has begun to pass through, or its last byte is out and `left` seconds remain."""
-        return self._step(now, io.Upload(tried.request, tried.number, left))
+        return self._step(now, UploadProgress(tried.request, tried.number, left))
 
     def leave(self, now: float, request: str) -> Orders:
         """The client has gone; no answer is owed."""
         self._attempts.pop(request, None)
-        return self._step(now, io.ClientGone(request))
+        return self._step(now, ClientDisconnected(request))
 
     def listed(
-        self, now: float, kind: io.ListKind, version: int = 0, entries: list[io.NodeEntry] | None = None
+        self, now: float, kind: DiscoveryUpdateKind, version: int = 0, entries: list[NodeEntry] | None = None
     ) -> Orders:
         """Word from discovery, a failure included."""
-        return self._step(now, io.NodesListed(kind, version, entries or []))
+        return self._step(now, DiscoveryUpdate(kind, version, entries or []))
 
     def by_hand(self, now: float, node: str, out: bool, listed: bool = True) -> Orders | None:
         """An operator takes a node out, or calls it back; None for one not listed, if it must be."""
         known = self._scheduler.nodes.get(node)
         if listed and (known is None or known.state is GONE) and node not in self._scheduler.banned:
             return None
-        return self._step(now, io.ByHand(node, out))
+        return self._step(now, OperatorOverride(node, out))
 
     def sent_beside(
         self, now: float, volume: str, plan: str, hosts: int, node: str, units: int, drawn: int
     ) -> Orders:
         """Another process of this host has sent to a node."""
-        return self._step(now, io.SentBeside(volume, plan, hosts, node, units, drawn))
+        return self._step(now, SiblingSend(volume, plan, hosts, node, units, drawn))
 
     def planned(
-        self, now: float, plan: io.Plan, volume: str = "", shard: int | None = None, part: float | None = None
+        self, now: float, plan: Plan, volume: str = "", shard: int | None = None, part: float | None = None
     ) -> Orders:
         """From now on this plan holds, for all volumes on it or as one's allotment: `interface.PlanChanged`.
 
@@ -171,17 +195,17 @@
         name = (volume, plan.name) if shard is None else (volume, plan.name, shard)
         if name not in known and len(known) >= MOST_ALLOTMENTS:
             raise TooManyAllotments(f"{MOST_ALLOTMENTS} are held already", f"volume {volume}")
-        return self._step(now, io.PlanChanged(plan, volume, shard, part))
+        return self._step(now, PlanChanged(plan, volume, shard, part))
 
-    def entries(self, now: float) -> list[io.NodeEntry]:
+    def entries(self, now: float) -> list[NodeEntry]:
         """The list as it stands here; a node held cold counts from the start told or presumed."""
         return [
-            io.NodeEntry(
+            NodeEntry(
                 node.id,
                 node.state,
                 node.shard,
                 node.zone,
-                node.cold_from if now < node.cold_until else node.since,
+                node.cold_from if now < node.cold_until else node.started_at,
             )
             for node in self._scheduler.nodes.values()
             if node.state is not GONE
@@ -218,13 +242,13 @@
     def inherit(self, now: float, state: dict) -> None:
         """Take in the state of the process before this one, once the list is known."""
         for node, since in state["out"].items():
-            self._step(now, io.ByHand(node, True, since))
+            self._step(now, OperatorOverride(node, True, since))
         for volume, figures, shard, part in state.get("plans", ()):
-            self._step(now, io.PlanChanged(io.Plan(**figures), volume, shard, part))
+            self._step(now, PlanChanged(Plan(**figures), volume, shard, part))
         for volume, plan, hosts, level in state["stores"]:
-            self._step(now, io.SentBeside(volume, plan, hosts, level=level))
+            self._step(now, SiblingSend(volume, plan, hosts, limit_level=level))
         for node, units in state["cold"]:
-            self._step(now, io.SentBeside("", "", 1, node, units))
+            self._step(now, SiblingSend("", "", 1, node, units))
 
     def takes(self, node: str) -> bool:
         """Whether new work may go to a node at this moment."""
@@ -241,27 +265,27 @@
         if now < self.wake:
             return Orders()
         self.wake = NEVER
-        return self._step(now, io.TimerFired(0))
+        return self._step(now, TimerFired(0))
 
-    def _step(self, now: float, event: io.Event) -> Orders:
+    def _step(self, now: float, event: Event) -> Orders:
         """One event in, and what the module wants done as plain values."""
         orders = Orders()
         for action in self._scheduler.step(now, [event]):
             match action:
-                case io.Send(request, node, timeout):
+                case Send(request, node, timeout):
                     orders.tries.append(Try(request, self._attempts[request], node, timeout))
                     self._attempts[request] += 1
-                case io.Cancel(request, attempt):
+                case Cancel(request, attempt):
                     orders.cancels.append((request, attempt))
-                case io.Refuse(request, retry_after):
+                case Reject(request, retry_after):
                     self._attempts.pop(request, None)
                     orders.verdicts.append(Verdict(request, True, retry_after))
-                case io.Fail(request):
+                case Fail(request):
                     self._attempts.pop(request, None)
                     orders.verdicts.append(Verdict(request, False, None))
-                case io.SetTimer(at):
+                case SetTimer(at):
                     self.wake = min(self.wake, at)
-                case io.Watch(active):
+                case WatchNodes(active):
                     orders.watch = active
                 case _:
                     raise TypeError(f"the module asked for what no socket offers: {action}")
--- a/mallowbeam/storage_gateway/scheduler/nodes.py
+++ b/mallowbeam/storage_gateway/scheduler/nodes.py
@@ -3,7 +3,13 @@
 from math import exp
 from zlib import crc32
 
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    DiscoveryUpdate,
+    DiscoveryUpdateKind,
+    NodeEntry,
+    NodeState,
+    OperatorOverride,
+)
 from mallowbeam.storage_gateway.scheduler.requests import PRICE_LASTS, Attempt, Request, Volume
 
 MEMORY, PRIOR = 1.0, 0.5  # seconds for which an answer says much; what all nodes' latency counts, in answers
@@ -24,16 +30,16 @@
 class Node:
     """A storage node as this host sees it: bookings, slot time and health."""
 
-    def __init__(self, entry: io.NodeEntry, sched) -> None:
-        self.id, self.shard, self.zone, self.since = entry.node, entry.shard, entry.zone, entry.since
+    def __init__(self, entry: NodeEntry, sched) -> None:
+        self.id, self.shard, self.zone, self.since = entry.node, entry.shard, entry.zone, entry.started_at
         self.state, self.open = entry.state, False  # as listed; whether new work may go there
         self.queue: list[tuple[float, int, Request]] = []  # bookings not sent, by aim
         self.out: dict[tuple[str, int], Attempt] = {}  # what it is at work on, in the order sent
         self.sched, self.out_units = sched, 0
         self.mean = self.n_latency = sched.prior  # answers of late, for the usual size; and with the prior
         self.weight, self.fresh_at = 0.0, sched.now  # how many answers of late that mean stands on
-        self.n_out, self.cycle_at, self.cycle_used = sched.settings.usual_units, sched.now, 0
-        self.window = float(sched.settings.units_top)  # units that may be out at once
+        self.n_out, self.cycle_at, self.cycle_used = sched.settings.typical_units, sched.now, 0
+        self.window = float(sched.settings.max_units)  # units that may be out at once
         self.last_answer = self.held = sched.now  # held: nothing goes before this time
         self.sent_at, self.wake, self.last = -1e9, -1e9, ""  # last: the data of what was sent there last
         self.answered = -1e9  # when the latest sent of those that it answered went out
@@ -54,7 +60,7 @@
         """Steer the units out here so that answers, or lower bounds on them, take TARGET of a cycle."""
         self.refresh()
         sched = self.sched
-        usual = max(latency - sched.slope * (units - sched.settings.usual_units), 0.2 * latency)
+        usual = max(latency - sched.slope * (units - sched.settings.typical_units), 0.2 * latency)
         if at_least and usual <= self.n_latency:
             usual = self.n_latency
         else:
@@ -77,7 +83,7 @@
     def serve_time(self, units: int) -> float:
         """Expected latency of a request of this size sent now."""
         self.refresh()
-        base = self.n_latency - self.sched.slope * self.sched.settings.usual_units
+        base = self.n_latency - self.sched.slope * self.sched.settings.typical_units
         return max(base, self.silence()) + self.sched.slope * units
 
     def bid(self, now: float, worth: float = 0.0) -> float:
@@ -94,55 +100,55 @@
 class Health:
     """The Scheduler's part that opens, closes and paces nodes."""
 
-    def _on_list(self, event: io.NodesListed) -> None:
-        if event.kind in (io.ListKind.FAILED, io.ListKind.SILENT):
+    def _on_list(self, event: DiscoveryUpdate) -> None:
+        if event.kind in (DiscoveryUpdateKind.FAILED, DiscoveryUpdateKind.TIMED_OUT):
             # Guards discovery at its return: calls are drawn apart, the first over all of the time that what
             # it has may stay untold, later ones near its end.  Where a watch fell silent it is asked at once.
             self.watch_failures += 1
             most = min(max(WATCH_AGAIN, self.settings.hosts / FLEET_CALLS), MOST_AGAIN)
             wait = most * (1.0 - self.random.random() * (1.0 if self.watch_failures == 1 else 0.2))
-            wait = min(wait, self.settings.ask_every or wait)
-            wait *= event.kind is io.ListKind.FAILED or self.watch_failures > 1
+            wait = min(wait, self.settings.max_list_age or wait)
+            wait *= event.kind is DiscoveryUpdateKind.FAILED or self.watch_failures > 1
             return self._at(self.now + (wait if self.settings.discovery_on_request else AGENT_AGAIN), "")
         self.watch_failures, entries = 0, event.entries
-        if event.kind is not io.ListKind.CHANGES:  # what a whole list leaves out is gone
+        if event.kind is not DiscoveryUpdateKind.DELTA:  # what a whole list leaves out is gone
             named = {entry.node for entry in entries}
-            entries = [io.NodeEntry(n, io.NodeState.GONE) for n in self.nodes if n not in named] + entries
+            entries = [NodeEntry(n, NodeState.REMOVED) for n in self.nodes if n not in named] + entries
         for entry in entries:
-            fresh, since = entry.node not in self.nodes, entry.since
-            if fresh and entry.state is io.NodeState.GONE:
+            fresh, since = entry.node not in self.nodes, entry.started_at
+            if fresh and entry.state is NodeState.REMOVED:
                 continue
             node = self.nodes[entry.node] = Node(entry, self) if fresh else self.nodes[entry.node]
             node.state = entry.state
-            if node.state is io.NodeState.READY:
-                if fresh and since is None and event.kind is io.ListKind.CHANGES:
+            if node.state is NodeState.READY:
+                if fresh and since is None and event.kind is DiscoveryUpdateKind.DELTA:
                     since = self.now  # a machine that joins unexplained is a replacement, so cold
-                if since is not None and (fresh or since != node.since):
+                if since is not None and (fresh or since != node.started_at):
                     self._chill(node, since)
                     self._alive(node)  # it runs: what fell silent did so before
-                node.since = since
+                node.started_at = since
             self._admit(node)
         return None
 
-    def _on_hand(self, event: io.ByHand) -> None:
+    def _on_hand(self, event: OperatorOverride) -> None:
         """Out by hand, or back: one call back lifts all that stands, and the node was restarted meanwhile."""
         banned = self.banned.pop(event.node, None)
-        if event.out:
-            self.banned[event.node] = banned or event.since or self.now
+        if event.disabled:
+            self.banned[event.node] = banned or event.disabled_at or self.now
         if node := self.nodes.get(event.node):
-            if banned is not None and not event.out:
-                if (node.since or 0.0) < banned:  # no list has told of a start: the latest is presumed
+            if banned is not None and not event.disabled:
+                if (node.started_at or 0.0) < banned:  # no list has told of a start: the latest is presumed
                     self._chill(node, self.now)
                 node.suspect = True  # what was known of it is forgotten, as with a first answer
                 self._alive(node)
             self._admit(node)
 
     def _chill(self, node: Node, since: float, lasts: float | None = None) -> None:
-        if self.settings.fall_window and self.settings.cold_time:
-            node.cold_from, node.cold_until = since, since + (lasts or self.settings.cold_time)
+        if self.settings.overload_window and self.settings.slow_start_time:
+            node.cold_from, node.cold_until = since, since + (lasts or self.settings.slow_start_time)
 
     def _admit(self, node: Node) -> None:
-        node.open = node.state is io.NodeState.READY and node.id not in self.banned
+        node.open = node.state is NodeState.READY and node.id not in self.banned
         self.open = [known for known in self.nodes.values() if known.open]
         if not node.open:
             self._rebook(node, lambda request: True)
@@ -181,15 +187,18 @@
         if self.now >= node.cold_until:
             return False
         s = self.settings  # the ramp is taken at the middle of the rule's window
-        age = max(0.0, self.now - node.cold_from - s.fall_window / 2)
-        ramp = min(1.0, s.cold_start + (1.0 - s.cold_start) * age / s.cold_time)
-        tips, bears = (s.fall_multiple or 0.0) * ramp, (s.cold_units or 0.0) * ramp / max(s.cold_start, 1e-9)
-        node.cold_sent = [sent for sent in node.cold_sent if sent[0] > self.now - s.fall_window]
+        age = max(0.0, self.now - node.cold_from - s.overload_window / 2)
+        ramp = min(1.0, s.slow_start_capacity + (1.0 - s.slow_start_capacity) * age / s.slow_start_time)
+        tips, bears = (
+            (s.overload_multiple or 0.0) * ramp,
+            (s.slow_start_units or 0.0) * ramp / max(s.slow_start_capacity, 1e-9),
+        )
+        node.cold_sent = [sent for sent in node.cold_sent if sent[0] > self.now - s.overload_window]
         sent = sum((units for _, units in node.cold_sent), request.units)
         even = EVEN_PART * bears / max(1, s.hosts)
         share = COLD_PART[request.tier] * tips / (1 if request.tier else request.volume.hosts)
         if even < request.units:
-            heard = 1.0 - exp((self.born - self.now) / s.fall_window)
+            heard = 1.0 - exp((self.born - self.now) / s.overload_window)
             share += LOAD_PART * bears * max(1, s.shards) * heard / (self.asked * max(1, s.hosts))
         dealt = crc32(request.data.encode()) < min(share, MOST_PART * tips) * 2**32
         return sent > even and (
--- a/mallowbeam/storage_gateway/scheduler/requests.py
+++ b/mallowbeam/storage_gateway/scheduler/requests.py
@@ -1,6 +1,10 @@
 """What asks: requests, their attempts, and the volumes whose reserves and limits they draw from."""
 
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    Plan,
+    RequestArrived,
+    RequestClass,
+)
 
 PRICE_LASTS = 2.0  # seconds: surges come and go within seconds, and so must what they make slots worth
 EPS = 2e-6  # seconds: a clock that counts in microseconds may round a timer down
@@ -10,9 +14,9 @@
 class Volume:
     """What one volume has drawn through this host, against its reserve and its limit."""
 
-    def __init__(self, name: tuple, hosts: int, units_top: int, since: float) -> None:
-        self.name, self.hosts, self.units_top, self.at = name, hosts, units_top, since
-        self.plan, self.part, self.limit_level = io.Plan(""), None, 0.0
+    def __init__(self, name: tuple, hosts: int, max_units: int, since: float) -> None:
+        self.name, self.hosts, self.max_units, self.at = name, hosts, max_units, since
+        self.plan, self.part, self.limit_level = Plan(""), None, 0.0
         self.dear, self.dear_at = 0.0, since  # what the limit refused: a unit's worth, and when
         self.pending = self.coming = 0  # units booked and not sent; and those whose body still comes
         self.reserve_level = self.reserve_top = 0.0
@@ -21,7 +25,7 @@
         """How many parts as large as this host's the limit has."""
         return self.hosts if self.part is None else 1.0 / max(self.part, 1e-9)
 
-    def change(self, plan: io.Plan, part: float | None, now: float) -> None:
+    def change(self, plan: Plan, part: float | None, now: float) -> None:
         """Put it on a plan: what was drawn under the one before stays drawn, and what has grown fills up."""
         self.refill(now)
         before, slack = self.plan, self.plan.limit_slack / self.parts()
@@ -30,7 +34,7 @@
         bottom = -plan.limit_slack / self.parts()
         level = self.limit_level + min(0.0, bottom + slack)
         self.limit_level = level if before.limit > 0 else bottom - self.coming
-        self.reserve_top = plan.reserve + self.units_top if plan.reserve else 0.0
+        self.reserve_top = plan.reserve + self.max_units if plan.reserve else 0.0
         self.refill(now)
 
     def refill(self, now: float) -> None:
@@ -61,17 +65,17 @@
 
     def __init__(
         self,
-        event: io.RequestArrived,
-        cls: io.RequestClass,
+        event: RequestArrived,
+        cls: RequestClass,
         volume: Volume,
         now: float,
         seq: int,
         spent: float,
     ) -> None:
-        self.id, self.cls, self.volume, self.units = event.request, cls, volume, max(1, event.units)
+        self.id, self.request_class, self.volume, self.units = event.request, cls, volume, max(1, event.units)
         self.shard, self.key, self.seq = event.shard, event.key if cls.ordered else None, seq
         self.data, self.deadline = event.key or event.request, now + event.expires_in
-        self.aim_at = min(now + cls.aim - spent, self.deadline)
+        self.aim_at = min(now + cls.latency_target - spent, self.deadline)
         self.density, self.tier = 0.0, 2  # a unit's worth now; 0 inside reserve, 1 inside share, 2 spare
         self.tries = 0  # attempts so far, as the wire numbers them
         self.out: dict[int, Attempt] = {}
--- a/mallowbeam/storage_gateway/scheduler/scheduler.py
+++ b/mallowbeam/storage_gateway/scheduler/scheduler.py
@@ -5,8 +5,27 @@
 from heapq import heapify, heappop, heappush
 from math import exp
 
-from mallowbeam.storage_gateway.scheduler import interface as io
 from mallowbeam.storage_gateway.scheduler.booking import Booking
+from mallowbeam.storage_gateway.scheduler.interface import (
+    Action,
+    AttemptEnded,
+    ClientDisconnected,
+    DiscoveryUpdate,
+    Event,
+    NodeState,
+    OperatorOverride,
+    Plan,
+    PlanChanged,
+    RequestArrived,
+    RequestClass,
+    SetTimer,
+    Settings,
+    SiblingSend,
+    StreamStarted,
+    TimerFired,
+    UploadProgress,
+    WatchNodes,
+)
 from mallowbeam.storage_gateway.scheduler.nodes import MEMORY, Health, Node
 from mallowbeam.storage_gateway.scheduler.requests import EPS, Request, Volume
 from mallowbeam.storage_gateway.scheduler.sending import Sending
@@ -19,16 +38,16 @@
 class Scheduler(Health, Booking, Sending):
     """The decisions of one host."""
 
-    def __init__(self, settings: io.Settings, now: float) -> None:
+    def __init__(self, settings: Settings, now: float) -> None:
         self.settings, self.now = settings, now
         self.random = random.Random(settings.seed)
         # A cycle lasts as long as the tightest aim: what is out at a node then comes back within one.
-        self.cycle = min((c.aim for c in settings.classes.values()), default=0.3)
+        self.cycle = min((c.latency_target for c in settings.classes.values()), default=0.3)
         # Usual and lowest latency; latency that a further unit of a request costs, at any node.
-        self.prior = self.floor = self.cycle * min(2 * settings.usual_units * FIRST_SLOT, FIRST_MOST)
-        self.slope = self.floor / settings.usual_units / 2
+        self.prior = self.floor = self.cycle * min(2 * settings.typical_units * FIRST_SLOT, FIRST_MOST)
+        self.slope = self.floor / settings.typical_units / 2
         self.surveyed = self.born = now
-        self.dearest = max((c.worth for c in settings.classes.values()), default=1.0)
+        self.dearest = max((c.value for c in settings.classes.values()), default=1.0)
         self.top = self.dearest * max((p.price for p in settings.plans.values()), default=1.0)  # of a unit
         self.plans = {("", name): (plan, None) for name, plan in settings.plans.items()}  # by volume; parts
         self.changed: dict[tuple, float] = {}  # and when, as long as that matters
@@ -43,9 +62,9 @@
         self.taken, self.extras = deque(), deque()  # times of requests taken, and of further attempts
         self.timer_set, self.seq, self.watch_failures = float("inf"), 0, 0
         self.timers, self.touched = [], {}  # what is due, by time; nodes to be looked at in this step
-        self.actions: list[io.Action] = [io.Watch(True)] if settings.discovery_on_request else []
+        self.actions: list[Action] = [WatchNodes(True)] if settings.discovery_on_request else []
 
-    def step(self, now: float, events: list[io.Event]) -> list[io.Action]:
+    def step(self, now: float, events: list[Event]) -> list[Action]:
         """Take in what happened up to `now`; return what to do."""
         self.now = now
         self._survey()
@@ -56,7 +75,7 @@
             self._run_node(self.touched.popitem()[1])
         if self.timers and self.timers[0][0] < self.timer_set:
             self.timer_set, self.seq = self.timers[0][0], self.seq + 1
-            self.actions.append(io.SetTimer(max(self.timer_set, now), self.seq))
+            self.actions.append(SetTimer(max(self.timer_set, now), self.seq))
         actions, self.actions = self.actions, []
         return actions
 
@@ -77,7 +96,7 @@
         self.nodes = {
             name: node
             for name, node in self.nodes.items()
-            if node.state is not io.NodeState.GONE or node.out or self.now <= node.cold_until
+            if node.state is not NodeState.REMOVED or node.out or self.now <= node.cold_until
         }
         if len(self.timers) > 2 * (len(self.requests) + len(self.nodes)) + 1000:
             self.timers = [entry for entry in self.timers if not getattr(entry[2], "done", False)]
@@ -92,14 +111,14 @@
         if len(known) > 2:
             self.prior = known[len(known) // 2]
             self.floor = min(self.floor * (1.0 + CREEP * passed), known[len(known) // 4])
-            self.slope = self.floor / self.settings.usual_units
+            self.slope = self.floor / self.settings.typical_units
 
     def _at(self, when: float, what: Node | Request | str) -> None:
         """Come back to a node, a request, a key or (empty text) discovery at some time."""
         self.seq += 1
         heappush(self.timers, (when, self.seq, what))
 
-    def _on_timer(self, _: io.TimerFired) -> None:
+    def _on_timer(self, _: TimerFired) -> None:
         due = self.now + EPS
         if due < self.timer_set:
             return  # an older timer: the one that counts is still to come
@@ -115,11 +134,13 @@
             elif what:
                 self._advance(what)
             else:
-                self.actions.append(io.Watch(True))
+                self.actions.append(WatchNodes(True))
 
-    def _on_request(self, event: io.RequestArrived) -> None:
-        cls = self.settings.classes.get(event.cls) or io.RequestClass(event.cls, aim=event.expires_in)
-        hosts = max(1, event.hosts_of_volume or self.settings.hosts)
+    def _on_request(self, event: RequestArrived) -> None:
+        cls = self.settings.classes.get(event.request_class) or RequestClass(
+            event.request_class, latency_target=event.expires_in
+        )
+        hosts = max(1, event.volume_hosts or self.settings.hosts)
         volume = self._volume(event.volume, event.plan, hosts, event.shard)
         self.seq += 1
         # A further try has less time left: its aim runs from the first.  None waits longer than its class.
@@ -127,7 +148,7 @@
         full = self.full_time[cls.name] = max(self.full_time.get(cls.name, 0.0), expires)
         request = Request(event, cls, volume, self.now, self.seq, full - expires)
         self.requests[request.id] = request
-        if self.settings.budget_floor is not None:
+        if self.settings.retry_budget_floor is not None:
             self.taken.append(self.now)
         self._at(request.deadline - self.settings.tick, request)
         if request.key:
@@ -136,9 +157,9 @@
         else:
             self._book(request)
 
-    def _on_plan(self, event: io.PlanChanged) -> None:
+    def _on_plan(self, event: PlanChanged) -> None:
         """A plan holds from now on; an allotment with its plan's figures and no part is none any more."""
-        plan, part, whole = event.plan, event.part, ("", event.plan.name)
+        plan, part, whole = event.plan, event.limit_share, ("", event.plan.name)
         name = (event.volume, plan.name) if event.shard is None else (event.volume, plan.name, event.shard)
         self.plans[name], self.changed[name] = (plan, part), self.now
         if event.volume and part is None and plan == self.plans.get(whole, (None,))[0]:
@@ -163,32 +184,34 @@
         key, whole = (name, plan, shard) if (name, plan, shard) in self.plans else (name, plan), ("", plan)
         if (volume := self.volumes.get(key)) is None:  # it filled all that time: nothing was drawn here
             since = max(self.now - FORGET, *(self.changed.get(each, self.born) for each in (key, whole)))
-            volume = self.volumes[key] = Volume(key, hosts, self.settings.units_top, since)
-            volume.change(*self.plans.get(key, self.plans.get(whole, (io.Plan(plan), None))), since)
+            volume = self.volumes[key] = Volume(key, hosts, self.settings.max_units, since)
+            volume.change(*self.plans.get(key, self.plans.get(whole, (Plan(plan), None))), since)
             volume.reserve_level = volume.reserve_top
         # Guards the limit against one client that names another plan or fewer hosts for the same volume.
         volume.hosts = max(volume.hosts, hosts)
         return volume
 
-    def _on_beside(self, event: io.SentBeside) -> None:
+    def _on_beside(self, event: SiblingSend) -> None:
         """Counts what the other process of this host has sent, from the level that it handed over."""
         node = self.nodes.get(event.node)
-        volume = self._volume(event.volume, event.plan, event.hosts, node.shard if node else None)
+        volume = self._volume(event.volume, event.plan, event.host_count, node.shard if node else None)
         volume.refill(self.now)
-        volume.limit_level = (volume.limit_level if event.level is None else event.level) - event.drawn
+        volume.limit_level = (
+            volume.limit_level if event.limit_level is None else event.limit_level
+        ) - event.charged_units
         if node and self.now < node.cold_until:
             node.cold_sent.append([self.now, event.units])
 
 
 HANDLERS = {
-    io.RequestArrived: Scheduler._on_request,
-    io.ClientGone: Scheduler._on_gone,
-    io.AttemptEnded: Scheduler._on_ended,
-    io.StreamStarted: Scheduler._on_stream,
-    io.Upload: Scheduler._on_upload,
-    io.SentBeside: Scheduler._on_beside,
-    io.NodesListed: Scheduler._on_list,
-    io.ByHand: Scheduler._on_hand,
-    io.PlanChanged: Scheduler._on_plan,
-    io.TimerFired: Scheduler._on_timer,
+    RequestArrived: Scheduler._on_request,
+    ClientDisconnected: Scheduler._on_gone,
+    AttemptEnded: Scheduler._on_ended,
+    StreamStarted: Scheduler._on_stream,
+    UploadProgress: Scheduler._on_upload,
+    SiblingSend: Scheduler._on_beside,
+    DiscoveryUpdate: Scheduler._on_list,
+    OperatorOverride: Scheduler._on_hand,
+    PlanChanged: Scheduler._on_plan,
+    TimerFired: Scheduler._on_timer,
 }
--- a/mallowbeam/storage_gateway/scheduler/sending.py
+++ b/mallowbeam/storage_gateway/scheduler/sending.py
@@ -1,14 +1,26 @@
 """Every attempt's way: what may be sent at all, what came of it, and how a request ends."""
 
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    AttemptEnded,
+    Cancel,
+    ClientDisconnected,
+    DeduplicationScope,
+    Fail,
+    Idempotency,
+    Outcome,
+    Reject,
+    Send,
+    StreamStarted,
+    UploadProgress,
+)
 from mallowbeam.storage_gateway.scheduler.nodes import REFUSAL, SHRINK, Node
 from mallowbeam.storage_gateway.scheduler.requests import EPS, Attempt, Request
 
 SMOOTH, FAULTY = 0.1, 0.3  # weight of one answer in a node's share of errors; the share that fails a node
 STUCK = 5.0  # times the expected time after which an attempt passed over by later ones is given up
-MAY_STILL_RUN = (io.Outcome.TIMEOUT, io.Outcome.RESET, io.Outcome.CANCELLED)
-UNSENT = (io.Outcome.NO_CONNECTION, io.Outcome.NOT_SENT)  # on sockets: its last byte never left
-NEVER_RAN = (*UNSENT, io.Outcome.REJECTED, io.Outcome.ASTRAY)
+MAY_STILL_RUN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
+UNSENT = (Outcome.NO_CONNECTION, Outcome.NOT_SENT)  # on sockets: its last byte never left
+NEVER_RAN = (*UNSENT, Outcome.REJECTED, Outcome.MISDIRECTED)
 
 
 class Sending:
@@ -16,25 +28,34 @@
 
     def _budget_left(self) -> bool:
         s = self.settings
-        if s.budget_floor is None:
+        if s.retry_budget_floor is None:
             return True
         for log in (self.taken, self.extras):
-            while log and log[0] <= self.now - s.budget_window + (s.tick if log is self.taken else -s.tick):
+            while log and log[0] <= self.now - s.retry_budget_window + (
+                s.tick if log is self.taken else -s.tick
+            ):
                 log.popleft()
-        return len(self.extras) + 1 <= s.budget_floor + s.budget_share * len(self.taken)
+        return len(self.extras) + 1 <= s.retry_budget_floor + s.retry_budget_ratio * len(self.taken)
 
     def _may_repeat(self, request: Request, node: Node | None = None) -> bool:
         """Whether another attempt can have no second effect; without a node, whether any could."""
-        cls = request.cls
-        if not request.ran or cls.repeat is io.Repeat.SAFE:
+        cls = request.request_class
+        if not request.ran or cls.idempotency is Idempotency.SAFE:
             return True
         first, sent_at = request.ran[0]
-        if cls.repeat is io.Repeat.UNSAFE or self.now > sent_at + cls.repeat_window - self.settings.tick:
+        if (
+            cls.idempotency is Idempotency.UNSAFE
+            or self.now > sent_at + cls.dedup_window - self.settings.tick
+        ):
             return False
         return (
             node is None
-            or cls.scope is io.Scope.ALL
-            or (node.zone == first.zone if cls.scope is io.Scope.ZONE else node.shard == first.shard)
+            or cls.dedup_scope is DeduplicationScope.ALL
+            or (
+                node.zone == first.zone
+                if cls.dedup_scope is DeduplicationScope.ZONE
+                else node.shard == first.shard
+            )
         )
 
     def _forbidden(self, request: Request, node: Node) -> bool:  # when it is decided, and when it begins
@@ -104,10 +125,10 @@
         node.n_out += SMOOTH * (node.out_units - node.n_out)
         # Guards against queues and outsize work: past its aim it gives way.  Harm: a late answer is lost.
         attempt.until = request.aim_at if self.now < request.aim_at else request.deadline
-        self.actions.append(io.Send(request.id, node.id, attempt.until - self.now))
+        self.actions.append(Send(request.id, node.id, attempt.until - self.now))
         return True
 
-    def _on_stream(self, event: io.StreamStarted) -> None:
+    def _on_stream(self, event: StreamStarted) -> None:
         """An answer has begun: its node is done with it, and what is left is passing it on."""
         if request := self.requests.get(event.request):
             node, request.done = request.out[event.attempt].node, True
@@ -115,18 +136,18 @@
             self._alive(node)
             node.learn(request.units, event.latency, False)
 
-    def _on_upload(self, event: io.Upload) -> None:
+    def _on_upload(self, event: UploadProgress) -> None:
         """A large body passes through: until its last byte is out no time runs, and it goes out only once."""
         request = self.requests.get(event.request)
         if (attempt := request.out.get(event.attempt) if request else None) is None:
             return
         self._idle(attempt)
         request.volume.coming -= attempt.coming  # drawn when sent, but the limit counts from the last byte
-        attempt.coming = request.units if event.left is None else 0
+        attempt.coming = request.units if event.time_left is None else 0
         request.volume.coming += attempt.coming
         request.tries, request.deadline = self.most_tries, float("inf")
-        if event.left is not None:
-            attempt.sent_at, request.deadline = self.now, self.now + event.left
+        if event.time_left is not None:
+            attempt.sent_at, request.deadline = self.now, self.now + event.time_left
             self._at(request.deadline - self.settings.tick, request)
             attempt.node.out[request.id, event.attempt] = attempt
             attempt.node.out_units += request.units
@@ -137,11 +158,11 @@
         attempt.node.out_units -= attempt.request.units * worked
         return worked
 
-    def _on_gone(self, event: io.ClientGone) -> None:
+    def _on_gone(self, event: ClientDisconnected) -> None:
         if request := self.requests.get(event.request):
             self._end(request, owed=False)
 
-    def _on_ended(self, event: io.AttemptEnded) -> None:
+    def _on_ended(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request)
         attempt = request.out.pop(event.attempt, None) if request else None
         if attempt is None:
@@ -155,35 +176,35 @@
             if attempt.coming and request.tries == attempt.number + 1:
                 request.drawn, volume.limit_level = False, volume.limit_level + attempt.coming
                 volume.pending += attempt.coming
-        volume.reserve_level = max(-volume.reserve_top, volume.reserve_level - event.elsewhere)
+        volume.reserve_level = max(-volume.reserve_top, volume.reserve_level - event.remote_units)
         if outcome not in MAY_STILL_RUN + UNSENT:
             self._alive(node)
-            node.answered, failed = max(node.answered, attempt.sent_at), outcome is io.Outcome.ERROR
+            node.answered, failed = max(node.answered, attempt.sent_at), outcome is Outcome.ERROR
             node.faults += SMOOTH * (failed - node.faults)
             node.fails = node.faults > FAULTY
             if failed and node.fails and attempt.sent_at >= node.cycle_at:
                 node.cycle_used -= request.units  # no slot: what is sent again must not use up the cycle
-        if outcome in (io.Outcome.OK, io.Outcome.TIMEOUT, io.Outcome.CANCELLED):
+        if outcome in (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED):
             # Silence is no slot time: what is given up on at a silent node teaches nothing.
-            if worked and (outcome is io.Outcome.OK or not node.suspect and not attempt.stuck):
-                node.learn(request.units, self.now - attempt.sent_at, outcome is not io.Outcome.OK)
-        elif outcome is io.Outcome.REJECTED:
+            if worked and (outcome is Outcome.OK or not node.suspect and not attempt.stuck):
+                node.learn(request.units, self.now - attempt.sent_at, outcome is not Outcome.OK)
+        elif outcome is Outcome.REJECTED:
             # Guards against a full queue, whoever filled it: fewer out there, and a pause of a round trip.
             if self.now >= node.held:
                 node.window = max(1.0, node.window * (1.0 - SHRINK))
             node.held = self.now + node.n_latency
-        elif outcome in (io.Outcome.NO_CONNECTION, io.Outcome.RESET):
-            self._broke(node, REFUSAL if outcome is io.Outcome.NO_CONNECTION else 1)
+        elif outcome in (Outcome.NO_CONNECTION, Outcome.RESET):
+            self._broke(node, REFUSAL if outcome is Outcome.NO_CONNECTION else 1)
         if outcome not in NEVER_RAN:
             request.ran.append((node, attempt.sent_at))
         if outcome in MAY_STILL_RUN and request.key:
-            self.rests[request.key] = self.now + self.settings.order_settle
-        again = outcome is io.Outcome.RESET or attempt.stuck
+            self.rests[request.key] = self.now + self.settings.order_settle_time
+        again = outcome is Outcome.RESET or attempt.stuck
         if (
             event.finished
             or outcome in MAY_STILL_RUN
             and not again
-            or outcome is io.Outcome.ASTRAY
+            or outcome is Outcome.MISDIRECTED
             or not self._may_repeat(request)
             or request.tries >= self.most_tries
         ):  # it would wait in vain
@@ -202,27 +223,31 @@
             if (
                 not attempt.stuck
                 and not request.done
-                and request.cls.repeat is not io.Repeat.UNSAFE
+                and request.request_class.idempotency is not Idempotency.UNSAFE
                 and not request.tries >= self.most_tries
                 and self.now - attempt.sent_at > STUCK * time
                 and self.now + time < request.aim_at
             ):
                 attempt.stuck = True
-                self.actions.append(io.Cancel(request.id, attempt.number))
+                self.actions.append(Cancel(request.id, attempt.number))
 
     def _end(self, request: Request, owed: bool = True, retry_after: float | None = None) -> None:
         """The one way a request ends: refused where that is a true promise, else failed."""
         if request.done:
             return
-        request.done, cls = True, request.cls
-        harmless = cls.repeat is io.Repeat.SAFE or cls.repeat is io.Repeat.KEYED and cls.scope is io.Scope.ALL
+        request.done, cls = True, request.request_class
+        harmless = (
+            cls.idempotency is Idempotency.SAFE
+            or cls.idempotency is Idempotency.KEYED
+            and cls.dedup_scope is DeduplicationScope.ALL
+        )
         if owed and (harmless or not (request.ran or request.out)):
             wait = min(retry_after or self.cycle, self.settings.max_retry_after)
-            self.actions.append(io.Refuse(request.id, wait if self.settings.retry_after else None))
+            self.actions.append(Reject(request.id, wait if self.settings.retry_after else None))
         elif owed:
-            self.actions.append(io.Fail(request.id))
+            self.actions.append(Fail(request.id))
         if self.settings.may_cancel:
-            self.actions += [io.Cancel(request.id, number) for number in request.out]
+            self.actions += [Cancel(request.id, number) for number in request.out]
         if request.asked and not request.drawn:  # never sent, so what its booking spoke for is given back
             request.volume.pending -= request.units
         self._forget(request)
--- a/mallowbeam/storage_gateway/scheduler/settings.py
+++ b/mallowbeam/storage_gateway/scheduler/settings.py
@@ -8,9 +8,15 @@
 
 from collections.abc import Callable, Iterator
 
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    DeduplicationScope,
+    Idempotency,
+    Plan,
+    RequestClass,
+    Settings,
+)
 
-SCOPES = {"all": io.Scope.ALL, "zone": io.Scope.ZONE, "cell": io.Scope.SHARD}
+SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.SHARD}
 
 
 def opt(part: str, convert: Callable = float):
@@ -59,7 +65,7 @@
     return "-" if value is None else str(value)
 
 
-def read_settings(seed: int, raw: dict[str, str]) -> io.Settings:
+def read_settings(seed: int, raw: dict[str, str]) -> Settings:
     """Settings given by path as `Settings`; unknown ones are skipped."""
 
     def get(path: str, convert: Callable = float, default=None):
@@ -71,15 +77,15 @@
 
     writes = dict(enumerate(map(flag, get("FamilyInfo.ClassWrites", lambda text: text.split(","), []))))
     classes = [
-        io.RequestClass(
+        RequestClass(
             name=get(p + "Name", str, ""),
-            worth=get(p + "Credit", float, 1.0),
-            aim=get(p + "OnTime", float, 1.0),
+            value=get(p + "Credit", float, 1.0),
+            latency_target=get(p + "OnTime", float, 1.0),
             deadline=get(p + "HardLimit", float, 1.0),
-            late_worth=get(p + "LateWorth", float, 0.0),
-            repeat=io.Repeat(get(p + "Idempotency", str, "unsafe")),
-            scope=get(p + "KeyScope", SCOPES.__getitem__, io.Scope.ALL),
-            repeat_window=get(p + "Window", float, 0.0),
+            late_value=get(p + "LateWorth", float, 0.0),
+            idempotency=Idempotency(get(p + "Idempotency", str, "unsafe")),
+            dedup_scope=get(p + "KeyScope", SCOPES.__getitem__, DeduplicationScope.ALL),
+            dedup_window=get(p + "Window", float, 0.0),
             streamed=get(p + "Stream", flag, False),
             ordered=get(p + "InOrder", flag, False),
             writes=writes.get(i),
@@ -87,7 +93,7 @@
         for i, p in enumerate(items("Classes"))
     ]
     plans = [
-        io.Plan(
+        Plan(
             name=get(p + "Name", str, ""),
             rate=get(p + "Nominal", float, 0.0),
             reserve=get(p + "Reservation", float, 0.0),
@@ -100,7 +106,7 @@
         for p in items("Plans")
     ]
     g = "Guarantees."
-    return io.Settings(
+    return Settings(
         seed=seed,
         host_index=get("MyNumber", int, 0),
         hosts=get("Balancers", int, 1),
@@ -108,29 +114,29 @@
         tick=get("Resolution", float, 0.001),
         classes={c.name: c for c in classes},
         plans={p.name: p for p in plans},
-        usual_units=get("FamilyInfo.UsualUnits", float, 1.0),
-        units_top=get("FamilyInfo.UnitsTop", int, 1),
+        typical_units=get("FamilyInfo.UsualUnits", float, 1.0),
+        max_units=get("FamilyInfo.UnitsTop", int, 1),
         shards=get("FamilyInfo.SlotsTotal", int, 1),
-        share_worth=get("FamilyInfo.FairWorth", float, 1.0),
-        spare_worth=get("FamilyInfo.SpareWorth", float, 1.0),
+        share_value=get("FamilyInfo.FairWorth", float, 1.0),
+        spare_value=get("FamilyInfo.SpareWorth", float, 1.0),
         meter_period=get("FamilyInfo.UsePeriod", float, 0.0),
-        tells_elsewhere=get("FamilyInfo.TellsElsewhere", flag, False),
+        reports_remote_units=get("FamilyInfo.TellsElsewhere", flag, False),
         may_cancel=get("Ceilings.Cancel", flag, False),
-        may_probe=get("Ceilings.MayProbe", flag, False),
+        may_check_health=get("Ceilings.MayProbe", flag, False),
         may_duplicate=get("Ceilings.MayDuplicate", flag, False),
         max_attempts=get("Ceilings.TryLimit", int),
         retry_after=get("Ceilings.RetryAfter", flag, False),
         max_retry_after=get("Ceilings.MaxRetryAfter", float, 0.0),
         discovery_on_request=get("Discovery", str, "pushed") == "on_request",
-        ask_every=get(g + "AskEvery"),
+        max_list_age=get(g + "AskEvery"),
         drain_grace=get(g + "DrainGrace"),
-        cold_units=get("FamilyInfo.ColdBears"),
-        cold_start=get(g + "StartCapacity", float, 1.0),
-        cold_time=get(g + "Cold"),
-        fall_multiple=get(g + "TipMultiple"),
-        fall_window=get(g + "Fall"),
-        order_settle=get(g + "OrderSettle", float, 0.0),
-        budget_floor=get(g + "ExtraFloor"),
-        budget_share=get(g + "ExtraPerRequest", float, 0.0),
-        budget_window=get(g + "CountedOver", float, 0.0),
+        slow_start_units=get("FamilyInfo.ColdBears"),
+        slow_start_capacity=get(g + "StartCapacity", float, 1.0),
+        slow_start_time=get(g + "Cold"),
+        overload_multiple=get(g + "TipMultiple"),
+        overload_window=get(g + "Fall"),
+        order_settle_time=get(g + "OrderSettle", float, 0.0),
+        retry_budget_floor=get(g + "ExtraFloor"),
+        retry_budget_ratio=get(g + "ExtraPerRequest", float, 0.0),
+        retry_budget_window=get(g + "CountedOver", float, 0.0),
     )
--- a/mallowbeam/storage_gateway/scheduler/simulator_host.py
+++ b/mallowbeam/storage_gateway/scheduler/simulator_host.py
@@ -12,26 +12,51 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.storage_gateway.scheduler import Scheduler
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    AttemptEnded,
+    Cancel,
+    ClientDisconnected,
+    CloseIdleConnections,
+    DiscoveryUpdate,
+    DiscoveryUpdateKind,
+    Event,
+    Fail,
+    FetchNodes,
+    HealthCheck,
+    HealthCheckEnded,
+    LogLine,
+    NodeEntry,
+    NodeState,
+    Outcome,
+    PeerMessage,
+    Reject,
+    RequestArrived,
+    Send,
+    SetTimer,
+    Settings,
+    StreamStarted,
+    TimerFired,
+    WatchNodes,
+)
 from mallowbeam.storage_gateway.scheduler.settings import flag, opt, read_pairs, read_settings
 
 OUTCOMES = {
-    "S": io.Outcome.OK,
-    "E": io.Outcome.ERROR,
-    "F": io.Outcome.REJECTED,
-    "T": io.Outcome.TIMEOUT,
-    "C": io.Outcome.NO_CONNECTION,
-    "R": io.Outcome.RESET,
-    "X": io.Outcome.CANCELLED,
-    "N": io.Outcome.NOT_SENT,
+    "S": Outcome.OK,
+    "E": Outcome.ERROR,
+    "F": Outcome.REJECTED,
+    "T": Outcome.TIMEOUT,
+    "C": Outcome.NO_CONNECTION,
+    "R": Outcome.RESET,
+    "X": Outcome.CANCELLED,
+    "N": Outcome.NOT_SENT,
 }
 LIST_KINDS = {
-    "patch": io.ListKind.CHANGES,
-    "whole": io.ListKind.FULL,
-    "stale_copy": io.ListKind.CACHED,
-    "broken": io.ListKind.FAILED,
+    "patch": DiscoveryUpdateKind.DELTA,
+    "whole": DiscoveryUpdateKind.FULL,
+    "stale_copy": DiscoveryUpdateKind.CACHED,
+    "broken": DiscoveryUpdateKind.FAILED,
 }
-STATES = {"live": io.NodeState.READY, "quiescing": io.NodeState.DRAINING, "dead": io.NodeState.GONE}
+STATES = {"live": NodeState.READY, "quiescing": NodeState.DRAINING, "dead": NodeState.REMOVED}
 FLAG_RETRY, FLAG_WRITE = 2, 4
 
 
@@ -41,31 +66,31 @@
     remedy = "run the simulator that this version was made for"
 
 
-def read_entry(p: list[str]) -> io.NodeEntry:
+def read_entry(p: list[str]) -> NodeEntry:
     """One `NODE` line of a list."""
     if p[0] != "NODE":
         raise ValueError("expected a NODE line")
-    return io.NodeEntry(
+    return NodeEntry(
         state=STATES[p[1]],
         shard=opt(p[2], int) or 0,
         zone=opt(p[3], str) or "",
-        since=opt(p[4]) or None,
+        started_at=opt(p[4]) or None,
         machine=opt(p[5], str) or "",
         weight=opt(p[6]) or 0.0,
         node=p[7],
     )
 
 
-def read_request(p: list[str]) -> io.RequestArrived:
+def read_request(p: list[str]) -> RequestArrived:
     """A `NEW_REQUEST` line."""
     shard, bits = opt(p[3], int), opt(p[4], int) or 0
-    return io.RequestArrived(
+    return RequestArrived(
         request=p[2],
         shard=None if shard is None or shard < 0 else shard,
         is_retry=bool(bits & FLAG_RETRY),
         is_write=bool(bits & FLAG_WRITE),
-        cls=p[5],
-        hosts_of_volume=opt(p[6], int),
+        request_class=p[5],
+        volume_hosts=opt(p[6], int),
         units=opt(p[7], int) or 1,
         volume=opt(p[8], str) or "",
         expires_in=float(p[9]),
@@ -74,29 +99,29 @@
     )
 
 
-def read_settled(p: list[str]) -> io.AttemptEnded:
+def read_settled(p: list[str]) -> AttemptEnded:
     """A `SETTLED` line."""
     used = opt(p[8], int) or 0
-    return io.AttemptEnded(
+    return AttemptEnded(
         request=p[2],
         attempt=int(p[3]),
         node=p[4],
         outcome=OUTCOMES[p[5]],
         latency=opt(p[6]) or 0.0,
         finished=flag(p[7]),
-        used=(used - 1) / 100.0 if used > 0 else None,
-        elsewhere=opt(p[9], int) or 0,
+        usage_ratio=(used - 1) / 100.0 if used > 0 else None,
+        remote_units=opt(p[9], int) or 0,
     )
 
 
-READERS: dict[str, Callable[[list[str]], io.Event]] = {
+READERS: dict[str, Callable[[list[str]], Event]] = {
     "NEW_REQUEST": read_request,
     "SETTLED": read_settled,
-    "BELL": lambda p: io.TimerFired(int(p[2])),
-    "ABANDONED": lambda p: io.ClientGone(p[2]),
-    "HEADERS": lambda p: io.StreamStarted(p[2], int(p[5]), p[3], opt(p[4]) or 0.0),
-    "PING_RESULT": lambda p: io.ProbeEnded(p[2], opt(p[3]) or 0.0, OUTCOMES[p[4]]),
-    "INBOX": lambda p: io.PeerMessage(int(p[2]), bytes.fromhex(opt(p[3], str) or "")),
+    "BELL": lambda p: TimerFired(int(p[2])),
+    "ABANDONED": lambda p: ClientDisconnected(p[2]),
+    "HEADERS": lambda p: StreamStarted(p[2], int(p[5]), p[3], opt(p[4]) or 0.0),
+    "PING_RESULT": lambda p: HealthCheckEnded(p[2], opt(p[3]) or 0.0, OUTCOMES[p[4]]),
+    "INBOX": lambda p: PeerMessage(int(p[2]), bytes.fromhex(opt(p[3], str) or "")),
 }
 
 
@@ -106,18 +131,18 @@
 
 
 WRITERS: dict[type, Callable[[str, object], str]] = {
-    io.Send: lambda h, a: f"PLACE {h} {a.request} {a.node} "
+    Send: lambda h, a: f"PLACE {h} {a.request} {a.node} "
     f"{'-' if a.timeout is None else seconds(a.timeout)}",
-    io.Cancel: lambda h, a: f"DROP_ATTEMPT {h} {a.request} {a.attempt}",
-    io.Refuse: lambda h, a: f"SAY_NO {h} {a.request} "
+    Cancel: lambda h, a: f"DROP_ATTEMPT {h} {a.request} {a.attempt}",
+    Reject: lambda h, a: f"SAY_NO {h} {a.request} "
     f"{'-' if a.retry_after is None else seconds(a.retry_after)}",
-    io.Fail: lambda h, a: f"REPORT_FAILURE {h} {a.request}",
-    io.SetTimer: lambda h, a: f"DEFER {h} {seconds(a.at)} {a.token}",
-    io.Watch: lambda h, a: f"TRACK {h} {int(a.active)}",
-    io.FetchNodes: lambda h, a: f"SNAPSHOT {h}",
-    io.Probe: lambda h, a: f"PROBE {h} {a.node}",
-    io.CloseIdle: lambda h, a: f"RELEASE {h} {a.node}",
-    io.Note: lambda h, a: f"DEBUG {h} {' '.join(a.text.split())}",
+    Fail: lambda h, a: f"REPORT_FAILURE {h} {a.request}",
+    SetTimer: lambda h, a: f"DEFER {h} {seconds(a.at)} {a.token}",
+    WatchNodes: lambda h, a: f"TRACK {h} {int(a.active)}",
+    FetchNodes: lambda h, a: f"SNAPSHOT {h}",
+    HealthCheck: lambda h, a: f"PROBE {h} {a.node}",
+    CloseIdleConnections: lambda h, a: f"RELEASE {h} {a.node}",
+    LogLine: lambda h, a: f"DEBUG {h} {' '.join(a.text.split())}",
 }
 
 
@@ -157,8 +182,8 @@
         if head[0] != "TICK":
             raise ValueError("expected a TICK line")
         now = float(head[1])
-        events: dict[str, list[io.Event]] = {}
-        fresh: dict[str, io.Settings] = {}
+        events: dict[str, list[Event]] = {}
+        fresh: dict[str, Settings] = {}
         while (p := self.line())[0] != "EOF_BATCH":
             kind = p[0]
             if not p[0]:
@@ -172,7 +197,7 @@
             elif kind == "PEERS_KNOWN":
                 kind_of, version, count = LIST_KINDS[p[2]], opt(p[3], int) or 0, opt(p[4], int) or 0
                 entries = [read_entry(self.line()) for _ in range(count)]
-                events.setdefault(p[1], []).append(io.NodesListed(kind_of, version, entries))
+                events.setdefault(p[1], []).append(DiscoveryUpdate(kind_of, version, entries))
             elif kind in READERS:
                 events.setdefault(p[1], []).append(READERS[kind](p))
             else:
--- a/mallowbeam/storage_gateway/server/attempts.py
+++ b/mallowbeam/storage_gateway/server/attempts.py
@@ -15,8 +15,10 @@
 from mallowbeam.http.client import Broken, Link, NoRoom, Pool, Spoilt, Unsent
 from mallowbeam.http.framing import Headers, Message, write_request
 from mallowbeam.http.stream import Stream
-from mallowbeam.storage_gateway.scheduler import interface as io
 from mallowbeam.storage_gateway.scheduler.gateway_host import Facade, Orders, Try
+from mallowbeam.storage_gateway.scheduler.interface import (
+    Outcome,
+)
 from mallowbeam.storage_gateway.server.calls import MARGIN, SILENT, Answer, Call, Exchange, Kind
 from mallowbeam.storage_gateway.server.config import Config
 from mallowbeam.storage_gateway.server.handover import Sister
@@ -25,9 +27,8 @@
 
 MOST_DIGITS = 9  # of a figure that a node tells
 
-Outcome = io.Outcome
 # What a node turns away unrun: as it is full, or as it is not the place or the time for it.
-NOT_RUN = {503: Outcome.REJECTED, 504: Outcome.ASTRAY}
+NOT_RUN = {503: Outcome.REJECTED, 504: Outcome.MISDIRECTED}
 
 
 class Attempts:
@@ -58,7 +59,7 @@
             return
         if self.sister is not None:
             told, units = exchange.call.fields, exchange.call.fields["units"]
-            hosts = told.get("hosts_of_volume") or self.config.settings.hosts
+            hosts = told.get("volume_hosts") or self.config.settings.hosts
             self.sister.tell(
                 "sent", [told["volume"], told["plan"], hosts, tried.node, units, 0 if tried.number else units]
             )
--- a/mallowbeam/storage_gateway/server/config.py
+++ b/mallowbeam/storage_gateway/server/config.py
@@ -10,7 +10,9 @@
 from loguru import logger
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    Settings,
+)
 from mallowbeam.storage_gateway.scheduler.settings import flatten, opt, read_settings
 from mallowbeam.storage_gateway.server.listing import Listing, read_listing
 
@@ -45,7 +47,7 @@
     own_sockets: int  # descriptors of the program itself and its operators' door
     memory: int  # bytes that the program may use
     known: Listing
-    settings: io.Settings
+    settings: Settings
     idle_limit: float | None
     connect_timeout: float | None
 
--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -22,7 +22,9 @@
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.client import Broken, Link, Unsent, connect
 from mallowbeam.http.framing import Message, write_request
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    DiscoveryUpdateKind,
+)
 from mallowbeam.storage_gateway.server.listing import BadListing, Listing, decode_listing
 from mallowbeam.storage_gateway.server.log import Sparse
 
@@ -58,7 +60,7 @@
         self,
         address: str,
         revision: int,
-        told: Callable[[Listing | io.ListKind], None],
+        told: Callable[[Listing | DiscoveryUpdateKind], None],
         pushed: bool = False,
         draw: Callable[[], float] = random.random,
     ) -> None:
@@ -108,7 +110,7 @@
             self.task = None
 
     async def _run(self) -> None:
-        link, ended = None, io.ListKind.FAILED
+        link, ended = None, DiscoveryUpdateKind.FAILED
         try:
             while True:
                 asked, (wait, most) = self.revision, self._times()
@@ -124,7 +126,7 @@
                     link.close()
                     link = None
         except Silent:
-            ended = io.ListKind.SILENT
+            ended = DiscoveryUpdateKind.TIMED_OUT
             self.fell_silent("asked anew")
         except (Unsent, Broken, ValueError) as error:  # no good list, or an address that is none
             self.failed(str(error) or type(error).__name__)
--- a/mallowbeam/storage_gateway/server/gateway.py
+++ b/mallowbeam/storage_gateway/server/gateway.py
@@ -17,8 +17,10 @@
 from mallowbeam.http.client import Pool
 from mallowbeam.http.framing import Budget
 from mallowbeam.http.server import Server
-from mallowbeam.storage_gateway.scheduler import interface as io
 from mallowbeam.storage_gateway.scheduler.gateway_host import NEVER, Facade, Orders, Verdict
+from mallowbeam.storage_gateway.scheduler.interface import (
+    DiscoveryUpdateKind,
+)
 from mallowbeam.storage_gateway.server.attempts import Attempts
 from mallowbeam.storage_gateway.server.beside import Beside
 from mallowbeam.storage_gateway.server.calls import MARGIN, Answer, Call, Exchange, Kind, Part, Phase
@@ -91,7 +93,7 @@
         self.servers = servers
         if admin is not None:
             admin.start()
-        self._listing(self.config.known, io.ListKind.CACHED)
+        self._listing(self.config.known, DiscoveryUpdateKind.CACHED)
         if legacy is not None:
             self.facade.inherit(self.now(), legacy.state)
             self.sister = Sister(legacy.sock, self, legacy.rest, leads=True)
@@ -301,9 +303,9 @@
 
     # --- nodes ---------------------------------------------------------------------------------
 
-    def _told(self, listing: Listing | io.ListKind) -> None:
+    def _told(self, listing: Listing | DiscoveryUpdateKind) -> None:
         """Word from discovery, or how the watch on it ended."""
-        if isinstance(listing, io.ListKind):
+        if isinstance(listing, DiscoveryUpdateKind):
             self._apply(self.facade.listed(self.now(), listing))
         else:
             if self.sister is not None:  # else a whole list is written out for nobody
@@ -326,13 +328,15 @@
         self._apply(orders)
         return True
 
-    def _listing(self, listing: Listing, kind: io.ListKind | None = None) -> None:
+    def _listing(self, listing: Listing, kind: DiscoveryUpdateKind | None = None) -> None:
         """Take in a list; what kind it is it says itself, unless it is an old one."""
-        kind = kind or (io.ListKind.FULL if listing.complete else io.ListKind.CHANGES)
+        kind = kind or (DiscoveryUpdateKind.FULL if listing.complete else DiscoveryUpdateKind.DELTA)
         told = {entry.node for entry in listing.entries}
         for node, address in list(self.addresses.items()):
             # Not up, not listed any more, or elsewhere: no idle connection there is of use.
-            if (node in told or kind is not io.ListKind.CHANGES) and listing.addresses.get(node) != address:
+            if (node in told or kind is not DiscoveryUpdateKind.DELTA) and listing.addresses.get(
+                node
+            ) != address:
                 self.pool.forget(self.addresses.pop(node))
         self.addresses.update(listing.addresses)
         self._apply(self.facade.listed(self.now(), kind, listing.revision, listing.entries))
--- a/mallowbeam/storage_gateway/server/listing.py
+++ b/mallowbeam/storage_gateway/server/listing.py
@@ -14,9 +14,12 @@
 from typing import NamedTuple
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    NodeEntry,
+    NodeState,
+)
 
-STATES = {"up": io.NodeState.READY, "draining": io.NodeState.DRAINING, "removed": io.NodeState.GONE}
+STATES = {"up": NodeState.READY, "draining": NodeState.DRAINING, "removed": NodeState.REMOVED}
 MOST_TEXT = 256  # characters of an id, an address, a zone or a kind of machine
 MOST_NUMBER = 2**53  # of a revision, a cell, a time in milliseconds or a size
 NAME = re.compile(r"([A-Za-z0-9_-]{1,63}\.)*[A-Za-z0-9_-]{1,63}\.?")
@@ -36,7 +39,7 @@
 
     revision: int
     complete: bool
-    entries: list[io.NodeEntry]
+    entries: list[NodeEntry]
     addresses: dict[str, str]
 
 
@@ -56,7 +59,7 @@
     """
     top = _Fields(raw, "the list")
     revision, complete = top.whole("revision"), top.of(bool, "complete")
-    entries: dict[str, io.NodeEntry] = {}
+    entries: dict[str, NodeEntry] = {}
     addresses: dict[str, str] = {}
     for number, member in enumerate(top.of(list, "members")):
         fields = _Fields(member, f"members[{number}]")
@@ -67,16 +70,16 @@
             raise BadListing("the id stands there twice", fields.where)
         entries.pop(node, None)
         addresses.pop(node, None)
-        entries[node] = io.NodeEntry(
+        entries[node] = NodeEntry(
             node=node,
             state=state,
             shard=fields.whole("cell", 0, -1),
             zone=fields.text("locality", ""),
-            since=fields.number("up_since_ms", 0) / 1000.0 or None,
+            started_at=fields.number("up_since_ms", 0) / 1000.0 or None,
             machine=fields.text("flavor", ""),
             weight=fields.number("size", 1.0),
         )
-        if state is io.NodeState.READY:
+        if state is NodeState.READY:
             addresses[node] = address = fields.text("host_port")
             if not can_be_connected(address):
                 raise BadListing(f"no address to connect to: {address!r}", fields.where)
@@ -84,7 +87,7 @@
 
 
 def write_listing(
-    revision: int, complete: bool, entries: list[io.NodeEntry], addresses: Mapping[str, str]
+    revision: int, complete: bool, entries: list[NodeEntry], addresses: Mapping[str, str]
 ) -> dict:
     """A list in discovery's JSON, as `read_listing` reads it."""
     phases = {state: phase for phase, state in STATES.items()}
@@ -100,7 +103,7 @@
                 "cell": e.shard,
                 "phase": phases[e.state],
                 "size": e.weight,
-                "up_since_ms": round((e.since or 0.0) * 1000),
+                "up_since_ms": round((e.started_at or 0.0) * 1000),
             }
             for e in entries
         ],
--- a/tests/storage_gateway/coordination/shares/test_shares_part.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_part.py
@@ -55,7 +55,7 @@
         return True
 
     def gateway(self):
-        return SimpleNamespace(config=SimpleNamespace(settings=Settings(units_top=8)))
+        return SimpleNamespace(config=SimpleNamespace(settings=Settings(max_units=8)))
 
 
 class Fleet:
@@ -200,7 +200,7 @@
 
 
 def test_the_store_lets_the_largest_call_pass():
-    settings = Settings(units_top=8, plans={"gold": GOLD}, hosts=1, classes={"read": RequestClass("read")})
+    settings = Settings(max_units=8, plans={"gold": GOLD}, hosts=1, classes={"read": RequestClass("read")})
     part, facade = Fleet().parts["g0"], Facade(settings, 0.0)
     part.hands.planned = lambda plan, *more: bool(facade.planned(0.0, plan, *more)) or True
     part.shards, part.at = {"n0": 4}, {4: ["n0"]}
--- a/tests/storage_gateway/coordination/test_fleet_service.py
+++ b/tests/storage_gateway/coordination/test_fleet_service.py
@@ -31,10 +31,12 @@
 )
 from mallowbeam.storage_gateway.coordination.service import FleetService
 from mallowbeam.storage_gateway.operator_settings import PolicySection, SharesSection
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    Plan,
+)
 from mallowbeam.storage_gateway.server.config import read_address
 
-SILVER, GOLD = io.Plan("silver", rate=5, price=0.5), io.Plan("gold", reserve=10, weight=2)
+SILVER, GOLD = Plan("silver", rate=5, price=0.5), Plan("gold", reserve=10, weight=2)
 
 
 class Recorder:
@@ -46,7 +48,7 @@
         self.config = SimpleNamespace(settings=SimpleNamespace(plans={"silver": SILVER, "gold": GOLD}))
         self.facade = SimpleNamespace(planned=self.planned)
 
-    def planned(self, now: float, plan: io.Plan, *_: object) -> None:
+    def planned(self, now: float, plan: Plan, *_: object) -> None:
         if plan.limit == 13:
             raise BadPolicy("refused by the module")
         self.plans.append(plan)
@@ -183,9 +185,9 @@
     async def scene(world: World) -> None:
         plans = world.gateway.plans
         assert (await world.push(0, {"plans": [{"name": "silver", "limit": 9, "weight": 3}]}))[0] == 200
-        assert plans == [io.Plan("silver", rate=5, price=0.5, limit=9, weight=3)]
+        assert plans == [Plan("silver", rate=5, price=0.5, limit=9, weight=3)]
         assert (await world.push(1, {"plans": [{"name": "gold", "reserve": 0}]}))[0] == 200
-        assert plans[1:] == [io.Plan("gold", reserve=0, weight=2), SILVER]
+        assert plans[1:] == [Plan("gold", reserve=0, weight=2), SILVER]
         assert (await world.push(2, {}))[0] == 200
         assert plans[3:] == [GOLD]
         both = {"drains": ["n1"], "plans": [{"name": "gold", "limit": 13}, {"name": "silver", "limit": 1}]}
--- a/tests/storage_gateway/scheduler/test_cold_fleet.py
+++ b/tests/storage_gateway/scheduler/test_cold_fleet.py
@@ -10,12 +10,12 @@
 from mallowbeam.storage_gateway.scheduler import Scheduler
 
 SITE = {
-    "cold_units": 76.0,
-    "cold_start": 0.18,
-    "cold_time": 17.0,
-    "fall_multiple": 4.0,
-    "fall_window": 3.0,
-    "units_top": 8,
+    "slow_start_units": 76.0,
+    "slow_start_capacity": 0.18,
+    "slow_start_time": 17.0,
+    "overload_multiple": 4.0,
+    "overload_window": 3.0,
+    "max_units": 8,
     "shards": 1,
     "lasts": 6.0,
 }
@@ -31,24 +31,30 @@
     "demand through one host of 200": {"hosts": 200, "only": 7, "demand": 8.0},
     "a request larger than the whole budget": {
         "hosts": 20,
-        "units_top": 20,
-        "cold_units": 4.0,
+        "max_units": 20,
+        "slow_start_units": 4.0,
         "demand": 4.0,
     },
     "a window longer than the time that it is cold": {
         "hosts": 20,
-        "cold_time": 2.0,
-        "fall_window": 6.0,
+        "slow_start_time": 2.0,
+        "overload_window": 6.0,
         "demand": 8.0,
     },
     "an even part below one unit": {
         "hosts": 30,
-        "cold_units": 24.0,
-        "units_top": 1,
+        "slow_start_units": 24.0,
+        "max_units": 1,
         "demand": 8.0,
         "spread": True,
     },
-    "several shards cold at once": {"hosts": 40, "shards": 6, "cold_units": 14.0, "demand": 4.0, "hot": True},
+    "several shards cold at once": {
+        "hosts": 40,
+        "shards": 6,
+        "slow_start_units": 14.0,
+        "demand": 4.0,
+        "hot": True,
+    },
     "two starts within one window": {"hosts": 12, "again": True, "demand": 8.0, "burst": 2.5},
     "hosts told late": {"hosts": 20, "told_late": True, "demand": 4.0},
     "connections that come up late, and attempts again": {
@@ -87,7 +93,7 @@
     """Where hosts know of no such rule the node falls, though all have been told of its start."""
 
     def heedless(settings, now):
-        return Scheduler(replace(settings, fall_window=None), now)
+        return Scheduler(replace(settings, overload_window=None), now)
 
     fleet = Fleet(1, heedless, **SITE | {"hosts": 20, "demand": 8.0, "told_late": False, "restarts": False})
     assert all(node.fell for node in fleet.play())
--- a/tests/storage_gateway/scheduler/test_control_booking.py
+++ b/tests/storage_gateway/scheduler/test_control_booking.py
@@ -5,45 +5,48 @@
 import pytest
 from scheduler_rig import Rig, of
 
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    Outcome,
+    Plan,
+    Reject,
+    Send,
+)
 
 
 def test_idle_node_gets_a_booking_at_once():
     rig = Rig()
-    assert [s.node for s in of(rig.step(rig.request()), io.Send)] == ["n0"]
+    assert [s.node for s in of(rig.step(rig.request()), Send)] == ["n0"]
 
 
 def test_what_no_cycle_finishes_in_time_is_refused_at_once():
     rig = Rig()
     actions = rig.step(*[rig.request(units=8) for _ in range(120)])
-    assert of(actions, io.Send)
-    assert len(of(actions, io.Refuse)) > 60
+    assert of(actions, Send)
+    assert len(of(actions, Reject)) > 60
 
 
 def test_no_node_means_a_prompt_refusal():
     rig = Rig(nodes=0)
-    assert of(rig.step(rig.request()), io.Refuse)
+    assert of(rig.step(rig.request()), Reject)
 
 
 def test_a_shard_without_a_node_means_a_prompt_refusal():
     rig = Rig(nodes=1)
-    assert of(rig.step(rig.request(shard=5)), io.Refuse)
+    assert of(rig.step(rig.request(shard=5)), Reject)
 
 
 def test_more_worth_pushes_less_worth_out():
-    rig = Rig(
-        plans={p.name: p for p in (io.Plan("gold", reserve=1000, price=10.0), io.Plan("basic", price=0.1))}
-    )
+    rig = Rig(plans={p.name: p for p in (Plan("gold", reserve=1000, price=10.0), Plan("basic", price=0.1))})
     rig.step(*[rig.request(plan="basic", volume="b") for _ in range(60)])
     gold = rig.request(plan="gold", volume="g")
     actions = rig.step(gold) + rig.wait(0.2)
-    assert gold.request not in [a.request for a in of(actions, io.Refuse)]
+    assert gold.request not in [a.request for a in of(actions, Reject)]
 
 
 def test_ids_and_keys_of_any_form_are_taken():
     """A host's own ids need not be hexadecimal, and a request may have no key."""
     rig = Rig(nodes=3)
-    assert of(rig.step(rig.request(shard=None, key="plan/7"), rig.request(shard=None, key=None)), io.Send)
+    assert of(rig.step(rig.request(shard=None, key="plan/7"), rig.request(shard=None, key=None)), Send)
 
 
 @pytest.mark.parametrize(("keys", "most"), [("k", 8 + 2 * 8), (None, 8)])
@@ -53,17 +56,17 @@
     out = 0
     for _ in range(12):
         came = rig.request(units=4, **({"key": keys} if keys else {}))
-        out += sum(4 for _ in of(rig.step(came), io.Send))
+        out += sum(4 for _ in of(rig.step(came), Send))
     assert out == most
 
 
 def test_requests_on_the_same_data_wait_and_go_together():
     """They lay in turn of their aims, so that another's between two of them made the node seek twice."""
     rig = Rig()
-    sends = of(rig.step(rig.request(units=8)), io.Send)
+    sends = of(rig.step(rig.request(units=8)), Send)
     for key in ("a", "b", "a", "b", "a", "b"):
-        assert not of(rig.step(rig.request(units=2, key=key)), io.Send)
-    order = [send.request for send in of(rig.step(rig.ended(sends[0])), io.Send)]
+        assert not of(rig.step(rig.request(units=2, key=key)), Send)
+    order = [send.request for send in of(rig.step(rig.ended(sends[0])), Send)]
     assert order == ["r2", "r4", "r6", "r3", "r5", "r7"]
 
 
@@ -82,8 +85,8 @@
     rig = Rig()
     node = rig.host.nodes["n0"]
     node.price, node.price_at = 3.0, rig.now
-    assert not of(rig.step(*[rig.request(volume="c", plan="silver", units=1) for _ in range(8)]), io.Send)
-    assert len(of(rig.step(rig.request(volume="d", plan="gold", units=2)), io.Send)) == 1, "room was left"
+    assert not of(rig.step(*[rig.request(volume="c", plan="silver", units=1) for _ in range(8)]), Send)
+    assert len(of(rig.step(rig.request(volume="d", plan="gold", units=2)), Send)) == 1, "room was left"
 
 
 def test_room_left_for_dearer_units_is_used_at_the_last_chance_unless_the_node_is_at_work():
@@ -92,12 +95,12 @@
         rig = Rig()
         node = rig.host.nodes["n0"]
         if busy:
-            assert of(rig.step(rig.request(units=1)), io.Send)
+            assert of(rig.step(rig.request(units=1)), Send)
         node.price, node.price_at = 30.0, rig.now
         cheap = rig.request(volume="c", plan="silver", units=1)
-        assert not of(rig.step(cheap), io.Send)
+        assert not of(rig.step(cheap), Send)
         seen = rig.wait(0.24)
-        sent = {action.request for action in of(seen, io.Send)}
+        sent = {action.request for action in of(seen, Send)}
         assert (cheap.request in sent) is not busy
 
 
@@ -105,12 +108,12 @@
     """Incident i48321c: with twelve hosts, 'idle nodes get bookings at once' kept nodes full."""
     rig = Rig()
     node = rig.host.nodes["n0"]
-    first = of(rig.step(rig.request(units=2)), io.Send)[0]
+    first = of(rig.step(rig.request(units=2)), Send)[0]
     node.window, node.n_latency = 1.0, 0.1
     rig.step(rig.ended(first), after=0.01)
     node.window = 1.0
-    assert not of(rig.step(rig.request("log", units=2)), io.Send)
-    assert of(rig.wait(0.25), io.Send)
+    assert not of(rig.step(rig.request("log", units=2)), Send)
+    assert of(rig.wait(0.25), Send)
 
 
 def test_late_and_cheap_is_refused_at_once():
@@ -119,25 +122,25 @@
     rig.step(rig.request(expires_in=1.2))
     node = rig.host.nodes["n0"]
     node.price, node.price_at = 4.0, rig.now
-    assert of(rig.step(rig.request(expires_in=0.9)), io.Refuse), "its aim has passed already"
+    assert of(rig.step(rig.request(expires_in=0.9)), Reject), "its aim has passed already"
 
 
 def test_one_odd_deadline_makes_no_other_client_late():
     """Guards the aim, which runs from a first try: that was told by the longest time of any client."""
     rig = Rig()
     rig.step(rig.request(expires_in=3600.0, volume="odd"))
-    send = of(rig.step(rig.request(expires_in=1.2)), io.Send)[0]
+    send = of(rig.step(rig.request(expires_in=1.2)), Send)[0]
     assert abs(rig.host.requests[send.request].aim_at - rig.now - 0.25) < 0.01
 
 
 def test_a_keyed_write_that_may_have_run_is_booked_where_it_may_run_again():
     """Guards against a booking that can't be sent: it waited at another node until its deadline."""
     rig = Rig(nodes=8)
-    first = of(rig.step(rig.request("keyed", shard=None, units=1)), io.Send)[0]
+    first = of(rig.step(rig.request("keyed", shard=None, units=1)), Send)[0]
     for node in rig.host.nodes.values():
         node.held = rig.now + 9.0  # nothing goes out: where it is booked can be seen
     rig.host.nodes[first.node].window = 0.0  # any other node has an earlier hole
-    rig.step(rig.ended(first, io.Outcome.ERROR), after=0.01)
+    rig.step(rig.ended(first, Outcome.ERROR), after=0.01)
     (holder,) = [node for node in rig.host.nodes.values() if node.queue]
     assert holder.zone == rig.host.nodes[first.node].zone
 
@@ -147,8 +150,8 @@
     rig = Rig()
     node = rig.host.nodes["n0"]
     for _ in range(8):
-        for send in of(rig.step(rig.request(units=1)), io.Send):
+        for send in of(rig.step(rig.request(units=1)), Send):
             rig.step(rig.ended(send), after=0.18)
     assert node.out_units == 0 and 0.12 < node.n_latency < 0.2
-    assert not of(rig.step(rig.request(units=1, volume="s", plan="silver", shard=0)), io.Send)
-    assert of(rig.step(rig.request("log", units=1)), io.Send), "what is inside the reserve still goes"
+    assert not of(rig.step(rig.request(units=1, volume="s", plan="silver", shard=0)), Send)
+    assert of(rig.step(rig.request("log", units=1)), Send), "what is inside the reserve still goes"
--- a/tests/storage_gateway/scheduler/test_control_limits.py
+++ b/tests/storage_gateway/scheduler/test_control_limits.py
@@ -9,7 +9,20 @@
 import pytest
 from scheduler_rig import COLD, Rig, Store, of
 
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    DiscoveryUpdate,
+    DiscoveryUpdateKind,
+    Event,
+    NodeEntry,
+    NodeState,
+    Outcome,
+    Plan,
+    Reject,
+    Send,
+    SiblingSend,
+    TimerFired,
+    UploadProgress,
+)
 
 
 @pytest.mark.parametrize("count", [0, None])
@@ -20,9 +33,9 @@
         s.request != ""
         for s in of(
             rig.step(
-                *[rig.request(volume="b", plan="basic", units=1, hosts_of_volume=count) for _ in range(40)]
+                *[rig.request(volume="b", plan="basic", units=1, volume_hosts=count) for _ in range(40)]
             ),
-            io.Send,
+            Send,
         )
     )
     assert sent <= 40 / 4
@@ -30,16 +43,16 @@
 
 def test_a_new_life_starts_with_its_part_of_the_limit_spent():
     rig = Rig()
-    assert of(rig.step(rig.request(plan="basic", volume="b")), io.Refuse)
+    assert of(rig.step(rig.request(plan="basic", volume="b")), Reject)
 
 
 def test_a_host_draws_only_its_part_of_the_limit():
     rig = Rig()
     sent = 0
-    rig.step(rig.request(plan="basic", volume="b", hosts_of_volume=2))
+    rig.step(rig.request(plan="basic", volume="b", volume_hosts=2))
     for _ in range(300):
-        actions = rig.step(rig.request(plan="basic", volume="b", hosts_of_volume=2), after=0.02)
-        for send in of(actions, io.Send):
+        actions = rig.step(rig.request(plan="basic", volume="b", volume_hosts=2), after=0.02)
+        for send in of(actions, Send):
             sent += 2
             rig.step(rig.ended(send))
     assert 0.7 * 60 < sent <= 10 * 6.0, "10 units a second, for 6 s, from nothing"
@@ -50,13 +63,13 @@
     rig = Rig(nodes=2, limit_at_arrival=True)
     rig.wait(5.0)  # the host's part stands full, as the platform's store does
     store = Store(rig.settings.plans["basic"], rig.now)
-    first = of(rig.step(rig.request(plan="basic", volume="b", units=8, shard=None)), io.Send)[0]
-    again = of(rig.step(rig.ended(first, io.Outcome.NO_CONNECTION), after=0.3), io.Send)
+    first = of(rig.step(rig.request(plan="basic", volume="b", units=8, shard=None)), Send)[0]
+    again = of(rig.step(rig.ended(first, Outcome.NO_CONNECTION), after=0.3), Send)
     assert again, "sent again at once to the other node"
     store.take(rig.now, 8)
     rig.step(rig.ended(again[0], attempt=1))
     for _ in range(100):
-        for send in of(rig.step(rig.request(plan="basic", volume="b", shard=None), after=0.02), io.Send):
+        for send in of(rig.step(rig.request(plan="basic", volume="b", shard=None), after=0.02), Send):
             store.take(rig.now, 2)
             rig.step(rig.ended(send))
     assert store.least >= -rig.settings.plans["basic"].limit_slack
@@ -70,7 +83,7 @@
     late; answers are lost after the node ran and connections reset under requests, which are sent again.  The
     store counts as the platform does: a request's units go at its first attempt that reached a node.
     """
-    bronze = io.Plan("bronze", limit=12, limit_burst=48, limit_slack=8, price=0.8)
+    bronze = Plan("bronze", limit=12, limit_burst=48, limit_slack=8, price=0.8)
     draw = random.Random(23)
     cut = set(draw.sample(range(200), 40))
     rigs = [
@@ -92,7 +105,7 @@
         for name, hosts in volumes.items():
             for _ in range(draw.choice((0, 1, 3, 8, 30))):
                 heappush(due, (second + draw.random(), next(order), draw.choice(hosts), name))
-    listed = io.NodesListed(io.ListKind.CACHED, 1, [io.NodeEntry(f"n{i}", shard=i) for i in range(10)])
+    listed = DiscoveryUpdate(DiscoveryUpdateKind.CACHED, 1, [NodeEntry(f"n{i}", shard=i) for i in range(10)])
     for n in cut:
         heappush(due, (2.0, next(order), n, listed))  # the list comes 2 s late
     counted: set[str] = set()
@@ -105,8 +118,8 @@
         if what == "timer":
             if rig.timer is None or rig.timer > now:
                 continue
-            rig.timer, event = None, io.TimerFired(0)
-        elif isinstance(what, io.Event):
+            rig.timer, event = None, TimerFired(0)
+        elif isinstance(what, Event):
             event = what
         else:
             event = rig.request(
@@ -114,25 +127,25 @@
                 plan="bronze",
                 volume=str(what),
                 shard=None,
-                hosts_of_volume=len(volumes[str(what)]),
+                volume_hosts=len(volumes[str(what)]),
                 units=draw.randint(1, 4),
             )
             asked[event.request] = (event.volume, event.units)
-        for send in of(rig.step(event), io.Send):
+        for send in of(rig.step(event), Send):
             number = tries[n, send.request] = tries.get((n, send.request), -1) + 1
             if 6.0 <= now < 12.0 and send.node in ("n0", "n1"):
-                outcome, after = io.Outcome.NO_CONNECTION, 0.25
+                outcome, after = Outcome.NO_CONNECTION, 0.25
             else:
                 outcome, after = draw.choices(
                     [
-                        (io.Outcome.OK, 0.05),
-                        (io.Outcome.TIMEOUT, 0.3),
-                        (io.Outcome.RESET, 0.02),
-                        (io.Outcome.NO_CONNECTION, 0.25),
+                        (Outcome.OK, 0.05),
+                        (Outcome.TIMEOUT, 0.3),
+                        (Outcome.RESET, 0.02),
+                        (Outcome.NO_CONNECTION, 0.25),
                     ],
                     weights=(80, 8, 7, 5),
                 )[0]
-            if outcome is not io.Outcome.NO_CONNECTION and send.request not in counted:
+            if outcome is not Outcome.NO_CONNECTION and send.request not in counted:
                 counted.add(send.request)
                 stores[asked[send.request][0]].take(now, asked[send.request][1])
             heappush(due, (now + after, next(order), n, rig.ended(send, outcome, number, after)))
@@ -146,15 +159,15 @@
     """Guards memory over a long day: replaced nodes, volumes that came once, timers of requests long over."""
     rig = Rig()
     for i in range(1500):
-        send = of(rig.step(rig.request(volume=f"v{i}", plan="silver", units=1, expires_in=1.2)), io.Send)[0]
+        send = of(rig.step(rig.request(volume=f"v{i}", plan="silver", units=1, expires_in=1.2)), Send)[0]
         rig.step(rig.ended(send))
         rig.wait(0.02)
     for i in range(50):
         rig.step(
-            io.NodesListed(
-                io.ListKind.CHANGES,
+            DiscoveryUpdate(
+                DiscoveryUpdateKind.DELTA,
                 2 + i,
-                [io.NodeEntry(f"m{i}", shard=1), io.NodeEntry(f"m{i - 1}", io.NodeState.GONE, 1)],
+                [NodeEntry(f"m{i}", shard=1), NodeEntry(f"m{i - 1}", NodeState.REMOVED, 1)],
             ),
             after=0.1,
         )
@@ -168,23 +181,23 @@
     """Guards the limit and cold nodes: a new store holds one part and no more, a node is as its list says."""
     rig = Rig(nodes=2, **COLD)
     rig.step(rig.request(plan="basic", volume="b"))
-    rig.step(io.NodesListed(io.ListKind.CHANGES, 2, [io.NodeEntry("n1", io.NodeState.GONE, 1)]))
+    rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n1", NodeState.REMOVED, 1)]))
     rig.wait(35.0)
     rig.step(rig.request(units=1))
     assert "n1" not in rig.host.nodes and ("b", "basic") not in rig.host.volumes
-    drawn = [of(rig.step(rig.request(plan="basic", volume="b", units=8)), io.Refuse) for _ in range(6)]
+    drawn = [of(rig.step(rig.request(plan="basic", volume="b", units=8)), Reject) for _ in range(6)]
     assert drawn[-1] and not drawn[0]
-    rig.step(io.NodesListed(io.ListKind.CHANGES, 3, [io.NodeEntry("n1", shard=1, since=rig.now)]))
-    assert of(rig.step(rig.request(plan="silver", volume="s", shard=1)), io.Refuse)
+    rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 3, [NodeEntry("n1", shard=1, started_at=rig.now)]))
+    assert of(rig.step(rig.request(plan="silver", volume="s", shard=1)), Reject)
 
 
 def test_a_store_fills_from_the_start_of_a_life_not_from_its_volume_s_first_request():
     """Day herd: after every return the first request of each limited volume was refused."""
     rig = Rig(hosts=1)
     rig.wait(5.0)
-    assert of(rig.step(rig.request(plan="basic", volume="b", units=8)), io.Send)
+    assert of(rig.step(rig.request(plan="basic", volume="b", units=8)), Send)
     fresh = Rig(hosts=1)
-    assert of(fresh.step(fresh.request(plan="basic", volume="b", units=8)), io.Refuse)
+    assert of(fresh.step(fresh.request(plan="basic", volume="b", units=8)), Reject)
 
 
 def test_a_volume_first_seen_late_in_a_life_has_the_whole_of_its_part():
@@ -193,7 +206,7 @@
     rig.wait(40.0)
     sent = 0
     for _ in range(20):
-        for send in of(rig.step(rig.request(plan="basic", volume="b", units=4)), io.Send):
+        for send in of(rig.step(rig.request(plan="basic", volume="b", units=4)), Send):
             rig.step(rig.ended(send))
             sent += 4
     assert 32 <= sent <= 32 + 8
@@ -203,8 +216,8 @@
     """Guards the limit: its units are drawn here and count there only once its last byte is out."""
     rig = Rig(hosts=1, limit_at_arrival=True)
     rig.wait(5.0)
-    send = of(rig.step(rig.request(plan="basic", volume="b", units=8)), io.Send)[0]
-    rig.step(io.Upload(send.request, 0))
+    send = of(rig.step(rig.request(plan="basic", volume="b", units=8)), Send)[0]
+    rig.step(UploadProgress(send.request, 0))
     for _ in range(40):
         rig.wait(1.0)
         rig.step(rig.request())
@@ -219,7 +232,7 @@
     units = dict.fromkeys(("read", "log"), 0)
     for turn in range(1000):
         cls = classes[turn % len(classes)]
-        for send in of(rig.step(rig.request(cls, plan="basic", volume="b", units=1), after=0.01), io.Send):
+        for send in of(rig.step(rig.request(cls, plan="basic", volume="b", units=1), after=0.01), Send):
             units[cls] += 1
             rig.step(rig.ended(send))
     assert units["read"] >= reads * sum(units.values())
@@ -229,13 +242,13 @@
 def test_a_limit_holds_whatever_one_client_says_of_its_volume():
     """Guards the limit: the first request of a volume alone told its plan and how many hosts it has."""
     rig = Rig(hosts=4)
-    rig.step(rig.request(plan="gold", volume="b", hosts_of_volume=1))
-    rig.step(rig.request(plan="basic", volume="b", hosts_of_volume=1), after=1.0)
-    rig.step(rig.request(plan="basic", volume="b", hosts_of_volume=4))
+    rig.step(rig.request(plan="gold", volume="b", volume_hosts=1))
+    rig.step(rig.request(plan="basic", volume="b", volume_hosts=1), after=1.0)
+    rig.step(rig.request(plan="basic", volume="b", volume_hosts=4))
     sent = 0
     for _ in range(100):
-        came = rig.request(plan="basic", volume="b", hosts_of_volume=4)
-        for send in of(rig.step(came, after=0.1), io.Send):
+        came = rig.request(plan="basic", volume="b", volume_hosts=4)
+        for send in of(rig.step(came, after=0.1), Send):
             rig.step(rig.ended(send))
             sent += 2
     assert sent <= 10.0 * 20 / 4 + 32 / 4 + 8 / 4
@@ -244,11 +257,11 @@
 def test_what_a_sister_process_sends_counts_against_limit_and_cold_node():
     """Guards the rules through an upgrade: two processes are one host, with one store and one part."""
     rig = Rig(nodes=2, **COLD | {"hosts": 1})
-    rig.step(io.SentBeside("v", "basic", 1, level=20.0))
-    rig.step(io.SentBeside("v", "basic", 1, "n1", 4, 4))
+    rig.step(SiblingSend("v", "basic", 1, limit_level=20.0))
+    rig.step(SiblingSend("v", "basic", 1, "n1", 4, 4))
     assert rig.host.volumes["v", "basic"].limit_level == pytest.approx(16.0)
-    rig.step(io.NodesListed(io.ListKind.CHANGES, 2, [io.NodeEntry("n1", shard=1, since=rig.now)]))
-    rig.step(io.SentBeside("v", "gold", 1, "n1", 3, 0))
+    rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n1", shard=1, started_at=rig.now)]))
+    rig.step(SiblingSend("v", "gold", 1, "n1", 3, 0))
     assert [units for _, units in rig.host.nodes["n1"].cold_sent] == [3]
 
 
@@ -257,13 +270,13 @@
     rig = Rig(hosts=1)
     rig.step(rig.request("keyed", plan="basic", volume="b", units=1))
     rig.wait(5.0)
-    (send,) = of(rig.step(rig.request("keyed", plan="basic", volume="b", units=8)), io.Send)
-    rig.step(io.Upload(send.request, 0))
+    (send,) = of(rig.step(rig.request("keyed", plan="basic", volume="b", units=8)), Send)
+    rig.step(UploadProgress(send.request, 0))
     rig.wait(5.0)
     volume = rig.host.volumes["b", "basic"]
     volume.refill(rig.now)
     assert volume.limit_level == 32 - 8
-    rig.step(io.Upload(send.request, 0, 1.0))
+    rig.step(UploadProgress(send.request, 0, 1.0))
     rig.wait(0.5)
     volume.refill(rig.now)
     assert volume.limit_level == 32
--- a/tests/storage_gateway/scheduler/test_control_plans.py
+++ b/tests/storage_gateway/scheduler/test_control_plans.py
@@ -11,7 +11,17 @@
 from scheduler_rig import PLANS, Rig, Store, make_settings, of
 
 from mallowbeam.storage_gateway.scheduler import gateway_host as facade
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    AttemptEnded,
+    Event,
+    Outcome,
+    Plan,
+    PlanChanged,
+    Reject,
+    Send,
+    SiblingSend,
+    TimerFired,
+)
 from mallowbeam.storage_gateway.scheduler.requests import Volume
 from mallowbeam.storage_gateway.scheduler.scheduler import FORGET
 
@@ -23,7 +33,7 @@
     units, end = 0, rig.now + seconds
     while rig.now < end:
         came = rig.request(**{"units": 1, "plan": plan, "volume": "b"} | fields)
-        for send in of(rig.step(came, after=every), io.Send):
+        for send in of(rig.step(came, after=every), Send):
             rig.step(rig.ended(send, latency=0.01))
             units += 1
     return units
@@ -34,9 +44,9 @@
     rig.wait(5.0)
     sent(rig, 5.0)
     assert sent(rig, 5.0) == pytest.approx(100, abs=8)
-    rig.step(io.PlanChanged(replace(BASIC, limit=8.0)))
+    rig.step(PlanChanged(replace(BASIC, limit=8.0)))
     assert sent(rig, 5.0) == pytest.approx(40, abs=8)
-    rig.step(io.PlanChanged(replace(BASIC, limit=30.0)))
+    rig.step(PlanChanged(replace(BASIC, limit=30.0)))
     assert sent(rig, 5.0) == pytest.approx(150, abs=8)
 
 
@@ -45,11 +55,11 @@
     rig.step(rig.request(plan="basic", volume="b"))
     rig.wait(5.0)
     volume = rig.host.volumes["b", "basic"]
-    rig.step(io.PlanChanged(replace(BASIC, limit_burst=64)))
+    rig.step(PlanChanged(replace(BASIC, limit_burst=64)))
     assert volume.limit_level == 32.0
-    rig.step(io.PlanChanged(replace(BASIC, limit_burst=10)))
+    rig.step(PlanChanged(replace(BASIC, limit_burst=10)))
     assert volume.limit_level == 10.0
-    rig.step(io.PlanChanged(BASIC))
+    rig.step(PlanChanged(BASIC))
     assert volume.limit_level == 10.0
     rig.wait(0.5)
     volume.refill(rig.now)
@@ -59,30 +69,30 @@
 def test_what_is_owed_stays_owed_and_a_larger_slack_is_no_gift():
     """Guards the one store: what another host gives up of its slack may be spent: the gain fills up first."""
     rig = Rig()
-    rig.step(io.SentBeside("b", "basic", 1, level=-7.0))
+    rig.step(SiblingSend("b", "basic", 1, limit_level=-7.0))
     volume, owed = rig.host.volumes["b", "basic"], -7.0
-    rig.step(io.PlanChanged(BASIC, "b", part=0.5))
+    rig.step(PlanChanged(BASIC, "b", limit_share=0.5))
     assert volume.limit_level == owed
-    rig.step(io.PlanChanged(BASIC, "b", part=1.0))
+    rig.step(PlanChanged(BASIC, "b", limit_share=1.0))
     assert volume.limit_level == owed - 4.0
-    assert not of(rig.step(rig.request(plan="basic", volume="b", units=1)), io.Send)
+    assert not of(rig.step(rig.request(plan="basic", volume="b", units=1)), Send)
 
 
 def test_a_plan_that_gets_a_limit_begins_at_its_bottom():
     rig = Rig()
     rig.wait(5.0)
     assert sent(rig, 2.0, "silver") > 50
-    rig.step(io.PlanChanged(io.Plan("silver", price=0.5, limit=10.0, limit_burst=40.0, limit_slack=6.0)))
-    assert of(rig.step(rig.request(plan="silver", volume="b", units=1)), io.Refuse)
+    rig.step(PlanChanged(Plan("silver", price=0.5, limit=10.0, limit_burst=40.0, limit_slack=6.0)))
+    assert of(rig.step(rig.request(plan="silver", volume="b", units=1)), Reject)
     assert 25 <= sent(rig, 4.0, "silver") <= 40
 
 
 def test_what_is_on_its_way_when_a_plan_gets_a_limit_is_no_credit():
     """Guards the limit: what was never drawn from it would be given back if it is not sent."""
     rig = Rig(limit_at_arrival=True)
-    (send,) = of(rig.step(rig.request(plan="silver", volume="b", units=8)), io.Send)
-    rig.step(io.PlanChanged(io.Plan("silver", limit=10.0, limit_burst=40.0, limit_slack=6.0)))
-    rig.step(rig.ended(send, io.Outcome.NOT_SENT))
+    (send,) = of(rig.step(rig.request(plan="silver", volume="b", units=8)), Send)
+    rig.step(PlanChanged(Plan("silver", limit=10.0, limit_burst=40.0, limit_slack=6.0)))
+    rig.step(rig.ended(send, Outcome.NOT_SENT))
     assert rig.host.volumes["b", "silver"].limit_level <= -6.0
 
 
@@ -91,30 +101,30 @@
     for limit, burst, goes in ((0.001, 0.0, False), (0.0, 0.0, True)):
         rig = Rig()
         rig.wait(5.0)
-        (first,) = of(rig.step(rig.request(plan="basic", volume="b", units=8)), io.Send)
+        (first,) = of(rig.step(rig.request(plan="basic", volume="b", units=8)), Send)
         waits = rig.request("log", plan="basic", volume="b", units=4)
         assert rig.step(waits) == []
-        rig.step(io.PlanChanged(io.Plan("basic", limit=limit, limit_burst=burst)))
+        rig.step(PlanChanged(Plan("basic", limit=limit, limit_burst=burst)))
         seen = rig.step(rig.ended(first, latency=0.01), after=0.01) + rig.wait(0.1)
-        assert (waits.request in {send.request for send in of(seen, io.Send)}) is goes
+        assert (waits.request in {send.request for send in of(seen, Send)}) is goes
 
 
 def test_a_weight_moves_the_sharing_of_a_node():
-    plans = {name: io.Plan(name, weight=1.0) for name in ("one", "two")}
+    plans = {name: Plan(name, weight=1.0) for name in ("one", "two")}
     parts = []
     for weight in (1.0, 8.0):
         rig, served, sends = Rig(plans=plans), {"one": 0, "two": 0}, []
-        rig.step(io.PlanChanged(io.Plan("one", weight=weight)))
+        rig.step(PlanChanged(Plan("one", weight=weight)))
         names = {}
         for turn in range(3000):
             plan = ("one", "two")[turn % 2]
             came = rig.request(plan=plan, volume=plan, units=2, expires_in=0.4)
             names[came.request] = plan
-            sends += [(rig.now + 0.08, send) for send in of(rig.step(came, after=0.005), io.Send)]
+            sends += [(rig.now + 0.08, send) for send in of(rig.step(came, after=0.005), Send)]
             while sends and sends[0][0] <= rig.now:
                 send = sends.pop(0)[1]
                 served[names[send.request]] += 1
-                sends += [(rig.now + 0.08, more) for more in of(rig.step(rig.ended(send)), io.Send)]
+                sends += [(rig.now + 0.08, more) for more in of(rig.step(rig.ended(send)), Send)]
         parts.append(served["one"] / sum(served.values()))
     assert 0.4 < parts[0] < 0.6 and parts[1] > parts[0] + 0.1
 
@@ -123,24 +133,24 @@
     rig = Rig()
     rig.step(rig.request(plan="silver", volume="s"))
     volume = rig.host.volumes["s", "silver"]
-    rig.step(io.PlanChanged(io.Plan("silver", reserve=20.0, price=0.5)))
+    rig.step(PlanChanged(Plan("silver", reserve=20.0, price=0.5)))
     assert volume.reserve_level == 0.0
     rig.wait(0.5)
     request = rig.request(plan="silver", volume="s", units=1)
     rig.step(request)
     assert rig.host.requests[request.request].tier == 0
-    rig.step(io.PlanChanged(io.Plan("silver", price=0.5)))
+    rig.step(PlanChanged(Plan("silver", price=0.5)))
     assert volume.reserve_level <= 0.0
 
 
 def test_what_waits_is_worth_what_its_plan_says_now():
     """Guards against worth that was fixed when a request came."""
-    rig = Rig(plans={"one": io.Plan("one")})
+    rig = Rig(plans={"one": Plan("one")})
     rig.step(rig.request(units=8, plan="one", volume="one"))
     rig.step(rig.request("log", units=8, plan="one", volume="one"))
     waits = rig.host.nodes["n0"].queue[0][2]
     before = waits.density
-    rig.step(io.PlanChanged(io.Plan("one", price=20.0)))
+    rig.step(PlanChanged(Plan("one", price=20.0)))
     rig.wait(0.05)
     assert not waits.done and waits.density >= 20 * before and rig.host.top == 20 * 3
 
@@ -149,36 +159,36 @@
     rigs = [Rig(hosts=2), Rig(hosts=2)]
     for rig in rigs:
         rig.wait(5.0)
-        sent(rig, 5.0, hosts_of_volume=2)
-    rigs[0].step(io.PlanChanged(BASIC, "b", part=0.1))
-    rigs[1].step(io.PlanChanged(BASIC, "b", part=0.9))
-    assert sent(rigs[0], 5.0, hosts_of_volume=2) == pytest.approx(10, abs=5)
-    assert sent(rigs[1], 5.0, hosts_of_volume=2) == pytest.approx(90, abs=8)
-    assert sent(rigs[1], 5.0, volume="other", hosts_of_volume=2) < 80, "the other volumes keep theirs"
+        sent(rig, 5.0, volume_hosts=2)
+    rigs[0].step(PlanChanged(BASIC, "b", limit_share=0.1))
+    rigs[1].step(PlanChanged(BASIC, "b", limit_share=0.9))
+    assert sent(rigs[0], 5.0, volume_hosts=2) == pytest.approx(10, abs=5)
+    assert sent(rigs[1], 5.0, volume_hosts=2) == pytest.approx(90, abs=8)
+    assert sent(rigs[1], 5.0, volume="other", volume_hosts=2) < 80, "the other volumes keep theirs"
 
 
 def test_an_allotment_at_a_shard_counts_apart_and_what_waits_for_it_comes_along():
     rig = Rig(nodes=2)
     rig.wait(5.0)
-    (first,) = of(rig.step(rig.request(plan="basic", volume="b", units=8)), io.Send)
+    (first,) = of(rig.step(rig.request(plan="basic", volume="b", units=8)), Send)
     rig.step(rig.request("log", plan="basic", volume="b", units=4))
     main = rig.host.volumes["b", "basic"]
     assert main.pending == 4
-    own = io.Plan("basic", limit=5.0, limit_burst=5.0)
-    rig.step(io.PlanChanged(own, "b", shard=0))
+    own = Plan("basic", limit=5.0, limit_burst=5.0)
+    rig.step(PlanChanged(own, "b", shard=0))
     apart = rig.host.volumes["b", "basic", 0]
     assert (main.pending, apart.pending) == (0, 4)
     rig.step(rig.ended(first))
     rig.wait(4.0)
     assert sent(rig, 5.0, shard=0) <= 5 * 5 + 5
     assert sent(rig, 2.0, shard=1) > 32 + 2 * 15, "the rest has a store of its own"
-    rig.step(io.SentBeside("b", "basic", 1, "n0", 9, 9), io.SentBeside("b", "basic", 1, "n1", 2, 2))
+    rig.step(SiblingSend("b", "basic", 1, "n0", 9, 9), SiblingSend("b", "basic", 1, "n1", 2, 2))
     assert apart.limit_level < -2.0, "what a sister process sent to that shard is counted there, too"
     rig.now += 0.2
     main.refill(rig.now)
     owed, level = apart.limit_level + (rig.now - apart.at) * 5.0, main.limit_level
     assert owed < 0.0
-    rig.step(io.PlanChanged(BASIC, "b", shard=0))
+    rig.step(PlanChanged(BASIC, "b", shard=0))
     assert main.limit_level == pytest.approx(level + owed), "and stays owed"
     assert ("b", "basic", 0) not in rig.host.volumes and ("b", "basic", 0) not in rig.host.plans
     assert apart.pending == 0
@@ -188,9 +198,9 @@
 def test_an_allotment_outlasts_what_is_forgotten_and_ends_when_taken_back():
     rig = Rig()
     rig.wait(5.0)
-    rig.step(io.PlanChanged(replace(BASIC, limit=4.0), "b"))
+    rig.step(PlanChanged(replace(BASIC, limit=4.0), "b"))
     sent(rig, 1.0)
-    rig.step(io.PlanChanged(replace(BASIC, limit=10.0)))
+    rig.step(PlanChanged(replace(BASIC, limit=10.0)))
     assert rig.host.volumes["b", "basic"].plan.limit == 4.0
     sent(rig, 5.0)
     rig.wait(FORGET + 5.0)
@@ -198,7 +208,7 @@
     assert ("b", "basic") not in rig.host.volumes and not rig.host.changed
     sent(rig, 12.0)
     assert sent(rig, 5.0) == pytest.approx(20, abs=4), "its own limit, not the plan's"
-    rig.step(io.PlanChanged(replace(BASIC, limit=10.0), "b"))
+    rig.step(PlanChanged(replace(BASIC, limit=10.0), "b"))
     assert ("b", "basic") not in rig.host.plans
     assert sent(rig, 5.0) == pytest.approx(50, abs=6)
 
@@ -208,8 +218,8 @@
     """Guards the limit: it counted as filled for 30 s under a plan that holds since a moment ago."""
     rig = Rig()
     rig.wait(60.0)
-    rig.step(io.PlanChanged(replace(BASIC, limit_burst=320.0), volume))
-    assert of(rig.step(rig.request(plan="basic", volume="b")), io.Refuse)
+    rig.step(PlanChanged(replace(BASIC, limit_burst=320.0), volume))
+    assert of(rig.step(rig.request(plan="basic", volume="b")), Reject)
     assert sent(rig, 2.0) <= 40
 
 
@@ -235,7 +245,7 @@
     assert heir._scheduler.plans == host._scheduler.plans
 
 
-def fleet(rich: io.Plan, poor: io.Plan) -> list[Store]:
+def fleet(rich: Plan, poor: Plan) -> list[Store]:
     """200 hosts with 60 volumes over one to three of them; limits and parts change under load.
 
     Half of the volumes have allotments whose parts move between their hosts; both plans are raised (the
@@ -269,17 +279,17 @@
     asked, tries, counted = {}, {}, set()
     while due:
         now, _, n, what = heappop(due)
-        events: list[io.Event] = []
+        events: list[Event] = []
         if what == "timer":
             if rigs[n].timer is None or rigs[n].timer > now:
                 continue
-            rigs[n].timer, events = None, [io.TimerFired(0)]
-        elif isinstance(what, io.Plan):
+            rigs[n].timer, events = None, [TimerFired(0)]
+        elif isinstance(what, Plan):
             held[n] = what
             events = [
-                io.PlanChanged(what),
+                PlanChanged(what),
                 *(
-                    io.PlanChanged(what, name, part=part)
+                    PlanChanged(what, name, limit_share=part)
                     for (name, where), part in parts.items()
                     if where == n
                 ),
@@ -295,8 +305,8 @@
                 at(now + 0.3 * draw.random(), draw.choice(hosts[name]), ("move", name, freed))
                 freed = -freed
             parts[name, n] += freed
-            events = [io.PlanChanged(held[n], name, part=parts[name, n])]
-        elif isinstance(what, io.AttemptEnded):
+            events = [PlanChanged(held[n], name, limit_share=parts[name, n])]
+        elif isinstance(what, AttemptEnded):
             events = [what]
         else:
             events = [
@@ -305,24 +315,24 @@
                     plan="p",
                     volume=what,
                     shard=None,
-                    hosts_of_volume=len(hosts[what]),
+                    volume_hosts=len(hosts[what]),
                     units=draw.randint(1, 4),
                 )
             ]
             asked[events[0].request] = (what, events[0].units)
         rigs[n].now = now
-        for send in of(rigs[n].step(*events), io.Send):
+        for send in of(rigs[n].step(*events), Send):
             number = tries[send.request] = tries.get(send.request, -1) + 1
             outcome, after = draw.choices(
                 [
-                    (io.Outcome.OK, 0.05),
-                    (io.Outcome.TIMEOUT, 0.3),
-                    (io.Outcome.RESET, 0.02),
-                    (io.Outcome.NO_CONNECTION, 0.25),
+                    (Outcome.OK, 0.05),
+                    (Outcome.TIMEOUT, 0.3),
+                    (Outcome.RESET, 0.02),
+                    (Outcome.NO_CONNECTION, 0.25),
                 ],
                 weights=(80, 8, 7, 5),
             )[0]
-            if outcome is not io.Outcome.NO_CONNECTION and send.request not in counted:
+            if outcome is not Outcome.NO_CONNECTION and send.request not in counted:
                 counted.add(send.request)
                 stores[asked[send.request][0]].take(now, asked[send.request][1])
             at(now + after, n, rigs[n].ended(send, outcome, number, after))
@@ -332,7 +342,7 @@
     return list(stores.values())
 
 
-POOR = io.Plan("p", limit=12, limit_burst=48, limit_slack=8, price=0.8)
+POOR = Plan("p", limit=12, limit_burst=48, limit_slack=8, price=0.8)
 RICH = replace(POOR, limit=24, limit_burst=96)
 
 
@@ -344,15 +354,15 @@
     """The least that a store holds while its part goes from host to host, each drawing all that it may."""
     rigs, store = [Rig(nodes=16, hosts=2), Rig(nodes=16, hosts=2)], Store(BASIC, 100.0)
     for rig in rigs:
-        rig.step(io.PlanChanged(BASIC, "b", part=0.5), rig.request(plan="basic", volume="b"))
+        rig.step(PlanChanged(BASIC, "b", limit_share=0.5), rig.request(plan="basic", volume="b"))
         rig.wait(5.0)
     for turn in range(12):
         for n in (turn % 2, 1 - turn % 2) if turn else ():  # who loses is told first
-            rigs[n].step(io.PlanChanged(BASIC, "b", part=(0.05, 0.95)[n != turn % 2]))
+            rigs[n].step(PlanChanged(BASIC, "b", limit_share=(0.05, 0.95)[n != turn % 2]))
         for rig in rigs:
             for shard in range(32):
                 came = rig.request(plan="basic", volume="b", units=1, shard=shard % 16)
-                for send in of(rig.step(came), io.Send):
+                for send in of(rig.step(came), Send):
                     store.take(rig.now, 1)
                     rig.step(rig.ended(send, latency=0.01))
         for rig in rigs:
@@ -367,7 +377,7 @@
 def without_carry_over(monkeypatch, broken: str) -> None:
     change = Volume.change
 
-    def without(self: Volume, plan: io.Plan, part: float | None, now: float) -> None:
+    def without(self: Volume, plan: Plan, part: float | None, now: float) -> None:
         self.refill(now)
         slack, before, level = self.plan.limit_slack / self.parts(), self.plan, self.limit_level
         change(self, plan, part, now)
--- a/tests/storage_gateway/scheduler/test_control_sending.py
+++ b/tests/storage_gateway/scheduler/test_control_sending.py
@@ -5,10 +5,21 @@
 import pytest
 from scheduler_rig import Rig, of
 
-from mallowbeam.storage_gateway.scheduler import interface as io
-
-PROVEN = (io.Outcome.REJECTED, io.Outcome.NO_CONNECTION)
-UNPROVEN = (io.Outcome.TIMEOUT, io.Outcome.RESET, io.Outcome.CANCELLED, io.Outcome.ERROR)
+from mallowbeam.storage_gateway.scheduler.interface import (
+    AttemptEnded,
+    Cancel,
+    ClientDisconnected,
+    Fail,
+    Outcome,
+    Reject,
+    Send,
+    StreamStarted,
+    TimerFired,
+    UploadProgress,
+)
+
+PROVEN = (Outcome.REJECTED, Outcome.NO_CONNECTION)
+UNPROVEN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR)
 
 
 @pytest.mark.parametrize("cls", ["read", "log", "keyed"])
@@ -16,25 +27,25 @@
     rig = Rig()
     rig.step(rig.request(cls))
     actions = rig.wait(rig.settings.classes[cls].deadline + 0.004)
-    assert len(of(actions, io.Refuse) + of(actions, io.Fail)) == 1
+    assert len(of(actions, Reject) + of(actions, Fail)) == 1
 
 
 def test_nothing_is_said_after_the_client_has_gone():
     rig = Rig()
     request = rig.request()
-    send = of(rig.step(request), io.Send)[0]
-    actions = rig.step(io.ClientGone(request.request)) + rig.step(rig.ended(send, io.Outcome.CANCELLED))
-    assert not of(actions + rig.wait(5), io.Refuse) and not of(actions, io.Fail)
+    send = of(rig.step(request), Send)[0]
+    actions = rig.step(ClientDisconnected(request.request)) + rig.step(rig.ended(send, Outcome.CANCELLED))
+    assert not of(actions + rig.wait(5), Reject) and not of(actions, Fail)
 
 
 def test_events_of_things_unknown_are_ignored():
     rig = Rig()
     assert (
         rig.step(
-            io.ClientGone("nobody"),
-            io.TimerFired(99),
-            io.StreamStarted("x", 0, "n9", 0.1),
-            io.AttemptEnded("x", 0, "n9", io.Outcome.OK, 0.1, True),
+            ClientDisconnected("nobody"),
+            TimerFired(99),
+            StreamStarted("x", 0, "n9", 0.1),
+            AttemptEnded("x", 0, "n9", Outcome.OK, 0.1, True),
         )
         == []
     )
@@ -42,70 +53,70 @@
 
 def test_a_started_stream_is_left_to_its_client():
     rig = Rig()
-    send = of(rig.step(rig.request()), io.Send)[0]
-    rig.step(io.StreamStarted(send.request, 0, "n0", 0.1))
+    send = of(rig.step(rig.request()), Send)[0]
+    rig.step(StreamStarted(send.request, 0, "n0", 0.1))
     assert rig.wait(10) == []
 
 
 @pytest.mark.parametrize("outcome", UNPROVEN)
 def test_unsafe_is_failed_once_it_may_have_run(outcome):
     rig = Rig(nodes=2)
-    send = of(rig.step(rig.request("log", shard=None)), io.Send)[0]
+    send = of(rig.step(rig.request("log", shard=None)), Send)[0]
     actions = rig.step(rig.ended(send, outcome), after=0.05)
-    assert of(actions, io.Fail) and not of(actions, io.Send) and not of(actions, io.Refuse)
+    assert of(actions, Fail) and not of(actions, Send) and not of(actions, Reject)
 
 
 @pytest.mark.parametrize("outcome", PROVEN)
 def test_unsafe_is_never_failed_while_proven_unrun(outcome):
     rig = Rig(nodes=2)
-    send = of(rig.step(rig.request("log", shard=None)), io.Send)[0]
+    send = of(rig.step(rig.request("log", shard=None)), Send)[0]
     actions = rig.step(rig.ended(send, outcome), after=0.05) + rig.wait(4)
-    assert not of(actions, io.Fail) or len(of(actions, io.Send)) > 0
+    assert not of(actions, Fail) or len(of(actions, Send)) > 0
 
 
 def test_keyed_is_repeated_only_in_its_group_and_window():
     rig = Rig(nodes=2)
-    send = of(rig.step(rig.request("keyed")), io.Send)[0]
-    again = rig.step(rig.ended(send, io.Outcome.ERROR), after=0.05)
-    assert [s.node for s in of(again, io.Send)] == [send.node]
-    late = rig.step(rig.ended(send, io.Outcome.ERROR, attempt=1), after=1.0)
-    assert not of(late, io.Send) and of(late, io.Fail)
+    send = of(rig.step(rig.request("keyed")), Send)[0]
+    again = rig.step(rig.ended(send, Outcome.ERROR), after=0.05)
+    assert [s.node for s in of(again, Send)] == [send.node]
+    late = rig.step(rig.ended(send, Outcome.ERROR, attempt=1), after=1.0)
+    assert not of(late, Send) and of(late, Fail)
 
 
 def test_requests_of_a_key_take_turns_and_the_key_rests():
-    rig = Rig(order_settle=0.2)
+    rig = Rig(order_settle_time=0.2)
     one, two = rig.request("ordered", key="aa"), rig.request("ordered", key="aa")
-    sends = of(rig.step(one, two), io.Send)
+    sends = of(rig.step(one, two), Send)
     assert [s.request for s in sends] == [one.request]
-    quiet = rig.step(rig.ended(sends[0], io.Outcome.TIMEOUT), after=0.05) + rig.wait(0.19)
-    assert not of(quiet, io.Send)
-    assert [s.request for s in of(rig.wait(0.05), io.Send)] == [two.request]
+    quiet = rig.step(rig.ended(sends[0], Outcome.TIMEOUT), after=0.05) + rig.wait(0.19)
+    assert not of(quiet, Send)
+    assert [s.request for s in of(rig.wait(0.05), Send)] == [two.request]
 
 
 def test_further_attempts_stay_within_the_budget():
-    rig = Rig(budget_floor=2.0, budget_share=0.0, budget_window=5.0)
+    rig = Rig(retry_budget_floor=2.0, retry_budget_ratio=0.0, retry_budget_window=5.0)
     extras = 0
     for _ in range(8):
         actions = rig.step(rig.request(), after=0.1)
-        sends = of(actions, io.Send)
+        sends = of(actions, Send)
         if sends:
-            extras += len(of(rig.step(rig.ended(sends[0], io.Outcome.ERROR)), io.Send))
+            extras += len(of(rig.step(rig.ended(sends[0], Outcome.ERROR)), Send))
     assert extras == 2
 
 
 def test_an_attempt_ends_at_the_aim_it_was_sent_in_time_for():
     """Big days: with many hosts the bookings wait at the node, behind work already late for its clients."""
     rig = Rig()
-    send = of(rig.step(rig.request()), io.Send)[0]
+    send = of(rig.step(rig.request()), Send)[0]
     assert abs(send.timeout - 0.25) < 1e-6
-    assert of(rig.step(rig.ended(send, io.Outcome.TIMEOUT), after=0.25), io.Refuse)
+    assert of(rig.step(rig.ended(send, Outcome.TIMEOUT), after=0.25), Reject)
 
 
 def test_timers_of_requests_that_are_over_do_not_pile_up():
     """Guards memory against clients whose deadlines lie hours ahead."""
     rig = Rig()
     for _ in range(3000):
-        for send in of(rig.step(rig.request(units=1, expires_in=3600.0), after=0.002), io.Send):
+        for send in of(rig.step(rig.request(units=1, expires_in=3600.0), after=0.002), Send):
             rig.step(rig.ended(send))
     assert len(rig.host.timers) < 2000
 
@@ -115,56 +126,56 @@
     """Guards against a connection that fell silent at a node that lives: it took the rest of the aim."""
     rig = Rig(max_attempts=4)
     for _ in range(20):
-        rig.step(rig.ended(of(rig.step(rig.request(units=1)), io.Send)[0]), after=0.005)
+        rig.step(rig.ended(of(rig.step(rig.request(units=1)), Send)[0]), after=0.005)
         rig.wait(0.1)
-    stuck = of(rig.step(rig.request(cls, units=1)), io.Send)[0]
+    stuck = of(rig.step(rig.request(cls, units=1)), Send)[0]
     cancels = []
     for _ in range(8):
-        send = of(rig.step(rig.request(units=1)), io.Send)[0]
-        cancels += of(rig.step(rig.ended(send), after=0.005) + rig.wait(0.01), io.Cancel)
-    assert cancels == ([io.Cancel(stuck.request, 0)] if again else [])
-    ended = rig.step(rig.ended(stuck, io.Outcome.CANCELLED))
-    assert bool(of(ended, io.Send)) == again
+        send = of(rig.step(rig.request(units=1)), Send)[0]
+        cancels += of(rig.step(rig.ended(send), after=0.005) + rig.wait(0.01), Cancel)
+    assert cancels == ([Cancel(stuck.request, 0)] if again else [])
+    ended = rig.step(rig.ended(stuck, Outcome.CANCELLED))
+    assert bool(of(ended, Send)) == again
     assert rig.host.nodes["n0"].n_latency < 0.03, "it tells nothing of the node's speed"
 
 
-@pytest.mark.parametrize("outcome", [io.Outcome.ERROR, io.Outcome.REJECTED, io.Outcome.NOT_SENT])
+@pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.REJECTED, Outcome.NOT_SENT])
 def test_after_its_last_attempt_a_request_is_answered_at_once(outcome):
     """Guards the client: what can't be sent any more was held to its deadline."""
     rig = Rig(max_attempts=2)
-    send = of(rig.step(rig.request(units=1)), io.Send)[0]
+    send = of(rig.step(rig.request(units=1)), Send)[0]
     seen = rig.step(rig.ended(send, outcome), after=0.01) + rig.wait(0.15)
-    assert of(rig.step(rig.ended(of(seen, io.Send)[0], outcome, 1)), io.Refuse)
+    assert of(rig.step(rig.ended(of(seen, Send)[0], outcome, 1)), Reject)
 
 
 def test_no_time_runs_while_a_large_body_comes_and_it_goes_out_only_once():
     """Guards slow clients: their time counts from the last byte, and what has been passed on is gone."""
     rig = Rig()
     node = rig.host.nodes["n0"]
-    (send,) = of(rig.step(rig.request("keyed", units=2)), io.Send)
-    rig.step(io.Upload(send.request, 0))
+    (send,) = of(rig.step(rig.request("keyed", units=2)), Send)
+    rig.step(UploadProgress(send.request, 0))
     assert node.out_units == 0, "its node has nothing to do yet"
     assert not rig.wait(30.0) and not node.suspect
-    rig.step(io.Upload(send.request, 0, 3.0))
+    rig.step(UploadProgress(send.request, 0, 3.0))
     assert node.out_units == 2 and rig.host.requests[send.request].deadline == rig.now + 3.0
-    seen = rig.step(rig.ended(send, io.Outcome.REJECTED), after=0.05) + rig.wait(0.5)
-    assert of(seen, io.Refuse) and not of(seen, io.Send)
+    seen = rig.step(rig.ended(send, Outcome.REJECTED), after=0.05) + rig.wait(0.5)
+    assert of(seen, Reject) and not of(seen, Send)
     assert node.out_units == 0
 
 
 def test_a_large_body_that_never_comes_to_its_end_is_ended_with_its_attempt():
     rig = Rig()
-    (send,) = of(rig.step(rig.request("keyed", units=2)), io.Send)
-    rig.step(io.Upload(send.request, 0))
-    assert of(rig.step(rig.ended(send, io.Outcome.NOT_SENT), after=9.0), io.Refuse)
+    (send,) = of(rig.step(rig.request("keyed", units=2)), Send)
+    rig.step(UploadProgress(send.request, 0))
+    assert of(rig.step(rig.ended(send, Outcome.NOT_SENT), after=9.0), Reject)
     assert not rig.host.requests and rig.host.nodes["n0"].out_units == 0
 
 
 def test_a_node_that_is_not_the_place_is_asked_once_and_not_taken_for_full():
     """Day bulk+slow+pieces: reads of data that lies elsewhere went out four times, and closed windows."""
     rig = Rig()
-    (send,) = of(rig.step(rig.request(units=2)), io.Send)
+    (send,) = of(rig.step(rig.request(units=2)), Send)
     window = rig.host.nodes["n0"].window
-    seen = rig.step(rig.ended(send, io.Outcome.ASTRAY), after=0.01)
-    assert of(seen, io.Refuse) and not of(seen, io.Send)
+    seen = rig.step(rig.ended(send, Outcome.MISDIRECTED), after=0.01)
+    assert of(seen, Reject) and not of(seen, Send)
     assert rig.host.nodes["n0"].window == window and rig.host.nodes["n0"].held <= rig.now
--- a/tests/storage_gateway/scheduler/test_deployments.py
+++ b/tests/storage_gateway/scheduler/test_deployments.py
@@ -18,15 +18,33 @@
 from scheduler_rig import Store
 
 from mallowbeam.storage_gateway.scheduler import Scheduler
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    AttemptEnded,
+    DiscoveryUpdate,
+    DiscoveryUpdateKind,
+    Event,
+    Fail,
+    Idempotency,
+    NodeEntry,
+    NodeState,
+    Outcome,
+    Plan,
+    Reject,
+    RequestArrived,
+    RequestClass,
+    Send,
+    SetTimer,
+    Settings,
+    TimerFired,
+)
 from mallowbeam.storage_gateway.scheduler.sending import MAY_STILL_RUN
 from mallowbeam.storage_gateway.server.config import read_config
 
 SPARE = 1.3  # a usual node bears this many times what every node bears cold
-MAY_HAVE_RUN = (*MAY_STILL_RUN, io.Outcome.ERROR)
+MAY_HAVE_RUN = (*MAY_STILL_RUN, Outcome.ERROR)
 
 
-def shaped(name: str) -> io.Settings:
+def shaped(name: str) -> Settings:
     """The settings of an example configuration, as the gateway reads them."""
     return read_config({"BALANCER_CONFIG": str(EXAMPLE / name)}).settings
 
@@ -34,7 +52,7 @@
 class Checker:
     """The rules over a recorded history: what each request got, where and when it was sent."""
 
-    def __init__(self, settings: io.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.settings, self.broken = settings, []
         self.finals: dict[str, int] = {}
         self.out: dict[str, int] = {}  # attempts out, by request
@@ -45,13 +63,13 @@
         self.counted: set[str] = set()
         self.cold: dict[str, tuple[float, deque[tuple[float, int]]]] = {}  # by node: its start, units of late
 
-    def arrived(self, event: io.RequestArrived) -> None:
+    def arrived(self, event: RequestArrived) -> None:
         self.finals[event.request], self.out[event.request], self.sends[event.request] = 0, 0, []
 
     def drains(self, host: int, node: str, now: float) -> None:
         self.draining.setdefault((host, node), now)
 
-    def sent(self, now: float, cls: io.RequestClass, request: str, node: str, host: int = 0) -> None:
+    def sent(self, now: float, cls: RequestClass, request: str, node: str, host: int = 0) -> None:
         if self.out[request]:
             self.broken.append(f"{request}: a second attempt while one is out")
         if self.finals[request]:
@@ -60,25 +78,25 @@
             self.broken.append(f"{request}: new work for {node} after it was told to drain")
         if len(self.sends[request]) >= (self.settings.max_attempts or 99):
             self.broken.append(f"{request}: more attempts than allowed")
-        if self.ran.get(request) and cls.repeat is io.Repeat.UNSAFE:
+        if self.ran.get(request) and cls.idempotency is Idempotency.UNSAFE:
             self.broken.append(f"{request}: an unsafe request repeated after it may have run")
         if (
             self.ran.get(request)
-            and cls.repeat is io.Repeat.KEYED
-            and (now - self.sends[request][0][0] > cls.repeat_window or self.sends[request][0][1] != node)
+            and cls.idempotency is Idempotency.KEYED
+            and (now - self.sends[request][0][0] > cls.dedup_window or self.sends[request][0][1] != node)
         ):
             self.broken.append(f"{request}: a keyed repeat outside its node's window")
         self.out[request] += 1
         self.sends[request].append((now, node))
 
-    def reached(self, now: float, plan: io.Plan, volume: str, request: str, units: int) -> None:
+    def reached(self, now: float, plan: Plan, volume: str, request: str, units: int) -> None:
         """The platform's one store of a volume: units go at the first attempt that reached a node."""
         if not plan.limit or request in self.counted:
             return
         self.counted.add(request)
         store = self.stores.setdefault(volume, Store(plan, now))
         store.take(now, units)
-        if store.level < -max(plan.limit_slack, 0.1 * plan.limit_burst, self.settings.units_top):
+        if store.level < -max(plan.limit_slack, 0.1 * plan.limit_burst, self.settings.max_units):
             self.broken.append(f"{volume}: over its limit by {-store.level:.1f} units")
 
     def starts(self, node: str, now: float) -> None:
@@ -87,20 +105,22 @@
     def worked(self, now: float, node: str, units: int) -> None:
         """All hosts' units at a node that has just started, against what it can do at that moment."""
         s = self.settings
-        if node not in self.cold or not 0 <= now - self.cold[node][0] < s.cold_time:
+        if node not in self.cold or not 0 <= now - self.cold[node][0] < s.slow_start_time:
             return
         since, units_of_late = self.cold[node]
         units_of_late.append((now, units))
-        while units_of_late[0][0] <= now - s.fall_window:
+        while units_of_late[0][0] <= now - s.overload_window:
             units_of_late.popleft()
-        part = s.cold_start + (1.0 - s.cold_start) * (now - since) / s.cold_time
-        if (sent := sum(n for _, n in units_of_late)) > SPARE * s.cold_units * part / s.cold_start:
+        part = s.slow_start_capacity + (1.0 - s.slow_start_capacity) * (now - since) / s.slow_start_time
+        if (
+            sent := sum(n for _, n in units_of_late)
+        ) > SPARE * s.slow_start_units * part / s.slow_start_capacity:
             self.broken.append(f"{node}: pushed over cold by {sent} units")
 
-    def ended(self, request: str, outcome: io.Outcome) -> None:
+    def ended(self, request: str, outcome: Outcome) -> None:
         self.out[request] -= 1
         self.ran[request] = self.ran.get(request, False) or outcome in MAY_HAVE_RUN
-        if outcome is io.Outcome.OK:
+        if outcome is Outcome.OK:
             self.answered(request)
 
     def answered(self, request: str) -> None:
@@ -112,13 +132,13 @@
         return self.broken + [f"{r}: no final answer" for r, n in self.finals.items() if n == 0]
 
 
-def day(settings: io.Settings, seed: int, checker: Checker, hosts: int = 4, nodes: int = 10) -> int:
+def day(settings: Settings, seed: int, checker: Checker, hosts: int = 4, nodes: int = 10) -> int:
     """A day of 20 s at `hosts` instances; returns the requests taken.
 
     One node drains at 5 s; one is gone at 7 s and back, cold, at 8 s, with a double part of the traffic.
     """
     draw = random.Random(seed)
-    entries = [io.NodeEntry(f"n{i}", shard=i, zone=str(i % 3)) for i in range(nodes)]
+    entries = [NodeEntry(f"n{i}", shard=i, zone=str(i % 3)) for i in range(nodes)]
     rigs = [Scheduler(replace(settings, hosts=hosts, host_index=n, seed=seed + n), 0.0) for n in range(hosts)]
     due: list[tuple[float, int, int, object]] = []
     order = count()
@@ -129,10 +149,10 @@
         for v in range(12)
     }
     for n in range(hosts):
-        heappush(due, (0.0, next(order), n, io.NodesListed(io.ListKind.FULL, 1, entries)))
-        draining = [replace(entries[3], state=io.NodeState.DRAINING)]
-        gone = [replace(entries[6], state=io.NodeState.GONE)]
-        back = [replace(entries[6], since=8.0)]
+        heappush(due, (0.0, next(order), n, DiscoveryUpdate(DiscoveryUpdateKind.FULL, 1, entries)))
+        draining = [replace(entries[3], state=NodeState.DRAINING)]
+        gone = [replace(entries[6], state=NodeState.REMOVED)]
+        back = [replace(entries[6], started_at=8.0)]
         for told, changed in ((5.0, draining), (7.0, gone), (8.0, back)):
             heappush(
                 due,
@@ -140,7 +160,7 @@
                     told + 0.9 * draw.random(),
                     next(order),
                     n,
-                    io.NodesListed(io.ListKind.CHANGES, int(told), changed),
+                    DiscoveryUpdate(DiscoveryUpdateKind.DELTA, int(told), changed),
                 ),
             )
     checker.starts("n6", 8.0)
@@ -148,63 +168,63 @@
         for name, (_, through) in volumes.items():
             for _ in range(draw.choice((0, 2, 5, 20))):
                 heappush(due, (0.1 + second + draw.random(), next(order), draw.choice(through), name))
-    asked: dict[str, io.RequestArrived] = {}
+    asked: dict[str, RequestArrived] = {}
     while due:
         now, _, n, what = heappop(due)
         if what == "timer":
             if timers[n] is None or timers[n] > now:
                 continue
-            timers[n], event = None, io.TimerFired(0)
+            timers[n], event = None, TimerFired(0)
         elif isinstance(what, tuple):
             event = what[1]
             checker.ended(event.request, event.outcome)
-        elif isinstance(what, io.Event):
+        elif isinstance(what, Event):
             event = what
-            if isinstance(event, io.NodesListed) and event.entries[0].state is io.NodeState.DRAINING:
+            if isinstance(event, DiscoveryUpdate) and event.entries[0].state is NodeState.DRAINING:
                 checker.drains(n, event.entries[0].node, now)
         else:
             plan, through = volumes[str(what)]
             cls = draw.choice(classes)
-            event = io.RequestArrived(
+            event = RequestArrived(
                 request=f"q{next(order)}",
-                cls=cls.name,
+                request_class=cls.name,
                 shard=draw.choice((*range(nodes), *[6] * 1)),
                 units=draw.randint(1, 8),
                 volume=str(what),
                 plan=plan.name,
-                hosts_of_volume=len(through),
+                volume_hosts=len(through),
                 key=f"{draw.getrandbits(64):016x}",
                 expires_in=cls.deadline,
             )
             asked[event.request] = event
             checker.arrived(event)
         for action in rigs[n].step(now, [event]):
-            if isinstance(action, io.SetTimer):
+            if isinstance(action, SetTimer):
                 timers[n] = action.at if timers[n] is None or timers[n] <= now else min(timers[n], action.at)
-            elif isinstance(action, io.Refuse | io.Fail):
+            elif isinstance(action, Reject | Fail):
                 checker.answered(action.request)
-            elif isinstance(action, io.Send):
+            elif isinstance(action, Send):
                 request = asked[action.request]
-                cls = settings.classes[request.cls]
+                cls = settings.classes[request.request_class]
                 checker.sent(now, cls, action.request, action.node, n)
                 number = len(checker.sends[action.request]) - 1
                 outcome, after = draw.choices(
                     [
-                        (io.Outcome.OK, 0.05),
-                        (io.Outcome.TIMEOUT, 0.4),
-                        (io.Outcome.RESET, 0.02),
-                        (io.Outcome.NO_CONNECTION, 0.25),
-                        (io.Outcome.ERROR, 0.03),
+                        (Outcome.OK, 0.05),
+                        (Outcome.TIMEOUT, 0.4),
+                        (Outcome.RESET, 0.02),
+                        (Outcome.NO_CONNECTION, 0.25),
+                        (Outcome.ERROR, 0.03),
                     ],
                     weights=(84, 5, 4, 4, 3),
                 )[0]
-                if outcome is not io.Outcome.NO_CONNECTION:
+                if outcome is not Outcome.NO_CONNECTION:
                     checker.worked(now, action.node, request.units)
                     checker.reached(
                         now, settings.plans[request.plan], request.volume, request.request, request.units
                     )
-                ended = io.AttemptEnded(
-                    action.request, number, action.node, outcome, after, finished=outcome is io.Outcome.OK
+                ended = AttemptEnded(
+                    action.request, number, action.node, outcome, after, finished=outcome is Outcome.OK
                 )
                 heappush(due, (now + after, next(order), n, ("end", ended)))
         if timers[n] is not None:
@@ -229,13 +249,13 @@
     fetch, store = settings.classes["fetch"], settings.classes["store"]
     checker = Checker(settings)
     for request in ("a", "b", "c", "d", "e"):
-        checker.arrived(io.RequestArrived(request, "fetch", expires_in=2.0))
+        checker.arrived(RequestArrived(request, "fetch", expires_in=2.0))
     checker.sent(0.0, fetch, "a", "n0")
     checker.sent(0.0, fetch, "a", "n0")  # two at once
     checker.drains(0, "n1", 1.0)
     checker.sent(1.3, fetch, "b", "n1")  # after the drain's grace
     checker.sent(0.0, store, "c", "n2")
-    checker.ended("c", io.Outcome.TIMEOUT)
+    checker.ended("c", Outcome.TIMEOUT)
     checker.sent(3.5, store, "c", "n2")  # a keyed repeat after its window
     checker.answered("d")
     checker.answered("d")  # twice
--- a/tests/storage_gateway/scheduler/test_drawn_settings.py
+++ b/tests/storage_gateway/scheduler/test_drawn_settings.py
@@ -9,33 +9,54 @@
 from scheduler_rig import COLD, Rig, Store, make_settings, of
 
 from mallowbeam.storage_gateway.scheduler import Scheduler
-from mallowbeam.storage_gateway.scheduler import interface as io
-
-MAY_RUN = (io.Outcome.OK, io.Outcome.ERROR, io.Outcome.TIMEOUT, io.Outcome.RESET, io.Outcome.CANCELLED)
+from mallowbeam.storage_gateway.scheduler.interface import (
+    AttemptEnded,
+    Cancel,
+    ClientDisconnected,
+    DeduplicationScope,
+    DiscoveryUpdate,
+    DiscoveryUpdateKind,
+    Event,
+    Fail,
+    Idempotency,
+    NodeEntry,
+    NodeState,
+    Outcome,
+    Plan,
+    Reject,
+    RequestArrived,
+    RequestClass,
+    Send,
+    SetTimer,
+    Settings,
+    TimerFired,
+)
+
+MAY_RUN = (Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 SLACK = 0.008  # seconds past the deadline in which an answer still counts
 
 
-def draw_settings(draw: random.Random) -> io.Settings:
+def draw_settings(draw: random.Random) -> Settings:
     """Any customer's: short and long times, rules that are there or not, tight limits, odd sizes."""
     top, hosts = draw.choice((1, 1, 2, 8, 40)), draw.choice((1, 1, 3, 200))
     classes, plans = {}, {}
     for name in "abc"[: draw.choice((1, 1, 2, 3))]:
         deadline = draw.choice((0.2, 0.2, 1.0, 8.0))
-        classes[name] = io.RequestClass(
+        classes[name] = RequestClass(
             name,
             draw.uniform(0.1, 5.0),
             deadline * draw.choice((0.25, 0.5, 1.0)),
             deadline,
             draw.choice((0.0, 0.2)),
-            draw.choice(list(io.Repeat)),
-            draw.choice(list(io.Scope)),
+            draw.choice(list(Idempotency)),
+            draw.choice(list(DeduplicationScope)),
             draw.choice((0.0, 0.3, 2.0)),
             ordered=draw.random() < 0.2,
         )
     for name in draw.choice(((), ("p",), ("p", "q"))):
         limit = draw.choice((0.0, 2.0, 40.0))
         burst, slack = top * draw.choice((0.5, 1.0, 2.0 * hosts)), draw.choice((0.0, 0.5 * top, 8.0))
-        plans[name] = io.Plan(
+        plans[name] = Plan(
             name,
             5.0,
             draw.choice((0.0, 20.0)),
@@ -45,13 +66,17 @@
             *((burst, slack) if limit else ()),
         )
     cold = {
-        "cold_units": draw.choice((1.0, 24.0)),
-        "cold_start": draw.choice((0.1, 0.5)),
-        "cold_time": draw.choice((0.0, 0.5, 10.0)),
-        "fall_multiple": draw.choice((1.5, 4.0)),
-        "fall_window": draw.choice((0.3, 3.0)),
+        "slow_start_units": draw.choice((1.0, 24.0)),
+        "slow_start_capacity": draw.choice((0.1, 0.5)),
+        "slow_start_time": draw.choice((0.0, 0.5, 10.0)),
+        "overload_multiple": draw.choice((1.5, 4.0)),
+        "overload_window": draw.choice((0.3, 3.0)),
+    }
+    budget = {
+        "retry_budget_floor": 2.0,
+        "retry_budget_ratio": 0.1,
+        "retry_budget_window": draw.choice((0.3, 5.0)),
     }
-    budget = {"budget_floor": 2.0, "budget_share": 0.1, "budget_window": draw.choice((0.3, 5.0))}
     return make_settings(
         seed=draw.getrandbits(32),
         hosts=hosts,
@@ -59,16 +84,16 @@
         tick=draw.choice((0.0, 0.002)),
         classes=classes,
         plans=plans,
-        usual_units=(1 + top) / 2,
-        units_top=top,
+        typical_units=(1 + top) / 2,
+        max_units=top,
         may_cancel=draw.random() < 0.5,
         max_attempts=draw.choice((None, 1, 4)),
         retry_after=draw.random() < 0.5,
         max_retry_after=draw.choice((0.0, 0.1, 2.0)),
         drain_grace=draw.choice((0.0, 0.25, None)),
         discovery_on_request=draw.random() < 0.5,
-        ask_every=draw.choice((None, 0.3)),
-        order_settle=draw.choice((0.0, 0.3)),
+        max_list_age=draw.choice((None, 0.3)),
+        order_settle_time=draw.choice((0.0, 0.3)),
         limit_at_arrival=draw.random() < 0.5,
         **(cold if draw.random() < 0.6 else {}),
         **(budget if draw.random() < 0.3 else {}),
@@ -85,7 +110,7 @@
         self.nodes = {f"n{i}": (i % 3, "ab"[i % 2] if draw.random() < 0.8 else "") for i in range(4)}
         self.closed: set[str] = set()
         self.events: list = []
-        self.asked: dict[str, io.RequestArrived] = {}
+        self.asked: dict[str, RequestArrived] = {}
         self.until: dict[str, float] = {}
         self.over: dict[str, str] = {}
         self.tries: dict[str, int] = {}
@@ -96,70 +121,68 @@
         self.drawn: set[str] = set()
         self.served, self.faulty = 0, draw.choice((0.0, 0.1, 0.5))
         self.latency = draw.choice((0.005, 0.05, 0.5))
-        self.step(io.NodesListed(io.ListKind.CACHED, 1, [self.entry(name) for name in self.nodes]))
+        self.step(DiscoveryUpdate(DiscoveryUpdateKind.CACHED, 1, [self.entry(name) for name in self.nodes]))
 
-    def entry(
-        self, name: str, state: io.NodeState = io.NodeState.READY, since: float | None = None
-    ) -> io.NodeEntry:
-        return io.NodeEntry(name, state, self.nodes[name][0], self.nodes[name][1], since)
+    def entry(self, name: str, state: NodeState = NodeState.READY, since: float | None = None) -> NodeEntry:
+        return NodeEntry(name, state, self.nodes[name][0], self.nodes[name][1], since)
 
     def at(self, when: float, what) -> None:
         self.seq += 1
         heappush(self.events, (when, self.seq, what))
 
-    def step(self, event: io.Event) -> None:
+    def step(self, event: Event) -> None:
         for action in self.host.step(self.now, [event]):
-            if isinstance(action, io.SetTimer):
-                self.at(action.at, lambda: self.step(io.TimerFired(0)))
-            elif isinstance(action, io.Send):
+            if isinstance(action, SetTimer):
+                self.at(action.at, lambda: self.step(TimerFired(0)))
+            elif isinstance(action, Send):
                 self.sent(action)
-            elif isinstance(action, io.Cancel) and (action.request, action.attempt) in self.out:
+            elif isinstance(action, Cancel) and (action.request, action.attempt) in self.out:
                 assert self.settings.may_cancel
-                self.at(self.now, lambda a=action: self.ended(a.request, a.attempt, io.Outcome.CANCELLED))
-            elif isinstance(action, io.Refuse | io.Fail):
+                self.at(self.now, lambda a=action: self.ended(a.request, a.attempt, Outcome.CANCELLED))
+            elif isinstance(action, Reject | Fail):
                 self.said(action)
 
-    def said(self, action: io.Refuse | io.Fail) -> None:
+    def said(self, action: Reject | Fail) -> None:
         name = action.request
         assert name not in self.over, "two final answers"
         assert self.now <= self.until[name] + SLACK, "answered too late"
         self.over[name] = type(action).__name__
-        if isinstance(action, io.Refuse):
+        if isinstance(action, Reject):
             assert (action.retry_after is None) is not self.settings.retry_after
             assert 0 <= (action.retry_after or 0.0) <= self.settings.max_retry_after
-            cls = self.settings.classes[self.asked[name].cls]
+            cls = self.settings.classes[self.asked[name].request_class]
             may_have_run = name in self.ran or any(known == name for known, _ in self.out)
             assert (
                 not may_have_run
-                or cls.repeat is io.Repeat.SAFE
-                or cls.repeat is io.Repeat.KEYED
-                and cls.scope is io.Scope.ALL
+                or cls.idempotency is Idempotency.SAFE
+                or cls.idempotency is Idempotency.KEYED
+                and cls.dedup_scope is DeduplicationScope.ALL
             ), "an untrue refusal"
 
-    def sent(self, send: io.Send) -> None:
+    def sent(self, send: Send) -> None:
         name, request = send.request, self.asked[send.request]
         number = self.tries[name] = self.tries.get(name, -1) + 1
-        cls, node = self.settings.classes[request.cls], self.nodes[send.node]
+        cls, node = self.settings.classes[request.request_class], self.nodes[send.node]
         assert name not in self.over and send.node not in self.closed, "over, or a closed node"
         assert self.now < self.until[name] and 0 < send.timeout <= self.until[name] - self.now + 1e-9
         assert number < (self.settings.max_attempts or 1e9) and all(known != name for known, _ in self.out)
         assert request.shard in (None, node[0])
         if name in self.ran:
-            assert cls.repeat is not io.Repeat.UNSAFE, "an unsafe request again"
-            if cls.repeat is io.Repeat.KEYED:
+            assert cls.idempotency is not Idempotency.UNSAFE, "an unsafe request again"
+            if cls.idempotency is Idempotency.KEYED:
                 first, began = self.ran[name][0]
-                assert self.now <= began + cls.repeat_window, "a keyed request past its window"
-                group = {"all": slice(0), "zone": slice(1, 2), "shard": slice(1)}[cls.scope.value]
+                assert self.now <= began + cls.dedup_window, "a keyed request past its window"
+                group = {"all": slice(0), "zone": slice(1, 2), "shard": slice(1)}[cls.dedup_scope.value]
                 assert self.nodes[first][group] == node[group], "a keyed request outside its group"
         self.out[name, number], self.began[name, number] = send.node, self.now
-        outcome = io.Outcome.OK if self.draw.random() >= self.faulty else self.draw.choice(list(io.Outcome))
+        outcome = Outcome.OK if self.draw.random() >= self.faulty else self.draw.choice(list(Outcome))
         after = self.draw.expovariate(1 / self.latency)
         if after > send.timeout:
-            after, outcome = send.timeout, io.Outcome.TIMEOUT
-        unsent = outcome in (io.Outcome.NOT_SENT, io.Outcome.NO_CONNECTION)
+            after, outcome = send.timeout, Outcome.TIMEOUT
+        unsent = outcome in (Outcome.NOT_SENT, Outcome.NO_CONNECTION)
         if self.settings.limit_at_arrival and not unsent:
             self.draws(name)  # its last byte is there at once
-        elif not self.settings.limit_at_arrival and outcome is not io.Outcome.NOT_SENT:
+        elif not self.settings.limit_at_arrival and outcome is not Outcome.NOT_SENT:
             self.draws(name)
         self.at(self.now + after, lambda: self.ended(name, number, outcome))
 
@@ -170,27 +193,25 @@
         if plan is None or plan.limit <= 0 or name in self.drawn:
             return
         self.drawn.add(name)
-        part = io.Plan(
+        part = Plan(
             "",
-            limit=plan.limit / request.hosts_of_volume,
-            limit_burst=plan.limit_burst / request.hosts_of_volume,
+            limit=plan.limit / request.volume_hosts,
+            limit_burst=plan.limit_burst / request.volume_hosts,
         )
         store = self.stores.setdefault(request.volume, Store(part, 100.0))
         store.take(self.now, request.units)
-        assert store.level >= -plan.limit_slack / request.hosts_of_volume - 1e-3, "past its limit"
+        assert store.level >= -plan.limit_slack / request.volume_hosts - 1e-3, "past its limit"
 
-    def ended(self, name: str, number: int, outcome: io.Outcome) -> None:
+    def ended(self, name: str, number: int, outcome: Outcome) -> None:
         if (node := self.out.pop((name, number), None)) is None:
             return
         if outcome in MAY_RUN:
             self.ran.setdefault(name, []).append((node, self.began[name, number]))
-        if outcome is io.Outcome.OK and name not in self.over:
+        if outcome is Outcome.OK and name not in self.over:
             self.over[name] = "OK"
             self.served += 1
         self.step(
-            io.AttemptEnded(
-                name, number, node, outcome, self.now - self.began[name, number], name in self.over
-            )
+            AttemptEnded(name, number, node, outcome, self.now - self.began[name, number], name in self.over)
         )
 
     def arrive(self) -> None:
@@ -199,12 +220,12 @@
         name, cls = f"r{self.seq}", draw.choice(list(s.classes.values()))
         plan = draw.choice([*s.plans, "none"])
         lasts = cls.deadline * draw.choice((1.0, 1.0, 0.3, 0.001))
-        self.asked[name] = request = io.RequestArrived(
+        self.asked[name] = request = RequestArrived(
             name,
             cls.name,
             lasts,
             draw.choice((None, 0, 1, 2)),
-            draw.randint(1, s.units_top),
+            draw.randint(1, s.max_units),
             f"{plan}{draw.randrange(2)}",
             plan,
             s.hosts if s.hosts < 200 else 2,
@@ -218,16 +239,20 @@
     def gone(self, name: str) -> None:
         if name not in self.over:
             self.over[name] = "gone"
-        self.step(io.ClientGone(name))
+        self.step(ClientDisconnected(name))
 
     def list(self) -> None:
         draw, name = self.draw, self.draw.choice(list(self.nodes))
         if draw.random() < 0.2:
-            return self.step(io.NodesListed(draw.choice((io.ListKind.FAILED, io.ListKind.SILENT))))
-        state = draw.choice((io.NodeState.READY, io.NodeState.READY, *io.NodeState))
-        (self.closed.discard if state is io.NodeState.READY else self.closed.add)(name)
+            return self.step(
+                DiscoveryUpdate(draw.choice((DiscoveryUpdateKind.FAILED, DiscoveryUpdateKind.TIMED_OUT)))
+            )
+        state = draw.choice((NodeState.READY, NodeState.READY, *NodeState))
+        (self.closed.discard if state is NodeState.READY else self.closed.add)(name)
         self.step(
-            io.NodesListed(io.ListKind.CHANGES, 2, [self.entry(name, state, draw.choice((None, self.now)))])
+            DiscoveryUpdate(
+                DiscoveryUpdateKind.DELTA, 2, [self.entry(name, state, draw.choice((None, self.now)))]
+            )
         )
         return None
 
@@ -259,37 +284,37 @@
 
 def test_what_a_limit_never_bears_keeps_nothing_from_the_others():
     """Guards the cheap: half of the store was left to a dearer request that is larger than the store."""
-    plan = io.Plan("p", limit=1.0, limit_burst=8.0)
+    plan = Plan("p", limit=1.0, limit_burst=8.0)
     rig = Rig(plans={"p": plan})
     rig.wait(60.0)  # the store is full
-    assert of(rig.step(rig.request("read", units=9, plan="p")), io.Refuse)
-    sent = sum(len(of(rig.step(rig.request("log", units=1, plan="p")), io.Send)) for _ in range(8))
+    assert of(rig.step(rig.request("read", units=9, plan="p")), Reject)
+    sent = sum(len(of(rig.step(rig.request("log", units=1, plan="p")), Send)) for _ in range(8))
     assert sent == 7  # all but what rounding may take
 
 
-@pytest.mark.parametrize("cold_time", [0.0, None])
-def test_where_no_node_is_ever_cold_none_is_presumed_to_be(cold_time):
+@pytest.mark.parametrize("slow_start_time", [0.0, None])
+def test_where_no_node_is_ever_cold_none_is_presumed_to_be(slow_start_time):
     """Guards a node that lost its connections: without any such time it was held for cold, or it raised."""
-    rig = Rig(**COLD | {"cold_time": cold_time, "cold_units": 1.0, "hosts": 200})
+    rig = Rig(**COLD | {"slow_start_time": slow_start_time, "slow_start_units": 1.0, "hosts": 200})
     for _ in range(2):
-        rig.step(rig.ended(of(rig.step(rig.request(units=1)), io.Send)[0], io.Outcome.NO_CONNECTION))
+        rig.step(rig.ended(of(rig.step(rig.request(units=1)), Send)[0], Outcome.NO_CONNECTION))
     assert rig.host.nodes["n0"].suspect  # so it gets a trickle
-    assert of(rig.step(rig.request(plan="silver", units=8), after=0.3), io.Send)
+    assert of(rig.step(rig.request(plan="silver", units=8), after=0.3), Send)
 
 
 @pytest.mark.parametrize("units", [1, 20, 200])
 def test_a_service_whose_requests_count_many_units_is_used(units):
     """Guards against a first guess in units: twenty seemed to take longer than the deadline."""
-    cls = io.RequestClass("only", aim=1.0, deadline=1.0)
-    rig = Rig(classes={"only": cls}, usual_units=units, units_top=2 * units)
-    assert of(rig.step(rig.request("only", units=2 * units)), io.Send)
+    cls = RequestClass("only", latency_target=1.0, deadline=1.0)
+    rig = Rig(classes={"only": cls}, typical_units=units, max_units=2 * units)
+    assert of(rig.step(rig.request("only", units=2 * units)), Send)
 
 
 def test_a_timer_a_microsecond_early_does_not_spin(monkeypatch):
     """Guards the loop: a rest that ended within the clock's rounding set the timer that was due again."""
-    rig = Rig(order_settle=0.3)
-    first = of(rig.step(rig.request("ordered", key="k")), io.Send)[0]
-    rig.step(rig.ended(first, io.Outcome.TIMEOUT), rig.request("ordered", key="k"))
+    rig = Rig(order_settle_time=0.3)
+    first = of(rig.step(rig.request("ordered", key="k")), Send)[0]
+    rig.step(rig.ended(first, Outcome.TIMEOUT), rig.request("ordered", key="k"))
     seen = []
     at = rig.host._at
     monkeypatch.setattr(rig.host, "_at", lambda *what: at(*what) if len(seen) < 100 else pytest.fail("spins"))
@@ -298,15 +323,15 @@
     )
     rig.wait(0.3 - 1e-6)
     rig.timer = None  # it fires now, rounded down
-    rig.step(io.TimerFired(0))
-    assert of(rig.wait(0.2), io.Send)
+    rig.step(TimerFired(0))
+    assert of(rig.wait(0.2), Send)
 
 
 def test_nothing_is_kept_of_keys_and_budgets_that_rest():
     """Guards memory: each key's rest, and the time of each request taken, stayed for good."""
-    rig = Rig(order_settle=0.3, budget_floor=2.0, budget_window=1.0)
+    rig = Rig(order_settle_time=0.3, retry_budget_floor=2.0, retry_budget_window=1.0)
     for _ in range(20):
-        for send in of(rig.step(rig.request("ordered")), io.Send):
-            rig.step(rig.ended(send, io.Outcome.TIMEOUT))
+        for send in of(rig.step(rig.request("ordered")), Send):
+            rig.step(rig.ended(send, Outcome.TIMEOUT))
     rig.step(after=5.0)
     assert not rig.host.rests and not rig.host.taken
--- a/tests/storage_gateway/scheduler/test_facade.py
+++ b/tests/storage_gateway/scheduler/test_facade.py
@@ -5,23 +5,28 @@
 import pytest
 from scheduler_rig import make_settings
 
-from mallowbeam.storage_gateway.scheduler import interface as io
 from mallowbeam.storage_gateway.scheduler.gateway_host import NEVER, Facade, Verdict
+from mallowbeam.storage_gateway.scheduler.interface import (
+    DiscoveryUpdateKind,
+    HealthCheck,
+    NodeEntry,
+    Outcome,
+)
 
 FIELDS = {
-    "cls": "read",
+    "request_class": "read",
     "expires_in": 1.2,
     "shard": 0,
     "units": 2,
     "volume": "v",
     "plan": "gold",
-    "hosts_of_volume": 1,
+    "volume_hosts": 1,
 }
 
 
 def facade(**settings) -> Facade:
     made = Facade(make_settings(**settings), 100.0)
-    made.listed(100.0, io.ListKind.CACHED, 1, [io.NodeEntry("n0")])
+    made.listed(100.0, DiscoveryUpdateKind.CACHED, 1, [NodeEntry("n0")])
     return made
 
 
@@ -29,14 +34,14 @@
     f = facade()
     (tried,) = f.pick(100.0, "a", **FIELDS).tries
     assert (tried.request, tried.number, tried.node) == ("a", 0, "n0")
-    orders = f.report(100.05, tried, io.Outcome.OK, 0.05)
+    orders = f.report(100.05, tried, Outcome.OK, 0.05)
     assert not orders.tries and not orders.verdicts and not f.knows("a")
 
 
 def test_attempts_are_numbered_in_turn():
     f = facade()
     (first,) = f.pick(100.0, "a", **FIELDS).tries
-    orders = f.report(100.01, first, io.Outcome.ERROR, 0.01)
+    orders = f.report(100.01, first, Outcome.ERROR, 0.01)
     assert [tried.number for tried in orders.tries] == [1]
 
 
@@ -48,8 +53,8 @@
 
 def test_a_write_that_may_have_run_fails():
     f = facade()
-    (tried,) = f.pick(100.0, "a", **(FIELDS | {"cls": "log"})).tries
-    assert f.report(100.4, tried, io.Outcome.TIMEOUT, 0.4).verdicts == [Verdict("a", False, None)]
+    (tried,) = f.pick(100.0, "a", **(FIELDS | {"request_class": "log"})).tries
+    assert f.report(100.4, tried, Outcome.TIMEOUT, 0.4).verdicts == [Verdict("a", False, None)]
 
 
 def test_leaving_cancels_what_is_out():
@@ -57,7 +62,7 @@
     (tried,) = f.pick(100.0, "a", **FIELDS).tries
     assert f.leave(100.1, "a").cancels == [("a", 0)]
     assert f.knows("a")
-    f.report(100.1, tried, io.Outcome.CANCELLED, 0.1)
+    f.report(100.1, tried, Outcome.CANCELLED, 0.1)
     assert not f.knows("a")
 
 
@@ -77,18 +82,18 @@
     f = facade()
     (tried,) = f.pick(100.0, "a", **FIELDS).tries
     f.begun(100.1, tried, 0.1)
-    orders = f.report(100.2, tried, io.Outcome.RESET, 0.2)
+    orders = f.report(100.2, tried, Outcome.RESET, 0.2)
     assert not orders.verdicts and not orders.tries
     assert not f.tick(102.0).verdicts
 
 
 def test_what_sockets_do_not_offer_is_an_error(monkeypatch):
     f = facade()
-    monkeypatch.setattr(f._scheduler, "step", lambda now, events: [io.Probe("n0")])
+    monkeypatch.setattr(f._scheduler, "step", lambda now, events: [HealthCheck("n0")])
     with pytest.raises(TypeError):
         f.pick(100.0, "a", **FIELDS)
 
 
 def test_a_watch_is_asked_for_where_discovery_must_be_asked():
     f = Facade(make_settings(discovery_on_request=True), 100.0)
-    assert f.listed(100.0, io.ListKind.CACHED, 1, []).watch
+    assert f.listed(100.0, DiscoveryUpdateKind.CACHED, 1, []).watch
--- a/tests/storage_gateway/scheduler/test_guards.py
+++ b/tests/storage_gateway/scheduler/test_guards.py
@@ -5,7 +5,16 @@
 import pytest
 from scheduler_rig import Rig, of
 
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    DiscoveryUpdate,
+    DiscoveryUpdateKind,
+    Fail,
+    NodeEntry,
+    NodeState,
+    Outcome,
+    Reject,
+    Send,
+)
 
 
 def booked(cls: str = "read", plan: str = "gold", count: int = 1, shard: int | None = 0, **settings):
@@ -27,7 +36,7 @@
 def sends(rig: Rig, request, node) -> bool:
     """Whether the request is let out, as seen in the actions too."""
     let = rig.host._send(request, node)
-    assert let == bool(of(rig.host.actions, io.Send))
+    assert let == bool(of(rig.host.actions, Send))
     return let
 
 
@@ -98,21 +107,32 @@
 
 def test_not_to_a_cold_node_beyond_what_is_reserved():
     rig, request, node = booked(
-        plan="silver", cold_units=0.0, cold_start=0.2, cold_time=10.0, fall_multiple=2.0, fall_window=2.0
+        plan="silver",
+        slow_start_units=0.0,
+        slow_start_capacity=0.2,
+        slow_start_time=10.0,
+        overload_multiple=2.0,
+        overload_window=2.0,
     )
     node.cold_from, node.cold_until = rig.now, rig.now + 9.0
     assert request.tier > 0 and not sends(rig, request, node)
 
 
 def test_what_is_barred_from_a_cold_node_is_refused_at_once():
-    rig = Rig(cold_units=0.0, cold_start=0.2, cold_time=10.0, fall_multiple=2.0, fall_window=2.0)
+    rig = Rig(
+        slow_start_units=0.0,
+        slow_start_capacity=0.2,
+        slow_start_time=10.0,
+        overload_multiple=2.0,
+        overload_window=2.0,
+    )
     node = rig.host.nodes["n0"]
     node.cold_from, node.cold_until = rig.now, rig.now + 9.0
-    assert of(rig.step(rig.request(plan="silver", volume="s")), io.Refuse)
+    assert of(rig.step(rig.request(plan="silver", volume="s")), Reject)
 
 
 def test_not_over_the_budget_of_attempts():
-    rig, request, node = booked(budget_floor=0.0, budget_share=0.0, budget_window=5.0)
+    rig, request, node = booked(retry_budget_floor=0.0, retry_budget_ratio=0.0, retry_budget_window=5.0)
     request.tries = 1
     assert not sends(rig, request, node)
 
@@ -128,24 +148,24 @@
     rig, request, _ = booked(cls)
     rig.host._end(request)
     rig.host._end(request)
-    assert len(of(rig.host.actions, io.Refuse) + of(rig.host.actions, io.Fail)) == 1
+    assert len(of(rig.host.actions, Reject) + of(rig.host.actions, Fail)) == 1
 
 
-@pytest.mark.parametrize("state", [io.NodeState.DRAINING, io.NodeState.GONE])
+@pytest.mark.parametrize("state", [NodeState.DRAINING, NodeState.REMOVED])
 def test_what_waits_at_a_node_that_leaves_is_answered_in_the_same_step(state):
     rig, request, _ = booked()
-    word = io.NodesListed(io.ListKind.CHANGES, 2, [io.NodeEntry("n0", state, 0, "a")])
-    assert [a.request for a in of(rig.step(word), io.Refuse)] == [request.id]
+    word = DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", state, 0, "a")])
+    assert [a.request for a in of(rig.step(word), Reject)] == [request.id]
 
 
 def test_after_silence_one_request_a_cycle_goes_and_teaches_nothing():
     rig = Rig()
     node = rig.host.nodes["n0"]
-    first = of(rig.step(*[rig.request("log", units=1) for _ in range(4)]), io.Send)
+    first = of(rig.step(*[rig.request("log", units=1) for _ in range(4)]), Send)
     rig.wait(1.0)
     assert node.suspect
-    assert len(of(rig.step(*[rig.request("log", units=1) for _ in range(4)]), io.Send)) <= 1
-    rig.step(rig.ended(first[0], io.Outcome.CANCELLED))
+    assert len(of(rig.step(*[rig.request("log", units=1) for _ in range(4)]), Send)) <= 1
+    rig.step(rig.ended(first[0], Outcome.CANCELLED))
     assert node.weight == 0.0
 
 
@@ -153,7 +173,7 @@
     """One pending wake a node, and one a request for its deadline, however often the node is looked at."""
     rig = Rig(nodes=4)
     for i in range(200):
-        for send in of(rig.step(rig.request(units=1, shard=i % 4)), io.Send):
+        for send in of(rig.step(rig.request(units=1, shard=i % 4)), Send):
             rig.step(rig.ended(send))
         rig.wait(0.002)
     wakes = [what for _, _, what in rig.host.timers if not hasattr(what, "deadline")]
--- a/tests/storage_gateway/scheduler/test_replayed.py
+++ b/tests/storage_gateway/scheduler/test_replayed.py
@@ -7,7 +7,9 @@
 
 from replayed import FILE, load, record, replay, store
 
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    RequestArrived,
+)
 
 
 def test_a_recorded_run_gives_the_actions_that_it_gave():
@@ -19,11 +21,11 @@
 def test_one_event_told_otherwise_is_noticed():
     """The digest can fail: another size of one request changes it."""
     (settings, steps), digest = load(FILE.read_bytes())
-    at = next(n for n, (_, came) in enumerate(steps) if any(isinstance(e, io.RequestArrived) for e in came))
+    at = next(n for n, (_, came) in enumerate(steps) if any(isinstance(e, RequestArrived) for e in came))
     steps[at] = (
         steps[at][0],
         [
-            replace(event, units=event.units % 8 + 1) if isinstance(event, io.RequestArrived) else event
+            replace(event, units=event.units % 8 + 1) if isinstance(event, RequestArrived) else event
             for event in steps[at][1]
         ],
     )
--- a/tests/storage_gateway/server/test_begins.py
+++ b/tests/storage_gateway/server/test_begins.py
@@ -13,7 +13,15 @@
 from scenario import World
 from scheduler_rig import COLD, Rig, of
 
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    ClientDisconnected,
+    DiscoveryUpdate,
+    DiscoveryUpdateKind,
+    NodeEntry,
+    NodeState,
+    Outcome,
+    Send,
+)
 
 SHORT = {"new-write": {"Window": 0.3}}
 
@@ -142,17 +150,21 @@
 
 
 def test_what_never_began_is_charged_to_nothing():
-    rig = Rig(limit_at_arrival=True, **(COLD | {"hosts": 1, "cold_units": 100.0}))
+    rig = Rig(limit_at_arrival=True, **(COLD | {"hosts": 1, "slow_start_units": 100.0}))
     rig.wait(2.0)  # the limit's store fills
-    rig.step(io.NodesListed(io.ListKind.CHANGES, 2, [io.NodeEntry("n0", shard=0, zone="a", since=rig.now)]))
+    rig.step(
+        DiscoveryUpdate(
+            DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, zone="a", started_at=rig.now)]
+        )
+    )
     for plan in ("basic", "gold"):
-        send = of(rig.step(rig.request(plan=plan, units=2)), io.Send)[0]
+        send = of(rig.step(rig.request(plan=plan, units=2)), Send)[0]
         volume, node = rig.host.volumes["v", plan], rig.host.nodes["n0"]
         held = sum(units for _, units in node.cold_sent)
         limit, reserve = volume.limit_level, volume.reserve_level
-        rig.step(io.ClientGone(send.request))
+        rig.step(ClientDisconnected(send.request))
         assert not rig.host.may_begin(rig.now, send.request, 0)
-        rig.step(rig.ended(send, io.Outcome.NOT_SENT))
+        rig.step(rig.ended(send, Outcome.NOT_SENT))
         assert sum(units for _, units in node.cold_sent) == held - 2
         assert (volume.limit_level, volume.reserve_level) == (limit + 2, reserve + 2 * (plan == "gold"))
 
@@ -160,17 +172,25 @@
 def test_units_count_at_a_cold_node_from_when_they_come_there():
     """Guards the node: what was decided over a second and comes up at one instant, comes at one instant."""
     rig = Rig(limit_at_arrival=True, **(COLD | {"hosts": 1}))
-    rig.step(io.NodesListed(io.ListKind.CHANGES, 2, [io.NodeEntry("n0", shard=0, zone="a", since=rig.now)]))
-    send = of(rig.step(rig.request(units=2)), io.Send)[0]
+    rig.step(
+        DiscoveryUpdate(
+            DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, zone="a", started_at=rig.now)]
+        )
+    )
+    send = of(rig.step(rig.request(units=2)), Send)[0]
     assert rig.host.may_begin(rig.now + 0.2, send.request, 0)
     assert [sent for sent in rig.host.nodes["n0"].cold_sent if sent[1]] == [[rig.now + 0.2, 2]]
 
 
 def test_units_that_come_later_than_the_window_since_they_were_decided_count_too():
     """Guards the node: what was decided over a window ago was forgotten before it came."""
-    rig = Rig(limit_at_arrival=True, **(COLD | {"hosts": 1, "fall_window": 0.1}))
-    rig.step(io.NodesListed(io.ListKind.CHANGES, 2, [io.NodeEntry("n0", shard=0, zone="a", since=rig.now)]))
-    send = of(rig.step(rig.request(units=2)), io.Send)[0]
+    rig = Rig(limit_at_arrival=True, **(COLD | {"hosts": 1, "overload_window": 0.1}))
+    rig.step(
+        DiscoveryUpdate(
+            DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, zone="a", started_at=rig.now)]
+        )
+    )
+    send = of(rig.step(rig.request(units=2)), Send)[0]
     rig.step(rig.request(units=1, volume="w"), after=0.15)  # looks at the node, and forgets
     assert rig.host.may_begin(rig.now, send.request, 0)
     assert [rig.now, 2] in rig.host.nodes["n0"].cold_sent
@@ -180,14 +200,14 @@
     ("listed", "goes"),
     [
         ([], True),
-        ([io.NodeEntry("n0", io.NodeState.DRAINING)], False),
-        ([io.NodeEntry("n0", io.NodeState.GONE)], False),
-        ([io.NodeEntry("n0", shard=0, zone="a", since=100.0)], False),
+        ([NodeEntry("n0", NodeState.DRAINING)], False),
+        ([NodeEntry("n0", NodeState.REMOVED)], False),
+        ([NodeEntry("n0", shard=0, zone="a", started_at=100.0)], False),
     ],
 )
 def test_what_the_list_said_meanwhile_counts(listed, goes):
     rig = Rig(limit_at_arrival=True, **COLD)
-    send = of(rig.step(rig.request(units=1)), io.Send)[0]
+    send = of(rig.step(rig.request(units=1)), Send)[0]
     if listed:
-        rig.step(io.NodesListed(io.ListKind.CHANGES, 2, listed))
+        rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, listed))
     assert rig.host.may_begin(rig.now, send.request, 0) is goes
--- a/tests/storage_gateway/server/test_lists_bad.py
+++ b/tests/storage_gateway/server/test_lists_bad.py
@@ -15,8 +15,10 @@
 
 from mallowbeam.http import reporting
 from mallowbeam.http.client import Unsent, connect
-from mallowbeam.storage_gateway.scheduler import interface as io
 from mallowbeam.storage_gateway.scheduler import nodes
+from mallowbeam.storage_gateway.scheduler.interface import (
+    NodeState,
+)
 from mallowbeam.storage_gateway.server import discovery
 from mallowbeam.storage_gateway.server.config import BadConfig, read_config
 from mallowbeam.storage_gateway.server.listing import (
@@ -149,7 +151,7 @@
     up, drains = MEMBER, MEMBER | {"phase": "draining"}
     for order, open_now in (([up, drains], False), ([drains, up], True)):
         listing = read_listing({"revision": 3, "complete": False, "members": order})
-        assert [entry.state is io.NodeState.READY for entry in listing.entries] == [open_now]
+        assert [entry.state is NodeState.READY for entry in listing.entries] == [open_now]
         assert ("n0" in listing.addresses) is open_now
 
 
@@ -173,7 +175,7 @@
     assert all(
         math.isfinite(number) and number >= 0
         for entry in listing.entries
-        for number in (entry.since or 0, entry.weight)
+        for number in (entry.started_at or 0, entry.weight)
     )
 
 
--- a/tests/storage_gateway/server/test_program.py
+++ b/tests/storage_gateway/server/test_program.py
@@ -178,7 +178,7 @@
     flat = flatten(raw)
     assert read_settings(7, flat) == read_settings(7, read_pairs([f"{k}={v}" for k, v in flat.items()]))
     settings = read_settings(7, flat)
-    assert settings.classes["new-write"].repeat_window == 4.0 and settings.shards == 2
+    assert settings.classes["new-write"].dedup_window == 4.0 and settings.shards == 2
     assert [c.writes for c in settings.classes.values()] == [False, True]
     assert settings.plans["bronze"].limit == 49.0 and settings.may_cancel and settings.discovery_on_request
     assert flatten({"a": [1, True, None], "b": None}) == {"a": "1,true,-", "b": "-"}
--- a/tests/storage_gateway/server/test_watch.py
+++ b/tests/storage_gateway/server/test_watch.py
@@ -12,7 +12,11 @@
 from scheduler_rig import Rig, of
 from test_control_nodes import OneQueue
 
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    DiscoveryUpdate,
+    DiscoveryUpdateKind,
+    WatchNodes,
+)
 from mallowbeam.storage_gateway.scheduler.nodes import MOST_AGAIN
 from mallowbeam.storage_gateway.server import discovery
 
@@ -23,7 +27,7 @@
 def ask(rig: Rig) -> float:
     """Seconds until the module asks again."""
     began = rig.now
-    while not of(rig.wait(rig.timer - rig.now), io.Watch):
+    while not of(rig.wait(rig.timer - rig.now), WatchNodes):
         pass
     return rig.now - began
 
@@ -32,11 +36,11 @@
     """Guards drains: backed off as for a refusal, 200 hosts asked after the drain had counted as told."""
     drawn = []
     for seed in range(200):
-        rig = Rig(discovery_on_request=True, ask_every=10.0, hosts=200, seed=seed)
-        rig.step(io.NodesListed(io.ListKind.FAILED))
+        rig = Rig(discovery_on_request=True, max_list_age=10.0, hosts=200, seed=seed)
+        rig.step(DiscoveryUpdate(DiscoveryUpdateKind.FAILED))
         drawn.append(ask(rig))
-        rig = Rig(discovery_on_request=True, ask_every=10.0, hosts=200, seed=seed)
-        rig.step(io.NodesListed(io.ListKind.SILENT))
+        rig = Rig(discovery_on_request=True, max_list_age=10.0, hosts=200, seed=seed)
+        rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
         assert ask(rig) == 0.0
     assert min(drawn) > 0.0 and max(drawn) <= MOST_AGAIN + 0.001
     parts = [sum(n < drawn_at / MOST_AGAIN * 10 <= n + 1 for drawn_at in drawn) for n in range(10)]
@@ -45,22 +49,22 @@
 
 def test_silence_upon_silence_backs_off_and_a_list_ends_it():
     """Guards a discovery that is down without a word: hosts would ask as fast as each call falls silent."""
-    rig = Rig(discovery_on_request=True, ask_every=10.0, hosts=200)
-    rig.step(io.NodesListed(io.ListKind.SILENT))
+    rig = Rig(discovery_on_request=True, max_list_age=10.0, hosts=200)
+    rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
     ask(rig)
-    rig.step(io.NodesListed(io.ListKind.SILENT))
+    rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
     assert 0.8 * MOST_AGAIN <= ask(rig) <= MOST_AGAIN + 0.001
-    rig.step(io.NodesListed(io.ListKind.CHANGES, 2))
-    rig.step(io.NodesListed(io.ListKind.SILENT))
+    rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2))
+    rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
     assert ask(rig) == 0.0
 
 
-@pytest.mark.parametrize("kind", [io.ListKind.SILENT, io.ListKind.FAILED])
+@pytest.mark.parametrize("kind", [DiscoveryUpdateKind.TIMED_OUT, DiscoveryUpdateKind.FAILED])
 def test_a_hosts_own_agent_is_asked_again_within_what_a_drain_grants(kind):
     """Guards drains where lists are pushed: what the agent gets at its return counts from that moment."""
     rig = Rig(hosts=200)
     for _ in range(500):  # however long it is silent
-        rig.step(io.NodesListed(kind))
+        rig.step(DiscoveryUpdate(kind))
         assert ask(rig) + discovery.AGENT_RETRY + discovery.AGENT_OVERDUE <= GRANTED + 1e-9
 
 
@@ -79,12 +83,14 @@
 @pytest.mark.parametrize("hosts", [200, 60])
 def test_a_fleet_whose_watches_fall_silent_at_one_instant_is_told_before_it_counts(hosts):
     """Guards discovery, which has no room for all of them at once: their waits are drawn apart."""
-    rigs = [Rig(discovery_on_request=True, ask_every=10.0, hosts=hosts, seed=seed) for seed in range(hosts)]
+    rigs = [
+        Rig(discovery_on_request=True, max_list_age=10.0, hosts=hosts, seed=seed) for seed in range(hosts)
+    ]
     service, due, told = OneQueue(120.0), [], set()
     for n, rig in enumerate(rigs):
-        rig.step(io.NodesListed(io.ListKind.CHANGES, 2))
+        rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2))
         silent = watch(False, random.Random(n).random)._times()[1]
-        rig.step(io.NodesListed(io.ListKind.SILENT), after=silent)
+        rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT), after=silent)
         ask(rig)
         heappush(due, (rig.now - 100.0, n, None))
     while due:
--- a/tests/storage_gateway/server/test_watch_failing.py
+++ b/tests/storage_gateway/server/test_watch_failing.py
@@ -20,8 +20,11 @@
 from simulated import QUEUE, Service, Turns, outage, simulate
 from test_watch import ask
 
-from mallowbeam.storage_gateway.scheduler import interface as io
 from mallowbeam.storage_gateway.scheduler import nodes
+from mallowbeam.storage_gateway.scheduler.interface import (
+    DiscoveryUpdate,
+    DiscoveryUpdateKind,
+)
 from mallowbeam.storage_gateway.server import discovery
 
 TOLD = 5.45  # seconds after the return by which each host has the news: 6 are granted
@@ -60,9 +63,13 @@
 @pytest.mark.parametrize("hosts", [1, 4, 40, 200, 5000])
 def test_a_repeat_never_comes_later_than_the_bound_allows(hosts):
     for seed in range(20):
-        rig = Rig(discovery_on_request=True, ask_every=10.0, hosts=hosts, seed=seed)
+        rig = Rig(discovery_on_request=True, max_list_age=10.0, hosts=hosts, seed=seed)
         for failures in range(6):
-            rig.step(io.NodesListed(io.ListKind.FAILED if seed % 2 or failures == 0 else io.ListKind.SILENT))
+            rig.step(
+                DiscoveryUpdate(
+                    DiscoveryUpdateKind.FAILED if seed % 2 or failures == 0 else DiscoveryUpdateKind.TIMED_OUT
+                )
+            )
             least = 0.0 if failures == 0 else 0.8 * min(max(1.0, hosts / 5), nodes.MOST_AGAIN)
             assert least < ask(rig) <= (1.0 if hosts < 6 else nodes.MOST_AGAIN) + 0.001
 
@@ -128,7 +135,7 @@
                 writer.write(b" ")
                 await asyncio.sleep(0.01)
 
-    assert uvloop.run(told_of(trickle)) is io.ListKind.SILENT
+    assert uvloop.run(told_of(trickle)) is DiscoveryUpdateKind.TIMED_OUT
 
 
 @pytest.mark.parametrize(
@@ -155,7 +162,7 @@
                 held.append(len(piece))
                 await writer.drain()
 
-    assert uvloop.run(told_of(flood)) is io.ListKind.FAILED
+    assert uvloop.run(told_of(flood)) is DiscoveryUpdateKind.FAILED
     assert sum(held) < 64 << 20  # what the kernel and the two ends hold of it, and no more
 
 
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -15,15 +15,30 @@
 from heapq import heappop, heappush
 
 from mallowbeam.storage_gateway.scheduler import Scheduler
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    AttemptEnded,
+    DiscoveryUpdate,
+    DiscoveryUpdateKind,
+    Event,
+    Idempotency,
+    NodeEntry,
+    Outcome,
+    Plan,
+    RequestArrived,
+    RequestClass,
+    Send,
+    SetTimer,
+    Settings,
+    TimerFired,
+)
 
 HOSTS = (1, 2, 5, 12, 20, 30, 40, 112, 200)
 FAULTS = (
-    io.Outcome.REJECTED,
-    io.Outcome.RESET,
-    io.Outcome.ERROR,
-    io.Outcome.NO_CONNECTION,
-    io.Outcome.TIMEOUT,
+    Outcome.REJECTED,
+    Outcome.RESET,
+    Outcome.ERROR,
+    Outcome.NO_CONNECTION,
+    Outcome.TIMEOUT,
 )
 
 
@@ -31,7 +46,7 @@
 class Cold:
     """A node that has started, as the platform counts what comes to it."""
 
-    settings: io.Settings
+    settings: Settings
     since: float
     came: deque[tuple[float, int, bool]] = field(default_factory=deque)
     units: int = 0
@@ -45,29 +60,36 @@
     def bears(self, now: float) -> float:
         """Requests of mean work that the settings allow in the window that ends now."""
         s = self.settings
-        age = max(0.0, now - self.since - s.fall_window / 2)
-        ramp = min(1.0, s.cold_start + (1.0 - s.cold_start) * age / max(s.cold_time, 1e-9))
-        return s.cold_units * ramp / s.cold_start / s.usual_units
+        age = max(0.0, now - self.since - s.overload_window / 2)
+        ramp = min(
+            1.0, s.slow_start_capacity + (1.0 - s.slow_start_capacity) * age / max(s.slow_start_time, 1e-9)
+        )
+        return s.slow_start_units * ramp / s.slow_start_capacity / s.typical_units
 
     def used(self) -> float:
         """What came while it was cold, of what it could do by the settings (as far as it was played)."""
         s = self.settings
-        full = s.cold_units / (s.fall_multiple * s.cold_start * s.fall_window)
-        lasts = min(self.last - self.since, s.cold_time)
-        return self.total / full / lasts / (s.cold_start + (1 - s.cold_start) * lasts / s.cold_time / 2)
+        full = s.slow_start_units / (s.overload_multiple * s.slow_start_capacity * s.overload_window)
+        lasts = min(self.last - self.since, s.slow_start_time)
+        return (
+            self.total
+            / full
+            / lasts
+            / (s.slow_start_capacity + (1 - s.slow_start_capacity) * lasts / s.slow_start_time / 2)
+        )
 
     def come(self, now: float, units: int, told: bool) -> None:
         """Work arrives, whatever becomes of it."""
-        if self.down or now >= self.since + self.settings.cold_time:
+        if self.down or now >= self.since + self.settings.slow_start_time:
             return
         self.came.append((now, units, told))
         self.units, self.told, self.total = self.units + units, self.told + units * told, self.total + units
         self.last = now
-        while self.came[0][0] <= now - self.settings.fall_window:
+        while self.came[0][0] <= now - self.settings.overload_window:
             _, gone, was_told = self.came.popleft()
             self.units, self.told = self.units - gone, self.told - gone * was_told
         n = self.bears(now)
-        part = self.units / self.settings.usual_units / (n + 2 * n**0.5 + 2)
+        part = self.units / self.settings.typical_units / (n + 2 * n**0.5 + 2)
         self.down = part > 1
         if 3 * self.told > 2 * self.units:
             self.worst, self.fell = max(self.worst, part), self.down
@@ -83,13 +105,13 @@
         draw = self.draw = random.Random(seed)
         self.module, self.now, self.seq = module, 1000.0, 0
         drawn = {
-            "cold_units": draw.choice((4.0, 14.0, 24.0, 76.0, 76.0, 200.0)),
-            "cold_start": draw.uniform(0.1, 0.5),
-            "cold_time": draw.choice((1.0, 4.0, 10.0, 17.0)),
-            "fall_multiple": draw.uniform(2.0, 5.0),
-            "fall_window": draw.choice((0.5, 2.0, 3.0, 6.0)),
+            "slow_start_units": draw.choice((4.0, 14.0, 24.0, 76.0, 76.0, 200.0)),
+            "slow_start_capacity": draw.uniform(0.1, 0.5),
+            "slow_start_time": draw.choice((1.0, 4.0, 10.0, 17.0)),
+            "overload_multiple": draw.uniform(2.0, 5.0),
+            "overload_window": draw.choice((0.5, 2.0, 3.0, 6.0)),
             "hosts": draw.choice(HOSTS),
-            "units_top": draw.choice((1, 2, 4, 8, 8, 20)),
+            "max_units": draw.choice((1, 2, 4, 8, 8, 20)),
             "shards": draw.choice((1, 3, 6)),
             "max_attempts": draw.choice((None, 2, 4)),
             "demand": draw.choice((0.3, 1.0, 2.0, 4.0, 8.0)),  # times what a node can do by the settings
@@ -107,13 +129,15 @@
             "lasts": 12.0,
             "known": draw.choice((0.2, 3.0)),
         } | given  # seconds of traffic that the hosts have seen before
-        settings = {name: drawn.pop(name) for name in list(drawn) if hasattr(io.Settings, name)}
+        settings = {name: drawn.pop(name) for name in list(drawn) if hasattr(Settings, name)}
         self.__dict__ |= drawn
-        top, hosts = settings["units_top"], settings["hosts"]
+        top, hosts = settings["max_units"], settings["hosts"]
         self.sizes = [max(1, round(top * draw.random() ** 2)) for _ in range(400)]
         usual = sum(self.sizes) / len(self.sizes)
         s = settings
-        full = s["cold_units"] / (s["fall_multiple"] * s["cold_start"] * s["fall_window"])
+        full = s["slow_start_units"] / (
+            s["overload_multiple"] * s["slow_start_capacity"] * s["overload_window"]
+        )
         if full / usual * self.demand * s["shards"] > 600:  # keep a draw short
             s["shards"] = 1
         count = s["shards"]
@@ -128,18 +152,18 @@
             for n in range(draw.randint(4, 10) * count)
         ]
         reserve = self.reserved * full * count / len(self.volumes)
-        plans = {"gold": io.Plan("gold", reserve=reserve, weight=2, price=1.5), "silver": io.Plan("silver")}
+        plans = {"gold": Plan("gold", reserve=reserve, weight=2, price=1.5), "silver": Plan("silver")}
         classes = [
-            io.RequestClass("read", 3, 0.3, 1.2, 0.2, io.Repeat.SAFE),
-            io.RequestClass("log", 2, 0.4, 2.0, 0.1, io.Repeat.UNSAFE),
+            RequestClass("read", 3, 0.3, 1.2, 0.2, Idempotency.SAFE),
+            RequestClass("log", 2, 0.4, 2.0, 0.1, Idempotency.UNSAFE),
         ]
-        self.settings = io.Settings(
+        self.settings = Settings(
             tick=0.002,
             classes={c.name: c for c in classes},
             plans=plans,
-            usual_units=usual,
-            share_worth=0.3,
-            spare_worth=0.05,
+            typical_units=usual,
+            share_value=0.3,
+            spare_value=0.05,
             may_cancel=True,
             retry_after=True,
             max_retry_after=1.0,
@@ -165,11 +189,11 @@
         host.step(
             self.now,
             [
-                io.NodesListed(
-                    io.ListKind.CACHED,
+                DiscoveryUpdate(
+                    DiscoveryUpdateKind.CACHED,
                     1,
                     [
-                        io.NodeEntry(name, shard=n, since=self.starts.get(name))
+                        NodeEntry(name, shard=n, started_at=self.starts.get(name))
                         for n, name in enumerate(self.node_names)
                     ],
                 )
@@ -182,32 +206,32 @@
         self.seq += 1
         heappush(self.events, (when, self.seq, what))
 
-    def step(self, number: int, event: io.Event) -> None:
+    def step(self, number: int, event: Event) -> None:
         """One event at one host, and all that follows from it."""
         for action in self.instances[number].step(self.now, [event]):
-            if isinstance(action, io.SetTimer):
+            if isinstance(action, SetTimer):
                 self.at(
                     action.at,
                     lambda life=self.lives[number]: life == self.lives[number]
-                    and self.step(number, io.TimerFired(0)),
+                    and self.step(number, TimerFired(0)),
                 )
-            elif isinstance(action, io.Send):
+            elif isinstance(action, Send):
                 self.sent(number, action)
 
-    def sent(self, number: int, send: io.Send) -> None:
+    def sent(self, number: int, send: Send) -> None:
         """An attempt begins now, or when its connection comes up late; its outcome follows."""
         draw, life = self.draw, self.lives[number]
         attempt = self.tries[number, send.request] = self.tries.get((number, send.request), -1) + 1
         delay = 1.5 if draw.random() < self.late else 0.0
-        outcome = draw.choice(FAULTS) if draw.random() < self.faulty else io.Outcome.OK
+        outcome = draw.choice(FAULTS) if draw.random() < self.faulty else Outcome.OK
         units, begun = self.units[send.request], self.now
 
         def ended() -> None:
             if life == self.lives[number]:
                 self.step(
                     number,
-                    io.AttemptEnded(
-                        send.request, attempt, send.node, outcome, self.now - begun, outcome is io.Outcome.OK
+                    AttemptEnded(
+                        send.request, attempt, send.node, outcome, self.now - begun, outcome is Outcome.OK
                     ),
                 )
 
@@ -216,8 +240,8 @@
             if life != self.lives[number]:
                 return
             if not self.instances[number].may_begin(self.now, send.request, attempt):
-                outcome = io.Outcome.NOT_SENT
-            elif outcome is not io.Outcome.NO_CONNECTION and (cold := self.colds.get(send.node)):
+                outcome = Outcome.NOT_SENT
+            elif outcome is not Outcome.NO_CONNECTION and (cold := self.colds.get(send.node)):
                 cold.come(self.now, units, self.told[number].get(send.node) == cold.since)
             self.at(self.now + draw.uniform(0.02, 0.3), ended)
 
@@ -241,7 +265,7 @@
         self.units[request] = draw.choice(self.sizes)
         self.step(
             number,
-            io.RequestArrived(
+            RequestArrived(
                 request,
                 draw.choice(("read", "read", "log")),
                 draw.choice((0.5, 1.2)),
@@ -271,10 +295,10 @@
             self.told[number][name] = since
             self.step(
                 number,
-                io.NodesListed(
-                    io.ListKind.CHANGES,
+                DiscoveryUpdate(
+                    DiscoveryUpdateKind.DELTA,
                     2,
-                    [io.NodeEntry(name, shard=self.node_names.index(name), since=since)],
+                    [NodeEntry(name, shard=self.node_names.index(name), started_at=since)],
                 ),
             )
 
@@ -293,7 +317,7 @@
         for name in draw.sample(self.node_names, draw.randint(1, len(self.node_names))):
             self.at(begin + draw.choice((0.0, 0.0, 1.0)), lambda name=name: self.start(name))
         if self.again:
-            self.at(begin + self.settings.fall_window / 2, lambda: self.start(self.node_names[0]))
+            self.at(begin + self.settings.overload_window / 2, lambda: self.start(self.node_names[0]))
         for number in range(self.settings.hosts if self.restarts else 0):
             if draw.random() < 0.7:
                 self.at(begin + draw.uniform(0.3, 4.0), lambda number=number: self.restart(number))
