--- a/tests/support/replayed.py
+++ b/tests/support/replayed.py
@@ -16,33 +16,46 @@
 from pathlib import Path
 
 import msgspec
+from recorded_names import from_recorded, to_recorded
 from scheduler_rig import make_settings
 
 from mallowbeam.storage_gateway.scheduler import Scheduler
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    AttemptEnded,
+    Cancel,
+    ClientDisconnected,
+    DeduplicationScope,
+    DiscoveryUpdate,
+    DiscoveryUpdateKind,
+    Event,
+    NodeEntry,
+    NodeState,
+    OperatorOverride,
+    Outcome,
+    RequestArrived,
+    Send,
+    SetTimer,
+    Settings,
+    SiblingSend,
+    StreamStarted,
+    TimerFired,
+    UploadProgress,
+)
 
 FILE = Path(__file__).with_name("control.trace")
-KINDS = {
-    kind.__name__: kind
-    for kind in (
-        io.RequestArrived,
-        io.NodesListed,
-        io.ByHand,
-        io.SentBeside,
-        io.AttemptEnded,
-        io.StreamStarted,
-        io.Upload,
-        io.ClientGone,
-        io.TimerFired,
-    )
+RAMP = {
+    "slow_start_units": 24.0,
+    "slow_start_capacity": 0.2,
+    "slow_start_time": 10.0,
+    "overload_multiple": 2.0,
+    "overload_window": 2.0,
 }
-RAMP = {"cold_units": 24.0, "cold_start": 0.2, "cold_time": 10.0, "fall_multiple": 2.0, "fall_window": 2.0}
-OUTCOMES = [io.Outcome.OK] * 60 + list(io.Outcome)
+OUTCOMES = [Outcome.OK] * 60 + list(Outcome)
 
-Run = tuple[io.Settings, list[tuple[float, list[io.Event]]]]
+Run = tuple[Settings, list[tuple[float, list[Event]]]]
 
 
-def settings_of(draw: random.Random) -> io.Settings:
+def settings_of(draw: random.Random) -> Settings:
     """Settings in which rules come and go with the seed."""
     made = make_settings(
         seed=draw.getrandbits(32),
@@ -50,14 +63,18 @@
         may_cancel=draw.random() < 0.7,
         limit_at_arrival=draw.random() < 0.5,
         max_attempts=draw.choice((None, 2, 4)),
-        order_settle=draw.choice((0.0, 0.2)),
+        order_settle_time=draw.choice((0.0, 0.2)),
         retry_after=draw.random() < 0.5,
         discovery_on_request=draw.random() < 0.5,
-        ask_every=draw.choice((None, 1.0)),
+        max_list_age=draw.choice((None, 1.0)),
         **(RAMP if draw.random() < 0.6 else {}),
-        **({"budget_floor": 3.0, "budget_share": 0.1, "budget_window": 5.0} if draw.random() < 0.5 else {}),
+        **(
+            {"retry_budget_floor": 3.0, "retry_budget_ratio": 0.1, "retry_budget_window": 5.0}
+            if draw.random() < 0.5
+            else {}
+        ),
     )
-    scope = replace(made.classes["keyed"], scope=draw.choice(list(io.Scope)))
+    scope = replace(made.classes["keyed"], dedup_scope=draw.choice(list(DeduplicationScope)))
     return replace(made, classes=made.classes | {"keyed": scope})
 
 
@@ -69,27 +86,27 @@
     zones, out, tries, starts, pace = "abc", {}, {}, {}, draw.choice((1, 1, 4, 15))
     timer, busy, latency = None, draw.choice((0.01, 0.03, 0.05)), draw.choice((0.02, 0.04, 0.1))
     events = [
-        io.NodesListed(
-            draw.choice((io.ListKind.CACHED, io.ListKind.FULL)),
+        DiscoveryUpdate(
+            draw.choice((DiscoveryUpdateKind.CACHED, DiscoveryUpdateKind.FULL)),
             1,
-            [io.NodeEntry(f"n{i}", shard=i % 5, zone=zones[i % 3]) for i in range(draw.randint(3, 10))],
+            [NodeEntry(f"n{i}", shard=i % 5, zone=zones[i % 3]) for i in range(draw.randint(3, 10))],
         )
     ]
     for _ in range(steps):
         run.append((now, events))
         for action in host.step(now, [replace(event) for event in events]):
-            if isinstance(action, io.SetTimer):
+            if isinstance(action, SetTimer):
                 timer = action.at if timer is None or timer <= now else min(timer, action.at)
-            elif isinstance(action, io.Send):
+            elif isinstance(action, Send):
                 number = tries[action.request] = tries.get(action.request, -1) + 1
                 out[action.request, number] = (action.node, now + latency * draw.choice((0.5, 1, 1, 1, 2, 8)))
-            elif isinstance(action, io.Cancel) and (action.request, action.attempt) in out:
+            elif isinstance(action, Cancel) and (action.request, action.attempt) in out:
                 out[action.request, action.attempt] = (out[action.request, action.attempt][0], now)
         if draw.random() < 0.01:
             busy, latency = draw.choice((0.002, 0.01, 0.03, 0.05, 0.3)), draw.choice((0.02, 0.04, 0.3))
         now = now + draw.expovariate(1 / busy / pace)
         if timer is not None and timer <= now:
-            now, timer, events = timer, None, [io.TimerFired(0)]
+            now, timer, events = timer, None, [TimerFired(0)]
             continue
         events, what = [], draw.random()
         for (request, number), (node, at) in sorted(out.items()):
@@ -97,14 +114,14 @@
                 del out[request, number]
                 outcome = draw.choice(OUTCOMES)
                 events.append(
-                    io.AttemptEnded(
+                    AttemptEnded(
                         request,
                         number,
                         node,
                         outcome,
                         0.05,
-                        draw.random() < (outcome is io.Outcome.OK),
-                        elsewhere=draw.choice((0, 0, 0, 3)),
+                        draw.random() < (outcome is Outcome.OK),
+                        remote_units=draw.choice((0, 0, 0, 3)),
                     )
                 )
         if what < 0.04 and out:
@@ -112,41 +129,41 @@
             events.append(
                 draw.choice(
                     (
-                        io.StreamStarted(request, number, node, 0.04),
-                        io.Upload(request, number),
-                        io.Upload(request, number, 0.8),
-                        io.ClientGone(request),
+                        StreamStarted(request, number, node, 0.04),
+                        UploadProgress(request, number),
+                        UploadProgress(request, number, 0.8),
+                        ClientDisconnected(request),
                     )
                 )
             )
         elif what < 0.05:
             name = f"n{draw.randrange(9)}"
             starts[name] = draw.choice((starts.get(name), now, None))
-            kind = draw.choice((io.ListKind.CHANGES,) * 3 + tuple(io.ListKind))
+            kind = draw.choice((DiscoveryUpdateKind.DELTA,) * 3 + tuple(DiscoveryUpdateKind))
             events.append(
-                io.NodesListed(
+                DiscoveryUpdate(
                     kind,
                     2,
                     [
-                        io.NodeEntry(
+                        NodeEntry(
                             f"n{i}",
-                            draw.choice((io.NodeState.READY,) * 9 + tuple(io.NodeState)),
+                            draw.choice((NodeState.READY,) * 9 + tuple(NodeState)),
                             i % 5,
                             zones[i % 3],
                             starts.get(f"n{i}"),
                         )
                         for i in range(10)
-                        if f"n{i}" == name or kind is not io.ListKind.CHANGES
+                        if f"n{i}" == name or kind is not DiscoveryUpdateKind.DELTA
                     ],
                 )
             )
         elif what < 0.055:
             events.append(
-                io.ByHand(f"n{draw.randrange(9)}", draw.random() < 0.2, draw.choice((None, now - 1.0)))
+                OperatorOverride(f"n{draw.randrange(9)}", draw.random() < 0.2, draw.choice((None, now - 1.0)))
             )
         elif what < 0.06:
             events.append(
-                io.SentBeside(
+                SiblingSend(
                     f"v{draw.randrange(6)}",
                     draw.choice(("gold", "basic")),
                     2,
@@ -162,7 +179,7 @@
                 cls = draw.choice(("read", "read", "log", "keyed", "ordered", "unknown"))
                 key = {"ordered": f"k{draw.randrange(3)}"}.get(cls, f"{draw.randrange(400):016x}")
                 events.append(
-                    io.RequestArrived(
+                    RequestArrived(
                         f"r{count}",
                         cls,
                         draw.choice((0.5, 1.2, 3.0, 60.0)),
@@ -183,11 +200,12 @@
     host, text = module(settings, steps[0][0]), []
     for now, events in steps:
         for action in host.step(now, [replace(event) for event in events]):
+            kind, fields = to_recorded(action)
             figures = [
                 f"{value:.{digits}f}" if digits and isinstance(value, float) else repr(value)
-                for value in msgspec.to_builtins(action).values()
+                for value in fields.values()
             ]
-            text.append(f"{type(action).__name__}({', '.join(figures)})")
+            text.append(f"{kind}({', '.join(figures)})")
     return "\n".join(text).encode()
 
 
@@ -197,11 +215,9 @@
     return zlib.compress(
         msgspec.msgpack.encode(
             {
-                "settings": settings,
+                "settings": to_recorded(settings)[1],
                 "digest": hashlib.sha256(replay(run, digits=4)).hexdigest(),
-                "steps": [
-                    [now, [[type(event).__name__, event] for event in events]] for now, events in steps
-                ],
+                "steps": [[now, [to_recorded(event) for event in events]] for now, events in steps],
             }
         ),
         9,
@@ -212,10 +228,9 @@
     """What `store` has packed."""
     found = msgspec.msgpack.decode(zlib.decompress(packed))
     steps = [
-        (now, [msgspec.convert(event, KINDS[kind]) for kind, event in events])
-        for now, events in found["steps"]
+        (now, [from_recorded(kind, fields) for kind, fields in events]) for now, events in found["steps"]
     ]
-    return (msgspec.convert(found["settings"], io.Settings), steps), found["digest"]
+    return (from_recorded("Settings", found["settings"]), steps), found["digest"]
 
 
 def main(what: str, seeds: int = 100) -> None:
--- a/tests/support/simulated.py
+++ b/tests/support/simulated.py
@@ -17,7 +17,9 @@
 
 from mallowbeam.http.client import Link, Unsent
 from mallowbeam.http.framing import Framer
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import (
+    DiscoveryUpdateKind,
+)
 from mallowbeam.storage_gateway.server import config as configs
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
@@ -189,7 +191,7 @@
         told(args[0].revision)
 
     host._listing = listing
-    taken(config.known, io.ListKind.CACHED)
+    taken(config.known, DiscoveryUpdateKind.CACHED)
     if pushed:
         host.watch.begin()
     return host
