--- a/mallowbeam/storage_gateway/scheduler/booking.py
+++ b/mallowbeam/storage_gateway/scheduler/booking.py
@@ -5,9 +5,7 @@
 from math import exp
 from zlib import crc32
 
-from mallowbeam.storage_gateway.scheduler.interface import (
-    Idempotency,
-)
+from mallowbeam.storage_gateway.scheduler.interface import Idempotency
 from mallowbeam.storage_gateway.scheduler.nodes import M_EXTRA, M_MOST, Node
 from mallowbeam.storage_gateway.scheduler.requests import EPS, Request, Volume
 
--- a/tests/storage_gateway/coordination/test_fleet_service.py
+++ b/tests/storage_gateway/coordination/test_fleet_service.py
@@ -31,9 +31,7 @@
 )
 from mallowbeam.storage_gateway.coordination.service import FleetService
 from mallowbeam.storage_gateway.operator_settings import PolicySection, SharesSection
-from mallowbeam.storage_gateway.scheduler.interface import (
-    Plan,
-)
+from mallowbeam.storage_gateway.scheduler.interface import Plan
 from mallowbeam.storage_gateway.server.config import read_address
 
 SILVER, GOLD = Plan("silver", rate=5, price=0.5), Plan("gold", reserve=10, weight=2)
--- a/tests/storage_gateway/scheduler/test_control_booking.py
+++ b/tests/storage_gateway/scheduler/test_control_booking.py
@@ -5,12 +5,7 @@
 import pytest
 from scheduler_rig import Rig, of
 
-from mallowbeam.storage_gateway.scheduler.interface import (
-    Outcome,
-    Plan,
-    Reject,
-    Send,
-)
+from mallowbeam.storage_gateway.scheduler.interface import Outcome, Plan, Reject, Send
 
 
 def test_idle_node_gets_a_booking_at_once():
--- a/tests/storage_gateway/scheduler/test_replayed.py
+++ b/tests/storage_gateway/scheduler/test_replayed.py
@@ -7,9 +7,7 @@
 
 from replayed import FILE, load, record, replay, store
 
-from mallowbeam.storage_gateway.scheduler.interface import (
-    RequestArrived,
-)
+from mallowbeam.storage_gateway.scheduler.interface import RequestArrived
 
 
 def test_a_recorded_run_gives_the_actions_that_it_gave():
--- a/tests/storage_gateway/server/test_lists_bad.py
+++ b/tests/storage_gateway/server/test_lists_bad.py
@@ -16,9 +16,7 @@
 from mallowbeam.http import reporting
 from mallowbeam.http.client import Unsent, connect
 from mallowbeam.storage_gateway.scheduler import nodes
-from mallowbeam.storage_gateway.scheduler.interface import (
-    NodeState,
-)
+from mallowbeam.storage_gateway.scheduler.interface import NodeState
 from mallowbeam.storage_gateway.server import discovery
 from mallowbeam.storage_gateway.server.config import BadConfig, read_config
 from mallowbeam.storage_gateway.server.listing import (
--- a/tests/storage_gateway/server/test_watch.py
+++ b/tests/storage_gateway/server/test_watch.py
@@ -12,11 +12,7 @@
 from scheduler_rig import Rig, of
 from test_control_nodes import OneQueue
 
-from mallowbeam.storage_gateway.scheduler.interface import (
-    DiscoveryUpdate,
-    DiscoveryUpdateKind,
-    WatchNodes,
-)
+from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdate, DiscoveryUpdateKind, WatchNodes
 from mallowbeam.storage_gateway.scheduler.nodes import MOST_AGAIN
 from mallowbeam.storage_gateway.server import discovery
 
--- a/tests/storage_gateway/server/test_watch_failing.py
+++ b/tests/storage_gateway/server/test_watch_failing.py
@@ -21,10 +21,7 @@
 from test_watch import ask
 
 from mallowbeam.storage_gateway.scheduler import nodes
-from mallowbeam.storage_gateway.scheduler.interface import (
-    DiscoveryUpdate,
-    DiscoveryUpdateKind,
-)
+from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdate, DiscoveryUpdateKind
 from mallowbeam.storage_gateway.server import discovery
 
 TOLD = 5.45  # seconds after the return by which each host has the news: 6 are granted
--- a/tests/support/simulated.py
+++ b/tests/support/simulated.py
@@ -17,9 +17,7 @@
 
 from mallowbeam.http.client import Link, Unsent
 from mallowbeam.http.framing import Framer
-from mallowbeam.storage_gateway.scheduler.interface import (
-    DiscoveryUpdateKind,
-)
+from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdateKind
 from mallowbeam.storage_gateway.server import config as configs
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
