--- a/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
@@ -1,8 +1,8 @@
-"""Maintenance joined to its gateway: what the core says is done, what is seen here is told to it.
+"""Maintenance joined to its gateway: executes the core's actions and feeds it what the gateway sees.
 
-The door is shut by the clock at each request (`serves`), not by a tick: a process that stood still refuses
-before it has heard anything.  An operator's word that a machine is back (`PUT /fleet/maintenance/back?NAME`)
-is kept here until the log has it.
+Whether the gateway serves is checked by the clock at each request (`MaintenanceCore.serves`), not by a tick:
+a process that was suspended rejects requests before it has received anything.  An operator's report that the
+work on a machine is done (`PUT /fleet/maintenance/back?NAME`) is kept here until the log has it.
 """
 
 from __future__ import annotations
@@ -13,9 +13,31 @@
 from loguru import logger
 
 from mallowbeam.storage_gateway.coordination.errors import FleetError
-from mallowbeam.storage_gateway.coordination.maintenance import core as c
-from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance, describe
-from mallowbeam.storage_gateway.coordination.maintenance.state import AWAY, OVER, NodeFacts, Section
+from mallowbeam.storage_gateway.coordination.maintenance.actions import (
+    Action,
+    Drain,
+    LocalView,
+    LogMessage,
+    Propose,
+    StepDown,
+    StepUp,
+    Timings,
+    Undrain,
+    WarmUp,
+)
+from mallowbeam.storage_gateway.coordination.maintenance.entries import NodeStatus
+from mallowbeam.storage_gateway.coordination.maintenance.gateway_core import MaintenanceCore
+from mallowbeam.storage_gateway.coordination.maintenance.section import Section
+from mallowbeam.storage_gateway.coordination.maintenance.state_machine import (
+    MaintenanceStateMachine,
+    describe,
+)
+from mallowbeam.storage_gateway.coordination.maintenance.steps import (
+    FINISHED,
+    IN_PROGRESS,
+    OUT_OF_SERVICE,
+    Step,
+)
 from mallowbeam.storage_gateway.coordination.policy_document import owns
 from mallowbeam.storage_gateway.coordination.replicated_log import Committed
 from mallowbeam.storage_gateway.coordination.subsystem import SubsystemContext
@@ -25,8 +47,8 @@
 owns("maintenance", Section)
 
 
-class NotOut(FleetError):
-    """Said to be back, and not out."""
+class MachineNotOutError(FleetError):
+    """An operator reports work as done on a machine that is not out of service."""
 
     error_name = "NotOut"
     status = 409
@@ -34,92 +56,106 @@
 
 
 class MaintenanceSubsystem:
-    """The subsystem; `allotments` are asked to give up what this gateway holds, and say whether they have."""
+    """The subsystem of one gateway.
+
+    `allotments` are called with True to release what this gateway holds, and return whether they have; with
+    False they may acquire again.  `warmers` are called with a cold node and this gateway's share (0 to 1) of
+    the limit for cold nodes.
+    """
 
     def __init__(self, context: SubsystemContext, section: MaintenanceSection) -> None:
         self.context = context
-        self.topic = Maintenance(context.members)
-        now = time.monotonic()
-        self.core = c.MaintenanceCore(
+        self.topic = MaintenanceStateMachine(context.members)
+        self.core = MaintenanceCore(
             context.me,
             f"{time.time_ns():x}",
             context.members,
-            now,
-            c.Times(lease=section.lease_s, report=section.report_s, warm=section.warm_s),
+            time.monotonic(),
+            Timings(lease_s=section.lease_s, report_s=section.report_s, warmup_s=section.warm_s),
         )
         self.allotments: list[Callable[[bool], bool]] = []
         self.warmers: list[Callable[[str, float], None]] = []
-        self.down = False  # it has been told to step down
+        self.stepped_down = False
         context.gateway().gates.append(lambda: self.core.serves(time.monotonic()))
 
     def committed(self, told: Committed, now: float) -> None:
-        """The log's next entry."""
-        self._do(self.core.committed(told, now))
+        """The log has committed an entry of this topic; `now` is the monotonic clock in seconds."""
+        self._execute(self.core.committed(told, now))
 
     def lease_renewed(self, proposed_at: float, now: float) -> None:
-        """A mark came back."""
-        self.core.mark(proposed_at)
+        """A marker of this gateway was committed that it proposed at this moment."""
+        self.core.caught_up(proposed_at)
 
     def tick(self, now: float) -> None:
-        """What the gateway sees now, and what is due."""
+        """Time has passed: pass on what the gateway sees now, and do what is due."""
         context = self.context
         nodes = {
-            entry.node: NodeFacts(
+            entry.node: NodeStatus(
                 entry.zone, entry.shard, entry.weight, entry.state is NodeState.READY, context.out(entry.node)
             )
             for entry in context.nodes()
         }
-        gave_up = self.down and all([give(True) for give in self.allotments])  # noqa: C419 -- each one is asked
-        self.core.reports(c.Local(nodes, context.held(), gave_up, context.me if context.leader() else None))
-        self._do(self.core.tick(now))
+        released = False
+        if self.stepped_down:
+            # A list, not a generator: every allotment is told to release.
+            released = all([release(True) for release in self.allotments])  # noqa: C419
+        leader = context.me if context.leader() else None
+        self.core.observe(LocalView(nodes, context.held(), released, leader))
+        self._execute(self.core.tick(now))
 
     def asked(self, act: str, what: str) -> dict[str, object]:
-        """An operator's word at the page; raises a `FleetError`."""
-        item = self.core.state.items.get(what)
-        if act != "back" or item is None or item.step not in ("out", "lost"):
-            step = item.step if item else "no machine of a request"
-            raise NotOut(f"{what!r} is {step}", f"maintenance/{act}")
-        self.core.back(what)
-        return {"machine": what, "step": item.step, "told": "back"}
+        """An operator's action on the page, for a machine's name.
+
+        Raises `MachineNotOutError` for any action but `back`, and for a machine that is not out of service.
+        """
+        machine = self.core.state.machines.get(what)
+        if act != "back" or machine is None or machine.step not in OUT_OF_SERVICE:
+            step = machine.step if machine else "no machine of a request"
+            raise MachineNotOutError(f"{what!r} is {step}", f"maintenance/{act}")
+        self.core.complete_work(what)
+        return {"machine": what, "step": machine.step, "told": "back"}
 
     def describe(self) -> dict[str, object]:
-        """Steps, order and reasons."""
+        """Steps, decisions and reasons for the page `/fleet`."""
         return describe(self.topic, self.core.state) | {"counted": self.core.serves(time.monotonic())}
 
     def gauges(self) -> Mapping[str, float]:
-        """How many machines are where."""
-        items = self.core.state.items.values()
+        """The number of machines by the kind of their step; the keys are names of metrics."""
+        steps = [machine.step for machine in self.core.state.machines.values()]
         return {
-            "waiting": sum(item.step == "proposed" for item in items),
-            "away": sum(item.step in AWAY for item in items),
-            "lost": sum(item.step == "lost" for item in items),
-            "over": sum(item.step in OVER for item in items),
+            "waiting": steps.count(Step.PROPOSED),
+            "away": sum(step in IN_PROGRESS for step in steps),
+            "lost": steps.count(Step.LOST),
+            "over": sum(step in FINISHED for step in steps),
         }
 
-    def _do(self, actions: list[c.Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case c.Propose(entry):
+                case Propose(entry):
                     self.context.propose(entry)
-                case c.Drain(node):
+                case Drain(node):
                     self.context.drain(node, True)
-                case c.Undrain(back):
-                    self.context.drain(back, False)
-                case c.Warm(cold, share):
+                case Undrain(node):
+                    self.context.drain(node, False)
+                case WarmUp(node, share):
                     for warm in self.warmers:
-                        warm(cold, share)
-                case c.StepDown(refuse):
-                    self.down = True
-                    self.context.gate(not refuse)
-                case c.StepUp():
-                    self.down = False
-                    for give in self.allotments:
-                        give(False)
-                    self.context.gate(True)
-                case c.Note(text):
+                        warm(node, share)
+                case StepDown(reject):
+                    self.stepped_down = True
+                    self.context.gate(not reject)
+                case StepUp():
+                    self._step_up()
+                case LogMessage(text):
                     logger.bind(maintenance="step").info("maintenance: {}", text)
 
+    def _step_up(self) -> None:
+        self.stepped_down = False
+        for release in self.allotments:
+            release(False)
+        self.context.gate(True)
+
 
 def open_subsystem(context: SubsystemContext, section: MaintenanceSection) -> MaintenanceSubsystem:
-    """The subsystem on these hands."""
+    """The subsystem in the gateway of this context; the coordination service calls it by name."""
     return MaintenanceSubsystem(context, section)
