--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -68,9 +68,9 @@
 from mallowbeam.storage_gateway.coordination.status_pages import page
 from mallowbeam.storage_gateway.frontends.object_api.access import read_keys
 from mallowbeam.storage_gateway.frontends.object_api.errors import ERRORS, error_body
-from mallowbeam.storage_gateway.scheduler import interface
 from mallowbeam.storage_gateway.scheduler import simulator_host as wirehost
 from mallowbeam.storage_gateway.scheduler.gateway_host import Facade
+from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdateKind
 from mallowbeam.storage_gateway.server import config as net_config
 from mallowbeam.storage_gateway.server import handover
 from mallowbeam.storage_gateway.server.listing import read_listing
@@ -492,7 +492,7 @@
     sample = samples("handover.json")
     config = net_config.decode(sample["config"], {})
     old = Facade(config.settings, 10.0)
-    old.listed(10.0, interface.ListKind.FULL, 1, list(config.known.entries))
+    old.listed(10.0, DiscoveryUpdateKind.FULL, 1, list(config.known.entries))
     old.by_hand(10.5, "n2", True)
     old.planned(10.6, dataclasses.replace(config.settings.plans["silver"], limit=12.0, weight=2.0))
     old.planned(10.7, dataclasses.replace(config.settings.plans["bronze"], limit=7.0), "vol-1", 1, 0.5)
@@ -503,8 +503,8 @@
             shard=0,
             is_retry=False,
             is_write=False,
-            cls="read",
-            hosts_of_volume=2,
+            request_class="read",
+            volume_hosts=2,
             units=3,
             volume=volume,
             expires_in=1.2,
@@ -515,7 +515,7 @@
 
     state = json.loads(sample["frames"][1])["state"]
     new = Facade(config.settings, 20.0)
-    new.listed(20.0, interface.ListKind.FULL, 7, read_listing(state["list"]).entries)
+    new.listed(20.0, DiscoveryUpdateKind.FULL, 7, read_listing(state["list"]).entries)
     new.inherit(20.0, state)
     assert json.loads(json.dumps(new.state(20.0))) == sample["inherited"]
     assert {node: new.takes(node) for node in sample["takes"]} == sample["takes"]
