--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -22,7 +22,7 @@
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.client import ConnectionBrokenError, Link, RequestNotSentError, connect
 from mallowbeam.http.framing import Message, write_request
-from mallowbeam.storage_gateway.scheduler import interface as io
+from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdateKind
 from mallowbeam.storage_gateway.server.listing import BadListing, Listing, decode_listing
 from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 
@@ -59,7 +59,7 @@
         self,
         address: str,
         revision: int,
-        told: Callable[[Listing | io.ListKind], None],
+        told: Callable[[Listing | DiscoveryUpdateKind], None],
         pushed: bool = False,
         draw: Callable[[], float] = random.random,
     ) -> None:
@@ -112,7 +112,7 @@
             self.task = None
 
     async def _run(self) -> None:
-        link, ended = None, io.ListKind.FAILED
+        link, ended = None, DiscoveryUpdateKind.FAILED
         try:
             while True:
                 asked, (wait, most) = self.revision, self._times()
@@ -128,7 +128,7 @@
                     link.close()
                     link = None
         except Silent:
-            ended = io.ListKind.SILENT
+            ended = DiscoveryUpdateKind.TIMED_OUT
             self.fell_silent("asked anew")
         except (
             RequestNotSentError,
