--- a/tests/router/feed/test_feed_scenarios.py
+++ b/tests/router/feed/test_feed_scenarios.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from test_registry_scenarios import play_folder
+from registry_player import play_folder
 
 
 class FeedScenarios(unittest.TestCase):
--- a/tests/router/registry/test_registry_broken.py
+++ b/tests/router/registry/test_registry_broken.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from test_registry_processes import Broken
-from test_registry_scenarios import FOLDER, Player
+from registry_player import FOLDER, Player
+from registry_processes import Broken
 
 from mallowbeam.router.feed import FeedSubscriber, InstanceChanges
 from mallowbeam.router.feed.instances import InstanceCopy
--- a/tests/router/registry/test_registry_random.py
+++ b/tests/router/registry/test_registry_random.py
@@ -8,8 +8,8 @@
 import unittest
 from random import Random
 
-from test_registry_processes import Broken
-from test_registry_world import World
+from registry_processes import Broken
+from registry_world import World
 
 from mallowbeam.router.feed import FeedSubscriber
 from mallowbeam.router.registry import InstanceTable
--- a/tests/router/registry/test_registry_processes.py
+++ b/tests/support/registry_processes.py
@@ -23,7 +23,7 @@
 )
 
 if TYPE_CHECKING:
-    from test_registry_world import World
+    from registry_world import World
 
 TICK = 0.02
 INTERVAL = 1.2  # between two heartbeats of an instance
--- /dev/null
+++ b/tests/support/registry_world.py
@@ -0,0 +1,241 @@
+"""The simulated world: members, gateways and instances, driven through the interfaces of the two cores only.
+
+The world steps in ticks of TICK seconds. A connection keeps its order: while a path is cut, what was sent
+waits and arrives after the cut, unless the connection has been ended meanwhile. The replicated log is reduced
+to its promise: a command is taken by a member that reaches a majority, and each member applies it while it
+reaches one.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from random import Random
+
+from registry_processes import INTERVAL, TICK, Broken, Connection, Gateway, Member, Server
+
+from mallowbeam.router.feed import FeedSubscriber
+from mallowbeam.router.registry import Heard, InstanceTable
+from mallowbeam.router.rpc.messages_pb2 import DRAINS, GONE, READY, RegistryGossip, RetireInstance
+
+LINK_TIMEOUT = 1.5  # unacknowledged bytes end a connection
+DRAIN_BOUND = 2.0  # after an acknowledgement, no gateway uses the instance
+CONTACT = 3.0  # what has been in touch for so long has to keep the bounds
+
+
+class World:
+    """All processes, the paths between them, and the clock."""
+
+    def __init__(
+        self,
+        members: list[str],
+        gateways: list[str],
+        seed: int = 1,
+        table_type: type[InstanceTable] = InstanceTable,
+        subscriber_type: type[FeedSubscriber[int]] = FeedSubscriber,
+        election: float = 0.3,
+    ) -> None:
+        self.random = Random(seed)
+        self.now = 0.0
+        self.table_type, self.subscriber_type, self.election = table_type, subscriber_type, election
+        self.log: list[RetireInstance | int] = []
+        self.cuts: set[tuple[str, str]] = set()
+        self.feeds: dict[int, Connection] = {}
+        self.last_feed = 0
+        self.servers: dict[str, Server] = {}
+        self.acknowledged: dict[str, float] = {}  # id to the time of its first acknowledged retirement
+        self.healed_at = 0.0  # when trouble was last seen
+        self.members: dict[str, Member] = {}
+        for name in members:
+            self.members[name] = Member(self, name)
+        for member in self.members.values():
+            member.start(0.0)
+        self.gateways = {name: Gateway(self, name, members[:3]) for name in gateways}
+
+    # ------------------------------------------------------------ paths
+
+    def path(self, sender: str, recipient: str) -> bool:
+        return (sender, recipient) not in self.cuts
+
+    def joined(self, one: str, other: str) -> bool:
+        """Both run, and a path leads both ways."""
+        for name in (one, other):
+            member = self.members.get(name)
+            if member is not None and (not member.up or member.frozen):
+                return False
+        return one == other or (self.path(one, other) and self.path(other, one))
+
+    def flows(self, connection: Connection) -> bool:
+        """Whether bytes arrive: acknowledgements need the way back."""
+        return self.path(connection.sender, connection.recipient) and self.path(
+            connection.recipient, connection.sender
+        )
+
+    def send_peer(self, sender: str, recipient: str, gossip: RegistryGossip) -> None:
+        link = self.members[sender].links.get(recipient)
+        if link is None or not link.open:
+            if not self.joined(sender, recipient):
+                return
+            member = self.members[recipient]
+            link = Connection(sender, recipient, lambda body: member.take_gossip(sender, body))
+            self.members[sender].links[recipient] = link
+        link.waiting.append((self.now + TICK, RegistryGossip.FromString(gossip.SerializeToString())))
+
+    def open_feed(self, gateway: Gateway, member: Member) -> int:
+        self.last_feed += 1
+        number = self.last_feed
+        self.feeds[number] = Connection(member.name, gateway.name, lambda frame: gateway.take(number, frame))
+        return number
+
+    def close_feed(self, number: int) -> None:
+        connection = self.feeds.pop(number, None)
+        if connection is not None:
+            self.members[connection.sender].publisher.unsubscribe(number)
+
+    def deliver(self) -> None:
+        for member in self.members.values():
+            for link in list(member.links.values()):
+                self.pump(link)
+                if link.waiting and self.now - link.waiting[0][0] > LINK_TIMEOUT:
+                    link.open = False
+                    link.waiting.clear()
+                if not link.open:
+                    del member.links[link.recipient]
+                    for name in (link.sender, link.recipient):
+                        if self.members[name].up:
+                            self.members[name].table.link_lost(self.now)
+                    if self.members[link.recipient].up:
+                        self.members[link.recipient].census.lost(hash(link.sender))
+        for connection in list(self.feeds.values()):
+            self.pump(connection)
+
+    def pump(self, connection: Connection) -> None:
+        recipient = self.members.get(connection.recipient)
+        if not self.flows(connection) or (recipient is not None and (recipient.frozen or not recipient.up)):
+            return
+        while connection.waiting and connection.waiting[0][0] <= self.now:
+            connection.deliver(connection.waiting.popleft()[1])
+
+    # ------------------------------------------------------------ troubles
+
+    def trouble(self) -> None:
+        self.healed_at = self.now
+        for gateway in self.gateways.values():
+            gateway.in_touch_since = self.now
+
+    def cut(self, one: str, other: str, both: bool = True) -> None:
+        self.trouble()
+        self.cuts.add((one, other))
+        if both:
+            self.cuts.add((other, one))
+
+    def heal(self) -> None:
+        self.trouble()
+        self.cuts.clear()
+
+    def kill(self, name: str) -> None:
+        self.trouble()
+        member = self.members[name]
+        member.up = False
+        for other in self.members.values():
+            for link in other.links.values():
+                if name in (link.sender, link.recipient):
+                    link.open = False
+                    link.waiting.clear()
+        for number, connection in list(self.feeds.items()):
+            if connection.sender == name:
+                del self.feeds[number]
+                gateway = self.gateways[connection.recipient]
+                if gateway.number == number and self.flows(connection):
+                    gateway.number = 0
+                    gateway.subscriber.failed(f"{name}:1", self.now)
+
+    def restart(self, name: str) -> None:
+        self.trouble()
+        self.members[name].start(self.now)
+
+    def freeze(self, name: str, frozen: bool) -> None:
+        self.trouble()
+        self.members[name].frozen = frozen
+
+    # ------------------------------------------------------------ instances and the operator
+
+    def start_server(self, id: str, address: str = "", backend: str = "s") -> None:
+        address = address or f"10.0.0.{len(self.servers) + 1}:80"
+        self.servers[id] = Server(id, address, backend, self.now, next_at=self.now)
+
+    def beat(self, server: Server) -> None:
+        server.sequence += 1
+        server.next_at = self.now + INTERVAL
+        names = list(self.members)
+        self.random.shuffle(names)
+        if server.member:
+            names.insert(0, server.member)
+        for name in names:
+            if self.joined(server.id, name):
+                server.member = name
+                self.members[name].table.heard(server.heartbeat(server.sequence, server.state), self.now)
+                return
+
+    def late_heartbeat(self, name: str, id: str, sequence: int) -> Heard:
+        return self.members[name].table.heard(self.servers[id].heartbeat(sequence, READY), self.now)
+
+    def retire(self, id: str, kind: int, name: str) -> bool:
+        """A call that says that the instance leaves; True where it is acknowledged."""
+        member = self.members[name]
+        server = self.servers[id]
+        server.state = DRAINS
+        server.running = kind != GONE
+        if not self.joined(id, name):
+            return False
+        member.table.retire(id, kind, self.now, announce=True)
+        if not member.reaches_majority():
+            return False
+        command = RetireInstance(id=id, kind=kind)
+        self.log.append(command)
+        if member.in_touch_since is not None:
+            for entry in self.log[member.durable :]:
+                member.apply(entry, self.now)
+            member.durable = len(self.log)
+        self.acknowledged.setdefault(id, self.now)
+        return True
+
+    def put_configuration(self, revision: int, name: str) -> bool:
+        if not self.members[name].up or not self.members[name].reaches_majority():
+            return False
+        self.log.append(revision)
+        return True
+
+    # ------------------------------------------------------------ time
+
+    def run_to(self, until: float, check: Callable[[World], None] | None = None) -> None:
+        while self.now < until - TICK / 2:
+            self.now = round(self.now + TICK, 6)
+            self.tick()
+            if check is not None:
+                check(self)
+
+    def tick(self) -> None:
+        for server in self.servers.values():
+            if server.running and self.now >= server.next_at:
+                self.beat(server)
+        self.deliver()
+        for member in self.members.values():
+            if member.up and not member.frozen:
+                member.tick(self.now)
+        for gateway in self.gateways.values():
+            gateway.tick(self.now)
+            self.check_drains(gateway)
+
+    def check_drains(self, gateway: Gateway) -> None:
+        """A gateway in touch uses nothing beyond the bound after an acknowledged retirement."""
+        for id, at in self.acknowledged.items():
+            late = self.now - max(at, gateway.in_touch_since + CONTACT - DRAIN_BOUND)
+            if late > DRAIN_BOUND and gateway.state(id) == "ready" and self.in_touch(gateway):
+                raise Broken(f"{self.now:.2f} {gateway.name}: {id} still ready {self.now - at:.2f} s later")
+
+    def in_touch(self, gateway: Gateway) -> bool:
+        """Whether the core has a majority that runs, and the gateway reaches every running member."""
+        running = [name for name, member in self.members.items() if member.up]
+        if 2 * len(running) <= len(self.members):
+            return False
+        return all(self.joined(gateway.name, name) for name in running)
