--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -7,10 +7,11 @@
 from collections.abc import Callable
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.http.framing import MAX_BODY, TOKEN, Budget, Channel, Message, in_chunks, write_head
-from mallowbeam.http.front import Reply, plain
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.framing import MAX_BODY, TOKEN, Channel, Message, in_chunks, write_head
+from mallowbeam.http.handler import Response, text_response
 from mallowbeam.http.stream import MOST, Stream, copy
-from mallowbeam.storage_gateway.scheduler.interface import Repeat
+from mallowbeam.storage_gateway.scheduler.interface import Idempotency
 from mallowbeam.storage_gateway.server.calls import Answer, Call, Kind, length_of, read_deadline, time_left
 from mallowbeam.storage_gateway.server.gateway import Gateway
 from mallowbeam.storage_gateway.server.health import readiness
@@ -52,24 +53,24 @@
     max_body, whole = MOST, MAX_BODY
 
     def __init__(self, gateway: Gateway) -> None:
-        self.gateway, self.budget = gateway, Budget(min(HELD, gateway.config.memory // 8))
+        self.gateway, self.budget = gateway, BodyBudget(min(HELD, gateway.config.memory // 8))
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """One request to its one answer."""
         if request.target == b"/healthz" and request.method in (b"GET", b"HEAD"):
             return readiness(self.gateway, closing())
         try:
             call = self.read(request)
         except BadRequest as error:
-            return plain(400, str(error), closing())
+            return text_response(400, str(error), closing())
         answer = await self.gateway.submit(call)
         if answer.stream is not None:
             return self.streamed(answer, answer.stream, request, closing)
         return self.write(answer, closing())
 
-    def complain(self, status: int, text: str) -> Reply:
+    def error_response(self, status: int, text: str) -> Response:
         """The answer to what breaks HTTP or a bound."""
-        return plain(status, text, True, RETRY_AFTER if status == REFUSED else None)
+        return text_response(status, text, True, RETRY_AFTER if status == REFUSED else None)
 
     def ended(self, request: Message, status: int, whole: bool) -> None:
         """A request is over: it counts for the class it names."""
@@ -96,7 +97,9 @@
         if request.method == b"GET" and (request.came or request.length):
             raise BadRequest("a read has no body")
         # Guards against effects doubled: without a key, a second attempt would not be dropped as a repeat.
-        if not TOKEN.match(headers.get(b"idempotency-key", b"" if cls.repeat is Repeat.KEYED else b"-")):
+        if not TOKEN.match(
+            headers.get(b"idempotency-key", b"" if cls.idempotency is Idempotency.KEYED else b"-")
+        ):
             raise BadRequest("Idempotency-Key is missing or malformed")
         plan = settings.plans.get(headers.get(b"x-storage-class", b"").decode("latin-1"))
         if plan is None:
@@ -110,18 +113,18 @@
         # Guards the client's time: it counts from its request's last byte, which may have waited here.
         waited = time.monotonic() - request.at if request.at else 0.0
         units, shard, hosts = (int(part) for part in extent.groups())
-        if not 1 <= units <= settings.units_top or shard < -1 or not 1 <= hosts <= settings.hosts:
+        if not 1 <= units <= settings.max_units or shard < -1 or not 1 <= hosts <= settings.hosts:
             raise BadRequest("X-Extent is senseless")
         return Call(
             request_id.decode(),
             {
-                "cls": cls.name,
+                "request_class": cls.name,
                 "expires_in": time_left(min(deadline, cls.deadline) - waited),
                 "shard": None if shard < 0 else shard,
                 "units": units,
                 "volume": path[2].decode(),
                 "plan": plan.name,
-                "hosts_of_volume": hosts,
+                "volume_hosts": hosts,
                 "key": path[3].decode(),
                 "is_retry": headers.get(b"x-retry") == b"1",
                 "is_write": request.method == b"PUT",
@@ -131,7 +134,7 @@
             [h for h in request.headers if h[0] in PASSED_ON],
             request.body,
             streamed=(200).__eq__,
-            standstill=max(LEAST, cls.aim * STANDSTILL),
+            standstill=max(LEAST, cls.latency_target * STANDSTILL),
             hold=MAX_BODY,
             most=MOST,
             upload=request.stream,
@@ -139,7 +142,7 @@
         )
 
     @staticmethod
-    def streamed(answer: Answer, stream: Stream, request: Message, closing: Callable[[], bool]) -> Reply:
+    def streamed(answer: Answer, stream: Stream, request: Message, closing: Callable[[], bool]) -> Response:
         """A large answer, passed on as it comes."""
         size = length_of(answer.headers)
         chunked = in_chunks(request, size)
@@ -151,14 +154,16 @@
             finally:
                 stream.close()  # its attempt waits for no client that has gone
 
-        return Reply(200, write=write)
+        return Response(200, write=write)
 
     @staticmethod
-    def write(answer: Answer, close: bool) -> Reply:
+    def write(answer: Answer, close: bool) -> Response:
         """An answer as the client gets it."""
         if answer.kind is Kind.SERVED:
-            return Reply(200, write_head(200, [], len(answer.body), close) + answer.body)
+            return Response(200, write_head(200, [], len(answer.body), close) + answer.body)
         if answer.kind is Kind.FAILED:
-            return plain(FAILED, "failed", close)
+            return text_response(FAILED, "failed", close)
         after = answer.retry_after
-        return plain(REFUSED, "refused", close, [(b"retry-after", b"%.3f" % after)] if after else None)
+        return text_response(
+            REFUSED, "refused", close, [(b"retry-after", b"%.3f" % after)] if after else None
+        )
--- a/mallowbeam/storage_gateway/server/gateway.py
+++ b/mallowbeam/storage_gateway/server/gateway.py
@@ -14,11 +14,11 @@
 
 from loguru import logger
 
+from mallowbeam.http.budget import BodyBudget
 from mallowbeam.http.client import Pool
-from mallowbeam.http.framing import Budget
 from mallowbeam.http.server import Server
-from mallowbeam.storage_gateway.scheduler import interface as io
 from mallowbeam.storage_gateway.scheduler.gateway_host import NEVER, Facade, Orders, Verdict
+from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdateKind
 from mallowbeam.storage_gateway.server.attempts import Attempts, Ended
 from mallowbeam.storage_gateway.server.beside import Beside
 from mallowbeam.storage_gateway.server.calls import MARGIN, Answer, Call, Exchange, Kind, Part, Phase
@@ -26,7 +26,7 @@
 from mallowbeam.storage_gateway.server.discovery import Watch
 from mallowbeam.storage_gateway.server.handover import Handover, Legacy, Sister
 from mallowbeam.storage_gateway.server.listing import Listing, write_listing
-from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 from mallowbeam.storage_gateway.server.metrics import Metrics
 
 LAME_DUCK = 0.5  # seconds after SIGTERM in which all goes on as before, at least
@@ -51,7 +51,7 @@
             config.idle_limit,
             config.connect_timeout,
             min(MAX_ANSWER, config.memory // 32),
-            Budget(config.memory // 8),
+            BodyBudget(config.memory // 8),
         )
         self.watch = Watch(
             config.discovery, config.known.revision, self._told, not config.settings.discovery_on_request
@@ -68,8 +68,8 @@
         self.stopping, self.handed_over = asyncio.Event(), asyncio.Event()
         self.leave_at = NEVER  # when all must be answered
         self.sister: Sister | None = None  # the other process of this gateway, while there are two
-        self.no_room = Sparse("no room for a connection to a node")
-        self.spoilt = Sparse("a node's answer can't be read")
+        self.no_room = RateLimitedWarning("no room for a connection to a node")
+        self.spoilt = RateLimitedWarning("a node's answer can't be read")
 
     def now(self) -> float:
         """Unix time that never jumps."""
@@ -91,7 +91,7 @@
         self.servers = servers
         if admin is not None:
             admin.start()
-        self._listing(self.config.known, io.ListKind.CACHED)
+        self._listing(self.config.known, DiscoveryUpdateKind.CACHED)
         if legacy is not None:
             self.facade.inherit(self.now(), legacy.state)
             self.sister = Sister(legacy.sock, self, legacy.rest, leads=True)
@@ -165,7 +165,7 @@
     async def _hand_over(self) -> None:
         """Let the new process take what comes, until nothing is left here or SIGTERM has come."""
         for server in self.servers:
-            server.last_answers()
+            server.close_after_responses()
         for server in self.servers:
             await server.shut()  # its accept queue is the new process's
         await self._each(part.hand_over() for part in self.parts)
@@ -301,9 +301,9 @@
 
     # --- nodes ---------------------------------------------------------------------------------
 
-    def _told(self, listing: Listing | io.ListKind) -> None:
+    def _told(self, listing: Listing | DiscoveryUpdateKind) -> None:
         """Word from discovery, or how the watch on it ended."""
-        if isinstance(listing, io.ListKind):
+        if isinstance(listing, DiscoveryUpdateKind):
             self._apply(self.facade.listed(self.now(), listing))
         else:
             if self.sister is not None:  # else a whole list is written out for nobody
@@ -326,13 +326,15 @@
         self._apply(orders)
         return True
 
-    def _listing(self, listing: Listing, kind: io.ListKind | None = None) -> None:
+    def _listing(self, listing: Listing, kind: DiscoveryUpdateKind | None = None) -> None:
         """Take in a list; what kind it is it says itself, unless it is an old one."""
-        kind = kind or (io.ListKind.FULL if listing.complete else io.ListKind.CHANGES)
+        kind = kind or (DiscoveryUpdateKind.FULL if listing.complete else DiscoveryUpdateKind.DELTA)
         told = {entry.node for entry in listing.entries}
         for node, address in list(self.addresses.items()):
             # Not up, not listed any more, or elsewhere: no idle connection there is of use.
-            if (node in told or kind is not io.ListKind.CHANGES) and listing.addresses.get(node) != address:
+            if (node in told or kind is not DiscoveryUpdateKind.DELTA) and listing.addresses.get(
+                node
+            ) != address:
                 self.pool.forget(self.addresses.pop(node))
         self.addresses.update(listing.addresses)
         self._apply(self.facade.listed(self.now(), kind, listing.revision, listing.entries))
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -39,13 +39,14 @@
 import mallowbeam
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.lab.rig import hold_port
-from mallowbeam.router.configuration.changes import apply_update, difference, to_update
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.parsing import ConfigurationParser, parse_configuration
 from mallowbeam.router.configuration.patch import parse_patch
+from mallowbeam.router.configuration.updates import apply_update, full_update, incremental_update
 from mallowbeam.router.configuration.versions import patch_command, put_command
 from mallowbeam.router.consensus.storage import ReplicaStore
-from mallowbeam.router.control_plane import answers
+from mallowbeam.router.control_plane.api_errors import CallError
+from mallowbeam.router.control_plane.api_responses import error_reply
 from mallowbeam.router.control_plane.state_machine import ReplicatedStateMachine
 from mallowbeam.router.processes.errors import codes_of, error_types
 from mallowbeam.router.processes.settings import SettingsError, parse_settings
@@ -68,9 +69,9 @@
 from mallowbeam.storage_gateway.coordination.status_pages import page
 from mallowbeam.storage_gateway.frontends.object_api.access import read_keys
 from mallowbeam.storage_gateway.frontends.object_api.errors import ERRORS, error_body
-from mallowbeam.storage_gateway.scheduler import interface
 from mallowbeam.storage_gateway.scheduler import simulator_host as wirehost
 from mallowbeam.storage_gateway.scheduler.gateway_host import Facade
+from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdateKind
 from mallowbeam.storage_gateway.server import config as net_config
 from mallowbeam.storage_gateway.server import handover
 from mallowbeam.storage_gateway.server.listing import read_listing
@@ -198,9 +199,9 @@
     new = parse_configuration(json.dumps(sample["later_document"]).encode()).configuration
     whole = messages.ConfigurationUpdate.FromString(bytes.fromhex(sample["whole_update"]["bytes"]))
     change = messages.ConfigurationUpdate.FromString(bytes.fromhex(sample["change_update"]["bytes"]))
-    assert apply_update(apply_update(None, whole), change) == apply_update(None, to_update(new))
-    assert message_json(to_update(old)) == sample["whole_update"]["value"]
-    assert message_json(difference(old, new)) == sample["change_update"]["value"]
+    assert apply_update(apply_update(None, whole), change) == apply_update(None, full_update(new))
+    assert message_json(full_update(old)) == sample["whole_update"]["value"]
+    assert message_json(incremental_update(old, new)) == sample["change_update"]["value"]
 
 
 # ------------------------------------------------------------------------------------------ replica store
@@ -492,7 +493,7 @@
     sample = samples("handover.json")
     config = net_config.decode(sample["config"], {})
     old = Facade(config.settings, 10.0)
-    old.listed(10.0, interface.ListKind.FULL, 1, list(config.known.entries))
+    old.listed(10.0, DiscoveryUpdateKind.FULL, 1, list(config.known.entries))
     old.by_hand(10.5, "n2", True)
     old.planned(10.6, dataclasses.replace(config.settings.plans["silver"], limit=12.0, weight=2.0))
     old.planned(10.7, dataclasses.replace(config.settings.plans["bronze"], limit=7.0), "vol-1", 1, 0.5)
@@ -503,8 +504,8 @@
             shard=0,
             is_retry=False,
             is_write=False,
-            cls="read",
-            hosts_of_volume=2,
+            request_class="read",
+            volume_hosts=2,
             units=3,
             volume=volume,
             expires_in=1.2,
@@ -515,7 +516,7 @@
 
     state = json.loads(sample["frames"][1])["state"]
     new = Facade(config.settings, 20.0)
-    new.listed(20.0, interface.ListKind.FULL, 7, read_listing(state["list"]).entries)
+    new.listed(20.0, DiscoveryUpdateKind.FULL, 7, read_listing(state["list"]).entries)
     new.inherit(20.0, state)
     assert json.loads(json.dumps(new.state(20.0))) == sample["inherited"]
     assert {node: new.takes(node) for node in sample["takes"]} == sample["takes"]
@@ -568,11 +569,11 @@
 
 
 def test_the_control_api_answers_errors_as_before():
-    kinds = {kind.code: kind for kind in (answers.CallError, *all_below(answers.CallError))}
+    kinds = {kind.code: kind for kind in (CallError, *all_below(CallError))}
     for one in samples("errors.json")["control_api"]:
         error = kinds[one["error"]["code"]]("what is wrong", "If-Match")
         check_error(error, one["error"])
-        reply = answers.error_reply(error.status, error, False, ["10.0.0.1:8001", "10.0.0.2:8001"])
+        reply = error_reply(error.status, error, False, ["10.0.0.1:8001", "10.0.0.2:8001"])
         assert reply.status == one["status"]
         check_reply(reply.data, one["reply"])
 
@@ -590,7 +591,7 @@
         error = raised(ConfigurationError, lambda: parse_configuration(one["document"].encode()))  # noqa: B023
         check_error(error, one)
         assert sorted(error.told()) == one["told"]
-        check_reply(answers.error_reply(one["status"], error, False).data, one["reply"])
+        check_reply(error_reply(one["status"], error, False).data, one["reply"])
     for one in sample["heartbeats"]:
         body = one["body"].ljust(one["size"], "x").encode()
         check_error(raised(HeartbeatError, lambda: parse_heartbeat(one["id"], body)), one)  # noqa: B023
