--- a/mallowbeam/http/budget.py
+++ b/mallowbeam/http/budget.py
@@ -16,10 +16,10 @@
     """
 
     def __init__(self, most: int, large_from: float = inf) -> None:
-        self.whole = self.most = most  # in all, and while another process has its part
+        self.configured_limit = self.limit = most  # in all, and while another process has its part
         self.used = 0
-        self.large_from = large_from
-        self.large: object | None = None  # the message whose body is the large one
+        self.large_body_from = large_from
+        self.large_body_of: object | None = None  # the message whose body is the large one
 
 
 class BudgetReservation:
@@ -33,11 +33,11 @@
     def expect(self, message: object, size: int) -> str | None:
         """A message has, or will have, a body of so many bytes; why it can't be taken, None where it can."""
         budget = self._budget
-        if budget is None or size <= budget.large_from or self._large is message:
+        if budget is None or size <= budget.large_body_from or self._large is message:
             return None
-        if budget.large is not None:
+        if budget.large_body_of is not None:
             return ANOTHER_LARGE_BODY
-        budget.large = self._large = message
+        budget.large_body_of = self._large = message
         return None
 
     def charge(self, message: object, came: int, count: int) -> str | None:
@@ -48,7 +48,7 @@
             return refusal
         self._bytes += count
         budget.used += count
-        return TOO_MANY_BODIES if budget.used > budget.most else None
+        return TOO_MANY_BODIES if budget.used > budget.limit else None
 
     def release(self) -> None:
         """Give all back: the bodies are answered, or their connection is over."""
@@ -57,4 +57,4 @@
         self._budget.used -= self._bytes
         self._bytes = 0
         if self._large is not None:
-            self._budget.large = self._large = None
+            self._budget.large_body_of = self._large = None
--- a/mallowbeam/http/client.py
+++ b/mallowbeam/http/client.py
@@ -56,16 +56,16 @@
 
     def __init__(self, channel: Channel, address: str) -> None:
         self.channel, self.address, self.idle_since = channel, address, 0.0
-        self.written = False  # the request's last byte is the kernel's: it may run
-        self.left: int | None = 0  # bytes of its body that are not written; None: comes in chunks
-        self._start = channel.taken  # the count of bytes taken as the request began
+        self.request_sent = False  # the request's last byte is the kernel's: it may run
+        self.body_left: int | None = 0  # bytes of its body that are not written; None: comes in chunks
+        self._start = channel.bytes_sent  # the count of bytes taken as the request began
         self._writer: asyncio.Task[None] | None = None  # writes what the kernel did not take at once
         self._refused = False  # a write failed: the end of the connection is no orderly one
 
     @property
     def begun(self) -> bool:
         """Whether the kernel has taken any byte of the request; if not, it is proven unsent."""
-        return self.channel.taken > self._start
+        return self.channel.bytes_sent > self._start
 
     async def request(
         self, head: bytes, body: bytes | bytearray = b"", bodiless: bool = False, follows: int | None = 0
@@ -81,7 +81,7 @@
         else:
             await self._send(head + body, follows == 0)
 
-    async def ask(self, head: bytes, body: bytes | bytearray = b"", bodiless: bool = False) -> Message:
+    async def round_trip(self, head: bytes, body: bytes | bytearray = b"", bodiless: bool = False) -> Message:
         """Write a request and return its answer, headers read.
 
         The kernel is given the request in this step, with nothing awaited before.  What it does not take at
@@ -98,14 +98,14 @@
         if any(rest):
             self._writer = asyncio.create_task(self._write_rest(rest))
         else:
-            self.written = True
-        return await self.head()
+            self.request_sent = True
+        return await self.read_head()
 
     def _begin(self, bodiless: bool, follows: int | None) -> None:
         """A request begins; the one before it is over."""
         self.channel.framer.bodiless = bodiless
-        self.written, self.left = False, follows
-        self._start = self.channel.taken
+        self.request_sent, self.body_left = False, follows
+        self._start = self.channel.bytes_sent
 
     def _push(self, data: bytes | bytearray) -> memoryview:
         """Write what the kernel takes at once; what is left."""
@@ -122,14 +122,14 @@
         except OSError:
             self._refused = True
         else:
-            self.written = True
+            self.request_sent = True
 
     async def write(self, piece: bytes | bytearray) -> None:
         """Write a piece of a body; in chunks, an empty one is its end.  Raises `RequestNotSentError`."""
-        if self.left is None:
+        if self.body_left is None:
             return await self._send(b"".join((b"%x\r\n" % len(piece), piece, b"\r\n")), not piece)
-        self.left -= len(piece)
-        await self._send(piece, self.left <= 0)
+        self.body_left -= len(piece)
+        await self._send(piece, self.body_left <= 0)
         return None
 
     async def _send(self, data: bytes | bytearray, last: bool) -> None:
@@ -138,7 +138,7 @@
             await self.channel.send(data)
         except OSError as error:
             raise RequestNotSentError(str(error)) from None
-        self.written = last
+        self.request_sent = last
 
     async def exceeds(self, answer: Message, hold: int, most: int | None, standstill: float | None) -> bool:
         """Whether an answer is larger than what is held whole, as any is where nothing is.
@@ -151,11 +151,11 @@
             raise RemoteProtocolError(f"an answer of {answer.length} bytes")
         if answer.length is not None and answer.length > hold:
             hold = 1  # its first bytes are worth passing on
-        while len(answer.body) < hold and not answer.whole:
+        while len(answer.body) < hold and not answer.complete:
             await self._on(answer, standstill)
-        return not answer.whole
+        return not answer.complete
 
-    async def head(self) -> Message:
+    async def read_head(self) -> Message:
         """The answer, its headers read and its body perhaps still coming; raises `ConnectionBrokenError`."""
         framer = self.channel.framer
         for _ in range(MOST_INTERIM + 1):
@@ -165,7 +165,7 @@
         else:
             raise RemoteProtocolError("interim answers without end")
         if framer.bodiless:
-            answer.whole = True
+            answer.complete = True
         return answer
 
     async def _next_head(self) -> Message:
@@ -174,30 +174,30 @@
         while True:
             if framer.ready:
                 return framer.ready.popleft()
-            if (part := framer.part) is not None and not framer.in_head:
+            if (part := framer.incoming) is not None and not framer.in_head:
                 return part
             if not await self._read():
                 raise ConnectionBrokenError("the connection ended before the answer")
 
-    async def more(self, answer: Message) -> None:
+    async def read_more(self, answer: Message) -> None:
         """Read on in an answer's body; raises `ConnectionBrokenError`."""
         if not await self._read():
             # A write that failed has taken the reset that a read would have told of.
             if not answer.until_close or self._refused:
                 raise ConnectionBrokenError("the connection ended inside the answer")
-            answer.whole, answer.keep_alive = True, False
+            answer.complete, answer.keep_alive = True, False
         ready = self.channel.framer.ready
         if ready and ready[0] is answer:  # one behind it stays: such a connection is not used again
             ready.popleft()
 
-    async def body(self, answer: Message, standstill: float | None = None) -> bytearray:
+    async def read_body(self, answer: Message, standstill: float | None = None) -> bytearray:
         """The whole body of an answer that is not passed on in pieces.
 
         Guards against one that stops short: past `standstill` seconds without a byte no more of it comes.
         """
-        if answer.length is not None and answer.length > self.channel.framer.max_body and not answer.whole:
+        if answer.length is not None and answer.length > self.channel.framer.max_body and not answer.complete:
             raise RemoteProtocolError(f"an answer of {answer.length} bytes")
-        while not answer.whole:
+        while not answer.complete:
             await self._on(answer, standstill)
         return answer.body
 
@@ -205,7 +205,7 @@
         """Read on, but not for longer than `standstill` seconds without a byte."""
         try:
             async with asyncio.timeout(standstill):
-                await self.more(answer)
+                await self.read_more(answer)
         except TimeoutError:
             raise RemoteProtocolError("the answer stopped short") from None
 
@@ -213,24 +213,24 @@
         """Read once; raises `RemoteProtocolError` for what is malformed, unless an answer came before it."""
         framer = self.channel.framer
         try:
-            going_on = framer.fault is None and await self.channel.receive()
+            going_on = framer.error is None and await self.channel.receive()
         except OSError as error:
             raise ConnectionBrokenError(str(error)) from None
-        if framer.fault is not None and not framer.ready:
-            raise RemoteProtocolError(str(framer.fault))
+        if framer.error is not None and not framer.ready:
+            raise RemoteProtocolError(str(framer.error))
         return going_on
 
     def reusable(self, answer: Message) -> bool:
         """Whether another request may follow on this connection."""
         framer = self.channel.framer
         return (
-            self.written
-            and answer.whole
+            self.request_sent
+            and answer.complete
             and answer.keep_alive
             and not answer.until_close
             and not framer.bodiless
             and framer.empty
-            and framer.fault is None
+            and framer.error is None
         )
 
     def close(self) -> None:
@@ -269,9 +269,11 @@
         max_body: int,
         budget: BodyBudget,
     ) -> None:
-        self.whole = self.most = most  # connections in all, and how many of them may be open now
+        self.configured_limit = self.connection_limit = (
+            most  # connections in all, and how many of them may be open now
+        )
         self.max_body, self.budget = max_body, budget
-        self.lasts = (idle_limit or 10.0) * RETIRE  # seconds that a connection may lie idle
+        self.idle_lifetime = (idle_limit or 10.0) * RETIRE  # seconds that a connection may lie idle
         self.connect_timeout = connect_timeout or 1.0
         self.idle: dict[str, list[Link]] = {}
         self.count = 0  # connections open or being opened
@@ -287,10 +289,10 @@
         while rested:
             rested -= 1
             link = idle.pop(rested)
-            if now - link.idle_since < self.lasts:
+            if now - link.idle_since < self.idle_lifetime:
                 return link
             self.drop(link)
-        if self.count >= self.most and not self._evict():
+        if self.count >= self.connection_limit and not self._evict():
             raise ConnectionLimitError("as many connections are open as are allowed")
         self.count += 1
         try:
@@ -309,8 +311,8 @@
         if len(idle) >= MAX_IDLE_EACH:
             return False
         link.channel.framer.release()
-        link.channel.narrow()
-        link.written, link.idle_since = False, time.monotonic() - REST if since is None else since
+        link.channel.shrink_buffer()
+        link.request_sent, link.idle_since = False, time.monotonic() - REST if since is None else since
         insort(idle, link, key=lambda link: link.idle_since)
         return True
 
@@ -320,15 +322,18 @@
         link.channel.framer.release()
         link.close()
 
-    def limit(self, parts: int) -> None:
+    def limit_to_part(self, parts: int) -> None:
         """Keep to one of so many equal parts of connections and bodies; idle ones beyond it are closed."""
-        self.most, self.budget.most = self.whole // parts, self.budget.whole // parts
-        while self.count > self.most and self._evict():
+        self.connection_limit, self.budget.limit = (
+            self.configured_limit // parts,
+            self.budget.configured_limit // parts,
+        )
+        while self.count > self.connection_limit and self._evict():
             pass
 
     def sweep(self) -> None:
         """Close what has been idle for too long, oldest first in each list."""
-        limit = time.monotonic() - self.lasts
+        limit = time.monotonic() - self.idle_lifetime
         for address, idle in list(self.idle.items()):
             while idle and idle[0].idle_since < limit:
                 self.drop(idle.pop(0))
--- a/mallowbeam/http/connection.py
+++ b/mallowbeam/http/connection.py
@@ -43,7 +43,7 @@
 
     def __init__(self, server: Owner, sock: socket.socket, over: bool = False) -> None:
         self.server, front = server, server.front
-        self.over = over  # no room for it: its request is refused at once
+        self.rejected = over  # no room for it: its request is refused at once
         self.channel = Channel(
             sock,
             Framer(
@@ -53,48 +53,48 @@
                 max_head=getattr(front, "max_head", MAX_HEAD),
             ),
         )
-        self.ahead = ReadAhead(front.budget)  # read, and not parsed yet
-        self.part: Message | None = None  # the request that is coming in
-        self.since = time.monotonic()  # when that began, or the last answer went out
-        self.busy: asyncio.Task[None] | None = None
+        self.read_ahead = ReadAhead(front.budget)  # read, and not parsed yet
+        self.incoming: Message | None = None  # the request that is coming in
+        self.waiting_since = time.monotonic()  # when that began, or the last answer went out
+        self.response_task: asyncio.Task[None] | None = None
         self.request: Message | None = None  # the one that is being answered
-        self.taking: Message | None = None  # the same, while its body passes through
-        self.blocked = False  # nothing is read: the body's taker is slow
+        self.streamed_request: Message | None = None  # the same, while its body passes through
+        self.consumer_is_slow = False  # nothing is read: the body's taker is slow
         self.writing = self.answered = False
-        self.ends_by = 0.0  # until when what waits is answered before it ends
-        self.held = False  # nothing is read, but the client is looked for
-        self.looks: asyncio.TimerHandle | None = None
-        self.room = asyncio.Event()
+        self.pipeline_deadline = 0.0  # until when what waits is answered before it ends
+        self.reading_paused = False  # nothing is read, but the client is looked for
+        self.liveness_timer: asyncio.TimerHandle | None = None
+        self.reading_may_resume = asyncio.Event()
         self.task = asyncio.create_task(self._run())
 
     @property
     def idle(self) -> bool:
         """Whether nothing is coming in, held or going out."""
-        return self.busy is None and self.channel.framer.empty
+        return self.response_task is None and self.channel.framer.empty
 
     @property
     def pending(self) -> int:
         """Requests here that have come in whole and are not over yet."""
-        return len(self.channel.framer.ready) + (self.request is not None and self.request.whole)
+        return len(self.channel.framer.ready) + (self.request is not None and self.request.complete)
 
     @property
-    def spare(self) -> bool:
+    def can_be_closed(self) -> bool:
         """Whether it may be closed to make room.
 
         Guards requests on their way in: a client that has just come is about to send one, and one that lies
         unread in the socket is taken and would be lost with it.
         """
         if self.closing:  # perhaps it has had its last answer
-            return self.stage is not Stage.LAST
+            return self.state is not Stage.LAST
         return (
             self.idle
-            and (self.answered or time.monotonic() - self.since > FRESH)
+            and (self.answered or time.monotonic() - self.waiting_since > FRESH)
             and not self.channel.stale()
         )
 
     async def _run(self) -> None:
         try:
-            await self._take()
+            await self._read_requests()
         except (OSError, asyncio.CancelledError):
             pass
         except Exception as error:
@@ -102,46 +102,46 @@
         finally:
             await self._close()
 
-    async def _take(self) -> None:
+    async def _read_requests(self) -> None:
         """Take requests in, until the client's end or ours."""
         framer = self.channel.framer
         while await self._receive():
-            if framer.part is not self.part:
-                self.part = framer.part
+            if framer.incoming is not self.incoming:
+                self.incoming = framer.incoming
                 if self.answered:  # the first request has its time from the connection's start
-                    self.since = time.monotonic()
-            self._pump()
-            if framer.fault is not None:
-                return await self._last_word(framer.fault)
-            if self.busy is None and framer.wants_continue():
+                    self.waiting_since = time.monotonic()
+            self._start_next_response()
+            if framer.error is not None:
+                return await self._answer_malformed(framer.error)
+            if self.response_task is None and framer.wants_continue():
                 await self.channel.send(CONTINUE)
-            await self._pass_on()
+            await self._forward_body()
         return None
 
     async def _receive(self) -> bool:
         """Take in what came next, in the step of its read; False at the client's end and after ours."""
         channel, framer = self.channel, self.channel.framer
-        while self.stage is not Stage.LINGERING:
+        while self.state is not Stage.LINGERING:
             waits = len(framer.ready) > PIPELINED
-            if self.ahead and not waits:
-                at, data = self.ahead.take()
+            if self.read_ahead and not waits:
+                at, data = self.read_ahead.popleft()
                 self._feed(memoryview(data), at)
                 return True
-            if waits and self.ahead.full:
-                self.room.clear()
-                await self._unread(self.room.wait())
+            if waits and self.read_ahead.full:
+                self.reading_may_resume.clear()
+                await self._wait_unread(self.reading_may_resume.wait())
                 continue
             count = await channel.read()
             # Another task may have hung up meanwhile, which mypy does not see: this is not sent on.
-            if count is None or self.stage is Stage.LINGERING:  # type: ignore[comparison-overlap]
+            if count is None or self.state is Stage.LINGERING:  # type: ignore[comparison-overlap]
                 continue
             if not count:
                 return False
-            if not waits and not self.ahead:
-                self._feed(channel.buffer[:count], channel.moved)
+            if not waits and not self.read_ahead:
+                self._feed(channel.buffer[:count], channel.last_activity)
                 return True
-            self.ahead.put(channel.buffer[:count], channel.moved)
-        await self._read_out()
+            self.read_ahead.append(channel.buffer[:count], channel.last_activity)
+        await self._discard_input()
         return False
 
     def _feed(self, data: memoryview, at: float) -> None:
@@ -151,67 +151,72 @@
         framer.read_at = at
         framer.feed(data)
 
-    async def _unread(self, wait: Awaitable[object]) -> None:
+    async def _wait_unread(self, wait: Awaitable[object]) -> None:
         """Wait while nothing is read, and look now and then whether the client is still there."""
-        self.held = True
-        self._look()
+        self.reading_paused = True
+        self._check_liveness()
         try:
             await wait
         finally:
-            self.held = False
-            if self.looks is not None:
-                self.looks.cancel()
+            self.reading_paused = False
+            if self.liveness_timer is not None:
+                self.liveness_timer.cancel()
 
-    def _look(self) -> None:
+    def _check_liveness(self) -> None:
         """Guards nodes against requests of a client that has left behind bytes which are not read."""
         if gone(self.channel.sock):
             self.task.cancel()
-        self.looks = self.channel.loop.call_later(LOOK, self._look)
+        self.liveness_timer = self.channel.loop.call_later(LOOK, self._check_liveness)
 
     async def _close(self) -> None:
         """The one place in which the socket is closed, and what still depends on it is ended."""
-        self.stage = Stage.CLOSED
-        if self.cut is not None:
-            self.cut.cancel()
+        self.state = Stage.CLOSED
+        if self.close_timer is not None:
+            self.close_timer.cancel()
         try:
-            if self.busy is not None:
-                self.busy.cancel()
-                await asyncio.gather(self.busy, return_exceptions=True)
+            if self.response_task is not None:
+                self.response_task.cancel()
+                await asyncio.gather(self.response_task, return_exceptions=True)
         finally:
-            if self.taking is not None and self.taking.stream is not None:
-                self.taking.stream.close()
-            self.ahead.drop()
+            if self.streamed_request is not None and self.streamed_request.stream is not None:
+                self.streamed_request.stream.close()
+            self.read_ahead.clear()
             self.channel.framer.release()
             drop(self.channel.sock, self.channel.buffer, LINGER_BYTES)
             self.channel.close()
             self.server.connections.discard(self)
 
-    def _pump(self) -> None:
+    def _start_next_response(self) -> None:
         """Begin to answer the next request that is whole, or too large to be held, unless one is answered."""
         framer = self.channel.framer
-        if self.busy is not None or self.stage in (Stage.LINGERING, Stage.CLOSED):
+        if self.response_task is not None or self.state in (Stage.LINGERING, Stage.CLOSED):
             return
-        if self._left():
+        if self._client_has_left():
             self.task.cancel()  # nothing of it is sent on
             return
         if framer.ready:
             request = framer.ready.popleft()
-        elif framer.part is not None and framer.holds_more_than(self.server.front.whole):
-            request = self.taking = framer.part
-            request.stream = Stream(wanted=self._wanted)
-            self.channel.widen()
+        elif framer.incoming is not None and framer.holds_more_than(self.server.front.max_buffered_body):
+            request = self.streamed_request = framer.incoming
+            request.stream = Stream(wanted=self._send_continue)
+            self.channel.grow_buffer()
         else:
             return
-        self.busy = asyncio.create_task(self._answer(request))
+        self.response_task = asyncio.create_task(self._answer(request))
 
-    def _left(self) -> bool:
+    def _client_has_left(self) -> bool:
         """Whether the client of a request that had to wait is no longer there.
 
         Guards nodes: a new connection may have lain in the accept queue, and its client has come and gone.
         """
-        return self.held and gone(self.channel.sock) or not self.answered and self.channel.peek() is False
+        return (
+            self.reading_paused
+            and gone(self.channel.sock)
+            or not self.answered
+            and self.channel.peek() is False
+        )
 
-    def _wanted(self) -> None:
+    def _send_continue(self) -> None:
         """The first piece of a large body is asked for: a client that waits for a word gets it."""
         if self.channel.framer.wants_continue():
             try:  # a few bytes, and nothing else is being written
@@ -219,25 +224,25 @@
             except OSError:
                 pass
 
-    async def _pass_on(self) -> None:
+    async def _forward_body(self) -> None:
         """Hand on what came of a large body; while its taker is slow nothing is read, and no time counts."""
-        request = self.taking
+        request = self.streamed_request
         if request is None or (stream := request.stream) is None:
             return
         if piece := request.take():
             self.channel.framer.release()
-            began, self.blocked = time.monotonic(), True
+            began, self.consumer_is_slow = time.monotonic(), True
             if stream.full:
-                await self._unread(stream.put(piece))
+                await self._wait_unread(stream.put(piece))
             else:
                 await stream.put(piece)
-            self.since += time.monotonic() - began
-            self.blocked = False
-        if request.whole:
-            self.taking = None
-            self.channel.narrow()
+            self.waiting_since += time.monotonic() - began
+            self.consumer_is_slow = False
+        if request.complete:
+            self.streamed_request = None
+            self.channel.shrink_buffer()
             if stream.full:
-                await self._unread(stream.put(None))
+                await self._wait_unread(stream.put(None))
             else:
                 await stream.put(None)
 
@@ -253,28 +258,33 @@
         except Exception as error:
             logger.error("a request failed unforeseen", exc_info=error)
             whole, close = False, True
-        self.writing, self.busy, self.since, self.answered = False, None, time.monotonic(), True
+        self.writing, self.response_task, self.waiting_since, self.answered = (
+            False,
+            None,
+            time.monotonic(),
+            True,
+        )
         self.request = None
         if request.stream is not None:
             request.stream.close()
         if self.channel.framer.empty:
             self.channel.framer.release()
-        if self.stage is Stage.CLOSED:  # the client has gone
+        if self.state is Stage.CLOSED:  # the client has gone
             return
         if not whole:
-            self._break_off(request)
-        elif close and (last or self.over or not request.whole or not self._owes()):
-            self._hang_up()
+            self._end_truncated(request)
+        elif close and (last or self.rejected or not request.complete or not self._request_is_pending()):
+            self._half_close()
         else:
-            self._pump()
-            self.room.set()
-        if self.ahead or self.channel.framer.fault is not None:
+            self._start_next_response()
+            self.reading_may_resume.set()
+        if self.read_ahead or self.channel.framer.error is not None:
             self.channel.wake()
 
     async def _write(self, request: Message) -> bool:
         """Write the front's answer to a request; False if it broke off."""
         try:
-            if self.over:
+            if self.rejected:
                 request.keep_alive = False
                 reply = self.server.front.error_response(503, "too many connections")
             else:
@@ -284,7 +294,7 @@
             logger.error("a request failed unforeseen", exc_info=error)
             reply = self.server.front.error_response(500, "internal error")
             request.keep_alive = False
-        self.channel.moved, self.writing, whole = time.monotonic(), True, False
+        self.channel.last_activity, self.writing, whole = time.monotonic(), True, False
         try:
             if reply.write is None:
                 head_only = request.method == b"HEAD"  # its answer ends with the headers, whatever they say
@@ -293,17 +303,21 @@
                 )
             whole = reply.write is None or await reply.write(self.channel)
         finally:
-            self.server.front.ended(request, reply.status, whole)
+            self.server.front.finished(request, reply.status, whole)
         return whole
 
-    def _owes(self) -> bool:
+    def _request_is_pending(self) -> bool:
         """Whether our side can't end yet after its last answer: a request came while that was written.
 
         Guards it: it has crossed the answer, and is taken.  Its client may read on up to our end.
         """
-        if time.monotonic() > self.ends_by or not self.channel.framer.ready and self._rests():
+        if (
+            time.monotonic() > self.pipeline_deadline
+            or not self.channel.framer.ready
+            and self._nothing_unread()
+        ):
             return False
-        self.stage = Stage.LAST
+        self.state = Stage.LAST
         return True
 
     def closes(self, request: Message) -> bool:
@@ -312,80 +326,88 @@
         Guards requests that have come in whole behind it: where the end is ours they are answered first, for
         a while.
         """
-        if not request.keep_alive or not request.whole:  # its body may still be coming
+        if not request.keep_alive or not request.complete:  # its body may still be coming
             return True
-        if not self.server.closing and self.stage is Stage.OPEN:
+        if not self.server.closing and self.state is Stage.OPEN:
             return False
         now = time.monotonic()
-        self.ends_by = self.ends_by or now + LINGER
-        request.keep_alive = bool(self.channel.framer.ready) and now < self.ends_by
+        self.pipeline_deadline = self.pipeline_deadline or now + LINGER
+        request.keep_alive = bool(self.channel.framer.ready) and now < self.pipeline_deadline
         return not request.keep_alive
 
-    async def _last_word(self, fault: MessageError) -> None:
+    async def _answer_malformed(self, fault: MessageError) -> None:
         """Answer what breaks HTTP once the request before it has its answer, then end in order."""
-        if self.taking is not None and self.taking.stream is not None:
-            self.taking.stream.break_off()  # what is passed on of it can't be finished
+        if self.streamed_request is not None and self.streamed_request.stream is not None:
+            self.streamed_request.stream.abort()  # what is passed on of it can't be finished
         most = LINGER_BYTES
-        while self.busy is not None:  # whole requests before it have their answers first
+        while self.response_task is not None:  # whole requests before it have their answers first
             if most <= 0:
-                await self._unread(asyncio.wait([self.busy]))
+                await self._wait_unread(asyncio.wait([self.response_task]))
             elif (count := await self.channel.read()) == 0:
                 return
             else:
                 most -= count or 0
-        if self.stage is not Stage.LINGERING:
-            self.stage, self.writing = Stage.LAST, True
+        if self.state is not Stage.LINGERING:
+            self.state, self.writing = Stage.LAST, True
             async with asyncio.timeout(LINGER):
-                await self.channel.send(self._complaint(fault.status, str(fault)))
+                await self.channel.send(self._final_error(fault.status, str(fault)))
             self.writing = False
-            self._hang_up()
-        await self._read_out()
+            self._half_close()
+        await self._discard_input()
 
-    def _refuse(self) -> None:
+    def _answer_timeout(self) -> None:
         """Answer a request that did not come in time; best effort: its client may not read either."""
         try:
-            self.channel.sock.send(self._complaint(408, "the request did not come in time"))
+            self.channel.sock.send(self._final_error(408, "the request did not come in time"))
         except OSError:
             pass
-        self._hang_up()
+        self._half_close()
 
-    def _complaint(self, status: int, text: str) -> bytes:
+    def _final_error(self, status: int, text: str) -> bytes:
         """The last word on a request that does not come in whole; it counts if its head has."""
-        part = self.channel.framer.part
+        part = self.channel.framer.incoming
         if part is not None and not self.channel.framer.in_head:
-            self.server.front.ended(part, status, True)
+            self.server.front.finished(part, status, True)
         return self.server.front.error_response(status, text).data
 
     def sweep(self, now: float) -> None:
         """End a connection that has been idle or stalled for too long."""
-        if self.stage in (Stage.LINGERING, Stage.CLOSED):
+        if self.state in (Stage.LINGERING, Stage.CLOSED):
             return  # that has its time
         if self.writing:
-            if now - self.channel.moved > UNREAD:
+            if now - self.channel.last_activity > UNREAD:
                 reset_at_close(self.channel.sock)  # it reads nothing, and must not take this for an end
                 self.task.cancel()
         elif self.idle:
-            limit = self._idle_limit() if self.answered else self._stalled()
-            if now - self.since > limit and self._rests():
-                self._hang_up()
-        elif self.taking is not None:
-            stream = self.taking.stream
-            if stream is not None and not self.blocked and now - self.since > self._patience():
-                stream.break_off()  # its taker ends it, and that is answered
-        elif self.busy is None and now - self.since > self._patience() and self._rests():
-            self._refuse()
-
-    def _patience(self) -> float:
+            limit = self._idle_timeout() if self.answered else self._request_timeout()
+            if now - self.waiting_since > limit and self._nothing_unread():
+                self._half_close()
+        elif self.streamed_request is not None:
+            stream = self.streamed_request.stream
+            if (
+                stream is not None
+                and not self.consumer_is_slow
+                and now - self.waiting_since > self._request_time_limit()
+            ):
+                stream.abort()  # its taker ends it, and that is answered
+        elif (
+            self.response_task is None
+            and now - self.waiting_since > self._request_time_limit()
+            and self._nothing_unread()
+        ):
+            self._answer_timeout()
+
+    def _request_time_limit(self) -> float:
         """Seconds that the request which is coming in may take, by what came: a trickle is no upload."""
-        part = self.channel.framer.part
-        return self._stalled() + (part.came / SLOWEST if part else 0.0)
+        part = self.channel.framer.incoming
+        return self._request_timeout() + (part.received / SLOWEST if part else 0.0)
 
-    def _stalled(self) -> float:
+    def _request_timeout(self) -> float:
         """Seconds in which a request must come in: the front's `stalled`, if it has one."""
         seconds: float = getattr(self.server.front, "stalled", STALLED)
         return seconds
 
-    def _idle_limit(self) -> float:
+    def _idle_timeout(self) -> float:
         """Seconds that a connection may lie idle after an answer: the front's `idle`, if it has one."""
         seconds: float = getattr(self.server.front, "idle", IDLE)
         return seconds
--- a/mallowbeam/http/framing.py
+++ b/mallowbeam/http/framing.py
@@ -65,13 +65,13 @@
         "headers",
         "body",
         "keep_alive",
-        "whole",
+        "complete",
         "until_close",
         "version",
         "length",
-        "came",
+        "received",
         "stream",
-        "at",
+        "completed_at",
     )
 
     def __init__(self) -> None:
@@ -79,10 +79,10 @@
         self.headers: Headers = []  # names in lower case
         self.body = bytearray()  # what is held of it
         self.length: int | None = None  # the length stated
-        self.came = 0  # bytes of it so far
+        self.received = 0  # bytes of it so far
         self.stream: Stream | None = None  # where it goes, if not held whole
-        self.keep_alive, self.whole, self.version = True, False, "1.1"
-        self.at = 0.0  # when its last byte was read, by the steady clock
+        self.keep_alive, self.complete, self.version = True, False, "1.1"
+        self.completed_at = 0.0  # when its last byte was read, by the steady clock
         self.until_close = False  # its end (a request's: its answer's) is the connection's
 
     def get(self, name: bytes) -> bytes | None:
@@ -111,7 +111,7 @@
         max_head: int = MAX_HEAD,
     ) -> None:
         self.answers, self.max_body, self.max_head = answers, max_body, max_head
-        self.held = BudgetReservation(budget)
+        self.reservation = BudgetReservation(budget)
         self._response_parser: httptools.HttpResponseParser | None = None
         self._request_parser: httptools.HttpRequestParser | None = None
         self.parser: httptools.HttpResponseParser | httptools.HttpRequestParser
@@ -120,51 +120,51 @@
         else:
             self.parser = self._request_parser = httptools.HttpRequestParser(self)
         self.ready: deque[Message] = deque()  # whole messages
-        self.part: Message | None = None  # the one that is coming in
-        self.in_head, self.quiet = False, 0
+        self.incoming: Message | None = None  # the one that is coming in
+        self.in_head, self.pending_bytes = False, 0
         self.bodiless = False  # the next answer is to a HEAD
         self.read_at = 0.0  # when what is fed was read
-        self.fault: MessageError | None = None  # what came after the messages in `ready` is of no use
+        self.error: MessageError | None = None  # what came after the messages in `ready` is of no use
 
     def feed(self, data: memoryview) -> None:
         """Take in bytes; what breaks HTTP or a bound sets `fault`, and messages whole before it stand."""
-        if self.fault is not None:
+        if self.error is not None:
             return
-        self.quiet += len(data)
+        self.pending_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.fault = MessageError(400, "upgrade is not offered")
+            self.error = MessageError(400, "upgrade is not offered")
         except httptools.HttpParserError as error:
-            self.fault = self.fault or MessageError(400, f"malformed message: {error}")
+            self.error = self.error or MessageError(400, f"malformed message: {error}")
         # Guards against a header or trailer without end, which the parser would collect without bound.
-        if self.quiet > max(MAX_QUIET, self.max_head):
-            self.fault = self.fault or MessageError(431, "header too large")
+        if self.pending_bytes > max(MAX_QUIET, self.max_head):
+            self.error = self.error or MessageError(431, "header too large")
 
     def bound(self, max_body: int, max_head: int) -> None:
         """Other bounds from now on; what is coming in may still be as large as it was when it began."""
-        if self.part is not None:
+        if self.incoming is not None:
             max_body, max_head = max(max_body, self.max_body), max(max_head, self.max_head)
         self.max_body, self.max_head = max_body, max_head
 
     @property
     def empty(self) -> bool:
         """Whether nothing is coming in and nothing waits."""
-        return self.part is None and not self.ready
+        return self.incoming is None and not self.ready
 
     def holds_more_than(self, most: int) -> bool:
         """Whether the request coming in is one with a body larger than that."""
-        part = self.part
+        part = self.incoming
         return (
-            self.fault is None
+            self.error is None
             and part is not None
             and not self.in_head
-            and max(part.length or 0, part.came) > most
+            and max(part.length or 0, part.received) > most
         )
 
     def wants_continue(self) -> bool:
         """Whether the client waits for a word before it sends the body of a request; true once for each."""
-        part = self.part
+        part = self.incoming
         if part is None or self.in_head or part.body or part.version == "1.0":  # an old client knows no 1xx
             return False
         if (part.get(b"expect") or b"").lower() != b"100-continue":
@@ -173,11 +173,11 @@
         return True
 
     def _fail(self, status: int, text: str) -> None:
-        self.fault = MessageError(status, text)
-        raise self.fault
+        self.error = MessageError(status, text)
+        raise self.error
 
     def on_message_begin(self) -> None:  # noqa: D102 (httptools' names)
-        self.part = self._current = Message()
+        self.incoming = self._current = Message()
         self.in_head = True
 
     def on_url(self, url: bytes) -> None:  # noqa: D102
@@ -189,7 +189,7 @@
             self._current.headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:  # noqa: D102
-        part, self.in_head, self.quiet = self._current, False, 0
+        part, self.in_head, self.pending_bytes = self._current, False, 0
         if sum(len(name) + len(value) for name, value in part.headers) + len(part.target) > self.max_head:
             self._fail(431, "header too large")
         length = part.get(b"content-length")
@@ -217,29 +217,29 @@
             # An absolute target (RFC 9112, 3.2.2) names the host once more; what counts is behind it.
             part.target = ABSOLUTE.sub(b"", part.target) or b"/"
         part.keep_alive = self.parser.should_keep_alive()
-        if refusal := self.held.expect(part, part.length or 0):
+        if refusal := self.reservation.expect(part, part.length or 0):
             self._fail(503, refusal)
 
     def on_body(self, body: bytes) -> None:  # noqa: D102
         part = self._current
         part.body += body
-        part.came += len(body)
-        self.quiet = 0
-        if (len(part.body) if self.answers else part.came) > self.max_body:
+        part.received += len(body)
+        self.pending_bytes = 0
+        if (len(part.body) if self.answers else part.received) > self.max_body:
             self._fail(413, "body too large")
-        if refusal := self.held.charge(part, part.came, len(body)):
+        if refusal := self.reservation.charge(part, part.received, len(body)):
             self._fail(503, refusal)
 
     def release(self) -> None:
         """Give back what was charged for bodies: they are answered, or their connection is over."""
-        self.held.release()
+        self.reservation.release()
 
     def on_message_complete(self) -> None:  # noqa: D102
         message = self._current
-        message.whole, self.quiet, message.at = True, 0, self.read_at
+        message.complete, self.pending_bytes, message.completed_at = True, 0, self.read_at
         if message.stream is None:  # else it is being answered already
             self.ready.append(message)
-        self.part = None
+        self.incoming = None
         del self._current  # its body must not outlive its answer here
 
 
@@ -252,17 +252,17 @@
         self.sock, self.framer = sock, framer
         self.loop = asyncio.get_running_loop()
         self.buffer = memoryview(bytearray(CHUNK))
-        self.moved = time.monotonic()  # when bytes last went in or out
+        self.last_activity = time.monotonic()  # when bytes last went in or out
         self.unsent = 0  # bytes of the last write that the kernel has not taken yet
-        self.taken = 0  # bytes that the kernel has taken since the connection came up
-        self.blocked: asyncio.Future[None] | None = None  # who waits for the kernel to take more
-        self.watched = False  # the loop tells when there is more,
-        self.waiter: asyncio.Future[None] | None = None  # and who waits for that
+        self.bytes_sent = 0  # bytes that the kernel has taken since the connection came up
+        self.write_waiter: asyncio.Future[None] | None = None  # who waits for the kernel to take more
+        self.reading = False  # the loop tells when there is more,
+        self.read_waiter: asyncio.Future[None] | None = None  # and who waits for that
 
     async def receive(self) -> bool:
         """Read once and take it in; False at the end of the stream."""
         count = await self.loop.sock_recv_into(self.sock, self.buffer)
-        self.moved = time.monotonic()
+        self.last_activity = time.monotonic()
         if count:
             self.framer.feed(self.buffer[:count])
         return count > 0
@@ -278,7 +278,7 @@
             self.unsent -= self.push(view[len(view) - self.unsent :])
             if self.unsent:
                 await self._writable()
-        self.moved = time.monotonic()
+        self.last_activity = time.monotonic()
 
     def push(self, data: bytes | bytearray | memoryview) -> int:
         """Write what the kernel takes now, without waiting; the count of bytes that it took."""
@@ -286,12 +286,12 @@
             count = self.sock.send(data)
         except (BlockingIOError, InterruptedError):
             return 0
-        self.taken += count
+        self.bytes_sent += count
         return count
 
     async def _writable(self) -> None:
         """Wait until the kernel takes more."""
-        ready = self.blocked = self.loop.create_future()
+        ready = self.write_waiter = self.loop.create_future()
         self.loop.add_writer(self.sock, _resolve, ready)
         try:
             await ready
@@ -300,17 +300,17 @@
 
     def _unblock(self) -> None:
         """Look no more whether the kernel takes more; who still waits for that is cancelled."""
-        blocked, self.blocked = self.blocked, None
+        blocked, self.write_waiter = self.write_waiter, None
         if blocked is not None:
             self.loop.remove_writer(self.sock)
             blocked.cancel()
 
-    def widen(self) -> None:
+    def grow_buffer(self) -> None:
         """Read more at once from now on: a large body passes through."""
         if len(self.buffer) < BULK:
             self.buffer = memoryview(bytearray(BULK))
 
-    def narrow(self) -> None:
+    def shrink_buffer(self) -> None:
         """Read as usual again."""
         if len(self.buffer) > CHUNK:
             self.buffer = memoryview(bytearray(CHUNK))
@@ -321,34 +321,34 @@
         Guards the step between a read and what is done with it: what is not here yet lies in the socket, and
         `peek` tells of it, up to the very step in which it is returned.
         """
-        self.waiter = self.loop.create_future()
-        if not self.watched:
-            self.watched = True
+        self.read_waiter = self.loop.create_future()
+        if not self.reading:
+            self.reading = True
             self.loop.add_reader(self.sock, self._readable)
-        await self.waiter  # also where there is more: others have their turn first
+        await self.read_waiter  # also where there is more: others have their turn first
         try:
             count = self.sock.recv_into(self.buffer)
         except BlockingIOError:
             return None
-        self.moved = time.monotonic()
+        self.last_activity = time.monotonic()
         return count
 
     def wake(self) -> None:
         """Let `read` return at once, with nothing if nothing came."""
-        if self.waiter is not None and not self.waiter.done():
-            self.waiter.set_result(None)
+        if self.read_waiter is not None and not self.read_waiter.done():
+            self.read_waiter.set_result(None)
 
     def _readable(self) -> None:
         """Something lies there: wake who waits for it; if no one does, it is not watched for now."""
-        waiter, self.waiter = self.waiter, None
+        waiter, self.read_waiter = self.read_waiter, None
         if waiter is None or waiter.done():
             self._unwatch()
         else:
             waiter.set_result(None)
 
     def _unwatch(self) -> None:
-        if self.watched:
-            self.watched = False
+        if self.reading:
+            self.reading = False
             self.loop.remove_reader(self.sock)
 
     def peek(self) -> bool | None:
--- a/mallowbeam/http/handler.py
+++ b/mallowbeam/http/handler.py
@@ -25,7 +25,7 @@
         """Bytes of a request's body, at most."""
 
     @property
-    def whole(self) -> int:
+    def max_buffered_body(self) -> int:
         """Bytes of a body up to which it is buffered and handed over complete; a longer one is streamed."""
 
     @property
@@ -41,7 +41,7 @@
     def error_response(self, status: int, text: str) -> Response:
         """The answer to what breaks HTTP or a bound; the connection is closed after it."""
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """A request's answer has gone out, or broken off: the one place where requests are counted."""
 
 
--- a/mallowbeam/http/read_ahead.py
+++ b/mallowbeam/http/read_ahead.py
@@ -14,35 +14,39 @@
     """Bytes that wait to be parsed, within a bound of their own and the connections' common one."""
 
     def __init__(self, budget: BodyBudget | None) -> None:
-        self.pieces: deque[tuple[float, bytes]] = deque()  # with when each was read
-        self.held, self.budget = 0, budget  # bytes in all
+        self.chunks: deque[tuple[float, bytes]] = deque()  # with when each was read
+        self.buffered, self.budget = 0, budget  # bytes in all
 
     def __bool__(self) -> bool:
         """Whether something waits."""
-        return bool(self.pieces)
+        return bool(self.chunks)
 
     @property
     def full(self) -> bool:
         """Whether nothing more may be read: the rest stays with its client."""
-        return self.held >= MAX_READ_AHEAD or self.budget is not None and self.budget.used >= self.budget.most
+        return (
+            self.buffered >= MAX_READ_AHEAD
+            or self.budget is not None
+            and self.budget.used >= self.budget.limit
+        )
 
-    def put(self, data: memoryview, at: float) -> None:
+    def append(self, data: memoryview, at: float) -> None:
         """Keep what was read at a time."""
-        self.pieces.append((at, bytes(data)))
+        self.chunks.append((at, bytes(data)))
         self._charge(len(data) + CHUNK_OVERHEAD)
 
-    def take(self) -> tuple[float, bytes]:
+    def popleft(self) -> tuple[float, bytes]:
         """When the next piece was read, and the piece."""
-        at, data = self.pieces.popleft()
+        at, data = self.chunks.popleft()
         self._charge(-len(data) - CHUNK_OVERHEAD)
         return at, data
 
-    def drop(self) -> None:
+    def clear(self) -> None:
         """Forget it."""
-        self._charge(-self.held)
-        self.pieces.clear()
+        self._charge(-self.buffered)
+        self.chunks.clear()
 
     def _charge(self, count: int) -> None:
-        self.held += count
+        self.buffered += count
         if self.budget is not None:
             self.budget.used += count
--- a/mallowbeam/http/server.py
+++ b/mallowbeam/http/server.py
@@ -54,7 +54,7 @@
         """Whether it is about to end, or has ended."""
 
     @property
-    def leaving(self) -> bool:
+    def closing_soon(self) -> bool:
         """Whether it was told to leave: nothing more can be hurried."""
 
     @property
@@ -62,11 +62,11 @@
         """Whether a request on it has had its answer."""
 
     @property
-    def busy(self) -> asyncio.Task[None] | None:
+    def response_task(self) -> asyncio.Task[None] | None:
         """What answers a request, while there is one."""
 
     @property
-    def since(self) -> float:
+    def waiting_since(self) -> float:
         """When what it waits for began, by the monotonic clock."""
 
     @property
@@ -74,10 +74,10 @@
         """Requests here that have come in whole and are not over yet."""
 
     @property
-    def spare(self) -> bool:
+    def can_be_closed(self) -> bool:
         """Whether it may be closed to make room."""
 
-    def leave(self) -> None:
+    def close_soon(self) -> None:
         """Begin the orderly end, without waiting."""
 
     def sweep(self, now: float) -> None:
@@ -107,12 +107,14 @@
         shared: bool = True,
     ) -> None:
         self.front, self.closing, self.name = front, False, name
-        self.whole = self.most = most  # connections that may be held at once: in all, and now
+        self.configured_limit = self.connection_limit = (
+            most  # connections that may be held at once: in all, and now
+        )
         self.connection = connection
         self.sock = handed or bound(address, shared)
         self.address = self.sock.getsockname()
         self.connections: set[ServedConnection] = set()
-        self.crowded, self.cannot_accept = (
+        self.all_busy, self.cannot_accept = (
             RateLimitedWarning("all connections are busy"),
             RateLimitedWarning("cannot accept"),
         )
@@ -124,7 +126,7 @@
         Guards against requests lost in the backlog, where their clients count them as taken: the last few
         refuse, at once, so that there is always room for one more.
         """
-        return max(1, self.most // SPARE)
+        return max(1, self.connection_limit // SPARE)
 
     @property
     def pending(self) -> int:
@@ -170,7 +172,7 @@
             try:
                 over = not self._make_room()
                 if over:
-                    self.crowded(f"{len(self.connections)} of {self.most}")
+                    self.all_busy(f"{len(self.connections)} of {self.connection_limit}")
                 self.connections.add(self.connection(self, sock, over))
             except OSError:  # its client has gone
                 sock.close()
@@ -178,7 +180,7 @@
                 # Guards the listener: a fault with one connection must not leave all later ones unheard.
                 sock.close()
                 logger.error("a connection failed unforeseen", exc_info=error)
-            while len(self.connections) > self.most:
+            while len(self.connections) > self.connection_limit:
                 # Guards those that wait to be accepted: what has had its last answer goes first.
                 self._let_go()
                 ending = [c.task for c in self.connections if c.closing] or [c.task for c in self.connections]
@@ -187,7 +189,7 @@
 
     def _make_room(self) -> bool:
         """Whether there is room for one more request, if need be that of a connection which may be closed."""
-        room = self.most - self.spare
+        room = self.connection_limit - self.spare
         if len(self.connections) < room:  # the usual case, without a look at any
             return True
         return sum(not c.closing for c in self.connections) < room or self._let_go(ending=False)
@@ -200,15 +202,15 @@
         crowds this is most of the work: only those in question are put in order, as far as needed.
         """
         among = [
-            (not closing, not c.answered, c.since, id(c), c)
+            (not closing, not c.answered, c.waiting_since, id(c), c)
             for c in self.connections
-            if not c.leaving and (ending if (closing := c.closing) else c.busy is None)
+            if not c.closing_soon and (ending if (closing := c.closing) else c.response_task is None)
         ]
         heapify(among)
         while among:
             connection = heappop(among)[-1]
-            if connection.spare:
-                connection.leave()
+            if connection.can_be_closed:
+                connection.close_soon()
                 return True
         return False
 
@@ -221,13 +223,13 @@
             except Exception as error:
                 # Guards the others: a fault with one must not end the look at all of them.
                 logger.error("a connection failed unforeseen", exc_info=error)
-                connection.leave()
+                connection.close_soon()
 
     def close_after_responses(self) -> None:
         """From now on every answer closes its connection."""
         self.closing = True
 
-    async def shut(self, within: float | None = None) -> None:
+    async def stop_accepting(self, within: float | None = None) -> None:
         """Take no new connection.
 
         What lies in the accept queue is taken in first, for at most `within` seconds where there is no room
@@ -253,13 +255,13 @@
         self.close_after_responses()
         within = min(within, LINGER)
         end = time.monotonic() + within
-        await self.shut(within)
+        await self.stop_accepting(within)
         while self.connections:
             for connection in list(self.connections):
                 if connection.closing:  # it has had its last answer, and a moment to read it
                     continue
-                if connection.spare or time.monotonic() > end and self._nothing_taken(connection):
-                    connection.leave()
+                if connection.can_be_closed or time.monotonic() > end and self._nothing_taken(connection):
+                    connection.close_soon()
             await asyncio.wait(
                 [c.task for c in self.connections], timeout=LINGER / 10, return_when=asyncio.FIRST_COMPLETED
             )
@@ -268,7 +270,9 @@
     def _nothing_taken(connection: ServedConnection) -> bool:
         """Whether no request is held there, nor lies unread in the socket; an agent check ends by itself."""
         return (
-            isinstance(connection, Connection) and connection.busy is None and not connection.channel.stale()
+            isinstance(connection, Connection)
+            and connection.response_task is None
+            and not connection.channel.stale()
         )
 
 
--- a/mallowbeam/http/shutdown.py
+++ b/mallowbeam/http/shutdown.py
@@ -98,78 +98,78 @@
 
     server: Owner
     channel: Channel
-    ahead: ReadAhead
+    read_ahead: ReadAhead
     task: asyncio.Task[None]
-    busy: asyncio.Task[None] | None  # what answers, while a request is held
-    taking: Message | None  # a request whose body passes through
+    response_task: asyncio.Task[None] | None  # what answers, while a request is held
+    streamed_request: Message | None  # a request whose body passes through
     writing: bool  # an answer is going out
-    room: asyncio.Event
+    reading_may_resume: asyncio.Event
 
-    stage = Stage.OPEN
-    leaving = False  # told to leave: nothing more can be hurried
-    shut_at = 0.0  # when our side ended
-    cut: asyncio.TimerHandle | None = None  # until when the client may end its own
+    state = Stage.OPEN
+    closing_soon = False  # told to leave: nothing more can be hurried
+    half_closed_at = 0.0  # when our side ended
+    close_timer: asyncio.TimerHandle | None = None  # until when the client may end its own
 
     @property
     def closing(self) -> bool:
         """Whether it is about to end, or has ended."""
-        return self.stage is not Stage.OPEN
+        return self.state is not Stage.OPEN
 
-    def leave(self) -> None:
+    def close_soon(self) -> None:
         """Begin the orderly end, without waiting; again and again is as good as once.
 
         What is being answered, and what has come in whole, is answered first; part of a request was never
         taken, and its client sends it again elsewhere.  Where our side has ended already, the time that its
         client has to end its own is cut short.
         """
-        if self.stage is Stage.LINGERING:
-            self._end_by(self.shut_at + LINGER_LEAST)
-        elif self.stage is not Stage.CLOSED:
-            if self.busy is not None or self.writing or not self._rests():
-                self.stage = Stage.LAST
+        if self.state is Stage.LINGERING:
+            self._close_by(self.half_closed_at + LINGER_LEAST)
+        elif self.state is not Stage.CLOSED:
+            if self.response_task is not None or self.writing or not self._nothing_unread():
+                self.state = Stage.LAST
             else:
-                self._hang_up(LINGER_LEAST)
-        self.leaving = True
+                self._half_close(LINGER_LEAST)
+        self.closing_soon = True
 
-    def _rests(self) -> bool:
+    def _nothing_unread(self) -> bool:
         """Whether nothing lies unread: asked in the very step in which our side ends by our own choice.
 
         Guards a request that is taken but not read: a close over it would lose it.
         """
         return self.channel.peek() is None
 
-    def _hang_up(self, linger: float | None = None) -> None:
+    def _half_close(self, linger: float | None = None) -> None:
         """End our side; the client has `linger` seconds to read and to end its own before the close."""
-        self.stage, self.shut_at = Stage.LINGERING, time.monotonic()
+        self.state, self.half_closed_at = Stage.LINGERING, time.monotonic()
         self.channel.framer.ready.clear()  # behind the last answer nothing is taken
-        self.ahead.drop()
+        self.read_ahead.clear()
         shut(self.channel.sock)
-        self._end_by(self.shut_at + (LINGER if linger is None else linger))
-        self.leaving = False  # that may be cut short
-        self.room.set()
+        self._close_by(self.half_closed_at + (LINGER if linger is None else linger))
+        self.closing_soon = False  # that may be cut short
+        self.reading_may_resume.set()
 
-    def _end_by(self, when: float) -> None:
+    def _close_by(self, when: float) -> None:
         """Close it by then; an earlier time stands."""
         loop = self.channel.loop
         at = loop.time() + when - time.monotonic()
-        if self.cut is None or at < self.cut.when():
-            if self.cut is not None:
-                self.cut.cancel()
-            self.cut = loop.call_at(at, self.task.cancel)
+        if self.close_timer is None or at < self.close_timer.when():
+            if self.close_timer is not None:
+                self.close_timer.cancel()
+            self.close_timer = loop.call_at(at, self.task.cancel)
 
-    def _break_off(self, request: Message) -> None:
+    def _end_truncated(self, request: Message) -> None:
         """End after an answer that is not whole: in order where its framing shows that, else by a reset."""
         if request.until_close:
             reset_at_close(self.channel.sock)
             self.task.cancel()
         else:
-            self._hang_up()
+            self._half_close()
 
-    async def _read_out(self) -> None:
+    async def _discard_input(self) -> None:
         """Read on and drop it up to the client's end, so that the last answer is not lost with it."""
         most: int = max(LINGER_BYTES, getattr(self.server.front, "unread_body", 0))
-        if self.taking is not None:  # refused before its end
-            most = max(most, self.taking.length or self.channel.framer.max_body)
+        if self.streamed_request is not None:  # refused before its end
+            most = max(most, self.streamed_request.length or self.channel.framer.max_body)
         while most > 0:
             if (count := await self.channel.read()) == 0:
                 return
--- a/mallowbeam/http/stream.py
+++ b/mallowbeam/http/stream.py
@@ -25,21 +25,21 @@
     ) -> None:
         self._pieces: asyncio.Queue[bytearray | None] = asyncio.Queue(HELD_CHUNKS)
         self._closed, self._wanted = closed, wanted  # told once: no more is wanted; the first piece is
-        self.broken = self.over = False
+        self.aborted = self.closed = False
 
     @property
     def full(self) -> bool:
         """Whether the next piece would wait."""
-        return not self.over and self._pieces.full()
+        return not self.closed and self._pieces.full()
 
     async def put(self, piece: bytearray | None) -> None:
         """Hand in a piece, or None at the end; waits while the taker is slow."""
-        if not self.over:
+        if not self.closed:
             await self._pieces.put(piece)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """The body is over before its end."""
-        self.broken = True
+        self.aborted = True
         if self._pieces.full():
             self._pieces.get_nowait()
         self._pieces.put_nowait(None)
@@ -51,12 +51,12 @@
             self._wanted = None
             wanted()
         piece = await self._pieces.get()
-        return None if self.broken else piece
+        return None if self.aborted else piece
 
     def close(self) -> None:
         """No more is wanted; who waits to hand in a piece goes on."""
-        if not self.over:
-            self.over = True
+        if not self.closed:
+            self.closed = True
             while not self._pieces.empty():
                 self._pieces.get_nowait()
             if self._closed is not None:
@@ -69,7 +69,7 @@
     while left is None or left > 0:
         piece = await stream.get()
         if piece is None:
-            if stream.broken or left is not None:
+            if stream.aborted or left is not None:
                 return False
             if chunked:
                 await channel.send(b"0\r\n\r\n")
--- a/mallowbeam/router/control_plane/api.py
+++ b/mallowbeam/router/control_plane/api.py
@@ -65,7 +65,7 @@
 class ControlApi:
     """The front behind the control address."""
 
-    max_body = whole = unread_body = MOST_BODY
+    max_body = max_buffered_body = unread_body = MOST_BODY
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """One call to its answer."""
-        since = request.at or time.monotonic()
+        since = request.completed_at or time.monotonic()
         try:
             status, body = await self._find(request)(request, since)
         except CallError as error:
@@ -112,7 +112,7 @@
             return error_reply(status, LargeBodyError(text, "body"), True, self._status.other_controls())
         return error_reply(status, CallError(text, status=status), True)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """Calls are not counted."""
 
     def _find(self, request: Message) -> Call:
--- a/mallowbeam/router/control_plane/member.py
+++ b/mallowbeam/router/control_plane/member.py
@@ -190,7 +190,7 @@
         if self._timer is not None:
             self._timer.cancel()
         if self._metrics_server is not None:
-            await self._metrics_server.shut()
+            await self._metrics_server.stop_accepting()
         if self._listening is not None:
             self._listening.close()
         self._driver.stop()
--- a/mallowbeam/router/control_plane/stage_controller.py
+++ b/mallowbeam/router/control_plane/stage_controller.py
@@ -272,8 +272,8 @@
         (b"connection", b"close"),
     ]
     await link.request(write_request(b"POST", b"/mallowbeam/order", headers, len(body)), body)
-    answer = await link.head()
-    await link.body(answer)
+    answer = await link.read_head()
+    await link.read_body(answer)
     return int(answer.status)
 
 
--- a/mallowbeam/router/data_plane/attempt.py
+++ b/mallowbeam/router/data_plane/attempt.py
@@ -111,7 +111,7 @@
         )
         head = write_request(request.method, request.target, headers, len(request.body))
         self._bodiless = request.method == b"HEAD"
-        answer = await link.ask(head, request.body, self._bodiless)
+        answer = await link.round_trip(head, request.body, self._bodiless)
         if order.once and not first:
             answer = await self._own_answer(link, answer, request.request_id)
         self.answer = answer
@@ -132,8 +132,8 @@
             late += 1
             if late > MOST_LATE_ANSWERS:
                 raise RemoteProtocolError("answers to other requests without end")
-            await link.body(answer)
-            answer = await link.head()
+            await link.read_body(answer)
+            answer = await link.read_head()
         answer.keep_alive = answer.keep_alive and not late
         return answer
 
@@ -141,7 +141,7 @@
         """Read what is left of an answer that goes to nobody, so that its connection can be used again."""
         try:
             async with asyncio.timeout(REJECTION_BODY_S):
-                await link.body(answer)
+                await link.read_body(answer)
         except (TimeoutError, ConnectionBrokenError):
             pass  # its head has said that nothing ran
         self.release()
--- a/mallowbeam/router/data_plane/exchange.py
+++ b/mallowbeam/router/data_plane/exchange.py
@@ -82,7 +82,7 @@
             return self._last_answer(begun, closing())
         self.attempt = begun
         answer = begun.answer
-        if answer is not None and answer.whole and not self.attempt.streams:
+        if answer is not None and answer.complete and not self.attempt.streams:
             self.close(Outcome.COMPLETED)
             return whole_answer(answer, closing())
         return None
@@ -275,7 +275,7 @@
         if answer is None or not may_pass_on(answer):
             attempt.release()
             return None
-        if answer.whole and self._policy.may_continue():
+        if answer.complete and self._policy.may_continue():
             self._failure = answer
             attempt.release()
             return None
@@ -340,8 +340,8 @@
                 return piece
         if progress.fault:
             raise ConnectionBrokenError(progress.fault)
-        if answer.whole:
+        if answer.complete:
             if progress.partial or (answer.until_close and progress.inside_event):
                 raise ConnectionBrokenError("the stream ended inside an event")
             return b""
-        await link.more(answer)
+        await link.read_more(answer)
--- a/mallowbeam/router/data_plane/front.py
+++ b/mallowbeam/router/data_plane/front.py
@@ -28,7 +28,7 @@
 class ClientFront:
     """Turns clients' requests into exchanges and their answers back."""
 
-    whole = ANY_SIZE  # a request is passed on once it has come in whole
+    max_buffered_body = ANY_SIZE  # a request is passed on once it has come in whole
 
     def __init__(self, gateway: Gateway, memory_mb: float) -> None:
         self._gateway = gateway
@@ -67,7 +67,7 @@
         """The answer to what breaks HTTP or a bound; its connection is closed after it."""
         return own_answer(status, b"", True, RETRY_AFTER_S, text.encode() + b"\n")
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """Count an answer that has gone out."""
         self._gateway.answers[status] += 1
 
@@ -75,5 +75,5 @@
     def _deadline(read: ClientRequest, request: Message, timeout_ms: int) -> float:
         """Steady time up to which the request may be held, from when its last byte was read."""
         client_s = read.deadline_ms / 1000
-        began = request.at or time.monotonic()
+        began = request.completed_at or time.monotonic()
         return began + min(client_s - min(WAY_S, client_s / 4), timeout_ms / 1000)
--- a/mallowbeam/router/data_plane/link_pool.py
+++ b/mallowbeam/router/data_plane/link_pool.py
@@ -78,8 +78,8 @@
             return self.drop(instance, link)
         now = time.monotonic()
         link.channel.framer.release()
-        link.channel.narrow()
-        link.written, link.idle_since = False, now
+        link.channel.shrink_buffer()
+        link.request_sent, link.idle_since = False, now
         idle.append(_Idle(link, now, now + idle_time_s(answer)))
         return None
 
--- a/mallowbeam/router/data_plane/prefill.py
+++ b/mallowbeam/router/data_plane/prefill.py
@@ -36,7 +36,7 @@
 def read_handle(attempt: Attempt, address: str, now: float) -> Handle | None:
     """The handle in a prefill answer; None where it can't be read."""
     answer = attempt.answer
-    if answer is None or answer.status != 200 or not answer.whole:
+    if answer is None or answer.status != 200 or not answer.complete:
         return None
     try:
         handle = json.loads(bytes(answer.body))["kv_handle"]
@@ -84,8 +84,8 @@
         try:
             target = f"/mallowbeam/kv-handle/{handle.id}".encode()
             headers = [(b"host", handle.address.encode()), (b"target-instance", handle.instance.encode())]
-            answer = await link.ask(write_request(b"DELETE", target, headers))
-            await link.body(answer)
+            answer = await link.round_trip(write_request(b"DELETE", target, headers))
+            await link.read_body(answer)
         finally:
             # The call names no request, so what was read may be a late answer to an earlier one, with this
             # call's own still owed: the connection is not used again.
--- a/mallowbeam/router/data_plane/readiness.py
+++ b/mallowbeam/router/data_plane/readiness.py
@@ -16,7 +16,7 @@
 class ReadinessFront:
     """Answers 200 while the gateway is ready, 503 otherwise."""
 
-    max_body = whole = MOST_BODY
+    max_body = max_buffered_body = MOST_BODY
     budget: BodyBudget | None = None
     idle = 30.0  # seconds that a caller's connection may rest
 
@@ -36,5 +36,5 @@
         """The answer to what breaks HTTP."""
         return own_answer(status, b"", True, text=text.encode() + b"\n")
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """Nothing is counted here."""
--- a/mallowbeam/router/data_plane/relay.py
+++ b/mallowbeam/router/data_plane/relay.py
@@ -57,7 +57,7 @@
                 piece = bytes(answer.take())
                 left = left - len(piece) if left is not None else None
                 await channel.send(self._framed(piece))
-            if answer.whole:
+            if answer.complete:
                 break
             try:
                 async with asyncio.timeout(self._exchange.deadline - time.monotonic()):
@@ -129,7 +129,7 @@
         assert attempt is not None
         assert attempt.link is not None
         attempt.link.channel.framer.release()
-        await attempt.link.more(answer)
+        await attempt.link.read_more(answer)
 
     def _answer(self) -> Message:
         attempt = self._exchange.attempt
--- a/mallowbeam/router/data_plane/role.py
+++ b/mallowbeam/router/data_plane/role.py
@@ -121,7 +121,7 @@
             await asyncio.gather(feed, tick, return_exceptions=True)
             self.gateway.pool.close()
             if self.metrics_server is not None:
-                await self.metrics_server.shut()
+                await self.metrics_server.stop_accepting()
 
     async def _stop(self) -> None:
         """Answer 503 to the platform's question first, go on until it has noticed, then drain."""
@@ -135,7 +135,7 @@
         except TimeoutError:
             log.warning("%d requests were not finished in the grace time", self.front_server.pending)
         await self.gateway.handles.finish()
-        await self.readiness_server.shut()
+        await self.readiness_server.stop_accepting()
 
     def _changed(self, events: FeedEvents[Configuration], now: float) -> None:
         """Take over what a frame of the feed changed."""
--- a/mallowbeam/router/processes/metrics.py
+++ b/mallowbeam/router/processes/metrics.py
@@ -57,7 +57,7 @@
 class MetricsFront:
     """Answers the one page."""
 
-    max_body = whole = MOST_BODY
+    max_body = max_buffered_body = MOST_BODY
     budget: BodyBudget | None = None
     idle = 30.0  # seconds that a caller's connection may rest
 
@@ -76,7 +76,7 @@
         """The answer to what breaks HTTP."""
         return _reply(status, text.encode() + b"\n", True)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """Nothing is counted here."""
 
 
--- a/mallowbeam/simulation/fleet_processes.py
+++ b/mallowbeam/simulation/fleet_processes.py
@@ -49,7 +49,7 @@
     message = Message()
     message.method, message.target = call.method.encode(), call.path.encode()
     message.headers = [(name.lower().encode(), value.encode()) for name, value in call.headers]
-    message.body, message.whole, message.at = bytearray(call.body), True, now
+    message.body, message.complete, message.completed_at = bytearray(call.body), True, now
     return message
 
 
--- a/mallowbeam/storage_gateway/coordination/status_pages.py
+++ b/mallowbeam/storage_gateway/coordination/status_pages.py
@@ -44,7 +44,7 @@
 class StatusPages:
     """The front."""
 
-    max_body = whole = MOST  # held whole: a push may come in pieces
+    max_body = max_buffered_body = MOST  # held whole: a push may come in pieces
     budget: BodyBudget | None = None
 
     def __init__(self, service: FleetService) -> None:
@@ -84,7 +84,7 @@
         """The answer to what breaks HTTP or a bound."""
         return page(status, Unreadable(text).told(), True)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """Its calls are not among the figures."""
 
 
--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -110,7 +110,7 @@
         why = probe(buffer, handed)
         if why is not None:
             raise BadConfig(why)
-        self.whole = min(settings.max_body, PIECE)  # larger bodies come in pieces
+        self.max_buffered_body = min(settings.max_body, PIECE)  # larger bodies come in pieces
         self.buffer = Buffer(buffer, self, handed)
         gateway.parts.append(self.buffer)
 
@@ -174,7 +174,7 @@
             raise Error("InvalidArgument")
         conditional = b"if-match" in request.headers or b"if-none-match" in request.headers
         known = self._standing(request) if conditional else None
-        offer = buffer.offer(request.bucket, request.path, max(message.came, message.length or 0))
+        offer = buffer.offer(request.bucket, request.path, max(message.received, message.length or 0))
         if known is not None and offer is Offer.TAKE:
             self._check(request)
         if offer is Offer.SLOW or known is not None and offer is not Offer.TAKE:
@@ -270,7 +270,7 @@
                     if upload.size + len(data) > self.max_body:
                         raise Error("EntityTooLarge")
                     await buffer.add(upload, data)
-            if stream.broken:
+            if stream.aborted:
                 raise Error("IncompleteBody")
             body.end()
             write.etag = body.etag
--- a/mallowbeam/storage_gateway/frontends/object_api/calls.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/calls.py
@@ -87,7 +87,7 @@
         self.target = path + (b"?" + b"&".join(pairs) if pairs else b"")
         self._check()
         self.reads = self.method in (b"GET", b"HEAD")
-        size = span(self.headers.get(b"range")) if self.reads else max(message.came, message.length or 0)
+        size = span(self.headers.get(b"range")) if self.reads else max(message.received, message.length or 0)
         self.measure(size or 0, settings)
 
     def measure(self, size: int, settings: ObjectSettings) -> None:
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -80,7 +80,7 @@
 
     def __init__(self, gateway: Gateway, settings: ObjectSettings) -> None:
         self.gateway, self.settings = gateway, settings
-        self.max_body = self.whole = settings.max_body
+        self.max_body = self.max_buffered_body = settings.max_body
         self.budget = BodyBudget(settings.held)
         self.access: Access | None = None
         if settings.keys is not None:
@@ -110,10 +110,10 @@
                 while (piece := await message.stream.get()) is not None:
                     self.budget.used += len(piece)
                     taken += len(piece)
-                    if self.budget.used > self.budget.most:
+                    if self.budget.used > self.budget.limit:
                         raise slow_down()
                     body += piece
-                if message.stream.broken:
+                if message.stream.aborted:
                     raise Error("IncompleteBody")
                 message.body = body
             yield
@@ -191,7 +191,7 @@
                     if left <= 0:
                         raise slow_down()
                     single = Message()
-                    single.method, single.whole = b"DELETE", True
+                    single.method, single.complete = b"DELETE", True
                     single.target = b"/%b/%b" % (call.bucket.encode(), quote(name, safe="/-._~").encode())
                     single.headers = [(b"x-deadline-ms", b"%d" % max(1, int(left * 1000)))]
                     request = Request(single, self.settings, self.gateway.config.settings.shards)
@@ -281,7 +281,7 @@
         body = error_body(code, b"", "")
         return Response(ERRORS[code][0], write_head(ERRORS[code][0], headers, len(body), True) + body)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """A call is over: reads and writes count for the classes that stand for them."""
         settings = self.settings
         lane = settings.read_class if request.method in (b"GET", b"HEAD") else settings.write_class
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -50,7 +50,7 @@
 class Platform:
     """Turns the platform's requests into calls and answers back."""
 
-    max_body, whole = MOST, MAX_BODY
+    max_body, max_buffered_body = MOST, MAX_BODY
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway, self.budget = gateway, BodyBudget(min(HELD, gateway.config.memory // 8))
@@ -72,7 +72,7 @@
         """The answer to what breaks HTTP or a bound."""
         return text_response(status, text, True, RETRY_AFTER if status == REFUSED else None)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """A request is over: it counts for the class it names."""
         self.gateway.metrics.ended((request.get(b"x-class") or b"").decode("latin-1"), status, whole)
 
@@ -94,7 +94,7 @@
             raise BadRequest("X-Class is missing, unknown or not the path's")
         if cls.writes is not None and cls.writes != (request.method == b"PUT"):
             raise BadRequest("the method is not the class's")
-        if request.method == b"GET" and (request.came or request.length):
+        if request.method == b"GET" and (request.received or request.length):
             raise BadRequest("a read has no body")
         # Guards against effects doubled: without a key, a second attempt would not be dropped as a repeat.
         if not TOKEN.match(
@@ -111,7 +111,7 @@
         if extent is None:
             raise BadRequest("X-Extent is missing or malformed")
         # Guards the client's time: it counts from its request's last byte, which may have waited here.
-        waited = time.monotonic() - request.at if request.at else 0.0
+        waited = time.monotonic() - request.completed_at if request.completed_at else 0.0
         units, shard, hosts = (int(part) for part in extent.groups())
         if not 1 <= units <= settings.max_units or shard < -1 or not 1 <= hosts <= settings.hosts:
             raise BadRequest("X-Extent is senseless")
--- a/mallowbeam/storage_gateway/server/admin.py
+++ b/mallowbeam/storage_gateway/server/admin.py
@@ -23,7 +23,7 @@
 class Admin:
     """Answers the operators' calls."""
 
-    max_body = whole = MAX_ID
+    max_body = max_buffered_body = MAX_ID
     budget: BodyBudget | None = None
 
     def __init__(self, gateway: Gateway) -> None:
@@ -48,7 +48,7 @@
         """The answer to what breaks HTTP or a bound."""
         return text_response(status, text, True)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """Operators' calls are not among the figures."""
 
     def _ready(self, _: Message) -> Response:
@@ -80,13 +80,13 @@
     """An operator's connection."""
 
     @property
-    def spare(self) -> bool:
+    def can_be_closed(self) -> bool:
         """Whether it may be closed to make room.
 
         Guards the door against callers that hold a connection without sending a whole call: where room is
         short the oldest of them goes, since no call that has come in whole waits here.
         """
-        return self.busy is None and not self.channel.stale()
+        return self.response_task is None and not self.channel.stale()
 
     def closes(self, request: Message) -> bool:
         """Always: every answer of this door says so."""
--- a/mallowbeam/storage_gateway/server/attempts.py
+++ b/mallowbeam/storage_gateway/server/attempts.py
@@ -101,10 +101,10 @@
                     limit.reschedule(None)  # the client's time counts from its last byte
                     await self._upload(tried, exchange, call.upload, link, headers)
                     limit.reschedule(
-                        loop.time() + (exchange.deadline - self.now() if link.written else MARGIN)
+                        loop.time() + (exchange.deadline - self.now() if link.request_sent else MARGIN)
                     )
-                self.metrics.upstream_requests += link.written
-                answer = await link.head()
+                self.metrics.upstream_requests += link.request_sent
+                answer = await link.read_head()
                 if (
                     call.final(answer.status)
                     and call.streamed(answer.status)
@@ -113,15 +113,15 @@
                     limit.reschedule(None)  # the answer has begun: it is the client's now
                     await self._pass_on(tried, exchange, link, answer, started)
                 else:
-                    await link.body(answer, call.standstill)
+                    await link.read_body(answer, call.standstill)
             outcome = self._outcome(call, answer)
-            if link.written:
+            if link.request_sent:
                 kept = self.pool.put(link, answer)
             elif outcome not in NOT_RUN.values():
                 outcome = Outcome.NOT_SENT  # said before the request was whole
             return outcome, answer
         except asyncio.CancelledError:
-            if link is not None and link.written:
+            if link is not None and link.request_sent:
                 raise
             return Outcome.NOT_SENT, None
         except TimeoutError:
@@ -174,7 +174,7 @@
     @staticmethod
     def _unless(link: Link | None, outcome: Outcome) -> Outcome:
         """How an attempt ended that has no answer: it never ran, unless its last byte may have left."""
-        return outcome if link is not None and link.written else Outcome.NOT_SENT
+        return outcome if link is not None and link.request_sent else Outcome.NOT_SENT
 
     @staticmethod
     def _outcome(call: Call, answer: Message) -> Outcome:
@@ -200,7 +200,7 @@
                 return
             async with asyncio.timeout(SILENT):
                 await link.write(piece)
-        if body.broken:
+        if body.aborted:
             raise RequestNotSentError("the client's body broke off")
         if call.length is None:
             await link.write(b"")
@@ -222,16 +222,16 @@
             while True:
                 if piece := answer.take():
                     link.channel.framer.release()
-                    link.channel.widen()
+                    link.channel.grow_buffer()
                     await stream.put(piece)
-                if answer.whole:
+                if answer.complete:
                     return await stream.put(None)
-                if most is not None and answer.came > most:
+                if most is not None and answer.received > most:
                     raise RemoteProtocolError("an answer without end")
                 async with asyncio.timeout(SILENT):
-                    await link.more(answer)
+                    await link.read_more(answer)
         except BaseException:
-            stream.break_off()
+            stream.abort()
             raise
 
     def _ended(self, tried: Try, started: float, task: asyncio.Task[Ended]) -> None:
--- a/mallowbeam/storage_gateway/server/beside.py
+++ b/mallowbeam/storage_gateway/server/beside.py
@@ -46,10 +46,12 @@
         parts = 1 if self.sister is None else 2
         own = 0 if self.sister is None else self.config.own_sockets
         for server in self.servers:
-            server.most = max(server.whole // 4, server.whole - (beside + own) // len(self.servers))
+            server.connection_limit = max(
+                server.configured_limit // 4, server.configured_limit - (beside + own) // len(self.servers)
+            )
             if budget := getattr(server.front, "budget", None):
-                budget.most = budget.whole // parts
-        self.pool.limit(parts)
+                budget.limit = budget.configured_limit // parts
+        self.pool.limit_to_part(parts)
 
     def alone(self) -> None:
         """The other process is gone."""
--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -191,8 +191,8 @@
         if self.revision is not None:
             target += b"?since=%d&timeout_ms=%d" % (self.revision, wait * 1000)
         await link.request(write_request(b"GET", target, [(b"host", self.address.encode())]))
-        answer = await link.head()
-        await link.body(answer)
+        answer = await link.read_head()
+        await link.read_body(answer)
         if answer.status != 200:
             raise ConnectionBrokenError(f"status {answer.status}")
         return answer
--- a/mallowbeam/storage_gateway/server/gateway.py
+++ b/mallowbeam/storage_gateway/server/gateway.py
@@ -167,7 +167,7 @@
         for server in self.servers:
             server.close_after_responses()
         for server in self.servers:
-            await server.shut()  # its accept queue is the new process's
+            await server.stop_accepting()  # its accept queue is the new process's
         await self._each(part.hand_over() for part in self.parts)
         if self.sister is not None:  # else it is gone in this very moment
             self.watch.pause()  # what the new one hears it tells
--- a/mallowbeam/storage_gateway/server/health.py
+++ b/mallowbeam/storage_gateway/server/health.py
@@ -49,7 +49,7 @@
 class Health:
     """A front that serves the health pages alone."""
 
-    max_body = whole = 0
+    max_body = max_buffered_body = 0
     budget: BodyBudget | None = None
 
     def __init__(self, gateway: Gateway) -> None:
@@ -65,7 +65,7 @@
         """The answer to what breaks HTTP or a bound."""
         return text_response(status, text, True)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """Checks are not among the figures."""
 
 
@@ -80,17 +80,17 @@
         return b"stopped\n"
     if not gateway.facade.nodes_open:
         return b"down #no node is open\n"
-    used = sum(len(s.connections) for s in gateway.servers) / sum(s.most for s in gateway.servers)
+    used = sum(len(s.connections) for s in gateway.servers) / sum(s.connection_limit for s in gateway.servers)
     return b"up ready %d%%\n" % max(1, round(100 * (1.0 - used)))
 
 
 class AgentConnection:
     """One agent check: the line is written, then the connection ends."""
 
-    idle = spare = closing = leaving = answered = False
+    idle = can_be_closed = closing = closing_soon = answered = False
     pending = 0
-    busy: asyncio.Task[None] | None = None
-    since = 0.0
+    response_task: asyncio.Task[None] | None = None
+    waiting_since = 0.0
 
     def __init__(self, gateway: Gateway, server: Server, sock: socket.socket, _over: bool = False) -> None:
         self.gateway, self.server, self.sock = gateway, server, sock
@@ -114,5 +114,5 @@
     def sweep(self, now: float) -> None:
         """Nothing to do: a check ends by itself."""
 
-    def leave(self) -> None:
+    def close_soon(self) -> None:
         """Nothing to do: its end has begun, and has its time."""
--- a/tests/http/test_accepting.py
+++ b/tests/http/test_accepting.py
@@ -24,7 +24,7 @@
 class Pages:
     """A front that answers everything at once, or once `held` is set."""
 
-    max_body, whole, budget = 0, 0, None
+    max_body, max_buffered_body, budget = 0, 0, None
 
     def __init__(self) -> None:
         self.held, self.count = asyncio.Event(), 0
@@ -38,7 +38,7 @@
     def error_response(self, status: int, text: str) -> Response:
         return text_response(status, text, True)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         pass
 
 
@@ -121,7 +121,7 @@
             await asyncio.sleep(0)
         server.front.held.set()
         while not got.done():
-            assert len(server.connections) <= server.most + 1
+            assert len(server.connections) <= server.connection_limit + 1
             await asyncio.sleep(0)
         assert set(got.result()) <= {b"HTTP/1.1 200", b"HTTP/1.1 503"}
         await drained
@@ -136,9 +136,9 @@
         server.start()
         server.front.held.clear()
         with knock(server), knock(server), knock(server):
-            while len(server.connections) <= server.most:
+            while len(server.connections) <= server.connection_limit:
                 await asyncio.sleep(0)
-            await server.shut(0.05)
+            await server.stop_accepting(0.05)
             assert server.sock.fileno() < 0
         server.front.held.set()
         await server.drain()
@@ -181,7 +181,7 @@
 
     async def play(server: Server) -> None:
         new, shuts = Server(server.address, Pages(), 64, handed=server.sock.dup()), []
-        server.sock.after = lambda: shuts or shuts.append(asyncio.ensure_future(server.shut()))
+        server.sock.after = lambda: shuts or shuts.append(asyncio.ensure_future(server.stop_accepting()))
         server.start()
         socks = [knock(server) for _ in range(40)]
         while server.sock.fileno() >= 0:
--- a/tests/http/test_closing.py
+++ b/tests/http/test_closing.py
@@ -24,7 +24,7 @@
     here.sweep(time.monotonic() + LATER)
 
 
-WAYS = {"sweep": sweep, "leave": Connection.leave}
+WAYS = {"sweep": sweep, "leave": Connection.close_soon}
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -54,14 +54,14 @@
             client, here = await come(world)
             arrive(client, here, request(1)[:20])
             WAYS[way](here)
-            await until(lambda: here.part is not None)
+            await until(lambda: here.incoming is not None)
             client.say(request(1)[20:])
             await world.play("n0 expect GET\nn0 send 200 body=one")
             await client.read(until=b"one")
             client, here = await come(world)
             arrive(client, here, request(2)[:20])
             WAYS[way](here)
-            await until(lambda: here.part is not None)
+            await until(lambda: here.incoming is not None)
             sweep(here)  # and its time is over
             assert (await client.read()).startswith(b"HTTP/1.1 408")
 
@@ -172,7 +172,7 @@
         async with World() as world:
             client, here = await come(world, request(1, "connection: close"))
             await world.play("n0 expect GET\nn0 send 200 body=one")
-            await until(lambda: here.stage is Stage.LINGERING)
+            await until(lambda: here.state is Stage.LINGERING)
             with pytest.raises(ConnectionError):
                 while True:  # far more than the sockets hold between them
                     await client.loop.sock_sendall(client.sock, b"x" * 65536)
@@ -187,12 +187,12 @@
         async with World() as world:
             client, here = await come(world)
             for _ in range(3):
-                here.leave()
-            assert here.leaving and here.closing and here.stage is Stage.LINGERING
+                here.close_soon()
+            assert here.closing_soon and here.closing and here.state is Stage.LINGERING
             await client.read()
             await until(lambda: here.task.done())  # LINGER_LEAST, where its client does not end it
-            here.leave()
-            assert here.stage is Stage.CLOSED and crossing.shuts == 1
+            here.close_soon()
+            assert here.state is Stage.CLOSED and crossing.shuts == 1
             assert here not in world.gateway.servers[-1].connections
 
     uvloop.run(run())
@@ -205,9 +205,9 @@
         async with World() as world:
             client, here = await come(world, b"".join(request(i) for i in range(1, 6)))
             await world.play("n0 expect GET")
-            here.leave()
-            here.leave()
-            assert not here.spare and here.pending == 5
+            here.close_soon()
+            here.close_soon()
+            assert not here.can_be_closed and here.pending == 5
             await world.play("n0 send 200 body=one" + "\nn0 expect GET\nn0 send 200 body=more" * 4)
             got = await client.read()
             assert got.count(b"HTTP/1.1 200") == 5
@@ -223,8 +223,8 @@
     async def run() -> None:
         async with World() as world:
             client, here = await come(world, request(1)[:40])
-            await until(lambda: here.part is not None)
-            here.leave()
+            await until(lambda: here.incoming is not None)
+            here.close_soon()
             client.say(request(1)[40:])  # it crosses the end
             assert await client.read() == b""
             client.leave()
@@ -240,8 +240,8 @@
             client, here = await come(world, request(1))
             await world.play("n0 expect GET\nn0 send 200 fill=3000000")
             await client.read(until=b"\r\n\r\n")
-            here.leave()
-            assert here.writing and here.stage is Stage.LAST
+            here.close_soon()
+            assert here.writing and here.state is Stage.LAST
             got = await client.read()
             assert len(got.partition(b"\r\n\r\n")[2]) == 3_000_000
 
@@ -271,7 +271,11 @@
         async with World() as world:
             head = request(1, "content-length: 300000", "idempotency-key: k", method="PUT", cls="new-write")
             client, here = await come(world, head + b"x" * 100_000)
-            await until(lambda: here.taking is not None and here.taking.came == 100_000 and not here.blocked)
+            await until(
+                lambda: here.streamed_request is not None
+                and here.streamed_request.received == 100_000
+                and not here.consumer_is_slow
+            )
             WAYS[way](here)
             if way == "leave":
                 client.say(b"x" * 200_000)
@@ -293,7 +297,7 @@
             assert await client.read() == b""
             for raw in (b"NONSENSE\r\n\r\n", request(1)[:30]):
                 client, here = await come(world, raw)
-                await until(lambda: here.part is not None or here.closing)  # noqa: B023
+                await until(lambda: here.incoming is not None or here.closing)  # noqa: B023
                 sweep(here)
                 await asyncio.wait_for(here.task, 5)
                 assert (await client.read()).startswith(b"HTTP/1.1 4")
@@ -310,8 +314,8 @@
         async with World() as world:
             client, here = await come(world)
             sweep(here)
-            assert here.spare and not here.leaving
-            here.leave()
+            assert here.can_be_closed and not here.closing_soon
+            here.close_soon()
             arrive(client, here, request(1))  # it is read, so that this is no reset
             await asyncio.wait_for(here.task, 5)
             assert await client.read() == b""
@@ -328,7 +332,7 @@
             client.say(b"check\n" * 100)
             await until(lambda: server.connections)
             for here in server.connections:
-                here.leave()
+                here.close_soon()
             assert (await client.read()).startswith(b"up ready")
             client.leave()
 
@@ -372,7 +376,7 @@
         async with World() as world:
             client, here = await come(world, b"".join(request(i) for i in range(1, 6)))
             await world.play("n0 expect GET")
-            here.leave()
+            here.close_soon()
             await world.play("n0 send 200 body=one")
             got = await client.read()
             assert got.count(b"HTTP/1.1 200") == 1 and b"connection: close" in got
--- a/tests/http/test_floods.py
+++ b/tests/http/test_floods.py
@@ -130,7 +130,7 @@
                 nonlocal most
                 while True:
                     await client.loop.sock_sendall(client.sock, more)
-                    most = max(most, here.channel.framer.quiet)
+                    most = max(most, here.channel.framer.pending_bytes)
 
             flooding = asyncio.create_task(flood())
             if start.endswith(b"x" * 10):  # a whole request comes first, and it is answered first
@@ -153,9 +153,9 @@
             client, here = await come(world, request(1))
             await world.play("n0 expect GET")
             flooding = asyncio.create_task(client.loop.sock_sendall(client.sock, HEALTH * 300_000))
-            await until(lambda: here.held)
-            looks = here.looks
-            await until(lambda: here.looks is not looks)
+            await until(lambda: here.reading_paused)
+            looks = here.liveness_timer
+            await until(lambda: here.liveness_timer is not looks)
             assert len(here.channel.framer.ready) <= connections.PIPELINED + CHUNK // len(HEALTH) + 1
             assert not flooding.done()
             await serves_others(world)
@@ -184,15 +184,17 @@
     async def run() -> None:
         async with World() as world:
             client, here = await come(world, raw)
-            await until(lambda: here.part is not None)
-            start = here.since
+            await until(lambda: here.incoming is not None)
+            start = here.waiting_since
             for drop, passed in zip(drops, (1.0, 2.0, 2.4), strict=True):
                 here.sweep(start + passed)
                 assert not here.closing
                 arrive(client, here, bytes([drop]))
                 await until(lambda: here.channel.peek() is None)
-            assert here.since - start < connections.STALLED / 2  # only time in which its taker was slow
-            here.sweep(here.since + connections.STALLED + 0.01)
+            assert (
+                here.waiting_since - start < connections.STALLED / 2
+            )  # only time in which its taker was slow
+            here.sweep(here.waiting_since + connections.STALLED + 0.01)
             # An upload is passed on already: its taker says that it broke off.
             assert (await client.read()).startswith(b"HTTP/1.1 503" if b"90000" in raw else b"HTTP/1.1 408")
             client.leave()
@@ -207,15 +209,15 @@
     async def run() -> None:
         async with World() as world:
             client, here = await come(world, put("content-length: 1310720", body=b"x"))
-            await until(lambda: here.taking is not None)
-            start, sent = here.since, 1
+            await until(lambda: here.streamed_request is not None)
+            start, sent = here.waiting_since, 1
             for second in range(20):
                 here.sweep(start + second)
                 piece = min(65536, 1310720 - sent)
                 arrive(client, here, b"x" * piece)
                 sent += piece
-                await until(lambda: here.taking is None or here.taking.came == sent)  # noqa: B023
-                here.since = start  # the taker's time does not count, nor does this machine's
+                await until(lambda: here.streamed_request is None or here.streamed_request.received == sent)  # noqa: B023
+                here.waiting_since = start  # the taker's time does not count, nor does this machine's
             await world.play("n0 expect PUT\nn0 send 200 body=stored")
             assert (await client.read(until=b"stored")).startswith(b"HTTP/1.1 200")
 
--- a/tests/http/test_waiting.py
+++ b/tests/http/test_waiting.py
@@ -20,10 +20,12 @@
         async with World() as world:
             client, here = await come(world, b"".join(request(i) for i in range(1, PIPE + 1)))
             await world.play("n0 expect GET")
-            await until(lambda: len(here.channel.framer.ready) + len(here.ahead.pieces) > PIPELINED)
+            await until(lambda: len(here.channel.framer.ready) + len(here.read_ahead.chunks) > PIPELINED)
             for waiting in here.channel.framer.ready:
-                waiting.at -= 60.0
-            here.ahead.pieces = type(here.ahead.pieces)((at - 60.0, data) for at, data in here.ahead.pieces)
+                waiting.completed_at -= 60.0
+            here.read_ahead.chunks = type(here.read_ahead.chunks)(
+                (at - 60.0, data) for at, data in here.read_ahead.chunks
+            )
             here.channel.framer.read_at -= 60.0
             await world.play("n0 send 200 body=one")
             answers: list[bytes] = []
@@ -44,7 +46,7 @@
             _, here = await come(world, request(1))
             await world.play("n0 expect GET")
             assert 0.2 < float(world.parties["n0"].seen[0].get(b"x-deadline-ms")) / 1000 <= 0.3
-            assert here.request.at <= here.channel.moved
+            assert here.request.completed_at <= here.channel.last_activity
 
     uvloop.run(run())
 
@@ -54,8 +56,8 @@
     budget = BodyBudget(1 << 30)
     ahead = ReadAhead(budget)
     while not ahead.full:
-        ahead.put(memoryview(b"x"), float(len(ahead.pieces)))
-    assert len(ahead.pieces) <= MAX_READ_AHEAD / CHUNK_OVERHEAD + 1 and budget.used == ahead.held
-    assert [ahead.take() for _ in range(2)] == [(0.0, b"x"), (1.0, b"x")]
-    ahead.drop()
-    assert budget.used == ahead.held == 0 and not ahead
+        ahead.append(memoryview(b"x"), float(len(ahead.chunks)))
+    assert len(ahead.chunks) <= MAX_READ_AHEAD / CHUNK_OVERHEAD + 1 and budget.used == ahead.buffered
+    assert [ahead.popleft() for _ in range(2)] == [(0.0, b"x"), (1.0, b"x")]
+    ahead.clear()
+    assert budget.used == ahead.buffered == 0 and not ahead
--- a/tests/router/control_plane/test_control_plane_large_bodies.py
+++ b/tests/router/control_plane/test_control_plane_large_bodies.py
@@ -117,37 +117,37 @@
         request = call(CONFIG, large(2))
         head = request[: request.index(b"\r\n\r\n") + 4]
         first, second = self.fed(head), self.fed(head)
-        self.assertIsNone(first.fault)
-        self.assertEqual((second.fault.status, str(second.fault)), (503, ANOTHER_LARGE_BODY))
+        self.assertIsNone(first.error)
+        self.assertEqual((second.error.status, str(second.error)), (503, ANOTHER_LARGE_BODY))
         second.release()
-        self.assertIsNotNone(self.fed(head).fault, "the refused one gave the first one's place away")
+        self.assertIsNotNone(self.fed(head).error, "the refused one gave the first one's place away")
         first.release()
-        self.assertIsNone(self.fed(head).fault)
+        self.assertIsNone(self.fed(head).error)
 
     def test_one_without_a_stated_length_is_refused_once_it_is_large(self) -> None:
         first, second = (self.fed(call(CONFIG, large(2), chunked=True)) for _ in range(2))
         self.assertEqual(len(first.ready), 1)
-        self.assertEqual(str(second.fault), ANOTHER_LARGE_BODY)
-        self.assertLessEqual(len(second.part.body), MOST_BODY)
+        self.assertEqual(str(second.error), ANOTHER_LARGE_BODY)
+        self.assertLessEqual(len(second.incoming.body), MOST_BODY)
 
     def test_a_second_one_on_the_same_connection_is_refused(self) -> None:
         framer = self.fed(call(CONFIG, large(2)) * 2)
-        self.assertEqual((len(framer.ready), str(framer.fault)), (1, ANOTHER_LARGE_BODY))
+        self.assertEqual((len(framer.ready), str(framer.error)), (1, ANOTHER_LARGE_BODY))
 
     def test_small_bodies_have_the_common_bound_for_themselves(self) -> None:
         self.fed(call(CONFIG, large(2)))
         self.assertEqual(self.budget.used, 0)
         small = call(INSTANCE, b"x" * LARGE_BODY)
         held = [self.fed(small) for _ in range(MOST_BODIES // LARGE_BODY)]
-        self.assertTrue(all(framer.fault is None for framer in held))
-        self.assertEqual(str(self.fed(small).fault), TOO_MANY_BODIES)
+        self.assertTrue(all(framer.error is None for framer in held))
+        self.assertEqual(str(self.fed(small).error), TOO_MANY_BODIES)
 
     def test_the_control_api_has_one_place(self) -> None:
         api = api_of(ConfigurationParser(), Log())
         budget = api.budget
         assert budget is not None
         self.budget = budget
-        faults = [self.fed(call(CONFIG, large(2))).fault for _ in range(2)]
+        faults = [self.fed(call(CONFIG, large(2))).error for _ in range(2)]
         self.assertIsNone(faults[0])
         self.assertEqual(str(faults[1]), ANOTHER_LARGE_BODY)
 
--- a/tests/router/control_plane/test_control_plane_stage_orders.py
+++ b/tests/router/control_plane/test_control_plane_stage_orders.py
@@ -51,10 +51,10 @@
         self.done.append(("request",))
         self.order = json.loads(body)
 
-    async def head(self) -> SimpleNamespace:
+    async def read_head(self) -> SimpleNamespace:
         return SimpleNamespace(status=202)
 
-    async def body(self, answer: object) -> bytes:
+    async def read_body(self, answer: object) -> bytes:
         return b""
 
     def close(self) -> None:
--- a/tests/router/data_plane/test_data_plane_answers.py
+++ b/tests/router/data_plane/test_data_plane_answers.py
@@ -203,23 +203,23 @@
     def test_an_early_answer_is_read_and_its_connection_not_used_again(self) -> None:
         async def scenario(link: Link, peer: socket.socket) -> None:
             peer.sendall(EARLY)
-            answer = await link.ask(HEAD % LARGE, b"b" * LARGE)
-            self.assertEqual((answer.status, await link.body(answer)), (503, b"no"))
-            self.assertEqual((link.written, link.begun, link.reusable(answer)), (False, True, False))
+            answer = await link.round_trip(HEAD % LARGE, b"b" * LARGE)
+            self.assertEqual((answer.status, await link.read_body(answer)), (503, b"no"))
+            self.assertEqual((link.request_sent, link.begun, link.reusable(answer)), (False, True, False))
 
         self.play(scenario)
 
     def test_the_rest_of_a_body_is_sent_whole_behind_an_early_answer(self) -> None:
         async def scenario(link: Link, peer: socket.socket) -> None:
             peer.sendall(GOOD)
-            answer = await link.ask(HEAD % LARGE, b"b" * LARGE)
-            await link.body(answer)
+            answer = await link.round_trip(HEAD % LARGE, b"b" * LARGE)
+            await link.read_body(answer)
             peer.setblocking(False)
             got = b""
             while len(got) < len(HEAD % LARGE) + LARGE:
                 got += await asyncio.get_running_loop().sock_recv(peer, 65536)
             self.assertEqual(got, HEAD % LARGE + b"b" * LARGE)
-            while not link.written:
+            while not link.request_sent:
                 await asyncio.sleep(0)
             self.assertTrue(link.reusable(answer))
 
@@ -228,23 +228,23 @@
     def test_a_reset_that_the_write_is_told_of_is_no_orderly_end(self) -> None:
         async def scenario(link: Link, peer: socket.socket) -> None:
             peer.sendall(NO_LENGTH)
-            answer = await link.ask(HEAD % LARGE, b"b" * LARGE)
+            answer = await link.round_trip(HEAD % LARGE, b"b" * LARGE)
             peer.close()  # over bytes that nobody read: a reset
             with self.assertRaises(ConnectionBrokenError):
-                await link.body(answer)
+                await link.read_body(answer)
 
         self.play(scenario)
 
     def test_a_close_over_a_blocked_write_leaves_nothing_behind(self) -> None:
         async def scenario(link: Link, peer: socket.socket) -> None:
             peer.sendall(EARLY)
-            await link.ask(HEAD % LARGE, b"b" * LARGE)
+            await link.round_trip(HEAD % LARGE, b"b" * LARGE)
             writer = link._writer
             assert writer is not None
             self.assertFalse(writer.done())
             link.close()
             await asyncio.wait([writer])
-            self.assertFalse(link.written)
+            self.assertFalse(link.request_sent)
 
         self.play(scenario)
 
@@ -312,8 +312,8 @@
             addresses = [await one.start() for one in instances]
             pool = LinkPool(10)
             link = await pool.take("i-1", addresses[0], 1)
-            answer = await link.ask(b"GET / HTTP/1.1\r\n\r\n")
-            await link.body(answer)
+            answer = await link.round_trip(b"GET / HTTP/1.1\r\n\r\n")
+            await link.read_body(answer)
             pool.give_back("i-1", link, answer)
             other = await pool.take("i-1", addresses[1], 1)
             self.assertIsNot(other, link)
--- a/tests/router/data_plane/test_exchange_model.py
+++ b/tests/router/data_plane/test_exchange_model.py
@@ -72,7 +72,7 @@
     stack.enter_context(patch.object(Channel, "stale", lambda self: self.peek() is False))
     stack.enter_context(
         patch.object(
-            Link, "reusable", lambda self, answer: self.written and answer.whole and answer.keep_alive
+            Link, "reusable", lambda self, answer: self.request_sent and answer.complete and answer.keep_alive
         )
     )
 
@@ -84,13 +84,13 @@
 
 def surplus_dropped_with_the_end(stack: ExitStack) -> None:
     """All that was parsed together with an answer's end is forgotten, as if nothing had come."""
-    more = Link.more
+    more = Link.read_more
 
     async def forgetting(self: Link, answer: Message) -> None:
         await more(self, answer)
         self.channel.framer.ready.clear()
 
-    stack.enter_context(patch.object(Link, "more", forgetting))
+    stack.enter_context(patch.object(Link, "read_more", forgetting))
 
 
 def reuse_without_an_answer(stack: ExitStack) -> None:
@@ -99,9 +99,9 @@
 
     def keeping(self: LinkPool, instance: str, link: Link, answer: Message | None) -> None:
         kept = Message()
-        kept.whole = link.written = True
+        kept.complete = link.request_sent = True
         kept.headers = [(b"keep-alive", b"timeout=30")]
-        if link.channel.framer.part is None and not link.channel.sock.finished:
+        if link.channel.framer.incoming is None and not link.channel.sock.finished:
             give_back(self, instance, link, kept)
         else:
             give_back(self, instance, link, answer)
@@ -113,7 +113,7 @@
     """After an early answer the connection is kept, though the request is not whole at the instance."""
 
     def reusable(self: Link, answer: Message) -> bool:
-        return answer.whole and answer.keep_alive and not answer.until_close and self.channel.framer.empty
+        return answer.complete and answer.keep_alive and not answer.until_close and self.channel.framer.empty
 
     def keeping(self: LinkPool, instance: str, link: Link, answer: Message | None) -> None:
         link.channel._unblock()
@@ -136,7 +136,7 @@
 
 def second_send_after_part_of_a_request(stack: ExitStack) -> None:
     """What the instance has not read whole counts as not run."""
-    stack.enter_context(patch.object(Link, "begun", property(lambda self: self.written)))
+    stack.enter_context(patch.object(Link, "begun", property(lambda self: self.request_sent)))
 
 
 def second_send_after_a_time_out(stack: ExitStack) -> None:
@@ -201,7 +201,7 @@
 
 def reuse_after_a_handle_s_release(stack: ExitStack) -> None:
     """The call that frees a handle, which names no request, takes any answer for its own."""
-    drop, body = LinkPool.drop, Link.body
+    drop, body = LinkPool.drop, Link.read_body
     read: dict[Link, Message] = {}
 
     async def noting(self: Link, answer: Message, standstill: float | None = None) -> bytearray:
@@ -215,7 +215,7 @@
             return self.give_back(instance, link, answer)
         return drop(self, instance, link)
 
-    stack.enter_context(patch.object(Link, "body", noting))
+    stack.enter_context(patch.object(Link, "read_body", noting))
     stack.enter_context(patch.object(LinkPool, "drop", keeping))
 
 
--- a/tests/storage_gateway/frontends/test_platform.py
+++ b/tests/storage_gateway/frontends/test_platform.py
@@ -195,7 +195,7 @@
 
     async def run() -> None:
         async with World() as world:
-            world.gateway.pool.budget.most = 30000
+            world.gateway.pool.budget.limit = 30000
             await world.play("""
                 c1 send read
                 n0 expect GET
--- a/tests/storage_gateway/server/test_admin.py
+++ b/tests/storage_gateway/server/test_admin.py
@@ -54,7 +54,7 @@
     async def run() -> None:
         async with World(sockets=140) as world:
             here = world.gateway.servers[-1]
-            here.most = 2
+            here.connection_limit = 2
             await world.play(f"""
                 c1 send read
                 n0 expect GET
--- a/tests/storage_gateway/server/test_clients_gone.py
+++ b/tests/storage_gateway/server/test_clients_gone.py
@@ -65,8 +65,8 @@
         async with World() as world:
             client, here = await come(world, b"".join(request(i) for i in range(1, MANY)))
             await world.play("n0 expect GET")
-            await until(lambda: here.held)
-            here.looks.cancel()  # no look comes now
+            await until(lambda: here.reading_paused)
+            here.liveness_timer.cancel()  # no look comes now
             client.leave()
             await world.play("n0 send 200 body=one")
             await until(lambda: not world.gateway.servers[-1].connections)
@@ -84,7 +84,7 @@
         async with World() as world:
             client, here = await come(world, request(1) + request(2) + b"\x00garbage\r\n\r\n")
             await world.play("n0 expect GET")
-            await until(lambda: here.channel.framer.fault is not None)
+            await until(lambda: here.channel.framer.error is not None)
             arrive(client, here, b"x" * 50_000)
             WAYS[way](client)
             await nothing_more(world)
@@ -102,7 +102,7 @@
             client, here = await come(world, b"")
             world.parties["n0"].still = True  # it reads nothing
             client.say(head)
-            while not here.held:  # the gateway's and the kernel's buffers are full
+            while not here.reading_paused:  # the gateway's and the kernel's buffers are full
                 try:
                     client.sock.send(b"x" * 65536)
                 except BlockingIOError:
@@ -124,9 +124,9 @@
         async with World(Classes=PATIENT) as world:
             client, here = await come(world, b"".join(request(i, deadline=60_000) for i in range(1, 9)))
             await world.play("n0 expect GET")
-            await until(lambda: here.held)
-            looks = here.looks
-            await until(lambda: here.looks is not looks)  # one look has passed
+            await until(lambda: here.reading_paused)
+            looks = here.liveness_timer
+            await until(lambda: here.liveness_timer is not looks)  # one look has passed
             await world.play("n0 send 200 body=one" + "\nn0 expect GET\nn0 send 200 body=more" * 7)
             await until(lambda: here.idle and here.answered)
             client.end()
--- a/tests/storage_gateway/server/test_connections.py
+++ b/tests/storage_gateway/server/test_connections.py
@@ -75,7 +75,7 @@
 
     async def run() -> None:
         async with World(sockets=120) as world:
-            room = world.gateway.servers[-1].most - world.gateway.servers[-1].spare
+            room = world.gateway.servers[-1].connection_limit - world.gateway.servers[-1].spare
             world.gateway.submit = lambda call: asyncio.Event().wait()
             await world.play("".join(f"c{i} send read\n" for i in range(room)) + "wait 0.1")
             await world.play(
@@ -102,7 +102,8 @@
             first = [await asyncio.open_connection(*world.platform)]
             await world.play(
                 "".join(
-                    f"c{i} send GET /healthz\nc{i} expect 200\n" for i in range(here.most - here.spare + 5)
+                    f"c{i} send GET /healthz\nc{i} expect 200\n"
+                    for i in range(here.connection_limit - here.spare + 5)
                 )
             )
             await world.play("wait 0.05")
@@ -120,18 +121,18 @@
         async with World(sockets=120) as world:
             await world.play("c1 send GET /healthz\nc1 expect 200")
             (connection,) = world.gateway.servers[-1].connections
-            assert connection.spare
+            assert connection.can_be_closed
             world.parties["c1"].raw("GET /healthz")
             while not connection.channel.stale():  # the loop has not read it yet
                 await asyncio.sleep(0)
                 if not connection.idle:
                     break
-            assert not connection.spare
+            assert not connection.can_be_closed
             _, writer = await asyncio.open_connection(*world.platform)
             while len(world.gateway.servers[-1].connections) < 2:
                 await asyncio.sleep(0)
             (fresh,) = world.gateway.servers[-1].connections - {connection}
-            assert fresh.idle and not fresh.spare
+            assert fresh.idle and not fresh.can_be_closed
             writer.close()
 
     uvloop.run(run())
--- a/tests/storage_gateway/server/test_crossings_upgrade.py
+++ b/tests/storage_gateway/server/test_crossings_upgrade.py
@@ -48,7 +48,7 @@
             old.gateway.sister.close()  # as its end would
         await until(lambda: new.gateway.sister is None)
         assert old.task.result() is None and new.gateway.phase is Phase.SERVING
-        assert new.gateway.pool.most == new.gateway.pool.whole
+        assert new.gateway.pool.connection_limit == new.gateway.pool.configured_limit
         await new.play("c9 send read\nn0 expect GET\nn0 send 200 body=new\nc9 expect 200 new")
 
     upgraded(run, before)
@@ -184,7 +184,10 @@
         await until(lambda: stays.gateway.sister is None and goes.gateway.sister is None)
         assert stays.gateway.holds(name) and not goes.gateway.holds(name)
         await stays.play(f"n0 send 200 body=kept\n{client} expect 200 kept")
-        assert not stays.gateway.holds(name) and stays.gateway.pool.most == stays.gateway.pool.whole
+        assert (
+            not stays.gateway.holds(name)
+            and stays.gateway.pool.connection_limit == stays.gateway.pool.configured_limit
+        )
 
     upgraded(run)
 
@@ -199,7 +202,10 @@
             monkeypatch.setattr(handover, "MOST_SAID", 100)
             assert await asyncio.to_thread(handover.take_over, old.config) is None
             await until(lambda: old.gateway.sister is None)
-            assert old.gateway.pool.most == old.gateway.pool.whole and not old.gateway.handed_over.is_set()
+            assert (
+                old.gateway.pool.connection_limit == old.gateway.pool.configured_limit
+                and not old.gateway.handed_over.is_set()
+            )
             monkeypatch.setattr(handover, "MOST_SAID", whole)
             legacy = await asyncio.to_thread(handover.take_over, old.config)
             assert legacy is not None and isinstance(legacy.config(old.config).known, Listing)
--- a/tests/storage_gateway/server/test_handover.py
+++ b/tests/storage_gateway/server/test_handover.py
@@ -207,14 +207,14 @@
 def test_descriptors_and_bodies_are_shared_while_there_are_two():
     async def check(old: World, new: World) -> None:
         for world in (old, new):
-            assert world.gateway.pool.most == world.gateway.pool.whole // 2
-            assert world.gateway.pool.budget.most == world.gateway.pool.budget.whole // 2
+            assert world.gateway.pool.connection_limit == world.gateway.pool.configured_limit // 2
+            assert world.gateway.pool.budget.limit == world.gateway.pool.budget.configured_limit // 2
         old.gateway.stop()
         await until(old.task.done)
         old.gateway.sister.close()  # as its end would
         await until(lambda: new.gateway.sister is None)
-        assert new.gateway.pool.most == new.gateway.pool.whole
-        assert new.gateway.servers[-1].most == new.gateway.servers[-1].whole
+        assert new.gateway.pool.connection_limit == new.gateway.pool.configured_limit
+        assert new.gateway.servers[-1].connection_limit == new.gateway.servers[-1].configured_limit
 
     upgrade("c1 send GET /healthz\nc1 expect 200", "", check)
 
--- a/tests/storage_gateway/server/test_links.py
+++ b/tests/storage_gateway/server/test_links.py
@@ -216,7 +216,7 @@
     async def run() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             links = pool()
-            links.lasts = 1e9
+            links.idle_lifetime = 1e9
             link = await links.take(address(listener))
             assert links.keep(link) and await links.take(address(listener)) is link
             links.drop(link)
--- a/tests/storage_gateway/server/test_written.py
+++ b/tests/storage_gateway/server/test_written.py
@@ -92,7 +92,7 @@
         link, peer = pair()
         data, write = WRITES[how]
         task = await struck(link, peer, len(data), lambda: write(link), asyncio.Task.cancel)
-        assert link.written and link.channel.unsent == 0 and not task.cancelled()
+        assert link.request_sent and link.channel.unsent == 0 and not task.cancelled()
         peer.close()
 
     uvloop.run(run())
@@ -118,7 +118,7 @@
         while not task.done():
             task.cancel()
             await asyncio.sleep(0)
-        assert not link.written and link.channel.unsent == last
+        assert not link.request_sent and link.channel.unsent == last
         peer.close()
 
     uvloop.run(run())
@@ -133,7 +133,7 @@
         with pytest.raises(RequestNotSentError):
             for _ in range(3):  # the first write may still be taken
                 await link.request(b"head", b"b" * CHUNK)
-        assert not link.written
+        assert not link.request_sent
 
     uvloop.run(run())
 
--- a/tests/support/exchange_model.py
+++ b/tests/support/exchange_model.py
@@ -157,7 +157,7 @@
         message = Message()
         length = LARGE_BODY if self.setting.large and id == FIRST else SMALL_BODY
         message.method, message.target = b"POST", self.setting.target
-        message.whole, message.at = True, time.monotonic()
+        message.complete, message.completed_at = True, time.monotonic()
         message.headers = [
             (b"host", HOST.encode()),
             (b"request-id", id),
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -68,15 +68,15 @@
         try:
             while not self.still and (data := await reader.read(65536)):
                 framer.feed(memoryview(data))
-                assert framer.fault is None, framer.fault
+                assert framer.error is None, framer.error
                 while framer.ready:
                     self.came.put_nowait((framer.ready.popleft(), writer))
             if self.still:
                 await asyncio.Event().wait()
         except (OSError, asyncio.CancelledError):
             pass
-        if framer.part is not None and framer.part.until_close:
-            self.came.put_nowait((framer.part, writer))
+        if framer.incoming is not None and framer.incoming.until_close:
+            self.came.put_nowait((framer.incoming, writer))
         self.came.put_nowait(None)
 
     async def expect(self, patterns: list[str]) -> None:
--- a/tests/support/simulated.py
+++ b/tests/support/simulated.py
@@ -54,7 +54,7 @@
 
     def __init__(self, service: Service, max_body: int) -> None:
         self.service, self.framer = service, Framer(answers=True, max_body=max_body)
-        self.taken = 0
+        self.bytes_sent = 0
         self.coming: asyncio.Queue[bytes | None] = asyncio.Queue()
         self.task: asyncio.Task | None = None
         self.served = False  # a call that follows on it continues a watch
