--- a/mallowbeam/storage_gateway/coordination/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem.py
@@ -57,7 +57,7 @@
     def planned(
         self, plan: Plan, volume: str = "", shard: int | None = None, part: float | None = None
     ) -> bool:
-        """A plan's figures, or one volume's allotment, from now on, as `facade.planned` takes them.
+        """A plan's figures, or one volume's allotment, from now on: see `SchedulerHost.change_plan`.
 
         False where this gateway's module has no such call; raises its `MallowbeamError` where it refuses.
         """
--- a/mallowbeam/storage_gateway/coordination/subsystem_context.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem_context.py
@@ -29,7 +29,7 @@
 
 
 class PlanOverrides:
-    """Plans' figures on the way to the module, which takes them by the facade's one call."""
+    """Plans' figures on the way to the module, which takes them by the scheduler's one call."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
@@ -46,9 +46,9 @@
     ) -> bool:
         """Let these figures hold; False where this gateway's module can't take them at all.
 
-        Raises the facade's `MallowbeamError` where it refuses them; nothing has changed then.
+        Raises the scheduler's `MallowbeamError` where it refuses them; nothing has changed then.
         """
-        call = getattr(self.gateway.facade, "planned", None)
+        call = getattr(self.gateway.scheduler, "change_plan", None)
         if call is None:
             return False
         self.gateway._apply(call(self.gateway.now(), plan, volume, shard, part))
@@ -116,12 +116,12 @@
 
     def nodes(self) -> list[NodeEntry]:
         """The nodes as they are listed here."""
-        entries: list[NodeEntry] = self._gateway.facade.entries(self._gateway.now())
+        entries: list[NodeEntry] = self._gateway.scheduler.node_entries(self._gateway.now())
         return entries
 
     def out(self, node: str) -> int:
         """How many attempts this gateway has out at a node."""
-        return self._gateway.facade.out(node)
+        return self._gateway.scheduler.attempts_at(node)
 
     def held(self) -> int:
         """How many requests this gateway holds unanswered."""
--- a/mallowbeam/storage_gateway/scheduler/gateway_host.py
+++ b/mallowbeam/storage_gateway/scheduler/gateway_host.py
@@ -1,13 +1,13 @@
-"""The decision module in blocking style: `pick`, `report`, `tick`.
+"""The scheduler as the gateway calls it: plain method calls in, `Orders` out.
 
-Network code calls these and gets `Orders`, plain values, at once; it never sees the module's events or
-actions.  Nothing is decided here, and the clock is handed in with every call.
+Network code never sees the scheduler's events and actions.  Nothing is decided here, and nothing reads a
+clock: every call is given the time, in seconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
 
 from dataclasses import asdict, dataclass, field
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.storage_gateway.scheduler import Scheduler
@@ -38,25 +38,24 @@
 )
 
 NEVER = float("inf")
-GONE = NodeState.REMOVED
-MOST_ALLOTMENTS = 20_000  # plans and allotments held at once, some 10 MB: a new one past that is refused
+MAX_ALLOTMENTS = 20_000  # plans and allotments kept at once, some 10 MB; a new one past that is rejected
 
 
-class BadPlan(MallowbeamError):
-    """A plan or an allotment that the module can't hold to."""
+class InvalidPlanError(MallowbeamError):
+    """A plan or an allotment that the scheduler can't enforce."""
 
     error_name = "BadPlan"
     remedy = "Give figures of 0 or more, a part from 0 to 1, and a volume with each shard."
 
 
-class TooManyAllotments(MallowbeamError):
+class TooManyAllotmentsError(MallowbeamError):
     """More allotments than a gateway keeps."""
 
     error_name = "TooManyAllotments"
     remedy = "Take back allotments that are not needed (their plan's own figures, no part)."
 
 
-class Try(NamedTuple):
+class AttemptOrder(NamedTuple):
     """Send a request to a node now, and stop waiting after `timeout` seconds."""
 
     request: str
@@ -65,142 +64,156 @@
     timeout: float | None
 
 
-class Verdict(NamedTuple):
-    """The final answer of a request that no node served."""
+class FinalAnswer(NamedTuple):
+    """The final answer to a request that no node served; `retry_after` in seconds."""
 
     request: str
-    refused: bool
+    rejected: bool  # it was not run, and a retry is harmless; else it failed
     retry_after: float | None
 
 
 @dataclass(slots=True)
 class Orders:
-    """What is to be done now."""
+    """What the gateway is to do now."""
 
-    tries: list[Try] = field(default_factory=list)
-    cancels: list[tuple[str, int]] = field(default_factory=list)
-    verdicts: list[Verdict] = field(default_factory=list)
-    watch: bool = False  # begin a watch on the list of nodes
+    attempts: list[AttemptOrder] = field(default_factory=list)
+    cancellations: list[tuple[str, int]] = field(default_factory=list)  # request, number of the attempt
+    final_answers: list[FinalAnswer] = field(default_factory=list)
+    watch_nodes: bool = False  # start a watch on the list of nodes
 
 
-class Facade:
-    """One host's decisions, called from network code."""
+class SchedulerHost:
+    """One gateway's scheduler.
+
+    It owns the numbers of the attempts and the time of the next `tick`; everything else is the scheduler's.
+    """
 
     def __init__(self, settings: Settings, now: float) -> None:
         self._scheduler = Scheduler(settings, now)
-        self._attempts: dict[str, int] = {}  # requests that are not over: attempts so far
-        self.wake = NEVER  # when `tick` is due
+        self._attempts: dict[str, int] = {}  # attempts so far, of each request that has no final answer
+        self.wake_at = NEVER  # when `tick` is due
 
     def knows(self, request: str) -> bool:
-        """Whether this id is in use: held, or over with an attempt still out."""
+        """Whether this id is in use: by a request without an answer, or by an attempt still in flight."""
         return request in self._scheduler.requests
 
     @property
     def nodes_open(self) -> int:
-        """How many nodes take new work, as discovery last said."""
+        """How many nodes take new work."""
         return len(self._scheduler.open)
 
     @property
     def nodes_listed(self) -> int:
         """How many nodes discovery lists, in whatever state."""
-        return sum(node.state is not GONE for node in self._scheduler.nodes.values())
+        return sum(node.state is not NodeState.REMOVED for node in self._scheduler.nodes.values())
 
     @property
-    def nodes_avoided(self) -> int:
-        """How many of them get no new work now, or next to none."""
+    def nodes_unavailable(self) -> int:
+        """How many of the listed nodes get no new work, or next to none."""
         return sum(
-            node.state is not GONE and (not node.open or node.suspect or node.fails)
+            node.state is not NodeState.REMOVED and (not node.open or node.suspect or node.fails)
             for node in self._scheduler.nodes.values()
         )
 
-    def pick(self, now: float, request: str, **fields) -> Orders:
-        """A request has come; the fields are those of `interface.RequestArrived`."""
+    def pick(self, now: float, request: str, **fields: Any) -> Orders:
+        """Take a request; the fields are those of `interface.RequestArrived`."""
         self._attempts[request] = 0
         return self._step(now, RequestArrived(request, **fields))
 
     def report(
         self,
         now: float,
-        tried: Try,
+        attempt: AttemptOrder,
         outcome: Outcome,
         latency: float,
-        used: float | None = None,
-        elsewhere: int = 0,
+        usage: tuple[float | None, int] = (None, 0),
     ) -> Orders:
-        """An attempt has ended; `OK` means that its answer goes to the client."""
+        """End an attempt; with `Outcome.OK` its answer goes to the client.
+
+        `usage` is what the answer reports of the volume: `AttemptEnded.usage_ratio` and `remote_units`.
+        """
         if outcome is Outcome.OK:
-            self._attempts.pop(tried.request, None)
+            self._attempts.pop(attempt.request, None)
+        finished = attempt.request not in self._attempts
         return self._step(
             now,
             AttemptEnded(
-                tried.request,
-                tried.number,
-                tried.node,
-                outcome,
-                latency,
-                tried.request not in self._attempts,
-                used,
-                elsewhere,
+                attempt.request, attempt.number, attempt.node, outcome, latency, finished, usage[0], usage[1]
             ),
         )
 
-    def may_begin(self, now: float, tried: Try) -> bool:
-        """Whether an attempt's first byte may go out, its connection being up; asked once, just before."""
-        return self._scheduler.may_begin(now, tried.request, tried.number)
+    def may_begin(self, now: float, attempt: AttemptOrder) -> bool:
+        """Whether an attempt may send its first byte; asked once its connection is up, just before."""
+        return self._scheduler.may_begin(now, attempt.request, attempt.number)
 
-    def begun(self, now: float, tried: Try, latency: float) -> Orders:
-        """A streamed answer has begun: the request is over but for the rest of this attempt."""
-        self._attempts.pop(tried.request, None)
-        return self._step(now, StreamStarted(tried.request, tried.number, tried.node, latency))
+    def stream_started(self, now: float, attempt: AttemptOrder, latency: float) -> Orders:
+        """Note that a streamed answer has begun: the request is over but for the rest of this attempt."""
+        self._attempts.pop(attempt.request, None)
+        return self._step(now, StreamStarted(attempt.request, attempt.number, attempt.node, latency))
 
-    def uploading(self, now: float, tried: Try, left: float | None) -> Orders:
-        """A large body has begun to pass through, or its last byte is out and `left` seconds remain."""
-        return self._step(now, UploadProgress(tried.request, tried.number, left))
+    def upload_progress(self, now: float, attempt: AttemptOrder, time_left: float | None) -> Orders:
+        """Note that a large body is being forwarded; with `time_left` (seconds), that all of it is sent."""
+        return self._step(now, UploadProgress(attempt.request, attempt.number, time_left))
 
-    def leave(self, now: float, request: str) -> Orders:
-        """The client has gone; no answer is owed."""
+    def client_disconnected(self, now: float, request: str) -> Orders:
+        """Drop a request whose client no longer waits."""
         self._attempts.pop(request, None)
         return self._step(now, ClientDisconnected(request))
 
-    def listed(
-        self, now: float, kind: DiscoveryUpdateKind, version: int = 0, entries: list[NodeEntry] | None = None
+    def update_nodes(
+        self,
+        now: float,
+        kind: DiscoveryUpdateKind,
+        version: int = 0,
+        entries: list[NodeEntry] | None = None,
     ) -> Orders:
-        """Word from discovery, a failure included."""
+        """Take in a list from discovery, or the failure to get one."""
         return self._step(now, DiscoveryUpdate(kind, version, entries or []))
 
-    def by_hand(self, now: float, node: str, out: bool, listed: bool = True) -> Orders | None:
-        """An operator takes a node out, or calls it back; None for one not listed, if it must be."""
+    def override_node(self, now: float, node: str, disabled: bool, listed: bool = True) -> Orders | None:
+        """Disable a node by an operator's word, or enable it again.
+
+        Returns None, and does nothing, for a node that is not known, unless `listed` is False.
+        """
         known = self._scheduler.nodes.get(node)
-        if listed and (known is None or known.state is GONE) and node not in self._scheduler.banned:
+        is_listed = known is not None and known.state is not NodeState.REMOVED
+        if listed and not is_listed and node not in self._scheduler.disabled_nodes:
             return None
-        return self._step(now, OperatorOverride(node, out))
+        return self._step(now, OperatorOverride(node, disabled))
 
-    def sent_beside(
-        self, now: float, volume: str, plan: str, hosts: int, node: str, units: int, drawn: int
-    ) -> Orders:
-        """Another process of this host has sent to a node."""
-        return self._step(now, SiblingSend(volume, plan, hosts, node, units, drawn))
+    def sibling_sent(self, now: float, event: SiblingSend) -> Orders:
+        """Count what another process of this host sent to a node."""
+        return self._step(now, event)
 
-    def planned(
-        self, now: float, plan: Plan, volume: str = "", shard: int | None = None, part: float | None = None
+    def change_plan(
+        self,
+        now: float,
+        plan: Plan,
+        volume: str = "",
+        shard: int | None = None,
+        limit_share: float | None = None,
     ) -> Orders:
-        """From now on this plan holds, for all volumes on it or as one's allotment: `interface.PlanChanged`.
+        """Put a plan in force, for all volumes on it or as one's allotment: see `interface.PlanChanged`.
+
+        Raises:
+            InvalidPlanError: a figure is out of range, or a shard is given without a volume.
+            TooManyAllotmentsError: it is a new allotment, and `MAX_ALLOTMENTS` are kept already.
 
-        Raises `BadPlan`, or `TooManyAllotments` for a new one past MOST_ALLOTMENTS; nothing has changed then.
+        In both cases nothing has changed.
         """
         figures = (plan.reserve, plan.weight, plan.price, plan.limit, plan.limit_burst, plan.limit_slack)
-        if not all(0 <= value < NEVER for value in figures) or not 0 <= (part or 0.0) <= 1:
-            raise BadPlan("a figure is below 0, or the part is not from 0 to 1", f"plan {plan.name}")
+        if not all(0 <= value < NEVER for value in figures) or not 0 <= (limit_share or 0.0) <= 1:
+            raise InvalidPlanError("a figure is below 0, or the part is not from 0 to 1", f"plan {plan.name}")
         if shard is not None and not volume:
-            raise BadPlan("an allotment at a shard names no volume", f"plan {plan.name}")
+            raise InvalidPlanError("an allotment at a shard names no volume", f"plan {plan.name}")
         known = self._scheduler.plans
-        name = (volume, plan.name) if shard is None else (volume, plan.name, shard)
-        if name not in known and len(known) >= MOST_ALLOTMENTS:
-            raise TooManyAllotments(f"{MOST_ALLOTMENTS} are held already", f"volume {volume}")
-        return self._step(now, PlanChanged(plan, volume, shard, part))
+        key = (volume, plan.name) if shard is None else (volume, plan.name, shard)
+        if key not in known and len(known) >= MAX_ALLOTMENTS:
+            raise TooManyAllotmentsError(f"{MAX_ALLOTMENTS} are held already", f"volume {volume}")
+        return self._step(now, PlanChanged(plan, volume, shard, limit_share))
 
-    def entries(self, now: float) -> list[NodeEntry]:
-        """The list as it stands here; a node held cold counts from the start told or presumed."""
+    def node_entries(self, now: float) -> list[NodeEntry]:
+        """The list of nodes as it stands; one that is warming up has the start that is known or presumed."""
         return [
             NodeEntry(
                 node.id,
@@ -210,13 +223,14 @@
                 node.cold_from if now < node.cold_until else node.started_at,
             )
             for node in self._scheduler.nodes.values()
-            if node.state is not GONE
+            if node.state is not NodeState.REMOVED
         ]
 
-    def state(self, now: float) -> dict[str, object]:
-        """What another process of this host must know to decide as this one would, in plain values.
+    def export_state(self, now: float) -> dict[str, object]:
+        """What this host's next process must know to decide as this one would, in plain values.
 
-        An allotment at one shard is told of, but not the level of its store: that starts at the bottom.
+        The keys and the fields of the plans are a format between processes of different versions.  Allotments
+        at one shard are included, but not the level of their limits: there the successor starts empty.
         """
         volumes = [
             (*key, volume)
@@ -226,14 +240,14 @@
         for *_, volume in volumes:
             volume.refill(now)
         plans = [
-            [name[0], asdict(plan), name[2] if len(name) > 2 else None, part]
-            for name, (plan, part) in self._scheduler.plans.items()
-            if name[0] or part is not None or plan != self._scheduler.settings.plans.get(name[1])
+            [key[0], asdict(plan), key[2] if len(key) > 2 else None, limit_share]
+            for key, (plan, limit_share) in self._scheduler.plans.items()
+            if key[0] or limit_share is not None or plan != self._scheduler.settings.plans.get(key[1])
         ]
         return {
-            "out": self._scheduler.banned,
+            "out": self._scheduler.disabled_nodes,
             "plans": plans,
-            "stores": [[name, plan, v.hosts, v.limit_level] for name, plan, v in volumes],
+            "stores": [[name, plan, volume.hosts, volume.limit_level] for name, plan, volume in volumes],
             "cold": [
                 [node.id, sum(units for _, units in node.cold_sent)]
                 for node in self._scheduler.nodes.values()
@@ -241,54 +255,54 @@
             ],
         }
 
-    def inherit(self, now: float, state: dict) -> None:
-        """Take in the state of the process before this one, once the list is known."""
-        for node, since in state["out"].items():
-            self._step(now, OperatorOverride(node, True, since))
-        for volume, figures, shard, part in state.get("plans", ()):
-            self._step(now, PlanChanged(Plan(**figures), volume, shard, part))
+    def import_state(self, now: float, state: dict[str, Any]) -> None:
+        """Take over from this host's last process (`export_state`), once the list of nodes is known."""
+        for node, disabled_at in state["out"].items():
+            self._step(now, OperatorOverride(node, True, disabled_at))
+        for volume, figures, shard, limit_share in state.get("plans", ()):
+            self._step(now, PlanChanged(Plan(**figures), volume, shard, limit_share))
         for volume, plan, hosts, level in state["stores"]:
             self._step(now, SiblingSend(volume, plan, hosts, limit_level=level))
         for node, units in state["cold"]:
             self._step(now, SiblingSend("", "", 1, node, units))
 
-    def takes(self, node: str) -> bool:
+    def accepts_work(self, node: str) -> bool:
         """Whether new work may go to a node at this moment."""
         known = self._scheduler.nodes.get(node)
         return known is not None and known.open
 
-    def out(self, node: str) -> int:
-        """How many attempts are out at a node."""
+    def attempts_at(self, node: str) -> int:
+        """How many attempts are in flight at a node."""
         known = self._scheduler.nodes.get(node)
         return len(known.out) if known is not None else 0
 
     def tick(self, now: float) -> Orders:
-        """Time has passed; does nothing before `wake`, since the module counts on its own last timer."""
-        if now < self.wake:
+        """Let time pass; does nothing before `wake_at`, as the scheduler counts on its own last timer."""
+        if now < self.wake_at:
             return Orders()
-        self.wake = NEVER
+        self.wake_at = NEVER
         return self._step(now, TimerFired(0))
 
     def _step(self, now: float, event: Event) -> Orders:
-        """One event in, and what the module wants done as plain values."""
+        """Feed one event, and return what the scheduler wants done."""
         orders = Orders()
         for action in self._scheduler.step(now, [event]):
             match action:
                 case Send(request, node, timeout):
-                    orders.tries.append(Try(request, self._attempts[request], node, timeout))
+                    orders.attempts.append(AttemptOrder(request, self._attempts[request], node, timeout))
                     self._attempts[request] += 1
                 case Cancel(request, attempt):
-                    orders.cancels.append((request, attempt))
+                    orders.cancellations.append((request, attempt))
                 case Reject(request, retry_after):
                     self._attempts.pop(request, None)
-                    orders.verdicts.append(Verdict(request, True, retry_after))
+                    orders.final_answers.append(FinalAnswer(request, True, retry_after))
                 case Fail(request):
                     self._attempts.pop(request, None)
-                    orders.verdicts.append(Verdict(request, False, None))
+                    orders.final_answers.append(FinalAnswer(request, False, None))
                 case SetTimer(at):
-                    self.wake = min(self.wake, at)
+                    self.wake_at = min(self.wake_at, at)
                 case WatchNodes(active):
-                    orders.watch = active
+                    orders.watch_nodes = active
                 case _:
-                    raise TypeError(f"the module asked for what no socket offers: {action}")
+                    raise TypeError(f"the scheduler asked for what no socket offers: {action}")
         return orders
--- a/mallowbeam/storage_gateway/scheduler/nodes.py
+++ b/mallowbeam/storage_gateway/scheduler/nodes.py
@@ -132,9 +132,9 @@
 
     def _on_hand(self, event: OperatorOverride) -> None:
         """Out by hand, or back: one call back lifts all that stands, and the node was restarted meanwhile."""
-        banned = self.banned.pop(event.node, None)
+        banned = self.disabled_nodes.pop(event.node, None)
         if event.disabled:
-            self.banned[event.node] = banned or event.disabled_at or self.now
+            self.disabled_nodes[event.node] = banned or event.disabled_at or self.now
         if node := self.nodes.get(event.node):
             if banned is not None and not event.disabled:
                 if (node.started_at or 0.0) < banned:  # no list has told of a start: the latest is presumed
@@ -148,7 +148,7 @@
             node.cold_from, node.cold_until = since, since + (lasts or self.settings.slow_start_time)
 
     def _admit(self, node: Node) -> None:
-        node.open = node.state is NodeState.READY and node.id not in self.banned
+        node.open = node.state is NodeState.READY and node.id not in self.disabled_nodes
         self.open = [known for known in self.nodes.values() if known.open]
         if not node.open:
             self._rebook(node, lambda request: True)
--- a/mallowbeam/storage_gateway/scheduler/scheduler.py
+++ b/mallowbeam/storage_gateway/scheduler/scheduler.py
@@ -53,7 +53,7 @@
         self.changed: dict[tuple, float] = {}  # and when, as long as that matters
         self.nodes, self.requests = {}, {}  # by id
         self.open: list[Node] = []  # where new work may go
-        self.banned: dict[str, float] = {}  # out by hand, and since when: whatever discovery says
+        self.disabled_nodes: dict[str, float] = {}  # out by hand, and since when: whatever discovery says
         self.most_tries = settings.max_attempts or float("inf")
         self.volumes: dict[tuple, Volume] = {}  # by name and plan, and shard where it has an allotment there
         self.full_time: dict[str, float] = {}  # class: the longest time that a try came with
--- a/mallowbeam/storage_gateway/scheduler/simulator_host.py
+++ b/mallowbeam/storage_gateway/scheduler/simulator_host.py
@@ -60,8 +60,8 @@
 FLAG_RETRY, FLAG_WRITE = 2, 4
 
 
-class Malformed(MallowbeamError):
-    """A line that does not follow the wire."""
+class WireError(MallowbeamError):
+    """A line that does not follow the simulator's wire."""
 
     error_name = "Malformed"
     remedy = "run the simulator that this version was made for"
@@ -158,7 +158,7 @@
         """The next line in its parts; the end of input inside a batch is an error."""
         text = self.source.readline()
         if not text:
-            raise Malformed("input ended inside a batch")
+            raise WireError("input ended inside a batch")
         self.text = text.rstrip("\n")
         return self.text.split(" ")
 
@@ -174,7 +174,7 @@
             try:
                 reply = self.batch(self.text.split(" "))
             except (ValueError, IndexError, KeyError) as error:
-                raise Malformed(f"malformed line: {self.text!r} ({type(error).__name__}: {error})") from error
+                raise WireError(f"malformed line: {self.text!r} ({type(error).__name__}: {error})") from error
             self.sink.write("\n".join(reply) + "\n")
             self.sink.flush()
 
@@ -222,7 +222,7 @@
     """Run on standard input and output."""
     try:
         Wire(sys.stdin, sys.stdout).run()
-    except (Malformed, UnicodeDecodeError) as error:
+    except (WireError, UnicodeDecodeError) as error:
         print(f"mallowbeam: {error}", file=sys.stderr)
         return 2
     return 0
--- a/mallowbeam/storage_gateway/server/admin.py
+++ b/mallowbeam/storage_gateway/server/admin.py
@@ -58,8 +58,8 @@
         text = gateway.metrics.write(
             {
                 "pending": sum(server.pending for server in gateway.servers),
-                "members": gateway.facade.nodes_listed,
-                "members_unavailable": gateway.facade.nodes_avoided,
+                "members": gateway.scheduler.nodes_listed,
+                "members_unavailable": gateway.scheduler.nodes_unavailable,
                 **{name: value for part in gateway.parts for name, value in part.gauges().items()},
             }
         )
--- a/mallowbeam/storage_gateway/server/attempts.py
+++ b/mallowbeam/storage_gateway/server/attempts.py
@@ -15,7 +15,7 @@
 from mallowbeam.http.client import Broken, Link, NoRoom, Pool, Spoilt, Unsent
 from mallowbeam.http.framing import Headers, Message, write_request
 from mallowbeam.http.stream import Stream
-from mallowbeam.storage_gateway.scheduler.gateway_host import Facade, Orders, Try
+from mallowbeam.storage_gateway.scheduler.gateway_host import AttemptOrder, Orders, SchedulerHost
 from mallowbeam.storage_gateway.scheduler.interface import Outcome
 from mallowbeam.storage_gateway.server.calls import MARGIN, SILENT, Answer, Call, Exchange, Kind
 from mallowbeam.storage_gateway.server.config import Config
@@ -34,7 +34,7 @@
     """The gateway's attempts.  A part of `Gateway`, which makes what is named here."""
 
     config: Config
-    facade: Facade
+    scheduler: SchedulerHost
     metrics: Metrics
     pool: Pool
     addresses: dict[str, str]  # of nodes that are up
@@ -48,13 +48,13 @@
     _left: Callable[[Call], float]  # seconds that a call may take from now on
     _over: Callable[[str], None]  # an id may be free again
 
-    def _try(self, tried: Try) -> None:
+    def _try(self, tried: AttemptOrder) -> None:
         """Start an attempt; however its task ends, even before its first step, one report follows."""
         started, exchange = self.now(), self.exchanges.get(tried.request)
         if exchange is None:
             # Guards the report of an attempt: whatever went wrong, the module must not count it as out.
             logger.error("an attempt for a request that is not held")
-            self._apply(self.facade.report(started, tried, Outcome.NOT_SENT, 0.0))
+            self._apply(self.scheduler.report(started, tried, Outcome.NOT_SENT, 0.0))
             return
         if self.sister is not None:
             told, units = exchange.call.fields, exchange.call.fields["units"]
@@ -66,7 +66,7 @@
         self.tasks[tried.request, tried.number] = task
         task.add_done_callback(lambda done: self._ended(tried, started, done))
 
-    async def _attempt(self, tried: Try, exchange: Exchange, started: float) -> Ended:
+    async def _attempt(self, tried: AttemptOrder, exchange: Exchange, started: float) -> Ended:
         """One attempt: connect, write, read; the outcome says whether it can have run."""
         call, link, kept = exchange.call, None, False
         left = exchange.deadline - started
@@ -141,7 +141,7 @@
             if link is not None and not kept:
                 self.pool.drop(link)
 
-    async def _ready(self, tried: Try, address: str) -> Link | None:
+    async def _ready(self, tried: AttemptOrder, address: str) -> Link | None:
         """A connection on which the attempt begins in this very step, or None if it must not begin.
 
         The one look before a first byte: since the decision a connection had to come up.  What has come on it
@@ -152,7 +152,7 @@
             try:
                 if self.addresses.get(tried.node) != address:
                     return None
-                if not self.facade.may_begin(self.now(), tried):
+                if not self.scheduler.may_begin(self.now(), tried):
                     kept = self.pool.keep(link)
                     return None
                 if not link.channel.stale():
@@ -178,7 +178,7 @@
         return Outcome.ERROR
 
     async def _upload(
-        self, tried: Try, exchange: Exchange, body: Stream, link: Link, headers: Headers
+        self, tried: AttemptOrder, exchange: Exchange, body: Stream, link: Link, headers: Headers
     ) -> None:
         """Pass a body on to the node as its client sends it, up to its end or until the node answers.
 
@@ -186,7 +186,7 @@
         """
         call = exchange.call
         head = write_request(call.method, call.target, headers, call.length or 0, chunked=call.length is None)
-        self._apply(self.facade.uploading(self.now(), tried, None))
+        self._apply(self.scheduler.upload_progress(self.now(), tried, None))
         await link.request(head, follows=call.length)
         while (piece := await body.get()) is not None:
             if link.channel.stale():
@@ -199,17 +199,17 @@
             await link.write(b"")
         left = self._left(call)
         exchange.deadline = self.now() + left
-        self._apply(self.facade.uploading(self.now(), tried, left))
+        self._apply(self.scheduler.upload_progress(self.now(), tried, left))
 
     async def _pass_on(
-        self, tried: Try, exchange: Exchange, link: Link, answer: Message, started: float
+        self, tried: AttemptOrder, exchange: Exchange, link: Link, answer: Message, started: float
     ) -> None:
         """Hand an answer on in pieces, reading no faster than the client takes them."""
         task = asyncio.current_task()
         assert task is not None  # an attempt runs in a task of its own
         stream = Stream(closed=task.cancel)
         most = exchange.call.most
-        self._apply(self.facade.begun(self.now(), tried, self.now() - started))
+        self._apply(self.scheduler.stream_started(self.now(), tried, self.now() - started))
         exchange.settle(Answer(Kind.SERVED, answer.status, answer.headers, stream=stream))
         try:
             while True:
@@ -227,7 +227,7 @@
             stream.break_off()
             raise
 
-    def _ended(self, tried: Try, started: float, task: asyncio.Task[Ended]) -> None:
+    def _ended(self, tried: AttemptOrder, started: float, task: asyncio.Task[Ended]) -> None:
         """An attempt is over: pass a served answer on and tell the module."""
         del self.tasks[tried.request, tried.number]
         answer: Message | None = None
@@ -241,9 +241,8 @@
         exchange = self.exchanges.get(tried.request)
         if outcome is Outcome.OK and exchange is not None and answer is not None:
             exchange.settle(Answer(Kind.SERVED, answer.status, answer.headers, answer.body))
-        used, elsewhere = read_meter(answer)
         now = self.now()
-        self._apply(self.facade.report(now, tried, outcome, now - started, used, elsewhere))
+        self._apply(self.scheduler.report(now, tried, outcome, now - started, read_meter(answer)))
         self._over(tried.request)
 
 
--- a/mallowbeam/storage_gateway/server/beside.py
+++ b/mallowbeam/storage_gateway/server/beside.py
@@ -13,7 +13,8 @@
 
 from mallowbeam.http.client import Pool
 from mallowbeam.http.server import Server
-from mallowbeam.storage_gateway.scheduler.gateway_host import Facade, Orders
+from mallowbeam.storage_gateway.scheduler.gateway_host import Orders, SchedulerHost
+from mallowbeam.storage_gateway.scheduler.interface import SiblingSend
 from mallowbeam.storage_gateway.server.calls import Exchange, Phase
 from mallowbeam.storage_gateway.server.config import Config
 from mallowbeam.storage_gateway.server.discovery import Watch
@@ -26,7 +27,7 @@
 
     config: Config
     phase: Phase
-    facade: Facade
+    scheduler: SchedulerHost
     pool: Pool
     watch: Watch
     addresses: dict[str, str]
@@ -60,7 +61,7 @@
 
     def sent_beside(self, sent: list[Any]) -> None:
         """The other process has sent something that counts here too."""
-        self._apply(self.facade.sent_beside(self.now(), *sent))
+        self._apply(self.scheduler.sibling_sent(self.now(), SiblingSend(*sent)))
 
     def told_beside(self, listing: Listing, address: str | None = None) -> None:
         """The other process has heard from discovery at an address, which an older version doesn't tell."""
@@ -72,10 +73,10 @@
             "discovery": self.watch.address,
             "whole": self.watch.revision is None,
             "list": write_listing(
-                self.watch.revision or 0, True, self.facade.entries(self.now()), self.addresses
+                self.watch.revision or 0, True, self.scheduler.node_entries(self.now()), self.addresses
             ),
             "ids": list(self.exchanges),
-            **self.facade.state(self.now()),
+            **self.scheduler.export_state(self.now()),
         }
 
     def _tell(self, kind: str, value: object) -> None:
@@ -85,7 +86,7 @@
 
     def _over(self, request: str) -> None:
         """Tell it of an id that is free again."""
-        if self.sister is not None and request not in self.exchanges and not self.facade.knows(request):
+        if self.sister is not None and request not in self.exchanges and not self.scheduler.knows(request):
             self.sister.tell("over", request)
 
     def holds(self, request: str) -> bool:
@@ -95,7 +96,7 @@
         """
         return (
             request in self.exchanges
-            or self.facade.knows(request)
+            or self.scheduler.knows(request)
             or self.sister is not None
             and request in self.sister.ids
         )
--- a/mallowbeam/storage_gateway/server/gateway.py
+++ b/mallowbeam/storage_gateway/server/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: one object that joins the facade, the connections to nodes, discovery and the fronts.
+"""The gateway: one object that joins the scheduler, the connections to nodes, discovery and the fronts.
 
 Fronts hand in a `Call` and await its one `Answer` (`net/calls.py`).  What the module orders is done here: an
 attempt is begun or given up (`net/attempts.py`), a verdict becomes an answer, a timer is set.  The program's
@@ -17,7 +17,7 @@
 from mallowbeam.http.client import Pool
 from mallowbeam.http.framing import Budget
 from mallowbeam.http.server import Server
-from mallowbeam.storage_gateway.scheduler.gateway_host import NEVER, Facade, Orders, Verdict
+from mallowbeam.storage_gateway.scheduler.gateway_host import NEVER, FinalAnswer, Orders, SchedulerHost
 from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdateKind
 from mallowbeam.storage_gateway.server.attempts import Attempts, Ended
 from mallowbeam.storage_gateway.server.beside import Beside
@@ -44,7 +44,7 @@
         self.config, self.phase = config, Phase.STARTING
         # The wall clock says when nodes started; between two readings only the steady one may count.
         self.epoch = time.time() - time.monotonic()
-        self.facade = Facade(config.settings, self.now())
+        self.scheduler = SchedulerHost(config.settings, self.now())
         self.metrics = Metrics(config.settings.classes)
         self.pool = Pool(
             config.node_sockets,
@@ -93,7 +93,7 @@
             admin.start()
         self._listing(self.config.known, DiscoveryUpdateKind.CACHED)
         if legacy is not None:
-            self.facade.inherit(self.now(), legacy.state)
+            self.scheduler.import_state(self.now(), legacy.state)
             self.sister = Sister(legacy.sock, self, legacy.rest, leads=True)
             self.sister.ids.update(legacy.state["ids"])
             self.deal(0)
@@ -255,13 +255,13 @@
             if self.observers:
                 for observe in self.observers:
                     observe(call.fields)
-            self._apply(self.facade.pick(self.now(), call.id, **call.fields))
+            self._apply(self.scheduler.pick(self.now(), call.id, **call.fields))
             return await exchange.answer
         except asyncio.CancelledError:
             if exchange.answer.done() and not exchange.answer.cancelled():
                 if stream := exchange.answer.result().stream:
                     stream.close()  # it began at the very moment the client left
-            self._apply(self.facade.leave(self.now(), call.id))
+            self._apply(self.scheduler.client_disconnected(self.now(), call.id))
             raise
         finally:
             del self.exchanges[call.id]
@@ -273,30 +273,30 @@
 
     def _apply(self, orders: Orders) -> None:
         """Do what the module wants done, and come back when it wants to be called."""
-        for tried in orders.tries:
+        for tried in orders.attempts:
             self._try(tried)
-        for attempt in orders.cancels:
+        for attempt in orders.cancellations:
             if task := self.tasks.get(attempt):
                 task.cancel()
-        for verdict in orders.verdicts:
+        for verdict in orders.final_answers:
             self._verdict(verdict)
-        if orders.watch:
+        if orders.watch_nodes:
             self.watch.begin()
-        if self.facade.wake < self.timer_at:
+        if self.scheduler.wake_at < self.timer_at:
             if self.timer is not None:
                 self.timer.cancel()
-            self.timer_at = self.facade.wake
+            self.timer_at = self.scheduler.wake_at
             self.timer = asyncio.get_running_loop().call_later(
                 max(0.0, self.timer_at - self.now()) + 0.0005, self._wake
             )
 
     def _wake(self) -> None:
         self.timer, self.timer_at = None, NEVER
-        self._apply(self.facade.tick(self.now()))
+        self._apply(self.scheduler.tick(self.now()))
 
-    def _verdict(self, verdict: Verdict) -> None:
+    def _verdict(self, verdict: FinalAnswer) -> None:
         if exchange := self.exchanges.get(verdict.request):
-            kind = Kind.REFUSED if verdict.refused else Kind.FAILED
+            kind = Kind.REFUSED if verdict.rejected else Kind.FAILED
             exchange.settle(Answer(kind, retry_after=verdict.retry_after))
 
     # --- nodes ---------------------------------------------------------------------------------
@@ -304,7 +304,7 @@
     def _told(self, listing: Listing | DiscoveryUpdateKind) -> None:
         """Word from discovery, or how the watch on it ended."""
         if isinstance(listing, DiscoveryUpdateKind):
-            self._apply(self.facade.listed(self.now(), listing))
+            self._apply(self.scheduler.update_nodes(self.now(), listing))
         else:
             if self.sister is not None:  # else a whole list is written out for nobody
                 self.sister.tell("list", write_listing(*listing) | {"discovery": self.watch.address})
@@ -315,7 +315,7 @@
 
         `told` if the other process heard of it; not `listed` if it counts for a node that is yet to come.
         """
-        orders = self.facade.by_hand(self.now(), node, out, listed)
+        orders = self.scheduler.override_node(self.now(), node, out, listed)
         if orders is None:
             return False
         logger.info("storage node {} {} by hand", node, "out" if out else "back")
@@ -337,4 +337,4 @@
             ) != address:
                 self.pool.forget(self.addresses.pop(node))
         self.addresses.update(listing.addresses)
-        self._apply(self.facade.listed(self.now(), kind, listing.revision, listing.entries))
+        self._apply(self.scheduler.update_nodes(self.now(), kind, listing.revision, listing.entries))
--- a/mallowbeam/storage_gateway/server/health.py
+++ b/mallowbeam/storage_gateway/server/health.py
@@ -35,7 +35,7 @@
                 "phase": gateway.phase.value,
                 "ready": gateway.ready,
                 "held": len(gateway.exchanges),
-                "nodes_open": gateway.facade.nodes_open,
+                "nodes_open": gateway.scheduler.nodes_open,
                 "node_connections": gateway.pool.count,
                 "client_connections": sum(len(s.connections) for s in gateway.servers),
             }
@@ -77,7 +77,7 @@
         return b"up drain\n"
     if gateway.phase is not Phase.SERVING:
         return b"stopped\n"
-    if not gateway.facade.nodes_open:
+    if not gateway.scheduler.nodes_open:
         return b"down #no node is open\n"
     used = sum(len(s.connections) for s in gateway.servers) / sum(s.most for s in gateway.servers)
     return b"up ready %d%%\n" % max(1, round(100 * (1.0 - used)))
--- a/tests/storage_gateway/coordination/shares/test_shares_part.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_part.py
@@ -11,7 +11,7 @@
 from mallowbeam.storage_gateway.coordination.shares.subsystem import open_subsystem
 from mallowbeam.storage_gateway.coordination.subsystem_context import GatewayContext
 from mallowbeam.storage_gateway.operator_settings import SharesSection, check
-from mallowbeam.storage_gateway.scheduler.gateway_host import Facade, TooManyAllotments
+from mallowbeam.storage_gateway.scheduler.gateway_host import SchedulerHost, TooManyAllotmentsError
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, NodeState, Plan, RequestClass, Settings
 from mallowbeam.storage_gateway.server.config import BadConfig
 
@@ -48,7 +48,7 @@
 
     def planned(self, plan, volume="", shard=None, part=None):
         if self.full:
-            raise TooManyAllotments("full", volume)
+            raise TooManyAllotmentsError("full", volume)
         self.held[volume, plan.name, shard] = plan, part
         if part is None and plan == self.plans[plan.name]:
             del self.held[volume, plan.name, shard]
@@ -201,8 +201,8 @@
 
 def test_the_store_lets_the_largest_call_pass():
     settings = Settings(max_units=8, plans={"gold": GOLD}, hosts=1, classes={"read": RequestClass("read")})
-    part, facade = Fleet().parts["g0"], Facade(settings, 0.0)
-    part.context.planned = lambda plan, *more: bool(facade.planned(0.0, plan, *more)) or True
+    part, facade = Fleet().parts["g0"], SchedulerHost(settings, 0.0)
+    part.context.planned = lambda plan, *more: bool(facade.change_plan(0.0, plan, *more)) or True
     part.shards, part.at = {"n0": 4}, {4: ["n0"]}
     part.observed({"volume": "a", "plan": "gold", "shard": 4, "units": 8}, 0.0)
     part._allotted("a", "n0", 1.0, 1.0)
--- a/tests/storage_gateway/coordination/test_fleet_service.py
+++ b/tests/storage_gateway/coordination/test_fleet_service.py
@@ -44,9 +44,9 @@
         self.parts, self.gates, self.drained, self.plans = [], [], [], []
         self.exchanges = {}
         self.config = SimpleNamespace(settings=SimpleNamespace(plans={"silver": SILVER, "gold": GOLD}))
-        self.facade = SimpleNamespace(planned=self.planned)
+        self.scheduler = SimpleNamespace(change_plan=self.change_plan)
 
-    def planned(self, now: float, plan: Plan, *_: object) -> None:
+    def change_plan(self, now: float, plan: Plan, *_: object) -> None:
         if plan.limit == 13:
             raise BadPolicy("refused by the module")
         self.plans.append(plan)
--- a/tests/storage_gateway/frontends/test_platform.py
+++ b/tests/storage_gateway/frontends/test_platform.py
@@ -167,7 +167,7 @@
                 n0 send 200 x-meter:{LONG} x-delta:{LONG} x-load:inflight=-,queue= body=good
                 c1 expect 200 'good$'
             """)
-            assert not world.gateway.tasks and not world.gateway.facade.knows("0000000400000001")
+            assert not world.gateway.tasks and not world.gateway.scheduler.knows("0000000400000001")
 
     uvloop.run(run())
 
@@ -214,14 +214,14 @@
 
     async def run() -> None:
         async with World() as world:
-            pick, seen = world.gateway.facade.pick, []
+            pick, seen = world.gateway.scheduler.pick, []
 
             def picked(now, request, **fields):
                 orders = pick(now, request, **fields)
-                seen.append((world.gateway.holds(request), world.gateway.facade.knows(request)))
+                seen.append((world.gateway.holds(request), world.gateway.scheduler.knows(request)))
                 return orders
 
-            world.gateway.facade.pick = picked
+            world.gateway.scheduler.pick = picked
             await world.play("c1 send read shard=7\nc1 expect 503")
             assert seen == [(True, False)] and not world.gateway.holds("0000000400000001")
 
@@ -347,13 +347,13 @@
 
     async def run() -> None:
         async with World() as world:
-            pick = world.gateway.facade.pick
+            pick = world.gateway.scheduler.pick
 
             def faulty(*args, **fields):
-                world.gateway.facade.pick = pick
+                world.gateway.scheduler.pick = pick
                 raise RuntimeError("once")
 
-            world.gateway.facade.pick = faulty
+            world.gateway.scheduler.pick = faulty
             await world.play("""
                 c1 send read
                 c1 expect 500
--- a/tests/storage_gateway/scheduler/test_control_plans.py
+++ b/tests/storage_gateway/scheduler/test_control_plans.py
@@ -224,24 +224,24 @@
 
 
 def test_the_facade_hands_on_a_plan_refuses_what_is_none_and_tells_its_successor(monkeypatch):
-    host = facade.Facade(make_settings(), 100.0)
-    assert host.planned(100.0, replace(BASIC, limit=5.0)) == facade.Orders()
-    host.planned(100.0, replace(BASIC, limit=3.0), "b", shard=1, part=0.25)
+    host = facade.SchedulerHost(make_settings(), 100.0)
+    assert host.change_plan(100.0, replace(BASIC, limit=5.0)) == facade.Orders()
+    host.change_plan(100.0, replace(BASIC, limit=3.0), "b", shard=1, limit_share=0.25)
     for bad in (
         {"plan": replace(BASIC, limit=-1.0)},
-        {"plan": BASIC, "part": 1.5},
+        {"plan": BASIC, "limit_share": 1.5},
         {"plan": BASIC, "shard": 2},
         {"plan": replace(BASIC, weight=float("inf"))},
     ):
-        with pytest.raises(facade.BadPlan) as caught:
-            host.planned(100.0, **bad)
+        with pytest.raises(facade.InvalidPlanError) as caught:
+            host.change_plan(100.0, **bad)
         assert caught.value.remedy
-    monkeypatch.setattr(facade, "MOST_ALLOTMENTS", 4)
-    with pytest.raises(facade.TooManyAllotments):
-        host.planned(100.0, BASIC, "c", part=0.5)
-    host.planned(100.0, replace(BASIC, limit=2.0), "b", shard=1)
-    heir = facade.Facade(make_settings(), 101.0)
-    heir.inherit(101.0, host.state(101.0))
+    monkeypatch.setattr(facade, "MAX_ALLOTMENTS", 4)
+    with pytest.raises(facade.TooManyAllotmentsError):
+        host.change_plan(100.0, BASIC, "c", limit_share=0.5)
+    host.change_plan(100.0, replace(BASIC, limit=2.0), "b", shard=1)
+    heir = facade.SchedulerHost(make_settings(), 101.0)
+    heir.import_state(101.0, host.export_state(101.0))
     assert heir._scheduler.plans == host._scheduler.plans
 
 
--- a/tests/storage_gateway/scheduler/test_facade.py
+++ b/tests/storage_gateway/scheduler/test_facade.py
@@ -5,7 +5,7 @@
 import pytest
 from scheduler_rig import make_settings
 
-from mallowbeam.storage_gateway.scheduler.gateway_host import NEVER, Facade, Verdict
+from mallowbeam.storage_gateway.scheduler.gateway_host import NEVER, FinalAnswer, SchedulerHost
 from mallowbeam.storage_gateway.scheduler.interface import (
     DiscoveryUpdateKind,
     HealthCheck,
@@ -24,43 +24,43 @@
 }
 
 
-def facade(**settings) -> Facade:
-    made = Facade(make_settings(**settings), 100.0)
+def facade(**settings) -> SchedulerHost:
+    made = SchedulerHost(make_settings(**settings), 100.0)
     made.listed(100.0, DiscoveryUpdateKind.CACHED, 1, [NodeEntry("n0")])
     return made
 
 
 def test_a_request_is_tried_and_its_answer_ends_it():
     f = facade()
-    (tried,) = f.pick(100.0, "a", **FIELDS).tries
+    (tried,) = f.pick(100.0, "a", **FIELDS).attempts
     assert (tried.request, tried.number, tried.node) == ("a", 0, "n0")
     orders = f.report(100.05, tried, Outcome.OK, 0.05)
-    assert not orders.tries and not orders.verdicts and not f.knows("a")
+    assert not orders.attempts and not orders.final_answers and not f.knows("a")
 
 
 def test_attempts_are_numbered_in_turn():
     f = facade()
-    (first,) = f.pick(100.0, "a", **FIELDS).tries
+    (first,) = f.pick(100.0, "a", **FIELDS).attempts
     orders = f.report(100.01, first, Outcome.ERROR, 0.01)
-    assert [tried.number for tried in orders.tries] == [1]
+    assert [tried.number for tried in orders.attempts] == [1]
 
 
 def test_without_a_node_the_verdict_is_a_refusal_at_once():
-    f = Facade(make_settings(), 100.0)
-    (verdict,) = f.pick(100.0, "a", **FIELDS).verdicts
-    assert verdict.request == "a" and verdict.refused and verdict.retry_after > 0
+    f = SchedulerHost(make_settings(), 100.0)
+    (verdict,) = f.pick(100.0, "a", **FIELDS).final_answers
+    assert verdict.request == "a" and verdict.rejected and verdict.retry_after > 0
 
 
 def test_a_write_that_may_have_run_fails():
     f = facade()
-    (tried,) = f.pick(100.0, "a", **(FIELDS | {"request_class": "log"})).tries
-    assert f.report(100.4, tried, Outcome.TIMEOUT, 0.4).verdicts == [Verdict("a", False, None)]
+    (tried,) = f.pick(100.0, "a", **(FIELDS | {"request_class": "log"})).attempts
+    assert f.report(100.4, tried, Outcome.TIMEOUT, 0.4).final_answers == [FinalAnswer("a", False, None)]
 
 
 def test_leaving_cancels_what_is_out():
     f = facade()
-    (tried,) = f.pick(100.0, "a", **FIELDS).tries
-    assert f.leave(100.1, "a").cancels == [("a", 0)]
+    (tried,) = f.pick(100.0, "a", **FIELDS).attempts
+    assert f.client_disconnected(100.1, "a").cancellations == [("a", 0)]
     assert f.knows("a")
     f.report(100.1, tried, Outcome.CANCELLED, 0.1)
     assert not f.knows("a")
@@ -70,21 +70,21 @@
     """Guards the module's one pending timer: taken early, it would never be set again."""
     f = facade()
     f.pick(100.0, "a", **FIELDS)
-    due = f.wake
+    due = f.wake_at
     assert 100.0 < due < NEVER
     f.tick(due - 0.001)
-    assert f.wake == due
+    assert f.wake_at == due
     f.tick(due)
-    assert due < f.wake < NEVER
+    assert due < f.wake_at < NEVER
 
 
 def test_a_streamed_answer_that_breaks_off_gets_no_second_answer():
     f = facade()
-    (tried,) = f.pick(100.0, "a", **FIELDS).tries
-    f.begun(100.1, tried, 0.1)
+    (tried,) = f.pick(100.0, "a", **FIELDS).attempts
+    f.stream_started(100.1, tried, 0.1)
     orders = f.report(100.2, tried, Outcome.RESET, 0.2)
-    assert not orders.verdicts and not orders.tries
-    assert not f.tick(102.0).verdicts
+    assert not orders.final_answers and not orders.attempts
+    assert not f.tick(102.0).final_answers
 
 
 def test_what_sockets_do_not_offer_is_an_error(monkeypatch):
@@ -95,5 +95,5 @@
 
 
 def test_a_watch_is_asked_for_where_discovery_must_be_asked():
-    f = Facade(make_settings(discovery_on_request=True), 100.0)
-    assert f.listed(100.0, DiscoveryUpdateKind.CACHED, 1, []).watch
+    f = SchedulerHost(make_settings(discovery_on_request=True), 100.0)
+    assert f.update_nodes(100.0, DiscoveryUpdateKind.CACHED, 1, []).watch_nodes
--- a/tests/storage_gateway/scheduler/test_faults.py
+++ b/tests/storage_gateway/scheduler/test_faults.py
@@ -53,13 +53,13 @@
     async def run() -> None:
         async with World() as world:
             world.gateway.pool.take = once(world.gateway.pool.take)
-            report, outcomes = world.gateway.facade.report, []
+            report, outcomes = world.gateway.scheduler.report, []
 
             def reported(now, tried, outcome, *rest):
                 outcomes.append(outcome)
                 return report(now, tried, outcome, *rest)
 
-            world.gateway.facade.report = reported
+            world.gateway.scheduler.report = reported
             await world.play("""
                 c1 send write deadline=900
                 n0 expect PUT
--- a/tests/storage_gateway/server/test_begins.py
+++ b/tests/storage_gateway/server/test_begins.py
@@ -97,7 +97,7 @@
     async def verdict(world: World) -> None:
         await later(0.0)(world)
         world.gateway.epoch += 1.6  # the module's own timer is due
-        world.gateway.facade.wake = 0.0
+        world.gateway.scheduler.wake_at = 0.0
         world.gateway._wake()
 
     turned_down(
@@ -121,7 +121,7 @@
             await world.play(f"d expect GET since=1\nd send 200 'body={told}'\nd expect GET since=2")
             gate.set()
             await world.play("n0 expect GET\nn0 send 200 body=x\nc1 expect 200 x")
-            node = world.gateway.facade._scheduler.nodes["n0"]
+            node = world.gateway.scheduler._scheduler.nodes["n0"]
             assert [units for _, units in node.cold_sent if units] == [1]
             assert world.gateway.pool.count == 1 and world.gateway.metrics.upstream_requests == 1
 
--- a/tests/storage_gateway/server/test_crossings.py
+++ b/tests/storage_gateway/server/test_crossings.py
@@ -238,7 +238,7 @@
         await until(lambda: here.gateway.watch.task is None)
         here.hup("e")
         await here.play("e expect 'GET /v1/servers\\n'")
-        here.gateway._apply(Orders(watch=True))
+        here.gateway._apply(Orders(watch_nodes=True))
         await here.play(f"e send 200 'body={body(3)}'\ne expect GET since=3\ne expect nothing")
 
     crossing(run)
--- a/tests/storage_gateway/server/test_crossings_upgrade.py
+++ b/tests/storage_gateway/server/test_crossings_upgrade.py
@@ -85,7 +85,7 @@
                 await asyncio.sleep(0)
                 await until(lambda: new.gateway.watch.revision == 3 or not e.came.empty())
         await until(lambda: old.gateway.watch.revision == 3)
-        assert old.gateway.watch.address == e.address and not new.gateway.facade.nodes_listed
+        assert old.gateway.watch.address == e.address and not new.gateway.scheduler.nodes_listed
 
     upgraded(run, before)
 
@@ -162,7 +162,7 @@
 
     async def run(old: Crossing, new: Crossing) -> None:
         await until(lambda: old.gateway.watch.paused)
-        old.gateway._apply(Orders(watch=True))  # the repeat that was due
+        old.gateway._apply(Orders(watch_nodes=True))  # the repeat that was due
         assert old.gateway.watch.task is None
         new.gateway.sister.close()  # gone: now nobody else watches
         await until(lambda: old.gateway.sister is None)
--- a/tests/storage_gateway/server/test_handover.py
+++ b/tests/storage_gateway/server/test_handover.py
@@ -112,11 +112,13 @@
     )
 
     async def check(old: World, new: World) -> None:
-        assert new.gateway.facade.takes("n2") and not new.gateway.facade.takes("n0")
+        assert new.gateway.scheduler.accepts_work("n2") and not new.gateway.scheduler.accepts_work("n0")
         await until(lambda: old.gateway.watch.task is None)  # one watch is enough
         new.gateway.by_hand("n2", True)
         old.gateway.by_hand("n1", False)
-        await until(lambda: new.gateway.facade.takes("n1") and not old.gateway.facade.takes("n2"))
+        await until(
+            lambda: new.gateway.scheduler.accepts_work("n1") and not old.gateway.scheduler.accepts_work("n2")
+        )
 
     upgrade(
         f"""
@@ -143,9 +145,9 @@
 
     async def check(old: World, new: World) -> None:
         assert new.gateway.holds("00000000000000ff") and old.gateway.holds("00000000000000ee")
-        stores = [w.gateway.facade._scheduler.volumes["00000000000000aa", "bronze"] for w in (old, new)]
+        stores = [w.gateway.scheduler._scheduler.volumes["00000000000000aa", "bronze"] for w in (old, new)]
         assert abs(stores[0].limit_level - stores[1].limit_level) < 1.0
-        sent = [w.gateway.facade._scheduler.nodes["n0"].cold_sent for w in (old, new)]
+        sent = [w.gateway.scheduler._scheduler.nodes["n0"].cold_sent for w in (old, new)]
         assert [sum(units for _, units in each) for each in sent] == [16, 16]
 
     started = (
@@ -179,9 +181,9 @@
     gone = '{"revision":2,"complete":false,"members":[{"id":"n0","cell":0,"phase":"draining"}]}'
 
     async def check(old: World, new: World) -> None:
-        await until(lambda: not old.gateway.facade.takes("n0"))
+        await until(lambda: not old.gateway.scheduler.accepts_work("n0"))
         old.gateway.told_beside(old.gateway.config.known)  # older than what is known: changes nothing
-        assert not old.gateway.facade.takes("n0")
+        assert not old.gateway.scheduler.accepts_work("n0")
 
     upgrade(
         "d expect GET since=1\nc1 send GET /healthz\nc1 expect 200",
--- a/tests/storage_gateway/server/test_links.py
+++ b/tests/storage_gateway/server/test_links.py
@@ -82,15 +82,15 @@
             await world.play("c1 send read\nn0 expect GET\nn0 send 200 body=a\nc1 expect 200 a")
             (link,) = next(iter(world.gateway.pool.idle.values()))
             node = world.parties["n0"].writer.transport.get_extra_info("socket")
-            may_begin = world.gateway.facade.may_begin
+            may_begin = world.gateway.scheduler.may_begin
 
             def crossed(now: float, tried: object) -> bool:
-                world.gateway.facade.may_begin = may_begin
+                world.gateway.scheduler.may_begin = may_begin
                 socket.socket.send(node._sock, stray.encode().decode("unicode_escape").encode())
                 assert select.select([link.channel.sock], [], [], 5)[0]
                 return may_begin(now, tried)
 
-            world.gateway.facade.may_begin = crossed
+            world.gateway.scheduler.may_begin = crossed
             await world.play("c1 send write\nn0 expect PUT\nn0 send 200 body=news\nc1 expect 200 news$")
             assert link.channel.sock.fileno() == -1 and world.gateway.pool.count == 1
 
--- a/tests/support/crossed.py
+++ b/tests/support/crossed.py
@@ -47,7 +47,7 @@
 
     def serves(self) -> bool:
         """Whether new work may go to n0."""
-        return self.gateway.facade.takes("n0")
+        return self.gateway.scheduler.accepts_work("n0")
 
 
 async def first_list(world: Crossing, revision: int, name: str = "e") -> None:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -69,7 +69,7 @@
 from mallowbeam.storage_gateway.frontends.object_api.access import read_keys
 from mallowbeam.storage_gateway.frontends.object_api.errors import ERRORS, error_body
 from mallowbeam.storage_gateway.scheduler import simulator_host as wirehost
-from mallowbeam.storage_gateway.scheduler.gateway_host import Facade
+from mallowbeam.storage_gateway.scheduler.gateway_host import SchedulerHost
 from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdateKind
 from mallowbeam.storage_gateway.server import config as net_config
 from mallowbeam.storage_gateway.server import handover
@@ -491,11 +491,11 @@
 def test_the_state_that_is_handed_over_is_the_same():
     sample = samples("handover.json")
     config = net_config.decode(sample["config"], {})
-    old = Facade(config.settings, 10.0)
-    old.listed(10.0, DiscoveryUpdateKind.FULL, 1, list(config.known.entries))
-    old.by_hand(10.5, "n2", True)
-    old.planned(10.6, dataclasses.replace(config.settings.plans["silver"], limit=12.0, weight=2.0))
-    old.planned(10.7, dataclasses.replace(config.settings.plans["bronze"], limit=7.0), "vol-1", 1, 0.5)
+    old = SchedulerHost(config.settings, 10.0)
+    old.update_nodes(10.0, DiscoveryUpdateKind.FULL, 1, list(config.known.entries))
+    old.override_node(10.5, "n2", True)
+    old.change_plan(10.6, dataclasses.replace(config.settings.plans["silver"], limit=12.0, weight=2.0))
+    old.change_plan(10.7, dataclasses.replace(config.settings.plans["bronze"], limit=7.0), "vol-1", 1, 0.5)
     for number, volume in enumerate(("vol-1", "vol-2")):
         old.pick(
             11.0,
@@ -511,14 +511,14 @@
             key=None,
             plan="bronze",
         )
-    assert json.loads(json.dumps(old.state(11.0))) == sample["old_state"]
+    assert json.loads(json.dumps(old.export_state(11.0))) == sample["old_state"]
 
     state = json.loads(sample["frames"][1])["state"]
-    new = Facade(config.settings, 20.0)
-    new.listed(20.0, DiscoveryUpdateKind.FULL, 7, read_listing(state["list"]).entries)
-    new.inherit(20.0, state)
-    assert json.loads(json.dumps(new.state(20.0))) == sample["inherited"]
-    assert {node: new.takes(node) for node in sample["takes"]} == sample["takes"]
+    new = SchedulerHost(config.settings, 20.0)
+    new.update_nodes(20.0, DiscoveryUpdateKind.FULL, 7, read_listing(state["list"]).entries)
+    new.import_state(20.0, state)
+    assert json.loads(json.dumps(new.export_state(20.0))) == sample["inherited"]
+    assert {node: new.accepts_work(node) for node in sample["takes"]} == sample["takes"]
 
 
 # ------------------------------------------------------------------------------------------ errors
