--- a/mallowbeam/router/consensus/chunk_receiver.py
+++ b/mallowbeam/router/consensus/chunk_receiver.py
@@ -1,4 +1,4 @@
-"""A follower's part of a transfer: puts chunks together, in memory, until a snapshot or an entry is whole."""
+"""Reassembly of chunked snapshots and entries on a follower, in memory."""
 
 from __future__ import annotations
 
@@ -6,71 +6,71 @@
 from enum import Enum
 
 
-class Content(Enum):
-    """What chunks are pieces of."""
+class ChunkContent(Enum):
+    """What a chunk is part of."""
 
     SNAPSHOT = "snapshot"
     ENTRY = "entry"
 
 
 @dataclass(frozen=True, slots=True)
-class TransferKey:
-    """What tells the bytes of one transfer from another's.
+class ChunkStreamKey:
+    """Identity of a chunked snapshot or entry: chunks with equal keys have the same content.
 
-    A term has one leader, and that one has one entry at an index and takes one snapshot there.
+    A term has one leader, which has one entry at an index and takes one snapshot there.
     """
 
     leader_term: int
-    content: Content
+    content: ChunkContent
     index: int
 
 
 class ChunkReceiver:
-    """Holds at most one snapshot or entry that is not whole yet; a restart forgets it."""
+    """Buffer of at most one incomplete snapshot or entry; it does not survive a restart."""
 
-    def __init__(self, most_bytes: int) -> None:
-        """What has more than `most_bytes` is never begun."""
-        self._most_bytes = most_bytes
-        self._key: TransferKey | None = None
+    def __init__(self, max_bytes: int) -> None:
+        """Create an empty buffer; streams of more than `max_bytes` bytes are ignored."""
+        self._max_bytes = max_bytes
+        self._key: ChunkStreamKey | None = None
         self._data = bytearray()
 
     @property
     def received(self) -> int:
-        """Bytes from the start that are held: the offset that is wanted next."""
+        """Number of contiguous bytes received: the next expected offset."""
         return len(self._data)
 
-    def take(self, key: TransferKey, size: int, offset: int, data: bytes) -> bytes | None:
-        """Take a chunk of the current leader; all `size` bytes, once they are here.
+    def add(self, key: ChunkStreamKey, size: int, offset: int, data: bytes) -> bytes | None:
+        """Add a chunk of the current leader and return all `size` bytes once they are complete.
 
-        A transfer of another leader's term, or of a higher index, takes the place of the one that is held, as
-        its bytes may differ. A chunk that leaves a gap, or comes late, changes nothing.
+        A stream of another term or of a higher index replaces the incomplete one, as its bytes may differ.
+        Duplicates and chunks after a gap are ignored.
         """
         if key != self._key:
-            if self._is_older(key) or size > self._most_bytes:
+            if self._is_older(key) or size > self._max_bytes:
                 return None
             self._begin(key)
         if offset == len(self._data) and offset + len(data) <= size:
             self._data += data
         if len(self._data) < size:
             return None
-        whole = bytes(self._data)
-        self.forget()
-        return whole
+        complete = bytes(self._data)
+        self.reset()
+        return complete
 
-    def holds(self, key: TransferKey) -> bool:
-        """Whether a part of this is held."""
+    def is_receiving(self, key: ChunkStreamKey) -> bool:
+        """Return whether this stream is the incomplete one."""
         return self._key == key
 
-    def forget(self) -> None:
-        """Drop what is held."""
+    def reset(self) -> None:
+        """Drop the incomplete stream."""
         self._key = None
         self._data = bytearray()
 
-    def _begin(self, key: TransferKey) -> None:
+    def _begin(self, key: ChunkStreamKey) -> None:
         self._key = key
         self._data = bytearray()
 
-    def _is_older(self, key: TransferKey) -> bool:
-        """Whether the current leader has begun a later transfer since."""
-        held = self._key
-        return held is not None and held.leader_term == key.leader_term and key.index < held.index
+    def _is_older(self, key: ChunkStreamKey) -> bool:
+        """Return whether the current leader has begun a later stream since."""
+        current = self._key
+        return current is not None and current.leader_term == key.leader_term and key.index < current.index
--- a/mallowbeam/router/consensus/transfer.py
+++ b/mallowbeam/router/consensus/chunk_sender.py
@@ -1,7 +1,7 @@
-"""A leader's part of sending a snapshot or a large entry to one member: which chunks go out, and which again.
+"""Sending a snapshot or a large entry to one member in chunks: flow control and retransmission.
 
-Chunks go out in order, a bounded number of bytes ahead of what the member holds. A chunk that did not arrive
-shows by an answer that tells no progress, or by silence; sending then goes on at the offset that is wanted.
+Chunks are sent in order, at most a window of bytes ahead of what the member has acknowledged.  A lost chunk
+shows as an acknowledgement without progress or as a missing one; sending then resumes at the expected offset.
 """
 
 from __future__ import annotations
@@ -14,38 +14,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaderState:
-    """What a leader says of itself with each chunk."""
+class LeaderHeader:
+    """The leader's state that each chunk carries."""
 
     term: int
     round_number: int
     commit_index: int
 
 
-class Transfer(ABC):
-    """Bytes on their way to one member. They are kept here, whatever the log is compacted to meanwhile."""
+class ChunkSender(ABC):
+    """Sends the bytes of one snapshot or entry, which stay available here after a compaction of the log."""
 
     def __init__(self, index: int, data: bytes, now: float) -> None:
-        self.index = index  # in the log, of what is sent
+        self.index = index  # log index of the snapshot or entry
         self._data = data
-        self._acknowledged = 0  # bytes from the start that the member holds
+        self._acknowledged = 0  # contiguous bytes that the member has received
         self._next_offset = 0  # of the next chunk
-        self._ended = False  # the chunk that ends the data was sent
-        self._resent = False  # since the last progress, because of an answer
-        self._progress_at = now  # of the last progress, or of the last time of sending again
+        self._ended = False  # the last chunk was sent
+        self._resent = False  # since the last progress, in response to an acknowledgement
+        self._progress_at = now  # time in seconds of the last progress or retransmission
 
-    def chunks(self, leader: LeaderState, chunk_bytes: int, window_bytes: int) -> Iterator[RaftMessage]:
-        """The messages that may go out now; data without bytes is one empty chunk."""
+    def chunks(self, leader: LeaderHeader, chunk_bytes: int, window_bytes: int) -> Iterator[RaftMessage]:
+        """Yield the chunks that fit the window; empty data is sent as one empty chunk."""
         size = len(self._data)
         while not self._ended and self._next_offset - self._acknowledged < window_bytes:
             offset = self._next_offset
-            part = self._data[offset : offset + chunk_bytes]
-            self._next_offset = offset + len(part)
+            data = self._data[offset : offset + chunk_bytes]
+            self._next_offset = offset + len(data)
             self._ended = self._next_offset == size
-            yield self._message(leader, size, offset, part)
+            yield self._message(leader, size, offset, data)
 
-    def progress(self, received: int, now: float) -> None:
-        """The member holds `received` bytes: less than before where it was restarted."""
+    def acknowledge(self, received: int, now: float) -> None:
+        """Process the member's count of received bytes, which decreases if the member was restarted."""
         if received > len(self._data):
             return
         if received > self._acknowledged:
@@ -58,12 +58,12 @@
             self._send_again(now)
             self._resent = True
 
-    def retry(self, now: float, after: float) -> None:
-        """Send again what is not acknowledged, where nothing was heard for `after` seconds.
+    def retry(self, now: float, timeout: float) -> None:
+        """Retransmit unacknowledged bytes after `timeout` seconds without progress.
 
-        Where the member holds all, it is asked with an empty chunk whether that is durable.
+        If the member has received everything, an empty chunk asks whether it is durable there.
         """
-        if now - self._progress_at >= after:
+        if now - self._progress_at >= timeout:
             self._send_again(now)
 
     def _send_again(self, now: float) -> None:
@@ -72,33 +72,33 @@
         self._progress_at = now
 
     @abstractmethod
-    def _message(self, leader: LeaderState, size: int, offset: int, data: bytes) -> RaftMessage:
-        """One chunk."""
+    def _message(self, leader: LeaderHeader, size: int, offset: int, data: bytes) -> RaftMessage:
+        """Build the message of one chunk."""
 
 
-class SnapshotTransfer(Transfer):
-    """A snapshot on its way to one member."""
+class SnapshotSender(ChunkSender):
+    """Sends a snapshot to one member."""
 
     def __init__(self, snapshot: Snapshot, now: float) -> None:
         super().__init__(snapshot.index, snapshot.state, now)
         self._head = Snapshot(index=snapshot.index, term=snapshot.term, membership=snapshot.membership)
 
-    def _message(self, leader: LeaderState, size: int, offset: int, data: bytes) -> RaftMessage:
+    def _message(self, leader: LeaderHeader, size: int, offset: int, data: bytes) -> RaftMessage:
         chunk = SnapshotChunk(
             term=leader.term, round=leader.round_number, head=self._head, size=size, offset=offset, data=data
         )
         return RaftMessage(snapshot_chunk=chunk)
 
 
-class EntryTransfer(Transfer):
-    """An entry that is too large for one message, on its way to a member that has all entries before it."""
+class EntrySender(ChunkSender):
+    """Sends a large entry to a member that has all entries before it."""
 
     def __init__(self, entry: Entry, previous_term: int, now: float) -> None:
         super().__init__(entry.index, entry.payload, now)
         self._head = Entry(index=entry.index, term=entry.term, kind=entry.kind)
         self._previous_term = previous_term
 
-    def _message(self, leader: LeaderState, size: int, offset: int, data: bytes) -> RaftMessage:
+    def _message(self, leader: LeaderHeader, size: int, offset: int, data: bytes) -> RaftMessage:
         chunk = EntryChunk(
             term=leader.term,
             round=leader.round_number,
--- a/mallowbeam/router/consensus/errors.py
+++ b/mallowbeam/router/consensus/errors.py
@@ -1,4 +1,4 @@
-"""What the consensus core refuses, and why."""
+"""Errors of the consensus core."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class ConsensusError(MallowbeamError):
-    """The base of the core's errors: a stable code, the step that was refused, and the member concerned."""
+    """Base of the core's errors: a stable code, the rejected step, and the id of the member concerned."""
 
     code = "CONSENSUS"
     remedy = "see the error's own text"
 
 
 class NotLeaderError(ConsensusError):
-    """This member is not the leader, or hands leadership over; `leader_id` names whom to ask, if known."""
+    """This member is not the leader, or is transferring leadership; `leader_id` is the leader, if known."""
 
     code = "CONSENSUS_NOT_LEADER"
     remedy = "ask the leader; where none is known, ask again within a second"
@@ -24,28 +24,28 @@
 
 
 class MembershipChangeError(ConsensusError):
-    """A membership change that is not allowed, or not yet."""
+    """The membership change is invalid, or another one is still pending."""
 
     code = "CONSENSUS_MEMBERSHIP"
     remedy = "wait until the pending change is committed; change one voter, or more by a joint change"
 
 
 class TransferError(ConsensusError):
-    """There is no voter to which leadership could be handed over."""
+    """No voter can take over the leadership."""
 
     code = "CONSENSUS_TRANSFER"
     remedy = "name a voter that is in touch with the leader"
 
 
 class DivergedError(ConsensusError):
-    """A leader's entry contradicts one that is committed here: some disk has lost what it had confirmed."""
+    """The leader's log conflicts with an entry committed here: some disk has lost acknowledged data."""
 
     code = "CONSENSUS_DIVERGED"
     remedy = "none needed: the member discards its store and joins as a new one; look at the disks"
 
 
 class OverloadedError(ConsensusError):
-    """As many entries or reads are under way as the settings allow; nothing was taken."""
+    """The limit of uncommitted entries or pending reads is reached; the request was not accepted."""
 
     code = "CONSENSUS_OVERLOADED"
     remedy = "try again once entries under way are committed"
--- a/mallowbeam/router/consensus/interface.py
+++ b/mallowbeam/router/consensus/interface.py
@@ -1,68 +1,72 @@
-"""What goes into the Raft core and what comes out of it.
+"""Types that pass between the Raft core and its host.
 
-The host (``control_plane``) drives one :class:`~mallowbeam.router.consensus.node.RaftNode`: it passes ticks,
-messages and proposals in, with the steady clock's time in seconds, then calls ``output()`` and does what it
-says, in this order:
+The host (``control_plane``) drives one :class:`~mallowbeam.router.consensus.node.RaftNode`.  It passes in
+ticks, messages and proposals together with the monotonic clock's time in seconds, then calls ``output()``
+and processes the result in this order (compare ``Ready`` of etcd/raft):
 
-1. send ``Output.send`` at once;
-2. hand ``Output.write`` to storage; writes are made durable in the order in which they were handed over;
-3. once a write is durable, send its ``Write.then_send`` and call ``RaftNode.written(ticket, now)``;
+1. send ``Output.send`` immediately;
+2. submit ``Output.write`` to storage; writes become durable in the order of their submission;
+3. once a write is durable, send its ``Write.send_when_durable`` and call ``RaftNode.written(ticket, now)``;
 4. install ``Output.install``, then apply ``Output.committed`` in order; answer ``Output.reads``.
 
-Entries may be committed, and so applied, before this member's own storage has written them: a majority has.
-A write with neither hard state, entries nor snapshot is there for its ``then_send``'s place in the order.
-At the start the host installs ``Restored.snapshot`` itself; committed entries behind it come by ``output()``.
+Entries may be committed, and therefore applied, before this member's own storage has written them: a
+majority of the voters has.  A write without hard state, entries and snapshot only orders its
+``send_when_durable`` after the writes before it.  At start the host installs ``PersistentState.snapshot``
+itself; committed entries after the snapshot come from ``output()``.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import Final
 
 from mallowbeam.router.rpc.messages_pb2 import Entry, RaftMessage, Snapshot
 
+NO_VOTE: Final = 0  # member ids start at 1
+
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """What must be durable before a vote or an acknowledgement leaves."""
+    """Term and vote, which must be durable before a vote or an acknowledgement is sent (Raft figure 2)."""
 
     term: int = 0
-    vote: int = 0  # member id; 0: none in this term
+    vote: int = NO_VOTE  # id of the member voted for in this term
 
 
 @dataclass(frozen=True, slots=True)
 class RaftSettings:
-    """Times in seconds, bounds in entries and bytes."""
+    """Settings of one member: durations in seconds, sizes in bytes, counts in entries or messages."""
 
     member_id: int
-    heartbeat: float = 0.1
-    election_least: float = 0.4  # an election timeout is drawn between these two
-    election_most: float = 0.8
-    stalled_write: float = 0.8  # a leader whose own write takes longer steps down
-    entries_per_message: int = 64
-    bytes_per_message: int = 1 << 17  # one entry that is larger goes alone
-    messages_in_flight: int = 16  # appends to one follower that are not yet answered
-    bytes_in_flight: int = 1 << 20  # of entries in them; one message may reach over it
-    chunked_entry: int = 1 << 17  # an entry with a larger payload goes in chunks
-    uncommitted_entries: int = 4096  # proposals beyond it are refused
-    uncommitted_bytes: int = 8 << 20  # proposals on top of so many are refused
-    pending_reads: int = 4096  # reads beyond it are refused (not confirmed)
-    trailing_entries: int = 1024  # kept in memory before a snapshot, for slow followers
-    trailing_bytes: int = 16 << 20  # of them, and of those behind a snapshot that is being sent
-    snapshot_instead: int = 1 << 20  # a snapshot smaller by so much goes in place of entries
-    chunk: int = 1 << 15  # bytes of a snapshot or a large entry in one message
-    chunk_window: int = 1 << 18  # bytes of them on their way to one member
-    chunk_retry: float = 1.0  # without progress, what is not acknowledged is sent again
-    transfer_kept: float = 10.0  # one is given up once the member was silent for so long
-    most_transfer: int = 64 << 20  # a follower takes no larger snapshot or entry
+    heartbeat_interval: float = 0.1
+    election_timeout_min: float = 0.4  # each election timeout is drawn uniformly from [min, max]
+    election_timeout_max: float = 0.8
+    write_stall_timeout: float = 0.8  # a leader steps down when one of its writes takes longer
+    max_entries_per_message: int = 64
+    max_bytes_per_message: int = 1 << 17  # a single larger entry is sent alone
+    max_inflight_messages: int = 16  # unacknowledged appends per follower
+    max_inflight_bytes: int = 1 << 20  # payload bytes in them; the last message may exceed it
+    chunked_entry_bytes: int = 1 << 17  # entries with a larger payload are sent in chunks
+    max_uncommitted_entries: int = 4096  # further proposals are rejected
+    max_uncommitted_bytes: int = 8 << 20  # further proposals are rejected
+    max_pending_reads: int = 4096  # further reads are rejected
+    trailing_entries: int = 1024  # entries before the snapshot that stay in memory for slow followers
+    trailing_bytes: int = 16 << 20  # payload bytes of these, and of entries after a snapshot being sent
+    snapshot_preferred_bytes: int = 1 << 20  # send a snapshot instead of entries if it saves more than this
+    chunk_bytes: int = 1 << 15  # payload bytes of one chunk of a snapshot or of a large entry
+    chunk_window_bytes: int = 1 << 18  # unacknowledged chunk bytes per follower
+    chunk_retry_timeout: float = 1.0  # resend unacknowledged chunks after this long without progress
+    chunk_abort_timeout: float = 10.0  # abort sending chunks to a member without contact for this long
+    max_chunked_bytes: int = 64 << 20  # a follower ignores larger snapshots and entries
 
 
 @dataclass(frozen=True, slots=True)
-class Restored:
-    """What storage found: the state from which a member starts again."""
+class PersistentState:
+    """The durable state of a member, as loaded from storage at start."""
 
     hard_state: HardState
-    snapshot: Snapshot  # a founder's holds the membership, a joiner's is empty
-    entries: tuple[Entry, ...] = ()  # behind the snapshot, without a gap
+    snapshot: Snapshot  # of a founding member: the first membership; of a joining member: empty
+    entries: tuple[Entry, ...] = ()  # contiguous from `snapshot.index + 1`
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,36 +79,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """One durable step: first the snapshot, then entries, which replace all at their first index and behind.
+    """One durable step: the snapshot, then the entries, which replace all entries from their first index on.
 
-    A snapshot drops the entries it covers. It drops those behind it too, unless storage holds an entry with
-    the snapshot's index and term: without it, the snapshot is a leader's, in place of a log that differs.
+    A snapshot drops the entries that it covers.  It drops the later ones too, unless storage has an entry
+    with the snapshot's index and term: without such an entry the log conflicts with the leader's (Raft §7).
     """
 
-    ticket: int  # rises with each write
+    ticket: int  # increases with each write
     hard_state: HardState | None = None
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None
-    then_send: tuple[Send, ...] = ()  # only once the write is durable
+    send_when_durable: tuple[Send, ...] = ()
 
     def size(self) -> int:
-        """Bytes that it brings to storage, but for what storage adds."""
+        """Return the encoded size of entries and snapshot in bytes, without the overhead of storage."""
         size = sum(entry.ByteSize() for entry in self.entries)
         return size + (self.snapshot.ByteSize() if self.snapshot is not None else 0)
 
 
 @dataclass(frozen=True, slots=True)
 class ReadResult:
-    """A linearizable read: state may be read once ``index`` is applied; refused unless ``confirmed``."""
+    """Result of a linearizable read: if `confirmed`, state may be read once `index` is applied."""
 
     read_id: int
     confirmed: bool
-    index: int = 0
+    index: int = 0  # the read index
 
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """Where a proposal stands in the log: it takes effect once that entry, of that term, is committed."""
+    """Log position of a proposal, which takes effect if this index is committed with this term."""
 
     index: int
     term: int
@@ -112,15 +116,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberProgress:
-    """What a leader knows of a member."""
+    """A leader's view of another member."""
 
     match_index: int  # last index known to be equal and durable there
-    silence: float  # seconds since it was last heard of
+    silence: float  # seconds since the last response
 
 
 @dataclass(slots=True)
 class Output:
-    """What the host is to do."""
+    """Work for the host, in the order given in the module's description."""
 
     send: list[Send] = field(default_factory=list)
     write: Write | None = None
--- a/mallowbeam/router/consensus/log.py
+++ b/mallowbeam/router/consensus/log.py
@@ -1,4 +1,4 @@
-"""A member's log in memory: entries, the snapshot before them, and which of them go to storage next."""
+"""The in-memory log of a member: entries, the snapshot before them, and the first entry not yet submitted."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class RaftLog:
-    """Entries behind `base_index`. The base is the snapshot's index or, for slow followers, before it."""
+    """Entries after `base_index`, which is the snapshot's index or, for slow followers, an earlier one.
+
+    Sizes are payload bytes.  `first_unwritten` is the index of the first entry not yet submitted to storage.
+    """
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[Entry]) -> None:
         self._restart(snapshot)
@@ -25,8 +28,8 @@
         self.memberships = MembershipHistory(snapshot.index, snapshot.membership)
         self.first_unwritten = snapshot.index + 1
         self._entries: list[Entry] = []
-        self._base_bytes = 0  # of the payloads of all entries up to the base
-        self._payload_ends: list[int] = []  # the same up to each entry
+        self._base_bytes = 0  # cumulative payload bytes up to the base
+        self._payload_ends: list[int] = []  # cumulative payload bytes up to each entry
 
     def _set_snapshot(self, snapshot: Snapshot) -> None:
         self.snapshot = snapshot
@@ -43,12 +46,12 @@
         return self._entries[-1].term if self._entries else self.base_term
 
     @property
-    def blank(self) -> bool:
-        """Whether the log belongs to a joiner that has never heard of a membership."""
+    def is_uninitialized(self) -> bool:
+        """Whether the log has no membership yet: the member is joining."""
         return not self.memberships.current.membership.members
 
     def term_at(self, index: int) -> int | None:
-        """Term of the entry at `index`; None where the log does not hold it."""
+        """Return the term of the entry at `index`, or None if the log does not contain it."""
         if index == self.base_index:
             return self.base_term
         if index < self.base_index or index > self.last_index:
@@ -56,13 +59,16 @@
         return self._entries[index - self.base_index - 1].term
 
     def matches(self, index: int, term: int) -> bool:
-        """Whether the log is equal, up to `index`, to a leader's with `term` there."""
+        """Return whether the log equals, up to `index`, a leader's log with `term` there (Raft §5.3)."""
         if index < self.base_index:
-            return True  # committed, so every leader has it
+            return True  # committed, so every later leader has it
         return self.term_at(index) == term
 
     def conflict_hint(self, index: int, floor: int) -> int:
-        """Where a leader may look next after a mismatch at `index`: the end, or before that term."""
+        """Return the index that a leader should try after a mismatch at `index`, not below `floor`.
+
+        It is the end of a log that is too short, else the last index before the conflicting term (Raft §5.3).
+        """
         term = self.term_at(index)
         if term is None:
             return self.last_index
@@ -70,8 +76,8 @@
             index -= 1
         return index
 
-    def bytes_behind(self, index: int) -> int:
-        """Bytes of the payloads behind `index`, which is not before the base."""
+    def payload_bytes_after(self, index: int) -> int:
+        """Return the payload bytes of the entries after `index`, which is not before the base."""
         return self._bytes_up_to(self.last_index) - self._bytes_up_to(index)
 
     def _bytes_up_to(self, index: int) -> int:
@@ -80,36 +86,36 @@
         return self._payload_ends[index - self.base_index - 1]
 
     def payload_bytes(self, index: int) -> int:
-        """Bytes of one entry's payload."""
+        """Return the payload bytes of the entry at `index`."""
         return self._bytes_up_to(index) - self._bytes_up_to(index - 1)
 
-    def snapshot_saves(self, first: int) -> int:
-        """How many bytes fewer the snapshot has than the entries from `first` up to it."""
+    def snapshot_savings(self, first: int) -> int:
+        """Return how many bytes the snapshot is smaller than the entries from `first` up to its index."""
         if first > self.snapshot.index:
             return 0
         up_to_snapshot = self._bytes_up_to(self.snapshot.index) - self._bytes_up_to(first - 1)
         return up_to_snapshot - self._snapshot_bytes
 
     def slice(self, first: int, last: int) -> list[Entry]:
-        """The entries from `first` to `last`, both included."""
+        """Return the entries from `first` to `last` inclusive."""
         return self._entries[first - self.base_index - 1 : last - self.base_index]
 
-    def batch(self, first: int, most_entries: int, most_bytes: int) -> list[Entry]:
-        """Entries from `first` on within the bounds, but one at least where there is one."""
-        last = min(first + most_entries - 1, self.last_index)
-        bound = self._bytes_up_to(first - 1) + most_bytes
-        while last > first and self._bytes_up_to(last) > bound:
+    def batch(self, first: int, max_entries: int, max_bytes: int) -> list[Entry]:
+        """Return entries from `first` on within both limits, but at least one if there is one."""
+        last = min(first + max_entries - 1, self.last_index)
+        limit = self._bytes_up_to(first - 1) + max_bytes
+        while last > first and self._bytes_up_to(last) > limit:
             last -= 1
         return self.slice(first, last)
 
-    def extend(self, term: int, kind: EntryKind, payload: bytes) -> Entry:
-        """Append a leader's own entry."""
+    def append_new(self, term: int, kind: EntryKind, payload: bytes) -> Entry:
+        """Create and append an entry of this member as the leader."""
         entry = Entry(index=self.last_index + 1, term=term, kind=kind, payload=payload)
         self.append([entry])
         return entry
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Append entries that follow the last one."""
+        """Append entries that directly follow the last one."""
         self._entries.extend(entries)
         total = self._payload_ends[-1] if self._payload_ends else self._base_bytes
         for entry in entries:
@@ -118,18 +124,22 @@
         self.memberships.append(entries)
 
     def merge(self, entries: Sequence[Entry], committed: int) -> int | None:
-        """Take a leader's entries, whose predecessor matches; the first index of own ones dropped, if any.
+        """Append the leader's entries, replacing conflicting ones; their predecessor matches (Raft §5.3).
+
+        Returns:
+            The first index of the entries that were truncated, or None.
 
-        Raises DivergedError where an entry up to `committed` would have to go.
+        Raises:
+            DivergedError: an entry at or before the index `committed` conflicts.
         """
         for position, entry in enumerate(entries):
             if entry.index <= self.base_index or self.term_at(entry.index) == entry.term:
                 continue
             if entry.index <= committed:
                 raise DivergedError(f"entry {entry.index} is committed in another term", step="append")
-            dropped = self._truncate(entry.index)
+            truncated = self._truncate(entry.index)
             self.append(entries[position:])
-            return dropped
+            return truncated
         return None
 
     def _truncate(self, first: int) -> int | None:
@@ -141,16 +151,16 @@
         self.first_unwritten = min(self.first_unwritten, first)
         return first
 
-    def compact(self, snapshot: Snapshot, trailing: int, trailing_bytes: int, needed_behind: int) -> None:
-        """Take a snapshot of an applied index, and drop entries before it.
+    def compact(self, snapshot: Snapshot, trailing: int, trailing_bytes: int, oldest_needed: int) -> None:
+        """Set a snapshot of an applied index and drop entries before it (Raft §7).
 
-        Kept are the last `trailing` and those behind `needed_behind`, as far as they have no more than
-        `trailing_bytes` of payloads together.
+        The last `trailing` entries and those after the index `oldest_needed` stay, as long as their payloads
+        do not exceed `trailing_bytes`.
         """
-        base = min(snapshot.index - trailing, needed_behind)
-        least_bytes = self._bytes_up_to(snapshot.index) - trailing_bytes
-        affordable = self.base_index + 1 + bisect_left(self._payload_ends, least_bytes)
-        if self._base_bytes >= least_bytes:
+        base = min(snapshot.index - trailing, oldest_needed)
+        min_bytes = self._bytes_up_to(snapshot.index) - trailing_bytes
+        affordable = self.base_index + 1 + bisect_left(self._payload_ends, min_bytes)
+        if self._base_bytes >= min_bytes:
             affordable = self.base_index
         self._drop_up_to(min(max(base, affordable, self.base_index), snapshot.index))
         self._set_snapshot(snapshot)
@@ -162,8 +172,9 @@
         self._base_bytes = self._bytes_up_to(base)
         del self._entries[: base - self.base_index]
         del self._payload_ends[: base - self.base_index]
-        self.base_index, self.base_term = base, base_term
+        self.base_index = base
+        self.base_term = base_term
 
     def install(self, snapshot: Snapshot) -> None:
-        """Take a leader's snapshot in place of the whole log."""
+        """Replace the log by a leader's snapshot (Raft §7)."""
         self._restart(snapshot)
--- a/mallowbeam/router/consensus/membership.py
+++ b/mallowbeam/router/consensus/membership.py
@@ -1,4 +1,7 @@
-"""The memberships that a log holds, and which changes of them are allowed."""
+"""Memberships of the group: the ones in the log and the rules for changing them.
+
+A membership takes effect when its entry is appended, not when it is committed (Raft §6, thesis 4.1).
+"""
 
 from __future__ import annotations
 
@@ -13,27 +16,27 @@
 
 
 def voters_of(membership: Membership) -> frozenset[int]:
-    """Ids of the members that vote once no joint change is under way."""
+    """Return the ids of the incoming voters."""
     return frozenset(member.id for member in membership.members if member.voter)
 
 
 def members_of(membership: Membership) -> frozenset[int]:
-    """Ids of all members, learners too."""
+    """Return the ids of all members, including learners."""
     return frozenset(member.id for member in membership.members)
 
 
 def quorum_of(membership: Membership) -> Quorum:
-    """What counts under a membership."""
+    """Return the quorum rule of a membership."""
     return Quorum(voters_of(membership), frozenset(membership.outgoing_voters))
 
 
 def joint_change(old: Membership, new: Membership) -> Membership:
-    """The joint membership that leads from `old` to `new`: members that only `old` has stay as learners."""
+    """Return the joint membership between `old` and `new`; members that only `old` has become learners."""
     joint = Membership()
     joint.CopyFrom(new)
-    kept = members_of(new)
+    remaining = members_of(new)
     for member in old.members:
-        if member.id not in kept:
+        if member.id not in remaining:
             joint.members.add().CopyFrom(member)
             joint.members[-1].voter = False
     joint.outgoing_voters.extend(sorted(voters_of(old)))
@@ -41,7 +44,7 @@
 
 
 def without_outgoing(joint: Membership) -> Membership:
-    """The membership that ends a joint change."""
+    """Return the membership that ends a joint change."""
     final = Membership()
     final.CopyFrom(joint)
     final.ClearField("outgoing_voters")
@@ -49,9 +52,13 @@
 
 
 def check_change(old: Membership, new: Membership) -> None:
-    """Raise MembershipChangeError unless quorums of both always overlap and each voter has a place.
+    """Check that every quorum of `old` intersects every quorum of `new`, and that voters fit the target.
+
+    `new` may be a joint membership, or differ from `old` in one voter (thesis 4.1).  The leader itself
+    appends the end of a joint change, which is not checked here.
 
-    A joint membership may follow, or one of which one voter differs. The leader itself ends a joint change.
+    Raises:
+        MembershipChangeError: the change is not allowed.
     """
     if old.outgoing_voters:
         raise MembershipChangeError("a joint change is under way", step=CHANGE_STEP)
@@ -70,51 +77,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MembershipAt:
-    """A membership and the index of its entry, or of the snapshot that holds it."""
+class MembershipRecord:
+    """A membership with the index of its entry, or of the snapshot that contains it."""
 
     index: int
     membership: Membership
     quorum: Quorum
 
 
-def membership_at(index: int, membership: Membership) -> MembershipAt:
-    """Build a record with its quorum."""
-    return MembershipAt(index, membership, quorum_of(membership))
+def membership_record(index: int, membership: Membership) -> MembershipRecord:
+    """Build a record with the membership's quorum rule."""
+    return MembershipRecord(index, membership, quorum_of(membership))
 
 
 class MembershipHistory:
-    """The snapshot's membership and those of entries behind it. The last is in force, committed or not."""
+    """Memberships of the snapshot and of the entries after it; the last one is in force."""
 
     def __init__(self, index: int, membership: Membership) -> None:
-        self._records = [membership_at(index, membership)]
+        self._records = [membership_record(index, membership)]
 
     @property
-    def current(self) -> MembershipAt:
-        """The membership in force."""
+    def current(self) -> MembershipRecord:
+        """The membership in force, committed or not."""
         return self._records[-1]
 
     def at(self, index: int) -> Membership:
-        """The membership that was in force at `index`, which is not before the snapshot."""
+        """Return the membership that was in force at `index`, which is not before the snapshot."""
         return next(record.membership for record in reversed(self._records) if record.index <= index)
 
     def since(self, index: int) -> list[Quorum]:
-        """The quorums of the membership that was in force at `index` and of all behind it."""
-        behind = [record.quorum for record in self._records if record.index > index]
-        return [quorum_of(self.at(index)), *behind]
+        """Return the quorum rules of the membership in force at `index` and of all later ones."""
+        later = [record.quorum for record in self._records if record.index > index]
+        return [quorum_of(self.at(index)), *later]
 
     def append(self, entries: Iterable[Entry]) -> None:
-        """Note the memberships among new entries."""
+        """Add the memberships among newly appended entries."""
         for entry in entries:
             if entry.kind == MEMBERSHIP:
-                self._records.append(membership_at(entry.index, Membership.FromString(entry.payload)))
+                self._records.append(membership_record(entry.index, Membership.FromString(entry.payload)))
 
     def truncate(self, first_index: int) -> None:
-        """Roll back what entries from `first_index` on had changed."""
+        """Roll back memberships of entries from `first_index` on."""
         while self._records[-1].index >= first_index and len(self._records) > 1:
             self._records.pop()
 
     def compact(self, index: int) -> None:
-        """Forget what was replaced up to `index`."""
+        """Drop memberships that were replaced at or before `index`."""
         while len(self._records) > 1 and self._records[1].index <= index:
             self._records.pop(0)
--- a/mallowbeam/router/consensus/persistence.py
+++ b/mallowbeam/router/consensus/persistence.py
@@ -1,4 +1,4 @@
-"""What storage was given and what of it is durable; messages that wait for it."""
+"""Writes to storage: what is submitted, what is durable, and the messages that wait for durability."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 from mallowbeam.router.consensus.interface import HardState, Send, Write
 from mallowbeam.router.consensus.log import RaftLog
-from mallowbeam.router.rpc.messages_pb2 import RaftMessage, Snapshot
+from mallowbeam.router.rpc.messages_pb2 import Entry, RaftMessage, Snapshot
 
 
 @dataclass(slots=True)
-class OutstandingWrite:
-    """A write that was handed to storage and is not yet known to be durable."""
+class InflightWrite:
+    """A write that was submitted to storage and is not known to be durable."""
 
     ticket: int
-    since: float  # the steady clock's time at which it was handed over
-    last_index: int  # durable with it; falls when entries are dropped meanwhile
+    since: float  # time of submission, in seconds of the monotonic clock
+    last_index: int  # becomes durable with it; lowered when entries are truncated
     hard_state: HardState
 
 
 class Persistence:
-    """Owner of the hard state. Collects what is to be written, and messages to send at once or after it."""
+    """Owner of the hard state and of the outgoing messages, some of which wait for writes."""
 
     def __init__(self, hard_state: HardState, log: RaftLog) -> None:
         self._log = log
         self._ticket = 0
-        self._outstanding: deque[OutstandingWrite] = deque()
-        self._handed_state = hard_state
+        self._inflight: deque[InflightWrite] = deque()
+        self._submitted_state = hard_state
         self._snapshot: Snapshot | None = None
         self._after_write: list[Send] = []
         self.hard_state = hard_state
@@ -41,71 +41,75 @@
         return self.durable_state == self.hard_state
 
     def set_state(self, term: int, vote: int) -> None:
-        """Change term or vote; messages that rest on them wait until they are durable."""
+        """Set term and vote; messages that depend on them wait until they are durable."""
         self.hard_state = HardState(term, vote)
 
     def send_now(self, recipient: int, message: RaftMessage) -> None:
-        """Send without waiting for storage."""
+        """Send a message without waiting for storage."""
         self.send.append(Send(recipient, message))
 
     def send_after_write(self, recipient: int, message: RaftMessage) -> None:
-        """Send once all that is known now is durable."""
+        """Send a message once the current hard state and log are durable."""
         self._after_write.append(Send(recipient, message))
 
-    def answer(self, recipient: int, message: RaftMessage) -> None:
-        """Send once the current term and vote are durable."""
+    def respond(self, recipient: int, message: RaftMessage) -> None:
+        """Send a message once the current term and vote are durable."""
         if self.state_is_durable:
             self.send_now(recipient, message)
         else:
             self.send_after_write(recipient, message)
 
-    def entries_dropped(self, first: int) -> None:
-        """Entries from `first` on were dropped: writes under way no longer make them durable."""
+    def entries_truncated(self, first: int) -> None:
+        """Record that entries from `first` on were dropped: writes in flight do not make them durable."""
         self.durable_index = min(self.durable_index, first - 1)
-        for write in self._outstanding:
+        for write in self._inflight:
             write.last_index = min(write.last_index, first - 1)
 
-    def put_snapshot(self, snapshot: Snapshot) -> None:
-        """Write an own snapshot."""
+    def write_snapshot(self, snapshot: Snapshot) -> None:
+        """Write a snapshot that this member has taken."""
         self._snapshot = snapshot
 
-    def put_installed(self, snapshot: Snapshot) -> None:
-        """Write a leader's snapshot, which takes the place of the log."""
-        self.entries_dropped(1)
+    def write_installed_snapshot(self, snapshot: Snapshot) -> None:
+        """Write a leader's snapshot, which replaces the log."""
+        self.entries_truncated(1)
         self._snapshot = snapshot
 
-    def take_write(self, now: float) -> Write | None:
-        """The next write, if there is anything to write or to send after writes under way."""
-        state = self.hard_state if self.hard_state != self._handed_state else None
+    def next_write(self, now: float) -> Write | None:
+        """Return the next write, or None if there is nothing to write or to order after writes in flight."""
+        state = self.hard_state if self.hard_state != self._submitted_state else None
         entries = tuple(self._log.slice(self._log.first_unwritten, self._log.last_index))
-        holds = state is not None or bool(entries) or self._snapshot is not None
-        if not holds and not self._outstanding:
-            self.send += self._after_write  # all of it is durable
+        has_content = state is not None or bool(entries) or self._snapshot is not None
+        if not has_content and not self._inflight:
+            self.send += self._after_write  # everything is durable
             self._after_write = []
             return None
-        if not holds and not self._after_write:
+        if not has_content and not self._after_write:
             return None
+        return self._submit(state, entries, now)
+
+    def _submit(self, state: HardState | None, entries: tuple[Entry, ...], now: float) -> Write:
         self._ticket += 1
         write = Write(self._ticket, state, entries, self._snapshot, tuple(self._after_write))
-        self._outstanding.append(OutstandingWrite(self._ticket, now, self._log.last_index, self.hard_state))
+        self._inflight.append(InflightWrite(self._ticket, now, self._log.last_index, self.hard_state))
         self._log.first_unwritten = self._log.last_index + 1
-        self._handed_state = self.hard_state
+        self._submitted_state = self.hard_state
         self._snapshot = None
         self._after_write = []
         return write
 
-    def take_send(self) -> list[Send]:
-        """The messages to send at once."""
-        send, self.send = self.send, []
+    def take_messages(self) -> list[Send]:
+        """Remove and return the messages to send immediately."""
+        send = self.send
+        self.send = []
         return send
 
     def written(self, ticket: int) -> None:
-        """All writes up to `ticket` are durable."""
-        while self._outstanding and self._outstanding[0].ticket <= ticket:
-            write = self._outstanding.popleft()
+        """Record that all writes up to `ticket` are durable."""
+        while self._inflight and self._inflight[0].ticket <= ticket:
+            write = self._inflight.popleft()
             self.durable_index = max(self.durable_index, write.last_index)
             self.durable_state = write.hard_state
 
-    def outstanding_since(self) -> float | None:
-        """When the oldest write under way was handed over; None where none is under way."""
-        return self._outstanding[0].since if self._outstanding else None
+    def oldest_inflight_since(self) -> float | None:
+        """Return the submission time of the oldest write in flight, or None without one."""
+        return self._inflight[0].since if self._inflight else None
--- a/mallowbeam/router/consensus/progress.py
+++ b/mallowbeam/router/consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one other member, and what it may send to it next."""
+"""A leader's view of another member, which decides what may be sent to it (compare etcd/raft's Progress)."""
 
 from __future__ import annotations
 
@@ -6,108 +6,111 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from mallowbeam.router.consensus.transfer import Transfer
+from mallowbeam.router.consensus.chunk_sender import ChunkSender
 
 
-class Mode(Enum):
-    """How entries go to a member."""
+class ProgressState(Enum):
+    """How entries are sent to a member."""
 
-    PROBE = "probe"  # one message at a time, until the logs are known to meet
-    REPLICATE = "replicate"  # a stream of messages without waiting for answers
-    TRANSFER = "transfer"  # a snapshot or a large entry is under way, nothing else
+    PROBE = "probe"  # one append at a time, until the logs are known to match
+    REPLICATE = "replicate"  # pipelined appends
+    CHUNKED = "chunked"  # a snapshot or a large entry in chunks, nothing else
 
 
 @dataclass(frozen=True, slots=True)
-class AppendInFlight:
-    """An append with entries that is not answered yet."""
+class InflightAppend:
+    """An append with entries that is not acknowledged yet."""
 
     last_index: int
     payload_bytes: int
 
 
 class Progress:
-    """A leader's view of one other member."""
+    """Replication progress of one other member.  Times are in seconds of the monotonic clock."""
 
     def __init__(self, next_index: int, now: float) -> None:
-        self.mode = Mode.PROBE
-        self.match_index = 0  # known to be equal and durable there
-        self.next_index = next_index  # the next entry to send
-        self.commit_told = 0  # the highest commit index sent
+        self.state = ProgressState.PROBE
+        self.match_index = 0  # last index known to be equal and durable there (Raft figure 2)
+        self.next_index = next_index  # index of the next entry to send (Raft figure 2)
+        self.sent_commit_index = 0
         self.acknowledged_round = 0
-        self.last_heard = now  # at first, when it was taken in
+        self.last_contact = now  # time of the last response, at first of the member's addition
         self.probe_sent = False
-        self.transfer: Transfer | None = None  # what is under way in chunks
-        self._in_flight: deque[AppendInFlight] = deque()
-        self._bytes_in_flight = 0
+        self.chunk_sender: ChunkSender | None = None  # in state CHUNKED
+        self._inflight: deque[InflightAppend] = deque()
+        self._inflight_bytes = 0
 
     @property
-    def knows_match(self) -> bool:
-        """Whether the member has all before the next entry, and nothing is on its way."""
-        return self.mode is Mode.REPLICATE and self.match_index == self.next_index - 1
+    def fully_acknowledged(self) -> bool:
+        """Whether the member has acknowledged everything before the next entry."""
+        return self.state is ProgressState.REPLICATE and self.match_index == self.next_index - 1
 
-    def may_send(self, messages_in_flight: int, bytes_in_flight: int) -> bool:
-        """Whether entries may be sent now."""
-        if self.mode is Mode.PROBE:
+    def may_send(self, max_inflight_messages: int, max_inflight_bytes: int) -> bool:
+        """Return whether the flow control allows to send entries now."""
+        if self.state is ProgressState.PROBE:
             return not self.probe_sent
-        if self.mode is Mode.TRANSFER:
+        if self.state is ProgressState.CHUNKED:
             return False
-        return len(self._in_flight) < messages_in_flight and self._bytes_in_flight < bytes_in_flight
+        return len(self._inflight) < max_inflight_messages and self._inflight_bytes < max_inflight_bytes
 
     def entries_sent(self, last_index: int, payload_bytes: int) -> None:
-        """Note that entries up to `last_index` were sent."""
-        if self.mode is Mode.PROBE:
+        """Record an append of entries up to `last_index`."""
+        if self.state is ProgressState.PROBE:
             self.probe_sent = True
         else:
             self.next_index = last_index + 1
-            self._in_flight.append(AppendInFlight(last_index, payload_bytes))
-            self._bytes_in_flight += payload_bytes
-
-    def begin_transfer(self, transfer: Transfer) -> None:
-        """Note that a snapshot or an entry is being sent in chunks."""
-        self.mode = Mode.TRANSFER
-        self.transfer = transfer
-        self._forget_in_flight()
-
-    def give_up_transfer(self) -> None:
-        """End a transfer that gets no answer; entries are tried next."""
-        self.mode = Mode.PROBE
-        self.transfer = None
-        self.probe_sent = True  # until the member is heard again
-
-    def heard(self, round_number: int, now: float) -> None:
-        """Note an answer, whatever it says."""
-        self.last_heard = now
+            self._inflight.append(InflightAppend(last_index, payload_bytes))
+            self._inflight_bytes += payload_bytes
+
+    def start_chunks(self, sender: ChunkSender) -> None:
+        """Send a snapshot or an entry in chunks from now on."""
+        self.state = ProgressState.CHUNKED
+        self.chunk_sender = sender
+        self._clear_inflight()
+
+    def abort_chunks(self) -> None:
+        """Stop sending chunks to a member that does not respond, and probe it after its next response."""
+        self.state = ProgressState.PROBE
+        self.chunk_sender = None
+        self.probe_sent = True
+
+    def record_response(self, round_number: int, now: float) -> None:
+        """Record a response of any kind to a message of this heartbeat round."""
+        self.last_contact = now
         self.acknowledged_round = max(self.acknowledged_round, round_number)
 
-    def in_touch(self, since: float) -> bool:
-        """Whether the member has answered, and has done so since then."""
-        return self.acknowledged_round > 0 and self.last_heard >= since
+    def recently_active(self, since: float) -> bool:
+        """Return whether the member has responded at or after the time `since`."""
+        return self.acknowledged_round > 0 and self.last_contact >= since
 
-    def matched(self, index: int) -> bool:
-        """Note that the logs are equal up to `index`; whether that is more than was known."""
+    def update_match(self, index: int) -> bool:
+        """Record that the logs are equal up to `index`; return whether the match index advanced."""
         advanced = index > self.match_index
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, self.match_index + 1)
-        while self._in_flight and self._in_flight[0].last_index <= self.match_index:
-            self._bytes_in_flight -= self._in_flight.popleft().payload_bytes
-        if self.transfer is not None and self.match_index < self.transfer.index:
+        while self._inflight and self._inflight[0].last_index <= self.match_index:
+            self._inflight_bytes -= self._inflight.popleft().payload_bytes
+        if self.chunk_sender is not None and self.match_index < self.chunk_sender.index:
             return advanced
-        self.mode = Mode.REPLICATE
-        self.transfer = None
+        self.state = ProgressState.REPLICATE
+        self.chunk_sender = None
         self.probe_sent = False
         return advanced
 
-    def rejected(self, hint_index: int) -> None:
-        """Back off after a refusal; one that tells nothing new is left to the next heartbeat."""
-        if self.mode is Mode.TRANSFER or hint_index + 1 >= self.next_index:
+    def handle_rejection(self, hint_index: int) -> None:
+        """Move the next index back after a rejected append (Raft §5.3).
+
+        A stale rejection, which does not move it back, is ignored; the next heartbeat probes again.
+        """
+        if self.state is ProgressState.CHUNKED or hint_index + 1 >= self.next_index:
             return
         next_index = max(self.match_index, hint_index) + 1
-        probe_again = next_index < self.next_index or self.mode is Mode.REPLICATE
+        probe_again = next_index < self.next_index or self.state is ProgressState.REPLICATE
         self.next_index = next_index
-        self.mode = Mode.PROBE
+        self.state = ProgressState.PROBE
         self.probe_sent = not probe_again
-        self._forget_in_flight()
+        self._clear_inflight()
 
-    def _forget_in_flight(self) -> None:
-        self._in_flight.clear()
-        self._bytes_in_flight = 0
+    def _clear_inflight(self) -> None:
+        self._inflight.clear()
+        self._inflight_bytes = 0
--- a/mallowbeam/router/consensus/quorum.py
+++ b/mallowbeam/router/consensus/quorum.py
@@ -1,8 +1,8 @@
-"""Who votes and what a quorum is, also while a joint change is under way.
+"""Quorum rules of simple majorities and of joint consensus (thesis 4.3).
 
-Outside a joint change there is one set of voters, the incoming ones. During a joint change (joint consensus)
-there are two, and whatever counts needs a majority of each: so a quorum of the joint membership overlaps with
-each of the membership before it and with each of the one after it.
+Outside a joint configuration there is one set of voters, the incoming one.  A joint configuration has two,
+and each decision needs a majority of both.  A quorum of the joint configuration therefore
+intersects every quorum of the configuration before it and every quorum of the one after it.
 """
 
 from __future__ import annotations
@@ -12,52 +12,55 @@
 
 
 def majority_of(count: int) -> int:
-    """The least number that is more than half of `count`."""
+    """Return the size of the smallest majority of `count` voters."""
     return count // 2 + 1
 
 
 @dataclass(frozen=True, slots=True)
 class Quorum:
-    """The voters of one membership by their ids; `outgoing` is empty outside a joint change."""
+    """Voter ids of one membership; `outgoing` is empty outside joint consensus."""
 
     incoming: frozenset[int]
     outgoing: frozenset[int] = frozenset()
 
     @property
-    def joint(self) -> bool:
-        """Whether a joint change is under way."""
+    def is_joint(self) -> bool:
+        """Whether this is a joint configuration."""
         return bool(self.outgoing)
 
     @property
-    def all(self) -> frozenset[int]:
-        """All that vote, in either set."""
+    def voters(self) -> frozenset[int]:
+        """Voters of either set."""
         return self.incoming | self.outgoing
 
-    def reached(self, of: Callable[[int], float]) -> float:
-        """The greatest value that a majority of each set has reached; `of` tells a voter's value."""
-        return min(_reached(voters, of) for voters in self._sets)
+    def majority_value(self, value_of: Callable[[int], float]) -> float:
+        """Return the greatest value that a majority of each set has reached.
 
-    def granted(self, votes: Mapping[int, bool]) -> bool:
-        """Whether a majority of each set has granted its vote; voters without an entry have not answered."""
+        With match indexes as values this is the index that may be committed (Raft §5.3).
+        """
+        return min(_majority_value(voters, value_of) for voters in self._sets)
+
+    def is_won(self, votes: Mapping[int, bool]) -> bool:
+        """Return whether a majority of each set has granted its vote; absent voters have not answered."""
         return all(_count(voters, votes, True) >= majority_of(len(voters)) for voters in self._sets)
 
-    def refused(self, votes: Mapping[int, bool]) -> bool:
-        """Whether so many have refused that the votes can no longer be granted."""
+    def is_lost(self, votes: Mapping[int, bool]) -> bool:
+        """Return whether so many votes are rejected that the election can no longer be won."""
         return any(
             _count(voters, votes, False) > len(voters) - majority_of(len(voters)) for voters in self._sets
         )
 
-    def within(self, members: Container[int]) -> bool:
-        """Whether `members` hold a majority of each set."""
-        return self.granted({voter: voter in members for voter in self.all})
+    def is_quorum(self, members: Container[int]) -> bool:
+        """Return whether `members` contain a majority of each set."""
+        return self.is_won({voter: voter in members for voter in self.voters})
 
     @property
     def _sets(self) -> tuple[frozenset[int], ...]:
         return (self.incoming, self.outgoing) if self.outgoing else (self.incoming,)
 
 
-def _reached(voters: frozenset[int], of: Callable[[int], float]) -> float:
-    values = sorted((of(voter) for voter in voters), reverse=True)
+def _majority_value(voters: frozenset[int], value_of: Callable[[int], float]) -> float:
+    values = sorted((value_of(voter) for voter in voters), reverse=True)
     return values[majority_of(len(values)) - 1]
 
 
--- a/mallowbeam/router/consensus/storage/__init__.py
+++ b/mallowbeam/router/consensus/storage/__init__.py
@@ -1,6 +1,7 @@
-"""The durable home of one Raft member on lmdb: identity, hard state, log entries, snapshot.
+"""Durable storage of one Raft member on lmdb; the format is described in ``docs/formats/replica-store.md``.
 
-The format is described in ``docs/formats/replica-store.md``.
+Owns the file ``replica.lmdb`` with the member's identity, hard state, log entries and snapshot.
+Called by `control_plane.opening` at start and by `control_plane.disk_writer` for each batch of writes.
 """
 
 from mallowbeam.router.consensus.storage.errors import (
--- a/mallowbeam/router/consensus/storage/files.py
+++ b/mallowbeam/router/consensus/storage/files.py
@@ -1,4 +1,4 @@
-"""Folders, files and the system's errors, as the store needs them."""
+"""Durable changes of folders and files, and the mapping of system and lmdb errors to the store's."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from mallowbeam.router.consensus.storage.errors import StoreDamagedError, StoreFailedError, StoreFullError
 
-FULL = (errno.ENOSPC, errno.EDQUOT)
-UNREADABLE = (lmdb.InvalidError, lmdb.VersionMismatchError, lmdb.CorruptedError, lmdb.PageNotFoundError)
+DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
+DAMAGE_ERRORS = (lmdb.InvalidError, lmdb.VersionMismatchError, lmdb.CorruptedError, lmdb.PageNotFoundError)
 
 
 def sync_folder(folder: str) -> None:
@@ -25,16 +25,16 @@
 
 
 def make_folder(folder: str) -> None:
-    """Make a folder with those above it, if absent, and make its name durable.
+    """Create a folder with its missing parents and make its name durable.
 
-    The name of a folder that exists is made durable too: a process that was killed may have made it.
+    The name of an existing folder is made durable too: a process killed after `mkdir` may have created it.
     """
-    above = os.path.dirname(os.path.abspath(folder))
+    parent = os.path.dirname(os.path.abspath(folder))
     if not os.path.isdir(folder):
-        if not os.path.isdir(above):
-            make_folder(above)
+        if not os.path.isdir(parent):
+            make_folder(parent)
         os.mkdir(folder)
-    sync_folder(above)
+    sync_folder(parent)
 
 
 def remove_file(path: str) -> None:
@@ -45,12 +45,18 @@
 
 @contextlib.contextmanager
 def raised_as_store_error(step: str, where: str) -> Iterator[None]:
-    """Turn errors of the system and of lmdb into the store's, with the step."""
+    """Raise errors of the system and of lmdb as the store's errors, with the step and the path.
+
+    Raises:
+        StoreFullError: the disk is full or lmdb's map size is reached.
+        StoreDamagedError: lmdb can't read the file.
+        StoreFailedError: any other error of lmdb or of a system call.
+    """
     try:
         yield
     except lmdb.MapFullError as error:
         raise StoreFullError("the store's bound is reached", where, step=step) from error
-    except UNREADABLE as error:
+    except DAMAGE_ERRORS as error:
         raise StoreDamagedError(str(error), where, step=step) from error
     except lmdb.Error as error:
         raise _failure(str(error), where, step, int(getattr(error, "code", 0))) from error
@@ -59,5 +65,5 @@
 
 
 def _failure(what: str, where: str, step: str, number: int) -> StoreFullError | StoreFailedError:
-    kind = StoreFullError if number in FULL else StoreFailedError
+    kind = StoreFullError if number in DISK_FULL_ERRNOS else StoreFailedError
     return kind(f"{step}: {what}", where, step=step, errno=max(number, 0))
--- a/mallowbeam/router/consensus/storage/pages.py
+++ b/mallowbeam/router/consensus/storage/pages.py
@@ -1,21 +1,22 @@
-"""A check of lmdb's pages before lmdb maps them.
+"""A check of lmdb's pages before lmdb maps the file.
 
-lmdb trusts what it maps: a damaged page number may end the process with a signal, and a damaged list of
-free pages may let a later write destroy live ones. A power loss leaves neither (see `seal`), but a bad
-disk may. The check reads every page that lmdb would: numbers, kinds, bounds, order of keys, and that no
-free page is in use. Values are left to the records' own checksums.
+lmdb trusts the pages that it maps: a damaged page number may end the process with a signal, and a damaged
+list of free pages may let a later write overwrite pages in use.  A power loss leaves neither (see `seal`),
+but a faulty disk may.  The check reads every page that lmdb would: page numbers, kinds, bounds, the order of
+keys, and that no free page is in use.  Values are covered by the checksums of the records.
 """
 
 from __future__ import annotations
 
 import struct
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from mallowbeam.router.consensus.storage.errors import StoreDamagedError
 from mallowbeam.router.consensus.storage.seal import PAGE_BYTES, SLOTS
 
-PAGE_HEAD = struct.Struct("<QHHHH")  # number, pad, flags, lower, upper
-OVERFLOW_COUNT = struct.Struct("<I")  # in place of lower and upper: pages of an overflow value
+PAGE_HEADER = struct.Struct("<QHHHH")  # number, pad, flags, lower, upper
+OVERFLOW_COUNT = struct.Struct("<I")  # in place of lower and upper: number of pages of an overflow value
 OVERFLOW_COUNT_OFFSET = 12
 NODE = struct.Struct("<HHHH")  # size or child (low), (high), flags or child (top), key bytes
 TREE = struct.Struct("<IHHQQQQQ")  # pad, flags, depth, branch, leaf, overflow pages, entries, root
@@ -25,184 +26,225 @@
 MAIN_TREE_OFFSET = 88
 LAST_PAGE_OFFSET = 136
 
-BRANCH, LEAF, OVERFLOW = 1, 2, 4  # page flags
-BIG_DATA = 1  # node flag: the value lies in overflow pages
+BRANCH = 1  # page flags
+LEAF = 2
+OVERFLOW = 4
+PAGE_KIND_MASK = 0xF
+BIG_DATA = 1  # node flag: the value is in overflow pages
 EMPTY_ROOT = (1 << 64) - 1
-MOST_DEPTH = 32  # as lmdb's cursors allow
+MAX_DEPTH = 32  # of lmdb's cursors
 
 
 @dataclass(frozen=True, slots=True)
 class PageNumbers:
-    """The numbers of a file's pages."""
+    """The page numbers of a file."""
 
-    in_use: frozenset[int]  # the meta pages, and all that hold something
-    free: frozenset[int]  # which later transactions may write
+    in_use: frozenset[int]  # meta pages and pages with content
+    free: frozenset[int]  # available to later transactions
 
 
-@dataclass(slots=True)
-class _Tree:
-    """What a walk through one tree found, to be compared with the counts in the meta page."""
+def check_pages(data: bytes, meta: bytes) -> PageNumbers:
+    """Check the bytes of a store's file against the content of its valid meta page.
 
-    whole_numbers: bool  # keys are integers of the machine's order, not byte strings
-    depth: int
-    branch: int = 0
-    leaf: int = 0
-    overflow: int = 0
-    values: list[bytes] | None = None  # collected where asked for
-    entries: int = 0
-    last_key: bytes | None = None  # the greatest key so far
+    Raises:
+        StoreDamagedError: a page is damaged.
+    """
+    (last_page,) = NUMBER.unpack_from(meta, LAST_PAGE_OFFSET)
+    pages = _Pages(data, last_page)
+    free_lists = _FreeTreeCheck(pages).check(meta, FREE_TREE_OFFSET)
+    _TreeCheck(pages).check(meta, MAIN_TREE_OFFSET)
+    in_use = frozenset(pages.used)
+    for value in free_lists:
+        pages.claim_free(value)
+    return PageNumbers(in_use, frozenset(pages.used) - in_use)
 
 
 @dataclass(slots=True)
-class _Walk:
+class _Pages:
+    """The file's bytes and the page numbers found so far, each of which may occur once."""
+
     data: bytes
     last_page: int
-    used: set[int] = field(default_factory=set)
-
-
-def check_pages(data: bytes, meta: bytes) -> PageNumbers:
-    """Check a store's file against the meta page that stands; raises `StoreDamagedError`."""
-    (last_page,) = NUMBER.unpack_from(meta, LAST_PAGE_OFFSET)
-    walk = _Walk(data, last_page, set(SLOTS))
-    free = _check_tree(walk, meta, FREE_TREE_OFFSET, whole_numbers=True, values=[])
-    _check_tree(walk, meta, MAIN_TREE_OFFSET, whole_numbers=False, values=None)
-    in_use = frozenset(walk.used)
-    for value in free.values or ():
-        _check_free_pages(walk, value)
-    return PageNumbers(in_use, frozenset(walk.used) - in_use)
-
-
-def _check_tree(
-    walk: _Walk, meta: bytes, offset: int, *, whole_numbers: bool, values: list[bytes] | None
-) -> _Tree:
-    _pad, _flags, depth, branch, leaf, overflow, entries, root = TREE.unpack_from(meta, offset)
-    tree = _Tree(whole_numbers, depth, values=values)
-    if root != EMPTY_ROOT:
-        _require(0 < depth <= MOST_DEPTH, "a tree's depth", root)
-        _check_page(walk, tree, root, 1, None, None)
-    found = (tree.branch, tree.leaf, tree.overflow, tree.entries)
-    _require(found == (branch, leaf, overflow, entries), "a tree's counts", root)
-    return tree
-
-
-def _check_page(
-    walk: _Walk, tree: _Tree, number: int, level: int, low: bytes | None, high: bytes | None
-) -> None:
-    """Check a page and all below it, whose keys lie between `low` (inclusive) and `high`."""
-    _take(walk, number, 1)
-    page = walk.data[number * PAGE_BYTES : (number + 1) * PAGE_BYTES]
-    own_number, _pad, flags, lower, upper = PAGE_HEAD.unpack_from(page)
-    kind = LEAF if level == tree.depth else BRANCH
-    _require(own_number == number and flags & 0xF == kind, "the page's head", number)
-    _require(PAGE_HEAD.size <= lower <= upper <= PAGE_BYTES and lower % 2 == 0, "its bounds", number)
-    count = (lower - PAGE_HEAD.size) // 2
-    _require(count > 0, "no nodes", number)
-    offsets = struct.unpack_from(f"<{count}H", page, PAGE_HEAD.size)
-    _require(min(offsets) >= upper and max(offsets) + NODE.size <= PAGE_BYTES, "its node offsets", number)
-    if kind == LEAF:
-        tree.leaf += 1
-        _check_leaf(walk, tree, number, page, offsets, low, high)
-    else:
-        tree.branch += 1
-        _check_branch(walk, tree, number, page, offsets, level, low, high)
-
-
-def _check_leaf(
-    walk: _Walk,
-    tree: _Tree,
-    number: int,
-    page: bytes,
-    offsets: tuple[int, ...],
-    low: bytes | None,
-    high: bytes | None,
-) -> None:
-    last = tree.last_key
-    for offset in offsets:
-        size_low, size_high, flags, key_bytes = NODE.unpack_from(page, offset)
+    used: set[int] = field(default_factory=lambda: set(SLOTS))
+
+    def claim(self, number: int, count: int) -> None:
+        """Claim pages that must lie within the file."""
+        end = number + count
+        within = end - 1 <= self.last_page and end * PAGE_BYTES <= len(self.data)
+        _require(within, "beyond the file's end", number)
+        for page in range(number, end):
+            _require(page not in self.used, "in use twice", page)
+            self.used.add(page)
+
+    def claim_free(self, value: bytes) -> None:
+        """Claim the pages in a value of the tree of free pages: a count and that many page numbers."""
+        valid_size = len(value) >= NUMBER.size and len(value) % NUMBER.size == 0
+        _require(valid_size, "a list of free pages", 0)
+        count, *numbers = struct.unpack(f"<{len(value) // NUMBER.size}Q", value)
+        _require(count <= len(numbers), "a list of free pages", 0)
+        for number in numbers[:count]:
+            _require(number not in self.used and number <= self.last_page, "a free page is in use", number)
+            self.used.add(number)
+
+    def claim_overflow(self, number: int, size: int) -> int:
+        """Claim and check the overflow pages of a value of `size` bytes; return their count."""
+        count = (PAGE_HEADER.size + size + PAGE_BYTES - 1) // PAGE_BYTES
+        self.claim(number, count)
+        start = number * PAGE_BYTES
+        own_number, _pad, flags, _lower, _upper = PAGE_HEADER.unpack_from(self.data, start)
+        (own_count,) = OVERFLOW_COUNT.unpack_from(self.data, start + OVERFLOW_COUNT_OFFSET)
+        is_overflow = flags & PAGE_KIND_MASK == OVERFLOW
+        _require(own_number == number and is_overflow, "an overflow page's head", number)
+        _require(own_count == count, "an overflow value's pages", number)
+        return count
+
+    def overflow_value(self, number: int, size: int) -> bytes:
+        """Return a value of `size` bytes from its overflow pages."""
+        start = number * PAGE_BYTES + PAGE_HEADER.size
+        return self.data[start : start + size]
+
+
+class _KeyRange(NamedTuple):
+    """The keys allowed in a subtree: from `low` inclusive to `high` exclusive; None is unbounded."""
+
+    low: bytes | None
+    high: bytes | None
+
+
+class _Page(NamedTuple):
+    """A branch or leaf page."""
+
+    number: int
+    content: bytes
+    offsets: tuple[int, ...]  # of its nodes
+
+
+class _TreeCheck:
+    """Walks one tree and compares what it finds with the counts in the meta page."""
+
+    def __init__(self, pages: _Pages) -> None:
+        self._pages = pages
+        self._depth = 0
+        self._branch_pages = 0
+        self._leaf_pages = 0
+        self._overflow_pages = 0
+        self._entries = 0
+        self._last_key: bytes | None = None  # the greatest key so far
+
+    def check(self, meta: bytes, offset: int) -> list[bytes]:
+        """Check the tree whose description is at `offset`; return the values that were collected."""
+        _pad, _flags, depth, branch, leaf, overflow, entries, root = TREE.unpack_from(meta, offset)
+        self._depth = depth
+        if root != EMPTY_ROOT:
+            _require(0 < depth <= MAX_DEPTH, "a tree's depth", root)
+            self._check_page(root, 1, _KeyRange(None, None))
+        found = (self._branch_pages, self._leaf_pages, self._overflow_pages, self._entries)
+        _require(found == (branch, leaf, overflow, entries), "a tree's counts", root)
+        return self._collected()
+
+    def _check_page(self, number: int, level: int, keys: _KeyRange) -> None:
+        """Check a page and its subtree."""
+        self._pages.claim(number, 1)
+        page = self._read_page(number, LEAF if level == self._depth else BRANCH)
+        if level == self._depth:
+            self._leaf_pages += 1
+            self._check_leaf(page, keys)
+        else:
+            self._branch_pages += 1
+            self._check_branch(page, level, keys)
+
+    def _read_page(self, number: int, kind: int) -> _Page:
+        content = self._pages.data[number * PAGE_BYTES : (number + 1) * PAGE_BYTES]
+        own_number, _pad, flags, lower, upper = PAGE_HEADER.unpack_from(content)
+        _require(own_number == number and flags & PAGE_KIND_MASK == kind, "the page's head", number)
+        in_bounds = PAGE_HEADER.size <= lower <= upper <= PAGE_BYTES and lower % 2 == 0
+        _require(in_bounds, "its bounds", number)
+        count = (lower - PAGE_HEADER.size) // 2
+        _require(count > 0, "no nodes", number)
+        offsets = struct.unpack_from(f"<{count}H", content, PAGE_HEADER.size)
+        in_bounds = min(offsets) >= upper and max(offsets) + NODE.size <= PAGE_BYTES
+        _require(in_bounds, "its node offsets", number)
+        return _Page(number, content, offsets)
+
+    def _check_leaf(self, page: _Page, keys: _KeyRange) -> None:
+        low = keys.low
+        last = self._last_key
+        for offset in page.offsets:
+            key = self._check_leaf_node(page, offset)
+            _require(last is None or last < key, "the order of keys", page.number)
+            if low is not None:
+                _require(low <= key, "a key below its page's", page.number)
+                low = None  # the later ones are above the first
+            last = key
+        within = keys.high is None or (last is not None and last < keys.high)
+        _require(within, "a key above its page's", page.number)
+        self._entries += len(page.offsets)
+        self._last_key = last
+
+    def _check_leaf_node(self, page: _Page, offset: int) -> bytes:
+        """Check the size and value of a node; return its key."""
+        size_low, size_high, flags, key_bytes = NODE.unpack_from(page.content, offset)
         start = offset + NODE.size + key_bytes
         size = size_low | size_high << 16
-        _require(flags & ~BIG_DATA == 0, "a node's flags", number)
-        _require(start + (NUMBER.size if flags else size) <= PAGE_BYTES, "a node's size", number)
-        key = _comparable(tree, page[start - key_bytes : start])
-        _require(last is None or last < key, "the order of keys", number)
+        _require(flags & ~BIG_DATA == 0, "a node's flags", page.number)
+        _require(start + (NUMBER.size if flags else size) <= PAGE_BYTES, "a node's size", page.number)
         if flags:
-            (first,) = NUMBER.unpack_from(page, start)
-            _check_overflow(walk, tree, first, size)
-        if tree.values is not None:
-            tree.values.append(_overflow_value(walk, first, size) if flags else page[start : start + size])
-        if low is not None:
-            _require(low <= key, "a key below its page's", number)
-            low = None  # the others are above the first
-        last = key
-    _require(high is None or last is not None and last < high, "a key above its page's", number)
-    tree.entries += len(offsets)
-    tree.last_key = last
-
-
-def _check_branch(
-    walk: _Walk,
-    tree: _Tree,
-    number: int,
-    page: bytes,
-    offsets: tuple[int, ...],
-    level: int,
-    low: bytes | None,
-    high: bytes | None,
-) -> None:
-    """The first node of a branch has no key of its own: its child begins at the branch's lower end."""
-    children: list[int] = []
-    bounds: list[bytes | None] = []
-    for position, offset in enumerate(offsets):
-        child_low, child_high, child_top, key_bytes = NODE.unpack_from(page, offset)
-        start = offset + NODE.size
-        _require(start + key_bytes <= PAGE_BYTES, "a node's size", number)
-        children.append(child_low | child_high << 16 | child_top << 32)
-        bounds.append(_comparable(tree, page[start : start + key_bytes]) if position else low)
-    bounds.append(high)
-    for position, child in enumerate(children):
-        _check_page(walk, tree, child, level + 1, bounds[position], bounds[position + 1])
-
-
-def _check_overflow(walk: _Walk, tree: _Tree, number: int, size: int) -> None:
-    count = (PAGE_HEAD.size + size + PAGE_BYTES - 1) // PAGE_BYTES
-    _take(walk, number, count)
-    start = number * PAGE_BYTES
-    own_number, _pad, flags, _lower, _upper = PAGE_HEAD.unpack_from(walk.data, start)
-    (own_count,) = OVERFLOW_COUNT.unpack_from(walk.data, start + OVERFLOW_COUNT_OFFSET)
-    _require(own_number == number and flags & 0xF == OVERFLOW, "an overflow page's head", number)
-    _require(own_count == count, "an overflow value's pages", number)
-    tree.overflow += count
-
-
-def _overflow_value(walk: _Walk, number: int, size: int) -> bytes:
-    start = number * PAGE_BYTES + PAGE_HEAD.size
-    return walk.data[start : start + size]
-
-
-def _check_free_pages(walk: _Walk, value: bytes) -> None:
-    """A value of the tree of free pages: a count and so many page numbers."""
-    _require(len(value) >= NUMBER.size and len(value) % NUMBER.size == 0, "a list of free pages", 0)
-    count, *numbers = struct.unpack(f"<{len(value) // NUMBER.size}Q", value)
-    _require(count <= len(numbers), "a list of free pages", 0)
-    for number in numbers[:count]:
-        _require(number not in walk.used and number <= walk.last_page, "a free page is in use", number)
-        walk.used.add(number)
-
-
-def _take(walk: _Walk, number: int, count: int) -> None:
-    """Pages in use: within the file, and in use once."""
-    end = number + count
-    within = end - 1 <= walk.last_page and end * PAGE_BYTES <= len(walk.data)
-    _require(within, "beyond the file's end", number)
-    for page in range(number, end):
-        _require(page not in walk.used, "in use twice", page)
-        walk.used.add(page)
-
-
-def _comparable(tree: _Tree, key: bytes) -> bytes:
-    return key[::-1] if tree.whole_numbers else key
-
-
-def _require(holds: bool, what: str, number: int) -> None:
-    if not holds:
+            (first,) = NUMBER.unpack_from(page.content, start)
+            self._overflow_pages += self._pages.claim_overflow(first, size)
+            self._collect_overflow(first, size)
+        else:
+            self._collect(page.content, start, size)
+        return self._comparable(page.content[start - key_bytes : start])
+
+    def _check_branch(self, page: _Page, level: int, keys: _KeyRange) -> None:
+        """Check a branch's subtrees; the first one has no key and begins at the branch's low end."""
+        children: list[int] = []
+        bounds: list[bytes | None] = []
+        for position, offset in enumerate(page.offsets):
+            child_low, child_high, child_top, key_bytes = NODE.unpack_from(page.content, offset)
+            start = offset + NODE.size
+            _require(start + key_bytes <= PAGE_BYTES, "a node's size", page.number)
+            children.append(child_low | child_high << 16 | child_top << 32)
+            key = page.content[start : start + key_bytes]
+            bounds.append(self._comparable(key) if position else keys.low)
+        bounds.append(keys.high)
+        for position, child in enumerate(children):
+            self._check_page(child, level + 1, _KeyRange(bounds[position], bounds[position + 1]))
+
+    def _comparable(self, key: bytes) -> bytes:
+        """Return bytes that sort as the tree's keys do."""
+        return key
+
+    def _collect(self, content: bytes, start: int, size: int) -> None:
+        """Receive a value within a page; the main tree's are not read."""
+
+    def _collect_overflow(self, number: int, size: int) -> None:
+        """Receive a value in overflow pages; the main tree's are not read."""
+
+    def _collected(self) -> list[bytes]:
+        return []
+
+
+class _FreeTreeCheck(_TreeCheck):
+    """The tree of free pages: its keys are native integers, and its values are collected."""
+
+    def __init__(self, pages: _Pages) -> None:
+        super().__init__(pages)
+        self._values: list[bytes] = []
+
+    def _comparable(self, key: bytes) -> bytes:
+        return key[::-1]
+
+    def _collect(self, content: bytes, start: int, size: int) -> None:
+        self._values.append(content[start : start + size])
+
+    def _collect_overflow(self, number: int, size: int) -> None:
+        self._values.append(self._pages.overflow_value(number, size))
+
+    def _collected(self) -> list[bytes]:
+        return self._values
+
+
+def _require(condition: bool, what: str, number: int) -> None:
+    if not condition:
         raise StoreDamagedError(f"page {number}: {what}", step="check")
--- a/mallowbeam/router/control_plane/opening.py
+++ b/mallowbeam/router/control_plane/opening.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.router.consensus.interface import Restored, Write
+from mallowbeam.router.consensus.interface import PersistentState, Write
 from mallowbeam.router.consensus.storage import ReplicaStore, StoreDamagedError
 from mallowbeam.router.consensus.storage.files import make_folder, raised_as_store_error, sync_folder
 from mallowbeam.router.control_plane.first_start import first_state
@@ -35,7 +35,7 @@
 
     store: ReplicaStore
     identity: int
-    restored: Restored
+    restored: PersistentState
 
 
 class WatchedStore:
--- a/mallowbeam/router/control_plane/raft_driver.py
+++ b/mallowbeam/router/control_plane/raft_driver.py
@@ -163,7 +163,7 @@
     def durable(self, writes: Sequence[Write]) -> None:
         """Writes are durable: send what waited for them."""
         for write in writes:
-            self._send_all(write.then_send)
+            self._send_all(write.send_when_durable)
         self._put(_Written(writes[-1].ticket))
 
     def transfer_leadership(self) -> None:
--- a/mallowbeam/router/rpc/connection.py
+++ b/mallowbeam/router/rpc/connection.py
@@ -1,4 +1,4 @@
-"""A TCP connection that carries frames, with bounds on silence and on what waits to be written."""
+"""A TCP connection that carries frames, with limits on silence and on unsent bytes."""
 
 from __future__ import annotations
 
@@ -11,28 +11,30 @@
 
 from mallowbeam.router.rpc.framing import FrameError, FrameReader, encode_frame
 
-USER_TIMEOUT_MS = 1500  # unacknowledged bytes on a silent network end the connection after this time
-KEEPALIVE_IDLE_S = 1  # seconds of rest before the kernel probes
-KEEPALIVE_EVERY_S = 1
+USER_TIMEOUT_MS = 1500  # the kernel ends a connection whose bytes are unacknowledged for this long
+KEEPALIVE_IDLE_S = 1  # idle time before the kernel's first keep-alive probe
+KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-MOST_UNSENT = 8 * 1024 * 1024  # bytes that may wait for a slow peer before the connection is given up
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # queued for a slow peer; more ends the connection
+LISTEN_BACKLOG = 512
 
 
 class FrameConnection(asyncio.Protocol):
-    """One connection. `received` is called with each frame's body, `closed` once at the end."""
+    """One connection: calls `on_frame` with the body of each frame and `on_closed` once at the end."""
 
     def __init__(
-        self, received: Callable[[FrameConnection, bytes], None], closed: Callable[[FrameConnection], None]
+        self, on_frame: Callable[[FrameConnection, bytes], None], on_closed: Callable[[FrameConnection], None]
     ) -> None:
-        self._received, self._closed = received, closed
+        self._on_frame = on_frame
+        self._on_closed = on_closed
         self._reader = FrameReader()
         self._transport: asyncio.Transport | None = None
-        self.peer = ""
-        self.last_received = 0.0  # loop time, in seconds
+        self.peer = ""  # IP:PORT
+        self.last_received = 0.0  # in seconds of the event loop's clock
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the socket up so that a silent cut is noticed."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
+        """Configure the socket so that a network partition is noticed."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's class is not derived from it
         sock = transport.get_extra_info("socket")
         if sock is not None:
             configure(sock)
@@ -41,10 +43,10 @@
         self.last_received = asyncio.get_running_loop().time()
 
     def data_received(self, data: bytes) -> None:
-        """Cut what came into frames; what is no frame ends the connection.
+        """Split received bytes into frames; anything else ends the connection.
 
-        Guards the owner against late frames: those that came together with the one for which it ended the
-        connection, and any behind them, are handed on to nobody.
+        Once the owner has aborted the connection, no further frame is delivered, not even one that was
+        received in the same read.
         """
         if not self.open:
             return
@@ -57,12 +59,12 @@
         for frame in frames:
             if not self.open:
                 return
-            self._received(self, frame)
+            self._on_frame(self, frame)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Tell the owner, once."""
+        """Notify the owner, once."""
         self._transport = None
-        self._closed(self)
+        self._on_closed(self)
 
     @property
     def open(self) -> bool:
@@ -70,14 +72,14 @@
         return self._transport is not None and not self._transport.is_closing()
 
     def send(self, message: Message) -> bool:
-        """Queue a message; False where the connection is over or its peer reads too slowly."""
+        """Queue a message; return False if the connection has ended or its peer reads too slowly."""
         return self.send_encoded(encode_frame(message))
 
     def send_encoded(self, frame: bytes) -> bool:
-        """Queue a frame that `encode_frame` made, perhaps for many connections; as `send` otherwise."""
+        """Queue a frame made by `encode_frame`, which may be shared by many connections; like `send`."""
         if self._transport is None or self._transport.is_closing():
             return False
-        if self._transport.get_write_buffer_size() > MOST_UNSENT:
+        if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.abort()
             return False
         self._transport.write(frame)
@@ -85,37 +87,42 @@
 
     @property
     def unsent(self) -> int:
-        """Bytes that the kernel has not taken yet."""
+        """Queued bytes that the kernel has not accepted yet."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
     def abort(self) -> None:
-        """End the connection at once; what waits to be written is dropped."""
+        """Close the connection immediately; queued bytes are dropped."""
         if self._transport is not None:
             self._transport.abort()
 
 
 def configure(sock: socket.socket) -> None:
-    """No delay for small frames, and prompt notice of a peer that is cut off."""
+    """Set TCP options: no delay for small frames, and a prompt error if the peer is unreachable."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_EVERY_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
 
 async def connect(
     address: str,
-    received: Callable[[FrameConnection, bytes], None],
-    closed: Callable[[FrameConnection], None],
+    on_frame: Callable[[FrameConnection, bytes], None],
+    on_closed: Callable[[FrameConnection], None],
     timeout: float,
 ) -> FrameConnection:
-    """Open a connection to IP:PORT within `timeout` seconds; raises OSError (TimeoutError among them)."""
+    """Connect to IP:PORT.
+
+    Raises:
+        TimeoutError: there is no connection after `timeout` seconds.
+        OSError: the connection failed.
+    """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(timeout):
         _, connection = await loop.create_connection(
-            lambda: FrameConnection(received, closed), host, int(port)
+            lambda: FrameConnection(on_frame, on_closed), host, int(port)
         )
     return connection
 
@@ -123,15 +130,20 @@
 async def listen(
     ip: str,
     port: int,
-    received: Callable[[FrameConnection, bytes], None],
-    opened: Callable[[FrameConnection], None],
-    closed: Callable[[FrameConnection], None],
+    on_frame: Callable[[FrameConnection, bytes], None],
+    on_opened: Callable[[FrameConnection], None],
+    on_closed: Callable[[FrameConnection], None],
 ) -> asyncio.Server:
-    """Accept connections at an address; `opened` is called with each."""
+    """Accept connections at an address and call `on_opened` with each.
+
+    Raises:
+        OSError: the address can't be bound.
+    """
 
-    def make() -> FrameConnection:
-        connection = FrameConnection(received, closed)
-        opened(connection)
+    def accept() -> FrameConnection:
+        connection = FrameConnection(on_frame, on_closed)
+        on_opened(connection)
         return connection
 
-    return await asyncio.get_running_loop().create_server(make, ip, port, backlog=512, reuse_address=True)
+    loop = asyncio.get_running_loop()
+    return await loop.create_server(accept, ip, port, backlog=LISTEN_BACKLOG, reuse_address=True)
--- a/mallowbeam/simulation/replica.py
+++ b/mallowbeam/simulation/replica.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from mallowbeam.router.consensus.interface import HardState, Restored, Write
+from mallowbeam.router.consensus.interface import HardState, PersistentState, Write
 from mallowbeam.router.rpc.messages_pb2 import Entry, Snapshot
 
 
@@ -32,9 +32,9 @@
             assert write.hard_state.term >= self.hard_state.term, "a term that falls"
             self.hard_state = write.hard_state
 
-    def restored(self) -> Restored:
+    def restored(self) -> PersistentState:
         """What a member starts from."""
-        return Restored(self.hard_state, self.snapshot, tuple(self.entries))
+        return PersistentState(self.hard_state, self.snapshot, tuple(self.entries))
 
     def _put_snapshot(self, snapshot: Snapshot) -> None:
         """Entries behind a snapshot stay where they follow from it."""
--- a/tests/router/consensus/test_consensus_durable.py
+++ b/tests/router/consensus/test_consensus_durable.py
@@ -18,7 +18,7 @@
         host = Host()
         output = host.append(2, 1, (1, 1), entry(2, 1))
         self.assertEqual(output.send, [])
-        (response,) = bodies(output.write.then_send, "append_response")
+        (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual((response.success, response.match_index), (True, 2))
 
     def test_heartbeat_is_answered_at_once_with_what_is_durable(self) -> None:
@@ -35,20 +35,20 @@
         host.append(2, 1, (1, 1), entry(2, 1))
         output = host.append(2, 1, (1, 1), entry(2, 1))
         self.assertEqual(output.send, [])
-        self.assertEqual((output.write.entries, len(output.write.then_send)), ((), 1))
+        self.assertEqual((output.write.entries, len(output.write.send_when_durable)), ((), 1))
 
     def test_adopted_term_is_durable_before_an_answer(self) -> None:
         host = Host()
         output = host.append(2, 5, (1, 1))
         self.assertEqual(output.send, [])
         self.assertEqual(output.write.hard_state, HardState(5, 0))
-        self.assertEqual(len(output.write.then_send), 1)
+        self.assertEqual(len(output.write.send_when_durable), 1)
 
     def test_vote_is_durable_before_it_is_granted(self) -> None:
         host = Host()
         output = host.receive(2, vote_request=VoteRequest(term=2, last_index=1, last_term=1))
         self.assertEqual((output.send, output.write.hard_state), ([], HardState(2, 2)))
-        (response,) = bodies(output.write.then_send, "vote_response")
+        (response,) = bodies(output.write.send_when_durable, "vote_response")
         self.assertTrue(response.granted)
 
     def test_candidate_asks_once_its_own_vote_is_durable(self) -> None:
@@ -58,7 +58,7 @@
         output = host.receive(2, vote_response=vote)
         self.assertEqual((host.node.role, output.send), (Role.CANDIDATE, []))
         self.assertEqual(output.write.hard_state, HardState(2, OWN))
-        self.assertEqual(len(bodies(output.write.then_send, "vote_request")), 2)
+        self.assertEqual(len(bodies(output.write.send_when_durable, "vote_request")), 2)
 
     def test_write_under_way_does_not_confirm_dropped_entries(self) -> None:
         host = Host()
--- a/tests/router/consensus/test_consensus_elections.py
+++ b/tests/router/consensus/test_consensus_elections.py
@@ -69,10 +69,10 @@
     def test_sender_outside_the_membership_is_answered(self) -> None:
         host = Host()
         output = host.receive(77, vote_request=VoteRequest(term=2, last_index=1, last_term=1))
-        (response,) = bodies(output.write.then_send, "vote_response")
+        (response,) = bodies(output.write.send_when_durable, "vote_response")
         self.assertTrue(response.granted)
         output = host.append(78, 3, (1, 1), entry(2, 3))
-        (response,) = bodies(output.write.then_send, "append_response")
+        (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertTrue(response.success)
         self.assertEqual(host.node.leader_id, 78)
 
--- a/tests/router/consensus/test_consensus_leading.py
+++ b/tests/router/consensus/test_consensus_leading.py
@@ -85,7 +85,7 @@
             self.assertEqual(caught.exception.leader_id, 2)
 
     def test_uncommitted_entries_are_bounded(self) -> None:
-        host = Host(uncommitted_entries=3)
+        host = Host(max_uncommitted_entries=3)
         host.lead()
         for _ in range(3):
             proposal = host.node.propose(b"a", host.now)
@@ -120,7 +120,7 @@
     def test_waits_for_a_round_that_began_after_it(self) -> None:
         host = Host()
         host.lead()
-        before = host.node._leadership._round
+        before = host.node._leader._rounds.number
         host.node.read(5, host.now)
         host.node.read(6, host.now)
         rounds = {request.round for request in bodies(host.output().send, "append_request")}
@@ -158,7 +158,7 @@
         self.assertEqual((result.read_id, result.confirmed), (5, False))
 
     def test_bounded(self) -> None:
-        host = Host(pending_reads=1)
+        host = Host(max_pending_reads=1)
         host.lead()
         host.node.read(5, host.now)
         host.node.read(6, host.now)
--- a/tests/router/consensus/test_consensus_quorum.py
+++ b/tests/router/consensus/test_consensus_quorum.py
@@ -10,7 +10,7 @@
 from consensus_world import replaced, with_member, without_member
 
 from mallowbeam.router.consensus.errors import MembershipChangeError
-from mallowbeam.router.consensus.interface import HardState, RaftSettings, Restored
+from mallowbeam.router.consensus.interface import HardState, PersistentState, RaftSettings
 from mallowbeam.router.consensus.membership import check_change, joint_change, voters_of, without_outgoing
 from mallowbeam.router.consensus.node import RaftNode, Role
 from mallowbeam.router.consensus.quorum import Quorum
@@ -27,25 +27,25 @@
 class Quorums(unittest.TestCase):
     def test_one_set(self) -> None:
         quorum = Quorum(ABC)
-        self.assertFalse(quorum.joint)
-        self.assertEqual(quorum.reached({1: 5, 2: 9, 3: 1}.__getitem__), 5)
-        self.assertTrue(quorum.granted({1: True, 2: True}))
-        self.assertFalse(quorum.granted({1: True, 2: False, 9: True}))
-        self.assertFalse(quorum.refused({1: True, 2: False}))
-        self.assertTrue(quorum.refused({3: False, 2: False}))
+        self.assertFalse(quorum.is_joint)
+        self.assertEqual(quorum.majority_value({1: 5, 2: 9, 3: 1}.__getitem__), 5)
+        self.assertTrue(quorum.is_won({1: True, 2: True}))
+        self.assertFalse(quorum.is_won({1: True, 2: False, 9: True}))
+        self.assertFalse(quorum.is_lost({1: True, 2: False}))
+        self.assertTrue(quorum.is_lost({3: False, 2: False}))
 
     def test_two_sets_need_a_majority_of_each(self) -> None:
         quorum = Quorum(frozenset((3, 4, 5)), ABC)
-        self.assertTrue(quorum.joint)
-        self.assertEqual(quorum.all, frozenset((1, 2, 3, 4, 5)))
-        self.assertEqual(quorum.reached({1: 9, 2: 9, 3: 9, 4: 1, 5: 2}.__getitem__), 2)
-        self.assertEqual(quorum.reached({1: 1, 2: 2, 3: 9, 4: 9, 5: 9}.__getitem__), 2)
-        self.assertFalse(quorum.within((3, 4, 5)))
-        self.assertFalse(quorum.within((1, 2, 3)))
-        self.assertTrue(quorum.within((1, 3, 4)))
-        self.assertTrue(quorum.refused({1: False, 2: False}))
-        self.assertTrue(quorum.refused({4: False, 5: False}))
-        self.assertFalse(quorum.refused({1: False, 5: False}))
+        self.assertTrue(quorum.is_joint)
+        self.assertEqual(quorum.voters, frozenset((1, 2, 3, 4, 5)))
+        self.assertEqual(quorum.majority_value({1: 9, 2: 9, 3: 9, 4: 1, 5: 2}.__getitem__), 2)
+        self.assertEqual(quorum.majority_value({1: 1, 2: 2, 3: 9, 4: 9, 5: 9}.__getitem__), 2)
+        self.assertFalse(quorum.is_quorum((3, 4, 5)))
+        self.assertFalse(quorum.is_quorum((1, 2, 3)))
+        self.assertTrue(quorum.is_quorum((1, 3, 4)))
+        self.assertTrue(quorum.is_lost({1: False, 2: False}))
+        self.assertTrue(quorum.is_lost({4: False, 5: False}))
+        self.assertFalse(quorum.is_lost({1: False, 5: False}))
 
 
 class Changes(unittest.TestCase):
@@ -223,7 +223,7 @@
         host = Host(own=own)
         joint = replaced(membership(3, 1), [3], [4])
         snapshot = Snapshot(index=5, term=1, membership=joint)
-        host.node = RaftNode(RaftSettings(own), Restored(HardState(1), snapshot), host.now, Random(1))
+        host.node = RaftNode(RaftSettings(own), PersistentState(HardState(1), snapshot), host.now, Random(1))
         return host
 
     def test_a_new_leader_needs_both_majorities_and_ends_the_change(self) -> None:
--- a/tests/router/consensus/test_consensus_replication.py
+++ b/tests/router/consensus/test_consensus_replication.py
@@ -14,7 +14,7 @@
     """Entries, probes, snapshots."""
 
     def test_messages_are_bounded(self) -> None:
-        host = Host(entries_per_message=2, messages_in_flight=2, bytes_per_message=10)
+        host = Host(max_entries_per_message=2, max_inflight_messages=2, max_bytes_per_message=10)
         host.lead()
         for payload in (b"1", b"2", b"3" * 50, b"4", b"5", b"6"):
             host.node.propose(payload, host.now)
@@ -36,7 +36,7 @@
         entries = (entry(2, 1), entry(3, 2), entry(4, 2), entry(5, 2))
         host = Host(entries=entries, term=2)
         output = host.append(2, 3, (5, 3))
-        (response,) = bodies(output.write.then_send, "append_response")
+        (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual((response.success, response.hint_index), (False, 2))
         host.write()
         (response,) = bodies(host.append(2, 3, (9, 3)).send, "append_response")
@@ -70,7 +70,7 @@
         self.assertEqual(request.previous_index, 2)
 
     def test_snapshot_is_sent_again(self) -> None:
-        host = Host(trailing_entries=0, chunk_retry=0.5)
+        host = Host(trailing_entries=0, chunk_retry_timeout=0.5)
         host.lead()
         host.node.compact(2, b"state")
         refusal = AppendResponse(term=host.node.term, success=False, hint_index=0, round=1)
@@ -102,7 +102,7 @@
         output = host.receive(2, snapshot_request=SnapshotRequest(term=2, snapshot=snapshot, round=4))
         self.assertEqual((output.install, output.write.snapshot), (snapshot, snapshot))
         self.assertEqual(output.write.entries, ())
-        (response,) = bodies(output.write.then_send, "append_response")
+        (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual((response.success, response.match_index, response.round), (True, 3, 4))
         self.assertEqual((host.node.commit_index, host.node.membership), (3, membership(2, 1)))
         host.append(2, 2, (3, 2), entry(4, 2), commit=4)
@@ -120,13 +120,13 @@
         for first in (0, 1):
             host = Host(founder=False, own=9)
             output = host.append(2, 3, (0, 0), entry(1, 1))
-            (response,) = bodies(output.write.then_send, "append_response")
+            (response,) = bodies(output.write.send_when_durable, "append_response")
             self.assertEqual((response.success, response.hint_index), (False, 0))
             snapshot = Snapshot(index=first, term=first, membership=membership(3))
             request = SnapshotRequest(term=3, snapshot=snapshot)
             self.assertEqual(host.receive(2, snapshot_request=request).install, snapshot)
             output = host.append(2, 3, (first, first), entry(first + 1, 3))
-            (response,) = bodies(output.write.then_send, "append_response")
+            (response,) = bodies(output.write.send_when_durable, "append_response")
             self.assertEqual(response.match_index, first + 1)
 
 
--- a/tests/router/consensus/test_consensus_scenarios.py
+++ b/tests/router/consensus/test_consensus_scenarios.py
@@ -28,11 +28,11 @@
 
     def test_parse(self) -> None:
         scenario = self._parse(
-            "# a comment\ngroup 3 voters 1 learners\nseeds 2 4\nset heartbeat 0.2\n"
+            "# a comment\ngroup 3 voters 1 learners\nseeds 2 4\nset heartbeat_interval 0.2\n"
             "at 1.5 kill leader as old  # another\n"
         )
         self.assertEqual((scenario.voters, scenario.learners, scenario.seeds), (3, 1, range(2, 5)))
-        self.assertEqual(scenario.settings.heartbeat, 0.2)
+        self.assertEqual(scenario.settings.heartbeat_interval, 0.2)
         self.assertEqual(scenario.statements, [Statement(5, 1.5, ("kill", "leader", "as", "old"))])
 
     def test_unreadable(self) -> None:
--- a/tests/router/consensus/test_consensus_snapshots.py
+++ b/tests/router/consensus/test_consensus_snapshots.py
@@ -1,70 +1,29 @@
-"""Snapshots in chunks: what a leader sends, what a follower takes, and what is kept meanwhile."""
+"""Snapshots and entries in chunks: what a leader sends, what a follower accepts, what the log retains."""
 
 from __future__ import annotations
 
 import unittest
 
+from consensus_chunks import SLOW, STATE, acknowledge, leader, offsets, pass_time, reject_append
 from consensus_host import Host, bodies
 
 from mallowbeam.router.consensus.errors import OverloadedError
 from mallowbeam.router.rpc.messages_pb2 import (
     COMMAND,
-    AppendResponse,
     Entry,
     EntryChunk,
-    SnapshotChunk,
     SnapshotProgress,
 )
 
-STATE = bytes(range(10))
-SLOW = 3  # the member that lies behind
-
-
-def leader(**settings: object) -> Host:
-    """A leader whose log begins with a snapshot of ten bytes; four go in a chunk, eight are on their way."""
-    settings = {"trailing_entries": 0, "chunk": 4, "chunk_window": 8, **settings}
-    host = Host(**settings)
-    host.lead()
-    host.node.compact(2, STATE)
-    host.output()
-    host.write()
-    return host
-
-
-def refuse(host: Host) -> list[SnapshotChunk]:
-    """The slow member says that it has nothing; the chunks that it is sent."""
-    refusal = AppendResponse(term=host.node.term, success=False, hint_index=0, round=1)
-    return bodies(host.receive(SLOW, append_response=refusal).send, "snapshot_chunk")
-
-
-def answer(host: Host, received: int, index: int = 2) -> list[SnapshotChunk]:
-    progress = SnapshotProgress(term=host.node.term, round=1, index=index, received=received)
-    return bodies(host.receive(SLOW, snapshot_progress=progress).send, "snapshot_chunk")
-
-
-def offsets(chunks: list[SnapshotChunk]) -> list[int]:
-    return [chunk.offset for chunk in chunks]
-
-
-def pass_time(host: Host, seconds: float, *, heard: bool = True) -> list[SnapshotChunk]:
-    """Time passes; member 2 answers, and the slow one's heartbeats are answered where it is `heard`."""
-    sent = []
-    for _ in range(round(seconds / 0.1)):
-        host.confirm(2, 2)
-        if heard:
-            sent += bodies(host.confirm(SLOW, 0).send, "snapshot_chunk")
-        sent += bodies(host.tick(0.1).send, "snapshot_chunk")
-    return sent
-
 
 class Sending(unittest.TestCase):
     """A leader's part."""
 
     def test_chunks_go_out_in_order_within_the_window(self) -> None:
         host = leader()
-        chunks = refuse(host)
+        chunks = reject_append(host)
         self.assertEqual(offsets(chunks), [0, 4])
-        more = answer(host, 4)
+        more = acknowledge(host, 4)
         self.assertEqual(offsets(more), [8])
         self.assertEqual(b"".join(chunk.data for chunk in chunks + more), STATE)
         self.assertEqual({chunk.size for chunk in chunks + more}, {len(STATE)})
@@ -72,75 +31,75 @@
             {(chunk.head.index, chunk.head.term, chunk.head.state) for chunk in chunks + more},
             {(2, host.node.term, b"")},
         )
-        self.assertEqual(offsets(answer(host, 8)), [])
-        self.assertEqual(offsets(answer(host, 10)), [])
+        self.assertEqual(offsets(acknowledge(host, 8)), [])
+        self.assertEqual(offsets(acknowledge(host, 10)), [])
 
     def test_one_at_a_time(self) -> None:
         host = leader()
-        refuse(host)
-        self.assertEqual(offsets(refuse(host)), [])
+        reject_append(host)
+        self.assertEqual(offsets(reject_append(host)), [])
         self.assertEqual(offsets(pass_time(host, 0.5)), [])
 
     def test_silence_has_it_go_on_where_the_member_is(self) -> None:
-        host = leader(chunk_retry=0.5)
-        refuse(host)
-        answer(host, 4)
+        host = leader(chunk_retry_timeout=0.5)
+        reject_append(host)
+        acknowledge(host, 4)
         self.assertEqual(offsets(pass_time(host, 0.7)), [4, 8])
 
     def test_gap_has_it_go_on_at_once_and_once(self) -> None:
         host = leader()
-        refuse(host)
-        self.assertEqual(offsets(answer(host, 0)), [0, 4])
-        self.assertEqual(offsets(answer(host, 0)), [])
-        self.assertEqual(offsets(answer(host, 4)), [8])
+        reject_append(host)
+        self.assertEqual(offsets(acknowledge(host, 0)), [0, 4])
+        self.assertEqual(offsets(acknowledge(host, 0)), [])
+        self.assertEqual(offsets(acknowledge(host, 4)), [8])
 
     def test_restarted_member_gets_it_from_the_start(self) -> None:
         host = leader()
-        refuse(host)
-        answer(host, 4)
-        answer(host, 8)
-        self.assertEqual(offsets(answer(host, 0)), [0, 4])
+        reject_append(host)
+        acknowledge(host, 4)
+        acknowledge(host, 8)
+        self.assertEqual(offsets(acknowledge(host, 0)), [0, 4])
 
     def test_member_that_holds_all_is_asked_again(self) -> None:
-        host = leader(chunk_retry=0.5)
-        refuse(host)
-        answer(host, 4)
-        answer(host, 10)
+        host = leader(chunk_retry_timeout=0.5)
+        reject_append(host)
+        acknowledge(host, 4)
+        acknowledge(host, 10)
         (asked,) = pass_time(host, 0.7)
         self.assertEqual((asked.offset, asked.data), (10, b""))
 
     def test_answers_for_another_snapshot_change_nothing(self) -> None:
         host = leader()
-        refuse(host)
-        self.assertEqual(offsets(answer(host, 8, index=1)), [])
-        self.assertEqual(offsets(answer(host, 999)), [])
+        reject_append(host)
+        self.assertEqual(offsets(acknowledge(host, 8, index=1)), [])
+        self.assertEqual(offsets(acknowledge(host, 999)), [])
 
     def test_entries_follow_only_once_it_is_installed(self) -> None:
         host = leader()
-        refuse(host)
+        reject_append(host)
         host.node.propose(b"a", host.now)
-        answer(host, 4)
+        acknowledge(host, 4)
         output = host.output()
         self.assertEqual([send.recipient for send in output.send if send.message.append_request.entries], [])
-        answer(host, 10)
+        acknowledge(host, 10)
         requests = bodies(host.confirm(SLOW, 2).send, "append_request")
         self.assertEqual([each.index for request in requests for each in request.entries], [3])
 
     def test_silent_member_is_sent_nothing_and_then_given_up(self) -> None:
-        host = leader(transfer_kept=2.0)
-        refuse(host)
-        self.assertEqual(offsets(pass_time(host, 1.5, heard=False)), [])
-        transfer = host.node._leadership._progress[SLOW].transfer
-        self.assertEqual(transfer.index, 2)
-        self.assertEqual(offsets(pass_time(host, 1.5, heard=False)), [])
-        self.assertIsNone(host.node._leadership._progress[SLOW].transfer)
-        self.assertEqual(offsets(refuse(host)), [0, 4])
+        host = leader(chunk_abort_timeout=2.0)
+        reject_append(host)
+        self.assertEqual(offsets(pass_time(host, 1.5, responds=False)), [])
+        sender = host.node._leader._progress[SLOW].chunk_sender
+        self.assertEqual(sender.index, 2)
+        self.assertEqual(offsets(pass_time(host, 1.5, responds=False)), [])
+        self.assertIsNone(host.node._leader._progress[SLOW].chunk_sender)
+        self.assertEqual(offsets(reject_append(host)), [0, 4])
 
     def test_unbroken_after_a_short_cut(self) -> None:
-        host = leader(chunk_retry=0.5)
-        refuse(host)
-        answer(host, 4)
-        pass_time(host, 1.5, heard=False)
+        host = leader(chunk_retry_timeout=0.5)
+        reject_append(host)
+        acknowledge(host, 4)
+        pass_time(host, 1.5, responds=False)
         self.assertEqual(offsets(pass_time(host, 0.2)), [4, 8])
 
 
@@ -159,23 +118,23 @@
 
     def test_compaction_leaves_the_snapshot_that_is_sent_and_entries_behind_it(self) -> None:
         host = leader()
-        refuse(host)
+        reject_append(host)
         self._compact(host, 5)
         self.assertEqual((host.node._state.log.snapshot.index, host.node._state.log.base_index), (7, 2))
-        (chunk,) = answer(host, 4)
+        (chunk,) = acknowledge(host, 4)
         self.assertEqual((chunk.head.index, chunk.data), (2, STATE[8:]))
-        answer(host, 10)
+        acknowledge(host, 10)
         requests = bodies(host.confirm(SLOW, 2).send, "append_request")
         self.assertEqual([each.index for request in requests for each in request.entries], [3, 4, 5, 6, 7])
 
     def test_over_the_bound_a_newer_snapshot_follows_the_one_that_is_sent(self) -> None:
         host = leader(trailing_bytes=20)
-        refuse(host)
+        reject_append(host)
         self._compact(host, 5, size=10)
         self.assertEqual(host.node._state.log.base_index, 5)
-        (chunk,) = answer(host, 4)
+        (chunk,) = acknowledge(host, 4)
         self.assertEqual(chunk.head.index, 2)
-        answer(host, 10)
+        acknowledge(host, 10)
         (chunk, *_) = bodies(host.confirm(SLOW, 2).send, "snapshot_chunk")
         self.assertEqual((chunk.head.index, chunk.offset, chunk.data), (7, 0, b"newe"))
 
@@ -183,17 +142,19 @@
         host = leader(trailing_entries=100, trailing_bytes=35)
         self._compact(host, 10, size=10)
         log = host.node._state.log
-        self.assertEqual((log.snapshot.index, log.base_index, log.bytes_behind(log.base_index)), (12, 9, 30))
+        self.assertEqual(
+            (log.snapshot.index, log.base_index, log.payload_bytes_after(log.base_index)), (12, 9, 30)
+        )
 
     def test_compaction_after_it_has_arrived_keeps_nothing_for_it(self) -> None:
         host = leader()
-        refuse(host)
+        reject_append(host)
         host.confirm(SLOW, 2)
         self._compact(host, 5)
         self.assertEqual(host.node._state.log.base_index, 7)
 
     def test_appends_in_flight_are_bounded_in_bytes(self) -> None:
-        host = Host(bytes_per_message=10, bytes_in_flight=25)
+        host = Host(max_bytes_per_message=10, max_inflight_bytes=25)
         host.lead()
         for _ in range(6):
             host.node.propose(b"x" * 10, host.now)
@@ -204,7 +165,7 @@
         self.assertEqual(len(bodies(host.confirm(2, first + 3).send, "append_request")), 2)
 
     def test_entry_over_the_bounds_goes_alone(self) -> None:
-        host = Host(bytes_per_message=10, bytes_in_flight=10)
+        host = Host(max_bytes_per_message=10, max_inflight_bytes=10)
         host.lead()
         for size in (50, 1, 1):
             host.node.propose(b"x" * size, host.now)
@@ -214,7 +175,7 @@
         self.assertEqual(len(request.entries), 2)
 
     def test_proposals_are_bounded_in_bytes_until_they_are_committed(self) -> None:
-        host = Host(uncommitted_bytes=100)
+        host = Host(max_uncommitted_bytes=100)
         host.lead()
         host.node.propose(b"x" * 300, host.now)
         with self.assertRaises(OverloadedError):
@@ -229,7 +190,7 @@
     """An entry that is too large for one message goes in chunks."""
 
     def _leader(self) -> Host:
-        host = Host(chunked_entry=5, chunk=4, chunk_window=8)
+        host = Host(chunked_entry_bytes=5, chunk_bytes=4, chunk_window_bytes=8)
         host.lead()
         return host
 
@@ -269,17 +230,17 @@
         output = self._receive(host, 8)
         self.assertEqual([(each.index, each.payload) for each in output.write.entries], [(2, STATE)])
         self.assertEqual(output.send, [])
-        (response,) = bodies(output.write.then_send, "append_response")
+        (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual((response.success, response.match_index), (True, 2))
         output = self._receive(host, 10)  # asked again before it is durable
-        (response,) = bodies(output.write.then_send, "append_response")
+        (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual(response.match_index, 2)
 
     def test_entries_of_two_leaders_are_not_put_together(self) -> None:
         host = Host()
         self._receive(host, 0)
         output = self._receive(host, 4, term=2, sender=3)
-        (progress,) = bodies(output.write.then_send, "snapshot_progress")
+        (progress,) = bodies(output.write.send_when_durable, "snapshot_progress")
         self.assertEqual(progress.received, 0)
 
     def test_follower_is_no_more_current_than_it_is_told(self) -> None:
@@ -308,7 +269,7 @@
     """A snapshot goes in place of entries that are much longer."""
 
     def _lagging(self, saved: int) -> Host:
-        host = Host(trailing_entries=100, snapshot_instead=saved)
+        host = Host(trailing_entries=100, snapshot_preferred_bytes=saved)
         host.lead()
         host.confirm(SLOW, 2)
         for _ in range(10):
@@ -322,13 +283,13 @@
 
     def test_taken(self) -> None:
         host = self._lagging(saved=90)
-        host.node._leadership._progress[SLOW].rejected(2)
+        host.node._leader._progress[SLOW].handle_rejection(2)
         (chunk,) = bodies(host.confirm(SLOW, 2).send, "snapshot_chunk")
         self.assertEqual(chunk.data, b"state")
 
     def test_not_taken_for_little(self) -> None:
         host = self._lagging(saved=100)
-        host.node._leadership._progress[SLOW].rejected(2)
+        host.node._leader._progress[SLOW].handle_rejection(2)
         output = host.confirm(SLOW, 2)
         self.assertEqual(bodies(output.send, "snapshot_chunk"), [])
         self.assertEqual(sum(len(each.entries) for each in bodies(output.send, "append_request")), 10)
--- a/tests/router/consensus/test_consensus_snapshots_received.py
+++ b/tests/router/consensus/test_consensus_snapshots_received.py
@@ -4,8 +4,8 @@
 
 import unittest
 
+from consensus_chunks import SLOW, STATE
 from consensus_host import OWN, Host, bodies, entry, membership
-from test_consensus_snapshots import SLOW, STATE
 
 from mallowbeam.router.rpc.messages_pb2 import (
     Member,
@@ -53,7 +53,7 @@
         self.assertEqual((output.install.index, output.install.state), (9, STATE))
         self.assertEqual(output.write.snapshot, output.install)
         self.assertEqual(output.send, [])
-        (response,) = bodies(output.write.then_send, "append_response")
+        (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual((response.success, response.match_index, response.round), (True, 9, 7))
 
     def test_gap_and_repetition_change_nothing(self) -> None:
@@ -80,7 +80,7 @@
         self._chunk(host, 4)
         output = self._chunk(host, 8, term=2, sender=3)
         self.assertIsNone(output.install)
-        (progress,) = bodies(output.write.then_send, "snapshot_progress")
+        (progress,) = bodies(output.write.send_when_durable, "snapshot_progress")
         self.assertEqual((progress.term, progress.received), (2, 0))
 
     def test_former_leader_is_told_of_the_term(self) -> None:
@@ -103,7 +103,7 @@
             self._chunk(host, offset)
         output = self._chunk(host, 10)
         self.assertEqual(output.send, [])
-        (response,) = bodies(output.write.then_send, "append_response")
+        (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual(response.match_index, 9)
         host.write()
         (response,) = bodies(self._chunk(host, 10).send, "append_response")
@@ -113,7 +113,7 @@
         self.assertEqual(self._received(self._chunk(Host(), 10)), [0])
 
     def test_more_than_is_allowed_is_not_begun(self) -> None:
-        host = Host(most_transfer=9)
+        host = Host(max_chunked_bytes=9)
         output = self._chunk(host, 0)
         self.assertEqual((self._received(output), output.install), ([], None))
 
--- a/tests/router/consensus/test_storage_damage.py
+++ b/tests/router/consensus/test_storage_damage.py
@@ -9,8 +9,9 @@
 
 from storage_model import FIRST, IDENTITY, Model, draw_batch, draw_entries
 
-from mallowbeam.router.consensus.interface import HardState, Restored, Write
-from mallowbeam.router.consensus.storage import ReplicaStore, StoreDamagedError, batch, pages, records, seal
+from mallowbeam.router.consensus.interface import HardState, PersistentState, Write
+from mallowbeam.router.consensus.storage import ReplicaStore, StoreDamagedError, pages, records, restore, seal
+from mallowbeam.router.consensus.storage.records import RecordKind
 from mallowbeam.router.rpc.messages_pb2 import Entry
 
 DISK_MB = 16
@@ -40,7 +41,7 @@
             self.whole = file.read()
         os.mkdir(os.path.join(self.folder, "copy"))
 
-    def load(self, data: bytes) -> Restored:
+    def load(self, data: bytes) -> PersistentState:
         """What a store with these bytes holds, and holds again once it has been written."""
         folder = os.path.join(self.folder, "copy")
         with open(os.path.join(folder, "replica.lmdb"), "wb") as file:
@@ -107,17 +108,17 @@
         return [item for record in kept for item in records.encode_record(*record)]
 
     def test_records_of_all_lengths_come_back(self) -> None:
-        part = records.PART_BYTES
+        part = records.CHUNK_BYTES
         for length in (0, 1, part - 9, part - 8, part - 7, 2 * part - 8, 2 * part - 7, 100_000):
-            record = (records.ENTRY, 1 << 40, bytes(length))
+            record = (RecordKind.ENTRY, 1 << 40, bytes(length))
             self.assertEqual(list(records.decode_records(self.items(record))), [record])
 
     def test_a_missing_part_a_moved_record_and_an_unknown_kind_are_told(self) -> None:
-        items = self.items((records.ENTRY, 1, bytes(9000)))
+        items = self.items((RecordKind.ENTRY, 1, bytes(9000)))
         moved = [
             (key, value)
             for (key, _), (_, value) in zip(
-                self.items((records.ENTRY, 2, b"x")), self.items((records.ENTRY, 1, b"x")), strict=True
+                self.items((RecordKind.ENTRY, 2, b"x")), self.items((RecordKind.ENTRY, 1, b"x")), strict=True
             )
         ]
         wrong = [
@@ -134,12 +135,12 @@
                 list(records.decode_records(found))
 
     def test_records_that_make_no_state_are_told(self) -> None:
-        hard_state = (records.HARD_STATE, 0, records.HARD_STATE_PAYLOAD.pack(1, 2))
-        taken = (records.SNAPSHOT, 0, FIRST.SerializeToString())
-        second = (records.SNAPSHOT, 4, b"\x08\x04")
-        entry = (records.ENTRY, 2, Entry(index=2).SerializeToString())
-        misplaced = (records.ENTRY, 1, Entry(index=2).SerializeToString())
-        short = (records.HARD_STATE, 0, b"1")
+        hard_state = (RecordKind.HARD_STATE, 0, records.HARD_STATE_PAYLOAD.pack(1, 2))
+        taken = (RecordKind.SNAPSHOT, 0, FIRST.SerializeToString())
+        second = (RecordKind.SNAPSHOT, 4, b"\x08\x04")
+        entry = (RecordKind.ENTRY, 2, Entry(index=2).SerializeToString())
+        misplaced = (RecordKind.ENTRY, 1, Entry(index=2).SerializeToString())
+        short = (RecordKind.HARD_STATE, 0, b"1")
         for wrong in (
             (hard_state,),
             (taken,),
@@ -149,7 +150,7 @@
             (short, taken),
         ):
             with self.assertRaises(StoreDamagedError):
-                batch.restore_items(self.items(*wrong))
+                restore.restore_items(self.items(*wrong))
 
 
 def newer_slot(whole: bytes) -> int:
--- a/tests/router/consensus/test_storage_power.py
+++ b/tests/router/consensus/test_storage_power.py
@@ -15,6 +15,7 @@
 from storage_trial import Lost, Trial
 
 from mallowbeam.router.consensus.storage import ReplicaStore, StoreError, seal, store
+from mallowbeam.router.consensus.storage.store_file import StoreFile
 
 SEEDS = range(100, 102)
 BATCHES = 5
@@ -74,7 +75,7 @@
 
     def test_no_sync_while_opening(self) -> None:
         self.notices(
-            lambda trial: deaf_in(trial, ReplicaStore, "_restore_meta_pages"),
+            lambda trial: deaf_in(trial, StoreFile, "_restore_meta_pages"),
             first_seed=212,
             batches=2,
             killed=1.0,
@@ -82,10 +83,10 @@
         )
 
     def test_no_sync_of_the_meta_page(self) -> None:
-        self.notices(lambda trial: deaf_in(trial, ReplicaStore, "_seal_and_sync"))
+        self.notices(lambda trial: deaf_in(trial, StoreFile, "seal_and_sync"))
 
     def test_no_sync_of_the_first_state(self) -> None:
-        self.notices(lambda trial: deaf_in(trial, ReplicaStore, "_write_first_state"))
+        self.notices(lambda trial: deaf_in(trial, store, "write_first_state"))
 
     def test_no_sync_of_the_folder_after_the_first_state(self) -> None:
         self.notices(lambda trial: mock.patch.object(store, "sync_folder", lambda folder: None))
@@ -124,7 +125,7 @@
 
 
 @contextlib.contextmanager
-def deaf_in(trial: Trial, owner: type, name: str) -> Iterator[None]:
+def deaf_in(trial: Trial, owner: object, name: str) -> Iterator[None]:
     """Syncs do nothing while this method runs."""
     method = getattr(owner, name)
 
--- a/tests/router/consensus/test_storage_store.py
+++ b/tests/router/consensus/test_storage_store.py
@@ -15,7 +15,7 @@
 
 from storage_model import FIRST, IDENTITY, Model, draw_batch, draw_entries
 
-from mallowbeam.router.consensus.interface import HardState, Restored, Write
+from mallowbeam.router.consensus.interface import HardState, PersistentState, Write
 from mallowbeam.router.consensus.storage import (
     ReplicaStore,
     StoreFailedError,
@@ -62,7 +62,7 @@
     ) -> None:
         self.store.write([Write(1, hard_state, tuple(added), taken)])
 
-    def reopen(self) -> Restored:
+    def reopen(self) -> PersistentState:
         self.store.close()
         self.store = ReplicaStore.open(self.folder, self.disk_mb)
         return self.store.load()
@@ -80,7 +80,7 @@
         self.assertEqual(os.listdir(self.folder + "-other"), [])
 
     def test_the_first_state(self) -> None:
-        self.assertEqual(self.reopen(), Restored(HardState(), FIRST))
+        self.assertEqual(self.reopen(), PersistentState(HardState(), FIRST))
         self.assertEqual(self.store.identity, IDENTITY)
         with self.assertRaises(StoreOrderError):
             self.store.create(IDENTITY, FIRST)
@@ -88,14 +88,14 @@
     def test_entries_replace_all_at_their_first_index_and_behind_it(self) -> None:
         self.write(entries(1, 10))
         self.write(entries(4, 2, term=2), hard_state=HardState(2, 7))
-        expected = Restored(HardState(2, 7), FIRST, entries(1, 3) + entries(4, 2, term=2))
+        expected = PersistentState(HardState(2, 7), FIRST, entries(1, 3) + entries(4, 2, term=2))
         self.assertEqual(self.reopen(), expected)
 
     def test_an_own_snapshot_drops_the_entries_it_covers(self) -> None:
         self.write(entries(1, 10))
         taken = snapshot(6)
         self.write(taken=taken)
-        self.assertEqual(self.reopen(), Restored(HardState(), taken, entries(7, 4)))
+        self.assertEqual(self.reopen(), PersistentState(HardState(), taken, entries(7, 4)))
 
     def test_a_snapshot_of_another_history_drops_all_entries(self) -> None:
         self.write(entries(1, 10))
@@ -119,13 +119,13 @@
                 Write(3, None, entries(3, 1, term=2)),
             ]
         )
-        expected = Restored(HardState(2, 0), FIRST, entries(1, 2) + entries(3, 1, term=2))
+        expected = PersistentState(HardState(2, 0), FIRST, entries(1, 2) + entries(3, 1, term=2))
         self.assertEqual(self.reopen(), expected)
 
     def test_a_write_of_nothing(self) -> None:
         self.store.write([])
         self.store.write([Write(1)])
-        self.assertEqual(self.reopen(), Restored(HardState(), FIRST))
+        self.assertEqual(self.reopen(), PersistentState(HardState(), FIRST))
 
     def test_entries_and_snapshots_of_several_megabytes(self) -> None:
         large = draw_entries(1, 1, 1, random.Random(1))[0]
@@ -134,7 +134,7 @@
         self.assertEqual(self.reopen().entries, (large,))
         taken = Snapshot(index=1, term=1, state=large.payload[::-1])
         self.write(taken=taken)
-        self.assertEqual(self.reopen(), Restored(HardState(), taken))
+        self.assertEqual(self.reopen(), PersistentState(HardState(), taken))
         self.assertGreater(self.store.size_bytes(), 4 * MEGABYTE)
 
     def test_entries_that_leave_a_gap_are_a_fault_of_the_caller(self) -> None:
@@ -173,7 +173,7 @@
 class Opening(StoreCase):
     def test_lmdb_syncs_data_before_the_meta_page_and_writes_through_no_mapping(self) -> None:
         """The power trial's order of calls rests on these."""
-        flags = self.store._environment.flags()
+        flags = self.store._file.environment.flags()
         self.assertEqual((flags["sync"], flags["metasync"], flags["writemap"]), (True, False, False))
         self.assertFalse(flags["map_async"])
 
@@ -189,7 +189,7 @@
             found = ReplicaStore.open(other, 128)
             self.assertIsNone(found.identity)
             found.create(5, FIRST)
-            self.assertEqual(found.load(), Restored(HardState(), FIRST))
+            self.assertEqual(found.load(), PersistentState(HardState(), FIRST))
             found.close()
 
     def test_opening_a_whole_store_writes_nothing(self) -> None:
--- a/tests/router/control_plane/test_lost_cores.py
+++ b/tests/router/control_plane/test_lost_cores.py
@@ -152,7 +152,7 @@
             self.assertTrue(any(self.caught(disks_and_power_lost(seed)) for seed in BROKEN_SEEDS))
 
     def test_half_of_the_members_is_no_majority(self) -> None:
-        with mock.patch.object(Quorum, "reached", reached_by_one_less):
+        with mock.patch.object(Quorum, "majority_value", reached_by_one_less):
             self.assertTrue(any(self.caught(core_in_two_halves(seed)) for seed in BROKEN_SEEDS))
 
 
--- a/tests/router/rpc/test_rpc_connection.py
+++ b/tests/router/rpc/test_rpc_connection.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from mallowbeam.router.rpc.connection import FrameConnection
-from mallowbeam.router.rpc.framing import HEADER, MOST_BYTES
+from mallowbeam.router.rpc.framing import HEADER, MAX_MESSAGE_BYTES
 
 
 class StandInTransport(asyncio.Transport):
@@ -69,7 +69,7 @@
         taken: list[bytes] = []
         connection = self.open(lambda _, body: taken.append(body))
         connection.data_received(encoded(b"0"))
-        connection.data_received(HEADER.pack(MOST_BYTES + 1))
+        connection.data_received(HEADER.pack(MAX_MESSAGE_BYTES + 1))
         connection.data_received(encoded(b"1"))
         self.assertEqual((taken, connection.open), ([b"0"], False))
 
--- /dev/null
+++ b/tests/support/consensus_chunks.py
@@ -0,0 +1,49 @@
+"""A leader that sends a small snapshot in chunks to a member that lags behind."""
+
+from __future__ import annotations
+
+from consensus_host import Host, bodies
+
+from mallowbeam.router.rpc.messages_pb2 import AppendResponse, SnapshotChunk, SnapshotProgress
+
+STATE = bytes(range(10))
+SLOW = 3  # the member that lags behind
+TICK_S = 0.1
+
+
+def leader(**settings: object) -> Host:
+    """A leader whose log begins with a snapshot of ten bytes; chunks of four bytes, a window of eight."""
+    settings = {"trailing_entries": 0, "chunk_bytes": 4, "chunk_window_bytes": 8, **settings}
+    host = Host(**settings)
+    host.lead()
+    host.node.compact(2, STATE)
+    host.output()
+    host.write()
+    return host
+
+
+def reject_append(host: Host) -> list[SnapshotChunk]:
+    """The slow member rejects an append because its log is empty; returns the chunks sent to it."""
+    rejection = AppendResponse(term=host.node.term, success=False, hint_index=0, round=1)
+    return bodies(host.receive(SLOW, append_response=rejection).send, "snapshot_chunk")
+
+
+def acknowledge(host: Host, received: int, index: int = 2) -> list[SnapshotChunk]:
+    """The slow member acknowledges `received` bytes; returns the chunks sent to it."""
+    progress = SnapshotProgress(term=host.node.term, round=1, index=index, received=received)
+    return bodies(host.receive(SLOW, snapshot_progress=progress).send, "snapshot_chunk")
+
+
+def offsets(chunks: list[SnapshotChunk]) -> list[int]:
+    return [chunk.offset for chunk in chunks]
+
+
+def pass_time(host: Host, seconds: float, *, responds: bool = True) -> list[SnapshotChunk]:
+    """Let time pass; member 2 responds to heartbeats, and the slow one if it `responds`."""
+    sent = []
+    for _ in range(round(seconds / TICK_S)):
+        host.confirm(2, 2)
+        if responds:
+            sent += bodies(host.confirm(SLOW, 0).send, "snapshot_chunk")
+        sent += bodies(host.tick(TICK_S).send, "snapshot_chunk")
+    return sent
--- a/tests/support/consensus_host.py
+++ b/tests/support/consensus_host.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from mallowbeam.router.consensus.interface import HardState, Output, RaftSettings, Restored
+from mallowbeam.router.consensus.interface import HardState, Output, PersistentState, RaftSettings
 from mallowbeam.router.consensus.node import RaftNode, Role
 from mallowbeam.router.rpc.messages_pb2 import (
     COMMAND,
@@ -46,7 +46,7 @@
         self.now = 10.0
         first = Snapshot(index=1, term=1, membership=membership(voters, learners))
         snapshot = first if founder else Snapshot()
-        restored = Restored(HardState(term if founder else 0), snapshot, entries)
+        restored = PersistentState(HardState(term if founder else 0), snapshot, entries)
         self.node = RaftNode(RaftSettings(member_id=own, **settings), restored, self.now, Random(1))
         self.tickets: list[int] = []
         self.committed: list[Entry] = []
--- a/tests/support/consensus_machine.py
+++ b/tests/support/consensus_machine.py
@@ -12,7 +12,14 @@
 from consensus_checkers import Applied, Operation
 
 from mallowbeam.router.consensus.errors import ConsensusError
-from mallowbeam.router.consensus.interface import HardState, RaftSettings, ReadResult, Restored, Send, Write
+from mallowbeam.router.consensus.interface import (
+    HardState,
+    PersistentState,
+    RaftSettings,
+    ReadResult,
+    Send,
+    Write,
+)
 from mallowbeam.router.consensus.node import RaftNode, Role
 from mallowbeam.router.rpc.messages_pb2 import COMMAND, MEMBERSHIP, Entry, Membership, Snapshot
 
@@ -67,8 +74,8 @@
             self.entries = []
         self.snapshot = snapshot
 
-    def restored(self) -> Restored:
-        return Restored(self.hard_state, self.snapshot, tuple(self.entries))
+    def restored(self) -> PersistentState:
+        return PersistentState(self.hard_state, self.snapshot, tuple(self.entries))
 
 
 class Machine:
@@ -269,7 +276,7 @@
 
     def _told_written(self, writes: list[Write]) -> None:
         for write in writes:
-            for send in write.then_send:
+            for send in write.send_when_durable:
                 self.world.send(self, send)
         self.node.written(writes[-1].ticket, self.clock())
         self.settle()
--- a/tests/support/consensus_variants.py
+++ b/tests/support/consensus_variants.py
@@ -6,15 +6,16 @@
 from contextlib import AbstractContextManager, contextmanager
 from unittest import mock
 
-from mallowbeam.router.consensus import leadership, membership
-from mallowbeam.router.consensus.chunk_receiver import ChunkReceiver, Content, TransferKey
+from mallowbeam.router.consensus import leader, membership
+from mallowbeam.router.consensus.chunk_receiver import ChunkContent, ChunkReceiver, ChunkStreamKey
+from mallowbeam.router.consensus.chunk_sender import ChunkSender
 from mallowbeam.router.consensus.election import Election
 from mallowbeam.router.consensus.follower import Follower
-from mallowbeam.router.consensus.leadership import Leadership
+from mallowbeam.router.consensus.leader import Leader
 from mallowbeam.router.consensus.log import RaftLog
 from mallowbeam.router.consensus.membership import (
-    MembershipAt,
     MembershipHistory,
+    MembershipRecord,
     members_of,
     without_outgoing,
 )
@@ -22,7 +23,6 @@
 from mallowbeam.router.consensus.progress import Progress
 from mallowbeam.router.consensus.quorum import Quorum
 from mallowbeam.router.consensus.state import MemberState, Role
-from mallowbeam.router.consensus.transfer import Transfer
 from mallowbeam.router.rpc.messages_pb2 import Snapshot
 
 Variant = Callable[[], AbstractContextManager[object]]
@@ -31,19 +31,21 @@
 def commits_older_terms_by_count() -> AbstractContextManager[object]:
     """A leader commits an older term's entry as soon as a majority has it."""
 
-    def advance_commit(self: Leadership) -> None:
+    def advance_commit(self: Leader) -> None:
         state = self._state
-        reached = int(self._reached(state.persistence.durable_index, lambda progress: progress.match_index))
+        reached = int(
+            self._majority_value(state.persistence.durable_index, lambda progress: progress.match_index)
+        )
         if reached > state.commit_index:
             state.commit_to(reached)
             self._confirm_rounds()
 
-    return mock.patch.object(Leadership, "advance_commit", advance_commit)
+    return mock.patch.object(Leader, "advance_commit", advance_commit)
 
 
 def vote_not_durable() -> AbstractContextManager[object]:
     """Votes are granted before they are durable."""
-    return mock.patch.object(Persistence, "answer", Persistence.send_now)
+    return mock.patch.object(Persistence, "respond", Persistence.send_now)
 
 
 def own_vote_not_durable() -> AbstractContextManager[object]:
@@ -68,10 +70,10 @@
 def answers_before_write() -> AbstractContextManager[object]:
     """A follower confirms entries before they are durable."""
 
-    def confirm(self: Follower, leader: int, last: int, round_number: int, waits: bool) -> None:
-        self._answer(leader, success=True, match_index=last, round_number=round_number)
+    def acknowledge(self: Follower, leader: int, last: int, round_number: int, wait_for_write: bool) -> None:
+        self._respond(leader, success=True, match_index=last, round_number=round_number)
 
-    return mock.patch.object(Follower, "_confirm", confirm)
+    return mock.patch.object(Follower, "_acknowledge", acknowledge)
 
 
 def leader_counts_unwritten() -> AbstractContextManager[object]:
@@ -82,36 +84,36 @@
 
 def dropped_entries_count() -> AbstractContextManager[object]:
     """A write under way still makes entries durable that were dropped meanwhile."""
-    return mock.patch.object(Persistence, "entries_dropped", lambda self, first: None)
+    return mock.patch.object(Persistence, "entries_truncated", lambda self, first: None)
 
 
 def reads_without_round() -> AbstractContextManager[object]:
     """A leader confirms reads without asking a majority."""
 
-    def read(self: Leadership, read_id: int) -> None:
+    def read(self: Leader, read_id: int) -> None:
         self._reads.add(read_id, 0)
         self._confirm_rounds()
 
-    return mock.patch.object(Leadership, "read", read)
+    return mock.patch.object(Leader, "read", read)
 
 
 def reads_before_own_commit() -> AbstractContextManager[object]:
     """A new leader confirms reads before an entry of its term is committed."""
-    return mock.patch.object(Leadership, "_own_term_committed", property(lambda self: True))
+    return mock.patch.object(Leader, "_own_term_committed", property(lambda self: True))
 
 
 def learners_count() -> AbstractContextManager[object]:
     """Learners count as voters."""
 
-    def with_all(index: int, held: membership.Membership) -> MembershipAt:
-        return MembershipAt(index, held, Quorum(members_of(held)))
+    def with_all(index: int, held: membership.Membership) -> MembershipRecord:
+        return MembershipRecord(index, held, Quorum(members_of(held)))
 
-    return mock.patch.object(membership, "membership_at", with_all)
+    return mock.patch.object(membership, "membership_record", with_all)
 
 
 def changes_without_overlap() -> AbstractContextManager[object]:
     """A membership may differ from the last one in any number of voters."""
-    return mock.patch.object(leadership, "check_change", lambda old, new: None)
+    return mock.patch.object(leader, "check_change", lambda old, new: None)
 
 
 def joint_by_incoming_only() -> AbstractContextManager[object]:
@@ -135,15 +137,15 @@
 
     @contextmanager
     def patched() -> Iterator[None]:
-        change = Leadership.change_membership
+        change = Leader.change_membership
 
-        def hasty(self: Leadership, held: membership.Membership):
+        def hasty(self: Leader, held: membership.Membership):
             proposal = change(self, held)
             if held.outgoing_voters:
                 self._append_membership(without_outgoing(held))
             return proposal
 
-        with mock.patch.object(Leadership, "change_membership", hasty):
+        with mock.patch.object(Leader, "change_membership", hasty):
             yield
 
     return patched()
@@ -162,7 +164,7 @@
             with_room.target_voters = len(new.members)
             check(old, with_room)
 
-        with mock.patch.object(leadership, "check_change", blind):
+        with mock.patch.object(leader, "check_change", blind):
             yield
 
     return patched()
@@ -196,7 +198,7 @@
     @contextmanager
     def patched() -> Iterator[None]:
         with mock.patch.object(Election, "_may_grant", may_grant):
-            with mock.patch.object(Election, "_put_off", lambda self, sender, request: None):
+            with mock.patch.object(Election, "_defer_campaign", lambda self, sender, request: None):
                 yield
 
     return patched()
@@ -218,7 +220,7 @@
 
 def refusals_ignored() -> AbstractContextManager[object]:
     """A leader does not go back where a follower refuses entries."""
-    return mock.patch.object(Progress, "rejected", lambda self, hint_index: None)
+    return mock.patch.object(Progress, "handle_rejection", lambda self, hint_index: None)
 
 
 def term_not_durable() -> AbstractContextManager[object]:
@@ -226,13 +228,13 @@
 
     @contextmanager
     def patched() -> Iterator[None]:
-        answer = Follower._answer
+        answer = Follower._respond
 
         def hasty(self: Follower, leader: int, **fields) -> None:
-            with mock.patch.object(Persistence, "answer", Persistence.send_now):
+            with mock.patch.object(Persistence, "respond", Persistence.send_now):
                 answer(self, leader, **fields)
 
-        with mock.patch.object(Follower, "_answer", hasty):
+        with mock.patch.object(Follower, "_respond", hasty):
             yield
 
     return patched()
@@ -286,7 +288,7 @@
 
 def silence_without_deadline() -> AbstractContextManager[object]:
     """A leader looks for its majority only when a heartbeat is due."""
-    return mock.patch.object(Leadership, "next_deadline", lambda self: self._next_heartbeat)
+    return mock.patch.object(Leader, "next_deadline", lambda self: self._next_heartbeat)
 
 
 def no_pre_vote() -> AbstractContextManager[object]:
@@ -296,16 +298,16 @@
         self._state.campaigns += 1
         self.campaign()
 
-    return mock.patch.object(Election, "_start", start)
+    return mock.patch.object(Election, "_start_pre_vote", start)
 
 
 def no_check_quorum() -> AbstractContextManager[object]:
     """A leader that hears of nobody goes on."""
 
-    def note_contact(self: Leadership) -> None:
-        self._state.leader_contact = self._state.now
+    def note_contact(self: Leader) -> None:
+        self._state.last_leader_contact = self._state.now
 
-    return mock.patch.object(Leadership, "_note_contact", note_contact)
+    return mock.patch.object(Leader, "_update_contact", note_contact)
 
 
 def no_stickiness() -> AbstractContextManager[object]:
@@ -320,21 +322,21 @@
 
 def snapshot_taken_in_part() -> AbstractContextManager[object]:
     """A follower installs a snapshot at its first chunk."""
-    return _taken_in_part(Content.SNAPSHOT)
+    return _taken_in_part(ChunkContent.SNAPSHOT)
 
 
 def entry_taken_in_part() -> AbstractContextManager[object]:
     """A follower appends an entry at its first chunk."""
-    return _taken_in_part(Content.ENTRY)
+    return _taken_in_part(ChunkContent.ENTRY)
 
 
-def _taken_in_part(content: Content) -> AbstractContextManager[object]:
-    whole = ChunkReceiver.take
+def _taken_in_part(content: ChunkContent) -> AbstractContextManager[object]:
+    whole = ChunkReceiver.add
 
-    def take(self: ChunkReceiver, key: TransferKey, size: int, offset: int, data: bytes) -> bytes | None:
+    def take(self: ChunkReceiver, key: ChunkStreamKey, size: int, offset: int, data: bytes) -> bytes | None:
         return data if key.content is content else whole(self, key, size, offset, data)
 
-    return mock.patch.object(ChunkReceiver, "take", take)
+    return mock.patch.object(ChunkReceiver, "add", take)
 
 
 def transfers_mixed() -> AbstractContextManager[object]:
@@ -348,39 +350,39 @@
 
 def snapshot_confirmed_before_write() -> AbstractContextManager[object]:
     """A follower confirms a snapshot once it is whole, before it is durable."""
-    take_snapshot = Follower._take_snapshot
+    take_snapshot = Follower._accept_snapshot
 
     def hasty(self: Follower, leader: int, snapshot: Snapshot, round_number: int) -> None:
         with mock.patch.object(Persistence, "send_after_write", Persistence.send_now):
             take_snapshot(self, leader, snapshot, round_number)
 
-    return mock.patch.object(Follower, "_take_snapshot", hasty)
+    return mock.patch.object(Follower, "_accept_snapshot", hasty)
 
 
 def sent_from_the_start() -> AbstractContextManager[object]:
     """A leader begins a snapshot anew after a loss or a cut."""
 
-    def send_again(self: Transfer, now: float) -> None:
+    def send_again(self: ChunkSender, now: float) -> None:
         self._acknowledged = self._next_offset = 0
         self._ended = False
         self._progress_at = now
 
-    return mock.patch.object(Transfer, "_send_again", send_again)
+    return mock.patch.object(ChunkSender, "_send_again", send_again)
 
 
 def chunks_never_sent_again() -> AbstractContextManager[object]:
     """A leader sends each chunk once."""
-    return mock.patch.object(Transfer, "_send_again", lambda self, now: None)
+    return mock.patch.object(ChunkSender, "_send_again", lambda self, now: None)
 
 
 def window_unbounded() -> AbstractContextManager[object]:
     """A leader sends all chunks at once."""
-    chunks = Transfer.chunks
+    chunks = ChunkSender.chunks
     return mock.patch.object(
-        Transfer, "chunks", lambda self, leader, chunk, window: chunks(self, leader, chunk, 1 << 40)
+        ChunkSender, "chunks", lambda self, leader, chunk, window: chunks(self, leader, chunk, 1 << 40)
     )
 
 
 def entries_behind_transfer_dropped() -> AbstractContextManager[object]:
     """A leader compacts its log whatever snapshot it is sending."""
-    return mock.patch.object(Leadership, "needed_behind", lambda self, index: index)
+    return mock.patch.object(Leader, "oldest_needed_index", lambda self, index: index)
--- a/tests/support/consensus_walker.py
+++ b/tests/support/consensus_walker.py
@@ -15,7 +15,7 @@
 
 from mallowbeam.router.consensus.interface import RaftSettings
 from mallowbeam.router.consensus.membership import quorum_of, voters_of
-from mallowbeam.router.consensus.progress import Mode
+from mallowbeam.router.consensus.progress import ProgressState
 from mallowbeam.router.rpc.messages_pb2 import Membership
 
 TROUBLE_SECONDS = 5.0  # troubles begin within this time
@@ -91,17 +91,17 @@
             return RaftSettings(member_id=0)
         return RaftSettings(
             member_id=0,
-            entries_per_message=self.random.randint(1, 4),
-            bytes_per_message=40,
-            messages_in_flight=self.random.randint(1, 4),
+            max_entries_per_message=self.random.randint(1, 4),
+            max_bytes_per_message=40,
+            max_inflight_messages=self.random.randint(1, 4),
             trailing_entries=self.random.randint(0, 4),
-            chunk_retry=0.5,
+            chunk_retry_timeout=0.5,
             trailing_bytes=transfers.choice((20, 1000)),
-            bytes_in_flight=transfers.choice((40, 1000)),
-            snapshot_instead=transfers.choice((0, 1000)),
-            chunked_entry=transfers.choice((10, 1000)),
-            chunk=transfers.choice((4, 1000)),
-            chunk_window=8,
+            max_inflight_bytes=transfers.choice((40, 1000)),
+            snapshot_preferred_bytes=transfers.choice((0, 1000)),
+            chunked_entry_bytes=transfers.choice((10, 1000)),
+            chunk_bytes=transfers.choice((4, 1000)),
+            chunk_window_bytes=8,
         )
 
     def _network(self) -> None:
@@ -286,7 +286,7 @@
 
     def _majority_kept(self, membership: Membership, lost: int | None) -> bool:
         quorum = quorum_of(membership)
-        return quorum.within(self.world.machines.keys() - {lost})
+        return quorum.is_quorum(self.world.machines.keys() - {lost})
 
     def _wipe(self, machine: Machine) -> None:
         """Only where a majority keeps its disks, in any membership that may be in force."""
@@ -332,10 +332,10 @@
         if leader is None:
             return False
         members = [member.id for member in leader.node.membership.members if member.id in world.machines]
-        progress = leader.node._leadership._progress
-        modes = [progress[member].mode for member in members if member in progress]
+        progress = leader.node._leader._progress
+        states = [progress[member].state for member in members if member in progress]
         lags = [leader.applied_index - world.machines[member].applied_index for member in members]
-        return max(lags) <= 5 and all(mode is Mode.REPLICATE for mode in modes)
+        return max(lags) <= 5 and all(state is ProgressState.REPLICATE for state in states)
 
 
 def play(seed: int) -> Outcome:
--- a/tests/support/fleet_variants.py
+++ b/tests/support/fleet_variants.py
@@ -16,8 +16,8 @@
 from unittest import mock
 
 from mallowbeam.router.configuration.versions import ConfigurationVersions
-from mallowbeam.router.consensus import leadership
-from mallowbeam.router.consensus.interface import Restored
+from mallowbeam.router.consensus import leader
+from mallowbeam.router.consensus.interface import PersistentState
 from mallowbeam.router.consensus.node import RaftNode
 from mallowbeam.router.consensus.state import MemberState
 from mallowbeam.router.control_plane import group
@@ -171,7 +171,7 @@
     """The policy proposes it, and the core's own check is off too."""
     with (
         mock.patch.object(group, "next_change", _promote_all),
-        mock.patch.object(leadership, "check_change", lambda old, new: None),
+        mock.patch.object(leader, "check_change", lambda old, new: None),
     ):
         yield
 
@@ -203,8 +203,8 @@
 # ------------------------------------------------------------ 4: logs and snapshots
 
 
-def _forgets_entries(self: Replica) -> Restored:
-    return Restored(self.hard_state, self.snapshot)
+def _forgets_entries(self: Replica) -> PersistentState:
+    return PersistentState(self.hard_state, self.snapshot)
 
 
 _raft = ControlMember.raft
--- a/tests/support/storage_disk.py
+++ b/tests/support/storage_disk.py
@@ -20,7 +20,7 @@
 
 import lmdb
 
-from mallowbeam.router.consensus.storage import files, seal, store
+from mallowbeam.router.consensus.storage import files, seal, store, store_file
 
 SECTOR = 512
 META_START, META_END = 32, 152  # what lmdb writes into a meta page
@@ -181,9 +181,9 @@
         lmdb_calls = mock.Mock(wraps=lmdb, Error=lmdb.Error)
         lmdb_calls.open = self.open_environment
         with contextlib.ExitStack() as stack:
-            for module in (files, seal, store):
+            for module in (files, seal, store, store_file):
                 stack.enter_context(mock.patch.object(module, "os", self))
-            stack.enter_context(mock.patch.object(store, "lmdb", lmdb_calls))
+            stack.enter_context(mock.patch.object(store_file, "lmdb", lmdb_calls))
             yield self
 
     def place(self, path: str) -> tuple[Disk | None, str]:
--- a/tests/support/storage_model.py
+++ b/tests/support/storage_model.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from mallowbeam.router.consensus.interface import HardState, Restored, Write
+from mallowbeam.router.consensus.interface import HardState, PersistentState, Write
 from mallowbeam.router.rpc.messages_pb2 import COMMAND, Entry, Member, Membership, Snapshot
 
 IDENTITY = 0x8000_0000_0000_0001
@@ -52,9 +52,9 @@
             model = model.after(write)
         return model
 
-    def restored(self) -> Restored:
+    def restored(self) -> PersistentState:
         """What `load` must return."""
-        return Restored(self.hard_state, self.snapshot, self.entries)
+        return PersistentState(self.hard_state, self.snapshot, self.entries)
 
 
 def draw_entries(first: int, count: int, term: int, chance: random.Random) -> tuple[Entry, ...]:
--- a/tests/support/storage_trial.py
+++ b/tests/support/storage_trial.py
@@ -19,7 +19,7 @@
 
 from mallowbeam.router.consensus.interface import Write
 from mallowbeam.router.consensus.storage import ReplicaStore, StoreFailedError, StoreFullError
-from mallowbeam.router.consensus.storage.store import FILE
+from mallowbeam.router.consensus.storage.store import STORE_FILE
 
 DISK_MB = 16
 
@@ -126,7 +126,7 @@
         try:
             found = self._found(disk, label)
             self.allowed = [found]
-            disk.changed("opened", FILE)
+            disk.changed("opened", STORE_FILE)
             if depth == 0 and found is not None and self.chance.random() < 0.3:
                 self._go_on(disk, found, label)
         finally:
