--- a/mallowbeam/storage_gateway/write_buffer/store.py
+++ b/mallowbeam/storage_gateway/write_buffer/store.py
@@ -28,12 +28,14 @@
 class NotTaken(MallowbeamError):
     """The log does not have it, and never will: nothing was acknowledged and nothing can come back."""
 
+    error_name = "NotTaken"
     remedy = "look at the disk and at the bounds of the buffer; clients repeat by themselves"
 
 
 class Doubtful(MallowbeamError):
     """The log could not be brought to say whether it has it: it may come back after a restart."""
 
+    error_name = "Doubtful"
     remedy = "look at the disk, then run mallowbeam buffer show on the folder"
 
 
@@ -156,6 +158,7 @@
                 if not waiting.done.done():
                     waiting.done.set_result(None)
         self._sizes(dict(self.log.sizes), self.log.number)
+        return None
 
     async def _distrust(self, batch: list[Waiting], why: str) -> None:
         """A file can't be trusted: say durably, elsewhere, that what went there last was never acknowledged.
