--- a/mallowbeam/router/consensus/membership.py
+++ b/mallowbeam/router/consensus/membership.py
@@ -62,13 +62,21 @@
     """
     if old.outgoing_voters:
         raise MembershipChangeError("a joint change is under way", step=CHANGE_STEP)
-    ids = [member.id for member in new.members]
+    _check_members(new)
+    if len(voters_of(new)) > max(new.target_voters, len(voters_of(old))):
+        raise MembershipChangeError("there are more voters than places", step=CHANGE_STEP)
+    _check_quorums_intersect(old, new)
+
+
+def _check_members(membership: Membership) -> None:
+    ids = [member.id for member in membership.members]
     if 0 in ids or len(set(ids)) != len(ids):
         raise MembershipChangeError("an id is zero or given twice", step=CHANGE_STEP)
-    if not voters_of(new):
+    if not voters_of(membership):
         raise MembershipChangeError("no voter is left", step=CHANGE_STEP)
-    if len(voters_of(new)) > max(new.target_voters, len(voters_of(old))):
-        raise MembershipChangeError("there are more voters than places", step=CHANGE_STEP)
+
+
+def _check_quorums_intersect(old: Membership, new: Membership) -> None:
     outgoing = frozenset(new.outgoing_voters)
     if outgoing and (outgoing != voters_of(old) or not outgoing <= members_of(new)):
         raise MembershipChangeError("the outgoing voters are not those in force", step=CHANGE_STEP)
