--- a/mallowbeam/router/control_plane/api_responses.py
+++ b/mallowbeam/router/control_plane/api_responses.py
@@ -7,7 +7,7 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.framing import Headers, write_head
-from mallowbeam.http.front import Reply
+from mallowbeam.http.handler import Response
 from mallowbeam.router.error_body import ErrorBody
 
 JSON_TYPE = (b"content-type", b"application/json")
@@ -16,18 +16,18 @@
 FIRST_SERVER_ERROR = 500
 
 
-def json_reply(status: int, body: Mapping[str, object], close: bool, *more: tuple[bytes, bytes]) -> Reply:
+def json_reply(status: int, body: Mapping[str, object], close: bool, *more: tuple[bytes, bytes]) -> Response:
     """A complete response with a JSON object."""
     return body_reply(status, json.dumps(body, separators=(",", ":")).encode(), close, *more)
 
 
-def body_reply(status: int, body: bytes, close: bool, *more: tuple[bytes, bytes]) -> Reply:
+def body_reply(status: int, body: bytes, close: bool, *more: tuple[bytes, bytes]) -> Response:
     """A complete response with JSON that is already encoded."""
     headers: Headers = [JSON_TYPE, *more]
-    return Reply(status, write_head(status, headers, len(body), close) + body)
+    return Response(status, write_head(status, headers, len(body), close) + body)
 
 
-def error_reply(status: int, error: MallowbeamError, close: bool, others: Sequence[str] = ()) -> Reply:
+def error_reply(status: int, error: MallowbeamError, close: bool, others: Sequence[str] = ()) -> Response:
     """A response that states what is wrong, where, and the remedy.
 
     With a 5xx status, `others` are the control addresses of members that may serve the caller instead. A
