--- a/mallowbeam/router/consensus/storage/__init__.py
+++ b/mallowbeam/router/consensus/storage/__init__.py
@@ -1,7 +1,7 @@
 """Durable storage of one Raft member on lmdb; the format is described in ``docs/formats/replica-store.md``.
 
 Owns the file ``replica.lmdb`` with the member's identity, hard state, log entries and snapshot.
-Called by `control_plane.store_recovery` at start and by `control_plane.storage_writer` for each batch of writes.
+Called by `control_plane.store_recovery` at start and by `control_plane.storage_writer` for each batch.
 """
 
 from mallowbeam.router.consensus.storage.errors import (
