--- a/mallowbeam/router/control_plane/attempt_reports.py
+++ b/mallowbeam/router/control_plane/attempt_reports.py
@@ -30,7 +30,7 @@
     def heard(self, member: int, gossip: RegistryGossip, now: float) -> None:
         """What another member's gateways met."""
         if gossip.tells_attempts:
-            self._members.told(member, gossip.attempts, now)
+            self._members.record(member, gossip.attempts, now)
 
     def tell(self, gossip: RegistryGossip, now: float) -> None:
         """Add what this member's gateways met, where it is due."""
--- a/mallowbeam/router/control_plane/feed_server.py
+++ b/mallowbeam/router/control_plane/feed_server.py
@@ -63,9 +63,9 @@
             return
         now = time.monotonic()
         if frame.demand:
-            self._demand.told(subscriber, frame.demand, now)
+            self._demand.record(subscriber, frame.demand, now)
         if frame.tells_attempts:
-            self._attempts.told(subscriber, frame.attempts, now)
+            self._attempts.record(subscriber, frame.attempts, now)
 
     def gateway_closed(self, connection: FrameConnection) -> None:
         """A connection is over; perhaps it was none of a gateway."""
--- a/mallowbeam/router/control_plane/instance_service.py
+++ b/mallowbeam/router/control_plane/instance_service.py
@@ -15,7 +15,7 @@
 from mallowbeam.router.control_plane.peer_links import PeerLinks
 from mallowbeam.router.control_plane.response_gate import AppliedEntry, ResponseGate, ResponseKind
 from mallowbeam.router.control_plane.stage_controller import StageController
-from mallowbeam.router.registry.census import GatewayCensus
+from mallowbeam.router.registry.gateway_counts import GatewayCounts
 from mallowbeam.router.registry.retirements import Retirements
 from mallowbeam.router.registry.table import InstanceTable
 from mallowbeam.router.rpc.messages_pb2 import (
@@ -54,7 +54,7 @@
         self._table, self._retirements, self._commands = table, retirements, commands
         self._links, self._changed, self._random = links, changed, random
         self._gateways, self._gate = gateways, gate
-        self.census = GatewayCensus()
+        self.gateway_counts = GatewayCounts()
 
     # ------------------------------------------------------------ calls
 
@@ -66,7 +66,7 @@
         """
         draining = instance.state == DRAINS
         before = self._table.version
-        self._table.heard(instance, time.monotonic())
+        self._table.receive_heartbeat(instance, time.monotonic())
         self._tell(before)
         if draining:
             await self._retire(instance.id, DRAINING, since)
@@ -99,9 +99,9 @@
     def gossip(self, sender: int, gossip: RegistryGossip) -> None:
         """What another member passes on."""
         now = time.monotonic()
-        self.census.heard(sender, gossip.gateways, now)
+        self.gateway_counts.record(sender, gossip.gateways, now)
         if gossip.wants_whole:
-            self._links.send(sender, PeerFrame(registry=self._table.whole(now, self._gateways())))
+            self._links.send(sender, PeerFrame(registry=self._table.full_gossip(now, self._gateways())))
         before = self._table.version
         self._table.merge(gossip, now)
         self._tell(before)
@@ -116,13 +116,13 @@
         """Let time pass; to be called several times a second with the ids of the other members."""
         now = time.monotonic()
         if self._gate.silence() > OUT_OF_TOUCH:
-            self._table.out_of_touch(now)
+            self._table.mark_isolated(now)
         before = self._table.version
         self._table.expire(now)
         self._tell(before)
         missing = [member for member in members if (self._links.silence(member) or 0.0) > OUT_OF_TOUCH]
         reachable = [member for member in members if member not in missing]
-        if reachable and self._table.ask_whole(now, links_missing=bool(missing)):
+        if reachable and self._table.should_request_full_gossip(now, links_missing=bool(missing)):
             asked = self._random.choice(reachable)
             question = RegistryGossip(wants_whole=True, gateways=self._gateways())
             self._links.send(asked, PeerFrame(registry=question))
--- a/mallowbeam/router/control_plane/member.py
+++ b/mallowbeam/router/control_plane/member.py
@@ -242,7 +242,7 @@
         self._group.look()
         others = [known.id for known in self._driver.node.membership.members if known.id != self._own.id]
         self._instances.look(others)
-        self._status.gateways = self._instances.census.total(len(self._feeds), time.monotonic())
+        self._status.gateways = self._instances.gateway_counts.total(len(self._feeds), time.monotonic())
         self._stages.look(time.monotonic())
         self._server.sweep()
 
--- a/mallowbeam/router/control_plane/stage_controller.py
+++ b/mallowbeam/router/control_plane/stage_controller.py
@@ -91,7 +91,7 @@
     def heard(self, member: int, gossip: RegistryGossip, now: float) -> None:
         """What another member's gateways ask for."""
         if gossip.demand:
-            self._members.told(member, gossip.demand, now)
+            self._members.record(member, gossip.demand, now)
 
     def tell(self, gossip: RegistryGossip, now: float) -> None:
         """Add what this member's gateways ask for, where it is due."""
@@ -110,7 +110,7 @@
         self._observe(now)
         if self._has_engines() and self._lease.should_acquire(self._standing(now), now):
             self._start(self._acquire(self._driver.node.term))
-        if self._table.complete(now) and self._token(now) is not None:
+        if self._table.is_complete(now) and self._token(now) is not None:
             for backend in self._instances:
                 self._decide(backend, now)
 
@@ -205,7 +205,7 @@
             share.answered(order, result, switch_s, now)
         log.info("%s to %s: %s", order.id, order.stage, result.value)
         if result is OrderResult.TAKEN:
-            self._table.switch(
+            self._table.begin_stage_transition(
                 order.id, order.stage, now + switch_s + self._settings.longest_switch_s, announce=True
             )
             self._changed()
--- a/mallowbeam/router/feed/instances.py
+++ b/mallowbeam/router/feed/instances.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from mallowbeam.router.registry.limits import MOST_RETIRED, RETIRED_SEQUENCE
-from mallowbeam.router.registry.rows import same_for_gateways
+from mallowbeam.router.registry.instance_record import same_for_gateways
+from mallowbeam.router.registry.limits import MAX_RETIRED, RETIRED_SEQUENCE
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, ENDED, Instance, InstancesUpdate
 
 Value = TypeVar("Value")
@@ -86,8 +86,8 @@
 
 
 def _remember(memory: dict[str, Value], id: str, value: Value) -> None:
-    """Put an entry at the end and drop the oldest beyond MOST_RETIRED."""
+    """Put an entry at the end and drop the oldest beyond MAX_RETIRED."""
     memory.pop(id, None)
     memory[id] = value
-    if len(memory) > MOST_RETIRED:
+    if len(memory) > MAX_RETIRED:
         del memory[next(iter(memory))]
--- a/mallowbeam/router/feed/publisher.py
+++ b/mallowbeam/router/feed/publisher.py
@@ -125,7 +125,7 @@
             self._members = status.members
             self._members_version += 1
         stamp_ms = int(now * 1000)
-        complete = self._table.complete(now)
+        complete = self._table.is_complete(now)
         groups: dict[_Cursor, list[int]] = {}
         for subscriber, cursor in self._cursors.items():
             if subscriber not in busy:
--- a/mallowbeam/router/pairing/order_lease.py
+++ b/mallowbeam/router/pairing/order_lease.py
@@ -1,10 +1,13 @@
-"""When a member may send orders to instances: as the leader, under a lease from the log.  A pure core.
+"""When a member may send orders to instances: as the leader, under a lease granted by the log. A pure core.
 
-The token of the lease fences orders, and rises with each new holder.  Instances may forget tokens, so holders
-are kept apart in time as well: a new one waits until the one before can't have an order on its way any more.
-That one sends only while a majority has confirmed its leadership within `fresh_s`, which the wait of the new
-holder covers; a process that stood still finds that out by the clock before it sends.
-Times are seconds of the steady clock.
+The lease's token fences orders, and rises with each new holder. Instances may lose the highest token, so the
+holders' orders are separated in time as well: a new holder waits until no order of the previous one can be in
+flight. The previous one sends only while a majority has confirmed its leadership within `fresh_s`, which the
+new holder's wait includes; a process that was suspended notices that by its clock before it sends.
+Times are in seconds of the monotonic clock.
+
+This is the holder's side of the lease that `mallowbeam.router.registry.leases` grants. The two differ on
+purpose: the granting side is replicated, and must depend neither on time nor on one member's leadership.
 """
 
 from __future__ import annotations
--- a/mallowbeam/router/registry/changes.py
+++ b/mallowbeam/router/registry/changes.py
@@ -4,31 +4,32 @@
 
 
 class ChangeLog:
-    """The last change of each id under a version that rises by one with each change."""
+    """The last change of each id, under a version that rises by one with each change."""
 
     def __init__(self) -> None:
+        """Start at version 0 without changes."""
         self.version = 0
         self._last: dict[str, int] = {}  # id to the version of its last change, oldest first
         self._forgotten = 0  # changes up to this version may be missing
 
-    def note(self, id: str) -> None:
+    def record(self, id: str) -> None:
         """Record that the entry changed."""
         self.version += 1
         self._last.pop(id, None)
         self._last[id] = self.version
 
     def forget(self, id: str) -> None:
-        """Drop an entry that is no longer held; whoever has not seen its end needs the whole table."""
+        """Drop a removed entry; whoever has not seen its removal needs the complete table."""
         self._forgotten = max(self._forgotten, self._last.pop(id, 0))
 
     def since(self, version: int) -> list[str] | None:
-        """Ids changed after `version`, oldest change first; None where that can't be told any more."""
+        """Ids changed after `version`, oldest change first; None if some of these are forgotten."""
         if version < self._forgotten or version > self.version:
             return None
-        found: list[str] = []
+        ids: list[str] = []
         for id, changed in reversed(self._last.items()):
             if changed <= version:
                 break
-            found.append(id)
-        found.reverse()
-        return found
+            ids.append(id)
+        ids.reverse()
+        return ids
--- a/mallowbeam/router/registry/latest_reports.py
+++ b/mallowbeam/router/registry/latest_reports.py
@@ -1,4 +1,4 @@
-"""The last report of each source, such as a gateway or a member, for as long as it holds.  A pure core."""
+"""The latest report of each source, such as a gateway or a member, with a time to live. A pure core."""
 
 from __future__ import annotations
 
@@ -6,36 +6,38 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-Part = TypeVar("Part")
+Item = TypeVar("Item")
 
 
 @dataclass(frozen=True, slots=True)
-class _Report(Generic[Part]):
-    """One source's last report, and when it was heard by the steady clock, in seconds."""
+class _Report(Generic[Item]):
+    """One source's latest report, and when it was received, in seconds of the monotonic clock."""
 
-    parts: tuple[Part, ...]
-    heard_at: float
+    items: tuple[Item, ...]
+    received_at: float
 
 
-class LatestReports(Generic[Part]):
-    """One report for each source; a source that is silent is counted for a while."""
+class LatestReports(Generic[Item]):
+    """One report for each source; the report of a silent source expires."""
 
-    def __init__(self, kept_s: float, most: int) -> None:
-        """A report holds for `kept_s` seconds without a new one; of its parts the first `most` are taken."""
-        self._kept_s, self._most = kept_s, most
-        self._reports: dict[Hashable, _Report[Part]] = {}
+    def __init__(self, ttl_s: float, max_items: int) -> None:
+        """Expire a report `ttl_s` seconds after it was received; of its items keep the first `max_items`."""
+        self._ttl_s = ttl_s
+        self._max_items = max_items
+        self._reports: dict[Hashable, _Report[Item]] = {}
 
-    def told(self, source: Hashable, parts: Iterable[Part], now: float) -> None:
-        """Take a source's report, in place of its earlier one."""
-        self._reports[source] = _Report(tuple(parts)[: self._most], now)
+    def record(self, source: Hashable, items: Iterable[Item], now: float) -> None:
+        """Replace a source's report."""
+        self._reports[source] = _Report(tuple(items)[: self._max_items], now)
 
     def forget(self, source: Hashable) -> None:
-        """A source has gone."""
+        """Drop the report of a source that has gone."""
         self._reports.pop(source, None)
 
-    def fresh(self, now: float) -> Iterator[Part]:
-        """The parts of all reports that still hold; the others are dropped."""
-        kept_s = self._kept_s
-        for source in [source for source, one in self._reports.items() if now - one.heard_at > kept_s]:
+    def fresh(self, now: float) -> Iterator[Item]:
+        """The items of all unexpired reports; expired ones are dropped."""
+        ttl_s = self._ttl_s
+        expired = [source for source, report in self._reports.items() if now - report.received_at > ttl_s]
+        for source in expired:
             del self._reports[source]
-        return (part for report in self._reports.values() for part in report.parts)
+        return (item for report in self._reports.values() for item in report.items)
--- a/mallowbeam/router/registry/leases.py
+++ b/mallowbeam/router/registry/leases.py
@@ -1,15 +1,21 @@
-"""Leases with fencing tokens, replicated through the log.
+"""Leases with fencing tokens, replicated through the log: who holds which subject, under which token.
 
-The log has no time, so a lease does not lapse here: whoever wants one from another holder waits out the lease
-time by its own steady clock before it proposes. The token rises with each new holder, over all subjects, so
-that what an earlier holder still sends is known as late.
+The log has no time, so a lease does not expire here: a member that wants a lease from another holder waits
+out the lease time by its own monotonic clock before it proposes. The token rises with each new holder, over
+all subjects, so that late messages of an earlier holder are recognized.
+
+This is the granting side. The holder's side, which decides when a granted token may be used, is
+`mallowbeam.router.pairing.order_lease`: it depends on time and on one member's view of its leadership, which
+replicated state must not. The storage gateway's lease (`storage_gateway.coordination.maintenance.lease`) has
+neither holder nor token: a gateway renews its own permission to serve with each committed report, and the
+others wait until it has certainly expired.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from mallowbeam.router.registry.limits import MOST_LEASES
+from mallowbeam.router.registry.limits import MAX_LEASES
 from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
@@ -22,35 +28,32 @@
 
 
 class LeaseGrant(NamedTuple):
-    """What came of a request for a lease; `token` is 0 where it was refused."""
+    """The outcome of a request for a lease; `token` is 0 if it was rejected."""
 
     result: CommandResult
     token: int
 
 
 class Leases:
-    """The holder and token of each subject, bounded; the oldest grant is dropped first."""
+    """The holder and fencing token of each subject, bounded; the oldest grant is dropped first."""
 
-    def __init__(self, most: int = MOST_LEASES) -> None:
-        self._leases: dict[str, Lease] = {}  # oldest grant first
+    def __init__(self, most: int = MAX_LEASES) -> None:
+        """Remember at most `most` subjects."""
+        self._leases: dict[str, Lease] = {}  # by subject, oldest grant first
         self._most = most
 
     def get(self, subject: str) -> Lease | None:
-        """The lease over `subject`, a copy; None: nobody has had one."""
-        held = self._leases.get(subject)
-        if held is None:
-            return None
-        copy = Lease()
-        copy.CopyFrom(held)
-        return copy
+        """The lease over `subject`, as a message of the caller's own; None if it was never granted."""
+        lease = self._leases.get(subject)
+        return None if lease is None else _duplicate(lease)
 
     def apply(self, command: AcquireLease) -> LeaseGrant:
-        """Give the lease: a new holder gets a higher token (DONE), the present one its own (ALREADY_DONE)."""
+        """Grant a lease: DONE with a higher token to a new holder, ALREADY_DONE to the present one."""
         if not command.subject or not command.holder:
             return LeaseGrant(REFUSED, 0)
-        held = self._leases.get(command.subject)
-        if held is not None and held.holder == command.holder:
-            return LeaseGrant(ALREADY_DONE, held.token)
+        lease = self._leases.get(command.subject)
+        if lease is not None and lease.holder == command.holder:
+            return LeaseGrant(ALREADY_DONE, lease.token)
         token = self._last_token() + 1
         self._leases.pop(command.subject, None)
         self._leases[command.subject] = Lease(subject=command.subject, holder=command.holder, token=token)
@@ -59,20 +62,24 @@
         return LeaseGrant(DONE, token)
 
     def save(self, state: ReplicatedState) -> None:
-        """Write to a snapshot."""
+        """Write the leases to a snapshot."""
         del state.leases[:]
         state.leases.extend(self._leases.values())
 
     def restore(self, state: ReplicatedState) -> None:
-        """Replace everything by a snapshot's content."""
-        self._leases = {}
-        for lease in list(state.leases)[-self._most :]:
-            copy = Lease()
-            copy.CopyFrom(lease)
-            self._leases[lease.subject] = copy
+        """Replace the leases by those of a snapshot."""
+        newest = list(state.leases)[-self._most :]
+        self._leases = {lease.subject: _duplicate(lease) for lease in newest}
 
     def _last_token(self) -> int:
-        """The highest token given so far: that of the newest grant, which is never dropped."""
+        """The highest token granted so far: that of the newest grant, which is never dropped."""
         if not self._leases:
             return 0
         return self._leases[next(reversed(self._leases))].token
+
+
+def _duplicate(lease: Lease) -> Lease:
+    """An independent message with the same fields."""
+    duplicate = Lease()
+    duplicate.CopyFrom(lease)
+    return duplicate
--- a/mallowbeam/router/registry/retirements.py
+++ b/mallowbeam/router/registry/retirements.py
@@ -1,12 +1,12 @@
-"""The replicated part of the registry: instances that said that they leave.
+"""The replicated part of the registry: instances that announced that they leave.
 
-Applied in log order on every member, so nothing here may depend on time or on what a single member has heard.
-An id is one incarnation of one instance, so a retirement is never taken back.
+Commands are applied in log order on every member, so nothing here may depend on time or on what a single
+member has received. An id is one incarnation of one instance, so a retirement is permanent.
 """
 
 from __future__ import annotations
 
-from mallowbeam.router.registry.limits import MOST_RETIRED
+from mallowbeam.router.registry.limits import MAX_RETIRED
 from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
@@ -21,20 +21,21 @@
 class Retirements:
     """Retired ids with the kind of their retirement, bounded; the oldest are dropped first."""
 
-    def __init__(self, most: int = MOST_RETIRED) -> None:
+    def __init__(self, most: int = MAX_RETIRED) -> None:
+        """Remember at most `most` ids."""
         self._kinds: dict[str, RetirementKind] = {}  # oldest first
         self._most = most
 
     def __len__(self) -> int:
-        """How many ids are remembered."""
+        """The number of ids remembered."""
         return len(self._kinds)
 
     def kind(self, id: str) -> RetirementKind | None:
-        """How `id` has been retired; None: it has not."""
+        """How `id` has been retired; None if it has not."""
         return self._kinds.get(id)
 
     def apply(self, command: RetireInstance) -> CommandResult:
-        """Take a retirement: DONE, or ALREADY_DONE where it is known. GONE after DRAINING is DONE."""
+        """Apply a retirement: DONE, or ALREADY_DONE if it is known. GONE after DRAINING is DONE."""
         known = self._kinds.get(command.id)
         if known in (GONE, command.kind):
             return ALREADY_DONE
@@ -49,11 +50,11 @@
         return [RetireInstance(id=id, kind=kind) for id, kind in self._kinds.items()]
 
     def save(self, state: ReplicatedState) -> None:
-        """Write to a snapshot."""
+        """Write the retirements to a snapshot."""
         del state.retired[:]
         state.retired.extend(self.all())
 
     def restore(self, state: ReplicatedState) -> None:
-        """Replace everything by a snapshot's content."""
-        kept = list(state.retired)[-self._most :]
-        self._kinds = {retired.id: retired.kind for retired in kept}
+        """Replace the retirements by those of a snapshot."""
+        newest = list(state.retired)[-self._most :]
+        self._kinds = {retired.id: retired.kind for retired in newest}
--- a/tests/router/feed/test_feed_publisher.py
+++ b/tests/router/feed/test_feed_publisher.py
@@ -51,7 +51,7 @@
     def beat(self, id: str, sequence: int, now: float = LATE, stage: str = "decode") -> None:
         address = f"10.1.0.{len(id)}:80"
         heartbeat = Instance(id=id, address=address, stage=stage, sequence=sequence)
-        self.table.heard(heartbeat, now)
+        self.table.receive_heartbeat(heartbeat, now)
 
     def frames(
         self, now: float, status: MemberStatus = STATUS, busy: tuple[int, ...] = ()
--- a/tests/router/health/test_fleet_attempts.py
+++ b/tests/router/health/test_fleet_attempts.py
@@ -53,17 +53,17 @@
 class AddedUp(unittest.TestCase):
     def test_sums_of_what_is_fresh(self) -> None:
         table = AttemptTable()
-        table.told(1, [attempts("a", 1, 2)], 10.0)
-        table.told(2, [attempts("a", 1), attempts("b", 0, 7)], 11.0)
+        table.record(1, [attempts("a", 1, 2)], 10.0)
+        table.record(2, [attempts("a", 1), attempts("b", 0, 7)], 11.0)
         sums = table.sums(11.0)
         self.assertEqual((sums["a"].failed, sums["a"].answered), (2, 2))
-        table.told(2, [], 11.5)
+        table.record(2, [], 11.5)
         self.assertEqual(set(table.sums(11.5)), {"a"})
         self.assertEqual(table.sums(10.1 + ATTEMPTS_KEPT_S), {})
 
     def test_a_source_that_has_gone(self) -> None:
         table = AttemptTable()
-        table.told(1, [attempts("a", 1)], 10.0)
+        table.record(1, [attempts("a", 1)], 10.0)
         table.forget(1)
         self.assertEqual(table.sums(10.0), {})
 
@@ -74,8 +74,8 @@
 
     def test_members_add_each_other_s_gateways_once(self) -> None:
         first, second = AttemptReports(), AttemptReports()
-        first.gateways.told(1, [attempts("a", 2), attempts("c", 0, 5)], 10.0)
-        second.gateways.told(1, [attempts("a", 1, 1), attempts("b", 3)], 10.0)
+        first.gateways.record(1, [attempts("a", 2), attempts("c", 0, 5)], 10.0)
+        second.gateways.record(1, [attempts("a", 1, 1), attempts("b", 3)], 10.0)
         for _ in range(3):
             gossip = RegistryGossip()
             second.tell(gossip, 10.0)
--- a/tests/router/registry/test_registry_broken.py
+++ b/tests/router/registry/test_registry_broken.py
@@ -10,8 +10,8 @@
 from mallowbeam.router.feed import FeedSubscriber, InstanceChanges
 from mallowbeam.router.feed.instances import InstanceCopy
 from mallowbeam.router.registry import InstanceTable
+from mallowbeam.router.registry.instance_record import InstanceRecord
 from mallowbeam.router.registry.retirements import Retirements
-from mallowbeam.router.registry.rows import Row
 from mallowbeam.router.rpc.messages_pb2 import InstancesUpdate, RegistryGossip, RetirementKind
 
 
@@ -31,14 +31,14 @@
 class ExpiresBlindly(InstanceTable):
     """Ends what it has not heard, whether or not it could have heard it."""
 
-    def out_of_touch(self, now: float) -> None:
+    def mark_isolated(self, now: float) -> None:
         pass
 
 
 class IgnoresAddresses(InstanceTable):
     """Keeps an instance whose address another one has."""
 
-    def _claim_address(self, row: Row) -> None:
+    def _claim_address(self, record: InstanceRecord) -> None:
         pass
 
 
@@ -52,7 +52,7 @@
 class TakesPartForWhole(InstanceTable):
     """Says at once that it has heard from everyone."""
 
-    def complete(self, now: float) -> bool:
+    def is_complete(self, now: float) -> bool:
         return True
 
 
@@ -61,10 +61,10 @@
 
     def gossip(self, now: float, gateways: int = 0) -> RegistryGossip:
         batch = super().gossip(now, gateways)
-        for id, row in self._rows.items():
-            if row.live:
-                row.sequence += 1
-                batch.seen.add(id=id, sequence=row.sequence)
+        for id, record in self._records.items():
+            if record.live:
+                record.sequence += 1
+                batch.seen.add(id=id, sequence=record.sequence)
         return batch
 
 
--- a/tests/router/registry/test_registry_parse.py
+++ b/tests/router/registry/test_registry_parse.py
@@ -10,11 +10,11 @@
 
 from mallowbeam.router.registry import HeartbeatError, parse_heartbeat
 from mallowbeam.router.registry.limits import (
-    MOST_BODY_BYTES,
-    MOST_MODELS,
-    MOST_NAME_LENGTH,
-    MOST_SEQUENCE,
-    MOST_SLOTS,
+    MAX_BODY_BYTES,
+    MAX_MODELS,
+    MAX_NAME_LENGTH,
+    MAX_SEQUENCE,
+    MAX_SLOTS,
 )
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, READY, Instance, Model
 
@@ -83,17 +83,17 @@
                 self.refused("HEARTBEAT_BAD_FIELD", name, body(**{name: ...}))
 
     def test_bounds(self) -> None:
-        for name, most in (("slots", MOST_SLOTS), ("sequence", MOST_SEQUENCE)):
+        for name, most in (("slots", MAX_SLOTS), ("sequence", MAX_SEQUENCE)):
             parse_heartbeat("i-1", body(**{name: most}))
             self.refused("HEARTBEAT_BAD_FIELD", name, body(**{name: most + 1}))
         self.refused("HEARTBEAT_BAD_FIELD", "slots", body(slots=0))
         self.refused("HEARTBEAT_BAD_FIELD", "sequence", body(sequence=-1))
-        parse_heartbeat("i-1", body(zone="z" * MOST_NAME_LENGTH))
-        self.refused("HEARTBEAT_BAD_FIELD", "zone", body(zone="z" * (MOST_NAME_LENGTH + 1)))
-        parse_heartbeat("i-1", body(models=[{"name": "m"}] * MOST_MODELS))
-        too_many = [{"name": "m"}] * (MOST_MODELS + 1)
+        parse_heartbeat("i-1", body(zone="z" * MAX_NAME_LENGTH))
+        self.refused("HEARTBEAT_BAD_FIELD", "zone", body(zone="z" * (MAX_NAME_LENGTH + 1)))
+        parse_heartbeat("i-1", body(models=[{"name": "m"}] * MAX_MODELS))
+        too_many = [{"name": "m"}] * (MAX_MODELS + 1)
         self.refused("HEARTBEAT_BAD_FIELD", "models", body(models=too_many))
-        self.refused("HEARTBEAT_TOO_LARGE", "body", body() + b" " * MOST_BODY_BYTES)
+        self.refused("HEARTBEAT_TOO_LARGE", "body", body() + b" " * MAX_BODY_BYTES)
 
     def test_types(self) -> None:
         for name, wrong in (
--- a/tests/support/registry_player.py
+++ b/tests/support/registry_player.py
@@ -148,10 +148,10 @@
 
     def expect_member(self, member: Member, what: str, value: str) -> None:
         if what in ("complete", "incomplete"):
-            complete = member.table.complete(self.world.now)
+            complete = member.table.is_complete(self.world.now)
             self.demand(complete == (what == "complete"), f"{member.name}: complete is {complete}")
         elif what == "gateways":
-            count = member.census.total(len(member.publisher), self.world.now)
+            count = member.gateway_counts.total(len(member.publisher), self.world.now)
             self.demand(count == int(value), f"{member.name}: {count} gateways")
         elif value in ("prefill", "decode"):
             self.demand(member.table.get(what).stage == value, f"{member.name}: {what} is not for {value}")
--- a/tests/support/registry_processes.py
+++ b/tests/support/registry_processes.py
@@ -11,7 +11,7 @@
 from mallowbeam.router.control_plane.response_gate import ResponseGate
 from mallowbeam.router.feed import Close, Connect, FeedPublisher, FeedSubscriber, MemberStatus
 from mallowbeam.router.feed.limits import CONNECT_TIMEOUT_S
-from mallowbeam.router.registry import GatewayCensus, Retirements
+from mallowbeam.router.registry import GatewayCounts, Retirements
 from mallowbeam.router.rpc.messages_pb2 import (
     DRAINS,
     READY,
@@ -99,7 +99,7 @@
         self.retirements = Retirements()
         self.configuration = Revisions()
         self.publisher = FeedPublisher(self.configuration, self.table)
-        self.census = GatewayCensus()
+        self.gateway_counts = GatewayCounts()
         self.current_at = now - 10.0
         self.in_touch_since: float | None = None
         for entry in self.world.log[: self.durable]:
@@ -127,7 +127,7 @@
         else:
             self.in_touch_since = None
         if now - self.current_at > 1.0:
-            self.table.out_of_touch(now)
+            self.table.mark_isolated(now)
         self.table.expire(now)
         self.gossip(now)
         self.feed(now)
@@ -139,7 +139,7 @@
             for name in self.world.members:
                 if name != self.name:
                     self.world.send_peer(self.name, name, batch)
-        if self.table.ask_whole(now, missing):
+        if self.table.should_request_full_gossip(now, missing):
             others = [
                 name
                 for name in self.world.members
@@ -152,9 +152,9 @@
     def take_gossip(self, sender: str, gossip: RegistryGossip) -> None:
         now = self.world.now
         if gossip.wants_whole:
-            self.world.send_peer(self.name, sender, self.table.whole(now, len(self.publisher)))
+            self.world.send_peer(self.name, sender, self.table.full_gossip(now, len(self.publisher)))
             return
-        self.census.heard(hash(sender), gossip.gateways, now)
+        self.gateway_counts.record(hash(sender), gossip.gateways, now)
         self.table.merge(gossip, now)
 
     def feed(self, now: float) -> None:
@@ -162,7 +162,7 @@
         gate = ResponseGate(lambda: now, lambda: now - self.current_at, lambda: False)
         status = MemberStatus(
             silence,
-            self.census.total(len(self.publisher), now),
+            self.gateway_counts.total(len(self.publisher), now),
             tuple(f"{name}:1" for name in self.world.members),
             gate.feed_allowance(),
         )
--- a/tests/support/registry_world.py
+++ b/tests/support/registry_world.py
@@ -14,7 +14,7 @@
 from registry_processes import INTERVAL, TICK, Broken, Connection, Gateway, Member, Server
 
 from mallowbeam.router.feed import FeedSubscriber
-from mallowbeam.router.registry import Heard, InstanceTable
+from mallowbeam.router.registry import HeartbeatOutcome, InstanceTable
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, GONE, READY, RegistryGossip, RetireInstance
 
 LINK_TIMEOUT = 1.5  # unacknowledged bytes end a connection
@@ -104,7 +104,7 @@
                         if self.members[name].up:
                             self.members[name].table.link_lost(self.now)
                     if self.members[link.recipient].up:
-                        self.members[link.recipient].census.lost(hash(link.sender))
+                        self.members[link.recipient].gateway_counts.forget(hash(link.sender))
         for connection in list(self.feeds.values()):
             self.pump(connection)
 
@@ -173,11 +173,15 @@
         for name in names:
             if self.joined(server.id, name):
                 server.member = name
-                self.members[name].table.heard(server.heartbeat(server.sequence, server.state), self.now)
+                self.members[name].table.receive_heartbeat(
+                    server.heartbeat(server.sequence, server.state), self.now
+                )
                 return
 
-    def late_heartbeat(self, name: str, id: str, sequence: int) -> Heard:
-        return self.members[name].table.heard(self.servers[id].heartbeat(sequence, READY), self.now)
+    def late_heartbeat(self, name: str, id: str, sequence: int) -> HeartbeatOutcome:
+        return self.members[name].table.receive_heartbeat(
+            self.servers[id].heartbeat(sequence, READY), self.now
+        )
 
     def retire(self, id: str, kind: int, name: str) -> bool:
         """A call that says that the instance leaves; True where it is acknowledged."""
