--- a/mallowbeam/router/control_plane/attempt_words.py
+++ b/mallowbeam/router/control_plane/attempt_reports.py
@@ -19,7 +19,7 @@
 TELL_S = 0.4  # between two words to the other members, at the least
 
 
-class AttemptWords:
+class AttemptReports:
     """What gateways and members told of late."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
     def heard(self, member: int, gossip: RegistryGossip, now: float) -> None:
         """What another member's gateways met."""
         if gossip.tells_attempts:
-            self._members.told(member, gossip.attempts, now)
+            self._members.record(member, gossip.attempts, now)
 
     def tell(self, gossip: RegistryGossip, now: float) -> None:
         """Add what this member's gateways met, where it is due."""
--- a/mallowbeam/router/control_plane/feeds.py
+++ b/mallowbeam/router/control_plane/feed_server.py
@@ -15,7 +15,7 @@
 MOST_FEEDS = 1024  # gateways that one member takes; others go to another member
 
 
-class Feeds:
+class FeedServer:
     """Subscribed gateways by their connections."""
 
     def __init__(
@@ -63,9 +63,9 @@
             return
         now = time.monotonic()
         if frame.demand:
-            self._demand.told(subscriber, frame.demand, now)
+            self._demand.record(subscriber, frame.demand, now)
         if frame.tells_attempts:
-            self._attempts.told(subscriber, frame.attempts, now)
+            self._attempts.record(subscriber, frame.attempts, now)
 
     def gateway_closed(self, connection: FrameConnection) -> None:
         """A connection is over; perhaps it was none of a gateway."""
--- a/mallowbeam/router/control_plane/instances.py
+++ b/mallowbeam/router/control_plane/instance_service.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from random import Random
 
-from mallowbeam.router.control_plane.attempt_words import AttemptWords
-from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.attempt_reports import AttemptReports
+from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
 from mallowbeam.router.control_plane.peer_links import PeerLinks
-from mallowbeam.router.control_plane.serving import AppliedEntry, Said, ServingGate
-from mallowbeam.router.control_plane.stage_orders import StageOrders
-from mallowbeam.router.registry.census import GatewayCensus
+from mallowbeam.router.control_plane.response_gate import AppliedEntry, ResponseGate, ResponseKind
+from mallowbeam.router.control_plane.stage_controller import StageController
+from mallowbeam.router.registry.gateway_counts import GatewayCounts
 from mallowbeam.router.registry.retirements import Retirements
 from mallowbeam.router.registry.table import InstanceTable
 from mallowbeam.router.rpc.messages_pb2 import (
@@ -33,18 +33,18 @@
 OUT_OF_TOUCH = 1.0  # seconds unheard after which another member, or the group, is out of touch
 
 
-class Instances:
+class InstanceService:
     """Joins the table with the log and the other members."""
 
     def __init__(
         self,
         table: InstanceTable,
         retirements: Retirements,
-        commands: Commands,
+        commands: CommandForwarder,
         links: PeerLinks,
         changed: Callable[[], None],
         gateways: Callable[[], int],
-        gate: ServingGate,
+        gate: ResponseGate,
         random: Random,
     ) -> None:
         """`changed` is called when gateways must learn of something.
@@ -54,24 +54,24 @@
         self._table, self._retirements, self._commands = table, retirements, commands
         self._links, self._changed, self._random = links, changed, random
         self._gateways, self._gate = gateways, gate
-        self.census = GatewayCensus()
+        self.gateway_counts = GatewayCounts()
 
     # ------------------------------------------------------------ calls
 
     async def heartbeat(self, instance: Instance, since: float) -> None:
         """Take a heartbeat; returns once it may be acknowledged, raises as `Commands.submit`.
 
-        A member that is out of touch with the group takes it and raises `OutOfTouchError`, so that the
+        A member that is out of touch with the group takes it and raises `IsolatedMemberError`, so that the
         instance turns to another member.
         """
         draining = instance.state == DRAINS
         before = self._table.version
-        self._table.heard(instance, time.monotonic())
+        self._table.receive_heartbeat(instance, time.monotonic())
         self._tell(before)
         if draining:
             await self._retire(instance.id, DRAINING, since)
         else:
-            self._gate.check(Said.HEARTBEAT_ACKNOWLEDGED)
+            self._gate.check(ResponseKind.HEARTBEAT_ACKNOWLEDGED)
 
     async def delete(self, id: str, since: float) -> None:
         """An instance has ended; returns once that may be acknowledged, raises as `Commands.submit`."""
@@ -81,12 +81,12 @@
     async def _retire(self, id: str, kind: RetirementKind, since: float) -> None:
         """Have the log hold a retirement, unless this member has applied it, or one that says more."""
         if self._retirements.kind(id) in (kind, GONE):
-            self._gate.check(Said.RETIREMENT_KNOWN)
+            self._gate.check(ResponseKind.RETIREMENT_KNOWN)
             return
         self._gate.check_reachable()
         command = Command(retire_instance=RetireInstance(id=id, kind=kind))
         outcome = await self._commands.submit(command, since)
-        self._gate.check(Said.RETIREMENT_ACKNOWLEDGED, AppliedEntry(outcome.index))
+        self._gate.check(ResponseKind.RETIREMENT_ACKNOWLEDGED, AppliedEntry(outcome.index))
 
     # ------------------------------------------------------------ from the log and from other members
 
@@ -99,9 +99,9 @@
     def gossip(self, sender: int, gossip: RegistryGossip) -> None:
         """What another member passes on."""
         now = time.monotonic()
-        self.census.heard(sender, gossip.gateways, now)
+        self.gateway_counts.record(sender, gossip.gateways, now)
         if gossip.wants_whole:
-            self._links.send(sender, PeerFrame(registry=self._table.whole(now, self._gateways())))
+            self._links.send(sender, PeerFrame(registry=self._table.full_gossip(now, self._gateways())))
         before = self._table.version
         self._table.merge(gossip, now)
         self._tell(before)
@@ -116,13 +116,13 @@
         """Let time pass; to be called several times a second with the ids of the other members."""
         now = time.monotonic()
         if self._gate.silence() > OUT_OF_TOUCH:
-            self._table.out_of_touch(now)
+            self._table.mark_isolated(now)
         before = self._table.version
         self._table.expire(now)
         self._tell(before)
         missing = [member for member in members if (self._links.silence(member) or 0.0) > OUT_OF_TOUCH]
         reachable = [member for member in members if member not in missing]
-        if reachable and self._table.ask_whole(now, links_missing=bool(missing)):
+        if reachable and self._table.should_request_full_gossip(now, links_missing=bool(missing)):
             asked = self._random.choice(reachable)
             question = RegistryGossip(wants_whole=True, gateways=self._gateways())
             self._links.send(asked, PeerFrame(registry=question))
@@ -131,7 +131,7 @@
         """When `pass_on` is due, by the steady clock."""
         return self._table.gossip_at()
 
-    def pass_on(self, stages: StageOrders, attempts: AttemptWords) -> None:
+    def pass_on(self, stages: StageController, attempts: AttemptReports) -> None:
         """Tell the other members what came in here since the last time, and what the gateways say."""
         now = time.monotonic()
         batch = self._table.gossip(now, self._gateways())
