--- a/mallowbeam/storage_gateway/scheduler/nodes.py
+++ b/mallowbeam/storage_gateway/scheduler/nodes.py
@@ -31,7 +31,8 @@
     """A storage node as this host sees it: bookings, slot time and health."""
 
     def __init__(self, entry: NodeEntry, sched) -> None:
-        self.id, self.shard, self.zone, self.since = entry.node, entry.shard, entry.zone, entry.started_at
+        self.id, self.shard, self.zone = entry.node, entry.shard, entry.zone
+        self.started_at = entry.started_at
         self.state, self.open = entry.state, False  # as listed; whether new work may go there
         self.queue: list[tuple[float, int, Request]] = []  # bookings not sent, by aim
         self.out: dict[tuple[str, int], Attempt] = {}  # what it is at work on, in the order sent
--- a/tests/storage_gateway/scheduler/test_replayed.py
+++ b/tests/storage_gateway/scheduler/test_replayed_actions.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from hashlib import sha256
 
-from replayed import FILE, load, record, replay, store
+from scheduler_replay import FILE, load, record, replay, store
 
 from mallowbeam.storage_gateway.scheduler.interface import RequestArrived
 
--- a/tests/support/recorded_names.py
+++ b/tests/support/recorded_names.py
@@ -1,7 +1,7 @@
 """The names under which recorded runs of the scheduler are stored, and those that the code has now.
 
-Recordings (`control.trace`) and the digests of their actions were made by version 63262d5.  They stay as they
-are, byte for byte: this module translates the names of classes and fields both ways.
+Recordings (`scheduler.trace`) and the digests of their actions were made by version 63262d5.  They stay as
+they are, byte for byte: this module translates the names of classes and fields both ways.
 """
 
 from __future__ import annotations
