--- a/mallowbeam/router/control_plane/api.py
+++ b/mallowbeam/router/control_plane/api.py
@@ -22,8 +22,13 @@
     RevisionNotAboveError,
     VersionMismatchError,
 )
-from mallowbeam.router.control_plane.api_responses import body_reply, error_reply
-from mallowbeam.router.control_plane.body_admission import LARGE_BODY, LargeBodyAdmission, Work, run_in_thread
+from mallowbeam.router.control_plane.api_responses import SERVICE_UNAVAILABLE, body_reply, error_reply
+from mallowbeam.router.control_plane.body_admission import (
+    LARGE_BODY,
+    JobRunner,
+    LargeBodyAdmission,
+    run_in_thread,
+)
 from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
 from mallowbeam.router.control_plane.instance_service import InstanceService
 from mallowbeam.router.control_plane.response_gate import (
@@ -45,27 +50,29 @@
     PutConfiguration,
 )
 
-MOST_BODY = 4 * 1024 * 1024  # bytes of a configuration
-MOST_BODIES = 24 * 1024 * 1024  # bytes of small bodies held at once; beyond it calls are turned away
+MAX_BODY_BYTES = 4 * 1024 * 1024  # of a configuration
+MAX_SMALL_BODIES_BYTES = 24 * 1024 * 1024  # in memory at once; beyond it calls are rejected
 CONFIG_PATH = b"/mallowbeam/config"
 STATUS_PATH = b"/mallowbeam/status"
 INSTANCES_PATH = b"/mallowbeam/instances/"
 IF_MATCH = re.compile(rb'(?:W/)?"?(\d{1,19})"?\Z')
 EMPTY = b"{}"
+OK = 200
+BAD_REQUEST = 400
 
-REFUSALS: dict[int, Callable[[], CallError]] = {
+REJECTIONS: dict[int, Callable[[], CallError]] = {
     VERSION_MISMATCH: lambda: VersionMismatchError("another version is current", "If-Match"),
     REVISION_NOT_ABOVE: lambda: RevisionNotAboveError("not above the current revision", "revision"),
     INVALID_OUTCOME: lambda: InvalidOutcomeError("the patch leads to no valid configuration", "upsert"),
 }
 
-Call = Callable[[Message, float], Awaitable[tuple[int, bytes]]]
+Endpoint = Callable[[Message, float], Awaitable[tuple[int, bytes]]]
 
 
 class ControlApi:
-    """The front behind the control address."""
+    """The HTTP handler of the control address."""
 
-    max_body = whole = unread_body = MOST_BODY
+    max_body = whole = unread_body = MAX_BODY_BYTES
 
     def __init__(
         self,
@@ -75,14 +82,18 @@
         instances: InstanceService,
         status: StatusPage,
         gate: ResponseGate,
-        work: Work = run_in_thread,
+        run_job: JobRunner = run_in_thread,
     ) -> None:
-        """`work` runs what large bodies take beside the event loop."""
-        self.budget: Budget | None = Budget(MOST_BODIES, LARGE_BODY)
-        self._large_bodies = LargeBodyAdmission(parser, work)
-        self._parser, self._versions, self._commands = parser, versions, commands
-        self._instances, self._status, self._gate = instances, status, gate
-        self._calls: dict[tuple[bytes, bytes], Call] = {
+        """`run_job` processes large bodies beside the event loop."""
+        self.budget: Budget | None = Budget(MAX_SMALL_BODIES_BYTES, LARGE_BODY)
+        self._large_bodies = LargeBodyAdmission(parser, run_job)
+        self._parser = parser
+        self._versions = versions
+        self._commands = commands
+        self._instances = instances
+        self._status = status
+        self._gate = gate
+        self._endpoints: dict[tuple[bytes, bytes], Endpoint] = {
             (CONFIG_PATH, b"PUT"): self._put_config,
             (CONFIG_PATH, b"PATCH"): self._patch_config,
             (CONFIG_PATH, b"GET"): self._get_config,
@@ -92,22 +103,22 @@
         }
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
-        """One call to its answer."""
+        """Serve one call; its errors become error responses."""
         since = request.at or time.monotonic()
         try:
-            status, body = await self._find(request)(request, since)
+            status, body = await self._endpoint(request)(request, since)
         except CallError as error:
             return error_reply(error.status, error, closing(), self._status.other_controls())
         except ConfigurationError as error:
             return error_reply(error.status, error, closing())
         except HeartbeatError as error:
-            return error_reply(400, error, closing())
+            return error_reply(BAD_REQUEST, error, closing())
         except MallowbeamError as error:
-            return error_reply(503, error, closing(), self._status.other_controls())
+            return error_reply(SERVICE_UNAVAILABLE, error, closing(), self._status.other_controls())
         return body_reply(status, body, closing())
 
     def complain(self, status: int, text: str) -> Reply:
-        """The answer to what breaks HTTP or a bound; the connection is closed after it."""
+        """The response to a violation of HTTP or of a limit; the connection is closed after it."""
         if text == ANOTHER_LARGE_BODY:
             return error_reply(status, LargeBodyError(text, "body"), True, self._status.other_controls())
         return error_reply(status, CallError(text, status=status), True)
@@ -115,50 +126,50 @@
     def ended(self, request: Message, status: int, whole: bool) -> None:
         """Calls are not counted."""
 
-    def _find(self, request: Message) -> Call:
+    def _endpoint(self, request: Message) -> Endpoint:
         path = request.target.partition(b"?")[0]
         if path.startswith(INSTANCES_PATH):
             path = INSTANCES_PATH
-        call = self._calls.get((path, request.method))
+        call = self._endpoints.get((path, request.method))
         if call is not None:
             return call
-        if any(known == path for known, _ in self._calls):
+        if any(known == path for known, _ in self._endpoints):
             raise CallError("not by this method", path.decode("latin-1"), status=405)
         raise CallError("no such call", path.decode("latin-1"), status=404)
 
     # ------------------------------------------------------------ the operator's configuration
 
     async def _put_config(self, request: Message, since: float) -> tuple[int, bytes]:
-        return await self._submit(await self._whole(request, _based_on(request)), since)
+        return await self._submit(await self._document_command(request, _based_on(request)), since)
 
     async def _patch_config(self, request: Message, since: float) -> tuple[int, bytes]:
-        return await self._submit(await self._patch(request, _based_on(request)), since)
+        return await self._submit(await self._patch_command(request, _based_on(request)), since)
 
     async def _submit(self, change: PutConfiguration, since: float) -> tuple[int, bytes]:
-        """Have a change applied; the answer to its caller."""
+        """Have a change committed; the status and body of the response."""
         self._gate.check_reachable()
         revision = change.revision
         command = Command(put_configuration=change)
         del change
         outcome = await self._commands.submit(command, since)
         evidence = AppliedEntry(outcome.index)
-        if outcome.result in REFUSALS:
+        if outcome.result in REJECTIONS:
             self._gate.check(ResponseKind.CHANGE_REFUSED, evidence)
-            raise REFUSALS[outcome.result]()
+            raise REJECTIONS[outcome.result]()
         if outcome.result not in (DONE, ALREADY_DONE):
             raise OutcomeUnknownError("a copy of this call may have been taken, or may yet be", "revision")
         self._gate.check(ResponseKind.CHANGE_ACKNOWLEDGED, evidence)
         return 200, b'{"revision":%d}' % revision
 
-    async def _whole(self, request: Message, based_on: int) -> PutConfiguration:
-        """The command that a whole document asks for; the request holds its body no longer."""
+    async def _document_command(self, request: Message, based_on: int) -> PutConfiguration:
+        """The command of a full document; the request gives up its body."""
         body = request.take()
         if len(body) > LARGE_BODY:
             return await self._large_bodies.command(body, based_on)
         return put_command(self._parser.parse(bytes(body)), based_on)
 
-    async def _patch(self, request: Message, based_on: int) -> PutConfiguration:
-        """The command that a patch asks for; the request holds its body no longer."""
+    async def _patch_command(self, request: Message, based_on: int) -> PutConfiguration:
+        """The command of a patch; the request gives up its body."""
         body = request.take()
         if len(body) > LARGE_BODY:
             return await self._large_bodies.patch(body, based_on)
@@ -195,7 +206,7 @@
 
 
 def _based_on(request: Message) -> int:
-    """The revision on which a configuration builds; raises `CallError`."""
+    """The revision on which a configuration is based, of If-Match; raises `CallError`."""
     value = request.get(b"if-match")
     match = IF_MATCH.match(value) if value is not None else None
     if match is None:
--- a/mallowbeam/router/control_plane/attempt_reports.py
+++ b/mallowbeam/router/control_plane/attempt_reports.py
@@ -1,7 +1,7 @@
-"""How the fleet's attempts at instances end: from this member's gateways and the others, to its gateways.
+"""Failure reports of the fleet's attempts at instances, gossiped between members and fed to gateways.
 
-Nothing here is decided or replicated: a member that is cut off tells what its own gateways say, and what is
-not renewed is forgotten within seconds.
+Nothing here is decided or replicated: an isolated member reports what its own gateways send, and reports that
+are not renewed expire within seconds.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 )
 from mallowbeam.router.rpc.messages_pb2 import InstanceAttempts, RegistryGossip
 
-TELL_S = 0.4  # between two words to the other members, at the least
+GOSSIP_INTERVAL_S = 0.4  # between two reports to the other members, at the least
 
 
 class AttemptReports:
-    """What gateways and members told of late."""
+    """Latest reports of gateways and members."""
 
     def __init__(self) -> None:
-        self.gateways = AttemptTable()  # by the subscriber's number
+        self.gateways = AttemptTable()  # by subscriber
         self._members = AttemptTable()  # by member id
-        self._tell_at = 0.0
+        self._next_gossip_at = 0.0
 
-    def heard(self, member: int, gossip: RegistryGossip, now: float) -> None:
-        """What another member's gateways met."""
+    def receive_gossip(self, member: int, gossip: RegistryGossip, now: float) -> None:
+        """Record the reports of another member's gateways."""
         if gossip.tells_attempts:
             self._members.told(member, gossip.attempts, now)
 
-    def tell(self, gossip: RegistryGossip, now: float) -> None:
-        """Add what this member's gateways met, where it is due."""
-        if now >= self._tell_at:
-            self._tell_at = now + TELL_S
+    def add_to_gossip(self, gossip: RegistryGossip, now: float) -> None:
+        """Add the reports of this member's gateways, where they are due."""
+        if now >= self._next_gossip_at:
+            self._next_gossip_at = now + GOSSIP_INTERVAL_S
             gossip.tells_attempts = True
             gossip.attempts.extend(messages_of(self.gateways.sums(now), MOST_TAKEN))
 
     def for_gateways(self, now: float) -> list[InstanceAttempts]:
-        """The whole fleet's, of instances with failures."""
+        """Sums over the whole fleet, of instances with failures."""
         fleet = add_sums((self.gateways.sums(now), self._members.sums(now)))
         return messages_of(failing(fleet), MOST_TOLD)
--- a/mallowbeam/router/control_plane/body_admission.py
+++ b/mallowbeam/router/control_plane/body_admission.py
@@ -1,8 +1,8 @@
-"""Large configurations: one at a time for each member, parsed and compressed beside the event loop.
+"""Admission of large configuration bodies: one at a time per member, processed beside the event loop.
 
-A body of some MB takes a noticeable part of a small machine's memory and time: several copies of it exist for
-a moment, and the loop that would parse it also keeps the leadership. So a second one is refused at once, and
-its caller turns to another member; small bodies, heartbeats among them, are not concerned.
+A body of several MB takes a noticeable part of a small machine's memory and time: several copies of it exist
+for a moment, and the loop that would parse it also maintains the leadership. So a second one is rejected at
+once, and its caller turns to another member; small bodies, heartbeats among them, are not affected.
 """
 
 from __future__ import annotations
@@ -24,72 +24,72 @@
 Result = TypeVar("Result")
 
 
-class Work(Protocol):
-    """How a large body's work is run."""
+class JobRunner(Protocol):
+    """Runs the processing of a large body."""
 
     def __call__(self, job: Callable[[], Result]) -> Awaitable[Result]:
-        """Run a job to its result; its exception is raised."""
+        """Run a job and return its result; its exception is raised."""
 
 
 async def run_inline(job: Callable[[], Result]) -> Result:
-    """Run a job in this step: where there are no threads, as in the simulation."""
+    """Run a job in this step of the event loop, as the simulation does."""
     return job()
 
 
 async def run_in_thread(job: Callable[[], Result]) -> Result:
-    """Run a job in a thread, so that the event loop goes on meanwhile."""
+    """Run a job in a thread beside the event loop."""
     return await asyncio.to_thread(job)
 
 
 @dataclass(frozen=True, slots=True)
 class _Prepared:
-    """What came of a body, and the parser that has read it, where it was a whole document."""
+    """The command made of a body, and the parser that has read it, if it was a full document."""
 
     command: PutConfiguration
     parser: ConfigurationParser | None = None
 
 
 class LargeBodyAdmission:
-    """Turns large bodies into commands, one at a time."""
+    """Converts large bodies to commands, one at a time."""
 
-    def __init__(self, parser: ConfigurationParser, work: Work) -> None:
-        """`parser` is the member's: it takes over what is learned of each valid body."""
-        self._parser, self._work = parser, work
+    def __init__(self, parser: ConfigurationParser, run_job: JobRunner) -> None:
+        """`parser` is the member's: it adopts what a job has parsed of a valid body."""
+        self._parser = parser
+        self._run_job = run_job
         self._busy = False
 
     async def command(self, body: bytearray, based_on: int) -> PutConfiguration:
-        """The command that a whole document asks for; empties `body`.  Raises as `_run` does."""
-        return await self._run(self._whole_job(body, based_on))
+        """The command of a full document; empties `body`.  Raises as `_run` does."""
+        return await self._run(self._document_job(body, based_on))
 
     async def patch(self, body: bytearray, based_on: int) -> PutConfiguration:
-        """The command that a patch asks for; empties `body`.  Raises as `_run` does."""
-        held = _take(body)
-        return await self._run(lambda: _Prepared(patch_command(parse_patch(held.pop()), based_on)))
+        """The command of a patch; empties `body`.  Raises as `_run` does."""
+        content = _take(body)
+        return await self._run(lambda: _Prepared(patch_command(parse_patch(content.pop()), based_on)))
 
-    async def _run(self, work: Callable[[], _Prepared]) -> PutConfiguration:
-        """The command that a body's work comes to.
+    async def _run(self, prepare: Callable[[], _Prepared]) -> PutConfiguration:
+        """Run a job and return its command.
 
-        Raises `LargeBodyError` while another one is under way, and a `ConfigurationError` for a body that is
-        not valid.
+        Raises `LargeBodyError` while another one runs, and a `ConfigurationError` for an invalid body.
         """
         if self._busy:
             raise LargeBodyError(ANOTHER_LARGE_BODY, "body")
         self._busy = True
-        job = asyncio.ensure_future(self._work(work))
+        job = asyncio.ensure_future(self._run_job(prepare))
         job.add_done_callback(self._ended)
-        # A caller that leaves does not end a thread: the next body waits for its end all the same.
+        # A cancelled caller does not end the thread: the slot stays taken until the job has ended.
         prepared = await asyncio.shield(job)
         if prepared.parser is not None:
             self._parser.adopt(prepared.parser)
         return prepared.command
 
-    def _whole_job(self, body: bytearray, based_on: int) -> Callable[[], _Prepared]:
-        """What is done beside the loop; it alone holds the body's bytes."""
+    def _document_job(self, body: bytearray, based_on: int) -> Callable[[], _Prepared]:
+        """The job of a full document; it has the only reference to the body's bytes."""
         parser = self._parser.fork()
-        held = _take(body)
+        content = _take(body)
 
         def prepare() -> _Prepared:
-            parsed = parser.parse(held.pop())
+            parsed = parser.parse(content.pop())
             return _Prepared(put_command(parsed, based_on), parser)
 
         return prepare
@@ -97,11 +97,11 @@
     def _ended(self, job: asyncio.Future[_Prepared]) -> None:
         self._busy = False
         if not job.cancelled():
-            job.exception()  # counts as seen, also where the caller has left
+            job.exception()  # retrieved also if the caller was cancelled
 
 
 def _take(body: bytearray) -> list[bytes]:
-    """A body's bytes, which whoever empties the list holds alone."""
-    held = [bytes(body)]
+    """Move a body's bytes to a list, whose `pop` then gives the only reference."""
+    content = [bytes(body)]
     body.clear()
-    return held
+    return content
--- a/mallowbeam/router/control_plane/bootstrap.py
+++ b/mallowbeam/router/control_plane/bootstrap.py
@@ -15,13 +15,13 @@
 from mallowbeam.router.rpc.messages_pb2 import Member, Membership, Snapshot
 
 ID_BYTES = 8
-FIRST_INDEX = 1  # of the seeds' snapshot; a joiner's is 0, so that it is sent a whole one
+FIRST_INDEX = 1  # of the seeds' snapshot; a joiner's is 0, so that the leader sends it a snapshot
 FIRST_TERM = 1
 
 
 @dataclass(frozen=True, slots=True)
 class InitialState:
-    """What a member writes to an empty store."""
+    """The state that a member writes to an empty store."""
 
     identity: int
     snapshot: Snapshot
@@ -34,27 +34,27 @@
 
 
 def seed_identity(control: str) -> int:
-    """The id of a seed, from its control address."""
+    """The id of a seed, derived from its control address."""
     digest = hashlib.blake2b(control.encode(), digest_size=ID_BYTES).digest()
     return int.from_bytes(digest, "big") or 1
 
 
 def random_identity(random: Random) -> int:
-    """The id of a disk that was empty."""
+    """The random id of any other member."""
     return random.randrange(1, 1 << (8 * ID_BYTES))
 
 
 def initial_state(
     control: str, seeds: Sequence[str], bootstrap: bool, port: int, random: Random
 ) -> InitialState:
-    """The first state of a member with an empty store; `port` is that of all link listeners."""
+    """The initial state of a member with an empty store; `port` is that of all link listeners."""
     if bootstrap and control in seeds:
         return InitialState(seed_identity(control), founding_snapshot(seeds, port))
     return InitialState(random_identity(random), Snapshot())
 
 
 def founding_snapshot(seeds: Sequence[str], port: int) -> Snapshot:
-    """The first snapshot of the seeds: one voter for each of them, and no state."""
+    """The first snapshot of the seeds: a voter for each of them, and empty state."""
     members = [
         Member(id=seed_identity(seed), address=peer_address(seed, port), control=seed, voter=True)
         for seed in sorted(set(seeds))
--- a/mallowbeam/router/control_plane/command_forwarder.py
+++ b/mallowbeam/router/control_plane/command_forwarder.py
@@ -1,7 +1,7 @@
-"""Commands and linearizable reads: taken at any member, decided by the leader.
+"""Commands and linearizable reads: accepted by any member, forwarded to the leader.
 
-All commands may be repeated: what was taken is known again. So a command whose leader is lost on the way is
-proposed again to the next one, as long as its caller's time lasts.
+All commands are idempotent: the replicated state recognises one that it has applied. So a command whose
+leader is lost on the way is retried at the next one until the call's time-out.
 """
 
 from __future__ import annotations
@@ -14,9 +14,13 @@
 from mallowbeam.router.consensus.errors import ConsensusError
 from mallowbeam.router.control_plane.api_errors import NothingProposedError, OutcomeUnknownError
 from mallowbeam.router.control_plane.peer_links import PeerLinks
+from mallowbeam.router.control_plane.proposal_errors import (
+    CommandNotAcceptedError,
+    ProposalLostError,
+    ReadNotConfirmedError,
+)
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
 from mallowbeam.router.control_plane.state_machine import CommandOutcome
-from mallowbeam.router.control_plane.wait_conditions import ProposalLostError, ReadNotConfirmedError
 from mallowbeam.router.rpc.messages_pb2 import (
     APPLIED,
     NOT_LEADER,
@@ -30,30 +34,23 @@
     ReadIndexResponse,
 )
 
-CALL_TIMEOUT_S = 0.9  # seconds from a call's coming in to its answer; callers wait for one
-NO_LEADER_TIMEOUT_S = 0.7  # seconds without any leader after which a call is turned away
+CALL_TIMEOUT_S = 0.9  # from a call's arrival to its response; callers wait for 1 s
+NO_LEADER_TIMEOUT_S = 0.7  # without any leader, after which a call is rejected
 MIN_WAIT_S = 0.001
 REQUEST_ID_BITS = 62  # of the first id; later ones count up from it
-RETRY_BACKOFF_S = 0.03  # seconds before a leader that did not take a call is asked again
+RETRY_BACKOFF_S = 0.03  # before a leader that did not accept a call is asked again
 
 Answer = TypeVar("Answer")
 
 
-class CommandNotAcceptedError(ConsensusError):
-    """The member that was asked did not take the call: it is not the leader, or can't be reached."""
-
-    error_name = "NotTaken"
-    code = "CONSENSUS_NOT_TAKEN"
-    remedy = "ask the leader"
-
-
 class CommandForwarder:
-    """Passes commands and reads to the leader, and answers those that other members pass on."""
+    """Forwards commands and reads to the leader, and serves those that other members forward."""
 
     def __init__(self, driver: RaftDriver, links: PeerLinks) -> None:
-        self._driver, self._links = driver, links
+        self._driver = driver
+        self._links = links
         self._loop = asyncio.get_running_loop()
-        # Begun elsewhere in each process: answers to an earlier process are none of this one's.
+        # Random first id: responses to an earlier process of this address match no request of this one.
         self._last_id = secrets.randbits(REQUEST_ID_BITS)
         self._proposals: dict[int, asyncio.Future[CommandOutcome]] = {}
         self._reads: dict[int, asyncio.Future[int]] = {}
@@ -61,57 +58,57 @@
     # ------------------------------------------------------------ for callers
 
     async def submit(self, command: Command, since: float) -> CommandOutcome:
-        """Have a command applied; `since` is the steady time at which the call came in.
+        """Have a command applied; `since` is when the call arrived, by the monotonic clock.
 
-        Raises NothingProposedError, or OutcomeUnknownError where it may yet be applied.
+        Raises NothingProposedError, or OutcomeUnknownError if it may still be applied.
         """
-        attempts = _Attempts(since)
-        while attempts.go_on(self._driver.leader_id):
+        deadline = _CallDeadline(since)
+        while deadline.allows_attempt(self._driver.leader_id):
             attempt = self._propose_to_leader(command)
             if attempt is None:
-                await self._leadership_change(attempts.left_without_leader())
+                await self._leadership_change(deadline.left_without_leader())
                 continue
             try:
-                outcome = await self._until_change(attempt, attempts.left())
+                outcome = await self._until_change(attempt, deadline.left())
             except CommandNotAcceptedError:
-                await self._leadership_change(min(RETRY_BACKOFF_S, attempts.left()))
+                await self._leadership_change(min(RETRY_BACKOFF_S, deadline.left()))
                 continue
             except ConsensusError:  # lost with its leader's term
-                attempts.proposed = True
+                deadline.outcome_unknown = True
                 continue
             if outcome is not None:
                 return outcome
-            attempts.proposed = True
-        if attempts.proposed:
+            deadline.outcome_unknown = True
+        if deadline.outcome_unknown:
             raise OutcomeUnknownError("the leader did not answer in time")
         raise NothingProposedError("no leader was found in time")
 
     async def read_barrier(self, since: float) -> None:
-        """Wait until this member's state is as new as the moment of the call; raises NothingProposedError."""
-        attempts = _Attempts(since)
-        while attempts.go_on(self._driver.leader_id):
+        """Wait until this member's state is as new as the call; raises NothingProposedError."""
+        deadline = _CallDeadline(since)
+        while deadline.allows_attempt(self._driver.leader_id):
             attempt = self._read_at_leader()
             if attempt is None:
-                await self._leadership_change(attempts.left_without_leader())
+                await self._leadership_change(deadline.left_without_leader())
                 continue
             try:
-                index = await self._until_change(attempt, attempts.left())
+                index = await self._until_change(attempt, deadline.left())
             except ConsensusError:
-                await self._leadership_change(min(RETRY_BACKOFF_S, attempts.left()))
+                await self._leadership_change(min(RETRY_BACKOFF_S, deadline.left()))
                 continue
-            if index is not None and await self._applied(index, attempts.left()):
+            if index is not None and await self._applied(index, deadline.left()):
                 return
         raise NothingProposedError("no leader confirmed the read in time")
 
     # ------------------------------------------------------------ from other members
 
     def propose(self, sender: int, request: ProposeRequest) -> None:
-        """A member passes on a command: propose it here, and answer once it is applied."""
+        """Another member forwards a command: propose it, and answer once it is applied."""
         answer = self._driver.propose(request.command.SerializeToString())
         answer.add_done_callback(lambda done: self._answer_proposal(sender, request.id, done))
 
     def propose_response(self, response: ProposeResponse) -> None:
-        """The leader's answer to a command that was passed on."""
+        """The leader's response to a forwarded command."""
         answer = self._proposals.pop(response.id, None)
         if answer is None or answer.done():
             return
@@ -123,12 +120,12 @@
             answer.set_exception(ProposalLostError("lost with the leader's term", step="propose"))
 
     def read_index(self, sender: int, request: ReadIndexRequest) -> None:
-        """A member asks for a read index."""
+        """Another member requests a read index."""
         answer = self._driver.read_index()
         answer.add_done_callback(lambda done: self._answer_read(sender, request.id, done))
 
     def read_index_response(self, response: ReadIndexResponse) -> None:
-        """The leader's answer to a read."""
+        """The leader's response to a read."""
         answer = self._reads.pop(response.id, None)
         if answer is None or answer.done():
             return
@@ -161,12 +158,12 @@
     # ------------------------------------------------------------ attempts
 
     def _propose_to_leader(self, command: Command) -> asyncio.Future[CommandOutcome] | None:
-        """One attempt at the leader that is known; None without one."""
+        """One attempt at the known leader; None without one."""
         leader = self._driver.leader_id
         if leader is None:
             return None
         if leader == self._links.own.id:
-            return _not_taken_as_such(self._driver.propose(command.SerializeToString()))
+            return _with_refusal_as_not_accepted(self._driver.propose(command.SerializeToString()))
         request_id = self._next_id()
         frame = PeerFrame(propose=ProposeRequest(id=request_id, command=command))
         return self._ask(leader, frame, request_id, self._proposals)
@@ -184,7 +181,7 @@
     def _ask(
         self, leader: int, frame: PeerFrame, request_id: int, waiting: dict[int, asyncio.Future[Answer]]
     ) -> asyncio.Future[Answer]:
-        """Send a request to the leader; its answer's future, forgotten once it is over."""
+        """Send a request to the leader; the future of its response, dropped once it is done."""
         answer: asyncio.Future[Answer] = self._loop.create_future()
         if not self._links.send(leader, frame):
             answer.set_exception(
@@ -200,7 +197,7 @@
         return self._last_id
 
     async def _until_change(self, attempt: asyncio.Future[Answer], timeout: float) -> Answer | None:
-        """An attempt's answer; None where another leader or the end of the time came first."""
+        """An attempt's response; None if a change of leadership or the time-out came first."""
         change = self._driver.leadership_changes.next()
         try:
             await asyncio.wait((attempt, change), timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
@@ -219,7 +216,7 @@
             change.cancel()
 
     async def _applied(self, index: int, timeout: float) -> bool:
-        """Wait until an index is applied here; False where the time ends before."""
+        """Wait until an index is applied here; False on a time-out."""
         answer = self._driver.wait_applied(index)
         await asyncio.wait((answer,), timeout=timeout)
         if not answer.done():
@@ -228,25 +225,25 @@
         return True
 
 
-class _Attempts:
-    """How long a call's attempts may go on."""
+class _CallDeadline:
+    """How long a call may be retried."""
 
     def __init__(self, since: float) -> None:
         self._deadline = since + CALL_TIMEOUT_S
         self._without_leader_until = since + NO_LEADER_TIMEOUT_S
-        self.proposed = False  # what became of it is not known
+        self.outcome_unknown = False  # an attempt may have been accepted
         self._first = True
 
     def left(self) -> float:
-        """Seconds until the call has to be answered."""
+        """Seconds until the response is due."""
         return max(MIN_WAIT_S, self._deadline - time.monotonic())
 
     def left_without_leader(self) -> float:
-        """Seconds that may be spent on waiting for a leader."""
-        end = self._deadline if self.proposed else self._without_leader_until
+        """Seconds that may be spent waiting for a leader."""
+        end = self._deadline if self.outcome_unknown else self._without_leader_until
         return max(MIN_WAIT_S, end - time.monotonic())
 
-    def go_on(self, leader: int | None) -> bool:
+    def allows_attempt(self, leader: int | None) -> bool:
         """Whether there is time for one more attempt."""
         now = time.monotonic()
         first, self._first = self._first, False
@@ -254,24 +251,24 @@
             return True
         if now >= self._deadline:
             return False
-        return leader is not None or self.proposed or now < self._without_leader_until
+        return leader is not None or self.outcome_unknown or now < self._without_leader_until
 
 
 def _status_of(error: BaseException) -> ProposeStatus:
-    """What to tell of a proposal that failed."""
+    """The status to report of a proposal that failed."""
     if isinstance(error, ProposalLostError):
         return UNKNOWN
-    return NOT_LEADER  # refused by the core: nothing was proposed
+    return NOT_LEADER  # rejected by the core: nothing was proposed
 
 
-def _not_taken_as_such(answer: asyncio.Future[CommandOutcome]) -> asyncio.Future[CommandOutcome]:
-    """A proposal's future that tells a refusal of this member's core as `CommandNotAcceptedError`."""
+def _with_refusal_as_not_accepted(answer: asyncio.Future[CommandOutcome]) -> asyncio.Future[CommandOutcome]:
+    """A proposal's future on which a refusal by this member's core is a `CommandNotAcceptedError`."""
     translated: asyncio.Future[CommandOutcome] = answer.get_loop().create_future()
 
     def done(original: asyncio.Future[CommandOutcome]) -> None:
         if original.cancelled():
             return
-        error = original.exception()  # also where nobody waits any more: it counts as seen
+        error = original.exception()  # retrieved also if nobody waits any more
         if translated.done():
             return
         if error is None:
--- a/mallowbeam/router/control_plane/feed_server.py
+++ b/mallowbeam/router/control_plane/feed_server.py
@@ -1,4 +1,4 @@
-"""The feeds of gateways that follow this member: connections, and the frames that go out on them."""
+"""Serves the feeds of gateways that follow this member: subscriptions, and the frames sent on them."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from mallowbeam.router.rpc.connection import FrameConnection
 from mallowbeam.router.rpc.messages_pb2 import GatewayFrame
 
-BUSY_BYTES = 256 * 1024  # unsent on a feed, beyond which nothing is added until it has drained
-MOST_FEEDS = 1024  # gateways that one member takes; others go to another member
+MAX_UNSENT_BYTES = 256 * 1024  # on a feed, beyond which nothing is added until it has drained
+MAX_FEEDS = 1024  # gateways that one member serves; others go to another member
 
 
 class FeedServer:
@@ -28,24 +28,27 @@
     ) -> None:
         """`subscribed` is called when a gateway waits for its first frame.
 
-        `demand` and `attempts` hear what gateways tell of themselves.
+        `demand` and `attempts` record the reports of gateways.
         """
-        self._publisher, self._status, self._subscribed = publisher, status, subscribed
-        self._demand, self._attempts = demand, attempts
+        self._publisher = publisher
+        self._status = status
+        self._subscribed = subscribed
+        self._demand = demand
+        self._attempts = attempts
         self._connections: dict[int, FrameConnection] = {}
         self._subscribers: dict[FrameConnection, int] = {}
         self._last_subscriber = 0
 
     def __len__(self) -> int:
-        """How many gateways are subscribed."""
+        """Number of subscribed gateways."""
         return len(self._connections)
 
     def gateway_frame(self, connection: FrameConnection, frame: GatewayFrame) -> None:
-        """A frame of a gateway; its hello subscribes it, and subscribes it anew where it says it again."""
+        """A frame of a gateway; a hello subscribes it, a further one subscribes it anew."""
         if not frame.HasField("hello"):
-            self._told(connection, frame)
+            self._record_report(connection, frame)
             return
-        if len(self._connections) >= MOST_FEEDS and connection not in self._subscribers:
+        if len(self._connections) >= MAX_FEEDS and connection not in self._subscribers:
             connection.abort()
             return
         self.gateway_closed(connection)
@@ -56,8 +59,8 @@
         self._publisher.subscribe(subscriber, frame.hello, time.monotonic())
         self._subscribed()
 
-    def _told(self, connection: FrameConnection, frame: GatewayFrame) -> None:
-        """A gateway's word of itself; of one that has not subscribed, nothing is taken."""
+    def _record_report(self, connection: FrameConnection, frame: GatewayFrame) -> None:
+        """Record a gateway's demand and attempts; those of one that has not subscribed are ignored."""
         subscriber = self._subscribers.get(connection)
         if subscriber is None:
             return
@@ -68,7 +71,7 @@
             self._attempts.told(subscriber, frame.attempts, now)
 
     def gateway_closed(self, connection: FrameConnection) -> None:
-        """A connection is over; perhaps it was none of a gateway."""
+        """A connection is over, perhaps a gateway's."""
         subscriber = self._subscribers.pop(connection, None)
         if subscriber is not None:
             del self._connections[subscriber]
@@ -77,15 +80,15 @@
             self._attempts.forget(subscriber)
 
     def frames_at(self) -> float:
-        """When `send` is due at the latest, by the steady clock."""
+        """When `send` is due at the latest, by the monotonic clock."""
         return self._publisher.frames_at()
 
     def send(self) -> None:
-        """Send what is due to each gateway."""
+        """Send each gateway the frames that are due."""
         busy = [
             subscriber
             for subscriber, connection in self._connections.items()
-            if connection.unsent > BUSY_BYTES
+            if connection.unsent > MAX_UNSENT_BYTES
         ]
         for batch in self._publisher.frames(time.monotonic(), self._status(), busy):
             for subscriber in batch.subscribers:
--- a/mallowbeam/router/control_plane/frame_dispatcher.py
+++ b/mallowbeam/router/control_plane/frame_dispatcher.py
@@ -1,4 +1,4 @@
-"""The listener that members and gateways connect to, and what becomes of each frame that comes in."""
+"""Dispatches frames of the link listener, to which members and gateways connect, to their handlers."""
 
 from __future__ import annotations
 
@@ -31,28 +31,28 @@
 
 
 class PeerHandler(Protocol):
-    """Takes what other members send. `sender` is a member's id."""
+    """Handles frames of other members; `sender` is a member's id."""
 
     def raft(self, sender: int, message: RaftMessage) -> None:
         """A message of consensus."""
 
     def registry(self, sender: int, gossip: RegistryGossip) -> None:
-        """News of instances."""
+        """Heartbeats, demand and attempts that came in at another member."""
 
     def join(self, connection: FrameConnection, request: JoinRequest) -> None:
-        """A process asks to become a member; the answer goes back on its connection."""
+        """A process asks to become a member; the response is sent on its connection."""
 
     def leave(self, sender: int, request: LeaveRequest) -> None:
-        """A member that stops asks the leader to give its place away."""
+        """A member that stops asks the leader to replace it."""
 
     def leave_response(self, response: LeaveResponse) -> None:
-        """What the leader said to that."""
+        """The leader's answer to this member's request to leave."""
 
     def propose(self, sender: int, request: ProposeRequest) -> None:
         """A command for the leader."""
 
     def propose_response(self, response: ProposeResponse) -> None:
-        """What became of a command that was passed to the leader."""
+        """The outcome of a command that was forwarded to the leader."""
 
     def read_index(self, sender: int, request: ReadIndexRequest) -> None:
         """A read for the leader to confirm."""
@@ -60,15 +60,15 @@
     def read_index_response(self, response: ReadIndexResponse) -> None:
         """What the leader said to a read."""
 
-    def mistaken(self, caller: Member) -> None:
-        """A member means an earlier identity at this address."""
+    def wrong_recipient(self, caller: Member) -> None:
+        """A member called an earlier identity of this address."""
 
     def link_lost(self) -> None:
         """Another member's connection to this one has ended."""
 
 
 class FeedHandler(Protocol):
-    """Takes what gateways send."""
+    """Handles frames of gateways."""
 
     def gateway_frame(self, connection: FrameConnection, frame: GatewayFrame) -> None:
         """A frame of a gateway; the first one subscribes it."""
@@ -78,10 +78,12 @@
 
 
 class FrameDispatcher:
-    """Tells frames of members from those of gateways and hands each to its handler."""
+    """Passes each frame to the handler of its kind."""
 
     def __init__(self, links: PeerLinks, peers: PeerHandler, feeds: FeedHandler) -> None:
-        self._links, self._peers, self._feeds = links, peers, feeds
+        self._links = links
+        self._peers = peers
+        self._feeds = feeds
         self._peer_calls: dict[str, Callable[[FrameConnection, PeerFrame], None]] = {
             "raft": lambda _, frame: peers.raft(frame.sender, frame.raft),
             "registry": lambda _, frame: peers.registry(frame.sender, frame.registry),
@@ -95,7 +97,7 @@
         }
 
     def received(self, connection: FrameConnection, body: bytes) -> None:
-        """One frame; what can't be read ends the connection."""
+        """Dispatch one frame; an unreadable one closes the connection."""
         try:
             frame = LinkFrame.FromString(body)
         except DecodeError:
@@ -115,18 +117,18 @@
         self._feeds.gateway_closed(connection)
 
     def _peer_frame(self, connection: FrameConnection, frame: PeerFrame) -> None:
-        """Hand on a frame of a member, unless it is meant for another identity at this address."""
+        """Dispatch a frame of a member, unless its recipient is another identity of this address."""
         own = self._links.own.id
         if frame.sender == own:
             return
         if frame.recipient not in (0, own):
             if frame.HasField("sender_member"):
-                self._peers.mistaken(frame.sender_member)
+                self._peers.wrong_recipient(frame.sender_member)
             return
         kind = frame.WhichOneof("body")
         if frame.HasField("sender_member") and kind != "join":
             self._links.introduce(connection, frame.sender_member)
-        self._links.heard(frame.sender)
+        self._links.record_contact(frame.sender)
         call = self._peer_calls.get(kind or "")
         if call is not None:
             call(connection, frame)
--- a/mallowbeam/router/control_plane/instance_service.py
+++ b/mallowbeam/router/control_plane/instance_service.py
@@ -1,6 +1,6 @@
-"""Instances: their heartbeats and ends as callers bring them, what other members pass on, expiry.
+"""Instances: heartbeats and retirements from callers, gossip with the other members, expiry.
 
-What is soft is known here and passed on at once; only a retirement goes through the log before it is
+Heartbeats are soft state, recorded here and gossiped; only a retirement goes through the log before it is
 acknowledged.
 """
 
@@ -30,11 +30,11 @@
     RetirementKind,
 )
 
-OUT_OF_TOUCH = 1.0  # seconds unheard after which another member, or the group, is out of touch
+CONTACT_TIMEOUT_S = 1.0  # after which another member, or the group, counts as unreachable
 
 
 class InstanceService:
-    """Joins the table with the log and the other members."""
+    """Connects the instance table with the log and with the other members."""
 
     def __init__(
         self,
@@ -42,44 +42,49 @@
         retirements: Retirements,
         commands: CommandForwarder,
         links: PeerLinks,
-        changed: Callable[[], None],
-        gateways: Callable[[], int],
+        gateways_outdated: Callable[[], None],
+        count_gateways: Callable[[], int],
         gate: ResponseGate,
         random: Random,
     ) -> None:
-        """`changed` is called when gateways must learn of something.
+        """`gateways_outdated` is called when gateways must be sent a change.
 
-        `gateways` counts those that follow this member.
+        `count_gateways` counts those that follow this member.
         """
-        self._table, self._retirements, self._commands = table, retirements, commands
-        self._links, self._changed, self._random = links, changed, random
-        self._gateways, self._gate = gateways, gate
+        self._table = table
+        self._retirements = retirements
+        self._commands = commands
+        self._links = links
+        self._gateways_outdated = gateways_outdated
+        self._count_gateways = count_gateways
+        self._gate = gate
+        self._random = random
         self.census = GatewayCensus()
 
     # ------------------------------------------------------------ calls
 
     async def heartbeat(self, instance: Instance, since: float) -> None:
-        """Take a heartbeat; returns once it may be acknowledged, raises as `Commands.submit`.
+        """Record a heartbeat; returns once it may be acknowledged, raises as `CommandForwarder.submit`.
 
-        A member that is out of touch with the group takes it and raises `IsolatedMemberError`, so that the
+        A member without contact to the group records it and raises `IsolatedMemberError`, so that the
         instance turns to another member.
         """
         draining = instance.state == DRAINS
         before = self._table.version
         self._table.heard(instance, time.monotonic())
-        self._tell(before)
+        self._notify_if_changed(before)
         if draining:
             await self._retire(instance.id, DRAINING, since)
         else:
             self._gate.check(ResponseKind.HEARTBEAT_ACKNOWLEDGED)
 
     async def delete(self, id: str, since: float) -> None:
-        """An instance has ended; returns once that may be acknowledged, raises as `Commands.submit`."""
+        """Retire an instance; returns once that may be acknowledged, raises as `CommandForwarder.submit`."""
         self.retired(RetireInstance(id=id, kind=GONE), announce=True)
         await self._retire(id, GONE, since)
 
     async def _retire(self, id: str, kind: RetirementKind, since: float) -> None:
-        """Have the log hold a retirement, unless this member has applied it, or one that says more."""
+        """Commit a retirement, unless this member has applied it, or a stronger one."""
         if self._retirements.kind(id) in (kind, GONE):
             self._gate.check(ResponseKind.RETIREMENT_KNOWN)
             return
@@ -91,54 +96,61 @@
     # ------------------------------------------------------------ from the log and from other members
 
     def retired(self, retirement: RetireInstance, announce: bool = False) -> None:
-        """A retirement, from the log or, with `announce`, from a call."""
+        """Apply a retirement, from the log or, with `announce`, from a call."""
         before = self._table.version
         self._table.retire(retirement.id, retirement.kind, time.monotonic(), announce)
-        self._tell(before)
+        self._notify_if_changed(before)
 
-    def gossip(self, sender: int, gossip: RegistryGossip) -> None:
-        """What another member passes on."""
+    def receive_gossip(self, sender: int, gossip: RegistryGossip) -> None:
+        """Merge what another member knows of instances."""
         now = time.monotonic()
         self.census.heard(sender, gossip.gateways, now)
         if gossip.wants_whole:
-            self._links.send(sender, PeerFrame(registry=self._table.whole(now, self._gateways())))
+            self._links.send(sender, PeerFrame(registry=self._table.whole(now, self._count_gateways())))
         before = self._table.version
         self._table.merge(gossip, now)
-        self._tell(before)
+        self._notify_if_changed(before)
 
     # ------------------------------------------------------------ time
 
     def link_lost(self) -> None:
-        """Another member's connection ended: what was under way on it is asked for again."""
+        """Another member's connection ended: gossip in flight on it is requested again."""
         self._table.link_lost(time.monotonic())
 
-    def look(self, members: list[int]) -> None:
-        """Let time pass; to be called several times a second with the ids of the other members."""
+    def run_cycle(self, members: list[int]) -> None:
+        """Expire instances, and request what is missing; to be called several times a second.
+
+        `members` are the ids of the other members.
+        """
         now = time.monotonic()
-        if self._gate.silence() > OUT_OF_TOUCH:
+        if self._gate.staleness() > CONTACT_TIMEOUT_S:
             self._table.out_of_touch(now)
         before = self._table.version
         self._table.expire(now)
-        self._tell(before)
-        missing = [member for member in members if (self._links.silence(member) or 0.0) > OUT_OF_TOUCH]
+        self._notify_if_changed(before)
+        missing = [
+            member
+            for member in members
+            if (self._links.seconds_since_contact(member) or 0.0) > CONTACT_TIMEOUT_S
+        ]
         reachable = [member for member in members if member not in missing]
         if reachable and self._table.ask_whole(now, links_missing=bool(missing)):
-            asked = self._random.choice(reachable)
-            question = RegistryGossip(wants_whole=True, gateways=self._gateways())
-            self._links.send(asked, PeerFrame(registry=question))
+            peer = self._random.choice(reachable)
+            request = RegistryGossip(wants_whole=True, gateways=self._count_gateways())
+            self._links.send(peer, PeerFrame(registry=request))
 
     def gossip_at(self) -> float:
-        """When `pass_on` is due, by the steady clock."""
+        """When `send_gossip` is due, by the monotonic clock."""
         return self._table.gossip_at()
 
-    def pass_on(self, stages: StageController, attempts: AttemptReports) -> None:
-        """Tell the other members what came in here since the last time, and what the gateways say."""
+    def send_gossip(self, stages: StageController, attempts: AttemptReports) -> None:
+        """Send the other members what arrived here since the last time, with the gateways' reports."""
         now = time.monotonic()
-        batch = self._table.gossip(now, self._gateways())
-        stages.tell(batch, now)
-        attempts.tell(batch, now)
+        batch = self._table.gossip(now, self._count_gateways())
+        stages.add_to_gossip(batch, now)
+        attempts.add_to_gossip(batch, now)
         self._links.send_to_group(lambda: PeerFrame(registry=batch))
 
-    def _tell(self, version_before: int) -> None:
+    def _notify_if_changed(self, version_before: int) -> None:
         if self._table.version != version_before or self._table.urgent:
-            self._changed()
+            self._gateways_outdated()
--- a/mallowbeam/router/control_plane/membership_policy.py
+++ b/mallowbeam/router/control_plane/membership_policy.py
@@ -1,10 +1,10 @@
-"""Decides how the leader changes the group: who joins, who votes, whose place is given away, who is dropped.
+"""Membership decisions of the leader: who joins, who votes, who replaces whom, who is removed.
 
 A pure core: it is given the membership, what the leader knows of each member and who asks to join or leave,
-and returns the next membership or None. A learner that has caught up is promoted where a place is free; else
-it stands by, and takes the place of a voter that has lost its disk, is silent or asks to leave, in one joint
-change: no voter is ever without a place, and no place is emptied. The host proposes a change and asks again
-once it is committed. Only a leader asks.
+and returns the next membership or None. A learner that has caught up is promoted where there are fewer voters
+than the target; otherwise it stands by as a successor, and replaces a voter that has lost its disk, is
+unreachable or asks to leave, in one joint change: the number of voters never falls. The host proposes a
+change and asks again once it is committed. Only a leader asks. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from mallowbeam.router.rpc.messages_pb2 import JoinRequest, Member, Membership
 
 CAUGHT_UP_ENTRIES = 8  # a learner this close to the commit index may be promoted
-RECENT_CONTACT_S = 0.5  # seconds; a learner must have been heard within them to be promoted
-VOTER_TIMEOUT_S = 1.5  # seconds unheard after which a caught-up learner takes a voter's place
-SURPLUS_VOTER_TIMEOUT_S = 2.0  # seconds unheard after which a voter beyond the target is removed
-LEARNER_TIMEOUT_S = 30.0  # seconds unheard after which a learner is dropped; it may join again
+RECENT_CONTACT_S = 0.5  # a learner must have been in contact within it to be promoted
+VOTER_TIMEOUT_S = 1.5  # without contact, after which a caught-up learner replaces a voter
+SURPLUS_VOTER_TIMEOUT_S = 2.0  # without contact, after which a voter beyond the target is removed
+LEARNER_TIMEOUT_S = 30.0  # without contact, after which a learner is removed; it may join again
 MAX_MEMBERS = 31  # further ones are not accepted
 
 
 class LeaveOutcome(Enum):
-    """What becomes of a member that asks to leave."""
+    """What has become of a member's request to leave."""
 
-    DEMOTED = "given"  # it does not vote
-    PENDING = "waits"  # its place is being given away
-    NO_SUCCESSOR = "nobody"  # it votes, and no learner stands by
+    DEMOTED = "demoted"  # it does not vote
+    PENDING = "pending"  # a successor is being promoted
+    NO_SUCCESSOR = "no successor"  # it votes, and no learner can replace it
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
     """What the leader knows of another member."""
 
     match_index: int  # last log index known to be durable there
-    silence: float  # seconds since it was heard, or since this leader's term began
+    seconds_since_contact: float  # or since this leader's term began
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,17 +50,17 @@
     progress: Mapping[int, PeerProgress]
     leaving: frozenset[int] = frozenset()  # members that have asked to leave
 
-    def silence(self, member: int) -> float:
-        """Seconds since a member was heard; the leader itself is never silent."""
+    def seconds_since_contact(self, member: int) -> float:
+        """Seconds since a member's last message; 0 for the leader itself and for members without a record."""
         if member == self.leader:
             return 0.0
         known = self.progress.get(member)
-        return known.silence if known is not None else 0.0
+        return known.seconds_since_contact if known is not None else 0.0
 
     def caught_up(self, member: int) -> bool:
-        """Whether a learner has nearly all that is committed and answers."""
+        """Whether a learner is in contact and stores nearly all committed entries."""
         known = self.progress.get(member)
-        if known is None or known.silence > RECENT_CONTACT_S:
+        if known is None or known.seconds_since_contact > RECENT_CONTACT_S:
             return False
         return known.match_index + CAUGHT_UP_ENTRIES >= self.commit_index
 
@@ -81,28 +81,28 @@
             learner
             for learner in self.learners
             if learner.id not in self.leaving
-            and self.silence(learner.id) <= RECENT_CONTACT_S
+            and self.seconds_since_contact(learner.id) <= RECENT_CONTACT_S
             and not self._superseded(learner)
         ]
 
     @property
     def caught_up_successors(self) -> list[Member]:
-        """Successors that have caught up."""
+        """Successors that can be promoted now."""
         return [learner for learner in self.successors if self.caught_up(learner.id)]
 
     @property
-    def dropped(self) -> set[int]:
-        """Learners that are gone: unheard for long, or their disk was lost and its successor stands there."""
+    def removable_learners(self) -> set[int]:
+        """Ids of learners without contact for long, or whose address belongs to a newer identity."""
         return {
             learner.id
             for learner in self.learners
-            if self._superseded(learner) or self.silence(learner.id) > LEARNER_TIMEOUT_S
+            if self._superseded(learner) or self.seconds_since_contact(learner.id) > LEARNER_TIMEOUT_S
         }
 
     def _superseded(self, learner: Member) -> bool:
-        """Whether a member that joined later stands at a learner's address."""
-        same = [member.id for member in self.membership.members if member.address == learner.address]
-        return same[-1] != learner.id
+        """Whether a member that joined later has the learner's address: the learner's disk was lost."""
+        same_address = [member.id for member in self.membership.members if member.address == learner.address]
+        return same_address[-1] != learner.id
 
 
 def contains(membership: Membership, member: int) -> bool:
@@ -111,141 +111,148 @@
 
 
 def with_joiner(membership: Membership, request: JoinRequest) -> Membership | None:
-    """The membership with a new learner in it; None where it is in already or the group is full.
+    """The membership with a new learner; None if it is a member already or the group is full.
 
-    None too while a joint change is under way. Learners that stood at the same address are dropped: their
-    disk is gone. A voter there keeps its place until the new one has caught up. A joiner of the system's
-    first start adds a place, unless one at its address did.
+    None too while a joint change is in progress. Learners of the same address are removed: their disk is
+    lost. A voter of that address stays until the new member has caught up. A joiner of the system's first
+    start raises the target number of voters, unless its address was in the group.
     """
     joiner = request.member
     if not joiner.id or contains(membership, joiner.id) or membership.outgoing_voters:
         return None
-    kept = [known for known in membership.members if known.voter or known.address != joiner.address]
-    if len(kept) >= MAX_MEMBERS:
+    remaining = [known for known in membership.members if known.voter or known.address != joiner.address]
+    if len(remaining) >= MAX_MEMBERS:
         return None
     learner = Member()
     learner.CopyFrom(joiner)
     learner.voter = False
-    is_new_place = all(known.address != joiner.address for known in membership.members)
-    target = membership.target_voters + (1 if request.first_start and is_new_place else 0)
-    return Membership(members=[*kept, learner], target_voters=target)
+    is_new_address = all(known.address != joiner.address for known in membership.members)
+    target = membership.target_voters + (1 if request.first_start and is_new_address else 0)
+    return Membership(members=[*remaining, learner], target_voters=target)
 
 
-def next_membership(group: ClusterView) -> Membership | None:
-    """The change that is due now, or None."""
-    if group.membership.outgoing_voters:
+def next_membership(view: ClusterView) -> Membership | None:
+    """The change that is due now, or None; the first decision that applies, in a fixed order."""
+    if view.membership.outgoing_voters:
         return None
-    for change in (_promoted, _replaced, _shrunk, _without_dropped):
-        changed = change(group)
+    decisions = (_promote_learner, _replace_voters, _remove_surplus_voter, _remove_learners)
+    for decide in decisions:
+        changed = decide(view)
         if changed is not None:
             return changed
     return None
 
 
-def leaving(group: ClusterView, member: int) -> LeaveOutcome:
-    """What becomes of a member that asks to leave; the latest membership is committed."""
-    if group.membership.outgoing_voters:
+def leave_outcome(view: ClusterView, member: int) -> LeaveOutcome:
+    """What has become of a member's request to leave; requires that the latest membership is committed."""
+    if view.membership.outgoing_voters:
         return LeaveOutcome.PENDING
-    if member not in {voter.id for voter in group.voters}:
+    if member not in {voter.id for voter in view.voters}:
         return LeaveOutcome.DEMOTED
-    if group.successors or len(group.voters) > group.membership.target_voters:
+    if view.successors or len(view.voters) > view.membership.target_voters:
         return LeaveOutcome.PENDING
     return LeaveOutcome.NO_SUCCESSOR
 
 
-def _promoted(group: ClusterView) -> Membership | None:
-    """The group with one more voter, where a place is free; one at a voter's address is to replace that."""
-    if len(group.voters) >= group.membership.target_voters:
+def _promote_learner(view: ClusterView) -> Membership | None:
+    """One more voter, where there are fewer than the target."""
+    if len(view.voters) >= view.membership.target_voters:
         return None
-    free = _without_own_place(group)
-    return _with_voters(group, promoted={free[0].id}) if free else None
+    candidates = _unassigned_successors(view)
+    return _with_voters(view, promoted={candidates[0].id}) if candidates else None
 
 
-def _replaced(group: ClusterView) -> Membership | None:
-    """The joint membership in which all that stand by take the places that are to be given away."""
-    places = _places(group)
-    if not places:
+def _replace_voters(view: ClusterView) -> Membership | None:
+    """The joint membership that replaces every voter for which there is a successor."""
+    replacements = _replacements(view)
+    if not replacements:
         return None
-    changed = _with_voters(group, promoted=set(places.values()), demoted=set(places))
-    if not _most_live(group, changed):
+    changed = _with_voters(view, promoted=set(replacements.values()), demoted=set(replacements))
+    if not _has_live_majority(view, changed):
         return None
-    return joint_change(group.membership, changed)
-
-
-def _places(group: ClusterView) -> dict[int, int]:
-    """Whose place goes to which learner, by their ids: where a disk was lost, to the one at its address."""
-    successors = {learner.address: learner.id for learner in group.caught_up_successors}
-    places: dict[int, int] = {}
-    for voter in group.voters:
-        if voter.id != group.leader and voter.address in successors:
-            places[voter.id] = successors.pop(voter.address)
-    if len(group.voters) > group.membership.target_voters:
-        return places
-    free = _without_own_place(group)
-    for voter in _leaving_or_dead(group, VOTER_TIMEOUT_S):
-        if voter.id in places or not free:
+    return joint_change(view.membership, changed)
+
+
+def _replacements(view: ClusterView) -> dict[int, int]:
+    """Successors by the id of the voter that they replace.
+
+    A voter whose disk was lost is replaced by the new identity of its address; one that leaves or is
+    unreachable by any other successor, of its own zone if there is one.
+    """
+    successors = {learner.address: learner.id for learner in view.caught_up_successors}
+    replacements: dict[int, int] = {}
+    for voter in view.voters:
+        if voter.id != view.leader and voter.address in successors:
+            replacements[voter.id] = successors.pop(voter.address)
+    if len(view.voters) > view.membership.target_voters:
+        return replacements
+    candidates = _unassigned_successors(view)
+    for voter in _leaving_or_unreachable(view, VOTER_TIMEOUT_S):
+        if voter.id in replacements or not candidates:
             continue
-        successor = min(free, key=lambda learner: learner.zone != voter.zone)
-        free.remove(successor)
-        places[voter.id] = successor.id
-    return places
+        successor = min(candidates, key=lambda learner: learner.zone != voter.zone)
+        candidates.remove(successor)
+        replacements[voter.id] = successor.id
+    return replacements
 
 
-def _without_own_place(group: ClusterView) -> list[Member]:
-    """Those standing by that may take any place: no voter whose disk was lost is at their address."""
-    addresses = {voter.address for voter in group.voters if voter.id != group.leader}
-    return [learner for learner in group.caught_up_successors if learner.address not in addresses]
+def _unassigned_successors(view: ClusterView) -> list[Member]:
+    """Caught-up successors that may replace any voter: no voter has their address."""
+    addresses = {voter.address for voter in view.voters if voter.id != view.leader}
+    return [learner for learner in view.caught_up_successors if learner.address not in addresses]
 
 
-def _leaving_or_dead(group: ClusterView, least: float) -> list[Member]:
-    """Voters that ask to leave, then those unheard for more than `least` seconds, the most silent first."""
-    leaving_voters = [voter for voter in group.voters if voter.id in group.leaving]
-    silent = [
-        voter for voter in group.voters if voter.id not in group.leaving and group.silence(voter.id) > least
+def _leaving_or_unreachable(view: ClusterView, timeout_s: float) -> list[Member]:
+    """Voters that asked to leave, then those without contact for over `timeout_s`, the longest first."""
+    leaving = [voter for voter in view.voters if voter.id in view.leaving]
+    unreachable = [
+        voter
+        for voter in view.voters
+        if voter.id not in view.leaving and view.seconds_since_contact(voter.id) > timeout_s
     ]
-    return leaving_voters + sorted(silent, key=lambda voter: -group.silence(voter.id))
+    return leaving + sorted(unreachable, key=lambda voter: -view.seconds_since_contact(voter.id))
 
 
-def _shrunk(group: ClusterView) -> Membership | None:
-    """The group without a voter that it does not need: earlier programs held more voters than places."""
-    if len(group.voters) <= group.membership.target_voters:
+def _remove_surplus_voter(view: ClusterView) -> Membership | None:
+    """One voter less, where there are more than the target: groups of earlier versions may have such."""
+    if len(view.voters) <= view.membership.target_voters:
         return None
-    for voter in _leaving_or_dead(group, SURPLUS_VOTER_TIMEOUT_S):
-        if voter.id == group.leader:
+    for voter in _leaving_or_unreachable(view, SURPLUS_VOTER_TIMEOUT_S):
+        if voter.id == view.leader:
             continue
-        if voter.id in group.leaving:
-            changed = _with_voters(group, demoted={voter.id})
+        if voter.id in view.leaving:
+            changed = _with_voters(view, demoted={voter.id})
         else:
-            changed = _without(group.membership, {voter.id})
-        return changed if _most_live(group, changed) else None
+            changed = _without(view.membership, {voter.id})
+        return changed if _has_live_majority(view, changed) else None
     return None
 
 
-def _most_live(group: ClusterView, membership: Membership) -> bool:
-    """Whether enough of its voters live to commit anything."""
+def _has_live_majority(view: ClusterView, membership: Membership) -> bool:
+    """Whether enough of its voters are in contact to commit an entry."""
     voters = [known.id for known in membership.members if known.voter]
-    live = [voter for voter in voters if group.silence(voter) <= VOTER_TIMEOUT_S]
+    live = [voter for voter in voters if view.seconds_since_contact(voter) <= VOTER_TIMEOUT_S]
     return 2 * len(live) > len(voters)
 
 
-def _without_dropped(group: ClusterView) -> Membership | None:
-    """The group without learners that are gone; None where there are none."""
-    dropped = group.dropped
-    return _without(group.membership, dropped) if dropped else None
+def _remove_learners(view: ClusterView) -> Membership | None:
+    """The group without learners that are gone; None if there are none."""
+    removable = view.removable_learners
+    return _without(view.membership, removable) if removable else None
 
 
 def _with_voters(
-    group: ClusterView, promoted: Container[int] = (), demoted: Container[int] = ()
+    view: ClusterView, promoted: Container[int] = (), demoted: Container[int] = ()
 ) -> Membership:
-    """The membership with some members as voters and some as learners, in the same order."""
+    """The membership with some members promoted and some demoted, in the same order."""
     changed = Membership()
-    changed.CopyFrom(group.membership)
+    changed.CopyFrom(view.membership)
     for member in changed.members:
         member.voter = (member.voter or member.id in promoted) and member.id not in demoted
     return changed
 
 
-def _without(membership: Membership, dropped: Container[int]) -> Membership:
+def _without(membership: Membership, removed: Container[int]) -> Membership:
     """The membership without some members."""
-    kept = [known for known in membership.members if known.id not in dropped]
-    return Membership(members=kept, target_voters=membership.target_voters)
+    remaining = [known for known in membership.members if known.id not in removed]
+    return Membership(members=remaining, target_voters=membership.target_voters)
--- a/mallowbeam/router/control_plane/peer_links.py
+++ b/mallowbeam/router/control_plane/peer_links.py
@@ -1,8 +1,8 @@
-"""Links to the other members: one outgoing connection to each, redialled as long as the member is known.
+"""Links to the other members: one outgoing connection to each, reconnected as long as the member is known.
 
-A link carries frames one way; answers come back on the other member's own link. Frames are dropped, never
-queued without bound, where a link is down or its peer reads too slowly: consensus and gossip repeat
-themselves, and callers of commands are told by `send`'s return value.
+A link carries frames one way; responses arrive on the other member's own link. Frames are dropped, never
+queued without bound, while a link is down or its peer reads too slowly: consensus and gossip are repeated,
+and callers of commands learn it from the return value of `send`.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from mallowbeam.router.rpc.connection import FrameConnection, connect
 from mallowbeam.router.rpc.messages_pb2 import LinkFrame, Member, PeerFrame
 
-CONNECT_TIMEOUT = 0.5  # seconds
-FIRST_PAUSE = 0.05  # seconds before a link is dialled again; doubled with each failure up to
-LONGEST_PAUSE = 0.5
-MOST_UNSENT = 4 * 1024 * 1024  # bytes waiting on a link; what would come on top is dropped
-UNHEARD_RESET = 1.0  # seconds without hearing the peer after which a send dials anew
-SETTLING = 1.0  # seconds that a new connection is given before that
+CONNECT_TIMEOUT_S = 0.5
+MIN_BACKOFF_S = 0.05  # before a reconnection; doubled with each failure
+MAX_BACKOFF_S = 0.5
+MAX_UNSENT_BYTES = 4 * 1024 * 1024  # on a link; further frames are dropped
+CONTACT_TIMEOUT_S = 1.0  # without a frame of the peer, after which a send reconnects
+GRACE_PERIOD_S = 1.0  # of a new connection before that
 
 log = get_logger("mallowbeam.links")
 
@@ -30,26 +30,27 @@
     def __init__(
         self, own: Member, peer: Member, delivered: Callable[[FrameConnection, bytes], None]
     ) -> None:
-        self._own, self.peer = own, peer
+        self.peer = peer
+        self._own = own
         self._delivered = delivered
         self._loop = asyncio.get_running_loop()
         self._connection: FrameConnection | None = None
         self._opened_at = 0.0
-        self._pause = FIRST_PAUSE
+        self._backoff_s = MIN_BACKOFF_S
         self._closing = False
         self._introduced = False
-        self.heard_at = self._loop.time()  # when a frame of the peer last came in, by whatever connection
-        self._dialling: asyncio.Task[None] | None = self._loop.create_task(self._dial())
+        self.last_contact = self._loop.time()  # latest frame of the peer, on any connection
+        self._connecting: asyncio.Task[None] | None = self._loop.create_task(self._connect())
 
     def send(self, frame: PeerFrame) -> bool:
         """Send a frame; False where it was dropped."""
         connection = self._connection
         if connection is None or not connection.open:
             return False
-        if self._unheard():
+        if self._is_suspect():
             connection.abort()
             return False
-        if connection.unsent > MOST_UNSENT:
+        if connection.unsent > MAX_UNSENT_BYTES:
             return False
         if not self._introduced:
             frame.sender_member.CopyFrom(self._own)
@@ -62,56 +63,60 @@
         return self._connection is not None and self._connection.open
 
     @property
-    def silence(self) -> float:
-        """Seconds since the peer was heard, or since the link was made."""
-        return self._loop.time() - self.heard_at
+    def seconds_since_contact(self) -> float:
+        """Seconds since the latest frame of the peer, or since the link was made."""
+        return self._loop.time() - self.last_contact
 
     def close(self) -> None:
-        """Give the link up."""
+        """Close the link."""
         self._closing = True
-        if self._dialling is not None:
-            self._dialling.cancel()
+        if self._connecting is not None:
+            self._connecting.cancel()
         if self._connection is not None:
             self._connection.abort()
 
-    def _unheard(self) -> bool:
-        """Whether a connection that is open may still be dead: after a cut, TCP waits long to send again."""
+    def _is_suspect(self) -> bool:
+        """Whether an open connection may be dead: after a partition, TCP waits long to retransmit."""
         now = self._loop.time()
-        return now - self._opened_at > SETTLING and now - self.heard_at > UNHEARD_RESET
+        return now - self._opened_at > GRACE_PERIOD_S and now - self.last_contact > CONTACT_TIMEOUT_S
 
-    async def _dial(self) -> None:
-        """Connect, trying again after growing pauses."""
+    async def _connect(self) -> None:
+        """Connect, retrying with exponential backoff."""
         while not self._closing:
             try:
-                connection = await connect(self.peer.address, self._delivered, self._closed, CONNECT_TIMEOUT)
+                connection = await connect(
+                    self.peer.address, self._delivered, self._closed, CONNECT_TIMEOUT_S
+                )
             except OSError:
-                await asyncio.sleep(self._pause)
-                self._pause = min(2 * self._pause, LONGEST_PAUSE)
+                await asyncio.sleep(self._backoff_s)
+                self._backoff_s = min(2 * self._backoff_s, MAX_BACKOFF_S)
                 continue
             self._connection, self._opened_at = connection, self._loop.time()
-            self._introduced, self._dialling = False, None
+            self._introduced, self._connecting = False, None
             if not connection.open:  # closed in the step in which it was made
-                self._redial()
+                self._reconnect()
             return
 
     def _closed(self, connection: FrameConnection) -> None:
         if connection is self._connection:
             self._connection = None
-            self._redial()
+            self._reconnect()
 
-    def _redial(self) -> None:
-        if not self._closing and self._dialling is None:
-            self._dialling = self._loop.create_task(self._dial_again())
+    def _reconnect(self) -> None:
+        if not self._closing and self._connecting is None:
+            self._connecting = self._loop.create_task(self._connect_after_backoff())
 
-    async def _dial_again(self) -> None:
-        lived = self._loop.time() - self._opened_at
-        self._pause = FIRST_PAUSE if lived > LONGEST_PAUSE else min(2 * self._pause, LONGEST_PAUSE)
-        await asyncio.sleep(self._pause)
-        await self._dial()
+    async def _connect_after_backoff(self) -> None:
+        lifetime_s = self._loop.time() - self._opened_at
+        self._backoff_s = (
+            MIN_BACKOFF_S if lifetime_s > MAX_BACKOFF_S else min(2 * self._backoff_s, MAX_BACKOFF_S)
+        )
+        await asyncio.sleep(self._backoff_s)
+        await self._connect()
 
 
 class PeerLinks:
-    """The links to all members that are known, and what was last heard of each."""
+    """The links to all known members, and the latest contact with each."""
 
     def __init__(self, own: Member, delivered: Callable[[FrameConnection, bytes], None]) -> None:
         self.own = own
@@ -119,73 +124,73 @@
         self._loop = asyncio.get_running_loop()
         self._links: dict[int, PeerLink] = {}
         self._members: dict[int, Member] = {}  # of the group
-        self._introduced: dict[FrameConnection, Member] = {}  # whom an open incoming connection belongs to
+        self._introduced: dict[FrameConnection, Member] = {}  # owners of open incoming connections
 
     def set_members(self, members: Iterable[Member]) -> None:
-        """Keep links to these members, and to those that have a connection to this one."""
+        """Keep links to these members, and to those that are connected to this one."""
         self._members = {member.id: member for member in members if member.id != self.own.id}
-        self._arrange()
+        self._update_links()
 
     def introduce(self, connection: FrameConnection, member: Member) -> None:
-        """An incoming connection has said whose it is."""
+        """An incoming connection has identified its member."""
         if member.id == self.own.id:
             return
         self._introduced[connection] = member
-        self._arrange()
+        self._update_links()
 
     def forget(self, connection: FrameConnection) -> bool:
-        """An incoming connection is over; whether it was a member's."""
+        """An incoming connection is closed; whether it was a member's."""
         if self._introduced.pop(connection, None) is None:
             return False
-        self._arrange()
+        self._update_links()
         return True
 
-    def heard(self, member: int) -> None:
-        """A frame came from a member."""
+    def record_contact(self, member: int) -> None:
+        """A frame of a member has arrived."""
         link = self._links.get(member)
         if link is not None:
-            link.heard_at = self._loop.time()
+            link.last_contact = self._loop.time()
 
     def send(self, recipient: int, frame: PeerFrame) -> bool:
         """Send a frame to a member; False where it was dropped."""
         link = self._links.get(recipient)
         if link is None:
             return False
-        self._note_bytes(recipient, link)
+        self._count_partial_frames(recipient, link)
         frame.sender, frame.recipient = self.own.id, recipient
         return link.send(frame)
 
-    def _note_bytes(self, member_id: int, link: PeerLink) -> None:
-        """A frame that is coming in is a sign of its sender, though it may take long on a slow link."""
+    def _count_partial_frames(self, member_id: int, link: PeerLink) -> None:
+        """A partly received frame is contact with its sender: on a slow link it may take long."""
         for connection, member in self._introduced.items():
             if member.id == member_id:
-                link.heard_at = max(link.heard_at, connection.last_received)
+                link.last_contact = max(link.last_contact, connection.last_received)
 
     def send_to_group(self, make: Callable[[], PeerFrame]) -> None:
         """Send a frame to each other member of the group."""
         for member in self._members:
             self.send(member, make())
 
-    def silence(self, member: int) -> float | None:
-        """Seconds since a member was heard; None for one without a link."""
+    def seconds_since_contact(self, member: int) -> float | None:
+        """Seconds since the latest frame of a member; None for one without a link."""
         link = self._links.get(member)
-        return link.silence if link is not None else None
+        return link.seconds_since_contact if link is not None else None
 
     def zone(self, member: Member) -> str:
-        """A member's zone: as it says itself, else as the membership has it."""
+        """A member's zone: as it states itself, else as in the membership."""
         for known in self._introduced.values():
             if known.id == member.id and known.zone:
                 return known.zone
         return member.zone
 
     def close(self) -> None:
-        """Give all links up."""
+        """Close all links."""
         for link in self._links.values():
             link.close()
         self._links.clear()
 
-    def _arrange(self) -> None:
-        """Open the links that are missing and close those that are no longer needed."""
+    def _update_links(self) -> None:
+        """Open missing links and close those that are no longer needed."""
         wanted = {member.id: member for member in self._introduced.values()}
         wanted.update(self._members)
         for unwanted in [known for known in self._links if known not in wanted]:
--- a/mallowbeam/router/control_plane/raft_driver.py
+++ b/mallowbeam/router/control_plane/raft_driver.py
@@ -1,6 +1,6 @@
-"""Drives this member's Raft node: the one place that hands it input and does what its output says.
+"""Drives this member's Raft node: the only module that gives it input and carries out its output.
 
-Input is queued and worked through in one step of the event loop, so that what came together leaves together.
+Input is queued and processed in one step of the event loop, so that what arrived together is sent together.
 """
 
 from __future__ import annotations
@@ -17,67 +17,74 @@
 from mallowbeam.router.consensus.errors import ConsensusError, DivergedError
 from mallowbeam.router.consensus.interface import Output, Proposal, ReadResult, Send, Write
 from mallowbeam.router.consensus.node import RaftNode, Role
+from mallowbeam.router.control_plane.pending_proposals import PendingProposals
+from mallowbeam.router.control_plane.proposal_errors import ReadNotConfirmedError
 from mallowbeam.router.control_plane.state_machine import CommandOutcome, ReplicatedStateMachine
-from mallowbeam.router.control_plane.wait_conditions import (
-    AppliedIndexWaiters,
-    ChangeNotifier,
-    PendingProposals,
-    ReadNotConfirmedError,
-)
+from mallowbeam.router.control_plane.wait_conditions import AppliedIndexWaiters, ChangeNotifier
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.rpc.messages_pb2 import COMMAND, DONE, Entry, Membership, RaftMessage, Snapshot
 
-COMPACT_ENTRIES = 2000  # applied since the last snapshot after which the next one is taken
-COMPACT_BYTES = 4 * 1024 * 1024  # likewise, of payloads
-TIMER_GRAIN = 0.001  # seconds; the loop's timers may fire this much early
+COMPACT_ENTRIES = 2000  # applied since the last snapshot, after which the next one is made
+COMPACT_BYTES = 4 * 1024 * 1024  # the same, of payloads
+TIMER_GRANULARITY_S = 0.001  # seconds; the loop's timers may fire this much early
 
 log = get_logger("mallowbeam.raft")
 
 
 class DriverListener(Protocol):
-    """What the rest of the member is told of."""
+    """Events of consensus that other parts of the member react to."""
 
-    def applied(self) -> None:
+    def entries_applied(self) -> None:
         """Entries were applied, or a snapshot was installed."""
 
     def membership_changed(self, membership: Membership) -> None:
         """Another membership is in force."""
 
     def store_unusable(self, error: MallowbeamError) -> None:
-        """What this member has on disk contradicts the group: it must end, and come back as a new one."""
+        """This member's store contradicts the group: it must stop, and rejoin as a new member."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Receive:
+    """A message of another member."""
+
     sender: int
     message: RaftMessage
 
 
 @dataclass(frozen=True, slots=True)
 class _Propose:
+    """A command to propose."""
+
     payload: bytes
     answer: asyncio.Future[CommandOutcome]
 
 
 @dataclass(frozen=True, slots=True)
 class _Change:
+    """A membership to propose."""
+
     membership: Membership
     answer: asyncio.Future[CommandOutcome]
 
 
 @dataclass(frozen=True, slots=True)
 class _Read:
+    """A read to confirm."""
+
     answer: asyncio.Future[int]
 
 
 @dataclass(frozen=True, slots=True)
 class _Written:
+    """Writes up to a ticket are durable."""
+
     ticket: int
 
 
 @dataclass(frozen=True, slots=True)
 class _Transfer:
-    pass
+    """A request to transfer leadership."""
 
 
 _Event = _Receive | _Propose | _Change | _Read | _Written | _Transfer
@@ -94,9 +101,12 @@
         send: Callable[[int, RaftMessage], None],
         listener: DriverListener,
     ) -> None:
-        """`submit` hands a write to storage, which calls `durable`; `send` sends to a member."""
-        self._node, self._machine = node, machine
-        self._submit, self._send, self._listener = submit, send, listener
+        """`submit` queues a write in storage, which calls `durable`; `send` sends to a member by its id."""
+        self._node = node
+        self._machine = machine
+        self._submit = submit
+        self._send = send
+        self._listener = listener
         self._loop = asyncio.get_running_loop()
         self._events: deque[_Event] = deque()
         self._scheduled = False
@@ -106,17 +116,18 @@
         self._last_read = 0
         self._proposals = PendingProposals()
         self._applied = AppliedIndexWaiters()
-        self._seen_leadership: tuple[int, int | None, Role] = (node.term, node.leader_id, node.role)
-        self._seen_membership = node.membership
-        self._uncompacted_entries = self._uncompacted_bytes = 0
+        self._announced_leadership: tuple[int, int | None, Role] = (node.term, node.leader_id, node.role)
+        self._announced_membership = node.membership
+        self._uncompacted_entries = 0
+        self._uncompacted_bytes = 0
         self.applied_index = node.commit_index
         self.leadership_changes = ChangeNotifier()
 
-    # ------------------------------------------------------------ what others may look at
+    # ------------------------------------------------------------ state for other parts
 
     @property
     def node(self) -> RaftNode:
-        """The node, to be looked at only."""
+        """The node, for reading only."""
         return self._node
 
     @property
@@ -129,14 +140,14 @@
         """Whether this member leads."""
         return self._node.role is Role.LEADER
 
-    def silence(self) -> float:
-        """Seconds since this member's state was known to be current; infinite where it never was."""
+    def staleness(self) -> float:
+        """Seconds since this member's state was known to be current; infinite if it never was."""
         return self._node.freshness(time.monotonic())
 
     # ------------------------------------------------------------ input
 
     def start(self) -> None:
-        """Begin: the first timer is set."""
+        """Set the first timer."""
         self._wake()
 
     def receive(self, sender: int, message: RaftMessage) -> None:
@@ -144,7 +155,7 @@
         self._put(_Receive(sender, message))
 
     def propose(self, payload: bytes) -> asyncio.Future[CommandOutcome]:
-        """Propose a command; the future fails with a ConsensusError where it was not taken, or was lost."""
+        """Propose a command; the future fails with a ConsensusError if it is not accepted, or is lost."""
         answer: asyncio.Future[CommandOutcome] = self._loop.create_future()
         self._put(_Propose(payload, answer))
         return answer
@@ -166,17 +177,17 @@
         return self._applied.add(index, self.applied_index)
 
     def durable(self, writes: Sequence[Write]) -> None:
-        """Writes are durable: send what waited for them."""
+        """Writes are durable: send the messages that waited for them."""
         for write in writes:
             self._send_all(write.then_send)
         self._put(_Written(writes[-1].ticket))
 
     def transfer_leadership(self) -> None:
-        """Hand leadership to another voter, where this member leads."""
+        """Transfer leadership to another voter, if this member leads."""
         self._put(_Transfer())
 
     def stop(self) -> None:
-        """Do nothing more."""
+        """Process no further input."""
         self._scheduled = True
         if self._timer is not None:
             self._timer.cancel()
@@ -193,28 +204,28 @@
             self._loop.call_soon(self._step)
 
     def _step(self) -> None:
-        """Hand in all that has come, then do what the node says."""
+        """Give the node all queued input, then carry out its output."""
         self._scheduled = False
         now = time.monotonic()
         try:
             while self._events:
-                self._hand_in(self._events.popleft(), now)
+                self._process(self._events.popleft(), now)
             if now >= self._node.next_deadline():
                 self._node.tick(now)
-            self._act(self._node.output())
-            self._tell_changes()
+            self._carry_out(self._node.output())
+            self._announce_changes()
         except DivergedError as error:
             self.stop()
             self._listener.store_unusable(error)
             return
         except Exception:
-            # Guards the member: a fault with one message must not end its part in the group.
+            # A fault in handling one message must not stop the member.
             log.exception("a step failed unforeseen")
         if self._events:
             self._wake()
         self._set_timer(now)
 
-    def _hand_in(self, event: _Event, now: float) -> None:
+    def _process(self, event: _Event, now: float) -> None:
         node = self._node
         match event:
             case _Receive(sender, message):
@@ -248,8 +259,8 @@
         except ConsensusError as error:
             log.info("leadership stays here: %s", error)
 
-    def _act(self, output: Output) -> None:
-        """Do what the node says, in the order that its interface asks for."""
+    def _carry_out(self, output: Output) -> None:
+        """Carry out the node's output, in the order that its interface requires."""
         self._send_all(output.send)
         if output.write is not None:
             self._submit(output.write)
@@ -261,8 +272,8 @@
             self._answer_read(result)
         if output.install is not None or output.committed:
             self._applied.reached(self.applied_index)
-            self._listener.applied()
-            self._compact_where_due()
+            self._listener.entries_applied()
+            self._compact_if_due()
 
     def _send_all(self, sends: Sequence[Send]) -> None:
         for send in sends:
@@ -282,15 +293,17 @@
     def _install(self, snapshot: Snapshot) -> None:
         self._machine.restore(snapshot.state)
         self.applied_index = snapshot.index
-        self._uncompacted_entries = self._uncompacted_bytes = 0
-        self._proposals.passed_over(snapshot.index)
+        self._uncompacted_entries = 0
+        self._uncompacted_bytes = 0
+        self._proposals.replaced_by_snapshot(snapshot.index)
 
-    def _compact_where_due(self) -> None:
-        """Bound the log: a snapshot takes the place of what is applied."""
+    def _compact_if_due(self) -> None:
+        """Bound the log: a snapshot replaces the applied entries."""
         if self._uncompacted_entries < COMPACT_ENTRIES and self._uncompacted_bytes < COMPACT_BYTES:
             return
         self._node.compact(self.applied_index, self._machine.save())
-        self._uncompacted_entries = self._uncompacted_bytes = 0
+        self._uncompacted_entries = 0
+        self._uncompacted_bytes = 0
         self._wake()  # the snapshot is written with the next output
 
     def _answer_read(self, result: ReadResult) -> None:
@@ -304,21 +317,21 @@
 
     # ------------------------------------------------------------ after the step
 
-    def _tell_changes(self) -> None:
+    def _announce_changes(self) -> None:
         node = self._node
         leadership = (node.term, node.leader_id, node.role)
-        if leadership != self._seen_leadership:
-            if leadership[1:] != self._seen_leadership[1:]:
+        if leadership != self._announced_leadership:
+            if leadership[1:] != self._announced_leadership[1:]:
                 log.info("term %d: %s, leader %s", node.term, node.role.value, _name(node.leader_id))
-            self._seen_leadership = leadership
-            self.leadership_changes.tell()
+            self._announced_leadership = leadership
+            self.leadership_changes.notify()
         membership = node.membership
-        if membership is not self._seen_membership:
-            self._seen_membership = membership
+        if membership is not self._announced_membership:
+            self._announced_membership = membership
             self._listener.membership_changed(membership)
 
     def _set_timer(self, now: float) -> None:
-        """See to a step at the node's deadline; an earlier timer stays and is set again when it fires."""
+        """Set the timer for the node's deadline; an earlier timer stays and is set again when it fires."""
         deadline = self._node.next_deadline()
         if self._timer is not None and self._timer_at <= deadline:
             return
@@ -327,7 +340,9 @@
         self._timer = None
         self._timer_at = deadline
         if deadline < inf:
-            self._timer = self._loop.call_later(max(0.0, deadline - now) + TIMER_GRAIN, self._timer_fired)
+            self._timer = self._loop.call_later(
+                max(0.0, deadline - now) + TIMER_GRANULARITY_S, self._timer_fired
+            )
 
     def _timer_fired(self) -> None:
         self._timer, self._timer_at = None, inf
--- a/mallowbeam/router/control_plane/response_gate.py
+++ b/mallowbeam/router/control_plane/response_gate.py
@@ -19,14 +19,14 @@
 from mallowbeam.router.feed.publisher import FeedAllowance
 
 READ_MAX_AGE_S = 1.0  # a confirmed read is answered up to this age of its call: callers wait so long
-FEED_MAX_STALENESS_S = 1.0  # out of touch for longer: no configuration and no table to gateways
-HEARTBEAT_MAX_STALENESS_S = 1.0  # out of touch for longer: no heartbeat is acknowledged
-CALL_MAX_STALENESS_S = 2.0  # out of touch for longer: calls are refused at once
-ORDER_MAX_STALENESS_S = 0.5  # since a majority confirmed the leader: up to it, instances get orders
+FEED_MAX_STALENESS_S = 1.0  # beyond it, neither configuration nor table is fed to gateways
+HEARTBEAT_MAX_STALENESS_S = 1.0  # beyond it, no heartbeat is acknowledged
+CALL_MAX_STALENESS_S = 2.0  # beyond it, calls are rejected at once
+ORDER_MAX_STALENESS_S = 0.5  # since a majority confirmed the leader: up to it, orders are sent
 
 
 class ResponseKind(Enum):
-    """The kinds of things that leave a member and that others rely on."""
+    """The kinds of data that leave a member and that others rely on; the values are sent in error bodies."""
 
     CONFIGURATION_READ = "configuration_read"
     CHANGE_ACKNOWLEDGED = "change_acknowledged"
@@ -47,33 +47,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Unconditional:
-    """True at any time, whatever this member knows of the group."""
+    """No condition."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateFresh:
-    """This member's state was known to be current within a time."""
+    """This member's state was known to be current within `max_staleness_s`."""
 
     max_staleness_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class LeadershipConfirmed:
-    """This member leads, and a majority has confirmed it within a time."""
+    """This member leads, and a majority has confirmed it within `max_staleness_s`."""
 
     max_staleness_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class ReadConfirmed:
-    """A majority confirmed the read after its call came in, and the call is not old."""
+    """A majority confirmed the read after its call arrived, at most `max_age_s` ago."""
 
     max_age_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class EntryCommitted:
-    """What is told came of a committed entry of the log. Stays true, whatever becomes of this member."""
+    """The data follows from a committed log entry, which stays true whatever happens to this member."""
 
 
 Condition = Unconditional | StateFresh | LeadershipConfirmed | ReadConfirmed | EntryCommitted
@@ -101,12 +101,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NoEvidence:
-    """No evidence beside what the member knows of the group."""
+    """No evidence beside the member's knowledge of the group."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfirmedRead:
-    """A read barrier was passed for a call that came in at `called_at`."""
+    """A read barrier was passed for a call that arrived at `called_at`."""
 
     called_at: float
 
@@ -123,33 +123,35 @@
 
 
 class ResponseGate:
-    """Decides what this member may say now."""
+    """Decides what this member may send now."""
 
     def __init__(
-        self, clock: Callable[[], float], silence: Callable[[], float], leads: Callable[[], bool]
+        self, clock: Callable[[], float], staleness: Callable[[], float], leads: Callable[[], bool]
     ) -> None:
-        """`silence` tells the seconds since the state here was known to be current, `leads` who leads."""
-        self._clock, self._silence, self._leads = clock, silence, leads
+        """`staleness` returns the age of this member's state in seconds, `leads` whether it leads."""
+        self._clock = clock
+        self._staleness = staleness
+        self._leads = leads
         self._started_at = clock()
 
-    def silence(self) -> float:
-        """Seconds since the state here was known to be current; infinite where it never was."""
-        return self._silence()
+    def staleness(self) -> float:
+        """Seconds since this member's state was known to be current; infinite if it never was."""
+        return self._staleness()
 
     @property
     def out_of_touch(self) -> bool:
-        """Whether gateways and operators are to be told that this member is out of touch."""
-        return self._silence() > FEED_MAX_STALENESS_S
+        """Whether gateways and operators are notified that this member has lost contact with the majority."""
+        return self._staleness() > FEED_MAX_STALENESS_S
 
-    def may(self, said: ResponseKind, evidence: Evidence = NO_EVIDENCE) -> bool:
-        """Whether a thing may be said now, given what is known of it."""
-        match CONDITIONS[said]:
+    def may(self, kind: ResponseKind, evidence: Evidence = NO_EVIDENCE) -> bool:
+        """Whether data of a kind may be sent now, given the evidence for it."""
+        match CONDITIONS[kind]:
             case Unconditional():
                 return True
             case StateFresh(max_staleness_s):
-                return self._silence() <= max_staleness_s
+                return self._staleness() <= max_staleness_s
             case LeadershipConfirmed(max_staleness_s):
-                return self._leads() and self._silence() <= max_staleness_s
+                return self._leads() and self._staleness() <= max_staleness_s
             case ReadConfirmed(max_age_s):
                 if not isinstance(evidence, ConfirmedRead):
                     return False
@@ -157,24 +159,24 @@
             case EntryCommitted():
                 return isinstance(evidence, AppliedEntry) and evidence.index > 0
 
-    def check(self, said: ResponseKind, evidence: Evidence = NO_EVIDENCE) -> None:
-        """Raise :class:`IsolatedMemberError` where a thing may not be said now."""
-        if not self.may(said, evidence):
+    def check(self, kind: ResponseKind, evidence: Evidence = NO_EVIDENCE) -> None:
+        """Raise :class:`IsolatedMemberError` if data of a kind may not be sent now."""
+        if not self.may(kind, evidence):
             raise IsolatedMemberError(
-                "this member is cut off from the group, or stood still meanwhile", said.value
+                "this member is cut off from the group, or stood still meanwhile", kind.value
             )
 
     def check_reachable(self) -> None:
-        """Refuse a call at once where the group has been out of reach for long; raises `IsolatedMemberError`.
+        """Reject a call at once after a long loss of contact with the group; raises `IsolatedMemberError`.
 
-        A member that has just started first gets the time that it takes to find the leader.
+        A member that has just started is first given the time to find the leader.
         """
         running = self._clock() - self._started_at
-        if min(self._silence(), running) > CALL_MAX_STALENESS_S:
+        if min(self._staleness(), running) > CALL_MAX_STALENESS_S:
             raise IsolatedMemberError("this member is cut off from the group")
 
     def feed_allowance(self) -> FeedAllowance:
-        """What gateways may be told now."""
+        """The parts of a feed that may be sent now."""
         return FeedAllowance(
             configuration=self.may(ResponseKind.FEED_CONFIGURATION),
             table=self.may(ResponseKind.FEED_TABLE),
--- a/mallowbeam/router/control_plane/role.py
+++ b/mallowbeam/router/control_plane/role.py
@@ -1,4 +1,4 @@
-"""The control-plane role: one member, its parts wired together."""
+"""The control-plane role: opens the store and runs a member until the process is told to stop."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 from mallowbeam.router.consensus.storage import StoreFailedError, StoreFullError
 from mallowbeam.router.control_plane.member import ControlMember
+from mallowbeam.router.control_plane.member_builder import build_member
 from mallowbeam.router.control_plane.store_recovery import OpenedStore, discard_and_reopen, open_store
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.processes.role import RoleContext, run_role
 from mallowbeam.router.processes.settings import NodeSettings
 
-RETRY_S = 0.5  # seconds between two attempts at a disk that refuses
+OPEN_RETRY_INTERVAL_S = 0.5  # between two attempts to open the store
 
 log = get_logger("mallowbeam.member")
 
@@ -24,22 +25,22 @@
 
 
 async def serve(context: RoleContext) -> None:
-    """Run a member until the word to stop comes; one whose store can't be used comes back as a new one."""
-    how = open_store
-    while (opened := await _open_store(context, how)) is not None:
-        member = ControlMember(context.settings, opened)
+    """Run a member until the stop; one whose store is unusable is replaced by a new one on an empty store."""
+    open_next = open_store
+    while (opened := await _open_store(context, open_next)) is not None:
+        member = build_member(context.settings, opened)
         context.on_reload(member.reload)
         await _run(context, member)
         if not member.unusable.done():
             return
-        if not member.disk_ended:
-            raise member.unusable.result()  # a write is under way: not discarded beneath it
+        if not member.storage_ended:
+            raise member.unusable.result()  # a write is in progress: the store must not be discarded
         opened.store.close()
-        how = discard_and_reopen
+        open_next = discard_and_reopen
 
 
 async def _run(context: RoleContext, member: ControlMember) -> None:
-    """Serve until the word to stop comes, or until the store can't be used; then stop in order."""
+    """Run a member until the stop, or until its store is unusable; then shut it down gracefully."""
     await member.start()
     stopping = asyncio.create_task(context.stopping.wait())
     try:
@@ -49,14 +50,16 @@
         await member.stop()
 
 
-async def _open_store(context: RoleContext, how: Callable[[NodeSettings], OpenedStore]) -> OpenedStore | None:
-    """Open the store, trying again as long as the disk refuses; None where the word to stop came first."""
+async def _open_store(
+    context: RoleContext, open_once: Callable[[NodeSettings], OpenedStore]
+) -> OpenedStore | None:
+    """Open the store, retrying while the disk refuses; None if the stop came first."""
     while not context.stopping.is_set():
         try:
-            return await asyncio.to_thread(how, context.settings)
+            return await asyncio.to_thread(open_once, context.settings)
         except (StoreFullError, StoreFailedError) as error:
             log.error("the store can't be opened yet: %s", error.line)
         with suppress(TimeoutError):
-            async with asyncio.timeout(RETRY_S):
+            async with asyncio.timeout(OPEN_RETRY_INTERVAL_S):
                 await context.stopping.wait()
     return None
--- a/mallowbeam/router/control_plane/stage_controller.py
+++ b/mallowbeam/router/control_plane/stage_controller.py
@@ -1,26 +1,19 @@
-"""The share of prefill instances follows the traffic: the leader's orders to instances, and their answers.
+"""Control loop of the prefill share: compares the fleet's demand with its stages, and orders changes.
 
-Every member adds up its gateways' demand and follows what `StageShare` makes of the fleet's, so that a new
-leader knows it at once; only the leader sends orders, under the lease that `OrderLease` looks after.
+Every member adds up its gateways' demand and follows what `StageShare` decides for the fleet, so that a new
+leader knows it at once; only the leader sends orders, under the lease of `StageLease`.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
-import socket
-import struct
 import time
 from collections.abc import Callable, Coroutine
-from contextlib import suppress
 
-from mallowbeam.http.client import Broken, Link, Unsent, connect
-from mallowbeam.http.framing import write_request
+from mallowbeam.router.configuration.model import Engine
 from mallowbeam.router.configuration.versions import ConfigurationVersions
-from mallowbeam.router.consensus.errors import ConsensusError
-from mallowbeam.router.control_plane.raft_driver import RaftDriver
-from mallowbeam.router.control_plane.response_gate import ResponseGate, ResponseKind
-from mallowbeam.router.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
+from mallowbeam.router.control_plane.stage_lease import StageLease
+from mallowbeam.router.control_plane.stage_order_client import StageOrderClient
 from mallowbeam.router.pairing.stage_demand import DemandTable, add_up
 from mallowbeam.router.pairing.stage_share import (
     OrderResult,
@@ -31,127 +24,106 @@
 )
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.registry.table import InstanceTable
-from mallowbeam.router.rpc.messages_pb2 import (
-    ALREADY_DONE,
-    DONE,
-    READY,
-    AcquireLease,
-    Command,
-    Instance,
-    RegistryGossip,
-    StageDemand,
-)
+from mallowbeam.router.rpc.messages_pb2 import READY, Instance, RegistryGossip, StageDemand
 
-SUBJECT = "stages"  # of the lease, over the stages of all services
-LOOK_S = 0.5  # between two decisions
-TELL_S = 0.5  # between two words to the other members
-REREAD_S = 2.0  # the instances are read again after this time though none has changed
-CONNECT_S = 0.6  # to an instance
-MOST_SENDING = 64  # orders being sent at once, over all services; others wait for the next look
-MOST_ANSWER_BYTES = 64 * 1024
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closing resets, and drops what has not arrived
+CYCLE_INTERVAL_S = 0.5  # between two decisions
+GOSSIP_INTERVAL_S = 0.5  # between two reports to the other members, at the least
+REFRESH_INTERVAL_S = 2.0  # instances are read again after it though none has changed
+MAX_ORDERS_IN_FLIGHT = 64  # over all services; others wait for the next cycle
 
 log = get_logger("mallowbeam.stages")
 
 
 class StageController:
-    """Joins demand, decisions and lease with the log, the registry and the instances."""
+    """Joins demand, decisions, lease and orders for all services with model servers."""
 
     def __init__(
         self,
-        driver: RaftDriver,
-        holder: int,
+        lease: StageLease,
+        client: StageOrderClient,
         table: InstanceTable,
         versions: ConfigurationVersions,
-        changed: Callable[[], None],
-        gate: ResponseGate,
-        lease_s: float,
-        settings: StageShareSettings | None = None,
+        gateways_outdated: Callable[[], None],
+        settings: StageShareSettings,
     ) -> None:
-        """`holder` is this member's id, `lease_s` what must lie between the orders of two holders.
-
-        `changed` is called when gateways must learn of something.
-        """
-        self._driver, self._holder, self._table, self._versions = driver, holder, table, versions
-        self._changed, self._gate = changed, gate
-        self._settings = settings or StageShareSettings()
-        self.gateways = DemandTable()  # by the subscriber's number
+        """`gateways_outdated` is called when gateways must be sent a change of instances."""
+        self.gateways = DemandTable()  # by subscriber
         self._members = DemandTable()  # by member id
-        self._lease = OrderLease(OrderLeaseSettings(lease_s))
+        self._lease = lease
+        self._client = client
+        self._table = table
+        self._versions = versions
+        self._gateways_outdated = gateways_outdated
+        self._settings = settings
         self._shares: dict[str, StageShare] = {}
         self._instances: dict[str, list[StageInstance]] = {}
-        self._read_at, self._read_version = 0.0, -1
-        self._look_at = self._tell_at = 0.0
+        self._refreshed_at = 0.0
+        self._table_version = -1
+        self._next_cycle_at = 0.0
+        self._next_gossip_at = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
-        self._sending = 0
+        self._orders_in_flight = 0
         self._stopped = False
 
-    # ------------------------------------------------------------ between members
+    # ------------------------------------------------------------ demand, between members
 
-    def heard(self, member: int, gossip: RegistryGossip, now: float) -> None:
-        """What another member's gateways ask for."""
+    def receive_gossip(self, member: int, gossip: RegistryGossip, now: float) -> None:
+        """Record the demand of another member's gateways."""
         if gossip.demand:
             self._members.told(member, gossip.demand, now)
 
-    def tell(self, gossip: RegistryGossip, now: float) -> None:
-        """Add what this member's gateways ask for, where it is due."""
-        if now >= self._tell_at:
-            self._tell_at = now + TELL_S
+    def add_to_gossip(self, gossip: RegistryGossip, now: float) -> None:
+        """Add the demand of this member's gateways, where a report is due."""
+        if now >= self._next_gossip_at:
+            self._next_gossip_at = now + GOSSIP_INTERVAL_S
             gossip.demand.extend(self.gateways.sums(now).values())
 
-    # ------------------------------------------------------------ time
+    # ------------------------------------------------------------ the cycle
 
-    def look(self, now: float) -> None:
-        """Let time pass; to be called several times a second."""
-        if now < self._look_at or self._stopped:
+    def run_cycle(self, now: float) -> None:
+        """Observe, and as the leader decide and send orders; to be called several times a second."""
+        if now < self._next_cycle_at or self._stopped:
             return
-        self._look_at = now + LOOK_S
-        self._read_instances(now)
-        self._observe(now)
-        if self._has_engines() and self._lease.should_acquire(self._standing(now), now):
-            self._start(self._acquire(self._driver.node.term))
-        if self._table.complete(now) and self._token(now) is not None:
+        self._next_cycle_at = now + CYCLE_INTERVAL_S
+        self._refresh_instances(now)
+        self._observe_demand(now)
+        if self._has_engines() and self._lease.should_acquire(now):
+            self._start(self._lease.acquire())
+        if self._table.complete(now) and self._lease.token(now) is not None:
             for backend in self._instances:
-                self._decide(backend, now)
+                self._order_changes(backend, now)
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Send no further order."""
         self._stopped = True
         for task in list(self._tasks):
             task.cancel()
 
-    def _standing(self, now: float) -> Standing:
-        node = self._driver.node
-        return Standing(self._driver.is_leader, node.term, node.freshness(now))
-
-    def _token(self, now: float) -> int | None:
-        """The token under which an order may be sent in this step; None: none may."""
-        if not self._gate.may(ResponseKind.INSTANCE_ORDER):
-            return None
-        return self._lease.token(self._standing(now), now)
-
-    def _read_instances(self, now: float) -> None:
-        """Bring the instances of services with model servers up to date."""
-        if self._table.version == self._read_version and now - self._read_at < REREAD_S:
+    def _refresh_instances(self, now: float) -> None:
+        """Read the instances of services with model servers where they may have changed."""
+        is_unchanged = self._table.version == self._table_version
+        if is_unchanged and now - self._refreshed_at < REFRESH_INTERVAL_S:
             return
-        self._read_version, self._read_at = self._table.version, now
+        self._table_version = self._table.version
+        self._refreshed_at = now
         self._instances = {}
         for instance in self._table.live():
             if instance.stage:
                 self._instances.setdefault(instance.backend, []).append(_stage_instance(instance))
-        for gone in [backend for backend in self._shares if backend not in self._instances]:
-            del self._shares[gone]
+        for backend in [known for known in self._shares if known not in self._instances]:
+            del self._shares[backend]
 
-    def _observe(self, now: float) -> None:
-        parts = [*self.gateways.sums(now).values(), *self._members.sums(now).values()]
-        fleet: dict[str, StageDemand] = add_up(parts)
+    def _observe_demand(self, now: float) -> None:
+        """Give each service's decision core the fleet's demand."""
+        reports = [*self.gateways.sums(now).values(), *self._members.sums(now).values()]
+        fleet: dict[str, StageDemand] = add_up(reports)
         for backend, instances in self._instances.items():
-            self._share(backend).observe(fleet.get(backend), instances, now)
+            self._decisions_of(backend).observe(fleet.get(backend), instances, now)
 
-    def _share(self, backend: str) -> StageShare:
+    def _decisions_of(self, backend: str) -> StageShare:
         return self._shares.setdefault(backend, StageShare(self._settings))
 
-    # ------------------------------------------------------------ the leader's part
+    # ------------------------------------------------------------ the leader's orders
 
     def _has_engines(self) -> bool:
         """Whether there is a service with model servers."""
@@ -160,29 +132,18 @@
             backend.engine is not None for backend in configuration.backends.values()
         )
 
-    async def _acquire(self, term: int) -> None:
-        """Get the lease through the log, by a proposal of this member's own leadership."""
-        command = Command(acquire_lease=AcquireLease(subject=SUBJECT, holder=self._holder))
-        try:
-            outcome = await self._driver.propose(command.SerializeToString())
-        except ConsensusError as error:
-            log.info("no lease over the stages: %s", error)
-            self._lease.not_acquired(time.monotonic())
-            return
-        if outcome.result in (DONE, ALREADY_DONE):
-            self._lease.acquired(term, outcome.token, time.monotonic())
-            log.info("lease over the stages, token %d", outcome.token)
-        else:
-            self._lease.not_acquired(time.monotonic())
-
-    def _decide(self, backend: str, now: float) -> None:
+    def _engine_of(self, backend: str) -> Engine | None:
         configuration = self._versions.current()
         known = configuration.backends.get(backend) if configuration is not None else None
-        if known is None or known.engine is None or self._sending >= MOST_SENDING:
+        return known.engine if known is not None else None
+
+    def _order_changes(self, backend: str, now: float) -> None:
+        """Send the orders that are due for one service."""
+        engine = self._engine_of(backend)
+        if engine is None or self._orders_in_flight >= MAX_ORDERS_IN_FLIGHT:
             return
-        switch_s = known.engine.switch_s
-        share = self._share(backend)
-        orders = share.decide(self._instances[backend], known.engine.slots, switch_s, now)
+        share = self._decisions_of(backend)
+        orders = share.decide(self._instances[backend], engine.slots, engine.switch_s, now)
         if orders and share.work is not None:
             log.info(
                 "%s: work of %.2f prefill and %.2f decode instances",
@@ -191,63 +152,23 @@
                 share.work.decode,
             )
         for order in orders:
-            self._start(self._send(share, order, switch_s))
+            self._start(self._send(share, order, engine.switch_s))
 
     async def _send(self, share: StageShare, order: StageOrder, switch_s: float) -> None:
-        """Send one order and take note of what became of it."""
-        self._sending += 1
+        """Send one order and record its result; `switch_s` is the time that a change of stage takes."""
+        self._orders_in_flight += 1
         result = OrderResult.UNKNOWN
         try:
-            result = await self._exchange(order)
+            result = await self._client.send(order)
         finally:
-            self._sending -= 1
+            self._orders_in_flight -= 1
             now = time.monotonic()
             share.answered(order, result, switch_s, now)
         log.info("%s to %s: %s", order.id, order.stage, result.value)
         if result is OrderResult.TAKEN:
-            self._table.switch(
-                order.id, order.stage, now + switch_s + self._settings.longest_switch_s, announce=True
-            )
-            self._changed()
-
-    async def _exchange(self, order: StageOrder) -> OrderResult:
-        """The order and its answer."""
-        try:
-            link = await connect(order.address, CONNECT_S, MOST_ANSWER_BYTES)
-        except Unsent:
-            return OrderResult.NOT_SENT
-        try:
-            self._bound_time_on_the_way(link.channel.sock)
-            now = time.monotonic()
-            token = self._token(now)
-            if token is None:  # leadership may have passed on while the connection came up
-                return OrderResult.NOT_SENT
-            with suppress(TimeoutError, Unsent, Broken):
-                async with asyncio.timeout(self._lease.settings.answer_s):
-                    return self._judge(await _post(link, order, self._holder, token))
-            return OrderResult.UNKNOWN
-        finally:
-            link.close()
-
-    def _bound_time_on_the_way(self, sock: socket.socket) -> None:
-        """Have an order that can't be delivered dropped, not delivered late.
-
-        By this process when it closes, and by the kernel where the process stands still meanwhile.
-        """
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-        answer_ms = int(self._lease.settings.answer_s * 1000)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, answer_ms)
-
-    def _judge(self, status: int) -> OrderResult:
-        """What an answer's status says."""
-        if status in (200, 202):
-            return OrderResult.TAKEN
-        if status == 412:
-            self._lease.rejected(time.monotonic())
-        elif status == 409:  # another order is under way, perhaps this one
-            return OrderResult.UNKNOWN
-        log.warning("an order was refused with %d", status)
-        return OrderResult.REFUSED
+            deadline = now + switch_s + self._settings.longest_switch_s
+            self._table.switch(order.id, order.stage, deadline, announce=True)
+            self._gateways_outdated()
 
     def _start(self, work: Coroutine[object, object, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -260,25 +181,8 @@
             log.error("stage orders failed", exc_info=(type(error), error, error.__traceback__))
 
 
-async def _post(link: Link, order: StageOrder, holder: int, token: int) -> int:
-    """Write the order, read its whole answer; the status."""
-    body = json.dumps(
-        {"op": "stage", "stage": order.stage, "holder": f"{holder:016x}", "fencing_token": token}
-    ).encode()
-    headers = [
-        (b"host", order.address.encode()),
-        (b"content-type", b"application/json"),
-        (b"target-instance", order.id.encode()),
-        (b"connection", b"close"),
-    ]
-    await link.request(write_request(b"POST", b"/mallowbeam/order", headers, len(body)), body)
-    answer = await link.head()
-    await link.body(answer)
-    return int(answer.status)
-
-
 def _stage_instance(instance: Instance) -> StageInstance:
-    """What decisions go by."""
+    """The facts of an instance by which stages are decided."""
     return StageInstance(
         instance.id,
         instance.address,
--- /dev/null
+++ b/mallowbeam/router/control_plane/stage_lease.py
@@ -0,0 +1,70 @@
+"""The lease under which the leader sends orders to instances, acquired through the replicated log."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Coroutine
+
+from mallowbeam.router.consensus.errors import ConsensusError
+from mallowbeam.router.control_plane.raft_driver import RaftDriver
+from mallowbeam.router.control_plane.response_gate import ResponseGate, ResponseKind
+from mallowbeam.router.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
+from mallowbeam.router.processes.logs import get_logger
+from mallowbeam.router.rpc.messages_pb2 import ALREADY_DONE, DONE, AcquireLease, Command
+
+SUBJECT = "stages"  # of the lease, over the stages of all services
+
+log = get_logger("mallowbeam.stages")
+
+
+class StageLease:
+    """This member's lease over the stages, with its fencing token."""
+
+    def __init__(self, driver: RaftDriver, gate: ResponseGate, holder: int, lease_s: float) -> None:
+        """`holder` is this member's id; `lease_s` seconds lie between the orders of two holders."""
+        self.holder = holder
+        self._driver = driver
+        self._gate = gate
+        self._lease = OrderLease(OrderLeaseSettings(lease_s))
+
+    @property
+    def answer_timeout_s(self) -> float:
+        """Seconds within which an order must be answered or dropped."""
+        return self._lease.settings.answer_s
+
+    def should_acquire(self, now: float) -> bool:
+        """Whether a proposal for the lease is due."""
+        return self._lease.should_acquire(self._standing(now), now)
+
+    def token(self, now: float) -> int | None:
+        """The fencing token under which an order may be sent in this step; None if none may be sent."""
+        if not self._gate.may(ResponseKind.INSTANCE_ORDER):
+            return None
+        return self._lease.token(self._standing(now), now)
+
+    def rejected(self) -> None:
+        """An instance has seen a higher fencing token: the lease is lost."""
+        self._lease.rejected(time.monotonic())
+
+    def acquire(self) -> Coroutine[object, object, None]:
+        """The acquisition under this member's leadership of the present term, to be run as a task."""
+        return self._acquire(self._driver.node.term)
+
+    async def _acquire(self, term: int) -> None:
+        """Propose the acquisition, and record what became of it."""
+        command = Command(acquire_lease=AcquireLease(subject=SUBJECT, holder=self.holder))
+        try:
+            outcome = await self._driver.propose(command.SerializeToString())
+        except ConsensusError as error:
+            log.info("no lease over the stages: %s", error)
+            self._lease.not_acquired(time.monotonic())
+            return
+        if outcome.result in (DONE, ALREADY_DONE):
+            self._lease.acquired(term, outcome.token, time.monotonic())
+            log.info("lease over the stages, token %d", outcome.token)
+        else:
+            self._lease.not_acquired(time.monotonic())
+
+    def _standing(self, now: float) -> Standing:
+        node = self._driver.node
+        return Standing(self._driver.is_leader, node.term, node.freshness(now))
--- /dev/null
+++ b/mallowbeam/router/control_plane/stage_order_client.py
@@ -0,0 +1,88 @@
+"""Sends stage orders to instances over HTTP, each under a fencing token (PROTOCOL.md: orders)."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import socket
+import struct
+import time
+from contextlib import suppress
+
+from mallowbeam.http.client import Broken, Link, Unsent, connect
+from mallowbeam.http.framing import write_request
+from mallowbeam.router.control_plane.stage_lease import StageLease
+from mallowbeam.router.pairing.stage_share import OrderResult, StageOrder
+from mallowbeam.router.processes.logs import get_logger
+
+ORDER_PATH = b"/mallowbeam/order"
+CONNECT_TIMEOUT_S = 0.6
+MAX_RESPONSE_BYTES = 64 * 1024
+TAKEN_STATUSES = (200, 202)  # already in that stage, or changing to it
+BUSY_STATUS = 409
+STALE_TOKEN_STATUS = 412
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: closing resets, and drops what has not arrived
+
+log = get_logger("mallowbeam.stages")
+
+
+class StageOrderClient:
+    """Sends one order at a time per connection; it is never retried."""
+
+    def __init__(self, lease: StageLease) -> None:
+        self._lease = lease
+
+    async def send(self, order: StageOrder) -> OrderResult:
+        """Send an order and read its result; the token is taken in the step in which the order is written."""
+        try:
+            link = await connect(order.address, CONNECT_TIMEOUT_S, MAX_RESPONSE_BYTES)
+        except Unsent:
+            return OrderResult.NOT_SENT
+        try:
+            self._bound_delivery_time(link.channel.sock)
+            token = self._lease.token(time.monotonic())
+            if token is None:  # leadership may have moved while the connection came up
+                return OrderResult.NOT_SENT
+            with suppress(TimeoutError, Unsent, Broken):
+                async with asyncio.timeout(self._lease.answer_timeout_s):
+                    return self._result(await _post(link, order, self._lease.holder, token))
+            return OrderResult.UNKNOWN
+        finally:
+            link.close()
+
+    def _bound_delivery_time(self, sock: socket.socket) -> None:
+        """Have an order that can't be delivered dropped rather than delivered late.
+
+        By this process when it closes, and by the kernel where the process is suspended meanwhile.
+        """
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        timeout_ms = int(self._lease.answer_timeout_s * 1000)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
+
+    def _result(self, status: int) -> OrderResult:
+        """The result that a response's status stands for."""
+        if status in TAKEN_STATUSES:
+            return OrderResult.TAKEN
+        if status == STALE_TOKEN_STATUS:
+            self._lease.rejected()
+        elif status == BUSY_STATUS:  # another order is in progress, perhaps this one
+            return OrderResult.UNKNOWN
+        log.warning("an order was refused with %d", status)
+        return OrderResult.REFUSED
+
+
+async def _post(link: Link, order: StageOrder, holder: int, token: int) -> int:
+    """Write the order and read its whole response; the response's status."""
+    body = json.dumps(
+        {"op": "stage", "stage": order.stage, "holder": f"{holder:016x}", "fencing_token": token}
+    ).encode()
+    headers = [
+        (b"host", order.address.encode()),
+        (b"content-type", b"application/json"),
+        (b"target-instance", order.id.encode()),
+        (b"connection", b"close"),
+    ]
+    await link.request(write_request(b"POST", ORDER_PATH, headers, len(body)), body)
+    response = await link.head()
+    await link.body(response)
+    return int(response.status)
--- a/mallowbeam/router/control_plane/state_machine.py
+++ b/mallowbeam/router/control_plane/state_machine.py
@@ -1,4 +1,4 @@
-"""What the replicated log does to a member's state: configurations, retirements and leases.
+"""The replicated state machine: configurations, retirements and leases.
 
 Every member applies the same commands in the same order and reaches the same state.
 """
@@ -24,12 +24,12 @@
     RetireInstance,
 )
 
-RECENT_CONFIGURATIONS = 4  # earlier configurations to which a difference can be told
+RECENT_CONFIGURATIONS = 4  # from which a difference to the current one can be computed
 
 
 @dataclass(frozen=True, slots=True)
 class CommandOutcome:
-    """What came of a command that was applied."""
+    """The result of an applied command."""
 
     result: CommandResult
     index: int = 0  # log index at which it was applied
@@ -37,10 +37,10 @@
 
 
 class ReplicatedStateMachine:
-    """The state that the log leads to."""
+    """The state that results from the log."""
 
     def __init__(self, parser: ConfigurationParser, retired: Callable[[RetireInstance], None]) -> None:
-        """`retired` is told of each retirement that is news; after a snapshot, of all that it holds."""
+        """`retired` is called for each new retirement; after a snapshot, for each that it contains."""
         self.configurations = ConfigurationVersions(parser)
         self.retirements = Retirements()
         self.leases = Leases()
@@ -57,7 +57,7 @@
             case "acquire_lease":
                 grant = self.leases.apply(command.acquire_lease)
                 return CommandOutcome(grant.result, index, grant.token)
-        return CommandOutcome(REFUSED, index)  # of a later version of the program
+        return CommandOutcome(REFUSED, index)  # a command of a later version of the program
 
     def _retire(self, retirement: RetireInstance) -> CommandResult:
         result = self.retirements.apply(retirement)
@@ -90,7 +90,7 @@
     def __init__(self, versions: ConfigurationVersions) -> None:
         self._versions = versions
         self._recent: dict[int, Configuration] = {}  # by revision, oldest first
-        self._updates: dict[int, ConfigurationUpdate] = {}  # to the current one, by the revision held
+        self._updates: dict[int, ConfigurationUpdate] = {}  # to the current one, by the base revision
         self._updates_to = 0
 
     @property
@@ -99,19 +99,19 @@
         return self._versions.revision
 
     def update_since(self, revision: int) -> ConfigurationUpdate | None:
-        """What leads from `revision` to the current one; whole where that is not known, None for nothing."""
+        """The update from `revision`: in full if that is not known, None if it is the current one."""
         current = self._versions.current()
         if current is None or revision >= current.revision:
             return None
-        self._note(current)
+        self._remember(current)
         update = self._updates.get(revision)
         if update is None:
-            held = self._recent.get(revision)
-            update = incremental_update(held, current) if held is not None else full_update(current)
+            base = self._recent.get(revision)
+            update = incremental_update(base, current) if base is not None else full_update(current)
             self._updates[revision] = update
         return update
 
-    def _note(self, current: Configuration) -> None:
+    def _remember(self, current: Configuration) -> None:
         if self._updates_to == current.revision:
             return
         self._updates_to = current.revision
--- a/mallowbeam/router/control_plane/status_page.py
+++ b/mallowbeam/router/control_plane/status_page.py
@@ -1,4 +1,4 @@
-"""The member's status as JSON, for operators."""
+"""The member's status: as JSON for operators, as metrics, and as the header of feed frames."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from mallowbeam.router.registry.table import InstanceTable
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, ENDED, Instance, Member
 
-MOST_SILENCE_MS = 2**32 - 1
-MOST_SILENCE_S = MOST_SILENCE_MS / 1000
+MAX_STALENESS_MS = 2**32 - 1  # the greatest number that fits a message
+MAX_STALENESS_S = MAX_STALENESS_MS / 1000
 STATES = {DRAINS: "draining", ENDED: "ended"}
 
 
 class StatusPage:
-    """Collects what the member's parts know."""
+    """Reads the state of the member's parts."""
 
     def __init__(
         self,
@@ -32,19 +32,22 @@
         versions: ConfigurationVersions,
         gate: ResponseGate,
     ) -> None:
-        self._driver, self._links, self._gate = driver, links, gate
-        self._table, self._versions = table, versions
+        self._driver = driver
+        self._links = links
+        self._table = table
+        self._versions = versions
+        self._gate = gate
         self.gateways = 0  # of the fleet, as last counted
 
     def write(self) -> bytes:
-        """The whole page."""
+        """The page as encoded JSON; its keys are read by the command line and by operators."""
         node, own = self._driver.node, self._links.own
         page = {
             "member": {"id": name(own.id), "address": own.address, "control": own.control, "zone": own.zone},
             "leader": name(node.leader_id) if node.leader_id is not None else None,
             "term": node.term,
             "role": node.role.value,
-            "silence_ms": milliseconds(self._gate.silence()),
+            "silence_ms": milliseconds(self._gate.staleness()),
             "out_of_touch": self._gate.out_of_touch,
             "commit_index": node.commit_index,
             "applied_index": self._driver.applied_index,
@@ -63,8 +66,10 @@
         yield Metric("mallowbeam_raft_leader", int(self._driver.is_leader), "1 at the leader.")
         yield Metric("mallowbeam_raft_commit_index", node.commit_index, "Last committed log index.")
         yield Metric("mallowbeam_raft_applied_index", self._driver.applied_index, "Last applied log index.")
-        silence = "Time since a majority was heard of."
-        yield Metric("mallowbeam_silence_seconds", min(self._gate.silence(), MOST_SILENCE_S), silence)
+        staleness_help = "Time since a majority was heard of."
+        yield Metric(
+            "mallowbeam_silence_seconds", min(self._gate.staleness(), MAX_STALENESS_S), staleness_help
+        )
         yield Metric("mallowbeam_members", len(node.membership.members), "Members, learners included.")
         yield Metric("mallowbeam_gateways", self.gateways, "Gateways of the fleet.")
         yield Metric("mallowbeam_configuration_revision", self._versions.revision, "Current configuration.")
@@ -74,26 +79,26 @@
             yield Metric("mallowbeam_instances", count, "Instances by state.", label=("state", state))
 
     def feed_status(self) -> MemberStatus:
-        """What gateways are told beside configuration and instances."""
+        """The status that feed frames carry beside configuration and instances."""
         members = sorted(member.address for member in self._driver.node.membership.members)
         allowance = self._gate.feed_allowance()
-        return MemberStatus(milliseconds(self._gate.silence()), self.gateways, tuple(members), allowance)
+        return MemberStatus(milliseconds(self._gate.staleness()), self.gateways, tuple(members), allowance)
 
     def other_controls(self) -> list[str]:
-        """The other members' control addresses: where a call that is refused here may be answered."""
+        """The other members' control addresses, where a call that is rejected here may succeed."""
         members = self._driver.node.membership.members
         return [member.control for member in members if member.control and member.id != self._links.own.id]
 
     def _member(self, member: Member) -> dict[str, object]:
         own = member.id == self._links.own.id
-        silence = 0.0 if own else self._links.silence(member.id)
+        contact_s = 0.0 if own else self._links.seconds_since_contact(member.id)
         return {
             "id": name(member.id),
             "address": member.address,
             "control": member.control,
             "zone": self._links.own.zone if own else self._links.zone(member),
             "voter": member.voter,
-            "silence_ms": milliseconds(math.inf if silence is None else silence),
+            "silence_ms": milliseconds(math.inf if contact_s is None else contact_s),
         }
 
 
@@ -103,12 +108,12 @@
 
 
 def milliseconds(seconds: float) -> int:
-    """A time in whole milliseconds; infinity is the greatest number that fits a message."""
-    return int(min(seconds * 1000, MOST_SILENCE_MS))
+    """Seconds as whole milliseconds, at most `MAX_STALENESS_MS`."""
+    return int(min(seconds * 1000, MAX_STALENESS_MS))
 
 
 def instance_line(instance: Instance) -> dict[str, object]:
-    """One instance as the page shows it."""
+    """One instance as on the page."""
     return {
         "id": instance.id,
         "backend": instance.backend,
--- a/mallowbeam/router/control_plane/store_recovery.py
+++ b/mallowbeam/router/control_plane/store_recovery.py
@@ -1,4 +1,4 @@
-"""Opens a member's store: loads what it holds, or gives an empty one its identity and first state."""
+"""Opens a member's store: recovers its state, or writes the identity and initial state of an empty one."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from mallowbeam.router.processes.settings import NodeSettings
 
 FOLDER = "replica"
-DISCARDED = "discarded"  # a file that says: no identity of a first start is taken here again
-LEAST_DISK_MB = 128  # taken where the settings name no bound
+DISCARDED = "discarded"  # a marker file: the identity of a first start is never used here again
+DEFAULT_DISK_MB = 128  # where the settings state no limit
 
 log = get_logger("mallowbeam.store")
 
 
 class ControlSettingsError(MallowbeamError):
-    """The settings lack what a member can't do without."""
+    """The settings lack a value that a member requires."""
 
     code = "CONTROL_SETTINGS"
     remedy = "give the role a data_dir and a control address in the settings file"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedStore:
-    """A store that has an identity, and what it held."""
+    """A store that has an identity, and the state that it contained."""
 
     store: ReplicaStore
     identity: int
@@ -39,10 +39,12 @@
 
 
 class DamageReportingStore:
-    """A store whose damage is told once, besides being raised: no later write can mend it."""
+    """A store that reports damage besides raising it: no later write can repair it."""
 
     def __init__(self, store: ReplicaStore, damaged: Callable[[StoreDamagedError], object]) -> None:
-        self._store, self._damaged = store, damaged
+        """`damaged` is called in the thread that writes."""
+        self._store = store
+        self._damaged = damaged
 
     def write(self, writes: Sequence[Write]) -> None:
         """Make all of them durable together, as the store does."""
@@ -54,7 +56,10 @@
 
 
 def open_store(settings: NodeSettings) -> OpenedStore:
-    """Open the store; a damaged one is named in the log and treated as a disk that was wiped."""
+    """Open the store; a damaged one is logged and treated as an empty disk.
+
+    Raises `StoreFailedError` or `StoreFullError` where the disk refuses, `ControlSettingsError`.
+    """
     folder = _folder(settings)
     try:
         return _load(ReplicaStore.open(folder, _disk_mb(settings)), settings)
@@ -64,9 +69,9 @@
 
 
 def discard_and_reopen(settings: NodeSettings) -> OpenedStore:
-    """Discard the store and open an empty one, under an identity that nobody had before."""
+    """Discard the store and open an empty one under a new random identity."""
     folder = _folder(settings)
-    _mark_discarded(folder)
+    _write_discarded_marker(folder)
     ReplicaStore.discard(folder)
     return _load(ReplicaStore.open(folder, _disk_mb(settings)), settings)
 
@@ -78,11 +83,11 @@
 
 
 def _disk_mb(settings: NodeSettings) -> int:
-    return int(settings.limits.disk_mb) or LEAST_DISK_MB
+    return int(settings.limits.disk_mb) or DEFAULT_DISK_MB
 
 
-def _mark_discarded(folder: str) -> None:
-    """Durable before the store goes: this process may end in between."""
+def _write_discarded_marker(folder: str) -> None:
+    """Durable before the store is removed: this process may end in between."""
     with raised_as_store_error("discard", folder):
         make_folder(folder)
         with open(os.path.join(folder, DISCARDED), "wb") as file:
@@ -99,7 +104,7 @@
 
 
 def _create(store: ReplicaStore, settings: NodeSettings) -> None:
-    """Give an empty store its first state; a discarded one's old identity is never taken again."""
+    """Write the initial state of an empty store; a discarded one's old identity is never used again."""
     control = settings.bind_addresses.control
     if control is None:
         raise ControlSettingsError("is missing", "bind_addresses.control")
--- a/mallowbeam/simulation/fleet.py
+++ b/mallowbeam/simulation/fleet.py
@@ -53,7 +53,7 @@
 def term_of(member: SimulatedMember) -> int:
     """The term of a live member."""
     assert member.program is not None
-    return member.program._driver.node.term
+    return member.program.parts.driver.node.term
 
 
 class FleetPlayer(MachinesPlayer):
@@ -225,7 +225,7 @@
             if member.program is None or not member.machine.running:
                 lines.append(f"{name}: {member.machine.state.value}")
                 continue
-            node = member.program._driver.node
+            node = member.program.parts.driver.node
             voters = sum(one.voter for one in node.membership.members)
             lines.append(
                 f"{name}: {node.role.value}, term {node.term}, commit {node.commit_index}, "
@@ -267,13 +267,13 @@
         if name in self.gateways:
             return self.gateways[name].revision
         program = self.members[name].program
-        return program._machine.configurations.revision if program is not None else 0
+        return program.parts.machine.configurations.revision if program is not None else 0
 
     def _leading(self) -> list[SimulatedMember]:
         return [
             member
             for member in self.members.values()
-            if member.live and member.program is not None and member.program._driver.is_leader
+            if member.live and member.program is not None and member.program.parts.driver.is_leader
         ]
 
     def complete(self) -> bool:
@@ -282,7 +282,7 @@
         members = self.members.values()
         if not leaders or not all(member.live for member in members):
             return False
-        nodes = [member.program._driver.node for member in members if member.program is not None]
+        nodes = [member.program.parts.driver.node for member in members if member.program is not None]
         newest = max(nodes, key=lambda node: node.term)
         voters = {one.id for one in newest.membership.members if one.voter}
         identities = {member.replica.identity for member in members if member.replica is not None}
@@ -301,7 +301,7 @@
             return 0
         newest = max(leaders, key=term_of)
         assert newest.program is not None
-        return sum(one.voter for one in newest.program._driver.node.membership.members)
+        return sum(one.voter for one in newest.program.parts.driver.node.membership.members)
 
     # ------------------------------------------------------------ what holds at all times
 
--- a/mallowbeam/simulation/fleet_checkers.py
+++ b/mallowbeam/simulation/fleet_checkers.py
@@ -48,7 +48,7 @@
         """Members whose program runs, not those that are frozen."""
         for name, member in self.members.items():
             if member.live and member.program is not None:
-                yield name, member, member.program._driver.node
+                yield name, member, member.program.parts.driver.node
 
     def identity(self, name: str) -> int:
         """The id under which a member is known; 0 before its first start."""
@@ -69,7 +69,7 @@
         leaders = [
             (name, node)
             for name, member, node in self.live()
-            if member.program is not None and member.program._driver.is_leader
+            if member.program is not None and member.program.parts.driver.is_leader
         ]
         return max(leaders, key=lambda found: found[1].term, default=None)
 
@@ -137,7 +137,7 @@
     def look(self, world: World) -> str:
         """Judge leaders at the first look at their term."""
         for name, member, node in world.live():
-            leads = member.program is not None and member.program._driver.is_leader
+            leads = member.program is not None and member.program.parts.driver.is_leader
             if leads and (name, node.term) not in self._leaders:
                 self._leaders.add((name, node.term))
                 last = node._state.log.last_index
--- a/mallowbeam/simulation/fleet_processes.py
+++ b/mallowbeam/simulation/fleet_processes.py
@@ -21,7 +21,7 @@
 from mallowbeam.router.configuration.updates import apply_update
 from mallowbeam.router.consensus.interface import Write
 from mallowbeam.router.consensus.storage import ReplicaStore
-from mallowbeam.router.control_plane import member as member_module
+from mallowbeam.router.control_plane import member_builder
 from mallowbeam.router.control_plane.body_admission import run_inline
 from mallowbeam.router.control_plane.bootstrap import initial_state
 from mallowbeam.router.control_plane.member import ControlMember
@@ -238,9 +238,9 @@
             return self._server
 
         seeded = SimpleNamespace(Random=lambda: Random(self._random.random()))
-        with replaced(member_module, {"StorageWriter": writer, "Server": server, "random": seeded}):
-            program = ControlMember(self._settings, opened, run_inline)
-        self._record_applied(program._machine)
+        with replaced(member_builder, {"StorageWriter": writer, "Server": server, "random": seeded}):
+            program = member_builder.build_member(self._settings, opened, run_inline)
+        self._record_applied(program.parts.machine)
         await program.start()
         self.program = program
         await program.unusable  # then it comes back as a new member, as the role does it
--- a/mallowbeam/simulation/walk.py
+++ b/mallowbeam/simulation/walk.py
@@ -18,8 +18,7 @@
 from io import StringIO
 from random import Random
 
-from mallowbeam.router.control_plane import member as member_module
-from mallowbeam.router.control_plane import raft_driver
+from mallowbeam.router.control_plane import member_builder, raft_driver
 from mallowbeam.router.processes.logs import set_up_logging
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.fleet_checkers import WITHIN_TOLERANCE, InTouchChecker
@@ -105,7 +104,7 @@
         plan = self.plan
         with (
             replaced(raft_driver, {"COMPACT_ENTRIES": plan.compact_entries}),
-            replaced(member_module, {"TRAILING_ENTRIES": plan.trailing_entries}),
+            replaced(member_builder, {"TRAILING_ENTRIES": plan.trailing_entries}),
         ):
             self._play()
         return sum(
--- a/tests/router/consensus/test_membership_plays.py
+++ b/tests/router/consensus/test_membership_plays.py
@@ -9,8 +9,8 @@
 from project_paths import SCENARIOS as SCENARIO_FOLDER
 
 from mallowbeam.router.control_plane import membership_policy
+from mallowbeam.router.control_plane.cluster_join import ClusterJoin
 from mallowbeam.router.control_plane.graceful_leave import GracefulLeave
-from mallowbeam.router.control_plane.membership_manager import MembershipManager
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.scenario import Violation
 
@@ -48,7 +48,7 @@
     setattr(Plays, f"test_{_name}", _test_of(_name))
 
 
-async def ends_at_once(self: GracefulLeave, within: float = 0.0) -> bool:
+async def ends_at_once(self: GracefulLeave, timeout_s: float = 0.0) -> bool:
     """A member that leaves without asking for its place to be given away."""
     return False
 
@@ -63,7 +63,7 @@
         self.assertLess(max(repairs["silent"]), REPAIRED_S)
 
     def test_a_wiped_member_that_asks_the_seeds_alone(self) -> None:
-        with mock.patch.object(MembershipManager, "called", lambda self, address: None):
+        with mock.patch.object(ClusterJoin, "add_caller", lambda self, address: None):
             with self.assertRaisesRegex(Violation, "repaired after wiped"):
                 run("planned_then_wipe", 5, 1)
 
--- a/tests/router/control_plane/test_commands.py
+++ b/tests/router/control_plane/test_commands.py
@@ -14,9 +14,10 @@
 from mallowbeam.router.control_plane.api_errors import NothingProposedError, OutcomeUnknownError
 from mallowbeam.router.control_plane.command_forwarder import CALL_TIMEOUT_S, CommandForwarder
 from mallowbeam.router.control_plane.peer_links import PeerLinks
+from mallowbeam.router.control_plane.proposal_errors import ProposalLostError
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
 from mallowbeam.router.control_plane.state_machine import CommandOutcome
-from mallowbeam.router.control_plane.wait_conditions import ChangeNotifier, ProposalLostError
+from mallowbeam.router.control_plane.wait_conditions import ChangeNotifier
 from mallowbeam.router.rpc.messages_pb2 import (
     APPLIED,
     DONE,
@@ -70,7 +71,7 @@
     def depose(self) -> None:
         """Another member leads."""
         self.leader_id = SECOND if self.leader_id != SECOND else FIRST
-        self.leadership_changes.tell()
+        self.leadership_changes.notify()
 
     def propose(self, payload: bytes) -> asyncio.Future[CommandOutcome]:
         """Of the driver: this member leads."""
--- a/tests/router/control_plane/test_control_plane_cores.py
+++ b/tests/router/control_plane/test_control_plane_cores.py
@@ -15,17 +15,14 @@
 from mallowbeam.router.control_plane.api_errors import NothingProposedError
 from mallowbeam.router.control_plane.api_responses import error_reply
 from mallowbeam.router.control_plane.bootstrap import initial_state, seed_identity
+from mallowbeam.router.control_plane.pending_proposals import PendingProposals
+from mallowbeam.router.control_plane.proposal_errors import ProposalLostError
 from mallowbeam.router.control_plane.state_machine import (
     CommandOutcome,
     ConfigurationFeed,
     ReplicatedStateMachine,
 )
-from mallowbeam.router.control_plane.wait_conditions import (
-    AppliedIndexWaiters,
-    ChangeNotifier,
-    PendingProposals,
-    ProposalLostError,
-)
+from mallowbeam.router.control_plane.wait_conditions import AppliedIndexWaiters, ChangeNotifier
 from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
     DONE,
@@ -135,7 +132,7 @@
         waiters.applied(5, 2, CommandOutcome(DONE, 5))
         self.assertEqual(own.result(), CommandOutcome(DONE, 5))
         self.assertIsInstance(lost.exception(), ProposalLostError)
-        waiters.passed_over(9)
+        waiters.replaced_by_snapshot(9)
         self.assertIsInstance(passed.exception(), ProposalLostError)
 
     async def test_those_who_no_longer_wait_are_passed_by(self) -> None:
@@ -159,7 +156,7 @@
         changes = ChangeNotifier()
         first, cancelled = changes.next(), changes.next()
         cancelled.cancel()
-        changes.tell()
+        changes.notify()
         self.assertTrue(first.done())
         self.assertFalse(changes.next().done())
 
--- a/tests/router/control_plane/test_control_plane_disk_writer.py
+++ b/tests/router/control_plane/test_control_plane_disk_writer.py
@@ -65,7 +65,7 @@
         await writer.stop(10.0)
         return told
 
-    with mock.patch.object(storage_writer, "RETRY_S", 0.001):
+    with mock.patch.object(storage_writer, "RETRY_INTERVAL_S", 0.001):
         return asyncio.run(run())
 
 
--- a/tests/router/control_plane/test_control_plane_instances.py
+++ b/tests/router/control_plane/test_control_plane_instances.py
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self.sent: list[tuple[int, PeerFrame]] = []
 
-    def silence(self, member: int) -> float:
+    def seconds_since_contact(self, member: int) -> float:
         return 0.0
 
     def send(self, recipient: int, frame: PeerFrame) -> bool:
@@ -43,8 +43,8 @@
             Retirements(),
             cast(CommandForwarder, None),
             cast(PeerLinks, self.links),
-            changed=lambda: None,
-            gateways=lambda: 0,
+            gateways_outdated=lambda: None,
+            count_gateways=lambda: 0,
             gate=gate,
             random=Random(1),
         )
@@ -52,7 +52,7 @@
     def asked(self) -> list[int]:
         """Whom one look asks for all that they know."""
         self.links.sent.clear()
-        self.instances.look([OTHER])
+        self.instances.run_cycle([OTHER])
         return [member for member, frame in self.links.sent if frame.registry.wants_whole]
 
     def test_what_a_lost_link_may_have_cost_is_asked_for(self) -> None:
--- a/tests/router/control_plane/test_control_plane_large_bodies.py
+++ b/tests/router/control_plane/test_control_plane_large_bodies.py
@@ -22,12 +22,12 @@
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.versions import ConfigurationVersions
-from mallowbeam.router.control_plane.api import MOST_BODIES, MOST_BODY, ControlApi
+from mallowbeam.router.control_plane.api import MAX_BODY_BYTES, MAX_SMALL_BODIES_BYTES, ControlApi
 from mallowbeam.router.control_plane.api_errors import LargeBodyError
 from mallowbeam.router.control_plane.body_admission import (
     LARGE_BODY,
+    JobRunner,
     LargeBodyAdmission,
-    Work,
     run_in_thread,
     run_inline,
 )
@@ -45,7 +45,7 @@
 MEMORY_MIB = 296  # of a machine of the core
 
 
-def large(revision: int, size: int = MOST_BODY - 4096) -> bytes:
+def large(revision: int, size: int = MAX_BODY_BYTES - 4096) -> bytes:
     """A valid configuration with a note of so many bytes."""
     return json.dumps(configuration(revision) | {"note": "n" * size}).encode()
 
@@ -87,7 +87,7 @@
         pass
 
 
-def api_of(parser: ConfigurationParser, log: Log, work: Work = run_in_thread) -> ControlApi:
+def api_of(parser: ConfigurationParser, log: Log, run_job: JobRunner = run_in_thread) -> ControlApi:
     """A control API in touch with its group."""
     gate = ResponseGate(lambda: 1.0, lambda: 0.0, lambda: False)
     status = SimpleNamespace(other_controls=lambda: ["127.0.0.1:1"])
@@ -98,7 +98,7 @@
         cast(InstanceService, Heartbeats()),
         cast(StatusPage, status),
         gate,
-        work,
+        run_job,
     )
 
 
@@ -106,10 +106,10 @@
     """What the connections of one server hold together."""
 
     def setUp(self) -> None:
-        self.budget = Budget(MOST_BODIES, LARGE_BODY)
+        self.budget = Budget(MAX_SMALL_BODIES_BYTES, LARGE_BODY)
 
     def fed(self, data: bytes) -> Framer:
-        framer = Framer(answers=False, max_body=MOST_BODY, budget=self.budget)
+        framer = Framer(answers=False, max_body=MAX_BODY_BYTES, budget=self.budget)
         framer.feed(memoryview(data))
         return framer
 
@@ -128,7 +128,7 @@
         first, second = (self.fed(call(CONFIG, large(2), chunked=True)) for _ in range(2))
         self.assertEqual(len(first.ready), 1)
         self.assertEqual(str(second.fault), ANOTHER_LARGE_BODY)
-        self.assertLessEqual(len(second.part.body), MOST_BODY)
+        self.assertLessEqual(len(second.part.body), MAX_BODY_BYTES)
 
     def test_a_second_one_on_the_same_connection_is_refused(self) -> None:
         framer = self.fed(call(CONFIG, large(2)) * 2)
@@ -138,7 +138,7 @@
         self.fed(call(CONFIG, large(2)))
         self.assertEqual(self.budget.used, 0)
         small = call(INSTANCE, b"x" * LARGE_BODY)
-        held = [self.fed(small) for _ in range(MOST_BODIES // LARGE_BODY)]
+        held = [self.fed(small) for _ in range(MAX_SMALL_BODIES_BYTES // LARGE_BODY)]
         self.assertTrue(all(framer.fault is None for framer in held))
         self.assertEqual(str(self.fed(small).fault), TOO_MANY_BODIES)
 
@@ -250,7 +250,7 @@
             cast(StatusPage, status),
             gate,
         )
-        framer = Framer(answers=False, max_body=MOST_BODY)
+        framer = Framer(answers=False, max_body=MAX_BODY_BYTES)
         framer.feed(memoryview(call(CONFIG, large(2))))
         answer: Awaitable = api.handle(framer.ready.popleft(), lambda: False)
         self.assertEqual((await answer).status, 200)
--- a/tests/router/control_plane/test_control_plane_membership.py
+++ b/tests/router/control_plane/test_control_plane_membership.py
@@ -16,7 +16,7 @@
     LeaveOutcome,
     PeerProgress,
     contains,
-    leaving,
+    leave_outcome,
     next_membership,
     with_joiner,
 )
@@ -188,7 +188,7 @@
     SPARE = membership(*THREE.members, member(4, voter=False))
 
     def outcome(self, of: Membership, leaver: int, **known: dict[int, float]) -> LeaveOutcome:
-        return leaving(group(of, leave=frozenset({leaver}), **known), leaver)
+        return leave_outcome(group(of, leave=frozenset({leaver}), **known), leaver)
 
     def test_its_place_goes_to_one_that_stands_by(self) -> None:
         self.assertIs(self.outcome(self.SPARE, 3), LeaveOutcome.PENDING)
@@ -214,8 +214,8 @@
     def test_a_learner_that_leaves_is_not_promoted(self) -> None:
         both = frozenset({3, 4})
         self.assertIsNone(next_membership(group(self.SPARE, leave=both)))
-        self.assertIs(leaving(group(self.SPARE, leave=both), 4), LeaveOutcome.DEMOTED)
-        self.assertIs(leaving(group(self.SPARE, leave=both), 3), LeaveOutcome.NO_SUCCESSOR)
+        self.assertIs(leave_outcome(group(self.SPARE, leave=both), 4), LeaveOutcome.DEMOTED)
+        self.assertIs(leave_outcome(group(self.SPARE, leave=both), 3), LeaveOutcome.NO_SUCCESSOR)
 
     def test_a_surplus_voter_needs_no_successor(self) -> None:
         four = membership(*THREE.members, member(4))
@@ -282,7 +282,7 @@
             self.assertEqual(now, then)
             self.assertEqual(ids(changed), ids(of))
         if voters(of) - voters(changed):
-            live = [id for id in voters(changed) if before.silence(id) <= VOTER_TIMEOUT_S]
+            live = [id for id in voters(changed) if before.seconds_since_contact(id) <= VOTER_TIMEOUT_S]
             self.assertGreater(2 * len(live), len(voters(changed)))
 
     def test_a_calm_group_comes_to_rest_with_all_places_taken(self) -> None:
--- a/tests/router/control_plane/test_control_plane_peer_links.py
+++ b/tests/router/control_plane/test_control_plane_peer_links.py
@@ -5,12 +5,12 @@
 import asyncio
 import unittest
 
-from mallowbeam.router.control_plane.peer_links import SETTLING, UNHEARD_RESET, PeerLinks
+from mallowbeam.router.control_plane.peer_links import CONTACT_TIMEOUT_S, GRACE_PERIOD_S, PeerLinks
 from mallowbeam.router.rpc.messages_pb2 import Member, PeerFrame
 
 OWN = Member(id=1, address="127.0.0.1:1")
 PEER = Member(id=2, address="127.0.0.1:2")
-LONG_AGO = -10 * (SETTLING + UNHEARD_RESET)
+LONG_AGO = -10 * (GRACE_PERIOD_S + CONTACT_TIMEOUT_S)
 
 
 class OpenConnection:
@@ -41,7 +41,7 @@
         link = self.links._links[PEER.id]
         self.outgoing = OpenConnection(self.now)
         link._connection = self.outgoing
-        link._opened_at = link.heard_at = self.now + LONG_AGO
+        link._opened_at = link.last_contact = self.now + LONG_AGO
 
     def send(self) -> bool:
         return self.links.send(PEER.id, PeerFrame())
--- a/tests/router/control_plane/test_control_plane_stage_orders.py
+++ b/tests/router/control_plane/test_control_plane_stage_orders.py
@@ -10,13 +10,12 @@
 from typing import cast
 from unittest import mock
 
-from mallowbeam.router.configuration.versions import ConfigurationVersions
-from mallowbeam.router.control_plane import stage_controller
+from mallowbeam.router.control_plane import stage_order_client
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
 from mallowbeam.router.control_plane.response_gate import ResponseGate, ResponseKind
-from mallowbeam.router.control_plane.stage_controller import RESET, StageController
+from mallowbeam.router.control_plane.stage_lease import StageLease
+from mallowbeam.router.control_plane.stage_order_client import RESET_ON_CLOSE, StageOrderClient
 from mallowbeam.router.pairing.stage_share import OrderResult, StageOrder
-from mallowbeam.router.registry.table import InstanceTable
 
 ORDER = StageOrder("i", "10.1.0.1:8080", "prefill")
 LEASE_S = 3.0
@@ -67,16 +66,9 @@
         leader = self.leader
         gate = ResponseGate(lambda: leader.now, leader.silence, lambda: leader.is_leader)
         self.gate = gate
-        self.orders = StageController(
-            cast(RaftDriver, leader),
-            7,
-            cast(InstanceTable, None),
-            cast(ConfigurationVersions, None),
-            lambda: None,
-            gate,
-            LEASE_S,
-        )
-        lease = self.orders._lease
+        stage_lease = StageLease(cast(RaftDriver, leader), gate, 7, LEASE_S)
+        self.orders = StageOrderClient(stage_lease)
+        lease = stage_lease._lease
         lease.acquired(2, TOKEN, leader.now - lease.settings.wait_s)
 
     async def exchange(self, while_connecting: Callable[[], None]) -> OrderResult:
@@ -87,8 +79,8 @@
             return self.link
 
         clock = SimpleNamespace(monotonic=lambda: self.leader.now)
-        with mock.patch.multiple(stage_controller, connect=connect, time=clock):
-            return await self.orders._exchange(ORDER)
+        with mock.patch.multiple(stage_order_client, connect=connect, time=clock):
+            return await self.orders.send(ORDER)
 
     def written(self) -> bool:
         return ("request",) in self.link.done
@@ -133,7 +125,7 @@
         """A process frozen behind a cut closes nothing; the order would be delivered once the cut is over."""
         await self.exchange(lambda: None)
         before = self.link.done[: self.link.done.index(("request",))]
-        self.assertIn((socket.SOL_SOCKET, socket.SO_LINGER, RESET), before)
+        self.assertIn((socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE), before)
         self.assertIn((socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 600), before)
 
 
--- a/tests/router/control_plane/test_control_plane_unusable.py
+++ b/tests/router/control_plane/test_control_plane_unusable.py
@@ -40,7 +40,7 @@
             name = player.names("followers")[0]
             member = player.members[name]
             before.append(member.replica.identity)
-            for entry in member.program._driver.node._state.log._entries:
+            for entry in member.program.parts.driver.node._state.log._entries:
                 entry.term += 7
             player.do_kill("leader")
             player.simulator.after(2.0, lambda: player.do_start("members"))
@@ -53,7 +53,7 @@
     def test_the_driver_takes_no_further_step(self) -> None:
         player = FleetPlayer(HEAD + "end 9")
         player.play()
-        driver = player.members["m2"].program._driver
+        driver = player.members["m2"].program.parts.driver
         seen: list[Exception] = []
         driver._listener = mock.Mock(store_unusable=seen.append)
         with mock.patch.object(type(driver.node), "receive", side_effect=DivergedError("x", step="append")):
@@ -84,10 +84,10 @@
         player = FleetPlayer(self.TEXT)
         with (
             mock.patch.object(raft_driver, "COMPACT_ENTRIES", 3),
-            mock.patch("mallowbeam.router.control_plane.member.TRAILING_ENTRIES", 0),
+            mock.patch("mallowbeam.router.control_plane.member_builder.TRAILING_ENTRIES", 0),
         ):
             player.play()
-        node = player.members["m3"].program._driver.node
+        node = player.members["m3"].program.parts.driver.node
         self.assertGreater(node._state.log.snapshot.index, 3)
 
     def test_it_was_removed_indeed(self) -> None:
@@ -100,7 +100,7 @@
     @staticmethod
     def _members(player: FleetPlayer) -> int:
         program = player.members[player.names("leader")[0]].program
-        return len(program._driver.node.membership.members)
+        return len(program.parts.driver.node.membership.members)
 
 
 class Stores(unittest.TestCase):
@@ -167,7 +167,7 @@
     made: list[FakeMember] = []
 
     def __init__(self, settings: object, opened) -> None:
-        self.opened, self.disk_ended, self.stopped = opened, True, False
+        self.opened, self.storage_ended, self.stopped = opened, True, False
         self.unusable = asyncio.get_running_loop().create_future()
         self.made.append(self)
 
@@ -185,7 +185,7 @@
 
 
 class Role(unittest.TestCase):
-    def play(self, disk_ended: bool = True) -> list[FakeMember]:
+    def play(self, storage_ended: bool = True) -> list[FakeMember]:
         identities = iter(range(1, 9))
         context = mock.Mock(spec=RoleContext)
 
@@ -198,9 +198,9 @@
             await role.serve(context)
 
         with mock.patch.multiple(
-            role, open_store=opening, discard_and_reopen=opening, ControlMember=FakeMember
+            role, open_store=opening, discard_and_reopen=opening, build_member=FakeMember
         ):
-            with mock.patch.object(FakeMember, "disk_ended", disk_ended, create=True):
+            with mock.patch.object(FakeMember, "storage_ended", storage_ended, create=True):
                 asyncio.run(serve())
         return FakeMember.made
 
@@ -213,7 +213,7 @@
     def test_a_store_that_is_still_written_is_not_discarded(self) -> None:
         def init(self, settings: object, opened, original=FakeMember.__init__) -> None:
             original(self, settings, opened)
-            self.disk_ended = False
+            self.storage_ended = False
 
         with mock.patch.object(FakeMember, "__init__", init), self.assertRaises(DivergedError):
             self.play()
--- a/tests/router/health/test_fleet_attempts.py
+++ b/tests/router/health/test_fleet_attempts.py
@@ -78,19 +78,19 @@
         second.gateways.told(1, [attempts("a", 1, 1), attempts("b", 3)], 10.0)
         for _ in range(3):
             gossip = RegistryGossip()
-            second.tell(gossip, 10.0)
-            first.heard(2, gossip, 10.0)
+            second.add_to_gossip(gossip, 10.0)
+            first.receive_gossip(2, gossip, 10.0)
         told = {one.id: (one.failed, one.answered) for one in first.for_gateways(10.0)}
         self.assertEqual(told, {"a": (3, 1), "b": (3, 0)}, "only instances with failures are told")
 
     def test_gossip_without_a_word_changes_nothing(self) -> None:
         words = AttemptReports()
         gossip, again = RegistryGossip(), RegistryGossip()
-        words.tell(gossip, 10.0)
-        words.tell(again, 10.1)
+        words.add_to_gossip(gossip, 10.0)
+        words.add_to_gossip(again, 10.1)
         self.assertEqual((gossip.tells_attempts, again.tells_attempts), (True, False))
-        words.heard(2, RegistryGossip(tells_attempts=True, attempts=[attempts("a", 9)]), 10.0)
-        words.heard(2, again, 10.1)
+        words.receive_gossip(2, RegistryGossip(tells_attempts=True, attempts=[attempts("a", 9)]), 10.0)
+        words.receive_gossip(2, again, 10.1)
         self.assertEqual(len(words.for_gateways(10.1)), 1)
 
     def test_sums_of_sums(self) -> None:
--- a/tests/router/pairing/test_rules_orders.py
+++ b/tests/router/pairing/test_rules_orders.py
@@ -16,7 +16,8 @@
 from timed_instances import Timed
 from virtual_time import play
 
-from mallowbeam.router.control_plane.stage_controller import StageController
+from mallowbeam.router.control_plane.stage_lease import StageLease
+from mallowbeam.router.control_plane.stage_order_client import StageOrderClient
 from mallowbeam.router.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
 from mallowbeam.router.pairing.stage_share import OrderResult, StageOrder
 from mallowbeam.router.registry.leases import Leases
@@ -165,11 +166,11 @@
         writer.close()
 
 
-class Leader(StageController):
-    """A member with a lease; all else about it is as it is told."""
+class Lease(StageLease):
+    """A member's lease; all else about the member is as it is told."""
 
     def __init__(self, token: int = 7, leads: bool = True, silence_s: float = 0.0) -> None:
-        self._holder, self._told = HOLDER, Standing(leads, TERM, silence_s)
+        self.holder, self._told = HOLDER, Standing(leads, TERM, silence_s)
         self._gate = SimpleNamespace(may=lambda *_: True)
         self._lease = OrderLease(OrderLeaseSettings(LEASE_S))
         self._lease.acquired(TERM, token, time.monotonic() - self._lease.settings.wait_s)
@@ -178,6 +179,11 @@
         return self._told
 
 
+def leader_with(token: int = 7, leads: bool = True, silence_s: float = 0.0) -> StageOrderClient:
+    """A client under such a lease."""
+    return StageOrderClient(Lease(token, leads, silence_s))
+
+
 class Sending(unittest.IsolatedAsyncioTestCase):
     """What a leader sends, and what it takes an answer for."""
 
@@ -186,7 +192,7 @@
 
     async def test_op_holder_token_and_instance_are_named(self) -> None:
         async with Ordered() as instance:
-            self.assertEqual(await Leader()._exchange(self.to(instance)), OrderResult.TAKEN)
+            self.assertEqual(await leader_with().send(self.to(instance)), OrderResult.TAKEN)
             self.assertEqual(
                 instance.taken,
                 [{"op": "stage", "stage": "prefill", "holder": f"{HOLDER:016x}", "fencing_token": 7}],
@@ -194,43 +200,43 @@
 
     async def test_what_each_answer_means(self) -> None:
         async with Ordered() as instance:
-            leader = Leader()
-            self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.TAKEN)  # 202
-            self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.UNKNOWN)  # 409
+            leader = leader_with()
+            self.assertEqual(await leader.send(self.to(instance)), OrderResult.TAKEN)  # 202
+            self.assertEqual(await leader.send(self.to(instance)), OrderResult.UNKNOWN)  # 409
             instance.stage, instance.busy = "prefill", False
-            self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.TAKEN)  # 200
-            self.assertEqual(await leader._exchange(self.to(instance, id="i-0")), OrderResult.REFUSED)
+            self.assertEqual(await leader.send(self.to(instance)), OrderResult.TAKEN)  # 200
+            self.assertEqual(await leader.send(self.to(instance, id="i-0")), OrderResult.REFUSED)
             self.assertEqual(instance.statuses, [202, 409, 200, 421])
             self.assertEqual(len(instance.taken), 1)
 
     async def test_a_lower_token_ends_the_lease(self) -> None:
         async with Ordered(fence=9) as instance:
-            leader = Leader(token=7)
-            self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.REFUSED)
-            self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.NOT_SENT)
+            leader = leader_with(token=7)
+            self.assertEqual(await leader.send(self.to(instance)), OrderResult.REFUSED)
+            self.assertEqual(await leader.send(self.to(instance)), OrderResult.NOT_SENT)
             self.assertEqual((instance.statuses, instance.taken), ([412], []))
 
     async def test_no_answer_may_have_been_taken_and_no_connection_was_not(self) -> None:
         async with Ordered(silent=True) as instance:
-            leader = Leader()
-            self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.UNKNOWN)
+            leader = leader_with()
+            self.assertEqual(await leader.send(self.to(instance)), OrderResult.UNKNOWN)
             self.assertEqual(len(instance.taken), 1)
         nobody = StageOrder("i-1", "127.0.0.1:1", "prefill")
-        self.assertEqual(await leader._exchange(nobody), OrderResult.NOT_SENT)
+        self.assertEqual(await leader.send(nobody), OrderResult.NOT_SENT)
 
     async def test_an_order_for_an_earlier_incarnation_is_not_taken_by_the_next(self) -> None:
         """It has forgotten fences and sequence: its id alone tells it from the one that was meant."""
         async with Ordered() as instance:
-            leader = Leader()
+            leader = leader_with()
             instance.restart("i-2")
-            self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.REFUSED)
+            self.assertEqual(await leader.send(self.to(instance)), OrderResult.REFUSED)
             self.assertEqual((instance.statuses, instance.taken), ([421], []))
-            self.assertEqual(await leader._exchange(self.to(instance, id="i-2")), OrderResult.TAKEN)
+            self.assertEqual(await leader.send(self.to(instance, id="i-2")), OrderResult.TAKEN)
 
     async def test_whoever_does_not_lead_or_is_out_of_touch_sends_nothing(self) -> None:
         async with Ordered() as instance:
-            for leader in (Leader(leads=False), Leader(silence_s=2.0)):
-                self.assertEqual(await leader._exchange(self.to(instance)), OrderResult.NOT_SENT)
+            for leader in (leader_with(leads=False), leader_with(silence_s=2.0)):
+                self.assertEqual(await leader.send(self.to(instance)), OrderResult.NOT_SENT)
             self.assertEqual(instance.statuses, [])
 
 
--- a/tests/simulation/test_system_broken.py
+++ b/tests/simulation/test_system_broken.py
@@ -73,9 +73,9 @@
 
         def claim() -> None:
             for member in player.members.values():
-                member.program._driver.node._state.role = player.members[
+                member.program.parts.driver.node._state.role = player.members[
                     player.names("leader")[0]
-                ].program._driver.node.role
+                ].program.parts.driver.node.role
 
         player.simulator.at(9.0, claim)
         with self.assertRaisesRegex(Violation, "lead term"):
--- a/tests/support/fleet_variants.py
+++ b/tests/support/fleet_variants.py
@@ -24,9 +24,9 @@
 from mallowbeam.router.control_plane.api import ControlApi
 from mallowbeam.router.control_plane.api_errors import VersionMismatchError
 from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
-from mallowbeam.router.control_plane.member import ControlMember
 from mallowbeam.router.control_plane.membership_manager import MembershipManager
 from mallowbeam.router.control_plane.membership_policy import ClusterView
+from mallowbeam.router.control_plane.peer_requests import PeerRequests
 from mallowbeam.router.control_plane.state_machine import CommandOutcome, ReplicatedStateMachine
 from mallowbeam.router.feed.instances import InstanceCopy
 from mallowbeam.router.rpc.messages_pb2 import ALREADY_DONE, DONE, REFUSED, VERSION_MISMATCH, Membership
@@ -155,12 +155,12 @@
 # ------------------------------------------------------------ 3: membership
 
 
-def _promote_all(group: ClusterView) -> Membership | None:
-    learners = [one.id for one in group.membership.members if not one.voter]
-    if not learners or not group.caught_up(learners[0]):
+def _promote_all(view: ClusterView) -> Membership | None:
+    learners = [one.id for one in view.membership.members if not one.voter]
+    if not learners or not view.caught_up(learners[0]):
         return None
     changed = Membership()
-    changed.CopyFrom(group.membership)
+    changed.CopyFrom(view.membership)
     for member in changed.members:
         member.voter = member.voter or member.id == learners[0]
     return changed
@@ -207,11 +207,11 @@
     return Restored(self.hard_state, self.snapshot)
 
 
-_raft = ControlMember.raft
+_raft = PeerRequests.raft
 
 
-def _deaf(self: ControlMember, sender: int, message: Any) -> None:
-    if not (self._own.address.startswith("10.0.0.3:") and time.monotonic() > 9.0):
+def _deaf(self: PeerRequests, sender: int, message: Any) -> None:
+    if not (self.parts.own.address.startswith("10.0.0.3:") and time.monotonic() > 9.0):
         _raft(self, sender, message)
 
 
@@ -234,7 +234,7 @@
         "a member never catches up",
         "m3 has committed",
         "at 9 put 2 on 1\nby 11 expect taken 2\nend 16",
-        _replaced(ControlMember, "raft", _deaf),
+        _replaced(PeerRequests, "raft", _deaf),
         ("CatchUpChecker",),
     ),
 )
--- a/tests/support/membership_plays.py
+++ b/tests/support/membership_plays.py
@@ -132,7 +132,7 @@
 
     def _leading_node(self):
         leading = self.player._leading()
-        return max(leading, key=term_of).program._driver.node if leading else None
+        return max(leading, key=term_of).program.parts.driver.node if leading else None
 
     def _membership(self) -> list[Member]:
         node = self._leading_node()
@@ -170,7 +170,7 @@
         for name, member in self.player.members.items():
             if not member.live:
                 continue
-            driver = member.program._driver
+            driver = member.program.parts.driver
             membership, leads = driver.node.membership, driver.is_leader
             before = self._checked.get(name)
             if before is not None and before[0] is membership and before[1] is leads:
--- a/tests/support/snapshot_load.py
+++ b/tests/support/snapshot_load.py
@@ -22,7 +22,7 @@
 from mallowbeam.router.consensus.interface import RaftSettings
 from mallowbeam.router.consensus.node import RaftNode
 from mallowbeam.router.consensus.storage import ReplicaStore
-from mallowbeam.router.control_plane.member import TRAILING_ENTRIES
+from mallowbeam.router.control_plane.member_builder import TRAILING_ENTRIES
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
 from mallowbeam.router.control_plane.state_machine import ReplicatedStateMachine
 from mallowbeam.router.control_plane.storage_writer import StorageWriter
--- a/tests/support/system_bulk.py
+++ b/tests/support/system_bulk.py
@@ -90,9 +90,9 @@
     def _look_at_links(self) -> None:
         for member in self.members.values():
             if member.live and member.program is not None:
-                if not member.program._driver.is_leader:
+                if not member.program.parts.driver.is_leader:
                     continue  # commands that are passed to the leader wait on theirs
-                for link in member.program._links._links.values():
+                for link in member.program.parts.links._links.values():
                     self.most_waiting = max(self.most_waiting, _waiting(link))
 
 
