--- a/mallowbeam/storage_gateway/coordination/shares/max_min_fairness.py
+++ b/mallowbeam/storage_gateway/coordination/shares/max_min_fairness.py
@@ -1,162 +1,254 @@
-"""Weighted max-min over several bottlenecks: what each tenant gets at each node; pure, and in whole numbers.
-
-A *flow* is one tenant at one node; its demand is what all gateways together were asked for there.  A *link*
-is what flows share: a node's capacity, its zone's, a tenant's limit.  All flows rise together, each at the
-pace of its tenant's weight, until one has what it asks or a link that it uses is full; those stop there and
-the others go on.  Reserves are handed out first in the same way, at the pace of the reserve and under it as
-one more link; what comes of that is the floor from which the second filling rises.  `docs/shares.md` states
-the same as linear programs.
-
-Rates are milli-units a second, weights thousandths, levels fixed-point; all whole, so every gateway gets
-the same to the last bit whatever its machine, and rounding is always down: no sum is above its link.  A
-level is found by events, not by rounds: flows that start from their floor or have enough, and links that
-are full, in the order of their levels.  A full link's level only rises as flows on it stop early, so an old
-one is a lower bound and is looked at again when it comes up.
+"""Weighted max-min fairness over several bottlenecks: each tenant's rate at each node; pure integer arithmetic.
+
+A *flow* is one tenant at one node; its demand is the sum of what all gateways report for it.  A *link* is a
+capacity that flows share: a node's, its zone's, or a tenant's limit.  Rates are found by progressive filling
+(water filling; Bertsekas and Gallager, Data Networks, section 6.5.2): all flows rise together, each in
+proportion to its tenant's weight, until one has its demand or one of its links is full; that flow is frozen
+and the others go on.  Reserves are granted first by the same filling, with the reserves as weights and as
+limits; its rates are the floors from which the second filling rises.  `docs/shares.md` states the same as
+linear programs.
+
+The *level* of a filling is the rate for each unit of weight.  It is found by events in order of their
+levels, not by rounds: a flow leaves its floor or has its demand, a link is full.  The level at which a link
+is full only increases as flows on it are frozen, so a level computed earlier is a lower bound and is computed
+again when it comes up.
+
+Rates are milli-units a second, weights thousandths, levels fixed-point numbers.  All are integers, so every
+gateway computes the same rates to the last bit on any machine; rounding is always down, so no sum exceeds
+its link.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from dataclasses import dataclass
-from heapq import heapify, heappop, heappush
+from dataclasses import dataclass, field
+from heapq import heappop, heappush
 
-MILLI = 1000  # of a unit, of a weight
-SHIFT = 32  # bits of a level below the point: rounding stays under a milli-unit a flow
-MOST_WEIGHT = 1000 * MILLI  # so that a level's product stays a small whole number
+MILLI = 1000  # milli-units of one unit; thousandths of a weight of one
+SHIFT = 32  # fractional bits of a level: rounding stays under a milli-unit for each flow
+MOST_WEIGHT = 1000 * MILLI  # so that the product of a level and a weight stays a small integer
+UNBOUNDED = 1 << 62  # milli-units a second: the capacity of a link without a bound
 
-NONE = 1 << 62  # milli-units: no bound
-Flow = int  # tenant x nodes + node, by their places in sorted order
+Flow = int  # tenant * number of nodes + node, by their positions in sorted order
+Level = int  # milli-units a second for each unit of weight, with `SHIFT` fractional bits
 Rates = dict[Flow, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """What flows share: figures by place; None where there is no such bound."""
+    """The links that flows share, in milli-units a second; None where there is no bound."""
 
     nodes: Sequence[int]  # capacity
-    zone_of: Sequence[int]  # by node, a place in `zones`
+    zone_of: Sequence[int]  # by node, its zone's position in `zones`
     zones: Sequence[int | None]  # capacity
-    weights: Sequence[int]  # by tenant
-    reserves: Sequence[int]
-    limits: Sequence[int | None]
+    weights: Sequence[int]  # by tenant, thousandths
+    reserves: Sequence[int]  # by tenant
+    limits: Sequence[int | None]  # by tenant
 
 
-def allot(net: Network, demand: Mapping[Flow, int]) -> Rates:
-    """Each flow's rate: at most its demand, reserves kept as far as links allow, the rest by weight."""
-    flows = sorted(flow for flow, asked in demand.items() if asked > 0)
-    count = len(net.nodes)
-    reserved = [flow for flow in flows if net.reserves[flow // count]]
-    caps = [
+def allocate(network: Network, demand: Mapping[Flow, int]) -> Rates:
+    """The rate of each flow that asks for anything: at most its demand, reserves first, the rest by weight."""
+    flows = sorted(flow for flow, wanted in demand.items() if wanted > 0)
+    node_count = len(network.nodes)
+    reserved = [flow for flow in flows if network.reserves[flow // node_count]]
+    limits = [
         reserve if limit is None else min(reserve, limit)
-        for reserve, limit in zip(net.reserves, net.limits, strict=True)
+        for reserve, limit in zip(network.reserves, network.limits, strict=True)
     ]
-    floors = _fill(net, reserved, demand, {}, net.reserves, caps) if reserved else {}
-    return _fill(net, flows, demand, floors, net.weights, net.limits)
-
-
-def _fill(
-    net: Network,
-    flows: Sequence[Flow],
-    demand: Mapping[Flow, int],
-    floors: Rates,
-    paces: Sequence[int],
-    limits: Sequence[int | None],
-) -> Rates:
-    """Raise all flows from their floors by their paces until each has enough or a link is full."""
-    count, zones = len(net.nodes), len(net.zones)
-    caps = [*net.nodes, *(NONE if cap is None else cap for cap in (*net.zones, *limits))]
-    zone_link, first = [count + zone for zone in net.zone_of], count + zones
-    sums = [0] * len(caps)
-    for flow in flows:
-        node, link, asked = flow % count, flow // count + first, demand[flow]
-        sums[link] += asked
-        asked = min(asked, caps[link])  # no flow is above its tenant's limit
-        sums[node] += asked
-        sums[zone_link[node]] += asked
-    tight = [total > cap for cap, total in zip(caps, sums, strict=True)]
-    rates: Rates = {}
-    held = [0] * len(caps)  # by link: what does not rise: floors not yet left, and stopped
-    slope = [0] * len(caps)  # by link: the paces of all that rises
-    members: list[list[Flow]] = [[] for _ in caps]
-    links: dict[Flow, list[int]] = {}  # of the flows that may still rise
-    rising: set[Flow] = set()
-    events: list[tuple[int, Flow]] = []  # a level; who has enough there, or -1 - who leaves its floor
-    for flow in flows:
-        node, tenant, asked = flow % count, flow // count, demand[flow]
-        zone, limit = zone_link[node], tenant + first
-        mine = [node] if tight[node] else []
-        if tight[zone]:
-            mine.append(zone)
-        if tight[limit]:
-            mine.append(limit)
-        floor = floors.get(flow, 0)
-        if not mine or floor >= asked:
-            rates[flow] = asked  # nothing that it uses can be full, or its floor is enough
-            for link in mine:
-                held[link] += asked
-            continue
-        links[flow], pace = mine, paces[tenant]
-        events.append((-(-(asked << SHIFT) // pace), flow))
-        if floor:
-            events.append((-(-(floor << SHIFT) // pace), -1 - flow))
-            for link in mine:
-                members[link].append(flow)
-                held[link] += floor
-        else:
-            rising.add(flow)
-            for link in mine:
-                members[link].append(flow)
-                slope[link] += pace
-    events.sort()
-    full = [((caps[link] - held[link] << SHIFT) // climb, link) for link, climb in enumerate(slope) if climb]
-    known = [NONE << SHIFT] * len(caps)  # by link: its lowest level in `full`
-    for level, link in full:
-        known[link] = level
-    heapify(full)
-    at, last = 0, len(events)
-    while at < last or full:
-        if full and (at == last or full[0][0] <= events[at][0]):
-            seen, link = heappop(full)
-            if seen > known[link]:
-                continue  # a lower one has been here since
-            known[link] = NONE << SHIFT
-            if not (climb := slope[link]):
-                continue  # nothing on it rises now
-            level = (caps[link] - held[link] << SHIFT) // climb
-            if level > seen:
-                known[link] = level
-                heappush(full, (level, link))  # flows on it have stopped since
+    floors: Rates = {}
+    if reserved:
+        floors = ProgressiveFilling(network, demand, {}, network.reserves, limits).fill(reserved)
+    return ProgressiveFilling(network, demand, floors, network.weights, network.limits).fill(flows)
+
+
+@dataclass(slots=True)
+class ProgressiveFilling:
+    """One filling: all flows rise together, each by its weight, until it has its demand or a link is full.
+
+    `demand` and `floors` are milli-units a second by flow, `limits` by tenant; `weights` by tenant say how
+    fast its flows rise.  An instance is used for one call of `fill`.
+
+    A link is a number: the nodes come first, then the zones, then the tenants' limits.
+    """
+
+    network: Network
+    demand: Mapping[Flow, int]
+    floors: Rates
+    weights: Sequence[int]
+    limits: Sequence[int | None]
+
+    rates: Rates = field(init=False, default_factory=dict)
+    capacities: list[int] = field(init=False)
+    links_of: dict[Flow, list[int]] = field(init=False, default_factory=dict)  # of flows not yet frozen
+    rising: set[Flow] = field(init=False, default_factory=set)  # flows above their floors, not yet frozen
+    flows_of: list[list[Flow]] = field(init=False)  # by link
+    fixed_rate: list[int] = field(init=False)  # by link: floors not yet left, and frozen flows
+    rising_weight: list[int] = field(init=False)  # by link: the sum of the weights of its rising flows
+    flow_events: list[tuple[Level, int]] = field(init=False, default_factory=list)  # see `_schedule_flow`
+    saturations: list[tuple[Level, int]] = field(init=False)  # a heap of levels and links
+    next_saturation: list[Level] = field(init=False)  # by link: its lowest level in the heap
+
+    def __post_init__(self) -> None:
+        """Nothing has been given to any flow yet."""
+        bounds = (*self.network.nodes, *self.network.zones, *self.limits)
+        self.capacities = [UNBOUNDED if bound is None else bound for bound in bounds]
+        self.flows_of = [[] for _ in bounds]
+        self.fixed_rate = [0] * len(bounds)
+        self.rising_weight = [0] * len(bounds)
+
+    def fill(self, flows: Sequence[Flow]) -> Rates:
+        """The rate of each of these flows, in milli-units a second."""
+        self._add_flows(flows)
+        self.flow_events.sort()
+        self._schedule_all_saturations()
+        events, saturations = self.flow_events, self.saturations
+        position, end = 0, len(events)
+        while position < end or saturations:
+            if saturations and (position == end or saturations[0][0] <= events[position][0]):
+                self._take_next_saturation()
+                continue
+            event = events[position][1]
+            position += 1
+            if event >= 0:
+                self._freeze_at_demand(event)
+            else:
+                self._leave_floor(-1 - event)
+        return self.rates
+
+    # --- setting up -------------------------------------------------------------------------------
+
+    def _zone_links(self) -> list[int]:
+        """By node, the link of its zone."""
+        node_count = len(self.network.nodes)
+        return [node_count + zone for zone in self.network.zone_of]
+
+    def _first_limit_link(self) -> int:
+        """The link of the first tenant's limit."""
+        return len(self.network.nodes) + len(self.network.zones)
+
+    def _can_saturate(self, flows: Sequence[Flow]) -> list[bool]:
+        """By link, whether the flows' demands together exceed its capacity."""
+        node_count, capacities, demand = len(self.network.nodes), self.capacities, self.demand
+        zone_links, first_limit_link = self._zone_links(), self._first_limit_link()
+        sums = [0] * len(capacities)
+        for flow in flows:
+            node = flow % node_count
+            limit_link = flow // node_count + first_limit_link
+            wanted = demand[flow]
+            sums[limit_link] += wanted
+            if wanted > capacities[limit_link]:
+                wanted = capacities[limit_link]  # no flow is above its tenant's limit
+            sums[node] += wanted
+            sums[zone_links[node]] += wanted
+        return [total > capacity for capacity, total in zip(capacities, sums, strict=True)]
+
+    def _add_flows(self, flows: Sequence[Flow]) -> None:
+        """Freeze the flows that no link can bound; let the others rise, or wait at their floors."""
+        node_count, demand, floors = len(self.network.nodes), self.demand, self.floors
+        zone_links, first_limit_link = self._zone_links(), self._first_limit_link()
+        can_saturate = self._can_saturate(flows)
+        for flow in flows:
+            node = flow % node_count
+            limit_link = flow // node_count + first_limit_link
+            links = [node] if can_saturate[node] else []
+            if can_saturate[zone_links[node]]:
+                links.append(zone_links[node])
+            if can_saturate[limit_link]:
+                links.append(limit_link)
+            floor = floors.get(flow, 0)
+            if links and floor < demand[flow]:
+                self._schedule_flow(flow, floor, links)
                 continue
-            for flow in members[link]:
-                if flow not in links:
-                    continue
-                mine = links.pop(flow)
-                if flow not in rising:
-                    rates[flow] = floors[flow]
-                    continue
-                pace = paces[flow // count]
-                rates[flow] = rate = level * pace >> SHIFT
-                for other in mine:
-                    held[other] += rate
-                    slope[other] -= pace
-            continue
-        level, told = events[at]
-        at += 1
-        flow = told if told >= 0 else -1 - told
-        if flow not in links:
-            continue
-        pace = paces[flow // count]
-        if told < 0:
-            rising.add(flow)
-            for link in links[flow]:
-                held[link] -= floors[flow]
-                slope[link] += pace
-                if (level := (caps[link] - held[link] << SHIFT) // slope[link]) < known[link]:
-                    known[link] = level
-                    heappush(full, (level, link))
+            self.rates[flow] = demand[flow]
+            for link in links:
+                self.fixed_rate[link] += demand[flow]
+
+    def _schedule_flow(self, flow: Flow, floor: int, links: list[int]) -> None:
+        """Note the levels at which a flow leaves its floor (event `-1 - flow`) and has its demand (`flow`)."""
+        weight = self.weights[flow // len(self.network.nodes)]
+        self.links_of[flow] = links
+        self.flow_events.append((-(-(self.demand[flow] << SHIFT) // weight), flow))
+        for link in links:
+            self.flows_of[link].append(flow)
+        if floor:
+            self.flow_events.append((-(-(floor << SHIFT) // weight), -1 - flow))
+            for link in links:
+                self.fixed_rate[link] += floor
         else:
-            rates[flow] = asked = demand[flow]
-            for link in links.pop(flow):
-                held[link] += asked
-                slope[link] -= pace
-    return rates
+            self.rising.add(flow)
+            for link in links:
+                self.rising_weight[link] += weight
+
+    # --- saturation of links ----------------------------------------------------------------------
+
+    def _saturation_level(self, link: int) -> Level:
+        """The level at which this link is full if all flows that rise on it now go on rising."""
+        return (self.capacities[link] - self.fixed_rate[link] << SHIFT) // self.rising_weight[link]
+
+    def _schedule_all_saturations(self) -> None:
+        """Build the heap of the levels at which links with rising flows are full."""
+        self.next_saturation = [UNBOUNDED << SHIFT] * len(self.capacities)
+        self.saturations = []
+        for link, weight in enumerate(self.rising_weight):
+            if weight:
+                self._schedule_saturation(link, self._saturation_level(link))
+
+    def _schedule_saturation(self, link: int, level: Level) -> None:
+        """Look at this link again once the flows have risen to that level."""
+        self.next_saturation[link] = level
+        heappush(self.saturations, (level, link))
+
+    def _take_next_saturation(self) -> None:
+        """Freeze the flows of the link that is full next, if it is full at the level that was foreseen."""
+        foreseen, link = heappop(self.saturations)
+        if foreseen > self.next_saturation[link]:
+            return  # the link was scheduled again, at a lower level
+        self.next_saturation[link] = UNBOUNDED << SHIFT
+        if not self.rising_weight[link]:
+            return
+        level = self._saturation_level(link)
+        if level > foreseen:  # some of its flows were frozen since: it is full later
+            self._schedule_saturation(link, level)
+            return
+        for flow in self.flows_of[link]:
+            if flow in self.links_of:
+                self._freeze_at_level(flow, level)
+
+    # --- events of single flows -------------------------------------------------------------------
+
+    def _freeze_at_level(self, flow: Flow, level: Level) -> None:
+        """A link of this flow is full: it keeps the rate of that level, or its floor if that is more."""
+        links = self.links_of.pop(flow)
+        if flow not in self.rising:
+            self.rates[flow] = self.floors[flow]
+            return
+        weight = self.weights[flow // len(self.network.nodes)]
+        self.rates[flow] = rate = level * weight >> SHIFT
+        for link in links:
+            self.fixed_rate[link] += rate
+            self.rising_weight[link] -= weight
+
+    def _freeze_at_demand(self, flow: Flow) -> None:
+        """This flow has all that it asks for, unless it was frozen before."""
+        links = self.links_of.pop(flow, None)
+        if links is None:
+            return
+        weight = self.weights[flow // len(self.network.nodes)]
+        self.rates[flow] = rate = self.demand[flow]
+        for link in links:
+            self.fixed_rate[link] += rate
+            self.rising_weight[link] -= weight
+
+    def _leave_floor(self, flow: Flow) -> None:
+        """The level has reached this flow's floor: it rises from now on, unless it was frozen before."""
+        links = self.links_of.get(flow)
+        if links is None:
+            return
+        weight = self.weights[flow // len(self.network.nodes)]
+        self.rising.add(flow)
+        for link in links:
+            self.fixed_rate[link] -= self.floors[flow]
+            self.rising_weight[link] += weight
+            level = self._saturation_level(link)
+            if level < self.next_saturation[link]:
+                self._schedule_saturation(link, level)
