--- a/mallowbeam/lab/faults/model.py
+++ b/mallowbeam/lab/faults/model.py
@@ -12,7 +12,7 @@
     fit G        what G has out above what it may use ends       (with connections only)
 
 A gateway uses all that it may: of shares what is usable now, of connections whatever was usable, until it is
-ended (`fit`) or has to be closed by force (`most`).  Checked at each world: the sum of what is in use is
+ended (`fit`) or has to be closed by force (`hard_limit`). Checked at each world: the sum of what is in use is
 within the capacity of one epoch, and of none whose successor was committed longer than lease and linger ago.
 """
 
@@ -25,12 +25,13 @@
 
 from mallowbeam.storage_gateway.coordination.quota_epochs import (
     MOST_OPEN,
+    Bounds,
     N,
     QuotaEpochs,
     next_epoch,
     release,
 )
-from mallowbeam.storage_gateway.coordination.quota_transfer import QuotaTransfer, Release
+from mallowbeam.storage_gateway.coordination.quota_transfer import QuotaTransfer, Release, TransferTiming
 
 SLACK = 1e-9  # of a capacity: a sum of floats
 GATEWAYS = ("a", "b", "c")
@@ -56,6 +57,11 @@
         """The floor, the same for all."""
         return self.floor
 
+    def view(self, name: str, started_at: float) -> QuotaTransfer[N]:
+        """A new incarnation's view; it proposes no release twice."""
+        timing = TransferTiming(self.lease, self.drift, self.linger, retry=1e9)
+        return self.kind(name, self.names, self.least, timing, started_at)
+
 
 @dataclass(frozen=True)
 class Mark:
@@ -97,9 +103,9 @@
         """The same, to be changed."""
         view = object.__new__(type(self.view))
         for name, value in self.view.__dict__.items():
-            if name == "open":
+            if name == "open_rows":
                 value = {resource: list(rows) for resource, rows in value.items()}
-            elif name == "waiting":
+            elif name == "blocking":
                 value = {holder: set(held) for holder, held in value.items()}
             elif isinstance(value, dict | list):
                 value = value.copy()
@@ -109,19 +115,19 @@
     def sealed(self) -> Seat[N]:
         """Changed no more: its key says all that decides what it will do."""
         v = self.view
-        opened = tuple((name, rows[0][0]) for name, rows in sorted(v.open.items()))
+        opened = tuple((name, rows[0][0]) for name, rows in sorted(v.open_rows.items()))
         self.key = (
             self.life,
             self.at,
             v.epoch,
-            v.gone,
-            v.known_at,
-            v.begun,
+            v.expired_epoch,
+            v.renewed_at,
+            v.started_at,
             opened,
-            tuple(v.owed),
-            v.put[0],
-            tuple(sorted(v.rel.items())),
-            tuple(sorted(v.heard.items())),
+            tuple(v.unreleased_epochs),
+            v.last_release[0],
+            tuple(sorted(v.released_epochs.items())),
+            tuple(sorted(v.epochs_seen.items())),
             tuple(sorted(self.out.items())),
         )
         return self
@@ -143,12 +149,13 @@
     def begin(cls, script: Script[N]) -> World[N]:
         """The first epoch is settled, and everybody has just proven that it knows it."""
         rows, capacity = script.epochs[0]
-        state = next_epoch(QuotaEpochs[N](holders=script.names), rows, script.least, capacity.__getitem__)
+        state = next_epoch(
+            QuotaEpochs[N](holders=script.names), rows, Bounds(script.least, capacity.__getitem__)
+        )
         seats = []
         for name in script.names:
-            view = script.kind.resume(
-                state, 0.0, name, script.least, script.lease, -1e9, script.drift, script.linger, 1e9
-            )
+            view = script.view(name, -1e9)
+            view.restore(state, 0.0)
             view.lease_renewed(0.0)
             seats.append(Seat(0, 1, view))
         world = cls(script, 0, (Line(None, state, 0),), (0,), frozenset(), tuple(seats))
@@ -179,7 +186,7 @@
         """Names of all that may happen next and would change something."""
         can = ["time"]
         newest = self.log[-1].state
-        if len(self.commits) < len(self.script.epochs) and len(newest.open) < MOST_OPEN:
+        if len(self.commits) < len(self.script.epochs) and len(newest.open_epochs) < MOST_OPEN:
             can.append("epoch")
         for thing in sorted(self.way, key=repr):
             can.append(f"commit {thing!r}")
@@ -191,7 +198,7 @@
                 can.append(f"jump {name}")
             if Mark(number, seat.life, self.now(number)) not in self.way:
                 can.append(f"mark {name}")
-            if any(self.now(number) > at + seat.view.wait for at, _ in seat.view.heard.values()):
+            if any(self.now(number) > at + seat.view.grow_delay for at, _ in seat.view.epochs_seen.values()):
                 can.append(f"tick {name}")
             if seat.life < self.script.lives:
                 can.append(f"restart {name}")
@@ -207,7 +214,7 @@
             return self._later()
         if what == "epoch":
             rows, capacity = self.script.epochs[len(self.commits)]
-            state = next_epoch(self.log[-1].state, rows, self.script.least, capacity.__getitem__)
+            state = next_epoch(self.log[-1].state, rows, Bounds(self.script.least, capacity.__getitem__))
             return replace(self._grown(None, state), commits=(*self.commits, self.time))
         if what == "commit":
             thing = next(thing for thing in self.way if repr(thing) == rest)
@@ -235,7 +242,7 @@
                 seat.out[resource] = min(amount, seat.view.usable(resource, now))
         said += world._use(number, seat)
         words = {Word(rest, word.epoch) for word in said}
-        words |= {Word(*pair) for pair in seat.view.lapsed(self.log[-1].state).items()}
+        words |= {Word(*pair) for pair in seat.view.expired_holders(self.log[-1].state).items()}
         seats = tuple(seat.sealed() if at == number else other for at, other in enumerate(self.seats))
         return replace(world, way=world.way | words, seats=seats)
 
@@ -247,10 +254,10 @@
         seats = list(self.seats)
         for number, seat in enumerate(seats):
             now = world.now(number)
-            if any(amount > seat.view.most(resource, now) for resource, amount in seat.out.items()):
+            if any(amount > seat.view.hard_limit(resource, now) for resource, amount in seat.out.items()):
                 seats[number] = seat = seat.copy()
                 for resource, amount in seat.out.items():
-                    seat.out[resource] = min(amount, seat.view.most(resource, now))
+                    seat.out[resource] = min(amount, seat.view.hard_limit(resource, now))
                 seat.sealed()
         return replace(world, seats=tuple(seats))
 
@@ -285,17 +292,8 @@
         ghosts = self.ghosts
         if script.linger and seat.out:
             ghosts += ((self.time + script.linger, tuple(sorted(seat.out.items()))),)
-        view = script.kind.resume(
-            self.log[seat.at - 1].state,
-            now,
-            script.names[number],
-            script.least,
-            script.lease,
-            now,
-            script.drift,
-            script.linger,
-            1e9,
-        )
+        view = script.view(script.names[number], now)
+        view.restore(self.log[seat.at - 1].state, now)
         return replace(self, ghosts=ghosts), Seat(seat.life + 1, seat.at, view)
 
     # --- what is in use ---------------------------------------------------------------------------
@@ -307,10 +305,10 @@
         now, said = self.now(number), list[Release]()
         for resource in self.script.epochs[0][1]:
             out = seat.out.get(resource, self.script.floor * 0)
-            out = max(min(out, seat.view.most(resource, now)), seat.view.usable(resource, now))
+            out = max(min(out, seat.view.hard_limit(resource, now)), seat.view.usable(resource, now))
             if out != seat.out.get(resource):
                 seat.out[resource] = out
-            said += seat.view.using(resource, out, now)
+            said += seat.view.report_use(resource, out, now)
         return said
 
     def used(self, number: int, resource: str) -> N:
@@ -325,11 +323,13 @@
             if self.time > at + script.lease / min(script.rates) + script.linger:
                 first = epoch
         for resource in script.epochs[0][1]:
-            most = max(capacity[resource] for _, capacity in script.epochs[first : len(self.commits)])
+            capacity_of_epochs = max(
+                capacity[resource] for _, capacity in script.epochs[first : len(self.commits)]
+            )
             total = sum(self.used(number, resource) for number in range(len(self.seats)))
             total += sum(amount for _, held in self.ghosts for name, amount in held if name == resource)
-            if total > most * (1 + SLACK):
-                return f"{resource}: {total} in use, {most} at most"
+            if total > capacity_of_epochs * (1 + SLACK):
+                return f"{resource}: {total} in use, {capacity_of_epochs} at most"
         return ""
 
 
@@ -350,10 +350,10 @@
     trace: tuple[str, ...] = ()
 
 
-def explore(script: Script[N], depth: int, after: Sequence[str] = (), most: int = 10_000_000) -> Found:
+def explore(script: Script[N], depth: int, after: Sequence[str] = (), most_worlds: int = 10_000_000) -> Found:
     """Every order of events up to this depth, breadth first, so that a trace found is the shortest.
 
-    `after`: what has happened before that.  Stops at `most` worlds and says how many they were.
+    `after`: what has happened before that.  Stops at `most_worlds` worlds and says how many they were.
     """
     begin = follow(script, after)
     seen = {hash(begin.key)}  # 64 bits of each: two alike are not to be feared
@@ -371,7 +371,7 @@
                     return Found(len(seen), wrong, (*after, *_unrolled(trail)))
                 if last:
                     below.append((then, trail))
-                if len(seen) >= most:
+                if len(seen) >= most_worlds:
                     return Found(len(seen))
         layer = below
     return Found(len(seen))
--- a/mallowbeam/lab/faults/walk.py
+++ b/mallowbeam/lab/faults/walk.py
@@ -152,7 +152,7 @@
         if item.mark:
             if item.life == self.life:
                 self.gate.marked(item.mark, now)
-                self.core.mark(self.gate.known_at)
+                self.core.mark(self.gate.renewed_at)
             return
         before = self.log.states[MACHINE]
         for told in take(self.log, item):
--- a/mallowbeam/lab/shares.py
+++ b/mallowbeam/lab/shares.py
@@ -13,16 +13,16 @@
 from dataclasses import dataclass
 
 from mallowbeam.storage_gateway.coordination.replicated_log import ReplicatedLog
-from mallowbeam.storage_gateway.coordination.shares.demand_encoding import code, pack
+from mallowbeam.storage_gateway.coordination.shares.demand_encoding import encode_demand, rate_code
 from mallowbeam.storage_gateway.coordination.shares.gateway_core import SharesCore
 from mallowbeam.storage_gateway.coordination.shares.state_machine import (
-    Close,
-    Demand,
-    Node,
-    Released,
-    Setup,
-    Share,
+    CloseEpoch,
+    DemandReport,
+    NodeCapacity,
+    QuotaReleased,
+    SharesPolicy,
     SharesStateMachine,
+    TenantShare,
 )
 
 
@@ -48,7 +48,7 @@
 class Push:
     """A policy as far as shares go."""
 
-    shares: Setup
+    shares: SharesPolicy
 
 
 def measure(
@@ -57,15 +57,17 @@
     """Run two epochs of a made-up fleet; `spread` gateways and `places` nodes for each tenant."""
     rng = random.Random(seed)
     names = [f"g{at:03}" for at in range(gateways)]
-    setup = Setup(
+    setup = SharesPolicy(
         {
-            f"t{at:04}": Share(
+            f"t{at:04}": TenantShare(
                 rng.choice([1000, 2000, 4000]), rng.choice([0, 0, 20_000]), rng.choice([None, None, 200_000])
             )
             for at in range(tenants)
         },
         {
-            f"n{at:03}": Node(int(tenants * places * 40_000 / nodes * rng.uniform(0.6, 1.4)), f"z{at % 10}")
+            f"n{at:03}": NodeCapacity(
+                int(tenants * places * 40_000 / nodes * rng.uniform(0.6, 1.4)), f"z{at % 10}"
+            )
             for at in range(nodes)
         },
         {"z0": int(tenants * places * 4_000 * 0.8)},
@@ -78,8 +80,8 @@
         on = rng.sample(range(nodes), places)
         for name in rng.sample(names, spread):
             for node in on:
-                flows[name][tenant * nodes + node] = code(int(rng.uniform(0.2, 1.8) * 50_000 / spread))
-    roll = log.states["shares"].roll
+                flows[name][tenant * nodes + node] = rate_code(int(rng.uniform(0.2, 1.8) * 50_000 / spread))
+    numbering = log.states["shares"].numbering
 
     def apply(body: bytes, now: float) -> float:
         began = time.process_time()
@@ -91,21 +93,21 @@
 
     def epoch(reports: dict[str, dict[int, int]], now: float) -> tuple[int, list[float]]:
         size, spent = 0, [0.0] * 4
-        core.handover.lease_renewed(now)
+        core.transfer.lease_renewed(now)
         for name in names:
-            body = log.encode("shares", name, Demand(roll, pack(reports[name])))
+            body = log.encode("shares", name, DemandReport(numbering, encode_demand(reports[name])))
             size += len(body)
             began = time.process_time()
             apply(body, now)
             spent[0] += time.process_time() - began
-        body = log.encode("shares", names[0], Close(log.states["shares"].number + 1))
+        body = log.encode("shares", names[0], CloseEpoch(log.states["shares"].close_number + 1))
         size += len(body)
         began = time.process_time()
         spent[1] = apply(body, now)
         spent[2] = time.process_time() - began - spent[1]
         began = time.process_time()
-        for name in log.states["shares"].handed.owing:
-            body = log.encode("shares", name, Released(log.states["shares"].handed.epoch))
+        for name in log.states["shares"].quota.awaited_releases:
+            body = log.encode("shares", name, QuotaReleased(log.states["shares"].quota.epoch))
             size += len(body)
             apply(body, now)
         core.tick(now)
@@ -117,7 +119,7 @@
     for turn in range(8):
         changes = {
             name: {
-                flow: code(int(rng.uniform(0.2, 1.8) * 50_000 / spread))
+                flow: rate_code(int(rng.uniform(0.2, 1.8) * 50_000 / spread))
                 for flow in rows
                 if rng.random() < churn
             }
--- a/mallowbeam/lab/sharesim.py
+++ b/mallowbeam/lab/sharesim.py
@@ -18,10 +18,10 @@
     Allot,
     Propose,
     SharesCore,
-    Times,
+    SharesTiming,
 )
 from mallowbeam.storage_gateway.coordination.shares.state_machine import (
-    Setup,
+    SharesPolicy,
     SharesState,
     SharesStateMachine,
 )
@@ -34,7 +34,7 @@
 class Push:
     """A policy as far as shares go."""
 
-    shares: Setup
+    shares: SharesPolicy
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,14 +67,14 @@
 
     def __init__(
         self,
-        setup: Setup,
+        setup: SharesPolicy,
         gateways: int = 5,
         seed: int = 1,
         loss: float = 0.0,
-        times: Times | None = None,
+        times: SharesTiming | None = None,
         core: type[SharesCore] = SharesCore,
     ) -> None:
-        self.rng, self.loss, self.times, self.now = random.Random(seed), loss, times or Times(), 0.0
+        self.rng, self.loss, self.times, self.now = random.Random(seed), loss, times or SharesTiming(), 0.0
         self.names = [f"g{at}" for at in range(gateways)]
         self.kind = core
         self.entries: list[tuple[float, bytes | Push | Mark]] = []
@@ -95,13 +95,13 @@
 
     # --- what befalls it --------------------------------------------------------------------------
 
-    def push(self, setup: Setup) -> None:
+    def push(self, setup: SharesPolicy) -> None:
         """A policy is committed, if there is a majority; its bounds count from the close that follows."""
         if any(map(self.connected, self.names)):
             self.entries.append((self.now, Push(setup)))
             self.setup, self.pushed = setup, True
 
-    def _bounds(self, setup: Setup) -> None:
+    def _bounds(self, setup: SharesPolicy) -> None:
         self.pushed = False
         for name, node in setup.nodes.items():
             self.bound(f"n:{name}", node.capacity / 1000)
@@ -122,7 +122,7 @@
         self.bound(f"n:{node}", 0.0 if gone else self.setup.nodes[node].capacity / 1000)
         for member in self.members.values():
             if member.alive:
-                self._do(member, member.core.node(node, gone, self.now * member.rate))
+                self._do(member, member.core.node_changed(node, gone, self.now * member.rate))
 
     def kill(self, name: str) -> None:
         """It is no more."""
@@ -187,7 +187,7 @@
         if member.woke:
             member.woke = False
             return  # the first moment awake: requests come before words and ticks
-        core.leads = member.name == self.leader
+        core.is_leader = member.name == self.leader
         while self.connected(member.name) and member.at < len(self.entries):
             since, entry = self.entries[member.at]
             if self.now < since + self.rng.choice((0.0, 0.0, 0.1, 0.3)):
@@ -248,7 +248,7 @@
         return told
 
     def _check(self) -> None:
-        if self.pushed and (state := self.state).setup == self.setup and state.dirty < 2:
+        if self.pushed and (state := self.state).policy == self.setup and state.recompute < 2:
             self._bounds(self.setup)
         for resource, used in self.used().items():
             if resource in self.bounds:
--- a/mallowbeam/lab/shareworth.py
+++ b/mallowbeam/lab/shareworth.py
@@ -14,8 +14,12 @@
 from dataclasses import dataclass
 
 from mallowbeam.lab.sharesim import Demands, Fleet, totals
-from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import Network, allot
-from mallowbeam.storage_gateway.coordination.shares.state_machine import Node, Setup, Share
+from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import Network, allocate
+from mallowbeam.storage_gateway.coordination.shares.state_machine import (
+    NodeCapacity,
+    SharesPolicy,
+    TenantShare,
+)
 
 SHIFT_S = 10.0  # between two shifts of all demand; seldom is harder
 
@@ -34,7 +38,7 @@
         return (self.shares - self.static) / (self.oracle - self.static)
 
 
-def network(setup: Setup, parts: int = 1) -> Network:
+def network(setup: SharesPolicy, parts: int = 1) -> Network:
     """The set-up's network, or one of so many equal parts of it."""
     zones = sorted({node.zone for node in setup.nodes.values()})
     shares = [setup.tenants[name] for name in sorted(setup.tenants)]
@@ -49,25 +53,27 @@
     )
 
 
-def served(setup: Setup, demand: Mapping[tuple[str, str], float], parts: int = 1) -> float:
+def served(setup: SharesPolicy, demand: Mapping[tuple[str, str], float], parts: int = 1) -> float:
     """Units a second that the filling serves of this demand."""
     tenants, nodes = sorted(setup.tenants), sorted(setup.nodes)
     flows = {
         tenants.index(tenant) * len(nodes) + nodes.index(node): int(asked * 1000)
         for (tenant, node), asked in demand.items()
     }
-    return sum(allot(network(setup, parts), flows).values()) / 1000
+    return sum(allocate(network(setup, parts), flows).values()) / 1000
 
 
 def day(seed: int, shifts: int = 6, gateways: int = 5) -> Worth:
     """One day of shifts: each time some tenants' work moves to other gateways."""
     rng = random.Random(seed)
-    setup = Setup(
+    setup = SharesPolicy(
         {
-            f"t{at}": Share(rng.choice([1000, 2000]), rng.choice([0, 20_000]), rng.choice([None, 120_000]))
+            f"t{at}": TenantShare(
+                rng.choice([1000, 2000]), rng.choice([0, 20_000]), rng.choice([None, 120_000])
+            )
             for at in range(8)
         },
-        {f"n{at}": Node(100_000, "xy"[at % 2]) for at in range(4)},
+        {f"n{at}": NodeCapacity(100_000, "xy"[at % 2]) for at in range(4)},
         {"x": 180_000},
     )
     fleet = Fleet(setup, gateways, seed)
--- a/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
@@ -16,13 +16,13 @@
 from mallowbeam.storage_gateway.coordination.maintenance import core as c
 from mallowbeam.storage_gateway.coordination.maintenance.machine import Maintenance, describe
 from mallowbeam.storage_gateway.coordination.maintenance.state import AWAY, OVER, NodeFacts, Section
-from mallowbeam.storage_gateway.coordination.policy_document import owns
+from mallowbeam.storage_gateway.coordination.policy_document import register_section
 from mallowbeam.storage_gateway.coordination.replicated_log import Committed
 from mallowbeam.storage_gateway.coordination.subsystem import SubsystemContext
 from mallowbeam.storage_gateway.operator_settings import MaintenanceSection
 from mallowbeam.storage_gateway.scheduler.interface import NodeState
 
-owns("maintenance", Section)
+register_section("maintenance", Section)
 
 
 class NotOut(FleetError):
@@ -38,7 +38,7 @@
 
     def __init__(self, context: SubsystemContext, section: MaintenanceSection) -> None:
         self.context = context
-        self.topic = Maintenance(context.members)
+        self.state_machine = Maintenance(context.members)
         now = time.monotonic()
         self.core = c.MaintenanceCore(
             context.me,
@@ -84,7 +84,7 @@
 
     def describe(self) -> dict[str, object]:
         """Steps, order and reasons."""
-        return describe(self.topic, self.core.state) | {"counted": self.core.serves(time.monotonic())}
+        return describe(self.state_machine, self.core.state) | {"counted": self.core.serves(time.monotonic())}
 
     def gauges(self) -> Mapping[str, float]:
         """How many machines are where."""
--- a/mallowbeam/storage_gateway/coordination/policy.py
+++ b/mallowbeam/storage_gateway/coordination/policy.py
@@ -5,8 +5,8 @@
 gateway may serve.
 
 What it rests on is one fact: a mark of this gateway's own, put into the log at time t and seen to come out of
-it, proves that everything committed before t has come out too.  So `known_at` is the time at which the newest
-proven mark was *put in*, on this gateway's own steady clock; no clock is compared with another's.
+it, proves that everything committed before t has come out too. So `renewed_at` is the time at which the
+newest proven mark was *put in*, on this gateway's own steady clock; no clock is compared with another's.
 
     LEARNING  since the start no mark has come back: nothing is known to be the newest; it does not serve
     CURRENT   the newest mark that came back is younger than the lease
@@ -89,7 +89,7 @@
     phase: Phase = Phase.LEARNING
     change: Change = field(default_factory=Change)  # in force here
     newest: Change = field(default_factory=Change)  # committed, as far as the log has told
-    known_at: float = float("-inf")
+    renewed_at: float = float("-inf")
     last: int = 0
     marks: OrderedDict[int, float] = field(default_factory=OrderedDict)
     due: float = float("-inf")
@@ -98,7 +98,7 @@
         """Whether requests may be taken; by the clock, as a process that stood still has missed its ticks."""
         if self.phase is Phase.LEARNING:
             return False
-        return now <= self.known_at + self.lease or not self.refuses_stale
+        return now <= self.renewed_at + self.lease or not self.refuses_stale
 
     def tick(self, now: float) -> list[Action]:
         """Time has passed: a mark may be due, the lease may be over."""
@@ -109,7 +109,7 @@
             while len(self.marks) > MOST_MARKS:
                 self.marks.popitem(last=False)
             actions.append(Mark(self.last))
-        if self.phase is Phase.CURRENT and now > self.known_at + self.lease:
+        if self.phase is Phase.CURRENT and now > self.renewed_at + self.lease:
             self._enter(Phase.STALE, actions)
         return actions
 
@@ -131,9 +131,9 @@
             return []  # of an earlier life, or given up
         while self.marks and next(iter(self.marks)) < number:
             self.marks.popitem(last=False)  # overtaken: it proves less
-        self.known_at = max(self.known_at, proposed_at)
+        self.renewed_at = max(self.renewed_at, proposed_at)
         actions: list[Action] = []
-        if now <= self.known_at + self.lease and self.phase is not Phase.CURRENT:
+        if now <= self.renewed_at + self.lease and self.phase is not Phase.CURRENT:
             actions += self._apply()
             self._enter(Phase.CURRENT, actions)
         return actions
--- a/mallowbeam/storage_gateway/coordination/policy_document.py
+++ b/mallowbeam/storage_gateway/coordination/policy_document.py
@@ -1,7 +1,7 @@
 """A policy's text: its sections, what each is checked against, and the one spelling that digests are made of.
 
 JSON. `drains` and `plans` are the fleet's own. The other sections belong to the subsystems: each registers
-the type of its own (`owns`) when it is loaded, and its topic judges what the section says
+the type of its own (`register_section`) when it is loaded, and its topic judges what the section says
 (`StateMachine.apply_policy`). The log reads a text by `read_policy` alone, which knows no such type: what a
 member takes for a policy must not hang on what that member has loaded.
 """
@@ -63,7 +63,7 @@
 _TYPES: dict[str, type[msgspec.Struct]] = {}  # by section: registered by the package that owns it
 
 
-def owns(section: str, kind: type[msgspec.Struct]) -> None:
+def register_section(section: str, kind: type[msgspec.Struct]) -> None:
     """A subsystem's package states its section's type, as it is loaded."""
     if section not in SUBSYSTEMS:
         raise ValueError(f"no policy has a section {section}")
--- a/mallowbeam/storage_gateway/coordination/quota_epochs.py
+++ b/mallowbeam/storage_gateway/coordination/quota_epochs.py
@@ -1,14 +1,15 @@
-"""What the log holds of a handover: the epochs not yet settled, and who has released; pure functions.
-
-A topic embeds one `QuotaEpochs` in its state. `next_epoch` opens an epoch, `release` takes in a holder's word
-(or another's word that the holder's lease is surely over, which is as good), and both forget what is settled.
-An epoch names only the rows that it changed; a *row* is one resource's amounts by holder, whole: a holder not
-named in it has its floor. A holder whose amount fell in an epoch *owes* it a release; the epoch is settled
-once nobody owes it or one before it. Settled rows fold into `rows`, so the state is one whole row for each
-resource and at most `MOST_OPEN` epochs of changes.
-
-At the bound `next_epoch` refuses.  Who proposes epochs puts in the releases of lapsed holders first
-(`QuotaTransfer.lapsed`): a dead holder keeps an epoch open for no longer than lease and linger.
+"""The replicated side of a quota transfer: the epochs that are not complete yet; pure functions.
+
+A state machine holds one `QuotaEpochs` in its state.  `next_epoch` opens an epoch, `release` records that a
+holder stays within its quota of an epoch (or that its lease has surely expired, which serves as well), and
+both forget the epochs that are complete.  An epoch names only the *rows* that it changes; a row has one
+resource's amounts by holder, and a holder that it does not name has its floor.  A holder whose amount falls
+in an epoch *owes* it a release.  An epoch is complete once no holder owes a release to it or to an earlier
+one; its rows are folded into `rows` then.  So the state has one row for each resource and at most `MOST_OPEN`
+epochs of changes.
+
+`next_epoch` refuses a further epoch.  Whoever proposes epochs proposes the releases of expired holders first
+(`QuotaTransfer.expired_holders`): a dead holder keeps an epoch open no longer than lease and linger.
 """
 
 from __future__ import annotations
@@ -26,15 +27,15 @@
 Holder = str
 Floor = Callable[[Resource, Holder], N]
 
-MOST_OPEN = 8  # epochs not settled at once; the next one is refused until a release or a lapse
-SLACK = 1e-9  # of a capacity, by which a sum of floats may be above it
+MOST_OPEN = 8  # epochs; the next one is refused until a release
+SLACK = 1e-9  # of a capacity, by which a sum of floats may exceed it
 
 
 @dataclass(frozen=True, slots=True)
 class EpochTarget(Generic[N]):
-    """What one epoch grants: the rows that changed, whole; who is not named in a row has its floor there.
+    """What one epoch grants: the rows that it changes; a holder that a row does not name has its floor.
 
-    A resource that is not named keeps its row; an empty row leaves everybody its floor.
+    A resource that is not named keeps its row; an empty row leaves every holder its floor.
     """
 
     epoch: int
@@ -43,143 +44,172 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Put into the log: this holder uses no more than its target of that epoch, nor will again."""
+    """To be put into the log: this holder stays within its quota of that epoch from now on."""
 
     epoch: int
 
 
-class BadTarget(MallowbeamError):
-    """A target that must not be: it would break a capacity or a floor, or names what is unknown."""
+class InvalidTargetError(MallowbeamError):
+    """Amounts that exceed a capacity, are below a floor, or name an unknown holder."""
 
     error_name = "BadTarget"
     remedy = "propose amounts of known holders, none below its floor, that together fit the capacity"
 
 
-class FloorsTooHigh(BadTarget):
-    """The floors alone are more than the capacity."""
+class FloorsExceedCapacityError(InvalidTargetError):
+    """The floors alone exceed the capacity."""
 
     error_name = "FloorsTooHigh"
     remedy = "lower the floors in every gateway's file, restart them all, then lower the capacity"
 
 
-class TooManyOpen(MallowbeamError):
-    """As many epochs are open as may be."""
+class TooManyOpenEpochsError(MallowbeamError):
+    """`MOST_OPEN` epochs are open."""
 
     error_name = "TooManyOpen"
     remedy = "nothing to do: it passes as gateways release, at the latest after their lease; see who owes"
 
 
 class OpenEpoch(msgspec.Struct, Generic[N], frozen=True):
-    """One epoch that is not settled: the rows it changed, and who lost and so owes it a release."""
+    """One epoch that is not complete: the rows it changed, and the holders that owe it a release."""
 
     epoch: int
     rows: dict[str, dict[str, N]]
     losers: tuple[str, ...] = ()
 
 
-class QuotaEpochs(msgspec.Struct, Generic[N], frozen=True):
-    """The replicated side: `rows` stand as of `settled`, the open epochs change them in turn."""
+class QuotaEpochs(
+    msgspec.Struct, Generic[N], frozen=True, rename={"base_epoch": "settled", "open_epochs": "open"}
+):
+    """The amounts by resource and holder: `rows` as of `base_epoch`, changed by each open epoch in turn."""
 
     holders: tuple[str, ...] = ()
     epoch: int = 0  # the newest
-    settled: int = 0
+    base_epoch: int = 0  # the newest that is complete
     rows: dict[str, dict[str, N]] = {}
-    open: tuple[OpenEpoch[N], ...] = ()
-    released: dict[str, int] = {}  # by holder, its newest
+    open_epochs: tuple[OpenEpoch[N], ...] = ()
+    released: dict[str, int] = {}  # by holder, the newest epoch that it has released
 
     @property
     def amounts(self) -> dict[str, dict[str, N]]:
-        """The newest rows of all resources."""
+        """The newest row of each resource."""
         rows = dict(self.rows)
-        for opened in self.open:
+        for opened in self.open_epochs:
             rows.update(opened.rows)
         return rows
 
     @property
-    def owing(self) -> dict[str, int]:
-        """Who owes a release, and up to which epoch."""
+    def awaited_releases(self) -> dict[str, int]:
+        """The holders that owe a release, and up to which epoch."""
         return {
             holder: opened.epoch
-            for opened in self.open
+            for opened in self.open_epochs
             for holder in opened.losers
             if self.released.get(holder, 0) < opened.epoch
         }
 
 
+@dataclass(frozen=True, slots=True)
+class Bounds(Generic[N]):
+    """What amounts have to keep to: each holder's floor, and each resource's capacity.
+
+    `sum_of_floors` is the sum of all floors of a resource, for a caller that knows it without asking for
+    each.
+    """
+
+    floor: Floor[N]
+    capacity: Callable[[Resource], N]
+    sum_of_floors: Callable[[Resource], N] | None = None
+
+    def floors(self, resource: Resource, holders: tuple[Holder, ...]) -> N:
+        """The sum of all floors of this resource."""
+        if self.sum_of_floors is not None:
+            return self.sum_of_floors(resource)
+        floors: list[N] = [self.floor(resource, holder) for holder in holders]
+        return sum(floors)
+
+
 def next_epoch(
-    handed: QuotaEpochs[N],
+    quota: QuotaEpochs[N],
     amounts: Mapping[str, Mapping[str, N]],
-    floor: Floor[N],
-    capacity: Callable[[Resource], N],
-    whole: bool = True,
-    least: Callable[[Resource], N] | None = None,
+    bounds: Bounds[N],
+    complete: bool = True,
 ) -> QuotaEpochs[N]:
     """Open an epoch that grants these amounts; the same state when they change nothing.
 
-    `whole`: a resource that is not named goes back to its floors; else it keeps its row.  `least` is the sum
-    of all floors of a resource, for one who knows it without asking for each: many holders make that dear.
-    Raises `BadTarget`, `FloorsTooHigh`, `TooManyOpen`; the same on every member.
+    If `complete`, a resource that is not named goes back to its floors; otherwise it keeps its row.
+    Raises `InvalidTargetError`, `FloorsExceedCapacityError` or `TooManyOpenEpochsError`, alike on every
+    member.
     """
-    before = handed.amounts
+    before = quota.amounts
     rows = {name: dict(row) for name, row in amounts.items() if row != before.get(name, {})}
-    for name, row in (amounts if whole else rows).items():
-        floors = least(name) if least else sum(floor(name, holder) for holder in handed.holders)
-        if name in rows or not sum(row.values()) + floors <= capacity(name):  # else it surely fits still
-            _check(handed, name, row, floor, floors, capacity(name))
-    if whole:
+    for name, row in (amounts if complete else rows).items():
+        floors, capacity = bounds.floors(name, quota.holders), bounds.capacity(name)
+        if name in rows or not sum(row.values()) + floors <= capacity:  # an unchanged row fits as a rule
+            _check_row(quota, name, row, bounds)
+    if complete:
         rows.update((name, dict[str, N]()) for name, row in before.items() if row and name not in amounts)
     if not rows:
-        return handed
-    if len(handed.open) >= MOST_OPEN:
-        raise TooManyOpen(f"{MOST_OPEN} epochs are open", ", ".join(sorted(handed.owing)))
+        return quota
+    if len(quota.open_epochs) >= MOST_OPEN:
+        raise TooManyOpenEpochsError(
+            f"{MOST_OPEN} epochs are open", ", ".join(sorted(quota.awaited_releases))
+        )
     losers = {
         holder
         for name, row in rows.items()
         for holder, had in before.get(name, {}).items()
-        if row.get(holder, floor(name, holder)) < had
+        if row.get(holder, bounds.floor(name, holder)) < had
     }
-    opened = OpenEpoch(handed.epoch + 1, rows, tuple(sorted(losers)))
-    return settle(msgspec.structs.replace(handed, epoch=opened.epoch, open=(*handed.open, opened)))
+    opened = OpenEpoch(quota.epoch + 1, rows, tuple(sorted(losers)))
+    return fold_complete_epochs(
+        msgspec.structs.replace(quota, epoch=opened.epoch, open_epochs=(*quota.open_epochs, opened))
+    )
 
 
-def release(handed: QuotaEpochs[N], holder: Holder, epoch: int) -> QuotaEpochs[N]:
-    """This holder has released that epoch, or its lease is surely over; others change nothing."""
-    if holder not in handed.holders or not handed.released.get(holder, 0) < epoch <= handed.epoch:
-        return handed
-    return settle(msgspec.structs.replace(handed, released={**handed.released, holder: epoch}))
+def release(quota: QuotaEpochs[N], holder: Holder, epoch: int) -> QuotaEpochs[N]:
+    """The state after a holder's release; one that is unknown, old or ahead of the log changes nothing."""
+    if holder not in quota.holders or not quota.released.get(holder, 0) < epoch <= quota.epoch:
+        return quota
+    return fold_complete_epochs(msgspec.structs.replace(quota, released={**quota.released, holder: epoch}))
 
 
-def _check(
-    handed: QuotaEpochs[N], name: Resource, row: Mapping[Holder, N], floor: Floor[N], least: N, capacity: N
-) -> None:
-    if least > capacity * (1 + SLACK):
-        raise FloorsTooHigh(f"floors of {least} in all, capacity {capacity}", name)
-    total = least
+def _check_row(quota: QuotaEpochs[N], name: Resource, row: Mapping[Holder, N], bounds: Bounds[N]) -> None:
+    """Raise `InvalidTargetError` where a row breaks a floor or the capacity."""
+    floors, capacity = bounds.floors(name, quota.holders), bounds.capacity(name)
+    if floors > capacity * (1 + SLACK):
+        raise FloorsExceedCapacityError(f"floors of {floors} in all, capacity {capacity}", name)
+    total = floors
     for holder, amount in row.items():
-        if holder not in handed.holders:
-            raise BadTarget(f"{holder!r} is no gateway of this fleet", name)
-        if not amount >= (own := floor(name, holder)):
-            raise BadTarget(f"{amount} for {holder}, its floor is {own}", name)
-        total += amount - own
+        if holder not in quota.holders:
+            raise InvalidTargetError(f"{holder!r} is no gateway of this fleet", name)
+        floor = bounds.floor(name, holder)
+        if not amount >= floor:
+            raise InvalidTargetError(f"{amount} for {holder}, its floor is {floor}", name)
+        total += amount - floor
     if total > capacity * (1 + SLACK):
-        raise BadTarget(f"{total} granted in all, capacity {capacity}", name)
+        raise InvalidTargetError(f"{total} granted in all, capacity {capacity}", name)
 
 
-def settle(handed: QuotaEpochs[N]) -> QuotaEpochs[N]:
-    """Fold the oldest epochs into the rows as far as nobody owes them."""
-    done = 0
-    for opened in handed.open:
-        if any(handed.released.get(holder, 0) < opened.epoch for holder in opened.losers):
+def fold_complete_epochs(quota: QuotaEpochs[N]) -> QuotaEpochs[N]:
+    """Fold the oldest epochs into the rows, as far as no holder owes them a release."""
+    complete = 0
+    for opened in quota.open_epochs:
+        if any(quota.released.get(holder, 0) < opened.epoch for holder in opened.losers):
             break
-        done += 1
-    if not done:
-        return handed
-    rows = dict(handed.rows)
-    for opened in handed.open[:done]:
+        complete += 1
+    if not complete:
+        return quota
+    rows = dict(quota.rows)
+    for opened in quota.open_epochs[:complete]:
         for name, row in opened.rows.items():
             if row:
                 rows[name] = row
             else:
                 rows.pop(name, None)
-    settled = handed.open[done - 1].epoch
-    return msgspec.structs.replace(handed, rows=rows, settled=settled, open=handed.open[done:])
+    return msgspec.structs.replace(
+        quota,
+        rows=rows,
+        base_epoch=quota.open_epochs[complete - 1].epoch,
+        open_epochs=quota.open_epochs[complete:],
+    )
--- a/mallowbeam/storage_gateway/coordination/quota_transfer.py
+++ b/mallowbeam/storage_gateway/coordination/quota_transfer.py
@@ -1,53 +1,53 @@
-"""Shrink before grow: who may use how much of what is shared, by epochs and leases; without I/O.
+"""Quota transfer, shrink before grow: who may use how much of a resource, by epochs and leases; no I/O.
 
 A *resource* (a volume's units at a node, a node's connections) has one amount that all holders together never
-exceed. An *epoch* is a number that the log commits together with the rows that it changes
-(`quota_epochs.py`). A holder whose target fell uses no more than the new one from the moment that it hears of
-it, and says so (`Release`) once what is out fits it. A holder whose target rose uses the old amount until
-every holder that lost has released, or their leases have surely run out. A holder cut off keeps what it has
-to its lease's end, then its floor, which is set aside for it for good.
-
-A lease rests on the fleet's marks (`policy.py`): `lease_renewed(proposed_at)` is the time, on this holder's
-own steady clock, at which the newest mark that came back was put in. What was committed after it may be
-unknown here, so past `proposed_at + lease` only the floor is used. A grower counts the lease of others from
-when it heard of the epoch, which is after the commit, and longer by `drift`. No clock is compared with
-another's.
-
-The rule for one resource.  T(e, k) is what epoch e grants holder k.  Gateway k knows a newest epoch N(k),
-and a newest epoch C(k) that is *complete* in its view: of every other holder h it knows a base, the newest
-epoch that h has released or that was heard of here more than lease and linger ago, and h's targets from its
-base up to C(k) are none above T(C(k), h).  What is out here fits T(C(k), k) too.  It may use
-
-    min(T(e, k) for e in C(k)..N(k)),  or its floor once its own lease is over or nothing was proven yet.
-
-Why the sum holds.  Take a moment of true time, m = max C(k), and g that holds it.  g uses at most T(m, g).
-Another k that has heard of m has C(k) <= m <= N(k), so it uses at most T(m, k).  A k that has not heard of m
-either is past its lease (its last proof was put in before m was committed; g's longer wait ends later) and
-uses its floor, at most T(m, k); or it uses at most T(N(k), k), with base <= N(k) < m, which g found to be at
-most T(m, k).  So the sum is at most the sum of T(m), which fitted the capacity of epoch m.  A release stays
-true through restarts: a new life uses its floor until a mark of its own came back, and then knows every epoch
-that an earlier life knew.  What g forgets (rows before C(g)) is covered, as completeness is never undone.
-
-What is promised.  Two clocks' rates differ by at most the factor `1 + drift`; messages may be lost, late or
-repeated, the fleet cut in parts, processes killed, stopped and started.  At each moment the sum of what all
+exceed.  An *epoch* is a number that the log commits together with the rows that it changes
+(`quota_epochs.py`).  A holder whose target fell uses no more than the new one from the moment that it learns
+of the epoch, and releases the epoch (`Release`) once what it has in use fits.  A holder whose target rose
+uses the old amount until every holder that lost has released, or their leases have surely expired.  A holder
+that is cut off keeps what it has to the end of its lease, and then its floor, which is always set aside for
+it.
+
+A lease is renewed by the fleet's heartbeats (`policy.py`): `lease_renewed(proposed_at)` names the time, on
+this holder's own monotonic clock, at which the newest committed heartbeat was proposed.  What was committed
+after it may be unknown here, so past `proposed_at + lease` only the floor is used.  A holder that grows
+counts the leases of others from when it learned of the epoch, which is after the commit, and longer by
+`drift`.  No clock is compared with another's.
+
+The rule for one resource. T(e, k) is what epoch e grants holder k. Holder k knows a newest epoch N(k), and a
+newest epoch C(k) that is *complete* in its view: of every other holder h it knows a base, the newest epoch
+that h has released or that was seen here more than lease and linger ago, and h's targets from its base up to
+C(k) are none above T(C(k), h). What k has in use fits T(C(k), k) too. It may use
+
+    min(T(e, k) for e in C(k)..N(k)),  or its floor once its own lease has expired or was never renewed.
+
+Why the sum holds.  Take a moment of true time, m = max C(k), and g whose C(g) it is.  g uses at most T(m, g).
+Another k that knows m has C(k) <= m <= N(k), so it uses at most T(m, k).  A k that does not know m either is
+past its lease (its last renewal was proposed before m was committed; g's longer wait ends later) and uses its
+floor, at most T(m, k); or it uses at most T(N(k), k), with base <= N(k) < m, which g found to be at most
+T(m, k).  So the sum is at most the sum of T(m), which fitted the capacity of epoch m.  A release stays true
+through restarts: a new incarnation uses its floor until a heartbeat of its own is committed, and then knows
+every epoch that an earlier one knew.  What g forgets (rows before C(g)) is covered, as completeness is never
+undone.
+
+Guarantees.  The rates of two clocks differ by at most the factor `1 + drift`; messages may be lost, late or
+duplicated, the fleet partitioned, processes killed, stopped and started.  At each moment the sum of what all
 holders may use is within the capacity of one epoch m; from `lease` (plus `linger` for what the other side
-still sees) after the commit of an epoch e on, m is e or a later one.  So where a capacity falls the sum
-follows within the lease at the latest, and as soon as everybody has heard in peace.  Not promised: what a
-process that is stopped between asking `usable` and acting does with the one action it had decided on; and a
-stopped process closes no connection: what it had out stays for as long as the node keeps it, and is counted
-only as far as `linger` covers that.
-
-Whole connections can't be taken back at once.  `usable` is for new ones.  `using` says what is out, and
-closed ones too while the other side may still see them; a release waits until it fits.  `most` is what may be
-out at all: what is above it is closed by force.  It falls `lease` after the proof held when the epoch was
-heard of, before any grower stops waiting.  `linger` is how long a dead process's connections may stay at a
-silent node: a grower waits longer by it, and a new life uses nothing, not its floor either, until it is over.
-
-The interface, fixed: `QuotaTransfer(me, holders, floor, lease, begun, drift, linger, again)`, `follow` (one
-call for a topic's core: the state after an entry), `agreed` and `released` (the same, event by event),
-`lease_renewed`, `usable`, `most`, `using`, `tick`, `lapsed`, `describe`. What grows here grows by entries and
-ticks alone; what falls by the clock falls in `usable` itself, so a process that stood still wakes with its
-floor.
+still sees) after the commit of an epoch e on, m is e or a later one.  So where a capacity falls, the sum
+follows within the lease at the latest, and without faults as soon as every holder has learned of it.  Not
+guaranteed: the one action that a process had decided on when it was stopped between asking `usable` and
+acting; and a stopped process closes no connection: its connections stay for as long as the node keeps them,
+and are counted only as far as `linger` covers that.
+
+Whole connections can't be taken back at once.  `usable` is for new ones.  `report_use` says how many are
+open, and closed ones too while the other side may still see them; a release waits until they fit.
+`hard_limit` is how many may be open at all: those above it are closed by force.  It falls `lease` after the
+renewal that was the newest when the epoch was seen, before any holder stops waiting in order to grow.
+`linger` is how long a dead process's connections may stay at a silent node: a holder that grows waits longer
+by it, and a new incarnation uses nothing, not its floor either, until it is over.
+
+An amount grows only in `follow`, `epoch_committed`, `release_committed` and `tick`; an amount that falls by
+the clock falls in `usable` itself, so a process that was stopped resumes with its floor.
 """
 
 from __future__ import annotations
@@ -66,27 +66,36 @@
     Resource,
 )
 
-__all__ = ["EpochTarget", "QuotaTransfer", "Release", "ResourceStatus"]
+__all__ = ["EpochTarget", "QuotaTransfer", "Release", "ResourceStatus", "TransferTiming"]
 
 NEVER = float("-inf")
 Row = Mapping[Holder, N]
 
 
+@dataclass(frozen=True, slots=True)
+class TransferTiming:
+    """Intervals in seconds; `drift` is the fraction by which two clocks' rates differ at most."""
+
+    lease: float
+    drift: float = 0.1
+    linger: float = 0.0  # for which a silent node may keep a dead process's connections
+    retry: float = 0.5  # before a release that was not seen in the log is proposed again
+
+
 @dataclass(frozen=True, slots=True)
 class ResourceStatus(Generic[N]):
     """One resource for the page: the newest target here, what may be used, and who is waited for."""
 
     target: N
     usable: N
-    waits: tuple[Holder, ...]
+    waits_for: tuple[Holder, ...]
 
 
 class QuotaTransfer(Generic[N]):
-    """One gateway's view of many resources.
+    """One holder's view of many resources.
 
-    `floor` is the same everywhere and for good: one that is cut off could not hear of a lower one.
-    `lease` and `linger` are seconds; `begun` is when this life began, on the clock that `now` is of.
-    `again` is after how many seconds a release not seen in the log is put in once more.
+    `floor` is the same everywhere and never changes: a holder that is cut off could not learn of a lower one.
+    `started_at` is when this incarnation started; all times are seconds on its monotonic clock.
     """
 
     def __init__(
@@ -94,262 +103,266 @@
         me: Holder,
         holders: Sequence[Holder],
         floor: Floor[N],
-        lease: float,
-        begun: float = NEVER,
-        drift: float = 0.1,
-        linger: float = 0.0,
-        again: float = 0.5,
+        timing: TransferTiming,
+        started_at: float = NEVER,
     ) -> None:
-        self.me, self.holders = me, tuple(holders)
+        self.me = me
+        self.holders = tuple(holders)
         self.floor: Floor[N] = floor
-        self.lease, self.linger, self.again = lease, linger * (1 + drift), again
-        self.wait = (lease + linger) * (1 + drift)  # a grower's, from when it heard of the epoch
-        self.begun = begun
-        self.known_at = NEVER  # when the newest own mark that came back was put in
-        self.epoch = 0  # the newest heard of
-        self.gone = 0  # everybody's lease of before this epoch is surely over
+        self.lease = timing.lease
+        self.linger = timing.linger * (1 + timing.drift)
+        self.retry = timing.retry
+        self.grow_delay = (timing.lease + timing.linger) * (1 + timing.drift)  # from when an epoch was seen
+        self.started_at = started_at
+        self.renewed_at = NEVER  # when the newest committed heartbeat was proposed
+        self.epoch = 0  # the newest seen
+        self.expired_epoch = 0  # all leases from before this epoch have surely expired
         self.rows: dict[Resource, Row[N]] = {}  # the newest of each resource
-        self.open: dict[Resource, list[tuple[int, Row[N]]]] = {}  # its rows from the complete one on
-        self.mine: dict[Resource, N] = {}  # what may be used of those
-        self.waits: dict[Resource, frozenset[Holder]] = {}  # whom those wait for
-        self.waiting: dict[Holder, set[Resource]] = {}  # the same by holder
-        self.touched: set[Resource] = set()  # by releases, and not looked at yet
-        self.rel: dict[Holder, int] = {}
-        self.heard: dict[int, tuple[float, float]] = {}  # by epoch: when, and under which proof
-        self.owed: list[int] = []  # epochs in which something fell here, not released yet
-        self.out: dict[Resource, N] = {}  # what is really out, where it is told
-        self.put: tuple[int, float] = (0, NEVER)  # the newest release put in, and when
-
-    @classmethod
-    def resume(
-        cls,
-        handed: QuotaEpochs[N],
-        now: float,
-        me: Holder,
-        floor: Floor[N],
-        lease: float,
-        begun: float = NEVER,
-        drift: float = 0.1,
-        linger: float = 0.0,
-        again: float = 0.5,
-    ) -> QuotaTransfer[N]:
-        """A new life's view out of the log's state; the floor until a mark has come back."""
-        view = cls(me, handed.holders, floor, lease, begun, drift, linger, again)
-        view._restore(handed, now)
-        return view
-
-    # --- what the log says ------------------------------------------------------------------------
-
-    def follow(self, handed: QuotaEpochs[N], now: float) -> list[Release]:
-        """The log's state after an entry; epochs that were passed over (a snapshot) are taken in whole."""
-        if handed.settled > self.epoch:
-            self._restore(handed, now)
-            return self._due(now)
-        for opened in handed.open:
+        self.open_rows: dict[Resource, list[tuple[int, Row[N]]]] = {}  # from the complete epoch on
+        self.allowed: dict[Resource, N] = {}  # of resources in `open_rows`: the lowest target among those
+        self.blocked_by: dict[Resource, frozenset[Holder]] = {}  # who keeps a newer row from being complete
+        self.blocking: dict[Holder, set[Resource]] = {}  # the same by holder
+        self.to_recheck: set[Resource] = set()  # blocked by holders that have released since
+        self.released_epochs: dict[Holder, int] = {}  # the newest
+        self.epochs_seen: dict[int, tuple[float, float]] = {}  # by epoch: when, and `renewed_at` then
+        self.unreleased_epochs: list[int] = []  # in which a target of this holder fell
+        self.in_use: dict[Resource, N] = {}  # as reported; a resource that is not reported counts as fitting
+        self.last_release: tuple[int, float] = (0, NEVER)  # the newest proposed: its epoch, and when
+
+    # --- committed entries ------------------------------------------------------------------------
+
+    def follow(self, quota: QuotaEpochs[N], now: float) -> list[Release]:
+        """Take in the log's state after an entry, or after a snapshot that passed over epochs."""
+        if quota.base_epoch > self.epoch:
+            self.restore(quota, now)
+            return self._due_release(now)
+        for opened in quota.open_epochs:
             if opened.epoch > self.epoch:
-                self._hear(opened.epoch, opened.rows, now)
-        for holder, epoch in handed.released.items():
-            self._release(holder, epoch, now)
-        self._settle_touched(now)
-        return self._due(now)
-
-    def agreed(self, target: EpochTarget[N], now: float) -> list[Release]:
-        """An epoch was committed; epochs come in the log's order, one heard before changes nothing."""
+                self._see_epoch(opened.epoch, opened.rows, now)
+        for holder, epoch in quota.released.items():
+            self._note_release(holder, epoch)
+        self._recheck(now)
+        return self._due_release(now)
+
+    def restore(self, quota: QuotaEpochs[N], now: float) -> None:
+        """Rebuild the view from the log's state; the amounts in use and when epochs were seen are kept."""
+        known = self.epochs_seen
+        self.rows = dict(quota.rows)
+        self.open_rows, self.allowed, self.blocked_by, self.blocking = {}, {}, {}, {}
+        self.epoch, self.released_epochs = quota.base_epoch, dict(quota.released)
+        self.epochs_seen, self.unreleased_epochs = {}, []
+        for opened in quota.open_epochs:
+            self._see_epoch(opened.epoch, opened.rows, now)
+            self.epochs_seen[opened.epoch] = known.get(opened.epoch, self.epochs_seen[opened.epoch])
+        released = self.released_epochs.get(self.me, 0)
+        self.unreleased_epochs = [epoch for epoch in self.unreleased_epochs if epoch > released]
+
+    def epoch_committed(self, target: EpochTarget[N], now: float) -> list[Release]:
+        """An epoch was committed; epochs come in the log's order, one seen before changes nothing."""
         if target.epoch > self.epoch:
-            self._hear(target.epoch, target.amounts, now)
-        return self._due(now)
+            self._see_epoch(target.epoch, target.amounts, now)
+        return self._due_release(now)
 
-    def released(self, holder: Holder, epoch: int, now: float) -> list[Release]:
-        """A holder's release was committed; late and repeated ones change nothing."""
-        self._release(holder, epoch, now)
-        self._settle_touched(now)
-        return self._due(now)
+    def release_committed(self, holder: Holder, epoch: int, now: float) -> list[Release]:
+        """A holder's release was committed; late and duplicated ones change nothing."""
+        self._note_release(holder, epoch)
+        self._recheck(now)
+        return self._due_release(now)
 
     def lease_renewed(self, proposed_at: float) -> None:
-        """When the newest mark of this life that came back was put in; entries before it come first."""
-        self.known_at = max(self.known_at, proposed_at)
+        """A heartbeat of this incarnation was committed; the entries before it must be taken in first."""
+        self.renewed_at = max(self.renewed_at, proposed_at)
 
     # --- what may be used -------------------------------------------------------------------------
 
     def usable(self, resource: Resource, now: float) -> N:
-        """What may be used here now; new connections are opened only while fewer are out."""
+        """What may be used here now; new connections are opened only while fewer are in use."""
         floor = self.floor(resource, self.me)
-        if now <= self.begun + self.linger:
-            return floor * 0  # Guards what an earlier life may still hold at a silent node.
-        if not self.live(now):
+        if now <= self.started_at + self.linger:
+            return floor * 0  # Guards what an earlier incarnation may still have open at a silent node.
+        if not self.has_lease(now):
             return floor
-        if (mine := self.mine.get(resource)) is not None:
-            return mine
+        if (allowed := self.allowed.get(resource)) is not None:
+            return allowed
         row = self.rows.get(resource)
         return floor if row is None else row.get(self.me, floor)
 
-    def live(self, now: float) -> bool:
-        """Whether more than the floor may be used: the proof is younger than the lease."""
-        return now <= self.known_at + self.lease
+    def has_lease(self, now: float) -> bool:
+        """Whether more than the floor may be used."""
+        return now <= self.renewed_at + self.lease
 
-    def most(self, resource: Resource, now: float) -> N:
-        """What may be out at all; what is above it is closed by force, now."""
-        if not self.live(now) or (rows := self.open.get(resource)) is None:
+    def hard_limit(self, resource: Resource, now: float) -> N:
+        """What may be in use at all; what is above it is closed by force, now."""
+        if not self.has_lease(now) or (rows := self.open_rows.get(resource)) is None:
             return self.usable(resource, now)
         floor = self.floor(resource, self.me)
         return min(
             row.get(self.me, floor)
-            for at, (epoch, row) in enumerate(rows)
-            if not at or self._over(epoch, now)
+            for position, (epoch, row) in enumerate(rows)
+            if position == 0 or self._old_use_has_ended(epoch, now)
         )
 
-    def using(self, resource: Resource, amount: N, now: float) -> list[Release]:
-        """What is really out of a resource, so that a release waits for it; untold it counts as fitting."""
+    def report_use(self, resource: Resource, amount: N, now: float) -> list[Release]:
+        """Report what is in use of a resource, so that a release waits until it fits."""
         if amount:
-            self.out[resource] = amount
+            self.in_use[resource] = amount
         else:
-            self.out.pop(resource, None)
-        if resource in self.open:
-            self._settle(resource, now)
-            return self._due(now)
+            self.in_use.pop(resource, None)
+        if resource in self.open_rows:
+            self._find_complete_epoch(resource, now)
+            return self._due_release(now)
         return []
 
     def tick(self, now: float) -> list[Release]:
-        """Time has passed: leases of others may be over, a release may be due once more."""
-        gone = self.gone
-        for epoch, (at, _) in self.heard.items():
-            if now > at + self.wait:
-                gone = max(gone, epoch)
-        if gone > self.gone:
-            self.gone = gone
-            self.heard = {epoch: told for epoch, told in self.heard.items() if epoch > gone}
-            for resource in list(self.open):
-                self._settle(resource, now)
-        return self._due(now)
-
-    def lapsed(self, handed: QuotaEpochs[N]) -> dict[Holder, int]:
-        """Whose leases are surely over of those that owe, and up to which epoch: as good as their release.
-
-        For whoever proposes the next epoch, so that a dead holder does not keep epochs open.
+        """Time has passed: leases of others may have expired, a release may be due again."""
+        expired = self.expired_epoch
+        for epoch, (seen_at, _) in self.epochs_seen.items():
+            if now > seen_at + self.grow_delay:
+                expired = max(expired, epoch)
+        if expired > self.expired_epoch:
+            self.expired_epoch = expired
+            self.epochs_seen = {epoch: seen for epoch, seen in self.epochs_seen.items() if epoch > expired}
+            for resource in list(self.open_rows):
+                self._find_complete_epoch(resource, now)
+        return self._due_release(now)
+
+    def expired_holders(self, quota: QuotaEpochs[N]) -> dict[Holder, int]:
+        """The holders that owe a release and whose leases have surely expired, and up to which epoch.
+
+        Whoever proposes the next epoch proposes their releases, so that a dead holder keeps no epoch open.
         """
         return {
             holder: opened.epoch
-            for opened in handed.open
-            if opened.epoch <= self.gone
+            for opened in quota.open_epochs
+            if opened.epoch <= self.expired_epoch
             for holder in opened.losers
-            if handed.released.get(holder, 0) < opened.epoch
+            if quota.released.get(holder, 0) < opened.epoch
         }
 
     def describe(self, now: float) -> dict[Resource, ResourceStatus[N]]:
-        """For the page, by resource."""
-        told = {}
-        for resource, row in self.rows.items():
-            target = row.get(self.me, self.floor(resource, self.me))
-            told[resource] = ResourceStatus(
-                target, self.usable(resource, now), tuple(sorted(self.waits.get(resource, ())))
+        """The status by resource, for the page."""
+        return {
+            resource: ResourceStatus(
+                target=row.get(self.me, self.floor(resource, self.me)),
+                usable=self.usable(resource, now),
+                waits_for=tuple(sorted(self.blocked_by.get(resource, ()))),
             )
-        return told
+            for resource, row in self.rows.items()
+        }
 
-    # --- within -----------------------------------------------------------------------------------
+    # --- epochs and releases ----------------------------------------------------------------------
 
-    def _hear(self, epoch: int, rows: Mapping[Resource, Row[N]], now: float) -> None:
-        self.heard[epoch] = (now, self.known_at)
-        before, self.epoch = self.epoch, epoch
-        none: Row[N] = {}
+    def _see_epoch(self, epoch: int, rows: Mapping[Resource, Row[N]], now: float) -> None:
+        """Take in an epoch that is newer than all seen."""
+        self.epochs_seen[epoch] = (now, self.renewed_at)
+        previous, self.epoch = self.epoch, epoch
+        empty: Row[N] = {}
         fell = False
         for resource, row in rows.items():
-            old = self.rows.get(resource, none)
+            old = self.rows.get(resource, empty)
             if row is old or row == old:
                 continue
             floor = self.floor(resource, self.me)
             fell = fell or row.get(self.me, floor) < old.get(self.me, floor)
-            self.open.setdefault(resource, [(before, old)]).append((epoch, row))
+            self.open_rows.setdefault(resource, [(previous, old)]).append((epoch, row))
             self.rows[resource] = row
-            self._settle(resource, now)
+            self._find_complete_epoch(resource, now)
         if fell:
-            self.owed.append(epoch)
+            self.unreleased_epochs.append(epoch)
 
-    def _release(self, holder: Holder, epoch: int, now: float) -> None:
-        if epoch <= self.rel.get(holder, 0):
+    def _note_release(self, holder: Holder, epoch: int) -> None:
+        if epoch <= self.released_epochs.get(holder, 0):
             return
-        self.rel[holder] = epoch
+        self.released_epochs[holder] = epoch
         if holder == self.me:
-            self.owed = [owed for owed in self.owed if owed > epoch]
-        self.touched |= self.waiting.get(holder, set())
+            self.unreleased_epochs = [
+                unreleased for unreleased in self.unreleased_epochs if unreleased > epoch
+            ]
+        self.to_recheck |= self.blocking.get(holder, set())
 
-    def _settle_touched(self, now: float) -> None:
+    def _recheck(self, now: float) -> None:
         """Look once at each resource that waited for any of the releases just taken in."""
-        touched, self.touched = self.touched, set()
-        for resource in touched & self.open.keys():
-            self._settle(resource, now)
-
-    def _restore(self, handed: QuotaEpochs[N], now: float) -> None:
-        """All of it anew out of the log's state; what is out here is kept, and the clocks of epochs known."""
-        known = self.heard
-        self.rows, self.open, self.mine, self.waits, self.waiting = dict(handed.rows), {}, {}, {}, {}
-        self.epoch, self.rel = handed.settled, dict(handed.released)
-        self.heard, self.owed = {}, []
-        for opened in handed.open:
-            self._hear(opened.epoch, opened.rows, now)
-            self.heard[opened.epoch] = known.get(opened.epoch, self.heard[opened.epoch])
-        self.owed = [epoch for epoch in self.owed if epoch > self.rel.get(self.me, 0)]
-
-    def _settle(self, resource: Resource, now: float) -> None:
-        """Find the newest complete epoch of this resource and forget what was before it."""
-        rows = self.open[resource]
-        waits: set[Holder] = set()
-        at = len(rows) - 1
-        while at and (blocking := self._blocking(resource, rows, at, now)) is not None:
-            waits.add(blocking)
-            at -= 1
-        for holder in self.waits.pop(resource, frozenset()) - waits:
-            self.waiting[holder].discard(resource)
-        del rows[:at]
+        resources, self.to_recheck = self.to_recheck, set()
+        for resource in resources & self.open_rows.keys():
+            self._find_complete_epoch(resource, now)
+
+    def _find_complete_epoch(self, resource: Resource, now: float) -> None:
+        """Find the newest complete epoch of this resource and forget the rows before it."""
+        rows = self.open_rows[resource]
+        blockers: set[Holder] = set()
+        position = len(rows) - 1
+        while position and (blocker := self._blocker(resource, rows, position, now)) is not None:
+            blockers.add(blocker)
+            position -= 1
+        for holder in self.blocked_by.pop(resource, frozenset()) - blockers:
+            self.blocking[holder].discard(resource)
+        del rows[:position]
         if len(rows) == 1:
-            del self.open[resource]
-            self.mine.pop(resource, None)
+            del self.open_rows[resource]
+            self.allowed.pop(resource, None)
             if not self.rows[resource]:
-                del self.rows[resource]  # everybody at the floor: nothing to remember
+                del self.rows[resource]  # all holders are at their floors: nothing to remember
             return
-        self.waits[resource] = frozenset(waits)
-        for holder in waits:
-            self.waiting.setdefault(holder, set()).add(resource)
+        self.blocked_by[resource] = frozenset(blockers)
+        for holder in blockers:
+            self.blocking.setdefault(holder, set()).add(resource)
         floor = self.floor(resource, self.me)
-        self.mine[resource] = min(row.get(self.me, floor) for _, row in rows)
+        self.allowed[resource] = min(row.get(self.me, floor) for _, row in rows)
 
-    def _blocking(
-        self, resource: Resource, rows: list[tuple[int, Row[N]]], at: int, now: float
+    def _blocker(
+        self, resource: Resource, rows: list[tuple[int, Row[N]]], position: int, now: float
     ) -> Holder | None:
-        """Who keeps the epoch at this place from being complete; None when nobody does."""
-        epoch, row = rows[at]
-        if self.gone >= epoch:
+        """A holder that keeps the epoch at this position from being complete; None where there is none."""
+        epoch, row = rows[position]
+        if self.expired_epoch >= epoch:
             return None
-        if (out := self.out.get(resource)) is not None and self.base(self.me) < epoch:
-            if out > row.get(self.me, self.floor(resource, self.me)) and not self._over(epoch, now):
-                return self.me
-        for place in range(at - 1, -1, -1):
-            until = rows[place + 1][0]  # who is at this epoch or a later one has left that row behind
-            for holder, had in rows[place][1].items():
+        if self._uses_too_much(resource, epoch, row, now):
+            return self.me
+        for earlier in range(position - 1, -1, -1):
+            until = rows[earlier + 1][
+                0
+            ]  # a holder whose base is this epoch or later has left that row behind
+            for holder, had in rows[earlier][1].items():
                 if (amount := row.get(holder)) is None:
                     amount = self.floor(resource, holder)
-                if had > amount and holder != self.me and self.base(holder) < until:
+                if had > amount and holder != self.me and self._base(holder) < until:
                     return holder
-        return None  # one that is in none of them had its floor: it can't have lost
+        return None  # a holder that no row names had its floor: it can't have lost
+
+    def _uses_too_much(self, resource: Resource, epoch: int, row: Row[N], now: float) -> bool:
+        """Whether what is in use here exceeds this row, and may still do so."""
+        in_use = self.in_use.get(resource)
+        if in_use is None or self._base(self.me) >= epoch:
+            return False
+        return in_use > row.get(self.me, self.floor(resource, self.me)) and not self._old_use_has_ended(
+            epoch, now
+        )
 
-    def base(self, holder: Holder) -> int:
+    def _base(self, holder: Holder) -> int:
         """The newest epoch that this holder surely keeps to."""
-        return max(self.rel.get(holder, 0), self.gone)
+        return max(self.released_epochs.get(holder, 0), self.expired_epoch)
 
-    def _over(self, epoch: int, now: float) -> bool:
-        """Whether what was out before this epoch has to be gone by now."""
-        return epoch <= self.gone or now > self.heard[epoch][1] + self.lease
+    def _old_use_has_ended(self, epoch: int, now: float) -> bool:
+        """Whether the connections from before this epoch have to be closed by now."""
+        return epoch <= self.expired_epoch or now > self.epochs_seen[epoch][1] + self.lease
 
-    def _due(self, now: float) -> list[Release]:
-        """The release to be put in now, if one is."""
-        if not self.owed or now <= self.begun + self.linger:
+    def _due_release(self, now: float) -> list[Release]:
+        """The release to be proposed now, if one is due."""
+        if not self.unreleased_epochs or now <= self.started_at + self.linger:
             return []
-        fits = self.epoch
-        for resource, amount in self.out.items() if self.out else ():
-            for epoch, row in self.open.get(resource, ())[1:]:
+        epoch = self._newest_epoch_that_fits()
+        last_epoch, proposed_at = self.last_release
+        if epoch < self.unreleased_epochs[0] or (epoch <= last_epoch and now < proposed_at + self.retry):
+            return []
+        self.last_release = (epoch, now)
+        return [Release(epoch)]
+
+    def _newest_epoch_that_fits(self) -> int:
+        """The newest epoch whose targets, and those of all before it, cover what is in use."""
+        newest = self.epoch
+        for resource, amount in self.in_use.items():
+            for epoch, row in self.open_rows.get(resource, ())[1:]:
                 if amount > row.get(self.me, self.floor(resource, self.me)):
-                    fits = min(fits, epoch - 1)
+                    newest = min(newest, epoch - 1)
                     break
-        if fits < self.owed[0] or (fits <= self.put[0] and now < self.put[1] + self.again):
-            return []
-        self.put = (fits, now)
-        return [Release(fits)]
+        return newest
--- a/mallowbeam/storage_gateway/coordination/service.py
+++ b/mallowbeam/storage_gateway/coordination/service.py
@@ -102,7 +102,7 @@
         self.subsystems: dict[str, Subsystem] = {
             name: self._open(name, own) for name, own in (sections or {}).items()
         }
-        self.log = ReplicatedLog([part.topic for part in self.subsystems.values()])
+        self.log = ReplicatedLog([part.state_machine for part in self.subsystems.values()])
         gateway.parts.append(self)
         gateway.gates.append(self.serves)
 
@@ -120,7 +120,7 @@
         )
         module = import_module(f"{__package__}.{name}.subsystem")
         part: Subsystem = module.open_subsystem(context, section)
-        assert part.topic.name == name
+        assert part.state_machine.name == name
         return part
 
     def serves(self) -> bool:
@@ -198,11 +198,11 @@
                     self.counts["refused"] += told.refusal is not None
                     self._call(told.topic, "committed", told, now)
                 case Proof(number):
-                    before = self.core.known_at
+                    before = self.core.renewed_at
                     self._do(self.core.marked(number, now))
-                    if self.core.known_at > before:
+                    if self.core.renewed_at > before:
                         for name in self.subsystems:
-                            self._call(name, "lease_renewed", self.core.known_at, now)
+                            self._call(name, "lease_renewed", self.core.renewed_at, now)
                 case Hosted(name, topics):
                     self.hosted[name] = topics
                     if topics != tuple(sorted(self.subsystems)):
@@ -256,7 +256,7 @@
                 logger.error("policy: plan {} is not among the platform's", name)
                 continue
             try:
-                if not self.plans.planned(texts[name].over(base) if name in texts else base):
+                if not self.plans.apply_plan(texts[name].over(base) if name in texts else base):
                     logger.error("policy: plan {} can't take hold while the gateway runs", name)
             except MallowbeamError as error:  # the rest of the policy holds all the same
                 logger.error("policy: {}", error.line)
@@ -293,13 +293,13 @@
         loop = asyncio.get_running_loop()
         ended: asyncio.Future[int | FleetError] = loop.create_future()
 
-        def settle(told: int | FleetError) -> None:
+        def set_result(told: int | FleetError) -> None:
             if not ended.done():
                 ended.set_result(told)
 
         def done(told: int | FleetError) -> None:
             with suppress(RuntimeError):  # the loop is closed
-                loop.call_soon_threadsafe(settle, told)
+                loop.call_soon_threadsafe(set_result, told)
 
         self.agreement.push(base, body, done)
         try:
@@ -349,7 +349,7 @@
             "log_index": float(self.log.index),
             "leads": float(self.leading == self.me),
             "failed": float(self.failed is not None),
-            "proof_age_seconds": now - self.core.known_at,
+            "proof_age_seconds": now - self.core.renewed_at,
             **{f"entries_{name}": float(count) for name, count in self.counts.items()},
         }
         return {"": own, **{name: part.gauges() for name, part in self.subsystems.items()}}
--- a/mallowbeam/storage_gateway/coordination/shares/core_driver.py
+++ b/mallowbeam/storage_gateway/coordination/shares/core_driver.py
@@ -1,13 +1,13 @@
-"""The shares' core joined to the log and the gateway: hands on what the core returns, decides nothing.
+"""Carries out what the shares' core returns; it decides nothing itself.
 
-`propose` puts an entry into the log, `allotted` lets an allotment take hold in the module; both come from the
-fleet's service, which also calls in here.  A request is told of (`observed`) before the module decides on it,
-so that a gateway that stood still has dropped its old allotments by then.
+`propose` puts an entry into the log, `allot` lets an allotment take effect in the scheduler; the subsystem
+provides both and calls in here. A request is reported (`observed`) before the scheduler decides on it, so
+that a process that was stopped has given up its old allotments by then.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 
 from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry
 from mallowbeam.storage_gateway.coordination.shares.gateway_core import (
@@ -15,59 +15,47 @@
     Allot,
     Propose,
     SharesCore,
-    Times,
 )
-from mallowbeam.storage_gateway.coordination.shares.state_machine import SharesState
 
-Proposes = Callable[[Entry], object]
-Allotted = Callable[[str, str, float, float], None]  # tenant, node, units a second, our part of them
+ProposeCall = Callable[[Entry], object]
+AllotCall = Callable[[str, str, float, float], None]  # tenant, node, units a second, fraction of them
 
 
-class Shares:
-    """One gateway's part in the shares."""
+class SharesDriver:
+    """One gateway's shares; times are seconds on the monotonic clock."""
 
-    def __init__(
-        self,
-        me: str,
-        gateways: Sequence[str],
-        state: SharesState,
-        now: float,
-        propose: Proposes,
-        allotted: Allotted,
-        times: Times | None = None,
-    ) -> None:
-        self.core = SharesCore(me, tuple(sorted(gateways)), state, now, times or Times())
-        self.propose, self.allotted = propose, allotted
+    def __init__(self, core: SharesCore, propose: ProposeCall, allot: AllotCall) -> None:
+        self.core, self.propose, self.allot = core, propose, allot
 
-    def committed(self, told: Committed, now: float) -> None:
-        """The log has committed an entry of this topic."""
-        self._do(self.core.committed(told, now))
+    def committed(self, committed: Committed, now: float) -> None:
+        """The log has committed an entry of the shares."""
+        self._carry_out(self.core.committed(committed, now))
 
     def lease_renewed(self, proposed_at: float, now: float) -> None:
-        """A mark of this life's own came back."""
-        self._do(self.core.lease_renewed(proposed_at, now))
+        """A heartbeat of this incarnation, proposed at that time, was committed."""
+        self._carry_out(self.core.lease_renewed(proposed_at, now))
 
-    def tick(self, now: float, leads: bool = False) -> None:
-        """Time has passed; whether this member leads, as far as it knows."""
-        self.core.leads = leads
-        self._do(self.core.tick(now))
+    def tick(self, now: float, is_leader: bool = False) -> None:
+        """Time has passed; `is_leader` as far as this member knows."""
+        self.core.is_leader = is_leader
+        self._carry_out(self.core.tick(now))
 
-    def observed(self, volume: str, plan: str, node: str, units: float, now: float) -> None:
-        """A request for a volume came in that belongs to a node; before it is decided on."""
-        self._do(self.core.observed(volume, node, units, now))
+    def observed(self, tenant: str, node: str, units: float, now: float) -> None:
+        """A tenant's request that belongs to a node has arrived; before it is decided on."""
+        self._carry_out(self.core.observed(tenant, node, units, now))
 
-    def node(self, node: str, gone: bool, now: float) -> None:
-        """Discovery told of a node."""
-        self._do(self.core.node(node, gone, now))
+    def node_changed(self, node: str, lost: bool, now: float) -> None:
+        """Discovery has lost a node, or has it again."""
+        self._carry_out(self.core.node_changed(node, lost, now))
 
     def describe(self, now: float) -> dict[str, object]:
-        """For the page."""
+        """For the page `/fleet`."""
         return self.core.describe(now)
 
-    def _do(self, actions: list[Action]) -> None:
+    def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Allot(tenant, node, rate, part):
-                    self.allotted(tenant, node, rate, part)
+                case Allot(tenant, node, rate, fraction):
+                    self.allot(tenant, node, rate, fraction)
                 case Propose(entry):
                     self.propose(entry)
--- a/mallowbeam/storage_gateway/coordination/shares/demand_encoding.py
+++ b/mallowbeam/storage_gateway/coordination/shares/demand_encoding.py
@@ -1,7 +1,11 @@
-"""Demand as it goes through the log: two bytes for a rate, and flows by the distance from the one before.
+"""The encoding of demand reports: two bytes for a rate, a variable-length integer for the distance to a flow.
 
-A rate is rounded up to the next step, a 256th of an octave (0.3%) apart, from a milli-unit to a million units
-a second; zero is a step of its own.  Steps are whole numbers by one rule, the same on every machine.
+A rate is rounded up to the next step. Steps are a 256th of an octave (0.3%) apart, from one milli-unit to a
+million units a second; 0 is a step of its own. A rate's code is the position of its step. Steps are computed
+in integers, so they are the same on every machine.
+
+Each row is the distance from the flow before, less one, in groups of seven bits, the lowest first (LEB128),
+and the code of the rate, little-endian.
 """
 
 from __future__ import annotations
@@ -12,70 +16,90 @@
 
 from mallowbeam.errors import MallowbeamError
 
-ONE = 1 << 60  # fixed point, while the steps are made
-
-
-def _steps() -> tuple[int, ...]:
-    root = 2 * ONE
-    for _ in range(8):
-        root = isqrt(root * ONE)  # 2 ** (1 / 256)
-    steps, at = [0], ONE
-    while steps[-1] < MOST_STEP:
-        if (step := -(-at // ONE)) > steps[-1]:
+MOST_RATE = 10**9  # milli-units a second
+FIXED_POINT_ONE = 1 << 60  # of the fixed-point numbers from which steps are rounded
+HALVINGS = 8  # of an octave between two steps: 2 ** 8 steps
+GROUP_BITS = 7  # of a distance in one byte; the highest bit says that another byte follows
+GROUP_MASK = 0x7F
+CONTINUES = 0x80
+MOST_SHIFT = 35  # bits before the last byte of a distance
+
+
+def _rate_steps() -> tuple[int, ...]:
+    ratio = 2 * FIXED_POINT_ONE
+    for _ in range(HALVINGS):
+        ratio = isqrt(ratio * FIXED_POINT_ONE)
+    steps = [0]
+    exact = FIXED_POINT_ONE
+    while steps[-1] < MOST_RATE:
+        step = -(-exact // FIXED_POINT_ONE)
+        if step > steps[-1]:
             steps.append(step)
-        at = at * root // ONE
+        exact = exact * ratio // FIXED_POINT_ONE
     return tuple(steps)
 
 
-MOST_STEP = 10**9  # milli-units a second
-STEPS = _steps()  # the same, by code
+RATE_STEPS = _rate_steps()  # milli-units a second, by code
 
 
-class BadRows(MallowbeamError):
-    """Bytes that are no rows: cut short, or flows that are not there."""
+class InvalidDemandError(MallowbeamError):
+    """Bytes that are no demand report: truncated, or with flows or codes out of range."""
 
     error_name = "BadRows"
     remedy = "run one version of the program on all gateways"
 
 
-def code(rate: int) -> int:
-    """The step at or above a rate; what is above the highest counts as the highest."""
-    return min(bisect_left(STEPS, rate), len(STEPS) - 1)
-
-
-def pack(rows: Mapping[int, int]) -> bytes:
-    """Codes by flow."""
-    out, before = bytearray(), -1
-    for flow in sorted(rows):
-        gap, before = flow - before - 1, flow
-        while gap > 127:
-            out.append(gap & 127 | 128)
-            gap >>= 7
-        out += bytes((gap, rows[flow] & 255, rows[flow] >> 8))
-    return bytes(out)
-
-
-def unpack(body: bytes, flows: int) -> dict[int, int]:
-    """Codes by flow; raises `BadRows`."""
-    rows: dict[int, int] = {}
-    flow, gap, shift, last = -1, 0, 0, len(body)
-    at = 0
-    while at < last:
-        byte = body[at]
-        at += 1
-        gap |= (byte & 127) << shift
-        if byte > 127:
-            shift += 7
-            if shift > 35:
-                raise BadRows("a gap too wide")
-            continue
-        flow += gap + 1
-        if at + 1 >= last or flow >= flows:
-            raise BadRows("cut short" if at + 1 >= last else "a flow that is not there")
-        rows[flow] = step = body[at] | body[at + 1] << 8
-        if step >= len(STEPS):
-            raise BadRows("a step that is not there")
-        at, gap, shift = at + 2, 0, 0
-    if shift:
-        raise BadRows("cut short")
-    return rows
+def rate_code(rate: int) -> int:
+    """The code of the step at or above a rate in milli-units a second, at most that of the highest step."""
+    return min(bisect_left(RATE_STEPS, rate), len(RATE_STEPS) - 1)
+
+
+def encode_demand(codes: Mapping[int, int]) -> bytes:
+    """Encode rate codes by flow."""
+    body = bytearray()
+    previous = -1
+    for flow in sorted(codes):
+        distance = flow - previous - 1
+        previous = flow
+        while distance > GROUP_MASK:
+            body.append(distance & GROUP_MASK | CONTINUES)
+            distance >>= GROUP_BITS
+        body.append(distance)
+        body += codes[flow].to_bytes(2, "little")
+    return bytes(body)
+
+
+def decode_demand(body: bytes, flow_count: int) -> dict[int, int]:
+    """Decode rate codes by flow; raises `InvalidDemandError`."""
+    codes: dict[int, int] = {}
+    flow = -1
+    position = 0
+    while position < len(body):
+        distance, position = _decode_distance(body, position)
+        flow += distance + 1
+        if position + 1 >= len(body):
+            raise InvalidDemandError("cut short")
+        if flow >= flow_count:
+            raise InvalidDemandError("a flow that is not there")
+        code = body[position] | body[position + 1] << 8
+        if code >= len(RATE_STEPS):
+            raise InvalidDemandError("a step that is not there")
+        codes[flow] = code
+        position += 2
+    return codes
+
+
+def _decode_distance(body: bytes, position: int) -> tuple[int, int]:
+    """The distance that begins at this position, and the position after it."""
+    distance = 0
+    shift = 0
+    while position < len(body):
+        byte = body[position]
+        position += 1
+        distance |= (byte & GROUP_MASK) << shift
+        if byte < CONTINUES:
+            return distance, position
+        shift += GROUP_BITS
+        if shift > MOST_SHIFT:
+            raise InvalidDemandError("a gap too wide")
+    raise InvalidDemandError("cut short")
--- a/mallowbeam/storage_gateway/coordination/shares/demand_meter.py
+++ b/mallowbeam/storage_gateway/coordination/shares/demand_meter.py
@@ -1,8 +1,9 @@
-"""What comes in at one gateway, and when that is worth a word to the fleet.
+"""Measures the demand at one gateway and decides which changes are worth a report.
 
-Units are counted by flow in windows.  A window above what was told is told at once, with a little headroom.
-Less is told after the highest of `SHORT` windows has been well below, or the highest of `LONG` ones a little
-below: what flickers faster than that, or within the band, changes nothing.
+Units are counted by flow in windows.  A window above the reported rate is reported at once, with a little
+headroom.  A lower rate is reported once the highest of the last `SHORT` windows is well below the reported
+rate, or the highest of the last `LONG` ones a little below: fluctuations that are faster, or within that
+band, cause no report.
 """
 
 from __future__ import annotations
@@ -10,55 +11,72 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from mallowbeam.storage_gateway.coordination.shares.demand_encoding import STEPS, code
+from mallowbeam.storage_gateway.coordination.shares.demand_encoding import RATE_STEPS, rate_code
 
-HEADROOM = 1.003  # told over measured: with the rounding up, 0.6% at most
-SHORT, WELL = 3, 0.7  # windows, and the part of what was told that is well below
-FIRST = 1000  # milli-units a second, until the first window is over
-LONG, BAND = 12, 0.96  # windows, and what is a little below
+HEADROOM = 1.003  # reported over measured: with the rounding up, 0.6% at most
+SHORT = 3  # windows
+WELL_BELOW = 0.7  # of the reported rate
+LONG = 12  # windows
+BELOW = 0.96  # of the reported rate
+FIRST_RATE = 1000  # milli-units a second of a new flow, until its first window is over
+NO_WINDOWS = (0.0,)
 
 
 @dataclass(slots=True)
-class Meter:
-    """One gateway's demand by flow; `most` bounds the flows, further ones are not counted."""
+class DemandMeter:
+    """One gateway's demand by flow; flows beyond `most_flows` are not counted."""
 
-    most: int
-    counts: dict[int, float] = field(default_factory=dict)
-    past: dict[int, tuple[float, ...]] = field(default_factory=dict)  # milli-units a second, the newest first
+    most_flows: int
+    units: dict[int, float] = field(default_factory=dict)  # in the current window
+    windows: dict[int, tuple[float, ...]] = field(default_factory=dict)  # milli-units a second, newest first
 
-    def came(self, flow: int, units: float) -> bool:
-        """Units were asked for; whether the flow is new here."""
-        if flow in self.counts:
-            self.counts[flow] += units
+    def add(self, flow: int, units: float) -> bool:
+        """Count units that were asked for; whether the flow is new here."""
+        if flow in self.units:
+            self.units[flow] += units
             return False
-        if len(self.counts) >= self.most:
+        if len(self.units) >= self.most_flows:
             return False
-        self.counts[flow] = units
-        return flow not in self.past
+        self.units[flow] = units
+        return flow not in self.windows
 
-    def wants(self) -> dict[int, int]:
-        """What is asked for now, by flow, in milli-units a second; a new one by `FIRST`."""
-        known = {flow: int(max(past[:2]) * HEADROOM) for flow, past in self.past.items()}
-        return {**dict.fromkeys(self.counts, FIRST), **known}
+    def current_demand(self) -> dict[int, int]:
+        """Milli-units a second by flow: the higher of the last two windows; `FIRST_RATE` for new flows."""
+        measured = {flow: int(max(past[:2]) * HEADROOM) for flow, past in self.windows.items()}
+        return {**dict.fromkeys(self.units, FIRST_RATE), **measured}
 
-    def window(self, seconds: float, told: Mapping[int, int]) -> dict[int, int]:
-        """A window is over: the codes by flow of what should be told anew."""
-        for flow in self.past.keys() | self.counts.keys():
-            past = (self.counts.get(flow, 0.0) * 1000 / seconds, *self.past.get(flow, ())[: LONG - 1])
+    def end_window(self, seconds: float, reported: Mapping[int, int]) -> dict[int, int]:
+        """End the window; the rate codes by flow of what should be reported.
+
+        `reported` is what the log has of this gateway, in milli-units a second by flow.
+        """
+        for flow in self.windows.keys() | self.units.keys():
+            newest = self.units.get(flow, 0.0) * 1000 / seconds
+            past = (newest, *self.windows.get(flow, ())[: LONG - 1])
             if any(past):
-                self.past[flow] = past
+                self.windows[flow] = past
             else:
-                del self.past[flow]
-        self.counts.clear()
+                del self.windows[flow]
+        self.units.clear()
         rows: dict[int, int] = {}
-        for flow in self.past.keys() | told.keys():
-            past, said = self.past.get(flow, (0.0,)), told.get(flow, 0)
-            level = max(past[:SHORT])
-            if past[0] <= said and level >= said * WELL:
-                level = max(past)
-                if len(past) < LONG or level >= said * BAND:
-                    continue
-            elif past[0] <= said and len(past) < SHORT and past != (0.0,):
-                continue
-            rows[flow] = code(int(level * HEADROOM))
-        return {flow: new for flow, new in rows.items() if STEPS[new] != told.get(flow, 0)}
+        for flow in self.windows.keys() | reported.keys():
+            before = reported.get(flow, 0)
+            rate = _rate_to_report(self.windows.get(flow, NO_WINDOWS), before)
+            if rate is not None and RATE_STEPS[code := rate_code(int(rate * HEADROOM))] != before:
+                rows[flow] = code
+        return rows
+
+
+def _rate_to_report(past: tuple[float, ...], reported: int) -> float | None:
+    """The rate that replaces the reported one; None while the reported one stays good enough."""
+    highest = max(past[:SHORT])
+    if past[0] > reported:
+        return highest
+    if highest >= reported * WELL_BELOW:
+        highest = max(past)
+        if len(past) < LONG or highest >= reported * BELOW:
+            return None
+        return highest
+    if len(past) < SHORT and past != NO_WINDOWS:
+        return None
+    return highest
--- a/mallowbeam/storage_gateway/coordination/shares/flow_division.py
+++ b/mallowbeam/storage_gateway/coordination/shares/flow_division.py
@@ -1,102 +1,165 @@
-"""How one gateway divides its sums among the flows that it serves; pure.
+"""How one gateway divides its quotas among its flows; pure functions.
 
-Each flow has its target.  Where what may be used of a node, a zone or a tenant's limit is less than the
-targets there, the flows are scaled down together, so all sums fit.  Where flows that have no target yet were
-asked for, the floor is kept for them, or half of what there is where that is less.
+Each flow has the rate granted to it by the newest close.  Where the usable quota of a node, a zone or a
+tenant's limit is less than the sum of those rates, the flows are scaled down together, so that all sums fit.
+Where flows without a granted rate are in demand, the floor is kept free for them, or half of the quota where
+that is less.
 
-What one flow does not ask for now is lent within this gateway to those that are short, in proportion to what
-they lack; a `BACK`th of its target stays with it, so that it is heard at once when it asks again.
+What one flow does not use now is lent within this gateway to flows that are short, in proportion to what they
+lack; a `KEPT`th of its rate stays with it, so that its demand is noticed at once when it comes back.
+
+Rates and quotas are milli-units a second.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
 
 from mallowbeam.storage_gateway.coordination.shares.state_machine import SharesState
 
-BACK = 10  # of a target that is lent, the part that stays
+KEPT = 10  # the divisor of a lent flow's rate that stays with it
 Usable = Callable[[str], int]
+Link = tuple[int, int, str]  # kind, position among its kind, resource
+NODE = 0
+ZONE = 1
+TENANT = 2
+KINDS = (NODE, ZONE, TENANT)  # of links, in the order in which they are fitted
 
 
-def divide(
-    state: SharesState, targets: Mapping[int, int], wants: Mapping[int, int], usable: Usable
+def divide_quota(
+    state: SharesState, granted: Mapping[int, int], demand: Mapping[int, int], usable: Usable
 ) -> dict[int, int]:
-    """Rates by flow, whose sums fit what is usable; `wants` is what is asked for here now, new flows too."""
-    if not (count := len(state.nodes)):
+    """Rates by flow whose sums fit the usable quotas.
+
+    `granted` is by the newest close, `demand` what is asked for here now, of new flows too; `usable` is this
+    gateway's quota of a resource.
+    """
+    if not state.nodes:
         return {}
-    setup, floors = state.setup, state.floors
-    limited = [setup.tenants[name].limit is not None for name in state.tenants]
-    zones = sorted({setup.nodes[name].zone for name in state.nodes} & setup.zones.keys())
-    zone_at = {zone: at for at, zone in enumerate(zones)}
-    zone_of = [zone_at.get(setup.nodes[name].zone, -1) for name in state.nodes]
-    has: list[dict[int, int]] = [{}, {}, {}]  # usable, by place: nodes, zones, tenants
-
-    def places(flow: int) -> list[tuple[int, int, str]]:
-        tenant, node = flow // count, flow % count
-        told = [(0, node, "n:" + state.nodes[node])]
-        if zone_of[node] >= 0:
-            told.append((1, zone_of[node], "z:" + zones[zone_of[node]]))
-        if limited[tenant]:
-            told.append((2, tenant, "t:" + state.tenants[tenant]))
-        return told
-
-    links = {flow: places(flow) for flow in {*targets, *wants}}
-    for told in links.values():
-        for kind, place, name in told:
-            if place not in has[kind]:
-                has[kind][place] = usable(name)
-    rates = {flow: rate for flow, rate in sorted(targets.items()) if flow in links}
-    newer = [flow for flow in sorted(links) if flow not in targets]
-    fresh = [{place for flow in newer for of, place, _ in links[flow] if of == kind} for kind in range(3)]
-    for kind in range(3):
+    division = _Division(state, granted, demand, usable)
+    for kind in KINDS:
+        division.fit(kind)
+    division.lend()
+    return division.rates
+
+
+@dataclass(slots=True)
+class _Division:
+    """One division: the rates so far, and the links that each flow uses."""
+
+    state: SharesState
+    granted: Mapping[int, int]
+    demand: Mapping[int, int]
+    usable: Usable
+    links: dict[int, list[Link]] = field(init=False)  # by flow
+    quotas: list[dict[int, int]] = field(init=False)  # by kind and position
+    rates: dict[int, int] = field(init=False)
+
+    def __post_init__(self) -> None:
+        """Start from the granted rates."""
+        self.links = _links_of_flows(self.state, {*self.granted, *self.demand})
+        self.quotas = [{} for _ in KINDS]
+        for links in self.links.values():
+            for kind, position, resource in links:
+                if position not in self.quotas[kind]:
+                    self.quotas[kind][position] = self.usable(resource)
+        self.rates = dict(sorted(self.granted.items()))
+
+    def fit(self, kind: int) -> None:
+        """Scale the flows of each link of this kind down until their sum fits its quota."""
         sums: dict[int, int] = {}
-        names: dict[int, str] = {}
-        for flow, rate in rates.items():
-            for of, place, name in links[flow]:
-                if of == kind:
-                    sums[place] = sums.get(place, 0) + rate
-                    names[place] = name
-        short = {}
-        for place, total in sums.items():
-            most = has[kind][place]
-            if place in fresh[kind]:
-                most -= min(floors.get(names[place], 0), most // 2)
-            if total > most:
-                short[place] = (most, total)
-        if short:
-            for flow, rate in rates.items():
-                for of, place, _ in links[flow]:
-                    if of == kind and place in short:
-                        most, total = short[place]
-                        rates[flow] = rate * most // total
-    _lend(rates, wants, links, has)
-    return rates
-
-
-def _lend(
-    rates: dict[int, int],
-    wants: Mapping[int, int],
-    links: Mapping[int, list[tuple[int, int, str]]],
-    has: list[dict[int, int]],
-) -> None:
-    """Let those that are short have what the others at their places do not ask for, and what is over."""
-    lack = {flow: want - rates.get(flow, 0) for flow, want in wants.items() if want > rates.get(flow, 0)}
-    needs: list[dict[int, int]] = [{}, {}, {}]
-    for flow, short in lack.items():
-        for kind, place, _ in links[flow]:
-            needs[kind][place] = needs[kind].get(place, 0) + short
-    left = [{place: has[kind][place] for place in needs[kind]} for kind in range(3)]
-    kept: dict[int, int] = {}
-    for flow, rate in rates.items():
-        here = [(kind, place) for kind, place, _ in links[flow] if place in needs[kind]]
-        if here and flow not in lack:
-            kept[flow] = rate = min(rate, max(wants.get(flow, 0), rate // BACK))
-        for kind, place in here:
-            left[kind][place] -= rate
-    rates.update(kept)
-    for flow in sorted(lack):
-        short = lack[flow]
-        rates[flow] = rates.get(flow, 0) + max(
-            0,
-            min(short, *(short * left[kind][place] // needs[kind][place] for kind, place, _ in links[flow])),
-        )
+        resources: dict[int, str] = {}
+        for flow, rate in self.rates.items():
+            for of_kind, position, resource in self.links[flow]:
+                if of_kind == kind:
+                    sums[position] = sums.get(position, 0) + rate
+                    resources[position] = resource
+        with_new_flows = self._links_of_new_flows(kind)
+        too_full: dict[int, tuple[int, int]] = {}  # by position: its quota, and the sum of its flows
+        for position, total in sums.items():
+            quota = self.quotas[kind][position]
+            if position in with_new_flows:
+                quota -= min(self.state.floors.get(resources[position], 0), quota // 2)
+            if total > quota:
+                too_full[position] = (quota, total)
+        if not too_full:
+            return
+        for flow, rate in self.rates.items():
+            for of_kind, position, _ in self.links[flow]:
+                if of_kind == kind and position in too_full:
+                    quota, total = too_full[position]
+                    self.rates[flow] = rate * quota // total
+
+    def _links_of_new_flows(self, kind: int) -> set[int]:
+        """The positions of the links of this kind that are used by flows without a granted rate."""
+        return {
+            position
+            for flow, links in self.links.items()
+            if flow not in self.granted
+            for of_kind, position, _ in links
+            if of_kind == kind
+        }
+
+    def lend(self) -> None:
+        """Give flows that are short what others on their links do not use, and what is left over."""
+        lack = {
+            flow: wanted - self.rates.get(flow, 0)
+            for flow, wanted in self.demand.items()
+            if wanted > self.rates.get(flow, 0)
+        }
+        total_lack = self._sums_by_link(lack)
+        available = self._reclaim_unused(lack, total_lack)
+        for flow in sorted(lack):
+            lacking = lack[flow]
+            shares = (
+                lacking * available[kind][position] // total_lack[kind][position]
+                for kind, position, _ in self.links[flow]
+            )
+            self.rates[flow] = self.rates.get(flow, 0) + max(0, min(lacking, *shares))
+
+    def _sums_by_link(self, amounts: Mapping[int, int]) -> list[dict[int, int]]:
+        """The sums of amounts by flow, by kind and position of their links."""
+        sums: list[dict[int, int]] = [{} for _ in KINDS]
+        for flow, amount in amounts.items():
+            for kind, position, _ in self.links[flow]:
+                sums[kind][position] = sums[kind].get(position, 0) + amount
+        return sums
+
+    def _reclaim_unused(
+        self, lack: Mapping[int, int], total_lack: list[dict[int, int]]
+    ) -> list[dict[int, int]]:
+        """Lower the flows that do not use their rates; what is free then on the links of flows that lack."""
+        available = [
+            {position: self.quotas[kind][position] for position in total_lack[kind]} for kind in KINDS
+        ]
+        lowered: dict[int, int] = {}
+        for flow, granted in self.rates.items():
+            shared = [
+                (kind, position) for kind, position, _ in self.links[flow] if position in total_lack[kind]
+            ]
+            rate = granted
+            if shared and flow not in lack:
+                rate = min(granted, max(self.demand.get(flow, 0), granted // KEPT))
+                lowered[flow] = rate
+            for kind, position in shared:
+                available[kind][position] -= rate
+        self.rates.update(lowered)
+        return available
+
+
+def _links_of_flows(state: SharesState, flows: set[int]) -> dict[int, list[Link]]:
+    """By flow, its node, its zone where that has a capacity, and its tenant where that has a limit."""
+    policy, node_count = state.policy, len(state.nodes)
+    zones = sorted({policy.nodes[name].zone for name in state.nodes} & policy.zones.keys())
+    zone_links: dict[str, Link] = {zone: (ZONE, position, f"z:{zone}") for position, zone in enumerate(zones)}
+    node_links: list[list[Link]] = []
+    for position, name in enumerate(state.nodes):
+        zone_link = zone_links.get(policy.nodes[name].zone)
+        node_link: Link = (NODE, position, f"n:{name}")
+        node_links.append([node_link] if zone_link is None else [node_link, zone_link])
+    tenant_links: list[list[Link]] = [
+        [] if policy.tenants[name].limit is None else [(TENANT, position, f"t:{name}")]
+        for position, name in enumerate(state.tenants)
+    ]
+    return {flow: node_links[flow % node_count] + tenant_links[flow // node_count] for flow in flows}
--- a/mallowbeam/storage_gateway/coordination/shares/gateway_core.py
+++ b/mallowbeam/storage_gateway/coordination/shares/gateway_core.py
@@ -1,15 +1,17 @@
-"""One gateway's part in the shares: what it tells, when an epoch is to end, and what it may serve; no I/O.
-
-It counts what comes in and tells the fleet where that has changed (`demand_meter.py`). An epoch ends when the
-picture has changed: the leader proposes so once `epoch_s` have passed since the last one, or at once where a
-node was lost or a policy pushed; another gateway does when nobody did for `patience` epochs more. A second
-proposal of the same number changes nothing. Everything proposed may be lost, so it is proposed again as long
-as the state says that it is still due.
-
-What the epoch grants is used only as the handover allows (`quota_transfer.py`): the sums of this gateway at
-each node, zone and tenant. Within them it divides by itself (`divide`): each flow has its target, scaled down
-where a sum is not there yet, and what is over (the gateway's floor, as a rule) is for tenants that are new
-here. A gateway past its lease is left with the floors and divides those.
+"""One gateway's side of the shares, without I/O: its reports, when an epoch is closed, what it may serve.
+
+The demand that arrives is measured and reported where it has changed (`demand_meter.py`).  An epoch is closed
+when the replicated demand has changed: the leader proposes it once `epoch` seconds have passed since the last
+close, or at once after a lost node or a new policy; another gateway proposes it when nobody has for
+`patience` more epochs.  A second proposal of the same number changes nothing.  Any proposal may be lost, so
+it is made again for as long as the replicated state shows that it is still due.
+
+What an epoch grants is used only as far as the quota transfer allows (`quota_transfer.py`): this gateway's
+quota at each node, zone and tenant.  The gateway divides its quotas itself (`flow_division.py`): each flow
+has the rate granted to it, scaled down where a quota has not grown to it yet; the rest, as a rule the floor,
+is for flows that are new here.  A gateway whose lease has expired is left with its floors and divides those.
+
+Times are seconds on this process's monotonic clock.
 """
 
 from __future__ import annotations
@@ -20,23 +22,27 @@
 from typing import TypeVar
 
 from mallowbeam.storage_gateway.coordination.quota_epochs import Release
-from mallowbeam.storage_gateway.coordination.quota_transfer import QuotaTransfer
+from mallowbeam.storage_gateway.coordination.quota_transfer import QuotaTransfer, TransferTiming
 from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry
-from mallowbeam.storage_gateway.coordination.shares.demand_encoding import pack
-from mallowbeam.storage_gateway.coordination.shares.demand_meter import Meter
-from mallowbeam.storage_gateway.coordination.shares.flow_division import divide
+from mallowbeam.storage_gateway.coordination.shares.demand_encoding import encode_demand
+from mallowbeam.storage_gateway.coordination.shares.demand_meter import DemandMeter
+from mallowbeam.storage_gateway.coordination.shares.flow_division import divide_quota
+from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import MILLI
 from mallowbeam.storage_gateway.coordination.shares.state_machine import (
     MOST_FLOWS,
-    Close,
-    Demand,
-    Gone,
-    Released,
+    CloseEpoch,
+    DemandReport,
+    NodeLost,
+    QuotaReleased,
+    Recompute,
     SharesState,
-    targets,
+    granted_rates,
 )
 
 T = TypeVar("T")
-MOST_ROWS = 4000  # of one report, some 16 KiB; the others go with the next one
+MOST_ROWS = 4000  # flows of one report, some 16 KiB; the others go with the next one
+MOST_PROPOSALS = 1000  # whose times are remembered
+NEVER = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,245 +54,270 @@
 
 @dataclass(frozen=True, slots=True)
 class Allot:
-    """From now on this tenant may be sent `rate` units a second to this node from here, `part` of it ours."""
+    """From now on this gateway may send this tenant's requests to this node at `rate` units a second."""
 
     tenant: str
     node: str
     rate: float
-    part: float = 1.0
+    fraction: float = 1.0  # of the rate that is this gateway's
 
 
 Action = Propose | Allot
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
-    """Seconds, the same on every gateway."""
-
-    epoch: float = 1.0  # at least between two epochs
-    window: float = 0.3  # of counting; a report goes at most once in it
-    patience: int = 2  # epochs that others wait for the leader's word
-    quiet: float = 5.0  # without a word, after which a gateway asks for nothing
-    beat: float = 1.5  # between words of one that has nothing to tell
+class SharesTiming:
+    """Intervals in seconds, the same on every gateway."""
+
+    epoch: float = 1.0  # at least, between two closes
+    window: float = 0.3  # of measuring; there is at most one report in it
+    patience: int = 2  # epochs that others wait for the leader's close
+    silence_timeout: float = 5.0  # without an entry, after which a gateway's demand counts as none
+    heartbeat: float = 1.5  # between reports of a gateway whose demand does not change
     lease: float = 3.0
-    drift: float = 0.1
-    again: float = 0.5  # before a proposal that was not seen is made again
+    drift: float = 0.1  # by which two clocks' rates differ at most
+    retry: float = 0.5  # before a proposal that was not seen in the log is made again
 
 
 @dataclass(slots=True)
 class SharesCore:
-    """One gateway's core; `begun` is when this life began."""
+    """One gateway's core; `started_at` is when this incarnation started."""
 
     me: str
     gateways: Sequence[str]
     state: SharesState
-    begun: float
-    times: Times = field(default_factory=Times)
-    leads: bool = False
-
-    meter: Meter = field(default_factory=lambda: Meter(MOST_FLOWS))
-    heard: dict[str, float] = field(default_factory=dict)
-    lost: dict[str, bool] = field(default_factory=dict)  # nodes, as discovery told us
-    proposed: dict[str, float] = field(default_factory=dict)  # by what: when
-    mine: dict[int, int] = field(default_factory=dict)  # the newest targets
-    told: dict[int, int] = field(default_factory=dict)  # the newest allotments, by flow
-    handover: QuotaTransfer[int] = field(init=False)
-    ticked: float = field(init=False)
-    windowed: float = field(init=False)
-    closed: float = field(init=False)
-    spoke: float = float("-inf")
-    number: int = -1
-    stale: bool = True  # what may be served has to be looked at again
-    later: bool = False  # the same, at the next tick
-    live: bool = False  # whether the allotments told rest on the lease
+    started_at: float
+    timing: SharesTiming = field(default_factory=SharesTiming)
+    is_leader: bool = False
+
+    meter: DemandMeter = field(default_factory=lambda: DemandMeter(MOST_FLOWS))
+    last_entry_at: dict[str, float] = field(default_factory=dict)  # by gateway
+    lost_nodes: dict[str, bool] = field(default_factory=dict)  # as discovery reports them
+    proposed_at: dict[str, float] = field(default_factory=dict)  # by what was proposed
+    granted: dict[int, int] = field(default_factory=dict)  # by the newest close, by flow
+    allotted: dict[int, int] = field(default_factory=dict)  # the newest `Allot`, by flow
+    transfer: QuotaTransfer[int] = field(init=False)
+    ticked_at: float = field(init=False)
+    window_began: float = field(init=False)
+    closed_at: float = field(init=False)
+    reported_at: float = NEVER
+    close_number: int = -1  # of the close that `granted` is of
+    stale: bool = True  # the allotments have to be computed again
+    releases_pending: bool = False  # others released quota: look at it at the next tick
+    had_lease: bool = False  # when the allotments were computed
 
     def __post_init__(self) -> None:
-        """Nothing is known yet: floors only."""
-        t = self.times
-        self.handover = QuotaTransfer(
-            self.me, self.gateways, self._floor, t.lease, self.begun, t.drift, again=t.again
+        """Start with the floors only."""
+        timing = self.timing
+        self.transfer = QuotaTransfer(
+            self.me,
+            self.gateways,
+            self._floor,
+            TransferTiming(timing.lease, timing.drift, retry=timing.retry),
+            self.started_at,
         )
-        self.ticked = self.windowed = self.closed = self.begun
-        self.heard = dict.fromkeys(self.gateways, self.begun)
+        self.ticked_at = self.window_began = self.closed_at = self.started_at
+        self.last_entry_at = dict.fromkeys(self.gateways, self.started_at)
 
     def _floor(self, resource: str, holder: str) -> int:
         return self.state.floors.get(resource, 0)
 
-    # --- what came in -----------------------------------------------------------------------------
+    # --- events -----------------------------------------------------------------------------------
 
     def observed(self, tenant: str, node: str, units: float, now: float) -> list[Action]:
-        """Somebody asked for units at a node; what is returned comes before the request is decided on."""
+        """A request asks for units at a node; the actions are to be done before it is decided on."""
         if (flow := self.flow(tenant, node)) is None:
             return []
-        if self.meter.came(flow, units) and flow not in self.told:
+        if self.meter.add(flow, units) and flow not in self.allotted:
             self.stale = True
-        if self.live and not self.handover.live(now):
-            # Guards against one that stood still and wakes with an old allotment.
+        if self.had_lease and not self.transfer.has_lease(now):
+            # Guards against a process that was stopped and resumes with allotments of an expired lease.
             self.stale = True
-        return self._allots(now)
+        return self._allotment_changes(now)
 
     def flow(self, tenant: str, node: str) -> int | None:
-        """A flow's number; None where the set-up does not know one of them."""
+        """A flow's number; None where the policy names no such tenant or node."""
         state = self.state
-        t, n = bisect_left(state.tenants, tenant), bisect_left(state.nodes, node)
-        if state.tenants[t : t + 1] != (tenant,) or state.nodes[n : n + 1] != (node,):
+        tenant_position = bisect_left(state.tenants, tenant)
+        node_position = bisect_left(state.nodes, node)
+        if state.tenants[tenant_position : tenant_position + 1] != (tenant,):
             return None
-        return t * len(state.nodes) + n
+        if state.nodes[node_position : node_position + 1] != (node,):
+            return None
+        return tenant_position * len(state.nodes) + node_position
 
-    def node(self, node: str, gone: bool, now: float) -> list[Action]:
-        """Discovery told that a node is lost, or there again."""
-        self.lost[node] = gone
-        return self._told_lost(now)
+    def node_changed(self, node: str, lost: bool, now: float) -> list[Action]:
+        """Discovery has lost a node, or has it again."""
+        self.lost_nodes[node] = lost
+        return self._report_lost_nodes(now)
 
     def lease_renewed(self, proposed_at: float, now: float) -> list[Action]:
-        """A mark of this life's own came back; when it was put in."""
-        self.handover.lease_renewed(proposed_at)
-        self.stale = self.stale or self.handover.live(now) != self.live
-        return self._allots(now)
-
-    def committed(self, told: Committed, now: float) -> list[Action]:
-        """The log has committed an entry of this topic, or its state came whole."""
-        before, self.state = self.state, told.state
-        if told.by in self.heard:
-            self.heard[told.by] = now
-        if self.state.roll != before.roll:
-            self._renumbered(before)
-        handed, releases = self.state.handed, []
-        if isinstance(told.entry, Released) and handed.epoch == self.handover.epoch:
-            self.later = True  # what may grow by it does so at the next tick, for all at once
-        elif handed is not before.handed:
-            releases = self.handover.follow(handed, now)
+        """A heartbeat of this incarnation, proposed at that time, was committed."""
+        self.transfer.lease_renewed(proposed_at)
+        self.stale = self.stale or self.transfer.has_lease(now) != self.had_lease
+        return self._allotment_changes(now)
+
+    def committed(self, committed: Committed, now: float) -> list[Action]:
+        """The log has committed an entry of the shares, or the state came complete in a snapshot."""
+        before, self.state = self.state, committed.state
+        if committed.by in self.last_entry_at:
+            self.last_entry_at[committed.by] = now
+        if self.state.numbering != before.numbering:
+            self._renumber(before)
+        quota, releases = self.state.quota, []
+        if isinstance(committed.entry, QuotaReleased) and quota.epoch == self.transfer.epoch:
+            self.releases_pending = True  # one look at the next tick serves for all releases until then
+        elif quota is not before.quota:
+            releases = self.transfer.follow(quota, now)
             self.stale = True
-        if self.state.number != self.number or self.state.roll != before.roll:
-            self.number, self.closed, self.mine = self.state.number, now, targets(self.state, self.me)
+        if self.state.close_number != self.close_number or self.state.numbering != before.numbering:
+            self.close_number, self.closed_at = self.state.close_number, now
+            self.granted = granted_rates(self.state, self.me)
             self.stale = True
-        # What falls has fallen before the word of it goes out.
-        return self._allots(now) + self._released(releases)
+        # An allotment that falls has fallen before its release is proposed.
+        return self._allotment_changes(now) + self._propose_releases(releases)
 
     def tick(self, now: float) -> list[Action]:
         """Time has passed."""
-        t = self.times
-        if now - self.ticked > t.quiet / 2:
-            # Guards against one that stood still and takes everybody else for silent.
-            self.heard = dict.fromkeys(self.gateways, now)
-            self.closed = max(self.closed, now - t.epoch)
-        self.ticked = now
-        gone = self.handover.gone
-        actions = self._released(self.handover.follow(self.state.handed, now)) if self.later else []
-        actions += self._released(self.handover.tick(now))
-        self.stale = (
-            self.stale or self.later or gone != self.handover.gone or self.handover.live(now) != self.live
-        )
-        self.later = False
-        if self.state.setup.nodes:
-            actions += self._report(now) + self._told_lost(now) + self._close(now)
-        return self._allots(now) + actions
+        timing = self.timing
+        if now - self.ticked_at > timing.silence_timeout / 2:
+            # Guards against a process that was stopped and takes everybody else for silent.
+            self.last_entry_at = dict.fromkeys(self.gateways, now)
+            self.closed_at = max(self.closed_at, now - timing.epoch)
+        self.ticked_at = now
+        expired_epoch = self.transfer.expired_epoch
+        actions: list[Action] = []
+        if self.releases_pending:
+            actions += self._propose_releases(self.transfer.follow(self.state.quota, now))
+            self.stale = True
+        self.releases_pending = False
+        actions += self._propose_releases(self.transfer.tick(now))
+        if expired_epoch != self.transfer.expired_epoch or self.transfer.has_lease(now) != self.had_lease:
+            self.stale = True
+        if self.state.policy.nodes:
+            actions += self._report_demand(now) + self._report_lost_nodes(now) + self._close_epoch(now)
+        return self._allotment_changes(now) + actions
 
-    # --- what it tells ----------------------------------------------------------------------------
+    # --- proposals --------------------------------------------------------------------------------
 
-    def _again(self, what: str, now: float) -> bool:
-        if now < self.proposed.get(what, float("-inf")) + self.times.again:
+    def _may_propose(self, what: str, now: float) -> bool:
+        """Whether this was not proposed a moment ago; it counts as proposed now."""
+        if now < self.proposed_at.get(what, NEVER) + self.timing.retry:
             return False
-        self.proposed[what] = now
+        self.proposed_at[what] = now
         return True
 
-    def _report(self, now: float) -> list[Action]:
-        if (seconds := now - self.windowed) < self.times.window:
+    def _report_demand(self, now: float) -> list[Action]:
+        """At the end of a window, what has changed, or a heartbeat where nothing has for long."""
+        if (seconds := now - self.window_began) < self.timing.window:
             return []
-        self.windowed = now
-        said = self.state.demand.get(self.me, {})
-        rows = self.meter.window(seconds, said)
-        self.stale = True  # what is lent within this gateway follows what is asked for
-        if not rows and now < self.spoke + self.times.beat and self.me not in self.state.quiet:
+        self.window_began = now
+        rows = self.meter.end_window(seconds, self.state.demand.get(self.me, {}))
+        self.stale = True  # quota that is lent within this gateway follows the demand
+        heartbeat_due = now >= self.reported_at + self.timing.heartbeat or self.me in self.state.silent
+        if not rows and not heartbeat_due:
             return []
-        self.spoke = now
-        body = pack(dict(sorted(rows.items())[:MOST_ROWS]))
-        return [Propose(Demand(self.state.roll, body))]
+        self.reported_at = now
+        body = encode_demand(dict(sorted(rows.items())[:MOST_ROWS]))
+        return [Propose(DemandReport(self.state.numbering, body))]
 
-    def _told_lost(self, now: float) -> list[Action]:
+    def _report_lost_nodes(self, now: float) -> list[Action]:
+        """Entries where the replicated state differs from what discovery reports here."""
         actions: list[Action] = []
-        for node, gone in self.lost.items():
-            if (
-                node in self.state.setup.nodes
-                and gone != (self.me in self.state.gone.get(node, ()))
-                and self._again(f"gone {node}", now)
-            ):
-                actions.append(Propose(Gone(node, gone)))
+        for node, lost in self.lost_nodes.items():
+            known = self.me in self.state.lost_nodes.get(node, ())
+            if node in self.state.policy.nodes and lost != known and self._may_propose(f"gone {node}", now):
+                actions.append(Propose(NodeLost(node, lost)))
         return actions
 
-    def _released(self, releases: list[Release]) -> list[Action]:
-        return [Propose(Released(release.epoch)) for release in releases]
+    def _propose_releases(self, releases: list[Release]) -> list[Action]:
+        return [Propose(QuotaReleased(release.epoch)) for release in releases]
 
-    def _close(self, now: float) -> list[Action]:
-        """End the epoch, when that is due and ours to do."""
-        t, state = self.times, self.state
-        quiet = tuple(
-            name
-            for name in self.gateways
-            if name != self.me and name not in state.quiet and now > self.heard[name] + t.quiet
-        )
-        if not quiet and not state.dirty:
+    def _close_epoch(self, now: float) -> list[Action]:
+        """Propose the end of the epoch, where it is due and this gateway's turn."""
+        state = self.state
+        silent = self._newly_silent(now)
+        if not silent and state.recompute == Recompute.NONE:
             return []
-        due = self.closed + t.epoch
-        if not self.leads:
-            due += t.epoch * (t.patience + list(self.gateways).index(self.me) / len(self.gateways))
-        elif state.dirty == 2:
-            due = self.closed
-        if now < due:
+        if now < self._close_due_at():
             return []
         actions: list[Action] = []
-        for holder, epoch in self.handover.lapsed(state.handed).items():
-            if self._again(f"lapsed {holder} {epoch}", now):
-                actions.append(Propose(Released(epoch, holder)))
-        if self._again("close", now):
-            actions.append(Propose(Close(state.number + 1, quiet)))
-        if len(self.proposed) > 1000:
-            self.proposed.clear()
+        for holder, epoch in self.transfer.expired_holders(state.quota).items():
+            if self._may_propose(f"lapsed {holder} {epoch}", now):
+                actions.append(Propose(QuotaReleased(epoch, holder)))
+        if self._may_propose("close", now):
+            actions.append(Propose(CloseEpoch(state.close_number + 1, silent)))
+        if len(self.proposed_at) > MOST_PROPOSALS:
+            self.proposed_at.clear()
         return actions
 
-    # --- what it may serve ------------------------------------------------------------------------
+    def _newly_silent(self, now: float) -> tuple[str, ...]:
+        """The other gateways that have stopped reporting and do not count as silent yet."""
+        return tuple(
+            name
+            for name in self.gateways
+            if name != self.me
+            and name not in self.state.silent
+            and now > self.last_entry_at[name] + self.timing.silence_timeout
+        )
+
+    def _close_due_at(self) -> float:
+        """When this gateway proposes the next close; the others wait for the leader, each a little longer."""
+        timing = self.timing
+        due = self.closed_at + timing.epoch
+        if not self.is_leader:
+            turn = list(self.gateways).index(self.me) / len(self.gateways)
+            return due + timing.epoch * (timing.patience + turn)
+        return self.closed_at if self.state.recompute == Recompute.AT_ONCE else due
 
-    def _allots(self, now: float) -> list[Action]:
-        """What has changed of what may be served."""
+    # --- allotments -------------------------------------------------------------------------------
+
+    def _allotment_changes(self, now: float) -> list[Action]:
+        """An `Allot` for each flow whose rate has changed."""
         if not self.stale:
             return []
-        self.stale, self.live = False, self.handover.live(now)
-        state, usable = self.state, self.handover.usable
-        new = divide(state, self.mine, self.meter.wants(), lambda resource: usable(resource, now))
-        before, self.told = self.told, new
-        count = len(state.nodes)
+        self.stale, self.had_lease = False, self.transfer.has_lease(now)
+        state, usable = self.state, self.transfer.usable
+        rates = divide_quota(
+            state, self.granted, self.meter.current_demand(), lambda resource: usable(resource, now)
+        )
+        before, self.allotted = self.allotted, rates
+        node_count = len(state.nodes)
         return [
-            Allot(state.tenants[flow // count], state.nodes[flow % count], new.get(flow, 0) / 1000)
-            for flow in sorted(before.keys() | new.keys())
-            if before.get(flow, 0) != new.get(flow, 0)
+            Allot(
+                state.tenants[flow // node_count], state.nodes[flow % node_count], rates.get(flow, 0) / MILLI
+            )
+            for flow in sorted(before.keys() | rates.keys())
+            if before.get(flow, 0) != rates.get(flow, 0)
         ]
 
-    def _renumbered(self, before: SharesState) -> None:
-        """Flows have new numbers: what is kept by them is carried over."""
-        count = len(before.nodes)
+    def _renumber(self, before: SharesState) -> None:
+        """A policy gave the flows new numbers: carry over what is kept by flow."""
+        node_count = len(before.nodes)
 
-        def moved(rows: Mapping[int, T]) -> dict[int, T]:
-            names = {
-                flow: self.flow(before.tenants[flow // count], before.nodes[flow % count]) for flow in rows
+        def renumber(rows: Mapping[int, T]) -> dict[int, T]:
+            numbers = {
+                flow: self.flow(before.tenants[flow // node_count], before.nodes[flow % node_count])
+                for flow in rows
             }
-            return {new: rows[flow] for flow, new in names.items() if new is not None}
+            return {new: rows[old] for old, new in numbers.items() if new is not None}
 
-        self.meter = Meter(MOST_FLOWS, moved(self.meter.counts), moved(self.meter.past))
-        self.told, self.mine = moved(self.told), moved(self.mine)
+        self.meter = DemandMeter(MOST_FLOWS, renumber(self.meter.units), renumber(self.meter.windows))
+        self.allotted, self.granted = renumber(self.allotted), renumber(self.granted)
 
     def describe(self, now: float) -> dict[str, object]:
-        """For the page: where it stands, who is waited for, and what may be served here."""
-        state, count = self.state, len(self.state.nodes)
+        """For the page `/fleet`: the epoch, who is waited for, and what may be served here."""
+        state, node_count = self.state, len(self.state.nodes)
         return {
-            "number": state.number,
-            "epoch": state.handed.epoch,
-            "settled": state.handed.settled,
-            "live": self.handover.live(now),
-            "quiet": list(state.quiet),
-            "gone": sorted(state.gone),
-            "owing": state.handed.owing,
+            "number": state.close_number,
+            "epoch": state.quota.epoch,
+            "settled": state.quota.base_epoch,
+            "live": self.transfer.has_lease(now),
+            "quiet": list(state.silent),
+            "gone": sorted(state.lost_nodes),
+            "owing": state.quota.awaited_releases,
             "allotted": {
-                f"{state.tenants[flow // count]}@{state.nodes[flow % count]}": rate / 1000
-                for flow, rate in sorted(self.told.items())
+                f"{state.tenants[flow // node_count]}@{state.nodes[flow % node_count]}": rate / MILLI
+                for flow, rate in sorted(self.allotted.items())
             },
         }
--- a/mallowbeam/storage_gateway/coordination/shares/max_min_fairness.py
+++ b/mallowbeam/storage_gateway/coordination/shares/max_min_fairness.py
@@ -1,4 +1,4 @@
-"""Weighted max-min fairness over several bottlenecks: each tenant's rate at each node; pure integer arithmetic.
+"""Weighted max-min fairness over several bottlenecks: each tenant's rate at each node; integers only.
 
 A *flow* is one tenant at one node; its demand is the sum of what all gateways report for it.  A *link* is a
 capacity that flows share: a node's, its zone's, or a tenant's limit.  Rates are found by progressive filling
@@ -47,7 +47,7 @@
 
 
 def allocate(network: Network, demand: Mapping[Flow, int]) -> Rates:
-    """The rate of each flow that asks for anything: at most its demand, reserves first, the rest by weight."""
+    """The rate of each flow with a demand: at most that demand, reserves first, the rest by weight."""
     flows = sorted(flow for flow, wanted in demand.items() if wanted > 0)
     node_count = len(network.nodes)
     reserved = [flow for flow in flows if network.reserves[flow // node_count]]
@@ -136,8 +136,7 @@
             limit_link = flow // node_count + first_limit_link
             wanted = demand[flow]
             sums[limit_link] += wanted
-            if wanted > capacities[limit_link]:
-                wanted = capacities[limit_link]  # no flow is above its tenant's limit
+            wanted = min(wanted, capacities[limit_link])  # no flow is above its tenant's limit
             sums[node] += wanted
             sums[zone_links[node]] += wanted
         return [total > capacity for capacity, total in zip(capacities, sums, strict=True)]
@@ -164,7 +163,7 @@
                 self.fixed_rate[link] += demand[flow]
 
     def _schedule_flow(self, flow: Flow, floor: int, links: list[int]) -> None:
-        """Note the levels at which a flow leaves its floor (event `-1 - flow`) and has its demand (`flow`)."""
+        """Note the levels at which a flow leaves its floor (`-1 - flow`) and has its demand (`flow`)."""
         weight = self.weights[flow // len(self.network.nodes)]
         self.links_of[flow] = links
         self.flow_events.append((-(-(self.demand[flow] << SHIFT) // weight), flow))
--- a/mallowbeam/storage_gateway/coordination/shares/quota_rows.py
+++ b/mallowbeam/storage_gateway/coordination/shares/quota_rows.py
@@ -1,12 +1,13 @@
-"""From flows' rates to the rows that are handed over: each gateway's sum at each node, zone and tenant.
+"""From the rates of flows to the rows of a quota transfer: each gateway's sum at each node, zone and tenant.
 
-All gateways' flows are walked once; it is the dear part of an epoch, so it does little for each.
+Rates are milli-units a second.  All flows of all gateways are visited once in a close; that is its most
+expensive step, so the inner loop does little for each.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from operator import mul
 
 import msgspec
@@ -15,111 +16,156 @@
     MOST_OPEN,
     OpenEpoch,
     QuotaEpochs,
-    TooManyOpen,
-    settle,
+    TooManyOpenEpochsError,
+    fold_complete_epochs,
 )
 
-Rows = dict[str, dict[str, int]]
+Rows = dict[str, dict[str, int]]  # by resource and gateway
 
 
 @dataclass(frozen=True, slots=True)
-class Places:
-    """The names behind flows' numbers."""
+class FlowNames:
+    """The names behind the numbers of flows."""
 
     tenants: Sequence[str]
     nodes: Sequence[str]
     zones: Sequence[str]  # by node
 
 
-def ratios(rates: Mapping[int, int], sums: Mapping[int, int]) -> dict[int, float]:
-    """By flow: the part that it gets of what it asks for.
+def granted_ratios(rates: Mapping[int, int], demand: Mapping[int, int]) -> dict[int, float]:
+    """By flow, the fraction of its demand that is granted.
 
-    A gateway's part is its demand times this, rounded down.  The products' error is far under a milli-unit,
-    so whole parts never add up to more than the rate; IEEE doubles are the same on every machine.
+    A gateway's rate is its demand times this fraction, rounded down. The error of the product is far under a
+    milli-unit, so the gateways' rates never add up to more than the flow's; IEEE doubles are the same on
+    every machine.
     """
-    return {flow: rate / sums[flow] for flow, rate in rates.items()}
+    return {flow: rate / demand[flow] for flow, rate in rates.items()}
 
 
-def grant(
-    places: Places,
+def grant_rows(
+    names: FlowNames,
     floors: Mapping[str, int],
     rates: Mapping[int, int],
-    sums: Mapping[int, int],
+    total_demand: Mapping[int, int],
     demand: Mapping[str, Mapping[int, int]],
 ) -> Rows:
-    """Each gateway's sums, by resource; who is not named has its floor, as its sum is no more.
+    """Each gateway's sums by resource; a gateway that a row does not name has its floor there.
 
-    Each gateway's flows are in order, so that a tenant's come together.
+    Each gateway's flows must be sorted, so that those of one tenant follow each other.
     """
-    count, zones = len(places.nodes), sorted(set(places.zones))
-    zone_of = [zones.index(zone) for zone in places.zones]
-    at_node, node_floors = _empty("n:", places.nodes, floors)
-    at_zone, zone_floors = _empty("z:", zones, floors)
-    of_tenant, tenant_floors = _empty("t:", places.tenants, floors)
-    part = ratios(rates, sums).__getitem__
+    rows = _RowBuilder(names, floors)
+    ratio_of = granted_ratios(rates, total_demand).__getitem__
     for gateway in sorted(demand):
-        rows = demand[gateway]
-        by_node, by_zone, before, sum_ = [0] * count, [0] * len(zones), -1, 0
-        for flow, has in zip(rows, map(int, map(mul, rows.values(), map(part, rows))), strict=True):
-            by_node[flow % count] += has
-            if (tenant := flow // count) != before:
-                if sum_ > tenant_floors[before]:
-                    of_tenant[before][gateway] = sum_
-                before, sum_ = tenant, 0
-            sum_ += has
-        if rows and sum_ > tenant_floors[before]:
-            of_tenant[before][gateway] = sum_
-        for row, sum_, floor, zone in zip(at_node, by_node, node_floors, zone_of, strict=True):
-            if sum_:
-                by_zone[zone] += sum_
-                if sum_ > floor:
-                    row[gateway] = sum_
-        for row, sum_, floor in zip(at_zone, by_zone, zone_floors, strict=True):
-            if sum_ > floor:
-                row[gateway] = sum_
-    named = (
-        *(f"n:{name}" for name in places.nodes),
-        *(f"z:{name}" for name in zones),
-        *(f"t:{name}" for name in places.tenants),
-    )
-    return {name: row for name, row in zip(named, (*at_node, *at_zone, *of_tenant), strict=True) if row}
-
-
-def _empty(
-    prefix: str, names: Sequence[str], floors: Mapping[str, int]
-) -> tuple[list[dict[str, int]], list[int]]:
-    return [{} for _ in names], [floors.get(prefix + name, 0) for name in names]
-
-
-def trim(row: dict[str, int], most: int, floor: int, gateways: int) -> dict[str, int]:
-    """The row, lowered in proportion until it fits together with the floors of those who are not named in it.
-
-    What is lost is at most what is set aside for those, a hundredth as a rule; floors alone always fit.
+        flows = demand[gateway]
+        granted = map(int, map(mul, flows.values(), map(ratio_of, flows)))
+        rows.add_gateway(gateway, zip(flows, granted, strict=True))
+    return rows.by_resource()
+
+
+@dataclass(slots=True)
+class _RowBuilder:
+    """The rows of all nodes, zones and tenants while they are summed."""
+
+    names: FlowNames
+    floors: Mapping[str, int]
+    zones: list[str] = field(init=False)
+    zone_of: list[int] = field(init=False)  # by node, its position in `zones`
+    node_rows: list[dict[str, int]] = field(init=False)
+    zone_rows: list[dict[str, int]] = field(init=False)
+    tenant_rows: list[dict[str, int]] = field(init=False)
+    node_floors: list[int] = field(init=False)
+    zone_floors: list[int] = field(init=False)
+    tenant_floors: list[int] = field(init=False)
+
+    def __post_init__(self) -> None:
+        """No gateway has anything yet."""
+        self.zones = sorted(set(self.names.zones))
+        self.zone_of = [self.zones.index(zone) for zone in self.names.zones]
+        self.node_rows = [{} for _ in self.names.nodes]
+        self.zone_rows = [{} for _ in self.zones]
+        self.tenant_rows = [{} for _ in self.names.tenants]
+        self.node_floors = [self.floors.get(f"n:{name}", 0) for name in self.names.nodes]
+        self.zone_floors = [self.floors.get(f"z:{name}", 0) for name in self.zones]
+        self.tenant_floors = [self.floors.get(f"t:{name}", 0) for name in self.names.tenants]
+
+    def add_gateway(self, gateway: str, granted: zip[tuple[int, int]]) -> None:
+        """Add a gateway's rates by flow, in the order of the flows."""
+        node_count = len(self.names.nodes)
+        node_sums = [0] * node_count
+        tenant, tenant_sum = -1, 0
+        for flow, rate in granted:
+            node_sums[flow % node_count] += rate
+            if (next_tenant := flow // node_count) != tenant:
+                if tenant_sum:
+                    self._add_tenant(gateway, tenant, tenant_sum)
+                tenant, tenant_sum = next_tenant, 0
+            tenant_sum += rate
+        if tenant_sum:
+            self._add_tenant(gateway, tenant, tenant_sum)
+        self._add_nodes(gateway, node_sums)
+
+    def _add_tenant(self, gateway: str, tenant: int, tenant_sum: int) -> None:
+        if tenant_sum > self.tenant_floors[tenant]:
+            self.tenant_rows[tenant][gateway] = tenant_sum
+
+    def _add_nodes(self, gateway: str, node_sums: list[int]) -> None:
+        """Add a gateway's sums at the nodes, and from them those at the zones."""
+        zone_sums = [0] * len(self.zones)
+        for node, node_sum in enumerate(node_sums):
+            if node_sum:
+                zone_sums[self.zone_of[node]] += node_sum
+                if node_sum > self.node_floors[node]:
+                    self.node_rows[node][gateway] = node_sum
+        for zone, zone_sum in enumerate(zone_sums):
+            if zone_sum > self.zone_floors[zone]:
+                self.zone_rows[zone][gateway] = zone_sum
+
+    def by_resource(self) -> Rows:
+        """The rows that name a gateway, by resource."""
+        resources = (
+            *(f"n:{name}" for name in self.names.nodes),
+            *(f"z:{name}" for name in self.zones),
+            *(f"t:{name}" for name in self.names.tenants),
+        )
+        rows = (*self.node_rows, *self.zone_rows, *self.tenant_rows)
+        return {resource: row for resource, row in zip(resources, rows, strict=True) if row}
+
+
+def trim_row(row: dict[str, int], capacity: int, floor: int, gateways: int) -> dict[str, int]:
+    """The row, reduced in proportion until it fits together with the floors of the gateways it does not name.
+
+    What is lost is at most what is set aside for those, a hundredth as a rule; the floors alone always fit.
     """
-    while (whole := sum(row.values())) > (room := max(0, most - floor * (gateways - len(row)))):
-        row = {gateway: lower for gateway, sum_ in row.items() if (lower := sum_ * room // whole) > floor}
-    return row
+    while True:
+        total = sum(row.values())
+        available = max(0, capacity - floor * (gateways - len(row)))
+        if total <= available:
+            return row
+        reduced = {gateway: amount * available // total for gateway, amount in row.items()}
+        row = {gateway: amount for gateway, amount in reduced.items() if amount > floor}
 
 
-def open_epoch(handed: QuotaEpochs[int], amounts: Rows, floors: Mapping[str, int]) -> QuotaEpochs[int]:
+def open_quota_epoch(quota: QuotaEpochs[int], amounts: Rows, floors: Mapping[str, int]) -> QuotaEpochs[int]:
     """Open an epoch that grants these rows and no others; the same state when they change nothing.
 
-    What `handed.next_epoch` does, without its check of each amount: these rows come of `grant`, whose sums
-    fit by how they are made, and checking 50,000 of them costs more than making them.  Raises `TooManyOpen`.
+    Does what `quota_epochs.next_epoch` does without its check of each amount: the sums of `grant_rows` fit by
+    construction, and checking 50,000 of them costs more than making them.  Raises `TooManyOpenEpochsError`.
     """
-    before = handed.amounts
+    before = quota.amounts
     rows = {name: row for name, row in amounts.items() if row != before.get(name)}
     for name, had in before.items():
         if had and name not in amounts:
             rows[name] = {}
     if not rows:
-        return handed
-    if len(handed.open) >= MOST_OPEN:
-        raise TooManyOpen(f"{MOST_OPEN} epochs are open", ", ".join(sorted(handed.owing)))
+        return quota
+    if len(quota.open_epochs) >= MOST_OPEN:
+        raise TooManyOpenEpochsError(
+            f"{MOST_OPEN} epochs are open", ", ".join(sorted(quota.awaited_releases))
+        )
     losers: set[str] = set()
     for name, row in rows.items():
         floor, get = floors.get(name, 0), row.get
         losers.update([holder for holder, had in before.get(name, {}).items() if get(holder, floor) < had])
-    opened = OpenEpoch(handed.epoch + 1, rows, tuple(sorted(losers)))
-    after = msgspec.structs.replace(handed, epoch=opened.epoch, open=(*handed.open, opened))
-    return after if losers else settle(after)
+    opened = OpenEpoch(quota.epoch + 1, rows, tuple(sorted(losers)))
+    after = msgspec.structs.replace(quota, epoch=opened.epoch, open_epochs=(*quota.open_epochs, opened))
+    return after if losers else fold_complete_epochs(after)
--- a/mallowbeam/storage_gateway/coordination/shares/state_machine.py
+++ b/mallowbeam/storage_gateway/coordination/shares/state_machine.py
@@ -1,22 +1,26 @@
-"""The agreed picture of who asks for how much, and what the newest epoch grants; the replicated machine.
+"""The replicated state machine of the shares: the demand of all gateways, and what the newest epoch grants.
 
-Gateways report what came in at them (`Demand`), never what anybody claims. `Close` ends an epoch: every
-member computes the same allotment out of the same picture (`max_min_fairness.py`) and opens the epoch of the
-handover with it (`quota_epochs.py`). What is handed over are gateways' sums, not single flows: a row for each
-node, each zone and each tenant, by gateway, as those are the sums that must never be above a capacity or a
-limit. How a gateway divides its sums is its own affair (`gateway_core.py`).
+Gateways report the demand that arrives at them (`DemandReport`).  `CloseEpoch` ends an epoch: every member
+computes the same rates from the same demand (`max_min_fairness.py`) and opens the epoch of the quota transfer
+with them (`quota_epochs.py`).  A quota is a gateway's sum at a node, at a zone or of a tenant, not the rate
+of a single flow, because those sums must never exceed a capacity or a limit.  How a gateway divides its
+quotas among its flows is decided there (`gateway_core.py`).
 
-A floor for each gateway is set aside at each node, zone and limit, once and for good: `probe` thousandths of
-it, over all gateways.  A gateway that is cut off falls back on it, and tenants new at a gateway start there.
+Each gateway has a floor at each node, zone and limit: together they have `probe` thousandths of it.  A floor
+never changes once it is set.  A gateway that is cut off uses its floors, and flows that are new at a gateway
+start within them.
 
-No clock: a gateway that fell silent is named in a `Close` by who noticed, and counts again from its next
-report on.  A node lost is told by gateways that heard so from discovery (`Gone`); while one of them says so
-its capacity counts as none.
+The state machine reads no clock.  A gateway that has stopped reporting is named as silent in a `CloseEpoch`
+by the member that noticed, and counts again from its next report on.  A lost node is reported by gateways
+whose discovery lost it (`NodeLost`); while one of them says so its capacity is 0.
+
+Rates are milli-units a second, weights thousandths.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
+from enum import IntEnum
 from typing import Any, ClassVar
 
 import msgspec
@@ -24,316 +28,404 @@
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.storage_gateway.coordination.errors import BadPolicy
 from mallowbeam.storage_gateway.coordination.policy_document import section_of
-from mallowbeam.storage_gateway.coordination.quota_epochs import BadTarget, QuotaEpochs, TooManyOpen, release
+from mallowbeam.storage_gateway.coordination.quota_epochs import (
+    InvalidTargetError,
+    QuotaEpochs,
+    TooManyOpenEpochsError,
+    release,
+)
 from mallowbeam.storage_gateway.coordination.replicated_log import Entry, Refusal
-from mallowbeam.storage_gateway.coordination.shares.demand_encoding import STEPS, BadRows, unpack
-from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import MILLI, MOST_WEIGHT, Network, allot
-from mallowbeam.storage_gateway.coordination.shares.quota_rows import Places, grant, open_epoch, ratios, trim
-
-MOST_TENANTS = 10_000  # in a set-up; a push beyond is refused
+from mallowbeam.storage_gateway.coordination.shares.demand_encoding import (
+    RATE_STEPS,
+    InvalidDemandError,
+    decode_demand,
+)
+from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import (
+    MILLI,
+    MOST_WEIGHT,
+    Network,
+    allocate,
+)
+from mallowbeam.storage_gateway.coordination.shares.quota_rows import (
+    FlowNames,
+    grant_rows,
+    granted_ratios,
+    open_quota_epoch,
+    trim_row,
+)
+
+MOST_TENANTS = 10_000  # in a policy; a push beyond is refused
 MOST_NODES = 2_000
 MOST_RATE = 10**9  # milli-units a second of one capacity, reserve or limit
-MOST_FLOWS = 16_000  # of one gateway; a report beyond is refused, and what is new goes by the probe
+MOST_FLOWS = 16_000  # of one gateway; a report beyond is refused, and its new flows use the floors
+MOST_PROBE = 500  # thousandths
 
 
-class Share(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one tenant is owed, in milli-units a second; the weight in thousandths."""
+class TenantShare(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One tenant's share: `reserve` and `limit` in milli-units a second, `weight` in thousandths."""
 
     weight: int = MILLI
     reserve: int = 0
     limit: int | None = None
 
 
-class Node(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one storage node holds, in milli-units a second, and where it stands."""
+class NodeCapacity(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One storage node: its capacity in milli-units a second, and its zone."""
 
     capacity: int
     zone: str = ""
 
 
-class Setup(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the operators say: part of a policy, under `shares`."""
+class SharesPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The section `shares` of a policy."""
 
-    tenants: dict[str, Share] = {}
-    nodes: dict[str, Node] = {}
-    zones: dict[str, int] = {}
+    tenants: dict[str, TenantShare] = {}
+    nodes: dict[str, NodeCapacity] = {}
+    zones: dict[str, int] = {}  # capacity
     probe: int = 10  # thousandths of each capacity and limit set aside as floors, over all gateways
 
 
-class Demand(Entry, frozen=True, tag="Demand"):
-    """What came in at this gateway, where it differs from what it last said; `whole`: all of it."""
+class DemandReport(Entry, frozen=True, tag="Demand", rename={"numbering": "roll", "complete": "whole"}):
+    """The demand at this gateway where it has changed since the last report; if `complete`, all of it."""
 
-    roll: int
-    rows: bytes = b""
-    whole: bool = False
+    numbering: int
+    rows: bytes = b""  # as `demand_encoding` writes them
+    complete: bool = False
 
 
-class Close(Entry, frozen=True, tag="Close"):
-    """End the epoch of before: `number` follows the newest; who is `quiet` counts as asking for nothing."""
+class CloseEpoch(Entry, frozen=True, tag="Close", rename={"silent": "quiet"}):
+    """End the epoch before `number`; the demand of the `silent` gateways counts as none."""
 
     number: int
-    quiet: tuple[str, ...] = ()
+    silent: tuple[str, ...] = ()
 
 
-class Gone(Entry, frozen=True, tag="Gone"):
-    """Discovery told this gateway that a node is lost, or there again."""
+class NodeLost(Entry, frozen=True, tag="Gone", rename={"lost": "gone"}):
+    """This gateway's discovery has lost a node, or has it again."""
 
     node: str
-    gone: bool
+    lost: bool
 
 
-class Released(Entry, frozen=True, tag="Released"):
-    """This gateway, or another whose lease is surely over, keeps to its target of that epoch."""
+class QuotaReleased(Entry, frozen=True, tag="Released"):
+    """This gateway, or a `holder` whose lease has surely expired, stays within its quota of that epoch."""
 
     epoch: int
     holder: str = ""
 
 
-class BadSetup(MallowbeamError):
-    """A set-up that can't hold."""
+class InvalidSharesError(MallowbeamError):
+    """The section `shares` of a policy breaks a bound."""
 
     error_name = "BadSetup"
     remedy = "correct the policy's shares and push it again"
 
 
-class SharesState(msgspec.Struct, frozen=True):
-    """The picture and what was granted; flows are numbered by `tenants` and `nodes`, anew with each roll."""
+class Recompute(IntEnum):
+    """Whether the newest close is out of date, and how soon the next one is due."""
+
+    NONE = 0
+    DUE = 1
+    AT_ONCE = 2
+
+
+STATE_KEYS = {
+    "quota": "handed",
+    "policy": "setup",
+    "numbering": "roll",
+    "total_demand": "total",
+    "lost_nodes": "gone",
+    "silent": "quiet",
+    "recompute": "dirty",
+    "close_number": "number",
+    "closed_demand": "asked",
+    "closed_total": "asked_total",
+}  # by field: its key in snapshots, where that is another
 
-    handed: QuotaEpochs[int]
-    setup: Setup = Setup()
-    roll: int = 0
+
+class SharesState(msgspec.Struct, frozen=True, rename=STATE_KEYS):
+    """The demand and the newest grant.
+
+    A flow is numbered by its tenant's and its node's positions in `tenants` and `nodes`; a policy with other
+    tenants or nodes numbers them anew and increases `numbering`.
+    """
+
+    quota: QuotaEpochs[int]
+    policy: SharesPolicy = SharesPolicy()
+    numbering: int = 0
     tenants: tuple[str, ...] = ()
     nodes: tuple[str, ...] = ()
     floors: dict[str, int] = {}  # by resource, of each gateway
     demand: dict[str, dict[int, int]] = {}  # by gateway and flow
-    total: dict[int, int] = {}  # by flow
-    gone: dict[str, tuple[str, ...]] = {}  # by node, who says so
-    quiet: tuple[str, ...] = ()
-    dirty: int = 0  # 1: an epoch is due; 2: at once
-    number: int = 0  # of the newest close
-    rates: dict[int, int] = {}  # of it, by flow
-    asked: dict[str, dict[int, int]] = {}  # the picture of it
-    asked_total: dict[int, int] = {}
+    total_demand: dict[int, int] = {}  # by flow
+    lost_nodes: dict[str, tuple[str, ...]] = {}  # by node, the gateways that report it lost
+    silent: tuple[str, ...] = ()
+    recompute: Recompute = Recompute.NONE
+    close_number: int = 0  # of the newest close
+    rates: dict[int, int] = {}  # granted by it, by flow
+    closed_demand: dict[str, dict[int, int]] = {}  # `demand` when it was computed
+    closed_total: dict[int, int] = {}  # `total_demand` when it was computed
 
     @property
     def zones(self) -> tuple[str, ...]:
         """Each node's zone."""
-        return tuple(self.setup.nodes[name].zone for name in self.nodes)
+        return tuple(self.policy.nodes[name].zone for name in self.nodes)
 
     def capacity(self, resource: str) -> int | None:
-        """What a resource holds now; None where it has no bound."""
+        """The capacity of `n:NODE`, `z:ZONE` or `t:TENANT` now; None where it has no bound."""
         kind, name = resource.split(":", 1)
         if kind == "n":
-            return 0 if name in self.gone else self.setup.nodes[name].capacity
+            return 0 if name in self.lost_nodes else self.policy.nodes[name].capacity
         if kind == "z":
-            return self.setup.zones.get(name)
-        return self.setup.tenants[name].limit
+            return self.policy.zones.get(name)
+        return self.policy.tenants[name].limit
 
     def network(self) -> Network:
-        """What the filling goes by."""
+        """The links that `max_min_fairness` fills."""
         zones = sorted(set(self.zones))
-        place = {zone: at for at, zone in enumerate(zones)}
-        shares = [self.setup.tenants[name] for name in self.tenants]
+        zone_position = {zone: position for position, zone in enumerate(zones)}
+        shares = [self.policy.tenants[name] for name in self.tenants]
         return Network(
-            [self.capacity(f"n:{name}") or 0 for name in self.nodes],
-            [place[zone] for zone in self.zones],
-            [self.setup.zones.get(zone) for zone in zones],
-            [share.weight for share in shares],
-            [share.reserve for share in shares],
-            [share.limit for share in shares],
+            nodes=[self.capacity(f"n:{name}") or 0 for name in self.nodes],
+            zone_of=[zone_position[zone] for zone in self.zones],
+            zones=[self.policy.zones.get(zone) for zone in zones],
+            weights=[share.weight for share in shares],
+            reserves=[share.reserve for share in shares],
+            limits=[share.limit for share in shares],
         )
 
 
 class SharesStateMachine:
-    """The machine; `gateways` are the fleet's members, fixed by the operators' file."""
+    """Applies the entries of the shares; `gateways` are the members named in the operators' file."""
 
     name: ClassVar[str] = "shares"
-    entries: ClassVar[Any] = Demand | Close | Gone | Released
+    entries: ClassVar[Any] = DemandReport | CloseEpoch | NodeLost | QuotaReleased
     state: ClassVar[type] = SharesState
 
     def __init__(self, gateways: tuple[str, ...]) -> None:
         self.gateways = tuple(sorted(gateways))
 
     def start(self) -> SharesState:
-        """Nothing is shared yet."""
+        """The state before any entry: nothing is shared."""
         return SharesState(QuotaEpochs(self.gateways))
 
     def apply(self, states: Mapping[str, Any], index: int, by: str, entry: Any) -> SharesState | Refusal:
-        """The next state, or why there is none."""
+        """The state after this entry, or why it changes nothing."""
         state: SharesState = states[self.name]
         match entry:
-            case Demand():
-                return self._demand(state, by, entry)
-            case Close():
-                return self._close(state, entry)
-            case Gone(node, gone):
-                before = state.gone.get(node, ())
-                after = tuple(sorted({*before, by} if gone else {*before} - {by}))
-                if after == before or node not in state.setup.nodes:
-                    return state
-                lost = {**state.gone, node: after}
-                if not after:
-                    del lost[node]
-                turned = bool(before) != bool(after)
-                return msgspec.structs.replace(state, gone=lost, dirty=2 if turned else state.dirty)
-            case Released(epoch, holder):
-                return msgspec.structs.replace(state, handed=release(state.handed, holder or by, epoch))
+            case DemandReport():
+                return self._apply_demand(state, by, entry)
+            case CloseEpoch():
+                return self._close_epoch(state, entry)
+            case NodeLost(node, lost):
+                return _apply_node_lost(state, by, node, lost)
+            case QuotaReleased(epoch, holder):
+                return msgspec.structs.replace(state, quota=release(state.quota, holder or by, epoch))
         return Refusal("no such entry")
 
     def apply_policy(self, states: Mapping[str, Any], index: int, policy: Any) -> SharesState | Refusal:
-        """The next state as this policy's shares take hold; one without them shares nothing any more."""
+        """The state under this policy, or why it is refused; without a section `shares` nothing is shared."""
         state: SharesState = states[self.name]
-        setup = getattr(policy, "shares", None)
+        section = getattr(policy, "shares", None)
         try:
-            if not isinstance(setup, Setup):
-                setup = (section_of(policy, self.name, Setup) if setup is not None else None) or Setup()
-            if setup == state.setup:
+            if not isinstance(section, SharesPolicy):
+                typed = section_of(policy, self.name, SharesPolicy) if section is not None else None
+                section = typed or SharesPolicy()
+            if section == state.policy:
                 return state
-            floors = _floors(setup, state.floors, len(self.gateways))
-        except (BadSetup, BadPolicy) as error:
+            floors = _floors(section, state.floors, len(self.gateways))
+        except (InvalidSharesError, BadPolicy) as error:
             return Refusal(error.what, error.where, error.cure)
-        after = msgspec.structs.replace(state, setup=setup, floors=floors, dirty=2)
-        tenants, nodes = tuple(sorted(setup.tenants)), tuple(sorted(setup.nodes))
+        after = msgspec.structs.replace(state, policy=section, floors=floors, recompute=Recompute.AT_ONCE)
+        tenants, nodes = tuple(sorted(section.tenants)), tuple(sorted(section.nodes))
         if (tenants, nodes) != (state.tenants, state.nodes):
             after = _renumbered(after, tenants, nodes)
         return after
 
-    def _demand(self, state: SharesState, by: str, entry: Demand) -> SharesState | Refusal:
-        if entry.roll != state.roll or by not in self.gateways:
-            return Refusal("flows are numbered anew", f"roll {entry.roll}", "report again, whole")
+    def _apply_demand(self, state: SharesState, by: str, entry: DemandReport) -> SharesState | Refusal:
+        if entry.numbering != state.numbering or by not in self.gateways:
+            return Refusal("flows are numbered anew", f"roll {entry.numbering}", "report again, whole")
         try:
-            told = unpack(entry.rows, len(state.tenants) * len(state.nodes))
-        except BadRows as error:
+            reported = decode_demand(entry.rows, len(state.tenants) * len(state.nodes))
+        except InvalidDemandError as error:
             return Refusal(str(error), by)
         before = state.demand.get(by, {})
-        after = {} if entry.whole else dict(before)
-        for flow, code in told.items():
-            if code:
-                after[flow] = STEPS[code]
-            else:
-                after.pop(flow, None)
+        after = _updated_demand({} if entry.complete else before, reported)
         if len(after) > MOST_FLOWS:
             return Refusal(f"{len(after)} flows at one gateway, at most {MOST_FLOWS}", by)
-        quiet = tuple(name for name in state.quiet if name != by)
+        silent = tuple(name for name in state.silent if name != by)
         if after == before:
-            return state if quiet == state.quiet else msgspec.structs.replace(state, quiet=quiet)
+            return state if silent == state.silent else msgspec.structs.replace(state, silent=silent)
         if after.keys() != before.keys():
             after = dict(sorted(after.items()))
-        total = dict(state.total)
-        for flow in before.keys() | after.keys() if entry.whole else told:
-            if sum_ := total.get(flow, 0) + after.get(flow, 0) - before.get(flow, 0):
-                total[flow] = sum_
+        changed = before.keys() | after.keys() if entry.complete else reported.keys()
+        total = dict(state.total_demand)
+        for flow in changed:
+            if rate := total.get(flow, 0) + after.get(flow, 0) - before.get(flow, 0):
+                total[flow] = rate
             else:
                 total.pop(flow, None)
         return msgspec.structs.replace(
-            state, demand={**state.demand, by: after}, total=total, quiet=quiet, dirty=max(state.dirty, 1)
+            state,
+            demand={**state.demand, by: after},
+            total_demand=total,
+            silent=silent,
+            recompute=max(state.recompute, Recompute.DUE),
         )
 
-    def _close(self, state: SharesState, entry: Close) -> SharesState | Refusal:
-        if entry.number != state.number + 1:
+    def _close_epoch(self, state: SharesState, entry: CloseEpoch) -> SharesState | Refusal:
+        if entry.number != state.close_number + 1:
             return Refusal("another has closed it", f"epoch {entry.number}")
-        quiet = sorted({*entry.quiet} & {*self.gateways})
-        if quiet:
-            state = _silenced(state, tuple(quiet))
-        rates = allot(state.network(), state.total)
-        places = Places(state.tenants, state.nodes, state.zones)
-        rows = grant(places, state.floors, rates, state.total, state.demand)
-        for name, row in rows.items():
-            if (most := state.capacity(name)) is not None:
-                rows[name] = trim(row, most, state.floors.get(name, 0), len(self.gateways))
+        if silent := sorted({*entry.silent} & {*self.gateways}):
+            state = _without_silent(state, tuple(silent))
+        rates = allocate(state.network(), state.total_demand)
+        names = FlowNames(state.tenants, state.nodes, state.zones)
+        rows = grant_rows(names, state.floors, rates, state.total_demand, state.demand)
+        for resource, row in rows.items():
+            if (capacity := state.capacity(resource)) is not None:
+                rows[resource] = trim_row(row, capacity, state.floors.get(resource, 0), len(self.gateways))
         try:
-            handed = open_epoch(state.handed, rows, state.floors)
-        except (BadTarget, TooManyOpen) as error:
+            quota = open_quota_epoch(state.quota, rows, state.floors)
+        except (InvalidTargetError, TooManyOpenEpochsError) as error:
             return Refusal(error.what, error.where, error.cure)
         return msgspec.structs.replace(
             state,
-            handed=handed,
-            number=entry.number,
-            dirty=0,
+            quota=quota,
+            close_number=entry.number,
+            recompute=Recompute.NONE,
             rates=rates,
-            asked=state.demand,
-            asked_total=state.total,
+            closed_demand=state.demand,
+            closed_total=state.total_demand,
         )
 
 
-def targets(state: SharesState, gateway: str) -> dict[int, int]:
-    """What the newest close grants this gateway, by flow."""
-    cut = ratios(state.rates, state.asked_total)
-    return {flow: int(asked * cut[flow]) for flow, asked in state.asked.get(gateway, {}).items()}
+def granted_rates(state: SharesState, gateway: str) -> dict[int, int]:
+    """What the newest close grants this gateway, in milli-units a second by flow."""
+    ratios = granted_ratios(state.rates, state.closed_total)
+    return {flow: int(rate * ratios[flow]) for flow, rate in state.closed_demand.get(gateway, {}).items()}
+
+
+def _updated_demand(before: Mapping[int, int], reported: Mapping[int, int]) -> dict[int, int]:
+    """Rates by flow with those of the reported codes; code 0 removes a flow."""
+    after = dict(before)
+    for flow, rate_code in reported.items():
+        if rate_code:
+            after[flow] = RATE_STEPS[rate_code]
+        else:
+            after.pop(flow, None)
+    return after
+
+
+def _apply_node_lost(state: SharesState, by: str, node: str, lost: bool) -> SharesState:
+    """The state in which gateway `by` reports this node lost, or not lost any more."""
+    before = state.lost_nodes.get(node, ())
+    after = tuple(sorted({*before, by} if lost else {*before} - {by}))
+    if after == before or node not in state.policy.nodes:
+        return state
+    lost_nodes = {**state.lost_nodes, node: after}
+    if not after:
+        del lost_nodes[node]
+    capacity_changed = bool(before) != bool(after)
+    return msgspec.structs.replace(
+        state,
+        lost_nodes=lost_nodes,
+        recompute=Recompute.AT_ONCE if capacity_changed else state.recompute,
+    )
 
 
-def _floors(setup: Setup, before: Mapping[str, int], gateways: int) -> dict[str, int]:
-    """The floors of each gateway: those of before stay for good; raises `BadSetup`."""
-    if len(setup.tenants) > MOST_TENANTS or len(setup.nodes) > MOST_NODES:
-        raise BadSetup(f"more than {MOST_TENANTS} tenants or {MOST_NODES} nodes", "shares")
-    if not 0 <= setup.probe <= 500:
-        raise BadSetup("not within 0 and 500 thousandths", "shares.probe")
+def _floors(policy: SharesPolicy, before: Mapping[str, int], gateways: int) -> dict[str, int]:
+    """Each gateway's floors by resource: those of before, and new ones; raises `InvalidSharesError`."""
+    if len(policy.tenants) > MOST_TENANTS or len(policy.nodes) > MOST_NODES:
+        raise InvalidSharesError(f"more than {MOST_TENANTS} tenants or {MOST_NODES} nodes", "shares")
+    if not 0 <= policy.probe <= MOST_PROBE:
+        raise InvalidSharesError("not within 0 and 500 thousandths", "shares.probe")
     floors = dict(before)
-    for name, share in setup.tenants.items():
-        where, limit = f"shares.tenants.{name}", share.limit
-        if not (1 <= share.weight <= MOST_WEIGHT and 0 <= share.reserve <= MOST_RATE):
-            raise BadSetup(f"weight within 1 and {MOST_WEIGHT}, reserve within 0 and {MOST_RATE}", where)
-        if limit is not None and not 0 <= limit <= MOST_RATE:
-            raise BadSetup(f"limit within 0 and {MOST_RATE}", where)
-        floors.setdefault(f"t:{name}", (limit or 0) * setup.probe // (1000 * gateways))
-        if limit is not None and floors[f"t:{name}"] * gateways > limit:
-            raise BadSetup("the limit is under the floors set aside of it", where)
-    for name, node in setup.nodes.items():
+    for name, share in policy.tenants.items():
+        where = f"shares.tenants.{name}"
+        _check_tenant(share, where)
+        _set_floor(floors, f"t:{name}", share.limit or 0, policy.probe, gateways)
+        if share.limit is not None and floors[f"t:{name}"] * gateways > share.limit:
+            raise InvalidSharesError("the limit is under the floors set aside of it", where)
+    for name, node in policy.nodes.items():
+        where = f"shares.nodes.{name}"
         if not 0 <= node.capacity <= MOST_RATE:
-            raise BadSetup(f"capacity within 0 and {MOST_RATE}", f"shares.nodes.{name}")
-        floor = floors.setdefault(f"n:{name}", node.capacity * setup.probe // (1000 * gateways))
-        if floor * gateways > node.capacity:
-            raise BadSetup("the capacity is under the floors set aside of it", f"shares.nodes.{name}")
-    for zone in {node.zone for node in setup.nodes.values()}:
-        most = setup.zones.get(zone, MOST_RATE * MOST_NODES)
-        inside = sum(node.capacity for node in setup.nodes.values() if node.zone == zone)
-        floor = floors.setdefault(f"z:{zone}", min(most, inside) * setup.probe // (1000 * gateways))
-        if floor * gateways > most:
-            raise BadSetup("the capacity is under the floors set aside of it", f"shares.zones.{zone}")
+            raise InvalidSharesError(f"capacity within 0 and {MOST_RATE}", where)
+        _set_floor(floors, f"n:{name}", node.capacity, policy.probe, gateways)
+        _check_floors_fit(floors[f"n:{name}"] * gateways, node.capacity, where)
+    for zone in {node.zone for node in policy.nodes.values()}:
+        capacity = policy.zones.get(zone, MOST_RATE * MOST_NODES)
+        of_nodes = sum(node.capacity for node in policy.nodes.values() if node.zone == zone)
+        _set_floor(floors, f"z:{zone}", min(capacity, of_nodes), policy.probe, gateways)
+        _check_floors_fit(floors[f"z:{zone}"] * gateways, capacity, f"shares.zones.{zone}")
     return floors
 
 
-def _silenced(state: SharesState, quiet: tuple[str, ...]) -> SharesState:
-    """The picture without what these asked for and told."""
-    total = dict(state.total)
-    for gateway in quiet:
-        for flow, asked in state.demand.get(gateway, {}).items():
-            total[flow] -= asked
+def _set_floor(floors: dict[str, int], resource: str, capacity: int, probe: int, gateways: int) -> None:
+    """Set a resource's floor, unless it has one."""
+    floors.setdefault(resource, capacity * probe // (1000 * gateways))
+
+
+def _check_tenant(share: TenantShare, where: str) -> None:
+    """Raise `InvalidSharesError` where a tenant's figures are out of range."""
+    if not (1 <= share.weight <= MOST_WEIGHT and 0 <= share.reserve <= MOST_RATE):
+        raise InvalidSharesError(
+            f"weight within 1 and {MOST_WEIGHT}, reserve within 0 and {MOST_RATE}", where
+        )
+    if share.limit is not None and not 0 <= share.limit <= MOST_RATE:
+        raise InvalidSharesError(f"limit within 0 and {MOST_RATE}", where)
+
+
+def _check_floors_fit(floors: int, capacity: int, where: str) -> None:
+    """Raise `InvalidSharesError` where all floors together exceed a capacity."""
+    if floors > capacity:
+        raise InvalidSharesError("the capacity is under the floors set aside of it", where)
+
+
+def _without_silent(state: SharesState, silent: tuple[str, ...]) -> SharesState:
+    """The state without the demand and the lost nodes that these gateways reported."""
+    total = dict(state.total_demand)
+    for gateway in silent:
+        for flow, rate in state.demand.get(gateway, {}).items():
+            total[flow] -= rate
             if not total[flow]:
                 del total[flow]
-    gone = {node: left for node, by in state.gone.items() if (left := tuple(x for x in by if x not in quiet))}
+    lost_nodes: dict[str, tuple[str, ...]] = {}
+    for node, reporters in state.lost_nodes.items():
+        if remaining := tuple(name for name in reporters if name not in silent):
+            lost_nodes[node] = remaining
     return msgspec.structs.replace(
         state,
-        total=total,
-        gone=gone,
-        quiet=tuple(sorted({*state.quiet, *quiet})),
-        demand={name: rows for name, rows in state.demand.items() if name not in quiet},
+        total_demand=total,
+        lost_nodes=lost_nodes,
+        silent=tuple(sorted({*state.silent, *silent})),
+        demand={name: rows for name, rows in state.demand.items() if name not in silent},
     )
 
 
 def _renumbered(state: SharesState, tenants: tuple[str, ...], nodes: tuple[str, ...]) -> SharesState:
-    """All flows under their new numbers; those of who or what is no more are left out."""
-    tenant_at = {name: at for at, name in enumerate(tenants)}
-    node_at = {name: at for at, name in enumerate(nodes)}
-    count = len(state.nodes)
+    """The state with all flows under their new numbers, without those whose tenant or node is gone."""
+    tenant_position = {name: position for position, name in enumerate(tenants)}
+    node_position = {name: position for position, name in enumerate(nodes)}
+    node_count = len(state.nodes)
 
-    def moved(rows: Mapping[int, int]) -> dict[int, int]:
+    def renumber(rows: Mapping[int, int]) -> dict[int, int]:
         after: dict[int, int] = {}
         for flow, value in rows.items():
-            tenant, node = tenant_at.get(state.tenants[flow // count]), node_at.get(state.nodes[flow % count])
+            tenant = tenant_position.get(state.tenants[flow // node_count])
+            node = node_position.get(state.nodes[flow % node_count])
             if tenant is not None and node is not None:
                 after[tenant * len(nodes) + node] = value
         return after
 
     return msgspec.structs.replace(
         state,
-        roll=state.roll + 1,
+        numbering=state.numbering + 1,
         tenants=tenants,
         nodes=nodes,
-        total=moved(state.total),
-        rates=moved(state.rates),
-        asked_total=moved(state.asked_total),
-        gone={node: by for node, by in state.gone.items() if node in node_at},
-        demand={name: moved(rows) for name, rows in state.demand.items()},
-        asked={name: moved(rows) for name, rows in state.asked.items()},
+        total_demand=renumber(state.total_demand),
+        rates=renumber(state.rates),
+        closed_total=renumber(state.closed_total),
+        lost_nodes={node: by for node, by in state.lost_nodes.items() if node in node_position},
+        demand={name: renumber(rows) for name, rows in state.demand.items()},
+        closed_demand={name: renumber(rows) for name, rows in state.closed_demand.items()},
     )
