--- a/mallowbeam/storage_gateway/coordination/shares/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/shares/subsystem.py
@@ -1,243 +1,287 @@
-"""The shares joined to their gateway: what comes in is counted, what is allotted reaches the module.
-
-A call is counted before the module decides on it (`context.observe`).  A volume's call for a shard counts at
-the nodes listed for that shard, in equal parts; one for a new object (no shard) at all nodes of the set-up,
-by their capacities.  The module counts by shard, so what holds is the sum of a shard's nodes: it is each
-node's own bound where a shard has one node.  Where a tenant also puts new objects, its rates are parted
-between those and its shards as its calls were, looked at each `MIX_S`; which node takes a new object is the
-module's own affair, so there the nodes' bounds hold by the sum of all nodes only.
-
-An allotment is the tenant's plan as it is in force, with the rate as its limit, all of it this gateway's
-(part 1).  A tenant that asks under several plans has its rate in equal parts under each.  The store holds
-`units_top` and an epoch's worth: with less than one call's units in it that call would never pass.  So in any
-T seconds a node gets at most its capacity times T and one epoch, and `units_top` for each tenant at each
-gateway.  A rate of nothing is a part of nothing: to the module a limit of 0 is none.
-
-Under a plan that is not known there is no allotment.  What the module refuses is logged, and the platform's
-static part stays.
+"""The shares in one gateway: requests are measured, allotments take effect in the gateway's scheduler.
+
+A request is measured before the scheduler decides on it (`SubsystemContext.observe`).  A volume's request for
+a shard counts at the nodes listed for that shard, in equal parts; one for a new object (no shard) at all
+nodes of the policy, by their capacities.  The scheduler counts by shard, so the sum of a shard's nodes is
+what holds: it is each node's own bound where a shard has one node.  Where a tenant also writes new objects,
+its rates are divided between those and its shards as its recent requests were, looked at each `MIX_S`; the
+scheduler chooses the node of a new object, so there the bounds hold for the sum of all nodes only.
+
+An allotment is the tenant's plan as it is in force, with the allotted rate as its limit, all of it for this
+gateway (fraction 1).  A tenant that uses several plans has its rate in equal parts under each.  The burst is
+`units_top` and one epoch's units: with less than one request's units, that request would never pass.  So in
+any T seconds a node gets at most its capacity times T and one epoch, and `units_top` for each tenant at each
+gateway.  A rate of 0 is written as fraction 0, because to the scheduler a limit of 0 means none.
+
+Under an unknown plan there is no allotment.  What the scheduler refuses is logged, and the static division of
+the platform's settings stays in force.
 """
 
 from __future__ import annotations
 
 import time
 from collections.abc import Mapping
-from dataclasses import dataclass, replace
+from dataclasses import dataclass, field, replace
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.storage_gateway.coordination.policy_document import owns
+from mallowbeam.storage_gateway.coordination.policy_document import register_section
 from mallowbeam.storage_gateway.coordination.replicated_log import Committed
-from mallowbeam.storage_gateway.coordination.shares.core_driver import Shares
-from mallowbeam.storage_gateway.coordination.shares.gateway_core import Times
-from mallowbeam.storage_gateway.coordination.shares.state_machine import Setup, SharesStateMachine
+from mallowbeam.storage_gateway.coordination.shares.core_driver import SharesDriver
+from mallowbeam.storage_gateway.coordination.shares.gateway_core import SharesCore, SharesTiming
+from mallowbeam.storage_gateway.coordination.shares.state_machine import SharesPolicy, SharesStateMachine
 from mallowbeam.storage_gateway.coordination.subsystem import SubsystemContext
 from mallowbeam.storage_gateway.operator_settings import SharesSection
 from mallowbeam.storage_gateway.scheduler.interface import Plan
 from mallowbeam.storage_gateway.server.log import Sparse
 
-MIX_S = 1.0  # seconds between looks at how a tenant's calls part into placed and new ones
-LEAST = 0.01  # units of late under which a plan or a mix is forgotten: some 8 s after one call
-MIX_STEP = 0.05  # of all, by which that must have moved; and the least part that either has
+MIX_S = 1.0  # seconds between updates of a tenant's mix of requests; each halves what was counted before
+LEAST_UNITS = 0.01  # counted units under which a plan or a mix is forgotten: some 8 s after one request
+MIX_STEP = 0.05  # by which a mix must have changed; also its distance from 0 and 1 while both kinds occur
 MOST_PLANS = 4  # of one tenant at once; under a further one there is no allotment
+MOST_HEARTBEAT_S = 1.5
 
-owns("shares", Setup)
+AllotmentKey = tuple[str, int | None]  # plan and shard; None: new objects
+
+register_section("shares", SharesPolicy)
 
 
 @dataclass(slots=True)
 class Tenant:
-    """What is known of one tenant here."""
+    """What is known of one tenant here; units are those of recent requests, halved each `MIX_S`."""
 
-    plans: dict[str, float]  # under which it asks, and units of late
-    rates: dict[str, float]  # by node, units a second
-    held: dict[tuple[str, int | None], float]  # by plan and shard: what the module was last told
-    placed: float = 0.0  # units asked for of late, for shards
-    new: float = 0.0  # and for new objects
-    mix: float = 0.0  # the part of its rates that is for new objects
+    units_by_plan: dict[str, float] = field(default_factory=dict)
+    rates: dict[str, float] = field(default_factory=dict)  # by node, units a second
+    allotments: dict[AllotmentKey, float] = field(default_factory=dict)  # that the scheduler has
+    shard_units: float = 0.0
+    new_object_units: float = 0.0
+    new_fraction: float = 0.0  # of its rates, for new objects
 
 
 class SharesSubsystem:
-    """The subsystem."""
+    """The subsystem `shares`; `units_top` is the most units of one request."""
 
     def __init__(self, context: SubsystemContext, section: SharesSection, units_top: int = 1) -> None:
         self.context, self.section, self.units_top = context, section, units_top
-        self.topic = SharesStateMachine(context.members)
-        self.now = self.mixed = time.monotonic()
-        times = Times(
+        self.state_machine = SharesStateMachine(context.members)
+        self.now = self.mixed_at = time.monotonic()
+        timing = SharesTiming(
             epoch=section.epoch_s,
             window=section.window_s,
-            quiet=section.quiet_s,
+            silence_timeout=section.quiet_s,
             lease=section.lease_s,
-            beat=min(1.5, section.quiet_s / 3),
+            heartbeat=min(MOST_HEARTBEAT_S, section.quiet_s / 3),
         )
-        self.shares = Shares(
-            context.me, context.members, self.topic.start(), self.now, context.propose, self._allotted, times
+        core = SharesCore(
+            context.me, tuple(sorted(context.members)), self.state_machine.start(), self.now, timing
         )
+        self.driver = SharesDriver(core, context.propose, self._allot)
         self.tenants: dict[str, Tenant] = {}
-        self.shards: dict[str, int] = {}  # by node, as listed
-        self.at: dict[int, list[str]] = {}  # nodes by shard
-        self.gone: dict[str, bool] = {}
-        self.known: dict[str, Plan | None] = {}  # plans that anybody asked under, as in force
+        self.shards: dict[str, int] = {}  # by node, as discovery lists them
+        self.nodes_of: dict[int, list[str]] = {}  # by shard
+        self.lost_nodes: dict[str, bool] = {}
+        self.plans: dict[str, Plan | None] = {}  # that requests named, as they are in force
         self.refused = 0
-        self.bad = Sparse("shares: an allotment does not hold, the static part does")
+        self.log_failure = Sparse("shares: an allotment does not hold, the static part does")
         context.observe(lambda fields: self.observed(fields, time.monotonic()))
 
-    # --- what the service tells -------------------------------------------------------------------
-
-    def committed(self, told: Committed, now: float) -> None:
-        """The log's next entry; who is not in the set-up any more has its allotments taken back."""
-        before = self.shares.core.state.roll
-        self.shares.committed(told, now)
-        if self.shares.core.state.roll != before:
-            setup = self.shares.core.state.setup
-            for name, tenant in list(self.tenants.items()):
-                tenant.rates = {
-                    node: rate
-                    for node, rate in tenant.rates.items()
-                    if node in setup.nodes and name in setup.tenants
-                }
-                self._hold(name, tenant)
-                if name not in setup.tenants and not tenant.held:
-                    del self.tenants[name]
+    @property
+    def policy(self) -> SharesPolicy:
+        """The policy's section in force."""
+        return self.driver.core.state.policy
+
+    # --- events from the service ------------------------------------------------------------------
+
+    def committed(self, committed: Committed, now: float) -> None:
+        """An entry of the shares was committed; what the policy no longer names loses its allotments."""
+        before = self.driver.core.state.numbering
+        self.driver.committed(committed, now)
+        if self.driver.core.state.numbering == before:
+            return
+        policy = self.policy
+        for name, tenant in list(self.tenants.items()):
+            tenant.rates = {
+                node: rate
+                for node, rate in tenant.rates.items()
+                if node in policy.nodes and name in policy.tenants
+            }
+            self._apply_allotments(name, tenant)
+            if name not in policy.tenants and not tenant.allotments:
+                del self.tenants[name]
 
     def lease_renewed(self, proposed_at: float, now: float) -> None:
-        """A mark came back."""
-        self.shares.lease_renewed(proposed_at, now)
+        """A heartbeat of this gateway, proposed at that time, was committed."""
+        self.driver.lease_renewed(proposed_at, now)
 
     def tick(self, now: float) -> None:
-        """What is listed now, and what is due."""
+        """Take in the listed nodes and the plans in force, and do what is due."""
         listed = {entry.node: entry.shard for entry in self.context.nodes()}
-        setup = self.shares.core.state.setup
         if listed != self.shards:
-            self.shards, self.at = listed, {}
-            for node, shard in sorted(listed.items()):
-                self.at.setdefault(shard, []).append(node)
-            for name, tenant in self.tenants.items():
-                self._hold(name, tenant)
-        if listed:  # an empty list is discovery's fault, not all nodes' loss
-            for node in setup.nodes:
-                if (gone := node not in listed) != self.gone.get(node, False):
-                    self.gone[node] = gone
-                    self.shares.node(node, gone, now)
-        if (known := {plan: self.context.plan(plan) for plan in self.known}) != self.known:
-            self.known = known  # a policy changed a plan: its allotments rest on it
+            self._nodes_listed(listed)
+        if listed:  # an empty list is discovery's fault, not the loss of all nodes
+            self._report_lost_nodes(listed, now)
+        plans = {plan: self.context.plan(plan) for plan in self.plans}
+        if plans != self.plans:
+            self.plans = plans  # a policy changed a plan: its allotments are made from it
             for name, tenant in self.tenants.items():
-                self._hold(name, tenant, True)
-        if now >= self.mixed + MIX_S:
-            self.mixed = now
-            self._mix()
-        self.shares.tick(now, self.context.leader())
+                self._apply_allotments(name, tenant, again=True)
+        if now >= self.mixed_at + MIX_S:
+            self.mixed_at = now
+            self._update_mixes()
+        self.driver.tick(now, self.context.leader())
+
+    def _nodes_listed(self, listed: Mapping[str, int]) -> None:
+        """Discovery lists other nodes or shards."""
+        self.shards, self.nodes_of = dict(listed), {}
+        for node, shard in sorted(listed.items()):
+            self.nodes_of.setdefault(shard, []).append(node)
+        for name, tenant in self.tenants.items():
+            self._apply_allotments(name, tenant)
+
+    def _report_lost_nodes(self, listed: Mapping[str, int], now: float) -> None:
+        for node in self.policy.nodes:
+            lost = node not in listed
+            if lost != self.lost_nodes.get(node, False):
+                self.lost_nodes[node] = lost
+                self.driver.node_changed(node, lost, now)
 
     def observed(self, fields: Mapping[str, object], now: float) -> None:
-        """A call came in; before it is decided on."""
-        setup, name = self.shares.core.state.setup, str(fields.get("volume", ""))
-        if name not in setup.tenants:
+        """A request has arrived, with these fields of `RequestArrived`; before it is decided on."""
+        name = str(fields.get("volume", ""))
+        if name not in self.policy.tenants:
             return
-        plan, shard = str(fields.get("plan", "")), fields.get("shard")
         units = fields.get("units", 1)
         amount = float(units) if isinstance(units, int | float) else 1.0
-        tenant = self.tenants.setdefault(name, Tenant({}, {}, {}))
-        own = self.context.plan(plan)
-        fresh = own is not None and plan not in tenant.plans and len(tenant.plans) < MOST_PLANS
-        if fresh:
-            self.known[plan] = own
-        elif plan not in tenant.plans:
-            self.bad(f"volume {name} asks under plan {plan}, which is not known or one too many")
-        if fresh or plan in tenant.plans:
-            tenant.plans[plan] = tenant.plans.get(plan, 0.0) + amount
+        tenant = self.tenants.get(name)
+        if tenant is None:
+            tenant = self.tenants[name] = Tenant()
+        is_new = self._count_plan(name, tenant, str(fields.get("plan", "")), amount)
+        shard = fields.get("shard")
         if isinstance(shard, int):
-            tenant.placed += amount
-            nodes = dict.fromkeys(self.at.get(shard, ()), 1)
+            tenant.shard_units += amount
+            weights = dict.fromkeys(self.nodes_of.get(shard, ()), 1)
         else:
-            if not tenant.new and not tenant.mix:
-                tenant.mix, fresh = MIX_STEP, True
-            tenant.new += amount
-            nodes = {node: setup.nodes[node].capacity for node in self.shards if node in setup.nodes}
-        whole = sum(nodes.values())
-        for node, part in nodes.items():
-            if part:
-                self.shares.observed(name, plan, node, amount * part / whole, now)
-        if fresh:
-            self._hold(name, tenant)
-
-    # --- what the module is told ------------------------------------------------------------------
-
-    def _allotted(self, name: str, node: str, rate: float, part: float) -> None:
-        tenant = self.tenants.setdefault(name, Tenant({}, {}, {}))
-        tenant.rates[node] = rate * part
-        self._hold(name, tenant)
-
-    def _mix(self) -> None:
-        """How tenants' calls part into placed and new ones, of late."""
+            if not tenant.new_object_units and not tenant.new_fraction:
+                tenant.new_fraction, is_new = MIX_STEP, True
+            tenant.new_object_units += amount
+            nodes = self.policy.nodes
+            weights = {node: nodes[node].capacity for node in self.shards if node in nodes}
+        total = sum(weights.values())
+        for node, weight in weights.items():
+            if weight:
+                self.driver.observed(name, node, amount * weight / total, now)
+        if is_new:
+            self._apply_allotments(name, tenant)
+
+    def _count_plan(self, name: str, tenant: Tenant, plan: str, units: float) -> bool:
+        """Count a request's units under its plan; whether the tenant has not used that plan of late."""
+        if plan in tenant.units_by_plan:
+            tenant.units_by_plan[plan] += units
+            return False
+        in_force = self.context.plan(plan)
+        if in_force is None or len(tenant.units_by_plan) >= MOST_PLANS:
+            self.log_failure(f"volume {name} asks under plan {plan}, which is not known or one too many")
+            return False
+        self.plans[plan] = in_force
+        tenant.units_by_plan[plan] = units
+        return True
+
+    # --- allotments -------------------------------------------------------------------------------
+
+    def _allot(self, name: str, node: str, rate: float, fraction: float) -> None:
+        tenant = self.tenants.get(name)
+        if tenant is None:
+            tenant = self.tenants[name] = Tenant()
+        tenant.rates[node] = rate * fraction
+        self._apply_allotments(name, tenant)
+
+    def _update_mixes(self) -> None:
+        """Update each tenant's plans and its fraction of new objects from its recent requests."""
         for name, tenant in self.tenants.items():
-            if whole := tenant.placed + tenant.new:
-                mix = tenant.new / whole
-                if 0 < mix < 1:
-                    mix = min(1 - MIX_STEP, max(MIX_STEP, mix))
-                if moved := abs(mix - tenant.mix) >= MIX_STEP:
-                    tenant.mix = mix
-                late = {plan: units / 2 for plan, units in tenant.plans.items() if units > LEAST}
-                if late and (moved or len(late) < len(tenant.plans)):
-                    tenant.plans = late
-                    self._hold(name, tenant)
-                elif late:
-                    tenant.plans = late
-            tenant.placed, tenant.new = tenant.placed / 2, tenant.new / 2
-            if tenant.placed + tenant.new < LEAST:
-                tenant.placed = tenant.new = 0.0
-
-    def _hold(self, name: str, tenant: Tenant, anew: bool = False) -> None:
-        """Let the module hold what the tenant's rates come to; what falls falls first."""
-        wanted: dict[tuple[str, int | None], float] = {}
-        count = len(tenant.plans)
+            total = tenant.shard_units + tenant.new_object_units
+            if total and self._update_mix(tenant, tenant.new_object_units / total):
+                self._apply_allotments(name, tenant)
+            tenant.shard_units /= 2
+            tenant.new_object_units /= 2
+            if tenant.shard_units + tenant.new_object_units < LEAST_UNITS:
+                tenant.shard_units = tenant.new_object_units = 0.0
+
+    def _update_mix(self, tenant: Tenant, new_fraction: float) -> bool:
+        """Take in a tenant's measured fraction of new objects; whether its allotments change by it."""
+        if 0 < new_fraction < 1:
+            new_fraction = min(1 - MIX_STEP, max(MIX_STEP, new_fraction))
+        changed = abs(new_fraction - tenant.new_fraction) >= MIX_STEP
+        if changed:
+            tenant.new_fraction = new_fraction
+        recent = {plan: units / 2 for plan, units in tenant.units_by_plan.items() if units > LEAST_UNITS}
+        if not recent:
+            return False
+        forgotten = len(recent) < len(tenant.units_by_plan)
+        tenant.units_by_plan = recent
+        return changed or forgotten
+
+    def _apply_allotments(self, name: str, tenant: Tenant, again: bool = False) -> None:
+        """Let the scheduler have the allotments, what falls first; `again`: the unchanged ones too."""
+        wanted = self._wanted_allotments(tenant)
+        for plan, shard in [key for key in tenant.allotments if key not in wanted]:
+            if self._apply_plan(name, plan, shard, None):
+                del tenant.allotments[plan, shard]
+        by_growth = sorted(wanted.items(), key=lambda item: item[1] - tenant.allotments.get(item[0], 0.0))
+        for key, rate in by_growth:
+            if (again or tenant.allotments.get(key) != rate) and self._apply_plan(name, *key, rate):
+                tenant.allotments[key] = rate
+
+    def _wanted_allotments(self, tenant: Tenant) -> dict[AllotmentKey, float]:
+        """The tenant's rates in units a second, divided among its plans, its shards and new objects."""
+        wanted: dict[AllotmentKey, float] = {}
+        plan_count = len(tenant.units_by_plan)
         for node, rate in tenant.rates.items():
-            for plan in tenant.plans:
-                if (shard := self.shards.get(node)) is not None:
-                    placed, new = rate * (1 - tenant.mix) / count, rate * tenant.mix / count
-                    wanted[plan, shard] = wanted.get((plan, shard), 0.0) + placed
-                    if tenant.mix:
-                        wanted[plan, None] = wanted.get((plan, None), 0.0) + new
-        for plan, shard in [key for key in tenant.held if key not in wanted]:
-            if self._plan(name, plan, shard, None):
-                del tenant.held[plan, shard]
-        for key, rate in sorted(wanted.items(), key=lambda item: item[1] - tenant.held.get(item[0], 0.0)):
-            if (anew or tenant.held.get(key) != rate) and self._plan(name, *key, rate):
-                tenant.held[key] = rate
-
-    def _plan(self, volume: str, plan: str, shard: int | None, rate: float | None) -> bool:
-        """One allotment, None: taken back; whether it holds."""
-        if (own := self.context.plan(plan)) is None:
+            if (shard := self.shards.get(node)) is None:
+                continue
+            for plan in tenant.units_by_plan:
+                shard_rate = rate * (1 - tenant.new_fraction) / plan_count
+                wanted[plan, shard] = wanted.get((plan, shard), 0.0) + shard_rate
+                if tenant.new_fraction:
+                    new_rate = rate * tenant.new_fraction / plan_count
+                    wanted[plan, None] = wanted.get((plan, None), 0.0) + new_rate
+        return wanted
+
+    def _apply_plan(self, volume: str, plan: str, shard: int | None, rate: float | None) -> bool:
+        """One allotment of `rate` units a second, None takes it back; whether the scheduler has taken it."""
+        in_force = self.context.plan(plan)
+        if in_force is None:
             return False
-        if rate is None:
-            told, part = own, None
-        else:
+        allotment, fraction = in_force, None
+        if rate is not None:
             burst = self.units_top + rate * self.section.epoch_s
-            told = replace(own, limit=rate if rate > 0 else 1.0, limit_burst=burst, limit_slack=0.0)
-            part = 1.0 if rate > 0 else 0.0
+            limit = rate if rate > 0 else 1.0
+            allotment = replace(in_force, limit=limit, limit_burst=burst, limit_slack=0.0)
+            fraction = 1.0 if rate > 0 else 0.0
         try:
-            if self.context.planned(told, volume, shard, part):
+            if self.context.apply_plan(allotment, volume, shard, fraction):
                 return True
-            self.bad("this gateway's module takes none")
+            self.log_failure("this gateway's module takes none")
         except MallowbeamError as error:
-            self.bad(error.line)
+            self.log_failure(error.line)
         self.refused += 1
         return False
 
-    # --- what is shown ----------------------------------------------------------------------------
+    # --- pages ------------------------------------------------------------------------------------
 
     def describe(self) -> dict[str, object]:
-        """Where the epoch stands, and what may be served here."""
-        return self.shares.describe(time.monotonic())
+        """For the page `/fleet`: the epoch, and what may be served here."""
+        return self.driver.describe(time.monotonic())
 
     def gauges(self) -> Mapping[str, float]:
-        """The newest epoch, and what is held here."""
-        state = self.shares.core.state
+        """For `/fleet/metrics`: the newest epoch, and the allotments here."""
+        state = self.driver.core.state
         return {
-            "epoch": float(state.number),
-            "owing": float(len(state.handed.owing)),
-            "allotments": float(sum(len(tenant.held) for tenant in self.tenants.values())),
+            "epoch": float(state.close_number),
+            "owing": float(len(state.quota.awaited_releases)),
+            "allotments": float(sum(len(tenant.allotments) for tenant in self.tenants.values())),
             "refused": float(self.refused),
         }
 
 
 def open_subsystem(context: SubsystemContext, section: SharesSection) -> SharesSubsystem:
-    """The subsystem on these hands."""
+    """The subsystem of a gateway; `section` is the operators' file's."""
     return SharesSubsystem(context, section, context.gateway().config.settings.units_top)
--- a/mallowbeam/storage_gateway/coordination/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem.py
@@ -18,7 +18,7 @@
 class Subsystem(Protocol):
     """One subsystem in one gateway: its core, and the acts that its actions name."""
 
-    topic: StateMachine
+    state_machine: StateMachine
 
     def committed(self, told: Committed, now: float) -> None:
         """The log has told this topic an entry, or its state whole (`told.entry` None); now: steady clock."""
@@ -54,8 +54,8 @@
     def drain(self, node: str, out: bool) -> None:
         """Take a node out of service here or call it back; out while anybody still wants it out."""
 
-    def planned(
-        self, plan: Plan, volume: str = "", shard: int | None = None, part: float | None = None
+    def apply_plan(
+        self, plan: Plan, volume: str = "", shard: int | None = None, fraction: float | None = None
     ) -> bool:
         """A plan's figures, or one volume's allotment, from now on, as `facade.planned` takes them.
 
--- a/mallowbeam/storage_gateway/coordination/subsystem_context.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem_context.py
@@ -41,8 +41,8 @@
         plans: Mapping[str, Plan] = self.gateway.config.settings.plans
         return plans
 
-    def planned(
-        self, plan: Plan, volume: str = "", shard: int | None = None, part: float | None = None
+    def apply_plan(
+        self, plan: Plan, volume: str = "", shard: int | None = None, fraction: float | None = None
     ) -> bool:
         """Let these figures hold; False where this gateway's module can't take them at all.
 
@@ -51,7 +51,7 @@
         call = getattr(self.gateway.facade, "planned", None)
         if call is None:
             return False
-        self.gateway._apply(call(self.gateway.now(), plan, volume, shard, part))
+        self.gateway._apply(call(self.gateway.now(), plan, volume, shard, fraction))
         if not volume:
             self.overrides[plan.name] = plan
         return True
@@ -88,11 +88,11 @@
         """Take a node out here, or want it out no more."""
         self._drains.want(self.name, node, out)
 
-    def planned(
-        self, plan: Plan, volume: str = "", shard: int | None = None, part: float | None = None
+    def apply_plan(
+        self, plan: Plan, volume: str = "", shard: int | None = None, fraction: float | None = None
     ) -> bool:
         """A plan's figures, or one volume's allotment, from now on."""
-        return self._plans.planned(plan, volume, shard, part)
+        return self._plans.apply_plan(plan, volume, shard, fraction)
 
     def settings_plans(self) -> Mapping[str, Plan]:
         """The plans of the platform's settings, by name."""
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_part.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_part.py
@@ -54,7 +54,7 @@
 def rig():
     context = SubsystemContext()
     part = open_subsystem(context, MaintenanceSection(on=True))
-    log = ReplicatedLog([part.topic])
+    log = ReplicatedLog([part.state_machine])
 
     def put(by, entry):
         told = log.apply(log.encode("maintenance", by, entry))
--- a/tests/storage_gateway/coordination/shares/test_shares_broken.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_broken.py
@@ -7,7 +7,7 @@
 
 from mallowbeam.storage_gateway.coordination.quota_transfer import QuotaTransfer
 from mallowbeam.storage_gateway.coordination.shares.gateway_core import SharesCore
-from mallowbeam.storage_gateway.coordination.shares.state_machine import Setup, Share
+from mallowbeam.storage_gateway.coordination.shares.state_machine import SharesPolicy, TenantShare
 
 
 class GrowsAtOnce(SharesCore):
@@ -15,13 +15,13 @@
 
     def __post_init__(self):
         super().__post_init__()
-        self.handover.__class__ = Hasty
+        self.transfer.__class__ = Hasty
 
 
 class Hasty(QuotaTransfer):
     def usable(self, resource, now):
         row, floor = self.rows.get(resource, {}), self.floor(resource, self.me)
-        return row.get(self.me, floor) if self.live(now) else floor
+        return row.get(self.me, floor) if self.has_lease(now) else floor
 
 
 class ForgetsTheLease(SharesCore):
@@ -29,19 +29,19 @@
 
     def __post_init__(self):
         super().__post_init__()
-        self.handover.__class__ = Lasting
+        self.transfer.__class__ = Lasting
 
 
 class Lasting(QuotaTransfer):
-    def live(self, now):
-        return self.known_at > float("-inf")
+    def has_lease(self, now):
+        return self.renewed_at > float("-inf")
 
 
 class WakesWithItsOld(SharesCore):
     """Looks at its lease only when it ticks."""
 
     def observed(self, tenant, node, units, now):
-        self.live = False
+        self.had_lease = False
         return super().observed(tenant, node, units, now)
 
 
@@ -50,13 +50,13 @@
 
     since = float("-inf")
 
-    def _allots(self, now):
+    def _allotment_changes(self, now):
         if now < type(self).since + 1.0:
             return []
-        return super()._allots(now)
+        return super()._allotment_changes(now)
 
     def committed(self, told, now):
-        if told.state.number != self.number:
+        if told.state.close_number != self.close_number:
             type(self).since = now
         return super().committed(told, now)
 
@@ -114,6 +114,6 @@
 
 def test_a_bound_that_falls_is_held_after_the_lease():
     it = fleet(1).run(10)
-    it.push(Setup({**SETUP.tenants, "c": Share(1000, limit=20_000)}, SETUP.nodes, SETUP.zones))
+    it.push(SharesPolicy({**SETUP.tenants, "c": TenantShare(1000, limit=20_000)}, SETUP.nodes, SETUP.zones))
     it.run(8)
     assert it.used()["t:c"] <= 20.0
--- a/tests/storage_gateway/coordination/shares/test_shares_core.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_core.py
@@ -7,13 +7,13 @@
 from test_shares_fleet import T, fair, fleet
 from test_shares_topic import NAMES, demand, log, put
 
-from mallowbeam.storage_gateway.coordination.shares.flow_division import divide
+from mallowbeam.storage_gateway.coordination.shares.flow_division import divide_quota
 from mallowbeam.storage_gateway.coordination.shares.gateway_core import Propose, SharesCore
-from mallowbeam.storage_gateway.coordination.shares.state_machine import Close
+from mallowbeam.storage_gateway.coordination.shares.state_machine import CloseEpoch
 
 
 def closes(actions):
-    return [a.entry for a in actions if isinstance(a, Propose) and isinstance(a.entry, Close)]
+    return [a.entry for a in actions if isinstance(a, Propose) and isinstance(a.entry, CloseEpoch)]
 
 
 def core(it, **more) -> SharesCore:
@@ -23,18 +23,18 @@
 def test_one_that_stood_still_takes_nobody_for_silent():
     it = log()
     demand(it, "g1", {0: 5_000})
-    mine = core(it, leads=True)
+    mine = core(it, is_leader=True)
     mine.tick(0.1)
     (told,) = closes(mine.tick(60.0))
-    assert told.quiet == ()
+    assert told.silent == ()
     later = [entry for at in range(1, 80) for entry in closes(mine.tick(60 + at / 10))]
-    assert later[0].quiet == () and later[-1].quiet == ("g1", "g2")
+    assert later[0].silent == () and later[-1].silent == ("g1", "g2")
 
 
 def test_others_close_an_epoch_when_the_leader_does_not():
     it = log()
     demand(it, "g1", {0: 5_000})
-    leader, other = core(it, leads=True), core(it)
+    leader, other = core(it, is_leader=True), core(it)
     assert closes(leader.tick(0.1))  # a policy was pushed: at once
     late = [at / 10 for at in range(1, 60) if closes(other.tick(at / 10))]
     assert T.epoch * (1 + T.patience) <= late[0] <= T.epoch * (1 + T.patience) + 0.2
@@ -48,16 +48,16 @@
         it.demand["g3", "a", "n0"] = 40 + 20 * (at % 2) + at
         it.run(4.5)
     fair(it)
-    assert len(it.state.handed.open) <= 2
+    assert len(it.state.quota.open_epochs) <= 2
 
 
 def divided(wants, usable):
     """Two tenants at two nodes, 30 for each flow."""
     it = log()
     demand(it, "g0", dict.fromkeys(range(4), 10_000))
-    put(it, "g0", Close(1))
-    targets = dict.fromkeys(range(4), 10_000)
-    return divide(it.states["shares"], targets, wants, lambda name: usable.get(name, 10**6))
+    put(it, "g0", CloseEpoch(1))
+    granted_rates = dict.fromkeys(range(4), 10_000)
+    return divide_quota(it.states["shares"], granted_rates, wants, lambda name: usable.get(name, 10**6))
 
 
 def test_what_one_flow_does_not_ask_for_is_lent_but_for_a_tenth():
--- a/tests/storage_gateway/coordination/shares/test_shares_fair.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_fair.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from shares_oracle import lexicographic
 
-from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import Network, allot
-from mallowbeam.storage_gateway.coordination.shares.quota_rows import ratios
+from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import Network, allocate
+from mallowbeam.storage_gateway.coordination.shares.quota_rows import granted_ratios
 
 RATES = st.integers(0, 500).map(lambda units: units * 1000)
 
@@ -54,14 +54,14 @@
 @given(networks())
 def test_the_filling_is_what_the_linear_programs_give(case):
     net, demand = case
-    assert not differs(allot(net, demand), lexicographic(net, demand))
+    assert not differs(allocate(net, demand), lexicographic(net, demand))
 
 
 @settings(max_examples=300)
 @given(networks(12, 8))
 def test_no_sum_is_above_its_link_and_nobody_above_its_demand(case):
     net, demand = case
-    rates = allot(net, demand)
+    rates = allocate(net, demand)
     assert all(used <= cap for used, cap in sums(net, rates))
     assert all(0 <= rate <= demand[flow] for flow, rate in rates.items())
 
@@ -71,7 +71,7 @@
     net, demand = case
     mixed = list(demand.items())
     order.shuffle(mixed)
-    assert allot(net, dict(mixed)) == allot(net, demand)
+    assert allocate(net, dict(mixed)) == allocate(net, demand)
 
 
 @given(networks(), st.data())
@@ -81,7 +81,10 @@
     asked = {flow: d for flow, d in demand.items() if flow < len(net.weights)}
     tenant = data.draw(st.integers(0, len(net.weights) - 1))
     heavier = [w * 3 if at == tenant else w for at, w in enumerate(net.weights)]
-    assert allot(replace(one, weights=heavier), asked).get(tenant, 0) >= allot(one, asked).get(tenant, 0) - 1
+    assert (
+        allocate(replace(one, weights=heavier), asked).get(tenant, 0)
+        >= allocate(one, asked).get(tenant, 0) - 1
+    )
 
 
 @given(networks())
@@ -91,25 +94,25 @@
     ample = replace(
         net, nodes=[10**9] * count, zones=[None] * len(net.zones), limits=[None] * len(net.weights)
     )
-    floors = allot(
+    floors = allocate(
         replace(ample, weights=net.reserves, limits=list(net.reserves)),
         {flow: d for flow, d in demand.items() if net.reserves[flow // count]},
     )
     if any(used > cap for used, cap in sums(net, floors)):
         return  # not all reserves fit here
-    rates = allot(net, demand)
+    rates = allocate(net, demand)
     assert all(rates.get(flow, 0) >= floor - 2 for flow, floor in floors.items())
 
 
 def test_a_claim_without_demand_takes_nothing_from_others():
     net = Network([100_000], [0], [None], [1000, 1000], [90_000, 0], [None, None])
-    assert allot(net, {0: 10_000, 1: 200_000}) == {0: 10_000, 1: 90_000}
+    assert allocate(net, {0: 10_000, 1: 200_000}) == {0: 10_000, 1: 90_000}
 
 
 def test_one_network_by_hand_and_its_digest():
     """Two nodes, one zone: 0 is stopped by its limit, 1 by node 0, 2 has the rest of the zone."""
     net = Network([60_000, 100_000], [0, 0], [120_000], [1000, 2000, 1000], [0, 0, 0], [15_000, None, None])
-    rates = allot(net, {0: 80_000, 1: 80_000, 2: 80_000, 5: 90_000})
+    rates = allocate(net, {0: 80_000, 1: 80_000, 2: 80_000, 5: 90_000})
     assert rates[0] == rates[1] == 7_500 and rates[2] == 52_500 and abs(rates[5] - 52_500) <= 1
     text = ",".join(f"{flow}={rate}" for flow, rate in sorted(rates.items()))
     assert hashlib.sha256(text.encode()).hexdigest()[:8] == "1ec9c69e"
@@ -118,7 +121,7 @@
 @given(st.integers(0, 10**9), st.lists(st.integers(1, 10**7), min_size=1, max_size=60))
 def test_parts_of_a_rate_never_add_up_to_more(rate, asked):
     rate = min(rate, sum(asked))
-    ratio = ratios({0: rate}, {0: sum(asked)})[0]
+    ratio = granted_ratios({0: rate}, {0: sum(asked)})[0]
     assert rate - len(asked) <= sum(int(part * ratio) for part in asked) <= rate
 
 
@@ -127,10 +130,10 @@
     net = Network([100_000, 50_000], [0, 0], [None], [1000, 3000, 1000], [0, 0, 60_000], [10_000, None, None])
     demand = {flow: 80_000 for flow in range(6)}
     wanted = lexicographic(net, demand)
-    assert not differs(allot(net, demand), wanted)
+    assert not differs(allocate(net, demand), wanted)
     for broken in (
         replace(net, limits=[None] * 3),
         replace(net, weights=[1000] * 3),
         replace(net, reserves=[0] * 3),
     ):
-        assert differs(allot(broken, demand), wanted)
+        assert differs(allocate(broken, demand), wanted)
--- a/tests/storage_gateway/coordination/shares/test_shares_fleet.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_fleet.py
@@ -6,17 +6,26 @@
 from shares_oracle import lexicographic
 
 from mallowbeam.lab.sharesim import Fleet, totals
-from mallowbeam.storage_gateway.coordination.shares.gateway_core import Times
+from mallowbeam.storage_gateway.coordination.shares.gateway_core import SharesTiming
 from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import Network
-from mallowbeam.storage_gateway.coordination.shares.state_machine import Node, Setup, Share
+from mallowbeam.storage_gateway.coordination.shares.state_machine import (
+    NodeCapacity,
+    SharesPolicy,
+    TenantShare,
+)
 
-T = Times()
+T = SharesTiming()
 THREE = 3 * T.epoch + 1.5  # three epochs, the window of counting and the words' way
-LEASE = T.lease * 1.2 + T.quiet
-
-SETUP = Setup(
-    {"a": Share(2000), "b": Share(1000, reserve=40_000), "c": Share(1000, limit=60_000), "d": Share(1000)},
-    {"n0": Node(100_000, "x"), "n1": Node(80_000, "x"), "n2": Node(120_000, "y")},
+LEASE = T.lease * 1.2 + T.silence_timeout
+
+SETUP = SharesPolicy(
+    {
+        "a": TenantShare(2000),
+        "b": TenantShare(1000, reserve=40_000),
+        "c": TenantShare(1000, limit=60_000),
+        "d": TenantShare(1000),
+    },
+    {"n0": NodeCapacity(100_000, "x"), "n1": NodeCapacity(80_000, "x"), "n2": NodeCapacity(120_000, "y")},
     {"x": 150_000},
 )
 
@@ -76,10 +85,10 @@
 def test_in_peace_everybody_has_its_share_after_three_epochs(seed):
     it = fleet(seed).run(THREE + 1)
     fair(it)
-    number = it.state.number
+    number = it.state.close_number
     it.run(10)
     fair(it)
-    assert it.state.number == number  # nothing changed: no epoch
+    assert it.state.close_number == number  # nothing changed: no epoch
 
 
 @SEEDS
@@ -129,8 +138,8 @@
     it.demand["g3", "a", "n0"] = it.demand.pop(("g0", "a", "n0"))
     it.run(0.6)
     it.push(
-        Setup(
-            {**SETUP.tenants, "b": Share(3000, reserve=40_000), "c": Share(500, limit=30_000)},
+        SharesPolicy(
+            {**SETUP.tenants, "b": TenantShare(3000, reserve=40_000), "c": TenantShare(500, limit=30_000)},
             SETUP.nodes,
             SETUP.zones,
         )
@@ -154,8 +163,8 @@
 @SEEDS
 def test_a_tenant_that_claims_more_than_it_asks_gains_nothing(seed):
     modest = fleet(seed).run(10)
-    claims = {**SETUP.tenants, "d": Share(1000, reserve=100_000)}
-    it = Fleet(Setup(claims, SETUP.nodes, SETUP.zones), seed=seed)
+    claims = {**SETUP.tenants, "d": TenantShare(1000, reserve=100_000)}
+    it = Fleet(SharesPolicy(claims, SETUP.nodes, SETUP.zones), seed=seed)
     it.demand = {key: 5 if key[1] == "d" else asked for key, asked in modest.demand.items()}
     it.run(10)
     fair(it)
@@ -186,8 +195,8 @@
 @SEEDS
 def test_a_flicker_within_the_band_changes_no_epoch(seed):
     it = fleet(seed).run(10)
-    number = it.state.number
+    number = it.state.close_number
     for at in range(20):
         it.demand["g0", "a", "n0"] = 90 if at % 3 else 75
         it.run(0.5)
-    assert it.state.number <= number + 1
+    assert it.state.close_number <= number + 1
--- a/tests/storage_gateway/coordination/shares/test_shares_part.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_part.py
@@ -46,7 +46,7 @@
     def nodes(self):
         return self.listed
 
-    def planned(self, plan, volume="", shard=None, part=None):
+    def apply_plan(self, plan, volume="", shard=None, part=None):
         if self.full:
             raise TooManyAllotments("full", volume)
         self.held[volume, plan.name, shard] = plan, part
@@ -65,7 +65,7 @@
         self.context = {name: SubsystemContext(name) for name in NAMES}
         self.parts = {name: open_subsystem(self.context[name], SharesSection(on=True)) for name in NAMES}
         self.now = max(part.now for part in self.parts.values())
-        self.log, self.asks = ReplicatedLog([self.parts["g0"].topic]), {}
+        self.log, self.asks = ReplicatedLog([self.parts["g0"].state_machine]), {}
         self.push(SHARES)
 
     def push(self, shares):
@@ -193,19 +193,19 @@
 def test_a_node_no_longer_listed_is_told_and_an_empty_list_is_not(fleet):
     fleet.context["g0"].listed = []
     fleet.run(1)
-    assert not fleet.log.states["shares"].gone
+    assert not fleet.log.states["shares"].lost_nodes
     fleet.context["g0"].listed = [NodeEntry("n1", NodeState.READY, 5)]
     fleet.run(1)
-    assert set(fleet.log.states["shares"].gone) == {"n0"}
+    assert set(fleet.log.states["shares"].lost_nodes) == {"n0"}
 
 
 def test_the_store_lets_the_largest_call_pass():
     settings = Settings(units_top=8, plans={"gold": GOLD}, hosts=1, classes={"read": RequestClass("read")})
     part, facade = Fleet().parts["g0"], Facade(settings, 0.0)
-    part.context.planned = lambda plan, *more: bool(facade.planned(0.0, plan, *more)) or True
-    part.shards, part.at = {"n0": 4}, {4: ["n0"]}
+    part.context.apply_plan = lambda plan, *more: bool(facade.planned(0.0, plan, *more)) or True
+    part.shards, part.nodes_of = {"n0": 4}, {4: ["n0"]}
     part.observed({"volume": "a", "plan": "gold", "shard": 4, "units": 8}, 0.0)
-    part._allotted("a", "n0", 1.0, 1.0)
+    part._allot("a", "n0", 1.0, 1.0)
     facade.tick(0.0)
     volume = facade._scheduler._volume("a", "gold", 1, 4)
     assert volume.limit_wait(0.0, 8) == pytest.approx(8, rel=0.01)
--- a/tests/storage_gateway/coordination/shares/test_shares_storm.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_storm.py
@@ -8,7 +8,7 @@
 import pytest
 from test_shares_fleet import LEASE, SETUP, THREE, fair, fleet
 
-from mallowbeam.storage_gateway.coordination.shares.state_machine import Setup, Share
+from mallowbeam.storage_gateway.coordination.shares.state_machine import SharesPolicy, TenantShare
 
 
 def befall(it, rng) -> None:
@@ -37,8 +37,12 @@
         case 8:
             limit = rng.choice((20_000, 60_000, 90_000))
             it.push(
-                Setup(
-                    {**SETUP.tenants, "a": Share(rng.choice((500, 3000))), "c": Share(limit=limit)},
+                SharesPolicy(
+                    {
+                        **SETUP.tenants,
+                        "a": TenantShare(rng.choice((500, 3000))),
+                        "c": TenantShare(limit=limit),
+                    },
                     SETUP.nodes,
                     SETUP.zones,
                 )
--- a/tests/storage_gateway/coordination/shares/test_shares_topic.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_topic.py
@@ -10,31 +10,39 @@
 from hypothesis import strategies as st
 
 from mallowbeam.storage_gateway.coordination.replicated_log import Refusal, ReplicatedLog
-from mallowbeam.storage_gateway.coordination.shares.core_driver import Shares
-from mallowbeam.storage_gateway.coordination.shares.demand_encoding import STEPS, BadRows, code, pack, unpack
-from mallowbeam.storage_gateway.coordination.shares.demand_meter import LONG, Meter
-from mallowbeam.storage_gateway.coordination.shares.quota_rows import trim
+from mallowbeam.storage_gateway.coordination.shares.core_driver import SharesDriver
+from mallowbeam.storage_gateway.coordination.shares.demand_encoding import (
+    RATE_STEPS,
+    InvalidDemandError,
+    decode_demand,
+    encode_demand,
+    rate_code,
+)
+from mallowbeam.storage_gateway.coordination.shares.demand_meter import LONG, DemandMeter
+from mallowbeam.storage_gateway.coordination.shares.gateway_core import SharesCore
+from mallowbeam.storage_gateway.coordination.shares.quota_rows import trim_row
 from mallowbeam.storage_gateway.coordination.shares.state_machine import (
-    Close,
-    Demand,
-    Gone,
-    Node,
-    Released,
-    Setup,
-    Share,
+    CloseEpoch,
+    DemandReport,
+    NodeCapacity,
+    NodeLost,
+    QuotaReleased,
+    SharesPolicy,
     SharesStateMachine,
-    targets,
+    TenantShare,
+    granted_rates,
 )
 
 NAMES = ("g0", "g1", "g2")
-SETUP = Setup(
-    {"a": Share(), "b": Share(3000, limit=40_000)}, {"n0": Node(60_000, "x"), "n1": Node(50_000, "x")}
+SETUP = SharesPolicy(
+    {"a": TenantShare(), "b": TenantShare(3000, limit=40_000)},
+    {"n0": NodeCapacity(60_000, "x"), "n1": NodeCapacity(50_000, "x")},
 )
 
 
 @dataclass(frozen=True)
 class Push:
-    shares: Setup | None
+    shares: SharesPolicy | None
 
 
 def log(setup=SETUP) -> ReplicatedLog:
@@ -50,25 +58,33 @@
 
 
 def demand(it, by, rows, **more):
-    return put(it, by, Demand(it.states["shares"].roll, pack({f: code(r) for f, r in rows.items()}), **more))
+    return put(
+        it,
+        by,
+        DemandReport(
+            it.states["shares"].numbering, encode_demand({f: rate_code(r) for f, r in rows.items()}), **more
+        ),
+    )
 
 
-@given(st.dictionaries(st.integers(0, 9_999), st.integers(0, len(STEPS) - 1), max_size=40))
+@given(st.dictionaries(st.integers(0, 9_999), st.integers(0, len(RATE_STEPS) - 1), max_size=40))
 def test_rows_come_out_of_their_bytes(rows):
-    assert unpack(pack(rows), 10_000) == rows
+    assert decode_demand(encode_demand(rows), 10_000) == rows
 
 
 @given(st.binary(max_size=60))
 def test_any_bytes_are_rows_or_refused(body):
     try:
-        assert all(0 <= flow < 500 and step < len(STEPS) for flow, step in unpack(body, 500).items())
-    except BadRows:
+        assert all(
+            0 <= flow < 500 and step < len(RATE_STEPS) for flow, step in decode_demand(body, 500).items()
+        )
+    except InvalidDemandError:
         pass
 
 
 @given(st.integers(0, 10**9))
 def test_a_step_is_never_below_its_rate_and_close_above(rate):
-    assert rate <= STEPS[code(rate)] <= rate * 1.004 + 1
+    assert rate <= RATE_STEPS[rate_code(rate)] <= rate * 1.004 + 1
 
 
 def test_every_member_has_the_same_state_and_so_has_a_snapshots_reader():
@@ -76,54 +92,60 @@
     for it in (one, two):
         demand(it, "g0", {0: 50_000, 2: 40_000})
         demand(it, "g1", {0: 30_000, 3: 30_000})
-        put(it, "g2", Close(1))
-        put(it, "g1", Gone("n1", True))
-        put(it, "g0", Released(1))
+        put(it, "g2", CloseEpoch(1))
+        put(it, "g1", NodeLost("n1", True))
+        put(it, "g0", QuotaReleased(1))
     assert one.dump() == two.dump()
     three = ReplicatedLog([SharesStateMachine(NAMES)])
     three.load(one.dump())
     assert three.states == one.states
     state = one.states["shares"]
-    rates = [targets(state, name) for name in NAMES]
+    rates = [granted_rates(state, name) for name in NAMES]
     assert sum(rate.get(0, 0) + rate.get(2, 0) for rate in rates) <= 60_000
-    assert state.dirty == 2 and state.gone == {"n1": ("g1",)}
+    assert state.recompute == 2 and state.lost_nodes == {"n1": ("g1",)}
 
 
 def test_entries_that_come_late_or_twice_change_nothing():
     it = log()
     assert demand(it, "g0", {0: 5_000}).refusal is None
-    assert put(it, "g1", Close(1)).refusal is None
-    assert put(it, "g2", Close(1)).refusal is not None
+    assert put(it, "g1", CloseEpoch(1)).refusal is None
+    assert put(it, "g2", CloseEpoch(1)).refusal is not None
     before = it.states["shares"]
     demand(it, "g0", {0: 5_000})
     assert it.states["shares"] is before
-    it.push(Push(Setup({**SETUP.tenants, "0": Share()}, SETUP.nodes)))
-    assert put(it, "g0", Demand(before.roll, pack({0: 9}))).refusal is not None
-    assert it.states["shares"].total == {2: before.total[0]}  # the same flow under its new number
+    it.push(Push(SharesPolicy({**SETUP.tenants, "0": TenantShare()}, SETUP.nodes)))
+    assert put(it, "g0", DemandReport(before.numbering, encode_demand({0: 9}))).refusal is not None
+    assert it.states["shares"].total_demand == {
+        2: before.total_demand[0]
+    }  # the same flow under its new number
 
 
 def test_a_silent_gateway_asks_for_nothing_until_it_reports_again():
     it = log()
     demand(it, "g0", {0: 5_000})
     demand(it, "g1", {0: 9_000})
-    put(it, "g2", Gone("n1", True))
-    put(it, "g1", Close(1, ("g0", "g2", "nobody")))
+    put(it, "g2", NodeLost("n1", True))
+    put(it, "g1", CloseEpoch(1, ("g0", "g2", "nobody")))
     state = it.states["shares"]
-    assert state.quiet == ("g0", "g2") and state.total == {0: state.demand["g1"][0]} and not state.gone
+    assert (
+        state.silent == ("g0", "g2")
+        and state.total_demand == {0: state.demand["g1"][0]}
+        and not state.lost_nodes
+    )
     demand(it, "g0", {})
-    assert it.states["shares"].quiet == ("g2",)
+    assert it.states["shares"].silent == ("g2",)
 
 
 @pytest.mark.parametrize(
     ("setup", "where"),
     [
-        (Setup({"a": Share(0)}), "shares.tenants.a"),
-        (Setup({"a": Share(limit=-1)}), "shares.tenants.a"),
-        (Setup(nodes={"n": Node(-5)}), "shares.nodes.n"),
-        (Setup(probe=900), "shares.probe"),
-        (Setup({**SETUP.tenants, "b": Share(limit=10)}, SETUP.nodes), "shares.tenants.b"),
-        (Setup(SETUP.tenants, {"n0": Node(1)}), "shares.nodes.n0"),
-        (Setup(SETUP.tenants, SETUP.nodes, {"x": 3}), "shares.zones.x"),
+        (SharesPolicy({"a": TenantShare(0)}), "shares.tenants.a"),
+        (SharesPolicy({"a": TenantShare(limit=-1)}), "shares.tenants.a"),
+        (SharesPolicy(nodes={"n": NodeCapacity(-5)}), "shares.nodes.n"),
+        (SharesPolicy(probe=900), "shares.probe"),
+        (SharesPolicy({**SETUP.tenants, "b": TenantShare(limit=10)}, SETUP.nodes), "shares.tenants.b"),
+        (SharesPolicy(SETUP.tenants, {"n0": NodeCapacity(1)}), "shares.nodes.n0"),
+        (SharesPolicy(SETUP.tenants, SETUP.nodes, {"x": 3}), "shares.zones.x"),
     ],
 )
 def test_a_setup_that_cannot_hold_is_refused_whole(setup, where):
@@ -136,19 +158,19 @@
 
 @given(st.dictionaries(st.sampled_from("abcdefgh"), st.integers(11, 900), max_size=8), st.integers(100, 3000))
 def test_a_trimmed_row_fits_with_the_floors(row, most):
-    after = trim(row, most, 10, 8)
+    after = trim_row(row, most, 10, 8)
     assert sum(after.values()) + 10 * (8 - len(after)) <= most
     assert all(10 < after[name] <= row[name] for name in after)
 
 
 def test_the_meter_tells_rises_at_once_and_falls_after_some_windows():
-    meter, told = Meter(2), {}
+    meter, told = DemandMeter(2), {}
 
     def window(units):
         if units:
-            meter.came(1, units)
-        rows = meter.window(1.0, told)
-        told.update((flow, STEPS[step]) for flow, step in rows.items())
+            meter.add(1, units)
+        rows = meter.end_window(1.0, told)
+        told.update((flow, RATE_STEPS[step]) for flow, step in rows.items())
         return bool(rows)
 
     assert window(10) and not window(10) and window(12)
@@ -156,36 +178,33 @@
     assert [window(5) for _ in range(3)] == [False, False, True]
     assert not any(window(4.7) for _ in range(LONG - 1)) and window(4.7)
     assert [window(0) for _ in range(3)] == [False, False, True] and told[1] == 0
-    assert meter.came(2, 1) and not meter.came(2, 1)
-    meter.came(3, 1)
-    assert not meter.came(4, 1) and 4 not in meter.counts  # full: not counted
+    assert meter.add(2, 1) and not meter.add(2, 1)
+    meter.add(3, 1)
+    assert not meter.add(4, 1) and 4 not in meter.units  # full: not counted
 
 
 def test_the_state_is_plain_data():
     it = log()
     demand(it, "g0", {0: 5_000})
-    put(it, "g1", Close(1))
+    put(it, "g1", CloseEpoch(1))
     state = it.states["shares"]
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(state), type=type(state)) == state
 
 
 def test_the_service_hands_on_what_the_core_returns():
     it, entries, allotted = log(), [], {}
-    part = Shares(
-        "g0",
-        NAMES,
-        it.states["shares"],
-        0.0,
+    part = SharesDriver(
+        SharesCore("g0", NAMES, it.states["shares"], 0.0),
         entries.append,
         lambda tenant, node, rate, of: allotted.update({(tenant, node): rate}),
     )
     part.lease_renewed(0.0, 0.0)
     for at in range(1, 30):
-        part.observed("a", "plan", "n0", 2.0, at / 10)
+        part.observed("a", "n0", 2.0, at / 10)
         part.lease_renewed(at / 10, at / 10)
-        part.tick(at / 10, leads=True)
+        part.tick(at / 10, is_leader=True)
         while entries:
             part.committed(put(it, "g0", entries.pop(0)), at / 10)
     assert allotted["a", "n0"] == pytest.approx(20, rel=0.1) and part.describe(3.0)["live"]
-    part.node("n0", True, 3.0)
-    assert entries == [Gone("n0", True)]
+    part.node_changed("n0", True, 3.0)
+    assert entries == [NodeLost("n0", True)]
--- a/tests/storage_gateway/coordination/test_fleet_service.py
+++ b/tests/storage_gateway/coordination/test_fleet_service.py
@@ -23,8 +23,8 @@
     MOST_DEPTH,
     canonical,
     check_sections,
-    owns,
     read_policy,
+    register_section,
 )
 from mallowbeam.storage_gateway.coordination.raft_node import Broken, Hosted
 from mallowbeam.storage_gateway.coordination.service import FleetService
@@ -66,7 +66,7 @@
     """A subsystem that records what it is told, and may be made to fail."""
 
     def __init__(self, context: GatewayContext, section: object) -> None:
-        self.topic, self.context, self.section = Adder("shares"), context, section
+        self.state_machine, self.context, self.section = Adder("shares"), context, section
         self.told, self.proofs, self.fails = [], [], False
 
     def committed(self, told, now: float) -> None:
@@ -346,12 +346,12 @@
 
 def test_a_section_is_checked_against_the_type_that_its_package_states(monkeypatch):
     monkeypatch.setattr("mallowbeam.storage_gateway.coordination.policy_document._TYPES", {})
-    owns("shares", SharesSection)
+    register_section("shares", SharesSection)
     with pytest.raises(BadPolicy) as caught:
         check_sections(read_policy('{"shares": {"on": 7}}'), ("shares",))
     assert caught.value.where == "shares.on"
     with pytest.raises(ValueError, match="lanes"):
-        owns("lanes", SharesSection)
+        register_section("lanes", SharesSection)
 
 
 def test_each_error_of_the_fleet_has_a_status_and_a_remedy():
--- a/tests/storage_gateway/coordination/test_handover_model.py
+++ b/tests/storage_gateway/coordination/test_handover_model.py
@@ -141,7 +141,7 @@
     for _ in range(6):
         world = turn(turn(world.after("epoch")))
         assert unmet(world) == []
-        assert world.log[-1].state.open == ()
+        assert world.log[-1].state.open_epochs == ()
         world = healed(world, 1)
 
 
@@ -154,7 +154,7 @@
             world = world.after(rng.choices(choices, [usual(choice) for choice in choices])[0])
         world = healed(world, int(script.lease + script.linger) + 3)
         assert unmet(world) == [], seed
-        assert world.log[-1].state.open == (), seed
+        assert world.log[-1].state.open_epochs == (), seed
 
 
 @pytest.mark.parametrize("lost", "abc")
@@ -164,19 +164,19 @@
         world = world.after("epoch") if "epoch" in world.choices() else world
         world = healed(world, 2, [name for name in "abc" if name != lost])
     assert len(world.commits) == 15  # none was refused for long
-    assert len(world.log[-1].state.open) <= 3
+    assert len(world.log[-1].state.open_epochs) <= 3
 
 
 # --- variants broken on purpose: each one must be found -------------------------------------------
 
 
 class GrowsAtOnce(QuotaTransfer):
-    def _blocking(self, resource, rows, at, now):
+    def _blocker(self, resource, rows, position, now):
         return None
 
 
 class IgnoresItsLease(QuotaTransfer):
-    def live(self, now):
+    def has_lease(self, now):
         return True
 
 
@@ -189,15 +189,15 @@
         self.ticked = now
         return super().tick(now)
 
-    def live(self, now):
-        return super().live(min(now, max(self.ticked, self.known_at)))
+    def has_lease(self, now):
+        return super().has_lease(min(now, max(self.ticked, self.renewed_at)))
 
 
 class TrustsItsJournal(QuotaTransfer):
     """A new life serves what it remembers, before a mark has come back."""
 
-    def live(self, now):
-        return super().live(now) or self.known_at == float("-inf")
+    def has_lease(self, now):
+        return super().has_lease(now) or self.renewed_at == float("-inf")
 
 
 class ForgetsTheFloor(QuotaTransfer):
@@ -213,45 +213,47 @@
 
     def __init__(self, *given):
         super().__init__(*given)
-        self.wait = self.lease
+        self.grow_delay = self.lease
 
 
 class TrustsAnyRelease(QuotaTransfer):
     """A release of an older epoch counts as one of the newest."""
 
-    def _release(self, holder, epoch, now):
-        super()._release(holder, self.epoch if epoch > self.rel.get(holder, 0) else epoch, now)
+    def _note_release(self, holder, epoch):
+        super()._note_release(holder, self.epoch if epoch > self.released_epochs.get(holder, 0) else epoch)
 
 
 class TakesTheNewest(QuotaTransfer):
     """What it may use is the newest target once that is lower, not the lowest of all open."""
 
-    def _settle(self, resource, now):
-        super()._settle(resource, now)
-        if resource in self.open:
-            first, last = (rows.get(self.me, 1) for rows in (self.open[resource][0][1], self.rows[resource]))
-            self.mine[resource] = min(first, last)
+    def _find_complete_epoch(self, resource, now):
+        super()._find_complete_epoch(resource, now)
+        if resource in self.open_rows:
+            first, last = (
+                rows.get(self.me, 1) for rows in (self.open_rows[resource][0][1], self.rows[resource])
+            )
+            self.allowed[resource] = min(first, last)
 
 
 class CountsFromThePast(QuotaTransfer):
     """The wait of others' leases begins at the last proof, not when the epoch was heard of."""
 
-    def _hear(self, epoch, rows, now):
-        super()._hear(epoch, rows, max(self.known_at, now - self.lease))
+    def _see_epoch(self, epoch, rows, now):
+        super()._see_epoch(epoch, rows, max(self.renewed_at, now - self.lease))
 
 
 class ReleasesTooSoon(QuotaTransfer):
     """With connections out that do not fit."""
 
-    def _due(self, now):
-        out, self.out = self.out, {}
-        said = super()._due(now)
-        self.out = out
+    def _due_release(self, now):
+        out, self.in_use = self.in_use, {}
+        said = super()._due_release(now)
+        self.in_use = out
         return said
 
 
 class NeverCloses(QuotaTransfer):
-    def most(self, resource, now):
+    def hard_limit(self, resource, now):
         return 8
 
 
--- a/tests/storage_gateway/coordination/test_policy.py
+++ b/tests/storage_gateway/coordination/test_policy.py
@@ -86,7 +86,7 @@
         policy.tick(10.0 + n)
     assert policy.marked(99, 12.0) == []
     policy.marked(3, 12.1)
-    assert policy.known_at == 12.0 and policy.marked(1, 12.2) == [] and policy.known_at == 12.0
+    assert policy.renewed_at == 12.0 and policy.marked(1, 12.2) == [] and policy.renewed_at == 12.0
 
 
 def test_marks_on_their_way_are_bounded():
