--- a/mallowbeam/router/control_plane/state_machine.py
+++ b/mallowbeam/router/control_plane/state_machine.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from mallowbeam.router.configuration.changes import difference, to_update
 from mallowbeam.router.configuration.model import Configuration
 from mallowbeam.router.configuration.parsing import ConfigurationParser
+from mallowbeam.router.configuration.updates import full_update, incremental_update
 from mallowbeam.router.configuration.versions import ConfigurationVersions
 from mallowbeam.router.registry.leases import Leases
 from mallowbeam.router.registry.retirements import Retirements
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class CommandOutcome:
     """What came of a command that was applied."""
 
     result: CommandResult
@@ -46,18 +46,18 @@
         self.leases = Leases()
         self._retired = retired
 
-    def apply(self, index: int, payload: bytes) -> Outcome:
+    def apply(self, index: int, payload: bytes) -> CommandOutcome:
         """Apply one committed command."""
         command = Command.FromString(payload)
         match command.WhichOneof("body"):
             case "put_configuration":
-                return Outcome(self.configurations.apply(command.put_configuration), index)
+                return CommandOutcome(self.configurations.apply(command.put_configuration), index)
             case "retire_instance":
-                return Outcome(self._retire(command.retire_instance), index)
+                return CommandOutcome(self._retire(command.retire_instance), index)
             case "acquire_lease":
                 grant = self.leases.apply(command.acquire_lease)
-                return Outcome(grant.result, index, grant.token)
-        return Outcome(REFUSED, index)  # of a later version of the program
+                return CommandOutcome(grant.result, index, grant.token)
+        return CommandOutcome(REFUSED, index)  # of a later version of the program
 
     def _retire(self, retirement: RetireInstance) -> CommandResult:
         result = self.retirements.apply(retirement)
@@ -107,7 +107,7 @@
         update = self._updates.get(revision)
         if update is None:
             held = self._recent.get(revision)
-            update = difference(held, current) if held is not None else to_update(current)
+            update = incremental_update(held, current) if held is not None else full_update(current)
             self._updates[revision] = update
         return update
 
--- a/mallowbeam/storage_gateway/coordination/shares/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/shares/subsystem.py
@@ -9,8 +9,8 @@
 
 An allotment is the tenant's plan as it is in force, with the allotted rate as its limit, all of it for this
 gateway (fraction 1).  A tenant that uses several plans has its rate in equal parts under each.  The burst is
-`units_top` and one epoch's units: with less than one request's units, that request would never pass.  So in
-any T seconds a node gets at most its capacity times T and one epoch, and `units_top` for each tenant at each
+`max_units` and one epoch's units: with less than one request's units, that request would never pass.  So in
+any T seconds a node gets at most its capacity times T and one epoch, and `max_units` for each tenant at each
 gateway.  A rate of 0 is written as fraction 0, because to the scheduler a limit of 0 means none.
 
 Under an unknown plan there is no allotment.  What the scheduler refuses is logged, and the static division of
@@ -32,7 +32,7 @@
 from mallowbeam.storage_gateway.coordination.subsystem import SubsystemContext
 from mallowbeam.storage_gateway.operator_settings import SharesSection
 from mallowbeam.storage_gateway.scheduler.interface import Plan
-from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 
 MIX_S = 1.0  # seconds between updates of a tenant's mix of requests; each halves what was counted before
 LEAST_UNITS = 0.01  # counted units under which a plan or a mix is forgotten: some 8 s after one request
@@ -58,10 +58,10 @@
 
 
 class SharesSubsystem:
-    """The subsystem `shares`; `units_top` is the most units of one request."""
+    """The subsystem `shares`; `max_units` is the most units of one request."""
 
-    def __init__(self, context: SubsystemContext, section: SharesSection, units_top: int = 1) -> None:
-        self.context, self.section, self.units_top = context, section, units_top
+    def __init__(self, context: SubsystemContext, section: SharesSection, max_units: int = 1) -> None:
+        self.context, self.section, self.max_units = context, section, max_units
         self.state_machine = SharesStateMachine(context.members)
         self.now = self.mixed_at = time.monotonic()
         timing = SharesTiming(
@@ -81,7 +81,7 @@
         self.lost_nodes: dict[str, bool] = {}
         self.plans: dict[str, Plan | None] = {}  # that requests named, as they are in force
         self.refused = 0
-        self.log_failure = Sparse("shares: an allotment does not hold, the static part does")
+        self.log_failure = RateLimitedWarning("shares: an allotment does not hold, the static part does")
         context.observe(lambda fields: self.observed(fields, time.monotonic()))
 
     @property
@@ -252,7 +252,7 @@
             return False
         allotment, fraction = in_force, None
         if rate is not None:
-            burst = self.units_top + rate * self.section.epoch_s
+            burst = self.max_units + rate * self.section.epoch_s
             limit = rate if rate > 0 else 1.0
             allotment = replace(in_force, limit=limit, limit_burst=burst, limit_slack=0.0)
             fraction = 1.0 if rate > 0 else 0.0
@@ -284,4 +284,4 @@
 
 def open_subsystem(context: SubsystemContext, section: SharesSection) -> SharesSubsystem:
     """The subsystem of a gateway; `section` is the operators' file's."""
-    return SharesSubsystem(context, section, context.gateway().config.settings.units_top)
+    return SharesSubsystem(context, section, context.gateway().config.settings.max_units)
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_part.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_subsystem.py
@@ -8,16 +8,22 @@
 import pytest
 
 from mallowbeam.http.framing import Message
-from mallowbeam.storage_gateway.coordination.maintenance import state as s
-from mallowbeam.storage_gateway.coordination.maintenance.subsystem import NotOut, open_subsystem
+from mallowbeam.storage_gateway.coordination.maintenance.entries import (
+    NodeStatus,
+    SelectNext,
+    StatusReport,
+    Transition,
+    WorkCompleted,
+)
+from mallowbeam.storage_gateway.coordination.maintenance.subsystem import MachineNotOutError, open_subsystem
 from mallowbeam.storage_gateway.coordination.replicated_log import ReplicatedLog
 from mallowbeam.storage_gateway.coordination.status_pages import StatusPages
 from mallowbeam.storage_gateway.operator_settings import MaintenanceSection
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, NodeState
 
 
-class SubsystemContext:
-    """Hands that record; what is proposed is put in by the test."""
+class RecordingContext:
+    """A context that records; what is proposed is put in by the test."""
 
     me, members = "g0", ("g0", "g1", "g2")
 
@@ -52,54 +58,54 @@
 
 @pytest.fixture
 def rig():
-    context = SubsystemContext()
-    part = open_subsystem(context, MaintenanceSection(on=True))
-    log = ReplicatedLog([part.state_machine])
+    context = RecordingContext()
+    subsystem = open_subsystem(context, MaintenanceSection(on=True))
+    log = ReplicatedLog([subsystem.state_machine])
 
     def put(by, entry):
         told = log.apply(log.encode("maintenance", by, entry))
         assert told.refusal is None
-        part.committed(told, 100.0)
+        subsystem.committed(told, 100.0)
 
     def push(*machines):
         asked = [{"id": "a", "machines": list(machines), "at_once": 2}] if machines else []
         for told in log.push({"drains": [], "maintenance": {"requests": asked}}):
-            part.committed(told, 100.0)
+            subsystem.committed(told, 100.0)
 
     def say():
         """All gateways' words."""
         for number, by in enumerate(context.members):
             put(
                 by,
-                s.Report(
+                StatusReport(
                     f"l{log.index}",
                     number,
                     log.index,
                     "z",
-                    {entry.node: s.NodeFacts(entry.zone) for entry in context.nodes()},
+                    {entry.node: NodeStatus(entry.zone) for entry in context.nodes()},
                     ["n0", "g0"],
                     ["n0"],
                     True,
                 ),
             )
 
-    part.tick(99.0)
+    subsystem.tick(99.0)
     say()
-    return SimpleNamespace(context=context, part=part, put=put, push=push, say=say, log=log)
+    return SimpleNamespace(context=context, subsystem=subsystem, put=put, push=push, say=say, log=log)
 
 
 def go(rig, machine, *steps):
     for step in steps:
         rig.say()
-        rig.put("g1", s.Move(machine, step, rig.part.core.state.items[machine].turn))
+        rig.put("g1", Transition(machine, step, rig.subsystem.core.state.machines[machine].version))
 
 
 def test_a_node_is_drained_and_called_back_by_an_operators_word_at_the_page(rig):
     rig.push("n0")
-    rig.put("g0", s.Next(0))
+    rig.put("g0", SelectNext(0))
     go(rig, "n0", "draining")
     assert rig.context.drained == {"n0"}
-    pages = StatusPages(SimpleNamespace(subsystems={"maintenance": rig.part}, figures=dict))
+    pages = StatusPages(SimpleNamespace(subsystems={"maintenance": rig.subsystem}, figures=dict))
 
     def ask(method, target):
         request = Message()
@@ -110,29 +116,29 @@
     go(rig, "n0", "empty", "out")
     assert ask(b"GET", b"/fleet/maintenance/back?n0") == 405
     assert ask(b"PUT", b"/fleet/maintenance/back?n0") == 202
-    rig.part.tick(101.0)
-    assert s.Back("n0") in rig.context.proposed
-    rig.put("g0", s.Back("n0"))
-    with pytest.raises(NotOut):
-        rig.part.asked("back", "n0")
+    rig.subsystem.tick(101.0)
+    assert WorkCompleted("n0") in rig.context.proposed
+    rig.put("g0", WorkCompleted("n0"))
+    with pytest.raises(MachineNotOutError):
+        rig.subsystem.asked("back", "n0")
     warmed = []
-    rig.part.warmers.append(lambda node, share: warmed.append((node, round(share, 2))))
+    rig.subsystem.warmers.append(lambda node, share: warmed.append((node, round(share, 2))))
     go(rig, "n0", "warming")
     assert rig.context.drained == set() and warmed == [("n0", 0.33)]
-    assert rig.part.gauges()["away"] == 1
+    assert rig.subsystem.gauges()["away"] == 1
 
 
 def test_a_gateway_gives_up_its_allotments_then_shuts_its_door(rig):
     held = [True]
-    rig.part.allotments.append(lambda out: not held[0])
+    rig.subsystem.allotments.append(lambda out: not held[0])
     rig.push("g0")
-    rig.put("g1", s.Next(0))
-    rig.part.tick(100.0)
-    assert rig.context.opened and not rig.context.proposed[-1].gave_up
+    rig.put("g1", SelectNext(0))
+    rig.subsystem.tick(100.0)
+    assert rig.context.opened and not rig.context.proposed[-1].released_allotments
     held.clear()
     held.append(False)
-    rig.part.tick(101.0)
-    assert any(getattr(entry, "gave_up", False) for entry in rig.context.proposed)
+    rig.subsystem.tick(101.0)
+    assert any(getattr(entry, "released_allotments", False) for entry in rig.context.proposed)
     go(rig, "g0", "draining")
     assert not rig.context.opened
     rig.push()
@@ -143,4 +149,4 @@
     assert rig.context.gates[0]()
     rig.push("n0")
     assert not rig.context.gates[0]()  # no mark and no report of its own has come back yet
-    assert rig.part.describe()["counted"] is False
+    assert rig.subsystem.describe()["counted"] is False
