--- a/mallowbeam/router/data_plane/fleet_view.py
+++ b/mallowbeam/router/data_plane/fleet_view.py
@@ -9,7 +9,7 @@
 
 from mallowbeam.router.configuration.model import Backend, Configuration, Route
 from mallowbeam.router.data_plane.routing import RouteTable
-from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.feed.instance_replica import InstanceChanges
 from mallowbeam.router.pairing.stages import PREFILL
 from mallowbeam.router.rpc.messages_pb2 import READY, Instance
 
--- a/mallowbeam/router/data_plane/gateway.py
+++ b/mallowbeam/router/data_plane/gateway.py
@@ -14,7 +14,7 @@
 from mallowbeam.router.data_plane.planning import Planner
 from mallowbeam.router.data_plane.prefill import HandleRelease
 from mallowbeam.router.data_plane.retry_budget import RetryBudgets
-from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.feed.instance_replica import InstanceChanges
 from mallowbeam.router.health.ejection import Ejection
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, ENDED, Instance, InstanceAttempts
 
--- a/mallowbeam/router/data_plane/role.py
+++ b/mallowbeam/router/data_plane/role.py
@@ -22,7 +22,7 @@
 from mallowbeam.router.data_plane.planning import Planner
 from mallowbeam.router.data_plane.readiness import ReadinessFront
 from mallowbeam.router.data_plane.retry_budget import BudgetSettings, RetryBudgets
-from mallowbeam.router.feed.subscriber import FeedEvents, FeedSubscriber
+from mallowbeam.router.feed.subscriber import FeedEvents, FeedSubscriber, GatewayIdentity
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.processes.metrics import Metric, metrics_server
 from mallowbeam.router.processes.overrides import overridden, read_overrides
@@ -166,11 +166,9 @@
         seed = int.from_bytes(os.urandom(8), "big")
         return FeedSubscriber(
             peer_addresses(settings),
-            settings.zone,
+            GatewayIdentity(settings.zone, settings.node_name, seed),
             Random(seed),
             apply_update,
-            gateway=settings.node_name,
-            incarnation=seed,
         )
 
 
--- a/mallowbeam/router/feed/__init__.py
+++ b/mallowbeam/router/feed/__init__.py
@@ -1,6 +1,11 @@
-"""What members tell gateways: snapshot, changes, heartbeats; the decisions of both ends."""
+"""The feed of configuration and instances from members to gateways: snapshot, changes, heartbeats.
 
-from mallowbeam.router.feed.instances import InstanceChanges
+State: a member's `FeedPublisher` holds a cursor for each gateway; a gateway's `FeedSubscriber` holds its
+replica of configuration and instances and its view of the members. Callers: the control plane's feed server,
+the data plane's feed link and the simulation; nothing here does I/O.
+"""
+
+from mallowbeam.router.feed.instance_replica import InstanceChanges
 from mallowbeam.router.feed.publisher import (
     ConfigurationSource,
     FeedAllowance,
@@ -8,7 +13,15 @@
     FeedPublisher,
     MemberStatus,
 )
-from mallowbeam.router.feed.subscriber import Action, Close, Connect, FeedEvents, FeedSubscriber, Wait
+from mallowbeam.router.feed.subscriber import (
+    Action,
+    Close,
+    Connect,
+    FeedEvents,
+    FeedSubscriber,
+    GatewayIdentity,
+    Wait,
+)
 
 __all__ = [
     "Action",
@@ -20,6 +33,7 @@
     "FeedEvents",
     "FeedPublisher",
     "FeedSubscriber",
+    "GatewayIdentity",
     "InstanceChanges",
     "MemberStatus",
     "Wait",
--- /dev/null
+++ b/mallowbeam/router/feed/gateway_count_window.py
@@ -0,0 +1,29 @@
+"""The greatest of the recent counts of gateways."""
+
+from __future__ import annotations
+
+from collections import deque
+
+from mallowbeam.router.feed.limits import GATEWAYS_WINDOW_S
+
+
+class GatewayCountWindow:
+    """The latest count, and the greatest one within GATEWAYS_WINDOW_S. Times are in seconds."""
+
+    def __init__(self) -> None:
+        """Begin with a count of 0."""
+        self.latest = 0
+        self._counts: deque[tuple[float, int]] = deque()  # (time, count), falling counts, oldest first
+
+    def record(self, count: int, now: float) -> None:
+        """Add the latest count."""
+        self.latest = count
+        while self._counts and self._counts[-1][1] <= count:
+            self._counts.pop()
+        self._counts.append((now, count))
+
+    def maximum(self, now: float) -> int:
+        """The greatest count within the window, or the latest one if that is older."""
+        while len(self._counts) > 1 and now - self._counts[0][0] > GATEWAYS_WINDOW_S:
+            self._counts.popleft()
+        return max(self.latest, self._counts[0][1] if self._counts else 0)
--- a/mallowbeam/router/feed/instances.py
+++ b/mallowbeam/router/feed/instance_replica.py
@@ -1,4 +1,4 @@
-"""The gateway's copy of the instance table."""
+"""A gateway's replica of the instance table."""
 
 from __future__ import annotations
 
@@ -14,75 +14,76 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceChanges:
-    """What an update did to the table."""
+    """The effect of an update on the replica."""
 
     changed: tuple[Instance, ...] = ()  # new ones and those that differ now, draining ones among them
-    ended: tuple[str, ...] = ()  # ids that are no longer held
+    ended: tuple[str, ...] = ()  # ids that were removed
 
 
-class InstanceCopy:
-    """Instances by id, and what is known for good of those that left.
+class InstanceReplica:
+    """Instances by id, and what is permanently known of those that left.
 
     A draining instance never becomes ready again, a deleted one never comes back, and one that ended
     otherwise comes back only with a higher sequence than it had at its end.
     """
 
     def __init__(self) -> None:
-        self.held: dict[str, Instance] = {}
+        """Start empty."""
+        self.instances: dict[str, Instance] = {}
         self._draining: dict[str, None] = {}  # oldest first, bounded
         self._ended_at: dict[str, int] = {}  # id to the sequence at its end; oldest first, bounded
 
     def apply(self, update: InstancesUpdate, replaces: bool) -> InstanceChanges:
-        """Take an update. `replaces`: it is the whole table, and what it does not name has ended."""
+        """Apply an update. If it `replaces` the table, instances that it does not name have ended."""
         changed: list[Instance] = []
         ended: list[str] = []
-        newest = replaces or not update.whole  # the sender's word counts also against a higher sequence
+        newest = replaces or not update.whole  # the sender's state is valid also against a higher sequence
         for instance in update.instances:
             if instance.state == ENDED:
-                self._take_end(instance, ended, newest)
+                self._apply_end(instance, ended, newest)
             else:
-                self._take(instance, changed, newest)
+                self._apply_live(instance, changed, newest)
         if replaces:
             named = {instance.id for instance in update.instances}
-            for id in [id for id in self.held if id not in named]:
-                del self.held[id]
+            for id in [id for id in self.instances if id not in named]:
+                del self.instances[id]
                 ended.append(id)
         return InstanceChanges(tuple(changed), tuple(ended))
 
-    def _take_end(self, instance: Instance, ended: list[str], newest: bool) -> None:
-        """Remove an instance; an end in a table that is not complete may be older than what is held."""
-        held = self.held.get(instance.id)
-        held_sequence = held.sequence if held is not None else 0
-        if held_sequence > instance.sequence and not newest:
+    def _apply_end(self, instance: Instance, ended: list[str], newest: bool) -> None:
+        """Remove an instance; an end in an incomplete table may be older than the replica."""
+        known = self.instances.get(instance.id)
+        known_sequence = known.sequence if known is not None else 0
+        if known_sequence > instance.sequence and not newest:
             return
-        last = max(instance.sequence, held_sequence, self._ended_at.pop(instance.id, 0))
+        last = max(instance.sequence, known_sequence, self._ended_at.pop(instance.id, 0))
         _remember(self._ended_at, instance.id, last)
         if last == RETIRED_SEQUENCE:
             self._draining.pop(instance.id, None)
-        if held is not None:
-            del self.held[instance.id]
+        if known is not None:
+            del self.instances[instance.id]
             ended.append(instance.id)
 
-    def _take(self, instance: Instance, changed: list[Instance], newest: bool) -> None:
-        """Take an instance that has not ended."""
+    def _apply_live(self, instance: Instance, changed: list[Instance], newest: bool) -> None:
+        """Add or replace an instance that has not ended."""
         ended_at = self._ended_at.get(instance.id)
         if ended_at is not None and instance.sequence <= ended_at:
             return
-        held = self.held.get(instance.id)
+        known = self.instances.get(instance.id)
         if instance.state == DRAINS:
             _remember(self._draining, instance.id, None)
-        if not instance.address or (held is not None and not newest and instance.sequence < held.sequence):
-            if held is None:  # all that is known of it is that it drains
+        if not instance.address or (known is not None and not newest and instance.sequence < known.sequence):
+            if known is None:  # nothing is known of it but that it is draining
                 return
-            instance = held
-        copy = Instance()
-        copy.CopyFrom(instance)
+            instance = known
+        owned = Instance()
+        owned.CopyFrom(instance)
         if instance.id in self._draining:
-            copy.state = DRAINS
-        self.held[copy.id] = copy
-        self._ended_at.pop(copy.id, None)
-        if held is None or not same_for_gateways(held, copy):
-            changed.append(copy)
+            owned.state = DRAINS
+        self.instances[owned.id] = owned
+        self._ended_at.pop(owned.id, None)
+        if known is None or not same_for_gateways(known, owned):
+            changed.append(owned)
 
 
 def _remember(memory: dict[str, Value], id: str, value: Value) -> None:
--- a/mallowbeam/router/feed/limits.py
+++ b/mallowbeam/router/feed/limits.py
@@ -4,19 +4,21 @@
 
 HEARTBEAT_INTERVAL_S = 0.25  # between two frames to a subscriber at the latest
 
-MOST_SILENCE_S = 1.0  # without a frame, after which a feed is given up
-UNFIT_DWELL_S = 0.5  # a new feed is kept for so long before its member is judged unfit
-MOST_LEADER_SILENCE_MS = 1_000  # a member out of touch with its leader for longer is left
-# A member whose frames are held up for longer is left. Not sooner: that may be the gateway's own link, which
-# a new connection only loads more.
-MOST_LATENESS_S = 2.0
+FRAME_TIMEOUT_S = 1.0  # without a frame, after which a connection is closed
+MIN_DWELL_S = 0.5  # how long a new connection is kept before its member is judged
+LEADER_TIMEOUT_MS = 1_000  # a member that has been isolated from its leader for longer is left
+# A member whose frames are stale by more is left. Not sooner: that may be the gateway's own link, which a new
+# connection only loads more.
+MAX_STALENESS_S = 2.0
 CONNECT_TIMEOUT_S = 0.6  # the host reports an attempt as failed after this time
-BACKOFF_LEAST_S = 0.1  # after the first failure to reach a member; doubles up to the next
-BACKOFF_MOST_S = 1.0
-BACKOFF_JITTER = 0.5  # the part of a backoff that is drawn
-UNFIT_LEAST_S = 5.0  # how long a member out of reach, out of touch or behind is left aside;
-UNFIT_MOST_S = 60.0  # doubles up to this while that stays so, once the gateway is ready
-MOST_CLOCK_DRIFT = 0.15  # by which steady clocks of two machines may differ in rate
-READY_WITHOUT_COMPLETE_S = 3.0  # after the first frame, a table that is not complete will do
+BACKOFF_MIN_S = 0.1  # after the first failure to reach a member; doubles up to the maximum
+BACKOFF_MAX_S = 1.0
+BACKOFF_JITTER = 0.5  # the fraction of a backoff that is random
+EJECTION_MIN_S = (
+    5.0  # how long a member that is unreachable, isolated or behind is ejected; doubles up to the
+)
+EJECTION_MAX_S = 60.0  # maximum while it stays so, once the gateway is ready
+MAX_CLOCK_DRIFT = 0.15  # by which the rates of two machines' monotonic clocks may differ, as a fraction
+READY_WITHOUT_COMPLETE_S = 3.0  # after the first frame, an incomplete table is accepted
 GATEWAYS_WINDOW_S = 20.0  # over which the greatest number of gateways is kept
-MOST_MEMBERS = 1_024  # addresses taken from one heartbeat
+MAX_MEMBERS = 1_024  # addresses accepted from one heartbeat
--- a/mallowbeam/router/feed/publisher.py
+++ b/mallowbeam/router/feed/publisher.py
@@ -1,8 +1,8 @@
 """The member's end of the feed: which frame goes to which subscriber.
 
-Every subscriber has a cursor: what it holds of the configuration and of the instance table. Subscribers with
-the same cursor get one and the same frame, which is built and encoded once, so that a change costs as many
-frames as there are different cursors (in the common case one), not as many as there are subscribers.
+Every subscriber has a cursor: the versions of configuration and instance table that it has. Subscribers with
+equal cursors get the same frame, which is built and encoded once, so that a change costs as many frames as
+there are different cursors (usually one), not as many as there are subscribers.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from mallowbeam.router.rpc.framing import encode_frame
 from mallowbeam.router.rpc.messages_pb2 import ConfigurationUpdate, FeedFrame, FeedHello, InstanceAttempts
 
-NO_TABLE = -1  # version of a subscriber that has not got the table
-NO_MEMBERS = -1  # likewise, the list of members
+NO_TABLE = -1  # version of a subscriber without the table
+NO_MEMBERS = -1  # likewise, without the membership
 
 
 class ConfigurationSource(Protocol):
@@ -25,32 +25,32 @@
 
     @property
     def revision(self) -> int:
-        """Revision of the current configuration; 0: none."""
+        """Revision of the current configuration; 0 if there is none."""
 
     def update_since(self, revision: int) -> ConfigurationUpdate | None:
-        """What leads from `revision` to the current one; None: nothing newer.
+        """The update from `revision` to the current one, None if nothing is newer.
 
-        Whole where the difference can't be told.
+        It is complete if no incremental one can be given.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class FeedAllowance:
-    """What a member may tell gateways now; what it may not is held back until it may.
+    """What a member may publish now; the rest is deferred.
 
-    Heartbeats and the list of members may always be told.
+    Heartbeats and the membership may always be published.
     """
 
-    configuration: bool = True  # whole or as a change
+    configuration: bool = True  # complete or incremental
     table: bool = True  # all instances
     instance_changes: bool = True  # to gateways that have the table
 
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """What the host knows beside the two tables."""
+    """What the host knows besides configuration and instances."""
 
-    leader_silence_ms: int  # since this member's state was known to be current
+    leader_silence_ms: int  # milliseconds since this member's state was known to be current
     gateways: int  # in the whole fleet
     members: tuple[str, ...]  # peer addresses of all members
     allowance: FeedAllowance = FeedAllowance()
@@ -58,24 +58,24 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedBatch:
-    """One frame, encoded once, and everyone to whom it goes."""
+    """One frame, encoded once, and its recipients."""
 
     frame: FeedFrame
-    encoded: bytes  # with its length in front, as it goes onto the connection
+    encoded: bytes  # with its length prefix, as written to the connection
     subscribers: tuple[int, ...]
 
 
 class _Cursor(NamedTuple):
-    """What a subscriber holds once its last frame has arrived."""
+    """What a subscriber has once its last frame has arrived."""
 
-    revision: int
-    version: int
-    complete: bool  # the table was complete when it was last sent whole
-    members: int  # which list of members
+    revision: int  # of the configuration
+    version: int  # of the instance table
+    complete: bool  # the instance table was complete when it was last sent in full
+    members: int  # version of the membership
 
 
 class FeedPublisher:
-    """Cursors of all subscribers of one member. Times are in seconds of the steady clock."""
+    """Cursors of all subscribers of one member. Times are in seconds of the monotonic clock."""
 
     def __init__(
         self,
@@ -83,26 +83,26 @@
         table: InstanceTable,
         attempts: Callable[[float], Sequence[InstanceAttempts]] | None = None,
     ) -> None:
-        """`attempts` gives how the fleet's attempts at instances end; asked with every second heartbeat."""
+        """Publish both; `attempts` gives the outcomes of the fleet's attempts, for every second heartbeat."""
         self._configuration = configuration
         self._table = table
         self._attempts = attempts
-        self._tells_attempts = False
+        self._attempts_due = False  # with the next heartbeat
         self._cursors: dict[int, _Cursor] = {}
         self._heartbeat_at = 0.0
         self._members: tuple[str, ...] = ()
-        self._members_version = 0  # rises with each change of the list of members
+        self._members_version = 0  # rises with each change of the membership
 
     def __len__(self) -> int:
-        """How many gateways are subscribed."""
+        """The number of subscribed gateways."""
         return len(self._cursors)
 
     def subscribe(self, subscriber: int, hello: FeedHello, now: float) -> None:
-        """Take a gateway in; its first frame comes with the next `frames()`, which the host calls at once."""
+        """Add a gateway; its first frame comes with the next `frames()`, which the host calls at once."""
         self._cursors[subscriber] = _Cursor(hello.configuration_revision, NO_TABLE, False, NO_MEMBERS)
 
     def unsubscribe(self, subscriber: int) -> None:
-        """Forget a gateway whose connection is over."""
+        """Remove a gateway whose connection has ended."""
         self._cursors.pop(subscriber, None)
 
     def frames_at(self) -> float:
@@ -110,30 +110,21 @@
         return self._heartbeat_at
 
     def frames(self, now: float, status: MemberStatus, busy: Collection[int] = ()) -> list[FeedBatch]:
-        """What has to go out now: changes and first frames at once, else a heartbeat when it is due.
+        """The frames to send now: changes and first frames at once, otherwise a heartbeat when it is due.
 
         Subscribers in `busy` read too slowly: they get nothing now, and all changes in one frame later.
         """
-        due = now >= self._heartbeat_at
-        attempts: Sequence[InstanceAttempts] | None = None
-        if due:
-            self._heartbeat_at = now + HEARTBEAT_INTERVAL_S
-            self._tells_attempts = not self._tells_attempts
-            if self._tells_attempts and self._attempts is not None:
-                attempts = self._attempts(now)
+        heartbeat_due = now >= self._heartbeat_at
+        attempts = self._begin_heartbeat(now) if heartbeat_due else None
         if status.members != self._members:
             self._members = status.members
             self._members_version += 1
         stamp_ms = int(now * 1000)
         complete = self._table.is_complete(now)
-        groups: dict[_Cursor, list[int]] = {}
-        for subscriber, cursor in self._cursors.items():
-            if subscriber not in busy:
-                groups.setdefault(cursor, []).append(subscriber)
         batches: list[FeedBatch] = []
-        for cursor, subscribers in groups.items():
+        for cursor, subscribers in self._by_cursor(busy).items():
             after = self._after(cursor, complete, status.allowance)
-            if after == cursor and not due:
+            if after == cursor and not heartbeat_due:
                 continue
             frame = self._frame(cursor, after, complete, status)
             frame.heartbeat.sent_at_ms = stamp_ms
@@ -146,8 +137,22 @@
                 self._cursors[subscriber] = after
         return batches
 
+    def _begin_heartbeat(self, now: float) -> Sequence[InstanceAttempts] | None:
+        """Schedule the next heartbeat; returns the outcomes of attempts that go with this one, if any."""
+        self._heartbeat_at = now + HEARTBEAT_INTERVAL_S
+        self._attempts_due = not self._attempts_due
+        return self._attempts(now) if self._attempts_due and self._attempts is not None else None
+
+    def _by_cursor(self, busy: Collection[int]) -> dict[_Cursor, list[int]]:
+        """The subscribers that are not busy, by their cursor."""
+        groups: dict[_Cursor, list[int]] = {}
+        for subscriber, cursor in self._cursors.items():
+            if subscriber not in busy:
+                groups.setdefault(cursor, []).append(subscriber)
+        return groups
+
     def _after(self, cursor: _Cursor, complete: bool, allowance: FeedAllowance) -> _Cursor:
-        """Where a subscriber stands once it has all that it may be told."""
+        """The cursor of a subscriber that has everything that may be published now."""
         after = cursor._replace(members=self._members_version)
         if allowance.configuration:
             after = after._replace(revision=max(cursor.revision, self._configuration.revision))
@@ -158,7 +163,7 @@
         return after
 
     def _frame(self, cursor: _Cursor, after: _Cursor, complete: bool, status: MemberStatus) -> FeedFrame:
-        """The frame that leads from one cursor to the other."""
+        """The frame that advances a subscriber from one cursor to the other."""
         frame = FeedFrame()
         frame.heartbeat.leader_silence_ms = status.leader_silence_ms
         frame.heartbeat.gateways = status.gateways
--- a/mallowbeam/router/feed/subscriber.py
+++ b/mallowbeam/router/feed/subscriber.py
@@ -1,8 +1,7 @@
-"""The gateway's end of the feed: which member to follow, and what is held of its word."""
+"""The gateway's end of the feed: which member to follow, and the state received from it."""
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 from random import Random
@@ -11,16 +10,16 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.router.feed.candidates import Candidates
-from mallowbeam.router.feed.instances import InstanceChanges, InstanceCopy
-from mallowbeam.router.feed.lateness import FrameLateness
+from mallowbeam.router.feed.frame_staleness import FrameStaleness
+from mallowbeam.router.feed.gateway_count_window import GatewayCountWindow
+from mallowbeam.router.feed.instance_replica import InstanceChanges, InstanceReplica
 from mallowbeam.router.feed.limits import (
     CONNECT_TIMEOUT_S,
-    GATEWAYS_WINDOW_S,
-    MOST_LATENESS_S,
-    MOST_LEADER_SILENCE_MS,
-    MOST_SILENCE_S,
+    FRAME_TIMEOUT_S,
+    LEADER_TIMEOUT_MS,
+    MAX_STALENESS_S,
+    MIN_DWELL_S,
     READY_WITHOUT_COMPLETE_S,
-    UNFIT_DWELL_S,
 )
 from mallowbeam.router.rpc.messages_pb2 import (
     ConfigurationUpdate,
@@ -35,6 +34,15 @@
 Configuration = TypeVar("Configuration")
 
 
+@dataclass(frozen=True, slots=True)
+class GatewayIdentity:
+    """How a gateway introduces itself to the member that it follows."""
+
+    zone: str
+    name: str = ""
+    incarnation: int = 0
+
+
 @dataclass(frozen=True, slots=True)
 class Connect:
     """Open a connection, send `hello()` and call `connected()`, or `failed()` after CONNECT_TIMEOUT_S."""
@@ -44,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """End the connection, then ask for the next action at once. No `failed()` is due."""
+    """Close the connection, then call `next_action()` at once; `failed()` is not to be called."""
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Nothing to do before `until`, unless a frame or an end comes in."""
+    """Nothing to do before `until`, unless a frame arrives or the connection ends."""
 
     until: float
 
@@ -61,231 +69,232 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedEvents(Generic[Configuration]):
-    """What a frame changed at the gateway."""
+    """The effect of a frame on the gateway."""
 
-    configuration: Configuration | None = None  # the new one, where it changed
+    configuration: Configuration | None = None  # the new one, if it changed
     instances: InstanceChanges = InstanceChanges()
-    attempts: tuple[InstanceAttempts, ...] = ()  # how the fleet's at failing instances ended
+    attempts: tuple[InstanceAttempts, ...] = ()  # outcomes of the fleet's attempts at failing instances
 
 
 @dataclass(slots=True)
-class _Link:
-    """The connection in use or being opened."""
+class _Connection:
+    """The connection to the member that is followed, open or being opened."""
 
     address: str
     since: float
     open: bool = False
-    heard_at: float = 0.0
-    lateness: FrameLateness = field(default_factory=FrameLateness)
-    was_in_touch: bool = False  # by any heartbeat of the member
-    out_of_touch: bool = False  # by the member's last heartbeat, or that came far too late
-    current: bool = False  # the last heartbeat tells of a state that was current just now
-    behind: bool = False  # the member sent an older configuration than is held
-    broken: bool = False  # its changes don't fit what is held: needs a new start
+    received_at: float = 0.0  # the last frame, or the opening
+    staleness: FrameStaleness = field(default_factory=FrameStaleness)
+    was_healthy: bool = False  # by any heartbeat
+    isolated: bool = False  # by the last heartbeat, or because that was far too stale
+    current: bool = False  # by the last heartbeat, the member's state was current just now
+    behind: bool = False  # the member sent an older configuration than this gateway has
+    inconsistent: bool = False  # the member's changes don't fit this gateway's state: needs a new start
 
 
 class FeedSubscriber(Generic[Configuration]):
-    """Follows one member at a time. Times are in seconds of the steady clock.
+    """Follows one member at a time. Times are in seconds of the monotonic clock.
 
-    `apply_update` makes the new configuration from the one that is held and an update; where it raises a
+    `apply_update` makes the new configuration from the current one and an update; if it raises a
     MallowbeamError, nothing is changed and the gateway starts again at another member.
     """
 
     def __init__(
         self,
         seeds: Iterable[str],
-        zone: str,
+        identity: GatewayIdentity,
         random: Random,
         apply_update: Callable[[Configuration | None, ConfigurationUpdate], Configuration],
-        gateway: str = "",
-        incarnation: int = 0,
     ) -> None:
-        self._zone, self._gateway, self._incarnation = zone, gateway, incarnation
+        """Start without state; `seeds` are the addresses of the settings, HOST:PORT."""
+        self._identity = identity
         self._apply_update = apply_update
         self._candidates = Candidates(seeds, random)
-        self._candidates.patient = False  # until it is ready
-        self._link: _Link | None = None
-        self._copy = InstanceCopy()
+        self._candidates.ejections_grow = False  # until it is ready
+        self._connection: _Connection | None = None
+        self._replica = InstanceReplica()
         self._first_frame_at: float | None = None
         self._table_complete = False
         self._was_ready = False
-        self._counts: deque[tuple[float, int]] = deque()  # falling counts of gateways, oldest first
+        self._gateway_counts = GatewayCountWindow()
         self.configuration: Configuration | None = None
         self.configuration_revision = 0
-        self.gateways = 0  # in the whole fleet, as last told
 
-    # ------------------------------------------------------------ what is held
+    # ------------------------------------------------------------ state
 
     @property
     def instances(self) -> Mapping[str, Instance]:
         """Instances by id, ready and draining; a read-only view."""
-        return MappingProxyType(self._copy.held)
+        return MappingProxyType(self._replica.instances)
+
+    @property
+    def gateways(self) -> int:
+        """The number of gateways in the whole fleet, as last received."""
+        return self._gateway_counts.latest
 
     def gateways_bound(self, now: float) -> int:
-        """The greatest number of gateways told of within GATEWAYS_WINDOW_S, or the last one."""
-        while len(self._counts) > 1 and now - self._counts[0][0] > GATEWAYS_WINDOW_S:
-            self._counts.popleft()
-        return max(self.gateways, self._counts[0][1] if self._counts else 0)
+        """The greatest number of gateways received within GATEWAYS_WINDOW_S, or the last one."""
+        return self._gateway_counts.maximum(now)
 
     def ready(self, now: float) -> bool:
         """Whether requests can be served; once true it stays so, also without a feed.
 
-        What a gateway begins with has to be current: it becomes ready while it follows a member in touch.
+        A gateway must start with current state: it becomes ready while it follows a member that is current.
         """
         if not self._was_ready and self.configuration_revision > 0 and self._follows_current(now):
-            self._was_ready = self._table_complete or (bool(self._copy.held) and self._waited(now))
-            self._candidates.patient = self._was_ready
+            self._was_ready = self._table_complete or (
+                bool(self._replica.instances) and self._waited_for_table(now)
+            )
+            self._candidates.ejections_grow = self._was_ready
         return self._was_ready
 
     def _follows_current(self, now: float) -> bool:
-        """Whether the member that is followed was in touch by its last word, which is not old."""
-        link = self._link
-        if link is None or not link.current or link.broken:
+        """Whether the followed member was current by its last heartbeat, and that is recent."""
+        connection = self._connection
+        if connection is None or not connection.current or connection.inconsistent:
             return False
-        return now - link.heard_at <= MOST_SILENCE_S
+        return now - connection.received_at <= FRAME_TIMEOUT_S
 
-    def _waited(self, now: float) -> bool:
-        """Whether a table that is not complete will do."""
+    def _waited_for_table(self, now: float) -> bool:
+        """Whether an incomplete table is accepted."""
         return self._first_frame_at is not None and now - self._first_frame_at > READY_WITHOUT_COMPLETE_S
 
     def hello(self) -> FeedHello:
         """The first message on a new connection."""
         return FeedHello(
-            gateway=self._gateway,
-            incarnation=self._incarnation,
-            zone=self._zone,
+            gateway=self._identity.name,
+            incarnation=self._identity.incarnation,
+            zone=self._identity.zone,
             configuration_revision=self.configuration_revision,
         )
 
     # ------------------------------------------------------------ the connection
 
     def next_action(self, now: float) -> Action:
-        """What the host is to do now; to be asked again after each event and at the time of a Wait."""
-        link = self._link
-        if link is None:
+        """What the host is to do now; to be called again after each event and at the end of a Wait."""
+        connection = self._connection
+        if connection is None:
             return self._open(now)
-        if not link.open:
-            return Wait(link.since + CONNECT_TIMEOUT_S)
-        if now - link.heard_at > MOST_SILENCE_S:
-            self._reconsider_others(link)
-            self._candidates.failed(link.address, now)
-            return self._give_up(link)
-        unfit = link.out_of_touch or link.behind
-        if link.broken or (unfit and self._may_leave(link, now)):
-            return self._give_up(link)
-        return Wait(link.heard_at + MOST_SILENCE_S)
-
-    def _may_leave(self, link: _Link, now: float) -> bool:
-        """Whether to leave an unfit member: it had time to get in touch, and another one may be better."""
-        return link.heard_at - link.since >= UNFIT_DWELL_S and self._candidates.better_than(link.address, now)
+        if not connection.open:
+            return Wait(connection.since + CONNECT_TIMEOUT_S)
+        if now - connection.received_at > FRAME_TIMEOUT_S:
+            self._readmit_others_once(connection)
+            self._candidates.record_failure(connection.address, now)
+            return self._leave(connection)
+        unhealthy = connection.isolated or connection.behind
+        if connection.inconsistent or (unhealthy and self._may_leave(connection, now)):
+            return self._leave(connection)
+        return Wait(connection.received_at + FRAME_TIMEOUT_S)
+
+    def _may_leave(self, connection: _Connection, now: float) -> bool:
+        """Whether to leave an unhealthy member: it had time to recover, and another one may be better."""
+        dwelled = connection.received_at - connection.since >= MIN_DWELL_S
+        return dwelled and self._candidates.has_better_than(connection.address, now)
 
     def connected(self, address: str, now: float) -> None:
-        """Take note of an open connection; the host has sent `hello()`."""
-        link = self._link
-        if link is not None and link.address == address:
-            link.open = True
-            link.heard_at = now
+        """The connection is open; the host has sent `hello()`."""
+        connection = self._connection
+        if connection is not None and connection.address == address:
+            connection.open = True
+            connection.received_at = now
 
     def failed(self, address: str, now: float) -> None:
-        """Take note that a connection could not be opened, or that its peer ended it."""
-        if self._link is not None and self._link.address == address:
-            self._reconsider_others(self._link)
-            self._link = None
-            self._candidates.failed(address, now)
+        """The connection could not be opened, or its peer ended it."""
+        connection = self._connection
+        if connection is not None and connection.address == address:
+            self._readmit_others_once(connection)
+            self._connection = None
+            self._candidates.record_failure(address, now)
 
     def _open(self, now: float) -> Action:
         """Try the next member, or wait for the first backoff to end."""
         address = self._candidates.choose(now)
         if address is None:
             return Wait(self._candidates.next_ready())
-        self._link = _Link(address, now)
+        self._connection = _Connection(address, now)
         return Connect(address)
 
-    def _reconsider_others(self, link: _Link) -> None:
-        """Have the others tried soon, once, where the member followed is no longer current."""
-        if link.was_in_touch:
-            link.was_in_touch = False
-            self._candidates.reconsider_others(link.address)
+    def _readmit_others_once(self, connection: _Connection) -> None:
+        """Readmit the other members, once, if the followed one is no longer current."""
+        if connection.was_healthy:
+            connection.was_healthy = False
+            self._candidates.readmit_others(connection.address)
 
-    def _give_up(self, link: _Link) -> Close:
+    def _leave(self, connection: _Connection) -> Close:
         """Leave the member."""
-        self._link = None
-        return Close(link.address)
+        self._connection = None
+        return Close(connection.address)
 
     # ------------------------------------------------------------ frames
 
     def received(self, frame: FeedFrame, now: float) -> FeedEvents[Configuration]:
-        """Take a frame of the open connection; one that comes after its end changes nothing."""
-        link = self._link
-        if link is None or not link.open or link.broken:
+        """Apply a frame of the open connection; a frame after its end has no effect."""
+        connection = self._connection
+        if connection is None or not connection.open or connection.inconsistent:
             return FeedEvents()
-        link.heard_at = now
+        connection.received_at = now
         if self._first_frame_at is None:
             self._first_frame_at = now
         if frame.HasField("heartbeat"):
-            self._take_heartbeat(link, frame.heartbeat, now)
+            self._apply_heartbeat(connection, frame.heartbeat, now)
         configuration = None
         if frame.HasField("configuration"):
-            configuration = self._take_configuration(link, frame.configuration, now)
+            configuration = self._apply_configuration(connection, frame.configuration, now)
         changes = InstanceChanges()
         if frame.HasField("instances"):
-            changes = self._take_instances(frame.instances, frame.heartbeat.table_complete)
+            changes = self._apply_instances(frame.instances, frame.heartbeat.table_complete)
         self.ready(now)
         return FeedEvents(configuration, changes, tuple(frame.attempts))
 
-    def _take_heartbeat(self, link: _Link, heartbeat: FeedHeartbeat, now: float) -> None:
-        """Judge the member by its silence, and learn the fleet's size and members."""
-        silence_ms = heartbeat.leader_silence_ms
-        late_s = link.lateness.frame(heartbeat.sent_at_ms / 1000, now) if heartbeat.sent_at_ms else 0.0
-        self._candidates.served(link.address, now - silence_ms / 1000 - late_s)
+    def _apply_heartbeat(self, connection: _Connection, heartbeat: FeedHeartbeat, now: float) -> None:
+        """Judge the member by the age of its state, and learn the number of gateways and the membership."""
+        state_age_ms = heartbeat.leader_silence_ms
+        staleness_s = 0.0
+        if heartbeat.sent_at_ms:
+            staleness_s = connection.staleness.measure(heartbeat.sent_at_ms / 1000, now)
+        self._candidates.record_frame(connection.address, now - state_age_ms / 1000 - staleness_s)
         if heartbeat.members:
-            self._candidates.learn(heartbeat.members)
-        link.current = silence_ms + late_s * 1000 <= MOST_LEADER_SILENCE_MS
-        link.out_of_touch = silence_ms > MOST_LEADER_SILENCE_MS or late_s > MOST_LATENESS_S
-        if link.out_of_touch:
-            self._reconsider_others(link)
-            self._candidates.unfit(link.address, now)
+            self._candidates.update_members(heartbeat.members)
+        connection.current = state_age_ms + staleness_s * 1000 <= LEADER_TIMEOUT_MS
+        connection.isolated = state_age_ms > LEADER_TIMEOUT_MS or staleness_s > MAX_STALENESS_S
+        if connection.isolated:
+            self._readmit_others_once(connection)
+            self._candidates.eject(connection.address, now)
         else:
-            link.was_in_touch = True
-            if not link.behind:
-                self._candidates.fit(link.address)
-        if not link.out_of_touch or heartbeat.gateways > self.gateways:
-            self._count(heartbeat.gateways, now)
-
-    def _count(self, gateways: int, now: float) -> None:
-        """Note a count; a member out of touch, which sees a part of the fleet, only ever raises it."""
-        self.gateways = gateways
-        while self._counts and self._counts[-1][1] <= gateways:
-            self._counts.pop()
-        self._counts.append((now, gateways))
-
-    def _take_configuration(
-        self, link: _Link, update: ConfigurationUpdate, now: float
+            connection.was_healthy = True
+            if not connection.behind:
+                self._candidates.readmit(connection.address)
+        # An isolated member sees only a part of the fleet: its count may raise the number, not lower it.
+        if not connection.isolated or heartbeat.gateways > self.gateways:
+            self._gateway_counts.record(heartbeat.gateways, now)
+
+    def _apply_configuration(
+        self, connection: _Connection, update: ConfigurationUpdate, now: float
     ) -> Configuration | None:
-        """Apply an update that leads to a newer revision; any older one speaks against the member."""
+        """Apply an update to a newer revision; a member that sends an older one is ejected."""
         if update.revision <= self.configuration_revision:
             if update.revision < self.configuration_revision:
-                link.behind = True
-                self._candidates.unfit(link.address, now)
+                connection.behind = True
+                self._candidates.eject(connection.address, now)
             return None
         if not update.whole and update.based_on != self.configuration_revision:
-            self._break(link, now)
+            self._reject_changes(connection, now)
             return None
         try:
             self.configuration = self._apply_update(self.configuration, update)
         except MallowbeamError:
-            self._break(link, now)
+            self._reject_changes(connection, now)
             return None
         self.configuration_revision = update.revision
         return self.configuration
 
-    def _break(self, link: _Link, now: float) -> None:
-        """Leave a member whose changes don't fit what is held."""
-        link.broken = True
-        self._candidates.failed(link.address, now)
+    def _reject_changes(self, connection: _Connection, now: float) -> None:
+        """Leave a member whose changes don't fit this gateway's state."""
+        connection.inconsistent = True
+        self._candidates.record_failure(connection.address, now)
 
-    def _take_instances(self, update: InstancesUpdate, complete: bool) -> InstanceChanges:
-        """Apply a table or its changes; only a complete table replaces what is held."""
+    def _apply_instances(self, update: InstancesUpdate, complete: bool) -> InstanceChanges:
+        """Apply a table or its changes; only a complete table replaces the replica."""
         if complete and update.whole:
             self._table_complete = True
-        return self._copy.apply(update, replaces=complete and update.whole)
+        return self._replica.apply(update, replaces=complete and update.whole)
--- a/mallowbeam/simulation/fleet_processes.py
+++ b/mallowbeam/simulation/fleet_processes.py
@@ -28,7 +28,7 @@
 from mallowbeam.router.control_plane.state_machine import CommandOutcome, ReplicatedStateMachine
 from mallowbeam.router.control_plane.store_recovery import OpenedStore
 from mallowbeam.router.data_plane.feed_link import FeedLink
-from mallowbeam.router.feed.subscriber import FeedSubscriber
+from mallowbeam.router.feed.subscriber import FeedSubscriber, GatewayIdentity
 from mallowbeam.router.processes.settings import BindAddresses, NodeSettings
 from mallowbeam.router.rpc.messages_pb2 import DRAINS
 from mallowbeam.simulation.dialing import Streams
@@ -324,14 +324,8 @@
         self.loop = loop = new_loop(self.machine, self._streams)
         seeds = [f"{seed.rpartition(':')[0]}:{PEER_PORT}" for seed in self._settings.seeds]
         random = Random(self._random.random())
-        self.subscriber = FeedSubscriber(
-            seeds,
-            self._settings.zone,
-            random,
-            apply_update,
-            self._settings.node_name,
-            self.machine.incarnation,
-        )
+        identity = GatewayIdentity(self._settings.zone, self._settings.node_name, self.machine.incarnation)
+        self.subscriber = FeedSubscriber(seeds, identity, random, apply_update)
         loop.create_task(self._follow())
 
     async def _follow(self) -> None:
--- a/tests/router/data_plane/test_rules_stop.py
+++ b/tests/router/data_plane/test_rules_stop.py
@@ -28,7 +28,7 @@
 from virtual_time import play
 
 from mallowbeam.router.data_plane.role import DataPlane
-from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.feed.instance_replica import InstanceChanges
 from mallowbeam.router.processes.role import RoleContext
 from mallowbeam.router.processes.settings import read_settings
 from mallowbeam.router.rpc.messages_pb2 import READY, Instance
--- a/tests/router/feed/test_feed_candidates.py
+++ b/tests/router/feed/test_feed_candidates.py
@@ -17,11 +17,11 @@
         """Two that were followed before are gone; the others, never followed, must not wait behind them."""
         for seed in range(1, 21):
             candidates = Candidates(MEMBERS, Random(seed))
-            candidates.learn(MEMBERS)
-            candidates.served("m1", 5.0)
-            candidates.served("m4", 6.0)
+            candidates.update_members(MEMBERS)
+            candidates.record_frame("m1", 5.0)
+            candidates.record_frame("m4", 6.0)
             for member in MEMBERS:
-                candidates.failed(member, 10.0)
+                candidates.record_failure(member, 10.0)
             tried = self.tried(candidates, 10.0, 14.0)
             with self.subTest(seed=seed):
                 self.assertEqual(tried, set(MEMBERS))
@@ -36,7 +36,7 @@
                 continue
             tried.add(member)
             now += CONNECT_TIMEOUT_S
-            candidates.failed(member, now)
+            candidates.record_failure(member, now)
         return tried
 
 
--- a/tests/router/feed/test_feed_subscriber.py
+++ b/tests/router/feed/test_feed_subscriber.py
@@ -7,15 +7,15 @@
 from random import Random
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.router.feed import Close, Connect, FeedSubscriber, Wait
+from mallowbeam.router.feed import Close, Connect, FeedSubscriber, GatewayIdentity, Wait
 from mallowbeam.router.feed.limits import (
-    BACKOFF_LEAST_S,
-    BACKOFF_MOST_S,
+    BACKOFF_MAX_S,
+    BACKOFF_MIN_S,
     CONNECT_TIMEOUT_S,
-    MOST_SILENCE_S,
+    EJECTION_MIN_S,
+    FRAME_TIMEOUT_S,
+    MIN_DWELL_S,
     READY_WITHOUT_COMPLETE_S,
-    UNFIT_DWELL_S,
-    UNFIT_LEAST_S,
 )
 from mallowbeam.router.rpc.messages_pb2 import (
     READY,
@@ -68,7 +68,7 @@
 
 class Case(unittest.TestCase):
     def setUp(self) -> None:
-        self.feed = FeedSubscriber(SEEDS, "z", Random(7), apply, "g", 5)
+        self.feed = FeedSubscriber(SEEDS, GatewayIdentity("z", "g", 5), Random(7), apply)
 
     def connect(self, now: float) -> str:
         action = self.feed.next_action(now)
@@ -78,7 +78,7 @@
 
     def again(self, now: float) -> str:
         """The peer ends the connection; another one is opened, where needed after the backoff."""
-        link = self.feed._link
+        link = self.feed._connection
         assert link is not None
         self.feed.failed(link.address, now)
         return self.connect(now + 0.2)
@@ -88,7 +88,7 @@
     def test_silence_ends_a_feed(self) -> None:
         first = self.connect(0.0)
         self.feed.received(frame(whole=True), 0.5)
-        self.assertEqual(self.feed.next_action(0.6), Wait(0.5 + MOST_SILENCE_S))
+        self.assertEqual(self.feed.next_action(0.6), Wait(0.5 + FRAME_TIMEOUT_S))
         self.assertEqual(self.feed.next_action(1.51), Close(first))
         following = self.feed.next_action(1.51)
         self.assertIsInstance(following, Connect)
@@ -120,14 +120,14 @@
                 self.assertGreater(action.until, now)
                 now = action.until
         self.assertEqual(attempts[:3], [0.0, 0.0, 0.0])
-        self.assertLessEqual(attempts[3], BACKOFF_LEAST_S)
-        self.assertLess(len(attempts), 3 * (20 / (BACKOFF_MOST_S / 2) + 6))
+        self.assertLessEqual(attempts[3], BACKOFF_MIN_S)
+        self.assertLess(len(attempts), 3 * (20 / (BACKOFF_MAX_S / 2) + 6))
         self.assertGreater(len(attempts), 3 * 20)
 
     def test_gateways_spread_over_members(self) -> None:
         taken = []
         for seed in range(350):
-            action = FeedSubscriber(SEEDS, "z", Random(seed), apply).next_action(0.0)
+            action = FeedSubscriber(SEEDS, GatewayIdentity("z"), Random(seed), apply).next_action(0.0)
             assert isinstance(action, Connect)
             taken.append(action.address)
         self.assertTrue(all(90 < taken.count(address) < 145 for address in SEEDS))
@@ -150,19 +150,19 @@
         first = self.connect(0.0)
         self.feed.received(frame(whole=True, silence_ms=9_000), 0.1)
         self.assertIsInstance(self.feed.next_action(0.1), Wait)
-        self.feed.received(frame(silence_ms=9_500), UNFIT_DWELL_S)
-        self.assertEqual(self.feed.next_action(UNFIT_DWELL_S), Close(first))
+        self.feed.received(frame(silence_ms=9_500), MIN_DWELL_S)
+        self.assertEqual(self.feed.next_action(MIN_DWELL_S), Close(first))
 
     def test_all_out_of_touch_stays_with_the_freshest(self) -> None:
         silences = dict(zip(SEEDS, (5_000, 3_000, 4_000), strict=True))
         now, visited = 0.0, []
-        while now < UNFIT_LEAST_S - 0.5:
+        while now < EJECTION_MIN_S - 0.5:
             action = self.feed.next_action(now)
             if isinstance(action, Connect):
                 visited.append(action.address)
                 self.feed.connected(action.address, now)
-            if self.feed._link is not None:
-                silence = silences[self.feed._link.address] + round(now * 1000)
+            if self.feed._connection is not None:
+                silence = silences[self.feed._connection.address] + round(now * 1000)
                 self.feed.received(frame(whole=True, silence_ms=silence), now)
             now += 0.25
         self.assertEqual(visited[-1], SEEDS[1])
@@ -173,7 +173,7 @@
         members = ("10.0.1.1:1", "10.0.1.2:1")
         self.feed.received(frame(whole=True, members=members), 0.1)
         self.feed.received(frame(), 0.2)  # no list: as before
-        link = self.feed._link
+        link = self.feed._connection
         assert link is not None
         self.feed.failed(link.address, 0.3)
         tried = []
@@ -204,8 +204,8 @@
         self.feed.received(made, now)
 
     def out_of_touch(self) -> bool:
-        assert self.feed._link is not None
-        return self.feed._link.out_of_touch
+        assert self.feed._connection is not None
+        return self.feed._connection.isolated
 
     def test_a_burst_after_a_cut_does_not_count_the_member_as_in_touch(self) -> None:
         """Each frame said 50 ms of silence, and was taken for news of now."""
@@ -247,7 +247,7 @@
 
     def test_clocks_of_other_rates_are_no_lateness(self) -> None:
         for rate in (0.9, 1.1):
-            feed = self.feed = FeedSubscriber(SEEDS, "z", Random(7), apply, "g", 5)
+            feed = self.feed = FeedSubscriber(SEEDS, GatewayIdentity("z", "g", 5), Random(7), apply)
             self.connect(0.0)
             for step in range(4_000):
                 now = 0.25 * step
@@ -291,12 +291,12 @@
             if isinstance(action, Connect):
                 attempts.append(now)
                 self.feed.connected(action.address, now)
-            if self.feed._link is not None:
+            if self.feed._connection is not None:
                 self.feed.received(frame(silence_ms=2**32 - 1), now)
             now += 0.25
         pauses = [after - before for before, after in itertools.pairwise(attempts)]
-        self.assertLessEqual(max(pauses), UNFIT_LEAST_S + 0.5)
-        self.assertLessEqual(len(attempts), 120.0 / UNFIT_LEAST_S * len(SEEDS))
+        self.assertLessEqual(max(pauses), EJECTION_MIN_S + 0.5)
+        self.assertLessEqual(len(attempts), 120.0 / EJECTION_MIN_S * len(SEEDS))
 
     def test_others_are_tried_again_where_the_member_followed_falls_out_of_touch(self) -> None:
         """They were out of reach a short time before, and were left aside for up to a minute."""
@@ -306,7 +306,7 @@
         for other in SEEDS:
             if other != first:
                 for _ in range(3):
-                    self.feed._candidates.failed(other, 0.2)
+                    self.feed._candidates.record_failure(other, 0.2)
         self.feed.received(frame(silence_ms=1_500), 3.0)
         self.assertEqual(self.feed.next_action(3.0), Close(first))
         following = self.feed.next_action(3.0)
--- a/tests/router/feed/test_feed_subscriber_tables.py
+++ b/tests/router/feed/test_feed_subscriber_tables.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 from test_feed_subscriber import SEEDS, Case, apply, frame, instance
 
-from mallowbeam.router.feed import Connect, FeedSubscriber
+from mallowbeam.router.feed import Connect, FeedSubscriber, GatewayIdentity
 from mallowbeam.router.feed.candidates import Candidates
 from mallowbeam.router.feed.limits import (
+    EJECTION_MIN_S,
     GATEWAYS_WINDOW_S,
-    UNFIT_LEAST_S,
 )
 from mallowbeam.router.registry.limits import RETIRED_SEQUENCE
 from mallowbeam.router.rpc.messages_pb2 import (
@@ -98,7 +98,7 @@
         )
     )
     def test_states_only_move_on(self, words: list[tuple[str, int, int, bool, bool]]) -> None:
-        feed = FeedSubscriber(SEEDS, "z", Random(1), apply)
+        feed = FeedSubscriber(SEEDS, GatewayIdentity("z"), Random(1), apply)
         action = feed.next_action(0.0)
         assert isinstance(action, Connect)
         feed.connected(action.address, 0.0)
@@ -138,15 +138,15 @@
 class CandidateTests(unittest.TestCase):
     def test_a_member_found_unfit_is_left_aside_for_longer_each_time(self) -> None:
         candidates = Candidates(SEEDS, Random(1))
-        candidates.unfit(SEEDS[0], 0.0)
-        candidates.unfit(SEEDS[0], 1.0)
-        self.assertFalse(candidates.get(SEEDS[0]).fit(UNFIT_LEAST_S - 0.1))
-        self.assertTrue(candidates.get(SEEDS[0]).fit(UNFIT_LEAST_S))
-        candidates.unfit(SEEDS[0], 10.0)
-        self.assertFalse(candidates.get(SEEDS[0]).fit(10.0 + 2 * UNFIT_LEAST_S - 0.1))
-        self.assertTrue(candidates.get(SEEDS[0]).fit(10.0 + 2 * UNFIT_LEAST_S))
-        candidates.fit(SEEDS[0])
-        self.assertTrue(candidates.get(SEEDS[0]).fit(11.0))
+        candidates.eject(SEEDS[0], 0.0)
+        candidates.eject(SEEDS[0], 1.0)
+        self.assertFalse(candidates.get(SEEDS[0]).eligible(EJECTION_MIN_S - 0.1))
+        self.assertTrue(candidates.get(SEEDS[0]).eligible(EJECTION_MIN_S))
+        candidates.eject(SEEDS[0], 10.0)
+        self.assertFalse(candidates.get(SEEDS[0]).eligible(10.0 + 2 * EJECTION_MIN_S - 0.1))
+        self.assertTrue(candidates.get(SEEDS[0]).eligible(10.0 + 2 * EJECTION_MIN_S))
+        candidates.readmit(SEEDS[0])
+        self.assertTrue(candidates.get(SEEDS[0]).eligible(11.0))
 
 
 if __name__ == "__main__":
--- a/tests/router/registry/test_registry_broken.py
+++ b/tests/router/registry/test_registry_broken.py
@@ -8,7 +8,7 @@
 from registry_processes import Broken
 
 from mallowbeam.router.feed import FeedSubscriber, InstanceChanges
-from mallowbeam.router.feed.instances import InstanceCopy
+from mallowbeam.router.feed.instance_replica import InstanceReplica
 from mallowbeam.router.registry import InstanceTable
 from mallowbeam.router.registry.instance_record import InstanceRecord
 from mallowbeam.router.registry.retirements import Retirements
@@ -68,7 +68,7 @@
         return batch
 
 
-class ReplacingCopy(InstanceCopy):
+class ReplacingReplica(InstanceReplica):
     def apply(self, update: InstancesUpdate, replaces: bool) -> InstanceChanges:
         return super().apply(update, replaces or update.whole)
 
@@ -78,7 +78,7 @@
 
     def __init__(self, *arguments: object, **named: object) -> None:
         super().__init__(*arguments, **named)
-        self._copy = ReplacingCopy()
+        self._replica = ReplacingReplica()
 
 
 class StaysForEver(FeedSubscriber[int]):
--- a/tests/simulation/test_system_broken.py
+++ b/tests/simulation/test_system_broken.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from mallowbeam.router.configuration.model import Configuration
-from mallowbeam.router.feed.instances import InstanceCopy
+from mallowbeam.router.feed.instance_replica import InstanceReplica
 from mallowbeam.router.feed.subscriber import FeedSubscriber
 from mallowbeam.simulation.clock import Step
 from mallowbeam.simulation.disk import Disk
@@ -49,17 +49,17 @@
             self.assertIn("the configuration went back", self.violation("end 12"))
 
     def test_a_gateway_that_overlooks_a_drain(self):
-        apply = InstanceCopy.apply
+        apply = InstanceReplica.apply
 
-        def overlooks(self: InstanceCopy, update: object, replaces: bool) -> object:
+        def overlooks(self: InstanceReplica, update: object, replaces: bool) -> object:
             changes = apply(self, update, replaces)
-            for instance in self.held.values():
+            for instance in self.instances.values():
                 instance.state = 0
             return changes
 
         text = "at 8 drain a\nby 9 expect acknowledged a\nnever g1 a ready from 9.5 to 12\nend 12"
         FleetPlayer(HEAD + text).play()
-        with mock.patch.object(InstanceCopy, "apply", overlooks):
+        with mock.patch.object(InstanceReplica, "apply", overlooks):
             self.assertIn("never g1 a ready", self.violation(text))
 
     def test_a_task_that_fails_unhandled(self):
--- a/tests/support/exchange_model.py
+++ b/tests/support/exchange_model.py
@@ -24,7 +24,7 @@
 from mallowbeam.router.data_plane.gateway import Gateway
 from mallowbeam.router.data_plane.link_pool import LinkPool
 from mallowbeam.router.data_plane.retry_budget import RetryBudgets
-from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.feed.instance_replica import InstanceChanges
 from mallowbeam.router.rpc.messages_pb2 import READY, Instance
 
 FIRST, SECOND = b"r1", b"r2"
--- a/tests/support/fleet_variants.py
+++ b/tests/support/fleet_variants.py
@@ -28,7 +28,7 @@
 from mallowbeam.router.control_plane.membership_manager import MembershipManager
 from mallowbeam.router.control_plane.membership_policy import ClusterView
 from mallowbeam.router.control_plane.state_machine import CommandOutcome, ReplicatedStateMachine
-from mallowbeam.router.feed.instances import InstanceCopy
+from mallowbeam.router.feed.instance_replica import InstanceReplica
 from mallowbeam.router.rpc.messages_pb2 import ALREADY_DONE, DONE, REFUSED, VERSION_MISMATCH, Membership
 from mallowbeam.simulation.replica import Replica
 
@@ -251,12 +251,12 @@
 
 
 _propose_response = CommandForwarder.propose_response
-_apply_instances = InstanceCopy.apply
+_apply_instances = InstanceReplica.apply
 
 
-def _overlooks_drains(self: InstanceCopy, update: Any, replaces: bool) -> object:
+def _overlooks_drains(self: InstanceReplica, update: Any, replaces: bool) -> object:
     changes = _apply_instances(self, update, replaces)
-    for instance in self.held.values():
+    for instance in self.instances.values():
         instance.state = 0
     return changes
 
@@ -273,7 +273,7 @@
         "drains are overlooked by a gateway",
         "holds a for ready",
         "at 8 drain a\nend 13.5",
-        _replaced(InstanceCopy, "apply", _overlooks_drains),
+        _replaced(InstanceReplica, "apply", _overlooks_drains),
         ("InTouchChecker",),
     ),
 )
--- a/tests/support/gateway_bench.py
+++ b/tests/support/gateway_bench.py
@@ -12,7 +12,7 @@
 from mallowbeam.router.data_plane.link_pool import LinkPool
 from mallowbeam.router.data_plane.planning import LeastLoadedPlanner, Planner
 from mallowbeam.router.data_plane.retry_budget import BudgetSettings, RetryBudgets
-from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.feed.instance_replica import InstanceChanges
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, READY, Instance
 from mallowbeam.standins.model_server import ModelServer
 
--- a/tests/support/registry_processes.py
+++ b/tests/support/registry_processes.py
@@ -9,7 +9,14 @@
 from typing import TYPE_CHECKING
 
 from mallowbeam.router.control_plane.response_gate import ResponseGate
-from mallowbeam.router.feed import Close, Connect, FeedPublisher, FeedSubscriber, MemberStatus
+from mallowbeam.router.feed import (
+    Close,
+    Connect,
+    FeedPublisher,
+    FeedSubscriber,
+    GatewayIdentity,
+    MemberStatus,
+)
 from mallowbeam.router.feed.limits import CONNECT_TIMEOUT_S
 from mallowbeam.router.registry import GatewayCounts, Retirements
 from mallowbeam.router.rpc.messages_pb2 import (
@@ -179,7 +186,7 @@
         self.world, self.name = world, name
         self.subscriber: FeedSubscriber[int] = world.subscriber_type(
             [f"{seed}:1" for seed in seeds],
-            "z",
+            GatewayIdentity("z"),
             Random(world.random.random()),
             lambda held, update: update.revision,
         )
