--- a/mallowbeam/storage_gateway/coordination/maintenance/constraints.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/constraints.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Mapping, Sequence
+from collections.abc import Callable, Mapping, Sequence
 
 from mallowbeam.storage_gateway.coordination.maintenance.fleet_view import FleetView
 from mallowbeam.storage_gateway.coordination.maintenance.section import Request
@@ -42,14 +42,9 @@
     node = view.nodes.get(machine)
     if node is None:
         return ""
-    group = (name for name, other in view.nodes.items() if other.zone == node.zone)
+    group = [name for name, other in view.nodes.items() if other.zone == node.zone]
     remaining = _remaining_weight(view, machine, group)
-    if remaining >= request.zone_floor - TOLERANCE:
-        return ""
-    return (
-        f"zone {node.zone!r} would keep {remaining:.2f} of its capacity, "
-        f"{request.id} wants {request.zone_floor:.2f}"
-    )
+    return _capacity_reason(f"zone {node.zone!r}", remaining, request.id, request.zone_floor)
 
 
 def shard_capacity(view: FleetView, machine: str, request: Request) -> str:
@@ -57,14 +52,9 @@
     node = view.nodes.get(machine)
     if node is None:
         return ""
-    group = (name for name, other in view.nodes.items() if other.shard == node.shard)
+    group = [name for name, other in view.nodes.items() if other.shard == node.shard]
     remaining = _remaining_weight(view, machine, group)
-    if remaining >= request.shard_floor - TOLERANCE:
-        return ""
-    return (
-        f"shard {node.shard} would keep {remaining:.2f} of its capacity, "
-        f"{request.id} wants {request.shard_floor:.2f}"
-    )
+    return _capacity_reason(f"shard {node.shard}", remaining, request.id, request.shard_floor)
 
 
 def sole_data(view: FleetView, machine: str, request: Request) -> str:
@@ -131,17 +121,23 @@
 """What an operator can change where a constraint excludes a machine for good."""
 
 
-def _remaining_weight(view: FleetView, machine: str, group: Iterable[str]) -> float:
+def _capacity_reason(group: str, remaining: float, request_id: str, floor: float) -> str:
+    """The reason against a machine whose group would keep too small a fraction of its weight."""
+    if remaining >= floor - TOLERANCE:
+        return ""
+    return f"{group} would keep {remaining:.2f} of its capacity, {request_id} wants {floor:.2f}"
+
+
+def _remaining_weight(view: FleetView, machine: str, group: Sequence[str]) -> float:
     """The fraction of a group's weight that stays available once this machine is out.
 
     It is 1 for a group without any weight.
     """
-    names = list(group)
-    total = sum(view.nodes[name].weight for name in names)
+    total = sum(view.nodes[name].weight for name in group)
     if not total > 0:
         return 1.0
     excluded = view.unavailable | {machine}
-    return sum(view.nodes[name].weight for name in names if name not in excluded) / total
+    return sum(view.nodes[name].weight for name in group if name not in excluded) / total
 
 
 def _names(names: Sequence[str]) -> str:
--- a/mallowbeam/storage_gateway/coordination/maintenance/fleet_view.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/fleet_view.py
@@ -7,11 +7,11 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Sequence
+from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, replace
 from typing import TypeVar
 
-from mallowbeam.storage_gateway.coordination.maintenance.entries import NodeStatus
+from mallowbeam.storage_gateway.coordination.maintenance.entries import NodeStatus, StatusReport
 from mallowbeam.storage_gateway.coordination.maintenance.state import MaintenanceState
 from mallowbeam.storage_gateway.coordination.maintenance.steps import IN_PROGRESS, Step
 
@@ -65,22 +65,33 @@
 
 def merge_reports(state: MaintenanceState, members: Sequence[str]) -> FleetView:
     """The view that the latest reports give together; expired gateways count only where all are expired."""
-    live = [state.reports[name] for name in sorted(state.reports) if name not in state.expired_gateways]
-    reported: dict[str, list[NodeStatus]] = {}
-    for report in live or state.reports.values():
+    statuses: dict[str, list[NodeStatus]] = {}
+    for report in _counted_reports(state):
         for name, status in report.nodes.items():
-            reported.setdefault(name, []).append(status)
-    nodes = {name: _merge_statuses(statuses) for name, statuses in reported.items()}
+            statuses.setdefault(name, []).append(status)
+    nodes = {name: _merge_statuses(each) for name, each in statuses.items()}
     zones = {name: status.zone for name, status in nodes.items()}
     zones |= {name: report.zone for name, report in state.reports.items()}
     machines = state.machines.values()
     in_progress = frozenset(machine.name for machine in machines if machine.step in IN_PROGRESS)
     lost = frozenset(machine.name for machine in machines if machine.step == Step.LOST)
-    down = {name for name, status in nodes.items() if not status.up or name in state.drained_by_policy}
-    down |= {name for name in members if name in state.expired_gateways or name not in state.reports}
+    down = _down_nodes(state, nodes) | _down_gateways(state, members)
     return FleetView(nodes, zones, tuple(members), in_progress, frozenset(down) - in_progress - lost, lost)
 
 
+def _counted_reports(state: MaintenanceState) -> Iterable[StatusReport]:
+    live = [state.reports[name] for name in sorted(state.reports) if name not in state.expired_gateways]
+    return live or state.reports.values()
+
+
+def _down_nodes(state: MaintenanceState, nodes: Mapping[str, NodeStatus]) -> set[str]:
+    return {name for name, status in nodes.items() if not status.up or name in state.drained_by_policy}
+
+
+def _down_gateways(state: MaintenanceState, members: Sequence[str]) -> set[str]:
+    return {name for name in members if name in state.expired_gateways or name not in state.reports}
+
+
 def _merge_statuses(statuses: list[NodeStatus]) -> NodeStatus:
     zone, shard, weight = _most_common([(each.zone, each.shard, each.weight) for each in statuses])
     return NodeStatus(
--- a/mallowbeam/storage_gateway/coordination/maintenance/policy_requests.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/policy_requests.py
@@ -39,7 +39,7 @@
     rejection = next(checks.rejections(requests), None)
     if rejection is not None:
         return rejection
-    return _merge(selector.members, state, index, requests, _policy_drains(policy))
+    return _merge(selector.members, state, index, requests, _drained_nodes(policy))
 
 
 def _merge(
@@ -47,7 +47,7 @@
     state: MaintenanceState,
     index: int,
     requests: tuple[Request, ...],
-    drains: Iterable[str],
+    drained_nodes: Iterable[str],
 ) -> MaintenanceState:
     by_id = {request.id: request for request in requests}
     named = _request_ids_by_machine(requests)
@@ -67,14 +67,14 @@
         halted_requests={
             request_id: reason for request_id, reason in state.halted_requests.items() if request_id in by_id
         },
-        drained_by_policy=frozenset(drains),
+        drained_by_policy=frozenset(drained_nodes),
         decisions=(*state.decisions, *decisions)[-MAX_DECISIONS:],
     )
 
 
-def _policy_drains(policy: Any) -> Iterable[str]:
-    drains: Iterable[str] = policy.get("drains", ()) if isinstance(policy, dict) else policy.drains
-    return drains
+def _drained_nodes(policy: Any) -> Iterable[str]:
+    names: Iterable[str] = policy.get("drains", ()) if isinstance(policy, dict) else policy.drains
+    return names
 
 
 def _request_ids_by_machine(requests: Iterable[Request]) -> dict[str, tuple[str, ...]]:
--- a/mallowbeam/storage_gateway/coordination/maintenance/state_machine.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/state_machine.py
@@ -95,11 +95,7 @@
         if by not in self.members or len(report.nodes) > MAX_NODES:
             return Refusal(f"a report by {by} of {len(report.nodes)} nodes", by, "the members are fixed")
         previous = state.reports.get(by)
-        if (
-            previous is not None
-            and previous.incarnation == report.incarnation
-            and previous.number >= report.number
-        ):
+        if previous is not None and not _is_newer(report, previous):
             return Refusal("an older report", by, "nothing: a newer one is here")
         if previous is not None and state.active:
             report = _with_missing_nodes(report, previous)
@@ -108,10 +104,8 @@
             reports=state.reports | {by: report},
             expired_gateways=state.expired_gateways - {by},
         )
-        if not any(
-            machine.step in OUT_OF_SERVICE or machine.step == Step.EMPTY
-            for machine in state.machines.values()
-        ):
+        steps = {machine.step for machine in state.machines.values()}
+        if steps.isdisjoint(OUT_OF_SERVICE | {Step.EMPTY}):
             return after
         return self._update_unavailable(after, index, by, report)
 
@@ -271,6 +265,10 @@
         return f"after {machine.step}"
 
 
+def _is_newer(report: StatusReport, previous: StatusReport) -> bool:
+    return report.incarnation != previous.incarnation or report.number > previous.number
+
+
 def _with_missing_nodes(report: StatusReport, previous: StatusReport) -> StatusReport:
     """A report with the nodes that only the gateway's previous one has, as down.
 
--- a/mallowbeam/storage_gateway/coordination/maintenance/transitions.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/transitions.py
@@ -46,6 +46,12 @@
             reason = self._constraint(state, machine, view)
             if reason:
                 return reason
+        return self._requirement(state, machine, target, view)
+
+    def _requirement(
+        self, state: MaintenanceState, machine: MachineState, target: Step, view: FleetView | None
+    ) -> str:
+        """What the step itself requires, apart from the constraints."""
         match machine.step, target:
             case Step.AGREED, Step.DRAINING:
                 return self._allotments_reason(state, machine)
--- a/mallowbeam/storage_gateway/coordination/pools/allocation.py
+++ b/mallowbeam/storage_gateway/coordination/pools/allocation.py
@@ -15,6 +15,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from functools import cached_property
+from typing import TypeVar
 
 from mallowbeam.storage_gateway.coordination.pools.apportionment import Claimant, apportion, tie_breaker
 from mallowbeam.storage_gateway.coordination.pools.expressions import Expression
@@ -33,8 +34,11 @@
     DEFAULT_RECALL_MS,
     DEFAULT_TENANT_FLOOR,
     DEFAULT_WEIGHT,
+    BudgetRule,
+    GatewayRule,
     PoolsDocument,
     SharingRule,
+    TenantRule,
     Terms,
 )
 
@@ -76,8 +80,10 @@
     loan: LoanTerms
 
 
-TenantShares = tuple[list[Claimant], dict[str, TenantTerms]]
-GatewayShares = tuple[list[Claimant], dict[str, SharingGroup]]
+ConditionalRule = TypeVar("ConditionalRule", BudgetRule, GatewayRule, SharingRule, TenantRule)
+
+TenantClaims = tuple[list[Claimant], dict[str, TenantTerms]]
+GatewayClaims = tuple[list[Claimant], dict[str, SharingGroup]]
 
 
 def claimant(name: str, terms: Terms, default_floor: int) -> Claimant:
@@ -89,23 +95,27 @@
     return Claimant(name, weight, floor, terms.ceiling)
 
 
+def _in_force(rules: Sequence[ConditionalRule], facts: Facts) -> list[ConditionalRule]:
+    return [rule for rule in rules if holds(rule.when, facts)]
+
+
 class Allocation:
     """A document applied to a fleet under given facts; asked node by node, and cached."""
 
     def __init__(self, document: PoolsDocument, fleet: Fleet, facts: Facts = NO_FACTS, turn: int = 0) -> None:
         self.fleet = fleet
         self.turn = turn
-        self._budgets = [rule for rule in document.budgets if holds(rule.when, facts)]
-        self._gateway_rules = [rule for rule in document.gateways if holds(rule.when, facts)]
-        self._sharing_rules = [rule for rule in document.sharing if holds(rule.when, facts)]
-        self._tenant_rules = [rule for rule in document.tenants if holds(rule.when, facts)]
+        self._budgets = _in_force(document.budgets, facts)
+        self._gateway_rules = _in_force(document.gateways, facts)
+        self._sharing_rules = _in_force(document.sharing, facts)
+        self._tenant_rules = _in_force(document.tenants, facts)
         self._recall_ms = DEFAULT_RECALL_MS if document.recall_ms is None else document.recall_ms
         self._classes = document.classes
         self._nodes = {node.name: node_traits(node) for node in fleet.nodes}
         self._gateways = {gateway.name: gateway_traits(gateway) for gateway in fleet.gateways}
         # By the rules that match: nodes that no rule tells apart have the same claimants.
-        self._gateway_shares: dict[tuple[tuple[int, ...], tuple[int, ...]], GatewayShares] = {}
-        self._tenant_shares: dict[tuple[str, tuple[int, ...]], TenantShares] = {}
+        self._gateway_claims: dict[tuple[tuple[int, ...], tuple[int, ...]], GatewayClaims] = {}
+        self._tenant_claims: dict[tuple[str, tuple[int, ...]], TenantClaims] = {}
 
     # --- nodes and gateways ---------------------------------------------------------------------------
 
@@ -125,16 +135,16 @@
             counts |= self._within_group(counts.pop(name), group, node)
         return NodeBudget(total, counts)
 
-    def gateway_claimants(self, node: str) -> GatewayShares:
+    def gateway_claimants(self, node: str) -> GatewayClaims:
         """Who takes part in a node's budget: gateways and groups, and the groups by their claimant's name."""
         traits = self._nodes[node]
         rules = tuple(i for i, rule in enumerate(self._gateway_rules) if matches(rule.nodes, traits))
         sharing = tuple(i for i, rule in enumerate(self._sharing_rules) if matches(rule.nodes, traits))
-        if (rules, sharing) not in self._gateway_shares:
-            self._gateway_shares[rules, sharing] = self._find_gateway_claimants(rules, sharing)
-        return self._gateway_shares[rules, sharing]
+        if (rules, sharing) not in self._gateway_claims:
+            self._gateway_claims[rules, sharing] = self._find_gateway_claimants(rules, sharing)
+        return self._gateway_claims[rules, sharing]
 
-    def _find_gateway_claimants(self, rules: Sequence[int], sharing: Sequence[int]) -> GatewayShares:
+    def _find_gateway_claimants(self, rules: Sequence[int], sharing: Sequence[int]) -> GatewayClaims:
         claimants: list[Claimant] = []
         members: dict[int, list[str]] = {}
         for name, traits in self._gateways.items():
@@ -184,19 +194,19 @@
         _, terms = self._tenant_claimants(node, gateway)
         return terms
 
-    def _tenant_claimants(self, node: str, gateway: str) -> TenantShares:
+    def _tenant_claimants(self, node: str, gateway: str) -> TenantClaims:
         node_traits_, gateway_traits_ = self._nodes[node], self._gateways[gateway]
         rules = tuple(
             i
             for i, rule in enumerate(self._tenant_rules)
             if matches(rule.nodes, node_traits_) and matches(rule.gateways, gateway_traits_)
         )
-        found = self._tenant_shares.get((gateway, rules))
+        found = self._tenant_claims.get((gateway, rules))
         if found is None:
-            found = self._tenant_shares[gateway, rules] = self._find_tenant_claimants(gateway, rules)
+            found = self._tenant_claims[gateway, rules] = self._find_tenant_claimants(gateway, rules)
         return found
 
-    def _find_tenant_claimants(self, gateway: str, rules: tuple[int, ...]) -> TenantShares:
+    def _find_tenant_claimants(self, gateway: str, rules: tuple[int, ...]) -> TenantClaims:
         loans = {i: self._loan_terms(i) for i in (None, *rules)}
         claimants: list[Claimant] = []
         terms_by_tenant: dict[str, TenantTerms] = {}
--- a/mallowbeam/storage_gateway/coordination/pools/borrowing.py
+++ b/mallowbeam/storage_gateway/coordination/pools/borrowing.py
@@ -148,7 +148,7 @@
         return self.borrowed(tenant) - self.recalled.get(tenant, 0)
 
 
-class ConnectionLedger:
+class ConnectionTracker:
     """The connections of one gateway, by node; implements `ConnectionBudgets`."""
 
     def __init__(self) -> None:
--- a/mallowbeam/storage_gateway/coordination/pools/canonical.py
+++ b/mallowbeam/storage_gateway/coordination/pools/canonical.py
@@ -46,6 +46,7 @@
 DIGEST_LENGTH = 12  # hex digits
 
 RuleKind = TypeVar("RuleKind", TenantClass, BudgetRule, GatewayRule, SharingRule, TenantRule)
+GatewayRuleKind = TypeVar("GatewayRuleKind", GatewayRule, SharingRule)
 
 
 def digest(document: PoolsDocument) -> str:
@@ -147,33 +148,25 @@
     budgets = [
         replace(rule, nodes=simplify(rule.nodes), when=simplify(rule.when)) for rule in document.budgets
     ]
+    gateways = [_normalize_gateways(rule, may_be_empty=False) for rule in document.gateways]
+    sharing = [_normalize_gateways(rule, may_be_empty=True) for rule in document.sharing]
     return PoolsDocument(
         None if document.recall_ms == DEFAULT_RECALL_MS else document.recall_ms,
         _sort_rules(classes, _independent_classes),
         _sort_rules(budgets, lambda one, other: are_disjoint(one.nodes, other.nodes)),
-        _sort_rules([_normalize_gateways(rule) for rule in document.gateways], _independent_gateways),
-        _sort_rules([_normalize_sharing(rule) for rule in document.sharing], _independent_sharing),
+        _sort_rules(gateways, _independent_gateways),
+        _sort_rules(sharing, _independent_gateways),
         _sort_rules([_normalize_tenants(rule) for rule in document.tenants], _independent_tenants),
     )
 
 
-def _normalize_gateways(rule: GatewayRule) -> GatewayRule:
+def _normalize_gateways(rule: GatewayRuleKind, may_be_empty: bool) -> GatewayRuleKind:
     return replace(
         rule,
         gateways=simplify(rule.gateways),
         nodes=simplify(rule.nodes),
         when=simplify(rule.when),
-        terms=_without_defaults(rule.terms, DEFAULT_GATEWAY_FLOOR, may_be_empty=False),
-    )
-
-
-def _normalize_sharing(rule: SharingRule) -> SharingRule:
-    return replace(
-        rule,
-        gateways=simplify(rule.gateways),
-        nodes=simplify(rule.nodes),
-        when=simplify(rule.when),
-        terms=_without_defaults(rule.terms, DEFAULT_GATEWAY_FLOOR, may_be_empty=True),
+        terms=_without_defaults(rule.terms, DEFAULT_GATEWAY_FLOOR, may_be_empty),
     )
 
 
@@ -254,11 +247,7 @@
     return other.name not in _classes_in(one.members) and one.name not in _classes_in(other.members)
 
 
-def _independent_gateways(one: GatewayRule, other: GatewayRule) -> bool:
-    return are_disjoint(one.gateways, other.gateways) or are_disjoint(one.nodes, other.nodes)
-
-
-def _independent_sharing(one: SharingRule, other: SharingRule) -> bool:
+def _independent_gateways(one: GatewayRuleKind, other: GatewayRuleKind) -> bool:
     return are_disjoint(one.gateways, other.gateways) or are_disjoint(one.nodes, other.nodes)
 
 
--- a/mallowbeam/storage_gateway/coordination/pools/case_checks.py
+++ b/mallowbeam/storage_gateway/coordination/pools/case_checks.py
@@ -83,6 +83,14 @@
     groups: set[int]
 
 
+@dataclass(slots=True)
+class TenantFloors:
+    """By scenario, the sum of tenants' floors at a gateway and node, and the last rule that added to it."""
+
+    needed: list[int]
+    last_rules: list[int | None]
+
+
 class CaseChecks:
     """Kinds of nodes, gateways and tenants, and what the rules decide for each combination."""
 
@@ -261,51 +269,39 @@
         """Tenants' floors beyond what a gateway certainly has, and rules that can never apply."""
         reported: set[int] = set()
         for node_kind, node in self._node_kinds.items():
-            bounded = sum(
-                match.scenarios
-                for match in self._first_budget.decide(node_kind.budgets)
-                if match.rule is not None
-            )
             for (gateway_kind, tenants), (_, gateway) in self._gateway_kinds.items():
-                needed, last_rules = self._tenant_floors(
-                    node_kind.tenants & gateway_kind.tenants, tenants, bounded
-                )
-                if not any(needed):
-                    continue
-                for certain, scenarios in self._certain_floors(node_kind, gateway_kind, gateway):
-                    for scenario in members(scenarios):
-                        rule = last_rules[scenario]
-                        if needed[scenario] <= certain or rule is None or rule in reported:
-                            continue
-                        reported.add(rule)
-                        yield self._tenant_error(rule, gateway, node, needed[scenario], certain, scenario)
+                floors = self._tenant_floors(node_kind, gateway_kind, tenants)
+                certain = self._certain_floors(node_kind, gateway_kind, gateway) if any(floors.needed) else ()
+                for certain_floor, scenario in certain:
+                    needed = floors.needed[scenario]
+                    rule = floors.last_rules[scenario]
+                    if needed <= certain_floor or rule is None or rule in reported:
+                        continue
+                    reported.add(rule)
+                    yield self._tenant_error(rule, gateway, node, needed, certain_floor, scenario)
         yield from self._first_tenant.unreachable()
 
-    def _tenant_floors(
-        self, rules: RuleSet, tenants: TenantCounts, bounded: ScenarioSet
-    ) -> tuple[list[int], list[int | None]]:
-        """By scenario, the sum of tenants' floors, and the last rule that added to it."""
-        needed = [0] * self._scenarios.count
-        last_rules: list[int | None] = [None] * self._scenarios.count
+    def _tenant_floors(self, node: NodeKind, gateway: GatewayKind, tenants: TenantCounts) -> TenantFloors:
+        """The floors of all tenants of one kind of gateway at one kind of node, where it is bounded."""
+        budgets = self._first_budget.decide(node.budgets)
+        bounded = sum(match.scenarios for match in budgets if match.rule is not None)
+        found = TenantFloors([0] * self._scenarios.count, [None] * self._scenarios.count)
         for tenant_rules, number in tenants:
-            for match in self._first_tenant.decide(rules & tenant_rules):
-                if match.rule is None:
-                    continue
-                floor = self._document.tenants[match.rule].terms.floor
+            for match in self._first_tenant.decide(node.tenants & gateway.tenants & tenant_rules):
+                floor = None if match.rule is None else self._document.tenants[match.rule].terms.floor
                 if not floor:
                     continue
                 for scenario in members(match.scenarios & bounded):
-                    needed[scenario] += floor * number
-                    last_rules[scenario] = match.rule
-        return needed, last_rules
-
-    def _certain_floors(
-        self, node: NodeKind, gateway: GatewayKind, name: str
-    ) -> Iterator[tuple[int, ScenarioSet]]:
-        """What a gateway has at least at any size: its floor, or that of a group that goes through it."""
+                    found.needed[scenario] += floor * number
+                    found.last_rules[scenario] = match.rule
+        return found
+
+    def _certain_floors(self, node: NodeKind, gateway: GatewayKind, name: str) -> Iterator[tuple[int, int]]:
+        """What a gateway has at least at any size, by scenario: its floor, or that of a group through it."""
         for case in self._floor_cases(node, gateway):
             is_own = case.group is None or self._document.sharing[case.group].through == name
-            yield (case.floor if is_own else 0), case.scenarios
+            for scenario in members(case.scenarios):
+                yield (case.floor if is_own else 0), scenario
 
     def _tenant_error(
         self, rule: int, gateway: str, node: str, needed: int, certain: int, scenario: int
--- a/mallowbeam/storage_gateway/coordination/pools/first_match.py
+++ b/mallowbeam/storage_gateway/coordination/pools/first_match.py
@@ -43,7 +43,7 @@
         self._all = scenarios.all
         self._holds_in = [scenarios.where(rule.when) for rule in rules]
         self._reached: RuleSet = 0
-        self._asked: RuleSet = 0
+        self._considered: RuleSet = 0
         self._covered_by: dict[int, int] = {}  # a rule that did not decide: one that did in its place
         self._found: dict[RuleSet, list[Match]] = {}
 
@@ -73,7 +73,7 @@
                     match.rule for match in found if match.rule is not None and match.scenarios & holds_in
                 )
                 self._covered_by.setdefault(rule, earlier)
-        self._asked |= candidates
+        self._considered |= candidates
         if undecided:
             found.append(Match(None, undecided))
         return found
@@ -89,7 +89,7 @@
                     position=rule.position,
                     remedy="correct what stands after `when`, or take the rule out",
                 )
-            elif not self._asked >> i & 1:
+            elif not self._considered >> i & 1:
                 yield PoolUnreachableError(
                     "it is about nothing in this fleet",
                     position=rule.position,
--- a/mallowbeam/storage_gateway/coordination/pools/name_checks.py
+++ b/mallowbeam/storage_gateway/coordination/pools/name_checks.py
@@ -94,23 +94,27 @@
 
 
 def _unknown_names(expression: Expression, subject: str, known: KnownNames) -> Iterator[PoolError]:
+    """Errors for unknown names of an expression about a subject: a node, gateway, tenant or fact."""
+    for key, name, position in _used_names(expression):
+        if name not in known[key]:
+            yield _unknown(subject if key == "name" else key, name, known[key], position)
+
+
+def _used_names(expression: Expression) -> Iterator[tuple[str, str, SourcePosition]]:
+    """Each name that an expression uses: its key, the name, and where the key stands."""
     match expression:
         case KeyIn(key, names):
             for name in names:
-                if name not in known[key]:
-                    kind = subject if key == "name" else key
-                    yield _unknown(kind, name, known[key], expression.position)
+                yield key, name, expression.position
         case ZoneOut(name):
-            if name not in known["zone"]:
-                yield _unknown("zone", name, known["zone"], expression.position)
+            yield "zone", name, expression.position
         case InMaintenance(name):
-            if name not in known["machine"]:
-                yield _unknown("machine", name, known["machine"], expression.position)
+            yield "machine", name, expression.position
         case Not(operand):
-            yield from _unknown_names(operand, subject, known)
+            yield from _used_names(operand)
         case And(operands) | Or(operands):
             for operand in operands:
-                yield from _unknown_names(operand, subject, known)
+                yield from _used_names(operand)
 
 
 def _unknown(kind: str, name: str, known: set[str], position: SourcePosition) -> PoolNameError:
--- a/tests/storage_gateway/coordination/pools/test_pools_borrowing.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_borrowing.py
@@ -7,7 +7,11 @@
 import pytest
 
 from mallowbeam.storage_gateway.coordination.pools.allocation import LoanTerms, TenantTerms
-from mallowbeam.storage_gateway.coordination.pools.borrowing import MAX_WAITING, Acquisition, ConnectionLedger
+from mallowbeam.storage_gateway.coordination.pools.borrowing import (
+    MAX_WAITING,
+    Acquisition,
+    ConnectionTracker,
+)
 
 ALL = frozenset({"a", "b", "c"})
 
@@ -17,7 +21,7 @@
 
 
 def lending(own, total=None, **offers):
-    made = ConnectionLedger()
+    made = ConnectionTracker()
     made.set_budget(
         "n",
         own,
@@ -128,7 +132,7 @@
 
 def test_a_node_that_becomes_bounded_knows_what_is_open():
     """Guards a first push: connections of before it count."""
-    made = ConnectionLedger()
+    made = ConnectionTracker()
     assert open_some(made, 5)
     made.set_budget("n", {"a": 2}, {}, 2)
     assert not made.may_open("n", "a") and not made.fits("n", 4)
