--- a/mallowbeam/router/control_plane/api.py
+++ b/mallowbeam/router/control_plane/api.py
@@ -7,9 +7,9 @@
 from collections.abc import Awaitable, Callable
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.http.budget import ANOTHER_LARGE_BODY, Budget
+from mallowbeam.http.budget import ANOTHER_LARGE_BODY, BodyBudget
 from mallowbeam.http.framing import Message
-from mallowbeam.http.front import Reply
+from mallowbeam.http.handler import Response
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.patch import parse_patch
@@ -85,7 +85,7 @@
         run_job: JobRunner = run_in_thread,
     ) -> None:
         """`run_job` processes large bodies beside the event loop."""
-        self.budget: Budget | None = Budget(MAX_SMALL_BODIES_BYTES, LARGE_BODY)
+        self.budget: BodyBudget | None = BodyBudget(MAX_SMALL_BODIES_BYTES, LARGE_BODY)
         self._large_bodies = LargeBodyAdmission(parser, run_job)
         self._parser = parser
         self._versions = versions
@@ -102,7 +102,7 @@
             (INSTANCES_PATH, b"DELETE"): self._delete_instance,
         }
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """Serve one call; its errors become error responses."""
         since = request.at or time.monotonic()
         try:
@@ -117,7 +117,7 @@
             return error_reply(SERVICE_UNAVAILABLE, error, closing(), self._status.other_controls())
         return body_reply(status, body, closing())
 
-    def complain(self, status: int, text: str) -> Reply:
+    def error_response(self, status: int, text: str) -> Response:
         """The response to a violation of HTTP or of a limit; the connection is closed after it."""
         if text == ANOTHER_LARGE_BODY:
             return error_reply(status, LargeBodyError(text, "body"), True, self._status.other_controls())
--- a/mallowbeam/router/control_plane/attempt_reports.py
+++ b/mallowbeam/router/control_plane/attempt_reports.py
@@ -30,7 +30,7 @@
     def receive_gossip(self, member: int, gossip: RegistryGossip, now: float) -> None:
         """Record the reports of another member's gateways."""
         if gossip.tells_attempts:
-            self._members.told(member, gossip.attempts, now)
+            self._members.record(member, gossip.attempts, now)
 
     def add_to_gossip(self, gossip: RegistryGossip, now: float) -> None:
         """Add the reports of this member's gateways, where they are due."""
--- a/mallowbeam/router/control_plane/instance_service.py
+++ b/mallowbeam/router/control_plane/instance_service.py
@@ -15,7 +15,7 @@
 from mallowbeam.router.control_plane.peer_links import PeerLinks
 from mallowbeam.router.control_plane.response_gate import AppliedEntry, ResponseGate, ResponseKind
 from mallowbeam.router.control_plane.stage_controller import StageController
-from mallowbeam.router.registry.census import GatewayCensus
+from mallowbeam.router.registry.gateway_counts import GatewayCounts
 from mallowbeam.router.registry.retirements import Retirements
 from mallowbeam.router.registry.table import InstanceTable
 from mallowbeam.router.rpc.messages_pb2 import (
@@ -59,7 +59,7 @@
         self._count_gateways = count_gateways
         self._gate = gate
         self._random = random
-        self.census = GatewayCensus()
+        self.gateway_counts = GatewayCounts()
 
     # ------------------------------------------------------------ calls
 
@@ -71,7 +71,7 @@
         """
         draining = instance.state == DRAINS
         before = self._table.version
-        self._table.heard(instance, time.monotonic())
+        self._table.receive_heartbeat(instance, time.monotonic())
         self._notify_if_changed(before)
         if draining:
             await self._retire(instance.id, DRAINING, since)
@@ -104,9 +104,9 @@
     def receive_gossip(self, sender: int, gossip: RegistryGossip) -> None:
         """Merge what another member knows of instances."""
         now = time.monotonic()
-        self.census.heard(sender, gossip.gateways, now)
+        self.gateway_counts.record(sender, gossip.gateways, now)
         if gossip.wants_whole:
-            self._links.send(sender, PeerFrame(registry=self._table.whole(now, self._count_gateways())))
+            self._links.send(sender, PeerFrame(registry=self._table.full_gossip(now, self._count_gateways())))
         before = self._table.version
         self._table.merge(gossip, now)
         self._notify_if_changed(before)
@@ -124,7 +124,7 @@
         """
         now = time.monotonic()
         if self._gate.staleness() > CONTACT_TIMEOUT_S:
-            self._table.out_of_touch(now)
+            self._table.mark_isolated(now)
         before = self._table.version
         self._table.expire(now)
         self._notify_if_changed(before)
@@ -134,7 +134,7 @@
             if (self._links.seconds_since_contact(member) or 0.0) > CONTACT_TIMEOUT_S
         ]
         reachable = [member for member in members if member not in missing]
-        if reachable and self._table.ask_whole(now, links_missing=bool(missing)):
+        if reachable and self._table.should_request_full_gossip(now, links_missing=bool(missing)):
             peer = self._random.choice(reachable)
             request = RegistryGossip(wants_whole=True, gateways=self._count_gateways())
             self._links.send(peer, PeerFrame(registry=request))
--- a/mallowbeam/router/control_plane/member_cycle.py
+++ b/mallowbeam/router/control_plane/member_cycle.py
@@ -68,7 +68,7 @@
         parts.joining.run_cycle()
         members = parts.driver.node.membership.members
         parts.instances.run_cycle([known.id for known in members if known.id != parts.own.id])
-        parts.status.gateways = parts.instances.census.total(len(parts.feeds), time.monotonic())
+        parts.status.gateways = parts.instances.gateway_counts.total(len(parts.feeds), time.monotonic())
         parts.stages.run_cycle(time.monotonic())
         parts.api_server.sweep()
 
--- a/mallowbeam/router/control_plane/stage_controller.py
+++ b/mallowbeam/router/control_plane/stage_controller.py
@@ -70,7 +70,7 @@
     def receive_gossip(self, member: int, gossip: RegistryGossip, now: float) -> None:
         """Record the demand of another member's gateways."""
         if gossip.demand:
-            self._members.told(member, gossip.demand, now)
+            self._members.record(member, gossip.demand, now)
 
     def add_to_gossip(self, gossip: RegistryGossip, now: float) -> None:
         """Add the demand of this member's gateways, where a report is due."""
@@ -89,7 +89,7 @@
         self._observe_demand(now)
         if self._has_engines() and self._lease.should_acquire(now):
             self._start(self._lease.acquire())
-        if self._table.complete(now) and self._lease.token(now) is not None:
+        if self._table.is_complete(now) and self._lease.token(now) is not None:
             for backend in self._instances:
                 self._order_changes(backend, now)
 
@@ -167,7 +167,7 @@
         log.info("%s to %s: %s", order.id, order.stage, result.value)
         if result is OrderResult.TAKEN:
             deadline = now + switch_s + self._settings.longest_switch_s
-            self._table.switch(order.id, order.stage, deadline, announce=True)
+            self._table.begin_stage_transition(order.id, order.stage, deadline, announce=True)
             self._gateways_outdated()
 
     def _start(self, work: Coroutine[object, object, None]) -> None:
--- a/mallowbeam/router/control_plane/stage_order_client.py
+++ b/mallowbeam/router/control_plane/stage_order_client.py
@@ -9,7 +9,7 @@
 import time
 from contextlib import suppress
 
-from mallowbeam.http.client import Broken, Link, Unsent, connect
+from mallowbeam.http.client import ConnectionBrokenError, Link, RequestNotSentError, connect
 from mallowbeam.http.framing import write_request
 from mallowbeam.router.control_plane.stage_lease import StageLease
 from mallowbeam.router.pairing.stage_share import OrderResult, StageOrder
@@ -36,14 +36,14 @@
         """Send an order and read its result; the token is taken in the step in which the order is written."""
         try:
             link = await connect(order.address, CONNECT_TIMEOUT_S, MAX_RESPONSE_BYTES)
-        except Unsent:
+        except RequestNotSentError:
             return OrderResult.NOT_SENT
         try:
             self._bound_delivery_time(link.channel.sock)
             token = self._lease.token(time.monotonic())
             if token is None:  # leadership may have moved while the connection came up
                 return OrderResult.NOT_SENT
-            with suppress(TimeoutError, Unsent, Broken):
+            with suppress(TimeoutError, RequestNotSentError, ConnectionBrokenError):
                 async with asyncio.timeout(self._lease.answer_timeout_s):
                     return self._result(await _post(link, order, self._lease.holder, token))
             return OrderResult.UNKNOWN
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_subsystem.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_subsystem.py
@@ -60,7 +60,7 @@
 def rig():
     context = RecordingContext()
     subsystem = open_subsystem(context, MaintenanceSection(on=True))
-    log = ReplicatedLog([subsystem.topic])
+    log = ReplicatedLog([subsystem.state_machine])
 
     def put(by, entry):
         told = log.apply(log.encode("maintenance", by, entry))
--- a/tests/support/exchange_model.py
+++ b/tests/support/exchange_model.py
@@ -17,14 +17,14 @@
 
 from mallowbeam.http.client import Link
 from mallowbeam.http.framing import Channel, Framer, Message
-from mallowbeam.http.front import Reply
+from mallowbeam.http.handler import Response
 from mallowbeam.router.configuration.model import Configuration
 from mallowbeam.router.data_plane import attempt, link_pool
 from mallowbeam.router.data_plane.front import ClientFront
 from mallowbeam.router.data_plane.gateway import Gateway
 from mallowbeam.router.data_plane.link_pool import LinkPool
 from mallowbeam.router.data_plane.retry_budget import RetryBudgets
-from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.feed.instance_replica import InstanceChanges
 from mallowbeam.router.rpc.messages_pb2 import READY, Instance
 
 FIRST, SECOND = b"r1", b"r2"
@@ -82,7 +82,7 @@
     def __init__(self, world: World, id: bytes) -> None:
         self.id = id
         self.whole = False  # the answer looks complete
-        self.reply: Reply | None = None
+        self.reply: Response | None = None
         self.channel = ClientChannel()
         self.task = asyncio.get_running_loop().create_task(self._run(world.front, world.request(id)))
 
