--- a/mallowbeam/router/configuration/message_codec.py
+++ b/mallowbeam/router/configuration/message_codec.py
@@ -5,9 +5,15 @@
 
 from __future__ import annotations
 
+from dataclasses import fields
+from typing import Any
+
 from mallowbeam.router.configuration.model import Backend, ClientLimits, Engine, Route, WeightedBackend
 from mallowbeam.router.rpc import messages_pb2 as messages
 
+ENGINE_FIELDS = tuple(field.name for field in fields(Engine))
+LIMIT_FIELDS = tuple(field.name for field in fields(ClientLimits))
+
 
 def encode_route(route: Route) -> messages.Route:
     """A route as a message."""
@@ -69,47 +75,26 @@
 
 def encode_engine(engine: Engine) -> messages.Engine:
     """The properties of a service's model servers as a message."""
-    return messages.Engine(
-        slots=engine.slots,
-        kv_capacity=engine.kv_capacity,
-        kv_token_bytes=engine.kv_token_bytes,
-        link_mbps=engine.link_mbps,
-        stride=engine.stride,
-        handle_ttl_s=engine.handle_ttl_s,
-        switch_s=engine.switch_s,
-        models=engine.models,
-    )
+    return messages.Engine(**_values(engine, ENGINE_FIELDS))
 
 
 def decode_engine(engine: messages.Engine) -> Engine:
     """The properties of a service's model servers from their message."""
-    return Engine(
-        slots=engine.slots,
-        kv_capacity=engine.kv_capacity,
-        kv_token_bytes=engine.kv_token_bytes,
-        link_mbps=engine.link_mbps,
-        stride=engine.stride,
-        handle_ttl_s=engine.handle_ttl_s,
-        switch_s=engine.switch_s,
-        models=tuple(engine.models),
-    )
+    values = _values(engine, ENGINE_FIELDS)
+    values["models"] = tuple(engine.models)
+    return Engine(**values)
 
 
 def encode_limits(limits: ClientLimits) -> messages.ClientLimits:
     """The clients' limits as a message."""
-    return messages.ClientLimits(
-        max_header_bytes=limits.max_header_bytes,
-        max_body_bytes=limits.max_body_bytes,
-        header_timeout_ms=limits.header_timeout_ms,
-        idle_timeout_ms=limits.idle_timeout_ms,
-    )
+    return messages.ClientLimits(**_values(limits, LIMIT_FIELDS))
 
 
 def decode_limits(limits: messages.ClientLimits) -> ClientLimits:
     """The clients' limits from their message."""
-    return ClientLimits(
-        max_header_bytes=limits.max_header_bytes,
-        max_body_bytes=limits.max_body_bytes,
-        header_timeout_ms=limits.header_timeout_ms,
-        idle_timeout_ms=limits.idle_timeout_ms,
-    )
+    return ClientLimits(**_values(limits, LIMIT_FIELDS))
+
+
+def _values(source: object, names: tuple[str, ...]) -> dict[str, Any]:
+    """Fields that the model and its message have under the same names."""
+    return {name: getattr(source, name) for name in names}
