--- a/mallowbeam/lab/faults/walk.py
+++ b/mallowbeam/lab/faults/walk.py
@@ -154,7 +154,7 @@
         if item.mark:
             if item.life == self.life:
                 self.gate.marked(item.mark, now)
-                self.core.caught_up(self.gate.known_at)
+                self.core.caught_up(self.gate.renewed_at)
             return
         before = self.log.states[MACHINE]
         for told in take(self.log, item):
