--- a/mallowbeam/simulation/fleet_processes.py
+++ b/mallowbeam/simulation/fleet_processes.py
@@ -21,14 +21,14 @@
 from mallowbeam.router.configuration.updates import apply_update
 from mallowbeam.router.consensus.interface import Write
 from mallowbeam.router.consensus.storage import ReplicaStore
-from mallowbeam.router.control_plane import member as member_module
+from mallowbeam.router.control_plane import member_builder
 from mallowbeam.router.control_plane.body_admission import run_inline
 from mallowbeam.router.control_plane.bootstrap import initial_state
 from mallowbeam.router.control_plane.member import ControlMember
 from mallowbeam.router.control_plane.state_machine import CommandOutcome, ReplicatedStateMachine
 from mallowbeam.router.control_plane.store_recovery import OpenedStore
 from mallowbeam.router.data_plane.feed_link import FeedLink
-from mallowbeam.router.feed.subscriber import FeedSubscriber
+from mallowbeam.router.feed.subscriber import FeedSubscriber, GatewayIdentity
 from mallowbeam.router.processes.settings import BindAddresses, NodeSettings
 from mallowbeam.router.rpc.messages_pb2 import DRAINS
 from mallowbeam.simulation.dialing import Streams
@@ -240,9 +240,9 @@
             return self._server
 
         seeded = SimpleNamespace(Random=lambda: Random(self._random.random()))
-        with replaced(member_module, {"StorageWriter": writer, "Server": server, "random": seeded}):
-            program = ControlMember(self._settings, opened, run_inline)
-        self._record_applied(program._machine)
+        with replaced(member_builder, {"StorageWriter": writer, "Server": server, "random": seeded}):
+            program = member_builder.build_member(self._settings, opened, run_inline)
+        self._record_applied(program.parts.machine)
         await program.start()
         self.program = program
         await program.unusable  # then it comes back as a new member, as the role does it
@@ -324,14 +324,8 @@
         self.loop = loop = new_loop(self.machine, self._streams)
         seeds = [f"{seed.rpartition(':')[0]}:{PEER_PORT}" for seed in self._settings.seeds]
         random = Random(self._random.random())
-        self.subscriber = FeedSubscriber(
-            seeds,
-            self._settings.zone,
-            random,
-            apply_update,
-            self._settings.node_name,
-            self.machine.incarnation,
-        )
+        identity = GatewayIdentity(self._settings.zone, self._settings.node_name, self.machine.incarnation)
+        self.subscriber = FeedSubscriber(seeds, identity, random, apply_update)
         loop.create_task(self._follow())
 
     async def _follow(self) -> None:
--- a/tests/router/control_plane/test_control_plane_serving.py
+++ b/tests/router/control_plane/test_control_plane_serving.py
@@ -210,7 +210,7 @@
 
     version, urgent = 0, False
 
-    def heard(self, instance: object, now: float) -> None:
+    def receive_heartbeat(self, instance: object, now: float) -> None:
         pass
 
     def retire(self, *retirement: object) -> None:
