--- a/mallowbeam/storage_gateway/application.py
+++ b/mallowbeam/storage_gateway/application.py
@@ -48,7 +48,7 @@
 
     Those that the process before this one handed over are taken as they are.
     """
-    handed = legacy.doors if legacy else {}
+    handed = legacy.listeners if legacy else {}
     try:
         servers = _open_all(gateway, fronts, handed, upgrade=legacy is not None)
     except (ValueError, AttributeError) as error:
--- a/mallowbeam/storage_gateway/coordination/subsystem_context.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem_context.py
@@ -51,7 +51,7 @@
         call = getattr(self.gateway.scheduler, "change_plan", None)
         if call is None:
             return False
-        self.gateway._apply(call(self.gateway.now(), plan, volume, shard, fraction))
+        self.gateway.apply(call(self.gateway.now(), plan, volume, shard, fraction))
         if not volume:
             self.overrides[plan.name] = plan
         return True
--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -30,7 +30,7 @@
 from mallowbeam.storage_gateway.frontends.object_api.settings import ObjectSettings
 from mallowbeam.storage_gateway.operator_settings import BufferSection, convert
 from mallowbeam.storage_gateway.scheduler.interface import Idempotency
-from mallowbeam.storage_gateway.server.calls import Call, Kind
+from mallowbeam.storage_gateway.server.calls import AnswerKind, Call
 from mallowbeam.storage_gateway.server.config import BadConfig
 from mallowbeam.storage_gateway.server.gateway import Gateway
 from mallowbeam.storage_gateway.write_buffer.core import Entry, Limits, Offer, Outcome
@@ -435,9 +435,9 @@
             self._buffer_call(write, write.method.encode(), body, expires, headers)
         )
         status = answer.status
-        if answer.kind is Kind.REFUSED:
+        if answer.kind is AnswerKind.REFUSED:
             return Sent(Outcome.REFUSED, answer.retry_after or 0.0)
-        if answer.kind is Kind.FAILED or status in (408, 429):
+        if answer.kind is AnswerKind.FAILED or status in (408, 429):
             return Sent(Outcome.UNKNOWN)
         if 200 <= status < 300 or status == 404 and write.method == "DELETE":
             return Sent(Outcome.STORED)
@@ -450,7 +450,7 @@
     async def look(self, write: Write, expires: float) -> Looked:
         """Which version the node has; see `service.Sender`."""
         answer = await self.gateway.submit(self._buffer_call(write, b"HEAD", b"", expires, []))
-        if answer.kind is not Kind.SERVED or answer.status not in (200, 404):
+        if answer.kind is not AnswerKind.SERVED or answer.status not in (200, 404):
             return Looked(False)
         etag = next((value for name, value in answer.headers if name == b"etag"), b"")
         return Looked(True, etag.decode("latin-1") if answer.status == 200 else None)
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -50,7 +50,14 @@
     verify,
 )
 from mallowbeam.storage_gateway.frontends.object_api.uploads import rename_upload
-from mallowbeam.storage_gateway.server.calls import Answer, Call, Kind, length_of, read_deadline, time_left
+from mallowbeam.storage_gateway.server.calls import (
+    Answer,
+    AnswerKind,
+    Call,
+    length_of,
+    read_deadline,
+    time_left,
+)
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
 T = TypeVar("T")
@@ -222,9 +229,9 @@
                 final=lambda status: 200 <= status < 500,
             )
         )
-        if answer.kind is Kind.REFUSED:
+        if answer.kind is AnswerKind.REFUSED:
             raise slow_down(answer.retry_after)
-        if answer.kind is Kind.FAILED or answer.status != 200:
+        if answer.kind is AnswerKind.FAILED or answer.status != 200:
             raise Error("InternalError")
         return read_part(bytes(answer.body))
 
@@ -264,9 +271,9 @@
             request.measure(len(request.message.body), self.settings)
         call = self._call(request, request_id)
         answer = await self.gateway.submit(call)
-        if answer.kind is Kind.REFUSED:
+        if answer.kind is AnswerKind.REFUSED:
             raise slow_down(answer.retry_after)
-        if answer.kind is Kind.FAILED:
+        if answer.kind is AnswerKind.FAILED:
             raise Error("InternalError")
         if answer.stream is not None:
             return self._streamed(request, answer, answer.stream, request_id, closing)
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -12,7 +12,14 @@
 from mallowbeam.http.handler import Response, text_response
 from mallowbeam.http.stream import MOST, Stream, copy
 from mallowbeam.storage_gateway.scheduler.interface import Idempotency
-from mallowbeam.storage_gateway.server.calls import Answer, Call, Kind, length_of, read_deadline, time_left
+from mallowbeam.storage_gateway.server.calls import (
+    Answer,
+    AnswerKind,
+    Call,
+    length_of,
+    read_deadline,
+    time_left,
+)
 from mallowbeam.storage_gateway.server.gateway import Gateway
 from mallowbeam.storage_gateway.server.health import readiness
 
@@ -87,7 +94,7 @@
         if request.method not in (b"GET", b"PUT"):
             raise BadRequest("the method is neither GET nor PUT")
         request_id = headers.get(b"x-request-id", b"")
-        if not REQUEST_ID.match(request_id) or self.gateway.holds(request_id.decode()):
+        if not REQUEST_ID.match(request_id) or self.gateway.has_id(request_id.decode()):
             raise BadRequest("X-Request-Id is missing, malformed or in use")
         cls = settings.classes.get(headers.get(b"x-class", b"").decode("latin-1"))
         if cls is None or path[1] != headers[b"x-class"]:
@@ -159,9 +166,9 @@
     @staticmethod
     def write(answer: Answer, close: bool) -> Response:
         """An answer as the client gets it."""
-        if answer.kind is Kind.SERVED:
+        if answer.kind is AnswerKind.SERVED:
             return Response(200, write_head(200, [], len(answer.body), close) + answer.body)
-        if answer.kind is Kind.FAILED:
+        if answer.kind is AnswerKind.FAILED:
             return text_response(FAILED, "failed", close)
         after = answer.retry_after
         return text_response(
--- a/mallowbeam/storage_gateway/server/calls.py
+++ b/mallowbeam/storage_gateway/server/calls.py
@@ -1,4 +1,4 @@
-"""What fronts and subsystems meet the gateway through: a `Call` handed in, its one `Answer`, and a `Part`.
+"""The interface of the gateway to its fronts and subsystems: a `Call`, its one `Answer`, a `Subsystem`.
 
 Plain values and what a subsystem must be; nothing here knows a socket or decides anything.
 """
@@ -14,7 +14,7 @@
 from mallowbeam.http.framing import Headers
 from mallowbeam.http.stream import Stream
 
-SILENT = 10.0  # seconds without a byte after which a streamed answer has broken off
+SILENCE_TIMEOUT = 10.0  # seconds without a byte after which a streamed answer has broken off
 MARGIN = 0.01  # seconds kept of a client's deadline for the way in and the way back
 
 
@@ -29,7 +29,7 @@
     STOPPED = "stopped"
 
 
-class Kind(Enum):
+class AnswerKind(Enum):
     """How a call ended."""
 
     SERVED = "served"
@@ -41,7 +41,7 @@
 class Answer:
     """The one final answer of a call."""
 
-    kind: Kind
+    kind: AnswerKind
     status: int = 0
     headers: Headers = field(default_factory=list)
     body: bytes | bytearray = b""
@@ -61,14 +61,14 @@
     body: bytes | bytearray = b""
     final: Callable[[int], bool] = (200).__eq__  # which statuses of a node are the client's answer
     streamed: Callable[[int], bool] = lambda status: False  # and which of them are passed on in pieces
-    standstill: float = SILENT  # seconds without a byte in its body that end an answer
+    standstill: float = SILENCE_TIMEOUT  # seconds without a byte in its body that end an answer
     hold: int = 0  # bytes up to which a streamed answer is held whole after all
     most: int | None = None  # and those that are passed on at most
     upload: Stream | None = None  # the body where it passes through: it can be sent once
     length: int | None = None  # and its length, None where it comes in chunks
 
 
-class Part(Protocol):
+class Subsystem(Protocol):
     """A subsystem that lives as long as the gateway."""
 
     def start(self) -> None:
--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -97,7 +97,7 @@
         self._give_up()
         self.begin()
 
-    def beside(self, listing: Listing, address: str, take: Callable[[Listing], None]) -> None:
+    def update_from_peer(self, listing: Listing, address: str, take: Callable[[Listing], None]) -> None:
         """Take in a list that the other process heard at an address, if it is news here.
 
         Guards against going back: neither a list that is no newer nor one of an address left counts.
--- a/mallowbeam/storage_gateway/server/gateway.py
+++ b/mallowbeam/storage_gateway/server/gateway.py
@@ -1,8 +1,8 @@
 """The gateway: one object that joins the scheduler, the connections to nodes, discovery and the fronts.
 
-Fronts hand in a `Call` and await its one `Answer` (`net/calls.py`).  What the module orders is done here: an
-attempt is begun or given up (`net/attempts.py`), a verdict becomes an answer, a timer is set.  The program's
-phases are this object's `phase`; its second process is the matter of `net/beside.py`.
+Fronts hand in a `Call` and await its one `Answer` (`calls.py`).  What the module orders is done here: an
+attempt is started or cancelled (`attempts.py`), a verdict becomes an answer, a timer is set.  The program's
+phases are this object's `phase`; `peer.py` coordinates it with the other process of an upgrade.
 """
 
 from __future__ import annotations
@@ -19,15 +19,22 @@
 from mallowbeam.http.server import Server
 from mallowbeam.storage_gateway.scheduler.gateway_host import NEVER, FinalAnswer, Orders, SchedulerHost
 from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdateKind
-from mallowbeam.storage_gateway.server.attempts import Attempts, Ended
-from mallowbeam.storage_gateway.server.beside import Beside
-from mallowbeam.storage_gateway.server.calls import MARGIN, Answer, Call, Exchange, Kind, Part, Phase
+from mallowbeam.storage_gateway.server.attempts import AttemptRunner
+from mallowbeam.storage_gateway.server.calls import (
+    MARGIN,
+    Answer,
+    AnswerKind,
+    Call,
+    Exchange,
+    Phase,
+    Subsystem,
+)
 from mallowbeam.storage_gateway.server.config import BadConfig, Config, read_again
 from mallowbeam.storage_gateway.server.discovery import Watch
-from mallowbeam.storage_gateway.server.handover import Handover, Legacy, Sister
+from mallowbeam.storage_gateway.server.handover import Handover, Legacy, PeerLink
 from mallowbeam.storage_gateway.server.listing import Listing, write_listing
-from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 from mallowbeam.storage_gateway.server.metrics import Metrics
+from mallowbeam.storage_gateway.server.peer import PeerCoordinator
 
 LAME_DUCK = 0.5  # seconds after SIGTERM in which all goes on as before, at least
 STAY = 3.5  # seconds after SIGTERM by which all is answered, at the latest
@@ -37,7 +44,7 @@
 MAX_ANSWER = 4 * 1024 * 1024  # bytes of an answer that is not passed on in pieces
 
 
-class Gateway(Attempts, Beside):
+class Gateway:
     """One gateway, from start to exit: its state, its phases, its calls, and the list of nodes."""
 
     def __init__(self, config: Config) -> None:
@@ -54,22 +61,23 @@
             BodyBudget(config.memory // 8),
         )
         self.watch = Watch(
-            config.discovery, config.known.revision, self._told, not config.settings.discovery_on_request
+            config.discovery,
+            config.known.revision,
+            self._discovery_update,
+            not config.settings.discovery_on_request,
         )
         self.addresses: dict[str, str] = {}
         self.exchanges: dict[str, Exchange] = {}
-        self.tasks: dict[tuple[str, int], asyncio.Task[Ended]] = {}
         self.servers: list[Server] = []  # the clients' doors
-        self.parts: list[Part] = []  # the subsystems that are on
+        self.parts: list[Subsystem] = []  # the subsystems that are on
         self.gates: list[Callable[[], bool]] = []  # what must hold for it to serve, where they say so
         self.observers: list[Callable[[Mapping[str, object]], None]] = []  # told of a call before the module
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = NEVER
         self.stopping, self.handed_over = asyncio.Event(), asyncio.Event()
         self.leave_at = NEVER  # when all must be answered
-        self.sister: Sister | None = None  # the other process of this gateway, while there are two
-        self.no_room = RateLimitedWarning("no room for a connection to a node")
-        self.spoilt = RateLimitedWarning("a node's answer can't be read")
+        self.peer = PeerCoordinator(self)
+        self.attempts = AttemptRunner(self, self.peer)
 
     def now(self) -> float:
         """Unix time that never jumps."""
@@ -91,12 +99,12 @@
         self.servers = servers
         if admin is not None:
             admin.start()
-        self._listing(self.config.known, DiscoveryUpdateKind.CACHED)
+        self.update_nodes(self.config.known, DiscoveryUpdateKind.CACHED)
         if legacy is not None:
             self.scheduler.import_state(self.now(), legacy.state)
-            self.sister = Sister(legacy.sock, self, legacy.rest, leads=True)
-            self.sister.ids.update(legacy.state["ids"])
-            self.deal(0)
+            self.peer.link = PeerLink(legacy.sock, self.peer, legacy.unread, leads=True)
+            self.peer.link.ids.update(legacy.state["ids"])
+            self.peer.split_limits(0)
             if legacy.state.get("whole"):  # the old process moved, and heard nothing there yet
                 self.watch.revision = None
         if not self.config.settings.discovery_on_request:
@@ -106,8 +114,7 @@
         for server in servers:
             server.start()
         self._enter(Phase.SERVING)
-        if self.sister is not None:
-            self.sister.tell("yes", True)
+        self.peer.notify("yes", True)
         handover = self._await_next() if meet else None
         sweeper = asyncio.create_task(self._sweep([*servers, *([admin] if admin else [])]))
         await self._any(self.stopping, self.handed_over)
@@ -169,10 +176,10 @@
         for server in self.servers:
             await server.stop_accepting()  # its accept queue is the new process's
         await self._each(part.hand_over() for part in self.parts)
-        if self.sister is not None:  # else it is gone in this very moment
+        if self.peer.link is not None:  # else it is gone in this very moment
             self.watch.pause()  # what the new one hears it tells
         while not self.stopping.is_set() and any(server.connections for server in self.servers):
-            self._tell("clients", sum(len(server.connections) for server in self.servers))
+            self.peer.notify("clients", sum(len(server.connections) for server in self.servers))
             with suppress(TimeoutError):
                 async with asyncio.timeout(LAME_DUCK / 5):
                     await self.stopping.wait()
@@ -183,7 +190,7 @@
     def _await_next(self) -> Handover | None:
         """Wait for the next process; without a place to meet the two would share the address only."""
         try:
-            return Handover(self)
+            return Handover(self.peer)
         except OSError as error:
             logger.warning("no place to hand over at: {}", error)
             return None
@@ -202,10 +209,17 @@
         except BadConfig as error:
             return logger.error("reload: old values stay: {}", error)
         logger.info("reload: discovery at {}", config.discovery)
-        self._tell("discovery", config.discovery)
-        self.moved(config.discovery)
+        self.peer.notify("discovery", config.discovery)
+        self.peer.move_discovery(config.discovery)
         return None
 
+    def has_id(self, request: str) -> bool:
+        """Whether a request's id is in use: unanswered, or with an attempt still in flight.
+
+        Guards the one final answer: what the scheduler is done with is pending until its front has it.
+        """
+        return request in self.exchanges or self.scheduler.knows(request) or self.peer.has_id(request)
+
     @property
     def ready(self) -> bool:
         """Whether clients should be sent here; no from the very signal on."""
@@ -247,37 +261,36 @@
     async def submit(self, call: Call) -> Answer:
         """Get a call its one answer; cancelled when its client leaves."""
         if not self.open:
-            return Answer(Kind.REFUSED, retry_after=GATED)
-        call.fields["expires_in"] = expires = self._left(call)
+            return Answer(AnswerKind.REFUSED, retry_after=GATED)
+        call.fields["expires_in"] = expires = self.time_left(call)
         exchange = self.exchanges[call.id] = Exchange(call, self.now() + expires)
-        self._tell("taken", call.id)
+        self.peer.notify("taken", call.id)
         try:
             if self.observers:
                 for observe in self.observers:
                     observe(call.fields)
-            self._apply(self.scheduler.pick(self.now(), call.id, **call.fields))
+            self.apply(self.scheduler.pick(self.now(), call.id, **call.fields))
             return await exchange.answer
         except asyncio.CancelledError:
             if exchange.answer.done() and not exchange.answer.cancelled():
                 if stream := exchange.answer.result().stream:
                     stream.close()  # it began at the very moment the client left
-            self._apply(self.scheduler.client_disconnected(self.now(), call.id))
+            self.apply(self.scheduler.client_disconnected(self.now(), call.id))
             raise
         finally:
             del self.exchanges[call.id]
-            self._over(call.id)
+            self.peer.release_id(call.id)
 
-    def _left(self, call: Call) -> float:
+    def time_left(self, call: Call) -> float:
         """Seconds that a call may take from now on: its own, up to the end of this process."""
         return min(float(call.fields["expires_in"]), max(MARGIN, self.leave_at - self.now()))
 
-    def _apply(self, orders: Orders) -> None:
+    def apply(self, orders: Orders) -> None:
         """Do what the module wants done, and come back when it wants to be called."""
-        for tried in orders.attempts:
-            self._try(tried)
+        for order in orders.attempts:
+            self.attempts.start(order)
         for attempt in orders.cancellations:
-            if task := self.tasks.get(attempt):
-                task.cancel()
+            self.attempts.cancel(attempt)
         for verdict in orders.final_answers:
             self._verdict(verdict)
         if orders.watch_nodes:
@@ -292,41 +305,41 @@
 
     def _wake(self) -> None:
         self.timer, self.timer_at = None, NEVER
-        self._apply(self.scheduler.tick(self.now()))
+        self.apply(self.scheduler.tick(self.now()))
 
     def _verdict(self, verdict: FinalAnswer) -> None:
         if exchange := self.exchanges.get(verdict.request):
-            kind = Kind.REFUSED if verdict.rejected else Kind.FAILED
+            kind = AnswerKind.REFUSED if verdict.rejected else AnswerKind.FAILED
             exchange.settle(Answer(kind, retry_after=verdict.retry_after))
 
     # --- nodes ---------------------------------------------------------------------------------
 
-    def _told(self, listing: Listing | DiscoveryUpdateKind) -> None:
+    def _discovery_update(self, listing: Listing | DiscoveryUpdateKind) -> None:
         """Word from discovery, or how the watch on it ended."""
         if isinstance(listing, DiscoveryUpdateKind):
-            self._apply(self.scheduler.update_nodes(self.now(), listing))
+            self.apply(self.scheduler.update_nodes(self.now(), listing))
         else:
-            if self.sister is not None:  # else a whole list is written out for nobody
-                self.sister.tell("list", write_listing(*listing) | {"discovery": self.watch.address})
-            self._listing(listing)
+            if self.peer.link is not None:  # else a complete list is written out for nobody
+                self.peer.link.send("list", write_listing(*listing) | {"discovery": self.watch.address})
+            self.update_nodes(listing)
 
-    def by_hand(self, node: str, out: bool, told: bool = False, listed: bool = True) -> bool:
+    def by_hand(self, node: str, out: bool, *, from_peer: bool = False, listed: bool = True) -> bool:
         """An operator takes a node out, or lets it serve again; False for one that nobody has.
 
-        `told` if the other process heard of it; not `listed` if it counts for a node that is yet to come.
+        `from_peer`: the other process reported it.  Not `listed`: it may be a node that is yet to come.
         """
         orders = self.scheduler.override_node(self.now(), node, out, listed)
         if orders is None:
             return False
         logger.info("storage node {} {} by hand", node, "out" if out else "back")
-        if not told:
-            self._tell("hand", [node, out])
+        if not from_peer:
+            self.peer.notify("hand", [node, out])
         if out and node in self.addresses:  # it is about to be restarted: no idle connection is of use
             self.pool.forget(self.addresses[node])
-        self._apply(orders)
+        self.apply(orders)
         return True
 
-    def _listing(self, listing: Listing, kind: DiscoveryUpdateKind | None = None) -> None:
+    def update_nodes(self, listing: Listing, kind: DiscoveryUpdateKind | None = None) -> None:
         """Take in a list; what kind it is it says itself, unless it is an old one."""
         kind = kind or (DiscoveryUpdateKind.FULL if listing.complete else DiscoveryUpdateKind.DELTA)
         told = {entry.node for entry in listing.entries}
@@ -337,4 +350,4 @@
             ) != address:
                 self.pool.forget(self.addresses.pop(node))
         self.addresses.update(listing.addresses)
-        self._apply(self.scheduler.update_nodes(self.now(), kind, listing.revision, listing.entries))
+        self.apply(self.scheduler.update_nodes(self.now(), kind, listing.revision, listing.entries))
--- a/mallowbeam/storage_gateway/server/handover.py
+++ b/mallowbeam/storage_gateway/server/handover.py
@@ -24,49 +24,54 @@
 from mallowbeam.storage_gateway.server.config import Config
 from mallowbeam.storage_gateway.server.listing import Listing, read_listing
 
-PATIENCE = 1.0  # seconds for the old process to hand over: a wedged one holds up no start
+HANDOVER_TIMEOUT = 1.0  # seconds for the old process to hand over: a wedged one holds up no start
 VERSION = 1  # of what is said here: an old process that speaks another hands over nothing
-MOST_DOORS = 8  # listening sockets handed over at most
-MOST_SAID = 4 * 1024 * 1024  # bytes of one line, and of lines that wait to be read
+MAX_LISTENERS = 8  # listening sockets handed over at most
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # bytes of one line, and of lines that wait to be read
 
 
-class Door(Protocol):
+class Listener(Protocol):
     """A listening socket that is handed over."""
 
-    name: str
+    name: str  # of its front: the sockets are matched by it
     sock: socket.socket
 
 
 class Host(Protocol):
-    """One of the two processes, as their talk meets it."""
+    """One of the two processes, as their messages reach it."""
 
-    config: Config
-    sister: Sister | None
-    handed_over: asyncio.Event
+    link: PeerLink | None
 
     @property
-    def servers(self) -> Sequence[Door]:
+    def config(self) -> Config:
+        """Its configuration."""
+
+    @property
+    def servers(self) -> Sequence[Listener]:
         """Its listening sockets."""
 
-    def deal(self, beside: int) -> None:
-        """The other holds so many connections of clients."""
+    def split_limits(self, peer_connections: int) -> None:
+        """The other process has so many connections of clients."""
+
+    def disconnected(self) -> None:
+        """The other process is gone."""
 
-    def alone(self) -> None:
-        """The other is gone."""
+    def confirmed(self) -> None:
+        """The other process, the new one, serves."""
 
-    def sent_beside(self, sent: list[Any]) -> None:
-        """The other has sent something."""
+    def sent_by_peer(self, sent: list[Any]) -> None:
+        """The other process has sent a request to a node."""
 
-    def told_beside(self, listing: Listing, address: str | None = None) -> None:
-        """The other has heard from discovery at an address."""
+    def listing_from_peer(self, listing: Listing, address: str | None = None) -> None:
+        """The other process has a list of nodes from discovery at an address."""
 
-    def moved(self, address: str) -> None:
+    def move_discovery(self, address: str) -> None:
         """Discovery is elsewhere."""
 
-    def by_hand(self, node: str, out: bool, told: bool = False) -> bool:
-        """An operator took a node out, or called it back, at the other."""
+    def by_hand(self, node: str, out: bool) -> None:
+        """An operator took a node out, or called it back, at the other process."""
 
-    def legacy(self) -> Mapping[str, object]:
+    def handover_state(self) -> Mapping[str, object]:
         """All that a new process needs to go on where this one stands."""
 
 
@@ -75,9 +80,9 @@
     """What a new process has from the old one: the line to it, its listening sockets and its state."""
 
     sock: socket.socket
-    doors: dict[str, socket.socket]  # by the name of their front
+    listeners: dict[str, socket.socket]  # by the name of their front
     state: dict[str, Any]
-    rest: bytes  # what came behind the state
+    unread: bytes  # what came behind the state
 
     def config(self, own: Config) -> Config:
         """The configuration, with the list and discovery's address as the old process has them."""
@@ -85,7 +90,7 @@
 
 
 @contextmanager
-def place(config: Config) -> Iterator[str]:
+def rendezvous_path(config: Config) -> Iterator[str]:
     """Where the two meet, as a path.
 
     Guards against a $TMPDIR too long for a socket's address: it is named through a descriptor of the folder.
@@ -101,26 +106,26 @@
 def take_over(config: Config) -> Legacy | None:
     """What the process that serves now hands over; None where there is none, or none that answers in time."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    handed: list[socket.socket] = []
+    inherited: list[socket.socket] = []
     try:
-        sock.settimeout(PATIENCE)
-        with place(config) as path:
+        sock.settimeout(HANDOVER_TIMEOUT)
+        with rendezvous_path(config) as path:
             sock.connect(path)
         # Guards a $TMPDIR that others can write to: what is taken over decides where requests go.
         if struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))[1] != os.getuid():
             raise ValueError("it is another user's process")
-        data, fds, _, _ = socket.recv_fds(sock, 65536, MOST_DOORS)
-        handed = [socket.socket(fileno=fd) for fd in fds]
+        data, fds, _, _ = socket.recv_fds(sock, 65536, MAX_LISTENERS)
+        inherited = [socket.socket(fileno=fd) for fd in fds]
         while data.count(b"\n") < 2:
             more = sock.recv(65536)
-            if not more or len(data) > MOST_SAID:
+            if not more or len(data) > MAX_MESSAGE_BYTES:
                 raise ValueError("the state ended early")
             data += more
         first, second, rest = data.split(b"\n", 2)
         names, state = json.loads(first)["doors"], json.loads(second)["state"]
         if state["version"] != VERSION:
             raise ValueError("the old process speaks another version")
-        legacy = Legacy(sock, dict(zip(names, handed, strict=True)), state, rest)
+        legacy = Legacy(sock, dict(zip(names, inherited, strict=True)), state, rest)
         legacy.config(config)
         return legacy
     except (FileNotFoundError, ConnectionRefusedError):
@@ -128,31 +133,31 @@
     except (OSError, ValueError, KeyError, TypeError) as error:
         logger.warning("no handover: {}", error or type(error).__name__)
     sock.close()
-    for door in handed:
-        door.close()
+    for listener in inherited:
+        listener.close()
     return None
 
 
-class Sister:
+class PeerLink:
     """The other process of this gateway, for as long as there are two.
 
     `leads` says that this process is the new one, which has the last word on where discovery is.
     """
 
-    def __init__(self, sock: socket.socket, gateway: Host, heard: bytes = b"", leads: bool = False) -> None:
+    def __init__(self, sock: socket.socket, host: Host, received: bytes = b"", leads: bool = False) -> None:
         sock.setblocking(False)
-        self.sock, self.gateway, self.leads = sock, gateway, leads
+        self.sock, self.host, self.leads = sock, host, leads
         self.ids: set[str] = set()  # requests that it holds
-        self.out, self.more = bytearray(), asyncio.Event()
-        self.tasks = [asyncio.create_task(self._write()), asyncio.create_task(self._read(heard))]
+        self.outgoing, self.wakeup = bytearray(), asyncio.Event()
+        self.tasks = [asyncio.create_task(self._write()), asyncio.create_task(self._read(received))]
         # Guards the next upgrade: a task that is cancelled before its first step runs nothing of its own.
         self.tasks[1].add_done_callback(self._ended)
 
-    def tell(self, kind: str, value: object) -> None:
-        """Say something; bounded, as a sister that reads no more is taken for gone."""
-        self.out += json.dumps({kind: value}).encode() + b"\n"
-        self.more.set()
-        if len(self.out) > MOST_SAID:
+    def send(self, kind: str, value: object) -> None:
+        """Queue a message; bounded, as a peer that reads no more is taken for gone."""
+        self.outgoing += json.dumps({kind: value}).encode() + b"\n"
+        self.wakeup.set()
+        if len(self.outgoing) > MAX_MESSAGE_BYTES:
             self.close()
 
     def close(self) -> None:
@@ -162,23 +167,25 @@
 
     async def _write(self) -> None:
         with suppress(OSError):
-            while await self.more.wait():
-                self.more.clear()
-                data, self.out = self.out, bytearray()
+            while await self.wakeup.wait():
+                self.wakeup.clear()
+                data, self.outgoing = self.outgoing, bytearray()
                 await asyncio.get_running_loop().sock_sendall(self.sock, data)
 
     async def _read(self, data: bytes) -> None:
-        loop, buffer, kept = asyncio.get_running_loop(), memoryview(bytearray(65536)), bytearray(data)
+        loop, buffer, pending = asyncio.get_running_loop(), memoryview(bytearray(65536)), bytearray(data)
         try:
             while True:
-                *lines, rest = bytes(kept).split(b"\n")
-                kept = bytearray(rest)
+                *lines, rest = bytes(pending).split(b"\n")
+                pending = bytearray(rest)
                 for line in lines:
                     for kind, value in json.loads(line).items():
-                        self._hear(kind, value)
-                if len(kept) > MOST_SAID or not (count := await loop.sock_recv_into(self.sock, buffer)):
+                        self._receive(kind, value)
+                if len(pending) > MAX_MESSAGE_BYTES or not (
+                    count := await loop.sock_recv_into(self.sock, buffer)
+                ):
                     return
-                kept += buffer[:count]
+                pending += buffer[:count]
         except OSError:
             pass
         except Exception as error:
@@ -187,39 +194,39 @@
     def _ended(self, _: asyncio.Task[None]) -> None:
         self.tasks[0].cancel()
         self.sock.close()
-        self.gateway.alone()
+        self.host.disconnected()
 
-    def _hear(self, kind: str, value: Any) -> None:
-        gateway = self.gateway
+    def _receive(self, kind: str, value: Any) -> None:
+        host = self.host
         match kind:
             case "sent":
-                gateway.sent_beside(value)
+                host.sent_by_peer(value)
             case "taken":
                 self.ids.add(value)
             case "over":
                 self.ids.discard(value)
             case "list":
-                gateway.told_beside(read_listing(value), value.get("discovery"))
+                host.listing_from_peer(read_listing(value), value.get("discovery"))
             case "discovery":
-                gateway.moved(value)
+                host.move_discovery(value)
                 if self.leads:  # Guards two reloads that cross: both end at one address
-                    self.tell("discovery", value)
+                    self.send("discovery", value)
             case "hand":
                 node, out = value
-                gateway.by_hand(node, out, told=True)
+                host.by_hand(node, out)
             case "clients":
-                gateway.deal(value)
+                host.split_limits(value)
             case "yes":
-                gateway.handed_over.set()
+                host.confirmed()
 
 
 class Handover:
     """Waits for a new process and hands over to it."""
 
-    def __init__(self, gateway: Host) -> None:
-        self.gateway = gateway
+    def __init__(self, host: Host) -> None:
+        self.host = host
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        with place(gateway.config) as path:
+        with rendezvous_path(host.config) as path:
             with suppress(FileNotFoundError):  # left by a process that has ended or is leaving
                 os.unlink(path)
             self.sock.bind(path)
@@ -229,24 +236,24 @@
         self.task = asyncio.create_task(self._run())
 
     async def _run(self) -> None:
-        loop, gateway = asyncio.get_running_loop(), self.gateway
+        loop, host = asyncio.get_running_loop(), self.host
         with self.sock:
             while True:
                 sock, _ = await loop.sock_accept(self.sock)
-                if gateway.sister is not None:  # one upgrade at a time
+                if host.link is not None:  # one upgrade at a time
                     sock.close()
                     continue
                 try:
-                    names = [server.name for server in gateway.servers]
+                    names = [server.name for server in host.servers]
                     socket.send_fds(
                         sock,
                         [json.dumps({"doors": names}).encode() + b"\n"],
-                        [server.sock.fileno() for server in gateway.servers],
+                        [server.sock.fileno() for server in host.servers],
                     )
                 except OSError as error:
                     logger.warning("no handover: {}", error)
                     sock.close()
                     continue
-                gateway.sister = Sister(sock, gateway)
-                gateway.deal(0)
-                gateway.sister.tell("state", {"version": VERSION, **gateway.legacy()})
+                host.link = PeerLink(sock, host)
+                host.split_limits(0)
+                host.link.send("state", {"version": VERSION, **host.handover_state()})
--- a/tests/storage_gateway/coordination/test_fleet_service.py
+++ b/tests/storage_gateway/coordination/test_fleet_service.py
@@ -51,7 +51,7 @@
             raise BadPolicy("refused by the module")
         self.plans.append(plan)
 
-    def _apply(self, orders: object) -> None:
+    def apply(self, orders: object) -> None:
         assert orders is None
 
     def now(self) -> float:
--- a/tests/storage_gateway/frontends/object_api/test_objects.py
+++ b/tests/storage_gateway/frontends/object_api/test_objects.py
@@ -222,7 +222,7 @@
                 async with asyncio.timeout(0.5):
                     await node.writer.drain()
             await world.play("o1 close\nn0 expect end")
-            assert not world.gateway.tasks and not world.gateway.exchanges
+            assert not world.gateway.attempts.tasks and not world.gateway.exchanges
 
     uvloop.run(run())
 
--- a/tests/storage_gateway/frontends/test_platform.py
+++ b/tests/storage_gateway/frontends/test_platform.py
@@ -167,7 +167,7 @@
                 n0 send 200 x-meter:{LONG} x-delta:{LONG} x-load:inflight=-,queue= body=good
                 c1 expect 200 'good$'
             """)
-            assert not world.gateway.tasks and not world.gateway.scheduler.knows("0000000400000001")
+            assert not world.gateway.attempts.tasks and not world.gateway.scheduler.knows("0000000400000001")
 
     uvloop.run(run())
 
@@ -218,12 +218,12 @@
 
             def picked(now, request, **fields):
                 orders = pick(now, request, **fields)
-                seen.append((world.gateway.holds(request), world.gateway.scheduler.knows(request)))
+                seen.append((world.gateway.has_id(request), world.gateway.scheduler.knows(request)))
                 return orders
 
             world.gateway.scheduler.pick = picked
             await world.play("c1 send read shard=7\nc1 expect 503")
-            assert seen == [(True, False)] and not world.gateway.holds("0000000400000001")
+            assert seen == [(True, False)] and not world.gateway.has_id("0000000400000001")
 
     uvloop.run(run())
 
--- a/tests/storage_gateway/scheduler/test_faults.py
+++ b/tests/storage_gateway/scheduler/test_faults.py
@@ -67,7 +67,7 @@
                 c1 expect 200 stored
                 n0 expect nothing
             """)
-            assert outcomes == [Outcome.NOT_SENT, Outcome.OK] and not world.gateway.tasks
+            assert outcomes == [Outcome.NOT_SENT, Outcome.OK] and not world.gateway.attempts.tasks
 
     uvloop.run(run())
 
@@ -98,7 +98,7 @@
             async with asyncio.timeout(5):
                 await asyncio.gather(first.task)
             assert world.gateway.servers[-1].connections == {second}
-            second.since -= 60.0  # idle for long
+            second.waiting_since -= 60.0  # idle for long
             await world.play("c1 expect end\nc2 expect end")
 
     uvloop.run(run())
--- a/tests/storage_gateway/server/test_begins.py
+++ b/tests/storage_gateway/server/test_begins.py
@@ -29,7 +29,7 @@
 async def quiet(world: World) -> None:
     """Until no attempt is out."""
     async with asyncio.timeout(5):
-        while world.gateway.tasks:
+        while world.gateway.attempts.tasks:
             await asyncio.sleep(0)
 
 
--- a/tests/storage_gateway/server/test_clients_gone.py
+++ b/tests/storage_gateway/server/test_clients_gone.py
@@ -19,7 +19,7 @@
 
 async def nothing_more(world: World) -> None:
     """The call in hand is cancelled, its attempt given up, and no other one has come to the node."""
-    await until(lambda: not world.gateway.exchanges and not world.gateway.tasks)
+    await until(lambda: not world.gateway.exchanges and not world.gateway.attempts.tasks)
     await until(lambda: not world.gateway.servers[-1].connections)
     await world.play("n0 expect end\nn0 expect nothing")
 
@@ -109,7 +109,7 @@
                     pass
                 await asyncio.sleep(0)
             WAYS[way](client)
-            await until(lambda: not world.gateway.exchanges and not world.gateway.tasks)
+            await until(lambda: not world.gateway.exchanges and not world.gateway.attempts.tasks)
             await until(lambda: not world.gateway.servers[-1].connections)
             assert world.gateway.pool.count == 0
 
--- a/tests/storage_gateway/server/test_crossings.py
+++ b/tests/storage_gateway/server/test_crossings.py
@@ -166,7 +166,7 @@
     async def run(here: Crossing) -> None:
         n0 = here.parties["n0"].address
         await here.play("d expect GET since=1")
-        here.gateway.told_beside(
+        here.gateway.peer.listing_from_peer(
             read_listing(json.loads(body(5, UP.replace("$n0", n0), whole=False))), here.parties["d"].address
         )
         await here.play(f"d send 200 'body={body(4, DRAINING, whole=False)}'\nd expect GET since=5")
@@ -204,7 +204,7 @@
         await here.play("d expect GET since=1")
         here.hup("e")
         changes = read_listing({"revision": 9, "complete": False, "members": [json.loads(DRAINING)]})
-        here.gateway.told_beside(changes, here.parties["e"].address)
+        here.gateway.peer.listing_from_peer(changes, here.parties["e"].address)
         assert not here.serves() and here.gateway.watch.revision is None
         await first_list(here, 9)
 
@@ -238,7 +238,7 @@
         await until(lambda: here.gateway.watch.task is None)
         here.hup("e")
         await here.play("e expect 'GET /v1/servers\\n'")
-        here.gateway._apply(Orders(watch_nodes=True))
+        here.gateway.apply(Orders(watch_nodes=True))
         await here.play(f"e send 200 'body={body(3)}'\ne expect GET since=3\ne expect nothing")
 
     crossing(run)
--- a/tests/storage_gateway/server/test_crossings_upgrade.py
+++ b/tests/storage_gateway/server/test_crossings_upgrade.py
@@ -31,22 +31,22 @@
 
     async def before(old: Crossing) -> None:
         await old.play("c1 send read\nn0 expect GET")
-        legacy = old.gateway.legacy
+        legacy = old.gateway.peer.handover_state
 
         def state() -> dict:
             asyncio.get_running_loop().call_soon(old.gateway.stop)
             return legacy()
 
-        old.gateway.legacy = state
+        old.gateway.peer.handover_state = state
         if first == "stop":
             old.gateway.stop()
 
     async def run(old: Crossing, new: Crossing) -> None:
         await old.play("n0 send 200 body=held\nc1 expect 200 held")
         await until(old.task.done)
-        if old.gateway.sister is not None:
-            old.gateway.sister.close()  # as its end would
-        await until(lambda: new.gateway.sister is None)
+        if old.gateway.peer.link is not None:
+            old.gateway.peer.link.close()  # as its end would
+        await until(lambda: new.gateway.peer.link is None)
         assert old.task.result() is None and new.gateway.phase is Phase.SERVING
         assert new.gateway.pool.connection_limit == new.gateway.pool.configured_limit
         await new.play("c9 send read\nn0 expect GET\nn0 send 200 body=new\nc9 expect 200 new")
@@ -59,14 +59,14 @@
     """Guards the nodes of the old address: asked for changes since nothing, the new process kept them all."""
 
     async def before(old: Crossing) -> None:
-        legacy = old.gateway.legacy
+        legacy = old.gateway.peer.handover_state
 
         def state() -> dict:
             asyncio.get_running_loop().call_soon(old.hup, "e")
             return legacy()
 
         if when == "after":  # in the step after the state is written
-            old.gateway.legacy = state
+            old.gateway.peer.handover_state = state
         else:  # and in one before, with nothing heard at the new address yet
             old.hup("e")
 
@@ -99,9 +99,9 @@
 
 async def told(teller: Crossing, hearer: Crossing) -> None:
     """All that the other has said so far has been heard: a word after it has."""
-    ids = len(hearer.gateway.sister.ids)
-    teller.gateway.sister.tell("taken", f"mark{ids}")
-    await until(lambda: len(hearer.gateway.sister.ids) > ids)
+    ids = len(hearer.gateway.peer.link.ids)
+    teller.gateway.peer.link.send("taken", f"mark{ids}")
+    await until(lambda: len(hearer.gateway.peer.link.ids) > ids)
 
 
 def test_a_late_list_of_the_address_left_undoes_nothing_at_the_new_one():
@@ -116,7 +116,7 @@
         for teller, hearer in ((old, new), (new, old)):
             for revision in (2, 57):
                 for whole in (True, False):
-                    teller.gateway.sister.tell("list", news(old, "d", revision, UP, whole))
+                    teller.gateway.peer.link.send("list", news(old, "d", revision, UP, whole))
             await told(teller, hearer)
             assert not hearer.serves() and hearer.gateway.watch.revision == 3
 
@@ -128,7 +128,7 @@
 
     async def run(old: Crossing, new: Crossing) -> None:
         await until(lambda: old.gateway.watch.paused)
-        new.gateway.sister.tell("list", news(old, "d", 57, UP))  # on its way
+        new.gateway.peer.link.send("list", news(old, "d", 57, UP))  # on its way
         old.hup("e")
         await told(new, old)
         await first_list(new, 3)
@@ -162,10 +162,10 @@
 
     async def run(old: Crossing, new: Crossing) -> None:
         await until(lambda: old.gateway.watch.paused)
-        old.gateway._apply(Orders(watch_nodes=True))  # the repeat that was due
+        old.gateway.apply(Orders(watch_nodes=True))  # the repeat that was due
         assert old.gateway.watch.task is None
-        new.gateway.sister.close()  # gone: now nobody else watches
-        await until(lambda: old.gateway.sister is None)
+        new.gateway.peer.link.close()  # gone: now nobody else watches
+        await until(lambda: old.gateway.peer.link is None)
         assert old.gateway.watch.task is not None
 
     upgraded(run)
@@ -179,13 +179,13 @@
         client = "c1" if left == "old" else "c8"  # c1's connection is the old process's
         name = f"{0xabc:016x}"
         await stays.play(f"{client} send read id={name}\nn0 expect GET")
-        await until(lambda: name in goes.gateway.sister.ids)
-        goes.gateway.sister.close()
-        await until(lambda: stays.gateway.sister is None and goes.gateway.sister is None)
-        assert stays.gateway.holds(name) and not goes.gateway.holds(name)
+        await until(lambda: name in goes.gateway.peer.link.ids)
+        goes.gateway.peer.link.close()
+        await until(lambda: stays.gateway.peer.link is None and goes.gateway.peer.link is None)
+        assert stays.gateway.has_id(name) and not goes.gateway.has_id(name)
         await stays.play(f"n0 send 200 body=kept\n{client} expect 200 kept")
         assert (
-            not stays.gateway.holds(name)
+            not stays.gateway.has_id(name)
             and stays.gateway.pool.connection_limit == stays.gateway.pool.configured_limit
         )
 
@@ -194,23 +194,23 @@
 
 def test_a_state_too_large_to_be_told_leaves_no_half_upgrade_behind(monkeypatch):
     """Guards the next upgrade: the line to the new process was given up before its tasks had begun."""
-    whole = handover.MOST_SAID
+    whole = handover.MAX_MESSAGE_BYTES
 
     async def run() -> None:
         async with Crossing(meet=True) as old:
             await old.play("d expect GET since=1")
-            monkeypatch.setattr(handover, "MOST_SAID", 100)
+            monkeypatch.setattr(handover, "MAX_MESSAGE_BYTES", 100)
             assert await asyncio.to_thread(handover.take_over, old.config) is None
-            await until(lambda: old.gateway.sister is None)
+            await until(lambda: old.gateway.peer.link is None)
             assert (
                 old.gateway.pool.connection_limit == old.gateway.pool.configured_limit
                 and not old.gateway.handed_over.is_set()
             )
-            monkeypatch.setattr(handover, "MOST_SAID", whole)
+            monkeypatch.setattr(handover, "MAX_MESSAGE_BYTES", whole)
             legacy = await asyncio.to_thread(handover.take_over, old.config)
             assert legacy is not None and isinstance(legacy.config(old.config).known, Listing)
             legacy.sock.close()
-            for door in legacy.doors.values():
+            for door in legacy.listeners.values():
                 door.close()
 
     uvloop.run(run())
--- a/tests/storage_gateway/server/test_handover.py
+++ b/tests/storage_gateway/server/test_handover.py
@@ -60,7 +60,7 @@
     async def ended(old: World, new: World) -> None:
         await until(old.task.done)
         assert old.gateway.metrics.upstream_requests == 2 and new.gateway.metrics.upstream_requests == 1
-        assert new.gateway.sister is None or not new.gateway.sister.ids
+        assert new.gateway.peer.link is None or not new.gateway.peer.link.ids
 
     upgrade(
         """
@@ -144,7 +144,7 @@
     """Guards the rules: two processes with a store each would let twice the limit through."""
 
     async def check(old: World, new: World) -> None:
-        assert new.gateway.holds("00000000000000ff") and old.gateway.holds("00000000000000ee")
+        assert new.gateway.has_id("00000000000000ff") and old.gateway.has_id("00000000000000ee")
         stores = [w.gateway.scheduler._scheduler.volumes["00000000000000aa", "bronze"] for w in (old, new)]
         assert abs(stores[0].limit_level - stores[1].limit_level) < 1.0
         sent = [w.gateway.scheduler._scheduler.nodes["n0"].cold_sent for w in (old, new)]
@@ -182,7 +182,9 @@
 
     async def check(old: World, new: World) -> None:
         await until(lambda: not old.gateway.scheduler.accepts_work("n0"))
-        old.gateway.told_beside(old.gateway.config.known)  # older than what is known: changes nothing
+        old.gateway.peer.listing_from_peer(
+            old.gateway.config.known
+        )  # older than what is known: changes nothing
         assert not old.gateway.scheduler.accepts_work("n0")
 
     upgrade(
@@ -213,8 +215,8 @@
             assert world.gateway.pool.budget.limit == world.gateway.pool.budget.configured_limit // 2
         old.gateway.stop()
         await until(old.task.done)
-        old.gateway.sister.close()  # as its end would
-        await until(lambda: new.gateway.sister is None)
+        old.gateway.peer.link.close()  # as its end would
+        await until(lambda: new.gateway.peer.link is None)
         assert new.gateway.pool.connection_limit == new.gateway.pool.configured_limit
         assert new.gateway.servers[-1].connection_limit == new.gateway.servers[-1].configured_limit
 
@@ -234,7 +236,7 @@
 def test_another_user_s_process_is_not_taken_over_from(monkeypatch):
     """Guards a folder that others can write to."""
     config = configs.decode(json.loads((EXAMPLE / "config.json").read_text()), {})
-    with handover.place(config) as path, socket.socket(socket.AF_UNIX) as old:
+    with handover.rendezvous_path(config) as path, socket.socket(socket.AF_UNIX) as old:
         old.bind(path)
         old.listen(1)
         monkeypatch.setattr(handover.os, "getuid", lambda: 987654)
@@ -251,10 +253,10 @@
     [b"", b"noise\n", b'{"doors": []}\n{"state": {}}\n', b'{"doors": []}\n{"state": {"version": 0}}\n'],
 )
 def test_an_old_process_that_hands_over_nothing_holds_up_no_start(monkeypatch, says):
-    monkeypatch.setattr(handover, "PATIENCE", 0.1)
+    monkeypatch.setattr(handover, "HANDOVER_TIMEOUT", 0.1)
     config = configs.decode(json.loads((EXAMPLE / "config.json").read_text()), {})
     assert handover.take_over(config) is None  # nobody there
-    with handover.place(config) as path, socket.socket(socket.AF_UNIX) as old:
+    with handover.rendezvous_path(config) as path, socket.socket(socket.AF_UNIX) as old:
         old.bind(path)
         assert handover.take_over(config) is None  # a stale file
         old.listen(1)
--- a/tests/storage_gateway/server/test_lists_bad.py
+++ b/tests/storage_gateway/server/test_lists_bad.py
@@ -243,7 +243,7 @@
         async with World() as here:
             await here.play("d expect GET since=1")
             here.gateway.watch.address = "elsewhere"
-            here.gateway.moved(here.parties["d"].address)
+            here.gateway.peer.move_discovery(here.parties["d"].address)
             await here.play(rf"""
                 d expect 'GET /v1/servers\n'
                 {answer}
--- a/tests/storage_gateway/server/test_watch.py
+++ b/tests/storage_gateway/server/test_watch.py
@@ -133,7 +133,7 @@
         async with World() as here:
             await here.play("d expect GET since=1")
             here.gateway.watch.address = "elsewhere"
-            here.gateway.moved(here.parties["d"].address)
+            here.gateway.peer.move_discovery(here.parties["d"].address)
             await here.play(r"""
                 d expect 'GET /v1/servers\n'
                 d expect 'GET /v1/servers\n'
--- a/tests/storage_gateway/server/test_written.py
+++ b/tests/storage_gateway/server/test_written.py
@@ -169,7 +169,7 @@
                             got += peer.recv(65536)
                         except BlockingIOError:
                             await asyncio.sleep(0)
-                task = next(iter(world.gateway.tasks.values()))
+                task = next(iter(world.gateway.attempts.tasks.values()))
                 limit = next(at for at in limits if at._task is task and at._state.name == "ENTERED")
                 limit._on_timeout()  # in the step in which the node has all of it
                 monkeypatch.setattr(attempts.asyncio, "timeout", timeout)
--- a/tests/support/simulated.py
+++ b/tests/support/simulated.py
@@ -182,13 +182,13 @@
     host = Gateway(replace(config, settings=settings))
     host.epoch, host.now = 0.0, asyncio.get_running_loop().time
     host.watch.draw = random.Random(seed).random
-    taken = host._listing
+    taken = host.update_nodes
 
     def listing(*args) -> None:
         taken(*args)
         told(args[0].revision)
 
-    host._listing = listing
+    host.update_nodes = listing
     taken(config.known, DiscoveryUpdateKind.CACHED)
     if pushed:
         host.watch.begin()
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -435,7 +435,7 @@
     def __init__(self, config: net_config.Config, frames: list[str]) -> None:
         self.frames = frames
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        with handover.place(config) as path:
+        with handover.rendezvous_path(config) as path:
             self.socket.bind(path)
         self.socket.listen(1)
         self.doors = [socket.socket() for _ in json.loads(frames[0])["doors"]]
@@ -463,19 +463,19 @@
     old.close()
     assert legacy is not None
     frames = [json.loads(frame) for frame in sample["frames"]]
-    assert list(legacy.doors) == frames[0]["doors"] and legacy.state == frames[1]["state"]
+    assert list(legacy.listeners) == frames[0]["doors"] and legacy.state == frames[1]["state"]
     assert legacy.config(own).known == read_listing(frames[1]["state"]["list"])
 
     host = MagicMock()
 
     async def listen() -> set[str]:
-        sister = handover.Sister(legacy.sock, host, legacy.rest)
+        link = handover.PeerLink(legacy.sock, host, legacy.unread)
         async with asyncio.timeout(PATIENCE_S):
-            await asyncio.gather(*sister.tasks, return_exceptions=True)
-        return sister.ids
+            await asyncio.gather(*link.tasks, return_exceptions=True)
+        return link.ids
 
     assert asyncio.run(listen()) == set()
-    for door in legacy.doors.values():
+    for door in legacy.listeners.values():
         door.close()
     listing = frames[6]["list"]
     assert [call.args for call in host.mock_calls] == [
