--- a/tests/router/configuration/test_configuration_documents.py
+++ b/tests/router/configuration/test_configuration_documents.py
@@ -180,13 +180,13 @@
 }
 
 NOT_TEXT: tuple[Any, ...] = (1, 0.5, True, [], {})
-NOT_FLAG: tuple[Any, ...] = (0, 1, "true", [], {})
+NOT_BOOLEAN: tuple[Any, ...] = (0, 1, "true", [], {})
 NOT_NUMBER: tuple[Any, ...] = ("1", True, [], {}, -1, -0.5)
-NOT_WHOLE: tuple[Any, ...] = (*NOT_NUMBER, 0.5)
+NOT_INTEGER: tuple[Any, ...] = (*NOT_NUMBER, 0.5)
 NOT_LIST: tuple[Any, ...] = (0, "text", True, {})
 NOT_OBJECT: tuple[Any, ...] = (0, "text", True, [])
 WRONG_TYPES: dict[str, tuple[Any, ...]] = {
-    "revision": (*NOT_WHOLE, None),
+    "revision": (*NOT_INTEGER, None),
     "routes": (*NOT_LIST, None),
     "routes[0]": (*NOT_OBJECT, None),
     "routes[0].name": NOT_TEXT,
@@ -195,10 +195,10 @@
     "routes[0].route_type": NOT_TEXT,
     "routes[0].timeout_ms": NOT_NUMBER,
     "routes[0].target_latency_ms": NOT_NUMBER,
-    "routes[0].priority": NOT_WHOLE,
-    "routes[0].max_retries": NOT_WHOLE,
-    "routes[0].session_affinity": NOT_FLAG,
-    "routes[0].resumable": NOT_FLAG,
+    "routes[0].priority": NOT_INTEGER,
+    "routes[0].max_retries": NOT_INTEGER,
+    "routes[0].session_affinity": NOT_BOOLEAN,
+    "routes[0].resumable": NOT_BOOLEAN,
     "routes[0].gap_aim_ms": NOT_NUMBER,
     "routes[0].backend": (*NOT_TEXT, None, ""),
     "routes[1].weighted_backends": NOT_LIST,
@@ -209,20 +209,20 @@
     "backends[0]": (*NOT_OBJECT, None),
     "backends[0].name": (*NOT_TEXT, None, ""),
     "backends[0].health_check": NOT_TEXT,
-    "backends[0].max_connections": NOT_WHOLE,
+    "backends[0].max_connections": NOT_INTEGER,
     "backends[0].engine": NOT_OBJECT,
-    "backends[0].engine.slots": NOT_WHOLE,
-    "backends[0].engine.kv_capacity": NOT_WHOLE,
-    "backends[0].engine.kv_token_bytes": NOT_WHOLE,
+    "backends[0].engine.slots": NOT_INTEGER,
+    "backends[0].engine.kv_capacity": NOT_INTEGER,
+    "backends[0].engine.kv_token_bytes": NOT_INTEGER,
     "backends[0].engine.link_mbps": NOT_NUMBER,
-    "backends[0].engine.stride": NOT_WHOLE,
+    "backends[0].engine.stride": NOT_INTEGER,
     "backends[0].engine.handle_ttl_s": NOT_NUMBER,
     "backends[0].engine.switch_s": NOT_NUMBER,
     "backends[0].engine.models": NOT_LIST,
     "backends[0].engine.models[0]": (*NOT_TEXT, None, "", {"name": 1}, {"name": ""}),
     "limits": NOT_OBJECT,
-    "limits.max_header_bytes": NOT_WHOLE,
-    "limits.max_body_bytes": NOT_WHOLE,
+    "limits.max_header_bytes": NOT_INTEGER,
+    "limits.max_body_bytes": NOT_INTEGER,
     "limits.header_timeout_ms": NOT_NUMBER,
     "limits.idle_timeout_ms": NOT_NUMBER,
 }
@@ -262,7 +262,7 @@
             with self.subTest(body[:60]):
                 self.assertEqual(self.refusal(body).code, code)
 
-    def test_cut_short_anywhere(self) -> None:
+    def test_truncated_anywhere(self) -> None:
         body = body_of(document())
         for length in range(len(body)):
             self.assertEqual(self.refusal(body[:length]).code, "CONFIG_UNREADABLE", f"cut at {length}")
@@ -290,7 +290,7 @@
         self.assertEqual(self.refusal(b"x" * 101, small).code, "CONFIG_TOO_LARGE")
         self.assertEqual(self.refusal(b"x" * 100, small).code, "CONFIG_UNREADABLE")
 
-    def test_errors_are_told(self) -> None:
+    def test_errors_carry_code_place_and_remedy(self) -> None:
         classes = ConfigurationError.__subclasses__()
         self.assertEqual(len({kind.code for kind in classes}), len(classes))
         for kind in classes:
@@ -325,7 +325,7 @@
         self.assertEqual((read.hostname, read.route_type, read.max_retries), ("a.example", "unsafe", 1))
         self.assertEqual(configuration.limits, ClientLimits())
 
-    def test_numbers_are_rounded_and_cut(self) -> None:
+    def test_numbers_are_rounded_and_clamped(self) -> None:
         configuration = parsed(
             edited(
                 {
@@ -360,7 +360,7 @@
             ).routes["alpha.example /two/"]
             self.assertEqual(tuple(entry.weight for entry in route.backends), expected)
 
-    def test_a_backend_beside_weighted_ones_gets_nothing(self) -> None:
+    def test_a_backend_besides_weighted_ones_gets_weight_0(self) -> None:
         route = parsed(edited({"routes[1].weighted_backends[1]": REMOVED, "routes[1].backend": "records"}))
         entries = route.routes["alpha.example /two/"].backends
         self.assertEqual(entries, (WeightedBackend("models", 90), WeightedBackend("records", 0)))
@@ -376,13 +376,13 @@
         digests = {parse_configuration(body_of(edited(edits))).digest for edits in VALID.values()}
         self.assertEqual(len(digests), len(VALID))
 
-    def test_a_used_parser_reads_as_a_new_one(self) -> None:
+    def test_a_used_parser_parses_like_a_new_one(self) -> None:
         used = ConfigurationParser()
         for edits in VALID.values():
             body = body_of(edited(edits))
             self.assertEqual(used.parse(body), parse_configuration(body))
 
-    def test_a_used_parser_reads_only_what_changed(self) -> None:
+    def test_a_used_parser_parses_only_what_changed(self) -> None:
         used = ConfigurationParser()
         before = used.parse(body_of(large_document(50))).configuration
         value = large_document(50, revision=8)
@@ -392,7 +392,7 @@
         self.assertEqual(len(kept), 49)
         self.assertTrue(all(after.backends[name] is before.backends[name] for name in after.backends))
 
-    def test_a_refused_document_leaves_the_parser_as_it_was(self) -> None:
+    def test_a_rejected_document_does_not_change_the_parser(self) -> None:
         used = ConfigurationParser()
         good = used.parse(body_of(document()))
         with self.assertRaises(ConfigurationError):
--- a/tests/router/configuration/test_configuration_identity.py
+++ b/tests/router/configuration/test_configuration_identity.py
@@ -63,7 +63,7 @@
         digests = {parse_configuration(body).digest for body in (TEXT.encode(), *OTHER.values())}
         self.assertEqual(len(digests), 1 + len(OTHER))
 
-    def test_the_same_value_is_acknowledged_again_and_another_one_refused(self) -> None:
+    def test_the_same_value_is_acknowledged_again_and_another_one_rejected(self) -> None:
         versions, parser = ConfigurationVersions(), ConfigurationParser()
         self.assertEqual(versions.apply(put_command(parser.parse(TEXT.encode()), 0)), DONE)
         for name, body in SAME.items():
--- a/tests/router/configuration/test_configuration_patch.py
+++ b/tests/router/configuration/test_configuration_patch.py
@@ -269,7 +269,7 @@
             bodies.add(versions.current_body())
         self.assertEqual(len(bodies), 1)
 
-    def test_a_document_that_came_whole_is_not_read_for_another_with_its_number(self) -> None:
+    def test_a_complete_document_is_not_parsed_to_compare_another_of_its_revision(self) -> None:
         """Its digest tells them apart; the stored body is not even readable here."""
         versions = ConfigurationVersions()
         stored = PutConfiguration(body=b"not zlib", based_on=0, digest=b"1" * 16, revision=7)
--- a/tests/router/configuration/test_configuration_updates.py
+++ b/tests/router/configuration/test_configuration_updates.py
@@ -1,4 +1,4 @@
-"""Updates for gateways: a difference gives what the whole gives, and no gateway goes back."""
+"""Updates for gateways: an incremental update equals a full one, and no gateway goes back."""
 
 from __future__ import annotations
 
@@ -96,7 +96,7 @@
 
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(placed_routes, placed_backends, limits_of_both)
-    def test_a_difference_gives_what_the_whole_gives(
+    def test_an_incremental_update_equals_a_full_one(
         self,
         with_routes: list[tuple[str, Route]],
         with_backends: list[tuple[str, Backend]],
@@ -111,7 +111,7 @@
         self.assertEqual(apply_update(held, over_the_wire(full_update(new))), new)
         self.assertEqual(held, old, "what was held has been changed")
 
-    def test_the_property_fails_for_a_difference_that_forgets(self) -> None:
+    def test_the_property_fails_for_an_update_that_lacks_removals(self) -> None:
         def forgetful(old: Configuration, new: Configuration) -> ConfigurationUpdate:
             update = incremental_update(old, new)
             del update.removed_routes[:]
@@ -121,7 +121,7 @@
         self.assertEqual(apply_update(old, incremental_update(old, new)), new)
         self.assertNotEqual(apply_update(old, forgetful(old, new)), new)
 
-    def test_a_difference_holds_only_what_changed(self) -> None:
+    def test_an_incremental_update_contains_only_changes(self) -> None:
         value = large_document(200, revision=8)
         value["routes"][7]["timeout_ms"] += 1
         moved = value["routes"][9]
@@ -134,13 +134,13 @@
         self.assertFalse(update.HasField("limits") or update.removed_backends or update.whole)
         self.assertEqual((update.based_on, update.revision), (7, 8))
 
-    def test_what_is_the_same_is_not_even_compared(self) -> None:
+    def test_identical_objects_are_not_compared(self) -> None:
         old = parsed(large_document(50))
         new = replace(old, revision=8)
         with patch.object(Route, "__eq__", side_effect=AssertionError):
             self.assertFalse(incremental_update(old, new).routes)
 
-    def test_no_older_revision_is_taken(self) -> None:
+    def test_no_older_revision_is_accepted(self) -> None:
         old, new = parsed(document(7)), parsed(document(9))
         newest = parsed(document(12))
         for update in (
@@ -151,7 +151,7 @@
         ):
             self.assertIs(apply_update(newest, update), newest)
 
-    def test_a_change_on_another_revision_is_refused(self) -> None:
+    def test_an_update_of_another_revision_is_rejected(self) -> None:
         old, new, newest = (parsed(document(revision)) for revision in (7, 9, 12))
         for held in (None, old):
             with self.assertRaises(UpdateMismatchError) as caught:
@@ -159,7 +159,7 @@
             self.assertEqual(caught.exception.code, "CONFIG_UPDATE_BASE")
         self.assertEqual(apply_update(old, full_update(newest)), newest)
 
-    def test_names_that_are_gone_already_are_passed_over(self) -> None:
+    def test_removal_of_unknown_names_is_ignored(self) -> None:
         held = parsed(document(7))
         update = ConfigurationUpdate(revision=8, based_on=7)
         update.removed_routes.append("none /")
--- a/tests/router/configuration/test_configuration_versions.py
+++ b/tests/router/configuration/test_configuration_versions.py
@@ -76,7 +76,7 @@
 class Versions(unittest.TestCase):
     """What scenarios don't show."""
 
-    def test_nothing_is_parsed_twice_beside_the_api(self) -> None:
+    def test_nothing_is_parsed_twice_when_the_api_shares_its_parser(self) -> None:
         parser = ConfigurationParser()
         versions = ConfigurationVersions(parser)
         parsed = parser.parse(body_of(document()))
--- a/tests/router/configuration/test_rules_config.py
+++ b/tests/router/configuration/test_rules_config.py
@@ -102,7 +102,7 @@
 
         play(scenario())
 
-    def test_a_weight_of_0_gets_nothing_and_others_their_share(self) -> None:
+    def test_a_weight_of_0_gets_no_requests_and_others_their_proportion(self) -> None:
         async def scenario() -> None:
             routes = to("/a/", (PLAIN, 0), ("new", 1)), to("/b/", (PLAIN, 3), ("new", 1))
             async with Bench(with_backend(configuration(*routes), "new"), ByName()) as bench:
--- a/tests/router/feed/test_feed_candidates.py
+++ b/tests/router/feed/test_feed_candidates.py
@@ -9,12 +9,12 @@
 from mallowbeam.router.feed.limits import CONNECT_TIMEOUT_S
 
 MEMBERS = ("m1", "m2", "m3", "m4", "m5")
-LOOK_S = 0.01
+POLL_S = 0.01
 
 
 class NoneAnswers(unittest.TestCase):
     def test_each_member_is_tried_within_a_few_seconds(self) -> None:
-        """Two that were followed before are gone; the others, never followed, must not wait behind them."""
+        """Two that were followed before are gone; the others, never followed, must not be starved by them."""
         for seed in range(1, 21):
             candidates = Candidates(MEMBERS, Random(seed))
             candidates.update_members(MEMBERS)
@@ -32,7 +32,7 @@
         while now < until:
             member = candidates.choose(now)
             if member is None:
-                now += LOOK_S
+                now += POLL_S
                 continue
             tried.add(member)
             now += CONNECT_TIMEOUT_S
--- a/tests/router/feed/test_feed_publisher.py
+++ b/tests/router/feed/test_feed_publisher.py
@@ -18,7 +18,7 @@
 )
 
 STATUS = MemberStatus(leader_silence_ms=7, gateways=3, members=("10.0.0.1:1", "10.0.0.2:1"))
-HELD_BACK = MemberStatus(5_000, 3, STATUS.members, FeedAllowance(configuration=False, table=False))
+DEFERRED = MemberStatus(5_000, 3, STATUS.members, FeedAllowance(configuration=False, table=False))
 LATE = 10.0  # the table is complete
 
 
@@ -74,7 +74,7 @@
         self.assertEqual((frame.heartbeat.leader_silence_ms, frame.heartbeat.gateways), (7, 3))
         self.assertTrue(frame.heartbeat.table_complete)
 
-    def test_a_gateway_that_holds_a_configuration_gets_what_changed(self) -> None:
+    def test_a_gateway_with_a_configuration_gets_an_incremental_update(self) -> None:
         self.publisher.subscribe(1, FeedHello(configuration_revision=3), LATE)
         self.publisher.subscribe(2, FeedHello(configuration_revision=4), LATE)
         self.publisher.subscribe(3, FeedHello(configuration_revision=9), LATE)
@@ -86,7 +86,7 @@
         frames = {batch.subscribers: batch.frame for batch in self.frames(LATE + 0.01)}
         self.assertEqual(sorted(frames), [(1, 2)])
 
-    def test_one_frame_for_all_that_stand_at_the_same_place(self) -> None:
+    def test_one_frame_for_all_subscribers_with_equal_cursors(self) -> None:
         for number in range(350):
             self.publisher.subscribe(number, FeedHello(), LATE)
         (batch,) = self.frames(LATE)
@@ -99,7 +99,7 @@
         self.assertEqual(self.source.built, 1)
         self.assertEqual([i.id for i in batch.frame.instances.instances], ["a"])
 
-    def test_silence_is_broken_by_heartbeats_only(self) -> None:
+    def test_without_changes_only_heartbeats_are_sent(self) -> None:
         self.publisher.subscribe(1, FeedHello(), LATE)
         self.frames(LATE)
         self.beat("a", 1)
@@ -112,14 +112,14 @@
         self.assertEqual(list(batch.frame.heartbeat.members), [])
         self.assertLess(len(batch.encoded), 20)
 
-    def test_members_go_out_when_they_change(self) -> None:
+    def test_a_changed_membership_is_sent(self) -> None:
         self.publisher.subscribe(1, FeedHello(), LATE)
         self.frames(LATE)
         status = MemberStatus(0, 3, (*STATUS.members, "10.0.0.3:1"))
         (batch,) = self.frames(LATE + 0.01, status)
         self.assertEqual(len(batch.frame.heartbeat.members), 3)
 
-    def test_the_table_goes_out_whole_again_once_it_is_complete(self) -> None:
+    def test_the_table_is_sent_in_full_again_once_it_is_complete(self) -> None:
         self.beat("a", 1, 0.1)
         self.publisher.subscribe(1, FeedHello(), 0.1)
         (batch,) = self.frames(0.1)
@@ -147,28 +147,28 @@
         (batch,) = self.frames(LATE + 0.11)
         self.assertEqual(batch.subscribers, (1, 2))
 
-    def test_what_may_not_be_told_is_held_back_until_it_may(self) -> None:
+    def test_what_may_not_be_published_is_deferred(self) -> None:
         self.beat("a", 1)
         self.publisher.subscribe(1, FeedHello(), LATE)
         self.publisher.subscribe(2, FeedHello(configuration_revision=3), LATE)
-        for batch in self.frames(LATE, HELD_BACK):
+        for batch in self.frames(LATE, DEFERRED):
             self.assertEqual([field.name for field, _ in batch.frame.ListFields()], ["heartbeat"])
             self.assertEqual(list(batch.frame.heartbeat.members), list(STATUS.members))
             self.assertEqual(batch.frame.heartbeat.leader_silence_ms, 5_000)
-        self.assertEqual(self.frames(LATE + 0.01, HELD_BACK), [])
+        self.assertEqual(self.frames(LATE + 0.01, DEFERRED), [])
         frames = {batch.subscribers: batch.frame for batch in self.frames(LATE + 0.02)}
         self.assertEqual((frames[1,].configuration.revision, frames[1,].configuration.whole), (4, True))
         self.assertEqual((frames[2,].configuration.revision, frames[2,].configuration.based_on), (4, 3))
         self.assertTrue(all(frame.instances.whole for frame in frames.values()))
 
-    def test_changes_of_instances_go_on_to_those_that_have_the_table(self) -> None:
+    def test_changes_of_instances_still_go_to_subscribers_with_the_table(self) -> None:
         self.publisher.subscribe(1, FeedHello(), LATE)
         self.frames(LATE)
         self.publisher.subscribe(2, FeedHello(), LATE)
-        self.frames(LATE, HELD_BACK)
+        self.frames(LATE, DEFERRED)
         self.beat("a", 1)
         self.source.revision = 5
-        (batch,) = self.frames(LATE + 0.01, HELD_BACK)
+        (batch,) = self.frames(LATE + 0.01, DEFERRED)
         self.assertEqual(batch.subscribers, (1,))
         self.assertEqual([one.id for one in batch.frame.instances.instances], ["a"])
         self.assertFalse(batch.frame.HasField("configuration"))
--- a/tests/router/feed/test_feed_subscriber.py
+++ b/tests/router/feed/test_feed_subscriber.py
@@ -1,4 +1,4 @@
-"""The gateway's end of the feed: which member it follows, and what it takes of its word."""
+"""The gateway's end of the feed: which member it follows, and which of its frames it applies."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 import unittest
 from random import Random
 
-from mallowbeam.errors import MallowbeamError
+from feed_case import SEEDS, FeedCase, apply, frame, instance
+
 from mallowbeam.router.feed import Close, Connect, FeedSubscriber, GatewayIdentity, Wait
 from mallowbeam.router.feed.limits import (
     BACKOFF_MAX_S,
@@ -17,75 +18,10 @@
     MIN_DWELL_S,
     READY_WITHOUT_COMPLETE_S,
 )
-from mallowbeam.router.rpc.messages_pb2 import (
-    READY,
-    ConfigurationUpdate,
-    FeedFrame,
-    FeedHeartbeat,
-    Instance,
-    InstancesUpdate,
-)
-
-SEEDS = ("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1")
-
-
-def apply(held: tuple[int, ...] | None, update: ConfigurationUpdate) -> tuple[int, ...]:
-    """A configuration is the list of the revisions that led to it."""
-    if update.revision == 666:
-        raise MallowbeamError("does not fit")
-    return (update.revision,) if update.whole else (*(held or ()), update.revision)
-
-
-def frame(
-    *instances: Instance,
-    whole: bool = False,
-    complete: bool = True,
-    silence_ms: int = 0,
-    gateways: int = 1,
-    members: tuple[str, ...] = (),
-    revision: int = 0,
-    based_on: int | None = None,
-) -> FeedFrame:
-    made = FeedFrame(
-        heartbeat=FeedHeartbeat(
-            leader_silence_ms=silence_ms, gateways=gateways, members=members, table_complete=complete
-        )
-    )
-    if instances or whole:
-        made.instances.CopyFrom(InstancesUpdate(whole=whole, instances=instances))
-    if revision:
-        made.configuration.CopyFrom(
-            ConfigurationUpdate(revision=revision, whole=based_on is None, based_on=based_on or 0)
-        )
-    return made
-
-
-def instance(
-    id: str, state: int = READY, sequence: int = 1, address: str = "10.1.0.1:80", stage: str = "decode"
-) -> Instance:
-    return Instance(id=id, state=state, sequence=sequence, address=address, stage=stage)
-
-
-class Case(unittest.TestCase):
-    def setUp(self) -> None:
-        self.feed = FeedSubscriber(SEEDS, GatewayIdentity("z", "g", 5), Random(7), apply)
-
-    def connect(self, now: float) -> str:
-        action = self.feed.next_action(now)
-        assert isinstance(action, Connect), action
-        self.feed.connected(action.address, now)
-        return action.address
-
-    def again(self, now: float) -> str:
-        """The peer ends the connection; another one is opened, where needed after the backoff."""
-        link = self.feed._connection
-        assert link is not None
-        self.feed.failed(link.address, now)
-        return self.connect(now + 0.2)
 
 
-class Following(Case):
-    def test_silence_ends_a_feed(self) -> None:
+class Following(FeedCase):
+    def test_a_feed_without_frames_times_out(self) -> None:
         first = self.connect(0.0)
         self.feed.received(frame(whole=True), 0.5)
         self.assertEqual(self.feed.next_action(0.6), Wait(0.5 + FRAME_TIMEOUT_S))
@@ -94,7 +30,7 @@
         self.assertIsInstance(following, Connect)
         self.assertNotEqual(following, Connect(first))
 
-    def test_a_connection_that_says_nothing_is_given_up(self) -> None:
+    def test_a_connection_without_frames_is_closed(self) -> None:
         first = self.connect(0.0)
         self.assertEqual(self.feed.next_action(1.01), Close(first))
 
@@ -125,14 +61,14 @@
         self.assertGreater(len(attempts), 3 * 20)
 
     def test_gateways_spread_over_members(self) -> None:
-        taken = []
+        chosen = []
         for seed in range(350):
             action = FeedSubscriber(SEEDS, GatewayIdentity("z"), Random(seed), apply).next_action(0.0)
             assert isinstance(action, Connect)
-            taken.append(action.address)
-        self.assertTrue(all(90 < taken.count(address) < 145 for address in SEEDS))
+            chosen.append(action.address)
+        self.assertTrue(all(90 < chosen.count(address) < 145 for address in SEEDS))
 
-    def test_a_member_out_of_touch_is_left(self) -> None:
+    def test_an_isolated_member_is_left(self) -> None:
         first = self.connect(0.0)
         self.feed.received(frame(whole=True, silence_ms=200), 0.1)
         self.feed.received(frame(silence_ms=900), 1.0)
@@ -146,14 +82,14 @@
         self.assertEqual(set(tried[:2]), set(SEEDS) - {first})
         self.assertEqual(tried[2], first)  # the others can't be reached: better than none
 
-    def test_a_new_feed_has_time_to_get_in_touch(self) -> None:
+    def test_a_new_feed_has_time_to_recover(self) -> None:
         first = self.connect(0.0)
         self.feed.received(frame(whole=True, silence_ms=9_000), 0.1)
         self.assertIsInstance(self.feed.next_action(0.1), Wait)
         self.feed.received(frame(silence_ms=9_500), MIN_DWELL_S)
         self.assertEqual(self.feed.next_action(MIN_DWELL_S), Close(first))
 
-    def test_all_out_of_touch_stays_with_the_freshest(self) -> None:
+    def test_of_isolated_members_the_freshest_is_followed(self) -> None:
         silences = dict(zip(SEEDS, (5_000, 3_000, 4_000), strict=True))
         now, visited = 0.0, []
         while now < EJECTION_MIN_S - 0.5:
@@ -168,7 +104,7 @@
         self.assertEqual(visited[-1], SEEDS[1])
         self.assertLessEqual(len(visited), 4)
 
-    def test_members_are_learnt_and_seeds_are_a_fallback(self) -> None:
+    def test_members_are_learned_and_seeds_are_a_fallback(self) -> None:
         self.connect(0.0)
         members = ("10.0.1.1:1", "10.0.1.2:1")
         self.feed.received(frame(whole=True, members=members), 0.1)
@@ -185,87 +121,87 @@
         self.assertEqual(set(tried[:2]), set(members))
         self.assertTrue(set(tried[2:]) < set(SEEDS))
 
-    def test_what_comes_after_the_end_changes_nothing(self) -> None:
+    def test_a_frame_after_the_end_has_no_effect(self) -> None:
         self.connect(0.0)
         self.feed.next_action(1.5)
         events = self.feed.received(frame(instance("a"), whole=True, revision=3), 1.5)
         self.assertEqual((events.configuration, len(self.feed.instances)), (None, 0))
 
 
-class HeldUp(Case):
-    """Frames that waited on the way: over a cut, in a frozen process, behind a slow link."""
+class StaleFrames(FeedCase):
+    """Frames that were delayed: by a partition, in a suspended process, behind a slow link."""
 
     CLOCK = 5_000.0  # of the member, when the gateway's shows 0
 
-    def take(self, now: float, sent: float, silence_ms: int = 50, **more: object) -> None:
-        """A frame that was sent at a time of the gateway's clock."""
+    def receive(self, now: float, sent: float, silence_ms: int = 50, **more: object) -> None:
+        """Receive a frame that was sent at a time of the gateway's clock."""
         made = frame(silence_ms=silence_ms, **more)
         made.heartbeat.sent_at_ms = round((self.CLOCK + sent) * 1000)
         self.feed.received(made, now)
 
-    def out_of_touch(self) -> bool:
+    def isolated(self) -> bool:
         assert self.feed._connection is not None
         return self.feed._connection.isolated
 
-    def test_a_burst_after_a_cut_does_not_count_the_member_as_in_touch(self) -> None:
-        """Each frame said 50 ms of silence, and was taken for news of now."""
+    def test_a_burst_after_a_partition_leaves_the_member_isolated(self) -> None:
+        """Each frame reports 50 ms since the leader's contact, and was once counted as current."""
         self.connect(0.0)
-        self.take(0.1, 0.1, whole=True)
+        self.receive(0.1, 0.1, whole=True)
         for sent in (0.35, 0.6, 0.85):  # held up, and brought in one burst
-            self.take(20.0, sent)
-            self.assertTrue(self.out_of_touch())
-        self.take(20.25, 20.25)  # the member goes on
-        self.assertFalse(self.out_of_touch())
+            self.receive(20.0, sent)
+            self.assertTrue(self.isolated())
+        self.receive(20.25, 20.25)  # the member goes on
+        self.assertFalse(self.isolated())
 
-    def test_a_gateway_that_stood_still_does_not_begin_with_what_waited(self) -> None:
+    def test_a_suspended_gateway_does_not_become_ready_by_queued_frames(self) -> None:
         self.connect(0.0)
-        self.take(0.1, 0.1)
-        self.take(20.0, 0.2, whole=True, revision=3)
+        self.receive(0.1, 0.1)
+        self.receive(20.0, 0.2, whole=True, revision=3)
         self.assertFalse(self.feed.ready(20.0))
-        self.take(20.1, 20.1)
+        self.receive(20.1, 20.1)
         self.assertTrue(self.feed.ready(20.1))
 
-    def test_a_link_that_lags_tells_how_old_its_words_are(self) -> None:
+    def test_a_growing_delay_counts_as_staleness(self) -> None:
         self.connect(0.0)
         late = 0.0
         for step in range(80):  # a queue builds up: each frame is later than the one before
             sent = 0.25 * step
             late = 0.3 * sent
-            self.take(0.1 + sent + late, sent, whole=step == 0, revision=3 if step == 79 else 0)
-        self.assertTrue(self.out_of_touch())
+            self.receive(0.1 + sent + late, sent, whole=step == 0, revision=3 if step == 79 else 0)
+        self.assertTrue(self.isolated())
         self.assertFalse(self.feed.ready(0.1 + sent + late))
 
-    def test_a_little_late_is_no_reason_to_leave_but_too_old_to_begin_with(self) -> None:
+    def test_slight_staleness_neither_ends_the_feed_nor_makes_it_ready(self) -> None:
         """A gateway whose own link is loaded gains nothing by a new connection."""
         self.connect(0.0)
-        self.take(0.1, 0.1)
-        self.take(2.0, 0.4, whole=True, revision=3)  # 1.6 s late
-        self.assertFalse(self.out_of_touch())
+        self.receive(0.1, 0.1)
+        self.receive(2.0, 0.4, whole=True, revision=3)  # 1.6 s late
+        self.assertFalse(self.isolated())
         self.assertFalse(self.feed.ready(2.0))
-        self.take(2.1, 2.1)
+        self.receive(2.1, 2.1)
         self.assertTrue(self.feed.ready(2.1))
 
-    def test_clocks_of_other_rates_are_no_lateness(self) -> None:
+    def test_clock_drift_is_not_staleness(self) -> None:
         for rate in (0.9, 1.1):
             feed = self.feed = FeedSubscriber(SEEDS, GatewayIdentity("z", "g", 5), Random(7), apply)
             self.connect(0.0)
             for step in range(4_000):
                 now = 0.25 * step
-                self.take(now, now * rate, whole=step == 0)
-                self.assertFalse(self.out_of_touch(), (rate, now))
+                self.receive(now, now * rate, whole=step == 0)
+                self.assertFalse(self.isolated(), (rate, now))
             self.assertFalse(feed.instances)
 
-    def test_a_member_without_a_stamp_is_taken_at_its_word(self) -> None:
+    def test_frames_without_a_time_stamp_count_as_fresh(self) -> None:
         self.connect(0.0)
         self.feed.received(frame(whole=True, silence_ms=50), 0.1)
         self.feed.received(frame(silence_ms=50), 0.9)
-        self.assertFalse(self.out_of_touch())
+        self.assertFalse(self.isolated())
 
 
-class CutOffMembers(Case):
-    """A gateway that first meets members which are out of touch."""
+class IsolatedMembers(FeedCase):
+    """A gateway that first connects to members which are isolated."""
 
-    def test_it_is_not_ready_by_the_word_of_a_member_out_of_touch(self) -> None:
+    def test_an_isolated_member_does_not_make_it_ready(self) -> None:
         self.connect(0.0)
         self.feed.received(frame(instance("a"), whole=True, revision=3, silence_ms=5_000), 0.1)
         self.assertFalse(self.feed.ready(0.1))
@@ -273,7 +209,7 @@
         self.feed.received(frame(silence_ms=100), 0.6)
         self.assertTrue(self.feed.ready(0.6))
 
-    def test_nor_without_a_feed_or_after_its_silence(self) -> None:
+    def test_it_is_not_ready_without_a_feed_or_after_its_time_out(self) -> None:
         self.connect(0.0)
         self.feed.received(frame(instance("a"), whole=True, complete=False, revision=3), 0.1)
         later = 0.1 + READY_WITHOUT_COMPLETE_S + 0.5
@@ -283,8 +219,8 @@
         self.feed.received(frame(), later + 0.3)
         self.assertTrue(self.feed.ready(later + 0.3))
 
-    def test_while_it_is_not_ready_the_time_aside_does_not_grow(self) -> None:
-        """A gateway that starts without a majority would follow the wrong member for up to a minute after."""
+    def test_ejections_do_not_grow_before_it_is_ready(self) -> None:
+        """Otherwise a gateway that starts without a majority would follow the wrong member for a minute."""
         now, attempts = 0.0, []
         while now < 120.0:
             action = self.feed.next_action(now)
@@ -298,8 +234,8 @@
         self.assertLessEqual(max(pauses), EJECTION_MIN_S + 0.5)
         self.assertLessEqual(len(attempts), 120.0 / EJECTION_MIN_S * len(SEEDS))
 
-    def test_others_are_tried_again_where_the_member_followed_falls_out_of_touch(self) -> None:
-        """They were out of reach a short time before, and were left aside for up to a minute."""
+    def test_others_are_readmitted_when_the_followed_member_becomes_isolated(self) -> None:
+        """They were unreachable a short time before, and were ejected for up to a minute."""
         first = self.connect(0.0)
         self.feed.received(frame(whole=True, revision=3), 0.1)
         self.assertTrue(self.feed.ready(0.1))
@@ -314,7 +250,7 @@
         self.assertNotEqual(following.address, first)
 
 
-class ConfigurationTests(Case):
+class ConfigurationTests(FeedCase):
     def test_changes_in_order(self) -> None:
         self.connect(0.0)
         self.assertEqual(self.feed.received(frame(revision=2), 0.1).configuration, (2,))
@@ -324,7 +260,7 @@
         self.assertEqual(self.feed.hello().configuration_revision, 5)
         self.assertEqual((self.feed.hello().gateway, self.feed.hello().incarnation), ("g", 5))
 
-    def test_an_older_one_is_never_taken_and_the_member_left(self) -> None:
+    def test_an_older_revision_is_rejected_and_the_member_left(self) -> None:
         self.connect(0.0)
         self.feed.received(frame(revision=5), 0.1)
         second = self.again(1.0)
@@ -333,14 +269,14 @@
         self.feed.received(frame(), 1.9)
         self.assertEqual(self.feed.next_action(1.9), Close(second))
 
-    def test_a_change_on_another_base_starts_again(self) -> None:
+    def test_an_update_of_another_base_needs_a_new_start(self) -> None:
         first = self.connect(0.0)
         self.feed.received(frame(revision=5), 0.1)
         self.assertIsNone(self.feed.received(frame(revision=9, based_on=7), 0.2).configuration)
         self.assertEqual(self.feed.next_action(0.2), Close(first))
         self.assertEqual(self.feed.configuration, (5,))
 
-    def test_a_change_that_can_not_be_applied_starts_again(self) -> None:
+    def test_an_update_that_cannot_be_applied_needs_a_new_start(self) -> None:
         first = self.connect(0.0)
         self.feed.received(frame(revision=5), 0.1)
         self.assertIsNone(self.feed.received(frame(revision=666, based_on=5), 0.2).configuration)
--- a/tests/router/feed/test_feed_subscriber_tables.py
+++ b/tests/router/feed/test_feed_subscriber_tables.py
@@ -1,13 +1,13 @@
-"""What a gateway holds of instances, counts of gateways, and the choice of members."""
+"""A gateway's replica of the instances, its counts of gateways, and the ejection of members."""
 
 from __future__ import annotations
 
 import unittest
 from random import Random
 
+from feed_case import SEEDS, FeedCase, apply, frame, instance
 from hypothesis import given
 from hypothesis import strategies as st
-from test_feed_subscriber import SEEDS, Case, apply, frame, instance
 
 from mallowbeam.router.feed import Connect, FeedSubscriber, GatewayIdentity
 from mallowbeam.router.feed.candidates import Candidates
@@ -24,9 +24,9 @@
 )
 
 
-class Instances(Case):
+class Instances(FeedCase):
     def states(self) -> dict[str, int]:
-        return {id: held.state for id, held in self.feed.instances.items()}
+        return {id: known.state for id, known in self.feed.instances.items()}
 
     def test_a_complete_table_replaces_an_incomplete_one_adds(self) -> None:
         self.connect(0.0)
@@ -38,7 +38,7 @@
         events = self.feed.received(frame(instance("a"), instance("c"), whole=True), 1.4)
         self.assertEqual((events.instances.changed, events.instances.ended), ((), ("b",)))
 
-    def test_retired_never_comes_back(self) -> None:
+    def test_a_retired_instance_never_returns(self) -> None:
         self.connect(0.0)
         self.feed.received(frame(instance("a"), instance("b"), whole=True), 0.1)
         self.feed.received(frame(instance("a", DRAINS), instance("b", ENDED, RETIRED_SEQUENCE)), 0.2)
@@ -48,7 +48,7 @@
         self.feed.received(frame(instance("b", READY, 2**63)), 1.4)
         self.assertEqual(self.states(), {"a": DRAINS})
 
-    def test_ended_by_silence_comes_back_with_a_higher_sequence(self) -> None:
+    def test_an_expired_instance_returns_with_a_higher_sequence(self) -> None:
         self.connect(0.0)
         self.feed.received(frame(instance("a", sequence=3), whole=True), 0.1)
         self.assertEqual(self.feed.received(frame(instance("a", ENDED, 9)), 0.2).instances.ended, ("a",))
@@ -57,7 +57,7 @@
         events = self.feed.received(frame(instance("a", READY, 10)), 0.4)
         self.assertEqual([i.id for i in events.instances.changed], ["a"])
 
-    def test_an_older_word_of_an_incomplete_table_is_not_taken(self) -> None:
+    def test_an_incomplete_table_does_not_overwrite_newer_instances(self) -> None:
         self.connect(0.0)
         self.feed.received(frame(instance("a", sequence=9, stage="prefill"), whole=True), 0.1)
         self.again(1.0)
@@ -79,7 +79,7 @@
         self.feed.received(frame(instance("x")), 1.4)
         self.assertEqual(self.states(), {"a": DRAINS, "x": DRAINS})
 
-    def test_a_sequence_alone_is_no_change(self) -> None:
+    def test_a_higher_sequence_alone_is_no_change(self) -> None:
         self.connect(0.0)
         self.feed.received(frame(instance("a"), whole=True), 0.1)
         events = self.feed.received(frame(instance("a", sequence=8), whole=True), 0.2)
@@ -117,7 +117,7 @@
                 self.assertEqual(feed.instances[known].state, DRAINS)
 
 
-class Gateways(Case):
+class Gateways(FeedCase):
     def test_the_bound_is_the_greatest_of_the_window(self) -> None:
         self.connect(0.0)
         for now, count in ((0.1, 30), (0.2, 40), (0.3, 25), (0.4, 28)):
@@ -136,7 +136,7 @@
 
 
 class CandidateTests(unittest.TestCase):
-    def test_a_member_found_unfit_is_left_aside_for_longer_each_time(self) -> None:
+    def test_consecutive_ejections_last_longer(self) -> None:
         candidates = Candidates(SEEDS, Random(1))
         candidates.eject(SEEDS[0], 0.0)
         candidates.eject(SEEDS[0], 1.0)
--- a/tests/router/registry/test_registry_broken.py
+++ b/tests/router/registry/test_registry_broken.py
@@ -1,4 +1,4 @@
-"""The scenarios are able to fail: every variant that is broken on purpose is caught by one of them."""
+"""Mutation tests: every variant that is broken on purpose is caught by a scenario."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ForgetsRetirements(InstanceTable):
-    """Takes a heartbeat of a retired instance as one of a new instance."""
+    """Accepts a heartbeat of a retired instance as one of a new instance."""
 
     def __init__(self, heartbeat_interval_s: float, started_at: float) -> None:
         super().__init__(heartbeat_interval_s, started_at)
@@ -29,35 +29,35 @@
 
 
 class ExpiresBlindly(InstanceTable):
-    """Ends what it has not heard, whether or not it could have heard it."""
+    """Expires instances without heartbeats even while it could not have received any."""
 
     def mark_isolated(self, now: float) -> None:
         pass
 
 
 class IgnoresAddresses(InstanceTable):
-    """Keeps an instance whose address another one has."""
+    """Keeps an instance whose address another one uses."""
 
     def _claim_address(self, record: InstanceRecord) -> None:
         pass
 
 
 class LosesDetails(InstanceTable):
-    """Does not ask again for what was lost on a link."""
+    """Does not request again what was lost on a link."""
 
     def link_lost(self, now: float) -> None:
         pass
 
 
-class TakesPartForWhole(InstanceTable):
-    """Says at once that it has heard from everyone."""
+class ClaimsCompleteness(InstanceTable):
+    """Claims at once to know all instances."""
 
     def is_complete(self, now: float) -> bool:
         return True
 
 
 class IgnoresAges(InstanceTable):
-    """Takes a passed-on heartbeat as heard now, however old it is: here, by passing all on for ever."""
+    """Treats gossiped heartbeats as fresh, however old they are: here, by gossiping all for ever."""
 
     def gossip(self, now: float, gateways: int = 0) -> RegistryGossip:
         batch = super().gossip(now, gateways)
@@ -74,7 +74,7 @@
 
 
 class ReplacesAlways(FeedSubscriber[int]):
-    """Takes every whole table in the place of its own, also one of a member that has just started."""
+    """Replaces its table by any full table, also by that of a member that has just started."""
 
     def __init__(self, *arguments: object, **named: object) -> None:
         super().__init__(*arguments, **named)
@@ -82,14 +82,14 @@
 
 
 class StaysForEver(FeedSubscriber[int]):
-    """Does not leave a member that is out of touch."""
+    """Does not leave an isolated member."""
 
     def _may_leave(self, link: object, now: float) -> bool:
         return False
 
 
 class Wanders(FeedSubscriber[int]):
-    """Leaves a member that is out of touch whether or not another one is better."""
+    """Leaves an isolated member whether or not another one is better."""
 
     def _may_leave(self, link: object, now: float) -> bool:
         return True
@@ -100,7 +100,7 @@
     "registry/frozen_member": ExpiresBlindly,
     "registry/reused_address": IgnoresAddresses,
     "registry/lost_details_one_way": LosesDetails,
-    "registry/all_members_restarted": TakesPartForWhole,
+    "registry/all_members_restarted": ClaimsCompleteness,
     "registry/crash_expires": IgnoresAges,
 }
 SUBSCRIBERS = {
--- a/tests/router/registry/test_registry_parse.py
+++ b/tests/router/registry/test_registry_parse.py
@@ -48,7 +48,7 @@
             parse_heartbeat(id, content)
         self.assertEqual((caught.exception.code, caught.exception.where), (code, where))
 
-    def test_whole_heartbeat(self) -> None:
+    def test_a_complete_heartbeat(self) -> None:
         self.assertEqual(
             parse_heartbeat("i-1", body()),
             Instance(
@@ -69,7 +69,7 @@
     def test_unknown_fields_are_skipped(self) -> None:
         self.assertEqual(parse_heartbeat("i-1", body(later={"a": [1]})), parse_heartbeat("i-1", body()))
 
-    def test_what_may_be_absent(self) -> None:
+    def test_optional_fields(self) -> None:
         absent = ["zone", "revision", "slots", "warmup_left_ms", "stage", "models"]
         heartbeat = parse_heartbeat("i-1", body(**dict.fromkeys(absent, ...), state="draining"))
         self.assertEqual(
@@ -77,7 +77,7 @@
             Instance(id="i-1", backend="chat", address="10.1.2.3:8080", slots=1, state=DRAINS, sequence=4),
         )
 
-    def test_what_must_be_there(self) -> None:
+    def test_required_fields(self) -> None:
         for name in ("backend", "address", "state", "sequence"):
             with self.subTest(name):
                 self.refused("HEARTBEAT_BAD_FIELD", name, body(**{name: ...}))
@@ -150,7 +150,7 @@
         self.refused("HEARTBEAT_BAD_FIELD", "warmup_left_ms", body(warmup_left_ms=float("nan")))
 
     @given(st.sampled_from(sorted(GOOD)), JSON)
-    def test_any_value_is_taken_or_refused_by_its_name(self, name: str, value: object) -> None:
+    def test_any_value_is_accepted_or_rejected_by_its_name(self, name: str, value: object) -> None:
         try:
             heartbeat = parse_heartbeat("i-1", body(**{name: value}))
         except HeartbeatError as error:
@@ -160,7 +160,7 @@
             self.assertEqual(Instance.FromString(heartbeat.SerializeToString()), heartbeat)
 
     @given(st.binary(max_size=64))
-    def test_any_bytes_are_refused(self, content: bytes) -> None:
+    def test_any_bytes_are_rejected(self, content: bytes) -> None:
         with self.assertRaises(HeartbeatError):
             parse_heartbeat("i-1", content)
 
--- a/tests/router/registry/test_registry_random.py
+++ b/tests/router/registry/test_registry_random.py
@@ -1,4 +1,4 @@
-"""Random troubles on the simulated world: what must hold at all times, and that all is right afterwards.
+"""Random faults on the simulated world: the invariants at all times, and convergence afterwards.
 
 A failure names its seed; `play(seed)` replays it.
 """
@@ -15,13 +15,13 @@
 from mallowbeam.router.registry import InstanceTable
 from mallowbeam.router.rpc.messages_pb2 import DRAINING, DRAINS, GONE
 
-TROUBLES_UNTIL = 30.0
-CALM = 16.0  # expiry, completeness, a member left aside
+FAULTS_UNTIL = 30.0
+RECOVERY = 16.0  # expiry, completeness, an ejected member
 SEEDS = range(1, 31)
 
 
-class Troubles:
-    """Draws what happens next."""
+class FaultInjector:
+    """Injects random faults and calls."""
 
     def __init__(self, world: World, random: Random) -> None:
         self.world, self.random = world, random
@@ -153,23 +153,23 @@
     for number in range(6):
         world.start_server(f"s{number}")
     world.put_configuration(1, "m1")
-    troubles = Troubles(world, random)
+    faults = FaultInjector(world, random)
     at = 5.0
-    while at < TROUBLES_UNTIL:
+    while at < FAULTS_UNTIL:
         world.run_to(at)
-        troubles.step()
+        faults.step()
         at += random.choice([0.02, 0.3, 1.0, 2.5])
     world.heal()
-    troubles.thaw()
+    faults.thaw()
     for name, member in world.members.items():
         if not member.up:
             world.restart(name)
-    world.run_to(TROUBLES_UNTIL + CALM)
-    check_settled(world)
+    world.run_to(FAULTS_UNTIL + RECOVERY)
+    check_converged(world)
 
 
-def check_settled(world: World) -> None:
-    """Every gateway holds the truth."""
+def check_converged(world: World) -> None:
+    """Raise Broken unless every gateway has converged to the actual state."""
     revisions = [entry for entry in world.log if isinstance(entry, int)]
     for gateway in world.gateways.values():
         if gateway.revision != (revisions[-1] if revisions else 0) or not gateway.was_ready:
@@ -183,8 +183,8 @@
                 raise Broken(f"{gateway.name}: {id} has another stage")
 
 
-class RandomTroubles(unittest.TestCase):
-    def test_random_troubles(self) -> None:
+class RandomFaults(unittest.TestCase):
+    def test_random_faults(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 try:
--- a/tests/router/registry/test_registry_replicated.py
+++ b/tests/router/registry/test_registry_replicated.py
@@ -26,7 +26,7 @@
 
 
 class RetirementTests(unittest.TestCase):
-    def test_gone_after_draining_is_news_and_never_the_other_way(self) -> None:
+    def test_gone_after_draining_is_a_change_and_never_the_reverse(self) -> None:
         retirements = Retirements()
         self.assertEqual(retirements.apply(RetireInstance(id="a", kind=DRAINING)), DONE)
         self.assertEqual(retirements.apply(RetireInstance(id="a", kind=DRAINING)), ALREADY_DONE)
@@ -90,7 +90,7 @@
         """Copies of requests in any order, restarts and dropped subjects."""
         grant_in_all_orders()
 
-    def test_a_grant_that_is_asked_for_again_keeps_its_token(self) -> None:
+    def test_a_repeated_request_keeps_its_token(self) -> None:
         """The answer to a grant was lost: the same holder gets the same token, also after a restart."""
         leases = Leases(most=2)
         first = leases.apply(AcquireLease(subject="s", holder=1))
@@ -111,8 +111,8 @@
                     grant_in_all_orders()
 
 
-class ResentEnds(unittest.TestCase):
-    def test_copies_of_ends_in_any_order_lead_to_the_same_state(self) -> None:
+class DuplicateRetirements(unittest.TestCase):
+    def test_duplicate_retirements_in_any_order_lead_to_the_same_state(self) -> None:
         """A drain or an end may be applied again, late and after the other: gone stays gone."""
         commands = [RetireInstance(id="a", kind=kind) for kind in (DRAINING, GONE)]
         for order in product(commands, repeat=5):
--- a/tests/router/registry/test_registry_table.py
+++ b/tests/router/registry/test_registry_table.py
@@ -30,7 +30,9 @@
 STEP = 0.25  # between two calls of expire()
 
 
-def beat(id: str = "a", sequence: int = 1, state: int = READY, address: str = "", **more: object) -> Instance:
+def heartbeat(
+    id: str = "a", sequence: int = 1, state: int = READY, address: str = "", **more: object
+) -> Instance:
     return Instance(
         id=id,
         backend="s",
@@ -62,81 +64,84 @@
         self.table = InstanceTable(1.0, 0.0)
 
     def test_outcomes(self) -> None:
-        self.assertEqual(self.table.receive_heartbeat(beat(sequence=5), 0.1), HeartbeatOutcome.CHANGED)
+        self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=5), 0.1), HeartbeatOutcome.CHANGED)
         version = self.table.version
-        self.assertEqual(self.table.receive_heartbeat(beat(sequence=6), 0.2), HeartbeatOutcome.SAME)
-        self.assertEqual(self.table.receive_heartbeat(beat(sequence=6), 0.3), HeartbeatOutcome.STALE)
-        self.assertEqual(self.table.receive_heartbeat(beat(sequence=4), 0.3), HeartbeatOutcome.STALE)
+        self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=6), 0.2), HeartbeatOutcome.SAME)
+        self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=6), 0.3), HeartbeatOutcome.STALE)
+        self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=4), 0.3), HeartbeatOutcome.STALE)
         self.assertEqual(
-            self.table.receive_heartbeat(beat(sequence=7, warmup_left_ms=9), 0.4), HeartbeatOutcome.SAME
+            self.table.receive_heartbeat(heartbeat(sequence=7, warmup_left_ms=9), 0.4), HeartbeatOutcome.SAME
         )
         self.assertEqual(self.table.version, version)
         self.assertEqual(
-            self.table.receive_heartbeat(beat(sequence=8, stage="prefill"), 0.5), HeartbeatOutcome.CHANGED
+            self.table.receive_heartbeat(heartbeat(sequence=8, stage="prefill"), 0.5),
+            HeartbeatOutcome.CHANGED,
         )
         self.assertEqual(self.table.version, version + 1)
 
     def test_the_first_sequence_may_be_zero(self) -> None:
-        self.assertEqual(self.table.receive_heartbeat(beat(sequence=0), 0.1), HeartbeatOutcome.CHANGED)
-        self.assertEqual(self.table.receive_heartbeat(beat(sequence=0), 0.1), HeartbeatOutcome.STALE)
+        self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=0), 0.1), HeartbeatOutcome.CHANGED)
+        self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=0), 0.1), HeartbeatOutcome.STALE)
         self.table.retire("b", DRAINING, 0.1)
-        self.assertEqual(self.table.receive_heartbeat(beat("b", sequence=0), 0.1), HeartbeatOutcome.CHANGED)
+        self.assertEqual(
+            self.table.receive_heartbeat(heartbeat("b", sequence=0), 0.1), HeartbeatOutcome.CHANGED
+        )
         self.assertEqual(states(self.table)["b"], DRAINS)
 
     def test_draining_is_for_good_and_gone_too(self) -> None:
-        self.table.receive_heartbeat(beat(sequence=1), 0.1)
+        self.table.receive_heartbeat(heartbeat(sequence=1), 0.1)
         self.assertEqual(
-            self.table.receive_heartbeat(beat(sequence=2, state=DRAINS), 0.2), HeartbeatOutcome.CHANGED
+            self.table.receive_heartbeat(heartbeat(sequence=2, state=DRAINS), 0.2), HeartbeatOutcome.CHANGED
         )
         self.assertEqual(
-            self.table.receive_heartbeat(beat(sequence=3, state=READY), 0.3), HeartbeatOutcome.SAME
+            self.table.receive_heartbeat(heartbeat(sequence=3, state=READY), 0.3), HeartbeatOutcome.SAME
         )
         self.assertEqual(states(self.table), {"a": DRAINS})
         self.assertTrue(self.table.retire("a", GONE, 0.4))
         self.assertFalse(self.table.retire("a", DRAINING, 0.4))
-        self.assertEqual(self.table.receive_heartbeat(beat(sequence=99), 0.5), HeartbeatOutcome.RETIRED)
+        self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=99), 0.5), HeartbeatOutcome.RETIRED)
         self.assertEqual(states(self.table), {"a": ENDED})
 
     def test_a_late_heartbeat_that_says_draining_is_still_true(self) -> None:
-        self.table.receive_heartbeat(beat(sequence=7), 0.1)
+        self.table.receive_heartbeat(heartbeat(sequence=7), 0.1)
         self.assertEqual(
-            self.table.receive_heartbeat(beat(sequence=6, state=DRAINS), 0.2), HeartbeatOutcome.CHANGED
+            self.table.receive_heartbeat(heartbeat(sequence=6, state=DRAINS), 0.2), HeartbeatOutcome.CHANGED
         )
         self.assertEqual(states(self.table), {"a": DRAINS})
 
-    def test_a_retirement_before_any_heartbeat_is_told(self) -> None:
+    def test_a_retirement_before_any_heartbeat_is_published(self) -> None:
         self.table.retire("a", GONE, 0.1)
         told = self.table.changes_since(0).instances
         self.assertEqual([(i.id, i.state, i.sequence) for i in told], [("a", ENDED, RETIRED_SEQUENCE)])
 
     def test_expiry_and_return(self) -> None:
-        self.table.receive_heartbeat(beat(sequence=1), 10.0)
+        self.table.receive_heartbeat(heartbeat(sequence=1), 10.0)
         self.table.expire(9.9)
         self.assertEqual(run(self.table, 10.0, 13.4), [])
         self.assertEqual(run(self.table, 13.5, 14.0), ["a"])
-        self.assertEqual(self.table.receive_heartbeat(beat(sequence=1), 14.1), HeartbeatOutcome.STALE)
-        self.assertEqual(self.table.receive_heartbeat(beat(sequence=2), 14.2), HeartbeatOutcome.CHANGED)
+        self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=1), 14.1), HeartbeatOutcome.STALE)
+        self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=2), 14.2), HeartbeatOutcome.CHANGED)
         self.assertEqual(states(self.table), {"a": READY})
 
-    def test_what_ended_is_forgotten_and_older_cursors_get_the_whole_table(self) -> None:
-        self.table.receive_heartbeat(beat(sequence=1), 0.1)
-        self.table.receive_heartbeat(beat("b", sequence=1), 0.1)
+    def test_ended_instances_are_dropped_and_older_cursors_get_the_complete_table(self) -> None:
+        self.table.receive_heartbeat(heartbeat(sequence=1), 0.1)
+        self.table.receive_heartbeat(heartbeat("b", sequence=1), 0.1)
         cursor = self.table.version
         self.table.retire("a", GONE, 0.2)
         run(self.table, 0.2, 2.0)
         self.assertFalse(self.table.changes_since(cursor).whole)
         now = 2.0
         for sequence in range(2, 40):
-            self.table.receive_heartbeat(beat("b", sequence), now)
+            self.table.receive_heartbeat(heartbeat("b", sequence), now)
             run(self.table, now, now + 0.9)
             now += 1.0
         self.assertGreater(now, ENDED_RETENTION_S)
         self.assertTrue(self.table.changes_since(cursor).whole)
         self.assertEqual(states(self.table), {"b": READY})
-        self.assertEqual(self.table.receive_heartbeat(beat(sequence=9), now), HeartbeatOutcome.RETIRED)
+        self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=9), now), HeartbeatOutcome.RETIRED)
 
     def test_a_stall_ends_nothing(self) -> None:
-        self.table.receive_heartbeat(beat(), 0.1)
+        self.table.receive_heartbeat(heartbeat(), 0.1)
         run(self.table, 0.0, 3.0)
         self.assertTrue(self.table.is_complete(3.0))
         self.assertEqual(self.table.expire(9.0), [])
@@ -144,16 +149,16 @@
         self.assertEqual(run(self.table, 9.25, 12.25), [])
         self.assertEqual(run(self.table, 12.5, 13.0), ["a"])
 
-    def test_a_full_table_takes_no_new_instance(self) -> None:
+    def test_a_full_table_rejects_new_instances(self) -> None:
         table = InstanceTable(1.0, 0.0, most=2)
         for id in "ab":
-            table.receive_heartbeat(beat(id), 0.1)
-        self.assertEqual(table.receive_heartbeat(beat("c"), 0.2), HeartbeatOutcome.FULL)
-        table.merge(RegistryGossip(changed=[beat("d")]), 0.2)
+            table.receive_heartbeat(heartbeat(id), 0.1)
+        self.assertEqual(table.receive_heartbeat(heartbeat("c"), 0.2), HeartbeatOutcome.FULL)
+        table.merge(RegistryGossip(changed=[heartbeat("d")]), 0.2)
         self.assertFalse(table.retire("e", GONE, 0.2))
         self.assertEqual(states(table), {"a": READY, "b": READY})
-        self.assertEqual(table.receive_heartbeat(beat("a", 2), 0.3), HeartbeatOutcome.SAME)
-        self.assertEqual(table.receive_heartbeat(beat("e"), 0.3), HeartbeatOutcome.RETIRED)
+        self.assertEqual(table.receive_heartbeat(heartbeat("a", 2), 0.3), HeartbeatOutcome.SAME)
+        self.assertEqual(table.receive_heartbeat(heartbeat("e"), 0.3), HeartbeatOutcome.RETIRED)
         self.assertTrue(table.retire("a", DRAINING, 0.4))
 
     def test_complete_by_time(self) -> None:
@@ -164,37 +169,38 @@
 class Addresses(unittest.TestCase):
     def setUp(self) -> None:
         self.table = InstanceTable(1.0, 0.0)
-        self.table.receive_heartbeat(beat("a", 5, address="10.0.0.9:80"), 0.1)
+        self.table.receive_heartbeat(heartbeat("a", 5, address="10.0.0.9:80"), 0.1)
 
     def test_a_new_id_ends_the_older_one(self) -> None:
-        self.table.receive_heartbeat(beat("b", 1, address="10.0.0.9:80"), 0.5)
+        self.table.receive_heartbeat(heartbeat("b", 1, address="10.0.0.9:80"), 0.5)
         self.assertEqual(states(self.table), {"a": ENDED, "b": READY})
 
     def test_one_late_heartbeat_changes_nothing_two_win_it_back(self) -> None:
-        self.table.receive_heartbeat(beat("b", 1, address="10.0.0.9:80"), 0.5)
+        self.table.receive_heartbeat(heartbeat("b", 1, address="10.0.0.9:80"), 0.5)
         self.assertEqual(
-            self.table.receive_heartbeat(beat("a", 6, address="10.0.0.9:80"), 0.6), HeartbeatOutcome.SAME
+            self.table.receive_heartbeat(heartbeat("a", 6, address="10.0.0.9:80"), 0.6), HeartbeatOutcome.SAME
         )
         self.assertEqual(states(self.table), {"a": ENDED, "b": READY})
         self.assertEqual(
-            self.table.receive_heartbeat(beat("a", 7, address="10.0.0.9:80"), 0.7), HeartbeatOutcome.CHANGED
+            self.table.receive_heartbeat(heartbeat("a", 7, address="10.0.0.9:80"), 0.7),
+            HeartbeatOutcome.CHANGED,
         )
         self.assertEqual(states(self.table), {"a": READY, "b": ENDED})
 
-    def test_an_older_hearing_passed_on_does_not_take_the_address(self) -> None:
-        gossip = RegistryGossip(changed=[beat("b", 1, address="10.0.0.9:80")])
+    def test_an_older_heartbeat_by_gossip_does_not_take_the_address(self) -> None:
+        gossip = RegistryGossip(changed=[heartbeat("b", 1, address="10.0.0.9:80")])
         gossip.seen.add(id="b", sequence=1, age_ms=5_000)
         self.table.merge(gossip, 1.0)
         self.assertEqual(states(self.table), {"a": READY, "b": ENDED})
 
     def test_an_instance_that_moves_frees_its_address(self) -> None:
-        self.table.receive_heartbeat(beat("a", 6, address="10.0.0.8:80"), 0.2)
-        self.table.receive_heartbeat(beat("b", 1, address="10.0.0.9:80"), 0.3)
+        self.table.receive_heartbeat(heartbeat("a", 6, address="10.0.0.8:80"), 0.2)
+        self.table.receive_heartbeat(heartbeat("b", 1, address="10.0.0.9:80"), 0.3)
         self.assertEqual(states(self.table), {"a": READY, "b": READY})
 
     def test_a_deleted_instance_frees_its_address(self) -> None:
         self.table.retire("a", GONE, 0.2)
-        self.table.receive_heartbeat(beat("b", 1, address="10.0.0.9:80"), 0.3)
+        self.table.receive_heartbeat(heartbeat("b", 1, address="10.0.0.9:80"), 0.3)
         self.assertEqual(states(self.table), {"a": ENDED, "b": READY})
 
 
@@ -203,11 +209,11 @@
         self.one, self.other = InstanceTable(1.0, 0.0), InstanceTable(1.0, 0.0)
 
     def test_a_new_instance_is_urgent_a_renewal_is_not(self) -> None:
-        self.one.receive_heartbeat(beat(sequence=1), 0.1)
+        self.one.receive_heartbeat(heartbeat(sequence=1), 0.1)
         self.assertTrue(self.one.urgent)
         self.assertEqual(self.one.gossip_at(), URGENT_INTERVAL_S)
         self.assertTrue(self.other.merge(self.one.gossip(0.1, gateways=3), 0.15))
-        self.one.receive_heartbeat(beat(sequence=2), 1.1)
+        self.one.receive_heartbeat(heartbeat(sequence=2), 1.1)
         self.assertFalse(self.one.urgent)
         self.assertEqual(self.one.gossip_at(), 0.1 + GOSSIP_INTERVAL_S)
         batch = self.one.gossip(1.2)
@@ -217,15 +223,15 @@
         self.assertEqual(len(self.one.gossip(1.3).seen), 0)
 
     def test_ages_count(self) -> None:
-        self.one.receive_heartbeat(beat(sequence=1), 1.0)
+        self.one.receive_heartbeat(heartbeat(sequence=1), 1.0)
         self.other.merge(self.one.gossip(3.0), 103.0)
         run(self.other, 103.0, 106.4)
         self.other.mark_isolated(0.0)  # as though it had been in touch all the time
         self.assertEqual(states(self.other), {"a": READY})
         self.assertEqual(self.other.expire(106.45), ["a"])
 
-    def test_retirements_are_passed_on(self) -> None:
-        self.one.receive_heartbeat(beat(sequence=1), 0.1)
+    def test_retirements_are_gossiped(self) -> None:
+        self.one.receive_heartbeat(heartbeat(sequence=1), 0.1)
         self.other.merge(self.one.gossip(0.1), 0.1)
         self.one.retire("a", DRAINING, 0.2, announce=True)
         self.assertTrue(self.one.urgent)
@@ -234,35 +240,35 @@
         self.one.retire("a", GONE, 0.3, announce=True)
         self.other.merge(self.one.gossip(0.3), 0.3)
         self.assertEqual(states(self.other), {"a": ENDED})
-        self.assertEqual(self.other.receive_heartbeat(beat(sequence=9), 0.4), HeartbeatOutcome.RETIRED)
+        self.assertEqual(self.other.receive_heartbeat(heartbeat(sequence=9), 0.4), HeartbeatOutcome.RETIRED)
 
-    def test_an_end_by_silence_is_not_passed_on(self) -> None:
-        self.one.receive_heartbeat(beat(sequence=1), 0.1)
+    def test_an_expiry_is_not_gossiped(self) -> None:
+        self.one.receive_heartbeat(heartbeat(sequence=1), 0.1)
         self.other.merge(self.one.gossip(0.1), 0.1)
         self.assertEqual(run(self.one, 0.1, 5.0), ["a"])
         self.assertFalse(self.other.merge(self.one.full_gossip(5.0), 5.0))
         self.assertEqual(states(self.other), {"a": READY})
 
-    def test_a_whole_table_completes_only_where_it_is_complete(self) -> None:
+    def test_only_a_complete_table_completes_another_one(self) -> None:
         late = InstanceTable(1.0, 5.0)
         late.merge(InstanceTable(1.0, 4.0).full_gossip(5.1), 5.1)
         self.assertFalse(late.is_complete(5.1))
         late.merge(self.one.full_gossip(5.1), 5.1)
         self.assertTrue(late.is_complete(5.1))
 
-    def test_details_behind_a_higher_sequence_are_taken(self) -> None:
-        self.one.receive_heartbeat(beat(sequence=1), 0.1)
+    def test_details_behind_a_higher_sequence_are_stored(self) -> None:
+        self.one.receive_heartbeat(heartbeat(sequence=1), 0.1)
         self.other.merge(self.one.gossip(0.1), 0.1)
-        self.one.receive_heartbeat(beat(sequence=2, stage="prefill"), 1.1)
+        self.one.receive_heartbeat(heartbeat(sequence=2, stage="prefill"), 1.1)
         self.one.gossip(1.1)  # lost
-        self.one.receive_heartbeat(beat(sequence=3, stage="prefill"), 2.1)
+        self.one.receive_heartbeat(heartbeat(sequence=3, stage="prefill"), 2.1)
         self.other.merge(self.one.gossip(2.1), 2.1)
         self.assertTrue(self.other.merge(self.one.full_gossip(2.2), 2.2))
         held = self.other.get("a")
         assert held is not None
         self.assertEqual((held.stage, held.sequence), ("prefill", 3))
 
-    def test_asking_for_the_whole_table(self) -> None:
+    def test_requests_for_the_complete_table(self) -> None:
         self.assertTrue(self.one.should_request_full_gossip(0.1))
         self.assertFalse(self.one.should_request_full_gossip(0.2))
         self.assertTrue(self.one.should_request_full_gossip(0.6))
@@ -275,7 +281,7 @@
         self.assertFalse(self.one.should_request_full_gossip(4.0))
 
     @given(st.integers(0, 10_000))
-    def test_tables_agree_whatever_the_order_and_doubles(self, seed: int) -> None:
+    def test_tables_converge_whatever_the_order_and_duplicates(self, seed: int) -> None:
         """Batches of two members reach a third in any order, some twice: it ends with what they know."""
         random = Random(seed)
         sources = [InstanceTable(1.0, 0.0), InstanceTable(1.0, 0.0)]
@@ -288,7 +294,7 @@
                 source.retire(id, random.choice([DRAINING, GONE]), now, announce=True)
             else:
                 source.receive_heartbeat(
-                    beat(id, sequences[id], stage=random.choice(["prefill", "decode"])), now
+                    heartbeat(id, sequences[id], stage=random.choice(["prefill", "decode"])), now
                 )
             batches.append(source.gossip(now))
         expected = InstanceTable(1.0, 0.0)
@@ -334,7 +340,7 @@
             if random.random() < 0.1:
                 table.retire(id, random.choice([DRAINING, GONE]), now)
             table.receive_heartbeat(
-                beat(
+                heartbeat(
                     id,
                     sequence,
                     stage=random.choice(["prefill", "decode"]),
@@ -344,15 +350,15 @@
             )
             table.expire(now)
             if random.random() < 0.2:
-                copies.append((table.version, whole(table)))
+                copies.append((table.version, complete_table(table)))
         for version, held in copies:
             update = table.changes_since(version)
             result = {} if update.whole else dict(held)
             result.update({instance.id: instance for instance in update.instances})
-            self.assertEqual(decided(result), decided(whole(table)))
+            self.assertEqual(decided(result), decided(complete_table(table)))
 
 
-def whole(table: InstanceTable) -> dict[str, Instance]:
+def complete_table(table: InstanceTable) -> dict[str, Instance]:
     update: InstancesUpdate = table.changes_since(-1)
     return {instance.id: instance for instance in update.instances}
 
@@ -365,7 +371,7 @@
     }
 
 
-class Census(unittest.TestCase):
+class GatewayCountTests(unittest.TestCase):
     def test_total(self) -> None:
         gateway_counts = GatewayCounts(ttl_s=2.0)
         gateway_counts.record(1, 10, 0.0)
--- a/tests/router/registry/test_registry_world.py
+++ b/tests/router/registry/test_registry_world.py
@@ -10,7 +10,7 @@
 
 
 class WorldTest(unittest.TestCase):
-    def test_everything_meets_in_a_quiet_world(self) -> None:
+    def test_all_processes_converge_without_faults(self) -> None:
         world = World(["m1", "m2", "m3"], ["g1", "g2"])
         for id in ("a", "b", "c"):
             world.start_server(id)
@@ -24,7 +24,7 @@
             self.assertEqual(gateway.subscriber.gateways, 2)
             self.assertEqual(gateway.connects, 1)
 
-    def test_hello_tells_what_the_gateway_holds(self) -> None:
+    def test_hello_carries_the_revision_of_the_gateway(self) -> None:
         world = World(["m1"], ["g1"])
         world.put_configuration(9, "m1")
         world.run_to(0.2)
--- a/tests/support/registry_world.py
+++ b/tests/support/registry_world.py
@@ -2,7 +2,7 @@
 
 The world steps in ticks of TICK seconds. A connection keeps its order: while a path is cut, what was sent
 waits and arrives after the cut, unless the connection has been ended meanwhile. The replicated log is reduced
-to its promise: a command is taken by a member that reaches a majority, and each member applies it while it
+to its guarantee: a member that reaches a majority accepts commands, and each member applies them while it
 reaches one.
 """
 
@@ -18,8 +18,8 @@
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, GONE, READY, RegistryGossip, RetireInstance
 
 LINK_TIMEOUT = 1.5  # unacknowledged bytes end a connection
-DRAIN_BOUND = 2.0  # after an acknowledgement, no gateway uses the instance
-CONTACT = 3.0  # what has been in touch for so long has to keep the bounds
+DRAIN_BOUND = 2.0  # after an acknowledgement, by which no gateway uses the instance
+CONTACT = 3.0  # seconds of contact after which the bounds must hold
 
 
 class World:
@@ -43,7 +43,7 @@
         self.last_feed = 0
         self.servers: dict[str, Server] = {}
         self.acknowledged: dict[str, float] = {}  # id to the time of its first acknowledged retirement
-        self.healed_at = 0.0  # when trouble was last seen
+        self.healed_at = 0.0  # when a fault last began or ended
         self.members: dict[str, Member] = {}
         for name in members:
             self.members[name] = Member(self, name)
@@ -115,25 +115,25 @@
         while connection.waiting and connection.waiting[0][0] <= self.now:
             connection.deliver(connection.waiting.popleft()[1])
 
-    # ------------------------------------------------------------ troubles
+    # ------------------------------------------------------------ faults
 
-    def trouble(self) -> None:
+    def record_fault(self) -> None:
         self.healed_at = self.now
         for gateway in self.gateways.values():
             gateway.in_touch_since = self.now
 
     def cut(self, one: str, other: str, both: bool = True) -> None:
-        self.trouble()
+        self.record_fault()
         self.cuts.add((one, other))
         if both:
             self.cuts.add((other, one))
 
     def heal(self) -> None:
-        self.trouble()
+        self.record_fault()
         self.cuts.clear()
 
     def kill(self, name: str) -> None:
-        self.trouble()
+        self.record_fault()
         member = self.members[name]
         member.up = False
         for other in self.members.values():
@@ -150,11 +150,11 @@
                     gateway.subscriber.failed(f"{name}:1", self.now)
 
     def restart(self, name: str) -> None:
-        self.trouble()
+        self.record_fault()
         self.members[name].start(self.now)
 
     def freeze(self, name: str, frozen: bool) -> None:
-        self.trouble()
+        self.record_fault()
         self.members[name].frozen = frozen
 
     # ------------------------------------------------------------ instances and the operator
@@ -163,7 +163,7 @@
         address = address or f"10.0.0.{len(self.servers) + 1}:80"
         self.servers[id] = Server(id, address, backend, self.now, next_at=self.now)
 
-    def beat(self, server: Server) -> None:
+    def send_heartbeat(self, server: Server) -> None:
         server.sequence += 1
         server.next_at = self.now + INTERVAL
         names = list(self.members)
@@ -184,7 +184,7 @@
         )
 
     def retire(self, id: str, kind: int, name: str) -> bool:
-        """A call that says that the instance leaves; True where it is acknowledged."""
+        """A call that retires an instance; True if it is acknowledged."""
         member = self.members[name]
         server = self.servers[id]
         server.state = DRAINS
@@ -221,7 +221,7 @@
     def tick(self) -> None:
         for server in self.servers.values():
             if server.running and self.now >= server.next_at:
-                self.beat(server)
+                self.send_heartbeat(server)
         self.deliver()
         for member in self.members.values():
             if member.up and not member.frozen:
