--- a/mallowbeam/router/control_plane/api.py
+++ b/mallowbeam/router/control_plane/api.py
@@ -5,6 +5,7 @@
 import re
 import time
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.budget import ANOTHER_LARGE_BODY, BodyBudget
@@ -69,30 +70,34 @@
 Endpoint = Callable[[Message, float], Awaitable[tuple[int, bytes]]]
 
 
+@dataclass(frozen=True, slots=True)
+class ApiServices:
+    """The parts of a member that serve the calls."""
+
+    versions: ConfigurationVersions
+    commands: CommandForwarder
+    instances: InstanceService
+    status: StatusPage
+    gate: ResponseGate
+
+
 class ControlApi:
     """The HTTP handler of the control address."""
 
     max_body = whole = unread_body = MAX_BODY_BYTES
 
     def __init__(
-        self,
-        parser: ConfigurationParser,
-        versions: ConfigurationVersions,
-        commands: CommandForwarder,
-        instances: InstanceService,
-        status: StatusPage,
-        gate: ResponseGate,
-        run_job: JobRunner = run_in_thread,
+        self, services: ApiServices, parser: ConfigurationParser, run_job: JobRunner = run_in_thread
     ) -> None:
         """`run_job` processes large bodies beside the event loop."""
         self.budget: BodyBudget | None = BodyBudget(MAX_SMALL_BODIES_BYTES, LARGE_BODY)
         self._large_bodies = LargeBodyAdmission(parser, run_job)
         self._parser = parser
-        self._versions = versions
-        self._commands = commands
-        self._instances = instances
-        self._status = status
-        self._gate = gate
+        self._versions = services.versions
+        self._commands = services.commands
+        self._instances = services.instances
+        self._status = services.status
+        self._gate = services.gate
         self._endpoints: dict[tuple[bytes, bytes], Endpoint] = {
             (CONFIG_PATH, b"PUT"): self._put_config,
             (CONFIG_PATH, b"PATCH"): self._patch_config,
--- a/mallowbeam/router/control_plane/instance_service.py
+++ b/mallowbeam/router/control_plane/instance_service.py
@@ -8,6 +8,7 @@
 
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 from random import Random
 
 from mallowbeam.router.control_plane.attempt_reports import AttemptReports
@@ -33,31 +34,38 @@
 CONTACT_TIMEOUT_S = 1.0  # after which another member, or the group, counts as unreachable
 
 
+@dataclass(frozen=True, slots=True)
+class RegistryParts:
+    """The state of instances, and what replicates it."""
+
+    table: InstanceTable
+    retirements: Retirements
+    commands: CommandForwarder
+    links: PeerLinks
+    gate: ResponseGate
+
+
 class InstanceService:
     """Connects the instance table with the log and with the other members."""
 
     def __init__(
         self,
-        table: InstanceTable,
-        retirements: Retirements,
-        commands: CommandForwarder,
-        links: PeerLinks,
+        registry: RegistryParts,
         gateways_outdated: Callable[[], None],
         count_gateways: Callable[[], int],
-        gate: ResponseGate,
         random: Random,
     ) -> None:
         """`gateways_outdated` is called when gateways must be sent a change.
 
         `count_gateways` counts those that follow this member.
         """
-        self._table = table
-        self._retirements = retirements
-        self._commands = commands
-        self._links = links
+        self._table = registry.table
+        self._retirements = registry.retirements
+        self._commands = registry.commands
+        self._links = registry.links
+        self._gate = registry.gate
         self._gateways_outdated = gateways_outdated
         self._count_gateways = count_gateways
-        self._gate = gate
         self._random = random
         self.gateway_counts = GatewayCounts()
 
--- a/mallowbeam/router/control_plane/member_builder.py
+++ b/mallowbeam/router/control_plane/member_builder.py
@@ -17,7 +17,7 @@
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.consensus.interface import RaftSettings, Write
 from mallowbeam.router.consensus.node import RaftNode
-from mallowbeam.router.control_plane.api import ControlApi
+from mallowbeam.router.control_plane.api import ApiServices, ControlApi
 from mallowbeam.router.control_plane.attempt_reports import AttemptReports
 from mallowbeam.router.control_plane.body_admission import JobRunner, run_in_thread
 from mallowbeam.router.control_plane.cluster_join import ClusterJoin
@@ -25,7 +25,7 @@
 from mallowbeam.router.control_plane.feed_server import FeedServer
 from mallowbeam.router.control_plane.frame_dispatcher import FrameDispatcher
 from mallowbeam.router.control_plane.graceful_leave import GracefulLeave
-from mallowbeam.router.control_plane.instance_service import InstanceService
+from mallowbeam.router.control_plane.instance_service import InstanceService, RegistryParts
 from mallowbeam.router.control_plane.member import ControlMember, seed_link_addresses
 from mallowbeam.router.control_plane.member_cycle import MemberCycle
 from mallowbeam.router.control_plane.member_parts import MemberParts
@@ -44,7 +44,7 @@
 from mallowbeam.router.feed.publisher import FeedPublisher
 from mallowbeam.router.pairing.stage_share import StageShareSettings
 from mallowbeam.router.processes.metrics import metrics_server
-from mallowbeam.router.processes.overrides import overridden, read_overrides
+from mallowbeam.router.processes.overrides import apply_overrides, read_overrides
 from mallowbeam.router.processes.settings import NodeSettings, split_address
 from mallowbeam.router.registry.table import InstanceTable
 from mallowbeam.router.rpc.connection import FrameConnection
@@ -220,25 +220,26 @@
 
 def _build_instances(settings: NodeSettings, replication: _Replication, wiring: _Wiring) -> _InstanceParts:
     service = InstanceService(
-        replication.table,
-        replication.machine.retirements,
-        replication.commands,
-        replication.links,
+        RegistryParts(
+            table=replication.table,
+            retirements=replication.machine.retirements,
+            commands=replication.commands,
+            links=replication.links,
+            gate=replication.gate,
+        ),
         gateways_outdated=wiring.gateways_outdated,
         count_gateways=wiring.count_feeds,
-        gate=replication.gate,
         random=random.Random(),
     )
     lease = StageLease(
         replication.driver, replication.gate, replication.own.id, settings.bounds.lease_ms / 1000
     )
     stages = StageController(
-        lease,
         StageOrderClient(lease),
         replication.table,
         replication.machine.configurations,
         wiring.gateways_outdated,
-        overridden(StageShareSettings(), read_overrides(), "stages"),
+        apply_overrides(StageShareSettings(), read_overrides(), "stages"),
     )
     return _InstanceParts(service, stages, AttemptReports())
 
@@ -270,15 +271,14 @@
         instances.stages.gateways,
         instances.attempts.gateways,
     )
-    api = ControlApi(
-        replication.parser,
-        versions,
-        replication.commands,
-        instances.service,
-        status,
-        replication.gate,
-        run_job,
+    services = ApiServices(
+        versions=versions,
+        commands=replication.commands,
+        instances=instances.service,
+        status=status,
+        gate=replication.gate,
     )
+    api = ControlApi(services, replication.parser, run_job)
     api_server = Server(split_address(replication.own.control), api, MAX_API_CONNECTIONS, shared=False)
     return _ServingParts(status, feeds, api_server, metrics_server(settings, status.metrics))
 
--- a/mallowbeam/router/control_plane/stage_controller.py
+++ b/mallowbeam/router/control_plane/stage_controller.py
@@ -12,7 +12,6 @@
 
 from mallowbeam.router.configuration.model import Engine
 from mallowbeam.router.configuration.versions import ConfigurationVersions
-from mallowbeam.router.control_plane.stage_lease import StageLease
 from mallowbeam.router.control_plane.stage_order_client import StageOrderClient
 from mallowbeam.router.pairing.stage_demand import DemandTable, add_up
 from mallowbeam.router.pairing.stage_share import (
@@ -39,7 +38,6 @@
 
     def __init__(
         self,
-        lease: StageLease,
         client: StageOrderClient,
         table: InstanceTable,
         versions: ConfigurationVersions,
@@ -49,8 +47,8 @@
         """`gateways_outdated` is called when gateways must be sent a change of instances."""
         self.gateways = DemandTable()  # by subscriber
         self._members = DemandTable()  # by member id
-        self._lease = lease
         self._client = client
+        self._lease = client.lease
         self._table = table
         self._versions = versions
         self._gateways_outdated = gateways_outdated
--- a/mallowbeam/router/control_plane/stage_lease.py
+++ b/mallowbeam/router/control_plane/stage_lease.py
@@ -20,9 +20,9 @@
 class StageLease:
     """This member's lease over the stages, with its fencing token."""
 
-    def __init__(self, driver: RaftDriver, gate: ResponseGate, holder: int, lease_s: float) -> None:
-        """`holder` is this member's id; `lease_s` seconds lie between the orders of two holders."""
-        self.holder = holder
+    def __init__(self, driver: RaftDriver, gate: ResponseGate, member_id: int, lease_s: float) -> None:
+        """`member_id` is this member's own; `lease_s` seconds lie between the orders of two lease holders."""
+        self.member_id = member_id
         self._driver = driver
         self._gate = gate
         self._lease = OrderLease(OrderLeaseSettings(lease_s))
@@ -52,7 +52,7 @@
 
     async def _acquire(self, term: int) -> None:
         """Propose the acquisition, and record what became of it."""
-        command = Command(acquire_lease=AcquireLease(subject=SUBJECT, holder=self.holder))
+        command = Command(acquire_lease=AcquireLease(subject=SUBJECT, holder=self.member_id))
         try:
             outcome = await self._driver.propose(command.SerializeToString())
         except ConsensusError as error:
--- a/mallowbeam/router/control_plane/stage_order_client.py
+++ b/mallowbeam/router/control_plane/stage_order_client.py
@@ -18,7 +18,7 @@
 ORDER_PATH = b"/mallowbeam/order"
 CONNECT_TIMEOUT_S = 0.6
 MAX_RESPONSE_BYTES = 64 * 1024
-TAKEN_STATUSES = (200, 202)  # already in that stage, or changing to it
+ACCEPTED_STATUSES = (200, 202)  # already in that stage, or changing to it
 BUSY_STATUS = 409
 STALE_TOKEN_STATUS = 412
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: closing resets, and drops what has not arrived
@@ -30,7 +30,7 @@
     """Sends one order at a time per connection; it is never retried."""
 
     def __init__(self, lease: StageLease) -> None:
-        self._lease = lease
+        self.lease = lease
 
     async def send(self, order: StageOrder) -> OrderResult:
         """Send an order and read its result; the token is taken in the step in which the order is written."""
@@ -40,12 +40,12 @@
             return OrderResult.NOT_SENT
         try:
             self._bound_delivery_time(link.channel.sock)
-            token = self._lease.token(time.monotonic())
+            token = self.lease.token(time.monotonic())
             if token is None:  # leadership may have moved while the connection came up
                 return OrderResult.NOT_SENT
             with suppress(TimeoutError, RequestNotSentError, ConnectionBrokenError):
-                async with asyncio.timeout(self._lease.answer_timeout_s):
-                    return self._result(await _post(link, order, self._lease.holder, token))
+                async with asyncio.timeout(self.lease.answer_timeout_s):
+                    return self._result(await _post(link, order, self.lease.member_id, token))
             return OrderResult.UNKNOWN
         finally:
             link.close()
@@ -56,25 +56,25 @@
         By this process when it closes, and by the kernel where the process is suspended meanwhile.
         """
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-        timeout_ms = int(self._lease.answer_timeout_s * 1000)
+        timeout_ms = int(self.lease.answer_timeout_s * 1000)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
 
     def _result(self, status: int) -> OrderResult:
         """The result that a response's status stands for."""
-        if status in TAKEN_STATUSES:
+        if status in ACCEPTED_STATUSES:
             return OrderResult.TAKEN
         if status == STALE_TOKEN_STATUS:
-            self._lease.rejected()
+            self.lease.rejected()
         elif status == BUSY_STATUS:  # another order is in progress, perhaps this one
             return OrderResult.UNKNOWN
         log.warning("an order was refused with %d", status)
         return OrderResult.REFUSED
 
 
-async def _post(link: Link, order: StageOrder, holder: int, token: int) -> int:
+async def _post(link: Link, order: StageOrder, member_id: int, token: int) -> int:
     """Write the order and read its whole response; the response's status."""
     body = json.dumps(
-        {"op": "stage", "stage": order.stage, "holder": f"{holder:016x}", "fencing_token": token}
+        {"op": "stage", "stage": order.stage, "holder": f"{member_id:016x}", "fencing_token": token}
     ).encode()
     headers = [
         (b"host", order.address.encode()),
--- a/mallowbeam/router/data_plane/role.py
+++ b/mallowbeam/router/data_plane/role.py
@@ -25,9 +25,9 @@
 from mallowbeam.router.feed.subscriber import FeedEvents, FeedSubscriber, GatewayIdentity
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.processes.metrics import Metric, metrics_server
-from mallowbeam.router.processes.overrides import overridden, read_overrides
+from mallowbeam.router.processes.overrides import apply_overrides, read_overrides
 from mallowbeam.router.processes.role import RoleContext, run_role
-from mallowbeam.router.processes.settings import Bounds, NodeSettings, SettingsField, split_address
+from mallowbeam.router.processes.settings import Bounds, NodeSettings, SettingsFieldError, split_address
 from mallowbeam.router.rpc.messages_pb2 import GatewayFrame
 
 TICK_S = 1.0  # between two looks at idle connections and counts
@@ -55,7 +55,7 @@
         bounds = settings.bounds
         budget = retry_budget(bounds)
         if planner is None:
-            decided_by = overridden(PlannerSettings(), read_overrides(), "planner")
+            decided_by = apply_overrides(PlannerSettings(), read_overrides(), "planner")
             planner = FleetPlanner(decided_by, settings.node_name)
         if settings.decision_log:
             planner = DecisionLog(planner, decisions.info)
@@ -199,9 +199,9 @@
 
 
 def _address(text: str | None, name: str) -> tuple[str, int]:
-    """A listener's address; raises `SettingsField` where the settings leave it out."""
+    """A listener's address; raises `SettingsFieldError` where the settings leave it out."""
     if text is None:
-        raise SettingsField("is missing", f"bind_addresses.{name}")
+        raise SettingsFieldError("is missing", f"bind_addresses.{name}")
     return split_address(text)
 
 
--- a/mallowbeam/router/processes/errors.py
+++ b/mallowbeam/router/processes/error_codes.py
@@ -1,6 +1,6 @@
-"""The table of error codes: every :class:`MallowbeamError` of the router fleet has one that stays the same.
+"""The table of error codes: every :class:`MallowbeamError` of the router fleet has a stable one.
 
-A class states its code as ``code``; one that stands for several states all of them as ``codes``.
+A class states its code as ``code``; one that covers several states all of them as ``codes``.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def codes_of(kind: type[MallowbeamError]) -> tuple[str, ...]:
-    """The codes that a class itself states; those it inherits are its base's."""
+    """The codes that a class itself states, without inherited ones."""
     own = vars(kind)
     code = own.get("code")
     codes = tuple(own.get("codes", ()))
--- a/mallowbeam/router/processes/metrics.py
+++ b/mallowbeam/router/processes/metrics.py
@@ -1,7 +1,7 @@
-"""A role's own figures as text, in the exposition format of Prometheus, on a listener of their own.
+"""A role's metrics in the exposition format of Prometheus, on a listener of their own.
 
-Off unless the settings file has `metrics = "PORT/PATH"`.  Figures are read when they are asked for; nothing
-is kept for them.
+Off unless the settings file contains `metrics = "PORT/PATH"`.  Metrics are collected for each request;
+nothing is stored for them.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from mallowbeam.http.server import Server
 from mallowbeam.router.processes.settings import NodeSettings
 
-CONNECTIONS = 4
-MOST_BODY = 1024
+MAX_CONNECTIONS = 4
+MAX_BODY_BYTES = 1024
 TEXT = (b"content-type", b"text/plain; version=0.0.4")
 
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """One figure; the unit is in the name, a label tells several of one name apart."""
+    """One sample; the unit is part of the name, a label distinguishes several samples of one name."""
 
     name: str
     value: float
@@ -35,7 +35,7 @@
 
 
 def exposition(metrics: Iterable[Metric]) -> bytes:
-    """The figures as text; those of one name stand together."""
+    """Samples as text, grouped by name."""
     families: dict[str, list[Metric]] = {}
     for metric in metrics:
         families.setdefault(metric.name, []).append(metric)
@@ -54,18 +54,20 @@
     return f'{{{name}="{escaped}"}}'
 
 
-class MetricsFront:
-    """Answers the one page."""
+class MetricsHandler:
+    """The HTTP handler of the metrics page."""
 
-    max_body = whole = MOST_BODY
+    max_body = whole = MAX_BODY_BYTES
     budget: BodyBudget | None = None
-    idle = 30.0  # seconds that a caller's connection may rest
+    idle = 30.0  # seconds after which an idle connection is closed
 
     def __init__(self, path: bytes, collect: Collect) -> None:
-        self._path, self._collect = path, collect
+        """`path` is that of the page, with its slash; `collect` is called for each request."""
+        self._path = path
+        self._collect = collect
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
-        """One question to its answer."""
+        """Serve one request."""
         if request.target.partition(b"?")[0] != self._path:
             return _reply(404, b"no such page\n", closing())
         if request.method != b"GET":
@@ -73,11 +75,11 @@
         return _reply(200, exposition(self._collect()), closing())
 
     def error_response(self, status: int, text: str) -> Response:
-        """The answer to what breaks HTTP."""
+        """The response to a violation of HTTP."""
         return _reply(status, text.encode() + b"\n", True)
 
     def ended(self, request: Message, status: int, whole: bool) -> None:
-        """Nothing is counted here."""
+        """Requests are not counted."""
 
 
 def _reply(status: int, body: bytes, close: bool) -> Response:
@@ -85,9 +87,9 @@
 
 
 def metrics_server(settings: NodeSettings, collect: Collect) -> Server | None:
-    """The listener that the settings ask for; None where they ask for none."""
+    """The listener of the settings; None if they configure none."""
     if settings.metrics is None:
         return None
-    front = MetricsFront(settings.metrics.path.encode(), collect)
+    handler = MetricsHandler(settings.metrics.path.encode(), collect)
     address = (settings.ip, settings.metrics.port)
-    return Server(address, front, CONNECTIONS, name="metrics", shared=False)
+    return Server(address, handler, MAX_CONNECTIONS, name="metrics", shared=False)
--- a/mallowbeam/router/processes/role.py
+++ b/mallowbeam/router/processes/role.py
@@ -1,7 +1,7 @@
 """Start, settings changes and stop of a role's process.
 
-Exit codes: 0 after a planned stop, 1 after an unforeseen failure, 2 where the settings can't be used or
-the role itself raises a :class:`MallowbeamError` (such as an address that is taken).
+Exit codes: 0 after a requested stop, 1 after an unexpected failure, 2 if the settings can't be used or the
+role itself raises a :class:`MallowbeamError` (such as an address in use).
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 EXIT_STOPPED = 0
 EXIT_FAILED = 1
 EXIT_UNUSABLE = 2
-SETTINGS_LOOK_S = 1.0  # between two looks at the settings file
-GC_THRESHOLDS = (20_000, 20, 50)  # new objects before a collection, collections before an older
+SETTINGS_POLL_INTERVAL_S = 1.0  # between two polls of the settings file
+GC_THRESHOLDS = (20_000, 20, 50)  # new objects before a collection; collections before that of an older
 
 ReloadCallback = Callable[[NodeSettings], None]
 
@@ -33,25 +33,26 @@
 
 
 class RoleContext:
-    """What a role is given: its settings, the word to stop, and word of changed settings."""
+    """A role's access to its process: the settings in force, changes of them, and the request to stop."""
 
     def __init__(self, settings: NodeSettings, path: str) -> None:
-        self._settings, self._path = settings, path
+        self._settings = settings
+        self._path = path
         self._callbacks: list[ReloadCallback] = []
         self._signature = file_signature(path)
         self.stopping = asyncio.Event()
 
     @property
     def settings(self) -> NodeSettings:
-        """The settings in force: those of the last good file."""
+        """The settings in force: those of the last valid file."""
         return self._settings
 
     def on_reload(self, callback: ReloadCallback) -> None:
-        """Have ``callback`` called with the new settings each time they have changed."""
+        """Call ``callback`` with the new settings after each change of them."""
         self._callbacks.append(callback)
 
     def reload(self) -> None:
-        """Read the file again. A file that can't be used changes nothing and is logged."""
+        """Read the file again; an invalid one is logged and changes nothing."""
         self._signature = file_signature(self._path)
         try:
             settings = read_settings(self._path)
@@ -66,7 +67,7 @@
             self._call(callback)
 
     def reload_if_changed(self) -> None:
-        """Read the file again where its time of change, size or inode differ from the last look."""
+        """Read the file again if its modification time, size or inode differ from the last reading."""
         if file_signature(self._path) != self._signature:
             self.reload()
 
@@ -78,7 +79,7 @@
 
 
 def file_signature(path: str) -> tuple[int, int, int] | None:
-    """What tells a file from its earlier state; None where it can't be looked at."""
+    """Modification time (ns), size and inode of a file; None if it can't be examined."""
     try:
         status = os.stat(path)
     except OSError:
@@ -87,8 +88,8 @@
 
 
 def run_role(serve: Callable[[RoleContext], Awaitable[None]]) -> int:
-    """Run a role until it is told to stop; the exit code of the process."""
-    hangups = hold_hangups()  # SIGHUPs from before this line are covered by the read below
+    """Run a role until a signal stops it; returns the exit code of the process."""
+    hangups = hold_hangups()  # SIGHUPs before this line are covered by the reading below
     path = settings_path()
     try:
         settings = read_settings(path)
@@ -110,16 +111,16 @@
 async def _serve(
     serve: Callable[[RoleContext], Awaitable[None]], settings: NodeSettings, path: str, hangups: Sequence[int]
 ) -> None:
-    """Run the role inside its event loop."""
+    """Run the role inside its event loop, with its signal handlers."""
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(_report)
+    loop.set_exception_handler(_log_unhandled)
     context = RoleContext(settings, path)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, context.stopping.set)
     loop.add_signal_handler(signal.SIGHUP, context.reload)
     if hangups:
         loop.call_soon(context.reload)
-    collect_less()
+    relax_garbage_collection()
     watch = loop.create_task(_watch_settings(context))
     try:
         await serve(context)
@@ -127,21 +128,21 @@
         watch.cancel()
 
 
-def collect_less() -> None:
-    """Take all that the start made out of garbage collection, and collect what comes less often."""
+def relax_garbage_collection() -> None:
+    """Exclude the objects of the start from garbage collection, and collect others less often."""
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     gc.enable()
 
 
 async def _watch_settings(context: RoleContext) -> None:
-    """Look at the settings file at intervals: it may change without a signal."""
+    """Poll the settings file: it may change without a signal."""
     while True:
-        await asyncio.sleep(SETTINGS_LOOK_S)
+        await asyncio.sleep(SETTINGS_POLL_INTERVAL_S)
         context.reload_if_changed()
 
 
-def _report(_: asyncio.AbstractEventLoop, details: dict[str, Any]) -> None:
-    """Log what went wrong outside of any task's caller."""
+def _log_unhandled(_: asyncio.AbstractEventLoop, details: dict[str, Any]) -> None:
+    """Log an exception that no caller of a task receives."""
     message, error = details.get("message", ""), details.get("exception")
     log.error("unhandled in the event loop: %s", message, exc_info=error)
--- a/mallowbeam/router/processes/settings.py
+++ b/mallowbeam/router/processes/settings.py
@@ -1,7 +1,7 @@
-"""The settings file of a process: read once at the start, and again when it changes.
+"""The settings file of a process (DEPLOY.md: settings file): read at the start, and again when it changes.
 
-Unknown keys are skipped. Keys that a process can't do without must be there; all others have the defaults
-that the dataclasses state. Times carry their unit in the name (``_ms``, ``_s``).
+Unknown keys are ignored. Required keys must be present; all others have the defaults that the dataclasses
+state. The names of times and sizes end in their unit (``_ms``, ``_s``, ``_mb``).
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 SETTINGS_VARIABLE = "MALLOWBEAM_NODE_FILE"
 DEFAULT_PATH = "/etc/mallowbeam/settings.toml"
-HIGHEST_PORT = 65535
+MAX_PORT = 65535
 DEFAULT_HEARTBEAT_MS = 1200.0
 
 
-_Figures = TypeVar("_Figures", "Limits", "FaultTolerance", "Bounds")
+_Numbers = TypeVar("_Numbers", "Limits", "FaultTolerance", "Bounds")
 
 
 class SettingsError(MallowbeamError):
@@ -32,16 +32,18 @@
     remedy = "mend the settings file that is named; a running process keeps the settings it has"
 
 
-class SettingsUnreadable(SettingsError):
+class SettingsUnreadableError(SettingsError):
     """The settings file can't be opened, or is no TOML."""
 
+    error_name = "SettingsUnreadable"
     code = "SETTINGS_UNREADABLE"
     remedy = "look at the path in MALLOWBEAM_NODE_FILE, its mode and its TOML syntax"
 
 
-class SettingsField(SettingsError):
+class SettingsFieldError(SettingsError):
     """A key of the settings file is missing or has a wrong value; ``where`` is its path."""
 
+    error_name = "SettingsField"
     code = "SETTINGS_FIELD"
     remedy = "correct the key that is named in the settings file"
 
@@ -57,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricsPage:
-    """Where the process tells its own figures, on its machine's address."""
+    """The page of the process's metrics, on its machine's address."""
 
     port: int
     path: str  # with its slash
@@ -65,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the process may use of its machine."""
+    """The resources of its machine that the process may use."""
 
     cpu_share: float = 1.0  # of one core
     cores: int = 1
@@ -77,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTolerance:
-    """How many of one kind may be lost at one time."""
+    """How many of one kind may fail at the same time."""
 
     machines: int = 0
     zones: int = 0
@@ -86,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The figures that the process has to keep to."""
+    """The bounds of the deployment's rules (RULES.md), by the keys of the settings file."""
 
     seed_lag_s: float = 3.0
     reuse_after_s: float = 2.0
@@ -145,7 +147,7 @@
 
 
 def settings_path() -> str:
-    """Where the settings file is."""
+    """The path of the settings file."""
     return os.environ.get(SETTINGS_VARIABLE) or DEFAULT_PATH
 
 
@@ -154,12 +156,12 @@
     try:
         table = tomllib.loads(Path(path).read_bytes().decode())
     except (OSError, ValueError) as error:  # UnicodeDecodeError and TOMLDecodeError are ValueErrors
-        raise SettingsUnreadable(str(error), path) from None
+        raise SettingsUnreadableError(str(error), path) from None
     return parse_settings(table)
 
 
 def parse_settings(table: Mapping[str, object]) -> NodeSettings:
-    """Check a settings table; raises :class:`SettingsField`."""
+    """Check a settings table; raises :class:`SettingsFieldError`."""
     top = _Section(table, "")
     return NodeSettings(
         node_name=top.text("node_name"),
@@ -171,27 +173,27 @@
         port_range=top.ports("port_range"),
         serves=top.texts("serves"),
         seeds=top.addresses("seeds"),
-        bootstrap=top.truth("bootstrap", False),
-        counts_for_quorum=top.truth("counts_for_quorum", False),
+        bootstrap=top.boolean("bootstrap", False),
+        counts_for_quorum=top.boolean("counts_for_quorum", False),
         data_dir=top.text("data_dir", "") or None,
         discovery=top.text("discovery", ""),
         entry=top.text("entry", ""),
         heartbeat_ms=top.number("heartbeat_ms", DEFAULT_HEARTBEAT_MS),
         contracts=frozenset(top.texts("contracts")),
-        decision_log=top.truth("decision_log", False),
+        decision_log=top.boolean("decision_log", False),
         metrics=top.page("metrics"),
         zones=top.section("zones").text_map(),
         bind_addresses=_bind_addresses(top.section("bind_addresses")),
-        limits=_figures(top.section("limits"), Limits()),
-        fault_tolerance=_figures(top.section("fault_tolerance"), FaultTolerance()),
-        bounds=_figures(top.section("bounds"), Bounds()),
+        limits=_numbers(top.section("limits"), Limits()),
+        fault_tolerance=_numbers(top.section("fault_tolerance"), FaultTolerance()),
+        bounds=_numbers(top.section("bounds"), Bounds()),
     )
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Cut IP:PORT into its parts; raises ValueError."""
+    """Split IP:PORT; raises ValueError."""
     host, colon, port = address.rpartition(":")
-    if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= HIGHEST_PORT:
+    if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"no IP:PORT: {address!r}")
     return host, int(port)
 
@@ -201,13 +203,13 @@
     return BindAddresses(section.address("front"), section.address("readiness"), section.address("control"))
 
 
-def _figures(section: _Section, defaults: _Figures) -> _Figures:
-    """Read a section of numbers and truth values; each keeps the type of its default."""
+def _numbers(section: _Section, defaults: _Numbers) -> _Numbers:
+    """Read a section of numbers and booleans; each has the type of its default."""
     values: dict[str, object] = {}
     for one in fields(defaults):
         default = getattr(defaults, one.name)
         if isinstance(default, bool):
-            values[one.name] = section.truth(one.name, default)
+            values[one.name] = section.boolean(one.name, default)
         elif isinstance(default, int):
             values[one.name] = section.integer(one.name, default)
         else:
@@ -222,80 +224,80 @@
         self._table, self._path = table, path
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A text; a key without default must be there and must not be empty."""
+        """A text; a key without a default must be present and not empty."""
         value = self._table.get(key, default)
         if value is None:
-            raise self._wrong(key, "is missing")
+            raise self._error(key, "is missing")
         if not isinstance(value, str):
-            raise self._wrong(key, "must be a text")
+            raise self._error(key, "must be a text")
         if default is None and not value:
-            raise self._wrong(key, "must not be empty")
+            raise self._error(key, "must not be empty")
         return value
 
     def texts(self, key: str) -> tuple[str, ...]:
-        """A list of texts, empty where it is missing."""
+        """A list of texts, empty if missing."""
         value = self._table.get(key, [])
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-            raise self._wrong(key, "must be a list of texts")
+            raise self._error(key, "must be a list of texts")
         return tuple(value)
 
     def number(self, key: str, default: float) -> float:
         """A number that is not negative."""
         value = self._table.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < float("inf"):
-            raise self._wrong(key, "must be a number, 0 or above")
+            raise self._error(key, "must be a number, 0 or above")
         return float(value)
 
     def integer(self, key: str, default: int) -> int:
         """A whole number that is not negative."""
         value = self.number(key, default)
         if value != int(value):
-            raise self._wrong(key, "must be a whole number")
+            raise self._error(key, "must be a whole number")
         return int(value)
 
-    def truth(self, key: str, default: bool) -> bool:
-        """A truth value."""
+    def boolean(self, key: str, default: bool) -> bool:
+        """A boolean."""
         value = self._table.get(key, default)
         if not isinstance(value, bool):
-            raise self._wrong(key, "must be true or false")
+            raise self._error(key, "must be true or false")
         return value
 
     def address(self, key: str) -> str | None:
-        """An address IP:PORT, None where it is missing or empty."""
+        """An address IP:PORT, None if missing or empty."""
         value = self.text(key, "")
         return self._checked_address(key, value) if value else None
 
     def page(self, key: str) -> MetricsPage | None:
-        """A page PORT/PATH, None where it is missing or empty."""
+        """A page PORT/PATH, None if missing or empty."""
         value = self.text(key, "")
         if not value:
             return None
         port, slash, path = value.partition("/")
-        if not slash or not port.isascii() or not port.isdigit() or not 0 < int(port) <= HIGHEST_PORT:
-            raise self._wrong(key, "must be PORT/PATH")
+        if not slash or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+            raise self._error(key, "must be PORT/PATH")
         return MetricsPage(int(port), f"/{path}")
 
     def addresses(self, key: str) -> tuple[str, ...]:
-        """A list of addresses, empty where it is missing."""
+        """A list of addresses, empty if missing."""
         return tuple(self._checked_address(key, value) for value in self.texts(key))
 
     def ports(self, key: str) -> tuple[int, int]:
         """A first and a last port."""
         value = self._table.get(key)
         if value is None:
-            raise self._wrong(key, "is missing")
-        if not isinstance(value, list) or len(value) != 2 or not all(type(port) is int for port in value):
-            raise self._wrong(key, "must be a list of two ports")
+            raise self._error(key, "is missing")
+        if not isinstance(value, list) or [type(port) for port in value] != [int, int]:
+            raise self._error(key, "must be a list of two ports")
         first, last = value
-        if not 0 < first <= last <= HIGHEST_PORT:
-            raise self._wrong(key, "must be two rising ports, 1 to 65535")
+        if not 0 < first <= last <= MAX_PORT:
+            raise self._error(key, "must be two rising ports, 1 to 65535")
         return first, last
 
     def section(self, key: str) -> _Section:
-        """A table below, empty where it is missing."""
+        """A nested table, empty if missing."""
         value = self._table.get(key, {})
         if not isinstance(value, dict):
-            raise self._wrong(key, "must be a table")
+            raise self._error(key, "must be a table")
         return _Section(value, f"{self._path}{key}.")
 
     def text_map(self) -> Mapping[str, str]:
@@ -306,8 +308,8 @@
         try:
             split_address(value)
         except ValueError:
-            raise self._wrong(key, "must be IP:PORT") from None
+            raise self._error(key, "must be IP:PORT") from None
         return value
 
-    def _wrong(self, key: str, what: str) -> SettingsField:
-        return SettingsField(what, f"{self._path}{key}")
+    def _error(self, key: str, what: str) -> SettingsFieldError:
+        return SettingsFieldError(what, f"{self._path}{key}")
--- a/tests/router/configuration/test_configuration_calls.py
+++ b/tests/router/configuration/test_configuration_calls.py
@@ -10,7 +10,7 @@
 
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.versions import ConfigurationVersions
-from mallowbeam.router.control_plane.api import ControlApi
+from mallowbeam.router.control_plane.api import ApiServices, ControlApi
 from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
 from mallowbeam.router.control_plane.instance_service import InstanceService
 from mallowbeam.router.control_plane.response_gate import ResponseGate
@@ -60,12 +60,14 @@
         parser = ConfigurationParser()
         in_touch = ResponseGate(lambda: 1.0, lambda: 0.0, lambda: False)
         api = ControlApi(
+            ApiServices(
+                ConfigurationVersions(parser),
+                cast(CommandForwarder, Decided(result)),
+                cast(InstanceService, None),
+                cast(StatusPage, Alone()),
+                in_touch,
+            ),
             parser,
-            ConfigurationVersions(parser),
-            cast(CommandForwarder, Decided(result)),
-            cast(InstanceService, None),
-            cast(StatusPage, Alone()),
-            in_touch,
         )
         call = ApiCall("PUT", "/mallowbeam/config", body_of(document()), (("If-Match", "0"),))
         reply = asyncio.run(api.handle(message_of(call, 1.0), lambda: False))
--- a/tests/router/control_plane/test_control_plane_instances.py
+++ b/tests/router/control_plane/test_control_plane_instances.py
@@ -8,7 +8,7 @@
 from typing import cast
 
 from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
-from mallowbeam.router.control_plane.instance_service import InstanceService
+from mallowbeam.router.control_plane.instance_service import InstanceService, RegistryParts
 from mallowbeam.router.control_plane.peer_links import PeerLinks
 from mallowbeam.router.control_plane.response_gate import ResponseGate
 from mallowbeam.router.registry.retirements import Retirements
@@ -39,13 +39,11 @@
         table.merge(RegistryGossip(whole=True), time.monotonic())  # it knows all that there is
         gate = ResponseGate(time.monotonic, lambda: 0.0, lambda: False)
         self.instances = InstanceService(
-            table,
-            Retirements(),
-            cast(CommandForwarder, None),
-            cast(PeerLinks, self.links),
+            RegistryParts(
+                table, Retirements(), cast(CommandForwarder, None), cast(PeerLinks, self.links), gate
+            ),
             gateways_outdated=lambda: None,
             count_gateways=lambda: 0,
-            gate=gate,
             random=Random(1),
         )
 
--- a/tests/router/control_plane/test_control_plane_large_bodies.py
+++ b/tests/router/control_plane/test_control_plane_large_bodies.py
@@ -22,7 +22,12 @@
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.versions import ConfigurationVersions
-from mallowbeam.router.control_plane.api import MAX_BODY_BYTES, MAX_SMALL_BODIES_BYTES, ControlApi
+from mallowbeam.router.control_plane.api import (
+    MAX_BODY_BYTES,
+    MAX_SMALL_BODIES_BYTES,
+    ApiServices,
+    ControlApi,
+)
 from mallowbeam.router.control_plane.api_errors import LargeBodyError
 from mallowbeam.router.control_plane.body_admission import (
     LARGE_BODY,
@@ -92,12 +97,14 @@
     gate = ResponseGate(lambda: 1.0, lambda: 0.0, lambda: False)
     status = SimpleNamespace(other_controls=lambda: ["127.0.0.1:1"])
     return ControlApi(
+        ApiServices(
+            ConfigurationVersions(parser),
+            cast(CommandForwarder, log),
+            cast(InstanceService, Heartbeats()),
+            cast(StatusPage, status),
+            gate,
+        ),
         parser,
-        ConfigurationVersions(parser),
-        cast(CommandForwarder, log),
-        cast(InstanceService, Heartbeats()),
-        cast(StatusPage, status),
-        gate,
         run_job,
     )
 
@@ -243,12 +250,14 @@
         parser = Noted()
         status = SimpleNamespace(other_controls=lambda: [])
         api = ControlApi(
+            ApiServices(
+                ConfigurationVersions(parser),
+                cast(CommandForwarder, Log()),
+                cast(InstanceService, None),
+                cast(StatusPage, status),
+                gate,
+            ),
             parser,
-            ConfigurationVersions(parser),
-            cast(CommandForwarder, Log()),
-            cast(InstanceService, None),
-            cast(StatusPage, status),
-            gate,
         )
         framer = Framer(answers=False, max_body=MAX_BODY_BYTES)
         framer.feed(memoryview(call(CONFIG, large(2))))
--- a/tests/router/control_plane/test_control_plane_serving.py
+++ b/tests/router/control_plane/test_control_plane_serving.py
@@ -16,10 +16,10 @@
 from mallowbeam.http.handler import Response
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.versions import ConfigurationVersions
-from mallowbeam.router.control_plane.api import ControlApi
+from mallowbeam.router.control_plane.api import ApiServices, ControlApi
 from mallowbeam.router.control_plane.api_errors import IsolatedMemberError
 from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
-from mallowbeam.router.control_plane.instance_service import InstanceService
+from mallowbeam.router.control_plane.instance_service import InstanceService, RegistryParts
 from mallowbeam.router.control_plane.response_gate import (
     CALL_MAX_STALENESS_S,
     FEED_MAX_STALENESS_S,
@@ -230,22 +230,20 @@
         commands = cast(CommandForwarder, self.log)
         retirements = SimpleNamespace(kind=self.kinds.get)
         instances = InstanceService(
-            cast("object", Table()),
-            retirements,
-            commands,
-            SimpleNamespace(),
+            RegistryParts(cast("object", Table()), retirements, commands, SimpleNamespace(), self.gate),
             lambda: None,
             lambda: 0,
-            self.gate,
             SimpleNamespace(),
         )
         self.api = ControlApi(
+            ApiServices(
+                cast(ConfigurationVersions, versions),
+                commands,
+                instances,
+                cast(StatusPage, status),
+                self.gate,
+            ),
             ConfigurationParser(),
-            cast(ConfigurationVersions, versions),
-            commands,
-            instances,
-            cast(StatusPage, status),
-            self.gate,
         )
 
     async def call(self, method: str, path: str, body: bytes = b"", based_on: int | None = None) -> Response:
--- a/tests/router/pairing/test_rules_orders.py
+++ b/tests/router/pairing/test_rules_orders.py
@@ -170,7 +170,7 @@
     """A member's lease; all else about the member is as it is told."""
 
     def __init__(self, token: int = 7, leads: bool = True, silence_s: float = 0.0) -> None:
-        self.holder, self._told = HOLDER, Standing(leads, TERM, silence_s)
+        self.member_id, self._told = HOLDER, Standing(leads, TERM, silence_s)
         self._gate = SimpleNamespace(may=lambda *_: True)
         self._lease = OrderLease(OrderLeaseSettings(LEASE_S))
         self._lease.acquired(TERM, token, time.monotonic() - self._lease.settings.wait_s)
--- a/tests/router/processes/test_processes_errors.py
+++ b/tests/router/processes/test_processes_errors.py
@@ -10,7 +10,7 @@
 
 import mallowbeam
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.router.processes.errors import code_table, codes_of, error_types
+from mallowbeam.router.processes.error_codes import code_table, codes_of, error_types
 
 PAGE = DOCS / "on-call.md"
 SECTION = "## The router fleet"
--- a/tests/router/processes/test_processes_logs.py
+++ b/tests/router/processes/test_processes_logs.py
@@ -12,9 +12,9 @@
 from mallowbeam.router.processes import logs
 from mallowbeam.router.processes.logs import (
     BURST,
-    MOST_EVENTS,
+    MAX_EVENTS,
     WINDOW_S,
-    EventBound,
+    EventRateLimiter,
     get_logger,
     set_up_logging,
 )
@@ -90,7 +90,7 @@
         reporting.logger.warning("web")
         self.assertEqual(self.lines, [])
         self.assertEqual(len(stream.getvalue().splitlines()), 2)
-        forwards = [one for one in reporting.logger.handlers if isinstance(one, logs.ForwardHandler)]
+        forwards = [one for one in reporting.logger.handlers if isinstance(one, logs.StandardLogForwarder)]
         self.assertEqual(len(forwards), 1)
 
     def test_a_closed_stream_does_not_stop_the_caller(self):
@@ -104,17 +104,17 @@
 
 class Bound(unittest.TestCase):
     def test_left_out_lines_are_counted_once(self):
-        bound = EventBound()
+        bound = EventRateLimiter()
         told = [bound.admit("a", "e", 0.0) for _ in range(BURST + 2)]
         self.assertEqual(told, [0] * BURST + [None, None])
         self.assertEqual(bound.admit("a", "e", WINDOW_S), 2)
         self.assertEqual(bound.admit("a", "e", WINDOW_S), 0)
 
     def test_the_table_of_events_does_not_grow(self):
-        bound = EventBound()
-        for number in range(MOST_EVENTS + 10):
+        bound = EventRateLimiter()
+        for number in range(MAX_EVENTS + 10):
             self.assertEqual(bound.admit("a", str(number), 0.0), 0)
-        self.assertEqual(len(bound._events), MOST_EVENTS)
+        self.assertEqual(len(bound._events), MAX_EVENTS)
 
 
 if __name__ == "__main__":
--- a/tests/router/processes/test_processes_metrics.py
+++ b/tests/router/processes/test_processes_metrics.py
@@ -7,8 +7,8 @@
 
 from mallowbeam.http.framing import Message
 from mallowbeam.http.handler import Response
-from mallowbeam.router.processes.metrics import Metric, MetricsFront, exposition
-from mallowbeam.router.processes.settings import MetricsPage, SettingsField, parse_settings
+from mallowbeam.router.processes.metrics import Metric, MetricsHandler, exposition
+from mallowbeam.router.processes.settings import MetricsPage, SettingsFieldError, parse_settings
 from mallowbeam.simulation.fleet_processes import ApiCall, message_of
 
 SETTINGS: dict[str, object] = {
@@ -43,7 +43,7 @@
 
 class Page(unittest.TestCase):
     def ask(self, method: str, target: str) -> Response:
-        front = MetricsFront(b"/figures", lambda: [Metric("ready", 1, "Ready.")])
+        front = MetricsHandler(b"/figures", lambda: [Metric("ready", 1, "Ready.")])
         message: Message = message_of(ApiCall(method, target), 1.0)
         return asyncio.run(front.handle(message, lambda: False))
 
@@ -65,7 +65,7 @@
 
     def test_wrong_ones(self) -> None:
         for value in ("9464", "/x", "0/x", "70000/x", "x/y", 3):
-            with self.subTest(value), self.assertRaises(SettingsField) as caught:
+            with self.subTest(value), self.assertRaises(SettingsFieldError) as caught:
                 parse_settings({**SETTINGS, "metrics": value})
             self.assertEqual(caught.exception.where, "metrics")
 
--- a/tests/router/processes/test_processes_overrides.py
+++ b/tests/router/processes/test_processes_overrides.py
@@ -8,8 +8,8 @@
 
 from mallowbeam.router.admission.settings import PlannerSettings
 from mallowbeam.router.pairing.stage_share import StageShareSettings
-from mallowbeam.router.processes.overrides import overridden, read_overrides
-from mallowbeam.router.processes.settings import SettingsField, SettingsUnreadable
+from mallowbeam.router.processes.overrides import apply_overrides, read_overrides
+from mallowbeam.router.processes.settings import SettingsFieldError, SettingsUnreadableError
 
 
 class Overrides(unittest.TestCase):
@@ -17,11 +17,11 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "decisions.toml"
             path.write_text(text)
-            return overridden(PlannerSettings(), read_overrides(str(path)), "planner")
+            return apply_overrides(PlannerSettings(), read_overrides(str(path)), "planner")
 
     def test_no_file_changes_nothing(self) -> None:
         self.assertEqual(read_overrides("/no/such/file.toml"), {})
-        self.assertEqual(overridden(StageShareSettings(), {}, "stages"), StageShareSettings())
+        self.assertEqual(apply_overrides(StageShareSettings(), {}, "stages"), StageShareSettings())
 
     def test_values_and_tables_inside(self) -> None:
         settings = self.read("[planner]\ncycle_s = 1\nlong_units = 4\n[planner.pairing]\nwait_loss = 0\n")
@@ -39,12 +39,12 @@
             ("[planner]\npairing = 3\n", "planner.pairing"),
             ("planner = 3\n", "planner"),
         ):
-            with self.subTest(text), self.assertRaises(SettingsField) as caught:
+            with self.subTest(text), self.assertRaises(SettingsFieldError) as caught:
                 self.read(text)
             self.assertEqual(caught.exception.where, where)
 
     def test_no_toml(self) -> None:
-        with self.assertRaises(SettingsUnreadable):
+        with self.assertRaises(SettingsUnreadableError):
             self.read("[planner")
 
 
--- a/tests/router/processes/test_processes_settings.py
+++ b/tests/router/processes/test_processes_settings.py
@@ -13,8 +13,8 @@
     Bounds,
     FaultTolerance,
     Limits,
-    SettingsField,
-    SettingsUnreadable,
+    SettingsFieldError,
+    SettingsUnreadableError,
     parse_settings,
     read_settings,
     settings_path,
@@ -109,7 +109,7 @@
         self.assertFalse(settings.bootstrap)
 
     def test_a_file_that_is_not_there(self):
-        with self.assertRaises(SettingsUnreadable) as caught:
+        with self.assertRaises(SettingsUnreadableError) as caught:
             read_settings("/nonexistent/settings.toml")
         self.assertEqual(caught.exception.code, "SETTINGS_UNREADABLE")
         self.assertEqual(caught.exception.where, "/nonexistent/settings.toml")
@@ -117,7 +117,7 @@
 
     def test_files_that_are_no_toml(self):
         for text in (b"node_name = ", b"\xff\xfe", b"a = 1\na = 2\n"):
-            with self.subTest(text), self.assertRaises(SettingsUnreadable):
+            with self.subTest(text), self.assertRaises(SettingsUnreadableError):
                 self.read(text)
 
     def test_the_path_comes_from_the_environment(self):
@@ -130,7 +130,7 @@
 class Refusing(unittest.TestCase):
     def test_each_key_that_must_be_there(self):
         for key in LEAST:
-            with self.subTest(key), self.assertRaises(SettingsField) as caught:
+            with self.subTest(key), self.assertRaises(SettingsFieldError) as caught:
                 parse_settings({name: value for name, value in LEAST.items() if name != key})
             self.assertEqual((caught.exception.where, caught.exception.code), (key, "SETTINGS_FIELD"))
 
@@ -163,7 +163,7 @@
             ("bounds.ack_ms", {"bounds": {"ack_ms": None}}),
         ]
         for where, change in cases:
-            with self.subTest(change=change), self.assertRaises(SettingsField) as caught:
+            with self.subTest(change=change), self.assertRaises(SettingsFieldError) as caught:
                 parse_settings({**LEAST, **change})
             self.assertEqual(caught.exception.where, where)
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -48,7 +48,7 @@
 from mallowbeam.router.control_plane.api_errors import CallError
 from mallowbeam.router.control_plane.api_responses import error_reply
 from mallowbeam.router.control_plane.state_machine import ReplicatedStateMachine
-from mallowbeam.router.processes.errors import codes_of, error_types
+from mallowbeam.router.processes.error_codes import codes_of, error_types
 from mallowbeam.router.processes.settings import SettingsError, parse_settings
 from mallowbeam.router.registry.errors import HeartbeatError
 from mallowbeam.router.registry.parse import parse_heartbeat
