--- a/mallowbeam/router/control_plane/api.py
+++ b/mallowbeam/router/control_plane/api.py
@@ -84,7 +84,7 @@
 class ControlApi:
     """The HTTP handler of the control address."""
 
-    max_body = whole = unread_body = MAX_BODY_BYTES
+    max_body = max_buffered_body = unread_body = MAX_BODY_BYTES
 
     def __init__(
         self, services: ApiServices, parser: ConfigurationParser, run_job: JobRunner = run_in_thread
@@ -109,7 +109,7 @@
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """Serve one call; its errors become error responses."""
-        since = request.at or time.monotonic()
+        since = request.completed_at or time.monotonic()
         try:
             status, body = await self._endpoint(request)(request, since)
         except CallError as error:
@@ -128,7 +128,7 @@
             return error_reply(status, LargeBodyError(text, "body"), True, self._status.other_controls())
         return error_reply(status, CallError(text, status=status), True)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """Calls are not counted."""
 
     def _endpoint(self, request: Message) -> Endpoint:
--- a/mallowbeam/router/control_plane/stage_order_client.py
+++ b/mallowbeam/router/control_plane/stage_order_client.py
@@ -83,6 +83,6 @@
         (b"connection", b"close"),
     ]
     await link.request(write_request(b"POST", ORDER_PATH, headers, len(body)), body)
-    response = await link.head()
-    await link.body(response)
+    response = await link.read_head()
+    await link.read_body(response)
     return int(response.status)
--- a/mallowbeam/router/processes/metrics.py
+++ b/mallowbeam/router/processes/metrics.py
@@ -57,7 +57,7 @@
 class MetricsHandler:
     """The HTTP handler of the metrics page."""
 
-    max_body = whole = MAX_BODY_BYTES
+    max_body = max_buffered_body = MAX_BODY_BYTES
     budget: BodyBudget | None = None
     idle = 30.0  # seconds after which an idle connection is closed
 
@@ -78,7 +78,7 @@
         """The response to a violation of HTTP."""
         return _reply(status, text.encode() + b"\n", True)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """Requests are not counted."""
 
 
--- a/tests/router/control_plane/test_control_plane_large_bodies.py
+++ b/tests/router/control_plane/test_control_plane_large_bodies.py
@@ -13,7 +13,7 @@
 from types import SimpleNamespace
 from typing import cast
 
-from control_plane_rig import CALL_TIMEOUT_S, Answer, configuration, heartbeat
+from control_plane_rig import WAIT_TIMEOUT_S, Answer, configuration, heartbeat
 from project_paths import ROOT, SUPPORT
 
 from mallowbeam.http.budget import ANOTHER_LARGE_BODY, TOO_MANY_BODIES, BodyBudget
@@ -124,37 +124,37 @@
         request = call(CONFIG, large(2))
         head = request[: request.index(b"\r\n\r\n") + 4]
         first, second = self.fed(head), self.fed(head)
-        self.assertIsNone(first.fault)
-        self.assertEqual((second.fault.status, str(second.fault)), (503, ANOTHER_LARGE_BODY))
+        self.assertIsNone(first.error)
+        self.assertEqual((second.error.status, str(second.error)), (503, ANOTHER_LARGE_BODY))
         second.release()
-        self.assertIsNotNone(self.fed(head).fault, "the refused one gave the first one's place away")
+        self.assertIsNotNone(self.fed(head).error, "the refused one gave the first one's place away")
         first.release()
-        self.assertIsNone(self.fed(head).fault)
+        self.assertIsNone(self.fed(head).error)
 
     def test_one_without_a_stated_length_is_refused_once_it_is_large(self) -> None:
         first, second = (self.fed(call(CONFIG, large(2), chunked=True)) for _ in range(2))
         self.assertEqual(len(first.ready), 1)
-        self.assertEqual(str(second.fault), ANOTHER_LARGE_BODY)
-        self.assertLessEqual(len(second.part.body), MAX_BODY_BYTES)
+        self.assertEqual(str(second.error), ANOTHER_LARGE_BODY)
+        self.assertLessEqual(len(second.incoming.body), MAX_BODY_BYTES)
 
     def test_a_second_one_on_the_same_connection_is_refused(self) -> None:
         framer = self.fed(call(CONFIG, large(2)) * 2)
-        self.assertEqual((len(framer.ready), str(framer.fault)), (1, ANOTHER_LARGE_BODY))
+        self.assertEqual((len(framer.ready), str(framer.error)), (1, ANOTHER_LARGE_BODY))
 
     def test_small_bodies_have_the_common_bound_for_themselves(self) -> None:
         self.fed(call(CONFIG, large(2)))
         self.assertEqual(self.budget.used, 0)
         small = call(INSTANCE, b"x" * LARGE_BODY)
         held = [self.fed(small) for _ in range(MAX_SMALL_BODIES_BYTES // LARGE_BODY)]
-        self.assertTrue(all(framer.fault is None for framer in held))
-        self.assertEqual(str(self.fed(small).fault), TOO_MANY_BODIES)
+        self.assertTrue(all(framer.error is None for framer in held))
+        self.assertEqual(str(self.fed(small).error), TOO_MANY_BODIES)
 
     def test_the_control_api_has_one_place(self) -> None:
         api = api_of(ConfigurationParser(), Log())
         budget = api.budget
         assert budget is not None
         self.budget = budget
-        faults = [self.fed(call(CONFIG, large(2))).fault for _ in range(2)]
+        faults = [self.fed(call(CONFIG, large(2))).error for _ in range(2)]
         self.assertIsNone(faults[0])
         self.assertEqual(str(faults[1]), ANOTHER_LARGE_BODY)
 
@@ -171,7 +171,7 @@
 
     async def put(self, path: str, body: bytes) -> tuple[Answer, bytes]:
         """One call on its own connection, whose body is sent before anything is read: answer and head."""
-        async with asyncio.timeout(CALL_TIMEOUT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             return await self._put(path, body)
 
     async def _put(self, path: str, body: bytes) -> tuple[Answer, bytes]:
@@ -210,7 +210,7 @@
         left.cancel()
         await asyncio.gather(left, return_exceptions=True)
         with self.assertRaises(LargeBodyError):
-            async with asyncio.timeout(CALL_TIMEOUT_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 await bodies.command(bytearray(large(3)), 1)
         work.go_on.set()
         for _ in range(5):
