--- a/mallowbeam/router/control_plane/api.py
+++ b/mallowbeam/router/control_plane/api.py
@@ -7,28 +7,37 @@
 from collections.abc import Awaitable, Callable
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.http.budget import ANOTHER_LARGE_BODY, Budget
+from mallowbeam.http.budget import ANOTHER_LARGE_BODY, BodyBudget
 from mallowbeam.http.framing import Message
-from mallowbeam.http.front import Reply
+from mallowbeam.http.handler import Response
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.patch import parse_patch
 from mallowbeam.router.configuration.versions import ConfigurationVersions, patch_command, put_command
-from mallowbeam.router.control_plane.answers import (
+from mallowbeam.router.control_plane.api_errors import (
     CallError,
     InvalidOutcomeError,
     LargeBodyError,
     OutcomeUnknownError,
     RevisionNotAboveError,
     VersionMismatchError,
-    body_reply,
-    error_reply,
 )
-from mallowbeam.router.control_plane.commands import Commands
-from mallowbeam.router.control_plane.instances import Instances
-from mallowbeam.router.control_plane.large_bodies import LARGE_BODY, LargeBodies, Work, run_in_thread
-from mallowbeam.router.control_plane.serving import AppliedEntry, ConfirmedRead, Said, ServingGate
-from mallowbeam.router.control_plane.status import StatusPage
+from mallowbeam.router.control_plane.api_responses import SERVICE_UNAVAILABLE, body_reply, error_reply
+from mallowbeam.router.control_plane.body_admission import (
+    LARGE_BODY,
+    JobRunner,
+    LargeBodyAdmission,
+    run_in_thread,
+)
+from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
+from mallowbeam.router.control_plane.instance_service import InstanceService
+from mallowbeam.router.control_plane.response_gate import (
+    AppliedEntry,
+    ConfirmedRead,
+    ResponseGate,
+    ResponseKind,
+)
+from mallowbeam.router.control_plane.status_page import StatusPage
 from mallowbeam.router.registry.errors import HeartbeatError
 from mallowbeam.router.registry.parse import check_id, parse_heartbeat
 from mallowbeam.router.rpc.messages_pb2 import (
@@ -41,44 +50,50 @@
     PutConfiguration,
 )
 
-MOST_BODY = 4 * 1024 * 1024  # bytes of a configuration
-MOST_BODIES = 24 * 1024 * 1024  # bytes of small bodies held at once; beyond it calls are turned away
+MAX_BODY_BYTES = 4 * 1024 * 1024  # of a configuration
+MAX_SMALL_BODIES_BYTES = 24 * 1024 * 1024  # in memory at once; beyond it calls are rejected
 CONFIG_PATH = b"/mallowbeam/config"
 STATUS_PATH = b"/mallowbeam/status"
 INSTANCES_PATH = b"/mallowbeam/instances/"
 IF_MATCH = re.compile(rb'(?:W/)?"?(\d{1,19})"?\Z')
 EMPTY = b"{}"
+OK = 200
+BAD_REQUEST = 400
 
-REFUSALS: dict[int, Callable[[], CallError]] = {
+REJECTIONS: dict[int, Callable[[], CallError]] = {
     VERSION_MISMATCH: lambda: VersionMismatchError("another version is current", "If-Match"),
     REVISION_NOT_ABOVE: lambda: RevisionNotAboveError("not above the current revision", "revision"),
     INVALID_OUTCOME: lambda: InvalidOutcomeError("the patch leads to no valid configuration", "upsert"),
 }
 
-Call = Callable[[Message, float], Awaitable[tuple[int, bytes]]]
+Endpoint = Callable[[Message, float], Awaitable[tuple[int, bytes]]]
 
 
 class ControlApi:
-    """The front behind the control address."""
+    """The HTTP handler of the control address."""
 
-    max_body = whole = unread_body = MOST_BODY
+    max_body = max_buffered_body = unread_body = MAX_BODY_BYTES
 
     def __init__(
         self,
         parser: ConfigurationParser,
         versions: ConfigurationVersions,
-        commands: Commands,
-        instances: Instances,
+        commands: CommandForwarder,
+        instances: InstanceService,
         status: StatusPage,
-        gate: ServingGate,
-        work: Work = run_in_thread,
+        gate: ResponseGate,
+        run_job: JobRunner = run_in_thread,
     ) -> None:
-        """`work` runs what large bodies take beside the event loop."""
-        self.budget: Budget | None = Budget(MOST_BODIES, LARGE_BODY)
-        self._large_bodies = LargeBodies(parser, work)
-        self._parser, self._versions, self._commands = parser, versions, commands
-        self._instances, self._status, self._gate = instances, status, gate
-        self._calls: dict[tuple[bytes, bytes], Call] = {
+        """`run_job` processes large bodies beside the event loop."""
+        self.budget: BodyBudget | None = BodyBudget(MAX_SMALL_BODIES_BYTES, LARGE_BODY)
+        self._large_bodies = LargeBodyAdmission(parser, run_job)
+        self._parser = parser
+        self._versions = versions
+        self._commands = commands
+        self._instances = instances
+        self._status = status
+        self._gate = gate
+        self._endpoints: dict[tuple[bytes, bytes], Endpoint] = {
             (CONFIG_PATH, b"PUT"): self._put_config,
             (CONFIG_PATH, b"PATCH"): self._patch_config,
             (CONFIG_PATH, b"GET"): self._get_config,
@@ -87,74 +102,74 @@
             (INSTANCES_PATH, b"DELETE"): self._delete_instance,
         }
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
-        """One call to its answer."""
-        since = request.at or time.monotonic()
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
+        """Serve one call; its errors become error responses."""
+        since = request.completed_at or time.monotonic()
         try:
-            status, body = await self._find(request)(request, since)
+            status, body = await self._endpoint(request)(request, since)
         except CallError as error:
             return error_reply(error.status, error, closing(), self._status.other_controls())
         except ConfigurationError as error:
             return error_reply(error.status, error, closing())
         except HeartbeatError as error:
-            return error_reply(400, error, closing())
+            return error_reply(BAD_REQUEST, error, closing())
         except MallowbeamError as error:
-            return error_reply(503, error, closing(), self._status.other_controls())
+            return error_reply(SERVICE_UNAVAILABLE, error, closing(), self._status.other_controls())
         return body_reply(status, body, closing())
 
-    def complain(self, status: int, text: str) -> Reply:
-        """The answer to what breaks HTTP or a bound; the connection is closed after it."""
+    def error_response(self, status: int, text: str) -> Response:
+        """The response to a violation of HTTP or of a limit; the connection is closed after it."""
         if text == ANOTHER_LARGE_BODY:
             return error_reply(status, LargeBodyError(text, "body"), True, self._status.other_controls())
         return error_reply(status, CallError(text, status=status), True)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """Calls are not counted."""
 
-    def _find(self, request: Message) -> Call:
+    def _endpoint(self, request: Message) -> Endpoint:
         path = request.target.partition(b"?")[0]
         if path.startswith(INSTANCES_PATH):
             path = INSTANCES_PATH
-        call = self._calls.get((path, request.method))
+        call = self._endpoints.get((path, request.method))
         if call is not None:
             return call
-        if any(known == path for known, _ in self._calls):
+        if any(known == path for known, _ in self._endpoints):
             raise CallError("not by this method", path.decode("latin-1"), status=405)
         raise CallError("no such call", path.decode("latin-1"), status=404)
 
     # ------------------------------------------------------------ the operator's configuration
 
     async def _put_config(self, request: Message, since: float) -> tuple[int, bytes]:
-        return await self._submit(await self._whole(request, _based_on(request)), since)
+        return await self._submit(await self._document_command(request, _based_on(request)), since)
 
     async def _patch_config(self, request: Message, since: float) -> tuple[int, bytes]:
-        return await self._submit(await self._patch(request, _based_on(request)), since)
+        return await self._submit(await self._patch_command(request, _based_on(request)), since)
 
     async def _submit(self, change: PutConfiguration, since: float) -> tuple[int, bytes]:
-        """Have a change applied; the answer to its caller."""
+        """Have a change committed; the status and body of the response."""
         self._gate.check_reachable()
         revision = change.revision
         command = Command(put_configuration=change)
         del change
         outcome = await self._commands.submit(command, since)
         evidence = AppliedEntry(outcome.index)
-        if outcome.result in REFUSALS:
-            self._gate.check(Said.CHANGE_REFUSED, evidence)
-            raise REFUSALS[outcome.result]()
+        if outcome.result in REJECTIONS:
+            self._gate.check(ResponseKind.CHANGE_REFUSED, evidence)
+            raise REJECTIONS[outcome.result]()
         if outcome.result not in (DONE, ALREADY_DONE):
             raise OutcomeUnknownError("a copy of this call may have been taken, or may yet be", "revision")
-        self._gate.check(Said.CHANGE_ACKNOWLEDGED, evidence)
+        self._gate.check(ResponseKind.CHANGE_ACKNOWLEDGED, evidence)
         return 200, b'{"revision":%d}' % revision
 
-    async def _whole(self, request: Message, based_on: int) -> PutConfiguration:
-        """The command that a whole document asks for; the request holds its body no longer."""
+    async def _document_command(self, request: Message, based_on: int) -> PutConfiguration:
+        """The command of a full document; the request gives up its body."""
         body = request.take()
         if len(body) > LARGE_BODY:
             return await self._large_bodies.command(body, based_on)
         return put_command(self._parser.parse(bytes(body)), based_on)
 
-    async def _patch(self, request: Message, based_on: int) -> PutConfiguration:
-        """The command that a patch asks for; the request holds its body no longer."""
+    async def _patch_command(self, request: Message, based_on: int) -> PutConfiguration:
+        """The command of a patch; the request gives up its body."""
         body = request.take()
         if len(body) > LARGE_BODY:
             return await self._large_bodies.patch(body, based_on)
@@ -165,7 +180,7 @@
     async def _get_config(self, request: Message, since: float) -> tuple[int, bytes]:
         self._gate.check_reachable()
         await self._commands.read_barrier(since)
-        self._gate.check(Said.CONFIGURATION_READ, ConfirmedRead(since))
+        self._gate.check(ResponseKind.CONFIGURATION_READ, ConfirmedRead(since))
         body = self._versions.current_body()
         if not body:
             raise CallError("no configuration was taken yet", status=404)
@@ -191,7 +206,7 @@
 
 
 def _based_on(request: Message) -> int:
-    """The revision on which a configuration builds; raises `CallError`."""
+    """The revision on which a configuration is based, of If-Match; raises `CallError`."""
     value = request.get(b"if-match")
     match = IF_MATCH.match(value) if value is not None else None
     if match is None:
--- a/mallowbeam/router/data_plane/role.py
+++ b/mallowbeam/router/data_plane/role.py
@@ -11,8 +11,8 @@
 from mallowbeam.http.server import Server
 from mallowbeam.router.admission.planner import Planner as FleetPlanner
 from mallowbeam.router.admission.settings import PlannerSettings
-from mallowbeam.router.configuration.changes import apply_update
 from mallowbeam.router.configuration.model import Configuration
+from mallowbeam.router.configuration.updates import apply_update
 from mallowbeam.router.data_plane.decision_log import DecisionLog
 from mallowbeam.router.data_plane.demand import MeasuredPlanner
 from mallowbeam.router.data_plane.feed_link import FeedLink
@@ -22,7 +22,7 @@
 from mallowbeam.router.data_plane.planning import Planner
 from mallowbeam.router.data_plane.readiness import ReadinessFront
 from mallowbeam.router.data_plane.retry_budget import BudgetSettings, RetryBudgets
-from mallowbeam.router.feed.subscriber import FeedEvents, FeedSubscriber
+from mallowbeam.router.feed.subscriber import FeedEvents, FeedSubscriber, GatewayIdentity
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.processes.metrics import Metric, metrics_server
 from mallowbeam.router.processes.overrides import overridden, read_overrides
@@ -121,7 +121,7 @@
             await asyncio.gather(feed, tick, return_exceptions=True)
             self.gateway.pool.close()
             if self.metrics_server is not None:
-                await self.metrics_server.shut()
+                await self.metrics_server.stop_accepting()
 
     async def _stop(self) -> None:
         """Answer 503 to the platform's question first, go on until it has noticed, then drain."""
@@ -135,7 +135,7 @@
         except TimeoutError:
             log.warning("%d requests were not finished in the grace time", self.front_server.pending)
         await self.gateway.handles.finish()
-        await self.readiness_server.shut()
+        await self.readiness_server.stop_accepting()
 
     def _changed(self, events: FeedEvents[Configuration], now: float) -> None:
         """Take over what a frame of the feed changed."""
@@ -166,11 +166,9 @@
         seed = int.from_bytes(os.urandom(8), "big")
         return FeedSubscriber(
             peer_addresses(settings),
-            settings.zone,
+            GatewayIdentity(settings.zone, settings.node_name, seed),
             Random(seed),
             apply_update,
-            gateway=settings.node_name,
-            incarnation=seed,
         )
 
 
--- a/mallowbeam/storage_gateway/coordination/hands.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem_context.py
@@ -1,17 +1,17 @@
-"""The service's hands for one subsystem: `subsystem.Hands` over the gateway.  Decides nothing."""
+"""The service's hands for one subsystem: `subsystem.SubsystemContext` over the gateway.  Decides nothing."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from mallowbeam.storage_gateway.coordination.log import Entry
+from mallowbeam.storage_gateway.coordination.replicated_log import Entry
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, Plan
 from mallowbeam.storage_gateway.server.gateway import Gateway
-from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 
 
-class Drains:
+class NodeDrains:
     """Who wants which node out here: a node goes in again when nobody does any more."""
 
     def __init__(self, gateway: Gateway) -> None:
@@ -28,12 +28,12 @@
             self.gateway.by_hand(node, out, listed=False)
 
 
-class Plans:
-    """Plans' figures on the way to the module, which takes them by the facade's one call."""
+class PlanOverrides:
+    """Plans' figures on the way to the module, which takes them by the scheduler's one call."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
-        self.pushed: dict[str, Plan] = {}  # whole plans that were changed since the start
+        self.overrides: dict[str, Plan] = {}  # complete plans that a policy changed since the start
 
     @property
     def settings(self) -> Mapping[str, Plan]:
@@ -41,27 +41,27 @@
         plans: Mapping[str, Plan] = self.gateway.config.settings.plans
         return plans
 
-    def planned(
-        self, plan: Plan, volume: str = "", shard: int | None = None, part: float | None = None
+    def apply_plan(
+        self, plan: Plan, volume: str = "", shard: int | None = None, fraction: float | None = None
     ) -> bool:
         """Let these figures hold; False where this gateway's module can't take them at all.
 
-        Raises the facade's `MallowbeamError` where it refuses them; nothing has changed then.
+        Raises the scheduler's `MallowbeamError` where it refuses them; nothing has changed then.
         """
-        call = getattr(self.gateway.facade, "planned", None)
+        call = getattr(self.gateway.scheduler, "change_plan", None)
         if call is None:
             return False
-        self.gateway._apply(call(self.gateway.now(), plan, volume, shard, part))
+        self.gateway._apply(call(self.gateway.now(), plan, volume, shard, fraction))
         if not volume:
-            self.pushed[plan.name] = plan
+            self.overrides[plan.name] = plan
         return True
 
     def plan(self, name: str) -> Plan | None:
         """A plan as it is in force; None for one that nobody has."""
-        return self.pushed.get(name) or self.settings.get(name)
+        return self.overrides.get(name) or self.settings.get(name)
 
 
-class GatewayHands:
+class GatewayContext:
     """One subsystem's hands; `put` takes an entry of its topic's into the log."""
 
     def __init__(
@@ -70,8 +70,8 @@
         me: str,
         members: tuple[str, ...],
         gateway: Gateway,
-        drains: Drains,
-        plans: Plans,
+        drains: NodeDrains,
+        plans: PlanOverrides,
         put: Callable[[str, Entry], bool],
         leads: Callable[[], bool],
     ) -> None:
@@ -88,11 +88,11 @@
         """Take a node out here, or want it out no more."""
         self._drains.want(self.name, node, out)
 
-    def planned(
-        self, plan: Plan, volume: str = "", shard: int | None = None, part: float | None = None
+    def apply_plan(
+        self, plan: Plan, volume: str = "", shard: int | None = None, fraction: float | None = None
     ) -> bool:
         """A plan's figures, or one volume's allotment, from now on."""
-        return self._plans.planned(plan, volume, shard, part)
+        return self._plans.apply_plan(plan, volume, shard, fraction)
 
     def settings_plans(self) -> Mapping[str, Plan]:
         """The plans of the platform's settings, by name."""
@@ -104,7 +104,7 @@
 
     def observe(self, observer: Callable[[Mapping[str, object]], None]) -> None:
         """Tell of each call before the module decides on it; what the observer raises is logged."""
-        failed = Sparse(f"fleet: {self.name} failed at a call")
+        failed = RateLimitedWarning(f"fleet: {self.name} failed at a call")
 
         def told(fields: Mapping[str, object]) -> None:
             try:
@@ -116,12 +116,12 @@
 
     def nodes(self) -> list[NodeEntry]:
         """The nodes as they are listed here."""
-        entries: list[NodeEntry] = self._gateway.facade.entries(self._gateway.now())
+        entries: list[NodeEntry] = self._gateway.scheduler.node_entries(self._gateway.now())
         return entries
 
     def out(self, node: str) -> int:
         """How many attempts this gateway has out at a node."""
-        return self._gateway.facade.out(node)
+        return self._gateway.scheduler.attempts_at(node)
 
     def held(self) -> int:
         """How many requests this gateway holds unanswered."""
--- a/tests/http/test_accepting.py
+++ b/tests/http/test_accepting.py
@@ -13,7 +13,7 @@
 
 from mallowbeam.http import server as servers
 from mallowbeam.http.framing import Message
-from mallowbeam.http.front import Reply, plain
+from mallowbeam.http.handler import Response, text_response
 from mallowbeam.http.server import Server
 
 PATIENCE = 10.0  # seconds until what is expected counts as missing
@@ -24,21 +24,21 @@
 class Pages:
     """A front that answers everything at once, or once `held` is set."""
 
-    max_body, whole, budget = 0, 0, None
+    max_body, max_buffered_body, budget = 0, 0, None
 
     def __init__(self) -> None:
         self.held, self.count = asyncio.Event(), 0
         self.held.set()
 
-    async def handle(self, request: Message, closing: Callable[[], bool]) -> Reply:
+    async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         self.count += 1
         await self.held.wait()
-        return plain(200, "here", closing())
+        return text_response(200, "here", closing())
 
-    def complain(self, status: int, text: str) -> Reply:
-        return plain(status, text, True)
+    def error_response(self, status: int, text: str) -> Response:
+        return text_response(status, text, True)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         pass
 
 
@@ -121,7 +121,7 @@
             await asyncio.sleep(0)
         server.front.held.set()
         while not got.done():
-            assert len(server.connections) <= server.most + 1
+            assert len(server.connections) <= server.connection_limit + 1
             await asyncio.sleep(0)
         assert set(got.result()) <= {b"HTTP/1.1 200", b"HTTP/1.1 503"}
         await drained
@@ -136,9 +136,9 @@
         server.start()
         server.front.held.clear()
         with knock(server), knock(server), knock(server):
-            while len(server.connections) <= server.most:
+            while len(server.connections) <= server.connection_limit:
                 await asyncio.sleep(0)
-            await server.shut(0.05)
+            await server.stop_accepting(0.05)
             assert server.sock.fileno() < 0
         server.front.held.set()
         await server.drain()
@@ -181,7 +181,7 @@
 
     async def play(server: Server) -> None:
         new, shuts = Server(server.address, Pages(), 64, handed=server.sock.dup()), []
-        server.sock.after = lambda: shuts or shuts.append(asyncio.ensure_future(server.shut()))
+        server.sock.after = lambda: shuts or shuts.append(asyncio.ensure_future(server.stop_accepting()))
         server.start()
         socks = [knock(server) for _ in range(40)]
         while server.sock.fileno() >= 0:
@@ -201,7 +201,7 @@
     async def play(server: Server) -> None:
         server.start()
         sock = knock(server)
-        server.last_answers()
+        server.close_after_responses()
         whole = await answer(sock)
         assert whole.startswith(b"HTTP/1.1 200") and b"connection: close" in whole
         await server.drain()
--- a/tests/storage_gateway/server/test_links.py
+++ b/tests/storage_gateway/server/test_links.py
@@ -11,8 +11,8 @@
 from scenario import World
 
 from mallowbeam.http import client as upstream
-from mallowbeam.http.client import NoRoom, Pool, Unsent
-from mallowbeam.http.framing import Budget
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.client import ConnectionLimitError, Pool, RequestNotSentError
 
 RESET = (socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
 HEAD = "HTTP/1.1 200 OK\\r\\n"
@@ -82,15 +82,15 @@
             await world.play("c1 send read\nn0 expect GET\nn0 send 200 body=a\nc1 expect 200 a")
             (link,) = next(iter(world.gateway.pool.idle.values()))
             node = world.parties["n0"].writer.transport.get_extra_info("socket")
-            may_begin = world.gateway.facade.may_begin
+            may_begin = world.gateway.scheduler.may_begin
 
             def crossed(now: float, tried: object) -> bool:
-                world.gateway.facade.may_begin = may_begin
+                world.gateway.scheduler.may_begin = may_begin
                 socket.socket.send(node._sock, stray.encode().decode("unicode_escape").encode())
                 assert select.select([link.channel.sock], [], [], 5)[0]
                 return may_begin(now, tried)
 
-            world.gateway.facade.may_begin = crossed
+            world.gateway.scheduler.may_begin = crossed
             await world.play("c1 send write\nn0 expect PUT\nn0 send 200 body=news\nc1 expect 200 news$")
             assert link.channel.sock.fileno() == -1 and world.gateway.pool.count == 1
 
@@ -142,7 +142,7 @@
 
 
 def pool(most: int = 2) -> Pool:
-    return Pool(most, 10.0, 5.0, 65536, Budget(1 << 20))
+    return Pool(most, 10.0, 5.0, 65536, BodyBudget(1 << 20))
 
 
 def address(listener: socket.socket) -> str:
@@ -182,7 +182,7 @@
             if what == "forget":
                 links.drop(task.result())
             elif what in ("refused", "malformed"):
-                assert isinstance(task.exception(), Unsent)
+                assert isinstance(task.exception(), RequestNotSentError)
             elif not task.cancelled():  # it was up already: then it is handed over whole
                 links.drop(task.result())
             assert links.count == 0 and not any(links.idle.values())
@@ -197,7 +197,7 @@
         with socket.create_server(("127.0.0.1", 0)) as one, socket.create_server(("127.0.0.1", 0)) as two:
             links = pool(most=2)
             held = [await links.take(address(one)) for _ in range(2)]
-            with pytest.raises(NoRoom):
+            with pytest.raises(ConnectionLimitError):
                 await links.take(address(two))
             assert links.keep(held[0])
             third = await links.take(address(two))
@@ -216,7 +216,7 @@
     async def run() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             links = pool()
-            links.lasts = 1e9
+            links.idle_lifetime = 1e9
             link = await links.take(address(listener))
             assert links.keep(link) and await links.take(address(listener)) is link
             links.drop(link)
