--- a/tests/router/configuration/test_configuration_fuzz.py
+++ b/tests/router/configuration/test_configuration_fuzz.py
@@ -1,4 +1,4 @@
-"""Damaged configurations: refused with an error of the configuration, or carried without loss."""
+"""Damaged configurations: rejected with a `ConfigurationError`, or accepted without loss."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     def test_damaged_bodies(self) -> None:
         outcomes = run(SEED, COUNT)
         self.assertEqual(outcomes.total(), COUNT)
-        self.assertGreater(outcomes["taken"], 0)
+        self.assertGreater(outcomes["accepted"], 0)
         for code in ("UNREADABLE", "FIELD", "NO_TIMEOUT", "UNKNOWN_BACKEND", "SAME_PLACE", "TOO_LARGE"):
             self.assertGreater(outcomes[f"CONFIG_{code}"], 0, code)
 
--- a/tests/router/configuration/test_operator_races.py
+++ b/tests/router/configuration/test_operator_races.py
@@ -7,7 +7,7 @@
 from contextlib import contextmanager
 from unittest import mock
 
-from configuration_variants import ForgetsOnRestart, ForgetsRefusals, ForgetsRefusalsOnRestart
+from configuration_variants import ForgetsOnRestart, ForgetsRejections, ForgetsRejectionsOnRestart
 from operator_races import RacesPlayer, RandomRace
 from project_paths import SCENARIOS as SCENARIO_FOLDER
 
@@ -23,7 +23,7 @@
 OperatorScenarios = scenario_tests(FOLDER, RacesPlayer)
 
 
-BROKEN = (ForgetsRefusals, ForgetsOnRestart, ForgetsRefusalsOnRestart)
+BROKEN = (ForgetsRejections, ForgetsOnRestart, ForgetsRejectionsOnRestart)
 
 
 @contextmanager
@@ -60,12 +60,12 @@
 
 class RandomRaces(unittest.TestCase):
     def test_random_races(self) -> None:
-        told: list[str] = []
+        results: list[str] = []
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                told += [one for order in play(seed).orders.values() for one in order.told]
-        self.assertGreater(told.count("taken"), ROUNDS * len(SEEDS) // 2)
-        self.assertGreater(told.count("refused"), ROUNDS * len(SEEDS) // 2)
+                results += [one for order in play(seed).orders.values() for one in order.results]
+        self.assertGreater(results.count("taken"), ROUNDS * len(SEEDS) // 2)
+        self.assertGreater(results.count("refused"), ROUNDS * len(SEEDS) // 2)
 
     def test_broken_ones_are_found(self) -> None:
         for kind in BROKEN:
--- a/tests/router/control_plane/test_command_copies.py
+++ b/tests/router/control_plane/test_command_copies.py
@@ -8,19 +8,19 @@
 
 from command_model import Bounds, Call, Judge, NewVersions, Replicas, RuleBroken, apply_in_all_orders
 from configuration_variants import (
+    AcceptsAnyRevision,
     ComparesNothing,
-    DropsRefusalsOfTheNextBase,
-    DropsTheOldestRefusal,
+    DropsRejectionsOfTheNextBase,
+    DropsTheOldestRejection,
     ForgetsDigests,
     ForgetsOnRestart,
-    ForgetsRefusals,
-    ForgetsRefusalsOnRestart,
-    KeepsAll,
-    KnowsByBaseAlone,
-    KnowsByNumberAlone,
-    RefusesTheForgotten,
-    RemembersRefusalsWithoutBase,
-    TakesAnyNumber,
+    ForgetsRejections,
+    ForgetsRejectionsOnRestart,
+    IdentifiesByBaseAlone,
+    IdentifiesByRevisionAlone,
+    RecordsWithoutBound,
+    RejectsTheForgotten,
+    RemembersRejectionsWithoutBase,
 )
 
 from mallowbeam.router.configuration.parsing import ConfigurationParser
@@ -43,18 +43,18 @@
 
 BROKEN: tuple[type[ConfigurationVersions], ...] = (
     ComparesNothing,
-    DropsRefusalsOfTheNextBase,
-    DropsTheOldestRefusal,
+    DropsRejectionsOfTheNextBase,
+    DropsTheOldestRejection,
     ForgetsDigests,
     ForgetsOnRestart,
-    ForgetsRefusals,
-    ForgetsRefusalsOnRestart,
-    KeepsAll,
-    KnowsByBaseAlone,
-    KnowsByNumberAlone,
-    RefusesTheForgotten,
-    RemembersRefusalsWithoutBase,
-    TakesAnyNumber,
+    ForgetsRejections,
+    ForgetsRejectionsOnRestart,
+    RecordsWithoutBound,
+    IdentifiesByBaseAlone,
+    IdentifiesByRevisionAlone,
+    RejectsTheForgotten,
+    RemembersRejectionsWithoutBase,
+    AcceptsAnyRevision,
 )
 
 
--- a/tests/support/command_model.py
+++ b/tests/support/command_model.py
@@ -1,7 +1,7 @@
-"""A model of calls of two operators whose copies are applied in any order, and a judge of their results.
+"""A model of two operators' calls whose duplicates are applied in any order, and a checker of their results.
 
-Each call may be applied several times: its caller sends it again after a lost answer, and members propose it
-again after a change of leader. Every copy's result counts as told to its caller. One replica is never
+Each call may be applied several times: its caller retries after a lost response, and members propose it again
+after a change of leader. The result of every duplicate counts as reported to its caller. One replica is never
 restored, a second one is restored from its own snapshot after each command.
 """
 
@@ -27,12 +27,12 @@
 
 
 class RuleBroken(AssertionError):
-    """A result that an operator must not be told, or replicas that differ."""
+    """A result that must not be reported to an operator, or replicas that differ."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One order of an operator: what stays the same in all of its copies."""
+    """One call of an operator: what all of its duplicates have in common."""
 
     revision: int
     content: str
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class Judge:
-    """What was told so far, and whether one more result agrees with it."""
+    """The results reported so far, and whether one more agrees with them."""
 
     bounds: Bounds
     in_force: list[Call] = field(default_factory=list)
@@ -78,38 +78,40 @@
         """The same history, to go on in another way."""
         return Judge(self.bounds, list(self.in_force), set(self.refused), set(self.acknowledged))
 
-    def told(self, call: Call, result: CommandResult) -> None:
-        """Take one result; raises `RuleBroken`."""
-        taken = call.document in {one.document for one in self.in_force}
+    def check_result(self, call: Call, result: CommandResult) -> None:
+        """Check and record one result; raises `RuleBroken`."""
+        accepted = call.document in {one.document for one in self.in_force}
         if result == DONE:
-            self._must(not taken, "taken twice")
+            self._must(not accepted, "accepted twice")
             self._must(call not in self.refused, "in force although it was refused")
             self._must(call.based_on == self.revision, "in force though another change of its version won")
             self._must(call.revision > self.revision, "in force though its revision is not above")
             self.in_force.append(call)
             self.acknowledged.add(call)
         elif result == ALREADY_DONE:
-            self._must(taken, "acknowledged and not in force")
+            self._must(accepted, "acknowledged and not in force")
             self.acknowledged.add(call)
         elif result == OUTCOME_UNKNOWN:
-            self._must(self._may_be_forgotten(call) or self._no_room(call), "no clear answer without need")
+            self._must(
+                self._may_be_forgotten(call) or self._no_capacity(call), "no clear answer without need"
+            )
         else:
-            self._must(not taken and call not in self.acknowledged, "taken, and then refused")
+            self._must(not accepted and call not in self.acknowledged, "accepted, and then rejected")
             valid = call.based_on == self.revision < call.revision
             self._must(call in self.refused or not valid, "a valid change was refused")
             self.refused.add(call)
 
     def check_bounds(self, state: ReplicatedState) -> None:
-        """Whether a replica holds no more than it may."""
-        taken = len(state.taken_records) // RECORD.size
-        self._must(taken <= self.bounds.max_accepted, "more configurations are remembered than may be")
+        """Raise `RuleBroken` if a replica remembers more than its bounds allow."""
+        recorded = len(state.taken_records) // RECORD.size
+        self._must(recorded <= self.bounds.max_accepted, "more configurations are remembered than may be")
         self._must(len(state.refused) <= self.bounds.max_rejected, "more refusals are remembered than may be")
 
     def _may_be_forgotten(self, call: Call) -> bool:
         dropped = self.in_force[: max(0, len(self.in_force) - self.bounds.max_accepted)]
         return bool(dropped) and call.revision <= dropped[-1].revision
 
-    def _no_room(self, call: Call) -> bool:
+    def _no_capacity(self, call: Call) -> bool:
         waiting = [one for one in self.refused if self.revision <= one.based_on < one.revision]
         return len(waiting) >= self.bounds.max_rejected and call.based_on > self.revision
 
@@ -135,7 +137,7 @@
         return other
 
     def apply(self, call: Call, command: PutConfiguration) -> None:
-        """Apply one copy of a call everywhere; raises `RuleBroken`."""
+        """Apply one duplicate of a call to all replicas; raises `RuleBroken`."""
         result = self.steady.apply(command)
         if self.restored.apply(command) != result:
             raise RuleBroken("replicas answer differently")
@@ -143,7 +145,7 @@
         state = state_of(self.steady)
         if state != state_of(self.restored):
             raise RuleBroken("replicas hold different states")
-        self.judge.told(call, result)
+        self.judge.check_result(call, result)
         self.judge.check_bounds(state)
 
     def restart(self) -> None:
@@ -154,14 +156,14 @@
 
 
 def state_of(versions: ConfigurationVersions) -> ReplicatedState:
-    """What a snapshot holds of a replica."""
+    """A replica's snapshot."""
     state = ReplicatedState()
     versions.save(state)
     return state
 
 
 def apply_in_all_orders(replicas: Replicas, calls: Sequence[Call], copies: int) -> int:
-    """Apply so many copies of each call in each order; returns how many applications that took."""
+    """Apply so many duplicates of each call in each order; returns the number of applications."""
     commands = [call.command() for call in calls]
     return _go_on(replicas, calls, commands, [copies] * len(calls))
 
--- a/tests/support/configuration_costs.py
+++ b/tests/support/configuration_costs.py
@@ -46,8 +46,8 @@
         parser.parse(alternate[0])
 
     change = incremental_update(old.configuration, new.configuration)
-    whole = full_update(new.configuration)
-    whole_bytes = whole.SerializeToString()
+    full = full_update(new.configuration)
+    full_bytes = full.SerializeToString()
     command = put_command(new, 0)
     return {
         "body KB": len(body) / 1000,
@@ -56,17 +56,17 @@
         "command": milliseconds(lambda: put_command(new, 7)),
         "command KB": command.ByteSize() / 1000,
         "apply command": milliseconds(lambda: ConfigurationVersions().apply(command)),
-        "difference": milliseconds(lambda: incremental_update(old.configuration, new.configuration)),
-        "difference KB": change.ByteSize() / 1000,
-        "apply difference": milliseconds(lambda: apply_update(old.configuration, change)),
-        "whole": milliseconds(lambda: full_update(new.configuration).SerializeToString()),
-        "whole KB": len(whole_bytes) / 1000,
-        "apply whole": milliseconds(lambda: apply_bytes(whole_bytes)),
+        "incremental": milliseconds(lambda: incremental_update(old.configuration, new.configuration)),
+        "incremental KB": change.ByteSize() / 1000,
+        "apply incremental": milliseconds(lambda: apply_update(old.configuration, change)),
+        "full": milliseconds(lambda: full_update(new.configuration).SerializeToString()),
+        "full KB": len(full_bytes) / 1000,
+        "apply full": milliseconds(lambda: apply_bytes(full_bytes)),
     }
 
 
 def apply_bytes(data: bytes) -> Configuration:
-    """What a gateway does with a whole update that came in."""
+    """What a gateway does with a full update that it received."""
     return apply_update(None, ConfigurationUpdate.FromString(data))
 
 
--- a/tests/support/configuration_fuzz.py
+++ b/tests/support/configuration_fuzz.py
@@ -1,7 +1,7 @@
 """Random damage to configurations: ``PYTHONPATH=. python tests/support/configuration_fuzz.py SEED COUNT``.
 
-Each damaged body must be refused with a `ConfigurationError`, or taken and then carried without loss: as JSON
-in the canonical document, and as values in the message to gateways.
+Each damaged body must be rejected with a `ConfigurationError`, or accepted and then kept without loss: as
+JSON in the canonical document, and as values in the message to gateways.
 """
 
 from __future__ import annotations
@@ -121,16 +121,16 @@
     """A value more, or one of another place there."""
     first, second = source.choice(paths(value)), source.choice(paths(value))
     copied = json.loads(json.dumps(parent_of(value, second)[second[-1]]))
-    holder = parent_of(value, first)
-    if isinstance(holder, list):
-        holder.insert(source.randrange(len(holder) + 1), copied)
+    container = parent_of(value, first)
+    if isinstance(container, list):
+        container.insert(source.randrange(len(container) + 1), copied)
     else:
-        holder[str(second[-1])] = copied
+        container[str(second[-1])] = copied
     return body_of(value)
 
 
-def cut(source: random.Random, value: Any) -> bytes:
-    """The body cut short."""
+def truncate(source: random.Random, value: Any) -> bytes:
+    """A truncated body."""
     body = body_of(value)
     return body[: source.randrange(len(body))]
 
@@ -150,7 +150,7 @@
     return body_of(value).replace(b'"@@"', source.choice(TEXTS))
 
 
-DAMAGES: tuple[Callable[[random.Random, Any], bytes], ...] = (replace, remove, add, cut, spoil, splice)
+DAMAGES: tuple[Callable[[random.Random, Any], bytes], ...] = (replace, remove, add, truncate, spoil, splice)
 
 
 def damaged(source: random.Random) -> bytes:
@@ -162,7 +162,7 @@
 
 
 def outcome(body: bytes, parser: ConfigurationParser) -> str:
-    """The code of the refusal, or `taken`; raises whatever else comes up, and on a loss."""
+    """The code of the rejection, or `accepted`; raises any other error, and if data is lost."""
     try:
         result = parser.parse(body)
     except ConfigurationError as error:
@@ -177,7 +177,7 @@
     update = ConfigurationUpdate.FromString(full_update(result.configuration).SerializeToString())
     if apply_update(None, update) != result.configuration:
         raise AssertionError("the message to gateways loses something")
-    return "taken"
+    return "accepted"
 
 
 def comparable(text: bytes) -> str:
@@ -191,7 +191,7 @@
         parse_configuration(body, MOST_BYTES)
     except ConfigurationError as error:
         return error.code
-    return "taken"
+    return "accepted"
 
 
 def run(seed: int, count: int) -> Counter[str]:
--- a/tests/support/configuration_scenario.py
+++ b/tests/support/configuration_scenario.py
@@ -102,7 +102,7 @@
     member: str = ""
     sent: Configuration | None = None
     mismatches: int = 0
-    held: Configuration | None = None
+    current: Configuration | None = None
 
 
 @dataclass
@@ -223,26 +223,26 @@
         current = self.members[gateway.member].versions.current()
         if current is None:
             return
-        known, before = gateway.sent, gateway.held
+        known, before = gateway.sent, gateway.current
         gateway.sent = current
         try:
             update = full_update(current) if known is None else incremental_update(known, current)
-            gateway.held = apply_update(before, update)
+            gateway.current = apply_update(before, update)
         except UpdateMismatchError:
             gateway.mismatches += 1
-            gateway.held = apply_update(before, full_update(current))
-        assert before is None or gateway.held.revision >= before.revision, "the gateway went back"
+            gateway.current = apply_update(before, full_update(current))
+        assert before is None or gateway.current.revision >= before.revision, "the gateway went back"
 
     def do_mismatches(self, name: str, count: str) -> None:
         assert self.gateways[name].mismatches == int(count), f"{self.gateways[name].mismatches}"
 
     def do_holds(self, name: str, document: str) -> None:
-        held = self.gateways[name].held
+        current = self.gateways[name].current
         if document == "nothing":
-            assert held is None, f"holds revision {held.revision}"
+            assert current is None, f"holds revision {current.revision}"
             return
         expected = parse_configuration(body_of(self.documents[document])).configuration
-        assert held == expected, f"holds revision {held.revision if held else None}"
+        assert current == expected, f"holds revision {current.revision if current else None}"
 
     def apply(self, member: Member) -> None:
         """Let a member apply the rest of the log, with the results that the log's lines name."""
--- a/tests/support/configuration_variants.py
+++ b/tests/support/configuration_variants.py
@@ -1,4 +1,4 @@
-"""State machines of configurations that are broken on purpose: scenarios and the model must find each."""
+"""State machines of configurations that are broken on purpose: the scenarios and the model must find each."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 def changed(command: PutConfiguration, based_on: int) -> PutConfiguration:
     """The same command on another revision."""
-    copy = PutConfiguration()
-    copy.CopyFrom(command)
-    copy.based_on = based_on
-    return copy
+    duplicate = PutConfiguration()
+    duplicate.CopyFrom(command)
+    duplicate.based_on = based_on
+    return duplicate
 
 
 class ForgetsDigests(ConfigurationVersions):
-    """Knows no configuration again."""
+    """Forgets every configuration that was accepted."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         self._accepted = AcceptedConfigurations()
@@ -43,14 +43,14 @@
 
 
 class ComparesNothing(ConfigurationVersions):
-    """Takes a change whatever it builds on."""
+    """Accepts a change whatever it builds on."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         return super().apply(changed(command, self.revision))
 
 
-class TakesAnyNumber(ConfigurationVersions):
-    """Takes a revision that is not above the current one."""
+class AcceptsAnyRevision(ConfigurationVersions):
+    """Accepts a revision that is not above the current one."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         self._revision, revision = min(self._revision, command.revision - 1), self._revision
@@ -61,8 +61,8 @@
         return result
 
 
-class KeepsAll(ConfigurationVersions):
-    """Remembers digests without a bound."""
+class RecordsWithoutBound(ConfigurationVersions):
+    """Records digests without a bound."""
 
     def __init__(self, parser: ConfigurationParser | None = None, **bounds: int) -> None:
         super().__init__(parser)
@@ -79,8 +79,8 @@
         return result
 
 
-class ForgetsWhatAPatchLedTo(ConfigurationVersions):
-    """Does not know a whole document that a patch has led to."""
+class ForgetsOutcomesOfPatches(ConfigurationVersions):
+    """Does not recognize a complete document that equals the outcome of a patch."""
 
     def _is_current(self, command: PutConfiguration) -> bool:
         return False
@@ -94,9 +94,9 @@
             return super().apply(command)
         document = json.loads(zlib.decompress(command.body))
         del document["remove"]
-        copy = changed(command, command.based_on)
-        copy.body = zlib.compress(json.dumps(document).encode())
-        return super().apply(copy)
+        duplicate = changed(command, command.based_on)
+        duplicate.body = zlib.compress(json.dumps(document).encode())
+        return super().apply(duplicate)
 
 
 class PatchesOnlyHere(ConfigurationVersions):
@@ -113,50 +113,50 @@
         state.body = zlib.compress(self.saved)
 
 
-class RefusesTheForgotten(ConfigurationVersions):
-    """Refuses what it may have taken long ago."""
+class RejectsTheForgotten(ConfigurationVersions):
+    """Rejects what it may have accepted long ago."""
 
     def _decide(self, command: PutConfiguration) -> CommandResult:
         self._accepted._forgotten_revision = 0
         return super()._decide(command)
 
 
-class ForgetsRefusals(ConfigurationVersions):
-    """Takes a late copy of a call that it has refused."""
+class ForgetsRejections(ConfigurationVersions):
+    """Accepts a late duplicate of a command that it has rejected."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         self._rejected = RejectedCommands()
         return super().apply(command)
 
 
-class ForgetsRefusalsOnRestart(ConfigurationVersions):
-    """A snapshot loses the refused calls."""
+class ForgetsRejectionsOnRestart(ConfigurationVersions):
+    """A snapshot loses the rejected commands."""
 
     def restore(self, state: ReplicatedState) -> None:
         super().restore(state)
         self._rejected = RejectedCommands()
 
 
-class DropsTheOldestRefusal(ConfigurationVersions):
-    """Makes room for a refusal by forgetting one that could still succeed."""
+class DropsTheOldestRejection(ConfigurationVersions):
+    """Evicts a rejected command that could still succeed."""
 
     def _decide(self, command: PutConfiguration) -> CommandResult:
-        refused = self._rejected
-        if len(refused) >= refused._most:
-            del refused._results[next(iter(refused._results))]
+        rejected = self._rejected
+        if len(rejected) >= rejected._most:
+            del rejected._results[next(iter(rejected._results))]
         return super()._decide(command)
 
 
-class DropsRefusalsOfTheNextBase(ConfigurationVersions):
-    """Forgets refusals at the very moment at which they could succeed."""
+class DropsRejectionsOfTheNextBase(ConfigurationVersions):
+    """Forgets rejected commands at the moment at which they could succeed."""
 
     def _accept(self, command: PutConfiguration) -> None:
         super()._accept(command)
         self._rejected.drop_below(command.revision + 1)
 
 
-class KnowsByNumberAlone(ConfigurationVersions):
-    """Takes another document of a taken number for the taken one."""
+class IdentifiesByRevisionAlone(ConfigurationVersions):
+    """Treats another document of an accepted revision as the accepted one."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         if 0 < command.revision <= self.revision:
@@ -164,8 +164,8 @@
         return super().apply(command)
 
 
-class KnowsByBaseAlone(ConfigurationVersions):
-    """Takes every change of a version for the one that won."""
+class IdentifiesByBaseAlone(ConfigurationVersions):
+    """Treats every change of a revision as the one that was accepted."""
 
     def __init__(self, parser: ConfigurationParser | None = None, **bounds: int) -> None:
         super().__init__(parser, **bounds)
@@ -180,8 +180,8 @@
         return result
 
 
-class RemembersRefusalsWithoutBase(ConfigurationVersions):
-    """Refuses a document on the right version because it was refused on another one."""
+class RemembersRejectionsWithoutBase(ConfigurationVersions):
+    """Rejects a document on the right revision because it was rejected on another one."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         for call in self._rejected._results:
--- a/tests/support/operator_races.py
+++ b/tests/support/operator_races.py
@@ -30,12 +30,12 @@
 from mallowbeam.simulation.fleet_history import ApiCall
 from mallowbeam.simulation.fleet_operators import CLEAR, FIRST_PAUSE_S, LONGEST_PAUSE_S, document
 
-CHAIN_PAUSE_S = 0.005  # between two looks at whether the last order of a chain is answered
+CHAIN_POLL_S = 0.005  # between two looks at whether the last order of a chain is answered
 
 
 @dataclass(slots=True)
 class RacedOrder:
-    """One order: what is sent, and what its operator was told of it."""
+    """One order: what is sent, and the results that its operator received."""
 
     name: str
     revision: int
@@ -43,7 +43,7 @@
     call: ApiCall
     digest: bytes
     operator: RacingOperator
-    told: set[str] = field(default_factory=set)  # taken, refused
+    results: set[str] = field(default_factory=set)  # taken, refused
     open: bool = True  # whether its operator still sends it
 
 
@@ -52,22 +52,22 @@
 
     answers = 0  # clear ones so far, to any order
 
-    def send(self, order: RacedOrder, member: str, pause: float = FIRST_PAUSE_S) -> None:
+    def send(self, order: RacedOrder, member: str, backoff_s: float = FIRST_PAUSE_S) -> None:
         """Send an order to a member, and to others until there is a clear answer."""
         order.open = True
 
         def answered(status: int, body: bytes) -> None:
-            note(order, status)
+            record_result(order, status)
             order.open = not clear(status)
             if order.open:
-                again = min(2 * pause, LONGEST_PAUSE_S)
-                self.machine.later(pause, lambda: self.send(order, self.any_member(), again))
+                again = min(2 * backoff_s, LONGEST_PAUSE_S)
+                self.machine.later(backoff_s, lambda: self.send(order, self.any_member(), again))
 
         self.ask(member, order.call, answered)
 
-    def send_copy(self, order: RacedOrder, member: str) -> None:
-        """Send an order once; what is told of it counts."""
-        self.ask(member, order.call, lambda status, body: note(order, status))
+    def send_duplicate(self, order: RacedOrder, member: str) -> None:
+        """Send an order once; its response counts."""
+        self.ask(member, order.call, lambda status, body: record_result(order, status))
 
 
 def clear(status: int) -> bool:
@@ -75,11 +75,11 @@
     return 200 <= status < 300 or status in CLEAR
 
 
-def note(order: RacedOrder, status: int) -> None:
-    """Keep what an answer says of its order."""
+def record_result(order: RacedOrder, status: int) -> None:
+    """Record the result that a response gives for its order."""
     if clear(status):
         order.operator.answers += 1
-        order.told.add("taken" if status < 300 else "refused")
+        order.results.add("taken" if status < 300 else "refused")
 
 
 class RacesPlayer(FleetPlayer):
@@ -123,7 +123,7 @@
     def do_copy(self, name: str, *via: str) -> None:
         """One more copy of an order."""
         order = self.orders[name]
-        order.operator.send_copy(order, self._via(order, via))
+        order.operator.send_duplicate(order, self._via(order, via))
 
     def do_chain(self, count: str, on: str, based_on: str, origin: str, operator: str) -> None:
         """Send many orders one after another."""
@@ -139,7 +139,7 @@
             number, based_on = number + 1, based_on + 1
         if number <= count:
             machine = self.racing_operators[operator].machine
-            machine.later(CHAIN_PAUSE_S, lambda: self._send_link(number, count, based_on, operator))
+            machine.later(CHAIN_POLL_S, lambda: self._send_link(number, count, based_on, operator))
 
     def _via(self, order: RacedOrder, via: Sequence[str]) -> str:
         if not via:
@@ -155,7 +155,7 @@
         match words:
             case ("one-won", *names):
                 orders = [self.orders[name] for name in names]
-                won = [order for order in orders if "taken" in order.told]
+                won = [order for order in orders if "taken" in order.results]
                 return len(won) == 1 and not any(order.open for order in orders)
             case ("in-force", name):
                 order = self.orders[name]
@@ -165,9 +165,9 @@
                 )
             case (name, "open"):
                 return name in self.orders and self.orders[name].open
-            case (name, "taken" | "refused" as told):
+            case (name, "taken" | "refused" as result):
                 order = self.orders.get(name)
-                return order is not None and order.told == {told} and not order.open
+                return order is not None and order.results == {result} and not order.open
         return super().holds(words)
 
     # ------------------------------------------------------------ what holds at all times
@@ -191,17 +191,21 @@
     def _check_all_orders(self) -> None:
         by_version: dict[int, list[RacedOrder]] = {}
         for order in self.orders.values():
-            self._must(len(order.told) < 2, f"{order.name} was acknowledged and refused")
-            if "taken" in order.told:
+            self._must(len(order.results) < 2, f"{order.name} was acknowledged and refused")
+            if "taken" in order.results:
                 by_version.setdefault(order.based_on, []).append(order)
         for based_on, orders in by_version.items():
             names = ", ".join(order.name for order in orders)
             self._must(len(orders) == 1, f"{names} on version {based_on} were acknowledged")
         for versions in self._versions():
             for order in self.orders.values():
-                held, behind = remembers(versions, order), versions.revision < order.revision
-                self._must(not (held and "refused" in order.told), f"{order.name} is in force though refused")
-                self._must(held or behind or "taken" not in order.told, f"{order.name} is lost though taken")
+                known, behind = remembers(versions, order), versions.revision < order.revision
+                self._must(
+                    not (known and "refused" in order.results), f"{order.name} is in force though refused"
+                )
+                self._must(
+                    known or behind or "taken" not in order.results, f"{order.name} is lost though taken"
+                )
 
 
 def remembers(versions: ConfigurationVersions, order: RacedOrder) -> bool:
@@ -219,7 +223,7 @@
 at 3 send first 1 on 0 from o1
 by 9 expect first taken
 """
-TROUBLES: tuple[tuple[str, str], ...] = (  # what begins and what ends it
+FAULTS: tuple[tuple[str, str], ...] = (  # what begins and what ends it
     ("kill leader", "start members"),
     ("isolate leader", "heal"),
     ("freeze leader", "thaw members"),
@@ -236,7 +240,7 @@
 
 
 class RandomRace:
-    """Rounds in which two operators race on one version through a trouble; a seed gives one run."""
+    """Rounds in which two operators race on one version during a fault; a seed gives one run."""
 
     def __init__(self, seed: int, rounds: int) -> None:
         self._random = random = Random(seed)
@@ -253,20 +257,20 @@
 
     def _play_round(self, number: int) -> None:
         random, player = self._random, self.player
-        begin, end = random.choice(TROUBLES)
+        begin, end = random.choice(FAULTS)
         self._later(0.0, self._bad_paths)
         self._later(BAD_PATHS_S, GOOD_PATHS)
-        trouble_s = random.uniform(0.0, 0.4)
-        self._later(trouble_s, begin)
-        self._later(trouble_s + random.uniform(0.3, 3.0), end)
+        fault_s = random.uniform(0.0, 0.4)
+        self._later(fault_s, begin)
+        self._later(fault_s + random.uniform(0.3, 3.0), end)
         names = self._race(number)
         for name in [*names, *random.choices(list(player.orders), k=3)]:
             self._later(random.uniform(0.6, 6.0), f"copy {name}")
         for name in names:
             self._later(random.uniform(1.0, 8.0), f"copy {name}")
         end_at = player.simulator.now + ROUND_S
-        player.simulator.run_while(lambda: self._unsettled(names), end_at)
-        player._must(not self._unsettled(names), f"an order of round {number} has no clear answer")
+        player.simulator.run_while(lambda: self._unanswered(names), end_at)
+        player._must(not self._unanswered(names), f"an order of round {number} has no clear answer")
         player.simulator.run_until(end_at)
         self._resend_all(end_at)
 
@@ -285,21 +289,21 @@
     def _resend_all(self, now: float) -> None:
         """Every order that was taken is sent again and must be acknowledged again."""
         player = self.player
-        names = [name for name, order in player.orders.items() if order.told == {"taken"}]
+        names = [name for name, order in player.orders.items() if order.results == {"taken"}]
         for name in names:
             player.do_again(name)
-        player.simulator.run_while(lambda: self._unsettled(names), now + ROUND_S)
-        player._must(not self._unsettled(names), "an order that was taken is not acknowledged again")
+        player.simulator.run_while(lambda: self._unanswered(names), now + ROUND_S)
+        player._must(not self._unanswered(names), "an order that was taken is not acknowledged again")
 
     def _version(self) -> int:
         return max(versions.revision for versions in self.player._versions())
 
-    def _unsettled(self, names: Sequence[str]) -> bool:
+    def _unanswered(self, names: Sequence[str]) -> bool:
         return any(name not in self.player.orders or self.player.orders[name].open for name in names)
 
     def _later(self, delay: float, command: str) -> None:
-        word, *arguments = command.split()
-        method = self.player._method("do", word)
+        verb, *arguments = command.split()
+        method = self.player._method("do", verb)
 
         def run() -> None:
             with suppress(LookupError):  # no member leads just now, or the order was not sent yet
--- a/tests/support/registry_player.py
+++ b/tests/support/registry_player.py
@@ -76,6 +76,10 @@
         if not holds:
             raise Broken(f"{self.world.now:.2f} {what}")
 
+    def demand_outcome(self, call: str, acknowledged: bool, outcome: str) -> None:
+        """Raise Broken unless a call was acknowledged, or refused where the line says so."""
+        self.demand(acknowledged == (outcome != "refused"), f"{call}: acknowledged is {acknowledged}")
+
     def gateways(self, who: str) -> list[Gateway]:
         return list(self.world.gateways.values()) if who == "all" else [self.world.gateways[who]]
 
@@ -94,16 +98,18 @@
         self.world.servers[id].stage = stage
 
     def do_drain(self, id: str, _: str, member: str, outcome: str = "") -> None:
-        taken = self.world.retire(id, DRAINING, member)
-        self.demand(taken == (outcome != "refused"), f"drain of {id}: acknowledged is {taken}")
+        acknowledged = self.world.retire(id, DRAINING, member)
+        self.demand_outcome(f"drain of {id}", acknowledged, outcome)
 
     def do_delete(self, id: str, _: str, member: str, outcome: str = "") -> None:
-        taken = self.world.retire(id, GONE, member)
-        self.demand(taken == (outcome != "refused"), f"deletion of {id}: acknowledged is {taken}")
+        acknowledged = self.world.retire(id, GONE, member)
+        self.demand(
+            acknowledged == (outcome != "refused"), f"deletion of {id}: acknowledged is {acknowledged}"
+        )
 
     def do_late(self, id: str, sequence: str, _: str, member: str, __: str, outcome: str) -> None:
-        heard = self.world.late_heartbeat(member, id, int(sequence))
-        self.demand(heard.value == outcome, f"late heartbeat of {id}: {heard.value}")
+        result = self.world.late_heartbeat(member, id, int(sequence))
+        self.demand(result.value == outcome, f"late heartbeat of {id}: {result.value}")
 
     def do_kill(self, who: str) -> None:
         for name in self.members(who):
@@ -134,8 +140,11 @@
         self.world.heal()
 
     def do_put(self, revision: str, _: str, member: str, outcome: str = "") -> None:
-        taken = self.world.put_configuration(int(revision), member)
-        self.demand(taken == (outcome != "refused"), f"configuration {revision}: acknowledged is {taken}")
+        acknowledged = self.world.put_configuration(int(revision), member)
+        self.demand(
+            acknowledged == (outcome != "refused"),
+            f"configuration {revision}: acknowledged is {acknowledged}",
+        )
 
     # ------------------------------------------------------------ checks
 
@@ -156,9 +165,9 @@
         elif value in ("prefill", "decode"):
             self.demand(member.table.get(what).stage == value, f"{member.name}: {what} is not for {value}")
         else:
-            held = member.table.get(what)
+            known = member.table.get(what)
             names = {DRAINS: "draining", ENDED: "ended"}
-            state = "absent" if held is None else names.get(held.state, "ready")
+            state = "absent" if known is None else names.get(known.state, "ready")
             self.demand(state == value, f"{member.name}: {what} is {state}")
 
     def expect_gateway(self, gateway: Gateway, what: str, value: str) -> None:
--- a/tests/support/registry_processes.py
+++ b/tests/support/registry_processes.py
@@ -188,7 +188,7 @@
             [f"{seed}:1" for seed in seeds],
             GatewayIdentity("z"),
             Random(world.random.random()),
-            lambda held, update: update.revision,
+            lambda current, update: update.revision,
         )
         self.number = 0  # of its present connection
         self.dialling: tuple[str, float] | None = None
@@ -244,8 +244,8 @@
                 self.known_retired.add(instance.id)
 
     def state(self, id: str) -> str:
-        held = self.subscriber.instances.get(id)
-        return "absent" if held is None else STATES[held.state]
+        known = self.subscriber.instances.get(id)
+        return "absent" if known is None else STATES[known.state]
 
     def check(self, now: float) -> None:
         """What holds for every gateway at all times."""
