--- a/mallowbeam/router/control_plane/stage_orders.py
+++ b/mallowbeam/router/control_plane/stage_controller.py
@@ -14,12 +14,12 @@
 from collections.abc import Callable, Coroutine
 from contextlib import suppress
 
-from mallowbeam.http.client import Broken, Link, Unsent, connect
+from mallowbeam.http.client import ConnectionBrokenError, Link, RequestNotSentError, connect
 from mallowbeam.http.framing import write_request
 from mallowbeam.router.configuration.versions import ConfigurationVersions
 from mallowbeam.router.consensus.errors import ConsensusError
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
-from mallowbeam.router.control_plane.serving import Said, ServingGate
+from mallowbeam.router.control_plane.response_gate import ResponseGate, ResponseKind
 from mallowbeam.router.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
 from mallowbeam.router.pairing.stage_balancer import (
     OrderResult,
@@ -54,7 +54,7 @@
 log = get_logger("mallowbeam.stages")
 
 
-class StageOrders:
+class StageController:
     """Joins demand, decisions and lease with the log, the registry and the instances."""
 
     def __init__(
@@ -64,7 +64,7 @@
         table: InstanceTable,
         versions: ConfigurationVersions,
         changed: Callable[[], None],
-        gate: ServingGate,
+        gate: ResponseGate,
         lease_s: float,
         settings: StageBalancerSettings | None = None,
     ) -> None:
@@ -91,7 +91,7 @@
     def heard(self, member: int, gossip: RegistryGossip, now: float) -> None:
         """What another member's gateways ask for."""
         if gossip.demand:
-            self._members.told(member, gossip.demand, now)
+            self._members.record(member, gossip.demand, now)
 
     def tell(self, gossip: RegistryGossip, now: float) -> None:
         """Add what this member's gateways ask for, where it is due."""
@@ -110,7 +110,7 @@
         self._observe(now)
         if self._has_engines() and self._lease.should_acquire(self._standing(now), now):
             self._start(self._acquire(self._driver.node.term))
-        if self._table.complete(now) and self._token(now) is not None:
+        if self._table.is_complete(now) and self._token(now) is not None:
             for backend in self._instances:
                 self._decide(backend, now)
 
@@ -126,7 +126,7 @@
 
     def _token(self, now: float) -> int | None:
         """The token under which an order may be sent in this step; None: none may."""
-        if not self._gate.may(Said.INSTANCE_ORDER):
+        if not self._gate.may(ResponseKind.INSTANCE_ORDER):
             return None
         return self._lease.token(self._standing(now), now)
 
@@ -205,7 +205,7 @@
             share.answered(order, result, switch_s, now)
         log.info("%s to %s: %s", order.id, order.stage, result.value)
         if result is OrderResult.ACCEPTED:
-            self._table.switch(
+            self._table.begin_stage_transition(
                 order.id, order.stage, now + switch_s + self._settings.longest_switch_s, announce=True
             )
             self._changed()
@@ -214,7 +214,7 @@
         """The order and its answer."""
         try:
             link = await connect(order.address, CONNECT_S, MOST_ANSWER_BYTES)
-        except Unsent:
+        except RequestNotSentError:
             return OrderResult.NOT_SENT
         try:
             self._bound_time_on_the_way(link.channel.sock)
@@ -222,7 +222,7 @@
             token = self._token(now)
             if token is None:  # leadership may have passed on while the connection came up
                 return OrderResult.NOT_SENT
-            with suppress(TimeoutError, Unsent, Broken):
+            with suppress(TimeoutError, RequestNotSentError, ConnectionBrokenError):
                 async with asyncio.timeout(self._lease.settings.answer_s):
                     return self._judge(await _post(link, order, self._holder, token))
             return OrderResult.UNKNOWN
--- a/tests/router/health/test_fleet_attempts.py
+++ b/tests/router/health/test_fleet_attempts.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from mallowbeam.router.control_plane.attempt_words import AttemptWords
+from mallowbeam.router.control_plane.attempt_reports import AttemptReports
 from mallowbeam.router.data_plane.attempt_meter import AttemptMeter
 from mallowbeam.router.data_plane.gateway import SUSPECT_FAILURES, Gateway
 from mallowbeam.router.data_plane.link_pool import LinkPool
@@ -53,17 +53,17 @@
 class AddedUp(unittest.TestCase):
     def test_sums_of_what_is_fresh(self) -> None:
         table = AttemptTable()
-        table.told(1, [attempts("a", 1, 2)], 10.0)
-        table.told(2, [attempts("a", 1), attempts("b", 0, 7)], 11.0)
+        table.record(1, [attempts("a", 1, 2)], 10.0)
+        table.record(2, [attempts("a", 1), attempts("b", 0, 7)], 11.0)
         sums = table.sums(11.0)
         self.assertEqual((sums["a"].failed, sums["a"].answered), (2, 2))
-        table.told(2, [], 11.5)
+        table.record(2, [], 11.5)
         self.assertEqual(set(table.sums(11.5)), {"a"})
         self.assertEqual(table.sums(10.1 + ATTEMPTS_LIFETIME_S), {})
 
     def test_a_source_that_has_gone(self) -> None:
         table = AttemptTable()
-        table.told(1, [attempts("a", 1)], 10.0)
+        table.record(1, [attempts("a", 1)], 10.0)
         table.forget(1)
         self.assertEqual(table.sums(10.0), {})
 
@@ -73,9 +73,9 @@
         self.assertEqual((len(told), told[0].id), (MOST_REPORTED, f"i-{MOST_REPORTED + 9:03}"))
 
     def test_members_add_each_other_s_gateways_once(self) -> None:
-        first, second = AttemptWords(), AttemptWords()
-        first.gateways.told(1, [attempts("a", 2), attempts("c", 0, 5)], 10.0)
-        second.gateways.told(1, [attempts("a", 1, 1), attempts("b", 3)], 10.0)
+        first, second = AttemptReports(), AttemptReports()
+        first.gateways.record(1, [attempts("a", 2), attempts("c", 0, 5)], 10.0)
+        second.gateways.record(1, [attempts("a", 1, 1), attempts("b", 3)], 10.0)
         for _ in range(3):
             gossip = RegistryGossip()
             second.tell(gossip, 10.0)
@@ -84,7 +84,7 @@
         self.assertEqual(told, {"a": (3, 1), "b": (3, 0)}, "only instances with failures are told")
 
     def test_gossip_without_a_word_changes_nothing(self) -> None:
-        words = AttemptWords()
+        words = AttemptReports()
         gossip, again = RegistryGossip(), RegistryGossip()
         words.tell(gossip, 10.0)
         words.tell(again, 10.1)
--- a/tests/support/gateway_bench.py
+++ b/tests/support/gateway_bench.py
@@ -12,7 +12,7 @@
 from mallowbeam.router.data_plane.link_pool import LinkPool
 from mallowbeam.router.data_plane.planner_interface import LeastLoadedPlanner, Planner
 from mallowbeam.router.data_plane.retry_budget import BudgetSettings, RetryBudgets
-from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.feed.instance_replica import InstanceChanges
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, READY, Instance
 from mallowbeam.standins.model_server import ModelServer
 
@@ -48,7 +48,7 @@
     backends = (Backend(PLAIN, max_connections=10), Backend(ENGINE, max_connections=10, engine=engine))
     return Configuration(
         revision=revision,
-        routes={one.place: one for one in routes},
+        routes={one.key: one for one in routes},
         backends={one.name: one for one in backends},
     )
 
