--- a/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
@@ -38,13 +38,13 @@
     OUT_OF_SERVICE,
     Step,
 )
-from mallowbeam.storage_gateway.coordination.policy_document import owns
+from mallowbeam.storage_gateway.coordination.policy_document import register_section
 from mallowbeam.storage_gateway.coordination.replicated_log import Committed
 from mallowbeam.storage_gateway.coordination.subsystem import SubsystemContext
 from mallowbeam.storage_gateway.operator_settings import MaintenanceSection
 from mallowbeam.storage_gateway.scheduler.interface import NodeState
 
-owns("maintenance", Section)
+register_section("maintenance", Section)
 
 
 class MachineNotOutError(FleetError):
@@ -65,7 +65,7 @@
 
     def __init__(self, context: SubsystemContext, section: MaintenanceSection) -> None:
         self.context = context
-        self.topic = MaintenanceStateMachine(context.members)
+        self.state_machine = MaintenanceStateMachine(context.members)
         self.core = MaintenanceCore(
             context.me,
             f"{time.time_ns():x}",
@@ -117,7 +117,7 @@
 
     def describe(self) -> dict[str, object]:
         """Steps, decisions and reasons for the page `/fleet`."""
-        return describe(self.topic, self.core.state) | {"counted": self.core.serves(time.monotonic())}
+        return describe(self.state_machine, self.core.state) | {"counted": self.core.serves(time.monotonic())}
 
     def gauges(self) -> Mapping[str, float]:
         """The number of machines by the kind of their step; the keys are names of metrics."""
