--- a/mallowbeam/router/control_plane/member.py
+++ b/mallowbeam/router/control_plane/member.py
@@ -83,7 +83,7 @@
         """Close listeners, storage and connections, in this order."""
         parts = self.parts
         if parts.metrics_server is not None:
-            await parts.metrics_server.shut()
+            await parts.metrics_server.stop_accepting()
         if self._listening is not None:
             self._listening.close()
         parts.driver.stop()
