--- a/mallowbeam/lab/faults/walk.py
+++ b/mallowbeam/lab/faults/walk.py
@@ -19,7 +19,7 @@
 from mallowbeam.storage_gateway.coordination.maintenance.gateway_core import MaintenanceCore
 from mallowbeam.storage_gateway.coordination.maintenance.state import MaintenanceState
 from mallowbeam.storage_gateway.coordination.maintenance.state_machine import MaintenanceStateMachine
-from mallowbeam.storage_gateway.coordination.policy import Mark, PolicyCore
+from mallowbeam.storage_gateway.coordination.policy import PolicyCore, ProposeHeartbeat
 from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry, Refusal, ReplicatedLog
 
 TICK = 0.05  # simulated seconds of one step
@@ -143,7 +143,7 @@
             self.hear(walk.items[self.read])
             self.lag = rng.choice((0.0, 0.0, 0.05, 0.3))
         for action in self.gate.tick(now):
-            if isinstance(action, Mark):
+            if isinstance(action, ProposeHeartbeat):
                 walk.submit(self, Item(0.0, self.name, mark=action.number, life=self.life))
         self.do(self.core.tick(now))
 
@@ -153,7 +153,7 @@
         self.read += 1
         if item.mark:
             if item.life == self.life:
-                self.gate.marked(item.mark, now)
+                self.gate.heartbeat_committed(item.mark, now)
                 self.core.caught_up(self.gate.renewed_at)
             return
         before = self.log.states[MACHINE]
--- a/mallowbeam/storage_gateway/coordination/errors.py
+++ b/mallowbeam/storage_gateway/coordination/errors.py
@@ -1,4 +1,7 @@
-"""What can go wrong in the fleet's agreed work; each with the status that a fleet page answers it by."""
+"""Errors of the fleet's log and its pages; each with the HTTP status by which a page answers it.
+
+`error_name` is what pages, the command line and docs/on-call.md call the error; it never changes.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 from mallowbeam.errors import MallowbeamError
 
 
-class FleetError(MallowbeamError):
+class CoordinationError(MallowbeamError):
     """An error of the fleet's log or its pages."""
 
     error_name = "FleetError"
@@ -16,23 +19,23 @@
     status: ClassVar[int] = 500
 
 
-class NoLeader(FleetError):
-    """Nothing was put in, as no member leads: a majority is down or cut off, or an election is under way."""
+class NoLeaderError(CoordinationError):
+    """Nothing was proposed, as no member leads: no majority is connected, or an election is under way."""
 
     error_name = "NoLeader"
     status = 503
     remedy = "push again in a second; if it stays so, see which members are up and reach each other"
 
 
-class QueueFull(FleetError):
-    """As many commands wait here as may."""
+class QueueFullError(CoordinationError):
+    """The queue of proposals is full."""
 
     error_name = "QueueFull"
     status = 503
     remedy = "push again in a second; if it stays so, the log commits nothing: see which members are up"
 
 
-class Overtaken(FleetError):
+class VersionConflictError(CoordinationError):
     """Another change was committed after the version that this push follows."""
 
     error_name = "Overtaken"
@@ -40,15 +43,15 @@
     remedy = "read the version in force (`mallowbeam policy show`) and push after that one"
 
 
-class EndUnknown(FleetError):
-    """It was put in, and what became of it is not known here: it may yet be committed."""
+class OutcomeUnknownError(CoordinationError):
+    """A change was proposed and its outcome is not known here: it may yet be committed."""
 
     error_name = "EndUnknown"
     status = 504
     remedy = "see with `mallowbeam policy show` whether it is in force before pushing again"
 
 
-class NoBase(FleetError):
+class MissingBaseVersionError(CoordinationError):
     """A push that does not say which version it follows."""
 
     error_name = "NoBase"
@@ -56,48 +59,48 @@
     remedy = "send the version that it follows in an If-Match header, as `mallowbeam policy push` does"
 
 
-class BadPolicy(FleetError):
-    """A policy's text that can't be read, or that names what is off or not there."""
+class InvalidPolicyError(CoordinationError):
+    """A policy's text that can't be read, or that names a subsystem or plan that is not there."""
 
     error_name = "BadPolicy"
     status = 400
     remedy = "mend the text where it says and push again"
 
 
-class PolicyRefused(FleetError):
-    """A subsystem refused the policy, and so every member did."""
+class PolicyRejectedError(CoordinationError):
+    """A subsystem's state machine rejected the policy, and so every member did."""
 
     error_name = "PolicyRefused"
     status = 409
     remedy = "mend the section where it says and push again"
 
 
-class NotAlike(FleetError):
-    """Members run with different subsystems on, so that they could not all judge a policy alike."""
+class SubsystemMismatchError(CoordinationError):
+    """Members run with different subsystems, so that they could not all judge a policy alike."""
 
     error_name = "NotAlike"
     status = 409
     remedy = "turn the same sections on in each member's operators' file and restart those that differ"
 
 
-class NoSuchPage(FleetError):
-    """A page that is not there."""
+class PageNotFoundError(CoordinationError):
+    """A path that is no page."""
 
     error_name = "NoSuchPage"
     status = 404
     remedy = "ask for /policy, /fleet or /fleet/metrics"
 
 
-class NotByThisMethod(FleetError):
-    """A page asked for by a method that it does not take."""
+class MethodNotAllowedError(CoordinationError):
+    """A page that does not take the request's method."""
 
     error_name = "NotByThisMethod"
     status = 405
     remedy = "use GET, or PUT to push a policy at /policy"
 
 
-class LogUnusable(FleetError):
-    """The log tells what this program can't take in, so that its states would not be the fleet's."""
+class LogUnusableError(CoordinationError):
+    """The log holds what this program can't apply, so that its states would not be the fleet's."""
 
     error_name = "LogUnusable"
     status = 503
--- a/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from mallowbeam.storage_gateway.coordination.errors import FleetError
+from mallowbeam.storage_gateway.coordination.errors import CoordinationError
 from mallowbeam.storage_gateway.coordination.maintenance.actions import (
     Action,
     Drain,
@@ -47,7 +47,7 @@
 register_section("maintenance", Section)
 
 
-class MachineNotOutError(FleetError):
+class MachineNotOutError(CoordinationError):
     """An operator reports work as done on a machine that is not out of service."""
 
     error_name = "NotOut"
@@ -91,7 +91,11 @@
         context = self.context
         nodes = {
             entry.node: NodeStatus(
-                entry.zone, entry.shard, entry.weight, entry.state is NodeState.READY, context.out(entry.node)
+                entry.zone,
+                entry.shard,
+                entry.weight,
+                entry.state is NodeState.READY,
+                context.attempts_at(entry.node),
             )
             for entry in context.nodes()
         }
@@ -100,7 +104,7 @@
             # A list, not a generator: every allotment is told to release.
             released = all([release(True) for release in self.allotments])  # noqa: C419
         leader = context.me if context.leader() else None
-        self.core.observe(LocalView(nodes, context.held(), released, leader))
+        self.core.observe(LocalView(nodes, context.open_requests(), released, leader))
         self._execute(self.core.tick(now))
 
     def asked(self, act: str, what: str) -> dict[str, object]:
--- a/mallowbeam/storage_gateway/coordination/metrics.py
+++ b/mallowbeam/storage_gateway/coordination/metrics.py
@@ -1,7 +1,6 @@
-"""The fleet's figures in Prometheus's text exposition, for the policy listener's page `/fleet/metrics`.
+"""The fleet's metrics in Prometheus's text exposition, for the page `/fleet/metrics`.
 
-A registry of its own: no figures of the process, and nothing that the platform's path would touch.  The
-figures are read when the page is asked for.
+They are read when the page is requested, into a registry of their own, without the metrics of the process.
 """
 
 from __future__ import annotations
@@ -15,32 +14,34 @@
 from prometheus_client.registry import Collector
 
 CONTENT_TYPE = CONTENT_TYPE_PLAIN_0_0_4
-UNFIT = re.compile(r"[^a-zA-Z0-9_]")
+INVALID_CHARACTERS = re.compile(r"[^a-zA-Z0-9_]")
 
-Figures = Callable[[], Mapping[str, Mapping[str, float]]]  # by subsystem, then by name
+GaugesBySubsystem = Callable[[], Mapping[str, Mapping[str, float]]]  # the log's own have the empty name
 
 
-class _Fleet(Collector):
-    """All subsystems' figures, as they are now."""
+class _SubsystemCollector(Collector):
+    """All subsystems' gauges, as they are now."""
 
-    def __init__(self, figures: Figures) -> None:
-        self.figures = figures
+    def __init__(self, gauges_by_subsystem: GaugesBySubsystem) -> None:
+        self.gauges_by_subsystem = gauges_by_subsystem
 
     def collect(self) -> Iterator[GaugeMetricFamily]:
-        """One gauge each."""
-        for part, gauges in self.figures().items():
+        """One metric for each gauge."""
+        for subsystem, gauges in self.gauges_by_subsystem().items():
             for name, value in gauges.items():
-                full = UNFIT.sub("_", "_".join(filter(None, ("mallowbeam_fleet", part, name))))
-                yield GaugeMetricFamily(full, f"{part or 'fleet'}: {name}", value=value)
+                full_name = "_".join(filter(None, ("mallowbeam_fleet", subsystem, name)))
+                yield GaugeMetricFamily(
+                    INVALID_CHARACTERS.sub("_", full_name), f"{subsystem or 'fleet'}: {name}", value=value
+                )
 
 
-class FleetMetrics:
-    """The page's body."""
+class CoordinationMetrics:
+    """The body of the page."""
 
-    def __init__(self, figures: Figures) -> None:
+    def __init__(self, gauges_by_subsystem: GaugesBySubsystem) -> None:
         self.registry = CollectorRegistry(auto_describe=False)
-        self.registry.register(_Fleet(figures))
+        self.registry.register(_SubsystemCollector(gauges_by_subsystem))
 
     def text(self) -> bytes:
-        """All figures."""
+        """All metrics."""
         return generate_latest(self.registry)
--- a/mallowbeam/storage_gateway/coordination/policy.py
+++ b/mallowbeam/storage_gateway/coordination/policy.py
@@ -1,20 +1,20 @@
-"""Which policy a gateway may serve under: the core, without I/O.
+"""The lease under which a gateway may serve by the fleet's policy; without I/O.
 
-The fleet's log (`coordination/raft_node.py`) holds the changes in one order; a change is committed once a
-majority has it. This core is told what the log says and decides what takes hold here, and whether this
-gateway may serve.
+The fleet's log (`raft_node.py`) holds the policy's versions in one order; a version is committed once a
+majority has it.  This core takes in what is committed and decides which version is in force here, and whether
+this gateway may serve.
 
-What it rests on is one fact: a mark of this gateway's own, put into the log at time t and seen to come out of
-it, proves that everything committed before t has come out too. So `renewed_at` is the time at which the
-newest proven mark was *put in*, on this gateway's own steady clock; no clock is compared with another's.
+The lease rests on one fact: a heartbeat of this gateway's own, proposed to the log at time t and seen
+committed, proves that everything committed before t has been seen too.  So the lease runs from `renewed_at`,
+the time at which the newest committed heartbeat was *proposed*, on this gateway's own monotonic clock; no
+clock is compared with another's.
 
-    LEARNING  since the start no mark has come back: nothing is known to be the newest; it does not serve
-    CURRENT   the newest mark that came back is younger than the lease
-    STALE     it is older: the last committed policy stays in force, and the gateway says so (`when_stale`
-              decides whether it also refuses what comes)
+    LEARNING  no heartbeat of this incarnation was committed: no version is known to be the newest
+    CURRENT   the newest committed heartbeat was proposed less than a lease ago
+    STALE     it is older: the last committed policy stays in force, and the gateway says so (the setting
+              `when_stale` decides whether it also rejects requests)
 
-A change is never half applied: `Apply` carries the whole of it, and only what the log has committed gets
-here.
+A version is in force as a whole or not at all, and only committed versions get here.
 """
 
 from __future__ import annotations
@@ -25,7 +25,8 @@
 
 from mallowbeam.errors import MallowbeamError
 
-MOST_MARKS = 64  # marks on their way that are remembered; older ones count as lost
+MAX_PENDING_HEARTBEATS = 64  # that are remembered; older ones count as lost
+NEVER = float("-inf")
 
 
 class Phase(Enum):
@@ -37,40 +38,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """A committed policy: its version (0 is the empty one before any change) and its text, canonical JSON."""
+class PolicyVersion:
+    """A committed policy: its version (0 is the empty one before any push) and its text, canonical JSON."""
 
     version: int = 0
     body: str = "{}"
 
 
 @dataclass(frozen=True, slots=True)
-class Apply:
-    """Let this policy take hold, whole; `before` is what it replaces."""
+class ApplyPolicy:
+    """Let this version take effect as a whole; `before` is the one that it replaces."""
 
-    change: Change
-    before: Change
+    change: PolicyVersion
+    before: PolicyVersion
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
-    """Put a mark of this number into the log."""
+class ProposeHeartbeat:
+    """Propose a heartbeat of this number."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Entered:
-    """The phase has changed."""
+class PhaseChanged:
+    """The phase is now this one."""
 
     phase: Phase
 
 
-Action = Apply | Mark | Entered
+Action = ApplyPolicy | ProposeHeartbeat | PhaseChanged
 
 
-class OutOfOrder(MallowbeamError):
-    """The log told a version that does not follow: it is not the log of this fleet."""
+class VersionOrderError(MallowbeamError):
+    """A version that does not follow the ones before: this is not the log of this fleet."""
 
     error_name = "OutOfOrder"
     remedy = "move the folder away and start the gateway again: it learns from the others"
@@ -78,59 +79,64 @@
 
 @dataclass(slots=True)
 class PolicyCore:
-    """One gateway's view of the fleet's policy.
+    """One gateway's view of the policy; times are seconds on its monotonic clock.
 
-    `lease` and `beat` are seconds: how old the proof may be under which it serves; how often marks go out.
+    It may serve until `lease` seconds after the proposal of the newest committed heartbeat; it proposes one
+    every `heartbeat_interval` seconds.
     """
 
     lease: float
-    beat: float
-    refuses_stale: bool = True
+    heartbeat_interval: float
+    rejects_when_stale: bool = True
     phase: Phase = Phase.LEARNING
-    change: Change = field(default_factory=Change)  # in force here
-    newest: Change = field(default_factory=Change)  # committed, as far as the log has told
-    renewed_at: float = float("-inf")
-    last: int = 0
-    marks: OrderedDict[int, float] = field(default_factory=OrderedDict)
-    due: float = float("-inf")
+    in_force: PolicyVersion = field(default_factory=PolicyVersion)
+    newest: PolicyVersion = field(default_factory=PolicyVersion)  # committed, as far as is known here
+    renewed_at: float = NEVER
+    last_heartbeat: int = 0  # number
+    pending_heartbeats: OrderedDict[int, float] = field(default_factory=OrderedDict)  # when proposed
+    heartbeat_due_at: float = NEVER
 
     def serves(self, now: float) -> bool:
-        """Whether requests may be taken; by the clock, as a process that stood still has missed its ticks."""
+        """Whether requests may be accepted; by the clock, as a stopped process has missed its ticks."""
         if self.phase is Phase.LEARNING:
             return False
-        return now <= self.renewed_at + self.lease or not self.refuses_stale
+        return now <= self.renewed_at + self.lease or not self.rejects_when_stale
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed: a mark may be due, the lease may be over."""
+        """Time has passed: a heartbeat may be due, the lease may have expired."""
         actions: list[Action] = []
-        if now >= self.due:
-            self.last, self.due = self.last + 1, now + self.beat
-            self.marks[self.last] = now
-            while len(self.marks) > MOST_MARKS:
-                self.marks.popitem(last=False)
-            actions.append(Mark(self.last))
+        if now >= self.heartbeat_due_at:
+            self.last_heartbeat += 1
+            self.heartbeat_due_at = now + self.heartbeat_interval
+            self.pending_heartbeats[self.last_heartbeat] = now
+            while len(self.pending_heartbeats) > MAX_PENDING_HEARTBEATS:
+                self.pending_heartbeats.popitem(last=False)
+            actions.append(ProposeHeartbeat(self.last_heartbeat))
         if self.phase is Phase.CURRENT and now > self.renewed_at + self.lease:
             self._enter(Phase.STALE, actions)
         return actions
 
-    def committed(self, change: Change) -> list[Action]:
-        """The log's newest change; after a restart or from a snapshot versions may be passed over."""
+    def committed(self, change: PolicyVersion) -> list[Action]:
+        """Take in the log's newest version; a restart or a snapshot may skip versions.
+
+        Raises `VersionOrderError`.
+        """
         if change.version < self.newest.version:
-            raise OutOfOrder(f"version {change.version} after {self.newest.version}")
+            raise VersionOrderError(f"version {change.version} after {self.newest.version}")
         if change.version == self.newest.version:
             if change != self.newest:
-                raise OutOfOrder(f"two policies of version {change.version}")
+                raise VersionOrderError(f"two policies of version {change.version}")
             return []
         self.newest = change
-        # Until a mark has come back a newer one may be on its way: what is old is not let in first.
+        # Until a heartbeat is committed a newer version may be on its way: an old one does not take effect.
         return [] if self.phase is Phase.LEARNING else self._apply()
 
-    def marked(self, number: int, now: float) -> list[Action]:
-        """A mark of this gateway's own came out of the log: all that was committed before it is here."""
-        if (proposed_at := self.marks.pop(number, None)) is None:
-            return []  # of an earlier life, or given up
-        while self.marks and next(iter(self.marks)) < number:
-            self.marks.popitem(last=False)  # overtaken: it proves less
+    def heartbeat_committed(self, number: int, now: float) -> list[Action]:
+        """A heartbeat of this gateway was committed: all that was committed before it is known here."""
+        if (proposed_at := self.pending_heartbeats.pop(number, None)) is None:
+            return []  # of an earlier incarnation, or given up
+        while self.pending_heartbeats and next(iter(self.pending_heartbeats)) < number:
+            self.pending_heartbeats.popitem(last=False)  # proposed earlier: it would renew nothing
         self.renewed_at = max(self.renewed_at, proposed_at)
         actions: list[Action] = []
         if now <= self.renewed_at + self.lease and self.phase is not Phase.CURRENT:
@@ -139,11 +145,11 @@
         return actions
 
     def _apply(self) -> list[Action]:
-        if self.change == self.newest:
+        if self.in_force == self.newest:
             return []
-        before, self.change = self.change, self.newest
-        return [Apply(self.change, before)]
+        before, self.in_force = self.in_force, self.newest
+        return [ApplyPolicy(self.in_force, before)]
 
     def _enter(self, phase: Phase, actions: list[Action]) -> None:
         self.phase = phase
-        actions.append(Entered(phase))
+        actions.append(PhaseChanged(phase))
--- a/mallowbeam/storage_gateway/coordination/policy_document.py
+++ b/mallowbeam/storage_gateway/coordination/policy_document.py
@@ -1,9 +1,9 @@
-"""A policy's text: its sections, what each is checked against, and the one spelling that digests are made of.
+"""A policy's text: its sections, their types, and the canonical spelling from which digests are made.
 
-JSON. `drains` and `plans` are the fleet's own. The other sections belong to the subsystems: each registers
-the type of its own (`register_section`) when it is loaded, and its topic judges what the section says
-(`StateMachine.apply_policy`). The log reads a text by `read_policy` alone, which knows no such type: what a
-member takes for a policy must not hang on what that member has loaded.
+JSON.  `drains` and `plans` are the fleet's own.  The other sections belong to the subsystems: each registers
+its section's type (`register_section`) when it is loaded, and its state machine judges what the section says
+(`StateMachine.apply_policy`).  The log reads a text by `read_policy` alone, which knows no such type: whether
+a member takes a text for a policy must not depend on what that member has loaded.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 import msgspec
 from msgspec import Meta
 
-from mallowbeam.storage_gateway.coordination.errors import BadPolicy
+from mallowbeam.storage_gateway.coordination.errors import InvalidPolicyError
 from mallowbeam.storage_gateway.scheduler.interface import Plan
 
-MOST = 64 * 1024  # bytes of a policy
-MOST_PLANS = 1000  # of one policy; each is one event for the module
-MOST_DEPTH = 32  # of what lies within what: far from where any reader gives up
+MAX_POLICY_BYTES = 64 * 1024
+MAX_PLANS = 1000  # of one policy; each is one event for the scheduler
+MAX_DEPTH = 32  # of nested values: far from where any reader gives up
 SUBSYSTEMS = ("maintenance", "shares", "pools")  # each a section of a policy, and of the operators' file
 
 Name = Annotated[str, Meta(min_length=1, max_length=256)]
@@ -30,7 +30,7 @@
 
 
 class PlanText(msgspec.Struct, forbid_unknown_fields=True, frozen=True, omit_defaults=True):
-    """One plan's figures over all gateways, units a second; what is left out stays as in the settings."""
+    """One plan's figures over all gateways, units a second; a figure left out stays as in the settings."""
 
     name: Name
     limit: Amount | None = None
@@ -40,73 +40,74 @@
     limit_slack: Amount | None = None
     price: Amount | None = None
 
-    def over(self, plan: Plan) -> Plan:
-        """The platform's plan with these figures over it."""
+    def applied_to(self, plan: Plan) -> Plan:
+        """The platform's plan with these figures in place of its own."""
         fields = {name: getattr(self, name) for name in self.__struct_fields__}
         return replace(plan, **{name: value for name, value in fields.items() if value is not None})
 
 
 class Policy(msgspec.Struct, forbid_unknown_fields=True, frozen=True, omit_defaults=True):
-    """What a policy says.
+    """A policy.
 
     `drains` are nodes by their ids in discovery; a subsystem's section is as its package types it, None
     where the policy says nothing of it.
     """
 
     drains: list[Name] = []
-    plans: Annotated[list[PlanText], Meta(max_length=MOST_PLANS)] = []
+    plans: Annotated[list[PlanText], Meta(max_length=MAX_PLANS)] = []
     maintenance: dict[str, Any] | None = None
     shares: dict[str, Any] | None = None
     pools: dict[str, Any] | None = None
 
 
-_TYPES: dict[str, type[msgspec.Struct]] = {}  # by section: registered by the package that owns it
+_TYPES: dict[str, type[msgspec.Struct]] = {}  # by section
 
 
 def register_section(section: str, kind: type[msgspec.Struct]) -> None:
-    """A subsystem's package states its section's type, as it is loaded."""
+    """Register the type of a section; called as the subsystem's package is loaded."""
     if section not in SUBSYSTEMS:
         raise ValueError(f"no policy has a section {section}")
     _TYPES[section] = kind
 
 
 def section_of(policy: Policy, name: str, kind: type[T]) -> T | None:
-    """A subsystem's section typed, None where the policy has none; raises `BadPolicy` with the place."""
+    """A subsystem's section by its type, None where the policy has none; raises `InvalidPolicyError`."""
     raw = getattr(policy, name)
     if raw is None:
         return None
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
-        what, _, place = str(error).partition(" - at `$")
-        raise BadPolicy(what, name + place.rstrip("`")) from None
+        what, _, path = str(error).partition(" - at `$")
+        raise InvalidPolicyError(what, name + path.rstrip("`")) from None
 
 
 def read_policy(text: bytes | str) -> Policy:
-    """A policy's text, the fleet's own sections checked; raises `BadPolicy`."""
-    if len(text) > MOST:
-        raise BadPolicy(f"a policy of {len(text)} bytes, at most {MOST}", remedy="push fewer rules at once")
+    """Read a policy's text and check the fleet's own sections; raises `InvalidPolicyError`."""
+    if len(text) > MAX_POLICY_BYTES:
+        what = f"a policy of {len(text)} bytes, at most {MAX_POLICY_BYTES}"
+        raise InvalidPolicyError(what, remedy="push fewer rules at once")
     try:
         policy = msgspec.json.decode(text, type=Policy)
     except (msgspec.ValidationError, msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        what, _, place = str(error).partition(" - at `$")
-        raise BadPolicy(what, place.strip(".`")) from None
+        what, _, path = str(error).partition(" - at `$")
+        raise InvalidPolicyError(what, path.strip(".`")) from None
     counts = Counter(plan.name for plan in policy.plans)
     if twice := sorted(name for name, count in counts.items() if count > 1):
-        raise BadPolicy(f"plan {twice[0]} is there twice", "plans")
+        raise InvalidPolicyError(f"plan {twice[0]} is there twice", "plans")
     for name in SUBSYSTEMS:
-        if not _shallow(getattr(policy, name)):
-            raise BadPolicy(f"more than {MOST_DEPTH} levels within each other", name)
+        if not _is_shallow(getattr(policy, name)):
+            raise InvalidPolicyError(f"more than {MAX_DEPTH} levels within each other", name)
     return policy
 
 
-def _shallow(raw: object) -> bool:
-    """Whether a section keeps to `MOST_DEPTH`.
+def _is_shallow(raw: object) -> bool:
+    """Whether a section is nested no deeper than `MAX_DEPTH`.
 
-    Guards the log: what nests as deep as a stack allows is read by one member and not by another.
+    Guards the log: a text nested as deep as a stack allows is read by one member and not by another.
     """
     level = [raw]
-    for _ in range(MOST_DEPTH + 1):
+    for _ in range(MAX_DEPTH + 1):
         level = [
             item
             for outer in level
@@ -119,12 +120,12 @@
 
 
 def check_sections(policy: Policy, on: tuple[str, ...]) -> None:
-    """Each subsystem's section against its type; raises `BadPolicy`, also for one that is off."""
+    """Check the sections against their types; raises `InvalidPolicyError`, also where a subsystem is off."""
     for name in SUBSYSTEMS:
         if getattr(policy, name) is None:
             continue
         if name not in on:
-            raise BadPolicy(
+            raise InvalidPolicyError(
                 "this subsystem is off",
                 name,
                 f"turn the section {name} on in the operators' "
@@ -135,9 +136,9 @@
 
 
 def canonical(policy: Policy) -> str:
-    """One text for one policy, so that equal ones have equal digests: keys, drains and plans sorted."""
-    told: dict[str, Any] = {"drains": sorted(set(policy.drains))}
+    """The text of a policy by which equal ones have equal digests: keys, drains and plans are sorted."""
+    sections: dict[str, Any] = {"drains": sorted(set(policy.drains))}
     if policy.plans:
-        told["plans"] = sorted(msgspec.to_builtins(policy.plans), key=lambda plan: str(plan["name"]))
-    told |= {name: raw for name in SUBSYSTEMS if (raw := getattr(policy, name)) is not None}
-    return json.dumps(told, separators=(",", ":"), sort_keys=True)
+        sections["plans"] = sorted(msgspec.to_builtins(policy.plans), key=lambda plan: str(plan["name"]))
+    sections |= {name: raw for name in SUBSYSTEMS if (raw := getattr(policy, name)) is not None}
+    return json.dumps(sections, separators=(",", ":"), sort_keys=True)
--- a/mallowbeam/storage_gateway/coordination/raft_journal.py
+++ b/mallowbeam/storage_gateway/coordination/raft_journal.py
@@ -1,9 +1,9 @@
-"""The engine's journal, cut after a snapshot in one step that SIGKILL can't part.
+"""Atomic cuts of the engine's journal after a snapshot, so that a crash loses no acknowledged entry.
 
-The engine renames its snapshot, and a turn later clears its journal and writes the entries after it again.
-Killed between the two, it finds a journal that does not begin at the snapshot and clears it; killed while it
-writes, the rest is missing.  Both forget entries that this member has acknowledged.  Here a cut journal is
-written beside the old one and takes its name, and one that goes back further than its snapshot is cut, not
+The engine renames its snapshot, and a tick later clears its journal and writes the entries after the snapshot
+again. Killed between the two, it finds a journal that does not begin at the snapshot and clears it; killed
+while it writes, the rest is missing. Both lose entries that this member has acknowledged. Here a cut journal
+is written to a new file that replaces the old one, and a journal that begins before its snapshot is cut, not
 cleared, before the engine starts.
 """
 
@@ -18,11 +18,11 @@
 import pysyncobj.pickle
 from pysyncobj.journal import FileJournal
 
-Line = tuple[bytes, int, int]  # a command, its index and term
+Line = tuple[bytes, int, int]  # command, index and term
 
 
 def rewrite(path: Path, lines: Sequence[Line]) -> None:
-    """Let the journal be these entries: all of them, or those of before."""
+    """Replace the journal's entries; after a crash it has either all of these or all of the old ones."""
     new = path.with_name(path.name + ".new")
     new.unlink(missing_ok=True)
     journal = FileJournal(str(new))
@@ -32,31 +32,31 @@
     os.replace(new, path)
 
 
-def begin_at_snapshot(path: Path, snapshot: Path) -> None:
-    """Before the engine starts: cut off what stands in the snapshot already, so that the rest is kept."""
+def cut_at_snapshot(path: Path, snapshot: Path) -> None:
+    """Before the engine starts: remove the entries that the snapshot covers, so that the rest is kept."""
     if not (path.exists() and snapshot.exists()):
         return
     try:
         with gzip.open(snapshot) as file:
-            before: Line = pysyncobj.pickle.load(file)[2]
-    except Exception:  # whatever is wrong with it, the engine says so
+            last_covered: Line = pysyncobj.pickle.load(file)[2]
+    except Exception:  # whatever is wrong with it, the engine reports it
         return
     journal = FileJournal(str(path))
     lines: list[Line] = journal[:]
     journal._destroy()
-    if lines[:1] != [before] and before in lines:
-        rewrite(path, lines[lines.index(before) :])
+    if lines[:1] != [last_covered] and last_covered in lines:
+        rewrite(path, lines[lines.index(last_covered) :])
 
 
-def cut_whole(engine: Any, path: Path) -> None:
-    """Let a running engine cut its journal by `rewrite`; called in its thread from then on."""
+def install_atomic_cut(engine: Any, path: Path) -> None:
+    """Let an engine cut its journal by `rewrite`, in its own thread."""
     journal = engine._SyncObj__raftLog
 
     def cut(upto: int) -> None:
-        journal.onOneSecondTimer()  # its commit index, where that is not on disk yet
+        journal.onOneSecondTimer()  # writes its commit index, where that is not on disk yet
         rewrite(path, journal[upto:])
         journal._destroy()
         engine._SyncObj__raftLog = FileJournal(str(path))
-        cut_whole(engine, path)
+        install_atomic_cut(engine, path)
 
     journal.deleteEntriesTo = cut
--- a/mallowbeam/storage_gateway/coordination/raft_node.py
+++ b/mallowbeam/storage_gateway/coordination/raft_node.py
@@ -1,16 +1,18 @@
-"""The one adapter to the agreement engine, Raft by pysyncobj; the cores never see it.
+"""The adapter to the consensus engine, Raft by pysyncobj; the cores never see the engine.
 
-The engine runs in a thread of its own.  What it commits is told by `told`, called in that thread once for
-each entry, in order, with immutable values: a policy (`Change`), topics' entries and states (`Committed`),
-the number of a mark of one's own (`Proof`).  At the start, and after a snapshot, all states are told whole.
+The engine runs in a thread of its own.  What it commits is handed to `on_events`, called in that thread once
+for each entry, in order, with immutable values: a policy (`PolicyVersion`), entries and states of state
+machines (`Committed`), the number of a heartbeat of this member's own (`HeartbeatCommitted`).  At the start,
+and after a snapshot, all states are handed over.
 
-Three calls are replicated.  Their names and order of arguments are the journal's format (`docs/formats/`):
-the engine numbers calls by their sorted names, so a new one must sort behind the others or be of a new `ver`.
+Three calls are replicated.  The order of their names and of their arguments is the format of the journal
+(docs/formats/fleet-log.md): the engine numbers calls by their sorted names, so a new one must sort behind the
+others or be of a new `ver`.
 
-A call must do the same on every member, and must not raise: the engine would try the entry again for ever.
-What goes wrong by what was put in (any exception but those of `log.LOCAL`) does so everywhere and changes
-nothing.  What goes wrong by this place is told as `Broken`; from then on this member takes in nothing and
-writes no snapshot, and its service leaves the fleet.
+A call must have the same effect on every member, and must not raise: the engine would try the entry again for
+ever.  A failure that comes of the entry (any exception but those of `replicated_log.LOCAL_ERRORS`) happens on
+every member and changes nothing.  A failure that comes of this process is reported as `ReplicaFailed`; from
+then on this member applies nothing and writes no snapshot, and its service leaves the fleet.
 """
 
 from __future__ import annotations
@@ -18,7 +20,7 @@
 import time
 from collections.abc import Callable, Mapping
 from contextlib import suppress
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
@@ -29,60 +31,65 @@
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.storage_gateway.coordination.earlier_snapshots import register_earlier_members
 from mallowbeam.storage_gateway.coordination.errors import (
-    EndUnknown,
-    FleetError,
-    LogUnusable,
-    NoLeader,
-    Overtaken,
-    PolicyRefused,
-    QueueFull,
+    CoordinationError,
+    LogUnusableError,
+    NoLeaderError,
+    OutcomeUnknownError,
+    PolicyRejectedError,
+    QueueFullError,
+    VersionConflictError,
 )
-from mallowbeam.storage_gateway.coordination.policy import Change
+from mallowbeam.storage_gateway.coordination.policy import PolicyVersion
 from mallowbeam.storage_gateway.coordination.policy_document import read_policy
-from mallowbeam.storage_gateway.coordination.raft_journal import begin_at_snapshot, cut_whole
+from mallowbeam.storage_gateway.coordination.raft_journal import cut_at_snapshot, install_atomic_cut
 from mallowbeam.storage_gateway.coordination.raft_transport import RaftTransport
-from mallowbeam.storage_gateway.coordination.replicated_log import LOCAL, Committed, Refusal, ReplicatedLog
+from mallowbeam.storage_gateway.coordination.replicated_log import (
+    LOCAL_ERRORS,
+    Committed,
+    Refusal,
+    ReplicatedLog,
+)
 
-MOST_HOSTED = 1024  # members whose topics are remembered; the operators' file names fewer
-ONE_SEND = 1 << 18  # bytes of entries in a message; more than any entry, as pieces can't be checked
-SNAPSHOT = 2  # its format; 1 held version and body alone
-UNSENT = {
-    FAIL_REASON.MISSING_LEADER: NoLeader,
-    FAIL_REASON.REQUEST_DENIED: NoLeader,
-    FAIL_REASON.QUEUE_FULL: QueueFull,
-}  # why nothing was put in; else its end is not known
+MAX_KNOWN_MEMBERS = 1024  # whose subsystems are remembered; the operators' file names fewer
+MESSAGE_BYTES = 1 << 18  # of entries in a message; more than any entry, as chunks can't be checked
+SNAPSHOT_FORMAT = 2  # 1 has version and body alone
+NOT_PROPOSED = {
+    FAIL_REASON.MISSING_LEADER: NoLeaderError,
+    FAIL_REASON.REQUEST_DENIED: NoLeaderError,
+    FAIL_REASON.QUEUE_FULL: QueueFullError,
+}  # by the engine's reason: the error where nothing was proposed; otherwise the outcome is unknown
 
 register_earlier_members()
 
 
 @dataclass(frozen=True, slots=True)
-class Proof:
-    """A mark of this member's own came out of the log."""
+class HeartbeatCommitted:
+    """A heartbeat of this member's own was committed."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Hosted:
-    """Which topics a member hosts, as its marks say; told when it is heard first and when it changes."""
+class SubsystemsHosted:
+    """A member's subsystems, by its heartbeats; reported with its first one and when they change."""
 
     name: str
-    topics: tuple[str, ...]
+    subsystems: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
-    """This member has lost the thread: its states are not the fleet's any more."""
+class ReplicaFailed:
+    """This member's states are not the fleet's any more."""
 
     error: MallowbeamError
 
 
-Heard = Change | Committed | Proof | Hosted | Broken
-Told = Callable[[tuple[Heard, ...]], None]  # what one entry, or a snapshot, has to say
+Event = PolicyVersion | Committed | HeartbeatCommitted | SubsystemsHosted | ReplicaFailed
+EventHandler = Callable[[tuple[Event, ...]], None]  # called with the events of one entry, or of a snapshot
 
 
-class Member(TCPNode):  # type: ignore[misc]
-    """A member whose address in the fleet and the one dialled here may differ."""
+class PeerNode(TCPNode):  # type: ignore[misc]
+    """A member that may be dialled at another address than the one by which the fleet knows it."""
 
     def __init__(self, address: str, dial: str | None = None) -> None:
         super().__init__(address)
@@ -90,230 +97,259 @@
         self._dial_port = int(port)
 
     def __reduce__(self) -> tuple[type[TCPNode], tuple[str]]:
-        """In a snapshot, which other versions of this program read too, as the engine's own class."""
+        """Pickle as the engine's own class: other versions of this program read the snapshot too."""
         return TCPNode, (self.address,)
 
     @property
     def ip(self) -> str:
-        """The host dialled."""
+        """The host to dial."""
         return self._dial_host
 
     @property
     def port(self) -> int:
-        """The port dialled."""
+        """The port to dial."""
         return self._dial_port
 
 
 class ReplicatedState(SyncObjConsumer):  # type: ignore[misc]
-    """The replicated state: the newest committed policy, and the log's topics.
+    """What the log replicates: the newest committed policy, and the states of the state machines.
 
-    All members run the same calls in the same order.
+    All members apply the same calls in the same order.
     """
 
-    def __init__(self, log: ReplicatedLog, name: str, life: str, told: Told) -> None:
+    def __init__(self, log: ReplicatedLog, name: str, incarnation: str, on_events: EventHandler) -> None:
         super().__init__()
-        self.version, self.body = 0, "{}"
-        self.log, self.own, self.told = log, (name, life), told
-        self.hosted: dict[str, str] = {}  # by member, as its marks say: no part of the states
-        self.heard: dict[str, float] = {}  # and when its newest came out here, by this process's clock
-        self.broken: MallowbeamError | None = None
-        self._tell(Change(), *log.whole())
+        self.version = 0
+        self.body = "{}"
+        self.log = log
+        self.identity = (name, incarnation)
+        self.on_events = on_events
+        self.hosted: dict[str, str] = {}  # by member: its subsystems; not replicated
+        self.last_heartbeat_at: dict[str, float] = {}  # by member: when its newest was committed here
+        self.failure: MallowbeamError | None = None
+        self._emit(PolicyVersion(), *log.all_states())
 
     @property
-    def topics(self) -> tuple[str, ...]:
-        """The topics hosted here, sorted."""
+    def subsystems(self) -> tuple[str, ...]:
+        """The names of the state machines hosted here, sorted."""
         return tuple(sorted(self.log.by_name))
 
     @replicated  # type: ignore[untyped-decorator]
-    def change(self, base: int, body: str, topics: tuple[str, ...] = ()) -> int | Refusal | None:
-        """A new policy, if `base` is still the newest and no topic refuses it.
+    def change_policy(self, base: int, body: str, judges: tuple[str, ...] = ()) -> int | Refusal | None:
+        """Put a new policy in force, if `base` is still the newest version and no state machine refuses it.
 
-        Hands back its version, 0 where another came first, a topic's refusal, or None where this member can't
-        tell what became of it on the others.  `topics` are those that
-        judge it, as the pusher hosts them: so what came of it does not hang on who replays it.
+        Returns its version, 0 where another change came first, a state machine's refusal, or None where this
+        member can't tell the outcome on the others.  `judges` are the state machines that the pushing member
+        hosts: so the outcome does not depend on which ones the replaying member has.
         """
-        if self.broken is not None:
+        if self.failure is not None:
             return None
         if base != self.version:
             return 0
+        outcome = self._judge(body, judges)
+        if outcome is None or isinstance(outcome, Refusal):
+            return outcome
+        self.version, self.body = base + 1, body
+        self._emit(PolicyVersion(self.version, self.body), *outcome)
+        return self.version
+
+    def _judge(self, body: str, judges: tuple[str, ...]) -> list[Committed] | Refusal | None:
+        """Let a policy take effect in the state machines; None where this member has failed."""
         try:
-            if missing := sorted(set(topics) - set(self.log.by_name)):
-                raise LogUnusable(f"a policy was judged by {', '.join(missing)}, off here", "sections")
+            if missing := sorted(set(judges) - set(self.log.by_name)):
+                raise LogUnusableError(f"a policy was judged by {', '.join(missing)}, off here", "sections")
             try:
                 policy = read_policy(body)
-            except MallowbeamError as error:  # of another program's pusher; the same text for all
+            except MallowbeamError as error:  # of another program's pusher; the same text on all members
                 return Refusal(error.what, error.where, error.cure)
-            heard = self.log.push(policy, topics)
-        except (LogUnusable, *LOCAL) as error:
-            self._break(error)
+            return self.log.push(policy, judges)
+        except (LogUnusableError, *LOCAL_ERRORS) as error:
+            self._fail(error)
             return None
-        except Exception as error:  # noqa: BLE001 (of what was put in: see the head)
-            return self._alike(error)
-        if isinstance(heard, Refusal):
-            return heard
-        self.version, self.body = base + 1, body
-        self._tell(Change(self.version, self.body), *heard)
-        return self.version
+        except Exception as error:  # noqa: BLE001 (a failure of the entry: see the module)
+            return self._entry_failed(error)
 
     @replicated  # type: ignore[untyped-decorator]
-    def mark(self, name: str, life: str, number: int, topics: str = "") -> None:
-        """A member's proof that it has heard all before this; `topics` that it hosts, with commas."""
-        heard: list[Heard] = []
-        if name in self.hosted or len(self.hosted) < MOST_HOSTED:
-            self.heard[name] = time.monotonic()
-            if self.hosted.get(name) != topics:
-                self.hosted[name] = topics
-                heard.append(Hosted(name, tuple(filter(None, topics.split(",")))))
-        if (name, life) == self.own:
-            heard.append(Proof(number))
-        self._tell(*heard)
+    def heartbeat(self, name: str, incarnation: str, number: int, subsystems: str = "") -> None:
+        """Prove that a member has all that was committed before; `subsystems` are separated by commas."""
+        events: list[Event] = []
+        if name in self.hosted or len(self.hosted) < MAX_KNOWN_MEMBERS:
+            self.last_heartbeat_at[name] = time.monotonic()
+            if self.hosted.get(name) != subsystems:
+                self.hosted[name] = subsystems
+                events.append(SubsystemsHosted(name, tuple(filter(None, subsystems.split(",")))))
+        if (name, incarnation) == self.identity:
+            events.append(HeartbeatCommitted(number))
+        self._emit(*events)
 
     @replicated  # type: ignore[untyped-decorator]
-    def put(self, body: bytes) -> None:
-        """A topic's entry, as `ReplicatedLog.encode` writes it."""
-        if self.broken is None:
+    def put_entry(self, body: bytes) -> None:
+        """Apply an entry of a state machine, as `ReplicatedLog.encode` writes it."""
+        if self.failure is None:
             try:
-                told = self.log.apply(body)
-                if told is not None:
-                    self._tell(told)
-            except LOCAL as error:
-                self._break(error)
-            except Exception as error:  # noqa: BLE001 (of what was put in: see the head)
-                self._alike(error)
+                committed = self.log.apply(body)
+                if committed is not None:
+                    self._emit(committed)
+            except LOCAL_ERRORS as error:
+                self._fail(error)
+            except Exception as error:  # noqa: BLE001 (a failure of the entry: see the module)
+                self._entry_failed(error)
 
     @staticmethod
-    def _alike(error: Exception) -> Refusal:
-        """What was put in is at fault, for every member: logged, and refused."""
+    def _entry_failed(error: Exception) -> Refusal:
+        """Log a failure that comes of the entry and so happens on every member."""
         logger.opt(exception=error).error("fleet log: a call failed, here as on every member")
         return Refusal(f"the log failed: {type(error).__name__}", "", "report it with the log's line")
 
-    def _tell(self, *heard: Heard) -> None:
-        if heard and self.broken is None:
-            self.told(heard)
+    def _emit(self, *events: Event) -> None:
+        if events and self.failure is None:
+            self.on_events(events)
 
-    def _break(self, error: Exception) -> None:
-        """This member can't go on; told once."""
+    def _fail(self, error: Exception) -> None:
+        """Stop applying, and report it once."""
         if not isinstance(error, MallowbeamError):
-            error = LogUnusable(f"{type(error).__name__}: {error}", "the log")
-        self._tell(Broken(error))
-        self.broken = error
+            error = LogUnusableError(f"{type(error).__name__}: {error}", "the log")
+        self._emit(ReplicaFailed(error))
+        self.failure = error
 
-    # --- snapshots: called by the engine in place of its own, which takes all attributes -------------
+    # --- snapshots: called by the engine in place of its own methods, which take all attributes ------
 
     def _serialize(self) -> dict[str, Any]:
-        """The states, and nothing that is this process's."""
-        if self.broken is not None:  # an older snapshot that is right stays
-            raise LogUnusable("no snapshot of states that are not the fleet's", "snapshot")
-        return {"format": SNAPSHOT, "version": self.version, "body": self.body, "log": self.log.dump()}
+        """The replicated state, without what is this process's."""
+        if self.failure is not None:  # an older snapshot that is right stays
+            raise LogUnusableError("no snapshot of states that are not the fleet's", "snapshot")
+        return {"format": SNAPSHOT_FORMAT, "version": self.version, "body": self.body, "log": self.log.dump()}
 
     def _deserialize(self, data: Mapping[str, Any]) -> None:
-        """Take in a snapshot; one that can't be read breaks this member, not the engine."""
+        """Load a snapshot; one that can't be read fails this member, not the engine."""
         try:
-            if (version := data.get("format", 1)) > SNAPSHOT:
-                raise LogUnusable(f"a snapshot of format {version}, newer than {SNAPSHOT}", "snapshot")
-            heard = self.log.load(data["log"]) if version > 1 else []
+            if (version := data.get("format", 1)) > SNAPSHOT_FORMAT:
+                raise LogUnusableError(
+                    f"a snapshot of format {version}, newer than {SNAPSHOT_FORMAT}", "snapshot"
+                )
+            states = self.log.load(data["log"]) if version > 1 else []
             self.version, self.body = data["version"], data["body"]
-            self._tell(Change(self.version, self.body), *heard)
+            self._emit(PolicyVersion(self.version, self.body), *states)
         except Exception as error:  # noqa: BLE001 (the engine would swallow it and go on)
-            self._break(error)
+            self._fail(error)
 
 
-class RaftNode:
-    """This process's part in the fleet's log.
+@dataclass(frozen=True, slots=True)
+class Membership:
+    """The fleet's members as one of them sees them: `members` maps names to host:port.
 
-    `name` and `life` tell its marks from others' and from those of its own earlier lives; `members` maps
-    names to host:port, `dial` (by name) overrides where one is reached from here.  `folder` is there, and
-    this process's alone.
+    `name` and `incarnation` tell this member's heartbeats from those of others and of its own earlier
+    processes; `dial` (by name) overrides where a member is reached from here.
     """
 
+    name: str
+    incarnation: str
+    members: Mapping[str, str]
+    dial: Mapping[str, str] = field(default_factory=dict)
+
+
+class RaftNode:
+    """This process's member of the fleet's Raft group; `folder` exists, and is this process's alone."""
+
     def __init__(
         self,
-        name: str,
-        life: str,
-        members: Mapping[str, str],
+        membership: Membership,
         folder: Path,
-        told: Told,
-        dial: Mapping[str, str] | None = None,
+        on_events: EventHandler,
         log: ReplicatedLog | None = None,
     ) -> None:
-        self.name, self.life, self.members = name, life, members
-        self.ledger = ReplicatedState(log or ReplicatedLog(()), name, life, told)
-        others = [
-            Member(address, (dial or {}).get(other)) for other, address in members.items() if other != name
+        self.membership = membership
+        self.state = ReplicatedState(
+            log or ReplicatedLog(()), membership.name, membership.incarnation, on_events
+        )
+        peers = [
+            PeerNode(address, membership.dial.get(name))
+            for name, address in membership.members.items()
+            if name != membership.name
         ]
-        begin_at_snapshot(folder / "journal", folder / "snapshot")
+        cut_at_snapshot(folder / "journal", folder / "snapshot")
         self.engine = SyncObj(
-            Member(members[name]),
-            others,
-            SyncObjConf(
-                autoTickPeriod=0.02,
-                raftMinTimeout=0.4,
-                raftMaxTimeout=0.9,
-                appendEntriesPeriod=0.1,
-                connectionRetryTime=0.2,
-                connectionTimeout=1.5,
-                leaderFallbackTimeout=1.0,
-                commandsWaitLeader=False,
-                commandsQueueSize=1000,
-                journalFile=str(folder / "journal"),
-                appendEntriesBatchSizeBytes=ONE_SEND,
-                fullDumpFile=str(folder / "snapshot"),
-                logCompactionMinEntries=2000,
-                logCompactionMinTime=30,
-                useFork=False,
-            ),
-            consumers=[self.ledger],
-            transportClass=self._wired,
+            PeerNode(membership.members[membership.name]),
+            peers,
+            _engine_settings(folder),
+            consumers=[self.state],
+            transportClass=self._open_transport,
         )
-        cut_whole(self.engine, folder / "journal")  # long before its first cut
+        install_atomic_cut(self.engine, folder / "journal")  # long before the engine cuts its journal first
 
-    def _wired(self, engine: Any, own: Any, others: Any) -> RaftTransport:
-        self.wire = RaftTransport(engine, own, others)
-        return self.wire
+    def _open_transport(self, engine: Any, own: Any, others: Any) -> RaftTransport:
+        self.transport = RaftTransport(engine, own, others)
+        return self.transport
 
     def describe(self) -> dict[str, object]:
-        """The engine as it stands: term, vote, ends of the log, links; empty where it won't stand still."""
-        with suppress(RuntimeError, IndexError):  # it changed while it was read
-            return self.wire.describe({address: name for name, address in self.members.items()})
+        """The engine's state for the page `/policy`; empty where it changed while it was read."""
+        with suppress(RuntimeError, IndexError):
+            return self.transport.describe(
+                {address: name for name, address in self.membership.members.items()}
+            )
         return {}
 
-    def mark(self, number: int) -> None:
-        """Put a mark in; it is lost without a word where there is no leader."""
-        self.ledger.mark(self.name, self.life, number, ",".join(self.ledger.topics))
+    def propose_heartbeat(self, number: int) -> None:
+        """Propose a heartbeat; it is lost silently where there is no leader."""
+        own = self.membership
+        self.state.heartbeat(own.name, own.incarnation, number, ",".join(self.state.subsystems))
 
-    def put(self, body: bytes) -> None:
-        """Put an entry in; it is lost without a word where there is no leader or the queue is full."""
-        self.ledger.put(body)
+    def propose(self, body: bytes) -> None:
+        """Propose an entry; it is lost silently where there is no leader or the queue is full."""
+        self.state.put_entry(body)
 
-    def push(self, base: int, body: str, done: Callable[[int | FleetError], None]) -> None:
+    def propose_policy(
+        self, base: int, body: str, on_outcome: Callable[[int | CoordinationError], None]
+    ) -> None:
         """Propose a policy after version `base`.
 
-        `done` is called in the engine's thread with the new version, or why there is none.  `EndUnknown` says
-        that it may yet be committed: what became of it, the log tells.
+        `on_outcome` is called in the engine's thread with the new version, or with the error.  After
+        `OutcomeUnknownError` the policy may yet be committed: the log tells.
         """
 
-        def ended(told: int | Refusal | None, error: Any) -> None:
-            if error in UNSENT:
-                return done(UNSENT[error]("nothing was put in"))
-            if error != FAIL_REASON.SUCCESS or told is None:
-                return done(EndUnknown("its end is not known"))
-            if isinstance(told, Refusal):
-                return done(PolicyRefused(told.what, told.where, told.remedy))
-            return done(told or Overtaken("another change came first", f"version {base}"))
+        def ended(result: int | Refusal | None, reason: Any) -> None:
+            if reason in NOT_PROPOSED:
+                return on_outcome(NOT_PROPOSED[reason]("nothing was put in"))
+            if reason != FAIL_REASON.SUCCESS or result is None:
+                return on_outcome(OutcomeUnknownError("its end is not known"))
+            if isinstance(result, Refusal):
+                return on_outcome(PolicyRejectedError(result.what, result.where, result.remedy))
+            return on_outcome(result or VersionConflictError("another change came first", f"version {base}"))
 
-        self.ledger.change(base, body, self.ledger.topics, callback=ended)
+        self.state.change_policy(base, body, self.state.subsystems, callback=ended)
 
-    def silent(self, name: str) -> float:
-        """For how many seconds no mark of that member has come out of the log here."""
-        return time.monotonic() - self.ledger.heard.get(name, float("-inf"))
+    def seconds_since_heartbeat(self, name: str) -> float:
+        """For how long no heartbeat of that member has been committed here; infinite for an unknown one."""
+        return time.monotonic() - self.state.last_heartbeat_at.get(name, float("-inf"))
 
     def leader(self) -> str | None:
-        """Which member leads, as far as is known here."""
+        """The name of the leader, as far as is known here."""
         node = self.engine.getStatus()["leader"]
-        return next(
-            (name for name, address in self.members.items() if node is not None and address == node.id), None
-        )
+        if node is None:
+            return None
+        return next((name for name, address in self.membership.members.items() if address == node.id), None)
 
     def close(self) -> None:
-        """Leave; the journal stays."""
+        """Leave the group; the journal stays."""
         self.engine.destroy()
+
+
+def _engine_settings(folder: Path) -> SyncObjConf:
+    """The engine's settings; times in seconds."""
+    return SyncObjConf(
+        autoTickPeriod=0.02,
+        raftMinTimeout=0.4,
+        raftMaxTimeout=0.9,
+        appendEntriesPeriod=0.1,
+        connectionRetryTime=0.2,
+        connectionTimeout=1.5,
+        leaderFallbackTimeout=1.0,
+        commandsWaitLeader=False,
+        commandsQueueSize=1000,
+        journalFile=str(folder / "journal"),
+        appendEntriesBatchSizeBytes=MESSAGE_BYTES,
+        fullDumpFile=str(folder / "snapshot"),
+        logCompactionMinEntries=2000,
+        logCompactionMinTime=30,
+        useFork=False,
+    )
--- a/mallowbeam/storage_gateway/coordination/raft_transport.py
+++ b/mallowbeam/storage_gateway/coordination/raft_transport.py
@@ -1,21 +1,21 @@
-"""What goes between members on the engine's behalf: links known to be alive, and entries sent again.
+"""The engine's transport between members, with links known to be alive and faster repair of followers' logs.
 
 The engine dials, frames and reads; this transport adds what it leaves open.
 
 Links.  The member with the greater address dials.  Every link carries a ping both ways each `PING_S`, so that
-silence means something: past the engine's `connectionTimeout` both ends give the link up and the one that
-dials dials anew.  (The engine looks at that clock only as it sends, and followers send each other nothing:
-their links were given up with the first vote asked for, and the vote with them.)  A dial without an end, and
-a caller that does not say who it is, are given up after the same time.  A dial has a number: a newer link
-takes the place of the older and ends it; one that comes late, having waited at a machine that stood still, is
-refused with all that it carries.
-
-Entries.  A follower whose log has parted from its leader's asks for what follows its own commit index: all
-before is in every leader's log, so one answer is enough.  (The engine goes back by one entry for each answer,
-some ten a second.  While a majority walks back nothing is committed, and the marks that pile up meanwhile are
-what has to be walked back over after the next election: it can grow without end.)  Entries that a follower
-holds already are passed over, never removed and added again; an acknowledgement counts only in the term that
-it was given in.
+silence means a fault: past the engine's `connectionTimeout` both ends close the link, and the one that dials
+dials again.  (The engine looks at that clock only when it sends, and followers send each other nothing: their
+links were closed at the first request for a vote, and the vote was lost with them.)  A dial that does not
+end, and a caller that does not identify itself, are given up after the same time.  A dial has a number: a
+newer link replaces the older one and closes it; one that arrives late, after waiting at a process that was
+stopped, is rejected with all that it carries.
+
+Entries.  A follower whose log has diverged from its leader's asks for what follows its own commit index: all
+before that is in every leader's log, so one answer is enough.  (The engine goes back by one entry with each
+answer, some ten a second.  While a majority does so nothing is committed, and the heartbeats that pile up
+meanwhile have to be walked back over after the next election: it can grow without end.)  Entries that a
+follower has already are skipped, never removed and added again; an acknowledgement counts only in the term in
+which it was given.
 """
 
 from __future__ import annotations
@@ -29,8 +29,11 @@
 from pysyncobj.transport import TCPTransport
 
 PING_S = 0.3  # seconds between pings; some of them within any `connectionTimeout`
+INDEX = 1  # position in an entry of the engine's journal: command, index, term
+TERM = 2
+LEADER = 2  # the engine's states: follower, candidate, leader
 
-Told = dict[str, Any]  # a message of the engine's
+Message = dict[str, Any]  # of the engine
 
 STATES = {
     CONNECTION_STATE.DISCONNECTED: "down",
@@ -43,137 +46,139 @@
     """The engine's transport; all of it runs in the engine's thread."""
 
     def __init__(self, engine: Any, own: Node, others: set[Node]) -> None:
-        self.life = time.time_ns()
-        self.dials = itertools.count(1)
-        self.newest: dict[Node, tuple[int, int]] = {}  # the newest link's life and number, by who dialled it
-        self.since: dict[Node, float] = {}  # when a link came up or went down
-        self.waiting: dict[TcpConnection, float] = {}  # callers that have not said who they are
-        self.pinged = 0.0
-        self.ticked, self.slowest = 0.0, 0.0  # the last tick, and the longest wait for one in seconds
-        self.went_back = 0  # answers that asked for older entries
+        self.incarnation = time.time_ns()
+        self.dial_numbers = itertools.count(1)
+        self.newest_dial: dict[Node, tuple[int, int]] = {}  # by who dialled: its incarnation and number
+        self.link_changed_at: dict[Node, float] = {}  # when a link came up or went down
+        self.unidentified: dict[TcpConnection, float] = {}  # callers, and when they connected
+        self.pinged_at = 0.0
+        self.ticked_at = 0.0
+        self.slowest_tick = 0.0  # the longest time between two ticks, in seconds
+        self.log_rewinds = 0  # answers that asked for older entries
         super().__init__(engine, own, others)
 
     # --- links ------------------------------------------------------------------------------------
 
     def _sendSelfAddress(self, conn: TcpConnection) -> None:
-        conn.send((self._selfNode.address, self.life, next(self.dials)))
+        conn.send((self._selfNode.address, self.incarnation, next(self.dial_numbers)))
 
     def _onNewIncomingConnection(self, conn: TcpConnection) -> None:
         super()._onNewIncomingConnection(conn)
-        self.waiting[conn] = time.monotonic()
+        self.unidentified[conn] = time.monotonic()
 
     def _onIncomingMessageReceived(self, conn: TcpConnection, message: Any) -> None:
-        """A caller's first message must say who it is; nobody else, and no command, is taken here."""
+        """A caller's first message must identify it as a member; any other caller is disconnected."""
         match message:
-            case (str(address), int(life), int(number)) if (node := self._nodeAddrToNode.get(address)):
+            case (str(address), int(incarnation), int(number)) if (node := self._nodeAddrToNode.get(address)):
                 pass
             case _:
                 conn.disconnect()
                 return
-        if self._shouldConnect(node) or self._late(node, life, number):
+        if self._shouldConnect(node) or self._is_late(node, incarnation, number):
             conn.disconnect()
             return
-        self.newest[node] = (life, number)
-        self.waiting.pop(conn, None)
+        self.newest_dial[node] = (incarnation, number)
+        self.unidentified.pop(conn, None)
         before = self._connections.get(node)
         super()._onIncomingMessageReceived(conn, address)
         if before is not None and before is not conn:
             before.disconnect()  # what it still carries is not read
 
-    def _late(self, node: Node, life: int, number: int) -> bool:
-        """Guards against a link older than one that stood already: it would cut that one's answers off."""
-        newest = self.newest.get(node)
-        return newest is not None and newest[0] == life and number < newest[1]
+    def _is_late(self, node: Node, incarnation: int, number: int) -> bool:
+        """Guards against a link older than the present one: it would cut off that one's answers."""
+        newest = self.newest_dial.get(node)
+        return newest is not None and newest[0] == incarnation and number < newest[1]
 
     def _onDisconnected(self, conn: TcpConnection) -> None:
-        self.waiting.pop(conn, None)
+        self.unidentified.pop(conn, None)
         super()._onDisconnected(conn)
 
     def _onNodeConnected(self, node: Node) -> None:
-        self.since[node] = time.monotonic()
+        self.link_changed_at[node] = time.monotonic()
         super()._onNodeConnected(node)
 
     def _onNodeDisconnected(self, node: Node) -> None:
-        self.since[node] = time.monotonic()
+        self.link_changed_at[node] = time.monotonic()
         super()._onNodeDisconnected(node)
 
     def _onTick(self) -> None:
         super()._onTick()
         now = time.monotonic()
-        self.slowest = max(self.slowest, now - (self.ticked or now))
-        self.ticked = now
-        if now < self.pinged + PING_S:
+        self.slowest_tick = max(self.slowest_tick, now - (self.ticked_at or now))
+        self.ticked_at = now
+        if now < self.pinged_at + PING_S:
             return
-        self.pinged, limit = now, now - self._syncObj.conf.connectionTimeout
+        self.pinged_at, limit = now, now - self._syncObj.conf.connectionTimeout
         for node, conn in list(self._connections.items()):
             if conn.state == CONNECTION_STATE.CONNECTED:
-                conn.send({"type": "ping"})  # and gives up a link that was silent too long
+                conn.send({"type": "ping"})  # the engine closes a link that was silent too long as it sends
             elif conn.state == CONNECTION_STATE.CONNECTING and self._lastConnectAttempt[node] < limit:
                 conn.disconnect()
-        for conn in [conn for conn, began in self.waiting.items() if began < limit]:
+        for conn in [conn for conn, began in self.unidentified.items() if began < limit]:
             conn.disconnect()
 
     # --- entries ----------------------------------------------------------------------------------
 
-    def send(self, node: Node, message: Told) -> bool:
+    def send(self, node: Node, message: Message) -> bool:
         """Send, where the link is up."""
         if message["type"] == "next_node_idx":
             message["term"] = self._syncObj.raftCurrentTerm
-            if message["reset"] and not message["success"] and message["next_node_idx"] <= self._log[-1][1]:
-                self.went_back += 1
+            rejected = message["reset"] and not message["success"]
+            if rejected and message["next_node_idx"] <= self._log[-1][INDEX]:
+                self.log_rewinds += 1
                 message["next_node_idx"] = min(message["next_node_idx"], self._syncObj.raftCommitIndex + 1)
         return bool(super().send(node, message))
 
-    def _onMessageReceived(self, node: Node, message: Told) -> None:
+    def _onMessageReceived(self, node: Node, message: Message) -> None:
         kind = message["type"]
         if kind == "ping":
             return
         if kind == "next_node_idx" and message["term"] != self._syncObj.raftCurrentTerm:
             return
-        held = 0
+        known_until = 0
         if kind == "append_entries" and message["term"] >= self._syncObj.raftCurrentTerm:
-            held = self._pass_over(message)
+            known_until = self._skip_known_entries(message)
         super()._onMessageReceived(node, message)
-        if held:
-            self.send(
-                node, {"type": "next_node_idx", "next_node_idx": held + 1, "reset": False, "success": True}
-            )
+        if known_until:
+            answer = {"type": "next_node_idx", "next_node_idx": known_until + 1}
+            self.send(node, {**answer, "reset": False, "success": True})
 
-    def _pass_over(self, message: Told) -> int:
-        """Take out of a leader's message what stands here already.
+    def _skip_known_entries(self, message: Message) -> int:
+        """Remove from a leader's message the entries that this log has already.
 
-        What parts from the log stays in it, and the engine removes all from there on.  Where nothing new
-        is left and the log here goes further, this is an older message: all that it says is how far both
-        logs are alike, which is returned for an answer (else 0).
+        Entries that differ from this log stay in the message; the engine removes its own from there on. Where
+        no new entry is left and this log goes further, the message is an old one: all that it tells is up to
+        which index both logs agree, which is returned for an answer (otherwise 0).
         """
-        log, at = self._log, message.get("prevLogIdx")
-        first, last = log[0][1], log[-1][1]
-        if at is None or "transmission" in message or not first <= at < last:
+        log = self._log
+        index = message.get("prevLogIdx")
+        first, last = log[0][INDEX], log[-1][INDEX]
+        if index is None or "transmission" in message or not first <= index < last:
             return 0
-        if log[at - first][2] != message["prevLogTerm"]:
+        if log[index - first][TERM] != message["prevLogTerm"]:
             return 0
         entries = message.get("entries", [])
-        alike = 0
-        while alike < len(entries) and at < last and log[at + 1 - first][2] == entries[alike][2]:
-            at, alike = at + 1, alike + 1
-        message["prevLogIdx"], message["prevLogTerm"] = at, log[at - first][2]
-        message["entries"] = entries[alike:]
-        if message["entries"] or at == last:
+        known = 0
+        while known < len(entries) and index < last and log[index + 1 - first][TERM] == entries[known][TERM]:
+            index, known = index + 1, known + 1
+        message["prevLogIdx"], message["prevLogTerm"] = index, log[index - first][TERM]
+        message["entries"] = entries[known:]
+        if message["entries"] or index == last:
             return 0
         for name in ("prevLogIdx", "prevLogTerm", "entries"):
             del message[name]
-        message["commit_index"] = min(message["commit_index"], at)
-        return int(at)
+        message["commit_index"] = min(message["commit_index"], index)
+        return int(index)
 
     @property
     def _log(self) -> Any:
-        """The engine's journal: (command, index, term) by place."""
+        """The engine's journal: entries of command, index and term."""
         return self._syncObj._SyncObj__raftLog
 
     # --- for operators ----------------------------------------------------------------------------
 
     def describe(self, names: dict[str, str]) -> dict[str, object]:
-        """The engine as it stands, for whoever looks why a fleet has no leader; `names` are by address.
+        """The engine's state for the page, to find out why a fleet has no leader; `names` are by address.
 
         Read from another thread: each figure is right, though not all of them at one instant.
         """
@@ -186,21 +191,28 @@
             "term": status["raft_term"],
             "voted_for": names.get(engine._SyncObj__votedForNodeId),
             "leader": names.get(leader.id) if leader else None,
-            "log_end": end[1],
-            "log_end_term": end[2],
+            "log_end": end[INDEX],
+            "log_end_term": end[TERM],
             "committed": status["commit_idx"],
             "applied": status["last_applied"],
-            "went_back": self.went_back,
-            "tick_s": round(now - (self.ticked or now), 2),
-            "slowest_tick_s": round(self.slowest, 2),
+            "went_back": self.log_rewinds,
+            "tick_s": round(now - (self.ticked_at or now), 2),
+            "slowest_tick_s": round(self.slowest_tick, 2),
             "links": {
-                names[node.id]: {
-                    "state": STATES[conn.state],
-                    "dialled": "here" if self._shouldConnect(node) else "there",
-                    "for_s": round(now - self.since.get(node, now), 1),
-                    "match": status.get(f"match_idx_server_{node.id}", 0) if status["state"] == 2 else None,
-                }
-                for node, conn in list(self._connections.items())
+                names[node.id]: self._describe_link(node, connection, status, now)
+                for node, connection in list(self._connections.items())
                 if node.id in names
             },
         }
+
+    def _describe_link(
+        self, node: Node, connection: TcpConnection, status: dict[str, Any], now: float
+    ) -> dict[str, object]:
+        """One link: its state for how long, who dialled, and how far the follower's log agrees."""
+        is_leader = status["state"] == LEADER
+        return {
+            "state": STATES[connection.state],
+            "dialled": "here" if self._shouldConnect(node) else "there",
+            "for_s": round(now - self.link_changed_at.get(node, now), 1),
+            "match": status.get(f"match_idx_server_{node.id}", 0) if is_leader else None,
+        }
--- a/mallowbeam/storage_gateway/coordination/replicated_log.py
+++ b/mallowbeam/storage_gateway/coordination/replicated_log.py
@@ -1,17 +1,18 @@
 """The fleet's log as its readers see it: typed entries in one order, and the states that follow from them.
 
-Without I/O, and without the engine: `raft_node.py` puts bytes in and calls `ReplicatedLog.apply` with what is
-committed, the same on every member in the same order.  A *topic* is a replicated machine: its state is one
-frozen value, and `apply` makes the next one of it from an entry, never from a clock, a random number or
-anything local.  An entry that can't take effect changes nothing and says why (`Refusal`); everybody sees the
-same refusal.
-
-A policy pushed is offered to every topic (`apply_policy`) before it takes hold: one refusal refuses it whole.
-
-What a topic raises unforeseen counts as a refusal too. That is the same on every member: `apply` and
-`apply_policy` are given equal values and look at nothing else, so they raise alike or nowhere. What comes of
-the place and not of the values (`LOCAL`: memory or stack is out, a call to the system failed) is let through,
-for that member alone has then lost the thread; it must leave, not go on with states of its own.
+Without I/O, and without the consensus engine: `raft_node.py` calls `ReplicatedLog.apply` with the bytes of
+each committed entry, the same on every member in the same order. A state machine's state is one frozen value;
+`apply` makes the next one from it and an entry, never from a clock, a random number or anything local. An
+entry that can't take effect changes nothing and says why (`Refusal`); every member sees the same refusal.
+
+A policy is offered to every state machine (`apply_policy`) before it takes effect: one refusal rejects all of
+it.
+
+An unforeseen exception of a state machine counts as a refusal too.  It is the same on every member: `apply`
+and `apply_policy` are given equal values and look at nothing else, so they raise on all members or on none.
+An exception that comes of the process and not of the values (`LOCAL_ERRORS`: memory or stack is exhausted, a
+system call failed) is passed on, because that member alone has lost its state; it must leave, not go on with
+states of its own.
 """
 
 from __future__ import annotations
@@ -26,28 +27,29 @@
 
 from mallowbeam.errors import MallowbeamError
 
-FORMAT = 1  # of an entry's bytes; a newer one is passed over by all alike
-MOST_ENTRY = 64 * 1024  # bytes of one entry; a longer one is passed over
-MOST_MISSED = 16  # names of topics not hosted here that are remembered
-LOCAL = (MemoryError, RecursionError, OSError)  # raised by the place, not by what an entry says
+FORMAT = 1  # of an entry's bytes; every member skips a newer one
+MAX_ENTRY_BYTES = 64 * 1024  # every member skips a longer one
+MAX_UNHOSTED = 16  # names of state machines not hosted here that are remembered
+MAX_UNHOSTED_NAME = 64  # characters
+LOCAL_ERRORS = (MemoryError, RecursionError, OSError)  # that come of the process, not of an entry
 
-State = Any  # a frozen msgspec.Struct of the topic's own
-States = Mapping[str, State]  # by topic; all of them as they stand before this entry
+State = Any  # a frozen msgspec.Struct of the state machine's own
+States = Mapping[str, State]  # by state machine; all of them as they are before this entry
 
 
 class Entry(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="kind"):
-    """What a member puts into the log; each topic has kinds of its own."""
+    """An entry of the log; each state machine has kinds of its own, and states their tags."""
 
 
-class EntryTooLarge(MallowbeamError):
-    """An entry beyond its bound."""
+class EntryTooLargeError(MallowbeamError):
+    """An entry of more than `MAX_ENTRY_BYTES`."""
 
     error_name = "EntryTooLarge"
     remedy = "ask for less at once: fewer machines, tenants or rules in one push"
 
 
-class BadSnapshot(MallowbeamError):
-    """A snapshot of the states that this program can't take in."""
+class InvalidSnapshotError(MallowbeamError):
+    """A snapshot of states that this program can't load."""
 
     error_name = "BadSnapshot"
     remedy = (
@@ -66,81 +68,82 @@
 
 
 class StateMachine(Protocol):
-    """A replicated machine, the same on every member."""
+    """A replicated state machine, the same on every member."""
 
     name: ClassVar[str]
-    entries: ClassVar[Any]  # the type (a union of Entry structs) that is decoded
+    entries: ClassVar[Any]  # the type (a union of Entry structs) to decode
     state: ClassVar[type]  # the type of its state, for snapshots
 
     def start(self) -> State:
         """The state before any entry."""
 
     def apply(self, states: States, index: int, by: str, entry: Any) -> State | Refusal:
-        """The next state, or why there is none; `index` counts the log's entries, `by` names the member."""
+        """The next state, or why there is none; `index` counts the log's entries, `by` names the proposer."""
 
     def apply_policy(self, states: States, index: int, policy: Any) -> State | Refusal:
-        """The next state as this policy takes hold, or why it may not."""
+        """The next state as this policy takes effect, or why it must not."""
 
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """One entry that the log has committed, as it is told to a topic's readers."""
+    """One committed entry, or a state that was loaded or changed by a policy (`entry` None)."""
 
     index: int
-    topic: str
-    by: str  # the member that put it in
-    entry: Entry | None  # None: the state came whole, out of a snapshot or a push
+    topic: str  # the state machine's name
+    by: str  # the member that proposed it
+    entry: Entry | None
     state: State  # after it
     refusal: Refusal | None = None
 
 
 class ReplicatedLog:
-    """All topics' states and the entries that make them."""
+    """The states of all state machines, and the entries that make them."""
 
-    def __init__(self, topics: Sequence[StateMachine]) -> None:
-        self.topics, self.index = topics, 0
-        self.by_name = {topic.name: topic for topic in topics}
-        self.states: dict[str, State] = {topic.name: topic.start() for topic in topics}
-        self.missed: set[str] = set()  # topics that had entries here and were not hosted
+    def __init__(self, state_machines: Sequence[StateMachine]) -> None:
+        self.state_machines = state_machines
+        self.index = 0  # of the newest entry applied
+        self.by_name = {machine.name: machine for machine in state_machines}
+        self.states: dict[str, State] = {machine.name: machine.start() for machine in state_machines}
+        self.unhosted: set[str] = set()  # state machines that had entries while they were not hosted here
 
     def encode(self, topic: str, by: str, entry: Entry) -> bytes:
-        """An entry's bytes; raises `EntryTooLarge`."""
+        """Encode an entry; raises `EntryTooLargeError`."""
         body = msgspec.msgpack.encode((FORMAT, topic, by, entry))
-        if len(body) > MOST_ENTRY:
-            raise EntryTooLarge(f"an entry of {len(body)} bytes, at most {MOST_ENTRY}", topic)
+        if len(body) > MAX_ENTRY_BYTES:
+            raise EntryTooLargeError(f"an entry of {len(body)} bytes, at most {MAX_ENTRY_BYTES}", topic)
         return body
 
     def apply(self, body: bytes) -> Committed | None:
-        """Take in the next committed entry; None for one that this program does not know."""
+        """Apply the next committed entry; None for one that this program does not know."""
         self.index += 1
-        if len(body) > MOST_ENTRY:
+        if len(body) > MAX_ENTRY_BYTES:
             return None
         try:
             version, name, by, raw = msgspec.msgpack.decode(body, type=tuple[int, str, str, msgspec.Raw])
             if version != FORMAT:
                 return None
-            if (topic := self.by_name.get(name)) is None:
-                self._miss(name)
+            if (machine := self.by_name.get(name)) is None:
+                self._note_unhosted(name)
                 return None
-            entry = msgspec.msgpack.decode(raw, type=topic.entries)
+            entry = msgspec.msgpack.decode(raw, type=machine.entries)
         except (msgspec.ValidationError, msgspec.DecodeError):
             return None
-        after = self._judged(name, lambda: topic.apply(self.states, self.index, by, entry))
+        after = self._guarded(name, lambda: machine.apply(self.states, self.index, by, entry))
         if isinstance(after, Refusal):
             return Committed(self.index, name, by, entry, self.states[name], after)
         self.states[name] = after
         return Committed(self.index, name, by, entry, after)
 
-    def _miss(self, name: str) -> None:
-        """An entry of a topic that is off here."""
-        if len(self.missed) < MOST_MISSED:
-            self.missed.add(name[:64])
+    def _note_unhosted(self, name: str) -> None:
+        """Remember that a state machine that is not hosted here has an entry."""
+        if len(self.unhosted) < MAX_UNHOSTED:
+            self.unhosted.add(name[:MAX_UNHOSTED_NAME])
 
-    def _judged(self, name: str, judge: Callable[[], State | Refusal]) -> State | Refusal:
-        """What a topic makes of it; what it raises is a refusal, the same on every member (see above)."""
+    def _guarded(self, name: str, step: Callable[[], State | Refusal]) -> State | Refusal:
+        """A state machine's step; its exception is a refusal, the same on every member (see the module)."""
         try:
-            return judge()
-        except LOCAL:
+            return step()
+        except LOCAL_ERRORS:
             raise
         except Exception as error:  # noqa: BLE001 (whatever it is)
             logger.opt(exception=error).error("fleet log: topic {} failed at entry {}", name, self.index)
@@ -151,48 +154,49 @@
             )
 
     def push(self, policy: Any, names: Collection[str] | None = None) -> list[Committed] | Refusal:
-        """A policy takes hold for all topics (or these), or is refused by one of them and for all."""
+        """Let a policy take effect for all state machines (or these); a refusal of one rejects it for all."""
         after: dict[str, State] = {}
-        for topic in self.topics:
-            if names is not None and topic.name not in names:
+        for machine in self.state_machines:
+            if names is not None and machine.name not in names:
                 continue
-            told = self._judged(topic.name, partial(topic.apply_policy, self.states, self.index, policy))
-            if isinstance(told, Refusal):
-                return told
-            after[topic.name] = told
+            step = partial(machine.apply_policy, self.states, self.index, policy)
+            state = self._guarded(machine.name, step)
+            if isinstance(state, Refusal):
+                return state
+            after[machine.name] = state
         self.states.update(after)
         return [Committed(self.index, name, "", None, state) for name, state in after.items()]
 
     def dump(self) -> bytes:
-        """All of it for a snapshot."""
-        return msgspec.msgpack.encode((FORMAT, self.index, self.states, sorted(self.missed)))
+        """Encode all states for a snapshot."""
+        return msgspec.msgpack.encode((FORMAT, self.index, self.states, sorted(self.unhosted)))
 
     def load(self, body: bytes) -> list[Committed]:
-        """Take in a snapshot whole; topics that it does not know start anew.
+        """Load a snapshot; state machines that it does not name start anew.
 
-        Raises `BadSnapshot` where a state can't be read, or where one hosted here was not hosted when its
-        entries came, so that its state is not known: nothing is taken in then.
+        Raises `InvalidSnapshotError` where a state can't be read, or where a state machine that is hosted
+        here had entries while it was not, so that its state is unknown; then nothing is loaded.
         """
         try:
-            version, index, raw, missed = msgspec.msgpack.decode(
+            version, index, raw, unhosted = msgspec.msgpack.decode(
                 body, type=tuple[int, int, dict[str, msgspec.Raw], list[str]]
             )
             if version != FORMAT:
-                raise BadSnapshot(f"format {version}, not {FORMAT}", "snapshot")
+                raise InvalidSnapshotError(f"format {version}, not {FORMAT}", "snapshot")
             states = {
-                topic.name: msgspec.msgpack.decode(raw[topic.name], type=topic.state)
-                if topic.name in raw
-                else topic.start()
-                for topic in self.topics
+                machine.name: msgspec.msgpack.decode(raw[machine.name], type=machine.state)
+                if machine.name in raw
+                else machine.start()
+                for machine in self.state_machines
             }
         except (msgspec.ValidationError, msgspec.DecodeError) as error:
-            raise BadSnapshot(str(error), "snapshot") from None
-        if lost := sorted(set(missed) & set(self.by_name)):
-            raise BadSnapshot(f"{', '.join(lost)} was off here when it had entries", "snapshot")
+            raise InvalidSnapshotError(str(error), "snapshot") from None
+        if unknown := sorted(set(unhosted) & set(self.by_name)):
+            raise InvalidSnapshotError(f"{', '.join(unknown)} was off here when it had entries", "snapshot")
         self.index, self.states = index, states
-        self.missed = set(missed) | set(raw).difference(self.by_name)
-        return self.whole()
+        self.unhosted = set(unhosted) | set(raw).difference(self.by_name)
+        return self.all_states()
 
-    def whole(self) -> list[Committed]:
-        """All states as they stand."""
+    def all_states(self) -> list[Committed]:
+        """All states as they are now."""
         return [Committed(self.index, name, "", None, state) for name, state in self.states.items()]
--- a/mallowbeam/storage_gateway/coordination/service.py
+++ b/mallowbeam/storage_gateway/coordination/service.py
@@ -1,8 +1,8 @@
 """The fleet's log, the cores and the gateway joined in one gateway: I/O, and no decisions.
 
-What the log commits reaches the gateway on its loop, in order and one entry a turn: a policy whole, to the
-policy's core and from there to drains and plans; a topic's entry to its subsystem.  The subsystems that the
-operators' file turns on are loaded here and nowhere else (`subsystem.py`).
+What the log commits reaches the gateway on its event loop, in order and one entry at a time: a policy goes to
+the policy's core and from there to drains and plans; a state machine's entry goes to its subsystem.  The
+subsystems that the operators' file turns on are loaded here and nowhere else (`subsystem.py`).
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.storage_gateway.coordination.errors import (
-    BadPolicy,
-    EndUnknown,
-    FleetError,
-    LogUnusable,
-    NoLeader,
-    NotAlike,
+    CoordinationError,
+    InvalidPolicyError,
+    LogUnusableError,
+    NoLeaderError,
+    OutcomeUnknownError,
+    SubsystemMismatchError,
 )
 from mallowbeam.storage_gateway.coordination.policy import (
     Action,
-    Apply,
-    Change,
-    Entered,
-    Mark,
-    OutOfOrder,
+    ApplyPolicy,
+    PhaseChanged,
     PolicyCore,
+    PolicyVersion,
+    ProposeHeartbeat,
+    VersionOrderError,
 )
 from mallowbeam.storage_gateway.coordination.policy_document import (
     Policy,
@@ -43,7 +43,14 @@
     check_sections,
     read_policy,
 )
-from mallowbeam.storage_gateway.coordination.raft_node import Broken, Heard, Hosted, Proof, RaftNode
+from mallowbeam.storage_gateway.coordination.raft_node import (
+    Event,
+    HeartbeatCommitted,
+    Membership,
+    RaftNode,
+    ReplicaFailed,
+    SubsystemsHosted,
+)
 from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry, ReplicatedLog
 from mallowbeam.storage_gateway.coordination.subsystem import Subsystem
 from mallowbeam.storage_gateway.coordination.subsystem_context import (
@@ -56,14 +63,15 @@
 from mallowbeam.storage_gateway.server.gateway import Gateway
 from mallowbeam.storage_gateway.write_buffer.disk import Locked, RealDisk
 
-PUSH_S = 3.0  # seconds that a push is waited for before its end is called unknown
-POLICY = "policy"  # under this name the policy wants nodes out, beside the subsystems
+PUSH_TIMEOUT_S = 3.0  # after which the outcome of a push is called unknown
+POLICY = "policy"  # the policy's name as a requester of drains, beside those of the subsystems
+DIGEST_LENGTH = 12  # hexadecimal digits
 
 
-def hold(folder: Path) -> RealDisk:
+def lock_folder(folder: Path) -> RealDisk:
     """The folder for this process alone, made if it is not there; raises `BadConfig`.
 
-    Guards the journal: two processes that write one would each undo what the other has promised the fleet.
+    Guards the journal: of two processes that write it, each would undo what the other has acknowledged.
     """
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -74,35 +82,38 @@
     return disk
 
 
-def digest(change: Change) -> str:
-    """A short name of a policy's text."""
-    return hashlib.sha256(change.body.encode()).hexdigest()[:12]
+def digest(change: PolicyVersion) -> str:
+    """A short digest of a policy's text, for people to compare."""
+    return hashlib.sha256(change.body.encode()).hexdigest()[:DIGEST_LENGTH]
 
 
-class FleetService:
-    """A part of the gateway."""
+class CoordinationService:
+    """This gateway's member of the fleet; one of the gateway's parts."""
 
     def __init__(
         self, gateway: Gateway, section: PolicySection, sections: Mapping[str, Any] | None = None
     ) -> None:
         assert section.folder is not None and section.name is not None
-        self.gateway, self.section, self.me = gateway, section, section.name
+        self.gateway = gateway
+        self.section = section
+        self.name = section.name
         self.core = PolicyCore(section.lease_s, section.beat_s, section.when_stale == "refuse")
-        self.drains, self.plans = NodeDrains(gateway), PlanOverrides(gateway)
-        self.agreement: RaftNode | None = None
-        self.failed: MallowbeamError | None = None  # why this member takes nothing in any more
-        self.hosted: dict[str, tuple[str, ...]] = {}  # by member: its subsystems, as its marks say
-        self.leading: str | None = None  # as of the last beat
-        self.counts = {"proposed": 0, "dropped": 0, "refused": 0, "faults": 0}
+        self.drains = NodeDrains(gateway)
+        self.plans = PlanOverrides(gateway)
+        self.raft: RaftNode | None = None
+        self.failure: MallowbeamError | None = None  # why this member applies nothing any more
+        self.hosted: dict[str, tuple[str, ...]] = {}  # by member: its subsystems, by its heartbeats
+        self.known_leader: str | None = None  # as of the last tick
+        self.counts = {"proposed": 0, "dropped": 0, "refused": 0, "faults": 0}  # keys are names of metrics
         self.folder = Path(section.folder)
-        self.disk = hold(self.folder)  # until this process ends, however it ends
-        self.beating: asyncio.Task[None] | None = None
-        self.leaving: asyncio.Task[None] | None = None
+        self.disk = lock_folder(self.folder)  # until this process ends, however it ends
+        self.tick_task: asyncio.Task[None] | None = None
+        self.leave_task: asyncio.Task[None] | None = None
         self.loop: asyncio.AbstractEventLoop | None = None
         self.subsystems: dict[str, Subsystem] = {
             name: self._open(name, own) for name, own in (sections or {}).items()
         }
-        self.log = ReplicatedLog([part.state_machine for part in self.subsystems.values()])
+        self.log = ReplicatedLog([subsystem.state_machine for subsystem in self.subsystems.values()])
         gateway.parts.append(self)
         gateway.gates.append(self.serves)
 
@@ -110,246 +121,266 @@
         """Load a subsystem that is on."""
         context = GatewayContext(
             name,
-            self.me,
+            self.name,
             tuple(sorted(self.section.members)),
             self.gateway,
             self.drains,
             self.plans,
-            self._put,
-            lambda: self.leading == self.me,
+            self._propose,
+            lambda: self.known_leader == self.name,
         )
         module = import_module(f"{__package__}.{name}.subsystem")
-        part: Subsystem = module.open_subsystem(context, section)
-        assert part.state_machine.name == name
-        return part
+        subsystem: Subsystem = module.open_subsystem(context, section)
+        assert subsystem.state_machine.name == name
+        return subsystem
 
     def serves(self) -> bool:
-        """Whether requests may be taken now."""
+        """Whether requests may be accepted now."""
         return self.core.serves(time.monotonic())
 
     # --- a part of the gateway --------------------------------------------------------------------
 
     def start(self) -> None:
-        """Join the fleet's log; until a mark has come back nothing is served."""
+        """Join the fleet; nothing is served until a heartbeat is committed."""
         self.loop = asyncio.get_running_loop()
-        s, life = self.section, f"{time.time_ns():x}"
-        self.agreement = RaftNode(self.me, life, s.members, self.folder, self._told, s.dial, self.log)
-        self.beating = asyncio.create_task(self._beat())
+        section, incarnation = self.section, f"{time.time_ns():x}"
+        membership = Membership(self.name, incarnation, section.members, section.dial)
+        self.raft = RaftNode(membership, self.folder, self._on_events, self.log)
+        self.tick_task = asyncio.create_task(self._tick())
 
     async def hand_over(self) -> None:
-        """Restarted, not handed over: two processes can't share one seat in the log."""
+        """Stop before the new process starts: two processes can't be one member."""
         await self.stop()
 
     async def stop(self) -> None:
-        """Leave the log."""
-        if self.beating is not None:
-            self.beating.cancel()
+        """Leave the fleet."""
+        if self.tick_task is not None:
+            self.tick_task.cancel()
         await self._leave()
 
     async def _leave(self) -> None:
-        agreement, self.agreement, self.leading = self.agreement, None, None
-        if agreement is not None:
-            await asyncio.to_thread(agreement.close)
+        raft, self.raft, self.known_leader = self.raft, None, None
+        if raft is not None:
+            await asyncio.to_thread(raft.close)
 
     def gauges(self) -> Mapping[str, int]:
-        """The version in force, and whether it is known to be the newest."""
-        return {"policy_version": self.core.change.version, "policy_serves": int(self.serves())}
+        """For the gateway's metrics: the version in force, and whether it is known to be the newest."""
+        return {"policy_version": self.core.in_force.version, "policy_serves": int(self.serves())}
 
-    async def _beat(self) -> None:
+    async def _tick(self) -> None:
         while True:
             now = time.monotonic()
-            self.leading = self.agreement.leader() if self.agreement else None
-            self._do(self.core.tick(now))
+            self.known_leader = self.raft.leader() if self.raft else None
+            self._carry_out(self.core.tick(now))
             for name in self.subsystems:
                 self._call(name, "tick", now)
             await asyncio.sleep(self.section.beat_s / 2)
 
-    def _call(self, name: str, method: str, *given: object) -> None:
-        """One call of a subsystem.
+    def _call(self, name: str, method: str, *arguments: object) -> None:
+        """Call a method of a subsystem.
 
-        Guards the policy's marks and the other subsystems: what one raises is logged and stays its own.
+        Guards the heartbeats and the other subsystems: an exception is logged and stays the subsystem's own.
         """
         try:
-            getattr(self.subsystems[name], method)(*given)
+            getattr(self.subsystems[name], method)(*arguments)
         except Exception as error:  # noqa: BLE001 (whatever it is)
             self.counts["faults"] += 1
             logger.opt(exception=error).error("fleet: {} failed in {}", name, method)
 
-    # --- what the log tells -----------------------------------------------------------------------
+    # --- events of the log ------------------------------------------------------------------------
 
-    def _told(self, heard: tuple[Heard, ...]) -> None:
-        """The log has committed something; in its thread."""
+    def _on_events(self, events: tuple[Event, ...]) -> None:
+        """The log has committed an entry; called in the engine's thread."""
         assert self.loop is not None
         with suppress(RuntimeError):  # the loop is closed: the gateway has ended
-            self.loop.call_soon_threadsafe(self._learn, heard)
+            self.loop.call_soon_threadsafe(self._handle, events)
 
-    def _learn(self, heard: tuple[Heard, ...]) -> None:
+    def _handle(self, events: tuple[Event, ...]) -> None:
+        """Handle the events of one entry, on the event loop."""
         now = time.monotonic()
-        for told in heard:
-            if self.failed is not None:
+        for event in events:
+            if self.failure is not None:
                 return
-            match told:
-                case Change():
-                    try:
-                        self._do(self.core.committed(told))
-                    except OutOfOrder as error:
-                        self._fail(LogUnusable(str(error), "policy"))
+            match event:
+                case PolicyVersion():
+                    self._policy_committed(event)
                 case Committed():
-                    self.counts["refused"] += told.refusal is not None
-                    self._call(told.topic, "committed", told, now)
-                case Proof(number):
-                    before = self.core.renewed_at
-                    self._do(self.core.marked(number, now))
-                    if self.core.renewed_at > before:
-                        for name in self.subsystems:
-                            self._call(name, "lease_renewed", self.core.renewed_at, now)
-                case Hosted(name, topics):
-                    self.hosted[name] = topics
-                    if topics != tuple(sorted(self.subsystems)):
-                        logger.error("fleet: {}", self._unlike(name))
-                case Broken(error):
+                    self.counts["refused"] += event.refusal is not None
+                    self._call(event.topic, "committed", event, now)
+                case HeartbeatCommitted(number):
+                    self._heartbeat_committed(number, now)
+                case SubsystemsHosted(name, subsystems):
+                    self.hosted[name] = subsystems
+                    if subsystems != tuple(sorted(self.subsystems)):
+                        logger.error("fleet: {}", self._mismatch(name))
+                case ReplicaFailed(error):
                     self._fail(error)
 
+    def _policy_committed(self, version: PolicyVersion) -> None:
+        try:
+            self._carry_out(self.core.committed(version))
+        except VersionOrderError as error:
+            self._fail(LogUnusableError(str(error), "policy"))
+
+    def _heartbeat_committed(self, number: int, now: float) -> None:
+        before = self.core.renewed_at
+        self._carry_out(self.core.heartbeat_committed(number, now))
+        if self.core.renewed_at > before:
+            for name in self.subsystems:
+                self._call(name, "lease_renewed", self.core.renewed_at, now)
+
     def _fail(self, error: MallowbeamError) -> None:
-        """Leave the fleet: its lease runs out, and it serves no longer than the policy lets it."""
-        self.failed = error
+        """Leave the fleet: the lease expires, and the gateway serves no longer than the policy allows."""
+        self.failure = error
         logger.error("fleet: {}", error.line)
-        self.leaving = asyncio.create_task(self._leave())
+        self.leave_task = asyncio.create_task(self._leave())
 
-    def _unlike(self, name: str) -> NotAlike:
-        return NotAlike(
-            f"{name} runs with {', '.join(self.hosted[name]) or 'no subsystem'}, {self.me} with "
+    def _mismatch(self, name: str) -> SubsystemMismatchError:
+        return SubsystemMismatchError(
+            f"{name} runs with {', '.join(self.hosted[name]) or 'no subsystem'}, {self.name} with "
             f"{', '.join(self.subsystems) or 'none'}",
             "sections",
         )
 
-    def _do(self, actions: list[Action]) -> None:
+    def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Mark(number):
-                    if self.agreement is not None:
-                        self.agreement.mark(number)
-                case Entered(phase):
-                    logger.bind(policy=phase.value, version=self.core.change.version).info(
-                        "policy {}: version {}", phase.value, self.core.change.version
+                case ProposeHeartbeat(number):
+                    if self.raft is not None:
+                        self.raft.propose_heartbeat(number)
+                case PhaseChanged(phase):
+                    version = self.core.in_force.version
+                    logger.bind(policy=phase.value, version=version).info(
+                        "policy {}: version {}", phase.value, version
                     )
-                case Apply(change, before):
+                case ApplyPolicy(change, before):
                     self._apply(change, before)
 
-    def _apply(self, change: Change, before: Change) -> None:
-        """Let a policy take hold, whole, in one turn of the loop."""
-        now, was = read_policy(change.body), read_policy(before.body)
-        for node in set(was.drains) - set(now.drains):
-            self.drains.want(POLICY, node, False)
-        for node in now.drains:
-            self.drains.want(POLICY, node, True)
-        self._plan(now, was)
+    def _apply(self, change: PolicyVersion, before: PolicyVersion) -> None:
+        """Let a policy take effect, in one turn of the event loop."""
+        new, old = read_policy(change.body), read_policy(before.body)
+        for node in set(old.drains) - set(new.drains):
+            self.drains.set_drained(POLICY, node, False)
+        for node in new.drains:
+            self.drains.set_drained(POLICY, node, True)
+        self._apply_plans(new, old)
         logger.bind(policy="applied", version=change.version, digest=digest(change)).info(
             "policy applied: version {} ({})", change.version, digest(change)
         )
 
-    def _plan(self, now: Policy, was: Policy) -> None:
-        """Plans that the policy changes; those it names no more are as the platform's settings say."""
-        texts, settings = {plan.name: plan for plan in now.plans}, self.plans.settings
-        for name in sorted({*texts, *(plan.name for plan in was.plans)}):
+    def _apply_plans(self, new: Policy, old: Policy) -> None:
+        """Change the plans that the policy names; those it names no more go back to the settings."""
+        changes, settings = {plan.name: plan for plan in new.plans}, self.plans.settings
+        for name in sorted({*changes, *(plan.name for plan in old.plans)}):
             if (base := settings.get(name)) is None:
                 logger.error("policy: plan {} is not among the platform's", name)
                 continue
             try:
-                if not self.plans.apply_plan(texts[name].over(base) if name in texts else base):
+                plan = changes[name].applied_to(base) if name in changes else base
+                if not self.plans.apply_plan(plan):
                     logger.error("policy: plan {} can't take hold while the gateway runs", name)
-            except MallowbeamError as error:  # the rest of the policy holds all the same
+            except MallowbeamError as error:  # the rest of the policy takes effect all the same
                 logger.error("policy: {}", error.line)
 
-    # --- what is put in ---------------------------------------------------------------------------
+    # --- proposals --------------------------------------------------------------------------------
 
-    def _put(self, topic: str, entry: Entry) -> bool:
-        """A subsystem's proposal; dropped where nobody leads, as it would be on the way."""
-        if self.agreement is None or self.leading is None:
+    def _propose(self, topic: str, entry: Entry) -> bool:
+        """Propose a subsystem's entry; dropped where nobody leads, as it would be lost later."""
+        if self.raft is None or self.known_leader is None:
             self.counts["dropped"] += 1
             return False
-        self.agreement.put(self.log.encode(topic, self.me, entry))
+        self.raft.propose(self.log.encode(topic, self.name, entry))
         self.counts["proposed"] += 1
         return True
 
     async def push(self, base: int, text: bytes) -> int:
-        """Push a policy after version `base`: its version; raises a `FleetError`."""
+        """Push a policy after version `base`; returns its version or raises a `CoordinationError`."""
         policy = read_policy(text)
         check_sections(policy, tuple(self.subsystems))
         if unknown := sorted({plan.name for plan in policy.plans} - set(self.plans.settings)):
-            raise BadPolicy(f"no plan {unknown[0]} in the platform's settings", "plans")
-        read_policy(body := canonical(policy))  # as the log will: its bound holds for this spelling
-        if self.failed is not None:
-            raise LogUnusable(self.failed.what, self.failed.where)
-        if self.agreement is None:
-            raise NoLeader("this gateway has left the log")
-        for name, topics in self.hosted.items():  # one that is down leaves when it comes back: see change()
-            if (
-                topics != tuple(sorted(self.subsystems))
-                and name in self.section.members
-                and self.agreement.silent(name) < self.section.lease_s
-            ):
-                raise self._unlike(name)
+            raise InvalidPolicyError(f"no plan {unknown[0]} in the platform's settings", "plans")
+        body = canonical(policy)
+        read_policy(body)  # as the log will: its bound holds for this spelling
+        if self.failure is not None:
+            raise LogUnusableError(self.failure.what, self.failure.where)
+        if self.raft is None:
+            raise NoLeaderError("this gateway has left the log")
+        self._check_subsystems_of_members(self.raft)
+        return await self._outcome(self.raft, base, body)
+
+    def _check_subsystems_of_members(self, raft: RaftNode) -> None:
+        """Raise `SubsystemMismatchError` where a member that is up hosts other subsystems.
+
+        One that is down leaves when it comes back: see `ReplicatedState.change_policy`.
+        """
+        own = tuple(sorted(self.subsystems))
+        for name, subsystems in self.hosted.items():
+            is_up = raft.seconds_since_heartbeat(name) < self.section.lease_s
+            if subsystems != own and name in self.section.members and is_up:
+                raise self._mismatch(name)
+
+    async def _outcome(self, raft: RaftNode, base: int, body: str) -> int:
+        """Propose a policy and wait for its outcome, at most `PUSH_TIMEOUT_S`."""
         loop = asyncio.get_running_loop()
-        ended: asyncio.Future[int | FleetError] = loop.create_future()
+        future: asyncio.Future[int | CoordinationError] = loop.create_future()
 
-        def set_result(told: int | FleetError) -> None:
-            if not ended.done():
-                ended.set_result(told)
+        def set_result(outcome: int | CoordinationError) -> None:
+            if not future.done():
+                future.set_result(outcome)
 
-        def done(told: int | FleetError) -> None:
+        def on_outcome(outcome: int | CoordinationError) -> None:
             with suppress(RuntimeError):  # the loop is closed
-                loop.call_soon_threadsafe(set_result, told)
+                loop.call_soon_threadsafe(set_result, outcome)
 
-        self.agreement.push(base, body, done)
+        raft.propose_policy(base, body, on_outcome)
         try:
-            async with asyncio.timeout(PUSH_S):
-                told = await ended
+            async with asyncio.timeout(PUSH_TIMEOUT_S):
+                outcome = await future
         except TimeoutError:
-            raise EndUnknown(f"no word of it in {PUSH_S:.0f} s") from None
-        if isinstance(told, FleetError):
-            raise told
-        return told
+            raise OutcomeUnknownError(f"no word of it in {PUSH_TIMEOUT_S:.0f} s") from None
+        if isinstance(outcome, CoordinationError):
+            raise outcome
+        return outcome
 
-    # --- what the pages show ----------------------------------------------------------------------
+    # --- pages ------------------------------------------------------------------------------------
 
-    def describe(self) -> dict[str, object]:
-        """What is in force here, and how sure that is."""
+    def describe_policy(self) -> dict[str, object]:
+        """For the page `/policy`: the version in force, and how sure this gateway is of it."""
         core = self.core
-        self._do(core.tick(time.monotonic()))  # told as the clock has it, not the last tick
+        self._carry_out(core.tick(time.monotonic()))  # the phase as the clock has it, not as the last tick
         return {
-            "name": self.me,
+            "name": self.name,
             "phase": core.phase.value,
             "serves": self.serves(),
-            "leader": self.agreement.leader() if self.agreement else None,
-            "version": core.change.version,
-            "digest": digest(core.change),
-            "policy": json.loads(core.change.body),
-            "failed": self.failed.told() if self.failed else None,
-            "engine": self.agreement.describe() if self.agreement else None,
+            "leader": self.raft.leader() if self.raft else None,
+            "version": core.in_force.version,
+            "digest": digest(core.in_force),
+            "policy": json.loads(core.in_force.body),
+            "failed": self.failure.told() if self.failure else None,
+            "engine": self.raft.describe() if self.raft else None,
         }
 
-    def fleet(self) -> dict[str, object]:
-        """Members and subsystems."""
+    def describe_fleet(self) -> dict[str, object]:
+        """For the page `/fleet`: members and subsystems."""
         return {
-            "name": self.me,
+            "name": self.name,
             "members": sorted(self.section.members),
-            "leader": self.leading,
+            "leader": self.known_leader,
             "index": self.log.index,
             "hosted": self.hosted,
-            "subsystems": {name: part.describe() for name, part in self.subsystems.items()},
+            "subsystems": {name: subsystem.describe() for name, subsystem in self.subsystems.items()},
         }
 
-    def figures(self) -> dict[str, Mapping[str, float]]:
-        """Figures by subsystem; the log's own under no name."""
+    def gauges_by_subsystem(self) -> dict[str, Mapping[str, float]]:
+        """For `/fleet/metrics`; those of the log itself are under the empty name."""
         now = time.monotonic()
         own = {
-            "policy_version": float(self.core.change.version),
+            "policy_version": float(self.core.in_force.version),
             "policy_serves": float(self.serves()),
             "log_index": float(self.log.index),
-            "leads": float(self.leading == self.me),
-            "failed": float(self.failed is not None),
+            "leads": float(self.known_leader == self.name),
+            "failed": float(self.failure is not None),
             "proof_age_seconds": now - self.core.renewed_at,
             **{f"entries_{name}": float(count) for name, count in self.counts.items()},
         }
-        return {"": own, **{name: part.gauges() for name, part in self.subsystems.items()}}
+        return {"": own, **{name: subsystem.gauges() for name, subsystem in self.subsystems.items()}}
--- a/mallowbeam/storage_gateway/coordination/shares/flow_division.py
+++ b/mallowbeam/storage_gateway/coordination/shares/flow_division.py
@@ -68,6 +68,17 @@
 
     def fit(self, kind: int) -> None:
         """Scale the flows of each link of this kind down until their sum fits its quota."""
+        too_full = self._too_full(kind)
+        if not too_full:
+            return
+        for flow, rate in self.rates.items():
+            for of_kind, position, _ in self.links[flow]:
+                if of_kind == kind and position in too_full:
+                    quota, total = too_full[position]
+                    self.rates[flow] = rate * quota // total
+
+    def _too_full(self, kind: int) -> dict[int, tuple[int, int]]:
+        """By position, the quota and the sum of the flows of each link of this kind where the sum is more."""
         sums: dict[int, int] = {}
         resources: dict[int, str] = {}
         for flow, rate in self.rates.items():
@@ -76,20 +87,14 @@
                     sums[position] = sums.get(position, 0) + rate
                     resources[position] = resource
         with_new_flows = self._links_of_new_flows(kind)
-        too_full: dict[int, tuple[int, int]] = {}  # by position: its quota, and the sum of its flows
+        too_full: dict[int, tuple[int, int]] = {}
         for position, total in sums.items():
             quota = self.quotas[kind][position]
             if position in with_new_flows:
                 quota -= min(self.state.floors.get(resources[position], 0), quota // 2)
             if total > quota:
                 too_full[position] = (quota, total)
-        if not too_full:
-            return
-        for flow, rate in self.rates.items():
-            for of_kind, position, _ in self.links[flow]:
-                if of_kind == kind and position in too_full:
-                    quota, total = too_full[position]
-                    self.rates[flow] = rate * quota // total
+        return too_full
 
     def _links_of_new_flows(self, kind: int) -> set[int]:
         """The positions of the links of this kind that are used by flows without a granted rate."""
--- a/mallowbeam/storage_gateway/coordination/shares/state_machine.py
+++ b/mallowbeam/storage_gateway/coordination/shares/state_machine.py
@@ -26,7 +26,7 @@
 import msgspec
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.storage_gateway.coordination.errors import BadPolicy
+from mallowbeam.storage_gateway.coordination.errors import InvalidPolicyError
 from mallowbeam.storage_gateway.coordination.policy_document import section_of
 from mallowbeam.storage_gateway.coordination.quota_epochs import (
     InvalidTargetError,
@@ -234,7 +234,7 @@
             if section == state.policy:
                 return state
             floors = _floors(section, state.floors, len(self.gateways))
-        except (InvalidSharesError, BadPolicy) as error:
+        except (InvalidSharesError, InvalidPolicyError) as error:
             return Refusal(error.what, error.where, error.cure)
         after = msgspec.structs.replace(state, policy=section, floors=floors, recompute=Recompute.AT_ONCE)
         tenants, nodes = tuple(sorted(section.tenants)), tuple(sorted(section.nodes))
--- a/mallowbeam/storage_gateway/coordination/status_pages.py
+++ b/mallowbeam/storage_gateway/coordination/status_pages.py
@@ -1,13 +1,13 @@
-"""The fleet's pages on the policy listener: a thin front on the service.
+"""The HTTP pages of the fleet on the policy's listener.
 
-    GET  /policy          what is in force here, and how sure that is
+    GET  /policy          the policy in force here, and how sure this gateway is of it
     PUT  /policy          push a policy after the version that If-Match names
     GET  /fleet           members and subsystems
-    GET  /fleet/metrics   the figures, in Prometheus's text exposition
-    PUT  /fleet/maintenance/back?NAME   the work at this machine is done
+    GET  /fleet/metrics   metrics, in Prometheus's text exposition
+    PUT  /fleet/maintenance/back?NAME   the work on this machine is done
 
-JSON but for the figures; an error is answered by its status and `MallowbeamError.told()`: what, where, and
-what an operator can do.
+All but the metrics are JSON.  An error is answered with its status and the fields of `MallowbeamError`: what,
+where, and what an operator can do.
 """
 
 from __future__ import annotations
@@ -23,89 +23,94 @@
 from mallowbeam.http.framing import Headers, Message, write_head
 from mallowbeam.http.server import Response, Server
 from mallowbeam.storage_gateway.coordination.errors import (
-    BadPolicy,
-    FleetError,
-    NoBase,
-    NoSuchPage,
-    NotByThisMethod,
+    CoordinationError,
+    InvalidPolicyError,
+    MethodNotAllowedError,
+    MissingBaseVersionError,
+    PageNotFoundError,
 )
-from mallowbeam.storage_gateway.coordination.metrics import CONTENT_TYPE, FleetMetrics
-from mallowbeam.storage_gateway.coordination.policy_document import MOST
-from mallowbeam.storage_gateway.coordination.service import FleetService
+from mallowbeam.storage_gateway.coordination.metrics import CONTENT_TYPE, CoordinationMetrics
+from mallowbeam.storage_gateway.coordination.policy_document import MAX_POLICY_BYTES
+from mallowbeam.storage_gateway.coordination.service import CoordinationService
 from mallowbeam.storage_gateway.operator_settings import PolicySection
 from mallowbeam.storage_gateway.server.config import read_address
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
-BACK = "/fleet/maintenance/back"
-MOST_DIGITS = 12  # of a version in If-Match
+MAINTENANCE_DONE = "/fleet/maintenance/back"
+MAX_VERSION_DIGITS = 12  # in If-Match
 ALLOWED = {b"/policy": b"GET, PUT", b"/fleet": b"GET", b"/fleet/metrics": b"GET"}
 
 
 class StatusPages:
-    """The front."""
+    """Answers requests for the pages."""
 
-    max_body = whole = MOST  # held whole: a push may come in pieces
+    max_body = whole = MAX_POLICY_BYTES  # a push may come in several segments: it is read completely first
     budget: BodyBudget | None = None
 
-    def __init__(self, service: FleetService) -> None:
-        self.service, self.metrics = service, FleetMetrics(service.figures)
+    def __init__(self, service: CoordinationService) -> None:
+        self.service = service
+        self.metrics = CoordinationMetrics(service.gauges_by_subsystem)
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
-        """One call to its answer."""
+        """The response to a request; `closing` says whether the connection closes after it."""
         try:
-            return await self._answer(request, closing)
+            return await self._respond(request, closing)
         except MallowbeamError as error:
-            status = error.status if isinstance(error, FleetError) else 500
-            allowed = ALLOWED.get(request.target, b"PUT")
-            headers = [(b"allow", allowed)] if isinstance(error, NotByThisMethod) else []
-            return page(status, error.told(), closing(), headers)
-
-    async def _answer(self, request: Message, closing: Callable[[], bool]) -> Response:
-        act, _, what = request.target.decode("latin-1").partition("?")
-        if act == BACK and (part := self.service.subsystems.get("maintenance")) is not None:
+            status = error.status if isinstance(error, CoordinationError) else 500
+            headers: Headers = []
+            if isinstance(error, MethodNotAllowedError):
+                headers = [(b"allow", ALLOWED.get(request.target, b"PUT"))]
+            return json_response(status, error.told(), closing(), headers)
+
+    async def _respond(self, request: Message, closing: Callable[[], bool]) -> Response:
+        path, _, query = request.target.decode("latin-1").partition("?")
+        maintenance = self.service.subsystems.get("maintenance")
+        if path == MAINTENANCE_DONE and maintenance is not None:
             if request.method != b"PUT":
-                raise NotByThisMethod("not by this method", act)
-            return page(202, getattr(part, "asked")("back", unquote(what)), closing())  # noqa: B009
+                raise MethodNotAllowedError("not by this method", path)
+            operator_action = getattr(maintenance, "asked")  # noqa: B009 (no method of all subsystems)
+            return json_response(202, operator_action("back", unquote(query)), closing())
         if request.target not in ALLOWED:
-            raise NoSuchPage("no such page", request.target.decode("latin-1"))
+            raise PageNotFoundError("no such page", request.target.decode("latin-1"))
         if request.target == b"/policy" and request.method == b"PUT":
-            version = await self.service.push(read_base(request), bytes(request.body))
-            return page(200, {"version": version}, closing())
+            version = await self.service.push(read_base_version(request), bytes(request.body))
+            return json_response(200, {"version": version}, closing())
         if request.method != b"GET":
-            raise NotByThisMethod("not by this method", request.target.decode())
+            raise MethodNotAllowedError("not by this method", request.target.decode())
         if request.target == b"/fleet/metrics":
             body = self.metrics.text()
             head = write_head(200, [(b"content-type", CONTENT_TYPE.encode())], len(body), closing())
             return Response(200, head + body)
-        describe = self.service.describe() if request.target == b"/policy" else self.service.fleet()
-        return page(200, describe, closing())
+        if request.target == b"/policy":
+            return json_response(200, self.service.describe_policy(), closing())
+        return json_response(200, self.service.describe_fleet(), closing())
 
     def error_response(self, status: int, text: str) -> Response:
-        """The answer to what breaks HTTP or a bound."""
-        return page(status, Unreadable(text).told(), True)
+        """The response to a request that breaks HTTP or a bound."""
+        return json_response(status, UnreadableRequestError(text).told(), True)
 
     def ended(self, request: Message, status: int, whole: bool) -> None:
-        """Its calls are not among the figures."""
+        """Requests for the pages are not counted in the metrics."""
 
 
-class Unreadable(BadPolicy):
-    """A call that breaks HTTP or a bound."""
+class UnreadableRequestError(InvalidPolicyError):
+    """A request that breaks HTTP or a bound."""
 
     error_name = "Unreadable"
-    remedy = f"send whole HTTP/1.1 calls, with {MOST} bytes of a policy at most"
+    remedy = f"send whole HTTP/1.1 calls, with {MAX_POLICY_BYTES} bytes of a policy at most"
 
 
-def read_base(request: Message) -> int:
-    """The version that a push follows; raises `NoBase`."""
+def read_base_version(request: Message) -> int:
+    """The version that a push follows, from If-Match; raises `MissingBaseVersionError`."""
     base = dict(request.headers).get(b"if-match", b"").strip(b'"')
-    if not base.isdigit() or len(base) > MOST_DIGITS:
-        raise NoBase("If-Match must name the version that this follows", "If-Match")
+    if not base.isdigit() or len(base) > MAX_VERSION_DIGITS:
+        raise MissingBaseVersionError("If-Match must name the version that this follows", "If-Match")
     return int(base)
 
 
-def page(status: int, told: object, close: bool, headers: Headers | None = None) -> Response:
-    """An answer in JSON."""
-    body = msgspec.json.encode(told)
+def json_response(status: int, content: object, close: bool, headers: Headers | None = None) -> Response:
+    """A response of JSON; `close` says whether the connection closes after it."""
+    body = msgspec.json.encode(content)
     head = write_head(status, [(b"content-type", b"application/json"), *(headers or [])], len(body), close)
     return Response(status, head + body)
 
@@ -113,7 +118,10 @@
 def open_policy(
     gateway: Gateway, section: PolicySection, connections: int, sections: Mapping[str, Any] | None = None
 ) -> Server:
-    """The part, and the listener of its pages; `sections` are those of subsystems on; raises `BadConfig`."""
+    """Open the gateway's coordination service and the listener of its pages; raises `BadConfig`.
+
+    `sections` are those of the subsystems that are on, by name.
+    """
     assert section.listen is not None
-    pages = StatusPages(FleetService(gateway, section, sections))
+    pages = StatusPages(CoordinationService(gateway, section, sections))
     return Server(read_address(section.listen), pages, connections, name="policy")
--- a/mallowbeam/storage_gateway/coordination/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem.py
@@ -1,9 +1,9 @@
-"""What a subsystem of the fleet is to the service, and what the service's hands do for it.
+"""The interface between the coordination service and a subsystem.
 
-A subsystem is one of the sections `maintenance`, `shares` and `pools` of the operators' file. Where one is
-on, the service imports `<name>.subsystem` of this package and calls its `open_subsystem(context, section)`,
-which hands back a `Subsystem`. Its topic's name is the section's. All of its methods are called on the
-gateway's loop.
+A subsystem is one of the sections `maintenance`, `shares` and `pools` of the operators' file.  Where one is
+on, the service imports the module `<name>.subsystem` of this package and calls its
+`open_subsystem(context, section)`, which returns a `Subsystem`.  The name of its state machine is that of the
+section.  All of its methods are called on the gateway's event loop; times are seconds on the monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,72 +16,72 @@
 
 
 class Subsystem(Protocol):
-    """One subsystem in one gateway: its core, and the acts that its actions name."""
+    """One subsystem in one gateway: a core, and what carries out its actions."""
 
     state_machine: StateMachine
 
-    def committed(self, told: Committed, now: float) -> None:
-        """The log has told this topic an entry, or its state whole (`told.entry` None); now: steady clock."""
+    def committed(self, committed: Committed, now: float) -> None:
+        """An entry of the state machine was committed, or its state loaded or changed by a policy."""
 
     def lease_renewed(self, proposed_at: float, now: float) -> None:
-        """A mark of this gateway's own came back: all committed before it was put in is known here."""
+        """A heartbeat of this gateway was committed: all committed before its proposal is known here."""
 
     def tick(self, now: float) -> None:
-        """Time has passed: each half beat."""
+        """Time has passed; called twice in each interval between heartbeats."""
 
     def describe(self) -> dict[str, object]:
-        """What the page `/fleet` tells of it."""
+        """The subsystem's part of the page `/fleet`."""
 
     def gauges(self) -> Mapping[str, float]:
         """Its figures for `/fleet/metrics`, named without the subsystem's name."""
 
 
 class SubsystemContext(Protocol):
-    """What a subsystem may do and see; each call at once and on the loop."""
+    """What a subsystem may do and see; each call acts at once, on the event loop."""
 
     me: str  # this member's name
     members: tuple[str, ...]  # all members' names, sorted
 
     def propose(self, entry: Entry) -> bool:
-        """Put an entry of its topic into the log: fire and forget; False where it is dropped at once.
+        """Propose an entry of its state machine; False where it is dropped at once.
 
-        It is dropped where there is no leader, so cores propose again.  Raises `EntryTooLarge`.
+        It may be lost later too, so cores propose again.  Raises `EntryTooLargeError`.
         """
 
     def leader(self) -> bool:
         """Whether this member leads the log, as far as it knows."""
 
     def drain(self, node: str, out: bool) -> None:
-        """Take a node out of service here or call it back; out while anybody still wants it out."""
+        """Drain a node here, or do not any more; it is drained while anybody drains it."""
 
     def apply_plan(
         self, plan: Plan, volume: str = "", shard: int | None = None, fraction: float | None = None
     ) -> bool:
-        """A plan's figures, or one volume's allotment, from now on: see `SchedulerHost.change_plan`.
+        """Let a plan, or one volume's allotment, take effect, as the scheduler's `change_plan` does.
 
-        False where this gateway's module has no such call; raises its `MallowbeamError` where it refuses.
+        False where this gateway's scheduler has no such call; raises its `MallowbeamError` where it refuses.
         """
 
     def settings_plans(self) -> Mapping[str, Plan]:
         """The plans of the platform's settings, by name."""
 
     def plan(self, name: str) -> Plan | None:
-        """A plan as it is in force, with what the policy says of it."""
+        """A plan as it is in force, with the policy's changes."""
 
     def observe(self, observer: Callable[[Mapping[str, object]], None]) -> None:
-        """Tell of each call before the module decides on it: its fields, as `RequestArrived` names them."""
+        """Call the observer with each request, by the fields of `RequestArrived`, before it is decided on."""
 
     def nodes(self) -> list[NodeEntry]:
-        """The nodes as they are listed here."""
+        """The nodes as discovery lists them here."""
 
-    def out(self, node: str) -> int:
-        """How many attempts this gateway has out at a node."""
+    def attempts_at(self, node: str) -> int:
+        """How many attempts of this gateway are in flight at a node."""
 
-    def held(self) -> int:
-        """How many requests this gateway holds unanswered."""
+    def open_requests(self) -> int:
+        """How many requests of this gateway are not answered yet."""
 
     def gate(self, is_open: bool) -> None:
-        """Open or shut this gateway's door for new requests on this subsystem's account."""
+        """Let the gateway accept new requests, or not, as far as this subsystem is concerned."""
 
     def stop(self) -> None:
         """Stop this gateway as SIGTERM would."""
@@ -91,7 +91,7 @@
 
 
 class SubsystemFactory(Protocol):
-    """`open_subsystem` of a subsystem's module `subsystem`."""
+    """`open_subsystem` of a subsystem's module."""
 
     def __call__(self, context: SubsystemContext, section: Any) -> Subsystem:
-        """The subsystem on these hands; `section` is its part of the operators' file."""
+        """The subsystem of a gateway; `section` is its section of the operators' file."""
--- a/mallowbeam/storage_gateway/coordination/subsystem_context.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem_context.py
@@ -1,8 +1,9 @@
-"""The service's hands for one subsystem: `subsystem.SubsystemContext` over the gateway.  Decides nothing."""
+"""What the service offers a subsystem: `subsystem.SubsystemContext` over the gateway.  It decides nothing."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from typing import Any
 
 from mallowbeam.storage_gateway.coordination.replicated_log import Entry
@@ -12,41 +13,45 @@
 
 
 class NodeDrains:
-    """Who wants which node out here: a node goes in again when nobody does any more."""
+    """Which nodes are drained here, and by whom; a node is back in service when nobody drains it any more."""
 
     def __init__(self, gateway: Gateway) -> None:
-        self.gateway, self.by_node = gateway, dict[str, set[str]]()
-
-    def want(self, who: str, node: str, out: bool) -> None:
-        """One that may take nodes out (the policy, a subsystem) wants this one out, or not any more."""
-        wanting = self.by_node.setdefault(node, set())
-        before = bool(wanting)
-        (wanting.add if out else wanting.discard)(who)
-        if not wanting:
-            del self.by_node[node]
-        if before != bool(wanting):
-            self.gateway.by_hand(node, out, listed=False)
+        self.gateway = gateway
+        self.requesters: dict[str, set[str]] = {}  # by node
+
+    def set_drained(self, requester: str, node: str, drained: bool) -> None:
+        """A requester (the policy, a subsystem) drains a node, or does not any more."""
+        requesters = self.requesters.setdefault(node, set())
+        was_drained = bool(requesters)
+        if drained:
+            requesters.add(requester)
+        else:
+            requesters.discard(requester)
+        if not requesters:
+            del self.requesters[node]
+        if was_drained != bool(requesters):
+            self.gateway.by_hand(node, drained, listed=False)
 
 
 class PlanOverrides:
-    """Plans' figures on the way to the module, which takes them by the scheduler's one call."""
+    """The plans in force: those of the platform's settings, and those that a policy has changed."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
-        self.overrides: dict[str, Plan] = {}  # complete plans that a policy changed since the start
+        self.overrides: dict[str, Plan] = {}  # changed since the start
 
     @property
     def settings(self) -> Mapping[str, Plan]:
-        """As the platform's settings have them."""
+        """The plans of the platform's settings, by name."""
         plans: Mapping[str, Plan] = self.gateway.config.settings.plans
         return plans
 
     def apply_plan(
         self, plan: Plan, volume: str = "", shard: int | None = None, fraction: float | None = None
     ) -> bool:
-        """Let these figures hold; False where this gateway's module can't take them at all.
+        """Let a plan, or one volume's allotment, take effect; False where the scheduler has no such call.
 
-        Raises the scheduler's `MallowbeamError` where it refuses them; nothing has changed then.
+        Raises the scheduler's `MallowbeamError` where it refuses; nothing has changed then.
         """
         call = getattr(self.gateway.scheduler, "change_plan", None)
         if call is None:
@@ -57,41 +62,40 @@
         return True
 
     def plan(self, name: str) -> Plan | None:
-        """A plan as it is in force; None for one that nobody has."""
+        """A plan as it is in force; None for an unknown one."""
         return self.overrides.get(name) or self.settings.get(name)
 
 
+@dataclass(slots=True, eq=False)
 class GatewayContext:
-    """One subsystem's hands; `put` takes an entry of its topic's into the log."""
-
-    def __init__(
-        self,
-        name: str,
-        me: str,
-        members: tuple[str, ...],
-        gateway: Gateway,
-        drains: NodeDrains,
-        plans: PlanOverrides,
-        put: Callable[[str, Entry], bool],
-        leads: Callable[[], bool],
-    ) -> None:
-        self.name, self.me, self.members = name, me, members
-        self.leader, self.is_open = leads, True
-        self._gateway, self._drains, self._plans, self._put = gateway, drains, plans, put
-        gateway.gates.append(lambda: self.is_open)
+    """The context of the subsystem `name`; `put` proposes an entry of its state machine's."""
+
+    name: str
+    me: str
+    members: tuple[str, ...]
+    _gateway: Gateway
+    _drains: NodeDrains
+    _plans: PlanOverrides
+    _put: Callable[[str, Entry], bool]
+    leader: Callable[[], bool]
+    is_open: bool = True
+
+    def __post_init__(self) -> None:
+        """Add this subsystem's gate to the gateway's."""
+        self._gateway.gates.append(lambda: self.is_open)
 
     def propose(self, entry: Entry) -> bool:
-        """Put an entry in; False where it is dropped at once."""
+        """Propose an entry; False where it is dropped at once."""
         return self._put(self.name, entry)
 
     def drain(self, node: str, out: bool) -> None:
-        """Take a node out here, or want it out no more."""
-        self._drains.want(self.name, node, out)
+        """Drain a node here, or do not any more."""
+        self._drains.set_drained(self.name, node, out)
 
     def apply_plan(
         self, plan: Plan, volume: str = "", shard: int | None = None, fraction: float | None = None
     ) -> bool:
-        """A plan's figures, or one volume's allotment, from now on."""
+        """Let a plan, or one volume's allotment, take effect."""
         return self._plans.apply_plan(plan, volume, shard, fraction)
 
     def settings_plans(self) -> Mapping[str, Plan]:
@@ -99,36 +103,36 @@
         return self._plans.settings
 
     def plan(self, name: str) -> Plan | None:
-        """A plan as it is in force, with what the policy says of it."""
+        """A plan as it is in force, with the policy's changes."""
         return self._plans.plan(name)
 
     def observe(self, observer: Callable[[Mapping[str, object]], None]) -> None:
-        """Tell of each call before the module decides on it; what the observer raises is logged."""
-        failed = RateLimitedWarning(f"fleet: {self.name} failed at a call")
+        """Call the observer with each request before it is decided on; its exceptions are logged."""
+        log_failure = RateLimitedWarning(f"fleet: {self.name} failed at a call")
 
-        def told(fields: Mapping[str, object]) -> None:
+        def guarded(fields: Mapping[str, object]) -> None:
             try:
                 observer(fields)
-            except Exception as error:  # noqa: BLE001 (Guards the call: it is decided on all the same)
-                failed(repr(error))
+            except Exception as error:  # noqa: BLE001 (Guards the request: it is decided on all the same)
+                log_failure(repr(error))
 
-        self._gateway.observers.append(told)
+        self._gateway.observers.append(guarded)
 
     def nodes(self) -> list[NodeEntry]:
-        """The nodes as they are listed here."""
+        """The nodes as discovery lists them here."""
         entries: list[NodeEntry] = self._gateway.scheduler.node_entries(self._gateway.now())
         return entries
 
-    def out(self, node: str) -> int:
-        """How many attempts this gateway has out at a node."""
+    def attempts_at(self, node: str) -> int:
+        """How many attempts of this gateway are in flight at a node."""
         return self._gateway.scheduler.attempts_at(node)
 
-    def held(self) -> int:
-        """How many requests this gateway holds unanswered."""
+    def open_requests(self) -> int:
+        """How many requests of this gateway are not answered yet."""
         return len(self._gateway.exchanges)
 
     def gate(self, is_open: bool) -> None:
-        """Open or shut this gateway's door for new requests on this subsystem's account."""
+        """Let the gateway accept new requests, or not, as far as this subsystem is concerned."""
         self.is_open = is_open
 
     def stop(self) -> None:
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_machine.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_machine.py
@@ -20,7 +20,7 @@
     MaintenanceStateMachine,
     describe,
 )
-from mallowbeam.storage_gateway.coordination.replicated_log import MOST_ENTRY, Refusal, ReplicatedLog
+from mallowbeam.storage_gateway.coordination.replicated_log import MAX_ENTRY_BYTES, Refusal, ReplicatedLog
 
 MEMBERS = ("g0", "g1", "g2")
 
@@ -232,4 +232,4 @@
     core.observe(actions.LocalView(many))
     (report,) = [a.entry for a in core.tick(1.0) if isinstance(a, actions.Propose)]
     assert len(report.nodes) == MAX_NODES
-    assert len(fleet().encode("maintenance", "g1", report)) < MOST_ENTRY
+    assert len(fleet().encode("maintenance", "g1", report)) < MAX_ENTRY_BYTES
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_subsystem.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_subsystem.py
@@ -43,10 +43,10 @@
     def nodes(self):
         return [NodeEntry(f"n{i}", NodeState.READY, 0, "ab"[i % 2]) for i in range(4)]
 
-    def out(self, node):
+    def attempts_at(self, node):
         return self.work
 
-    def held(self):
+    def open_requests(self):
         return 0
 
     def gate(self, is_open):
@@ -105,7 +105,7 @@
     rig.put("g0", SelectNext(0))
     go(rig, "n0", "draining")
     assert rig.context.drained == {"n0"}
-    pages = StatusPages(SimpleNamespace(subsystems={"maintenance": rig.subsystem}, figures=dict))
+    pages = StatusPages(SimpleNamespace(subsystems={"maintenance": rig.subsystem}, gauges_by_subsystem=dict))
 
     def ask(method, target):
         request = Message()
--- a/tests/storage_gateway/coordination/test_fleet_agreement.py
+++ b/tests/storage_gateway/coordination/test_fleet_agreement.py
@@ -5,9 +5,9 @@
 import shutil
 
 import pytest
-from topics import Add, Broken, Change, Fail, Hosted, Members, Sum
+from topics import Add, Fail, Members, PolicyVersion, ReplicaFailed, SubsystemsHosted, Sum
 
-from mallowbeam.storage_gateway.coordination.errors import Overtaken, PolicyRefused
+from mallowbeam.storage_gateway.coordination.errors import PolicyRejectedError, VersionConflictError
 
 POLICY = '{"drains":[],"pools":{"most":40},"shares":{"most":7}}'
 
@@ -35,12 +35,12 @@
 def test_a_push_refused_by_one_topic_is_in_force_nowhere_and_its_pusher_is_told_why(fleet):
     fleet.put("g0", "pools", Add(50))
     refused = fleet.push("g1", 0, POLICY)
-    assert isinstance(refused, PolicyRefused) and refused.where == "pools.most" and "50" in refused.cure
+    assert isinstance(refused, PolicyRejectedError) and refused.where == "pools.most" and "50" in refused.cure
     assert fleet.push("g1", 0, POLICY.replace("40", "50")) == 1
-    assert isinstance(fleet.push("g2", 0, POLICY), Overtaken)
+    assert isinstance(fleet.push("g2", 0, POLICY), VersionConflictError)
     fleet.lease_renewed()
     for told in fleet.told.values():
-        assert [change.version for change in told.of(Change)] == [0, 1]
+        assert [change.version for change in told.of(PolicyVersion)] == [0, 1]
         assert told.states() == {"shares": Sum(0, "", 7), "pools": Sum(50, "g0", 50)}
 
 
@@ -48,8 +48,8 @@
     fleet.put("g0", "shares", Add(5))
     assert fleet.push("g0", 0, POLICY) == 1
     fleet.lease_renewed()
-    for name, agreement in fleet.up.items():
-        agreement.engine.forceLogCompaction()
+    for name, node in fleet.up.items():
+        node.engine.forceLogCompaction()
         fleet.until(lambda name=name: (fleet.folder / name / "snapshot").exists())
     fleet.stop("g1")
     fleet.put("g0", "shares", Add(1))
@@ -61,18 +61,18 @@
     fleet.lease_renewed()
     for told in fleet.told.values():
         assert told.states() == {"shares": Sum(6, "g0", 7), "pools": Sum(0, "", 40)}
-        assert not told.of(Broken)
+        assert not told.of(ReplicaFailed)
     for name in ("g1", "g2"):
         told = fleet.told[name]
         assert [committed.entry for committed in told.entries] in ([Add(1)], []), "the rest came whole"
-        assert told.of(Change)[-1] == Change(1, POLICY)
+        assert told.of(PolicyVersion)[-1] == PolicyVersion(1, POLICY)
 
 
 def test_a_member_with_other_topics_is_known_and_leaves_at_a_push_that_it_can_not_judge(fleet):
     fleet.stop("g2")
     fleet.start("g2", "shares")
     fleet.lease_renewed()
-    fleet.until(lambda: Hosted("g2", ("shares",)) in fleet.told["g0"].heard)
+    fleet.until(lambda: SubsystemsHosted("g2", ("shares",)) in fleet.told["g0"].heard)
     assert fleet.push("g0", 0, POLICY) == 1
-    fleet.until(lambda: fleet.told["g2"].of(Broken))
-    assert fleet.told["g2"].of(Change)[-1].version == 0
+    fleet.until(lambda: fleet.told["g2"].of(ReplicaFailed))
+    assert fleet.told["g2"].of(PolicyVersion)[-1].version == 0
--- a/tests/storage_gateway/coordination/test_fleet_log.py
+++ b/tests/storage_gateway/coordination/test_fleet_log.py
@@ -6,18 +6,18 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from topics import Add, Adder, Broken, Change, Fail, Sum, Told, make_log
+from topics import Add, Adder, Fail, PolicyVersion, ReplicaFailed, Sum, Told, make_log
 
-from mallowbeam.storage_gateway.coordination.errors import LogUnusable
+from mallowbeam.storage_gateway.coordination.errors import LogUnusableError
 from mallowbeam.storage_gateway.coordination.policy_document import Policy
 from mallowbeam.storage_gateway.coordination.raft_node import ReplicatedState
 from mallowbeam.storage_gateway.coordination.replicated_log import (
     FORMAT,
-    MOST_ENTRY,
-    BadSnapshot,
+    MAX_ENTRY_BYTES,
     Committed,
     Entry,
-    EntryTooLarge,
+    EntryTooLargeError,
+    InvalidSnapshotError,
     Refusal,
     ReplicatedLog,
 )
@@ -51,7 +51,7 @@
         b"\xc1",
         b"",
         body(FORMAT, "shares", "g1", {"kind": "add", "amount": 1, "new": 2}),
-        body(FORMAT, "shares", "g1" * MOST_ENTRY, Add(3)),
+        body(FORMAT, "shares", "g1" * MAX_ENTRY_BYTES, Add(3)),
     ],
     ids=["newer", "topic", "kind", "short", "no type", "empty", "field", "long"],
 )
@@ -63,8 +63,8 @@
 
 
 def test_an_entry_beyond_its_bound_is_not_put_in():
-    with pytest.raises(EntryTooLarge, match="at most 65536") as caught:
-        make_log().encode("shares", "g1", Stranger("x" * MOST_ENTRY))
+    with pytest.raises(EntryTooLargeError, match="at most 65536") as caught:
+        make_log().encode("shares", "g1", Stranger("x" * MAX_ENTRY_BYTES))
     assert caught.value.cure
 
 
@@ -114,18 +114,18 @@
         one.apply(entry)
         two.apply(entry)
         fresh = make_log()
-        assert fresh.load(two.dump()) == two.whole()
+        assert fresh.load(two.dump()) == two.all_states()
         two = fresh
-    assert (one.index, one.states, one.missed) == (two.index, two.states, two.missed)
+    assert (one.index, one.states, one.unhosted) == (two.index, two.states, two.unhosted)
 
 
 def test_a_topic_that_was_off_when_it_had_entries_is_not_made_up():
     """Guards a section turned on later: that member's state would not be the others'."""
     off = make_log("shares")
     off.apply(make_log().encode("pools", "g1", Add(1)))
-    assert off.missed == {"pools"}
+    assert off.unhosted == {"pools"}
     on = make_log()
-    with pytest.raises(BadSnapshot, match="pools was off here"):
+    with pytest.raises(InvalidSnapshotError, match="pools was off here"):
         on.load(off.dump())
     assert make_log("shares").load(off.dump())
     never = make_log("shares")
@@ -136,7 +136,7 @@
 def test_a_snapshot_that_cannot_be_read_changes_nothing(bad):
     log = make_log()
     log.apply(log.encode("shares", "g1", Add(1)))
-    with pytest.raises(BadSnapshot):
+    with pytest.raises(InvalidSnapshotError):
         log.load(bad)
     assert log.index == 1 and log.states["shares"].total == 1
 
@@ -153,53 +153,54 @@
 
     def __init__(self, *topics: str) -> None:
         self.told = Told()
-        self.ledger = ReplicatedState(make_log(*topics), "g0", "life", self.told)
+        self.state = ReplicatedState(make_log(*topics), "g0", "life", self.told)
 
     def __getattr__(self, name: str):
-        return lambda *given: getattr(self.ledger, name)(*given, _doApply=True)
+        return lambda *given: getattr(self.state, name)(*given, _doApply=True)
 
 
 def test_the_states_come_whole_at_the_start():
-    assert Direct().told.heard[0] == Change() and set(Direct().told.states()) == {"shares", "pools"}
+    assert Direct().told.heard[0] == PolicyVersion() and set(Direct().told.states()) == {"shares", "pools"}
 
 
 def test_the_engine_numbers_the_calls_as_journals_on_disk_do():
     """Guards journals: the engine finds a call by its place among the sorted names; see docs/formats."""
     assert sorted(name for name in dir(ReplicatedState) if name.endswith("_v0")) == [
-        "change_v0",
-        "mark_v0",
-        "put_v0",
+        "change_policy_v0",
+        "heartbeat_v0",
+        "put_entry_v0",
     ]
 
 
 def test_calls_of_journals_from_before_topics_still_do_what_they_did():
     member = Direct()
-    assert member.change(0, '{"drains":["n0"]}') == 1 and member.change(0, "{}") == 0
-    member.mark("g0", "life", 7)
+    assert member.change_policy(0, '{"drains":["n0"]}') == 1 and member.change_policy(0, "{}") == 0
+    member.heartbeat("g0", "life", 7)
     assert member.told.heard[-1].number == 7
 
 
 def test_a_policy_is_judged_by_the_topics_that_its_pusher_named():
     """Guards a replay: turned on since, a topic must not refuse what was committed without it."""
     member = Direct()
-    member.put(member.ledger.log.encode("pools", "g1", Add(50)))
+    member.put_entry(member.state.log.encode("pools", "g1", Add(50)))
     text = '{"pools":{"most":10}}'
-    assert member.change(0, text, ("shares",)) == 1
-    assert member.change(1, text, ("pools", "shares")).where == "pools.most" and member.ledger.version == 1
+    assert member.change_policy(0, text, ("shares",)) == 1
+    assert member.change_policy(1, text, ("pools", "shares")).where == "pools.most"
+    assert member.state.version == 1
 
 
 def test_a_text_that_is_no_policy_is_refused_and_not_raised():
-    refusal = Direct().change(0, '{"new": 1}', ())
+    refusal = Direct().change_policy(0, '{"new": 1}', ())
     assert isinstance(refusal, Refusal) and "new" in refusal.what
 
 
 @pytest.mark.parametrize(
     "breaks",
     [
-        lambda member: member.change(0, "{}", ("maintenance",)),
-        lambda member: member.ledger._deserialize({"format": 3}),
-        lambda member: member.ledger._deserialize({"format": 2, "version": 1, "body": "{}", "log": b"\xc1"}),
-        lambda member: member.put(member.ledger.log.encode("pools", "g1", Add(10**6))),
+        lambda member: member.change_policy(0, "{}", ("maintenance",)),
+        lambda member: member.state._deserialize({"format": 3}),
+        lambda member: member.state._deserialize({"format": 2, "version": 1, "body": "{}", "log": b"\xc1"}),
+        lambda member: member.put_entry(member.state.log.encode("pools", "g1", Add(10**6))),
     ],
     ids=["topic", "newer", "bad", "memory"],
 )
@@ -210,36 +211,38 @@
     with monkeypatch.context() as patch:
         patch.setattr(Adder, "apply", no_memory)
         breaks(member)
-    assert len(member.told.of(Broken)) == 1
+    assert len(member.told.of(ReplicaFailed)) == 1
     heard = list(member.told.heard)
-    assert member.change(0, "{}", ()) is None, "what became of it on the others is not known here"
-    member.put(member.ledger.log.encode("pools", "g1", Add(50)))
-    member.mark("g0", "life", 7)
-    assert member.told.heard == heard and member.ledger.log.states["pools"] == Sum()
-    with pytest.raises(LogUnusable):
-        member.ledger._serialize()
+    assert member.change_policy(0, "{}", ()) is None, "what became of it on the others is not known here"
+    member.put_entry(member.state.log.encode("pools", "g1", Add(50)))
+    member.heartbeat("g0", "life", 7)
+    assert member.told.heard == heard and member.state.log.states["pools"] == Sum()
+    with pytest.raises(LogUnusableError):
+        member.state._serialize()
 
 
 def test_what_is_wrong_in_a_call_is_wrong_for_all_and_breaks_nobody():
     """Guards the fleet: one bad entry must not send every member away."""
     member = Direct()
-    member.put(7)
-    assert isinstance(member.change(0, 7, ()), Refusal) and isinstance(member.change(0, "{}", 7), Refusal)
-    assert not member.told.of(Broken) and member.change(0, "{}", ()) == 1
+    member.put_entry(7)
+    assert isinstance(member.change_policy(0, 7, ()), Refusal)
+    assert isinstance(member.change_policy(0, "{}", 7), Refusal)
+    assert not member.told.of(ReplicaFailed) and member.change_policy(0, "{}", ()) == 1
 
 
 def test_a_snapshot_holds_the_states_and_nothing_of_the_process():
     member, other = Direct(), Direct()
-    member.put(member.ledger.log.encode("pools", "g1", Add(50)))
-    member.change(0, '{"drains":["n0"]}', ("pools", "shares"))
-    data = member.ledger._serialize()
+    member.put_entry(member.state.log.encode("pools", "g1", Add(50)))
+    member.change_policy(0, '{"drains":["n0"]}', ("pools", "shares"))
+    data = member.state._serialize()
     assert set(data) == {"format", "version", "body", "log"}
-    other.ledger._deserialize(data)
+    other.state._deserialize(data)
     assert other.told.states()["pools"] == Sum(50, "g1")
-    assert other.told.of(Change)[-1] == Change(1, '{"drains":["n0"]}')
+    assert other.told.of(PolicyVersion)[-1] == PolicyVersion(1, '{"drains":["n0"]}')
 
 
 def test_a_snapshot_from_before_topics_is_taken_in():
     member = Direct()
-    member.ledger._deserialize({"version": 4, "body": '{"drains":["n0"]}'})
-    assert member.told.heard[-1] == Change(4, '{"drains":["n0"]}') and not member.told.of(Broken)
+    member.state._deserialize({"version": 4, "body": '{"drains":["n0"]}'})
+    assert member.told.heard[-1] == PolicyVersion(4, '{"drains":["n0"]}')
+    assert not member.told.of(ReplicaFailed)
--- a/tests/storage_gateway/coordination/test_fleet_service.py
+++ b/tests/storage_gateway/coordination/test_fleet_service.py
@@ -10,7 +10,7 @@
 from types import ModuleType, SimpleNamespace
 
 import pytest
-from topics import Add, Adder, Change, Fail
+from topics import Add, Adder, Fail, PolicyVersion
 from typer.testing import CliRunner
 
 from mallowbeam.cli.policy import app
@@ -18,16 +18,16 @@
 from mallowbeam.http.server import Server
 from mallowbeam.lab.rig import hold_port
 from mallowbeam.storage_gateway.coordination import errors as fleet_errors
-from mallowbeam.storage_gateway.coordination.errors import BadPolicy, LogUnusable, NoLeader
+from mallowbeam.storage_gateway.coordination.errors import InvalidPolicyError, LogUnusableError, NoLeaderError
 from mallowbeam.storage_gateway.coordination.policy_document import (
-    MOST_DEPTH,
+    MAX_DEPTH,
     canonical,
     check_sections,
     read_policy,
     register_section,
 )
-from mallowbeam.storage_gateway.coordination.raft_node import Broken, Hosted
-from mallowbeam.storage_gateway.coordination.service import FleetService
+from mallowbeam.storage_gateway.coordination.raft_node import ReplicaFailed, SubsystemsHosted
+from mallowbeam.storage_gateway.coordination.service import CoordinationService
 from mallowbeam.storage_gateway.coordination.status_pages import StatusPages
 from mallowbeam.storage_gateway.coordination.subsystem_context import GatewayContext
 from mallowbeam.storage_gateway.operator_settings import PolicySection, SharesSection
@@ -48,7 +48,7 @@
 
     def change_plan(self, now: float, plan: Plan, *_: object) -> None:
         if plan.limit == 13:
-            raise BadPolicy("refused by the module")
+            raise InvalidPolicyError("refused by the module")
         self.plans.append(plan)
 
     def _apply(self, orders: object) -> None:
@@ -106,7 +106,7 @@
             beat_s=0.05,
             lease_s=20.0,
         )
-        self.service = FleetService(self.gateway, section, {"shares": SharesSection(on=True)})
+        self.service = CoordinationService(self.gateway, section, {"shares": SharesSection(on=True)})
         self.part: Part = self.service.subsystems["shares"]
         self.pages = StatusPages(self.service)
 
@@ -135,7 +135,7 @@
             world = World(tmp_path, monkeypatch)
             world.service.start()
             try:
-                await world.until(lambda: world.service.serves() and world.service.leading)
+                await world.until(lambda: world.service.serves() and world.service.known_leader)
                 await scene(world)
             finally:
                 await world.service.stop()
@@ -170,7 +170,7 @@
 
 def test_what_is_proposed_without_a_leader_is_dropped_at_once(play):
     async def scene(world: World) -> None:
-        world.service.leading = None
+        world.service.known_leader = None
         assert not world.part.context.propose(Add(1)) and world.service.counts["dropped"] == 1
         await world.service.stop()
         assert not world.part.context.propose(Add(1)) and world.service.counts["dropped"] == 2
@@ -263,26 +263,29 @@
 def test_a_member_with_other_sections_stops_pushes_while_it_is_heard_of(play):
     async def scene(world: World) -> None:
         world.service.section.members["g1"] = "127.0.0.1:2"
-        world.service._learn((Hosted("g1", ()),))
-        world.service.agreement.ledger.heard["g1"] = float("inf")
+        world.service._handle((SubsystemsHosted("g1", ()),))
+        world.service.raft.state.last_heartbeat_at["g1"] = float("inf")
         status, told = await world.push(0, {})
         assert (status, told["error"]) == (409, "NotAlike") and "g1" in told["what"]
-        del world.service.agreement.ledger.heard["g1"]
+        del world.service.raft.state.last_heartbeat_at["g1"]
         assert (await world.push(0, {}))[0] == 200
 
     play(scene)
 
 
-@pytest.mark.parametrize("heard", [Broken(LogUnusable("newer", "snapshot")), Change(0, '{"drains":["n9"]}')])
+@pytest.mark.parametrize(
+    "heard",
+    [ReplicaFailed(LogUnusableError("newer", "snapshot")), PolicyVersion(0, '{"drains":["n9"]}')],
+)
 def test_one_that_lost_the_thread_leaves_and_says_why(play, heard):
     async def scene(world: World) -> None:
-        world.service._learn((heard,))
-        await world.until(lambda: world.service.leaving.done())
-        assert world.service.agreement is None
+        world.service._handle((heard,))
+        await world.until(lambda: world.service.leave_task.done())
+        assert world.service.raft is None
         assert (await world.ask("GET", "/policy"))[1]["failed"]["error"] == "LogUnusable"
         assert (await world.push(0, {}))[1]["error"] == "LogUnusable" and world.gateway.drained == []
         proofs = len(world.part.proofs)
-        world.service._learn((Change(1, '{"drains":["n1"]}'),))
+        world.service._handle((PolicyVersion(1, '{"drains":["n1"]}'),))
         assert world.gateway.drained == [] and len(world.part.proofs) == proofs
 
     play(scene)
@@ -332,14 +335,14 @@
     [
         ('{"plans": [{"name": "a"}, {"name": "a"}]}', "twice"),
         ('{"plans": [{"name": "a", "weight": 0}]}', "weight"),
-        ('{"shares": ' + '{"a":' * MOST_DEPTH + "[1]" + "}" * MOST_DEPTH + "}", "levels"),
+        ('{"shares": ' + '{"a":' * MAX_DEPTH + "[1]" + "}" * MAX_DEPTH + "}", "levels"),
         ('{"shares": ' + '{"a":' * 5000 + "1" + "}" * 5000 + "}", ""),
         ('{"drains": ["' + "x" * 70_000 + '"]}', "at most 65536"),
     ],
     ids=["twice", "weightless", "deep", "deeper than a stack", "long"],
 )
 def test_a_policy_that_can_not_be_is_refused_with_a_remedy(text, said):
-    with pytest.raises(BadPolicy) as caught:
+    with pytest.raises(InvalidPolicyError) as caught:
         read_policy(text)
     assert said in str(caught.value) and caught.value.cure
 
@@ -347,7 +350,7 @@
 def test_a_section_is_checked_against_the_type_that_its_package_states(monkeypatch):
     monkeypatch.setattr("mallowbeam.storage_gateway.coordination.policy_document._TYPES", {})
     register_section("shares", SharesSection)
-    with pytest.raises(BadPolicy) as caught:
+    with pytest.raises(InvalidPolicyError) as caught:
         check_sections(read_policy('{"shares": {"on": 7}}'), ("shares",))
     assert caught.value.where == "shares.on"
     with pytest.raises(ValueError, match="lanes"):
@@ -359,11 +362,11 @@
         kind
         for kind in vars(fleet_errors).values()
         if isinstance(kind, type)
-        and issubclass(kind, fleet_errors.FleetError)
-        and kind is not fleet_errors.FleetError
+        and issubclass(kind, fleet_errors.CoordinationError)
+        and kind is not fleet_errors.CoordinationError
     ]
-    assert NoLeader in kinds
+    assert NoLeaderError in kinds
     for kind in kinds:
         told = kind("what", "where").told()
-        assert told == {"error": kind.__name__, "what": "what", "where": "where", "remedy": kind.remedy}
+        assert told == {"error": kind.error_name, "what": "what", "where": "where", "remedy": kind.remedy}
         assert kind.remedy and 400 <= kind.status < 600
--- a/tests/storage_gateway/coordination/test_policy.py
+++ b/tests/storage_gateway/coordination/test_policy.py
@@ -14,23 +14,23 @@
 from mallowbeam.lab.faults.fleet import LEASE, Fleet
 from mallowbeam.lab.faults.history import Fault, History, Pushed, Seen, check
 from mallowbeam.storage_gateway.coordination.policy import (
-    MOST_MARKS,
-    Apply,
-    Change,
-    Entered,
-    Mark,
-    OutOfOrder,
+    MAX_PENDING_HEARTBEATS,
+    ApplyPolicy,
     Phase,
+    PhaseChanged,
     PolicyCore,
+    PolicyVersion,
+    ProposeHeartbeat,
+    VersionOrderError,
 )
-from mallowbeam.storage_gateway.coordination.service import hold
+from mallowbeam.storage_gateway.coordination.service import lock_folder
 from mallowbeam.storage_gateway.server.config import BadConfig
 
 ONE, TWO = '{"drains":["n0"]}', '{"drains":["n1"]}'
 
 
 def core(**changes) -> PolicyCore:
-    return PolicyCore(**({"lease": 1.0, "beat": 0.2} | changes))
+    return PolicyCore(**({"lease": 1.0, "heartbeat_interval": 0.2} | changes))
 
 
 # --- the core -------------------------------------------------------------------------------------
@@ -39,10 +39,13 @@
 def test_nothing_is_served_or_applied_until_a_mark_has_come_back():
     """Guards a restart: what the log told so far may be old, and a newer change may be on its way."""
     policy = core()
-    assert policy.tick(10.0) == [Mark(1)] and not policy.serves(10.0)
-    assert policy.committed(Change(1, ONE)) == [] and policy.committed(Change(2, TWO)) == []
-    assert policy.change == Change() and not policy.serves(10.1)
-    assert policy.marked(1, 10.1) == [Apply(Change(2, TWO), Change()), Entered(Phase.CURRENT)]
+    assert policy.tick(10.0) == [ProposeHeartbeat(1)] and not policy.serves(10.0)
+    assert policy.committed(PolicyVersion(1, ONE)) == [] and policy.committed(PolicyVersion(2, TWO)) == []
+    assert policy.in_force == PolicyVersion() and not policy.serves(10.1)
+    assert policy.heartbeat_committed(1, 10.1) == [
+        ApplyPolicy(PolicyVersion(2, TWO), PolicyVersion()),
+        PhaseChanged(Phase.CURRENT),
+    ]
     assert policy.serves(10.1)
 
 
@@ -50,33 +53,37 @@
     """Guards against a late answer: that the log spoke at 10.9 proves what it held at 10.0 and no more."""
     policy = core()
     policy.tick(10.0)
-    policy.marked(1, 10.9)
+    policy.heartbeat_committed(1, 10.9)
     assert policy.serves(11.0) and not policy.serves(11.001)
 
 
 def test_a_mark_that_comes_back_after_its_lease_lets_nobody_serve():
     policy = core()
     policy.tick(10.0)
-    assert policy.marked(1, 11.1) == [] and policy.phase is Phase.LEARNING and not policy.serves(11.1)
+    assert (
+        policy.heartbeat_committed(1, 11.1) == []
+        and policy.phase is Phase.LEARNING
+        and not policy.serves(11.1)
+    )
 
 
 def test_one_that_stood_still_does_not_serve_before_its_first_tick():
     """Guards against SIGSTOP: its phase says current until a tick, and what came meanwhile is read first."""
     policy = core()
     policy.tick(10.0)
-    policy.marked(1, 10.05)
+    policy.heartbeat_committed(1, 10.05)
     assert policy.phase is Phase.CURRENT and not policy.serves(60.0)
-    assert Entered(Phase.STALE) in policy.tick(60.0) and policy.change == Change()
+    assert PhaseChanged(Phase.STALE) in policy.tick(60.0) and policy.in_force == PolicyVersion()
 
 
 @pytest.mark.parametrize("refuses", [True, False])
 def test_what_is_stale_keeps_the_last_policy_and_serves_only_where_told_to(refuses):
-    policy = core(refuses_stale=refuses)
+    policy = core(rejects_when_stale=refuses)
     policy.tick(10.0)
-    policy.committed(Change(1, ONE))
-    policy.marked(1, 10.0)
+    policy.committed(PolicyVersion(1, ONE))
+    policy.heartbeat_committed(1, 10.0)
     policy.tick(20.0)
-    assert policy.phase is Phase.STALE and policy.change == Change(1, ONE)
+    assert policy.phase is Phase.STALE and policy.in_force == PolicyVersion(1, ONE)
     assert policy.serves(20.0) is not refuses
 
 
@@ -84,27 +91,29 @@
     policy = core()
     for n in range(3):
         policy.tick(10.0 + n)
-    assert policy.marked(99, 12.0) == []
-    policy.marked(3, 12.1)
-    assert policy.renewed_at == 12.0 and policy.marked(1, 12.2) == [] and policy.renewed_at == 12.0
+    assert policy.heartbeat_committed(99, 12.0) == []
+    policy.heartbeat_committed(3, 12.1)
+    assert (
+        policy.renewed_at == 12.0 and policy.heartbeat_committed(1, 12.2) == [] and policy.renewed_at == 12.0
+    )
 
 
 def test_marks_on_their_way_are_bounded():
     policy = core()
-    for n in range(10 * MOST_MARKS):
+    for n in range(10 * MAX_PENDING_HEARTBEATS):
         policy.tick(float(n))
-    assert len(policy.marks) == MOST_MARKS
+    assert len(policy.pending_heartbeats) == MAX_PENDING_HEARTBEATS
 
 
-@pytest.mark.parametrize("change", [Change(1, ONE), Change(2, ONE)])
+@pytest.mark.parametrize("change", [PolicyVersion(1, ONE), PolicyVersion(2, ONE)])
 def test_a_log_that_goes_back_or_names_two_policies_alike_is_refused(change):
     policy = core()
     policy.tick(0.0)
-    policy.marked(1, 0.0)
-    policy.committed(Change(2, TWO))
-    with pytest.raises(OutOfOrder):
+    policy.heartbeat_committed(1, 0.0)
+    policy.committed(PolicyVersion(2, TWO))
+    with pytest.raises(VersionOrderError):
         policy.committed(change)
-    assert policy.change == Change(2, TWO)
+    assert policy.in_force == PolicyVersion(2, TWO)
 
 
 class Model:
@@ -113,7 +122,7 @@
     def __init__(self, seed: int, make: Callable[..., PolicyCore], size: int = 4) -> None:
         self.draw, self.make, self.now = random.Random(seed), make, 0.0
         self.log: list[tuple[str, int, int]] = []  # a change, or a gateway's mark by life and number
-        self.cores = [make(lease=1.0, beat=0.2) for _ in range(size)]
+        self.cores = [make(lease=1.0, heartbeat_interval=0.2) for _ in range(size)]
         self.heard, self.lives = [0] * size, [0] * size
         self.history, self.version = History(), 0
 
@@ -123,22 +132,24 @@
         what = self.draw.choices(("tick", "hear", "push", "restart", "sleep"), (8, 8, 1, 0.3, 0.2))[0]
         if what == "tick":
             for action in self.cores[n].tick(self.now):
-                if isinstance(action, Mark) and self.draw.random() < 0.8:  # else there was no leader
+                if (
+                    isinstance(action, ProposeHeartbeat) and self.draw.random() < 0.8
+                ):  # else there was no leader
                     self.log.append((f"{n} {self.lives[n]}", action.number, 0))
         elif what == "hear":
             for whose, number, version in self.log[self.heard[n] : self.heard[n] + self.draw.randint(1, 30)]:
                 self.heard[n] += 1
                 if not whose:
-                    self.cores[n].committed(Change(version, f'{{"drains":["n{version}"]}}'))
+                    self.cores[n].committed(PolicyVersion(version, f'{{"drains":["n{version}"]}}'))
                 elif whose == f"{n} {self.lives[n]}":
-                    self.cores[n].marked(number, self.now)
+                    self.cores[n].heartbeat_committed(number, self.now)
         elif what == "push":
             self.version += 1
             self.log.append(("", 0, self.version))
             body = f'{{"drains":["n{self.version}"]}}'
             self.history.add(Pushed(self.now, self.now, "g", self.version - 1, body, self.version, ""))
         elif what == "restart":
-            self.cores[n], self.heard[n] = self.make(lease=1.0, beat=0.2), 0
+            self.cores[n], self.heard[n] = self.make(lease=1.0, heartbeat_interval=0.2), 0
             self.lives[n] += 1
         else:
             self.now += 2.0
@@ -150,8 +161,8 @@
                     f"g{i}",
                     policy.phase.value,
                     policy.serves(self.now),
-                    policy.change.version,
-                    policy.change.body,
+                    policy.in_force.version,
+                    policy.in_force.body,
                 )
             )
 
@@ -184,10 +195,10 @@
 class FromWhenHeard(PolicyCore):
     """Broken on purpose: its lease runs from when a mark came back."""
 
-    def marked(self, number: int, now: float) -> list:
-        if number in self.marks:
-            self.marks[number] = now
-        return super().marked(number, now)
+    def heartbeat_committed(self, number: int, now: float) -> list:
+        if number in self.pending_heartbeats:
+            self.pending_heartbeats[number] = now
+        return super().heartbeat_committed(number, now)
 
 
 @pytest.mark.parametrize("broken", [NeverStale, Hasty, FromWhenHeard])
@@ -244,14 +255,14 @@
 
 def test_a_log_in_use_or_out_of_reach_is_refused_at_the_start(tmp_path):
     """Guards the journal: two processes that write one would each undo what the other has promised."""
-    held = hold(tmp_path / "log")
+    held = lock_folder(tmp_path / "log")
     with pytest.raises(BadConfig, match="in use by another process"):
-        hold(tmp_path / "log")
+        lock_folder(tmp_path / "log")
     held.close()
-    hold(tmp_path / "log").close()
+    lock_folder(tmp_path / "log").close()
     (tmp_path / "file").write_text("")
     with pytest.raises(BadConfig, match="policy.folder"):
-        hold(tmp_path / "file" / "log")
+        lock_folder(tmp_path / "file" / "log")
 
 
 # --- whole processes ------------------------------------------------------------------------------
--- a/tests/storage_gateway/coordination/test_wire.py
+++ b/tests/storage_gateway/coordination/test_wire.py
@@ -1,4 +1,4 @@
-"""The agreement's links and entries sent again: real engines, callers made by hand, logs from hypothesis."""
+"""The node's links and entries sent again: real engines, callers made by hand, logs from hypothesis."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 from mallowbeam.lab.faults.diagnosis import KEPT, Diagnosis
 from mallowbeam.lab.rig import hold_port
-from mallowbeam.storage_gateway.coordination.raft_node import RaftNode
+from mallowbeam.storage_gateway.coordination.raft_node import Membership, RaftNode
 from mallowbeam.storage_gateway.coordination.raft_transport import RaftTransport
 
 NOTHING = b"\x01"  # the engine's entry without effect
@@ -48,13 +48,13 @@
     up: dict[str, RaftNode] = {}
 
     def start(name: str, folder: Path) -> None:
-        up[name] = RaftNode(name, "life", addresses, folder, lambda *_: None)
+        up[name] = RaftNode(Membership(name, "life", addresses), folder, lambda *_: None)
 
     try:
         yield up, start
     finally:
-        for agreement in up.values():
-            agreement.close()
+        for node in up.values():
+            node.close()
         for sock, _ in held:
             sock.close()
 
@@ -71,7 +71,8 @@
             if name != "b":  # c has an older log: it votes for b, and b not for it
                 until(lambda: all(one.describe().get("committed", 0) > 300 for one in up.values()))
         assert {one.leader() for one in up.values()} == {"b"}
-        assert all(up[name].wire.went_back < 10 for name in "ac"), [up[n].wire.went_back for n in "ac"]
+        rewinds = [up[name].transport.log_rewinds for name in "ac"]
+        assert all(count < 10 for count in rewinds), rewinds
 
 
 def until(holds) -> None:
@@ -120,15 +121,17 @@
     (tmp_path / "a").mkdir()
     held, port = hold_port(socket.SO_REUSEADDR)
     far = "127.0.0.1:9"  # greater than any port of the kernel's, as text
-    agreement = RaftNode("a", "life", {"a": f"127.0.0.1:{port}", "b": far}, tmp_path / "a", lambda *_: None)
-    yield agreement, port, far
-    agreement.close()
+    node = RaftNode(
+        Membership("a", "life", {"a": f"127.0.0.1:{port}", "b": far}), tmp_path / "a", lambda *_: None
+    )
+    yield node, port, far
+    node.close()
     held.close()
 
 
 def test_a_newer_link_ends_the_older_and_one_that_comes_late_is_refused(near):
     """Guards answers: what came late would take the live link's place, and answers would go nowhere."""
-    agreement, port, far = near
+    node, port, far = near
     first, second, late, again = (Caller(port) for _ in range(4))
     first.send((far, 7, 1))
     assert first.hear() is not None, "a link that stands is pinged"
@@ -156,12 +159,12 @@
 
 def test_a_link_gone_silent_is_given_up_by_the_one_that_was_dialled(near):
     """Guards a half-dead link: only the other side may dial, and would wait for nothing here."""
-    agreement, port, far = near
+    node, port, far = near
     caller = Caller(port)
     caller.send((far, 7, 1))
     while caller.hear() is not None:
         pass
-    until(lambda: agreement.describe()["links"]["b"]["state"] == "down")
+    until(lambda: node.describe()["links"]["b"]["state"] == "down")
 
 
 def test_a_dial_without_an_end_is_given_up_and_made_anew():
@@ -170,14 +173,14 @@
     wire = RaftTransport.__new__(RaftTransport)
     node = TCPNode("127.0.0.1:1")
     conn = SimpleNamespace(state=1, disconnect=lambda: ended.append(node))
-    wire.pinged = wire.ticked = wire.slowest = 0.0
-    wire.waiting, wire._ready = {}, True
+    wire.pinged_at = wire.ticked_at = wire.slowest_tick = 0.0
+    wire.unidentified, wire._ready = {}, True
     wire._connections, wire._nodes, wire._lastConnectAttempt = {node: conn}, {node}, {node: time.monotonic()}
     wire._syncObj = SimpleNamespace(conf=SimpleNamespace(connectionTimeout=1.5))
     wire._connectIfNecessary = lambda: dialled.append(node)
     wire._onTick()
     assert not ended
-    wire.pinged, wire._lastConnectAttempt = 0.0, {node: time.monotonic() - 1.6}
+    wire.pinged_at, wire._lastConnectAttempt = 0.0, {node: time.monotonic() - 1.6}
     wire._onTick()
     assert ended == [node]
 
@@ -188,7 +191,7 @@
 def alone(log: list[int], commit: int = 1, term: int = 5) -> tuple[RaftTransport, list, list]:
     """A transport over a log of these terms, and what passes it: to the engine, and out."""
     wire = RaftTransport.__new__(RaftTransport)
-    wire.went_back = 0
+    wire.log_rewinds = 0
     entries = [(NOTHING, index, of) for index, of in enumerate(log, 1)]
     wire._syncObj = SimpleNamespace(raftCurrentTerm=term, raftCommitIndex=commit, _SyncObj__raftLog=entries)
     passed: list = []
@@ -328,7 +331,7 @@
     with members("a") as (up, start):
         start("a", tmp_path / "a")
         until(lambda: up["a"].describe().get("committed", 0) > last)
-        held = {index: term for _, index, term in up["a"].wire._log}
+        held = {index: term for _, index, term in up["a"].transport._log}
         assert min(held) == first and held[last] == 2, "it begins at the snapshot and kept what came after"
 
 
--- a/tests/support/topics.py
+++ b/tests/support/topics.py
@@ -11,8 +11,14 @@
 import msgspec
 
 from mallowbeam.lab.rig import hold_port
-from mallowbeam.storage_gateway.coordination.policy import Change
-from mallowbeam.storage_gateway.coordination.raft_node import Broken, Hosted, Proof, RaftNode
+from mallowbeam.storage_gateway.coordination.policy import PolicyVersion
+from mallowbeam.storage_gateway.coordination.raft_node import (
+    HeartbeatCommitted,
+    Membership,
+    RaftNode,
+    ReplicaFailed,
+    SubsystemsHosted,
+)
 from mallowbeam.storage_gateway.coordination.replicated_log import Committed, Entry, Refusal, ReplicatedLog
 
 
@@ -103,14 +109,13 @@
         place = self.folder / name
         place.mkdir(parents=True, exist_ok=True)
         self.told[name] = Told()
-        self.up[name] = RaftNode(
-            name, f"{time.monotonic_ns()}", self.addresses, place, self.told[name], log=make_log(*topics)
-        )
+        membership = Membership(name, f"{time.monotonic_ns()}", self.addresses)
+        self.up[name] = RaftNode(membership, place, self.told[name], make_log(*topics))
 
     def stop(self, name: str) -> None:
-        agreement = self.up.pop(name)
-        agreement.close()
-        while agreement.engine.tick_thread_alive():
+        node = self.up.pop(name)
+        node.close()
+        while node.engine.tick_thread_alive():
             time.sleep(0.01)
 
     def close(self) -> None:
@@ -132,9 +137,9 @@
             number = self.marks
 
             def back(name: str = name, number: int = number) -> bool:
-                if Proof(number) in self.told[name].heard or self.told[name].of(Broken):
+                if HeartbeatCommitted(number) in self.told[name].heard or self.told[name].of(ReplicaFailed):
                     return True
-                self.up[name].mark(number)
+                self.up[name].propose_heartbeat(number)
                 return False
 
             self.until(back)
@@ -143,17 +148,28 @@
         """A push's end."""
         self.lease_renewed(name)  # a leader is there: what is put in is not lost
         over, ends = threading.Event(), list[Any]()
-        self.up[name].push(base, body, lambda told: (ends.append(told), over.set()))
+        self.up[name].propose_policy(base, body, lambda told: (ends.append(told), over.set()))
         assert over.wait(30)
         return ends[0]
 
     def put(self, name: str, topic: str, entry: Entry) -> None:
         """Put an entry in and wait until it is out, or a refusal of it."""
         self.lease_renewed(name)
-        agreement, told = self.up[name], self.told[name]
-        body, before = agreement.ledger.log.encode(topic, name, entry), len(told.entries)
-        agreement.put(body)
+        node, told = self.up[name], self.told[name]
+        body, before = node.state.log.encode(topic, name, entry), len(told.entries)
+        node.propose(body)
         self.until(lambda: len(told.entries) > before)
 
 
-__all__ = ["Add", "Adder", "Broken", "Change", "Fail", "Hosted", "Members", "Sum", "Told", "make_log"]
+__all__ = [
+    "Add",
+    "Adder",
+    "ReplicaFailed",
+    "PolicyVersion",
+    "Fail",
+    "SubsystemsHosted",
+    "Members",
+    "Sum",
+    "Told",
+    "make_log",
+]
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -55,18 +55,18 @@
 from mallowbeam.router.rpc import messages_pb2 as messages
 from mallowbeam.router.rpc.framing import FrameReader, encode_frame
 from mallowbeam.storage_gateway import operator_settings as operators
-from mallowbeam.storage_gateway.coordination.errors import FleetError
+from mallowbeam.storage_gateway.coordination.errors import CoordinationError
 from mallowbeam.storage_gateway.coordination.maintenance.state_machine import MaintenanceStateMachine
-from mallowbeam.storage_gateway.coordination.policy import Change
+from mallowbeam.storage_gateway.coordination.policy import PolicyVersion
 from mallowbeam.storage_gateway.coordination.policy_document import canonical, read_policy
 from mallowbeam.storage_gateway.coordination.pools import canonical as pool_text
 from mallowbeam.storage_gateway.coordination.pools.errors import PoolError
 from mallowbeam.storage_gateway.coordination.pools.parser import parse
-from mallowbeam.storage_gateway.coordination.raft_node import Broken, RaftNode
+from mallowbeam.storage_gateway.coordination.raft_node import Membership, RaftNode, ReplicaFailed
 from mallowbeam.storage_gateway.coordination.replicated_log import Refusal, ReplicatedLog
 from mallowbeam.storage_gateway.coordination.service import digest
 from mallowbeam.storage_gateway.coordination.shares.state_machine import SharesStateMachine
-from mallowbeam.storage_gateway.coordination.status_pages import page
+from mallowbeam.storage_gateway.coordination.status_pages import json_response
 from mallowbeam.storage_gateway.frontends.object_api.access import read_keys
 from mallowbeam.storage_gateway.frontends.object_api.errors import ERRORS, error_body
 from mallowbeam.storage_gateway.scheduler import simulator_host as wirehost
@@ -330,10 +330,10 @@
     sample = samples("policies.json")
     for one in sample["good"]:
         text = canonical(read_policy(json.dumps(one["policy"])))
-        assert (text, digest(Change(1, text))) == (one["canonical"], one["digest"])
+        assert (text, digest(PolicyVersion(1, text))) == (one["canonical"], one["digest"])
         assert canonical(read_policy(text)) == text
     for one in sample["refused"]:
-        check_error(raised(FleetError, lambda: read_policy(one["text"])), one)  # noqa: B023
+        check_error(raised(CoordinationError, lambda: read_policy(one["text"])), one)  # noqa: B023
 
 
 def test_the_pool_language_has_the_same_canonical_text_digest_and_errors():
@@ -363,7 +363,8 @@
     sample = samples("agreement.json")
     ports = [hold_port(socket.SO_REUSEADDR) for _ in sample["members"]]
     addresses = {name: f"127.0.0.1:{port}" for name, (_, port) in zip(sample["members"], ports, strict=True)}
-    member = RaftNode("g0", "a-new-life", addresses, folder, told, None, fleet_log(tuple(sample["members"])))
+    membership = Membership("g0", "a-new-life", addresses)
+    member = RaftNode(membership, folder, told, fleet_log(tuple(sample["members"])))
     try:
         yield member
     finally:
@@ -379,15 +380,15 @@
     heard: list[Any] = []
     for member in open_agreement(agreement_folder, heard.extend):
         end = time.monotonic() + PATIENCE_S
-        while member.ledger.log.index < sample["after"]["index"] or member.ledger.version < 2:
-            assert time.monotonic() < end, (member.ledger.log.index, member.ledger.version)
+        while member.state.log.index < sample["after"]["index"] or member.state.version < 2:
+            assert time.monotonic() < end, (member.state.log.index, member.state.version)
             time.sleep(0.01)
-        ledger = member.ledger
+        ledger = member.state
         assert (ledger.version, ledger.body) == (sample["after"]["version"], sample["after"]["body"])
         assert states_of(ledger.log) == sample["after"]["states"]
-        versions = [one.version for one in heard if isinstance(one, Change)]
+        versions = [one.version for one in heard if isinstance(one, PolicyVersion)]
         assert versions == [0, 1, 2], "the snapshot's policy, then the journal's"
-        assert not [one for one in heard if isinstance(one, Broken)]
+        assert not [one for one in heard if isinstance(one, ReplicaFailed)]
 
 
 def test_the_replicated_calls_keep_the_numbers_that_the_journal_holds(agreement_folder):
@@ -598,11 +599,11 @@
 
 
 def test_the_fleets_pages_answer_errors_as_before():
-    kinds = {kind.error_name: kind for kind in (FleetError, *all_below(FleetError))}
+    kinds = {kind.error_name: kind for kind in (CoordinationError, *all_below(CoordinationError))}
     for one in samples("errors.json")["fleet_pages"]:
         error = kinds[one["name"]]("what is wrong", "somewhere")
         assert error.status == one["status"]
-        check_reply(page(error.status, error.told(), False).data, one["reply"])
+        check_reply(json_response(error.status, error.told(), False).data, one["reply"])
 
 
 def test_the_object_api_answers_errors_as_before():
