--- a/mallowbeam/storage_gateway/coordination/status_pages.py
+++ b/mallowbeam/storage_gateway/coordination/status_pages.py
@@ -44,7 +44,9 @@
 class StatusPages:
     """Answers requests for the pages."""
 
-    max_body = whole = MAX_POLICY_BYTES  # a push may come in several segments: it is read completely first
+    max_body = max_buffered_body = (
+        MAX_POLICY_BYTES  # a push may come in several segments: it is read completely first
+    )
     budget: BodyBudget | None = None
 
     def __init__(self, service: CoordinationService) -> None:
