--- a/mallowbeam/storage_gateway/coordination/status_pages.py
+++ b/mallowbeam/storage_gateway/coordination/status_pages.py
@@ -44,9 +44,7 @@
 class StatusPages:
     """Answers requests for the pages."""
 
-    max_body = max_buffered_body = (
-        MAX_POLICY_BYTES  # a push may come in several segments: it is read completely first
-    )
+    max_body = max_buffered_body = MAX_POLICY_BYTES  # a push may come in several segments
     budget: BodyBudget | None = None
 
     def __init__(self, service: CoordinationService) -> None:
@@ -91,7 +89,7 @@
         """The response to a request that breaks HTTP or a bound."""
         return json_response(status, UnreadableRequestError(text).told(), True)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """Requests for the pages are not counted in the metrics."""
 
 
