--- a/mallowbeam/cli/buffer.py
+++ b/mallowbeam/cli/buffer.py
@@ -25,9 +25,9 @@
 from rich.table import Table
 
 from mallowbeam.storage_gateway.write_buffer import inspect
-from mallowbeam.storage_gateway.write_buffer.disk import Locked
-from mallowbeam.storage_gateway.write_buffer.errors import Failed
-from mallowbeam.storage_gateway.write_buffer.records import Newer
+from mallowbeam.storage_gateway.write_buffer.disk import FolderLockedError
+from mallowbeam.storage_gateway.write_buffer.errors import LogIOError
+from mallowbeam.storage_gateway.write_buffer.records import UnsupportedFormatError
 
 app = typer.Typer(no_args_is_help=True, help="Look at and empty a write-back buffer's folder.")
 Folder = Annotated[Path, typer.Argument(help="the buffer's folder", exists=True, file_okay=False)]
@@ -40,7 +40,7 @@
     """One line and exit status 2 for what can't be read."""
     try:
         yield
-    except (Newer, Locked, Failed, OSError) as error:
+    except (UnsupportedFormatError, FolderLockedError, LogIOError, OSError) as error:
         typer.echo(f"mallowbeam: {getattr(error, 'line', error)}", err=True)
         raise typer.Exit(2) from None
 
@@ -87,7 +87,7 @@
 def show(folder: Folder, as_json: AsJson = False) -> None:
     """What the folder holds; it may be in use."""
     with plain_errors():
-        report = inspect.look(str(folder))
+        report = inspect.inspect_folder(str(folder))
     if as_json:
         typer.echo(report.json())
     else:
@@ -97,14 +97,14 @@
 @app.command()
 def verify(folder: Folder, as_json: AsJson = False) -> None:
     """Read every byte again; exit status 1 where something acknowledged is damaged or missing."""
-    with plain_errors(), progress("verifying", inspect.size_of(str(folder))) as told:
-        report = inspect.look(str(folder), pieces=True, told=told)
+    with plain_errors(), progress("verifying", inspect.folder_bytes(str(folder))) as told:
+        report = inspect.inspect_folder(str(folder), chunks=True, progress=told)
     if as_json:
         typer.echo(report.json())
     else:
         Console().print(table(report))
-        typer.echo("whole" if report.whole else "NOT whole: something acknowledged is damaged or missing")
-    raise typer.Exit(0 if report.whole else 1)
+        typer.echo("whole" if report.is_intact else "NOT whole: something acknowledged is damaged or missing")
+    raise typer.Exit(0 if report.is_intact else 1)
 
 
 @app.command()
@@ -117,8 +117,8 @@
     if target.exists():
         typer.echo(f"mallowbeam: {target} exists already", err=True)
         raise typer.Exit(2)
-    with plain_errors(), progress("exporting", inspect.look(str(folder)).write_bytes) as told:
-        count = inspect.export(str(folder), target, told)
+    with plain_errors(), progress("exporting", inspect.inspect_folder(str(folder)).write_bytes) as told:
+        count = inspect.export_writes(str(folder), target, told)
     say({"writes": count, "target": str(target)}, f"{count} writes in {target}", as_json)
 
 
@@ -167,14 +167,14 @@
                 for lsn, dropped in [*((n, False) for n in send), *((n, True) for n in drop)]:
                     if not buffer.core.release(now, lsn, dropped):
                         typer.echo(f"mallowbeam: no write {lsn} is held", err=True)
-                buffer.stir()
+                buffer.wake()
                 task = bar.add_task("writes", total=total)
-                while len(buffer.core.entries) > buffer.core.held and not run.done():
+                while len(buffer.core.entries) > buffer.core.suspended and not run.done():
                     await asyncio.sleep(0.05)
                     bar.update(task, completed=total - len(buffer.core.entries))
         except TimeoutError:
             pass
-    left = len(buffer.core.entries), buffer.core.held
+    left = len(buffer.core.entries), buffer.core.suspended
     run.cancel()
     await asyncio.gather(run, return_exceptions=True)
     await buffer.stop()
--- a/mallowbeam/cli/config.py
+++ b/mallowbeam/cli/config.py
@@ -46,9 +46,9 @@
         settings = read_object_settings(objects, gateway)
         if isinstance(buffer, dict) and buffer.get("folder") is not None:
             from mallowbeam.storage_gateway.frontends.object_api.buffered import read_buffer_settings
-            from mallowbeam.storage_gateway.write_buffer.reopen import probe
+            from mallowbeam.storage_gateway.write_buffer.reopen import check_folder
 
-            why = probe(read_buffer_settings(buffer, settings, gateway), wait=True)
+            why = check_folder(read_buffer_settings(buffer, settings, gateway), wait=True)
             if why is not None:
                 raise BadConfig(why)
 
--- a/mallowbeam/lab/crash.py
+++ b/mallowbeam/lab/crash.py
@@ -131,11 +131,11 @@
         self.rig.start()
         await self.rig.ready()
         until = time.monotonic() + PATIENCE
-        report = inspect.look(str(self.rig.store))
+        report = inspect.inspect_folder(str(self.rig.store))
         while report.writes and time.monotonic() < until:
             await asyncio.sleep(0.2)
-            report = inspect.look(str(self.rig.store))
-        if report.writes or not report.whole:
+            report = inspect.inspect_folder(str(self.rig.store))
+        if report.writes or not report.is_intact:
             self.wrong.append(f"left: {report.json()}")
         status = await asyncio.to_thread(self.rig.end, 15)
         if status != 0:
--- a/mallowbeam/lab/recover.py
+++ b/mallowbeam/lab/recover.py
@@ -11,11 +11,18 @@
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-from mallowbeam.storage_gateway.write_buffer.core import Core, Limits
+from mallowbeam.storage_gateway.write_buffer.core import Core
 from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
-from mallowbeam.storage_gateway.write_buffer.log import Found, Item, Log, name_of, numbers
+from mallowbeam.storage_gateway.write_buffer.limits import Limits
+from mallowbeam.storage_gateway.write_buffer.log import (
+    Log,
+    NewRecord,
+    ScanResult,
+    segment_name,
+    segment_numbers,
+)
 from mallowbeam.storage_gateway.write_buffer.records import Done, Kind, Write, pack
-from mallowbeam.storage_gateway.write_buffer.reopen import boot_clock, no_collection, replay
+from mallowbeam.storage_gateway.write_buffer.reopen import boot_clock, no_garbage_collection, replay
 
 BATCH = 2000
 SEGMENT = 64 << 20
@@ -41,7 +48,7 @@
     log, body = Log(RealDisk(str(folder)), SEGMENT), os.urandom(size)
     found = log.open()
     list(log.records(found))
-    log.settle(found)
+    log.recover(found)
     lsn = 0
     for first in range(0, records, BATCH):
         items = []
@@ -58,11 +65,11 @@
                 size,
                 time.time(),
             )
-            items.append(Item(Kind.WRITE, lsn, pack(Kind.WRITE, words, body)))
+            items.append(NewRecord(Kind.WRITE, lsn, pack(Kind.WRITE, words, body)))
         over = [item.lsn for item in items[: int(len(items) * settled)]]
         if over:
             lsn += 1
-            items.append(Item(Kind.DONE, lsn, pack(Kind.DONE, Done(over))))
+            items.append(NewRecord(Kind.DONE, lsn, pack(Kind.DONE, Done(over))))
         log.commit(items)
     log.close()
 
@@ -78,23 +85,23 @@
 
     disk, size = RealDisk(str(folder)), 0
     began = time.perf_counter()
-    for number in numbers(disk):
-        with open(folder / name_of(number), "rb", buffering=0) as file:
+    for number in segment_numbers(disk):
+        with open(folder / segment_name(number), "rb", buffering=0) as file:
             while data := file.read(1 << 20):
                 size += len(data)
     read, before = time.perf_counter() - began, peak()
     log, core = Log(disk, SEGMENT), Core(Limits(max_records=10_000_000), random.Random(1))
     began = time.perf_counter()
-    found: Found = log.open()
-    with no_collection():
+    found: ScanResult = log.open()
+    with no_garbage_collection():
         state = replay(log, found, time.time(), boot_clock())
-        log.settle(found)
+        log.recover(found)
         state.build(core, boot_clock(), b"boot")
     took = time.perf_counter() - began
     held = len(core.entries)
     log.close()
     return Result(
-        found.last,
+        found.last_lsn,
         held,
         round(size / 1e6, 1),
         round(read, 3),
--- a/mallowbeam/lab/stores.py
+++ b/mallowbeam/lab/stores.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
-from mallowbeam.storage_gateway.write_buffer.log import Found, Item, Log
+from mallowbeam.storage_gateway.write_buffer.log import Log, NewRecord, ScanResult
 from mallowbeam.storage_gateway.write_buffer.records import Kind, Write, pack, unpack
 
 BODY = os.urandom(1024)
@@ -47,14 +47,14 @@
         self.log = Log(RealDisk(str(folder)), 16 << 20)
         found = self.log.open()
         list(self.log.records(found))
-        self.log.settle(found)
+        self.log.recover(found)
 
     def commit(self, batch: list[tuple[int, bytes]]) -> None:
         """One write and one fdatasync."""
         items = []
         for number, body in batch:
             words = Write("PUT", "b", b"/b/%d" % number, number, [], b"token", '"etag"', len(body), 0.0)
-            items.append(Item(Kind.WRITE, number, pack(Kind.WRITE, words, body)))
+            items.append(NewRecord(Kind.WRITE, number, pack(Kind.WRITE, words, body)))
         self.log.commit(items)
 
     def close(self) -> None:
@@ -63,7 +63,7 @@
 
     def recover(self) -> int:
         """Read, check and unpack every record."""
-        log, found, count = Log(RealDisk(str(self.folder)), 16 << 20), Found(), 0
+        log, found, count = Log(RealDisk(str(self.folder)), 16 << 20), ScanResult(), 0
         log.open()
         for record in log.records(found):
             if record.kind is Kind.WRITE:
--- a/mallowbeam/standins/disk.py
+++ b/mallowbeam/standins/disk.py
@@ -12,7 +12,7 @@
 import random
 from dataclasses import dataclass, field
 
-from mallowbeam.storage_gateway.write_buffer.disk import File, Locked
+from mallowbeam.storage_gateway.write_buffer.disk import File, FolderLockedError
 
 SECTOR = 512
 
@@ -102,7 +102,7 @@
     def lock(self) -> None:
         """Own the folder."""
         if self.locked:
-            raise Locked("the folder is in use by another process")
+            raise FolderLockedError("the folder is in use by another process")
         self.locked = True
 
     def unlock(self) -> None:
@@ -182,8 +182,8 @@
         """Its length."""
         return len(self.inode.now)
 
-    def cut(self, size: int) -> None:
-        """Make it shorter."""
+    def truncate(self, size: int) -> None:
+        """Set a shorter length."""
         self.disk.step("cut", self.name)
         del self.inode.now[size:]
         self.inode.since.append(size)
--- a/mallowbeam/storage_gateway/coordination/service.py
+++ b/mallowbeam/storage_gateway/coordination/service.py
@@ -54,7 +54,7 @@
 from mallowbeam.storage_gateway.operator_settings import PolicySection
 from mallowbeam.storage_gateway.server.config import BadConfig
 from mallowbeam.storage_gateway.server.gateway import Gateway
-from mallowbeam.storage_gateway.write_buffer.disk import Locked, RealDisk
+from mallowbeam.storage_gateway.write_buffer.disk import FolderLockedError, RealDisk
 
 PUSH_S = 3.0  # seconds that a push is waited for before its end is called unknown
 POLICY = "policy"  # under this name the policy wants nodes out, beside the subsystems
@@ -69,7 +69,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         disk = RealDisk(str(folder))
         disk.lock()
-    except (OSError, Locked) as error:
+    except (OSError, FolderLockedError) as error:
         raise BadConfig(f"policy.folder: {error}") from None
     return disk
 
--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -33,14 +33,21 @@
 from mallowbeam.storage_gateway.server.calls import Call, Kind
 from mallowbeam.storage_gateway.server.config import BadConfig
 from mallowbeam.storage_gateway.server.gateway import Gateway
-from mallowbeam.storage_gateway.write_buffer.core import Entry, Limits, Offer, Outcome
-from mallowbeam.storage_gateway.write_buffer.errors import Failed
-from mallowbeam.storage_gateway.write_buffer.intake import PIECE
+from mallowbeam.storage_gateway.write_buffer.entries import Admission, Entry, Outcome
+from mallowbeam.storage_gateway.write_buffer.errors import LogIOError
+from mallowbeam.storage_gateway.write_buffer.intake import CHUNK_BYTES
+from mallowbeam.storage_gateway.write_buffer.interface import (
+    Phase,
+    SendResult,
+    Settings,
+    Upload,
+    VersionResult,
+)
+from mallowbeam.storage_gateway.write_buffer.limits import Limits
 from mallowbeam.storage_gateway.write_buffer.records import Write
-from mallowbeam.storage_gateway.write_buffer.reopen import probe
+from mallowbeam.storage_gateway.write_buffer.reopen import check_folder
 from mallowbeam.storage_gateway.write_buffer.service import Buffer
-from mallowbeam.storage_gateway.write_buffer.store import Doubtful, NotTaken
-from mallowbeam.storage_gateway.write_buffer.terms import Looked, Phase, Sent, Settings, Upload
+from mallowbeam.storage_gateway.write_buffer.store import CommitUnknownError, RecordRejectedError
 
 BARRIER = b"x-mallowbeam-barrier"  # on a write: `sync` or `through`
 BARRIER_ID = b"x-mallowbeam-barrier-id"  # on an answer: the barrier's number
@@ -90,7 +97,7 @@
         in_flight=section.in_flight,
         per_shard=section.per_shard,
         flush_bytes=section.flush_bytes,
-        repeat_share=section.repeat_share,
+        retry_ratio=section.repeat_share,
         deadline=cls.deadline,
         shards=known.shards,
         keyed=cls.idempotency is not Idempotency.UNSAFE,
@@ -107,11 +114,11 @@
 
     def __init__(self, gateway: Gateway, settings: ObjectSettings, buffer: Settings, handed: bool) -> None:
         super().__init__(gateway, settings)
-        why = probe(buffer, handed)
+        why = check_folder(buffer, handed)
         if why is not None:
             raise BadConfig(why)
-        self.whole = min(settings.max_body, PIECE)  # larger bodies come in pieces
-        self.buffer = Buffer(buffer, self, handed)
+        self.whole = min(settings.max_body, CHUNK_BYTES)  # larger bodies come in pieces
+        self.buffer = Buffer(buffer, self, handed_over=handed)
         gateway.parts.append(self.buffer)
 
     # --- calls of clients -----------------------------------------------------------------------
@@ -151,18 +158,23 @@
     async def _stand_clear(self, request: Request) -> None:
         """Wait until nothing buffered stands before a direct write; refuse at once where that takes long."""
         buffer = self.buffer
-        if not buffer.core.ordered(request.bucket, request.path):
+        if not buffer.core.blocks_direct(request.bucket, request.path):
             return
-        if buffer.core.blocked(request.bucket) is not None or self._seconds(len(buffer.core.keys)) > 1.0:
+        if (
+            buffer.core.suspended_before_barrier(request.bucket) is not None
+            or self._seconds(len(buffer.core.keys)) > 1.0
+        ):
             raise slow_down()
-        if not await buffer.clear(request.bucket, request.path, min(1.0, self._deadline(request.message))):
+        if not await buffer.waiters.direct_allowed(
+            request.bucket, request.path, min(1.0, self._deadline(request.message))
+        ):
             raise slow_down()
 
     def _seconds(self, writes: int) -> float:
         """How long so many writes may take to reach the nodes, by what is on its way at once and answers."""
         core = self.buffer.core
         cls = self.gateway.config.settings.classes[self.settings.write_class]
-        return writes / max(1, core.allowed(self.buffer.clock(), 0)) * cls.latency_target
+        return writes / max(1, core.allowed_in_flight(self.buffer.clock(), 0)) * cls.latency_target
 
     # --- writes ---------------------------------------------------------------------------------
 
@@ -174,25 +186,25 @@
             raise Error("InvalidArgument")
         conditional = b"if-match" in request.headers or b"if-none-match" in request.headers
         known = self._standing(request) if conditional else None
-        offer = buffer.offer(request.bucket, request.path, max(message.came, message.length or 0))
-        if known is not None and offer is Offer.TAKE:
+        offer = buffer.intake.admit(request.bucket, request.path, max(message.came, message.length or 0))
+        if known is not None and offer is Admission.ACCEPT:
             self._check(request)
-        if offer is Offer.SLOW or known is not None and offer is not Offer.TAKE:
+        if offer is Admission.SLOW_DOWN or known is not None and offer is not Admission.ACCEPT:
             raise slow_down()
-        if offer is Offer.DIRECT or conditional and known is None or not self._bufferable(request):
+        if offer is Admission.DIRECT or conditional and known is None or not self._bufferable(request):
             if barrier is not None:  # a barrier that nothing durable stands for is none
                 raise slow_down()
             await self._stand_clear(request)
             return await self._direct(request, request_id, closing)
         try:
             entry = await self._take(request, request_id, known is not None)
-        except NotTaken:
+        except RecordRejectedError:
             raise slow_down() from None
-        except Doubtful:
+        except CommitUnknownError:
             raise Error("InternalError") from None
         try:
-            lsn = await buffer.barrier(request.bucket) if barrier is not None else None
-        except (NotTaken, Doubtful):  # the write stands, so this is no refusal
+            lsn = await buffer.intake.put_barrier(request.bucket) if barrier is not None else None
+        except (RecordRejectedError, CommitUnknownError):  # the write stands, so this is no refusal
             raise Error("InternalError") from None
         if lsn is not None and barrier == b"through":
             await self._through(request.bucket, lsn, self._deadline(request.message))
@@ -212,7 +224,7 @@
     def _check(self, request: Request) -> None:
         """Whether a write's conditions hold against what is buffered of its key; raises `Error`."""
         known = self._standing(request)
-        if known is None or self.buffer.newest(request.bucket, request.path) is not known:
+        if known is None or self.buffer.reader.newest(request.bucket, request.path) is not known:
             raise slow_down()  # it has just gone to its node, or may yet fail to be durable
         if not write_allowed(request.headers, known.etag if known.method == "PUT" else None):
             raise Error("PreconditionFailed")
@@ -251,13 +263,13 @@
             time.time(),
         )
         if request.method == b"DELETE":
-            return await buffer.put(write, b"")
+            return await buffer.intake.put(write, b"")
         body = Body(request.headers, request.signatures)
         if message.stream is None:
             data = b"".join(body.feed(message.body))
             body.end()
             write.etag, write.size = body.etag, len(data)
-            return await buffer.put(write, data)
+            return await buffer.intake.put(write, data)
         return await self._take_pieces(request, write, body, conditional)
 
     async def _take_pieces(self, request: Request, write: Write, body: Body, conditional: bool) -> Entry:
@@ -269,17 +281,17 @@
                 for data in body.feed(piece):
                     if upload.size + len(data) > self.max_body:
                         raise Error("EntityTooLarge")
-                    await buffer.add(upload, data)
+                    await buffer.intake.add(upload, data)
             if stream.broken:
                 raise Error("IncompleteBody")
             body.end()
             write.etag = body.etag
-            await buffer.complete(upload, write)
+            await buffer.intake.complete(upload, write)
             if conditional:  # other writes may have come while the body did
                 self._check(request)
-            return await buffer.put(write, b"")
+            return await buffer.intake.put(write, b"")
         finally:
-            buffer.drop(upload)
+            buffer.intake.drop(upload)
 
     # --- barriers -------------------------------------------------------------------------------
 
@@ -292,18 +304,18 @@
             lsn = int(what)
             if lsn > buffer.store.lsn:
                 raise Error("NoSuchBarrier")
-            if buffer.core.before(lsn) is not None:
-                raise slow_down(self._seconds(buffer.core.before(lsn) or 0))
+            if buffer.core.writes_before(lsn) is not None:
+                raise slow_down(self._seconds(buffer.core.writes_before(lsn) or 0))
             return Response(200, write_head(200, headers, 0, call.closing()))
         if message.method != b"POST":
             raise Error("MethodNotAllowed")
         if what not in ("sync", "through"):
             raise Error("InvalidArgument")
         try:
-            lsn = await buffer.barrier(bucket)
-        except NotTaken:
+            lsn = await buffer.intake.put_barrier(bucket)
+        except RecordRejectedError:
             raise slow_down() from None
-        except Doubtful:
+        except CommitUnknownError:
             raise Error("InternalError") from None
         headers.append((BARRIER_ID, b"%d" % lsn))
         if what == "through":
@@ -312,10 +324,10 @@
 
     async def _through(self, bucket: str, lsn: int, seconds: float) -> None:
         """Wait for a barrier; where it won't pass in time that is said at once, with its number for later."""
-        before = self.buffer.core.before(lsn) or 0
+        before = self.buffer.core.writes_before(lsn) or 0
         expected = self._seconds(before)
-        held = self.buffer.core.blocked(bucket) is not None
-        if held or expected > seconds or not await self.buffer.through(lsn, seconds):
+        held = self.buffer.core.suspended_before_barrier(bucket) is not None
+        if held or expected > seconds or not await self.buffer.waiters.barrier_passed(lsn, seconds):
             raise Error(
                 "SlowDown", [(b"retry-after", b"%d" % max(1, math.ceil(expected))), (BARRIER_ID, b"%d" % lsn)]
             )
@@ -324,23 +336,23 @@
 
     async def _read(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
         """A GET or HEAD: from here while the key is buffered, else from its node."""
-        entry = self.buffer.newest(request.bucket, request.path)
+        entry = self.buffer.reader.newest(request.bucket, request.path)
         if entry is None:
             return await self.pass_on(request, request_id, closing)
         if entry.method == "DELETE":
             raise Error("NoSuchKey")
         try:
-            write, whole = await self.buffer.words(entry)
-        except (Failed, ValueError):
+            write, whole = await self.buffer.reader.read(entry)
+        except (LogIOError, ValueError):
             raise Error("InternalError") from None
         headers: Headers = [
             *write.headers,
             (b"etag", write.etag.encode()),
             (b"accept-ranges", b"bytes"),
-            (b"last-modified", formatdate(write.at, usegmt=True).encode()),
+            (b"last-modified", formatdate(write.accepted_at, usegmt=True).encode()),
             (b"x-amz-request-id", request_id.encode()),
         ]
-        status = read_status(request.headers, write.etag, write.at)
+        status = read_status(request.headers, write.etag, write.accepted_at)
         if status == 412:
             raise Error("PreconditionFailed")
         if status == 304:
@@ -351,16 +363,16 @@
             if piece := cut_here(asked, write.size):
                 (start, end), status = piece, 206
                 headers.append(range_of(start, end, write.size))
-        if request.method == b"HEAD" or not write.pieces:
+        if request.method == b"HEAD" or not write.chunks:
             head = write_head(status, headers, end - start, closing())
             return Response(status, head + whole[start:end])
 
         async def stream(channel: Channel) -> bool:
             await channel.send(write_head(status, headers, end - start, closing()))
             try:
-                async for part in self.buffer.body(write, whole, start, end):
+                async for part in self.buffer.reader.body(write, whole, start, end):
                     await channel.send(part)
-            except Failed:
+            except LogIOError:
                 return False  # the client can tell that it is not whole
             return True
 
@@ -383,13 +395,13 @@
                 continue
             name = unquote(path.split(b"/", 2)[2].decode())
             if name.startswith(query.prefix):
-                modified = time.strftime("%Y-%m-%dT%H:%M:%S.000Z", time.gmtime(now + entry.at))
+                modified = time.strftime("%Y-%m-%dT%H:%M:%S.000Z", time.gmtime(now + entry.accepted_at))
                 laid[name] = Item(name, entry.size, entry.etag, modified) if entry.method == "PUT" else None
         return laid
 
     # --- the buffer's way to the nodes ----------------------------------------------------------
 
-    def direct(self) -> int:
+    def direct_calls(self) -> int:
         """Calls that the gateway holds, the buffer's own among them."""
         return len(self.gateway.exchanges)
 
@@ -408,8 +420,8 @@
             cls,
             expires,
             write.bucket,
-            write.place % known.shards,
-            f"{write.place:016x}",
+            write.placement_hash % known.shards,
+            f"{write.placement_hash:016x}",
             max(1, math.ceil(len(body) / settings.unit_bytes)),
             method != b"HEAD",
         )
@@ -424,8 +436,8 @@
             final=lambda status: 200 <= status < 500,
         )
 
-    async def send(self, write: Write, body: bytes, expires: float, seen: str | None) -> Sent:
-        """One attempt at storing a write; see `service.Sender`."""
+    async def send(self, write: Write, body: bytes, expires: float, seen: str | None) -> SendResult:
+        """One attempt at storing a write; see `interface.NodeSender`."""
         headers = [*write.headers, (b"idempotency-key", write.token)]
         if seen:
             headers.append((b"if-match", seen.encode()))
@@ -436,21 +448,21 @@
         )
         status = answer.status
         if answer.kind is Kind.REFUSED:
-            return Sent(Outcome.REFUSED, answer.retry_after or 0.0)
+            return SendResult(Outcome.REJECTED, answer.retry_after or 0.0)
         if answer.kind is Kind.FAILED or status in (408, 429):
-            return Sent(Outcome.UNKNOWN)
+            return SendResult(Outcome.UNKNOWN)
         if 200 <= status < 300 or status == 404 and write.method == "DELETE":
-            return Sent(Outcome.STORED)
-        return Sent(
+            return SendResult(Outcome.STORED)
+        return SendResult(
             Outcome.DECLINED,
             reason=f"its node answers {status}"
             + (": another version has come there since" if status == 412 else ""),
         )
 
-    async def look(self, write: Write, expires: float) -> Looked:
-        """Which version the node has; see `service.Sender`."""
+    async def read_version(self, write: Write, expires: float) -> VersionResult:
+        """Which version the node has; see `interface.NodeSender`."""
         answer = await self.gateway.submit(self._buffer_call(write, b"HEAD", b"", expires, []))
         if answer.kind is not Kind.SERVED or answer.status not in (200, 404):
-            return Looked(False)
+            return VersionResult(False)
         etag = next((value for name, value in answer.headers if name == b"etag"), b"")
-        return Looked(True, etag.decode("latin-1") if answer.status == 200 else None)
+        return VersionResult(True, etag.decode("latin-1") if answer.status == 200 else None)
--- a/mallowbeam/storage_gateway/write_buffer/actions.py
+++ b/mallowbeam/storage_gateway/write_buffer/actions.py
@@ -5,11 +5,15 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-SETTLE_MOST = 256  # writes told settled in one record
+MAX_DONE_PER_ACTION = 256  # writes recorded as done at once
 
 
 class Send(NamedTuple):
-    """Send a write; `seen` is the version read back: "" for none, None where no condition goes along."""
+    """Send a write to its node, within `expires` seconds.
+
+    `seen` is the version read back, on which the attempt is conditional: "" for no object, None where the
+    attempt is unconditional.
+    """
 
     lsn: int
     expires: float
@@ -17,71 +21,72 @@
 
 
 class ReadBack(NamedTuple):
-    """Ask a write's node which version it has."""
+    """Ask a write's node, within `expires` seconds, which version it has."""
 
     lsn: int
     expires: float
 
 
 class Intend(NamedTuple):
-    """Make it durable that these go out; then say `intended`."""
+    """Make durable that these writes are about to be sent; then call `Core.intent_durable`."""
 
     lsns: list[int]
 
 
-class Settle(NamedTuple):
-    """Make it durable, soon, that these are settled; then say `settled`."""
+class RecordDone(NamedTuple):
+    """Make durable, soon, that these writes are done; then call `Core.done_durable`."""
 
     lsns: list[int]
 
 
-class Hold(NamedTuple):
-    """Make it durable that a write is held (without a reason: no longer), and tell the operator."""
+class Suspend(NamedTuple):
+    """Make durable that a write is suspended (without a reason: resumed), and tell the operator."""
 
     lsn: int
     reason: str
 
 
-class Passed(NamedTuple):
-    """All that came before a barrier is on the nodes."""
+class BarrierPassed(NamedTuple):
+    """All writes before a barrier are on the nodes."""
 
     lsn: int
 
 
-class Move(NamedTuple):
-    """Copy writes and barriers on to the log's end; then say `moved` of each."""
+class Relocate(NamedTuple):
+    """Copy writes and barriers to the log's end; then call `Core.relocated` for each."""
 
     lsns: list[int]
 
 
 class Remove(NamedTuple):
-    """Take segments away: nothing needs them any more."""
+    """Remove segments that nothing needs any more."""
 
     segments: list[int]
 
 
-Action = Send | ReadBack | Intend | Settle | Hold | Passed | Move | Remove
+Action = Send | ReadBack | Intend | RecordDone | Suspend | BarrierPassed | Relocate | Remove
 
 
 class ActionQueue:
-    """Actions in the order in which they are to be done; settlements are collected and come last."""
+    """Actions in the order in which they are to be executed; records of done writes are batched and last."""
 
     def __init__(self) -> None:
         self._actions: list[Action] = []
-        self._settling: list[int] = []
+        self._done: list[int] = []
 
     def add(self, action: Action) -> None:
         """Ask for an action."""
         self._actions.append(action)
 
-    def settle(self, lsns: Iterable[int]) -> None:
-        """Ask that it is made durable that these writes are settled."""
-        self._settling.extend(lsns)
+    def record_done(self, lsns: Iterable[int]) -> None:
+        """Ask that it is made durable that these writes are done."""
+        self._done.extend(lsns)
 
     def take(self) -> list[Action]:
         """All that was asked for since the last call."""
-        for start in range(0, len(self._settling), SETTLE_MOST):
-            self._actions.append(Settle(self._settling[start : start + SETTLE_MOST]))
-        self._settling = []
-        actions, self._actions = self._actions, []
+        for start in range(0, len(self._done), MAX_DONE_PER_ACTION):
+            self._actions.append(RecordDone(self._done[start : start + MAX_DONE_PER_ACTION]))
+        self._done = []
+        actions = self._actions
+        self._actions = []
         return actions
--- a/mallowbeam/storage_gateway/write_buffer/core.py
+++ b/mallowbeam/storage_gateway/write_buffer/core.py
@@ -1,11 +1,11 @@
-"""What the buffer decides: what to take in, send, repeat, read back, hold, and copy on.
+"""The buffer's decisions: what to accept, send, retry, read back, suspend, and relocate in the log.
 
 No I/O, no clock, no randomness of its own.  Events come in by methods that are given the time (seconds of a
-clock that runs through one boot of the machine); what is to be done comes out of `take`.
+clock that runs through one boot of the machine); actions come out of `take`.
 
-`Core` joins the parts: `entries` (a write and its states), `limits`, `held_writes` (order by name), `groups`
-(order by barriers), `dispatch` and `shards` (what goes to the nodes), `segments` (what the log may forget),
-`actions` (what is to be done) and `replay` (what an earlier process left).
+`Core` joins the parts: `entries` (a write and its states), `limits`, `pending_writes` (order by key),
+`groups` (order by barriers), `dispatch` and `shards` (what is sent), `segments` (what the log may drop),
+`actions` and `replay` (what an earlier process left).
 """
 
 from __future__ import annotations
@@ -14,79 +14,37 @@
 from collections import deque
 from collections.abc import Iterable
 
-from mallowbeam.storage_gateway.write_buffer.actions import (
-    SETTLE_MOST,
-    Action,
-    ActionQueue,
-    Hold,
-    Intend,
-    Move,
-    Passed,
-    ReadBack,
-    Remove,
-    Send,
-    Settle,
-)
-from mallowbeam.storage_gateway.write_buffer.dispatch import DROPPED, LEAST_SEND, SAFE_MARGIN, Dispatch
-from mallowbeam.storage_gateway.write_buffer.entries import Counts, Entry, Group, Offer, Outcome, State
-from mallowbeam.storage_gateway.write_buffer.held_writes import HeldWrites, Key, Name
-from mallowbeam.storage_gateway.write_buffer.limits import NEVER, Limits
-from mallowbeam.storage_gateway.write_buffer.replay import Known, Replay
-from mallowbeam.storage_gateway.write_buffer.segments import MOVE_BELOW, SegmentTable
+from mallowbeam.storage_gateway.write_buffer.actions import Action, ActionQueue, Relocate, Remove
+from mallowbeam.storage_gateway.write_buffer.dispatch import Dispatch
+from mallowbeam.storage_gateway.write_buffer.entries import Admission, Counts, Entry, Group, Outcome, State
+from mallowbeam.storage_gateway.write_buffer.limits import Limits
+from mallowbeam.storage_gateway.write_buffer.pending_writes import Key, Name, PendingWrites
+from mallowbeam.storage_gateway.write_buffer.segments import SegmentTable
 from mallowbeam.storage_gateway.write_buffer.shards import Shard
 
-__all__ = [
-    "DROPPED",
-    "LEAST_SEND",
-    "MOVE_BELOW",
-    "NEVER",
-    "SAFE_MARGIN",
-    "SETTLE_MOST",
-    "Action",
-    "Core",
-    "Counts",
-    "Entry",
-    "Group",
-    "Hold",
-    "Intend",
-    "Known",
-    "Limits",
-    "Move",
-    "Offer",
-    "Outcome",
-    "Passed",
-    "ReadBack",
-    "Remove",
-    "Replay",
-    "Send",
-    "Settle",
-    "Shard",
-    "State",
-]
-
-GIVE_WAY = 0.1  # of its window the flush keeps, however much direct traffic there is
-CALM = 0.5  # pressure from which on the flush gives way less, all the way up to 1
-MOVE_ABOVE = 0.5  # of the bytes allowed: from there on old segments are emptied by copying
-MOVE_MOST = 64  # writes copied on at once
-MOVABLE = (State.READY, State.DOUBTFUL, State.HELD)
+MIN_FLUSH_FRACTION = 0.1  # of its window that the flush keeps, however much direct traffic there is
+CALM_PRESSURE = 0.5  # from which on the flush yields less, up to a pressure of 1
+RELOCATE_ABOVE = 0.5  # fraction of `max_bytes` from which on old segments are compacted
+MAX_RELOCATED = 64  # writes relocated at once
+RELOCATABLE = (State.READY, State.UNCERTAIN, State.SUSPENDED)
 
 
 class Core:
     """The buffer's decisions."""
 
-    def __init__(self, limits: Limits, chance: random.Random) -> None:
-        self.writes = HeldWrites()
+    def __init__(self, limits: Limits, rng: random.Random) -> None:
+        self.writes = PendingWrites()
         self.segments = SegmentTable()
         self.actions = ActionQueue()
-        self.dispatch = Dispatch(limits, chance, self.writes, self.segments, self.actions)
-        self.committing = 0  # bytes on their way to the disk
-        self.away = True  # what the folder holds is not known here, or no longer
-        self.broken: str | None = None  # why nothing is taken in, None where it is
-        self.tainted: set[Key] = set()  # keys with a record on a file that is trusted no more
-        self._moving: set[int] = set()
+        self.dispatch = Dispatch(limits, rng, self.writes, self.segments, self.actions)
+        self.committing = 0  # bytes being committed to the disk
+        self.unavailable = True  # what the folder holds is not known here, or no longer
+        self.failure: str | None = None  # why nothing is accepted, None where writes are
+        self.untrusted_keys: set[Key] = set()  # keys with a record in a file that is not trusted any more
+        self._relocating: set[int] = set()
 
     def take(self) -> list[Action]:
-        """What is to be done, handed over."""
+        """The actions to be executed, handed over."""
         return self.actions.take()
 
     @property
@@ -98,11 +56,11 @@
     def limits(self, limits: Limits) -> None:
         self.dispatch.limits = limits
 
-    # --- what is held, for reading --------------------------------------------------------------
+    # --- state, for reading ---------------------------------------------------------------------
 
     @property
     def entries(self) -> dict[int, Entry]:
-        """The writes held here, by number."""
+        """The buffered writes, by number."""
         return self.writes.entries
 
     @property
@@ -121,9 +79,9 @@
         return self.writes.groups.barriers
 
     @property
-    def held(self) -> int:
-        """How many writes wait for an operator."""
-        return self.writes.held
+    def suspended(self) -> int:
+        """The number of writes that wait for an operator."""
+        return self.writes.suspended
 
     @property
     def counts(self) -> Counts:
@@ -132,18 +90,18 @@
 
     @property
     def shards(self) -> dict[int, Shard]:
-        """What is on its way to each shard."""
+        """What is in flight to each shard."""
         return self.dispatch.shards.shards
 
     @property
-    def out(self) -> int:
-        """Writes and reads on their way to nodes."""
-        return self.dispatch.shards.out
+    def in_flight(self) -> int:
+        """The number of writes and reads in flight to nodes."""
+        return self.dispatch.shards.in_flight
 
     @property
-    def out_bytes(self) -> int:
+    def in_flight_bytes(self) -> int:
         """Bytes of their bodies."""
-        return self.dispatch.shards.out_bytes
+        return self.dispatch.shards.in_flight_bytes
 
     @property
     def bytes(self) -> int:
@@ -151,19 +109,19 @@
         return self.segments.bytes
 
     @property
-    def newest(self) -> int:
-        """The segment written to."""
+    def newest_segment(self) -> int:
+        """The segment being written."""
         return self.segments.newest
 
     @property
     def live(self) -> dict[int, int]:
-        """How many writes and barriers need each segment."""
+        """The number of writes and barriers that need each segment."""
         return self.segments.live
 
-    # --- taking in ------------------------------------------------------------------------------
+    # --- accepting ------------------------------------------------------------------------------
 
-    def age(self, now: float) -> float:
-        """Seconds for which the oldest write has been here."""
+    def oldest_age(self, now: float) -> float:
+        """Seconds since the oldest write was accepted."""
         return self.writes.oldest_age(now)
 
     def pressure(self, now: float) -> float:
@@ -172,207 +130,210 @@
         return max(
             (self.bytes + self.committing) / limits.max_bytes,
             len(self.entries) / limits.max_records,
-            self.age(now) / limits.max_age,
+            self.oldest_age(now) / limits.max_age,
         )
 
-    def ordered(self, bucket: str, name: Name) -> bool:
-        """Whether something here must be on the nodes before a direct write of that name may go."""
-        return self.writes.ordered((bucket, name))
+    def blocks_direct(self, bucket: str, name: Name) -> bool:
+        """Whether something must be on the nodes before a direct write of that name may be sent."""
+        return self.writes.blocks_direct((bucket, name))
 
-    def offer(self, now: float, bucket: str, name: Name, size: int) -> Offer:
+    def admit(self, now: float, bucket: str, name: Name, size: int) -> Admission:
         """What becomes of a write of `size` bytes in the log."""
         limits = self.limits
-        if (bucket, name) in self.tainted:
-            return Offer.SLOW  # what stands on a distrusted file may come back
+        if (bucket, name) in self.untrusted_keys:
+            return Admission.SLOW_DOWN  # a record in an untrusted file may be restored
         if (
-            self.room(size)
+            self.has_capacity(size)
             and len(self.entries) < limits.max_records
             and self.committing + size <= limits.max_commit
-            and self.age(now) < limits.max_age
+            and self.oldest_age(now) < limits.max_age
         ):
-            return Offer.TAKE
-        if self.away:
-            return Offer.SLOW
-        return Offer.SLOW if self.ordered(bucket, name) else Offer.DIRECT
+            return Admission.ACCEPT
+        if self.unavailable or self.blocks_direct(bucket, name):
+            return Admission.SLOW_DOWN
+        return Admission.DIRECT
 
-    def room(self, size: int) -> bool:
-        """Whether so many bytes more may go to the disk."""
+    def has_capacity(self, size: int) -> bool:
+        """Whether so many bytes more may be written to the disk."""
         return (
-            self.broken is None
-            and not self.away
+            self.failure is None
+            and not self.unavailable
             and self.bytes + self.committing + size <= self.limits.max_bytes
         )
 
     def accept(self, entry: Entry) -> None:
-        """A write is on its way to the log, behind all accepted before it."""
+        """A write is being committed, behind all accepted before it."""
         self.writes.add(entry)
-        self.committing += entry.cost
+        self.committing += entry.log_bytes
 
-    def durable(self, now: float, lsn: int, where: tuple[int, int], segments: Iterable[int]) -> None:
-        """The log has a write: it counts from now on, and an earlier one still unsent gives way to it."""
+    def durable(self, now: float, lsn: int, position: tuple[int, int], segments: Iterable[int]) -> None:
+        """A write is durable at `position`: it counts from now on, and absorbs earlier ones still unsent."""
         entry = self.entries[lsn]
-        self.committing -= entry.cost
-        self.counts.taken += 1
-        self.segments.place(entry, where, segments)
+        self.committing -= entry.log_bytes
+        self.counts.accepted += 1
+        self.segments.assign(entry, position, segments)
         entry.state = State.READY
-        for older in self.writes.older(entry):
-            if older.group is entry.group and older.state is State.READY:
+        for earlier in self.writes.earlier(entry):
+            if earlier.group is entry.group and earlier.state is State.READY:
                 self.counts.absorbed += 1
-                self.dispatch.finish(older)
+                self.dispatch.finish(earlier)
         self.dispatch.queue(entry, now)
 
     def lost(self, lsn: int) -> None:
-        """The log could not take a write: it was never here."""
+        """A write could not be committed: it was never here."""
         entry = self.entries[lsn]
-        self.committing -= entry.cost
+        self.committing -= entry.log_bytes
         self.counts.lost += 1
         self.dispatch.drop(entry)
 
     def newest_of(self, bucket: str, name: Name) -> Entry | None:
-        """The last write of a name that the log has."""
+        """The last durable write of a name."""
         return self.writes.newest_of((bucket, name))
 
     # --- barriers -------------------------------------------------------------------------------
 
-    def barrier(self, lsn: int, bucket: str) -> None:
-        """A barrier is on its way to the log."""
+    def open_barrier(self, lsn: int, bucket: str) -> None:
+        """A barrier is being committed."""
         self.writes.groups.open_barrier(lsn, bucket)
 
     def barrier_durable(self, lsn: int, segment: int) -> None:
-        """The log has it."""
+        """A barrier is durable, its record in `segment`."""
         bucket = self.writes.groups.barrier_durable(lsn, segment)
         self.segments.pin(segment)
         self.dispatch.pass_barriers(bucket)
 
     def barrier_lost(self, lsn: int) -> None:
-        """The log could not take a barrier: what it parted belongs together again."""
+        """A barrier could not be committed: the writes before and behind it are one group again."""
         bucket = self.writes.groups.barrier_lost(lsn)
         self.dispatch.pass_barriers(bucket)
         self.dispatch.queue_first_group(bucket)
 
-    def before(self, lsn: int) -> int | None:
-        """How many writes a barrier still waits for; None where it has passed, or there never was one."""
+    def writes_before(self, lsn: int) -> int | None:
+        """The number of writes that a barrier waits for; None where it has passed, or there never was one."""
         return self.writes.groups.writes_before(lsn)
 
-    def blocked(self, bucket: str) -> Entry | None:
-        """The held write, if there is one, that keeps the bucket's first barrier from passing."""
-        return self.writes.groups.held_in_first_group(bucket) if self.held else None
+    def suspended_before_barrier(self, bucket: str) -> Entry | None:
+        """The suspended write, if there is one, that keeps the bucket's first barrier from passing."""
+        return self.writes.groups.suspended_in_first_group(bucket) if self.suspended else None
 
     # --- flushing -------------------------------------------------------------------------------
 
-    def allowed(self, now: float, direct: int) -> int:
-        """How many may be on their way at once, given so many direct calls held by the gateway.
+    def allowed_in_flight(self, now: float, direct: int) -> int:
+        """The number of attempts in flight at once, given so many direct calls that the gateway serves.
 
-        The flush gives way in proportion, and takes its part back as the buffer fills.
+        The flush yields in proportion to direct traffic, and less as the buffer fills.
         """
         most = self.limits.in_flight
         yielding = 1.0 / (1.0 + direct / max(1.0, most / 4))
-        urgent = min(1.0, max(0.0, (self.pressure(now) - CALM) / (1.0 - CALM)))
-        return max(1, int(most * max(GIVE_WAY, yielding, urgent)))
+        urgency = (self.pressure(now) - CALM_PRESSURE) / (1.0 - CALM_PRESSURE)
+        return max(1, int(most * max(MIN_FLUSH_FRACTION, yielding, min(1.0, max(0.0, urgency)))))
 
     def plan(self, now: float, direct: int = 0) -> None:
-        """Choose what goes out now, and what the log may forget."""
-        self.dispatch.plan(now, self.allowed(now, direct))
-        self._tidy()
+        """Choose what is sent now, and what the log may drop."""
+        self.dispatch.plan(now, self.allowed_in_flight(now, direct))
+        self._compact()
 
-    def wake(self) -> float:
+    def next_wakeup(self) -> float:
         """When `plan` may find something to do again, if nothing else happens first."""
-        return self.dispatch.wake()
+        return self.dispatch.next_wakeup()
 
-    def intended(self, now: float, lsns: list[int]) -> None:
-        """The log has the word that these go out."""
-        self.dispatch.intended(now, lsns)
+    def intent_durable(self, now: float, lsns: list[int]) -> None:
+        """The log has the record that these are about to be sent."""
+        self.dispatch.intent_durable(now, lsns)
 
-    def not_intended(self, now: float, lsns: list[int]) -> None:
-        """The log could not take that word: they stay."""
-        self.dispatch.not_intended(now, lsns)
+    def intent_lost(self, now: float, lsns: list[int]) -> None:
+        """The log could not take that record: they are not sent yet."""
+        self.dispatch.intent_lost(now, lsns)
 
-    def sent(
+    def attempt_ended(
         self, now: float, lsn: int, outcome: Outcome, retry_after: float = 0.0, reason: str = ""
     ) -> None:
-        """An attempt has ended."""
-        self.dispatch.sent(now, lsn, outcome, retry_after, reason)
+        """An attempt has ended; `retry_after` in seconds, as a rejection asked for."""
+        self.dispatch.attempt_ended(now, lsn, outcome, retry_after, reason)
 
-    def read_back(self, now: float, lsn: int, version: str | None, answered: bool) -> None:
+    def version_read(self, now: float, lsn: int, version: str | None, answered: bool) -> None:
         """A node has said which version it has, None for none; or it has not `answered`."""
-        self.dispatch.read_back(now, lsn, version, answered)
+        self.dispatch.version_read(now, lsn, version, answered)
 
-    def hold(self, lsn: int, reason: str) -> None:
-        """A write can't go on: its bytes can't be read any more."""
-        self.dispatch.hold(lsn, reason)
+    def suspend(self, lsn: int, reason: str) -> None:
+        """A write cannot go on: its bytes cannot be read any more."""
+        self.dispatch.suspend(lsn, reason)
 
-    def hold_again(self, entry: Entry, reason: str) -> None:
-        """A write was held by the process before, and still is."""
-        entry.state, entry.reason, entry.queued = State.HELD, reason, False
-        self.writes.held += 1
+    def restore_suspended(self, entry: Entry, reason: str) -> None:
+        """A write was suspended in an earlier process, and still is."""
+        entry.state = State.SUSPENDED
+        entry.reason = reason
+        entry.queued = False
+        self.writes.suspended += 1
 
     def release(self, now: float, lsn: int, drop: bool) -> bool:
-        """An operator lets a held write go, or drops it; False where none is held under that number."""
+        """An operator resumes or drops a suspended write; False where none is suspended under that number."""
         return self.dispatch.release(now, lsn, drop)
 
-    def settled(self, lsns: Iterable[int]) -> None:
-        """The log has it that writes are settled: their segments need not stay for them."""
-        self.dispatch.settled(lsns)
+    def done_durable(self, lsns: Iterable[int]) -> None:
+        """The log has recorded that writes are done: their segments need not stay for them."""
+        self.dispatch.done_durable(lsns)
 
-    def not_settled(self, lsns: Iterable[int]) -> None:
-        """The log could not take that word: it is said again."""
-        self.actions.settle(lsns)
+    def done_lost(self, lsns: Iterable[int]) -> None:
+        """The log could not take that record: it is written again."""
+        self.actions.record_done(lsns)
 
     def opened(self) -> None:
-        """What the folder holds is known: taking in begins, and counting begins anew."""
+        """The folder's content is known: writes are accepted from now on, and counters start at zero."""
         self.writes.counts = Counts()
-        self.away = False
+        self.unavailable = False
 
     # --- segments -------------------------------------------------------------------------------
 
-    def on_disk(self, sizes: dict[int, int], newest: int) -> None:
-        """How large the segments are, and which is being written."""
-        self.segments.on_disk(sizes, newest)
+    def update_segments(self, sizes: dict[int, int], newest: int) -> None:
+        """The sizes of the segments on disk in bytes, and which one is being written."""
+        self.segments.update(sizes, newest)
 
     def pin(self, segment: int, count: int = 1) -> None:
-        """A segment holds pieces of a body that is still coming in, or, with -1, no longer."""
+        """A segment holds chunks of a body that is being received, or, with -1, no longer."""
         self.segments.pin(segment, count)
 
-    def removed(self, segments: list[int]) -> None:
-        """Segments are gone."""
+    def segments_removed(self, segments: list[int]) -> None:
+        """Segments were removed from the disk."""
         self.segments.removed(segments)
 
-    def moved(self, lsn: int, where: tuple[int, int], segments: Iterable[int]) -> None:
-        """A write stands at the log's end too."""
+    def relocated(self, lsn: int, position: tuple[int, int], segments: Iterable[int]) -> None:
+        """A write was copied to the log's end."""
         entry = self.entries.get(lsn)
         if entry is None:
             return
-        self.counts.moved += 1
+        self.counts.relocated += 1
         self.segments.release_entry(entry)
-        self.segments.place(entry, where, segments)
+        self.segments.assign(entry, position, segments)
 
-    def barrier_moved(self, lsn: int, segment: int) -> None:
-        """A barrier stands at the log's end too."""
-        self.segments.release(self.writes.groups.barrier_moved(lsn, segment), 0)
+    def barrier_relocated(self, lsn: int, segment: int) -> None:
+        """A barrier was copied to the log's end."""
+        self.segments.release(self.writes.groups.barrier_relocated(lsn, segment), 0)
         self.segments.pin(segment)
 
-    def moving_over(self) -> None:
-        """What was to be copied is, or could not be."""
-        self._moving = set()
+    def relocation_ended(self) -> None:
+        """What was to be copied has been, or could not be."""
+        self._relocating = set()
 
-    def _tidy(self) -> None:
-        """Take away the oldest segments that nothing needs; empty one that little needs, if room is short."""
+    def _compact(self) -> None:
+        """Remove the oldest segments that nothing needs; empty one that little needs, if space is short."""
         free = self.segments.start_removal()
         if free:
             self.actions.add(Remove(free))
-        elif self.bytes > MOVE_ABOVE * self.limits.max_bytes and not self._moving:
+        elif self.bytes > RELOCATE_ABOVE * self.limits.max_bytes and not self._relocating:
             oldest = self.segments.sparse()
             if oldest is not None:
-                self._move(oldest)
+                self._relocate_from(oldest)
 
-    def _move(self, oldest: int) -> None:
-        """Copy on what still needs a segment."""
+    def _relocate_from(self, segment: int) -> None:
+        """Copy what still needs a segment."""
         lsns = [
             entry.lsn
             for entry in self.entries.values()
-            if oldest in entry.segments and entry.state in MOVABLE
-        ][:MOVE_MOST]
-        lsns += [lsn for lsn, (_, segment) in self.barriers.items() if segment == oldest][:MOVE_MOST]
+            if segment in entry.segments and entry.state in RELOCATABLE
+        ][:MAX_RELOCATED]
+        barriers = [lsn for lsn, (_, holder) in self.barriers.items() if holder == segment]
+        lsns += barriers[:MAX_RELOCATED]
         if lsns:
-            self._moving = set(lsns)
-            self.actions.add(Move(lsns))
+            self._relocating = set(lsns)
+            self.actions.add(Relocate(lsns))
--- a/mallowbeam/storage_gateway/write_buffer/disk.py
+++ b/mallowbeam/storage_gateway/write_buffer/disk.py
@@ -1,6 +1,6 @@
-"""Where the buffer's bytes go: the few calls on files that it makes, and the real files behind them.
+"""The file operations that the log needs, and their implementation by the operating system.
 
-`mallowbeam.standins.disk` has the same calls on a disk that loses what was not synced.
+`mallowbeam.standins.disk` implements them on a simulated disk that loses what was not synced.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from mallowbeam.errors import MallowbeamError
 
 
-class Locked(MallowbeamError):
-    """Another process has the folder."""
+class FolderLockedError(MallowbeamError):
+    """Another process has locked the folder."""
 
     error_name = "Locked"
     remedy = "end the process that has it, or name another folder"
@@ -23,69 +23,70 @@
     """An open file."""
 
     def write(self, parts: list[bytes], at: int) -> None:
-        """Write all of the parts, one behind the other, from an offset on; raises OSError."""
+        """Write all parts, one behind the other, from an offset on; raises OSError."""
 
     def read(self, size: int, at: int) -> bytes:
         """Up to so many bytes from an offset on; raises OSError."""
 
     def size(self) -> int:
-        """Its length in bytes."""
+        """The file's length in bytes."""
 
-    def cut(self, size: int) -> None:
-        """Make it shorter, or longer with zeros."""
+    def truncate(self, size: int) -> None:
+        """Set the length in bytes; a longer file is filled with zeros."""
 
     def sync(self) -> None:
-        """Make its data durable (fdatasync); raises OSError, after which the file is not to be trusted."""
+        """Make the data durable (fdatasync); raises OSError, after which the file must not be trusted."""
 
     def close(self) -> None:
-        """Let it go."""
+        """Close the file."""
 
 
 class Disk(Protocol):
-    """A folder."""
+    """A folder on a disk; all calls raise OSError."""
 
     def names(self) -> list[str]:
-        """The files in it."""
+        """The names of the files in the folder."""
 
     def open(self, name: str, new: bool = False) -> File:
-        """A file to read and write; `new` where there must be none yet."""
+        """Open a file to read and write; `new`: create it, which fails where it exists."""
 
     def remove(self, name: str) -> None:
-        """Take a file away."""
+        """Remove a file."""
 
     def sync(self) -> None:
-        """Make the names durable."""
+        """Make the names durable (fsync of the folder)."""
 
     def lock(self) -> None:
-        """Own the folder; raises `Locked`."""
+        """Lock the folder for this process; raises `FolderLockedError`."""
 
     def unlock(self) -> None:
-        """Own it no more."""
+        """Release the lock."""
 
 
 class RealFile:
-    """A file of the operating system's."""
+    """A file of the operating system, by its descriptor."""
 
     def __init__(self, fd: int) -> None:
         self.fd = fd
 
     def write(self, parts: list[bytes], at: int) -> None:
-        """All of it, in as many calls as it takes."""
+        """pwrite, in as many calls as it takes."""
         data = parts[0] if len(parts) == 1 else b"".join(parts)
         view = memoryview(data)
         while view:
             count = os.pwrite(self.fd, view, at)
-            view, at = view[count:], at + count
+            view = view[count:]
+            at += count
 
     def read(self, size: int, at: int) -> bytes:
-        """One read."""
+        """pread."""
         return os.pread(self.fd, size, at)
 
     def size(self) -> int:
-        """Its length."""
+        """fstat."""
         return os.fstat(self.fd).st_size
 
-    def cut(self, size: int) -> None:
+    def truncate(self, size: int) -> None:
         """ftruncate."""
         os.ftruncate(self.fd, size)
 
@@ -99,19 +100,20 @@
 
 
 class RealDisk:
-    """A folder of the operating system's."""
+    """A folder of the operating system."""
 
     def __init__(self, path: str, read_only: bool = False) -> None:
-        self.path, self.read_only = path, read_only
+        self.path = path
+        self.read_only = read_only
         self.fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         self.lock_fd: int | None = None
 
     def names(self) -> list[str]:
-        """The files in it, sorted."""
+        """The names of the files in the folder, sorted."""
         return sorted(os.listdir(self.fd))
 
     def open(self, name: str, new: bool = False) -> RealFile:
-        """Open or make a file; only its owner may read it."""
+        """Open or create a file; only its owner may read it."""
         flags = os.O_RDONLY if self.read_only else os.O_RDWR | (os.O_CREAT | os.O_EXCL if new else 0)
         return RealFile(os.open(name, flags | os.O_CLOEXEC, 0o600, dir_fd=self.fd))
 
@@ -124,22 +126,22 @@
         os.fsync(self.fd)
 
     def lock(self) -> None:
-        """flock: ends with the process, however that ends."""
+        """flock, which ends with the process, however that ends."""
         fd = os.open("lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600, dir_fd=self.fd)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             os.close(fd)
-            raise Locked(f"{self.path} is in use by another process") from None
+            raise FolderLockedError(f"{self.path} is in use by another process") from None
         self.lock_fd = fd
 
     def unlock(self) -> None:
-        """Let the lock go."""
+        """Release the lock."""
         if self.lock_fd is not None:
             os.close(self.lock_fd)
             self.lock_fd = None
 
     def close(self) -> None:
-        """Let the folder go."""
+        """Release the lock and close the folder."""
         self.unlock()
         os.close(self.fd)
--- a/mallowbeam/storage_gateway/write_buffer/entries.py
+++ b/mallowbeam/storage_gateway/write_buffer/entries.py
@@ -1,9 +1,10 @@
-"""A write as the buffer holds it, the states that it passes through, and what has been counted.
+"""A buffered write, the states that it passes through, and the counters.
 
-A write is COMMITTING until the log has it, READY once it may go out, INTENDING while the word that it goes
-out is being made durable, SENDING while the gateway has it.  An attempt that may have run leaves it DOUBTFUL:
-it goes again under its key while the node still drops repeats, and after that only once reading back has
-shown that it did not run.  What neither settles is HELD for an operator.
+A write is COMMITTING until the log has it, READY once it may be sent, INTENDING while the record that it is
+about to be sent is being made durable, SENDING while an attempt runs.  An attempt whose outcome is unknown
+leaves it UNCERTAIN: it is retried under its idempotency key while the node still drops duplicates, and after
+that only once reading back has shown that the attempt did not run.  What neither resolves is SUSPENDED until
+an operator decides.
 """
 
 from __future__ import annotations
@@ -11,58 +12,60 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from mallowbeam.storage_gateway.write_buffer.records import Write
+
 
 class State(Enum):
-    """Where a write stands."""
+    """The state of a write."""
 
     COMMITTING = "committing"
     READY = "ready"
     INTENDING = "intending"
     SENDING = "sending"
-    DOUBTFUL = "doubtful"
-    READING = "reading back"
-    HELD = "held"
-    OVER = "over"
+    UNCERTAIN = "doubtful"
+    READING_BACK = "reading back"
+    SUSPENDED = "held"
+    FINISHED = "over"
 
 
-class Offer(Enum):
-    """What becomes of a write that a client offers."""
+class Admission(Enum):
+    """What becomes of a write that a client sends."""
 
-    TAKE = "take"
-    DIRECT = "direct"  # straight to its node: there is no room here
-    SLOW = "slow down"  # not now: its order or its fate here forbids the direct way
+    ACCEPT = "take"  # into the buffer
+    DIRECT = "direct"  # straight to its node: there is no capacity here
+    SLOW_DOWN = "slow down"  # rejected: order or an unknown outcome here forbids the direct way
 
 
 class Outcome(Enum):
     """How an attempt at a node ended."""
 
     STORED = "stored"
-    REFUSED = "refused"  # it never ran
+    REJECTED = "refused"  # it never ran
     UNKNOWN = "unknown"  # it may have run
-    DECLINED = "declined"  # a node's own final no
+    DECLINED = "declined"  # a final answer of the node against the write
 
 
 class Entry:
-    """A write held here."""
+    """A buffered write; times are in seconds of the boot clock (`reopen.boot_clock`)."""
 
     __slots__ = (
         "lsn",
         "bucket",
         "name",
         "method",
-        "place",
+        "placement_hash",
         "etag",
         "size",
-        "cost",
+        "log_bytes",
         "state",
-        "at",
-        "where",
+        "accepted_at",
+        "position",
         "segments",
-        "intent",
-        "doubt",
-        "last",
-        "tries",
-        "due",
+        "intent_at",
+        "uncertain_since",
+        "last_attempt_at",
+        "failed_attempts",
+        "due_at",
         "queued",
         "group",
         "seen",
@@ -70,38 +73,33 @@
         "attempted",
     )
 
-    def __init__(
-        self,
-        lsn: int,
-        bucket: str,
-        name: bytes,
-        method: str,
-        place: int,
-        etag: str,
-        size: int,
-        cost: int,
-        at: float,
-    ) -> None:
-        self.lsn, self.bucket, self.name, self.method = lsn, bucket, name, method
-        self.place, self.etag, self.size = place, etag, size
-        self.cost, self.at = cost, at  # bytes in the log; when it was taken in
+    def __init__(self, lsn: int, write: Write, log_bytes: int, accepted_at: float) -> None:
+        self.lsn = lsn
+        self.bucket = write.bucket
+        self.name = write.target
+        self.method = write.method
+        self.placement_hash = write.placement_hash
+        self.etag = write.etag
+        self.size = write.size  # bytes of the body
+        self.log_bytes = log_bytes  # bytes of its records
+        self.accepted_at = accepted_at
         self.state = State.COMMITTING
-        self.where = (0, 0)  # segment and offset of its record
+        self.position = (0, 0)  # segment and offset of its record
         self.segments: tuple[int, ...] = ()  # all segments that hold a part of it
-        self.intent: float | None = None  # since when it may have been sent
-        self.doubt: float | None = None  # when the first attempt went out that may have run
-        self.last = 0.0  # when the last attempt went out
-        self.tries = 0  # attempts that brought nothing
-        self.attempted = False  # whether one was ever begun
-        self.due = 0.0
+        self.intent_at: float | None = None  # since when it may have been sent
+        self.uncertain_since: float | None = None  # when the first attempt of unknown outcome began
+        self.last_attempt_at = 0.0
+        self.failed_attempts = 0
+        self.attempted = False  # whether an attempt was ever begun
+        self.due_at = 0.0
         self.queued = False
         self.group: Group
         self.seen: str | None = None  # the version read back, "" for none
-        self.reason = ""  # why it is held
+        self.reason = ""  # why it is suspended
 
     @property
     def key(self) -> tuple[str, bytes]:
-        """What orders it: its bucket and its name there."""
+        """Bucket and name: writes with one key are sent in order."""
         return self.bucket, self.name
 
 
@@ -120,12 +118,12 @@
 class Counts:
     """What has happened since this process started."""
 
-    taken: int = 0
+    accepted: int = 0
     stored: int = 0
-    absorbed: int = 0
-    repeats: int = 0
+    absorbed: int = 0  # replaced by a later write of the same key before they were sent
+    retries: int = 0
     read_back: int = 0
-    refused: int = 0
-    held: int = 0
-    moved: int = 0
-    lost: int = 0  # never acknowledged
+    rejected: int = 0  # attempts that never ran
+    suspended: int = 0
+    relocated: int = 0
+    lost: int = 0  # never acknowledged, as the log could not take them
--- a/mallowbeam/storage_gateway/write_buffer/errors.py
+++ b/mallowbeam/storage_gateway/write_buffer/errors.py
@@ -1,19 +1,19 @@
-"""What can go wrong with a batch of the log."""
+"""Errors of the segmented log."""
 
 from __future__ import annotations
 
 from mallowbeam.errors import MallowbeamError
 
 
-class DiskFull(MallowbeamError):
-    """There was no room for a batch: nothing of it stands."""
+class DiskFullError(MallowbeamError):
+    """There was no space for a batch; none of it is in the log."""
 
     error_name = "DiskFull"
     remedy = "make room on the disk; the buffer goes on by itself"
 
 
-class Failed(MallowbeamError):
-    """A batch failed for another reason: its file is trusted no more, its bytes may stand there."""
+class LogIOError(MallowbeamError):
+    """A batch or a read failed for another reason; after a failed batch its file is not trusted any more."""
 
     error_name = "Failed"
     remedy = "look at the disk, then run mallowbeam buffer verify on the folder"
--- a/mallowbeam/storage_gateway/write_buffer/flush.py
+++ b/mallowbeam/storage_gateway/write_buffer/flush.py
@@ -1,4 +1,4 @@
-"""Doing what the core wants: intents, sends, reads back, what is settled, held, moved and taken away."""
+"""Executes the core's actions: intents, sends, reads back, and what is recorded, relocated and removed."""
 
 from __future__ import annotations
 
@@ -10,198 +10,242 @@
 from loguru import logger
 
 from mallowbeam.storage_gateway.server.log import RateLimitedWarning
-from mallowbeam.storage_gateway.write_buffer import core as decisions
-from mallowbeam.storage_gateway.write_buffer.errors import Failed
+from mallowbeam.storage_gateway.write_buffer import actions
+from mallowbeam.storage_gateway.write_buffer.entries import Entry, State
+from mallowbeam.storage_gateway.write_buffer.errors import LogIOError
 from mallowbeam.storage_gateway.write_buffer.intake import Intake
-from mallowbeam.storage_gateway.write_buffer.records import Barrier, Done, Held, Intent, Kind, Moved, pack
-from mallowbeam.storage_gateway.write_buffer.store import Doubtful, NotTaken
-from mallowbeam.storage_gateway.write_buffer.terms import Sender, Upload
-
-LATER = 0.05  # seconds for which word of what is settled waits for company
-MOST_SETTLED = 4096  # writes that one record settles
-
-
-class Flush(Intake):
-    """The core's actions.  A part of `Buffer`, which makes what is named here."""
-
-    sender: Sender
-    boot: bytes
-    _settling: list[int]  # settled, and the log does not say so yet
-    _timer: asyncio.TimerHandle | None
-    _sending: int  # calls at the gateway
-    _held: RateLimitedWarning
-    _trouble: RateLimitedWarning
-
-    # --- doing what the core wants --------------------------------------------------------------
-
-    def _do(self) -> None:
-        for action in self.core.take():
-            match action:
-                case decisions.Send():
-                    self._spawn(self._send(action))
-                case decisions.ReadBack():
-                    self._spawn(self._read_back(action))
-                case decisions.Intend(lsns):
-                    self._spawn(self._intend(lsns))
-                case decisions.Settle(lsns):
-                    self._settle(lsns)
-                case decisions.Hold(lsn, reason):
-                    self._spawn(self._hold(lsn, reason))
-                case decisions.Passed(lsn):
-                    for future in self._through.pop(lsn, ()):
-                        if not future.done():
-                            future.set_result(None)
-                case decisions.Move(lsns):
-                    self._spawn(self._move(lsns))
-                case decisions.Remove(segments):
-                    self._spawn(self._remove(segments))
-        if self._clear:
-            waiting, self._clear = self._clear, []
-            for bucket, name, future in waiting:
-                if not self.core.ordered(bucket, name) and not future.done():
-                    future.set_result(None)
-                elif not future.done():
-                    self._clear.append((bucket, name, future))
+from mallowbeam.storage_gateway.write_buffer.interface import NodeSender, Upload
+from mallowbeam.storage_gateway.write_buffer.reader import WriteReader
+from mallowbeam.storage_gateway.write_buffer.records import (
+    Barrier,
+    Done,
+    Intent,
+    Kind,
+    RelocatedWrite,
+    Suspension,
+    Write,
+    pack,
+)
+from mallowbeam.storage_gateway.write_buffer.runtime import Runtime
+from mallowbeam.storage_gateway.write_buffer.store import (
+    CommitUnknownError,
+    PendingRecord,
+    RecordRejectedError,
+    Store,
+)
+from mallowbeam.storage_gateway.write_buffer.waiters import Waiters
+
+DONE_DELAY_S = 0.05  # for which records of done writes wait for a batch to go along with
+MAX_DONE_PER_RECORD = 4096  # writes
+RELOCATE_RETRY_S = 1.0  # after a relocation that failed
+
+
+class Flush:
+    """Carries out the core's decisions on the log and the nodes."""
+
+    def __init__(self, runtime: Runtime, reader: WriteReader, intake: Intake, sender: NodeSender) -> None:
+        self.sender = sender
+        self.store: Store  # from the moment that the folder is open
+        self.waiters = Waiters(runtime.core)
+        self.calls = 0  # at the gateway, in flight
+        self._runtime = runtime
+        self._core = runtime.core
+        self._reader = reader
+        self._intake = intake
+        self._done: list[int] = []  # writes done, not yet recorded in the log
+        self._done_timer: asyncio.TimerHandle | None = None
+        self._suspended = RateLimitedWarning("a buffered write is held for an operator")
+        self.disk_fault = RateLimitedWarning("the buffer's disk is in trouble")
+
+    def execute(self) -> None:
+        """Execute what the core asks for, and wake the clients that waited for it."""
+        for action in self._core.take():
+            self._execute_one(action)
+        self.waiters.wake_direct()
+
+    def _execute_one(self, action: actions.Action) -> None:
+        match action:
+            case actions.Send():
+                self._runtime.spawn(self._send(action))
+            case actions.ReadBack():
+                self._runtime.spawn(self._read_back(action))
+            case actions.Intend(lsns):
+                self._runtime.spawn(self._intend(lsns))
+            case actions.RecordDone(lsns):
+                self._queue_done(lsns)
+            case actions.Suspend(lsn, reason):
+                self._runtime.spawn(self._record_suspension(lsn, reason))
+            case actions.BarrierPassed(lsn):
+                self.waiters.pass_barrier(lsn)
+            case actions.Relocate(lsns):
+                self._runtime.spawn(self._relocate(lsns))
+            case actions.Remove(segments):
+                self._runtime.spawn(self._remove(segments))
+
+    def _append(self, kind: Kind, parts: list[bytes]) -> PendingRecord:
+        return self.store.append(kind, self.store.next_lsn(), parts)
+
+    # --- attempts at nodes ----------------------------------------------------------------------
 
     async def _intend(self, lsns: list[int]) -> None:
-        """The intent is durable before the first byte goes out."""
-        self._say_settled()
-        words = Intent(lsns, self.boot, self.clock(), self.settings.limits.shards)
+        """The intent is durable before the first byte is sent."""
+        self.record_done()
+        shards = self._core.limits.shards
+        intent = Intent(lsns, self._runtime.boot, self._runtime.clock(), shards)
         try:
-            await self.store.append(Kind.INTENT, self.store.next_lsn(), pack(Kind.INTENT, words)).done
-        except (NotTaken, Doubtful) as error:
-            self._trouble(error)
-            self.core.not_intended(self.clock(), lsns)
+            await self._append(Kind.INTENT, pack(Kind.INTENT, intent)).done
+        except (RecordRejectedError, CommitUnknownError) as error:
+            self.disk_fault(error)
+            self._core.intent_lost(self._runtime.clock(), lsns)
         else:
-            self.core.intended(self.clock(), lsns)
-        self._stir.set()
+            self._core.intent_durable(self._runtime.clock(), lsns)
+        self._runtime.wakeup.set()
 
     @contextmanager
-    def _at_gateway(self) -> Iterator[None]:
-        self._sending += 1
+    def _call(self) -> Iterator[None]:
+        """A call at the gateway."""
+        self.calls += 1
         try:
             yield
         finally:
-            self._sending -= 1
+            self.calls -= 1
 
-    async def _send(self, action: decisions.Send) -> None:
-        entry = self.core.entries[action.lsn]
+    async def _send(self, action: actions.Send) -> None:
+        entry = self._core.entries[action.lsn]
         try:
-            write, whole = await self.words(entry)
-            body = (
-                whole
-                if not write.pieces
-                else b"".join([piece async for piece in self.body(write, whole, 0, write.size)])
-            )
-        except (Failed, ValueError) as error:
+            write, inline = await self._reader.read(entry)
+            body = await self._complete_body(write, inline)
+        except (LogIOError, ValueError) as error:
             logger.error("buffer: write {lsn} can't be read again: {why}", lsn=action.lsn, why=str(error))
-            self.core.hold(action.lsn, f"its bytes can't be read: {error}")
+            self._core.suspend(action.lsn, f"its bytes can't be read: {error}")
         else:
-            with self._at_gateway():
-                sent = await self.sender.send(write, body, action.expires, action.seen)
-            self.core.sent(self.clock(), action.lsn, *sent)
-        self._stir.set()
-
-    async def _read_back(self, action: decisions.ReadBack) -> None:
-        entry = self.core.entries[action.lsn]
+            with self._call():
+                result = await self.sender.send(write, body, action.expires, action.seen)
+            self._core.attempt_ended(self._runtime.clock(), action.lsn, *result)
+        self._runtime.wakeup.set()
+
+    async def _complete_body(self, write: Write, inline: bytes) -> bytes:
+        if not write.chunks:
+            return inline
+        return b"".join([chunk async for chunk in self._reader.body(write, inline, 0, write.size)])
+
+    async def _read_back(self, action: actions.ReadBack) -> None:
+        entry = self._core.entries[action.lsn]
         try:
-            write, _ = await self.words(entry)
-        except (Failed, ValueError) as error:
-            self.core.hold(action.lsn, f"its bytes can't be read: {error}")
+            write, _ = await self._reader.read(entry)
+        except (LogIOError, ValueError) as error:
+            self._core.suspend(action.lsn, f"its bytes can't be read: {error}")
         else:
-            with self._at_gateway():
-                looked = await self.sender.look(write, action.expires)
-            self.core.read_back(self.clock(), action.lsn, looked.version, looked.answered)
-        self._stir.set()
+            with self._call():
+                result = await self.sender.read_version(write, action.expires)
+            self._core.version_read(self._runtime.clock(), action.lsn, result.version, result.answered)
+        self._runtime.wakeup.set()
+
+    # --- records of finished and suspended writes -----------------------------------------------
 
-    def _settle(self, lsns: list[int]) -> None:
-        """Word of what is settled goes with the next batch, or a moment later."""
+    def _queue_done(self, lsns: list[int]) -> None:
+        """Done writes are recorded with the next batch, or a moment later."""
         for lsn in lsns:
-            self._forget(lsn)
-        self._settling += lsns
-        if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(LATER, self._say_settled)
-
-    def _say_settled(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-        while self._settling:
-            lsns, self._settling = self._settling[:MOST_SETTLED], self._settling[MOST_SETTLED:]
-            waiting = self.store.append(Kind.DONE, self.store.next_lsn(), pack(Kind.DONE, Done(lsns)))
-            self._spawn(self._settled(lsns, waiting.done))
-
-    async def _settled(self, lsns: list[int], word: asyncio.Future[None]) -> None:
+            self._reader.forget(lsn)
+        self._done += lsns
+        if self._done_timer is None:
+            self._done_timer = asyncio.get_running_loop().call_later(DONE_DELAY_S, self.record_done)
+
+    def record_done(self) -> None:
+        """Append records of all done writes now."""
+        if self._done_timer is not None:
+            self._done_timer.cancel()
+            self._done_timer = None
+        while self._done:
+            lsns = self._done[:MAX_DONE_PER_RECORD]
+            self._done = self._done[MAX_DONE_PER_RECORD:]
+            pending = self._append(Kind.DONE, pack(Kind.DONE, Done(lsns)))
+            self._runtime.spawn(self._commit_done(lsns, pending))
+
+    async def _commit_done(self, lsns: list[int], pending: PendingRecord) -> None:
         try:
-            await word
-        except (NotTaken, Doubtful) as error:
-            self._trouble(error)
-            await asyncio.sleep(LATER)
-            self.core.not_settled(lsns)
+            await pending.done
+        except (RecordRejectedError, CommitUnknownError) as error:
+            self.disk_fault(error)
+            await asyncio.sleep(DONE_DELAY_S)
+            self._core.done_lost(lsns)
         else:
-            self.core.settled(lsns)
-        self._stir.set()
+            self._core.done_durable(lsns)
+        self._runtime.wakeup.set()
 
-    async def _hold(self, lsn: int, reason: str) -> None:
+    async def _record_suspension(self, lsn: int, reason: str) -> None:
         if reason:
-            self._held(f"{lsn}: {reason}")
-        with suppress(NotTaken, Doubtful):  # after a restart it is found out anew
-            await self.store.append(Kind.HELD, self.store.next_lsn(), pack(Kind.HELD, Held(lsn, reason))).done
+            self._suspended(f"{lsn}: {reason}")
+        with suppress(RecordRejectedError, CommitUnknownError):  # after a restart it is found out again
+            await self._append(Kind.HELD, pack(Kind.HELD, Suspension(lsn, reason))).done
+
+    # --- compaction of the log ------------------------------------------------------------------
 
-    async def _move(self, lsns: list[int]) -> None:
+    async def _relocate(self, lsns: list[int]) -> None:
         """Copy writes and barriers to the log's end."""
         try:
             for lsn in lsns:
-                await self._move_one(lsn)
-        except (NotTaken, Doubtful, Failed, ValueError) as error:
-            self._trouble(error)
-            await asyncio.sleep(1.0)
-        self.core.moving_over()
-        self._stir.set()
-
-    async def _move_one(self, lsn: int) -> None:
-        if (pending := self.core.barriers.get(lsn)) is not None:
-            waiting = self.store.append(
-                Kind.BARRIER, self.store.next_lsn(), pack(Kind.BARRIER, Barrier(pending[0], lsn))
-            )
-            await waiting.done
-            if lsn in self.core.barriers:
-                self.core.barrier_moved(lsn, waiting.item.segment)
+                await self._relocate_one(lsn)
+        except (RecordRejectedError, CommitUnknownError, LogIOError, ValueError) as error:
+            self.disk_fault(error)
+            await asyncio.sleep(RELOCATE_RETRY_S)
+        self._core.relocation_ended()
+        self._runtime.wakeup.set()
+
+    async def _relocate_one(self, lsn: int) -> None:
+        barrier = self._core.barriers.get(lsn)
+        if barrier is not None:
+            bucket, _ = barrier
+            await self._relocate_barrier(lsn, bucket)
             return
-        entry = self.core.entries.get(lsn)
+        entry = self._core.entries.get(lsn)
         if entry is None:
             return
-        write, body = await self.words(entry)
+        write, body = await self._reader.read(entry)
         upload = Upload()
         try:
-            async for piece in self.body(write, b"", 0, write.size if write.pieces else 0):
-                if piece:
-                    await self.add(upload, piece)
-            write = msgspec.structs.replace(write)
-            if write.pieces:
-                await self.complete(upload, write)
-            if entry.state is decisions.State.OVER:
-                return
-            intent = (
-                None
-                if entry.intent is None
-                else (
-                    self.boot,
-                    entry.intent if entry.doubt is None else max(0.0, entry.doubt),
-                    self.settings.limits.shards,
-                )
-            )
-            moved = Moved(lsn, write, intent, entry.reason or None)
-            waiting = self.store.append(Kind.MOVED, self.store.next_lsn(), pack(Kind.MOVED, moved, body))
-            await waiting.done
-            self._forget(lsn)
-            self.core.moved(
-                lsn, (waiting.item.segment, waiting.item.offset), [segment for segment, _, _ in write.pieces]
-            )
+            write = await self._copy_chunks(upload, write)
+            if entry.state is not State.FINISHED:
+                await self._relocate_write(entry, write, body)
         finally:
-            self.drop(upload)
+            self._intake.drop(upload)
+
+    async def _relocate_barrier(self, lsn: int, bucket: str) -> None:
+        pending = self._append(Kind.BARRIER, pack(Kind.BARRIER, Barrier(bucket, lsn)))
+        await pending.done
+        if lsn in self._core.barriers:
+            self._core.barrier_relocated(lsn, pending.record.segment)
+
+    async def _copy_chunks(self, upload: Upload, write: Write) -> Write:
+        """Copy a large body; the write with its new chunks."""
+        async for chunk in self._reader.body(write, b"", 0, write.size if write.chunks else 0):
+            if chunk:
+                await self._intake.add(upload, chunk)
+        write = msgspec.structs.replace(write)
+        if write.chunks:
+            await self._intake.complete(upload, write)
+        return write
+
+    async def _relocate_write(self, entry: Entry, write: Write, body: bytes) -> None:
+        relocated = RelocatedWrite(entry.lsn, write, self._intent_of(entry), entry.reason or None)
+        pending = self._append(Kind.MOVED, pack(Kind.MOVED, relocated, body))
+        await pending.done
+        self._reader.forget(entry.lsn)
+        record = pending.record
+        self._core.relocated(
+            entry.lsn,
+            (record.segment, record.offset),
+            [segment for segment, _, _ in write.chunks],
+        )
+
+    def _intent_of(self, entry: Entry) -> tuple[bytes, float, int] | None:
+        """Since when a write may have been sent: boot, time on its clock, number of shards."""
+        if entry.intent_at is None:
+            return None
+        sent_at = entry.intent_at if entry.uncertain_since is None else max(0.0, entry.uncertain_since)
+        return self._runtime.boot, sent_at, self._core.limits.shards
 
     async def _remove(self, segments: list[int]) -> None:
-        gone = await self.store.remove(segments)
-        self.core.removed(gone)
-        self._stir.set()
+        removed = await self.store.remove(segments)
+        self._core.segments_removed(removed)
+        self._runtime.wakeup.set()
--- a/mallowbeam/storage_gateway/write_buffer/groups.py
+++ b/mallowbeam/storage_gateway/write_buffer/groups.py
@@ -1,4 +1,4 @@
-"""The order that barriers give to the writes of a bucket: what comes behind one waits for all before it.
+"""The order that barriers impose on the writes of a bucket: those behind one wait for all before it.
 
 Source: group order as in a write-back cache with barriers (SCSI SBC, SYNCHRONIZE CACHE).
 """
@@ -12,7 +12,7 @@
 
 
 class PassedBarrier(NamedTuple):
-    """A barrier that nothing is left before, and the segment that held its record."""
+    """A barrier with no writes left before it, and the segment of its record."""
 
     lsn: int
     segment: int
@@ -44,14 +44,14 @@
         return len(self.buckets.get(bucket, ())) > 1
 
     def open_barrier(self, lsn: int, bucket: str) -> None:
-        """A barrier is on its way to the log: a new group begins behind it."""
+        """A barrier is being committed: a new group begins behind it."""
         groups = self._of(bucket)
         groups[-1].barrier = lsn
         groups.append(Group())
         self.barriers[lsn] = bucket, 0
 
     def barrier_durable(self, lsn: int, segment: int) -> str:
-        """The log has a barrier, its record in `segment`; its bucket."""
+        """A barrier is durable, its record in `segment`; its bucket."""
         bucket, _ = self.barriers[lsn]
         self.barriers[lsn] = bucket, segment
         for group in self.buckets[bucket]:
@@ -60,7 +60,7 @@
         return bucket
 
     def barrier_lost(self, lsn: int) -> str:
-        """The log could not take a barrier: what it parted belongs together again; its bucket."""
+        """A barrier could not be committed: the two groups become one again; its bucket."""
         bucket, _ = self.barriers.pop(lsn)
         groups = self.buckets[bucket]
         for position, group in enumerate(groups):
@@ -74,14 +74,14 @@
             break
         return bucket
 
-    def barrier_moved(self, lsn: int, segment: int) -> int:
-        """A barrier's record was copied to `segment`; the segment in which it stood before."""
-        bucket, before = self.barriers[lsn]
+    def barrier_relocated(self, lsn: int, segment: int) -> int:
+        """A barrier's record was copied to `segment`; the segment of the earlier record."""
+        bucket, earlier_segment = self.barriers[lsn]
         self.barriers[lsn] = bucket, segment
-        return before
+        return earlier_segment
 
     def pass_barriers(self, bucket: str) -> list[PassedBarrier]:
-        """Let barriers pass that nothing is left before."""
+        """Let barriers pass that have no writes left before them."""
         groups = self.buckets[bucket]
         passed = []
         while len(groups) > 1 and not groups[0].entries and groups[0].durable:
@@ -99,19 +99,20 @@
 
     def writes_before(self, lsn: int) -> int | None:
         """How many writes a barrier still waits for; None where it has passed, or there never was one."""
-        known = self.barriers.get(lsn)
-        if known is None:
+        pending = self.barriers.get(lsn)
+        if pending is None:
             return None
+        bucket, _ = pending
         count = 0
-        for group in self.buckets[known[0]]:
+        for group in self.buckets[bucket]:
             count += len(group.entries)
             if group.barrier == lsn:
                 break
         return count
 
-    def held_in_first_group(self, bucket: str) -> Entry | None:
-        """The held write, if there is one, that keeps a bucket's first barrier from passing."""
-        return next((entry for entry in self.first_group(bucket) if entry.state is State.HELD), None)
+    def suspended_in_first_group(self, bucket: str) -> Entry | None:
+        """The suspended write, if there is one, that keeps a bucket's first barrier from passing."""
+        return next((entry for entry in self.first_group(bucket) if entry.state is State.SUSPENDED), None)
 
     def _of(self, bucket: str) -> deque[Group]:
         groups = self.buckets.get(bucket)
--- a/mallowbeam/storage_gateway/write_buffer/inspect.py
+++ b/mallowbeam/storage_gateway/write_buffer/inspect.py
@@ -1,6 +1,6 @@
-"""A buffer's folder looked at from outside: what it holds, whether it is whole, its writes as files.
+"""A buffer's folder inspected from outside: its content, whether it is intact, its writes as files.
 
-Changes nothing in the folder, so a folder in use may be looked at too; what is written meanwhile may be seen
+Changes nothing in the folder, so a folder in use may be inspected too; what is written meanwhile may be seen
 or not.
 """
 
@@ -14,41 +14,65 @@
 from pathlib import Path
 from urllib.parse import quote
 
-from mallowbeam.storage_gateway.write_buffer.core import Known
 from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
-from mallowbeam.storage_gateway.write_buffer.log import Found, Log, folder_id, name_of, numbers, walk
-from mallowbeam.storage_gateway.write_buffer.records import Moved, Newer, Record, Write, unpack
+from mallowbeam.storage_gateway.write_buffer.errors import LogIOError
+from mallowbeam.storage_gateway.write_buffer.log import (
+    Log,
+    ScanResult,
+    folder_id,
+    read_records,
+    segment_name,
+    segment_numbers,
+)
+from mallowbeam.storage_gateway.write_buffer.records import (
+    DamagedRange,
+    Record,
+    RelocatedWrite,
+    UnsupportedFormatError,
+    Write,
+    unpack,
+)
 from mallowbeam.storage_gateway.write_buffer.reopen import boot_clock, replay
+from mallowbeam.storage_gateway.write_buffer.replay import Replay, RestoredWrite
 
+PROGRESS_BYTES = 1 << 20  # between calls of a progress callback
+MAX_FILE_NAME = 150  # characters of a target in the name of an exported file
+QUARANTINE_PREFIX = "apart-"
 
-class Tally(Log):
-    """A log that is read and not owned, and counts what it reads."""
+Progress = Callable[[int], None]
+"""Called with the number of bytes read since the last call."""
 
-    def __init__(self, disk: RealDisk, told: Callable[[int], None] | None) -> None:
+
+class CountingLog(Log):
+    """A log that is read without its lock, and counts the records that it reads by kind."""
+
+    def __init__(self, disk: RealDisk, progress: Progress | None) -> None:
         super().__init__(disk, 0)
         owner = folder_id(disk)
         if owner is None:
-            raise Newer("it holds no buffer")
-        self.owner, self.told, self.kinds = owner, told, dict[str, int]()
-
-    def records(self, found: Found) -> Iterator[Record]:
-        """All records, counted."""
-        read = 0
-        for record in walk(self.disk, self.owner, found):
+            raise UnsupportedFormatError("it holds no buffer")
+        self.owner = owner
+        self.kinds: dict[str, int] = {}
+        self._progress = progress
+
+    def records(self, result: ScanResult) -> Iterator[Record]:
+        """All records in order, counted."""
+        unreported = 0
+        for record in read_records(self.disk, self.owner, result):
             name = record.kind.name.lower()
             self.kinds[name] = self.kinds.get(name, 0) + 1
-            read += record.end - record.offset
-            if self.told is not None and read > 1 << 20:
-                self.told(read)
-                read = 0
+            unreported += record.end - record.offset
+            if self._progress is not None and unreported > PROGRESS_BYTES:
+                self._progress(unreported)
+                unreported = 0
             yield record
-        if self.told is not None:
-            self.told(read)
+        if self._progress is not None:
+            self._progress(unreported)
 
 
 @dataclass(slots=True)
 class Damage:
-    """Bytes that are no record."""
+    """Bytes that are not a record; the fields are keys of `mallowbeam buffer show --json`."""
 
     segment: int
     offset: int
@@ -58,7 +82,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """What a folder holds."""
+    """What a folder holds; the fields are keys of `mallowbeam buffer show --json`."""
 
     folder: str
     segments: int = 0
@@ -69,130 +93,153 @@
     write_bytes: int = 0
     barriers: int = 0
     in_doubt: int = 0  # writes that may have been sent
-    held: list[dict[str, object]] = field(default_factory=list)
+    held: list[dict[str, object]] = field(default_factory=list)  # suspended writes
     oldest_s: float = 0.0  # age of the oldest write by the wall clock
-    buckets: dict[str, int] = field(default_factory=dict)
+    buckets: dict[str, int] = field(default_factory=dict)  # writes by bucket
     damage: list[Damage] = field(default_factory=list)
     missing: list[int] = field(default_factory=list)  # segments
-    unreadable: list[int] = field(default_factory=list)  # writes whose pieces can't be read
-    apart: list[str] = field(default_factory=list)  # files of damaged bytes
+    unreadable: list[int] = field(default_factory=list)  # writes whose chunks cannot be read
+    apart: list[str] = field(default_factory=list)  # files of quarantined bytes
 
     @property
-    def whole(self) -> bool:
+    def is_intact(self) -> bool:
         """Whether nothing that was acknowledged is damaged or missing."""
         return not (self.missing or self.unreadable or any(d.kind == "damaged" for d in self.damage))
 
     def json(self) -> str:
         """As JSON, for scripts."""
-        return json.dumps(asdict(self) | {"whole": self.whole}, indent=2)
+        return json.dumps(asdict(self) | {"whole": self.is_intact}, indent=2)
 
 
-def size_of(folder: str) -> int:
+def folder_bytes(folder: str) -> int:
     """Bytes of a folder's segments."""
     disk = RealDisk(folder, read_only=True)
     try:
-        return sum(os.stat(Path(folder) / name_of(number)).st_size for number in numbers(disk))
+        return sum(os.stat(Path(folder) / segment_name(number)).st_size for number in segment_numbers(disk))
     finally:
         disk.close()
 
 
-def look(folder: str, pieces: bool = False, told: Callable[[int], None] | None = None) -> Report:
-    """Read a folder through; `pieces`: also those of large bodies, one by one.  Raises `Newer`, OSError."""
+def inspect_folder(folder: str, chunks: bool = False, progress: Progress | None = None) -> Report:
+    """Read a folder through; `chunks`: also those of large bodies, one by one.
+
+    Raises `UnsupportedFormatError` or OSError.
+    """
     disk = RealDisk(folder, read_only=True)
     try:
-        log, found, now = Tally(disk, told), Found(), boot_clock()
-        state = replay(log, found, time.time(), now)
-        report = Report(folder, len(numbers(disk)), sum(found.segments.values()), log.kinds, found.last)
-        report.missing = found.missing
-        firsts: dict[str, int] = {}  # by bucket: the first write still here
-        for lsn, known in state.writes.items():
-            firsts[known.entry.bucket] = min(lsn, firsts.get(known.entry.bucket, lsn))
-        report.barriers = sum(firsts.get(bucket, lsn) < lsn for lsn, (bucket, _) in state.barriers.items())
-        report.apart = [name for name in disk.names() if name.startswith("apart-")]
-        for bad in found.bad:
-            kind = "blank" if bad.blank else "damaged" if bad.after < found.durable else "torn"
-            report.damage.append(Damage(bad.segment, bad.offset, bad.length, kind))
-        for lsn, known in state.writes.items():
-            entry = known.entry
-            report.writes += 1
-            report.write_bytes += entry.size
-            report.in_doubt += known.intent is not None
-            report.buckets[entry.bucket] = report.buckets.get(entry.bucket, 0) + 1
-            report.oldest_s = max(report.oldest_s, round(now - entry.at, 3))
-            if known.held is not None:
-                report.held.append(
-                    {
-                        "lsn": lsn,
-                        "method": entry.method,
-                        "target": entry.name.decode("latin-1"),
-                        "bytes": entry.size,
-                        "reason": known.held,
-                    }
-                )
-            if pieces and not readable(log, known):
+        log = CountingLog(disk, progress)
+        result = ScanResult()
+        now = boot_clock()
+        state = replay(log, result, time.time(), now)
+        report = Report(folder, len(segment_numbers(disk)), sum(result.segments.values()))
+        report.records = log.kinds
+        report.last_lsn = result.last_lsn
+        report.missing = result.missing
+        report.barriers = _pending_barriers(state)
+        report.apart = [name for name in disk.names() if name.startswith(QUARANTINE_PREFIX)]
+        report.damage = [_describe_damage(damaged, result) for damaged in result.damaged]
+        for lsn, restored in state.writes.items():
+            _add_write(report, lsn, restored, now)
+            if chunks and not is_readable(log, restored):
                 report.unreadable.append(lsn)
         return report
     finally:
         disk.close()
 
 
-def readable(log: Log, known: Known) -> bool:
-    """Whether a write and its pieces stand where the log says."""
-    from mallowbeam.storage_gateway.write_buffer.errors import Failed
-
+def _pending_barriers(state: Replay) -> int:
+    """The number of barriers with a write of their bucket before them."""
+    first_writes: dict[str, int] = {}  # by bucket
+    for lsn, restored in state.writes.items():
+        bucket = restored.entry.bucket
+        first_writes[bucket] = min(lsn, first_writes.get(bucket, lsn))
+    return sum(first_writes.get(bucket, lsn) < lsn for lsn, (bucket, _) in state.barriers.items())
+
+
+def _describe_damage(damaged: DamagedRange, result: ScanResult) -> Damage:
+    kind = "damaged" if damaged.last_lsn < result.durable else "torn"
+    if damaged.is_blank:
+        kind = "blank"
+    return Damage(damaged.segment, damaged.offset, damaged.length, kind)
+
+
+def _add_write(report: Report, lsn: int, restored: RestoredWrite, now: float) -> None:
+    entry = restored.entry
+    report.writes += 1
+    report.write_bytes += entry.size
+    report.in_doubt += restored.intent is not None
+    report.buckets[entry.bucket] = report.buckets.get(entry.bucket, 0) + 1
+    report.oldest_s = max(report.oldest_s, round(now - entry.accepted_at, 3))
+    if restored.suspension is not None:
+        report.held.append(
+            {
+                "lsn": lsn,
+                "method": entry.method,
+                "target": entry.name.decode("latin-1"),
+                "bytes": entry.size,
+                "reason": restored.suspension,
+            }
+        )
+
+
+def is_readable(log: Log, restored: RestoredWrite) -> bool:
+    """Whether a write and its chunks are where the log says."""
     try:
-        write, _ = words(log, known)
-        for segment, offset, _ in write.pieces:
+        write, _ = read_write(log, restored)
+        for segment, offset, _ in write.chunks:
             log.read(segment, offset)
-    except (Failed, ValueError, OSError):
+    except (LogIOError, ValueError, OSError):
         return False
     return True
 
 
-def words(log: Log, known: Known) -> tuple[Write, memoryview]:
-    """A write's words and what of its body stands with them."""
-    record = log.read(*known.where)
-    told, body = unpack(record.kind, record.payload)
-    write = told.write if isinstance(told, Moved) else told
+def read_write(log: Log, restored: RestoredWrite) -> tuple[Write, memoryview]:
+    """A write, and its body unless that is in chunks; raises `LogIOError` or ValueError."""
+    record = log.read(*restored.position)
+    content, body = unpack(record.kind, record.payload)
+    write = content.write if isinstance(content, RelocatedWrite) else content
     assert isinstance(write, Write)
     return write, body
 
 
-def export(folder: str, target: Path, told: Callable[[int], None] | None = None) -> int:
-    """Write every write that is still here as a file, and `index.json` beside them; how many there were.
+def export_writes(folder: str, target: Path, progress: Progress | None = None) -> int:
+    """Write every pending write to a file, and `index.json` beside them; the number of writes.
 
-    Files are named by the order in which they came: the last of one name is what a reader would see.
+    Files are named by the order of the writes: the last of one name is what a reader would see.
     """
     disk = RealDisk(folder, read_only=True)
     try:
-        log, found = Tally(disk, None), Found()
-        state = replay(log, found, time.time(), boot_clock())
+        log = CountingLog(disk, None)
+        state = replay(log, ScanResult(), time.time(), boot_clock())
         target.mkdir(parents=True)  # an export never adds to another
         index = []
         for lsn in sorted(state.writes):
-            write, body = words(log, state.writes[lsn])
-            name = f"{lsn:012d}-{write.method}-" + quote(write.target, safe="")[:150]
+            restored = state.writes[lsn]
+            write, body = read_write(log, restored)
+            name = f"{lsn:012d}-{write.method}-" + quote(write.target, safe="")[:MAX_FILE_NAME]
             if write.method == "PUT":
                 with open(target / name, "xb") as file:
                     file.write(body)
-                    for segment, offset, _ in write.pieces:
+                    for segment, offset, _ in write.chunks:
                         file.write(log.read(segment, offset).payload)
-            index.append(
-                {
-                    "lsn": lsn,
-                    "file": name,
-                    "method": write.method,
-                    "bucket": write.bucket,
-                    "target": write.target.decode("latin-1"),
-                    "bytes": write.size,
-                    "etag": write.etag,
-                    "headers": [[n.decode("latin-1"), v.decode("latin-1")] for n, v in write.headers],
-                    "held": state.writes[lsn].held,
-                }
-            )
-            if told is not None:
-                told(write.size)
+            index.append(_index_row(lsn, name, write, restored))
+            if progress is not None:
+                progress(write.size)
         (target / "index.json").write_text(json.dumps(index, indent=1))
         return len(index)
     finally:
         disk.close()
+
+
+def _index_row(lsn: int, file_name: str, write: Write, restored: RestoredWrite) -> dict[str, object]:
+    return {
+        "lsn": lsn,
+        "file": file_name,
+        "method": write.method,
+        "bucket": write.bucket,
+        "target": write.target.decode("latin-1"),
+        "bytes": write.size,
+        "etag": write.etag,
+        "headers": [[name.decode("latin-1"), value.decode("latin-1")] for name, value in write.headers],
+        "held": restored.suspension,
+    }
--- a/mallowbeam/storage_gateway/write_buffer/log.py
+++ b/mallowbeam/storage_gateway/write_buffer/log.py
@@ -1,8 +1,8 @@
-"""The segmented log: records appended, synced, read again, and whole segments taken away.
+"""The segmented log: records appended, synced, read again, and complete segments removed.
 
 Blocking; one thread at a time.  A batch is written behind the last synced byte and synced once.  A batch that
-can't be written or synced is never acknowledged: where the disk is full its bytes are cut off again; where
-writing or syncing failed otherwise, that file is trusted no more and a new segment begins.
+cannot be written or synced is never acknowledged: where the disk is full its bytes are truncated; where
+writing or syncing failed otherwise, that file is not trusted any more and a new segment begins.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from dataclasses import dataclass, field
 
 from mallowbeam.storage_gateway.write_buffer.disk import Disk, File
-from mallowbeam.storage_gateway.write_buffer.errors import DiskFull, Failed
+from mallowbeam.storage_gateway.write_buffer.errors import DiskFullError, LogIOError
 from mallowbeam.storage_gateway.write_buffer.records import (
     RECORD,
     SEGMENT,
     VERSION,
-    Bad,
+    DamagedRange,
     Kind,
-    Newer,
     Record,
+    UnsupportedFormatError,
     check,
     frame,
     marker_at,
@@ -34,15 +34,20 @@
     segment_head,
 )
 
-READ = 1 << 20  # bytes read at once when the log is read through
-RESERVE = 1 << 20  # bytes kept back for what ends writes, where the disk is full
-FOLDER = "folder.json"
-FULL = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
+READ_BYTES = 1 << 20  # read at once when the log is read through
+RESERVE_BYTES = 1 << 20  # kept free for records that finish writes, where the disk is full
+FOLDER_FILE = "folder.json"
+FOLDER_FORMAT = "mallowbeam-buffer"
+MAX_FOLDER_FILE = 4096  # bytes
+RESERVE_FILE = "reserve"
+SEGMENT_PREFIX = "segment-"
+SEGMENT_SUFFIX = ".log"
+DISK_FULL_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
 
 
 @dataclass(slots=True)
-class Item:
-    """One record to be appended; `segment` and `offset` are known once it is written."""
+class NewRecord:
+    """A record to be appended; `segment` and `offset` are known once it is written."""
 
     kind: Kind
     lsn: int
@@ -57,8 +62,8 @@
 
 
 @dataclass(slots=True)
-class Apart:
-    """Bytes that were no record, set apart in a file of their own."""
+class QuarantinedRange:
+    """Bytes that are not a record, moved to a file of their own."""
 
     name: str
     segment: int
@@ -68,60 +73,63 @@
 
 
 @dataclass(slots=True)
-class Found:
-    """What a look at the folder brought, beside its records."""
+class ScanResult:
+    """What reading the folder brought, besides its records."""
 
-    last: int = 0  # the highest lsn
-    durable: int = 0  # up to here records were told to be durable
+    last_lsn: int = 0  # the highest
+    durable: int = 0  # up to this lsn records say that they are durable
     segments: dict[int, int] = field(default_factory=dict)  # bytes of each
-    bad: list[Bad] = field(default_factory=list)
+    damaged: list[DamagedRange] = field(default_factory=list)
     headless: list[int] = field(default_factory=list)  # segments without a readable head
     missing: list[int] = field(default_factory=list)  # segments that should lie between others
 
 
-def name_of(number: int) -> str:
+def segment_name(number: int) -> str:
     """A segment's file name."""
-    return f"segment-{number:010d}.log"
+    return f"{SEGMENT_PREFIX}{number:010d}{SEGMENT_SUFFIX}"
 
 
-def numbers(disk: Disk) -> list[int]:
+def segment_numbers(disk: Disk) -> list[int]:
     """The segments of a folder, oldest first."""
-    return sorted(
-        int(name[8:-4])
+    names = (
+        name.removeprefix(SEGMENT_PREFIX).removesuffix(SEGMENT_SUFFIX)
         for name in disk.names()
-        if name.startswith("segment-") and name.endswith(".log") and name[8:-4].isdigit()
+        if name.startswith(SEGMENT_PREFIX) and name.endswith(SEGMENT_SUFFIX)
     )
+    return sorted(int(name) for name in names if name.isdigit())
 
 
 def folder_id(disk: Disk) -> bytes | None:
-    """The folder's own id, None for an empty one; raises `Newer` for what is no folder of ours."""
-    if FOLDER not in disk.names():
-        if numbers(disk):
-            raise Newer(f"there are segments but no {FOLDER}")
+    """The folder's own id, None for an empty one; raises `UnsupportedFormatError`."""
+    if FOLDER_FILE not in disk.names():
+        if segment_numbers(disk):
+            raise UnsupportedFormatError(f"there are segments but no {FOLDER_FILE}")
         return None
-    file = disk.open(FOLDER)
+    file = disk.open(FOLDER_FILE)
     try:
-        told = json.loads(file.read(4096, 0))
-        if told["format"] != "mallowbeam-buffer":
-            raise Newer("it is no buffer of this program's")
-        if told["version"] > VERSION:
-            raise Newer(f"it is of version {told['version']}, this program reads {VERSION}")
-        return bytes.fromhex(told["id"])
+        header = json.loads(file.read(MAX_FOLDER_FILE, 0))
+        if header["format"] != FOLDER_FORMAT:
+            raise UnsupportedFormatError("it is no buffer of this program's")
+        if header["version"] > VERSION:
+            raise UnsupportedFormatError(
+                f"it is of version {header['version']}, this program reads {VERSION}"
+            )
+        return bytes.fromhex(header["id"])
     except (ValueError, KeyError, TypeError):
-        if numbers(disk):
-            raise Newer(f"{FOLDER} can't be read") from None
-        return None  # the power went while it was being made
+        if segment_numbers(disk):
+            raise UnsupportedFormatError(f"{FOLDER_FILE} can't be read") from None
+        return None  # the power failed while it was being created
     finally:
         file.close()
 
 
-def make_folder(disk: Disk) -> bytes:
-    """Begin an empty folder."""
+def create_folder(disk: Disk) -> bytes:
+    """Make an empty folder a buffer's; its new id."""
     owner = os.urandom(16)
-    if FOLDER in disk.names():
-        disk.remove(FOLDER)
-    file = disk.open(FOLDER, new=True)
-    text = json.dumps({"format": "mallowbeam-buffer", "version": VERSION, "id": owner.hex()})
+    if FOLDER_FILE in disk.names():
+        disk.remove(FOLDER_FILE)
+    file = disk.open(FOLDER_FILE, new=True)
+    text = json.dumps({"format": FOLDER_FORMAT, "version": VERSION, "id": owner.hex()})
     file.write([text.encode() + b"\n"], 0)
     file.sync()
     file.close()
@@ -129,266 +137,293 @@
     return owner
 
 
-def pieces(file: File, at: int) -> Iterator[bytes]:
+def read_chunks(file: File, offset: int) -> Iterator[bytes]:
     """A file's bytes from an offset on."""
-    while data := file.read(READ, at):
-        at += len(data)
+    while data := file.read(READ_BYTES, offset):
+        offset += len(data)
         yield data
 
 
-def walk(disk: Disk, owner: bytes, found: Found) -> Iterator[Record]:
-    """All records of a folder in order; `found` is filled in on the way.  Changes nothing."""
-    known = numbers(disk)
-    found.missing = sorted(set(range(known[0], known[-1])) - set(known)) if known else []
-    for number in known:
+def read_records(disk: Disk, owner: bytes, result: ScanResult) -> Iterator[Record]:
+    """All records of a folder in order; `result` is filled in on the way.  Changes nothing."""
+    numbers = segment_numbers(disk)
+    result.missing = sorted(set(range(numbers[0], numbers[-1])) - set(numbers)) if numbers else []
+    for number in numbers:
         try:
-            file = disk.open(name_of(number))
-        except FileNotFoundError:  # its owner has just taken it away: all in it is settled
+            file = disk.open(segment_name(number))
+        except FileNotFoundError:  # its owner has just removed it: all in it is done
             continue
         try:
-            size = found.segments[number] = file.size()
-            marker = read_head(file.read(SEGMENT.size, 0), owner, number)
-            if marker is None:  # the records may stand for all that
-                marker = marker_at(file.read(READ + RECORD.size, SEGMENT.size))
-            if marker is None:
-                found.headless.append(number)
-                blank = not any(map(any, pieces(file, 0)))
-                found.bad.append(Bad(number, 0, size, blank, found.last, True))
-                continue
-            for thing in scan(pieces(file, SEGMENT.size), number, marker, found.last):
-                if isinstance(thing, Bad):
-                    found.bad.append(thing)
-                    continue
-                found.last = max(found.last, thing.lsn)
-                found.durable = max(found.durable, thing.durable)
-                yield thing
+            yield from _read_segment(file, number, owner, result)
         finally:
             file.close()
 
 
+def _read_segment(file: File, number: int, owner: bytes, result: ScanResult) -> Iterator[Record]:
+    size = result.segments[number] = file.size()
+    marker = _segment_marker(file, number, owner)
+    if marker is None:
+        result.headless.append(number)
+        is_blank = not any(map(any, read_chunks(file, 0)))
+        result.damaged.append(DamagedRange(number, 0, size, is_blank, result.last_lsn, True))
+        return
+    for found in scan(read_chunks(file, SEGMENT.size), number, marker, result.last_lsn):
+        if isinstance(found, DamagedRange):
+            result.damaged.append(found)
+            continue
+        result.last_lsn = max(result.last_lsn, found.lsn)
+        result.durable = max(result.durable, found.durable)
+        yield found
+
+
+def _segment_marker(file: File, number: int, owner: bytes) -> int | None:
+    """A segment's marker from its head or, where that is damaged, from its first record."""
+    marker = read_head(file.read(SEGMENT.size, 0), owner, number)
+    if marker is None:
+        marker = marker_at(file.read(READ_BYTES + RECORD.size, SEGMENT.size))
+    return marker
+
+
 class Log:
-    """The log of a folder that this process owns."""
+    """The log of a folder that this process has locked."""
 
     def __init__(self, disk: Disk, segment_bytes: int) -> None:
-        self.disk, self.segment_bytes = disk, segment_bytes
-        self.owner = b""
-        self.files: dict[int, File] = {}
-        self.sizes: dict[int, int] = {}
-        self.markers: dict[int, int] = {}
-        self.number = self.at = 0  # of the segment written to; where the next record goes
+        self.disk = disk
+        self.segment_bytes = segment_bytes
+        self.owner = b""  # the folder's id
+        self.sizes: dict[int, int] = {}  # bytes by segment
+        self.number = 0  # of the segment being written
+        self.offset = 0  # where its next record goes
         self.file: File | None = None
-        self.durable = 0
-        self.synced = 0  # syncs of a file so far
-        self.reserve = False
-        self._opening = threading.Lock()  # readers are threads of their own
+        self.durable = 0  # the highest lsn that is
+        self.syncs = 0  # of a file so far
+        self._files: dict[int, File] = {}
+        self._markers: dict[int, int] = {}
+        self._has_reserve = False
+        self._opening = threading.Lock()  # reads run in threads of their own
+
+    # --- opening --------------------------------------------------------------------------------
 
-    # --- coming up ------------------------------------------------------------------------------
+    def open(self) -> ScanResult:
+        """Lock the folder; `records` and `recover` follow.
 
-    def open(self) -> Found:
-        """Own the folder and make ready; raises `Locked`, `Newer` or OSError.  `records` follows."""
+        Raises `FolderLockedError`, `UnsupportedFormatError` or OSError.
+        """
         self.disk.lock()
-        self.owner = folder_id(self.disk) or make_folder(self.disk)
-        return Found()
+        self.owner = folder_id(self.disk) or create_folder(self.disk)
+        return ScanResult()
 
-    def records(self, found: Found) -> Iterator[Record]:
-        """All records that stand, in order."""
-        yield from walk(self.disk, self.owner, found)
+    def records(self, result: ScanResult) -> Iterator[Record]:
+        """All records in order; `result` is filled in on the way."""
+        yield from read_records(self.disk, self.owner, result)
 
-    def settle(self, found: Found) -> list[Apart]:
-        """Once the records are read: set bad bytes apart, and begin a new segment.
+    def recover(self, result: ScanResult) -> list[QuarantinedRange]:
+        """Once the records are read: quarantine damaged bytes, and begin a new segment.
 
-        Guards the next life: a torn end is cut off its segment, or it would look like damage to what was
-        acknowledged once later records say that the log is durable beyond it.
+        A torn end is truncated: it would look like damage to acknowledged records once later records say
+        that the log is durable beyond it.
         """
-        self.sizes = dict(found.segments)
-        self.number = max(found.segments, default=0)
-        self.durable = found.last
-        apart = []
-        for bad in found.bad:
-            if not bad.blank:
-                apart += self._set_apart(bad, bad.after < found.durable)
-            if bad.last and bad.offset:
-                file = self.disk.open(name_of(bad.segment))
-                file.cut(bad.offset)
-                file.sync()
-                file.close()
-                self.sizes[bad.segment] = bad.offset
-        for number in found.headless:
-            self.disk.remove(name_of(number))
+        self.sizes = dict(result.segments)
+        self.number = max(result.segments, default=0)
+        self.durable = result.last_lsn
+        quarantined: list[QuarantinedRange] = []
+        for damage in result.damaged:
+            if not damage.is_blank:
+                quarantined += self._quarantine(damage, damage.last_lsn < result.durable)
+            if damage.is_last and damage.offset:
+                self._truncate_segment(damage.segment, damage.offset)
+        for number in result.headless:
+            self.disk.remove(segment_name(number))
             del self.sizes[number]
-        if found.headless or apart:
+        if result.headless or quarantined:
             self.disk.sync()
-        self._next_segment(found.last + 1)
-        self._keep_reserve()
-        return apart
+        self._begin_segment(result.last_lsn + 1)
+        self._create_reserve()
+        return quarantined
+
+    def _truncate_segment(self, number: int, size: int) -> None:
+        file = self.disk.open(segment_name(number))
+        file.truncate(size)
+        file.sync()
+        file.close()
+        self.sizes[number] = size
 
-    def _set_apart(self, bad: Bad, acknowledged: bool) -> list[Apart]:
-        name = f"apart-{bad.segment:010d}-{bad.offset}.bin"
-        if name in self.disk.names():  # known from an earlier life, and told then
+    def _quarantine(self, damage: DamagedRange, acknowledged: bool) -> list[QuarantinedRange]:
+        """Copy damaged bytes to a file; none where an earlier process has done and reported that."""
+        name = f"apart-{damage.segment:010d}-{damage.offset}.bin"
+        if name in self.disk.names():
             return []
-        file, copy = self.disk.open(name_of(bad.segment)), self.disk.open(name, new=True)
-        at, end = bad.offset, bad.offset + bad.length
-        while at < end and (data := file.read(min(READ, end - at), at)):
-            copy.write([data], at - bad.offset)
-            at += len(data)
-        copy.sync()
-        copy.close()
-        file.close()
-        return [Apart(name, bad.segment, bad.offset, bad.length, acknowledged)]
+        source = self.disk.open(segment_name(damage.segment))
+        target = self.disk.open(name, new=True)
+        offset = damage.offset
+        end = damage.offset + damage.length
+        while offset < end and (data := source.read(min(READ_BYTES, end - offset), offset)):
+            target.write([data], offset - damage.offset)
+            offset += len(data)
+        target.sync()
+        target.close()
+        source.close()
+        return [QuarantinedRange(name, damage.segment, damage.offset, damage.length, acknowledged)]
 
     # --- appending ------------------------------------------------------------------------------
 
-    def commit(self, items: list[Item], last: bool = False) -> None:
-        """Append a batch and sync it; raises `DiskFull` or `Failed`, and then none of it is durable.
+    def commit(self, batch: list[NewRecord], finishes_writes: bool = False) -> None:
+        """Append a batch and sync it; raises `DiskFullError` or `LogIOError`, and then none of it is durable.
 
-        `last`: what ends writes and so makes room; where the disk is full the reserve is for it.
+        `finishes_writes`: the batch makes space; where the disk is full it may use the reserve.
         """
         try:
-            self._write(items)
-        except DiskFull:
-            if not (last and self.reserve):
+            self._write(batch)
+        except DiskFullError:
+            if not (finishes_writes and self._has_reserve):
                 raise
             try:
-                self._spend_reserve()
+                self._release_reserve()
             except OSError as error:
-                raise Failed(f"the reserve can't be let go: {error}") from None
-            self._write(items)
+                raise LogIOError(f"the reserve can't be let go: {error}") from None
+            self._write(batch)
         assert self.file is not None
         try:
             self.file.sync()
         except OSError as error:
             self.abandon()
-            raise Failed(f"sync of {name_of(self.number)}: {error}") from None
-        self.synced += 1
-        self.durable = max(self.durable, items[-1].lsn)
+            raise LogIOError(f"sync of {segment_name(self.number)}: {error}") from None
+        self.syncs += 1
+        self.durable = max(self.durable, batch[-1].lsn)
 
-    def _write(self, items: list[Item]) -> None:
-        if self.file is None or self.at >= self.segment_bytes:
+    def _write(self, batch: list[NewRecord]) -> None:
+        if self.file is None or self.offset >= self.segment_bytes:
             try:
-                self._next_segment(items[0].lsn)
+                self._begin_segment(batch[0].lsn)
             except OSError as error:
                 self.abandon()
-                raise (DiskFull if error.errno in FULL else Failed)(f"new segment: {error}") from None
+                kind = DiskFullError if error.errno in DISK_FULL_ERRORS else LogIOError
+                raise kind(f"new segment: {error}") from None
         assert self.file is not None
         parts: list[bytes] = []
-        at, marker = self.at, self.markers[self.number]
-        for item in items:
-            item.segment, item.offset = self.number, at
-            parts += frame(marker, item.kind, item.lsn, self.durable, item.parts)
-            at += item.size
+        offset = self.offset
+        marker = self._markers[self.number]
+        for record in batch:
+            record.segment = self.number
+            record.offset = offset
+            parts += frame(marker, record.kind, record.lsn, self.durable, record.parts)
+            offset += record.size
         try:
-            self.file.write(parts, self.at)
+            self.file.write(parts, self.offset)
         except OSError as error:
-            # Guards the end of the log: what went out of a batch that has no room is cut off again.
-            if error.errno in FULL and self._cut_back():
-                raise DiskFull(str(error)) from None
+            # Guards the end of the log: what was written of a batch without space is truncated.
+            if error.errno in DISK_FULL_ERRORS and self._truncate_batch():
+                raise DiskFullError(str(error)) from None
             self.abandon()
-            raise Failed(f"write to {name_of(self.number)}: {error}") from None
-        self.at = self.sizes[self.number] = at
+            raise LogIOError(f"write to {segment_name(self.number)}: {error}") from None
+        self.offset = self.sizes[self.number] = offset
 
-    def _cut_back(self) -> bool:
+    def _truncate_batch(self) -> bool:
         assert self.file is not None
         try:
-            self.file.cut(self.at)
+            self.file.truncate(self.offset)
         except OSError:
             return False
         return True
 
     def abandon(self) -> None:
-        """Write no more to this segment."""
+        """Write nothing more to the current segment."""
         self.file = None
 
-    def _next_segment(self, first: int) -> None:
-        """Begin a segment: its head and its name are durable before a record stands in it."""
-        number, marker = self.number + 1, int.from_bytes(os.urandom(4), "little") | 1
-        file = self.disk.open(name_of(number), new=True)
+    def _begin_segment(self, first_lsn: int) -> None:
+        """Begin a segment: its head and its name are durable before a record is written to it."""
+        number = self.number + 1
+        marker = int.from_bytes(os.urandom(4), "little") | 1
+        file = self.disk.open(segment_name(number), new=True)
         self.file = None
         try:
-            file.write([segment_head(marker, self.owner, number, first)], 0)
+            file.write([segment_head(marker, self.owner, number, first_lsn)], 0)
             file.sync()
             self.disk.sync()
         except OSError:
             file.close()
-            self.disk.remove(name_of(number))  # or each new try would leave a file
+            self.disk.remove(segment_name(number))  # or each new attempt would leave a file
             raise
-        self.markers[number], self.files[number] = marker, file
-        self.number, self.file, self.at = number, file, SEGMENT.size
+        self._markers[number] = marker
+        self._files[number] = file
+        self.number = number
+        self.file = file
+        self.offset = SEGMENT.size
         self.sizes[number] = SEGMENT.size
 
-    def _keep_reserve(self) -> None:
-        """Hold room back, so that a full disk can still be told what is done."""
-        if "reserve" in self.disk.names():
-            self.disk.remove("reserve")
+    def _create_reserve(self) -> None:
+        """Reserve space, so that finished writes can still be recorded on a full disk."""
+        if RESERVE_FILE in self.disk.names():
+            self.disk.remove(RESERVE_FILE)
         try:
-            file = self.disk.open("reserve", new=True)
+            file = self.disk.open(RESERVE_FILE, new=True)
             try:
-                file.write([bytes(RESERVE)], 0)
+                file.write([bytes(RESERVE_BYTES)], 0)
                 file.sync()
-                self.reserve = True
+                self._has_reserve = True
             finally:
                 file.close()
         except OSError:
-            self.reserve = False
+            self._has_reserve = False
 
-    def _spend_reserve(self) -> None:
-        self.disk.remove("reserve")
+    def _release_reserve(self) -> None:
+        self.disk.remove(RESERVE_FILE)
         self.disk.sync()
-        self.reserve = False
+        self._has_reserve = False
 
-    # --- reading and taking away ----------------------------------------------------------------
+    # --- reading and removing -------------------------------------------------------------------
 
     def read(self, segment: int, offset: int) -> Record:
-        """A record again; raises `Failed` where it is no longer what was written."""
+        """A record again; raises `LogIOError` where it is no longer what was written."""
         try:
-            file = self._open(segment)
+            file = self._open_segment(segment)
             head = file.read(RECORD.size, offset)
             size = RECORD.unpack(head)[2] if len(head) == RECORD.size else 0
-            data = memoryview(head + file.read(min(size, 1 << 20), offset + RECORD.size))
-        except (OSError, Newer) as error:
-            raise Failed(f"{name_of(segment)} at {offset}: {error}") from None
-        told = check(data, 0, self.markers[segment])
-        if told is None:
-            raise Failed(f"{name_of(segment)} at {offset}: the record is damaged")
-        kind, lsn, durable, _ = told
+            data = memoryview(head + file.read(min(size, READ_BYTES), offset + RECORD.size))
+        except (OSError, UnsupportedFormatError) as error:
+            raise LogIOError(f"{segment_name(segment)} at {offset}: {error}") from None
+        found = check(data, 0, self._markers[segment])
+        if found is None:
+            raise LogIOError(f"{segment_name(segment)} at {offset}: the record is damaged")
+        kind, lsn, durable, _ = found
         return Record(Kind(kind), lsn, durable, segment, offset, data[RECORD.size :])
 
-    def _open(self, segment: int) -> File:
-        """A segment's file, and its marker known."""
+    def _open_segment(self, segment: int) -> File:
+        """A segment's file; its marker is known then."""
         with self._opening:
-            file = self.files.get(segment)
+            file = self._files.get(segment)
             if file is None:
-                file = self.files[segment] = self.disk.open(name_of(segment))
-            if segment not in self.markers:
-                marker = read_head(file.read(SEGMENT.size, 0), self.owner, segment) or marker_at(
-                    file.read(READ + RECORD.size, SEGMENT.size)
-                )
+                file = self._files[segment] = self.disk.open(segment_name(segment))
+            if segment not in self._markers:
+                marker = _segment_marker(file, segment, self.owner)
                 if marker is None:
-                    raise Failed(f"the head of {name_of(segment)} is damaged")
-                self.markers[segment] = marker
+                    raise LogIOError(f"the head of {segment_name(segment)} is damaged")
+                self._markers[segment] = marker
             return file
 
     def remove(self, segments: list[int]) -> None:
-        """Take segments away that nothing needs any more."""
+        """Remove segments that nothing needs any more; raises OSError."""
         for number in segments:
-            file = self.files.pop(number, None)
+            file = self._files.pop(number, None)
             if file is not None:
                 file.close()
-            with suppress(FileNotFoundError):  # a removal that broke off is done again
-                self.disk.remove(name_of(number))
+            with suppress(FileNotFoundError):  # a removal that was interrupted is repeated
+                self.disk.remove(segment_name(number))
             self.sizes.pop(number, None)
-            self.markers.pop(number, None)
+            self._markers.pop(number, None)
         self.disk.sync()
-        if not self.reserve:
-            self._keep_reserve()
+        if not self._has_reserve:
+            self._create_reserve()
 
     def close(self) -> None:
-        """Let go of the files and the folder."""
-        for file in self.files.values():
+        """Close the files and unlock the folder."""
+        for file in self._files.values():
             file.close()
-        self.files, self.file = {}, None
+        self._files = {}
+        self.file = None
         self.disk.unlock()
 
 
-def mark(lsn: int) -> Item:
-    """A record that says no more than how far the log is durable."""
-    return Item(Kind.MARK, lsn, pack(Kind.MARK, None))
+def durability_marker(lsn: int) -> NewRecord:
+    """A record that says only how far the log is durable."""
+    return NewRecord(Kind.MARK, lsn, pack(Kind.MARK, None))
--- a/mallowbeam/storage_gateway/write_buffer/records.py
+++ b/mallowbeam/storage_gateway/write_buffer/records.py
@@ -1,4 +1,4 @@
-"""What stands in the buffer's log: bytes to records and back, as docs/formats/buffer-log.md has it.
+"""The format of the buffer's log: records to bytes and back, as docs/formats/buffer-log.md has it.
 
 No I/O.  A record's checksum covers its header and payload; a marker drawn at random for each segment stands
 before every record, so that the next record is found behind damaged bytes, and bytes that a client stores
@@ -21,156 +21,162 @@
 MAGIC = b"MBWBSEG\n"
 SEGMENT = struct.Struct("<8sHHI16sQQI")  # magic, version, 0, marker, folder id, number, first lsn, crc
 RECORD = struct.Struct("<IIIBxxxQQ")  # marker, crc, payload bytes, kind, lsn, durable lsn
-MOST_PAYLOAD = 1 << 20  # bytes of one record's payload
-META = struct.Struct("<I")  # bytes of the msgpack part in front of a body
+MAX_PAYLOAD = 1 << 20  # bytes of one record's payload
+CONTENT_HEADER = struct.Struct("<I")  # bytes of the msgpack part in front of a body
 
 
-class Newer(MallowbeamError):
-    """The folder was written by a newer version, or is no folder of ours; the text says which."""
+class UnsupportedFormatError(MallowbeamError):
+    """The folder was written by a newer version, or is no buffer's; the text says which."""
 
     error_name = "Newer"
     remedy = "run the version that wrote it, or name another folder"
 
 
 class Kind(IntEnum):
-    """What a record says."""
+    """The kinds of records; the numbers are in the log, the names in the output of `mallowbeam buffer`."""
 
-    WRITE = 1  # a write taken in: its words, then its body or the list of its pieces
-    PIECE = 2  # a piece of a large body, ahead of its WRITE
+    WRITE = 1  # an accepted write: its description, then its body or the list of its chunks
+    PIECE = 2  # a chunk of a large body, ahead of its WRITE
     BARRIER = 3  # what comes later in this bucket waits for what came before
     INTENT = 4  # these writes are about to be sent for the first time
     DONE = 5  # these writes are on their nodes, absorbed by later ones, or dropped by an operator
-    HELD = 6  # a write that waits for an operator, and why
-    VOID = 7  # writes that were never acknowledged: nobody was told yes
-    MARK = 8  # nothing but how far the log is durable
-    MOVED = 9  # a write copied on from an old segment, with what was known of it
+    HELD = 6  # a write is suspended until an operator decides, and why
+    VOID = 7  # writes that were never acknowledged
+    MARK = 8  # no content: only how far the log is durable
+    MOVED = 9  # a write relocated from an old segment, with its intent and suspension
 
 
 class Write(msgspec.Struct, array_like=True):
-    """A write as it was taken in."""
+    """A write as it was accepted."""
 
     method: str
     bucket: str
     target: bytes  # path and query as they go to the node
-    place: int  # what its name hashes to
+    placement_hash: int  # of its name: chooses the shard
     headers: list[tuple[bytes, bytes]]  # those that go to the node
     token: bytes  # its idempotency key
     etag: str  # S3's: the quoted MD5 of the body
     size: int
-    at: float  # Unix seconds, when it was taken in
-    pieces: list[tuple[int, int, int]] = []  # segment, offset and bytes of each piece of a large body
+    accepted_at: float  # Unix seconds
+    chunks: list[tuple[int, int, int]] = []  # segment, offset and bytes of each chunk of a large body
 
 
 class Barrier(msgspec.Struct, array_like=True):
-    """A point in a bucket's order; copied on from an old segment it names the lsn that it keeps."""
+    """A point in a bucket's order; relocated from an old segment it has the lsn that it keeps."""
 
     bucket: str
     lsn: int = 0
 
 
 class Intent(msgspec.Struct, array_like=True):
-    """Writes that may go out from now on: when that was, by a clock that one boot of the machine counts."""
+    """Writes that may be sent from now on, and when that was."""
 
     lsns: list[int]
-    boot: bytes
-    at: float  # seconds of that clock
-    shards: int  # in how many shards objects lie: their places depend on it
+    boot: bytes  # the id of the machine's boot
+    at: float  # seconds of that boot's clock
+    shards: int  # the number of shards, on which the node of an object depends
 
 
 class Done(msgspec.Struct, array_like=True):
-    """Writes that are settled."""
+    """Writes that are done."""
 
     lsns: list[int]
 
 
-class Held(msgspec.Struct, array_like=True):
-    """A write set apart until an operator says what becomes of it; without a reason it is let go again."""
+class Suspension(msgspec.Struct, array_like=True):
+    """A write suspended until an operator decides; without a reason it is resumed."""
 
     lsn: int
     reason: str
 
 
-class Moved(msgspec.Struct, array_like=True):
-    """A write copied on: the lsn that it keeps, its intent and why it is held, where there are any."""
+class RelocatedWrite(msgspec.Struct, array_like=True):
+    """A relocated write with its lsn, and its intent and suspension where there are any."""
 
     lsn: int
     write: Write
     intent: tuple[bytes, float, int] | None = None  # boot, time, shards
-    held: str | None = None
+    suspension: str | None = None  # why it is suspended
 
 
-PACKED = {
+FIRST_KIND, LAST_KIND = int(min(Kind)), int(max(Kind))
+CONTENT_TYPES = {
     Kind.WRITE: Write,
     Kind.BARRIER: Barrier,
     Kind.INTENT: Intent,
     Kind.DONE: Done,
-    Kind.HELD: Held,
+    Kind.HELD: Suspension,
     Kind.VOID: Done,
-    Kind.MOVED: Moved,
+    Kind.MOVED: RelocatedWrite,
 }
 ENCODER = msgspec.msgpack.Encoder()
-DECODERS = {kind: msgspec.msgpack.Decoder(packed) for kind, packed in PACKED.items()}
-Words = Write | Barrier | Intent | Done | Held | Moved
+DECODERS = {kind: msgspec.msgpack.Decoder(packed) for kind, packed in CONTENT_TYPES.items()}
+RecordContent = Write | Barrier | Intent | Done | Suspension | RelocatedWrite
 
 
 @dataclass(slots=True)
 class Record:
-    """A record as read: where it stands, and its payload still packed."""
+    """A record as read: its position, and its payload still packed."""
 
     kind: Kind
     lsn: int
-    durable: int
+    durable: int  # all records up to this lsn were durable when it was written
     segment: int
     offset: int
     payload: bytes | memoryview
 
     @property
     def end(self) -> int:
-        """The offset right behind it."""
+        """The offset behind it."""
         return self.offset + RECORD.size + len(self.payload)
 
 
 @dataclass(slots=True)
-class Bad:
-    """Bytes of a segment that are no record."""
+class DamagedRange:
+    """Bytes of a segment that are not a record."""
 
     segment: int
     offset: int
     length: int
-    blank: bool  # zeros only: room that was never written
-    after: int  # the highest lsn read before it
-    last: bool  # no record follows in this segment
+    is_blank: bool  # zeros only: space that was never written
+    last_lsn: int  # the highest read before it
+    is_last: bool  # no record follows in this segment
 
 
-def pack(kind: Kind, words: Words | None, body: bytes | bytearray | memoryview = b"") -> list[bytes]:
+def pack(
+    kind: Kind, content: RecordContent | None, body: bytes | bytearray | memoryview = b""
+) -> list[bytes]:
     """A record's payload in parts that follow each other."""
     if kind is Kind.PIECE:
         return [bytes(body)]
-    if words is None:
+    if content is None:
         return []
-    meta = ENCODER.encode(words)
-    return [META.pack(len(meta)), meta, bytes(body)] if body else [META.pack(len(meta)), meta]
+    encoded = ENCODER.encode(content)
+    parts = [CONTENT_HEADER.pack(len(encoded)), encoded]
+    if body:
+        parts.append(bytes(body))
+    return parts
 
 
-def unpack(kind: Kind, payload: bytes | memoryview) -> tuple[Words, memoryview]:
-    """The words of a payload and the body behind them; raises ValueError where it can't be read."""
+def unpack(kind: Kind, payload: bytes | memoryview) -> tuple[RecordContent, memoryview]:
+    """The content of a payload and the body behind it; raises ValueError where it cannot be read."""
     view = memoryview(payload)
-    if len(view) < META.size:
+    if len(view) < CONTENT_HEADER.size:
         raise ValueError("a payload without words")
-    size = META.unpack_from(view)[0]
-    if META.size + size > len(view):
+    size = CONTENT_HEADER.unpack_from(view)[0]
+    if CONTENT_HEADER.size + size > len(view):
         raise ValueError("a payload that ends within its words")
     try:
-        words: Words = DECODERS[kind].decode(view[META.size : META.size + size])
+        content: RecordContent = DECODERS[kind].decode(view[CONTENT_HEADER.size : CONTENT_HEADER.size + size])
     except (msgspec.DecodeError, KeyError) as error:
         raise ValueError(str(error)) from None
-    return words, view[META.size + size :]
+    return content, view[CONTENT_HEADER.size + size :]
 
 
 def frame(marker: int, kind: Kind, lsn: int, durable: int, parts: list[bytes]) -> list[bytes]:
-    """A whole record in parts that follow each other."""
+    """A complete record in parts that follow each other."""
     size = sum(map(len, parts))
-    if size > MOST_PAYLOAD:
+    if size > MAX_PAYLOAD:
         raise ValueError("a record over its bound")
     crc = crc32c(RECORD.pack(marker, 0, size, kind, lsn, durable))
     for part in parts:
@@ -185,75 +191,109 @@
 
 
 def read_head(data: bytes, folder: bytes, number: int) -> int | None:
-    """A segment's marker; None where its head is damaged.  Raises `Newer` for what is not for us."""
+    """A segment's marker; None where its head is damaged.
+
+    Raises `UnsupportedFormatError` for a segment of another folder or a newer version.
+    """
     if len(data) < SEGMENT.size:
         return None
-    magic, version, _, marker, owner, told, _, crc = SEGMENT.unpack_from(data)
+    magic, version, _, marker, owner, segment, _, crc = SEGMENT.unpack_from(data)
     if crc32c(data[: SEGMENT.size - 4]) != crc:
         return None
-    if magic != MAGIC or owner != folder or told != number:
-        raise Newer(f"segment {number} belongs to another folder")
+    if magic != MAGIC or owner != folder or segment != number:
+        raise UnsupportedFormatError(f"segment {number} belongs to another folder")
     if version > VERSION:
-        raise Newer(f"segment {number} is of version {version}, this program reads {VERSION}")
+        raise UnsupportedFormatError(
+            f"segment {number} is of version {version}, this program reads {VERSION}"
+        )
     return int(marker)
 
 
 def check(data: memoryview, at: int, marker: int) -> tuple[int, int, int, int] | None:
-    """Kind, lsn, durable lsn and payload size of the record at an offset; None where there is none whole."""
+    """Kind, lsn, durable lsn and payload size of the record at an offset; None without a valid one."""
     if at + RECORD.size > len(data):
         return None
-    mark, crc, size, kind, lsn, durable = RECORD.unpack_from(data, at)
-    if mark != marker or size > MOST_PAYLOAD or not 1 <= kind <= 9 or at + RECORD.size + size > len(data):
+    record_marker, crc, size, kind, lsn, durable = RECORD.unpack_from(data, at)
+    if (
+        record_marker != marker
+        or size > MAX_PAYLOAD
+        or not FIRST_KIND <= kind <= LAST_KIND
+        or at + RECORD.size + size > len(data)
+    ):
         return None
-    told = crc32c(RECORD.pack(marker, 0, size, kind, lsn, durable))
-    if crc32c(data[at + RECORD.size : at + RECORD.size + size], told) != crc:
+    header_crc = crc32c(RECORD.pack(marker, 0, size, kind, lsn, durable))
+    if crc32c(data[at + RECORD.size : at + RECORD.size + size], header_crc) != crc:
         return None
     return kind, lsn, durable, size
 
 
 def marker_at(data: bytes) -> int | None:
-    """The marker of a segment whose head is damaged, from its first record; None where that is no record."""
+    """The marker of a segment whose head is damaged, from its first record; None without a valid one."""
     if len(data) < RECORD.size:
         return None
     marker = int(RECORD.unpack_from(data)[0])
     return marker if marker and check(memoryview(data), 0, marker) is not None else None
 
 
-def scan(read: Iterator[bytes], segment: int, marker: int, last: int) -> Iterator[Record | Bad]:
-    """Records and bad bytes of a segment, in order, from the bytes behind its head.
+def scan(
+    chunks: Iterator[bytes], segment: int, marker: int, last_lsn: int
+) -> Iterator[Record | DamagedRange]:
+    """Records and damaged ranges of a segment in order, from the bytes behind its head.
 
-    `last` is the highest lsn before it.  Holds a few records' worth of bytes at once.
+    `last_lsn` is the highest lsn before it.  A few records' worth of bytes are in memory at once.
     """
-    mark, data, base, ended = struct.pack("<I", marker), bytearray(), SEGMENT.size, False
-    at, bad, blank = 0, -1, True  # in `data`; where bad bytes began in the file; all zeros
+    marker_bytes = struct.pack("<I", marker)
+    data = bytearray()
+    base = SEGMENT.size  # the offset in the file of `data`
+    at = 0  # in `data`
+    ended = False
+    damage_at = -1  # the offset in the file where damaged bytes began; -1: none
+    is_blank = True
     while True:
-        if not ended and len(data) - at < RECORD.size + MOST_PAYLOAD:
-            more = next(read, b"")
-            ended = not more
+        if not ended and len(data) - at < RECORD.size + MAX_PAYLOAD:
+            chunk = next(chunks, b"")
+            ended = not chunk
             del data[:at]
-            base, at = base + at, 0
-            data += more
+            base += at
+            at = 0
+            data += chunk
             continue
         if at >= len(data):
-            if bad >= 0:
-                yield Bad(segment, bad, base + at - bad, blank, last, True)
-            return
-        with memoryview(data) as view:
-            found = check(view, at, marker)
-            if found is not None:
-                kind, lsn, durable, size = found
-                payload = bytes(view[at + RECORD.size : at + RECORD.size + size])
-        if found is not None:
-            if bad >= 0:
-                yield Bad(segment, bad, base + at - bad, blank, last, False)
-                bad, blank = -1, True
-            yield Record(Kind(kind), lsn, durable, segment, base + at, payload)
-            last, at = max(last, lsn), at + RECORD.size + size
+            break
+        found = _record_at(data, at, marker)
+        if found is None:
+            if damage_at < 0:
+                damage_at = base + at
+            following = _next_candidate(data, at, marker_bytes, ended)
+            is_blank = is_blank and not any(data[at:following])
+            at = following
             continue
-        if bad < 0:
-            bad = base + at
-        # Guards what stands behind damaged bytes: the next marker may begin a record that is whole.
-        following = data.find(mark, at + 1)
-        skip = following if following >= 0 else len(data) if ended else max(at + 1, len(data) - 3)
-        blank = blank and not any(data[at:skip])
-        at = skip
+        if damage_at >= 0:
+            yield DamagedRange(segment, damage_at, base + at - damage_at, is_blank, last_lsn, False)
+            damage_at, is_blank = -1, True
+        kind, lsn, durable, payload = found
+        yield Record(Kind(kind), lsn, durable, segment, base + at, payload)
+        last_lsn = max(last_lsn, lsn)
+        at += RECORD.size + len(payload)
+    if damage_at >= 0:
+        yield DamagedRange(segment, damage_at, base + at - damage_at, is_blank, last_lsn, True)
+
+
+def _record_at(data: bytearray, at: int, marker: int) -> tuple[int, int, int, bytes] | None:
+    """Kind, lsn, durable lsn and payload of the record at an offset; None without a valid one."""
+    with memoryview(data) as view:
+        found = check(view, at, marker)
+        if found is None:
+            return None
+        kind, lsn, durable, size = found
+        return kind, lsn, durable, bytes(view[at + RECORD.size : at + RECORD.size + size])
+
+
+def _next_candidate(data: bytearray, at: int, marker_bytes: bytes, ended: bool) -> int:
+    """Where a record may begin behind damaged bytes: at the next marker, or beyond what has been read."""
+    following = data.find(marker_bytes, at + 1)
+    if following >= 0:
+        return following
+    if ended:
+        return len(data)
+    return max(at + 1, len(data) - len(marker_bytes) + 1)
--- a/mallowbeam/storage_gateway/write_buffer/reopen.py
+++ b/mallowbeam/storage_gateway/write_buffer/reopen.py
@@ -1,4 +1,4 @@
-"""What stood at the end of the life before: the folder looked at, its log read through, by which clock."""
+"""Opening a folder: whether it can be used, and the state that the process before left in its log."""
 
 from __future__ import annotations
 
@@ -9,41 +9,48 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from mallowbeam.storage_gateway.write_buffer.core import Entry, Known, Replay
-from mallowbeam.storage_gateway.write_buffer.disk import Locked, RealDisk
-from mallowbeam.storage_gateway.write_buffer.log import Found, Log, folder_id
+from mallowbeam.storage_gateway.write_buffer.disk import FolderLockedError, RealDisk
+from mallowbeam.storage_gateway.write_buffer.entries import Entry
+from mallowbeam.storage_gateway.write_buffer.interface import Settings
+from mallowbeam.storage_gateway.write_buffer.log import Log, ScanResult, folder_id
 from mallowbeam.storage_gateway.write_buffer.records import (
     RECORD,
     Barrier,
     Done,
-    Held,
     Intent,
     Kind,
-    Moved,
-    Newer,
     Record,
+    RelocatedWrite,
+    Suspension,
+    UnsupportedFormatError,
     Write,
     unpack,
 )
-from mallowbeam.storage_gateway.write_buffer.terms import Settings
+from mallowbeam.storage_gateway.write_buffer.replay import Replay, RestoredWrite
+
+BOOT_ID_FILE = "/proc/sys/kernel/random/boot_id"
+BOOT_ID_BYTES = 64
 
 
 def boot_clock() -> float:
-    """Seconds of a clock that steps with nobody's hand and runs through one boot of the machine."""
+    """Seconds of a clock that is never set and runs through one boot of the machine."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def boot_id() -> bytes:
-    """What tells this boot from others; without it no two lives are of one boot."""
+    """An id of this boot; where the system has none, no two processes count as of one boot."""
     try:
-        with open("/proc/sys/kernel/random/boot_id", "rb") as file:
-            return file.read(64).strip()
+        with open(BOOT_ID_FILE, "rb") as file:
+            return file.read(BOOT_ID_BYTES).strip()
     except OSError:
         return os.urandom(16)
 
 
-def probe(settings: Settings, wait: bool) -> str | None:
-    """Why the folder can't be used, in a line; None where it can.  `wait`: who has it will hand it over."""
+def check_folder(settings: Settings, wait: bool) -> str | None:
+    """Why the folder cannot be used, in a line; None where it can.
+
+    `wait`: the process that has locked the folder will hand it over.
+    """
     try:
         disk = RealDisk(settings.folder)
     except OSError as error:
@@ -54,7 +61,7 @@
         folder_id(disk)
         if not wait:
             disk.lock()
-    except (Newer, Locked) as error:
+    except (UnsupportedFormatError, FolderLockedError) as error:
         return f"buffer.folder: {settings.folder}: {error}"
     except OSError as error:
         return f"buffer.folder: {settings.folder}: {error.strerror}"
@@ -64,57 +71,52 @@
 
 
 @contextmanager
-def no_collection() -> Iterator[None]:
-    """Look for no cycles while very many objects come into being that are in none: a third of the time."""
-    was = gc.isenabled()
+def no_garbage_collection() -> Iterator[None]:
+    """Suspend the cyclic collector while very many objects without cycles are made: a third of the time."""
+    was_enabled = gc.isenabled()
     gc.disable()
     try:
         yield
     finally:
-        if was:
+        if was_enabled:
             gc.enable()
 
 
-def replay(log: Log, found: Found, wall: float, now: float) -> Replay:
-    """Read the log through and put together what stood at the end of the life before."""
+def replay(log: Log, result: ScanResult, wall: float, now: float) -> Replay:
+    """Read the log and rebuild the state at the end of the process before.
+
+    `wall` is Unix time and `now` the boot clock, in seconds.  Raises `UnsupportedFormatError` or OSError.
+    """
     state = Replay()
-    for record in log.records(found):
+    for record in log.records(result):
         if record.kind in (Kind.PIECE, Kind.MARK):
             continue
         try:
-            words, body = unpack(record.kind, record.payload)
+            content, body = unpack(record.kind, record.payload)
         except ValueError as error:
-            raise Newer(f"segment {record.segment} at {record.offset}: {error}") from None
-        match words:
+            raise UnsupportedFormatError(f"segment {record.segment} at {record.offset}: {error}") from None
+        match content:
             case Write():
-                state.write(known(record, record.lsn, words, wall, now))
-            case Moved(lsn, write, intent, held):
-                copy = known(record, lsn, write, wall, now)
-                copy.intent, copy.held = intent, held
-                state.write(copy)
+                state.write(restore_write(record, record.lsn, content, wall, now))
+            case RelocatedWrite(lsn, write, intent, suspension):
+                restored = restore_write(record, lsn, write, wall, now)
+                restored.intent = intent
+                restored.suspension = suspension
+                state.write(restored)
             case Barrier(bucket, lsn):
                 state.barrier(lsn or record.lsn, bucket, record.segment)
             case Intent(lsns, boot, at, shards):
                 state.intent(lsns, (boot, at, shards))
             case Done(lsns):
-                state.settled(lsns)
-            case Held(lsn, reason):
-                state.held(lsn, reason)
+                state.done(lsns)
+            case Suspension(lsn, reason):
+                state.suspended(lsn, reason)
     return state
 
 
-def known(record: Record, lsn: int, write: Write, wall: float, now: float) -> Known:
-    """A write as its record tells of it; its age by the wall clock, and none where that stepped back."""
-    cost = RECORD.size + len(record.payload) + sum(RECORD.size + size for _, _, size in write.pieces)
-    entry = Entry(
-        lsn,
-        sys.intern(write.bucket),
-        write.target,
-        write.method,
-        write.place,
-        write.etag,
-        write.size,
-        cost,
-        now - max(0.0, wall - write.at),
-    )
-    return Known(entry, (record.segment, record.offset), [segment for segment, _, _ in write.pieces])
+def restore_write(record: Record, lsn: int, write: Write, wall: float, now: float) -> RestoredWrite:
+    """A write from its record; its age is by the wall clock, and zero where that was set back."""
+    log_bytes = RECORD.size + len(record.payload) + sum(RECORD.size + size for _, _, size in write.chunks)
+    write.bucket = sys.intern(write.bucket)
+    entry = Entry(lsn, write, log_bytes, now - max(0.0, wall - write.accepted_at))
+    return RestoredWrite(entry, (record.segment, record.offset), [segment for segment, _, _ in write.chunks])
--- a/mallowbeam/storage_gateway/write_buffer/replay.py
+++ b/mallowbeam/storage_gateway/write_buffer/replay.py
@@ -1,4 +1,4 @@
-"""What stood at the end of the process before, rebuilt from the log's records."""
+"""The state that the process before left, rebuilt from the log's records."""
 
 from __future__ import annotations
 
@@ -10,107 +10,112 @@
 from mallowbeam.storage_gateway.write_buffer.limits import NEVER, Limits
 
 
-class Restored(Protocol):
-    """What is handed the writes and barriers that an earlier process left: the buffer's core."""
+class RestoreTarget(Protocol):
+    """What the restored writes and barriers are given to: the buffer's core."""
 
     @property
     def limits(self) -> Limits:
         """The bounds in force."""
 
     def accept(self, entry: Entry) -> None:
-        """A write comes in."""
+        """A write is accepted."""
 
-    def durable(self, now: float, lsn: int, where: tuple[int, int], segments: Iterable[int]) -> None:
-        """The log has it."""
+    def durable(self, now: float, lsn: int, position: tuple[int, int], segments: Iterable[int]) -> None:
+        """It is durable."""
 
-    def barrier(self, lsn: int, bucket: str) -> None:
-        """A barrier comes in."""
+    def open_barrier(self, lsn: int, bucket: str) -> None:
+        """A barrier is accepted."""
 
     def barrier_durable(self, lsn: int, segment: int) -> None:
-        """The log has it."""
+        """It is durable."""
 
-    def hold_again(self, entry: Entry, reason: str) -> None:
-        """A write was held, and still is."""
+    def restore_suspended(self, entry: Entry, reason: str) -> None:
+        """A write was suspended, and still is."""
 
     def opened(self) -> None:
-        """That was all."""
+        """Everything has been restored."""
 
 
 @dataclass(slots=True)
-class Known:
-    """A write as the log tells of it."""
+class RestoredWrite:
+    """A write as the log has it."""
 
     entry: Entry
-    where: tuple[int, int]
-    segments: list[int]
-    intent: tuple[bytes, float, int] | None = None
-    held: str | None = None
+    position: tuple[int, int]  # segment and offset of its record
+    segments: list[int]  # of the chunks of its body
+    intent: tuple[bytes, float, int] | None = None  # boot, time on its clock, number of shards
+    suspension: str | None = None  # why it is suspended
 
 
 @dataclass(slots=True)
 class Replay:
-    """Builds what stood at the end of the life before, from the log's records in order."""
+    """Builds the state at the end of the process before, from the log's records in order."""
 
-    writes: dict[int, Known] = field(default_factory=dict)
-    barriers: dict[int, tuple[str, int]] = field(default_factory=dict)
+    writes: dict[int, RestoredWrite] = field(default_factory=dict)
+    barriers: dict[int, tuple[str, int]] = field(default_factory=dict)  # bucket, segment
 
-    def write(self, known: Known) -> None:
-        """A write, or a copy of one: the later place counts, and what was known of the earlier one stays."""
-        before = self.writes.pop(known.entry.lsn, None)
-        if before is not None and known.intent is None:
-            known.intent = before.intent
-        self.writes[known.entry.lsn] = known
+    def write(self, restored: RestoredWrite) -> None:
+        """A write, or a relocated one: the later position counts, and an earlier intent stays."""
+        earlier = self.writes.pop(restored.entry.lsn, None)
+        if earlier is not None and restored.intent is None:
+            restored.intent = earlier.intent
+        self.writes[restored.entry.lsn] = restored
 
     def barrier(self, lsn: int, bucket: str, segment: int) -> None:
-        """A barrier, or a copy of one."""
+        """A barrier, or a relocated one."""
         self.barriers[lsn] = bucket, segment
 
     def intent(self, lsns: list[int], intent: tuple[bytes, float, int]) -> None:
-        """Writes may have gone out since then."""
+        """Writes may have been sent since then."""
         for lsn in lsns:
-            known = self.writes.get(lsn)
-            if known is not None:
-                known.intent = intent  # a later one stands for a new first attempt
+            restored = self.writes.get(lsn)
+            if restored is not None:
+                restored.intent = intent  # a later one stands for a new first attempt
 
-    def settled(self, lsns: list[int]) -> None:
-        """Writes are over, or never were."""
+    def done(self, lsns: list[int]) -> None:
+        """Writes are done, or were never acknowledged."""
         for lsn in lsns:
             self.writes.pop(lsn, None)
             self.barriers.pop(lsn, None)
 
-    def held(self, lsn: int, reason: str) -> None:
-        """A write is held, or, without a reason, let go again."""
-        known = self.writes.get(lsn)
-        if known is not None:
-            known.held = reason or None
+    def suspended(self, lsn: int, reason: str) -> None:
+        """A write is suspended, or, without a reason, resumed."""
+        restored = self.writes.get(lsn)
+        if restored is not None:
+            restored.suspension = reason or None
             if not reason:
-                known.intent = None
+                restored.intent = None
 
-    def build(self, core: Restored, now: float, boot: bytes) -> None:
-        """Hand all that is left to the core.
-
-        An attempt of unknown end may be repeated within its window only where one clock measured both its
-        start and now: that of this very boot, and with objects in the places they had.  All others are read
-        back, and not before an attempt begun just before this start could no longer run.
-        """
+    def build(self, core: RestoreTarget, now: float, boot: bytes) -> None:
+        """Give all that is left to the core."""
         for lsn in sorted([*self.writes, *self.barriers]):
-            known = self.writes.pop(lsn, None)  # one at a time: a full buffer would stand here twice
-            if known is None:
+            restored = self.writes.pop(lsn, None)  # one at a time: a full buffer would be in memory twice
+            if restored is None:
                 bucket, segment = self.barriers[lsn]
-                core.barrier(lsn, bucket)
+                core.open_barrier(lsn, bucket)
                 core.barrier_durable(lsn, segment)
-                continue
-            entry = known.entry
-            core.accept(entry)
-            if known.intent is not None:
-                told_boot, at, shards = known.intent
-                same = told_boot == boot and at <= now and shards == core.limits.shards
-                entry.intent, entry.attempted = at if same else now, True
-                entry.doubt = at if same else -NEVER
-                entry.last = now
-            core.durable(now, lsn, known.where, known.segments)
-            if known.held is not None:
-                core.hold_again(entry, known.held)
-            elif entry.doubt is not None:
-                entry.state = State.DOUBTFUL
+            else:
+                self._build_write(core, restored, now, boot)
         core.opened()
+
+    def _build_write(self, core: RestoreTarget, restored: RestoredWrite, now: float, boot: bytes) -> None:
+        """Give one write to the core.
+
+        An attempt of unknown outcome may be retried within its window only where one clock measured both its
+        start and now: that of this very boot, and with the same number of shards.  All others are read back,
+        and not before an attempt begun just before this start could no longer run.
+        """
+        entry = restored.entry
+        core.accept(entry)
+        if restored.intent is not None:
+            intent_boot, sent_at, shards = restored.intent
+            is_comparable = intent_boot == boot and sent_at <= now and shards == core.limits.shards
+            entry.intent_at = sent_at if is_comparable else now
+            entry.uncertain_since = sent_at if is_comparable else -NEVER
+            entry.attempted = True
+            entry.last_attempt_at = now
+        core.durable(now, entry.lsn, restored.position, restored.segments)
+        if restored.suspension is not None:
+            core.restore_suspended(entry, restored.suspension)
+        elif entry.uncertain_since is not None:
+            entry.state = State.UNCERTAIN
--- a/mallowbeam/storage_gateway/write_buffer/service.py
+++ b/mallowbeam/storage_gateway/write_buffer/service.py
@@ -1,71 +1,66 @@
-"""The buffer at work: joins the core, the log and the gateway.  Decides nothing.
-
-Its phases are OPENING (the folder is being read, or the process before this one still has it), OPEN, and AWAY
-(handed over or closed).  Only in OPEN is anything taken in or sent.
-"""
+"""The buffer at work: joins the core, the log and the gateway.  Decides nothing."""
 
 from __future__ import annotations
 
 import asyncio
 import random
 import time
-from collections import OrderedDict
-from collections.abc import Callable, Coroutine
+from collections.abc import Callable
 from contextlib import suppress
 from dataclasses import asdict
-from typing import Any
 
 from loguru import logger
 
-from mallowbeam.storage_gateway.server.log import RateLimitedWarning
-from mallowbeam.storage_gateway.write_buffer import core as decisions
-from mallowbeam.storage_gateway.write_buffer.core import Core, Replay
-from mallowbeam.storage_gateway.write_buffer.disk import Disk, Locked, RealDisk
+from mallowbeam.storage_gateway.write_buffer.core import Core
+from mallowbeam.storage_gateway.write_buffer.disk import Disk, FolderLockedError, RealDisk
 from mallowbeam.storage_gateway.write_buffer.flush import Flush
-from mallowbeam.storage_gateway.write_buffer.log import Apart, Found, Log
-from mallowbeam.storage_gateway.write_buffer.records import Write
-from mallowbeam.storage_gateway.write_buffer.reopen import boot_clock, boot_id, no_collection, replay
+from mallowbeam.storage_gateway.write_buffer.intake import Intake
+from mallowbeam.storage_gateway.write_buffer.interface import NodeSender, Phase, Settings
+from mallowbeam.storage_gateway.write_buffer.limits import NEVER
+from mallowbeam.storage_gateway.write_buffer.log import Log, QuarantinedRange, ScanResult
+from mallowbeam.storage_gateway.write_buffer.reader import WriteReader
+from mallowbeam.storage_gateway.write_buffer.reopen import boot_clock, boot_id, no_garbage_collection, replay
+from mallowbeam.storage_gateway.write_buffer.replay import Replay
+from mallowbeam.storage_gateway.write_buffer.runtime import Runtime
 from mallowbeam.storage_gateway.write_buffer.store import Store
-from mallowbeam.storage_gateway.write_buffer.terms import Phase, Sender, Settings
 
-LOCK_AGAIN = 0.02  # seconds between looks at a folder that the process before this one still has
-LEAVE = 1.0  # seconds that writes on their way have to end when the folder is handed over
-LOOK = 0.02  # seconds between looks while there is something to send and no room for it
+LOCK_RETRY_S = 0.02  # between attempts to lock a folder that the process before this one still has
+DRAIN_S = 1.0  # for attempts in flight to end when the folder is handed over
+DRAIN_POLL_S = 0.01
+MIN_PLAN_INTERVAL_S = 0.02  # while there is something to send and no window for it
+
 
+class Buffer:
+    """One folder's buffer.
 
-class Buffer(Flush):
-    """One folder's buffer."""
+    `intake` accepts writes and barriers, `reader` reads buffered writes, `waiters` are clients that wait for
+    the flush.  `handed_over`: another process has the folder and will hand it over.
+    """
 
     def __init__(
         self,
         settings: Settings,
-        sender: Sender,
-        handed: bool = False,
-        disk: Disk | None = None,
+        sender: NodeSender,
+        *,
+        handed_over: bool = False,
         clock: Callable[[], float] = boot_clock,
-        seed: int | None = None,
     ) -> None:
-        self.settings, self.sender, self.handed, self.clock = settings, sender, handed, clock
-        self.disk = disk
-        self.core = Core(settings.limits, random.Random(seed))
+        self.settings = settings
+        self.handed_over = handed_over
+        self.clock = clock
+        self.disk: Disk | None = None  # None: the folder of the settings
         self.phase = Phase.OPENING
-        self.store: Store
-        self.boot = boot_id()
         self.opened = asyncio.Event()
-        self._stir = asyncio.Event()
-        self._through: dict[int, list[asyncio.Future[None]]] = {}
-        self._clear: list[tuple[str, bytes, asyncio.Future[None]]] = []
-        self._cache: OrderedDict[int, tuple[Write, bytes]] = OrderedDict()
-        self._cached = 0
-        self._settling: list[int] = []
-        self._timer: asyncio.TimerHandle | None = None
-        self._tasks: set[asyncio.Task[None]] = set()
+        self.store: Store  # from OPEN on
+        self.core = Core(settings.limits, random.Random())
+        self._runtime = Runtime(self.core, clock, boot_id())
+        self.reader = WriteReader(self.core, settings.cache_bytes)
+        self.intake = Intake(self._runtime, self.reader)
+        self.flush = Flush(self._runtime, self.reader, self.intake, sender)
+        self.waiters = self.flush.waiters
         self._main: asyncio.Task[None] | None = None
-        self._sending = 0  # calls at the gateway
-        self._held = RateLimitedWarning("a buffered write is held for an operator")
-        self._trouble = RateLimitedWarning("the buffer's disk is in trouble")
 
-    # --- coming and going -----------------------------------------------------------------------
+    # --- opening --------------------------------------------------------------------------------
 
     def start(self) -> None:
         """Open the folder, then flush what it holds."""
@@ -75,157 +70,162 @@
         try:
             await self._open()
             while True:
-                self._stir.clear()
-                now = self.clock()
-                if self.sender.may_send():
-                    self.core.plan(now, max(0, self.sender.direct() - self.core.out))
-                self._do()
-                wait: float | None = self.core.wake() - self.clock()
-                if wait == decisions.NEVER:
-                    wait = None
-                with suppress(TimeoutError):
-                    async with asyncio.timeout(None if wait is None else max(LOOK, wait)):
-                        await self._stir.wait()
+                await self._step()
         except asyncio.CancelledError:
             raise
         except Exception as error:
-            # Guards against a word that nothing stands behind: with a fault in here nothing more is taken in.
-            self.core.away = True
+            # Guards against an acknowledgement without a log: with a fault in here nothing more is accepted.
+            self.core.unavailable = True
             logger.opt(exception=error).error("the buffer failed unforeseen; nothing more is taken in")
 
+    async def _step(self) -> None:
+        """Send what may be sent now, then wait until there may be more."""
+        wakeup = self._runtime.wakeup
+        wakeup.clear()
+        now = self.clock()
+        sender = self.flush.sender
+        if sender.may_send():
+            self.core.plan(now, max(0, sender.direct_calls() - self.core.in_flight))
+        self.flush.execute()
+        wait = self.core.next_wakeup() - self.clock()
+        timeout = None if wait == NEVER else max(MIN_PLAN_INTERVAL_S, wait)
+        with suppress(TimeoutError):
+            async with asyncio.timeout(timeout):
+                await wakeup.wait()
+
     async def _open(self) -> None:
-        loop, began = asyncio.get_running_loop(), self.clock()
-        log, found, state = await loop.run_in_executor(None, self._read)
+        loop = asyncio.get_running_loop()
+        began = self.clock()
+        log, result, state = await loop.run_in_executor(None, self._read)
         while log is None:
-            await asyncio.sleep(LOCK_AGAIN)
-            log, found, state = await loop.run_in_executor(None, self._read)
-        for apart in await loop.run_in_executor(None, self._come_up, log, found, state):
-            if apart.acknowledged:
-                logger.error(
-                    "buffer: {length} bytes of segment {segment} at {offset} are damaged and "
-                    "held acknowledged records; set apart as {name}",
-                    **asdict(apart),
-                )
-            else:
-                logger.warning(
-                    "buffer: {length} bytes of segment {segment} at {offset} are torn, and "
-                    "nothing says they were acknowledged; set apart as {name}",
-                    **asdict(apart),
-                )
-        if found.missing:
+            await asyncio.sleep(LOCK_RETRY_S)
+            log, result, state = await loop.run_in_executor(None, self._read)
+        for quarantined in await loop.run_in_executor(None, self._recover, log, result, state):
+            _report_quarantined(quarantined)
+        if result.missing:
             logger.error(
-                "buffer: segments {segments} are missing: what they held is lost", segments=found.missing
+                "buffer: segments {segments} are missing: what they held is lost", segments=result.missing
             )
-        self.store = Store(log, found.last, self._broken, self.core.on_disk)
+        self.store = Store(log, result.last_lsn, self._disk_changed, self.core.update_segments)
+        self.reader.store = self.intake.store = self.flush.store = self.store
         self.phase = Phase.OPEN
         self.opened.set()
         logger.info(
-            "buffer open: {writes} writes to flush, {held} held, {bytes} bytes read in " "{seconds:.2f} s",
+            "buffer open: {writes} writes to flush, {held} held, {bytes} bytes read in {seconds:.2f} s",
             writes=len(self.core.entries),
-            held=self.core.held,
-            bytes=sum(found.segments.values()),
+            held=self.core.suspended,
+            bytes=sum(result.segments.values()),
             seconds=self.clock() - began,
         )
 
-    def _read(self) -> tuple[Log | None, Found, Replay]:
-        """Own the folder and read it, in a thread; no log while another process has it."""
+    def _read(self) -> tuple[Log | None, ScanResult, Replay]:
+        """Lock the folder and read it, in a thread; no log while another process has locked it."""
         disk = self.disk or RealDisk(self.settings.folder)
         log = Log(disk, self.settings.segment_bytes)
         try:
-            found = log.open()
-        except Locked:
+            result = log.open()
+        except FolderLockedError:
             if isinstance(disk, RealDisk):
                 disk.close()
-            if not self.handed:
+            if not self.handed_over:
                 raise
-            return None, Found(), Replay()
-        with no_collection():
-            return log, found, replay(log, found, time.time(), self.clock())
-
-    def _come_up(self, log: Log, found: Found, state: Replay) -> list[Apart]:
-        """Make the folder and the core ready, in a thread: until the phase changes nobody else has them."""
-        apart = log.settle(found)
-        with no_collection():
-            state.build(self.core, self.clock(), self.boot)
-        self.core.on_disk(dict(log.sizes), log.number)
-        return apart
+            return None, ScanResult(), Replay()
+        with no_garbage_collection():
+            return log, result, replay(log, result, time.time(), self.clock())
+
+    def _recover(self, log: Log, result: ScanResult, state: Replay) -> list[QuarantinedRange]:
+        """Make the folder and the core ready, in a thread: until the phase changes nobody else uses them."""
+        quarantined = log.recover(result)
+        with no_garbage_collection():
+            state.build(self.core, self.clock(), self._runtime.boot)
+        self.core.update_segments(dict(log.sizes), log.number)
+        return quarantined
+
+    # --- closing --------------------------------------------------------------------------------
 
     async def hand_over(self) -> None:
-        """Another process takes the folder: end what is on its way, then let go."""
+        """Another process takes the folder: drain, then unlock it."""
         await self.stop()
 
     async def stop(self) -> None:
-        """Take nothing more in, end what is on its way as far as it ends soon, sync, and let the folder go.
+        """Accept nothing more, drain for a moment, sync, and unlock the folder.
 
-        What is still out has its intent in the log: whoever opens the folder next settles it.
+        Attempts still in flight have their intent in the log: whoever opens the folder next resolves them.
         """
-        if self.phase is Phase.AWAY:
+        if self.phase is Phase.CLOSED:
             return
-        was, self.phase, self.core.away = self.phase, Phase.AWAY, True
+        was_opening = self.phase is Phase.OPENING
+        self.phase = Phase.CLOSED
+        self.core.unavailable = True
         if self._main is not None:
             self._main.cancel()
             await asyncio.gather(self._main, return_exceptions=True)
-        if was is Phase.OPENING:
+        if was_opening:
             return
-        until = self.clock() + LEAVE
-        while self._sending and self.clock() < until:
-            await asyncio.sleep(0.01)
-        self._do()
-        self._say_settled()
-        for task in list(self._tasks):
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
-        for futures in self._through.values():
-            for future in futures:
-                future.cancel()
-        for *_, future in self._clear:
-            future.cancel()
+        await self._drain()
+        self.waiters.cancel()
         await self.store.close()
         logger.info("buffer closed: {writes} writes left for the next start", writes=len(self.core.entries))
 
-    def stir(self) -> None:
-        """Something was changed from outside: look again."""
-        self._stir.set()
+    async def _drain(self) -> None:
+        deadline = self.clock() + DRAIN_S
+        while self.flush.calls and self.clock() < deadline:
+            await asyncio.sleep(DRAIN_POLL_S)
+        self.flush.execute()
+        self.flush.record_done()
+        tasks = list(self._runtime.tasks)
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*self._runtime.tasks, return_exceptions=True)
+
+    # --- for operators --------------------------------------------------------------------------
+
+    def wake(self) -> None:
+        """Something was changed from outside: plan again."""
+        self._runtime.wakeup.set()
 
     def gauges(self) -> dict[str, int]:
-        """Figures for the operators' door."""
-        if self.phase is Phase.OPENING:  # a thread has the core
+        """Metrics; the keys are their names behind `app_`."""
+        if self.phase is Phase.OPENING:  # a thread uses the core
             return {"buffer_opening": 1}
-        core, counts = self.core, self.core.counts
+        core = self.core
+        counts = core.counts
         return {
             "buffer_opening": 0,
             "buffer_records": len(core.entries),
             "buffer_bytes": core.bytes,
-            "buffer_held": core.held,
-            "buffer_age_seconds": int(core.age(self.clock())),
-            "buffer_taken": counts.taken,
+            "buffer_held": core.suspended,
+            "buffer_age_seconds": int(core.oldest_age(self.clock())),
+            "buffer_taken": counts.accepted,
             "buffer_stored": counts.stored,
             "buffer_absorbed": counts.absorbed,
-            "buffer_repeats": counts.repeats,
+            "buffer_repeats": counts.retries,
             "buffer_read_back": counts.read_back,
-            "buffer_refused": counts.refused,
-            "buffer_moved": counts.moved,
-            "buffer_syncs": self.store.log.synced,
+            "buffer_refused": counts.rejected,
+            "buffer_moved": counts.relocated,
+            "buffer_syncs": self.store.log.syncs,
         }
 
-    # --- its tasks -------------------------------------------------------------------------------
-
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
-        self._tasks.add(task)
-        task.add_done_callback(self._ended)
+    def _disk_changed(self, failure: str | None, lost: list[int]) -> None:
+        """The disk fails, with these records uncertain, or works again."""
+        if failure is not None:
+            self.flush.disk_fault(failure)
+        elif self.core.failure is not None:
+            logger.info("buffer: the disk takes writes again")
+            self.core.untrusted_keys.clear()
+        self.core.failure = failure
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
-        self._tasks.discard(task)
-        if not task.cancelled() and (error := task.exception()) is not None:
-            self.core.away = True
-            logger.opt(exception=error).error("the buffer failed unforeseen; nothing more is taken in")
 
-    def _broken(self, why: str | None, lost: list[int]) -> None:
-        """The disk takes nothing, or does again."""
-        if why is not None:
-            self._trouble(why)
-        elif self.core.broken is not None:
-            logger.info("buffer: the disk takes writes again")
-            self.core.tainted.clear()
-        self.core.broken = why
+def _report_quarantined(quarantined: QuarantinedRange) -> None:
+    if quarantined.acknowledged:
+        logger.error(
+            "buffer: {length} bytes of segment {segment} at {offset} are damaged and "
+            "held acknowledged records; set apart as {name}",
+            **asdict(quarantined),
+        )
+    else:
+        logger.warning(
+            "buffer: {length} bytes of segment {segment} at {offset} are torn, and "
+            "nothing says they were acknowledged; set apart as {name}",
+            **asdict(quarantined),
+        )
