--- a/mallowbeam/storage_gateway/write_buffer/store.py
+++ b/mallowbeam/storage_gateway/write_buffer/store.py
@@ -1,7 +1,7 @@
-"""Runs the log off the event loop: group commit in one thread, reads in another.
+"""Runs the log off the event loop: group commit in one thread, reads in others.
 
 Writers that wait together share one sync: while a batch is being synced the next one gathers.  A batch with
-both new writes and words that end older ones is split where the disk is full, since the latter make room.
+both new writes and records that finish older ones is split where the disk is full, as the latter make space.
 """
 
 from __future__ import annotations
@@ -15,59 +15,82 @@
 from loguru import logger
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.storage_gateway.write_buffer.errors import DiskFull, Failed
-from mallowbeam.storage_gateway.write_buffer.log import Item, Log, mark
+from mallowbeam.storage_gateway.write_buffer.errors import DiskFullError, LogIOError
+from mallowbeam.storage_gateway.write_buffer.log import Log, NewRecord, durability_marker
 from mallowbeam.storage_gateway.write_buffer.records import Done, Kind, Record, pack
 
-MOST_BATCH = 4 << 20  # bytes synced at once
-QUIET = 0.05  # seconds without a batch after which a mark says how far the log is durable
-AGAIN = 0.5  # seconds between tries to write to a disk that takes nothing
-GIVES_WORDS = (Kind.WRITE, Kind.PIECE, Kind.BARRIER)  # what somebody waits for; all else ends or moves writes
+MAX_BATCH_BYTES = 4 << 20  # synced at once
+IDLE_MARKER_S = 0.05  # without a batch, after which a marker records how far the log is durable
+RETRY_S = 0.5  # between attempts to write to a failing disk
+READ_THREADS = 2
+AWAITED_KINDS = (Kind.WRITE, Kind.PIECE, Kind.BARRIER)  # of new writes; all others finish or relocate writes
 
 
-class NotTaken(MallowbeamError):
-    """The log does not have it, and never will: nothing was acknowledged and nothing can come back."""
+class RecordRejectedError(MallowbeamError):
+    """The log does not have the record, and never will: nothing was acknowledged, nothing can be restored."""
 
     error_name = "NotTaken"
     remedy = "look at the disk and at the bounds of the buffer; clients repeat by themselves"
 
 
-class Doubtful(MallowbeamError):
-    """The log could not be brought to say whether it has it: it may come back after a restart."""
+class CommitUnknownError(MallowbeamError):
+    """Whether the log has the record is not known: it may be restored after a restart."""
 
     error_name = "Doubtful"
     remedy = "look at the disk, then run mallowbeam buffer show on the folder"
 
 
 @dataclass(slots=True)
-class Waiting:
-    """A record to be appended, and who waits for that."""
+class PendingRecord:
+    """A record to be appended, and the future of its commit."""
 
-    item: Item
+    record: NewRecord
     done: asyncio.Future[None] = field(default_factory=lambda: asyncio.get_running_loop().create_future())
 
+    @property
+    def is_awaited(self) -> bool:
+        """Whether the record is part of a new write, for which a client waits."""
+        return self.record.kind in AWAITED_KINDS
+
+    def committed(self) -> None:
+        """The record is durable."""
+        if not self.done.done():
+            self.done.set_result(None)
+
+    def failed(self, error: Exception) -> None:
+        """The record is not durable; nobody needs to wait for it."""
+        if not self.done.done():
+            self.done.set_exception(error)
+            self.done.exception()  # marks it as retrieved for asyncio
+
 
 class Store:
-    """The log of an open folder, as the event loop sees it."""
+    """The log of an open folder, as the event loop sees it.
+
+    `on_failure` is called with the reason and the lsns of uncertain records when the disk fails, and with
+    None when it works again; `on_segments` with the sizes of segments by number, and the newest one.
+    """
 
     def __init__(
         self,
         log: Log,
-        last: int,
-        broken: Callable[[str | None, list[int]], None],
-        sizes: Callable[[dict[int, int], int], None],
+        last_lsn: int,
+        on_failure: Callable[[str | None, list[int]], None],
+        on_segments: Callable[[dict[int, int], int], None],
     ) -> None:
-        self.log, self.lsn = log, last
-        self._broken, self._sizes = broken, sizes  # told of trouble and its end; and of the segments
+        self.log = log
+        self.lsn = last_lsn
+        self._on_failure = on_failure
+        self._on_segments = on_segments
         self._writer = ThreadPoolExecutor(1, "buffer-log")
-        self._reader = ThreadPoolExecutor(2, "buffer-read")
-        self._queue: deque[Waiting] = deque()
-        self._more = asyncio.Event()
-        self._void: list[int] = []  # never acknowledged, but may stand on a distrusted file
-        self._pins: Counter[int] = Counter()
+        self._reader = ThreadPoolExecutor(READ_THREADS, "buffer-read")
+        self._queue: deque[PendingRecord] = deque()
+        self._wakeup = asyncio.Event()
+        self._unvoided: list[int] = []  # never acknowledged, but may be in an untrusted file
+        self._pins: Counter[int] = Counter()  # reads by segment
+        self._removable: list[int] = []  # segments to be removed once nobody reads them
         self._closing = False
-        self._gone: list[int] = []  # segments to be removed once nobody reads them
-        self._over = False
+        self._closed = False
         self._task = asyncio.create_task(self._run())
         self._task.add_done_callback(self._ended)
 
@@ -76,117 +99,130 @@
         self.lsn += 1
         return self.lsn
 
-    def append(self, kind: Kind, lsn: int, parts: list[bytes]) -> Waiting:
-        """Queue a record; its future is done once that is synced, or has `NotTaken` or `Doubtful`.
+    def append(self, kind: Kind, lsn: int, parts: list[bytes]) -> PendingRecord:
+        """Queue a record; its future ends once it is synced, or with one of this module's errors.
 
-        The queue is bounded by who offers: the core counts what is on its way to the disk.
+        The queue is bounded by the core, which counts the bytes being committed.
         """
-        waiting = Waiting(Item(kind, lsn, parts))
-        if self._over:
-            fail(waiting, NotTaken("the log is closed"))
-            return waiting
-        self._queue.append(waiting)
-        self._more.set()
-        return waiting
+        pending = PendingRecord(NewRecord(kind, lsn, parts))
+        if self._closed:
+            pending.failed(RecordRejectedError("the log is closed"))
+            return pending
+        self._queue.append(pending)
+        self._wakeup.set()
+        return pending
 
     def _ended(self, task: asyncio.Task[None]) -> None:
-        """Nothing is committed any more: whoever waits is told, and nobody waits for ever."""
-        self._over = True
+        """Nothing is committed any more: all that waits is rejected, so that nobody waits for ever."""
+        self._closed = True
         if not task.cancelled() and (error := task.exception()) is not None:
             logger.opt(exception=error).error("the buffer's log failed unforeseen")
-            self._broken("a fault in the log", [])
-        self._refuse()
+            self._on_failure("a fault in the log", [])
+        self._reject_queue()
 
     # --- committing -----------------------------------------------------------------------------
 
     async def _run(self) -> None:
-        unmarked = False
+        needs_marker = False
         while True:
             try:
-                async with asyncio.timeout(AGAIN if self._void else QUIET if unmarked else None):
-                    await self._more.wait()
+                async with asyncio.timeout(self._timeout(needs_marker)):
+                    await self._wakeup.wait()
             except TimeoutError:
-                if self._void:
-                    await self._say_void()
+                if self._unvoided:
+                    await self._write_void()
                 else:
-                    unmarked = False
-                    await self._commit([Waiting(mark(self.next_lsn()))])
+                    needs_marker = False
+                    await self._commit([PendingRecord(durability_marker(self.next_lsn()))])
                 continue
             if self._closing and not self._queue:
                 return
-            if self._void:  # nothing new before it is clear what the old files hold
-                await self._say_void()
-                if self._void:
-                    self._refuse()
+            if self._unvoided:  # nothing new before it is clear what the untrusted files hold
+                await self._write_void()
+                if self._unvoided:
+                    self._reject_queue()
                     continue
-            batch, size = [], 0
-            while self._queue and size < MOST_BATCH:
-                batch.append(self._queue.popleft())
-                size += batch[-1].item.size
-            if not self._queue and not self._closing:
-                self._more.clear()
-            await self._commit(batch)
-            unmarked = True
-
-    def _refuse(self) -> None:
-        """Turn away all that waits: the disk takes nothing."""
+            await self._commit(self._next_batch())
+            needs_marker = True
+
+    def _timeout(self, needs_marker: bool) -> float | None:
+        if self._unvoided:
+            return RETRY_S
+        return IDLE_MARKER_S if needs_marker else None
+
+    def _next_batch(self) -> list[PendingRecord]:
+        batch: list[PendingRecord] = []
+        size = 0
+        while self._queue and size < MAX_BATCH_BYTES:
+            batch.append(self._queue.popleft())
+            size += batch[-1].record.size
+        if not self._queue and not self._closing:
+            self._wakeup.clear()
+        return batch
+
+    def _reject_queue(self) -> None:
+        """Reject all that waits: the disk fails."""
         if not self._closing:
-            self._more.clear()
+            self._wakeup.clear()
         while self._queue:
-            fail(self._queue.popleft(), NotTaken("the disk takes nothing"))
+            self._queue.popleft().failed(RecordRejectedError("the disk takes nothing"))
 
-    async def _in_thread(self, items: list[Item], last: bool) -> None:
-        await asyncio.get_running_loop().run_in_executor(self._writer, self.log.commit, items, last)
+    async def _commit_in_thread(self, records: list[NewRecord], finishes_writes: bool) -> None:
+        loop = asyncio.get_running_loop()
+        await loop.run_in_executor(self._writer, self.log.commit, records, finishes_writes)
 
-    async def _commit(self, batch: list[Waiting], last: bool = False) -> None:
+    async def _commit(self, batch: list[PendingRecord], finishes_writes: bool = False) -> None:
         """One batch: all of it durable, or none."""
         try:
-            await self._in_thread([waiting.item for waiting in batch], last)
-        except DiskFull as error:
-            ends = [w for w in batch if w.item.kind not in GIVES_WORDS]
-            for waiting in batch:
-                if waiting.item.kind in GIVES_WORDS:
-                    fail(waiting, NotTaken(str(error)))
-            if ends and not last:
-                return await self._commit(ends, True)
-            for waiting in ends:
-                fail(waiting, NotTaken(str(error)))
-        except Failed as error:
+            await self._commit_in_thread([pending.record for pending in batch], finishes_writes)
+        except DiskFullError as error:
+            finishing = [pending for pending in batch if not pending.is_awaited]
+            for pending in batch:
+                if pending.is_awaited:
+                    pending.failed(RecordRejectedError(str(error)))
+            if finishing and not finishes_writes:
+                await self._commit(finishing, True)
+                return
+            for pending in finishing:
+                pending.failed(RecordRejectedError(str(error)))
+        except LogIOError as error:
             await self._distrust(batch, str(error))
         else:
-            for waiting in batch:
-                if not waiting.done.done():
-                    waiting.done.set_result(None)
-        self._sizes(dict(self.log.sizes), self.log.number)
-        return None
+            for pending in batch:
+                pending.committed()
+        self._on_segments(dict(self.log.sizes), self.log.number)
 
-    async def _distrust(self, batch: list[Waiting], why: str) -> None:
-        """A file can't be trusted: say durably, elsewhere, that what went there last was never acknowledged.
+    async def _distrust(self, batch: list[PendingRecord], reason: str) -> None:
+        """A file cannot be trusted: record durably, elsewhere, that its last batch was never acknowledged.
 
-        Guards against a write that failed here, went another way and then comes back with an older body.
+        Guards against a write that failed here, was sent directly, and is then restored with an older body.
         """
-        lost = [w.item.lsn for w in batch if w.item.kind in (Kind.WRITE, Kind.BARRIER)]
-        self._void += lost
+        lost = [pending.record.lsn for pending in batch if pending.record.kind in (Kind.WRITE, Kind.BARRIER)]
+        self._unvoided += lost
         if lost:
-            await self._say_void()
-        if lost and self._void:
-            self._broken(why, lost)
-        for waiting in batch:
-            fail(waiting, Doubtful(why) if self._void and waiting.item.lsn in lost else NotTaken(why))
-
-    async def _say_void(self) -> None:
+            await self._write_void()
+        if lost and self._unvoided:
+            self._on_failure(reason, lost)
+        for pending in batch:
+            if self._unvoided and pending.record.lsn in lost:
+                pending.failed(CommitUnknownError(reason))
+            else:
+                pending.failed(RecordRejectedError(reason))
+
+    async def _write_void(self) -> None:
+        parts = pack(Kind.VOID, Done(self._unvoided))
         try:
-            await self._in_thread([Item(Kind.VOID, self.next_lsn(), pack(Kind.VOID, Done(self._void)))], True)
-        except (DiskFull, Failed):
+            await self._commit_in_thread([NewRecord(Kind.VOID, self.next_lsn(), parts)], True)
+        except (DiskFullError, LogIOError):
             return
-        self._void = []
-        self._broken(None, [])
+        self._unvoided = []
+        self._on_failure(None, [])
 
-    # --- reading and taking away ----------------------------------------------------------------
+    # --- reading and removing -------------------------------------------------------------------
 
-    async def read(self, where: tuple[int, int]) -> Record:
-        """A record again; raises `Failed`."""
-        segment, offset = where
+    async def read(self, position: tuple[int, int]) -> Record:
+        """The record at a segment and offset; raises `LogIOError`."""
+        segment, offset = position
         self._pins[segment] += 1
         try:
             return await asyncio.get_running_loop().run_in_executor(
@@ -196,30 +232,23 @@
             self._pins[segment] -= 1
 
     async def remove(self, segments: list[int]) -> list[int]:
-        """Take segments away, but for those being read: these go with the next; those that went."""
-        self._gone += segments
-        free = [segment for segment in self._gone if not self._pins[segment]]
+        """Remove segments, but for those being read, which are removed with the next; those removed now."""
+        self._removable += segments
+        free = [segment for segment in self._removable if not self._pins[segment]]
         try:
             await asyncio.get_running_loop().run_in_executor(self._writer, self.log.remove, free)
         except OSError:
             return []
-        self._gone = [segment for segment in self._gone if segment not in free]
+        self._removable = [segment for segment in self._removable if segment not in free]
         return free
 
     async def close(self) -> None:
-        """Sync what waits, then let the folder go."""
+        """Sync what waits, then close and unlock the folder."""
         self._closing = True
-        self._more.set()
+        self._wakeup.set()
         await self._task
-        if not self._void:
-            await self._commit([Waiting(mark(self.next_lsn()))])
+        if not self._unvoided:
+            await self._commit([PendingRecord(durability_marker(self.next_lsn()))])
         await asyncio.get_running_loop().run_in_executor(self._writer, self.log.close)
         self._writer.shutdown(wait=False)
         self._reader.shutdown(wait=False)
-
-
-def fail(waiting: Waiting, error: Exception) -> None:
-    """Tell who waits; nobody need listen."""
-    if not waiting.done.done():
-        waiting.done.set_exception(error)
-        waiting.done.exception()  # asyncio: it has been seen
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -19,8 +19,8 @@
 from mallowbeam.storage_gateway.operator_settings import check, schema
 from mallowbeam.storage_gateway.server.config import BadConfig
 from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
-from mallowbeam.storage_gateway.write_buffer.log import Item, Log
-from mallowbeam.storage_gateway.write_buffer.records import Barrier, Held, Kind, Write, pack
+from mallowbeam.storage_gateway.write_buffer.log import Log, NewRecord
+from mallowbeam.storage_gateway.write_buffer.records import Barrier, Kind, Suspension, Write, pack
 
 ROOT = EXAMPLE.parent
 
@@ -100,14 +100,14 @@
 def folder_with(path: Path, *bodies: bytes, hold: int | None = None) -> str:
     path.mkdir()
     log = Log(RealDisk(str(path)), 1 << 20)
-    log.settle(log.open())
+    log.recover(log.open())
     for lsn, body in enumerate(bodies, 1):
         write = Write("PUT", "plates", b"/plates/k%d" % lsn, lsn, [], b"t%d" % lsn, '"e"', len(body), 1.0)
-        log.commit([Item(Kind.WRITE, lsn, pack(Kind.WRITE, write, body))])
+        log.commit([NewRecord(Kind.WRITE, lsn, pack(Kind.WRITE, write, body))])
     for lsn, bucket in ((97, "plates"), (98, "other")):  # one that waits, and one that nothing is before
-        log.commit([Item(Kind.BARRIER, lsn, pack(Kind.BARRIER, Barrier(bucket)))])
+        log.commit([NewRecord(Kind.BARRIER, lsn, pack(Kind.BARRIER, Barrier(bucket)))])
     if hold is not None:
-        log.commit([Item(Kind.HELD, 99, pack(Kind.HELD, Held(hold, "its node answers 403")))])
+        log.commit([NewRecord(Kind.HELD, 99, pack(Kind.HELD, Suspension(hold, "its node answers 403")))])
     log.close()
     return str(path)
 
--- a/tests/storage_gateway/write_buffer/test_buffer_bounds.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_bounds.py
@@ -16,13 +16,13 @@
 from mallowbeam.standins.disk import Fault, SimDisk
 from mallowbeam.standins.node import ObjectNode
 from mallowbeam.storage_gateway.server.config import BadConfig
-from mallowbeam.storage_gateway.write_buffer.core import Outcome
 from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
+from mallowbeam.storage_gateway.write_buffer.entries import Outcome
+from mallowbeam.storage_gateway.write_buffer.interface import SendResult
 from mallowbeam.storage_gateway.write_buffer.log import Log
 from mallowbeam.storage_gateway.write_buffer.records import Done, Kind, Record, Write, pack
-from mallowbeam.storage_gateway.write_buffer.reopen import known
-from mallowbeam.storage_gateway.write_buffer.store import NotTaken, Store
-from mallowbeam.storage_gateway.write_buffer.terms import Sent
+from mallowbeam.storage_gateway.write_buffer.reopen import restore_write
+from mallowbeam.storage_gateway.write_buffer.store import RecordRejectedError, Store
 
 
 def test_a_full_buffer_writes_direct_and_refuses_what_would_lose_its_order(nodes, tmp_path):
@@ -115,7 +115,7 @@
             assert not world.parties["o1"].seen[2].get(b"x-mallowbeam-durable")
             disk.faults = []
             async with asyncio.timeout(10):
-                while world.buffer_part.core.broken:
+                while world.buffer_part.core.failure:
                     await asyncio.sleep(0.02)
             await world.play("o1 send PUT /plates/a body=4\no1 expect 200 x-mallowbeam-durable")
             await world.flushed()
@@ -137,7 +137,7 @@
             )
             await writer.drain()
             async with asyncio.timeout(10):
-                while not world.buffer_part.core.live.get(world.buffer_part.core.newest):
+                while not world.buffer_part.core.live.get(world.buffer_part.core.newest_segment):
                     await asyncio.sleep(0.01)
             writer.transport.abort()
             async with asyncio.timeout(10):
@@ -155,7 +155,7 @@
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            world.buffer_part.sender.settings.plans["plates"] = "bronze"
+            world.buffer_part.flush.sender.settings.plans["plates"] = "bronze"
             for i in range(160):
                 await world.play(f"o1 send PUT /plates/k{i} body=v\no1 expect 200 x-mallowbeam-durable")
                 if i % 2:  # the same volume's clients surge meanwhile
@@ -209,8 +209,8 @@
 def test_a_write_taken_in_before_the_clock_stepped_back_is_young_and_not_ancient():
     words = Write("PUT", "plates", b"/plates/a", 1, [], b"t", '"e"', 1, 5000.0)
     record = Record(Kind.WRITE, 1, 0, 1, 0, b"")
-    assert known(record, 1, words, wall=4000.0, now=100.0).entry.at == 100.0
-    assert known(record, 1, words, wall=5040.0, now=100.0).entry.at == 60.0
+    assert restore_write(record, 1, words, wall=4000.0, now=100.0).entry.accepted_at == 100.0
+    assert restore_write(record, 1, words, wall=5040.0, now=100.0).entry.accepted_at == 60.0
 
 
 def test_figures_of_the_buffer_stand_at_the_operators_door(nodes, tmp_path):
@@ -274,12 +274,12 @@
     """`seen` is the version of `other`, "" for none: whoever wrote since must not be replaced."""
     other = f'"{hashlib.md5(b"other").hexdigest()}"'
 
-    async def play() -> Sent:
+    async def play() -> SendResult:
         async with Buffered(nodes, tmp_path) as world:
             if there:
                 await world.play(f"o1 send PUT /plates/a body={there} x-amz-tagging:a=b\no1 expect 200")
             write = Write("PUT", "plates", b"/plates/a", crc32(b"plates/a"), [], b"token", '"e"', 4, 0.0)
-            return await world.buffer_part.sender.send(write, b"mine", 2.0, other if seen else seen)
+            return await world.buffer_part.flush.sender.send(write, b"mine", 2.0, other if seen else seen)
 
     assert run(play()).outcome is outcome
     body = next(stored.body for node in nodes for stored in node.store.objects.values()) if there else b"mine"
@@ -314,8 +314,8 @@
             world.keep_still()
             for i in range(10):
                 await world.play(f"o1 send PUT /plates/k{i} fill=100000\no1 expect 200 x-mallowbeam-durable")
-                assert world.buffer_part._cached <= 300_000
-            assert len(world.buffer_part._cache) < 4
+                assert world.buffer_part.reader.cached_bytes <= 300_000
+            assert len(world.buffer_part.reader.cache) < 4
             await world.play("o1 send GET /plates/k0 range:bytes=99999-\no1 expect 206 '\\n\\nx$'")
 
     run(play())
@@ -325,7 +325,7 @@
     """Both in one batch: the new one is turned away, the other makes room, from what was kept back for it."""
     disk = SimDisk()
     log = Log(disk, 1 << 20)
-    log.settle(log.open())
+    log.recover(log.open())
 
     async def play() -> None:
         store = Store(log, 0, lambda *_: None, lambda *_: None)
@@ -333,7 +333,7 @@
         words = Write("PUT", "plates", b"/plates/a", 1, [], b"t", '"e"', 9000, 0.0)
         new = store.append(Kind.WRITE, store.next_lsn(), pack(Kind.WRITE, words, bytes(9000)))
         end = store.append(Kind.DONE, store.next_lsn(), pack(Kind.DONE, Done([1])))
-        with pytest.raises(NotTaken):
+        with pytest.raises(RecordRejectedError):
             await new.done
         await end.done
         await store.close()
--- a/tests/storage_gateway/write_buffer/test_buffer_core.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_core.py
@@ -7,8 +7,11 @@
 import pytest
 from buffer_world import COST, DEADLINE, LIMITS, WINDOW, World, sent
 
-from mallowbeam.storage_gateway.write_buffer import core as c
-from mallowbeam.storage_gateway.write_buffer.core import Core, Known, Limits, Offer, Outcome, Replay, State
+from mallowbeam.storage_gateway.write_buffer.core import Core
+from mallowbeam.storage_gateway.write_buffer.dispatch import NODE_DROP_S, WINDOW_MARGIN_S
+from mallowbeam.storage_gateway.write_buffer.entries import Admission, Outcome, State
+from mallowbeam.storage_gateway.write_buffer.limits import Limits
+from mallowbeam.storage_gateway.write_buffer.replay import Replay, RestoredWrite
 
 
 def test_a_later_write_absorbs_an_earlier_one_unsent_but_never_past_a_barrier():
@@ -28,9 +31,9 @@
     before, barrier, behind = world.offer("a", b"1"), world.barrier("a"), world.offer("a", b"2")
     elsewhere = world.offer("b", b"3")
     world.commit()
-    assert sent(world) == [before, elsewhere] and world.core.before(barrier) == 1
+    assert sent(world) == [before, elsewhere] and world.core.writes_before(barrier) == 1
     world.answer(before, "stored")
-    assert barrier in world.passed and world.core.before(barrier) is None
+    assert barrier in world.passed and world.core.writes_before(barrier) is None
     assert behind in sent(world)
 
 
@@ -47,7 +50,7 @@
     world.plan()
     assert not world.sends and list(world.reads) == [lsn]
     world.look(lsn, True)
-    assert not world.core.entries and world.core.counts.repeats == 1
+    assert not world.core.entries and world.core.counts.retries == 1
 
 
 def test_a_repeat_is_given_no_more_time_than_the_window_has_left():
@@ -56,7 +59,7 @@
     world.commit()
     sent(world)
     world.answer(lsn, "gone")
-    world.advance(WINDOW - c.SAFE_MARGIN - 0.3)
+    world.advance(WINDOW - WINDOW_MARGIN_S - 0.3)
     world.plan()
     assert 0 < world.sends[lsn].expires <= 0.3 + 1e-9
 
@@ -72,7 +75,7 @@
     world.crash(0, True, [False])
     world.plan()
     assert not world.sends and not world.reads
-    world.advance(DEADLINE + c.DROPPED + 0.01)
+    world.advance(DEADLINE + NODE_DROP_S + 0.01)
     world.plan()
     assert list(world.reads) == [lsn]
     world.look(lsn, True)
@@ -90,7 +93,7 @@
     world.advance(1.0)
     world.crash(0, False, [False])
     assert sent(world) == [lsn] and world.sends[lsn].seen is None
-    assert world.sends[lsn].expires <= WINDOW - 1.0 - c.SAFE_MARGIN + 1e-9
+    assert world.sends[lsn].expires <= WINDOW - 1.0 - WINDOW_MARGIN_S + 1e-9
 
 
 def test_a_clock_from_another_boot_or_place_is_not_believed():
@@ -98,12 +101,12 @@
     for told in ((b"b0", 200.0, 2), (b"other", 99.9, 2), (b"b0", 99.9, 3)):
         world = World()
         state = Replay()
-        state.write(Known(world.entry(1, "a", b"k", "PUT", 0.0), (1, 0), []))
+        state.write(RestoredWrite(world.entry(1, "a", b"k", "PUT", 0.0), (1, 0), []))
         state.intent([1], told)
         core = Core(LIMITS, random.Random(1))
         state.build(core, 100.0, b"b0")
         core.plan(100.0)
-        assert core.take() == [] and core.entries[1].state is State.DOUBTFUL
+        assert core.take() == [] and core.entries[1].state is State.UNCERTAIN
 
 
 def test_a_version_that_came_from_elsewhere_is_held_where_others_may_write():
@@ -118,10 +121,10 @@
     world.advance(9.0)
     world.plan()
     world.look(lsn, True)
-    assert world.core.entries[lsn].state is State.HELD and world.core.held == 1
-    assert world.core.blocked("a") is world.core.entries[lsn]
+    assert world.core.entries[lsn].state is State.SUSPENDED and world.core.suspended == 1
+    assert world.core.suspended_before_barrier("a") is world.core.entries[lsn]
     world.crash(9, True, [False])
-    assert world.core.entries[lsn].state is State.HELD and sent(world) == []
+    assert world.core.entries[lsn].state is State.SUSPENDED and sent(world) == []
     assert not world.core.release(world.now, 999, True)
     assert world.core.release(world.now, lsn, False)
     world.do()
@@ -134,12 +137,12 @@
     lsn, other = world.offer("a", b"1"), world.offer("a", b"2")
     world.commit()
     sent(world)
-    world.core.sent(world.now, lsn, Outcome.DECLINED, reason="its node answers 403")
+    world.core.attempt_ended(world.now, lsn, Outcome.DECLINED, reason="its node answers 403")
     world.sends.pop(lsn)
     world.answer(other, "stored")
     barrier, behind = world.barrier("a"), world.offer("a", b"3")
     world.commit()
-    assert sent(world) == [] and world.core.before(barrier) == 1
+    assert sent(world) == [] and world.core.writes_before(barrier) == 1
     assert world.core.release(world.now, lsn, True)
     world.nodes.applied["a", b"1"] = lsn  # dropped: it counts for the barrier as if it were there
     assert sent(world) == [behind] and lsn not in world.core.entries
@@ -157,49 +160,49 @@
         world.offer("a", b"k")
         world.commit()
         world.advance(6.0)
-        offer = world.core.offer
-        assert offer(world.now, "a", b"other", COST) is Offer.DIRECT
-        assert offer(world.now, "a", b"k", COST) is Offer.SLOW
+        offer = world.core.admit
+        assert offer(world.now, "a", b"other", COST) is Admission.DIRECT
+        assert offer(world.now, "a", b"k", COST) is Admission.SLOW_DOWN
         world.barrier("a")
-        assert offer(world.now, "a", b"other", COST) is Offer.SLOW
-        assert offer(world.now, "b", b"other", COST) is Offer.DIRECT
+        assert offer(world.now, "a", b"other", COST) is Admission.SLOW_DOWN
+        assert offer(world.now, "b", b"other", COST) is Admission.DIRECT
 
 
 def test_nothing_is_decided_about_writes_while_the_folder_is_not_known():
     core = Core(LIMITS, random.Random(1))
-    assert core.offer(0.0, "a", b"k", 1) is Offer.SLOW
-    core.away, core.broken = False, "no disk"
-    assert core.offer(0.0, "a", b"k", 1) is Offer.DIRECT
-    core.tainted.add(("a", b"k"))
-    assert core.offer(0.0, "a", b"k", 1) is Offer.SLOW
+    assert core.admit(0.0, "a", b"k", 1) is Admission.SLOW_DOWN
+    core.unavailable, core.failure = False, "no disk"
+    assert core.admit(0.0, "a", b"k", 1) is Admission.DIRECT
+    core.untrusted_keys.add(("a", b"k"))
+    assert core.admit(0.0, "a", b"k", 1) is Admission.SLOW_DOWN
 
 
 def test_a_held_write_does_not_make_the_buffer_old():
     world = World()
     lsn = world.offer("a", b"k")
     world.commit()
-    world.core.hold(lsn, "unreadable")
+    world.core.suspend(lsn, "unreadable")
     world.advance(2000.0)
-    assert world.core.age(world.now) == 0.0
-    assert world.core.offer(world.now, "a", b"x", COST) is Offer.TAKE
+    assert world.core.oldest_age(world.now) == 0.0
+    assert world.core.admit(world.now, "a", b"x", COST) is Admission.ACCEPT
 
 
 def test_the_flush_gives_way_to_direct_traffic_until_the_buffer_fills():
     world = World(Limits(in_flight=32, max_records=100))
-    assert world.core.allowed(0.0, 0) == 32
-    assert world.core.allowed(0.0, 8) == 16 and world.core.allowed(0.0, 1000) == 3
+    assert world.core.allowed_in_flight(0.0, 0) == 32
+    assert world.core.allowed_in_flight(0.0, 8) == 16 and world.core.allowed_in_flight(0.0, 1000) == 3
     for i in range(75):
         world.offer("a", b"%d" % i)
-    assert world.core.allowed(world.now, 1000) == 16
+    assert world.core.allowed_in_flight(world.now, 1000) == 16
     for i in range(75, 100):
         world.offer("a", b"%d" % i)
-    assert world.core.allowed(world.now, 1000) == 32
+    assert world.core.allowed_in_flight(world.now, 1000) == 32
 
 
 def test_repeats_keep_within_their_budget_and_a_floor():
     """All nodes fail: after the stock is used, repeats go at the floor's rate whatever waits."""
     world = World(
-        Limits(shards=1, in_flight=64, per_shard=64, repeat_floor=2.0, window=None, backoff_most=0.1)
+        Limits(shards=1, in_flight=64, per_shard=64, min_retries_per_second=2.0, window=None, max_backoff=0.1)
     )
     for i in range(40):
         world.offer("a", b"%d" % i)
@@ -221,7 +224,7 @@
     world.commit()
     sent(world)
     for lsn in slow:
-        world.core.sent(world.now, lsn, Outcome.REFUSED, 10.0)
+        world.core.attempt_ended(world.now, lsn, Outcome.REJECTED, 10.0)
         world.sends.pop(lsn)
     well = world.offer("a", b"1")
     late = world.offer("a", b"8")
@@ -239,7 +242,7 @@
     held = world.offer("a", b"k")
     barrier = world.barrier("a")
     world.commit()
-    world.core.hold(held, "unreadable")
+    world.core.suspend(held, "unreadable")
     for i in range(60):
         world.offer("b", b"%d" % i)
         world.commit()
@@ -247,10 +250,10 @@
             world.answer(lsn, "stored")
         world.commit()
         world.plan()
-    assert world.core.counts.moved >= 1 and world.core.bytes < 3000
+    assert world.core.counts.relocated >= 1 and world.core.bytes < 3000
     assert min(segment for segment, _ in world.log) > 1
     world.crash(9, True, [False])
-    assert world.core.entries[held].state is State.HELD and world.core.before(barrier) == 1
+    assert world.core.entries[held].state is State.SUSPENDED and world.core.writes_before(barrier) == 1
 
 
 def test_doubt_costs_a_read_before_anything_else_without_keys():
@@ -297,7 +300,7 @@
     world.pending = []  # the disk did not take that word
     world.plan()
     assert not world.pending and not world.sends
-    world.core.not_settled(done[0][1])
+    world.core.done_lost(done[0][1])
     world.do()
     world.commit()
     assert sent(world) == [later]
--- a/tests/storage_gateway/write_buffer/test_buffer_format.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_format.py
@@ -10,16 +10,16 @@
 from logged import SMALL, filled, opened, write
 
 from mallowbeam.standins.disk import SimDisk
-from mallowbeam.storage_gateway.write_buffer.log import Found, Item, Log, name_of, walk
+from mallowbeam.storage_gateway.write_buffer.log import Log, NewRecord, ScanResult, read_records, segment_name
 from mallowbeam.storage_gateway.write_buffer.records import (
     RECORD,
     SEGMENT,
-    Bad,
+    DamagedRange,
     Done,
     Intent,
     Kind,
-    Newer,
     Record,
+    UnsupportedFormatError,
     frame,
     pack,
     scan,
@@ -35,19 +35,19 @@
     disk, _ = filled(2)
     told = json.loads(disk.files["folder.json"].now)
     disk.files["folder.json"].now[:] = b"{" if change is None else json.dumps(told | change).encode()
-    with pytest.raises(Newer, match=words):
+    with pytest.raises(UnsupportedFormatError, match=words):
         Log(disk, SMALL).open()
 
 
 def test_segments_without_their_folder_file_or_of_another_folder_are_refused():
     disk, _ = filled(2)
     del disk.files["folder.json"]
-    with pytest.raises(Newer, match=r"no folder\.json"):
+    with pytest.raises(UnsupportedFormatError, match=r"no folder\.json"):
         Log(disk, SMALL).open()
     disk, other = filled(2)[0], filled(2)[0]
     name = next(n for n in disk.names() if n.startswith("segment-"))
     disk.files[name] = other.files[name]
-    with pytest.raises(Newer, match="another folder"):
+    with pytest.raises(UnsupportedFormatError, match="another folder"):
         opened(disk)
 
 
@@ -60,8 +60,8 @@
     log.commit([write(2, forged * 3)])
     log.commit([write(3)])
     log.close()
-    name = name_of(log.number)
-    disk.flip(name, len(disk.files[name].now) - log.at + SEGMENT.size + RECORD.size + 2)
+    name = segment_name(log.number)
+    disk.flip(name, len(disk.files[name].now) - log.offset + SEGMENT.size + RECORD.size + 2)
     _, stands, *_ = opened(disk)
     assert 3 in stands and 99 not in stands
 
@@ -92,9 +92,9 @@
     for thing in found:
         assert thing.offset == at
         at = thing.end if isinstance(thing, Record) else thing.offset + thing.length
-        if isinstance(thing, Bad):
+        if isinstance(thing, DamagedRange):
             piece = data[thing.offset - SEGMENT.size :][: thing.length]
-            assert thing.blank == (not any(piece))
+            assert thing.is_blank == (not any(piece))
     assert at == SEGMENT.size + len(data)
 
 
@@ -114,7 +114,7 @@
         data = b"j" * ((2 << 20) - short) + good
         parts = iter([data[at : at + (1 << 20)] for at in range(0, len(data), 1 << 20)])
         bad, record = scan(parts, 1, marker, 0)
-        assert isinstance(bad, Bad) and bad.length == len(data) - len(good) and not bad.blank
+        assert isinstance(bad, DamagedRange) and bad.length == len(data) - len(good) and not bad.is_blank
         assert isinstance(record, Record) and record.payload == b"behind"
 
 
@@ -122,16 +122,16 @@
     disk = SimDisk()
     log, *_ = opened(disk)
     log.commit([write(1)])
-    torn = name_of(log.number)
-    log.file.write([b"torn" * 50], log.at)
+    torn = segment_name(log.number)
+    log.file.write([b"torn" * 50], log.offset)
     log.close()
     log, stands, apart, _ = opened(disk)
     assert set(stands) == {1} and [a.acknowledged for a in apart] == [False]
     log.commit([write(5)])
     log.commit([write(6)])
     log.close()
-    found = Found()
-    assert [r.lsn for r in walk(disk, log.owner, found)] == [1, 5, 6] and found.bad == []
+    found = ScanResult()
+    assert [r.lsn for r in read_records(disk, log.owner, found)] == [1, 5, 6] and found.damaged == []
     assert not disk.files[torn].now.endswith(b"torn")
 
 
@@ -140,10 +140,10 @@
 
     disk = SimDisk()
     log = Log(disk, 64 << 20)
-    log.settle(log.open())
+    log.recover(log.open())
     for first in range(0, 4000, 100):
-        log.commit([Item(Kind.PIECE, first + i + 1, [bytes(4096)]) for i in range(100)])
-    found = Found()
+        log.commit([NewRecord(Kind.PIECE, first + i + 1, [bytes(4096)]) for i in range(100)])
+    found = ScanResult()
     tracemalloc.start()
     count = sum(1 for _ in log.records(found))
     peak = tracemalloc.get_traced_memory()[1]
--- a/tests/storage_gateway/write_buffer/test_buffer_front.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_front.py
@@ -11,7 +11,7 @@
 from crc32c import crc32c
 
 from mallowbeam.storage_gateway.frontends.object_api.conditions import read_status, write_allowed
-from mallowbeam.storage_gateway.write_buffer.log import Found
+from mallowbeam.storage_gateway.write_buffer.log import ScanResult
 from mallowbeam.storage_gateway.write_buffer.records import Kind
 
 
@@ -32,7 +32,7 @@
                 o1 expect 416 'content-range: bytes ./10' InvalidRange
             """)
             etag = f'"{hashlib.md5(b"0123456789").hexdigest()}"'
-            assert world.buffer_part.newest("plates", b"/plates/a").etag == etag
+            assert world.buffer_part.reader.newest("plates", b"/plates/a").etag == etag
             await world.flushed()
             await world.play("""
                 o1 send GET /plates/a
@@ -198,7 +198,7 @@
                 writer.write(b"%x\r\n%b\r\n" % (len(piece), piece))
             writer.write(b"0\r\n\r\n")
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
-            kinds = [record.kind for record in world.buffer_part.store.log.records(Found())]
+            kinds = [record.kind for record in world.buffer_part.store.log.records(ScanResult())]
             assert kinds.count(Kind.PIECE) == 5
             writer.write(b"GET /plates/big HTTP/1.1\r\nhost: x\r\nrange: bytes=262140-524300\r\n\r\n")
             assert b" 206 " in await reader.readuntil(b"\r\n\r\n")
--- a/tests/storage_gateway/write_buffer/test_buffer_log.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_log.py
@@ -9,8 +9,8 @@
 from logged import Work, body, done, filled, judge, opened, run, write
 
 from mallowbeam.standins.disk import Fault, SimDisk
-from mallowbeam.storage_gateway.write_buffer.errors import DiskFull, Failed
-from mallowbeam.storage_gateway.write_buffer.log import Found, Item, name_of, walk
+from mallowbeam.storage_gateway.write_buffer.errors import DiskFullError, LogIOError
+from mallowbeam.storage_gateway.write_buffer.log import NewRecord, ScanResult, read_records, segment_name
 from mallowbeam.storage_gateway.write_buffer.records import (
     RECORD,
     SEGMENT,
@@ -121,15 +121,15 @@
     log, *_ = opened(disk)
     log.commit([write(1)])
     disk.room = disk.used() + 500
-    with pytest.raises(DiskFull):
+    with pytest.raises(DiskFullError):
         log.commit([write(2, b"x" * 5000)])
-    assert disk.files[name_of(log.number)].now.endswith(body(1))
-    with pytest.raises(DiskFull):
+    assert disk.files[segment_name(log.number)].now.endswith(body(1))
+    with pytest.raises(DiskFullError):
         log.commit([done(3, 1), write(4, b"x" * 5000)])
     disk.room = disk.used()
-    with pytest.raises(DiskFull):
+    with pytest.raises(DiskFullError):
         log.commit([done(5, 1)])
-    log.commit([done(6, 1)], last=True)
+    log.commit([done(6, 1)], finishes_writes=True)
     assert "reserve" not in disk.names()
     log.close()
     _, stands, apart, _ = opened(disk.crashed(1))
@@ -143,11 +143,11 @@
     log.commit([write(1)])
     bad = log.number
     disk.faults = [Fault(call, errno.EIO, "segment-")]
-    with pytest.raises(Failed, match="Input/output"):
+    with pytest.raises(LogIOError, match="Input/output"):
         log.commit([write(2)])
-    size = len(disk.files[name_of(bad)].now)
-    log.commit([Item(Kind.VOID, 4, pack(Kind.VOID, Done([2]))), write(5)])
-    assert log.number == bad + 1 and len(disk.files[name_of(bad)].now) == size
+    size = len(disk.files[segment_name(bad)].now)
+    log.commit([NewRecord(Kind.VOID, 4, pack(Kind.VOID, Done([2]))), write(5)])
+    assert log.number == bad + 1 and len(disk.files[segment_name(bad)].now) == size
     log.close()
     for seed in range(20):  # whether or not the failed batch reached the disk
         _, stands, *_ = opened(disk.crashed(seed))
@@ -159,13 +159,13 @@
 
     class Busy(SimDisk):
         def names(self):
-            return [*disk.names(), name_of(0)]  # it was there a moment ago
+            return [*disk.names(), segment_name(0)]  # it was there a moment ago
 
         def open(self, name, new=False):
             return disk.open(name, new)
 
     owner = bytes.fromhex(json.loads(disk.files["folder.json"].now)["id"])
-    assert work.acked - work.over <= {r.lsn for r in walk(Busy(), owner, Found())}
+    assert work.acked - work.over <= {r.lsn for r in read_records(Busy(), owner, ScanResult())}
 
 
 def test_a_new_segment_that_cannot_be_made_leaves_no_file_behind():
@@ -173,7 +173,7 @@
     log, *_ = opened(disk)
     log.abandon()
     names = disk.names()
-    for code, error in ((errno.ENOSPC, DiskFull), (errno.EIO, Failed)):
+    for code, error in ((errno.ENOSPC, DiskFullError), (errno.EIO, LogIOError)):
         disk.faults = [Fault("sync", code, "segment-")]
         with pytest.raises(error):
             log.commit([write(1)])
--- a/tests/storage_gateway/write_buffer/test_buffer_order.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_order.py
@@ -28,7 +28,7 @@
             """)
             answers = world.parties["o1"].seen
             assert not any(answer.get(b"x-mallowbeam-durable") for answer in answers)
-            assert world.buffer_part.core.counts.taken == 0
+            assert world.buffer_part.core.counts.accepted == 0
 
     run(play())
     assert len(writes(nodes)) == 4
@@ -101,7 +101,7 @@
             nodes[0].script.add(Rule("status", "PUT", key, status=403))
             await world.play(f"o1 send PUT /plates/{key} body=x\no1 expect 200")
             async with asyncio.timeout(10):
-                while not world.buffer_part.core.held:
+                while not world.buffer_part.core.suspended:
                     await asyncio.sleep(0.01)
             await world.play("""
                 o1 send POST /plates?barrier=through x-deadline-ms:3600000
@@ -156,7 +156,7 @@
             for i in range(8):
                 await world.play(f"o1 send PUT /plates/k{i} body=v{i}\no1 expect 200 x-mallowbeam-durable")
             await world.flushed()
-            assert world.buffer_part.core.held == 0
+            assert world.buffer_part.core.suspended == 0
 
     run(play())
     assert sorted(writes(nodes)) == sorted(f"PUT /plates/k{i}" for i in range(8))
--- a/tests/support/buffer_world.py
+++ b/tests/support/buffer_world.py
@@ -4,8 +4,12 @@
 
 import random
 
-from mallowbeam.storage_gateway.write_buffer import core as c
-from mallowbeam.storage_gateway.write_buffer.core import Core, Entry, Known, Limits, Offer, Outcome, Replay
+from mallowbeam.storage_gateway.write_buffer import actions
+from mallowbeam.storage_gateway.write_buffer.core import Core
+from mallowbeam.storage_gateway.write_buffer.entries import Admission, Entry, Outcome
+from mallowbeam.storage_gateway.write_buffer.limits import Limits
+from mallowbeam.storage_gateway.write_buffer.records import Write
+from mallowbeam.storage_gateway.write_buffer.replay import Replay, RestoredWrite
 
 WINDOW, DEADLINE = 4.0, 1.0
 LIMITS = Limits(
@@ -53,12 +57,12 @@
     def __init__(self, limits: Limits = LIMITS) -> None:
         self.limits, self.now, self.boot, self.lsn = limits, 100.0, b"b0", 0
         self.core = Core(limits, random.Random(7))
-        self.core.away = False
+        self.core.unavailable = False
         self.log: list[tuple[int, tuple]] = []  # segment and record, as durable
         self.segment = 1
         self.pending: list[tuple] = []  # appended, not synced
-        self.sends: dict[int, c.Send] = {}
-        self.reads: dict[int, c.ReadBack] = {}
+        self.sends: dict[int, actions.Send] = {}
+        self.reads: dict[int, actions.ReadBack] = {}
         self.sent_at: dict[int, float] = {}
         self.nodes = Nodes()
         self.durable: dict[tuple[str, bytes], list[int]] = {}  # writes by key, in order
@@ -69,10 +73,11 @@
     # what clients do
 
     def entry(self, lsn: int, bucket: str, name: bytes, method: str, at: float) -> Entry:
-        return Entry(lsn, bucket, name, method, name[0], f"v{lsn}", 60, COST, at)
+        write = Write(method, bucket, name, name[0], [], b"", f"v{lsn}", 60, at)
+        return Entry(lsn, write, COST, at)
 
     def offer(self, bucket: str, name: bytes, method: str = "PUT") -> int | None:
-        if self.core.offer(self.now, bucket, name, COST) is not Offer.TAKE:
+        if self.core.admit(self.now, bucket, name, COST) is not Admission.ACCEPT:
             return None
         self.lsn += 1
         self.core.accept(self.entry(self.lsn, bucket, name, method, self.now))
@@ -81,13 +86,13 @@
 
     def barrier(self, bucket: str) -> int:
         self.lsn += 1
-        self.core.barrier(self.lsn, bucket)
+        self.core.open_barrier(self.lsn, bucket)
         self.pending.append(("barrier", self.lsn, bucket))
         return self.lsn
 
     def direct(self, bucket: str, name: bytes, method: str = "PUT") -> bool:
         """A write past the buffer, acknowledged by its node; False where its order forbids that."""
-        if self.core.ordered(bucket, name):
+        if self.core.blocks_direct(bucket, name):
             return False
         self.lsn += 1
         entry = self.entry(self.lsn, bucket, name, method, self.now)
@@ -117,7 +122,7 @@
         for segment, _ in self.log:
             sizes[segment] = sizes.get(segment, 0) + COST
         sizes.setdefault(self.segment, 0)
-        self.core.on_disk(sizes, self.segment)
+        self.core.update_segments(sizes, self.segment)
 
     def commit(self, good: bool = True) -> None:
         """All that waits is synced, or none of it, and then it is void."""
@@ -134,11 +139,11 @@
                         lost.append(lsn)
                         self.core.barrier_lost(lsn)
                     case ("intent", lsns, _):
-                        self.core.not_intended(self.now, lsns)
+                        self.core.intent_lost(self.now, lsns)
                     case ("done", lsns):
-                        self.core.not_settled(lsns)
+                        self.core.done_lost(lsns)
                     case ("moved", *_):
-                        self.core.moving_over()
+                        self.core.relocation_ended()
                 continue
             segment = self.keep(record)
             if kind == "write":
@@ -146,12 +151,12 @@
             elif kind == "barrier":
                 self.core.barrier_durable(record[1], segment)
             elif kind == "intent":
-                self.core.intended(self.now, record[1])
+                self.core.intent_durable(self.now, record[1])
             elif kind == "done":
-                self.core.settled(record[1])
+                self.core.done_durable(record[1])
             elif kind == "moved":
-                self.core.moved(record[1], (segment, 0), ())
-                self.core.moving_over()
+                self.core.relocated(record[1], (segment, 0), ())
+                self.core.relocation_ended()
         if lost:
             self.log.append((self.segment, ("done", lost)))
         self.do()
@@ -159,46 +164,50 @@
     def do(self) -> None:
         for action in self.core.take():
             match action:
-                case c.Intend(lsns):
+                case actions.Intend(lsns):
                     self.pending.append(("intent", lsns, (self.boot, self.now, self.limits.shards)))
-                case c.Settle(lsns):
+                case actions.RecordDone(lsns):
                     self.pending.append(("done", lsns))
-                case c.Hold(lsn, reason):
+                case actions.Suspend(lsn, reason):
                     self.pending.append(("held", lsn, reason))
-                case c.Send(lsn, expires, _):
+                case actions.Send(lsn, expires, _):
                     assert any(
                         r[0] == "intent" and lsn in r[1] or r[0] == "moved" and r[1] == lsn
                         for _, r in self.log
                     ), "sent without an intent"
                     assert expires > 0
                     self.sends[lsn], self.sent_at[lsn] = action, self.now
-                case c.ReadBack(lsn, _):
+                case actions.ReadBack(lsn, _):
                     self.reads[lsn] = action
-                case c.Passed(lsn):
+                case actions.BarrierPassed(lsn):
                     self.passed.add(lsn)
                     self.check_barrier(lsn)
-                case c.Remove(segments):
+                case actions.Remove(segments):
                     self.log = [(s, r) for s, r in self.log if s not in segments]
-                    self.core.removed(segments)
-                case c.Move(lsns):
+                    self.core.segments_removed(segments)
+                case actions.Relocate(lsns):
                     for lsn in lsns:
                         if lsn in self.core.barriers:
-                            self.core.barrier_moved(
+                            self.core.barrier_relocated(
                                 lsn, self.keep(("barrier again", lsn, self.core.barriers[lsn][0]))
                             )
                         elif (e := self.core.entries.get(lsn)) is not None:
                             intent = (
                                 None
-                                if e.intent is None
-                                else (self.boot, max(0.0, e.doubt or e.intent), self.limits.shards)
+                                if e.intent_at is None
+                                else (
+                                    self.boot,
+                                    max(0.0, e.uncertain_since or e.intent_at),
+                                    self.limits.shards,
+                                )
                             )
                             self.pending.append(
                                 ("moved", lsn, e.bucket, e.name, e.method, intent, e.reason or None)
                             )
-                    self.core.moving_over()
-        assert self.core.out <= self.limits.in_flight
-        assert self.core.out_bytes <= max(60, self.limits.flush_bytes)
-        assert all(shard.out <= self.limits.per_shard for shard in self.core.shards.values())
+                    self.core.relocation_ended()
+        assert self.core.in_flight <= self.limits.in_flight
+        assert self.core.in_flight_bytes <= max(60, self.limits.flush_bytes)
+        assert all(shard.in_flight <= self.limits.per_shard for shard in self.core.shards.values())
 
     def plan(self, direct: int = 0) -> None:
         self.core.plan(self.now, direct)
@@ -231,8 +240,8 @@
         elif how == "late":
             self.nodes.coming.append((until, entry, send.seen))
         elif how == "refused":
-            outcome = Outcome.REFUSED
-        self.core.sent(self.now, lsn, outcome, 0.05)
+            outcome = Outcome.REJECTED
+        self.core.attempt_ended(self.now, lsn, outcome, 0.05)
         self.do()
 
     def look(self, lsn: int, answered: bool) -> None:
@@ -241,7 +250,7 @@
         version = self.nodes.versions.get(entry.key, 0)
         if answered and not version and entry.method == "DELETE":
             self.nodes.applied[entry.key] = lsn  # what was to be gone is gone: as good as run
-        self.core.read_back(self.now, lsn, f"v{version}" if version else None, answered)
+        self.core.version_read(self.now, lsn, f"v{version}" if version else None, answered)
         self.do()
 
     def advance(self, seconds: float) -> None:
@@ -278,19 +287,23 @@
         for segment, record in self.log:
             match record:
                 case ("write", lsn, bucket, name, method):
-                    state.write(Known(self.entry(lsn, bucket, name, method, self.now), (segment, 0), []))
+                    state.write(
+                        RestoredWrite(self.entry(lsn, bucket, name, method, self.now), (segment, 0), [])
+                    )
                 case ("moved", lsn, bucket, name, method, intent, held):
                     state.write(
-                        Known(self.entry(lsn, bucket, name, method, self.now), (segment, 0), [], intent, held)
+                        RestoredWrite(
+                            self.entry(lsn, bucket, name, method, self.now), (segment, 0), [], intent, held
+                        )
                     )
                 case ("barrier" | "barrier again", lsn, bucket):
                     state.barrier(lsn, bucket, segment)
                 case ("intent", lsns, intent):
                     state.intent(lsns, intent)
                 case ("done", lsns):
-                    state.settled(lsns)
+                    state.done(lsns)
                 case ("held", lsn, reason):
-                    state.held(lsn, reason)
+                    state.suspended(lsn, reason)
         state.build(self.core, self.now, self.boot)
         self.do()
 
@@ -308,7 +321,7 @@
             self.advance(0.05)
         assert not self.core.entries, [(e.lsn, e.state) for e in self.core.entries.values()]
         assert not self.core.barriers and not self.core.keys and not self.core.groups
-        assert self.core.out == self.core.out_bytes == self.core.committing == 0
+        assert self.core.in_flight == self.core.in_flight_bytes == self.core.committing == 0
         self.check_reads()
         for key, lsns in self.durable.items():
             last = lsns[-1]
--- a/tests/support/buffered.py
+++ b/tests/support/buffered.py
@@ -50,12 +50,12 @@
 
     def keep_still(self) -> None:
         """Nothing goes to the nodes until `go_on`."""
-        self.buffer_part.sender = Still(self.buffer_part.sender)
+        self.buffer_part.flush.sender = Still(self.buffer_part.flush.sender)
 
     def go_on(self) -> None:
         """What is buffered goes out again."""
-        self.buffer_part.sender = self.buffer_part.sender.real
-        self.buffer_part.stir()
+        self.buffer_part.flush.sender = self.buffer_part.flush.sender.real
+        self.buffer_part.wake()
 
     async def flushed(self) -> None:
         async with asyncio.timeout(15):
--- a/tests/support/logged.py
+++ b/tests/support/logged.py
@@ -5,7 +5,7 @@
 import random
 
 from mallowbeam.standins.disk import PowerCut, SimDisk
-from mallowbeam.storage_gateway.write_buffer.log import Apart, Found, Item, Log
+from mallowbeam.storage_gateway.write_buffer.log import Log, NewRecord, QuarantinedRange, ScanResult
 from mallowbeam.storage_gateway.write_buffer.records import (
     Done,
     Kind,
@@ -22,25 +22,25 @@
     return random.Random(lsn).randbytes(1 + lsn * 211 % 1700)
 
 
-def write(lsn: int, data: bytes | None = None) -> Item:
+def write(lsn: int, data: bytes | None = None) -> NewRecord:
     data = body(lsn) if data is None else data
     words = Write("PUT", "b", b"/b/%d" % lsn, lsn, [(b"content-type", b"x")], b"t", '"e"', len(data), 1.0)
-    return Item(Kind.WRITE, lsn, pack(Kind.WRITE, words, data))
+    return NewRecord(Kind.WRITE, lsn, pack(Kind.WRITE, words, data))
 
 
-def done(lsn: int, *lsns: int) -> Item:
-    return Item(Kind.DONE, lsn, pack(Kind.DONE, Done(list(lsns))))
+def done(lsn: int, *lsns: int) -> NewRecord:
+    return NewRecord(Kind.DONE, lsn, pack(Kind.DONE, Done(list(lsns))))
 
 
-def opened(disk: SimDisk) -> tuple[Log, dict[int, bytes], list[Apart], Found]:
+def opened(disk: SimDisk) -> tuple[Log, dict[int, bytes], list[QuarantinedRange], ScanResult]:
     """A log come up on a disk: what stands, by lsn, and what was set apart."""
     log = Log(disk, SMALL)
     found = log.open()
     state = replay(log, found, 2.0, 2.0)
-    apart = log.settle(found)
+    apart = log.recover(found)
     stands = {}
-    for lsn, known in state.writes.items():
-        record = log.read(*known.where)
+    for lsn, restored in state.writes.items():
+        record = log.read(*restored.position)
         stands[lsn] = bytes(unpack(record.kind, record.payload)[1])
     return log, stands, apart, found
 
@@ -95,7 +95,7 @@
     return disk
 
 
-def judge(works: list[Work], stands: dict[int, bytes], apart: list[Apart]) -> None:
+def judge(works: list[Work], stands: dict[int, bytes], apart: list[QuarantinedRange]) -> None:
     """All that was acknowledged and not ended stands with its bytes; nothing stands that nobody offered."""
     offered = set().union(*(work.offered for work in works))
     ended = set().union(*(work.maybe_over for work in works))
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -77,8 +77,8 @@
 from mallowbeam.storage_gateway.server.listing import read_listing
 from mallowbeam.storage_gateway.write_buffer import records as buffer_records
 from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
-from mallowbeam.storage_gateway.write_buffer.inspect import look
-from mallowbeam.storage_gateway.write_buffer.log import Found, folder_id, walk
+from mallowbeam.storage_gateway.write_buffer.inspect import inspect_folder
+from mallowbeam.storage_gateway.write_buffer.log import ScanResult, folder_id, read_records
 
 SAMPLES = Path(__file__).parent / "fixtures" / "compatibility"
 PATIENCE_S = 30.0
@@ -261,7 +261,7 @@
     disk = RealDisk(str(folder), read_only=True)
     owner = folder_id(disk)
     assert owner is not None
-    found = list(walk(disk, owner, Found()))
+    found = list(read_records(disk, owner, ScanResult()))
     assert len(found) == len(sample["records"])
     for record, one in zip(found, sample["records"], strict=True):
         place = (int(record.kind), record.lsn, record.durable, record.segment, record.offset)
@@ -274,7 +274,7 @@
         assert body.hex() == one["body"]
         assert b"".join(buffer_records.pack(record.kind, words, body)) == bytes(record.payload)
     disk.close()
-    report = json.loads(look(str(folder), pieces=True).json())
+    report = json.loads(inspect_folder(str(folder), chunks=True).json())
     assert {name: report[name] for name in sample["report"]} == sample["report"]
 
 
