--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -117,7 +117,7 @@
         why = check_folder(buffer, handed)
         if why is not None:
             raise BadConfig(why)
-        self.whole = min(settings.max_body, CHUNK_BYTES)  # larger bodies come in pieces
+        self.max_buffered_body = min(settings.max_body, CHUNK_BYTES)  # larger bodies come in pieces
         self.buffer = Buffer(buffer, self, handed_over=handed)
         gateway.parts.append(self.buffer)
 
@@ -186,12 +186,14 @@
             raise Error("InvalidArgument")
         conditional = b"if-match" in request.headers or b"if-none-match" in request.headers
         known = self._standing(request) if conditional else None
-        offer = buffer.intake.admit(request.bucket, request.path, max(message.came, message.length or 0))
-        if known is not None and offer is Admission.ACCEPT:
+        admission = buffer.intake.admit(
+            request.bucket, request.path, max(message.received, message.length or 0)
+        )
+        if known is not None and admission is Admission.ACCEPT:
             self._check(request)
-        if offer is Admission.SLOW_DOWN or known is not None and offer is not Admission.ACCEPT:
+        if admission is Admission.SLOW_DOWN or known is not None and admission is not Admission.ACCEPT:
             raise slow_down()
-        if offer is Admission.DIRECT or conditional and known is None or not self._bufferable(request):
+        if admission is Admission.DIRECT or conditional and known is None or not self._bufferable(request):
             if barrier is not None:  # a barrier that nothing durable stands for is none
                 raise slow_down()
             await self._stand_clear(request)
@@ -282,7 +284,7 @@
                     if upload.size + len(data) > self.max_body:
                         raise Error("EntityTooLarge")
                     await buffer.intake.add(upload, data)
-            if stream.broken:
+            if stream.aborted:
                 raise Error("IncompleteBody")
             body.end()
             write.etag = body.etag
--- a/tests/router/control_plane/test_control_plane_instances.py
+++ b/tests/router/control_plane/test_control_plane_instances.py
@@ -8,7 +8,7 @@
 from typing import cast
 
 from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
-from mallowbeam.router.control_plane.instance_service import InstanceService
+from mallowbeam.router.control_plane.instance_service import InstanceService, RegistryParts
 from mallowbeam.router.control_plane.peer_links import PeerLinks
 from mallowbeam.router.control_plane.response_gate import ResponseGate
 from mallowbeam.router.registry.retirements import Retirements
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self.sent: list[tuple[int, PeerFrame]] = []
 
-    def silence(self, member: int) -> float:
+    def seconds_since_contact(self, member: int) -> float:
         return 0.0
 
     def send(self, recipient: int, frame: PeerFrame) -> bool:
@@ -39,20 +39,18 @@
         table.merge(RegistryGossip(whole=True), time.monotonic())  # it knows all that there is
         gate = ResponseGate(time.monotonic, lambda: 0.0, lambda: False)
         self.instances = InstanceService(
-            table,
-            Retirements(),
-            cast(CommandForwarder, None),
-            cast(PeerLinks, self.links),
-            changed=lambda: None,
-            gateways=lambda: 0,
-            gate=gate,
+            RegistryParts(
+                table, Retirements(), cast(CommandForwarder, None), cast(PeerLinks, self.links), gate
+            ),
+            gateways_outdated=lambda: None,
+            count_gateways=lambda: 0,
             random=Random(1),
         )
 
     def asked(self) -> list[int]:
         """Whom one look asks for all that they know."""
         self.links.sent.clear()
-        self.instances.look([OTHER])
+        self.instances.run_cycle([OTHER])
         return [member for member, frame in self.links.sent if frame.registry.wants_whole]
 
     def test_what_a_lost_link_may_have_cost_is_asked_for(self) -> None:
