--- a/mallowbeam/storage_gateway/coordination/service.py
+++ b/mallowbeam/storage_gateway/coordination/service.py
@@ -61,7 +61,7 @@
 from mallowbeam.storage_gateway.operator_settings import PolicySection
 from mallowbeam.storage_gateway.server.config import BadConfig
 from mallowbeam.storage_gateway.server.gateway import Gateway
-from mallowbeam.storage_gateway.write_buffer.disk import Locked, RealDisk
+from mallowbeam.storage_gateway.write_buffer.disk import FolderLockedError, RealDisk
 
 PUSH_TIMEOUT_S = 3.0  # after which the outcome of a push is called unknown
 POLICY = "policy"  # the policy's name as a requester of drains, beside those of the subsystems
@@ -77,7 +77,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         disk = RealDisk(str(folder))
         disk.lock()
-    except (OSError, Locked) as error:
+    except (OSError, FolderLockedError) as error:
         raise BadConfig(f"policy.folder: {error}") from None
     return disk
 
