--- a/mallowbeam/router/control_plane/member_builder.py
+++ b/mallowbeam/router/control_plane/member_builder.py
@@ -42,7 +42,7 @@
 from mallowbeam.router.control_plane.storage_writer import StorageWriter
 from mallowbeam.router.control_plane.store_recovery import DamageReportingStore, OpenedStore
 from mallowbeam.router.feed.publisher import FeedPublisher
-from mallowbeam.router.pairing.stage_share import StageShareSettings
+from mallowbeam.router.pairing.stage_balancer import StageBalancerSettings
 from mallowbeam.router.processes.metrics import metrics_server
 from mallowbeam.router.processes.overrides import apply_overrides, read_overrides
 from mallowbeam.router.processes.settings import NodeSettings, split_address
@@ -239,7 +239,7 @@
         replication.table,
         replication.machine.configurations,
         wiring.gateways_outdated,
-        apply_overrides(StageShareSettings(), read_overrides(), "stages"),
+        apply_overrides(StageBalancerSettings(), read_overrides(), "stages"),
     )
     return _InstanceParts(service, stages, AttemptReports())
 
--- a/tests/router/control_plane/test_control_plane_stage_orders.py
+++ b/tests/router/control_plane/test_control_plane_stage_orders.py
@@ -15,7 +15,7 @@
 from mallowbeam.router.control_plane.response_gate import ResponseGate, ResponseKind
 from mallowbeam.router.control_plane.stage_lease import StageLease
 from mallowbeam.router.control_plane.stage_order_client import RESET_ON_CLOSE, StageOrderClient
-from mallowbeam.router.pairing.stage_share import OrderResult, StageOrder
+from mallowbeam.router.pairing.stage_balancer import OrderResult, StageOrder
 
 ORDER = StageOrder("i", "10.1.0.1:8080", "prefill")
 LEASE_S = 3.0
@@ -86,7 +86,7 @@
         return ("request",) in self.link.done
 
     async def test_a_leader_in_touch_sends_its_token(self) -> None:
-        self.assertIs(await self.exchange(lambda: None), OrderResult.TAKEN)
+        self.assertIs(await self.exchange(lambda: None), OrderResult.ACCEPTED)
         self.assertEqual(self.link.order["fencing_token"], TOKEN)
 
     async def test_frozen_while_the_connection_came_up(self) -> None:
