--- a/mallowbeam/router/control_plane/stage_lease.py
+++ b/mallowbeam/router/control_plane/stage_lease.py
@@ -8,7 +8,7 @@
 from mallowbeam.router.consensus.errors import ConsensusError
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
 from mallowbeam.router.control_plane.response_gate import ResponseGate, ResponseKind
-from mallowbeam.router.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
+from mallowbeam.router.pairing.order_lease import Leadership, OrderLease, OrderLeaseSettings
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.rpc.messages_pb2 import ALREADY_DONE, DONE, AcquireLease, Command
 
@@ -34,13 +34,13 @@
 
     def should_acquire(self, now: float) -> bool:
         """Whether a proposal for the lease is due."""
-        return self._lease.should_acquire(self._standing(now), now)
+        return self._lease.should_acquire(self._leadership(now), now)
 
     def token(self, now: float) -> int | None:
         """The fencing token under which an order may be sent in this step; None if none may be sent."""
         if not self._gate.may(ResponseKind.INSTANCE_ORDER):
             return None
-        return self._lease.token(self._standing(now), now)
+        return self._lease.token(self._leadership(now), now)
 
     def rejected(self) -> None:
         """An instance has seen a higher fencing token: the lease is lost."""
@@ -65,6 +65,6 @@
         else:
             self._lease.not_acquired(time.monotonic())
 
-    def _standing(self, now: float) -> Standing:
+    def _leadership(self, now: float) -> Leadership:
         node = self._driver.node
-        return Standing(self._driver.is_leader, node.term, node.freshness(now))
+        return Leadership(self._driver.is_leader, node.term, node.freshness(now))
--- a/mallowbeam/router/pairing/order_lease.py
+++ b/mallowbeam/router/pairing/order_lease.py
@@ -18,36 +18,37 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderLeaseSettings:
-    """Bounds of a holder."""
+    """Times of the lease, in seconds."""
 
     lease_s: float
-    """Orders of two holders are at least so far apart."""
+    """The minimum time between the orders of two holders."""
     fresh_s: float = 0.5
-    """The longest time since a majority confirmed the leader, at which it may send."""
+    """A leader may send while a majority has confirmed it within this time."""
     answer_s: float = 0.6
-    """The longest time that an order may be on its way: its connection is reset after it."""
+    """The maximum time that an order may be in flight: its connection is reset after it."""
     margin_s: float = 0.25
+    """A margin for delays between a check and the send that follows it."""
     retry_s: float = 0.5
-    """Between two attempts to acquire the lease."""
+    """The time between two attempts to acquire the lease."""
 
     @property
     def wait_s(self) -> float:
-        """What a new holder waits between acquiring the lease and its first order."""
+        """How long a new holder waits between acquiring the lease and its first order."""
         return self.lease_s + self.fresh_s + self.answer_s + self.margin_s
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
-    """What the member knows of its own leadership at one moment."""
+class Leadership:
+    """The member's view of its own leadership at one moment."""
 
-    leads: bool
+    is_leader: bool
     term: int
-    silence_s: float  # since a majority confirmed it
+    confirmed_s_ago: float  # seconds since a majority confirmed it
 
 
 @dataclass(frozen=True, slots=True)
 class _Grant:
-    """The lease as acquired in one term of leadership."""
+    """The lease as it was acquired in one term of leadership."""
 
     term: int
     token: int
@@ -55,32 +56,32 @@
 
 
 class OrderLease:
-    """One member's view of the lease over the stages."""
+    """The holder's side of the lease over the stages, at one member."""
 
     def __init__(self, settings: OrderLeaseSettings) -> None:
         self.settings = settings
         self._grant: _Grant | None = None
-        self._usable_at: dict[int, float] = {}  # by token: the last one that this process acquired
-        self._acquiring_in = -1  # term of the attempt that is under way
+        self._usable_at: dict[int, float] = {}  # by token, of the last one that this process acquired
+        self._acquiring_in = -1  # term of the attempt in progress
         self._next_attempt_at = -inf
 
-    def should_acquire(self, standing: Standing, now: float) -> bool:
-        """Whether to propose that this member gets the lease; where True, an attempt has begun."""
-        if not standing.leads:
+    def should_acquire(self, leadership: Leadership, now: float) -> bool:
+        """Whether to propose the acquisition of the lease now; if True, the attempt counts as begun."""
+        if not leadership.is_leader:
             return False
-        if self._grant is not None and self._grant.term == standing.term:
+        if self._grant is not None and self._grant.term == leadership.term:
             return False
-        if self._acquiring_in == standing.term and now < self._next_attempt_at:
+        if self._acquiring_in == leadership.term and now < self._next_attempt_at:
             return False
-        self._acquiring_in = standing.term
+        self._acquiring_in = leadership.term
         self._next_attempt_at = now + self.settings.wait_s
         return True
 
     def acquired(self, term: int, token: int, now: float) -> None:
-        """The log gave the lease to this member, by a proposal that it made as the leader of `term`.
+        """Record that the log granted the lease to a proposal that this member made as the leader of `term`.
 
-        A token that it had before tells that nobody else held the lease in between: nothing more is to be
-        waited for than was then.
+        A token that it had before proves that there was no other holder in between: the wait does not begin
+        anew.
         """
         usable_at = now + self.settings.wait_s
         if token in self._usable_at:
@@ -89,19 +90,19 @@
         self._grant = _Grant(term, token, usable_at)
 
     def not_acquired(self, now: float) -> None:
-        """An attempt failed, or its outcome is not known."""
+        """Record that an attempt failed, or that its outcome is unknown."""
         self._next_attempt_at = now + self.settings.retry_s
 
     def rejected(self, now: float) -> None:
-        """An instance has seen a higher token: what this member holds is of no use."""
+        """Record that an instance has seen a higher token: this member's lease is lost."""
         self._grant = None
         self._next_attempt_at = now + self.settings.wait_s
 
-    def token(self, standing: Standing, now: float) -> int | None:
-        """The token under which an order may be sent at this very moment; None: none may."""
+    def token(self, leadership: Leadership, now: float) -> int | None:
+        """The token under which an order may be sent at this moment; None if none may be sent."""
         grant = self._grant
-        if grant is None or not standing.leads or standing.term != grant.term:
+        if grant is None or not leadership.is_leader or leadership.term != grant.term:
             return None
-        if standing.silence_s > self.settings.fresh_s or now < grant.usable_at:
+        if leadership.confirmed_s_ago > self.settings.fresh_s or now < grant.usable_at:
             return None
         return grant.token
--- a/tests/router/pairing/test_rules_orders.py
+++ b/tests/router/pairing/test_rules_orders.py
@@ -18,7 +18,7 @@
 
 from mallowbeam.router.control_plane.stage_lease import StageLease
 from mallowbeam.router.control_plane.stage_order_client import StageOrderClient
-from mallowbeam.router.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
+from mallowbeam.router.pairing.order_lease import Leadership, OrderLease, OrderLeaseSettings
 from mallowbeam.router.pairing.stage_balancer import OrderResult, StageOrder
 from mallowbeam.router.registry.leases import Leases
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, AcquireLease, Instance
@@ -29,7 +29,7 @@
 LEASE_S = 3.0
 NOW = 100.0
 HOLDER, TERM = 0xABC, 4
-LEADS = Standing(True, TERM, 0.0)
+LEADS = Leadership(True, TERM, 0.0)
 
 
 class NoWait(OrderLease):
@@ -42,16 +42,16 @@
 class NoLookAtTheMajority(OrderLease):
     """Sends while it believes that it leads, however long ago that was confirmed."""
 
-    def token(self, standing: Standing, now: float) -> int | None:
-        return super().token(Standing(standing.leads, standing.term, 0.0), now)
+    def token(self, leadership: Leadership, now: float) -> int | None:
+        return super().token(Leadership(leadership.is_leader, leadership.term, 0.0), now)
 
 
 class AnyTerm(OrderLease):
     """Uses a lease in whatever term it leads."""
 
-    def token(self, standing: Standing, now: float) -> int | None:
+    def token(self, leadership: Leadership, now: float) -> int | None:
         term = self._grant.term if self._grant is not None else 0
-        return super().token(Standing(standing.leads, term, standing.silence_s), now)
+        return super().token(Leadership(leadership.is_leader, term, leadership.confirmed_s_ago), now)
 
 
 class OneHolder(unittest.TestCase):
@@ -82,13 +82,13 @@
         later = NOW + lease.settings.wait_s
         self.assertIsNone(lease.token(LEADS, later - 0.01))
         self.assertEqual(lease.token(LEADS, later), 7)
-        for standing in (
-            Standing(True, 4, 5.0),
-            Standing(True, 4, 0.51),
-            Standing(True, 5, 0.0),
-            Standing(False, 4, 0.0),
+        for leadership in (
+            Leadership(True, 4, 5.0),
+            Leadership(True, 4, 0.51),
+            Leadership(True, 5, 0.0),
+            Leadership(False, 4, 0.0),
         ):
-            self.assertIsNone(lease.token(standing, later), standing)
+            self.assertIsNone(lease.token(leadership, later), leadership)
         lease.rejected(later)
         self.assertIsNone(lease.token(LEADS, later + 100.0))
 
@@ -170,12 +170,12 @@
     """A member's lease; all else about the member is as it is told."""
 
     def __init__(self, token: int = 7, leads: bool = True, silence_s: float = 0.0) -> None:
-        self.member_id, self._told = HOLDER, Standing(leads, TERM, silence_s)
+        self.member_id, self._told = HOLDER, Leadership(leads, TERM, silence_s)
         self._gate = SimpleNamespace(may=lambda *_: True)
         self._lease = OrderLease(OrderLeaseSettings(LEASE_S))
         self._lease.acquired(TERM, token, time.monotonic() - self._lease.settings.wait_s)
 
-    def _standing(self, now: float) -> Standing:
+    def _leadership(self, now: float) -> Leadership:
         return self._told
 
 
--- a/tests/support/order_world.py
+++ b/tests/support/order_world.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from mallowbeam.router.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
+from mallowbeam.router.pairing.order_lease import Leadership, OrderLease, OrderLeaseSettings
 from mallowbeam.router.registry.leases import Leases
 from mallowbeam.router.rpc.messages_pb2 import DONE, AcquireLease
 
@@ -51,9 +51,9 @@
     frozen_until: float = 0.0
     answers: list[Answer] = field(default_factory=list)
 
-    def standing(self, now: float) -> Standing:
+    def leadership(self, now: float) -> Leadership:
         """What it knows of its leadership."""
-        return Standing(self.term > 0, self.term, now - self.confirmed_at)
+        return Leadership(self.term > 0, self.term, now - self.confirmed_at)
 
 
 class OrderWorld:
@@ -124,9 +124,9 @@
                 member.lease.acquired(answer.term, answer.token, self.now)
             else:
                 member.lease.not_acquired(self.now)
-        if member.lease.should_acquire(member.standing(self.now), self.now):
+        if member.lease.should_acquire(member.leadership(self.now), self.now):
             self._ask(member)
-        token = member.lease.token(member.standing(self.now), self.now)
+        token = member.lease.token(member.leadership(self.now), self.now)
         if token is not None and self.random.random() < ORDERS_SHARE:
             delay = self.random.random() * self.settings.answer_s
             self.arrivals.append(OrderArrival(self.now + delay, member.id, token))
