--- a/tests/router/control_plane/test_control_plane_large_bodies.py
+++ b/tests/router/control_plane/test_control_plane_body_admission.py
@@ -46,7 +46,7 @@
 CONFIG, INSTANCE = "/mallowbeam/config", "/mallowbeam/instances/i-1"
 CALLERS, MEMBERS = 8, 3
 LOAD_S = 60  # the load's bound; it ends long before, once so many changes were taken:
-MOST_TAKEN = 4
+MAX_ACCEPTED = 4
 MEMORY_MIB = 296  # of a machine of the core
 
 
@@ -62,7 +62,7 @@
     return head + (b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body) if chunked else body)
 
 
-class HeldWork:
+class PausedJobs:
     """Work that goes on only when it is told to."""
 
     def __init__(self) -> None:
@@ -145,11 +145,11 @@
         self.fed(call(CONFIG, large(2)))
         self.assertEqual(self.budget.used, 0)
         small = call(INSTANCE, b"x" * LARGE_BODY)
-        held = [self.fed(small) for _ in range(MAX_SMALL_BODIES_BYTES // LARGE_BODY)]
-        self.assertTrue(all(framer.error is None for framer in held))
+        paused = [self.fed(small) for _ in range(MAX_SMALL_BODIES_BYTES // LARGE_BODY)]
+        self.assertTrue(all(framer.error is None for framer in paused))
         self.assertEqual(str(self.fed(small).error), TOO_MANY_BODIES)
 
-    def test_the_control_api_has_one_place(self) -> None:
+    def test_the_control_api_has_one_slot(self) -> None:
         api = api_of(ConfigurationParser(), Log())
         budget = api.budget
         assert budget is not None
@@ -163,7 +163,7 @@
     """The control API behind its server."""
 
     async def asyncSetUp(self) -> None:
-        self.work, self.log = HeldWork(), Log()
+        self.work, self.log = PausedJobs(), Log()
         api = api_of(ConfigurationParser(), self.log, self.work)
         self.server = Server(("127.0.0.1", 0), api, 64, shared=False)
         self.server.start()
@@ -202,8 +202,8 @@
 
 
 class OneAtATime(unittest.IsolatedAsyncioTestCase):
-    async def test_a_caller_that_leaves_keeps_the_place_until_its_work_ends(self) -> None:
-        work = HeldWork()
+    async def test_a_cancelled_caller_keeps_the_slot_until_its_job_ends(self) -> None:
+        work = PausedJobs()
         bodies = LargeBodyAdmission(ConfigurationParser(), work)
         left = asyncio.create_task(bodies.command(bytearray(large(2)), 1))
         await work.begun.wait()
@@ -217,7 +217,7 @@
             await asyncio.sleep(0)
         self.assertEqual((await bodies.command(bytearray(large(3)), 1)).revision, 3)
 
-    async def test_a_body_that_is_not_valid_gives_the_place_back(self) -> None:
+    async def test_an_invalid_body_frees_the_slot(self) -> None:
         bodies = LargeBodyAdmission(ConfigurationParser(), run_inline)
         with self.assertRaises(ConfigurationError):
             await bodies.command(bytearray(b"{" + large(2)), 1)
@@ -230,7 +230,7 @@
         self.assertEqual(len(body), 0)
         self.assertEqual(parser.recall(command.digest).configuration.revision, 2)
 
-    async def test_work_leaves_the_event_loop(self) -> None:
+    async def test_jobs_run_beside_the_event_loop(self) -> None:
         here = threading.get_ident()
         self.assertNotEqual(await run_in_thread(threading.get_ident), here)
         self.assertEqual(await run_inline(threading.get_ident), here)
@@ -281,7 +281,7 @@
 
 
 class RealMembers(unittest.TestCase):
-    def test_changes_are_taken_and_memory_is_bounded_with_eight_callers(self) -> None:
+    def test_changes_are_accepted_and_memory_is_bounded_with_eight_callers(self) -> None:
         path = os.pathsep.join((str(ROOT), str(SUPPORT)))
         environment = {**os.environ, "PYTHONPATH": path, "PYTHONDONTWRITEBYTECODE": "1"}
         script = [
@@ -290,12 +290,12 @@
             str(MEMBERS),
             str(CALLERS),
             str(LOAD_S),
-            str(MOST_TAKEN),
+            str(MAX_ACCEPTED),
         ]
         ended = subprocess.run(script, env=environment, capture_output=True, check=False, text=True)
         self.assertEqual(ended.returncode, 0, ended.stderr)
         seen = json.loads(ended.stdout.splitlines()[-1])
-        self.assertGreaterEqual(seen["taken"], MOST_TAKEN, seen)
+        self.assertGreaterEqual(seen["taken"], MAX_ACCEPTED, seen)
         self.assertLess(max(seen["peak_mib"]), MEMORY_MIB, seen)
 
 
--- a/tests/router/control_plane/test_commands.py
+++ b/tests/router/control_plane/test_control_plane_command_forwarder.py
@@ -190,7 +190,7 @@
         self.simulator.run_until(self.simulator.now + 1.0)
         return responses
 
-    def test_not_leader_is_said_only_where_nothing_was_appended(self) -> None:
+    def test_not_leader_is_answered_only_where_nothing_was_appended(self) -> None:
         self.assertEqual([one.status for one in self.answered(REFUSED)], [NOT_LEADER])
         self.assertEqual([one.status for one in self.answered(LOST)], [UNKNOWN])
         self.assertEqual([one.status for one in self.answered(ANSWERED)], [APPLIED])
@@ -200,7 +200,7 @@
 class BrokenVariants(WithGroup):
     """The table of fates finds members that promise too much."""
 
-    def test_one_that_takes_a_lost_proposal_for_one_that_was_not_taken(self) -> None:
+    def test_one_that_mistakes_a_lost_proposal_for_one_that_was_not_accepted(self) -> None:
         with mock.patch.object(
             command_forwarder, "ProposalLostError", command_forwarder.CommandNotAcceptedError
         ):
--- a/tests/router/control_plane/test_lost_cores.py
+++ b/tests/router/control_plane/test_control_plane_core_machine_loss.py
@@ -76,11 +76,11 @@
     right = [member for member in members if member not in left]
     lines = declarations(seed, members, draw.randint(1, 4))
     lines += [f"at {CHANGED_AT} put 2 on 1", f"by {ANSWERED_BY} expect taken 2"]
-    cut_at = ANSWERED_BY + draw.uniform(0.0, 1.0)
-    healed_at = cut_at + draw.uniform(1.0, 6.0)
-    lines += [f"at {cut_at:.3f} cut {one} {other}" for one in left for other in right]
+    partition_at = ANSWERED_BY + draw.uniform(0.0, 1.0)
+    healed_at = partition_at + draw.uniform(1.0, 6.0)
+    lines += [f"at {partition_at:.3f} cut {one} {other}" for one in left for other in right]
     orders = [f"get via {draw.choice(left)}", f"get via {draw.choice(right)}", "put 3 on 2"]
-    times = sorted(draw.uniform(cut_at, healed_at) for _ in orders)
+    times = sorted(draw.uniform(partition_at, healed_at) for _ in orders)
     lines += [f"at {at:.3f} {order}" for at, order in zip(times, draw.sample(orders, 3), strict=True)]
     lines += [
         f"at {healed_at:.3f} heal",
@@ -118,7 +118,7 @@
     return values[max(0, majority_of(len(values)) - 2)]
 
 
-def tells_before_it_is_durable(
+def acknowledges_before_it_is_durable(
     self: Disk, change: Step, done: Step, failed: Callable[[OSError], object] | None = None
 ) -> None:
     """A disk's write whose end is told at once, as with a sync that is left out."""
@@ -147,7 +147,7 @@
     def test_what_is_not_durable_yet_is_lost_with_the_power(self) -> None:
         with (
             mock.patch.object(Disk, "_process_ended", loses_what_was_under_way),
-            mock.patch.object(Disk, "write", tells_before_it_is_durable),
+            mock.patch.object(Disk, "write", acknowledges_before_it_is_durable),
         ):
             self.assertTrue(any(self.caught(disks_and_power_lost(seed)) for seed in BROKEN_SEEDS))
 
--- a/tests/router/control_plane/test_control_plane_calls.py
+++ b/tests/router/control_plane/test_control_plane_forwarded_answers.py
@@ -75,15 +75,15 @@
 
         play(scenario())
 
-    def test_an_answer_that_comes_again_or_to_a_call_given_up_reaches_no_other(self) -> None:
+    def test_a_duplicate_answer_or_one_to_an_abandoned_call_reaches_no_other(self) -> None:
         async def scenario() -> None:
             member = Member()
             first = await member.call()
             answer = applied(member.sent[0].propose.id, 7)
             member.commands.propose_response(answer)
             await first
-            given_up = await member.call()
-            given_up.cancel()
+            abandoned = await member.call()
+            abandoned.cancel()
             await asyncio.sleep(0.01)
             second = await member.call()
             for late in (answer, applied(member.sent[1].propose.id, 8)):
--- a/tests/router/control_plane/test_control_plane_instances.py
+++ b/tests/router/control_plane/test_control_plane_instance_service.py
@@ -47,17 +47,17 @@
             random=Random(1),
         )
 
-    def asked(self) -> list[int]:
+    def requested_from(self) -> list[int]:
         """Whom one look asks for all that they know."""
         self.links.sent.clear()
         self.instances.run_cycle([OTHER])
         return [member for member, frame in self.links.sent if frame.registry.wants_whole]
 
-    def test_what_a_lost_link_may_have_cost_is_asked_for(self) -> None:
+    def test_gossip_lost_with_a_link_is_requested_again(self) -> None:
         """The call lacked the time: it raised, and what was under way on the link was never asked for."""
-        self.assertEqual(self.asked(), [])
+        self.assertEqual(self.requested_from(), [])
         self.instances.link_lost()
-        self.assertEqual(self.asked(), [OTHER])
+        self.assertEqual(self.requested_from(), [OTHER])
 
 
 if __name__ == "__main__":
--- a/tests/router/control_plane/test_control_plane_loopback.py
+++ b/tests/router/control_plane/test_control_plane_loopback.py
@@ -78,7 +78,7 @@
         self.assertEqual(first.clear("DELETE", CONFIG).status, 405)
         self.read_back(3)
 
-    def test_a_refused_call_stays_refused_and_a_taken_one_is_acknowledged_again(self) -> None:
+    def test_a_rejected_call_stays_rejected_and_an_accepted_one_is_acknowledged_again(self) -> None:
         """One order builds on another that is taken only later; its copies come before, between and after."""
         first, second, third = self.rig.machines
         bodies = {revision: json.dumps(configuration(revision)).encode() for revision in (3, 4, 6)}
@@ -96,7 +96,7 @@
             self.assertEqual(self.put_clear(machine, bodies[3], "4").status, 200)
         self.read_back(4)
 
-    def test_gateways_are_told(self) -> None:
+    def test_gateways_are_notified(self) -> None:
         gateways = [Gateway(machine) for machine in self.rig.machines]
         for gateway in gateways:
             self.addCleanup(gateway.close)
@@ -111,7 +111,7 @@
 
 
 class Instances(Members):
-    def test_heartbeats_drains_and_ends_reach_every_member_and_gateway(self) -> None:
+    def test_heartbeats_draining_and_retirements_reach_every_member_and_gateway(self) -> None:
         first, second, third = self.rig.machines
         gateway = Gateway(third)
         self.addCleanup(gateway.close)
@@ -163,16 +163,16 @@
         wiped.wipe()
         wiped.start()
         everyone = {machine.ip for machine in self.rig.machines}
-        self.rig.until("its place back", lambda: self._in_place(wiped, everyone, learners=set()))
+        self.rig.until("its vote back", lambda: self._has_voters(wiped, everyone, learners=set()))
         gone.kill()
         new = self.rig.add()
         new.start()
-        place = everyone - {gone.ip} | {new.ip}
-        self.rig.until("its place taken", lambda: self._in_place(new, place, learners={gone.ip}))
+        voters = everyone - {gone.ip} | {new.ip}
+        self.rig.until("its replacement", lambda: self._has_voters(new, voters, learners={gone.ip}))
         self.assertEqual(self.rig.until("a status page", new.status)["target_voters"], 3)
         self.read_back(3)
 
-    def _in_place(self, machine: Machine, voters: set[str], learners: set[str]) -> bool:
+    def _has_voters(self, machine: Machine, voters: set[str], learners: set[str]) -> bool:
         """Whether these vote and, of other members, only those that may return are left."""
         page = machine.status()
         if page is None:
@@ -193,7 +193,7 @@
             self.leader.process.send_signal(signal.SIGCONT)
         self.read_back(4)
 
-    def test_a_planned_stop_hands_over(self) -> None:
+    def test_a_planned_stop_transfers_leadership(self) -> None:
         self.rig.put_config(3, 0)
         self.assertEqual(self.leader.stop(), 0)
         self.rig.leader()
--- a/tests/router/control_plane/test_control_plane_membership.py
+++ b/tests/router/control_plane/test_control_plane_membership_policy.py
@@ -49,7 +49,7 @@
     return ClusterView(1, of, COMMIT, progress, leave)
 
 
-def settled(changed: Membership | None) -> Membership:
+def without_outgoing_voters(changed: Membership | None) -> Membership:
     """A membership once its joint change is over."""
     assert changed is not None
     return without_outgoing(changed)
@@ -86,7 +86,7 @@
         self.assertEqual(again.target_voters, 4)
         self.assertEqual(ids(again), {1, 2, 3, 5})
 
-    def test_a_learner_of_the_same_address_is_superseded_and_a_voter_is_kept(self) -> None:
+    def test_a_learner_of_the_same_address_is_superseded_and_a_voter_stays(self) -> None:
         wiped = with_joiner(THREE, JoinRequest(member=member(4, address="10.0.0.3:7000")))
         self.assertEqual(ids(wiped), {1, 2, 3, 4})
         wiped_again = with_joiner(wiped, JoinRequest(member=member(5, address="10.0.0.3:7000")))
@@ -99,7 +99,7 @@
     def test_no_id_is_no_member(self) -> None:
         self.assertIsNone(with_joiner(THREE, JoinRequest()))
 
-    def test_holds(self) -> None:
+    def test_contains(self) -> None:
         self.assertTrue(contains(THREE, 2))
         self.assertFalse(contains(THREE, 4))
 
@@ -114,51 +114,51 @@
         self.assertIsNone(next_membership(group(of, matches={3: COMMIT - 9})))
         self.assertIsNone(next_membership(group(of, silences={3: RECENT_CONTACT_S + 0.1})))
 
-    def test_it_stands_by_where_no_place_is_free(self) -> None:
+    def test_it_stays_a_learner_at_the_target_number_of_voters(self) -> None:
         self.assertIsNone(next_membership(group(membership(*THREE.members, member(4, voter=False)))))
 
-    def test_it_takes_the_place_of_the_old_identity_of_its_address_in_one_change(self) -> None:
+    def test_it_replaces_the_old_identity_of_its_address_in_one_change(self) -> None:
         of = membership(member(1), member(2), member(3), member(4, voter=False, address="10.0.0.3:7000"))
         first = next_membership(group(of, silences={3: 0.2}))
         self.assertEqual(voters(first), {1, 2, 4})
         self.assertEqual(set(first.outgoing_voters), {1, 2, 3})
         self.assertEqual(ids(first), {1, 2, 3, 4})
-        second = next_membership(group(settled(first)))
+        second = next_membership(group(without_outgoing_voters(first)))
         self.assertEqual(ids(second), {1, 2, 4})  # the old identity can't come back
         self.assertEqual(voters(second), {1, 2, 4})
         self.assertIsNone(next_membership(group(second)))
 
-    def test_one_at_a_voters_address_waits_for_that_place_though_another_is_free(self) -> None:
+    def test_one_at_a_voters_address_replaces_that_voter_though_the_target_is_higher(self) -> None:
         of = membership(*THREE.members, member(4, voter=False, address="10.0.0.3:7000"), target=4)
         changed = next_membership(group(of))
         self.assertEqual(voters(changed), {1, 2, 4})
         self.assertEqual(set(changed.outgoing_voters), {1, 2, 3})
 
-    def test_a_dead_voter_gives_its_place_and_may_return(self) -> None:
+    def test_an_unreachable_voter_is_replaced_and_may_return(self) -> None:
         of = membership(*THREE.members, member(4, voter=False))
         first = next_membership(group(of, silences={3: VOTER_TIMEOUT_S + 0.1}))
         self.assertEqual(voters(first), {1, 2, 4})
         self.assertEqual(set(first.outgoing_voters), {1, 2, 3})
-        after = settled(first)
+        after = without_outgoing_voters(first)
         self.assertEqual(ids(after), {1, 2, 3, 4})
         self.assertIsNone(next_membership(group(after, silences={3: 2.0})))
         second = next_membership(group(after, silences={4: VOTER_TIMEOUT_S + 0.1}))
         self.assertEqual(voters(second), {1, 2, 3})
 
-    def test_several_places_are_given_in_one_change(self) -> None:
+    def test_several_voters_are_replaced_in_one_change(self) -> None:
         six = [member(id) for id in range(1, 7)]
         of = membership(*six, member(7, voter=False), member(8, voter=False), target=6)
         changed = next_membership(group(of, silences={3: 2.0}, leave=frozenset({5})))
         self.assertEqual(voters(changed), {1, 2, 4, 6, 7, 8})
         self.assertEqual(set(changed.outgoing_voters), {1, 2, 3, 4, 5, 6})
 
-    def test_one_that_leaves_comes_before_one_that_is_silent(self) -> None:
+    def test_a_leaving_voter_is_replaced_before_an_unreachable_one(self) -> None:
         of = membership(*(member(id) for id in range(1, 6)), member(6, voter=False), target=5)
         self.assertEqual(
             voters(next_membership(group(of, silences={3: 9.0}, leave=frozenset({5})))), {1, 2, 3, 4, 6}
         )
 
-    def test_a_successor_of_the_same_zone_is_taken(self) -> None:
+    def test_a_successor_of_the_same_zone_is_preferred(self) -> None:
         far, near = member(4, voter=False), member(5, voter=False)
         far.zone, near.zone = "far", "near"
         of = membership(*THREE.members, far, near)
@@ -171,7 +171,7 @@
         self.assertIsNone(next_membership(group(joint, silences={2: 9.0, 3: 99.0})))
         self.assertIsNone(with_joiner(joint, JoinRequest(member=member(9))))
 
-    def test_no_place_goes_where_most_that_would_vote_are_dead(self) -> None:
+    def test_no_replacement_without_a_live_majority_of_the_new_voters(self) -> None:
         of = membership(*(member(id) for id in range(1, 6)), member(6, voter=False), target=5)
         self.assertIsNone(next_membership(group(of, silences={2: 9.0, 3: 9.0, 4: 9.0, 5: 9.0})))
 
@@ -179,7 +179,7 @@
         of = membership(*THREE.members, member(4, voter=False), target=4)
         self.assertEqual(voters(next_membership(group(of, silences={3: 9.0}))), {1, 2, 3, 4})
 
-    def test_a_voter_heard_lately_keeps_its_place(self) -> None:
+    def test_a_voter_in_recent_contact_is_not_replaced(self) -> None:
         of = membership(*THREE.members, member(4, voter=False))
         self.assertIsNone(next_membership(group(of, silences={3: VOTER_TIMEOUT_S - 0.1})))
 
@@ -190,12 +190,12 @@
     def outcome(self, of: Membership, leaver: int, **known: dict[int, float]) -> LeaveOutcome:
         return leave_outcome(group(of, leave=frozenset({leaver}), **known), leaver)
 
-    def test_its_place_goes_to_one_that_stands_by(self) -> None:
+    def test_a_caught_up_learner_replaces_it(self) -> None:
         self.assertIs(self.outcome(self.SPARE, 3), LeaveOutcome.PENDING)
         joint = next_membership(group(self.SPARE, leave=frozenset({3})))
         self.assertEqual(voters(joint), {1, 2, 4})
         self.assertIs(self.outcome(joint, 3), LeaveOutcome.PENDING)
-        self.assertIs(self.outcome(settled(joint), 3), LeaveOutcome.DEMOTED)
+        self.assertIs(self.outcome(without_outgoing_voters(joint), 3), LeaveOutcome.DEMOTED)
 
     def test_the_leaders_too(self) -> None:
         self.assertEqual(voters(next_membership(group(self.SPARE, leave=frozenset({1})))), {2, 3, 4})
@@ -211,7 +211,7 @@
         self.assertIs(self.outcome(self.SPARE, 3, matches={4: 0}), LeaveOutcome.PENDING)
         self.assertIsNone(next_membership(group(self.SPARE, matches={4: 0}, leave=frozenset({3}))))
 
-    def test_a_learner_that_leaves_is_not_promoted(self) -> None:
+    def test_a_leaving_learner_is_not_promoted(self) -> None:
         both = frozenset({3, 4})
         self.assertIsNone(next_membership(group(self.SPARE, leave=both)))
         self.assertIs(leave_outcome(group(self.SPARE, leave=both), 4), LeaveOutcome.DEMOTED)
@@ -285,7 +285,7 @@
             live = [id for id in voters(changed) if before.seconds_since_contact(id) <= VOTER_TIMEOUT_S]
             self.assertGreater(2 * len(live), len(voters(changed)))
 
-    def test_a_calm_group_comes_to_rest_with_all_places_taken(self) -> None:
+    def test_a_calm_group_comes_to_rest_with_the_target_number_of_voters(self) -> None:
         draw = random.Random(11)
         for _ in range(500):
             of, _, _ = self._draw(draw)
@@ -293,7 +293,7 @@
                 changed = next_membership(group(of))
                 if changed is None:
                     break
-                of = settled(changed)
+                of = without_outgoing_voters(changed)
             self.assertIsNone(next_membership(group(of)))
             surplus = len(voters(of)) - of.target_voters
             self.assertTrue(surplus >= 0 or ids(of) == voters(of))
--- /dev/null
+++ b/tests/router/control_plane/test_control_plane_pending_proposals.py
@@ -0,0 +1,60 @@
+"""Futures of proposals, of applied indexes and of changes."""
+
+from __future__ import annotations
+
+import asyncio
+import unittest
+
+from mallowbeam.router.control_plane.pending_proposals import PendingProposals
+from mallowbeam.router.control_plane.proposal_errors import ProposalLostError
+from mallowbeam.router.control_plane.state_machine import (
+    CommandOutcome,
+)
+from mallowbeam.router.control_plane.wait_conditions import AppliedIndexWaiters, ChangeNotifier
+from mallowbeam.router.rpc.messages_pb2 import (
+    DONE,
+)
+
+
+class Waiting(unittest.IsolatedAsyncioTestCase):
+    async def test_a_proposal_is_answered_where_its_own_entry_is_applied(self) -> None:
+        loop = asyncio.get_running_loop()
+        waiters = PendingProposals()
+        own, lost, passed = loop.create_future(), loop.create_future(), loop.create_future()
+        waiters.add(5, 2, own)
+        waiters.add(5, 1, lost)
+        waiters.add(6, 2, passed)
+        waiters.applied(5, 2, CommandOutcome(DONE, 5))
+        self.assertEqual(own.result(), CommandOutcome(DONE, 5))
+        self.assertIsInstance(lost.exception(), ProposalLostError)
+        waiters.replaced_by_snapshot(9)
+        self.assertIsInstance(passed.exception(), ProposalLostError)
+
+    async def test_those_who_no_longer_wait_are_passed_by(self) -> None:
+        waiters = PendingProposals()
+        gone = asyncio.get_running_loop().create_future()
+        waiters.add(5, 2, gone)
+        gone.cancel()
+        waiters.applied(5, 2, CommandOutcome(DONE, 5))
+
+    async def test_applied_indexes(self) -> None:
+        waiters = AppliedIndexWaiters()
+        self.assertTrue(waiters.add(4, 4).done())
+        later, sooner = waiters.add(9, 4), waiters.add(6, 4)
+        waiters.reached(6)
+        self.assertTrue(sooner.done())
+        self.assertFalse(later.done())
+        waiters.reached(20)
+        self.assertTrue(later.done())
+
+    async def test_changes(self) -> None:
+        changes = ChangeNotifier()
+        first, cancelled = changes.next(), changes.next()
+        cancelled.cancel()
+        changes.notify()
+        self.assertTrue(first.done())
+        self.assertFalse(changes.next().done())
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/router/control_plane/test_control_plane_serving.py
+++ b/tests/router/control_plane/test_control_plane_response_gate.py
@@ -11,7 +11,6 @@
 from typing import cast
 
 from control_plane_rig import configuration, heartbeat
-from project_paths import SCENARIOS as SCENARIO_FOLDER
 
 from mallowbeam.http.handler import Response
 from mallowbeam.router.configuration.parsing import ConfigurationParser
@@ -45,18 +44,16 @@
 )
 from mallowbeam.simulation.fleet_processes import ApiCall, message_of
 
-SCENARIOS = SCENARIO_FOLDER / "system"
 OTHERS = ["10.0.0.2:8146", "10.0.0.3:8146"]
-STEPS_OF_A_READ = range(0, 60, 3)  # of the member's process, more than it takes
 LONG = 20.0  # seconds for which a process stands still
 
 
 class Situation:
     """What a member knows of the group, and its steady clock."""
 
-    def __init__(self, silence: float = 0.1, leads: bool = False) -> None:
+    def __init__(self, staleness: float = 0.1, leads: bool = False) -> None:
         self.now, self.leads = 100.0, leads
-        self.current_at = self.now - silence
+        self.current_at = self.now - staleness
         self.gate = ResponseGate(lambda: self.now, lambda: self.now - self.current_at, lambda: self.leads)
 
     def freeze(self, seconds: float = LONG) -> None:
@@ -135,22 +132,22 @@
                 ResponseKind.STATUS: True,
             }
             self.assertEqual(set(wanted), set(ResponseKind))
-            for said, allowed in wanted.items():
-                with self.subTest(situation=expected.situation, said=said.name):
-                    self.assertIs(situation.gate.may(said, evidence.get(said, NO_EVIDENCE)), allowed)
+            for kind, allowed in wanted.items():
+                with self.subTest(situation=expected.situation, kind=kind.name):
+                    self.assertIs(situation.gate.may(kind, evidence.get(kind, NO_EVIDENCE)), allowed)
 
-    def test_without_evidence_nothing_of_the_replicated_state_is_said(self) -> None:
+    def test_without_evidence_nothing_of_the_replicated_state_is_sent(self) -> None:
         gate = Situation(leads=True).gate
-        for said in (
+        for kind in (
             ResponseKind.CONFIGURATION_READ,
             ResponseKind.CHANGE_ACKNOWLEDGED,
             ResponseKind.CHANGE_REFUSED,
             ResponseKind.RETIREMENT_ACKNOWLEDGED,
         ):
             for evidence in (NO_EVIDENCE, AppliedEntry(0)):
-                self.assertFalse(gate.may(said, evidence))
+                self.assertFalse(gate.may(kind, evidence))
             with self.assertRaises(IsolatedMemberError):
-                gate.check(said)
+                gate.check(kind)
         self.assertFalse(gate.may(ResponseKind.CONFIGURATION_READ, AppliedEntry(7)))
         self.assertFalse(gate.may(ResponseKind.CHANGE_ACKNOWLEDGED, ConfirmedRead(100.0)))
 
@@ -162,9 +159,9 @@
             (ResponseKind.RETIREMENT_KNOWN, HEARTBEAT_MAX_STALENESS_S),
             (ResponseKind.INSTANCE_ORDER, ORDER_MAX_STALENESS_S),
         )
-        for said, bound in bounds:
-            self.assertTrue(Situation(bound - 0.001, leads=True).gate.may(said), said)
-            self.assertFalse(Situation(bound + 0.001, leads=True).gate.may(said), said)
+        for kind, bound in bounds:
+            self.assertTrue(Situation(bound - 0.001, leads=True).gate.may(kind), kind)
+            self.assertFalse(Situation(bound + 0.001, leads=True).gate.may(kind), kind)
         situation = Situation()
         situation.freeze(READ_MAX_AGE_S - 0.001)
         self.assertTrue(situation.gate.may(ResponseKind.CONFIGURATION_READ, ConfirmedRead(100.0)))
@@ -257,14 +254,20 @@
     async def put(self) -> Response:
         return await self.call("PUT", "/mallowbeam/config", json.dumps(configuration(2)).encode(), 1)
 
-    async def beat(self, state: str = "ready") -> Response:
+    async def heartbeat_call(self, state: str = "ready") -> Response:
         return await self.call("PUT", "/mallowbeam/instances/i", heartbeat(1, state))
 
     async def delete(self) -> Response:
         return await self.call("DELETE", "/mallowbeam/instances/i")
 
     async def test_in_touch_all_is_answered(self) -> None:
-        for call in (self.get, self.put, self.beat, self.delete, lambda: self.beat("draining")):
+        for call in (
+            self.get,
+            self.put,
+            self.heartbeat_call,
+            self.delete,
+            lambda: self.heartbeat_call("draining"),
+        ):
             self.assertEqual((await call()).status, 200)
 
     async def test_a_read_confirmed_before_the_process_stood_still_is_not_answered(self) -> None:
@@ -276,7 +279,7 @@
 
     async def test_what_was_committed_is_acknowledged_however_late(self) -> None:
         self.log.frozen_s = LONG
-        for call in (self.put, self.delete, lambda: self.beat("draining")):
+        for call in (self.put, self.delete, lambda: self.heartbeat_call("draining")):
             self.situation.current_at = self.situation.now
             self.assertEqual((await call()).status, 200)
         for result, status in ((VERSION_MISMATCH, 412), (REVISION_NOT_ABOVE, 400)):
@@ -284,15 +287,21 @@
             self.log.outcome = CommandOutcome(result, 5)
             self.assertEqual((await self.put()).status, status)
 
-    async def test_no_entry_no_word(self) -> None:
+    async def test_nothing_is_acknowledged_without_an_entry(self) -> None:
         for result in (DONE, VERSION_MISMATCH, REVISION_NOT_ABOVE):
             self.log.outcome = CommandOutcome(result, 0)
             self.assertEqual((await self.put()).status, 503)
         self.assertEqual((await self.delete()).status, 503)
 
-    async def test_cut_off_for_long_all_is_refused_at_once_and_others_are_named(self) -> None:
+    async def test_isolated_for_long_all_is_rejected_at_once_and_others_are_named(self) -> None:
         self.situation.freeze()
-        for call in (self.get, self.put, self.beat, self.delete, lambda: self.beat("draining")):
+        for call in (
+            self.get,
+            self.put,
+            self.heartbeat_call,
+            self.delete,
+            lambda: self.heartbeat_call("draining"),
+        ):
             reply = await call()
             head, _, body = reply.data.partition(b"\r\n\r\n")
             self.assertEqual(reply.status, 503)
@@ -301,7 +310,7 @@
             self.assertEqual(json.loads(body)["members"], OTHERS)
         self.assertEqual(self.log.calls, 0)
 
-    async def test_cut_off_what_no_state_would_take_is_still_told(self) -> None:
+    async def test_isolated_invalid_calls_are_still_rejected_as_invalid(self) -> None:
         self.situation.freeze()
         self.assertEqual((await self.call("PUT", "/mallowbeam/config", b"{", 1)).status, 400)
         self.assertEqual((await self.call("GET", "/mallowbeam/none")).status, 404)
@@ -309,20 +318,20 @@
 
     async def test_a_retirement_that_this_member_has_applied_is_acknowledged_again(self) -> None:
         self.kinds["i"] = DRAINING
-        self.assertEqual((await self.beat("draining")).status, 200)
+        self.assertEqual((await self.heartbeat_call("draining")).status, 200)
         self.assertEqual(self.log.calls, 0)
         self.kinds["i"] = GONE
         self.assertEqual((await self.delete()).status, 200)
         self.assertEqual(self.log.calls, 0)
 
-    async def test_cut_off_not_even_a_retirement_that_this_member_has_applied_is_acknowledged(self) -> None:
+    async def test_isolated_not_even_a_retirement_that_this_member_has_applied_is_acknowledged(self) -> None:
         self.situation.freeze()
         self.kinds["i"] = DRAINING
-        self.assertEqual((await self.beat("draining")).status, 503)
+        self.assertEqual((await self.heartbeat_call("draining")).status, 503)
         self.assertEqual((await self.delete()).status, 503)
         self.kinds["i"] = GONE
         self.assertEqual((await self.delete()).status, 503)
-        self.assertEqual((await self.beat()).status, 503)
+        self.assertEqual((await self.heartbeat_call()).status, 503)
 
 
 if __name__ == "__main__":
--- a/tests/router/control_plane/test_control_plane_serving_variants.py
+++ b/tests/router/control_plane/test_control_plane_response_gate_variants.py
@@ -7,7 +7,7 @@
 import unittest
 from unittest import mock
 
-from test_control_plane_serving import SCENARIOS, STEPS_OF_A_READ
+from project_paths import SCENARIOS as SCENARIO_FOLDER
 
 from mallowbeam.router.control_plane import response_gate
 from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
@@ -23,7 +23,9 @@
 from mallowbeam.simulation.fleet_processes import ApiCall
 from mallowbeam.simulation.scenario import Violation
 
-GIVEN_OLD = r"g[23] is given 1 first, 2 was acknowledged"  # a gateway that began during the cut
+SCENARIOS = SCENARIO_FOLDER / "system"
+STEPS_OF_A_READ = range(0, 60, 3)  # of the member's process, more than it takes
+STALE_FEED = r"g[23] is given 1 first, 2 was acknowledged"  # a gateway that began during the cut
 
 
 class FrozenInARead(unittest.TestCase):
@@ -37,23 +39,23 @@
         player = FleetPlayer("members m1 m2 m3\ngateways g1\nat 2 put 1 on 0\nat 8 expect taken 1\n")
         player.play()
         simulator, machine = player.simulator, player.network.machines["m1"]
-        told: list[tuple[float, int, bytes]] = []
+        received: list[tuple[float, int, bytes]] = []
         call = ApiCall("GET", "/mallowbeam/config")
-        player.members["m1"].call(call, lambda status, body: told.append((simulator.now, status, body)))
+        player.members["m1"].call(call, lambda status, body: received.append((simulator.now, status, body)))
         end = simulator.steps + steps
         simulator.run_while(lambda: simulator.steps < end, 9.0)
         machine.freeze()
-        before = bool(told)
+        before = bool(received)
         player.do_put("2", "on", "1", "via", "m2")
         simulator.run_until(28.0)
         self.assertEqual(player.operator.orders[2].state, "taken")
         machine.thaw()
         simulator.run_until(32.0)
-        if not told:
+        if not received:
             return 0, before
-        if not before and told[0][1] == 200:
-            self.assertEqual(json.loads(told[0][2])["revision"], 2)
-        return told[0][1], before
+        if not before and received[0][1] == 200:
+            self.assertEqual(json.loads(received[0][2])["revision"], 2)
+        return received[0][1], before
 
     def test_frozen_at_any_step_of_a_read_no_old_configuration_is_answered(self) -> None:
         results = [self.read(steps) for steps in STEPS_OF_A_READ]
@@ -75,21 +77,21 @@
             FleetPlayer(text).play()
         return str(caught.exception)
 
-    def without(self, said: ResponseKind) -> object:
-        conditions = {**response_gate.CONDITIONS, said: Unconditional()}
+    def without(self, kind: ResponseKind) -> object:
+        conditions = {**response_gate.CONDITIONS, kind: Unconditional()}
         return mock.patch.object(response_gate, "CONDITIONS", conditions)
 
     def test_a_gate_that_lets_everything_pass(self) -> None:
         with mock.patch.object(ResponseGate, "may", lambda *_: True):
-            self.assertRegex(self.violation("gateway_reaches_only_cut_off.txt"), GIVEN_OLD)
+            self.assertRegex(self.violation("gateway_reaches_only_cut_off.txt"), STALE_FEED)
 
     def test_feeds_without_the_gate(self) -> None:
         with mock.patch.object(ResponseGate, "feed_allowance", lambda _: FeedAllowance()):
-            self.assertRegex(self.violation("gateway_reaches_only_cut_off.txt"), GIVEN_OLD)
+            self.assertRegex(self.violation("gateway_reaches_only_cut_off.txt"), STALE_FEED)
 
-    def test_a_configuration_fed_while_cut_off(self) -> None:
+    def test_a_configuration_fed_while_isolated(self) -> None:
         with self.without(ResponseKind.FEED_CONFIGURATION):
-            self.assertRegex(self.violation("gateway_reaches_only_cut_off.txt"), GIVEN_OLD)
+            self.assertRegex(self.violation("gateway_reaches_only_cut_off.txt"), STALE_FEED)
 
     def test_reads_without_a_barrier(self) -> None:
         async def confirmed(self: CommandForwarder, since: float) -> None:
@@ -108,11 +110,11 @@
         with mock.patch.object(response_gate, "CONDITIONS", conditions):
             self.assertIn("always gateways", self.violation("heartbeats_at_cut_off_member.txt"))
 
-    def test_heartbeats_acknowledged_while_cut_off(self) -> None:
+    def test_heartbeats_acknowledged_while_isolated(self) -> None:
         with self.without(ResponseKind.HEARTBEAT_ACKNOWLEDGED):
             self.assertIn("always gateways", self.violation("heartbeats_at_cut_off_member.txt"))
 
-    def test_drains_acknowledged_without_the_log(self) -> None:
+    def test_draining_acknowledged_without_the_log(self) -> None:
         async def retire(*_: object) -> None:
             await asyncio.sleep(0)
 
--- a/tests/router/control_plane/test_control_plane_stage_orders.py
+++ b/tests/router/control_plane/test_control_plane_stage_order_client.py
@@ -31,7 +31,7 @@
         self.is_leader = True
         self.node = SimpleNamespace(term=2, freshness=lambda now: now - self.confirmed_at)
 
-    def silence(self) -> float:
+    def staleness(self) -> float:
         return self.now - self.confirmed_at
 
 
@@ -64,7 +64,7 @@
     def setUp(self) -> None:
         self.leader, self.link = Leader(), Link()
         leader = self.leader
-        gate = ResponseGate(lambda: leader.now, leader.silence, lambda: leader.is_leader)
+        gate = ResponseGate(lambda: leader.now, leader.staleness, lambda: leader.is_leader)
         self.gate = gate
         stage_lease = StageLease(cast(RaftDriver, leader), gate, 7, LEASE_S)
         self.orders = StageOrderClient(stage_lease)
@@ -96,11 +96,11 @@
         self.assertIs(await self.exchange(freeze), OrderResult.NOT_SENT)
         self.assertFalse(self.written())
 
-    async def test_cut_off_while_the_connection_came_up(self) -> None:
-        def cut_off() -> None:
+    async def test_isolated_while_the_connection_came_up(self) -> None:
+        def isolate() -> None:
             self.leader.now += 0.6  # it still believes that it leads: check-quorum takes 0.8 s
 
-        self.assertIs(await self.exchange(cut_off), OrderResult.NOT_SENT)
+        self.assertIs(await self.exchange(isolate), OrderResult.NOT_SENT)
         self.assertFalse(self.written())
 
     async def test_leadership_lost_and_won_again_meanwhile(self) -> None:
@@ -116,8 +116,8 @@
         self.assertIs(await self.exchange(win_again), OrderResult.NOT_SENT)
         self.assertFalse(self.written())
 
-    async def test_the_gate_has_the_last_word(self) -> None:
-        with mock.patch.object(ResponseGate, "may", lambda _, said: said is not ResponseKind.INSTANCE_ORDER):
+    async def test_the_gate_decides_last(self) -> None:
+        with mock.patch.object(ResponseGate, "may", lambda _, kind: kind is not ResponseKind.INSTANCE_ORDER):
             self.assertIs(await self.exchange(lambda: None), OrderResult.NOT_SENT)
         self.assertFalse(self.written())
 
--- a/tests/router/control_plane/test_control_plane_disk_writer.py
+++ b/tests/router/control_plane/test_control_plane_storage_writer.py
@@ -70,7 +70,7 @@
 
 
 class Together(unittest.TestCase):
-    def test_small_writes_share_a_sync(self) -> None:
+    def test_small_writes_are_batched_in_one_sync(self) -> None:
         store = NotingStore()
         self.assertEqual(play(store, [entry_write(ticket) for ticket in range(1, 6)]), [[1, 2, 3, 4, 5]])
 
@@ -82,13 +82,13 @@
 
 
 class Refused(unittest.TestCase):
-    def test_tried_again_until_there_is_room(self) -> None:
+    def test_retried_until_there_is_capacity(self) -> None:
         refusals = iter([True, True, False])
         store = NotingStore(lambda writes: next(refusals))
         self.assertEqual(play(store, [entry_write(1), entry_write(2)]), [[1, 2]])
         self.assertEqual(store.refused, [[1, 2], [1, 2]])
 
-    def test_entries_without_room_go_with_the_snapshot_that_makes_it(self) -> None:
+    def test_entries_over_capacity_are_written_with_the_snapshot_that_frees_it(self) -> None:
         def full(writes: Sequence[Write]) -> bool:
             return all(write.snapshot is None for write in writes)
 
@@ -98,7 +98,7 @@
         self.assertEqual(play(store, writes), [[1, 2, 3]])
         self.assertEqual(store.refused, [[1]])
 
-    def test_real_store_on_a_full_disk_goes_on_once_there_is_room(self) -> None:
+    def test_real_store_on_a_full_disk_continues_once_there_is_capacity(self) -> None:
         """Seals are refused for a while: nothing is told durable meanwhile, all of it afterwards."""
         refused = iter([True] * 6)
         pwrite = os.pwrite
--- a/tests/router/control_plane/test_control_plane_unusable.py
+++ b/tests/router/control_plane/test_control_plane_store_recovery.py
@@ -75,7 +75,7 @@
         "at 68 kill m1\nat 70 put 5 on 4 via m3\nby 76 expect taken 5\nend 77"
     )
 
-    def test_it_joins_again_and_gets_a_place(self) -> None:
+    def test_it_joins_again_as_a_member(self) -> None:
         player = FleetPlayer(self.TEXT)
         player.play()
         self.assertEqual(self._members(player), 4)
@@ -153,12 +153,12 @@
         opened.store.close()
         self.assertTrue(os.path.exists(os.path.join(self.folder, FOLDER, "discarded")))
 
-    def test_damage_while_running_is_told(self) -> None:
-        store, told = mock.Mock(), []
+    def test_damage_while_running_is_reported(self) -> None:
+        store, received = mock.Mock(), []
         store.write.side_effect = StoreDamagedError("torn", step="commit")
         with self.assertRaises(StoreDamagedError):
-            DamageReportingStore(store, told.append).write([])
-        self.assertEqual([error.code for error in told], ["STORE_DAMAGED"])
+            DamageReportingStore(store, received.append).write([])
+        self.assertEqual([error.code for error in received], ["STORE_DAMAGED"])
 
 
 class FakeMember:
--- a/tests/router/processes/test_processes_logs.py
+++ b/tests/router/processes/test_processes_logs.py
@@ -62,7 +62,7 @@
         self.assertIn("failed:\\r\\nx\\ny [ValueError: two\\nlines; at ", line)
         self.assertIn("test_an_exception_and_line_ends_stay_on_one_line", line)
 
-    def test_an_event_is_bounded_and_the_next_line_tells_what_was_left_out(self):
+    def test_an_event_is_limited_and_the_next_line_states_what_was_suppressed(self):
         for number in range(BURST + 4):
             self.log.info("moved to %d", number)
         self.assertEqual(len(self.lines), BURST)
@@ -70,7 +70,7 @@
         self.log.info("moved to %d", 99)
         self.assertTrue(self.lines[-1].endswith("moved to 99 (4 more like it before)"))
 
-    def test_one_event_does_not_hold_back_another(self):
+    def test_one_event_does_not_suppress_another(self):
         for _ in range(BURST + 1):
             self.log.info("one")
         self.log.info("two")
--- a/tests/router/processes/test_processes_main.py
+++ b/tests/router/processes/test_processes_main.py
@@ -43,7 +43,7 @@
             check=False,
         )
 
-    def test_each_role_is_loaded_alone_with_hangups_held(self):
+    def test_each_role_is_loaded_alone_with_hangups_pending(self):
         for argument, module, code in (
             ("data-plane", "mallowbeam.router.data_plane.role", 3),
             ("control-plane", "mallowbeam.router.control_plane.role", 4),
--- a/tests/router/processes/test_processes_metrics.py
+++ b/tests/router/processes/test_processes_metrics.py
@@ -55,7 +55,7 @@
 
 
 class Settings(unittest.TestCase):
-    def test_off_unless_given(self) -> None:
+    def test_off_unless_configured(self) -> None:
         self.assertIsNone(parse_settings(SETTINGS).metrics)
         self.assertIsNone(parse_settings({**SETTINGS, "metrics": ""}).metrics)
 
--- a/tests/router/processes/test_processes_role.py
+++ b/tests/router/processes/test_processes_role.py
@@ -82,7 +82,7 @@
         self.context.reload_if_changed()
         self.assertEqual(self.seen, [1000.0, 2000.0])
 
-    def test_a_file_put_in_place_of_the_old_one_is_seen(self):
+    def test_a_file_that_replaces_the_old_one_is_read(self):
         before = self.path.stat()
         beside = self.path.with_suffix(".new")
         beside.write_text(SETTINGS.format(200))
--- a/tests/router/processes/test_processes_settings.py
+++ b/tests/router/processes/test_processes_settings.py
@@ -30,7 +30,7 @@
     "region": "r",
     "port_range": [7000, 7001],
 }
-WHOLE = """
+COMPLETE = """
 node_name = "core-1"
 role = "control-plane"
 machine_class = "core"
@@ -78,8 +78,8 @@
             path.write_bytes(text if isinstance(text, bytes) else text.encode())
             return read_settings(str(path))
 
-    def test_a_whole_file(self):
-        settings = self.read(WHOLE)
+    def test_a_complete_file(self):
+        settings = self.read(COMPLETE)
         self.assertEqual(settings.node_name, "core-1")
         self.assertEqual(settings.serves, ("control",))
         self.assertEqual(settings.port_range, (7660, 7675))
@@ -97,8 +97,8 @@
         self.assertEqual(settings.bounds, Bounds(contact_ms=2500.5, fenced=False, min_retries=7.0))
 
     def test_the_same_file_gives_equal_settings(self):
-        self.assertEqual(self.read(WHOLE), self.read(WHOLE))
-        self.assertNotEqual(self.read(WHOLE), self.read(WHOLE.replace("800", "900")))
+        self.assertEqual(self.read(COMPLETE), self.read(COMPLETE))
+        self.assertNotEqual(self.read(COMPLETE), self.read(COMPLETE.replace("800", "900")))
 
     def test_the_least_file_has_defaults(self):
         settings = parse_settings(LEAST)
