--- a/mallowbeam/storage_gateway/coordination/quota_transfer.py
+++ b/mallowbeam/storage_gateway/coordination/quota_transfer.py
@@ -140,7 +140,7 @@
             if opened.epoch > self.epoch:
                 self._see_epoch(opened.epoch, opened.rows, now)
         for holder, epoch in quota.released.items():
-            self._note_release(holder, epoch)
+            self._record_release(holder, epoch)
         self._recheck(now)
         return self._due_release(now)
 
@@ -165,7 +165,7 @@
 
     def release_committed(self, holder: Holder, epoch: int, now: float) -> list[Release]:
         """A holder's release was committed; late and duplicated ones change nothing."""
-        self._note_release(holder, epoch)
+        self._record_release(holder, epoch)
         self._recheck(now)
         return self._due_release(now)
 
@@ -270,7 +270,7 @@
         if fell:
             self.unreleased_epochs.append(epoch)
 
-    def _note_release(self, holder: Holder, epoch: int) -> None:
+    def _record_release(self, holder: Holder, epoch: int) -> None:
         if epoch <= self.released_epochs.get(holder, 0):
             return
         self.released_epochs[holder] = epoch
--- a/mallowbeam/storage_gateway/coordination/raft_journal.py
+++ b/mallowbeam/storage_gateway/coordination/raft_journal.py
@@ -1,10 +1,10 @@
-"""Atomic cuts of the engine's journal after a snapshot, so that a crash loses no acknowledged entry.
+"""Atomic truncation of the engine's journal after a snapshot, so that a crash loses no acknowledged entry.
 
 The engine renames its snapshot, and a tick later clears its journal and writes the entries after the snapshot
 again. Killed between the two, it finds a journal that does not begin at the snapshot and clears it; killed
-while it writes, the rest is missing. Both lose entries that this member has acknowledged. Here a cut journal
-is written to a new file that replaces the old one, and a journal that begins before its snapshot is cut, not
-cleared, before the engine starts.
+while it writes, the rest is missing. Both lose entries that this member has acknowledged. Here a truncated
+journal is written to a new file that replaces the old one, and a journal that begins before its snapshot is
+truncated, not cleared, before the engine starts.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     os.replace(new, path)
 
 
-def cut_at_snapshot(path: Path, snapshot: Path) -> None:
+def truncate_at_snapshot(path: Path, snapshot: Path) -> None:
     """Before the engine starts: remove the entries that the snapshot covers, so that the rest is kept."""
     if not (path.exists() and snapshot.exists()):
         return
@@ -48,15 +48,15 @@
         rewrite(path, lines[lines.index(last_covered) :])
 
 
-def install_atomic_cut(engine: Any, path: Path) -> None:
-    """Let an engine cut its journal by `rewrite`, in its own thread."""
+def install_atomic_truncation(engine: Any, path: Path) -> None:
+    """Let an engine truncate its journal by `rewrite`, in its own thread."""
     journal = engine._SyncObj__raftLog
 
-    def cut(upto: int) -> None:
+    def truncate(upto: int) -> None:
         journal.onOneSecondTimer()  # writes its commit index, where that is not on disk yet
         rewrite(path, journal[upto:])
         journal._destroy()
         engine._SyncObj__raftLog = FileJournal(str(path))
-        install_atomic_cut(engine, path)
+        install_atomic_truncation(engine, path)
 
-    journal.deleteEntriesTo = cut
+    journal.deleteEntriesTo = truncate
--- a/mallowbeam/storage_gateway/coordination/raft_node.py
+++ b/mallowbeam/storage_gateway/coordination/raft_node.py
@@ -41,7 +41,10 @@
 )
 from mallowbeam.storage_gateway.coordination.policy import PolicyVersion
 from mallowbeam.storage_gateway.coordination.policy_document import read_policy
-from mallowbeam.storage_gateway.coordination.raft_journal import cut_at_snapshot, install_atomic_cut
+from mallowbeam.storage_gateway.coordination.raft_journal import (
+    install_atomic_truncation,
+    truncate_at_snapshot,
+)
 from mallowbeam.storage_gateway.coordination.raft_transport import RaftTransport
 from mallowbeam.storage_gateway.coordination.replicated_log import (
     LOCAL_ERRORS,
@@ -267,7 +270,7 @@
             for name, address in membership.members.items()
             if name != membership.name
         ]
-        cut_at_snapshot(folder / "journal", folder / "snapshot")
+        truncate_at_snapshot(folder / "journal", folder / "snapshot")
         self.engine = SyncObj(
             PeerNode(membership.members[membership.name]),
             peers,
@@ -275,7 +278,8 @@
             consumers=[self.state],
             transportClass=self._open_transport,
         )
-        install_atomic_cut(self.engine, folder / "journal")  # long before the engine cuts its journal first
+        # Long before the engine first truncates its journal.
+        install_atomic_truncation(self.engine, folder / "journal")
 
     def _open_transport(self, engine: Any, own: Any, others: Any) -> RaftTransport:
         self.transport = RaftTransport(engine, own, others)
--- a/mallowbeam/storage_gateway/coordination/replicated_log.py
+++ b/mallowbeam/storage_gateway/coordination/replicated_log.py
@@ -123,7 +123,7 @@
             if version != FORMAT:
                 return None
             if (machine := self.by_name.get(name)) is None:
-                self._note_unhosted(name)
+                self._record_unhosted(name)
                 return None
             entry = msgspec.msgpack.decode(raw, type=machine.entries)
         except (msgspec.ValidationError, msgspec.DecodeError):
@@ -134,7 +134,7 @@
         self.states[name] = after
         return Committed(self.index, name, by, entry, after)
 
-    def _note_unhosted(self, name: str) -> None:
+    def _record_unhosted(self, name: str) -> None:
         """Remember that a state machine that is not hosted here has an entry."""
         if len(self.unhosted) < MAX_UNHOSTED:
             self.unhosted.add(name[:MAX_UNHOSTED_NAME])
--- a/mallowbeam/storage_gateway/coordination/shares/flow_division.py
+++ b/mallowbeam/storage_gateway/coordination/shares/flow_division.py
@@ -6,7 +6,7 @@
 that is less.
 
 What one flow does not use now is lent within this gateway to flows that are short, in proportion to what they
-lack; a `KEPT`th of its rate stays with it, so that its demand is noticed at once when it comes back.
+lack; a `RETAINED`th of its rate stays with it, so that its demand is noticed at once when it comes back.
 
 Rates and quotas are milli-units a second.
 """
@@ -18,7 +18,7 @@
 
 from mallowbeam.storage_gateway.coordination.shares.state_machine import SharesState
 
-KEPT = 10  # the divisor of a lent flow's rate that stays with it
+RETAINED = 10  # the divisor of a lent flow's rate that stays with it
 Usable = Callable[[str], int]
 Link = tuple[int, int, str]  # kind, position among its kind, resource
 NODE = 0
@@ -145,7 +145,7 @@
             ]
             rate = granted
             if shared and flow not in lack:
-                rate = min(granted, max(self.demand.get(flow, 0), granted // KEPT))
+                rate = min(granted, max(self.demand.get(flow, 0), granted // RETAINED))
                 lowered[flow] = rate
             for kind, position in shared:
                 available[kind][position] -= rate
--- a/tests/storage_gateway/coordination/shares/test_shares_core.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_core.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from test_shares_fleet import T, fair, fleet
-from test_shares_topic import NAMES, demand, log, put
+from test_shares_state_machine import NAMES, demand, log, put
 
 from mallowbeam.storage_gateway.coordination.shares.flow_division import divide_quota
 from mallowbeam.storage_gateway.coordination.shares.gateway_core import Propose, SharesCore
@@ -20,7 +20,7 @@
     return SharesCore("g0", NAMES, it.states["shares"], 0.0, **more)
 
 
-def test_one_that_stood_still_takes_nobody_for_silent():
+def test_a_stopped_gateway_takes_nobody_for_silent():
     it = log()
     demand(it, "g1", {0: 5_000})
     mine = core(it, is_leader=True)
--- a/tests/storage_gateway/coordination/shares/test_shares_topic.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_state_machine.py
@@ -191,7 +191,7 @@
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(state), type=type(state)) == state
 
 
-def test_the_service_hands_on_what_the_core_returns():
+def test_the_driver_carries_out_the_cores_actions():
     it, entries, allotted = log(), [], {}
     part = SharesDriver(
         SharesCore("g0", NAMES, it.states["shares"], 0.0),
--- a/tests/storage_gateway/coordination/shares/test_shares_part.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_subsystem.py
@@ -127,7 +127,7 @@
     assert fleet.context["g0"].held.keys() == before.keys()
 
 
-def test_a_rate_of_nothing_bars_and_is_not_without_a_limit(fleet):
+def test_a_rate_of_zero_rejects_and_is_not_unlimited(fleet):
     fleet.asks.pop(("g0", "a", "gold", 4))
     fleet.run(8)
     plan, part = fleet.context["g0"].held["a", "gold", 4]
@@ -190,7 +190,7 @@
     assert ("b", "gold", 4) in fleet.context["g0"].held
 
 
-def test_a_node_no_longer_listed_is_told_and_an_empty_list_is_not(fleet):
+def test_a_node_no_longer_listed_is_reported_and_an_empty_list_is_not(fleet):
     fleet.context["g0"].listed = []
     fleet.run(1)
     assert not fleet.log.states["shares"].lost_nodes
--- a/tests/storage_gateway/coordination/test_fleet_service.py
+++ b/tests/storage_gateway/coordination/test_coordination_service.py
@@ -10,7 +10,7 @@
 from types import ModuleType, SimpleNamespace
 
 import pytest
-from topics import Add, Adder, Fail, PolicyVersion
+from raft_members import Add, Adder, Fail, PolicyVersion
 from typer.testing import CliRunner
 
 from mallowbeam.cli.policy import app
@@ -147,7 +147,7 @@
     return played
 
 
-def test_a_subsystem_is_told_states_proofs_and_entries_and_its_failures_stay_its_own(play):
+def test_a_subsystem_gets_states_renewals_and_entries_and_its_failures_stay_its_own(play):
     async def scene(world: World) -> None:
         part = world.part
         assert part.told[0].entry is None and part.section == SharesSection(on=True)
@@ -260,7 +260,7 @@
     play(scene)
 
 
-def test_a_member_with_other_sections_stops_pushes_while_it_is_heard_of(play):
+def test_a_member_with_other_subsystems_blocks_pushes_while_its_heartbeats_are_committed(play):
     async def scene(world: World) -> None:
         world.service.section.members["g1"] = "127.0.0.1:2"
         world.service._handle((SubsystemsHosted("g1", ()),))
@@ -277,7 +277,7 @@
     "heard",
     [ReplicaFailed(LogUnusableError("newer", "snapshot")), PolicyVersion(0, '{"drains":["n9"]}')],
 )
-def test_one_that_lost_the_thread_leaves_and_says_why(play, heard):
+def test_a_failed_replica_leaves_the_fleet_and_reports_why(play, heard):
     async def scene(world: World) -> None:
         world.service._handle((heard,))
         await world.until(lambda: world.service.leave_task.done())
--- a/tests/storage_gateway/coordination/test_policy.py
+++ b/tests/storage_gateway/coordination/test_policy.py
@@ -36,7 +36,7 @@
 # --- the core -------------------------------------------------------------------------------------
 
 
-def test_nothing_is_served_or_applied_until_a_mark_has_come_back():
+def test_nothing_is_served_or_applied_until_a_heartbeat_is_committed():
     """Guards a restart: what the log told so far may be old, and a newer change may be on its way."""
     policy = core()
     assert policy.tick(10.0) == [ProposeHeartbeat(1)] and not policy.serves(10.0)
@@ -49,7 +49,7 @@
     assert policy.serves(10.1)
 
 
-def test_the_lease_runs_from_when_the_mark_was_put_in():
+def test_the_lease_runs_from_the_proposal_of_the_heartbeat():
     """Guards against a late answer: that the log spoke at 10.9 proves what it held at 10.0 and no more."""
     policy = core()
     policy.tick(10.0)
@@ -57,7 +57,7 @@
     assert policy.serves(11.0) and not policy.serves(11.001)
 
 
-def test_a_mark_that_comes_back_after_its_lease_lets_nobody_serve():
+def test_a_heartbeat_committed_after_its_lease_lets_nobody_serve():
     policy = core()
     policy.tick(10.0)
     assert (
@@ -67,7 +67,7 @@
     )
 
 
-def test_one_that_stood_still_does_not_serve_before_its_first_tick():
+def test_a_stopped_process_does_not_serve_before_its_first_tick():
     """Guards against SIGSTOP: its phase says current until a tick, and what came meanwhile is read first."""
     policy = core()
     policy.tick(10.0)
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("refuses", [True, False])
-def test_what_is_stale_keeps_the_last_policy_and_serves_only_where_told_to(refuses):
+def test_a_stale_gateway_keeps_the_last_policy_and_serves_only_if_configured_to(refuses):
     policy = core(rejects_when_stale=refuses)
     policy.tick(10.0)
     policy.committed(PolicyVersion(1, ONE))
@@ -87,7 +87,7 @@
     assert policy.serves(20.0) is not refuses
 
 
-def test_marks_of_another_life_and_overtaken_ones_prove_nothing():
+def test_heartbeats_of_another_incarnation_and_older_ones_renew_nothing():
     policy = core()
     for n in range(3):
         policy.tick(10.0 + n)
@@ -98,7 +98,7 @@
     )
 
 
-def test_marks_on_their_way_are_bounded():
+def test_pending_heartbeats_are_bounded():
     policy = core()
     for n in range(10 * MAX_PENDING_HEARTBEATS):
         policy.tick(float(n))
@@ -324,7 +324,7 @@
     assert played(tmp_path, trial) == []
 
 
-def test_one_that_stood_still_through_a_change_serves_under_it_or_not_at_all(tmp_path):
+def test_a_gateway_stopped_through_a_change_serves_under_it_or_not_at_all(tmp_path):
     async def trial(fleet: Fleet) -> None:
         fleet.stop("g3")
         assert await fleet.change("g0", ["n0"])
--- a/tests/storage_gateway/coordination/test_handover_core.py
+++ b/tests/storage_gateway/coordination/test_quota_transfer.py
@@ -60,7 +60,7 @@
 # --- the replicated side --------------------------------------------------------------------------
 
 
-def test_an_epoch_names_who_owes_and_is_settled_once_they_released():
+def test_an_epoch_names_the_awaited_releases_and_is_complete_after_them():
     handed = opened({"x": {"a": 8}}, {"x": {"b": 7, "c": 2}})
     assert (handed.epoch, handed.base_epoch, handed.awaited_releases) == (2, 1, {"a": 2})
     assert release(handed, "b", 2).base_epoch == 1
@@ -70,7 +70,7 @@
     assert release(done, "a", 2) is done and release(done, "a", 3) is done and release(done, "who", 1) is done
 
 
-def test_epochs_are_settled_in_their_order():
+def test_epochs_complete_in_order():
     handed = opened({"x": {"a": 8}, "y": {"b": 8}}, {"y": {"b": 8}}, {})
     assert handed.awaited_releases == {"a": 2, "b": 3}
     assert release(handed, "b", 3).base_epoch == 1  # a still owes the one before it
@@ -78,7 +78,7 @@
     assert release(release(handed, "b", 3), "a", 2).rows == {}
 
 
-def test_what_changes_nothing_opens_no_epoch_and_gains_alone_settle_at_once():
+def test_unchanged_amounts_open_no_epoch_and_gains_alone_complete_at_once():
     handed = opened({"x": {"a": 4}})
     assert next_epoch(handed, {"x": {"a": 4}}, Bounds(floor, ten)) is handed
     assert next_epoch(handed, {}, Bounds(floor, ten), complete=False) is handed
@@ -153,7 +153,7 @@
     assert grower.release_committed("a", 2, 1.3) == [] and grower.epoch_committed(target, 1.3) == []
 
 
-def test_a_grower_waits_for_lease_and_drift_from_when_it_heard():
+def test_a_grower_waits_for_lease_and_drift_from_when_it_saw_the_epoch():
     grower = view("b", opened({"x": {"a": 8}}))
     grower.epoch_committed(EpochTarget(2, {"x": {"b": 8}}), 3.0)
     grower.epoch_committed(EpochTarget(2, {"x": {"b": 8}}), 5.0)  # told twice: counted from the first time
@@ -190,7 +190,7 @@
     assert loser.release_committed("a", 3, 2.8) == [] and loser.tick(9.0) == []
 
 
-def test_a_new_life_uses_and_says_nothing_while_its_dead_one_may_linger():
+def test_a_new_incarnation_uses_and_releases_nothing_while_connections_may_linger():
     handed = opened({"x": {"a": 8}}, {"x": {"b": 8}})
     fresh = resumed("a", handed, 10.0, 10.0, drift=0.1, linger=2.0)
     fresh.lease_renewed(10.0)
@@ -198,7 +198,7 @@
     assert fresh.usable("x", 12.3) == 1 and fresh.tick(12.3) == [Release(2)]
 
 
-def test_a_state_that_passed_epochs_over_is_taken_in_whole():
+def test_a_state_that_skipped_epochs_is_restored():
     first = opened({"x": {"a": 8}})
     away = view("c", first)
     handed = release(opened({"x": {"b": 8}}, {"x": {"c": 8}}, handed=first), "a", 2)
@@ -209,7 +209,7 @@
     assert not away.open_rows
 
 
-def test_what_is_settled_is_kept_once_and_what_did_not_change_is_not_looked_at():
+def test_a_complete_row_is_kept_once_and_unchanged_rows_are_not_visited():
     grower = view("b", opened({f"r{n}": {"a": 8} for n in range(50)}))
     for epoch in range(2, 40):
         grower.epoch_committed(EpochTarget(epoch, {"r1": {"ab"[epoch % 2]: 8}}), epoch * 0.1)
@@ -237,7 +237,7 @@
     assert (holder.hard_limit("x", 4.0), holder.hard_limit("x", 4.01)) == (4, 1)
 
 
-def test_late_and_repeated_releases_take_nothing_back():
+def test_late_and_duplicated_releases_undo_nothing():
     grower = view("b", opened({"x": {"a": 8}}))
     grower.release_committed("a", 3, 0.5)
     grower.release_committed("a", 2, 0.6)
@@ -251,7 +251,7 @@
     )
 
 
-def test_a_state_taken_in_whole_keeps_the_clocks_of_the_epochs_known():
+def test_a_restored_state_keeps_when_known_epochs_were_seen():
     first = opened({"x": {"a": 8}, "y": {"b": 8}})
     second = opened({"x": {"c": 8}, "y": {"b": 8}}, handed=first)
     away = view("c", first)
@@ -262,7 +262,7 @@
     assert away.usable("x", 5.41) == 8
 
 
-def test_one_that_released_says_it_no_more_in_its_next_life():
+def test_a_release_is_not_repeated_by_the_next_incarnation():
     handed = opened({"x": {"a": 8}, "y": {"b": 8}}, {"x": {"c": 8}, "y": {"c": 8}})
     assert view("a", handed).tick(1.0) == [Release(2)]
     assert view("a", release(handed, "a", 2)).tick(1.0) == []
--- a/tests/storage_gateway/coordination/test_handover_model.py
+++ b/tests/storage_gateway/coordination/test_quota_transfer_model.py
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize("lost", "abc")
-def test_one_that_is_gone_keeps_epochs_open_for_its_lease_alone(lost):
+def test_a_dead_holder_keeps_epochs_open_for_its_lease_only(lost):
     world = World.begin(longer(SHARES))
     for _ in range(14):
         world = world.after("epoch") if "epoch" in world.choices() else world
@@ -219,8 +219,8 @@
 class TrustsAnyRelease(QuotaTransfer):
     """A release of an older epoch counts as one of the newest."""
 
-    def _note_release(self, holder, epoch):
-        super()._note_release(holder, self.epoch if epoch > self.released_epochs.get(holder, 0) else epoch)
+    def _record_release(self, holder, epoch):
+        super()._record_release(holder, self.epoch if epoch > self.released_epochs.get(holder, 0) else epoch)
 
 
 class TakesTheNewest(QuotaTransfer):
--- a/tests/storage_gateway/coordination/test_fleet_agreement.py
+++ b/tests/storage_gateway/coordination/test_raft_node.py
@@ -5,7 +5,7 @@
 import shutil
 
 import pytest
-from topics import Add, Fail, Members, PolicyVersion, ReplicaFailed, SubsystemsHosted, Sum
+from raft_members import Add, Fail, Members, PolicyVersion, ReplicaFailed, SubsystemsHosted, Sum
 
 from mallowbeam.storage_gateway.coordination.errors import PolicyRejectedError, VersionConflictError
 
@@ -20,7 +20,7 @@
     members.close()
 
 
-def test_every_member_is_told_the_same_entries_and_refusals_in_the_same_order(fleet):
+def test_every_member_gets_the_same_entries_and_refusals_in_the_same_order(fleet):
     for name in fleet.up:
         fleet.put(name, "shares", Add(2))
         fleet.put(name, "pools", Add(40))  # the third is beyond 100
@@ -32,7 +32,7 @@
     assert fleet.told["g0"].states() == {"shares": Sum(6, "g2"), "pools": Sum(80, "g1")}
 
 
-def test_a_push_refused_by_one_topic_is_in_force_nowhere_and_its_pusher_is_told_why(fleet):
+def test_a_push_refused_by_one_state_machine_is_in_force_nowhere_and_reports_why(fleet):
     fleet.put("g0", "pools", Add(50))
     refused = fleet.push("g1", 0, POLICY)
     assert isinstance(refused, PolicyRejectedError) and refused.where == "pools.most" and "50" in refused.cure
@@ -44,7 +44,7 @@
         assert told.states() == {"shares": Sum(0, "", 7), "pools": Sum(50, "g0", 50)}
 
 
-def test_states_come_whole_from_a_snapshot_at_a_restart_and_to_one_that_lost_its_folder(fleet):
+def test_states_are_loaded_from_a_snapshot_after_a_restart_and_after_the_loss_of_the_folder(fleet):
     fleet.put("g0", "shares", Add(5))
     assert fleet.push("g0", 0, POLICY) == 1
     fleet.lease_renewed()
@@ -68,7 +68,7 @@
         assert told.of(PolicyVersion)[-1] == PolicyVersion(1, POLICY)
 
 
-def test_a_member_with_other_topics_is_known_and_leaves_at_a_push_that_it_can_not_judge(fleet):
+def test_a_member_with_other_state_machines_is_known_and_leaves_at_a_push_it_can_not_judge(fleet):
     fleet.stop("g2")
     fleet.start("g2", "shares")
     fleet.lease_renewed()
--- a/tests/storage_gateway/coordination/test_wire.py
+++ b/tests/storage_gateway/coordination/test_raft_transport.py
@@ -311,7 +311,7 @@
     return found
 
 
-def test_a_journal_is_cut_whole_and_one_cut_short_by_a_kill_loses_no_acknowledged_entry(tmp_path):
+def test_a_journal_is_truncated_atomically_and_a_kill_loses_no_acknowledged_entry(tmp_path):
     """Guards the majority: the engine would clear a journal that begins before its snapshot, tail and all."""
     with members("a") as (up, start):
         start("a", log_of(tmp_path / "a", [0, *[1] * 20]))
--- a/tests/storage_gateway/coordination/test_fleet_log.py
+++ b/tests/storage_gateway/coordination/test_replicated_log.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from topics import Add, Adder, Fail, PolicyVersion, ReplicaFailed, Sum, Told, make_log
+from raft_members import Add, Adder, Fail, PolicyVersion, ReplicaFailed, Sum, Told, make_log
 
 from mallowbeam.storage_gateway.coordination.errors import LogUnusableError
 from mallowbeam.storage_gateway.coordination.policy_document import Policy
@@ -34,7 +34,7 @@
 # --- the log --------------------------------------------------------------------------------------
 
 
-def test_an_entry_changes_its_topic_alone_and_is_told_with_the_state_after_it():
+def test_an_entry_changes_its_own_state_machine_only_and_is_reported_with_the_state_after_it():
     log = make_log()
     told = log.apply(log.encode("shares", "g1", Add(3)))
     assert told == Committed(1, "shares", "g1", Add(3), Sum(3, "g1"))
@@ -68,7 +68,7 @@
     assert caught.value.cure
 
 
-def test_what_a_topic_raises_is_a_refusal():
+def test_an_exception_of_a_state_machine_is_a_refusal():
     log = make_log()
     told = log.apply(log.encode("shares", "g1", Fail()))
     assert "ZeroDivisionError" in told.refusal.what and told.state == Sum()
@@ -86,7 +86,7 @@
         log.apply(log.encode("shares", "g1", Add(1)))
 
 
-def test_one_topics_refusal_refuses_a_policy_whole():
+def test_a_refusal_of_one_state_machine_rejects_the_policy():
     log = make_log()
     log.apply(log.encode("pools", "g1", Add(50)))
     told = log.push(Policy(shares={"most": 7}, pools={"most": 10}))
@@ -119,7 +119,7 @@
     assert (one.index, one.states, one.unhosted) == (two.index, two.states, two.unhosted)
 
 
-def test_a_topic_that_was_off_when_it_had_entries_is_not_made_up():
+def test_a_state_machine_that_missed_entries_is_not_loaded():
     """Guards a section turned on later: that member's state would not be the others'."""
     off = make_log("shares")
     off.apply(make_log().encode("pools", "g1", Add(1)))
@@ -159,7 +159,7 @@
         return lambda *given: getattr(self.state, name)(*given, _doApply=True)
 
 
-def test_the_states_come_whole_at_the_start():
+def test_all_states_are_reported_at_the_start():
     assert Direct().told.heard[0] == PolicyVersion() and set(Direct().told.states()) == {"shares", "pools"}
 
 
@@ -172,14 +172,14 @@
     ]
 
 
-def test_calls_of_journals_from_before_topics_still_do_what_they_did():
+def test_calls_of_journals_without_state_machines_still_apply():
     member = Direct()
     assert member.change_policy(0, '{"drains":["n0"]}') == 1 and member.change_policy(0, "{}") == 0
     member.heartbeat("g0", "life", 7)
     assert member.told.heard[-1].number == 7
 
 
-def test_a_policy_is_judged_by_the_topics_that_its_pusher_named():
+def test_a_policy_is_judged_by_the_state_machines_that_its_pusher_named():
     """Guards a replay: turned on since, a topic must not refuse what was committed without it."""
     member = Direct()
     member.put_entry(member.state.log.encode("pools", "g1", Add(50)))
@@ -204,9 +204,7 @@
     ],
     ids=["topic", "newer", "bad", "memory"],
 )
-def test_a_member_that_lost_the_thread_says_so_once_takes_nothing_in_and_writes_no_snapshot(
-    breaks, monkeypatch
-):
+def test_a_failed_replica_reports_once_applies_nothing_and_writes_no_snapshot(breaks, monkeypatch):
     member = Direct()
     with monkeypatch.context() as patch:
         patch.setattr(Adder, "apply", no_memory)
@@ -241,7 +239,7 @@
     assert other.told.of(PolicyVersion)[-1] == PolicyVersion(1, '{"drains":["n0"]}')
 
 
-def test_a_snapshot_from_before_topics_is_taken_in():
+def test_a_snapshot_without_state_machines_is_loaded():
     member = Direct()
     member.state._deserialize({"version": 4, "body": '{"drains":["n0"]}'})
     assert member.told.heard[-1] == PolicyVersion(4, '{"drains":["n0"]}')
