--- a/mallowbeam/router/control_plane/stage_order_client.py
+++ b/mallowbeam/router/control_plane/stage_order_client.py
@@ -12,7 +12,7 @@
 from mallowbeam.http.client import ConnectionBrokenError, Link, RequestNotSentError, connect
 from mallowbeam.http.framing import write_request
 from mallowbeam.router.control_plane.stage_lease import StageLease
-from mallowbeam.router.pairing.stage_share import OrderResult, StageOrder
+from mallowbeam.router.pairing.stage_balancer import OrderResult, StageOrder
 from mallowbeam.router.processes.logs import get_logger
 
 ORDER_PATH = b"/mallowbeam/order"
@@ -62,13 +62,13 @@
     def _result(self, status: int) -> OrderResult:
         """The result that a response's status stands for."""
         if status in ACCEPTED_STATUSES:
-            return OrderResult.TAKEN
+            return OrderResult.ACCEPTED
         if status == STALE_TOKEN_STATUS:
             self.lease.rejected()
         elif status == BUSY_STATUS:  # another order is in progress, perhaps this one
             return OrderResult.UNKNOWN
         log.warning("an order was refused with %d", status)
-        return OrderResult.REFUSED
+        return OrderResult.REJECTED
 
 
 async def _post(link: Link, order: StageOrder, member_id: int, token: int) -> int:
