--- a/mallowbeam/router/admission/overload_guard.py
+++ b/mallowbeam/router/admission/overload_guard.py
@@ -34,7 +34,8 @@
 
     def __init__(self, settings: PlannerSettings, salt: str) -> None:
         """The salt makes gateways reject different requests."""
-        self.settings, self.salt = settings, salt
+        self.settings = settings
+        self.salt = salt
         self.services: dict[str, _Service] = {}
 
     def waited(self, backend: str, tokens: int, wait_s: float, now: float) -> None:
--- a/mallowbeam/router/data_plane/answers.py
+++ b/mallowbeam/router/data_plane/answers.py
@@ -24,7 +24,7 @@
 
 
 def complete_answer(answer: Message, close: bool) -> Response:
-    """An instance's answer that was read whole."""
+    """An instance's answer that was read completely."""
     length = None if answer.status in BODILESS else len(answer.body)
     head = write_head(answer.status, passed_headers(answer), length, close)
     return Response(answer.status, head + answer.body)
--- a/mallowbeam/router/data_plane/attempt.py
+++ b/mallowbeam/router/data_plane/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request on one connection to one instance, up to its answer's head or its whole body.
+"""One attempt: a request on one connection to one instance, up to its answer's head or its complete body.
 
 The attempt owns its connection until `release`, which may be called again and again; what has run is the
 matter of `outcomes`.
@@ -24,10 +24,10 @@
 from mallowbeam.router.data_plane.outcomes import SUCCESS, AttemptEnd, judge_answer, names_another
 from mallowbeam.router.rpc.messages_pb2 import Instance
 
-BUFFERED_BYTES = 64 * 1024  # an answer up to this size is held whole before any of it is passed on
+BUFFERED_BYTES = 64 * 1024  # an answer up to this size is buffered completely before any of it is forwarded
 WAY_BACK_S = 0.005  # of the time that is left, kept for the answer's way back
 MOST_LATE_ANSWERS = 4  # to other requests, in front of the one that is due
-REJECTION_BODY_S = 0.2  # for the rest of an answer that is not passed on; else its connection closes
+REJECTION_BODY_S = 0.2  # for the rest of an answer that is not forwarded; else its connection closes
 EVENT_STREAM = b"text/event-stream"
 
 
@@ -39,7 +39,7 @@
     instance: str
     request: ClientRequest
     extra: Headers  # the gateway's own headers
-    deadline: float  # steady time by which the answer must be there
+    deadline: float  # monotonic time by which the answer must be there
     signed: bool = True  # whether a success carries its instance's signature
     once: bool = False  # it may not be sent again: waited for past a late answer
 
@@ -48,14 +48,15 @@
     """A request that was sent, or could not be."""
 
     def __init__(self, pool: LinkPool, view: FleetView) -> None:
-        self._pool, self._view = pool, view
+        self._pool = pool
+        self._view = view
         self.link: Link | None = None
         self.instance = ""
         self.answer: Message | None = None
         self._bodiless = False  # the answer is to a HEAD
 
     async def send(self, order: SendOrder) -> AttemptEnd:
-        """Send and wait for the answer's head; small answers that are no streams are read whole."""
+        """Send and wait for the answer's head; small answers that are no streams are read completely."""
         try:
             async with asyncio.timeout(order.deadline - time.monotonic()):
                 return await self._send(order)
@@ -69,7 +70,7 @@
             end = AttemptEnd.BROKEN
         if self.link is None:
             return AttemptEnd.NO_CONNECTION
-        # An instance may run, and answer, what it has not read whole: only no byte at all is proven unsent.
+        # An instance may run, and answer, what it has read in part: only no byte at all is proven unsent.
         if not self.link.begun:
             end = AttemptEnd.NOT_SENT
         elif end is AttemptEnd.NOT_SENT:
@@ -87,7 +88,7 @@
         return kind is not None and kind.partition(b";")[0].strip().lower() == EVENT_STREAM
 
     def release(self) -> None:
-        """Keep the connection if its answer was read whole, else close it."""
+        """Keep the connection if its answer was read completely, else close it."""
         link, self.link = self.link, None
         if link is not None:
             self._pool.give_back(self.instance, link, self.answer)
--- a/mallowbeam/router/data_plane/attempt_meter.py
+++ b/mallowbeam/router/data_plane/attempt_meter.py
@@ -1,4 +1,4 @@
-"""How this gateway's attempts at each instance ended, between two words to its member.  A pure core."""
+"""How this gateway's attempts at each instance ended, between two reports to its member.  A pure core."""
 
 from __future__ import annotations
 
--- a/mallowbeam/router/data_plane/client_frontend.py
+++ b/mallowbeam/router/data_plane/client_frontend.py
@@ -1,4 +1,4 @@
-"""The clients' front: each whole request gets its one answer."""
+"""The clients' endpoint: each complete request gets exactly one answer."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 class ClientFrontend:
     """Turns clients' requests into exchanges and their answers back."""
 
-    max_buffered_body = ANY_SIZE  # a request is passed on once it has come in whole
+    max_buffered_body = ANY_SIZE  # a request is forwarded once it has arrived completely
 
     def __init__(self, gateway: Gateway, memory_mb: float) -> None:
         self._gateway = gateway
@@ -75,7 +75,7 @@
 
     @staticmethod
     def _deadline(read: ClientRequest, request: Message, timeout_ms: int) -> float:
-        """Steady time up to which the request may be held, from when its last byte was read."""
+        """Monotonic time by which the request must end, counted from when its last byte was read."""
         client_s = read.deadline_ms / 1000
         began = request.completed_at or time.monotonic()
         return began + min(client_s - min(WAY_S, client_s / 4), timeout_ms / 1000)
--- a/mallowbeam/router/data_plane/client_request.py
+++ b/mallowbeam/router/data_plane/client_request.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """One request of a client, read whole."""
+    """One request of a client, read completely."""
 
     request_id: bytes
     method: bytes
@@ -51,7 +51,7 @@
 
 
 def read_request(message: Message) -> ClientRequest:
-    """Check a whole request and read its headers; raises `BadRequestError`."""
+    """Check a complete request and read its headers; raises `BadRequestError`."""
     first = dict(reversed(message.headers))
     for name in SINGLE:
         if sum(known == name for known, _ in message.headers) > 1:
--- a/mallowbeam/router/data_plane/decision_log.py
+++ b/mallowbeam/router/data_plane/decision_log.py
@@ -2,7 +2,7 @@
 
 Off unless the settings file has `decision_log = true`: a line a request takes processor time.  `DecisionLog`
 stands in front of a planner, sees each booking's steps and decides nothing itself.  Times are seconds of the
-steady clock; a step that was not reached is logged as `-`.
+monotonic clock; a step that was not reached is logged as `-`.
 """
 
 from __future__ import annotations
@@ -34,7 +34,8 @@
     """A planner whose decisions are logged with their outcomes."""
 
     def __init__(self, planner: Planner, write: Write) -> None:
-        self._planner, self._write = planner, write
+        self._planner = planner
+        self._write = write
         self._bookings: dict[int, _Booking] = {}
 
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
--- a/mallowbeam/router/data_plane/demand.py
+++ b/mallowbeam/router/data_plane/demand.py
@@ -1,7 +1,7 @@
 """What this gateway's requests ask of each stage of a service, measured over about a second.  A pure core.
 
 `MeasuredPlanner` stands in front of the planner and sees each booking's steps; `DemandMeter` adds them up and
-gives one `StageDemand` for each service with model servers.  Times are seconds of the steady clock.
+gives one `StageDemand` for each service with model servers.  Times are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -27,7 +27,9 @@
     __slots__ = ("value", "_area", "_at")
 
     def __init__(self, now: float) -> None:
-        self.value, self._area, self._at = 0, 0.0, now
+        self.value = 0
+        self._area = 0.0
+        self._at = now
 
     def add(self, change: int, now: float) -> None:
         """Change the count."""
@@ -62,7 +64,8 @@
     __slots__ = ("reading", "decoding", "tokens", "unread_fraction")
 
     def __init__(self, now: float) -> None:
-        self.reading, self.decoding = Gauge(now), Gauge(now)
+        self.reading = Gauge(now)
+        self.decoding = Gauge(now)
         self.tokens: Counter[Tokens] = Counter()
         self.unread_fraction = 1.0  # of prompts, by the requests that were taken
 
@@ -152,7 +155,8 @@
     """A planner whose bookings of services with model servers are measured; it decides nothing itself."""
 
     def __init__(self, planner: Planner, meter: DemandMeter) -> None:
-        self._planner, self._meter = planner, meter
+        self._planner = planner
+        self._meter = meter
         self._bookings: dict[int, _Booking] = {}
 
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
--- a/mallowbeam/router/data_plane/exchange.py
+++ b/mallowbeam/router/data_plane/exchange.py
@@ -1,4 +1,4 @@
-"""One client request, from its plan to the attempt whose answer is passed on.
+"""One client request, from its plan to the attempt whose answer is forwarded.
 
 `Exchange` joins the cores: the planner names instances, the send policy allows sends, the outcomes say what
 an attempt proves.  However it ends, `close` gives back what it holds: booking, handle, connection.
@@ -26,7 +26,7 @@
 from mallowbeam.router.data_plane.send_policy import SendPolicy
 from mallowbeam.router.streams.progress import StreamProgress
 
-LEAST_LEFT_S = 0.01  # a request with less time is given up
+LEAST_LEFT_S = 0.01  # a request with less time is abandoned
 RETRY_AFTER_S = 0.3  # with a refusal for which nobody names a time
 HANDLE_LIFETIME_FRACTION = 0.5  # of its time to live, after which a handle is not offered again
 SAFE, STREAM = "safe", "stream"
@@ -55,9 +55,12 @@
     def __init__(
         self, gateway: Gateway, request: ClientRequest, route: Route, backend: str, deadline: float
     ) -> None:
-        self.gateway, self.request, self.route, self.deadline = gateway, request, route, deadline
-        self.attempt: Attempt | None = None  # the one whose answer is passed on
-        self.first_chunk = b""  # of its stream, not passed on yet
+        self.gateway = gateway
+        self.request = request
+        self.route = route
+        self.deadline = deadline
+        self.attempt: Attempt | None = None  # the one whose answer is forwarded
+        self.first_chunk = b""  # of its stream, not forwarded yet
         self.progress = StreamProgress(route.resumable and route.route_type == STREAM, request.last_event_id)
         self._backend = backend
         known = gateway.view.backend(backend)
@@ -68,10 +71,10 @@
         self._handle: Handle | None = None
         self._counted = 0  # events of which the demand meter knows
         self._head_sent = False  # part of the answer has gone out
-        self._failure: Message | None = None  # a failure that is passed on if nothing better comes
+        self._failure: Message | None = None  # a failure that is forwarded if nothing better comes
 
     async def run(self, closing: Callable[[], bool]) -> Response | None:
-        """The answer, if it is whole; None where `attempt` holds one that is passed on as it comes."""
+        """The answer, if it is complete; None where `attempt` holds one that is forwarded as it comes."""
         try:
             begun = await self._begin()
         except BaseException:
@@ -106,7 +109,7 @@
         return begun.streams
 
     def close(self, end: Outcome) -> None:
-        """Give back what is held; again and again is as good as once."""
+        """Release everything that is reserved; idempotent."""
         self._release(end)
         if self._handle is not None:
             self._free(self._handle)
@@ -120,7 +123,7 @@
         self.gateway.demand.count(self._backend, kind, events * max(1, self._engine.stride), time.monotonic())
 
     async def _begin(self) -> Attempt | Abandoned:
-        """Send until an answer is to be passed on."""
+        """Send until an answer is to be forwarded."""
         while True:
             plan = await self._plan()
             if isinstance(plan, Abandoned):
@@ -173,7 +176,7 @@
             if self._fresh(self._handle):
                 return self._handle
             self._free(self._handle)
-        # A request without a prompt is run by an instance that is asked to read it: it goes out once, whole.
+        # A request without a prompt is executed by an instance that is asked to prefill it: it is sent once.
         if plan.prefill_instance is None or not self.request.prompt_tokens:
             return None
         if not self._policy.may_prefill_separately() or self._out_of_time():
@@ -203,7 +206,7 @@
         return handle
 
     async def _send(self, plan: Plan, handle: Handle | None) -> Attempt | Abandoned | None:
-        """One send to the instance that answers; the attempt if its answer is passed on, None to go on."""
+        """One send to the instance that answers; the attempt if its answer is forwarded, None to go on."""
         if self._out_of_time():  # used up by the wait for the plan, or by the prompt's reading
             return Abandoned(out_of_time=True)
         ticket = self._policy.send(plan.decode_instance, time.monotonic(), self.gateway.view.gateways)
@@ -251,7 +254,7 @@
         return end
 
     async def _first_chunk(self, attempt: Attempt) -> AttemptEnd:
-        """Read a stream up to its first chunk that can be passed on: until then nothing has gone out."""
+        """Read a stream up to its first chunk that can be forwarded: until then nothing has gone out."""
         end = AttemptEnd.BROKEN
         try:
             async with asyncio.timeout(self.deadline - time.monotonic()):
@@ -270,7 +273,7 @@
         return end
 
     def _failed(self, attempt: Attempt) -> Attempt | None:
-        """An instance's failure: kept while another instance may do better, else passed on."""
+        """An instance's failure: kept while another instance may do better, else forwarded."""
         answer = attempt.answer
         if answer is None or not may_pass_on(answer):
             attempt.release()
@@ -282,7 +285,7 @@
         return attempt
 
     def _last_answer(self, abandoned: Abandoned, close: bool) -> Response:
-        """The answer to a request that is given up, at once."""
+        """The answer to a request that is abandoned, at once."""
         if self._failure is not None:
             return complete_answer(self._failure, close)
         status = self._policy.status_when_abandoned(abandoned.out_of_time)
@@ -324,10 +327,10 @@
 
 
 async def read_chunk(attempt: Attempt, progress: StreamProgress) -> bytes:
-    """The next bytes of a stream that can be passed on; empty at its end.
+    """The next bytes of a stream that can be forwarded; empty at its end.
 
     Raises `ConnectionBrokenError` where it ends without the end that its framing asks for, or inside an event
-    (what is passed on byte by byte: only where nothing but the connection's end marks its own), and where its
+    (what is forwarded byte by byte: only where nothing but the connection's end marks its own), and where its
     events are out of order.
     """
     link, answer = attempt.link, attempt.answer
--- a/mallowbeam/router/data_plane/feed_link.py
+++ b/mallowbeam/router/data_plane/feed_link.py
@@ -29,7 +29,8 @@
         subscriber: FeedSubscriber[Configuration],
         changed: Callable[[FeedEvents[Configuration], float], None],
     ) -> None:
-        self._subscriber, self._changed = subscriber, changed
+        self._subscriber = subscriber
+        self._changed = changed
         self._connection: FrameConnection | None = None
         self._address = ""
         self._ended = asyncio.Event()  # the connection in use has ended
@@ -81,7 +82,8 @@
         except (OSError, ValueError):
             self._subscriber.failed(address, time.monotonic())
             return
-        self._connection, self._address = connection, address
+        self._connection = connection
+        self._address = address
         connection.send(LinkFrame(gateway=GatewayFrame(hello=self._subscriber.hello())))
         self._subscriber.connected(address, time.monotonic())
         log.info("feed opened: %s", address)
--- a/mallowbeam/router/data_plane/fleet_view.py
+++ b/mallowbeam/router/data_plane/fleet_view.py
@@ -56,7 +56,7 @@
         return self._ids.get(backend, ())
 
     def usable(self, instance_id: str, backend: str, reads: bool = False) -> Instance | None:
-        """An instance of a service, if it takes requests now: asked in the step in which one is sent.
+        """An instance of a service, if it takes requests now: checked in the same step in which one is sent.
 
         `reads` where only the prompt is to be read: prefill instances take such calls and nothing else.
         """
--- a/mallowbeam/router/data_plane/gateway.py
+++ b/mallowbeam/router/data_plane/gateway.py
@@ -77,7 +77,7 @@
             self.health.failed(instance, now, at_once=True)
 
     def fleet_attempts_reported(self, attempts: Sequence[InstanceAttempts], now: float) -> None:
-        """How the whole fleet's attempts at failing instances ended."""
+        """Apply the fleet's report of attempts at failing instances."""
         for one in attempts:
             if one.failed >= SUSPECT_FAILURES and one.failed > one.answered:
                 self.health.suspected(one.id, now)
--- a/mallowbeam/router/data_plane/link_pool.py
+++ b/mallowbeam/router/data_plane/link_pool.py
@@ -22,7 +22,7 @@
 MOST_IDLE_S = 60.0
 MOST_DIGITS = 8  # of a Keep-Alive time-out; a longer one is not read
 MOST_IDLE_EACH = 256  # idle connections kept to one instance
-MOST_ANSWER_BYTES = 1 << 20  # of an answer that are held at once
+MOST_ANSWER_BYTES = 1 << 20  # of an answer that are buffered at once
 SILENT_NETWORK_MS = 1500  # sent and not acknowledged for this long ends a connection
 KEEPALIVE = ((socket.TCP_KEEPIDLE, 1), (socket.TCP_KEEPINTVL, 1), (socket.TCP_KEEPCNT, 2))
 
@@ -71,7 +71,7 @@
         return link
 
     def give_back(self, instance: str, link: Link, answer: Message | None) -> None:
-        """Keep a connection whose answer was read whole; close any other."""
+        """Keep a connection whose answer was read completely; close any other."""
         if answer is None or not link.reusable(answer):
             return self.drop(instance, link)
         idle = self._idle.setdefault(instance, [])
--- a/mallowbeam/router/data_plane/outcomes.py
+++ b/mallowbeam/router/data_plane/outcomes.py
@@ -1,7 +1,7 @@
 """What an attempt proves about its request.  A pure core.
 
 Up to its first byte a request is proven not to have run.  From then on only an answer that says so proves it:
-`Not-Executed`, or status 421.  An instance may begin before it has read a request whole.
+`Not-Executed`, or status 421.  An instance may begin before it has read a complete request.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     FAILED = "failed"  # an answer with a failure: may have run
     BROKEN = "broken"  # reset, close or bytes that are no answer: may have run
     TIMED_OUT = "timed_out"  # silence up to the deadline: may have run
-    ANSWERED = "answered"  # an answer that is passed on
+    ANSWERED = "answered"  # an answer that is forwarded
 
 
 def judge_answer(
--- a/mallowbeam/router/data_plane/prefill.py
+++ b/mallowbeam/router/data_plane/prefill.py
@@ -51,7 +51,7 @@
 
 
 class HandleRelease:
-    """Frees handles that no decode instance takes, beside the requests they belonged to."""
+    """Frees handles that no decode instance takes, in the background of the requests they belonged to."""
 
     def __init__(self, pool: LinkPool) -> None:
         self._pool = pool
@@ -89,5 +89,5 @@
             await link.read_body(answer)
         finally:
             # The call names no request, so what was read may be a late answer to an earlier one, with this
-            # call's own still owed: the connection is not used again.
+            # call's own still outstanding: the connection is not used again.
             self._pool.drop(handle.instance, link)
--- a/mallowbeam/router/data_plane/readiness.py
+++ b/mallowbeam/router/data_plane/readiness.py
@@ -1,4 +1,4 @@
-"""The listener that tells whether this gateway takes clients."""
+"""The readiness endpoint: whether this gateway takes new connections."""
 
 from __future__ import annotations
 
--- a/mallowbeam/router/data_plane/relay.py
+++ b/mallowbeam/router/data_plane/relay.py
@@ -1,6 +1,6 @@
-"""An answer on its way through: pieces go out as they come; a stream that breaks is resumed if allowed.
+"""Forwarding of an answer: chunks are sent as they come; a stream that breaks is resumed if allowed.
 
-An answer that ends early never looks whole: `write` returns False and the connection ends without the
+An answer that ends early never looks complete: `write` returns False and the connection ends without the
 framing's end mark.
 """
 
@@ -26,7 +26,9 @@
     """Passes one exchange's answer on."""
 
     def __init__(self, exchange: Exchange, request: Message, closing: Callable[[], bool]) -> None:
-        self._exchange, self._request, self._closing = exchange, request, closing
+        self._exchange = exchange
+        self._request = request
+        self._closing = closing
         self._chunked = True
         self._end = Outcome.CANCELLED
 
--- a/mallowbeam/router/data_plane/retry_budget.py
+++ b/mallowbeam/router/data_plane/retry_budget.py
@@ -5,14 +5,15 @@
 requests are those of that span, of the one before it, or of the one half a window before it, whichever has
 the most.
 
-Each gateway keeps its own part, so that the sum holds without a word between them: its retries in a span are
-at most `ratio` times its requests in the span *before*, plus its part of `min_retries`.  All gateways go by
+Each gateway keeps its own share, so that the sum holds without messages between them: its retries in a span
+are at most `ratio` times its requests in the span *before*, plus its part of `min_retries`.  All gateways go by
 the same one of the three: the largest of each would add up to more than the largest of the sums.  While a
 service has been asked for less than half a window there is little before; until then the span half a window
 before is taken.
 
 Time is cut into slices.  A span that begins inside a slice counts all retries of that slice and of the one
-before, as a send may arrive up to a slice later than it is counted; of requests it counts whole slices only.
+before, as a send may arrive up to a slice later than it is counted; of requests it counts complete slices
+only.
 """
 
 from __future__ import annotations
--- a/mallowbeam/router/data_plane/role.py
+++ b/mallowbeam/router/data_plane/role.py
@@ -31,13 +31,13 @@
 from mallowbeam.router.rpc.messages_pb2 import GatewayFrame
 
 TICK_S = 1.0  # between two looks at idle connections and counts
-REPORT_S = 0.5  # between two words to the member: demand, and how attempts ended
+REPORT_S = 0.5  # between two reports to the member: demand, and outcomes of attempts
 RESERVED_FDS = 260  # descriptors that are neither a client's nor an instance's connection
 CLIENT_FRACTION = 0.5  # of the other descriptors
 LEAST_CONNECTIONS = 16  # for clients, and for instances
 BUDGET_FRACTION = 0.75  # of the fleet's retry budget that gateways use together
 READINESS_CONNECTIONS = 16
-NOTICE_S = 2.2  # after the word to stop, until the platform sends no new connections
+NOTICE_S = 2.2  # after the signal to stop, until the platform sends no new connections
 NOTICE_FRACTION = 0.35  # of the grace time, that this may take
 EXIT_MARGIN_S = 0.5  # of the grace time, kept for the end itself
 
@@ -102,7 +102,7 @@
         return self.subscriber.ready(time.monotonic()) and not self._context.stopping.is_set()
 
     async def serve(self) -> None:
-        """Serve until told to stop, then finish what is held."""
+        """Serve until signalled to stop, then finish what is pending."""
         loop = asyncio.get_running_loop()
         self.readiness_server.start()
         self.front_server.start()
--- a/mallowbeam/router/data_plane/send_policy.py
+++ b/mallowbeam/router/data_plane/send_policy.py
@@ -1,9 +1,9 @@
-"""Whether one request may be sent (again), and with what it is answered when it is given up.  A pure core.
+"""Retry policy of one request: whether it may be sent (again), and its status when abandoned.  A pure core.
 
-An *arrival* is a request that an instance has received whole or in part.  A prefill call that comes before
-all other arrivals, and is not rejected, is none.  Every arrival after the first is charged to the retry
-budget of its service.  A prompt is therefore read apart only before all arrivals: later the call would take
-the place of an instance that could answer.
+An *arrival* is a request that an instance has received completely or in part.  A prefill call that comes
+before all other arrivals, and is not rejected, is none.  Every arrival after the first is charged to the
+retry budget of its service.  A separate prefill is therefore made only before all arrivals: later the call would
+count against an instance that could answer.
 """
 
 from __future__ import annotations
@@ -69,12 +69,12 @@
             self.may_have_run = True
 
     def broke_off(self, instance: str) -> None:
-        """An answer that had begun to be passed on broke off: it has run there."""
+        """A forwarded answer broke off: the request has run there."""
         self.excluded.add(instance)
         self.may_have_run = True
 
     def prefill_accepted(self, ticket: SendTicket, now: float) -> None:
-        """A prefill call was taken up: one before all arrivals is no arrival."""
+        """A prefill call was accepted: one before all arrivals is no arrival."""
         if ticket.first:
             self._take_back(ticket, now)
 
--- a/mallowbeam/router/pairing/candidates.py
+++ b/mallowbeam/router/pairing/candidates.py
@@ -70,7 +70,9 @@
 
     def __init__(self, settings: PairingSettings, table: InstanceTracker, gateway: str) -> None:
         """The gateway's name salts the choices that should differ among gateways."""
-        self.settings, self.table, self.salt = settings, table, gateway
+        self.settings = settings
+        self.table = table
+        self.salt = gateway
         self.load = FleetLoad()
         self.losses = Losses(settings, table, self.load)
         self.cached_fraction = CachedFraction(settings.unseen_cached_fraction)
--- a/mallowbeam/router/pairing/instances.py
+++ b/mallowbeam/router/pairing/instances.py
@@ -100,8 +100,12 @@
         cycle_s: float,
         kv_capacity: int,
     ) -> None:
-        self.id, self.backend, self.zone = entry.id, entry.backend, entry.zone
-        self.slots, self.stage, self.ready = max(1, entry.slots), entry.stage, False
+        self.id = entry.id
+        self.backend = entry.backend
+        self.zone = entry.zone
+        self.slots = max(1, entry.slots)
+        self.stage = entry.stage
+        self.ready = False
         self.versions: tuple[tuple[str, int], ...] = ()
         self.settings = settings
         self.timer = SlotTimer(slot_time)
@@ -193,7 +197,9 @@
     """All instances by service, stage and zone, with their hash rings."""
 
     def __init__(self, settings: PairingSettings, slot_time: SlotTimeSettings, cycle_s: float) -> None:
-        self.settings, self.slot_time, self.cycle_s = settings, slot_time, cycle_s
+        self.settings = settings
+        self.slot_time = slot_time
+        self.cycle_s = cycle_s
         self.instances: dict[str, TrackedInstance] = {}
         self.rings: dict[tuple[str, str, str], Ring] = {}  # service, stage, zone; zone "" is all of them
         self.capacities: dict[str, int] = {}
--- a/mallowbeam/router/pairing/losses.py
+++ b/mallowbeam/router/pairing/losses.py
@@ -21,7 +21,9 @@
     """The terms of a candidate's loss."""
 
     def __init__(self, settings: PairingSettings, table: InstanceTracker, load: FleetLoad) -> None:
-        self._settings, self._table, self._load = settings, table, load
+        self._settings = settings
+        self._table = table
+        self._load = load
 
     def late(self, first_token_s: float, prompt: Prompt) -> float:
         """By the request's own time to first token, in seconds."""
--- a/mallowbeam/router/pairing/prefill_model.py
+++ b/mallowbeam/router/pairing/prefill_model.py
@@ -43,7 +43,8 @@
     __slots__ = ("first", "at", "weight", "tokens", "time", "spread", "together")
 
     def __init__(self, first: float) -> None:
-        self.first, self.at = first, 0.0
+        self.first = first
+        self.at = 0.0
         self.weight = self.tokens = self.time = 0.0  # sum of weights; weighted means
         self.spread = self.together = 0.0  # weighted squares of tokens, products with time
 
--- a/mallowbeam/router/pairing/stage_balancer.py
+++ b/mallowbeam/router/pairing/stage_balancer.py
@@ -293,7 +293,8 @@
             plan.move(chosen, stage)
             self._pending[chosen.id] = _Pending(stage, now + self._settings.unanswered_s)
             self._orders_at.append(now)
-            self._last_direction, self._last_at = (1 if stage == PREFILL else -1), now
+            self._last_direction = 1 if stage == PREFILL else -1
+            self._last_at = now
             orders.append(StageOrder(chosen.id, chosen.address, stage))
         return orders
 
--- a/mallowbeam/router/pairing/stage_work.py
+++ b/mallowbeam/router/pairing/stage_work.py
@@ -133,7 +133,9 @@
     __slots__ = ("value", "_memory_s", "_empty")
 
     def __init__(self, memory_s: float) -> None:
-        self.value, self._memory_s, self._empty = 0.0, memory_s, True
+        self.value = 0.0
+        self._memory_s = memory_s
+        self._empty = True
 
     def add(self, sample: float, passed: float) -> None:
         """Take a sample that stands for the last `passed` seconds."""
