--- a/tests/support/mixed_fleet.py
+++ b/tests/support/mixed_fleet.py
@@ -18,7 +18,8 @@
 `--quick` stops after the second step.
 
 Checked: every acknowledged configuration is read back at every member, and in force at every gateway; every
-request gets one whole answer; no unsafe request runs twice; no process logs a fault.  The last line is a
+request gets one whole answer; no unsafe request runs twice; no process logs a fault; metrics and status
+pages have the same names in both versions.  The last line is a
 summary in JSON; exit status 1 where something was violated.
 """
 
@@ -117,6 +118,13 @@
     raise TrialFailedError(f"not seen within {patience:g} s: {what}")
 
 
+def keys_of(value: Any) -> set[str]:
+    """The names in an object of a page, or in the first of a list."""
+    if isinstance(value, list):
+        value = value[0] if value else {}
+    return set(value or {})
+
+
 def free_port(ip: str) -> int:
     """A port that nobody uses at an address."""
     with socket.socket() as sock:
@@ -180,6 +188,12 @@
         if number == signal.SIGTERM:
             self.planned_ends.append(code)
 
+    async def shown_names(self) -> dict[str, list[str]]:
+        """Names of its metrics, which operators and their tools go by."""
+        answer = await call(f"{self.ip}:{self.fleet.metrics_port}", "GET", "/metrics")
+        lines = answer.body.decode().splitlines()
+        return {"metrics": sorted({line.split()[2] for line in lines if line.startswith("# TYPE")})}
+
     def swap(self) -> None:
         """From its next start on it is of the other version."""
         self.version = NEW if self.version == OLD else OLD
@@ -200,6 +214,14 @@
         """Where its control API is."""
         return f"{self.ip}:{self.fleet.control_port}"
 
+    async def shown_names(self) -> dict[str, list[str]]:
+        """Names on its pages, and loggers in its log."""
+        page = await self.status() or {}
+        rows = {
+            f"{name}.{key}" for name in ("member", "members", "instances") for key in keys_of(page.get(name))
+        }
+        return {"status": sorted({*page, *rows}), **await super().shown_names()}
+
     def settings(self) -> list[str]:
         """The lines of its settings file."""
         seeds = [member.control for member in self.fleet.members]
@@ -217,6 +239,7 @@
             "counts_for_quorum = true",
             f'data_dir = "{self.folder / "disk"}"',
             f"heartbeat_ms = {HEARTBEAT_MS}",
+            f'metrics = "{self.fleet.metrics_port}/metrics"',
             "[bind_addresses]",
             f'control = "{self.control}"',
             "[limits]",
@@ -265,6 +288,7 @@
             'region = "r"',
             f"port_range = [{self.fleet.peer_port}, {self.fleet.peer_port}]",
             f"seeds = {json.dumps(seeds)}",
+            f'metrics = "{self.fleet.metrics_port}/metrics"',
             "[bind_addresses]",
             f'front = "{self.front}"',
             f'readiness = "{self.ip}:{self.fleet.control_port}"',
@@ -359,7 +383,9 @@
         self.folder = Path(tempfile.mkdtemp(prefix="mallowbeam-mixed-"))
         self.subnet = os.getpid() % 190 + 60
         ip = f"127.{self.subnet}.1.1"
-        self.control_port, self.peer_port, self.front_port = (free_port(ip) for _ in range(3))
+        self.control_port, self.peer_port, self.front_port, self.metrics_port = (
+            free_port(ip) for _ in range(4)
+        )
         self.members: list[Member] = []
         self.gateways: list[Gateway] = []
         for number in range(MEMBERS):
@@ -540,6 +566,15 @@
                 await until(f"revision {self.revision} at {gateway.name}", in_force)
             self.adoption_s = max(self.adoption_s, time.monotonic() - began)
 
+    async def check_names(self) -> None:
+        """Pages and metrics have the same names in both versions."""
+        for processes in (self.members, self.gateways):
+            names = {process.version: await process.shown_names() for process in processes}
+            for page, old in names[OLD].items():
+                if (new := names[NEW][page]) != old or not old:
+                    self.violations.append(f"{processes[0].role}, {page}: {old} and {new}")
+                self.counts[f"names of {processes[0].role} {page}"] = len(old)
+
     async def _at_all_members(self) -> bool:
         bodies = {await member.configuration() for member in self.members}
         return len(bodies) == 1 and json.loads(bodies.pop() or b"{}").get("revision") == self.revision
@@ -714,6 +749,7 @@
         for gateway in fleet.gateways:
             await until(f"{gateway.name} ready", gateway.look)
         tasks.create_task(fleet.clients(stopping))
+        await fleet.check_names()
         await (quick_steps if quick else all_steps)(fleet, first_leader)
         await fleet.everywhere()
         stopping.set()
--- a/tests/support/mixed_storage_gateways.py
+++ b/tests/support/mixed_storage_gateways.py
@@ -43,7 +43,18 @@
 from mallowbeam.standins.discovery import Discovery, member
 from mallowbeam.standins.node import ObjectNode
 
+OWN_IP = f"127.{os.getpid() % 190 + 60}.3.1"  # no other process's ports are there
 SHARDS = (0, 1, 0)  # of the nodes
+KEYED_BY_NAME = (
+    ".links",
+    ".hosted",
+    ".machines",
+    ".tenants",
+    ".nodes",
+    ".stopped",
+    ".gateways",
+    ".resources",
+)
 FAULT_WORDS = ("unforeseen", "Traceback", "no handover", "can't be understood", "ERROR", "CRITICAL")
 END_S = 15.0  # seconds for a process to answer what it holds; the longest deadline is three
 ANSWER_S = 10.0  # seconds for an answer
@@ -52,13 +63,24 @@
 BUFFERED_BYTES = 64 << 20
 
 
+def names_in(value: Any, path: str = "") -> list[str]:
+    """All names in a page's JSON, each with those above it; keys that name a thing of the trial's as `*`."""
+    if not isinstance(value, dict):
+        return []
+    found = []
+    for name, inner in value.items():
+        here = f"{path}.{'*' if path.endswith(KEYED_BY_NAME) else name}"
+        found += [here, *names_in(inner, here)]
+    return sorted(set(found))
+
+
 class StorageGateway:
     """The processes of one gateway: its files, and whichever of its versions run."""
 
     def __init__(self, folder: Path, name: str, code: dict[str, Path], discovery: Discovery) -> None:
         self.folder, self.name, self.code, self.discovery = folder / name, name, code, discovery
         self.folder.mkdir(parents=True)
-        self.listen = f"127.0.0.1:{free_port('127.0.0.1')}"
+        self.listen = f"{OWN_IP}:{free_port(OWN_IP)}"
         self.fronts: dict[str, Any] = {}
         self.processes: list[tuple[str, subprocess.Popen[bytes], Path]] = []
 
@@ -175,7 +197,7 @@
         super().__init__(code, seed)
         self.name = f"hand-over, write buffer {'on' if buffered else 'off'}"
         self.gateway = self.add("upgraded")
-        self.objects = f"127.0.0.1:{free_port('127.0.0.1')}"
+        self.objects = f"{OWN_IP}:{free_port(OWN_IP)}"
         self.gateway.fronts = {
             "objects": {
                 "listen": self.objects,
@@ -199,6 +221,7 @@
         self.gateway.write_files()
         self.stored: dict[str, bytes] = {}
         self.written: list[tuple[int, int]] = []  # keys and their shards
+        self.figures: dict[str, list[str]] = {}  # names of the figures for operators, by version
         self.asked = 0
 
     async def run(self, steps: int) -> None:
@@ -223,7 +246,7 @@
 
     async def upgrade(self, version: str) -> str:
         """Start a process; it is ready, and the one before it has ended. Its door for operators."""
-        admin = f"127.0.0.1:{free_port('127.0.0.1')}"
+        admin = f"{OWN_IP}:{free_port(OWN_IP)}"
         self.gateway.start(version, admin)
 
         async def ready() -> bool:
@@ -234,6 +257,9 @@
             before, process, _ = self.gateway.processes[-2]
             self.counts[f"hand-over {before} to {version}"] += 1
             await self.check_end(before, process)
+        lines = (await call(admin, "GET", "/_vars")).body.decode().splitlines()
+        if "app_buffer_opening 1" not in lines:  # until it is open the buffer has that figure alone
+            self.figures[version] = sorted({line.rpartition(" ")[0] for line in lines})
         return admin
 
     async def check_end(self, version: str, process: subprocess.Popen[bytes]) -> None:
@@ -324,8 +350,11 @@
         self.counts["objects read back"] = len(self.stored)
 
     def check_sent(self) -> None:
-        """Each hand-over was one, as the old process says; a node out by hand got nothing from any."""
+        """Each hand-over was one, a node out by hand got nothing, and both versions have the same figures."""
         self.counts["requests at the node out by hand"] = len(self.nodes[OUT_BY_HAND].store.history)
+        if len({tuple(names) for names in self.figures.values()}) > 1:
+            self.violations.append(f"figures: {self.figures}")
+        self.counts["versions whose figures were seen"] = len(self.figures)
         if runs := self.nodes[OUT_BY_HAND].store.runs:
             self.violations.append(f"sent to a node that is out by hand: {runs[:3]}")
         for version, _, log in self.gateway.processes[:-1]:
@@ -344,8 +373,8 @@
     def __init__(self, code: dict[str, Path], seed: int) -> None:
         super().__init__(code, seed)
         names = ("g0", "g1", "g2")
-        ports = {name: free_port("127.0.0.1") for name in names}
-        self.pages = {name: f"127.0.0.1:{free_port('127.0.0.1')}" for name in names}
+        ports = {name: free_port(OWN_IP) for name in names}
+        self.pages = {name: f"{OWN_IP}:{free_port(OWN_IP)}" for name in names}
         self.by_name = {name: self.add(name) for name in names}
         for name, gateway in self.by_name.items():
             gateway.fronts = {
@@ -353,7 +382,7 @@
                     "folder": str(gateway.folder / "log"),
                     "name": name,
                     "listen": self.pages[name],
-                    "members": {other: f"127.0.0.1:{port}" for other, port in ports.items()},
+                    "members": {other: f"{OWN_IP}:{port}" for other, port in ports.items()},
                     "beat_s": 0.1,
                     "lease_s": 1.5,
                 },
@@ -383,6 +412,7 @@
                 await self.push(name)
                 await self.everywhere()
         await self.same_states()
+        await self.same_names()
 
     async def page(self, name: str, path: str = "/policy") -> dict[str, Any] | None:
         """A page of a gateway; None where it gives none."""
@@ -466,6 +496,20 @@
         await self.everywhere()
         self.counts[f"learned anew as {gateway.version}"] += 1
 
+    async def same_names(self) -> None:
+        """The pages and figures have the same names at both versions."""
+        shown: dict[str, dict[str, list[str]]] = {}
+        for name, gateway in self.by_name.items():
+            metrics = (await call(self.pages[name], "GET", "/fleet/metrics")).body.decode().splitlines()
+            lines = [line.split()[2] for line in metrics if line.startswith("# TYPE")]
+            pages = [await self.page(name), await self.page(name, "/fleet")]
+            policy, fleet = [names_in(page) for page in pages]
+            shown[gateway.version] = {"metrics": sorted(lines), "policy": policy, "fleet": fleet}
+        for page, old in shown[OLD].items():
+            if (new := shown[NEW][page]) != old or not old:
+                self.violations.append(f"{page}: {old} and {new}")
+            self.counts[f"names on {page}"] = len(old)
+
     async def same_states(self) -> None:
         """All show the same machines, order and shares' epoch, once nothing is under way."""
 
