--- a/mallowbeam/router/control_plane/attempt_reports.py
+++ b/mallowbeam/router/control_plane/attempt_reports.py
@@ -40,6 +40,6 @@
             gossip.attempts.extend(messages_of(self.gateways.sums(now), MOST_INSTANCES_PER_SOURCE))
 
     def for_gateways(self, now: float) -> list[InstanceAttempts]:
-        """Sums over the whole fleet, of instances with failures."""
+        """Sums over all gateways, of instances with failures."""
         fleet = add_sums((self.gateways.sums(now), self._members.sums(now)))
         return messages_of(failing(fleet), MOST_REPORTED)
--- a/mallowbeam/router/control_plane/body_admission.py
+++ b/mallowbeam/router/control_plane/body_admission.py
@@ -77,7 +77,7 @@
         self._busy = True
         job = asyncio.ensure_future(self._run_job(prepare))
         job.add_done_callback(self._ended)
-        # A cancelled caller does not end the thread: the slot stays taken until the job has ended.
+        # A cancelled caller does not end the thread: the slot stays in use until the job has ended.
         prepared = await asyncio.shield(job)
         if prepared.parser is not None:
             self._parser.adopt(prepared.parser)
--- a/mallowbeam/router/control_plane/bootstrap.py
+++ b/mallowbeam/router/control_plane/bootstrap.py
@@ -1,8 +1,8 @@
 """How a member comes to its identity and first state: a pure core.
 
 The seeds of the system's first start derive their ids from their addresses, so that all of them write the
-same first membership without a word. Every other member draws an id and starts with an empty snapshot: it
-learns of the membership from the leader that takes it in.
+same first membership without communication. Every other member draws an id and starts with an empty snapshot:
+it learns of the membership from the leader that takes it in.
 """
 
 from __future__ import annotations
--- a/mallowbeam/router/control_plane/command_forwarder.py
+++ b/mallowbeam/router/control_plane/command_forwarder.py
@@ -141,8 +141,10 @@
         error = done.exception()
         if error is None:
             outcome = done.result()
-            response.status, response.result = APPLIED, outcome.result
-            response.index, response.token = outcome.index, outcome.token
+            response.status = APPLIED
+            response.result = outcome.result
+            response.index = outcome.index
+            response.token = outcome.token
         else:
             response.status = _status_of(error)
         self._links.send(sender, PeerFrame(propose_response=response))
@@ -152,7 +154,8 @@
             return
         response = ReadIndexResponse(id=request_id)
         if done.exception() is None:
-            response.confirmed, response.index = True, done.result()
+            response.confirmed = True
+            response.index = done.result()
         self._links.send(sender, PeerFrame(read_index_response=response))
 
     # ------------------------------------------------------------ attempts
@@ -246,8 +249,8 @@
     def allows_attempt(self, leader: int | None) -> bool:
         """Whether there is time for one more attempt."""
         now = time.monotonic()
-        first, self._first = self._first, False
-        if first:
+        if self._first:
+            self._first = False
             return True
         if now >= self._deadline:
             return False
--- a/mallowbeam/router/control_plane/member_cycle.py
+++ b/mallowbeam/router/control_plane/member_cycle.py
@@ -48,7 +48,8 @@
 
     def _wake(self) -> None:
         """Run what is due, and set the timer for the next."""
-        self._timer, self._timer_at = None, inf
+        self._timer = None
+        self._timer_at = inf
         parts = self._parts
         now = time.monotonic()
         due_until = now + COALESCING_S
--- a/mallowbeam/router/control_plane/membership_policy.py
+++ b/mallowbeam/router/control_plane/membership_policy.py
@@ -123,12 +123,22 @@
     remaining = [known for known in membership.members if known.voter or known.address != joiner.address]
     if len(remaining) >= MAX_MEMBERS:
         return None
+    target = membership.target_voters
+    if request.first_start and not _contains_address(membership, joiner.address):
+        target += 1
+    return Membership(members=[*remaining, _learner(joiner)], target_voters=target)
+
+
+def _contains_address(membership: Membership, address: str) -> bool:
+    return any(known.address == address for known in membership.members)
+
+
+def _learner(joiner: Member) -> Member:
+    """A joiner as a member that does not vote."""
     learner = Member()
     learner.CopyFrom(joiner)
     learner.voter = False
-    is_new_address = all(known.address != joiner.address for known in membership.members)
-    target = membership.target_voters + (1 if request.first_start and is_new_address else 0)
-    return Membership(members=[*remaining, learner], target_voters=target)
+    return learner
 
 
 def next_membership(view: ClusterView) -> Membership | None:
--- a/mallowbeam/router/control_plane/peer_links.py
+++ b/mallowbeam/router/control_plane/peer_links.py
@@ -91,8 +91,10 @@
                 await asyncio.sleep(self._backoff_s)
                 self._backoff_s = min(2 * self._backoff_s, MAX_BACKOFF_S)
                 continue
-            self._connection, self._opened_at = connection, self._loop.time()
-            self._introduced, self._connecting = False, None
+            self._connection = connection
+            self._opened_at = self._loop.time()
+            self._introduced = False
+            self._connecting = None
             if not connection.open:  # closed in the step in which it was made
                 self._reconnect()
             return
@@ -157,7 +159,8 @@
         if link is None:
             return False
         self._count_partial_frames(recipient, link)
-        frame.sender, frame.recipient = self.own.id, recipient
+        frame.sender = self.own.id
+        frame.recipient = recipient
         return link.send(frame)
 
     def _count_partial_frames(self, member_id: int, link: PeerLink) -> None:
--- a/mallowbeam/router/control_plane/raft_driver.py
+++ b/mallowbeam/router/control_plane/raft_driver.py
@@ -345,7 +345,8 @@
             )
 
     def _timer_fired(self) -> None:
-        self._timer, self._timer_at = None, inf
+        self._timer = None
+        self._timer_at = inf
         self._wake()
 
 
--- a/mallowbeam/router/control_plane/response_gate.py
+++ b/mallowbeam/router/control_plane/response_gate.py
@@ -36,7 +36,7 @@
     HEARTBEAT_ACKNOWLEDGED = "heartbeat_acknowledged"
     RETIREMENT_ACKNOWLEDGED = "retirement_acknowledged"  # of `draining` and DELETE, by an entry of this call
     RETIREMENT_KNOWN = "retirement_known"  # likewise, of one that was applied here before
-    FEED_CONFIGURATION = "feed_configuration"  # whole or as a change
+    FEED_CONFIGURATION = "feed_configuration"  # full or incremental
     FEED_TABLE = "feed_table"  # all instances
     FEED_INSTANCE_CHANGES = "feed_instance_changes"  # to gateways that have this member's table
     FEED_HEARTBEAT = "feed_heartbeat"
--- a/mallowbeam/router/control_plane/stage_order_client.py
+++ b/mallowbeam/router/control_plane/stage_order_client.py
@@ -72,7 +72,7 @@
 
 
 async def _post(link: Link, order: StageOrder, member_id: int, token: int) -> int:
-    """Write the order and read its whole response; the response's status."""
+    """Write the order and read the complete response; its status."""
     body = json.dumps(
         {"op": "stage", "stage": order.stage, "holder": f"{member_id:016x}", "fencing_token": token}
     ).encode()
--- a/mallowbeam/router/control_plane/state_machine.py
+++ b/mallowbeam/router/control_plane/state_machine.py
@@ -66,7 +66,7 @@
         return result
 
     def save(self) -> bytes:
-        """The whole state, as it goes into a snapshot."""
+        """The complete state, encoded for a snapshot."""
         state = ReplicatedState()
         self.configurations.save(state)
         self.retirements.save(state)
@@ -75,7 +75,7 @@
         return saved
 
     def restore(self, saved: bytes) -> None:
-        """Replace the whole state by that of a snapshot."""
+        """Replace the state by that of a snapshot."""
         state = ReplicatedState.FromString(saved)
         self.configurations.restore(state)
         self.retirements.restore(state)
--- a/mallowbeam/router/control_plane/status_page.py
+++ b/mallowbeam/router/control_plane/status_page.py
@@ -41,7 +41,8 @@
 
     def write(self) -> bytes:
         """The page as encoded JSON; its keys are read by the command line and by operators."""
-        node, own = self._driver.node, self._links.own
+        node = self._driver.node
+        own = self._links.own
         page = {
             "member": {"id": name(own.id), "address": own.address, "control": own.control, "zone": own.zone},
             "leader": name(node.leader_id) if node.leader_id is not None else None,
--- a/mallowbeam/router/control_plane/wait_conditions.py
+++ b/mallowbeam/router/control_plane/wait_conditions.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import heapq
-from collections.abc import Iterator
 
 
 class AppliedIndexWaiters:
@@ -47,13 +46,11 @@
 
     def notify(self) -> None:
         """Wake all tasks that wait."""
-        for answer in self._pop_all():
+        waiting = self._waiting
+        self._waiting = {}
+        for answer in waiting:
             if not answer.done():
                 answer.set_result(None)
 
-    def _pop_all(self) -> Iterator[asyncio.Future[None]]:
-        waiting, self._waiting = self._waiting, {}
-        return iter(waiting)
-
     def _forget(self, answer: asyncio.Future[None]) -> None:
         self._waiting.pop(answer, None)
--- a/mallowbeam/router/processes/settings.py
+++ b/mallowbeam/router/processes/settings.py
@@ -242,14 +242,14 @@
         return tuple(value)
 
     def number(self, key: str, default: float) -> float:
-        """A number that is not negative."""
+        """A non-negative number."""
         value = self._table.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < float("inf"):
             raise self._error(key, "must be a number, 0 or above")
         return float(value)
 
     def integer(self, key: str, default: int) -> int:
-        """A whole number that is not negative."""
+        """A non-negative integer."""
         value = self.number(key, default)
         if value != int(value):
             raise self._error(key, "must be a whole number")
@@ -301,7 +301,7 @@
         return _Section(value, f"{self._path}{key}.")
 
     def text_map(self) -> Mapping[str, str]:
-        """The whole table as texts by key."""
+        """All values of the table as texts, by key."""
         return MappingProxyType({key: self.text(key, "") for key in self._table})
 
     def _checked_address(self, key: str, value: str) -> str:
--- a/tests/router/processes/test_processes_main.py
+++ b/tests/router/processes/test_processes_main.py
@@ -2,15 +2,12 @@
 
 from __future__ import annotations
 
-import os
 import subprocess
-import sys
 import textwrap
 import unittest
 
-from project_paths import ROOT
+from run_python import run_python
 
-MOST_S = 30.0
 PROGRAM = textwrap.dedent("""
     import signal, sys, types
     def stand_in(name, code):
@@ -31,17 +28,7 @@
 
 class Dispatch(unittest.TestCase):
     def run_main(self, argument: str) -> subprocess.CompletedProcess[str]:
-        environment = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}
-        program = PROGRAM.format(argument=argument)
-        return subprocess.run(
-            [sys.executable, "-c", program],
-            cwd=ROOT,
-            env=environment,
-            capture_output=True,
-            text=True,
-            timeout=MOST_S,
-            check=False,
-        )
+        return run_python(PROGRAM.format(argument=argument))
 
     def test_each_role_is_loaded_alone_with_hangups_pending(self):
         for argument, module, code in (
--- a/tests/router/processes/test_processes_role.py
+++ b/tests/router/processes/test_processes_role.py
@@ -4,13 +4,12 @@
 
 import os
 import subprocess
-import sys
 import tempfile
 import textwrap
 import unittest
 from pathlib import Path
 
-from project_paths import ROOT
+from run_python import run_python
 
 from mallowbeam.router.processes.role import RoleContext, file_signature
 from mallowbeam.router.processes.settings import read_settings
@@ -25,7 +24,6 @@
 port_range = [7000, 7001]
 heartbeat_ms = {}
 """
-MOST_S = 30.0  # for a whole process; none waits for it
 
 
 class WithFile(unittest.TestCase):
@@ -117,16 +115,7 @@
         return self.run_text(program)
 
     def run_text(self, program: str) -> subprocess.CompletedProcess[str]:
-        environment = {**os.environ, "MALLOWBEAM_NODE_FILE": str(self.path), "PYTHONDONTWRITEBYTECODE": "1"}
-        return subprocess.run(
-            [sys.executable, "-c", program],
-            cwd=ROOT,
-            env=environment,
-            capture_output=True,
-            text=True,
-            timeout=MOST_S,
-            check=False,
-        )
+        return run_python(program, MALLOWBEAM_NODE_FILE=str(self.path))
 
     def test_each_stop_signal_ends_it_as_planned(self):
         for name in ("SIGTERM", "SIGINT"):
