--- a/mallowbeam/router/consensus/follower.py
+++ b/mallowbeam/router/consensus/follower.py
@@ -38,17 +38,12 @@
 
     # ------------------------------------------------------------ appends
 
-    def handle_append(self, leader: int, request: AppendRequest) -> None:
-        """Process an append of the current leader.
+    def append(self, leader: int, request: AppendRequest) -> None:
+        """Append entries and acknowledge them, or reject them with a hint for the next index (Raft §5.3).
 
         Raises:
-            DivergedError: the leader's log conflicts with an entry that is committed here.
+            DivergedError: one of the entries conflicts with an entry that is committed here.
         """
-        self._check_not_diverged(request)
-        self.append(leader, request)
-
-    def append(self, leader: int, request: AppendRequest) -> None:
-        """Append entries and acknowledge them, or reject them with a hint for the next index (Raft §5.3)."""
         state = self._state
         self._check_contact_gap()
         state.record_leader_contact(leader)
@@ -67,10 +62,13 @@
             state.current_as_of = state.now
         self._acknowledge(leader, last, request.round, wait_for_write=bool(request.entries))
 
-    def _check_not_diverged(self, request: AppendRequest) -> None:
-        """Raise DivergedError if the leader's log differs at an index that is committed here.
+    def check_not_diverged(self, request: AppendRequest) -> None:
+        """Check that the leader's log does not differ at an index that is committed here.
 
         A rejection would make the leader search further back for a matching entry, which does not exist.
+
+        Raises:
+            DivergedError: the entry before the request's conflicts with one that is committed here.
         """
         log = self._state.log
         previous = request.previous_index
--- a/mallowbeam/router/consensus/leadership_transfer.py
+++ b/mallowbeam/router/consensus/leadership_transfer.py
@@ -12,13 +12,13 @@
 
 
 class LeadershipTransfer:
-    """At most one transfer at a time; it is given up after an election timeout."""
+    """At most one transfer at a time, which times out after an election timeout."""
 
     def __init__(self, state: MemberState, progress: Mapping[int, Progress]) -> None:
         self._state = state
         self._progress = progress
         self.target: int | None = None  # id of the voter that is to take over
-        self.deadline = inf  # time in seconds at which the transfer is given up
+        self.deadline = inf  # time in seconds at which the transfer times out
 
     def start(self, member_id: int | None) -> None:
         """Start a transfer to a voter, or to the most advanced one for None.
@@ -44,7 +44,7 @@
         return True
 
     def cancel(self) -> None:
-        """Give the transfer up, if there is one."""
+        """Abort the transfer, if there is one."""
         self.target = None
         self.deadline = inf
 
--- a/mallowbeam/router/consensus/node.py
+++ b/mallowbeam/router/consensus/node.py
@@ -214,7 +214,8 @@
 
     def _append_request(self, sender: int, request: AppendRequest) -> None:
         if self._follower.accepts_leader(sender, request.term, request.round):
-            self._follower.handle_append(sender, request)
+            self._follower.check_not_diverged(request)
+            self._follower.append(sender, request)
 
     def _snapshot_request(self, sender: int, request: SnapshotRequest) -> None:
         if self._follower.accepts_leader(sender, request.term, request.round):
--- a/mallowbeam/router/consensus/replication.py
+++ b/mallowbeam/router/consensus/replication.py
@@ -34,7 +34,8 @@
             self._start_chunks(member_id, progress, snapshot, round_number)
         if self._lacks_entries(progress):
             return
-        self._send_entries(member_id, progress, round_number)
+        if progress.next_index <= self._state.log.last_index:
+            self._send_entries(member_id, progress, round_number)
         commit_is_new = progress.sent_commit_index < self._state.commit_index
         if progress.state is ProgressState.REPLICATE and commit_is_new:
             self._append(member_id, progress, progress.next_index - 1, (), round_number)
--- a/tests/router/consensus/test_consensus_durable.py
+++ b/tests/router/consensus/test_consensus_durable.py
@@ -14,14 +14,14 @@
 class Durable(unittest.TestCase):
     """Nothing is said before what it rests on is durable."""
 
-    def test_entries_are_confirmed_after_their_write(self) -> None:
+    def test_entries_are_acknowledged_after_their_write(self) -> None:
         host = Host()
         output = host.append(2, 1, (1, 1), entry(2, 1))
         self.assertEqual(output.send, [])
         (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual((response.success, response.match_index), (True, 2))
 
-    def test_heartbeat_is_answered_at_once_with_what_is_durable(self) -> None:
+    def test_heartbeat_response_covers_only_durable_entries(self) -> None:
         host = Host()
         host.append(2, 1, (1, 1), entry(2, 1))
         (response,) = bodies(host.append(2, 1, (2, 1), round_number=7).send, "append_response")
@@ -30,14 +30,14 @@
         (response,) = bodies(host.append(2, 1, (2, 1)).send, "append_response")
         self.assertEqual(response.match_index, 2)
 
-    def test_same_entries_again_wait_for_the_write_under_way(self) -> None:
+    def test_repeated_entries_wait_for_the_write_in_flight(self) -> None:
         host = Host()
         host.append(2, 1, (1, 1), entry(2, 1))
         output = host.append(2, 1, (1, 1), entry(2, 1))
         self.assertEqual(output.send, [])
         self.assertEqual((output.write.entries, len(output.write.send_when_durable)), ((), 1))
 
-    def test_adopted_term_is_durable_before_an_answer(self) -> None:
+    def test_adopted_term_is_durable_before_a_response(self) -> None:
         host = Host()
         output = host.append(2, 5, (1, 1))
         self.assertEqual(output.send, [])
@@ -51,7 +51,7 @@
         (response,) = bodies(output.write.send_when_durable, "vote_response")
         self.assertTrue(response.granted)
 
-    def test_candidate_asks_once_its_own_vote_is_durable(self) -> None:
+    def test_candidate_requests_votes_once_its_own_is_durable(self) -> None:
         host = Host()
         host.tick(1.0)
         vote = VoteResponse(term=2, granted=True, pre_vote=True)
@@ -60,7 +60,7 @@
         self.assertEqual(output.write.hard_state, HardState(2, OWN))
         self.assertEqual(len(bodies(output.write.send_when_durable, "vote_request")), 2)
 
-    def test_write_under_way_does_not_confirm_dropped_entries(self) -> None:
+    def test_write_in_flight_does_not_acknowledge_truncated_entries(self) -> None:
         host = Host()
         host.append(2, 1, (1, 1), entry(2, 1), entry(3, 1))
         output = host.append(3, 2, (2, 1), entry(3, 2))
@@ -91,7 +91,7 @@
         host.confirm(3, proposal.index)
         self.assertEqual(host.node.commit_index, proposal.index)
 
-    def test_proposals_go_out_together(self) -> None:
+    def test_proposals_are_batched(self) -> None:
         host = Host()
         host.lead()
         for payload in (b"a", b"b", b"c"):
--- a/tests/router/consensus/test_consensus_elections.py
+++ b/tests/router/consensus/test_consensus_elections.py
@@ -30,7 +30,7 @@
             host.tick(9.0)
             self.assertEqual((host.node.role, host.node.is_voter), (Role.FOLLOWER, False))
 
-    def test_live_leader_keeps_votes_away(self) -> None:
+    def test_no_votes_while_the_leader_is_live(self) -> None:
         host = Host()
         host.append(2, 1, (1, 1))
         request = VoteRequest(term=2, last_index=9, last_term=1)
@@ -44,7 +44,7 @@
         request = VoteRequest(term=2, last_index=9, last_term=1)
         self.assertEqual(host.receive(3, vote_request=request).write.hard_state, HardState(2, 3))
 
-    def test_transfer_goes_before_a_live_leader(self) -> None:
+    def test_transfer_overrides_a_live_leader(self) -> None:
         host = Host()
         host.append(2, 1, (1, 1))
         request = VoteRequest(term=2, last_index=9, last_term=1, transfer=True)
@@ -59,14 +59,14 @@
             (response,) = bodies(output.send, "vote_response")
             self.assertEqual(response.granted, granted)
 
-    def test_shorter_log_gets_no_vote(self) -> None:
+    def test_outdated_log_gets_no_vote(self) -> None:
         host = Host(entries=(entry(2, 1), entry(3, 2)), term=2)
         for last_index, last_term, granted in ((9, 1, False), (2, 2, False), (3, 2, True)):
             request = VoteRequest(term=3, last_index=last_index, last_term=last_term, pre_vote=True)
             (response,) = bodies(host.receive(2, vote_request=request).send, "vote_response")
             self.assertEqual(response.granted, granted)
 
-    def test_sender_outside_the_membership_is_answered(self) -> None:
+    def test_sender_outside_the_membership_gets_a_response(self) -> None:
         host = Host()
         output = host.receive(77, vote_request=VoteRequest(term=2, last_index=1, last_term=1))
         (response,) = bodies(output.write.send_when_durable, "vote_response")
@@ -82,7 +82,7 @@
         host.receive(77, vote_response=VoteResponse(term=2, granted=True, pre_vote=True))
         self.assertEqual(host.node.role, Role.PRE_CANDIDATE)
 
-    def test_pre_vote_leaves_the_term(self) -> None:
+    def test_pre_vote_does_not_change_the_term(self) -> None:
         host = Host()
         output = host.tick(1.0)
         self.assertEqual((host.node.role, host.node.term, output.write), (Role.PRE_CANDIDATE, 1, None))
@@ -108,7 +108,7 @@
         host.tick(1.0)
         self.assertEqual(host.node.role, Role.PRE_CANDIDATE)
 
-    def test_old_leader_is_told_of_the_term(self) -> None:
+    def test_stale_leader_is_notified_of_the_term(self) -> None:
         host = Host(term=4)
         (response,) = bodies(host.append(2, 3, (1, 1)).send, "append_response")
         self.assertEqual((response.success, response.term), (False, 4))
--- a/tests/router/consensus/test_consensus_freshness.py
+++ b/tests/router/consensus/test_consensus_freshness.py
@@ -11,14 +11,14 @@
 
 
 class Freshness(unittest.TestCase):
-    def test_a_leader_that_committed_nothing_in_its_term_tells_nothing_of_what_is_current(self) -> None:
+    def test_follower_is_not_current_before_a_commit_of_the_leaders_term(self) -> None:
         """After a restart of all, its commit index is far below what was acknowledged before."""
         host = Host(entries=(entry(2, 1), entry(3, 1)), term=2)
         self.heartbeats(host, (3, 1), commit=1)
         self.assertEqual(host.node.commit_index, 1)
         self.assertTrue(isinf(host.node.freshness(host.now)))
 
-    def test_a_leader_that_committed_in_its_term_does(self) -> None:
+    def test_follower_is_current_after_a_commit_of_the_leaders_term(self) -> None:
         host = Host(entries=(entry(2, 1), entry(3, 2)), term=2)
         self.heartbeats(host, (3, 2), commit=3)
         self.assertEqual(host.node.commit_index, 3)
--- a/tests/router/consensus/test_consensus_leading.py
+++ b/tests/router/consensus/test_consensus_leading.py
@@ -21,7 +21,7 @@
 class Leading(unittest.TestCase):
     """What a leader does beside replication."""
 
-    def test_silent_majority_ends_leadership(self) -> None:
+    def test_leader_steps_down_without_a_majority(self) -> None:
         host = Host()
         host.lead()
         host.tick(0.7)
@@ -29,7 +29,7 @@
         host.tick(0.2)
         self.assertEqual(host.node.role, Role.FOLLOWER)
 
-    def test_stalled_write_hands_over_to_the_most_advanced(self) -> None:
+    def test_stalled_write_transfers_to_the_most_advanced(self) -> None:
         host = Host()
         host.lead()
         proposal = host.node.propose(b"a", host.now)
@@ -55,7 +55,7 @@
         self.assertEqual(bodies(host.output().send, "timeout_now"), [])
         self.assertEqual(len(bodies(host.confirm(3, 3).send, "timeout_now")), 1)
 
-    def test_transfer_is_given_up(self) -> None:
+    def test_transfer_times_out(self) -> None:
         host = Host()
         host.lead()
         host.node.propose(b"a", host.now)
@@ -72,7 +72,7 @@
             with self.assertRaises(TransferError):
                 host.node.transfer_leadership(target, host.now)
 
-    def test_refusals(self) -> None:
+    def test_calls_rejected_by_a_follower(self) -> None:
         host = Host()
         host.append(2, 1, (1, 1))
         for call in (
@@ -84,7 +84,7 @@
                 call()
             self.assertEqual(caught.exception.leader_id, 2)
 
-    def test_uncommitted_entries_are_bounded(self) -> None:
+    def test_uncommitted_entries_are_limited(self) -> None:
         host = Host(max_uncommitted_entries=3)
         host.lead()
         for _ in range(3):
@@ -111,7 +111,7 @@
 class Reads(unittest.TestCase):
     """Read index."""
 
-    def test_refused_where_not_leading(self) -> None:
+    def test_not_confirmed_by_a_follower(self) -> None:
         host = Host()
         host.node.read(5, host.now)
         (result,) = host.output().reads
@@ -132,7 +132,7 @@
             [(5, True, 2), (6, True, 2)],
         )
 
-    def test_refusal_of_entries_confirms_a_round(self) -> None:
+    def test_rejected_append_confirms_a_round(self) -> None:
         host = Host()
         host.lead()
         host.node.read(5, host.now)
@@ -149,7 +149,7 @@
         (result,) = host.confirm(2, 2, round_number=9).reads
         self.assertEqual((result.confirmed, result.index), (True, 2))
 
-    def test_refused_when_leadership_ends(self) -> None:
+    def test_not_confirmed_when_leadership_ends(self) -> None:
         host = Host()
         host.lead()
         host.node.read(5, host.now)
@@ -157,7 +157,7 @@
         (result,) = host.tick(1.0).reads
         self.assertEqual((result.read_id, result.confirmed), (5, False))
 
-    def test_bounded(self) -> None:
+    def test_pending_reads_are_limited(self) -> None:
         host = Host(max_pending_reads=1)
         host.lead()
         host.node.read(5, host.now)
@@ -190,7 +190,7 @@
         host.append(3, 2, (1, 1), commit=1)  # a leader that committed nothing yet
         self.assertAlmostEqual(host.node.freshness(host.now), 0.2)
 
-    def test_freshness_after_a_freeze(self) -> None:
+    def test_freshness_after_a_suspension(self) -> None:
         host = Host()
         for _ in range(3):
             host.now += 0.1
@@ -206,7 +206,7 @@
 class Changes(unittest.TestCase):
     """Membership changes."""
 
-    def test_refused_changes(self) -> None:
+    def test_rejected_changes(self) -> None:
         host = Host(learners=2)
         host.lead(commit=False)
         with self.assertRaisesRegex(MembershipChangeError, "of this term"):
@@ -222,7 +222,7 @@
         with self.assertRaisesRegex(MembershipChangeError, "pending"):
             host.node.change_membership(membership(3), host.now)
 
-    def test_voters_out_of_touch(self) -> None:
+    def test_inactive_voters_are_rejected(self) -> None:
         host = Host()
         host.lead()
         without_2 = Membership(members=[Member(id=1, voter=True), Member(id=3, voter=True)])
--- a/tests/router/consensus/test_consensus_quorum.py
+++ b/tests/router/consensus/test_consensus_quorum.py
@@ -66,7 +66,7 @@
         check_change(four, replaced(four, [1], [5]))
         check_change(four, replaced(four, [1, 2, 3], [5, 6, 7]))
 
-    def test_never_more_voters_than_places(self) -> None:
+    def test_never_more_voters_than_the_target(self) -> None:
         three = membership(3, 1)
         self.refused(three, membership(4, 0, target=3), "places")
         grown = joint_change(three, membership(4, 0, target=3))
@@ -193,7 +193,7 @@
         self.assertIs(host.node.role, Role.FOLLOWER)
         self.assertEqual(len(bodies(output.send, "timeout_now")), 1)
 
-    def test_a_transfer_puts_the_end_off(self) -> None:
+    def test_a_transfer_defers_the_end(self) -> None:
         host = self.lead(out=3)
         joint = self.joint_index(host)
         host.node.transfer_leadership(2, host.now)
@@ -262,7 +262,7 @@
         self.assertEqual(len(host.node.membership.outgoing_voters), 0)
         self.assertEqual(voters_of(host.node.membership), {1, 2, 3})
 
-    def test_a_voter_between_what_is_known_as_committed_and_the_last_entry_stands(self) -> None:
+    def test_a_voter_of_any_uncommitted_membership_may_campaign(self) -> None:
         """Member 2 took the place of 1 and gave it back; it has the end of that change, 1 lacks it.
 
         1 needs its vote, as of an outgoing voter, and its log is the shorter one: only 2 can be elected.
--- a/tests/router/consensus/test_consensus_replication.py
+++ b/tests/router/consensus/test_consensus_replication.py
@@ -13,7 +13,7 @@
 class Replication(unittest.TestCase):
     """Entries, probes, snapshots."""
 
-    def test_messages_are_bounded(self) -> None:
+    def test_messages_are_limited(self) -> None:
         host = Host(max_entries_per_message=2, max_inflight_messages=2, max_bytes_per_message=10)
         host.lead()
         for payload in (b"1", b"2", b"3" * 50, b"4", b"5", b"6"):
@@ -23,7 +23,7 @@
         requests = bodies(host.confirm(2, 5).send, "append_request")
         self.assertEqual([[each.index for each in request.entries] for request in requests], [[6, 7], [8]])
 
-    def test_refusal_is_probed(self) -> None:
+    def test_rejection_is_followed_by_a_probe(self) -> None:
         host = Host(entries=tuple(entry(index, 1) for index in range(2, 20)))
         host.lead()
         refusal = AppendResponse(term=host.node.term, success=False, hint_index=4, round=1)
@@ -48,7 +48,7 @@
         with self.assertRaises(DivergedError):
             host.append(3, 2, (1, 1), entry(2, 2))
 
-    def test_commit_goes_no_further_than_what_was_compared(self) -> None:
+    def test_commit_index_does_not_pass_the_matched_entries(self) -> None:
         host = Host(entries=(entry(2, 1), entry(3, 1)))
         host.append(2, 2, (2, 1), commit=3)
         self.assertEqual(host.node.commit_index, 2)
@@ -82,14 +82,14 @@
             sent += bodies(host.tick(0.1).send, "snapshot_chunk")
         self.assertEqual([chunk.data for chunk in sent], [b"state"])
 
-    def test_trailing_entries_are_kept(self) -> None:
+    def test_trailing_entries_are_retained(self) -> None:
         host = Host(entries=tuple(entry(index, 1) for index in range(2, 12)), trailing_entries=3)
         host.lead()
         host.node.compact(10, b"state")
         self.assertEqual(host.output().write.snapshot.index, 10)
         self.assertEqual(host.node._state.log.base_index, 7)
 
-    def test_compaction_of_what_is_not_applied(self) -> None:
+    def test_compaction_of_unapplied_entries_fails(self) -> None:
         host = Host()
         with self.assertRaises(ValueError):
             host.node.compact(2, b"")
@@ -108,7 +108,7 @@
         host.append(2, 2, (3, 2), entry(4, 2), commit=4)
         self.assertEqual([each.index for each in host.committed], [4])
 
-    def test_snapshot_of_what_the_log_holds(self) -> None:
+    def test_snapshot_contained_in_the_log(self) -> None:
         host = Host(entries=(entry(2, 1), entry(3, 1), entry(4, 1)))
         snapshot = Snapshot(index=3, term=1, membership=membership(3), state=b"state")
         output = host.receive(2, snapshot_request=SnapshotRequest(term=1, snapshot=snapshot))
@@ -116,7 +116,7 @@
         self.assertEqual([each.index for each in output.committed], [2, 3])
         self.assertEqual(host.node._state.log.last_index, 4)
 
-    def test_joiner_asks_for_the_first_membership(self) -> None:
+    def test_joining_member_rejects_until_it_has_a_membership(self) -> None:
         for first in (0, 1):
             host = Host(founder=False, own=9)
             output = host.append(2, 3, (0, 0), entry(1, 1))
--- a/tests/router/consensus/test_consensus_snapshots.py
+++ b/tests/router/consensus/test_consensus_snapshots.py
@@ -19,7 +19,7 @@
 class Sending(unittest.TestCase):
     """A leader's part."""
 
-    def test_chunks_go_out_in_order_within_the_window(self) -> None:
+    def test_chunks_are_sent_in_order_within_the_window(self) -> None:
         host = leader()
         chunks = reject_append(host)
         self.assertEqual(offsets(chunks), [0, 4])
@@ -40,27 +40,27 @@
         self.assertEqual(offsets(reject_append(host)), [])
         self.assertEqual(offsets(pass_time(host, 0.5)), [])
 
-    def test_silence_has_it_go_on_where_the_member_is(self) -> None:
+    def test_timeout_retransmits_from_the_acknowledged_offset(self) -> None:
         host = leader(chunk_retry_timeout=0.5)
         reject_append(host)
         acknowledge(host, 4)
         self.assertEqual(offsets(pass_time(host, 0.7)), [4, 8])
 
-    def test_gap_has_it_go_on_at_once_and_once(self) -> None:
+    def test_gap_is_retransmitted_at_once_and_once(self) -> None:
         host = leader()
         reject_append(host)
         self.assertEqual(offsets(acknowledge(host, 0)), [0, 4])
         self.assertEqual(offsets(acknowledge(host, 0)), [])
         self.assertEqual(offsets(acknowledge(host, 4)), [8])
 
-    def test_restarted_member_gets_it_from_the_start(self) -> None:
+    def test_restarted_member_gets_it_from_offset_zero(self) -> None:
         host = leader()
         reject_append(host)
         acknowledge(host, 4)
         acknowledge(host, 8)
         self.assertEqual(offsets(acknowledge(host, 0)), [0, 4])
 
-    def test_member_that_holds_all_is_asked_again(self) -> None:
+    def test_member_that_received_everything_is_probed(self) -> None:
         host = leader(chunk_retry_timeout=0.5)
         reject_append(host)
         acknowledge(host, 4)
@@ -68,7 +68,7 @@
         (asked,) = pass_time(host, 0.7)
         self.assertEqual((asked.offset, asked.data), (10, b""))
 
-    def test_answers_for_another_snapshot_change_nothing(self) -> None:
+    def test_acknowledgements_of_another_snapshot_are_ignored(self) -> None:
         host = leader()
         reject_append(host)
         self.assertEqual(offsets(acknowledge(host, 8, index=1)), [])
@@ -85,7 +85,7 @@
         requests = bodies(host.confirm(SLOW, 2).send, "append_request")
         self.assertEqual([each.index for request in requests for each in request.entries], [3])
 
-    def test_silent_member_is_sent_nothing_and_then_given_up(self) -> None:
+    def test_inactive_member_is_sent_nothing_and_then_aborted(self) -> None:
         host = leader(chunk_abort_timeout=2.0)
         reject_append(host)
         self.assertEqual(offsets(pass_time(host, 1.5, responds=False)), [])
@@ -95,7 +95,7 @@
         self.assertIsNone(host.node._leader._progress[SLOW].chunk_sender)
         self.assertEqual(offsets(reject_append(host)), [0, 4])
 
-    def test_unbroken_after_a_short_cut(self) -> None:
+    def test_resumed_after_a_short_partition(self) -> None:
         host = leader(chunk_retry_timeout=0.5)
         reject_append(host)
         acknowledge(host, 4)
@@ -103,7 +103,7 @@
         self.assertEqual(offsets(pass_time(host, 0.2)), [4, 8])
 
 
-class Kept(unittest.TestCase):
+class Retention(unittest.TestCase):
     """What a leader keeps, and its bounds."""
 
     def _compact(self, host: Host, payloads: int, size: int = 1) -> None:
@@ -116,7 +116,7 @@
         host.node.compact(last, b"newer")
         host.output()
 
-    def test_compaction_leaves_the_snapshot_that_is_sent_and_entries_behind_it(self) -> None:
+    def test_compaction_retains_the_snapshot_in_flight_and_later_entries(self) -> None:
         host = leader()
         reject_append(host)
         self._compact(host, 5)
@@ -127,7 +127,7 @@
         requests = bodies(host.confirm(SLOW, 2).send, "append_request")
         self.assertEqual([each.index for request in requests for each in request.entries], [3, 4, 5, 6, 7])
 
-    def test_over_the_bound_a_newer_snapshot_follows_the_one_that_is_sent(self) -> None:
+    def test_newer_snapshot_follows_when_retained_entries_exceed_the_limit(self) -> None:
         host = leader(trailing_bytes=20)
         reject_append(host)
         self._compact(host, 5, size=10)
@@ -138,7 +138,7 @@
         (chunk, *_) = bodies(host.confirm(SLOW, 2).send, "snapshot_chunk")
         self.assertEqual((chunk.head.index, chunk.offset, chunk.data), (7, 0, b"newe"))
 
-    def test_trailing_entries_are_bounded_in_bytes(self) -> None:
+    def test_trailing_entries_are_limited_in_bytes(self) -> None:
         host = leader(trailing_entries=100, trailing_bytes=35)
         self._compact(host, 10, size=10)
         log = host.node._state.log
@@ -146,14 +146,14 @@
             (log.snapshot.index, log.base_index, log.payload_bytes_after(log.base_index)), (12, 9, 30)
         )
 
-    def test_compaction_after_it_has_arrived_keeps_nothing_for_it(self) -> None:
+    def test_compaction_after_acknowledgement_retains_nothing_for_it(self) -> None:
         host = leader()
         reject_append(host)
         host.confirm(SLOW, 2)
         self._compact(host, 5)
         self.assertEqual(host.node._state.log.base_index, 7)
 
-    def test_appends_in_flight_are_bounded_in_bytes(self) -> None:
+    def test_inflight_appends_are_limited_in_bytes(self) -> None:
         host = Host(max_bytes_per_message=10, max_inflight_bytes=25)
         host.lead()
         for _ in range(6):
@@ -164,7 +164,7 @@
         self.assertEqual(len(bodies(host.confirm(2, first).send, "append_request")), 1)
         self.assertEqual(len(bodies(host.confirm(2, first + 3).send, "append_request")), 2)
 
-    def test_entry_over_the_bounds_goes_alone(self) -> None:
+    def test_entry_over_the_limit_is_sent_alone(self) -> None:
         host = Host(max_bytes_per_message=10, max_inflight_bytes=10)
         host.lead()
         for size in (50, 1, 1):
@@ -174,7 +174,7 @@
         (request,) = bodies(host.confirm(2, requests[0].entries[0].index).send, "append_request")
         self.assertEqual(len(request.entries), 2)
 
-    def test_proposals_are_bounded_in_bytes_until_they_are_committed(self) -> None:
+    def test_uncommitted_proposals_are_limited_in_bytes(self) -> None:
         host = Host(max_uncommitted_bytes=100)
         host.lead()
         host.node.propose(b"x" * 300, host.now)
@@ -194,7 +194,7 @@
         host.lead()
         return host
 
-    def test_sent_in_order_after_what_is_before_it(self) -> None:
+    def test_sent_after_the_entries_before_it(self) -> None:
         host = self._leader()
         host.node.propose(b"ab", host.now)
         host.node.propose(STATE, host.now)
@@ -220,7 +220,7 @@
         self.assertEqual(bodies(sent, "entry_chunk"), [])
         self.assertEqual([len(each.entries) for each in bodies(sent, "append_request")], [])
 
-    def test_taken_once_whole_and_confirmed_once_durable(self) -> None:
+    def test_appended_when_complete_and_acknowledged_when_durable(self) -> None:
         host = Host()
         for offset in (0, 4):
             output = self._receive(host, offset)
@@ -236,14 +236,14 @@
         (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual(response.match_index, 2)
 
-    def test_entries_of_two_leaders_are_not_put_together(self) -> None:
+    def test_chunks_of_two_leaders_are_not_combined(self) -> None:
         host = Host()
         self._receive(host, 0)
         output = self._receive(host, 4, term=2, sender=3)
         (progress,) = bodies(output.write.send_when_durable, "snapshot_progress")
         self.assertEqual(progress.received, 0)
 
-    def test_follower_is_no_more_current_than_it_is_told(self) -> None:
+    def test_chunks_do_not_make_a_follower_current(self) -> None:
         host = Host()
         for offset in (0, 4, 8):
             self._receive(host, offset, commit=9)
@@ -265,7 +265,7 @@
         return host.receive(sender, entry_chunk=chunk)
 
 
-class ShorterWay(unittest.TestCase):
+class SnapshotInsteadOfEntries(unittest.TestCase):
     """A snapshot goes in place of entries that are much longer."""
 
     def _lagging(self, saved: int) -> Host:
@@ -281,13 +281,13 @@
         host.node.compact(last, b"state")
         return host
 
-    def test_taken(self) -> None:
+    def test_preferred_for_large_savings(self) -> None:
         host = self._lagging(saved=90)
         host.node._leader._progress[SLOW].handle_rejection(2)
         (chunk,) = bodies(host.confirm(SLOW, 2).send, "snapshot_chunk")
         self.assertEqual(chunk.data, b"state")
 
-    def test_not_taken_for_little(self) -> None:
+    def test_not_preferred_for_small_savings(self) -> None:
         host = self._lagging(saved=100)
         host.node._leader._progress[SLOW].handle_rejection(2)
         output = host.confirm(SLOW, 2)
--- a/tests/router/consensus/test_consensus_snapshots_received.py
+++ b/tests/router/consensus/test_consensus_snapshots_received.py
@@ -42,7 +42,7 @@
     def _received(self, output) -> list[int]:
         return [progress.received for progress in bodies(output.send, "snapshot_progress")]
 
-    def test_installed_once_whole_and_confirmed_once_durable(self) -> None:
+    def test_installed_when_complete_and_acknowledged_when_durable(self) -> None:
         host = Host()
         for offset in (0, 4):
             output = self._chunk(host, offset)
@@ -56,7 +56,7 @@
         (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual((response.success, response.match_index, response.round), (True, 9, 7))
 
-    def test_gap_and_repetition_change_nothing(self) -> None:
+    def test_gaps_and_duplicates_are_ignored(self) -> None:
         host = Host()
         self.assertEqual(self._received(self._chunk(host, 4)), [0])
         self.assertEqual(self._received(self._chunk(host, 0)), [4])
@@ -65,7 +65,7 @@
         self._chunk(host, 4)
         self.assertEqual(self._chunk(host, 8).install.state, STATE)
 
-    def test_newer_snapshot_of_the_leader_begins_anew_and_the_older_is_over(self) -> None:
+    def test_newer_snapshot_of_the_leader_replaces_the_older(self) -> None:
         host = Host()
         self._chunk(host, 0)
         self.assertEqual(self._received(self._chunk(host, 4, index=10)), [0])
@@ -74,7 +74,7 @@
         self._chunk(host, 4, b"efgh", index=10)
         self.assertEqual(self._chunk(host, 8, b"ij", index=10).install.state, b"abcdefghij")
 
-    def test_chunks_of_two_leaders_are_not_put_together(self) -> None:
+    def test_chunks_of_two_leaders_are_not_combined(self) -> None:
         host = Host()
         self._chunk(host, 0)
         self._chunk(host, 4)
@@ -83,12 +83,12 @@
         (progress,) = bodies(output.write.send_when_durable, "snapshot_progress")
         self.assertEqual((progress.term, progress.received), (2, 0))
 
-    def test_former_leader_is_told_of_the_term(self) -> None:
+    def test_stale_leader_is_notified_of_the_term(self) -> None:
         host = Host(term=4)
         (response,) = bodies(self._chunk(host, 0, term=3).send, "append_response")
         self.assertEqual((response.success, response.term), (False, 4))
 
-    def test_what_the_log_holds_is_confirmed_without_the_state(self) -> None:
+    def test_snapshot_contained_in_the_log_is_acknowledged_at_once(self) -> None:
         host = Host(entries=tuple(entry(index, 1) for index in range(2, 12)))
         output = self._chunk(host, 0)
         self.assertIsNone(output.install)
@@ -96,7 +96,7 @@
         self.assertEqual((response.success, response.match_index), (True, 9))
         self.assertEqual(host.node._state.log.last_index, 11)
 
-    def test_asked_again_after_installing(self) -> None:
+    def test_chunk_after_installation_acknowledges_the_index(self) -> None:
         """Whether or not it is durable already."""
         host = Host()
         for offset in (0, 4, 8):
@@ -109,19 +109,19 @@
         (response,) = bodies(self._chunk(host, 10).send, "append_response")
         self.assertEqual((response.success, response.match_index), (True, 9))
 
-    def test_asked_again_after_a_restart_before_it_was_durable(self) -> None:
+    def test_chunk_after_a_restart_is_requested_from_offset_zero(self) -> None:
         self.assertEqual(self._received(self._chunk(Host(), 10)), [0])
 
-    def test_more_than_is_allowed_is_not_begun(self) -> None:
+    def test_snapshot_over_the_limit_is_ignored(self) -> None:
         host = Host(max_chunked_bytes=9)
         output = self._chunk(host, 0)
         self.assertEqual((self._received(output), output.install), ([], None))
 
-    def test_state_without_bytes(self) -> None:
+    def test_empty_state(self) -> None:
         output = self._chunk(Host(founder=False, own=9), 0, size=0)
         self.assertEqual((output.install.index, output.install.state), (9, b""))
 
-    def test_membership_of_a_joint_change_comes_with_it(self) -> None:
+    def test_joint_membership_is_installed_with_the_snapshot(self) -> None:
         host = Host()
         for offset in (0, 4, 8):
             output = self._chunk(host, offset, joint=True)
@@ -129,7 +129,7 @@
         self.assertEqual(list(host.node.membership.outgoing_voters), [1, 2, 4])
 
 
-class JointMembershipCompacted(unittest.TestCase):
+class JointMembershipInSnapshot(unittest.TestCase):
     """A membership that is in force at the snapshot's index is sent with it, whatever its form."""
 
     def test_sent(self) -> None:
--- a/tests/router/consensus/test_consensus_walks.py
+++ b/tests/router/consensus/test_consensus_walks.py
@@ -1,4 +1,4 @@
-"""Random schedules of troubles, from fixed seeds; a failure's note tells its seed and how to replay it."""
+"""Random schedules of faults, from fixed seeds; a failure's note tells its seed and how to replay it."""
 
 from __future__ import annotations
 
--- a/tests/router/consensus/test_membership_plays.py
+++ b/tests/router/consensus/test_membership_plays.py
@@ -18,7 +18,7 @@
 
 CATCH_UP_S = 4.0  # what operators are promised to leave between two losses
 REPAIRED_S = 3.0  # until the next loss is survived, after any repair
-GIVEN_S = 0.5  # after SIGTERM, where a learner stands by
+PLANNED_S = 0.5  # after SIGTERM, where a learner stands by
 SEEDS = {"planned_then_loss": 5, "planned_then_wipe": 5}
 OTHER_SEEDS = 2
 
@@ -33,7 +33,7 @@
     def _check(self, repairs: dict[str, list[float]]) -> None:
         self.assertLess(REPAIRED_S, CATCH_UP_S)
         for kind, times in repairs.items():
-            self.assertLess(max(times), GIVEN_S if kind == "planned" else REPAIRED_S, kind)
+            self.assertLess(max(times), PLANNED_S if kind == "planned" else REPAIRED_S, kind)
 
 
 def _test_of(name: str):
--- a/tests/router/consensus/test_storage_damage.py
+++ b/tests/router/consensus/test_storage_damage.py
@@ -1,4 +1,4 @@
-"""Damage that no power loss leaves: bits, pages and lengths. It is told, and never ends the process."""
+"""Damage that no power loss leaves: bits, pages and lengths. It is detected, and never ends the process."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         store.close()
         self.expected = model.restored()
         with open(os.path.join(self.folder, "whole", "replica.lmdb"), "rb") as file:
-            self.whole = file.read()
+            self.intact = file.read()
         os.mkdir(os.path.join(self.folder, "copy"))
 
     def load(self, data: bytes) -> PersistentState:
@@ -55,65 +55,66 @@
             store.close()
         return found
 
-    def test_whole(self) -> None:
-        self.assertEqual(self.load(self.whole), self.expected)
+    def test_intact_store_loads(self) -> None:
+        self.assertEqual(self.load(self.intact), self.expected)
 
-    def test_any_damage_is_told_or_without_effect(self) -> None:
-        chance, told = random.Random(8), 0
-        start = newer_slot(self.whole) * seal.PAGE_BYTES
-        numbers = pages.check_pages(self.whole, self.whole[start : start + seal.META_BYTES])
+    def test_any_damage_is_detected_or_without_effect(self) -> None:
+        chance = random.Random(8)
+        detected = 0
+        start = newer_slot(self.intact) * seal.PAGE_BYTES
+        numbers = pages.check_pages(self.intact, self.intact[start : start + seal.META_BYTES])
         in_use, free = numbers.in_use, numbers.free
         for _ in range(200):
-            data = damaged(self.whole, chance, sorted(in_use if chance.random() < 0.8 else free))
+            data = damaged(self.intact, chance, sorted(in_use if chance.random() < 0.8 else free))
             try:
                 found = self.load(data)
             except StoreDamagedError as error:
                 self.assertEqual(error.code, "STORE_DAMAGED")
                 self.assertTrue(error.where)
-                told += 1
+                detected += 1
             else:
-                self.assertTrue(found == self.expected or looks_torn(self.whole, data))
-        self.assertGreater(told, 100)
+                self.assertTrue(found == self.expected or looks_torn(self.intact, data))
+        self.assertGreater(detected, 100)
 
-    def test_a_shorter_file_is_told(self) -> None:
-        for length in (0, 10, 4096, 8191, 8192, len(self.whole) - 1, len(self.whole) - 4096):
+    def test_a_truncated_file_is_detected(self) -> None:
+        for length in (0, 10, 4096, 8191, 8192, len(self.intact) - 1, len(self.intact) - 4096):
             with self.assertRaises(StoreDamagedError):
-                self.load(self.whole[:length])
+                self.load(self.intact[:length])
 
-    def test_a_whole_older_state_is_no_damage(self) -> None:
+    def test_a_complete_older_state_is_not_damage(self) -> None:
         """Damage in what lmdb last wrote into the newer meta page looks as a torn write does."""
-        data = bytearray(self.whole)
-        data[newer_slot(self.whole) * seal.PAGE_BYTES + 100] ^= 1
-        self.assertTrue(looks_torn(self.whole, bytes(data)))
+        data = bytearray(self.intact)
+        data[newer_slot(self.intact) * seal.PAGE_BYTES + 100] ^= 1
+        self.assertTrue(looks_torn(self.intact, bytes(data)))
         self.assertNotEqual(self.load(bytes(data)), self.expected)
 
-    def test_damage_in_the_rest_of_a_meta_page_is_told(self) -> None:
+    def test_damage_in_the_rest_of_a_meta_page_is_detected(self) -> None:
         for slot in seal.SLOTS:
             for offset in (0, 7, 10, 16, 20, 31):
-                data = bytearray(self.whole)
+                data = bytearray(self.intact)
                 data[slot * seal.PAGE_BYTES + offset] ^= 1
                 with self.assertRaises(StoreDamagedError):
                     self.load(bytes(data))
 
     def test_the_page_check_reads_every_page_in_use(self) -> None:
         """Used, free and meta pages are all there is, so nothing in use escapes the check."""
-        start = newer_slot(self.whole) * seal.PAGE_BYTES
-        found = pages.check_pages(self.whole, self.whole[start : start + seal.META_BYTES])
+        start = newer_slot(self.intact) * seal.PAGE_BYTES
+        found = pages.check_pages(self.intact, self.intact[start : start + seal.META_BYTES])
         every = found.in_use | found.free
         self.assertEqual(every, set(range(max(every) + 1)))
 
 
 class Records(unittest.TestCase):
-    def items(self, *kept: tuple[int, int, bytes]) -> list[tuple[bytes, bytes]]:
-        return [item for record in kept for item in records.encode_record(*record)]
+    def items(self, *entries: tuple[int, int, bytes]) -> list[tuple[bytes, bytes]]:
+        return [item for record in entries for item in records.encode_record(*record)]
 
-    def test_records_of_all_lengths_come_back(self) -> None:
-        part = records.CHUNK_BYTES
-        for length in (0, 1, part - 9, part - 8, part - 7, 2 * part - 8, 2 * part - 7, 100_000):
+    def test_records_of_all_lengths_round_trip(self) -> None:
+        chunk = records.CHUNK_BYTES
+        for length in (0, 1, chunk - 9, chunk - 8, chunk - 7, 2 * chunk - 8, 2 * chunk - 7, 100_000):
             record = (RecordKind.ENTRY, 1 << 40, bytes(length))
             self.assertEqual(list(records.decode_records(self.items(record))), [record])
 
-    def test_a_missing_part_a_moved_record_and_an_unknown_kind_are_told(self) -> None:
+    def test_missing_chunk_moved_record_and_unknown_kind_are_detected(self) -> None:
         items = self.items((RecordKind.ENTRY, 1, bytes(9000)))
         moved = [
             (key, value)
@@ -134,7 +135,7 @@
             with self.assertRaises(StoreDamagedError):
                 list(records.decode_records(found))
 
-    def test_records_that_make_no_state_are_told(self) -> None:
+    def test_incomplete_state_is_detected(self) -> None:
         hard_state = (RecordKind.HARD_STATE, 0, records.HARD_STATE_PAYLOAD.pack(1, 2))
         taken = (RecordKind.SNAPSHOT, 0, FIRST.SerializeToString())
         second = (RecordKind.SNAPSHOT, 4, b"\x08\x04")
@@ -153,25 +154,25 @@
                 restore.restore_items(self.items(*wrong))
 
 
-def newer_slot(whole: bytes) -> int:
+def newer_slot(intact: bytes) -> int:
     """The meta page of the last transaction."""
     starts = [slot * seal.PAGE_BYTES + seal.TRANSACTION_OFFSET for slot in seal.SLOTS]
-    return int(whole[starts[0] : starts[0] + 8][::-1] < whole[starts[1] : starts[1] + 8][::-1])
+    return int(intact[starts[0] : starts[0] + 8][::-1] < intact[starts[1] : starts[1] + 8][::-1])
 
 
-def looks_torn(whole: bytes, data: bytes) -> bool:
+def looks_torn(intact: bytes, data: bytes) -> bool:
     """Whether bytes differ only where a transaction writes into its meta page: its roots and the seal."""
-    start = newer_slot(whole) * seal.PAGE_BYTES
+    start = newer_slot(intact) * seal.PAGE_BYTES
     written = {
         *range(start + seal.ROOTS_OFFSET, start + seal.META_BYTES),
         *range(start + seal.SEAL_OFFSET, start + seal.SEAL_OFFSET + seal.SEAL.size),
     }
-    return all(at in written for at in range(len(whole)) if whole[at] != data[at])
+    return all(at in written for at in range(len(intact)) if intact[at] != data[at])
 
 
-def damaged(whole: bytes, chance: random.Random, numbers: list[int]) -> bytes:
+def damaged(intact: bytes, chance: random.Random, numbers: list[int]) -> bytes:
     """One kind of damage in one of the pages given."""
-    data = bytearray(whole)
+    data = bytearray(intact)
     page = chance.choice(numbers) * seal.PAGE_BYTES
     kind = chance.randrange(5)
     if kind == 0:
@@ -184,7 +185,7 @@
         data[page : page + seal.PAGE_BYTES] = chance.randbytes(seal.PAGE_BYTES)
     else:  # another page's bytes
         other = chance.randrange(len(data) // seal.PAGE_BYTES) * seal.PAGE_BYTES
-        data[page : page + seal.PAGE_BYTES] = whole[other : other + seal.PAGE_BYTES]
+        data[page : page + seal.PAGE_BYTES] = intact[other : other + seal.PAGE_BYTES]
     return bytes(data)
 
 
--- a/tests/router/consensus/test_storage_power.py
+++ b/tests/router/consensus/test_storage_power.py
@@ -12,14 +12,14 @@
 from unittest import mock
 
 from project_paths import ROOT, SUPPORT
-from storage_trial import Lost, Trial
+from storage_trial import LostWriteError, Trial
 
 from mallowbeam.router.consensus.storage import ReplicaStore, StoreError, seal, store
 from mallowbeam.router.consensus.storage.store_file import StoreFile
 
 SEEDS = range(100, 102)
 BATCHES = 5
-TRIES = 40  # seeds in which a missing protection must be noticed
+ATTEMPTS = 40  # seeds in which a missing protection must be noticed
 
 
 class PowerLoss(unittest.TestCase):
@@ -55,12 +55,12 @@
         batches: int = BATCHES,
         **chances: float,
     ) -> None:
-        for seed in range(first_seed, first_seed + TRIES):
+        for seed in range(first_seed, first_seed + ATTEMPTS):
             trial = Trial(seed, **chances)
             try:
                 with broken(trial):
                     trial.run(batches)
-            except (Lost, StoreError):
+            except (LostWriteError, StoreError):
                 return
         self.fail("the trial did not notice")
 
@@ -92,11 +92,11 @@
         self.notices(lambda trial: mock.patch.object(store, "sync_folder", lambda folder: None))
 
     def test_no_sync_of_the_folder_while_opening(self) -> None:
-        whole = ReplicaStore.open
+        original = ReplicaStore.open
 
         def unsynced(folder: str, disk_mb: int) -> ReplicaStore:
             with mock.patch.object(store, "sync_folder", lambda folder: None):
-                return whole(folder, disk_mb)
+                return original(folder, disk_mb)
 
         self.notices(lambda trial: mock.patch.object(ReplicaStore, "open", unsynced), batches=0, killed=1.0)
 
@@ -120,8 +120,8 @@
         path = {"PYTHONPATH": f"{SUPPORT}:{ROOT}", "PYTHONDONTWRITEBYTECODE": "1"}
         ended = subprocess.run([sys.executable, "-c", script], env=path, capture_output=True, check=False)
         self.assertNotEqual(ended.returncode, 0)
-        told = b"Lost" in ended.stderr or b"Store" in ended.stderr
-        self.assertTrue(ended.returncode < 0 or told, ended.stderr)
+        reported = b"LostWriteError" in ended.stderr or b"Store" in ended.stderr
+        self.assertTrue(ended.returncode < 0 or reported, ended.stderr)
 
 
 @contextlib.contextmanager
--- a/tests/router/consensus/test_storage_store.py
+++ b/tests/router/consensus/test_storage_store.py
@@ -122,7 +122,7 @@
         expected = PersistentState(HardState(2, 0), FIRST, entries(1, 2) + entries(3, 1, term=2))
         self.assertEqual(self.reopen(), expected)
 
-    def test_a_write_of_nothing(self) -> None:
+    def test_empty_write(self) -> None:
         self.store.write([])
         self.store.write([Write(1)])
         self.assertEqual(self.reopen(), PersistentState(HardState(), FIRST))
@@ -155,7 +155,7 @@
             thread.join()
         self.assertEqual(self.indexes(), list(range(1, 20)))
 
-    def test_random_lives_equal_a_plain_model(self) -> None:
+    def test_random_writes_equal_a_plain_model(self) -> None:
         for seed in range(3):
             chance, model = random.Random(seed), Model()
             self.store.close()
@@ -192,7 +192,7 @@
             self.assertEqual(found.load(), PersistentState(HardState(), FIRST))
             found.close()
 
-    def test_opening_a_whole_store_writes_nothing(self) -> None:
+    def test_opening_an_intact_store_writes_nothing(self) -> None:
         self.write(entries(1, 3))
         self.store.close()
         with mock.patch("os.pwrite", side_effect=OSError(errno.ENOSPC, "full")):
@@ -217,7 +217,7 @@
         with self.assertRaises(StoreVersionError):
             ReplicaStore.open(self.folder, 128)
 
-    def test_discard_leaves_an_empty_disk(self) -> None:
+    def test_discard_removes_the_store(self) -> None:
         self.store.close()
         ReplicaStore.discard(self.folder)
         ReplicaStore.discard(self.folder)
@@ -225,10 +225,10 @@
         ReplicaStore.discard(self.folder + "-absent")
 
 
-class Refusals(StoreCase):
+class Failures(StoreCase):
     disk_mb = 8  # the map has 4 MB, entries may fill 2
 
-    def test_entries_stop_where_a_snapshot_still_has_room(self) -> None:
+    def test_entries_leave_space_for_a_snapshot(self) -> None:
         next_index = 1
         with self.assertRaises(StoreFullError) as caught:
             while True:
@@ -241,7 +241,7 @@
         self.write(entries(next_index, 10, size=1000))
         self.assertEqual(len(self.reopen().entries), 10)
 
-    def test_entries_at_the_bound_give_way_to_those_of_another_leader(self) -> None:
+    def test_entries_at_the_limit_can_be_replaced_by_another_leaders(self) -> None:
         """They can't be committed, and so are never dropped by a snapshot.
 
         A member that had to wait for one, and whose acknowledgement the new leader waits for, would be stuck.
@@ -258,7 +258,7 @@
         self.write(entries(5, 50, term=2, size=3000))
         self.assertEqual(self.indexes(), list(range(1, 55)))
 
-    def test_many_rounds_at_the_bound_never_need_more_than_the_map(self) -> None:
+    def test_repeated_compaction_at_the_limit_fits_the_map(self) -> None:
         next_index = 1
         for _round in range(30):
             try:
@@ -270,13 +270,13 @@
         self.assertEqual(len(self.reopen().entries), 4)
         self.assertLessEqual(os.path.getsize(os.path.join(self.folder, "replica.lmdb")), 4 * MEGABYTE)
 
-    def test_a_snapshot_beyond_the_map_is_refused_and_the_store_stays(self) -> None:
+    def test_a_snapshot_beyond_the_map_is_rejected_without_effect(self) -> None:
         self.write(entries(1, 3))
         with self.assertRaises(StoreFullError):
             self.write(taken=snapshot(2, size=5 * MEGABYTE))
         self.assertEqual(self.indexes(), [1, 2, 3])
 
-    def test_each_refused_call_leaves_the_store_as_it_was(self) -> None:
+    def test_failed_calls_have_no_effect(self) -> None:
         self.write(entries(1, 3))
         for call in ("os.pwrite", "os.fdatasync"):
             for number, kind in ((errno.ENOSPC, StoreFullError), (errno.EIO, StoreFailedError)):
@@ -290,7 +290,7 @@
         self.write(entries(4, 1))
         self.assertEqual(self.indexes(), [1, 2, 3, 4])
 
-    def test_lmdbs_own_write_refused(self) -> None:
+    def test_failed_write_of_lmdb(self) -> None:
         """A bound on file sizes refuses what lmdb writes by itself."""
         self.write(entries(1, 3))
         length = os.path.getsize(os.path.join(self.folder, "replica.lmdb"))
--- a/tests/router/rpc/test_rpc_connection.py
+++ b/tests/router/rpc/test_rpc_connection.py
@@ -43,7 +43,7 @@
         connection.connection_made(StandInTransport())
         return connection
 
-    async def test_frames_beside_the_one_that_ends_it_are_not_handed_on(self) -> None:
+    async def test_frames_received_with_the_one_that_ends_it_are_not_delivered(self) -> None:
         for ends_at in range(3):
             taken: list[bytes] = []
 
@@ -56,7 +56,7 @@
             connection.data_received(encoded(b"0", b"1", b"2"))
             self.assertEqual(taken, [b"0", b"1", b"2"][: ends_at + 1])
 
-    async def test_a_read_behind_the_end_is_not_handed_on(self) -> None:
+    async def test_a_read_after_the_end_is_not_delivered(self) -> None:
         taken: list[bytes] = []
         connection = self.open(lambda _, body: taken.append(body))
         connection.data_received(encoded(b"0", b"1")[:-1])
@@ -65,7 +65,7 @@
         connection.data_received(encoded(b"2"))
         self.assertEqual(taken, [b"0"])
 
-    async def test_nothing_is_handed_on_behind_what_is_no_frame(self) -> None:
+    async def test_nothing_is_delivered_after_an_invalid_frame(self) -> None:
         taken: list[bytes] = []
         connection = self.open(lambda _, body: taken.append(body))
         connection.data_received(encoded(b"0"))
@@ -73,7 +73,7 @@
         connection.data_received(encoded(b"1"))
         self.assertEqual((taken, connection.open), ([b"0"], False))
 
-    async def test_nothing_is_sent_behind_the_end(self) -> None:
+    async def test_nothing_is_sent_after_the_end(self) -> None:
         connection = self.open(lambda _, body: None)
         connection.abort()
         self.assertFalse(connection.send_encoded(encoded(b"0")))
--- a/tests/support/consensus_bulk.py
+++ b/tests/support/consensus_bulk.py
@@ -61,28 +61,28 @@
         proposed = leader is not None and leader.propose(world.random.randbytes(size))
         until = world.now + (REPEAT_SECONDS if proposed else POLL_SECONDS)
 
-        def look() -> None:
+        def poll() -> None:
             if world.checkers.acknowledged > before:
                 world.unwritten -= 1
                 self._write(count - 1, size)
             elif world.now >= until:
                 self._write(count, size)
             else:
-                world.at(world.now + POLL_SECONDS, look)
+                world.at(world.now + POLL_SECONDS, poll)
 
-        look()
+        poll()
 
     def do_power_off_on_install(self, who: str) -> None:
         """The power is lost at the moment at which a snapshot is whole, before it is written."""
         machine = self._machine(who)
 
-        def look() -> None:
+        def poll() -> None:
             if machine.installed > 0:
                 machine.crash(durable_writes=0)
             else:
-                self.world.at(self.world.now + POLL_SECONDS, look)
+                self.world.at(self.world.now + POLL_SECONDS, poll)
 
-        look()
+        poll()
 
     # ------------------------------------------------------------ expectations
 
--- a/tests/support/consensus_checkers.py
+++ b/tests/support/consensus_checkers.py
@@ -87,7 +87,7 @@
 
 
 class Checkers:
-    """All checkers of one world. They see what members do, and look at the disks."""
+    """All checkers of one world. They see what members do, and inspect the disks."""
 
     def __init__(self, world: World, first_index: int, first_membership: Membership) -> None:
         self.world = world
@@ -196,7 +196,7 @@
         in_force = [machine.node.membership]
         if machine.node.role is not Role.LEADER:
             in_force.append(self.membership)  # it has lost its leadership in the same batch of events
-        if not any(self._held_by_majority(membership, entry) for membership in in_force):
+        if not any(self._durable_on_majority(membership, entry) for membership in in_force):
             what = f"entry {entry.index} of term {entry.term} is committed by {machine.member_id}"
             raise Violation("durable on a majority", f"{what}, not held by a majority of its voters")
         self.committed.append(entry)
@@ -204,7 +204,7 @@
         self.states.append(self.states[-1].after(entry))
         if entry.kind == MEMBERSHIP:
             membership = Membership.FromString(entry.payload)
-            if not self._held_by_majority(membership, entry):
+            if not self._durable_on_majority(membership, entry):
                 raise Violation(
                     "durable on a majority",
                     f"membership {entry.index} is committed by "
@@ -224,7 +224,7 @@
         if not overlap(before, after):
             raise Violation("membership", f"entry {index}: quorums of it and the one before do not overlap")
 
-    def _held_by_majority(self, membership: Membership, entry: Entry) -> bool:
+    def _durable_on_majority(self, membership: Membership, entry: Entry) -> bool:
         """Whether a majority of each set of voters has the entry on disk; counted apart from the core."""
         for voters in _sets(membership):
             holders = [voter for voter in voters if self.world.disk_of(voter).holds(entry)]
@@ -242,8 +242,8 @@
     def compacts(self, machine: Machine) -> None:
         """A member has taken a snapshot: it holds the membership of its index, whole."""
         snapshot = machine.node._state.log.snapshot
-        held = [membership for index, membership in self.memberships if index <= snapshot.index]
-        if snapshot.membership != held[-1]:
+        earlier = [membership for index, membership in self.memberships if index <= snapshot.index]
+        if snapshot.membership != earlier[-1]:
             raise Violation(
                 "membership", f"{machine.member_id} has another one in its snapshot at " f"{snapshot.index}"
             )
@@ -283,8 +283,8 @@
     def _membership_in_force(self, log) -> None:
         """The last one in the log is in force."""
         entries = log.slice(log.base_index + 1, log.last_index)
-        held = [entry for entry in entries if entry.kind == MEMBERSHIP and entry.index > log.snapshot.index]
-        wanted = Membership.FromString(held[-1].payload) if held else log.snapshot.membership
+        later = [entry for entry in entries if entry.kind == MEMBERSHIP and entry.index > log.snapshot.index]
+        wanted = Membership.FromString(later[-1].payload) if later else log.snapshot.membership
         if log.memberships.current.membership != wanted:
             raise Violation("membership", f"that of entry {log.memberships.current.index} is in force")
 
--- a/tests/support/consensus_machine.py
+++ b/tests/support/consensus_machine.py
@@ -52,8 +52,8 @@
 
     def memberships(self) -> list[Membership]:
         """All memberships here that may be in force."""
-        held = [Membership.FromString(entry.payload) for entry in self.entries if entry.kind == MEMBERSHIP]
-        return [self.snapshot.membership, *held] if self.snapshot.membership.members else held
+        logged = [Membership.FromString(entry.payload) for entry in self.entries if entry.kind == MEMBERSHIP]
+        return [self.snapshot.membership, *logged] if self.snapshot.membership.members else logged
 
     def apply(self, write: Write) -> None:
         if write.snapshot is not None:
@@ -67,8 +67,8 @@
             self.hard_state = write.hard_state
 
     def _put_snapshot(self, snapshot: Snapshot) -> None:
-        held = self.snapshot.index < snapshot.index <= self.last_index
-        if held and self._at(snapshot.index).term == snapshot.term:
+        in_log = self.snapshot.index < snapshot.index <= self.last_index
+        if in_log and self._at(snapshot.index).term == snapshot.term:
             del self.entries[: snapshot.index - self.snapshot.index]
         elif snapshot.index != self.snapshot.index:
             self.entries = []
@@ -170,7 +170,7 @@
 
     # ------------------------------------------------------------ the host's loop
 
-    def settle(self) -> None:
+    def process_output(self) -> None:
         """After an event, do what the member says: at once, or together with what comes a moment later."""
         if self.world.random.random() >= self.world.batched:
             self.drain()
@@ -242,12 +242,12 @@
 
     def _tick(self) -> None:
         self.node.tick(self.clock())
-        self.settle()
+        self.process_output()
 
     def receive(self, sender: int, send: Send) -> None:
         self.received_bytes += send.message.ByteSize()
         self.node.receive(sender, send.message, self.clock())
-        self.settle()
+        self.process_output()
 
     # ------------------------------------------------------------ the disk
 
@@ -271,15 +271,15 @@
         writes = [self.writes.popleft() for _ in range(together)]
         for write in writes:
             self.disk.apply(write)
-        self.later(0.0, lambda: self._told_written(writes))
+        self.later(0.0, lambda: self._write_completed(writes))
         self.write_next()
 
-    def _told_written(self, writes: list[Write]) -> None:
+    def _write_completed(self, writes: list[Write]) -> None:
         for write in writes:
             for send in write.send_when_durable:
                 self.world.send(self, send)
         self.node.written(writes[-1].ticket, self.clock())
-        self.settle()
+        self.process_output()
 
     def stall(self) -> None:
         self.stalled = True
@@ -300,14 +300,14 @@
         except ConsensusError:
             return False
         self.operations[proposal.index] = (proposal.term, operation)
-        self.settle()
+        self.process_output()
         return True
 
     def read(self, read_id: int) -> None:
         if self.runs:
             self.reads[read_id] = self.world.checkers.invoke()
             self.node.read(read_id, self.clock())
-            self.settle()
+            self.process_output()
 
     def _compact_where_due(self) -> None:
         """As the driver does, where the world says so."""
--- a/tests/support/consensus_scenario.py
+++ b/tests/support/consensus_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios of consensus from text files: a group, troubles at their times, and what must be seen.
+"""Scenarios of consensus from text files: a group, faults at their times, and what must be seen.
 
 One statement a line; ``#`` begins a comment. First the group::
 
@@ -30,7 +30,7 @@
 from consensus_bulk import BulkStatements
 from consensus_checkers import Violation
 from consensus_machine import Machine
-from consensus_world import World, replaced, with_member, with_place, without_member
+from consensus_world import World, replaced, with_member, with_voter, without_member
 from project_paths import SCENARIOS as SCENARIO_FOLDER
 
 from mallowbeam.router.consensus.interface import RaftSettings
@@ -191,10 +191,10 @@
             machine.thaw()
 
     def do_cut(self, one: str, other: str) -> None:
-        self.world.cut(self._id(one), self._id(other))
+        self.world.disconnect(self._id(one), self._id(other))
 
     def do_cut_one_way(self, one: str, other: str) -> None:
-        self.world.cut(self._id(one), self._id(other), both=False)
+        self.world.disconnect(self._id(one), self._id(other), both=False)
 
     def do_isolate(self, who: str) -> None:
         self.world.isolate(self._id(who))
@@ -202,11 +202,11 @@
     def do_heal(self) -> None:
         self.world.heal()
 
-    def do_lose(self, share: str) -> None:
-        self.world.network.loss = float(share)
+    def do_lose(self, fraction: str) -> None:
+        self.world.network.loss = float(fraction)
 
-    def do_duplicate(self, share: str) -> None:
-        self.world.network.duplicates = float(share)
+    def do_duplicate(self, fraction: str) -> None:
+        self.world.network.duplicates = float(fraction)
 
     def do_reorder(self) -> None:
         self.world.network.reordered = True
@@ -249,16 +249,16 @@
         member_id = self._id(who)
         self._change(
             lambda membership: member_id in voters_of(membership),
-            lambda membership: with_place(membership, member_id),
+            lambda membership: with_voter(membership, member_id),
         )
 
     def do_replace(self, who: str, by: str, successor: str) -> None:
         """A voter gives its place to a learner, in one joint change."""
         assert by == "by"
-        out, taken_in = self._id(who), self._id(successor)
+        out, added_voters = self._id(who), self._id(successor)
         self._change(
-            lambda membership: taken_in in voters_of(membership),
-            lambda membership: replaced(membership, [out], [taken_in]),
+            lambda membership: added_voters in voters_of(membership),
+            lambda membership: replaced(membership, [out], [added_voters]),
         )
 
     def do_demote(self, who: str) -> None:
--- a/tests/support/consensus_variants.py
+++ b/tests/support/consensus_variants.py
@@ -67,7 +67,7 @@
     return patched()
 
 
-def answers_before_write() -> AbstractContextManager[object]:
+def acknowledges_before_write() -> AbstractContextManager[object]:
     """A follower confirms entries before they are durable."""
 
     def acknowledge(self: Follower, leader: int, last: int, round_number: int, wait_for_write: bool) -> None:
@@ -82,7 +82,7 @@
     return mock.patch.object(Persistence, "durable_index", all_of_the_log, create=True)
 
 
-def dropped_entries_count() -> AbstractContextManager[object]:
+def truncated_entries_count() -> AbstractContextManager[object]:
     """A write under way still makes entries durable that were dropped meanwhile."""
     return mock.patch.object(Persistence, "entries_truncated", lambda self, first: None)
 
@@ -105,8 +105,8 @@
 def learners_count() -> AbstractContextManager[object]:
     """Learners count as voters."""
 
-    def with_all(index: int, held: membership.Membership) -> MembershipRecord:
-        return MembershipRecord(index, held, Quorum(members_of(held)))
+    def with_all(index: int, changed: membership.Membership) -> MembershipRecord:
+        return MembershipRecord(index, changed, Quorum(members_of(changed)))
 
     return mock.patch.object(membership, "membership_record", with_all)
 
@@ -139,10 +139,10 @@
     def patched() -> Iterator[None]:
         change = Leader.change_membership
 
-        def hasty(self: Leader, held: membership.Membership):
-            proposal = change(self, held)
-            if held.outgoing_voters:
-                self._append_membership(without_outgoing(held))
+        def hasty(self: Leader, changed: membership.Membership):
+            proposal = change(self, changed)
+            if changed.outgoing_voters:
+                self._append_membership(without_outgoing(changed))
             return proposal
 
         with mock.patch.object(Leader, "change_membership", hasty):
@@ -151,7 +151,7 @@
     return patched()
 
 
-def places_not_counted() -> AbstractContextManager[object]:
+def target_voters_ignored() -> AbstractContextManager[object]:
     """A learner is promoted where no place is free."""
 
     @contextmanager
@@ -159,10 +159,10 @@
         check = membership.check_change
 
         def blind(old: membership.Membership, new: membership.Membership) -> None:
-            with_room = membership.Membership()
-            with_room.CopyFrom(new)
-            with_room.target_voters = len(new.members)
-            check(old, with_room)
+            unlimited = membership.Membership()
+            unlimited.CopyFrom(new)
+            unlimited.target_voters = len(new.members)
+            check(old, unlimited)
 
         with mock.patch.object(leader, "check_change", blind):
             yield
@@ -218,7 +218,7 @@
     return mock.patch.object(MemberState, "commit_to", commit_to)
 
 
-def refusals_ignored() -> AbstractContextManager[object]:
+def rejections_ignored() -> AbstractContextManager[object]:
     """A leader does not go back where a follower refuses entries."""
     return mock.patch.object(Progress, "handle_rejection", lambda self, hint_index: None)
 
@@ -261,7 +261,7 @@
     return patched()
 
 
-def conflicts_kept() -> AbstractContextManager[object]:
+def conflicting_entries_retained() -> AbstractContextManager[object]:
     """A follower keeps own entries where a leader's differ in their term."""
 
     def term_blind_merge(self: RaftLog, entries, committed: int) -> int | None:
@@ -276,7 +276,7 @@
     return mock.patch.object(MemberState, "may_campaign", property(lambda self: self.is_voter))
 
 
-def learners_refuse() -> AbstractContextManager[object]:
+def learners_reject_votes() -> AbstractContextManager[object]:
     """A member that knows itself as a learner refuses its vote."""
     may_grant = Election._may_grant
     return mock.patch.object(
@@ -286,7 +286,7 @@
     )
 
 
-def silence_without_deadline() -> AbstractContextManager[object]:
+def quorum_check_without_deadline() -> AbstractContextManager[object]:
     """A leader looks for its majority only when a heartbeat is due."""
     return mock.patch.object(Leader, "next_deadline", lambda self: self._next_heartbeat)
 
@@ -304,13 +304,13 @@
 def no_check_quorum() -> AbstractContextManager[object]:
     """A leader that hears of nobody goes on."""
 
-    def note_contact(self: Leader) -> None:
+    def update_contact(self: Leader) -> None:
         self._state.last_leader_contact = self._state.now
 
-    return mock.patch.object(Leader, "_update_contact", note_contact)
+    return mock.patch.object(Leader, "_update_contact", update_contact)
 
 
-def no_stickiness() -> AbstractContextManager[object]:
+def no_leader_stickiness() -> AbstractContextManager[object]:
     """Votes are granted though a leader is live."""
     return mock.patch.object(MemberState, "leader_is_live", property(lambda self: False))
 
@@ -320,26 +320,26 @@
     return mock.patch.object(MemberState, "stalled", property(lambda self: False))
 
 
-def snapshot_taken_in_part() -> AbstractContextManager[object]:
+def snapshot_installed_incomplete() -> AbstractContextManager[object]:
     """A follower installs a snapshot at its first chunk."""
-    return _taken_in_part(ChunkContent.SNAPSHOT)
+    return _accepts_first_chunk(ChunkContent.SNAPSHOT)
 
 
-def entry_taken_in_part() -> AbstractContextManager[object]:
+def entry_appended_incomplete() -> AbstractContextManager[object]:
     """A follower appends an entry at its first chunk."""
-    return _taken_in_part(ChunkContent.ENTRY)
+    return _accepts_first_chunk(ChunkContent.ENTRY)
 
 
-def _taken_in_part(content: ChunkContent) -> AbstractContextManager[object]:
-    whole = ChunkReceiver.add
+def _accepts_first_chunk(content: ChunkContent) -> AbstractContextManager[object]:
+    original = ChunkReceiver.add
 
-    def take(self: ChunkReceiver, key: ChunkStreamKey, size: int, offset: int, data: bytes) -> bytes | None:
-        return data if key.content is content else whole(self, key, size, offset, data)
+    def add(self: ChunkReceiver, key: ChunkStreamKey, size: int, offset: int, data: bytes) -> bytes | None:
+        return data if key.content is content else original(self, key, size, offset, data)
 
-    return mock.patch.object(ChunkReceiver, "add", take)
+    return mock.patch.object(ChunkReceiver, "add", add)
 
 
-def transfers_mixed() -> AbstractContextManager[object]:
+def chunk_streams_mixed() -> AbstractContextManager[object]:
     """A follower goes on with the chunks of another snapshot or entry where it is."""
 
     def keep(self: ChunkReceiver, key) -> None:
@@ -348,8 +348,8 @@
     return mock.patch.object(ChunkReceiver, "_begin", keep)
 
 
-def snapshot_confirmed_before_write() -> AbstractContextManager[object]:
-    """A follower confirms a snapshot once it is whole, before it is durable."""
+def snapshot_acknowledged_before_write() -> AbstractContextManager[object]:
+    """A follower confirms a snapshot once it is complete, before it is durable."""
     take_snapshot = Follower._accept_snapshot
 
     def hasty(self: Follower, leader: int, snapshot: Snapshot, round_number: int) -> None:
@@ -359,8 +359,8 @@
     return mock.patch.object(Follower, "_accept_snapshot", hasty)
 
 
-def sent_from_the_start() -> AbstractContextManager[object]:
-    """A leader begins a snapshot anew after a loss or a cut."""
+def chunks_restarted_from_zero() -> AbstractContextManager[object]:
+    """A leader begins a snapshot anew after a loss or a partition."""
 
     def send_again(self: ChunkSender, now: float) -> None:
         self._acknowledged = self._next_offset = 0
@@ -383,6 +383,6 @@
     )
 
 
-def entries_behind_transfer_dropped() -> AbstractContextManager[object]:
+def entries_after_chunks_dropped() -> AbstractContextManager[object]:
     """A leader compacts its log whatever snapshot it is sending."""
     return mock.patch.object(Leader, "oldest_needed_index", lambda self, index: index)
--- a/tests/support/consensus_walker.py
+++ b/tests/support/consensus_walker.py
@@ -1,4 +1,4 @@
-"""Random schedules: members under random troubles, each drawn from one seed.
+"""Random schedules: members under random faults, each drawn from one seed.
 
 ``python tests/support/consensus_walker.py FIRST COUNT`` plays seeds and prints those that fail.
 """
@@ -11,17 +11,17 @@
 
 from consensus_checkers import Violation
 from consensus_machine import Machine
-from consensus_world import World, replaced, with_member, with_place, without_member
+from consensus_world import World, replaced, with_member, with_voter, without_member
 
 from mallowbeam.router.consensus.interface import RaftSettings
 from mallowbeam.router.consensus.membership import quorum_of, voters_of
 from mallowbeam.router.consensus.progress import ProgressState
 from mallowbeam.router.rpc.messages_pb2 import Membership
 
-TROUBLE_SECONDS = 5.0  # troubles begin within this time
+FAULT_SECONDS = 5.0  # faults begin within this time
 QUIET_SECONDS = 8.0  # after it all is mended; the group must be whole again by its end
 STEP_SECONDS = 0.05  # mean time between two steps of clients
-TROUBLES = (
+FAULTS = (
     "kill",
     "power_off",
     "start",
@@ -36,8 +36,8 @@
     "heal",
     "slow_disk",
     "stall_disk",
-    "mend_disk",
-    "mend_disk",
+    "repair_disk",
+    "repair_disk",
     "compact",
     "compact",
     "transfer",
@@ -82,8 +82,8 @@
         self.world.batched = self.random.choice((0.0, 0.5, 0.9))
         for machine in self.world.machines.values():
             machine.clock_rate = self.random.uniform(0.9, 1.1)
-        self.troubles = {name: getattr(self, f"_{name}") for name in TROUBLES}
-        self.pace = self.random.choice((0.1, 0.3, 0.6))  # mean seconds between troubles
+        self.faults = {name: getattr(self, f"_{name}") for name in FAULTS}
+        self.pace = self.random.choice((0.1, 0.3, 0.6))  # mean seconds between faults
 
     def _settings(self) -> RaftSettings:
         transfers = Random(f"transfers {self.seed}")
@@ -115,9 +115,9 @@
     def play(self) -> Outcome:
         """Troubles, then quiet; raises Violation."""
         self.world.at(0.3, self._client)
-        self.world.at(0.5, self._trouble)
-        self.world.run(TROUBLE_SECONDS)
-        self._mend()
+        self.world.at(0.5, self._inject_fault)
+        self.world.run(FAULT_SECONDS)
+        self._repair_all()
         self._settles()
         self.world.checkers.logs_match()
         checkers = self.world.checkers
@@ -144,13 +144,13 @@
             self.world.read(machine)
         self.world.at(self.world.now + self.random.expovariate(1 / STEP_SECONDS), self._client)
 
-    # ------------------------------------------------------------ troubles
+    # ------------------------------------------------------------ faults
 
-    def _trouble(self) -> None:
-        if self.world.now >= TROUBLE_SECONDS:
+    def _inject_fault(self) -> None:
+        if self.world.now >= FAULT_SECONDS:
             return
-        self.troubles[self.random.choice(TROUBLES)](self._any())
-        self.world.at(self.world.now + self.random.expovariate(1 / self.pace), self._trouble)
+        self.faults[self.random.choice(FAULTS)](self._any())
+        self.world.at(self.world.now + self.random.expovariate(1 / self.pace), self._inject_fault)
 
     def _any(self) -> Machine:
         leader = self.world.leader()
@@ -182,10 +182,10 @@
             each.thaw()
 
     def _cut(self, machine: Machine) -> None:
-        self.world.cut(machine.member_id, self._any().member_id)
+        self.world.disconnect(machine.member_id, self._any().member_id)
 
     def _cut_one_way(self, machine: Machine) -> None:
-        self.world.cut(machine.member_id, self._any().member_id, both=False)
+        self.world.disconnect(machine.member_id, self._any().member_id, both=False)
 
     def _isolate(self, machine: Machine) -> None:
         self.world.isolate(machine.member_id)
@@ -199,7 +199,7 @@
     def _stall_disk(self, machine: Machine) -> None:
         machine.stall()
 
-    def _mend_disk(self, machine: Machine) -> None:
+    def _repair_disk(self, machine: Machine) -> None:
         for each in self.world.machines.values():
             each.latency = (0.002, 0.006)
             each.unstall()
@@ -223,7 +223,7 @@
         self.world.change(
             lambda membership: any(member.id == member_id for member in membership.members),
             lambda membership: with_member(membership, member_id, voter=False),
-            TROUBLE_SECONDS,
+            FAULT_SECONDS,
         )
 
     def _learners(self) -> list[int]:
@@ -237,7 +237,7 @@
             chosen = self.random.choice(learners)
             membership = machine.node.membership
             added = self.random.random() < 0.4
-            changed = with_place(membership, chosen) if added else with_member(membership, chosen, True)
+            changed = with_voter(membership, chosen) if added else with_member(membership, chosen, True)
             self._change(machine, changed)
 
     def _demote(self, machine: Machine) -> None:
@@ -261,8 +261,8 @@
         learners, voters = self._learners(), sorted(voters_of(membership))
         count = self.random.randint(1, min(len(learners), len(voters), 3)) if learners else 0
         if count:
-            out, taken_in = self.random.sample(voters, count), self.random.sample(learners, count)
-            self._change(leader, replaced(membership, out, taken_in))
+            out, added_voters = self.random.sample(voters, count), self.random.sample(learners, count)
+            self._change(leader, replaced(membership, out, added_voters))
             soon = self.world.now + self.random.uniform(0.0, 0.03)
             self.world.at(soon, self.random.choice((self._compact_all, lambda: None)))
 
@@ -281,17 +281,19 @@
 
     def _change(self, machine: Machine, membership: Membership) -> None:
         """Only where a majority has its disks: the leader may not have missed a wiped one yet."""
-        if self._majority_kept(membership, lost=None):
+        if self._majority_remains(membership, lost=None):
             machine.change_membership(membership)
 
-    def _majority_kept(self, membership: Membership, lost: int | None) -> bool:
+    def _majority_remains(self, membership: Membership, lost: int | None) -> bool:
         quorum = quorum_of(membership)
         return quorum.is_quorum(self.world.machines.keys() - {lost})
 
     def _wipe(self, machine: Machine) -> None:
         """Only where a majority keeps its disks, in any membership that may be in force."""
-        kept = [self._majority_kept(membership, machine.member_id) for membership in self._memberships()]
-        if all(kept):
+        remains = [
+            self._majority_remains(membership, machine.member_id) for membership in self._memberships()
+        ]
+        if all(remains):
             self._join(self.world.wipe(machine.member_id))
 
     def _memberships(self):
@@ -303,12 +305,12 @@
 
     # ------------------------------------------------------------ the end
 
-    def _mend(self) -> None:
+    def _repair_all(self) -> None:
         network = self.world.network
         network.loss, network.duplicates, network.reordered = 0.0, 0.0, False
         network.delay = (0.0005, 0.003)
         self._heal(None)
-        self._mend_disk(None)
+        self._repair_disk(None)
         self._start(None)
         self._thaw(None)
 
@@ -317,7 +319,7 @@
         world = self.world
         reads = world.checkers.reads_confirmed
         acknowledged = world.checkers.acknowledged
-        until = TROUBLE_SECONDS + QUIET_SECONDS
+        until = FAULT_SECONDS + QUIET_SECONDS
 
         def unsettled() -> bool:
             goes_on = world.checkers.reads_confirmed > reads and world.checkers.acknowledged > acknowledged
--- a/tests/support/consensus_world.py
+++ b/tests/support/consensus_world.py
@@ -1,4 +1,4 @@
-"""A group of consensus members on simulated time: machines, the network between them, and troubles."""
+"""A group of consensus members on simulated time: machines, the network between them, and faults."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     loss: float = 0.0  # parts of all messages
     duplicates: float = 0.0
     reordered: bool = False  # else those of one link arrive in their order
-    cuts: set[tuple[int, int]] = field(default_factory=set)
+    disconnected: set[tuple[int, int]] = field(default_factory=set)
 
 
 class World:
@@ -121,7 +121,7 @@
 
     def _deliver(self, sender: int, send: Send) -> None:
         link = (sender, send.recipient)
-        left = self._leaves(link, send)
+        left = self._departure(link, send)
         if left is None:
             return
         arrival = left + self.random.uniform(*self.network.delay)
@@ -131,12 +131,12 @@
 
         def arrive() -> None:
             machine = self.machines.get(send.recipient)
-            if machine is not None and link not in self.network.cuts:
+            if machine is not None and link not in self.network.disconnected:
                 machine.later(0.0, lambda: machine.receive(sender, send))
 
         self.at(arrival, arrive)
 
-    def _leaves(self, link: tuple[int, int], send: Send) -> float | None:
+    def _departure(self, link: tuple[int, int], send: Send) -> float | None:
         """When a message's last byte leaves; None where too much waits before it."""
         if not self._bandwidth:
             return self.now
@@ -154,18 +154,18 @@
         """Have the links of a member, or all others, carry so much each way."""
         self._bandwidth[member_id] = bytes_a_second
 
-    def cut(self, one: int, other: int, both: bool = True) -> None:
-        self.network.cuts.add((one, other))
+    def disconnect(self, one: int, other: int, both: bool = True) -> None:
+        self.network.disconnected.add((one, other))
         if both:
-            self.network.cuts.add((other, one))
+            self.network.disconnected.add((other, one))
 
     def isolate(self, member_id: int) -> None:
         for other in self.machines:
             if other != member_id:
-                self.cut(member_id, other)
+                self.disconnect(member_id, other)
 
     def heal(self) -> None:
-        self.network.cuts.clear()
+        self.network.disconnected.clear()
 
     # ------------------------------------------------------------ clients and operators
 
@@ -194,24 +194,24 @@
     return changed
 
 
-def with_place(membership: Membership, member_id: int) -> Membership:
+def with_voter(membership: Membership, member_id: int) -> Membership:
     """The membership with the member as a voter, for whom a place is added where there is none."""
     changed = with_member(membership, member_id, voter=True)
     changed.target_voters = max(changed.target_voters, len(voters_of(changed)))
     return changed
 
 
-def replaced(membership: Membership, out: Sequence[int], taken_in: Sequence[int]) -> Membership:
+def replaced(membership: Membership, out: Sequence[int], added_voters: Sequence[int]) -> Membership:
     """The joint membership in which voters give their places to learners, and stay as learners."""
     changed = membership
     for member_id in out:
         changed = with_member(changed, member_id, voter=False)
-    for member_id in taken_in:
+    for member_id in added_voters:
         changed = with_member(changed, member_id, voter=True)
     return joint_change(membership, changed)
 
 
 def without_member(membership: Membership, member_id: int) -> Membership:
     """The membership without the member."""
-    kept = [member for member in membership.members if member.id != member_id]
-    return Membership(members=kept, target_voters=membership.target_voters)
+    remaining = [member for member in membership.members if member.id != member_id]
+    return Membership(members=remaining, target_voters=membership.target_voters)
--- a/tests/support/membership_plays.py
+++ b/tests/support/membership_plays.py
@@ -20,7 +20,7 @@
 SIZES = (3, 5, 6, 8)
 REPAIRED_WITHIN = 6.0  # seconds; far more than any repair may take, see `Repair`
 LEADER_WITHIN = 4.0  # after losses that are survived
-TAKEN_WITHIN = 8.0  # a configuration, by callers that try members by chance
+ACCEPTED_WITHIN = 8.0  # a configuration, by callers that try members by chance
 CAUGHT_UP_ENTRIES = 8
 BEGIN = 8.0
 
@@ -105,7 +105,7 @@
     def repaired(self, kind: str) -> None:
         """Wait until the next loss is survived."""
         before = self.player.simulator.now
-        self._until(self._whole, REPAIRED_WITHIN, f"repaired after {kind}")
+        self._until(self._is_repaired, REPAIRED_WITHIN, f"repaired after {kind}")
         self.result.repairs.setdefault(kind, []).append(self.player.simulator.now - before)
 
     def serves(self) -> None:
@@ -115,7 +115,7 @@
         self._revision += 1
         number = str(self._revision)
         self.player.do_put(number, "on", str(self._revision - 1), "via", self.leader())
-        self._until(lambda: self.player.holds(("taken", number)), TAKEN_WITHIN, f"taken {number}")
+        self._until(lambda: self.player.holds(("taken", number)), ACCEPTED_WITHIN, f"taken {number}")
         self.result.repairs["a change taken again"] = [self.player.simulator.now - before]
 
     # ------------------------------------------------------------ what is seen
@@ -149,7 +149,7 @@
         identity = self._identity(self.player.members[name])
         return any(member.id == identity and not member.voter for member in self._membership())
 
-    def _whole(self) -> bool:
+    def _is_repaired(self) -> bool:
         """Whether a committed membership has a voter for each place, and all of them live and are current."""
         node = self._leading_node()
         if node is None or not node.membership_committed:
@@ -343,7 +343,9 @@
                 outcomes = list(pool.map(_outcome, [(name, size, seed) for seed in seeds]))
                 failures = [outcome for outcome in outcomes if isinstance(outcome, str)]
                 failed += len(failures)
-                print(f"{name}, {size} members: {len(failures)} of {len(outcomes)} failed; {_told(outcomes)}")
+                print(
+                    f"{name}, {size} members: {len(failures)} of {len(outcomes)} failed; {_summary(outcomes)}"
+                )
                 print("".join(f"  {failure}\n" for failure in failures[:3]), end="", flush=True)
     return 1 if failed else 0
 
@@ -351,7 +353,7 @@
 WORKERS = 4
 
 
-def _told(outcomes: list[Result | str]) -> str:
+def _summary(outcomes: list[Result | str]) -> str:
     repairs: dict[str, list[float]] = {}
     for outcome in outcomes:
         if isinstance(outcome, Result):
--- a/tests/support/storage_disk.py
+++ b/tests/support/storage_disk.py
@@ -30,33 +30,33 @@
 class Inode:
     """A file's bytes: durable, writes that a failed sync gave up, and each write since the last sync."""
 
-    kept: bytes = b""
+    durable: bytes = b""
     since: list[tuple[int, bytes]] = field(default_factory=list)
-    given_up: list[tuple[int, bytes]] = field(default_factory=list)
+    abandoned: list[tuple[int, bytes]] = field(default_factory=list)
 
     def now(self) -> bytes:
         """The bytes as read now."""
-        data = bytearray(self.kept)
-        for offset, written in self.given_up + self.since:
+        data = bytearray(self.durable)
+        for offset, written in self.abandoned + self.since:
             put(data, offset, written)
         return bytes(data)
 
     def sync(self) -> None:
         """Make durable what was written since the last sync."""
-        data = bytearray(self.kept)
+        data = bytearray(self.durable)
         for offset, written in self.since:
             put(data, offset, written)
-            self.given_up = outside(self.given_up, offset, offset + len(written))
-        self.kept, self.since = bytes(data), []
+            self.abandoned = outside(self.abandoned, offset, offset + len(written))
+        self.durable, self.since = bytes(data), []
 
     def fail(self) -> None:
         """A sync has failed."""
-        self.given_up += self.since
+        self.abandoned += self.since
         self.since = []
 
     def copy(self) -> Inode:
         """The same, apart."""
-        return Inode(self.kept, list(self.since), list(self.given_up))
+        return Inode(self.durable, list(self.since), list(self.abandoned))
 
 
 class Disk:
@@ -66,15 +66,15 @@
         self.root = root
         self.moment = moment
         self.names: dict[str, Inode] = {}  # as seen now
-        self.kept: dict[str, Inode] = {}  # as durable
+        self.durable: dict[str, Inode] = {}  # as durable
         self.faults: dict[str, Exception] = {}
 
-    def load(self, names: dict[str, Inode], kept: dict[str, Inode]) -> None:
-        """Put files there, with what is not durable yet; `kept` are the durable names."""
+    def load(self, names: dict[str, Inode], durable: dict[str, Inode]) -> None:
+        """Put files there, with what is not durable yet; `durable` are the durable names."""
         os.makedirs(self.root, exist_ok=True)
-        copies = {id(inode): inode.copy() for inode in (*names.values(), *kept.values())}
+        copies = {id(inode): inode.copy() for inode in (*names.values(), *durable.values())}
         self.names = {name: copies[id(inode)] for name, inode in names.items()}
-        self.kept = {name: copies[id(inode)] for name, inode in kept.items()}
+        self.durable = {name: copies[id(inode)] for name, inode in durable.items()}
         for name, inode in self.names.items():
             with open(os.path.join(self.root, name), "wb") as file:
                 file.write(inode.now())
@@ -93,26 +93,26 @@
         """A file's sync keeps its bytes and the name it was made under; a new name needs the folder's."""
         inode = self.names[name]
         inode.sync()
-        if not any(inode is kept for kept in self.kept.values()):
-            self.kept[name] = inode
+        if not any(inode is durable for durable in self.durable.values()):
+            self.durable[name] = inode
 
     def sync_names(self) -> None:
         """The folder's sync."""
-        self.kept = dict(self.names)
+        self.durable = dict(self.names)
 
 
 def draw(disk: Disk, chance: random.Random) -> dict[str, bytes]:
     """The files as a power loss leaves them: each unsynced name and write present, missing or torn."""
-    tear = chance.choice((missing, whole, mixed, mixed, mixed, mixed))
+    tear = chance.choice((missing, complete, mixed, mixed, mixed, mixed))
     found: dict[str, bytes] = {}
-    for name in sorted({**disk.kept, **disk.names}):
-        inode = disk.kept.get(name)
+    for name in sorted({**disk.durable, **disk.names}):
+        inode = disk.durable.get(name)
         if inode is not disk.names.get(name) and chance.random() < 0.5:
             inode = disk.names.get(name)
         if inode is None:
             continue
-        data = bytearray(inode.kept)
-        for offset, written in inode.given_up + inode.since:
+        data = bytearray(inode.durable)
+        for offset, written in inode.abandoned + inode.since:
             for start, end in tear(len(written), offset, chance):
                 put(data, offset + start, written[start:end])
         found[name] = bytes(data)
@@ -124,7 +124,7 @@
     return []
 
 
-def whole(length: int, offset: int, chance: random.Random) -> list[tuple[int, int]]:
+def complete(length: int, offset: int, chance: random.Random) -> list[tuple[int, int]]:
     """All of it."""
     return [(0, length)]
 
@@ -186,7 +186,7 @@
             stack.enter_context(mock.patch.object(store_file, "lmdb", lmdb_calls))
             yield self
 
-    def place(self, path: str) -> tuple[Disk | None, str]:
+    def locate(self, path: str) -> tuple[Disk | None, str]:
         """The disk and name of a path; the empty name is the folder itself."""
         for disk in reversed(self.disks):
             if path == disk.root or path.startswith(disk.root + os.sep):
@@ -197,7 +197,7 @@
 
     def open(self, path: str, flags: int) -> int:
         """Open an existing file or the folder."""
-        disk, name = self.place(path)
+        disk, name = self.locate(path)
         if disk is not None:
             disk.due("open")
         descriptor = os.open(path, flags)
@@ -244,15 +244,15 @@
 
     def rename(self, source: str, target: str) -> None:
         """Another name, not durable yet."""
-        disk, name = self.place(source)
+        disk, name = self.locate(source)
         os.rename(source, target)
         if disk is not None:
-            disk.names[self.place(target)[1]] = disk.names.pop(name)
+            disk.names[self.locate(target)[1]] = disk.names.pop(name)
             disk.changed("rename", name)
 
     def unlink(self, path: str) -> None:
         """Remove a name, not durable yet."""
-        disk, name = self.place(path)
+        disk, name = self.locate(path)
         os.unlink(path)
         if disk is not None:
             del disk.names[name]
@@ -262,7 +262,7 @@
 
     def open_environment(self, path: str, **options: Any) -> Any:
         """lmdb's open: of a new file it writes the meta pages without a sync."""
-        disk, name = self.place(path)
+        disk, name = self.locate(path)
         if disk is None:
             return lmdb.open(path, **options)
         environment = lmdb.open(path, **options)
--- a/tests/support/storage_trial.py
+++ b/tests/support/storage_trial.py
@@ -24,7 +24,7 @@
 DISK_MB = 16
 
 
-class Lost(AssertionError):
+class LostWriteError(AssertionError):
     """An image did not open with what was acknowledged."""
 
 
@@ -55,7 +55,7 @@
     def _live(self, batches: int) -> None:
         self.disk = Disk(os.path.join(self.folder, "live"))
         self.disk.load({}, {})
-        self.disk.moment = lambda label: self._cut(self.disk, label, 0)
+        self.disk.moment = lambda label: self._lose_power(self.disk, label, 0)
         self.calls.disks.append(self.disk)
         store = ReplicaStore.open(self.disk.root, DISK_MB)
         model = Model()
@@ -70,7 +70,7 @@
             store.write(writes)
             model = model.after_all(writes)
             self.allowed = [model]
-            self._cut(self.disk, "acknowledged", 0)
+            self._lose_power(self.disk, "acknowledged", 0)
             if self.chance.random() < 0.1:
                 store.close()
                 store = ReplicaStore.open(self.disk.root, DISK_MB)
@@ -78,7 +78,7 @@
         self.allowed = [model, None]
         ReplicaStore.discard(self.disk.root)
         self.allowed = [None]
-        self._cut(self.disk, "discarded", 0)
+        self._lose_power(self.disk, "discarded", 0)
 
     def _fail(self, store: ReplicaStore, model: Model, writes: list[Write]) -> None:
         """The disk refuses one call: the batch is not claimed, and is tried again."""
@@ -91,50 +91,50 @@
         except kind:
             self.counts[f"refused: {call}"] += 1
         else:
-            raise Lost(f"seed {self.seed}: a refused {call} went unnoticed")
-        self._cut(self.disk, "refused", 0)
+            raise LostWriteError(f"seed {self.seed}: a refused {call} went unnoticed")
+        self._lose_power(self.disk, "refused", 0)
         if self.chance.random() < 0.5:
             if store.load() != model.restored():
-                raise Lost(f"seed {self.seed}: a batch that failed is claimed")
+                raise LostWriteError(f"seed {self.seed}: a batch that failed is claimed")
             self.allowed = [model]
-            self._cut(self.disk, "rolled back", 0)
+            self._lose_power(self.disk, "rolled back", 0)
             self.allowed = [model, model.after_all(writes)]
 
     # ------------------------------------------------------------ cuts
 
-    def _cut(self, disk: Disk, label: str, depth: int) -> None:
+    def _lose_power(self, disk: Disk, label: str, depth: int) -> None:
         """The power is lost now; and, at some moments, the process is killed now and the power lost later."""
         if depth > 0 and self.chance.random() > self.again:
             return
         for _ in range(self.images_a_moment if depth == 0 else 1):
             image = {name: Inode(data) for name, data in draw(disk, self.chance).items()}
             self._reopen(image, image, f"power lost, {label}", depth)
-        failed_sync = any(file.given_up for file in disk.names.values())
+        failed_sync = any(file.abandoned for file in disk.names.values())
         if depth == 0 and not failed_sync and self.chance.random() < self.killed:
-            self._reopen(disk.names, disk.kept, f"killed, {label}", depth)
+            self._reopen(disk.names, disk.durable, f"killed, {label}", depth)
 
-    def _reopen(self, names: dict[str, Inode], kept: dict[str, Inode], label: str, depth: int) -> None:
+    def _reopen(self, names: dict[str, Inode], durable: dict[str, Inode], label: str, depth: int) -> None:
         """Open an image; power is lost again during that and after it. What was once read stays."""
         self.counts[f"{label} (depth {depth})"] += 1
         self.counts["images"] += 1
         outer = self.allowed
         disk = Disk(tempfile.mkdtemp(prefix="image-", dir=self.folder))
-        disk.load(names, kept)
+        disk.load(names, durable)
         if depth < 2:
-            disk.moment = lambda inner: self._cut(disk, f"reopened: {inner}", depth + 1)
+            disk.moment = lambda inner: self._lose_power(disk, f"reopened: {inner}", depth + 1)
         self.calls.disks.append(disk)
         try:
-            found = self._found(disk, label)
+            found = self._open_and_check(disk, label)
             self.allowed = [found]
             disk.changed("opened", STORE_FILE)
             if depth == 0 and found is not None and self.chance.random() < 0.3:
-                self._go_on(disk, found, label)
+                self._write_on(disk, found, label)
         finally:
             self.allowed = outer
             self.calls.disks.remove(disk)
             shutil.rmtree(disk.root)
 
-    def _found(self, disk: Disk, label: str) -> Model | None:
+    def _open_and_check(self, disk: Disk, label: str) -> Model | None:
         """What the image holds, which must be allowed."""
         store = ReplicaStore.open(disk.root, DISK_MB)
         try:
@@ -146,10 +146,10 @@
         finally:
             store.close()
         if found not in self.allowed or store.identity not in (None, IDENTITY):
-            raise Lost(f"seed {self.seed}, {label}: not what was acknowledged")
+            raise LostWriteError(f"seed {self.seed}, {label}: not what was acknowledged")
         return found
 
-    def _go_on(self, disk: Disk, model: Model, label: str) -> None:
+    def _write_on(self, disk: Disk, model: Model, label: str) -> None:
         """Two more batches, then all of it is read back: the store is whole, not only readable."""
         moment, disk.moment = disk.moment, lambda inner: None
         store = ReplicaStore.open(disk.root, DISK_MB)
@@ -159,7 +159,7 @@
             model = model.after_all(writes)
         store.close()
         self.allowed = [model]
-        self._found(disk, f"{label}, written on")
+        self._open_and_check(disk, f"{label}, written on")
         disk.moment = moment
         self.counts["written on"] += 1
 
