--- a/tests/support/consensus_machine.py
+++ b/tests/support/consensus_machine.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, field, replace
+from dataclasses import replace
 from math import isinf
 from random import Random
 from typing import TYPE_CHECKING
@@ -12,16 +12,10 @@
 from consensus_checkers import Applied, Operation
 
 from mallowbeam.router.consensus.errors import ConsensusError
-from mallowbeam.router.consensus.interface import (
-    HardState,
-    PersistentState,
-    RaftSettings,
-    ReadResult,
-    Send,
-    Write,
-)
+from mallowbeam.router.consensus.interface import RaftSettings, ReadResult, Send, Write
 from mallowbeam.router.consensus.node import RaftNode, Role
 from mallowbeam.router.rpc.messages_pb2 import COMMAND, MEMBERSHIP, Entry, Membership, Snapshot
+from mallowbeam.simulation.replica import Replica
 
 if TYPE_CHECKING:
     from consensus_world import World
@@ -29,54 +23,22 @@
 BATCH_SECONDS = (0.0, 0.004)  # how long a member's output may wait where events are batched
 
 
-@dataclass
-class Disk:
-    """What is durable on one disk, by the rules that `interface.Write` states."""
-
-    snapshot: Snapshot
-    hard_state: HardState = HardState()
-    entries: list[Entry] = field(default_factory=list)
-
-    @property
-    def last_index(self) -> int:
-        return self.snapshot.index + len(self.entries)
+class Disk(Replica):
+    """What is durable on one disk."""
 
     def holds(self, entry: Entry) -> bool:
         """Whether the entry, known to be committed, is here."""
         if entry.index <= self.snapshot.index:
             return True
-        return entry.index <= self.last_index and self._at(entry.index).term == entry.term
-
-    def _at(self, index: int) -> Entry:
-        return self.entries[index - self.snapshot.index - 1]
+        if entry.index > self.last_index:
+            return False
+        return self.entries[entry.index - self.snapshot.index - 1].term == entry.term
 
     def memberships(self) -> list[Membership]:
         """All memberships here that may be in force."""
         logged = [Membership.FromString(entry.payload) for entry in self.entries if entry.kind == MEMBERSHIP]
         return [self.snapshot.membership, *logged] if self.snapshot.membership.members else logged
 
-    def apply(self, write: Write) -> None:
-        if write.snapshot is not None:
-            self._put_snapshot(write.snapshot)
-        if write.entries:
-            first = write.entries[0].index
-            assert self.snapshot.index < first <= self.last_index + 1, "a gap in the log"
-            self.entries[first - self.snapshot.index - 1 :] = write.entries
-        if write.hard_state is not None:
-            assert write.hard_state.term >= self.hard_state.term, "a term that falls"
-            self.hard_state = write.hard_state
-
-    def _put_snapshot(self, snapshot: Snapshot) -> None:
-        in_log = self.snapshot.index < snapshot.index <= self.last_index
-        if in_log and self._at(snapshot.index).term == snapshot.term:
-            del self.entries[: snapshot.index - self.snapshot.index]
-        elif snapshot.index != self.snapshot.index:
-            self.entries = []
-        self.snapshot = snapshot
-
-    def restored(self) -> PersistentState:
-        return PersistentState(self.hard_state, self.snapshot, tuple(self.entries))
-
 
 class Machine:
     """A host of one member: its process, its disk, its clock."""
@@ -85,7 +47,7 @@
         self.world = world
         self.member_id = member_id
         self.settings = replace(settings, member_id=member_id)
-        self.disk = Disk(snapshot)
+        self.disk = Disk(member_id, snapshot)
         self.latency = (0.002, 0.006)  # seconds a write takes, between these
         self.stalled = False
         self.clock_rate = 1.0
