--- a/mallowbeam/router/control_plane/stage_lease.py
+++ b/mallowbeam/router/control_plane/stage_lease.py
@@ -8,7 +8,7 @@
 from mallowbeam.router.consensus.errors import ConsensusError
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
 from mallowbeam.router.control_plane.response_gate import ResponseGate, ResponseKind
-from mallowbeam.router.pairing.order_lease import OrderLease, OrderLeaseSettings, Standing
+from mallowbeam.router.pairing.order_lease import Leadership, OrderLease, OrderLeaseSettings
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.rpc.messages_pb2 import ALREADY_DONE, DONE, AcquireLease, Command
 
@@ -20,9 +20,9 @@
 class StageLease:
     """This member's lease over the stages, with its fencing token."""
 
-    def __init__(self, driver: RaftDriver, gate: ResponseGate, holder: int, lease_s: float) -> None:
-        """`holder` is this member's id; `lease_s` seconds lie between the orders of two holders."""
-        self.holder = holder
+    def __init__(self, driver: RaftDriver, gate: ResponseGate, member_id: int, lease_s: float) -> None:
+        """`member_id` is this member's own; `lease_s` seconds lie between the orders of two lease holders."""
+        self.member_id = member_id
         self._driver = driver
         self._gate = gate
         self._lease = OrderLease(OrderLeaseSettings(lease_s))
@@ -34,13 +34,13 @@
 
     def should_acquire(self, now: float) -> bool:
         """Whether a proposal for the lease is due."""
-        return self._lease.should_acquire(self._standing(now), now)
+        return self._lease.should_acquire(self._leadership(now), now)
 
     def token(self, now: float) -> int | None:
         """The fencing token under which an order may be sent in this step; None if none may be sent."""
         if not self._gate.may(ResponseKind.INSTANCE_ORDER):
             return None
-        return self._lease.token(self._standing(now), now)
+        return self._lease.token(self._leadership(now), now)
 
     def rejected(self) -> None:
         """An instance has seen a higher fencing token: the lease is lost."""
@@ -52,7 +52,7 @@
 
     async def _acquire(self, term: int) -> None:
         """Propose the acquisition, and record what became of it."""
-        command = Command(acquire_lease=AcquireLease(subject=SUBJECT, holder=self.holder))
+        command = Command(acquire_lease=AcquireLease(subject=SUBJECT, holder=self.member_id))
         try:
             outcome = await self._driver.propose(command.SerializeToString())
         except ConsensusError as error:
@@ -65,6 +65,6 @@
         else:
             self._lease.not_acquired(time.monotonic())
 
-    def _standing(self, now: float) -> Standing:
+    def _leadership(self, now: float) -> Leadership:
         node = self._driver.node
-        return Standing(self._driver.is_leader, node.term, node.freshness(now))
+        return Leadership(self._driver.is_leader, node.term, node.freshness(now))
