--- a/tests/support/snapshot_load.py
+++ b/tests/support/snapshot_load.py
@@ -17,6 +17,7 @@
 from pathlib import Path
 from random import Random
 
+from mallowbeam.errors import MallowbeamError
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.consensus.errors import ConsensusError
 from mallowbeam.router.consensus.interface import RaftSettings
@@ -29,24 +30,27 @@
 from mallowbeam.router.rpc.messages_pb2 import DONE, Command, Member, Membership, PutConfiguration, Snapshot
 
 OWN = 1
-CALLERS = 8  # operators' orders that may be under way at once
+CALLERS = 8  # concurrent operators
 MEBIBYTE = 1 << 20
 FOUNDERS = Membership(members=[Member(id=OWN, voter=True)], target_voters=1)
 FIRST = Snapshot(index=1, term=1, membership=FOUNDERS)
 
 
 class Listener:
-    """Nobody else is told of anything."""
+    """A listener of the driver that ignores every event."""
 
-    def applied(self) -> None:
+    def entries_applied(self) -> None:
         pass
 
     def membership_changed(self, membership: Membership) -> None:
         pass
 
+    def store_unusable(self, error: MallowbeamError) -> None:
+        raise error
+
 
 class Load:
-    """One member with a group of its own, and what it was seen to need."""
+    """A group of one member under concurrent changes, and the resources that it used."""
 
     def __init__(self, folder: str, disk_mb: int) -> None:
         self.folder, self.disk_mb = folder, disk_mb
@@ -72,14 +76,14 @@
         store.close()
 
     async def _caller(self, numbers, size: int) -> None:
-        """One change after another, each until it is taken; all build on the last one that was."""
+        """Make one change after another, each until it is accepted; all are based on the latest revision."""
         for _ in numbers:
             body = os.urandom(size)
             while not await self._change(body):
                 pass
 
     async def _change(self, body: bytes) -> bool:
-        """Whether the change was taken: not where another was first, or a slow disk has ended the term."""
+        """Whether the change was accepted: not if another was first, or a slow disk has ended the term."""
         based_on = self.machine.configurations.revision
         put = PutConfiguration(body=body, based_on=based_on, digest=os.urandom(16), revision=based_on + 1)
         try:
