--- a/mallowbeam/storage_gateway/write_buffer/dispatch.py
+++ b/mallowbeam/storage_gateway/write_buffer/dispatch.py
@@ -61,14 +61,7 @@
         for parked in self.shards.unpark():
             self.queue(parked, parked.due_at)
         capacity = allowed - self.shards.in_flight
-        while capacity > 0 and self._ready and self._ready[0][0] <= now:
-            _, lsn = heappop(self._ready)
-            entry = self._writes.entries.get(lsn)
-            if entry is None or not entry.queued:
-                continue
-            entry.queued = False
-            if not self._writes.may_send(entry):
-                continue
+        while capacity > 0 and (entry := self._pop_ready(now)) is not None:
             if self._must_wait(entry, now):
                 continue
             if self._exceeds_flush_bytes(entry):
@@ -96,6 +89,18 @@
         for entry in self._writes.groups.first_group(bucket):
             self.queue(entry, entry.due_at)
 
+    def _pop_ready(self, now: float) -> Entry | None:
+        """The first queued write that is due and next in its order."""
+        while self._ready and self._ready[0][0] <= now:
+            _, lsn = heappop(self._ready)
+            entry = self._writes.entries.get(lsn)
+            if entry is None or not entry.queued:
+                continue
+            entry.queued = False
+            if self._writes.may_send(entry):
+                return entry
+        return None
+
     def _must_wait(self, entry: Entry, now: float) -> bool:
         """Queue or park a write that has to wait for its time or its shard; whether it has to."""
         if entry.due_at > now:
--- a/mallowbeam/storage_gateway/write_buffer/records.py
+++ b/mallowbeam/storage_gateway/write_buffer/records.py
@@ -22,6 +22,7 @@
 SEGMENT = struct.Struct("<8sHHI16sQQI")  # magic, version, 0, marker, folder id, number, first lsn, crc
 RECORD = struct.Struct("<IIIBxxxQQ")  # marker, crc, payload bytes, kind, lsn, durable lsn
 MAX_PAYLOAD = 1 << 20  # bytes of one record's payload
+MAX_RECORD = RECORD.size + MAX_PAYLOAD  # bytes
 CONTENT_HEADER = struct.Struct("<I")  # bytes of the msgpack part in front of a body
 
 
@@ -244,26 +245,24 @@
     """
     marker_bytes = struct.pack("<I", marker)
     data = bytearray()
-    base = SEGMENT.size  # the offset in the file of `data`
-    at = 0  # in `data`
+    base, at = SEGMENT.size, 0  # the offset in the file of `data`, and the position in it
     ended = False
-    damage_at = -1  # the offset in the file where damaged bytes began; -1: none
-    is_blank = True
+    damage_at, is_blank = -1, True  # the offset in the file where damaged bytes began, -1 for none
     while True:
-        if not ended and len(data) - at < RECORD.size + MAX_PAYLOAD:
+        if not ended and len(data) - at < MAX_RECORD:
             chunk = next(chunks, b"")
             ended = not chunk
             del data[:at]
-            base += at
-            at = 0
+            base, at = base + at, 0
             data += chunk
             continue
         if at >= len(data):
             break
-        found = _record_at(data, at, marker)
-        if found is None:
-            if damage_at < 0:
-                damage_at = base + at
+        with memoryview(data) as view:
+            header = check(view, at, marker)
+            payload = b"" if header is None else bytes(view[at + RECORD.size : at + RECORD.size + header[3]])
+        if header is None:
+            damage_at = base + at if damage_at < 0 else damage_at
             following = _next_candidate(data, at, marker_bytes, ended)
             is_blank = is_blank and not any(data[at:following])
             at = following
@@ -271,24 +270,13 @@
         if damage_at >= 0:
             yield DamagedRange(segment, damage_at, base + at - damage_at, is_blank, last_lsn, False)
             damage_at, is_blank = -1, True
-        kind, lsn, durable, payload = found
+        kind, lsn, durable, size = header
         yield Record(Kind(kind), lsn, durable, segment, base + at, payload)
-        last_lsn = max(last_lsn, lsn)
-        at += RECORD.size + len(payload)
+        last_lsn, at = max(last_lsn, lsn), at + RECORD.size + size
     if damage_at >= 0:
         yield DamagedRange(segment, damage_at, base + at - damage_at, is_blank, last_lsn, True)
 
 
-def _record_at(data: bytearray, at: int, marker: int) -> tuple[int, int, int, bytes] | None:
-    """Kind, lsn, durable lsn and payload of the record at an offset; None without a valid one."""
-    with memoryview(data) as view:
-        found = check(view, at, marker)
-        if found is None:
-            return None
-        kind, lsn, durable, size = found
-        return kind, lsn, durable, bytes(view[at + RECORD.size : at + RECORD.size + size])
-
-
 def _next_candidate(data: bytearray, at: int, marker_bytes: bytes, ended: bool) -> int:
     """Where a record may begin behind damaged bytes: at the next marker, or beyond what has been read."""
     following = data.find(marker_bytes, at + 1)
--- a/mallowbeam/storage_gateway/write_buffer/store.py
+++ b/mallowbeam/storage_gateway/write_buffer/store.py
@@ -176,15 +176,7 @@
         try:
             await self._commit_in_thread([pending.record for pending in batch], finishes_writes)
         except DiskFullError as error:
-            finishing = [pending for pending in batch if not pending.is_awaited]
-            for pending in batch:
-                if pending.is_awaited:
-                    pending.failed(RecordRejectedError(str(error)))
-            if finishing and not finishes_writes:
-                await self._commit(finishing, True)
-                return
-            for pending in finishing:
-                pending.failed(RecordRejectedError(str(error)))
+            await self._disk_full(batch, str(error), finishes_writes)
         except LogIOError as error:
             await self._distrust(batch, str(error))
         else:
@@ -192,6 +184,18 @@
                 pending.committed()
         self._on_segments(dict(self.log.sizes), self.log.number)
 
+    async def _disk_full(self, batch: list[PendingRecord], reason: str, finishes_writes: bool) -> None:
+        """Reject new writes; commit alone what finishes writes, as that makes space."""
+        finishing = [pending for pending in batch if not pending.is_awaited]
+        for pending in batch:
+            if pending.is_awaited:
+                pending.failed(RecordRejectedError(reason))
+        if finishing and not finishes_writes:
+            await self._commit(finishing, True)
+            return
+        for pending in finishing:
+            pending.failed(RecordRejectedError(reason))
+
     async def _distrust(self, batch: list[PendingRecord], reason: str) -> None:
         """A file cannot be trusted: record durably, elsewhere, that its last batch was never acknowledged.
 
