--- a/mallowbeam/router/control_plane/stage_controller.py
+++ b/mallowbeam/router/control_plane/stage_controller.py
@@ -1,7 +1,7 @@
 """Control loop of the prefill share: compares the fleet's demand with its stages, and orders changes.
 
-Every member adds up its gateways' demand and follows what `StageShare` decides for the fleet, so that a new
-leader knows it at once; only the leader sends orders, under the lease of `StageLease`.
+Every member adds up its gateways' demand and follows what `StageBalancer` decides for the fleet, so that a
+new leader knows it at once; only the leader sends orders, under the lease of `StageLease`.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from mallowbeam.router.configuration.model import Engine
 from mallowbeam.router.configuration.versions import ConfigurationVersions
 from mallowbeam.router.control_plane.stage_order_client import StageOrderClient
-from mallowbeam.router.pairing.stage_demand import DemandTable, add_up
-from mallowbeam.router.pairing.stage_share import (
+from mallowbeam.router.pairing.stage_balancer import (
     OrderResult,
+    StageBalancer,
+    StageBalancerSettings,
     StageInstance,
     StageOrder,
-    StageShare,
-    StageShareSettings,
 )
+from mallowbeam.router.pairing.stage_demand import DemandTable, add_up
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.registry.table import InstanceTable
 from mallowbeam.router.rpc.messages_pb2 import READY, Instance, RegistryGossip, StageDemand
@@ -42,7 +42,7 @@
         table: InstanceTable,
         versions: ConfigurationVersions,
         gateways_outdated: Callable[[], None],
-        settings: StageShareSettings,
+        settings: StageBalancerSettings,
     ) -> None:
         """`gateways_outdated` is called when gateways must be sent a change of instances."""
         self.gateways = DemandTable()  # by subscriber
@@ -53,7 +53,7 @@
         self._versions = versions
         self._gateways_outdated = gateways_outdated
         self._settings = settings
-        self._shares: dict[str, StageShare] = {}
+        self._shares: dict[str, StageBalancer] = {}
         self._instances: dict[str, list[StageInstance]] = {}
         self._refreshed_at = 0.0
         self._table_version = -1
@@ -118,8 +118,8 @@
         for backend, instances in self._instances.items():
             self._decisions_of(backend).observe(fleet.get(backend), instances, now)
 
-    def _decisions_of(self, backend: str) -> StageShare:
-        return self._shares.setdefault(backend, StageShare(self._settings))
+    def _decisions_of(self, backend: str) -> StageBalancer:
+        return self._shares.setdefault(backend, StageBalancer(self._settings))
 
     # ------------------------------------------------------------ the leader's orders
 
@@ -152,7 +152,7 @@
         for order in orders:
             self._start(self._send(share, order, engine.switch_s))
 
-    async def _send(self, share: StageShare, order: StageOrder, switch_s: float) -> None:
+    async def _send(self, share: StageBalancer, order: StageOrder, switch_s: float) -> None:
         """Send one order and record its result; `switch_s` is the time that a change of stage takes."""
         self._orders_in_flight += 1
         result = OrderResult.UNKNOWN
@@ -163,7 +163,7 @@
             now = time.monotonic()
             share.answered(order, result, switch_s, now)
         log.info("%s to %s: %s", order.id, order.stage, result.value)
-        if result is OrderResult.TAKEN:
+        if result is OrderResult.ACCEPTED:
             deadline = now + switch_s + self._settings.longest_switch_s
             self._table.begin_stage_transition(order.id, order.stage, deadline, announce=True)
             self._gateways_outdated()
--- a/mallowbeam/storage_gateway/coordination/shares/flow_division.py
+++ b/mallowbeam/storage_gateway/coordination/shares/flow_division.py
@@ -6,7 +6,7 @@
 that is less.
 
 What one flow does not use now is lent within this gateway to flows that are short, in proportion to what they
-lack; a `KEPT`th of its rate stays with it, so that its demand is noticed at once when it comes back.
+lack; a `RETAINED`th of its rate stays with it, so that its demand is noticed at once when it comes back.
 
 Rates and quotas are milli-units a second.
 """
@@ -18,7 +18,7 @@
 
 from mallowbeam.storage_gateway.coordination.shares.state_machine import SharesState
 
-KEPT = 10  # the divisor of a lent flow's rate that stays with it
+RETAINED = 10  # the divisor of a lent flow's rate that stays with it
 Usable = Callable[[str], int]
 Link = tuple[int, int, str]  # kind, position among its kind, resource
 NODE = 0
@@ -68,6 +68,17 @@
 
     def fit(self, kind: int) -> None:
         """Scale the flows of each link of this kind down until their sum fits its quota."""
+        too_full = self._too_full(kind)
+        if not too_full:
+            return
+        for flow, rate in self.rates.items():
+            for of_kind, position, _ in self.links[flow]:
+                if of_kind == kind and position in too_full:
+                    quota, total = too_full[position]
+                    self.rates[flow] = rate * quota // total
+
+    def _too_full(self, kind: int) -> dict[int, tuple[int, int]]:
+        """By position, the quota and the sum of the flows of each link of this kind where the sum is more."""
         sums: dict[int, int] = {}
         resources: dict[int, str] = {}
         for flow, rate in self.rates.items():
@@ -76,20 +87,14 @@
                     sums[position] = sums.get(position, 0) + rate
                     resources[position] = resource
         with_new_flows = self._links_of_new_flows(kind)
-        too_full: dict[int, tuple[int, int]] = {}  # by position: its quota, and the sum of its flows
+        too_full: dict[int, tuple[int, int]] = {}
         for position, total in sums.items():
             quota = self.quotas[kind][position]
             if position in with_new_flows:
                 quota -= min(self.state.floors.get(resources[position], 0), quota // 2)
             if total > quota:
                 too_full[position] = (quota, total)
-        if not too_full:
-            return
-        for flow, rate in self.rates.items():
-            for of_kind, position, _ in self.links[flow]:
-                if of_kind == kind and position in too_full:
-                    quota, total = too_full[position]
-                    self.rates[flow] = rate * quota // total
+        return too_full
 
     def _links_of_new_flows(self, kind: int) -> set[int]:
         """The positions of the links of this kind that are used by flows without a granted rate."""
@@ -140,7 +145,7 @@
             ]
             rate = granted
             if shared and flow not in lack:
-                rate = min(granted, max(self.demand.get(flow, 0), granted // KEPT))
+                rate = min(granted, max(self.demand.get(flow, 0), granted // RETAINED))
                 lowered[flow] = rate
             for kind, position in shared:
                 available[kind][position] -= rate
