--- a/mallowbeam/router/data_plane/send_policy.py
+++ b/mallowbeam/router/data_plane/send_policy.py
@@ -2,8 +2,8 @@
 
 An *arrival* is a request that an instance has received completely or in part.  A prefill call that comes
 before all other arrivals, and is not rejected, is none.  Every arrival after the first is charged to the
-retry budget of its service.  A separate prefill is therefore made only before all arrivals: later the call would
-count against an instance that could answer.
+retry budget of its service.  A separate prefill is therefore made only before all arrivals: later the call
+would count against an instance that could answer.
 """
 
 from __future__ import annotations
