--- a/mallowbeam/storage_gateway/coordination/policy.py
+++ b/mallowbeam/storage_gateway/coordination/policy.py
@@ -147,7 +147,8 @@
     def _apply(self) -> list[Action]:
         if self.in_force == self.newest:
             return []
-        before, self.in_force = self.in_force, self.newest
+        before = self.in_force
+        self.in_force = self.newest
         return [ApplyPolicy(self.in_force, before)]
 
     def _enter(self, phase: Phase, actions: list[Action]) -> None:
--- a/mallowbeam/storage_gateway/coordination/quota_epochs.py
+++ b/mallowbeam/storage_gateway/coordination/quota_epochs.py
@@ -144,7 +144,8 @@
     before = quota.amounts
     rows = {name: dict(row) for name, row in amounts.items() if row != before.get(name, {})}
     for name, row in (amounts if complete else rows).items():
-        floors, capacity = bounds.floors(name, quota.holders), bounds.capacity(name)
+        floors = bounds.floors(name, quota.holders)
+        capacity = bounds.capacity(name)
         if name in rows or not sum(row.values()) + floors <= capacity:  # an unchanged row fits as a rule
             _check_row(quota, name, row, bounds)
     if complete:
@@ -155,16 +156,23 @@
         raise TooManyOpenEpochsError(
             f"{MOST_OPEN} epochs are open", ", ".join(sorted(quota.awaited_releases))
         )
+    opened = OpenEpoch(quota.epoch + 1, rows, _losers(before, rows, bounds))
+    return fold_complete_epochs(
+        msgspec.structs.replace(quota, epoch=opened.epoch, open_epochs=(*quota.open_epochs, opened))
+    )
+
+
+def _losers(
+    before: Mapping[str, Mapping[str, N]], rows: Mapping[str, Mapping[str, N]], bounds: Bounds[N]
+) -> tuple[Holder, ...]:
+    """The holders that have less in any of these rows than before, sorted."""
     losers = {
         holder
         for name, row in rows.items()
         for holder, had in before.get(name, {}).items()
         if row.get(holder, bounds.floor(name, holder)) < had
     }
-    opened = OpenEpoch(quota.epoch + 1, rows, tuple(sorted(losers)))
-    return fold_complete_epochs(
-        msgspec.structs.replace(quota, epoch=opened.epoch, open_epochs=(*quota.open_epochs, opened))
-    )
+    return tuple(sorted(losers))
 
 
 def release(quota: QuotaEpochs[N], holder: Holder, epoch: int) -> QuotaEpochs[N]:
@@ -176,7 +184,8 @@
 
 def _check_row(quota: QuotaEpochs[N], name: Resource, row: Mapping[Holder, N], bounds: Bounds[N]) -> None:
     """Raise `InvalidTargetError` where a row breaks a floor or the capacity."""
-    floors, capacity = bounds.floors(name, quota.holders), bounds.capacity(name)
+    floors = bounds.floors(name, quota.holders)
+    capacity = bounds.capacity(name)
     if floors > capacity * (1 + SLACK):
         raise FloorsExceedCapacityError(f"floors of {floors} in all, capacity {capacity}", name)
     total = floors
--- a/mallowbeam/storage_gateway/coordination/quota_transfer.py
+++ b/mallowbeam/storage_gateway/coordination/quota_transfer.py
@@ -148,9 +148,14 @@
         """Rebuild the view from the log's state; the amounts in use and when epochs were seen are kept."""
         known = self.epochs_seen
         self.rows = dict(quota.rows)
-        self.open_rows, self.allowed, self.blocked_by, self.blocking = {}, {}, {}, {}
-        self.epoch, self.released_epochs = quota.base_epoch, dict(quota.released)
-        self.epochs_seen, self.unreleased_epochs = {}, []
+        self.open_rows = {}
+        self.allowed = {}
+        self.blocked_by = {}
+        self.blocking = {}
+        self.epoch = quota.base_epoch
+        self.released_epochs = dict(quota.released)
+        self.epochs_seen = {}
+        self.unreleased_epochs = []
         for opened in quota.open_epochs:
             self._see_epoch(opened.epoch, opened.rows, now)
             self.epochs_seen[opened.epoch] = known.get(opened.epoch, self.epochs_seen[opened.epoch])
@@ -255,7 +260,8 @@
     def _see_epoch(self, epoch: int, rows: Mapping[Resource, Row[N]], now: float) -> None:
         """Take in an epoch that is newer than all seen."""
         self.epochs_seen[epoch] = (now, self.renewed_at)
-        previous, self.epoch = self.epoch, epoch
+        previous = self.epoch
+        self.epoch = epoch
         empty: Row[N] = {}
         fell = False
         for resource, row in rows.items():
@@ -282,7 +288,8 @@
 
     def _recheck(self, now: float) -> None:
         """Look once at each resource that waited for any of the releases just taken in."""
-        resources, self.to_recheck = self.to_recheck, set()
+        resources = self.to_recheck
+        self.to_recheck = set()
         for resource in resources & self.open_rows.keys():
             self._find_complete_epoch(resource, now)
 
--- a/mallowbeam/storage_gateway/coordination/raft_node.py
+++ b/mallowbeam/storage_gateway/coordination/raft_node.py
@@ -152,7 +152,8 @@
         outcome = self._judge(body, judges)
         if outcome is None or isinstance(outcome, Refusal):
             return outcome
-        self.version, self.body = base + 1, body
+        self.version = base + 1
+        self.body = body
         self._emit(PolicyVersion(self.version, self.body), *outcome)
         return self.version
 
@@ -231,7 +232,8 @@
                     f"a snapshot of format {version}, newer than {SNAPSHOT_FORMAT}", "snapshot"
                 )
             states = self.log.load(data["log"]) if version > 1 else []
-            self.version, self.body = data["version"], data["body"]
+            self.version = data["version"]
+            self.body = data["body"]
             self._emit(PolicyVersion(self.version, self.body), *states)
         except Exception as error:  # noqa: BLE001 (the engine would swallow it and go on)
             self._fail(error)
--- a/mallowbeam/storage_gateway/coordination/raft_transport.py
+++ b/mallowbeam/storage_gateway/coordination/raft_transport.py
@@ -108,7 +108,8 @@
         self.ticked_at = now
         if now < self.pinged_at + PING_S:
             return
-        self.pinged_at, limit = now, now - self._syncObj.conf.connectionTimeout
+        self.pinged_at = now
+        limit = now - self._syncObj.conf.connectionTimeout
         for node, conn in list(self._connections.items()):
             if conn.state == CONNECTION_STATE.CONNECTED:
                 conn.send({"type": "ping"})  # the engine closes a link that was silent too long as it sends
@@ -152,7 +153,8 @@
         """
         log = self._log
         index = message.get("prevLogIdx")
-        first, last = log[0][INDEX], log[-1][INDEX]
+        first = log[0][INDEX]
+        last = log[-1][INDEX]
         if index is None or "transmission" in message or not first <= index < last:
             return 0
         if log[index - first][TERM] != message["prevLogTerm"]:
@@ -160,8 +162,10 @@
         entries = message.get("entries", [])
         known = 0
         while known < len(entries) and index < last and log[index + 1 - first][TERM] == entries[known][TERM]:
-            index, known = index + 1, known + 1
-        message["prevLogIdx"], message["prevLogTerm"] = index, log[index - first][TERM]
+            index += 1
+            known += 1
+        message["prevLogIdx"] = index
+        message["prevLogTerm"] = log[index - first][TERM]
         message["entries"] = entries[known:]
         if message["entries"] or index == last:
             return 0
@@ -182,8 +186,10 @@
 
         Read from another thread: each figure is right, though not all of them at one instant.
         """
-        engine, now = self._syncObj, time.monotonic()
-        status, log = engine.getStatus(), self._log
+        engine = self._syncObj
+        now = time.monotonic()
+        status = engine.getStatus()
+        log = self._log
         end = log[-1] if len(log) else (b"", 0, 0)
         leader = status["leader"]
         return {
--- a/mallowbeam/storage_gateway/coordination/replicated_log.py
+++ b/mallowbeam/storage_gateway/coordination/replicated_log.py
@@ -193,7 +193,8 @@
             raise InvalidSnapshotError(str(error), "snapshot") from None
         if unknown := sorted(set(unhosted) & set(self.by_name)):
             raise InvalidSnapshotError(f"{', '.join(unknown)} was off here when it had entries", "snapshot")
-        self.index, self.states = index, states
+        self.index = index
+        self.states = states
         self.unhosted = set(unhosted) | set(raw).difference(self.by_name)
         return self.all_states()
 
--- a/mallowbeam/storage_gateway/coordination/service.py
+++ b/mallowbeam/storage_gateway/coordination/service.py
@@ -143,7 +143,8 @@
     def start(self) -> None:
         """Join the fleet; nothing is served until a heartbeat is committed."""
         self.loop = asyncio.get_running_loop()
-        section, incarnation = self.section, f"{time.time_ns():x}"
+        section = self.section
+        incarnation = f"{time.time_ns():x}"
         membership = Membership(self.name, incarnation, section.members, section.dial)
         self.raft = RaftNode(membership, self.folder, self._on_events, self.log)
         self.tick_task = asyncio.create_task(self._tick())
@@ -159,7 +160,9 @@
         await self._leave()
 
     async def _leave(self) -> None:
-        raft, self.raft, self.known_leader = self.raft, None, None
+        raft = self.raft
+        self.raft = None
+        self.known_leader = None
         if raft is not None:
             await asyncio.to_thread(raft.close)
 
@@ -258,7 +261,8 @@
 
     def _apply(self, change: PolicyVersion, before: PolicyVersion) -> None:
         """Let a policy take effect, in one turn of the event loop."""
-        new, old = read_policy(change.body), read_policy(before.body)
+        new = read_policy(change.body)
+        old = read_policy(before.body)
         for node in set(old.drains) - set(new.drains):
             self.drains.set_drained(POLICY, node, False)
         for node in new.drains:
@@ -270,7 +274,8 @@
 
     def _apply_plans(self, new: Policy, old: Policy) -> None:
         """Change the plans that the policy names; those it names no more go back to the settings."""
-        changes, settings = {plan.name: plan for plan in new.plans}, self.plans.settings
+        changes = {plan.name: plan for plan in new.plans}
+        settings = self.plans.settings
         for name in sorted({*changes, *(plan.name for plan in old.plans)}):
             if (base := settings.get(name)) is None:
                 logger.error("policy: plan {} is not among the platform's", name)
--- a/mallowbeam/storage_gateway/coordination/shares/core_driver.py
+++ b/mallowbeam/storage_gateway/coordination/shares/core_driver.py
@@ -25,7 +25,9 @@
     """One gateway's shares; times are seconds on the monotonic clock."""
 
     def __init__(self, core: SharesCore, propose: ProposeCall, allot: AllotCall) -> None:
-        self.core, self.propose, self.allot = core, propose, allot
+        self.core = core
+        self.propose = propose
+        self.allot = allot
 
     def committed(self, committed: Committed, now: float) -> None:
         """The log has committed an entry of the shares."""
--- a/mallowbeam/storage_gateway/coordination/shares/flow_division.py
+++ b/mallowbeam/storage_gateway/coordination/shares/flow_division.py
@@ -155,7 +155,8 @@
 
 def _links_of_flows(state: SharesState, flows: set[int]) -> dict[int, list[Link]]:
     """By flow, its node, its zone where that has a capacity, and its tenant where that has a limit."""
-    policy, node_count = state.policy, len(state.nodes)
+    policy = state.policy
+    node_count = len(state.nodes)
     zones = sorted({policy.nodes[name].zone for name in state.nodes} & policy.zones.keys())
     zone_links: dict[str, Link] = {zone: (ZONE, position, f"z:{zone}") for position, zone in enumerate(zones)}
     node_links: list[list[Link]] = []
--- a/mallowbeam/storage_gateway/coordination/shares/gateway_core.py
+++ b/mallowbeam/storage_gateway/coordination/shares/gateway_core.py
@@ -159,19 +159,22 @@
 
     def committed(self, committed: Committed, now: float) -> list[Action]:
         """The log has committed an entry of the shares, or the state came complete in a snapshot."""
-        before, self.state = self.state, committed.state
+        before = self.state
+        self.state = committed.state
         if committed.by in self.last_entry_at:
             self.last_entry_at[committed.by] = now
         if self.state.numbering != before.numbering:
             self._renumber(before)
-        quota, releases = self.state.quota, []
+        quota = self.state.quota
+        releases: list[Release] = []
         if isinstance(committed.entry, QuotaReleased) and quota.epoch == self.transfer.epoch:
             self.releases_pending = True  # one look at the next tick serves for all releases until then
         elif quota is not before.quota:
             releases = self.transfer.follow(quota, now)
             self.stale = True
         if self.state.close_number != self.close_number or self.state.numbering != before.numbering:
-            self.close_number, self.closed_at = self.state.close_number, now
+            self.close_number = self.state.close_number
+            self.closed_at = now
             self.granted = granted_rates(self.state, self.me)
             self.stale = True
         # An allotment that falls has fallen before its release is proposed.
@@ -276,12 +279,15 @@
         """An `Allot` for each flow whose rate has changed."""
         if not self.stale:
             return []
-        self.stale, self.had_lease = False, self.transfer.has_lease(now)
-        state, usable = self.state, self.transfer.usable
+        self.stale = False
+        self.had_lease = self.transfer.has_lease(now)
+        state = self.state
+        usable = self.transfer.usable
         rates = divide_quota(
             state, self.granted, self.meter.current_demand(), lambda resource: usable(resource, now)
         )
-        before, self.allotted = self.allotted, rates
+        before = self.allotted
+        self.allotted = rates
         node_count = len(state.nodes)
         return [
             Allot(
@@ -303,11 +309,13 @@
             return {new: rows[old] for old, new in numbers.items() if new is not None}
 
         self.meter = DemandMeter(MOST_FLOWS, renumber(self.meter.units), renumber(self.meter.windows))
-        self.allotted, self.granted = renumber(self.allotted), renumber(self.granted)
+        self.allotted = renumber(self.allotted)
+        self.granted = renumber(self.granted)
 
     def describe(self, now: float) -> dict[str, object]:
         """For the page `/fleet`: the epoch, who is waited for, and what may be served here."""
-        state, node_count = self.state, len(self.state.nodes)
+        state = self.state
+        node_count = len(self.state.nodes)
         return {
             "number": state.close_number,
             "epoch": state.quota.epoch,
--- a/mallowbeam/storage_gateway/coordination/shares/max_min_fairness.py
+++ b/mallowbeam/storage_gateway/coordination/shares/max_min_fairness.py
@@ -78,6 +78,7 @@
     limits: Sequence[int | None]
 
     rates: Rates = field(init=False, default_factory=dict)
+    node_count: int = field(init=False)
     capacities: list[int] = field(init=False)
     links_of: dict[Flow, list[int]] = field(init=False, default_factory=dict)  # of flows not yet frozen
     rising: set[Flow] = field(init=False, default_factory=set)  # flows above their floors, not yet frozen
@@ -90,6 +91,7 @@
 
     def __post_init__(self) -> None:
         """Nothing has been given to any flow yet."""
+        self.node_count = len(self.network.nodes)
         bounds = (*self.network.nodes, *self.network.zones, *self.limits)
         self.capacities = [UNBOUNDED if bound is None else bound for bound in bounds]
         self.flows_of = [[] for _ in bounds]
@@ -101,8 +103,10 @@
         self._add_flows(flows)
         self.flow_events.sort()
         self._schedule_all_saturations()
-        events, saturations = self.flow_events, self.saturations
-        position, end = 0, len(events)
+        events = self.flow_events
+        saturations = self.saturations
+        position = 0
+        end = len(events)
         while position < end or saturations:
             if saturations and (position == end or saturations[0][0] <= events[position][0]):
                 self._take_next_saturation()
@@ -119,17 +123,19 @@
 
     def _zone_links(self) -> list[int]:
         """By node, the link of its zone."""
-        node_count = len(self.network.nodes)
-        return [node_count + zone for zone in self.network.zone_of]
+        return [self.node_count + zone for zone in self.network.zone_of]
 
     def _first_limit_link(self) -> int:
         """The link of the first tenant's limit."""
-        return len(self.network.nodes) + len(self.network.zones)
+        return self.node_count + len(self.network.zones)
 
     def _can_saturate(self, flows: Sequence[Flow]) -> list[bool]:
         """By link, whether the flows' demands together exceed its capacity."""
-        node_count, capacities, demand = len(self.network.nodes), self.capacities, self.demand
-        zone_links, first_limit_link = self._zone_links(), self._first_limit_link()
+        node_count = self.node_count
+        capacities = self.capacities
+        demand = self.demand
+        zone_links = self._zone_links()
+        first_limit_link = self._first_limit_link()
         sums = [0] * len(capacities)
         for flow in flows:
             node = flow % node_count
@@ -143,8 +149,11 @@
 
     def _add_flows(self, flows: Sequence[Flow]) -> None:
         """Freeze the flows that no link can bound; let the others rise, or wait at their floors."""
-        node_count, demand, floors = len(self.network.nodes), self.demand, self.floors
-        zone_links, first_limit_link = self._zone_links(), self._first_limit_link()
+        node_count = self.node_count
+        demand = self.demand
+        floors = self.floors
+        zone_links = self._zone_links()
+        first_limit_link = self._first_limit_link()
         can_saturate = self._can_saturate(flows)
         for flow in flows:
             node = flow % node_count
@@ -164,19 +173,22 @@
 
     def _schedule_flow(self, flow: Flow, floor: int, links: list[int]) -> None:
         """Note the levels at which a flow leaves its floor (`-1 - flow`) and has its demand (`flow`)."""
-        weight = self.weights[flow // len(self.network.nodes)]
+        weight = self.weights[flow // self.node_count]
         self.links_of[flow] = links
         self.flow_events.append((-(-(self.demand[flow] << SHIFT) // weight), flow))
-        for link in links:
-            self.flows_of[link].append(flow)
+        flows_of = self.flows_of
         if floor:
             self.flow_events.append((-(-(floor << SHIFT) // weight), -1 - flow))
+            fixed_rate = self.fixed_rate
             for link in links:
-                self.fixed_rate[link] += floor
+                flows_of[link].append(flow)
+                fixed_rate[link] += floor
         else:
             self.rising.add(flow)
+            rising_weight = self.rising_weight
             for link in links:
-                self.rising_weight[link] += weight
+                flows_of[link].append(flow)
+                rising_weight[link] += weight
 
     # --- saturation of links ----------------------------------------------------------------------
 
@@ -209,41 +221,47 @@
         if level > foreseen:  # some of its flows were frozen since: it is full later
             self._schedule_saturation(link, level)
             return
-        for flow in self.flows_of[link]:
-            if flow in self.links_of:
-                self._freeze_at_level(flow, level)
+        self._freeze_flows_of(link, level)
 
-    # --- events of single flows -------------------------------------------------------------------
+    # --- freezing and rising flows ------------------------------------------------------------------
 
-    def _freeze_at_level(self, flow: Flow, level: Level) -> None:
-        """A link of this flow is full: it keeps the rate of that level, or its floor if that is more."""
-        links = self.links_of.pop(flow)
-        if flow not in self.rising:
-            self.rates[flow] = self.floors[flow]
-            return
-        weight = self.weights[flow // len(self.network.nodes)]
-        self.rates[flow] = rate = level * weight >> SHIFT
-        for link in links:
-            self.fixed_rate[link] += rate
-            self.rising_weight[link] -= weight
+    def _freeze_flows_of(self, full_link: int, level: Level) -> None:
+        """Give the flows of a full link the rates of that level, or their floors where those are more."""
+        links_of = self.links_of
+        fixed_rate = self.fixed_rate
+        rising_weight = self.rising_weight
+        for flow in self.flows_of[full_link]:
+            if flow not in links_of:
+                continue
+            links = links_of.pop(flow)
+            if flow not in self.rising:
+                self.rates[flow] = self.floors[flow]
+                continue
+            weight = self.weights[flow // self.node_count]
+            self.rates[flow] = rate = level * weight >> SHIFT
+            for link in links:
+                fixed_rate[link] += rate
+                rising_weight[link] -= weight
 
     def _freeze_at_demand(self, flow: Flow) -> None:
         """This flow has all that it asks for, unless it was frozen before."""
         links = self.links_of.pop(flow, None)
         if links is None:
             return
-        weight = self.weights[flow // len(self.network.nodes)]
+        weight = self.weights[flow // self.node_count]
         self.rates[flow] = rate = self.demand[flow]
+        fixed_rate = self.fixed_rate
+        rising_weight = self.rising_weight
         for link in links:
-            self.fixed_rate[link] += rate
-            self.rising_weight[link] -= weight
+            fixed_rate[link] += rate
+            rising_weight[link] -= weight
 
     def _leave_floor(self, flow: Flow) -> None:
         """The level has reached this flow's floor: it rises from now on, unless it was frozen before."""
         links = self.links_of.get(flow)
         if links is None:
             return
-        weight = self.weights[flow // len(self.network.nodes)]
+        weight = self.weights[flow // self.node_count]
         self.rising.add(flow)
         for link in links:
             self.fixed_rate[link] -= self.floors[flow]
--- a/mallowbeam/storage_gateway/coordination/shares/quota_rows.py
+++ b/mallowbeam/storage_gateway/coordination/shares/quota_rows.py
@@ -92,13 +92,15 @@
         """Add a gateway's rates by flow, in the order of the flows."""
         node_count = len(self.names.nodes)
         node_sums = [0] * node_count
-        tenant, tenant_sum = -1, 0
+        tenant = -1
+        tenant_sum = 0
         for flow, rate in granted:
             node_sums[flow % node_count] += rate
             if (next_tenant := flow // node_count) != tenant:
                 if tenant_sum:
                     self._add_tenant(gateway, tenant, tenant_sum)
-                tenant, tenant_sum = next_tenant, 0
+                tenant = next_tenant
+                tenant_sum = 0
             tenant_sum += rate
         if tenant_sum:
             self._add_tenant(gateway, tenant, tenant_sum)
@@ -164,7 +166,8 @@
         )
     losers: set[str] = set()
     for name, row in rows.items():
-        floor, get = floors.get(name, 0), row.get
+        floor = floors.get(name, 0)
+        get = row.get
         losers.update([holder for holder, had in before.get(name, {}).items() if get(holder, floor) < had])
     opened = OpenEpoch(quota.epoch + 1, rows, tuple(sorted(losers)))
     after = msgspec.structs.replace(quota, epoch=opened.epoch, open_epochs=(*quota.open_epochs, opened))
--- a/mallowbeam/storage_gateway/coordination/shares/state_machine.py
+++ b/mallowbeam/storage_gateway/coordination/shares/state_machine.py
@@ -19,7 +19,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Mapping, Set
 from enum import IntEnum
 from typing import Any, ClassVar
 
@@ -237,7 +237,8 @@
         except (InvalidSharesError, InvalidPolicyError) as error:
             return Refusal(error.what, error.where, error.cure)
         after = msgspec.structs.replace(state, policy=section, floors=floors, recompute=Recompute.AT_ONCE)
-        tenants, nodes = tuple(sorted(section.tenants)), tuple(sorted(section.nodes))
+        tenants = tuple(sorted(section.tenants))
+        nodes = tuple(sorted(section.nodes))
         if (tenants, nodes) != (state.tenants, state.nodes):
             after = _renumbered(after, tenants, nodes)
         return after
@@ -259,12 +260,7 @@
         if after.keys() != before.keys():
             after = dict(sorted(after.items()))
         changed = before.keys() | after.keys() if entry.complete else reported.keys()
-        total = dict(state.total_demand)
-        for flow in changed:
-            if rate := total.get(flow, 0) + after.get(flow, 0) - before.get(flow, 0):
-                total[flow] = rate
-            else:
-                total.pop(flow, None)
+        total = _updated_total(state.total_demand, changed, before, after)
         return msgspec.structs.replace(
             state,
             demand={**state.demand, by: after},
@@ -316,6 +312,19 @@
     return after
 
 
+def _updated_total(
+    total: Mapping[int, int], changed: Set[int], before: Mapping[int, int], after: Mapping[int, int]
+) -> dict[int, int]:
+    """The sums by flow after one gateway's demand has changed at some flows."""
+    updated = dict(total)
+    for flow in changed:
+        if rate := updated.get(flow, 0) + after.get(flow, 0) - before.get(flow, 0):
+            updated[flow] = rate
+        else:
+            updated.pop(flow, None)
+    return updated
+
+
 def _apply_node_lost(state: SharesState, by: str, node: str, lost: bool) -> SharesState:
     """The state in which gateway `by` reports this node lost, or not lost any more."""
     before = state.lost_nodes.get(node, ())
@@ -340,24 +349,36 @@
     if not 0 <= policy.probe <= MOST_PROBE:
         raise InvalidSharesError("not within 0 and 500 thousandths", "shares.probe")
     floors = dict(before)
+    _set_tenant_floors(floors, policy, gateways)
+    _set_node_floors(floors, policy, gateways)
+    _set_zone_floors(floors, policy, gateways)
+    return floors
+
+
+def _set_tenant_floors(floors: dict[str, int], policy: SharesPolicy, gateways: int) -> None:
     for name, share in policy.tenants.items():
         where = f"shares.tenants.{name}"
         _check_tenant(share, where)
         _set_floor(floors, f"t:{name}", share.limit or 0, policy.probe, gateways)
         if share.limit is not None and floors[f"t:{name}"] * gateways > share.limit:
             raise InvalidSharesError("the limit is under the floors set aside of it", where)
+
+
+def _set_node_floors(floors: dict[str, int], policy: SharesPolicy, gateways: int) -> None:
     for name, node in policy.nodes.items():
         where = f"shares.nodes.{name}"
         if not 0 <= node.capacity <= MOST_RATE:
             raise InvalidSharesError(f"capacity within 0 and {MOST_RATE}", where)
         _set_floor(floors, f"n:{name}", node.capacity, policy.probe, gateways)
         _check_floors_fit(floors[f"n:{name}"] * gateways, node.capacity, where)
+
+
+def _set_zone_floors(floors: dict[str, int], policy: SharesPolicy, gateways: int) -> None:
     for zone in {node.zone for node in policy.nodes.values()}:
         capacity = policy.zones.get(zone, MOST_RATE * MOST_NODES)
         of_nodes = sum(node.capacity for node in policy.nodes.values() if node.zone == zone)
         _set_floor(floors, f"z:{zone}", min(capacity, of_nodes), policy.probe, gateways)
         _check_floors_fit(floors[f"z:{zone}"] * gateways, capacity, f"shares.zones.{zone}")
-    return floors
 
 
 def _set_floor(floors: dict[str, int], resource: str, capacity: int, probe: int, gateways: int) -> None:
--- a/mallowbeam/storage_gateway/coordination/shares/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/shares/subsystem.py
@@ -61,7 +61,9 @@
     """The subsystem `shares`; `max_units` is the most units of one request."""
 
     def __init__(self, context: SubsystemContext, section: SharesSection, max_units: int = 1) -> None:
-        self.context, self.section, self.max_units = context, section, max_units
+        self.context = context
+        self.section = section
+        self.max_units = max_units
         self.state_machine = SharesStateMachine(context.members)
         self.now = self.mixed_at = time.monotonic()
         timing = SharesTiming(
@@ -131,7 +133,8 @@
 
     def _nodes_listed(self, listed: Mapping[str, int]) -> None:
         """Discovery lists other nodes or shards."""
-        self.shards, self.nodes_of = dict(listed), {}
+        self.shards = dict(listed)
+        self.nodes_of = {}
         for node, shard in sorted(listed.items()):
             self.nodes_of.setdefault(shard, []).append(node)
         for name, tenant in self.tenants.items():
@@ -160,9 +163,7 @@
             tenant.shard_units += amount
             weights = dict.fromkeys(self.nodes_of.get(shard, ()), 1)
         else:
-            if not tenant.new_object_units and not tenant.new_fraction:
-                tenant.new_fraction, is_new = MIX_STEP, True
-            tenant.new_object_units += amount
+            is_new = self._count_new_object(tenant, amount) or is_new
             nodes = self.policy.nodes
             weights = {node: nodes[node].capacity for node in self.shards if node in nodes}
         total = sum(weights.values())
@@ -172,6 +173,14 @@
         if is_new:
             self._apply_allotments(name, tenant)
 
+    def _count_new_object(self, tenant: Tenant, units: float) -> bool:
+        """Count the units of a request for a new object; whether the tenant has made none of late."""
+        is_first = not tenant.new_object_units and not tenant.new_fraction
+        if is_first:
+            tenant.new_fraction = MIX_STEP
+        tenant.new_object_units += units
+        return is_first
+
     def _count_plan(self, name: str, tenant: Tenant, plan: str, units: float) -> bool:
         """Count a request's units under its plan; whether the tenant has not used that plan of late."""
         if plan in tenant.units_by_plan:
@@ -250,7 +259,8 @@
         in_force = self.context.plan(plan)
         if in_force is None:
             return False
-        allotment, fraction = in_force, None
+        allotment = in_force
+        fraction: float | None = None
         if rate is not None:
             burst = self.max_units + rate * self.section.epoch_s
             limit = rate if rate > 0 else 1.0
