--- a/mallowbeam/lab/faults/walks.py
+++ b/mallowbeam/lab/faults/walks.py
@@ -9,16 +9,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from mallowbeam.lab.faults import orderly as o
+from mallowbeam.lab.faults import orderly
 from mallowbeam.lab.faults.walk import Walk
 
 FAULTS_S = 40.0  # simulated seconds in which faults are laid
 
 
-def places(walk: Walk) -> dict[str, o.Place]:
+def places(walk: Walk) -> dict[str, orderly.Place]:
     """Where each machine stands."""
-    return {name: o.Place(node.zone, node.shard, node.weight) for name, node in walk.nodes.items()} | {
-        name: o.Place(walk.zone_of[name], gateway=True) for name in walk.members
+    return {name: orderly.Place(node.zone, node.shard, node.weight) for name, node in walk.nodes.items()} | {
+        name: orderly.Place(walk.zone_of[name], gateway=True) for name in walk.members
     }
 
 
@@ -26,13 +26,13 @@
     """Everything that is wrong with a walk."""
     at, seen = places(walk), walk.history
     return [
-        *o.too_many(seen, at, requests),
-        *o.below_floor(seen, at, requests),
-        *o.orders_differ(seen),
-        *o.sent_to_drained(seen),
-        *o.without_quorum(seen, at),
-        *o.together(seen, at, requests),
-        *o.unended(seen),
+        *orderly.too_many(seen, at, requests),
+        *orderly.below_floor(seen, at, requests),
+        *orderly.orders_differ(seen),
+        *orderly.sent_to_drained(seen),
+        *orderly.without_quorum(seen, at),
+        *orderly.together(seen, at, requests),
+        *orderly.unended(seen),
     ]
 
 
@@ -118,9 +118,9 @@
     return Outcome(
         seed,
         judge(walk, known),
-        sum(isinstance(e, o.Moved) for e in walk.history),
+        sum(isinstance(e, orderly.Moved) for e in walk.history),
         len(walk.items),
-        {e.step for e in walk.history if isinstance(e, o.Moved)},
+        {e.step for e in walk.history if isinstance(e, orderly.Moved)},
     )
 
 
--- a/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
@@ -107,17 +107,17 @@
         self.core.observe(LocalView(nodes, context.open_requests(), released, leader))
         self._execute(self.core.tick(now))
 
-    def asked(self, act: str, what: str) -> dict[str, object]:
-        """An operator's action on the page, for a machine's name.
+    def complete_work(self, name: str) -> dict[str, object]:
+        """An operator reports on the page that the work on a machine is done; the answer for the page.
 
-        Raises `MachineNotOutError` for any action but `back`, and for a machine that is not out of service.
+        Raises `MachineNotOutError` for a machine that is not out of service.
         """
-        machine = self.core.state.machines.get(what)
-        if act != "back" or machine is None or machine.step not in OUT_OF_SERVICE:
+        machine = self.core.state.machines.get(name)
+        if machine is None or machine.step not in OUT_OF_SERVICE:
             step = machine.step if machine else "no machine of a request"
-            raise MachineNotOutError(f"{what!r} is {step}", f"maintenance/{act}")
-        self.core.complete_work(what)
-        return {"machine": what, "step": machine.step, "told": "back"}
+            raise MachineNotOutError(f"{name!r} is {step}", "maintenance/back")
+        self.core.complete_work(name)
+        return {"machine": name, "step": machine.step, "told": "back"}
 
     def describe(self) -> dict[str, object]:
         """Steps, decisions and reasons for the page `/fleet`."""
--- a/mallowbeam/storage_gateway/coordination/status_pages.py
+++ b/mallowbeam/storage_gateway/coordination/status_pages.py
@@ -68,8 +68,8 @@
         if path == MAINTENANCE_DONE and maintenance is not None:
             if request.method != b"PUT":
                 raise MethodNotAllowedError("not by this method", path)
-            operator_action = getattr(maintenance, "asked")  # noqa: B009 (no method of all subsystems)
-            return json_response(202, operator_action("back", unquote(query)), closing())
+            complete_work = getattr(maintenance, "complete_work")  # noqa: B009 (no method of all subsystems)
+            return json_response(202, complete_work(unquote(query)), closing())
         if request.target not in ALLOWED:
             raise PageNotFoundError("no such page", request.target.decode("latin-1"))
         if request.target == b"/policy" and request.method == b"PUT":
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_broken.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_broken.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mallowbeam.lab.faults import orderly as o
+from mallowbeam.lab.faults import orderly
 from mallowbeam.lab.faults.walk import Gateway, Walk
 from mallowbeam.lab.faults.walks import places
 from mallowbeam.storage_gateway.coordination.maintenance import actions, constraints
@@ -182,7 +182,7 @@
     walk.run(4.0)
     walk.insist("g0", [asked])
     walk.run(40.0)
-    walk.add(o.Ended(walk.now, True))
+    walk.add(orderly.Ended(walk.now, True))
     return walk, [asked]
 
 
@@ -193,29 +193,34 @@
 WIDE = {"at_once": 9, "at_once_zone": 9, "zone_floor": 0.0, "sole_data": True}
 
 BROKEN = [
-    (o.too_many, without(constraints.max_unavailable), Gateway, {}),
+    (orderly.too_many, without(constraints.max_unavailable), Gateway, {}),
     (
-        o.too_many,
+        orderly.too_many,
         without(constraints.max_unavailable_in_zone),
         Gateway,
         {"zone_floor": 0.0, "at_once": 9, "sole_data": True},
     ),
-    (o.too_many, without(constraints.max_unavailable, constraints.max_unavailable_in_zone), Gateway, {}),
-    (o.below_floor, without(constraints.zone_capacity), Gateway, WIDE | {"zone_floor": 0.5}),
-    (o.below_floor, without(constraints.shard_capacity), Gateway, WIDE | {"shard_floor": 0.6}),
-    (o.together, without(constraints.retry_peers), Gateway, WIDE | {"repeats": "zone"}),
-    (o.together, without(constraints.retry_peers), Gateway, WIDE | {"repeats": "shard"}),
-    (o.together, without(constraints.retry_peers), Gateway, WIDE | {"repeats": "all"}),
-    (o.orders_differ, OwnOrder, Gateway, {}),
-    (o.orders_differ, Forgetful, Gateway, {}),
-    (o.orders_differ, Local, Gateway, {}),
-    (o.sent_to_drained, MaintenanceStateMachine, Deaf, {}),
-    (o.sent_to_drained, MaintenanceStateMachine, HastyGateway, {"work_s": 6.0}),
-    (o.sent_to_drained, Unasked, Gateway, {"work_s": 6.0}),
-    (o.sent_to_drained, FirstWord, Gateway, {"work_s": 6.0}),
-    (o.without_quorum, without(constraints.quorum), Gateway, WIDE),
-    (o.without_quorum, blind, Gateway, WIDE),
-    (o.without_quorum, NeverAgain, Gateway, WIDE),
+    (
+        orderly.too_many,
+        without(constraints.max_unavailable, constraints.max_unavailable_in_zone),
+        Gateway,
+        {},
+    ),
+    (orderly.below_floor, without(constraints.zone_capacity), Gateway, WIDE | {"zone_floor": 0.5}),
+    (orderly.below_floor, without(constraints.shard_capacity), Gateway, WIDE | {"shard_floor": 0.6}),
+    (orderly.together, without(constraints.retry_peers), Gateway, WIDE | {"repeats": "zone"}),
+    (orderly.together, without(constraints.retry_peers), Gateway, WIDE | {"repeats": "shard"}),
+    (orderly.together, without(constraints.retry_peers), Gateway, WIDE | {"repeats": "all"}),
+    (orderly.orders_differ, OwnOrder, Gateway, {}),
+    (orderly.orders_differ, Forgetful, Gateway, {}),
+    (orderly.orders_differ, Local, Gateway, {}),
+    (orderly.sent_to_drained, MaintenanceStateMachine, Deaf, {}),
+    (orderly.sent_to_drained, MaintenanceStateMachine, HastyGateway, {"work_s": 6.0}),
+    (orderly.sent_to_drained, Unasked, Gateway, {"work_s": 6.0}),
+    (orderly.sent_to_drained, FirstWord, Gateway, {"work_s": 6.0}),
+    (orderly.without_quorum, without(constraints.quorum), Gateway, WIDE),
+    (orderly.without_quorum, blind, Gateway, WIDE),
+    (orderly.without_quorum, NeverAgain, Gateway, WIDE),
 ]
 
 
@@ -236,11 +241,11 @@
 
 def wrong(checker, topic, gateway, changes):
     changes = dict(changes)
-    if checker is o.without_quorum:
+    if checker is orderly.without_quorum:
         walk, asked = crowd(topic, gateway, changes)
         return checker(walk.history, places(walk))
     walk, asked = trial(topic, gateway, **changes)
-    if checker in (o.too_many, o.below_floor, o.together):
+    if checker in (orderly.too_many, orderly.below_floor, orderly.together):
         return checker(walk.history, places(walk), asked)
     return checker(walk.history)
 
@@ -257,7 +262,7 @@
     return wrong(checker, MaintenanceStateMachine, Gateway, dict(changes))
 
 
-@pytest.mark.parametrize("checker, at_once", [(o.below_floor, 9), (o.too_many, 1)])
+@pytest.mark.parametrize("checker, at_once", [(orderly.below_floor, 9), (orderly.too_many, 1)])
 def test_what_is_down_is_taken_for_up(checker, at_once):
     def run(topic):
         asked = {
@@ -279,7 +284,7 @@
     assert run(blind) and not run(MaintenanceStateMachine)
 
 
-@pytest.mark.parametrize("checker, at_once", [(o.below_floor, 9), (o.too_many, 1)])
+@pytest.mark.parametrize("checker, at_once", [(orderly.below_floor, 9), (orderly.too_many, 1)])
 def test_limits_that_are_not_looked_at_again(checker, at_once):
     def run(topic):
         asked = {
@@ -322,7 +327,7 @@
             walk.go("g3")
             walk.part(["g3"])  # it hears nothing for a while
             walk.run(3.0)
-            found += o.sent_to_drained(walk.history)
+            found += orderly.sent_to_drained(walk.history)
         return found
 
     assert run(gateway) and not run(Gateway)
@@ -339,4 +344,4 @@
     walk = Walk(1, gateway=Lazy)
     walk.run(4.0)
     walk.insist("g0", [{"id": "a", "machines": ["n0"]}])
-    assert not walk.rest(30.0) and o.unended(walk.history)
+    assert not walk.rest(30.0) and orderly.unended(walk.history)
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_core.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_core.py
@@ -35,14 +35,14 @@
             self.put(by, StatusReport("l" if by != name else "old", 1, 0, "z", NODES))
 
     def put(self, by, entry):
-        told = self.log.apply(self.log.encode("maintenance", by, entry))
-        self.did += self.core.committed(told, self.now)
-        return told
+        committed = self.log.apply(self.log.encode("maintenance", by, entry))
+        self.did += self.core.committed(committed, self.now)
+        return committed
 
     def push(self, *machines, **changes):
-        asked = {"id": "a", "machines": list(machines)} | changes
-        for told in self.log.push({"drains": [], "maintenance": {"requests": [asked]}}):
-            self.did += self.core.committed(told, self.now)
+        request = {"id": "a", "machines": list(machines)} | changes
+        for committed in self.log.push({"drains": [], "maintenance": {"requests": [request]}}):
+            self.did += self.core.committed(committed, self.now)
 
     def wait(self, seconds, lost=False):
         """Let time pass; what the core proposes is put in, or lost, and handed back."""
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_machine.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_machine.py
@@ -31,10 +31,10 @@
     return found | changes
 
 
-def fleet(members=MEMBERS, told=None, **requests):
+def fleet(members=MEMBERS, listed=None):
     log = ReplicatedLog([MaintenanceStateMachine(members)])
     for name in members:
-        put(log, name, StatusReport("l", 1, 0, "z", told or nodes()))
+        put(log, name, StatusReport("l", 1, 0, "z", listed or nodes()))
     return log
 
 
@@ -66,20 +66,20 @@
 )
 def test_what_cannot_be_met_is_refused_at_once(asked, what, remedy):
     log = fleet()
-    told = push(log, asked)
-    assert isinstance(told, Refusal)
-    assert what in told.what and remedy in told.remedy and told.where.startswith("maintenance")
+    refusal = push(log, asked)
+    assert isinstance(refusal, Refusal)
+    assert what in refusal.what and remedy in refusal.remedy and refusal.where.startswith("maintenance")
     assert state(log).machines == {}
 
 
 def test_sole_data_and_small_fleets():
-    alone = fleet(told=nodes(n9=NodeStatus("a", 9)))
+    alone = fleet(listed=nodes(n9=NodeStatus("a", 9)))
     assert "only n9 serves shard 9" in push(alone, ask("n9")).what
     assert not isinstance(push(alone, ask("n9", sole_data=True)), Refusal)
     assert "needs more than half" in push(fleet(("g0", "g1")), ask("g0")).what
     assert (
         "only n0 serves some of its data"
-        in push(fleet(told=nodes(n0=NodeStatus("a", 0, sole_replica=True))), ask("n0")).what
+        in push(fleet(listed=nodes(n0=NodeStatus("a", 0, sole_replica=True))), ask("n0")).what
     )
 
 
@@ -157,7 +157,7 @@
 def test_back_by_an_operator_by_discovery_and_not_by_itself():
     for restart, seen_down in ((0, True), (7, False)):
         started = nodes(n0=NodeStatus("a", 0, start_count=5))
-        log = fleet(told=started)
+        log = fleet(listed=started)
         draining(log)
         for name in MEMBERS:
             put(
@@ -199,8 +199,8 @@
     push(log, ask("n0", "n3", at_once=2))
     put(log, "g0", SelectNext(0))
     put(log, "g0", SelectNext(1))
-    told = push(log, ask("n0", "n3", at_once=2), ask("n0", id="b"))
-    assert isinstance(told, Refusal) and "raise at_once" in told.remedy
+    refusal = push(log, ask("n0", "n3", at_once=2), ask("n0", id="b"))
+    assert isinstance(refusal, Refusal) and "raise at_once" in refusal.remedy
 
 
 def test_a_node_that_discovery_forgets_is_down_not_gone():
@@ -217,10 +217,10 @@
     log = fleet()
     draining(log)
     other = ReplicatedLog([MaintenanceStateMachine(MEMBERS)])
-    told = other.load(log.dump())
+    committed = other.load(log.dump())
     assert other.states == log.states
     core = MaintenanceCore("g1", "x", MEMBERS, 10.0)
-    assert actions.Drain("n0") in core.committed(told[0], 10.0) and not core.accepts_work("n0")
+    assert actions.Drain("n0") in core.committed(committed[0], 10.0) and not core.accepts_work("n0")
 
 
 def test_a_report_of_all_nodes_fits_an_entry():
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_subsystem.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_subsystem.py
@@ -63,14 +63,14 @@
     log = ReplicatedLog([subsystem.state_machine])
 
     def put(by, entry):
-        told = log.apply(log.encode("maintenance", by, entry))
-        assert told.refusal is None
-        subsystem.committed(told, 100.0)
+        committed = log.apply(log.encode("maintenance", by, entry))
+        assert committed.refusal is None
+        subsystem.committed(committed, 100.0)
 
     def push(*machines):
-        asked = [{"id": "a", "machines": list(machines), "at_once": 2}] if machines else []
-        for told in log.push({"drains": [], "maintenance": {"requests": asked}}):
-            subsystem.committed(told, 100.0)
+        requests = [{"id": "a", "machines": list(machines), "at_once": 2}] if machines else []
+        for committed in log.push({"drains": [], "maintenance": {"requests": requests}}):
+            subsystem.committed(committed, 100.0)
 
     def say():
         """All gateways' words."""
@@ -120,7 +120,7 @@
     assert WorkCompleted("n0") in rig.context.proposed
     rig.put("g0", WorkCompleted("n0"))
     with pytest.raises(MachineNotOutError):
-        rig.subsystem.asked("back", "n0")
+        rig.subsystem.complete_work("n0")
     warmed = []
     rig.subsystem.warmers.append(lambda node, share: warmed.append((node, round(share, 2))))
     go(rig, "n0", "warming")
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_walks.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_walks.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mallowbeam.lab.faults import orderly as o
+from mallowbeam.lab.faults import orderly
 from mallowbeam.lab.faults.walk import Walk
 from mallowbeam.lab.faults.walks import judge, play
 from mallowbeam.storage_gateway.coordination.maintenance.entries import WorkCompleted
@@ -24,7 +24,7 @@
 
 
 def steps(walk, machine):
-    return [e.step for e in walk.history if isinstance(e, o.Moved) and e.machine == machine]
+    return [e.step for e in walk.history if isinstance(e, orderly.Moved) and e.machine == machine]
 
 
 def until(walk, machine, step, seconds=60.0):
@@ -65,7 +65,7 @@
     walk.run(4.0)
     walk.insist("g1", [asked])
     ends_well(walk, asked)
-    assert sum(isinstance(e, o.Down) and e.down and e.machine in walk.members for e in walk.history)
+    assert sum(isinstance(e, orderly.Down) and e.down and e.machine in walk.members for e in walk.history)
 
 
 def test_gateway_down_while_a_step_was_agreed_learns_before_it_serves():
