--- a/mallowbeam/router/data_plane/front.py
+++ b/mallowbeam/router/data_plane/client_frontend.py
@@ -10,14 +10,14 @@
 from mallowbeam.http.handler import Response
 from mallowbeam.router.configuration.model import ClientLimits
 from mallowbeam.router.data_plane.answers import own_answer
-from mallowbeam.router.data_plane.client_request import BadRequest, ClientRequest, read_request
+from mallowbeam.router.data_plane.client_request import BadRequestError, ClientRequest, read_request
 from mallowbeam.router.data_plane.exchange import Exchange
 from mallowbeam.router.data_plane.gateway import Gateway
 from mallowbeam.router.data_plane.relay import Relay
 from mallowbeam.router.data_plane.routing import choose_backend
 
-HELD_BYTES = 24 * 1024 * 1024  # of request bodies, over all connections, at most
-MEMORY_SHARE = 0.125  # of the process's memory, that request bodies may have
+BUFFERED_BYTES = 24 * 1024 * 1024  # of request bodies, over all connections, at most
+MEMORY_FRACTION = 0.125  # of the process's memory, that request bodies may have
 RETRY_AFTER_S = 0.5  # with a refusal before there is a configuration
 SLACK_S = 0.5  # that a client has beyond the configured times, for the way
 WAY_S = 0.01  # of a client's deadline, kept for the way back
@@ -25,14 +25,16 @@
 ANY_SIZE = 1 << 62  # bytes: no body is larger
 
 
-class ClientFront:
+class ClientFrontend:
     """Turns clients' requests into exchanges and their answers back."""
 
-    whole = ANY_SIZE  # a request is passed on once it has come in whole
+    max_buffered_body = ANY_SIZE  # a request is passed on once it has come in whole
 
     def __init__(self, gateway: Gateway, memory_mb: float) -> None:
         self._gateway = gateway
-        self.budget: BodyBudget | None = BodyBudget(int(min(HELD_BYTES, memory_mb * MEGABYTE * MEMORY_SHARE)))
+        self.budget: BodyBudget | None = BodyBudget(
+            int(min(BUFFERED_BYTES, memory_mb * MEGABYTE * MEMORY_FRACTION))
+        )
         self.set_limits(ClientLimits())
 
     def set_limits(self, limits: ClientLimits) -> None:
@@ -46,7 +48,7 @@
         """One request to its one answer."""
         try:
             read = read_request(request)
-        except BadRequest as error:
+        except BadRequestError as error:
             return own_answer(400, b"", closing(), text=error.what.encode() + b"\n")
         view = self._gateway.view
         if view.configuration is None:
@@ -67,7 +69,7 @@
         """The answer to what breaks HTTP or a bound; its connection is closed after it."""
         return own_answer(status, b"", True, RETRY_AFTER_S, text.encode() + b"\n")
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """Count an answer that has gone out."""
         self._gateway.answers[status] += 1
 
@@ -75,5 +77,5 @@
     def _deadline(read: ClientRequest, request: Message, timeout_ms: int) -> float:
         """Steady time up to which the request may be held, from when its last byte was read."""
         client_s = read.deadline_ms / 1000
-        began = request.at or time.monotonic()
+        began = request.completed_at or time.monotonic()
         return began + min(client_s - min(WAY_S, client_s / 4), timeout_ms / 1000)
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -50,7 +50,14 @@
     verify,
 )
 from mallowbeam.storage_gateway.frontends.object_api.uploads import rename_upload
-from mallowbeam.storage_gateway.server.calls import Answer, Call, Kind, length_of, read_deadline, time_left
+from mallowbeam.storage_gateway.server.calls import (
+    Answer,
+    AnswerKind,
+    Call,
+    length_of,
+    read_deadline,
+    time_left,
+)
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
 T = TypeVar("T")
@@ -80,7 +87,7 @@
 
     def __init__(self, gateway: Gateway, settings: ObjectSettings) -> None:
         self.gateway, self.settings = gateway, settings
-        self.max_body = self.whole = settings.max_body
+        self.max_body = self.max_buffered_body = settings.max_body
         self.budget = BodyBudget(settings.held)
         self.access: Access | None = None
         if settings.keys is not None:
@@ -110,10 +117,10 @@
                 while (piece := await message.stream.get()) is not None:
                     self.budget.used += len(piece)
                     taken += len(piece)
-                    if self.budget.used > self.budget.most:
+                    if self.budget.used > self.budget.limit:
                         raise slow_down()
                     body += piece
-                if message.stream.broken:
+                if message.stream.aborted:
                     raise Error("IncompleteBody")
                 message.body = body
             yield
@@ -191,7 +198,7 @@
                     if left <= 0:
                         raise slow_down()
                     single = Message()
-                    single.method, single.whole = b"DELETE", True
+                    single.method, single.complete = b"DELETE", True
                     single.target = b"/%b/%b" % (call.bucket.encode(), quote(name, safe="/-._~").encode())
                     single.headers = [(b"x-deadline-ms", b"%d" % max(1, int(left * 1000)))]
                     request = Request(single, self.settings, self.gateway.config.settings.shards)
@@ -222,9 +229,9 @@
                 final=lambda status: 200 <= status < 500,
             )
         )
-        if answer.kind is Kind.REFUSED:
+        if answer.kind is AnswerKind.REFUSED:
             raise slow_down(answer.retry_after)
-        if answer.kind is Kind.FAILED or answer.status != 200:
+        if answer.kind is AnswerKind.FAILED or answer.status != 200:
             raise Error("InternalError")
         return read_part(bytes(answer.body))
 
@@ -264,9 +271,9 @@
             request.measure(len(request.message.body), self.settings)
         call = self._call(request, request_id)
         answer = await self.gateway.submit(call)
-        if answer.kind is Kind.REFUSED:
+        if answer.kind is AnswerKind.REFUSED:
             raise slow_down(answer.retry_after)
-        if answer.kind is Kind.FAILED:
+        if answer.kind is AnswerKind.FAILED:
             raise Error("InternalError")
         if answer.stream is not None:
             return self._streamed(request, answer, answer.stream, request_id, closing)
@@ -281,7 +288,7 @@
         body = error_body(code, b"", "")
         return Response(ERRORS[code][0], write_head(ERRORS[code][0], headers, len(body), True) + body)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """A call is over: reads and writes count for the classes that stand for them."""
         settings = self.settings
         lane = settings.read_class if request.method in (b"GET", b"HEAD") else settings.write_class
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -12,7 +12,14 @@
 from mallowbeam.http.handler import Response, text_response
 from mallowbeam.http.stream import MOST, Stream, copy
 from mallowbeam.storage_gateway.scheduler.interface import Idempotency
-from mallowbeam.storage_gateway.server.calls import Answer, Call, Kind, length_of, read_deadline, time_left
+from mallowbeam.storage_gateway.server.calls import (
+    Answer,
+    AnswerKind,
+    Call,
+    length_of,
+    read_deadline,
+    time_left,
+)
 from mallowbeam.storage_gateway.server.gateway import Gateway
 from mallowbeam.storage_gateway.server.health import readiness
 
@@ -50,7 +57,7 @@
 class Platform:
     """Turns the platform's requests into calls and answers back."""
 
-    max_body, whole = MOST, MAX_BODY
+    max_body, max_buffered_body = MOST, MAX_BODY
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway, self.budget = gateway, BodyBudget(min(HELD, gateway.config.memory // 8))
@@ -72,7 +79,7 @@
         """The answer to what breaks HTTP or a bound."""
         return text_response(status, text, True, RETRY_AFTER if status == REFUSED else None)
 
-    def ended(self, request: Message, status: int, whole: bool) -> None:
+    def finished(self, request: Message, status: int, whole: bool) -> None:
         """A request is over: it counts for the class it names."""
         self.gateway.metrics.ended((request.get(b"x-class") or b"").decode("latin-1"), status, whole)
 
@@ -87,14 +94,14 @@
         if request.method not in (b"GET", b"PUT"):
             raise BadRequest("the method is neither GET nor PUT")
         request_id = headers.get(b"x-request-id", b"")
-        if not REQUEST_ID.match(request_id) or self.gateway.holds(request_id.decode()):
+        if not REQUEST_ID.match(request_id) or self.gateway.has_id(request_id.decode()):
             raise BadRequest("X-Request-Id is missing, malformed or in use")
         cls = settings.classes.get(headers.get(b"x-class", b"").decode("latin-1"))
         if cls is None or path[1] != headers[b"x-class"]:
             raise BadRequest("X-Class is missing, unknown or not the path's")
         if cls.writes is not None and cls.writes != (request.method == b"PUT"):
             raise BadRequest("the method is not the class's")
-        if request.method == b"GET" and (request.came or request.length):
+        if request.method == b"GET" and (request.received or request.length):
             raise BadRequest("a read has no body")
         # Guards against effects doubled: without a key, a second attempt would not be dropped as a repeat.
         if not TOKEN.match(
@@ -111,7 +118,7 @@
         if extent is None:
             raise BadRequest("X-Extent is missing or malformed")
         # Guards the client's time: it counts from its request's last byte, which may have waited here.
-        waited = time.monotonic() - request.at if request.at else 0.0
+        waited = time.monotonic() - request.completed_at if request.completed_at else 0.0
         units, shard, hosts = (int(part) for part in extent.groups())
         if not 1 <= units <= settings.max_units or shard < -1 or not 1 <= hosts <= settings.hosts:
             raise BadRequest("X-Extent is senseless")
@@ -159,9 +166,9 @@
     @staticmethod
     def write(answer: Answer, close: bool) -> Response:
         """An answer as the client gets it."""
-        if answer.kind is Kind.SERVED:
+        if answer.kind is AnswerKind.SERVED:
             return Response(200, write_head(200, [], len(answer.body), close) + answer.body)
-        if answer.kind is Kind.FAILED:
+        if answer.kind is AnswerKind.FAILED:
             return text_response(FAILED, "failed", close)
         after = answer.retry_after
         return text_response(
--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -98,7 +98,7 @@
         self._give_up()
         self.begin()
 
-    def beside(self, listing: Listing, address: str, take: Callable[[Listing], None]) -> None:
+    def update_from_peer(self, listing: Listing, address: str, take: Callable[[Listing], None]) -> None:
         """Take in a list that the other process heard at an address, if it is news here.
 
         Guards against going back: neither a list that is no newer nor one of an address left counts.
@@ -192,8 +192,8 @@
         if self.revision is not None:
             target += b"?since=%d&timeout_ms=%d" % (self.revision, wait * 1000)
         await link.request(write_request(b"GET", target, [(b"host", self.address.encode())]))
-        answer = await link.head()
-        await link.body(answer)
+        answer = await link.read_head()
+        await link.read_body(answer)
         if answer.status != 200:
             raise ConnectionBrokenError(f"status {answer.status}")
         return answer
--- a/tests/router/control_plane/test_control_plane_large_bodies.py
+++ b/tests/router/control_plane/test_control_plane_body_admission.py
@@ -13,7 +13,7 @@
 from types import SimpleNamespace
 from typing import cast
 
-from control_plane_rig import CALL_TIMEOUT_S, Answer, configuration, heartbeat
+from control_plane_rig import WAIT_TIMEOUT_S, Answer, configuration, heartbeat
 from project_paths import ROOT, SUPPORT
 
 from mallowbeam.http.budget import ANOTHER_LARGE_BODY, TOO_MANY_BODIES, BodyBudget
@@ -22,7 +22,12 @@
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.parsing import ConfigurationParser
 from mallowbeam.router.configuration.versions import ConfigurationVersions
-from mallowbeam.router.control_plane.api import MAX_BODY_BYTES, MAX_SMALL_BODIES_BYTES, ControlApi
+from mallowbeam.router.control_plane.api import (
+    MAX_BODY_BYTES,
+    MAX_SMALL_BODIES_BYTES,
+    ApiServices,
+    ControlApi,
+)
 from mallowbeam.router.control_plane.api_errors import LargeBodyError
 from mallowbeam.router.control_plane.body_admission import (
     LARGE_BODY,
@@ -41,7 +46,7 @@
 CONFIG, INSTANCE = "/mallowbeam/config", "/mallowbeam/instances/i-1"
 CALLERS, MEMBERS = 8, 3
 LOAD_S = 60  # the load's bound; it ends long before, once so many changes were taken:
-MOST_TAKEN = 4
+MAX_ACCEPTED = 4
 MEMORY_MIB = 296  # of a machine of the core
 
 
@@ -57,7 +62,7 @@
     return head + (b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body) if chunked else body)
 
 
-class HeldWork:
+class PausedJobs:
     """Work that goes on only when it is told to."""
 
     def __init__(self) -> None:
@@ -92,12 +97,14 @@
     gate = ResponseGate(lambda: 1.0, lambda: 0.0, lambda: False)
     status = SimpleNamespace(other_controls=lambda: ["127.0.0.1:1"])
     return ControlApi(
+        ApiServices(
+            ConfigurationVersions(parser),
+            cast(CommandForwarder, log),
+            cast(InstanceService, Heartbeats()),
+            cast(StatusPage, status),
+            gate,
+        ),
         parser,
-        ConfigurationVersions(parser),
-        cast(CommandForwarder, log),
-        cast(InstanceService, Heartbeats()),
-        cast(StatusPage, status),
-        gate,
         run_job,
     )
 
@@ -117,37 +124,37 @@
         request = call(CONFIG, large(2))
         head = request[: request.index(b"\r\n\r\n") + 4]
         first, second = self.fed(head), self.fed(head)
-        self.assertIsNone(first.fault)
-        self.assertEqual((second.fault.status, str(second.fault)), (503, ANOTHER_LARGE_BODY))
+        self.assertIsNone(first.error)
+        self.assertEqual((second.error.status, str(second.error)), (503, ANOTHER_LARGE_BODY))
         second.release()
-        self.assertIsNotNone(self.fed(head).fault, "the refused one gave the first one's place away")
+        self.assertIsNotNone(self.fed(head).error, "the refused one gave the first one's place away")
         first.release()
-        self.assertIsNone(self.fed(head).fault)
+        self.assertIsNone(self.fed(head).error)
 
     def test_one_without_a_stated_length_is_refused_once_it_is_large(self) -> None:
         first, second = (self.fed(call(CONFIG, large(2), chunked=True)) for _ in range(2))
         self.assertEqual(len(first.ready), 1)
-        self.assertEqual(str(second.fault), ANOTHER_LARGE_BODY)
-        self.assertLessEqual(len(second.part.body), MAX_BODY_BYTES)
+        self.assertEqual(str(second.error), ANOTHER_LARGE_BODY)
+        self.assertLessEqual(len(second.incoming.body), MAX_BODY_BYTES)
 
     def test_a_second_one_on_the_same_connection_is_refused(self) -> None:
         framer = self.fed(call(CONFIG, large(2)) * 2)
-        self.assertEqual((len(framer.ready), str(framer.fault)), (1, ANOTHER_LARGE_BODY))
+        self.assertEqual((len(framer.ready), str(framer.error)), (1, ANOTHER_LARGE_BODY))
 
     def test_small_bodies_have_the_common_bound_for_themselves(self) -> None:
         self.fed(call(CONFIG, large(2)))
         self.assertEqual(self.budget.used, 0)
         small = call(INSTANCE, b"x" * LARGE_BODY)
-        held = [self.fed(small) for _ in range(MAX_SMALL_BODIES_BYTES // LARGE_BODY)]
-        self.assertTrue(all(framer.fault is None for framer in held))
-        self.assertEqual(str(self.fed(small).fault), TOO_MANY_BODIES)
+        paused = [self.fed(small) for _ in range(MAX_SMALL_BODIES_BYTES // LARGE_BODY)]
+        self.assertTrue(all(framer.error is None for framer in paused))
+        self.assertEqual(str(self.fed(small).error), TOO_MANY_BODIES)
 
-    def test_the_control_api_has_one_place(self) -> None:
+    def test_the_control_api_has_one_slot(self) -> None:
         api = api_of(ConfigurationParser(), Log())
         budget = api.budget
         assert budget is not None
         self.budget = budget
-        faults = [self.fed(call(CONFIG, large(2))).fault for _ in range(2)]
+        faults = [self.fed(call(CONFIG, large(2))).error for _ in range(2)]
         self.assertIsNone(faults[0])
         self.assertEqual(str(faults[1]), ANOTHER_LARGE_BODY)
 
@@ -156,7 +163,7 @@
     """The control API behind its server."""
 
     async def asyncSetUp(self) -> None:
-        self.work, self.log = HeldWork(), Log()
+        self.work, self.log = PausedJobs(), Log()
         api = api_of(ConfigurationParser(), self.log, self.work)
         self.server = Server(("127.0.0.1", 0), api, 64, shared=False)
         self.server.start()
@@ -164,7 +171,7 @@
 
     async def put(self, path: str, body: bytes) -> tuple[Answer, bytes]:
         """One call on its own connection, whose body is sent before anything is read: answer and head."""
-        async with asyncio.timeout(CALL_TIMEOUT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             return await self._put(path, body)
 
     async def _put(self, path: str, body: bytes) -> tuple[Answer, bytes]:
@@ -195,22 +202,22 @@
 
 
 class OneAtATime(unittest.IsolatedAsyncioTestCase):
-    async def test_a_caller_that_leaves_keeps_the_place_until_its_work_ends(self) -> None:
-        work = HeldWork()
+    async def test_a_cancelled_caller_keeps_the_slot_until_its_job_ends(self) -> None:
+        work = PausedJobs()
         bodies = LargeBodyAdmission(ConfigurationParser(), work)
         left = asyncio.create_task(bodies.command(bytearray(large(2)), 1))
         await work.begun.wait()
         left.cancel()
         await asyncio.gather(left, return_exceptions=True)
         with self.assertRaises(LargeBodyError):
-            async with asyncio.timeout(CALL_TIMEOUT_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 await bodies.command(bytearray(large(3)), 1)
         work.go_on.set()
         for _ in range(5):
             await asyncio.sleep(0)
         self.assertEqual((await bodies.command(bytearray(large(3)), 1)).revision, 3)
 
-    async def test_a_body_that_is_not_valid_gives_the_place_back(self) -> None:
+    async def test_an_invalid_body_frees_the_slot(self) -> None:
         bodies = LargeBodyAdmission(ConfigurationParser(), run_inline)
         with self.assertRaises(ConfigurationError):
             await bodies.command(bytearray(b"{" + large(2)), 1)
@@ -223,7 +230,7 @@
         self.assertEqual(len(body), 0)
         self.assertEqual(parser.recall(command.digest).configuration.revision, 2)
 
-    async def test_work_leaves_the_event_loop(self) -> None:
+    async def test_jobs_run_beside_the_event_loop(self) -> None:
         here = threading.get_ident()
         self.assertNotEqual(await run_in_thread(threading.get_ident), here)
         self.assertEqual(await run_inline(threading.get_ident), here)
@@ -243,12 +250,14 @@
         parser = Noted()
         status = SimpleNamespace(other_controls=lambda: [])
         api = ControlApi(
+            ApiServices(
+                ConfigurationVersions(parser),
+                cast(CommandForwarder, Log()),
+                cast(InstanceService, None),
+                cast(StatusPage, status),
+                gate,
+            ),
             parser,
-            ConfigurationVersions(parser),
-            cast(CommandForwarder, Log()),
-            cast(InstanceService, None),
-            cast(StatusPage, status),
-            gate,
         )
         framer = Framer(answers=False, max_body=MAX_BODY_BYTES)
         framer.feed(memoryview(call(CONFIG, large(2))))
@@ -272,7 +281,7 @@
 
 
 class RealMembers(unittest.TestCase):
-    def test_changes_are_taken_and_memory_is_bounded_with_eight_callers(self) -> None:
+    def test_changes_are_accepted_and_memory_is_bounded_with_eight_callers(self) -> None:
         path = os.pathsep.join((str(ROOT), str(SUPPORT)))
         environment = {**os.environ, "PYTHONPATH": path, "PYTHONDONTWRITEBYTECODE": "1"}
         script = [
@@ -281,12 +290,12 @@
             str(MEMBERS),
             str(CALLERS),
             str(LOAD_S),
-            str(MOST_TAKEN),
+            str(MAX_ACCEPTED),
         ]
         ended = subprocess.run(script, env=environment, capture_output=True, check=False, text=True)
         self.assertEqual(ended.returncode, 0, ended.stderr)
         seen = json.loads(ended.stdout.splitlines()[-1])
-        self.assertGreaterEqual(seen["taken"], MOST_TAKEN, seen)
+        self.assertGreaterEqual(seen["taken"], MAX_ACCEPTED, seen)
         self.assertLess(max(seen["peak_mib"]), MEMORY_MIB, seen)
 
 
--- a/tests/router/control_plane/test_control_plane_instances.py
+++ b/tests/router/control_plane/test_control_plane_instance_service.py
@@ -8,7 +8,7 @@
 from typing import cast
 
 from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
-from mallowbeam.router.control_plane.instance_service import InstanceService
+from mallowbeam.router.control_plane.instance_service import InstanceService, RegistryParts
 from mallowbeam.router.control_plane.peer_links import PeerLinks
 from mallowbeam.router.control_plane.response_gate import ResponseGate
 from mallowbeam.router.registry.retirements import Retirements
@@ -39,27 +39,25 @@
         table.merge(RegistryGossip(whole=True), time.monotonic())  # it knows all that there is
         gate = ResponseGate(time.monotonic, lambda: 0.0, lambda: False)
         self.instances = InstanceService(
-            table,
-            Retirements(),
-            cast(CommandForwarder, None),
-            cast(PeerLinks, self.links),
+            RegistryParts(
+                table, Retirements(), cast(CommandForwarder, None), cast(PeerLinks, self.links), gate
+            ),
             gateways_outdated=lambda: None,
             count_gateways=lambda: 0,
-            gate=gate,
             random=Random(1),
         )
 
-    def asked(self) -> list[int]:
+    def requested_from(self) -> list[int]:
         """Whom one look asks for all that they know."""
         self.links.sent.clear()
         self.instances.run_cycle([OTHER])
         return [member for member, frame in self.links.sent if frame.registry.wants_whole]
 
-    def test_what_a_lost_link_may_have_cost_is_asked_for(self) -> None:
+    def test_gossip_lost_with_a_link_is_requested_again(self) -> None:
         """The call lacked the time: it raised, and what was under way on the link was never asked for."""
-        self.assertEqual(self.asked(), [])
+        self.assertEqual(self.requested_from(), [])
         self.instances.link_lost()
-        self.assertEqual(self.asked(), [OTHER])
+        self.assertEqual(self.requested_from(), [OTHER])
 
 
 if __name__ == "__main__":
