--- a/mallowbeam/router/data_plane/retry_budget.py
+++ b/mallowbeam/router/data_plane/retry_budget.py
@@ -6,8 +6,8 @@
 the most.
 
 Each gateway keeps its own share, so that the sum holds without messages between them: its retries in a span
-are at most `ratio` times its requests in the span *before*, plus its share of `min_retries`.  All gateways use
-the same one of the three: the largest of each would add up to more than the largest of the sums.  While a
+are at most `ratio` times its requests in the span *before*, plus its share of `min_retries`.  All gateways
+use the same one of the three: the largest of each would add up to more than the largest of the sums.  While a
 service has been in use for less than half a window there is little before; until then the span half a window
 before is used.
 
