--- a/tests/storage_gateway/scheduler/test_control_limits.py
+++ b/tests/storage_gateway/scheduler/test_admission_limits.py
@@ -1,4 +1,4 @@
-"""Limits, reserves and what is forgotten of volumes, each seen from outside the module."""
+"""Limits, reserves and what is forgotten of volumes, seen from outside the scheduler."""
 
 from __future__ import annotations
 
--- a/tests/storage_gateway/scheduler/test_control_booking.py
+++ b/tests/storage_gateway/scheduler/test_cycle_booking.py
@@ -1,4 +1,4 @@
-"""Where and when a request goes: aims, worth, room, runs on the same data."""
+"""Where and when a request is booked: latency targets, value, capacity, runs on the same data."""
 
 from __future__ import annotations
 
--- a/tests/storage_gateway/scheduler/test_control_plans.py
+++ b/tests/storage_gateway/scheduler/test_plan_changes.py
@@ -1,4 +1,4 @@
-"""Plans and allotments that change while the module runs: levels carry over, and nothing is granted twice."""
+"""Plans and allotments that change in service: levels carry over, and nothing is granted twice."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 from scheduler_rig import PLANS, Rig, Store, make_settings, of
 
-from mallowbeam.storage_gateway.scheduler import gateway_host as facade
+from mallowbeam.storage_gateway.scheduler import gateway_host
 from mallowbeam.storage_gateway.scheduler.interface import (
     AttemptEnded,
     Event,
@@ -225,8 +225,8 @@
 
 
 def test_the_facade_hands_on_a_plan_refuses_what_is_none_and_tells_its_successor(monkeypatch):
-    host = facade.SchedulerHost(make_settings(), 100.0)
-    assert host.change_plan(100.0, replace(BASIC, limit=5.0)) == facade.Orders()
+    host = gateway_host.SchedulerHost(make_settings(), 100.0)
+    assert host.change_plan(100.0, replace(BASIC, limit=5.0)) == gateway_host.Orders()
     host.change_plan(100.0, replace(BASIC, limit=3.0), "b", shard=1, limit_share=0.25)
     for bad in (
         {"plan": replace(BASIC, limit=-1.0)},
@@ -234,14 +234,14 @@
         {"plan": BASIC, "shard": 2},
         {"plan": replace(BASIC, weight=float("inf"))},
     ):
-        with pytest.raises(facade.InvalidPlanError) as caught:
+        with pytest.raises(gateway_host.InvalidPlanError) as caught:
             host.change_plan(100.0, **bad)
         assert caught.value.remedy
-    monkeypatch.setattr(facade, "MAX_ALLOTMENTS", 4)
-    with pytest.raises(facade.TooManyAllotmentsError):
+    monkeypatch.setattr(gateway_host, "MAX_ALLOTMENTS", 4)
+    with pytest.raises(gateway_host.TooManyAllotmentsError):
         host.change_plan(100.0, BASIC, "c", limit_share=0.5)
     host.change_plan(100.0, replace(BASIC, limit=2.0), "b", shard=1)
-    heir = facade.SchedulerHost(make_settings(), 101.0)
+    heir = gateway_host.SchedulerHost(make_settings(), 101.0)
     heir.import_state(101.0, host.export_state(101.0))
     assert heir._scheduler.volumes.plans == host._scheduler.volumes.plans
 
--- a/tests/storage_gateway/scheduler/test_properties.py
+++ b/tests/storage_gateway/scheduler/test_scheduler_properties.py
@@ -1,4 +1,4 @@
-"""Random legal sequences of events; the rules are checked from outside the module."""
+"""Random legal sequences of events; the rules are checked from outside the scheduler."""
 
 from __future__ import annotations
 
--- a/tests/storage_gateway/scheduler/test_control_sending.py
+++ b/tests/storage_gateway/scheduler/test_sending.py
@@ -1,4 +1,4 @@
-"""What may be sent and sent again, its one final answer, order by key, the budget, bodies that pass."""
+"""Attempts: retries, the one final answer, order by key, the retry budget, uploads."""
 
 from __future__ import annotations
 
--- a/tests/storage_gateway/scheduler/test_guards.py
+++ b/tests/storage_gateway/scheduler/test_sending_rules.py
@@ -1,4 +1,4 @@
-"""Each guard in the one function that sends and the one that ends, alone: every other condition is met."""
+"""Each rule on sending and ending alone: every other condition is met."""
 
 from __future__ import annotations
 
--- a/tests/storage_gateway/scheduler/test_wirehost.py
+++ b/tests/storage_gateway/scheduler/test_simulator_host.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mallowbeam.storage_gateway.scheduler import simulator_host as wirehost
+from mallowbeam.storage_gateway.scheduler import simulator_host
 
 START = (
     "TICK 10.0\n"
@@ -24,7 +24,7 @@
 
 def talk(text: str) -> str:
     sink = text_io.StringIO()
-    wirehost.Wire(text_io.StringIO(text), sink).run()
+    simulator_host.Wire(text_io.StringIO(text), sink).run()
     return sink.getvalue()
 
 
@@ -47,7 +47,7 @@
     def fail(self, now, events):
         raise RuntimeError("out of\nluck")
 
-    monkeypatch.setattr(wirehost.Scheduler, "step", fail)
+    monkeypatch.setattr(simulator_host.Scheduler, "step", fail)
     assert "BROKEN host/1 RuntimeError: out of luck" in talk(START)
 
 
--- a/tests/storage_gateway/scheduler/test_cold_fleet.py
+++ b/tests/storage_gateway/scheduler/test_slow_start_fleet.py
@@ -1,11 +1,11 @@
-"""The cold budget over the sum of all hosts: fleets of module instances on drawn settings."""
+"""The slow-start budget over the sum of all hosts: fleets of schedulers on drawn settings."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 import pytest
-from cold_fleet import Fleet
+from slow_start_fleet import Fleet
 
 from mallowbeam.storage_gateway.scheduler import Scheduler
 
--- a/tests/storage_gateway/server/test_watch.py
+++ b/tests/storage_gateway/server/test_watch.py
@@ -8,9 +8,9 @@
 
 import pytest
 import uvloop
+from discovery_queue import DiscoveryQueue
 from scenario import World, play
 from scheduler_rig import Rig, of
-from test_control_nodes import OneQueue
 
 from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdate, DiscoveryUpdateKind, WatchNodes
 from mallowbeam.storage_gateway.scheduler.node_health import MAX_WATCH_RETRY
@@ -82,7 +82,7 @@
     rigs = [
         Rig(discovery_on_request=True, max_list_age=10.0, hosts=hosts, seed=seed) for seed in range(hosts)
     ]
-    service, due, told = OneQueue(120.0), [], set()
+    service, due, told = DiscoveryQueue(120.0), [], set()
     for n, rig in enumerate(rigs):
         rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2))
         silent = watch(False, random.Random(n).random)._times()[1]
--- a/tests/support/cold_fleet.py
+++ b/tests/support/slow_start_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of module instances before nodes that start cold, on drawn settings, and the platform's count.
+"""A fleet of schedulers before nodes that warm up, on drawn settings, and the platform's count of their load.
 
-`PYTHONPATH=. python tests/support/cold_fleet.py SECONDS [SEED]` plays draws for so long and says how many
-nodes fell.
+`PYTHONPATH=. python tests/support/slow_start_fleet.py SECONDS [SEED]` plays draws for so long and says how
+many nodes collapsed.
 """
 
 from __future__ import annotations
