--- a/mallowbeam/__main__.py
+++ b/mallowbeam/__main__.py
@@ -7,19 +7,19 @@
 
 import sys
 
-from mallowbeam.reload_signal import hold_hangups
+from mallowbeam.reload_signal import defer_sighup
 
 
 def main() -> int:
     """What the first argument names; without one, the gateway in service."""
     name = sys.argv[1] if len(sys.argv) > 1 else ""
     if name == "data-plane":
-        hold_hangups()  # before the imports, the longest part of a start
+        defer_sighup()  # before the imports, the longest part of a start
         from mallowbeam.router.data_plane.role import main as run_data_plane
 
         return run_data_plane()
     if name == "control-plane":
-        hold_hangups()
+        defer_sighup()
         from mallowbeam.router.control_plane.role import main as run_control_plane
 
         return run_control_plane()
@@ -31,10 +31,10 @@
         from mallowbeam.cli.app import app
 
         app()
-    hangups = hold_hangups()
+    deferred_sighups = defer_sighup()
     from mallowbeam.storage_gateway.application import run
 
-    return run(hangups=hangups)
+    return run(deferred_sighups=deferred_sighups)
 
 
 if __name__ == "__main__":
--- a/mallowbeam/cli/buffer.py
+++ b/mallowbeam/cli/buffer.py
@@ -132,11 +132,11 @@
     as_json: AsJson = False,
 ) -> None:
     """Bring all that the folder holds to the nodes, with no gateway running; status 1 where some is left."""
-    from mallowbeam.storage_gateway.server.config import BadConfig
+    from mallowbeam.storage_gateway.server.config import GatewayConfigError
 
     try:
         left, held = asyncio.run(drained(fronts, balancer, seconds, send_held or [], drop_held or []))
-    except BadConfig as error:
+    except GatewayConfigError as error:
         typer.echo(f"mallowbeam: {error.line}", err=True)
         raise typer.Exit(2) from None
     say({"left": left, "held": held}, f"{left} writes left, {held} of them held", as_json)
--- a/mallowbeam/cli/config.py
+++ b/mallowbeam/cli/config.py
@@ -9,7 +9,7 @@
 
 import typer
 
-from mallowbeam.storage_gateway.server.config import BadConfig, read_config, read_file
+from mallowbeam.storage_gateway.server.config import GatewayConfigError, read_config, read_file
 
 app = typer.Typer(no_args_is_help=True, help="Check the configuration; print the operators' file's schema.")
 DEFAULT = Path(__file__).parent.parent.parent / "deploy" / "fronts.json"
@@ -28,14 +28,14 @@
         operators.check(raw)
         if balancer is not None:
             agree(raw, balancer)
-    except BadConfig as error:
+    except GatewayConfigError as error:
         typer.echo(f"mallowbeam: {error.line}", err=True)
         raise typer.Exit(2) from None
     typer.echo(f"{fronts}: good")
 
 
 def agree(raw: dict[str, object], balancer: Path) -> None:
-    """Build the gateway and its fronts without listening; raises `BadConfig`."""
+    """Build the gateway and its fronts without listening; raises `GatewayConfigError`."""
     from mallowbeam.storage_gateway.frontends.object_api.settings import read_object_settings
     from mallowbeam.storage_gateway.server.gateway import Gateway
 
@@ -50,7 +50,7 @@
 
             why = check_folder(read_buffer_settings(buffer, settings, gateway), wait=True)
             if why is not None:
-                raise BadConfig(why)
+                raise GatewayConfigError(why)
 
 
 @app.command()
--- a/mallowbeam/http/client.py
+++ b/mallowbeam/http/client.py
@@ -20,6 +20,7 @@
 RETIRE = 0.8  # of the nodes' idle limit: a connection idle for longer is not used again
 MAX_IDLE_EACH = 32  # idle connections kept to one node
 REST = 0.02  # seconds after an answer before the next request: a second answer shows by then
+FIRST_INTERIM, FIRST_FINAL = 100, 200  # status codes: 1xx are interim (RFC 9110 section 15.2)
 MOST_INTERIM = 16  # interim answers (1xx) in front of one answer
 
 
@@ -160,7 +161,9 @@
         framer = self.channel.framer
         for _ in range(MOST_INTERIM + 1):
             answer = await self._next_head()
-            if not 100 <= answer.status < 200:  # else an interim answer: the real one follows
+            if (
+                not FIRST_INTERIM <= answer.status < FIRST_FINAL
+            ):  # else an interim answer: the real one follows
                 break
         else:
             raise RemoteProtocolError("interim answers without end")
--- a/mallowbeam/http/connection.py
+++ b/mallowbeam/http/connection.py
@@ -12,6 +12,7 @@
 import socket
 import time
 from collections.abc import Awaitable
+from contextlib import suppress
 
 from mallowbeam.http.framing import MAX_HEAD, Channel, Framer, Message, MessageError
 from mallowbeam.http.read_ahead import ReadAhead
@@ -219,10 +220,8 @@
     def _send_continue(self) -> None:
         """The first piece of a large body is asked for: a client that waits for a word gets it."""
         if self.channel.framer.wants_continue():
-            try:  # a few bytes, and nothing else is being written
+            with suppress(OSError):  # a few bytes, and nothing else is being written
                 self.channel.sock.send(CONTINUE)
-            except OSError:
-                pass
 
     async def _forward_body(self) -> None:
         """Hand on what came of a large body; while its taker is slow nothing is read, and no time counts."""
@@ -357,10 +356,8 @@
 
     def _answer_timeout(self) -> None:
         """Answer a request that did not come in time; best effort: its client may not read either."""
-        try:
+        with suppress(OSError):
             self.channel.sock.send(self._final_error(408, "the request did not come in time"))
-        except OSError:
-            pass
         self._half_close()
 
     def _final_error(self, status: int, text: str) -> bytes:
--- a/mallowbeam/http/server.py
+++ b/mallowbeam/http/server.py
@@ -96,7 +96,7 @@
 
     acceptor: asyncio.Task[None]  # from `start` on
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 (all that a listener is; by name where called)
         self,
         address: tuple[str, int],
         front: RequestHandler,
--- a/mallowbeam/http/shutdown.py
+++ b/mallowbeam/http/shutdown.py
@@ -13,6 +13,7 @@
 import socket
 import struct
 import time
+from contextlib import suppress
 from enum import Enum
 from typing import Protocol
 
@@ -37,10 +38,8 @@
 
 def shut(sock: socket.socket) -> None:
     """End our side; where the other has reset the connection, its reader is told."""
-    try:
+    with suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
-    except OSError:
-        pass
 
 
 def gone(sock: socket.socket) -> bool:
@@ -64,10 +63,8 @@
 
     Guards a client against a part that looks whole, where the end of the connection marks that of the body.
     """
-    try:
+    with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-    except OSError:
-        pass
 
 
 class Connections(Protocol):
--- a/mallowbeam/reload_signal.py
+++ b/mallowbeam/reload_signal.py
@@ -1,16 +1,16 @@
-"""SIGHUP before the gateway listens for it: what a start sees to before all else is loaded."""
+"""SIGHUP during a start: recorded before anything else is loaded, and handled once the program serves."""
 
 from __future__ import annotations
 
 import signal
 
 
-def hold_hangups() -> list[int]:
-    """Keep SIGHUPs for the gateway: each that comes is put into the list.
+def defer_sighup() -> list[int]:
+    """Record SIGHUPs until the program installs its own handler; each one that arrives is appended.
 
-    Guards a start against the signal's default action, which ends the program, and against a word that is
-    lost: the file that it speaks of may have been read just before.
+    Guards a start against the signal's default action, which ends the program, and against a reload that is
+    lost: the file to be reloaded may have been read just before.
     """
-    came: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: came.append(number))
-    return came
+    deferred: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, _: deferred.append(number))
+    return deferred
--- a/mallowbeam/router/processes/role.py
+++ b/mallowbeam/router/processes/role.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.reload_signal import hold_hangups
+from mallowbeam.reload_signal import defer_sighup
 from mallowbeam.router.processes.logs import get_logger, set_up_logging
 from mallowbeam.router.processes.settings import NodeSettings, SettingsError, read_settings, settings_path
 
@@ -89,7 +89,7 @@
 
 def run_role(serve: Callable[[RoleContext], Awaitable[None]]) -> int:
     """Run a role until a signal stops it; returns the exit code of the process."""
-    hangups = hold_hangups()  # SIGHUPs before this line are covered by the reading below
+    hangups = defer_sighup()  # SIGHUPs before this line are covered by the reading below
     path = settings_path()
     try:
         settings = read_settings(path)
--- a/mallowbeam/storage_gateway/application.py
+++ b/mallowbeam/storage_gateway/application.py
@@ -18,13 +18,13 @@
 from mallowbeam.http.connection import Connection
 from mallowbeam.http.handler import RequestHandler
 from mallowbeam.http.server import ConnectionFactory, Server
-from mallowbeam.reload_signal import hold_hangups
+from mallowbeam.reload_signal import defer_sighup
 from mallowbeam.storage_gateway.frontends.platform import Platform
 from mallowbeam.storage_gateway.server.admin import open_admin
 from mallowbeam.storage_gateway.server.config import (
     FRONT_SOCKETS,
-    BadConfig,
     Config,
+    GatewayConfigError,
     read_address,
     read_config,
     read_file,
@@ -44,7 +44,7 @@
 
 
 def open_servers(gateway: Gateway, fronts: dict[str, Any], legacy: Legacy | None = None) -> list[Server]:
-    """The listening sockets: the platform's, and what the fronts file turns on; raises `BadConfig`.
+    """The listening sockets: the platform's, and what the fronts file turns on; raises `GatewayConfigError`.
 
     Those that the process before this one handed over are taken as they are.
     """
@@ -52,7 +52,7 @@
     try:
         servers = _open_all(gateway, fronts, handed, upgrade=legacy is not None)
     except (ValueError, AttributeError) as error:
-        raise BadConfig(f"the fronts file is malformed: {error}") from None
+        raise GatewayConfigError(f"the fronts file is malformed: {error}") from None
     for unused in handed.values():  # of a front that is off now: its clients would wait unheard
         unused.close()
     return servers
@@ -76,7 +76,9 @@
         inherited = handed.pop("objects", None)
         servers.append(Server(objects.listen, front, room, name="objects", handed=inherited))
     if room < LEAST_ROOM:
-        raise BadConfig("limits.sockets leaves no connection for clients beside the fronts that are on")
+        raise GatewayConfigError(
+            "limits.sockets leaves no connection for clients beside the fronts that are on"
+        )
     inherited = handed.pop("platform", None)
     servers.append(Server(gateway.config.listen, Platform(gateway), room, name="platform", handed=inherited))
     return servers
@@ -118,7 +120,7 @@
 
 
 def open_fleet(gateway: Gateway, fronts: dict[str, Any]) -> Server:
-    """The fleet's log, with the subsystems that are on; raises `BadConfig`."""
+    """The fleet's log, with the subsystems that are on; raises `GatewayConfigError`."""
     try:
         from mallowbeam.storage_gateway.coordination.status_pages import open_policy
         from mallowbeam.storage_gateway.operator_settings import SUBSYSTEMS, PolicySection, convert
@@ -132,18 +134,20 @@
             gateway, convert(PolicySection, fronts["policy"], "policy"), WATCHER_CONNECTIONS, sections
         )
     except ImportError as error:
-        raise BadConfig(f"the fleet's policy needs {error.name}: install the extra `fleet`") from None
+        raise GatewayConfigError(
+            f"the fleet's policy needs {error.name}: install the extra `fleet`"
+        ) from None
 
 
 def open_buffered(gateway: Gateway, fronts: dict[str, Any], upgrade: bool) -> BufferedObjects:
-    """The object front with the write-back buffer behind it; raises `BadConfig`."""
+    """The object front with the write-back buffer behind it; raises `GatewayConfigError`."""
     try:
         from mallowbeam.storage_gateway.frontends.object_api.buffered import (
             BufferedObjects,
             read_buffer_settings,
         )
     except ImportError as error:
-        raise BadConfig(f"the buffer needs {error.name}: install the extra `buffer`") from None
+        raise GatewayConfigError(f"the buffer needs {error.name}: install the extra `buffer`") from None
     from mallowbeam.storage_gateway.frontends.object_api.settings import read_object_settings
 
     objects = read_object_settings(fronts["objects"], gateway)
@@ -162,8 +166,8 @@
     )
 
 
-async def serve(config: Config, fronts: dict[str, Any], hangups: Sequence[int] = ()) -> None:
-    """Run a gateway with its fronts until it is told to stop; `hangups` came before it listened for them."""
+async def serve(config: Config, fronts: dict[str, Any], deferred_sighups: Sequence[int] = ()) -> None:
+    """Run a gateway until it is told to stop; `deferred_sighups` came before its handler was installed."""
     legacy = take_over(config)
     gateway = Gateway(legacy.config(config) if legacy else config)
     asyncio.get_running_loop().set_exception_handler(
@@ -174,21 +178,21 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, gateway.stop)
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, gateway.reload, os.environ)
-    if hangups:  # its turn comes once the gateway serves
+    if deferred_sighups:  # its turn comes once the gateway serves
         asyncio.get_running_loop().call_soon(gateway.reload, os.environ)
     try:
         admin, servers = open_admin(gateway), open_servers(gateway, fronts, legacy)
     except OSError as error:
-        raise BadConfig(f"cannot listen: {error}") from None
+        raise GatewayConfigError(f"cannot listen: {error}") from None
     await gateway.run(servers, admin, legacy, meet=True)
 
 
-def run(log_format: str = "text", hangups: Sequence[int] | None = None) -> int:
+def run(log_format: str = "text", deferred_sighups: Sequence[int] | None = None) -> int:
     """Run the gateway; 0 after a planned stop, 2 where the configuration can't be used.
 
-    `hangups` are the SIGHUPs kept since before this file was loaded, where they were.
+    `deferred_sighups` are the SIGHUPs recorded since before this module was loaded, if they were.
     """
-    hangups = hold_hangups() if hangups is None else hangups
+    deferred_sighups = defer_sighup() if deferred_sighups is None else deferred_sighups
     logger.remove()
     if log_format == "json":  # one object a line, with the fields that a line was given
         logger.add(sys.stderr, serialize=True, level="INFO", backtrace=False, diagnose=False)
@@ -200,8 +204,8 @@
             from mallowbeam.storage_gateway.operator_settings import check
 
             check(fronts)
-        uvloop.run(serve(read_config(os.environ), fronts, hangups))
-    except BadConfig as error:
+        uvloop.run(serve(read_config(os.environ), fronts, deferred_sighups))
+    except GatewayConfigError as error:
         print(f"mallowbeam: {error.line}", file=sys.stderr)
         return 2
     return 0
--- a/mallowbeam/storage_gateway/coordination/service.py
+++ b/mallowbeam/storage_gateway/coordination/service.py
@@ -59,7 +59,7 @@
     PlanOverrides,
 )
 from mallowbeam.storage_gateway.operator_settings import PolicySection
-from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.server.config import GatewayConfigError
 from mallowbeam.storage_gateway.server.gateway import Gateway
 from mallowbeam.storage_gateway.write_buffer.disk import FolderLockedError, RealDisk
 
@@ -69,7 +69,7 @@
 
 
 def lock_folder(folder: Path) -> RealDisk:
-    """The folder for this process alone, made if it is not there; raises `BadConfig`.
+    """The folder for this process alone, made if it is not there; raises `GatewayConfigError`.
 
     Guards the journal: of two processes that write it, each would undo what the other has acknowledged.
     """
@@ -78,7 +78,7 @@
         disk = RealDisk(str(folder))
         disk.lock()
     except (OSError, FolderLockedError) as error:
-        raise BadConfig(f"policy.folder: {error}") from None
+        raise GatewayConfigError(f"policy.folder: {error}") from None
     return disk
 
 
--- a/mallowbeam/storage_gateway/coordination/status_pages.py
+++ b/mallowbeam/storage_gateway/coordination/status_pages.py
@@ -118,7 +118,7 @@
 def open_policy(
     gateway: Gateway, section: PolicySection, connections: int, sections: Mapping[str, Any] | None = None
 ) -> Server:
-    """Open the gateway's coordination service and the listener of its pages; raises `BadConfig`.
+    """Open the gateway's coordination service and the listener of its pages; raises `GatewayConfigError`.
 
     `sections` are those of the subsystems that are on, by name.
     """
--- a/mallowbeam/storage_gateway/frontends/object_api/access.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/access.py
@@ -17,7 +17,7 @@
 from msgspec import Meta
 
 from mallowbeam.storage_gateway.frontends.object_api.errors import Error
-from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.server.config import GatewayConfigError
 
 MOST_FILE = 4 << 20  # bytes of the file
 LOOK_AGAIN = 1.0  # seconds between looks whether it has changed
@@ -46,14 +46,14 @@
 
 
 def read_keys(data: bytes) -> dict[str, Key]:
-    """The keys of a file by their ids; raises `BadConfig`."""
+    """The keys of a file by their ids; raises `GatewayConfigError`."""
     try:
         told = msgspec.json.decode(data, type=KeyFile)
     except msgspec.DecodeError as error:  # it names the place, and never a value
-        raise BadConfig(str(error)) from None
+        raise GatewayConfigError(str(error)) from None
     keys = {key.id: key for key in told.keys}
     if len(keys) < len(told.keys):
-        raise BadConfig("an id stands there twice")
+        raise GatewayConfigError("an id stands there twice")
     return keys
 
 
@@ -82,21 +82,21 @@
     trouble: str = ""  # what was last told of a file that can't be used
 
     def open(self) -> None:
-        """Read the file for the first time; raises `BadConfig`."""
+        """Read the file for the first time; raises `GatewayConfigError`."""
         try:
             if self.path.stat().st_mode & 0o007:
                 logger.warning("object API: others may read the keys in {path}", path=str(self.path))
             self._read()
-        except (OSError, BadConfig) as error:
+        except (OSError, GatewayConfigError) as error:
             why = error.strerror if isinstance(error, OSError) else error
-            raise BadConfig(f"objects.keys: {self.path}: {why}") from None
+            raise GatewayConfigError(f"objects.keys: {self.path}: {why}") from None
 
     def _read(self) -> None:
         with open(self.path, "rb") as file:
             told = os.fstat(file.fileno())
             self.seen = told.st_ino, told.st_size, told.st_mtime_ns
             if told.st_size > MOST_FILE:
-                raise BadConfig("the file is too large")
+                raise GatewayConfigError("the file is too large")
             self.keys = read_keys(file.read(MOST_FILE))
 
     def look(self, now: float) -> None:
@@ -110,7 +110,7 @@
                 self._read()
                 self.trouble = ""
                 logger.info("object API: {count} keys read", count=len(self.keys))
-        except (OSError, BadConfig) as error:
+        except (OSError, GatewayConfigError) as error:
             if str(error) != self.trouble:
                 logger.error("object API: the keys of before stay: {why}", why=str(error))
             self.trouble = str(error)
--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -31,7 +31,7 @@
 from mallowbeam.storage_gateway.operator_settings import BufferSection, convert
 from mallowbeam.storage_gateway.scheduler.interface import Idempotency
 from mallowbeam.storage_gateway.server.calls import AnswerKind, Call
-from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.server.config import GatewayConfigError
 from mallowbeam.storage_gateway.server.gateway import Gateway
 from mallowbeam.storage_gateway.write_buffer.entries import Admission, Entry, Outcome
 from mallowbeam.storage_gateway.write_buffer.errors import LogIOError
@@ -81,15 +81,17 @@
 
 
 def read_buffer_settings(raw: Mapping[str, object], objects: ObjectSettings, gateway: Gateway) -> Settings:
-    """The buffer's settings from its section of the operators' file; raises `BadConfig`."""
+    """The buffer's settings from its section of the operators' file; raises `GatewayConfigError`."""
     section = convert(BufferSection, raw, "buffer")
     assert section.folder is not None
     known = gateway.config.settings
     cls = known.classes[objects.write_class]
     if section.cache_bytes + section.flush_bytes > gateway.config.memory // 4:
-        raise BadConfig("buffer: cache_bytes and flush_bytes together are over a quarter of the memory")
+        raise GatewayConfigError(
+            "buffer: cache_bytes and flush_bytes together are over a quarter of the memory"
+        )
     if objects.max_body > section.max_bytes // 4:
-        raise BadConfig("buffer.max_bytes: must hold at least four of the largest bodies")
+        raise GatewayConfigError("buffer.max_bytes: must hold at least four of the largest bodies")
     limits = Limits(
         max_bytes=section.max_bytes,
         max_records=section.max_records,
@@ -116,7 +118,7 @@
         super().__init__(gateway, settings)
         why = check_folder(buffer, handed)
         if why is not None:
-            raise BadConfig(why)
+            raise GatewayConfigError(why)
         self.max_buffered_body = min(settings.max_body, CHUNK_BYTES)  # larger bodies come in pieces
         self.buffer = Buffer(buffer, self, handed_over=handed)
         gateway.parts.append(self.buffer)
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -292,7 +292,7 @@
         """A call is over: reads and writes count for the classes that stand for them."""
         settings = self.settings
         lane = settings.read_class if request.method in (b"GET", b"HEAD") else settings.write_class
-        self.gateway.metrics.ended(lane, status, whole)
+        self.gateway.metrics.request_finished(lane, status, whole)
 
     def _call(self, request: Request, request_id: str) -> Call:
         """What goes to the module and to a node."""
--- a/mallowbeam/storage_gateway/frontends/object_api/settings.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/settings.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from mallowbeam.storage_gateway.operator_settings import ObjectsSection, convert
-from mallowbeam.storage_gateway.server.config import BadConfig, read_address
+from mallowbeam.storage_gateway.server.config import GatewayConfigError, read_address
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
 
@@ -26,12 +26,12 @@
 
 
 def read_object_settings(raw: dict[str, Any], gateway: Gateway) -> ObjectSettings:
-    """The front's settings; raises `BadConfig`."""
+    """The front's settings; raises `GatewayConfigError`."""
     section = convert(ObjectsSection, raw, "objects")
     try:
         listen = read_address(str(section.listen))
     except ValueError as error:
-        raise BadConfig(f"objects.listen: {error}") from None
+        raise GatewayConfigError(f"objects.listen: {error}") from None
     settings = ObjectSettings(
         listen,
         section.classes.read,
@@ -46,14 +46,14 @@
     known = gateway.config.settings
     for name in (settings.read_class, settings.write_class):
         if name not in known.classes:
-            raise BadConfig(f"the object front names an unknown class: {name}")
+            raise GatewayConfigError(f"the object front names an unknown class: {name}")
     for name in (settings.plan, *settings.plans.values()):
         if name not in known.plans:
-            raise BadConfig(f"the object front names an unknown plan: {name}")
+            raise GatewayConfigError(f"the object front names an unknown plan: {name}")
     if settings.held > gateway.config.memory // 2:
-        raise BadConfig("the object front may hold more than half of the memory")
+        raise GatewayConfigError("the object front may hold more than half of the memory")
     if (section.keys is None) != (section.authentication == "off"):
-        raise BadConfig('objects.keys: name the file of keys, or say "authentication": "off"')
+        raise GatewayConfigError('objects.keys: name the file of keys, or say "authentication": "off"')
     if settings.held < settings.max_body:
-        raise BadConfig("the object front's sizes are senseless")
+        raise GatewayConfigError("the object front's sizes are senseless")
     return settings
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -47,7 +47,7 @@
 SINGLE = PASSED_ON | {b"x-deadline-ms"}  # and each at most once: readers may differ on which counts
 
 
-class BadRequest(MallowbeamError):
+class InvalidRequestError(MallowbeamError):
     """A request that the protocol doesn't allow; the text says why."""
 
     error_name = "BadRequest"
@@ -68,7 +68,7 @@
             return readiness(self.gateway, closing())
         try:
             call = self.read(request)
-        except BadRequest as error:
+        except InvalidRequestError as error:
             return text_response(400, str(error), closing())
         answer = await self.gateway.submit(call)
         if answer.stream is not None:
@@ -81,47 +81,49 @@
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
         """A request is over: it counts for the class it names."""
-        self.gateway.metrics.ended((request.get(b"x-class") or b"").decode("latin-1"), status, whole)
+        self.gateway.metrics.request_finished(
+            (request.get(b"x-class") or b"").decode("latin-1"), status, whole
+        )
 
     def read(self, request: Message) -> Call:
-        """A request's call; raises `BadRequest`."""
+        """A request's call; raises `InvalidRequestError`."""
         settings, headers = self.gateway.config.settings, dict(request.headers)
         if sum(name in SINGLE for name, _ in request.headers) > sum(name in SINGLE for name in headers):
-            raise BadRequest("a header of the protocol comes twice")
+            raise InvalidRequestError("a header of the protocol comes twice")
         path = TARGET.match(request.target)
         if path is None:
-            raise BadRequest("the path is not /class/volume/data")
+            raise InvalidRequestError("the path is not /class/volume/data")
         if request.method not in (b"GET", b"PUT"):
-            raise BadRequest("the method is neither GET nor PUT")
+            raise InvalidRequestError("the method is neither GET nor PUT")
         request_id = headers.get(b"x-request-id", b"")
         if not REQUEST_ID.match(request_id) or self.gateway.has_id(request_id.decode()):
-            raise BadRequest("X-Request-Id is missing, malformed or in use")
+            raise InvalidRequestError("X-Request-Id is missing, malformed or in use")
         cls = settings.classes.get(headers.get(b"x-class", b"").decode("latin-1"))
         if cls is None or path[1] != headers[b"x-class"]:
-            raise BadRequest("X-Class is missing, unknown or not the path's")
+            raise InvalidRequestError("X-Class is missing, unknown or not the path's")
         if cls.writes is not None and cls.writes != (request.method == b"PUT"):
-            raise BadRequest("the method is not the class's")
+            raise InvalidRequestError("the method is not the class's")
         if request.method == b"GET" and (request.received or request.length):
-            raise BadRequest("a read has no body")
+            raise InvalidRequestError("a read has no body")
         # Guards against effects doubled: without a key, a second attempt would not be dropped as a repeat.
         if not TOKEN.match(
             headers.get(b"idempotency-key", b"" if cls.idempotency is Idempotency.KEYED else b"-")
         ):
-            raise BadRequest("Idempotency-Key is missing or malformed")
+            raise InvalidRequestError("Idempotency-Key is missing or malformed")
         plan = settings.plans.get(headers.get(b"x-storage-class", b"").decode("latin-1"))
         if plan is None:
-            raise BadRequest("X-Storage-Class is missing or unknown")
+            raise InvalidRequestError("X-Storage-Class is missing or unknown")
         deadline = read_deadline(headers.get(b"x-deadline-ms", b""), MOST_MS)
         if deadline is None:
-            raise BadRequest("X-Deadline-Ms is missing or senseless")
+            raise InvalidRequestError("X-Deadline-Ms is missing or senseless")
         extent = EXTENT.match(headers.get(b"x-extent", b""))
         if extent is None:
-            raise BadRequest("X-Extent is missing or malformed")
+            raise InvalidRequestError("X-Extent is missing or malformed")
         # Guards the client's time: it counts from its request's last byte, which may have waited here.
         waited = time.monotonic() - request.completed_at if request.completed_at else 0.0
         units, shard, hosts = (int(part) for part in extent.groups())
         if not 1 <= units <= settings.max_units or shard < -1 or not 1 <= hosts <= settings.hosts:
-            raise BadRequest("X-Extent is senseless")
+            raise InvalidRequestError("X-Extent is senseless")
         return Call(
             request_id.decode(),
             {
--- a/mallowbeam/storage_gateway/operator_settings.py
+++ b/mallowbeam/storage_gateway/operator_settings.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta
 
-from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.server.config import GatewayConfigError
 
 MIB = 1 << 20
 Size = Annotated[int, Meta(ge=1)]
@@ -141,11 +141,11 @@
 
 
 def convert(kind: type[T], raw: object, path: str = "") -> T:
-    """A section of the file, typed; raises `BadConfig` with the place in it."""
+    """A section of the file, typed; raises `GatewayConfigError` with the place in it."""
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
-        raise BadConfig(worded(str(error), path)) from None
+        raise GatewayConfigError(worded(str(error), path)) from None
 
 
 def worded(text: str, path: str = "") -> str:
@@ -157,40 +157,68 @@
 
 
 def check(raw: Mapping[str, Any]) -> Operators:
-    """The whole file, typed, and what its sections must agree on; raises `BadConfig`."""
+    """The complete file, typed, and what its sections must agree on; raises `GatewayConfigError`."""
     operators = convert(Operators, raw)
+    _check_buffer(operators)
+    _check_policy(operators)
+    _check_subsystems(operators)
+    _check_maintenance(operators)
+    _check_shares(operators)
+    return operators
+
+
+def _check_buffer(operators: Operators) -> None:
     buffer, objects = operators.buffer, operators.objects
-    if buffer is not None and buffer.folder is not None:
-        if objects is None or objects.listen is None:
-            raise BadConfig("buffer.folder: the buffer stands behind the object API, which is off")
-        if not buffer.buckets:
-            raise BadConfig("buffer.buckets: must name at least one bucket")
-        if buffer.max_bytes < 4 * buffer.segment_bytes:
-            raise BadConfig("buffer.segment_bytes: must be at most a quarter of max_bytes")
-    if (policy := operators.policy) is not None and policy.folder is not None:
-        if policy.listen is None:
-            raise BadConfig("policy.listen: must be an address, where the policy is pushed and shown")
-        if policy.name not in policy.members:
-            raise BadConfig("policy.name: must be among the members")
-        if policy.lease_s < 2 * policy.beat_s:
-            raise BadConfig("policy.lease_s: must be at least two beats")
+    if buffer is None or buffer.folder is None:
+        return
+    if objects is None or objects.listen is None:
+        raise GatewayConfigError("buffer.folder: the buffer stands behind the object API, which is off")
+    if not buffer.buckets:
+        raise GatewayConfigError("buffer.buckets: must name at least one bucket")
+    if buffer.max_bytes < 4 * buffer.segment_bytes:
+        raise GatewayConfigError("buffer.segment_bytes: must be at most a quarter of max_bytes")
+
+
+def _check_policy(operators: Operators) -> None:
+    policy = operators.policy
+    if policy is None or policy.folder is None:
+        return
+    if policy.listen is None:
+        raise GatewayConfigError("policy.listen: must be an address, where the policy is pushed and shown")
+    if policy.name not in policy.members:
+        raise GatewayConfigError("policy.name: must be among the members")
+    if policy.lease_s < 2 * policy.beat_s:
+        raise GatewayConfigError("policy.lease_s: must be at least two beats")
+
+
+def _check_subsystems(operators: Operators) -> None:
+    policy = operators.policy
+    if policy is not None and policy.folder is not None:
+        return
     for name in SUBSYSTEMS:
         section: SubsystemSection | None = getattr(operators, name)
-        if section is not None and section.on and (policy is None or policy.folder is None):
-            raise BadConfig(f"{name}.on: it stands on the fleet's log, and policy.folder is off")
-    maintenance = operators.maintenance
-    if maintenance is not None and maintenance.on and policy is not None:
-        if maintenance.lease_s < max(policy.lease_s, 2 * maintenance.report_s):
-            raise BadConfig("maintenance.lease_s: must be at least policy.lease_s, and two reports")
-    shares = operators.shares
-    if shares is not None and shares.on and policy is not None:
-        if shares.lease_s < policy.lease_s:
-            raise BadConfig("shares.lease_s: must be at least policy.lease_s")
-        if shares.quiet_s < shares.lease_s:
-            raise BadConfig("shares.quiet_s: must be at least shares.lease_s")
-        if shares.window_s > shares.epoch_s:
-            raise BadConfig("shares.window_s: must be at most shares.epoch_s")
-    return operators
+        if section is not None and section.on:
+            raise GatewayConfigError(f"{name}.on: it stands on the fleet's log, and policy.folder is off")
+
+
+def _check_maintenance(operators: Operators) -> None:
+    maintenance, policy = operators.maintenance, operators.policy
+    if maintenance is None or not maintenance.on or policy is None:
+        return
+    if maintenance.lease_s < max(policy.lease_s, 2 * maintenance.report_s):
+        raise GatewayConfigError("maintenance.lease_s: must be at least policy.lease_s, and two reports")
+
+
+def _check_shares(operators: Operators) -> None:
+    shares, policy = operators.shares, operators.policy
+    if shares is None or not shares.on or policy is None:
+        return
+    if shares.lease_s < policy.lease_s:
+        raise GatewayConfigError("shares.lease_s: must be at least policy.lease_s")
+    if shares.quiet_s < shares.lease_s:
+        raise GatewayConfigError("shares.quiet_s: must be at least shares.lease_s")
+    if shares.window_s > shares.epoch_s:
+        raise GatewayConfigError("shares.window_s: must be at most shares.epoch_s")
 
 
 def schema() -> dict[str, Any]:
--- a/mallowbeam/storage_gateway/server/config.py
+++ b/mallowbeam/storage_gateway/server/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a gateway, decoded once; anything wrong is one plain `BadConfig`."""
+"""What the platform tells a gateway, decoded once; anything wrong is one plain `GatewayConfigError`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.storage_gateway.scheduler.interface import Settings
 from mallowbeam.storage_gateway.scheduler.settings import flatten, opt, read_settings
-from mallowbeam.storage_gateway.server.listing import Listing, read_listing
+from mallowbeam.storage_gateway.server.listing import MAX_PORT, Listing, read_listing
 
 # Descriptors that are never given to clients or nodes.  Guards against a crash over the limit on sockets, and
 # against clients that fill them: discovery's call and each listener's accept always find one.  Counted at
@@ -27,7 +27,7 @@
 LEAST_SOCKETS = 64
 
 
-class BadConfig(MallowbeamError):
+class GatewayConfigError(MallowbeamError):
     """The configuration can't be used; the text says why, on one line."""
 
     error_name = "BadConfig"
@@ -55,7 +55,7 @@
 def read_address(text: str) -> tuple[str, int]:
     """`host:port` as a socket address."""
     host, sep, port = str(text).rpartition(":")
-    if not sep or not host or not port.isdigit() or int(port) > 65535:
+    if not sep or not host or not port.isdigit() or int(port) > MAX_PORT:
         raise ValueError(f"not an address: {text!r}")
     return host.strip("[]"), int(port)
 
@@ -66,9 +66,9 @@
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
-        raise BadConfig(f"cannot read {path}: {error}") from None
+        raise GatewayConfigError(f"cannot read {path}: {error}") from None
     if not isinstance(raw, dict):
-        raise BadConfig(f"{path} holds no JSON object")
+        raise GatewayConfigError(f"{path} holds no JSON object")
     return raw
 
 
@@ -76,14 +76,14 @@
     """The configuration that the environment names."""
     path = env.get("BALANCER_CONFIG")
     if not path:
-        raise BadConfig("BALANCER_CONFIG is not set")
+        raise GatewayConfigError("BALANCER_CONFIG is not set")
     raw = read_file(path)
     try:
         return decode(raw, env, descriptors())
     except KeyError as error:
-        raise BadConfig(f"{path} lacks {error}, or has an unknown word there") from None
+        raise GatewayConfigError(f"{path} lacks {error}, or has an unknown word there") from None
     except (ValueError, TypeError, AttributeError, OverflowError, RecursionError) as error:
-        raise BadConfig(f"{path} is malformed: {error}") from None
+        raise GatewayConfigError(f"{path} is malformed: {error}") from None
 
 
 def descriptors() -> int | None:
--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -16,6 +16,7 @@
 import asyncio
 import random
 from collections.abc import Callable
+from http import HTTPStatus
 
 from loguru import logger
 
@@ -23,7 +24,7 @@
 from mallowbeam.http.client import ConnectionBrokenError, Link, RequestNotSentError, connect
 from mallowbeam.http.framing import Message, write_request
 from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdateKind
-from mallowbeam.storage_gateway.server.listing import BadListing, Listing, decode_listing
+from mallowbeam.storage_gateway.server.listing import Listing, NodeListError, decode_listing
 from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 
 # What discovery has, and could be asked for, counts as told 6 s later, whatever call failed.  In the worst
@@ -42,7 +43,7 @@
 LOST = 1.0  # seconds to the next call where the module could not be told of a failure
 
 
-class Silent(MallowbeamError):
+class DiscoverySilentError(MallowbeamError):
     """A call was not answered, and not ended either: its watch is broken."""
 
     error_name = "Silent"
@@ -122,12 +123,12 @@
                             link = await connect(self.address, CONNECT_TIMEOUT, MAX_LIST)
                         answer = await self._call(link, wait)
                 except TimeoutError:
-                    raise Silent("neither answered nor ended") from None
+                    raise DiscoverySilentError("neither answered nor ended") from None
                 self._take(decode_listing(answer.body), asked)
                 if not link.reusable(answer):
                     link.close()
                     link = None
-        except Silent:
+        except DiscoverySilentError:
             ended = DiscoveryUpdateKind.TIMED_OUT
             self.fell_silent("asked anew")
         except (
@@ -156,7 +157,7 @@
             return  # the other process has told of it, or of more, meanwhile
         if not listing.complete:
             if asked is None:
-                raise BadListing("changes, where the whole list was asked for")
+                raise NodeListError("changes, where the whole list was asked for")
             if listing.revision < asked:  # it counts anew: what it leaves out is not known
                 self.revision = None
                 return
@@ -193,6 +194,6 @@
         await link.request(write_request(b"GET", target, [(b"host", self.address.encode())]))
         answer = await link.read_head()
         await link.read_body(answer)
-        if answer.status != 200:
+        if answer.status != HTTPStatus.OK:
             raise ConnectionBrokenError(f"status {answer.status}")
         return answer
--- a/mallowbeam/storage_gateway/server/gateway.py
+++ b/mallowbeam/storage_gateway/server/gateway.py
@@ -29,7 +29,7 @@
     Phase,
     Subsystem,
 )
-from mallowbeam.storage_gateway.server.config import BadConfig, Config, read_again
+from mallowbeam.storage_gateway.server.config import Config, GatewayConfigError, read_again
 from mallowbeam.storage_gateway.server.discovery import Watch
 from mallowbeam.storage_gateway.server.handover import Handover, Legacy, PeerLink
 from mallowbeam.storage_gateway.server.listing import Listing, write_listing
@@ -206,7 +206,7 @@
         """
         try:
             config = read_again(env)
-        except BadConfig as error:
+        except GatewayConfigError as error:
             return logger.error("reload: old values stay: {}", error)
         logger.info("reload: discovery at {}", config.discovery)
         self.peer.notify("discovery", config.discovery)
@@ -272,9 +272,9 @@
             self.apply(self.scheduler.pick(self.now(), call.id, **call.fields))
             return await exchange.answer
         except asyncio.CancelledError:
-            if exchange.answer.done() and not exchange.answer.cancelled():
-                if stream := exchange.answer.result().stream:
-                    stream.close()  # it began at the very moment the client left
+            began = exchange.answer.done() and not exchange.answer.cancelled()
+            if began and (stream := exchange.answer.result().stream):
+                stream.close()  # it began at the very moment the client left
             self.apply(self.scheduler.client_disconnected(self.now(), call.id))
             raise
         finally:
--- a/mallowbeam/storage_gateway/server/handover.py
+++ b/mallowbeam/storage_gateway/server/handover.py
@@ -27,6 +27,7 @@
 HANDOVER_TIMEOUT = 1.0  # seconds for the old process to hand over: a wedged one holds up no start
 VERSION = 1  # of what is said here: an old process that speaks another hands over nothing
 MAX_LISTENERS = 8  # listening sockets handed over at most
+OPENING_MESSAGES = 2  # the names of the listeners, and the state
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # bytes of one line, and of lines that wait to be read
 
 
@@ -116,7 +117,7 @@
             raise ValueError("it is another user's process")
         data, fds, _, _ = socket.recv_fds(sock, 65536, MAX_LISTENERS)
         inherited = [socket.socket(fileno=fd) for fd in fds]
-        while data.count(b"\n") < 2:
+        while data.count(b"\n") < OPENING_MESSAGES:
             more = sock.recv(65536)
             if not more or len(data) > MAX_MESSAGE_BYTES:
                 raise ValueError("the state ended early")
--- a/mallowbeam/storage_gateway/server/listing.py
+++ b/mallowbeam/storage_gateway/server/listing.py
@@ -17,6 +17,8 @@
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, NodeState
 
 STATES = {"up": NodeState.READY, "draining": NodeState.DRAINING, "removed": NodeState.REMOVED}
+MAX_PORT = 65535
+MAX_HOST_NAME = 253  # characters, RFC 1035 section 2.3.4
 MOST_TEXT = 256  # characters of an id, an address, a zone or a kind of machine
 MOST_NUMBER = 2**53  # of a revision, a cell, a time in milliseconds or a size
 NAME = re.compile(r"([A-Za-z0-9_-]{1,63}\.)*[A-Za-z0-9_-]{1,63}\.?")
@@ -26,7 +28,7 @@
 Number = TypeVar("Number", int, float)
 
 
-class BadListing(MallowbeamError, ValueError):
+class NodeListError(MallowbeamError, ValueError):
     """A list of nodes that can't be read: nothing of it was taken in."""
 
     error_name = "BadListing"
@@ -43,16 +45,16 @@
 
 
 def decode_listing(body: bytes | bytearray) -> Listing:
-    """A list from the bytes of an answer; raises `BadListing`."""
+    """A list from the bytes of an answer; raises `NodeListError`."""
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise BadListing(f"no JSON: {error}") from None
+        raise NodeListError(f"no JSON: {error}") from None
     return read_listing(raw)
 
 
 def read_listing(raw: object) -> Listing:
-    """Discovery's JSON, once into the few values used; raises `BadListing`.
+    """Discovery's JSON, once into the few values used; raises `NodeListError`.
 
     In a list of changes the last word on a node counts; a whole list names each once.
     """
@@ -64,9 +66,9 @@
         fields = _Fields(member, f"members[{number}]")
         node, state = fields.text("id"), STATES.get(fields.text("phase"))
         if not node or state is None:
-            raise BadListing("an id without a character" if state else "an unknown phase", fields.where)
+            raise NodeListError("an id without a character" if state else "an unknown phase", fields.where)
         if complete and node in entries:
-            raise BadListing("the id stands there twice", fields.where)
+            raise NodeListError("the id stands there twice", fields.where)
         entries.pop(node, None)
         addresses.pop(node, None)
         entries[node] = NodeEntry(
@@ -81,7 +83,7 @@
         if state is NodeState.READY:
             addresses[node] = address = fields.text("host_port")
             if not can_be_connected(address):
-                raise BadListing(f"no address to connect to: {address!r}", fields.where)
+                raise NodeListError(f"no address to connect to: {address!r}", fields.where)
     return Listing(revision, complete, list(entries.values()), addresses)
 
 
@@ -115,10 +117,10 @@
     Guards attempts: past this point an address is only ever refused, silent or answered.
     """
     host, _, port = address.rpartition(":")
-    if not PORT.fullmatch(port) or not 0 < int(port) < 65536:
+    if not PORT.fullmatch(port) or not 0 < int(port) <= MAX_PORT:
         return False
     if ":" not in host:
-        return NAME.fullmatch(host) is not None and len(host) < 254
+        return NAME.fullmatch(host) is not None and len(host) <= MAX_HOST_NAME
     try:
         socket.inet_pton(socket.AF_INET6, host.removeprefix("[").removesuffix("]"))
     except OSError:
@@ -127,20 +129,20 @@
 
 
 class _Fields:
-    """The fields of one JSON object, each of its type and within bounds; all raise `BadListing`."""
+    """The fields of one JSON object, each of its type and within bounds; all raise `NodeListError`."""
 
     def __init__(self, raw: object, where: str) -> None:
         if not isinstance(raw, dict):
-            raise BadListing("no JSON object", where)
+            raise NodeListError("no JSON object", where)
         self.raw, self.where = raw, where
 
     def of(self, kind: type, name: str, default: object = REQUIRED) -> Any:
         """A value of exactly that type (true is no number)."""
         value = self.raw.get(name, default)
         if value is REQUIRED:
-            raise BadListing(f"no {name}", self.where)
+            raise NodeListError(f"no {name}", self.where)
         if type(value) is not kind:
-            raise BadListing(f"{name} is not {KINDS[kind]}", self.where)
+            raise NodeListError(f"{name} is not {KINDS[kind]}", self.where)
         return value
 
     def text(self, name: str, default: object = REQUIRED) -> str:
@@ -149,7 +151,7 @@
             return str(default)
         value: str = self.of(str, name)
         if len(value) > MOST_TEXT or not value.isprintable():
-            raise BadListing(f"{name} can't be shown: {value[:40]!r}", self.where)
+            raise NodeListError(f"{name} can't be shown: {value[:40]!r}", self.where)
         return value
 
     def whole(self, name: str, default: object = REQUIRED, least: int = 0) -> int:
@@ -165,5 +167,5 @@
 
     def _bounded(self, name: str, value: Number, least: int = 0) -> Number:
         if not least <= value <= MOST_NUMBER:  # not-a-number is neither
-            raise BadListing(f"{name} is out of range", self.where)
+            raise NodeListError(f"{name} is out of range", self.where)
         return value
--- a/mallowbeam/storage_gateway/server/metrics.py
+++ b/mallowbeam/storage_gateway/server/metrics.py
@@ -10,6 +10,7 @@
 
 PREFIX = "app_"
 RESULTS = ("completed", "rejected", "failed")
+FIRST_SUCCESS, FIRST_REDIRECT = 200, 300  # status codes: 2xx are successes (RFC 9110 section 15.3)
 REJECTIONS = (429, 503)  # a refusal, whoever worded it
 
 
@@ -20,16 +21,14 @@
         self.requests = {name: dict.fromkeys(RESULTS, 0) for name in classes}
         self.upstream_requests = 0  # attempts written whole to a node
 
-    def ended(self, lane: str | None, status: int, whole: bool) -> None:
+    def request_finished(self, lane: str | None, status: int, complete: bool) -> None:
         """A request's answer of that status has gone out, or broken off; not counted without a class."""
         if lane in self.requests:
-            result = (
-                "failed"
-                if not whole
-                else "rejected"
-                if status in REJECTIONS
-                else ("completed" if 200 <= status < 300 else "failed")
-            )
+            result = "failed"
+            if complete and status in REJECTIONS:
+                result = "rejected"
+            elif complete and FIRST_SUCCESS <= status < FIRST_REDIRECT:
+                result = "completed"
             self.requests[lane][result] += 1
 
     def write(self, gauges: Mapping[str, int]) -> str:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -17,7 +17,7 @@
 from mallowbeam.standins.discovery import Discovery
 from mallowbeam.standins.node import ObjectNode
 from mallowbeam.storage_gateway.operator_settings import check, schema
-from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.server.config import GatewayConfigError
 from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
 from mallowbeam.storage_gateway.write_buffer.log import Log, NewRecord
 from mallowbeam.storage_gateway.write_buffer.records import Barrier, Kind, Suspension, Write, pack
@@ -56,7 +56,7 @@
     ],
 )
 def test_a_wrong_setting_is_one_line_with_its_place(change, words):
-    with pytest.raises(BadConfig, match=words) as error:
+    with pytest.raises(GatewayConfigError, match=words) as error:
         check(operators(**change))
     assert "\n" not in str(error.value)
 
@@ -64,7 +64,7 @@
 def test_a_buffer_needs_the_front_that_it_stands_behind():
     raw = operators()
     raw["objects"]["listen"] = None
-    with pytest.raises(BadConfig, match="object API, which is off"):
+    with pytest.raises(GatewayConfigError, match="object API, which is off"):
         check(raw)
 
 
--- a/tests/storage_gateway/coordination/shares/test_shares_subsystem.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_subsystem.py
@@ -13,7 +13,7 @@
 from mallowbeam.storage_gateway.operator_settings import SharesSection, check
 from mallowbeam.storage_gateway.scheduler.gateway_host import SchedulerHost, TooManyAllotmentsError
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, NodeState, Plan, RequestClass, Settings
-from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.server.config import GatewayConfigError
 
 NAMES = ("g0", "g1", "g2")
 GOLD, TIN = Plan("gold", weight=3.0), Plan("tin", limit=5.0, limit_burst=9.0)
@@ -234,7 +234,7 @@
 )
 def test_a_section_whose_times_do_not_agree_is_refused(name, times):
     policy = {"folder": "x", "name": "g0", "listen": "h:1", "members": {"g0": "h:2"}, "lease_s": 4.0}
-    with pytest.raises(BadConfig, match=rf"shares\.{name}"):
+    with pytest.raises(GatewayConfigError, match=rf"shares\.{name}"):
         check({"policy": policy, "shares": {"on": True, **times}})
 
 
--- a/tests/storage_gateway/coordination/test_policy.py
+++ b/tests/storage_gateway/coordination/test_policy.py
@@ -24,7 +24,7 @@
     VersionOrderError,
 )
 from mallowbeam.storage_gateway.coordination.service import lock_folder
-from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.server.config import GatewayConfigError
 
 ONE, TWO = '{"drains":["n0"]}', '{"drains":["n1"]}'
 
@@ -256,12 +256,12 @@
 def test_a_log_in_use_or_out_of_reach_is_refused_at_the_start(tmp_path):
     """Guards the journal: two processes that write one would each undo what the other has promised."""
     held = lock_folder(tmp_path / "log")
-    with pytest.raises(BadConfig, match="in use by another process"):
+    with pytest.raises(GatewayConfigError, match="in use by another process"):
         lock_folder(tmp_path / "log")
     held.close()
     lock_folder(tmp_path / "log").close()
     (tmp_path / "file").write_text("")
-    with pytest.raises(BadConfig, match="policy.folder"):
+    with pytest.raises(GatewayConfigError, match="policy.folder"):
         lock_folder(tmp_path / "file" / "log")
 
 
--- a/tests/storage_gateway/frontends/object_api/test_access.py
+++ b/tests/storage_gateway/frontends/object_api/test_access.py
@@ -29,7 +29,7 @@
     read_claim,
     verify,
 )
-from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.server.config import GatewayConfigError
 
 ID, SECRET = "mallowbeam-example", "mallowbeam-example-secret"
 NOW = 1_796_083_200.0  # 2026-12-01T00:00:00Z
@@ -332,10 +332,10 @@
 )
 def test_a_malformed_key_is_told_without_its_secret(change, words):
     key = {"id": "key", "secret": "a-secret-secret", "allow": []} | change
-    with pytest.raises(BadConfig, match=words) as error:
+    with pytest.raises(GatewayConfigError, match=words) as error:
         read_keys(json.dumps({"keys": [key]}).encode())
     assert "a-secret-secret" not in str(error.value)
-    with pytest.raises(BadConfig, match="twice"):
+    with pytest.raises(GatewayConfigError, match="twice"):
         read_keys(json.dumps({"keys": [{"id": "key", "secret": "12345678", "allow": []}] * 2}).encode())
 
 
@@ -344,5 +344,5 @@
         async with World(servers=[node.host_port for node in nodes], keys="/none/keys.json"):
             pass
 
-    with pytest.raises(BadConfig, match=r"objects\.keys: /none/keys\.json: No such file"):
+    with pytest.raises(GatewayConfigError, match=r"objects\.keys: /none/keys\.json: No such file"):
         uvloop.run(start())
--- a/tests/storage_gateway/server/test_admin.py
+++ b/tests/storage_gateway/server/test_admin.py
@@ -76,8 +76,8 @@
 
 def test_a_broken_off_answer_is_no_completed_one():
     metrics = Metrics(["read"])
-    metrics.ended("read", 200, False)
-    metrics.ended("none", 200, True)  # a class that nobody has must not grow the table
+    metrics.request_finished("read", 200, False)
+    metrics.request_finished("none", 200, True)  # a class that nobody has must not grow the table
     assert metrics.requests == {"read": {"completed": 0, "rejected": 0, "failed": 1}}
 
 
--- a/tests/storage_gateway/server/test_lists_bad.py
+++ b/tests/storage_gateway/server/test_lists_bad.py
@@ -18,9 +18,9 @@
 from mallowbeam.storage_gateway.scheduler import nodes
 from mallowbeam.storage_gateway.scheduler.interface import NodeState
 from mallowbeam.storage_gateway.server import discovery
-from mallowbeam.storage_gateway.server.config import BadConfig, read_config
+from mallowbeam.storage_gateway.server.config import GatewayConfigError, read_config
 from mallowbeam.storage_gateway.server.listing import (
-    BadListing,
+    NodeListError,
     can_be_connected,
     decode_listing,
     read_listing,
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("body", BODIES, ids=range(len(BODIES)))
 def test_a_list_that_can_t_be_read_is_one_typed_error_with_a_remedy(body):
-    with pytest.raises(BadListing) as told:
+    with pytest.raises(NodeListError) as told:
         decode_listing(body)
     assert told.value.cure and len(told.value.line) < 400 and "\n" not in told.value.line
 
@@ -167,7 +167,7 @@
     place[data.draw(st.sampled_from(sorted(place)))] = data.draw(JSON)
     try:
         listing = decode_listing(json.dumps(raw).encode())
-    except BadListing:
+    except NodeListError:
         return
     assert all(can_be_connected(address) for address in listing.addresses.values())
     assert all(
@@ -293,7 +293,7 @@
         where[wrong[0]] = wrong[1]
     file = tmp_path / "config.json"
     file.write_text(json.dumps(raw))
-    with pytest.raises(BadConfig) as told:
+    with pytest.raises(GatewayConfigError) as told:
         read_config({"BALANCER_CONFIG": str(file)})
     assert str(file) in told.value.line and "\n" not in told.value.line
 
--- a/tests/storage_gateway/write_buffer/test_buffer_bounds.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_bounds.py
@@ -15,7 +15,7 @@
 from mallowbeam.standins.discovery import member
 from mallowbeam.standins.disk import Fault, SimDisk
 from mallowbeam.standins.node import ObjectNode
-from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.server.config import GatewayConfigError
 from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
 from mallowbeam.storage_gateway.write_buffer.entries import Outcome
 from mallowbeam.storage_gateway.write_buffer.interface import SendResult
@@ -199,10 +199,10 @@
             pass
 
     monkeypatch.setattr("mallowbeam.storage_gateway.write_buffer.disk.RealDisk.lock", refuse)
-    with pytest.raises(BadConfig, match=r"buffer\.folder: .*: Read-only file system"):
+    with pytest.raises(GatewayConfigError, match=r"buffer\.folder: .*: Read-only file system"):
         run(start())
     monkeypatch.setattr("os.access", lambda *_: False)
-    with pytest.raises(BadConfig, match=r"buffer\.folder: .*: it can't be written to"):
+    with pytest.raises(GatewayConfigError, match=r"buffer\.folder: .*: it can't be written to"):
         run(start())
 
 
@@ -228,15 +228,15 @@
         async with Buffered(nodes, folder):
             pass
 
-    with pytest.raises(BadConfig, match=r"buffer\.folder: .*none: No such file"):
+    with pytest.raises(GatewayConfigError, match=r"buffer\.folder: .*none: No such file"):
         run(start(tmp_path / "none"))
     disk = RealDisk(str(tmp_path))
     disk.lock()
-    with pytest.raises(BadConfig, match=r"buffer\.folder: .* in use by another process"):
+    with pytest.raises(GatewayConfigError, match=r"buffer\.folder: .* in use by another process"):
         run(start(tmp_path))
     disk.close()
     (tmp_path / "folder.json").write_text(json.dumps({"format": "mallowbeam-buffer", "version": 9, "id": ""}))
-    with pytest.raises(BadConfig, match=r"buffer\.folder: .* version 9"):
+    with pytest.raises(GatewayConfigError, match=r"buffer\.folder: .* version 9"):
         run(start(tmp_path))
 
 
