--- a/mallowbeam/cli/__init__.py
+++ b/mallowbeam/cli/__init__.py
@@ -1,1 +1,5 @@
-"""The command line: thin, one module for each group of sub-commands.  The gateway itself loads none of it."""
+"""The command line: one module for each group of sub-commands, and what those share.
+
+It owns no state; it reads files and calls a gateway, a control plane or a trial of `mallowbeam.lab`.
+`mallowbeam.__main__` calls it; neither the gateway nor a role of the router fleet imports it.
+"""
--- a/mallowbeam/cli/app.py
+++ b/mallowbeam/cli/app.py
@@ -1,4 +1,4 @@
-"""The sub-commands of `mallowbeam`; each group in a module of its own."""
+"""The root command `mallowbeam`, which joins the groups of sub-commands."""
 
 from __future__ import annotations
 
--- a/mallowbeam/cli/buffer.py
+++ b/mallowbeam/cli/buffer.py
@@ -1,4 +1,7 @@
-"""`mallowbeam buffer`: a write-back buffer's folder shown, verified, exported, and brought to the nodes."""
+"""`mallowbeam buffer`: inspect, verify, export and flush the folder of a write-back buffer.
+
+Exit status 2 means that the folder or a configuration file could not be read.
+"""
 
 from __future__ import annotations
 
@@ -8,9 +11,10 @@
 import signal
 import sys
 from collections.abc import Callable, Iterator
-from contextlib import contextmanager
+from contextlib import contextmanager, suppress
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Annotated
+from typing import TYPE_CHECKING, Annotated
 
 import typer
 from rich.console import Console
@@ -29,15 +33,19 @@
 from mallowbeam.storage_gateway.write_buffer.errors import LogIOError
 from mallowbeam.storage_gateway.write_buffer.records import UnsupportedFormatError
 
+if TYPE_CHECKING:
+    from mallowbeam.storage_gateway.write_buffer.service import Buffer
+
 app = typer.Typer(no_args_is_help=True, help="Look at and empty a write-back buffer's folder.")
 Folder = Annotated[Path, typer.Argument(help="the buffer's folder", exists=True, file_okay=False)]
 AsJson = Annotated[bool, typer.Option("--json", help="print JSON, for scripts")]
 ERRORS = Console(stderr=True)
+POLL_INTERVAL_S = 0.05  # seconds between two looks at how much is left to flush
 
 
 @contextmanager
 def plain_errors() -> Iterator[None]:
-    """One line and exit status 2 for what can't be read."""
+    """Turn an unreadable folder into one line on standard error and exit status 2."""
     try:
         yield
     except (UnsupportedFormatError, FolderLockedError, LogIOError, OSError) as error:
@@ -46,21 +54,21 @@
 
 
 @contextmanager
-def progress(what: str, total: int) -> Iterator[Callable[[int], None]]:
-    """A bar for long work, on standard error and only where that is a terminal."""
+def progress(title: str, total: int) -> Iterator[Callable[[int], None]]:
+    """Show a progress bar in bytes on standard error, if that is a terminal; yields its advance function."""
     columns = (TextColumn("{task.description}"), BarColumn(), DownloadColumn(), TimeRemainingColumn())
     with Progress(*columns, console=ERRORS, disable=not sys.stderr.isatty(), transient=True) as bar:
-        task = bar.add_task(what, total=total)
+        task = bar.add_task(title, total=total)
         yield lambda size: bar.advance(task, size)
 
 
-def say(fields: dict[str, object], text: str, as_json: bool) -> None:
-    """One result, for scripts or for people."""
+def print_result(fields: dict[str, object], text: str, as_json: bool) -> None:
+    """Print one result: the fields as JSON, or the text."""
     typer.echo(json.dumps(fields) if as_json else text)
 
 
-def table(report: inspect.Report) -> Table:
-    """A report for people."""
+def report_table(report: inspect.Report) -> Table:
+    """Format a report on a folder as a table of two columns, name and value."""
     rows = Table(show_header=False, box=None)
     rows.add_row("segments", f"{report.segments}, {report.bytes:,} bytes")
     rows.add_row(
@@ -70,10 +78,10 @@
     rows.add_row("barriers pending", str(report.barriers))
     rows.add_row("by bucket", ", ".join(f"{name}: {n}" for name, n in sorted(report.buckets.items())) or "-")
     rows.add_row("records", ", ".join(f"{name}: {n}" for name, n in sorted(report.records.items())) or "-")
-    for held in report.held:
-        rows.add_row("held", f"{held['lsn']} {held['method']} {held['target']}: {held['reason']}")
-    for bad in report.damage:
-        rows.add_row(bad.kind, f"{bad.length} bytes in segment {bad.segment} at {bad.offset}")
+    for write in report.held:
+        rows.add_row("held", f"{write['lsn']} {write['method']} {write['target']}: {write['reason']}")
+    for damage in report.damage:
+        rows.add_row(damage.kind, f"{damage.length} bytes in segment {damage.segment} at {damage.offset}")
     if report.missing:
         rows.add_row("missing", f"segments {report.missing}")
     if report.unreadable:
@@ -91,18 +99,18 @@
     if as_json:
         typer.echo(report.json())
     else:
-        Console().print(table(report))
+        Console().print(report_table(report))
 
 
 @app.command()
 def verify(folder: Folder, as_json: AsJson = False) -> None:
     """Read every byte again; exit status 1 where something acknowledged is damaged or missing."""
-    with plain_errors(), progress("verifying", inspect.folder_bytes(str(folder))) as told:
-        report = inspect.inspect_folder(str(folder), chunks=True, progress=told)
+    with plain_errors(), progress("verifying", inspect.folder_bytes(str(folder))) as advance:
+        report = inspect.inspect_folder(str(folder), chunks=True, progress=advance)
     if as_json:
         typer.echo(report.json())
     else:
-        Console().print(table(report))
+        Console().print(report_table(report))
         typer.echo("whole" if report.is_intact else "NOT whole: something acknowledged is damaged or missing")
     raise typer.Exit(0 if report.is_intact else 1)
 
@@ -117,9 +125,9 @@
     if target.exists():
         typer.echo(f"mallowbeam: {target} exists already", err=True)
         raise typer.Exit(2)
-    with plain_errors(), progress("exporting", inspect.inspect_folder(str(folder)).write_bytes) as told:
-        count = inspect.export_writes(str(folder), target, told)
-    say({"writes": count, "target": str(target)}, f"{count} writes in {target}", as_json)
+    with plain_errors(), progress("exporting", inspect.inspect_folder(str(folder)).write_bytes) as advance:
+        count = inspect.export_writes(str(folder), target, advance)
+    print_result({"writes": count, "target": str(target)}, f"{count} writes in {target}", as_json)
 
 
 @app.command()
@@ -135,18 +143,42 @@
     from mallowbeam.storage_gateway.server.config import GatewayConfigError
 
     try:
-        left, held = asyncio.run(drained(fronts, balancer, seconds, send_held or [], drop_held or []))
+        release = ReleaseRequest(send=send_held or [], drop=drop_held or [])
+        remaining = asyncio.run(flush_folder(fronts, balancer, seconds, release))
     except GatewayConfigError as error:
         typer.echo(f"mallowbeam: {error.line}", err=True)
         raise typer.Exit(2) from None
-    say({"left": left, "held": held}, f"{left} writes left, {held} of them held", as_json)
-    raise typer.Exit(1 if left else 0)
+    print_result(
+        {"left": remaining.writes, "held": remaining.suspended},
+        f"{remaining.writes} writes left, {remaining.suspended} of them held",
+        as_json,
+    )
+    raise typer.Exit(1 if remaining.writes else 0)
+
+
+@dataclass(frozen=True, slots=True)
+class ReleaseRequest:
+    """The held writes, by log sequence number, that the operator releases before a flush."""
+
+    send: list[int]
+    drop: list[int]
+
+
+@dataclass(frozen=True, slots=True)
+class RemainingWrites:
+    """How many writes a flush left in the folder, and how many of them are held."""
+
+    writes: int
+    suspended: int
 
 
-async def drained(
-    fronts: Path, balancer: Path, seconds: float, send: list[int], drop: list[int]
-) -> tuple[int, int]:
-    """Run a gateway without doors until its buffer is empty; how many writes are left, and how many held."""
+async def flush_folder(
+    fronts: Path, balancer: Path, timeout_s: float, release: ReleaseRequest
+) -> RemainingWrites:
+    """Run a gateway without listeners until its buffer is empty, for at most `timeout_s` seconds.
+
+    Raises `GatewayConfigError` if one of the two files is invalid.
+    """
     from mallowbeam.storage_gateway.application import open_buffered
     from mallowbeam.storage_gateway.server.config import read_config, read_file
     from mallowbeam.storage_gateway.server.gateway import Gateway
@@ -158,24 +190,33 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, gateway.stop)
     run = asyncio.create_task(gateway.run([]))
-    columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn())
-    with Progress(*columns, console=ERRORS, disable=not sys.stderr.isatty(), transient=True) as bar:
-        try:
-            async with asyncio.timeout(seconds):
-                await buffer.opened.wait()
-                now, total = buffer.clock(), len(buffer.core.entries)
-                for lsn, dropped in [*((n, False) for n in send), *((n, True) for n in drop)]:
-                    if not buffer.core.release(now, lsn, dropped):
-                        typer.echo(f"mallowbeam: no write {lsn} is held", err=True)
-                buffer.wake()
-                task = bar.add_task("writes", total=total)
-                while len(buffer.core.entries) > buffer.core.suspended and not run.done():
-                    await asyncio.sleep(0.05)
-                    bar.update(task, completed=total - len(buffer.core.entries))
-        except TimeoutError:
-            pass
-    left = len(buffer.core.entries), buffer.core.suspended
+    with suppress(TimeoutError):
+        async with asyncio.timeout(timeout_s):
+            await buffer.opened.wait()
+            total = len(buffer.core.entries)
+            _release_held(buffer, release)
+            await _wait_until_flushed(buffer, run, total)
+    remaining = RemainingWrites(len(buffer.core.entries), buffer.core.suspended)
     run.cancel()
     await asyncio.gather(run, return_exceptions=True)
     await buffer.stop()
-    return left
+    return remaining
+
+
+def _release_held(buffer: Buffer, release: ReleaseRequest) -> None:
+    """Release the held writes as the operator asked; a number that names none is reported and skipped."""
+    now = buffer.clock()
+    for lsn, dropped in [*((lsn, False) for lsn in release.send), *((lsn, True) for lsn in release.drop)]:
+        if not buffer.core.release(now, lsn, dropped):
+            typer.echo(f"mallowbeam: no write {lsn} is held", err=True)
+    buffer.wake()
+
+
+async def _wait_until_flushed(buffer: Buffer, run: asyncio.Task[None], total: int) -> None:
+    """Show progress until only held writes are left, or until the gateway has ended."""
+    columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn())
+    with Progress(*columns, console=ERRORS, disable=not sys.stderr.isatty(), transient=True) as bar:
+        task = bar.add_task("writes", total=total)
+        while len(buffer.core.entries) > buffer.core.suspended and not run.done():
+            await asyncio.sleep(POLL_INTERVAL_S)
+            bar.update(task, completed=total - len(buffer.core.entries))
--- a/mallowbeam/cli/config.py
+++ b/mallowbeam/cli/config.py
@@ -1,4 +1,4 @@
-"""`mallowbeam config`: the two files checked without starting, and the operators' file's schema."""
+"""`mallowbeam config`: check both configuration files without starting, and print the operators' schema."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from mallowbeam.storage_gateway.server.config import GatewayConfigError, read_config, read_file
 
 app = typer.Typer(no_args_is_help=True, help="Check the configuration; print the operators' file's schema.")
-DEFAULT = Path(__file__).parent.parent.parent / "deploy" / "fronts.json"
+DEFAULT_FILE = Path(__file__).parent.parent.parent / "deploy" / "fronts.json"
 
 
 @app.command()
 def check(
-    fronts: Annotated[Path, typer.Argument(help="the operators' file")] = DEFAULT,
+    fronts: Annotated[Path, typer.Argument(help="the operators' file")] = DEFAULT_FILE,
     balancer: Annotated[Path | None, typer.Option(help="the platform's configuration beside it")] = None,
 ) -> None:
     """Check every section, those that are off too; with --balancer also what the two files must agree on."""
@@ -27,15 +27,18 @@
         raw = read_file(str(fronts))
         operators.check(raw)
         if balancer is not None:
-            agree(raw, balancer)
+            check_together(raw, balancer)
     except GatewayConfigError as error:
         typer.echo(f"mallowbeam: {error.line}", err=True)
         raise typer.Exit(2) from None
     typer.echo(f"{fronts}: good")
 
 
-def agree(raw: dict[str, object], balancer: Path) -> None:
-    """Build the gateway and its fronts without listening; raises `GatewayConfigError`."""
+def check_together(raw: dict[str, object], balancer: Path) -> None:
+    """Check what the operators' file and the platform's configuration must agree on, without listening.
+
+    Raises `GatewayConfigError` for the first contradiction.
+    """
     from mallowbeam.storage_gateway.frontends.object_api.settings import read_object_settings
     from mallowbeam.storage_gateway.server.gateway import Gateway
 
@@ -48,9 +51,9 @@
             from mallowbeam.storage_gateway.frontends.object_api.buffered import read_buffer_settings
             from mallowbeam.storage_gateway.write_buffer.reopen import check_folder
 
-            why = check_folder(read_buffer_settings(buffer, settings, gateway), wait=True)
-            if why is not None:
-                raise GatewayConfigError(why)
+            reason = check_folder(read_buffer_settings(buffer, settings, gateway), wait=True)
+            if reason is not None:
+                raise GatewayConfigError(reason)
 
 
 @app.command()
--- a/mallowbeam/cli/lab.py
+++ b/mallowbeam/cli/lab.py
@@ -1,4 +1,4 @@
-"""`mallowbeam lab`: long trials that stay out of CI."""
+"""`mallowbeam lab`: run long trials and measurements, which CI leaves out, and print their results."""
 
 from __future__ import annotations
 
@@ -18,28 +18,34 @@
 
 app = typer.Typer(no_args_is_help=True, help="Trials and measurements on stand-ins.")
 AsJson = Annotated[bool, typer.Option("--json", help="print JSON, for scripts")]
+FAULT_TRIALS = {"policy": "trial", "maintenance": "work"}  # --kind to module of mallowbeam.lab.faults
+MAX_FAILURES_SHOWN = 20
+PROGRESS_INTERVAL_S = 0.2  # seconds between two updates of a progress bar
 
 
 @contextmanager
-def bar(what: str, total: int) -> Iterator[Callable[[int], None]]:
-    """A bar for long work, on standard error and only where that is a terminal."""
+def progress_bar(title: str, total: int) -> Iterator[Callable[[int], None]]:
+    """Show a progress bar on standard error, if that is a terminal; yields its advance function."""
     with Progress(console=Console(stderr=True), disable=not sys.stderr.isatty(), transient=True) as progress:
-        task = progress.add_task(what, total=total)
+        task = progress.add_task(title, total=total)
         yield lambda count: progress.advance(task, count)
 
 
-def rows(results: Sequence[Any], as_json: bool) -> None:
-    """Results of one kind, a row each."""
-    dicts = [asdict(result) for result in results]
+def print_results(results: Sequence[Any], as_json: bool) -> None:
+    """Print dataclasses of one type as JSON, or as a table with a row for each."""
+    documents = [asdict(result) for result in results]
     if as_json:
-        return typer.echo(json.dumps(dicts, indent=1))
-    table = Table(*(name.replace("_", " ") for name in dicts[0]))
-    for values in dicts:
-        table.add_row(
-            *(f"{value:,}" if isinstance(value, int | float) else str(value) for value in values.values())
-        )
+        typer.echo(json.dumps(documents, indent=1))
+        return
+    table = Table(*(name.replace("_", " ") for name in documents[0]))
+    for document in documents:
+        table.add_row(*(_format(value) for value in document.values()))
     Console().print(table)
-    return None
+
+
+def _format(value: object) -> str:
+    """A figure with separated thousands; any other value as text."""
+    return f"{value:,}" if isinstance(value, int | float) else str(value)
 
 
 @app.command()
@@ -52,9 +58,9 @@
     """Our log, LMDB and SQLite on the same work: acknowledgements a second, bytes written, recovery."""
     from mallowbeam.lab import stores as trial
 
-    with tempfile.TemporaryDirectory(dir=folder) as place:
-        results = trial.compare(Path(place), seconds, rounds)
-    rows(results, as_json)
+    with tempfile.TemporaryDirectory(dir=folder) as directory:
+        results = trial.compare(Path(directory), seconds, rounds)
+    print_results(results, as_json)
 
 
 @app.command()
@@ -66,7 +72,7 @@
     """From exec to ready, many at once, while discovery turns every caller away; the slowest last."""
     from mallowbeam.lab import starts as trial
 
-    rows(trial.run(count, hosts), as_json)
+    print_results(trial.run(count, hosts), as_json)
 
 
 @app.command()
@@ -82,17 +88,17 @@
 
     from mallowbeam.lab.faults.lanes import in_lanes
 
-    if kind not in (kinds := {"policy": "trial", "maintenance": "work"}):
-        raise typer.BadParameter(" or ".join(kinds), param_hint="--kind")
-    trial = import_module(f"mallowbeam.lab.faults.{kinds[kind]}")
+    if kind not in FAULT_TRIALS:
+        raise typer.BadParameter(" or ".join(FAULT_TRIALS), param_hint="--kind")
+    trial = import_module(f"mallowbeam.lab.faults.{FAULT_TRIALS[kind]}")
     results = []
-    with bar("trials", runs) as step:
+    with progress_bar("trials", runs) as step:
         for result in in_lanes(trial.run, range(seed, seed + runs), lanes):
             results.append(result)
             for line in (*result.wrong, *result.look_at):  # at once: a long run may be cut off
                 typer.echo(f"seed {result.seed}: {line}", err=True)
             step(1)
-    rows([trial.summary(results)], as_json)
+    print_results([trial.summary(results)], as_json)
     if any(result.wrong for result in results):
         raise typer.Exit(1)
 
@@ -111,32 +117,38 @@
 
     from mallowbeam.lab import crash as trial
 
-    place = Path(tempfile.mkdtemp(dir=folder))
+    directory = Path(tempfile.mkdtemp(dir=folder))
 
     async def run() -> tuple[dict[str, int], list[str]]:
-        told: asyncio.Queue[int] = asyncio.Queue()
-        with bar("gateways killed", runs) as advance:
-            work = asyncio.create_task(trial.crash(place, runs, lanes, seed, told))
+        finished: asyncio.Queue[int] = asyncio.Queue()
+        with progress_bar("gateways killed", runs) as advance:
+            work = asyncio.create_task(trial.crash(directory, runs, lanes, seed, finished))
             while not work.done():
-                await asyncio.wait([work], timeout=0.2)
-                while not told.empty():
-                    advance(told.get_nowait())
+                await asyncio.wait([work], timeout=PROGRESS_INTERVAL_S)
+                while not finished.empty():
+                    advance(finished.get_nowait())
             return work.result()
 
-    counts, wrong = asyncio.run(run())
+    counts, failures = asyncio.run(run())
     if as_json:
-        typer.echo(json.dumps({"seed": seed, "counts": counts, "wrong": wrong}))
+        typer.echo(json.dumps({"seed": seed, "counts": counts, "wrong": failures}))
     else:
-        table = Table(show_header=False, box=None)
-        for name, count in sorted(counts.items()):
-            table.add_row(name, f"{count:,}")
-        Console().print(table)
-        for text in wrong[:20]:
-            typer.echo(text)
-        typer.echo(f"seed {seed}: " + (f"{len(wrong)} WRONG, see {place}" if wrong else "nothing wrong"))
-    if not wrong:
-        shutil.rmtree(place)
-    raise typer.Exit(1 if wrong else 0)
+        _print_crash_counts(counts, failures)
+        verdict = f"{len(failures)} WRONG, see {directory}" if failures else "nothing wrong"
+        typer.echo(f"seed {seed}: {verdict}")
+    if not failures:
+        shutil.rmtree(directory)
+    raise typer.Exit(1 if failures else 0)
+
+
+def _print_crash_counts(counts: dict[str, int], failures: list[str]) -> None:
+    """Print the counters of a crash trial, then its first failures."""
+    table = Table(show_header=False, box=None)
+    for name, count in sorted(counts.items()):
+        table.add_row(name, f"{count:,}")
+    Console().print(table)
+    for failure in failures[:MAX_FAILURES_SHOWN]:
+        typer.echo(failure)
 
 
 @app.command("ack-buffer")
@@ -151,9 +163,9 @@
 
     from mallowbeam.lab import ack as trial
 
-    with tempfile.TemporaryDirectory() as place:
-        results = asyncio.run(trial.measure(Path(place) / "rig", rate, seconds, rounds))
-    rows(results, as_json)
+    with tempfile.TemporaryDirectory() as directory:
+        results = asyncio.run(trial.measure(Path(directory) / "rig", rate, seconds, rounds))
+    print_results(results, as_json)
 
 
 @app.command("recover-buffer")
@@ -169,9 +181,9 @@
 
     results = []
     for _ in range(rounds):
-        with tempfile.TemporaryDirectory() as place:
-            results.append(trial.measure(Path(place) / "folder", records, size, settled))
-    rows(results, as_json)
+        with tempfile.TemporaryDirectory() as directory:
+            results.append(trial.measure(Path(directory) / "folder", records, size, settled))
+    print_results(results, as_json)
 
 
 @app.command()
@@ -192,9 +204,9 @@
         typer.echo(f"mallowbeam: {site}: {error}", err=True)
         raise typer.Exit(2) from None
     out.mkdir(parents=True, exist_ok=True)
-    for one in range(seed, seed + count):
-        path = out / f"{deployment.name}-{one}.toml"
-        path.write_text(day_text(draw_day(deployment, one), deployment.name))
+    for day_seed in range(seed, seed + count):
+        path = out / f"{deployment.name}-{day_seed}.toml"
+        path.write_text(day_text(draw_day(deployment, day_seed), deployment.name))
         typer.echo(path)
 
 
@@ -209,19 +221,19 @@
     from mallowbeam.lab.sites import SiteError, draw_site
 
     out.mkdir(parents=True, exist_ok=True)
-    for one in range(seed, seed + count):
+    for site_seed in range(seed, seed + count):
         try:
-            text = draw_site(source.read_text(), one)
+            text = draw_site(source.read_text(), site_seed)
         except (OSError, SiteError) as error:
             typer.echo(f"mallowbeam: {source}: {error}", err=True)
             raise typer.Exit(2) from None
-        path = out / f"{source.stem}-drawn-{one}.toml"
+        path = out / f"{source.stem}-drawn-{site_seed}.toml"
         path.write_text(text)
         typer.echo(path)
 
 
 @app.command()
-def ablate(
+def ablate(  # noqa: PLR0913 - each parameter is one option of the command
     variants: Annotated[Path, typer.Option(help="TOML: a table of settings for each mechanism left out")],
     site: Annotated[list[Path], typer.Option(help="site files")],
     day: Annotated[list[str], typer.Option(help="days with their seeds, DAY:SEED")],
@@ -242,21 +254,21 @@
 
     try:
         left_out = read_variants(variants.read_text())
-        plays = [Play(str(one), name, seed) for one in site for name, seed in read_days(day)]
+        plays = [Play(str(path), name, seed) for path in site for name, seed in read_days(day)]
     except (OSError, VariantsError) as error:
         typer.echo(f"mallowbeam: {error}", err=True)
         raise typer.Exit(2) from None
     done = [(result.variant, result.play) for result in load_results(results)]
-    played = Bench(bench.resolve(), Path.cwd(), folder.resolve(), until, why, lanes)
-    runner = Runner(played, results, lambda line: typer.echo(line, err=True))
+    player = Bench(bench.resolve(), Path.cwd(), folder.resolve(), until, why, lanes)
+    runner = Runner(player, results, lambda line: typer.echo(line, err=True))
     try:
         asyncio.run(runner.run(jobs_of(left_out, plays, done)))
-    except* AblationError as failed:
-        for one in failed.exceptions:
-            typer.echo(f"mallowbeam: {one}", err=True)
+    except* AblationError as failures:
+        for failure in failures.exceptions:
+            typer.echo(f"mallowbeam: {failure}", err=True)
         raise typer.Exit(1) from None
     table = effects(load_results(results))
     if table:
-        rows(table, as_json)
+        print_results(table, as_json)
     if table and not as_json:
         typer.echo(plot(table))
--- a/mallowbeam/cli/policy.py
+++ b/mallowbeam/cli/policy.py
@@ -1,9 +1,13 @@
-"""`mallowbeam policy`: push a policy to the whole fleet, and show what is in force."""
+"""`mallowbeam policy`: push a policy to the whole fleet, and show which version each gateway serves.
+
+Each command calls the policy pages of the gateways named by `--at`.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import json
+from http import HTTPStatus
 from pathlib import Path
 from typing import Annotated, Any
 
@@ -16,21 +20,26 @@
 
 app = typer.Typer(no_args_is_help=True, help="The policy of the whole fleet: everywhere or nowhere.")
 At = Annotated[list[str], typer.Option("--at", help="a gateway's policy page, host:port; may be given often")]
+TIMEOUT_S = 5.0  # seconds for one call; longer than a gateway waits for a push to be committed
+NO_ANSWER = 0  # in place of an HTTP status, where a gateway gave no answer
+SHOWN_KEYS = ("name", "phase", "serves", "version", "digest", "leader")
 
+JsonObject = dict[str, Any]
 
-ASK_S = 5.0  # seconds that a gateway is waited for; longer than it waits for a push's end
 
+async def _ask(address: str, method: str, body: bytes = b"", base: int = 0) -> tuple[int, JsonObject]:
+    """Call a gateway's policy page; returns the HTTP status and the JSON object of the answer.
 
-async def _ask(address: str, method: str, body: bytes = b"", base: int = 0) -> tuple[int, dict[str, Any]]:
-    """One call at a gateway's page; (0, {"what": ...}) where it can't be reached."""
+    Where there is no answer the status is `NO_ANSWER` and the object's `what` says why.
+    """
     try:
-        async with asyncio.timeout(ASK_S), httpx.AsyncClient(trust_env=False, timeout=None) as client:
+        async with asyncio.timeout(TIMEOUT_S), httpx.AsyncClient(trust_env=False, timeout=None) as client:
             headers = {"If-Match": f'"{base}"'} if method == "PUT" else {}
             answer = await client.request(method, f"http://{address}/policy", content=body, headers=headers)
-        told = answer.json()
-        return answer.status_code, told if isinstance(told, dict) else {"what": "not a policy page"}
+        document = answer.json()
+        return answer.status_code, document if isinstance(document, dict) else {"what": "not a policy page"}
     except (httpx.HTTPError, httpx.InvalidURL, TimeoutError, ValueError) as error:
-        return 0, {"what": str(error) or "no answer"}
+        return NO_ANSWER, {"what": str(error) or "no answer"}
 
 
 @app.command()
@@ -40,31 +49,31 @@
 ) -> None:
     """What each gateway has in force, and how sure it is; exit status 1 unless all serve one version."""
 
-    async def all_of_them() -> list[tuple[int, dict[str, Any]]]:
+    async def ask_all() -> list[tuple[int, JsonObject]]:
         return await asyncio.gather(*(_ask(address, "GET") for address in at))
 
-    answers = asyncio.run(all_of_them())
+    answers = asyncio.run(ask_all())
     if as_json:
-        told_by = zip(at, answers, strict=True)
-        typer.echo(json.dumps([{"at": address, **told} for address, (_, told) in told_by]))
+        pages = [{"at": address, **page} for address, (_, page) in zip(at, answers, strict=True)]
+        typer.echo(json.dumps(pages))
     else:
-        table = Table("at", "name", "phase", "serves", "version", "digest", "leader")
-        for address, (status, told) in zip(at, answers, strict=True):
-            table.add_row(
-                address,
-                *(
-                    str(told.get(key, ""))
-                    for key in ("name", "phase", "serves", "version", "digest", "leader")
-                )
-                if status
-                else ("", told["what"]),
-            )
-        Console().print(table)
-    same = {(told.get("version"), told.get("digest")) for _, told in answers}
-    if len(same) > 1 or not all(told.get("serves") for _, told in answers):
+        Console().print(_pages_table(at, answers))
+    versions = {(page.get("version"), page.get("digest")) for _, page in answers}
+    if len(versions) > 1 or not all(page.get("serves") for _, page in answers):
         raise typer.Exit(1)
 
 
+def _pages_table(addresses: list[str], answers: list[tuple[int, JsonObject]]) -> Table:
+    """A row for each gateway: what its page shows, or why it gave no answer."""
+    table = Table("at", *SHOWN_KEYS)
+    for address, (status, page) in zip(addresses, answers, strict=True):
+        if status == NO_ANSWER:
+            table.add_row(address, "", page["what"])
+        else:
+            table.add_row(address, *(str(page.get(key, "")) for key in SHOWN_KEYS))
+    return table
+
+
 @app.command()
 def push(
     file: Annotated[Path, typer.Argument(help="the policy, JSON")],
@@ -72,24 +81,29 @@
     base: Annotated[int | None, typer.Option(help="the version that it follows, if not the newest")] = None,
 ) -> None:
     """Push a policy through one gateway; exit status 1 if refused, 3 if it may yet be committed."""
-
-    async def through() -> tuple[int, dict[str, Any]]:
-        status, told = 0, dict[str, Any](what="no gateway named")
-        for address in at:
-            status, shown = await _ask(address, "GET")
-            if not status or not shown.get("serves"):
-                status, told = 0, shown
-                continue  # not sure of its version: it would push after an old one
-            follows = shown["version"] if base is None else base
-            status, told = await _ask(address, "PUT", file.read_bytes(), follows)
-            if status == 0:
-                status = 504  # it was sent: what became of it the log tells
-            break
-        return status, told
-
-    status, told = asyncio.run(through())
-    if status == 200:
-        return typer.echo(f"version {told['version']} is committed")
-    error = MallowbeamError(*(str(told.get(key) or "") for key in ("what", "where", "remedy")))
+    status, answer = asyncio.run(_push_through_first_serving(at, file, base))
+    if status == HTTPStatus.OK:
+        return typer.echo(f"version {answer['version']} is committed")
+    error = MallowbeamError(*(str(answer.get(key) or "") for key in ("what", "where", "remedy")))
     typer.echo(f"mallowbeam: {error.line or 'refused'}", err=True)
-    raise typer.Exit(3 if status == 504 else 1)
+    raise typer.Exit(3 if status == HTTPStatus.GATEWAY_TIMEOUT else 1)
+
+
+async def _push_through_first_serving(
+    addresses: list[str], file: Path, base: int | None
+) -> tuple[int, JsonObject]:
+    """Push the policy through the first gateway that serves; returns the status and object of its answer.
+
+    A gateway that does not serve is skipped: it is not sure of its version, and would push after an old one.
+    A push without an answer counts as `GATEWAY_TIMEOUT`: it was sent, and may yet be committed.
+    """
+    last_page: JsonObject = {"what": "no gateway named"}
+    for address in addresses:
+        status, page = await _ask(address, "GET")
+        if status == NO_ANSWER or not page.get("serves"):
+            last_page = page
+            continue
+        follows = page["version"] if base is None else base
+        status, answer = await _ask(address, "PUT", file.read_bytes(), follows)
+        return (HTTPStatus.GATEWAY_TIMEOUT if status == NO_ANSWER else status), answer
+    return NO_ANSWER, last_page
--- a/mallowbeam/cli/system.py
+++ b/mallowbeam/cli/system.py
@@ -8,6 +8,7 @@
 
 import sys
 from collections.abc import Mapping, Sequence
+from http import HTTPStatus
 from json import dumps
 from urllib.parse import quote
 
@@ -89,7 +90,7 @@
     :param control: control addresses of members, HOST:PORT separated by commas
     """
     answer = ControlClient(read_addresses(control)).call(Call("GET", CONFIG_PATH))
-    if answer.status == 404:
+    if answer.status == HTTPStatus.NOT_FOUND:
         raise CallRefusedError("there is no configuration yet", answer.address)
     print(dumps(answer.document(), indent=2))
     return EXIT_DONE
@@ -136,7 +137,7 @@
     """
     path = f"{INSTANCES_PATH}{quote(instance, safe='')}/drain"
     answer = ControlClient(read_addresses(control)).call(Call("POST", path))
-    if answer.status == 404:
+    if answer.status == HTTPStatus.NOT_FOUND:
         raise CallRefusedError(f"no instance {instance}", answer.address)
     _show(
         {"instance": instance, "state": "draining", "member": answer.address},
@@ -160,7 +161,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run the command that the arguments name; the exit code."""
+    """Run the command that the arguments name; returns the exit code."""
     try:
         code = defopt.run(
             COMMANDS,
@@ -181,12 +182,12 @@
 def _send_change(
     method: str, body: bytes, revision: int, control: str, based_on: int | None, as_json: bool
 ) -> int:
-    """Send a checked change until it is acknowledged, and say so; the exit code."""
+    """Send a checked change until it is acknowledged, and print that; returns the exit code."""
     client = ControlClient(read_addresses(control))
     base = _current_revision(client) if based_on is None else based_on
     headers = {"If-Match": str(base), "Content-Type": "application/json"}
     answer = client.call(Call(method, CONFIG_PATH, body, headers))
-    if answer.status == 404:
+    if answer.status == HTTPStatus.NOT_FOUND:
         raise CallRefusedError("404: no control API", answer.address)
     _show(
         {"revision": revision, "based_on": base, "member": answer.address},
@@ -199,16 +200,18 @@
 def _current_revision(client: ControlClient) -> int:
     """The revision in force, 0 where there is none yet."""
     answer = client.call(Call("GET", CONFIG_PATH))
-    revision = answer.document().get("revision", 0) if answer.status != 404 else 0
+    revision = answer.document().get("revision", 0) if answer.status != HTTPStatus.NOT_FOUND else 0
     return revision if isinstance(revision, int) else 0
 
 
 def _show(document: Mapping[str, object], text: str, as_json: bool) -> None:
-    shown = dumps(document) if as_json else text
-    if shown:
-        print(shown)
+    """Print the document as JSON, or the text; an empty text prints nothing."""
+    output = dumps(document) if as_json else text
+    if output:
+        print(output)
 
 
 def _fail(error: MallowbeamError, code: int) -> int:
+    """Print an error on standard error, on one line; returns the exit code, never 0."""
     print(f"mallowbeam: {getattr(error, 'code', '')}: {error.line}", file=sys.stderr)
     return code or EXIT_USAGE
--- a/mallowbeam/cli/system_client.py
+++ b/mallowbeam/cli/system_client.py
@@ -1,6 +1,6 @@
-"""Calls to the control plane: any member may be asked, and the next one is after a failure.
+"""An HTTP client of the control plane: each call is retried at the members in turn, with exponential backoff.
 
-A call that is repeated must be one that a member acknowledges again where it was taken before.
+Every call must be idempotent: a member acknowledges a call again that it has executed before.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import time
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from urllib.parse import urlsplit
 
 from mallowbeam.cli.system_errors import (
@@ -21,18 +22,25 @@
 )
 from mallowbeam.router.error_body import ErrorBody
 
-CONNECT_S = 1.0  # seconds for a connection to come up
-ANSWER_S = 3.0  # seconds for an answer
-BYTES_PER_S = 1_000_000  # a body's length adds to the time for an answer
-WAIT_S = 15.0  # seconds for a call with all its repeats
-FIRST_PAUSE_S = 0.1  # between two rounds over the members; doubles up to the longest
-LONGEST_PAUSE_S = 1.0
-MOST_REDIRECTS = 2
-MOST_ANSWER_BYTES = 64 * 1024 * 1024
-MOST_ERROR_TEXT = 200  # bytes shown of an error that is not in the control API's form
-ASK_ANOTHER = frozenset((408, 429))  # of the 4xx: they say nothing of the call itself
-NOT_EXECUTED = frozenset((408, 429, 503))  # answers which promise that nothing was changed
-REDIRECTS = frozenset((307, 308))
+CONNECT_TIMEOUT_S = 1.0  # seconds for a connection to come up
+ANSWER_TIMEOUT_S = 3.0  # seconds for an answer
+MIN_BYTES_PER_S = 1_000_000  # a body's length adds to the time for an answer
+CALL_TIMEOUT_S = 15.0  # seconds for a call with all its retries
+INITIAL_BACKOFF_S = 0.1  # seconds between two rounds over the members; doubles up to the maximum
+MAX_BACKOFF_S = 1.0
+MAX_REDIRECTS = 2
+MAX_ANSWER_BYTES = 64 * 1024 * 1024
+MAX_ERROR_TEXT_BYTES = 200  # shown of an error that is not in the control API's form
+RETRYABLE_CLIENT_ERRORS = frozenset(  # of the 4xx, those that do not judge the call itself
+    (HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_MANY_REQUESTS)
+)
+NOT_EXECUTED = frozenset(  # answers which promise that nothing was changed
+    (HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
+)
+REDIRECTS = frozenset((HTTPStatus.TEMPORARY_REDIRECT, HTTPStatus.PERMANENT_REDIRECT))
+SUCCESS = 2  # first digit of an HTTP status
+CLIENT_ERROR = 4  # likewise
+MAX_PORT = 65535
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,12 +78,12 @@
     """One attempt that brought no clear answer."""
 
     reason: str
-    perhaps_taken: bool
+    may_have_executed: bool  # False: the call certainly changed nothing
 
 
 def read_addresses(text: str) -> tuple[str, ...]:
     """The members' addresses from HOST:PORT,HOST:PORT; raises :class:`ControlAddressError`."""
-    addresses = tuple(part.strip() for part in text.split(",") if part.strip())
+    addresses = tuple(item.strip() for item in text.split(",") if item.strip())
     for address in addresses:
         if not _is_address(address):
             raise ControlAddressError("no HOST:PORT", address)
@@ -85,46 +93,54 @@
 
 
 class ControlClient:
-    """Asks the members one after another until one gives a clear answer."""
+    """Calls the members in turn until one gives a clear answer, or `timeout_s` seconds have passed."""
 
     def __init__(
         self,
         addresses: Sequence[str],
-        wait_s: float = WAIT_S,
+        timeout_s: float = CALL_TIMEOUT_S,
         clock: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], None] = time.sleep,
     ) -> None:
         self.addresses = tuple(addresses)
-        self._wait_s, self._clock, self._sleep = wait_s, clock, sleep
+        self._timeout_s = timeout_s
+        self._clock = clock
+        self._sleep = sleep
 
     def call(self, call: Call) -> Answer:
-        """A 2xx or 404; raises a :class:`FleetCommandError` for all else."""
-        deadline = self._clock() + self._wait_s
-        pause, perhaps_taken, reasons = FIRST_PAUSE_S, False, dict.fromkeys(self.addresses, "not asked")
+        """Return a clear answer: a 2xx or a 404.
+
+        Raises :class:`CallRefusedError` for any other answer that judges the call, :class:`NoAnswerError` if
+        no member executed it, :class:`CallOutcomeUnknownError` if one may have.
+        """
+        deadline = self._clock() + self._timeout_s
+        backoff = INITIAL_BACKOFF_S
+        may_have_executed = False
+        reasons = dict.fromkeys(self.addresses, "not asked")
         while True:
             for address in self.addresses:
                 outcome = clear_answer(ask_member(address, call))
                 if isinstance(outcome, Answer):
                     return outcome
                 reasons[address] = outcome.reason
-                perhaps_taken = perhaps_taken or outcome.perhaps_taken
+                may_have_executed = may_have_executed or outcome.may_have_executed
                 if self._clock() >= deadline:
                     break
-            if self._clock() + pause >= deadline:
+            if self._clock() + backoff >= deadline:
                 break
-            self._sleep(pause)
-            pause = min(2 * pause, LONGEST_PAUSE_S)
+            self._sleep(backoff)
+            backoff = min(2 * backoff, MAX_BACKOFF_S)
         what = "; ".join(f"{address}: {reason}" for address, reason in reasons.items())
         where = f"{call.method} {call.path}"
-        if perhaps_taken and call.method != "GET":
+        if may_have_executed and call.method != "GET":
             raise CallOutcomeUnknownError(what, where)
         raise NoAnswerError(what, where)
 
 
 def ask_member(address: str, call: Call) -> Answer | Failure:
-    """One attempt at a member, with its redirects."""
+    """Make one attempt at a member and follow its redirects, at most `MAX_REDIRECTS`."""
     path = call.path
-    for _ in range(MOST_REDIRECTS + 1):
+    for _ in range(MAX_REDIRECTS + 1):
         outcome = _exchange(address, path, call)
         if isinstance(outcome, Failure) or outcome.status not in REDIRECTS:
             return outcome
@@ -136,13 +152,19 @@
 
 
 def clear_answer(outcome: Answer | Failure) -> Answer | Failure:
-    """The answer where it is a clear one; raises :class:`CallRefusedError` where it refuses the call."""
-    if isinstance(outcome, Failure) or 200 <= outcome.status < 300 or outcome.status == 404:
+    """Return a 2xx or 404 as it is, and any other answer that permits a retry as a failure.
+
+    Raises :class:`CallRefusedError` where the answer refuses the call for good.
+    """
+    if isinstance(outcome, Failure):
+        return outcome
+    status_class = outcome.status // 100
+    if status_class == SUCCESS or outcome.status == HTTPStatus.NOT_FOUND:
         return outcome
-    told = f"{outcome.status}: {_told(outcome)}"
-    if 400 <= outcome.status < 500 and outcome.status not in ASK_ANOTHER:
-        raise CallRefusedError(told, outcome.address)
-    return Failure(told, outcome.status not in NOT_EXECUTED)
+    reason = f"{outcome.status}: {_error_text(outcome)}"
+    if status_class == CLIENT_ERROR and outcome.status not in RETRYABLE_CLIENT_ERRORS:
+        raise CallRefusedError(reason, outcome.address)
+    return Failure(reason, outcome.status not in NOT_EXECUTED)
 
 
 def _split(address: str) -> tuple[str, int]:
@@ -153,26 +175,26 @@
 def _is_address(text: str) -> bool:
     """Whether a text is HOST:PORT."""
     host, _, port = text.rpartition(":")
-    return bool(host) and port.isascii() and port.isdigit() and 0 < int(port) < 65536
+    return bool(host) and port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT
 
 
 def _exchange(address: str, path: str, call: Call) -> Answer | Failure:
-    """One request and its answer on a connection of its own."""
-    connection = http.client.HTTPConnection(*_split(address), timeout=CONNECT_S)
+    """Send one request on a new connection and read the answer."""
+    connection = http.client.HTTPConnection(*_split(address), timeout=CONNECT_TIMEOUT_S)
     try:
         connection.connect()
     except OSError as error:
         return Failure(_reason(error), False)
     try:
-        connection.sock.settimeout(ANSWER_S + len(call.body) / BYTES_PER_S)
+        connection.sock.settimeout(ANSWER_TIMEOUT_S + len(call.body) / MIN_BYTES_PER_S)
         connection.request(call.method, path, call.body or None, dict(call.headers))
         response = connection.getresponse()
-        body = response.read(MOST_ANSWER_BYTES + 1)
+        body = response.read(MAX_ANSWER_BYTES + 1)
     except (OSError, http.client.HTTPException) as error:
         return Failure(_reason(error), True)
     finally:
         connection.close()
-    if len(body) > MOST_ANSWER_BYTES:
+    if len(body) > MAX_ANSWER_BYTES:
         return Failure("the answer is too long", True)
     return Answer(response.status, body, address, response.getheader("Location", ""))
 
@@ -181,9 +203,9 @@
     return str(error) or type(error).__name__
 
 
-def _told(answer: Answer) -> str:
-    """What an answer says of its error, on one line."""
+def _error_text(answer: Answer) -> str:
+    """The error text of an answer, on one line."""
     error = ErrorBody.parse(answer.body)
     if error is not None:
         return error.line
-    return answer.body[:MOST_ERROR_TEXT].decode(errors="replace").replace("\n", " ")
+    return answer.body[:MAX_ERROR_TEXT_BYTES].decode(errors="replace").replace("\n", " ")
--- a/mallowbeam/cli/system_config.py
+++ b/mallowbeam/cli/system_config.py
@@ -1,4 +1,4 @@
-"""Configurations on the command line: files read and checked, and what two of them have different."""
+"""Reads and checks configuration files, and lists the differences between two of them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One thing that differs between two configurations."""
+    """One difference between two configurations; its field names are keys of the `--json` output."""
 
     kind: str  # route, backend, limits, revision or other
     name: str
@@ -33,7 +33,7 @@
 
     def document(self) -> dict[str, str | None]:
         """The change for JSON."""
-        return {one.name: getattr(self, one.name) for one in fields(self)}
+        return {field.name: getattr(self, field.name) for field in fields(self)}
 
 
 def read_file(path: str) -> bytes:
@@ -50,7 +50,7 @@
 
 
 def changes(old: ParsedConfiguration, new: ParsedConfiguration) -> list[Change]:
-    """What has to change in ``old`` to make it ``new``."""
+    """The changes that turn ``old`` into ``new``, in a fixed order."""
     before, after = old.configuration, new.configuration
     found = [
         *_fields("revision", "", before, after, only=("revision",)),
@@ -79,23 +79,23 @@
 
 
 def _fields(kind: str, name: str, old: object, new: object, only: tuple[str, ...] = ()) -> Iterator[Change]:
-    for one in fields(old):  # type: ignore[arg-type]
-        before, after = getattr(old, one.name), getattr(new, one.name)
-        if before != after and (not only or one.name in only):
-            yield Change(kind, name, one.name, _shown(before), _shown(after))
+    for field in fields(old):  # type: ignore[arg-type]
+        before, after = getattr(old, field.name), getattr(new, field.name)
+        if before != after and (not only or field.name in only):
+            yield Change(kind, name, field.name, _format(before), _format(after))
 
 
-def _shown(value: object) -> str:
-    """A field's value for people: a route's services as NAME=WEIGHT."""
+def _format(value: object) -> str:
+    """Format a field's value: the weighted backends of a route as NAME=WEIGHT."""
     if isinstance(value, tuple):
-        return ",".join(_shown(one) for one in value) or "-"
+        return ",".join(_format(item) for item in value) or "-"
     if isinstance(value, WeightedBackend):
         return f"{value.backend}={value.weight}"
     return str(value)
 
 
 def summary(parsed: ParsedConfiguration) -> dict[str, object]:
-    """A valid configuration in a few figures."""
+    """The revision, digest and numbers of entries of a valid configuration; keys of the `--json` output."""
     configuration: Configuration = parsed.configuration
     return {
         "revision": configuration.revision,
--- a/mallowbeam/cli/system_errors.py
+++ b/mallowbeam/cli/system_errors.py
@@ -24,7 +24,7 @@
 
 
 class FleetCommandError(MallowbeamError):
-    """A sub-command of `mallowbeam fleet` could not do what it was asked for."""
+    """The base of all errors of `mallowbeam fleet`."""
 
     error_name = "FleetCommandError"
     exit_code: ClassVar[int] = EXIT_USAGE
@@ -39,7 +39,7 @@
 
 
 class ControlAddressError(FleetCommandError):
-    """What was given as the members' addresses is no list of HOST:PORT."""
+    """The members' addresses given on the command line are not a list of HOST:PORT."""
 
     code = "FLEET_ADDRESS"
     remedy = "give --control HOST:PORT, several separated by commas"
@@ -62,7 +62,7 @@
 
 
 class CallOutcomeUnknownError(FleetCommandError):
-    """A call may have been taken, but no clear answer came back."""
+    """A member may have executed the call, but no clear answer came back."""
 
     code = "FLEET_OUTCOME_UNKNOWN"
     exit_code = EXIT_UNKNOWN
@@ -70,7 +70,7 @@
 
 
 class BadAnswerError(FleetCommandError):
-    """A member's answer is not what the control API promises."""
+    """A member's answer violates the control API."""
 
     code = "FLEET_ANSWER"
     exit_code = EXIT_NO_ANSWER
--- a/mallowbeam/cli/system_status.py
+++ b/mallowbeam/cli/system_status.py
@@ -1,4 +1,4 @@
-"""The fleet's state as a member tells it at GET /mallowbeam/status, checked, and as tables for people."""
+"""Parses a member's view of the fleet (GET /mallowbeam/status) and formats it as tables."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """A member as the one that was asked sees it."""
+    """A member of the control plane, as the answering member sees it."""
 
     id: str
     address: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStatus:
-    """An instance in the table of the member that was asked."""
+    """An instance in the registry of the answering member."""
 
     id: str
     backend: str
@@ -40,7 +40,7 @@
 class FleetStatus:
     """One member's view of the fleet."""
 
-    asked: str  # address that answered
+    answered_by: str  # control address
     member: str
     leader: str  # empty: none is known
     term: int
@@ -54,20 +54,20 @@
 
 
 def read_status(answer: Answer) -> FleetStatus:
-    """Check a member's answer; raises :class:`BadAnswerError`."""
+    """Parse a member's answer; raises :class:`BadAnswerError` where a field is missing or of a wrong type."""
     document = answer.document()
     own = document.get("member")
     try:
         return FleetStatus(
-            asked=answer.address,
+            answered_by=answer.address,
             member=str(own["id"]) if isinstance(own, dict) else "",
             leader=str(document["leader"] or ""),
-            term=_whole(document["term"]),
+            term=_integer(document["term"]),
             role=str(document["role"]),
-            commit_index=_whole(document["commit_index"]),
-            applied_index=_whole(document["applied_index"]),
-            gateways=_whole(document["gateways"]),
-            revision=_whole(document["revision"]),
+            commit_index=_integer(document["commit_index"]),
+            applied_index=_integer(document["applied_index"]),
+            gateways=_integer(document["gateways"]),
+            revision=_integer(document["revision"]),
             members=tuple(_member(entry) for entry in _entries(document, "members")),
             instances=tuple(_instance(entry) for entry in _entries(document, "instances")),
         )
@@ -77,8 +77,8 @@
         raise BadAnswerError(str(error), f"{answer.address}{STATUS_PATH}") from None
 
 
-def _whole(value: object) -> int:
-    """A whole number; raises TypeError."""
+def _integer(value: object) -> int:
+    """The value if it is an integer; raises TypeError."""
     if not isinstance(value, int):
         raise TypeError(f"no number: {value!r}")
     return value
@@ -92,16 +92,16 @@
 
 
 def _member(entry: dict[str, object]) -> MemberStatus:
-    silence = entry["silence_ms"]
-    if not isinstance(silence, int | float):
-        raise TypeError(f"no number: {silence!r}")
+    silence_ms = entry["silence_ms"]
+    if not isinstance(silence_ms, int | float):
+        raise TypeError(f"no number: {silence_ms!r}")
     return MemberStatus(
         str(entry["id"]),
         str(entry["address"]),
         str(entry["control"]),
         str(entry["zone"]),
         bool(entry["voter"]),
-        float(silence),
+        float(silence_ms),
     )
 
 
@@ -111,9 +111,9 @@
 
 
 def status_text(status: FleetStatus, each_instance: bool) -> str:
-    """The whole view for people."""
-    parts = [
-        f"asked {status.asked} ({status.role}, member {status.member}), term {status.term}, "
+    """The complete view as text; each instance in a row of its own, or their counts."""
+    sections = [
+        f"asked {status.answered_by} ({status.role}, member {status.member}), term {status.term}, "
         f"leader {status.leader or 'none'}, "
         f"commit {status.commit_index}, applied {status.applied_index}",
         f"configuration {status.revision or 'none'}, gateways {status.gateways}, "
@@ -121,11 +121,11 @@
         members_table(status),
         instances_table(status.instances) if each_instance else counts_table(status.instances),
     ]
-    return "\n\n".join(part for part in parts if part)
+    return "\n\n".join(section for section in sections if section)
 
 
 def members_table(status: FleetStatus) -> str:
-    """The members, the leader marked."""
+    """A row for each member, with its role."""
     rows = (
         (
             member.id,
@@ -141,24 +141,33 @@
 
 
 def counts_table(instances: Iterable[InstanceStatus]) -> str:
-    """How many instances of each service, stage and zone are in which state."""
-    counts = Counter((one.backend, one.stage or "-", one.zone, one.state) for one in instances)
+    """The number of instances by backend, stage, zone and state."""
+    counts = Counter(
+        (instance.backend, instance.stage or "-", instance.zone, instance.state) for instance in instances
+    )
     rows = ((*key, str(count)) for key, count in sorted(counts.items()))
     return table(("BACKEND", "STAGE", "ZONE", "STATE", "INSTANCES"), rows)
 
 
 def instances_table(instances: Iterable[InstanceStatus]) -> str:
-    """Every instance."""
+    """A row for each instance, ordered by backend, stage and id."""
     rows = (
-        (one.id, one.backend, one.stage or "-", one.zone, one.address, one.state)
-        for one in sorted(instances, key=lambda one: (one.backend, one.stage, one.id))
+        (
+            instance.id,
+            instance.backend,
+            instance.stage or "-",
+            instance.zone,
+            instance.address,
+            instance.state,
+        )
+        for instance in sorted(instances, key=lambda entry: (entry.backend, entry.stage, entry.id))
     )
     return table(("INSTANCE", "BACKEND", "STAGE", "ZONE", "ADDRESS", "STATE"), rows)
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """Columns two spaces apart, under their heads; empty where there is no row."""
-    lines = [tuple(heads), *(tuple(row) for row in rows)]
+def table(headers: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+    """Format rows in aligned columns below their headers; an empty text where there is no row."""
+    lines = [tuple(headers), *(tuple(row) for row in rows)]
     if len(lines) == 1:
         return ""
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
--- a/tests/cli/test_system_cli.py
+++ b/tests/cli/test_system_cli.py
@@ -127,7 +127,7 @@
         self.assertEqual(code, 4)
         self.assertIn("FLEET_NO_ANSWER", err)
         self.assertEqual(self.time.pauses[:4], [0.1, 0.2, 0.4, 0.8])
-        self.assertEqual(max(self.time.pauses), system_client.LONGEST_PAUSE_S)
+        self.assertEqual(max(self.time.pauses), system_client.MAX_BACKOFF_S)
 
     def test_what_may_have_been_taken_is_told_as_unknown(self):
         for answer in (lambda *_: (504, {}, {}), lambda *_: None):
@@ -142,7 +142,7 @@
         self.assertEqual(code, 4)
 
     def test_a_silent_member_is_given_up(self):
-        short = mock.patch.object(system_client, "ANSWER_S", 0.05)
+        short = mock.patch.object(system_client, "ANSWER_TIMEOUT_S", 0.05)
         with socket.create_server(("127.0.0.1", 0)) as silent, short:
             second = self.member(lambda *_: (200, {}, {}))
             code, out, _ = self.put(f"127.0.0.1:{silent.getsockname()[1]}", second.address)
