--- a/mallowbeam/simulation/__init__.py
+++ b/mallowbeam/simulation/__init__.py
@@ -1,4 +1,5 @@
-"""One simulated clock, network and set of machines on which cores and roles run; scenarios as text files.
+"""Deterministic simulation of the router fleet: real members and feeds on simulated clock, network, disks.
 
-Nothing here waits, opens a socket or reads a clock: a run depends on its seed alone.
+It owns the state of a run: clock, random generator, machines, streams and the history that checkers judge.
+Tests and `python -m mallowbeam.simulation.walk` call it; no role imports it. A run depends on its seed alone.
 """
--- a/mallowbeam/simulation/clock.py
+++ b/mallowbeam/simulation/clock.py
@@ -7,53 +7,55 @@
 from dataclasses import dataclass
 from random import Random
 
-Step = Callable[[], object]  # its result is dropped
+Step = Callable[[], object]  # the result is ignored
 
 
 @dataclass(slots=True)
 class Event:
-    """A step that is due; it can be cancelled until then."""
+    """A scheduled step; it can be cancelled until it runs."""
 
     step: Step | None
 
     def cancel(self) -> None:
-        """Have the step not run."""
+        """Prevent the step from running."""
         self.step = None
 
 
 class Simulator:
-    """The clock, the events that are due, and the one source of randomness of a run."""
+    """The clock, the event queue and the only random generator of a run; times are in seconds."""
 
     def __init__(self, seed: int = 1) -> None:
         self.seed = seed
         self.random = Random(seed)
         self.now = 0.0  # seconds
-        self.steps = 0  # events run so far
-        self._events: list[tuple[float, int, Event]] = []  # events at one time run in the order of planning
+        self.steps = 0  # events that have run
+        self._events: list[
+            tuple[float, int, Event]
+        ] = []  # ties run in the order in which they were scheduled
         self._order = 0
         self._checks: list[Step] = []
 
     def at(self, time: float, step: Step) -> Event:
-        """Run a step at a time; one that is past counts as now."""
+        """Schedule a step at a time in seconds; a time in the past counts as now."""
         self._order += 1
         event = Event(step)
         heapq.heappush(self._events, (max(time, self.now), self._order, event))
         return event
 
     def after(self, delay: float, step: Step) -> Event:
-        """Run a step after a delay in seconds."""
+        """Schedule a step after a delay in seconds."""
         return self.at(self.now + delay, step)
 
     def check(self, check: Step) -> None:
-        """Run a check after each event; it raises where something does not hold."""
+        """Register a check that runs after each event and raises if an invariant is violated."""
         self._checks.append(check)
 
     def run_until(self, until: float) -> None:
-        """Let time pass."""
+        """Run all events up to a time in seconds."""
         self.run_while(lambda: True, until)
 
     def run_while(self, wanted: Callable[[], bool], until: float) -> bool:
-        """Let time pass up to `until` as long as `wanted` says so; what it said last."""
+        """Run events while `wanted` is true, at most up to `until` seconds; returns its last value."""
         while wanted():
             if not self._run_next(until):
                 self.now = max(self.now, until)
@@ -61,7 +63,7 @@
         return False
 
     def _run_next(self, until: float) -> bool:
-        """Run the next event that is due until then; False where there is none."""
+        """Run the next event that is due by `until`; returns False if there is none."""
         while self._events and self._events[0][0] <= until:
             time, _, event = heapq.heappop(self._events)
             if event.step is not None:
--- a/mallowbeam/simulation/dialing.py
+++ b/mallowbeam/simulation/dialing.py
@@ -1,6 +1,6 @@
-"""How streams between simulated machines are opened: listening ports and opening packets.
+"""Connection establishment between simulated machines: listening ports and connection requests.
 
-A port that nobody listens at refuses at once; a machine without power or behind a cut says nothing.
+A port without a listener refuses at once; a machine that is off or behind a partition does not respond.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from mallowbeam.simulation.network import Network
 from mallowbeam.simulation.stream import Endpoint
 
-CONNECT_RETRY_S = 1.0  # before an opening packet is sent again; doubles
+CONNECT_RETRY_S = 1.0  # until a connection request is retransmitted; doubles each time
 FIRST_FREE_PORT = 32768
 
 
 @dataclass(slots=True)
 class Dial:
-    """A connection that is being opened; `opened` or `refused` is called once, as a step of the process.
+    """A connection attempt; `opened` or `refused` is called once, as a step of the process.
 
-    `given_up` is set by who does not wait any longer, and at the end of the process.
+    `cancelled` is set by a caller that stops waiting, and when the process ends.
     """
 
     opened: Callable[[Endpoint], None]
     refused: Callable[[OSError], None]
-    given_up: bool = False
+    cancelled: bool = False
 
 
 @dataclass(slots=True)
@@ -35,76 +35,80 @@
 
 @dataclass(slots=True)
 class _Ends:
-    """The ends of streams that a machine's process has, and those that it waits for."""
+    """The open endpoints and the connection attempts of a machine's process."""
 
     endpoints: list[Endpoint] = field(default_factory=list)
     dials: list[Dial] = field(default_factory=list)
 
     def add(self, endpoint: Endpoint) -> None:
-        """Take one in, and forget those that are over."""
+        """Add an endpoint and drop those that are closed."""
         self.endpoints = [known for known in self.endpoints if not known.closed]
         self.endpoints.append(endpoint)
 
     def add_dial(self, dial: Dial) -> None:
-        """Take one in, and forget those that are over."""
-        self.dials = [known for known in self.dials if not known.given_up]
+        """Add a connection attempt and drop those that were cancelled."""
+        self.dials = [known for known in self.dials if not known.cancelled]
         self.dials.append(dial)
 
     def process_ended(self, end: End) -> None:
-        """All are over."""
+        """Cancel all attempts and close all endpoints."""
         for dial in self.dials:
-            dial.given_up = True
+            dial.cancelled = True
         for endpoint in self.endpoints:
             endpoint.process_ended(end)
-        self.dials, self.endpoints = [], []
+        self.dials = []
+        self.endpoints = []
 
 
 class Streams:
-    """Opens streams between the machines of a network."""
+    """Opens streams between the machines of one network."""
 
     def __init__(self, network: Network) -> None:
-        self._network, self._simulator = network, network.simulator
+        self._network = network
+        self._simulator = network.simulator
         self._listeners: dict[tuple[str, int], _Listener] = {}  # by machine and port
         self._ends: dict[str, _Ends] = {}
         self._next_port = FIRST_FREE_PORT
 
     def listen(self, machine: Machine, port: int, accept: Callable[[Endpoint], None]) -> None:
-        """Take connections at a port; `accept` is a step of the process. Raises OSError where it is taken."""
+        """Accept connections at a port; `accept` is a step of the process. Raises OSError if it is in use."""
         if (machine.name, port) in self._listeners:
             raise OSError(f"{machine.ip}:{port}: address already in use")
         self._watch(machine)
         self._listeners[machine.name, port] = _Listener(accept)
 
     def stop_listening(self, machine: Machine, port: int) -> None:
-        """Take no more connections."""
+        """Stop accepting connections at a port."""
         self._listeners.pop((machine.name, port), None)
 
     def connect(self, machine: Machine, ip: str, port: int, dial: Dial) -> None:
-        """Open a stream to an address; it goes on until it is opened, refused or given up."""
+        """Open a stream to an address; retries until it is opened, refused or cancelled."""
         self._watch(machine)
         self._ends[machine.name].add_dial(dial)
-        self._knock(machine, ip, port, dial, CONNECT_RETRY_S)
+        self._send_connect(machine, ip, port, dial, CONNECT_RETRY_S)
 
-    def _knock(self, machine: Machine, ip: str, port: int, dial: Dial, pause: float) -> None:
-        """Send the opening packet, and again after a pause where nothing comes back."""
-        if dial.given_up:
+    def _send_connect(self, machine: Machine, ip: str, port: int, dial: Dial, backoff: float) -> None:
+        """Send a connection request, and again after `backoff` seconds if the target is unreachable."""
+        if dial.cancelled:
             return
         target = self._machine_at(ip)
         if target is not None and self._reaches(machine, target):
             delay = self._network.delay(machine.name, target.name)
-            self._simulator.after(delay, lambda: self._knocked(machine, target, port, dial, pause))
+            self._simulator.after(delay, lambda: self._connect_arrived(machine, target, port, dial, backoff))
         else:
-            self._knock_again(machine, ip, port, dial, pause)
+            self._retry_connect(machine, ip, port, dial, backoff)
 
-    def _knock_again(self, machine: Machine, ip: str, port: int, dial: Dial, pause: float) -> None:
-        machine.after_true(pause, lambda: self._knock(machine, ip, port, dial, 2 * pause))
+    def _retry_connect(self, machine: Machine, ip: str, port: int, dial: Dial, backoff: float) -> None:
+        machine.after_true(backoff, lambda: self._send_connect(machine, ip, port, dial, 2 * backoff))
 
-    def _knocked(self, machine: Machine, target: Machine, port: int, dial: Dial, pause: float) -> None:
-        """The opening packet reaches a machine."""
-        if dial.given_up:
+    def _connect_arrived(
+        self, machine: Machine, target: Machine, port: int, dial: Dial, backoff: float
+    ) -> None:
+        """Handle a connection request that reaches the target machine."""
+        if dial.cancelled:
             return
         if not self._reaches(machine, target):
-            self._knock_again(machine, target.ip, port, dial, pause)
+            self._retry_connect(machine, target.ip, port, dial, backoff)
             return
         delay = self._network.delay(target.name, machine.name)
         listener = self._listeners.get((target.name, port))
@@ -120,12 +124,12 @@
         self._simulator.after(delay, lambda: machine.after_true(0.0, lambda: self._open(dial, near)))
 
     def _refuse(self, dial: Dial, error: OSError) -> None:
-        if not dial.given_up:
+        if not dial.cancelled:
             dial.refused(error)
 
     def _open(self, dial: Dial, near: Endpoint) -> None:
-        """The opening packet is answered; a connection that nobody waits for any longer is ended."""
-        if dial.given_up:
+        """Hand the connection to the caller, or abort it if the attempt was cancelled meanwhile."""
+        if dial.cancelled:
             near.abort()
         else:
             dial.opened(near)
@@ -142,7 +146,7 @@
         return self._next_port
 
     def _watch(self, machine: Machine) -> None:
-        """See to the streams of a machine when its process ends."""
+        """Register for the end of a machine's process, once."""
         if machine.name not in self._ends:
             self._ends[machine.name] = _Ends()
             machine.on_end(lambda end: self._process_ended(machine, end))
--- a/mallowbeam/simulation/disk.py
+++ b/mallowbeam/simulation/disk.py
@@ -1,8 +1,7 @@
-"""A simulated disk: writes become durable one after another, each in a time of its own.
+"""A simulated disk: writes become durable one after another, each after its own random latency.
 
-What a write changes is the owner's: the disk runs the change at the moment at which it is durable, and holds
-no bytes. A write that was under way when the process ended has reached the disk or not, and with it all that
-came before it.
+The disk stores no bytes: it runs the owner's change at the moment the write becomes durable. When a process
+ends, some prefix of its pending writes has reached the disk, drawn at random.
 """
 
 from __future__ import annotations
@@ -16,13 +15,13 @@
 from mallowbeam.simulation.clock import Event, Step
 from mallowbeam.simulation.machine import End, Machine
 
-USUAL_LATENCY = (0.002, 0.006)  # seconds that a write and its sync take, between these
+USUAL_LATENCY = (0.002, 0.006)  # seconds, least and most, for a write and its sync
 SLOW_LATENCY = (0.05, 0.4)
 
 
 @dataclass(frozen=True, slots=True)
 class _Write:
-    """A change that waits, and whom to tell."""
+    """A pending change and its completion callbacks."""
 
     change: Step
     done: Step
@@ -33,40 +32,43 @@
     """The disk of one machine."""
 
     def __init__(self, machine: Machine) -> None:
-        self._machine, self._simulator = machine, machine.simulator
+        self._machine = machine
+        self._simulator = machine.simulator
         self._writes: deque[_Write] = deque()
         self._sync: Event | None = None
         self.latency = USUAL_LATENCY
-        self.stalled = False  # nothing becomes durable
-        self.full = False  # every write is refused
+        self.stalled = False  # no write completes
+        self.full = False  # every write fails with ENOSPC
         machine.on_end(self._process_ended)
 
     @property
     def waiting(self) -> int:
-        """Writes that are not durable yet."""
+        """Number of writes that are not durable yet."""
         return len(self._writes)
 
     def write(self, change: Step, done: Step, failed: Callable[[OSError], object] | None = None) -> None:
-        """Make a change durable, then have the process take the step `done`.
+        """Make a change durable, then run the step `done` of the process.
 
-        On a full disk the step `failed` is taken instead, or none where it is None: the write is gone.
+        On a full disk the write is lost; `failed` runs with the OSError, if it is given.
         """
         self._writes.append(_Write(change, done, failed))
-        self._go_on()
+        self._start_next_write()
 
     def stall(self) -> None:
-        """Have nothing become durable any more."""
+        """Stop completing writes until `repair`."""
         self.stalled = True
         if self._sync is not None:
             self._sync.cancel()
             self._sync = None
 
-    def mend(self) -> None:
-        """End all troubles."""
-        self.stalled, self.full, self.latency = False, False, USUAL_LATENCY
-        self._go_on()
+    def repair(self) -> None:
+        """Clear all faults of the disk."""
+        self.stalled = False
+        self.full = False
+        self.latency = USUAL_LATENCY
+        self._start_next_write()
 
-    def _go_on(self) -> None:
+    def _start_next_write(self) -> None:
         if self._writes and self._sync is None and not self.stalled:
             self._sync = self._simulator.after(self._simulator.random.uniform(*self.latency), self._synced)
 
@@ -79,10 +81,10 @@
         elif write.failed is not None:
             failed, error = write.failed, OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
             self._machine.after_true(0.0, lambda: failed(error))
-        self._go_on()
+        self._start_next_write()
 
     def _process_ended(self, _: End) -> None:
-        """Some of what was under way has reached the disk, in its order."""
+        """Apply a random prefix of the pending writes and drop the rest."""
         reached = 0 if self.full or self.stalled else self._simulator.random.randint(0, len(self._writes))
         for write in list(self._writes)[:reached]:
             write.change()
--- a/mallowbeam/simulation/fleet_checkers.py
+++ b/mallowbeam/simulation/fleet_checkers.py
@@ -1,8 +1,9 @@
-"""Checkers of the whole fleet, one class for each guarantee; they look at its state at short intervals.
+"""Checkers of the whole fleet, one class per guarantee, run every :data:`CHECK_INTERVAL_S` seconds.
 
-Those of :data:`ALWAYS` hold under any disruption. Those of :data:`WITHIN_TOLERANCE` hold while no more
-members are lost than the fault model allows; they need its budget. What callers see is judged by
-:mod:`mallowbeam.simulation.fleet_history`.
+The guarantees of :data:`ALWAYS` hold under any fault. Those of :data:`WITHIN_TOLERANCE` hold while no more
+members are lost than the fault model allows; these checkers need its loss budget. What clients observe is
+checked by :mod:`mallowbeam.simulation.fleet_history`. Guarantees are numbered as in
+``docs/control-guarantees.md``.
 """
 
 from __future__ import annotations
@@ -19,44 +20,44 @@
 from mallowbeam.simulation.loss_budget import LossBudget
 from mallowbeam.simulation.network import Network
 
-LOOK_S = 0.05  # between two looks
-FRESH_BOUND_S = 3.0  # a configuration that a started gateway is given first is at most so old
-SPREAD_BOUND_S = 2.0  # from an acknowledgement until all gateways in touch know
-CONTACT_S = 3.0  # without an event, after which a gateway is in touch
-LEADER_WITHIN_S = 2.5  # from an event until a leader leads a majority
-REPAIRED_WITHIN_S = 3.0  # from a repair until a further loss within the tolerance is survived
-CAUGHT_UP_WITHIN_S = 4.0  # from an event until all members have what was committed before
-COMMIT_AGE_S = 1.0  # what was committed so long ago is expected at all members
+CHECK_INTERVAL_S = 0.05  # between two runs of all checkers
+STALENESS_BOUND_S = 3.0  # greatest age of the first configuration of a started gateway
+PROPAGATION_BOUND_S = 2.0  # from an acknowledgement until all connected gateways have it
+CONTACT_S = 3.0  # without an event, after which a gateway must be connected
+ELECTION_BOUND_S = 2.5  # from an event until there is a leader of a majority
+REPAIR_BOUND_S = 3.0  # from a repair until a further loss within the tolerance is survived
+CATCH_UP_BOUND_S = 4.0  # from an event until all members have applied earlier commits
+COMMIT_AGE_S = 1.0  # age of the commits that all members must have
 
 
 @dataclass(slots=True)
 class World:
-    """The fleet as checkers see it."""
+    """State of the fleet that checkers read."""
 
     network: Network
     members: dict[str, SimulatedMember]
     gateways: dict[str, SimulatedGateway]
     history: History
-    places: Callable[[], int]  # members that the system is meant to have
+    target_size: Callable[[], int]  # members that the system is meant to have
 
     @property
     def now(self) -> float:
-        """True seconds."""
+        """Simulated seconds."""
         return self.network.simulator.now
 
     def live(self) -> Iterator[tuple[str, SimulatedMember, RaftNode]]:
-        """Members whose program runs, not those that are frozen."""
+        """Members whose program runs and is not frozen, with their names and Raft nodes."""
         for name, member in self.members.items():
             if member.live and member.program is not None:
                 yield name, member, member.program.parts.driver.node
 
     def identity(self, name: str) -> int:
-        """The id under which a member is known; 0 before its first start."""
+        """Raft id of a member; 0 before its first start."""
         replica = self.members[name].replica
         return replica.identity if replica is not None else 0
 
     def reaches(self, name: str) -> set[int]:
-        """Ids of running members that exchange messages with one, and its own."""
+        """Ids of the running members that can exchange messages with a member, including itself."""
         passes = self.network.passes
         return {
             self.identity(other)
@@ -65,7 +66,7 @@
         }
 
     def leader(self) -> tuple[str, RaftNode] | None:
-        """The leader of the newest term."""
+        """The leader of the newest term, if any, with its Raft node."""
         leaders = [
             (name, node)
             for name, member, node in self.live()
@@ -75,19 +76,19 @@
 
 
 class Checker(Protocol):
-    """Looks at the world; the text of what does not hold, or an empty one."""
+    """Checks one guarantee."""
 
-    def look(self, world: World) -> str:
-        """One look."""
+    def check(self, world: World) -> str:
+        """Return the text of a violation, or an empty string."""
 
 
 def majority_of(count: int) -> int:
-    """The least number that is more than half; not the program's own, which is judged here."""
+    """Size of a majority; independent of the program's own function, which is under test."""
     return count // 2 + 1
 
 
 def voter_sets(membership: Membership) -> list[frozenset[int]]:
-    """The sets of which a majority each is needed: one, or two within a joint change."""
+    """The voter sets that each need a majority: one, or two during a joint membership change."""
     sets = [frozenset(member.id for member in membership.members if member.voter)]
     if membership.outgoing_voters:
         sets.append(frozenset(membership.outgoing_voters))
@@ -95,7 +96,7 @@
 
 
 def committed_membership(node: RaftNode) -> Membership:
-    """The membership in force at a member's commit index."""
+    """The membership at a member's commit index."""
     memberships = node._state.log.memberships
     try:
         return memberships.at(node.commit_index)
@@ -103,45 +104,42 @@
         return memberships.current.membership
 
 
-# ------------------------------------------------------------ at all times
+# ------------------------------------------------------------ under any fault
 
 
-class PlacesChecker:
-    """Guarantee 3: no committed membership has more voters than places."""
+class VoterCountChecker:
+    """Guarantee 3: no committed membership has more voters than its target size."""
 
-    def __init__(self) -> None:
-        self._seen: set[int] = set()  # memberships looked at, by object
-
-    def look(self, world: World) -> str:
-        """Judge each member's committed membership."""
+    def check(self, world: World) -> str:
+        """Check each member's committed membership."""
         for name, _, node in world.live():
             membership = committed_membership(node)
             voters = voter_sets(membership)
             if len(voters[0]) > membership.target_voters:
                 return f"3: {name}: {len(voters[0])} voters for {membership.target_voters} places"
-            if membership.target_voters > world.places():
-                return f"3: {name}: {membership.target_voters} places for {world.places()} members"
+            if membership.target_voters > world.target_size():
+                return f"3: {name}: {membership.target_voters} places for {world.target_size()} members"
             if len(voters) > 1 and len(voters[1]) > membership.target_voters:
                 return f"3: {name}: {len(voters[1])} outgoing voters for {membership.target_voters} places"
         return ""
 
 
 class LeaderLogChecker:
-    """Guarantee 4: a leader's log has all that was committed before its term."""
+    """Guarantee 4: a leader's log contains all entries committed in earlier terms."""
 
     def __init__(self) -> None:
-        self._committed = 0  # the highest commit index seen
-        self._term = 0  # of the entry there
+        self._committed = 0  # highest commit index observed
+        self._terminate = 0  # term of the entry at that index
         self._leaders: set[tuple[str, int]] = set()
 
-    def look(self, world: World) -> str:
-        """Judge leaders at the first look at their term."""
+    def check(self, world: World) -> str:
+        """Check each leader once, at the first check in its term."""
         for name, member, node in world.live():
             leads = member.program is not None and member.program.parts.driver.is_leader
             if leads and (name, node.term) not in self._leaders:
                 self._leaders.add((name, node.term))
                 last = node._state.log.last_index
-                if node.term > self._term and last < self._committed:
+                if node.term > self._terminate and last < self._committed:
                     return (
                         f"4: {name} leads term {node.term} with entries up to {last}, "
                         f"{self._committed} were committed"
@@ -149,51 +147,53 @@
         for _, _, node in world.live():
             if node.commit_index > self._committed:
                 self._committed = node.commit_index
-                self._term = node._state.log.term_at(node.commit_index) or node.term
+                self._terminate = node._state.log.term_at(node.commit_index) or node.term
         return ""
 
 
 class FreshGatewayChecker:
-    """Guarantee 1: a gateway that has started serves by no old configuration.
+    """Guarantee 1: a gateway that has started does not serve by an old configuration.
 
-    Judged are its first configuration and the one with which it becomes ready.
-    Not judged at one that was frozen meanwhile: it takes first what came in before.
+    Checks its first configuration and the one with which it becomes ready, except on a gateway that was
+    frozen meanwhile: that one first applies what it received before.
     """
 
     def __init__(self) -> None:
-        self._had: dict[str, tuple[int, bool, bool]] = {}  # incarnation, any configuration, ready
+        self._last_state: dict[str, tuple[int, bool, bool]] = {}  # incarnation, any configuration, ready
 
-    def look(self, world: World) -> str:
-        """Judge gateways that have their first configuration, or are ready, since the last look."""
+    def check(self, world: World) -> str:
+        """Check gateways that got their first configuration, or became ready, since the last check."""
         for name, gateway in world.gateways.items():
             if not gateway.machine.running:
                 continue
             now = gateway.machine.incarnation, gateway.revision > 0, gateway.ready
-            before = self._had.get(name)
-            self._had[name] = now
+            before = self._last_state.get(name)
+            self._last_state[name] = now
             if before is None or before[0] != now[0]:
                 before = now[0], False, False
-            newest = world.history.newest_acknowledged(world.now - FRESH_BOUND_S)
-            frozen = world.now - gateway.thawed_at < FRESH_BOUND_S
+            newest = world.history.newest_acknowledged(world.now - STALENESS_BOUND_S)
+            frozen = world.now - gateway.thawed_at < STALENESS_BOUND_S
             if now != before and not frozen and gateway.revision < newest:
                 what = "is given" if now[1] != before[1] else "becomes ready with"
                 return (
                     f"1: {name} {what} {gateway.revision} first, {newest} was acknowledged over "
-                    f"{FRESH_BOUND_S} s ago"
+                    f"{STALENESS_BOUND_S} s ago"
                 )
         return ""
 
 
-class ReachWatch:
-    """Notes since when a member has had no majority in reach, for the judgement of its answers.
+class MajorityReachMonitor:
+    """Records since when each member has had no reachable majority, for the checks of its answers.
 
-    A majority is in reach through another member too: through a leader that reaches it.
+    A majority also counts as reachable through a leader that reaches it.
     """
 
-    def look(self, world: World) -> str:
-        """Note it at each running member."""
+    def check(self, world: World) -> str:
+        """Update `unreachable_since` of each running member; never a violation."""
         connected = {
-            world.identity(name) for name, _, node in world.live() if self._direct(world, name, node)
+            world.identity(name)
+            for name, _, node in world.live()
+            if self._reaches_majority(world, name, node)
         }
         for name, member, _ in world.live():
             if world.reaches(name) & connected:
@@ -202,118 +202,128 @@
                 member.unreachable_since = world.now
         return ""
 
-    def _direct(self, world: World, name: str, node: RaftNode) -> bool:
-        """Whether a member reaches a majority itself; one that knows no membership yet does not."""
+    def _reaches_majority(self, world: World, name: str, node: RaftNode) -> bool:
+        """Whether a member reaches a majority directly; False while it has no membership."""
         reached = world.reaches(name)
         return all(
             len(reached & voters) >= majority_of(len(voters)) for voters in voter_sets(node.membership)
         )
 
 
-# ------------------------------------------------------------ within the tolerance
+# ------------------------------------------------------------ within the fault tolerance
 
 
 class LeadershipChecker:
-    """Guarantee 3: after any loss within the tolerance, a leader soon leads a majority again."""
+    """Guarantee 3: after any loss within the tolerance, a leader of a majority exists in time."""
 
     def __init__(self, budget: LossBudget) -> None:
         self._budget = budget
 
-    def look(self, world: World) -> str:
-        """Judge it when there was no event for long enough."""
+    def check(self, world: World) -> str:
+        """Check once :data:`ELECTION_BOUND_S` have passed without an event."""
         budget = self._budget
-        if budget.calm_for(world.now) < LEADER_WITHIN_S or len(budget.active) > budget.tolerance:
+        elapsed = budget.time_since_event(world.now)
+        if elapsed < ELECTION_BOUND_S or len(budget.active) > budget.tolerance:
             return ""
         leader = world.leader()
         lost = ", ".join(sorted(budget.active)) or "nobody"
         if leader is None:
-            return f"3: nobody leads {budget.calm_for(world.now):.1f} s after the last event ({lost} lost)"
+            return f"3: nobody leads {elapsed:.1f} s after the last event ({lost} lost)"
         name, node = leader
         reached = world.reaches(name)
         for voters in voter_sets(node.membership):
             if len(reached & voters) < majority_of(len(voters)):
                 return (
                     f"3: {name} reaches {len(reached & voters)} of {len(voters)} voters "
-                    f"{budget.calm_for(world.now):.1f} s after the last event ({lost} lost)"
+                    f"{elapsed:.1f} s after the last event ({lost} lost)"
                 )
         return ""
 
 
 class RepairChecker:
-    """Guarantee 3: soon after each repair, every further loss within the tolerance is survived."""
+    """Guarantee 3: within a bound after each repair, a further loss within the tolerance is survived."""
 
     def __init__(self, budget: LossBudget) -> None:
         self._budget = budget
 
-    def look(self, world: World) -> str:
-        """Judge the newest leader's membership when there was no event for long enough."""
+    def check(self, world: World) -> str:
+        """Check the newest leader's membership once :data:`REPAIR_BOUND_S` have passed without an event."""
         budget = self._budget
         further = budget.tolerance - len(budget.active)
         leader = world.leader()
-        if budget.calm_for(world.now) < REPAIRED_WITHIN_S or further < 0 or leader is None:
+        if budget.time_since_event(world.now) < REPAIR_BOUND_S or further < 0 or leader is None:
             return ""
-        sound = {world.identity(name) for name, _, _ in world.live() if name not in budget.active}
+        healthy = {world.identity(name) for name, _, _ in world.live() if name not in budget.active}
         for voters in voter_sets(leader[1].membership):
-            count = len(voters & sound)
+            count = len(voters & healthy)
             if count - further < majority_of(len(voters)):
                 return (
-                    f"3: {budget.calm_for(world.now):.1f} s after the last event "
+                    f"3: {budget.time_since_event(world.now):.1f} s after the last event "
                     f"{count} of {len(voters)} voters are sound, {further} more may be lost"
                 )
         return ""
 
 
 class CatchUpChecker:
-    """Guarantee 4: every running member soon has what was committed."""
+    """Guarantee 4: every running member has all commits within a bound."""
 
     def __init__(self, budget: LossBudget) -> None:
         self._budget = budget
         self._committed: deque[tuple[float, int]] = deque()
 
-    def look(self, world: World) -> str:
-        """Judge members in no trouble when there was no event for long enough."""
+    def check(self, world: World) -> str:
+        """Check members without faults once :data:`CATCH_UP_BOUND_S` have passed without an event."""
         nodes = [(name, node) for name, _, node in world.live()]
         newest = max((node.commit_index for _, node in nodes), default=0)
         self._committed.append((world.now, newest))
         while len(self._committed) > 1 and self._committed[1][0] <= world.now - COMMIT_AGE_S:
             self._committed.popleft()
-        if self._budget.calm_for(world.now) < CAUGHT_UP_WITHIN_S:
+        if self._budget.time_since_event(world.now) < CATCH_UP_BOUND_S:
             return ""
         at, wanted = self._committed[0]
         for name, node in nodes:
             if name not in self._budget.active and node.commit_index < wanted:
                 return (
                     f"4: {name} has committed {node.commit_index}, {wanted} was {world.now - at:.1f} s "
-                    f"ago; the last event is {self._budget.calm_for(world.now):.1f} s past"
+                    f"ago; the last event is {self._budget.time_since_event(world.now):.1f} s past"
                 )
         return ""
 
 
-class InTouchChecker:
-    """Guarantee 5: gateways in touch soon know each acknowledged change, drain and end."""
+class GatewayConvergenceChecker:
+    """Guarantee 5: connected gateways have each acknowledged change, drain and end within a bound."""
 
     def __init__(self, budget: LossBudget, gateway_events: dict[str, float]) -> None:
-        """`gateway_events`: when something last happened to a gateway, or infinity while it does."""
-        self._budget, self._events = budget, gateway_events
-
-    def look(self, world: World) -> str:
-        """Judge gateways that have been in touch for long enough."""
-        if self._budget.calm_for(world.now) < CONTACT_S or len(self._budget.active) > self._budget.tolerance:
+        """`gateway_events`: time of the last event per gateway; infinity while its fault lasts."""
+        self._budget = budget
+        self._events = gateway_events
+
+    def check(self, world: World) -> str:
+        """Check gateways that have been connected for :data:`CONTACT_S`."""
+        if (
+            self._budget.time_since_event(world.now) < CONTACT_S
+            or len(self._budget.active) > self._budget.tolerance
+        ):
             return ""
-        due = world.now - SPREAD_BOUND_S
+        due = world.now - PROPAGATION_BOUND_S
         newest = world.history.newest_acknowledged(due)
         retired = [id for id, at in world.history.retired.items() if at <= due]
         for name, gateway in world.gateways.items():
-            if not self._in_touch(world, name, gateway):
+            if not self._is_connected(world, name, gateway):
                 continue
             if gateway.revision < newest:
-                return f"5: {name} has {gateway.revision}, {newest} was acknowledged {SPREAD_BOUND_S} s ago"
+                return (
+                    f"5: {name} has {gateway.revision}, {newest} was acknowledged {PROPAGATION_BOUND_S} s ago"
+                )
             for id in retired:
                 if gateway.instance_state(id) == "ready":
-                    return f"5: {name} holds {id} for ready {SPREAD_BOUND_S} s after its end was acknowledged"
+                    return (
+                        f"5: {name} holds {id} for ready {PROPAGATION_BOUND_S} s "
+                        "after its end was acknowledged"
+                    )
         return ""
 
-    def _in_touch(self, world: World, name: str, gateway: SimulatedGateway) -> bool:
+    def _is_connected(self, world: World, name: str, gateway: SimulatedGateway) -> bool:
         if not gateway.machine.running or world.now - self._events.get(name, 0.0) < CONTACT_S:
             return False
         passes = world.network.passes
@@ -324,5 +334,5 @@
         )
 
 
-ALWAYS = (ReachWatch, PlacesChecker, LeaderLogChecker, FreshGatewayChecker)
+ALWAYS = (MajorityReachMonitor, VoterCountChecker, LeaderLogChecker, FreshGatewayChecker)
 WITHIN_TOLERANCE = (LeadershipChecker, RepairChecker, CatchUpChecker)
--- a/mallowbeam/simulation/fleet_history.py
+++ b/mallowbeam/simulation/fleet_history.py
@@ -1,7 +1,7 @@
-"""What the fleet's members have applied and answered, and what must hold of it at each answer.
+"""History of a run: what members applied and answered, checked against the guarantees at each answer.
 
-Each entry and each answer is told at the moment at which it happens. The first thing that does not hold is
-kept in `wrong`; each text begins with the number of the guarantee in ``docs/control-guarantees.md``.
+Entries and answers are recorded at the moment they happen. The first violation is kept in `violation`; its
+text starts with the number of the guarantee in ``docs/control-guarantees.md``.
 """
 
 from __future__ import annotations
@@ -9,18 +9,19 @@
 import json
 import zlib
 from dataclasses import dataclass, field
+from http import HTTPStatus
 
 from mallowbeam.router.rpc.messages_pb2 import DONE, Command, CommandResult
 
-SLOWEST_ANSWER_S = 1.5  # from a call's arrival at a member that runs to its answer
-CUT_OFF_S = 3.0  # without a majority in reach, after which a member confirms nothing
-REFUSALS = frozenset((400, 409, 412))
+SLOWEST_ANSWER_S = 1.5  # from the arrival of a request at a running member to its answer
+NO_MAJORITY_BOUND_S = 3.0  # without a reachable majority, after which a member must not acknowledge
+REJECTIONS = frozenset((HTTPStatus.BAD_REQUEST, HTTPStatus.CONFLICT, HTTPStatus.PRECONDITION_FAILED))
 CONFIG_PATH = "/mallowbeam/config"
 
 
 @dataclass(frozen=True, slots=True)
 class ApiCall:
-    """A call to the control API."""
+    """A request to the control API."""
 
     method: str
     path: str
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeKey:
-    """Which change of the configuration: its revision, who wrote it, and on what it builds."""
+    """Identity of a configuration change: its revision, its author and the version it is based on."""
 
     revision: int
     author: str
@@ -39,27 +40,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A member's answer to a call; times in true seconds."""
+    """A member's answer to a request; times in simulated seconds."""
 
     member: str
     call: ApiCall
-    began: float  # the call arrived at the member
+    began: float  # the request arrived at the member
     ended: float
     status: int
     body: bytes
-    paused: bool  # the process was frozen in between, or is slow
-    out_of_reach: float  # seconds for which the member had no majority in reach
+    paused: bool  # the process was frozen meanwhile, or is slow
+    out_of_reach: float  # seconds without a reachable majority
 
 
 @dataclass(frozen=True, slots=True)
 class _Applied:
+    """Hash of an applied entry, and its result."""
+
     payload: int
     result: CommandResult
 
 
 @dataclass(slots=True)
 class _Winner:
-    """The newest revision that was acknowledged, by the time of its first acknowledgement."""
+    """A revision, and the time of its first acknowledgement."""
 
     at: float
     revision: int
@@ -67,23 +70,23 @@
 
 @dataclass(slots=True)
 class History:
-    """Applied entries and answers of all members."""
+    """Applied entries and answers of all members, with the first violation."""
 
-    wrong: str = ""
+    violation: str = ""
     in_force: set[ChangeKey] = field(default_factory=set)
     refused: set[ChangeKey] = field(default_factory=set)
-    acknowledged: dict[int, ChangeKey] = field(default_factory=dict)  # winners by the version they build on
-    retired: dict[str, float] = field(default_factory=dict)  # instances: first acknowledgement
+    acknowledged: dict[int, ChangeKey] = field(default_factory=dict)  # by the version they are based on
+    retired: dict[str, float] = field(default_factory=dict)  # instances, by time of the first acknowledgement
     answers: int = 0
     _applied: dict[int, _Applied] = field(default_factory=dict)  # by log index
     _retirements: set[str] = field(default_factory=set)
-    _newest: list[_Winner] = field(default_factory=list)  # rising in both
+    _newest: list[_Winner] = field(default_factory=list)  # ascending in time and revision
     _keys: dict[bytes, ChangeKey] = field(default_factory=dict)  # by digest
 
-    # ------------------------------------------------------------ what was acknowledged
+    # ------------------------------------------------------------ acknowledgements
 
     def newest_acknowledged(self, before: float) -> int:
-        """The highest revision that was acknowledged before a time; 0: none."""
+        """The highest revision acknowledged before a time in seconds; 0: none."""
         for winner in reversed(self._newest):
             if winner.at <= before:
                 return winner.revision
@@ -92,15 +95,15 @@
     # ------------------------------------------------------------ the log
 
     def applied(self, member: str, index: int, payload: bytes, result: CommandResult) -> None:
-        """A member has applied an entry."""
+        """Record that a member applied an entry; all members must agree on it and its result."""
         entry = _Applied(hash(payload), result)
         known = self._applied.setdefault(index, entry)
         if known != entry:
             self._fail(f"4: {member} applied another entry at {index} than others, or with another result")
         if known is entry:
-            self._note(Command.FromString(payload), result)
+            self._record_command(Command.FromString(payload), result)
 
-    def _note(self, command: Command, result: CommandResult) -> None:
+    def _record_command(self, command: Command, result: CommandResult) -> None:
         match command.WhichOneof("body"):
             case "put_configuration" if result == DONE:
                 put = command.put_configuration
@@ -119,55 +122,56 @@
     # ------------------------------------------------------------ answers
 
     def answered(self, answer: Answer) -> None:
-        """A member answers a call."""
+        """Record and check a member's answer."""
         self.answers += 1
-        taken = 200 <= answer.status < 300
+        accepted = is_success(answer.status)
         if answer.ended - answer.began > SLOWEST_ANSWER_S and not answer.paused:
             self._fail(
                 f"1: {answer.member} answered {answer.call.method} {answer.call.path} after "
                 f"{answer.ended - answer.began:.2f} s"
             )
-        if taken and answer.out_of_reach > CUT_OFF_S:
+        if accepted and answer.out_of_reach > NO_MAJORITY_BOUND_S:
             self._fail(
                 f"1: {answer.member} answered {answer.call.method} {answer.call.path} with "
                 f"{answer.status} after {answer.out_of_reach:.1f} s without a majority in reach"
             )
         if answer.call.path != CONFIG_PATH:
-            self._instance_answered(answer, taken)
+            self._instance_answered(answer, accepted)
         elif answer.call.method == "GET":
             self._read_answered(answer)
         else:
-            self._put_answered(answer, taken)
+            self._put_answered(answer, accepted)
 
     def _read_answered(self, answer: Answer) -> None:
-        if answer.status not in (200, 404):
+        if answer.status not in (HTTPStatus.OK, HTTPStatus.NOT_FOUND):
             return
         newest = self.newest_acknowledged(answer.began)
-        document = json.loads(answer.body) if answer.status == 200 else {"revision": 0}
+        found = answer.status == HTTPStatus.OK
+        document = json.loads(answer.body) if found else {"revision": 0}
         if document["revision"] < newest:
             read = document["revision"]
             self._fail(f"1: revision {newest} was acknowledged, {answer.member} reads {read} back")
-        if answer.status == 200 and not any(same_document(key, document) for key in self.in_force):
+        if found and not any(same_document(key, document) for key in self.in_force):
             self._fail(f"2: {answer.member} reads back a configuration that never came into force")
 
-    def _put_answered(self, answer: Answer, taken: bool) -> None:
+    def _put_answered(self, answer: Answer, accepted: bool) -> None:
         key = call_key(answer.call)
-        if taken:
+        if accepted:
             self._put_acknowledged(answer, key)
-        elif answer.status in REFUSALS and key in self.in_force:
+        elif answer.status in REJECTIONS and key in self.in_force:
             self._fail(f"2: {answer.member} refused {key}, which is or was in force: {answer.status}")
 
-    def told_refused(self, call: ApiCall) -> None:
-        """An operator has got a refusal of its change."""
+    def refusal_received(self, call: ApiCall) -> None:
+        """Record that an operator received a rejection of its change."""
         key = call_key(call)
         self.refused.add(key)
         if key in self.in_force:
             self._fail(f"2: {key} was refused and is or was in force")
 
     def _put_acknowledged(self, answer: Answer, key: ChangeKey) -> None:
-        told = json.loads(answer.body).get("revision")
-        if told != key.revision:
-            self._fail(f"5: {answer.member} answered {key} with revision {told}")
+        acknowledged_revision = json.loads(answer.body).get("revision")
+        if acknowledged_revision != key.revision:
+            self._fail(f"5: {answer.member} answered {key} with revision {acknowledged_revision}")
         if key not in self.in_force:
             self._fail(f"1: {answer.member} acknowledged {key}, which no member has applied")
         winner = self.acknowledged.setdefault(key.based_on, key)
@@ -176,9 +180,9 @@
         if not self._newest or key.revision > self._newest[-1].revision:
             self._newest.append(_Winner(answer.ended, key.revision))
 
-    def _instance_answered(self, answer: Answer, taken: bool) -> None:
+    def _instance_answered(self, answer: Answer, accepted: bool) -> None:
         call = answer.call
-        if not taken or not (call.method == "DELETE" or json.loads(call.body).get("state") == "draining"):
+        if not accepted or not (call.method == "DELETE" or json.loads(call.body).get("state") == "draining"):
             return
         instance = call.path.rpartition("/")[2]
         if instance not in self._retirements:
@@ -186,22 +190,27 @@
         self.retired.setdefault(instance, answer.ended)
 
     def _fail(self, what: str) -> None:
-        self.wrong = self.wrong or what
+        self.violation = self.violation or what
+
+
+def is_success(status: int) -> bool:
+    """Whether an HTTP status is 2xx."""
+    return HTTPStatus.OK <= status < HTTPStatus.MULTIPLE_CHOICES
 
 
 def call_key(call: ApiCall) -> ChangeKey:
-    """Which change a call asks for."""
+    """Identity of the change that a request submits."""
     based_on = next(int(value) for name, value in call.headers if name == "If-Match")
     return change_key(call.body, based_on)
 
 
 def change_key(body: bytes, based_on: int) -> ChangeKey:
-    """Which change a configuration's JSON is, on top of a version; the author is in its first hostname."""
+    """Identity of a change from its JSON and base version; the first hostname names the author."""
     document = json.loads(body)
     return ChangeKey(document["revision"], document["routes"][0]["hostname"], based_on)
 
 
 def same_document(key: ChangeKey, document: dict[str, object]) -> bool:
-    """Whether a configuration is that of a change."""
+    """Whether a configuration document is that of a change."""
     found = change_key(json.dumps(document).encode(), key.based_on)
     return found == key
--- a/mallowbeam/simulation/fleet_operators.py
+++ b/mallowbeam/simulation/fleet_operators.py
@@ -1,54 +1,64 @@
-"""Operators on simulated machines: they send configurations until there is a clear answer, and read them."""
+"""Operators on simulated machines: they submit configurations until a final answer, and read them back."""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum
+from http import HTTPStatus
 
 from mallowbeam.simulation.fleet_callers import Caller
-from mallowbeam.simulation.fleet_history import CONFIG_PATH, ApiCall, History
+from mallowbeam.simulation.fleet_history import CONFIG_PATH, ApiCall, History, is_success
 from mallowbeam.simulation.fleet_processes import SimulatedMember
 from mallowbeam.simulation.machine import Machine
 from mallowbeam.simulation.network import Network
 
-FIRST_PAUSE_S = 0.1  # between two attempts; doubles up to the longest
-LONGEST_PAUSE_S = 1.0
-CLEAR = frozenset((400, 404, 409, 412, 413, 422))  # besides 2xx: answers that end a call
-PIECE_BYTES = 1000  # of padding in one route
+FIRST_BACKOFF_S = 0.1  # between two attempts; doubles up to the longest backoff
+LONGEST_BACKOFF_S = 1.0
+FINAL_STATUSES = frozenset((400, 404, 409, 412, 413, 422))  # besides 2xx: not retried
+ROUTE_PADDING_BYTES = 1000  # of padding per route
+
+
+class OrderState(Enum):
+    """State of an order; the values are the words of scenario files."""
+
+    PENDING = "pending"
+    ACCEPTED = "taken"
+    REJECTED = "refused"
 
 
 @dataclass(slots=True)
 class Order:
-    """A configuration that an operator sends until there is a clear answer."""
+    """A configuration that an operator submits until it gets a final answer."""
 
     revision: int
     call: ApiCall
-    member: str = ""  # the only one that is asked; empty: any
-    pause: float = FIRST_PAUSE_S
-    state: str = "pending"  # then taken or refused
+    member: str = ""  # the only member that is called; empty: any
+    backoff: float = FIRST_BACKOFF_S
+    state: OrderState = OrderState.PENDING
 
 
 class Operator(Caller):
-    """Sends configurations and reads them back."""
+    """Submits configurations and reads them back."""
 
     def __init__(
         self, machine: Machine, network: Network, members: dict[str, SimulatedMember], history: History
     ) -> None:
-        """`history` is told of refusals."""
+        """`history` records the rejections that the operator receives."""
         super().__init__(machine, network, members)
         self.history = history
         self.orders: dict[int, Order] = {}
-        self.acknowledged = 0  # the highest revision that was
+        self.acknowledged = 0  # the highest acknowledged revision
         self.read = 0  # revision of the last configuration read back
-        self.lost: str = ""  # what was acknowledged and then not read
+        self.lost: str = ""  # violation: an acknowledged revision that was not read back
 
     def put(
         self, revision: int, based_on: int, member: str = "", only: bool = False, padding: int = 0
     ) -> None:
-        """Send a configuration, to one member first if it is named, or with `only` to it alone.
+        """Submit a configuration, to the named member first, or with `only` to that member alone.
 
-        `padding`: bytes that make it larger.
+        `padding` adds so many bytes to the body.
         """
         headers = (("If-Match", str(based_on)),)
         body = document(revision, f"{self.machine.name}.example", padding, self.random.randbytes)
@@ -57,44 +67,46 @@
         self._send(order, member or self.any_member())
 
     def send_again(self, revision: int) -> None:
-        """Send an order once more that was taken; it must be acknowledged again."""
+        """Submit an accepted order again; it must be acknowledged again."""
         order = self.orders[revision]
         self.ask(self.any_member(), order.call, lambda status, body: None)
 
-    def free(self) -> None:
-        """Let orders that went to one member alone go to any."""
+    def lift_restrictions(self) -> None:
+        """Let orders restricted to one member go to any member."""
         for order in self.orders.values():
             order.member = ""
 
     def get(self, member: str = "") -> None:
-        """Read the newest configuration back, until there is an answer."""
+        """Read the newest configuration back; retries until there is an answer."""
         before = self.acknowledged
 
         def answered(status: int, body: bytes) -> None:
-            if status not in (200, 404):
-                self.machine.later(FIRST_PAUSE_S, self.get)
+            if status not in (HTTPStatus.OK, HTTPStatus.NOT_FOUND):
+                self.machine.later(FIRST_BACKOFF_S, self.get)
                 return
-            self.read = json.loads(body)["revision"] if status == 200 else 0
+            self.read = json.loads(body)["revision"] if status == HTTPStatus.OK else 0
             if self.read < before:
                 self.lost = f"revision {before} was acknowledged, {self.read} is read back"
 
         self.ask(member or self.any_member(), ApiCall("GET", CONFIG_PATH), answered)
 
-    def look(self, member: str) -> None:
-        """Read at one member, once."""
+    def read_once(self, member: str) -> None:
+        """Read the configuration from one member, without retries."""
         self.ask(member, ApiCall("GET", CONFIG_PATH), lambda status, body: None)
 
     def _send(self, order: Order, member: str) -> None:
         def answered(status: int, body: bytes) -> None:
-            if 200 <= status < 300:
-                order.state = "taken"
+            if is_success(status):
+                order.state = OrderState.ACCEPTED
                 self.acknowledged = max(self.acknowledged, order.revision)
-            elif status in CLEAR:
-                order.state = "refused"
-                self.history.told_refused(order.call)
+            elif status in FINAL_STATUSES:
+                order.state = OrderState.REJECTED
+                self.history.refusal_received(order.call)
             else:
-                self.machine.later(order.pause, lambda: self._send(order, order.member or self.any_member()))
-                order.pause = min(2 * order.pause, LONGEST_PAUSE_S)
+                self.machine.later(
+                    order.backoff, lambda: self._send(order, order.member or self.any_member())
+                )
+                order.backoff = min(2 * order.backoff, LONGEST_BACKOFF_S)
 
         self.ask(member, order.call, answered)
 
@@ -102,10 +114,10 @@
 def document(
     revision: int, hostname: str = "a.example", padding: int = 0, random_bytes: Callable[[int], bytes] = bytes
 ) -> dict[str, object]:
-    """A configuration; with so many bytes of padding in its routes, which hardly compress."""
+    """Build a configuration; `padding` bytes of hardly compressible text are spread over extra routes."""
     routes = [_route("r", hostname, "/x/")]
-    for number in range(padding // PIECE_BYTES):
-        text = random_bytes(PIECE_BYTES // 2).hex()
+    for number in range(padding // ROUTE_PADDING_BYTES):
+        text = random_bytes(ROUTE_PADDING_BYTES // 2).hex()
         routes.append(_route(f"r{number}", f"p{number}.example", f"/{text}/"))
     return {
         "revision": revision,
--- a/mallowbeam/simulation/fleet_processes.py
+++ b/mallowbeam/simulation/fleet_processes.py
@@ -1,7 +1,7 @@
-"""The fleet's processes on simulated machines: the real member and feed, with stand-ins beneath their I/O.
+"""Processes of the fleet on simulated machines: the real member and feed on simulated I/O.
 
-Peer links and feeds are streams of the simulated network. Calls to the control API are handed to its front as
-messages, past HTTP's framing; the replica's store is a simulated disk.
+Peer links and feeds use streams of the simulated network. Requests to the control API are passed to its
+handler as parsed messages, without HTTP framing; the replica is stored on a simulated disk.
 """
 
 from __future__ import annotations
@@ -41,11 +41,11 @@
 PEER_PORT = 7660
 CONTROL_PORT = 8146
 HEARTBEAT_MS = 1200.0
-RETRY_S = 0.1  # before a write is tried again that a full disk refused
+RETRY_S = 0.1  # between two attempts to write to a full disk
 
 
 def message_of(call: ApiCall, now: float) -> Message:
-    """A call as the API's front takes it."""
+    """Convert a request to the parsed message that the API's handler takes; `now` in seconds."""
     message = Message()
     message.method, message.target = call.method.encode(), call.path.encode()
     message.headers = [(name.lower().encode(), value.encode()) for name, value in call.headers]
@@ -54,53 +54,58 @@
 
 
 class StandInServer:
-    """Takes the place of the HTTP server: calls are handed to its front."""
+    """Replaces the HTTP server: requests are passed directly to its handler."""
 
     def __init__(
         self, address: tuple[str, int], front: RequestHandler, most: int, shared: bool = True
     ) -> None:
-        self.address, self.front, self.serving = address, front, False
+        self.address = address
+        self.front = front
+        self.serving = False
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start accepting requests."""
         self.serving = True
 
     async def drain(self, within: float) -> None:
-        """Take no more calls."""
+        """Stop accepting requests."""
         self.serving = False
 
     def sweep(self) -> None:
-        """No connection is held."""
+        """Do nothing: there are no connections."""
 
 
 class SimulatedWriter:
-    """Takes the place of the disk's thread: writes become durable one after another on a simulated disk."""
+    """Replaces the storage thread: batches become durable one after another on a simulated disk."""
 
     def __init__(
         self, loop: SimulatedLoop, disk: Disk, replica: Replica, durable: Callable[[Sequence[Write]], None]
     ) -> None:
-        self._loop, self._disk, self._replica, self._durable = loop, disk, replica, durable
-        self._waiting: list[Write] = []
+        self._loop = loop
+        self._disk = disk
+        self._replica = replica
+        self._durable = durable
+        self._queue: list[Write] = []
         self._writing = False
 
     def start(self) -> None:
-        """Begin to write."""
+        """Do nothing: there is no thread to start."""
 
     def submit(self, write: Write) -> None:
         """Queue a write."""
-        self._waiting.append(write)
-        self._go_on()
+        self._queue.append(write)
+        self._start_next_write()
 
     async def stop(self, within: float) -> bool:
-        """Nothing is left running."""
-        return not self._waiting
+        """Return whether the queue is empty; there is no thread to stop."""
+        return not self._queue
 
-    def _go_on(self) -> None:
-        if self._writing or not self._waiting:
+    def _start_next_write(self) -> None:
+        if self._writing or not self._queue:
             return
         self._writing = True
-        batch = tuple(self._waiting)
-        self._waiting.clear()
+        batch = tuple(self._queue)
+        self._queue.clear()
         self._write(batch)
 
     def _write(self, batch: tuple[Write, ...]) -> None:
@@ -111,7 +116,7 @@
         def done() -> None:
             self._writing = False
             self._durable(batch)
-            self._go_on()
+            self._start_next_write()
 
         def failed(_: OSError) -> None:
             self._loop.call_later(RETRY_S, self._write, batch)
@@ -123,7 +128,7 @@
 
 @contextmanager
 def replaced(module: ModuleType, names: dict[str, object]) -> Iterator[None]:
-    """Have names of a module stand for something else for a while."""
+    """Replace attributes of a module within a context."""
     before = {name: getattr(module, name) for name in names}
     for name, value in names.items():
         setattr(module, name, value)
@@ -135,40 +140,43 @@
 
 
 class SimulatedMember:
-    """A control-plane member: its machine, its disk, and the real program on them."""
+    """A control-plane member: the real program on a simulated machine and disk."""
 
     def __init__(
         self, machine: Machine, streams: Streams, disk: Disk, settings: NodeSettings, history: History
     ) -> None:
-        """`history` is told what is applied and answered."""
-        self.machine, self._streams, self._disk = machine, streams, disk
-        self._settings, self._history = settings, history
+        """`history` records what the member applies and answers."""
+        self.machine = machine
+        self._streams = streams
+        self._disk = disk
+        self._settings = settings
+        self._history = history
         self._random = Random(machine.simulator.random.random())
         self.replica: Replica | None = None
         self.loop: SimulatedLoop | None = None
         self.program: ControlMember | None = None
         self._server: StandInServer | None = None
         self._thawed_at = -inf
-        self.unreachable_since: float | None = None  # no majority in reach, by the one who watches
-        self.watch: Callable[[], object] = lambda: None  # looks whether that still holds
+        self.unreachable_since: float | None = None  # since when no majority is reachable; set by a monitor
+        self.check_reach: Callable[[], object] = lambda: None  # updates `unreachable_since`
         machine.boot = self._boot
         machine.on_thaw(self._thawed)
 
     def wipe(self) -> None:
-        """The disk is empty from now on; the process must not run."""
+        """Erase the disk; the process must not run."""
         assert not self.machine.running
         self.replica = None
         self._settings = replace(self._settings, bootstrap=False)
 
     def set_seeds(self, ips: Sequence[str]) -> None:
-        """Change the settings: other seeds, which a running process takes at once."""
+        """Change the seeds in the settings; a running process reloads them at once."""
         self._settings = settings = replace(self._settings, seeds=seeds_of(ips))
         loop, program = self.loop, self.program
         if loop is not None and program is not None and self.machine.running:
             loop.enter(lambda: program.reload(settings))
 
     def terminate(self) -> None:
-        """SIGTERM: the program stops in order, then the process ends. One that is starting ends at once."""
+        """Send SIGTERM: graceful shutdown, then the process ends; one that is still starting ends at once."""
         loop, program = self.loop, self.program
         if not self.machine.running or loop is None:
             return
@@ -186,11 +194,11 @@
 
     @property
     def live(self) -> bool:
-        """Whether the program runs and has opened."""
+        """Whether the process runs and its program has started."""
         return self.machine.running and self.program is not None
 
     def call(self, call: ApiCall, answered: Callable[[int, bytes], None]) -> None:
-        """Have the control API answer; a step of the machine. Without an answer where nobody listens."""
+        """Pass a request to the control API as a step of the machine; no answer if it does not serve."""
         loop, server = self.loop, self._server
         if loop is None or server is None or not server.serving:
             return
@@ -201,7 +209,7 @@
             reply = await server.front.handle(message_of(call, loop.time()), lambda: False)
             body = bytes(reply.data).partition(b"\r\n\r\n")[2]
             paused = slow or self._slow or self._thawed_at >= began
-            self._note(call, began, reply.status, body, paused)
+            self._record_answer(call, began, reply.status, body, paused)
             answered(reply.status, body)
 
         loop.enter(lambda: loop.create_task(answer()))
@@ -210,8 +218,8 @@
     def _slow(self) -> bool:
         return self.machine.step_cost > 0.0 or self.machine.clock_rate < 1.0
 
-    def _note(self, call: ApiCall, began: float, status: int, body: bytes, paused: bool) -> None:
-        self.watch()
+    def _record_answer(self, call: ApiCall, began: float, status: int, body: bytes, paused: bool) -> None:
+        self.check_reach()
         now = self.machine.simulator.now
         out_of_reach = now - self.unreachable_since if self.unreachable_since is not None else 0.0
         name = self.machine.name
@@ -227,9 +235,9 @@
 
     async def _serve(self, loop: SimulatedLoop) -> None:
         if self.replica is None:
-            self.replica = await self._created(loop)
+            self.replica = await self._create_replica(loop)
         replica = self.replica
-        store = cast(ReplicaStore, None)  # the writer's, which has the replica itself
+        store = cast(ReplicaStore, None)  # only the writer uses it, and the simulated one has the replica
         opened = OpenedStore(store, replica.identity, replica.restored())
 
         def writer(_: object, durable: Callable[[Sequence[Write]], None]) -> SimulatedWriter:
@@ -245,14 +253,14 @@
         self._record_applied(program.parts.machine)
         await program.start()
         self.program = program
-        await program.unusable  # then it comes back as a new member, as the role does it
+        await program.unusable  # then it rejoins as a new member, as the role does
         await program.stop()
         self.program = self.replica = None
         self._settings = replace(self._settings, bootstrap=False)
         loop.create_task(self._serve(loop))
 
     def _record_applied(self, state: ReplicatedStateMachine) -> None:
-        """Tell the history of each entry that is applied from now on."""
+        """Record in the history each entry that is applied from now on."""
         apply, name = state.apply, self.machine.name
 
         def recording(index: int, payload: bytes) -> CommandOutcome:
@@ -262,19 +270,19 @@
 
         setattr(state, "apply", recording)  # noqa: B010 (an attribute of the instance hides the method)
 
-    async def _created(self, loop: SimulatedLoop) -> Replica:
-        """Write an empty disk's first state."""
+    async def _create_replica(self, loop: SimulatedLoop) -> Replica:
+        """Write the initial state to an empty disk."""
         control = self._settings.bind_addresses.control
         assert control is not None
         first = initial_state(
             control, self._settings.seeds, self._settings.bootstrap, PEER_PORT, self._random
         )
-        while not await self._written(loop):
+        while not await self._write_initial_state(loop):
             await asyncio.sleep(RETRY_S)
         return Replica(first.identity, first.snapshot)
 
-    async def _written(self, loop: SimulatedLoop) -> bool:
-        """Write and sync; False on a full disk."""
+    async def _write_initial_state(self, loop: SimulatedLoop) -> bool:
+        """Write and sync; returns False on a full disk."""
         written: asyncio.Future[bool] = loop.create_future()
         self._disk.write(
             lambda: None,
@@ -285,10 +293,12 @@
 
 
 class SimulatedGateway:
-    """A gateway as far as its feed: the real subscriber on the real link."""
+    """A gateway reduced to its feed: the real subscriber on the real link."""
 
     def __init__(self, machine: Machine, streams: Streams, settings: NodeSettings) -> None:
-        self.machine, self._streams, self._settings = machine, streams, settings
+        self.machine = machine
+        self._streams = streams
+        self._settings = settings
         self._random = Random(machine.simulator.random.random())
         self.loop: SimulatedLoop | None = None
         self.subscriber: FeedSubscriber[Configuration] | None = None
@@ -297,12 +307,12 @@
         machine.on_thaw(self._thawed)
 
     def set_seeds(self, ips: Sequence[str]) -> None:
-        """Begin at these members from the next start on."""
+        """Change the seeds, effective at the next start."""
         self._settings = replace(self._settings, seeds=seeds_of(ips))
 
     @property
     def revision(self) -> int:
-        """Of the configuration in force; 0: none."""
+        """Revision of the configuration in force; 0: none."""
         return self.subscriber.configuration_revision if self.subscriber is not None else 0
 
     def _thawed(self) -> None:
@@ -310,15 +320,15 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it would serve requests; one that was not started yet would not."""
+        """Whether it would serve requests; False before its first start."""
         return self.subscriber is not None and self.subscriber.ready(self.machine.clock())
 
     def instance_state(self, id: str) -> str:
-        """ready, draining or absent."""
-        held = self.subscriber.instances.get(id) if self.subscriber is not None else None
-        if held is None:
+        """State of an instance at this gateway: ``ready``, ``draining`` or ``absent``."""
+        instance = self.subscriber.instances.get(id) if self.subscriber is not None else None
+        if instance is None:
             return "absent"
-        return "draining" if held.state == DRAINS else "ready"
+        return "draining" if instance.state == DRAINS else "ready"
 
     def _boot(self) -> None:
         self.loop = loop = new_loop(self.machine, self._streams)
@@ -334,12 +344,12 @@
 
 
 def seeds_of(ips: Sequence[str]) -> tuple[str, ...]:
-    """Control addresses, as settings have them."""
+    """Control addresses of members, in the form of the settings."""
     return tuple(f"{ip}:{CONTROL_PORT}" for ip in ips)
 
 
 def settings_of(name: str, ip: str, seeds: Sequence[str], member: bool, bootstrap: bool) -> NodeSettings:
-    """The settings of a member or a gateway; `seeds` are IPs."""
+    """Settings of a member or a gateway; `seeds` are IP addresses."""
     control = f"{ip}:{CONTROL_PORT}" if member else None
     return NodeSettings(
         node_name=name,
--- a/mallowbeam/simulation/loop.py
+++ b/mallowbeam/simulation/loop.py
@@ -1,8 +1,8 @@
-"""An asyncio event loop on a simulated machine, so that whole roles run there: tasks, timers, connections.
+"""An asyncio event loop on a simulated machine, on which complete roles run.
 
-Only what the roles use is there: callbacks, timers, futures, tasks, stream connections and servers. While
-a step runs, :func:`time.monotonic` is the machine's steady clock. A process that has ended takes no step
-any more, nor does what is collected of it later.
+It implements what the roles use: callbacks, timers, futures, tasks, stream connections and servers. While a
+step runs, :func:`time.monotonic` is the machine's monotonic clock. After the process has ended no step runs,
+including finalizers of its objects.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from mallowbeam.simulation.clock import Step
 from mallowbeam.simulation.dialing import Dial, Streams
-from mallowbeam.simulation.machine import Machine
+from mallowbeam.simulation.machine import Machine, State
 from mallowbeam.simulation.stream import Endpoint, StreamHandlers, StreamOptions
 
 Result = TypeVar("Result")
@@ -25,20 +25,21 @@
 
 
 class SimulatedLoop(asyncio.AbstractEventLoop):
-    """The event loop of one process: of one start of a machine."""
+    """The event loop of one incarnation of a machine's process."""
 
     def __init__(self, machine: Machine, streams: Streams) -> None:
-        self._machine, self._streams = machine, streams
+        self._machine = machine
+        self._streams = streams
         self._incarnation = machine.incarnation
-        self.failures: list[dict[str, Any]] = []  # what nobody handled
+        self.failures: list[dict[str, Any]] = []  # contexts of unhandled exceptions
 
     @property
     def alive(self) -> bool:
-        """Whether the process is still the one that the loop was made for."""
-        return self._machine.incarnation == self._incarnation and self._machine.state.value != "off"
+        """Whether the process for which the loop was made still exists."""
+        return self._machine.incarnation == self._incarnation and self._machine.state is not State.OFF
 
     def enter(self, step: Step) -> None:
-        """Run a step of the process inside this loop."""
+        """Run a step of the process with this loop as the running loop."""
         if not self.alive:
             return
         real_clock = time.monotonic
@@ -53,7 +54,7 @@
     # ------------------------------------------------------------ callbacks and timers
 
     def time(self) -> float:
-        """The machine's steady clock, in seconds."""
+        """The machine's monotonic clock, in seconds."""
         return self._machine.clock()
 
     def call_soon(
@@ -62,7 +63,7 @@
         *args: Unpack[Arguments],
         context: Context | None = None,
     ) -> asyncio.Handle:
-        """Run a callback in a step of its own."""
+        """Run a callback as a separate step, as soon as possible."""
         handle = asyncio.Handle(callback, args, self, context)
         if self.alive:
             self._machine.after_true(0.0, lambda: self._run_handle(handle))
@@ -74,7 +75,7 @@
         *args: Unpack[Arguments],
         context: Context | None = None,
     ) -> asyncio.Handle:
-        """As `call_soon`: there are no threads here."""
+        """Same as `call_soon`: the simulation has no threads."""
         return self.call_soon(callback, *args, context=context)
 
     def call_later(
@@ -94,7 +95,7 @@
         *args: Unpack[Arguments],
         context: Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Run a callback at a time of the steady clock."""
+        """Run a callback at a time of the monotonic clock, in seconds."""
         handle = asyncio.TimerHandle(when, callback, args, self, context)
         if self.alive:
             self._machine.later(when - self.time(), lambda: self._run_handle(handle))
@@ -105,12 +106,12 @@
             self.enter(handle._run)
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """The handle itself knows that it is cancelled."""
+        """Do nothing: `_run_handle` skips cancelled handles."""
 
     # ------------------------------------------------------------ futures and tasks
 
     def create_future(self) -> asyncio.Future[Any]:
-        """A future of this loop."""
+        """Create a future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(
@@ -120,24 +121,24 @@
         name: str | None = None,
         context: Context | None = None,
     ) -> asyncio.Task[Result]:
-        """A task of this loop."""
+        """Create a task of this loop."""
         return asyncio.Task(coro, loop=self, name=name, context=context)
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Keep what nobody handled, for a check; what is collected after the process ended is nobody's."""
+        """Record an unhandled exception for the checks, unless the process has ended."""
         if self.alive:
             self.failures.append(context)
 
     def default_exception_handler(self, context: dict[str, Any]) -> None:
-        """As any other."""
+        """Same as `call_exception_handler`."""
         self.call_exception_handler(context)
 
     def get_debug(self) -> bool:
-        """No checks of asyncio's own."""
+        """Return False: asyncio's debug mode is off."""
         return False
 
     def is_running(self) -> bool:
-        """Whether steps are taken."""
+        """Whether the process exists and steps run."""
         return self.alive
 
     def is_closed(self) -> bool:
@@ -153,7 +154,7 @@
         port: int,
         **_: object,
     ) -> tuple[asyncio.Transport, asyncio.Protocol]:
-        """Open a stream to an address; raises OSError where it is refused."""
+        """Open a stream to an address; raises OSError if it is refused."""
         opening: asyncio.Future[Endpoint] = self.create_future()
 
         def opened(endpoint: Endpoint) -> None:
@@ -174,7 +175,7 @@
         try:
             endpoint = await opening
         finally:
-            dial.given_up = True
+            dial.cancelled = True
         protocol = protocol_factory()
         return SimulatedTransport(self, endpoint, protocol), protocol
 
@@ -185,73 +186,76 @@
         port: int,
         **_: object,
     ) -> SimulatedServer:
-        """Take connections at an address of this machine; raises OSError where it is taken."""
+        """Accept connections at an address of this machine; raises OSError if it is in use or not local."""
         if host not in (self._machine.ip, "0.0.0.0", ""):
             raise OSError(f"{host}: cannot assign requested address")
 
         def accept(endpoint: Endpoint) -> None:
-            self.enter(lambda: self._made(endpoint, protocol_factory()))
+            self.enter(lambda: self._connection_accepted(endpoint, protocol_factory()))
 
         self._streams.listen(self._machine, port, accept)
         return SimulatedServer(self, self._streams, self._machine, port)
 
-    def _made(self, endpoint: Endpoint, protocol: asyncio.Protocol) -> None:
-        """A connection came in; its endpoint keeps the transport."""
+    def _connection_accepted(self, endpoint: Endpoint, protocol: asyncio.Protocol) -> None:
+        """Attach a transport to an accepted connection; the endpoint keeps it alive."""
         SimulatedTransport(self, endpoint, protocol)
 
 
 def new_loop(machine: Machine, streams: Streams) -> SimulatedLoop:
-    """The event loop of a process that has just been started."""
-    return SimulatedLoop(machine, streams)  # type: ignore[abstract]  # the rest is used by no role
+    """Create the event loop of a process that has just started."""
+    return SimulatedLoop(machine, streams)  # type: ignore[abstract]  # no role uses the methods left out
 
 
 class SimulatedServer(asyncio.AbstractServer):
-    """A listening port."""
+    """A listening port of a machine."""
 
     def __init__(self, loop: SimulatedLoop, streams: Streams, machine: Machine, port: int) -> None:
-        self._loop, self._streams, self._machine, self._port = loop, streams, machine, port
+        self._loop = loop
+        self._streams = streams
+        self._machine = machine
+        self._port = port
         self._serving = True
 
     def get_loop(self) -> SimulatedLoop:
-        """The loop that serves it."""
+        """Return the loop that serves the port."""
         return self._loop
 
     async def start_serving(self) -> None:
-        """It serves from the first moment on."""
+        """Do nothing: the server accepts connections once it is created."""
 
     async def serve_forever(self) -> None:
-        """Wait for ever."""
+        """Wait until cancelled."""
         await self._loop.create_future()
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Stop accepting connections."""
         if self._serving:
             self._serving = False
             self._streams.stop_listening(self._machine, self._port)
 
     def is_serving(self) -> bool:
-        """Whether connections are taken."""
+        """Whether connections are accepted."""
         return self._serving
 
     async def wait_closed(self) -> None:
-        """Nothing is left to wait for."""
+        """Do nothing: `close` takes effect at once."""
 
 
 class SimulatedSocket:
-    """What a protocol may set on its socket."""
+    """The socket options that a protocol may set on its connection."""
 
     def __init__(self, endpoint: Endpoint) -> None:
         self._endpoint = endpoint
 
     def setsockopt(self, level: int, option: int, value: int) -> None:
-        """Set an option; those that change nothing here are taken and left aside."""
+        """Set an option (times in ms or s as in the kernel); options without effect here are ignored."""
         options: StreamOptions = self._endpoint.options
         match (level, option):
             case (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT):
                 options.user_timeout = value / 1000
             case (socket.SOL_SOCKET, socket.SO_KEEPALIVE):
                 options.keepalive_idle = options.keepalive_idle or options.keepalive_every
-                self._endpoint.probe()
+                self._endpoint.start_keepalive()
             case (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE):
                 options.keepalive_idle = float(value)
             case (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL):
@@ -261,23 +265,25 @@
 
 
 class SimulatedTransport(asyncio.Transport):
-    """A protocol's side of a stream."""
+    """An asyncio transport on one endpoint of a stream."""
 
     def __init__(self, loop: SimulatedLoop, endpoint: Endpoint, protocol: asyncio.Protocol) -> None:
         super().__init__()
-        self._loop, self._endpoint, self._protocol = loop, endpoint, protocol
+        self._loop = loop
+        self._endpoint = endpoint
+        self._protocol = protocol
         self._closing = False
         protocol.connection_made(self)
         endpoint.attach(
             StreamHandlers(
                 received=lambda data: loop.enter(lambda: protocol.data_received(data)),
-                ended=lambda: loop.enter(self._ended),
-                lost=lambda error: loop.enter(lambda: self._lost(error)),
+                ended=lambda: loop.enter(self._eof_received),
+                lost=lambda error: loop.enter(lambda: self._connection_lost(error)),
             )
         )
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """The socket and the two addresses."""
+        """Return `socket`, `sockname` or `peername`; else the default."""
         assert self._endpoint.peer is not None
         known = {
             "socket": SimulatedSocket(self._endpoint),
@@ -287,45 +293,45 @@
         return known.get(name, default)
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Send bytes."""
+        """Queue bytes to be sent."""
         if not self._closing:
             self._endpoint.write(bytes(data))
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the peer's kernel has not taken."""
+        """Return the number of bytes that the peer's kernel has not acknowledged."""
         return self._endpoint.unsent
 
     def is_closing(self) -> bool:
-        """Whether the connection is ending or over."""
+        """Whether the connection is closing or closed."""
         return self._closing or self._endpoint.closed
 
     def close(self) -> None:
-        """End the connection once all is sent."""
+        """Close the connection once all queued bytes are sent."""
         if not self._closing:
             self._closing = True
             self._endpoint.close()
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection at once and drop queued bytes."""
         self._closing = True
         self._endpoint.abort()
 
     def pause_reading(self) -> None:
-        """Leave what comes in."""
+        """Stop delivering received bytes to the protocol."""
         self._endpoint.set_reading(False)
 
     def resume_reading(self) -> None:
-        """Take what comes in."""
+        """Deliver received bytes to the protocol again."""
         self._endpoint.set_reading(True)
 
     def is_reading(self) -> bool:
-        """Whether what comes in is taken."""
+        """Whether received bytes are delivered to the protocol."""
         return self._endpoint.reading
 
-    def _ended(self) -> None:
+    def _eof_received(self) -> None:
         if not self._protocol.eof_received():
             self.close()
 
-    def _lost(self, error: OSError | None) -> None:
+    def _connection_lost(self, error: OSError | None) -> None:
         self._closing = True
         self._protocol.connection_lost(error)
--- a/mallowbeam/simulation/loss_budget.py
+++ b/mallowbeam/simulation/loss_budget.py
@@ -1,27 +1,27 @@
-"""How many members are lost at one time, by the operators' fault model: a pure core.
+"""Counts the members that are lost at one time, by the operators' fault model; does no I/O.
 
-A member counts as lost while it is down, frozen, slowed or cut off, and for the catch-up time after it
-returns; one that is removed, until its successor has had that time. Times are true seconds.
+A member counts as lost while it is down, frozen, slow or partitioned, and for the catch-up time after its
+return; a removed one until its successor has had that time. Times are simulated seconds.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-CATCH_UP_S = 4.0
+CATCH_UP_S = 4.0  # that a member needs after its return
 
 
 class LossBudget:
-    """Members in trouble, and whether another one may be."""
+    """Tracks lost members and decides whether another member may be lost."""
 
     def __init__(self, tolerance: int) -> None:
         self.tolerance = tolerance
         self._until: dict[str, float] = {}  # when a member's catch-up time is over
         self._active: set[str] = set()
-        self.last_change = -inf  # when a trouble last began or ended
+        self.last_change = -inf  # when a fault last began or ended
 
     def begin(self, name: str, now: float) -> bool:
-        """Have a member be lost from now on, if it is in no trouble and few enough others count as lost."""
+        """Mark a member as lost; returns False if it already is or if the tolerance is used up."""
         if name in self._active or len(self._counted(now) - {name}) >= self.tolerance:
             return False
         self._active.add(name)
@@ -30,38 +30,38 @@
         return True
 
     def begin_all(self, names: list[str], now: float) -> None:
-        """Have all members be lost at once, with their disks kept: that is outside of the tolerance."""
+        """Mark all members as lost at once (disks intact); this exceeds the tolerance on purpose."""
         self._active.update(names)
         self._until.update(dict.fromkeys(names, inf))
         self.last_change = now
 
     def end(self, name: str, now: float) -> None:
-        """A member's trouble is over: it returned, or its successor started."""
+        """End a member's fault: it returned, or its successor started."""
         self._active.discard(name)
         self._until[name] = now + CATCH_UP_S
         self.last_change = now
 
     def removed(self, name: str, now: float, successor_at: float) -> None:
-        """A member ended for good, whose successor started at some earlier time."""
+        """Record that a member was removed for good; its successor started at `successor_at`."""
         self._active.discard(name)
         self._until[name] = max(now, successor_at + CATCH_UP_S)
         self.last_change = now
 
     def disturbed(self, now: float) -> None:
-        """Something else happened to the members, such as a start."""
+        """Record another event of the members, such as a start."""
         self.last_change = now
 
-    def in_trouble(self, name: str) -> bool:
-        """Whether a member is lost now, the catch-up time not counted."""
+    def is_lost(self, name: str) -> bool:
+        """Whether a member has a fault now, not counting the catch-up time."""
         return name in self._active
 
     @property
     def active(self) -> frozenset[str]:
-        """Members that are lost now, the catch-up time not counted."""
+        """Members that have a fault now, not counting the catch-up time."""
         return frozenset(self._active)
 
-    def calm_for(self, now: float) -> float:
-        """Seconds since something last happened to the members."""
+    def time_since_event(self, now: float) -> float:
+        """Seconds since the last event of any member."""
         return now - self.last_change
 
     def _counted(self, now: float) -> set[str]:
--- a/mallowbeam/simulation/machine.py
+++ b/mallowbeam/simulation/machine.py
@@ -1,4 +1,4 @@
-"""A simulated machine: one process, its steady clock, and what can happen to it."""
+"""A simulated machine: one process, its monotonic clock, and its faults."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class State(Enum):
-    """What the machine's process does."""
+    """State of the machine's process."""
 
     OFF = "off"
     RUNNING = "running"
@@ -17,14 +17,14 @@
 
 
 class End(Enum):
-    """How a process ended."""
+    """How a process ended; decides whether its peers get connection resets."""
 
-    KILLED = "killed"  # the machine goes on: its kernel closes the connections
-    POWER = "power"  # nobody is told
+    KILLED = "killed"  # the kernel survives and resets the connections
+    POWER = "power"  # the machine is off: peers get no reset
 
 
 class Timer:
-    """A step of a process that is due later, unless it is cancelled or the process ends before."""
+    """A scheduled step of a process; it does not run if cancelled or if the process ends first."""
 
     __slots__ = ("_event", "_step")
 
@@ -33,13 +33,13 @@
         self._event: Event | None = None
 
     def cancel(self) -> None:
-        """Have the step not run, also where it only waits for the process to be thawed."""
+        """Prevent the step from running, also if it is deferred until the process is thawed."""
         self._step = None
         if self._event is not None:
             self._event.cancel()
 
-    def planned(self, event: Event) -> None:
-        """The event that runs it."""
+    def scheduled(self, event: Event) -> None:
+        """Remember the simulator event that runs the step."""
         self._event = event
 
     def run(self) -> None:
@@ -50,39 +50,41 @@
 
 
 class Machine:
-    """A machine by its name. `boot` makes the process run; it is called at each start."""
+    """A named machine. `boot` runs at each start of the process."""
 
     def __init__(self, simulator: Simulator, name: str, boot: Step | None = None, ip: str = "") -> None:
-        self.simulator, self.name, self.ip = simulator, name, ip or name
+        self.simulator = simulator
+        self.name = name
+        self.ip = ip or name
         self.boot = boot
         self.state = State.OFF
-        self.powered = True  # the kernel answers, whether or not the process runs
-        self.incarnation = 0  # rises with each start
-        self.clock_rate = 1.0  # seconds of its steady clock in one true second
+        self.powered = True  # the kernel responds, whether or not the process runs
+        self.incarnation = 0  # incremented at each start
+        self.clock_rate = 1.0  # seconds of its monotonic clock per simulated second
         self.clock_offset = 0.0
-        self.step_cost = 0.0  # true seconds that each step of the process takes
+        self.step_cost = 0.0  # simulated seconds that each step of the process takes
         self._busy_until = 0.0
-        self._waiting: list[Timer] = []  # due while the process was frozen
+        self._waiting: list[Timer] = []  # deferred while the process is frozen
         self._end_listeners: list[Callable[[End], None]] = []
         self._thaw_listeners: list[Step] = []
 
-    # ------------------------------------------------------------ what its process sees
+    # ------------------------------------------------------------ clock and timers
 
     @property
     def running(self) -> bool:
-        """Whether the process takes steps."""
+        """Whether the process runs and is not frozen."""
         return self.state is State.RUNNING
 
     def clock(self) -> float:
-        """The steady clock, in seconds."""
+        """The monotonic clock of the process, in seconds."""
         return self.clock_offset + self.clock_rate * self.simulator.now
 
     def later(self, delay: float, step: Step) -> Timer:
-        """Have the process take a step after a delay in seconds of its own clock."""
+        """Schedule a step of the process after a delay in seconds of its own clock."""
         return self.after_true(max(0.0, delay) / self.clock_rate, step)
 
     def after_true(self, delay: float, step: Step) -> Timer:
-        """Have the process take a step after a delay in true seconds."""
+        """Schedule a step of the process after a delay in simulated seconds."""
         timer, incarnation = Timer(step), self.incarnation
 
         def due() -> None:
@@ -91,55 +93,56 @@
             if self.state is State.FROZEN:
                 self._waiting.append(timer)
             elif self.simulator.now < self._busy_until:
-                timer.planned(self.simulator.at(self._busy_until, due))
+                timer.scheduled(self.simulator.at(self._busy_until, due))
             else:
                 self._busy_until = self.simulator.now + self.step_cost
                 timer.run()
 
-        timer.planned(self.simulator.after(delay, due))
+        timer.scheduled(self.simulator.after(delay, due))
         return timer
 
-    # ------------------------------------------------------------ what happens to it
+    # ------------------------------------------------------------ life cycle and faults
 
     def on_end(self, listener: Callable[[End], None]) -> None:
-        """Tell of each end of a process."""
+        """Call a listener at each end of the process."""
         self._end_listeners.append(listener)
 
     def on_thaw(self, listener: Step) -> None:
-        """Tell of each time that a frozen process goes on."""
+        """Call a listener each time the frozen process resumes."""
         self._thaw_listeners.append(listener)
 
     def set_clock_rate(self, rate: float) -> None:
-        """Have the steady clock go faster or slower from now on."""
+        """Change the rate of the monotonic clock from now on."""
         self.clock_offset += (self.clock_rate - rate) * self.simulator.now
         self.clock_rate = rate
 
     def start(self) -> None:
-        """Start the process, where none runs."""
+        """Start the process, unless it runs already."""
         if self.state is not State.OFF:
             return
-        self.state, self.powered = State.RUNNING, True
+        self.state = State.RUNNING
+        self.powered = True
         self._busy_until = self.simulator.now
         self.incarnation += 1
         if self.boot is not None:
             self.boot()
 
     def kill(self) -> None:
-        """End the process; its kernel closes what was open."""
+        """End the process; the kernel resets its connections."""
         self._end(End.KILLED)
 
     def power_off(self) -> None:
-        """The machine loses power, until it is started."""
+        """Turn the machine off until it is started again."""
         self.powered = False
         self._end(End.POWER)
 
     def freeze(self) -> None:
-        """Stop the process at this instant; the kernel goes on."""
+        """Suspend the process; the kernel keeps running."""
         if self.state is State.RUNNING:
             self.state = State.FROZEN
 
     def thaw(self) -> None:
-        """Let a frozen process go on: what became due meanwhile is run in its order."""
+        """Resume a frozen process and run its deferred steps in order."""
         if self.state is not State.FROZEN:
             return
         self.state = State.RUNNING
--- a/mallowbeam/simulation/network.py
+++ b/mallowbeam/simulation/network.py
@@ -1,4 +1,4 @@
-"""Paths between machines: delay, loss, duplicates, order, and cuts that may be one-way."""
+"""Network paths between machines: delay, loss, duplication, reordering, and one-way or full partitions."""
 
 from __future__ import annotations
 
@@ -10,30 +10,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Path:
-    """How one way from one machine to another behaves."""
+    """Properties of the path from one machine to another, one direction."""
 
     least_delay: float = 0.0005  # seconds
     most_delay: float = 0.003
-    loss: float = 0.0  # share of messages
-    duplicates: float = 0.0
-    reordered: bool = False  # else what takes one way arrives in its order
-    bandwidth: float = 0.0  # bytes a second that streams carry; 0: any number
+    loss: float = 0.0  # probability that a message is lost
+    duplicates: float = 0.0  # probability that a message arrives twice
+    reordered: bool = False  # False: messages of one direction arrive in order
+    bandwidth: float = 0.0  # bytes per second for streams; 0: unlimited
 
 
 class Network:
-    """All machines by name and the paths between them. Datagrams are sent here, streams in `stream`."""
+    """All machines by name and the paths between them; sends datagrams (streams are in `stream`)."""
 
     def __init__(self, simulator: Simulator, path: Path | None = None) -> None:
         self.simulator = simulator
         self.machines: dict[str, Machine] = {}
         self.default = path or Path()
         self._paths: dict[tuple[str, str], Path] = {}
-        self._cuts: set[tuple[str, str]] = set()
+        self._partitions: set[tuple[str, str]] = set()
         self._arrival: dict[tuple[str, str], float] = {}
-        self._busy_until: dict[tuple[str, str], float] = {}  # ways with a bandwidth: with what was sent
+        self._busy_until: dict[
+            tuple[str, str], float
+        ] = {}  # paths with limited bandwidth: until all queued bytes are sent
 
     def add(self, machine: Machine) -> Machine:
-        """Take a machine in."""
+        """Add a machine; its name must be new."""
         assert machine.name not in self.machines, machine.name
         self.machines[machine.name] = machine
         return machine
@@ -41,40 +43,42 @@
     # ------------------------------------------------------------ paths
 
     def path(self, sender: str, recipient: str) -> Path:
-        """The way from one machine to another."""
+        """The path from one machine to another."""
         return self._paths.get((sender, recipient), self.default)
 
     def set_path(self, one: str, other: str, path: Path, both: bool = True) -> None:
-        """Have a path behave otherwise than the default one."""
+        """Replace the default path between two machines, in one or both directions."""
         self._paths[one, other] = path
         if both:
             self._paths[other, one] = path
 
-    def cut(self, one: str, other: str, both: bool = True) -> None:
-        """Let nothing pass from one machine to another."""
+    def partition(self, one: str, other: str, both: bool = True) -> None:
+        """Drop everything between two machines, in one or both directions."""
         if one != other:
-            self._cuts.add((one, other))
+            self._partitions.add((one, other))
             if both:
-                self._cuts.add((other, one))
+                self._partitions.add((other, one))
 
     def isolate(self, name: str) -> None:
-        """Cut a machine off from all others."""
+        """Partition a machine from all others."""
         for other in self.machines:
-            self.cut(name, other)
+            self.partition(name, other)
 
     def heal(self, one: str | None = None, other: str | None = None) -> None:
-        """End all cuts, or those of one machine, or those between two; delays and loss stay."""
+        """End all partitions, those of one machine, or those between two; delays and loss stay."""
         if one is None:
-            self._cuts.clear()
+            self._partitions.clear()
             return
-        self._cuts = {cut for cut in self._cuts if one not in cut or (other is not None and other not in cut)}
+        self._partitions = {
+            pair for pair in self._partitions if one not in pair or (other is not None and other not in pair)
+        }
 
     def passes(self, sender: str, recipient: str) -> bool:
-        """Whether anything gets from one machine to another now."""
-        return (sender, recipient) not in self._cuts
+        """Whether messages pass from one machine to another now."""
+        return (sender, recipient) not in self._partitions
 
     def delay(self, sender: str, recipient: str, size: int = 0) -> float:
-        """Seconds that the next `size` bytes on a way take, by its order if it keeps one."""
+        """Draw the delay in seconds of the next `size` bytes, respecting the order of the path."""
         path, now = self.path(sender, recipient), self.simulator.now
         sent = self._sent_at(sender, recipient, size / path.bandwidth) if path.bandwidth else now
         arrival = sent + self.simulator.random.uniform(path.least_delay, path.most_delay)
@@ -84,20 +88,20 @@
         return arrival - now
 
     def _sent_at(self, sender: str, recipient: str, seconds: float) -> float:
-        """When bytes that take so many seconds have left, behind those that wait."""
+        """Time at which bytes that need `seconds` of bandwidth have been sent, behind those queued."""
         begins = max(self.simulator.now, self._busy_until.get((sender, recipient), 0.0))
         self._busy_until[sender, recipient] = begins + seconds
         return begins + seconds
 
     def drop_waiting(self, sender: str, recipient: str) -> None:
-        """Forget bytes that wait for a way: their connection is over."""
+        """Drop the bytes queued for a path, as their connection has ended."""
         self._busy_until.pop((sender, recipient), None)
         self._arrival.pop((sender, recipient), None)
 
     # ------------------------------------------------------------ datagrams
 
     def send(self, sender: Machine, recipient: str, deliver: Step) -> None:
-        """Send a message: `deliver` is a step of the recipient's process, run never, once or more often."""
+        """Send a datagram; `deliver` runs as a step of the recipient's process zero, one or two times."""
         path, random = self.path(sender.name, recipient), self.simulator.random
         copies = 2 if random.random() < path.duplicates else 1
         for _ in range(copies):
--- a/mallowbeam/simulation/replica.py
+++ b/mallowbeam/simulation/replica.py
@@ -1,4 +1,4 @@
-"""What is durable on a member's simulated disk, by the rules that `consensus.interface.Write` states."""
+"""A member's durable Raft state on a simulated disk, by the rules of `consensus.interface.Write`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
         self.identity = identity
         self.snapshot = snapshot
         self.hard_state = HardState()
-        self.entries: list[Entry] = []  # behind the snapshot
+        self.entries: list[Entry] = []  # after the snapshot
 
     @property
     def last_index(self) -> int:
@@ -33,13 +33,13 @@
             self.hard_state = write.hard_state
 
     def restored(self) -> PersistentState:
-        """What a member starts from."""
+        """The state from which a member starts."""
         return PersistentState(self.hard_state, self.snapshot, tuple(self.entries))
 
     def _put_snapshot(self, snapshot: Snapshot) -> None:
-        """Entries behind a snapshot stay where they follow from it."""
-        held = self.snapshot.index < snapshot.index <= self.last_index
-        if held and self.entries[snapshot.index - self.snapshot.index - 1].term == snapshot.term:
+        """Install a snapshot; keeps the entries after it if they continue the same history."""
+        covered = self.snapshot.index < snapshot.index <= self.last_index
+        if covered and self.entries[snapshot.index - self.snapshot.index - 1].term == snapshot.term:
             del self.entries[: snapshot.index - self.snapshot.index]
         elif snapshot.index != self.snapshot.index:
             self.entries = []
--- a/mallowbeam/simulation/scenario.py
+++ b/mallowbeam/simulation/scenario.py
@@ -1,17 +1,19 @@
-"""Scenarios as text files, and their player.
+"""Scenarios as text files, and the player that runs them.
 
-A file has one statement a line; what follows a ``#`` is a comment. Times are in seconds::
+A file has one statement per line; a ``#`` starts a comment. Times are in seconds::
 
-    seed 7                              of the run; 1 where it is not given
-    WORD NAMES...                       a declaration, such as the machines; before all that follows
+    seed 7                              of the run; default 1
+    WORD NAMES...                       a declaration, such as the machines; comes first
     at 5 COMMAND ...                    a command at that time; commands run in the order of the file
-    at 5 expect CONDITION               holds at that time
-    by 9 expect CONDITION               comes to hold until then; goes on at the moment at which it does
-    always CONDITION from 5 to 9        holds after each event between the two times
-    never CONDITION from 5 to 9         does not hold after any event between the two times
+    at 5 expect CONDITION               the condition is true at that time
+    by 9 expect CONDITION               the condition becomes true by then; the run
+                                        continues at that moment
+    always CONDITION from 5 to 9        the condition is true after each event in the interval
+    never CONDITION from 5 to 9         the condition is false after each event in the interval
     end 20
 
-Declarations, commands and conditions are methods of a player: ``declare_WORD``, ``do_COMMAND`` and ``holds``.
+Declarations and commands are methods of a player, ``declare_WORD`` and ``do_COMMAND``; :data:`METHOD_NAMES`
+lists the words whose method has another name. Conditions are evaluated by ``holds``.
 """
 
 from __future__ import annotations
@@ -24,34 +26,40 @@
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.simulation.clock import Simulator
 
+METHOD_NAMES = {  # by kind and word of the scenario files, where the method has another name
+    ("do", "cut"): "do_partition",
+    ("do", "mend-disk"): "do_repair_disk",
+    ("do", "term"): "do_terminate",
+}
+
 
 class ScenarioError(MallowbeamError):
-    """A scenario's text can't be played; `where` is its line."""
+    """A scenario's text is invalid; `where` is its line."""
 
     code = "SCENARIO"
     remedy = "mend the line that is named; mallowbeam/simulation/scenario.py states what a line may hold"
 
 
-class Violation(AssertionError):
-    """A condition of a scenario, or an invariant of its world, that does not hold."""
+class ViolationError(AssertionError):
+    """A condition of a scenario, or an invariant of the simulated system, is violated."""
 
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """One line."""
+    """One statement of a scenario."""
 
     line: int
     words: tuple[str, ...]
 
     @property
     def text(self) -> str:
-        """The line as it was read."""
+        """The statement's words, joined by spaces."""
         return " ".join(self.words)
 
 
 @dataclass(frozen=True, slots=True)
 class Invariant:
-    """An `always` or `never`."""
+    """An `always` or `never` statement; times in seconds."""
 
     statement: Statement
     condition: tuple[str, ...]
@@ -61,16 +69,16 @@
 
 
 def read_statements(text: str) -> list[Statement]:
-    """The statements of a scenario's text."""
+    """Parse the statements of a scenario's text."""
     lines = ((number, line.partition("#")[0].split()) for number, line in enumerate(text.splitlines(), 1))
     return [Statement(number, tuple(words)) for number, words in lines if words]
 
 
 class ScenarioPlayer:
-    """Plays a scenario on simulated time. Subclasses add what can be declared, done and asked."""
+    """Plays a scenario in simulated time; subclasses add declarations, commands and conditions."""
 
     def __init__(self, text: str) -> None:
-        """Read the text; raises :class:`ScenarioError`."""
+        """Parse the text; raises :class:`ScenarioError`."""
         self.statements = read_statements(text)
         self.simulator = Simulator(self._seed())
         self.invariants = [
@@ -82,23 +90,23 @@
         self.prepare()
 
     def prepare(self) -> None:
-        """Make what the declarations need; called once, before them."""
+        """Create the state that declarations need; called once, before them."""
 
     def holds(self, words: Sequence[str]) -> bool:
-        """Whether a condition holds now; raises LookupError or ValueError where it is none."""
+        """Whether a condition is true now; raises LookupError or ValueError if it is unknown."""
         raise ValueError("no condition")
 
     def state(self) -> str:
-        """What a violation tells of the world."""
+        """Describe the simulated system, for the message of a violation."""
         return ""
 
     def play(self) -> None:
-        """Run all statements; raises :class:`Violation` or :class:`ScenarioError`, each with its line."""
+        """Run all statements; raises :class:`ViolationError` or :class:`ScenarioError` with the line."""
         for statement in self.statements:
             try:
                 self._run(statement)
-            except Violation as violation:
-                raise Violation(f"line {statement.line}: {violation}") from violation.__cause__
+            except ViolationError as violation:
+                raise ViolationError(f"line {statement.line}: {violation}") from violation.__cause__
             except (LookupError, TypeError, ValueError) as error:
                 raise ScenarioError(f"{statement.text}: {error}", f"line {statement.line}") from error
 
@@ -110,7 +118,7 @@
                 pass
             case ("at", time, "expect", *condition):
                 self.simulator.run_until(float(time))
-                self._demand(condition)
+                self._expect(condition)
             case ("by", time, "expect", *condition):
                 self._await(condition, float(time))
             case ("at", time, command, *arguments):
@@ -122,12 +130,13 @@
                 self._method("declare", word)(*names)
 
     def _method(self, kind: str, word: str) -> Callable[..., None]:
-        method: Callable[..., None] | None = getattr(self, f"{kind}_{word.replace('-', '_')}", None)
+        name = METHOD_NAMES.get((kind, word), f"{kind}_{word.replace('-', '_')}")
+        method: Callable[..., None] | None = getattr(self, name, None)
         if method is None:
             raise LookupError(f"no {'command' if kind == 'do' else 'declaration'} {word!r}")
         return method
 
-    def _demand(self, condition: Sequence[str]) -> None:
+    def _expect(self, condition: Sequence[str]) -> None:
         if not self.holds(condition):
             raise self._violation(f"not {' '.join(condition)}")
 
@@ -135,14 +144,14 @@
         if self.simulator.run_while(lambda: not self.holds(condition), until):
             raise self._violation(f"not {' '.join(condition)} in time")
 
-    def _violation(self, what: str) -> Violation:
+    def _violation(self, what: str) -> ViolationError:
         state = self.state()
-        return Violation(
+        return ViolationError(
             f"{self.simulator.now:.3f} s, seed {self.simulator.seed}: {what}"
             + (f"\n{state}" if state else "")
         )
 
-    # ------------------------------------------------------------ the rest of the text
+    # ------------------------------------------------------------ seed and invariants
 
     def _seed(self) -> int:
         for statement in self.statements:
@@ -164,13 +173,13 @@
 
     def _check_invariants(self) -> None:
         for invariant in self.invariants:
-            if invariant.begin <= self.simulator.now <= invariant.end:
-                if self.holds(invariant.condition) is not invariant.wanted:
-                    raise self._violation(f"{invariant.statement.text} (line {invariant.statement.line})")
+            active = invariant.begin <= self.simulator.now <= invariant.end
+            if active and self.holds(invariant.condition) is not invariant.wanted:
+                raise self._violation(f"{invariant.statement.text} (line {invariant.statement.line})")
 
 
 def scenario_tests(folder: Path, player: type[ScenarioPlayer]) -> type[unittest.TestCase]:
-    """A test case with one test for each scenario file of a folder."""
+    """Build a test case with one test per scenario file of a folder."""
     methods: dict[str, Callable[[unittest.TestCase], None]] = {}
     for path in sorted(folder.glob("*.txt")):
         methods[f"test_{path.stem}"] = _test_of(path.name, path.read_text(), player)
--- a/mallowbeam/simulation/stream.py
+++ b/mallowbeam/simulation/stream.py
@@ -1,10 +1,9 @@
-"""Byte streams between simulated machines, with TCP's ways of ending.
+"""Byte streams between simulated machines that fail the way TCP connections do.
 
-What is sent arrives in order or not at all. Bytes that a cut or a loss holds up are sent again after
-growing pauses; a sender whose bytes stay unacknowledged for its user time-out, and one whose probes stay
-unanswered, is told that the connection is over. A process that ends has its connections reset by its
-kernel; a machine without power says nothing, and resets what it is asked about once it is up again. A
-peer that does not read fills its window.
+Bytes arrive in order or not at all. Segments lost on the way are retransmitted with exponential backoff; a
+connection is lost when a segment stays unacknowledged for the user time-out or when keep-alive probes stay
+unanswered. The kernel resets the connections of a process that ends; a machine that is off does not respond
+and resets old connections once it is on again. A peer that does not read fills its receive window.
 """
 
 from __future__ import annotations
@@ -17,27 +16,27 @@
 from mallowbeam.simulation.machine import End, Machine
 from mallowbeam.simulation.network import Network
 
-FIRST_RETRY_S = 0.2  # before unacknowledged bytes are sent again; doubles up to the longest
+FIRST_RETRY_S = 0.2  # until the first retransmission; doubles up to the longest
 LONGEST_RETRY_S = 60.0
-LEAST_PAUSE_S = 0.001
-WINDOW_BYTES = 64 * 1024  # that a process which does not read is sent at most
-SEGMENT_BYTES = 16 * 1024  # on a path with a bandwidth, where what is sent takes time
-NO_TIMEOUT_S = 900.0  # user time-out where none is set
+SHORTEST_RETRY_S = 0.001
+WINDOW_BYTES = 64 * 1024  # receive window of a process that does not read
+SEGMENT_BYTES = 16 * 1024  # segment size on a path with limited bandwidth
+NO_TIMEOUT_S = 900.0  # default user time-out
 
 
 @dataclass(slots=True)
 class _Segment:
-    """Bytes under way; None: the end of what is sent."""
+    """Bytes in flight; `data` is None for the end of the stream."""
 
     number: int
     data: bytes | None
     since: float
-    arrives: float = 0.0  # when it last sent reaches the peer; past where it was lost
+    arrives: float = 0.0  # when the last transmission reaches the peer; in the past if it was lost
 
 
 @dataclass(slots=True)
 class StreamOptions:
-    """What a process may set on its end of a stream, in seconds."""
+    """Socket options of one endpoint; times in seconds."""
 
     user_timeout: float = NO_TIMEOUT_S
     keepalive_idle: float | None = None  # None: no probes
@@ -46,66 +45,68 @@
 
 
 def _nothing(*_: object) -> None:
-    """Nobody listens yet."""
+    """Default handler before a process attaches."""
 
 
 @dataclass(slots=True)
 class StreamHandlers:
-    """What a process is told of its end of a stream, each as one step of it."""
+    """Callbacks of the process that owns an endpoint, each run as one step."""
 
     received: Callable[[bytes], None] = _nothing
-    ended: Callable[[], None] = _nothing  # the peer sends nothing more
-    lost: Callable[[OSError | None], None] = _nothing  # the last word; None after a close of its own
+    ended: Callable[[], None] = _nothing  # end of the peer's stream
+    lost: Callable[[OSError | None], None] = _nothing  # last callback; None after its own close
 
 
 class Endpoint:
-    """One end of a stream."""
+    """One endpoint of a stream."""
 
     def __init__(self, network: Network, machine: Machine, port: int) -> None:
-        self._network, self.machine, self.port = network, machine, port
+        self._network = network
+        self.machine = machine
+        self.port = port
         self._simulator = network.simulator
         self.peer: Endpoint | None = None
         self.options = StreamOptions()
         self.handlers = StreamHandlers()
-        self.closed = False  # nothing is sent or taken any more
-        self._finished = False  # the end of what is sent is queued
+        self.closed = False  # nothing is sent or received any more
+        self._finished = False  # the end of the stream is queued
         self._sent, self._expected = 0, 0  # segments
         self._unacknowledged: deque[_Segment] = deque()
-        self._early: dict[int, bytes | None] = {}  # that came before what is in front of them
-        self._unread = 0  # bytes that the kernel holds for the process
-        self._window_full = False  # something was refused since, because of them
-        self._held: deque[bytes | None] = deque()  # likewise, while the process does not want to read
+        self._out_of_order: dict[int, bytes | None] = {}  # received before earlier segments
+        self._unread = 0  # bytes received but not read by the process
+        self._window_was_full = False  # a segment was dropped because the window was full
+        self._undelivered: deque[bytes | None] = deque()  # received in order while reading is paused
         self.reading = self._attached = False
         self._error: OSError | None = None
-        self._heard_at = self._simulator.now
-        self._progress_at = 0.0  # of the last acknowledgement
+        self._last_received_at = self._simulator.now
+        self._progress_at = 0.0  # time of the last acknowledgement
         self._retry: Event | None = None
-        self._retry_pause = FIRST_RETRY_S
-        self._probe: Event | None = None
+        self._retry_backoff = FIRST_RETRY_S
+        self._keepalive: Event | None = None
 
-    # ------------------------------------------------------------ what the process does
+    # ------------------------------------------------------------ interface of the process
 
     @property
     def address(self) -> tuple[str, int]:
-        """IP and port."""
+        """IP address and port."""
         return self.machine.ip, self.port
 
     @property
     def unsent(self) -> int:
-        """Bytes that the peer's kernel has not taken."""
+        """Number of bytes that the peer's kernel has not acknowledged."""
         return sum(len(segment.data) for segment in self._unacknowledged if segment.data is not None)
 
     def attach(self, handlers: StreamHandlers) -> None:
-        """Begin to take what comes in; it has waited until now."""
+        """Attach the process's handlers and deliver what was received before."""
         self.handlers = handlers
         self._attached = True
         if self.closed:
-            self._end(self._error)
+            self._close_with(self._error)
         else:
             self.set_reading(True)
 
     def write(self, data: bytes) -> None:
-        """Send bytes."""
+        """Queue bytes to be sent."""
         if not data or self.closed or self._finished:
             return
         limited = self._network.path(self.machine.name, self._peer.machine.name).bandwidth > 0
@@ -114,28 +115,28 @@
             self._queue(data[start : start + step])
 
     def close(self) -> None:
-        """Send what is queued and the end; the process is told that the connection is over."""
+        """Send what is queued and the end of the stream; `lost` is called once all is acknowledged."""
         if not self.closed and not self._finished:
             self._finished = True
             self._queue(None)
 
     def abort(self) -> None:
-        """End the connection at once; what waits is dropped."""
+        """Reset the connection at once; queued bytes are dropped."""
         if self.closed:
             return
-        self._end(None)
+        self._close_with(None)
         self._reset_peer()
 
     def set_reading(self, reading: bool) -> None:
-        """Take or leave what comes in."""
+        """Resume or pause the delivery of received bytes."""
         self.reading = reading
-        while self.reading and self._held and not self.closed:
-            self._hand_over(self._held.popleft())
+        while self.reading and self._undelivered and not self.closed:
+            self._deliver(self._undelivered.popleft())
 
-    def probe(self) -> None:
-        """Begin to look after the peer by the options, at once after they were set."""
-        if self.options.keepalive_idle is not None and self._probe is None and not self.closed:
-            self._probe = self._simulator.after(self.options.keepalive_idle, self._look_after_peer)
+    def start_keepalive(self) -> None:
+        """Start keep-alive probes as the options say."""
+        if self.options.keepalive_idle is not None and self._keepalive is None and not self.closed:
+            self._keepalive = self._simulator.after(self.options.keepalive_idle, self._send_keepalive_probe)
 
     # ------------------------------------------------------------ sending
 
@@ -145,7 +146,7 @@
         self._unacknowledged.append(segment)
         self._transmit(segment)
         if self._retry is None:
-            self._plan_retry()
+            self._schedule_retry()
 
     def _transmit(self, segment: _Segment) -> None:
         peer = self._peer
@@ -155,48 +156,50 @@
             segment.arrives = self._simulator.now + delay
             self._simulator.after(delay, lambda: peer._arrive(segment))
 
-    def _plan_retry(self) -> None:
-        self._retry = self._simulator.after(self._retry_pause, self._send_again)
+    def _schedule_retry(self) -> None:
+        self._retry = self._simulator.after(self._retry_backoff, self._retransmit)
 
-    def _send_again(self) -> None:
+    def _retransmit(self) -> None:
         self._retry = None
         if self.closed or not self._unacknowledged:
             return
-        unheard_since = max(self._unacknowledged[0].since, self._progress_at)
-        if self._simulator.now - unheard_since >= self.options.user_timeout:
-            self._end(TimeoutError("connection timed out"))
+        unacknowledged_since = max(self._unacknowledged[0].since, self._progress_at)
+        if self._simulator.now - unacknowledged_since >= self.options.user_timeout:
+            self._close_with(TimeoutError("connection timed out"))
             return
-        self._transmit_waiting()
-        self._retry_pause = min(2 * self._retry_pause, LONGEST_RETRY_S)
-        due = unheard_since + self.options.user_timeout - self._simulator.now
-        self._retry = self._simulator.after(min(self._retry_pause, max(due, LEAST_PAUSE_S)), self._send_again)
-
-    def _transmit_waiting(self) -> None:
-        """Send again what is neither acknowledged nor on its way."""
+        self._retransmit_lost()
+        self._retry_backoff = min(2 * self._retry_backoff, LONGEST_RETRY_S)
+        due = unacknowledged_since + self.options.user_timeout - self._simulator.now
+        self._retry = self._simulator.after(
+            min(self._retry_backoff, max(due, SHORTEST_RETRY_S)), self._retransmit
+        )
+
+    def _retransmit_lost(self) -> None:
+        """Retransmit segments that are neither acknowledged nor in flight."""
         for segment in self._unacknowledged:
             if segment.arrives <= self._simulator.now:
                 self._transmit(segment)
 
     def _acknowledged(self, number: int) -> None:
-        """The peer's kernel has all segments up to a number."""
+        """Handle the acknowledgement of all segments up to a number."""
         if self.closed:
             return
-        self._heard_at = self._simulator.now
+        self._last_received_at = self._simulator.now
         ended = False
         while self._unacknowledged and self._unacknowledged[0].number <= number:
             ended = self._unacknowledged.popleft().data is None
-            self._retry_pause = FIRST_RETRY_S
+            self._retry_backoff = FIRST_RETRY_S
             self._progress_at = self._simulator.now
         if not self._unacknowledged and self._retry is not None:
             self._retry.cancel()
             self._retry = None
         if ended:
-            self._end(None)
+            self._close_with(None)
 
     # ------------------------------------------------------------ receiving
 
     def _arrive(self, segment: _Segment) -> None:
-        """A segment reaches this machine."""
+        """Handle a segment that reaches this machine."""
         peer = self._peer
         if not self.machine.powered or not peer._passes_to(self):
             return
@@ -206,24 +209,24 @@
             else:
                 self._reset_peer()
             return
-        self._heard_at = self._simulator.now
+        self._last_received_at = self._simulator.now
         if segment.number >= self._expected:
             if self._unread >= WINDOW_BYTES:
-                self._window_full = True
+                self._window_was_full = True
                 return
-            self._early[segment.number] = segment.data
-        while self._expected in self._early:
-            self._take(self._early.pop(self._expected))
+            self._out_of_order[segment.number] = segment.data
+        while self._expected in self._out_of_order:
+            self._accept(self._out_of_order.pop(self._expected))
         self._acknowledge(self._expected - 1)
 
-    def _take(self, data: bytes | None) -> None:
-        """The next bytes in order, or the end, are here."""
+    def _accept(self, data: bytes | None) -> None:
+        """Accept the next segment in order (None: the end of the stream)."""
         self._expected += 1
         self._unread += len(data or b"")
-        if self.reading and not self._held:
-            self._hand_over(data)
+        if self.reading and not self._undelivered:
+            self._deliver(data)
         else:
-            self._held.append(data)
+            self._undelivered.append(data)
 
     def _acknowledge(self, number: int) -> None:
         peer = self._peer
@@ -231,8 +234,8 @@
             delay = self._network.delay(self.machine.name, peer.machine.name)
             self._simulator.after(delay, lambda: peer._acknowledged(number))
 
-    def _hand_over(self, data: bytes | None) -> None:
-        """Have the process take bytes, or the end, in a step of its own."""
+    def _deliver(self, data: bytes | None) -> None:
+        """Deliver bytes, or the end of the stream, as a step of the process."""
 
         def take() -> None:
             self._unread -= len(data or b"")
@@ -247,33 +250,34 @@
         self.machine.after_true(0.0, take)
 
     def _open_window(self) -> None:
-        """Have the peer send at once what there was no room for."""
-        if self._window_full and self._unread < WINDOW_BYTES and self._passes_to(self._peer):
-            self._window_full = False
+        """Have the peer retransmit what did not fit into the window."""
+        if self._window_was_full and self._unread < WINDOW_BYTES and self._passes_to(self._peer):
+            self._window_was_full = False
             delay = self._network.delay(self.machine.name, self._peer.machine.name)
-            self._simulator.after(delay, self._peer._transmit_waiting)
+            self._simulator.after(delay, self._peer._retransmit_lost)
 
-    # ------------------------------------------------------------ ends
+    # ------------------------------------------------------------ closing
 
     def process_ended(self, end: End) -> None:
-        """The process that has this end is gone."""
+        """Close the endpoint because its process ended; a killed one resets the peer."""
         if not self.closed:
             self.closed = True
             self._stop_events()
             if end is End.KILLED:
                 self._reset_peer()
 
-    def _end(self, error: OSError | None) -> None:
-        self.closed, self._error = True, error
+    def _close_with(self, error: OSError | None) -> None:
+        self.closed = True
+        self._error = error
         self._stop_events()
         if self._attached:
             self.machine.after_true(0.0, lambda: self.handlers.lost(error))
 
     def _stop_events(self) -> None:
-        for event in (self._retry, self._probe):
+        for event in (self._retry, self._keepalive):
             if event is not None:
                 event.cancel()
-        self._retry = self._probe = None
+        self._retry = self._keepalive = None
         if self._unacknowledged:
             self._network.drop_waiting(self.machine.name, self._peer.machine.name)
         self._unacknowledged.clear()
@@ -286,11 +290,11 @@
 
     def _reset(self) -> None:
         if not self.closed and self.machine.powered:
-            self._end(ConnectionResetError("connection reset by peer"))
+            self._close_with(ConnectionResetError("connection reset by peer"))
 
-    def _look_after_peer(self) -> None:
-        """Probe a peer that was not heard for a while."""
-        self._probe = None
+    def _send_keepalive_probe(self) -> None:
+        """Probe the peer and close the connection if it has been idle for too long."""
+        self._keepalive = None
         options, peer = self.options, self._peer
         if self.closed or options.keepalive_idle is None:
             return
@@ -298,13 +302,13 @@
             if peer.closed:
                 self._simulator.after(self._network.delay(peer.machine.name, self.machine.name), self._reset)
             else:
-                self._heard_at = self._simulator.now
-        silence = self._simulator.now - self._heard_at
-        most = options.keepalive_idle + options.keepalive_every * options.keepalive_probes
-        if silence >= min(most, max(options.user_timeout, options.keepalive_idle)):
-            self._end(TimeoutError("connection timed out"))
+                self._last_received_at = self._simulator.now
+        idle = self._simulator.now - self._last_received_at
+        limit = options.keepalive_idle + options.keepalive_every * options.keepalive_probes
+        if idle >= min(limit, max(options.user_timeout, options.keepalive_idle)):
+            self._close_with(TimeoutError("connection timed out"))
             return
-        self._probe = self._simulator.after(options.keepalive_every, self._look_after_peer)
+        self._keepalive = self._simulator.after(options.keepalive_every, self._send_keepalive_probe)
 
     @property
     def _peer(self) -> Endpoint:
--- a/mallowbeam/simulation/walk_callers.py
+++ b/mallowbeam/simulation/walk_callers.py
@@ -1,4 +1,4 @@
-"""What operators, instances and gateways do in a random walk."""
+"""Requests of operators, reports of instances and faults of gateways in a random walk."""
 
 from __future__ import annotations
 
@@ -8,87 +8,99 @@
 
 from mallowbeam.simulation.clock import Step
 from mallowbeam.simulation.fleet import FleetPlayer
-from mallowbeam.simulation.fleet_operators import Operator
-from mallowbeam.simulation.walk_members import MemberTroubles
+from mallowbeam.simulation.fleet_callers import InstanceState
+from mallowbeam.simulation.fleet_operators import Operator, OrderState
+from mallowbeam.simulation.walk_members import MemberFaults
 
 OPERATORS = ("operator", "second", "third")
-MOST_LAUNCHES = 10
+LAUNCH_LIMIT = 10
 LARGE_BYTES = (20_000, 100_000, 300_000)
 LARGEST_BYTES = 2_000_000
-LOST_ANSWERS = (0.0, 0.0, 0.3, 0.7)
-FAR_AHEAD = 60  # of the newest revision, that of a change on a version to come
-LONGEST_GATEWAY_TROUBLE_S = 5.0
+ANSWER_LOSS_RATES = (0.0, 0.0, 0.3, 0.7)
+FUTURE_REVISION_GAP = 60  # from the newest revision to that of a change based on a future version
+LONGEST_GATEWAY_FAULT_S = 5.0
+LONGEST_GATEWAY_RESTART_S = 0.2
+STALE_BASE_BOUND = 0.06  # below it a change is based on the previous version
+FUTURE_BASE_BOUND = 0.1  # from there up to here on a future one
+SAME_REVISION_PROBABILITY = 0.5
+LARGE_BODY_PROBABILITY = 0.1
+LAUNCH_PROBABILITY = 0.5
+PARTITIONED_MEMBER_PROBABILITY = 0.7  # that a retiring instance reports to a partitioned member
 
 
 class Callers:
-    """Draws their actions."""
+    """Draws the actions of operators, instances and gateways."""
 
     def __init__(
         self, player: FleetPlayer, random: Random, gateway_events: dict[str, float], large: bool
     ) -> None:
-        self.player, self._random, self._events = player, random, gateway_events
+        self.player = player
+        self._random = random
+        self._events = gateway_events
         self._large = large
         self._revision = 1
         self._launched = 0
-        self.troubles: MemberTroubles | None = None
+        self.member_faults: MemberFaults | None = None
         for name in OPERATORS[1:]:
             player.do_operator(name)
 
     # ------------------------------------------------------------ operators
 
     def newest(self) -> int:
-        """The newest revision that any operator knows to be acknowledged."""
+        """The newest revision that was acknowledged to any operator."""
         return max(operator.acknowledged for operator in self.player.operators.values())
 
-    def change(self) -> None:
-        """One change; now and then on an old version, on one that is to come, or of a large body."""
+    def submit_change(self) -> None:
+        """Submit a change; sometimes based on an old or a future version, or with a large body."""
         draw = self._random.random()
         based_on = self.newest()
-        if draw < 0.06:
+        if draw < STALE_BASE_BOUND:
             based_on = max(0, based_on - 1)
-        elif draw < 0.1:
-            self._change_of_a_version_to_come()
+        elif draw < FUTURE_BASE_BOUND:
+            self._submit_future_change()
             return
         self._put(self._operator(), based_on, "", False)
 
-    def _change_of_a_version_to_come(self) -> None:
-        """It must be refused, and stay so when that version is in force."""
+    def _submit_future_change(self) -> None:
+        """Submit a change that must be rejected, also once its base version is in force."""
         operator = self._operator()
-        revision = self._revision + FAR_AHEAD
+        revision = self._revision + FUTURE_REVISION_GAP
         if revision not in operator.orders:
             operator.put(revision, self._revision + self._random.randint(1, 4))
 
-    def race(self) -> None:
-        """Two operators on the same version, perhaps under the same number."""
+    def submit_racing_changes(self) -> None:
+        """Submit changes of two operators based on one version, sometimes with the same revision."""
         first, second = self._random.sample(list(self.player.operators.values()), 2)
         based_on = self.newest()
         self._put(first, based_on, "", False)
-        if self._random.random() < 0.5:
+        if self._random.random() < SAME_REVISION_PROBABILITY:
             self._revision -= 1
         self._put(second, based_on, "", False, least=1)
 
-    def put_at(self, member: str, count: int, hard: bool) -> None:
-        """Changes of one version at one member, each of another operator."""
+    def put_at(self, member: str, count: int, only: bool) -> None:
+        """Submit `count` changes of different operators based on one version at one member."""
         based_on = self.newest()
         for operator in self._random.sample(list(self.player.operators.values()), count):
-            self._put(operator, based_on, member, hard)
+            self._put(operator, based_on, member, only)
 
-    def lose_answers(self) -> None:
-        """A share of the answers to an operator is lost from now on."""
-        self._operator().answer_loss = self._random.choice(LOST_ANSWERS)
+    def set_answer_loss(self) -> None:
+        """Change the probability that answers to an operator are lost."""
+        self._operator().answer_loss = self._random.choice(ANSWER_LOSS_RATES)
 
-    def send_again(self) -> None:
-        """An order that was taken, again."""
+    def resubmit(self) -> None:
+        """Submit a recently accepted order again."""
         operator = self._operator()
-        taken = [order.revision for order in operator.orders.values() if order.state == "taken"]
-        if taken:
-            operator.send_again(self._random.choice(taken[-20:]))
+        accepted = [
+            order.revision for order in operator.orders.values() if order.state is OrderState.ACCEPTED
+        ]
+        if accepted:
+            operator.send_again(self._random.choice(accepted[-20:]))
 
     def read(self) -> None:
-        """Any member, those that are cut off first."""
-        cut_off = sorted(self.troubles.cut_off) if self.troubles is not None else []
-        member = self._random.choice(cut_off or list(self.player.members))
-        self._operator().look(member)
+        """Read from any member, preferring partitioned ones."""
+        partitioned = sorted(self.member_faults.partitioned) if self.member_faults is not None else []
+        member = self._random.choice(partitioned or list(self.player.members))
+        self._operator().read_once(member)
 
     def _operator(self) -> Operator:
         return self._random.choice(list(self.player.operators.values()))
@@ -98,73 +110,74 @@
         while self._revision in operator.orders:
             self._revision += 1
         padding = 0
-        if self._large and self._random.random() < 0.1:
+        if self._large and self._random.random() < LARGE_BODY_PROBABILITY:
             padding = self._random.choice(LARGE_BYTES)
         operator.put(self._revision, based_on, member, only, padding)
 
-    def largest(self) -> None:
-        """One change with a body of megabytes."""
+    def submit_largest_change(self) -> None:
+        """Submit a change with a body of :data:`LARGEST_BYTES`."""
         self._revision += 1
         self._operator().put(self._revision, self.newest(), padding=LARGEST_BYTES)
 
-    def finish(self) -> None:
-        """No answer is lost any more, and every order may go to any member."""
+    def stop_losses(self) -> None:
+        """Stop losing answers, and let every order go to any member."""
         for operator in self.player.operators.values():
             operator.answer_loss = 0.0
-            operator.free()
+            operator.lift_restrictions()
 
     # ------------------------------------------------------------ instances
 
-    def instance(self) -> None:
-        """One leaves with or without a notice, ends, or a new one starts."""
+    def change_instance(self) -> None:
+        """Drain, end or crash an instance, or launch a new one."""
         running = [
             name
             for name, one in self.player.instances.items()
-            if one.machine.running and one.state == "ready"
+            if one.machine.running and one.state is InstanceState.READY
         ]
-        if not running or (self._random.random() < 0.5 and self._launched < MOST_LAUNCHES):
-            if self._launched < MOST_LAUNCHES:
+        if not running or (self._random.random() < LAUNCH_PROBABILITY and self._launched < LAUNCH_LIMIT):
+            if self._launched < LAUNCH_LIMIT:
                 self._launched += 1
                 self.player.do_launch(f"i{self._launched}")
             return
         instance = self.player.instances[self._random.choice(running)]
-        if self.troubles is not None and self.troubles.cut_off and self._random.random() < 0.7:
-            instance.member = self._random.choice(sorted(self.troubles.cut_off))  # reports there first
-        leave: Sequence[Step] = (instance.drain, instance.drain, instance.delete, instance.machine.power_off)
-        self._random.choice(leave)()
+        partitioned = sorted(self.member_faults.partitioned) if self.member_faults is not None else []
+        if partitioned and self._random.random() < PARTITIONED_MEMBER_PROBABILITY:
+            instance.member = self._random.choice(partitioned)  # reports there first
+        ends: Sequence[Step] = (instance.drain, instance.drain, instance.delete, instance.machine.power_off)
+        self._random.choice(ends)()
 
     # ------------------------------------------------------------ gateways
 
-    def gateway(self) -> None:
-        """A gateway is started anew, killed, frozen or cut off for a while."""
+    def inject_gateway_fault(self) -> None:
+        """Restart, kill, freeze or partition a gateway for a while."""
         name = self._random.choice(list(self.player.gateways))
         machine = self.player.network.machines[name]
         if self._events.get(name) == inf or not machine.running:
             return
-        kind = self._random.choice(("anew", "kill", "power", "freeze", "cut"))
+        kind = self._random.choice(("restart", "kill", "power", "freeze", "partition"))
         self._events[name] = inf
-        gone = self.troubles.retiring if self.troubles is not None else {}
-        ips = [member.machine.ip for name, member in self.player.members.items() if name not in gone]
+        removed = self.member_faults.retiring if self.member_faults is not None else {}
+        ips = [member.machine.ip for name, member in self.player.members.items() if name not in removed]
         self.player.gateways[name].set_seeds(self._random.sample(ips, min(3, len(ips))))
-        longest = LONGEST_GATEWAY_TROUBLE_S
+        longest = LONGEST_GATEWAY_FAULT_S
         match kind:
-            case "anew":
+            case "restart":
                 machine.kill()
-                longest = 0.2
+                longest = LONGEST_GATEWAY_RESTART_S
             case "kill":
                 machine.kill()
             case "power":
                 machine.power_off()
             case "freeze":
                 machine.freeze()
-            case "cut":
+            case "partition":
                 self.player.network.isolate(name)
         self.player.simulator.after(self._random.uniform(0.1, longest), lambda: self._gateway_returns(name))
 
     def _gateway_returns(self, name: str) -> None:
         machine = self.player.network.machines[name]
         for member in self.player.members:
-            if self.troubles is None or member not in self.troubles.cut_off:
+            if self.member_faults is None or member not in self.member_faults.partitioned:
                 self.player.network.heal(name, member)
         for other in (*self.player.gateways, *self.player.instances, *self.player.operators):
             self.player.network.heal(name, other)
--- a/mallowbeam/simulation/walk_members.py
+++ b/mallowbeam/simulation/walk_members.py
@@ -1,4 +1,4 @@
-"""Troubles of members that a random walk draws, within the budget of losses; each ends by itself."""
+"""Faults of members that a random walk draws, within the loss budget; each ends by itself."""
 
 from __future__ import annotations
 
@@ -9,34 +9,46 @@
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.loss_budget import CATCH_UP_S, LossBudget
 
-LONGEST_TROUBLE_S = (0.5, 2.0, 6.0)  # one of them bounds a trouble
-TAKEN_WITHIN_S = 0.004  # from an acknowledgement to the loss of power
-TIMED_S = (0.005, 0.4)  # from a change's sending to the loss of power
-SUCCESSOR_WITHIN_S = 3.0  # from a loss for good to the empty machine
-PLANNED_AHEAD_S = (0.5, 6.0)  # from the successor's start to the SIGTERM
+FAULT_DURATIONS_S = (0.5, 2.0, 6.0)  # a fault draws one of these as its upper bound
+POWER_LOSS_AFTER_ACK_S = 0.004  # longest delay from an acknowledgement to the power loss
+POWER_LOSS_AFTER_SUBMIT_S = (0.005, 0.4)  # from the submission of a change to the power loss
+LONGEST_REPLACEMENT_DELAY_S = 3.0  # from a permanent loss to its empty replacement
+PLANNED_LEAD_S = (0.5, 6.0)  # from the start of the successor to the SIGTERM
 SLOWEST_EXIT_S = 10.0  # of a process after SIGTERM
-EXIT_LOOK_S = 0.05
-PAUSE_OF_ALL_S = 8.0  # between two losses of all members
-MEETING_S = (0.0, 0.05)  # before a machine returns, when changes are sent to it
-MOST_MEMBERS = 20  # machines that ever were members
-
-Put = Callable[[str, int, bool], None]  # member, how many at once, to it alone
-EventTimes = dict[str, float]  # by gateway
-
-
-class MemberTroubles:
-    """Draws troubles and ends them. `put` sends changes that race on one version at one member."""
+EXIT_POLL_S = 0.05  # between two checks whether the process has ended
+FULL_OUTAGE_INTERVAL_S = 8.0  # between two faults of all members
+RETURN_CHANGE_DELAY_S = (0.0, 0.05)  # before changes are submitted to a member that returns
+MEMBER_LIMIT = 20  # machines that were ever members
+SHORTEST_FAULT_S = 0.1
+SHUTDOWN_RETRY_S = 0.5  # between two attempts of a planned removal
+ACK_POLL_S = 0.001
+ACK_POLLS = 1000
+LEADER_BOUND = 0.4  # below it the leader is chosen, if it is healthy
+OLDEST_DISK_BOUND = 0.6  # below it the member whose disk has lasted longest
+SINGLE_MEMBER_PROBABILITY = 0.3  # that changes go to one member alone until it answers
+OTHER_SEEDS_PROBABILITY = 0.5
+DISK_LOSS_PROBABILITY = 0.4
+
+Put = Callable[[str, int, bool], None]  # member, number of changes, only to this member
+EventTimes = dict[str, float]  # last event in seconds, by gateway
+
+
+class MemberFaults:
+    """Draws faults and ends them. `put` submits changes that race on one version at one member."""
 
     def __init__(
         self, player: FleetPlayer, budget: LossBudget, random: Random, put: Put, gateway_events: EventTimes
     ) -> None:
-        self.player, self.budget, self._random = player, budget, random
-        self._put, self._gateway_events = put, gateway_events
+        self.player = player
+        self.budget = budget
+        self._random = random
+        self._put = put
+        self._gateway_events = gateway_events
         self._disk_since: dict[str, float] = {}
-        self._next_of_all = 0.0
-        self._planned = 0  # replacements under way, no more than may be lost at one time
-        self.retiring: dict[str, str] = {}  # members that leave for good, and their successors
-        self.cut_off: set[str] = set()
+        self._next_full_outage = 0.0
+        self._planned_replacements = 0  # in progress, at most as many as the tolerance
+        self.retiring: dict[str, str] = {}  # members being removed for good, and their successors
+        self.partitioned: set[str] = set()
         self.drawn: dict[str, int] = {}  # by kind
         self.kinds: dict[str, Callable[[], bool]] = {
             "kill": self._kill,
@@ -46,141 +58,141 @@
             "wipe": self._wipe,
             "replace": self._replace,
             "replace-planned": self._replace_planned,
-            "cut": self._cut,
-            "cut-near": self._cut_near,
-            "cut-one-way": self._cut_one_way,
-            "cut-both": self._cut_both,
-            "cut-seeds": self._cut_seeds,
+            "partition": self._partition,
+            "partition-from-all": self._partition_from_all,
+            "partition-one-way": self._partition_one_way,
+            "partition-and-restart": self._partition_and_restart,
+            "partition-seeds": self._partition_seeds,
             "disk": self._disk,
-            "taken": self._taken,
-            "timed": self._timed,
+            "power-after-ack": self._power_lost_after_ack,
+            "power-after-submit": self._power_lost_after_submit,
             "slow": self._slow,
-            "all": self._all,
+            "all": self._full_outage,
         }
 
     def draw(self, without: frozenset[str] = frozenset(), kind: str = "") -> None:
-        """One trouble of a kind, or of any, if there is a member that may have it."""
+        """Inject a fault of the given kind, or of a drawn one, if a member may have it."""
         if not kind or kind in without:
             kind = self._random.choice([kind for kind in self.kinds if kind not in without])
         if self.kinds[kind]():
             self.drawn[kind] = self.drawn.get(kind, 0) + 1
 
-    # ------------------------------------------------------------ who, and for how long
+    # ------------------------------------------------------------ targets and durations
 
     @property
     def now(self) -> float:
-        """True seconds."""
+        """Simulated seconds."""
         return self.player.simulator.now
 
-    def standing(self) -> list[str]:
-        """Members that run, are in no trouble and stay."""
+    def healthy_members(self) -> list[str]:
+        """Members that run, have no fault and are not being removed."""
         return [
             name
             for name, member in self.player.members.items()
-            if member.live and not self.budget.in_trouble(name) and name not in self.retiring
+            if member.live and not self.budget.is_lost(name) and name not in self.retiring
         ]
 
-    def _aim(self) -> str | None:
-        """The leader, the one whose disk has lasted longest, or any."""
-        standing = self.standing()
-        if not standing:
+    def _choose_target(self) -> str | None:
+        """Choose the leader, the member with the oldest disk, or any healthy member."""
+        healthy_members = self.healthy_members()
+        if not healthy_members:
             return None
         draw = self._random.random()
-        if draw < 0.4:
+        if draw < LEADER_BOUND:
             leader = self.player.world.leader()
-            if leader is not None and leader[0] in standing:
+            if leader is not None and leader[0] in healthy_members:
                 return leader[0]
-        if draw < 0.6:
-            return min(standing, key=lambda name: self._disk_since.get(name, 0.0))
-        return self._random.choice(standing)
+        if draw < OLDEST_DISK_BOUND:
+            return min(healthy_members, key=lambda name: self._disk_since.get(name, 0.0))
+        return self._random.choice(healthy_members)
 
-    def _struck(self) -> str | None:
-        """A member that is in trouble from now on."""
-        name = self._aim()
+    def _begin_loss(self) -> str | None:
+        """Choose a member and mark it as lost; None if the budget allows no further loss."""
+        name = self._choose_target()
         return name if name is not None and self.budget.begin(name, self.now) else None
 
-    def _for(self, step: Step, longest: float | None = None) -> None:
-        """End a trouble later."""
-        most = longest if longest is not None else self._random.choice(LONGEST_TROUBLE_S)
-        self.player.simulator.after(self._random.uniform(0.1, most), step)
+    def _after_random_delay(self, step: Step, longest: float | None = None) -> None:
+        """Run a step after a random delay, such as the end of a fault; `longest` in seconds."""
+        upper = longest if longest is not None else self._random.choice(FAULT_DURATIONS_S)
+        self.player.simulator.after(self._random.uniform(SHORTEST_FAULT_S, upper), step)
 
-    def _returns(self, name: str) -> None:
-        """A member is back; it is sent changes at about that moment."""
+    def _member_returns(self, name: str) -> None:
+        """Restart a member and submit changes to it at about that moment."""
         machine = self.player.network.machines[name]
         if name not in self.retiring:
             machine.start()
         self.budget.end(name, self.now)
-        self._meet(name)
+        self._submit_around_return(name)
 
-    def _meet(self, name: str) -> None:
-        """One change or two that race, at that member; perhaps to it alone, again and again."""
+    def _submit_around_return(self, name: str) -> None:
+        """Submit no, one or two racing changes at a member; sometimes only to it until it answers."""
         count = self._random.choice((0, 0, 1, 2))
         if count:
-            hard = self._random.random() < 0.3
-            delay = self._random.uniform(*MEETING_S)
-            self.player.simulator.after(delay, lambda: self._put(name, count, hard))
+            only = self._random.random() < SINGLE_MEMBER_PROBABILITY
+            delay = self._random.uniform(*RETURN_CHANGE_DELAY_S)
+            self.player.simulator.after(delay, lambda: self._put(name, count, only))
 
     # ------------------------------------------------------------ processes
 
-    def _down(self, end: Callable[[str], None], lose_disk: bool = False) -> bool:
-        name = self._struck()
+    def _stop_member(self, end: Callable[[str], None], lose_disk: bool = False) -> bool:
+        name = self._begin_loss()
         if name is None:
             return False
         end(name)
         if lose_disk:
-            self._empty(name)
-        self._for(lambda: self._returns(name))
+            self._erase_disk(name)
+        self._after_random_delay(lambda: self._member_returns(name))
         return True
 
-    def _empty(self, name: str) -> None:
+    def _erase_disk(self, name: str) -> None:
         self.player.members[name].wipe()
         self._disk_since[name] = self.now
 
     def _kill(self) -> bool:
-        return self._down(lambda name: self.player.do_kill(name))
+        return self._stop_member(lambda name: self.player.do_kill(name))
 
     def _power(self) -> bool:
-        return self._down(lambda name: self.player.do_power_off(name))
+        return self._stop_member(lambda name: self.player.do_power_off(name))
 
     def _wipe(self) -> bool:
-        return self._down(lambda name: self.player.do_power_off(name), lose_disk=True)
+        return self._stop_member(lambda name: self.player.do_power_off(name), lose_disk=True)
 
     def _freeze(self) -> bool:
-        name = self._struck()
+        name = self._begin_loss()
         if name is None:
             return False
         self.player.do_freeze(name)
 
         def thaw() -> None:
             self.player.do_thaw(name)
-            self._returns(name)
+            self._member_returns(name)
 
-        self._for(thaw)
+        self._after_random_delay(thaw)
         return True
 
     def _restart(self) -> bool:
-        """SIGTERM, and started again soon after its end."""
-        name = self._struck()
+        """Send SIGTERM and restart the member soon after its process has ended."""
+        name = self._begin_loss()
         if name is None:
             return False
-        self.player.do_term(name)
-        self._when_ended(name, lambda: self._for(lambda: self._returns(name), 2.0))
+        self.player.do_terminate(name)
+        self._when_ended(name, lambda: self._after_random_delay(lambda: self._member_returns(name), 2.0))
         return True
 
     def _when_ended(self, name: str, step: Step, waited: float = 0.0) -> None:
         machine = self.player.network.machines[name]
         if machine.running and waited < SLOWEST_EXIT_S:
             self.player.simulator.after(
-                EXIT_LOOK_S, lambda: self._when_ended(name, step, waited + EXIT_LOOK_S)
+                EXIT_POLL_S, lambda: self._when_ended(name, step, waited + EXIT_POLL_S)
             )
             return
-        machine.power_off()  # as the operator would who waits no longer
+        machine.power_off()  # as an operator would who does not wait any longer
         self.budget.disturbed(self.now)
         step()
 
     def _slow(self) -> bool:
-        """A slow process, whose clock may go wrong too."""
-        name = self._struck()
+        """Slow a process down and possibly change the rate of its clock."""
+        name = self._begin_loss()
         if name is None:
             return False
         machine = self.player.network.machines[name]
@@ -189,209 +201,215 @@
 
         def end() -> None:
             machine.step_cost = 0.0
-            self._returns(name)
+            self._member_returns(name)
 
-        self._for(end)
+        self._after_random_delay(end)
         return True
 
     # ------------------------------------------------------------ replacement
 
-    def _successor(self) -> str:
+    def _add_successor(self) -> str:
         name = f"m{len(self.player.members) + 1}"
-        self.player.turn_over_seeds(self.retiring)
+        self.player.replace_seeds(self.retiring)
         self.player.do_add(name)
         self._disk_since[name] = self.now
         return name
 
     def _replace(self) -> bool:
-        """One is gone for good, an empty one comes later."""
-        if len(self.player.members) >= MOST_MEMBERS:
+        """Remove a member for good; its empty replacement starts later."""
+        if len(self.player.members) >= MEMBER_LIMIT:
             return False
-        name = self._struck()
+        name = self._begin_loss()
         if name is None:
             return False
         self.retiring[name] = ""
         self.player.do_power_off(name)
 
-        def come() -> None:
-            self.retiring[name] = self._successor()
+        def add_replacement() -> None:
+            self.retiring[name] = self._add_successor()
             self.budget.end(name, self.now)
 
-        self._for(come, SUCCESSOR_WITHIN_S)
+        self._after_random_delay(add_replacement, LONGEST_REPLACEMENT_DELAY_S)
         return True
 
     def _replace_planned(self) -> bool:
-        """The new one first, then SIGTERM to the old one."""
-        name = self._aim()
-        if name is None or len(self.player.members) >= MOST_MEMBERS or self._planned >= self.budget.tolerance:
+        """Start the replacement first, then send SIGTERM to the old member."""
+        name = self._choose_target()
+        if (
+            name is None
+            or len(self.player.members) >= MEMBER_LIMIT
+            or self._planned_replacements >= self.budget.tolerance
+        ):
             return False
-        self._planned += 1
+        self._planned_replacements += 1
         self.retiring[name] = ""
-        successor, since = self._successor(), self.now
+        successor, since = self._add_successor(), self.now
         self.retiring[name] = successor
         self.budget.disturbed(self.now)
-        ahead = self._random.uniform(*PLANNED_AHEAD_S)
-        self.player.simulator.after(ahead, lambda: self._leave(name, since))
+        ahead = self._random.uniform(*PLANNED_LEAD_S)
+        self.player.simulator.after(ahead, lambda: self._shut_down(name, since))
         return True
 
-    def _leave(self, name: str, successor_at: float) -> None:
-        """SIGTERM to a member whose successor runs; put off while others are lost."""
+    def _shut_down(self, name: str, successor_at: float) -> None:
+        """Send SIGTERM to a member whose successor runs; retried while too many members are lost."""
         is_lost = successor_at + CATCH_UP_S > self.now
         if is_lost and not self.budget.begin(name, self.now):
-            self.player.simulator.after(0.5, lambda: self._leave(name, successor_at))
+            self.player.simulator.after(SHUTDOWN_RETRY_S, lambda: self._shut_down(name, successor_at))
             return
-        self.player.do_term(name)
+        self.player.do_terminate(name)
         self.budget.disturbed(self.now)
-        self._when_ended(name, lambda: self._left(name, successor_at))
+        self._when_ended(name, lambda: self._removed(name, successor_at))
 
-    def _left(self, name: str, successor_at: float) -> None:
-        self._planned -= 1
+    def _removed(self, name: str, successor_at: float) -> None:
+        self._planned_replacements -= 1
         self.budget.removed(name, self.now, successor_at)
 
-    # ------------------------------------------------------------ cuts
+    # ------------------------------------------------------------ partitions
 
-    def _cut_from(self, others: Callable[[str], list[str]], both: bool = True) -> str | None:
-        name = self._struck()
+    def _partition_from(self, others: Callable[[str], list[str]], both: bool = True) -> str | None:
+        name = self._begin_loss()
         if name is None:
             return None
         peers = [other for other in others(name) if other != name]
         for other in peers:
-            self.player.network.cut(name, other, both)
-        self.cut_off.add(name)
-        self._touch_gateways(peers)
-        self._meet(name)
+            self.player.network.partition(name, other, both)
+        self.partitioned.add(name)
+        self._record_gateway_event(peers)
+        self._submit_around_return(name)
 
         def heal() -> None:
             for other in peers:
                 self.player.network.heal(name, other)
-            self.cut_off.discard(name)
-            self._touch_gateways(peers)
-            self._returns(name)
+            self.partitioned.discard(name)
+            self._record_gateway_event(peers)
+            self._member_returns(name)
 
-        self._for(heal)
+        self._after_random_delay(heal)
         return name
 
-    def _touch_gateways(self, names: list[str]) -> None:
+    def _record_gateway_event(self, names: list[str]) -> None:
         for name in names:
             if name in self.player.gateways:
                 self._gateway_events[name] = max(self.now, self._gateway_events.get(name, 0.0))
 
-    def _cut(self) -> bool:
-        """From the other members; gateways and callers still reach it."""
-        return self._cut_from(lambda _: list(self.player.members)) is not None
+    def _partition(self) -> bool:
+        """Partition a member from the others; gateways and clients still reach it."""
+        return self._partition_from(lambda _: list(self.player.members)) is not None
 
-    def _cut_near(self) -> bool:
-        """From all machines, the operators too."""
-        return self._cut_from(lambda _: list(self.player.network.machines)) is not None
+    def _partition_from_all(self) -> bool:
+        """Partition a member from all machines, including operators."""
+        return self._partition_from(lambda _: list(self.player.network.machines)) is not None
 
-    def _cut_one_way(self) -> bool:
-        """What it sends reaches no other member."""
-        return self._cut_from(lambda _: list(self.player.members), both=False) is not None
+    def _partition_one_way(self) -> bool:
+        """Drop what a member sends to the others."""
+        return self._partition_from(lambda _: list(self.player.members), both=False) is not None
 
-    def _cut_both(self) -> bool:
-        """The one that is cut off starts again, then the others at once."""
-        name = self._cut_from(lambda _: list(self.player.members))
+    def _partition_and_restart(self) -> bool:
+        """Partition and restart a member, then restart all others at once."""
+        name = self._partition_from(lambda _: list(self.player.members))
         if name is None:
             return False
-        self._again([name])
-        if self.now >= self._next_of_all:
-            self._next_of_all = self.now + PAUSE_OF_ALL_S
-            others = [other for other in self.standing() if other != name]
-            self.player.simulator.after(self._random.uniform(0.2, 1.0), lambda: self._again(others))
+        self._restart_members([name])
+        if self.now >= self._next_full_outage:
+            self._next_full_outage = self.now + FULL_OUTAGE_INTERVAL_S
+            others = [other for other in self.healthy_members() if other != name]
+            self.player.simulator.after(self._random.uniform(0.2, 1.0), lambda: self._restart_members(others))
         return True
 
-    def _again(self, names: list[str]) -> None:
-        """Killed and started."""
+    def _restart_members(self, names: list[str]) -> None:
+        """Kill and restart members."""
         for name in names:
             if name not in self.retiring:
                 self.player.do_kill(name)
                 self.player.do_start(name)
         self.budget.disturbed(self.now)
 
-    def _cut_seeds(self) -> bool:
-        """A gateway starts whose seeds are the one that is cut off, first or alone."""
-        name = self._cut_from(lambda _: list(self.player.members))
+    def _partition_seeds(self) -> bool:
+        """Partition a member and restart a gateway whose first or only seed it is."""
+        name = self._partition_from(lambda _: list(self.player.members))
         if name is None:
             return False
         gateway = self.player.gateways[self._random.choice(list(self.player.gateways))]
         machines = self.player.network.machines
         seeds = [machines[name].ip]
-        if self._random.random() < 0.5:
-            seeds += [machines[other].ip for other in self.standing()]
+        if self._random.random() < OTHER_SEEDS_PROBABILITY:
+            seeds += [machines[other].ip for other in self.healthy_members()]
         gateway.set_seeds(seeds)
         gateway.machine.kill()
         gateway.machine.start()
-        self._touch_gateways([gateway.machine.name])
+        self._record_gateway_event([gateway.machine.name])
         return True
 
     # ------------------------------------------------------------ disks and acknowledgements
 
     def _disk(self) -> bool:
-        """Slow, stalled or full."""
-        name = self._struck()
+        """Make a member's disk slow, stalled or full."""
+        name = self._begin_loss()
         if name is None:
             return False
-        trouble = self._random.choice(
+        fault = self._random.choice(
             (self.player.do_slow_disk, self.player.do_stall_disk, self.player.do_fill_disk)
         )
-        trouble(name)
+        fault(name)
 
-        def mend() -> None:
-            self.player.do_mend_disk(name)
-            self._returns(name)
+        def repair() -> None:
+            self.player.do_repair_disk(name)
+            self._member_returns(name)
 
-        self._for(mend)
+        self._after_random_delay(repair)
         return True
 
-    def _taken(self) -> bool:
-        """Power is lost right after a member has answered a change, perhaps with the disk."""
-        name = self._aim()
+    def _power_lost_after_ack(self) -> bool:
+        """Turn a member off right after it answered a change; its disk may be lost too."""
+        name = self._choose_target()
         if name is None:
             return False
         before = self.player.history.answers
         self._put(name, 1, False)
 
-        def watch(left: int) -> None:
+        def poll(polls_left: int) -> None:
             if self.player.history.answers > before:
-                within = self._random.uniform(0.0, TAKEN_WITHIN_S)
+                within = self._random.uniform(0.0, POWER_LOSS_AFTER_ACK_S)
                 self.player.simulator.after(within, lambda: self._lose_power(name))
-            elif left:
-                self.player.simulator.after(0.001, lambda: watch(left - 1))
+            elif polls_left:
+                self.player.simulator.after(ACK_POLL_S, lambda: poll(polls_left - 1))
 
-        watch(1000)
+        poll(ACK_POLLS)
         return True
 
-    def _timed(self) -> bool:
-        """Power is lost soon after a change was sent."""
-        name = self._aim()
+    def _power_lost_after_submit(self) -> bool:
+        """Turn a member off soon after a change was submitted to it."""
+        name = self._choose_target()
         if name is None:
             return False
         self._put(name, 1, False)
-        self.player.simulator.after(self._random.uniform(*TIMED_S), lambda: self._lose_power(name))
+        self.player.simulator.after(
+            self._random.uniform(*POWER_LOSS_AFTER_SUBMIT_S), lambda: self._lose_power(name)
+        )
         return True
 
     def _lose_power(self, name: str) -> None:
-        if name not in self.standing() or not self.budget.begin(name, self.now):
+        if name not in self.healthy_members() or not self.budget.begin(name, self.now):
             return
         self.player.do_power_off(name)
-        if self._random.random() < 0.4:
-            self._empty(name)
-        self._for(lambda: self._returns(name))
+        if self._random.random() < DISK_LOSS_PROBABILITY:
+            self._erase_disk(name)
+        self._after_random_delay(lambda: self._member_returns(name))
 
-    # ------------------------------------------------------------ all at once
+    # ------------------------------------------------------------ all members
 
-    def _all(self) -> bool:
-        """All members are killed, or lose power, at once; their disks are kept."""
-        if self.now < self._next_of_all:
+    def _full_outage(self) -> bool:
+        """Kill all members, or turn them off, at once; their disks are intact."""
+        if self.now < self._next_full_outage:
             return False
-        self._next_of_all = self.now + PAUSE_OF_ALL_S
-        names = self.standing()
+        self._next_full_outage = self.now + FULL_OUTAGE_INTERVAL_S
+        names = self.healthy_members()
         self.budget.begin_all(names, self.now)
         lose = self._random.choice((self.player.do_kill, self.player.do_power_off))
         lose(*names)
-        self.player.simulator.after(self._random.uniform(0.1, 2.0), lambda: self._all_return(names))
+        self.player.simulator.after(self._random.uniform(0.1, 2.0), lambda: self._members_return(names))
         return True
 
-    def _all_return(self, names: list[str]) -> None:
+    def _members_return(self, names: list[str]) -> None:
         for name in names:
-            self._returns(name)
+            self._member_returns(name)
--- a/mallowbeam/simulation/walk_unbounded.py
+++ b/mallowbeam/simulation/walk_unbounded.py
@@ -1,6 +1,6 @@
-"""Troubles of a random walk beyond what the fault model allows: only what must hold at all times is judged.
+"""Faults of a random walk beyond the fault model, under which only the guarantees of any fault are checked.
 
-Disks are lost one at a time all the same: nothing could make up for more.
+Disks are still lost one at a time: no replication could recover from more.
 """
 
 from __future__ import annotations
@@ -12,16 +12,18 @@
 from mallowbeam.simulation.loss_budget import CATCH_UP_S
 from mallowbeam.simulation.network import Path
 
-LONGEST_EXIT_S = 10  # from a SIGTERM
+LONGEST_EXIT_S = 10  # of a process after SIGTERM
+LEADER_PROBABILITY = 0.4
 
 
-class UnboundedTroubles:
-    """Draws troubles that last until others end them."""
+class UnboundedFaults:
+    """Draws faults that last until another draw ends them."""
 
     def __init__(self, player: FleetPlayer, random: Random) -> None:
-        self.player, self._random = player, random
+        self.player = player
+        self._random = random
         self._next_wipe = 0.0
-        self._troubles: Sequence[Callable[[], None]] = (
+        self._faults: Sequence[Callable[[], None]] = (
             self._kill,
             self._kill,
             self._power_off,
@@ -31,8 +33,8 @@
             self._freeze,
             self._thaw,
             self._thaw,
-            self._cut,
-            self._cut_one_way,
+            self._partition,
+            self._partition_one_way,
             self._isolate,
             self._heal,
             self._heal,
@@ -40,25 +42,25 @@
             self._stall_disk,
             self._slow_disk,
             self._fill_disk,
-            self._mend_disks,
-            self._mend_disks,
+            self._repair_disks,
+            self._repair_disks,
             self._power_off_all,
             self._wipe,
             self._wipe,
-            self._term,
+            self._terminate,
             self._clock,
         )
 
     def draw(self) -> None:
-        """One trouble, or the end of some."""
-        self._random.choice(self._troubles)()
+        """Inject one fault, or end some."""
+        self._random.choice(self._faults)()
 
-    def mend_all(self) -> None:
-        """End all troubles, and start again what is still ending."""
+    def repair_all(self) -> None:
+        """End all faults, and restart processes that are still shutting down."""
         for delay in range(1, LONGEST_EXIT_S + 1):
             self.player.simulator.after(float(delay), self._start)
         self._heal()
-        self._mend_disks()
+        self._repair_disks()
         self.player.network.default = Path()
         self._start()
         self._thaw()
@@ -68,7 +70,7 @@
     # ------------------------------------------------------------ processes
 
     def _member(self) -> str:
-        if self._random.random() < 0.4 and self.player.holds(("leader",)):
+        if self._random.random() < LEADER_PROBABILITY and self.player.holds(("leader",)):
             return "leader"
         return self._random.choice(list(self.player.members))
 
@@ -94,7 +96,7 @@
         self.player.do_thaw("members", "gateways")
 
     def _wipe(self) -> None:
-        """Only where every disk counts: one that was lost before has been made up for."""
+        """Erase a disk, only if all members vote and earlier losses have been repaired."""
         now = self.player.simulator.now
         if now >= self._next_wipe and self.player.complete():
             self._next_wipe = now + CATCH_UP_S
@@ -106,11 +108,11 @@
         machines = self.player.network.machines
         return self._random.choice([name for name in machines if name not in self.player.operators])
 
-    def _cut(self) -> None:
-        self.player.do_cut(self._any(), self._any())
+    def _partition(self) -> None:
+        self.player.do_partition(self._any(), self._any())
 
-    def _cut_one_way(self) -> None:
-        self.player.do_cut(self._member(), ">", self._any())
+    def _partition_one_way(self) -> None:
+        self.player.do_partition(self._member(), ">", self._any())
 
     def _isolate(self) -> None:
         self.player.do_isolate(self._any())
@@ -131,13 +133,13 @@
     def _fill_disk(self) -> None:
         self.player.do_fill_disk(self._member())
 
-    def _mend_disks(self) -> None:
-        self.player.do_mend_disk("members")
+    def _repair_disks(self) -> None:
+        self.player.do_repair_disk("members")
 
-    # ------------------------------------------------------------ orderly ends and clocks
+    # ------------------------------------------------------------ shutdowns and clocks
 
-    def _term(self) -> None:
-        self.player.do_term(self._member())
+    def _terminate(self) -> None:
+        self.player.do_terminate(self._member())
 
     def _clock(self) -> None:
         self.player.do_clock(self._process(), str(self._random.choice((0.95, 1.0, 1.05))))
--- a/tests/router/configuration/test_operator_races.py
+++ b/tests/router/configuration/test_operator_races.py
@@ -13,7 +13,7 @@
 
 from mallowbeam.router.configuration.versions import ConfigurationVersions
 from mallowbeam.router.control_plane import raft_driver, state_machine
-from mallowbeam.simulation.scenario import Violation, scenario_tests
+from mallowbeam.simulation.scenario import ViolationError, scenario_tests
 
 FOLDER = SCENARIO_FOLDER / "operators"
 SNAPSHOT_ENTRIES = 4  # so that members that were away get snapshots
@@ -54,7 +54,7 @@
 
     def test_broken_ones_are_found(self) -> None:
         for kind in BROKEN:
-            with self.subTest(kind.__name__), members_with(kind), self.assertRaises(Violation):
+            with self.subTest(kind.__name__), members_with(kind), self.assertRaises(ViolationError):
                 RacesPlayer((FOLDER / "late_copy.txt").read_text()).play()
 
 
@@ -69,7 +69,7 @@
 
     def test_broken_ones_are_found(self) -> None:
         for kind in BROKEN:
-            with self.subTest(kind.__name__), self.assertRaises(Violation):
+            with self.subTest(kind.__name__), self.assertRaises(ViolationError):
                 for seed in range(1, 4):
                     play(seed, kind)
 
--- a/tests/router/consensus/test_membership_plays.py
+++ b/tests/router/consensus/test_membership_plays.py
@@ -12,7 +12,7 @@
 from mallowbeam.router.control_plane.cluster_join import ClusterJoin
 from mallowbeam.router.control_plane.graceful_leave import GracefulLeave
 from mallowbeam.simulation.fleet import FleetPlayer
-from mallowbeam.simulation.scenario import Violation
+from mallowbeam.simulation.scenario import ViolationError
 
 SCENARIOS = SCENARIO_FOLDER / "system"
 
@@ -57,19 +57,19 @@
     def test_a_member_that_ends_at_once(self) -> None:
         with mock.patch.object(GracefulLeave, "leave", ends_at_once):
             player = FleetPlayer((SCENARIOS / "planned_replacement_then_loss.txt").read_text())
-            with self.assertRaises(Violation):
+            with self.assertRaises(ViolationError):
                 player.play()
             repairs = run("silent_then_loss", 3, 1).repairs  # its place is still taken once it is silent
         self.assertLess(max(repairs["silent"]), REPAIRED_S)
 
     def test_a_wiped_member_that_asks_the_seeds_alone(self) -> None:
         with mock.patch.object(ClusterJoin, "add_caller", lambda self, address: None):
-            with self.assertRaisesRegex(Violation, "repaired after wiped"):
+            with self.assertRaisesRegex(ViolationError, "repaired after wiped"):
                 run("planned_then_wipe", 5, 1)
 
     def test_a_dead_voter_that_keeps_its_place(self) -> None:
         with mock.patch.object(membership_policy, "VOTER_TIMEOUT_S", 99.0):
-            with self.assertRaisesRegex(Violation, "repaired after silent"):
+            with self.assertRaisesRegex(ViolationError, "repaired after silent"):
                 run("silent_then_loss", 3, 1)
 
 
--- a/tests/router/control_plane/test_control_plane_core_machine_loss.py
+++ b/tests/router/control_plane/test_control_plane_core_machine_loss.py
@@ -15,7 +15,7 @@
 from mallowbeam.simulation.disk import Disk
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.machine import End
-from mallowbeam.simulation.scenario import Violation
+from mallowbeam.simulation.scenario import ViolationError
 
 SEEDS = range(1, 13)
 BROKEN_SEEDS = range(1, 9)
@@ -140,7 +140,7 @@
     def caught(self, text: str) -> bool:
         try:
             FleetPlayer(text).play()
-        except Violation:
+        except ViolationError:
             return True
         return False
 
--- a/tests/router/control_plane/test_control_plane_response_gate_variants.py
+++ b/tests/router/control_plane/test_control_plane_response_gate_variants.py
@@ -20,8 +20,9 @@
 )
 from mallowbeam.router.feed.publisher import FeedAllowance
 from mallowbeam.simulation.fleet import FleetPlayer
+from mallowbeam.simulation.fleet_operators import OrderState
 from mallowbeam.simulation.fleet_processes import ApiCall
-from mallowbeam.simulation.scenario import Violation
+from mallowbeam.simulation.scenario import ViolationError
 
 SCENARIOS = SCENARIO_FOLDER / "system"
 STEPS_OF_A_READ = range(0, 60, 3)  # of the member's process, more than it takes
@@ -48,7 +49,7 @@
         before = bool(received)
         player.do_put("2", "on", "1", "via", "m2")
         simulator.run_until(28.0)
-        self.assertEqual(player.operator.orders[2].state, "taken")
+        self.assertEqual(player.operator.orders[2].state, OrderState.ACCEPTED)
         machine.thaw()
         simulator.run_until(32.0)
         if not received:
@@ -73,7 +74,7 @@
 
     def violation(self, scenario: str) -> str:
         text = (SCENARIOS / scenario).read_text()
-        with self.assertRaises(Violation) as caught:
+        with self.assertRaises(ViolationError) as caught:
             FleetPlayer(text).play()
         return str(caught.exception)
 
--- a/tests/simulation/test_fleet_variants.py
+++ b/tests/simulation/test_fleet_variants.py
@@ -12,7 +12,7 @@
 from mallowbeam.simulation import fleet_checkers
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.loss_budget import LossBudget
-from mallowbeam.simulation.scenario import Violation
+from mallowbeam.simulation.scenario import ViolationError
 
 LATE_GATEWAY = (
     M3_CUT_OFF
@@ -33,7 +33,9 @@
     events: dict[str, float] = {}
     for name in variant.watched:
         checker = getattr(fleet_checkers, name)
-        player.checkers.append(checker(budget, events) if name == "InTouchChecker" else checker(budget))
+        player.checkers.append(
+            checker(budget, events) if name == "GatewayConvergenceChecker" else checker(budget)
+        )
     return player
 
 
@@ -49,7 +51,7 @@
 
 def _caught(variant: Variant) -> Callable[[unittest.TestCase], None]:
     def test(case: unittest.TestCase) -> None:
-        with variant.patch(), case.assertRaises(Violation) as caught:
+        with variant.patch(), case.assertRaises(ViolationError) as caught:
             player_of(variant).play()
         case.assertIn(variant.told, str(caught.exception))
 
@@ -69,7 +71,7 @@
 class StartedGateways(unittest.TestCase):
     def test_a_started_gateway_is_given_an_old_configuration(self) -> None:
         with mock.patch.object(RaftNode, "freshness", _always_fresh):
-            with self.assertRaisesRegex(Violation, "1: g1 is given 1 first, 2 was acknowledged"):
+            with self.assertRaisesRegex(ViolationError, "1: g1 is given 1 first, 2 was acknowledged"):
                 FleetPlayer(HEAD + LATE_GATEWAY).play()
 
     def test_a_started_gateway_is_given_no_old_configuration(self) -> None:
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -149,7 +149,7 @@
         self.write(1)
         self.simulator.run_until(5.0)
         self.assertEqual(self.durable, [])
-        self.disk.mend()
+        self.disk.repair()
         self.simulator.run_until(6.0)
         self.assertEqual(self.told, [0, 1])
 
--- a/tests/simulation/test_simulation_network.py
+++ b/tests/simulation/test_simulation_network.py
@@ -25,7 +25,7 @@
         self.assertEqual(self.seen, [1])
 
     def test_a_cut_may_be_one_way(self):
-        self.network.cut("a", "b", both=False)
+        self.network.partition("a", "b", both=False)
         self.send("there")
         self.send("back", "b", "a")
         self.run_for(1.0)
@@ -142,7 +142,7 @@
         self.assertEqual(self.seen, ["ConnectionRefusedError"])
 
     def test_an_opening_packet_is_sent_again_after_a_cut(self):
-        self.network.cut("a", "b")
+        self.network.partition("a", "b")
         self.connect()
         self.run_for(0.5)
         self.network.heal()
@@ -150,13 +150,13 @@
         self.assertIsNotNone(self.near)
 
     def test_a_dial_that_was_given_up_stays_so(self):
-        self.connect().given_up = True
+        self.connect().cancelled = True
         self.run_for(5.0)
         self.assertEqual((self.near, self.seen), (None, []))
 
     def test_what_a_cut_holds_up_arrives_after_it(self):
         self.open()
-        self.network.cut("a", "b", both=False)
+        self.network.partition("a", "b", both=False)
         self.near.write(b"late")
         self.run_for(0.5)
         self.assertEqual((self.seen, self.near.unsent), ([], 4))
@@ -176,7 +176,7 @@
     def test_a_sender_gives_up_after_its_user_timeout_the_other_way_being_cut(self):
         self.open()
         self.near.options.user_timeout = 1.5
-        self.network.cut("b", "a", both=False)
+        self.network.partition("b", "a", both=False)
         self.near.write(b"x")
         self.run_for(1.4)
         self.assertEqual(self.seen, [("b", b"x")])
@@ -186,7 +186,7 @@
     def test_a_silent_peer_is_found_by_probes(self):
         self.open()
         self.near.options.keepalive_idle = 1.0
-        self.near.probe()
+        self.near.start_keepalive()
         self.run_for(10.0)
         self.assertEqual(self.seen, [])
         self.network.isolate("b")
--- a/tests/simulation/test_simulation_scenarios.py
+++ b/tests/simulation/test_simulation_scenarios.py
@@ -7,8 +7,8 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from mallowbeam.simulation.scenario import ScenarioError, ScenarioPlayer, Violation, scenario_tests
-from mallowbeam.simulation.troubles import MachinesPlayer
+from mallowbeam.simulation.machine_scenarios import MachinesPlayer
+from mallowbeam.simulation.scenario import ScenarioError, ScenarioPlayer, ViolationError, scenario_tests
 
 
 class Greeters(MachinesPlayer):
@@ -66,7 +66,7 @@
         return player
 
     def violation(self, text: str) -> str:
-        with self.assertRaises(Violation) as caught:
+        with self.assertRaises(ViolationError) as caught:
             self.play(text)
         return str(caught.exception)
 
--- a/tests/simulation/test_simulation_walks.py
+++ b/tests/simulation/test_simulation_walks.py
@@ -7,16 +7,16 @@
 from random import Random
 
 from mallowbeam.simulation.loss_budget import CATCH_UP_S, LossBudget
-from mallowbeam.simulation.walk import LAST_ENDS_S, Plan, Walk, _log_nowhere, draw_plan, try_seed
+from mallowbeam.simulation.walk import LONGEST_RECOVERY_S, Plan, Walk, discard_logs, draw_plan, run_seed
 
-LANES = 4
+PROCESSES = 4
 WALKS = 32
 DRAWS = 500
 CALM = Plan(
     members=3,
     bounded=True,
-    trouble_pace=0.2,
-    change_pace=1.0,
+    fault_interval_s=0.2,
+    change_interval_s=1.0,
     large=False,
     compact_entries=10,
     trailing_entries=4,
@@ -61,9 +61,9 @@
         budget = LossBudget(1)
         budget.begin("m1", 1.0)
         budget.end("m1", 3.0)
-        self.assertEqual(budget.calm_for(5.0), 2.0)
+        self.assertEqual(budget.time_since_event(5.0), 2.0)
         budget.disturbed(4.5)
-        self.assertEqual(budget.calm_for(5.0), 0.5)
+        self.assertEqual(budget.time_since_event(5.0), 0.5)
 
 
 class Plans(unittest.TestCase):
@@ -89,19 +89,19 @@
             walk.player.play()
             walk.player.checkers.clear()
             self.assertTrue(walk.members.kinds[kind](), kind)
-            walk.player.simulator.run_until(walk.player.simulator.now + LAST_ENDS_S)
+            walk.player.simulator.run_until(walk.player.simulator.now + LONGEST_RECOVERY_S)
             self.assertEqual(walk.budget.active, frozenset(), kind)
 
 
 class Walks(unittest.TestCase):
     def test_random_walks(self) -> None:
-        with ProcessPoolExecutor(LANES, initializer=_log_nowhere) as pool:
-            results = list(pool.map(try_seed, range(1, WALKS + 1)))
+        with ProcessPoolExecutor(PROCESSES, initializer=discard_logs) as pool:
+            results = list(pool.map(run_seed, range(1, WALKS + 1)))
         failed = [
             f"seed {result.seed}: {result.failure.splitlines()[0]}" for result in results if result.failure
         ]
         self.assertFalse(failed, "\n".join(failed))
-        self.assertGreater(sum(result.taken for result in results), 10 * WALKS)
+        self.assertGreater(sum(result.accepted for result in results), 10 * WALKS)
 
     def test_a_seed_gives_the_same_walk_again(self) -> None:
         steps = []
@@ -109,7 +109,7 @@
             walk = Walk(1, plan=CALM)
             walk.player.checkers.clear()
             walk.player.play()
-            walk.player.simulator.at(10.0, walk._trouble)
+            walk.player.simulator.at(10.0, walk._inject_fault)
             walk.player.simulator.run_until(20.0)
             steps.append(walk.player.simulator.steps)
         self.assertEqual(*steps)
--- a/tests/simulation/test_system_broken.py
+++ b/tests/simulation/test_system_broken.py
@@ -11,7 +11,7 @@
 from mallowbeam.simulation.clock import Step
 from mallowbeam.simulation.disk import Disk
 from mallowbeam.simulation.fleet import FleetPlayer
-from mallowbeam.simulation.scenario import Violation
+from mallowbeam.simulation.scenario import ViolationError
 from mallowbeam.simulation.walk import Plan, Walk
 
 HEAD = "members m1 m2 m3\ngateways g1\ninstances a b\nat 2 put 1 on 0\nby 8 expect gateways ready\n"
@@ -20,7 +20,7 @@
 class BrokenVariants(unittest.TestCase):
     def violation(self, text: str) -> str:
         FleetPlayer(HEAD + text)  # the text itself is good
-        with self.assertRaises(Violation) as caught:
+        with self.assertRaises(ViolationError) as caught:
             FleetPlayer(HEAD + text).play()
         return str(caught.exception)
 
@@ -65,7 +65,7 @@
     def test_a_task_that_fails_unhandled(self):
         player = FleetPlayer(HEAD + "end 12")
         player.simulator.at(9.0, lambda: player.members["m1"].loop.call_soon(lambda: 1 / 0))
-        with self.assertRaisesRegex(Violation, "m1: .*ZeroDivisionError"):
+        with self.assertRaisesRegex(ViolationError, "m1: .*ZeroDivisionError"):
             player.play()
 
     def test_two_leaders_in_one_term(self):
@@ -78,20 +78,23 @@
                 ].program.parts.driver.node.role
 
         player.simulator.at(9.0, claim)
-        with self.assertRaisesRegex(Violation, "lead term"):
+        with self.assertRaisesRegex(ViolationError, "lead term"):
             player.play()
 
     def test_a_fleet_that_is_not_whole_again(self):
         plan = Plan(
             members=3,
             bounded=False,
-            trouble_pace=0.4,
-            change_pace=1.0,
+            fault_interval_s=0.4,
+            change_interval_s=1.0,
             large=False,
             compact_entries=2000,
             trailing_entries=64,
         )
-        with mock.patch.object(Walk, "_mend_all"), self.assertRaisesRegex(Violation, "not whole again"):
+        with (
+            mock.patch.object(Walk, "_end_all_faults"),
+            self.assertRaisesRegex(ViolationError, "not recovered"),
+        ):
             for seed in range(1, 6):
                 Walk(seed, plan=plan).play()
 
--- a/tests/support/fleet_variants.py
+++ b/tests/support/fleet_variants.py
@@ -274,7 +274,7 @@
         "holds a for ready",
         "at 8 drain a\nend 13.5",
         _replaced(InstanceReplica, "apply", _overlooks_drains),
-        ("InTouchChecker",),
+        ("GatewayConvergenceChecker",),
     ),
 )
 
--- a/tests/support/membership_plays.py
+++ b/tests/support/membership_plays.py
@@ -15,7 +15,7 @@
 from mallowbeam.router.rpc.messages_pb2 import Member, Membership
 from mallowbeam.simulation.fleet import FleetPlayer, term_of
 from mallowbeam.simulation.fleet_processes import SimulatedMember
-from mallowbeam.simulation.scenario import Violation
+from mallowbeam.simulation.scenario import ViolationError
 
 SIZES = (3, 5, 6, 8)
 REPAIRED_WITHIN = 6.0  # seconds; far more than any repair may take, see `Repair`
@@ -33,7 +33,7 @@
 
 
 class GroupPlay:
-    """A group of members in a simulation, driven step by step; raises Violation."""
+    """A group of members in a simulation, driven step by step; raises ViolationError."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.size = size
@@ -78,7 +78,7 @@
 
     def term(self, name: str) -> None:
         self._leaving.add(name)
-        self.player.do_term(name)
+        self.player.do_terminate(name)
 
     def kill(self, name: str) -> None:
         self.player.do_kill(name)
@@ -123,7 +123,7 @@
     def _until(self, seen: Callable[[], bool], within: float, what: str) -> None:
         simulator = self.player.simulator
         if simulator.run_while(lambda: not seen(), simulator.now + within):
-            raise Violation(
+            raise ViolationError(
                 f"{simulator.now:.3f} s, seed {simulator.seed}: not {what} in time\n" f"{self.player.state()}"
             )
 
@@ -178,7 +178,7 @@
             self._checked[name] = membership, leads
             voters = sum(one.voter for one in membership.members)
             if voters > membership.target_voters or leads and voters != self.size:
-                raise Violation(
+                raise ViolationError(
                     f"{self.player.simulator.now:.3f} s, {name}: {voters} voters for "
                     f"{membership.target_voters} places, {self.size} machines"
                 )
@@ -314,7 +314,7 @@
 
 
 def run(name: str, size: int, seed: int) -> Result:
-    """Run a play; raises Violation, with a note of how to run it again."""
+    """Run a play; raises ViolationError, with a note of how to run it again."""
     try:
         play = GroupPlay(size, seed)
         play.begin()
--- a/tests/support/operator_races.py
+++ b/tests/support/operator_races.py
@@ -28,7 +28,7 @@
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.fleet_callers import Caller
 from mallowbeam.simulation.fleet_history import ApiCall
-from mallowbeam.simulation.fleet_operators import CLEAR, FIRST_PAUSE_S, LONGEST_PAUSE_S, document
+from mallowbeam.simulation.fleet_operators import FINAL_STATUSES, FIRST_BACKOFF_S, LONGEST_BACKOFF_S, document
 
 CHAIN_POLL_S = 0.005  # between two looks at whether the last order of a chain is answered
 
@@ -52,7 +52,7 @@
 
     answers = 0  # clear ones so far, to any order
 
-    def send(self, order: RacedOrder, member: str, backoff_s: float = FIRST_PAUSE_S) -> None:
+    def send(self, order: RacedOrder, member: str, backoff_s: float = FIRST_BACKOFF_S) -> None:
         """Send an order to a member, and to others until there is a clear answer."""
         order.open = True
 
@@ -60,7 +60,7 @@
             record_result(order, status)
             order.open = not clear(status)
             if order.open:
-                again = min(2 * backoff_s, LONGEST_PAUSE_S)
+                again = min(2 * backoff_s, LONGEST_BACKOFF_S)
                 self.machine.later(backoff_s, lambda: self.send(order, self.any_member(), again))
 
         self.ask(member, order.call, answered)
@@ -72,7 +72,7 @@
 
 def clear(status: int) -> bool:
     """Whether an answer ends an order."""
-    return 200 <= status < 300 or status in CLEAR
+    return 200 <= status < 300 or status in FINAL_STATUSES
 
 
 def record_result(order: RacedOrder, status: int) -> None:
@@ -191,19 +191,19 @@
     def _check_all_orders(self) -> None:
         by_version: dict[int, list[RacedOrder]] = {}
         for order in self.orders.values():
-            self._must(len(order.results) < 2, f"{order.name} was acknowledged and refused")
+            self._require(len(order.results) < 2, f"{order.name} was acknowledged and refused")
             if "taken" in order.results:
                 by_version.setdefault(order.based_on, []).append(order)
         for based_on, orders in by_version.items():
             names = ", ".join(order.name for order in orders)
-            self._must(len(orders) == 1, f"{names} on version {based_on} were acknowledged")
+            self._require(len(orders) == 1, f"{names} on version {based_on} were acknowledged")
         for versions in self._versions():
             for order in self.orders.values():
                 known, behind = remembers(versions, order), versions.revision < order.revision
-                self._must(
+                self._require(
                     not (known and "refused" in order.results), f"{order.name} is in force though refused"
                 )
-                self._must(
+                self._require(
                     known or behind or "taken" not in order.results, f"{order.name} is lost though taken"
                 )
 
@@ -250,7 +250,7 @@
         self._rounds = rounds
 
     def play(self) -> None:
-        """Play all rounds; raises `Violation`."""
+        """Play all rounds; raises `ViolationError`."""
         self.player.play()
         for number in range(self._rounds):
             self._play_round(number)
@@ -270,7 +270,7 @@
             self._later(random.uniform(1.0, 8.0), f"copy {name}")
         end_at = player.simulator.now + ROUND_S
         player.simulator.run_while(lambda: self._unanswered(names), end_at)
-        player._must(not self._unanswered(names), f"an order of round {number} has no clear answer")
+        player._require(not self._unanswered(names), f"an order of round {number} has no clear answer")
         player.simulator.run_until(end_at)
         self._resend_all(end_at)
 
@@ -293,7 +293,7 @@
         for name in names:
             player.do_again(name)
         player.simulator.run_while(lambda: self._unanswered(names), now + ROUND_S)
-        player._must(not self._unanswered(names), "an order that was taken is not acknowledged again")
+        player._require(not self._unanswered(names), "an order that was taken is not acknowledged again")
 
     def _version(self) -> int:
         return max(versions.revision for versions in self.player._versions())
--- a/tests/support/system_bulk.py
+++ b/tests/support/system_bulk.py
@@ -18,8 +18,8 @@
 from mallowbeam.router.control_plane.peer_links import PeerLink
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.fleet_history import ApiCall
-from mallowbeam.simulation.fleet_operators import CLEAR, document
-from mallowbeam.simulation.scenario import Violation
+from mallowbeam.simulation.fleet_operators import FINAL_STATUSES, document
+from mallowbeam.simulation.scenario import ViolationError
 
 RETRY_S = 0.1
 TEXT = bytes(code for code in range(35, 127) if chr(code) not in '"\\')  # needs no escape in JSON
@@ -71,8 +71,8 @@
             self.operator.ask(self.operator.random.choice(live or list(self.members)), call, answered)
 
         def answered(status: int, _: bytes) -> None:
-            if status in CLEAR:
-                raise Violation(f"revision {revision} was refused with {status}")
+            if status in FINAL_STATUSES:
+                raise ViolationError(f"revision {revision} was refused with {status}")
             if status != 200:
                 self.operator.machine.later(RETRY_S, send)
                 return
