--- a/tests/storage_gateway/scheduler/test_control_nodes.py
+++ b/tests/storage_gateway/scheduler/test_control_nodes.py
@@ -5,6 +5,7 @@
 from heapq import heappop, heappush
 
 import pytest
+from discovery_queue import OneQueue
 from scheduler_rig import COLD, Rig, fill, of
 
 from mallowbeam.storage_gateway.scheduler.interface import (
@@ -213,27 +214,6 @@
     assert node.smoothed_latency <= max(before, rig.host.state.baseline.prior)
 
 
-class OneQueue:
-    """Discovery as one service: calls in turn, `rate` a second, and whoever has waited 2 s is turned away.
-
-    Work on a call is not undone by its caller's patience, as in any queue whose clients give up.
-    """
-
-    PATIENCE, ROOM = 2.0, 40
-
-    def __init__(self, rate: float) -> None:
-        self.work, self.free_at, self.ends = 1.0 / rate, 0.0, []
-
-    def call(self, now: float) -> tuple[float, bool]:
-        """When a call that comes now ends, and whether it was served."""
-        self.ends = [end for end in self.ends if end > now]
-        if len(self.ends) >= self.ROOM:
-            return now, False
-        self.free_at = max(self.free_at, now) + self.work
-        self.ends.append(self.free_at)
-        return min(self.free_at, now + self.PATIENCE), self.free_at <= now + self.PATIENCE
-
-
 @pytest.mark.parametrize(("hosts", "rate", "within"), [(40, 8.0, 16.0), (4, 8.0, 1.0)])
 def test_a_fleet_that_asks_discovery_at_one_instant_is_told_in_the_end(hosts, rate, within):
     """Guards against hosts that ask again sooner than discovery can serve all.
--- a/tests/storage_gateway/server/test_descriptors.py
+++ b/tests/storage_gateway/server/test_descriptors.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import pytest
+from gateway_process import PATIENCE, connect, healthy, program
 from scenario import EXAMPLE, free_port
-from test_program import PATIENCE, connect, healthy, program
 
 from mallowbeam.storage_gateway.server import config as configs
 from mallowbeam.storage_gateway.server.config import FRONT_SOCKETS, LEAST_SOCKETS, OWN_SOCKETS
--- a/tests/storage_gateway/server/test_handover.py
+++ b/tests/storage_gateway/server/test_handover.py
@@ -14,8 +14,8 @@
 
 import pytest
 import uvloop
+from gateway_process import PATIENCE, connect, healthy, program
 from scenario import EXAMPLE, World, free_port
-from test_program import PATIENCE, connect, healthy, program
 
 from mallowbeam.storage_gateway.server import config as configs
 from mallowbeam.storage_gateway.server import handover
--- a/tests/storage_gateway/server/test_program.py
+++ b/tests/storage_gateway/server/test_program.py
@@ -10,66 +10,18 @@
 import subprocess
 import sys
 import threading
-import time
 from collections.abc import Iterator
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
 import pytest
+from gateway_process import PATIENCE, connect, healthy, program
 from scenario import EXAMPLE, free_port
 
 from mallowbeam.lab import starts
-from mallowbeam.lab.rig import hold_port
 from mallowbeam.storage_gateway.scheduler.settings import flatten, read_pairs, read_settings
 from mallowbeam.storage_gateway.server.config import read_again, read_config
 
-PATIENCE = 20.0
-
-
-@contextmanager
-def program(tmp_path: Path, change: dict, files: int = 1024, fronts: str | None = None) -> Iterator:
-    """The program on a changed example configuration, and its listening address."""
-    held, port = hold_port()  # nobody else is given it meanwhile
-    raw = json.loads((EXAMPLE / "config.json").read_text()) | {"listen": f"127.0.0.1:{port}"} | change
-    path = tmp_path / "config.json"
-    path.write_text(json.dumps(raw))
-    env = {**os.environ, "BALANCER_CONFIG": str(path)}
-    if fronts is not None:
-        (tmp_path / "fronts.json").write_text(fronts)
-        env["MALLOWBEAM_FRONTS"] = str(tmp_path / "fronts.json")
-    process = subprocess.Popen(
-        [sys.executable, "-m", "mallowbeam"],
-        env=env,
-        stderr=subprocess.PIPE,
-        text=True,
-        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (files, files)),
-    )
-    watchdog = threading.Timer(2 * PATIENCE, process.kill)  # a test that waits for ever fails instead
-    watchdog.start()
-    try:
-        yield process, ("127.0.0.1", port)
-    finally:
-        watchdog.cancel()
-        process.kill()
-        process.communicate()
-        held.close()
-
-
-def connect(address: tuple[str, int]) -> socket.socket:
-    """A connection, as soon as the program listens."""
-    end = time.monotonic() + PATIENCE
-    while True:
-        try:
-            return socket.create_connection(address, timeout=PATIENCE)
-        except ConnectionRefusedError:
-            assert time.monotonic() < end, "the program never listened"
-            time.sleep(0.02)
-
-
-def healthy(sock: socket.socket) -> bool:
-    sock.sendall(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n")
-    return sock.recv(4096).startswith(b"HTTP/1.1 200")
-
 
 def test_sigterm_ends_it_with_status_0(tmp_path):
     with program(tmp_path, {}) as (process, address), connect(address) as sock:
--- a/tests/storage_gateway/server/test_watch.py
+++ b/tests/storage_gateway/server/test_watch.py
@@ -8,11 +8,11 @@
 
 import pytest
 import uvloop
+from discovery_queue import OneQueue, ask
 from scenario import World, play
-from scheduler_rig import Rig, of
-from test_control_nodes import OneQueue
+from scheduler_rig import Rig
 
-from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdate, DiscoveryUpdateKind, WatchNodes
+from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdate, DiscoveryUpdateKind
 from mallowbeam.storage_gateway.scheduler.node_health import MAX_WATCH_RETRY
 from mallowbeam.storage_gateway.server import discovery
 
@@ -20,14 +20,6 @@
 GRANTED = 0.25  # seconds that a drain may be missed by
 
 
-def ask(rig: Rig) -> float:
-    """Seconds until the module asks again."""
-    began = rig.now
-    while not of(rig.wait(rig.timer - rig.now), WatchNodes):
-        pass
-    return rig.now - began
-
-
 def test_a_silent_watch_is_asked_anew_at_once_and_a_refused_one_within_a_draw_over_the_whole_time():
     """Guards drains: backed off as for a refusal, 200 hosts asked after the drain had counted as told."""
     drawn = []
--- a/tests/storage_gateway/server/test_watch_failing.py
+++ b/tests/storage_gateway/server/test_watch_failing.py
@@ -15,10 +15,10 @@
 
 import pytest
 import uvloop
+from discovery_queue import ask
 from scenario import PATIENCE, play
 from scheduler_rig import Rig
 from simulated import QUEUE, Service, Turns, outage, simulate
-from test_watch import ask
 
 from mallowbeam.storage_gateway.scheduler import node_health
 from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdate, DiscoveryUpdateKind
