--- a/tests/storage_gateway/scheduler/test_control_nodes.py
+++ b/tests/storage_gateway/scheduler/test_node_health.py
@@ -1,11 +1,11 @@
-"""Which nodes get new work: silence, failures, lists, operators, and how discovery is asked."""
+"""Which nodes get new work: time-outs, failures, lists, operators, and how discovery is called."""
 
 from __future__ import annotations
 
 from heapq import heappop, heappush
 
 import pytest
-from discovery_queue import OneQueue
+from discovery_queue import DiscoveryQueue
 from scheduler_rig import COLD, Rig, fill, of
 
 from mallowbeam.storage_gateway.scheduler.interface import (
@@ -223,7 +223,7 @@
     rigs = [
         Rig(discovery_on_request=True, max_list_age=10.0, hosts=hosts, seed=seed) for seed in range(hosts)
     ]
-    service, told, now = OneQueue(rate), set(), 0.0
+    service, told, now = DiscoveryQueue(rate), set(), 0.0
     due = [(0.0, n, None) for n in range(hosts)]  # when, which host, how its call ended (None: it begins)
     while due and now < within:
         now, n, served = heappop(due)  # no two of one host, so nothing beyond it is compared
