--- a/tests/support/mixed_fleet.py
+++ b/tests/support/mixed_fleet.py
@@ -749,9 +749,9 @@
         for gateway in fleet.gateways:
             await until(f"{gateway.name} ready", gateway.look)
         tasks.create_task(fleet.clients(stopping))
-        await fleet.check_names()
         await (quick_steps if quick else all_steps)(fleet, first_leader)
-        await fleet.everywhere()
+        await fleet.everywhere()  # so that each gateway has answered, and shows figures with labels too
+        await fleet.check_names()
         stopping.set()
     fleet.check_unsafe()
     await asyncio.gather(*(gateway.end(signal.SIGTERM) for gateway in fleet.gateways))
