--- a/mallowbeam/router/admission/planner.py
+++ b/mallowbeam/router/admission/planner.py
@@ -275,7 +275,7 @@
             return False
         return (
             instance.measured_wait_s(now) >= self.settings.measured_wait_s
-            or instance.timer.units_out >= self.settings.measured_units
+            or instance.timer.units_in_flight >= self.settings.measured_units
         )
 
     def _limit(self, request: PlanRequest) -> float:
@@ -374,7 +374,7 @@
 
     @staticmethod
     def _tokens_out(instance: TrackedInstance) -> int:
-        return sum(instance.pending_prefills.get(booking, 0) for booking in instance.timer.out)
+        return sum(instance.pending_prefills.get(booking, 0) for booking in instance.timer.in_flight)
 
     def _keep(self, entry: _Booking, instance: TrackedInstance) -> None:
         segments = entry.request.prompt_segments
--- a/mallowbeam/scheduling/cycles.py
+++ b/mallowbeam/scheduling/cycles.py
@@ -1,9 +1,9 @@
 """The cycle mechanism: a node's time is cut into cycles of m slots, and each unit of work takes a slot.
 
 After Wu and Shu, "Optimal Scheduling for Parallel CBR Video Servers": m is the floor of cycle length over
-slot time, and what finds its cycle full is delayed to the nearest later one with room.  Here the work of a
-request sits on one node, so all of its units are booked there; one with more units than m spans cycles.  A
-booking that is given back leaves a hole, which the next request takes.
+slot time, and what finds its cycle full is delayed to the nearest later one with enough free slots.  Here the
+work of a request sits on one node, so all of its units are booked there; one with more units than m spans
+cycles.  A booking that is released leaves a gap, which the next request fills.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 from collections import deque
 from dataclasses import dataclass
 
-MOST_SLOTS = 32
+MAX_SLOTS = 32
 """The most slots that a cycle has, whatever the measured slot time."""
 HORIZON_CYCLES = 256
-"""How many cycles ahead a node may be booked; what would need more finds no room."""
-LEAST_CYCLE_S = 0.01
+"""How many cycles ahead a node may be booked; what would need more is not placed."""
+MIN_CYCLE_S = 0.01
 """The shortest cycle, in seconds."""
 
 
-def slots_per_cycle(cycle_s: float, slot_s: float, least: int = 1, most: int = MOST_SLOTS) -> int:
-    """The m of a cycle: the floor of its length over slot time, from `least` to `most`."""
-    return int(min(most, max(least, cycle_s / slot_s))) if slot_s > 0 else most
+def slots_per_cycle(cycle_s: float, slot_s: float, min_slots: int = 1, max_slots: int = MAX_SLOTS) -> int:
+    """The m of a cycle: the floor of its length over slot time, from `min_slots` to `max_slots`."""
+    return int(min(max_slots, max(min_slots, cycle_s / slot_s))) if slot_s > 0 else max_slots
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
     """Where a booking would go: its slots by cycle, and when they start and end (steady seconds)."""
 
-    taken: tuple[tuple[int, int], ...]
+    slots_by_cycle: tuple[tuple[int, int], ...]
     """Pairs of a cycle's number and the slots taken in it, earliest first."""
     starts_at: float
     ends_at: float
@@ -81,7 +81,7 @@
             self.first += 1
 
     def place(self, units: int, now: float) -> Placement | None:
-        """The earliest cycle with room for `units`, or the cycles they span where m is less; None beyond."""
+        """The earliest cycle with slots for `units`, or the cycles they span where m is less; None beyond."""
         self.advance(now)
         units = max(1, units)
         taken = self._one_cycle(units, now) if units <= self.slots else self._span(units, now)
@@ -96,29 +96,29 @@
     def book(self, booking: int, placement: Placement) -> None:
         """Take the slots of a placement under a booking's number."""
         self.release(booking)
-        for number, count in placement.taken:
+        for number, count in placement.slots_by_cycle:
             self._change(number, count)
         self.bookings[booking] = placement
 
     def release(self, booking: int) -> None:
-        """Give a booking's slots back; those of cycles that have passed are of no use any more."""
+        """Release a booking's slots; those of cycles that have passed are of no use any more."""
         placement = self.bookings.pop(booking, None)
         if placement is None:
             return
-        for number, count in placement.taken:
+        for number, count in placement.slots_by_cycle:
             self._change(number, -count)
 
     def forget(self, booking: int) -> None:
         """End a booking whose work was done: its slots stay taken until their cycles pass."""
         self.bookings.pop(booking, None)
 
-    def room(self, ahead: int, now: float) -> int:
+    def free_slots(self, ahead: int, now: float) -> int:
         """Free slots of the cycle so many after the present one."""
         cycle = self._cycle(ahead, now)
         return max(0, slots_per_cycle(cycle.length, self.slot_s) - cycle.used)
 
     def _length(self) -> float:
-        return max(LEAST_CYCLE_S, min(self.cycle_s, MOST_SLOTS * self.slot_s))
+        return max(MIN_CYCLE_S, min(self.cycle_s, MAX_SLOTS * self.slot_s))
 
     def _cycle(self, ahead: int, now: float) -> _Cycle:
         while len(self.cycles) <= ahead:
@@ -128,7 +128,7 @@
 
     def _one_cycle(self, units: int, now: float) -> tuple[tuple[int, int], ...]:
         for ahead in range(HORIZON_CYCLES):
-            if self.room(ahead, now) >= units:
+            if self.free_slots(ahead, now) >= units:
                 return ((self.first + ahead, units),)
         return ()
 
@@ -136,7 +136,7 @@
         taken: list[tuple[int, int]] = []
         left = units
         for ahead in range(HORIZON_CYCLES):
-            count = min(left, self.room(ahead, now))
+            count = min(left, self.free_slots(ahead, now))
             if count:
                 taken.append((self.first + ahead, count))
                 left -= count
--- a/mallowbeam/scheduling/slot_time.py
+++ b/mallowbeam/scheduling/slot_time.py
@@ -1,8 +1,8 @@
 """Slot time: how long one unit of work takes a node, measured from the answers that this process sees.
 
-A node's slot time is its smoothed unit latency over the count of units out there: with `n` units out and a
-latency of `t` seconds, a unit ends every `t / n` seconds.  Before anything is measured, the caller's first
-slot time holds.  Nothing here reads a clock; times are seconds of any steady clock.
+A node's slot time is its smoothed unit latency over the count of units in flight there: with `n` units in
+flight and a latency of `t` seconds, a unit ends every `t / n` seconds.  Before anything is measured, the
+caller's first slot time holds.  Nothing here reads a clock; times are seconds of any steady clock.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from math import exp
 
 
-def slot_time(latency_s: float, *units_out: float) -> float:
-    """Seconds per unit at a node whose units take `latency_s` while the larger of `units_out` are out."""
-    return latency_s / max(1.0, *units_out)
+def slot_time(latency_s: float, *units_in_flight: float) -> float:
+    """Seconds per unit where units take `latency_s` while the larger of the counts are in flight."""
+    return latency_s / max(1.0, *units_in_flight)
 
 
 def blend(weight: float, mean: float, prior_weight: float, prior: float) -> float:
@@ -63,50 +63,50 @@
 
 
 class SlotTimer:
-    """The slot time of one node, from the units that this process has out there."""
+    """The slot time of one node, from the units that this process has in flight there."""
 
-    __slots__ = ("settings", "latency", "out_mean", "out", "units_out")
+    __slots__ = ("settings", "latency", "mean_units_in_flight", "in_flight", "units_in_flight")
 
     def __init__(self, settings: SlotTimeSettings) -> None:
         self.settings = settings
         self.latency = FadingMean(settings.memory_s)
-        self.out_mean = FadingMean(settings.memory_s)
-        self.out: dict[int, tuple[float, int]] = {}  # by booking: when it was sent, and its units
-        self.units_out = 0
+        self.mean_units_in_flight = FadingMean(settings.memory_s)
+        self.in_flight: dict[int, tuple[float, int]] = {}  # by booking: when it was sent, and its units
+        self.units_in_flight = 0
 
     @property
     def idle(self) -> bool:
-        """Whether this process has nothing out at the node."""
-        return not self.out
+        """Whether this process has nothing in flight at the node."""
+        return not self.in_flight
 
     def sent(self, booking: int, units: int, now: float) -> None:
         """A booking's units were sent to the node."""
-        if booking not in self.out:
-            self.out[booking] = (now, units)
-            self.units_out += units
+        if booking not in self.in_flight:
+            self.in_flight[booking] = (now, units)
+            self.units_in_flight += units
 
     def done(self, booking: int, now: float, measured: bool = True) -> float | None:
-        """A booking's units ended; their latency in seconds, or None where they were not out."""
-        entry = self.out.pop(booking, None)
+        """A booking's units ended; their latency in seconds, or None where they were not in flight."""
+        entry = self.in_flight.pop(booking, None)
         if entry is None:
             return None
         sent_at, units = entry
         latency = max(0.0, now - sent_at)
         if measured:
             self._learn(latency, now)
-        self.units_out -= units
+        self.units_in_flight -= units
         return latency
 
     def _learn(self, latency: float, now: float) -> None:
         present = self.latency.mean if self.latency.weight > 0 else latency
         self.latency.add(min(latency, self.settings.clip * present), now)
-        self.out_mean.add(float(self.units_out), now)
+        self.mean_units_in_flight.add(float(self.units_in_flight), now)
 
     def oldest_age(self, now: float) -> float:
-        """Seconds since the oldest of what is out was sent; 0 at an idle node."""
-        if not self.out:
+        """Seconds since the oldest unit in flight was sent; 0 at an idle node."""
+        if not self.in_flight:
             return 0.0
-        sent_at, _ = next(iter(self.out.values()))
+        sent_at, _ = next(iter(self.in_flight.values()))
         return max(0.0, now - sent_at)
 
     def latency_s(self, target_latency_s: float, now: float) -> float:
@@ -115,9 +115,9 @@
         return self.latency.value(first, self.settings.prior_weight, now)
 
     def slot_s(self, target_latency_s: float, now: float) -> float:
-        """Seconds per unit: smoothed latency, or what the oldest has waited by now, over the units out."""
+        """Seconds per unit: smoothed latency, or the age of the oldest unit, over the units in flight."""
         settings = self.settings
         first = settings.first_share * target_latency_s
-        out = self.out_mean.value(1.0, settings.prior_weight, now)
-        latency = self.latency.value(first * max(1.0, out), settings.prior_weight, now)
-        return slot_time(max(latency, self.oldest_age(now)), out, self.units_out)
+        in_flight = self.mean_units_in_flight.value(1.0, settings.prior_weight, now)
+        latency = self.latency.value(first * max(1.0, in_flight), settings.prior_weight, now)
+        return slot_time(max(latency, self.oldest_age(now)), in_flight, self.units_in_flight)
--- a/mallowbeam/storage_gateway/scheduler/attempts.py
+++ b/mallowbeam/storage_gateway/scheduler/attempts.py
@@ -110,15 +110,7 @@
             self._react(node, outcome)
         elif was_working:
             self._measure(attempt, outcome)
-        if outcome not in NEVER_RAN:
-            request.possible_runs.append(PossibleRun(node.zone, node.shard, attempt.sent_at))
-        if outcome in MAY_STILL_RUN and request.order_key:
-            self._key_order.rest(request.order_key)
-        if event.finished or not self._is_retried(request, attempt, outcome):
-            self._endings.end(request, answered=event.finished)
-        else:
-            self._booking.book(request)
-        self._endings.forget(request)
+        self._conclude(request, attempt, event)
 
     def cancel_stuck(self, node: Node) -> None:
         """Cancel attempts that later ones passed long ago, where another can meet the target.
@@ -147,6 +139,20 @@
         for request in [request for request in requests if not request.in_flight]:
             self._endings.end(request)
 
+    def _conclude(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
+        """Note what may have run; book the request again where that is allowed, else end it."""
+        outcome = event.outcome
+        if outcome not in NEVER_RAN:
+            node = attempt.node
+            request.possible_runs.append(PossibleRun(node.zone, node.shard, attempt.sent_at))
+        if outcome in MAY_STILL_RUN and request.order_key:
+            self._key_order.rest(request.order_key)
+        if event.finished or not self._is_retried(request, attempt, outcome):
+            self._endings.end(request, answered=event.finished)
+        else:
+            self._booking.book(request)
+        self._endings.forget(request)
+
     @staticmethod
     def _give_back(request: Request, attempt: Attempt) -> None:
         """No node has an attempt's units: they are charged to nothing."""
--- a/mallowbeam/storage_gateway/scheduler/dispatch.py
+++ b/mallowbeam/storage_gateway/scheduler/dispatch.py
@@ -10,7 +10,7 @@
 from mallowbeam.storage_gateway.scheduler.sending import Sender
 from mallowbeam.storage_gateway.scheduler.state import CLOCK_SLACK, SchedulerState
 
-POLL_SHARE = 0.1  # of a cycle: how often a node at work is polled
+POLL_FRACTION = 0.1  # of a cycle: how often a node at work is polled
 SILENT_CYCLES = 1.5  # without an answer that is due, after which a node seems to hang
 EXTRA_SLOTS = 4  # a cycle has capacity for the largest request and so many units more
 RUN_LENGTH = 2  # largest requests: what may be in flight beyond the window behind one of the same data
@@ -48,9 +48,15 @@
             self._send_due(node, order)
             self._tracker.end_unsent(rejected)
             node.queue = [entry for entry in node.queue if not entry[2].done and not entry[2].in_flight]
-        if (node.queue or node.in_flight) and node.poll_at <= state.now + CLOCK_SLACK:
-            node.poll_at = state.now + POLL_SHARE * state.cycle
-            state.schedule(node.poll_at, node)  # one pending timer a node, however often it is polled
+        if node.queue or node.in_flight:
+            self._poll_again(node)
+
+    def _poll_again(self, node: Node) -> None:
+        """Keep one pending timer a node, however often it is polled."""
+        state = self._state
+        if node.poll_at <= state.now + CLOCK_SLACK:
+            node.poll_at = state.now + POLL_FRACTION * state.cycle
+            state.schedule(node.poll_at, node)
 
     def _send_due(self, node: Node, order: list[Request]) -> None:
         """Send from the front of the order what the node has capacity for now."""
@@ -99,7 +105,7 @@
         if node.units_in_flight or request.late:
             return True
         state = self._state
-        next_poll = 2 * POLL_SHARE * state.cycle
+        next_poll = 2 * POLL_FRACTION * state.cycle
         is_last_chance = state.now + node.expected_latency(request.units) + next_poll > request.target_at
         return not is_last_chance
 
--- a/mallowbeam/storage_gateway/scheduler/gateway_host.py
+++ b/mallowbeam/storage_gateway/scheduler/gateway_host.py
@@ -233,29 +233,36 @@
         The keys and the fields of the plans are a format between processes of different versions.  Allotments
         at one shard are included, but not the level of their limits: there the successor starts empty.
         """
-        volumes = [
-            (*key, volume)
-            for key, volume in self._scheduler.volumes.by_key.items()
-            if volume.plan.limit > 0 and shard_of(key) is None
-        ]
-        for *_, volume in volumes:
-            volume.refill(now)
-        plans = [
-            [key[0], asdict(plan), shard_of(key), limit_share]
-            for key, (plan, limit_share) in self._scheduler.volumes.plans.items()
-            if key[0] or limit_share is not None or plan != self._scheduler.state.settings.plans.get(key[1])
-        ]
+        scheduler = self._scheduler
         return {
-            "out": self._scheduler.state.disabled_nodes,
-            "plans": plans,
-            "stores": [[name, plan, volume.hosts, volume.limit_level] for name, plan, volume in volumes],
+            "out": scheduler.state.disabled_nodes,
+            "plans": self._changed_plans(),
+            "stores": self._limit_levels(now),
             "cold": [
                 [node.id, sum(send.units for send in node.slow_start_sends)]
-                for node in self._scheduler.state.nodes.values()
+                for node in scheduler.state.nodes.values()
                 if node.slow_start_sends
             ],
         }
 
+    def _changed_plans(self) -> list[list[object]]:
+        """Allotments, and plans that differ from the settings: volume, figures, shard, this host's share."""
+        given = self._scheduler.state.settings.plans
+        return [
+            [key[0], asdict(plan), shard_of(key), limit_share]
+            for key, (plan, limit_share) in self._scheduler.volumes.plans.items()
+            if key[0] or limit_share is not None or plan != given.get(key[1])
+        ]
+
+    def _limit_levels(self, now: float) -> list[list[object]]:
+        """The limits' token buckets, filled up to now: volume, plan, hosts, level."""
+        levels: list[list[object]] = []
+        for key, volume in self._scheduler.volumes.by_key.items():
+            if volume.plan.limit > 0 and shard_of(key) is None:
+                volume.refill(now)
+                levels.append([key[0], key[1], volume.hosts, volume.limit_level])
+        return levels
+
     def import_state(self, now: float, state: dict[str, Any]) -> None:
         """Take over from this host's last process (`export_state`), once the list of nodes is known."""
         for node, disabled_at in state["out"].items():
--- a/mallowbeam/storage_gateway/scheduler/host_context.py
+++ b/mallowbeam/storage_gateway/scheduler/host_context.py
@@ -5,8 +5,8 @@
 from mallowbeam.storage_gateway.scheduler.interface import Settings
 
 LATENCY_MEMORY = 1.0  # seconds in which an answer's weight falls to 1/e
-FIRST_SLOT_SHARE = 1 / 20  # of the cycle: a unit's latency, before anything was measured
-FIRST_MOST_SHARE = 0.3  # of the cycle: the same of a typical request, at most
+FIRST_SLOT_FRACTION = 1 / 20  # of the cycle: a unit's latency, before anything was measured
+FIRST_REQUEST_FRACTION = 0.3  # of the cycle: the same of a typical request, at most
 FLOOR_CREEP = 0.01  # a second: how fast the lowest measured latency may be forgotten, for a slower day
 MIN_SURVEYED_NODES = 3  # below that the latencies of nodes say nothing of each other
 DEFAULT_CYCLE = 0.3  # seconds, where there are no classes
@@ -21,7 +21,7 @@
         self.typical_units = typical_units
         self.cycle = cycle
         # The latency of a typical request: the usual one, and the lowest.
-        self.prior = self.floor = cycle * min(2 * typical_units * FIRST_SLOT_SHARE, FIRST_MOST_SHARE)
+        self.prior = self.floor = cycle * min(2 * typical_units * FIRST_SLOT_FRACTION, FIRST_REQUEST_FRACTION)
         self.slope = self.floor / typical_units / 2  # that a further unit of a request costs, at any node
 
     def survey(self, node_latencies: list[float], passed: float) -> None:
--- a/mallowbeam/storage_gateway/scheduler/model.py
+++ b/mallowbeam/storage_gateway/scheduler/model.py
@@ -11,7 +11,7 @@
 from math import exp
 from typing import NamedTuple
 
-from mallowbeam.scheduling.cycles import MOST_SLOTS
+from mallowbeam.scheduling.cycles import MAX_SLOTS
 from mallowbeam.scheduling.slot_time import FadingMean, blend, slot_time
 from mallowbeam.storage_gateway.scheduler.host_context import LATENCY_MEMORY, HostContext
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, RequestArrived, RequestClass
@@ -21,13 +21,13 @@
 
 PRIOR_WEIGHT = 0.5  # answers that the latency of all nodes counts as, at each node
 MAX_DEVIATION = 3.0  # a sample counts as at most this many times the mean: one pause can't poison it
-MIN_SIZE_SHARE = 0.2  # of a latency that is left when the cost of a request's size is taken off
+MIN_SIZE_FRACTION = 0.2  # of a latency that is left when the cost of a request's size is taken off
 RECENT_WEIGHT = 0.1  # weight of its samples with which a node still counts in the survey
 
-TARGET_SHARE = 0.35  # of the cycle: the latency steered to; the rest is for waiting here, still movable
+TARGET_FRACTION = 0.35  # of the cycle: the latency steered to; the rest is for waiting here, still movable
 WINDOW_GROWTH = 0.7  # units that a round trip under the target adds to the window
 WINDOW_SHRINK = 0.3  # fraction of its units that an answer at twice the target takes off the window
-BUSY_SHARE = 0.7  # of the window that must be in use for it to grow
+BUSY_FRACTION = 0.7  # of the window that must be in use for it to grow
 PRICE_STEP = 0.5  # how far one request without a slot moves a node's price towards its value
 
 
@@ -253,12 +253,12 @@
     def learn(self, units: int, latency: float, at_least: bool) -> None:
         """Take in the latency in seconds of an answer (`at_least`: it had not come by then), and steer by it.
 
-        The window of units in flight is moved so that answers take `TARGET_SHARE` of a cycle.
+        The window of units in flight is moved so that answers take `TARGET_FRACTION` of a cycle.
         """
         self.refresh()
         baseline = self._host.baseline
         size_cost = baseline.slope * (units - baseline.typical_units)
-        typical = max(latency - size_cost, MIN_SIZE_SHARE * latency)
+        typical = max(latency - size_cost, MIN_SIZE_FRACTION * latency)
         if at_least and typical <= self.smoothed_latency:
             typical = self.smoothed_latency
         else:
@@ -266,12 +266,12 @@
             self.smoothed_latency = blend(
                 self.latency.weight, self.latency.mean, PRIOR_WEIGHT, baseline.prior
             )
-        target = baseline.floor + TARGET_SHARE * max(0.0, baseline.cycle - baseline.floor)
+        target = baseline.floor + TARGET_FRACTION * max(0.0, baseline.cycle - baseline.floor)
         excess = typical / target - 1.0
         if excess > 0:
             self.window = max(1.0, self.window - WINDOW_SHRINK * units * min(1.0, excess))
-        elif self.queue or self.units_in_flight + units > BUSY_SHARE * self.window:
-            self.window = min(float(MOST_SLOTS), self.window + WINDOW_GROWTH * units / self.window)
+        elif self.queue or self.units_in_flight + units > BUSY_FRACTION * self.window:
+            self.window = min(float(MAX_SLOTS), self.window + WINDOW_GROWTH * units / self.window)
 
     def overdue_time(self) -> float:
         """Seconds that two attempts are overdue; one alone, which may be costly, gets a cycle more."""
--- a/mallowbeam/storage_gateway/scheduler/request_endings.py
+++ b/mallowbeam/storage_gateway/scheduler/request_endings.py
@@ -32,19 +32,22 @@
             return
         request.done = True
         settings = self._state.settings
-        if not answered and (
-            is_idempotent_everywhere(request) or not (request.possible_runs or request.in_flight)
-        ):
-            wait = min(retry_after or self._state.cycle, settings.max_retry_after)
-            self._state.actions.append(Reject(request.id, wait if settings.retry_after else None))
-        elif not answered:
-            self._state.actions.append(Fail(request.id))
+        if not answered:
+            self._answer(request, retry_after)
         if settings.may_cancel:
             self._state.actions += [Cancel(request.id, number) for number in request.in_flight]
         if request.budgeted and not request.charged:
             request.volume.pending_units -= request.units
         self.forget(request)
 
+    def _answer(self, request: Request, retry_after: float | None) -> None:
+        settings = self._state.settings
+        if is_idempotent_everywhere(request) or not (request.possible_runs or request.in_flight):
+            wait = min(retry_after or self._state.cycle, settings.max_retry_after)
+            self._state.actions.append(Reject(request.id, wait if settings.retry_after else None))
+        else:
+            self._state.actions.append(Fail(request.id))
+
     def forget(self, request: Request) -> None:
         """Forget a request that is over, and has no attempt in flight."""
         if request.done and not request.in_flight:
--- a/mallowbeam/storage_gateway/scheduler/settings.py
+++ b/mallowbeam/storage_gateway/scheduler/settings.py
@@ -51,15 +51,17 @@
 def flatten(value: object, path: str = "") -> dict[str, str]:
     """Nested JSON by path, written as the simulator's pairs write it."""
     if isinstance(value, dict):
-        parts = [flatten(item, f"{path}.{name}" if path else name) for name, item in value.items()]
+        items = {str(name): item for name, item in value.items()}
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
-        parts = [{f"{path}.count": str(len(value))}]
-        parts += [flatten(item, f"{path}.{index}") for index, item in enumerate(value)]
+        items = {"count": len(value)} | {str(index): item for index, item in enumerate(value)}
     elif isinstance(value, list):
         return {path: ",".join(spell(item) for item in value)}
     else:
         return {path: spell(value)}
-    return {name: item for flat in parts for name, item in flat.items()}
+    flat: dict[str, str] = {}
+    for name, item in items.items():
+        flat |= flatten(item, f"{path}.{name}" if path else name)
+    return flat
 
 
 def spell(value: object) -> str:
--- a/mallowbeam/storage_gateway/scheduler/slow_start.py
+++ b/mallowbeam/storage_gateway/scheduler/slow_start.py
@@ -83,7 +83,7 @@
         hosts = request.volume.hosts if request.tier is Tier.RESERVED else 1
         share = TIER_SHARES[request.tier] * tips / hosts
         if even < request.units:
-            measured_share = 1.0 - exp((self._state.started_at - self._state.now) / self._window)
+            measured_fraction = 1.0 - exp((self._state.started_at - self._state.now) / self._window)
             demand_of_all = self._demand * max(1, settings.hosts)
-            share += LOAD_SHARE * bears * max(1, settings.shards) * measured_share / demand_of_all
+            share += LOAD_SHARE * bears * max(1, settings.shards) * measured_fraction / demand_of_all
         return crc32(request.data_key.encode()) < min(share, MAX_SHARE * tips) * HASH_RANGE
--- a/mallowbeam/storage_gateway/scheduler/volume_table.py
+++ b/mallowbeam/storage_gateway/scheduler/volume_table.py
@@ -50,26 +50,38 @@
 
     def on_plan_changed(self, event: PlanChanged) -> None:
         """Put a plan in force; an allotment with its plan's figures and no share is revoked."""
-        plan = event.plan
-        share = event.limit_share
-        key: VolumeKey = (event.volume, plan.name)
+        name = event.plan.name
+        key: VolumeKey = (event.volume, name)
         if event.shard is not None:
-            key = (event.volume, plan.name, event.shard)
-        self.plans[key] = (plan, share)
+            key = (event.volume, name, event.shard)
         self.changed_at[key] = self._state.now
-        plan_key = ("", plan.name)
-        if event.volume and share is None and plan == self.plans.get(plan_key, (None,))[0]:
-            del self.plans[key]
-            plan, share = self.plans[plan_key]
+        plan, share = self._put(key, event)
         if not event.volume:
             prices = (known.price for each, (known, _) in self.plans.items() if not each[0])
             self.max_unit_value = self._top_class_value * max(prices)
         if event.shard is not None and key not in self.plans:
             self._merge_separate(key)
-        for each in [key] if event.volume else [each for each in self.by_key if each[1] == plan.name]:
-            if each in self.by_key and (each == key or each not in self.plans):
-                self.by_key[each].change(plan, share, self._state.now)
-        self._move_requests(key[0], key[1], event.shard)
+        for each in self._affected(key):
+            self.by_key[each].change(plan, share, self._state.now)
+        self._move_requests(event.volume, name, event.shard)
+
+    def _put(self, key: VolumeKey, event: PlanChanged) -> tuple[Plan, float | None]:
+        """Keep a plan or an allotment, or drop one that is revoked; what holds from now on."""
+        plan_key = ("", event.plan.name)
+        self.plans[key] = (event.plan, event.limit_share)
+        if not event.volume or event.limit_share is not None:
+            return self.plans[key]
+        if event.plan == self.plans.get(plan_key, (None,))[0]:
+            del self.plans[key]
+            return self.plans[plan_key]
+        return self.plans[key]
+
+    def _affected(self, key: VolumeKey) -> list[VolumeKey]:
+        """The volumes that are present, and whose plan a change at a key changes."""
+        volume, plan = key[:2]
+        if volume:
+            return [key] if key in self.by_key else []
+        return [each for each in self.by_key if each[1] == plan and (each == key or each not in self.plans)]
 
     def _merge_separate(self, key: VolumeKey) -> None:
         """End the separate bucket of a revoked allotment; what it owes stays owed."""
--- a/tests/router/admission/test_admission_simulation.py
+++ b/tests/router/admission/test_admission_simulation.py
@@ -137,7 +137,7 @@
             self.assertEqual(planner.bookings, {})
             for book in planner.table.instances.values():
                 self.assertEqual((book.occupied_slots, book.occupied_tokens, book.pending_tokens), (0, 0, 0))
-                self.assertEqual((len(book.pending_prefills), book.timer.units_out), (0, 0))
+                self.assertEqual((len(book.pending_prefills), book.timer.units_in_flight), (0, 0))
 
 
 class OtherFleets(unittest.TestCase):
--- a/tests/scheduling/test_scheduling_cycles.py
+++ b/tests/scheduling/test_scheduling_cycles.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from mallowbeam.scheduling.cycles import HORIZON_CYCLES, MOST_SLOTS, CycleBook, slots_per_cycle
+from mallowbeam.scheduling.cycles import HORIZON_CYCLES, MAX_SLOTS, CycleBook, slots_per_cycle
 
 
 def book_of(cycle_s: float = 1.0, slot_s: float = 0.25) -> CycleBook:
@@ -20,7 +20,7 @@
     placement = book.place(units, now)
     assert placement is not None
     book.book(booking, placement)
-    return placement.taken
+    return placement.slots_by_cycle
 
 
 class SlotsPerCycle(unittest.TestCase):
@@ -30,12 +30,12 @@
 
     def test_at_least_one_and_at_most_32(self) -> None:
         self.assertEqual(slots_per_cycle(1.0, 5.0), 1)
-        self.assertEqual(slots_per_cycle(1.0, 0.001), MOST_SLOTS)
-        self.assertEqual(slots_per_cycle(1.0, 0.0), MOST_SLOTS)
+        self.assertEqual(slots_per_cycle(1.0, 0.001), MAX_SLOTS)
+        self.assertEqual(slots_per_cycle(1.0, 0.0), MAX_SLOTS)
 
     def test_bounds_of_the_caller(self) -> None:
-        self.assertEqual(slots_per_cycle(1.0, 0.3, least=6), 6)
-        self.assertEqual(slots_per_cycle(1.0, 0.01, most=10), 10)
+        self.assertEqual(slots_per_cycle(1.0, 0.3, min_slots=6), 6)
+        self.assertEqual(slots_per_cycle(1.0, 0.01, max_slots=10), 10)
 
 
 class TheEarliestCycle(unittest.TestCase):
@@ -114,7 +114,7 @@
         book = book_of()
         take(book, 1, 10, 0.0)
         book.release(1)
-        self.assertEqual([book.room(ahead, 0.0) for ahead in range(3)], [4, 4, 4])
+        self.assertEqual([book.free_slots(ahead, 0.0) for ahead in range(3)], [4, 4, 4])
 
     def test_the_end_of_a_span_is_in_its_last_cycle(self) -> None:
         placement = book_of().place(10, 0.0)
@@ -151,10 +151,10 @@
         take(book, 1, 4, 0.0)
         book.forget(1)
         placement = book.place_now(3, 0.2)
-        self.assertEqual((placement.taken, placement.starts_at), (((0, 3),), 0.2))
+        self.assertEqual((placement.slots_by_cycle, placement.starts_at), (((0, 3),), 0.2))
         book.book(2, placement)
-        self.assertEqual(book.room(0, 0.2), 0)
-        self.assertEqual(book.room(1, 0.2), 4)
+        self.assertEqual(book.free_slots(0, 0.2), 0)
+        self.assertEqual(book.free_slots(1, 0.2), 4)
 
 
 class ManyBookings(unittest.TestCase):
@@ -168,7 +168,7 @@
             units = chance.randint(1, 25)
             placement = book.place(units, now)
             assert placement is not None
-            self.assertEqual(sum(count for _, count in placement.taken), units)
+            self.assertEqual(sum(count for _, count in placement.slots_by_cycle), units)
             book.book(booking, placement)
             live[booking] = units
             for cycle in book.cycles:
--- a/tests/scheduling/test_scheduling_slot_time.py
+++ b/tests/scheduling/test_scheduling_slot_time.py
@@ -110,10 +110,10 @@
         slots = timer()
         slots.sent(1, 3, 0.0)
         slots.sent(1, 3, 0.5)
-        self.assertEqual(slots.units_out, 3)
+        self.assertEqual(slots.units_in_flight, 3)
         slots.done(1, 1.0)
         self.assertIsNone(slots.done(1, 1.0))
-        self.assertEqual(slots.units_out, 0)
+        self.assertEqual(slots.units_in_flight, 0)
         self.assertTrue(slots.idle)
 
     def test_the_oldest_age(self) -> None:
