--- a/mallowbeam/storage_gateway/coordination/shares/flow_division.py
+++ b/mallowbeam/storage_gateway/coordination/shares/flow_division.py
@@ -40,7 +40,7 @@
     division = _Division(state, granted, demand, usable)
     for kind in KINDS:
         division.fit(kind)
-    division.lend()
+    division.redistribute_unused()
     return division.rates
 
 
@@ -106,7 +106,7 @@
             if of_kind == kind
         }
 
-    def lend(self) -> None:
+    def redistribute_unused(self) -> None:
         """Give flows that are short what others on their links do not use, and what is left over."""
         lack = {
             flow: wanted - self.rates.get(flow, 0)
--- a/mallowbeam/storage_gateway/coordination/shares/gateway_core.py
+++ b/mallowbeam/storage_gateway/coordination/shares/gateway_core.py
@@ -72,7 +72,7 @@
     epoch: float = 1.0  # at least, between two closes
     window: float = 0.3  # of measuring; there is at most one report in it
     patience: int = 2  # epochs that others wait for the leader's close
-    silence_timeout: float = 5.0  # without an entry, after which a gateway's demand counts as none
+    report_timeout: float = 5.0  # without an entry, after which a gateway's demand counts as none
     heartbeat: float = 1.5  # between reports of a gateway whose demand does not change
     lease: float = 3.0
     drift: float = 0.1  # by which two clocks' rates differ at most
@@ -183,7 +183,7 @@
     def tick(self, now: float) -> list[Action]:
         """Time has passed."""
         timing = self.timing
-        if now - self.ticked_at > timing.silence_timeout / 2:
+        if now - self.ticked_at > timing.report_timeout / 2:
             # Guards against a process that was stopped and takes everybody else for silent.
             self.last_entry_at = dict.fromkeys(self.gateways, now)
             self.closed_at = max(self.closed_at, now - timing.epoch)
@@ -261,7 +261,7 @@
             for name in self.gateways
             if name != self.me
             and name not in self.state.silent
-            and now > self.last_entry_at[name] + self.timing.silence_timeout
+            and now > self.last_entry_at[name] + self.timing.report_timeout
         )
 
     def _close_due_at(self) -> float:
--- a/mallowbeam/storage_gateway/coordination/shares/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/shares/subsystem.py
@@ -69,7 +69,7 @@
         timing = SharesTiming(
             epoch=section.epoch_s,
             window=section.window_s,
-            silence_timeout=section.quiet_s,
+            report_timeout=section.quiet_s,
             lease=section.lease_s,
             heartbeat=min(MOST_HEARTBEAT_S, section.quiet_s / 3),
         )
--- a/tests/storage_gateway/coordination/shares/test_shares_fleet.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_fleet.py
@@ -16,7 +16,7 @@
 
 T = SharesTiming()
 THREE = 3 * T.epoch + 1.5  # three epochs, the window of counting and the words' way
-LEASE = T.lease * 1.2 + T.silence_timeout
+LEASE = T.lease * 1.2 + T.report_timeout
 
 SETUP = SharesPolicy(
     {
