--- a/mallowbeam/http/client.py
+++ b/mallowbeam/http/client.py
@@ -1,9 +1,9 @@
 """Connections to nodes: opened when needed, kept while idle, retired well before the node would close them.
 
-What has run decides every error here.  Up to the last byte of a request none is whole at its node
-(`Unsent`); from then on it may have run (`Broken`).  A node that answers before it has read a request whole
-may have run it all the same: who must not send twice asks `Link.begun`, which only the kernel's count of
-bytes taken decides.  Nothing is ever sent again by this file.
+What has run decides every error here.  Up to the last byte of a request none is complete at its node
+(`RequestNotSentError`); from then on it may have run (`ConnectionBrokenError`).  A node that answers before
+it has read a complete request may have run it all the same: a caller that must not send twice checks
+`Link.begun`, which only the kernel's count of accepted bytes decides.  This module never retries.
 """
 
 from __future__ import annotations
@@ -14,36 +14,38 @@
 from bisect import bisect_right, insort
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.http.framing import CHUNK, Budget, Channel, Framer, Message
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.framing import CHUNK, Channel, Framer, Message
 
 RETIRE = 0.8  # of the nodes' idle limit: a connection idle for longer is not used again
 MAX_IDLE_EACH = 32  # idle connections kept to one node
 REST = 0.02  # seconds after an answer before the next request: a second answer shows by then
+FIRST_INTERIM, FIRST_FINAL = 100, 200  # status codes: 1xx are interim (RFC 9110 section 15.2)
 MOST_INTERIM = 16  # interim answers (1xx) in front of one answer
 
 
-class Unsent(MallowbeamError):
+class RequestNotSentError(MallowbeamError):
     """The connection failed before the request's last byte was written: it never ran."""
 
     error_name = "Unsent"
     remedy = "if it goes on, look at the node and at the way to it"
 
 
-class NoRoom(Unsent):
+class ConnectionLimitError(RequestNotSentError):
     """No socket is left here: says nothing of the node."""
 
     error_name = "NoRoom"
     remedy = "raise the limit on sockets, or look for nodes that stand still"
 
 
-class Broken(MallowbeamError):
+class ConnectionBrokenError(MallowbeamError):
     """The connection broke after the request was written: it may have run."""
 
     error_name = "Broken"
     remedy = "if it goes on, look at the node and at what lies between"
 
 
-class Spoilt(Broken):
+class RemoteProtocolError(ConnectionBrokenError):
     """What came back can't be read, or never ends: the request may have run, and the node lives."""
 
     error_name = "Spoilt"
@@ -55,21 +57,21 @@
 
     def __init__(self, channel: Channel, address: str) -> None:
         self.channel, self.address, self.idle_since = channel, address, 0.0
-        self.written = False  # the request's last byte is the kernel's: it may run
-        self.left: int | None = 0  # bytes of its body that are not written; None: comes in chunks
-        self._start = channel.taken  # the count of bytes taken as the request began
+        self.request_sent = False  # the request's last byte is the kernel's: it may run
+        self.body_left: int | None = 0  # bytes of its body that are not written; None: comes in chunks
+        self._start = channel.bytes_sent  # the count of bytes taken as the request began
         self._writer: asyncio.Task[None] | None = None  # writes what the kernel did not take at once
         self._refused = False  # a write failed: the end of the connection is no orderly one
 
     @property
     def begun(self) -> bool:
         """Whether the kernel has taken any byte of the request; if not, it is proven unsent."""
-        return self.channel.taken > self._start
+        return self.channel.bytes_sent > self._start
 
     async def request(
         self, head: bytes, body: bytes | bytearray = b"", bodiless: bool = False, follows: int | None = 0
     ) -> None:
-        """Write a request; `bodiless` if its answer has no body.  Raises `Unsent`.
+        """Write a request; `bodiless` if its answer has no body.  Raises `RequestNotSentError`.
 
         `follows` tells how many bytes of its body come by `write`, None where they come in chunks.
         """
@@ -80,12 +82,14 @@
         else:
             await self._send(head + body, follows == 0)
 
-    async def ask(self, head: bytes, body: bytes | bytearray = b"", bodiless: bool = False) -> Message:
-        """Write a request and return its answer, headers read; raises `Unsent` and `Broken`.
+    async def round_trip(self, head: bytes, body: bytes | bytearray = b"", bodiless: bool = False) -> Message:
+        """Write a request and return its answer, headers read.
 
         The kernel is given the request in this step, with nothing awaited before.  What it does not take at
         once is written beside the reading: a node may answer before it has read a long body, and reads on
         later.  Until all is written the connection is of no further use.
+
+        Raises `RequestNotSentError` and `ConnectionBrokenError`.
         """
         self._begin(bodiless, 0)
         data = head if len(body) > CHUNK else head + body
@@ -95,21 +99,21 @@
         if any(rest):
             self._writer = asyncio.create_task(self._write_rest(rest))
         else:
-            self.written = True
-        return await self.head()
+            self.request_sent = True
+        return await self.read_head()
 
     def _begin(self, bodiless: bool, follows: int | None) -> None:
         """A request begins; the one before it is over."""
         self.channel.framer.bodiless = bodiless
-        self.written, self.left = False, follows
-        self._start = self.channel.taken
+        self.request_sent, self.body_left = False, follows
+        self._start = self.channel.bytes_sent
 
     def _push(self, data: bytes | bytearray) -> memoryview:
         """Write what the kernel takes at once; what is left."""
         try:
             return memoryview(data)[self.channel.push(data) :]
         except OSError as error:
-            raise Unsent(str(error)) from None
+            raise RequestNotSentError(str(error)) from None
 
     async def _write_rest(self, rest: list[memoryview]) -> None:
         """Write what is left of a request; a failure shows in what is read."""
@@ -119,14 +123,14 @@
         except OSError:
             self._refused = True
         else:
-            self.written = True
+            self.request_sent = True
 
     async def write(self, piece: bytes | bytearray) -> None:
-        """Write a piece of a request's body; in chunks, an empty one is its end.  Raises `Unsent`."""
-        if self.left is None:
+        """Write a piece of a body; in chunks, an empty one is its end.  Raises `RequestNotSentError`."""
+        if self.body_left is None:
             return await self._send(b"".join((b"%x\r\n" % len(piece), piece, b"\r\n")), not piece)
-        self.left -= len(piece)
-        await self._send(piece, self.left <= 0)
+        self.body_left -= len(piece)
+        await self._send(piece, self.body_left <= 0)
         return None
 
     async def _send(self, data: bytes | bytearray, last: bool) -> None:
@@ -134,8 +138,8 @@
         try:
             await self.channel.send(data)
         except OSError as error:
-            raise Unsent(str(error)) from None
-        self.written = last
+            raise RequestNotSentError(str(error)) from None
+        self.request_sent = last
 
     async def exceeds(self, answer: Message, hold: int, most: int | None, standstill: float | None) -> bool:
         """Whether an answer is larger than what is held whole, as any is where nothing is.
@@ -145,24 +149,26 @@
         if hold == 0:
             return True
         if answer.length is not None and most is not None and answer.length > most:
-            raise Spoilt(f"an answer of {answer.length} bytes")
+            raise RemoteProtocolError(f"an answer of {answer.length} bytes")
         if answer.length is not None and answer.length > hold:
             hold = 1  # its first bytes are worth passing on
-        while len(answer.body) < hold and not answer.whole:
+        while len(answer.body) < hold and not answer.complete:
             await self._on(answer, standstill)
-        return not answer.whole
+        return not answer.complete
 
-    async def head(self) -> Message:
-        """The answer, its headers read and its body perhaps still coming; raises `Broken`."""
+    async def read_head(self) -> Message:
+        """The answer, its headers read and its body perhaps still coming; raises `ConnectionBrokenError`."""
         framer = self.channel.framer
         for _ in range(MOST_INTERIM + 1):
             answer = await self._next_head()
-            if not 100 <= answer.status < 200:  # else an interim answer: the real one follows
+            if (
+                not FIRST_INTERIM <= answer.status < FIRST_FINAL
+            ):  # else an interim answer: the real one follows
                 break
         else:
-            raise Spoilt("interim answers without end")
+            raise RemoteProtocolError("interim answers without end")
         if framer.bodiless:
-            answer.whole = True
+            answer.complete = True
         return answer
 
     async def _next_head(self) -> Message:
@@ -171,30 +177,30 @@
         while True:
             if framer.ready:
                 return framer.ready.popleft()
-            if (part := framer.part) is not None and not framer.in_head:
+            if (part := framer.incoming) is not None and not framer.in_head:
                 return part
             if not await self._read():
-                raise Broken("the connection ended before the answer")
+                raise ConnectionBrokenError("the connection ended before the answer")
 
-    async def more(self, answer: Message) -> None:
-        """Read on in an answer's body; raises `Broken`."""
+    async def read_more(self, answer: Message) -> None:
+        """Read on in an answer's body; raises `ConnectionBrokenError`."""
         if not await self._read():
             # A write that failed has taken the reset that a read would have told of.
             if not answer.until_close or self._refused:
-                raise Broken("the connection ended inside the answer")
-            answer.whole, answer.keep_alive = True, False
+                raise ConnectionBrokenError("the connection ended inside the answer")
+            answer.complete, answer.keep_alive = True, False
         ready = self.channel.framer.ready
         if ready and ready[0] is answer:  # one behind it stays: such a connection is not used again
             ready.popleft()
 
-    async def body(self, answer: Message, standstill: float | None = None) -> bytearray:
+    async def read_body(self, answer: Message, standstill: float | None = None) -> bytearray:
         """The whole body of an answer that is not passed on in pieces.
 
         Guards against one that stops short: past `standstill` seconds without a byte no more of it comes.
         """
-        if answer.length is not None and answer.length > self.channel.framer.max_body and not answer.whole:
-            raise Spoilt(f"an answer of {answer.length} bytes")
-        while not answer.whole:
+        if answer.length is not None and answer.length > self.channel.framer.max_body and not answer.complete:
+            raise RemoteProtocolError(f"an answer of {answer.length} bytes")
+        while not answer.complete:
             await self._on(answer, standstill)
         return answer.body
 
@@ -202,32 +208,32 @@
         """Read on, but not for longer than `standstill` seconds without a byte."""
         try:
             async with asyncio.timeout(standstill):
-                await self.more(answer)
+                await self.read_more(answer)
         except TimeoutError:
-            raise Spoilt("the answer stopped short") from None
+            raise RemoteProtocolError("the answer stopped short") from None
 
     async def _read(self) -> bool:
-        """Read once; raises `Spoilt` for what can't be read, unless a whole answer came before it."""
+        """Read once; raises `RemoteProtocolError` for what is malformed, unless an answer came before it."""
         framer = self.channel.framer
         try:
-            going_on = framer.fault is None and await self.channel.receive()
+            going_on = framer.error is None and await self.channel.receive()
         except OSError as error:
-            raise Broken(str(error)) from None
-        if framer.fault is not None and not framer.ready:
-            raise Spoilt(str(framer.fault))
+            raise ConnectionBrokenError(str(error)) from None
+        if framer.error is not None and not framer.ready:
+            raise RemoteProtocolError(str(framer.error))
         return going_on
 
     def reusable(self, answer: Message) -> bool:
         """Whether another request may follow on this connection."""
         framer = self.channel.framer
         return (
-            self.written
-            and answer.whole
+            self.request_sent
+            and answer.complete
             and answer.keep_alive
             and not answer.until_close
             and not framer.bodiless
             and framer.empty
-            and framer.fault is None
+            and framer.error is None
         )
 
     def close(self) -> None:
@@ -235,13 +241,13 @@
         self.channel.close()
 
 
-async def connect(address: str, timeout: float, max_body: int, budget: Budget | None = None) -> Link:
-    """Open a connection, whose answers' bodies `budget` bounds together; raises `Unsent`."""
+async def connect(address: str, timeout: float, max_body: int, budget: BodyBudget | None = None) -> Link:
+    """Open a connection, whose answers' bodies `budget` bounds together; raises `RequestNotSentError`."""
     host, _, port = address.rpartition(":")
     try:
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:  # descriptors have run out: this attempt fails, nothing else
-        raise NoRoom(str(error)) from None
+        raise ConnectionLimitError(str(error)) from None
     try:
         sock.setblocking(False)
         async with asyncio.timeout(timeout):
@@ -249,7 +255,7 @@
         return Link(Channel(sock, Framer(answers=True, max_body=max_body, budget=budget)), address)
     except (OSError, TimeoutError, ValueError, OverflowError) as error:  # or the address is none
         sock.close()
-        raise Unsent(str(error) or "the connection never came up") from None
+        raise RequestNotSentError(str(error) or "the connection never came up") from None
     except BaseException:
         sock.close()
         raise
@@ -264,11 +270,13 @@
         idle_limit: float | None,
         connect_timeout: float | None,
         max_body: int,
-        budget: Budget,
+        budget: BodyBudget,
     ) -> None:
-        self.whole = self.most = most  # connections in all, and how many of them may be open now
+        self.configured_limit = self.connection_limit = (
+            most  # connections in all, and how many of them may be open now
+        )
         self.max_body, self.budget = max_body, budget
-        self.lasts = (idle_limit or 10.0) * RETIRE  # seconds that a connection may lie idle
+        self.idle_lifetime = (idle_limit or 10.0) * RETIRE  # seconds that a connection may lie idle
         self.connect_timeout = connect_timeout or 1.0
         self.idle: dict[str, list[Link]] = {}
         self.count = 0  # connections open or being opened
@@ -284,11 +292,11 @@
         while rested:
             rested -= 1
             link = idle.pop(rested)
-            if now - link.idle_since < self.lasts:
+            if now - link.idle_since < self.idle_lifetime:
                 return link
             self.drop(link)
-        if self.count >= self.most and not self._evict():
-            raise NoRoom("as many connections are open as are allowed")
+        if self.count >= self.connection_limit and not self._evict():
+            raise ConnectionLimitError("as many connections are open as are allowed")
         self.count += 1
         try:
             return await connect(address, self.connect_timeout, self.max_body, self.budget)
@@ -306,8 +314,8 @@
         if len(idle) >= MAX_IDLE_EACH:
             return False
         link.channel.framer.release()
-        link.channel.narrow()
-        link.written, link.idle_since = False, time.monotonic() - REST if since is None else since
+        link.channel.shrink_buffer()
+        link.request_sent, link.idle_since = False, time.monotonic() - REST if since is None else since
         insort(idle, link, key=lambda link: link.idle_since)
         return True
 
@@ -317,15 +325,18 @@
         link.channel.framer.release()
         link.close()
 
-    def limit(self, parts: int) -> None:
+    def limit_to_part(self, parts: int) -> None:
         """Keep to one of so many equal parts of connections and bodies; idle ones beyond it are closed."""
-        self.most, self.budget.most = self.whole // parts, self.budget.whole // parts
-        while self.count > self.most and self._evict():
+        self.connection_limit, self.budget.limit = (
+            self.configured_limit // parts,
+            self.budget.configured_limit // parts,
+        )
+        while self.count > self.connection_limit and self._evict():
             pass
 
     def sweep(self) -> None:
         """Close what has been idle for too long, oldest first in each list."""
-        limit = time.monotonic() - self.lasts
+        limit = time.monotonic() - self.idle_lifetime
         for address, idle in list(self.idle.items()):
             while idle and idle[0].idle_since < limit:
                 self.drop(idle.pop(0))
--- a/mallowbeam/router/data_plane/attempt.py
+++ b/mallowbeam/router/data_plane/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request on one connection to one instance, up to its answer's head or its whole body.
+"""One attempt: a request on one connection to one instance, up to its answer's head or its complete body.
 
 The attempt owns its connection until `release`, which may be called again and again; what has run is the
 matter of `outcomes`.
@@ -10,18 +10,24 @@
 import time
 from dataclasses import dataclass
 
-from mallowbeam.http.client import Broken, Link, NoRoom, Spoilt, Unsent
+from mallowbeam.http.client import (
+    ConnectionBrokenError,
+    ConnectionLimitError,
+    Link,
+    RemoteProtocolError,
+    RequestNotSentError,
+)
 from mallowbeam.http.framing import Headers, Message, write_request
 from mallowbeam.router.data_plane.client_request import ClientRequest
 from mallowbeam.router.data_plane.fleet_view import FleetView
 from mallowbeam.router.data_plane.link_pool import LinkPool
-from mallowbeam.router.data_plane.outcomes import AttemptEnd, judge_answer, names_another
+from mallowbeam.router.data_plane.outcomes import SUCCESS, AttemptEnd, judge_answer, names_another
 from mallowbeam.router.rpc.messages_pb2 import Instance
 
-HELD_BYTES = 64 * 1024  # an answer up to this size is held whole before any of it is passed on
+BUFFERED_BYTES = 64 * 1024  # an answer up to this size is buffered completely before any of it is forwarded
 WAY_BACK_S = 0.005  # of the time that is left, kept for the answer's way back
 MOST_LATE_ANSWERS = 4  # to other requests, in front of the one that is due
-REJECTION_BODY_S = 0.2  # for the rest of an answer that is not passed on; else its connection closes
+REJECTION_BODY_S = 0.2  # for the rest of an answer that is not forwarded; else its connection closes
 EVENT_STREAM = b"text/event-stream"
 
 
@@ -33,7 +39,7 @@
     instance: str
     request: ClientRequest
     extra: Headers  # the gateway's own headers
-    deadline: float  # steady time by which the answer must be there
+    deadline: float  # monotonic time by which the answer must be there
     signed: bool = True  # whether a success carries its instance's signature
     once: bool = False  # it may not be sent again: waited for past a late answer
 
@@ -42,28 +48,29 @@
     """A request that was sent, or could not be."""
 
     def __init__(self, pool: LinkPool, view: FleetView) -> None:
-        self._pool, self._view = pool, view
+        self._pool = pool
+        self._view = view
         self.link: Link | None = None
         self.instance = ""
         self.answer: Message | None = None
         self._bodiless = False  # the answer is to a HEAD
 
     async def send(self, order: SendOrder) -> AttemptEnd:
-        """Send and wait for the answer's head; small answers that are no streams are read whole."""
+        """Send and wait for the answer's head; small answers that are no streams are read completely."""
         try:
             async with asyncio.timeout(order.deadline - time.monotonic()):
                 return await self._send(order)
         except TimeoutError:
             end = AttemptEnd.TIMED_OUT
-        except NoRoom:
-            return AttemptEnd.NO_ROOM
-        except Unsent:
+        except ConnectionLimitError:
+            return AttemptEnd.NO_CAPACITY
+        except RequestNotSentError:
             end = AttemptEnd.NOT_SENT
-        except Broken:
+        except ConnectionBrokenError:
             end = AttemptEnd.BROKEN
         if self.link is None:
             return AttemptEnd.NO_CONNECTION
-        # An instance may run, and answer, what it has not read whole: only no byte at all is proven unsent.
+        # An instance may run, and answer, what it has read in part: only no byte at all is proven unsent.
         if not self.link.begun:
             end = AttemptEnd.NOT_SENT
         elif end is AttemptEnd.NOT_SENT:
@@ -75,13 +82,13 @@
     def streams(self) -> bool:
         """Whether the answer is an event stream: a success of that type, with a body."""
         answer = self.answer
-        if answer is None or self._bodiless or not 200 <= answer.status < 300:
+        if answer is None or self._bodiless or answer.status not in SUCCESS:
             return False
         kind = answer.get(b"content-type")
         return kind is not None and kind.partition(b";")[0].strip().lower() == EVENT_STREAM
 
     def release(self) -> None:
-        """Keep the connection if its answer was read whole, else close it."""
+        """Keep the connection if its answer was read completely, else close it."""
         link, self.link = self.link, None
         if link is not None:
             self._pool.give_back(self.instance, link, self.answer)
@@ -89,14 +96,14 @@
     async def _send(self, order: SendOrder) -> AttemptEnd:
         address = self._address(order)
         if address is None:
-            return AttemptEnd.NO_ROOM
+            return AttemptEnd.NO_CAPACITY
         self.instance = order.instance
         link = await self._pool.take(order.instance, address, self._view.most_connections(order.backend))
         self.link = link
         # The instance may have begun to drain, or have gone, while a connection came up.
         if self._address(order) != address:
             self.release()
-            return AttemptEnd.NO_ROOM
+            return AttemptEnd.NO_CAPACITY
         first = not link.idle_since
         request = order.request
         left_ms = max(1, int((order.deadline - WAY_BACK_S - time.monotonic()) * 1000))
@@ -105,7 +112,7 @@
         )
         head = write_request(request.method, request.target, headers, len(request.body))
         self._bodiless = request.method == b"HEAD"
-        answer = await link.ask(head, request.body, self._bodiless)
+        answer = await link.round_trip(head, request.body, self._bodiless)
         if order.once and not first:
             answer = await self._own_answer(link, answer, request.request_id)
         self.answer = answer
@@ -116,7 +123,7 @@
         elif end in (AttemptEnd.REJECTED, AttemptEnd.MISDIRECTED):
             await self._read_rejection(link, answer)
         elif not self.streams:
-            await link.exceeds(answer, HELD_BYTES, None, None)
+            await link.exceeds(answer, BUFFERED_BYTES, None, None)
         return end
 
     async def _own_answer(self, link: Link, answer: Message, request_id: bytes) -> Message:
@@ -125,9 +132,9 @@
         while names_another(answer, request_id):
             late += 1
             if late > MOST_LATE_ANSWERS:
-                raise Spoilt("answers to other requests without end")
-            await link.body(answer)
-            answer = await link.head()
+                raise RemoteProtocolError("answers to other requests without end")
+            await link.read_body(answer)
+            answer = await link.read_head()
         answer.keep_alive = answer.keep_alive and not late
         return answer
 
@@ -135,8 +142,8 @@
         """Read what is left of an answer that goes to nobody, so that its connection can be used again."""
         try:
             async with asyncio.timeout(REJECTION_BODY_S):
-                await link.body(answer)
-        except (TimeoutError, Broken):
+                await link.read_body(answer)
+        except (TimeoutError, ConnectionBrokenError):
             pass  # its head has said that nothing ran
         self.release()
 
--- a/mallowbeam/router/data_plane/feed_link.py
+++ b/mallowbeam/router/data_plane/feed_link.py
@@ -16,7 +16,7 @@
 from mallowbeam.router.rpc.messages_pb2 import FeedFrame, GatewayFrame, LinkFrame
 
 LEAST_WAIT_S = 0.01  # between two questions to the subscriber
-LOOK_S = 0.25  # while a feed is open, its silence is looked at in steps of this
+POLL_S = 0.25  # while a feed is open, its silence is looked at in steps of this
 
 log = get_logger("mallowbeam.feed")
 
@@ -29,7 +29,8 @@
         subscriber: FeedSubscriber[Configuration],
         changed: Callable[[FeedEvents[Configuration], float], None],
     ) -> None:
-        self._subscriber, self._changed = subscriber, changed
+        self._subscriber = subscriber
+        self._changed = changed
         self._connection: FrameConnection | None = None
         self._address = ""
         self._ended = asyncio.Event()  # the connection in use has ended
@@ -61,7 +62,7 @@
     async def _wait(self, seconds: float) -> None:
         """Wait, or until the connection ends."""
         if self._connection is not None:
-            seconds = max(seconds, LOOK_S)
+            seconds = max(seconds, POLL_S)
         self._ended.clear()
         if self._connection is not None and not self._connection.open:
             self._lost()
@@ -81,7 +82,8 @@
         except (OSError, ValueError):
             self._subscriber.failed(address, time.monotonic())
             return
-        self._connection, self._address = connection, address
+        self._connection = connection
+        self._address = address
         connection.send(LinkFrame(gateway=GatewayFrame(hello=self._subscriber.hello())))
         self._subscriber.connected(address, time.monotonic())
         log.info("feed opened: %s", address)
--- a/mallowbeam/router/data_plane/fleet_view.py
+++ b/mallowbeam/router/data_plane/fleet_view.py
@@ -9,7 +9,7 @@
 
 from mallowbeam.router.configuration.model import Backend, Configuration, Route
 from mallowbeam.router.data_plane.routing import RouteTable
-from mallowbeam.router.feed.instances import InstanceChanges
+from mallowbeam.router.feed.instance_replica import InstanceChanges
 from mallowbeam.router.pairing.stages import PREFILL
 from mallowbeam.router.rpc.messages_pb2 import READY, Instance
 
@@ -17,7 +17,7 @@
 
 
 class FleetView:
-    """The current state, replaced piece by piece."""
+    """The current state, replaced chunk by chunk."""
 
     def __init__(self) -> None:
         self.configuration: Configuration | None = None
@@ -56,7 +56,7 @@
         return self._ids.get(backend, ())
 
     def usable(self, instance_id: str, backend: str, reads: bool = False) -> Instance | None:
-        """An instance of a service, if it takes requests now: asked in the step in which one is sent.
+        """An instance of a service, if it takes requests now: checked in the same step in which one is sent.
 
         `reads` where only the prompt is to be read: prefill instances take such calls and nothing else.
         """
--- a/mallowbeam/router/data_plane/link_pool.py
+++ b/mallowbeam/router/data_plane/link_pool.py
@@ -11,16 +11,18 @@
 import time
 from dataclasses import dataclass
 
-from mallowbeam.http.client import Link, NoRoom, Unsent, connect
-from mallowbeam.http.framing import Budget, Message
+from mallowbeam.http.budget import BodyBudget
+from mallowbeam.http.client import ConnectionLimitError, Link, RequestNotSentError, connect
+from mallowbeam.http.framing import Message
 
 CONNECT_TIMEOUT_S = 1.0
 REST_S = 0.02  # after an answer, before the next request, where there is a choice
-USED_SHARE = 0.8  # of the idle time that an instance states
+IDLE_TIMEOUT_FRACTION = 0.8  # of the idle time that an instance states
 UNSTATED_IDLE_S = 0.5  # where it states none
 MOST_IDLE_S = 60.0
+MOST_DIGITS = 8  # of a Keep-Alive time-out; a longer one is not read
 MOST_IDLE_EACH = 256  # idle connections kept to one instance
-MOST_ANSWER_BYTES = 1 << 20  # of an answer that are held at once
+MOST_ANSWER_BYTES = 1 << 20  # of an answer that are buffered at once
 SILENT_NETWORK_MS = 1500  # sent and not acknowledged for this long ends a connection
 KEEPALIVE = ((socket.TCP_KEEPIDLE, 1), (socket.TCP_KEEPINTVL, 1), (socket.TCP_KEEPCNT, 2))
 
@@ -35,7 +37,7 @@
 class LinkPool:
     """All connections to instances."""
 
-    def __init__(self, most: int, budget: Budget | None = None) -> None:
+    def __init__(self, most: int, budget: BodyBudget | None = None) -> None:
         self._most = most  # connections in all
         self._budget = budget
         self._idle: dict[str, list[_Idle]] = {}
@@ -46,16 +48,18 @@
     async def take(self, instance: str, address: str, most: int) -> Link:
         """An idle connection that still stands, or a new one; `most` bounds those to this instance.
 
-        Raises `NoRoom` at a bound, `Unsent` where no connection comes up.  An idle one is returned without a
-        wait.
+        Raises `ConnectionLimitError` at a bound, `RequestNotSentError` where no connection comes up.  An idle
+        one is returned without a wait.
         """
         link = self._reusable(instance, address, self._open.get(instance, 0) >= most)
         if link is not None:
             return link
         if self._open.get(instance, 0) >= most:
-            raise NoRoom("as many connections to this instance are open as are allowed", instance)
+            raise ConnectionLimitError(
+                "as many connections to this instance are open as are allowed", instance
+            )
         if self._count >= self._most and not self._evict():
-            raise NoRoom("as many connections are open as are allowed")
+            raise ConnectionLimitError("as many connections are open as are allowed")
         self._add(instance, 1)
         try:
             link = await self._connect(address)
@@ -67,7 +71,7 @@
         return link
 
     def give_back(self, instance: str, link: Link, answer: Message | None) -> None:
-        """Keep a connection whose answer was read whole; close any other."""
+        """Keep a connection whose answer was read completely; close any other."""
         if answer is None or not link.reusable(answer):
             return self.drop(instance, link)
         idle = self._idle.setdefault(instance, [])
@@ -75,8 +79,8 @@
             return self.drop(instance, link)
         now = time.monotonic()
         link.channel.framer.release()
-        link.channel.narrow()
-        link.written, link.idle_since = False, now
+        link.channel.shrink_buffer()
+        link.request_sent, link.idle_since = False, now
         idle.append(_Idle(link, now, now + idle_time_s(answer)))
         return None
 
@@ -112,7 +116,7 @@
         link = await connect(address, CONNECT_TIMEOUT_S, MOST_ANSWER_BYTES, self._budget)
         if link.channel.stale():
             link.close()
-            raise Unsent("the connection was ended, or something came on it, before the request")
+            raise RequestNotSentError("the connection was ended, or something came on it, before the request")
         return link
 
     def _reusable(self, instance: str, address: str, none_free: bool) -> Link | None:
@@ -149,11 +153,11 @@
 
 def idle_time_s(answer: Message) -> float:
     """How long a connection may be used again after an answer, by its Keep-Alive header."""
-    for part in (answer.get(b"keep-alive") or b"").split(b","):
-        name, _, value = part.strip().partition(b"=")
-        if name.lower() == b"timeout" and value.isdigit() and len(value) < 9:
-            return min(int(value), MOST_IDLE_S) * USED_SHARE
-    return UNSTATED_IDLE_S * USED_SHARE
+    for parameter in (answer.get(b"keep-alive") or b"").split(b","):
+        name, _, value = parameter.strip().partition(b"=")
+        if name.lower() == b"timeout" and value.isdigit() and len(value) <= MOST_DIGITS:
+            return min(int(value), MOST_IDLE_S) * IDLE_TIMEOUT_FRACTION
+    return UNSTATED_IDLE_S * IDLE_TIMEOUT_FRACTION
 
 
 def watch_network(sock: socket.socket) -> None:
--- a/mallowbeam/router/data_plane/prefill.py
+++ b/mallowbeam/router/data_plane/prefill.py
@@ -7,8 +7,9 @@
 from collections.abc import Coroutine
 from contextlib import suppress
 from dataclasses import dataclass
+from http import HTTPStatus
 
-from mallowbeam.http.client import Broken, NoRoom, Unsent
+from mallowbeam.http.client import ConnectionBrokenError, ConnectionLimitError, RequestNotSentError
 from mallowbeam.http.framing import write_request
 from mallowbeam.router.data_plane.attempt import Attempt
 from mallowbeam.router.data_plane.link_pool import LinkPool
@@ -25,7 +26,7 @@
     instance: str
     address: str  # of the instance
     id: str
-    taken_at: float  # when the instance's answer came, in loop time
+    issued_at: float  # when the instance's answer came, in loop time
 
     @property
     def kv_from(self) -> bytes:
@@ -36,7 +37,7 @@
 def read_handle(attempt: Attempt, address: str, now: float) -> Handle | None:
     """The handle in a prefill answer; None where it can't be read."""
     answer = attempt.answer
-    if answer is None or answer.status != 200 or not answer.whole:
+    if answer is None or answer.status != HTTPStatus.OK or not answer.complete:
         return None
     try:
         handle = json.loads(bytes(answer.body))["kv_handle"]
@@ -50,7 +51,7 @@
 
 
 class HandleRelease:
-    """Frees handles that no decode instance takes, beside the requests they belonged to."""
+    """Frees handles that no decode instance takes, in the background of the requests they belonged to."""
 
     def __init__(self, pool: LinkPool) -> None:
         self._pool = pool
@@ -75,7 +76,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _free(self, handle: Handle, most_connections: int) -> None:
-        with suppress(TimeoutError, Unsent, NoRoom, Broken):
+        with suppress(TimeoutError, RequestNotSentError, ConnectionLimitError, ConnectionBrokenError):
             async with asyncio.timeout(FREE_TIMEOUT_S):
                 await self._delete(handle, most_connections)
 
@@ -84,9 +85,9 @@
         try:
             target = f"/mallowbeam/kv-handle/{handle.id}".encode()
             headers = [(b"host", handle.address.encode()), (b"target-instance", handle.instance.encode())]
-            answer = await link.ask(write_request(b"DELETE", target, headers))
-            await link.body(answer)
+            answer = await link.round_trip(write_request(b"DELETE", target, headers))
+            await link.read_body(answer)
         finally:
             # The call names no request, so what was read may be a late answer to an earlier one, with this
-            # call's own still owed: the connection is not used again.
+            # call's own still outstanding: the connection is not used again.
             self._pool.drop(handle.instance, link)
--- a/mallowbeam/router/data_plane/retry_budget.py
+++ b/mallowbeam/router/data_plane/retry_budget.py
@@ -5,14 +5,15 @@
 requests are those of that span, of the one before it, or of the one half a window before it, whichever has
 the most.
 
-Each gateway keeps its own part, so that the sum holds without a word between them: its retries in a span are
-at most `ratio` times its requests in the span *before*, plus its part of `min_retries`.  All gateways go by
-the same one of the three: the largest of each would add up to more than the largest of the sums.  While a
-service has been asked for less than half a window there is little before; until then the span half a window
-before is taken.
+Each gateway keeps its own share, so that the sum holds without messages between them: its retries in a span
+are at most `ratio` times its requests in the span *before*, plus its share of `min_retries`.  All gateways
+use the same one of the three: the largest of each would add up to more than the largest of the sums.  While a
+service has been in use for less than half a window there is little before; until then the span half a window
+before is used.
 
 Time is cut into slices.  A span that begins inside a slice counts all retries of that slice and of the one
-before, as a send may arrive up to a slice later than it is counted; of requests it counts whole slices only.
+before, as a send may arrive up to a slice later than it is counted; of requests it counts complete slices
+only.
 """
 
 from __future__ import annotations
@@ -76,18 +77,18 @@
         current = self._number(now)
         self._forget(current)
         oldest = current - 2 * SLICES
-        kept = [self._slices.get(number, EMPTY) for number in range(oldest, current + 1)]
+        counts = [self._slices.get(number, EMPTY) for number in range(oldest, current + 1)]
         first = self._first if self._slices else current
-        part = self._settings.min_retries / max(1, gateways)
-        before = sum(counts.requests for counts in kept[SLICES + 1 : -1])
-        retries = kept[-1].retries
+        shared = self._settings.min_retries / max(1, gateways)
+        before = sum(counts.requests for counts in counts[SLICES + 1 : -1])
+        retries = counts[-1].retries
         least = float("inf")
         for begin in range(current, max(first, current - SLICES) - 1, -1):
             at = begin - oldest
-            retries += kept[at - 1].retries
+            retries += counts[at - 1].retries
             requests = self._around(begin, current) if begin < first + HALF else before
-            least = min(least, self._settings.ratio * requests + part - retries)
-            before += kept[at - SLICES].requests - kept[at - 1].requests
+            least = min(least, self._settings.ratio * requests + shared - retries)
+            before += counts[at - SLICES].requests - counts[at - 1].requests
         return least
 
     def unused(self, now: float) -> bool:
--- a/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
@@ -12,7 +12,7 @@
 
 from loguru import logger
 
-from mallowbeam.storage_gateway.coordination.errors import FleetError
+from mallowbeam.storage_gateway.coordination.errors import CoordinationError
 from mallowbeam.storage_gateway.coordination.maintenance.actions import (
     Action,
     Drain,
@@ -38,16 +38,16 @@
     OUT_OF_SERVICE,
     Step,
 )
-from mallowbeam.storage_gateway.coordination.policy_document import owns
+from mallowbeam.storage_gateway.coordination.policy_document import register_section
 from mallowbeam.storage_gateway.coordination.replicated_log import Committed
 from mallowbeam.storage_gateway.coordination.subsystem import SubsystemContext
 from mallowbeam.storage_gateway.operator_settings import MaintenanceSection
 from mallowbeam.storage_gateway.scheduler.interface import NodeState
 
-owns("maintenance", Section)
+register_section("maintenance", Section)
 
 
-class MachineNotOutError(FleetError):
+class MachineNotOutError(CoordinationError):
     """An operator reports work as done on a machine that is not out of service."""
 
     error_name = "NotOut"
@@ -65,7 +65,7 @@
 
     def __init__(self, context: SubsystemContext, section: MaintenanceSection) -> None:
         self.context = context
-        self.topic = MaintenanceStateMachine(context.members)
+        self.state_machine = MaintenanceStateMachine(context.members)
         self.core = MaintenanceCore(
             context.me,
             f"{time.time_ns():x}",
@@ -91,7 +91,11 @@
         context = self.context
         nodes = {
             entry.node: NodeStatus(
-                entry.zone, entry.shard, entry.weight, entry.state is NodeState.READY, context.out(entry.node)
+                entry.zone,
+                entry.shard,
+                entry.weight,
+                entry.state is NodeState.READY,
+                context.attempts_at(entry.node),
             )
             for entry in context.nodes()
         }
@@ -100,24 +104,24 @@
             # A list, not a generator: every allotment is told to release.
             released = all([release(True) for release in self.allotments])  # noqa: C419
         leader = context.me if context.leader() else None
-        self.core.observe(LocalView(nodes, context.held(), released, leader))
+        self.core.observe(LocalView(nodes, context.open_requests(), released, leader))
         self._execute(self.core.tick(now))
 
-    def asked(self, act: str, what: str) -> dict[str, object]:
-        """An operator's action on the page, for a machine's name.
+    def complete_work(self, name: str) -> dict[str, object]:
+        """An operator reports on the page that the work on a machine is done; the answer for the page.
 
-        Raises `MachineNotOutError` for any action but `back`, and for a machine that is not out of service.
+        Raises `MachineNotOutError` for a machine that is not out of service.
         """
-        machine = self.core.state.machines.get(what)
-        if act != "back" or machine is None or machine.step not in OUT_OF_SERVICE:
+        machine = self.core.state.machines.get(name)
+        if machine is None or machine.step not in OUT_OF_SERVICE:
             step = machine.step if machine else "no machine of a request"
-            raise MachineNotOutError(f"{what!r} is {step}", f"maintenance/{act}")
-        self.core.complete_work(what)
-        return {"machine": what, "step": machine.step, "told": "back"}
+            raise MachineNotOutError(f"{name!r} is {step}", "maintenance/back")
+        self.core.complete_work(name)
+        return {"machine": name, "step": machine.step, "told": "back"}
 
     def describe(self) -> dict[str, object]:
         """Steps, decisions and reasons for the page `/fleet`."""
-        return describe(self.topic, self.core.state) | {"counted": self.core.serves(time.monotonic())}
+        return describe(self.state_machine, self.core.state) | {"counted": self.core.serves(time.monotonic())}
 
     def gauges(self) -> Mapping[str, float]:
         """The number of machines by the kind of their step; the keys are names of metrics."""
--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -16,21 +16,23 @@
 import asyncio
 import random
 from collections.abc import Callable
+from http import HTTPStatus
 
 from loguru import logger
 
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.http.client import Broken, Link, Unsent, connect
+from mallowbeam.http.client import ConnectionBrokenError, Link, RequestNotSentError, connect
 from mallowbeam.http.framing import Message, write_request
-from mallowbeam.storage_gateway.scheduler import interface as io
-from mallowbeam.storage_gateway.server.listing import BadListing, Listing, decode_listing
-from mallowbeam.storage_gateway.server.log import Sparse
+from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdateKind
+from mallowbeam.storage_gateway.server.listing import Listing, NodeListError, decode_listing
+from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 
 # What discovery has, and could be asked for, counts as told 6 s later, whatever call failed.  In the worst
 # phase it is back just after a call began that still runs into its time-out; then comes the module's longest
-# draw (MOST_AGAIN in `control/nodes.py`), then the next call, which is answered or turned away after a second
-# in discovery's queue: ANSWER + 2.2 + 1.0 = 5.4 s.  Where the first was an open watch that fell silent, the
-# module asks at once: WAITS[1] + OVERDUE + 1.0 = 5.4 s.  At an agent: AGENT_RETRY + AGENT_OVERDUE + 0.05 s.
+# draw (MAX_WATCH_RETRY in `scheduler/node_health.py`), then the next call, which is answered or turned away
+# after a second in discovery's queue: ANSWER + 2.2 + 1.0 = 5.4 s.  Where the first was an open watch that
+# fell silent, the module asks at once: WAITS[1] + OVERDUE + 1.0 = 5.4 s.  At an agent:
+# AGENT_RETRY + AGENT_OVERDUE + 0.05 s.
 WAITS = (2.0, 4.0)  # seconds that one call may wait for news, drawn: silence counts for 6 s only
 OVERDUE = 0.4  # seconds past its wait after which a call has fallen silent
 ANSWER = 2.2  # seconds for a call that waits for no news, with its connection, queue and answer
@@ -42,7 +44,7 @@
 LOST = 1.0  # seconds to the next call where the module could not be told of a failure
 
 
-class Silent(MallowbeamError):
+class DiscoverySilentError(MallowbeamError):
     """A call was not answered, and not ended either: its watch is broken."""
 
     error_name = "Silent"
@@ -59,7 +61,7 @@
         self,
         address: str,
         revision: int,
-        told: Callable[[Listing | io.ListKind], None],
+        told: Callable[[Listing | DiscoveryUpdateKind], None],
         pushed: bool = False,
         draw: Callable[[], float] = random.random,
     ) -> None:
@@ -67,7 +69,10 @@
         self.revision: int | None = revision  # None: ask for the whole list first
         self.anew = False  # the last call failed or fell silent
         self.paused = False  # the other process of this gateway watches for both
-        self.failed, self.fell_silent = Sparse("discovery call failed"), Sparse("discovery fell silent")
+        self.failed, self.fell_silent = (
+            RateLimitedWarning("discovery call failed"),
+            RateLimitedWarning("discovery fell silent"),
+        )
         self.task: asyncio.Task[None] | None = None
 
     def begin(self) -> None:
@@ -94,7 +99,7 @@
         self._give_up()
         self.begin()
 
-    def beside(self, listing: Listing, address: str, take: Callable[[Listing], None]) -> None:
+    def update_from_peer(self, listing: Listing, address: str, take: Callable[[Listing], None]) -> None:
         """Take in a list that the other process heard at an address, if it is news here.
 
         Guards against going back: neither a list that is no newer nor one of an address left counts.
@@ -109,7 +114,7 @@
             self.task = None
 
     async def _run(self) -> None:
-        link, ended = None, io.ListKind.FAILED
+        link, ended = None, DiscoveryUpdateKind.FAILED
         try:
             while True:
                 asked, (wait, most) = self.revision, self._times()
@@ -119,15 +124,19 @@
                             link = await connect(self.address, CONNECT_TIMEOUT, MAX_LIST)
                         answer = await self._call(link, wait)
                 except TimeoutError:
-                    raise Silent("neither answered nor ended") from None
+                    raise DiscoverySilentError("neither answered nor ended") from None
                 self._take(decode_listing(answer.body), asked)
                 if not link.reusable(answer):
                     link.close()
                     link = None
-        except Silent:
-            ended = io.ListKind.SILENT
+        except DiscoverySilentError:
+            ended = DiscoveryUpdateKind.TIMED_OUT
             self.fell_silent("asked anew")
-        except (Unsent, Broken, ValueError) as error:  # no good list, or an address that is none
+        except (
+            RequestNotSentError,
+            ConnectionBrokenError,
+            ValueError,
+        ) as error:  # no good list, or an address that is none
             self.failed(str(error) or type(error).__name__)
         except Exception as error:
             # Guards the watch itself: a fault with one list must not end the sight of all later ones.
@@ -149,7 +158,7 @@
             return  # the other process has told of it, or of more, meanwhile
         if not listing.complete:
             if asked is None:
-                raise BadListing("changes, where the whole list was asked for")
+                raise NodeListError("changes, where the whole list was asked for")
             if listing.revision < asked:  # it counts anew: what it leaves out is not known
                 self.revision = None
                 return
@@ -176,13 +185,16 @@
         return wait, wait + OVERDUE
 
     async def _call(self, link: Link, wait: float) -> Message:
-        """One long poll, or one call for the whole list, on a connection; raises `Unsent`, `Broken`."""
+        """One long poll, or one call for the complete list, on a connection.
+
+        Raises `RequestNotSentError` and `ConnectionBrokenError`.
+        """
         target = b"/v1/servers"
         if self.revision is not None:
             target += b"?since=%d&timeout_ms=%d" % (self.revision, wait * 1000)
         await link.request(write_request(b"GET", target, [(b"host", self.address.encode())]))
-        answer = await link.head()
-        await link.body(answer)
-        if answer.status != 200:
-            raise Broken(f"status {answer.status}")
+        answer = await link.read_head()
+        await link.read_body(answer)
+        if answer.status != HTTPStatus.OK:
+            raise ConnectionBrokenError(f"status {answer.status}")
         return answer
--- a/tests/router/configuration/test_configuration_versions.py
+++ b/tests/router/configuration/test_configuration_versions.py
@@ -7,23 +7,23 @@
 from configuration_documents import body_of, document
 from configuration_scenario import SCENARIOS, NewVersions, Scenario, reloaded
 from configuration_variants import (
+    AcceptsAnyRevision,
     ComparesNothing,
-    DropsTheOldestRefusal,
+    DropsTheOldestRejection,
     ForgetsDigests,
     ForgetsOnRestart,
-    ForgetsRefusals,
-    ForgetsRefusalsOnRestart,
-    ForgetsWhatAPatchLedTo,
-    KeepsAll,
+    ForgetsOutcomesOfPatches,
+    ForgetsRejections,
+    ForgetsRejectionsOnRestart,
     KeepsTheOldModel,
     PatchesOnlyHere,
     PatchesWithoutRemoval,
-    RefusesTheForgotten,
-    TakesAnyNumber,
+    RecordsWithoutBound,
+    RejectsTheForgotten,
 )
 
+from mallowbeam.router.configuration.accepted import RECORD
 from mallowbeam.router.configuration.parsing import ConfigurationParser
-from mallowbeam.router.configuration.taken import RECORD
 from mallowbeam.router.configuration.versions import ConfigurationVersions, put_command
 from mallowbeam.router.rpc.messages_pb2 import (
     ALREADY_DONE,
@@ -36,13 +36,13 @@
     ForgetsDigests: ("resend", "restart", "bound"),
     ForgetsOnRestart: ("restart",),
     ComparesNothing: ("race", "versions"),
-    TakesAnyNumber: ("race", "versions"),
-    KeepsAll: ("bound",),
-    RefusesTheForgotten: ("bound",),
-    ForgetsRefusals: ("late_copy", "refusals_bound"),
-    ForgetsRefusalsOnRestart: ("late_copy",),
-    DropsTheOldestRefusal: ("refusals_bound",),
-    ForgetsWhatAPatchLedTo: ("patch",),
+    AcceptsAnyRevision: ("race", "versions"),
+    RecordsWithoutBound: ("bound",),
+    RejectsTheForgotten: ("bound",),
+    ForgetsRejections: ("late_copy", "refusals_bound"),
+    ForgetsRejectionsOnRestart: ("late_copy",),
+    DropsTheOldestRejection: ("refusals_bound",),
+    ForgetsOutcomesOfPatches: ("patch",),
     PatchesWithoutRemoval: ("patch", "patch_invalid"),
     PatchesOnlyHere: ("patch",),
     KeepsTheOldModel: ("race", "resend", "gateways"),
@@ -76,7 +76,7 @@
 class Versions(unittest.TestCase):
     """What scenarios don't show."""
 
-    def test_nothing_is_parsed_twice_beside_the_api(self) -> None:
+    def test_nothing_is_parsed_twice_when_the_api_shares_its_parser(self) -> None:
         parser = ConfigurationParser()
         versions = ConfigurationVersions(parser)
         parsed = parser.parse(body_of(document()))
--- a/tests/router/consensus/test_storage_power.py
+++ b/tests/router/consensus/test_storage_power.py
@@ -12,13 +12,14 @@
 from unittest import mock
 
 from project_paths import ROOT, SUPPORT
-from storage_trial import Lost, Trial
+from storage_trial import LostWriteError, Trial
 
 from mallowbeam.router.consensus.storage import ReplicaStore, StoreError, seal, store
+from mallowbeam.router.consensus.storage.store_file import StoreFile
 
 SEEDS = range(100, 102)
 BATCHES = 5
-TRIES = 40  # seeds in which a missing protection must be noticed
+ATTEMPTS = 40  # seeds in which a missing protection must be noticed
 
 
 class PowerLoss(unittest.TestCase):
@@ -54,12 +55,12 @@
         batches: int = BATCHES,
         **chances: float,
     ) -> None:
-        for seed in range(first_seed, first_seed + TRIES):
+        for seed in range(first_seed, first_seed + ATTEMPTS):
             trial = Trial(seed, **chances)
             try:
                 with broken(trial):
                     trial.run(batches)
-            except (Lost, StoreError):
+            except (LostWriteError, StoreError):
                 return
         self.fail("the trial did not notice")
 
@@ -74,7 +75,7 @@
 
     def test_no_sync_while_opening(self) -> None:
         self.notices(
-            lambda trial: deaf_in(trial, ReplicaStore, "_restore_meta_pages"),
+            lambda trial: deaf_in(trial, StoreFile, "_restore_meta_pages"),
             first_seed=212,
             batches=2,
             killed=1.0,
@@ -82,20 +83,20 @@
         )
 
     def test_no_sync_of_the_meta_page(self) -> None:
-        self.notices(lambda trial: deaf_in(trial, ReplicaStore, "_seal_and_sync"))
+        self.notices(lambda trial: deaf_in(trial, StoreFile, "seal_and_sync"))
 
     def test_no_sync_of_the_first_state(self) -> None:
-        self.notices(lambda trial: deaf_in(trial, ReplicaStore, "_write_first_state"))
+        self.notices(lambda trial: deaf_in(trial, store, "write_first_state"))
 
     def test_no_sync_of_the_folder_after_the_first_state(self) -> None:
         self.notices(lambda trial: mock.patch.object(store, "sync_folder", lambda folder: None))
 
     def test_no_sync_of_the_folder_while_opening(self) -> None:
-        whole = ReplicaStore.open
+        original = ReplicaStore.open
 
         def unsynced(folder: str, disk_mb: int) -> ReplicaStore:
             with mock.patch.object(store, "sync_folder", lambda folder: None):
-                return whole(folder, disk_mb)
+                return original(folder, disk_mb)
 
         self.notices(lambda trial: mock.patch.object(ReplicaStore, "open", unsynced), batches=0, killed=1.0)
 
@@ -119,12 +120,12 @@
         path = {"PYTHONPATH": f"{SUPPORT}:{ROOT}", "PYTHONDONTWRITEBYTECODE": "1"}
         ended = subprocess.run([sys.executable, "-c", script], env=path, capture_output=True, check=False)
         self.assertNotEqual(ended.returncode, 0)
-        told = b"Lost" in ended.stderr or b"Store" in ended.stderr
-        self.assertTrue(ended.returncode < 0 or told, ended.stderr)
+        reported = b"LostWriteError" in ended.stderr or b"Store" in ended.stderr
+        self.assertTrue(ended.returncode < 0 or reported, ended.stderr)
 
 
 @contextlib.contextmanager
-def deaf_in(trial: Trial, owner: type, name: str) -> Iterator[None]:
+def deaf_in(trial: Trial, owner: object, name: str) -> Iterator[None]:
     """Syncs do nothing while this method runs."""
     method = getattr(owner, name)
 
--- a/tests/router/consensus/test_storage_store.py
+++ b/tests/router/consensus/test_storage_store.py
@@ -15,7 +15,7 @@
 
 from storage_model import FIRST, IDENTITY, Model, draw_batch, draw_entries
 
-from mallowbeam.router.consensus.interface import HardState, Restored, Write
+from mallowbeam.router.consensus.interface import HardState, PersistentState, Write
 from mallowbeam.router.consensus.storage import (
     ReplicaStore,
     StoreFailedError,
@@ -62,7 +62,7 @@
     ) -> None:
         self.store.write([Write(1, hard_state, tuple(added), taken)])
 
-    def reopen(self) -> Restored:
+    def reopen(self) -> PersistentState:
         self.store.close()
         self.store = ReplicaStore.open(self.folder, self.disk_mb)
         return self.store.load()
@@ -80,7 +80,7 @@
         self.assertEqual(os.listdir(self.folder + "-other"), [])
 
     def test_the_first_state(self) -> None:
-        self.assertEqual(self.reopen(), Restored(HardState(), FIRST))
+        self.assertEqual(self.reopen(), PersistentState(HardState(), FIRST))
         self.assertEqual(self.store.identity, IDENTITY)
         with self.assertRaises(StoreOrderError):
             self.store.create(IDENTITY, FIRST)
@@ -88,14 +88,14 @@
     def test_entries_replace_all_at_their_first_index_and_behind_it(self) -> None:
         self.write(entries(1, 10))
         self.write(entries(4, 2, term=2), hard_state=HardState(2, 7))
-        expected = Restored(HardState(2, 7), FIRST, entries(1, 3) + entries(4, 2, term=2))
+        expected = PersistentState(HardState(2, 7), FIRST, entries(1, 3) + entries(4, 2, term=2))
         self.assertEqual(self.reopen(), expected)
 
     def test_an_own_snapshot_drops_the_entries_it_covers(self) -> None:
         self.write(entries(1, 10))
         taken = snapshot(6)
         self.write(taken=taken)
-        self.assertEqual(self.reopen(), Restored(HardState(), taken, entries(7, 4)))
+        self.assertEqual(self.reopen(), PersistentState(HardState(), taken, entries(7, 4)))
 
     def test_a_snapshot_of_another_history_drops_all_entries(self) -> None:
         self.write(entries(1, 10))
@@ -119,13 +119,13 @@
                 Write(3, None, entries(3, 1, term=2)),
             ]
         )
-        expected = Restored(HardState(2, 0), FIRST, entries(1, 2) + entries(3, 1, term=2))
+        expected = PersistentState(HardState(2, 0), FIRST, entries(1, 2) + entries(3, 1, term=2))
         self.assertEqual(self.reopen(), expected)
 
-    def test_a_write_of_nothing(self) -> None:
+    def test_empty_write(self) -> None:
         self.store.write([])
         self.store.write([Write(1)])
-        self.assertEqual(self.reopen(), Restored(HardState(), FIRST))
+        self.assertEqual(self.reopen(), PersistentState(HardState(), FIRST))
 
     def test_entries_and_snapshots_of_several_megabytes(self) -> None:
         large = draw_entries(1, 1, 1, random.Random(1))[0]
@@ -134,7 +134,7 @@
         self.assertEqual(self.reopen().entries, (large,))
         taken = Snapshot(index=1, term=1, state=large.payload[::-1])
         self.write(taken=taken)
-        self.assertEqual(self.reopen(), Restored(HardState(), taken))
+        self.assertEqual(self.reopen(), PersistentState(HardState(), taken))
         self.assertGreater(self.store.size_bytes(), 4 * MEGABYTE)
 
     def test_entries_that_leave_a_gap_are_a_fault_of_the_caller(self) -> None:
@@ -155,7 +155,7 @@
             thread.join()
         self.assertEqual(self.indexes(), list(range(1, 20)))
 
-    def test_random_lives_equal_a_plain_model(self) -> None:
+    def test_random_writes_equal_a_plain_model(self) -> None:
         for seed in range(3):
             chance, model = random.Random(seed), Model()
             self.store.close()
@@ -173,7 +173,7 @@
 class Opening(StoreCase):
     def test_lmdb_syncs_data_before_the_meta_page_and_writes_through_no_mapping(self) -> None:
         """The power trial's order of calls rests on these."""
-        flags = self.store._environment.flags()
+        flags = self.store._file.environment.flags()
         self.assertEqual((flags["sync"], flags["metasync"], flags["writemap"]), (True, False, False))
         self.assertFalse(flags["map_async"])
 
@@ -189,10 +189,10 @@
             found = ReplicaStore.open(other, 128)
             self.assertIsNone(found.identity)
             found.create(5, FIRST)
-            self.assertEqual(found.load(), Restored(HardState(), FIRST))
+            self.assertEqual(found.load(), PersistentState(HardState(), FIRST))
             found.close()
 
-    def test_opening_a_whole_store_writes_nothing(self) -> None:
+    def test_opening_an_intact_store_writes_nothing(self) -> None:
         self.write(entries(1, 3))
         self.store.close()
         with mock.patch("os.pwrite", side_effect=OSError(errno.ENOSPC, "full")):
@@ -217,7 +217,7 @@
         with self.assertRaises(StoreVersionError):
             ReplicaStore.open(self.folder, 128)
 
-    def test_discard_leaves_an_empty_disk(self) -> None:
+    def test_discard_removes_the_store(self) -> None:
         self.store.close()
         ReplicaStore.discard(self.folder)
         ReplicaStore.discard(self.folder)
@@ -225,10 +225,10 @@
         ReplicaStore.discard(self.folder + "-absent")
 
 
-class Refusals(StoreCase):
+class Failures(StoreCase):
     disk_mb = 8  # the map has 4 MB, entries may fill 2
 
-    def test_entries_stop_where_a_snapshot_still_has_room(self) -> None:
+    def test_entries_leave_space_for_a_snapshot(self) -> None:
         next_index = 1
         with self.assertRaises(StoreFullError) as caught:
             while True:
@@ -241,7 +241,7 @@
         self.write(entries(next_index, 10, size=1000))
         self.assertEqual(len(self.reopen().entries), 10)
 
-    def test_entries_at_the_bound_give_way_to_those_of_another_leader(self) -> None:
+    def test_entries_at_the_limit_can_be_replaced_by_another_leaders(self) -> None:
         """They can't be committed, and so are never dropped by a snapshot.
 
         A member that had to wait for one, and whose acknowledgement the new leader waits for, would be stuck.
@@ -258,7 +258,7 @@
         self.write(entries(5, 50, term=2, size=3000))
         self.assertEqual(self.indexes(), list(range(1, 55)))
 
-    def test_many_rounds_at_the_bound_never_need_more_than_the_map(self) -> None:
+    def test_repeated_compaction_at_the_limit_fits_the_map(self) -> None:
         next_index = 1
         for _round in range(30):
             try:
@@ -270,13 +270,13 @@
         self.assertEqual(len(self.reopen().entries), 4)
         self.assertLessEqual(os.path.getsize(os.path.join(self.folder, "replica.lmdb")), 4 * MEGABYTE)
 
-    def test_a_snapshot_beyond_the_map_is_refused_and_the_store_stays(self) -> None:
+    def test_a_snapshot_beyond_the_map_is_rejected_without_effect(self) -> None:
         self.write(entries(1, 3))
         with self.assertRaises(StoreFullError):
             self.write(taken=snapshot(2, size=5 * MEGABYTE))
         self.assertEqual(self.indexes(), [1, 2, 3])
 
-    def test_each_refused_call_leaves_the_store_as_it_was(self) -> None:
+    def test_failed_calls_have_no_effect(self) -> None:
         self.write(entries(1, 3))
         for call in ("os.pwrite", "os.fdatasync"):
             for number, kind in ((errno.ENOSPC, StoreFullError), (errno.EIO, StoreFailedError)):
@@ -290,7 +290,7 @@
         self.write(entries(4, 1))
         self.assertEqual(self.indexes(), [1, 2, 3, 4])
 
-    def test_lmdbs_own_write_refused(self) -> None:
+    def test_failed_write_of_lmdb(self) -> None:
         """A bound on file sizes refuses what lmdb writes by itself."""
         self.write(entries(1, 3))
         length = os.path.getsize(os.path.join(self.folder, "replica.lmdb"))
--- a/tests/router/control_plane/test_command_copies.py
+++ b/tests/router/control_plane/test_control_plane_command_idempotence.py
@@ -8,19 +8,19 @@
 
 from command_model import Bounds, Call, Judge, NewVersions, Replicas, RuleBroken, apply_in_all_orders
 from configuration_variants import (
+    AcceptsAnyRevision,
     ComparesNothing,
-    DropsRefusalsOfTheNextBase,
-    DropsTheOldestRefusal,
+    DropsRejectionsOfTheNextBase,
+    DropsTheOldestRejection,
     ForgetsDigests,
     ForgetsOnRestart,
-    ForgetsRefusals,
-    ForgetsRefusalsOnRestart,
-    KeepsAll,
-    KnowsByBaseAlone,
-    KnowsByNumberAlone,
-    RefusesTheForgotten,
-    RemembersRefusalsWithoutBase,
-    TakesAnyNumber,
+    ForgetsRejections,
+    ForgetsRejectionsOnRestart,
+    IdentifiesByBaseAlone,
+    IdentifiesByRevisionAlone,
+    RecordsWithoutBound,
+    RejectsTheForgotten,
+    RemembersRejectionsWithoutBase,
 )
 
 from mallowbeam.router.configuration.parsing import ConfigurationParser
@@ -43,24 +43,24 @@
 
 BROKEN: tuple[type[ConfigurationVersions], ...] = (
     ComparesNothing,
-    DropsRefusalsOfTheNextBase,
-    DropsTheOldestRefusal,
+    DropsRejectionsOfTheNextBase,
+    DropsTheOldestRejection,
     ForgetsDigests,
     ForgetsOnRestart,
-    ForgetsRefusals,
-    ForgetsRefusalsOnRestart,
-    KeepsAll,
-    KnowsByBaseAlone,
-    KnowsByNumberAlone,
-    RefusesTheForgotten,
-    RemembersRefusalsWithoutBase,
-    TakesAnyNumber,
+    ForgetsRejections,
+    ForgetsRejectionsOnRestart,
+    RecordsWithoutBound,
+    IdentifiesByBaseAlone,
+    IdentifiesByRevisionAlone,
+    RejectsTheForgotten,
+    RemembersRejectionsWithoutBase,
+    AcceptsAnyRevision,
 )
 
 
 def maker(kind: type[ConfigurationVersions], bounds: Bounds) -> NewVersions:
     """How to make one replica; no document is parsed here, so that one parser does for all."""
-    return lambda: kind(PARSER, most_taken=bounds.most_taken, most_refused=bounds.most_refused)
+    return lambda: kind(PARSER, max_accepted=bounds.max_accepted, max_rejected=bounds.max_rejected)
 
 
 def started(kind: type[ConfigurationVersions], bounds: Bounds) -> Replicas:
--- a/tests/router/control_plane/test_control_plane_calls.py
+++ b/tests/router/control_plane/test_control_plane_forwarded_answers.py
@@ -9,7 +9,7 @@
 
 from virtual_time import play
 
-from mallowbeam.router.control_plane.commands import Commands
+from mallowbeam.router.control_plane.command_forwarder import CommandForwarder
 from mallowbeam.router.control_plane.peer_links import PeerLinks
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
 from mallowbeam.router.rpc.messages_pb2 import (
@@ -32,7 +32,7 @@
         changes = SimpleNamespace(next=self.loop.create_future)
         driver = SimpleNamespace(leader_id=LEADER, leadership_changes=changes)
         links = SimpleNamespace(own=SimpleNamespace(id=OWN), send=self._send)
-        self.commands = Commands(cast(RaftDriver, driver), cast(PeerLinks, links))
+        self.commands = CommandForwarder(cast(RaftDriver, driver), cast(PeerLinks, links))
 
     def _send(self, recipient: int, frame: PeerFrame) -> bool:
         self.sent.append(frame)
@@ -75,15 +75,15 @@
 
         play(scenario())
 
-    def test_an_answer_that_comes_again_or_to_a_call_given_up_reaches_no_other(self) -> None:
+    def test_a_duplicate_answer_or_one_to_an_abandoned_call_reaches_no_other(self) -> None:
         async def scenario() -> None:
             member = Member()
             first = await member.call()
             answer = applied(member.sent[0].propose.id, 7)
             member.commands.propose_response(answer)
             await first
-            given_up = await member.call()
-            given_up.cancel()
+            abandoned = await member.call()
+            abandoned.cancel()
             await asyncio.sleep(0.01)
             second = await member.call()
             for late in (answer, applied(member.sent[1].propose.id, 8)):
--- a/tests/router/control_plane/test_control_plane_stage_orders.py
+++ b/tests/router/control_plane/test_control_plane_stage_order_client.py
@@ -10,13 +10,12 @@
 from typing import cast
 from unittest import mock
 
-from mallowbeam.router.configuration.versions import ConfigurationVersions
-from mallowbeam.router.control_plane import stage_orders
+from mallowbeam.router.control_plane import stage_order_client
 from mallowbeam.router.control_plane.raft_driver import RaftDriver
-from mallowbeam.router.control_plane.serving import Said, ServingGate
-from mallowbeam.router.control_plane.stage_orders import RESET, StageOrders
-from mallowbeam.router.pairing.stage_share import OrderResult, StageOrder
-from mallowbeam.router.registry.table import InstanceTable
+from mallowbeam.router.control_plane.response_gate import ResponseGate, ResponseKind
+from mallowbeam.router.control_plane.stage_lease import StageLease
+from mallowbeam.router.control_plane.stage_order_client import RESET_ON_CLOSE, StageOrderClient
+from mallowbeam.router.pairing.stage_balancer import OrderResult, StageOrder
 
 ORDER = StageOrder("i", "10.1.0.1:8080", "prefill")
 LEASE_S = 3.0
@@ -32,7 +31,7 @@
         self.is_leader = True
         self.node = SimpleNamespace(term=2, freshness=lambda now: now - self.confirmed_at)
 
-    def silence(self) -> float:
+    def staleness(self) -> float:
         return self.now - self.confirmed_at
 
 
@@ -51,10 +50,10 @@
         self.done.append(("request",))
         self.order = json.loads(body)
 
-    async def head(self) -> SimpleNamespace:
+    async def read_head(self) -> SimpleNamespace:
         return SimpleNamespace(status=202)
 
-    async def body(self, answer: object) -> bytes:
+    async def read_body(self, answer: object) -> bytes:
         return b""
 
     def close(self) -> None:
@@ -65,18 +64,11 @@
     def setUp(self) -> None:
         self.leader, self.link = Leader(), Link()
         leader = self.leader
-        gate = ServingGate(lambda: leader.now, leader.silence, lambda: leader.is_leader)
+        gate = ResponseGate(lambda: leader.now, leader.staleness, lambda: leader.is_leader)
         self.gate = gate
-        self.orders = StageOrders(
-            cast(RaftDriver, leader),
-            7,
-            cast(InstanceTable, None),
-            cast(ConfigurationVersions, None),
-            lambda: None,
-            gate,
-            LEASE_S,
-        )
-        lease = self.orders._lease
+        stage_lease = StageLease(cast(RaftDriver, leader), gate, 7, LEASE_S)
+        self.orders = StageOrderClient(stage_lease)
+        lease = stage_lease._lease
         lease.acquired(2, TOKEN, leader.now - lease.settings.wait_s)
 
     async def exchange(self, while_connecting: Callable[[], None]) -> OrderResult:
@@ -87,14 +79,14 @@
             return self.link
 
         clock = SimpleNamespace(monotonic=lambda: self.leader.now)
-        with mock.patch.multiple(stage_orders, connect=connect, time=clock):
-            return await self.orders._exchange(ORDER)
+        with mock.patch.multiple(stage_order_client, connect=connect, time=clock):
+            return await self.orders.send(ORDER)
 
     def written(self) -> bool:
         return ("request",) in self.link.done
 
     async def test_a_leader_in_touch_sends_its_token(self) -> None:
-        self.assertIs(await self.exchange(lambda: None), OrderResult.TAKEN)
+        self.assertIs(await self.exchange(lambda: None), OrderResult.ACCEPTED)
         self.assertEqual(self.link.order["fencing_token"], TOKEN)
 
     async def test_frozen_while_the_connection_came_up(self) -> None:
@@ -104,11 +96,11 @@
         self.assertIs(await self.exchange(freeze), OrderResult.NOT_SENT)
         self.assertFalse(self.written())
 
-    async def test_cut_off_while_the_connection_came_up(self) -> None:
-        def cut_off() -> None:
+    async def test_isolated_while_the_connection_came_up(self) -> None:
+        def isolate() -> None:
             self.leader.now += 0.6  # it still believes that it leads: check-quorum takes 0.8 s
 
-        self.assertIs(await self.exchange(cut_off), OrderResult.NOT_SENT)
+        self.assertIs(await self.exchange(isolate), OrderResult.NOT_SENT)
         self.assertFalse(self.written())
 
     async def test_leadership_lost_and_won_again_meanwhile(self) -> None:
@@ -124,8 +116,8 @@
         self.assertIs(await self.exchange(win_again), OrderResult.NOT_SENT)
         self.assertFalse(self.written())
 
-    async def test_the_gate_has_the_last_word(self) -> None:
-        with mock.patch.object(ServingGate, "may", lambda _, said: said is not Said.INSTANCE_ORDER):
+    async def test_the_gate_decides_last(self) -> None:
+        with mock.patch.object(ResponseGate, "may", lambda _, kind: kind is not ResponseKind.INSTANCE_ORDER):
             self.assertIs(await self.exchange(lambda: None), OrderResult.NOT_SENT)
         self.assertFalse(self.written())
 
@@ -133,7 +125,7 @@
         """A process frozen behind a cut closes nothing; the order would be delivered once the cut is over."""
         await self.exchange(lambda: None)
         before = self.link.done[: self.link.done.index(("request",))]
-        self.assertIn((socket.SOL_SOCKET, socket.SO_LINGER, RESET), before)
+        self.assertIn((socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE), before)
         self.assertIn((socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 600), before)
 
 
--- a/tests/router/control_plane/test_control_plane_disk_writer.py
+++ b/tests/router/control_plane/test_control_plane_storage_writer.py
@@ -12,8 +12,8 @@
 
 from mallowbeam.router.consensus.interface import Write
 from mallowbeam.router.consensus.storage import ReplicaStore, StoreFullError
-from mallowbeam.router.control_plane import disk_writer
-from mallowbeam.router.control_plane.disk_writer import DiskWriter
+from mallowbeam.router.control_plane import storage_writer
+from mallowbeam.router.control_plane.storage_writer import StorageWriter
 from mallowbeam.router.rpc.messages_pb2 import COMMAND, Entry, Member, Membership, Snapshot
 
 MEGABYTE = 1 << 20
@@ -57,7 +57,7 @@
             if told[-1][-1] == writes[-1].ticket:
                 all_durable.set()
 
-        writer = DiskWriter(store, durable)
+        writer = StorageWriter(store, durable)
         for write in writes:
             writer.submit(write)
         writer.start()
@@ -65,12 +65,12 @@
         await writer.stop(10.0)
         return told
 
-    with mock.patch.object(disk_writer, "RETRY_S", 0.001):
+    with mock.patch.object(storage_writer, "RETRY_INTERVAL_S", 0.001):
         return asyncio.run(run())
 
 
 class Together(unittest.TestCase):
-    def test_small_writes_share_a_sync(self) -> None:
+    def test_small_writes_are_batched_in_one_sync(self) -> None:
         store = NotingStore()
         self.assertEqual(play(store, [entry_write(ticket) for ticket in range(1, 6)]), [[1, 2, 3, 4, 5]])
 
@@ -82,13 +82,13 @@
 
 
 class Refused(unittest.TestCase):
-    def test_tried_again_until_there_is_room(self) -> None:
+    def test_retried_until_there_is_capacity(self) -> None:
         refusals = iter([True, True, False])
         store = NotingStore(lambda writes: next(refusals))
         self.assertEqual(play(store, [entry_write(1), entry_write(2)]), [[1, 2]])
         self.assertEqual(store.refused, [[1, 2], [1, 2]])
 
-    def test_entries_without_room_go_with_the_snapshot_that_makes_it(self) -> None:
+    def test_entries_over_capacity_are_written_with_the_snapshot_that_frees_it(self) -> None:
         def full(writes: Sequence[Write]) -> bool:
             return all(write.snapshot is None for write in writes)
 
@@ -98,7 +98,7 @@
         self.assertEqual(play(store, writes), [[1, 2, 3]])
         self.assertEqual(store.refused, [[1]])
 
-    def test_real_store_on_a_full_disk_goes_on_once_there_is_room(self) -> None:
+    def test_real_store_on_a_full_disk_continues_once_there_is_capacity(self) -> None:
         """Seals are refused for a while: nothing is told durable meanwhile, all of it afterwards."""
         refused = iter([True] * 6)
         pwrite = os.pwrite
--- a/tests/router/control_plane/test_control_plane_unusable.py
+++ b/tests/router/control_plane/test_control_plane_store_recovery.py
@@ -12,8 +12,13 @@
 from mallowbeam.router.consensus.errors import DivergedError
 from mallowbeam.router.consensus.storage import ReplicaStore, StoreDamagedError
 from mallowbeam.router.control_plane import membership_policy, raft_driver, role
-from mallowbeam.router.control_plane.first_start import derived_identity
-from mallowbeam.router.control_plane.opening import FOLDER, WatchedStore, open_anew, open_store
+from mallowbeam.router.control_plane.bootstrap import seed_identity
+from mallowbeam.router.control_plane.store_recovery import (
+    FOLDER,
+    DamageReportingStore,
+    discard_and_reopen,
+    open_store,
+)
 from mallowbeam.router.processes.role import RoleContext
 from mallowbeam.router.processes.settings import NodeSettings
 from mallowbeam.simulation.fleet import FleetPlayer
@@ -35,7 +40,7 @@
             name = player.names("followers")[0]
             member = player.members[name]
             before.append(member.replica.identity)
-            for entry in member.program._driver.node._state.log._entries:
+            for entry in member.program.parts.driver.node._state.log._entries:
                 entry.term += 7
             player.do_kill("leader")
             player.simulator.after(2.0, lambda: player.do_start("members"))
@@ -48,7 +53,7 @@
     def test_the_driver_takes_no_further_step(self) -> None:
         player = FleetPlayer(HEAD + "end 9")
         player.play()
-        driver = player.members["m2"].program._driver
+        driver = player.members["m2"].program.parts.driver
         seen: list[Exception] = []
         driver._listener = mock.Mock(store_unusable=seen.append)
         with mock.patch.object(type(driver.node), "receive", side_effect=DivergedError("x", step="append")):
@@ -70,7 +75,7 @@
         "at 68 kill m1\nat 70 put 5 on 4 via m3\nby 76 expect taken 5\nend 77"
     )
 
-    def test_it_joins_again_and_gets_a_place(self) -> None:
+    def test_it_joins_again_as_a_member(self) -> None:
         player = FleetPlayer(self.TEXT)
         player.play()
         self.assertEqual(self._members(player), 4)
@@ -79,10 +84,10 @@
         player = FleetPlayer(self.TEXT)
         with (
             mock.patch.object(raft_driver, "COMPACT_ENTRIES", 3),
-            mock.patch("mallowbeam.router.control_plane.member.TRAILING_ENTRIES", 0),
+            mock.patch("mallowbeam.router.control_plane.member_builder.TRAILING_ENTRIES", 0),
         ):
             player.play()
-        node = player.members["m3"].program._driver.node
+        node = player.members["m3"].program.parts.driver.node
         self.assertGreater(node._state.log.snapshot.index, 3)
 
     def test_it_was_removed_indeed(self) -> None:
@@ -90,12 +95,12 @@
         player = FleetPlayer(text)
         player.play()
         self.assertEqual(self._members(player), 3)
-        self.assertGreater(60 - 10, membership_policy.GONE_LEARNER)
+        self.assertGreater(60 - 10, membership_policy.LEARNER_TIMEOUT_S)
 
     @staticmethod
     def _members(player: FleetPlayer) -> int:
         program = player.members[player.names("leader")[0]].program
-        return len(program._driver.node.membership.members)
+        return len(program.parts.driver.node.membership.members)
 
 
 class Stores(unittest.TestCase):
@@ -119,13 +124,13 @@
 
     @property
     def first(self) -> int:
-        return derived_identity(self.settings.bind_addresses.control)
+        return seed_identity(self.settings.bind_addresses.control)
 
     def test_a_store_that_is_discarded_gives_no_identity_back(self) -> None:
         opened = open_store(self.settings)
         self.assertEqual(opened.identity, self.first)
         opened.store.close()
-        anew = open_anew(self.settings)
+        anew = discard_and_reopen(self.settings)
         self.assertNotEqual(anew.identity, self.first)
         self.assertFalse(anew.restored.snapshot.membership.members)
         anew.store.close()
@@ -134,7 +139,7 @@
         open_store(self.settings).store.close()
         with mock.patch.object(ReplicaStore, "create", side_effect=KeyboardInterrupt):
             with self.assertRaises(KeyboardInterrupt):
-                open_anew(self.settings)
+                discard_and_reopen(self.settings)
         opened = open_store(self.settings)
         self.assertNotEqual(opened.identity, self.first)
         opened.store.close()
@@ -148,12 +153,12 @@
         opened.store.close()
         self.assertTrue(os.path.exists(os.path.join(self.folder, FOLDER, "discarded")))
 
-    def test_damage_while_running_is_told(self) -> None:
-        store, told = mock.Mock(), []
+    def test_damage_while_running_is_reported(self) -> None:
+        store, received = mock.Mock(), []
         store.write.side_effect = StoreDamagedError("torn", step="commit")
         with self.assertRaises(StoreDamagedError):
-            WatchedStore(store, told.append).write([])
-        self.assertEqual([error.code for error in told], ["STORE_DAMAGED"])
+            DamageReportingStore(store, received.append).write([])
+        self.assertEqual([error.code for error in received], ["STORE_DAMAGED"])
 
 
 class FakeMember:
@@ -162,7 +167,7 @@
     made: list[FakeMember] = []
 
     def __init__(self, settings: object, opened) -> None:
-        self.opened, self.disk_ended, self.stopped = opened, True, False
+        self.opened, self.storage_ended, self.stopped = opened, True, False
         self.unusable = asyncio.get_running_loop().create_future()
         self.made.append(self)
 
@@ -180,7 +185,7 @@
 
 
 class Role(unittest.TestCase):
-    def play(self, disk_ended: bool = True) -> list[FakeMember]:
+    def play(self, storage_ended: bool = True) -> list[FakeMember]:
         identities = iter(range(1, 9))
         context = mock.Mock(spec=RoleContext)
 
@@ -192,8 +197,10 @@
             FakeMember.context, FakeMember.made = context, []
             await role.serve(context)
 
-        with mock.patch.multiple(role, open_store=opening, open_anew=opening, ControlMember=FakeMember):
-            with mock.patch.object(FakeMember, "disk_ended", disk_ended, create=True):
+        with mock.patch.multiple(
+            role, open_store=opening, discard_and_reopen=opening, build_member=FakeMember
+        ):
+            with mock.patch.object(FakeMember, "storage_ended", storage_ended, create=True):
                 asyncio.run(serve())
         return FakeMember.made
 
@@ -206,7 +213,7 @@
     def test_a_store_that_is_still_written_is_not_discarded(self) -> None:
         def init(self, settings: object, opened, original=FakeMember.__init__) -> None:
             original(self, settings, opened)
-            self.disk_ended = False
+            self.storage_ended = False
 
         with mock.patch.object(FakeMember, "__init__", init), self.assertRaises(DivergedError):
             self.play()
--- a/tests/router/processes/test_processes_errors.py
+++ b/tests/router/processes/test_processes_errors.py
@@ -10,7 +10,7 @@
 
 import mallowbeam
 from mallowbeam.errors import MallowbeamError
-from mallowbeam.router.processes.errors import code_table, codes_of, error_types
+from mallowbeam.router.processes.error_codes import code_table, codes_of, error_types
 
 PAGE = DOCS / "on-call.md"
 SECTION = "## The router fleet"
@@ -58,7 +58,7 @@
             code
             for code, kind in code_table().items()
             if in_new_parts(kind.__module__)
-            and not any(f"| `{kind.__name__}` | `{code}` |" in row for row in rows)
+            and not any(f"| `{kind.error_name}` | `{code}` |" in row for row in rows)
         ]
         self.assertEqual(missing, [])
 
--- a/tests/router/processes/test_processes_settings.py
+++ b/tests/router/processes/test_processes_settings.py
@@ -13,8 +13,8 @@
     Bounds,
     FaultTolerance,
     Limits,
-    SettingsField,
-    SettingsUnreadable,
+    SettingsFieldError,
+    SettingsUnreadableError,
     parse_settings,
     read_settings,
     settings_path,
@@ -30,7 +30,7 @@
     "region": "r",
     "port_range": [7000, 7001],
 }
-WHOLE = """
+COMPLETE = """
 node_name = "core-1"
 role = "control-plane"
 machine_class = "core"
@@ -78,8 +78,8 @@
             path.write_bytes(text if isinstance(text, bytes) else text.encode())
             return read_settings(str(path))
 
-    def test_a_whole_file(self):
-        settings = self.read(WHOLE)
+    def test_a_complete_file(self):
+        settings = self.read(COMPLETE)
         self.assertEqual(settings.node_name, "core-1")
         self.assertEqual(settings.serves, ("control",))
         self.assertEqual(settings.port_range, (7660, 7675))
@@ -97,8 +97,8 @@
         self.assertEqual(settings.bounds, Bounds(contact_ms=2500.5, fenced=False, min_retries=7.0))
 
     def test_the_same_file_gives_equal_settings(self):
-        self.assertEqual(self.read(WHOLE), self.read(WHOLE))
-        self.assertNotEqual(self.read(WHOLE), self.read(WHOLE.replace("800", "900")))
+        self.assertEqual(self.read(COMPLETE), self.read(COMPLETE))
+        self.assertNotEqual(self.read(COMPLETE), self.read(COMPLETE.replace("800", "900")))
 
     def test_the_least_file_has_defaults(self):
         settings = parse_settings(LEAST)
@@ -109,7 +109,7 @@
         self.assertFalse(settings.bootstrap)
 
     def test_a_file_that_is_not_there(self):
-        with self.assertRaises(SettingsUnreadable) as caught:
+        with self.assertRaises(SettingsUnreadableError) as caught:
             read_settings("/nonexistent/settings.toml")
         self.assertEqual(caught.exception.code, "SETTINGS_UNREADABLE")
         self.assertEqual(caught.exception.where, "/nonexistent/settings.toml")
@@ -117,7 +117,7 @@
 
     def test_files_that_are_no_toml(self):
         for text in (b"node_name = ", b"\xff\xfe", b"a = 1\na = 2\n"):
-            with self.subTest(text), self.assertRaises(SettingsUnreadable):
+            with self.subTest(text), self.assertRaises(SettingsUnreadableError):
                 self.read(text)
 
     def test_the_path_comes_from_the_environment(self):
@@ -130,7 +130,7 @@
 class Refusing(unittest.TestCase):
     def test_each_key_that_must_be_there(self):
         for key in LEAST:
-            with self.subTest(key), self.assertRaises(SettingsField) as caught:
+            with self.subTest(key), self.assertRaises(SettingsFieldError) as caught:
                 parse_settings({name: value for name, value in LEAST.items() if name != key})
             self.assertEqual((caught.exception.where, caught.exception.code), (key, "SETTINGS_FIELD"))
 
@@ -163,7 +163,7 @@
             ("bounds.ack_ms", {"bounds": {"ack_ms": None}}),
         ]
         for where, change in cases:
-            with self.subTest(change=change), self.assertRaises(SettingsField) as caught:
+            with self.subTest(change=change), self.assertRaises(SettingsFieldError) as caught:
                 parse_settings({**LEAST, **change})
             self.assertEqual(caught.exception.where, where)
 
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_subsystem.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_subsystem.py
@@ -43,10 +43,10 @@
     def nodes(self):
         return [NodeEntry(f"n{i}", NodeState.READY, 0, "ab"[i % 2]) for i in range(4)]
 
-    def out(self, node):
+    def attempts_at(self, node):
         return self.work
 
-    def held(self):
+    def open_requests(self):
         return 0
 
     def gate(self, is_open):
@@ -60,17 +60,17 @@
 def rig():
     context = RecordingContext()
     subsystem = open_subsystem(context, MaintenanceSection(on=True))
-    log = ReplicatedLog([subsystem.topic])
+    log = ReplicatedLog([subsystem.state_machine])
 
     def put(by, entry):
-        told = log.apply(log.encode("maintenance", by, entry))
-        assert told.refusal is None
-        subsystem.committed(told, 100.0)
+        committed = log.apply(log.encode("maintenance", by, entry))
+        assert committed.refusal is None
+        subsystem.committed(committed, 100.0)
 
     def push(*machines):
-        asked = [{"id": "a", "machines": list(machines), "at_once": 2}] if machines else []
-        for told in log.push({"drains": [], "maintenance": {"requests": asked}}):
-            subsystem.committed(told, 100.0)
+        requests = [{"id": "a", "machines": list(machines), "at_once": 2}] if machines else []
+        for committed in log.push({"drains": [], "maintenance": {"requests": requests}}):
+            subsystem.committed(committed, 100.0)
 
     def say():
         """All gateways' words."""
@@ -105,7 +105,7 @@
     rig.put("g0", SelectNext(0))
     go(rig, "n0", "draining")
     assert rig.context.drained == {"n0"}
-    pages = StatusPages(SimpleNamespace(subsystems={"maintenance": rig.subsystem}, figures=dict))
+    pages = StatusPages(SimpleNamespace(subsystems={"maintenance": rig.subsystem}, gauges_by_subsystem=dict))
 
     def ask(method, target):
         request = Message()
@@ -120,7 +120,7 @@
     assert WorkCompleted("n0") in rig.context.proposed
     rig.put("g0", WorkCompleted("n0"))
     with pytest.raises(MachineNotOutError):
-        rig.subsystem.asked("back", "n0")
+        rig.subsystem.complete_work("n0")
     warmed = []
     rig.subsystem.warmers.append(lambda node, share: warmed.append((node, round(share, 2))))
     go(rig, "n0", "warming")
--- a/tests/storage_gateway/server/test_lists_bad.py
+++ b/tests/storage_gateway/server/test_lists_bad.py
@@ -14,13 +14,13 @@
 from scenario import EXAMPLE, World, play
 
 from mallowbeam.http import reporting
-from mallowbeam.http.client import Unsent, connect
-from mallowbeam.storage_gateway.scheduler import interface as io
-from mallowbeam.storage_gateway.scheduler import nodes
+from mallowbeam.http.client import RequestNotSentError, connect
+from mallowbeam.storage_gateway.scheduler import node_health
+from mallowbeam.storage_gateway.scheduler.interface import NodeState
 from mallowbeam.storage_gateway.server import discovery
-from mallowbeam.storage_gateway.server.config import BadConfig, read_config
+from mallowbeam.storage_gateway.server.config import GatewayConfigError, read_config
 from mallowbeam.storage_gateway.server.listing import (
-    BadListing,
+    NodeListError,
     can_be_connected,
     decode_listing,
     read_listing,
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("body", BODIES, ids=range(len(BODIES)))
 def test_a_list_that_can_t_be_read_is_one_typed_error_with_a_remedy(body):
-    with pytest.raises(BadListing) as told:
+    with pytest.raises(NodeListError) as told:
         decode_listing(body)
     assert told.value.cure and len(told.value.line) < 400 and "\n" not in told.value.line
 
@@ -149,7 +149,7 @@
     up, drains = MEMBER, MEMBER | {"phase": "draining"}
     for order, open_now in (([up, drains], False), ([drains, up], True)):
         listing = read_listing({"revision": 3, "complete": False, "members": order})
-        assert [entry.state is io.NodeState.READY for entry in listing.entries] == [open_now]
+        assert [entry.state is NodeState.READY for entry in listing.entries] == [open_now]
         assert ("n0" in listing.addresses) is open_now
 
 
@@ -167,33 +167,33 @@
     place[data.draw(st.sampled_from(sorted(place)))] = data.draw(JSON)
     try:
         listing = decode_listing(json.dumps(raw).encode())
-    except BadListing:
+    except NodeListError:
         return
     assert all(can_be_connected(address) for address in listing.addresses.values())
     assert all(
         math.isfinite(number) and number >= 0
         for entry in listing.entries
-        for number in (entry.since or 0, entry.weight)
+        for number in (entry.started_at or 0, entry.weight)
     )
 
 
 @pytest.mark.parametrize("address", ["127.0.0.1:1", "localhost:1", "[::1]:1", "::1:1"])
 def test_an_address_that_passes_leads_to_a_connection_or_to_unsent(address):
     assert can_be_connected(address)
-    with pytest.raises(Unsent):
+    with pytest.raises(RequestNotSentError):
         uvloop.run(connect(address, 5.0, 1024))
 
 
 def soon(monkeypatch) -> None:
     """Failed calls are repeated within a few milliseconds."""
-    monkeypatch.setattr(nodes, "WATCH_AGAIN", 0.005)
-    monkeypatch.setattr(nodes, "MOST_AGAIN", 0.005)
+    monkeypatch.setattr(node_health, "WATCH_RETRY", 0.005)
+    monkeypatch.setattr(node_health, "MAX_WATCH_RETRY", 0.005)
 
 
 def test_bad_lists_are_failed_calls_and_the_list_known_before_stays_whole(monkeypatch):
     """Over sockets, one after the other: asked again each time, one warning, no trace, and it serves."""
     soon(monkeypatch)
-    monkeypatch.setattr(reporting, "APART", 1e9)
+    monkeypatch.setattr(reporting, "WARNING_INTERVAL_S", 1e9)
     lines: list[str] = []
     number = logger.add(lines.append, level="DEBUG")
 
@@ -243,7 +243,7 @@
         async with World() as here:
             await here.play("d expect GET since=1")
             here.gateway.watch.address = "elsewhere"
-            here.gateway.moved(here.parties["d"].address)
+            here.gateway.peer.move_discovery(here.parties["d"].address)
             await here.play(rf"""
                 d expect 'GET /v1/servers\n'
                 {answer}
@@ -293,7 +293,7 @@
         where[wrong[0]] = wrong[1]
     file = tmp_path / "config.json"
     file.write_text(json.dumps(raw))
-    with pytest.raises(BadConfig) as told:
+    with pytest.raises(GatewayConfigError) as told:
         read_config({"BALANCER_CONFIG": str(file)})
     assert str(file) in told.value.line and "\n" not in told.value.line
 
--- a/tests/support/configuration_scenario.py
+++ b/tests/support/configuration_scenario.py
@@ -37,11 +37,11 @@
 from configuration_documents import DOCUMENT, body_of, large_route
 from project_paths import SCENARIOS as SCENARIO_FOLDER
 
-from mallowbeam.router.configuration.changes import apply_update, difference, to_update
-from mallowbeam.router.configuration.errors import ConfigurationError, UpdateMismatch
+from mallowbeam.router.configuration.errors import ConfigurationError, UpdateMismatchError
 from mallowbeam.router.configuration.model import Configuration
 from mallowbeam.router.configuration.parsing import parse_configuration
 from mallowbeam.router.configuration.patch import parse_patch
+from mallowbeam.router.configuration.updates import apply_update, full_update, incremental_update
 from mallowbeam.router.configuration.versions import ConfigurationVersions, patch_command, put_command
 from mallowbeam.router.rpc.messages_pb2 import CommandResult, PutConfiguration, ReplicatedState
 
@@ -102,7 +102,7 @@
     member: str = ""
     sent: Configuration | None = None
     mismatches: int = 0
-    held: Configuration | None = None
+    current: Configuration | None = None
 
 
 @dataclass
@@ -131,10 +131,10 @@
                 raise AssertionError(f"line {number}, {line.strip()!r}: {error}") from None
 
     def do_keep(self, count: str) -> None:
-        self.bounds["most_taken"] = int(count)
+        self.bounds["max_accepted"] = int(count)
 
     def do_keep_refused(self, count: str) -> None:
-        self.bounds["most_refused"] = int(count)
+        self.bounds["max_rejected"] = int(count)
 
     def do_members(self, *names: str) -> None:
         for name in names:
@@ -223,26 +223,26 @@
         current = self.members[gateway.member].versions.current()
         if current is None:
             return
-        known, before = gateway.sent, gateway.held
+        known, before = gateway.sent, gateway.current
         gateway.sent = current
         try:
-            update = to_update(current) if known is None else difference(known, current)
-            gateway.held = apply_update(before, update)
-        except UpdateMismatch:
+            update = full_update(current) if known is None else incremental_update(known, current)
+            gateway.current = apply_update(before, update)
+        except UpdateMismatchError:
             gateway.mismatches += 1
-            gateway.held = apply_update(before, to_update(current))
-        assert before is None or gateway.held.revision >= before.revision, "the gateway went back"
+            gateway.current = apply_update(before, full_update(current))
+        assert before is None or gateway.current.revision >= before.revision, "the gateway went back"
 
     def do_mismatches(self, name: str, count: str) -> None:
         assert self.gateways[name].mismatches == int(count), f"{self.gateways[name].mismatches}"
 
     def do_holds(self, name: str, document: str) -> None:
-        held = self.gateways[name].held
+        current = self.gateways[name].current
         if document == "nothing":
-            assert held is None, f"holds revision {held.revision}"
+            assert current is None, f"holds revision {current.revision}"
             return
         expected = parse_configuration(body_of(self.documents[document])).configuration
-        assert held == expected, f"holds revision {held.revision if held else None}"
+        assert current == expected, f"holds revision {current.revision if current else None}"
 
     def apply(self, member: Member) -> None:
         """Let a member apply the rest of the log, with the results that the log's lines name."""
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -39,45 +39,46 @@
 import mallowbeam
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.lab.rig import hold_port
-from mallowbeam.router.configuration.changes import apply_update, difference, to_update
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.parsing import ConfigurationParser, parse_configuration
 from mallowbeam.router.configuration.patch import parse_patch
+from mallowbeam.router.configuration.updates import apply_update, full_update, incremental_update
 from mallowbeam.router.configuration.versions import patch_command, put_command
 from mallowbeam.router.consensus.storage import ReplicaStore
-from mallowbeam.router.control_plane import answers
+from mallowbeam.router.control_plane.api_errors import CallError
+from mallowbeam.router.control_plane.api_responses import error_reply
 from mallowbeam.router.control_plane.state_machine import ReplicatedStateMachine
-from mallowbeam.router.processes.errors import codes_of, error_types
+from mallowbeam.router.processes.error_codes import codes_of, error_types
 from mallowbeam.router.processes.settings import SettingsError, parse_settings
 from mallowbeam.router.registry.errors import HeartbeatError
 from mallowbeam.router.registry.parse import parse_heartbeat
 from mallowbeam.router.rpc import messages_pb2 as messages
 from mallowbeam.router.rpc.framing import FrameReader, encode_frame
 from mallowbeam.storage_gateway import operator_settings as operators
-from mallowbeam.storage_gateway.coordination.errors import FleetError
+from mallowbeam.storage_gateway.coordination.errors import CoordinationError
 from mallowbeam.storage_gateway.coordination.maintenance.state_machine import MaintenanceStateMachine
-from mallowbeam.storage_gateway.coordination.policy import Change
+from mallowbeam.storage_gateway.coordination.policy import PolicyVersion
 from mallowbeam.storage_gateway.coordination.policy_document import canonical, read_policy
 from mallowbeam.storage_gateway.coordination.pools import canonical as pool_text
 from mallowbeam.storage_gateway.coordination.pools.errors import PoolError
-from mallowbeam.storage_gateway.coordination.pools.grammar import parse
-from mallowbeam.storage_gateway.coordination.raft_node import Broken, RaftNode
+from mallowbeam.storage_gateway.coordination.pools.parser import parse
+from mallowbeam.storage_gateway.coordination.raft_node import Membership, RaftNode, ReplicaFailed
 from mallowbeam.storage_gateway.coordination.replicated_log import Refusal, ReplicatedLog
 from mallowbeam.storage_gateway.coordination.service import digest
 from mallowbeam.storage_gateway.coordination.shares.state_machine import SharesStateMachine
-from mallowbeam.storage_gateway.coordination.status_pages import page
+from mallowbeam.storage_gateway.coordination.status_pages import json_response
 from mallowbeam.storage_gateway.frontends.object_api.access import read_keys
 from mallowbeam.storage_gateway.frontends.object_api.errors import ERRORS, error_body
-from mallowbeam.storage_gateway.scheduler import interface
 from mallowbeam.storage_gateway.scheduler import simulator_host as wirehost
-from mallowbeam.storage_gateway.scheduler.gateway_host import Facade
+from mallowbeam.storage_gateway.scheduler.gateway_host import SchedulerHost
+from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdateKind
 from mallowbeam.storage_gateway.server import config as net_config
 from mallowbeam.storage_gateway.server import handover
 from mallowbeam.storage_gateway.server.listing import read_listing
 from mallowbeam.storage_gateway.write_buffer import records as buffer_records
 from mallowbeam.storage_gateway.write_buffer.disk import RealDisk
-from mallowbeam.storage_gateway.write_buffer.inspect import look
-from mallowbeam.storage_gateway.write_buffer.log import Found, folder_id, walk
+from mallowbeam.storage_gateway.write_buffer.inspect import inspect_folder
+from mallowbeam.storage_gateway.write_buffer.log import ScanResult, folder_id, read_records
 
 SAMPLES = Path(__file__).parent / "fixtures" / "compatibility"
 PATIENCE_S = 30.0
@@ -198,9 +199,9 @@
     new = parse_configuration(json.dumps(sample["later_document"]).encode()).configuration
     whole = messages.ConfigurationUpdate.FromString(bytes.fromhex(sample["whole_update"]["bytes"]))
     change = messages.ConfigurationUpdate.FromString(bytes.fromhex(sample["change_update"]["bytes"]))
-    assert apply_update(apply_update(None, whole), change) == apply_update(None, to_update(new))
-    assert message_json(to_update(old)) == sample["whole_update"]["value"]
-    assert message_json(difference(old, new)) == sample["change_update"]["value"]
+    assert apply_update(apply_update(None, whole), change) == apply_update(None, full_update(new))
+    assert message_json(full_update(old)) == sample["whole_update"]["value"]
+    assert message_json(incremental_update(old, new)) == sample["change_update"]["value"]
 
 
 # ------------------------------------------------------------------------------------------ replica store
@@ -260,7 +261,7 @@
     disk = RealDisk(str(folder), read_only=True)
     owner = folder_id(disk)
     assert owner is not None
-    found = list(walk(disk, owner, Found()))
+    found = list(read_records(disk, owner, ScanResult()))
     assert len(found) == len(sample["records"])
     for record, one in zip(found, sample["records"], strict=True):
         place = (int(record.kind), record.lsn, record.durable, record.segment, record.offset)
@@ -273,7 +274,7 @@
         assert body.hex() == one["body"]
         assert b"".join(buffer_records.pack(record.kind, words, body)) == bytes(record.payload)
     disk.close()
-    report = json.loads(look(str(folder), pieces=True).json())
+    report = json.loads(inspect_folder(str(folder), chunks=True).json())
     assert {name: report[name] for name in sample["report"]} == sample["report"]
 
 
@@ -329,10 +330,10 @@
     sample = samples("policies.json")
     for one in sample["good"]:
         text = canonical(read_policy(json.dumps(one["policy"])))
-        assert (text, digest(Change(1, text))) == (one["canonical"], one["digest"])
+        assert (text, digest(PolicyVersion(1, text))) == (one["canonical"], one["digest"])
         assert canonical(read_policy(text)) == text
     for one in sample["refused"]:
-        check_error(raised(FleetError, lambda: read_policy(one["text"])), one)  # noqa: B023
+        check_error(raised(CoordinationError, lambda: read_policy(one["text"])), one)  # noqa: B023
 
 
 def test_the_pool_language_has_the_same_canonical_text_digest_and_errors():
@@ -362,7 +363,8 @@
     sample = samples("agreement.json")
     ports = [hold_port(socket.SO_REUSEADDR) for _ in sample["members"]]
     addresses = {name: f"127.0.0.1:{port}" for name, (_, port) in zip(sample["members"], ports, strict=True)}
-    member = RaftNode("g0", "a-new-life", addresses, folder, told, None, fleet_log(tuple(sample["members"])))
+    membership = Membership("g0", "a-new-life", addresses)
+    member = RaftNode(membership, folder, told, fleet_log(tuple(sample["members"])))
     try:
         yield member
     finally:
@@ -378,15 +380,15 @@
     heard: list[Any] = []
     for member in open_agreement(agreement_folder, heard.extend):
         end = time.monotonic() + PATIENCE_S
-        while member.ledger.log.index < sample["after"]["index"] or member.ledger.version < 2:
-            assert time.monotonic() < end, (member.ledger.log.index, member.ledger.version)
+        while member.state.log.index < sample["after"]["index"] or member.state.version < 2:
+            assert time.monotonic() < end, (member.state.log.index, member.state.version)
             time.sleep(0.01)
-        ledger = member.ledger
+        ledger = member.state
         assert (ledger.version, ledger.body) == (sample["after"]["version"], sample["after"]["body"])
         assert states_of(ledger.log) == sample["after"]["states"]
-        versions = [one.version for one in heard if isinstance(one, Change)]
+        versions = [one.version for one in heard if isinstance(one, PolicyVersion)]
         assert versions == [0, 1, 2], "the snapshot's policy, then the journal's"
-        assert not [one for one in heard if isinstance(one, Broken)]
+        assert not [one for one in heard if isinstance(one, ReplicaFailed)]
 
 
 def test_the_replicated_calls_keep_the_numbers_that_the_journal_holds(agreement_folder):
@@ -434,7 +436,7 @@
     def __init__(self, config: net_config.Config, frames: list[str]) -> None:
         self.frames = frames
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        with handover.place(config) as path:
+        with handover.rendezvous_path(config) as path:
             self.socket.bind(path)
         self.socket.listen(1)
         self.doors = [socket.socket() for _ in json.loads(frames[0])["doors"]]
@@ -462,19 +464,19 @@
     old.close()
     assert legacy is not None
     frames = [json.loads(frame) for frame in sample["frames"]]
-    assert list(legacy.doors) == frames[0]["doors"] and legacy.state == frames[1]["state"]
+    assert list(legacy.listeners) == frames[0]["doors"] and legacy.state == frames[1]["state"]
     assert legacy.config(own).known == read_listing(frames[1]["state"]["list"])
 
     host = MagicMock()
 
     async def listen() -> set[str]:
-        sister = handover.Sister(legacy.sock, host, legacy.rest)
+        link = handover.PeerLink(legacy.sock, host, legacy.unread)
         async with asyncio.timeout(PATIENCE_S):
-            await asyncio.gather(*sister.tasks, return_exceptions=True)
-        return sister.ids
+            await asyncio.gather(*link.tasks, return_exceptions=True)
+        return link.ids
 
     assert asyncio.run(listen()) == set()
-    for door in legacy.doors.values():
+    for door in legacy.listeners.values():
         door.close()
     listing = frames[6]["list"]
     assert [call.args for call in host.mock_calls] == [
@@ -491,11 +493,11 @@
 def test_the_state_that_is_handed_over_is_the_same():
     sample = samples("handover.json")
     config = net_config.decode(sample["config"], {})
-    old = Facade(config.settings, 10.0)
-    old.listed(10.0, interface.ListKind.FULL, 1, list(config.known.entries))
-    old.by_hand(10.5, "n2", True)
-    old.planned(10.6, dataclasses.replace(config.settings.plans["silver"], limit=12.0, weight=2.0))
-    old.planned(10.7, dataclasses.replace(config.settings.plans["bronze"], limit=7.0), "vol-1", 1, 0.5)
+    old = SchedulerHost(config.settings, 10.0)
+    old.update_nodes(10.0, DiscoveryUpdateKind.FULL, 1, list(config.known.entries))
+    old.override_node(10.5, "n2", True)
+    old.change_plan(10.6, dataclasses.replace(config.settings.plans["silver"], limit=12.0, weight=2.0))
+    old.change_plan(10.7, dataclasses.replace(config.settings.plans["bronze"], limit=7.0), "vol-1", 1, 0.5)
     for number, volume in enumerate(("vol-1", "vol-2")):
         old.pick(
             11.0,
@@ -503,22 +505,22 @@
             shard=0,
             is_retry=False,
             is_write=False,
-            cls="read",
-            hosts_of_volume=2,
+            request_class="read",
+            volume_hosts=2,
             units=3,
             volume=volume,
             expires_in=1.2,
             key=None,
             plan="bronze",
         )
-    assert json.loads(json.dumps(old.state(11.0))) == sample["old_state"]
+    assert json.loads(json.dumps(old.export_state(11.0))) == sample["old_state"]
 
     state = json.loads(sample["frames"][1])["state"]
-    new = Facade(config.settings, 20.0)
-    new.listed(20.0, interface.ListKind.FULL, 7, read_listing(state["list"]).entries)
-    new.inherit(20.0, state)
-    assert json.loads(json.dumps(new.state(20.0))) == sample["inherited"]
-    assert {node: new.takes(node) for node in sample["takes"]} == sample["takes"]
+    new = SchedulerHost(config.settings, 20.0)
+    new.update_nodes(20.0, DiscoveryUpdateKind.FULL, 7, read_listing(state["list"]).entries)
+    new.import_state(20.0, state)
+    assert json.loads(json.dumps(new.export_state(20.0))) == sample["inherited"]
+    assert {node: new.accepts_work(node) for node in sample["takes"]} == sample["takes"]
 
 
 # ------------------------------------------------------------------------------------------ errors
@@ -568,11 +570,11 @@
 
 
 def test_the_control_api_answers_errors_as_before():
-    kinds = {kind.code: kind for kind in (answers.CallError, *all_below(answers.CallError))}
+    kinds = {kind.code: kind for kind in (CallError, *all_below(CallError))}
     for one in samples("errors.json")["control_api"]:
         error = kinds[one["error"]["code"]]("what is wrong", "If-Match")
         check_error(error, one["error"])
-        reply = answers.error_reply(error.status, error, False, ["10.0.0.1:8001", "10.0.0.2:8001"])
+        reply = error_reply(error.status, error, False, ["10.0.0.1:8001", "10.0.0.2:8001"])
         assert reply.status == one["status"]
         check_reply(reply.data, one["reply"])
 
@@ -590,18 +592,18 @@
         error = raised(ConfigurationError, lambda: parse_configuration(one["document"].encode()))  # noqa: B023
         check_error(error, one)
         assert sorted(error.told()) == one["told"]
-        check_reply(answers.error_reply(one["status"], error, False).data, one["reply"])
+        check_reply(error_reply(one["status"], error, False).data, one["reply"])
     for one in sample["heartbeats"]:
         body = one["body"].ljust(one["size"], "x").encode()
         check_error(raised(HeartbeatError, lambda: parse_heartbeat(one["id"], body)), one)  # noqa: B023
 
 
 def test_the_fleets_pages_answer_errors_as_before():
-    kinds = {kind.error_name: kind for kind in (FleetError, *all_below(FleetError))}
+    kinds = {kind.error_name: kind for kind in (CoordinationError, *all_below(CoordinationError))}
     for one in samples("errors.json")["fleet_pages"]:
         error = kinds[one["name"]]("what is wrong", "somewhere")
         assert error.status == one["status"]
-        check_reply(page(error.status, error.told(), False).data, one["reply"])
+        check_reply(json_response(error.status, error.told(), False).data, one["reply"])
 
 
 def test_the_object_api_answers_errors_as_before():
