--- a/mallowbeam/storage_gateway/coordination/status_pages.py
+++ b/mallowbeam/storage_gateway/coordination/status_pages.py
@@ -68,8 +68,8 @@
         if path == MAINTENANCE_DONE and maintenance is not None:
             if request.method != b"PUT":
                 raise MethodNotAllowedError("not by this method", path)
-            operator_action = getattr(maintenance, "asked")  # noqa: B009 (no method of all subsystems)
-            return json_response(202, operator_action("back", unquote(query)), closing())
+            complete_work = getattr(maintenance, "complete_work")  # noqa: B009 (no method of all subsystems)
+            return json_response(202, complete_work(unquote(query)), closing())
         if request.target not in ALLOWED:
             raise PageNotFoundError("no such page", request.target.decode("latin-1"))
         if request.target == b"/policy" and request.method == b"PUT":
@@ -118,7 +118,7 @@
 def open_policy(
     gateway: Gateway, section: PolicySection, connections: int, sections: Mapping[str, Any] | None = None
 ) -> Server:
-    """Open the gateway's coordination service and the listener of its pages; raises `BadConfig`.
+    """Open the gateway's coordination service and the listener of its pages; raises `GatewayConfigError`.
 
     `sections` are those of the subsystems that are on, by name.
     """
--- a/tests/storage_gateway/coordination/shares/test_shares_subsystem.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_subsystem.py
@@ -13,7 +13,7 @@
 from mallowbeam.storage_gateway.operator_settings import SharesSection, check
 from mallowbeam.storage_gateway.scheduler.gateway_host import SchedulerHost, TooManyAllotmentsError
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, NodeState, Plan, RequestClass, Settings
-from mallowbeam.storage_gateway.server.config import BadConfig
+from mallowbeam.storage_gateway.server.config import GatewayConfigError
 
 NAMES = ("g0", "g1", "g2")
 GOLD, TIN = Plan("gold", weight=3.0), Plan("tin", limit=5.0, limit_burst=9.0)
@@ -207,7 +207,7 @@
     part.observed({"volume": "a", "plan": "gold", "shard": 4, "units": 8}, 0.0)
     part._allot("a", "n0", 1.0, 1.0)
     facade.tick(0.0)
-    volume = facade._scheduler._volume("a", "gold", 1, 4)
+    volume = facade._scheduler.volumes.get("a", "gold", 1, 4)
     assert volume.limit_wait(0.0, 8) == pytest.approx(8, rel=0.01)
     assert volume.limit_wait(8.1, 8) == 0
 
@@ -234,7 +234,7 @@
 )
 def test_a_section_whose_times_do_not_agree_is_refused(name, times):
     policy = {"folder": "x", "name": "g0", "listen": "h:1", "members": {"g0": "h:2"}, "lease_s": 4.0}
-    with pytest.raises(BadConfig, match=rf"shares\.{name}"):
+    with pytest.raises(GatewayConfigError, match=rf"shares\.{name}"):
         check({"policy": policy, "shares": {"on": True, **times}})
 
 
