--- a/tests/storage_gateway/server/test_watch.py
+++ b/tests/storage_gateway/server/test_watch.py
@@ -8,26 +8,19 @@
 
 import pytest
 import uvloop
+from discovery_queue import DiscoveryQueue
 from scenario import World, play
-from scheduler_rig import Rig, of
-from test_control_nodes import OneQueue
+from scheduler_rig import Rig
+from watch_intervals import ask
 
-from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdate, DiscoveryUpdateKind, WatchNodes
-from mallowbeam.storage_gateway.scheduler.nodes import MOST_AGAIN
+from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdate, DiscoveryUpdateKind
+from mallowbeam.storage_gateway.scheduler.node_health import MAX_WATCH_RETRY
 from mallowbeam.storage_gateway.server import discovery
 
 COUNTS = 6.0  # seconds after silence by which what was missed counts as told
 GRANTED = 0.25  # seconds that a drain may be missed by
 
 
-def ask(rig: Rig) -> float:
-    """Seconds until the module asks again."""
-    began = rig.now
-    while not of(rig.wait(rig.timer - rig.now), WatchNodes):
-        pass
-    return rig.now - began
-
-
 def test_a_silent_watch_is_asked_anew_at_once_and_a_refused_one_within_a_draw_over_the_whole_time():
     """Guards drains: backed off as for a refusal, 200 hosts asked after the drain had counted as told."""
     drawn = []
@@ -38,8 +31,8 @@
         rig = Rig(discovery_on_request=True, max_list_age=10.0, hosts=200, seed=seed)
         rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
         assert ask(rig) == 0.0
-    assert min(drawn) > 0.0 and max(drawn) <= MOST_AGAIN + 0.001
-    parts = [sum(n < drawn_at / MOST_AGAIN * 10 <= n + 1 for drawn_at in drawn) for n in range(10)]
+    assert min(drawn) > 0.0 and max(drawn) <= MAX_WATCH_RETRY + 0.001
+    parts = [sum(n < drawn_at / MAX_WATCH_RETRY * 10 <= n + 1 for drawn_at in drawn) for n in range(10)]
     assert min(parts) >= 8 and max(parts) <= 36, "they are spread over all of it"
 
 
@@ -49,7 +42,7 @@
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
     ask(rig)
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
-    assert 0.8 * MOST_AGAIN <= ask(rig) <= MOST_AGAIN + 0.001
+    assert 0.8 * MAX_WATCH_RETRY <= ask(rig) <= MAX_WATCH_RETRY + 0.001
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2))
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
     assert ask(rig) == 0.0
@@ -82,7 +75,7 @@
     rigs = [
         Rig(discovery_on_request=True, max_list_age=10.0, hosts=hosts, seed=seed) for seed in range(hosts)
     ]
-    service, due, told = OneQueue(120.0), [], set()
+    service, due, told = DiscoveryQueue(120.0), [], set()
     for n, rig in enumerate(rigs):
         rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2))
         silent = watch(False, random.Random(n).random)._times()[1]
