--- a/mallowbeam/lab/faults/maintenance.py
+++ b/mallowbeam/lab/faults/maintenance.py
@@ -1,7 +1,7 @@
-"""Maintenance on real processes: gateways under load, machines taken out, a fault from a seed.
+"""Maintenance on real processes: gateways under load, machines drained, and one fault from a seed.
 
-What nodes got is recorded by the stand-in nodes themselves.  The operators here do what they are told:
-they work at a machine once any gateway says that it is out, and bring it back.  `check` reads the record.
+The stand-in nodes record the requests that reach them.  Simulated operators work at a machine as soon as any
+gateway's page shows it as out, and bring it back afterwards.  `check` reads the record alone.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 DELAY_S = 0.03  # for which a node is at work on a request
 LOAD_S = 0.03  # between a client's requests, one client at each gateway
 WORK_S = 0.6  # that the operators take at a machine
-MOST_S = 60.0  # of one trial
+TRIAL_TIMEOUT_S = 60.0  # seconds after which a trial has failed
 
 
 @dataclass
 class Record:
-    """What happened, by the trial's one steady clock."""
+    """What happened in a trial; times in seconds of the monotonic clock."""
 
     got: list[tuple[float, str]] = field(default_factory=list)  # when and which node
     worked: list[tuple[float, float, str]] = field(default_factory=list)  # from, to, machine
@@ -64,7 +64,7 @@
         for number in range(NODES):
             self.nodes.append(self.node(f"n{number}"))
             self.phases[f"n{number}"] = "up"
-        self.discovery.members = self.listed()
+        self.discovery.members = self.discovery_members()
         self.busy: set[str] = set()
         self.tasks: list[asyncio.Task[None]] = []
 
@@ -74,14 +74,14 @@
         node.name, node.record = name, self.record
         return node
 
-    def looked(self, told: dict[str, Any]) -> None:
-        """A gateway's page was read."""
+    def on_page(self, page: dict[str, Any]) -> None:
+        """Called with each page `/fleet` that was read of a gateway."""
 
-    def laid(self, what: str, *machines: str) -> None:
-        """Something begins or ends at these machines that is no gateway's fault."""
+    def on_disturbance(self, what: str, *machines: str) -> None:
+        """Called as an operator's work or a fault of a node begins or ends."""
 
-    def listed(self) -> list[dict[str, object]]:
-        """The list as discovery has it."""
+    def discovery_members(self) -> list[dict[str, object]]:
+        """The endpoint list that discovery serves."""
         return [
             member(
                 f"n{i}",
@@ -99,47 +99,47 @@
 
     # --- operators --------------------------------------------------------------------------------
 
-    async def ask(self, name: str, page: str) -> dict[str, Any] | None:
-        """A page of a gateway."""
+    async def fetch_page(self, name: str, path: str) -> dict[str, Any] | None:
+        """Fetch a page of a gateway as JSON; None where it gives no answer within a second."""
         try:
             async with asyncio.timeout(1.0):
-                told: dict[str, Any] = (await self.client.get(self.page(name, page))).json()
-                return told
+                document: dict[str, Any] = (await self.client.get(self.page(name, path))).json()
+                return document
         except (httpx.HTTPError, TimeoutError, ValueError):
             return None
 
-    async def request(self, body: dict[str, Any], seconds: float = 20.0) -> None:
-        """Push until it is committed."""
-        end, said = self.now() + seconds, ""
+    async def push_until_committed(self, body: dict[str, Any], seconds: float = 20.0) -> None:
+        """Push a policy until it is committed; raises TimeoutError after `seconds`."""
+        end, refusal = self.now() + seconds, ""
         while self.now() < end:
             name = self.rng.choice(self.up)
-            if (told := await self.ask(name, "/policy")) is not None:
+            if (page := await self.fetch_page(name, "/policy")) is not None:
                 try:
                     answer = await self.client.put(
-                        self.page(name), json=body, timeout=5.0, headers={"If-Match": f'"{told["version"]}"'}
+                        self.page(name), json=body, timeout=5.0, headers={"If-Match": f'"{page["version"]}"'}
                     )
                 except httpx.HTTPError:
                     continue
                 if answer.status_code == 200:
                     return
-                said = answer.text
+                refusal = answer.text
             await asyncio.sleep(0.1)
-        raise TimeoutError(f"no push in {seconds} s: {said}")
+        raise TimeoutError(f"no push in {seconds} s: {refusal}")
 
-    async def look_on(self) -> dict[str, Any]:
-        """What all gateways show; recorded, and worked on where a machine is out."""
-        pages = await asyncio.gather(*(self.ask(name, "/fleet") for name in self.up))
+    async def observe_pages(self) -> dict[str, Any]:
+        """Record all gateways' pages and start work at machines that are out; returns the newest machines."""
+        pages = await asyncio.gather(*(self.fetch_page(name, "/fleet") for name in self.up))
         newest: dict[str, Any] = {}
         index = -1
-        for told in pages:
-            if told is None or "maintenance" not in told.get("subsystems", {}):
+        for page in pages:
+            if page is None or "maintenance" not in page.get("subsystems", {}):
                 continue
-            self.looked(told)
-            part = told["subsystems"]["maintenance"]
+            self.on_page(page)
+            part = page["subsystems"]["maintenance"]
             order = [f"{turn['index']} {turn['machine']}" for turn in part["order"]]
-            self.record.orders.setdefault(told["name"], []).append(order)
-            if told["index"] > index:
-                newest, index = part, told["index"]
+            self.record.orders.setdefault(page["name"], []).append(order)
+            if page["index"] > index:
+                newest, index = part, page["index"]
         machines: dict[str, Any] = newest.get("machines", {})
         self.record.away.append(
             (
@@ -161,16 +161,16 @@
         return machines
 
     async def work(self, machine: str) -> None:
-        """The operators' work at a machine that is out."""
+        """Work at a machine that is out: restart a gateway, or take a node down and bring it up."""
         began = time.monotonic()
         if machine in self.phases:
             node = self.nodes[int(machine[1:])]
-            self.laid("work", machine)
+            self.on_disturbance("work", machine)
             node.call(node.die)
             self.phases[machine] = "removed"
-            self.discovery.tell(self.listed())
+            self.discovery.tell(self.discovery_members())
             await asyncio.sleep(WORK_S)
-            self.laid("done", machine)
+            self.on_disturbance("done", machine)
             try:
                 node.listen()
             except OSError:  # its port is somebody's by now: it comes back elsewhere
@@ -178,11 +178,11 @@
                 node.listen()
             self.record.worked.append((began, time.monotonic(), machine))
             self.phases[machine] = "up"
-            self.discovery.tell(self.listed())
+            self.discovery.tell(self.discovery_members())
         else:
             self.record.disturbed.add(machine)
             process = self.processes[machine]
-            self.laid("work", machine)
+            self.on_disturbance("work", machine)
             process.send_signal(signal.SIGTERM)
             for _ in range(200):
                 if process.poll() is not None:
@@ -191,13 +191,13 @@
             self.kill(machine)
             await asyncio.sleep(WORK_S)
             self.record.worked.append((began, time.monotonic(), machine))
-            self.laid("done", machine)
+            self.on_disturbance("done", machine)
             self.start(machine)
 
     # --- load and faults --------------------------------------------------------------------------
 
     async def load(self, name: str) -> None:
-        """A client at one gateway, one request after the other."""
+        """Send one request after the other to a gateway until cancelled; the answers are counted."""
         number = int(name[1:]) << 32
         async with httpx.AsyncClient(trust_env=False, timeout=4.0) as client:
             while True:
@@ -224,11 +224,11 @@
                 await asyncio.sleep(LOAD_S)
 
     async def disturb(self, fault: str) -> None:
-        """One fault, some seconds long."""
+        """Inject one fault for 2.5 to 3 seconds: stop, cut, or kill of the leader."""
         name = self.rng.choice([name for name in self.up if name not in self.busy])
         if fault == "leader":
-            told = await self.ask(name, "/policy")
-            name = str(told["leader"]) if told and told["leader"] in self.up else name
+            page = await self.fetch_page(name, "/policy")
+            name = str(page["leader"]) if page and page["leader"] in self.up else name
         self.record.disturbed.add(name)
         span = self.rng.uniform(2.5, 3.0)
         if fault == "stop":
@@ -257,16 +257,18 @@
         await trial.settled()
         loads = [asyncio.create_task(trial.load(name)) for name in trial.names]
         await asyncio.sleep(1.0)
-        await trial.request(
+        await trial.push_until_committed(
             {
                 "drains": [],
-                "maintenance": {"requests": [{"id": "work", "machines": list(machines), "time_s": MOST_S}]},
+                "maintenance": {
+                    "requests": [{"id": "work", "machines": list(machines), "time_s": TRIAL_TIMEOUT_S}]
+                },
             }
         )
         disturbed: asyncio.Task[None] | None = None
-        end = trial.now() + MOST_S
+        end = trial.now() + TRIAL_TIMEOUT_S
         while trial.now() < end:
-            seen = await trial.look_on()
+            seen = await trial.observe_pages()
             steps = {item["step"] for item in seen.values()}
             if steps == {"done"}:
                 trial.record.ended = True
@@ -282,7 +284,7 @@
 
 
 def check(record: Record, at_once: int = 1) -> list[str]:
-    """What is wrong with a trial."""
+    """The invariants that a trial violated, one line each."""
     wrong = [] if record.ended else [f"not at rest: {record.steps}"]
     if sum(answers.get(200, 0) for answers in record.answers.values()) < 100:
         wrong.append(f"hardly any load: {record.answers}")
--- a/mallowbeam/lab/faults/work.py
+++ b/mallowbeam/lab/faults/work.py
@@ -1,7 +1,8 @@
-"""Trials of maintenance from a seed: five gateways under load through their fronts, and faults of every kind.
+"""Fault-injection trials of maintenance from a seed: five gateways under load through their front ends.
 
-What clients, nodes and gateways' pages and logs say goes into one `seen.Record`, and only that is judged.
-A trial that fails keeps the lines of its record around what went wrong, and says how it is played again.
+What clients, nodes and the gateways' pages and logs show goes into one `Observations`, and the checkers
+read only that.  A failed trial returns the observations around its first violation, and the command that
+replays it.
 """
 
 from __future__ import annotations
@@ -12,25 +13,38 @@
 import re
 import tempfile
 import time
-from collections.abc import Sequence
+from collections.abc import Awaitable, Callable, Sequence
 from contextlib import suppress
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
-from mallowbeam.lab.faults import checks
-from mallowbeam.lab.faults import seen as s
+from mallowbeam.lab.faults import observation_checks
 from mallowbeam.lab.faults.diagnosis import replay
-from mallowbeam.lab.faults.load import Clients, Late, RecordingNode
-from mallowbeam.lab.faults.maintenance import DELAY_S, MOST_S, ZONES, Trial
+from mallowbeam.lab.faults.load import Clients, LoadProfile, RecorderDelay, RecordingNode
+from mallowbeam.lab.faults.maintenance import DELAY_S, TRIAL_TIMEOUT_S, ZONES, Trial
+from mallowbeam.lab.faults.observations import (
+    Disturbance,
+    DrainLimits,
+    Event,
+    Machine,
+    Observations,
+    PageObserved,
+    RequestArrived,
+    RequestSent,
+    ResponseReceived,
+    StepLogged,
+)
 from mallowbeam.lab.faults.trial import quantile
 
 FAULTS = ("kill", "stop", "cut", "leader", "slow", "row", "node", "none")
+FAILING_NODE = "n5"  # never drained by a trial
+SEED_STRIDE = 31  # between the seeds of two trials' clients
 RATE = 20.0  # requests a second at each gateway
-PUSH_S = 20.0  # seconds in which a push must be committed
-ROW_S = 15.0  # seconds that a gateway restarted in a row is waited for
-AROUND_S = 0.3  # seconds of the record told on either side of what is wrong
-MOST_TOLD = 40  # lines of them
+PUSH_TIMEOUT_S = 20.0  # seconds in which a push must be committed
+RESTART_TIMEOUT_S = 15.0  # seconds that each gateway of a rolling restart is waited for
+CONTEXT_S = 0.3  # seconds of observations shown before and after a violation
+MAX_CONTEXT_LINES = 40  # observations shown of a failed trial
 STEP = re.compile(
     r"maintenance: (\S+) " r"(proposed|agreed|draining|empty|out|back|warming|done|lost|failed|aborted): "
 )
@@ -38,25 +52,25 @@
 
 @dataclass(slots=True)
 class Result:
-    """What came of one trial; times in seconds."""
+    """The result of one trial, times in seconds; its field names are keys of the `--json` output."""
 
     seed: int
     faults: tuple[str, ...]
     asked: int
     served: int
-    refused: int  # with the promise that nothing ran
-    lost: int  # ended without an answer, wherever that was allowed
+    refused: int  # with the promise that nothing was executed
+    lost: int  # ended without a response, where that is allowed
     arrivals: int
-    worked: int  # machines that were worked at
+    worked: int  # machines that operators worked at
     took: float  # from the push until all machines are done
-    late: float  # how late the recorder was at most
+    late: float  # the recorder's longest delay
     wrong: list[str]
     look_at: list[str]
 
 
 @dataclass(slots=True)
 class Summary:
-    """Many trials together; times in seconds."""
+    """The results of many trials, times in seconds; its field names are keys of the `--json` output."""
 
     trials: int
     asked: int
@@ -72,7 +86,7 @@
 
 
 def summary(results: Sequence[Result]) -> Summary:
-    """All trials in one."""
+    """Sum up the results of many trials."""
     took = sorted(r.took for r in results)
     return Summary(
         len(results),
@@ -89,131 +103,151 @@
     )
 
 
-class Watched(Trial):
-    """A trial whose clients and nodes record what they see."""
+class ObservedTrial(Trial):
+    """A trial whose clients, nodes and gateways are observed."""
 
     def __init__(self, folder: Path, seed: int, size: int = 5) -> None:
-        self.seen, self.late, self.zero = s.Record(), Late(), time.monotonic()
-        self.wall = time.time() - time.monotonic()  # what log lines are ahead of the steady clock
+        self.observations = Observations()
+        self.recorder = RecorderDelay()
+        self.started_at = time.monotonic()
+        self.wall_offset = time.time() - time.monotonic()  # of log lines' time to the monotonic clock
         super().__init__(folder, seed, size)
         self.seed = seed
-        self.steps: dict[str, dict[str, str]] = {}  # of the machines, as each gateway's last page has them
+        self.steps: dict[str, dict[str, str]] = {}  # by gateway and machine, of its newest page
 
     def now(self) -> float:
         """Seconds from the trial's start, for all that is recorded."""
-        return time.monotonic() - self.zero
+        return time.monotonic() - self.started_at
 
     def node(self, name: str) -> RecordingNode:
-        """A node that records."""
-        return RecordingNode(name, self.seen, self.late, self.zero, DELAY_S)
-
-    def looked(self, told: dict[str, Any]) -> None:
-        """A page becomes part of the record."""
-        part = told["subsystems"]["maintenance"]
-        steps = self.steps[told["name"]] = {name: item["step"] for name, item in part["machines"].items()}
-        self.seen.add(
-            s.Shown(
+        """Make a recording node."""
+        return RecordingNode(name, self.observations, self.recorder, self.started_at, DELAY_S)
+
+    def on_page(self, page: dict[str, Any]) -> None:
+        """Record the machines and the order that a gateway's page shows."""
+        section = page["subsystems"]["maintenance"]
+        steps = {name: item["step"] for name, item in section["machines"].items()}
+        self.steps[page["name"]] = steps
+        self.observations.add(
+            PageObserved(
                 self.now(),
-                told["name"],
-                told["index"],
+                page["name"],
+                page["index"],
                 steps,
-                tuple(f"{turn['index']} {turn['machine']}" for turn in part["order"]),
+                tuple(f"{turn['index']} {turn['machine']}" for turn in section["order"]),
             )
         )
 
     def at_rest(self) -> bool:
-        """Whether every gateway shows that all machines are done: none has any step left to hear."""
+        """Whether every gateway's newest page shows all machines as done."""
         return all(set(self.steps.get(name, {}).values()) == {"done"} for name in self.names)
 
-    def laid(self, what: str, *machines: str) -> None:
-        """Work begins or ends."""
-        self.seen.add(s.Laid(self.now(), what, machines))
+    def on_disturbance(self, what: str, *machines: str) -> None:
+        """Record that a fault or an operator's work begins or ends."""
+        self.observations.add(Disturbance(self.now(), what, machines))
 
     def _fault(self, what: str, *gateways: str) -> None:
         super()._fault(what, *gateways)
-        self.laid(what, *gateways)
+        self.on_disturbance(what, *gateways)
 
-    def places(self) -> list[s.Place]:
-        """Nodes and gateways."""
+    def machines(self) -> list[Machine]:
+        """All nodes and gateways with their failure domains."""
         return [
-            *(s.Place(f"n{i}", ZONES[i % len(ZONES)], i // len(ZONES)) for i in range(len(self.nodes))),
-            *(s.Place(name, gateway=True) for name in self.names),
+            *(Machine(f"n{i}", ZONES[i % len(ZONES)], i // len(ZONES)) for i in range(len(self.nodes))),
+            *(Machine(name, gateway=True) for name in self.names),
         ]
 
     def clients(self, name: str) -> Clients:
         """The clients of one gateway."""
         return Clients(
-            self.seen,
+            self.observations,
             name,
             self.ports[name][0],
-            self.zero,
-            self.seed * 31 + int(name[1:]),
-            RATE,
-            len(self.nodes) // len(ZONES),
+            self.started_at,
+            self.seed * SEED_STRIDE + int(name[1:]),
+            LoadProfile(RATE, shards=len(self.nodes) // len(ZONES)),
         )
 
     def read_logs(self) -> None:
-        """What gateways' logs say that they heard, and when."""
+        """Record the steps that the gateways' logs tell, at the time of each line."""
         for name in self.names:
             for line in (self.folder / name / "log.txt").read_text(errors="replace").splitlines():
                 with suppress(ValueError, KeyError, TypeError):
-                    told = json.loads(line)["record"]
-                    if (found := STEP.match(told["message"])) is not None:
-                        at = told["time"]["timestamp"] - self.wall - self.zero
-                        self.seen.add(s.Told(at, name, found[1], found[2]))
+                    entry = json.loads(line)["record"]
+                    if (found := STEP.match(entry["message"])) is not None:
+                        at = entry["time"]["timestamp"] - self.wall_offset - self.started_at
+                        self.observations.add(StepLogged(at, name, found[1], found[2]))
 
     # --- faults -----------------------------------------------------------------------------------
 
-    async def lay(self, fault: str, busy: set[str]) -> None:
-        """One fault from the seed, whole: what it does is undone in the end."""
-        free = [name for name in self.up if name not in busy]
-        if fault == "kill":
-            name = self.rng.choice(free)
-            self.kill(name)
-            await asyncio.sleep(self.rng.uniform(0.5, 3.0))
-            self.start(name)
-        elif fault == "stop":
-            name = self.rng.choice(free)
-            self.stop(name)
-            await asyncio.sleep(self.rng.uniform(0.5, 4.0))
-            self.go(name)
-        elif fault == "cut":
-            self.part(self.rng.sample(free, self.rng.choice((1, 2))))
-            await asyncio.sleep(self.rng.uniform(1.0, 4.0))
-            for link in self.links.values():
-                link.heal()
-        elif fault == "leader":
-            told = await self.ask(self.rng.choice(free), "/policy")
-            name = str(told["leader"]) if told and told["leader"] in free else self.rng.choice(free)
+    async def inject(self, fault: str, drained: set[str]) -> None:
+        """Inject one fault at random gateways that are not being drained, and undo it after a while."""
+        free = [name for name in self.up if name not in drained]
+        injections: dict[str, Callable[[list[str]], Awaitable[None]]] = {
+            "kill": self._kill_one,
+            "stop": self._stop_one,
+            "cut": self._cut_off_some,
+            "leader": self._kill_leader,
+            "slow": self._slow_links,
+            "node": self._fail_node,
+            "row": self._rolling_restart,
+        }
+        if fault in injections:
+            await injections[fault](free)
+
+    async def _kill_one(self, free: list[str]) -> None:
+        await self._kill_for_a_while(self.rng.choice(free))
+
+    async def _kill_leader(self, free: list[str]) -> None:
+        page = await self.fetch_page(self.rng.choice(free), "/policy")
+        name = str(page["leader"]) if page and page["leader"] in free else self.rng.choice(free)
+        await self._kill_for_a_while(name)
+
+    async def _kill_for_a_while(self, name: str) -> None:
+        self.kill(name)
+        await asyncio.sleep(self.rng.uniform(0.5, 3.0))
+        self.start(name)
+
+    async def _stop_one(self, free: list[str]) -> None:
+        name = self.rng.choice(free)
+        self.stop(name)
+        await asyncio.sleep(self.rng.uniform(0.5, 4.0))
+        self.go(name)
+
+    async def _cut_off_some(self, free: list[str]) -> None:
+        self.part(self.rng.sample(free, self.rng.choice((1, 2))))
+        await asyncio.sleep(self.rng.uniform(1.0, 4.0))
+        for link in self.links.values():
+            link.heal()
+
+    async def _slow_links(self, _free: list[str]) -> None:
+        self.slow(self.rng.sample(self.names, 2), self.rng.choice((0.05, 0.15, 0.3)))
+        await asyncio.sleep(self.rng.uniform(1.0, 4.0))
+        for link in self.links.values():
+            link.delay = 0.0
+
+    async def _fail_node(self, _free: list[str]) -> None:
+        node = self.nodes[int(FAILING_NODE[1:])]
+        self.on_disturbance("down", FAILING_NODE)
+        node.call(node.die)
+        self.phases[FAILING_NODE] = "removed"
+        self.discovery.tell(self.discovery_members())
+        await asyncio.sleep(self.rng.uniform(1.0, 3.0))
+        node.listen()
+        self.phases[FAILING_NODE] = "up"
+        self.discovery.tell(self.discovery_members())
+
+    async def _rolling_restart(self, free: list[str]) -> None:
+        for name in free:
             self.kill(name)
-            await asyncio.sleep(self.rng.uniform(0.5, 3.0))
+            await asyncio.sleep(0.1)
             self.start(name)
-        elif fault == "slow":
-            self.slow(self.rng.sample(self.names, 2), self.rng.choice((0.05, 0.15, 0.3)))
-            await asyncio.sleep(self.rng.uniform(1.0, 4.0))
-            for link in self.links.values():
-                link.delay = 0.0
-        elif fault == "node":
-            node = self.nodes[5]
-            self.laid("down", "n5")
-            node.call(node.die)
-            self.phases["n5"] = "removed"
-            self.discovery.tell(self.listed())
-            await asyncio.sleep(self.rng.uniform(1.0, 3.0))
-            node.listen()
-            self.phases["n5"] = "up"
-            self.discovery.tell(self.listed())
-        elif fault == "row":
-            for name in free:
-                self.kill(name)
+            end = self.now() + RESTART_TIMEOUT_S
+            while self.now() < end:
+                page = await self.fetch_page(name, "/policy")
+                if page is not None and page["serves"]:
+                    break
                 await asyncio.sleep(0.1)
-                self.start(name)
-                end = self.now() + ROW_S
-                while self.now() < end:
-                    told = await self.ask(name, "/policy")
-                    if told is not None and told["serves"]:
-                        break
-                    await asyncio.sleep(0.1)
 
 
 async def play(
@@ -221,45 +255,33 @@
     folder: Path,
     broken: dict[str, str] | None = None,
     at_once: int = 0,
-    most: float = MOST_S,
+    most: float = TRIAL_TIMEOUT_S,
     faults: Sequence[str] | None = None,
     machines: Sequence[str] | None = None,
 ) -> Result:
-    """One trial; what does not come to rest is among what is wrong."""
+    """Play one trial; a fleet that does not come to rest in `most` seconds is a violation.
+
+    `broken` maps gateways that are broken on purpose to the kind of their defect (see the module `broken`).
+    What is not given is drawn from the seed.
+    """
     draw = random.Random(seed * 7 + 1)
-    limits = s.Limits(at_once or draw.choice((1, 2)), 1)
+    limits = DrainLimits(at_once or draw.choice((1, 2)), 1)
     machines = machines or [*draw.sample(["n0", "n1", "n2", "n3", "n4"], draw.choice((2, 3))), "g4"]
     faults = draw.choices(FAULTS, k=2) if faults is None else faults
-    made = Watched(folder, seed)
-    made.broken |= broken or {}
-    async with made as trial:
+    prepared = ObservedTrial(folder, seed)
+    prepared.broken |= broken or {}
+    async with prepared as trial:
         await trial.settled()
         tasks = [
-            asyncio.create_task(trial.late.watch()),
+            asyncio.create_task(trial.recorder.watch()),
             *(asyncio.create_task(trial.clients(name).run()) for name in trial.names),
         ]
-        wrong, began = list[str](), trial.now()
+        wrong: list[str] = []
+        began = trial.now()
         try:
             await asyncio.sleep(0.5)
             began = trial.now()
-            await trial.request(
-                {
-                    "drains": [],
-                    "maintenance": {
-                        "requests": [
-                            {
-                                "id": "work",
-                                "machines": list(machines),
-                                "at_once": limits.at_once,
-                                "at_once_zone": limits.at_once_zone,
-                                "zone_floor": limits.zone_floor,
-                                "time_s": MOST_S,
-                            }
-                        ]
-                    },
-                },
-                PUSH_S,
-            )
+            await trial.push_until_committed(_drain_policy(machines, limits), PUSH_TIMEOUT_S)
             wrong += await _until_done(trial, draw, faults, set(machines), most)
         except TimeoutError as error:
             wrong.append(f"not at rest: {error}")
@@ -268,36 +290,50 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         trial.read_logs()
-        wrong += checks.maintenance(trial.seen, trial.places(), limits, machines)
+        wrong += observation_checks.check_maintenance(trial.observations, trial.machines(), limits, machines)
         return _result(seed, tuple(faults), trial, took, wrong)
 
 
+def _drain_policy(machines: Sequence[str], limits: DrainLimits) -> dict[str, Any]:
+    """The policy that asks for these machines within these limits."""
+    request = {
+        "id": "work",
+        "machines": list(machines),
+        "at_once": limits.at_once,
+        "at_once_zone": limits.at_once_zone,
+        "zone_floor": limits.zone_floor,
+        "time_s": TRIAL_TIMEOUT_S,
+    }
+    return {"drains": [], "maintenance": {"requests": [request]}}
+
+
 async def _until_done(
-    trial: Watched, draw: random.Random, faults: Sequence[str], machines: set[str], most: float
+    trial: ObservedTrial, draw: random.Random, faults: Sequence[str], machines: set[str], most: float
 ) -> list[str]:
-    """Look on, and lay the faults one after the other, until all gateways show all machines as done."""
+    """Inject the faults in turn and observe until all gateways show all machines done; the violations."""
     gateways = {name for name in machines if name in trial.names}
 
-    async def all_faults() -> None:
+    async def inject_all() -> None:
         for fault in faults:
             await asyncio.sleep(draw.uniform(0.2, 2.5))
-            await trial.lay(fault, gateways)
+            await trial.inject(fault, gateways)
 
-    laying, end = asyncio.create_task(all_faults()), trial.now() + most
+    injecting = asyncio.create_task(inject_all())
+    end = trial.now() + most
     last: dict[str, str] = {}
     try:
         while trial.now() < end:
-            seen = await trial.look_on()
+            seen = await trial.observe_pages()
             last = {name: item["step"] for name, item in seen.items()} or last
-            if set(last.values()) == {"done"} and laying.done() and trial.at_rest():
+            if set(last.values()) == {"done"} and injecting.done() and trial.at_rest():
                 return []
             await asyncio.sleep(0.05)
         return [f"not at rest after {most:g} s: {last}, faults {', '.join(faults)}"]
     finally:
-        laying.cancel()
+        injecting.cancel()
         for link in trial.links.values():
             link.delay = 0.0
-        ended = await asyncio.gather(laying, *trial.tasks, return_exceptions=True)
+        ended = await asyncio.gather(injecting, *trial.tasks, return_exceptions=True)
         for error in ended:
             if isinstance(error, Exception) and not isinstance(error, asyncio.CancelledError):
                 raise error
@@ -305,48 +341,52 @@
             trial.go(name)
 
 
-def _result(seed: int, faults: tuple[str, ...], trial: Watched, took: float, wrong: list[str]) -> Result:
-    answers = [answer.status for answer in trial.seen.of(s.Answered)]
+def _result(
+    seed: int, faults: tuple[str, ...], trial: ObservedTrial, took: float, wrong: list[str]
+) -> Result:
+    answers = [answer.status for answer in trial.observations.of(ResponseReceived)]
     look_at = []
     if wrong:
         look_at = [
-            *around(trial.seen, wrong),
+            *context(trial.observations, wrong),
             *trial.diagnosis.lines(trial.names),
             f"again: {replay(seed, 'maintenance')}",
         ]
     return Result(
         seed,
         faults,
-        sum(1 for _ in trial.seen.of(s.Asked)),
+        sum(1 for _ in trial.observations.of(RequestSent)),
         answers.count(200),
-        sum(status in checks.NOT_RUN for status in answers),
+        sum(status in observation_checks.NOT_EXECUTED_STATUSES for status in answers),
         answers.count(0),
-        sum(1 for _ in trial.seen.of(s.Arrived)),
+        sum(1 for _ in trial.observations.of(RequestArrived)),
         len(trial.record.worked),
         took,
-        max(over for _, over in trial.late.spans),
+        max(over for _, over in trial.recorder.spans),
         wrong,
         look_at,
     )
 
 
-def around(record: s.Record, wrong: Sequence[str]) -> list[str]:
-    """The lines of the record that tell what went on: faults, steps, and what lies around the first wrong."""
-    found = re.match(r"[\d.]+", wrong[0])
+def context(observations: Observations, violations: Sequence[str]) -> list[str]:
+    """The faults, the steps and the observations around the first violation, a line each."""
+    found = re.match(r"[\d.]+", violations[0])
     at = float(found[0]) if found else 0.0
-    kept: list[s.Event] = [event for event in record.events if isinstance(event, s.Told | s.Laid)]
-    kept += [
+    shown: list[Event] = [
+        event for event in observations.events if isinstance(event, StepLogged | Disturbance)
+    ]
+    shown += [
         event
-        for event in record.events
-        if isinstance(event, s.Arrived | s.Answered | s.Asked)
-        and abs(event.at - at) < AROUND_S
-        and event.id in wrong[0]
+        for event in observations.events
+        if isinstance(event, RequestArrived | ResponseReceived | RequestSent)
+        and abs(event.at - at) < CONTEXT_S
+        and event.id in violations[0]
     ]
-    kept.sort(key=lambda event: abs(event.at - at))
-    return [str(event) for event in sorted(kept[:MOST_TOLD], key=lambda event: event.at)]
+    shown.sort(key=lambda event: abs(event.at - at))
+    return [str(event) for event in sorted(shown[:MAX_CONTEXT_LINES], key=lambda event: event.at)]
 
 
 def run(seed: int) -> Result:
-    """One trial in a folder of its own, which goes with it."""
+    """Play one trial in a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(play(seed, Path(folder)))
