--- a/mallowbeam/lab/faults/maintenance.py
+++ b/mallowbeam/lab/faults/maintenance.py
@@ -168,7 +168,7 @@
             self.laid("work", machine)
             node.call(node.die)
             self.phases[machine] = "removed"
-            self.discovery.tell(self.listed())
+            self.discovery.publish(self.listed())
             await asyncio.sleep(WORK_S)
             self.laid("done", machine)
             try:
@@ -178,7 +178,7 @@
                 node.listen()
             self.record.worked.append((began, time.monotonic(), machine))
             self.phases[machine] = "up"
-            self.discovery.tell(self.listed())
+            self.discovery.publish(self.listed())
         else:
             self.record.disturbed.add(machine)
             process = self.processes[machine]
--- a/mallowbeam/lab/faults/work.py
+++ b/mallowbeam/lab/faults/work.py
@@ -198,11 +198,11 @@
             self.laid("down", "n5")
             node.call(node.die)
             self.phases["n5"] = "removed"
-            self.discovery.tell(self.listed())
+            self.discovery.publish(self.listed())
             await asyncio.sleep(self.rng.uniform(1.0, 3.0))
             node.listen()
             self.phases["n5"] = "up"
-            self.discovery.tell(self.listed())
+            self.discovery.publish(self.listed())
         elif fault == "row":
             for name in free:
                 self.kill(name)
--- a/mallowbeam/standins/discovery.py
+++ b/mallowbeam/standins/discovery.py
@@ -43,7 +43,7 @@
         self.members, self.revision = members, 1
         super().__init__(address, Script([Rule("stall", path="since=", times=-1, seconds=poll)]))
 
-    def tell(self, members: list[dict[str, object]]) -> None:
+    def publish(self, members: list[dict[str, object]]) -> None:
         """A new list from now on."""
         self.members, self.revision = members, self.revision + 1
 
--- a/mallowbeam/standins/disk.py
+++ b/mallowbeam/standins/disk.py
@@ -17,7 +17,7 @@
 SECTOR = 512
 
 
-class PowerCut(Exception):
+class PowerLossError(Exception):
     """The machine is without power: nothing more is done."""
 
 
@@ -49,14 +49,14 @@
         self.kept: dict[str, Inode] = {}  # names as durable
         self.faults: list[Fault] = []
         self.ops = 0
-        self.cut_at: int | None = None
+        self.power_loss_at: int | None = None
         self.locked = False
-        self.room: int | None = None  # bytes of all files together, None for no bound
+        self.capacity: int | None = None  # bytes of all files together, None for no bound
 
     def step(self, call: str, name: str) -> None:
         """Count a call that changes something; raises what is due."""
-        if self.cut_at is not None and self.ops >= self.cut_at:
-            raise PowerCut
+        if self.power_loss_at is not None and self.ops >= self.power_loss_at:
+            raise PowerLossError
         self.ops += 1
         for fault in self.faults:
             if fault.call == call and name.startswith(fault.name) and fault.times:
@@ -159,10 +159,10 @@
         """Write; on a full disk only what there is room for."""
         data = b"".join(parts)
         self.disk.step("write", self.name)
-        room = self.disk.room
+        capacity = self.disk.capacity
         grows = max(0, at + len(data) - len(self.inode.now))
-        if room is not None and self.disk.used() + grows > room:
-            data = data[: max(0, len(data) - (self.disk.used() + grows - room))]
+        if capacity is not None and self.disk.used() + grows > capacity:
+            data = data[: max(0, len(data) - (self.disk.used() + grows - capacity))]
             self._put(data, at)
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         self._put(data, at)
--- a/mallowbeam/standins/model_server.py
+++ b/mallowbeam/standins/model_server.py
@@ -26,14 +26,14 @@
     SILENT = "silent"  # never answers
     OTHER_ID = "other_id"  # an answer that names another request
     NO_SIGNATURE = "no_signature"
-    CUT = "cut"  # a stream ends inside its third event
+    TRUNCATED = "truncated"  # a stream ends inside its third event
     REPEAT_ID = "repeat_id"  # the third event has the second one's id
-    PAUSE = "pause"  # a stream goes silent behind its second event
+    STALLED = "stalled"  # a stream goes silent behind its second event
     SURPLUS = "surplus"  # a whole answer, and another one behind it
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ReceivedRequest:
     """A request as it arrived."""
 
     method: str
@@ -51,7 +51,7 @@
     stage: str = ""  # prefill, decode, or empty for a plain service
     keep_alive_s: int = 5
     script: deque[Fault] = field(default_factory=deque)
-    seen: list[Seen] = field(default_factory=list)
+    seen: list[ReceivedRequest] = field(default_factory=list)
     handles: set[str] = field(default_factory=set)  # made here and not taken yet
     freed: list[str] = field(default_factory=list)
     peers: dict[str, ModelServer] = field(default_factory=dict)  # prefill instances by address
@@ -92,12 +92,14 @@
             self._tasks.discard(task)
             writer.close()
 
-    async def _answer(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _answer(
+        self, seen: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         if seen.target.startswith("/mallowbeam/kv-handle/"):
             return self._free(seen, writer)
         self.seen.append(seen)
         if seen.repeated & SINGLE:
-            return self._whole(writer, seen, 400, b"ambiguous", "Not-Executed: 1\r\n")
+            return self._respond(writer, seen, 400, b"ambiguous", "Not-Executed: 1\r\n")
         fault = self.script.popleft() if self.script else None
         if fault is None and seen.headers.get("target-instance", self.id) != self.id:
             fault = Fault.MISDIRECT
@@ -109,28 +111,28 @@
             return False
         if fault in STATUSES:
             status, extra = STATUSES[fault]
-            return self._whole(writer, seen, status, b"no", extra)
+            return self._respond(writer, seen, status, b"no", extra)
         if self.stage == "prefill":
-            return self._read_prompt(seen, writer)
+            return self._prefill(seen, writer)
         if not self._take_handle(seen):
-            return self._whole(writer, seen, 503, b"no memory", "Not-Executed: 1\r\n")
+            return self._respond(writer, seen, 503, b"no memory", "Not-Executed: 1\r\n")
         if self.stage == "decode":
             return await self._stream(seen, reader, writer, fault)
         if fault is Fault.NO_SIGNATURE:
-            return self._whole(writer, seen, 200, self.body, "")
-        self._whole(writer, seen, 200, self.body, self._stamp, other=fault is Fault.OTHER_ID)
+            return self._respond(writer, seen, 200, self.body, "")
+        self._respond(writer, seen, 200, self.body, self._stamp, other=fault is Fault.OTHER_ID)
         if fault is Fault.SURPLUS:
-            self._whole(writer, seen, 200, b"surplus", self._stamp)
+            self._respond(writer, seen, 200, b"surplus", self._stamp)
         return True
 
     @property
     def _stamp(self) -> str:
         return f"Server-Signature: stamp.{self.id}\r\n"
 
-    def _whole(
+    def _respond(
         self,
         writer: asyncio.StreamWriter,
-        seen: Seen,
+        seen: ReceivedRequest,
         status: int,
         body: bytes,
         extra: str,
@@ -144,21 +146,21 @@
         writer.write(head.encode() + body)
         return True
 
-    def _free(self, seen: Seen, writer: asyncio.StreamWriter) -> bool:
+    def _free(self, seen: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         handle = seen.target.rpartition("/")[2]
         self.handles.discard(handle)
         self.freed.append(handle)
-        return self._whole(writer, seen, 200, b"", "")
+        return self._respond(writer, seen, 200, b"", "")
 
-    def _read_prompt(self, seen: Seen, writer: asyncio.StreamWriter) -> bool:
+    def _prefill(self, seen: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         if seen.headers.get("stage") != "prefill":
-            return self._whole(writer, seen, 421, b"", "")
+            return self._respond(writer, seen, 421, b"", "")
         handle = f"{len(self.seen):04x}{seen.headers['request-id'][:8]}"
         self.handles.add(handle)
         body = json.dumps({"kv_handle": handle, "tokens": 10, "revision": 1}).encode()
-        return self._whole(writer, seen, 200, body, "Content-Type: application/json\r\n")  # never signed
+        return self._respond(writer, seen, 200, body, "Content-Type: application/json\r\n")  # never signed
 
-    def _take_handle(self, seen: Seen) -> bool:
+    def _take_handle(self, seen: ReceivedRequest) -> bool:
         """Whether the request names no handle, or one that is there."""
         address, _, handle = seen.headers.get("kv-from", "").partition("/")
         if not address:
@@ -170,7 +172,11 @@
         return True
 
     async def _stream(
-        self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, fault: Fault | None
+        self,
+        seen: ReceivedRequest,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        fault: Fault | None,
     ) -> bool:
         head = (
             f"HTTP/1.1 200 OK\r\nRequest-Id: {seen.headers.get('request-id', '')}\r\n{self._stamp}"
@@ -181,10 +187,10 @@
         first = int(seen.headers.get("last-event-id", "0")) + 1
         for number in range(first, EVENTS + 1):
             event = f"id: {number}\ndata: token {number}\n\n".encode()
-            if number == 3 and fault is Fault.CUT:
+            if number == 3 and fault is Fault.TRUNCATED:
                 writer.write(chunk(event[:9]))
                 return False
-            if number == 3 and fault is Fault.PAUSE:
+            if number == 3 and fault is Fault.STALLED:
                 await reader.read()
                 self.cancelled += 1
                 return False
@@ -226,7 +232,7 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-async def read_request(reader: asyncio.StreamReader) -> Seen | None:
+async def read_request(reader: asyncio.StreamReader) -> ReceivedRequest | None:
     """One request with a length; None at the connection's end."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
@@ -241,4 +247,6 @@
     headers = dict(pairs)
     counts = Counter(name for name, _ in pairs)
     body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return Seen(method, target, headers, body, frozenset(name for name in counts if counts[name] > 1))
+    return ReceivedRequest(
+        method, target, headers, body, frozenset(name for name in counts if counts[name] > 1)
+    )
--- a/tests/router/data_plane/test_data_plane_answers.py
+++ b/tests/router/data_plane/test_data_plane_answers.py
@@ -21,7 +21,7 @@
 from mallowbeam.router.data_plane.outcomes import AttemptEnd, judge_answer
 from mallowbeam.router.data_plane.prefill import Handle, HandleRelease
 from mallowbeam.router.streams.progress import StreamProgress
-from mallowbeam.standins.model_server import Fault, ModelServer, Seen
+from mallowbeam.standins.model_server import Fault, ModelServer, ReceivedRequest
 
 ID = b"9c41d07be2a35f68"
 HEAD = b"POST / HTTP/1.1\r\ncontent-length: %d\r\n\r\n"
@@ -38,9 +38,11 @@
 
     status: int = 500
 
-    async def _answer(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _answer(
+        self, seen: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         self.seen.append(seen)
-        return self._whole(
+        return self._respond(
             writer,
             seen,
             self.status,
@@ -53,13 +55,13 @@
 class LateHandles(ModelServer):
     """A prefill instance that sends each answer once more, in the place of the next one due."""
 
-    before: Seen | None = None
+    before: ReceivedRequest | None = None
 
-    def _read_prompt(self, seen: Seen, writer: asyncio.StreamWriter) -> bool:
+    def _prefill(self, seen: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         before, self.before = self.before, seen
         if before is not None:
-            super()._read_prompt(before, writer)
-        return super()._read_prompt(seen, writer)
+            super()._prefill(before, writer)
+        return super()._prefill(seen, writer)
 
 
 class ToCallers(unittest.TestCase):
@@ -91,10 +93,10 @@
         @dataclass
         class Late(ModelServer):
             async def _answer(
-                self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+                self, seen: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
             ) -> bool:
                 if before := writer.__dict__.get("before"):
-                    self._whole(writer, before, 200, b"late", self._stamp)
+                    self._respond(writer, before, 200, b"late", self._stamp)
                 writer.__dict__["before"] = seen
                 return await super()._answer(seen, reader, writer)
 
--- a/tests/router/data_plane/test_data_plane_failures.py
+++ b/tests/router/data_plane/test_data_plane_failures.py
@@ -60,7 +60,7 @@
 
     def test_stream_that_breaks_after_a_hand_over_is_resumed(self):
         async def scenario():
-            for fault in (Fault.CUT, Fault.RESET, Fault.FAIL):
+            for fault in (Fault.TRUNCATED, Fault.RESET, Fault.FAIL):
                 async with Bench(ROUTES, ByName("p-1")) as bench:
                     prefill = await bench.add("p-1", ENGINE, "prefill")
                     decodes = [await bench.add(f"d-{number}", ENGINE, "decode") for number in (1, 2, 3)]
--- a/tests/router/data_plane/test_data_plane_path.py
+++ b/tests/router/data_plane/test_data_plane_path.py
@@ -212,13 +212,13 @@
     async def test_cut_stream_looks_cut(self):
         async with Bench(planner=OneByName()) as bench:
             one, two = await bench.add("i-1", ENGINE, "decode"), await bench.add("i-2", ENGINE, "decode")
-            one.script.append(Fault.CUT)
+            one.script.append(Fault.TRUNCATED)
             answer = await bench.ask("/stream/")
             self.assertEqual((answer.status, answer.whole, len(two.seen)), (200, False, 0))
             self.assertTrue(answer.body.startswith(events(1, 2)))
 
     async def test_resumed_behind_the_last_whole_event(self):
-        for fault in (Fault.CUT, Fault.REPEAT_ID, Fault.PAUSE):
+        for fault in (Fault.TRUNCATED, Fault.REPEAT_ID, Fault.STALLED):
             async with Bench(planner=OneByName()) as bench:
                 one, two = await bench.add("i-1", ENGINE, "decode"), await bench.add("i-2", ENGINE, "decode")
                 one.script.append(fault)
@@ -251,7 +251,7 @@
         """A client's Last-Event-Id went on beside the gateway's own: an instance may read either one."""
         async with Bench(planner=OneByName()) as bench:
             one, two = await bench.add("i-1", ENGINE, "decode"), await bench.add("i-2", ENGINE, "decode")
-            one.script.append(Fault.CUT)
+            one.script.append(Fault.TRUNCATED)
             answer = await bench.ask("/resume/", headers={"Last-Event-Id": "1", "Priority": "7"})
             self.assertEqual((answer.whole, answer.body), (True, events(2)))
             self.assertEqual(
--- a/tests/router/data_plane/test_rules_budget.py
+++ b/tests/router/data_plane/test_rules_budget.py
@@ -76,11 +76,11 @@
         self.assertGreaterEqual(charged, 1)
 
     def test_a_stream_that_breaks_after_a_hand_over(self) -> None:
-        for fault in (Fault.CUT, Fault.RESET, Fault.FAIL):
+        for fault in (Fault.TRUNCATED, Fault.RESET, Fault.FAIL):
             self.assertEqual(self.ask("/resume/", {"x-1": [fault]}, ["p-1"]), (200, 1, [1, 1, 1, 0]), fault)
 
     def test_no_way_of_failing_costs_less_than_it_should(self) -> None:
-        kinds = (None, Fault.REJECT, Fault.FAIL, Fault.RESET, Fault.CUT)
+        kinds = (None, Fault.REJECT, Fault.FAIL, Fault.RESET, Fault.TRUNCATED)
         for target in ("/stream/", "/resume/"):
             for reader in (None, Fault.REJECT, Fault.FAIL):
                 for first in kinds:
--- a/tests/router/data_plane/test_rules_gone.py
+++ b/tests/router/data_plane/test_rules_gone.py
@@ -136,7 +136,7 @@
     def test_before_a_stream_that_is_silent_is_taken_up_elsewhere(self) -> None:
         def make() -> list[Timed]:
             first = Timed("d-1", "decode")
-            first.script.append(Fault.PAUSE)
+            first.script.append(Fault.STALLED)
             return [first, Timed("d-2", "decode")]
 
         self.leave("/resume/", 0.8, ByName, make, 1, 1)
--- a/tests/router/data_plane/test_rules_headers.py
+++ b/tests/router/data_plane/test_rules_headers.py
@@ -8,7 +8,7 @@
 from gateway_bench import ENGINE, Bench, events, read_head
 from virtual_time import play
 
-from mallowbeam.standins.model_server import Fault, ModelServer, Seen
+from mallowbeam.standins.model_server import Fault, ModelServer, ReceivedRequest
 
 SYSTEMS = {
     "Stage": "prefill",
@@ -26,7 +26,9 @@
 
 
 class SystemsHeaders(unittest.TestCase):
-    def check(self, instance: ModelServer, seen: Seen, stage: str | None, priority: str | None) -> None:
+    def check(
+        self, instance: ModelServer, seen: ReceivedRequest, stage: str | None, priority: str | None
+    ) -> None:
         """Whether a request carries what the system set, and nothing of the client's."""
         headers = seen.headers
         self.assertEqual(headers["target-instance"], instance.id)
@@ -65,7 +67,7 @@
             async with Bench(planner=ByName()) as bench:
                 first = await bench.add("d-1", ENGINE, "decode")
                 second = await bench.add("d-2", ENGINE, "decode")
-                first.script.append(Fault.CUT)
+                first.script.append(Fault.TRUNCATED)
                 answer = await bench.ask("/resume/", headers=SYSTEMS)
                 self.assertEqual((answer.whole, answer.body), (True, events()))
                 for instance in (first, second):
@@ -93,7 +95,7 @@
             async with Bench(planner=ByName("p-1")) as bench:
                 reader = await bench.add("p-1", ENGINE, "prefill")
                 decoders = [await bench.add(f"d-{number}", ENGINE, "decode") for number in (1, 2)]
-                decoders[0].script.append(Fault.CUT)
+                decoders[0].script.append(Fault.TRUNCATED)
                 answer = await bench.ask("/resume/", headers=PROMPT)
                 self.assertEqual(answer.body, events())
                 for instance in (reader, *decoders):
@@ -136,9 +138,9 @@
 class Smuggled(unittest.TestCase):
     """What two readers could take for different requests reaches no instance, or is one whole request."""
 
-    def seen(self, data: bytes) -> tuple[int, list[Seen]]:
+    def seen(self, data: bytes) -> tuple[int, list[ReceivedRequest]]:
         """The first answer's status, and what reached the instance."""
-        result: list[tuple[int, list[Seen]]] = []
+        result: list[tuple[int, list[ReceivedRequest]]] = []
 
         async def scenario() -> None:
             async with Bench(planner=ByName()) as bench:
@@ -184,7 +186,7 @@
     async def _answer(self, seen, reader, writer):
         if seen.headers.get("expect-version", "1") != "1":
             self.seen.append(seen)
-            return self._whole(writer, seen, 421, b"", "")
+            return self._respond(writer, seen, 421, b"", "")
         return await super()._answer(seen, reader, writer)
 
 
--- a/tests/router/data_plane/test_rules_time.py
+++ b/tests/router/data_plane/test_rules_time.py
@@ -78,7 +78,7 @@
                 decoders = [Timed(f"d-{number}", "decode", takes_s=0.2) for number in (1, 2)]
                 for one in (reader, *decoders):
                     await add(bench, one, ENGINE)
-                decoders[0].script.append(Fault.CUT)
+                decoders[0].script.append(Fault.TRUNCATED)
                 began = now()
                 answer = await bench.ask("/resume/", headers={**PROMPT, "Deadline-Ms": "1800"})
                 self.assertEqual((answer.whole, answer.body), (True, events()))
--- a/tests/router/pairing/test_rules_orders.py
+++ b/tests/router/pairing/test_rules_orders.py
@@ -22,7 +22,7 @@
 from mallowbeam.router.pairing.stage_balancer import OrderResult, StageOrder
 from mallowbeam.router.registry.leases import Leases
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, AcquireLease, Instance
-from mallowbeam.standins.model_server import Fault, ModelServer, Seen
+from mallowbeam.standins.model_server import Fault, ModelServer, ReceivedRequest
 
 SEEDS = range(150)
 SECONDS = 60.0
@@ -245,7 +245,9 @@
 
     busy: bool = True
 
-    async def _answer(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _answer(
+        self, seen: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         if self.busy:
             self.script.append(Fault.REJECT)
         return await super()._answer(seen, reader, writer)
--- a/tests/router/streams/test_rules_streams.py
+++ b/tests/router/streams/test_rules_streams.py
@@ -28,7 +28,7 @@
 from mallowbeam.router.admission.settings import PlannerSettings
 from mallowbeam.router.configuration.model import Backend
 from mallowbeam.router.rpc.messages_pb2 import READY, Engine, Instance
-from mallowbeam.standins.model_server import Fault, ModelServer, Seen, chunk
+from mallowbeam.standins.model_server import Fault, ModelServer, ReceivedRequest, chunk
 
 RESET = struct.pack("ii", 1, 0)
 ROUTES = configuration(
@@ -61,7 +61,11 @@
         return written
 
     async def _stream(
-        self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, fault: Fault | None
+        self,
+        seen: ReceivedRequest,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        fault: Fault | None,
     ) -> bool:
         coding = "Transfer-Encoding: chunked\r\n" if self.chunked else ""
         writer.write(
--- a/tests/storage_gateway/write_buffer/test_buffer_bounds.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_bounds.py
@@ -52,7 +52,7 @@
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path, disk) as world:
-            disk.room = disk.used() + 2000
+            disk.capacity = disk.used() + 2000
             await world.play("""
                 o1 send PUT /plates/a body=1
                 o1 expect 200 x-mallowbeam-durable
@@ -60,7 +60,7 @@
                 o1 expect 503 SlowDown
             """)
             await world.flushed()
-            disk.room = None
+            disk.capacity = None
             await world.play("o1 send PUT /plates/b fill=5000\no1 expect 200 x-mallowbeam-durable")
             await world.flushed()
 
@@ -329,7 +329,7 @@
 
     async def play() -> None:
         store = Store(log, 0, lambda *_: None, lambda *_: None)
-        disk.room = disk.used()
+        disk.capacity = disk.used()
         words = Write("PUT", "plates", b"/plates/a", 1, [], b"t", '"e"', 9000, 0.0)
         new = store.append(Kind.WRITE, store.next_lsn(), pack(Kind.WRITE, words, bytes(9000)))
         end = store.append(Kind.DONE, store.next_lsn(), pack(Kind.DONE, Done([1])))
--- a/tests/storage_gateway/write_buffer/test_buffer_log.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_log.py
@@ -120,13 +120,13 @@
     disk = SimDisk()
     log, *_ = opened(disk)
     log.commit([write(1)])
-    disk.room = disk.used() + 500
+    disk.capacity = disk.used() + 500
     with pytest.raises(DiskFullError):
         log.commit([write(2, b"x" * 5000)])
     assert disk.files[segment_name(log.number)].now.endswith(body(1))
     with pytest.raises(DiskFullError):
         log.commit([done(3, 1), write(4, b"x" * 5000)])
-    disk.room = disk.used()
+    disk.capacity = disk.used()
     with pytest.raises(DiskFullError):
         log.commit([done(5, 1)])
     log.commit([done(6, 1)], finishes_writes=True)
--- a/tests/support/failing_instances.py
+++ b/tests/support/failing_instances.py
@@ -11,7 +11,7 @@
 from mallowbeam.router.admission.messages import Plan, PlanRequest, Rejection
 from mallowbeam.router.data_plane.planner_interface import LeastLoadedPlanner
 from mallowbeam.router.rpc.messages_pb2 import READY, Instance
-from mallowbeam.standins.model_server import ModelServer, Seen
+from mallowbeam.standins.model_server import ModelServer, ReceivedRequest
 
 
 class ByName(LeastLoadedPlanner):
@@ -55,7 +55,9 @@
     wake: asyncio.Event = field(default_factory=asyncio.Event)
     number: int = 0
 
-    async def _answer(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _answer(
+        self, seen: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         number, self.number = self.number, self.number + 1
         if number in self.hangs:
             self.seen.append(seen)
@@ -78,9 +80,11 @@
 class Surplus(ModelServer):
     """Sends each answer once more, when the next request of the connection has come."""
 
-    async def _answer(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _answer(
+        self, seen: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         for before in self.seen[-1:]:
-            self._whole(writer, before, 200, b"late", self._stamp)
+            self._respond(writer, before, 200, b"late", self._stamp)
         return await super()._answer(seen, reader, writer)
 
 
@@ -91,7 +95,9 @@
     holds_s: float = 0.3
     reset: int = 0
 
-    async def _answer(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _answer(
+        self, seen: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         now = asyncio.get_running_loop().time()
         since = writer.__dict__.get("answered_at", now)
         if now - since > self.holds_s:
@@ -108,8 +114,8 @@
 
     lost: bool = True
 
-    def _read_prompt(self, seen: Seen, writer: asyncio.StreamWriter) -> bool:
-        going_on = super()._read_prompt(seen, writer)
+    def _prefill(self, seen: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+        going_on = super()._prefill(seen, writer)
         if self.lost:
             self.handles.clear()
         return going_on
--- a/tests/support/logged.py
+++ b/tests/support/logged.py
@@ -4,7 +4,7 @@
 
 import random
 
-from mallowbeam.standins.disk import PowerCut, SimDisk
+from mallowbeam.standins.disk import PowerLossError, SimDisk
 from mallowbeam.storage_gateway.write_buffer.log import Log, NewRecord, QuarantinedRange, ScanResult
 from mallowbeam.storage_gateway.write_buffer.records import (
     Done,
@@ -87,10 +87,10 @@
 
 
 def run(work: Work, disk: SimDisk, cut: int | None) -> SimDisk:
-    disk.cut_at = None if cut is None else disk.ops + cut
+    disk.power_loss_at = None if cut is None else disk.ops + cut
     try:
         work(disk)
-    except PowerCut:
+    except PowerLossError:
         pass
     return disk
 
--- a/tests/support/mixed_fleet.py
+++ b/tests/support/mixed_fleet.py
@@ -647,7 +647,9 @@
             instance = self.draw.choice(list(self.instances.values()))
             decoders = [one for one in self.instances.values() if one.stage == "decode"]
             if instance.stage == "decode" and not any(one.script for one in decoders):
-                instance.script.append(Fault.CUT)  # one at a time: a stream that is cut twice may end so
+                instance.script.append(
+                    Fault.TRUNCATED
+                )  # one at a time: a stream that is cut twice may end so
             elif instance.id.startswith("plain"):
                 instance.script.append(Fault.REJECT)
 
--- a/tests/support/timed_instances.py
+++ b/tests/support/timed_instances.py
@@ -8,7 +8,7 @@
 from failing_instances import ByName
 
 from mallowbeam.router.admission.messages import Plan, PlanRequest, Rejection
-from mallowbeam.standins.model_server import ModelServer, Seen, chunk
+from mallowbeam.standins.model_server import ModelServer, ReceivedRequest, chunk
 
 
 def now() -> float:
@@ -21,7 +21,7 @@
     """A request as it reached an instance."""
 
     at: float
-    seen: Seen
+    seen: ReceivedRequest
 
     @property
     def deadline_ms(self) -> int:
@@ -37,7 +37,9 @@
     arrivals: list[Arrival] = field(default_factory=list)
     working: int = 0  # requests on which it works now
 
-    async def _answer(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _answer(
+        self, seen: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         if not seen.target.startswith("/mallowbeam/"):
             self.arrivals.append(Arrival(now(), seen))
         self.working += 1
@@ -67,7 +69,7 @@
     plain: bool = False
 
     async def _stream(
-        self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, fault: object
+        self, seen: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, fault: object
     ) -> bool:
         kind = "text/plain" if self.plain else "text/event-stream"
         writer.write(
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -44,7 +44,9 @@
         for kind in base.__subclasses__()
         if kind.__module__.startswith("mallowbeam.") and not issubclass(kind, MallowbeamError)
     ]
-    assert [kind.__name__ for kind in outside] == ["PowerCut"]  # of the simulated disk: no operator meets it
+    assert [kind.__name__ for kind in outside] == [
+        "PowerLossError"
+    ]  # of the simulated disk: no operator meets it
 
 
 def test_what_where_and_remedy_are_shown_alike():
