--- a/mallowbeam/http/budget.py
+++ b/mallowbeam/http/budget.py
@@ -1,4 +1,4 @@
-"""How many bytes of bodies a server's connections hold together; of large bodies, that it is one at most."""
+"""A bound on the bytes of bodies that a server's connections buffer together; one large body at a time."""
 
 from __future__ import annotations
 
--- a/mallowbeam/http/framing.py
+++ b/mallowbeam/http/framing.py
@@ -101,7 +101,7 @@
 class Framer:
     """Turns bytes into messages, within bounds."""
 
-    _current: Message  # the message that the parser's callbacks fill; `part` until it is whole
+    _current: Message  # the message that the parser's callbacks fill; `incoming` until it is complete
 
     def __init__(
         self,
@@ -185,7 +185,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:  # noqa: D102
         if self.in_head:  # a trailer is read and not kept
-            # Space around a value is not part of it (RFC 9110, 5.5); the parser leaves what is behind.
+            # Space around a value is not part of it (RFC 9110 section 5.5); the parser leaves what is behind.
             self._current.headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:  # noqa: D102
@@ -199,7 +199,8 @@
         # Answers are bounded by what is kept of them: a streamed one may be of any length.
         if part.length is not None and part.length > self.max_body and not self.answers:
             self._fail(413, "body too large")
-        # Guards against a body whose end nothing marks, or that is another one once its coding is dropped.
+        # Guards against a body whose end nothing marks, or that is another one once its coding is dropped
+        # (RFC 9112 section 6.1).
         if (part.get(b"transfer-encoding") or b"chunked").strip().lower() != b"chunked":
             self._fail(400, "unknown transfer coding")
         if (parser := self._response_parser) is not None:
@@ -214,7 +215,7 @@
             part.method, part.version = request_parser.get_method(), request_parser.get_http_version()
             if request_parser.should_upgrade():
                 self._fail(400, "upgrade is not offered")
-            # An absolute target (RFC 9112, 3.2.2) names the host once more; what counts is behind it.
+            # An absolute target (RFC 9112 section 3.2.2) names the host once more; what counts is behind it.
             part.target = ABSOLUTE.sub(b"", part.target) or b"/"
         part.keep_alive = self.parser.should_keep_alive()
         if refusal := self.reservation.expect(part, part.length or 0):
@@ -393,7 +394,7 @@
 def in_chunks(request: Message, length: int | None) -> bool:
     """Whether the body of the answer to a request goes out in chunks: if no length is known before its end.
 
-    A client of HTTP/1.0 knows none; the end of the connection tells it that of the body, and only that.
+    A client of HTTP/1.0 knows none (RFC 9112 section 7.1): the end of the connection ends its body.
     """
     if length is None and request.version == "1.0":
         request.until_close, request.keep_alive = True, False
--- a/mallowbeam/http/handler.py
+++ b/mallowbeam/http/handler.py
@@ -1,4 +1,4 @@
-"""What a server meets a front through: each whole request goes in, and one `Response` comes back."""
+"""The interface between the server and an application: a complete request in, one `Response` out."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RequestHandler(Protocol):
-    """What speaks a protocol to clients."""
+    """An application behind a server: speaks one protocol to its clients."""
 
     @property
     def max_body(self) -> int:
--- a/mallowbeam/http/read_ahead.py
+++ b/mallowbeam/http/read_ahead.py
@@ -1,4 +1,4 @@
-"""What is read of a client ahead of its turn, as bytes: only behind them its end is seen."""
+"""Bytes read ahead of their turn from a pipelining client; its end of stream shows only behind them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ReadAhead:
-    """Bytes that wait to be parsed, within a bound of their own and the connections' common one."""
+    """Bytes that wait to be parsed, bounded for each connection and by the budget that all share."""
 
     def __init__(self, budget: BodyBudget | None) -> None:
         self.chunks: deque[tuple[float, bytes]] = deque()  # with when each was read
@@ -31,7 +31,7 @@
         )
 
     def append(self, data: memoryview, at: float) -> None:
-        """Keep what was read at a time."""
+        """Queue what was read at a time, by the monotonic clock."""
         self.chunks.append((at, bytes(data)))
         self._charge(len(data) + CHUNK_OVERHEAD)
 
@@ -42,7 +42,7 @@
         return at, data
 
     def clear(self) -> None:
-        """Forget it."""
+        """Discard all of it."""
         self._charge(-self.buffered)
         self.chunks.clear()
 
--- a/mallowbeam/http/shutdown.py
+++ b/mallowbeam/http/shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a client's connection: what a close may still owe, and how a client that has left is seen.
+"""Connection shutdown: the lingering close of RFC 9112 section 9.6, and how a departed client is noticed.
 
 A socket that is closed over bytes which nobody read resets its connection, and the reset may take an answer
 away that was on its way.  So there is one order: our side ends (`shutdown`), what still comes up to the
