--- a/tests/storage_gateway/frontends/object_api/test_access.py
+++ b/tests/storage_gateway/frontends/object_api/test_access.py
@@ -267,7 +267,8 @@
             writer.write(chunked_request([b"hel", b"lo"], trailer, spoil))
             head = await reader.read()
             if buffered and status == 200:
-                await world.gateway.parts[0].through(await world.gateway.parts[0].barrier("plates"), 10)
+                buffer = world.gateway.parts[0]
+                assert await buffer.waiters.barrier_passed(await buffer.intake.put_barrier("plates"), 10)
             return head
 
     head = uvloop.run(play())
