--- a/tests/storage_gateway/server/test_watch_failing.py
+++ b/tests/storage_gateway/server/test_watch_failing.py
@@ -18,7 +18,7 @@
 from scenario import PATIENCE, play
 from scheduler_rig import Rig
 from simulated import QUEUE, Service, Turns, outage, simulate
-from test_watch import ask
+from watch_intervals import ask
 
 from mallowbeam.storage_gateway.scheduler import node_health
 from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdate, DiscoveryUpdateKind
