--- a/mallowbeam/scheduling/cycles.py
+++ b/mallowbeam/scheduling/cycles.py
@@ -11,19 +11,15 @@
 from collections import deque
 from dataclasses import dataclass
 
-MAX_SLOTS = 32
-"""The most slots that a cycle has, whatever the measured slot time."""
+from mallowbeam.scheduling.slots import MAX_SLOTS as MAX_SLOTS
+from mallowbeam.scheduling.slots import slots_per_cycle as slots_per_cycle
+
 HORIZON_CYCLES = 256
 """How many cycles ahead a node may be booked; what would need more is not placed."""
 MIN_CYCLE_S = 0.01
 """The shortest cycle, in seconds."""
 
 
-def slots_per_cycle(cycle_s: float, slot_s: float, min_slots: int = 1, max_slots: int = MAX_SLOTS) -> int:
-    """The m of a cycle: the floor of its length over slot time, from `min_slots` to `max_slots`."""
-    return int(min(max_slots, max(min_slots, cycle_s / slot_s))) if slot_s > 0 else max_slots
-
-
 @dataclass(frozen=True, slots=True)
 class Placement:
     """Where a booking would go: its slots by cycle, and when they start and end (steady seconds)."""
--- a/mallowbeam/scheduling/slot_time.py
+++ b/mallowbeam/scheduling/slot_time.py
@@ -8,44 +8,10 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from math import exp
 
-
-def slot_time(latency_s: float, *units_in_flight: float) -> float:
-    """Seconds per unit where units take `latency_s` while the larger of the counts are in flight."""
-    return latency_s / max(1.0, *units_in_flight)
-
-
-def blend(weight: float, mean: float, prior_weight: float, prior: float) -> float:
-    """Mean of measured values, which count `weight`, and a prior, which counts `prior_weight`."""
-    return (weight * mean + prior_weight * prior) / (weight + prior_weight)
-
-
-class FadingMean:
-    """A mean whose samples lose weight with time: recent ones count, old ones are forgotten."""
-
-    __slots__ = ("memory_s", "mean", "weight", "at")
-
-    def __init__(self, memory_s: float) -> None:
-        """Start without samples; a sample's weight falls to 1/e in `memory_s` seconds."""
-        self.memory_s, self.mean, self.weight, self.at = memory_s, 0.0, 0.0, 0.0
-
-    def fade(self, now: float) -> None:
-        """Bring the weight of what was seen up to `now`."""
-        if now > self.at:
-            self.weight *= exp((self.at - now) / self.memory_s)
-            self.at = now
-
-    def add(self, value: float, now: float, weight: float = 1.0) -> None:
-        """Take in a sample."""
-        self.fade(now)
-        self.weight += weight
-        self.mean += (value - self.mean) * weight / self.weight
-
-    def value(self, prior: float, prior_weight: float, now: float) -> float:
-        """The mean as of `now`, drawn towards `prior` as samples age."""
-        self.fade(now)
-        return blend(self.weight, self.mean, prior_weight, prior)
+from mallowbeam.scheduling.slots import FadingMean as FadingMean
+from mallowbeam.scheduling.slots import blend as blend
+from mallowbeam.scheduling.slots import slot_time as slot_time
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowbeam/storage_gateway/scheduler/cycle_booking.py
+++ b/mallowbeam/storage_gateway/scheduler/cycle_booking.py
@@ -5,7 +5,7 @@
 values, prices and windows change within a cycle, and slots of later cycles would be booked by figures that no
 longer hold.  Only the present cycle is counted (`Node.cycle_units`), by what was sent; there is nothing ahead
 to release or to fill.  So the two differ in what they store; what is the same is shared: the size of a cycle
-(`slots_per_cycle`), slot time, and the smoothing of latencies (`mallowbeam.scheduling.slot_time`).
+(`slots_per_cycle`), slot time, and the smoothing of latencies (`mallowbeam.scheduling.slots`).
 """
 
 from __future__ import annotations
--- a/mallowbeam/storage_gateway/scheduler/dispatch.py
+++ b/mallowbeam/storage_gateway/scheduler/dispatch.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from mallowbeam.scheduling.cycles import slots_per_cycle
+from mallowbeam.scheduling.slots import slots_per_cycle
 from mallowbeam.storage_gateway.scheduler.attempts import AttemptTracker
 from mallowbeam.storage_gateway.scheduler.model import Node, Request
 from mallowbeam.storage_gateway.scheduler.node_health import NodeHealth
--- a/mallowbeam/storage_gateway/scheduler/model.py
+++ b/mallowbeam/storage_gateway/scheduler/model.py
@@ -11,8 +11,7 @@
 from math import exp
 from typing import NamedTuple
 
-from mallowbeam.scheduling.cycles import MAX_SLOTS
-from mallowbeam.scheduling.slot_time import FadingMean, blend, slot_time
+from mallowbeam.scheduling.slots import MAX_SLOTS, FadingMean, blend, slot_time
 from mallowbeam.storage_gateway.scheduler.host_context import LATENCY_MEMORY, HostContext
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, RequestArrived, RequestClass
 from mallowbeam.storage_gateway.scheduler.volumes import VALUE_MEMORY, Volume
