--- a/mallowbeam/lab/faults/maintenance.py
+++ b/mallowbeam/lab/faults/maintenance.py
@@ -168,7 +168,7 @@
             self.on_disturbance("work", machine)
             node.call(node.die)
             self.phases[machine] = "removed"
-            self.discovery.tell(self.discovery_members())
+            self.discovery.publish(self.discovery_members())
             await asyncio.sleep(WORK_S)
             self.on_disturbance("done", machine)
             try:
@@ -178,7 +178,7 @@
                 node.listen()
             self.record.worked.append((began, time.monotonic(), machine))
             self.phases[machine] = "up"
-            self.discovery.tell(self.discovery_members())
+            self.discovery.publish(self.discovery_members())
         else:
             self.record.disturbed.add(machine)
             process = self.processes[machine]
--- a/mallowbeam/lab/faults/work.py
+++ b/mallowbeam/lab/faults/work.py
@@ -231,11 +231,11 @@
         self.on_disturbance("down", FAILING_NODE)
         node.call(node.die)
         self.phases[FAILING_NODE] = "removed"
-        self.discovery.tell(self.discovery_members())
+        self.discovery.publish(self.discovery_members())
         await asyncio.sleep(self.rng.uniform(1.0, 3.0))
         node.listen()
         self.phases[FAILING_NODE] = "up"
-        self.discovery.tell(self.discovery_members())
+        self.discovery.publish(self.discovery_members())
 
     async def _rolling_restart(self, free: list[str]) -> None:
         for name in free:
