--- a/mallowbeam/lab/faults/broken.py
+++ b/mallowbeam/lab/faults/broken.py
@@ -1,8 +1,8 @@
-"""Gateways broken on purpose, so that checkers can be shown able to fail: `python -m ... HOW serve`.
+"""Gateways with a defect injected on purpose, to show that the checkers can fail.
 
-`deaf`: a gateway that hears of a drain, says so, and goes on sending.  `hasty`: gateways for which no limit
-holds, not on machines at once, not on capacity, not on the majority; all gateways must have it, as they would
-part otherwise.  `deaf+hasty` is both.  Nothing of the program knows this module.
+`python -m mallowbeam.lab.faults.broken DEFECT[+DEFECT] serve ...` starts one.  `deaf` acknowledges drains and
+ignores them.  `hasty` ignores all constraints of a drain: on machines at once, on capacity, on the quorum;
+all gateways of a fleet must have it, or their states diverge.  Nothing else imports this module.
 """
 
 from __future__ import annotations
@@ -14,32 +14,34 @@
 from mallowbeam.storage_gateway.coordination.maintenance.actions import Action, Drain
 
 
-def deaf() -> None:
-    """Drains are told, and not done."""
-    done = subsystem.MaintenanceSubsystem._execute
+def ignore_drains() -> None:
+    """Acknowledge drains without executing them."""
+    original = subsystem.MaintenanceSubsystem._execute
 
     def _execute(self: subsystem.MaintenanceSubsystem, actions: list[Action]) -> None:
-        done(self, [action for action in actions if not isinstance(action, Drain)])
+        original(self, [action for action in actions if not isinstance(action, Drain)])
 
     subsystem.MaintenanceSubsystem._execute = _execute  # type: ignore[method-assign]
 
 
-def hasty() -> None:
-    """Any machine may go at any time."""
-    made = selection.MachineSelector.__init__
+def ignore_constraints() -> None:
+    """Let any machine go out at any time."""
+    original = selection.MachineSelector.__init__
 
-    def __init__(self: selection.MachineSelector, members: tuple[str, ...], constraints: object = ()) -> None:
-        made(self, members, ())
+    def unconstrained(
+        self: selection.MachineSelector, members: tuple[str, ...], constraints: object = ()
+    ) -> None:
+        original(self, members, ())
 
-    selection.MachineSelector.__init__ = __init__  # type: ignore[method-assign]
+    selection.MachineSelector.__init__ = unconstrained  # type: ignore[method-assign]
 
 
-HOW: dict[str, Callable[[], None]] = {"deaf": deaf, "hasty": hasty}
+DEFECTS: dict[str, Callable[[], None]] = {"deaf": ignore_drains, "hasty": ignore_constraints}
 
 
 if __name__ == "__main__":
-    for how in sys.argv.pop(1).split("+"):
-        HOW[how]()
+    for defect in sys.argv.pop(1).split("+"):
+        DEFECTS[defect]()
     from mallowbeam.__main__ import main
 
     sys.exit(main())
--- a/mallowbeam/lab/faults/history.py
+++ b/mallowbeam/lab/faults/history.py
@@ -1,7 +1,7 @@
-"""What happened in a trial, in order, and the checkers that read it.
+"""The history of a trial of policy changes, and the invariant checkers that read it.
 
-A checker sees the history only: what was pushed and what the pusher was told, what each gateway said of
-itself, and which faults were laid.  Times are seconds from the trial's start, steady.
+A history holds the pushes and their outcomes, the state that each gateway's page showed, and the injected
+faults.  Times are in seconds of the monotonic clock from the trial's start.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pushed:
-    """A push has ended at the pusher: `version` 0 and why, or the version it became."""
+    """A push ended: `version` is the version that it was committed as, or 0, and then `why` is the reason."""
 
     at: float
     began: float
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """A gateway's own word: its phase, whether it serves, and the policy in force there."""
+    """A gateway's page, requested at `asked`: its phase, whether it serves, and the policy in force."""
 
     at: float
     asked: float
@@ -34,12 +34,12 @@
     serves: bool
     version: int
     body: str
-    leader: str | None = None  # as it knows
+    leader: str | None = None  # as far as the gateway knows
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault begins or ends: kill, start, stop, go, cut, heal."""
+    """A fault begins or ends: `what` is kill, start, stop, go, cut, slow or heal."""
 
     at: float
     what: str
@@ -56,88 +56,91 @@
     events: list[Event] = field(default_factory=list)
 
     def add(self, event: Event) -> None:
-        """One more."""
+        """Append an event."""
         self.events.append(event)
 
     def seen(self) -> Iterator[Seen]:
-        """What gateways said."""
+        """The pages observed, in order."""
         return (event for event in self.events if isinstance(event, Seen))
 
     def pushed(self) -> Iterator[Pushed]:
-        """How pushes ended."""
+        """The ended pushes, in order."""
         return (event for event in self.events if isinstance(event, Pushed))
 
 
-def one_log(history: History) -> list[str]:
-    """Everywhere or nowhere: each version is one policy, pushed, and none that was refused was ever in force.
+def single_log(history: History) -> list[str]:
+    """Atomicity: each version is one pushed policy, and no rejected policy was ever in force.
 
-    A push whose end its pusher was not told may have been committed, and then it is one version as any other.
+    A push of unknown outcome may have been committed, as a version like any other.
     """
-    wrong: list[str] = []
+    violations: list[str] = []
     bodies: dict[int, str] = {0: "{}"}
     may_be = {"{}"} | {p.body for p in history.pushed() if p.version or p.why == "unknown"}
     refused = {p.body for p in history.pushed()} - may_be
     for push in history.pushed():
         if push.version:
             if bodies.setdefault(push.version, push.body) != push.body:
-                wrong.append(f"version {push.version} was told to two pushes")
+                violations.append(f"version {push.version} was told to two pushes")
             if push.version != push.base + 1:
-                wrong.append(f"a push after {push.base} became version {push.version}")
+                violations.append(f"a push after {push.base} became version {push.version}")
     for seen in history.seen():
         if seen.body in refused:
-            wrong.append(f"{seen.gateway} has in force a policy that was refused: {seen.body}")
+            violations.append(f"{seen.gateway} has in force a policy that was refused: {seen.body}")
         elif seen.body not in may_be:
-            wrong.append(f"{seen.gateway} has in force what nobody pushed: {seen.body}")
+            violations.append(f"{seen.gateway} has in force what nobody pushed: {seen.body}")
         if bodies.setdefault(seen.version, seen.body) != seen.body:
-            wrong.append(f"{seen.gateway} has another policy as version {seen.version}: {seen.body}")
-    return wrong
+            violations.append(f"{seen.gateway} has another policy as version {seen.version}: {seen.body}")
+    return violations
 
 
-def never_back(history: History) -> list[str]:
-    """A gateway that serves never goes back to an older version, not through a restart either."""
-    wrong, newest = [], dict[str, int]()
+def versions_never_decrease(history: History) -> list[str]:
+    """A serving gateway never returns to an older version, not even after a restart."""
+    violations: list[str] = []
+    newest: dict[str, int] = {}
     for seen in history.seen():
         if seen.serves:
             if seen.version < newest.get(seen.gateway, 0):
-                wrong.append(f"{seen.gateway} serves version {seen.version} after {newest[seen.gateway]}")
+                violations.append(
+                    f"{seen.gateway} serves version {seen.version} after {newest[seen.gateway]}"
+                )
             newest[seen.gateway] = max(seen.version, newest.get(seen.gateway, 0))
-    return wrong
+    return violations
 
 
-def within_lease(history: History, lease: float) -> list[str]:
-    """No gateway serves under an older version longer than the lease after a pusher was told of a newer."""
-    wrong: list[str] = []
+def stale_at_most_lease(history: History, lease: float) -> list[str]:
+    """No gateway serves an older version for longer than the lease after a newer was acknowledged."""
+    violations: list[str] = []
     for seen in history.seen():
-        told = [p.version for p in history.pushed() if p.version and p.at + lease < seen.asked]
-        if seen.serves and told and seen.version < max(told):
-            wrong.append(
+        acknowledged = [p.version for p in history.pushed() if p.version and p.at + lease < seen.asked]
+        if seen.serves and acknowledged and seen.version < max(acknowledged):
+            violations.append(
                 f"{seen.gateway} serves version {seen.version} at {seen.asked:.2f} s, "
-                f"with {max(told)} told over {lease} s before"
+                f"with {max(acknowledged)} told over {lease} s before"
             )
-    return wrong
+    return violations
 
 
-def agreed(history: History, gateways: set[str]) -> list[str]:
-    """At the end all gateways serve one version, the newest that any pusher was told of or a later one."""
+def converged(history: History, gateways: set[str]) -> list[str]:
+    """At the end all gateways serve one version, the newest that was acknowledged or a later one."""
     last = {seen.gateway: seen for seen in history.seen()}
-    wrong = [f"{name} was never seen" for name in sorted(gateways - set(last))]
-    wrong += [
+    violations = [f"{name} was never seen" for name in sorted(gateways - set(last))]
+    violations += [
         f"{name} does not serve at the end ({seen.phase})" for name, seen in last.items() if not seen.serves
     ]
     versions = {seen.version for seen in last.values()}
     if len(versions) > 1:
-        wrong.append(f"at the end there are versions {sorted(versions)}")
+        violations.append(f"at the end there are versions {sorted(versions)}")
     newest = max((p.version for p in history.pushed()), default=0)
     if versions and min(versions) < newest:
-        wrong.append(f"version {newest} was told, and {min(versions)} is in force at the end")
-    return wrong
+        violations.append(f"version {newest} was told, and {min(versions)} is in force at the end")
+    return violations
 
 
 def check(history: History, gateways: set[str], lease: float) -> list[str]:
-    """All that is wrong with a history, empty where nothing is."""
+    """The violations of all invariants in a history, one line each."""
     return [
-        *one_log(history),
-        *never_back(history),
-        *within_lease(history, lease),
-        *agreed(history, gateways),
+        *single_log(history),
+        *versions_never_decrease(history),
+        *stale_at_most_lease(history, lease),
+        *converged(history, gateways),
     ]
--- a/mallowbeam/lab/faults/trial.py
+++ b/mallowbeam/lab/faults/trial.py
@@ -1,4 +1,4 @@
-"""Trials from a seed: changes of policy while gateways are killed, stopped and cut off."""
+"""Fault-injection trials from a seed: policy changes while gateways are killed, stopped and partitioned."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 from mallowbeam.lab.faults.fleet import LEASE, Fleet
 from mallowbeam.lab.faults.history import check
 
-STEPS = 8  # faults and changes of one trial
-REST_S = 30.0  # seconds that a healed fleet is waited for, and told where it found no rest
-LATE_S = 10.0  # seconds from the last heal to rest, beyond which a trial says what to look at
+ROUNDS = 8  # rounds of one fault and one policy change in a trial
+REST_TIMEOUT_S = 30.0  # seconds that a healed fleet is waited for; reported where it never came to rest
+SLOW_REST_S = 10.0  # seconds from the last heal to rest, beyond which a trial reports a diagnosis
 NODES = ("n0", "n1", "n7", "n9")
 
 
 @dataclass(slots=True)
 class Result:
-    """What came of one trial; times in seconds."""
+    """The result of one trial, times in seconds; its field names are keys of the `--json` output."""
 
     seed: int
     pushed: int  # changes proposed
-    committed: int  # and told to be committed
-    unknown: int  # and whose end their pusher was not told
-    looks: int  # words of gateways that the checkers read
-    took_hold: list[float]  # from a push's beginning until every gateway up has it
+    committed: int  # and acknowledged as committed
+    unknown: int  # and of unknown outcome
+    looks: int  # pages of gateways that the checkers read
+    took_hold: list[float]  # from the begin of a push until every gateway has it in force
     rest: float  # from the last heal until all serve one version
-    agree: float  # the part of it after all gateways' pages answered
+    agree: float  # the part of `rest` after all gateways' pages answered
     wrong: list[str]
-    look_at: list[str]  # where it was late: engines by second, links
+    look_at: list[str]  # diagnosis of a slow trial: engines by second, links
 
 
 @dataclass(slots=True)
 class Summary:
-    """Many trials together; times in seconds."""
+    """The results of many trials, times in seconds; its field names are keys of the `--json` output."""
 
     trials: int
     pushed: int
@@ -52,12 +52,12 @@
     agree_p50: float
     agree_p99: float
     agree_max: float
-    late: int  # trials at rest later than `LATE_S`, or not at all
+    late: int  # trials at rest later than `SLOW_REST_S`, or not at all
     wrong: int
 
 
 def summary(results: Sequence[Result]) -> Summary:
-    """All trials in one."""
+    """Sum up the results of many trials."""
     took = sorted(seconds for result in results for seconds in result.took_hold)
     rest = sorted(result.rest for result in results)
     agree = sorted(result.agree for result in results)
@@ -75,18 +75,18 @@
         quantile(agree, 0.5),
         quantile(agree, 0.99),
         max(agree, default=0.0),
-        sum(seconds > LATE_S for seconds in rest),
+        sum(seconds > SLOW_REST_S for seconds in rest),
         sum(len(r.wrong) for r in results),
     )
 
 
-def quantile(ordered: list[float], part: float) -> float:
-    """The value below which this part of a sorted list lies; 0 of an empty one."""
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else 0.0
+def quantile(ordered: list[float], fraction: float) -> float:
+    """The quantile of a sorted list at a fraction from 0 to 1; 0 of an empty list."""
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
 
 
 async def play(seed: int, folder: Path) -> Result:
-    """One trial; what does not come to rest is among what is wrong."""
+    """Play one trial; a fleet that does not come to rest in time is a violation."""
     draw = random.Random(seed)
     took: list[float] = []
     wrong: list[str] = []
@@ -95,20 +95,22 @@
     async with Fleet(folder) as fleet:
         try:
             await fleet.settled()
-            await _changes(fleet, draw)
+            await _change_among_faults(fleet, draw)
             healed.append(fleet.now())
             await fleet.until(lambda seen: set(fleet.names) <= set(seen))
             healed.append(fleet.now())
             await fleet.settled(max((p.version for p in fleet.history.pushed()), default=0))
             healed.append(fleet.now())
-            if healed[2] - healed[0] > LATE_S:
+            if healed[2] - healed[0] > SLOW_REST_S:
                 look_at = [*fleet.diagnosis.lines(fleet.names), f"again: {replay(seed)}"]
-            took += [await _in_peace(fleet, draw) for _ in range(2)]
+            took += [await _change_without_fault(fleet, draw) for _ in range(2)]
         except TimeoutError as error:
             wrong.append(f"not at rest {error}")
             look_at = [*fleet.diagnosis.lines(fleet.names), f"again: {replay(seed)}"]
         pushes = list(fleet.history.pushed())
-        rest, agree = [healed[2] - began for began in healed[:2]] if len(healed) == 3 else [REST_S] * 2
+        rest, agree = (
+            [healed[2] - began for began in healed[:2]] if len(healed) == 3 else [REST_TIMEOUT_S] * 2
+        )
         return Result(
             seed,
             len(pushes),
@@ -123,16 +125,16 @@
         )
 
 
-async def _changes(fleet: Fleet, draw: random.Random) -> None:
-    """Changes of policy among faults, until all are healed."""
-    for _ in range(STEPS):
-        await _fault(fleet, draw)
+async def _change_among_faults(fleet: Fleet, draw: random.Random) -> None:
+    """Push policies while faults are injected, and heal all in the end."""
+    for _ in range(ROUNDS):
+        await _inject_fault(fleet, draw)
         base = max((seen.version for seen in (await fleet.look_all()).values()), default=0)
         drains = draw.sample(NODES, draw.randint(0, 3))
         push = asyncio.create_task(fleet.push(draw.choice(fleet.up), base, drains))
         if draw.random() < 0.3:  # a fault in the middle of the change
             await asyncio.sleep(draw.random() * 0.1)
-            await _fault(fleet, draw)
+            await _inject_fault(fleet, draw)
         while not push.done():
             await asyncio.gather(fleet.look_all(), asyncio.sleep(0.03))
         for _ in range(draw.randint(0, 10)):
@@ -142,16 +144,16 @@
     fleet.heal()
 
 
-async def _in_peace(fleet: Fleet, draw: random.Random) -> float:
-    """A change without a fault: seconds from its push until the last gateway has it in force."""
+async def _change_without_fault(fleet: Fleet, draw: random.Random) -> float:
+    """Push a policy without a fault; returns the seconds until the last gateway has it in force."""
     version = await fleet.change(draw.choice(fleet.names), draw.sample(NODES, 2))
     seen = await fleet.settled(version)
     began = next(p.began for p in fleet.history.pushed() if p.version == version)
     return max(s.at for s in seen.values()) - began
 
 
-async def _fault(fleet: Fleet, draw: random.Random) -> None:
-    """One fault, such that a majority may be lost, and never all."""
+async def _inject_fault(fleet: Fleet, draw: random.Random) -> None:
+    """Inject one random fault; a majority may be lost, never all gateways."""
     up = fleet.up
     kind = draw.choice(("kill", "kill", "stop", "part", "slow", "leader", "start"))
     if kind == "start" or len(up) <= 2:
@@ -171,6 +173,6 @@
 
 
 def run(seed: int) -> Result:
-    """One trial in a folder of its own, which goes with it."""
+    """Play one trial in a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(play(seed, Path(folder)))
--- a/mallowbeam/lab/faults/walks.py
+++ b/mallowbeam/lab/faults/walks.py
@@ -1,6 +1,6 @@
-"""Random walks of maintenance: a seed gives requests, faults and delays; checkers read the history.
+"""Random walks of maintenance: a seed determines requests, faults and delays; checkers read the history.
 
-`python -m mallowbeam.lab.faults.walks RUNS SEED` is the long run; a failed seed is named and replays alone.
+`python -m mallowbeam.lab.faults.walks RUNS SEED` plays RUNS seeds from SEED on and names each that failed.
 """
 
 from __future__ import annotations
@@ -12,33 +12,38 @@
 from mallowbeam.lab.faults import orderly
 from mallowbeam.lab.faults.walk import Walk
 
-FAULTS_S = 40.0  # simulated seconds in which faults are laid
+FAULTS_S = 40.0  # simulated seconds in which faults are injected
+REST_TIMEOUT_S = 400.0  # simulated seconds from the last fault in which all must come to rest
+RETURN_S = 30.0  # simulated seconds after which an operator reports a machine as back
+MAX_LINES = 5  # violations printed of one walk
+WITHDRAWN = 0.3  # share of walks in which a request is withdrawn in the middle
 
 
-def places(walk: Walk) -> dict[str, orderly.Place]:
-    """Where each machine stands."""
-    return {name: orderly.Place(node.zone, node.shard, node.weight) for name, node in walk.nodes.items()} | {
-        name: orderly.Place(walk.zone_of[name], gateway=True) for name in walk.members
-    }
+def places(walk: Walk) -> dict[str, orderly.MachineLocation]:
+    """The failure domains of each machine."""
+    return {
+        name: orderly.MachineLocation(node.zone, node.shard, node.weight) for name, node in walk.nodes.items()
+    } | {name: orderly.MachineLocation(walk.zone_of[name], gateway=True) for name in walk.members}
 
 
 def judge(walk: Walk, requests: list[dict[str, Any]]) -> list[str]:
-    """Everything that is wrong with a walk."""
-    at, seen = places(walk), walk.history
+    """The violations of all invariants in a walk, one line each."""
+    locations = places(walk)
+    history = walk.history
     return [
-        *orderly.too_many(seen, at, requests),
-        *orderly.below_floor(seen, at, requests),
-        *orderly.orders_differ(seen),
-        *orderly.sent_to_drained(seen),
-        *orderly.without_quorum(seen, at),
-        *orderly.together(seen, at, requests),
-        *orderly.unended(seen),
+        *orderly.too_many(history, locations, requests),
+        *orderly.below_floor(history, locations, requests),
+        *orderly.orders_differ(history),
+        *orderly.sent_to_drained(history),
+        *orderly.without_quorum(history, locations),
+        *orderly.together(history, locations, requests),
+        *orderly.unended(history),
     ]
 
 
 @dataclass
 class Outcome:
-    """One walk's end."""
+    """The result of one walk."""
 
     seed: int
     wrong: list[str]
@@ -47,9 +52,10 @@
     steps: set[str] = field(default_factory=set)
 
 
-def ask(walk: Walk) -> list[dict[str, Any]]:
-    """Random requests that can be met."""
-    rng, found = walk.rng, []
+def random_requests(walk: Walk) -> list[dict[str, Any]]:
+    """One or two random maintenance requests that can be satisfied."""
+    rng = walk.rng
+    found = []
     machines = [*walk.nodes, *walk.members]
     for number in range(rng.choice((1, 1, 2))):
         found.append(
@@ -67,8 +73,8 @@
     return found
 
 
-def disturb(walk: Walk, until: float) -> None:
-    """Lay one fault after the other; each ends by itself or with the walk."""
+def inject_faults(walk: Walk, until: float) -> None:
+    """Inject random faults until a time; each ends by itself or with the walk."""
     rng = walk.rng
     while walk.now < until:
         name, node = rng.choice(walk.members), rng.choice(sorted(walk.nodes))
@@ -94,27 +100,27 @@
 
 
 def play(seed: int, walk: Walk | None = None) -> Outcome:
-    """One walk with faults."""
+    """Play one walk with faults and judge it."""
     walk = walk or Walk(seed)
     rng = walk.rng
     for name in rng.sample([*walk.nodes, *walk.members], 2):
-        walk.works[name] = rng.choice((-1.0, 1.0, 8.0))  # never, quick, slow
+        walk.works[name] = rng.choice((-1.0, 1.0, 8.0))  # seconds: never, quick, slow
     walk.run(4.0)
-    requests = ask(walk)
+    requests = random_requests(walk)
     walk.insist(rng.choice(walk.members), requests)
-    disturb(walk, walk.now + FAULTS_S / 2)
+    inject_faults(walk, walk.now + FAULTS_S / 2)
     known = list(requests)
-    if rng.random() < 0.3:  # taken back in the middle
+    if rng.random() < WITHDRAWN:
         requests = requests[1:]
         walk.push(rng.choice(walk.members), requests)
-    disturb(walk, walk.now + FAULTS_S / 2)
+    inject_faults(walk, walk.now + FAULTS_S / 2)
     walk.part(())
     for name in walk.nodes:
         walk.mend(name)
-    for name in walk.works:  # a machine that never came back, once somebody looks at it
-        walk.later(30.0, lambda name=name: back(walk, name))  # type: ignore[misc]
+    for name in walk.works:  # one that never came back is reported in the end
+        walk.later(RETURN_S, lambda name=name: report_back(walk, name))  # type: ignore[misc]
     walk.works = {name: max(span, 1.0) for name, span in walk.works.items()}
-    walk.rest(400.0)
+    walk.rest(REST_TIMEOUT_S)
     return Outcome(
         seed,
         judge(walk, known),
@@ -124,25 +130,26 @@
     )
 
 
-def back(walk: Walk, machine: str) -> None:
-    """An operator says that a machine is back."""
+def report_back(walk: Walk, machine: str) -> None:
+    """An operator reports at every gateway that is up that a machine is back."""
     from mallowbeam.storage_gateway.coordination.maintenance.entries import WorkCompleted
 
-    for one in walk.gateways.values():
-        if one.up and not one.stopped:
-            walk.propose(one, WorkCompleted(machine))
+    for gateway in walk.gateways.values():
+        if gateway.up and not gateway.stopped:
+            walk.propose(gateway, WorkCompleted(machine))
 
 
 def main(runs: int, seed: int) -> int:
-    """Many walks; 1 if any is wrong."""
-    ends = [play(seed + number) for number in range(runs)]
-    for end in ends:
-        for line in end.wrong[:5]:
-            print(f"seed {end.seed}: {line}")
-    bad, steps = sum(bool(end.wrong) for end in ends), set[str]().union(*(end.steps for end in ends))
+    """Play many walks and print a summary; returns 1 if any violated an invariant, else 0."""
+    outcomes = [play(seed + number) for number in range(runs)]
+    for outcome in outcomes:
+        for line in outcome.wrong[:MAX_LINES]:
+            print(f"seed {outcome.seed}: {line}")
+    bad = sum(bool(outcome.wrong) for outcome in outcomes)
+    steps = set[str]().union(*(outcome.steps for outcome in outcomes))
     print(
-        f"{runs} walks from {seed}: {bad} wrong; {sum(end.states for end in ends)} steps, "
-        f"{sum(end.entries for end in ends)} entries; seen {', '.join(sorted(steps))}"
+        f"{runs} walks from {seed}: {bad} wrong; {sum(outcome.states for outcome in outcomes)} steps, "
+        f"{sum(outcome.entries for outcome in outcomes)} entries; seen {', '.join(sorted(steps))}"
     )
     return int(bad > 0)
 
