--- a/mallowbeam/lab/ablation/__init__.py
+++ b/mallowbeam/lab/ablation/__init__.py
@@ -1,1 +1,4 @@
-"""What each mechanism of the decisions is worth: the same days with it and without it, in pairs."""
+"""Ablation: the same days with and without each mechanism of the decisions, compared in pairs.
+
+It owns the work trees of its variants and the file of results.  `mallowbeam lab ablate` calls it.
+"""
--- a/mallowbeam/lab/ablation/plan.py
+++ b/mallowbeam/lab/ablation/plan.py
@@ -1,4 +1,4 @@
-"""What is played: variants of the settings, days with their seeds, and the pairs that come of them."""
+"""The plan of an ablation: variants of the settings, days with their seeds, and the jobs left to play."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class VariantsError(MallowbeamError):
-    """A file of variants, or a day, that can't be used."""
+    """A file of variants, or a day on the command line, is invalid."""
 
     code = "LAB_VARIANTS"
     remedy = "give a TOML table of settings for each variant, and days as DAY:SEED"
@@ -39,20 +39,20 @@
 
     @property
     def key(self) -> str:
-        """By which results are told apart."""
+        """The identifier of this play in the file of results."""
         return f"{self.site} {self.day}:{self.seed}"
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One day to be played with one variant."""
+    """One day to play with one variant."""
 
     variant: Variant
     play: Play
 
 
 def read_variants(text: str) -> list[Variant]:
-    """Variants of a TOML text: a table for each, by name; raises `VariantsError`."""
+    """Parse variants from TOML, a table of settings for each name; raises `VariantsError`."""
     try:
         tables = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -66,7 +66,7 @@
 
 
 def read_days(texts: Iterable[str]) -> list[tuple[str, int]]:
-    """Days as DAY:SEED; raises `VariantsError`."""
+    """Parse days written as DAY:SEED; raises `VariantsError`."""
     days = []
     for text in texts:
         day, colon, seed = text.rpartition(":")
@@ -77,22 +77,26 @@
 
 
 def jobs_of(variants: Sequence[Variant], plays: Sequence[Play], done: Iterable[tuple[str, str]]) -> list[Job]:
-    """What is left to be played, day by day, so that pairs are complete early; the base comes first."""
-    known = set(done)
+    """The jobs not done yet, day by day so that pairs are complete early; the base comes first.
+
+    `done` are pairs of a variant's name and a play's key.
+    """
+    finished = set(done)
     return [
         Job(variant, play)
         for play in plays
         for variant in (Variant(BASE, {}), *variants)
-        if (variant.name, play.key) not in known
+        if (variant.name, play.key) not in finished
     ]
 
 
 def overrides_text(overrides: Mapping[str, Any]) -> str:
-    """The overrides as TOML."""
+    """Format overrides as TOML."""
     return "\n".join(_table(overrides, "")) + "\n"
 
 
 def _table(table: Mapping[str, Any], path: str) -> list[str]:
+    """The lines of a table below the dotted `path`, its scalar values before its tables."""
     plain = {key: value for key, value in table.items() if not isinstance(value, Mapping)}
     lines = [f"[{path}]"] if path and plain else []
     lines += [f"{key} = {msgspec.json.encode(value).decode()}" for key, value in plain.items()]
--- a/mallowbeam/lab/ablation/results.py
+++ b/mallowbeam/lab/ablation/results.py
@@ -1,4 +1,7 @@
-"""Results of plays, kept a line each so that a trial goes on where it was ended, and the table of them."""
+"""Results of plays, one JSON line each so that an interrupted ablation can continue, and their table.
+
+`worth` and `broken` are the bench's own words: it prints them, and they are keys of the file of results.
+"""
 
 from __future__ import annotations
 
@@ -12,44 +15,47 @@
 
 from mallowbeam.lab.ablation.plan import BASE
 
-WORTH = re.compile(r"^worth (-?\d+\.\d+) = ", re.MULTILINE)
-BROKEN = re.compile(r"^(BROKEN.*|rules? broken.*)$", re.MULTILINE)
+WORTH_LINE = re.compile(r"^worth (-?\d+\.\d+) = ", re.MULTILINE)
+BROKEN_RULES_LINE = re.compile(r"^(BROKEN_RULES_LINE.*|rules? broken.*)$", re.MULTILINE)
 BAR_WIDTH = 30  # characters of the widest bar of a plot
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What one play came to."""
+    """The result of one play; its field names are keys of the file of results."""
 
     variant: str
     play: str
-    worth: float
-    broken: str = ""
+    worth: float  # value of the day by the bench
+    broken: str = ""  # the bench's line on broken rules; empty: none
 
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """What a mechanism is worth: the base less the variant without it, over the same plays."""
+    """The effect of a mechanism: the base less the variant without it, over the same plays.
+
+    Its field names are keys of the `--json` output.
+    """
 
     variant: str
     worth_with: float  # median
     worth_without: float
     difference: float  # median of the pairs
-    least: float
+    least: float  # of the pairs' differences
     most: float
     runs: int
 
 
 def read_output(text: str, variant: str, play: str) -> Result | None:
-    """The result in what the bench printed; None where it has none."""
-    found = WORTH.search(text)
+    """Parse the result from the bench's output; None if it printed none."""
+    found = WORTH_LINE.search(text)
     if found is None:
         return None
-    broken = BROKEN.search(text)
-    return Result(variant, play, float(found.group(1)), broken.group(1) if broken else "")
+    violation = BROKEN_RULES_LINE.search(text)
+    return Result(variant, play, float(found.group(1)), violation.group(1) if violation else "")
 
 
 def load_results(path: Path) -> list[Result]:
-    """Results kept before; none where there is no file. A line that was cut off is left out."""
+    """Load the stored results; empty without a file.  A truncated line is skipped."""
     if not path.exists():
         return []
     results = []
@@ -62,23 +68,23 @@
 
 
 def keep_result(path: Path, result: Result) -> None:
-    """Add a result to the file."""
+    """Append a result to the file."""
     with path.open("ab") as file:
         file.write(msgspec.json.encode(result) + b"\n")
 
 
 def effects(results: Iterable[Result]) -> list[Effect]:
-    """The table: a row for each variant with at least one pair, the largest difference first."""
-    worths: dict[str, dict[str, float]] = {}
+    """A row for each variant with at least one pair, the largest difference first."""
+    values: dict[str, dict[str, float]] = {}
     for result in results:
-        worths.setdefault(result.variant, {})[result.play] = result.worth
-    base = worths.pop(BASE, {})
-    rows = [effect(name, base, without) for name, without in worths.items() if base.keys() & without.keys()]
+        values.setdefault(result.variant, {})[result.play] = result.worth
+    base = values.pop(BASE, {})
+    rows = [effect(name, base, without) for name, without in values.items() if base.keys() & without.keys()]
     return sorted(rows, key=lambda row: (-row.difference, row.variant))
 
 
 def effect(name: str, base: dict[str, float], without: dict[str, float]) -> Effect:
-    """One variant's row, over the plays of both."""
+    """Compare one variant with the base over the plays that both have; values are rounded to 4 digits."""
     plays = sorted(base.keys() & without.keys())
     differences = [base[play] - without[play] for play in plays]
     return Effect(
@@ -93,7 +99,7 @@
 
 
 def plot(rows: Sequence[Effect]) -> str:
-    """The differences as bars of text: `+` where a mechanism helps, `-` where it harms."""
+    """Plot the differences as text bars: `+` where a mechanism helps, `-` where it harms."""
     widest = max((abs(row.difference) for row in rows), default=0.0) or 1.0
     names = max((len(row.variant) for row in rows), default=0)
     return "\n".join(
--- a/mallowbeam/lab/days/draw.py
+++ b/mallowbeam/lab/days/draw.py
@@ -1,4 +1,4 @@
-"""Draws days: any kind of trouble that occurs on a deployment, at any moment, several at once, repeatedly."""
+"""Draws test days: any kind of fault of a deployment, at any moment, several at once and repeatedly."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from mallowbeam.lab.days.site import Site
 
 Value = int | float | str
-FIRST_S = 1.0  # the earliest moment of a trouble
-SPARE_S = 2.0  # before the day's end, without a new one
-MOST_MOMENTS = 6  # at which troubles begin together
-MOST_AT_ONCE = 4
-TOGETHER_WITHIN_S = 0.8  # troubles of one moment begin within this span
-MOST_CHANGES = 8  # of the configuration, besides the troubles
+FIRST_S = 1.0  # seconds from the start of traffic to the earliest fault
+QUIET_END_S = 2.0  # seconds before the day's end in which no fault begins
+MAX_MOMENTS = 6  # of a day, at each of which faults begin together
+MAX_AT_ONCE = 4
+MOMENT_SPAN_S = 0.8  # seconds within which the faults of one moment begin
+MAX_CHANGES = 8  # of the configuration, besides the faults
 OPTIONAL_CHANCE = 0.5
-PLACE_CHANCE = 0.3
-CORE_CHANCE = 0.6  # a kind that may strike members does
+TARGET_CHANCE = 0.3
+CORE_CHANCE = 0.6  # that a kind which may hit members of the control plane does
 CLOSING_CHANCE = 0.7
-DOWN = Span(0.5, 2.0)
+DOWN = Span(0.5, 2.0)  # seconds
 LARGEST_SEED = 2**28
-PLACES = {
+TARGET_NAMES = {
     "zone": "zones",
     "to_zone": "zones",
     "region": "regions",
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One trouble or piece of planned work: the fields of its table, in their order."""
+    """One fault or planned operation: the fields of its TOML table, in order."""
 
     planned: bool
     fields: tuple[tuple[str, Value], ...]
@@ -45,7 +45,7 @@
 
     @property
     def at(self) -> float:
-        """Seconds from the start of traffic."""
+        """When it begins, in seconds from the start of traffic."""
         return float(dict(self.fields)["at"])
 
     @property
@@ -65,7 +65,7 @@
 
 
 def kinds_of(site: Site) -> tuple[Kind, ...]:
-    """The kinds that occur on a deployment."""
+    """The kinds of faults that can occur on a deployment."""
     return tuple(
         kind
         for kind in KINDS
@@ -75,14 +75,14 @@
 
 
 def draw_day(site: Site, seed: int) -> Day:
-    """A day; the same site and seed give the same one."""
+    """Draw a day; the same site and seed give the same day."""
     random = Random(seed)
     kinds = kinds_of(site)
     entries = []
-    for _ in range(random.randint(1, MOST_MOMENTS)):
-        moment = random.uniform(FIRST_S, site.length_s - SPARE_S)
-        for _ in range(random.randint(1, MOST_AT_ONCE)):
-            at = moment + random.uniform(0.0, TOGETHER_WITHIN_S)
+    for _ in range(random.randint(1, MAX_MOMENTS)):
+        moment = random.uniform(FIRST_S, site.length_s - QUIET_END_S)
+        for _ in range(random.randint(1, MAX_AT_ONCE)):
+            at = moment + random.uniform(0.0, MOMENT_SPAN_S)
             entries.append(_entry(random, site, random.choice(kinds), at))
     entries += _changes(random, site)
     closing = _closing(random) if random.random() < CLOSING_CHANCE else ()
@@ -90,15 +90,16 @@
 
 
 def _changes(random: Random, site: Site) -> list[Entry]:
-    """Ordinary changes over the day: much of what may break shows only in them."""
+    """Ordinary configuration changes over the day: many defects show only in them."""
     change = next(kind for kind in KINDS if kind.name == "config_change")
     return [
-        _entry(random, site, change, random.uniform(FIRST_S, site.length_s - SPARE_S))
-        for _ in range(random.randint(0, MOST_CHANGES))
+        _entry(random, site, change, random.uniform(FIRST_S, site.length_s - QUIET_END_S))
+        for _ in range(random.randint(0, MAX_CHANGES))
     ]
 
 
 def _entry(random: Random, site: Site, kind: Kind, at: float) -> Entry:
+    """Draw the fields of one fault."""
     fields: list[tuple[str, Value]] = [("at", round(at, 2)), ("kind", kind.name)]
     fields += _target(random, site, kind)
     fields += [(name, _number(random, span)) for name, span in kind.fields.items()]
@@ -113,32 +114,35 @@
 
 
 def _target(random: Random, site: Site, kind: Kind) -> list[tuple[str, Value]]:
-    """Where it strikes, as far as that is said."""
+    """Draw the fields that name the target, as far as the fault has one."""
     fields: list[tuple[str, Value]] = []
     if "core" in kind.on and random.random() < CORE_CHANCE:
         return [("on", "core"), ("count", random.choice((1, 1, 2)))]
     others = [name for name in kind.on if name != "core" and name in site.machine_classes]
-    if others and random.random() < PLACE_CHANCE:
+    if others and random.random() < TARGET_CHANCE:
         fields.append(("on", random.choice(others)))
-    for place in kind.places:
-        names = getattr(site, PLACES[place])
-        if names and random.random() < PLACE_CHANCE:
-            fields.append((place, random.choice(names)))
+    for target in kind.targets:
+        names = getattr(site, TARGET_NAMES[target])
+        if names and random.random() < TARGET_CHANCE:
+            fields.append((target, random.choice(names)))
     return fields
 
 
 def _how(random: Random, variants: Iterable[Variant]) -> str:
+    """Draw the words of `how`, each at most once; empty for none."""
     words = [random.choice(variant.words) for variant in variants if random.random() < variant.chance]
     return " ".join(dict.fromkeys(" ".join(words).split()))
 
 
 def _number(random: Random, span: Span) -> Value:
-    if span.whole:
+    """Draw a number from a range, with three significant digits unless it is an integer."""
+    if span.integer:
         return random.randint(int(span.least), int(span.most))
     return float(f"{random.uniform(span.least, span.most):.3g}")
 
 
 def _closing(random: Random) -> tuple[tuple[str, Value], ...]:
+    """Draw the disaster at the day's end."""
     closing: Closing = random.choice(CLOSINGS)
     fields: list[tuple[str, Value]] = [("kind", closing.name), ("down_s", _number(random, DOWN))]
     if how := _how(random, closing.variants):
--- a/mallowbeam/lab/days/site.py
+++ b/mallowbeam/lab/days/site.py
@@ -1,4 +1,4 @@
-"""What a drawn day needs to know of a deployment, read from its site file."""
+"""Reads from a deployment's site file what drawing a day needs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SiteFileError(MallowbeamError):
-    """A site file lacks what a day is drawn from; `where` names the part."""
+    """A site file is invalid or incomplete; `where` is syntax or content."""
 
     code = "SITE_FILE"
     remedy = "give a deployment's site file: TOML with zones, machines, services, classes and length_s"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """A deployment: the names that troubles may point at, and how long a day is, in seconds."""
+    """A deployment: the names that faults may target, and the length of a day in seconds."""
 
     name: str
     length_s: float
@@ -32,7 +32,7 @@
 
 
 def read_site(text: str) -> Site:
-    """The deployment of a site file's text; raises :class:`SiteFileError`."""
+    """Parse the text of a site file; raises :class:`SiteFileError`."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -45,7 +45,7 @@
             regions=tuple(sorted({zone["region"] for zone in raw["zones"]})),
             machine_classes=frozenset(machine["class"] for machine in raw["machines"]),
             services=tuple(service["name"] for service in raw["services"]),
-            request_classes=tuple(one["name"] for one in raw["classes"]),
+            request_classes=tuple(request_class["name"] for request_class in raw["classes"]),
             contracts=frozenset(raw.get("contracts", ())),
             named_kinds=frozenset(re.findall(r'\bkind = "([a-z_]+)"', text)),
         )
--- a/mallowbeam/lab/days/text.py
+++ b/mallowbeam/lab/days/text.py
@@ -1,4 +1,4 @@
-"""Days as TOML, in the form of a site file's days."""
+"""Writes days as TOML, in the form that site files have."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def day_text(day: Day, site_name: str) -> str:
-    """The TOML of one day."""
+    """Format one day as TOML."""
     lines = [f"# drawn for {site_name}", f'name = "{day.name}"', f"seed = {day.seed}"]
     if day.closing:
         lines.append(f"closing = {_table(day.closing)}")
@@ -19,9 +19,11 @@
 
 
 def _entries(name: str, entries: Iterable[Entry]) -> list[str]:
+    """The lines of an array of entries, ordered by time."""
     in_order = sorted(entries, key=lambda entry: entry.at)
     return [f"{name} = [", *(f"  {_table(entry.fields)}," for entry in in_order), "]"]
 
 
 def _table(fields: Iterable[tuple[str, Value]]) -> str:
+    """An inline table."""
     return "{ " + ", ".join(f"{name} = {json.dumps(value)}" for name, value in fields) + " }"
