--- a/mallowbeam/standins/__main__.py
+++ b/mallowbeam/standins/__main__.py
@@ -1,8 +1,9 @@
-"""The storage nodes and the discovery that a configuration names, as stand-ins, for trying mallowbeam."""
+"""Runs stand-ins for the storage nodes and the discovery of a configuration, to try mallowbeam out."""
 
 from __future__ import annotations
 
 import argparse
+import contextlib
 import json
 import threading
 from pathlib import Path
@@ -12,7 +13,7 @@
 
 
 def main() -> None:
-    """Serve the nodes and the discovery that a configuration names, until interrupted."""
+    """Serve the nodes and the discovery of a configuration until interrupted."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("config", type=Path, help="a configuration as the platform writes it")
     config = json.loads(parser.parse_args().config.read_text())
@@ -25,10 +26,8 @@
     nodes = [ObjectNode(address(member["host_port"])) for member in members]
     Discovery(members, address(config["discovery"]), poll=1.0)
     print(f"{len(nodes)} nodes and discovery are up; interrupt to stop", flush=True)
-    try:
+    with contextlib.suppress(KeyboardInterrupt):
         threading.Event().wait()
-    except KeyboardInterrupt:
-        pass
 
 
 if __name__ == "__main__":
--- a/mallowbeam/standins/backend.py
+++ b/mallowbeam/standins/backend.py
@@ -1,7 +1,7 @@
-"""Runs the requests of a storage node on what it holds; knows no socket.
+"""Executes the requests of a storage node on its store; does no I/O.
 
-Byte ranges, conditions (RFC 9110, 13.1), multipart uploads, and the drop of a keyed write's repeat within
-`window` seconds are offered; each run is recorded, so that a checker can tell what ran, how often and when.
+It supports byte ranges, conditions (RFC 9110, 13.1), multipart uploads, and deduplication of requests with
+an idempotency key within `window` seconds. Each execution is recorded with its time, for checkers.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from mallowbeam.standins.documents import document, error
 from mallowbeam.standins.store import Answer, Run, Store, Stored, etag_of
 
-KEPT = (
+STORED_HEADERS = (
     "content-type",
     "content-encoding",
     "content-language",
@@ -24,13 +24,15 @@
 
 
 class Backend:
-    """Runs requests on a store; knows no socket."""
+    """Executes requests on a store; `window` is the deduplication window in seconds."""
 
     def __init__(self, store: Store, ignores_ranges: bool = False, window: float = 4.0) -> None:
-        self.store, self.ignores_ranges, self.window = store, ignores_ranges, window
+        self.store = store
+        self.ignores_ranges = ignores_ranges
+        self.window = window
 
     def handle(self, method: str, target: str, headers: dict[str, str], body: bytes) -> Answer:
-        """One request to its answer; the repeat of a keyed one gets the first one's."""
+        """Answer a request; a repeat of a request with an idempotency key gets the first answer."""
         token, now = headers.get("idempotency-key", ""), time.monotonic()
         path = urlsplit(target).path
         known = self.store.done.get(token)
@@ -44,45 +46,46 @@
         return answer
 
     def _run(self, method: str, target: str, headers: dict[str, str], body: bytes) -> Answer:
+        """Execute a request, without deduplication."""
         url = urlsplit(target)
-        path = unquote(url.path)  # however its name is spelled, it is one object
-        if "x-extent" in headers:  # the platform's: less the class
+        path = unquote(url.path)  # different encodings of a name denote one object
+        if "x-extent" in headers:  # a request of the platform: drop the storage class
             path = "/" + path.split("/", 2)[2]
         query = {name: values[0] for name, values in parse_qs(url.query, keep_blank_values=True).items()}
-        objects = self.store.objects
         if "uploadId" in query:
             return self._upload(method, path, query, body)
         if method == "POST" and "uploads" in query:
-            upload = f"u/{len(self.store.uploads)}+{time.time_ns():x}"
-            self.store.uploads[upload] = path, {}
-            bucket, _, name = path[1:].partition("/")
-            return (
-                200,
-                {},
-                document("InitiateMultipartUploadResult", Bucket=bucket, Key=name, UploadId=upload),
-            )
+            return self._create_upload(path)
         if method == "GET" and path.count("/") == 1:
             return self._listing(path[1:], query)
+        return self._object(method, path, headers, body)
+
+    def _create_upload(self, path: str) -> Answer:
+        """Begin a multipart upload."""
+        upload = f"u/{len(self.store.uploads)}+{time.time_ns():x}"
+        self.store.uploads[upload] = path, {}
+        bucket, _, name = path[1:].partition("/")
+        body = document("InitiateMultipartUploadResult", Bucket=bucket, Key=name, UploadId=upload)
+        return 200, {}, body
+
+    def _object(self, method: str, path: str, headers: dict[str, str], body: bytes) -> Answer:
+        """Write, delete or read one object."""
+        objects = self.store.objects
         known = objects.get(path)
-        if method in ("PUT", "DELETE") and not self._holds(headers, known):
+        if method in ("PUT", "DELETE") and not self._conditions_met(headers, known):
             return error(412, "PreconditionFailed")
         if method == "PUT":
-            kept = {
-                name: value
-                for name, value in headers.items()
-                if name in KEPT or name.startswith("x-amz-meta-")
-            }
-            stored = objects[path] = Stored(body, etag_of(body), kept)
+            stored = objects[path] = Stored(body, etag_of(body), _stored_headers(headers))
             return 200, {"ETag": stored.etag}, b"stored" if "x-extent" in headers else b""
         if method == "DELETE":
             objects.pop(path, None)
             return 204, {}, b""
         if known is None:
             return error(404, "NoSuchKey")
-        return self._piece(known, headers)
+        return self._read_range(known, headers)
 
     def _listing(self, bucket: str, query: dict[str, str]) -> Answer:
-        """ListObjectsV2, names in percent-encoding."""
+        """Answer ListObjectsV2; names are percent-encoded."""
         prefix, delimiter = query.get("prefix", ""), query.get("delimiter", "")
         after = unquote(query.get("continuation-token", "")) or query.get("start-after", "")
         most, found = int(query.get("max-keys", "1000")), dict[str, dict[str, object]]()
@@ -119,18 +122,18 @@
         return 200, {}, document("ListBucketResult", **fields)
 
     @staticmethod
-    def _holds(headers: dict[str, str], known: Stored | None) -> bool:
-        """Whether a write's conditions hold (RFC 9110, 13.1.1 and 13.1.2)."""
+    def _conditions_met(headers: dict[str, str], known: Stored | None) -> bool:
+        """Whether the conditions of a write are met (RFC 9110, 13.1.1 and 13.1.2)."""
         match, none = headers.get("if-match"), headers.get("if-none-match")
         if match is not None and (known is None or match not in ("*", known.etag)):
             return False
         return none is None or known is None or none not in ("*", known.etag)
 
-    def _piece(self, known: Stored, asked: dict[str, str]) -> Answer:
-        """The range asked for, or all of it."""
+    def _read_range(self, known: Stored, request_headers: dict[str, str]) -> Answer:
+        """Answer with the requested byte range, or the complete object."""
         data = known.body
         headers = {**known.headers, "ETag": known.etag, "Accept-Ranges": "bytes"}
-        match = re.fullmatch(r"bytes=(\d*)-(\d*)", asked.get("range", ""))
+        match = re.fullmatch(r"bytes=(\d*)-(\d*)", request_headers.get("range", ""))
         first, last = match.groups() if match else ("", "")
         if not first + last or first and last and int(first) > int(last) or self.ignores_ranges:
             return 200, headers, data
@@ -141,7 +144,7 @@
         return 206, {**headers, "Content-Range": f"bytes {start}-{end - 1}/{len(data)}"}, data[start:end]
 
     def _upload(self, method: str, path: str, query: dict[str, str], body: bytes) -> Answer:
-        """The calls on one multipart upload."""
+        """Answer a request on a multipart upload: upload part, list parts, abort or complete."""
         upload, store = query["uploadId"], self.store
         known, parts = store.uploads.get(upload, ("", {}))
         if known != path:
@@ -161,7 +164,16 @@
         wanted = [int(number) for number in re.findall(rb"<PartNumber>\s*(\d+)\s*</PartNumber>", body)]
         if not wanted or any(number not in parts for number in wanted):
             return error(400, "InvalidPart")
-        whole = b"".join(parts[number] for number in wanted)
-        store.objects[path] = Stored(whole, etag_of(whole), {})
+        assembled = b"".join(parts[number] for number in wanted)
+        store.objects[path] = Stored(assembled, etag_of(assembled), {})
         del store.uploads[upload]
-        return 200, {}, document("CompleteMultipartUploadResult", ETag=etag_of(whole))
+        return 200, {}, document("CompleteMultipartUploadResult", ETag=etag_of(assembled))
+
+
+def _stored_headers(headers: dict[str, str]) -> dict[str, str]:
+    """The headers of a write that are stored with the object."""
+    return {
+        name: value
+        for name, value in headers.items()
+        if name in STORED_HEADERS or name.startswith("x-amz-meta-")
+    }
--- a/mallowbeam/standins/connection.py
+++ b/mallowbeam/standins/connection.py
@@ -1,13 +1,13 @@
-"""One connection to a stand-in: requests in, answers out, faults between.
+"""One HTTP connection to a stand-in: parses requests, applies scripted faults, writes answers.
 
-Answers go out in one write.
+Each answer is sent in one write.
 """
 
 from __future__ import annotations
 
 import asyncio
 import time
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 import httptools
 
@@ -26,53 +26,64 @@
     500: "Internal Server Error",
     503: "Service Unavailable",
 }
-CUT_ANSWER = 40  # bytes of an answer that go out before the connection is cut
+TRUNCATED_ANSWER_BYTES = 40  # sent by `answer-cut` before the connection is closed
+NOT_EXECUTED: Answer = (503, {"X-Not-Run": "1"}, b"")
+
+
+class Request(NamedTuple):
+    """A parsed request, in the order of the arguments of `Host.handle`."""
+
+    method: str
+    target: str
+    headers: dict[str, str]
+    body: bytes
 
 
 class Host(Protocol):
-    """The stand-in that a connection belongs to."""
+    """The stand-in that owns a connection."""
 
     script: Script
     delay: float
     """Seconds before each answer."""
-    stands_until: float
-    """Steady time before which nothing is answered."""
+    paused_until: float
+    """Monotonic time in seconds before which nothing is answered."""
     draining: bool
     connections: set[Connection]
 
     def handle(self, method: str, target: str, headers: dict[str, str], body: bytes) -> Answer:
-        """The answer to a request."""
+        """Return the answer to a request."""
 
     def die(self) -> None:
-        """Take no connection and reset those open."""
+        """Stop listening and reset the open connections."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection to a stand-in: requests in, answers out, faults between."""
+    """One HTTP connection to a stand-in, with its scripted faults."""
 
     def __init__(self, server: Host) -> None:
         self.server = server
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport
-        self.target, self.body = b"", bytearray()
+        self.target = b""
+        self.body = bytearray()
         self.headers: dict[str, str] = {}
-        self.waiting: list[tuple[str, str, dict[str, str], bytes]] = []
+        self.pending: list[Request] = []
         self.task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A gateway has connected."""
+        """asyncio: a client has connected."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It has gone: what is standing still is given up."""
+        """asyncio: the connection has ended; cancel a delayed answer."""
         self.server.connections.discard(self)
         if self.task is not None:
             self.task.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of requests."""
+        """asyncio: parse received bytes; reset the connection if they are invalid."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -80,10 +91,12 @@
 
     def on_message_begin(self) -> None:
         """httptools: a request begins."""
-        self.target, self.headers, self.body = b"", {}, bytearray()
+        self.target = b""
+        self.headers = {}
+        self.body = bytearray()
 
     def on_url(self, url: bytes) -> None:
-        """httptools: a piece of the target."""
+        """httptools: part of the request target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -91,68 +104,73 @@
         self.headers[name.decode().lower()] = value.decode("latin-1").strip()
 
     def on_headers_complete(self) -> None:
-        """httptools: the head is over."""
+        """httptools: the request head is complete."""
         if self.headers.get("expect", "").lower() == "100-continue":
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """httptools: a piece of the body."""
+        """httptools: part of the body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """httptools: a request is whole."""
+        """httptools: the request is complete."""
         method = self.parser.get_method().decode()
-        self.waiting.append((method, self.target.decode("latin-1"), self.headers, bytes(self.body)))
+        self.pending.append(Request(method, self.target.decode("latin-1"), self.headers, bytes(self.body)))
         if self.task is None or self.task.done():
             self._next()
 
     def _next(self) -> None:
-        """Answer what waits; only a fault that takes time needs a task."""
-        while self.waiting and not self.transport.is_closing():
-            request = self.waiting.pop(0)
-            rule = self.server.script.take(request[0], request[1])
-            hold = max(
-                self.server.stands_until - time.monotonic(),
+        """Answer the pending requests; only a delayed answer needs a task."""
+        while self.pending and not self.transport.is_closing():
+            request = self.pending.pop(0)
+            rule = self.server.script.take(request.method, request.target)
+            delay = max(
+                self.server.paused_until - time.monotonic(),
                 rule.seconds if rule is not None and rule.action == "stall" else self.server.delay,
             )
-            if hold > 0:
-                self.task = asyncio.create_task(self._later(hold, rule, request))
+            if delay > 0:
+                self.task = asyncio.create_task(self._answer_later(delay, rule, request))
                 return
             self._answer(rule, request)
 
-    async def _later(
-        self, seconds: float, rule: Rule | None, request: tuple[str, str, dict[str, str], bytes]
-    ) -> None:
+    async def _answer_later(self, seconds: float, rule: Rule | None, request: Request) -> None:
         await asyncio.sleep(seconds)
         self._answer(rule, request)
         self._next()
 
-    def _answer(self, rule: Rule | None, request: tuple[str, str, dict[str, str], bytes]) -> None:
+    def _answer(self, rule: Rule | None, request: Request) -> None:
+        """Answer a request, or fail as the rule says."""
+        action = rule.action if rule is not None else ""
+        if action == "cut":
+            self.transport.abort()
+            return
+        answer = self._answer_without_run(rule)
+        if answer is not None:
+            self._write(answer, request.method)
+            return
+        answer = self.server.handle(*request)
+        if action == "run-cut":
+            self.transport.abort()
+            return
+        self._write(answer, request.method, TRUNCATED_ANSWER_BYTES if action == "answer-cut" else None)
+        if action == "answer-die":
+            asyncio.get_running_loop().call_soon(self.server.die)
+
+    def _answer_without_run(self, rule: Rule | None) -> Answer | None:
+        """The answer to a request that is not executed; None if it is executed."""
         match rule.action if rule is not None else "":
             case "refuse":
-                return self._write(503, {"X-Not-Run": "1"}, b"", request[0])
+                return NOT_EXECUTED
             case "error":
-                return self._write(500, {}, b"", request[0])
+                return 500, {}, b""
             case "status":
                 assert rule is not None
-                return self._write(rule.status, {}, b"", request[0])
-            case "cut":
-                return self.transport.abort()
-        if self.server.draining:
-            return self._write(503, {"X-Not-Run": "1"}, b"", request[0])
-        status, headers, data = self.server.handle(*request)
-        if rule is not None and rule.action == "run-cut":
-            return self.transport.abort()
-        cut = CUT_ANSWER if rule is not None and rule.action == "answer-cut" else None
-        self._write(status, headers, data, request[0], cut)
-        if rule is not None and rule.action == "answer-die":
-            asyncio.get_running_loop().call_soon(self.server.die)
-            return None
-        return None
+                return rule.status, {}, b""
+        return NOT_EXECUTED if self.server.draining else None
 
-    def _write(
-        self, status: int, headers: dict[str, str], data: bytes, method: str, cut: int | None = None
-    ) -> None:
+    def _write(self, answer: Answer, method: str, limit: int | None = None) -> None:
+        """Send an answer; with `limit` only so many bytes of it, and close the connection."""
+        status, headers, data = answer
         lines = [
             f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}",
             *(f"{name}: {value}" for name, value in headers.items()),
@@ -160,6 +178,6 @@
         if status not in (204, 304):
             lines.append(f"Content-Length: {len(data)}")
         head = "\r\n".join([*lines, "", ""]).encode()
-        self.transport.write((head if method == "HEAD" else head + data)[:cut])
-        if cut is not None:
+        self.transport.write((head if method == "HEAD" else head + data)[:limit])
+        if limit is not None:
             self.transport.close()
--- a/mallowbeam/standins/discovery.py
+++ b/mallowbeam/standins/discovery.py
@@ -1,7 +1,6 @@
-"""Discovery as a stand-in: the list, and a watch that answers once the list changes.
+"""Stand-in for discovery: the membership list, and a watch that answers once the list changes.
 
-A watch waits in the connection's own task (the stand-in answers late by its `delay`), so a change is told at
-the next poll: polls here are short.
+A watch is an answer delayed by `poll` seconds, so a change is reported at the next poll.
 """
 
 from __future__ import annotations
@@ -12,13 +11,13 @@
 from mallowbeam.standins.faults import Rule, Script
 from mallowbeam.standins.node import Answer, Server
 
-POLL = 0.05  # seconds that a watch without news waits: changes are told that fast
+POLL = 0.05  # seconds until a watch is answered: bound on the delay of a change
 
 
 def member(
     name: str, host_port: str, cell: int, phase: str = "up", zone: str = "hall-a", since_ms: int = 0
 ) -> dict[str, object]:
-    """One entry of the list in discovery's form."""
+    """Build one entry of the membership list in discovery's format; `since_ms` in milliseconds."""
     return {
         "id": name,
         "host_port": host_port,
@@ -32,7 +31,7 @@
 
 
 class Discovery(Server):
-    """A discovery service on a socket."""
+    """A discovery service on a socket; `poll` in seconds."""
 
     def __init__(
         self,
@@ -40,19 +39,25 @@
         address: tuple[str, int] = ("127.0.0.1", 0),
         poll: float = POLL,
     ) -> None:
-        self.members, self.revision = members, 1
+        self.members = members
+        self.revision = 1
         super().__init__(address, Script([Rule("stall", path="since=", times=-1, seconds=poll)]))
 
     def publish(self, members: list[dict[str, object]]) -> None:
-        """A new list from now on."""
-        self.members, self.revision = members, self.revision + 1
+        """Replace the membership list and increment its revision."""
+        self.members = members
+        self.revision = self.revision + 1
 
     def handle(self, method: str, target: str, headers: dict[str, str], body: bytes) -> Answer:
-        """The list, whole where there is news, empty where there is none."""
+        """Answer with the complete list if it has changed since the given revision, else an empty one."""
         url = urlsplit(target)
         if method != "GET" or url.path != "/v1/servers":
             return 404, {}, b""
         since = parse_qs(url.query).get("since", ["0"])[0]
-        whole = "since=" not in url.query or int(since) < self.revision
-        listing = {"revision": self.revision, "complete": whole, "members": self.members if whole else []}
+        complete = "since=" not in url.query or int(since) < self.revision
+        listing = {
+            "revision": self.revision,
+            "complete": complete,
+            "members": self.members if complete else [],
+        }
         return 200, {"Content-Type": "application/json"}, json.dumps(listing).encode()
--- a/mallowbeam/standins/disk.py
+++ b/mallowbeam/standins/disk.py
@@ -1,8 +1,8 @@
-"""A disk that keeps no more than it promised: what was not synced is lost, torn or reordered at a power cut.
+"""A simulated disk that loses, tears or reorders unsynced data at a power loss.
 
-The calls are those of `mallowbeam.storage_gateway.write_buffer.disk`.  Every call that changes something is
-counted; the power goes at the one told.  What a cut leaves is drawn from a seed: of each unsynced write any
-set of its sectors, of unsynced names any.  Errors are scripted by call and file.
+It implements the calls of `mallowbeam.storage_gateway.write_buffer.disk`. Every modifying call is counted;
+power is lost at a chosen call. What remains is drawn from a seed: any subset of the sectors of each unsynced
+write, and any subset of the unsynced directory changes. Errors are scripted by call and file.
 """
 
 from __future__ import annotations
@@ -14,47 +14,50 @@
 
 from mallowbeam.storage_gateway.write_buffer.disk import File, FolderLockedError
 
-SECTOR = 512
+SECTOR = 512  # bytes that are written atomically
+DURABLE_PROBABILITY = 0.5  # that an unsynced name, length or sector is durable after a power loss
+ALL_SECTORS_BOUND = 0.3  # below it all sectors of a write are durable
+SOME_SECTORS_BOUND = 0.8  # from there up to here each sector by chance, above it none
 
 
 class PowerLossError(Exception):
-    """The machine is without power: nothing more is done."""
+    """The machine has lost power: no further call is executed."""
 
 
 @dataclass(slots=True)
 class Fault:
-    """An error to come: at `call` (write, sync, open, cut, remove, folder) of names that begin so."""
+    """A scripted error of a `call` (write, sync, open, cut, remove, folder) on names with this prefix."""
 
     call: str
     code: int
     name: str = ""
     skip: int = 0
-    times: int = 1  # -1 for ever
+    times: int = 1  # -1: unlimited
 
 
 @dataclass(slots=True)
 class Inode:
-    """A file's bytes: as read now, as durable, and what was done since the last sync."""
+    """A file: its current bytes, its durable bytes and the changes since the last sync."""
 
     now: bytearray = field(default_factory=bytearray)
-    kept: bytes = b""
-    since: list[tuple[int, bytes] | int] = field(default_factory=list)  # a write, or a length cut to
+    durable: bytes = b""
+    unsynced: list[tuple[int, bytes] | int] = field(default_factory=list)  # a write, or a truncated length
 
 
 class SimDisk:
-    """A folder on such a disk."""
+    """A directory on the simulated disk."""
 
     def __init__(self) -> None:
         self.files: dict[str, Inode] = {}
-        self.kept: dict[str, Inode] = {}  # names as durable
+        self.durable: dict[str, Inode] = {}  # by durable names
         self.faults: list[Fault] = []
         self.ops = 0
         self.power_loss_at: int | None = None
         self.locked = False
-        self.capacity: int | None = None  # bytes of all files together, None for no bound
+        self.capacity: int | None = None  # bytes of all files together; None: unlimited
 
     def step(self, call: str, name: str) -> None:
-        """Count a call that changes something; raises what is due."""
+        """Count a modifying call; raises PowerLossError or a scripted OSError."""
         if self.power_loss_at is not None and self.ops >= self.power_loss_at:
             raise PowerLossError
         self.ops += 1
@@ -67,17 +70,17 @@
                 raise OSError(fault.code, os.strerror(fault.code))
 
     def used(self) -> int:
-        """Bytes of all files."""
+        """Return the bytes of all files."""
         return sum(len(inode.now) for inode in self.files.values())
 
-    # --- the calls ------------------------------------------------------------------------------
+    # --- calls ------------------------------------------------------------------------------
 
     def names(self) -> list[str]:
-        """The files in it."""
+        """Return the file names, sorted."""
         return sorted(self.files)
 
     def open(self, name: str, new: bool = False) -> File:
-        """Open or make a file."""
+        """Open a file, or create it if `new`; raises FileExistsError or FileNotFoundError."""
         if new:
             self.step("open", name)
             if name in self.files:
@@ -88,61 +91,63 @@
         return SimFile(self, name, self.files[name])
 
     def remove(self, name: str) -> None:
-        """Take a name away; it may come back until the folder is synced."""
+        """Remove a name; it may reappear after a power loss until the directory is synced."""
         self.step("remove", name)
         if name not in self.files:
             raise FileNotFoundError(errno.ENOENT, name)
         del self.files[name]
 
     def sync(self) -> None:
-        """Make the names durable."""
+        """Make the names of the directory durable."""
         self.step("folder", "")
-        self.kept = dict(self.files)
+        self.durable = dict(self.files)
 
     def lock(self) -> None:
-        """Own the folder."""
+        """Lock the directory; raises FolderLockedError if it is locked."""
         if self.locked:
             raise FolderLockedError("the folder is in use by another process")
         self.locked = True
 
     def unlock(self) -> None:
-        """Own it no more."""
+        """Unlock the directory."""
         self.locked = False
 
-    # --- what happens to it ---------------------------------------------------------------------
+    # --- faults ---------------------------------------------------------------------
 
     def crashed(self, seed: int) -> SimDisk:
-        """What the power's return finds: a new disk with what was durable and chance's part of the rest."""
-        chance, after = random.Random(seed), SimDisk()
-        every = {**self.kept, **self.files}
+        """Return the disk after a power loss: durable data, and a random part of the unsynced changes."""
+        chance = random.Random(seed)
+        after = SimDisk()
+        every = {**self.durable, **self.files}
         for name in sorted(every):
-            known, now = self.kept.get(name), self.files.get(name)
-            if known is not now and chance.random() < 0.5:  # the last change of the name came through
+            known, now = self.durable.get(name), self.files.get(name)
+            if known is not now and chance.random() < DURABLE_PROBABILITY:
                 known = now
             if known is not None:
-                data = bytearray(known.kept)
-                for change in known.since:
+                data = bytearray(known.durable)
+                for change in known.unsynced:
                     apply(data, change, chance)
-                after.files[name] = after.kept[name] = Inode(data, bytes(data))
+                after.files[name] = after.durable[name] = Inode(data, bytes(data))
         return after
 
     def flip(self, name: str, offset: int, bit: int = 0) -> None:
-        """One bit of a file changes by itself."""
+        """Flip one bit of a file, as silent corruption does."""
         self.files[name].now[offset] ^= 1 << bit
-        self.files[name].kept = bytes(self.files[name].now)
+        self.files[name].durable = bytes(self.files[name].now)
 
 
 def apply(data: bytearray, change: tuple[int, bytes] | int, chance: random.Random) -> None:
-    """An unsynced change as a power cut leaves it: any of its sectors, in no order."""
+    """Apply an unsynced change as a power loss leaves it: any subset of its sectors."""
     if isinstance(change, int):
-        if chance.random() < 0.5:
+        if chance.random() < DURABLE_PROBABILITY:
             del data[change:]
         return
     offset, written = change
     mode, at = chance.random(), 0
     while at < len(written):
         end = min(len(written), (offset + at) // SECTOR * SECTOR + SECTOR - offset)
-        if mode < 0.3 or mode < 0.8 and chance.random() < 0.5:  # all of it, or any sectors of it, or none
+        some = mode < SOME_SECTORS_BOUND
+        if mode < ALL_SECTORS_BOUND or (some and chance.random() < DURABLE_PROBABILITY):
             if len(data) < offset + end:
                 data += bytes(offset + end - len(data))
             data[offset + at : offset + end] = written[at:end]
@@ -150,13 +155,15 @@
 
 
 class SimFile:
-    """An open file on such a disk."""
+    """An open file on the simulated disk."""
 
     def __init__(self, disk: SimDisk, name: str, inode: Inode) -> None:
-        self.disk, self.name, self.inode = disk, name, inode
+        self.disk = disk
+        self.name = name
+        self.inode = inode
 
     def write(self, parts: list[bytes], at: int) -> None:
-        """Write; on a full disk only what there is room for."""
+        """Write at an offset; on a full disk only the bytes that fit, then raises OSError (ENOSPC)."""
         data = b"".join(parts)
         self.disk.step("write", self.name)
         capacity = self.disk.capacity
@@ -172,30 +179,31 @@
         if len(now) < at:
             now += bytes(at - len(now))
         now[at : at + len(data)] = data
-        self.inode.since.append((at, data))
+        self.inode.unsynced.append((at, data))
 
     def read(self, size: int, at: int) -> bytes:
-        """Up to so many bytes."""
+        """Read up to `size` bytes at an offset."""
         return bytes(self.inode.now[at : at + size])
 
     def size(self) -> int:
-        """Its length."""
+        """Return the length in bytes."""
         return len(self.inode.now)
 
     def truncate(self, size: int) -> None:
-        """Set a shorter length."""
+        """Truncate to `size` bytes."""
         self.disk.step("cut", self.name)
         del self.inode.now[size:]
-        self.inode.since.append(size)
+        self.inode.unsynced.append(size)
 
     def sync(self) -> None:
-        """Make its data durable; after an error what was not synced counts as clean, as Linux has it."""
+        """Make the data durable; after an error unsynced pages count as clean, as on Linux."""
         try:
             self.disk.step("sync", self.name)
         except OSError:
-            self.inode.since = []  # never written, though reads still show it
+            self.inode.unsynced = []  # never written, though reads still show it
             raise
-        self.inode.kept, self.inode.since = bytes(self.inode.now), []
+        self.inode.durable = bytes(self.inode.now)
+        self.inode.unsynced = []
 
     def close(self) -> None:
-        """Nothing to do."""
+        """Do nothing: there is no descriptor."""
--- a/mallowbeam/standins/documents.py
+++ b/mallowbeam/standins/documents.py
@@ -1,4 +1,4 @@
-"""S3's XML documents, as a stand-in storage node answers with them."""
+"""XML documents of S3, as a stand-in storage node sends them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def document(tag: str, **fields: object) -> bytes:
-    """A small XML document; a list makes several elements."""
+    """Build an XML document; a list value becomes several elements."""
     root = ElementTree.Element(f"{{{NAMESPACE}}}{tag}")
     for name, value in fields.items():
         for item in value if isinstance(value, list) else [value]:
@@ -24,5 +24,5 @@
 
 
 def error(status: int, code: str, headers: dict[str, str] | None = None) -> Answer:
-    """S3's error answer."""
+    """Build an S3 error answer."""
     return status, headers or {}, f"<Error><Code>{code}</Code></Error>".encode()
--- a/mallowbeam/standins/faults.py
+++ b/mallowbeam/standins/faults.py
@@ -1,7 +1,7 @@
-"""Faults as data: which request of a stand-in is hit, how often, and what happens to it.
+"""Scripted faults: which requests of a stand-in fail, how often, and how.
 
-A script is a list of rules in order; the first whose conditions hold is used up by one and applied.  The
-same script and the same requests give the same run: nothing here is random.
+A script is an ordered list of rules; the first rule that matches a request is applied and its count
+decremented. The same script and requests give the same run: nothing is random.
 """
 
 from __future__ import annotations
@@ -14,46 +14,46 @@
 
 @dataclass(slots=True)
 class Rule:
-    """One fault.
+    """One scripted fault; `action` is one of :data:`ACTIONS`.
 
-    `refuse`: 503 with X-Not-Run, nothing ran.  `error`: 500, nothing ran.  `stall`: the request waits
-    `seconds` before it runs.  `cut`: the connection is reset and nothing ran.  `run-cut`: it runs and the
+    `refuse`: 503 with X-Not-Run, not executed.  `error`: 500, not executed.  `stall`: the request is executed
+    after `seconds`.  `cut`: the connection is reset and not executed.  `run-cut`: executed, and the
     connection is reset before the answer.
-    `answer-cut`: it runs and 40 bytes of the answer go out before the reset.
-    `answer-die`: it runs, is answered, then the node takes no more.
-    `status`: answered with `status`, nothing ran.
+    `answer-cut`: executed; the connection is closed after 40 bytes of the answer.
+    `answer-die`: executed and answered; then the node stops.
+    `status`: answered with `status`, not executed.
     """
 
     action: str
     method: str = ""  # empty: any
-    path: str = ""  # a pattern searched for in the path; empty: any
-    skip: int = 0  # matching requests passed over first
-    times: int = 1  # requests hit, -1 for all
+    path: str = ""  # regular expression searched in the path; empty: any
+    skip: int = 0  # matching requests that are skipped first
+    times: int = 1  # requests that fail; -1: all
     seconds: float = 0.0
     status: int = 500
 
     def __post_init__(self) -> None:
-        """Refuse a script with a fault that is none."""
+        """Raise ValueError for an unknown action."""
         if self.action not in ACTIONS:
             raise ValueError(f"no such fault: {self.action}")
 
 
 class Script:
-    """Rules in order, each with its counts."""
+    """An ordered list of rules with their remaining counts."""
 
     def __init__(self, rules: list[Rule] | None = None) -> None:
         self.rules = [*(rules or [])]
 
     def add(self, *rules: Rule) -> None:
-        """Put rules behind those that are left."""
+        """Append rules."""
         self.rules.extend(rules)
 
     def clear(self) -> None:
-        """No fault any more."""
+        """Remove all rules."""
         self.rules.clear()
 
     def take(self, method: str, path: str) -> Rule | None:
-        """The fault that hits this request, None for none."""
+        """Return the rule for this request and decrement its count; None: no fault."""
         for rule in self.rules:
             if rule.method not in ("", method) or not re.search(rule.path, path):
                 continue
@@ -68,13 +68,14 @@
 
 
 class Turns(Script):
-    """Faults by turns, over and over: each request takes the next way, None for none."""
+    """Repeats a fixed sequence of rules, one per request; None: no fault."""
 
     def __init__(self, ways: list[Rule | None]) -> None:
         super().__init__()
-        self.ways, self.turn = ways, 0
+        self.ways = ways
+        self.turn = 0
 
     def take(self, method: str, path: str) -> Rule | None:
-        """The way whose turn it is."""
+        """Return the next rule of the sequence."""
         self.turn += 1
         return self.ways[self.turn % len(self.ways)]
--- a/mallowbeam/standins/model_server.py
+++ b/mallowbeam/standins/model_server.py
@@ -1,6 +1,6 @@
-"""A stand-in for an instance of a service: a model server or a plain one, on loopback, for tests.
+"""Stand-in for an instance: a model server (prefill or decode) or a plain service, on loopback.
 
-Its faults are scripted: each request takes the next of `script`, and a good answer where that is empty.
+Faults are scripted: each request takes the next fault of `script`; without one it is answered correctly.
 """
 
 from __future__ import annotations
@@ -11,54 +11,55 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-EVENTS = 5  # of a good stream
+EVENTS = 5  # of a complete stream
+FAULTY_EVENT = 3  # number of the event at which a stream fails
 Headers = dict[str, str]
 
 
 class Fault(Enum):
-    """What the stand-in does instead of a good answer."""
+    """What the stand-in does instead of a correct answer."""
 
     REJECT = "reject"  # 503 with Not-Executed
     MISDIRECT = "misdirect"  # 421
-    FAIL = "fail"  # 500 of its own
-    UNPROVEN_503 = "unproven_503"  # 503 that does not say that nothing ran
+    FAIL = "fail"  # 500 with its signature
+    UNPROVEN_503 = "unproven_503"  # 503 without Not-Executed
     RESET = "reset"  # closes once the request is read
     SILENT = "silent"  # never answers
-    OTHER_ID = "other_id"  # an answer that names another request
+    OTHER_ID = "other_id"  # an answer with the id of another request
     NO_SIGNATURE = "no_signature"
     TRUNCATED = "truncated"  # a stream ends inside its third event
-    REPEAT_ID = "repeat_id"  # the third event has the second one's id
-    STALLED = "stalled"  # a stream goes silent behind its second event
-    SURPLUS = "surplus"  # a whole answer, and another one behind it
+    REPEAT_ID = "repeat_id"  # the third event repeats the second event's id
+    STALLED = "stalled"  # a stream sends nothing after its second event
+    SURPLUS = "surplus"  # a complete answer followed by another one
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """A request as it arrived."""
+    """A request as received."""
 
     method: str
     target: str
     headers: Headers
     body: bytes
-    repeated: frozenset[str] = frozenset()  # names of headers that came more than once
+    repeated: frozenset[str] = frozenset()  # names of headers that occur more than once
 
 
 @dataclass
 class ModelServer:
-    """One instance."""
+    """One instance; `keep_alive_s` in seconds."""
 
     id: str
     stage: str = ""  # prefill, decode, or empty for a plain service
     keep_alive_s: int = 5
     script: deque[Fault] = field(default_factory=deque)
     seen: list[ReceivedRequest] = field(default_factory=list)
-    handles: set[str] = field(default_factory=set)  # made here and not taken yet
+    handles: set[str] = field(default_factory=set)  # KV handles created here and not fetched yet
     freed: list[str] = field(default_factory=list)
     peers: dict[str, ModelServer] = field(default_factory=dict)  # prefill instances by address
     connections: int = 0  # accepted so far
-    cancelled: int = 0  # requests whose connection closed first
+    cancelled: int = 0  # requests whose client closed the connection first
     body: bytes = b"answer"
-    gate: asyncio.Event | None = None  # a stream waits here behind its first event
+    gate: asyncio.Event | None = None  # a stream waits for it after its first event
     address: str = ""
     _server: asyncio.Server | None = None
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
@@ -70,7 +71,7 @@
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Listen no more and end what is open."""
+        """Stop listening and cancel all connections."""
         assert self._server is not None
         self._server.close()
         for task in list(self._tasks):
@@ -100,15 +101,30 @@
         self.seen.append(seen)
         if seen.repeated & SINGLE:
             return self._respond(writer, seen, 400, b"ambiguous", "Not-Executed: 1\r\n")
-        fault = self.script.popleft() if self.script else None
-        if fault is None and seen.headers.get("target-instance", self.id) != self.id:
-            fault = Fault.MISDIRECT
+        fault = self._next_fault(seen)
         if fault is Fault.RESET:
             return False
         if fault is Fault.SILENT:
             await reader.read()
             self.cancelled += 1
             return False
+        return await self._serve(seen, reader, writer, fault)
+
+    def _next_fault(self, seen: ReceivedRequest) -> Fault | None:
+        """The next scripted fault, or the one of a request for another instance."""
+        fault = self.script.popleft() if self.script else None
+        if fault is None and seen.headers.get("target-instance", self.id) != self.id:
+            return Fault.MISDIRECT
+        return fault
+
+    async def _serve(
+        self,
+        seen: ReceivedRequest,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        fault: Fault | None,
+    ) -> bool:
+        """Answer by the stage of the instance; returns whether the connection stays open."""
         if fault in STATUSES:
             status, extra = STATUSES[fault]
             return self._respond(writer, seen, status, b"no", extra)
@@ -118,6 +134,10 @@
             return self._respond(writer, seen, 503, b"no memory", "Not-Executed: 1\r\n")
         if self.stage == "decode":
             return await self._stream(seen, reader, writer, fault)
+        return self._answer_plain(seen, writer, fault)
+
+    def _answer_plain(self, seen: ReceivedRequest, writer: asyncio.StreamWriter, fault: Fault | None) -> bool:
+        """Answer as a plain service."""
         if fault is Fault.NO_SIGNATURE:
             return self._respond(writer, seen, 200, self.body, "")
         self._respond(writer, seen, 200, self.body, self._stamp, other=fault is Fault.OTHER_ID)
@@ -161,7 +181,7 @@
         return self._respond(writer, seen, 200, body, "Content-Type: application/json\r\n")  # never signed
 
     def _take_handle(self, seen: ReceivedRequest) -> bool:
-        """Whether the request names no handle, or one that is there."""
+        """Fetch the KV handle that a request names; False if it does not exist."""
         address, _, handle = seen.headers.get("kv-from", "").partition("/")
         if not address:
             return True
@@ -187,14 +207,14 @@
         first = int(seen.headers.get("last-event-id", "0")) + 1
         for number in range(first, EVENTS + 1):
             event = f"id: {number}\ndata: token {number}\n\n".encode()
-            if number == 3 and fault is Fault.TRUNCATED:
+            if number == FAULTY_EVENT and fault is Fault.TRUNCATED:
                 writer.write(chunk(event[:9]))
                 return False
-            if number == 3 and fault is Fault.STALLED:
+            if number == FAULTY_EVENT and fault is Fault.STALLED:
                 await reader.read()
                 self.cancelled += 1
                 return False
-            if number == 3 and fault is Fault.REPEAT_ID:
+            if number == FAULTY_EVENT and fault is Fault.REPEAT_ID:
                 event = b"id: 2\ndata: token 2\n\n"
             writer.write(chunk(event))
             await writer.drain()
@@ -204,7 +224,7 @@
         return True
 
     async def _wait_at(self, gate: asyncio.Event, reader: asyncio.StreamReader) -> None:
-        """Wait for the gate; raises where the caller closes first."""
+        """Wait for the gate; raises ConnectionResetError if the client closes first."""
         opened, closed = asyncio.ensure_future(gate.wait()), asyncio.ensure_future(reader.read(1))
         try:
             await asyncio.wait((opened, closed), return_when=asyncio.FIRST_COMPLETED)
@@ -228,12 +248,12 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """Bytes as one chunk."""
+    """Encode bytes as one HTTP chunk."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 async def read_request(reader: asyncio.StreamReader) -> ReceivedRequest | None:
-    """One request with a length; None at the connection's end."""
+    """Read one request with a Content-Length; None at the end of the connection."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError:
--- a/mallowbeam/standins/node.py
+++ b/mallowbeam/standins/node.py
@@ -1,6 +1,6 @@
-"""A storage node that speaks S3's conventions for objects, and the platform's requests as well.
+"""A stand-in storage node that supports S3 object requests and those of the platform.
 
-Objects live in memory (`store`); requests run in `backend`; sockets are `server` and `connection`.
+Objects are in memory (`store`), `backend` executes requests, `server` and `connection` do the I/O.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class ObjectNode(Server):
-    """A storage node on a socket."""
+    """A storage node on a socket; `window` (deduplication) and `delay` (of each answer) in seconds."""
 
     def __init__(
         self,
@@ -44,9 +44,9 @@
         super().__init__(address, script, delay)
 
     def handle(self, method: str, target: str, headers: dict[str, str], body: bytes) -> Answer:
-        """Run a request on the store."""
+        """Execute a request on the store."""
         return self.backend.handle(method, target, headers, body)
 
     def replace(self) -> None:
-        """Another machine in this one's place: nothing of the old one's objects is there."""
+        """Replace the machine: the store is empty afterwards."""
         self.store = self.backend.store = Store()
--- a/mallowbeam/standins/server.py
+++ b/mallowbeam/standins/server.py
@@ -1,4 +1,4 @@
-"""A stand-in's listening socket, in a thread and an event loop of its own."""
+"""Listening socket of a stand-in, in its own thread and event loop."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 
 
 class Server:
-    """A stand-in that listens on loopback, in a thread and a loop of its own."""
+    """Base class of stand-ins that listen on loopback; `delay` of each answer in seconds."""
 
     def __init__(
         self, address: tuple[str, int] = ("127.0.0.1", 0), script: Script | None = None, delay: float = 0.0
     ) -> None:
-        self.script, self.delay = script or Script(), delay
-        self.stands_until = 0.0  # steady time before which nothing is answered
+        self.script = script or Script()
+        self.delay = delay
+        self.paused_until = 0.0  # monotonic time in seconds before which nothing is answered
         self.draining = False
         self.connections: set[Connection] = set()
         self.loop = asyncio.new_event_loop()
@@ -30,11 +31,11 @@
         self.listen()
 
     def handle(self, method: str, target: str, headers: dict[str, str], body: bytes) -> Answer:
-        """The answer to a request: the stand-in's own business."""
+        """Return the answer to a request; implemented by each stand-in."""
         raise NotImplementedError
 
     def listen(self) -> None:
-        """Take connections, again after `die`: at the same address."""
+        """Start listening; after `die` at the same address as before."""
 
         async def start() -> None:
             self._server = await self.loop.create_server(lambda: Connection(self), *self.address)
@@ -43,22 +44,22 @@
         asyncio.run_coroutine_threadsafe(start(), self.loop).result(10)
 
     def call(self, function: Callable[[], object]) -> None:
-        """Run something in the stand-in's own thread."""
+        """Run a function in the stand-in's thread."""
         self.loop.call_soon_threadsafe(function)
 
     def stand_still(self, seconds: float) -> None:
-        """Answer nothing for a while: a pause of the machine."""
-        self.stands_until = time.monotonic() + seconds
+        """Answer nothing for a number of seconds, as a paused machine does."""
+        self.paused_until = time.monotonic() + seconds
 
     def die(self) -> None:
-        """Take no connection and reset those open; to be called in the stand-in's thread."""
+        """Stop listening and reset open connections; must run in the stand-in's thread."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
             connection.transport.abort()
 
     def close(self) -> None:
-        """The end."""
+        """Stop the stand-in and its thread."""
 
         async def end() -> None:
             self.die()
@@ -71,5 +72,5 @@
 
     @property
     def host_port(self) -> str:
-        """Where it listens."""
+        """The address on which it listens, as ``host:port``."""
         return f"{self.address[0]}:{self.address[1]}"
--- a/mallowbeam/standins/store.py
+++ b/mallowbeam/standins/store.py
@@ -1,4 +1,4 @@
-"""What a stand-in storage node holds in memory, and what has run there."""
+"""State of a stand-in storage node: its objects and the history of executed requests."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 @dataclass(slots=True)
 class Run:
-    """A request that ran."""
+    """An executed request."""
 
-    at: float  # seconds, steady
+    at: float  # monotonic seconds
     method: str
     path: str
-    token: str  # its idempotency key, empty without one
-    etag: str  # of its body
-    deduped: bool = False  # dropped as the repeat of an earlier run
+    token: str  # idempotency key; empty: none
+    etag: str  # of the body
+    deduped: bool = False  # not executed: repeat of an earlier request
 
 
 @dataclass(slots=True)
 class Stored:
-    """An object as it is kept."""
+    """A stored object."""
 
     body: bytes
     etag: str
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Store:
-    """What one node holds, and what has run there; it outlives the node's listening socket."""
+    """Objects, uploads and history of a node; survives a restart of its socket."""
 
     objects: dict[str, Stored] = field(default_factory=dict)
     uploads: dict[str, tuple[str, dict[int, bytes]]] = field(default_factory=dict)
@@ -40,10 +40,10 @@
 
     @property
     def runs(self) -> list[str]:
-        """Method and path of each request that ran, in order."""
+        """Method and path of each executed request, in order."""
         return [f"{run.method} {run.path}" for run in self.history if not run.deduped]
 
 
 def etag_of(body: bytes) -> str:
-    """S3's ETag of a body put whole: its MD5, quoted."""
+    """S3's ETag of an object written in one request: its MD5, quoted."""
     return f'"{hashlib.md5(body, usedforsecurity=False).hexdigest()}"'
