--- a/tests/simulation/test_fleet_variants.py
+++ b/tests/simulation/test_fleet_variants.py
@@ -26,12 +26,12 @@
 
 
 def player_of(variant: Variant) -> FleetPlayer:
-    """The scenario with the checkers that look on; all but what it does itself counts as calm."""
+    """The player of a variant's scenario, with the checkers it names and a budget without faults."""
     player = FleetPlayer(HEAD + variant.text)
     budget = LossBudget(tolerance=1)
     budget.disturbed(10.0)
     events: dict[str, float] = {}
-    for name in variant.watched:
+    for name in variant.checkers:
         checker = getattr(fleet_checkers, name)
         player.checkers.append(
             checker(budget, events) if name == "GatewayConvergenceChecker" else checker(budget)
@@ -53,7 +53,7 @@
     def test(case: unittest.TestCase) -> None:
         with variant.patch(), case.assertRaises(ViolationError) as caught:
             player_of(variant).play()
-        case.assertIn(variant.told, str(caught.exception))
+        case.assertIn(variant.message, str(caught.exception))
 
     return test
 
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -18,7 +18,7 @@
     def note(self, what: object):
         return lambda: self.seen.append((round(self.simulator.now, 3), what))
 
-    def test_events_run_in_the_order_of_their_times_and_of_planning(self):
+    def test_events_run_in_the_order_of_their_times_and_of_scheduling(self):
         self.simulator.at(2.0, self.note("c"))
         self.simulator.at(1.0, self.note("a"))
         self.simulator.at(1.0, self.note("b"))
@@ -69,7 +69,7 @@
         self.simulator.run_until(2.0)
         self.assertEqual(self.seen, ["after"])
 
-    def test_a_frozen_process_goes_on_with_what_became_due_in_its_order(self):
+    def test_a_thawed_process_runs_deferred_steps_in_order(self):
         for number in (1, 2, 3):
             self.machine.later(number, self.note(number))
         cancelled = self.machine.later(1.5, self.note("cancelled"))
@@ -84,7 +84,7 @@
         self.simulator.run_until(3.0)
         self.assertEqual(self.seen[-1], 3)
 
-    def test_the_steady_clock_has_a_rate_and_never_jumps(self):
+    def test_the_monotonic_clock_has_a_rate_and_never_jumps(self):
         self.simulator.run_until(10.0)
         self.machine.set_clock_rate(2.0)
         self.assertAlmostEqual(self.machine.clock(), 10.0)
@@ -125,25 +125,25 @@
         self.machine.start()
         self.disk = Disk(self.machine)
         self.durable: list[int] = []
-        self.told: list[object] = []
+        self.results: list[object] = []
 
     def write(self, number: int) -> None:
         self.disk.write(
             lambda: self.durable.append(number),
-            lambda: self.told.append(number),
-            lambda error: self.told.append(error.errno),
+            lambda: self.results.append(number),
+            lambda error: self.results.append(error.errno),
         )
 
     def test_writes_become_durable_one_after_another(self):
         for number in range(3):
             self.write(number)
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.results, [])
         self.simulator.run_until(0.012)
-        self.assertGreaterEqual(len(self.told), 1)
+        self.assertGreaterEqual(len(self.results), 1)
         self.simulator.run_until(0.1)
-        self.assertEqual((self.durable, self.told), ([0, 1, 2], [0, 1, 2]))
+        self.assertEqual((self.durable, self.results), ([0, 1, 2], [0, 1, 2]))
 
-    def test_a_stalled_disk_ends_no_write_until_it_is_mended(self):
+    def test_a_stalled_disk_completes_no_write_until_it_is_repaired(self):
         self.write(0)
         self.disk.stall()
         self.write(1)
@@ -151,15 +151,15 @@
         self.assertEqual(self.durable, [])
         self.disk.repair()
         self.simulator.run_until(6.0)
-        self.assertEqual(self.told, [0, 1])
+        self.assertEqual(self.results, [0, 1])
 
-    def test_a_full_disk_refuses(self):
+    def test_a_full_disk_fails_writes(self):
         self.disk.full = True
         self.write(0)
         self.simulator.run_until(1.0)
-        self.assertEqual((self.durable, self.told), ([], [28]))
+        self.assertEqual((self.durable, self.results), ([], [28]))
 
-    def test_a_process_that_ends_leaves_a_beginning_of_what_was_under_way(self):
+    def test_a_process_that_ends_leaves_a_prefix_of_its_pending_writes(self):
         seen = set()
         for seed in range(40):
             self.simulator.random.seed(seed)
@@ -172,9 +172,9 @@
             self.machine.start()
         self.assertEqual(seen, {0, 1, 2, 3})
         self.simulator.run_until(9.0)
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.results, [])
 
-    def test_of_a_stalled_disk_nothing_is_left(self):
+    def test_pending_writes_of_a_stalled_disk_are_lost(self):
         self.write(0)
         self.disk.stall()
         self.machine.kill()
--- a/tests/simulation/test_simulation_loop.py
+++ b/tests/simulation/test_simulation_loop.py
@@ -85,7 +85,7 @@
         self.run_for(1.0)
         self.assertEqual(self.seen, ["b:81: connection refused"])
 
-    def test_a_connection_that_hangs_can_be_given_up(self):
+    def test_a_connection_that_hangs_can_be_cancelled(self):
         async def ask() -> None:
             try:
                 async with asyncio.timeout(0.5):
@@ -100,7 +100,7 @@
         self.run_for(9.0)
         self.assertEqual(self.seen, ["given up"])
 
-    def test_an_address_that_is_taken(self):
+    def test_an_address_that_is_in_use(self):
         async def serve() -> None:
             loop = asyncio.get_running_loop()
             server = await loop.create_server(Echo, "b", 80)
@@ -116,7 +116,7 @@
         self.run_for(1.0)
         self.assertEqual(self.seen, ["taken"])
 
-    def test_a_process_that_ended_takes_no_step(self):
+    def test_a_process_that_ended_runs_no_step(self):
         async def work() -> None:
             try:
                 await asyncio.sleep(1.0)
@@ -131,7 +131,7 @@
         self.run_for(5.0)
         self.assertEqual((self.seen, self.near.is_closed()), ([], True))
 
-    def test_what_nobody_handles_is_kept(self):
+    def test_unhandled_exceptions_are_recorded(self):
         self.near.call_soon(lambda: 1 / 0)
         self.run_for(0.1)
         self.assertIsInstance(self.near.failures[0]["exception"], ZeroDivisionError)
--- a/tests/simulation/test_simulation_network.py
+++ b/tests/simulation/test_simulation_network.py
@@ -24,7 +24,7 @@
         self.simulator.run_until(0.011)
         self.assertEqual(self.seen, [1])
 
-    def test_a_cut_may_be_one_way(self):
+    def test_a_partition_may_be_one_way(self):
         self.network.partition("a", "b", both=False)
         self.send("there")
         self.send("back", "b", "a")
@@ -35,7 +35,7 @@
         self.run_for(1.0)
         self.assertEqual(self.seen, ["back", "healed"])
 
-    def test_a_cut_takes_what_is_under_way(self):
+    def test_a_partition_drops_messages_in_flight(self):
         self.send(1)
         self.network.isolate("b")
         self.run_for(1.0)
@@ -43,7 +43,7 @@
         self.run_for(1.0)
         self.assertEqual(self.seen, [])
 
-    def test_heal_of_two_leaves_other_cuts(self):
+    def test_heal_of_two_machines_leaves_other_partitions(self):
         self.network.add(Machine(self.simulator, "c"))
         self.network.isolate("a")
         self.network.heal("a", "b")
@@ -132,7 +132,7 @@
         self.run_for(0.1)
         self.assertEqual(self.seen, ["ConnectionRefusedError"])
 
-    def test_a_machine_without_power_says_nothing_until_it_is_up(self):
+    def test_a_machine_that_is_off_does_not_respond_until_it_is_on(self):
         self.b.power_off()
         self.connect()
         self.run_for(2.0)
@@ -141,7 +141,7 @@
         self.run_for(5.0)
         self.assertEqual(self.seen, ["ConnectionRefusedError"])
 
-    def test_an_opening_packet_is_sent_again_after_a_cut(self):
+    def test_a_connection_request_is_retried_after_a_partition(self):
         self.network.partition("a", "b")
         self.connect()
         self.run_for(0.5)
@@ -149,12 +149,12 @@
         self.run_for(1.0)
         self.assertIsNotNone(self.near)
 
-    def test_a_dial_that_was_given_up_stays_so(self):
+    def test_a_cancelled_dial_stays_cancelled(self):
         self.connect().cancelled = True
         self.run_for(5.0)
         self.assertEqual((self.near, self.seen), (None, []))
 
-    def test_what_a_cut_holds_up_arrives_after_it(self):
+    def test_segments_lost_in_a_partition_arrive_after_it(self):
         self.open()
         self.network.partition("a", "b", both=False)
         self.near.write(b"late")
@@ -164,7 +164,7 @@
         self.run_for(2.0)
         self.assertEqual((self.seen, self.near.unsent), ([("b", b"late")], 0))
 
-    def test_lost_packets_are_sent_again_in_order(self):
+    def test_lost_segments_are_retransmitted_in_order(self):
         self.network.set_path("a", "b", Path(0.001, 0.01, loss=0.4))
         self.open()
         for number in range(60):
@@ -173,7 +173,7 @@
         data = b"".join(data for who, data in self.seen if who == "b")
         self.assertEqual(data, b"".join(b"%d," % number for number in range(60)))
 
-    def test_a_sender_gives_up_after_its_user_timeout_the_other_way_being_cut(self):
+    def test_a_sender_fails_after_its_user_timeout_in_a_one_way_partition(self):
         self.open()
         self.near.options.user_timeout = 1.5
         self.network.partition("b", "a", both=False)
@@ -183,7 +183,7 @@
         self.run_for(0.2)
         self.assertEqual(self.seen[-1], ("a", "TimeoutError"))
 
-    def test_a_silent_peer_is_found_by_probes(self):
+    def test_an_unresponsive_peer_is_detected_by_keepalive(self):
         self.open()
         self.near.options.keepalive_idle = 1.0
         self.near.start_keepalive()
@@ -193,7 +193,7 @@
         self.run_for(4.2)
         self.assertEqual(self.seen, [("a", "TimeoutError")])
 
-    def test_a_peer_that_came_back_resets(self):
+    def test_a_restarted_peer_resets_old_connections(self):
         self.open()
         self.b.power_off()
         self.near.write(b"x")
@@ -210,7 +210,7 @@
         self.run_for(0.1)
         self.assertEqual(self.seen[-1], "ConnectionRefusedError")
 
-    def test_an_orderly_end(self):
+    def test_a_graceful_close(self):
         self.open()
         self.near.write(b"last")
         self.near.close()
@@ -220,7 +220,7 @@
         self.run_for(0.1)
         self.assertEqual(self.seen[3:], [("b", "NoneType")])
 
-    def test_a_frozen_process_fills_its_window_and_goes_on(self):
+    def test_a_frozen_process_fills_its_window_and_resumes(self):
         self.open()
         self.b.freeze()
         self.near.write(bytes(WINDOW_BYTES))
@@ -232,7 +232,7 @@
         self.assertEqual(self.near.unsent, 0)
         self.assertEqual(sum(len(data) for _, data in self.seen), WINDOW_BYTES + 10)
 
-    def test_what_comes_before_anybody_listens_waits(self):
+    def test_bytes_received_before_attach_are_delivered_after_it(self):
         self.streams.listen(self.b, 90, lambda endpoint: endpoint.write(b"hello"))
         endpoints: list[Endpoint] = []
         self.streams.connect(self.a, "b", 90, Dial(endpoints.append, lambda _: None))
@@ -241,7 +241,7 @@
         self.run_for(0.1)
         self.assertEqual(self.seen, [("a", b"hello")])
 
-    def test_an_end_before_anybody_listens_is_told(self):
+    def test_an_end_before_attach_is_reported(self):
         self.streams.listen(self.b, 90, lambda endpoint: endpoint.abort())
         endpoints: list[Endpoint] = []
         self.streams.connect(self.a, "b", 90, Dial(endpoints.append, lambda _: None))
--- a/tests/simulation/test_simulation_scenarios.py
+++ b/tests/simulation/test_simulation_scenarios.py
@@ -12,11 +12,11 @@
 
 
 class Greeters(MachinesPlayer):
-    """Each machine greets all others ten times a second and writes down who was heard."""
+    """Each machine greets all others ten times a second and records when each was received."""
 
     def prepare(self) -> None:
         super().prepare()
-        self.heard: dict[str, dict[str, float]] = {}
+        self.last_greeting: dict[str, dict[str, float]] = {}
         self.written: dict[str, int] = {}
 
     def declare_greeters(self, *names: str) -> None:
@@ -24,7 +24,7 @@
             self.add_machine(name, lambda name=name: self.boot(name), group="greeters", disk=True).start()
 
     def boot(self, name: str) -> None:
-        self.heard[name] = {}
+        self.last_greeting[name] = {}
         self.written.setdefault(name, 0)
         self.greet(name)
 
@@ -36,14 +36,14 @@
         machine.later(0.1, lambda: self.greet(name))
 
     def hear(self, name: str, sender: str) -> None:
-        self.heard[name][sender] = self.simulator.now
+        self.last_greeting[name][sender] = self.simulator.now
         self.disks[name].write(lambda: self.written.update({name: self.written[name] + 1}), lambda: None)
 
     def holds(self, words: Sequence[str]) -> bool:
         match words:
             case (who, "hears", whom):
                 return all(
-                    self.simulator.now - self.heard[name].get(other, -9.0) < 0.3
+                    self.simulator.now - self.last_greeting[name].get(other, -9.0) < 0.3
                     for name in self.names(who)
                     for other in self.names(whom)
                     if other != name
@@ -53,7 +53,7 @@
         raise ValueError("no such condition")
 
     def state(self) -> str:
-        return str(self.heard)
+        return str(self.last_greeting)
 
 
 QUIET = "greeters a b c\n"
@@ -74,7 +74,7 @@
         player = self.play(QUIET + "by 2 expect all hears all\nat 1 expect a hears b  # a comment\nend 3")
         self.assertEqual(player.simulator.now, 3.0)
 
-    def test_by_goes_on_at_the_moment_at_which_it_holds(self):
+    def test_by_continues_at_the_moment_the_condition_is_true(self):
         player = self.play(QUIET + "by 9 expect all hears all")
         self.assertLess(player.simulator.now, 0.2)
 
@@ -91,7 +91,7 @@
         self.assertIn("line 5: 2.20", text)
         self.assertIn("never", self.violation(QUIET + "never all hears all from 1 to 2\nend 3"))
 
-    def test_each_trouble(self):
+    def test_each_fault(self):
         self.play(
             QUIET
             + """
@@ -139,11 +139,11 @@
 
     def test_the_same_text_gives_the_same_run(self):
         text = "seed {}\n" + QUIET + "at 0 path a b 0.001 0.1 0.5\nend 20"
-        one, two, other = (self.play(text.format(seed)).heard for seed in (3, 3, 4))
+        one, two, other = (self.play(text.format(seed)).last_greeting for seed in (3, 3, 4))
         self.assertEqual(one, two)
         self.assertNotEqual(one, other)
 
-    def test_texts_that_cannot_be_played_name_their_line(self):
+    def test_invalid_texts_name_their_line(self):
         cases = [
             "dancers a",
             "at 1 dance",
--- a/tests/simulation/test_simulation_walks.py
+++ b/tests/simulation/test_simulation_walks.py
@@ -57,7 +57,7 @@
         budget.removed("m3", 13.0, successor_at=8.0)
         self.assertTrue(budget.begin("m1", 13.3))
 
-    def test_calm_is_counted_from_the_last_event(self) -> None:
+    def test_time_since_event_is_counted_from_the_last_event(self) -> None:
         budget = LossBudget(1)
         budget.begin("m1", 1.0)
         budget.end("m1", 3.0)
@@ -76,14 +76,14 @@
             {(plan.members, plan.tolerance) for plan in plans}, {(3, 1), (4, 1), (5, 2), (6, 2), (8, 2)}
         )
 
-    def test_every_kind_of_trouble_is_drawn(self) -> None:
+    def test_every_kind_of_fault_is_drawn(self) -> None:
         members = Walk(1, plan=CALM).members
         members.kinds = dict.fromkeys(members.kinds, lambda: True)
         for _ in range(DRAWS):
             members.draw()
         self.assertEqual(members.drawn.keys(), members.kinds.keys())
 
-    def test_every_kind_of_trouble_ends_by_itself(self) -> None:
+    def test_every_kind_of_fault_ends_by_itself(self) -> None:
         for kind in Walk(1, plan=CALM).members.kinds:
             walk = Walk(1, plan=CALM)
             walk.player.play()
--- a/tests/simulation/test_system_broken.py
+++ b/tests/simulation/test_system_broken.py
@@ -37,7 +37,7 @@
         with mock.patch.object(Disk, "write", early):
             self.assertIn("revision 2 was acknowledged, ", self.violation(text))
 
-    def test_a_gateway_that_takes_an_older_configuration(self):
+    def test_a_gateway_that_accepts_an_older_configuration(self):
         take = FeedSubscriber.received
 
         def forgets(self: FeedSubscriber[Configuration], frame: object, now: float) -> object:
@@ -81,7 +81,7 @@
         with self.assertRaisesRegex(ViolationError, "lead term"):
             player.play()
 
-    def test_a_fleet_that_is_not_whole_again(self):
+    def test_a_fleet_that_does_not_recover(self):
         plan = Plan(
             members=3,
             bounded=False,
--- a/tests/simulation/test_system_scenarios.py
+++ b/tests/simulation/test_system_scenarios.py
@@ -25,7 +25,7 @@
         self.assertEqual(*runs)
 
 
-# A gateway that reached nobody for a while comes back beside a member that is cut off.
+# A gateway that reached nobody for a while comes back beside a partitioned member.
 RETURNS_BESIDE_CUT_OFF = """seed {seed}
 members m1 m2 m3
 gateways g1
@@ -43,7 +43,7 @@
 
 
 class Returns(unittest.TestCase):
-    def test_a_gateway_that_returns_does_not_stay_with_a_member_that_is_cut_off(self):
+    def test_a_gateway_that_returns_does_not_stay_with_a_partitioned_member(self):
         for seed in range(1, 21):
             with self.subTest(seed=seed):
                 FleetPlayer(RETURNS_BESIDE_CUT_OFF.format(seed=seed)).play()
--- a/tests/support/fleet_variants.py
+++ b/tests/support/fleet_variants.py
@@ -39,13 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """A fault, the scenario that brings it about, and the words in which it is told."""
+    """A fault, the scenario that brings it about, and a part of the message of its violation."""
 
     name: str
-    told: str
+    message: str
     text: str
     patch: Patch
-    watched: tuple[str, ...] = ()  # checkers within the tolerance that look on, by their names
+    checkers: tuple[str, ...] = ()  # names of the checkers of WITHIN_TOLERANCE that run
 
 
 def _replaced(owner: object, name: str, value: object) -> Patch:
