--- a/tests/support/membership_plays.py
+++ b/tests/support/membership_plays.py
@@ -55,9 +55,9 @@
     def begin(self) -> None:
         """Start all members; from here on there is a place for each of them, and never more."""
         self.player.play()
-        self.player.simulator.check(self._check_places)
+        self.player.simulator.check(self._check_voter_counts)
 
-    # ------------------------------------------------------------ what happens
+    # ------------------------------------------------------------ actions
 
     def wait(self, seconds: float) -> None:
         self.player.simulator.run_until(self.player.simulator.now + seconds)
@@ -84,7 +84,7 @@
         self.player.do_kill(name)
 
     def wipe(self, name: str) -> None:
-        """The disk is lost; the machine starts again within 0.3 s."""
+        """Erase the disk; the machine restarts within 0.3 s."""
         self.player.do_wipe(name)
 
     def start(self, name: str) -> None:
@@ -92,24 +92,24 @@
         self.player.do_start(name)
 
     def add(self) -> str:
-        """A new machine; it stands by once it has caught up."""
+        """Add a machine, which becomes a learner."""
         name = f"m{len(self.player.members) + 1}"
         self.player.do_add(name)
         return name
 
     def stands_by(self, *names: str) -> None:
-        """Wait until these are learners that have caught up."""
+        """Wait until these members are learners that have caught up."""
         self._until(lambda: all(self._is_learner(name) for name in names), 4.0, f"{names} stand by")
         self.wait(0.5)
 
     def repaired(self, kind: str) -> None:
-        """Wait until the next loss is survived."""
+        """Wait until a further loss would be survived, and record how long that took."""
         before = self.player.simulator.now
         self._until(self._is_repaired, REPAIRED_WITHIN, f"repaired after {kind}")
         self.result.repairs.setdefault(kind, []).append(self.player.simulator.now - before)
 
     def serves(self) -> None:
-        """Somebody leads, and a configuration is taken."""
+        """Wait until there is a leader and a configuration is accepted."""
         before = self.player.simulator.now
         self._until(lambda: self._leads() and self.leader() not in self._leaving, LEADER_WITHIN, "a leader")
         self._revision += 1
@@ -118,11 +118,11 @@
         self._until(lambda: self.player.holds(("taken", number)), ACCEPTED_WITHIN, f"taken {number}")
         self.result.repairs["a change taken again"] = [self.player.simulator.now - before]
 
-    # ------------------------------------------------------------ what is seen
+    # ------------------------------------------------------------ conditions
 
-    def _until(self, seen: Callable[[], bool], within: float, what: str) -> None:
+    def _until(self, condition: Callable[[], bool], within: float, what: str) -> None:
         simulator = self.player.simulator
-        if simulator.run_while(lambda: not seen(), simulator.now + within):
+        if simulator.run_while(lambda: not condition(), simulator.now + within):
             raise ViolationError(
                 f"{simulator.now:.3f} s, seed {simulator.seed}: not {what} in time\n" f"{self.player.state()}"
             )
@@ -150,7 +150,7 @@
         return any(member.id == identity and not member.voter for member in self._membership())
 
     def _is_repaired(self) -> bool:
-        """Whether a committed membership has a voter for each place, and all of them live and are current."""
+        """Whether the committed membership has its target number of voters, all live and up to date."""
         node = self._leading_node()
         if node is None or not node.membership_committed:
             return False
@@ -165,8 +165,8 @@
         least = node.commit_index - CAUGHT_UP_ENTRIES
         return all(live[voter].replica.last_index >= least for voter in voters)
 
-    def _check_places(self) -> None:
-        """At no moment has a member's log more voters than places, or a leader's fewer."""
+    def _check_voter_counts(self) -> None:
+        """A member's log never has more voters than its target, and a leader's log never fewer."""
         for name, member in self.player.members.items():
             if not member.live:
                 continue
--- a/tests/support/operator_races.py
+++ b/tests/support/operator_races.py
@@ -1,18 +1,18 @@
-"""Several operators with lost answers and late copies of their calls, on the simulated fleet.
+"""Several operators with lost answers and late duplicates of their requests, on the simulated fleet.
 
 Besides the statements of :mod:`mallowbeam.simulation.fleet`::
 
     operators o1 o2                       declared last
-    at 8 send ORDER 5 on 3 from o1 [via M]   an order of revision 5, sent until there is a clear answer
-    at 8 copy ORDER [via M]               one more copy of it, as one that was long under way
-    at 9 again ORDER [via M]              its operator sends it once more, until there is a clear answer
-    at 9 chain 300 on 3 from o1           orders link1 to link300, each on the one before
+    at 8 send ORDER 5 on 3 from o1 [via M]   an order of revision 5, sent until a final answer
+    at 8 copy ORDER [via M]               a duplicate of it, as one delayed on the way
+    at 9 again ORDER [via M]              its operator sends it again until a final answer
+    at 9 chain 300 on 3 from o1           orders link1 to link300, each based on the previous one
 
 Conditions: ``ORDER open|taken|refused``; ``one-won ORDER ORDER``; ``in-force ORDER``.
 
-At all times: no order is both acknowledged and refused; of orders on one version one is acknowledged at
-most; what was refused is in force at no member; what was acknowledged is remembered by every member that has
-applied a revision as high.
+Invariants: no order is both acknowledged and rejected; at most one of the orders based on one version is
+acknowledged; a rejected order is in force at no member; an acknowledged order is remembered by every member
+that has applied an equal or higher revision.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 from mallowbeam.simulation.fleet_history import ApiCall
 from mallowbeam.simulation.fleet_operators import FINAL_STATUSES, FIRST_BACKOFF_S, LONGEST_BACKOFF_S, document
 
-CHAIN_POLL_S = 0.005  # between two looks at whether the last order of a chain is answered
+CHAIN_POLL_S = 0.005  # between two checks whether the last order of a chain is answered
 
 
 @dataclass(slots=True)
 class RacedOrder:
-    """One order: what is sent, and the results that its operator received."""
+    """One order: its request, and the results that its operator received."""
 
     name: str
     revision: int
@@ -48,17 +48,17 @@
 
 
 class RacingOperator(Caller):
-    """Sends orders until there is a clear answer to each."""
+    """Sends each order until it gets a final answer."""
 
-    answers = 0  # clear ones so far, to any order
+    answers = 0  # final ones so far, to any order
 
     def send(self, order: RacedOrder, member: str, backoff_s: float = FIRST_BACKOFF_S) -> None:
-        """Send an order to a member, and to others until there is a clear answer."""
+        """Send an order to a member, then to others until there is a final answer."""
         order.open = True
 
         def answered(status: int, body: bytes) -> None:
             record_result(order, status)
-            order.open = not clear(status)
+            order.open = not is_final(status)
             if order.open:
                 again = min(2 * backoff_s, LONGEST_BACKOFF_S)
                 self.machine.later(backoff_s, lambda: self.send(order, self.any_member(), again))
@@ -70,14 +70,14 @@
         self.ask(member, order.call, lambda status, body: record_result(order, status))
 
 
-def clear(status: int) -> bool:
-    """Whether an answer ends an order."""
+def is_final(status: int) -> bool:
+    """Whether an answer is final: no retry follows."""
     return 200 <= status < 300 or status in FINAL_STATUSES
 
 
 def record_result(order: RacedOrder, status: int) -> None:
     """Record the result that a response gives for its order."""
-    if clear(status):
+    if is_final(status):
         order.operator.answers += 1
         order.results.add("taken" if status < 300 else "refused")
 
@@ -86,7 +86,7 @@
     """Plays scenarios with several operators."""
 
     def prepare(self) -> None:
-        """No operator, no order yet."""
+        """Create the tables of operators and orders, and their check."""
         super().prepare()
         self.racing_operators: dict[str, RacingOperator] = {}
         self.orders: dict[str, RacedOrder] = {}
@@ -94,7 +94,7 @@
         self.simulator.check(self._check_orders)
 
     def declare_operators(self, *names: str) -> None:
-        """Machines of operators, a group of that name."""
+        """Add the operators, as the group `operators`."""
         for name in names:
             machine = self._new_machine(name, "operators")
             self.racing_operators[name] = RacingOperator(machine, self.network, self.members)
@@ -116,12 +116,12 @@
         order.operator.send(order, self._via(order, via))
 
     def do_again(self, name: str, *via: str) -> None:
-        """Send an order once more until there is a clear answer."""
+        """Send an order again until there is a final answer."""
         order = self.orders[name]
         order.operator.send(order, self._via(order, via))
 
     def do_copy(self, name: str, *via: str) -> None:
-        """One more copy of an order."""
+        """Send a duplicate of an order."""
         order = self.orders[name]
         order.operator.send_duplicate(order, self._via(order, via))
 
@@ -151,7 +151,7 @@
     # ------------------------------------------------------------ conditions
 
     def holds(self, words: Sequence[str]) -> bool:
-        """Whether a condition holds."""
+        """Whether a condition is true."""
         match words:
             case ("one-won", *names):
                 orders = [self.orders[name] for name in names]
@@ -170,7 +170,7 @@
                 return order is not None and order.results == {result} and not order.open
         return super().holds(words)
 
-    # ------------------------------------------------------------ what holds at all times
+    # ------------------------------------------------------------ invariants
 
     def _versions(self) -> list[ConfigurationVersions]:
         return [
@@ -180,7 +180,7 @@
         ]
 
     def _check_orders(self) -> None:
-        """Check all orders, where an answer came or a member went on since the last event."""
+        """Check all orders if an answer arrived or a member changed since the last event."""
         answers = sum(operator.answers for operator in self.racing_operators.values())
         incarnations = [member.machine.incarnation for member in self.members.values()]
         state = answers, incarnations, [versions.revision for versions in self._versions()]
@@ -209,7 +209,7 @@
 
 
 def remembers(versions: ConfigurationVersions, order: RacedOrder) -> bool:
-    """Whether a member knows an order as taken."""
+    """Whether a member remembers an order as accepted."""
     return versions._accepted.contains(order.revision, order.digest)
 
 
--- a/tests/support/system_bulk.py
+++ b/tests/support/system_bulk.py
@@ -3,7 +3,7 @@
 Beside the commands of the fleet::
 
     at 1 change COUNT [BYTES]        one configuration after another, each once the last is acknowledged
-    at 1 bandwidth A B BYTES         a second, both ways
+    at 1 bandwidth A B BYTES         bytes per second, both ways
 
 BYTES is the size of a body, of random text. Conditions: ``changed`` (all are acknowledged), ``M current`` (it
 has applied what was acknowledged), ``waiting-below BYTES`` (on any link of a leader, so far).
@@ -26,14 +26,14 @@
 
 
 class BulkPlayer(FleetPlayer):
-    """Plays them."""
+    """Plays these scenarios."""
 
     def prepare(self) -> None:
         super().prepare()
         self.changes_left = 0
         self.changed_revision = 0
         self.most_waiting = 0
-        self.simulator.check(self._look_at_links)
+        self.simulator.check(self._check_links)
 
     def do_change(self, count: str, size: str = "0") -> None:
         self.changes_left += int(count)
@@ -56,7 +56,7 @@
         return super().holds(words)
 
     def _change(self, count: int, size: int) -> None:
-        """Send one configuration until it is taken, then the rest."""
+        """Send one configuration until it is accepted, then the rest."""
         if count == 0:
             return
         revision = self.changed_revision + 1
@@ -87,11 +87,11 @@
         table = (TEXT * 3)[:256]
         return self.simulator.random.randbytes(size).translate(table).decode()
 
-    def _look_at_links(self) -> None:
+    def _check_links(self) -> None:
         for member in self.members.values():
             if member.live and member.program is not None:
                 if not member.program.parts.driver.is_leader:
-                    continue  # commands that are passed to the leader wait on theirs
+                    continue  # their links queue commands forwarded to the leader
                 for link in member.program.parts.links._links.values():
                     self.most_waiting = max(self.most_waiting, _waiting(link))
 
