--- a/mallowbeam/lab/ask.py
+++ b/mallowbeam/lab/ask.py
@@ -1,7 +1,7 @@
-"""One call over HTTP on a connection of its own, read to its end, for the buffer's trials.
+"""One HTTP call on a new connection, read to its end, for the trials of the write-back buffer.
 
-They look for a second answer on the wire, which a client made for use (httpx) drops without a word where it
-comes with the first one's last bytes; so this one reads raw.  All other tools use httpx.
+They look for a second response on the wire.  httpx silently drops one that comes with the last bytes of the
+first, so this client reads the raw stream; all other tools use httpx.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Answered:
-    """One answer as a client reads it."""
+    """A complete response."""
 
     status: int
     headers: dict[str, str]
@@ -27,7 +27,10 @@
     headers: dict[str, str] | None = None,
     host: str = "127.0.0.1",
 ) -> Answered:
-    """One call on a connection of its own; raises OSError or EOFError where no whole answer came."""
+    """Send one request on a new connection and read the response.
+
+    Raises OSError or EOFError without a complete response, AssertionError on a second one.
+    """
     reader, writer = await asyncio.open_connection(host, port)
     try:
         lines = [
@@ -40,14 +43,14 @@
         writer.write("\r\n".join([*lines, "", ""]).encode() + body)
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
         status = int(head[0].split()[1])
-        told = {
+        response_headers = {
             name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:-2])
         }
         data = b""
         if method != "HEAD" and status not in (204, 304):
-            data = await reader.readexactly(int(told.get("content-length", "0")))
+            data = await reader.readexactly(int(response_headers.get("content-length", "0")))
         if await reader.read():
             raise AssertionError("a second answer")
-        return Answered(status, told, data)
+        return Answered(status, response_headers, data)
     finally:
         writer.close()
--- a/mallowbeam/lab/faults/links.py
+++ b/mallowbeam/lab/faults/links.py
@@ -1,7 +1,7 @@
-"""A link between two processes: a proxy that passes bytes on, late, or not at all.
+"""A link between two processes: a proxy that forwards bytes, delays them, or drops the link.
 
-A link that is cut gives no sign: what is open stays open and silent, what is new comes up and stays silent,
-as where a machine is cut off.  Healed, it ends what stood meanwhile, as a host that has forgotten it would.
+A severed link gives no error: open connections stay open and silent, new ones are accepted and silent, as
+in a network partition.  Healed, it closes the connections of that time, as a host without their state would.
 """
 
 from __future__ import annotations
@@ -16,12 +16,14 @@
     """A proxy on a port of its own before `target` (a port on loopback)."""
 
     def __init__(self, target: int) -> None:
-        self.target, self.port = target, 0
-        self.cut, self.delay = False, 0.0  # seconds by which each piece is late
+        self.target = target
+        self.port = 0
+        self.cut = False
+        self.delay = 0.0  # seconds by which each chunk is late
         self.server: asyncio.Server | None = None
         self.flows: set[asyncio.Task[None]] = set()
-        self.whole = asyncio.Event()
-        self.whole.set()
+        self.connected = asyncio.Event()
+        self.connected.set()
 
     async def start(self) -> None:
         """Listen on a port from the kernel."""
@@ -29,15 +31,15 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def sever(self) -> None:
-        """Cut it."""
+        """Sever the link."""
         self.cut = True
-        self.whole.clear()
+        self.connected.clear()
 
     def heal(self) -> None:
-        """Whole again; the connections that stood through the cut end."""
+        """Restore the link; closes the connections that were open or opened meanwhile."""
         if self.cut:
             self.cut = False
-            self.whole.set()
+            self.connected.set()
             for flow in self.flows:
                 flow.cancel()
 
@@ -47,7 +49,7 @@
         self.flows.add(task)
         far: asyncio.StreamWriter | None = None
         try:
-            await self.whole.wait()
+            await self.connected.wait()
             back, far = await asyncio.open_connection("127.0.0.1", self.target)
             ways = [asyncio.create_task(self._pass(*way)) for way in ((reader, far), (back, writer))]
             try:
@@ -69,15 +71,15 @@
             while data := await reader.read(CHUNK):
                 if self.delay:
                     await asyncio.sleep(self.delay)
-                await self.whole.wait()
+                await self.connected.wait()
                 writer.write(data)
                 await writer.drain()
-        if self.delay:  # an end is told as late as all else, and not through a cut
+        if self.delay:  # the end of a stream is delayed too, and does not pass a severed link
             await asyncio.sleep(self.delay)
-        await self.whole.wait()
+        await self.connected.wait()
 
     async def close(self) -> None:
-        """End it and all that goes through it."""
+        """Close the listener and all connections."""
         if self.server is not None:
             self.server.close()
         for flow in list(self.flows):
