--- /dev/null
+++ b/mallowbeam/storage_gateway/scheduler/attempts.py
@@ -0,0 +1,190 @@
+"""What comes of attempts: answers, streams, uploads and failures, and what follows for request and node."""
+
+from __future__ import annotations
+
+from mallowbeam.storage_gateway.scheduler.cycle_booking import CycleBooking
+from mallowbeam.storage_gateway.scheduler.interface import (
+    AttemptEnded,
+    Cancel,
+    ClientDisconnected,
+    Idempotency,
+    Outcome,
+    StreamStarted,
+    UploadProgress,
+)
+from mallowbeam.storage_gateway.scheduler.key_order import KeyOrder
+from mallowbeam.storage_gateway.scheduler.model import (
+    WINDOW_SHRINK,
+    Attempt,
+    Node,
+    PossibleRun,
+    Request,
+    Tier,
+)
+from mallowbeam.storage_gateway.scheduler.node_health import NodeHealth
+from mallowbeam.storage_gateway.scheduler.request_endings import RequestEndings
+from mallowbeam.storage_gateway.scheduler.state import NEVER, SchedulerState
+
+STUCK_MULTIPLE = 5.0  # of its expected latency, after which an attempt passed by later ones is given up
+
+MAY_STILL_RUN = frozenset((Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED))
+UNSENT = frozenset((Outcome.NO_CONNECTION, Outcome.NOT_SENT))  # on sockets: its last byte never left
+NEVER_RAN = UNSENT | {Outcome.REJECTED, Outcome.MISDIRECTED}
+UNANSWERED = MAY_STILL_RUN | UNSENT
+MEASURED = frozenset((Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED))
+CONNECTION_FAULTS = frozenset((Outcome.NO_CONNECTION, Outcome.RESET))
+
+
+class AttemptTracker:
+    """Takes in what the host reports of attempts."""
+
+    def __init__(
+        self,
+        state: SchedulerState,
+        booking: CycleBooking,
+        endings: RequestEndings,
+        health: NodeHealth,
+        key_order: KeyOrder,
+    ) -> None:
+        self._state = state
+        self._booking = booking
+        self._endings = endings
+        self._health = health
+        self._key_order = key_order
+
+    def on_stream_started(self, event: StreamStarted) -> None:
+        """An answer has begun: its node is done with it, and what is left is forwarding it."""
+        request = self._state.requests.get(event.request)
+        if request is not None:
+            attempt = request.in_flight[event.attempt]
+            request.done = True
+            attempt.node.remove_attempt(attempt)
+            self._health.answered(attempt.node)
+            attempt.node.learn(request.units, event.latency, at_least=False)
+
+    def on_upload_progress(self, event: UploadProgress) -> None:
+        """A large body is forwarded: until its last byte is sent no time runs, and it is sent only once."""
+        request = self._state.requests.get(event.request)
+        attempt = request.in_flight.get(event.attempt) if request else None
+        if request is None or attempt is None:
+            return
+        node = attempt.node
+        node.remove_attempt(attempt)
+        # Charged when sent, but the limit counts from the last byte on.
+        request.volume.uploading_units -= attempt.uploading_units
+        attempt.uploading_units = request.units if event.time_left is None else 0
+        request.volume.uploading_units += attempt.uploading_units
+        request.attempt_count = self._state.max_attempts
+        request.deadline = NEVER
+        if event.time_left is not None:
+            attempt.sent_at = self._state.now
+            request.deadline = self._state.now + event.time_left
+            self._state.schedule(request.deadline - self._state.settings.tick, request)
+            node.in_flight[request.id, event.attempt] = attempt
+            node.units_in_flight += request.units
+
+    def on_client_disconnected(self, event: ClientDisconnected) -> None:
+        """Nobody waits for an answer any more."""
+        request = self._state.requests.get(event.request)
+        if request is not None:
+            self._endings.end(request, answered=True)
+
+    def on_ended(self, event: AttemptEnded) -> None:
+        """Learn from an attempt that ended; retry its request where that is allowed, else end it."""
+        request = self._state.requests.get(event.request)
+        attempt = request.in_flight.pop(event.attempt, None) if request else None
+        if request is None or attempt is None:
+            return
+        node = attempt.node
+        outcome = event.outcome
+        was_working = node.remove_attempt(attempt)
+        self._state.touched[node.id] = node
+        request.volume.uploading_units -= attempt.uploading_units
+        if outcome in UNSENT:
+            self._give_back(request, attempt)
+        request.volume.report_remote_units(event.remote_units)
+        if outcome not in UNANSWERED:
+            self._health.answered(node)
+            self._health.count_answer(node, attempt, outcome is Outcome.ERROR)
+        if outcome not in MEASURED:
+            self._react(node, outcome)
+        elif was_working:
+            self._measure(attempt, outcome)
+        if outcome not in NEVER_RAN:
+            request.possible_runs.append(PossibleRun(node.zone, node.shard, attempt.sent_at))
+        if outcome in MAY_STILL_RUN and request.order_key:
+            self._key_order.rest(request.order_key)
+        if event.finished or not self._is_retried(request, attempt, outcome):
+            self._endings.end(request, answered=event.finished)
+        else:
+            self._booking.book(request)
+        self._endings.forget(request)
+
+    def cancel_stuck(self, node: Node) -> None:
+        """Cancel attempts that later ones passed long ago, where another can meet the target.
+
+        Their connection has fallen silent.
+        """
+        now = self._state.now
+        for attempt in node.in_flight.values():
+            if attempt.sent_at >= node.answered_up_to:
+                break
+            request = attempt.request
+            latency = node.expected_latency(request.units)
+            if (
+                now - attempt.sent_at > STUCK_MULTIPLE * latency
+                and now + latency < request.target_at
+                and not attempt.stuck
+                and not request.done
+                and request.request_class.idempotency is not Idempotency.UNSAFE
+                and request.attempt_count < self._state.max_attempts
+            ):
+                attempt.stuck = True
+                self._state.actions.append(Cancel(request.id, attempt.number))
+
+    def end_unsent(self, requests: list[Request]) -> None:
+        """End those of some requests that have no attempt in flight: they got no slot."""
+        for request in [request for request in requests if not request.in_flight]:
+            self._endings.end(request)
+
+    @staticmethod
+    def _give_back(request: Request, attempt: Attempt) -> None:
+        """No node has an attempt's units: they are charged to nothing."""
+        volume = request.volume
+        attempt.slow_start_send.units = 0
+        if attempt.number == 0 and request.tier is Tier.RESERVED:
+            volume.reserve_level += request.units
+        if attempt.uploading_units and request.attempt_count == attempt.number + 1:
+            request.charged = False
+            volume.limit_level += attempt.uploading_units
+            volume.pending_units += attempt.uploading_units
+
+    def _measure(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Learn a node's latency from an answer, or from the time for which there was none."""
+        node = attempt.node
+        latency = self._state.now - attempt.sent_at
+        if outcome is Outcome.OK:
+            node.learn(attempt.request.units, latency, at_least=False)
+        elif not node.suspect and not attempt.stuck:  # the latency of a node that is silent is not its speed
+            node.learn(attempt.request.units, latency, at_least=True)
+
+    def _react(self, node: Node, outcome: Outcome) -> None:
+        """Spare a node that rejects, and count connections that fail."""
+        if outcome is Outcome.REJECTED:
+            self._back_off(node)
+        elif outcome in CONNECTION_FAULTS:
+            self._health.connection_failed(node, outcome)
+
+    def _back_off(self, node: Node) -> None:
+        """A node's queue is full, whoever filled it: fewer units in flight, and a pause of a round trip."""
+        if self._state.now >= node.paused_until:
+            node.window = max(1.0, node.window * (1.0 - WINDOW_SHRINK))
+        node.paused_until = self._state.now + node.smoothed_latency
+
+    def _is_retried(self, request: Request, attempt: Attempt, outcome: Outcome) -> bool:
+        """Whether a request is booked again; where that is in vain, it need not wait."""
+        if outcome is Outcome.MISDIRECTED:
+            return False
+        if outcome in MAY_STILL_RUN and outcome is not Outcome.RESET and not attempt.stuck:
+            return False
+        return self._booking.retries.may_repeat(request) and request.attempt_count < self._state.max_attempts
--- /dev/null
+++ b/mallowbeam/storage_gateway/scheduler/dispatch.py
@@ -0,0 +1,117 @@
+"""When bookings are sent: a poll of a node, its cycle of m slots, and what is due."""
+
+from __future__ import annotations
+
+from mallowbeam.scheduling.cycles import slots_per_cycle
+from mallowbeam.storage_gateway.scheduler.attempts import AttemptTracker
+from mallowbeam.storage_gateway.scheduler.model import Node, Request
+from mallowbeam.storage_gateway.scheduler.node_health import NodeHealth
+from mallowbeam.storage_gateway.scheduler.queue_layout import QueueLayout
+from mallowbeam.storage_gateway.scheduler.sending import Sender
+from mallowbeam.storage_gateway.scheduler.state import CLOCK_SLACK, SchedulerState
+
+POLL_SHARE = 0.1  # of a cycle: how often a node at work is polled
+SILENT_CYCLES = 1.5  # without an answer that is due, after which a node seems to hang
+EXTRA_SLOTS = 4  # a cycle has capacity for the largest request and so many units more
+RUN_LENGTH = 2  # largest requests: what may be in flight beyond the window behind one of the same data
+
+
+class Dispatcher:
+    """Polls nodes, and sends what is due there."""
+
+    def __init__(
+        self,
+        state: SchedulerState,
+        health: NodeHealth,
+        layout: QueueLayout,
+        sender: Sender,
+        tracker: AttemptTracker,
+    ) -> None:
+        self._state = state
+        self._health = health
+        self._layout = layout
+        self._sender = sender
+        self._tracker = tracker
+        self._min_slots = state.settings.max_units + EXTRA_SLOTS
+        self._run_units = RUN_LENGTH * state.settings.max_units
+
+    def poll(self, node: Node) -> None:
+        """Send what is due at a node, end what has no slot there, and come back while it has work."""
+        state = self._state
+        if node.open and node.overdue_time() > SILENT_CYCLES * state.cycle:
+            self._health.suspect(node)
+        if state.settings.may_cancel:
+            self._tracker.cancel_stuck(node)
+        node.drop_finished()
+        if node.queue:
+            order, rejected = self._layout.arrange(node)
+            self._send_due(node, order)
+            self._tracker.end_unsent(rejected)
+            node.queue = [entry for entry in node.queue if not entry[2].done and not entry[2].in_flight]
+        if (node.queue or node.in_flight) and node.poll_at <= state.now + CLOCK_SLACK:
+            node.poll_at = state.now + POLL_SHARE * state.cycle
+            state.schedule(node.poll_at, node)  # one pending timer a node, however often it is polled
+
+    def _send_due(self, node: Node, order: list[Request]) -> None:
+        """Send from the front of the order what the node has capacity for now."""
+        now = self._state.now
+        if now - node.cycle_started_at >= self._state.cycle:
+            node.cycle_started_at = now
+            node.cycle_units = 0
+        slots = slots_per_cycle(self._state.cycle, node.slot_time(), self._min_slots)
+        if node.suspect:
+            self._send_trial(node, order)
+            return
+        if now < node.paused_until:
+            return
+        price = self._layout.price(node)
+        for request in self._grouped(node, order):
+            if self._is_outpriced(request, node, price):
+                continue
+            if not self._has_capacity(request, node, slots):
+                break
+            self._sender.send(request, node)
+
+    def _send_trial(self, node: Node, order: list[Request]) -> None:
+        """Send one request a cycle to a suspect node, to see whether it answers."""
+        if order and self._state.now >= node.paused_until and self._sender.send(order[0], node):
+            node.paused_until = self._state.now + self._state.cycle
+
+    @staticmethod
+    def _grouped(node: Node, order: list[Request]) -> list[Request]:
+        """The order with requests for the same data behind one another, first those for the last sent."""
+        turns: dict[str, int] = {}
+        for turn, request in enumerate(order):
+            turns.setdefault(request.data_key, turn)
+        turns[node.last_data_key] = -1
+        return sorted(order, key=lambda request: turns[request.data_key])
+
+    def _is_outpriced(self, request: Request, node: Node, price: float) -> bool:
+        """Whether a request must wait as its units are worth less than the price.
+
+        Capacity kept for dearer units is of use to nobody if it is still free at a request's last chance.
+        """
+        unit_value = request.unit_value
+        if request.late:
+            unit_value *= request.request_class.late_value
+        if unit_value >= price:
+            return False
+        if node.units_in_flight or request.late:
+            return True
+        state = self._state
+        next_poll = 2 * POLL_SHARE * state.cycle
+        is_last_chance = state.now + node.expected_latency(request.units) + next_poll > request.target_at
+        return not is_last_chance
+
+    def _has_capacity(self, request: Request, node: Node, slots: int) -> bool:
+        """Whether window and cycle have capacity; requests for the data sent last need no slot there."""
+        is_run = request.data_key == node.last_data_key
+        capacity = node.window + (self._run_units if is_run else 0)
+        if node.units_in_flight + request.units > capacity:
+            if node.units_in_flight:
+                return False
+            # One larger than the window goes alone, at the pace of the window.
+            pace = request.units / node.window * node.smoothed_latency
+            if self._state.now - node.last_sent_at < pace:
+                return False
+        return is_run or not node.cycle_units or node.cycle_units + request.units <= slots
--- a/mallowbeam/storage_gateway/scheduler/gateway_host.py
+++ b/mallowbeam/storage_gateway/scheduler/gateway_host.py
@@ -36,6 +36,7 @@
     UploadProgress,
     WatchNodes,
 )
+from mallowbeam.storage_gateway.scheduler.volumes import VolumeKey, shard_of
 
 NEVER = float("inf")
 MAX_ALLOTMENTS = 20_000  # plans and allotments kept at once, some 10 MB; a new one past that is rejected
@@ -95,24 +96,24 @@
 
     def knows(self, request: str) -> bool:
         """Whether this id is in use: by a request without an answer, or by an attempt still in flight."""
-        return request in self._scheduler.requests
+        return request in self._scheduler.state.requests
 
     @property
     def nodes_open(self) -> int:
         """How many nodes take new work."""
-        return len(self._scheduler.open)
+        return len(self._scheduler.state.open)
 
     @property
     def nodes_listed(self) -> int:
         """How many nodes discovery lists, in whatever state."""
-        return sum(node.state is not NodeState.REMOVED for node in self._scheduler.nodes.values())
+        return sum(node.state is not NodeState.REMOVED for node in self._scheduler.state.nodes.values())
 
     @property
     def nodes_unavailable(self) -> int:
         """How many of the listed nodes get no new work, or next to none."""
         return sum(
-            node.state is not NodeState.REMOVED and (not node.open or node.suspect or node.fails)
-            for node in self._scheduler.nodes.values()
+            node.state is not NodeState.REMOVED and (not node.open or node.suspect or node.failing)
+            for node in self._scheduler.state.nodes.values()
         )
 
     def pick(self, now: float, request: str, **fields: Any) -> Orders:
@@ -175,9 +176,9 @@
 
         Returns None, and does nothing, for a node that is not known, unless `listed` is False.
         """
-        known = self._scheduler.nodes.get(node)
+        known = self._scheduler.state.nodes.get(node)
         is_listed = known is not None and known.state is not NodeState.REMOVED
-        if listed and not is_listed and node not in self._scheduler.disabled_nodes:
+        if listed and not is_listed and node not in self._scheduler.state.disabled_nodes:
             return None
         return self._step(now, OperatorOverride(node, disabled))
 
@@ -206,8 +207,8 @@
             raise InvalidPlanError("a figure is below 0, or the part is not from 0 to 1", f"plan {plan.name}")
         if shard is not None and not volume:
             raise InvalidPlanError("an allotment at a shard names no volume", f"plan {plan.name}")
-        known = self._scheduler.plans
-        key = (volume, plan.name) if shard is None else (volume, plan.name, shard)
+        known = self._scheduler.volumes.plans
+        key: VolumeKey = (volume, plan.name) if shard is None else (volume, plan.name, shard)
         if key not in known and len(known) >= MAX_ALLOTMENTS:
             raise TooManyAllotmentsError(f"{MAX_ALLOTMENTS} are held already", f"volume {volume}")
         return self._step(now, PlanChanged(plan, volume, shard, limit_share))
@@ -220,9 +221,9 @@
                 node.state,
                 node.shard,
                 node.zone,
-                node.cold_from if now < node.cold_until else node.started_at,
+                node.slow_start_from if now < node.slow_start_until else node.started_at,
             )
-            for node in self._scheduler.nodes.values()
+            for node in self._scheduler.state.nodes.values()
             if node.state is not NodeState.REMOVED
         ]
 
@@ -234,24 +235,24 @@
         """
         volumes = [
             (*key, volume)
-            for key, volume in self._scheduler.volumes.items()
-            if volume.plan.limit > 0 and len(key) == 2
+            for key, volume in self._scheduler.volumes.by_key.items()
+            if volume.plan.limit > 0 and shard_of(key) is None
         ]
         for *_, volume in volumes:
             volume.refill(now)
         plans = [
-            [key[0], asdict(plan), key[2] if len(key) > 2 else None, limit_share]
-            for key, (plan, limit_share) in self._scheduler.plans.items()
-            if key[0] or limit_share is not None or plan != self._scheduler.settings.plans.get(key[1])
+            [key[0], asdict(plan), shard_of(key), limit_share]
+            for key, (plan, limit_share) in self._scheduler.volumes.plans.items()
+            if key[0] or limit_share is not None or plan != self._scheduler.state.settings.plans.get(key[1])
         ]
         return {
-            "out": self._scheduler.disabled_nodes,
+            "out": self._scheduler.state.disabled_nodes,
             "plans": plans,
             "stores": [[name, plan, volume.hosts, volume.limit_level] for name, plan, volume in volumes],
             "cold": [
-                [node.id, sum(units for _, units in node.cold_sent)]
-                for node in self._scheduler.nodes.values()
-                if node.cold_sent
+                [node.id, sum(send.units for send in node.slow_start_sends)]
+                for node in self._scheduler.state.nodes.values()
+                if node.slow_start_sends
             ],
         }
 
@@ -268,13 +269,13 @@
 
     def accepts_work(self, node: str) -> bool:
         """Whether new work may go to a node at this moment."""
-        known = self._scheduler.nodes.get(node)
+        known = self._scheduler.state.nodes.get(node)
         return known is not None and known.open
 
     def attempts_at(self, node: str) -> int:
         """How many attempts are in flight at a node."""
-        known = self._scheduler.nodes.get(node)
-        return len(known.out) if known is not None else 0
+        known = self._scheduler.state.nodes.get(node)
+        return len(known.in_flight) if known is not None else 0
 
     def tick(self, now: float) -> Orders:
         """Let time pass; does nothing before `wake_at`, as the scheduler counts on its own last timer."""
--- /dev/null
+++ b/mallowbeam/storage_gateway/scheduler/host_context.py
@@ -0,0 +1,50 @@
+"""What every node of a host needs to know of it: settings, clock, cycle, and latency over all nodes."""
+
+from __future__ import annotations
+
+from mallowbeam.storage_gateway.scheduler.interface import Settings
+
+LATENCY_MEMORY = 1.0  # seconds in which an answer's weight falls to 1/e
+FIRST_SLOT_SHARE = 1 / 20  # of the cycle: a unit's latency, before anything was measured
+FIRST_MOST_SHARE = 0.3  # of the cycle: the same of a typical request, at most
+FLOOR_CREEP = 0.01  # a second: how fast the lowest measured latency may be forgotten, for a slower day
+MIN_SURVEYED_NODES = 3  # below that the latencies of nodes say nothing of each other
+DEFAULT_CYCLE = 0.3  # seconds, where there are no classes
+
+
+class LatencyBaseline:
+    """Latencies over all nodes of a host, in seconds."""
+
+    __slots__ = ("cycle", "floor", "prior", "slope", "typical_units")
+
+    def __init__(self, typical_units: float, cycle: float) -> None:
+        self.typical_units = typical_units
+        self.cycle = cycle
+        # The latency of a typical request: the usual one, and the lowest.
+        self.prior = self.floor = cycle * min(2 * typical_units * FIRST_SLOT_SHARE, FIRST_MOST_SHARE)
+        self.slope = self.floor / typical_units / 2  # that a further unit of a request costs, at any node
+
+    def survey(self, node_latencies: list[float], passed: float) -> None:
+        """Take in the latencies of nodes with recent answers, `passed` seconds after the last survey."""
+        # With few answers the median fades to the lowest: one that stood would shut every node for good.
+        self.prior += min(1.0, passed / LATENCY_MEMORY / 2) * (self.floor - self.prior)
+        if len(node_latencies) >= MIN_SURVEYED_NODES:
+            node_latencies.sort()
+            self.prior = node_latencies[len(node_latencies) // 2]
+            lowest = node_latencies[len(node_latencies) // 4]
+            self.floor = min(self.floor * (1.0 + FLOOR_CREEP * passed), lowest)
+            self.slope = self.floor / self.typical_units
+
+
+class HostContext:
+    """The part of a scheduler's state that its nodes read."""
+
+    __slots__ = ("baseline", "cycle", "now", "settings")
+
+    def __init__(self, settings: Settings, now: float) -> None:
+        self.settings = settings
+        self.now = now
+        # A cycle is as long as the tightest latency target: units in flight at a node return within one.
+        targets = (request_class.latency_target for request_class in settings.classes.values())
+        self.cycle = min(targets, default=DEFAULT_CYCLE)
+        self.baseline = LatencyBaseline(settings.typical_units, self.cycle)
--- /dev/null
+++ b/mallowbeam/storage_gateway/scheduler/key_order.py
@@ -0,0 +1,63 @@
+"""Ordered requests: those of one key run one after the other, in the order of arrival."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+
+from mallowbeam.storage_gateway.scheduler.model import Request
+from mallowbeam.storage_gateway.scheduler.state import CLOCK_SLACK, SchedulerState
+
+
+class KeyOrder:
+    """Owns the queues of ordered keys, and how long each key rests."""
+
+    def __init__(self, state: SchedulerState, book: Callable[[Request], None]) -> None:
+        self._state = state
+        self._book = book
+        self.queues: dict[str, deque[Request]] = {}  # in the order of arrival
+        self.rests_until: dict[str, float] = {}  # after an attempt that may still be running
+
+    def add(self, key: str, request: Request) -> None:
+        """Queue a request behind the others of its key; book it if it is the only one."""
+        self.queues.setdefault(key, deque()).append(request)
+        self.advance(key)
+
+    def rest(self, key: str) -> None:
+        """Let a key rest: an attempt of its first request may still be running."""
+        self.rests_until[key] = self._state.now + self._state.settings.order_settle_time
+
+    def is_next(self, request: Request) -> bool:
+        """Whether a request may be sent: it is its key's oldest, and the key has rested."""
+        key = request.order_key
+        queue = self.queues.get(key) if key is not None else None
+        if not queue:
+            return True
+        if queue[0] is not request:
+            return False
+        return request.attempt_count > 0 or self.rests_until.get(key or "", 0.0) <= self._state.now
+
+    def advance(self, key: str) -> None:
+        """Give the turn to the oldest request of a key that is not over."""
+        queue = self.queues.get(key)
+        if queue is None:
+            return
+        while queue and queue[0].done and not queue[0].in_flight:
+            queue.popleft()
+        if not queue:
+            del self.queues[key]
+            return
+        first = queue[0]
+        if first.budgeted or first.done:
+            return
+        until = self.rests_until.get(key, 0.0)
+        # One that is due within the clock's slack goes now: its timer would be set again, for ever.
+        if until > self._state.now + CLOCK_SLACK:
+            self._state.schedule(until, key)
+        else:
+            self._book(first)
+
+    def forget_old(self) -> None:
+        """Drop keys that have rested: they may never come back."""
+        for key in [key for key, until in self.rests_until.items() if until <= self._state.now]:
+            del self.rests_until[key]
--- /dev/null
+++ b/mallowbeam/storage_gateway/scheduler/queue_layout.py
@@ -0,0 +1,180 @@
+"""In which order a node's queue is sent: by value where it can't all be served within its latency targets.
+
+Units inside the reserve of their volume are worth most, then those inside its fair share by weight, then
+spare ones.  Where a node's time is short, the least valued give way (design page, "every read is worth the
+same").
+"""
+
+from __future__ import annotations
+
+from heapq import heappop, heappush
+from typing import NamedTuple
+
+from mallowbeam.storage_gateway.scheduler.interface import Idempotency
+from mallowbeam.storage_gateway.scheduler.model import FairShare, Node, Request, Tier
+from mallowbeam.storage_gateway.scheduler.slow_start import SlowStart
+from mallowbeam.storage_gateway.scheduler.state import NEVER, SchedulerState
+from mallowbeam.storage_gateway.scheduler.volume_table import VolumeTable
+from mallowbeam.storage_gateway.scheduler.volumes import Volume
+
+ACTIVE_TIME = 2.0  # seconds for which a volume counts in the sharing of a node after its last request
+CAPACITY_SHARED = 0.9  # of a node's capacity is shared out by weight (the platform's terms)
+CONGESTION_VALUE = 0.3  # of the dearest unit: what one must be worth where waiting takes up the target
+
+
+class Pace(NamedTuple):
+    """How fast a node takes units."""
+
+    slot_time: float  # seconds per unit
+    free_units: float  # that can be sent at once
+
+
+class QueueLayout:
+    """Values the queues of nodes and puts them in order."""
+
+    def __init__(self, state: SchedulerState, volumes: VolumeTable, slow_start: SlowStart) -> None:
+        self._state = state
+        self._volumes = volumes
+        self._slow_start = slow_start
+        settings = state.settings
+        self._max_units = float(settings.max_units)
+        self._tier_values = (1.0, settings.share_value, settings.spare_value)
+
+    def arrange(self, node: Node) -> tuple[list[Request], list[Request]]:
+        """The order of a node's queue: what meets its target, then what is late; and what has no slot."""
+        self._value(node)
+        rejected: list[Request] = []
+        queue: list[Request] = []
+        for _, _, request in node.queue:
+            (rejected if self._slow_start.bars(node, request) else queue).append(request)
+        # Taken before latencies fade: the whole layout is by one slot time.
+        pace = Pace(node.slot_time(), node.window - node.units_in_flight)
+        units = self._choose_on_time(node, queue, pace)
+        order = [request for request in queue if not request.late]
+        price = self.price(node)
+        late = [request for request in queue if request.late]
+        served, unserved = self._split_late(node, late, units, price, pace)
+        order += served
+        rejected += unserved
+        if node.suspect and not order:  # one is sent on trial: the least harmful, the smallest
+            order = sorted(
+                rejected,
+                key=lambda request: (
+                    request.request_class.idempotency is Idempotency.UNSAFE,
+                    request.units,
+                    request.sequence,
+                ),
+            )
+        return order, rejected
+
+    def price(self, node: Node) -> float:
+        """What a unit must be worth to go to a node now.
+
+        Rejected bids raise it, and so does latency above the lowest measured: it is others' work there.
+        """
+        state = self._state
+        node.refresh()
+        floor = state.baseline.floor
+        waiting = max(node.smoothed_latency, node.overdue_time()) - floor
+        congestion = min(1.0, max(0.0, waiting) / max(state.cycle - floor, state.cycle / 4))
+        return max(node.bid(), CONGESTION_VALUE * self._volumes.max_unit_value * congestion**2)
+
+    def _value(self, node: Node) -> None:
+        """Set tier and value of all requests of a node's queue."""
+        now = self._state.now
+        if now - node.total_weight_at > ACTIVE_TIME / 4:
+            node.fair_shares = {
+                volume: share
+                for volume, share in node.fair_shares.items()
+                if now - share.refilled_at <= ACTIVE_TIME
+            }
+            node.total_weight_at = now
+            node.total_weight = sum(volume.plan.weight for volume in node.fair_shares)
+        capacity = CAPACITY_SHARED * node.window / max(node.smoothed_latency, 1e-3)
+        capacity_by_weight = capacity / max(node.total_weight, 1e-9)
+        # Counted anew each time: the classes worth most take what is due first.
+        levels_of: dict[Volume, list[float]] = {}
+        requests = sorted((entry[2] for entry in node.queue), key=_negative_class_value)
+        for request in requests:
+            volume = request.volume
+            levels = levels_of.get(volume)
+            if levels is None:
+                levels = levels_of[volume] = self._levels(node, volume, capacity_by_weight)
+            half = request.units / 2
+            if levels[0] >= half:
+                tier = Tier.RESERVED
+            elif levels[1] >= half:
+                tier = Tier.FAIR_SHARE
+            else:
+                tier = Tier.SPARE
+            levels[tier] -= request.units
+            request.tier = tier
+            request.unit_value = request.request_class.value * volume.plan.price * self._tier_values[tier]
+
+    def _levels(self, node: Node, volume: Volume, capacity_by_weight: float) -> list[float]:
+        """The units that a volume may use now, by tier."""
+        now = self._state.now
+        volume.refill(now)
+        rate = capacity_by_weight * volume.plan.weight
+        share = node.fair_shares.get(volume)
+        if share is None:
+            share = node.fair_shares[volume] = FairShare(self._max_units, now)
+        share.refill(now, rate, max(rate, self._max_units))
+        return [volume.reserve_level, share.level, NEVER]
+
+    def _choose_on_time(self, node: Node, queue: list[Request], pace: Pace) -> int:
+        """Mark as late what can't meet its target; where requests compete, the least valued give way.
+
+        Returns the units that meet their targets.  `queue` is in the order of targets: at each request, those
+        before it are given up from the least valued on until it is in time.
+        """
+        now = self._state.now
+        slot_time, free_units = pace
+        base = node.base_latency()
+        slope = self._state.baseline.slope
+        on_time: list[tuple[float, int, Request]] = []  # a heap, the least valued first
+        units = 0
+        for request in queue:
+            request.late = False
+            latency = base + slope * request.units
+            heappush(on_time, (request.unit_value, -request.sequence, request))
+            units += request.units
+            while on_time and now + max(0.0, units - free_units) * slot_time + latency > request.target_at:
+                victim = heappop(on_time)[2]
+                victim.late = True
+                units -= victim.units
+                if (
+                    now + latency < victim.target_at and not victim.outbid
+                ):  # others took its slot, not its size
+                    victim.outbid = True
+                    node.bid(victim.unit_value)
+                if victim is request:
+                    break
+        return units
+
+    def _split_late(
+        self, node: Node, late: list[Request], units: int, price: float, pace: Pace
+    ) -> tuple[list[Request], list[Request]]:
+        """Late requests that follow `units` in time and are worth the price, by value; and the others."""
+        now = self._state.now
+        slot_time, free_units = pace
+        served: list[Request] = []
+        rejected: list[Request] = []
+        for request in sorted(late, key=_late_order):
+            wait = max(0.0, units + request.units - free_units) * slot_time
+            ends_at = now + wait + node.expected_latency(request.units)
+            late_value = request.unit_value * request.request_class.late_value
+            if ends_at > request.deadline or node.suspect or late_value < price:
+                rejected.append(request)
+            else:
+                units += request.units
+                served.append(request)
+        return served, rejected
+
+
+def _negative_class_value(request: Request) -> float:
+    return -request.request_class.value
+
+
+def _late_order(request: Request) -> tuple[float, int]:
+    return (-request.unit_value * request.request_class.late_value, request.sequence)
--- /dev/null
+++ b/mallowbeam/storage_gateway/scheduler/request_endings.py
@@ -0,0 +1,61 @@
+"""The one way in which a request ends."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from mallowbeam.storage_gateway.scheduler.interface import (
+    Cancel,
+    DeduplicationScope,
+    Fail,
+    Idempotency,
+    Reject,
+)
+from mallowbeam.storage_gateway.scheduler.model import Request
+from mallowbeam.storage_gateway.scheduler.state import SchedulerState
+
+
+class RequestEndings:
+    """Ends requests, and forgets them once nothing of them is in flight."""
+
+    def __init__(self, state: SchedulerState) -> None:
+        self._state = state
+        self.on_forgotten: Callable[[str], None]
+        """Called with the key of an ordered request that is over; set by `Scheduler`."""
+
+    def end(self, request: Request, answered: bool = False, retry_after: float | None = None) -> None:
+        """Give a request its final answer, unless it has one (`answered`) or had one before.
+
+        It is rejected where a retry by the client is harmless for certain, else it has failed.
+        """
+        if request.done:
+            return
+        request.done = True
+        settings = self._state.settings
+        if not answered and (
+            is_idempotent_everywhere(request) or not (request.possible_runs or request.in_flight)
+        ):
+            wait = min(retry_after or self._state.cycle, settings.max_retry_after)
+            self._state.actions.append(Reject(request.id, wait if settings.retry_after else None))
+        elif not answered:
+            self._state.actions.append(Fail(request.id))
+        if settings.may_cancel:
+            self._state.actions += [Cancel(request.id, number) for number in request.in_flight]
+        if request.budgeted and not request.charged:
+            request.volume.pending_units -= request.units
+        self.forget(request)
+
+    def forget(self, request: Request) -> None:
+        """Forget a request that is over, and has no attempt in flight."""
+        if request.done and not request.in_flight:
+            self._state.requests.pop(request.id, None)
+            if request.order_key:
+                self.on_forgotten(request.order_key)
+
+
+def is_idempotent_everywhere(request: Request) -> bool:
+    """Whether any node may run a request a second time without a second effect, at any time."""
+    request_class = request.request_class
+    if request_class.idempotency is Idempotency.KEYED:
+        return request_class.dedup_scope is DeduplicationScope.ALL
+    return request_class.idempotency is Idempotency.SAFE
--- a/mallowbeam/storage_gateway/scheduler/settings.py
+++ b/mallowbeam/storage_gateway/scheduler/settings.py
@@ -1,4 +1,4 @@
-"""Decodes the settings of a host once, for both hosts.
+"""Decodes a host's settings; with `simulator_host` the only place that knows the simulator's words.
 
 The simulator sends `path=value` pairs; the platform's configuration holds the same names as nested JSON,
 which is flattened to the same paths, so that one decoder serves both.
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
+from typing import Any, TypeVar
 
 from mallowbeam.storage_gateway.scheduler.interface import (
     DeduplicationScope,
@@ -16,127 +17,188 @@
     Settings,
 )
 
+T = TypeVar("T")
+
+ABSENT = "-"  # how the wire marks a value that is not there
 SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.SHARD}
 
 
-def opt(part: str, convert: Callable = float):
-    """A value, or None where the wire marks it absent."""
-    return None if part == "-" else convert(part)
+def opt(text: str, convert: Callable[[str], T]) -> T | None:
+    """A value, or None where the wire marks it absent; errors are those of `convert`."""
+    return None if text == ABSENT else convert(text)
 
 
-def flag(part: str) -> bool:
-    """A wire bool as message fields (1, 0) and settings (true, false) write it."""
-    if part in ("1", "true"):
+def flag(text: str) -> bool:
+    """A bool as message fields (1, 0) and settings (true, false) write it; `ValueError` for anything else."""
+    if text in ("1", "true"):
         return True
-    if part in ("0", "false", "-"):
+    if text in ("0", "false", ABSENT):
         return False
-    raise ValueError(f"not a bool: {part}")
+    raise ValueError(f"not a bool: {text}")
 
 
 def read_pairs(pairs: list[str]) -> dict[str, str]:
-    """The simulator's start-up pairs by path."""
-    raw: dict[str, str] = {}
+    """The simulator's start-up pairs by path; `ValueError` for what is no pair."""
+    values: dict[str, str] = {}
     for pair in pairs:
-        path, sep, value = pair.partition("=")
-        if not sep:
+        path, separator, value = pair.partition("=")
+        if not separator:
             raise ValueError(f"not a path=value pair: {pair}")
-        raw[path] = value
-    return raw
+        values[path] = value
+    return values
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Nested JSON by path, spelt as the simulator's pairs spell it."""
+    """Nested JSON by path, written as the simulator's pairs write it."""
     if isinstance(value, dict):
         parts = [flatten(item, f"{path}.{name}" if path else name) for name, item in value.items()]
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         parts = [{f"{path}.count": str(len(value))}]
-        parts += [flatten(item, f"{path}.{i}") for i, item in enumerate(value)]
+        parts += [flatten(item, f"{path}.{index}") for index, item in enumerate(value)]
     elif isinstance(value, list):
         return {path: ",".join(spell(item) for item in value)}
     else:
         return {path: spell(value)}
-    return {name: item for part in parts for name, item in part.items()}
+    return {name: item for flat in parts for name, item in flat.items()}
 
 
 def spell(value: object) -> str:
     """A plain JSON value as the pairs write it."""
     if isinstance(value, bool):
         return "true" if value else "false"
-    return "-" if value is None else str(value)
+    return ABSENT if value is None else str(value)
+
+
+class SettingsReader:
+    """Values by path, converted; absent and empty ones have defaults."""
+
+    def __init__(self, values: dict[str, str]) -> None:
+        self._values = values
+
+    def optional(self, path: str, convert: Callable[[str], T]) -> T | None:
+        """A value, or None where there is none."""
+        value = self._values.get(path, ABSENT)
+        return None if value in (ABSENT, "") else convert(value)
+
+    def number(self, path: str, default: float = 0.0) -> float:
+        """A number, with a default."""
+        value = self.optional(path, float)
+        return default if value is None else value
 
+    def integer(self, path: str, default: int) -> int:
+        """A whole number, with a default."""
+        value = self.optional(path, int)
+        return default if value is None else value
 
-def read_settings(seed: int, raw: dict[str, str]) -> Settings:
-    """Settings given by path as `Settings`; unknown ones are skipped."""
+    def text(self, path: str, default: str = "") -> str:
+        """A text, with a default."""
+        return self.optional(path, str) or default
 
-    def get(path: str, convert: Callable = float, default=None):
-        value = raw.get(path, "-")
-        return default if value in ("-", "") else convert(value)
+    def flag(self, path: str) -> bool:
+        """A bool; False where there is none."""
+        return self.optional(path, flag) or False
 
-    def items(path: str) -> Iterator[str]:
-        return (f"{path}.{i}." for i in range(get(f"{path}.count", int, 0)))
+    def items(self, path: str) -> Iterator[str]:
+        """The paths of a list's items, each with a dot at its end."""
+        return (f"{path}.{index}." for index in range(self.integer(f"{path}.count", 0)))
 
-    writes = dict(enumerate(map(flag, get("FamilyInfo.ClassWrites", lambda text: text.split(","), []))))
-    classes = [
+
+def read_settings(seed: int, values: dict[str, str]) -> Settings:
+    """Settings given by path; unknown paths are skipped.
+
+    Raises:
+        ValueError: a value can't be converted.
+        KeyError: a deduplication scope is unknown.
+    """
+    reader = SettingsReader(values)
+    classes = _read_classes(reader)
+    plans = [_read_plan(reader, path) for path in reader.items("Plans")]
+    return Settings(
+        seed=seed,
+        host_index=reader.integer("MyNumber", 0),
+        hosts=reader.integer("Balancers", 1),
+        zone=reader.text("Zone"),
+        tick=reader.number("Resolution", 0.001),
+        classes={request_class.name: request_class for request_class in classes},
+        plans={plan.name: plan for plan in plans},
+        discovery_on_request=reader.text("Discovery", "pushed") == "on_request",
+        **_read_family(reader),
+        **_read_ceilings(reader),
+        **_read_guarantees(reader),
+    )
+
+
+def _read_classes(reader: SettingsReader) -> list[RequestClass]:
+    write_flags = reader.text("FamilyInfo.ClassWrites")
+    writes = dict(enumerate(map(flag, write_flags.split(",") if write_flags else [])))
+    return [
         RequestClass(
-            name=get(p + "Name", str, ""),
-            value=get(p + "Credit", float, 1.0),
-            latency_target=get(p + "OnTime", float, 1.0),
-            deadline=get(p + "HardLimit", float, 1.0),
-            late_value=get(p + "LateWorth", float, 0.0),
-            idempotency=Idempotency(get(p + "Idempotency", str, "unsafe")),
-            dedup_scope=get(p + "KeyScope", SCOPES.__getitem__, DeduplicationScope.ALL),
-            dedup_window=get(p + "Window", float, 0.0),
-            streamed=get(p + "Stream", flag, False),
-            ordered=get(p + "InOrder", flag, False),
-            writes=writes.get(i),
+            name=reader.text(path + "Name"),
+            value=reader.number(path + "Credit", 1.0),
+            latency_target=reader.number(path + "OnTime", 1.0),
+            deadline=reader.number(path + "HardLimit", 1.0),
+            late_value=reader.number(path + "LateWorth"),
+            idempotency=Idempotency(reader.text(path + "Idempotency", "unsafe")),
+            dedup_scope=SCOPES[reader.text(path + "KeyScope", "all")],
+            dedup_window=reader.number(path + "Window"),
+            streamed=reader.flag(path + "Stream"),
+            ordered=reader.flag(path + "InOrder"),
+            writes=writes.get(index),
         )
-        for i, p in enumerate(items("Classes"))
+        for index, path in enumerate(reader.items("Classes"))
     ]
-    plans = [
-        Plan(
-            name=get(p + "Name", str, ""),
-            rate=get(p + "Nominal", float, 0.0),
-            reserve=get(p + "Reservation", float, 0.0),
-            weight=get(p + "Shares", float, 1.0),
-            price=get(p + "Pays", float, 1.0),
-            limit=get(p + "Limit", float, 0.0),
-            limit_burst=get(p + "MostAtOnce", float, 0.0),
-            limit_slack=get(p + "Tolerance", float, 0.0),
-        )
-        for p in items("Plans")
-    ]
-    g = "Guarantees."
-    return Settings(
-        seed=seed,
-        host_index=get("MyNumber", int, 0),
-        hosts=get("Balancers", int, 1),
-        zone=get("Zone", str, ""),
-        tick=get("Resolution", float, 0.001),
-        classes={c.name: c for c in classes},
-        plans={p.name: p for p in plans},
-        typical_units=get("FamilyInfo.UsualUnits", float, 1.0),
-        max_units=get("FamilyInfo.UnitsTop", int, 1),
-        shards=get("FamilyInfo.SlotsTotal", int, 1),
-        share_value=get("FamilyInfo.FairWorth", float, 1.0),
-        spare_value=get("FamilyInfo.SpareWorth", float, 1.0),
-        meter_period=get("FamilyInfo.UsePeriod", float, 0.0),
-        reports_remote_units=get("FamilyInfo.TellsElsewhere", flag, False),
-        may_cancel=get("Ceilings.Cancel", flag, False),
-        may_check_health=get("Ceilings.MayProbe", flag, False),
-        may_duplicate=get("Ceilings.MayDuplicate", flag, False),
-        max_attempts=get("Ceilings.TryLimit", int),
-        retry_after=get("Ceilings.RetryAfter", flag, False),
-        max_retry_after=get("Ceilings.MaxRetryAfter", float, 0.0),
-        discovery_on_request=get("Discovery", str, "pushed") == "on_request",
-        max_list_age=get(g + "AskEvery"),
-        drain_grace=get(g + "DrainGrace"),
-        slow_start_units=get("FamilyInfo.ColdBears"),
-        slow_start_capacity=get(g + "StartCapacity", float, 1.0),
-        slow_start_time=get(g + "Cold"),
-        overload_multiple=get(g + "TipMultiple"),
-        overload_window=get(g + "Fall"),
-        order_settle_time=get(g + "OrderSettle", float, 0.0),
-        retry_budget_floor=get(g + "ExtraFloor"),
-        retry_budget_ratio=get(g + "ExtraPerRequest", float, 0.0),
-        retry_budget_window=get(g + "CountedOver", float, 0.0),
+
+
+def _read_plan(reader: SettingsReader, path: str) -> Plan:
+    return Plan(
+        name=reader.text(path + "Name"),
+        rate=reader.number(path + "Nominal"),
+        reserve=reader.number(path + "Reservation"),
+        weight=reader.number(path + "Shares", 1.0),
+        price=reader.number(path + "Pays", 1.0),
+        limit=reader.number(path + "Limit"),
+        limit_burst=reader.number(path + "MostAtOnce"),
+        limit_slack=reader.number(path + "Tolerance"),
     )
+
+
+def _read_family(reader: SettingsReader) -> dict[str, Any]:
+    """Fields of `Settings` on the family of nodes."""
+    return {
+        "typical_units": reader.number("FamilyInfo.UsualUnits", 1.0),
+        "max_units": reader.integer("FamilyInfo.UnitsTop", 1),
+        "shards": reader.integer("FamilyInfo.SlotsTotal", 1),
+        "share_value": reader.number("FamilyInfo.FairWorth", 1.0),
+        "spare_value": reader.number("FamilyInfo.SpareWorth", 1.0),
+        "meter_period": reader.number("FamilyInfo.UsePeriod"),
+        "reports_remote_units": reader.flag("FamilyInfo.TellsElsewhere"),
+        "slow_start_units": reader.optional("FamilyInfo.ColdBears", float),
+    }
+
+
+def _read_ceilings(reader: SettingsReader) -> dict[str, Any]:
+    """Fields of `Settings` on what a host may do."""
+    return {
+        "may_cancel": reader.flag("Ceilings.Cancel"),
+        "may_check_health": reader.flag("Ceilings.MayProbe"),
+        "may_duplicate": reader.flag("Ceilings.MayDuplicate"),
+        "max_attempts": reader.optional("Ceilings.TryLimit", int),
+        "retry_after": reader.flag("Ceilings.RetryAfter"),
+        "max_retry_after": reader.number("Ceilings.MaxRetryAfter"),
+    }
+
+
+def _read_guarantees(reader: SettingsReader) -> dict[str, Any]:
+    """Fields of `Settings` on the platform's rules."""
+    return {
+        "max_list_age": reader.optional("Guarantees.AskEvery", float),
+        "drain_grace": reader.optional("Guarantees.DrainGrace", float),
+        "slow_start_capacity": reader.number("Guarantees.StartCapacity", 1.0),
+        "slow_start_time": reader.optional("Guarantees.Cold", float),
+        "overload_multiple": reader.optional("Guarantees.TipMultiple", float),
+        "overload_window": reader.optional("Guarantees.Fall", float),
+        "order_settle_time": reader.number("Guarantees.OrderSettle"),
+        "retry_budget_floor": reader.optional("Guarantees.ExtraFloor", float),
+        "retry_budget_ratio": reader.number("Guarantees.ExtraPerRequest"),
+        "retry_budget_window": reader.number("Guarantees.CountedOver"),
+    }
--- a/mallowbeam/storage_gateway/scheduler/simulator_host.py
+++ b/mallowbeam/storage_gateway/scheduler/simulator_host.py
@@ -1,18 +1,21 @@
-"""Speaks the simulator's wire on standard input and output, and the module's interface inside.
+"""The scheduler on the simulator's wire: lines on standard input and output.
 
-Holds many instances, each a `Scheduler` of its own with nothing shared between them.  Nothing is
-decided here: every line is translated, one for one.
+`python -m mallowbeam.storage_gateway.scheduler.simulator_host` holds many instances, each a `Scheduler` of
+its own with nothing shared between them.  Nothing is decided here: every line is translated, one for one.
+The wire's words are in this module and in `settings` alone (WIRE-mallowbeam.md); times are seconds with six
+decimals.
 """
 
 from __future__ import annotations
 
 import sys
 from collections.abc import Callable
-from typing import TextIO
+from typing import Any, TextIO
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.storage_gateway.scheduler import Scheduler
 from mallowbeam.storage_gateway.scheduler.interface import (
+    Action,
     AttemptEnded,
     Cancel,
     ClientDisconnected,
@@ -50,181 +53,244 @@
     "X": Outcome.CANCELLED,
     "N": Outcome.NOT_SENT,
 }
-LIST_KINDS = {
+UPDATE_KINDS = {
     "patch": DiscoveryUpdateKind.DELTA,
     "whole": DiscoveryUpdateKind.FULL,
     "stale_copy": DiscoveryUpdateKind.CACHED,
     "broken": DiscoveryUpdateKind.FAILED,
 }
-STATES = {"live": NodeState.READY, "quiescing": NodeState.DRAINING, "dead": NodeState.REMOVED}
-FLAG_RETRY, FLAG_WRITE = 2, 4
+NODE_STATES = {"live": NodeState.READY, "quiescing": NodeState.DRAINING, "dead": NodeState.REMOVED}
+FLAG_RETRY = 2
+FLAG_WRITE = 4
+PERCENT = 100.0
+EXIT_BAD_INPUT = 2
 
 
 class WireError(MallowbeamError):
-    """A line that does not follow the simulator's wire."""
+    """A line that does not follow the wire."""
 
     error_name = "Malformed"
     remedy = "run the simulator that this version was made for"
 
 
-def read_entry(p: list[str]) -> NodeEntry:
-    """One `NODE` line of a list."""
-    if p[0] != "NODE":
+# --- from the wire ----------------------------------------------------------------------------
+
+
+def read_entry(fields: list[str]) -> NodeEntry:
+    """One `NODE` line of a list; `ValueError` for any other line."""
+    if fields[0] != "NODE":
         raise ValueError("expected a NODE line")
     return NodeEntry(
-        state=STATES[p[1]],
-        shard=opt(p[2], int) or 0,
-        zone=opt(p[3], str) or "",
-        started_at=opt(p[4]) or None,
-        machine=opt(p[5], str) or "",
-        weight=opt(p[6]) or 0.0,
-        node=p[7],
+        state=NODE_STATES[fields[1]],
+        shard=opt(fields[2], int) or 0,
+        zone=opt(fields[3], str) or "",
+        started_at=opt(fields[4], float) or None,
+        machine=opt(fields[5], str) or "",
+        weight=opt(fields[6], float) or 0.0,
+        node=fields[7],
     )
 
 
-def read_request(p: list[str]) -> RequestArrived:
-    """A `NEW_REQUEST` line."""
-    shard, bits = opt(p[3], int), opt(p[4], int) or 0
+def read_request(fields: list[str]) -> RequestArrived:
+    """A `NEW_REQUEST` line; a shard below 0 is none."""
+    shard = opt(fields[3], int)
+    flags = opt(fields[4], int) or 0
     return RequestArrived(
-        request=p[2],
+        request=fields[2],
         shard=None if shard is None or shard < 0 else shard,
-        is_retry=bool(bits & FLAG_RETRY),
-        is_write=bool(bits & FLAG_WRITE),
-        request_class=p[5],
-        volume_hosts=opt(p[6], int),
-        units=opt(p[7], int) or 1,
-        volume=opt(p[8], str) or "",
-        expires_in=float(p[9]),
-        key=opt(p[10], str),
-        plan=opt(p[11], str) or "",
+        is_retry=bool(flags & FLAG_RETRY),
+        is_write=bool(flags & FLAG_WRITE),
+        request_class=fields[5],
+        volume_hosts=opt(fields[6], int),
+        units=opt(fields[7], int) or 1,
+        volume=opt(fields[8], str) or "",
+        expires_in=float(fields[9]),
+        key=opt(fields[10], str),
+        plan=opt(fields[11], str) or "",
     )
 
 
-def read_settled(p: list[str]) -> AttemptEnded:
-    """A `SETTLED` line."""
-    used = opt(p[8], int) or 0
+def read_attempt_ended(fields: list[str]) -> AttemptEnded:
+    """A `SETTLED` line; its use of the plan's rate is in percent and 1 more, 0 where it is not reported."""
+    usage = opt(fields[8], int) or 0
     return AttemptEnded(
-        request=p[2],
-        attempt=int(p[3]),
-        node=p[4],
-        outcome=OUTCOMES[p[5]],
-        latency=opt(p[6]) or 0.0,
-        finished=flag(p[7]),
-        usage_ratio=(used - 1) / 100.0 if used > 0 else None,
-        remote_units=opt(p[9], int) or 0,
+        request=fields[2],
+        attempt=int(fields[3]),
+        node=fields[4],
+        outcome=OUTCOMES[fields[5]],
+        latency=opt(fields[6], float) or 0.0,
+        finished=flag(fields[7]),
+        usage_ratio=(usage - 1) / PERCENT if usage > 0 else None,
+        remote_units=opt(fields[9], int) or 0,
     )
 
 
+def read_stream_started(fields: list[str]) -> StreamStarted:
+    """A `HEADERS` line."""
+    return StreamStarted(fields[2], int(fields[5]), fields[3], opt(fields[4], float) or 0.0)
+
+
+def read_health_check(fields: list[str]) -> HealthCheckEnded:
+    """A `PING_RESULT` line."""
+    return HealthCheckEnded(fields[2], opt(fields[3], float) or 0.0, OUTCOMES[fields[4]])
+
+
+def read_peer_message(fields: list[str]) -> PeerMessage:
+    """An `INBOX` line."""
+    return PeerMessage(int(fields[2]), bytes.fromhex(opt(fields[3], str) or ""))
+
+
 READERS: dict[str, Callable[[list[str]], Event]] = {
     "NEW_REQUEST": read_request,
-    "SETTLED": read_settled,
-    "BELL": lambda p: TimerFired(int(p[2])),
-    "ABANDONED": lambda p: ClientDisconnected(p[2]),
-    "HEADERS": lambda p: StreamStarted(p[2], int(p[5]), p[3], opt(p[4]) or 0.0),
-    "PING_RESULT": lambda p: HealthCheckEnded(p[2], opt(p[3]) or 0.0, OUTCOMES[p[4]]),
-    "INBOX": lambda p: PeerMessage(int(p[2]), bytes.fromhex(opt(p[3], str) or "")),
+    "SETTLED": read_attempt_ended,
+    "BELL": lambda fields: TimerFired(int(fields[2])),
+    "ABANDONED": lambda fields: ClientDisconnected(fields[2]),
+    "HEADERS": read_stream_started,
+    "PING_RESULT": read_health_check,
+    "INBOX": read_peer_message,
 }
 
 
-def seconds(value: float) -> str:
-    """Microseconds are as fine as the simulator counts."""
-    return f"{value:.6f}"
-
-
-WRITERS: dict[type, Callable[[str, object], str]] = {
-    Send: lambda h, a: f"PLACE {h} {a.request} {a.node} "
-    f"{'-' if a.timeout is None else seconds(a.timeout)}",
-    Cancel: lambda h, a: f"DROP_ATTEMPT {h} {a.request} {a.attempt}",
-    Reject: lambda h, a: f"SAY_NO {h} {a.request} "
-    f"{'-' if a.retry_after is None else seconds(a.retry_after)}",
-    Fail: lambda h, a: f"REPORT_FAILURE {h} {a.request}",
-    SetTimer: lambda h, a: f"DEFER {h} {seconds(a.at)} {a.token}",
-    WatchNodes: lambda h, a: f"TRACK {h} {int(a.active)}",
-    FetchNodes: lambda h, a: f"SNAPSHOT {h}",
-    HealthCheck: lambda h, a: f"PROBE {h} {a.node}",
-    CloseIdleConnections: lambda h, a: f"RELEASE {h} {a.node}",
-    LogLine: lambda h, a: f"DEBUG {h} {' '.join(a.text.split())}",
+# --- to the wire ------------------------------------------------------------------------------
+
+
+def seconds(value: float | None) -> str:
+    """A time or a duration; microseconds are as fine as the simulator counts."""
+    return "-" if value is None else f"{value:.6f}"
+
+
+WRITERS: dict[type, Callable[[str, Any], str]] = {
+    Send: lambda host, action: f"PLACE {host} {action.request} {action.node} {seconds(action.timeout)}",
+    Cancel: lambda host, action: f"DROP_ATTEMPT {host} {action.request} {action.attempt}",
+    Reject: lambda host, action: f"SAY_NO {host} {action.request} {seconds(action.retry_after)}",
+    Fail: lambda host, action: f"REPORT_FAILURE {host} {action.request}",
+    SetTimer: lambda host, action: f"DEFER {host} {seconds(action.at)} {action.token}",
+    WatchNodes: lambda host, action: f"TRACK {host} {int(action.active)}",
+    FetchNodes: lambda host, _: f"SNAPSHOT {host}",
+    HealthCheck: lambda host, action: f"PROBE {host} {action.node}",
+    CloseIdleConnections: lambda host, action: f"RELEASE {host} {action.node}",
+    LogLine: lambda host, action: f"DEBUG {host} {' '.join(action.text.split())}",
 }
 
 
+def write_action(host: str, action: Action) -> str:
+    """One line of a reply."""
+    return WRITERS[type(action)](host, action)
+
+
+class Batch:
+    """What one batch says: new instances, ended ones, and events by instance in the order of their lines."""
+
+    def __init__(self) -> None:
+        self.events: dict[str, list[Event]] = {}
+        self.new: dict[str, Settings] = {}
+
+    def add(self, host: str, event: Event) -> None:
+        """One event of an instance."""
+        self.events.setdefault(host, []).append(event)
+
+    def start(self, host: str, settings: Settings) -> None:
+        """A new instance; what the batch said of one of this name before is void."""
+        self.new[host] = settings
+        self.events[host] = []
+
+    def stop(self, host: str) -> None:
+        """The end of an instance."""
+        self.new.pop(host, None)
+        self.events.pop(host, None)
+
+
 class Wire:
-    """Reads batches, steps the instances they name and writes one reply a batch."""
+    """Reads batches, steps the instances they name, and writes one reply a batch.  It owns the instances."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
-        self.source, self.sink = source, sink
+        self.source = source
+        self.sink = sink
         self.hosts: dict[str, Scheduler] = {}
-
-    def line(self) -> list[str]:
-        """The next line in its parts; the end of input inside a batch is an error."""
-        text = self.source.readline()
-        if not text:
-            raise WireError("input ended inside a batch")
-        self.text = text.rstrip("\n")
-        return self.text.split(" ")
+        self._line = ""  # the last one read, for the text of an error
 
     def run(self) -> None:
-        """Answer batch after batch until the input ends."""
+        """Answer batch after batch until the input ends.
+
+        Raises:
+            WireError: a line is malformed, or the input ends inside a batch.
+        """
         while True:
-            self.text = self.source.readline()
-            if not self.text:
+            text = self.source.readline()
+            if not text:
                 return
-            self.text = self.text.rstrip("\n")
-            if not self.text:
+            self._line = text.rstrip("\n")
+            if not self._line:
                 continue
             try:
-                reply = self.batch(self.text.split(" "))
+                reply = self.reply(self._line.split(" "))
             except (ValueError, IndexError, KeyError) as error:
-                raise WireError(f"malformed line: {self.text!r} ({type(error).__name__}: {error})") from error
+                reason = f"{type(error).__name__}: {error}"
+                raise WireError(f"malformed line: {self._line!r} ({reason})") from error
             self.sink.write("\n".join(reply) + "\n")
             self.sink.flush()
 
-    def batch(self, head: list[str]) -> list[str]:
-        """One batch, from its TICK line to its end, and the lines of the reply."""
+    def reply(self, head: list[str]) -> list[str]:
+        """The lines that answer the batch which begins with a `TICK` line."""
         if head[0] != "TICK":
             raise ValueError("expected a TICK line")
         now = float(head[1])
-        events: dict[str, list[Event]] = {}
-        fresh: dict[str, Settings] = {}
-        while (p := self.line())[0] != "EOF_BATCH":
-            kind = p[0]
-            if not p[0]:
-                continue
-            if kind == "NEW_INSTANCE":
-                fresh[p[1]] = read_settings(int(p[2]), read_pairs(p[3:]))
-                events[p[1]] = []
-            elif kind == "SHUTDOWN":
-                for table in (self.hosts, fresh, events):
-                    table.pop(p[1], None)
-            elif kind == "PEERS_KNOWN":
-                kind_of, version, count = LIST_KINDS[p[2]], opt(p[3], int) or 0, opt(p[4], int) or 0
-                entries = [read_entry(self.line()) for _ in range(count)]
-                events.setdefault(p[1], []).append(DiscoveryUpdate(kind_of, version, entries))
-            elif kind in READERS:
-                events.setdefault(p[1], []).append(READERS[kind](p))
-            else:
-                raise ValueError("unknown message")
+        batch = self._read_batch()
         reply: list[str] = []
-        for host, batch in events.items():
+        for host, events in batch.events.items():
             try:
-                if host in fresh:
-                    self.hosts[host] = Scheduler(fresh[host], now)
+                if host in batch.new:
+                    self.hosts[host] = Scheduler(batch.new[host], now)
                 scheduler = self.hosts.get(host)
-                actions = scheduler.step(now, batch) if scheduler else []
-            except Exception as error:  # the wire wants every failure of the module said as such
+                actions = scheduler.step(now, events) if scheduler else []
+            except Exception as error:  # the wire wants every failure of the scheduler reported as such
                 reply.append(f"BROKEN {host} {type(error).__name__}: {' '.join(str(error).split())}")
                 continue
-            reply.extend(WRITERS[type(action)](host, action) for action in actions)
+            reply.extend(write_action(host, action) for action in actions)
         reply.append("READY")
         return reply
 
+    def _read_batch(self) -> Batch:
+        """The rest of a batch, to its end."""
+        batch = Batch()
+        while (fields := self._next_line())[0] != "EOF_BATCH":
+            kind = fields[0]
+            if kind in READERS:
+                batch.add(fields[1], READERS[kind](fields))
+            elif kind == "PEERS_KNOWN":
+                batch.add(fields[1], self._read_update(fields))
+            elif kind == "NEW_INSTANCE":
+                batch.start(fields[1], read_settings(int(fields[2]), read_pairs(fields[3:])))
+            elif kind == "SHUTDOWN":
+                self.hosts.pop(fields[1], None)
+                batch.stop(fields[1])
+            elif kind:
+                raise ValueError("unknown message")
+        return batch
+
+    def _read_update(self, fields: list[str]) -> DiscoveryUpdate:
+        """A `PEERS_KNOWN` line and the `NODE` lines that it announces."""
+        kind = UPDATE_KINDS[fields[2]]
+        version = opt(fields[3], int) or 0
+        count = opt(fields[4], int) or 0
+        return DiscoveryUpdate(kind, version, [read_entry(self._next_line()) for _ in range(count)])
+
+    def _next_line(self) -> list[str]:
+        """The next line in its fields; the end of the input is an error."""
+        text = self.source.readline()
+        if not text:
+            raise WireError("input ended inside a batch")
+        self._line = text.rstrip("\n")
+        return self._line.split(" ")
+
 
 def main() -> int:
-    """Run on standard input and output."""
+    """Run on standard input and output; the exit status is 2 where the input is malformed."""
     try:
         Wire(sys.stdin, sys.stdout).run()
     except (WireError, UnicodeDecodeError) as error:
         print(f"mallowbeam: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_INPUT
     return 0
 
 
--- /dev/null
+++ b/mallowbeam/storage_gateway/scheduler/state.py
@@ -0,0 +1,94 @@
+"""What all parts of the scheduler share: settings, clock, nodes, requests, timers and actions."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterator
+from heapq import heapify, heappop, heappush
+
+from mallowbeam.storage_gateway.scheduler.host_context import HostContext
+from mallowbeam.storage_gateway.scheduler.interface import Action, NodeState, SetTimer, Settings, WatchNodes
+from mallowbeam.storage_gateway.scheduler.model import Node, Request
+
+CLOCK_SLACK = 2e-6  # seconds: a clock that counts in microseconds may round a timer down
+MAX_STALE_TIMERS = 1000  # of requests that are over, before they are swept out
+NEVER = float("inf")
+UNLIMITED = 2**31  # attempts, where the settings give no limit
+DISCOVERY = ""  # the timer for a call to discovery
+
+Due = Node | Request | str  # what a timer is for: a node, a request, an ordered key, or `DISCOVERY`
+
+
+class SchedulerState(HostContext):
+    """The state of one host's scheduler that has no narrower owner."""
+
+    __slots__ = (
+        "actions",
+        "disabled_nodes",
+        "max_attempts",
+        "nodes",
+        "open",
+        "random",
+        "requests",
+        "sequence",
+        "started_at",
+        "timer_set_for",
+        "timers",
+        "touched",
+    )
+
+    def __init__(self, settings: Settings, now: float) -> None:
+        super().__init__(settings, now)
+        self.started_at = now
+        self.random = random.Random(settings.seed)
+        self.nodes: dict[str, Node] = {}
+        self.open: list[Node] = []  # where new work may go
+        self.disabled_nodes: dict[str, float] = {}  # by an operator, and since when
+        self.touched: dict[str, Node] = {}  # nodes to poll before the step ends
+        self.requests: dict[str, Request] = {}
+        self.max_attempts = settings.max_attempts or UNLIMITED
+        self.sequence = 0  # of requests and timers, so that ties are broken by order
+        self.timers: list[tuple[float, int, Due]] = []  # a heap
+        self.timer_set_for = NEVER  # the host's own timer
+        self.actions: list[Action] = [WatchNodes(True)] if settings.discovery_on_request else []
+
+    def schedule(self, when: float, due: Due) -> None:
+        """Come back to something at a time."""
+        self.sequence += 1
+        heappush(self.timers, (when, self.sequence, due))
+
+    def due_timers(self) -> Iterator[Due]:
+        """What is due now; nothing at a host's timer that a later one has replaced."""
+        until = self.now + CLOCK_SLACK
+        if until < self.timer_set_for:
+            return
+        self.timer_set_for = NEVER
+        while self.timers and self.timers[0][0] <= until:
+            yield heappop(self.timers)[2]
+
+    def set_host_timer(self) -> None:
+        """Ask the host for a timer, where something is due before the one that it has."""
+        if self.timers and self.timers[0][0] < self.timer_set_for:
+            self.timer_set_for = self.timers[0][0]
+            self.sequence += 1
+            self.actions.append(SetTimer(max(self.timer_set_for, self.now), self.sequence))
+
+    def take_actions(self) -> list[Action]:
+        """The actions of this step, once."""
+        actions = self.actions
+        self.actions = []
+        return actions
+
+    def forget_old(self) -> None:
+        """Drop nodes that are listed no more, and timers of requests that are over: memory is bounded."""
+        for name, node in list(self.nodes.items()):
+            is_warming = self.now <= node.slow_start_until
+            if node.state is NodeState.REMOVED and not node.in_flight and not is_warming:
+                del self.nodes[name]
+        if len(self.timers) > 2 * (len(self.requests) + len(self.nodes)) + MAX_STALE_TIMERS:
+            self.timers = [timer for timer in self.timers if not _is_over(timer[2])]
+            heapify(self.timers)
+
+
+def _is_over(due: Due) -> bool:
+    return isinstance(due, Request) and due.done
--- /dev/null
+++ b/mallowbeam/storage_gateway/scheduler/volume_table.py
@@ -0,0 +1,110 @@
+"""All volumes of a host, the plans in force and the allotments of single volumes."""
+
+from __future__ import annotations
+
+from mallowbeam.storage_gateway.scheduler.interface import Plan, PlanChanged, SiblingSend
+from mallowbeam.storage_gateway.scheduler.state import SchedulerState
+from mallowbeam.storage_gateway.scheduler.volumes import Volume, VolumeKey
+
+FORGET_AFTER = 30.0  # seconds without a request after which a volume's levels say nothing any more
+
+
+class VolumeTable:
+    """The volumes that requests count to; it owns them, and the plans."""
+
+    def __init__(self, state: SchedulerState) -> None:
+        self._state = state
+        self._top_class_value = max((c.value for c in state.settings.classes.values()), default=1.0)
+        self.by_key: dict[VolumeKey, Volume] = {}
+        # Plans by ("", name), allotments by volume and plan, and shard; each with this host's share.
+        self.plans: dict[VolumeKey, tuple[Plan, float | None]] = {
+            ("", name): (plan, None) for name, plan in state.settings.plans.items()
+        }
+        self.changed_at: dict[VolumeKey, float] = {}  # of plans, as long as it matters
+        self.max_unit_value = self._top_class_value * max(
+            (plan.price for plan in state.settings.plans.values()), default=1.0
+        )
+
+    def get(self, name: str, plan: str, hosts: int, shard: int | None = None) -> Volume:
+        """The volume that a request's units count to: its separate allotment at the shard, if it has one."""
+        separate = (name, plan, shard)
+        key: VolumeKey = separate if separate in self.plans else (name, plan)
+        volume = self.by_key.get(key)
+        if volume is None:
+            volume = self._add(key, hosts)
+        # Guards the limit against one client that names another plan or fewer hosts for the same volume.
+        volume.hosts = max(volume.hosts, hosts)
+        return volume
+
+    def _add(self, key: VolumeKey, hosts: int) -> Volume:
+        """A volume that was idle as long as can matter: its buckets have filled all that time."""
+        state = self._state
+        plan_key = ("", key[1])
+        changes = (self.changed_at.get(each, state.started_at) for each in (key, plan_key))
+        since = max(state.now - FORGET_AFTER, *changes)
+        volume = self.by_key[key] = Volume(key, hosts, state.settings.max_units, since)
+        plan, share = self.plans.get(key, self.plans.get(plan_key, (Plan(key[1]), None)))
+        volume.change(plan, share, since)
+        volume.reserve_level = volume.reserve_cap
+        return volume
+
+    def on_plan_changed(self, event: PlanChanged) -> None:
+        """Put a plan in force; an allotment with its plan's figures and no share is revoked."""
+        plan = event.plan
+        share = event.limit_share
+        key: VolumeKey = (event.volume, plan.name)
+        if event.shard is not None:
+            key = (event.volume, plan.name, event.shard)
+        self.plans[key] = (plan, share)
+        self.changed_at[key] = self._state.now
+        plan_key = ("", plan.name)
+        if event.volume and share is None and plan == self.plans.get(plan_key, (None,))[0]:
+            del self.plans[key]
+            plan, share = self.plans[plan_key]
+        if not event.volume:
+            prices = (known.price for each, (known, _) in self.plans.items() if not each[0])
+            self.max_unit_value = self._top_class_value * max(prices)
+        if event.shard is not None and key not in self.plans:
+            self._merge_separate(key)
+        for each in [key] if event.volume else [each for each in self.by_key if each[1] == plan.name]:
+            if each in self.by_key and (each == key or each not in self.plans):
+                self.by_key[each].change(plan, share, self._state.now)
+        self._move_requests(key[0], key[1], event.shard)
+
+    def _merge_separate(self, key: VolumeKey) -> None:
+        """End the separate bucket of a revoked allotment; what it owes stays owed."""
+        separate = self.by_key.pop(key, None)
+        if separate is not None:
+            separate.refill(self._state.now)
+            self.get(key[0], key[1], separate.hosts).limit_level += min(0.0, separate.limit_level)
+
+    def _move_requests(self, name: str, plan: str, shard: int | None) -> None:
+        """Count the waiting requests of a volume for a shard to where they belong now."""
+        for request in self._state.requests.values():
+            old = request.volume
+            if old.key[:2] == (name, plan) and request.shard == shard and not request.charged:
+                units = request.units if request.budgeted else 0
+                request.volume = self.get(name, plan, old.hosts, shard)
+                old.pending_units -= units
+                request.volume.pending_units += units
+
+    def on_sibling_send(self, event: SiblingSend) -> None:
+        """Count what another process of this host sent, from the level that it handed over."""
+        now = self._state.now
+        node = self._state.nodes.get(event.node)
+        volume = self.get(event.volume, event.plan, event.host_count, node.shard if node else None)
+        volume.refill(now)
+        level = volume.limit_level if event.limit_level is None else event.limit_level
+        volume.limit_level = level - event.charged_units
+        if node is not None and now < node.slow_start_until:
+            node.count_slow_start_send(now, event.units)
+
+    def forget_old(self) -> None:
+        """Drop what says nothing any more, so that memory is bounded."""
+        now = self._state.now
+        for key in [key for key, at in self.changed_at.items() if now - at > FORGET_AFTER]:
+            del self.changed_at[key]
+        for key, volume in list(self.by_key.items()):
+            is_used = volume.pending_units or volume.uploading_units
+            if not is_used and now - volume.refilled_at > FORGET_AFTER:
+                del self.by_key[key]
--- a/mallowbeam/storage_gateway/server/config.py
+++ b/mallowbeam/storage_gateway/server/config.py
@@ -105,7 +105,7 @@
     flat = flatten(raw["settings"])
 
     def seconds(path: str) -> float | None:
-        value: float | None = opt(flat.get(path, "-"))
+        value: float | None = opt(flat.get(path, "-"), float)
         return value
 
     settings = replace(read_settings(int(str(raw.get("seed", "0")), 16), flat), limit_at_arrival=True)
--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -28,9 +28,10 @@
 
 # What discovery has, and could be asked for, counts as told 6 s later, whatever call failed.  In the worst
 # phase it is back just after a call began that still runs into its time-out; then comes the module's longest
-# draw (MOST_AGAIN in `control/nodes.py`), then the next call, which is answered or turned away after a second
-# in discovery's queue: ANSWER + 2.2 + 1.0 = 5.4 s.  Where the first was an open watch that fell silent, the
-# module asks at once: WAITS[1] + OVERDUE + 1.0 = 5.4 s.  At an agent: AGENT_RETRY + AGENT_OVERDUE + 0.05 s.
+# draw (MAX_WATCH_RETRY in `scheduler/node_health.py`), then the next call, which is answered or turned away
+# after a second in discovery's queue: ANSWER + 2.2 + 1.0 = 5.4 s.  Where the first was an open watch that
+# fell silent, the module asks at once: WAITS[1] + OVERDUE + 1.0 = 5.4 s.  At an agent:
+# AGENT_RETRY + AGENT_OVERDUE + 0.05 s.
 WAITS = (2.0, 4.0)  # seconds that one call may wait for news, drawn: silence counts for 6 s only
 OVERDUE = 0.4  # seconds past its wait after which a call has fallen silent
 ANSWER = 2.2  # seconds for a call that waits for no news, with its connection, queue and answer
--- a/tests/storage_gateway/scheduler/test_deployments.py
+++ b/tests/storage_gateway/scheduler/test_deployments.py
@@ -18,6 +18,7 @@
 from scheduler_rig import Store
 
 from mallowbeam.storage_gateway.scheduler import Scheduler
+from mallowbeam.storage_gateway.scheduler.attempts import MAY_STILL_RUN
 from mallowbeam.storage_gateway.scheduler.interface import (
     AttemptEnded,
     DiscoveryUpdate,
@@ -37,7 +38,6 @@
     Settings,
     TimerFired,
 )
-from mallowbeam.storage_gateway.scheduler.sending import MAY_STILL_RUN
 from mallowbeam.storage_gateway.server.config import read_config
 
 SPARE = 1.3  # a usual node bears this many times what every node bears cold
