--- a/mallowbeam/router/data_plane/__init__.py
+++ b/mallowbeam/router/data_plane/__init__.py
@@ -1,5 +1,5 @@
-"""The role of a gateway, on edge machines: routes, requests, attempts, budgets, forwarding.  I/O only.
+"""The gateway role on edge machines: routing, attempts, retry budgets and response forwarding.
 
-State: per process, connections, exchanges in progress, budgets and the fleet as the feed delivers it.
+State: per process, connections, exchanges in flight, budgets and the fleet as the feed delivers it.
 Callers: `mallowbeam.__main__` starts `role.main`; `simulation` runs the same parts on simulated sockets.
 """
--- a/mallowbeam/router/data_plane/answers.py
+++ b/mallowbeam/router/data_plane/answers.py
@@ -1,4 +1,4 @@
-"""Answers as the client gets them: an instance's unchanged, or the gateway's own."""
+"""Builds the answers to clients: an instance's answer, unchanged, or one of the gateway's own."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def passed_headers(answer: Message) -> Headers:
-    """The end-to-end headers of an instance's answer."""
+    """Return the end-to-end headers of an instance's answer."""
     named = named_by_connection(answer.headers)
     return [(name, value) for name, value in answer.headers if name not in HOP_BY_HOP and name not in named]
 
 
 def complete_answer(answer: Message, close: bool) -> Response:
-    """An instance's answer that was read completely."""
+    """Build the client's answer from an instance's answer that was read completely."""
     length = None if answer.status in BODILESS else len(answer.body)
     head = write_head(answer.status, passed_headers(answer), length, close)
     return Response(answer.status, head + answer.body)
@@ -33,7 +33,7 @@
 def own_answer(
     status: int, request_id: bytes, close: bool, retry_after_s: float = 0.0, text: bytes | None = None
 ) -> Response:
-    """An answer of the gateway's own: it never carries an instance's signature."""
+    """Build an answer that the gateway generates itself; it never carries an instance's signature."""
     body = text if text is not None else TEXTS.get(status, b"not served\n")
     headers: Headers = [(b"content-type", b"text/plain")]
     if request_id:
--- a/mallowbeam/router/data_plane/attempt.py
+++ b/mallowbeam/router/data_plane/attempt.py
@@ -1,7 +1,7 @@
 """One attempt: a request on one connection to one instance, up to its answer's head or its complete body.
 
-The attempt owns its connection until `release`, which may be called again and again; what has run is the
-matter of `outcomes`.
+The attempt owns its connection until `release`, which is idempotent.  Module `outcomes` decides whether the
+request may have run.
 """
 
 from __future__ import annotations
@@ -24,28 +24,28 @@
 from mallowbeam.router.data_plane.outcomes import SUCCESS, AttemptEnd, judge_answer, names_another
 from mallowbeam.router.rpc.messages_pb2 import Instance
 
-BUFFERED_BYTES = 64 * 1024  # an answer up to this size is buffered completely before any of it is forwarded
-WAY_BACK_S = 0.005  # of the time that is left, kept for the answer's way back
-MOST_LATE_ANSWERS = 4  # to other requests, in front of the one that is due
-REJECTION_BODY_S = 0.2  # for the rest of an answer that is not forwarded; else its connection closes
+BUFFERED_BYTES = 64 * 1024  # an answer up to this size is read completely before any of it is forwarded
+WAY_BACK_S = 0.005  # part of the remaining time, reserved for sending the answer back
+MOST_LATE_ANSWERS = 4  # answers to earlier requests that are skipped before the expected one
+REJECTION_BODY_S = 0.2  # time to read the rest of a rejection; after it the connection is closed
 EVENT_STREAM = b"text/event-stream"
 
 
 @dataclass(frozen=True, slots=True)
 class SendOrder:
-    """What is sent, and where."""
+    """A request to send, and the instance to send it to."""
 
     backend: str
     instance: str
     request: ClientRequest
-    extra: Headers  # the gateway's own headers
-    deadline: float  # monotonic time by which the answer must be there
-    signed: bool = True  # whether a success carries its instance's signature
-    once: bool = False  # it may not be sent again: waited for past a late answer
+    extra: Headers  # headers that the gateway adds
+    deadline: float  # monotonic time by which the answer must have arrived
+    signed: bool = True  # whether a successful answer must carry the instance's signature
+    once: bool = False  # the request may not be sent again, so late answers to earlier requests are skipped
 
 
 class Attempt:
-    """A request that was sent, or could not be."""
+    """One attempt to send a request to an instance."""
 
     def __init__(self, pool: LinkPool, view: FleetView) -> None:
         self._pool = pool
@@ -53,10 +53,13 @@
         self.link: Link | None = None
         self.instance = ""
         self.answer: Message | None = None
-        self._bodiless = False  # the answer is to a HEAD
+        self._bodiless = False  # the answer is to a HEAD request
 
     async def send(self, order: SendOrder) -> AttemptEnd:
-        """Send and wait for the answer's head; small answers that are no streams are read completely."""
+        """Send the request and wait for the answer's head.
+
+        A small answer is read completely unless it is a stream.
+        """
         try:
             async with asyncio.timeout(order.deadline - time.monotonic()):
                 return await self._send(order)
@@ -70,7 +73,8 @@
             end = AttemptEnd.BROKEN
         if self.link is None:
             return AttemptEnd.NO_CONNECTION
-        # An instance may run, and answer, what it has read in part: only no byte at all is proven unsent.
+        # An instance may run and answer a request that it has read only in part, so the request is proven
+        # unsent only if the kernel accepted no byte of it.
         if not self.link.begun:
             end = AttemptEnd.NOT_SENT
         elif end is AttemptEnd.NOT_SENT:
@@ -80,7 +84,7 @@
 
     @property
     def streams(self) -> bool:
-        """Whether the answer is an event stream: a success of that type, with a body."""
+        """Whether the answer is an event stream: a success with that content type and a body."""
         answer = self.answer
         if answer is None or self._bodiless or answer.status not in SUCCESS:
             return False
@@ -88,7 +92,7 @@
         return kind is not None and kind.partition(b";")[0].strip().lower() == EVENT_STREAM
 
     def release(self) -> None:
-        """Keep the connection if its answer was read completely, else close it."""
+        """Return the connection to the pool if its answer was read completely, else close it."""
         link, self.link = self.link, None
         if link is not None:
             self._pool.give_back(self.instance, link, self.answer)
@@ -100,7 +104,7 @@
         self.instance = order.instance
         link = await self._pool.take(order.instance, address, self._view.most_connections(order.backend))
         self.link = link
-        # The instance may have begun to drain, or have gone, while a connection came up.
+        # The instance may have started to drain or have ended while the connection was being opened.
         if self._address(order) != address:
             self.release()
             return AttemptEnd.NO_CAPACITY
@@ -127,27 +131,33 @@
         return end
 
     async def _own_answer(self, link: Link, answer: Message, request_id: bytes) -> Message:
-        """The answer itself, past late ones that name earlier requests; the connection is not used again."""
+        """Return the answer to this request, skipping late answers to earlier ones.
+
+        A connection on which an answer was skipped is not reused.
+
+        Raises:
+            RemoteProtocolError: more than `MOST_LATE_ANSWERS` answers were to other requests.
+        """
         late = 0
         while names_another(answer, request_id):
             late += 1
             if late > MOST_LATE_ANSWERS:
-                raise RemoteProtocolError("answers to other requests without end")
+                raise RemoteProtocolError("too many answers to other requests")
             await link.read_body(answer)
             answer = await link.read_head()
         answer.keep_alive = answer.keep_alive and not late
         return answer
 
     async def _read_rejection(self, link: Link, answer: Message) -> None:
-        """Read what is left of an answer that goes to nobody, so that its connection can be used again."""
+        """Read the rest of an answer that is not forwarded, so that its connection can be reused."""
         try:
             async with asyncio.timeout(REJECTION_BODY_S):
                 await link.read_body(answer)
         except (TimeoutError, ConnectionBrokenError):
-            pass  # its head has said that nothing ran
+            pass  # the head already proves that the request did not run
         self.release()
 
     def _address(self, order: SendOrder) -> str | None:
-        # The answer to a call that has only the prompt read, and no other, is not signed.
+        # `signed` is False only for prefill calls, whose answers carry no signature.
         instance: Instance | None = self._view.usable(order.instance, order.backend, reads=not order.signed)
         return instance.address if instance is not None else None
--- a/mallowbeam/router/data_plane/client_frontend.py
+++ b/mallowbeam/router/data_plane/client_frontend.py
@@ -1,4 +1,4 @@
-"""The clients' endpoint: each complete request gets exactly one answer."""
+"""The client-facing endpoint: each complete request gets exactly one answer."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from mallowbeam.router.data_plane.relay import Relay
 from mallowbeam.router.data_plane.routing import choose_backend
 
-BUFFERED_BYTES = 24 * 1024 * 1024  # of request bodies, over all connections, at most
-MEMORY_FRACTION = 0.125  # of the process's memory, that request bodies may have
-RETRY_AFTER_S = 0.5  # with a refusal before there is a configuration
-SLACK_S = 0.5  # that a client has beyond the configured times, for the way
-WAY_S = 0.01  # of a client's deadline, kept for the way back
+BUFFERED_BYTES = 24 * 1024 * 1024  # limit for request bodies over all connections
+MEMORY_FRACTION = 0.125  # share of the process's memory that request bodies may use
+RETRY_AFTER_S = 0.5  # Retry-After of a 503 that is sent before the first configuration arrives
+SLACK_S = 0.5  # network allowance added to the configured client timeouts
+WAY_S = 0.01  # part of a client's deadline, reserved for sending the answer back
 MEGABYTE = 1024 * 1024
-ANY_SIZE = 1 << 62  # bytes: no body is larger
+ANY_SIZE = 1 << 62  # bytes; no body is larger
 
 
 class ClientFrontend:
-    """Turns clients' requests into exchanges and their answers back."""
+    """Runs an exchange for each client request and returns its answer."""
 
-    max_buffered_body = ANY_SIZE  # a request is forwarded once it has arrived completely
+    max_buffered_body = ANY_SIZE  # a request is forwarded only after it has arrived completely
 
     def __init__(self, gateway: Gateway, memory_mb: float) -> None:
         self._gateway = gateway
@@ -38,14 +38,14 @@
         self.set_limits(ClientLimits())
 
     def set_limits(self, limits: ClientLimits) -> None:
-        """Bounds for what comes in from now on, also on open connections."""
+        """Apply limits to requests that start from now on, also on open connections."""
         self.max_body = limits.max_body_bytes
         self.max_head = limits.max_header_bytes
         self.stalled = limits.header_timeout_ms / 1000 + SLACK_S
         self.idle = limits.idle_timeout_ms / 1000 + SLACK_S
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
-        """One request to its one answer."""
+        """Handle one request and return its answer."""
         try:
             read = read_request(request)
         except BadRequestError as error:
@@ -66,16 +66,16 @@
         return Relay(exchange, request, closing).reply()
 
     def error_response(self, status: int, text: str) -> Response:
-        """The answer to what breaks HTTP or a bound; its connection is closed after it."""
+        """Return the answer to a request that violates HTTP or a limit; its connection then closes."""
         return own_answer(status, b"", True, RETRY_AFTER_S, text.encode() + b"\n")
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
-        """Count an answer that has gone out."""
+        """Count an answer that was sent."""
         self._gateway.answers[status] += 1
 
     @staticmethod
     def _deadline(read: ClientRequest, request: Message, timeout_ms: int) -> float:
-        """Monotonic time by which the request must end, counted from when its last byte was read."""
+        """Return the monotonic time by which the request must end, measured from its last byte."""
         client_s = read.deadline_ms / 1000
         began = request.completed_at or time.monotonic()
         return began + min(client_s - min(WAY_S, client_s / 4), timeout_ms / 1000)
--- a/mallowbeam/router/data_plane/client_request.py
+++ b/mallowbeam/router/data_plane/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request as the gateway works with it: what its headers say, checked once.  A pure core."""
+"""Validates a client's request and parses its headers once.  No I/O."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from mallowbeam.http.framing import HOP_BY_HOP, TOKEN, Headers, Message
 from mallowbeam.router.pairing.prefix_cache import PromptSegment
 
-MOST_MS = 3_600_000  # a longer Deadline-Ms is read as this many milliseconds
-MOST_DIGITS = 9  # of a number in a header; a longer one is not read
-MOST_TOKENS = 1 << 30  # a larger token count is read as none
-MOST_PARTS = 1024  # parts of a prompt; those behind are left out
+MOST_MS = 3_600_000  # longer deadlines are capped at this value
+MOST_DIGITS = 9  # of a number in a header; a longer number is treated as missing
+MOST_TOKENS = 1 << 30  # larger token counts are capped at this value
+MOST_PARTS = 1024  # parts of a prompt; further ones are ignored
 # Set by the gateway alone: a client's own values would change where and how an instance runs the request.
 OWNED = frozenset((b"deadline-ms", b"target-instance", b"stage", b"kv-from", b"priority", b"expect-version"))
-# Never of one connection only, whatever a Connection header says: the request would be another without them.
+# Always forwarded, even if a Connection header lists them: without them it would be a different request.
 END_TO_END = frozenset((b"request-id", b"host", b"model", b"token-usage", b"prompt-prefix", b"last-event-id"))
 LEFT_OUT = (HOP_BY_HOP - {b"host"}) | OWNED
 SINGLE = (b"request-id", b"host", b"deadline-ms", b"last-event-id")
 
 
 class BadRequestError(MallowbeamError):
-    """A request that lacks what the protocol asks of it; the text says what."""
+    """The request violates the protocol; the text names the violation."""
 
     error_name = "BadRequest"
     code = "REQUEST_MALFORMED"
@@ -36,22 +36,26 @@
     method: bytes
     target: bytes
     host: bytes
-    headers: Headers  # end-to-end ones, in lower case, without the gateway's own
+    headers: Headers  # end-to-end headers in lower case, without those that only the gateway sets
     body: bytes | bytearray
-    deadline_ms: int  # what the client waits; MOST_MS where it does not say
+    deadline_ms: int  # how long the client waits; MOST_MS if the request does not say
     last_event_id: bytes | None
     prompt_segments: tuple[PromptSegment, ...]
     prompt_tokens: int
     answer_tokens: int
 
     def headers_with(self, own: Headers) -> Headers:
-        """The headers to send: the client's, with the gateway's `own` in place of those of the same name."""
+        """Return the client's headers, with the gateway's `own` headers replacing those of the same name."""
         replaced = {name for name, _ in own}
         return [*(header for header in self.headers if header[0] not in replaced), *own]
 
 
 def read_request(message: Message) -> ClientRequest:
-    """Check a complete request and read its headers; raises `BadRequestError`."""
+    """Validate a complete request and parse its headers.
+
+    Raises:
+        BadRequestError: a header is repeated or the request id is missing or malformed.
+    """
     first = dict(reversed(message.headers))
     for name in SINGLE:
         if sum(known == name for known, _ in message.headers) > 1:
@@ -78,7 +82,7 @@
 
 
 def named_by_connection(headers: Headers) -> frozenset[bytes]:
-    """The headers that Connection headers declare to be of this connection only."""
+    """Return the header names that Connection headers declare to be hop-by-hop."""
     values = [value for name, value in headers if name == b"connection"]
     if not values:
         return frozenset()
@@ -87,7 +91,7 @@
 
 
 def _deadline(value: bytes | None) -> int:
-    """Whole milliseconds, a fraction cut off; a value that is no number of them counts as none."""
+    """Return the deadline in milliseconds, rounded down; a malformed value counts as missing."""
     integer, _, fraction = (value or b"").partition(b".")
     if not integer.isdigit() or len(integer) > MOST_DIGITS or not (fraction or b"0").isdigit():
         return MOST_MS
@@ -95,7 +99,7 @@
 
 
 def _token_usage(value: bytes) -> tuple[int, int]:
-    """Prompt tokens and the most that are generated; zeros where the header can't be read."""
+    """Return the prompt tokens and the maximum of generated tokens; 0 for each that can't be parsed."""
     prompt, _, answer = value.partition(b",")
     return _tokens(prompt.strip()), _tokens(answer.strip())
 
@@ -107,7 +111,7 @@
 
 
 def _segments(value: bytes) -> tuple[PromptSegment, ...]:
-    """The parts of a prompt; one that can't be read ends the list."""
+    """Return the parts of a prompt up to the first one that can't be parsed."""
     parts: list[PromptSegment] = []
     for chunk in value.split(b",", MOST_PARTS)[:MOST_PARTS] if value else ():
         segment_id, _, tokens = chunk.strip().partition(b":")
--- a/mallowbeam/router/data_plane/decision_log.py
+++ b/mallowbeam/router/data_plane/decision_log.py
@@ -1,8 +1,8 @@
-"""One line for each request that was planned: what was expected of its way, and what came about.
+"""Logs one line for each planned request: the planner's expectations and the measured times.
 
-Off unless the settings file has `decision_log = true`: a line a request takes processor time.  `DecisionLog`
-stands in front of a planner, sees each booking's steps and decides nothing itself.  Times are seconds of the
-monotonic clock; a step that was not reached is logged as `-`.
+Off unless the settings file has `decision_log = true`, because a line per request costs CPU time.
+`DecisionLog` wraps a planner, observes the steps of each booking and makes no decisions itself.  Times are in
+seconds of the monotonic clock; a step that was not reached is logged as `-`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class _Booking:
-    """A request that was taken and has not ended."""
+    """An accepted request that has not ended."""
 
     request: PlanRequest
     plan: Plan
@@ -31,7 +31,7 @@
 
 
 class DecisionLog:
-    """A planner whose decisions are logged with their outcomes."""
+    """A planner wrapper that logs decisions together with their outcomes."""
 
     def __init__(self, planner: Planner, write: Write) -> None:
         self._planner = planner
@@ -39,7 +39,7 @@
         self._bookings: dict[int, _Booking] = {}
 
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
-        """As the planner decides."""
+        """Return the wrapped planner's decision."""
         planned = self._planner.plan(request, now)
         if isinstance(planned, Plan):
             self._bookings[planned.booking] = _Booking(request, planned, now)
@@ -48,43 +48,43 @@
         return planned
 
     def begun(self, booking: int, now: float) -> None:
-        """The request leaves for its first instance."""
+        """The request is about to be sent to its first instance."""
         self._planner.begun(booking, now)
         if entry := self._bookings.get(booking):
             entry.begun_at = now
 
     def prefill_done(self, booking: int, now: float) -> None:
-        """The prompt was read."""
+        """The prefill instance has processed the prompt."""
         self._planner.prefill_done(booking, now)
         if entry := self._bookings.get(booking):
             entry.read_at = now
 
     def hand_over_failed(self, booking: int, now: float) -> None:
-        """The decode instance reads the prompt itself."""
+        """The KV cache transfer failed; the decode instance prefills the prompt itself."""
         self._planner.hand_over_failed(booking, now)
 
     def first_token(self, booking: int, now: float) -> None:
-        """The answer's first bytes came."""
+        """The first bytes of the answer arrived."""
         self._planner.first_token(booking, now)
         if entry := self._bookings.get(booking):
             entry.first_at = now
 
     def finished(self, booking: int, outcome: Outcome, now: float) -> None:
-        """The booking is over."""
+        """The booking has ended."""
         self._planner.finished(booking, outcome, now)
         if entry := self._bookings.pop(booking, None):
             self._write(_line(entry, outcome, now))
 
     def instances_changed(self, instances: Iterable[Instance], now: float) -> None:
-        """Instances came, changed or ended; the others are as before."""
+        """Pass on the instances that were added, changed or ended; all others are unchanged."""
         self._planner.instances_changed(instances, now)
 
     def configuration_changed(self, backends: Iterable[Backend], now: float) -> None:
-        """The services of the configuration in force."""
+        """Pass on the services of the configuration in force."""
         self._planner.configuration_changed(backends, now)
 
     def gateways_changed(self, count: int) -> None:
-        """How many gateways share the instances."""
+        """Pass on the number of gateways that share the instances."""
         self._planner.gateways_changed(count)
 
 
--- a/mallowbeam/router/data_plane/demand.py
+++ b/mallowbeam/router/data_plane/demand.py
@@ -1,7 +1,8 @@
-"""What this gateway's requests ask of each stage of a service, measured over about a second.  A pure core.
+"""Measures the load that this gateway's requests put on each stage of a service.  No I/O.
 
-`MeasuredPlanner` stands in front of the planner and sees each booking's steps; `DemandMeter` adds them up and
-gives one `StageDemand` for each service with model servers.  Times are seconds of the monotonic clock.
+`MeasuredPlanner` wraps the planner and observes the steps of each booking; `DemandMeter` aggregates them into
+one `StageDemand` for each service with model servers, over the time since the last report.
+Times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,13 +17,15 @@
 from mallowbeam.router.data_plane.planner_interface import Planner
 from mallowbeam.router.rpc.messages_pb2 import Instance, StageDemand
 
-LEAST_PERIOD_S = 0.1  # a shorter one gives no sample
-DIRECT_TOKENS = 1024  # to be read at most, where reading apart saves less than way and move cost
-UNREAD_MEMORY = 0.05  # weight of one request in the share of its prompt that has to be read
+LEAST_PERIOD_S = 0.1  # a shorter period yields no sample
+DIRECT_TOKENS = (
+    1024  # uncached prompts up to this size cost less to prefill at the decode instance than to transfer
+)
+UNREAD_MEMORY = 0.05  # weight of one request in the moving average of the uncached prompt fraction
 
 
 class Gauge:
-    """A count over time, and its mean since the last sample."""
+    """A count that changes over time, and its time-weighted mean since the last sample."""
 
     __slots__ = ("value", "_area", "_at")
 
@@ -37,7 +40,7 @@
         self.value = max(0, self.value + change)
 
     def mean(self, period_s: float, now: float) -> float:
-        """The mean over the period that ends now; a new one begins."""
+        """Return the mean over the period that ends now, and start a new period."""
         self._advance(now)
         area, self._area = self._area, 0.0
         return area / period_s
@@ -48,7 +51,7 @@
 
 
 class Tokens(Enum):
-    """What tokens are counted for; the values are fields of `StageDemand`."""
+    """The kinds of token counts; the values are fields of `StageDemand`."""
 
     READ = "read_tokens"
     DONE = "done_tokens"
@@ -59,7 +62,7 @@
 
 
 class _Service:
-    """The counts of one service."""
+    """The demand counters of one service."""
 
     __slots__ = ("reading", "decoding", "tokens", "unread_fraction")
 
@@ -67,10 +70,10 @@
         self.reading = Gauge(now)
         self.decoding = Gauge(now)
         self.tokens: Counter[Tokens] = Counter()
-        self.unread_fraction = 1.0  # of prompts, by the requests that were taken
+        self.unread_fraction = 1.0  # moving average over the prompts of accepted requests
 
     def sample(self, backend: str, period_s: float, now: float) -> StageDemand:
-        """The means over the period that ends now; a new one begins."""
+        """Return the means over the period that ends now, and start a new period."""
         demand = StageDemand(
             backend=backend,
             reading=self.reading.mean(period_s, now),
@@ -83,14 +86,14 @@
 
 
 class DemandMeter:
-    """Demand by service, since the last sample."""
+    """Measures the demand of each service since the last sample."""
 
     def __init__(self) -> None:
         self._services: dict[str, _Service] = {}
         self._sampled_at: float | None = None
 
     def planned(self, request: PlanRequest, plan: Plan, now: float) -> None:
-        """A request was taken: its prompt is read at a prefill instance, or spills to a decode instance."""
+        """Count an accepted request's prompt for a prefill instance or, if spilled, a decode instance."""
         service = self._service(request.backend, now)
         if plan.prefill_instance is not None:
             service.tokens[Tokens.READ] += plan.uncached_tokens
@@ -102,29 +105,32 @@
             service.unread_fraction += (uncached - service.unread_fraction) * UNREAD_MEMORY
 
     def rejected(self, request: PlanRequest, now: float) -> None:
-        """A request was refused for want of reading pace."""
+        """A request was rejected for lack of prefill capacity."""
         service = self._service(request.backend, now)
         service.tokens[Tokens.SPILLED] += int(request.prompt_tokens * service.unread_fraction)
 
     def reading(self, backend: str, change: int, now: float) -> None:
-        """Calls to prefill instances began or ended."""
+        """Count prefill calls that started or ended."""
         self._service(backend, now).reading.add(change, now)
 
     def decoding(self, backend: str, change: int, now: float) -> None:
-        """Requests began or ceased to receive tokens."""
+        """Count requests that started or stopped receiving tokens."""
         self._service(backend, now).decoding.add(change, now)
 
     def count(self, backend: str, kind: Tokens, tokens: int, now: float) -> None:
-        """Tokens were read, or received."""
+        """Count processed or received tokens."""
         self._service(backend, now).tokens[kind] += tokens
 
     def keep_only(self, backends: frozenset[str]) -> None:
-        """Forget services that are no longer configured; what is still under way there counts no more."""
+        """Drop services that are no longer configured; their requests in flight are no longer counted."""
         for backend in [known for known in self._services if known not in backends]:
             del self._services[backend]
 
     def sample(self, now: float) -> list[StageDemand]:
-        """The demand since the last sample, by service; empty where that was only just now."""
+        """Return the demand of each service since the last sample.
+
+        The list is empty if the last sample was less than `LEAST_PERIOD_S` ago.
+        """
         since = self._sampled_at
         if since is None or now - since < LEAST_PERIOD_S:
             return []
@@ -142,7 +148,7 @@
 
 @dataclass(slots=True)
 class _Booking:
-    """A request that was taken and has not ended."""
+    """An accepted request that has not ended."""
 
     backend: str
     split: bool
@@ -152,7 +158,7 @@
 
 
 class MeasuredPlanner:
-    """A planner whose bookings of services with model servers are measured; it decides nothing itself."""
+    """A planner wrapper that measures the bookings of services with model servers; it decides nothing."""
 
     def __init__(self, planner: Planner, meter: DemandMeter) -> None:
         self._planner = planner
@@ -160,7 +166,7 @@
         self._bookings: dict[int, _Booking] = {}
 
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
-        """As the planner decides."""
+        """Return the wrapped planner's decision."""
         planned = self._planner.plan(request, now)
         if request.engine is None:
             return planned
@@ -174,27 +180,27 @@
         return planned
 
     def begun(self, booking: int, now: float) -> None:
-        """The request leaves for its first instance."""
+        """The request is about to be sent to its first instance."""
         self._planner.begun(booking, now)
         if (entry := self._bookings.get(booking)) and entry.split and not entry.reading:
             entry.reading = True
             self._meter.reading(entry.backend, 1, now)
 
     def prefill_done(self, booking: int, now: float) -> None:
-        """The prompt was read."""
+        """The prefill instance has processed the prompt."""
         self._planner.prefill_done(booking, now)
         if (entry := self._bookings.get(booking)) and entry.reading:
             self._reading_ended(entry, now)
             self._meter.count(entry.backend, Tokens.DONE, entry.uncached_tokens, now)
 
     def hand_over_failed(self, booking: int, now: float) -> None:
-        """The decode instance reads the prompt itself."""
+        """The KV cache transfer failed; the decode instance prefills the prompt itself."""
         self._planner.hand_over_failed(booking, now)
         if entry := self._bookings.get(booking):
             self._meter.count(entry.backend, Tokens.SPILLED, entry.uncached_tokens, now)
 
     def first_token(self, booking: int, now: float) -> None:
-        """The answer's first bytes came."""
+        """The first bytes of the answer arrived."""
         self._planner.first_token(booking, now)
         if (entry := self._bookings.get(booking)) and not entry.decoding:
             self._reading_ended(entry, now)
@@ -202,7 +208,7 @@
             self._meter.decoding(entry.backend, 1, now)
 
     def finished(self, booking: int, outcome: Outcome, now: float) -> None:
-        """The booking is over."""
+        """The booking has ended."""
         self._planner.finished(booking, outcome, now)
         if (entry := self._bookings.pop(booking, None)) is None:
             return
@@ -211,17 +217,17 @@
             self._meter.decoding(entry.backend, -1, now)
 
     def instances_changed(self, instances: Iterable[Instance], now: float) -> None:
-        """Instances came, changed or ended; the others are as before."""
+        """Pass on the instances that were added, changed or ended; all others are unchanged."""
         self._planner.instances_changed(instances, now)
 
     def configuration_changed(self, backends: Iterable[Backend], now: float) -> None:
-        """The services of the configuration in force."""
+        """Pass on the services of the configuration in force and drop the demand of others."""
         known = list(backends)
         self._meter.keep_only(frozenset(backend.name for backend in known))
         self._planner.configuration_changed(known, now)
 
     def gateways_changed(self, count: int) -> None:
-        """How many gateways share the instances."""
+        """Pass on the number of gateways that share the instances."""
         self._planner.gateways_changed(count)
 
     def _reading_ended(self, entry: _Booking, now: float) -> None:
--- a/mallowbeam/router/data_plane/exchange.py
+++ b/mallowbeam/router/data_plane/exchange.py
@@ -1,7 +1,8 @@
 """One client request, from its plan to the attempt whose answer is forwarded.
 
-`Exchange` joins the cores: the planner names instances, the send policy allows sends, the outcomes say what
-an attempt proves.  However it ends, `close` gives back what it holds: booking, handle, connection.
+`Exchange` combines three decisions: the planner selects instances, the send policy permits sends, and
+`outcomes` classifies each attempt's result.  `close` always releases the booking, the KV handle and the
+connection.
 """
 
 from __future__ import annotations
@@ -26,9 +27,9 @@
 from mallowbeam.router.data_plane.send_policy import SendPolicy
 from mallowbeam.router.streams.progress import StreamProgress
 
-LEAST_LEFT_S = 0.01  # a request with less time is abandoned
-RETRY_AFTER_S = 0.3  # with a refusal for which nobody names a time
-HANDLE_LIFETIME_FRACTION = 0.5  # of its time to live, after which a handle is not offered again
+LEAST_LEFT_S = 0.01  # a request with less time left is abandoned
+RETRY_AFTER_S = 0.3  # Retry-After of a 503 if the planner gives none
+HANDLE_LIFETIME_FRACTION = 0.5  # of its time to live; an older handle is not offered again
 SAFE, STREAM = "safe", "stream"
 NOT_RUN = frozenset(
     (
@@ -43,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandoned:
-    """No further attempt is made."""
+    """The request is abandoned: no further attempt is made."""
 
     out_of_time: bool = False
     retry_after_s: float = RETRY_AFTER_S
 
 
 class Exchange:
-    """One request of a client."""
+    """The processing of one client request."""
 
     def __init__(
         self, gateway: Gateway, request: ClientRequest, route: Route, backend: str, deadline: float
@@ -59,8 +60,8 @@
         self.request = request
         self.route = route
         self.deadline = deadline
-        self.attempt: Attempt | None = None  # the one whose answer is forwarded
-        self.first_chunk = b""  # of its stream, not forwarded yet
+        self.attempt: Attempt | None = None  # the attempt whose answer is forwarded
+        self.first_chunk = b""  # of the attempt's stream, not forwarded yet
         self.progress = StreamProgress(route.resumable and route.route_type == STREAM, request.last_event_id)
         self._backend = backend
         known = gateway.view.backend(backend)
@@ -69,12 +70,12 @@
         self._policy = SendPolicy(gateway.budgets.of(backend), idempotent, route.max_retries)
         self._booking: int | None = None
         self._handle: Handle | None = None
-        self._counted = 0  # events of which the demand meter knows
-        self._head_sent = False  # part of the answer has gone out
-        self._failure: Message | None = None  # a failure that is forwarded if nothing better comes
+        self._counted = 0  # events already reported to the demand meter
+        self._head_sent = False  # part of the answer was already sent to the client
+        self._failure: Message | None = None  # a failure that is forwarded if no later attempt succeeds
 
     async def run(self, closing: Callable[[], bool]) -> Response | None:
-        """The answer, if it is complete; None where `attempt` holds one that is forwarded as it comes."""
+        """Return the complete answer, or None if `attempt` holds an answer to forward as it arrives."""
         try:
             begun = await self._begin()
         except BaseException:
@@ -92,11 +93,11 @@
 
     @property
     def may_send_again(self) -> bool:
-        """Whether another send could still be allowed, the budget apart."""
+        """Whether another send could still be allowed, regardless of the retry budget."""
         return self._policy.may_continue()
 
     async def resume(self) -> bool:
-        """Take a stream that broke up at another instance; False where that is not allowed or fails."""
+        """Resume a broken stream at another instance; False if that is not allowed or fails."""
         self.progress.broken()
         self._head_sent = True
         if self.attempt is not None:
@@ -109,13 +110,13 @@
         return begun.streams
 
     def close(self, end: Outcome) -> None:
-        """Release everything that is reserved; idempotent."""
+        """Release all reserved resources; idempotent."""
         self._release(end)
         if self._handle is not None:
             self._free(self._handle)
 
     def count_tokens(self) -> None:
-        """Tell the demand meter of the events that came since the last call."""
+        """Report the events received since the last call to the demand meter."""
         if self._engine is None:
             return
         events, self._counted = self.progress.events - self._counted, self.progress.events
@@ -123,7 +124,7 @@
         self.gateway.demand.count(self._backend, kind, events * max(1, self._engine.stride), time.monotonic())
 
     async def _begin(self) -> Attempt | Abandoned:
-        """Send until an answer is to be forwarded."""
+        """Make attempts until one has an answer to forward or the request is abandoned."""
         while True:
             plan = await self._plan()
             if isinstance(plan, Abandoned):
@@ -134,7 +135,7 @@
                 return result
 
     async def _plan(self) -> Plan | Abandoned:
-        """Ask for a plan and wait until it begins."""
+        """Request a plan and wait until its start time."""
         if self._out_of_time():
             return Abandoned(out_of_time=True)
         if not self._policy.may_continue():
@@ -171,12 +172,17 @@
         )
 
     async def _read_prompt(self, plan: Plan) -> Handle | None:
-        """The handle that the plan's decode instance is offered; None where it reads the prompt itself."""
+        """Prefill the prompt separately if the plan says so.
+
+        Returns the KV handle to offer to the decode instance, or None if that instance prefills the prompt
+        itself.
+        """
         if self._handle is not None:
             if self._fresh(self._handle):
                 return self._handle
             self._free(self._handle)
-        # A request without a prompt is executed by an instance that is asked to prefill it: it is sent once.
+        # A prefill instance executes a request without a prompt instead of prefilling it, so the request is
+        # sent only to the decode instance.
         if plan.prefill_instance is None or not self.request.prompt_tokens:
             return None
         if not self._policy.may_prefill_separately() or self._out_of_time():
@@ -206,8 +212,11 @@
         return handle
 
     async def _send(self, plan: Plan, handle: Handle | None) -> Attempt | Abandoned | None:
-        """One send to the instance that answers; the attempt if its answer is forwarded, None to go on."""
-        if self._out_of_time():  # used up by the wait for the plan, or by the prompt's reading
+        """Send once to the decode instance.
+
+        Returns the attempt if its answer is to be forwarded, None if another attempt is to be made.
+        """
+        if self._out_of_time():  # spent waiting for the plan's start or on the prefill
             return Abandoned(out_of_time=True)
         ticket = self._policy.send(plan.decode_instance, time.monotonic(), self.gateway.view.gateways)
         if ticket is None:
@@ -222,7 +231,7 @@
             self.gateway.planner.first_token(plan.booking, time.monotonic())
             return attempt
         if handle is not None and end is AttemptEnd.REJECTED:
-            # The memory could not be had. The same instance may read the prompt itself.
+            # The KV cache could not be transferred; the same instance may prefill the prompt itself.
             self.gateway.planner.hand_over_failed(plan.booking, time.monotonic())
             attempt.release()
             return await self._send(plan, None)
@@ -236,7 +245,7 @@
     async def _send_order(
         self, attempt: Attempt, instance: str, extra: Headers, plan: Plan, signed: bool = True
     ) -> AttemptEnd:
-        """Send with the headers that every send carries, and learn from its end."""
+        """Send with the headers common to all sends, and record how the attempt ended."""
         if self._engine is not None:
             transferred = signed and self._handle is not None
             priority = plan.transferred_priority if transferred else plan.engine_priority
@@ -254,7 +263,7 @@
         return end
 
     async def _first_chunk(self, attempt: Attempt) -> AttemptEnd:
-        """Read a stream up to its first chunk that can be forwarded: until then nothing has gone out."""
+        """Read a stream up to its first forwardable chunk; before that nothing is sent to the client."""
         end = AttemptEnd.BROKEN
         try:
             async with asyncio.timeout(self.deadline - time.monotonic()):
@@ -273,7 +282,7 @@
         return end
 
     def _failed(self, attempt: Attempt) -> Attempt | None:
-        """An instance's failure: kept while another instance may do better, else forwarded."""
+        """Keep a failure answer if another instance may succeed, else return it to be forwarded."""
         answer = attempt.answer
         if answer is None or not may_pass_on(answer):
             attempt.release()
@@ -285,14 +294,14 @@
         return attempt
 
     def _last_answer(self, abandoned: Abandoned, close: bool) -> Response:
-        """The answer to a request that is abandoned, at once."""
+        """Return the answer to an abandoned request."""
         if self._failure is not None:
             return complete_answer(self._failure, close)
         status = self._policy.status_when_abandoned(abandoned.out_of_time)
         return own_answer(status, self.request.request_id, close, abandoned.retry_after_s)
 
     def _resolve_handle(self, end: AttemptEnd) -> None:
-        """After a send that offered a handle: it was taken, may be offered once more, or is freed."""
+        """After a send that offered the handle, drop it if it was used, free it or keep it for later."""
         if self._handle is None:
             return
         if end is AttemptEnd.ANSWERED:
@@ -327,11 +336,12 @@
 
 
 async def read_chunk(attempt: Attempt, progress: StreamProgress) -> bytes:
-    """The next bytes of a stream that can be forwarded; empty at its end.
+    """Return the next forwardable bytes of a stream; empty at its end.
 
-    Raises `ConnectionBrokenError` where it ends without the end that its framing asks for, or inside an event
-    (what is forwarded byte by byte: only where nothing but the connection's end marks its own), and where its
-    events are out of order.
+    Raises:
+        ConnectionBrokenError: the stream ended before the end of its framing or inside an event, an event was
+            too long, or the event ids did not rise.  In a stream that is forwarded byte by byte, an end
+            inside an event is an error only if the end of the connection is what ends the stream.
     """
     link, answer = attempt.link, attempt.answer
     assert link is not None
--- a/mallowbeam/router/data_plane/feed_link.py
+++ b/mallowbeam/router/data_plane/feed_link.py
@@ -1,4 +1,4 @@
-"""The gateway's connection to the member that it follows: does what `FeedSubscriber` decides."""
+"""The gateway's connection to the member it follows; carries out the decisions of `FeedSubscriber`."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from mallowbeam.router.rpc.connection import FrameConnection, connect
 from mallowbeam.router.rpc.messages_pb2 import FeedFrame, GatewayFrame, LinkFrame
 
-LEAST_WAIT_S = 0.01  # between two questions to the subscriber
-POLL_S = 0.25  # while a feed is open, its silence is looked at in steps of this
+LEAST_WAIT_S = 0.01  # minimum delay between two queries of the subscriber
+POLL_S = 0.25  # while a feed is open, minimum delay between two checks for silence
 
 log = get_logger("mallowbeam.feed")
 
 
 class FeedLink:
-    """Follows one member at a time; `changed` is called with what each frame changed."""
+    """Follows one member at a time; calls `changed` with the changes of each frame."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._ended = asyncio.Event()  # the connection in use has ended
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow members until cancelled."""
         try:
             while True:
                 await self._step()
@@ -44,7 +44,7 @@
             self._close()
 
     def send(self, frame: GatewayFrame) -> bool:
-        """Send a frame to the member that is followed; False where none is."""
+        """Send a frame to the member that is followed; False if there is none."""
         connection = self._connection
         return connection is not None and connection.send(LinkFrame(gateway=frame))
 
@@ -54,13 +54,13 @@
         if isinstance(action, Connect):
             await self._connect(action.address)
         elif isinstance(action, Close):
-            log.info("feed given up: %s", action.address)
+            log.info("feed closed: %s", action.address)
             self._close()
         else:
             await self._wait(max(LEAST_WAIT_S, action.until - now))
 
     async def _wait(self, seconds: float) -> None:
-        """Wait, or until the connection ends."""
+        """Wait for a number of seconds or until the connection ends."""
         if self._connection is not None:
             seconds = max(seconds, POLL_S)
         self._ended.clear()
@@ -75,7 +75,7 @@
         self._lost()
 
     async def _connect(self, address: str) -> None:
-        """Open a feed, or report that it does not open."""
+        """Open a feed; report a failure to the subscriber."""
         self._close()
         try:
             connection = await connect(address, self._received, self._closed, CONNECT_TIMEOUT_S)
@@ -104,7 +104,7 @@
             self._ended.set()
 
     def _lost(self) -> None:
-        """The member ended the connection."""
+        """Report that the member ended the connection."""
         address = self._address
         self._close()
         log.info("feed lost: %s", address)
--- a/mallowbeam/router/data_plane/fleet_view.py
+++ b/mallowbeam/router/data_plane/fleet_view.py
@@ -1,6 +1,6 @@
-"""What the gateway knows of the fleet: configuration, routes, instances, other gateways.  A pure core.
+"""The gateway's view of the fleet: configuration, routes, instances, number of gateways.  No I/O.
 
-It has one owner, the feed; everything else reads it and never keeps what it read over a wait.
+Only the feed updates it.  Other code reads it and must not rely on values that it read before an `await`.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 from mallowbeam.router.pairing.stages import PREFILL
 from mallowbeam.router.rpc.messages_pb2 import READY, Instance
 
-DEFAULT_CONNECTIONS = 64  # to one instance, from all gateways, where the configuration gives no bound
+DEFAULT_CONNECTIONS = 64  # to one instance from all gateways, if the configuration sets no limit
 
 
 class FleetView:
-    """The current state, replaced chunk by chunk."""
+    """The current state; the feed replaces it part by part."""
 
     def __init__(self) -> None:
         self.configuration: Configuration | None = None
         self.instances: Mapping[str, Instance] = {}
-        self.gateways = 1  # upper bound of those that share the instances
+        self.gateways = 1  # upper bound of the number that share the instances
         self._routes = RouteTable()
         self._ids: dict[str, set[str]] = {}  # by service
         self._backend_of: dict[str, str] = {}
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Another configuration is in force."""
+        """Replace the configuration."""
         self.configuration = configuration
         self._routes = RouteTable(configuration.routes.values())
 
     def instances_changed(self, changes: InstanceChanges) -> None:
-        """The table of instances, which the feed changes in place, is another one."""
+        """Update the indexes after the feed has changed the instance table in place."""
         for instance in changes.changed:
             self._forget(instance.id)
             self._ids.setdefault(instance.backend, set()).add(instance.id)
@@ -42,35 +42,36 @@
             self._forget(ended)
 
     def find_route(self, host: bytes, target: bytes) -> Route | None:
-        """The route of a request."""
+        """Return the route of a request, or None."""
         return self._routes.find(host, target)
 
     def backend(self, name: str) -> Backend | None:
-        """A service by name."""
+        """Return a service by name, or None."""
         if self.configuration is None:
             return None
         return self.configuration.backends.get(name)
 
     def instance_ids(self, backend: str) -> Collection[str]:
-        """The ids of a service's instances."""
+        """Return the ids of a service's instances."""
         return self._ids.get(backend, ())
 
     def usable(self, instance_id: str, backend: str, reads: bool = False) -> Instance | None:
-        """An instance of a service, if it takes requests now: checked in the same step in which one is sent.
+        """Return an instance of a service if it accepts requests now, else None.
 
-        `reads` where only the prompt is to be read: prefill instances take such calls and nothing else.
+        Call it in the same event loop step as the send.  `reads` is True for prefill calls: prefill instances
+        accept these and nothing else.
         """
         instance = self.instances.get(instance_id)
         if instance is None or instance.state != READY or instance.backend != backend:
             return None
-        if instance.switching_to:  # it would reject what it has not begun
+        if instance.switching_to:  # it rejects requests that it has not started
             return None
         if (instance.stage == PREFILL) is not reads:
             return None
         return instance
 
     def most_connections(self, backend: str) -> int:
-        """Connections that this gateway may hold to one instance of a service."""
+        """Return the number of connections that this gateway may hold to one instance of a service."""
         known = self.backend(backend)
         most = known.max_connections if known is not None and known.max_connections else DEFAULT_CONNECTIONS
         return max(1, most // max(1, self.gateways))
--- a/mallowbeam/router/data_plane/gateway.py
+++ b/mallowbeam/router/data_plane/gateway.py
@@ -1,4 +1,4 @@
-"""What all requests of a gateway share: fleet view, connections, budgets, health, planner, counters."""
+"""The state shared by all requests: fleet view, connections, budgets, health, planner and counters."""
 
 from __future__ import annotations
 
@@ -22,11 +22,13 @@
     (AttemptEnd.NO_CONNECTION, AttemptEnd.NOT_SENT, AttemptEnd.BROKEN, AttemptEnd.TIMED_OUT)
 )
 REACHED = frozenset((AttemptEnd.REJECTED, AttemptEnd.FAILED, AttemptEnd.ANSWERED))
-SUSPECT_FAILURES = 3  # of the whole fleet within half a second, at an instance that answers fewer attempts
+SUSPECT_FAILURES = (
+    3  # failures in the whole fleet within half a second; only if they outnumber the answered attempts
+)
 
 
 class Gateway:
-    """The shared state; all of it belongs to the event loop's thread."""
+    """The shared state; only the event loop's thread may use it."""
 
     def __init__(self, zone: str, pool: LinkPool, budgets: RetryBudgets, planner: Planner) -> None:
         self.zone = zone
@@ -39,16 +41,16 @@
         self.demand = DemandMeter()
         self.attempt_meter = AttemptMeter()
         self.attempts: Counter[AttemptEnd] = Counter()
-        self.answers: Counter[int] = Counter()  # by status
+        self.answers: Counter[int] = Counter()  # by HTTP status
 
     def set_configuration(self, configuration: Configuration, now: float) -> None:
-        """Put another configuration in force."""
+        """Apply a configuration."""
         self.view.set_configuration(configuration)
         self.budgets.keep_only(frozenset(configuration.backends), now)
         self.planner.configuration_changed(configuration.backends.values(), now)
 
     def instances_changed(self, changes: InstanceChanges, now: float) -> None:
-        """The table of instances is another one."""
+        """Apply changes of the instance table."""
         self.view.instances_changed(changes)
         for instance in changes.ended:
             self.pool.forget(instance)
@@ -58,20 +60,20 @@
         self.planner.instances_changed([*changed, *ended], now)
 
     def set_gateways(self, count: int) -> None:
-        """Share instances and budgets with so many gateways, this one included."""
+        """Set the number of gateways, including this one, that share the instances and budgets."""
         if count != self.view.gateways:
             self.view.gateways = max(1, count)
             self.planner.gateways_changed(self.view.gateways)
 
     def attempt_ended(self, instance: str, end: AttemptEnd, now: float) -> None:
-        """Count an attempt and learn from it."""
+        """Count an attempt and update the instance's health."""
         self.attempts[end] += 1
         if end in REACHED:
             self.health.succeeded(instance)
             self.attempt_meter.ended(instance, answered=True)
         elif end in UNREACHED:
             self.health.failed(instance, now)
-            if end is not AttemptEnd.TIMED_OUT:  # which a long queue brings about as well
+            if end is not AttemptEnd.TIMED_OUT:  # a long queue also causes time-outs
                 self.attempt_meter.ended(instance, answered=False)
         elif end is AttemptEnd.MISDIRECTED:
             self.health.failed(instance, now, at_once=True)
@@ -83,13 +85,13 @@
                 self.health.suspected(one.id, now)
 
     def sweep(self, now: float) -> None:
-        """What is due now and then."""
+        """Do the periodic clean-up."""
         self.pool.sweep()
         self.health.sweep(now)
 
 
 def _as_planned(instance: Instance) -> Instance:
-    """An instance as the planner takes it: one that changes its stage gets no new request until then."""
+    """Return an instance as the planner sees it: one that is switching stages counts as draining."""
     if not instance.switching_to:
         return instance
     planned = Instance()
--- a/mallowbeam/router/data_plane/link_pool.py
+++ b/mallowbeam/router/data_plane/link_pool.py
@@ -1,8 +1,8 @@
-"""Connections to instances, by instance id: kept while idle, within bounds for each instance and in all.
+"""A pool of connections to instances, with limits per instance and in total.
 
-A connection belongs to one instance, not to an address: addresses pass on to other instances.  It is used
-again after a short rest, in which a surplus answer of the instance shows, and only well before the instance
-closes it.
+A connection belongs to one instance, not to an address, because another instance may take over the address.
+It is reused only after a short delay, in which a surplus answer of the instance would arrive, and only well
+before the instance closes it.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from mallowbeam.http.framing import Message
 
 CONNECT_TIMEOUT_S = 1.0
-REST_S = 0.02  # after an answer, before the next request, where there is a choice
-IDLE_TIMEOUT_FRACTION = 0.8  # of the idle time that an instance states
-UNSTATED_IDLE_S = 0.5  # where it states none
+REST_S = 0.02  # delay between an answer and the next request, unless the connection limit is reached
+IDLE_TIMEOUT_FRACTION = 0.8  # of the idle time-out that an instance announces
+UNSTATED_IDLE_S = 0.5  # assumed if it announces none
 MOST_IDLE_S = 60.0
-MOST_DIGITS = 8  # of a Keep-Alive time-out; a longer one is not read
-MOST_IDLE_EACH = 256  # idle connections kept to one instance
-MOST_ANSWER_BYTES = 1 << 20  # of an answer that are buffered at once
-SILENT_NETWORK_MS = 1500  # sent and not acknowledged for this long ends a connection
+MOST_DIGITS = 8  # of a Keep-Alive time-out; a longer number is ignored
+MOST_IDLE_EACH = 256  # idle connections kept per instance
+MOST_ANSWER_BYTES = 1 << 20  # of an answer that are buffered at a time
+SILENT_NETWORK_MS = 1500  # a connection ends if sent data stays unacknowledged for this long
 KEEPALIVE = ((socket.TCP_KEEPIDLE, 1), (socket.TCP_KEEPINTVL, 1), (socket.TCP_KEEPCNT, 2))
 
 
@@ -38,28 +38,34 @@
     """All connections to instances."""
 
     def __init__(self, most: int, budget: BodyBudget | None = None) -> None:
-        self._most = most  # connections in all
+        self._most = most  # total number of connections
         self._budget = budget
         self._idle: dict[str, list[_Idle]] = {}
-        self._open: dict[str, int] = {}  # open or being opened, idle ones included
+        self._open: dict[str, int] = {}  # connections by instance: in use, idle and being opened
         self._count = 0
-        self.opened = 0  # since the start
+        self.opened = 0  # connections opened since the start
 
     async def take(self, instance: str, address: str, most: int) -> Link:
-        """An idle connection that still stands, or a new one; `most` bounds those to this instance.
+        """Return an idle connection that is still open, or a new one.
 
-        Raises `ConnectionLimitError` at a bound, `RequestNotSentError` where no connection comes up.  An idle
-        one is returned without a wait.
+        An idle connection is returned without waiting.
+
+        Args:
+            instance: the id of the instance.
+            address: its host and port.
+            most: the limit for connections to this instance.
+
+        Raises:
+            ConnectionLimitError: a connection limit is reached.
+            RequestNotSentError: the connection could not be opened.
         """
         link = self._reusable(instance, address, self._open.get(instance, 0) >= most)
         if link is not None:
             return link
         if self._open.get(instance, 0) >= most:
-            raise ConnectionLimitError(
-                "as many connections to this instance are open as are allowed", instance
-            )
+            raise ConnectionLimitError("the limit of connections to this instance is reached", instance)
         if self._count >= self._most and not self._evict():
-            raise ConnectionLimitError("as many connections are open as are allowed")
+            raise ConnectionLimitError("the total limit of connections is reached")
         self._add(instance, 1)
         try:
             link = await self._connect(address)
@@ -71,7 +77,7 @@
         return link
 
     def give_back(self, instance: str, link: Link, answer: Message | None) -> None:
-        """Keep a connection whose answer was read completely; close any other."""
+        """Return a connection to the pool; it is closed unless its answer was read completely."""
         if answer is None or not link.reusable(answer):
             return self.drop(instance, link)
         idle = self._idle.setdefault(instance, [])
@@ -85,18 +91,18 @@
         return None
 
     def drop(self, instance: str, link: Link) -> None:
-        """Close a connection that was taken."""
+        """Close a connection that is in use."""
         self._add(instance, -1)
         link.channel.framer.release()
         link.close()
 
     def forget(self, instance: str) -> None:
-        """Close the idle connections to an instance that is gone."""
+        """Close the idle connections to an instance that has ended."""
         for idle in self._idle.pop(instance, ()):
             self.drop(instance, idle.link)
 
     def sweep(self) -> None:
-        """Close what has been idle for too long."""
+        """Close connections that have been idle for too long."""
         now = time.monotonic()
         for instance, idle in list(self._idle.items()):
             over = [one for one in idle if now >= one.until]
@@ -112,15 +118,22 @@
             self.forget(instance)
 
     async def _connect(self, address: str) -> Link:
-        """A new connection; one that ended, or on which something came unasked, is of no use."""
+        """Open a connection.
+
+        Raises:
+            RequestNotSentError: the connection failed, was closed by the instance or already received data.
+        """
         link = await connect(address, CONNECT_TIMEOUT_S, MOST_ANSWER_BYTES, self._budget)
         if link.channel.stale():
             link.close()
-            raise RequestNotSentError("the connection was ended, or something came on it, before the request")
+            raise RequestNotSentError("the connection was closed or received data before the request")
         return link
 
     def _reusable(self, instance: str, address: str, none_free: bool) -> Link | None:
-        """The idle connection used last, of those that have rested; one that has not, only if `none_free`."""
+        """Return the most recently used idle connection whose reuse delay has passed, or None.
+
+        If `none_free`, no new connection may be opened, and the delay is ignored.
+        """
         idle = self._idle.get(instance)
         if not idle:
             return None
@@ -135,7 +148,7 @@
         return None
 
     def _evict(self) -> bool:
-        """Close one idle connection to make room."""
+        """Close one idle connection so that another can be opened; False if there is none."""
         for instance, idle in self._idle.items():
             if idle:
                 self.drop(instance, idle.pop(0).link)
@@ -152,7 +165,7 @@
 
 
 def idle_time_s(answer: Message) -> float:
-    """How long a connection may be used again after an answer, by its Keep-Alive header."""
+    """Return for how long a connection may stay idle after an answer, by the answer's Keep-Alive header."""
     for parameter in (answer.get(b"keep-alive") or b"").split(b","):
         name, _, value = parameter.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit() and len(value) <= MOST_DIGITS:
@@ -161,7 +174,7 @@
 
 
 def watch_network(sock: socket.socket) -> None:
-    """Have the kernel end a connection whose other side is cut off or without power."""
+    """Let the kernel end a connection whose peer is unreachable or has lost power."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in KEEPALIVE:
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/mallowbeam/router/data_plane/outcomes.py
+++ b/mallowbeam/router/data_plane/outcomes.py
@@ -1,7 +1,7 @@
-"""What an attempt proves about its request.  A pure core.
+"""Classifies attempts by whether the request may have run.  No I/O.
 
-Up to its first byte a request is proven not to have run.  From then on only an answer that says so proves it:
-`Not-Executed`, or status 421.  An instance may begin before it has read a complete request.
+A request of which no byte was sent has not run.  Once a byte was sent, only an answer with `Not-Executed` or
+status 421 proves that it has not run, because an instance may start before it has read the complete request.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 SUCCESS = range(200, 300)
 SERVER_ERROR = range(500, 600)
 MISDIRECTED_STATUS = 421
-PROMISES = frozenset((408, 421, 429, 503))  # statuses that promise the client that nothing has run
+PROMISES = frozenset((408, 421, 429, 503))  # statuses that tell the client that the request has not run
 MOST_RETRY_AFTER_S = 60.0
 
 
 class AttemptEnd(Enum):
     """How one attempt ended."""
 
-    NO_CONNECTION = "no_connection"  # refused, unreachable or silent: never sent
+    NO_CONNECTION = "no_connection"  # refused, unreachable or no response: never sent
     NOT_SENT = "not_sent"  # the connection broke before the first byte: never ran
-    NO_CAPACITY = "no_room"  # no connection allowed: says nothing of the instance
+    NO_CAPACITY = "no_room"  # connection limit reached or instance not usable: no evidence about its health
     REJECTED = "rejected"  # Not-Executed: received, not run
     MISDIRECTED = "misdirected"  # 421: another instance, stage or version: not run
-    FAILED = "failed"  # an answer with a failure: may have run
-    BROKEN = "broken"  # reset, close or bytes that are no answer: may have run
-    TIMED_OUT = "timed_out"  # silence up to the deadline: may have run
+    FAILED = "failed"  # an answer that reports a failure: may have run
+    BROKEN = "broken"  # reset, close or malformed answer: may have run
+    TIMED_OUT = "timed_out"  # no answer before the deadline: may have run
     ANSWERED = "answered"  # an answer that is forwarded
 
 
 def judge_answer(
     answer: Message, request_id: bytes, first_on_connection: bool, signed: bool = True
 ) -> AttemptEnd:
-    """What an answer's head says.
+    """Classify an attempt by its answer's head.
 
-    An answer that names another request is a late one of its connection's earlier requests; one without a
-    name is only believed where there was no earlier request.  `signed` is False where a success carries no
-    signature, as a prefill call's does.
+    An answer with another request id is a late answer to an earlier request on the connection.  An answer
+    without a request id is accepted only for the first request on a connection.  `signed` is False for
+    prefill calls, whose successful answers carry no signature.
     """
     if answer.status not in FINAL or not _answers(answer, request_id, first_on_connection):
         return AttemptEnd.BROKEN
@@ -55,18 +55,21 @@
 
 
 def names_another(answer: Message, request_id: bytes) -> bool:
-    """Whether an answer names one request, and not this one: a late one to an earlier request."""
+    """Whether an answer is a late one to an earlier request: its only request id is a different one."""
     echoed = _request_ids(answer)
     return len(echoed) == 1 and echoed != [request_id]
 
 
 def may_pass_on(answer: Message) -> bool:
-    """Whether a failure may go to the client as it is: not one whose status promises that nothing has run."""
+    """Whether a failure may be forwarded unchanged; not if its status claims that the request has not run."""
     return answer.status not in PROMISES
 
 
 def _answers(answer: Message, request_id: bytes, first_on_connection: bool) -> bool:
-    """Whether an answer is to this request; one that names none only where no other could be answered."""
+    """Whether an answer is to this request.
+
+    An answer without a request id counts only for the first request on a connection.
+    """
     echoed = _request_ids(answer)
     return echoed == [request_id] or (not echoed and first_on_connection)
 
@@ -76,7 +79,7 @@
 
 
 def retry_after(answer: Message) -> float | None:
-    """Seconds after which an instance asks to be tried again."""
+    """Return the seconds in an answer's Retry-After header, or None."""
     value = answer.get(b"retry-after")
     if value is None:
         return None
--- a/mallowbeam/router/data_plane/planner_interface.py
+++ b/mallowbeam/router/data_plane/planner_interface.py
@@ -1,7 +1,7 @@
-"""What the gateway asks its planner: which instances serve a request, and when.
+"""The interface between the gateway and its planner, which chooses the instances and start time of a request.
 
-The planner (`admission.planner.Planner`) decides on admission and pairing.  This module states what the
-gateway needs of one, and has a simple one that only balances load, for tests of all the rest.
+`admission.planner.Planner` implements admission and pairing.  This module defines the interface and a simple
+planner that only balances load, for tests of the other parts.
 """
 
 from __future__ import annotations
@@ -13,43 +13,43 @@
 from mallowbeam.router.configuration.model import Backend
 from mallowbeam.router.rpc.messages_pb2 import ENDED, READY, Instance
 
-LIGHT_LOAD = 0.5  # of an instance's slots, below which load does not matter
-RETRY_AFTER_S = 0.3  # with a refusal, where no instance could be named
+LIGHT_LOAD = 0.5  # of an instance's slots; lower loads rank equally
+RETRY_AFTER_S = 0.3  # with a rejection because no instance is available
 
 
 class Planner(Protocol):
-    """Admission and pairing."""
+    """Decides on admission and pairing."""
 
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
-        """Name the instances for a request, or refuse it."""
+        """Choose the instances for a request, or reject it."""
 
     def begun(self, booking: int, now: float) -> None:
-        """The request leaves for its first instance."""
+        """The request is about to be sent to its first instance."""
 
     def prefill_done(self, booking: int, now: float) -> None:
-        """The prompt was read."""
+        """The prefill instance has processed the prompt."""
 
     def hand_over_failed(self, booking: int, now: float) -> None:
-        """The instance that was offered a prompt's memory did not get it, and reads the prompt itself."""
+        """The decode instance could not fetch the offered KV cache and prefills the prompt itself."""
 
     def first_token(self, booking: int, now: float) -> None:
-        """The answer's first bytes came."""
+        """The first bytes of the answer arrived."""
 
     def finished(self, booking: int, outcome: Outcome, now: float) -> None:
-        """The booking is over."""
+        """The booking has ended."""
 
     def instances_changed(self, instances: Iterable[Instance], now: float) -> None:
-        """Instances came, changed or ended; the others are as before."""
+        """Apply instances that were added, changed or ended; all others are unchanged."""
 
     def configuration_changed(self, backends: Iterable[Backend], now: float) -> None:
-        """The services of the configuration in force."""
+        """Apply the services of the configuration in force."""
 
     def gateways_changed(self, count: int) -> None:
-        """How many gateways share the instances."""
+        """Set the number of gateways that share the instances."""
 
 
 class LeastLoadedPlanner:
-    """Sends each request to the ready instance with the fewest bookings for its slots, its own zone first."""
+    """Sends each request to the ready instance with the fewest bookings per slot, own zone preferred."""
 
     def __init__(self) -> None:
         self._ready: dict[str, dict[str, Instance]] = {}  # by service and id
@@ -58,7 +58,7 @@
         self._next = 0
 
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
-        """The least loaded instance; refused where there is none."""
+        """Choose the least loaded instance; reject the request if there is none."""
         best = min(
             (
                 instance
@@ -95,7 +95,7 @@
         """Not used by this planner."""
 
     def finished(self, booking: int, outcome: Outcome, now: float) -> None:
-        """Free the booking's place."""
+        """Release the booking's slot."""
         instance = self._bookings.pop(booking, None)
         if instance is None:
             return
@@ -104,7 +104,7 @@
             del self._load[instance]
 
     def instances_changed(self, instances: Iterable[Instance], now: float) -> None:
-        """Keep the ready instances; those that only read prompts are left out."""
+        """Keep the ready instances, except those of the prefill stage."""
         for instance in instances:
             if instance.state == ENDED:
                 for members in self._ready.values():
--- a/mallowbeam/router/data_plane/prefill.py
+++ b/mallowbeam/router/data_plane/prefill.py
@@ -1,4 +1,4 @@
-"""The prompt read at a prefill instance: the call, the handle that it leaves, and how a handle is freed."""
+"""KV handles: parsing them from the answers of prefill instances, and freeing those that are not used."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 from mallowbeam.router.data_plane.attempt import Attempt
 from mallowbeam.router.data_plane.link_pool import LinkPool
 
-MOST_FREEING = 64  # handles being freed at once; one beyond that lapses by itself
+MOST_FREEING = 64  # handles being freed at a time; any beyond that are left to expire
 FREE_TIMEOUT_S = 1.0
 MOST_HANDLE_CHARS = 256
 
 
 @dataclass(frozen=True, slots=True)
 class Handle:
-    """Memory that a prefill instance holds for one request."""
+    """KV cache that a prefill instance holds for one request."""
 
     instance: str
     address: str  # of the instance
     id: str
-    issued_at: float  # when the instance's answer came, in loop time
+    issued_at: float  # monotonic time at which the instance's answer arrived
 
     @property
     def kv_from(self) -> bytes:
-        """The value of the header that names it to a decode instance."""
+        """The `Kv-From` header value that refers a decode instance to this handle."""
         return f"{self.address}/{self.id}".encode()
 
 
 def read_handle(attempt: Attempt, address: str, now: float) -> Handle | None:
-    """The handle in a prefill answer; None where it can't be read."""
+    """Return the handle in a prefill answer, or None if it can't be parsed."""
     answer = attempt.answer
     if answer is None or answer.status != HTTPStatus.OK or not answer.complete:
         return None
@@ -51,22 +51,22 @@
 
 
 class HandleRelease:
-    """Frees handles that no decode instance takes, in the background of the requests they belonged to."""
+    """Frees handles that no decode instance fetches, in background tasks."""
 
     def __init__(self, pool: LinkPool) -> None:
         self._pool = pool
         self._tasks: set[asyncio.Task[None]] = set()
-        self.dropped = 0  # beyond the bound: left to lapse
+        self.dropped = 0  # handles left to expire because the limit was reached
 
     def free(self, handle: Handle, most_connections: int) -> None:
-        """Free a handle; nobody waits for it."""
+        """Start freeing a handle in the background."""
         if len(self._tasks) >= MOST_FREEING:
             self.dropped += 1
             return
         self._start(self._free(handle, most_connections))
 
     async def finish(self) -> None:
-        """Wait for what is on its way."""
+        """Wait for the pending releases, at most `FREE_TIMEOUT_S`."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=FREE_TIMEOUT_S)
 
@@ -88,6 +88,6 @@
             answer = await link.round_trip(write_request(b"DELETE", target, headers))
             await link.read_body(answer)
         finally:
-            # The call names no request, so what was read may be a late answer to an earlier one, with this
-            # call's own still outstanding: the connection is not used again.
+            # The call carries no request id, so this may have been a late answer to an earlier request while
+            # the call's own answer is still outstanding: the connection is not reused.
             self._pool.drop(handle.instance, link)
--- a/mallowbeam/router/data_plane/readiness.py
+++ b/mallowbeam/router/data_plane/readiness.py
@@ -1,4 +1,4 @@
-"""The readiness endpoint: whether this gateway takes new connections."""
+"""The readiness endpoint: reports whether this gateway accepts new connections."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
     max_body = max_buffered_body = MOST_BODY
     budget: BodyBudget | None = None
-    idle = 30.0  # seconds that a caller's connection may rest
+    idle = 30.0  # seconds that a caller's connection may be idle
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         self._ready = ready
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
-        """One question to its answer."""
+        """Answer one readiness check."""
         if request.target.partition(b"?")[0] != PATH:
             return own_answer(404, b"", closing(), text=b"no such page\n")
         if request.method not in (b"GET", b"HEAD"):
@@ -33,8 +33,8 @@
         return own_answer(200 if ready else 503, b"", closing(), text=b"ready\n" if ready else b"not ready\n")
 
     def error_response(self, status: int, text: str) -> Response:
-        """The answer to what breaks HTTP."""
+        """Return the answer to a request that violates HTTP."""
         return own_answer(status, b"", True, text=text.encode() + b"\n")
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
-        """Nothing is counted here."""
+        """Do nothing: readiness checks are not counted."""
--- a/mallowbeam/router/data_plane/relay.py
+++ b/mallowbeam/router/data_plane/relay.py
@@ -1,7 +1,7 @@
-"""Forwarding of an answer: chunks are sent as they come; a stream that breaks is resumed if allowed.
+"""Forwards an answer chunk by chunk as it arrives; resumes a broken stream if allowed.
 
-An answer that ends early never looks complete: `write` returns False and the connection ends without the
-framing's end mark.
+A truncated answer never looks complete: the writer returns False, and the connection is closed without the
+end marker of the answer's framing.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Relay:
-    """Passes one exchange's answer on."""
+    """Forwards the answer of one exchange."""
 
     def __init__(self, exchange: Exchange, request: Message, closing: Callable[[], bool]) -> None:
         self._exchange = exchange
@@ -33,12 +33,12 @@
         self._end = Outcome.CANCELLED
 
     def reply(self) -> Response:
-        """The reply that passes the answer on."""
+        """Return the response that forwards the answer."""
         answer = self._answer()
         return Response(answer.status, write=self._write)
 
     async def _write(self, channel: Channel) -> bool:
-        """Write head and body; False if the answer broke off."""
+        """Write head and body; False if the answer was truncated."""
         try:
             attempt = self._exchange.attempt
             complete = await (
@@ -50,7 +50,7 @@
             self._exchange.close(self._end)
 
     async def _plain(self, channel: Channel) -> bool:
-        """A large answer."""
+        """Forward a large answer; False if it was truncated."""
         answer = self._answer()
         await channel.send(self._head(answer, answer.length))
         left = answer.length
@@ -71,7 +71,7 @@
         return not left
 
     async def _stream(self, channel: Channel) -> bool:
-        """An event stream."""
+        """Forward an event stream; False if it was truncated."""
         head = self._head(self._answer(), None)
         chunk, self._exchange.first_chunk = self._exchange.first_chunk, b""
         await channel.send(head + self._framed(chunk) if chunk else head)
@@ -88,7 +88,7 @@
         return True
 
     async def _next_chunk(self) -> bytes | None:
-        """The next chunk, from another instance if need be; empty at the end, None where it broke off."""
+        """Return the next chunk, resuming elsewhere if needed; empty at the end, None if truncated."""
         exchange = self._exchange
         attempt = exchange.attempt
         assert attempt is not None
@@ -106,9 +106,9 @@
         return chunk
 
     def _event_timeout_s(self) -> float:
-        """Seconds that the stream may be silent from now on.
+        """Return the seconds without an event after which the stream counts as stalled.
 
-        As long as its client bears it, where no other instance may take it up.
+        If no other instance may resume the stream, this is as long as its client waits.
         """
         exchange = self._exchange
         route = exchange.route
--- a/mallowbeam/router/data_plane/retry_budget.py
+++ b/mallowbeam/router/data_plane/retry_budget.py
@@ -1,19 +1,19 @@
-"""How many further sends a gateway may make to one service.  A pure core.
-
-The bound, for the whole fleet and for every span of the window's length: arrivals at the service after a
-request's first are at most `ratio` times the requests that clients sent for it, plus `min_retries`; the
-requests are those of that span, of the one before it, or of the one half a window before it, whichever has
-the most.
-
-Each gateway keeps its own share, so that the sum holds without messages between them: its retries in a span
-are at most `ratio` times its requests in the span *before*, plus its share of `min_retries`.  All gateways
-use the same one of the three: the largest of each would add up to more than the largest of the sums.  While a
-service has been in use for less than half a window there is little before; until then the span half a window
-before is used.
-
-Time is cut into slices.  A span that begins inside a slice counts all retries of that slice and of the one
-before, as a send may arrive up to a slice later than it is counted; of requests it counts complete slices
-only.
+"""The retry budget: how many retries a gateway may send to one service.  No I/O.
+
+The limit holds for the whole fleet and for every time span as long as the window.  The retries that arrive
+at the service in a span (all arrivals of a request after its first) are at most `ratio` times the requests
+that clients sent for it, plus `min_retries`.  The requests are counted in that span, in the span before it or
+in the span that starts half a window earlier, whichever has the most.
+
+Each gateway enforces its own share, so that the sum holds without communication: its retries in a span are at
+most `ratio` times its requests in the span *before*, plus its share of `min_retries`.  All gateways must use
+the same one of the three spans, because the largest counts of the gateways can add up to more than the
+largest of the fleet's counts.  While a service has been in use for less than half a window, the span before
+holds few requests; until then the span that starts half a window earlier is used.
+
+Time is divided into slices.  A span that begins inside a slice counts all retries of that slice and of the
+one before, because a send may arrive up to one slice later than it is counted; of the requests it counts only
+those in complete slices.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetSettings:
-    """The bounds as the settings file states them; `window_s` in seconds."""
+    """The limits from the settings file; `window_s` in seconds."""
 
     ratio: float = 0.1
     window_s: float = 10.0
@@ -35,37 +35,37 @@
 
 @dataclass(slots=True)
 class _Slice:
-    """What was counted in one slice of time."""
+    """The counts of one time slice."""
 
     requests: int = 0
     retries: int = 0
 
 
-EMPTY = _Slice()  # never changed
+EMPTY = _Slice()  # read-only
 
 
 class RetryBudget:
-    """The budget of one service at this gateway."""
+    """The retry budget of one service at this gateway."""
 
     def __init__(self, settings: BudgetSettings) -> None:
         self._settings = settings
         self._slice_s = settings.window_s / SLICES
-        self._slices: dict[int, _Slice] = {}  # by number, in rising order
-        self._first = 0  # the first slice since nothing was counted
+        self._slices: dict[int, _Slice] = {}  # by slice number, in ascending order
+        self._first = 0  # the first slice after the last period in which nothing was counted
 
     def request(self, now: float) -> None:
-        """Count a client's request for the service."""
+        """Count a client request for the service."""
         self._slice(now).requests += 1
 
     def take(self, now: float, gateways: int) -> bool:
-        """Count a further send, if it is within the budget; `gateways` share `min_retries`."""
+        """Count a retry if it is within the budget, else return False; `gateways` share `min_retries`."""
         if self.available(now, gateways) < 1.0:
             return False
         self._slice(now).retries += 1
         return True
 
     def give_back(self, now: float) -> None:
-        """A send that was counted just now never arrived."""
+        """Uncount a recent retry that never arrived at an instance."""
         current = self._number(now)
         for number in sorted(self._slices, reverse=True):
             if number <= current and self._slices[number].retries > 0:
@@ -73,7 +73,7 @@
                 return
 
     def available(self, now: float, gateways: int) -> float:
-        """Further sends that are within the budget now: as many as the tightest span that ends now allows."""
+        """Return how many retries are allowed now: the minimum over all spans that end now."""
         current = self._number(now)
         self._forget(current)
         oldest = current - 2 * SLICES
@@ -92,12 +92,12 @@
         return least
 
     def unused(self, now: float) -> bool:
-        """Whether nothing is counted any more."""
+        """Whether no counts are left."""
         self._forget(self._number(now))
         return not self._slices
 
     def _around(self, begin: int, current: int) -> int:
-        """Requests from half a window before a slice to half a window behind it, as far as they have come."""
+        """Return the requests from half a window before a slice to half a window after it, up to now."""
         last = min(current, begin + HALF - 1)
         return sum(self._slices.get(number, EMPTY).requests for number in range(begin - HALF + 1, last + 1))
 
@@ -114,27 +114,27 @@
         return counts
 
     def _forget(self, current: int) -> None:
-        """Drop slices that lie more than two windows and a slice back."""
+        """Drop slices that are more than two windows and one slice old."""
         while self._slices and (oldest := next(iter(self._slices))) < current - 2 * SLICES - 1:
             del self._slices[oldest]
 
 
 class RetryBudgets:
-    """The budgets of all services."""
+    """The retry budgets of all services."""
 
     def __init__(self, settings: BudgetSettings) -> None:
         self._settings = settings
         self._budgets: dict[str, RetryBudget] = {}
 
     def of(self, backend: str) -> RetryBudget:
-        """The budget of a service."""
+        """Return the budget of a service."""
         budget = self._budgets.get(backend)
         if budget is None:
             budget = self._budgets[backend] = RetryBudget(self._settings)
         return budget
 
     def keep_only(self, backends: frozenset[str], now: float) -> None:
-        """Forget services that the configuration does not name, once nothing of theirs counts any more."""
+        """Drop the budgets of services that are not configured, once no counts are left in them."""
         for name in [name for name in self._budgets if name not in backends]:
             if self._budgets[name].unused(now):
                 del self._budgets[name]
--- a/mallowbeam/router/data_plane/role.py
+++ b/mallowbeam/router/data_plane/role.py
@@ -1,4 +1,4 @@
-"""The data-plane role: listeners, feed, and an orderly stop."""
+"""The data-plane role: listeners, feed and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 from mallowbeam.router.processes.settings import Bounds, NodeSettings, SettingsFieldError, split_address
 from mallowbeam.router.rpc.messages_pb2 import GatewayFrame
 
-TICK_S = 1.0  # between two looks at idle connections and counts
-REPORT_S = 0.5  # between two reports to the member: demand, and outcomes of attempts
-RESERVED_FDS = 260  # descriptors that are neither a client's nor an instance's connection
-CLIENT_FRACTION = 0.5  # of the other descriptors
-LEAST_CONNECTIONS = 16  # for clients, and for instances
-BUDGET_FRACTION = 0.75  # of the fleet's retry budget that gateways use together
+TICK_S = 1.0  # between two clean-ups of idle connections and health records
+REPORT_S = 0.5  # between two reports of demand and attempt outcomes to the member
+RESERVED_FDS = 260  # file descriptors reserved for uses other than client and instance connections
+CLIENT_FRACTION = 0.5  # of the remaining file descriptors
+LEAST_CONNECTIONS = 16  # minimum for client and for instance connections each
+BUDGET_FRACTION = 0.75  # of the fleet's retry budget that all gateways together use
 READINESS_CONNECTIONS = 16
-NOTICE_S = 2.2  # after the signal to stop, until the platform sends no new connections
-NOTICE_FRACTION = 0.35  # of the grace time, that this may take
-EXIT_MARGIN_S = 0.5  # of the grace time, kept for the end itself
+NOTICE_S = 2.2  # from the stop signal until the platform has stopped sending new connections
+NOTICE_FRACTION = 0.35  # of the grace period; upper limit for that delay
+EXIT_MARGIN_S = 0.5  # of the grace period, reserved for the final clean-up
 
 log = get_logger("mallowbeam.data_plane")
 decisions = get_logger("mallowbeam.decisions")
@@ -78,7 +78,7 @@
         self.metrics_server = metrics_server(settings, self._metrics)
 
     def _metrics(self) -> Iterator[Metric]:
-        """This gateway's own figures."""
+        """Yield this gateway's metrics."""
         gateway, now = self.gateway, time.monotonic()
         requests = "Answers that have gone out, by status."
         for status, count in sorted(gateway.answers.items()):
@@ -98,11 +98,11 @@
         yield Metric("mallowbeam_ready", int(self.ready()), "1 while clients may be sent here.")
 
     def ready(self) -> bool:
-        """Whether clients may be sent here."""
+        """Whether the platform may send clients to this gateway."""
         return self.subscriber.ready(time.monotonic()) and not self._context.stopping.is_set()
 
     async def serve(self) -> None:
-        """Serve until signalled to stop, then finish what is pending."""
+        """Serve until signalled to stop, then finish the pending requests."""
         loop = asyncio.get_running_loop()
         self.readiness_server.start()
         self.front_server.start()
@@ -124,7 +124,7 @@
                 await self.metrics_server.stop_accepting()
 
     async def _stop(self) -> None:
-        """Answer 503 to the platform's question first, go on until it has noticed, then drain."""
+        """Fail readiness checks, keep serving until the platform has noticed, then drain."""
         grace_s = self._context.settings.bounds.grace_s
         notice_s = min(NOTICE_S, grace_s * NOTICE_FRACTION)
         log.info("stopping")
@@ -133,16 +133,18 @@
             async with asyncio.timeout(max(0.0, grace_s - notice_s - EXIT_MARGIN_S)):
                 await self.front_server.drain()
         except TimeoutError:
-            log.warning("%d requests were not finished in the grace time", self.front_server.pending)
+            log.warning(
+                "%d requests were unfinished at the end of the grace period", self.front_server.pending
+            )
         await self.gateway.handles.finish()
         await self.readiness_server.stop_accepting()
 
     def _changed(self, events: FeedEvents[Configuration], now: float) -> None:
-        """Take over what a frame of the feed changed."""
+        """Apply the changes of one feed frame."""
         if events.configuration is not None:
             self.gateway.set_configuration(events.configuration, now)
             self.front.set_limits(events.configuration.limits)
-            log.info("configuration %d", events.configuration.revision)
+            log.info("applied configuration revision %d", events.configuration.revision)
         if events.instances.changed or events.instances.ended:
             self.gateway.instances_changed(events.instances, now)
         self.gateway.set_gateways(self.subscriber.gateways_bound(now))
@@ -173,16 +175,16 @@
 
 
 def peer_addresses(settings: NodeSettings) -> list[str]:
-    """Where the seeds listen for other processes: their addresses with the first port for such traffic."""
+    """Return the seeds' addresses for traffic between processes: it uses the first port of the range."""
     port = settings.port_range[0]
     return [f"{split_address(seed)[0]}:{port}" for seed in settings.seeds]
 
 
 def retry_budget(bounds: Bounds) -> BudgetSettings:
-    """The gateways' bound on retries, below the fleet's.
+    """Return the gateways' retry budget, which is smaller than the fleet's limit.
 
-    Not all that comes to a gateway counts as a request in the fleet's bound (calls that only look which
-    configuration is in force do not), and a gateway learns late how many others there are.
+    A gateway counts requests that don't count for the fleet's limit (calls that only check which
+    configuration is in force), and it learns with a delay how many other gateways there are.
     """
     return BudgetSettings(
         bounds.retry_budget_ratio * BUDGET_FRACTION,
@@ -192,14 +194,18 @@
 
 
 def divide_descriptors(most: int) -> tuple[int, int]:
-    """Connections for clients and connections to instances."""
+    """Divide the file descriptors into client connections and instance connections."""
     free = most - RESERVED_FDS
     clients = max(LEAST_CONNECTIONS, int(free * CLIENT_FRACTION))
     return clients, max(LEAST_CONNECTIONS, free - clients)
 
 
 def _address(text: str | None, name: str) -> tuple[str, int]:
-    """A listener's address; raises `SettingsFieldError` where the settings leave it out."""
+    """Return a listener's address.
+
+    Raises:
+        SettingsFieldError: the settings don't contain it.
+    """
     if text is None:
         raise SettingsFieldError("is missing", f"bind_addresses.{name}")
     return split_address(text)
@@ -207,7 +213,7 @@
 
 def _report_end(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and (error := task.exception()) is not None:
-        log.error("the feed's task failed", exc_info=(type(error), error, error.__traceback__))
+        log.error("feed task failed", exc_info=(type(error), error, error.__traceback__))
 
 
 async def serve(context: RoleContext) -> None:
@@ -216,5 +222,5 @@
 
 
 def main() -> int:
-    """Run the data-plane role; the exit code of the process."""
+    """Run the data-plane role and return the exit code of the process."""
     return run_role(serve)
--- a/mallowbeam/router/data_plane/routing.py
+++ b/mallowbeam/router/data_plane/routing.py
@@ -1,6 +1,6 @@
-"""Which route a request takes and which of the route's services receives it.  A pure core.
+"""Selects the route of a request and the service that receives it.  No I/O.
 
-Hosts are compared without case and port; of a host's routes the one with the longest path prefix wins.
+Hosts are compared ignoring case and port; among a host's routes, the longest matching path prefix wins.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RouteTable:
-    """The routes of one configuration, arranged for look-ups."""
+    """The routes of one configuration, indexed by host."""
 
     def __init__(self, routes: Iterable[Route] = ()) -> None:
         self._by_host: dict[str, list[tuple[bytes, Route]]] = {}
@@ -23,7 +23,7 @@
             entries.sort(key=lambda entry: -len(entry[0]))
 
     def find(self, host: bytes, target: bytes) -> Route | None:
-        """The route for a Host header and a request target; None where there is none."""
+        """Return the route for a Host header and a request target, or None."""
         path = target.partition(b"?")[0]
         for prefix, route in self._by_host.get(host_name(host), ()):
             if path.startswith(prefix):
@@ -32,7 +32,7 @@
 
 
 def host_name(host: bytes) -> str:
-    """The name in a Host header, without its port."""
+    """Return the lower-case name in a Host header, without the port."""
     name = host.decode("latin-1").lower()
     head, colon, port = name.rpartition(":")
     if colon and port.isdigit():
@@ -41,7 +41,7 @@
 
 
 def choose_backend(route: Route, request_id: bytes) -> str:
-    """One of a route's services, by weight and by the request's id: the same id always gets the same one."""
+    """Choose one of a route's services by weight; the same request id always gets the same service."""
     weighted = [choice for choice in route.backends if choice.weight > 0]
     if len(weighted) <= 1:
         return weighted[0].backend if weighted else ""
--- a/mallowbeam/router/data_plane/send_policy.py
+++ b/mallowbeam/router/data_plane/send_policy.py
@@ -1,9 +1,9 @@
-"""Retry policy of one request: whether it may be sent (again), and its status when abandoned.  A pure core.
+"""The retry policy of one request: whether it may be sent again, and its status when abandoned.  No I/O.
 
-An *arrival* is a request that an instance has received completely or in part.  A prefill call that comes
-before all other arrivals, and is not rejected, is none.  Every arrival after the first is charged to the
-retry budget of its service.  A separate prefill is therefore made only before all arrivals: later the call
-would count against an instance that could answer.
+An *arrival* is a request that an instance has received completely or in part.  A prefill call that precedes
+all other arrivals and succeeds does not count as one.  Every arrival after the first is charged to the retry
+budget of its service.  A prompt is therefore prefilled separately only before any arrival: later, the prefill
+call would use up budget that a send to a decode instance needs.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from mallowbeam.router.data_plane.outcomes import AttemptEnd
 from mallowbeam.router.data_plane.retry_budget import RetryBudget
 
-MOST_CONNECT_FAILURES = 4  # attempts that found no connection, in one request
+MOST_CONNECT_FAILURES = 4  # failed connection attempts per request
 NEVER_ARRIVED = frozenset((AttemptEnd.NO_CONNECTION, AttemptEnd.NOT_SENT, AttemptEnd.NO_CAPACITY))
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
@@ -22,29 +22,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SendTicket:
-    """A send that was allowed: hand it back to `SendPolicy` with how it ended."""
+    """A permitted send; pass it back to `SendPolicy` together with its outcome."""
 
     instance: str
-    charged: bool  # to the retry budget
-    counted: bool  # the instance is new among those that the request was sent to
-    first: bool = False  # nothing arrived anywhere before it
+    charged: bool  # whether it was charged to the retry budget
+    counted: bool  # whether the request had not been sent to this instance before
+    first: bool = False  # whether there was no arrival before it
 
 
 class SendPolicy:
-    """The sends of one request."""
+    """Permits and records the sends of one request."""
 
     def __init__(self, budget: RetryBudget, idempotent: bool, most_instances: int) -> None:
         self._budget = budget
-        self.idempotent = idempotent  # it may run more than once
+        self.idempotent = idempotent  # whether it may run more than once
         self._most_instances = max(1, most_instances)
         self._arrivals = 0
         self._instances: set[str] = set()
         self._connect_failures = 0
-        self.may_have_run = False  # an instance may have run it, or run it still
-        self.excluded: set[str] = set()  # instances that failed or refused it
+        self.may_have_run = False  # whether an instance may have run it or may still be running it
+        self.excluded: set[str] = set()  # instances that failed or rejected it
 
     def send(self, instance: str, now: float, gateways: int) -> SendTicket | None:
-        """Ask for one send; None where it is not allowed."""
+        """Request permission for one send; None if it is not allowed."""
         if self.may_have_run and not self.idempotent:
             return None
         if self._connect_failures >= MOST_CONNECT_FAILURES:
@@ -60,7 +60,7 @@
         return SendTicket(instance, charged, new, not charged)
 
     def ended(self, ticket: SendTicket, end: AttemptEnd, now: float) -> None:
-        """Tell how a send ended that gave no answer for the client."""
+        """Record the outcome of a send that gave no answer to forward."""
         self.excluded.add(ticket.instance)
         if end in NEVER_ARRIVED:
             self._take_back(ticket, now)
@@ -69,27 +69,27 @@
             self.may_have_run = True
 
     def broke_off(self, instance: str) -> None:
-        """A forwarded answer broke off: the request has run there."""
+        """A forwarded answer was truncated: the request has run at this instance."""
         self.excluded.add(instance)
         self.may_have_run = True
 
     def prefill_accepted(self, ticket: SendTicket, now: float) -> None:
-        """A prefill call was accepted: one before all arrivals is no arrival."""
+        """A prefill call succeeded: if it was the first send, it does not count as an arrival."""
         if ticket.first:
             self._take_back(ticket, now)
 
     def prefill_failed(self, ticket: SendTicket, end: AttemptEnd, now: float) -> None:
-        """A prefill call failed: the request itself has not run, whatever became of the call."""
+        """A prefill call failed: however it failed, the request itself has not run."""
         self.excluded.add(ticket.instance)
         if end in NEVER_ARRIVED:
             self._take_back(ticket, now)
 
     def may_prefill_separately(self) -> bool:
-        """Whether the prompt may be read at a prefill instance."""
+        """Whether the prompt may be prefilled at a separate instance."""
         return not self._arrivals
 
     def may_continue(self) -> bool:
-        """Whether another send could still be allowed, the budget apart."""
+        """Whether another send could still be allowed, regardless of the retry budget."""
         if self.may_have_run and not self.idempotent:
             return False
         if self._connect_failures >= MOST_CONNECT_FAILURES:
@@ -97,7 +97,7 @@
         return len(self._instances) < self._most_instances
 
     def status_when_abandoned(self, out_of_time: bool) -> int:
-        """The status of the gateway's own answer: 503 only for what has not run and never will."""
+        """Return the status of the gateway's answer: 503 only if the request has not run and never will."""
         if not self.may_have_run:
             return UNAVAILABLE
         return GATEWAY_TIMEOUT if out_of_time else BAD_GATEWAY
--- a/mallowbeam/router/streams/events.py
+++ b/mallowbeam/router/streams/events.py
@@ -1,4 +1,4 @@
-"""Splits a `text/event-stream` (WHATWG HTML, section 9.2.6) into events.  A pure core."""
+"""Splits a `text/event-stream` (WHATWG HTML, section 9.2.6) into events.  No I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     """One complete event."""
 
     raw: bytes  # includes the blank line that ends it
-    id: int | None  # None: no id, or not a number
+    id: int | None  # None if missing or not a number
 
 
 class EventParser:
@@ -36,7 +36,7 @@
         return len(self._buffer) > MOST_EVENT_BYTES
 
     def feed(self, data: bytes | bytearray) -> list[Event]:
-        """Add bytes; returns the events that they complete."""
+        """Add bytes; return the events that they complete."""
         searched = max(0, len(self._buffer) - 3)
         self._buffer += data
         events: list[Event] = []
@@ -49,12 +49,12 @@
         return events
 
     def drop_partial(self) -> None:
-        """Discard the incomplete event: its stream broke."""
+        """Discard the incomplete event of a broken stream."""
         self._buffer.clear()
 
 
 def read_id(raw: bytes) -> int | None:
-    """The id of an event."""
+    """Return the id of an event, or None."""
     found = EVENT_ID.search(raw)
     if found is None:
         return None
@@ -62,7 +62,7 @@
 
 
 def parse_id(value: bytes) -> int | None:
-    """An event id as a number."""
+    """Return an event id as a number, or None if it is not one."""
     value = value.strip()
     if not value.isdigit() or len(value) > MOST_ID_DIGITS:
         return None
--- a/mallowbeam/router/streams/progress.py
+++ b/mallowbeam/router/streams/progress.py
@@ -1,37 +1,38 @@
-"""Which part of a stream has been forwarded, and where another instance must continue.  A pure core.
+"""Tracks which part of a stream was forwarded and where another instance must continue.  No I/O.
 
-A stream that may be resumed is forwarded in complete events whose ids rise; any other stream byte by byte.
+A resumable stream is forwarded in complete events with ascending ids; any other stream byte by byte.
 """
 
 from __future__ import annotations
 
 from mallowbeam.router.streams.events import EventParser, parse_id
 
-EVENT_END = b"\n\n"  # counted where bytes are forwarded as they come; one split over two reads is missed
+# Counted in streams that are forwarded byte by byte; an end split over two reads is missed.
+EVENT_END = b"\n\n"
 EVENT_ENDS = (EVENT_END, b"\r\n\r\n")
 LONGEST_END = 4  # bytes
 
 
 class StreamProgress:
-    """The progress of one answer, over all instances that produce it."""
+    """The progress of one answer across all instances that produce it."""
 
     def __init__(self, resumable: bool, last_event_id: bytes | None = None) -> None:
         self.resumable = resumable
         self._parser = EventParser()
         self._last_id = parse_id(last_event_id) if last_event_id is not None else None
-        self._tail = b""  # the last bytes that were forwarded as they came
+        self._tail = b""  # the last bytes of a stream that is forwarded byte by byte
         self.events = 0  # forwarded so far
-        self.fault = ""  # why nothing more of this instance's stream is forwarded
-        self._behind_id = True  # nothing without an id was forwarded after the last id
+        self.fault = ""  # why this instance's stream is no longer forwarded; empty if it is
+        self._behind_id = True  # whether the last forwarded event has an id
 
     @property
     def last_event_id(self) -> bytes | None:
-        """The id after which another instance must continue; None: from the start."""
+        """The id after which another instance must continue; None to start from the beginning."""
         return b"%d" % self._last_id if self._last_id is not None else None
 
     @property
     def may_resume(self) -> bool:
-        """Whether another instance can continue exactly after what was forwarded."""
+        """Whether another instance can continue exactly after the last forwarded event."""
         return self.resumable and self._behind_id
 
     @property
@@ -41,13 +42,13 @@
 
     @property
     def inside_event(self) -> bool:
-        """Whether the instance's stream is inside an event, buffered or forwarded."""
+        """Whether the received part of the stream ends inside an event, buffered or forwarded."""
         if self.resumable:
             return self._parser.partial
         return bool(self._tail) and not self._tail.endswith(EVENT_ENDS)
 
     def feed(self, data: bytes | bytearray) -> bytes:
-        """Add bytes of an instance; returns what to forward, up to the event that sets `fault`."""
+        """Add bytes from an instance; return the bytes to forward, up to the event that sets `fault`."""
         if not self.resumable:
             self.events += data.count(EVENT_END)
             self._tail = (self._tail + bytes(data[-LONGEST_END:]))[-LONGEST_END:]
@@ -69,6 +70,6 @@
         return b"".join(complete)
 
     def broken(self) -> None:
-        """The instance's stream broke: discard its incomplete event."""
+        """The instance's stream broke: discard its incomplete event and clear `fault`."""
         self._parser.drop_partial()
         self.fault = ""
--- a/tests/router/data_plane/test_data_plane_answers.py
+++ b/tests/router/data_plane/test_data_plane_answers.py
@@ -1,4 +1,4 @@
-"""Answers that come early, late, twice or garbled, and to whom they go: stand-ins on loopback."""
+"""Early, late, duplicate and malformed answers reach the right client or none; stand-ins on loopback."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass
 class Typed(ModelServer):
-    """Answers with a status of its own and the type of event streams."""
+    """Answers with a given status and the content type of event streams."""
 
     status: int = 500
 
@@ -53,7 +53,7 @@
 
 @dataclass
 class LateHandles(ModelServer):
-    """A prefill instance that sends each answer once more, in the place of the next one due."""
+    """A prefill instance that repeats the previous answer before the next one."""
 
     before: ReceivedRequest | None = None
 
@@ -65,7 +65,7 @@
 
 
 class ToCallers(unittest.TestCase):
-    """Through the whole gateway."""
+    """Answers to clients through the complete gateway."""
 
     def test_a_failure_of_the_type_of_streams_is_passed_on_whole(self) -> None:
         async def scenario() -> None:
@@ -110,7 +110,7 @@
                     self.assertEqual((answer.status, answer.body), (200, b"answer"), number)
                     self.assertEqual(answer.headers["request-id"], f"r-{number}")
                     await asyncio.sleep(0.1)
-                # The first two share a connection; behind the late answer it is not used again.
+                # The first two share a connection, which is not reused after the late answer.
                 self.assertEqual((len(one.seen), one.connections), (3, 2))
 
         play(scenario())
@@ -136,7 +136,7 @@
             async with Bench(planner=ByName("p-1")) as bench:
                 prefill = await add(bench, ModelServer("p-1", "prefill"), ENGINE)
                 decode = await add(bench, ModelServer("d-1", "decode"), ENGINE)
-                # A pooled connection, so that a send would need no wait.
+                # Leaves an idle connection in the pool, so that a send would not have to wait.
                 self.assertEqual((await bench.ask("/stream/")).status, 200)
                 await asyncio.sleep(0.1)
                 prefill.script.append(Fault.SILENT)
@@ -181,10 +181,10 @@
 
 
 class Connections(unittest.TestCase):
-    """`Link` and the pool on the kernel's sockets."""
+    """`Link` on real sockets."""
 
     def play(self, scenario: Callable[[Link, socket.socket], Awaitable[None]]) -> None:
-        """Run a scenario with a link whose large request the kernel does not take whole, and its peer."""
+        """Run a scenario with a link, whose socket buffer is smaller than a large request, and its peer."""
 
         async def whole() -> None:
             with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -231,7 +231,7 @@
         async def scenario(link: Link, peer: socket.socket) -> None:
             peer.sendall(NO_LENGTH)
             answer = await link.round_trip(HEAD % LARGE, b"b" * LARGE)
-            peer.close()  # over bytes that nobody read: a reset
+            peer.close()  # resets the connection, because received bytes are unread
             with self.assertRaises(ConnectionBrokenError):
                 await link.read_body(answer)
 
@@ -252,7 +252,7 @@
 
 
 class Scripted:
-    """An instance that answers each request of one connection with what a test says."""
+    """An instance that sends the given answers, one for each request."""
 
     def __init__(self, *answers: bytes, first: bytes = b"") -> None:
         self._answers, self._first = list(answers), first
@@ -281,10 +281,10 @@
 
 
 class Pooled(unittest.TestCase):
-    """Connections that the pool must not hand out."""
+    """Connections that the pool must not reuse."""
 
     def free(self, answer: bytes) -> bool:
-        """Whether a handle's connection is used again, where this came as the answer to the call."""
+        """Return whether a connection is reused after a handle was freed on it with this answer."""
         reused = False
 
         async def scenario() -> None:
@@ -304,7 +304,7 @@
         return reused
 
     def test_the_connection_on_which_a_handle_was_freed_is_not_used_again(self) -> None:
-        """The call names no request: a late answer to an earlier one can't be told from its own."""
+        """The call has no request id, so its answer can't be told from a late one to an earlier request."""
         for answer in (NAMELESS, NAMED):
             self.assertFalse(self.free(answer))
 
--- a/tests/router/data_plane/test_data_plane_budget.py
+++ b/tests/router/data_plane/test_data_plane_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget against oracles that look at every span, for one gateway and for a whole fleet."""
+"""Checks the retry budget against an oracle that examines every time span, for one gateway and a fleet."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 
 @dataclass
 class Counted:
-    """What a service saw: when clients sent requests, and when arrivals after a request's first came."""
+    """What a service observed: the times of client requests and of retries (arrivals after the first)."""
 
     requests: list[float] = field(default_factory=list)
     retries: list[float] = field(default_factory=list)
 
 
 def count(times: list[float], since: float, until: float) -> int:
-    """How many of the sorted times lie in a span, its ends included."""
+    """Return how many of the sorted times lie in a span, including its ends."""
     return bisect_right(times, until) - bisect_left(times, since)
 
 
 def excess(counted: Counted, ratio: float, min_retries: float) -> float:
-    """By how much the worst of all spans is over the bound; 0 or less where none is.
+    """Return by how much the worst span exceeds the limit; 0 or less if none does.
 
-    The sums change only where an end of one of the three spans passes a request, or where the span itself
-    begins or ends with a retry: those places are all looked at, and just behind them.
+    The counts change only where an end of one of the three spans passes a request, or where the span itself
+    begins or ends with a retry.  All these times are examined, for requests just after the time.
     """
     requests, retries = sorted(counted.requests), sorted(counted.retries)
     shifts = (0.0, WINDOW_S, -WINDOW_S, WINDOW_S / 2, -WINDOW_S / 2)
@@ -61,14 +61,14 @@
 
 
 class Fleet:
-    """Gateways that share a budget, clients that wander among them, instances that fail now and then."""
+    """Gateways that share a budget, with clients that move between them and a changing failure rate."""
 
     def __init__(self, random: Random, gateways: int, delay_s: float) -> None:
         self.random, self.delay_s = random, delay_s
         self.settings = settings_from(random)
         self.budgets = [RetryBudget(self.settings) for _ in range(gateways)]
         self.counted = Counted()
-        self.rate, self.failing = 10.0, 0.5  # events a second; the share that asks for retries
+        self.rate, self.failing = 10.0, 0.5  # events per second; the fraction that causes retries
         self.shares = [1.0] * gateways
 
     def play(self, seconds: float) -> Counted:
@@ -131,7 +131,7 @@
         requests = [START + number for number in range(20)]
         self.assertLessEqual(excess(Counted(requests, [START + 15.0, START + 15.1]), 0.2, 0), 0)
         self.assertGreater(excess(Counted(requests, [START + 15.0, START + 15.1, START + 15.2]), 0.2, 0), 0)
-        self.assertGreater(excess(Counted(requests, [START + 35.0]), 0.2, 0), 0)  # long behind them
+        self.assertGreater(excess(Counted(requests, [START + 35.0]), 0.2, 0), 0)  # long after the requests
         self.assertLessEqual(excess(Counted(requests, [START + 35.0]), 0.2, 1), 0)
 
 
@@ -140,7 +140,7 @@
         return RetryBudget(BudgetSettings(ratio, WINDOW_S, min_retries))
 
     def taken(self, budget: RetryBudget, now: float, gateways: int = 1) -> int:
-        """How many sends are granted at one moment."""
+        """Return how many retries are granted at one time."""
         for number in range(1000):
             if not budget.take(now, gateways):
                 return number
@@ -213,12 +213,12 @@
 
 
 class TheFleetsBound(unittest.TestCase):
-    """What the role makes of the bounds in its settings file."""
+    """The budget that the role derives from the limits in its settings file."""
 
     GATEWAYS = 87
-    TOLD = 60  # by a member that has not heard of all of them yet
-    REQUESTS = 230  # of clients, at each gateway in a window
-    CHECKS = 60  # calls that only look which configuration is in force: none by the bound
+    TOLD = 60  # reported by a member that does not know all gateways yet
+    REQUESTS = 230  # client requests at each gateway in a window
+    CHECKS = 60  # calls that only check the configuration; they don't count for the fleet's limit
 
     def test_checks_and_a_low_count_of_gateways_stay_within_it(self) -> None:
         bounds = Bounds(retry_budget_ratio=0.2, budget_window_s=WINDOW_S, min_retries=214)
--- a/tests/router/data_plane/test_data_plane_failures.py
+++ b/tests/router/data_plane/test_data_plane_failures.py
@@ -1,4 +1,4 @@
-"""Requests through the whole gateway while instances fail: virtual time, stand-in instances on loopback."""
+"""Requests through the complete gateway while instances fail; virtual time, stand-ins on loopback."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Case(unittest.TestCase):
-    """A test whose `scenario` is played in virtual time."""
+    """Base of tests that run a scenario in virtual time."""
 
     def assertBetween(self, least: float, value: float, most: float) -> None:
         self.assertGreaterEqual(value, least)
@@ -44,7 +44,7 @@
 
 
 class Places(Case):
-    """On how many instances one request runs."""
+    """The number of instances on which one request runs."""
 
     def test_prompt_is_read_apart_only_before_anything_else(self):
         async def scenario():
--- a/tests/router/data_plane/test_data_plane_feed_link.py
+++ b/tests/router/data_plane/test_data_plane_feed_link.py
@@ -1,4 +1,4 @@
-"""A gateway's connection to a member: does what its subscriber says, tells it what came and what ended."""
+"""A gateway's feed connection follows its subscriber's actions and reports frames and failures to it."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from mallowbeam.router.rpc.messages_pb2 import FeedFrame, FeedHeartbeat, FeedHello, GatewayFrame, LinkFrame
 
 IP = "127.0.0.1"
-NOT_A_FRAME = b"\xff" * 16  # no protobuf message begins with this
+NOT_A_FRAME = b"\xff" * 16  # not the start of any protobuf message
 HELLO = FeedHello(gateway="g-1", configuration_revision=7)
 PATIENCE_S = 30.0  # of virtual time
 
 
 class Member:
-    """Takes feeds in."""
+    """A member that accepts feed connections."""
 
     def __init__(self) -> None:
         self.connections: list[FrameConnection] = []
@@ -43,7 +43,7 @@
 
 
 class Script:
-    """A subscriber that says what a test wants, and keeps what it is told."""
+    """A subscriber with scripted actions that records what is reported to it."""
 
     def __init__(self, *actions: Action) -> None:
         self.actions = list(actions)
@@ -68,7 +68,7 @@
 
 
 class Bench:
-    """A link with its script, run beside a test's own steps."""
+    """A feed link with its scripted subscriber, run as a task."""
 
     def __init__(self, script: Script) -> None:
         self.script, self.changes = script, 0
--- a/tests/router/data_plane/test_data_plane_idle.py
+++ b/tests/router/data_plane/test_data_plane_idle.py
@@ -1,4 +1,4 @@
-"""How long a connection to an instance may rest before it is used again, by what the instance says."""
+"""How long a connection to an instance may be idle, by the instance's Keep-Alive header."""
 
 from __future__ import annotations
 
--- a/tests/router/data_plane/test_data_plane_path.py
+++ b/tests/router/data_plane/test_data_plane_path.py
@@ -1,4 +1,4 @@
-"""Requests through the whole gateway to stand-in instances on loopback."""
+"""Requests through the complete gateway to stand-in instances on loopback."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from mallowbeam.router.data_plane.retry_budget import BudgetSettings
 from mallowbeam.standins.model_server import Fault
 
-PATIENCE_S = 20.0  # for what takes milliseconds: only a failure comes near it
+PATIENCE_S = 20.0  # for steps that take milliseconds; only a failure takes this long
 
 
 class OneByName(LeastLoadedPlanner):
-    """Takes instances in the order of their names: the order of attempts is known."""
+    """Selects instances in the order of their names, so that the order of attempts is known."""
 
     def _rank(self, instance, zone):
         return instance.id
@@ -35,7 +35,7 @@
 
 
 class WithPrefill(OneByName):
-    """Reads prompts at one instance first."""
+    """Has prompts prefilled at one instance first."""
 
     def __init__(self, prefill: str) -> None:
         super().__init__()
@@ -126,7 +126,10 @@
 
 class Repeats(unittest.IsolatedAsyncioTestCase):
     async def ask(self, path: str, *faults: Fault, budget: BudgetSettings | None = None):
-        """Ask with the first instance's script given, and a good second one: answer and arrivals."""
+        """Send a request to a first instance with these faults and a healthy second one.
+
+        Returns the answer and the arrivals at each instance.
+        """
         async with Bench(planner=OneByName(), **({"budget": budget} if budget else {})) as bench:
             first, second = await bench.add("i-1"), await bench.add("i-2")
             first.script.extend(faults)
@@ -248,7 +251,7 @@
 
 class Resumptions(unittest.IsolatedAsyncioTestCase):
     async def test_the_gateway_s_headers_replace_the_client_s(self):
-        """A client's Last-Event-Id went on beside the gateway's own: an instance may read either one."""
+        """Guards against sending two Last-Event-Id headers, the client's and the gateway's."""
         async with Bench(planner=OneByName()) as bench:
             one, two = await bench.add("i-1", ENGINE, "decode"), await bench.add("i-2", ENGINE, "decode")
             one.script.append(Fault.TRUNCATED)
@@ -258,7 +261,7 @@
                 [one.seen[0].headers["last-event-id"], two.seen[0].headers["last-event-id"]], ["1", "2"]
             )
             self.assertEqual([seen.repeated for seen in one.seen + two.seen], [frozenset()] * 2)
-            self.assertEqual(two.seen[0].headers["priority"], "3")  # as the plan says
+            self.assertEqual(two.seen[0].headers["priority"], "3")  # as in the plan
 
 
 class WithFleetPlanner(unittest.IsolatedAsyncioTestCase):
@@ -268,7 +271,7 @@
             decode = await bench.add("d-1", ENGINE, "decode")
             plain = await bench.add("i-1")
             self.assertEqual((await bench.ask("/safe/")).status, 200)
-            # Long, and shared with nobody: its reader is the faster one, whatever the hash of its parts.
+            # A long prompt without a shared prefix: separate prefill is faster, whatever its parts hash to.
             prompt = {"Model": "m", "Token-Usage": "8000,80", "Prompt-Prefix": "e4402b7d:8000"}
             answer = await bench.ask("/stream/", headers=prompt)
             self.assertEqual((answer.whole, answer.body), (True, events()))
@@ -285,7 +288,7 @@
         )
 
     async def test_without_a_prompt_nothing_is_read_apart(self):
-        """An instance runs such a request though it is asked to read it: it would run on one more."""
+        """A prefill instance executes a request without a prompt, so it would run at one more instance."""
         async with Bench(planner=WithPrefill("p-1")) as bench:
             prefill, decode, _ = await self.bench(bench)
             answer = await bench.ask("/stream/", headers={"Token-Usage": "0,0"})
@@ -321,7 +324,7 @@
             self.assertEqual((prefill.handles, len(prefill.freed)), (set(), 1))
 
     async def test_memory_that_cannot_be_had_is_read_anew_at_the_same_instance(self):
-        """It is sent to no further instance: the route allows one."""
+        """The request goes to no further instance, because the route allows only one."""
         async with Bench(planner=WithPrefill("p-1")) as bench:
             prefill, decode, other = await self.bench(bench)
             decode.script.append(Fault.REJECT)
--- a/tests/router/data_plane/test_data_plane_request.py
+++ b/tests/router/data_plane/test_data_plane_request.py
@@ -1,4 +1,4 @@
-"""Routes and services by request, and what a client's headers say."""
+"""Selection of route and service, and parsing of a client's headers."""
 
 from __future__ import annotations
 
--- a/tests/router/data_plane/test_data_plane_role.py
+++ b/tests/router/data_plane/test_data_plane_role.py
@@ -1,4 +1,4 @@
-"""The role as a process: ready once its feed has told it enough, served, stopped in order."""
+"""The role as a process: ready after its first feed data, serving, and shut down gracefully."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 )
 from mallowbeam.standins.model_server import ModelServer
 
-PATIENCE_S = 60.0  # for what takes a second: only a failure comes near it
+PATIENCE_S = 60.0  # for steps that take a second; only a failure takes this long
 HEARTBEAT = FeedHeartbeat(gateways=1, table_complete=True)
 SETTINGS = """
 node_name = "edge-1"
@@ -49,7 +49,7 @@
 
 
 def own_address() -> str:
-    """A loopback address that no other process uses, so that ports found free there stay free."""
+    """Return a loopback address that no other process uses, so that free ports on it stay free."""
     high, low = divmod(os.getpid(), 250)
     return f"127.{64 + high // 250 % 64}.{high % 250 + 1}.{low + 1}"
 
@@ -65,11 +65,11 @@
 
 
 class Member:
-    """Feeds one gateway."""
+    """A member that feeds one gateway."""
 
     def __init__(self, instance: ModelServer) -> None:
         self.instance, self.hellos = instance, []
-        self.told = asyncio.Event()  # whether it says what it knows
+        self.told = asyncio.Event()  # set once the member may send its data
 
     def opened(self, connection: FrameConnection) -> None:
         pass
@@ -165,7 +165,7 @@
         self.assertEqual((await ask(front, request_bytes("/safe/"))).body, b"answer")
         process.send_signal(signal.SIGTERM)
         await until(readiness, 503)
-        self.assertEqual((await ask(front, request_bytes("/safe/"))).status, 200)  # still taken
+        self.assertEqual((await ask(front, request_bytes("/safe/"))).status, 200)  # still accepted
         async with asyncio.timeout(PATIENCE_S):
             await process.wait()
 
--- a/tests/router/data_plane/test_data_plane_sends.py
+++ b/tests/router/data_plane/test_data_plane_sends.py
@@ -1,4 +1,4 @@
-"""The sends of one request, and what each answer proves."""
+"""The send policy of one request, and the classification of answers."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Counting(RetryBudget):
-    """A budget of a fixed size that keeps account."""
+    """A budget of a fixed size that records its use."""
 
     def __init__(self, size: int = 1000) -> None:
         super().__init__(BudgetSettings())
@@ -176,7 +176,7 @@
 
 
 class AnyOrder(unittest.TestCase):
-    """Random requests against an account of what instances saw."""
+    """Random sends, checked against a record of what the instances received."""
 
     def play(self, random: Random, idempotent: bool, most: int, budget: Counting) -> None:
         policy = SendPolicy(budget, idempotent, most)
--- a/tests/router/data_plane/test_decision_log.py
+++ b/tests/router/data_plane/test_decision_log.py
@@ -1,4 +1,4 @@
-"""The log of decisions: one line a request, with what was expected and what came about."""
+"""The decision log: one line per request, with expected and measured times."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Decides(LeastLoadedPlanner):
-    """A planner that always answers the same."""
+    """A planner that always returns the same decision."""
 
     def __init__(self, planned: Plan | Rejection) -> None:
         super().__init__()
@@ -54,7 +54,7 @@
             getattr(log, step)(1, now)
         if end is not None:
             log.finished(1, Outcome.COMPLETED, end)
-            log.finished(1, Outcome.COMPLETED, end)  # a second end says nothing
+            log.finished(1, Outcome.COMPLETED, end)  # a second end logs nothing
         return lines
 
     def test_a_request_that_was_read_apart(self) -> None:
--- a/tests/router/data_plane/test_exchange_model.py
+++ b/tests/router/data_plane/test_exchange_model.py
@@ -1,4 +1,4 @@
-"""All orders of events, to a depth, for two requests on one connection; broken variants are caught."""
+"""Explores all event orders up to a depth for two requests on one connection; detects broken variants."""
 
 from __future__ import annotations
 
@@ -64,11 +64,11 @@
     _add(_name)
 
 
-# ------------------------------------------------------------ variants that are broken on purpose
+# ------------------------------------------------------------ deliberately broken variants
 
 
 def reuse_behind_surplus(stack: ExitStack) -> None:
-    """What lies unread, or was parsed behind the answer, is not looked for."""
+    """Unread or already parsed surplus data is ignored."""
     stack.enter_context(patch.object(Channel, "stale", lambda self: self.peek() is False))
     stack.enter_context(
         patch.object(
@@ -78,12 +78,12 @@
 
 
 def reuse_of_an_ended_connection(stack: ExitStack) -> None:
-    """The instance's end is not looked for before the next request."""
+    """The pool does not check before the next request whether the instance has closed the connection."""
     stack.enter_context(patch.object(Channel, "stale", lambda self: self.peek() is True))
 
 
 def surplus_dropped_with_the_end(stack: ExitStack) -> None:
-    """All that was parsed together with an answer's end is forgotten, as if nothing had come."""
+    """Data that was parsed together with the end of an answer is dropped."""
     more = Link.read_more
 
     async def forgetting(self: Link, answer: Message) -> None:
@@ -94,7 +94,7 @@
 
 
 def reuse_without_an_answer(stack: ExitStack) -> None:
-    """A connection is kept after a time-out, a cancel or half an answer."""
+    """A connection is kept after a time-out, a cancellation or an incomplete answer."""
     give_back = LinkPool.give_back
 
     def keeping(self: LinkPool, instance: str, link: Link, answer: Message | None) -> None:
@@ -110,7 +110,7 @@
 
 
 def reuse_with_a_rest_due(stack: ExitStack) -> None:
-    """After an early answer the connection is kept, though the request is not whole at the instance."""
+    """After an early answer the connection is kept although the request was not sent completely."""
 
     def reusable(self: Link, answer: Message) -> bool:
         return answer.complete and answer.keep_alive and not answer.until_close and self.channel.framer.empty
@@ -135,7 +135,7 @@
 
 
 def second_send_after_part_of_a_request(stack: ExitStack) -> None:
-    """What the instance has not read whole counts as not run."""
+    """A request that the instance has not read completely counts as not run."""
     stack.enter_context(patch.object(Link, "begun", property(lambda self: self.request_sent)))
 
 
@@ -151,7 +151,7 @@
 
 
 def names_not_compared(stack: ExitStack) -> None:
-    """An answer counts for the request that waits, whatever id it names."""
+    """An answer is accepted for the pending request, whatever id it carries."""
 
     def unnamed(answer: Message, request_id: bytes, first: bool, signed: bool = True) -> AttemptEnd:
         echoed = answer.get(b"request-id") or request_id
@@ -162,7 +162,7 @@
 
 
 def nameless_answers_believed(stack: ExitStack) -> None:
-    """An answer without an id counts also where there was an earlier request."""
+    """An answer without a request id is also accepted after an earlier request on the connection."""
 
     def believing(answer: Message, request_id: bytes, first: bool, signed: bool = True) -> AttemptEnd:
         return judge_answer(answer, request_id, True, signed)
@@ -171,7 +171,7 @@
 
 
 def a_reset_counts_as_an_end(stack: ExitStack) -> None:
-    """An answer without length is whole wherever its connection is over."""
+    """An answer without a length is complete however its connection ends."""
     read = Link._read
 
     async def forgiving(self: Link) -> bool:
@@ -184,7 +184,7 @@
 
 
 def a_refused_write_is_forgotten(stack: ExitStack) -> None:
-    """The reset that a write was told of is not remembered, and what is read after it is an orderly end."""
+    """A reset that a write reported is forgotten, so the next read sees an orderly end."""
     write_rest = Link._write_rest
 
     async def forgetting(self: Link, rest: list[memoryview]) -> None:
@@ -195,12 +195,12 @@
 
 
 def a_cut_event_counts_as_an_end(stack: ExitStack) -> None:
-    """A stream without length is whole also inside an event."""
+    """A stream without a length counts as complete even inside an event."""
     stack.enter_context(patch.object(StreamProgress, "inside_event", False))
 
 
 def reuse_after_a_handle_s_release(stack: ExitStack) -> None:
-    """The call that frees a handle, which names no request, takes any answer for its own."""
+    """The call that frees a handle accepts any answer, although it carries no request id."""
     drop, body = LinkPool.drop, Link.read_body
     read: dict[Link, Message] = {}
 
--- a/tests/router/data_plane/test_relay_timeouts.py
+++ b/tests/router/data_plane/test_relay_timeouts.py
@@ -1,4 +1,4 @@
-"""How long a stream's silence is borne: less where another instance may take it up than at the last one."""
+"""The stall time-out of a stream is shorter if another instance may resume it than at the last one."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from mallowbeam.router.streams.timeouts import client_timeout_s, resume_timeout_s
 
 TARGET_S, GAP_S, TIME_S = 0.25, 0.3, 60.0
-INSTANCES = 2  # that a request may be sent to
+INSTANCES = 2  # to which a request may be sent
 
 
 def patience_after(sends: int, resumable: bool = True) -> float:
-    """The seconds of silence that a stream may have at its instance of this number."""
+    """Return the stall time-out of a stream after this number of sends."""
     policy = SendPolicy(SimpleNamespace(take=lambda now, gateways: True), True, INSTANCES)
     for number in range(sends):
         ticket = policy.send(f"i-{number}", 0.0, 1)
@@ -37,7 +37,7 @@
         self.assertEqual(patience_after(1), resume_timeout_s(GAP_S))
 
     def test_a_stream_at_the_last_instance_that_it_may_have(self) -> None:
-        """Broken off before its client gives up, the answer would be lost for nothing."""
+        """Cutting the stream before its client gives up would lose the answer needlessly."""
         self.assertEqual(patience_after(INSTANCES), client_timeout_s(TARGET_S, GAP_S))
         self.assertGreater(patience_after(INSTANCES), patience_after(1))
 
--- a/tests/router/data_plane/test_rules_budget.py
+++ b/tests/router/data_plane/test_rules_budget.py
@@ -1,4 +1,4 @@
-"""Arrivals of whole requests against what the retry budget was charged."""
+"""The retry budget is charged for exactly the arrivals at the instances."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 
 def one_too_many(arrivals: int, first_prefill_taken: bool) -> int:
-    """What a request's arrivals cost: all but the first, and but a first prefill call that was taken."""
+    """Return the charge for arrivals: all except the first and a successful first prefill call."""
     return max(0, arrivals - first_prefill_taken - 1)
 
 
 class Charged(unittest.TestCase):
-    """The budget's charge is what the service sees, for every way that a request can go."""
+    """The charge matches the arrivals at the service, for every outcome of a request."""
 
     def ask(
         self, target: str, faults: dict[str, Sequence[Fault]], readers: Sequence[str] = (), lost: bool = False
     ) -> tuple[int, int, list[int]]:
-        """Status, what was charged, and arrivals at each instance."""
+        """Return the status, the charge and the arrivals at each instance."""
         result: list[tuple[int, int, list[int]]] = []
 
         async def scenario() -> None:
@@ -69,7 +69,7 @@
             self.assertEqual(self.ask("/safe/", {"x-1": [fault], "x-2": [fault]}), (200, 2, [1, 1, 1]), fault)
 
     def test_a_handle_that_could_not_be_had(self) -> None:
-        """The decode instance rejects it: an arrival, and so is the next one."""
+        """The decode instance rejects the handle; that send and the next one both count as arrivals."""
         status, charged, arrivals = self.ask("/stream/", {}, ["p-1"], lost=True)
         self.assertEqual((status, arrivals[0]), (200, 1))
         self.assertEqual(charged, one_too_many(sum(arrivals), True))
--- a/tests/router/data_plane/test_rules_gone.py
+++ b/tests/router/data_plane/test_rules_gone.py
@@ -1,6 +1,6 @@
-"""Clients that leave: half a second later nothing of theirs is sent, and no instance works on it.
+"""Half a second after a client disconnects, nothing more is sent for it and no instance works on its request.
 
-Where a connection's end does not cancel what is under way for it, six of these fail.
+If the end of a connection does not cancel its requests in flight, six of these tests fail.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from mallowbeam.standins.model_server import Fault
 
 GONE_S = 0.5
-AFTER_S = 10.0  # for how long nothing more may come
+AFTER_S = 10.0  # period in which nothing more may arrive
 LONG = {"Deadline-Ms": "60000", "Token-Usage": "1000,5", "Prompt-Prefix": "aa:600,bb:400"}
 PATHS = ("/safe/", "/unsafe/")
 STREAMS = ("/stream/", "/resume/")
@@ -33,7 +33,7 @@
 
 
 def resets(writer: asyncio.StreamWriter) -> None:
-    """The client's process ends: its connection is reset."""
+    """The client's process ends, which resets its connection."""
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     writer.transport.abort()
 
@@ -50,7 +50,10 @@
         arrivals: int,
         working: int,
     ) -> None:
-        """Ask, leave `after_s` later, when so many requests have arrived and are worked on."""
+        """Send a request and disconnect `after_s` seconds later.
+
+        `arrivals` and `working` are the requests that must have arrived, and be in progress, by then.
+        """
         for way in self.WAYS:
             instances = make()
             with self.subTest(target=target, way=way.__name__):
@@ -95,7 +98,7 @@
             self.leave(target, 0.3, ByName, lambda: [Timed("i-1", takes_s=60.0), Timed("i-2")], 1, 1)
 
     def test_before_a_further_send(self) -> None:
-        """The first instance would turn it away later: nobody waits for the second one's answer."""
+        """The first instance rejects the request only after the client has left."""
 
         def make() -> list[Timed]:
             first = Timed("i-1", takes_s=1.8)
@@ -175,7 +178,7 @@
         play(scenario())
 
     def test_one_that_stays_is_served(self) -> None:
-        """The check can fail: with its client there, an instance works on."""
+        """Shows that the check can fail: while its client stays connected, an instance keeps working."""
 
         async def scenario() -> None:
             async with Bench(DEFAULT, ByName()) as bench:
--- a/tests/router/data_plane/test_rules_headers.py
+++ b/tests/router/data_plane/test_rules_headers.py
@@ -1,4 +1,4 @@
-"""Which headers reach an instance: the system's own are never the client's, the client's never changed."""
+"""Headers at an instance: the system's own never come from the client, and the client's are unchanged."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     def check(
         self, instance: ModelServer, seen: ReceivedRequest, stage: str | None, priority: str | None
     ) -> None:
-        """Whether a request carries what the system set, and nothing of the client's."""
+        """Check that a request carries the system's headers and none of the client's values for them."""
         headers = seen.headers
         self.assertEqual(headers["target-instance"], instance.id)
         self.assertEqual((headers.get("stage"), headers.get("priority")), (stage, priority))
@@ -77,7 +77,7 @@
         play(scenario())
 
     def test_a_client_s_expected_version_ejects_nobody(self) -> None:
-        """Each 421 opens an instance's circuit: a version that nobody has would close the whole service."""
+        """Each 421 ejects an instance, so an unknown version would make the whole service unavailable."""
 
         async def scenario() -> None:
             async with Bench(planner=ByName()) as bench:
@@ -136,10 +136,10 @@
 
 
 class Smuggled(unittest.TestCase):
-    """What two readers could take for different requests reaches no instance, or is one whole request."""
+    """Ambiguously framed requests reach no instance, or arrive as exactly one complete request."""
 
     def seen(self, data: bytes) -> tuple[int, list[ReceivedRequest]]:
-        """The first answer's status, and what reached the instance."""
+        """Return the first answer's status and the requests that reached the instance."""
         result: list[tuple[int, list[ReceivedRequest]]] = []
 
         async def scenario() -> None:
@@ -181,7 +181,7 @@
 
 
 class _OfVersion(ModelServer):
-    """Turns away what expects another version of its weights than 1."""
+    """Answers 421 to requests that expect a version of its weights other than 1."""
 
     async def _answer(self, seen, reader, writer):
         if seen.headers.get("expect-version", "1") != "1":
--- a/tests/router/data_plane/test_rules_limits.py
+++ b/tests/router/data_plane/test_rules_limits.py
@@ -1,4 +1,4 @@
-"""Proper requests within the limits in force are taken, also on connections older than the limits."""
+"""Valid requests within the current limits are accepted, also on connections older than the limits."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def chunked(body: bytes, pieces: int) -> bytes:
-    """A request with a body in pieces, without a length."""
+    """Return a request with a chunked body."""
     size = -(-len(body) // pieces) or 1
     parts = [body[at : at + size] for at in range(0, len(body), size)]
     head = request_bytes("/safe/", body=b"").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
@@ -41,7 +41,7 @@
 
 
 def with_head_of(size: int) -> bytes:
-    """A request whose start line and headers have so many bytes."""
+    """Return a request whose start line and headers have this size in bytes."""
     short = request_bytes("/safe/", headers={"X-Filler": ""}, body=b"")
     return request_bytes("/safe/", headers={"X-Filler": "f" * (size - len(short))}, body=b"")
 
@@ -150,7 +150,7 @@
         play(scenario())
 
     def test_lowered_ones_let_a_body_end_that_has_begun(self) -> None:
-        """It went to the instance as far as it had come, as if that were all."""
+        """Guards against forwarding only the received part of the body as if it were complete."""
 
         async def scenario() -> None:
             for lowered in (SMALL, LARGE // 2):
--- a/tests/router/data_plane/test_rules_stop.py
+++ b/tests/router/data_plane/test_rules_stop.py
@@ -1,6 +1,6 @@
-"""A gateway that is told to stop, or to read its settings again, loses nothing: in virtual time.
+"""A gateway that is told to stop or to reload its settings loses no request; in virtual time.
 
-The platform asks for readiness once a second and sends new connections until two questions in a row fail.
+The platform checks readiness once a second and sends new connections until two checks in a row fail.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
 
 
 class Process:
-    """The role as its process runs it, with a feed that has told all it has to."""
+    """The role as its process runs it, with a feed that has delivered all data."""
 
     def __init__(self, folder: str) -> None:
         self.front, self.readiness = free_ports(2)
@@ -90,7 +90,7 @@
         self.ended_at: float | None = None
 
     def write(self, grace_s: float) -> None:
-        """The settings file."""
+        """Write the settings file."""
         self.path.write_text(SETTINGS.format(front=self.front, readiness=self.readiness, grace=grace_s))
 
     async def add(self, instance: Timed) -> Timed:
@@ -111,17 +111,17 @@
         return instance
 
     async def run(self) -> None:
-        """Serve to the end."""
+        """Serve until the role ends."""
         await self.plane.serve()
         self.ended_at = now()
 
     def told_to_stop(self) -> float:
-        """SIGTERM; when it came."""
+        """Signal the process to stop, as SIGTERM does; return the time."""
         self.context.stopping.set()
         return now()
 
     async def ready(self) -> bool:
-        """One question of the platform."""
+        """Return the result of one readiness check."""
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.readiness)
         except OSError:
@@ -135,11 +135,11 @@
             writer.close()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A client's connection."""
+        """Open a client connection."""
         return await asyncio.open_connection("127.0.0.1", self.front)
 
     async def ask(self, target: str) -> Answer:
-        """A client's request on a connection of its own."""
+        """Send a client request on its own connection and return the answer."""
         reader, writer = await self.connect()
         writer.write(request_bytes(target, headers=LONG))
         try:
@@ -150,7 +150,7 @@
 
 class Case(unittest.TestCase):
     def play(self, scenario: Callable[[Process], Awaitable[None]]) -> None:
-        """Run a scenario beside the process."""
+        """Run a scenario while the process serves."""
 
         async def whole() -> None:
             with tempfile.TemporaryDirectory() as folder:
@@ -169,12 +169,12 @@
 
 
 class Platform:
-    """Asks once a second; `out_at` is when two questions in a row have failed."""
+    """Checks readiness once a second; `out_at` is when two checks in a row have failed."""
 
     def __init__(self, process: Process, offset_s: float) -> None:
         self._process, self._offset_s = process, offset_s
         self.out_at: float | None = None
-        self.back_at: float | None = None  # ready again after it was out
+        self.back_at: float | None = None  # when it was ready again after that
 
     async def run(self) -> None:
         await asyncio.sleep(self._offset_s)
@@ -236,13 +236,13 @@
             stopped_at = process.told_to_stop()
             await asyncio.sleep(GRACE_S)
             assert process.ended_at is not None
-            self.assertGreater(process.ended_at - stopped_at, GRACE_S - 1.0)  # it had nearly all of it
+            self.assertGreater(process.ended_at - stopped_at, GRACE_S - 1.0)  # it used nearly all of it
             await asyncio.gather(asked, return_exceptions=True)
 
         self.play(scenario)
 
     def test_kept_connections_are_told_to_close_and_lose_nothing(self) -> None:
-        """Each of these clients sends on until it is told, or finds its connection at an end."""
+        """Each client sends requests until it gets `Connection: close` or its connection ends."""
 
         async def scenario(process: Process) -> None:
             instance = await process.add(Timed("i-1", takes_s=0.03))
@@ -258,7 +258,7 @@
         self.play(scenario)
 
     async def keep_asking(self, process: Process, pause_s: float) -> tuple[int, bool]:
-        """How many answers came, and whether the last one said that its connection closes."""
+        """Return the number of answers and whether the last one had `Connection: close`."""
         reader, writer = await process.connect()
         answered = 0
         while True:
@@ -267,7 +267,7 @@
             try:
                 answer = await read_answer(reader)
             except asyncio.IncompleteReadError as error:
-                self.assertEqual(error.partial, b"")  # an orderly end in place of an answer
+                self.assertEqual(error.partial, b"")  # an orderly close instead of an answer
                 return answered, False
             self.assertEqual((answer.status, answer.whole), (200, True))
             answered += 1
--- a/tests/router/data_plane/test_rules_time.py
+++ b/tests/router/data_plane/test_rules_time.py
@@ -1,4 +1,4 @@
-"""Time that is handed on, and routes' time-outs: in virtual time, with instances that take theirs."""
+"""Forwarded deadlines and route time-outs, in virtual time with slow instances."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from mallowbeam.standins.model_server import Fault
 
 TIMEOUT_S = 2.0
-LATE_S = 0.5  # within which a request that reached its route's time-out is answered
-LONG_MS = 60_000  # what a patient client waits
+LATE_S = 0.5  # after its route's time-out, by when a request must be answered
+LONG_MS = 60_000  # deadline of a client that outwaits the route's time-out
 PROMPT = {"Token-Usage": "1000,5", "Prompt-Prefix": "aa:600,bb:400"}
 ROUTES = configuration(
     route("/safe/", "safe"),
@@ -38,7 +38,7 @@
 
 class Case(unittest.TestCase):
     def check_handed_on(self, began: float, client_ms: float, instances: Sequence[Timed]) -> list[int]:
-        """Each send carries what was left then, never more; the values in the order of arrival."""
+        """Check that each send carried at most the time left; return the deadlines in order of arrival."""
         arrivals = [one for instance in instances for one in instance.arrivals]
         arrivals.sort(key=lambda one: one.at)
         for arrival in arrivals:
@@ -51,7 +51,7 @@
 
 
 class HandedOn(Case):
-    """`Deadline-Ms` of every send is what the client has left."""
+    """`Deadline-Ms` of every send is the time that the client has left."""
 
     def test_over_retries(self) -> None:
         async def scenario() -> None:
@@ -89,7 +89,7 @@
         play(scenario())
 
     def test_a_fraction_of_a_millisecond(self) -> None:
-        """A value with one was read as none: the instance was handed the route's whole time-out."""
+        """Guards against ignoring a fractional value, which forwarded the route's full time-out instead."""
 
         async def scenario() -> None:
             for value in ("700.5", "700.", "700"):
@@ -130,14 +130,14 @@
         play(scenario())
 
     def test_a_prompt_that_took_all_the_time_is_not_sent_on(self) -> None:
-        """It was written to the decode instance with a millisecond left, and counted as run."""
+        """Guards against sending to the decode instance with a millisecond left and counting that as run."""
 
         async def scenario() -> None:
             async with Bench(ROUTES, ByName("p-1")) as bench:
                 reader, decoder = Timed("p-1", "prefill", takes_s=9.0), Timed("d-1", "decode")
                 await add(bench, reader, ENGINE)
                 await add(bench, decoder, ENGINE)
-                # Leaves an idle connection to the decode instance.
+                # Leaves an idle connection to the decode instance in the pool.
                 self.assertEqual((await bench.ask("/stream/", headers={"Token-Usage": "0,5"})).status, 200)
                 decoder.arrivals.clear()
                 answer = await bench.ask("/stream/", headers={**PROMPT, "Deadline-Ms": "900"})
@@ -154,7 +154,11 @@
         self.took_s = 0.0
 
     async def ask(self, most_s: float = TIMEOUT_S + LATE_S) -> Answer:
-        """The answer, whole or broken off; raises TimeoutError where it is late."""
+        """Return the answer, complete or truncated.
+
+        Raises:
+            TimeoutError: it took longer than `most_s`.
+        """
         began = now()
         async with asyncio.timeout(most_s):
             answer = await self._bench.ask(self._target, headers={**PROMPT, "Deadline-Ms": str(LONG_MS)})
@@ -163,12 +167,12 @@
 
 
 class RouteTimeouts(Case):
-    """A route's time-out ends every phase of a request within half a second."""
+    """A route's time-out ends a request within half a second in each of its phases."""
 
     def expect(
         self, target: str, status: int, planner: Planner, *instances: Timed, whole: bool = True
     ) -> None:
-        """Ask at a fleet of these instances: the answer is in time, and no instance works on it any more."""
+        """Check that these instances' gateway answers in time and that none keeps working on the request."""
 
         async def scenario() -> None:
             async with Bench(ROUTES, planner) as bench:
--- a/tests/router/streams/test_rules_streams.py
+++ b/tests/router/streams/test_rules_streams.py
@@ -1,4 +1,4 @@
-"""Streams over breaks: what the client gets is one stream, wherever the first instance breaks off."""
+"""Resumed streams: the client gets one continuous stream, wherever the first instance breaks off."""
 
 from __future__ import annotations
 
@@ -35,24 +35,24 @@
     route("/resume/", "stream", ENGINE, resumable=True, gap_aim_ms=100, max_retries=3),
     route("/stream/", "stream", ENGINE, gap_aim_ms=100, max_retries=3),
 )
-LAST = 5  # events of a stream
+LAST = 5  # number of events in a stream
 WAYS = ("close", "reset", "ended")
 
 
 @dataclass
 class Cutting(ModelServer):
-    """Sends so many bytes of its stream, then breaks off: by a close, a reset, or a framing's end."""
+    """Sends part of its stream, then breaks off with a close, a reset or a regular end of the framing."""
 
-    cut_at: int | None = None  # None: the whole stream
+    cut_at: int | None = None  # bytes to send; None for the complete stream
     way: str = "close"
-    numbered: bool = True  # events have ids
-    from_start: bool = False  # whatever Last-Event-Id says
+    numbered: bool = True  # whether events have ids
+    from_start: bool = False  # ignore Last-Event-Id
     versions: str = "3"
-    changed_at: int = 0  # the event that names another version first
+    changed_at: int = 0  # the number of the event that carries a new version
     chunked: bool = True
 
     def data(self, behind: int) -> bytes:
-        """The stream's bytes behind an event."""
+        """Return the bytes of the stream after an event."""
         written = b""
         for number in range(1 if self.from_start else behind + 1, LAST + 1):
             written += b"versions: 4\n" if number == self.changed_at else b""
@@ -76,7 +76,7 @@
             ).encode()
         )
         sent = self.data(int(seen.headers.get("last-event-id", "0")))[: self.cut_at]
-        for at in range(0, len(sent), 7):  # pieces that no event's end falls on
+        for at in range(0, len(sent), 7):  # pieces whose ends don't coincide with those of events
             piece = sent[at : at + 7]
             writer.write(chunk(piece) if self.chunked else piece)
             await asyncio.sleep(0.001)
@@ -90,7 +90,7 @@
 
 
 def ids(body: bytes) -> list[int]:
-    """The ids of the events in an answer."""
+    """Return the ids of the events in an answer."""
     return [int(found) for found in re.findall(rb"^id: (\d+)$", body, re.MULTILINE)]
 
 
@@ -112,7 +112,7 @@
                     first = Cutting("d-1", "decode", cut_at=cut_at, way=way)
                     second = Cutting("d-2", "decode", versions="9")
                     answer = await self.ask(first, second)
-                    # What ends in order behind a whole event is a whole stream to anyone.
+                    # A stream that ends regularly after a complete event can't be told from a complete one.
                     ended = way == "ended" and (not cut_at or whole[:cut_at].endswith(b"\n\n"))
                     expected = whole[:cut_at] if ended else whole
                     self.assertEqual((answer.whole, answer.body), (True, expected), (way, cut_at))
@@ -157,7 +157,7 @@
         play(scenario())
 
     def test_events_without_ids_are_not_begun_again(self) -> None:
-        """The second instance was asked for the whole stream, and the client got the first events twice."""
+        """Guards against requesting the full stream again, which sent the client the first events twice."""
 
         async def scenario() -> None:
             cut, good = (
@@ -171,7 +171,7 @@
                 Cutting("d-1", "decode", cut_at=5, numbered=False),
                 Cutting("d-2", "decode", numbered=False),
             )
-            self.assertEqual((await self.ask(cut, good)).body, good.data(0))  # nothing had gone out
+            self.assertEqual((await self.ask(cut, good)).body, good.data(0))  # nothing had been forwarded
 
         play(scenario())
 
@@ -199,7 +199,7 @@
                     half = await first.ask("/resume/")
                     got = half.body if half.status == 200 else b""
                     self.assertFalse(half.status == 200 and half.whole)
-                    await add(second, Cutting("d-2", "decode", cut_at=25), ENGINE)  # breaks once more
+                    await add(second, Cutting("d-2", "decode", cut_at=25), ENGINE)  # breaks again
                     await add(second, Cutting("d-3", "decode"), ENGINE)
                     behind = {"Last-Event-Id": str(ids(got)[-1])} if got else {}
                     rest = await second.ask("/resume/", headers=behind)
@@ -235,7 +235,7 @@
 
 
 class EndOfConnection(unittest.TestCase):
-    """An answer without a length ends with its connection."""
+    """Answers without a length, which end with their connection."""
 
     def test_in_order_it_is_whole(self) -> None:
         async def scenario() -> None:
@@ -264,7 +264,7 @@
 
 
 class RightStage(unittest.TestCase):
-    """A stream, resumed or not, is offered to instances that decode."""
+    """A stream, resumed or not, is sent only to decode instances."""
 
     def test_a_resumed_one_has_no_other_choice(self) -> None:
         async def scenario() -> None:
@@ -309,7 +309,7 @@
                     self.assertEqual(excluded, {"d-1", "d-2"})
 
     def test_one_that_changed_its_stage_meanwhile_gets_nothing(self) -> None:
-        """It would answer 421, which counts as an arrival and opens its circuit."""
+        """It would answer 421, which counts as an arrival and ejects the instance."""
 
         async def scenario() -> None:
             for changed, to in (("d-1", "prefill"), ("p-1", "decode")):
--- a/tests/router/streams/test_streams.py
+++ b/tests/router/streams/test_streams.py
@@ -1,4 +1,4 @@
-"""Event streams cut into packets anywhere: what is passed on, in which order, where a stream is resumed."""
+"""Event streams split into arbitrary packets: which events are forwarded, and where a stream resumes."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from mallowbeam.router.streams.timeouts import client_timeout_s, resume_timeout_s
 
 SEEDS = range(40)
-RUNS = 5  # most instances that one answer is taken from, in the random walks
+RUNS = 5  # upper limit of the instances that produce one answer in the random tests
 
 
 def event(number: int, newline: str = "\n", lines: int = 1) -> bytes:
-    """One event; those whose number is a multiple of 3 carry several lines, of 5 a version before the id."""
+    """Return one event with `lines` data lines; multiples of 5 have a version field before the id."""
     fields = [f"id: {number}"] + [f"data: token {number}.{line}" for line in range(lines)]
     if number % 5 == 0:
         fields.insert(0, "versions: 3")
@@ -34,7 +34,7 @@
 
 
 def cut(data: bytes, random: Random) -> Iterator[bytes]:
-    """The bytes in packets of random sizes, empty ones among them."""
+    """Yield the bytes in packets of random sizes, including empty ones."""
     while data:
         size = random.choice((0, 1, 1, 2, 3, 7, 20, 60))
         yield data[:size]
@@ -47,7 +47,7 @@
 
 
 def ids_in(data: bytes) -> list[int]:
-    """The ids of what a client got, by a reading of its own."""
+    """Return the ids of the events that a client got, parsed independently of the code under test."""
     blocks = data.replace(b"\r\n", b"\n").split(b"\n\n")
     assert blocks[-1] == b"", "the client got part of an event"
     lines = [line for block in blocks[:-1] for line in block.split(b"\n") if line.startswith(b"id:")]
@@ -166,7 +166,7 @@
             passed = progress.feed(stream(1, 3) + event(wrong) + event(4))
             self.assertEqual(ids_in(passed), [1, 2, 3])
             self.assertIn(str(wrong), progress.fault)
-            self.assertEqual(progress.feed(event(5)), b"")  # nothing more of this instance
+            self.assertEqual(progress.feed(event(5)), b"")  # nothing more of this instance is forwarded
             self.assertEqual(progress.last_event_id, b"3")
 
     def test_ids_may_skip_numbers(self) -> None:
--- a/tests/support/exchange_model.py
+++ b/tests/support/exchange_model.py
@@ -1,7 +1,7 @@
-"""Two client requests that follow each other at one instance, in any order of events; no sockets, no waits.
+"""A model of two successive client requests at one instance, with events in any order; no sockets, no waits.
 
-The gateway's own code runs whole, from `ClientFrontend` down to `http.framing.Channel`, over the stand-in
-sockets of `exchange_sockets`; what it does is judged by what the instances saw: see `Violation`.
+The complete gateway code runs, from `ClientFrontend` down to `http.framing.Channel`, over the stand-in
+sockets of `exchange_sockets`.  Its behaviour is checked against what the instances received; see `Violation`.
 """
 
 from __future__ import annotations
@@ -28,44 +28,44 @@
 from mallowbeam.router.rpc.messages_pb2 import READY, Instance
 
 FIRST, SECOND = b"r1", b"r2"
-LARGE_BODY = 24 * 1024  # more than the gateway copies together with a head
+LARGE_BODY = 24 * 1024  # larger than a body that the gateway joins with the head for one write
 SMALL_BODY = 8
-WINDOW = 4 * 1024  # that the kernel takes of a large request before the instance reads on
-REST_S = 0.03  # longer than a connection rests between two requests
+WINDOW = 4 * 1024  # bytes of a large request that the kernel accepts before the instance reads on
+REST_S = 0.03  # longer than the pool's delay between two requests on a connection
 BEYOND_DEADLINE_S = 3.0
 PROMISES = (408, 421, 429, 503)
 
 
 class Violation(AssertionError):
-    """The gateway did what it must never do; the first word names the rule."""
+    """The gateway violated a rule; the first word of the text names the rule."""
 
 
 @dataclass(frozen=True)
 class Setting:
-    """What stays the same over one order of events."""
+    """The parameters of an exploration, the same for all event orders."""
 
     target: bytes = b"/unsafe/"
-    large: bool = False  # the first request is not taken by the kernel at once
-    until_close: bool = False  # answers have no length and end with their connection
-    held: bool = True  # small answers are read whole before they are passed on
-    connections: int = 1  # to each instance; one is used again without its rest
-    idempotent: bool = False  # the route's requests may run more than once
-    hands_over: bool = False  # prompts are read apart, at the instance that is watched
-    first_rejected: bool = False  # what follows the first one's reading, so its handle is freed
+    large: bool = False  # the kernel does not accept the first request at once
+    until_close: bool = False  # answers have no length and end with the connection
+    held: bool = True  # small answers are read completely before they are forwarded
+    connections: int = 1  # limit for each instance; with 1, a connection is reused without delay
+    idempotent: bool = False  # requests of the route may run more than once
+    hands_over: bool = False  # prompts are prefilled separately, at the watched instance
+    first_rejected: bool = False  # the decode send of the first request is rejected, so its handle is freed
 
 
 class ClientChannel:
-    """A client that takes all that is written."""
+    """A client channel that records all written data."""
 
     def __init__(self) -> None:
         self.data = b""
 
     async def send(self, data: bytes) -> None:
-        """Take it."""
+        """Record the data."""
         self.data += data
 
     def body(self) -> bytes:
-        """The body of the one answer, out of its chunks."""
+        """Return the body of the only answer, without chunk framing."""
         head, _, rest = self.data.partition(HEAD_END)
         if b"transfer-encoding: chunked" not in head:
             return rest
@@ -77,11 +77,11 @@
 
 
 class Call:
-    """One client request and what the client got."""
+    """One client request and the client's answer."""
 
     def __init__(self, world: World, id: bytes) -> None:
         self.id = id
-        self.whole = False  # the answer looks complete
+        self.whole = False  # whether the answer looks complete to the client
         self.reply: Response | None = None
         self.channel = ClientChannel()
         self.task = asyncio.get_running_loop().create_task(self._run(world.front, world.request(id)))
@@ -96,14 +96,14 @@
 
 
 class World:
-    """A gateway with two instances; `act` plays one event."""
+    """A gateway with two instances; `act` executes one event."""
 
     WATCHED = "i-1"  # the instance to which events happen
 
     def __init__(self, setting: Setting, routes: Configuration) -> None:
         self.setting = setting
         self.lines: list[Line] = []
-        self.violations: list[str] = []  # seen on the way, perhaps in a task that nobody waits for
+        self.violations: list[str] = []  # recorded during the run, possibly in a task that nothing awaits
         self.arrivals: list[tuple[Line, Arrival]] = []
         self.loop = asyncio.get_running_loop()
         self.gateway = Gateway("z1", LinkPool(10), RetryBudgets(BUDGET), self.planner())
@@ -119,33 +119,33 @@
 
     @staticmethod
     def planner() -> ByName:
-        """Who names instances: the first one by name that has not failed."""
+        """Return a planner that selects the first instance by name that has not failed."""
         return ByName()
 
     @staticmethod
     def rows() -> list[Instance]:
-        """The instances."""
+        """Return the instances."""
         return [
             Instance(id=name, backend="plain", address=f"{name}:1", zone="z1", slots=8, state=READY)
             for name in ("i-1", "i-2")
         ]
 
     def form(self, instance: str) -> Form:
-        """How an instance answers."""
+        """Return how an instance frames its answers."""
         return Form(self.setting.until_close, b"stream" in self.setting.target)
 
     def arrived(self, line: Line, arrival: Arrival) -> None:
-        """A request's head has come to an instance; the second one answers what may be sent again at once."""
+        """Record a request head at an instance; the second instance answers idempotent requests at once."""
         self.arrivals.append((line, arrival))
         if self.setting.idempotent and line.instance == "i-2":
             self.loop.call_soon(line.answer)
 
     def violate(self, text: str) -> None:
-        """Note what the gateway must never do."""
+        """Record a violation."""
         self.violations.append(text)
 
     async def connect(self, address: str, *_: object) -> Link:
-        """In the place of `http.client.connect`."""
+        """Replace `http.client.connect`."""
         instance = address.partition(":")[0]
         first = self.setting.large and not self.lines
         line = Line(self, instance, WINDOW if first else WIDE, self.form(instance))
@@ -153,7 +153,7 @@
         return Link(Channel(line.sock, Framer(answers=True)), address)  # type: ignore[arg-type]
 
     def request(self, id: bytes) -> Message:
-        """A client's request."""
+        """Return a client request."""
         message = Message()
         length = LARGE_BODY if self.setting.large and id == FIRST else SMALL_BODY
         message.method, message.target = b"POST", self.setting.target
@@ -169,11 +169,11 @@
 
     @property
     def line(self) -> Line | None:
-        """The connection that was opened last to the instance that is watched."""
+        """The connection most recently opened to the watched instance."""
         return next((line for line in reversed(self.lines) if line.instance == self.WATCHED), None)
 
     def enabled(self) -> list[str]:
-        """The events that can come next."""
+        """Return the events that are possible next."""
         call = self.calls[-1]
         events: list[str] = []
         if call.task.done():
@@ -190,7 +190,7 @@
             events += ["half", "reject"] if not due.sent else []
             events += ["cancel+answer", "timeout+answer"] if not call.task.done() else []
             events += ["answer+repeat"] if not self.setting.until_close else []
-        if due is None or not due.sent:  # else it would be part of that answer's body
+        if due is None or not due.sent:  # otherwise the bytes would be part of that answer's body
             events += ["noise"]
             events += ["repeat", "nameless"] if line.may_repeat else []
         if not line.sock.window:
@@ -200,7 +200,7 @@
         return events
 
     async def act(self, event: str) -> None:
-        """Play an event; what is joined by + comes in one step."""
+        """Execute an event; parts joined by + happen in the same step."""
         for part in event.split("+"):
             self._part(part)
         await self.settle()
@@ -230,14 +230,14 @@
             }[part]()
 
     async def settle(self) -> None:
-        """Let the gateway do all that it can do without time."""
+        """Run the loop until the gateway can make no progress without time passing."""
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         while self.loop._ready:  # type: ignore[attr-defined]
             await asyncio.sleep(0)
 
     async def finish(self) -> None:
-        """Let what is under way end by its deadline, then judge."""
+        """Let the requests in flight end by their deadlines, then check all rules."""
         for _ in range(3):
             if not all(call.task.done() for call in self.calls):
                 self.loop.at += BEYOND_DEADLINE_S  # type: ignore[attr-defined]
@@ -248,9 +248,9 @@
             self.judge(call)
 
     def judge(self, call: Call) -> None:
-        """Compare what a client got with what instances did."""
+        """Check a client's answer against what the instances did."""
         if not call.task.cancelled():
-            call.task.result()  # raises what the gateway raised
+            call.task.result()  # re-raises an exception of the gateway
         seen = [
             arrival
             for line, arrival in self.arrivals
@@ -280,18 +280,18 @@
 
 
 class HandOverWorld(World):
-    """Prompts are read at an instance to which events happen, and answered at one that always does well."""
+    """Prompts are prefilled at the watched instance and answered at one that never fails."""
 
     WATCHED = "p-1"
 
     @staticmethod
     def planner() -> ByName:
-        """Has each prompt read at the watched instance."""
+        """Return a planner that has each prompt prefilled at the watched instance."""
         return ByName(HandOverWorld.WATCHED)
 
     @staticmethod
     def rows() -> list[Instance]:
-        """One instance of each stage."""
+        """Return one instance of each stage."""
         stages = {HandOverWorld.WATCHED: "prefill", "d-1": "decode"}
         return [
             Instance(
@@ -301,11 +301,11 @@
         ]
 
     def form(self, instance: str) -> Form:
-        """Handles of the one, streams of the other."""
+        """Return the framing: handles from the prefill instance, streams from the decode instance."""
         return Form(reads_prompts=instance == self.WATCHED, streams=instance != self.WATCHED)
 
     def arrived(self, line: Line, arrival: Arrival) -> None:
-        """A request for an answer has it at once; its handle must be its own."""
+        """Answer decode requests at once, and check that each carries its own handle."""
         super().arrived(line, arrival)
         if line.instance == self.WATCHED:
             return
@@ -316,14 +316,14 @@
         self.loop.call_soon(line.reject if rejected else line.answer)
 
     def judge(self, call: Call) -> None:
-        """Besides: no handle reaches a client."""
+        """Check also that no handle reaches a client."""
         super().judge(call)
         if b"kv_handle" in call.channel.data:
             raise Violation(f"MIXED: {call.id!r} got the answer to the reading of its prompt")
 
 
 class Explorer:
-    """Plays all orders of events up to a depth."""
+    """Explores all event orders up to a depth."""
 
     def __init__(self, setting: Setting, routes: Configuration) -> None:
         self._setting, self._routes = setting, routes
@@ -331,7 +331,11 @@
         self.runs = 0
 
     def explore(self, depth: int) -> None:
-        """Raises `Violation`, with the order of events, at the first one."""
+        """Explore all event orders.
+
+        Raises:
+            Violation: the first violation, with its event order.
+        """
         with patch.object(time, "monotonic", self._loop.time):
             try:
                 self._extend((), depth)
--- a/tests/support/exchange_sockets.py
+++ b/tests/support/exchange_sockets.py
@@ -1,7 +1,7 @@
-"""A stand-in instance's end of a connection, and the gateway's socket to it; no kernel, no waits.
+"""A simulated connection: the stand-in instance's end and the gateway's socket; no kernel, no waits.
 
-The socket behaves as Linux does: what came is read before a reset is told, and a reset is told once. The
-instance keeps account of each byte, and tells its owner of what a gateway must never do.
+The socket behaves as on Linux: received data is read before a reset is reported, and a reset is reported
+once.  The instance tracks every byte and reports rule violations of the gateway to its owner.
 """
 
 from __future__ import annotations
@@ -14,46 +14,46 @@
 
 from simulated import Jumping
 
-ANSWER_BYTES = 64  # of a body
+ANSWER_BYTES = 64  # size of an answer's body
 HEAD_END = b"\r\n\r\n"
-WIDE = 1 << 30  # bytes of a window that is never full
+WIDE = 1 << 30  # size of a send window that never fills
 
 
 @dataclass(frozen=True)
 class Form:
     """How an instance frames its answers."""
 
-    until_close: bool = False  # no length: the end is the connection's
+    until_close: bool = False  # no length: the answer ends with the connection
     streams: bool = False
-    reads_prompts: bool = False  # it answers with a handle, without a signature
+    reads_prompts: bool = False  # a prefill instance: answers with an unsigned KV handle
 
 
 class Judge(Protocol):
-    """Is told of requests that arrive, and of what a gateway must never do."""
+    """Receives arriving requests and rule violations."""
 
     def arrived(self, line: Line, arrival: Arrival) -> None:
-        """A request's head has come."""
+        """A request's head has arrived."""
 
     def violate(self, text: str) -> None:
-        """The first word names the rule."""
+        """Report a violation; the first word names the rule."""
 
 
 @dataclass
 class Arrival:
-    """A request of which at least one byte came."""
+    """A request whose head has arrived."""
 
-    id: bytes  # empty: a call that names no request
+    id: bytes  # empty for a call without a request id
     length: int
-    kv_from: bytes = b""  # the handle that it names
+    kv_from: bytes = b""  # the handle in its Kv-From header
     body: bytearray = field(default_factory=bytearray)
-    sent: int = 0  # bytes of its answer,
-    body_sent: int = 0  # and of that answer's body
-    answered: bool = False  # whole
-    rejected: bool = False  # the answer says that it was not run
+    sent: int = 0  # bytes sent of its answer
+    body_sent: int = 0  # bytes sent of that answer's body
+    answered: bool = False  # the answer was sent completely
+    rejected: bool = False  # the answer says that the request was not run
 
     @property
     def whole(self) -> bool:
-        """Whether its last byte has come."""
+        """Whether the request has arrived completely."""
         return len(self.body) == self.length
 
 
@@ -65,10 +65,10 @@
         self.sock = StandInSocket(self, window)
         self.arrivals: list[Arrival] = []
         self.head = bytearray()
-        self.surplus = self.over = False  # bytes went out that are no answer due; the end or a reset did
+        self.surplus = self.over = False  # sent bytes that no request expects; sent an end or a reset
 
     def received(self, data: bytes) -> None:
-        """Bytes of the gateway: the rest of a body that is due, or a new request's."""
+        """Handle bytes of the gateway: the rest of a pending body or a new request."""
         if self.arrivals and not self.arrivals[-1].whole and not self.head:
             data = self._body(self.arrivals[-1], data)
         if data and not self.head:
@@ -83,29 +83,29 @@
                 self.received(rest)
 
     def _begins(self) -> None:
-        """A request's first byte has come."""
+        """Check the rules when the first byte of a request arrives."""
         if self.over:
-            self.judge.violate("ENDED: a request goes out on a connection that has ended")
+            self.judge.violate("ENDED: a request was sent on a connection that has ended")
         if self.surplus:
-            self.judge.violate("SURPLUS: a request goes out behind bytes that nobody asked for")
+            self.judge.violate("SURPLUS: a request was sent on a connection with surplus data")
         if any(not one.answered for one in self.arrivals):
-            self.judge.violate("OWED: a request goes out on a connection with an answer owed")
+            self.judge.violate("OWED: a request was sent on a connection with an outstanding answer")
 
     def _body(self, arrival: Arrival, data: bytes) -> bytes:
-        """Take a body's bytes in; what is left of them."""
+        """Consume bytes of a body; return the bytes after it."""
         due = arrival.length - len(arrival.body)
         arrival.body += data[:due]
         if arrival.body.strip(arrival.id[-1:]):
-            self.judge.violate("UNASKED: other bytes stand where the rest of a body is due")
+            self.judge.violate("UNASKED: unexpected bytes instead of the rest of a body")
         return data[due:]
 
     @property
     def open_arrival(self) -> Arrival | None:
-        """The oldest request without its whole answer."""
+        """The oldest request that is not completely answered."""
         return next((one for one in self.arrivals if not one.answered), None)
 
     def answer(self, share: float = 1.0) -> None:
-        """Send the due answer, or a first part of it."""
+        """Send the pending answer up to a fraction of its bytes."""
         arrival = self.open_arrival
         assert arrival is not None
         whole = self._bytes(arrival)
@@ -116,7 +116,7 @@
         arrival.answered = upto == len(whole) and not self.form.until_close
 
     def reject(self) -> None:
-        """Refuse the due request."""
+        """Reject the pending request."""
         arrival = self.open_arrival
         assert arrival is not None
         arrival.answered = arrival.rejected = True
@@ -126,7 +126,7 @@
         )
 
     def repeat(self, named: bool = True) -> None:
-        """Send the first request's answer once more, perhaps without its name."""
+        """Send the first request's answer again, without its request id if not `named`."""
         self.surplus = True
         first = self.arrivals[0]
         again = self._bytes(first, may_end=False)
@@ -134,20 +134,20 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether the first request had an answer that can come once more."""
+        """Whether the first request has an answer that can be repeated."""
         return bool(self.arrivals) and self.arrivals[0].answered and not self.arrivals[0].rejected
 
     def sent_whole(self, arrival: Arrival) -> bool:
-        """Whether all bytes of an answer are out; one without length still needs the connection's end."""
+        """Whether all bytes of an answer were sent; without a length, it still needs the connection's end."""
         return arrival.sent == len(self._bytes(arrival))
 
     def noise(self) -> None:
-        """Send what is no answer."""
+        """Send bytes that are not an HTTP answer."""
         self.surplus = True
         self.sock.arrive(b"\x16\x03\x01 no answer\r\n")
 
     def end(self) -> None:
-        """End the connection in order: an answer without length is whole by it, unless a stream is cut."""
+        """Close the connection in order, which completes an answer without a length if no stream is cut."""
         arrival = self.open_arrival
         if arrival is not None and self.form.until_close:
             arrival.answered = self.sent_whole(arrival) or not self.form.streams and arrival.sent > 0
@@ -179,24 +179,24 @@
 
 
 class StandInSocket:
-    """The gateway's end of a connection, as the kernel offers it."""
+    """The gateway's end of a connection, with the interface of a kernel socket."""
 
     def __init__(self, line: Line, window: int) -> None:
         self.line, self.window = line, window
         self.coming = bytearray()
         self.finished = self.broken = self.closed = False
-        self.error = False  # a reset that nobody has been told of
+        self.error = False  # a reset that was not reported yet
         self.readable: Callable[[], None] | None = None
         self.writable: Callable[[], None] | None = None
 
     def setblocking(self, flag: bool) -> None:
-        """As a socket's."""
+        """Do nothing."""
 
     def setsockopt(self, *_: object) -> None:
-        """As a socket's."""
+        """Do nothing."""
 
     def send(self, data: bytes | bytearray | memoryview) -> int:
-        """Take what the window has room for."""
+        """Accept as many bytes as the send window allows."""
         self._check()
         if self.broken:
             raise BrokenPipeError(errno.EPIPE, "broken")
@@ -208,7 +208,7 @@
         return count
 
     def recv(self, count: int, flags: int = 0) -> bytes:
-        """What came, then a reset, once, then the end."""
+        """Return received data, then report a reset once, then return the end of the stream."""
         if self.coming:
             data = bytes(self.coming[:count])
             if not flags & socket.MSG_PEEK:
@@ -220,26 +220,26 @@
         raise BlockingIOError
 
     def close(self) -> None:
-        """As a socket's."""
+        """Close the socket."""
         self.closed = True
 
     def arrive(self, data: bytes) -> None:
-        """Bytes of the instance."""
+        """Receive bytes from the instance."""
         self.coming += data
         self._tell()
 
     def finish(self) -> None:
-        """The instance's end."""
+        """Receive an orderly end from the instance."""
         self.finished = True
         self._tell()
 
     def break_off(self) -> None:
-        """The instance's reset."""
+        """Receive a reset from the instance."""
         self.broken = self.error = True
         self._tell()
 
     def open_window(self) -> None:
-        """The instance reads on."""
+        """Open the send window: the instance reads on."""
         self.window = WIDE
         if self.writable is not None:
             self.writable()
@@ -260,10 +260,10 @@
 
 
 class ModelLoop(Jumping):
-    """A loop on whose stand-in sockets `Channel` works as on real ones."""
+    """An event loop on which `Channel` works with stand-in sockets."""
 
     async def sock_recv_into(self, sock: StandInSocket, buffer: memoryview) -> int:  # type: ignore[override]
-        """Wait for input and read it, in one step once it is there."""
+        """Wait for input and read it in the step in which it arrives."""
         while True:
             try:
                 data = sock.recv(len(buffer))
@@ -281,19 +281,19 @@
         callback: Callable[..., object],  # type: ignore[override]
         *args: object,
     ) -> None:
-        """Call back once the window is open."""
+        """Call back when the send window opens."""
         sock.writable = lambda: callback(*args)
 
     def remove_writer(self, sock: StandInSocket) -> bool:  # type: ignore[override]
-        """Call back no more."""
+        """Remove the callback."""
         if sock.closed:
-            raise ValueError("a closed socket is watched")
+            raise ValueError("the closed socket still has a writer")
         sock.writable = None
         return True
 
 
 def read_head(head: bytes) -> Arrival:
-    """A request by its head."""
+    """Parse a request's head."""
     fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:])
     return Arrival(
         fields.get(b"request-id", b""), int(fields.get(b"content-length", b"0")), fields.get(b"kv-from", b"")
@@ -301,15 +301,15 @@
 
 
 def name_line(id: bytes) -> bytes:
-    """The header that names a request, if there is one."""
+    """Return the Request-Id header line, or nothing for an empty id."""
     return b"Request-Id: %b\r\n" % id if id else b""
 
 
 def handle_of(id: bytes) -> bytes:
-    """The handle that a prompt's reading leaves."""
+    """Return the KV handle that the prefill of a request creates."""
     return b"handle" + id
 
 
 def answer_body(id: bytes) -> bytes:
-    """The one right answer to a request."""
+    """Return the only correct answer body to a request."""
     return b"id: 1\ndata: " + id.ljust(ANSWER_BYTES, b".") + b"\n\n"
--- a/tests/support/failing_instances.py
+++ b/tests/support/failing_instances.py
@@ -1,4 +1,4 @@
-"""Stand-in instances that fail in the ways of an instance in trouble, and planners with a known order."""
+"""Stand-in instances that fail in typical ways, and planners with a deterministic order."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ByName(LeastLoadedPlanner):
-    """Takes instances in the order of their names; prompts are read at the first one of `readers` left."""
+    """Selects instances in the order of their names; prefills at the first of `readers` not excluded."""
 
     def __init__(self, *readers: str, expected_s: float = 0.05) -> None:
         super().__init__()
@@ -25,7 +25,7 @@
         return instance.id
 
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
-        """The first instance by name, and the first reader."""
+        """Select the first instance by name and the first prefill instance."""
         planned = super().plan(request, now)
         if isinstance(planned, Rejection):
             return planned
@@ -34,12 +34,12 @@
 
 
 class DirectFirst(ByName):
-    """Has the first request's prompt read where it is answered, and all later ones' apart."""
+    """Has the prompt of the first plan prefilled by the decode instance, and all later ones separately."""
 
     planned = 0
 
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
-        """As by name; the first plan names no reader."""
+        """Select by name; the first plan has no prefill instance."""
         planned = super().plan(request, now)
         self.planned += 1
         if isinstance(planned, Rejection) or self.planned > 1:
@@ -49,7 +49,7 @@
 
 @dataclass
 class Hanging(ModelServer):
-    """Keeps the requests that `hangs` names (by number, from 0) until `wake` is set."""
+    """Delays the requests with the numbers in `hangs` (from 0) until `wake` is set."""
 
     hangs: set[int] = field(default_factory=set)
     wake: asyncio.Event = field(default_factory=asyncio.Event)
@@ -66,7 +66,11 @@
         return await super()._answer(seen, reader, writer)
 
     async def _wait(self, reader: asyncio.StreamReader) -> None:
-        """Wait to be woken; raises where the caller closes first."""
+        """Wait for `wake`.
+
+        Raises:
+            ConnectionResetError: the caller closed the connection first.
+        """
         woken, closed = asyncio.ensure_future(self.wake.wait()), asyncio.ensure_future(reader.read(1))
         await asyncio.wait((woken, closed), return_when=asyncio.FIRST_COMPLETED)
         if closed.done():
@@ -78,7 +82,7 @@
 
 @dataclass
 class Surplus(ModelServer):
-    """Sends each answer once more, when the next request of the connection has come."""
+    """Repeats the previous answer when the next request arrives."""
 
     async def _answer(
         self, seen: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -90,7 +94,7 @@
 
 @dataclass
 class Forgetful(ModelServer):
-    """Resets a request that comes on a connection which was idle for longer than `holds_s`."""
+    """Drops a request that arrives on a connection that was idle for longer than `holds_s`."""
 
     holds_s: float = 0.3
     reset: int = 0
@@ -110,7 +114,7 @@
 
 @dataclass
 class LostHandles(ModelServer):
-    """A prefill instance whose handles lapse at once."""
+    """A prefill instance whose handles expire at once."""
 
     lost: bool = True
 
@@ -122,7 +126,7 @@
 
 
 class Dark:
-    """An address that says nothing to who asks for a connection: its queue of them is full."""
+    """An address that does not respond to connection attempts, because its accept queue is full."""
 
     def __init__(self) -> None:
         self._listener = socket.socket()
@@ -137,13 +141,13 @@
             self._fill.append(one)
 
     def close(self) -> None:
-        """Give the sockets back."""
+        """Close the sockets."""
         for one in (*self._fill, self._listener):
             one.close()
 
 
 async def add(bench: Bench, instance: ModelServer, backend: str = "plain") -> ModelServer:
-    """Start an instance of one's own and tell the gateway of it."""
+    """Start the given instance and add it to the gateway's instance table."""
     await instance.start()
     bench.instances[instance.id] = instance
     for other in bench.instances.values():
@@ -163,14 +167,14 @@
 
 
 def add_dark(bench: Bench, id: str, dark: Dark, backend: str = "plain", stage: str = "") -> None:
-    """Tell the gateway of an instance that can't be reached."""
+    """Add an unreachable instance to the gateway's instance table."""
     bench.tell(
         Instance(id=id, backend=backend, address=dark.address, zone="z1", slots=8, state=READY, stage=stage)
     )
 
 
 def set_state(bench: Bench, id: str, state: int) -> None:
-    """Tell the gateway of an instance's state."""
+    """Change an instance's state in the gateway's instance table."""
     row = Instance()
     row.CopyFrom(bench.gateway.view.instances[id])
     row.state = state
--- a/tests/support/gateway_bench.py
+++ b/tests/support/gateway_bench.py
@@ -1,4 +1,4 @@
-"""A gateway's front on loopback with stand-in instances behind it, and a raw client."""
+"""A gateway's client endpoint on loopback with stand-in instances, and a raw client."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 @dataclass
 class Answer:
-    """What the client got; `whole` by the answer's own framing."""
+    """A client's answer; `whole` if it is complete by its framing."""
 
     status: int
     headers: dict[str, str]
@@ -74,7 +74,7 @@
 
 
 class Bench:
-    """`async with Bench() as bench`."""
+    """A gateway with instances and clients; use as `async with Bench() as bench`."""
 
     def __init__(
         self,
@@ -125,7 +125,7 @@
         return instance
 
     def tell(self, *rows: Instance, ended: tuple[str, ...] = ()) -> None:
-        """The feed's word."""
+        """Change the instance table as the feed does."""
         for row in rows:
             self._table[row.id] = row
         for id in ended:
--- a/tests/support/timed_instances.py
+++ b/tests/support/timed_instances.py
@@ -1,4 +1,4 @@
-"""Stand-in instances that take their time and keep account of it, for tests in virtual time."""
+"""Stand-in instances with a given service time that record arrivals, for tests in virtual time."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 
 
 def now() -> float:
-    """The loop's clock, in seconds."""
+    """Return the loop's clock in seconds."""
     return asyncio.get_running_loop().time()
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request as it reached an instance."""
+    """A request as an instance received it."""
 
     at: float
     seen: ReceivedRequest
 
     @property
     def deadline_ms(self) -> int:
-        """The time that the instance was handed."""
+        """The deadline that the instance received."""
         return int(self.seen.headers["deadline-ms"])
 
 
 @dataclass
 class Timed(ModelServer):
-    """Works `takes_s` seconds on each request before it answers; ends at once where its caller closes."""
+    """Works `takes_s` seconds on each request before it answers; stops at once if its caller disconnects."""
 
     takes_s: float = 0.0
     arrivals: list[Arrival] = field(default_factory=list)
-    working: int = 0  # requests on which it works now
+    working: int = 0  # requests in progress
 
     async def _answer(
         self, seen: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -51,7 +51,11 @@
             self.working -= 1
 
     async def _work(self, reader: asyncio.StreamReader, seconds: float) -> None:
-        """Work; raises where the caller closes first."""
+        """Work for a number of seconds.
+
+        Raises:
+            ConnectionResetError: the caller disconnected first.
+        """
         try:
             async with asyncio.timeout(seconds):
                 await reader.read(1)
@@ -63,7 +67,7 @@
 
 @dataclass
 class Trickling(Timed):
-    """Sends an endless stream, or an endless answer without a length, a piece every `apart_s` seconds."""
+    """Sends an endless stream, or an endless plain answer, one piece every `apart_s` seconds."""
 
     apart_s: float = 0.2
     plain: bool = False
@@ -87,13 +91,13 @@
 
 
 class Held(ByName):
-    """Has every request wait `start_in_s` before it is sent."""
+    """A planner that has every request wait `start_in_s` seconds before it is sent."""
 
     def __init__(self, start_in_s: float, *readers: str) -> None:
         super().__init__(*readers)
         self.start_in_s = start_in_s
 
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
-        """As by name, but later."""
+        """Select by name, with the delayed start."""
         planned = super().plan(request, now)
         return planned if isinstance(planned, Rejection) else replace(planned, start_in_s=self.start_in_s)
--- a/tests/support/virtual_time.py
+++ b/tests/support/virtual_time.py
@@ -1,7 +1,7 @@
-"""An asyncio loop on loopback sockets whose clock jumps ahead while nothing is to be done.
+"""An asyncio loop on loopback sockets whose clock jumps ahead while the loop is idle.
 
-Both ends of each connection live in the one process, so that what was sent is there at the next look; a wait
-for a timer takes no real time, and a test of seconds of silence ends within milliseconds.
+Both ends of each connection are in this process, so sent data is available at the next poll.  Waiting for a
+timer takes no real time, so a test of seconds of silence ends within milliseconds.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 SETTLE_S = 0.0005  # real time given to loopback before the clock jumps
 START_S = 1000.0
-STUCK_S = 5.0  # real time without a timer and without input, after which a test is stuck
+STUCK_S = 5.0  # real time to wait for input when there is no timer
 
 
 class _Selector(selectors.DefaultSelector):
-    """Polls, and moves the loop's clock instead of waiting."""
+    """Polls, and advances the loop's clock instead of waiting."""
 
     loop: VirtualLoop
 
@@ -36,7 +36,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """The loop; `now` is its steady clock."""
+    """The event loop; `now` is its monotonic clock."""
 
     def __init__(self) -> None:
         self.now = START_S
@@ -49,7 +49,7 @@
 
 
 def play(scenario: Coroutine[Any, Any, None], within_s: float = 120.0) -> None:
-    """Run a scenario to its end, in virtual time everywhere."""
+    """Run a scenario to its end with `time.monotonic` and the loop in virtual time."""
     loop = VirtualLoop()
     with patch.object(time, "monotonic", loop.time):
         try:
