--- a/mallowbeam/router/data_plane/attempt.py
+++ b/mallowbeam/router/data_plane/attempt.py
@@ -26,8 +26,8 @@
 
 BUFFERED_BYTES = 64 * 1024  # an answer up to this size is read completely before any of it is forwarded
 WAY_BACK_S = 0.005  # part of the remaining time, reserved for sending the answer back
-MOST_LATE_ANSWERS = 4  # answers to earlier requests that are skipped before the expected one
-REJECTION_BODY_S = 0.2  # time to read the rest of a rejection; after it the connection is closed
+MAX_LATE_ANSWERS = 4  # answers to earlier requests that are skipped before the expected one
+REJECTION_BODY_TIMEOUT_S = 0.2  # time to read the rest of a rejection; after it the connection is closed
 EVENT_STREAM = b"text/event-stream"
 
 
@@ -108,19 +108,23 @@
         if self._address(order) != address:
             self.release()
             return AttemptEnd.NO_CAPACITY
-        first = not link.idle_since
+        first_on_connection = not link.idle_since
         request = order.request
-        left_ms = max(1, int((order.deadline - WAY_BACK_S - time.monotonic()) * 1000))
+        remaining_ms = max(1, int((order.deadline - WAY_BACK_S - time.monotonic()) * 1000))
         headers = request.headers_with(
-            [*order.extra, (b"target-instance", order.instance.encode()), (b"deadline-ms", b"%d" % left_ms)]
+            [
+                *order.extra,
+                (b"target-instance", order.instance.encode()),
+                (b"deadline-ms", b"%d" % remaining_ms),
+            ]
         )
         head = write_request(request.method, request.target, headers, len(request.body))
         self._bodiless = request.method == b"HEAD"
         answer = await link.round_trip(head, request.body, self._bodiless)
-        if order.once and not first:
-            answer = await self._own_answer(link, answer, request.request_id)
+        if order.once and not first_on_connection:
+            answer = await self._skip_late_answers(link, answer, request.request_id)
         self.answer = answer
-        end = judge_answer(answer, request.request_id, first, order.signed)
+        end = judge_answer(answer, request.request_id, first_on_connection, order.signed)
         if end is AttemptEnd.BROKEN:
             answer.keep_alive = False
             self.release()
@@ -130,18 +134,18 @@
             await link.exceeds(answer, BUFFERED_BYTES, None, None)
         return end
 
-    async def _own_answer(self, link: Link, answer: Message, request_id: bytes) -> Message:
+    async def _skip_late_answers(self, link: Link, answer: Message, request_id: bytes) -> Message:
         """Return the answer to this request, skipping late answers to earlier ones.
 
         A connection on which an answer was skipped is not reused.
 
         Raises:
-            RemoteProtocolError: more than `MOST_LATE_ANSWERS` answers were to other requests.
+            RemoteProtocolError: more than `MAX_LATE_ANSWERS` answers were to other requests.
         """
         late = 0
         while names_another(answer, request_id):
             late += 1
-            if late > MOST_LATE_ANSWERS:
+            if late > MAX_LATE_ANSWERS:
                 raise RemoteProtocolError("too many answers to other requests")
             await link.read_body(answer)
             answer = await link.read_head()
@@ -151,7 +155,7 @@
     async def _read_rejection(self, link: Link, answer: Message) -> None:
         """Read the rest of an answer that is not forwarded, so that its connection can be reused."""
         try:
-            async with asyncio.timeout(REJECTION_BODY_S):
+            async with asyncio.timeout(REJECTION_BODY_TIMEOUT_S):
                 await link.read_body(answer)
         except (TimeoutError, ConnectionBrokenError):
             pass  # the head already proves that the request did not run
--- a/mallowbeam/router/data_plane/client_frontend.py
+++ b/mallowbeam/router/data_plane/client_frontend.py
@@ -16,24 +16,24 @@
 from mallowbeam.router.data_plane.relay import Relay
 from mallowbeam.router.data_plane.routing import choose_backend
 
-BUFFERED_BYTES = 24 * 1024 * 1024  # limit for request bodies over all connections
+MAX_BUFFERED_BYTES = 24 * 1024 * 1024  # limit for request bodies over all connections
 MEMORY_FRACTION = 0.125  # share of the process's memory that request bodies may use
 RETRY_AFTER_S = 0.5  # Retry-After of a 503 that is sent before the first configuration arrives
-SLACK_S = 0.5  # network allowance added to the configured client timeouts
+CLIENT_TIMEOUT_MARGIN_S = 0.5  # network allowance added to the configured client timeouts
 WAY_S = 0.01  # part of a client's deadline, reserved for sending the answer back
 MEGABYTE = 1024 * 1024
-ANY_SIZE = 1 << 62  # bytes; no body is larger
+UNLIMITED_BYTES = 1 << 62  # no body is larger
 
 
 class ClientFrontend:
     """Runs an exchange for each client request and returns its answer."""
 
-    max_buffered_body = ANY_SIZE  # a request is forwarded only after it has arrived completely
+    max_buffered_body = UNLIMITED_BYTES  # a request is forwarded only after it has arrived completely
 
     def __init__(self, gateway: Gateway, memory_mb: float) -> None:
         self._gateway = gateway
         self.budget: BodyBudget | None = BodyBudget(
-            int(min(BUFFERED_BYTES, memory_mb * MEGABYTE * MEMORY_FRACTION))
+            int(min(MAX_BUFFERED_BYTES, memory_mb * MEGABYTE * MEMORY_FRACTION))
         )
         self.set_limits(ClientLimits())
 
@@ -41,25 +41,25 @@
         """Apply limits to requests that start from now on, also on open connections."""
         self.max_body = limits.max_body_bytes
         self.max_head = limits.max_header_bytes
-        self.stalled = limits.header_timeout_ms / 1000 + SLACK_S
-        self.idle = limits.idle_timeout_ms / 1000 + SLACK_S
+        self.stalled = limits.header_timeout_ms / 1000 + CLIENT_TIMEOUT_MARGIN_S
+        self.idle = limits.idle_timeout_ms / 1000 + CLIENT_TIMEOUT_MARGIN_S
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """Handle one request and return its answer."""
         try:
-            read = read_request(request)
+            client_request = read_request(request)
         except BadRequestError as error:
             return own_answer(400, b"", closing(), text=error.what.encode() + b"\n")
         view = self._gateway.view
         if view.configuration is None:
-            return own_answer(503, read.request_id, closing(), RETRY_AFTER_S)
-        route = view.find_route(read.host, read.target)
+            return own_answer(503, client_request.request_id, closing(), RETRY_AFTER_S)
+        route = view.find_route(client_request.host, client_request.target)
         if route is None:
-            return own_answer(404, read.request_id, closing())
-        backend = choose_backend(route, read.request_id)
+            return own_answer(404, client_request.request_id, closing())
+        backend = choose_backend(route, client_request.request_id)
         self._gateway.budgets.of(backend).request(time.monotonic())
-        deadline = self._deadline(read, request, route.timeout_ms)
-        exchange = Exchange(self._gateway, read, route, backend, deadline)
+        deadline = self._deadline(client_request, request, route.timeout_ms)
+        exchange = Exchange(self._gateway, client_request, route, backend, deadline)
         reply = await exchange.run(closing)
         if reply is not None:
             return reply
@@ -74,8 +74,8 @@
         self._gateway.answers[status] += 1
 
     @staticmethod
-    def _deadline(read: ClientRequest, request: Message, timeout_ms: int) -> float:
+    def _deadline(client_request: ClientRequest, request: Message, timeout_ms: int) -> float:
         """Return the monotonic time by which the request must end, measured from its last byte."""
-        client_s = read.deadline_ms / 1000
-        began = request.completed_at or time.monotonic()
-        return began + min(client_s - min(WAY_S, client_s / 4), timeout_ms / 1000)
+        client_s = client_request.deadline_ms / 1000
+        started_at = request.completed_at or time.monotonic()
+        return started_at + min(client_s - min(WAY_S, client_s / 4), timeout_ms / 1000)
--- a/mallowbeam/router/data_plane/client_request.py
+++ b/mallowbeam/router/data_plane/client_request.py
@@ -9,15 +9,17 @@
 from mallowbeam.router.pairing.prefix_cache import PromptSegment
 
 MOST_MS = 3_600_000  # longer deadlines are capped at this value
-MOST_DIGITS = 9  # of a number in a header; a longer number is treated as missing
-MOST_TOKENS = 1 << 30  # larger token counts are capped at this value
+MAX_DIGITS = 9  # of a number in a header; a longer number is treated as missing
+MAX_TOKENS = 1 << 30  # larger token counts are capped at this value
 MOST_PARTS = 1024  # parts of a prompt; further ones are ignored
 # Set by the gateway alone: a client's own values would change where and how an instance runs the request.
-OWNED = frozenset((b"deadline-ms", b"target-instance", b"stage", b"kv-from", b"priority", b"expect-version"))
+GATEWAY_HEADERS = frozenset(
+    (b"deadline-ms", b"target-instance", b"stage", b"kv-from", b"priority", b"expect-version")
+)
 # Always forwarded, even if a Connection header lists them: without them it would be a different request.
 END_TO_END = frozenset((b"request-id", b"host", b"model", b"token-usage", b"prompt-prefix", b"last-event-id"))
-LEFT_OUT = (HOP_BY_HOP - {b"host"}) | OWNED
-SINGLE = (b"request-id", b"host", b"deadline-ms", b"last-event-id")
+NOT_FORWARDED = (HOP_BY_HOP - {b"host"}) | GATEWAY_HEADERS
+SINGLE_VALUE_HEADERS = (b"request-id", b"host", b"deadline-ms", b"last-event-id")
 
 
 class BadRequestError(MallowbeamError):
@@ -44,10 +46,10 @@
     prompt_tokens: int
     answer_tokens: int
 
-    def headers_with(self, own: Headers) -> Headers:
-        """Return the client's headers, with the gateway's `own` headers replacing those of the same name."""
-        replaced = {name for name, _ in own}
-        return [*(header for header in self.headers if header[0] not in replaced), *own]
+    def headers_with(self, gateway_headers: Headers) -> Headers:
+        """Return the client's headers, with `gateway_headers` replacing those of the same name."""
+        replaced = {name for name, _ in gateway_headers}
+        return [*(header for header in self.headers if header[0] not in replaced), *gateway_headers]
 
 
 def read_request(message: Message) -> ClientRequest:
@@ -56,26 +58,30 @@
     Raises:
         BadRequestError: a header is repeated or the request id is missing or malformed.
     """
-    first = dict(reversed(message.headers))
-    for name in SINGLE:
+    first_values = dict(reversed(message.headers))
+    for name in SINGLE_VALUE_HEADERS:
         if sum(known == name for known, _ in message.headers) > 1:
             raise BadRequestError(f"{name.decode()} comes twice")
-    request_id = first.get(b"request-id", b"")
+    request_id = first_values.get(b"request-id", b"")
     if not TOKEN.match(request_id):
         raise BadRequestError("Request-Id is missing or malformed")
-    named = named_by_connection(message.headers)
-    headers = [(name, value) for name, value in message.headers if name not in LEFT_OUT and name not in named]
-    prompt_tokens, answer_tokens = _token_usage(first.get(b"token-usage", b""))
+    hop_by_hop = named_by_connection(message.headers)
+    headers = [
+        (name, value)
+        for name, value in message.headers
+        if name not in NOT_FORWARDED and name not in hop_by_hop
+    ]
+    prompt_tokens, answer_tokens = _token_usage(first_values.get(b"token-usage", b""))
     return ClientRequest(
         request_id=request_id,
         method=message.method,
         target=message.target,
-        host=first.get(b"host", b""),
+        host=first_values.get(b"host", b""),
         headers=headers,
         body=message.body,
-        deadline_ms=_deadline(first.get(b"deadline-ms")),
-        last_event_id=first.get(b"last-event-id"),
-        prompt_segments=_segments(first.get(b"prompt-prefix", b"")),
+        deadline_ms=_deadline_ms(first_values.get(b"deadline-ms")),
+        last_event_id=first_values.get(b"last-event-id"),
+        prompt_segments=_prompt_segments(first_values.get(b"prompt-prefix", b"")),
         prompt_tokens=prompt_tokens,
         answer_tokens=answer_tokens,
     )
@@ -86,14 +92,14 @@
     values = [value for name, value in headers if name == b"connection"]
     if not values:
         return frozenset()
-    named = frozenset(option.strip().lower() for option in b",".join(values).split(b","))
-    return named - END_TO_END
+    hop_by_hop = frozenset(option.strip().lower() for option in b",".join(values).split(b","))
+    return hop_by_hop - END_TO_END
 
 
-def _deadline(value: bytes | None) -> int:
+def _deadline_ms(value: bytes | None) -> int:
     """Return the deadline in milliseconds, rounded down; a malformed value counts as missing."""
     integer, _, fraction = (value or b"").partition(b".")
-    if not integer.isdigit() or len(integer) > MOST_DIGITS or not (fraction or b"0").isdigit():
+    if not integer.isdigit() or len(integer) > MAX_DIGITS or not (fraction or b"0").isdigit():
         return MOST_MS
     return min(int(integer), MOST_MS)
 
@@ -105,17 +111,17 @@
 
 
 def _tokens(value: bytes) -> int:
-    if not value.isdigit() or len(value) > MOST_DIGITS:
+    if not value.isdigit() or len(value) > MAX_DIGITS:
         return 0
-    return min(int(value), MOST_TOKENS)
+    return min(int(value), MAX_TOKENS)
 
 
-def _segments(value: bytes) -> tuple[PromptSegment, ...]:
+def _prompt_segments(value: bytes) -> tuple[PromptSegment, ...]:
     """Return the parts of a prompt up to the first one that can't be parsed."""
-    parts: list[PromptSegment] = []
-    for chunk in value.split(b",", MOST_PARTS)[:MOST_PARTS] if value else ():
-        segment_id, _, tokens = chunk.strip().partition(b":")
+    segments: list[PromptSegment] = []
+    for part in value.split(b",", MOST_PARTS)[:MOST_PARTS] if value else ():
+        segment_id, _, tokens = part.strip().partition(b":")
         if not segment_id or not tokens.isdigit():
             break
-        parts.append(PromptSegment(segment_id.decode("latin-1"), _tokens(tokens)))
-    return tuple(parts)
+        segments.append(PromptSegment(segment_id.decode("latin-1"), _tokens(tokens)))
+    return tuple(segments)
--- a/mallowbeam/router/data_plane/decision_log.py
+++ b/mallowbeam/router/data_plane/decision_log.py
@@ -15,7 +15,7 @@
 from mallowbeam.router.data_plane.planner_interface import Planner
 from mallowbeam.router.rpc.messages_pb2 import Instance
 
-Write = Callable[[str], None]
+WriteLine = Callable[[str], None]
 
 
 @dataclass(slots=True)
@@ -25,39 +25,39 @@
     request: PlanRequest
     plan: Plan
     planned_at: float
-    begun_at: float | None = None
-    read_at: float | None = None
-    first_at: float | None = None
+    started_at: float | None = None
+    prefilled_at: float | None = None
+    first_token_at: float | None = None
 
 
 class DecisionLog:
     """A planner wrapper that logs decisions together with their outcomes."""
 
-    def __init__(self, planner: Planner, write: Write) -> None:
+    def __init__(self, planner: Planner, write: WriteLine) -> None:
         self._planner = planner
         self._write = write
         self._bookings: dict[int, _Booking] = {}
 
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
         """Return the wrapped planner's decision."""
-        planned = self._planner.plan(request, now)
-        if isinstance(planned, Plan):
-            self._bookings[planned.booking] = _Booking(request, planned, now)
+        decision = self._planner.plan(request, now)
+        if isinstance(decision, Plan):
+            self._bookings[decision.booking] = _Booking(request, decision, now)
         else:
-            self._write(f"refused {_request(request)} reason={planned.reason.value}")
-        return planned
+            self._write(f"refused {_request_fields(request)} reason={decision.reason.value}")
+        return decision
 
     def begun(self, booking: int, now: float) -> None:
         """The request is about to be sent to its first instance."""
         self._planner.begun(booking, now)
         if entry := self._bookings.get(booking):
-            entry.begun_at = now
+            entry.started_at = now
 
     def prefill_done(self, booking: int, now: float) -> None:
         """The prefill instance has processed the prompt."""
         self._planner.prefill_done(booking, now)
         if entry := self._bookings.get(booking):
-            entry.read_at = now
+            entry.prefilled_at = now
 
     def hand_over_failed(self, booking: int, now: float) -> None:
         """The KV cache transfer failed; the decode instance prefills the prompt itself."""
@@ -67,13 +67,13 @@
         """The first bytes of the answer arrived."""
         self._planner.first_token(booking, now)
         if entry := self._bookings.get(booking):
-            entry.first_at = now
+            entry.first_token_at = now
 
     def finished(self, booking: int, outcome: Outcome, now: float) -> None:
         """The booking has ended."""
         self._planner.finished(booking, outcome, now)
         if entry := self._bookings.pop(booking, None):
-            self._write(_line(entry, outcome, now))
+            self._write(_format_line(entry, outcome, now))
 
     def instances_changed(self, instances: Iterable[Instance], now: float) -> None:
         """Pass on the instances that were added, changed or ended; all others are unchanged."""
@@ -88,29 +88,29 @@
         self._planner.gateways_changed(count)
 
 
-def _request(request: PlanRequest) -> str:
+def _request_fields(request: PlanRequest) -> str:
     return (
         f"service={request.backend} prompt={request.prompt_tokens} answer={request.answer_tokens} "
         f"priority={request.priority} target={request.target_latency_s:.3f} left={request.time_left_s:.2f}"
     )
 
 
-def _line(entry: _Booking, outcome: Outcome, now: float) -> str:
+def _format_line(entry: _Booking, outcome: Outcome, now: float) -> str:
     plan, expected = entry.plan, entry.plan.expected
     return (
-        f"{outcome.value} {_request(entry.request)} "
+        f"{outcome.value} {_request_fields(entry.request)} "
         f"reader={plan.prefill_instance or '-'} decoder={plan.decode_instance} ways={plan.candidates} "
         f"held={plan.start_in_s:.3f} units={plan.units} unread={plan.uncached_tokens} "
         f"loss={expected.loss:.3f} "
         f"expected: wait={expected.wait_s:.3f} read={expected.prefill_s:.3f} move={expected.transfer_s:.3f} "
         f"join={expected.join_s:.3f} first={plan.expected_first_token_s:.3f} "
-        f"seen: read={_since(entry.begun_at, entry.read_at)} "
-        f"first={_since(entry.planned_at, entry.first_at)} "
+        f"seen: read={_elapsed(entry.started_at, entry.prefilled_at)} "
+        f"first={_elapsed(entry.planned_at, entry.first_token_at)} "
         f"all={now - entry.planned_at:.3f}"
     )
 
 
-def _since(start: float | None, end: float | None) -> str:
+def _elapsed(start: float | None, end: float | None) -> str:
     if start is None or end is None:
         return "-"
     return f"{end - start:.3f}"
--- a/mallowbeam/router/data_plane/demand.py
+++ b/mallowbeam/router/data_plane/demand.py
@@ -17,22 +17,21 @@
 from mallowbeam.router.data_plane.planner_interface import Planner
 from mallowbeam.router.rpc.messages_pb2 import Instance, StageDemand
 
-LEAST_PERIOD_S = 0.1  # a shorter period yields no sample
-DIRECT_TOKENS = (
-    1024  # uncached prompts up to this size cost less to prefill at the decode instance than to transfer
-)
-UNREAD_MEMORY = 0.05  # weight of one request in the moving average of the uncached prompt fraction
+MIN_PERIOD_S = 0.1  # a shorter period yields no sample
+# Uncached prompts up to this size cost less to prefill at the decode instance than to transfer.
+MAX_DIRECT_TOKENS = 1024
+UNCACHED_FRACTION_WEIGHT = 0.05  # weight of one request in the moving average of the uncached prompt fraction
 
 
 class Gauge:
     """A count that changes over time, and its time-weighted mean since the last sample."""
 
-    __slots__ = ("value", "_area", "_at")
+    __slots__ = ("value", "_integral", "_updated_at")
 
     def __init__(self, now: float) -> None:
         self.value = 0
-        self._area = 0.0
-        self._at = now
+        self._integral = 0.0
+        self._updated_at = now
 
     def add(self, change: int, now: float) -> None:
         """Change the count."""
@@ -42,12 +41,12 @@
     def mean(self, period_s: float, now: float) -> float:
         """Return the mean over the period that ends now, and start a new period."""
         self._advance(now)
-        area, self._area = self._area, 0.0
+        area, self._integral = self._integral, 0.0
         return area / period_s
 
     def _advance(self, now: float) -> None:
-        self._area += self.value * max(0.0, now - self._at)
-        self._at = now
+        self._integral += self.value * max(0.0, now - self._updated_at)
+        self._updated_at = now
 
 
 class Tokens(Enum):
@@ -61,16 +60,16 @@
     FIRST = "first_tokens"
 
 
-class _Service:
+class _ServiceDemand:
     """The demand counters of one service."""
 
-    __slots__ = ("reading", "decoding", "tokens", "unread_fraction")
+    __slots__ = ("reading", "decoding", "tokens", "uncached_fraction")
 
     def __init__(self, now: float) -> None:
         self.reading = Gauge(now)
         self.decoding = Gauge(now)
         self.tokens: Counter[Tokens] = Counter()
-        self.unread_fraction = 1.0  # moving average over the prompts of accepted requests
+        self.uncached_fraction = 1.0  # moving average over the prompts of accepted requests
 
     def sample(self, backend: str, period_s: float, now: float) -> StageDemand:
         """Return the means over the period that ends now, and start a new period."""
@@ -89,7 +88,7 @@
     """Measures the demand of each service since the last sample."""
 
     def __init__(self) -> None:
-        self._services: dict[str, _Service] = {}
+        self._services: dict[str, _ServiceDemand] = {}
         self._sampled_at: float | None = None
 
     def planned(self, request: PlanRequest, plan: Plan, now: float) -> None:
@@ -98,16 +97,16 @@
         if plan.prefill_instance is not None:
             service.tokens[Tokens.READ] += plan.uncached_tokens
         else:
-            kind = Tokens.DIRECT if plan.uncached_tokens <= DIRECT_TOKENS else Tokens.SPILLED
+            kind = Tokens.DIRECT if plan.uncached_tokens <= MAX_DIRECT_TOKENS else Tokens.SPILLED
             service.tokens[kind] += plan.uncached_tokens
         if request.prompt_tokens:
             uncached = min(1.0, plan.uncached_tokens / request.prompt_tokens)
-            service.unread_fraction += (uncached - service.unread_fraction) * UNREAD_MEMORY
+            service.uncached_fraction += (uncached - service.uncached_fraction) * UNCACHED_FRACTION_WEIGHT
 
     def rejected(self, request: PlanRequest, now: float) -> None:
         """A request was rejected for lack of prefill capacity."""
         service = self._service(request.backend, now)
-        service.tokens[Tokens.SPILLED] += int(request.prompt_tokens * service.unread_fraction)
+        service.tokens[Tokens.SPILLED] += int(request.prompt_tokens * service.uncached_fraction)
 
     def reading(self, backend: str, change: int, now: float) -> None:
         """Count prefill calls that started or ended."""
@@ -129,20 +128,20 @@
     def sample(self, now: float) -> list[StageDemand]:
         """Return the demand of each service since the last sample.
 
-        The list is empty if the last sample was less than `LEAST_PERIOD_S` ago.
+        The list is empty if the last sample was less than `MIN_PERIOD_S` ago.
         """
         since = self._sampled_at
-        if since is None or now - since < LEAST_PERIOD_S:
+        if since is None or now - since < MIN_PERIOD_S:
             return []
         self._sampled_at = now
         return [service.sample(backend, now - since, now) for backend, service in self._services.items()]
 
-    def _service(self, backend: str, now: float) -> _Service:
+    def _service(self, backend: str, now: float) -> _ServiceDemand:
         service = self._services.get(backend)
         if service is None:
             if self._sampled_at is None:
                 self._sampled_at = now
-            service = self._services[backend] = _Service(now)
+            service = self._services[backend] = _ServiceDemand(now)
         return service
 
 
@@ -151,7 +150,7 @@
     """An accepted request that has not ended."""
 
     backend: str
-    split: bool
+    prefilled_separately: bool
     uncached_tokens: int
     reading: bool = False
     decoding: bool = False
@@ -167,22 +166,22 @@
 
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
         """Return the wrapped planner's decision."""
-        planned = self._planner.plan(request, now)
+        decision = self._planner.plan(request, now)
         if request.engine is None:
-            return planned
-        if isinstance(planned, Plan):
-            self._bookings[planned.booking] = _Booking(
-                request.backend, planned.prefill_instance is not None, planned.uncached_tokens
+            return decision
+        if isinstance(decision, Plan):
+            self._bookings[decision.booking] = _Booking(
+                request.backend, decision.prefill_instance is not None, decision.uncached_tokens
             )
-            self._meter.planned(request, planned, now)
-        elif planned.reason is RejectionReason.NO_CYCLE:
+            self._meter.planned(request, decision, now)
+        elif decision.reason is RejectionReason.NO_CYCLE:
             self._meter.rejected(request, now)
-        return planned
+        return decision
 
     def begun(self, booking: int, now: float) -> None:
         """The request is about to be sent to its first instance."""
         self._planner.begun(booking, now)
-        if (entry := self._bookings.get(booking)) and entry.split and not entry.reading:
+        if (entry := self._bookings.get(booking)) and entry.prefilled_separately and not entry.reading:
             entry.reading = True
             self._meter.reading(entry.backend, 1, now)
 
@@ -190,7 +189,7 @@
         """The prefill instance has processed the prompt."""
         self._planner.prefill_done(booking, now)
         if (entry := self._bookings.get(booking)) and entry.reading:
-            self._reading_ended(entry, now)
+            self._end_prefill(entry, now)
             self._meter.count(entry.backend, Tokens.DONE, entry.uncached_tokens, now)
 
     def hand_over_failed(self, booking: int, now: float) -> None:
@@ -203,7 +202,7 @@
         """The first bytes of the answer arrived."""
         self._planner.first_token(booking, now)
         if (entry := self._bookings.get(booking)) and not entry.decoding:
-            self._reading_ended(entry, now)
+            self._end_prefill(entry, now)
             entry.decoding = True
             self._meter.decoding(entry.backend, 1, now)
 
@@ -212,7 +211,7 @@
         self._planner.finished(booking, outcome, now)
         if (entry := self._bookings.pop(booking, None)) is None:
             return
-        self._reading_ended(entry, now)
+        self._end_prefill(entry, now)
         if entry.decoding:
             self._meter.decoding(entry.backend, -1, now)
 
@@ -230,7 +229,7 @@
         """Pass on the number of gateways that share the instances."""
         self._planner.gateways_changed(count)
 
-    def _reading_ended(self, entry: _Booking, now: float) -> None:
+    def _end_prefill(self, entry: _Booking, now: float) -> None:
         if entry.reading:
             entry.reading = False
             self._meter.reading(entry.backend, -1, now)
--- a/mallowbeam/router/data_plane/exchange.py
+++ b/mallowbeam/router/data_plane/exchange.py
@@ -27,7 +27,7 @@
 from mallowbeam.router.data_plane.send_policy import SendPolicy
 from mallowbeam.router.streams.progress import StreamProgress
 
-LEAST_LEFT_S = 0.01  # a request with less time left is abandoned
+MIN_TIME_LEFT_S = 0.01  # a request with less time left is abandoned
 RETRY_AFTER_S = 0.3  # Retry-After of a 503 if the planner gives none
 HANDLE_LIFETIME_FRACTION = 0.5  # of its time to live; an older handle is not offered again
 SAFE, STREAM = "safe", "stream"
@@ -64,28 +64,28 @@
         self.first_chunk = b""  # of the attempt's stream, not forwarded yet
         self.progress = StreamProgress(route.resumable and route.route_type == STREAM, request.last_event_id)
         self._backend = backend
-        known = gateway.view.backend(backend)
-        self._engine: Engine | None = known.engine if known is not None else None
+        service = gateway.view.backend(backend)
+        self._engine: Engine | None = service.engine if service is not None else None
         idempotent = route.route_type == SAFE or self.progress.resumable
         self._policy = SendPolicy(gateway.budgets.of(backend), idempotent, route.max_retries)
         self._booking: int | None = None
         self._handle: Handle | None = None
-        self._counted = 0  # events already reported to the demand meter
+        self._counted_events = 0  # events already reported to the demand meter
         self._head_sent = False  # part of the answer was already sent to the client
         self._failure: Message | None = None  # a failure that is forwarded if no later attempt succeeds
 
     async def run(self, closing: Callable[[], bool]) -> Response | None:
         """Return the complete answer, or None if `attempt` holds an answer to forward as it arrives."""
         try:
-            begun = await self._begin()
+            result = await self._attempt_until_answered()
         except BaseException:
             self.close(Outcome.CANCELLED)
             raise
-        if isinstance(begun, Abandoned):
+        if isinstance(result, Abandoned):
             self.close(Outcome.CANCELLED)
-            return self._last_answer(begun, closing())
-        self.attempt = begun
-        answer = begun.answer
+            return self._final_answer(result, closing())
+        self.attempt = result
+        answer = result.answer
         if answer is not None and answer.complete and not self.attempt.streams:
             self.close(Outcome.COMPLETED)
             return complete_answer(answer, closing())
@@ -103,33 +103,33 @@
         if self.attempt is not None:
             self._policy.broke_off(self.attempt.instance)
         self._release(Outcome.FAILED)
-        begun = await self._begin()
-        if isinstance(begun, Abandoned):
+        result = await self._attempt_until_answered()
+        if isinstance(result, Abandoned):
             return False
-        self.attempt = begun
-        return begun.streams
+        self.attempt = result
+        return result.streams
 
     def close(self, end: Outcome) -> None:
         """Release all reserved resources; idempotent."""
         self._release(end)
         if self._handle is not None:
-            self._free(self._handle)
+            self._free_handle(self._handle)
 
     def count_tokens(self) -> None:
         """Report the events received since the last call to the demand meter."""
         if self._engine is None:
             return
-        events, self._counted = self.progress.events - self._counted, self.progress.events
-        kind = Tokens.GENERATED if self._counted > events else Tokens.FIRST
+        events, self._counted_events = self.progress.events - self._counted_events, self.progress.events
+        kind = Tokens.GENERATED if self._counted_events > events else Tokens.FIRST
         self.gateway.demand.count(self._backend, kind, events * max(1, self._engine.stride), time.monotonic())
 
-    async def _begin(self) -> Attempt | Abandoned:
+    async def _attempt_until_answered(self) -> Attempt | Abandoned:
         """Make attempts until one has an answer to forward or the request is abandoned."""
         while True:
             plan = await self._plan()
             if isinstance(plan, Abandoned):
                 return plan
-            handle = await self._read_prompt(plan)
+            handle = await self._prefill_prompt(plan)
             result = await self._send(plan, handle)
             if result is not None:
                 return result
@@ -141,19 +141,19 @@
         if not self._policy.may_continue():
             return Abandoned()
         now = time.monotonic()
-        left = self.deadline - now
-        planned = self.gateway.planner.plan(self._plan_request(left, now), now)
-        if isinstance(planned, Rejection):
-            return Abandoned(retry_after_s=planned.retry_after_s or RETRY_AFTER_S)
-        self._booking = planned.booking
-        if planned.start_in_s > left - LEAST_LEFT_S:
+        remaining_s = self.deadline - now
+        decision = self.gateway.planner.plan(self._plan_request(remaining_s, now), now)
+        if isinstance(decision, Rejection):
+            return Abandoned(retry_after_s=decision.retry_after_s or RETRY_AFTER_S)
+        self._booking = decision.booking
+        if decision.start_in_s > remaining_s - MIN_TIME_LEFT_S:
             return Abandoned()
-        if planned.start_in_s > 0:
-            await asyncio.sleep(planned.start_in_s)
-        self.gateway.planner.begun(planned.booking, time.monotonic())
-        return planned
+        if decision.start_in_s > 0:
+            await asyncio.sleep(decision.start_in_s)
+        self.gateway.planner.begun(decision.booking, time.monotonic())
+        return decision
 
-    def _plan_request(self, left: float, now: float) -> PlanRequest:
+    def _plan_request(self, remaining_s: float, now: float) -> PlanRequest:
         request, route, gateway = self.request, self.route, self.gateway
         ejected = gateway.health.excluded(gateway.view.instance_ids(self._backend), now)
         return PlanRequest(
@@ -165,22 +165,22 @@
             answer_tokens=request.answer_tokens,
             priority=route.priority,
             target_latency_s=route.target_latency_ms / 1000,
-            time_left_s=left,
+            time_left_s=remaining_s,
             zone=gateway.zone,
             excluded=ejected | self._policy.excluded,
             resumed=self._head_sent,
         )
 
-    async def _read_prompt(self, plan: Plan) -> Handle | None:
+    async def _prefill_prompt(self, plan: Plan) -> Handle | None:
         """Prefill the prompt separately if the plan says so.
 
         Returns the KV handle to offer to the decode instance, or None if that instance prefills the prompt
         itself.
         """
         if self._handle is not None:
-            if self._fresh(self._handle):
+            if self._is_fresh(self._handle):
                 return self._handle
-            self._free(self._handle)
+            self._free_handle(self._handle)
         # A prefill instance executes a request without a prompt instead of prefilling it, so the request is
         # sent only to the decode instance.
         if plan.prefill_instance is None or not self.request.prompt_tokens:
@@ -197,7 +197,7 @@
             if plan.prefill_instance in self.gateway.view.instances
             else ""
         )
-        end = await self._send_order(
+        end = await self._send_attempt(
             attempt, plan.prefill_instance, [(b"stage", b"prefill")], plan, signed=False
         )
         now = time.monotonic()
@@ -223,9 +223,9 @@
             return Abandoned()
         attempt = self._new_attempt()
         extra = [(b"kv-from", handle.kv_from)] if handle is not None else []
-        end = await self._send_order(attempt, plan.decode_instance, extra, plan)
+        end = await self._send_attempt(attempt, plan.decode_instance, extra, plan)
         if end is AttemptEnd.ANSWERED and attempt.streams:
-            end = await self._first_chunk(attempt)
+            end = await self._read_first_chunk(attempt)
         self._resolve_handle(end)
         if end is AttemptEnd.ANSWERED:
             self.gateway.planner.first_token(plan.booking, time.monotonic())
@@ -238,11 +238,11 @@
         self._policy.ended(ticket, end, time.monotonic())
         self._finish_booking(Outcome.REJECTED if end in NOT_RUN else Outcome.FAILED)
         if end is AttemptEnd.FAILED:
-            return self._failed(attempt)
+            return self._handle_failure(attempt)
         attempt.release()
         return Abandoned(out_of_time=True) if end is AttemptEnd.TIMED_OUT else None
 
-    async def _send_order(
+    async def _send_attempt(
         self, attempt: Attempt, instance: str, extra: Headers, plan: Plan, signed: bool = True
     ) -> AttemptEnd:
         """Send with the headers common to all sends, and record how the attempt ended."""
@@ -262,7 +262,7 @@
         self.gateway.attempt_ended(instance, end, time.monotonic())
         return end
 
-    async def _first_chunk(self, attempt: Attempt) -> AttemptEnd:
+    async def _read_first_chunk(self, attempt: Attempt) -> AttemptEnd:
         """Read a stream up to its first forwardable chunk; before that nothing is sent to the client."""
         end = AttemptEnd.BROKEN
         try:
@@ -281,7 +281,7 @@
         self.gateway.attempt_ended(attempt.instance, end, time.monotonic())
         return end
 
-    def _failed(self, attempt: Attempt) -> Attempt | None:
+    def _handle_failure(self, attempt: Attempt) -> Attempt | None:
         """Keep a failure answer if another instance may succeed, else return it to be forwarded."""
         answer = attempt.answer
         if answer is None or not may_pass_on(answer):
@@ -293,7 +293,7 @@
             return None
         return attempt
 
-    def _last_answer(self, abandoned: Abandoned, close: bool) -> Response:
+    def _final_answer(self, abandoned: Abandoned, close: bool) -> Response:
         """Return the answer to an abandoned request."""
         if self._failure is not None:
             return complete_answer(self._failure, close)
@@ -307,16 +307,16 @@
         if end is AttemptEnd.ANSWERED:
             self._handle = None
         elif end in (AttemptEnd.BROKEN, AttemptEnd.TIMED_OUT, AttemptEnd.FAILED, AttemptEnd.REJECTED):
-            self._free(self._handle)
+            self._free_handle(self._handle)
 
     def _out_of_time(self) -> bool:
-        return self.deadline - time.monotonic() < LEAST_LEFT_S
+        return self.deadline - time.monotonic() < MIN_TIME_LEFT_S
 
-    def _fresh(self, handle: Handle) -> bool:
-        lasts = self._engine.handle_ttl_s if self._engine is not None else 0.0
-        return time.monotonic() - handle.issued_at < lasts * HANDLE_LIFETIME_FRACTION
+    def _is_fresh(self, handle: Handle) -> bool:
+        ttl_s = self._engine.handle_ttl_s if self._engine is not None else 0.0
+        return time.monotonic() - handle.issued_at < ttl_s * HANDLE_LIFETIME_FRACTION
 
-    def _free(self, handle: Handle) -> None:
+    def _free_handle(self, handle: Handle) -> None:
         self._handle = None
         self.gateway.handles.free(handle, self.gateway.view.most_connections(self._backend))
 
--- a/mallowbeam/router/data_plane/feed_link.py
+++ b/mallowbeam/router/data_plane/feed_link.py
@@ -15,22 +15,22 @@
 from mallowbeam.router.rpc.connection import FrameConnection, connect
 from mallowbeam.router.rpc.messages_pb2 import FeedFrame, GatewayFrame, LinkFrame
 
-LEAST_WAIT_S = 0.01  # minimum delay between two queries of the subscriber
-POLL_S = 0.25  # while a feed is open, minimum delay between two checks for silence
+MIN_WAIT_S = 0.01  # minimum delay between two queries of the subscriber
+POLL_PERIOD_S = 0.25  # while a feed is open, minimum delay between two checks for silence
 
 log = get_logger("mallowbeam.feed")
 
 
 class FeedLink:
-    """Follows one member at a time; calls `changed` with the changes of each frame."""
+    """Follows one member at a time; calls `on_changes` with the changes of each frame."""
 
     def __init__(
         self,
         subscriber: FeedSubscriber[Configuration],
-        changed: Callable[[FeedEvents[Configuration], float], None],
+        on_changes: Callable[[FeedEvents[Configuration], float], None],
     ) -> None:
         self._subscriber = subscriber
-        self._changed = changed
+        self._on_changes = on_changes
         self._connection: FrameConnection | None = None
         self._address = ""
         self._ended = asyncio.Event()  # the connection in use has ended
@@ -57,22 +57,22 @@
             log.info("feed closed: %s", action.address)
             self._close()
         else:
-            await self._wait(max(LEAST_WAIT_S, action.until - now))
+            await self._wait(max(MIN_WAIT_S, action.until - now))
 
     async def _wait(self, seconds: float) -> None:
         """Wait for a number of seconds or until the connection ends."""
         if self._connection is not None:
-            seconds = max(seconds, POLL_S)
+            seconds = max(seconds, POLL_PERIOD_S)
         self._ended.clear()
         if self._connection is not None and not self._connection.open:
-            self._lost()
+            self._handle_disconnect()
             return
         try:
             async with asyncio.timeout(seconds):
                 await self._ended.wait()
         except TimeoutError:
             return
-        self._lost()
+        self._handle_disconnect()
 
     async def _connect(self, address: str) -> None:
         """Open a feed; report a failure to the subscriber."""
@@ -97,13 +97,13 @@
             connection.abort()
             return
         now = time.monotonic()
-        self._changed(self._subscriber.received(frame, now), now)
+        self._on_changes(self._subscriber.received(frame, now), now)
 
     def _closed(self, connection: FrameConnection) -> None:
         if connection is self._connection:
             self._ended.set()
 
-    def _lost(self) -> None:
+    def _handle_disconnect(self) -> None:
         """Report that the member ended the connection."""
         address = self._address
         self._close()
--- a/mallowbeam/router/data_plane/fleet_view.py
+++ b/mallowbeam/router/data_plane/fleet_view.py
@@ -72,9 +72,13 @@
 
     def most_connections(self, backend: str) -> int:
         """Return the number of connections that this gateway may hold to one instance of a service."""
-        known = self.backend(backend)
-        most = known.max_connections if known is not None and known.max_connections else DEFAULT_CONNECTIONS
-        return max(1, most // max(1, self.gateways))
+        service = self.backend(backend)
+        limit = (
+            service.max_connections
+            if service is not None and service.max_connections
+            else DEFAULT_CONNECTIONS
+        )
+        return max(1, limit // max(1, self.gateways))
 
     def _forget(self, instance: str) -> None:
         backend = self._backend_of.pop(instance, None)
--- a/mallowbeam/router/data_plane/link_pool.py
+++ b/mallowbeam/router/data_plane/link_pool.py
@@ -20,32 +20,32 @@
 IDLE_TIMEOUT_FRACTION = 0.8  # of the idle time-out that an instance announces
 UNSTATED_IDLE_S = 0.5  # assumed if it announces none
 MOST_IDLE_S = 60.0
-MOST_DIGITS = 8  # of a Keep-Alive time-out; a longer number is ignored
-MOST_IDLE_EACH = 256  # idle connections kept per instance
-MOST_ANSWER_BYTES = 1 << 20  # of an answer that are buffered at a time
-SILENT_NETWORK_MS = 1500  # a connection ends if sent data stays unacknowledged for this long
-KEEPALIVE = ((socket.TCP_KEEPIDLE, 1), (socket.TCP_KEEPINTVL, 1), (socket.TCP_KEEPCNT, 2))
+MAX_DIGITS = 8  # of a Keep-Alive time-out; a longer number is ignored
+MAX_IDLE_PER_INSTANCE = 256  # idle connections kept per instance
+MAX_ANSWER_BYTES = 1 << 20  # of an answer that are buffered at a time
+USER_TIMEOUT_MS = 1500  # a connection ends if sent data stays unacknowledged for this long
+KEEPALIVE_OPTIONS = ((socket.TCP_KEEPIDLE, 1), (socket.TCP_KEEPINTVL, 1), (socket.TCP_KEEPCNT, 2))
 
 
 @dataclass(slots=True)
 class _Idle:
     link: Link
     since: float
-    until: float
+    expires_at: float
 
 
 class LinkPool:
     """All connections to instances."""
 
-    def __init__(self, most: int, budget: BodyBudget | None = None) -> None:
-        self._most = most  # total number of connections
+    def __init__(self, limit: int, budget: BodyBudget | None = None) -> None:
+        self._limit = limit  # total number of connections
         self._budget = budget
         self._idle: dict[str, list[_Idle]] = {}
-        self._open: dict[str, int] = {}  # connections by instance: in use, idle and being opened
+        self._open_by_instance: dict[str, int] = {}  # connections by instance: in use, idle and being opened
         self._count = 0
         self.opened = 0  # connections opened since the start
 
-    async def take(self, instance: str, address: str, most: int) -> Link:
+    async def take(self, instance: str, address: str, limit: int) -> Link:
         """Return an idle connection that is still open, or a new one.
 
         An idle connection is returned without waiting.
@@ -53,18 +53,18 @@
         Args:
             instance: the id of the instance.
             address: its host and port.
-            most: the limit for connections to this instance.
+            limit: the limit for connections to this instance.
 
         Raises:
             ConnectionLimitError: a connection limit is reached.
             RequestNotSentError: the connection could not be opened.
         """
-        link = self._reusable(instance, address, self._open.get(instance, 0) >= most)
+        link = self._reusable(instance, address, self._open_by_instance.get(instance, 0) >= limit)
         if link is not None:
             return link
-        if self._open.get(instance, 0) >= most:
+        if self._open_by_instance.get(instance, 0) >= limit:
             raise ConnectionLimitError("the limit of connections to this instance is reached", instance)
-        if self._count >= self._most and not self._evict():
+        if self._count >= self._limit and not self._evict():
             raise ConnectionLimitError("the total limit of connections is reached")
         self._add(instance, 1)
         try:
@@ -73,7 +73,7 @@
             self._add(instance, -1)
             raise
         self.opened += 1
-        watch_network(link.channel.sock)
+        enable_keepalive(link.channel.sock)
         return link
 
     def give_back(self, instance: str, link: Link, answer: Message | None) -> None:
@@ -81,7 +81,7 @@
         if answer is None or not link.reusable(answer):
             return self.drop(instance, link)
         idle = self._idle.setdefault(instance, [])
-        if len(idle) >= MOST_IDLE_EACH:
+        if len(idle) >= MAX_IDLE_PER_INSTANCE:
             return self.drop(instance, link)
         now = time.monotonic()
         link.channel.framer.release()
@@ -105,9 +105,9 @@
         """Close connections that have been idle for too long."""
         now = time.monotonic()
         for instance, idle in list(self._idle.items()):
-            over = [one for one in idle if now >= one.until]
-            idle[:] = [one for one in idle if now < one.until]
-            for one in over:
+            expired = [one for one in idle if now >= one.expires_at]
+            idle[:] = [one for one in idle if now < one.expires_at]
+            for one in expired:
                 self.drop(instance, one.link)
             if not idle:
                 self._idle.pop(instance, None)
@@ -123,26 +123,26 @@
         Raises:
             RequestNotSentError: the connection failed, was closed by the instance or already received data.
         """
-        link = await connect(address, CONNECT_TIMEOUT_S, MOST_ANSWER_BYTES, self._budget)
+        link = await connect(address, CONNECT_TIMEOUT_S, MAX_ANSWER_BYTES, self._budget)
         if link.channel.stale():
             link.close()
             raise RequestNotSentError("the connection was closed or received data before the request")
         return link
 
-    def _reusable(self, instance: str, address: str, none_free: bool) -> Link | None:
+    def _reusable(self, instance: str, address: str, limit_reached: bool) -> Link | None:
         """Return the most recently used idle connection whose reuse delay has passed, or None.
 
-        If `none_free`, no new connection may be opened, and the delay is ignored.
+        If `limit_reached`, no new connection may be opened, and the delay is ignored.
         """
         idle = self._idle.get(instance)
         if not idle:
             return None
         now = time.monotonic()
         for position in range(len(idle) - 1, -1, -1):
-            if now - idle[position].since < REST_S and not none_free:
+            if now - idle[position].since < REST_S and not limit_reached:
                 continue
             one = idle.pop(position)
-            if now < one.until and one.link.address == address and not one.link.channel.stale():
+            if now < one.expires_at and one.link.address == address and not one.link.channel.stale():
                 return one.link
             self.drop(instance, one.link)
         return None
@@ -157,25 +157,25 @@
 
     def _add(self, instance: str, count: int) -> None:
         self._count += count
-        left = self._open.get(instance, 0) + count
-        if left > 0:
-            self._open[instance] = left
+        remaining = self._open_by_instance.get(instance, 0) + count
+        if remaining > 0:
+            self._open_by_instance[instance] = remaining
         else:
-            self._open.pop(instance, None)
+            self._open_by_instance.pop(instance, None)
 
 
 def idle_time_s(answer: Message) -> float:
     """Return for how long a connection may stay idle after an answer, by the answer's Keep-Alive header."""
     for parameter in (answer.get(b"keep-alive") or b"").split(b","):
         name, _, value = parameter.strip().partition(b"=")
-        if name.lower() == b"timeout" and value.isdigit() and len(value) <= MOST_DIGITS:
+        if name.lower() == b"timeout" and value.isdigit() and len(value) <= MAX_DIGITS:
             return min(int(value), MOST_IDLE_S) * IDLE_TIMEOUT_FRACTION
     return UNSTATED_IDLE_S * IDLE_TIMEOUT_FRACTION
 
 
-def watch_network(sock: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Let the kernel end a connection whose peer is unreachable or has lost power."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    for option, value in KEEPALIVE:
+    for option, value in KEEPALIVE_OPTIONS:
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_NETWORK_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/mallowbeam/router/data_plane/outcomes.py
+++ b/mallowbeam/router/data_plane/outcomes.py
@@ -10,7 +10,7 @@
 
 from mallowbeam.http.framing import Message
 
-FINAL = range(200, 600)  # statuses of a final answer (RFC 9110, section 15)
+FINAL_STATUSES = range(200, 600)  # statuses of a final answer (RFC 9110, section 15)
 SUCCESS = range(200, 300)
 SERVER_ERROR = range(500, 600)
 MISDIRECTED_STATUS = 421
@@ -41,7 +41,7 @@
     without a request id is accepted only for the first request on a connection.  `signed` is False for
     prefill calls, whose successful answers carry no signature.
     """
-    if answer.status not in FINAL or not _answers(answer, request_id, first_on_connection):
+    if answer.status not in FINAL_STATUSES or not _is_answer_to(answer, request_id, first_on_connection):
         return AttemptEnd.BROKEN
     if answer.status == MISDIRECTED_STATUS:
         return AttemptEnd.MISDIRECTED
@@ -65,7 +65,7 @@
     return answer.status not in PROMISES
 
 
-def _answers(answer: Message, request_id: bytes, first_on_connection: bool) -> bool:
+def _is_answer_to(answer: Message, request_id: bytes, first_on_connection: bool) -> bool:
     """Whether an answer is to this request.
 
     An answer without a request id counts only for the first request on a connection.
--- a/mallowbeam/router/data_plane/planner_interface.py
+++ b/mallowbeam/router/data_plane/planner_interface.py
@@ -13,7 +13,7 @@
 from mallowbeam.router.configuration.model import Backend
 from mallowbeam.router.rpc.messages_pb2 import ENDED, READY, Instance
 
-LIGHT_LOAD = 0.5  # of an instance's slots; lower loads rank equally
+LIGHT_LOAD_FRACTION = 0.5  # of an instance's slots; lower loads rank equally
 RETRY_AFTER_S = 0.3  # with a rejection because no instance is available
 
 
@@ -55,7 +55,7 @@
         self._ready: dict[str, dict[str, Instance]] = {}  # by service and id
         self._bookings: dict[int, str] = {}  # booking -> instance
         self._load: dict[str, int] = {}
-        self._next = 0
+        self._last_booking = 0
 
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
         """Choose the least loaded instance; reject the request if there is none."""
@@ -70,11 +70,11 @@
         )
         if best is None:
             return Rejection(RETRY_AFTER_S, RejectionReason.NO_INSTANCE)
-        self._next += 1
-        self._bookings[self._next] = best.id
+        self._last_booking += 1
+        self._bookings[self._last_booking] = best.id
         self._load[best.id] = self._load.get(best.id, 0) + 1
         return Plan(
-            booking=self._next,
+            booking=self._last_booking,
             prefill_instance=None,
             decode_instance=best.id,
             start_in_s=0.0,
@@ -124,4 +124,4 @@
 
     def _rank(self, instance: Instance, zone: str) -> tuple[bool, float, bool, str]:
         load = self._load.get(instance.id, 0) / max(1, instance.slots)
-        return load >= 1.0, 0.0 if load < LIGHT_LOAD else load, instance.zone != zone, instance.id
+        return load >= 1.0, 0.0 if load < LIGHT_LOAD_FRACTION else load, instance.zone != zone, instance.id
--- a/mallowbeam/router/data_plane/prefill.py
+++ b/mallowbeam/router/data_plane/prefill.py
@@ -14,9 +14,9 @@
 from mallowbeam.router.data_plane.attempt import Attempt
 from mallowbeam.router.data_plane.link_pool import LinkPool
 
-MOST_FREEING = 64  # handles being freed at a time; any beyond that are left to expire
+MAX_CONCURRENT_RELEASES = 64  # handles being freed at a time; any beyond that are left to expire
 FREE_TIMEOUT_S = 1.0
-MOST_HANDLE_CHARS = 256
+MAX_HANDLE_CHARS = 256
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
         return None
     if not isinstance(handle, str) or not handle.isalnum() or not handle.isascii():
         return None
-    if len(handle) > MOST_HANDLE_CHARS:
+    if len(handle) > MAX_HANDLE_CHARS:
         return None
     return Handle(attempt.instance, address, handle, now)
 
@@ -60,7 +60,7 @@
 
     def free(self, handle: Handle, most_connections: int) -> None:
         """Start freeing a handle in the background."""
-        if len(self._tasks) >= MOST_FREEING:
+        if len(self._tasks) >= MAX_CONCURRENT_RELEASES:
             self.dropped += 1
             return
         self._start(self._free(handle, most_connections))
--- a/mallowbeam/router/data_plane/readiness.py
+++ b/mallowbeam/router/data_plane/readiness.py
@@ -9,14 +9,14 @@
 from mallowbeam.http.handler import Response
 from mallowbeam.router.data_plane.answers import own_answer
 
-PATH = b"/mallowbeam/readyz"
-MOST_BODY = 1024
+READINESS_PATH = b"/mallowbeam/readyz"
+MAX_BODY_BYTES = 1024
 
 
 class ReadinessFrontend:
     """Answers 200 while the gateway is ready, 503 otherwise."""
 
-    max_body = max_buffered_body = MOST_BODY
+    max_body = max_buffered_body = MAX_BODY_BYTES
     budget: BodyBudget | None = None
     idle = 30.0  # seconds that a caller's connection may be idle
 
@@ -25,7 +25,7 @@
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """Answer one readiness check."""
-        if request.target.partition(b"?")[0] != PATH:
+        if request.target.partition(b"?")[0] != READINESS_PATH:
             return own_answer(404, b"", closing(), text=b"no such page\n")
         if request.method not in (b"GET", b"HEAD"):
             return own_answer(405, b"", closing(), text=b"GET only\n")
--- a/mallowbeam/router/data_plane/relay.py
+++ b/mallowbeam/router/data_plane/relay.py
@@ -42,47 +42,49 @@
         try:
             attempt = self._exchange.attempt
             complete = await (
-                self._stream(channel) if attempt is not None and attempt.streams else self._plain(channel)
+                self._forward_stream(channel)
+                if attempt is not None and attempt.streams
+                else self._forward_body(channel)
             )
             self._end = Outcome.COMPLETED if complete else Outcome.FAILED
             return complete
         finally:
             self._exchange.close(self._end)
 
-    async def _plain(self, channel: Channel) -> bool:
+    async def _forward_body(self, channel: Channel) -> bool:
         """Forward a large answer; False if it was truncated."""
         answer = self._answer()
         await channel.send(self._head(answer, answer.length))
-        left = answer.length
+        remaining = answer.length
         while True:
             if answer.body:
                 chunk = bytes(answer.take())
-                left = left - len(chunk) if left is not None else None
-                await channel.send(self._framed(chunk))
+                remaining = remaining - len(chunk) if remaining is not None else None
+                await channel.send(self._encode_chunk(chunk))
             if answer.complete:
                 break
             try:
                 async with asyncio.timeout(self._exchange.deadline - time.monotonic()):
-                    await self._more(answer)
+                    await self._read_more(answer)
             except (ConnectionBrokenError, TimeoutError):
                 return False
         if self._chunked:
             await channel.send(LAST_CHUNK)
-        return not left
+        return not remaining
 
-    async def _stream(self, channel: Channel) -> bool:
+    async def _forward_stream(self, channel: Channel) -> bool:
         """Forward an event stream; False if it was truncated."""
         head = self._head(self._answer(), None)
         chunk, self._exchange.first_chunk = self._exchange.first_chunk, b""
-        await channel.send(head + self._framed(chunk) if chunk else head)
+        await channel.send(head + self._encode_chunk(chunk) if chunk else head)
         while chunk:
             self._exchange.count_tokens()
-            following = await self._next_chunk()
-            if following is None:
+            next_chunk = await self._next_chunk()
+            if next_chunk is None:
                 return False
-            chunk = following
+            chunk = next_chunk
             if chunk:
-                await channel.send(self._framed(chunk))
+                await channel.send(self._encode_chunk(chunk))
         if self._chunked:
             await channel.send(LAST_CHUNK)
         return True
@@ -123,10 +125,10 @@
         self._chunked = in_chunks(self._request, length)
         return write_head(answer.status, passed_headers(answer), length, self._closing(), self._chunked)
 
-    def _framed(self, chunk: bytes) -> bytes:
+    def _encode_chunk(self, chunk: bytes) -> bytes:
         return b"%x\r\n%b\r\n" % (len(chunk), chunk) if self._chunked else chunk
 
-    async def _more(self, answer: Message) -> None:
+    async def _read_more(self, answer: Message) -> None:
         attempt = self._exchange.attempt
         assert attempt is not None
         assert attempt.link is not None
--- a/mallowbeam/router/data_plane/retry_budget.py
+++ b/mallowbeam/router/data_plane/retry_budget.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass
 
 SLICES = 20  # of one window
-HALF = SLICES // 2
+HALF_WINDOW = SLICES // 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
     retries: int = 0
 
 
-EMPTY = _Slice()  # read-only
+EMPTY_SLICE = _Slice()  # read-only
 
 
 class RetryBudget:
@@ -51,7 +51,7 @@
         self._settings = settings
         self._slice_s = settings.window_s / SLICES
         self._slices: dict[int, _Slice] = {}  # by slice number, in ascending order
-        self._first = 0  # the first slice after the last period in which nothing was counted
+        self._first_slice = 0  # the first slice after the last period in which nothing was counted
 
     def request(self, now: float) -> None:
         """Count a client request for the service."""
@@ -66,7 +66,7 @@
 
     def give_back(self, now: float) -> None:
         """Uncount a recent retry that never arrived at an instance."""
-        current = self._number(now)
+        current = self._slice_number(now)
         for number in sorted(self._slices, reverse=True):
             if number <= current and self._slices[number].retries > 0:
                 self._slices[number].retries -= 1
@@ -74,46 +74,51 @@
 
     def available(self, now: float, gateways: int) -> float:
         """Return how many retries are allowed now: the minimum over all spans that end now."""
-        current = self._number(now)
-        self._forget(current)
+        current = self._slice_number(now)
+        self._drop_old_slices(current)
         oldest = current - 2 * SLICES
-        counts = [self._slices.get(number, EMPTY) for number in range(oldest, current + 1)]
-        first = self._first if self._slices else current
-        shared = self._settings.min_retries / max(1, gateways)
-        before = sum(counts.requests for counts in counts[SLICES + 1 : -1])
+        counts = [self._slices.get(number, EMPTY_SLICE) for number in range(oldest, current + 1)]
+        first = self._first_slice if self._slices else current
+        min_retries_share = self._settings.min_retries / max(1, gateways)
+        requests_before = sum(counts.requests for counts in counts[SLICES + 1 : -1])
         retries = counts[-1].retries
-        least = float("inf")
+        minimum = float("inf")
         for begin in range(current, max(first, current - SLICES) - 1, -1):
-            at = begin - oldest
-            retries += counts[at - 1].retries
-            requests = self._around(begin, current) if begin < first + HALF else before
-            least = min(least, self._settings.ratio * requests + shared - retries)
-            before += counts[at - SLICES].requests - counts[at - 1].requests
-        return least
+            index = begin - oldest
+            retries += counts[index - 1].retries
+            requests = (
+                self._requests_around(begin, current) if begin < first + HALF_WINDOW else requests_before
+            )
+            minimum = min(minimum, self._settings.ratio * requests + min_retries_share - retries)
+            requests_before += counts[index - SLICES].requests - counts[index - 1].requests
+        return minimum
 
     def unused(self, now: float) -> bool:
         """Whether no counts are left."""
-        self._forget(self._number(now))
+        self._drop_old_slices(self._slice_number(now))
         return not self._slices
 
-    def _around(self, begin: int, current: int) -> int:
+    def _requests_around(self, begin: int, current: int) -> int:
         """Return the requests from half a window before a slice to half a window after it, up to now."""
-        last = min(current, begin + HALF - 1)
-        return sum(self._slices.get(number, EMPTY).requests for number in range(begin - HALF + 1, last + 1))
+        last = min(current, begin + HALF_WINDOW - 1)
+        return sum(
+            self._slices.get(number, EMPTY_SLICE).requests
+            for number in range(begin - HALF_WINDOW + 1, last + 1)
+        )
 
-    def _number(self, now: float) -> int:
+    def _slice_number(self, now: float) -> int:
         return int(now // self._slice_s)
 
     def _slice(self, now: float) -> _Slice:
-        number = self._number(now)
+        number = self._slice_number(now)
         counts = self._slices.get(number)
         if counts is None:
-            self._forget(number)
-            self._first = self._first if self._slices else number
+            self._drop_old_slices(number)
+            self._first_slice = self._first_slice if self._slices else number
             counts = self._slices[number] = _Slice()
         return counts
 
-    def _forget(self, current: int) -> None:
+    def _drop_old_slices(self, current: int) -> None:
         """Drop slices that are more than two windows and one slice old."""
         while self._slices and (oldest := next(iter(self._slices))) < current - 2 * SLICES - 1:
             del self._slices[oldest]
--- a/mallowbeam/router/data_plane/role.py
+++ b/mallowbeam/router/data_plane/role.py
@@ -30,15 +30,15 @@
 from mallowbeam.router.processes.settings import Bounds, NodeSettings, SettingsFieldError, split_address
 from mallowbeam.router.rpc.messages_pb2 import GatewayFrame
 
-TICK_S = 1.0  # between two clean-ups of idle connections and health records
-REPORT_S = 0.5  # between two reports of demand and attempt outcomes to the member
+SWEEP_PERIOD_S = 1.0  # between two clean-ups of idle connections and health records
+REPORT_PERIOD_S = 0.5  # between two reports of demand and attempt outcomes to the member
 RESERVED_FDS = 260  # file descriptors reserved for uses other than client and instance connections
 CLIENT_FRACTION = 0.5  # of the remaining file descriptors
-LEAST_CONNECTIONS = 16  # minimum for client and for instance connections each
+MIN_CONNECTIONS = 16  # minimum for client and for instance connections each
 BUDGET_FRACTION = 0.75  # of the fleet's retry budget that all gateways together use
 READINESS_CONNECTIONS = 16
-NOTICE_S = 2.2  # from the stop signal until the platform has stopped sending new connections
-NOTICE_FRACTION = 0.35  # of the grace period; upper limit for that delay
+DRAIN_DELAY_S = 2.2  # from the stop signal until the platform has stopped sending new connections
+DRAIN_DELAY_FRACTION = 0.35  # of the grace period; upper limit for that delay
 EXIT_MARGIN_S = 0.5  # of the grace period, reserved for the final clean-up
 
 log = get_logger("mallowbeam.data_plane")
@@ -55,8 +55,8 @@
         bounds = settings.bounds
         budget = retry_budget(bounds)
         if planner is None:
-            decided_by = apply_overrides(PlannerSettings(), read_overrides(), "planner")
-            planner = FleetPlanner(decided_by, settings.node_name)
+            planner_settings = apply_overrides(PlannerSettings(), read_overrides(), "planner")
+            planner = FleetPlanner(planner_settings, settings.node_name)
         if settings.decision_log:
             planner = DecisionLog(planner, decisions.info)
         self.gateway = Gateway(settings.zone, LinkPool(instance_connections), RetryBudgets(budget), planner)
@@ -64,7 +64,7 @@
         self.front = ClientFrontend(self.gateway, settings.limits.memory_mb)
         self.subscriber = self._make_subscriber(settings)
         self.gateway.view.instances = self.subscriber.instances
-        self.feed = FeedLink(self.subscriber, self._changed)
+        self.feed = FeedLink(self.subscriber, self._apply_events)
         front_address = _address(settings.bind_addresses.front, "front")
         self.front_server = Server(front_address, self.front, client_connections, name="front", shared=False)
         self.readiness_server = Server(
@@ -109,16 +109,16 @@
         if self.metrics_server is not None:
             self.metrics_server.start()
         feed = loop.create_task(self.feed.run())
-        tick = loop.create_task(self._tick())
-        feed.add_done_callback(_report_end)
+        periodic = loop.create_task(self._report_and_sweep())
+        feed.add_done_callback(_log_failure)
         log.info("serving")
         try:
             await self._context.stopping.wait()
             await self._stop()
         finally:
             feed.cancel()
-            tick.cancel()
-            await asyncio.gather(feed, tick, return_exceptions=True)
+            periodic.cancel()
+            await asyncio.gather(feed, periodic, return_exceptions=True)
             self.gateway.pool.close()
             if self.metrics_server is not None:
                 await self.metrics_server.stop_accepting()
@@ -126,11 +126,11 @@
     async def _stop(self) -> None:
         """Fail readiness checks, keep serving until the platform has noticed, then drain."""
         grace_s = self._context.settings.bounds.grace_s
-        notice_s = min(NOTICE_S, grace_s * NOTICE_FRACTION)
+        drain_delay_s = min(DRAIN_DELAY_S, grace_s * DRAIN_DELAY_FRACTION)
         log.info("stopping")
-        await asyncio.sleep(notice_s)
+        await asyncio.sleep(drain_delay_s)
         try:
-            async with asyncio.timeout(max(0.0, grace_s - notice_s - EXIT_MARGIN_S)):
+            async with asyncio.timeout(max(0.0, grace_s - drain_delay_s - EXIT_MARGIN_S)):
                 await self.front_server.drain()
         except TimeoutError:
             log.warning(
@@ -139,7 +139,7 @@
         await self.gateway.handles.finish()
         await self.readiness_server.stop_accepting()
 
-    def _changed(self, events: FeedEvents[Configuration], now: float) -> None:
+    def _apply_events(self, events: FeedEvents[Configuration], now: float) -> None:
         """Apply the changes of one feed frame."""
         if events.configuration is not None:
             self.gateway.set_configuration(events.configuration, now)
@@ -150,14 +150,14 @@
         self.gateway.set_gateways(self.subscriber.gateways_bound(now))
         self.gateway.fleet_attempts_reported(events.attempts, now)
 
-    async def _tick(self) -> None:
+    async def _report_and_sweep(self) -> None:
         swept_at = time.monotonic()
         while True:
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_PERIOD_S)
             now = time.monotonic()
             attempts, demand = self.gateway.attempt_meter.sample(), self.gateway.demand.sample(now)
             self.feed.send(GatewayFrame(attempts=attempts, tells_attempts=True, demand=demand))
-            if now - swept_at < TICK_S:
+            if now - swept_at < SWEEP_PERIOD_S:
                 continue
             swept_at = now
             self.front_server.sweep()
@@ -193,11 +193,11 @@
     )
 
 
-def divide_descriptors(most: int) -> tuple[int, int]:
+def divide_descriptors(max_fds: int) -> tuple[int, int]:
     """Divide the file descriptors into client connections and instance connections."""
-    free = most - RESERVED_FDS
-    clients = max(LEAST_CONNECTIONS, int(free * CLIENT_FRACTION))
-    return clients, max(LEAST_CONNECTIONS, free - clients)
+    available = max_fds - RESERVED_FDS
+    clients = max(MIN_CONNECTIONS, int(available * CLIENT_FRACTION))
+    return clients, max(MIN_CONNECTIONS, available - clients)
 
 
 def _address(text: str | None, name: str) -> tuple[str, int]:
@@ -211,7 +211,7 @@
     return split_address(text)
 
 
-def _report_end(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and (error := task.exception()) is not None:
         log.error("feed task failed", exc_info=(type(error), error, error.__traceback__))
 
--- a/mallowbeam/router/data_plane/send_policy.py
+++ b/mallowbeam/router/data_plane/send_policy.py
@@ -26,17 +26,17 @@
 
     instance: str
     charged: bool  # whether it was charged to the retry budget
-    counted: bool  # whether the request had not been sent to this instance before
-    first: bool = False  # whether there was no arrival before it
+    new_instance: bool  # whether the request had not been sent to this instance before
+    first_send: bool = False  # whether there was no arrival before it
 
 
 class SendPolicy:
     """Permits and records the sends of one request."""
 
-    def __init__(self, budget: RetryBudget, idempotent: bool, most_instances: int) -> None:
+    def __init__(self, budget: RetryBudget, idempotent: bool, max_instances: int) -> None:
         self._budget = budget
         self.idempotent = idempotent  # whether it may run more than once
-        self._most_instances = max(1, most_instances)
+        self._max_instances = max(1, max_instances)
         self._arrivals = 0
         self._instances: set[str] = set()
         self._connect_failures = 0
@@ -50,7 +50,7 @@
         if self._connect_failures >= MOST_CONNECT_FAILURES:
             return None
         new = instance not in self._instances
-        if new and len(self._instances) >= self._most_instances:
+        if new and len(self._instances) >= self._max_instances:
             return None
         charged = self._arrivals > 0
         if charged and not self._budget.take(now, gateways):
@@ -63,7 +63,7 @@
         """Record the outcome of a send that gave no answer to forward."""
         self.excluded.add(ticket.instance)
         if end in NEVER_ARRIVED:
-            self._take_back(ticket, now)
+            self._undo_send(ticket, now)
             self._connect_failures += 1
         elif end in (AttemptEnd.BROKEN, AttemptEnd.TIMED_OUT, AttemptEnd.FAILED):
             self.may_have_run = True
@@ -75,14 +75,14 @@
 
     def prefill_accepted(self, ticket: SendTicket, now: float) -> None:
         """A prefill call succeeded: if it was the first send, it does not count as an arrival."""
-        if ticket.first:
-            self._take_back(ticket, now)
+        if ticket.first_send:
+            self._undo_send(ticket, now)
 
     def prefill_failed(self, ticket: SendTicket, end: AttemptEnd, now: float) -> None:
         """A prefill call failed: however it failed, the request itself has not run."""
         self.excluded.add(ticket.instance)
         if end in NEVER_ARRIVED:
-            self._take_back(ticket, now)
+            self._undo_send(ticket, now)
 
     def may_prefill_separately(self) -> bool:
         """Whether the prompt may be prefilled at a separate instance."""
@@ -94,7 +94,7 @@
             return False
         if self._connect_failures >= MOST_CONNECT_FAILURES:
             return False
-        return len(self._instances) < self._most_instances
+        return len(self._instances) < self._max_instances
 
     def status_when_abandoned(self, out_of_time: bool) -> int:
         """Return the status of the gateway's answer: 503 only if the request has not run and never will."""
@@ -102,9 +102,9 @@
             return UNAVAILABLE
         return GATEWAY_TIMEOUT if out_of_time else BAD_GATEWAY
 
-    def _take_back(self, ticket: SendTicket, now: float) -> None:
+    def _undo_send(self, ticket: SendTicket, now: float) -> None:
         self._arrivals -= 1
         if ticket.charged:
             self._budget.give_back(now)
-        if ticket.counted:
+        if ticket.new_instance:
             self._instances.discard(ticket.instance)
--- a/mallowbeam/router/streams/progress.py
+++ b/mallowbeam/router/streams/progress.py
@@ -10,7 +10,7 @@
 # Counted in streams that are forwarded byte by byte; an end split over two reads is missed.
 EVENT_END = b"\n\n"
 EVENT_ENDS = (EVENT_END, b"\r\n\r\n")
-LONGEST_END = 4  # bytes
+MAX_EVENT_END_BYTES = 4
 
 
 class StreamProgress:
@@ -23,7 +23,7 @@
         self._tail = b""  # the last bytes of a stream that is forwarded byte by byte
         self.events = 0  # forwarded so far
         self.fault = ""  # why this instance's stream is no longer forwarded; empty if it is
-        self._behind_id = True  # whether the last forwarded event has an id
+        self._ends_with_id = True  # whether the last forwarded event has an id
 
     @property
     def last_event_id(self) -> bytes | None:
@@ -33,7 +33,7 @@
     @property
     def may_resume(self) -> bool:
         """Whether another instance can continue exactly after the last forwarded event."""
-        return self.resumable and self._behind_id
+        return self.resumable and self._ends_with_id
 
     @property
     def partial(self) -> bool:
@@ -51,7 +51,7 @@
         """Add bytes from an instance; return the bytes to forward, up to the event that sets `fault`."""
         if not self.resumable:
             self.events += data.count(EVENT_END)
-            self._tail = (self._tail + bytes(data[-LONGEST_END:]))[-LONGEST_END:]
+            self._tail = (self._tail + bytes(data[-MAX_EVENT_END_BYTES:]))[-MAX_EVENT_END_BYTES:]
             return bytes(data)
         complete: list[bytes] = []
         if self.fault:
@@ -62,7 +62,7 @@
                     self.fault = f"event id {event.id} behind {self._last_id}"
                     break
                 self._last_id = event.id
-            self._behind_id = event.id is not None
+            self._ends_with_id = event.id is not None
             complete.append(event.raw)
         if self._parser.endless:
             self.fault = "an event without end"
