--- a/mallowbeam/router/data_plane/answers.py
+++ b/mallowbeam/router/data_plane/answers.py
@@ -4,7 +4,7 @@
 
 from mallowbeam.http.framing import HOP_BY_HOP, Headers, Message, write_head
 from mallowbeam.http.handler import Response
-from mallowbeam.router.data_plane.client_request import named_by_connection
+from mallowbeam.router.data_plane.client_request import connection_options
 
 BODILESS = (204, 304)
 UNAVAILABLE = 503
@@ -17,20 +17,20 @@
 }
 
 
-def passed_headers(answer: Message) -> Headers:
+def forwarded_headers(answer: Message) -> Headers:
     """Return the end-to-end headers of an instance's answer."""
-    named = named_by_connection(answer.headers)
+    named = connection_options(answer.headers)
     return [(name, value) for name, value in answer.headers if name not in HOP_BY_HOP and name not in named]
 
 
-def complete_answer(answer: Message, close: bool) -> Response:
+def instance_answer(answer: Message, close: bool) -> Response:
     """Build the client's answer from an instance's answer that was read completely."""
     length = None if answer.status in BODILESS else len(answer.body)
-    head = write_head(answer.status, passed_headers(answer), length, close)
+    head = write_head(answer.status, forwarded_headers(answer), length, close)
     return Response(answer.status, head + answer.body)
 
 
-def own_answer(
+def gateway_answer(
     status: int, request_id: bytes, close: bool, retry_after_s: float = 0.0, text: bytes | None = None
 ) -> Response:
     """Build an answer that the gateway generates itself; it never carries an instance's signature."""
--- a/mallowbeam/router/data_plane/attempt.py
+++ b/mallowbeam/router/data_plane/attempt.py
@@ -21,27 +21,27 @@
 from mallowbeam.router.data_plane.client_request import ClientRequest
 from mallowbeam.router.data_plane.fleet_view import FleetView
 from mallowbeam.router.data_plane.link_pool import LinkPool
-from mallowbeam.router.data_plane.outcomes import SUCCESS, AttemptEnd, judge_answer, names_another
+from mallowbeam.router.data_plane.outcomes import SUCCESS, AttemptEnd, is_late_answer, judge_answer
 from mallowbeam.router.rpc.messages_pb2 import Instance
 
-BUFFERED_BYTES = 64 * 1024  # an answer up to this size is read completely before any of it is forwarded
-WAY_BACK_S = 0.005  # part of the remaining time, reserved for sending the answer back
+MAX_BUFFERED_BYTES = 64 * 1024  # an answer up to this size is read completely before any of it is forwarded
+INSTANCE_RETURN_MARGIN_S = 0.005  # part of the remaining time, reserved for sending the answer back
 MAX_LATE_ANSWERS = 4  # answers to earlier requests that are skipped before the expected one
 REJECTION_BODY_TIMEOUT_S = 0.2  # time to read the rest of a rejection; after it the connection is closed
 EVENT_STREAM = b"text/event-stream"
 
 
 @dataclass(frozen=True, slots=True)
-class SendOrder:
+class OutboundRequest:
     """A request to send, and the instance to send it to."""
 
     backend: str
     instance: str
     request: ClientRequest
-    extra: Headers  # headers that the gateway adds
+    added_headers: Headers  # headers that the gateway adds
     deadline: float  # monotonic time by which the answer must have arrived
     signed: bool = True  # whether a successful answer must carry the instance's signature
-    once: bool = False  # the request may not be sent again, so late answers to earlier requests are skipped
+    send_once: bool = False  # it may not be sent again, so late answers to earlier requests are skipped
 
 
 class Attempt:
@@ -55,14 +55,14 @@
         self.answer: Message | None = None
         self._bodiless = False  # the answer is to a HEAD request
 
-    async def send(self, order: SendOrder) -> AttemptEnd:
+    async def send(self, outbound: OutboundRequest) -> AttemptEnd:
         """Send the request and wait for the answer's head.
 
         A small answer is read completely unless it is a stream.
         """
         try:
-            async with asyncio.timeout(order.deadline - time.monotonic()):
-                return await self._send(order)
+            async with asyncio.timeout(outbound.deadline - time.monotonic()):
+                return await self._send(outbound)
         except TimeoutError:
             end = AttemptEnd.TIMED_OUT
         except ConnectionLimitError:
@@ -97,41 +97,43 @@
         if link is not None:
             self._pool.give_back(self.instance, link, self.answer)
 
-    async def _send(self, order: SendOrder) -> AttemptEnd:
-        address = self._address(order)
+    async def _send(self, outbound: OutboundRequest) -> AttemptEnd:
+        address = self._address(outbound)
         if address is None:
             return AttemptEnd.NO_CAPACITY
-        self.instance = order.instance
-        link = await self._pool.take(order.instance, address, self._view.most_connections(order.backend))
+        self.instance = outbound.instance
+        link = await self._pool.take(
+            outbound.instance, address, self._view.connection_limit(outbound.backend)
+        )
         self.link = link
         # The instance may have started to drain or have ended while the connection was being opened.
-        if self._address(order) != address:
+        if self._address(outbound) != address:
             self.release()
             return AttemptEnd.NO_CAPACITY
         first_on_connection = not link.idle_since
-        request = order.request
-        remaining_ms = max(1, int((order.deadline - WAY_BACK_S - time.monotonic()) * 1000))
+        request = outbound.request
+        remaining_ms = max(1, int((outbound.deadline - INSTANCE_RETURN_MARGIN_S - time.monotonic()) * 1000))
         headers = request.headers_with(
             [
-                *order.extra,
-                (b"target-instance", order.instance.encode()),
+                *outbound.added_headers,
+                (b"target-instance", outbound.instance.encode()),
                 (b"deadline-ms", b"%d" % remaining_ms),
             ]
         )
         head = write_request(request.method, request.target, headers, len(request.body))
         self._bodiless = request.method == b"HEAD"
         answer = await link.round_trip(head, request.body, self._bodiless)
-        if order.once and not first_on_connection:
+        if outbound.send_once and not first_on_connection:
             answer = await self._skip_late_answers(link, answer, request.request_id)
         self.answer = answer
-        end = judge_answer(answer, request.request_id, first_on_connection, order.signed)
+        end = judge_answer(answer, request.request_id, first_on_connection, outbound.signed)
         if end is AttemptEnd.BROKEN:
             answer.keep_alive = False
             self.release()
         elif end in (AttemptEnd.REJECTED, AttemptEnd.MISDIRECTED):
             await self._read_rejection(link, answer)
         elif not self.streams:
-            await link.exceeds(answer, BUFFERED_BYTES, None, None)
+            await link.exceeds(answer, MAX_BUFFERED_BYTES, None, None)
         return end
 
     async def _skip_late_answers(self, link: Link, answer: Message, request_id: bytes) -> Message:
@@ -143,7 +145,7 @@
             RemoteProtocolError: more than `MAX_LATE_ANSWERS` answers were to other requests.
         """
         late = 0
-        while names_another(answer, request_id):
+        while is_late_answer(answer, request_id):
             late += 1
             if late > MAX_LATE_ANSWERS:
                 raise RemoteProtocolError("too many answers to other requests")
@@ -161,7 +163,9 @@
             pass  # the head already proves that the request did not run
         self.release()
 
-    def _address(self, order: SendOrder) -> str | None:
+    def _address(self, outbound: OutboundRequest) -> str | None:
         # `signed` is False only for prefill calls, whose answers carry no signature.
-        instance: Instance | None = self._view.usable(order.instance, order.backend, reads=not order.signed)
+        instance: Instance | None = self._view.usable(
+            outbound.instance, outbound.backend, for_prefill=not outbound.signed
+        )
         return instance.address if instance is not None else None
--- a/mallowbeam/router/data_plane/client_frontend.py
+++ b/mallowbeam/router/data_plane/client_frontend.py
@@ -9,7 +9,7 @@
 from mallowbeam.http.framing import Message
 from mallowbeam.http.handler import Response
 from mallowbeam.router.configuration.model import ClientLimits
-from mallowbeam.router.data_plane.answers import own_answer
+from mallowbeam.router.data_plane.answers import gateway_answer
 from mallowbeam.router.data_plane.client_request import BadRequestError, ClientRequest, read_request
 from mallowbeam.router.data_plane.exchange import Exchange
 from mallowbeam.router.data_plane.gateway import Gateway
@@ -20,7 +20,7 @@
 MEMORY_FRACTION = 0.125  # share of the process's memory that request bodies may use
 RETRY_AFTER_S = 0.5  # Retry-After of a 503 that is sent before the first configuration arrives
 CLIENT_TIMEOUT_MARGIN_S = 0.5  # network allowance added to the configured client timeouts
-WAY_S = 0.01  # part of a client's deadline, reserved for sending the answer back
+CLIENT_RETURN_MARGIN_S = 0.01  # part of a client's deadline, reserved for sending the answer back
 MEGABYTE = 1024 * 1024
 UNLIMITED_BYTES = 1 << 62  # no body is larger
 
@@ -49,25 +49,25 @@
         try:
             client_request = read_request(request)
         except BadRequestError as error:
-            return own_answer(400, b"", closing(), text=error.what.encode() + b"\n")
+            return gateway_answer(400, b"", closing(), text=error.what.encode() + b"\n")
         view = self._gateway.view
         if view.configuration is None:
-            return own_answer(503, client_request.request_id, closing(), RETRY_AFTER_S)
+            return gateway_answer(503, client_request.request_id, closing(), RETRY_AFTER_S)
         route = view.find_route(client_request.host, client_request.target)
         if route is None:
-            return own_answer(404, client_request.request_id, closing())
+            return gateway_answer(404, client_request.request_id, closing())
         backend = choose_backend(route, client_request.request_id)
         self._gateway.budgets.of(backend).request(time.monotonic())
         deadline = self._deadline(client_request, request, route.timeout_ms)
         exchange = Exchange(self._gateway, client_request, route, backend, deadline)
-        reply = await exchange.run(closing)
-        if reply is not None:
-            return reply
-        return Relay(exchange, request, closing).reply()
+        response = await exchange.run(closing)
+        if response is not None:
+            return response
+        return Relay(exchange, request, closing).response()
 
     def error_response(self, status: int, text: str) -> Response:
         """Return the answer to a request that violates HTTP or a limit; its connection then closes."""
-        return own_answer(status, b"", True, RETRY_AFTER_S, text.encode() + b"\n")
+        return gateway_answer(status, b"", True, RETRY_AFTER_S, text.encode() + b"\n")
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
         """Count an answer that was sent."""
@@ -78,4 +78,4 @@
         """Return the monotonic time by which the request must end, measured from its last byte."""
         client_s = client_request.deadline_ms / 1000
         started_at = request.completed_at or time.monotonic()
-        return started_at + min(client_s - min(WAY_S, client_s / 4), timeout_ms / 1000)
+        return started_at + min(client_s - min(CLIENT_RETURN_MARGIN_S, client_s / 4), timeout_ms / 1000)
--- a/mallowbeam/router/data_plane/client_request.py
+++ b/mallowbeam/router/data_plane/client_request.py
@@ -8,10 +8,10 @@
 from mallowbeam.http.framing import HOP_BY_HOP, TOKEN, Headers, Message
 from mallowbeam.router.pairing.prefix_cache import PromptSegment
 
-MOST_MS = 3_600_000  # longer deadlines are capped at this value
+MAX_DEADLINE_MS = 3_600_000  # longer deadlines are capped at this value
 MAX_DIGITS = 9  # of a number in a header; a longer number is treated as missing
 MAX_TOKENS = 1 << 30  # larger token counts are capped at this value
-MOST_PARTS = 1024  # parts of a prompt; further ones are ignored
+MAX_PROMPT_SEGMENTS = 1024  # parts of a prompt; further ones are ignored
 # Set by the gateway alone: a client's own values would change where and how an instance runs the request.
 GATEWAY_HEADERS = frozenset(
     (b"deadline-ms", b"target-instance", b"stage", b"kv-from", b"priority", b"expect-version")
@@ -40,7 +40,7 @@
     host: bytes
     headers: Headers  # end-to-end headers in lower case, without those that only the gateway sets
     body: bytes | bytearray
-    deadline_ms: int  # how long the client waits; MOST_MS if the request does not say
+    deadline_ms: int  # how long the client waits; MAX_DEADLINE_MS if the request does not say
     last_event_id: bytes | None
     prompt_segments: tuple[PromptSegment, ...]
     prompt_tokens: int
@@ -65,7 +65,7 @@
     request_id = first_values.get(b"request-id", b"")
     if not TOKEN.match(request_id):
         raise BadRequestError("Request-Id is missing or malformed")
-    hop_by_hop = named_by_connection(message.headers)
+    hop_by_hop = connection_options(message.headers)
     headers = [
         (name, value)
         for name, value in message.headers
@@ -87,7 +87,7 @@
     )
 
 
-def named_by_connection(headers: Headers) -> frozenset[bytes]:
+def connection_options(headers: Headers) -> frozenset[bytes]:
     """Return the header names that Connection headers declare to be hop-by-hop."""
     values = [value for name, value in headers if name == b"connection"]
     if not values:
@@ -100,8 +100,8 @@
     """Return the deadline in milliseconds, rounded down; a malformed value counts as missing."""
     integer, _, fraction = (value or b"").partition(b".")
     if not integer.isdigit() or len(integer) > MAX_DIGITS or not (fraction or b"0").isdigit():
-        return MOST_MS
-    return min(int(integer), MOST_MS)
+        return MAX_DEADLINE_MS
+    return min(int(integer), MAX_DEADLINE_MS)
 
 
 def _token_usage(value: bytes) -> tuple[int, int]:
@@ -119,7 +119,7 @@
 def _prompt_segments(value: bytes) -> tuple[PromptSegment, ...]:
     """Return the parts of a prompt up to the first one that can't be parsed."""
     segments: list[PromptSegment] = []
-    for part in value.split(b",", MOST_PARTS)[:MOST_PARTS] if value else ():
+    for part in value.split(b",", MAX_PROMPT_SEGMENTS)[:MAX_PROMPT_SEGMENTS] if value else ():
         segment_id, _, tokens = part.strip().partition(b":")
         if not segment_id or not tokens.isdigit():
             break
--- a/mallowbeam/router/data_plane/demand.py
+++ b/mallowbeam/router/data_plane/demand.py
@@ -49,7 +49,7 @@
         self._updated_at = now
 
 
-class Tokens(Enum):
+class TokenKind(Enum):
     """The kinds of token counts; the values are fields of `StageDemand`."""
 
     READ = "read_tokens"
@@ -68,7 +68,7 @@
     def __init__(self, now: float) -> None:
         self.reading = Gauge(now)
         self.decoding = Gauge(now)
-        self.tokens: Counter[Tokens] = Counter()
+        self.tokens: Counter[TokenKind] = Counter()
         self.uncached_fraction = 1.0  # moving average over the prompts of accepted requests
 
     def sample(self, backend: str, period_s: float, now: float) -> StageDemand:
@@ -95,9 +95,9 @@
         """Count an accepted request's prompt for a prefill instance or, if spilled, a decode instance."""
         service = self._service(request.backend, now)
         if plan.prefill_instance is not None:
-            service.tokens[Tokens.READ] += plan.uncached_tokens
+            service.tokens[TokenKind.READ] += plan.uncached_tokens
         else:
-            kind = Tokens.DIRECT if plan.uncached_tokens <= MAX_DIRECT_TOKENS else Tokens.SPILLED
+            kind = TokenKind.DIRECT if plan.uncached_tokens <= MAX_DIRECT_TOKENS else TokenKind.SPILLED
             service.tokens[kind] += plan.uncached_tokens
         if request.prompt_tokens:
             uncached = min(1.0, plan.uncached_tokens / request.prompt_tokens)
@@ -106,7 +106,7 @@
     def rejected(self, request: PlanRequest, now: float) -> None:
         """A request was rejected for lack of prefill capacity."""
         service = self._service(request.backend, now)
-        service.tokens[Tokens.SPILLED] += int(request.prompt_tokens * service.uncached_fraction)
+        service.tokens[TokenKind.SPILLED] += int(request.prompt_tokens * service.uncached_fraction)
 
     def reading(self, backend: str, change: int, now: float) -> None:
         """Count prefill calls that started or ended."""
@@ -116,7 +116,7 @@
         """Count requests that started or stopped receiving tokens."""
         self._service(backend, now).decoding.add(change, now)
 
-    def count(self, backend: str, kind: Tokens, tokens: int, now: float) -> None:
+    def count(self, backend: str, kind: TokenKind, tokens: int, now: float) -> None:
         """Count processed or received tokens."""
         self._service(backend, now).tokens[kind] += tokens
 
@@ -190,13 +190,13 @@
         self._planner.prefill_done(booking, now)
         if (entry := self._bookings.get(booking)) and entry.reading:
             self._end_prefill(entry, now)
-            self._meter.count(entry.backend, Tokens.DONE, entry.uncached_tokens, now)
+            self._meter.count(entry.backend, TokenKind.DONE, entry.uncached_tokens, now)
 
     def hand_over_failed(self, booking: int, now: float) -> None:
         """The KV cache transfer failed; the decode instance prefills the prompt itself."""
         self._planner.hand_over_failed(booking, now)
         if entry := self._bookings.get(booking):
-            self._meter.count(entry.backend, Tokens.SPILLED, entry.uncached_tokens, now)
+            self._meter.count(entry.backend, TokenKind.SPILLED, entry.uncached_tokens, now)
 
     def first_token(self, booking: int, now: float) -> None:
         """The first bytes of the answer arrived."""
--- a/mallowbeam/router/data_plane/exchange.py
+++ b/mallowbeam/router/data_plane/exchange.py
@@ -17,12 +17,12 @@
 from mallowbeam.http.handler import Response
 from mallowbeam.router.admission.messages import Outcome, Plan, PlanRequest, Rejection
 from mallowbeam.router.configuration.model import Engine, Route
-from mallowbeam.router.data_plane.answers import complete_answer, own_answer
-from mallowbeam.router.data_plane.attempt import Attempt, SendOrder
+from mallowbeam.router.data_plane.answers import gateway_answer, instance_answer
+from mallowbeam.router.data_plane.attempt import Attempt, OutboundRequest
 from mallowbeam.router.data_plane.client_request import ClientRequest
-from mallowbeam.router.data_plane.demand import Tokens
+from mallowbeam.router.data_plane.demand import TokenKind
 from mallowbeam.router.data_plane.gateway import Gateway
-from mallowbeam.router.data_plane.outcomes import AttemptEnd, may_pass_on
+from mallowbeam.router.data_plane.outcomes import AttemptEnd, may_forward
 from mallowbeam.router.data_plane.prefill import Handle, read_handle
 from mallowbeam.router.data_plane.send_policy import SendPolicy
 from mallowbeam.router.streams.progress import StreamProgress
@@ -88,7 +88,7 @@
         answer = result.answer
         if answer is not None and answer.complete and not self.attempt.streams:
             self.close(Outcome.COMPLETED)
-            return complete_answer(answer, closing())
+            return instance_answer(answer, closing())
         return None
 
     @property
@@ -101,7 +101,7 @@
         self.progress.broken()
         self._head_sent = True
         if self.attempt is not None:
-            self._policy.broke_off(self.attempt.instance)
+            self._policy.answer_truncated(self.attempt.instance)
         self._release(Outcome.FAILED)
         result = await self._attempt_until_answered()
         if isinstance(result, Abandoned):
@@ -120,7 +120,7 @@
         if self._engine is None:
             return
         events, self._counted_events = self.progress.events - self._counted_events, self.progress.events
-        kind = Tokens.GENERATED if self._counted_events > events else Tokens.FIRST
+        kind = TokenKind.GENERATED if self._counted_events > events else TokenKind.FIRST
         self.gateway.demand.count(self._backend, kind, events * max(1, self._engine.stride), time.monotonic())
 
     async def _attempt_until_answered(self) -> Attempt | Abandoned:
@@ -222,8 +222,8 @@
         if ticket is None:
             return Abandoned()
         attempt = self._new_attempt()
-        extra = [(b"kv-from", handle.kv_from)] if handle is not None else []
-        end = await self._send_attempt(attempt, plan.decode_instance, extra, plan)
+        added_headers = [(b"kv-from", handle.kv_from)] if handle is not None else []
+        end = await self._send_attempt(attempt, plan.decode_instance, added_headers, plan)
         if end is AttemptEnd.ANSWERED and attempt.streams:
             end = await self._read_first_chunk(attempt)
         self._resolve_handle(end)
@@ -243,19 +243,21 @@
         return Abandoned(out_of_time=True) if end is AttemptEnd.TIMED_OUT else None
 
     async def _send_attempt(
-        self, attempt: Attempt, instance: str, extra: Headers, plan: Plan, signed: bool = True
+        self, attempt: Attempt, instance: str, added_headers: Headers, plan: Plan, signed: bool = True
     ) -> AttemptEnd:
         """Send with the headers common to all sends, and record how the attempt ended."""
         if self._engine is not None:
             transferred = signed and self._handle is not None
             priority = plan.transferred_priority if transferred else plan.engine_priority
-            extra = [*extra, (b"priority", b"%d" % min(priority, 9))]
+            added_headers = [*added_headers, (b"priority", b"%d" % min(priority, 9))]
         if self.progress.last_event_id is not None:
-            extra = [*extra, (b"last-event-id", self.progress.last_event_id)]
-        once = signed and not self._policy.idempotent
-        order = SendOrder(self._backend, instance, self.request, extra, self.deadline, signed, once)
+            added_headers = [*added_headers, (b"last-event-id", self.progress.last_event_id)]
+        send_once = signed and not self._policy.idempotent
+        outbound = OutboundRequest(
+            self._backend, instance, self.request, added_headers, self.deadline, signed, send_once
+        )
         try:
-            end = await attempt.send(order)
+            end = await attempt.send(outbound)
         except BaseException:
             attempt.release()
             raise
@@ -284,7 +286,7 @@
     def _handle_failure(self, attempt: Attempt) -> Attempt | None:
         """Keep a failure answer if another instance may succeed, else return it to be forwarded."""
         answer = attempt.answer
-        if answer is None or not may_pass_on(answer):
+        if answer is None or not may_forward(answer):
             attempt.release()
             return None
         if answer.complete and self._policy.may_continue():
@@ -296,9 +298,9 @@
     def _final_answer(self, abandoned: Abandoned, close: bool) -> Response:
         """Return the answer to an abandoned request."""
         if self._failure is not None:
-            return complete_answer(self._failure, close)
+            return instance_answer(self._failure, close)
         status = self._policy.status_when_abandoned(abandoned.out_of_time)
-        return own_answer(status, self.request.request_id, close, abandoned.retry_after_s)
+        return gateway_answer(status, self.request.request_id, close, abandoned.retry_after_s)
 
     def _resolve_handle(self, end: AttemptEnd) -> None:
         """After a send that offered the handle, drop it if it was used, free it or keep it for later."""
@@ -318,7 +320,7 @@
 
     def _free_handle(self, handle: Handle) -> None:
         self._handle = None
-        self.gateway.handles.free(handle, self.gateway.view.most_connections(self._backend))
+        self.gateway.handles.free(handle, self.gateway.view.connection_limit(self._backend))
 
     def _new_attempt(self) -> Attempt:
         return Attempt(self.gateway.pool, self.gateway.view)
--- a/mallowbeam/router/data_plane/fleet_view.py
+++ b/mallowbeam/router/data_plane/fleet_view.py
@@ -55,22 +55,22 @@
         """Return the ids of a service's instances."""
         return self._ids.get(backend, ())
 
-    def usable(self, instance_id: str, backend: str, reads: bool = False) -> Instance | None:
+    def usable(self, instance_id: str, backend: str, for_prefill: bool = False) -> Instance | None:
         """Return an instance of a service if it accepts requests now, else None.
 
-        Call it in the same event loop step as the send.  `reads` is True for prefill calls: prefill instances
-        accept these and nothing else.
+        Call it in the same event loop step as the send.  `for_prefill` is True for prefill calls: prefill
+        instances accept these and nothing else.
         """
         instance = self.instances.get(instance_id)
         if instance is None or instance.state != READY or instance.backend != backend:
             return None
         if instance.switching_to:  # it rejects requests that it has not started
             return None
-        if (instance.stage == PREFILL) is not reads:
+        if (instance.stage == PREFILL) is not for_prefill:
             return None
         return instance
 
-    def most_connections(self, backend: str) -> int:
+    def connection_limit(self, backend: str) -> int:
         """Return the number of connections that this gateway may hold to one instance of a service."""
         service = self.backend(backend)
         limit = (
--- a/mallowbeam/router/data_plane/link_pool.py
+++ b/mallowbeam/router/data_plane/link_pool.py
@@ -16,10 +16,10 @@
 from mallowbeam.http.framing import Message
 
 CONNECT_TIMEOUT_S = 1.0
-REST_S = 0.02  # delay between an answer and the next request, unless the connection limit is reached
+REUSE_DELAY_S = 0.02  # delay between an answer and the next request, unless the connection limit is reached
 IDLE_TIMEOUT_FRACTION = 0.8  # of the idle time-out that an instance announces
-UNSTATED_IDLE_S = 0.5  # assumed if it announces none
-MOST_IDLE_S = 60.0
+DEFAULT_IDLE_S = 0.5  # assumed if it announces none
+MAX_IDLE_S = 60.0
 MAX_DIGITS = 8  # of a Keep-Alive time-out; a longer number is ignored
 MAX_IDLE_PER_INSTANCE = 256  # idle connections kept per instance
 MAX_ANSWER_BYTES = 1 << 20  # of an answer that are buffered at a time
@@ -139,7 +139,7 @@
             return None
         now = time.monotonic()
         for position in range(len(idle) - 1, -1, -1):
-            if now - idle[position].since < REST_S and not limit_reached:
+            if now - idle[position].since < REUSE_DELAY_S and not limit_reached:
                 continue
             one = idle.pop(position)
             if now < one.expires_at and one.link.address == address and not one.link.channel.stale():
@@ -169,8 +169,8 @@
     for parameter in (answer.get(b"keep-alive") or b"").split(b","):
         name, _, value = parameter.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit() and len(value) <= MAX_DIGITS:
-            return min(int(value), MOST_IDLE_S) * IDLE_TIMEOUT_FRACTION
-    return UNSTATED_IDLE_S * IDLE_TIMEOUT_FRACTION
+            return min(int(value), MAX_IDLE_S) * IDLE_TIMEOUT_FRACTION
+    return DEFAULT_IDLE_S * IDLE_TIMEOUT_FRACTION
 
 
 def enable_keepalive(sock: socket.socket) -> None:
--- a/mallowbeam/router/data_plane/outcomes.py
+++ b/mallowbeam/router/data_plane/outcomes.py
@@ -14,8 +14,8 @@
 SUCCESS = range(200, 300)
 SERVER_ERROR = range(500, 600)
 MISDIRECTED_STATUS = 421
-PROMISES = frozenset((408, 421, 429, 503))  # statuses that tell the client that the request has not run
-MOST_RETRY_AFTER_S = 60.0
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))  # they tell the client that the request has not run
+MAX_RETRY_AFTER_S = 60.0
 
 
 class AttemptEnd(Enum):
@@ -49,20 +49,20 @@
         return AttemptEnd.REJECTED
     if signed and answer.status in SUCCESS and answer.get(b"server-signature") is None:
         return AttemptEnd.BROKEN
-    if answer.status in SERVER_ERROR or answer.status in PROMISES:
+    if answer.status in SERVER_ERROR or answer.status in NOT_RUN_STATUSES:
         return AttemptEnd.FAILED
     return AttemptEnd.ANSWERED
 
 
-def names_another(answer: Message, request_id: bytes) -> bool:
+def is_late_answer(answer: Message, request_id: bytes) -> bool:
     """Whether an answer is a late one to an earlier request: its only request id is a different one."""
     echoed = _request_ids(answer)
     return len(echoed) == 1 and echoed != [request_id]
 
 
-def may_pass_on(answer: Message) -> bool:
+def may_forward(answer: Message) -> bool:
     """Whether a failure may be forwarded unchanged; not if its status claims that the request has not run."""
-    return answer.status not in PROMISES
+    return answer.status not in NOT_RUN_STATUSES
 
 
 def _is_answer_to(answer: Message, request_id: bytes, first_on_connection: bool) -> bool:
@@ -87,4 +87,4 @@
         seconds = float(value)
     except ValueError:
         return None
-    return min(seconds, MOST_RETRY_AFTER_S) if seconds > 0 else None
+    return min(seconds, MAX_RETRY_AFTER_S) if seconds > 0 else None
--- a/mallowbeam/router/data_plane/prefill.py
+++ b/mallowbeam/router/data_plane/prefill.py
@@ -58,12 +58,12 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.dropped = 0  # handles left to expire because the limit was reached
 
-    def free(self, handle: Handle, most_connections: int) -> None:
+    def free(self, handle: Handle, connection_limit: int) -> None:
         """Start freeing a handle in the background."""
         if len(self._tasks) >= MAX_CONCURRENT_RELEASES:
             self.dropped += 1
             return
-        self._start(self._free(handle, most_connections))
+        self._start(self._free(handle, connection_limit))
 
     async def finish(self) -> None:
         """Wait for the pending releases, at most `FREE_TIMEOUT_S`."""
@@ -75,13 +75,13 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _free(self, handle: Handle, most_connections: int) -> None:
+    async def _free(self, handle: Handle, connection_limit: int) -> None:
         with suppress(TimeoutError, RequestNotSentError, ConnectionLimitError, ConnectionBrokenError):
             async with asyncio.timeout(FREE_TIMEOUT_S):
-                await self._delete(handle, most_connections)
+                await self._delete(handle, connection_limit)
 
-    async def _delete(self, handle: Handle, most_connections: int) -> None:
-        link = await self._pool.take(handle.instance, handle.address, most_connections)
+    async def _delete(self, handle: Handle, connection_limit: int) -> None:
+        link = await self._pool.take(handle.instance, handle.address, connection_limit)
         try:
             target = f"/mallowbeam/kv-handle/{handle.id}".encode()
             headers = [(b"host", handle.address.encode()), (b"target-instance", handle.instance.encode())]
--- a/mallowbeam/router/data_plane/readiness.py
+++ b/mallowbeam/router/data_plane/readiness.py
@@ -7,7 +7,7 @@
 from mallowbeam.http.budget import BodyBudget
 from mallowbeam.http.framing import Message
 from mallowbeam.http.handler import Response
-from mallowbeam.router.data_plane.answers import own_answer
+from mallowbeam.router.data_plane.answers import gateway_answer
 
 READINESS_PATH = b"/mallowbeam/readyz"
 MAX_BODY_BYTES = 1024
@@ -26,15 +26,17 @@
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """Answer one readiness check."""
         if request.target.partition(b"?")[0] != READINESS_PATH:
-            return own_answer(404, b"", closing(), text=b"no such page\n")
+            return gateway_answer(404, b"", closing(), text=b"no such page\n")
         if request.method not in (b"GET", b"HEAD"):
-            return own_answer(405, b"", closing(), text=b"GET only\n")
+            return gateway_answer(405, b"", closing(), text=b"GET only\n")
         ready = self._ready()
-        return own_answer(200 if ready else 503, b"", closing(), text=b"ready\n" if ready else b"not ready\n")
+        return gateway_answer(
+            200 if ready else 503, b"", closing(), text=b"ready\n" if ready else b"not ready\n"
+        )
 
     def error_response(self, status: int, text: str) -> Response:
         """Return the answer to a request that violates HTTP."""
-        return own_answer(status, b"", True, text=text.encode() + b"\n")
+        return gateway_answer(status, b"", True, text=text.encode() + b"\n")
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
         """Do nothing: readiness checks are not counted."""
--- a/mallowbeam/router/data_plane/relay.py
+++ b/mallowbeam/router/data_plane/relay.py
@@ -14,7 +14,7 @@
 from mallowbeam.http.framing import Channel, Message, in_chunks, write_head
 from mallowbeam.http.handler import Response
 from mallowbeam.router.admission.messages import Outcome
-from mallowbeam.router.data_plane.answers import passed_headers
+from mallowbeam.router.data_plane.answers import forwarded_headers
 from mallowbeam.router.data_plane.exchange import Exchange, read_chunk
 from mallowbeam.router.data_plane.outcomes import AttemptEnd
 from mallowbeam.router.streams.timeouts import client_timeout_s, resume_timeout_s
@@ -32,7 +32,7 @@
         self._chunked = True
         self._end = Outcome.CANCELLED
 
-    def reply(self) -> Response:
+    def response(self) -> Response:
         """Return the response that forwards the answer."""
         answer = self._answer()
         return Response(answer.status, write=self._write)
@@ -123,7 +123,7 @@
 
     def _head(self, answer: Message, length: int | None) -> bytes:
         self._chunked = in_chunks(self._request, length)
-        return write_head(answer.status, passed_headers(answer), length, self._closing(), self._chunked)
+        return write_head(answer.status, forwarded_headers(answer), length, self._closing(), self._chunked)
 
     def _encode_chunk(self, chunk: bytes) -> bytes:
         return b"%x\r\n%b\r\n" % (len(chunk), chunk) if self._chunked else chunk
--- a/mallowbeam/router/data_plane/send_policy.py
+++ b/mallowbeam/router/data_plane/send_policy.py
@@ -13,7 +13,7 @@
 from mallowbeam.router.data_plane.outcomes import AttemptEnd
 from mallowbeam.router.data_plane.retry_budget import RetryBudget
 
-MOST_CONNECT_FAILURES = 4  # failed connection attempts per request
+MAX_CONNECT_FAILURES = 4  # failed connection attempts per request
 NEVER_ARRIVED = frozenset((AttemptEnd.NO_CONNECTION, AttemptEnd.NOT_SENT, AttemptEnd.NO_CAPACITY))
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
@@ -47,7 +47,7 @@
         """Request permission for one send; None if it is not allowed."""
         if self.may_have_run and not self.idempotent:
             return None
-        if self._connect_failures >= MOST_CONNECT_FAILURES:
+        if self._connect_failures >= MAX_CONNECT_FAILURES:
             return None
         new = instance not in self._instances
         if new and len(self._instances) >= self._max_instances:
@@ -68,7 +68,7 @@
         elif end in (AttemptEnd.BROKEN, AttemptEnd.TIMED_OUT, AttemptEnd.FAILED):
             self.may_have_run = True
 
-    def broke_off(self, instance: str) -> None:
+    def answer_truncated(self, instance: str) -> None:
         """A forwarded answer was truncated: the request has run at this instance."""
         self.excluded.add(instance)
         self.may_have_run = True
@@ -92,7 +92,7 @@
         """Whether another send could still be allowed, regardless of the retry budget."""
         if self.may_have_run and not self.idempotent:
             return False
-        if self._connect_failures >= MOST_CONNECT_FAILURES:
+        if self._connect_failures >= MAX_CONNECT_FAILURES:
             return False
         return len(self._instances) < self._max_instances
 
--- a/mallowbeam/router/streams/events.py
+++ b/mallowbeam/router/streams/events.py
@@ -5,8 +5,8 @@
 import re
 from dataclasses import dataclass
 
-MOST_EVENT_BYTES = 256 * 1024
-MOST_ID_DIGITS = 18
+MAX_EVENT_BYTES = 256 * 1024
+MAX_ID_DIGITS = 18
 EVENT_END = re.compile(rb"\r?\n\r?\n")
 EVENT_ID = re.compile(rb"^id: ?([^\r\n]*)", re.MULTILINE)
 
@@ -31,9 +31,9 @@
         return bool(self._buffer)
 
     @property
-    def endless(self) -> bool:
-        """Whether the buffered event exceeds MOST_EVENT_BYTES."""
-        return len(self._buffer) > MOST_EVENT_BYTES
+    def oversized(self) -> bool:
+        """Whether the buffered event exceeds `MAX_EVENT_BYTES`."""
+        return len(self._buffer) > MAX_EVENT_BYTES
 
     def feed(self, data: bytes | bytearray) -> list[Event]:
         """Add bytes; return the events that they complete."""
@@ -64,6 +64,6 @@
 def parse_id(value: bytes) -> int | None:
     """Return an event id as a number, or None if it is not one."""
     value = value.strip()
-    if not value.isdigit() or len(value) > MOST_ID_DIGITS:
+    if not value.isdigit() or len(value) > MAX_ID_DIGITS:
         return None
     return int(value)
--- a/mallowbeam/router/streams/progress.py
+++ b/mallowbeam/router/streams/progress.py
@@ -64,7 +64,7 @@
                 self._last_id = event.id
             self._ends_with_id = event.id is not None
             complete.append(event.raw)
-        if self._parser.endless:
+        if self._parser.oversized:
             self.fault = "an event without end"
         self.events += len(complete)
         return b"".join(complete)
--- a/tests/router/admission/test_admission_fleet.py
+++ b/tests/router/admission/test_admission_fleet.py
@@ -16,7 +16,7 @@
 from mallowbeam.router.admission.messages import Outcome, Plan, PlanRequest, PromptSegment, Rejection
 from mallowbeam.router.admission.planner import Planner
 from mallowbeam.router.admission.settings import PlannerSettings
-from mallowbeam.router.data_plane.demand import DemandMeter, MeasuredPlanner, Tokens
+from mallowbeam.router.data_plane.demand import DemandMeter, MeasuredPlanner, TokenKind
 from mallowbeam.router.pairing.stage_balancer import (
     OrderResult,
     StageBalancer,
@@ -474,7 +474,9 @@
             return False
         job.produced += 1
         meter = self.meters[job.gateway]
-        meter.count(BACKEND, Tokens.GENERATED if job.first_at is not None else Tokens.FIRST, 1, self.now)
+        meter.count(
+            BACKEND, TokenKind.GENERATED if job.first_at is not None else TokenKind.FIRST, 1, self.now
+        )
         arrived = self.now + 2 * WAY_MS / 1e3
         if job.first_at is None:
             job.first_at = arrived
--- a/tests/router/data_plane/test_data_plane_idle.py
+++ b/tests/router/data_plane/test_data_plane_idle.py
@@ -6,9 +6,9 @@
 
 from mallowbeam.http.framing import Message
 from mallowbeam.router.data_plane.link_pool import (
+    DEFAULT_IDLE_S,
     IDLE_TIMEOUT_FRACTION,
-    MOST_IDLE_S,
-    UNSTATED_IDLE_S,
+    MAX_IDLE_S,
     idle_time_s,
 )
 
@@ -33,7 +33,7 @@
 
     def test_long_ones_are_bounded(self) -> None:
         for value in (b"timeout=61", b"timeout=99999999"):
-            self.assertEqual(idle_s(value), MOST_IDLE_S * IDLE_TIMEOUT_FRACTION, value)
+            self.assertEqual(idle_s(value), MAX_IDLE_S * IDLE_TIMEOUT_FRACTION, value)
 
     def test_little_where_nothing_can_be_read(self) -> None:
         for values in (
@@ -47,7 +47,7 @@
             (b"timeout=999999999",),
             (b"timeout",),
         ):
-            self.assertEqual(idle_s(*values), UNSTATED_IDLE_S * IDLE_TIMEOUT_FRACTION, values)
+            self.assertEqual(idle_s(*values), DEFAULT_IDLE_S * IDLE_TIMEOUT_FRACTION, values)
 
 
 if __name__ == "__main__":
--- a/tests/router/data_plane/test_data_plane_path.py
+++ b/tests/router/data_plane/test_data_plane_path.py
@@ -14,8 +14,8 @@
 from mallowbeam.router.admission.planner import Planner
 from mallowbeam.router.admission.settings import PlannerSettings
 from mallowbeam.router.data_plane import link_pool
-from mallowbeam.router.data_plane.attempt import WAY_BACK_S
-from mallowbeam.router.data_plane.client_frontend import WAY_S
+from mallowbeam.router.data_plane.attempt import INSTANCE_RETURN_MARGIN_S
+from mallowbeam.router.data_plane.client_frontend import CLIENT_RETURN_MARGIN_S
 from mallowbeam.router.data_plane.planner_interface import LeastLoadedPlanner
 from mallowbeam.router.data_plane.retry_budget import BudgetSettings
 from mallowbeam.standins.model_server import Fault
@@ -73,7 +73,7 @@
             self.assertEqual(seen.headers["target-instance"], "i-1")
             self.assertNotIn("x-hop", seen.headers)
             self.assertNotIn("stage", seen.headers)
-            most = 1500 - (WAY_S + WAY_BACK_S) * 1000
+            most = 1500 - (CLIENT_RETURN_MARGIN_S + INSTANCE_RETURN_MARGIN_S) * 1000
             took_ms = (time.monotonic() - began) * 1000
             self.assertGreaterEqual(int(seen.headers["deadline-ms"]), int(most - took_ms) - 1)
             self.assertLessEqual(int(seen.headers["deadline-ms"]), most)
@@ -103,7 +103,7 @@
         async with Bench() as bench:
             one = await bench.add("i-1")
             reader, writer = await bench.client()
-            with mock.patch.object(link_pool, "REST_S", 0.0):
+            with mock.patch.object(link_pool, "REUSE_DELAY_S", 0.0):
                 for number in range(5):
                     writer.write(request_bytes("/safe/", headers={"Request-Id": f"r{number}"}))
                     self.assertEqual((await read_answer(reader)).status, 200)
--- a/tests/router/data_plane/test_data_plane_request.py
+++ b/tests/router/data_plane/test_data_plane_request.py
@@ -9,8 +9,8 @@
 from mallowbeam.http.framing import Message
 from mallowbeam.router.configuration.model import Route, WeightedBackend
 from mallowbeam.router.data_plane.client_request import (
-    MOST_MS,
-    MOST_PARTS,
+    MAX_DEADLINE_MS,
+    MAX_PROMPT_SEGMENTS,
     BadRequestError,
     ClientRequest,
     read_request,
@@ -147,7 +147,9 @@
 
     def test_what_is_missing_has_a_default(self) -> None:
         seen = read()
-        self.assertEqual((seen.deadline_ms, seen.last_event_id, seen.prompt_segments), (MOST_MS, None, ()))
+        self.assertEqual(
+            (seen.deadline_ms, seen.last_event_id, seen.prompt_segments), (MAX_DEADLINE_MS, None, ())
+        )
         self.assertEqual((seen.prompt_tokens, seen.answer_tokens), (0, 0))
 
     def test_ids_that_cannot_be_passed_on_are_refused(self) -> None:
@@ -195,16 +197,16 @@
             b"0": 0,
             b"1": 1,
             b"00250": 250,
-            b"-1": MOST_MS,
+            b"-1": MAX_DEADLINE_MS,
             b"1.5": 1,
             b"7.": 7,
-            b"": MOST_MS,
-            b".5": MOST_MS,
-            b"1.x": MOST_MS,
-            b"1.5.5": MOST_MS,
-            b"x": MOST_MS,
-            b"9" * 9: MOST_MS,
-            b"9" * 30: MOST_MS,
+            b"": MAX_DEADLINE_MS,
+            b".5": MAX_DEADLINE_MS,
+            b"1.x": MAX_DEADLINE_MS,
+            b"1.5.5": MAX_DEADLINE_MS,
+            b"x": MAX_DEADLINE_MS,
+            b"9" * 9: MAX_DEADLINE_MS,
+            b"9" * 30: MAX_DEADLINE_MS,
         }
         for value, expected in cases.items():
             self.assertEqual(read((b"deadline-ms", value)).deadline_ms, expected, value)
@@ -226,8 +228,8 @@
             self.assertEqual(read((b"prompt-prefix", value)).prompt_segments, (PromptSegment("a", 1),), value)
 
     def test_a_prompt_has_a_bound_of_parts(self) -> None:
-        parts = b",".join(b"%x:1" % number for number in range(MOST_PARTS + 50))
-        self.assertEqual(len(read((b"prompt-prefix", parts)).prompt_segments), MOST_PARTS)
+        parts = b",".join(b"%x:1" % number for number in range(MAX_PROMPT_SEGMENTS + 50))
+        self.assertEqual(len(read((b"prompt-prefix", parts)).prompt_segments), MAX_PROMPT_SEGMENTS)
 
 
 if __name__ == "__main__":
--- a/tests/router/data_plane/test_data_plane_sends.py
+++ b/tests/router/data_plane/test_data_plane_sends.py
@@ -7,18 +7,18 @@
 
 from mallowbeam.http.framing import Message
 from mallowbeam.router.data_plane.outcomes import (
-    MOST_RETRY_AFTER_S,
-    PROMISES,
+    MAX_RETRY_AFTER_S,
+    NOT_RUN_STATUSES,
     AttemptEnd,
     judge_answer,
-    may_pass_on,
+    may_forward,
     retry_after,
 )
 from mallowbeam.router.data_plane.retry_budget import BudgetSettings, RetryBudget
 from mallowbeam.router.data_plane.send_policy import (
     BAD_GATEWAY,
     GATEWAY_TIMEOUT,
-    MOST_CONNECT_FAILURES,
+    MAX_CONNECT_FAILURES,
     NEVER_ARRIVED,
     UNAVAILABLE,
     SendPolicy,
@@ -103,7 +103,7 @@
     def test_a_stream_that_broke_off_has_run(self) -> None:
         policy = self.policy(idempotent=False)
         self.sent(policy, "i-1")
-        policy.broke_off("i-1")
+        policy.answer_truncated("i-1")
         self.assertIsNone(policy.send("i-2", NOW, 1))
         self.assertEqual(policy.excluded, {"i-1"})
 
@@ -123,7 +123,7 @@
         while policy.may_continue():
             policy.ended(self.sent(policy, f"i-{failures}"), AttemptEnd.NO_CONNECTION, NOW)
             failures += 1
-        self.assertEqual(failures, MOST_CONNECT_FAILURES)
+        self.assertEqual(failures, MAX_CONNECT_FAILURES)
         self.assertIsNone(policy.send("another", NOW, 1))
 
     def test_the_status_promises_nothing_that_is_not_so(self) -> None:
@@ -263,20 +263,22 @@
         self.assertEqual(self.judged(answer(503, NOT_EXECUTED, id=None), first=False), AttemptEnd.BROKEN)
 
     def test_no_promise_of_an_instance_is_passed_on_unproven(self) -> None:
-        self.assertEqual({status for status in range(200, 600) if not may_pass_on(answer(status))}, PROMISES)
+        self.assertEqual(
+            {status for status in range(200, 600) if not may_forward(answer(status))}, NOT_RUN_STATUSES
+        )
 
     def test_when_to_come_again(self) -> None:
         for value, expected in (
             (b"0.25", 0.25),
             (b"3", 3.0),
-            (b"1e9", MOST_RETRY_AFTER_S),
+            (b"1e9", MAX_RETRY_AFTER_S),
             (b"0", None),
             (b"-1", None),
             (b"nan", None),
             (b"soon", None),
         ):
             self.assertEqual(retry_after(answer(503, (b"retry-after", value))), expected, value)
-        self.assertEqual(retry_after(answer(503, (b"retry-after", b"inf"))), MOST_RETRY_AFTER_S)
+        self.assertEqual(retry_after(answer(503, (b"retry-after", b"inf"))), MAX_RETRY_AFTER_S)
         self.assertIsNone(retry_after(answer(503)))
 
 
--- a/tests/router/data_plane/test_exchange_model.py
+++ b/tests/router/data_plane/test_exchange_model.py
@@ -14,7 +14,7 @@
 from mallowbeam.http.client import ConnectionBrokenError, Link
 from mallowbeam.http.framing import Channel, Message
 from mallowbeam.router.data_plane import attempt
-from mallowbeam.router.data_plane.attempt import Attempt, SendOrder
+from mallowbeam.router.data_plane.attempt import Attempt, OutboundRequest
 from mallowbeam.router.data_plane.link_pool import LinkPool
 from mallowbeam.router.data_plane.outcomes import AttemptEnd, judge_answer
 from mallowbeam.router.data_plane.send_policy import SendPolicy, SendTicket
@@ -143,7 +143,7 @@
     """Silence counts as proof that the request did not run."""
     send = Attempt.send
 
-    async def trusting(self: Attempt, order: SendOrder) -> AttemptEnd:
+    async def trusting(self: Attempt, order: OutboundRequest) -> AttemptEnd:
         end = await send(self, replace(order, deadline=order.deadline - 0.5))
         return AttemptEnd.NOT_SENT if end is AttemptEnd.TIMED_OUT else end
 
@@ -158,7 +158,7 @@
         return judge_answer(answer, echoed, True, signed)
 
     stack.enter_context(patch.object(attempt, "judge_answer", unnamed))
-    stack.enter_context(patch.object(attempt, "names_another", lambda *_: False))
+    stack.enter_context(patch.object(attempt, "is_late_answer", lambda *_: False))
 
 
 def nameless_answers_believed(stack: ExitStack) -> None:
--- a/tests/router/streams/test_streams.py
+++ b/tests/router/streams/test_streams.py
@@ -7,8 +7,8 @@
 from random import Random
 
 from mallowbeam.router.streams.events import (
-    MOST_EVENT_BYTES,
-    MOST_ID_DIGITS,
+    MAX_EVENT_BYTES,
+    MAX_ID_DIGITS,
     Event,
     EventParser,
     parse_id,
@@ -90,10 +90,10 @@
 
     def test_an_event_beyond_the_bound_is_noticed(self) -> None:
         parser = EventParser()
-        parser.feed(b"data: " + b"x" * (MOST_EVENT_BYTES - 6))
-        self.assertFalse(parser.endless)
+        parser.feed(b"data: " + b"x" * (MAX_EVENT_BYTES - 6))
+        self.assertFalse(parser.oversized)
         parser.feed(b"x")
-        self.assertTrue(parser.endless)
+        self.assertTrue(parser.oversized)
 
     def test_ids(self) -> None:
         cases = {
@@ -110,8 +110,8 @@
         }
         for raw, expected in cases.items():
             self.assertEqual(read_id(raw), expected, raw)
-        self.assertEqual(parse_id(b"9" * MOST_ID_DIGITS), int("9" * MOST_ID_DIGITS))
-        self.assertIsNone(parse_id(b"9" * (MOST_ID_DIGITS + 1)))
+        self.assertEqual(parse_id(b"9" * MAX_ID_DIGITS), int("9" * MAX_ID_DIGITS))
+        self.assertIsNone(parse_id(b"9" * (MAX_ID_DIGITS + 1)))
 
 
 class Passing(unittest.TestCase):
@@ -176,7 +176,7 @@
 
     def test_an_event_without_end_ends_the_passing_on(self) -> None:
         progress = StreamProgress(resumable=True)
-        self.assertEqual(progress.feed(event(1) + b"data: " + b"x" * MOST_EVENT_BYTES), event(1))
+        self.assertEqual(progress.feed(event(1) + b"data: " + b"x" * MAX_EVENT_BYTES), event(1))
         self.assertNotEqual(progress.fault, "")
 
     def test_what_may_not_be_resumed_goes_through_byte_by_byte(self) -> None:
--- a/tests/support/exchange_model.py
+++ b/tests/support/exchange_model.py
@@ -33,7 +33,7 @@
 WINDOW = 4 * 1024  # bytes of a large request that the kernel accepts before the instance reads on
 REST_S = 0.03  # longer than the pool's delay between two requests on a connection
 BEYOND_DEADLINE_S = 3.0
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 class Violation(AssertionError):
@@ -261,7 +261,7 @@
             raise Violation(f"TWICE: {call.id!r} went out {len(may_run)} times and may have run each time")
         if call.reply is None:
             return
-        if call.reply.status in PROMISES and may_run:
+        if call.reply.status in NOT_RUN_STATUSES and may_run:
             raise Violation(f"REFUSED: {call.id!r} may have run and was answered {call.reply.status}")
         self._judge_body(call, [arrival for arrival in may_run if arrival.answered])
 
@@ -357,8 +357,11 @@
     async def _order(self, events: tuple[str, ...]) -> list[str]:
         kind = HandOverWorld if self._setting.hands_over else World
         world = kind.__new__(kind)
-        held = attempt.BUFFERED_BYTES if self._setting.held else 1
-        with patch.object(link_pool, "connect", world.connect), patch.object(attempt, "BUFFERED_BYTES", held):
+        held = attempt.MAX_BUFFERED_BYTES if self._setting.held else 1
+        with (
+            patch.object(link_pool, "connect", world.connect),
+            patch.object(attempt, "MAX_BUFFERED_BYTES", held),
+        ):
             world.__init__(self._setting, self._routes)  # type: ignore[misc]
             await world.settle()
             for event in events:
