--- a/tests/router/data_plane/test_data_plane_answers.py
+++ b/tests/router/data_plane/test_data_plane_answers.py
@@ -72,7 +72,7 @@
             async with Bench(planner=ByName()) as bench:
                 await add(bench, Typed("i-1", "decode"), ENGINE)
                 answer = await bench.ask("/stream/")
-                self.assertEqual((answer.status, answer.whole, answer.body), (500, True, b"it failed"))
+                self.assertEqual((answer.status, answer.complete, answer.body), (500, True, b"it failed"))
 
         play(scenario())
 
@@ -186,7 +186,7 @@
     def play(self, scenario: Callable[[Link, socket.socket], Awaitable[None]]) -> None:
         """Run a scenario with a link, whose socket buffer is smaller than a large request, and its peer."""
 
-        async def whole() -> None:
+        async def run_scenario() -> None:
             with socket.create_server(("127.0.0.1", 0)) as listener:
                 listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
                 host, port = listener.getsockname()
@@ -200,7 +200,7 @@
                     peer.close()
 
         for run in (asyncio.run, uvloop.run):
-            run(asyncio.wait_for(whole(), 10.0))
+            run(asyncio.wait_for(run_scenario(), 10.0))
 
     def test_an_early_answer_is_read_and_its_connection_not_used_again(self) -> None:
         async def scenario(link: Link, peer: socket.socket) -> None:
--- a/tests/router/data_plane/test_data_plane_failures.py
+++ b/tests/router/data_plane/test_data_plane_failures.py
@@ -66,7 +66,7 @@
                     decodes = [await bench.add(f"d-{number}", ENGINE, "decode") for number in (1, 2, 3)]
                     decodes[0].script.append(fault)
                     answer = await bench.ask("/resume/", headers=PROMPT)
-                    self.assertEqual((answer.whole, answer.body), (True, events()), fault)
+                    self.assertEqual((answer.complete, answer.body), (True, events()), fault)
                     self.assertEqual([len(one.seen) for one in (prefill, *decodes)], [1, 1, 1, 0], fault)
 
         play(scenario())
--- a/tests/router/data_plane/test_data_plane_feed_link.py
+++ b/tests/router/data_plane/test_data_plane_feed_link.py
@@ -102,7 +102,7 @@
     def play(self, scenario: Callable[[Member, Member], Awaitable[None]]) -> None:
         """Run a scenario with two members."""
 
-        async def whole() -> None:
+        async def run_scenario() -> None:
             members = Member(), Member()
             for member in members:
                 await member.start()
@@ -112,7 +112,7 @@
                 for member in members:
                     member.stop()
 
-        play(whole())
+        play(run_scenario())
 
     def test_says_hello_and_hands_on_each_frame(self) -> None:
         async def scenario(member: Member, _: Member) -> None:
--- a/tests/router/data_plane/test_data_plane_path.py
+++ b/tests/router/data_plane/test_data_plane_path.py
@@ -120,7 +120,7 @@
         async with Bench() as bench:
             await bench.add("i-1", body=b"x" * 300_000)
             answer = await bench.ask("/safe/")
-            self.assertTrue(answer.whole)
+            self.assertTrue(answer.complete)
             self.assertEqual(len(answer.body), 300_000)
 
 
@@ -217,7 +217,7 @@
             one, two = await bench.add("i-1", ENGINE, "decode"), await bench.add("i-2", ENGINE, "decode")
             one.script.append(Fault.TRUNCATED)
             answer = await bench.ask("/stream/")
-            self.assertEqual((answer.status, answer.whole, len(two.seen)), (200, False, 0))
+            self.assertEqual((answer.status, answer.complete, len(two.seen)), (200, False, 0))
             self.assertTrue(answer.body.startswith(events(1, 2)))
 
     async def test_resumed_behind_the_last_whole_event(self):
@@ -226,7 +226,7 @@
                 one, two = await bench.add("i-1", ENGINE, "decode"), await bench.add("i-2", ENGINE, "decode")
                 one.script.append(fault)
                 answer = await bench.ask("/resume/", headers={"Deadline-Ms": "2000"})
-                self.assertEqual((answer.whole, answer.body), (True, events()), fault)
+                self.assertEqual((answer.complete, answer.body), (True, events()), fault)
                 self.assertEqual(answer.headers["server-signature"], "stamp.i-1")
                 self.assertEqual(two.seen[0].headers["last-event-id"], "2")
 
@@ -256,7 +256,7 @@
             one, two = await bench.add("i-1", ENGINE, "decode"), await bench.add("i-2", ENGINE, "decode")
             one.script.append(Fault.TRUNCATED)
             answer = await bench.ask("/resume/", headers={"Last-Event-Id": "1", "Priority": "7"})
-            self.assertEqual((answer.whole, answer.body), (True, events(2)))
+            self.assertEqual((answer.complete, answer.body), (True, events(2)))
             self.assertEqual(
                 [one.seen[0].headers["last-event-id"], two.seen[0].headers["last-event-id"]], ["1", "2"]
             )
@@ -274,7 +274,7 @@
             # A long prompt without a shared prefix: separate prefill is faster, whatever its parts hash to.
             prompt = {"Model": "m", "Token-Usage": "8000,80", "Prompt-Prefix": "e4402b7d:8000"}
             answer = await bench.ask("/stream/", headers=prompt)
-            self.assertEqual((answer.whole, answer.body), (True, events()))
+            self.assertEqual((answer.complete, answer.body), (True, events()))
             self.assertEqual([len(one.seen) for one in (prefill, decode, plain)], [1, 1, 1])
             self.assertEqual(bench.gateway.planner.bookings, {})
 
@@ -292,14 +292,14 @@
         async with Bench(planner=WithPrefill("p-1")) as bench:
             prefill, decode, _ = await self.bench(bench)
             answer = await bench.ask("/stream/", headers={"Token-Usage": "0,0"})
-            self.assertEqual((answer.whole, answer.body), (True, events()))
+            self.assertEqual((answer.complete, answer.body), (True, events()))
             self.assertEqual((len(prefill.seen), len(decode.seen)), (0, 1))
 
     async def test_prompt_is_read_first_and_its_memory_handed_over(self):
         async with Bench(planner=WithPrefill("p-1")) as bench:
             prefill, decode, _ = await self.bench(bench)
             answer = await bench.ask("/stream/")
-            self.assertEqual((answer.whole, answer.body), (True, events()))
+            self.assertEqual((answer.complete, answer.body), (True, events()))
             self.assertEqual(answer.headers["server-signature"], "stamp.d-1")
             self.assertEqual(prefill.seen[0].headers["stage"], "prefill")
             self.assertEqual(prefill.seen[0].body, b"question")
--- a/tests/router/data_plane/test_exchange_model.py
+++ b/tests/router/data_plane/test_exchange_model.py
@@ -20,7 +20,7 @@
 from mallowbeam.router.data_plane.send_policy import SendPolicy, SendTicket
 from mallowbeam.router.streams.progress import StreamProgress
 
-DEPTH = int(os.environ.get("EXCHANGE_DEPTH", "4"))  # events in one order
+MAX_EVENTS = int(os.environ.get("EXCHANGE_DEPTH", "4"))  # events in one order
 SHOW = "EXCHANGE_SHOW" in os.environ
 ROUTES = configuration(
     route("/unsafe/", "unsafe"),
@@ -31,27 +31,27 @@
 SETTINGS = {
     "held": Setting(),
     "many_connections": Setting(connections=10),
-    "passed_on": Setting(held=False),
+    "passed_on": Setting(buffered=False),
     "large": Setting(large=True),
     "until_close": Setting(until_close=True),
     "until_close_large": Setting(until_close=True, large=True),
-    "until_close_passed_on": Setting(until_close=True, held=False),
+    "until_close_passed_on": Setting(until_close=True, buffered=False),
     "until_close_stream": Setting(target=b"/stream/", until_close=True),
     "stream": Setting(target=b"/stream/"),
     "stream_large": Setting(target=b"/stream/", large=True),
     "repeatable": Setting(target=b"/safe/", idempotent=True),
     "repeatable_large": Setting(target=b"/safe/", idempotent=True, large=True),
-    "apart": Setting(target=b"/apart/", hands_over=True),
-    "apart_freed": Setting(target=b"/apart/", hands_over=True, first_rejected=True),
-    "apart_large": Setting(target=b"/apart/", hands_over=True, large=True),
+    "apart": Setting(target=b"/apart/", separate_prefill=True),
+    "apart_freed": Setting(target=b"/apart/", separate_prefill=True, first_rejected=True),
+    "apart_large": Setting(target=b"/apart/", separate_prefill=True, large=True),
 }
 
 
 class Orders(unittest.TestCase):
     def explore(self, name: str) -> None:
         explorer = Explorer(SETTINGS[name], ROUTES)
-        explorer.explore(DEPTH)
-        self.assertGreater(explorer.runs, 2**DEPTH)
+        explorer.explore(MAX_EVENTS)
+        self.assertGreater(explorer.runs, 2**MAX_EVENTS)
         if SHOW:
             print(name, explorer.runs, "orders")
 
@@ -101,7 +101,7 @@
         kept = Message()
         kept.complete = link.request_sent = True
         kept.headers = [(b"keep-alive", b"timeout=30")]
-        if link.channel.framer.incoming is None and not link.channel.sock.finished:
+        if link.channel.framer.incoming is None and not link.channel.sock.end_received:
             give_back(self, instance, link, kept)
         else:
             give_back(self, instance, link, answer)
@@ -245,7 +245,7 @@
             with self.subTest(variant.__name__), ExitStack() as stack:
                 variant(stack)
                 with self.assertRaisesRegex(Violation, rule) as caught:
-                    Explorer(SETTINGS[setting], ROUTES).explore(DEPTH)
+                    Explorer(SETTINGS[setting], ROUTES).explore(MAX_EVENTS)
                 if SHOW:
                     print(variant.__name__, caught.exception)
 
--- a/tests/router/data_plane/test_rules_budget.py
+++ b/tests/router/data_plane/test_rules_budget.py
@@ -5,7 +5,7 @@
 import unittest
 from collections.abc import Sequence
 
-from failing_instances import ByName, LostHandles, add
+from failing_instances import ByName, ExpiredHandles, add
 from gateway_bench import ENGINE, Bench, configuration, route
 from timed_instances import Timed, now
 from virtual_time import play
@@ -33,20 +33,24 @@
     """The charge matches the arrivals at the service, for every outcome of a request."""
 
     def ask(
-        self, target: str, faults: dict[str, Sequence[Fault]], readers: Sequence[str] = (), lost: bool = False
+        self,
+        target: str,
+        faults: dict[str, Sequence[Fault]],
+        prefill_ids: Sequence[str] = (),
+        expired: bool = False,
     ) -> tuple[int, int, list[int]]:
         """Return the status, the charge and the arrivals at each instance."""
         result: list[tuple[int, int, list[int]]] = []
 
         async def scenario() -> None:
-            async with Bench(ROUTES, ByName(*readers), BudgetSettings(0.0, 10.0, BUDGET)) as bench:
-                instances = [LostHandles(name, "prefill", lost=lost) for name in readers]
-                stage, backend = ("decode", ENGINE) if readers else ("", "plain")
+            async with Bench(ROUTES, ByName(*prefill_ids), BudgetSettings(0.0, 10.0, BUDGET)) as bench:
+                instances = [ExpiredHandles(name, "prefill", expired=expired) for name in prefill_ids]
+                stage, backend = ("decode", ENGINE) if prefill_ids else ("", "plain")
                 instances += [Timed(f"x-{number}", stage) for number in (1, 2, 3)]
                 for one in instances:
                     one.script.extend(faults.get(one.id, ()))
                     await add(bench, one, backend)
-                answer = await bench.ask(target, headers=PROMPT if readers else None)
+                answer = await bench.ask(target, headers=PROMPT if prefill_ids else None)
                 budget = bench.gateway.budgets.of(backend)
                 left = int(budget.available(now(), 1))
                 result.append((answer.status, BUDGET - left, [len(one.seen) for one in instances]))
@@ -70,7 +74,7 @@
 
     def test_a_handle_that_could_not_be_had(self) -> None:
         """The decode instance rejects the handle; that send and the next one both count as arrivals."""
-        status, charged, arrivals = self.ask("/stream/", {}, ["p-1"], lost=True)
+        status, charged, arrivals = self.ask("/stream/", {}, ["p-1"], expired=True)
         self.assertEqual((status, arrivals[0]), (200, 1))
         self.assertEqual(charged, one_too_many(sum(arrivals), True))
         self.assertGreaterEqual(charged, 1)
--- a/tests/router/data_plane/test_rules_gone.py
+++ b/tests/router/data_plane/test_rules_gone.py
@@ -11,9 +11,9 @@
 import unittest
 from collections.abc import Callable, Sequence
 
-from failing_instances import ByName, Dark, add, add_dark
+from failing_instances import ByName, UnresponsiveAddress, add, add_unresponsive
 from gateway_bench import DEFAULT, ENGINE, PLAIN, Bench, request_bytes
-from timed_instances import Held, Timed, Trickling, now
+from timed_instances import DelayedStart, EndlessAnswers, Timed, now
 from virtual_time import play
 
 from mallowbeam.router.data_plane.planner_interface import Planner
@@ -91,17 +91,17 @@
 class Leaving(Case):
     def test_while_held_for_a_cycle(self) -> None:
         for target in PATHS:
-            self.leave(target, 0.3, lambda: Held(1.0), lambda: [Timed("i-1")], 0, 0)
+            self.leave(target, 0.3, lambda: DelayedStart(1.0), lambda: [Timed("i-1")], 0, 0)
 
     def test_while_an_instance_works(self) -> None:
         for target in PATHS:
-            self.leave(target, 0.3, ByName, lambda: [Timed("i-1", takes_s=60.0), Timed("i-2")], 1, 1)
+            self.leave(target, 0.3, ByName, lambda: [Timed("i-1", service_time_s=60.0), Timed("i-2")], 1, 1)
 
     def test_before_a_further_send(self) -> None:
         """The first instance rejects the request only after the client has left."""
 
         def make() -> list[Timed]:
-            first = Timed("i-1", takes_s=1.8)
+            first = Timed("i-1", service_time_s=1.8)
             first.script.append(Fault.REJECT)
             return [first, Timed("i-2")]
 
@@ -114,7 +114,7 @@
                 target,
                 0.3,
                 lambda: ByName("p-1"),
-                lambda: [Timed("p-1", "prefill", takes_s=1.0), Timed("d-1", "decode")],
+                lambda: [Timed("p-1", "prefill", service_time_s=1.0), Timed("d-1", "decode")],
                 1,
                 1,
             )
@@ -125,7 +125,10 @@
                 target,
                 0.5,
                 lambda: ByName("p-1"),
-                lambda: [Timed("p-1", "prefill", takes_s=0.2), Timed("d-1", "decode", takes_s=5.0)],
+                lambda: [
+                    Timed("p-1", "prefill", service_time_s=0.2),
+                    Timed("d-1", "decode", service_time_s=5.0),
+                ],
                 2,
                 1,
             )
@@ -133,7 +136,7 @@
     def test_inside_a_stream(self) -> None:
         for target in STREAMS:
             self.leave(
-                target, 1.0, ByName, lambda: [Trickling("d-1", "decode"), Timed("d-2", "decode")], 1, 1
+                target, 1.0, ByName, lambda: [EndlessAnswers("d-1", "decode"), Timed("d-2", "decode")], 1, 1
             )
 
     def test_before_a_stream_that_is_silent_is_taken_up_elsewhere(self) -> None:
@@ -146,10 +149,10 @@
 
     def test_while_a_connection_comes_up(self) -> None:
         async def scenario() -> None:
-            dark = Dark()
+            unresponsive = UnresponsiveAddress()
             try:
                 async with Bench(DEFAULT, ByName()) as bench:
-                    add_dark(bench, "i-1", dark)
+                    add_unresponsive(bench, "i-1", unresponsive)
                     second = Timed("i-2")
                     await add(bench, second)
                     _, writer = await bench.client()
@@ -159,14 +162,14 @@
                     await asyncio.sleep(AFTER_S)
                     self.assertEqual(second.arrivals, [])
             finally:
-                dark.close()
+                unresponsive.close()
 
         play(scenario())
 
     def test_what_waits_behind_it_on_its_connection_is_never_sent(self) -> None:
         async def scenario() -> None:
             async with Bench(DEFAULT, ByName()) as bench:
-                one = Timed("i-1", takes_s=5.0)
+                one = Timed("i-1", service_time_s=5.0)
                 await add(bench, one)
                 _, writer = await bench.client()
                 writer.write(request_bytes("/safe/", headers=LONG) * 3)
@@ -182,7 +185,7 @@
 
         async def scenario() -> None:
             async with Bench(DEFAULT, ByName()) as bench:
-                one = Trickling("d-1", "decode")
+                one = EndlessAnswers("d-1", "decode")
                 await add(bench, one, ENGINE)
                 _, writer = await bench.client()
                 writer.write(request_bytes("/stream/", headers=LONG))
--- a/tests/router/data_plane/test_rules_headers.py
+++ b/tests/router/data_plane/test_rules_headers.py
@@ -55,7 +55,7 @@
                     reader = await bench.add("p-1", ENGINE, "prefill")
                     decoder = await bench.add("d-1", ENGINE, "decode")
                     answer = await bench.ask("/stream/", headers={**PROMPT, **sent})
-                    self.assertEqual((answer.whole, answer.body), (True, events()))
+                    self.assertEqual((answer.complete, answer.body), (True, events()))
                     self.check(reader, reader.seen[0], "prefill", "5")
                     self.check(decoder, decoder.seen[0], None, "0")
                     self.assertTrue(decoder.seen[0].headers["kv-from"].startswith(reader.address))
@@ -69,7 +69,7 @@
                 second = await bench.add("d-2", ENGINE, "decode")
                 first.script.append(Fault.TRUNCATED)
                 answer = await bench.ask("/resume/", headers=SYSTEMS)
-                self.assertEqual((answer.whole, answer.body), (True, events()))
+                self.assertEqual((answer.complete, answer.body), (True, events()))
                 for instance in (first, second):
                     self.check(instance, instance.seen[0], None, "5")
                     self.assertNotIn("kv-from", instance.seen[0].headers)
--- a/tests/router/data_plane/test_rules_stop.py
+++ b/tests/router/data_plane/test_rules_stop.py
@@ -94,7 +94,7 @@
         self.path.write_text(SETTINGS.format(front=self.front, readiness=self.readiness, grace=grace_s))
 
     async def add(self, instance: Timed) -> Timed:
-        """Start an instance and tell the gateway of it."""
+        """Start an instance and add it to the gateway's instance table."""
         await instance.start()
         self.instances.append(instance)
         row = Instance(
@@ -152,7 +152,7 @@
     def play(self, scenario: Callable[[Process], Awaitable[None]]) -> None:
         """Run a scenario while the process serves."""
 
-        async def whole() -> None:
+        async def run_scenario() -> None:
             with tempfile.TemporaryDirectory() as folder:
                 process = Process(folder)
                 task = asyncio.ensure_future(process.run())
@@ -165,7 +165,7 @@
                     for instance in process.instances:
                         await instance.stop()
 
-        play(whole())
+        play(run_scenario())
 
 
 class Platform:
@@ -201,7 +201,7 @@
                 stopped_at = process.told_to_stop()
                 while platform.out_at is None:
                     answer = await process.ask("/unsafe/")
-                    self.assertEqual((answer.status, answer.whole), (200, True))
+                    self.assertEqual((answer.status, answer.complete), (200, True))
                     await asyncio.sleep(0.05)
                 self.assertLess(platform.out_at - stopped_at, OUT_WITHIN_S)
                 await asking
@@ -213,8 +213,8 @@
 class Stopping(Case):
     def test_what_was_taken_is_answered_within_the_grace_time(self) -> None:
         async def scenario(process: Process) -> None:
-            await process.add(Timed("i-1", takes_s=4.0))
-            await process.add(Timed("d-1", "decode", takes_s=5.0))
+            await process.add(Timed("i-1", service_time_s=4.0))
+            await process.add(Timed("d-1", "decode", service_time_s=5.0))
             asked = [asyncio.ensure_future(process.ask(target)) for target in ("/unsafe/", "/stream/")]
             await asyncio.sleep(0.1)
             stopped_at = process.told_to_stop()
@@ -230,7 +230,7 @@
 
     def test_it_ends_within_the_grace_time_whatever_is_held(self) -> None:
         async def scenario(process: Process) -> None:
-            await process.add(Timed("i-1", takes_s=100.0))
+            await process.add(Timed("i-1", service_time_s=100.0))
             asked = asyncio.ensure_future(process.ask("/unsafe/"))
             await asyncio.sleep(0.1)
             stopped_at = process.told_to_stop()
@@ -245,7 +245,7 @@
         """Each client sends requests until it gets `Connection: close` or its connection ends."""
 
         async def scenario(process: Process) -> None:
-            instance = await process.add(Timed("i-1", takes_s=0.03))
+            instance = await process.add(Timed("i-1", service_time_s=0.03))
             clients = [
                 asyncio.ensure_future(self.keep_asking(process, 0.011 * number)) for number in range(9)
             ]
@@ -269,7 +269,7 @@
             except asyncio.IncompleteReadError as error:
                 self.assertEqual(error.partial, b"")  # an orderly close instead of an answer
                 return answered, False
-            self.assertEqual((answer.status, answer.whole), (200, True))
+            self.assertEqual((answer.status, answer.complete), (200, True))
             answered += 1
             if answer.headers.get("connection") == "close":
                 return answered, True
@@ -291,8 +291,8 @@
 class Hangup(Case):
     def test_new_settings_end_no_request_and_no_connection(self) -> None:
         async def scenario(process: Process) -> None:
-            await process.add(Timed("i-1", takes_s=1.0))
-            await process.add(Timed("d-1", "decode", takes_s=1.0))
+            await process.add(Timed("i-1", service_time_s=1.0))
+            await process.add(Timed("d-1", "decode", service_time_s=1.0))
             kept = await process.connect()
             asked = [asyncio.ensure_future(process.ask(target)) for target in ("/unsafe/", "/stream/")]
             kept[1].write(request_bytes("/unsafe/", headers=LONG))
@@ -313,8 +313,8 @@
 class NewConfiguration(Case):
     def test_what_was_taken_is_answered_by_its_service(self) -> None:
         async def scenario(process: Process) -> None:
-            await process.add(Timed("i-1", takes_s=1.0))
-            await process.add(Timed("d-1", "decode", takes_s=1.0))
+            await process.add(Timed("i-1", service_time_s=1.0))
+            await process.add(Timed("d-1", "decode", service_time_s=1.0))
             asked = [asyncio.ensure_future(process.ask(target)) for target in ("/unsafe/", "/stream/")]
             await asyncio.sleep(0.5)
             process.plane.gateway.set_configuration(WITHOUT_ROUTES, now())
--- a/tests/router/data_plane/test_rules_time.py
+++ b/tests/router/data_plane/test_rules_time.py
@@ -6,7 +6,7 @@
 import unittest
 from collections.abc import Sequence
 
-from failing_instances import ByName, Dark, add, add_dark
+from failing_instances import ByName, UnresponsiveAddress, add, add_unresponsive
 from gateway_bench import (
     ENGINE,
     Answer,
@@ -17,7 +17,7 @@
     request_bytes,
     route,
 )
-from timed_instances import Held, Timed, Trickling, now
+from timed_instances import DelayedStart, EndlessAnswers, Timed, now
 from virtual_time import play
 
 from mallowbeam.router.data_plane.planner_interface import Planner
@@ -57,7 +57,7 @@
         async def scenario() -> None:
             for fault in (Fault.REJECT, Fault.RESET, Fault.FAIL, Fault.MISDIRECT):
                 async with Bench(ROUTES, ByName()) as bench:
-                    instances = [Timed(f"i-{number}", takes_s=0.3) for number in (1, 2, 3)]
+                    instances = [Timed(f"i-{number}", service_time_s=0.3) for number in (1, 2, 3)]
                     for one in instances:
                         await add(bench, one)
                     for one in instances[:2]:
@@ -74,14 +74,14 @@
     def test_from_prefill_to_decode_and_to_a_resumption(self) -> None:
         async def scenario() -> None:
             async with Bench(ROUTES, ByName("p-1")) as bench:
-                reader = Timed("p-1", "prefill", takes_s=0.4)
-                decoders = [Timed(f"d-{number}", "decode", takes_s=0.2) for number in (1, 2)]
+                reader = Timed("p-1", "prefill", service_time_s=0.4)
+                decoders = [Timed(f"d-{number}", "decode", service_time_s=0.2) for number in (1, 2)]
                 for one in (reader, *decoders):
                     await add(bench, one, ENGINE)
                 decoders[0].script.append(Fault.TRUNCATED)
                 began = now()
                 answer = await bench.ask("/resume/", headers={**PROMPT, "Deadline-Ms": "1800"})
-                self.assertEqual((answer.whole, answer.body), (True, events()))
+                self.assertEqual((answer.complete, answer.body), (True, events()))
                 handed = self.check_handed_on(began, 1800, [reader, *decoders])
                 self.assertEqual(len(handed), 3)
                 self.assertLess(handed[2], 1800 - 600)
@@ -104,7 +104,7 @@
 
     def test_after_a_wait_for_its_cycle(self) -> None:
         async def scenario() -> None:
-            async with Bench(ROUTES, Held(0.7)) as bench:
+            async with Bench(ROUTES, DelayedStart(0.7)) as bench:
                 one = Timed("i-1")
                 await add(bench, one)
                 began = now()
@@ -134,7 +134,7 @@
 
         async def scenario() -> None:
             async with Bench(ROUTES, ByName("p-1")) as bench:
-                reader, decoder = Timed("p-1", "prefill", takes_s=9.0), Timed("d-1", "decode")
+                reader, decoder = Timed("p-1", "prefill", service_time_s=9.0), Timed("d-1", "decode")
                 await add(bench, reader, ENGINE)
                 await add(bench, decoder, ENGINE)
                 # Leaves an idle connection to the decode instance in the pool.
@@ -180,7 +180,7 @@
                     await add(bench, one, ENGINE if one.stage else "plain")
                 client = Patient(bench, target)
                 answer = await client.ask()
-                self.assertEqual((answer.status, answer.whole), (status, whole))
+                self.assertEqual((answer.status, answer.complete), (status, whole))
                 if status == 504:
                     self.assertGreater(client.took_s, TIMEOUT_S - 0.1)
                 await asyncio.sleep(LATE_S)
@@ -189,52 +189,59 @@
         play(scenario())
 
     def test_held_for_a_cycle_that_begins_too_late(self) -> None:
-        self.expect("/unsafe/", 503, Held(30.0), Timed("i-1"))
+        self.expect("/unsafe/", 503, DelayedStart(30.0), Timed("i-1"))
 
     def test_sent_and_silent(self) -> None:
         for target in ("/safe/", "/unsafe/"):
-            self.expect(target, 504, ByName(), Timed("i-1", takes_s=60.0), Timed("i-2", takes_s=60.0))
+            self.expect(
+                target, 504, ByName(), Timed("i-1", service_time_s=60.0), Timed("i-2", service_time_s=60.0)
+            )
 
     def test_the_second_instance_is_silent(self) -> None:
-        first = Timed("i-1", takes_s=1.5)
+        first = Timed("i-1", service_time_s=1.5)
         first.script.append(Fault.REJECT)
-        self.expect("/unsafe/", 504, ByName(), first, Timed("i-2", takes_s=60.0))
+        self.expect("/unsafe/", 504, ByName(), first, Timed("i-2", service_time_s=60.0))
 
     def test_a_prompt_that_is_never_read(self) -> None:
-        reader, decoder = Timed("p-1", "prefill", takes_s=60.0), Timed("d-1", "decode")
+        reader, decoder = Timed("p-1", "prefill", service_time_s=60.0), Timed("d-1", "decode")
         self.expect("/stream/", 503, ByName("p-1"), reader, decoder)
         self.assertEqual(decoder.arrivals, [])
 
     def test_a_stream_without_a_first_event(self) -> None:
         for target in ("/stream/", "/resume/"):
-            self.expect(target, 504, ByName(), Timed("d-1", "decode", takes_s=60.0))
+            self.expect(target, 504, ByName(), Timed("d-1", "decode", service_time_s=60.0))
 
     def test_a_stream_without_end_breaks_off(self) -> None:
         for target in ("/stream/", "/resume/"):
             self.expect(
-                target, 200, ByName(), Trickling("d-1", "decode"), Trickling("d-2", "decode"), whole=False
+                target,
+                200,
+                ByName(),
+                EndlessAnswers("d-1", "decode"),
+                EndlessAnswers("d-2", "decode"),
+                complete=False,
             )
 
     def test_a_large_answer_without_end_breaks_off(self) -> None:
-        self.expect("/stream/", 200, ByName(), Trickling("d-1", "decode", plain=True), whole=False)
+        self.expect("/stream/", 200, ByName(), EndlessAnswers("d-1", "decode", plain=True), complete=False)
 
     def test_connections_that_never_come_up(self) -> None:
         async def scenario() -> None:
-            dark = Dark()
+            unresponsive = UnresponsiveAddress()
             try:
                 async with Bench(ROUTES, ByName()) as bench:
                     for number in range(4):
-                        add_dark(bench, f"i-{number}", dark)
+                        add_unresponsive(bench, f"i-{number}", unresponsive)
                     self.assertEqual((await Patient(bench, "/unsafe/").ask()).status, 503)
             finally:
-                dark.close()
+                unresponsive.close()
 
         play(scenario())
 
     def test_one_that_is_not_reached_ends_nothing(self) -> None:
         async def scenario() -> None:
             async with Bench(ROUTES, ByName()) as bench:
-                await add(bench, Timed("d-1", "decode", takes_s=30.0), ENGINE)
+                await add(bench, Timed("d-1", "decode", service_time_s=30.0), ENGINE)
                 self.assertEqual((await Patient(bench, "/long/").ask(40.0)).body, events())
 
         play(scenario())
--- a/tests/router/pairing/test_rules_orders.py
+++ b/tests/router/pairing/test_rules_orders.py
@@ -262,7 +262,7 @@
                 await add(bench, second, ENGINE)
                 for _ in range(5):
                     answer = await bench.ask("/stream/")
-                    self.assertEqual((answer.whole, answer.body), (True, events()))
+                    self.assertEqual((answer.complete, answer.body), (True, events()))
                     self.assertEqual(answer.headers["server-signature"], "stamp.d-2")
                     self.assertEqual(bench.gateway.health.excluded({"d-1", "d-2"}, NOW), frozenset())
                 first.busy = False
@@ -278,7 +278,7 @@
                 decoder = Timed("d-1", "decode")
                 await add(bench, decoder, ENGINE)
                 answer = await bench.ask("/stream/")
-                self.assertEqual((answer.whole, answer.body), (True, events()))
+                self.assertEqual((answer.complete, answer.body), (True, events()))
                 self.assertNotIn("kv-from", decoder.seen[0].headers)
 
         play(scenario())
@@ -301,7 +301,7 @@
                 row = Instance()
                 row.CopyFrom(bench.gateway.view.instances["d-1"])
                 row.switching_to = "prefill"
-                bench.tell(row)
+                bench.update_instances(row)
                 self.assertEqual((await bench.ask("/stream/")).body, events())
                 self.assertEqual((first.seen, len(second.seen)), ([], 1))
                 self.assertNotEqual(bench.gateway.view.instances["d-1"].state, DRAINS)
--- a/tests/router/streams/test_rules_streams.py
+++ b/tests/router/streams/test_rules_streams.py
@@ -20,7 +20,7 @@
     request_bytes,
     route,
 )
-from timed_instances import Held, Timed
+from timed_instances import DelayedStart, Timed
 from virtual_time import play
 
 from mallowbeam.router.admission.messages import Plan, PlanRequest, PromptSegment
@@ -115,7 +115,7 @@
                     # A stream that ends regularly after a complete event can't be told from a complete one.
                     ended = way == "ended" and (not cut_at or whole[:cut_at].endswith(b"\n\n"))
                     expected = whole[:cut_at] if ended else whole
-                    self.assertEqual((answer.whole, answer.body), (True, expected), (way, cut_at))
+                    self.assertEqual((answer.complete, answer.body), (True, expected), (way, cut_at))
                     begun = cut_at >= first_event or ended
                     self.assertEqual(
                         answer.headers["server-signature"], "stamp.d-1" if begun else "stamp.d-2"
@@ -135,7 +135,7 @@
                     Cutting("d-2", "decode", cut_at=cut_at, way="reset"),
                     Cutting("d-3", "decode"),
                 )
-                self.assertEqual((answer.whole, answer.body), (True, events()), cut_at)
+                self.assertEqual((answer.complete, answer.body), (True, events()), cut_at)
                 self.assertEqual(answer.headers["server-signature"], "stamp.d-1")
 
         play(scenario())
@@ -147,12 +147,12 @@
                 Cutting("d-2", "decode", from_start=True),
                 Cutting("d-3", "decode"),
             )
-            self.assertEqual((answer.whole, answer.body), (True, events()))
+            self.assertEqual((answer.complete, answer.body), (True, events()))
             answer = await self.ask(
                 Cutting("d-1", "decode", cut_at=45),
                 *(Cutting(f"d-{number}", "decode", from_start=True) for number in (2, 3)),
             )
-            self.assertEqual((answer.whole, ids(answer.body)), (False, [1, 2]))
+            self.assertEqual((answer.complete, ids(answer.body)), (False, [1, 2]))
 
         play(scenario())
 
@@ -165,7 +165,7 @@
                 Cutting("d-2", "decode", numbered=False),
             )
             answer = await self.ask(cut, good)
-            self.assertEqual((answer.whole, answer.body), (False, b"data: token 1\n\n"))
+            self.assertEqual((answer.complete, answer.body), (False, b"data: token 1\n\n"))
             self.assertEqual(good.seen, [])
             cut, good = (
                 Cutting("d-1", "decode", cut_at=5, numbered=False),
@@ -183,7 +183,7 @@
                     answer = await self.ask(
                         Cutting("d-1", "decode", cut_at=cut_at, way=way), second, target="/stream/"
                     )
-                    self.assertEqual((answer.status == 200 and answer.whole, second.seen), (False, []))
+                    self.assertEqual((answer.status == 200 and answer.complete, second.seen), (False, []))
 
         play(scenario())
 
@@ -198,12 +198,12 @@
                     await add(first, broken, ENGINE)
                     half = await first.ask("/resume/")
                     got = half.body if half.status == 200 else b""
-                    self.assertFalse(half.status == 200 and half.whole)
+                    self.assertFalse(half.status == 200 and half.complete)
                     await add(second, Cutting("d-2", "decode", cut_at=25), ENGINE)  # breaks again
                     await add(second, Cutting("d-3", "decode"), ENGINE)
                     behind = {"Last-Event-Id": str(ids(got)[-1])} if got else {}
                     rest = await second.ask("/resume/", headers=behind)
-                    self.assertEqual((rest.whole, got + rest.body), (True, whole), cut_at)
+                    self.assertEqual((rest.complete, got + rest.body), (True, whole), cut_at)
 
         play(scenario())
 
@@ -243,7 +243,7 @@
                 async with Bench(ROUTES, ByName()) as bench:
                     await add(bench, Cutting("d-1", "decode", chunked=False), ENGINE)
                     answer = await bench.ask(target)
-                    self.assertEqual((answer.whole, answer.body), (True, events()))
+                    self.assertEqual((answer.complete, answer.body), (True, events()))
                     data = request_bytes(target).replace(b"HTTP/1.1", b"HTTP/1.0")
                     reader, writer = await bench.client()
                     writer.write(data)
@@ -258,7 +258,7 @@
                 cut = Cutting("d-1", "decode", cut_at=len(events(1, 2)), way="reset", chunked=False)
                 await add(bench, cut, ENGINE)
                 answer = await bench.ask("/stream/")
-                self.assertFalse(answer.whole)
+                self.assertFalse(answer.complete)
 
         play(scenario())
 
@@ -274,7 +274,7 @@
                     await add(bench, one, ENGINE)
                 short = {"Token-Usage": "10,5", "Prompt-Prefix": "aa:10"}
                 answer = await bench.ask("/resume/", headers=short)
-                self.assertEqual((answer.status, answer.whole, ids(answer.body)), (200, False, [1]))
+                self.assertEqual((answer.status, answer.complete, ids(answer.body)), (200, False, [1]))
                 stages = {seen.headers.get("stage") for one in readers for seen in one.seen}
                 self.assertLessEqual(stages, {"prefill"})
 
@@ -313,7 +313,7 @@
 
         async def scenario() -> None:
             for changed, to in (("d-1", "prefill"), ("p-1", "decode")):
-                async with Bench(ROUTES, Held(0.2, "p-1")) as bench:
+                async with Bench(ROUTES, DelayedStart(0.2, "p-1")) as bench:
                     instances = {
                         id: Timed(id, stage)
                         for id, stage in (("p-1", "prefill"), ("d-1", "decode"), ("d-2", "decode"))
@@ -326,7 +326,7 @@
                     row = Instance()
                     row.CopyFrom(bench.gateway.view.instances[changed])
                     row.stage = instances[changed].stage = to
-                    bench.tell(row)
+                    bench.update_instances(row)
                     self.assertEqual((await read_answer(reader)).body, events())
                     self.assertEqual(instances[changed].seen, [])
 
--- a/tests/support/exchange_sockets.py
+++ b/tests/support/exchange_sockets.py
@@ -16,25 +16,25 @@
 
 ANSWER_BYTES = 64  # size of an answer's body
 HEAD_END = b"\r\n\r\n"
-WIDE = 1 << 30  # size of a send window that never fills
+UNLIMITED_WINDOW_BYTES = 1 << 30  # size of a send window that never fills
 
 
 @dataclass(frozen=True)
-class Form:
+class AnswerFraming:
     """How an instance frames its answers."""
 
     until_close: bool = False  # no length: the answer ends with the connection
     streams: bool = False
-    reads_prompts: bool = False  # a prefill instance: answers with an unsigned KV handle
+    is_prefill: bool = False  # a prefill instance: answers with an unsigned KV handle
 
 
-class Judge(Protocol):
+class Observer(Protocol):
     """Receives arriving requests and rule violations."""
 
-    def arrived(self, line: Line, arrival: Arrival) -> None:
+    def arrived(self, connection: InstanceConnection, arrival: Arrival) -> None:
         """A request's head has arrived."""
 
-    def violate(self, text: str) -> None:
+    def report_violation(self, text: str) -> None:
         """Report a violation; the first word names the rule."""
 
 
@@ -52,120 +52,124 @@
     rejected: bool = False  # the answer says that the request was not run
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether the request has arrived completely."""
         return len(self.body) == self.length
 
 
-class Line:
+class InstanceConnection:
     """The instance's end of a connection."""
 
-    def __init__(self, judge: Judge, instance: str, window: int, form: Form) -> None:
-        self.judge, self.instance, self.form = judge, instance, form
+    def __init__(self, observer: Observer, instance: str, window: int, answer_framing: AnswerFraming) -> None:
+        self.observer, self.instance, self.answer_framing = observer, instance, answer_framing
         self.sock = StandInSocket(self, window)
         self.arrivals: list[Arrival] = []
         self.head = bytearray()
-        self.surplus = self.over = False  # sent bytes that no request expects; sent an end or a reset
+        self.sent_surplus = self.ended = False  # sent bytes that no request expects; sent an end or a reset
 
     def received(self, data: bytes) -> None:
         """Handle bytes of the gateway: the rest of a pending body or a new request."""
-        if self.arrivals and not self.arrivals[-1].whole and not self.head:
+        if self.arrivals and not self.arrivals[-1].complete and not self.head:
             data = self._body(self.arrivals[-1], data)
         if data and not self.head:
-            self._begins()
+            self._check_request_start()
         self.head += data
         if HEAD_END in self.head:
             head, _, rest = bytes(self.head).partition(HEAD_END)
             self.head.clear()
             self.arrivals.append(read_head(head))
-            self.judge.arrived(self, self.arrivals[-1])
+            self.observer.arrived(self, self.arrivals[-1])
             if rest:
                 self.received(rest)
 
-    def _begins(self) -> None:
+    def _check_request_start(self) -> None:
         """Check the rules when the first byte of a request arrives."""
-        if self.over:
-            self.judge.violate("ENDED: a request was sent on a connection that has ended")
-        if self.surplus:
-            self.judge.violate("SURPLUS: a request was sent on a connection with surplus data")
+        if self.ended:
+            self.observer.report_violation("ENDED: a request was sent on a connection that has ended")
+        if self.sent_surplus:
+            self.observer.report_violation("SURPLUS: a request was sent on a connection with surplus data")
         if any(not one.answered for one in self.arrivals):
-            self.judge.violate("OWED: a request was sent on a connection with an outstanding answer")
+            self.observer.report_violation(
+                "OWED: a request was sent on a connection with an outstanding answer"
+            )
 
     def _body(self, arrival: Arrival, data: bytes) -> bytes:
         """Consume bytes of a body; return the bytes after it."""
         due = arrival.length - len(arrival.body)
         arrival.body += data[:due]
         if arrival.body.strip(arrival.id[-1:]):
-            self.judge.violate("UNASKED: unexpected bytes instead of the rest of a body")
+            self.observer.report_violation("UNASKED: unexpected bytes instead of the rest of a body")
         return data[due:]
 
     @property
-    def open_arrival(self) -> Arrival | None:
+    def pending_arrival(self) -> Arrival | None:
         """The oldest request that is not completely answered."""
         return next((one for one in self.arrivals if not one.answered), None)
 
-    def answer(self, share: float = 1.0) -> None:
+    def answer(self, fraction: float = 1.0) -> None:
         """Send the pending answer up to a fraction of its bytes."""
-        arrival = self.open_arrival
+        arrival = self.pending_arrival
         assert arrival is not None
-        whole = self._bytes(arrival)
-        upto = int(len(whole) * share)
-        self.sock.arrive(whole[arrival.sent : upto])
-        arrival.sent = upto
-        arrival.body_sent = len(whole[:upto].partition(HEAD_END)[2])
-        arrival.answered = upto == len(whole) and not self.form.until_close
+        encoded = self._bytes(arrival)
+        sent_until = int(len(encoded) * fraction)
+        self.sock.receive(encoded[arrival.sent : sent_until])
+        arrival.sent = sent_until
+        arrival.body_sent = len(encoded[:sent_until].partition(HEAD_END)[2])
+        arrival.answered = sent_until == len(encoded) and not self.answer_framing.until_close
 
     def reject(self) -> None:
         """Reject the pending request."""
-        arrival = self.open_arrival
+        arrival = self.pending_arrival
         assert arrival is not None
         arrival.answered = arrival.rejected = True
-        self.sock.arrive(
+        self.sock.receive(
             b"HTTP/1.1 503 Service Unavailable\r\n%bNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
-            % name_line(arrival.id)
+            % request_id_line(arrival.id)
         )
 
     def repeat(self, named: bool = True) -> None:
         """Send the first request's answer again, without its request id if not `named`."""
-        self.surplus = True
+        self.sent_surplus = True
         first = self.arrivals[0]
         again = self._bytes(first, may_end=False)
-        self.sock.arrive(again if named else again.replace(name_line(first.id), b""))
+        self.sock.receive(again if named else again.replace(request_id_line(first.id), b""))
 
     @property
-    def may_repeat(self) -> bool:
+    def can_repeat(self) -> bool:
         """Whether the first request has an answer that can be repeated."""
         return bool(self.arrivals) and self.arrivals[0].answered and not self.arrivals[0].rejected
 
-    def sent_whole(self, arrival: Arrival) -> bool:
+    def sent_completely(self, arrival: Arrival) -> bool:
         """Whether all bytes of an answer were sent; without a length, it still needs the connection's end."""
         return arrival.sent == len(self._bytes(arrival))
 
     def noise(self) -> None:
         """Send bytes that are not an HTTP answer."""
-        self.surplus = True
-        self.sock.arrive(b"\x16\x03\x01 no answer\r\n")
+        self.sent_surplus = True
+        self.sock.receive(b"\x16\x03\x01 no answer\r\n")
 
     def end(self) -> None:
         """Close the connection in order, which completes an answer without a length if no stream is cut."""
-        arrival = self.open_arrival
-        if arrival is not None and self.form.until_close:
-            arrival.answered = self.sent_whole(arrival) or not self.form.streams and arrival.sent > 0
-        self.over = True
-        self.sock.finish()
+        arrival = self.pending_arrival
+        if arrival is not None and self.answer_framing.until_close:
+            arrival.answered = (
+                self.sent_completely(arrival) or not self.answer_framing.streams and arrival.sent > 0
+            )
+        self.ended = True
+        self.sock.receive_end()
 
     def reset(self) -> None:
         """Reset the connection."""
-        self.over = True
-        self.sock.break_off()
+        self.ended = True
+        self.sock.receive_reset()
 
     def _bytes(self, arrival: Arrival, may_end: bool = True) -> bytes:
         body = self._body_for(arrival)
-        length = b"" if self.form.until_close and may_end else b"Content-Length: %d\r\n" % len(body)
-        kind = b"Content-Type: text/event-stream\r\n" if self.form.streams else b""
-        signature = b"" if self.form.reads_prompts else b"Server-Signature: s\r\n"
+        length = b"" if self.answer_framing.until_close and may_end else b"Content-Length: %d\r\n" % len(body)
+        kind = b"Content-Type: text/event-stream\r\n" if self.answer_framing.streams else b""
+        signature = b"" if self.answer_framing.is_prefill else b"Server-Signature: s\r\n"
         return b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=30\r\n%b%b%b%b\r\n%b" % (
-            name_line(arrival.id),
+            request_id_line(arrival.id),
             signature,
             kind,
             length,
@@ -173,7 +177,7 @@
         )
 
     def _body_for(self, arrival: Arrival) -> bytes:
-        if not self.form.reads_prompts:
+        if not self.answer_framing.is_prefill:
             return answer_body(arrival.id)
         return b'{"kv_handle":"%b"}' % handle_of(arrival.id) if arrival.id else b""
 
@@ -181,11 +185,11 @@
 class StandInSocket:
     """The gateway's end of a connection, with the interface of a kernel socket."""
 
-    def __init__(self, line: Line, window: int) -> None:
-        self.line, self.window = line, window
-        self.coming = bytearray()
-        self.finished = self.broken = self.closed = False
-        self.error = False  # a reset that was not reported yet
+    def __init__(self, connection: InstanceConnection, window: int) -> None:
+        self.connection, self.window = connection, window
+        self.received_data = bytearray()
+        self.end_received = self.reset_received = self.closed = False
+        self.reset_unreported = False  # a reset that was not reported yet
         self.readable: Callable[[], None] | None = None
         self.writable: Callable[[], None] | None = None
 
@@ -198,24 +202,24 @@
     def send(self, data: bytes | bytearray | memoryview) -> int:
         """Accept as many bytes as the send window allows."""
         self._check()
-        if self.broken:
+        if self.reset_received:
             raise BrokenPipeError(errno.EPIPE, "broken")
         if not self.window:
             raise BlockingIOError
         count = min(self.window, len(data))
         self.window -= count
-        self.line.received(bytes(data[:count]))
+        self.connection.received(bytes(data[:count]))
         return count
 
     def recv(self, count: int, flags: int = 0) -> bytes:
         """Return received data, then report a reset once, then return the end of the stream."""
-        if self.coming:
-            data = bytes(self.coming[:count])
+        if self.received_data:
+            data = bytes(self.received_data[:count])
             if not flags & socket.MSG_PEEK:
-                del self.coming[:count]
+                del self.received_data[:count]
             return data
         self._check()
-        if self.finished or self.broken:
+        if self.end_received or self.reset_received:
             return b""
         raise BlockingIOError
 
@@ -223,39 +227,39 @@
         """Close the socket."""
         self.closed = True
 
-    def arrive(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Receive bytes from the instance."""
-        self.coming += data
-        self._tell()
+        self.received_data += data
+        self._notify()
 
-    def finish(self) -> None:
+    def receive_end(self) -> None:
         """Receive an orderly end from the instance."""
-        self.finished = True
-        self._tell()
+        self.end_received = True
+        self._notify()
 
-    def break_off(self) -> None:
+    def receive_reset(self) -> None:
         """Receive a reset from the instance."""
-        self.broken = self.error = True
-        self._tell()
+        self.reset_received = self.reset_unreported = True
+        self._notify()
 
     def open_window(self) -> None:
         """Open the send window: the instance reads on."""
-        self.window = WIDE
+        self.window = UNLIMITED_WINDOW_BYTES
         if self.writable is not None:
             self.writable()
 
     def _check(self) -> None:
         if self.closed:
             raise OSError(errno.EBADF, "closed")
-        if self.error:
-            self.error = False
+        if self.reset_unreported:
+            self.reset_unreported = False
             raise ConnectionResetError(errno.ECONNRESET, "reset")
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         readable, self.readable = self.readable, None
         if readable is not None:
             readable()
-        if self.writable is not None and (self.window or self.broken):
+        if self.writable is not None and (self.window or self.reset_received):
             self.writable()
 
 
@@ -300,7 +304,7 @@
     )
 
 
-def name_line(id: bytes) -> bytes:
+def request_id_line(id: bytes) -> bytes:
     """Return the Request-Id header line, or nothing for an empty id."""
     return b"Request-Id: %b\r\n" % id if id else b""
 
--- a/tests/support/failing_instances.py
+++ b/tests/support/failing_instances.py
@@ -15,11 +15,11 @@
 
 
 class ByName(LeastLoadedPlanner):
-    """Selects instances in the order of their names; prefills at the first of `readers` not excluded."""
+    """Selects instances in the order of their names; prefills at the first of `prefill_ids` not excluded."""
 
-    def __init__(self, *readers: str, expected_s: float = 0.05) -> None:
+    def __init__(self, *prefill_ids: str, expected_s: float = 0.05) -> None:
         super().__init__()
-        self.readers, self.expected_s = readers, expected_s
+        self.prefill_ids, self.expected_s = prefill_ids, expected_s
 
     def _rank(self, instance, zone):
         return instance.id
@@ -29,7 +29,7 @@
         planned = super().plan(request, now)
         if isinstance(planned, Rejection):
             return planned
-        reader = next((one for one in self.readers if one not in request.excluded), None)
+        reader = next((one for one in self.prefill_ids if one not in request.excluded), None)
         return replace(planned, prefill_instance=reader, expected_first_token_s=self.expected_s)
 
 
@@ -81,7 +81,7 @@
 
 
 @dataclass
-class Surplus(ModelServer):
+class RepeatedAnswers(ModelServer):
     """Repeats the previous answer when the next request arrives."""
 
     async def _answer(
@@ -93,10 +93,10 @@
 
 
 @dataclass
-class Forgetful(ModelServer):
-    """Drops a request that arrives on a connection that was idle for longer than `holds_s`."""
+class ShortKeepAlive(ModelServer):
+    """Drops a request that arrives on a connection that was idle for longer than `keep_alive_s`."""
 
-    holds_s: float = 0.3
+    keep_alive_s: float = 0.3
     reset: int = 0
 
     async def _answer(
@@ -104,28 +104,28 @@
     ) -> bool:
         now = asyncio.get_running_loop().time()
         since = writer.__dict__.get("answered_at", now)
-        if now - since > self.holds_s:
+        if now - since > self.keep_alive_s:
             self.reset += 1
             return False
-        going_on = await super()._answer(seen, reader, writer)
+        keep_open = await super()._answer(seen, reader, writer)
         writer.__dict__["answered_at"] = asyncio.get_running_loop().time()
-        return going_on
+        return keep_open
 
 
 @dataclass
-class LostHandles(ModelServer):
+class ExpiredHandles(ModelServer):
     """A prefill instance whose handles expire at once."""
 
-    lost: bool = True
+    expired: bool = True
 
     def _prefill(self, seen: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
-        going_on = super()._prefill(seen, writer)
-        if self.lost:
+        keep_open = super()._prefill(seen, writer)
+        if self.expired:
             self.handles.clear()
-        return going_on
+        return keep_open
 
 
-class Dark:
+class UnresponsiveAddress:
     """An address that does not respond to connection attempts, because its accept queue is full."""
 
     def __init__(self) -> None:
@@ -133,16 +133,16 @@
         self._listener.bind(("127.0.0.1", 0))
         self._listener.listen(0)
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
-        self._fill = []
+        self._pending = []
         for _ in range(4):
             one = socket.socket()
             one.setblocking(False)
             one.connect_ex(self._listener.getsockname())
-            self._fill.append(one)
+            self._pending.append(one)
 
     def close(self) -> None:
         """Close the sockets."""
-        for one in (*self._fill, self._listener):
+        for one in (*self._pending, self._listener):
             one.close()
 
 
@@ -162,14 +162,18 @@
         stage=instance.stage,
     )
     row.models.add(name="m", revision=1)
-    bench.tell(row)
+    bench.update_instances(row)
     return instance
 
 
-def add_dark(bench: Bench, id: str, dark: Dark, backend: str = "plain", stage: str = "") -> None:
+def add_unresponsive(
+    bench: Bench, id: str, unresponsive: UnresponsiveAddress, backend: str = "plain", stage: str = ""
+) -> None:
     """Add an unreachable instance to the gateway's instance table."""
-    bench.tell(
-        Instance(id=id, backend=backend, address=dark.address, zone="z1", slots=8, state=READY, stage=stage)
+    bench.update_instances(
+        Instance(
+            id=id, backend=backend, address=unresponsive.address, zone="z1", slots=8, state=READY, stage=stage
+        )
     )
 
 
@@ -178,4 +182,4 @@
     row = Instance()
     row.CopyFrom(bench.gateway.view.instances[id])
     row.state = state
-    bench.tell(row)
+    bench.update_instances(row)
--- a/tests/support/gateway_bench.py
+++ b/tests/support/gateway_bench.py
@@ -64,12 +64,12 @@
 
 @dataclass
 class Answer:
-    """A client's answer; `whole` if it is complete by its framing."""
+    """A client's answer; `complete` if it is complete by its framing."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    complete: bool
     chunks: list[bytes] = field(default_factory=list)
 
 
@@ -121,10 +121,10 @@
             id=id, backend=backend, address=instance.address, zone=zone, slots=8, state=READY, stage=stage
         )
         row.models.add(name="m", revision=1)
-        self.tell(row)
+        self.update_instances(row)
         return instance
 
-    def tell(self, *rows: Instance, ended: tuple[str, ...] = ()) -> None:
+    def update_instances(self, *rows: Instance, ended: tuple[str, ...] = ()) -> None:
         """Change the instance table as the feed does."""
         for row in rows:
             self._table[row.id] = row
@@ -136,7 +136,7 @@
         row = Instance()
         row.CopyFrom(self._table[id])
         row.state = DRAINS
-        self.tell(row)
+        self.update_instances(row)
 
     async def client(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         reader, writer = await asyncio.open_connection(*self.server.address)
@@ -191,7 +191,7 @@
             await reader.readline()
         else:
             answer.chunks.append(await reader.readexactly(int(answer.headers["content-length"])))
-        answer.whole = True
+        answer.complete = True
     except (asyncio.IncompleteReadError, ValueError, ConnectionResetError):
         pass
     answer.body = b"".join(answer.chunks)
--- a/tests/support/timed_instances.py
+++ b/tests/support/timed_instances.py
@@ -31,9 +31,9 @@
 
 @dataclass
 class Timed(ModelServer):
-    """Works `takes_s` seconds on each request before it answers; stops at once if its caller disconnects."""
+    """Works `service_time_s` seconds on each request, then answers; stops if its caller disconnects."""
 
-    takes_s: float = 0.0
+    service_time_s: float = 0.0
     arrivals: list[Arrival] = field(default_factory=list)
     working: int = 0  # requests in progress
 
@@ -44,8 +44,8 @@
             self.arrivals.append(Arrival(now(), seen))
         self.working += 1
         try:
-            if self.takes_s:
-                await self._work(reader, self.takes_s)
+            if self.service_time_s:
+                await self._work(reader, self.service_time_s)
             return await super()._answer(seen, reader, writer)
         finally:
             self.working -= 1
@@ -66,10 +66,10 @@
 
 
 @dataclass
-class Trickling(Timed):
-    """Sends an endless stream, or an endless plain answer, one piece every `apart_s` seconds."""
+class EndlessAnswers(Timed):
+    """Sends an endless stream, or an endless plain answer, one piece every `interval_s` seconds."""
 
-    apart_s: float = 0.2
+    interval_s: float = 0.2
     plain: bool = False
 
     async def _stream(
@@ -87,14 +87,14 @@
             number += 1
             body = b"x" * 70_000 if self.plain else b"id: %d\ndata: token\n\n" % number
             writer.write(chunk(body))
-            await self._work(reader, self.apart_s)
+            await self._work(reader, self.interval_s)
 
 
-class Held(ByName):
+class DelayedStart(ByName):
     """A planner that has every request wait `start_in_s` seconds before it is sent."""
 
-    def __init__(self, start_in_s: float, *readers: str) -> None:
-        super().__init__(*readers)
+    def __init__(self, start_in_s: float, *prefill_ids: str) -> None:
+        super().__init__(*prefill_ids)
         self.start_in_s = start_in_s
 
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
--- a/tests/support/virtual_time.py
+++ b/tests/support/virtual_time.py
@@ -15,7 +15,7 @@
 
 SETTLE_S = 0.0005  # real time given to loopback before the clock jumps
 START_S = 1000.0
-STUCK_S = 5.0  # real time to wait for input when there is no timer
+STUCK_TIMEOUT_S = 5.0  # real time to wait for input when there is no timer
 
 
 class _Selector(selectors.DefaultSelector):
@@ -28,7 +28,7 @@
         if found or timeout is not None and timeout <= 0:
             return found
         if timeout is None:
-            return super().select(STUCK_S)
+            return super().select(STUCK_TIMEOUT_S)
         found = super().select(SETTLE_S)
         if not found:
             self.loop.now += timeout
