--- a/tests/router/data_plane/test_data_plane_answers.py
+++ b/tests/router/data_plane/test_data_plane_answers.py
@@ -25,15 +25,15 @@
 
 ID = b"9c41d07be2a35f68"
 HEAD = b"POST / HTTP/1.1\r\ncontent-length: %d\r\n\r\n"
-LARGE = 2 * 1024 * 1024  # bytes: more than the small buffers below hold
-SMALL_BUFFER = 8 * 1024
+LARGE_BYTES = 2 * 1024 * 1024  # bytes: more than the small buffers below hold
+SMALL_BUFFER_BYTES = 8 * 1024
 EARLY = b"HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 2\r\n\r\nno"
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 NO_LENGTH = b"HTTP/1.1 200 OK\r\n\r\npart"
 
 
 @dataclass
-class Typed(ModelServer):
+class EventStreamType(ModelServer):
     """Answers with a given status and the content type of event streams."""
 
     status: int = 500
@@ -64,13 +64,13 @@
         return super()._prefill(seen, writer)
 
 
-class ToCallers(unittest.TestCase):
+class ClientAnswers(unittest.TestCase):
     """Answers to clients through the complete gateway."""
 
-    def test_a_failure_of_the_type_of_streams_is_passed_on_whole(self) -> None:
+    def test_failure_with_event_stream_type_is_forwarded_completely(self) -> None:
         async def scenario() -> None:
             async with Bench(planner=ByName()) as bench:
-                await add(bench, Typed("i-1", "decode"), ENGINE)
+                await add(bench, EventStreamType("i-1", "decode"), ENGINE)
                 answer = await bench.ask("/stream/")
                 self.assertEqual((answer.status, answer.complete, answer.body), (500, True, b"it failed"))
 
@@ -79,7 +79,7 @@
     def test_the_answer_to_head_has_no_body_whatever_its_type(self) -> None:
         async def scenario() -> None:
             async with Bench(planner=ByName()) as bench:
-                await add(bench, Typed("i-1", "decode", status=200), ENGINE)
+                await add(bench, EventStreamType("i-1", "decode", status=200), ENGINE)
                 reader, writer = await bench.client()
                 writer.write(request_bytes("/stream/", "HEAD", b""))
                 head = await reader.readuntil(b"\r\n\r\n")
@@ -89,7 +89,7 @@
 
         play(scenario())
 
-    def test_the_answer_behind_a_late_one_reaches_its_caller(self) -> None:
+    def test_answer_after_a_late_one_reaches_its_caller(self) -> None:
         @dataclass
         class Late(ModelServer):
             async def _answer(
@@ -146,24 +146,24 @@
         play(scenario())
 
 
-class Judged(unittest.TestCase):
+class AnswerChecks(unittest.TestCase):
     def answer(self, status: int, *ids: bytes) -> Message:
         message = Message()
         message.status = status
         message.headers = [(b"server-signature", b"s"), *((b"request-id", one) for one in ids)]
         return message
 
-    def test_statuses_that_are_none_of_a_final_answer(self) -> None:
+    def test_non_final_statuses_are_broken(self) -> None:
         for status in (0, 99, 101, 199, 600, 999):
             self.assertIs(judge_answer(self.answer(status, ID), ID, True), AttemptEnd.BROKEN, status)
 
-    def test_several_names_are_no_name(self) -> None:
+    def test_several_request_ids_are_broken(self) -> None:
         for ids in ((ID, b"other"), (b"other", ID), (ID, ID)):
             self.assertIs(judge_answer(self.answer(200, *ids), ID, True), AttemptEnd.BROKEN, ids)
 
 
-class InsideEvents(unittest.TestCase):
-    def test_what_is_passed_on_byte_by_byte_knows_where_an_event_ends(self) -> None:
+class EventEnds(unittest.TestCase):
+    def test_byte_by_byte_stream_tracks_event_ends(self) -> None:
         for ending in (b"\n\n", b"\r\n\r\n"):
             stream = b"id: 1" + ending + b"id: 2" + ending
             ends = {len(b"id: 1" + ending), len(stream)}
@@ -172,7 +172,7 @@
                 progress.feed(stream[position : position + 1])
                 self.assertEqual(progress.inside_event, position + 1 not in ends, (ending, position))
 
-    def test_one_that_is_resumable_too(self) -> None:
+    def test_resumable_stream_tracks_event_ends(self) -> None:
         progress = StreamProgress(True)
         progress.feed(b"id: 1\n\nid: 2\n")
         self.assertTrue(progress.inside_event)
@@ -188,10 +188,10 @@
 
         async def run_scenario() -> None:
             with socket.create_server(("127.0.0.1", 0)) as listener:
-                listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
+                listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
                 host, port = listener.getsockname()
                 link = await connect(f"{host}:{port}", 1.0, 1 << 20)
-                link.channel.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
+                link.channel.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
                 peer = listener.accept()[0]
                 try:
                     await scenario(link, peer)
@@ -205,42 +205,42 @@
     def test_an_early_answer_is_read_and_its_connection_not_used_again(self) -> None:
         async def scenario(link: Link, peer: socket.socket) -> None:
             peer.sendall(EARLY)
-            answer = await link.round_trip(HEAD % LARGE, b"b" * LARGE)
+            answer = await link.round_trip(HEAD % LARGE_BYTES, b"b" * LARGE_BYTES)
             self.assertEqual((answer.status, await link.read_body(answer)), (503, b"no"))
             self.assertEqual((link.request_sent, link.begun, link.reusable(answer)), (False, True, False))
 
         self.play(scenario)
 
-    def test_the_rest_of_a_body_is_sent_whole_behind_an_early_answer(self) -> None:
+    def test_rest_of_a_body_is_sent_completely_after_an_early_answer(self) -> None:
         async def scenario(link: Link, peer: socket.socket) -> None:
             peer.sendall(GOOD)
-            answer = await link.round_trip(HEAD % LARGE, b"b" * LARGE)
+            answer = await link.round_trip(HEAD % LARGE_BYTES, b"b" * LARGE_BYTES)
             await link.read_body(answer)
             peer.setblocking(False)
             got = b""
-            while len(got) < len(HEAD % LARGE) + LARGE:
+            while len(got) < len(HEAD % LARGE_BYTES) + LARGE_BYTES:
                 got += await asyncio.get_running_loop().sock_recv(peer, 65536)
-            self.assertEqual(got, HEAD % LARGE + b"b" * LARGE)
+            self.assertEqual(got, HEAD % LARGE_BYTES + b"b" * LARGE_BYTES)
             while not link.request_sent:
                 await asyncio.sleep(0)
             self.assertTrue(link.reusable(answer))
 
         self.play(scenario)
 
-    def test_a_reset_that_the_write_is_told_of_is_no_orderly_end(self) -> None:
+    def test_reset_reported_to_a_write_is_no_orderly_end(self) -> None:
         async def scenario(link: Link, peer: socket.socket) -> None:
             peer.sendall(NO_LENGTH)
-            answer = await link.round_trip(HEAD % LARGE, b"b" * LARGE)
+            answer = await link.round_trip(HEAD % LARGE_BYTES, b"b" * LARGE_BYTES)
             peer.close()  # resets the connection, because received bytes are unread
             with self.assertRaises(ConnectionBrokenError):
                 await link.read_body(answer)
 
         self.play(scenario)
 
-    def test_a_close_over_a_blocked_write_leaves_nothing_behind(self) -> None:
+    def test_close_during_a_blocked_write_ends_the_writer(self) -> None:
         async def scenario(link: Link, peer: socket.socket) -> None:
             peer.sendall(EARLY)
-            await link.round_trip(HEAD % LARGE, b"b" * LARGE)
+            await link.round_trip(HEAD % LARGE_BYTES, b"b" * LARGE_BYTES)
             writer = link._writer
             assert writer is not None
             self.assertFalse(writer.done())
@@ -251,7 +251,7 @@
         self.play(scenario)
 
 
-class Scripted:
+class ScriptedInstance:
     """An instance that sends the given answers, one for each request."""
 
     def __init__(self, *answers: bytes, first: bytes = b"") -> None:
@@ -280,7 +280,7 @@
 NAMED = NAMELESS.replace(b"Keep-Alive", b"Request-Id: 9c41d07be2a35f68\r\nKeep-Alive")
 
 
-class Pooled(unittest.TestCase):
+class PoolReuse(unittest.TestCase):
     """Connections that the pool must not reuse."""
 
     def free(self, answer: bytes) -> bool:
@@ -289,7 +289,7 @@
 
         async def scenario() -> None:
             nonlocal reused
-            instance = Scripted(answer)
+            instance = ScriptedInstance(answer)
             address = await instance.start()
             pool = LinkPool(10)
             release = HandleRelease(pool)
@@ -310,7 +310,7 @@
 
     def test_a_connection_belongs_to_one_address(self) -> None:
         async def scenario() -> None:
-            instances = Scripted(NAMELESS), Scripted(NAMELESS)
+            instances = ScriptedInstance(NAMELESS), ScriptedInstance(NAMELESS)
             addresses = [await one.start() for one in instances]
             pool = LinkPool(10)
             link = await pool.take("i-1", addresses[0], 1)
@@ -326,9 +326,9 @@
 
         play(scenario())
 
-    def test_one_on_which_something_came_before_the_request_is_none(self) -> None:
+    def test_connection_with_data_before_the_request_is_not_used(self) -> None:
         async def scenario() -> None:
-            instance = Scripted(first=NAMELESS)
+            instance = ScriptedInstance(first=NAMELESS)
             address = await instance.start()
 
             async def slowly(*arguments: object) -> Link:
--- a/tests/router/data_plane/test_data_plane_budget.py
+++ b/tests/router/data_plane/test_data_plane_budget.py
@@ -15,12 +15,12 @@
 WINDOW_S = 10.0
 SLICE_S = WINDOW_S / SLICES
 SEEDS = range(60)
-TINY = 1e-9
+TOLERANCE = 1e-9
 START = 1000.0
 
 
 @dataclass
-class Counted:
+class ObservedTimes:
     """What a service observed: the times of client requests and of retries (arrivals after the first)."""
 
     requests: list[float] = field(default_factory=list)
@@ -32,16 +32,16 @@
     return bisect_right(times, until) - bisect_left(times, since)
 
 
-def excess(counted: Counted, ratio: float, min_retries: float) -> float:
+def excess(observed: ObservedTimes, ratio: float, min_retries: float) -> float:
     """Return by how much the worst span exceeds the limit; 0 or less if none does.
 
     The counts change only where an end of one of the three spans passes a request, or where the span itself
     begins or ends with a retry.  All these times are examined, for requests just after the time.
     """
-    requests, retries = sorted(counted.requests), sorted(counted.retries)
+    requests, retries = sorted(observed.requests), sorted(observed.retries)
     shifts = (0.0, WINDOW_S, -WINDOW_S, WINDOW_S / 2, -WINDOW_S / 2)
     begins = set(retries) | {retry - WINDOW_S for retry in retries}
-    begins |= {request + shift + TINY for request in requests for shift in shifts}
+    begins |= {request + shift + TOLERANCE for request in requests for shift in shifts}
     worst = -min_retries
     for begin in begins:
         seen = count(retries, begin, begin + WINDOW_S)
@@ -67,11 +67,11 @@
         self.random, self.delay_s = random, delay_s
         self.settings = settings_from(random)
         self.budgets = [RetryBudget(self.settings) for _ in range(gateways)]
-        self.counted = Counted()
+        self.observed = ObservedTimes()
         self.rate, self.failing = 10.0, 0.5  # events per second; the fraction that causes retries
         self.shares = [1.0] * gateways
 
-    def play(self, seconds: float) -> Counted:
+    def play(self, seconds: float) -> ObservedTimes:
         for gateway in range(len(self.budgets)):
             self.request(gateway, START)
         for now in self._moments(START, START + seconds):
@@ -80,18 +80,18 @@
                 self.request(gateway, now)
             for _ in range(self.random.choice((0, 1, 4)) if self.random.random() < self.failing else 0):
                 self.retry(gateway, now)
-        return self.counted
+        return self.observed
 
     def excess(self) -> float:
-        return excess(self.counted, self.settings.ratio, self.settings.min_retries)
+        return excess(self.observed, self.settings.ratio, self.settings.min_retries)
 
     def request(self, gateway: int, now: float) -> None:
         self.budgets[gateway].request(now)
-        self.counted.requests.append(now)
+        self.observed.requests.append(now)
 
     def retry(self, gateway: int, now: float) -> None:
         if self.budgets[gateway].take(now, len(self.budgets)):
-            self.counted.retries.append(now + self.random.random() * self.delay_s)
+            self.observed.retries.append(now + self.random.random() * self.delay_s)
 
     def _moments(self, now: float, end: float) -> Iterator[float]:
         while now < end:
@@ -112,9 +112,9 @@
         granted = 0
         for seed in SEEDS:
             fleet = Fleet(Random(seed), 1, 0.0)
-            counted = fleet.play(40.0)
-            granted += len(counted.retries)
-            self.assertLessEqual(fleet.excess(), TINY, seed)
+            observed = fleet.play(40.0)
+            granted += len(observed.retries)
+            self.assertLessEqual(fleet.excess(), TOLERANCE, seed)
         self.assertGreater(granted, 500)
 
     def test_of_a_fleet_whose_sends_arrive_up_to_a_slice_later(self) -> None:
@@ -122,17 +122,21 @@
         for seed in SEEDS:
             random = Random(seed)
             fleet = Fleet(random, random.choice((2, 5, 12)), SLICE_S)
-            counted = fleet.play(40.0)
-            granted += len(counted.retries)
-            self.assertLessEqual(fleet.excess(), TINY, seed)
+            observed = fleet.play(40.0)
+            granted += len(observed.retries)
+            self.assertLessEqual(fleet.excess(), TOLERANCE, seed)
         self.assertGreater(granted, 500)
 
     def test_the_oracle_sees_one_retry_too_many(self) -> None:
         requests = [START + number for number in range(20)]
-        self.assertLessEqual(excess(Counted(requests, [START + 15.0, START + 15.1]), 0.2, 0), 0)
-        self.assertGreater(excess(Counted(requests, [START + 15.0, START + 15.1, START + 15.2]), 0.2, 0), 0)
-        self.assertGreater(excess(Counted(requests, [START + 35.0]), 0.2, 0), 0)  # long after the requests
-        self.assertLessEqual(excess(Counted(requests, [START + 35.0]), 0.2, 1), 0)
+        self.assertLessEqual(excess(ObservedTimes(requests, [START + 15.0, START + 15.1]), 0.2, 0), 0)
+        self.assertGreater(
+            excess(ObservedTimes(requests, [START + 15.0, START + 15.1, START + 15.2]), 0.2, 0), 0
+        )
+        self.assertGreater(
+            excess(ObservedTimes(requests, [START + 35.0]), 0.2, 0), 0
+        )  # long after the requests
+        self.assertLessEqual(excess(ObservedTimes(requests, [START + 35.0]), 0.2, 1), 0)
 
 
 class OneBudget(unittest.TestCase):
@@ -158,13 +162,13 @@
         self.assertGreater(retries / requests, 0.2 * 0.85)
         self.assertLessEqual(retries / requests, 0.2)
 
-    def test_gateways_share_the_least_number(self) -> None:
+    def test_gateways_share_min_retries(self) -> None:
         self.assertEqual(self.taken(self.budget(0.0, 12), START, 1), 12)
         self.assertEqual(self.taken(self.budget(0.0, 12), START, 4), 3)
         self.assertEqual(self.taken(self.budget(0.0, 12), START, 24), 0)
         self.assertEqual(self.taken(self.budget(0.0, 12), START, 0), 12)
 
-    def test_the_least_number_comes_back_after_a_window(self) -> None:
+    def test_min_retries_are_available_again_after_a_window(self) -> None:
         budget = self.budget(0.0, 3)
         self.assertEqual(self.taken(budget, START), 3)
         self.assertEqual(self.taken(budget, START + WINDOW_S), 0)
@@ -179,7 +183,7 @@
         budget.give_back(START)
         self.assertEqual(self.taken(budget, START), 2)
 
-    def test_a_service_that_wakes_is_as_good_as_new(self) -> None:
+    def test_service_after_idle_time_has_a_fresh_budget(self) -> None:
         old, new = self.budget(), self.budget()
         for number in range(100):
             old.request(START + number / 10)
@@ -189,7 +193,7 @@
                 budget.request(later + number / 100)
         self.assertEqual(old.available(later + 1.0, 1), new.available(later + 1.0, 1))
 
-    def test_bounded_by_what_is_kept(self) -> None:
+    def test_number_of_slices_is_bounded(self) -> None:
         budget = self.budget()
         for number in range(10_000):
             budget.request(START + number)
@@ -212,24 +216,26 @@
         self.assertIsNot(budgets.of("gone"), gone)
 
 
-class TheFleetsBound(unittest.TestCase):
+class FleetLimit(unittest.TestCase):
     """The budget that the role derives from the limits in its settings file."""
 
     GATEWAYS = 87
-    TOLD = 60  # reported by a member that does not know all gateways yet
+    REPORTED_GATEWAYS = 60  # reported by a member that does not know all gateways yet
     REQUESTS = 230  # client requests at each gateway in a window
-    CHECKS = 60  # calls that only check the configuration; they don't count for the fleet's limit
+    CONFIGURATION_CHECKS = (
+        60  # calls that only check the configuration; they don't count for the fleet's limit
+    )
 
-    def test_checks_and_a_low_count_of_gateways_stay_within_it(self) -> None:
+    def test_limit_holds_with_configuration_checks_and_a_low_gateway_count(self) -> None:
         bounds = Bounds(retry_budget_ratio=0.2, budget_window_s=WINDOW_S, min_retries=214)
         budget = RetryBudget(retry_budget(bounds))
-        for number in range(self.REQUESTS + self.CHECKS):
-            budget.request(START + WINDOW_S * number / (self.REQUESTS + self.CHECKS))
+        for number in range(self.REQUESTS + self.CONFIGURATION_CHECKS):
+            budget.request(START + WINDOW_S * number / (self.REQUESTS + self.CONFIGURATION_CHECKS))
         retries = 0
         for number in range(SLICES):
-            while budget.take(START + WINDOW_S + SLICE_S * number, self.TOLD):
+            while budget.take(START + WINDOW_S + SLICE_S * number, self.REPORTED_GATEWAYS):
                 retries += 1
-            for _ in range((self.REQUESTS + self.CHECKS) // SLICES):
+            for _ in range((self.REQUESTS + self.CONFIGURATION_CHECKS) // SLICES):
                 budget.request(START + WINDOW_S + SLICE_S * number)
         allowed = 0.2 * self.REQUESTS * self.GATEWAYS + 214
         self.assertGreater(retries, 0)
--- a/tests/router/data_plane/test_data_plane_feed_link.py
+++ b/tests/router/data_plane/test_data_plane_feed_link.py
@@ -20,7 +20,7 @@
 IP = "127.0.0.1"
 NOT_A_FRAME = b"\xff" * 16  # not the start of any protobuf message
 HELLO = FeedHello(gateway="g-1", configuration_revision=7)
-PATIENCE_S = 30.0  # of virtual time
+TEST_TIMEOUT_S = 30.0  # of virtual time
 
 
 class Member:
@@ -42,12 +42,12 @@
         self._server.close()
 
 
-class Script:
+class ScriptedSubscriber:
     """A subscriber with scripted actions that records what is reported to it."""
 
     def __init__(self, *actions: Action) -> None:
         self.actions = list(actions)
-        self.told: list[tuple[str, str]] = []
+        self.reports: list[tuple[str, str]] = []
         self.frames: list[FeedFrame] = []
 
     def next_action(self, now: float) -> Action:
@@ -57,10 +57,10 @@
         return HELLO
 
     def connected(self, address: str, now: float) -> None:
-        self.told.append(("connected", address))
+        self.reports.append(("connected", address))
 
     def failed(self, address: str, now: float) -> None:
-        self.told.append(("failed", address))
+        self.reports.append(("failed", address))
 
     def received(self, frame: FeedFrame, now: float) -> FeedEvents[Configuration]:
         self.frames.append(frame)
@@ -70,7 +70,7 @@
 class Bench:
     """A feed link with its scripted subscriber, run as a task."""
 
-    def __init__(self, script: Script) -> None:
+    def __init__(self, script: ScriptedSubscriber) -> None:
         self.script, self.changes = script, 0
         subscriber = cast(FeedSubscriber[Configuration], script)
         self.link = FeedLink(subscriber, self._changed)
@@ -89,7 +89,7 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
 
@@ -116,31 +116,31 @@
 
     def test_says_hello_and_hands_on_each_frame(self) -> None:
         async def scenario(member: Member, _: Member) -> None:
-            async with Bench(Script(Connect(member.address))) as bench:
+            async with Bench(ScriptedSubscriber(Connect(member.address))) as bench:
                 await until(lambda: member.frames)
                 self.assertEqual(member.frames[0].gateway.hello, HELLO)
                 for number in range(3):
                     member.connections[0].send(frame(number))
                 await until(lambda: bench.changes == 3)
                 self.assertEqual([one.heartbeat.gateways for one in bench.script.frames], [0, 1, 2])
-                self.assertEqual(bench.script.told, [("connected", member.address)])
+                self.assertEqual(bench.script.reports, [("connected", member.address)])
 
         self.play(scenario)
 
-    def test_a_refused_connection_is_told(self) -> None:
+    def test_refused_connection_is_reported(self) -> None:
         async def scenario(member: Member, other: Member) -> None:
             other.stop()
             for bad in (other.address, "nonsense"):
-                async with Bench(Script(Connect(bad), Connect(member.address))) as bench:
-                    await until(lambda bench=bench: len(bench.script.told) == 2)
-                    self.assertEqual(bench.script.told, [("failed", bad), ("connected", member.address)])
+                async with Bench(ScriptedSubscriber(Connect(bad), Connect(member.address))) as bench:
+                    await until(lambda bench=bench: len(bench.script.reports) == 2)
+                    self.assertEqual(bench.script.reports, [("failed", bad), ("connected", member.address)])
 
         self.play(scenario)
 
-    def test_an_end_by_the_member_is_told_at_once(self) -> None:
+    def test_disconnect_by_the_member_is_reported_at_once(self) -> None:
         async def scenario(member: Member, other: Member) -> None:
             now = asyncio.get_running_loop().time
-            script = Script(Connect(member.address), Wait(now() + 60.0), Connect(other.address))
+            script = ScriptedSubscriber(Connect(member.address), Wait(now() + 60.0), Connect(other.address))
             async with Bench(script) as bench:
                 await until(lambda: member.frames)
                 began = now()
@@ -148,25 +148,27 @@
                 await until(lambda: other.frames)
                 self.assertLess(now() - began, 1.0)
                 first, second = member.address, other.address
-                told = [("connected", first), ("failed", first), ("connected", second)]
-                self.assertEqual(bench.script.told, told)
+                reports = [("connected", first), ("failed", first), ("connected", second)]
+                self.assertEqual(bench.script.reports, reports)
 
         self.play(scenario)
 
-    def test_a_feed_that_is_given_up_is_closed_and_not_told_as_failed(self) -> None:
+    def test_closed_feed_is_not_reported_as_failed(self) -> None:
         async def scenario(member: Member, other: Member) -> None:
-            script = Script(Connect(member.address), Close(member.address), Connect(other.address))
+            script = ScriptedSubscriber(
+                Connect(member.address), Close(member.address), Connect(other.address)
+            )
             async with Bench(script) as bench:
                 await until(lambda: other.frames and member.ended)
-                told = [("connected", member.address), ("connected", other.address)]
-                self.assertEqual(bench.script.told, told)
+                reports = [("connected", member.address), ("connected", other.address)]
+                self.assertEqual(bench.script.reports, reports)
                 self.assertFalse(member.connections[0].open)
 
         self.play(scenario)
 
     def test_a_new_connection_ends_the_one_before(self) -> None:
         async def scenario(member: Member, other: Member) -> None:
-            async with Bench(Script(Connect(member.address), Connect(other.address))) as bench:
+            async with Bench(ScriptedSubscriber(Connect(member.address), Connect(other.address))) as bench:
                 await until(lambda: other.frames and member.ended)
                 other.connections[0].send(frame(2))
                 await until(lambda: bench.changes)
@@ -174,13 +176,13 @@
 
         self.play(scenario)
 
-    def test_what_is_no_message_ends_the_feed_and_nothing_behind_it_counts(self) -> None:
+    def test_malformed_message_ends_the_feed_and_later_frames_are_ignored(self) -> None:
         async def scenario(member: Member, _: Member) -> None:
-            async with Bench(Script(Connect(member.address), Wait(0.0))) as bench:
+            async with Bench(ScriptedSubscriber(Connect(member.address), Wait(0.0))) as bench:
                 await until(lambda: member.frames)
                 bad = HEADER.pack(len(NOT_A_FRAME)) + NOT_A_FRAME
                 member.connections[0].send_encoded(bad + encode_frame(frame(1)))
-                await until(lambda: ("failed", member.address) in bench.script.told)
+                await until(lambda: ("failed", member.address) in bench.script.reports)
                 await until(lambda: member.ended)
                 self.assertEqual(bench.changes, 0)
 
@@ -188,7 +190,7 @@
 
     def test_frames_go_to_the_member_that_is_followed(self) -> None:
         async def scenario(member: Member, _: Member) -> None:
-            async with Bench(Script(Wait(0.0), Connect(member.address))) as bench:
+            async with Bench(ScriptedSubscriber(Wait(0.0), Connect(member.address))) as bench:
                 self.assertFalse(bench.link.send(GatewayFrame()))
                 await until(lambda: member.frames)
                 self.assertTrue(bench.link.send(GatewayFrame(hello=FeedHello(gateway="again"))))
@@ -199,7 +201,7 @@
 
     def test_the_end_closes_the_connection(self) -> None:
         async def scenario(member: Member, _: Member) -> None:
-            async with Bench(Script(Connect(member.address))) as bench:
+            async with Bench(ScriptedSubscriber(Connect(member.address))) as bench:
                 await until(lambda: member.frames)
             await until(lambda: member.ended)
             self.assertFalse(bench.link.send(GatewayFrame()))
--- a/tests/router/data_plane/test_data_plane_idle.py
+++ b/tests/router/data_plane/test_data_plane_idle.py
@@ -28,14 +28,14 @@
         for seconds in range(1, 200):
             self.assertLess(idle_s(b"timeout=%d" % seconds), seconds)
 
-    def test_none_is_left_where_it_is_to_be_closed_at_once(self) -> None:
+    def test_zero_timeout_allows_no_idle_time(self) -> None:
         self.assertEqual(idle_s(b"timeout=0"), 0.0)
 
     def test_long_ones_are_bounded(self) -> None:
         for value in (b"timeout=61", b"timeout=99999999"):
             self.assertEqual(idle_s(value), MAX_IDLE_S * IDLE_TIMEOUT_FRACTION, value)
 
-    def test_little_where_nothing_can_be_read(self) -> None:
+    def test_short_default_for_missing_or_malformed_values(self) -> None:
         for values in (
             (),
             (b"",),
--- a/tests/router/data_plane/test_data_plane_path.py
+++ b/tests/router/data_plane/test_data_plane_path.py
@@ -20,10 +20,10 @@
 from mallowbeam.router.data_plane.retry_budget import BudgetSettings
 from mallowbeam.standins.model_server import Fault
 
-PATIENCE_S = 20.0  # for steps that take milliseconds; only a failure takes this long
+TEST_TIMEOUT_S = 20.0  # for steps that take milliseconds; only a failure takes this long
 
 
-class OneByName(LeastLoadedPlanner):
+class FirstByName(LeastLoadedPlanner):
     """Selects instances in the order of their names, so that the order of attempts is known."""
 
     def _rank(self, instance, zone):
@@ -34,7 +34,7 @@
         return planned if isinstance(planned, Rejection) else replace(planned, engine_priority=3)
 
 
-class WithPrefill(OneByName):
+class WithPrefill(FirstByName):
     """Has prompts prefilled at one instance first."""
 
     def __init__(self, prefill: str) -> None:
@@ -48,7 +48,7 @@
         return replace(planned, prefill_instance=self.prefill)
 
 
-class Refusing(OneByName):
+class Refusing(FirstByName):
     def plan(self, request: PlanRequest, now: float) -> Plan | Rejection:
         return Rejection(0.7, RejectionReason.NO_CYCLE)
 
@@ -130,7 +130,7 @@
 
         Returns the answer and the arrivals at each instance.
         """
-        async with Bench(planner=OneByName(), **({"budget": budget} if budget else {})) as bench:
+        async with Bench(planner=FirstByName(), **({"budget": budget} if budget else {})) as bench:
             first, second = await bench.add("i-1"), await bench.add("i-2")
             first.script.extend(faults)
             answer = await bench.ask(path)
@@ -165,7 +165,7 @@
         self.assertEqual((answer.status, first, second), (503, 1, 0))
 
     async def test_silence_up_to_the_deadline(self):
-        async with Bench(planner=OneByName()) as bench:
+        async with Bench(planner=FirstByName()) as bench:
             one = await bench.add("i-1")
             one.script.append(Fault.SILENT)
             answer = await bench.ask("/unsafe/", headers={"Deadline-Ms": "800"})
@@ -173,14 +173,14 @@
 
     async def test_refused_connection_costs_no_arrival(self):
         none = BudgetSettings(ratio=0.0, min_retries=0)
-        async with Bench(planner=OneByName(), budget=none) as bench:
+        async with Bench(planner=FirstByName(), budget=none) as bench:
             first, second = await bench.add("i-1"), await bench.add("i-2")
             await first.stop()
             answer = await bench.ask("/unsafe/")
             self.assertEqual((answer.status, len(second.seen)), (200, 1))
 
     async def test_surplus_answer_reaches_nobody(self):
-        async with Bench(planner=OneByName()) as bench:
+        async with Bench(planner=FirstByName()) as bench:
             one = await bench.add("i-1")
             one.script.append(Fault.SURPLUS)
             reader, writer = await bench.client()
@@ -190,7 +190,7 @@
             self.assertEqual(one.connections, 2)
 
     async def test_draining_instance_gets_nothing(self):
-        async with Bench(planner=OneByName()) as bench:
+        async with Bench(planner=FirstByName()) as bench:
             first, second = await bench.add("i-1"), await bench.add("i-2")
             bench.drain("i-1")
             self.assertEqual((await bench.ask("/safe/")).status, 200)
@@ -199,7 +199,7 @@
 
 class Streams(unittest.IsolatedAsyncioTestCase):
     async def test_events_go_out_as_they_come(self):
-        async with Bench(planner=OneByName()) as bench:
+        async with Bench(planner=FirstByName()) as bench:
             gate = asyncio.Event()
             one = await bench.add("i-1", ENGINE, "decode", gate=gate)
             reader, writer = await bench.client()
@@ -212,17 +212,17 @@
             self.assertIn(b"token 5", rest)
             self.assertEqual((head.status, one.seen[0].headers["priority"]), (200, "3"))
 
-    async def test_cut_stream_looks_cut(self):
-        async with Bench(planner=OneByName()) as bench:
+    async def test_truncated_stream_looks_truncated(self):
+        async with Bench(planner=FirstByName()) as bench:
             one, two = await bench.add("i-1", ENGINE, "decode"), await bench.add("i-2", ENGINE, "decode")
             one.script.append(Fault.TRUNCATED)
             answer = await bench.ask("/stream/")
             self.assertEqual((answer.status, answer.complete, len(two.seen)), (200, False, 0))
             self.assertTrue(answer.body.startswith(events(1, 2)))
 
-    async def test_resumed_behind_the_last_whole_event(self):
+    async def test_resumed_after_the_last_complete_event(self):
         for fault in (Fault.TRUNCATED, Fault.REPEAT_ID, Fault.STALLED):
-            async with Bench(planner=OneByName()) as bench:
+            async with Bench(planner=FirstByName()) as bench:
                 one, two = await bench.add("i-1", ENGINE, "decode"), await bench.add("i-2", ENGINE, "decode")
                 one.script.append(fault)
                 answer = await bench.ask("/resume/", headers={"Deadline-Ms": "2000"})
@@ -231,20 +231,20 @@
                 self.assertEqual(two.seen[0].headers["last-event-id"], "2")
 
     async def test_clients_own_last_event_id_goes_on(self):
-        async with Bench(planner=OneByName()) as bench:
+        async with Bench(planner=FirstByName()) as bench:
             one = await bench.add("i-1", ENGINE, "decode")
             answer = await bench.ask("/resume/", headers={"Last-Event-Id": "3"})
             self.assertEqual(answer.body, events(4))
             self.assertEqual(one.seen[0].headers["last-event-id"], "3")
 
     async def test_client_that_leaves_ends_the_attempt(self):
-        async with Bench(planner=OneByName()) as bench:
+        async with Bench(planner=FirstByName()) as bench:
             one = await bench.add("i-1", ENGINE, "decode", gate=asyncio.Event())
             reader, writer = await bench.client()
             writer.write(request_bytes("/stream/"))
             await read_head(reader)
             writer.close()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 while not one.cancelled:
                     await asyncio.sleep(0)
 
@@ -252,7 +252,7 @@
 class Resumptions(unittest.IsolatedAsyncioTestCase):
     async def test_the_gateway_s_headers_replace_the_client_s(self):
         """Guards against sending two Last-Event-Id headers, the client's and the gateway's."""
-        async with Bench(planner=OneByName()) as bench:
+        async with Bench(planner=FirstByName()) as bench:
             one, two = await bench.add("i-1", ENGINE, "decode"), await bench.add("i-2", ENGINE, "decode")
             one.script.append(Fault.TRUNCATED)
             answer = await bench.ask("/resume/", headers={"Last-Event-Id": "1", "Priority": "7"})
@@ -287,7 +287,7 @@
             await bench.add("d-2", ENGINE, "decode"),
         )
 
-    async def test_without_a_prompt_nothing_is_read_apart(self):
+    async def test_no_separate_prefill_without_a_prompt(self):
         """A prefill instance executes a request without a prompt, so it would run at one more instance."""
         async with Bench(planner=WithPrefill("p-1")) as bench:
             prefill, decode, _ = await self.bench(bench)
@@ -295,7 +295,7 @@
             self.assertEqual((answer.complete, answer.body), (True, events()))
             self.assertEqual((len(prefill.seen), len(decode.seen)), (0, 1))
 
-    async def test_prompt_is_read_first_and_its_memory_handed_over(self):
+    async def test_prompt_is_prefilled_and_its_kv_cache_handed_over(self):
         async with Bench(planner=WithPrefill("p-1")) as bench:
             prefill, decode, _ = await self.bench(bench)
             answer = await bench.ask("/stream/")
@@ -306,7 +306,7 @@
             self.assertTrue(decode.seen[0].headers["kv-from"].startswith(prefill.address + "/"))
             self.assertEqual((prefill.handles, prefill.freed), (set(), []))
 
-    async def test_failed_prefill_leaves_it_to_decode(self):
+    async def test_decode_instance_prefills_after_a_failed_prefill_call(self):
         for fault in (Fault.REJECT, Fault.RESET, Fault.FAIL):
             async with Bench(planner=WithPrefill("p-1")) as bench:
                 prefill, decode, _ = await self.bench(bench)
@@ -323,7 +323,7 @@
             await bench.gateway.handles.finish()
             self.assertEqual((prefill.handles, len(prefill.freed)), (set(), 1))
 
-    async def test_memory_that_cannot_be_had_is_read_anew_at_the_same_instance(self):
+    async def test_failed_kv_transfer_is_prefilled_again_at_the_same_instance(self):
         """The request goes to no further instance, because the route allows only one."""
         async with Bench(planner=WithPrefill("p-1")) as bench:
             prefill, decode, other = await self.bench(bench)
@@ -333,7 +333,7 @@
             self.assertEqual(["kv-from" in seen.headers for seen in decode.seen], [True, False])
             self.assertEqual((len(prefill.seen), len(other.seen)), (1, 0))
 
-    async def test_an_instance_that_rejects_twice_is_left(self):
+    async def test_instance_that_rejects_twice_is_not_retried(self):
         async with Bench(planner=WithPrefill("p-1")) as bench:
             prefill, decode, other = await self.bench(bench)
             decode.script += [Fault.REJECT, Fault.REJECT]
@@ -347,7 +347,7 @@
             decode.script.append(Fault.SILENT)
             _, writer = await bench.client()
             writer.write(request_bytes("/stream/"))
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 while not decode.seen:
                     await asyncio.sleep(0)
                 writer.close()
--- a/tests/router/data_plane/test_data_plane_request.py
+++ b/tests/router/data_plane/test_data_plane_request.py
@@ -120,13 +120,13 @@
         weighted = route("a.example", "/", ("a", 1), ("b", 1))
         self.assertEqual(len({choose_backend(weighted, REQUEST_ID) for _ in range(10)}), 1)
 
-    def test_one_that_has_a_weight_takes_all(self) -> None:
+    def test_only_service_with_a_weight_gets_all_requests(self) -> None:
         self.assertEqual(choose_backend(route("h", "/", ("a", 0), ("b", 3)), REQUEST_ID), "b")
         self.assertEqual(choose_backend(route("h", "/", ("a", 0)), REQUEST_ID), "")
 
 
 class Reading(unittest.TestCase):
-    def test_all_that_a_request_says(self) -> None:
+    def test_all_headers_are_parsed(self) -> None:
         seen = read(
             (b"deadline-ms", b"3000"),
             (b"last-event-id", b"12"),
@@ -157,7 +157,7 @@
             with self.subTest(bad), self.assertRaises(BadRequestError):
                 read_request(message(request_id=bad))
 
-    def test_what_would_be_read_in_two_ways_is_refused(self) -> None:
+    def test_repeated_headers_are_refused(self) -> None:
         for name in (b"request-id", b"host", b"deadline-ms", b"last-event-id"):
             with self.subTest(name), self.assertRaisesRegex(BadRequestError, "twice"):
                 read((name, b"1"), (name, b"2"))
--- a/tests/router/data_plane/test_data_plane_role.py
+++ b/tests/router/data_plane/test_data_plane_role.py
@@ -26,7 +26,7 @@
 )
 from mallowbeam.standins.model_server import ModelServer
 
-PATIENCE_S = 60.0  # for steps that take a second; only a failure takes this long
+TEST_TIMEOUT_S = 60.0  # for steps that take a second; only a failure takes this long
 HEARTBEAT = FeedHeartbeat(gateways=1, table_complete=True)
 SETTINGS = """
 node_name = "edge-1"
@@ -69,7 +69,7 @@
 
     def __init__(self, instance: ModelServer) -> None:
         self.instance, self.hellos = instance, []
-        self.told = asyncio.Event()  # set once the member may send its data
+        self.data_released = asyncio.Event()  # set once the member may send its data
 
     def opened(self, connection: FrameConnection) -> None:
         pass
@@ -83,7 +83,7 @@
 
     async def feed(self, connection: FrameConnection) -> None:
         connection.send(FeedFrame(heartbeat=FeedHeartbeat(gateways=1)))
-        await self.told.wait()
+        await self.data_released.wait()
         row = Instance(
             id=self.instance.id,
             backend="plain",
@@ -121,7 +121,7 @@
 
 
 async def until(port: int, status: int) -> None:
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while await ready(port) != status:
             await asyncio.sleep(0.02)
 
@@ -146,7 +146,7 @@
                 stderr=asyncio.subprocess.PIPE,
             )
             try:
-                await self.walk(process, member, front, readiness)
+                await self.run_lifecycle(process, member, front, readiness)
             finally:
                 if process.returncode is None:
                     process.kill()
@@ -156,17 +156,19 @@
         server.close()
         await instance.stop()
 
-    async def walk(self, process: asyncio.subprocess.Process, member: Member, front: int, readiness: int):
+    async def run_lifecycle(
+        self, process: asyncio.subprocess.Process, member: Member, front: int, readiness: int
+    ):
         await until(readiness, 503)
         self.assertEqual((await ask(front, request_bytes("/safe/"))).status, 503)
-        member.told.set()
+        member.data_released.set()
         await until(readiness, 200)
         self.assertEqual((member.hellos[0].gateway, member.hellos[0].zone), ("edge-1", "z1"))
         self.assertEqual((await ask(front, request_bytes("/safe/"))).body, b"answer")
         process.send_signal(signal.SIGTERM)
         await until(readiness, 503)
         self.assertEqual((await ask(front, request_bytes("/safe/"))).status, 200)  # still accepted
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await process.wait()
 
 
--- a/tests/router/data_plane/test_data_plane_sends.py
+++ b/tests/router/data_plane/test_data_plane_sends.py
@@ -33,7 +33,7 @@
 DID_NOT_RUN = (AttemptEnd.REJECTED, AttemptEnd.MISDIRECTED)
 
 
-class Counting(RetryBudget):
+class FixedBudget(RetryBudget):
     """A budget of a fixed size that records its use."""
 
     def __init__(self, size: int = 1000) -> None:
@@ -55,7 +55,7 @@
 
 class OneRequest(unittest.TestCase):
     def policy(self, idempotent: bool = True, most: int = 3, budget: RetryBudget | None = None) -> SendPolicy:
-        return SendPolicy(budget if budget is not None else Counting(), idempotent, most)
+        return SendPolicy(budget if budget is not None else FixedBudget(), idempotent, most)
 
     def sent(self, policy: SendPolicy, instance: str) -> SendTicket:
         ticket = policy.send(instance, NOW, 1)
@@ -65,20 +65,20 @@
 
 class Sends(OneRequest):
     def test_the_first_send_costs_nothing_and_each_later_one_is_charged(self) -> None:
-        budget = Counting()
+        budget = FixedBudget()
         policy = self.policy(budget=budget)
         for number in range(3):
             policy.ended(self.sent(policy, f"i-{number}"), AttemptEnd.REJECTED, NOW)
             self.assertEqual(budget.taken, number)
 
     def test_without_budget_there_is_no_second_send(self) -> None:
-        policy = self.policy(budget=Counting(0))
+        policy = self.policy(budget=FixedBudget(0))
         policy.ended(self.sent(policy, "i-1"), AttemptEnd.REJECTED, NOW)
         self.assertIsNone(policy.send("i-2", NOW, 1))
 
     def test_what_never_arrived_costs_nothing(self) -> None:
         for end in NEVER_ARRIVED:
-            budget = Counting(0)
+            budget = FixedBudget(0)
             policy = self.policy(idempotent=False, most=1, budget=budget)
             policy.ended(self.sent(policy, "i-1"), end, NOW)
             self.assertTrue(policy.may_continue(), end)
@@ -126,7 +126,7 @@
         self.assertEqual(failures, MAX_CONNECT_FAILURES)
         self.assertIsNone(policy.send("another", NOW, 1))
 
-    def test_the_status_promises_nothing_that_is_not_so(self) -> None:
+    def test_status_503_only_if_the_request_has_not_run(self) -> None:
         policy = self.policy()
         self.assertEqual([policy.status_when_abandoned(late) for late in (False, True)], [UNAVAILABLE] * 2)
         policy.ended(self.sent(policy, "i-1"), AttemptEnd.REJECTED, NOW)
@@ -138,38 +138,38 @@
 
 
 class Prompts(OneRequest):
-    def test_the_first_prefill_call_is_no_arrival_once_it_is_taken_up(self) -> None:
-        budget = Counting(0)
+    def test_accepted_first_prefill_call_is_no_arrival(self) -> None:
+        budget = FixedBudget(0)
         policy = self.policy(idempotent=False, most=1, budget=budget)
         self.assertTrue(policy.may_prefill_separately())
         policy.prefill_accepted(self.sent(policy, "p-1"), NOW)
         self.sent(policy, "d-1")
         self.assertEqual(budget.taken, 0)
 
-    def test_a_rejected_prefill_call_is_one(self) -> None:
-        budget = Counting()
+    def test_rejected_prefill_call_is_an_arrival(self) -> None:
+        budget = FixedBudget()
         policy = self.policy(idempotent=False, budget=budget)
         policy.prefill_failed(self.sent(policy, "p-1"), AttemptEnd.REJECTED, NOW)
         self.assertFalse(policy.may_prefill_separately())
         self.sent(policy, "d-1")
         self.assertEqual((budget.taken, policy.may_have_run), (1, False))
 
-    def test_one_that_never_arrived_costs_nothing(self) -> None:
-        budget = Counting(0)
+    def test_prefill_call_that_never_arrived_costs_nothing(self) -> None:
+        budget = FixedBudget(0)
         policy = self.policy(idempotent=False, most=1, budget=budget)
         policy.prefill_failed(self.sent(policy, "p-1"), AttemptEnd.NO_CONNECTION, NOW)
         self.assertTrue(policy.may_prefill_separately())
         self.sent(policy, "d-1")
         self.assertEqual(budget.taken, 0)
 
-    def test_whatever_became_of_it_the_request_has_not_run(self) -> None:
+    def test_request_has_not_run_after_any_failed_prefill_call(self) -> None:
         for end in (*MAY_HAVE_RUN, *DID_NOT_RUN):
             policy = self.policy(idempotent=False)
             policy.prefill_failed(self.sent(policy, "p-1"), end, NOW)
             self.assertEqual((policy.may_have_run, policy.excluded), (False, {"p-1"}), end)
             self.sent(policy, "d-1")
 
-    def test_none_is_read_apart_once_something_has_arrived(self) -> None:
+    def test_no_separate_prefill_after_an_arrival(self) -> None:
         policy = self.policy()
         policy.ended(self.sent(policy, "d-1"), AttemptEnd.REJECTED, NOW)
         self.assertFalse(policy.may_prefill_separately())
@@ -178,7 +178,7 @@
 class AnyOrder(unittest.TestCase):
     """Random sends, checked against a record of what the instances received."""
 
-    def play(self, random: Random, idempotent: bool, most: int, budget: Counting) -> None:
+    def play(self, random: Random, idempotent: bool, most: int, budget: FixedBudget) -> None:
         policy = SendPolicy(budget, idempotent, most)
         arrived: list[str] = []
         ran = False
@@ -201,7 +201,7 @@
         for seed in SEEDS:
             random = Random(seed)
             with self.subTest(seed):
-                budget = Counting(random.choice((0, 2, 100)))
+                budget = FixedBudget(random.choice((0, 2, 100)))
                 self.play(random, random.random() < 0.5, random.randrange(5), budget)
 
 
@@ -216,7 +216,7 @@
 NOT_EXECUTED = (b"not-executed", b"1")
 
 
-class Proofs(unittest.TestCase):
+class AnswerClassification(unittest.TestCase):
     def judged(self, read: Message, first: bool = True, signed: bool = True) -> AttemptEnd:
         return judge_answer(read, ID, first, signed)
 
@@ -258,16 +258,16 @@
             ):
                 self.assertEqual(self.judged(read, first), AttemptEnd.BROKEN)
 
-    def test_one_without_a_name_counts_where_there_was_no_earlier_request(self) -> None:
+    def test_answer_without_an_id_counts_only_for_the_first_request(self) -> None:
         self.assertEqual(self.judged(answer(503, NOT_EXECUTED, id=None)), AttemptEnd.REJECTED)
         self.assertEqual(self.judged(answer(503, NOT_EXECUTED, id=None), first=False), AttemptEnd.BROKEN)
 
-    def test_no_promise_of_an_instance_is_passed_on_unproven(self) -> None:
+    def test_unproven_not_run_statuses_are_not_forwarded(self) -> None:
         self.assertEqual(
             {status for status in range(200, 600) if not may_forward(answer(status))}, NOT_RUN_STATUSES
         )
 
-    def test_when_to_come_again(self) -> None:
+    def test_retry_after(self) -> None:
         for value, expected in (
             (b"0.25", 0.25),
             (b"3", 3.0),
--- a/tests/router/data_plane/test_decision_log.py
+++ b/tests/router/data_plane/test_decision_log.py
@@ -18,7 +18,7 @@
 REQUEST = PlanRequest("r", "models", None, prompt_tokens=9000, answer_tokens=7, target_latency_s=0.5)
 
 
-class Decides(LeastLoadedPlanner):
+class FixedDecision(LeastLoadedPlanner):
     """A planner that always returns the same decision."""
 
     def __init__(self, planned: Plan | Rejection) -> None:
@@ -48,7 +48,7 @@
         self, planned: Plan | Rejection, steps: list[tuple[str, float]], end: float | None
     ) -> list[str]:
         lines: list[str] = []
-        log = DecisionLog(Decides(planned), lines.append)
+        log = DecisionLog(FixedDecision(planned), lines.append)
         log.plan(REQUEST, 10.0)
         for step, now in steps:
             getattr(log, step)(1, now)
@@ -57,7 +57,7 @@
             log.finished(1, Outcome.COMPLETED, end)  # a second end logs nothing
         return lines
 
-    def test_a_request_that_was_read_apart(self) -> None:
+    def test_separately_prefilled_request(self) -> None:
         steps = [("begun", 10.25), ("prefill_done", 10.5), ("first_token", 10.6)]
         (line,) = self.lines(plan(), steps, 10.75)
         for word in (
--- a/tests/router/data_plane/test_relay_timeouts.py
+++ b/tests/router/data_plane/test_relay_timeouts.py
@@ -12,12 +12,12 @@
 from mallowbeam.router.streams.timeouts import client_timeout_s, resume_timeout_s
 
 TARGET_S, GAP_S, TIME_S = 0.25, 0.3, 60.0
-INSTANCES = 2  # to which a request may be sent
+MAX_INSTANCES = 2  # to which a request may be sent
 
 
-def patience_after(sends: int, resumable: bool = True) -> float:
+def stall_timeout_after(sends: int, resumable: bool = True) -> float:
     """Return the stall time-out of a stream after this number of sends."""
-    policy = SendPolicy(SimpleNamespace(take=lambda now, gateways: True), True, INSTANCES)
+    policy = SendPolicy(SimpleNamespace(take=lambda now, gateways: True), True, MAX_INSTANCES)
     for number in range(sends):
         ticket = policy.send(f"i-{number}", 0.0, 1)
         assert ticket is not None
@@ -33,16 +33,16 @@
 
 
 class SilenceTimeouts(unittest.TestCase):
-    def test_a_stream_that_may_be_taken_up_elsewhere(self) -> None:
-        self.assertEqual(patience_after(1), resume_timeout_s(GAP_S))
+    def test_resumable_stream_with_instances_left(self) -> None:
+        self.assertEqual(stall_timeout_after(1), resume_timeout_s(GAP_S))
 
-    def test_a_stream_at_the_last_instance_that_it_may_have(self) -> None:
+    def test_stream_at_its_last_instance(self) -> None:
         """Cutting the stream before its client gives up would lose the answer needlessly."""
-        self.assertEqual(patience_after(INSTANCES), client_timeout_s(TARGET_S, GAP_S))
-        self.assertGreater(patience_after(INSTANCES), patience_after(1))
+        self.assertEqual(stall_timeout_after(MAX_INSTANCES), client_timeout_s(TARGET_S, GAP_S))
+        self.assertGreater(stall_timeout_after(MAX_INSTANCES), stall_timeout_after(1))
 
     def test_a_stream_that_may_not_be_resumed(self) -> None:
-        self.assertEqual(patience_after(1, resumable=False), client_timeout_s(TARGET_S, GAP_S))
+        self.assertEqual(stall_timeout_after(1, resumable=False), client_timeout_s(TARGET_S, GAP_S))
 
 
 if __name__ == "__main__":
--- a/tests/router/data_plane/test_rules_budget.py
+++ b/tests/router/data_plane/test_rules_budget.py
@@ -21,12 +21,12 @@
     route("/resume/", "stream", ENGINE, resumable=True, gap_aim_ms=100, max_retries=3),
 )
 BUDGET = 50
-MOST_INSTANCES = 3  # of each route
+MAX_INSTANCES = 3  # of each route
 
 
-def one_too_many(arrivals: int, first_prefill_taken: bool) -> int:
+def expected_charge(arrivals: int, first_prefill_accepted: bool) -> int:
     """Return the charge for arrivals: all except the first and a successful first prefill call."""
-    return max(0, arrivals - first_prefill_taken - 1)
+    return max(0, arrivals - first_prefill_accepted - 1)
 
 
 class Charged(unittest.TestCase):
@@ -58,10 +58,10 @@
         play(scenario())
         return result[0]
 
-    def test_a_first_prefill_call_that_is_taken_costs_nothing(self) -> None:
+    def test_accepted_first_prefill_call_costs_nothing(self) -> None:
         self.assertEqual(self.ask("/stream/", {}, ["p-1"]), (200, 0, [1, 1, 0, 0]))
 
-    def test_one_that_is_rejected_does_and_no_second_one_is_made(self) -> None:
+    def test_rejected_first_prefill_call_is_charged_and_not_repeated(self) -> None:
         for fault in (Fault.REJECT, Fault.MISDIRECT, Fault.FAIL, Fault.RESET):
             self.assertEqual(
                 self.ask("/stream/", {"p-1": [fault]}, ["p-1", "p-2"]), (200, 1, [1, 0, 1, 0, 0]), fault
@@ -72,18 +72,18 @@
             self.assertEqual(self.ask("/safe/", {"x-1": [fault]}), (200, 1, [1, 1, 0]), fault)
             self.assertEqual(self.ask("/safe/", {"x-1": [fault], "x-2": [fault]}), (200, 2, [1, 1, 1]), fault)
 
-    def test_a_handle_that_could_not_be_had(self) -> None:
+    def test_unavailable_handle(self) -> None:
         """The decode instance rejects the handle; that send and the next one both count as arrivals."""
         status, charged, arrivals = self.ask("/stream/", {}, ["p-1"], expired=True)
         self.assertEqual((status, arrivals[0]), (200, 1))
-        self.assertEqual(charged, one_too_many(sum(arrivals), True))
+        self.assertEqual(charged, expected_charge(sum(arrivals), True))
         self.assertGreaterEqual(charged, 1)
 
     def test_a_stream_that_breaks_after_a_hand_over(self) -> None:
         for fault in (Fault.TRUNCATED, Fault.RESET, Fault.FAIL):
             self.assertEqual(self.ask("/resume/", {"x-1": [fault]}, ["p-1"]), (200, 1, [1, 1, 1, 0]), fault)
 
-    def test_no_way_of_failing_costs_less_than_it_should(self) -> None:
+    def test_every_combination_of_faults_is_charged_exactly(self) -> None:
         kinds = (None, Fault.REJECT, Fault.FAIL, Fault.RESET, Fault.TRUNCATED)
         for target in ("/stream/", "/resume/"):
             for reader in (None, Fault.REJECT, Fault.FAIL):
@@ -93,9 +93,9 @@
                         given = {name: [one for one in named if one] for name, named in faults.items()}
                         _, charged, arrivals = self.ask(target, given, ["p-1"])
                         taken = reader is None and arrivals[0] == 1
-                        self.assertEqual(charged, one_too_many(sum(arrivals), taken), (target, faults))
+                        self.assertEqual(charged, expected_charge(sum(arrivals), taken), (target, faults))
                         places = sum(1 for count in arrivals if count) - taken
-                        self.assertLessEqual(places, MOST_INSTANCES, (target, faults))
+                        self.assertLessEqual(places, MAX_INSTANCES, (target, faults))
 
 
 if __name__ == "__main__":
--- a/tests/router/data_plane/test_rules_gone.py
+++ b/tests/router/data_plane/test_rules_gone.py
@@ -19,8 +19,8 @@
 from mallowbeam.router.data_plane.planner_interface import Planner
 from mallowbeam.standins.model_server import Fault
 
-GONE_S = 0.5
-AFTER_S = 10.0  # period in which nothing more may arrive
+CANCEL_WITHIN_S = 0.5
+QUIET_PERIOD_S = 10.0  # period in which nothing more may arrive
 LONG = {"Deadline-Ms": "60000", "Token-Usage": "1000,5", "Prompt-Prefix": "aa:600,bb:400"}
 PATHS = ("/safe/", "/unsafe/")
 STREAMS = ("/stream/", "/resume/")
@@ -79,10 +79,12 @@
             self.assertEqual(sum(one.working for one in instances), working)
             way(writer)
             left = now()
-            await asyncio.sleep(GONE_S)
+            await asyncio.sleep(CANCEL_WITHIN_S)
             self.assertEqual([one.working for one in instances], [0] * len(instances))
-            await asyncio.sleep(AFTER_S)
-            late = [one for instance in instances for one in instance.arrivals if one.at > left + GONE_S]
+            await asyncio.sleep(QUIET_PERIOD_S)
+            late = [
+                one for instance in instances for one in instance.arrivals if one.at > left + CANCEL_WITHIN_S
+            ]
             self.assertEqual(late, [])
             self.assertEqual([one.handles for one in instances], [set()] * len(instances))
             self.assertEqual(bench.server.connections, set())
@@ -108,7 +110,7 @@
         for target in PATHS:
             self.leave(target, 0.9, ByName, make, 1, 1)
 
-    def test_while_the_prompt_is_read(self) -> None:
+    def test_during_prefill(self) -> None:
         for target in STREAMS:
             self.leave(
                 target,
@@ -119,7 +121,7 @@
                 1,
             )
 
-    def test_while_its_memory_is_handed_over(self) -> None:
+    def test_while_the_kv_cache_is_transferred(self) -> None:
         for target in STREAMS:
             self.leave(
                 target,
@@ -139,7 +141,7 @@
                 target, 1.0, ByName, lambda: [EndlessAnswers("d-1", "decode"), Timed("d-2", "decode")], 1, 1
             )
 
-    def test_before_a_stream_that_is_silent_is_taken_up_elsewhere(self) -> None:
+    def test_before_a_stalled_stream_is_resumed_elsewhere(self) -> None:
         def make() -> list[Timed]:
             first = Timed("d-1", "decode")
             first.script.append(Fault.STALLED)
@@ -159,14 +161,14 @@
                     writer.write(request_bytes("/unsafe/", headers=LONG))
                     await asyncio.sleep(0.3)
                     writer.close()
-                    await asyncio.sleep(AFTER_S)
+                    await asyncio.sleep(QUIET_PERIOD_S)
                     self.assertEqual(second.arrivals, [])
             finally:
                 unresponsive.close()
 
         play(scenario())
 
-    def test_what_waits_behind_it_on_its_connection_is_never_sent(self) -> None:
+    def test_pipelined_requests_are_never_sent(self) -> None:
         async def scenario() -> None:
             async with Bench(DEFAULT, ByName()) as bench:
                 one = Timed("i-1", service_time_s=5.0)
@@ -175,12 +177,12 @@
                 writer.write(request_bytes("/safe/", headers=LONG) * 3)
                 await asyncio.sleep(0.3)
                 writer.close()
-                await asyncio.sleep(AFTER_S)
+                await asyncio.sleep(QUIET_PERIOD_S)
                 self.assertEqual((len(one.arrivals), one.working), (1, 0))
 
         play(scenario())
 
-    def test_one_that_stays_is_served(self) -> None:
+    def test_client_that_stays_is_served(self) -> None:
         """Shows that the check can fail: while its client stays connected, an instance keeps working."""
 
         async def scenario() -> None:
@@ -189,7 +191,7 @@
                 await add(bench, one, ENGINE)
                 _, writer = await bench.client()
                 writer.write(request_bytes("/stream/", headers=LONG))
-                await asyncio.sleep(1.0 + GONE_S)
+                await asyncio.sleep(1.0 + CANCEL_WITHIN_S)
                 self.assertEqual(one.working, 1)
 
         play(scenario())
--- a/tests/router/data_plane/test_rules_headers.py
+++ b/tests/router/data_plane/test_rules_headers.py
@@ -48,7 +48,7 @@
 
         play(scenario())
 
-    def test_where_the_prompt_is_read_apart(self) -> None:
+    def test_with_separate_prefill(self) -> None:
         async def scenario() -> None:
             for sent in SPELLINGS:
                 async with Bench(planner=ByName("p-1")) as bench:
@@ -106,7 +106,7 @@
 
         play(scenario())
 
-    def test_no_connection_header_takes_them_away(self) -> None:
+    def test_connection_header_does_not_remove_them(self) -> None:
         async def scenario() -> None:
             async with Bench(planner=ByName()) as bench:
                 instance = await bench.add("d-1", ENGINE, "decode")
@@ -118,7 +118,7 @@
 
         play(scenario())
 
-    def test_none_is_made_up(self) -> None:
+    def test_missing_headers_are_not_invented(self) -> None:
         async def scenario() -> None:
             async with Bench(planner=ByName()) as bench:
                 instance = await bench.add("d-1", ENGINE, "decode")
@@ -135,7 +135,7 @@
 CHUNKED = b"3\r\nabc\r\n0\r\n\r\n"
 
 
-class Smuggled(unittest.TestCase):
+class AmbiguousFraming(unittest.TestCase):
     """Ambiguously framed requests reach no instance, or arrive as exactly one complete request."""
 
     def seen(self, data: bytes) -> tuple[int, list[ReceivedRequest]]:
--- a/tests/router/data_plane/test_rules_limits.py
+++ b/tests/router/data_plane/test_rules_limits.py
@@ -12,9 +12,9 @@
 
 from mallowbeam.router.configuration.model import ClientLimits, Configuration
 
-SMALL, LARGE = 20_000, 90_000  # bytes of a body
-HEAD = 6_000  # bytes of a head
-MOST_HEAD = 16 * 1024
+SMALL_BYTES, LARGE_BYTES = 20_000, 90_000  # bytes of a body
+HEAD_BYTES = 6_000  # bytes of a head
+DEFAULT_HEAD_BYTES = 16 * 1024
 METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 TARGETS = (
     "/safe/",
@@ -56,8 +56,13 @@
 class WithinLimits(Case):
     def test_bodies_up_to_the_limit(self) -> None:
         async def scenario() -> None:
-            for size, status in ((0, 200), (SMALL - 1, 200), (SMALL, 200), (SMALL + 1, 413)):
-                async with Bench(limits(max_body_bytes=SMALL), ByName()) as bench:
+            for size, status in (
+                (0, 200),
+                (SMALL_BYTES - 1, 200),
+                (SMALL_BYTES, 200),
+                (SMALL_BYTES + 1, 413),
+            ):
+                async with Bench(limits(max_body_bytes=SMALL_BYTES), ByName()) as bench:
                     instance = await bench.add("i-1")
                     for data in (request_bytes("/safe/", body=b"b" * size), chunked(b"b" * size, 7)):
                         self.assertEqual((await self.send(bench, data)).status, status, size)
@@ -69,7 +74,7 @@
 
     def test_heads_up_to_the_limit(self) -> None:
         async def scenario() -> None:
-            for most in (HEAD, MOST_HEAD, 2 * MOST_HEAD):
+            for most in (HEAD_BYTES, DEFAULT_HEAD_BYTES, 2 * DEFAULT_HEAD_BYTES):
                 async with Bench(limits(max_header_bytes=most), ByName()) as bench:
                     await bench.add("i-1")
                     for size in (most - 1, most):
@@ -117,21 +122,23 @@
 
     def test_raised_ones_hold_for_open_connections(self) -> None:
         async def scenario() -> None:
-            before = limits(max_body_bytes=SMALL, max_header_bytes=HEAD)
+            before = limits(max_body_bytes=SMALL_BYTES, max_header_bytes=HEAD_BYTES)
             async with Bench(before, ByName()) as bench:
                 instance = await bench.add("i-1")
                 reader, writer = await bench.client()
                 writer.write(request_bytes("/safe/"))
                 await read_answer(reader)
-                await self.change(bench, limits(max_body_bytes=LARGE, max_header_bytes=3 * HEAD))
+                await self.change(bench, limits(max_body_bytes=LARGE_BYTES, max_header_bytes=3 * HEAD_BYTES))
                 for data in (
-                    request_bytes("/safe/", body=b"b" * LARGE),
-                    chunked(b"b" * LARGE, 5),
-                    with_head_of(3 * HEAD),
+                    request_bytes("/safe/", body=b"b" * LARGE_BYTES),
+                    chunked(b"b" * LARGE_BYTES, 5),
+                    with_head_of(3 * HEAD_BYTES),
                 ):
                     writer.write(data)
                     self.assertEqual((await read_answer(reader)).status, 200)
-                self.assertEqual([len(seen.body) for seen in instance.seen[1:]], [LARGE, LARGE, 0])
+                self.assertEqual(
+                    [len(seen.body) for seen in instance.seen[1:]], [LARGE_BYTES, LARGE_BYTES, 0]
+                )
 
         play(scenario())
 
@@ -149,35 +156,35 @@
 
         play(scenario())
 
-    def test_lowered_ones_let_a_body_end_that_has_begun(self) -> None:
+    def test_lowered_limits_let_a_started_body_finish(self) -> None:
         """Guards against forwarding only the received part of the body as if it were complete."""
 
         async def scenario() -> None:
-            for lowered in (SMALL, LARGE // 2):
-                async with Bench(limits(max_body_bytes=LARGE), ByName()) as bench:
+            for lowered in (SMALL_BYTES, LARGE_BYTES // 2):
+                async with Bench(limits(max_body_bytes=LARGE_BYTES), ByName()) as bench:
                     instance = await bench.add("i-1")
                     reader, writer = await bench.client()
-                    data = request_bytes("/safe/", body=b"b" * LARGE)
-                    writer.write(data[: LARGE // 3])
+                    data = request_bytes("/safe/", body=b"b" * LARGE_BYTES)
+                    writer.write(data[: LARGE_BYTES // 3])
                     await asyncio.sleep(0.01)
                     await self.change(bench, limits(max_body_bytes=lowered))
-                    for piece in (data[LARGE // 3 : -10], data[-10:]):
+                    for piece in (data[LARGE_BYTES // 3 : -10], data[-10:]):
                         writer.write(piece)
                         await asyncio.sleep(0.01)
                     self.assertEqual((await read_answer(reader)).status, 200)
-                    self.assertEqual([len(seen.body) for seen in instance.seen], [LARGE])
+                    self.assertEqual([len(seen.body) for seen in instance.seen], [LARGE_BYTES])
 
         play(scenario())
 
     def test_beyond_lowered_ones_nothing_reaches_an_instance(self) -> None:
         async def scenario() -> None:
-            for data in (request_bytes("/safe/", body=b"b" * LARGE), chunked(b"b" * LARGE, 5)):
-                async with Bench(limits(max_body_bytes=LARGE), ByName()) as bench:
+            for data in (request_bytes("/safe/", body=b"b" * LARGE_BYTES), chunked(b"b" * LARGE_BYTES, 5)):
+                async with Bench(limits(max_body_bytes=LARGE_BYTES), ByName()) as bench:
                     instance = await bench.add("i-1")
                     reader, writer = await bench.client()
                     writer.write(request_bytes("/safe/"))
                     await read_answer(reader)
-                    await self.change(bench, limits(max_body_bytes=SMALL))
+                    await self.change(bench, limits(max_body_bytes=SMALL_BYTES))
                     writer.write(data)
                     self.assertEqual((await read_answer(reader)).status, 413)
                     self.assertEqual(len(instance.seen), 1)
--- a/tests/router/data_plane/test_rules_stop.py
+++ b/tests/router/data_plane/test_rules_stop.py
@@ -34,9 +34,9 @@
 from mallowbeam.router.rpc.messages_pb2 import READY, Instance
 
 GRACE_S = 8.0
-ASKED_EACH_S = 1.0
+CHECK_PERIOD_S = 1.0
 OUT_WITHIN_S = 4.0
-MISSES = 2
+FAILED_CHECKS = 2
 LONG = {"Deadline-Ms": "60000"}
 LONG_MS = 30_000
 ROUTES = configuration(
@@ -115,7 +115,7 @@
         await self.plane.serve()
         self.ended_at = now()
 
-    def told_to_stop(self) -> float:
+    def signal_stop(self) -> float:
         """Signal the process to stop, as SIGTERM does; return the time."""
         self.context.stopping.set()
         return now()
@@ -178,18 +178,18 @@
 
     async def run(self) -> None:
         await asyncio.sleep(self._offset_s)
-        misses = 0
+        failed_checks = 0
         while self._process.ended_at is None:
-            misses = 0 if await self._process.ready() else misses + 1
-            if misses == MISSES:
+            failed_checks = 0 if await self._process.ready() else failed_checks + 1
+            if failed_checks == FAILED_CHECKS:
                 self.out_at = now()
-            if not misses and self.out_at is not None:
+            if not failed_checks and self.out_at is not None:
                 self.back_at = now()
-            await asyncio.sleep(ASKED_EACH_S)
+            await asyncio.sleep(CHECK_PERIOD_S)
 
 
 class Readiness(Case):
-    def test_two_questions_in_a_row_fail_and_clients_are_taken_until_then(self) -> None:
+    def test_two_checks_in_a_row_fail_and_clients_are_served_until_then(self) -> None:
         for offset_s in (0.0, 0.3, 0.6, 0.95):
 
             async def scenario(process: Process, offset_s: float = offset_s) -> None:
@@ -198,7 +198,7 @@
                 asking = asyncio.ensure_future(platform.run())
                 await asyncio.sleep(3.0)
                 self.assertIsNone(platform.out_at)
-                stopped_at = process.told_to_stop()
+                stopped_at = process.signal_stop()
                 while platform.out_at is None:
                     answer = await process.ask("/unsafe/")
                     self.assertEqual((answer.status, answer.complete), (200, True))
@@ -211,13 +211,13 @@
 
 
 class Stopping(Case):
-    def test_what_was_taken_is_answered_within_the_grace_time(self) -> None:
+    def test_accepted_requests_are_answered_within_the_grace_period(self) -> None:
         async def scenario(process: Process) -> None:
             await process.add(Timed("i-1", service_time_s=4.0))
             await process.add(Timed("d-1", "decode", service_time_s=5.0))
             asked = [asyncio.ensure_future(process.ask(target)) for target in ("/unsafe/", "/stream/")]
             await asyncio.sleep(0.1)
-            stopped_at = process.told_to_stop()
+            stopped_at = process.signal_stop()
             await asyncio.sleep(2.0)
             asked.append(asyncio.ensure_future(process.ask("/unsafe/")))  # the platform may still send it
             bodies = [answer.body for answer in await asyncio.gather(*asked)]
@@ -228,12 +228,12 @@
 
         self.play(scenario)
 
-    def test_it_ends_within_the_grace_time_whatever_is_held(self) -> None:
+    def test_it_ends_within_the_grace_period_despite_pending_requests(self) -> None:
         async def scenario(process: Process) -> None:
             await process.add(Timed("i-1", service_time_s=100.0))
             asked = asyncio.ensure_future(process.ask("/unsafe/"))
             await asyncio.sleep(0.1)
-            stopped_at = process.told_to_stop()
+            stopped_at = process.signal_stop()
             await asyncio.sleep(GRACE_S)
             assert process.ended_at is not None
             self.assertGreater(process.ended_at - stopped_at, GRACE_S - 1.0)  # it used nearly all of it
@@ -250,10 +250,10 @@
                 asyncio.ensure_future(self.keep_asking(process, 0.011 * number)) for number in range(9)
             ]
             await asyncio.sleep(1.0)
-            process.told_to_stop()
+            process.signal_stop()
             counts = await asyncio.gather(*clients)
             self.assertEqual(len(instance.arrivals), sum(answered for answered, _ in counts))
-            self.assertGreater(sum(told for _, told in counts), 0)
+            self.assertGreater(sum(close_announced for _, close_announced in counts), 0)
 
         self.play(scenario)
 
@@ -281,7 +281,7 @@
             for reader, writer in idle[:2]:
                 writer.write(request_bytes("/unsafe/", headers=LONG))
                 await read_answer(reader)
-            process.told_to_stop()
+            process.signal_stop()
             for reader, _ in idle:
                 self.assertEqual(await reader.read(), b"")
 
@@ -311,7 +311,7 @@
 
 
 class NewConfiguration(Case):
-    def test_what_was_taken_is_answered_by_its_service(self) -> None:
+    def test_accepted_requests_are_answered_by_their_service(self) -> None:
         async def scenario(process: Process) -> None:
             await process.add(Timed("i-1", service_time_s=1.0))
             await process.add(Timed("d-1", "decode", service_time_s=1.0))
--- a/tests/router/data_plane/test_rules_time.py
+++ b/tests/router/data_plane/test_rules_time.py
@@ -24,7 +24,7 @@
 from mallowbeam.standins.model_server import Fault
 
 TIMEOUT_S = 2.0
-LATE_S = 0.5  # after its route's time-out, by when a request must be answered
+LATE_TOLERANCE_S = 0.5  # after its route's time-out, by when a request must be answered
 LONG_MS = 60_000  # deadline of a client that outwaits the route's time-out
 PROMPT = {"Token-Usage": "1000,5", "Prompt-Prefix": "aa:600,bb:400"}
 ROUTES = configuration(
@@ -37,7 +37,7 @@
 
 
 class Case(unittest.TestCase):
-    def check_handed_on(self, began: float, client_ms: float, instances: Sequence[Timed]) -> list[int]:
+    def check_forwarded(self, began: float, client_ms: float, instances: Sequence[Timed]) -> list[int]:
         """Check that each send carried at most the time left; return the deadlines in order of arrival."""
         arrivals = [one for instance in instances for one in instance.arrivals]
         arrivals.sort(key=lambda one: one.at)
@@ -50,7 +50,7 @@
         return [arrival.deadline_ms for arrival in arrivals]
 
 
-class HandedOn(Case):
+class ForwardedDeadlines(Case):
     """`Deadline-Ms` of every send is the time that the client has left."""
 
     def test_over_retries(self) -> None:
@@ -65,9 +65,9 @@
                     began = now()
                     answer = await bench.ask("/safe/", headers={"Deadline-Ms": "1500"})
                     self.assertEqual(answer.status, 200)
-                    handed = self.check_handed_on(began, 1500, instances)
-                    self.assertEqual(len(handed), 3)
-                    self.assertLess(handed[2], 1500 - 600)
+                    forwarded_ms = self.check_forwarded(began, 1500, instances)
+                    self.assertEqual(len(forwarded_ms), 3)
+                    self.assertLess(forwarded_ms[2], 1500 - 600)
 
         play(scenario())
 
@@ -82,9 +82,9 @@
                 began = now()
                 answer = await bench.ask("/resume/", headers={**PROMPT, "Deadline-Ms": "1800"})
                 self.assertEqual((answer.complete, answer.body), (True, events()))
-                handed = self.check_handed_on(began, 1800, [reader, *decoders])
-                self.assertEqual(len(handed), 3)
-                self.assertLess(handed[2], 1800 - 600)
+                forwarded_ms = self.check_forwarded(began, 1800, [reader, *decoders])
+                self.assertEqual(len(forwarded_ms), 3)
+                self.assertLess(forwarded_ms[2], 1800 - 600)
 
         play(scenario())
 
@@ -98,7 +98,7 @@
                     await add(bench, one)
                     began = now()
                     self.assertEqual((await bench.ask("/safe/", headers={"Deadline-Ms": value})).status, 200)
-                    self.check_handed_on(began, 700, [one])
+                    self.check_forwarded(began, 700, [one])
 
         play(scenario())
 
@@ -109,8 +109,8 @@
                 await add(bench, one)
                 began = now()
                 self.assertEqual((await bench.ask("/unsafe/", headers={"Deadline-Ms": "1500"})).status, 200)
-                (handed,) = self.check_handed_on(began, 1500, [one])
-                self.assertLess(handed, 800)
+                (forwarded_ms,) = self.check_forwarded(began, 1500, [one])
+                self.assertLess(forwarded_ms, 800)
 
         play(scenario())
 
@@ -125,11 +125,11 @@
                     began = now()
                     writer.write(data if named else data.replace(b"Deadline-Ms: gone\r\n", b""))
                     self.assertEqual((await read_answer(reader)).status, 200)
-                    self.check_handed_on(began, TIMEOUT_S * 1000, [one])
+                    self.check_forwarded(began, TIMEOUT_S * 1000, [one])
 
         play(scenario())
 
-    def test_a_prompt_that_took_all_the_time_is_not_sent_on(self) -> None:
+    def test_request_is_not_sent_after_prefill_used_up_its_time(self) -> None:
         """Guards against sending to the decode instance with a millisecond left and counting that as run."""
 
         async def scenario() -> None:
@@ -146,14 +146,14 @@
         play(scenario())
 
 
-class Patient:
+class PatientClient:
     """A client that waits longer than its route's time-out."""
 
     def __init__(self, bench: Bench, target: str) -> None:
         self._bench, self._target = bench, target
         self.took_s = 0.0
 
-    async def ask(self, most_s: float = TIMEOUT_S + LATE_S) -> Answer:
+    async def ask(self, most_s: float = TIMEOUT_S + LATE_TOLERANCE_S) -> Answer:
         """Return the answer, complete or truncated.
 
         Raises:
@@ -170,7 +170,7 @@
     """A route's time-out ends a request within half a second in each of its phases."""
 
     def expect(
-        self, target: str, status: int, planner: Planner, *instances: Timed, whole: bool = True
+        self, target: str, status: int, planner: Planner, *instances: Timed, complete: bool = True
     ) -> None:
         """Check that these instances' gateway answers in time and that none keeps working on the request."""
 
@@ -178,12 +178,12 @@
             async with Bench(ROUTES, planner) as bench:
                 for one in instances:
                     await add(bench, one, ENGINE if one.stage else "plain")
-                client = Patient(bench, target)
+                client = PatientClient(bench, target)
                 answer = await client.ask()
-                self.assertEqual((answer.status, answer.complete), (status, whole))
+                self.assertEqual((answer.status, answer.complete), (status, complete))
                 if status == 504:
                     self.assertGreater(client.took_s, TIMEOUT_S - 0.1)
-                await asyncio.sleep(LATE_S)
+                await asyncio.sleep(LATE_TOLERANCE_S)
                 self.assertEqual([one.working for one in instances], [0] * len(instances))
 
         play(scenario())
@@ -232,17 +232,17 @@
                 async with Bench(ROUTES, ByName()) as bench:
                     for number in range(4):
                         add_unresponsive(bench, f"i-{number}", unresponsive)
-                    self.assertEqual((await Patient(bench, "/unsafe/").ask()).status, 503)
+                    self.assertEqual((await PatientClient(bench, "/unsafe/").ask()).status, 503)
             finally:
                 unresponsive.close()
 
         play(scenario())
 
-    def test_one_that_is_not_reached_ends_nothing(self) -> None:
+    def test_timeout_that_is_not_reached_has_no_effect(self) -> None:
         async def scenario() -> None:
             async with Bench(ROUTES, ByName()) as bench:
                 await add(bench, Timed("d-1", "decode", service_time_s=30.0), ENGINE)
-                self.assertEqual((await Patient(bench, "/long/").ask(40.0)).body, events())
+                self.assertEqual((await PatientClient(bench, "/long/").ask(40.0)).body, events())
 
         play(scenario())
 
--- a/tests/router/streams/test_rules_streams.py
+++ b/tests/router/streams/test_rules_streams.py
@@ -36,25 +36,25 @@
     route("/stream/", "stream", ENGINE, gap_aim_ms=100, max_retries=3),
 )
 LAST = 5  # number of events in a stream
-WAYS = ("close", "reset", "ended")
+END_KINDS = ("close", "reset", "ended")
 
 
 @dataclass
-class Cutting(ModelServer):
+class TruncatingInstance(ModelServer):
     """Sends part of its stream, then breaks off with a close, a reset or a regular end of the framing."""
 
     cut_at: int | None = None  # bytes to send; None for the complete stream
-    way: str = "close"
+    end_kind: str = "close"
     numbered: bool = True  # whether events have ids
     from_start: bool = False  # ignore Last-Event-Id
     versions: str = "3"
     changed_at: int = 0  # the number of the event that carries a new version
     chunked: bool = True
 
-    def data(self, behind: int) -> bytes:
+    def data(self, last_ids: int) -> bytes:
         """Return the bytes of the stream after an event."""
         written = b""
-        for number in range(1 if self.from_start else behind + 1, LAST + 1):
+        for number in range(1 if self.from_start else last_ids + 1, LAST + 1):
             written += b"versions: 4\n" if number == self.changed_at else b""
             written += b"id: %d\n" % number if self.numbered else b""
             written += b"data: token %d\n\n" % number
@@ -80,10 +80,10 @@
             piece = sent[at : at + 7]
             writer.write(chunk(piece) if self.chunked else piece)
             await asyncio.sleep(0.001)
-        if self.cut_at is None or self.way == "ended":
+        if self.cut_at is None or self.end_kind == "ended":
             writer.write(b"0\r\n\r\n" if self.chunked else b"")
             return self.chunked
-        if self.way == "reset":
+        if self.end_kind == "reset":
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             writer.transport.abort()
         return False
@@ -94,7 +94,7 @@
     return [int(found) for found in re.findall(rb"^id: (\d+)$", body, re.MULTILINE)]
 
 
-class TakenUpBySystem(unittest.TestCase):
+class ResumedByGateway(unittest.TestCase):
     async def ask(
         self, *instances: ModelServer, target: str = "/resume/", headers: dict[str, str] | None = None
     ) -> Answer:
@@ -105,25 +105,25 @@
 
     def test_wherever_the_first_instance_breaks_off(self) -> None:
         async def scenario() -> None:
-            whole = Cutting("x", "decode").data(0)
+            whole = TruncatingInstance("x", "decode").data(0)
             first_event = len(events(1, 1))
-            for way in WAYS:
+            for end_kind in END_KINDS:
                 for cut_at in range(len(whole)):
-                    first = Cutting("d-1", "decode", cut_at=cut_at, way=way)
-                    second = Cutting("d-2", "decode", versions="9")
+                    first = TruncatingInstance("d-1", "decode", cut_at=cut_at, end_kind=end_kind)
+                    second = TruncatingInstance("d-2", "decode", versions="9")
                     answer = await self.ask(first, second)
                     # A stream that ends regularly after a complete event can't be told from a complete one.
-                    ended = way == "ended" and (not cut_at or whole[:cut_at].endswith(b"\n\n"))
+                    ended = end_kind == "ended" and (not cut_at or whole[:cut_at].endswith(b"\n\n"))
                     expected = whole[:cut_at] if ended else whole
-                    self.assertEqual((answer.complete, answer.body), (True, expected), (way, cut_at))
+                    self.assertEqual((answer.complete, answer.body), (True, expected), (end_kind, cut_at))
                     begun = cut_at >= first_event or ended
                     self.assertEqual(
                         answer.headers["server-signature"], "stamp.d-1" if begun else "stamp.d-2"
                     )
                     self.assertEqual(answer.headers["versions"], "3" if begun else "9")
-                    behind = [seen.headers.get("last-event-id") for seen in second.seen]
+                    last_ids = [seen.headers.get("last-event-id") for seen in second.seen]
                     passed = cut_at // first_event
-                    self.assertEqual(behind, [] if ended else [str(passed) if passed else None])
+                    self.assertEqual(last_ids, [] if ended else [str(passed) if passed else None])
 
         play(scenario())
 
@@ -131,9 +131,9 @@
         async def scenario() -> None:
             for cut_at in range(60):
                 answer = await self.ask(
-                    Cutting("d-1", "decode", cut_at=30),
-                    Cutting("d-2", "decode", cut_at=cut_at, way="reset"),
-                    Cutting("d-3", "decode"),
+                    TruncatingInstance("d-1", "decode", cut_at=30),
+                    TruncatingInstance("d-2", "decode", cut_at=cut_at, end_kind="reset"),
+                    TruncatingInstance("d-3", "decode"),
                 )
                 self.assertEqual((answer.complete, answer.body), (True, events()), cut_at)
                 self.assertEqual(answer.headers["server-signature"], "stamp.d-1")
@@ -143,66 +143,68 @@
     def test_an_instance_that_starts_over_repeats_nothing(self) -> None:
         async def scenario() -> None:
             answer = await self.ask(
-                Cutting("d-1", "decode", cut_at=45),
-                Cutting("d-2", "decode", from_start=True),
-                Cutting("d-3", "decode"),
+                TruncatingInstance("d-1", "decode", cut_at=45),
+                TruncatingInstance("d-2", "decode", from_start=True),
+                TruncatingInstance("d-3", "decode"),
             )
             self.assertEqual((answer.complete, answer.body), (True, events()))
             answer = await self.ask(
-                Cutting("d-1", "decode", cut_at=45),
-                *(Cutting(f"d-{number}", "decode", from_start=True) for number in (2, 3)),
+                TruncatingInstance("d-1", "decode", cut_at=45),
+                *(TruncatingInstance(f"d-{number}", "decode", from_start=True) for number in (2, 3)),
             )
             self.assertEqual((answer.complete, ids(answer.body)), (False, [1, 2]))
 
         play(scenario())
 
-    def test_events_without_ids_are_not_begun_again(self) -> None:
+    def test_stream_without_event_ids_is_not_restarted(self) -> None:
         """Guards against requesting the full stream again, which sent the client the first events twice."""
 
         async def scenario() -> None:
             cut, good = (
-                Cutting("d-1", "decode", cut_at=20, numbered=False),
-                Cutting("d-2", "decode", numbered=False),
+                TruncatingInstance("d-1", "decode", cut_at=20, numbered=False),
+                TruncatingInstance("d-2", "decode", numbered=False),
             )
             answer = await self.ask(cut, good)
             self.assertEqual((answer.complete, answer.body), (False, b"data: token 1\n\n"))
             self.assertEqual(good.seen, [])
             cut, good = (
-                Cutting("d-1", "decode", cut_at=5, numbered=False),
-                Cutting("d-2", "decode", numbered=False),
+                TruncatingInstance("d-1", "decode", cut_at=5, numbered=False),
+                TruncatingInstance("d-2", "decode", numbered=False),
             )
             self.assertEqual((await self.ask(cut, good)).body, good.data(0))  # nothing had been forwarded
 
         play(scenario())
 
-    def test_where_it_may_not_be_resumed_it_runs_once(self) -> None:
+    def test_non_resumable_stream_runs_once(self) -> None:
         async def scenario() -> None:
             for cut_at in (0, 10, 45):
-                for way in WAYS[:2]:
-                    second = Cutting("d-2", "decode")
+                for end_kind in END_KINDS[:2]:
+                    second = TruncatingInstance("d-2", "decode")
                     answer = await self.ask(
-                        Cutting("d-1", "decode", cut_at=cut_at, way=way), second, target="/stream/"
+                        TruncatingInstance("d-1", "decode", cut_at=cut_at, end_kind=end_kind),
+                        second,
+                        target="/stream/",
                     )
                     self.assertEqual((answer.status == 200 and answer.complete, second.seen), (False, []))
 
         play(scenario())
 
 
-class TakenUpByClient(unittest.TestCase):
+class ResumedByClient(unittest.TestCase):
     def test_at_another_gateway(self) -> None:
         async def scenario() -> None:
             whole = events()
             for cut_at in range(len(whole)):
                 async with Bench(ROUTES, ByName()) as first, Bench(ROUTES, ByName()) as second:
-                    broken = Cutting("d-1", "decode", cut_at=cut_at)
+                    broken = TruncatingInstance("d-1", "decode", cut_at=cut_at)
                     await add(first, broken, ENGINE)
                     half = await first.ask("/resume/")
                     got = half.body if half.status == 200 else b""
                     self.assertFalse(half.status == 200 and half.complete)
-                    await add(second, Cutting("d-2", "decode", cut_at=25), ENGINE)  # breaks again
-                    await add(second, Cutting("d-3", "decode"), ENGINE)
-                    behind = {"Last-Event-Id": str(ids(got)[-1])} if got else {}
-                    rest = await second.ask("/resume/", headers=behind)
+                    await add(second, TruncatingInstance("d-2", "decode", cut_at=25), ENGINE)  # breaks again
+                    await add(second, TruncatingInstance("d-3", "decode"), ENGINE)
+                    last_ids = {"Last-Event-Id": str(ids(got)[-1])} if got else {}
+                    rest = await second.ask("/resume/", headers=last_ids)
                     self.assertEqual((rest.complete, got + rest.body), (True, whole), cut_at)
 
         play(scenario())
@@ -214,7 +216,7 @@
             for target in ("/resume/", "/stream/"):
                 for changed_at in range(1, LAST + 1):
                     async with Bench(ROUTES, ByName()) as bench:
-                        one = Cutting("d-1", "decode", versions="17", changed_at=changed_at)
+                        one = TruncatingInstance("d-1", "decode", versions="17", changed_at=changed_at)
                         await add(bench, one, ENGINE)
                         answer = await bench.ask(target)
                         self.assertEqual((answer.headers["versions"], answer.body), ("17", one.data(0)))
@@ -224,11 +226,11 @@
 
     def test_an_event_with_a_change_is_not_cut_in_two(self) -> None:
         async def scenario() -> None:
-            whole = Cutting("x", "decode", changed_at=3).data(0)
+            whole = TruncatingInstance("x", "decode", changed_at=3).data(0)
             for cut_at in range(len(events(1, 2)), len(events(1, 3)) + 12):
                 async with Bench(ROUTES, ByName()) as bench:
-                    await add(bench, Cutting("d-1", "decode", cut_at=cut_at, changed_at=3), ENGINE)
-                    await add(bench, Cutting("d-2", "decode", changed_at=3), ENGINE)
+                    await add(bench, TruncatingInstance("d-1", "decode", cut_at=cut_at, changed_at=3), ENGINE)
+                    await add(bench, TruncatingInstance("d-2", "decode", changed_at=3), ENGINE)
                     self.assertEqual((await bench.ask("/resume/")).body, whole)
 
         play(scenario())
@@ -237,11 +239,11 @@
 class EndOfConnection(unittest.TestCase):
     """Answers without a length, which end with their connection."""
 
-    def test_in_order_it_is_whole(self) -> None:
+    def test_orderly_end_completes_the_answer(self) -> None:
         async def scenario() -> None:
             for target in ("/resume/", "/stream/"):
                 async with Bench(ROUTES, ByName()) as bench:
-                    await add(bench, Cutting("d-1", "decode", chunked=False), ENGINE)
+                    await add(bench, TruncatingInstance("d-1", "decode", chunked=False), ENGINE)
                     answer = await bench.ask(target)
                     self.assertEqual((answer.complete, answer.body), (True, events()))
                     data = request_bytes(target).replace(b"HTTP/1.1", b"HTTP/1.0")
@@ -252,10 +254,12 @@
 
         play(scenario())
 
-    def test_reset_it_is_not(self) -> None:
+    def test_reset_does_not_complete_the_answer(self) -> None:
         async def scenario() -> None:
             async with Bench(ROUTES, ByName()) as bench:
-                cut = Cutting("d-1", "decode", cut_at=len(events(1, 2)), way="reset", chunked=False)
+                cut = TruncatingInstance(
+                    "d-1", "decode", cut_at=len(events(1, 2)), end_kind="reset", chunked=False
+                )
                 await add(bench, cut, ENGINE)
                 answer = await bench.ask("/stream/")
                 self.assertFalse(answer.complete)
@@ -266,11 +270,11 @@
 class RightStage(unittest.TestCase):
     """A stream, resumed or not, is sent only to decode instances."""
 
-    def test_a_resumed_one_has_no_other_choice(self) -> None:
+    def test_resumed_stream_is_not_sent_to_a_prefill_instance(self) -> None:
         async def scenario() -> None:
             async with Bench(ROUTES, Planner(PlannerSettings())) as bench:
-                readers = [Cutting(f"p-{number}", "prefill") for number in (1, 2)]
-                for one in (Cutting("d-1", "decode", cut_at=30), *readers):
+                readers = [TruncatingInstance(f"p-{number}", "prefill") for number in (1, 2)]
+                for one in (TruncatingInstance("d-1", "decode", cut_at=30), *readers):
                     await add(bench, one, ENGINE)
                 short = {"Token-Usage": "10,5", "Prompt-Prefix": "aa:10"}
                 answer = await bench.ask("/resume/", headers=short)
@@ -308,7 +312,7 @@
                 else:
                     self.assertEqual(excluded, {"d-1", "d-2"})
 
-    def test_one_that_changed_its_stage_meanwhile_gets_nothing(self) -> None:
+    def test_instance_that_changed_its_stage_gets_nothing(self) -> None:
         """It would answer 421, which counts as an arrival and ejects the instance."""
 
         async def scenario() -> None:
--- a/tests/router/streams/test_streams.py
+++ b/tests/router/streams/test_streams.py
@@ -114,15 +114,15 @@
         self.assertIsNone(parse_id(b"9" * (MAX_ID_DIGITS + 1)))
 
 
-class Passing(unittest.TestCase):
-    def test_whole_events_only_wherever_the_stream_is_cut_off(self) -> None:
+class Forwarding(unittest.TestCase):
+    def test_only_complete_events_wherever_the_stream_is_truncated(self) -> None:
         data = stream(1, 6)
         ends = [len(stream(1, last)) for last in range(7)]
         for position in range(len(data) + 1):
             progress = StreamProgress(resumable=True)
-            passed = progress.feed(data[:position])
+            forwarded = progress.feed(data[:position])
             whole = max(index for index, end in enumerate(ends) if end <= position)
-            self.assertEqual(passed, data[: ends[whole]])
+            self.assertEqual(forwarded, data[: ends[whole]])
             self.assertEqual((progress.events, progress.partial), (whole, position not in ends))
             self.assertEqual(progress.last_event_id, b"%d" % whole if whole else None)
 
@@ -130,28 +130,28 @@
         data = stream(1, 8)
         for position in range(len(data) + 1):
             progress = StreamProgress(resumable=True)
-            passed = progress.feed(data[:position])
+            forwarded = progress.feed(data[:position])
             progress.broken()
-            behind = int(progress.last_event_id or b"0")
-            passed += progress.feed(stream(behind + 1, 8))
-            self.assertEqual((passed, progress.fault, progress.events), (data, "", 8), position)
+            last_id = int(progress.last_event_id or b"0")
+            forwarded += progress.feed(stream(last_id + 1, 8))
+            self.assertEqual((forwarded, progress.fault, progress.events), (data, "", 8), position)
 
     def test_any_number_of_breaks_leaves_no_gap_and_no_repeat(self) -> None:
         for seed in SEEDS:
             random = Random(seed)
             last = random.randrange(5, 40)
             progress = StreamProgress(resumable=True)
-            passed = b""
+            forwarded = b""
             for _ in range(random.randrange(RUNS)):
                 rest = stream(int(progress.last_event_id or b"0") + 1, last)
                 part = rest[: random.randrange(len(rest) + 1)]
-                passed += b"".join(progress.feed(packet) for packet in cut(part, random))
+                forwarded += b"".join(progress.feed(packet) for packet in cut(part, random))
                 progress.broken()
-            passed += progress.feed(stream(int(progress.last_event_id or b"0") + 1, last))
-            self.assertEqual(ids_in(passed), list(range(1, last + 1)), seed)
+            forwarded += progress.feed(stream(int(progress.last_event_id or b"0") + 1, last))
+            self.assertEqual(ids_in(forwarded), list(range(1, last + 1)), seed)
             self.assertEqual((progress.fault, progress.partial), ("", False))
 
-    def test_a_client_s_own_resumption_goes_on_behind_its_event(self) -> None:
+    def test_client_resumption_continues_after_its_event(self) -> None:
         progress = StreamProgress(resumable=True, last_event_id=b"12")
         self.assertEqual(progress.last_event_id, b"12")
         self.assertEqual(progress.feed(event(12)), b"")
@@ -160,32 +160,32 @@
         self.assertEqual(ids_in(progress.feed(stream(13, 15))), [13, 14, 15])
         self.assertEqual(progress.last_event_id, b"15")
 
-    def test_an_id_that_does_not_rise_ends_the_passing_on(self) -> None:
+    def test_non_ascending_id_ends_forwarding(self) -> None:
         for wrong in (3, 2, 1):
             progress = StreamProgress(resumable=True)
-            passed = progress.feed(stream(1, 3) + event(wrong) + event(4))
-            self.assertEqual(ids_in(passed), [1, 2, 3])
+            forwarded = progress.feed(stream(1, 3) + event(wrong) + event(4))
+            self.assertEqual(ids_in(forwarded), [1, 2, 3])
             self.assertIn(str(wrong), progress.fault)
             self.assertEqual(progress.feed(event(5)), b"")  # nothing more of this instance is forwarded
             self.assertEqual(progress.last_event_id, b"3")
 
     def test_ids_may_skip_numbers(self) -> None:
         progress = StreamProgress(resumable=True)
-        passed = progress.feed(event(4) + event(9) + event(10))
-        self.assertEqual((ids_in(passed), progress.last_event_id), ([4, 9, 10], b"10"))
+        forwarded = progress.feed(event(4) + event(9) + event(10))
+        self.assertEqual((ids_in(forwarded), progress.last_event_id), ([4, 9, 10], b"10"))
 
-    def test_an_event_without_end_ends_the_passing_on(self) -> None:
+    def test_oversized_event_ends_forwarding(self) -> None:
         progress = StreamProgress(resumable=True)
         self.assertEqual(progress.feed(event(1) + b"data: " + b"x" * MAX_EVENT_BYTES), event(1))
         self.assertNotEqual(progress.fault, "")
 
-    def test_what_may_not_be_resumed_goes_through_byte_by_byte(self) -> None:
+    def test_non_resumable_stream_is_forwarded_byte_by_byte(self) -> None:
         data = stream(1, 6) + b"id: 2\ndata: again\n\nhalf an ev"
         for size in (1, 2, 5, len(data)):
             progress = StreamProgress(resumable=False)
-            passed = [progress.feed(data[at : at + size]) for at in range(0, len(data), size)]
-            self.assertEqual(b"".join(passed), data)
-            self.assertTrue(all(passed))
+            forwarded = [progress.feed(data[at : at + size]) for at in range(0, len(data), size)]
+            self.assertEqual(b"".join(forwarded), data)
+            self.assertTrue(all(forwarded))
             self.assertEqual((progress.fault, progress.partial), ("", False))
 
 
@@ -195,7 +195,7 @@
         self.assertEqual(client_timeout_s(1.0, 0.05), 4.0)
         self.assertEqual(client_timeout_s(0.1, 0.5), 4.0)
 
-    def test_a_stream_is_taken_up_elsewhere_before_its_client_leaves(self) -> None:
+    def test_resume_timeout_is_shorter_than_client_timeout(self) -> None:
         for gap_s in (0.0, 0.05, 0.25, 1.0, 10.0):
             for objective_s in (0.0, 0.3, 5.0):
                 self.assertLess(resume_timeout_s(gap_s), client_timeout_s(objective_s, gap_s))
