--- a/mallowbeam/router/data_plane/attempt.py
+++ b/mallowbeam/router/data_plane/attempt.py
@@ -25,7 +25,7 @@
 from mallowbeam.router.rpc.messages_pb2 import Instance
 
 MAX_BUFFERED_BYTES = 64 * 1024  # an answer up to this size is read completely before any of it is forwarded
-INSTANCE_RETURN_MARGIN_S = 0.005  # part of the remaining time, reserved for sending the answer back
+INSTANCE_RETURN_MARGIN_S = 0.005  # part of the remaining time, reserved for the answer's way to the gateway
 MAX_LATE_ANSWERS = 4  # answers to earlier requests that are skipped before the expected one
 REJECTION_BODY_TIMEOUT_S = 0.2  # time to read the rest of a rejection; after it the connection is closed
 EVENT_STREAM = b"text/event-stream"
--- a/mallowbeam/router/data_plane/client_frontend.py
+++ b/mallowbeam/router/data_plane/client_frontend.py
@@ -20,7 +20,7 @@
 MEMORY_FRACTION = 0.125  # share of the process's memory that request bodies may use
 RETRY_AFTER_S = 0.5  # Retry-After of a 503 that is sent before the first configuration arrives
 CLIENT_TIMEOUT_MARGIN_S = 0.5  # network allowance added to the configured client timeouts
-CLIENT_RETURN_MARGIN_S = 0.01  # part of a client's deadline, reserved for sending the answer back
+CLIENT_RETURN_MARGIN_S = 0.01  # part of a client's deadline, reserved for the answer's way to the client
 MEGABYTE = 1024 * 1024
 UNLIMITED_BYTES = 1 << 62  # no body is larger
 
--- a/mallowbeam/router/data_plane/demand.py
+++ b/mallowbeam/router/data_plane/demand.py
@@ -1,8 +1,8 @@
 """Measures the load that this gateway's requests put on each stage of a service.  No I/O.
 
 `MeasuredPlanner` wraps the planner and observes the steps of each booking; `DemandMeter` aggregates them into
-one `StageDemand` for each service with model servers, over the time since the last report.
-Times are in seconds of the monotonic clock.
+one `StageDemand` for each service with model servers, over the time since the last report.  Times are in
+seconds of the monotonic clock.
 """
 
 from __future__ import annotations
--- a/tests/router/data_plane/test_data_plane_failures.py
+++ b/tests/router/data_plane/test_data_plane_failures.py
@@ -43,10 +43,10 @@
         self.assertLessEqual(value, most)
 
 
-class Places(Case):
+class InstancesPerRequest(Case):
     """The number of instances on which one request runs."""
 
-    def test_prompt_is_read_apart_only_before_anything_else(self):
+    def test_prompt_is_prefilled_separately_only_before_any_arrival(self):
         async def scenario():
             async with Bench(ROUTES, DirectFirst("p-1")) as bench:
                 prefill = await bench.add("p-1", ENGINE, "prefill")
--- a/tests/router/data_plane/test_data_plane_sends.py
+++ b/tests/router/data_plane/test_data_plane_sends.py
@@ -187,7 +187,9 @@
             ticket = policy.send(instance, NOW + step, 1)
             if ticket is None:
                 continue
-            self.assertFalse(ran and not idempotent, "sent again what may have run and must not twice")
+            self.assertFalse(
+                ran and not idempotent, "resent a request that may have run and must not run twice"
+            )
             end = random.choice([one for one in AttemptEnd if one is not AttemptEnd.ANSWERED])
             policy.ended(ticket, end, NOW + step)
             arrived += [] if end in NEVER_ARRIVED else [instance]
--- a/tests/router/data_plane/test_exchange_model.py
+++ b/tests/router/data_plane/test_exchange_model.py
@@ -67,7 +67,7 @@
 # ------------------------------------------------------------ deliberately broken variants
 
 
-def reuse_behind_surplus(stack: ExitStack) -> None:
+def reuse_after_surplus_data(stack: ExitStack) -> None:
     """Unread or already parsed surplus data is ignored."""
     stack.enter_context(patch.object(Channel, "stale", lambda self: self.peek() is False))
     stack.enter_context(
@@ -109,7 +109,7 @@
     stack.enter_context(patch.object(LinkPool, "give_back", keeping))
 
 
-def reuse_with_a_rest_due(stack: ExitStack) -> None:
+def reuse_before_the_request_is_sent(stack: ExitStack) -> None:
     """After an early answer the connection is kept although the request was not sent completely."""
 
     def reusable(self: Link, answer: Message) -> bool:
@@ -150,7 +150,7 @@
     stack.enter_context(patch.object(Attempt, "send", trusting))
 
 
-def names_not_compared(stack: ExitStack) -> None:
+def request_ids_not_compared(stack: ExitStack) -> None:
     """An answer is accepted for the pending request, whatever id it carries."""
 
     def unnamed(answer: Message, request_id: bytes, first: bool, signed: bool = True) -> AttemptEnd:
@@ -161,7 +161,7 @@
     stack.enter_context(patch.object(attempt, "is_late_answer", lambda *_: False))
 
 
-def nameless_answers_believed(stack: ExitStack) -> None:
+def answers_without_an_id_accepted(stack: ExitStack) -> None:
     """An answer without a request id is also accepted after an earlier request on the connection."""
 
     def believing(answer: Message, request_id: bytes, first: bool, signed: bool = True) -> AttemptEnd:
@@ -205,9 +205,9 @@
     read: dict[Link, Message] = {}
 
     async def noting(self: Link, answer: Message, standstill: float | None = None) -> bytearray:
-        whole = await body(self, answer, standstill)
+        body_read = await body(self, answer, standstill)
         read[self] = answer
-        return whole
+        return body_read
 
     def keeping(self: LinkPool, instance: str, link: Link) -> None:
         answer = read.pop(link, None)
@@ -220,21 +220,21 @@
 
 
 VARIANTS = (
-    (reuse_behind_surplus, "held", "SURPLUS"),
+    (reuse_after_surplus_data, "held", "SURPLUS"),
     (reuse_of_an_ended_connection, "held", "ENDED"),
     (surplus_dropped_with_the_end, "held", "SURPLUS"),
     (reuse_without_an_answer, "held", "OWED"),
-    (reuse_with_a_rest_due, "large", "UNASKED|OWED"),
+    (reuse_before_the_request_is_sent, "large", "UNASKED|OWED"),
     (second_send_after_a_reset, "held", "TWICE"),
     (second_send_after_part_of_a_request, "large", "TWICE|REFUSED"),
     (second_send_after_a_time_out, "held", "TWICE|REFUSED"),
-    (names_not_compared, "held", "MIXED"),
-    (nameless_answers_believed, "held", "MIXED"),
+    (request_ids_not_compared, "held", "MIXED"),
+    (answers_without_an_id_accepted, "held", "MIXED"),
     (a_reset_counts_as_an_end, "until_close", "MIXED"),
     (a_refused_write_is_forgotten, "until_close_large", "MIXED"),
     (reuse_after_a_handle_s_release, "apart_freed", "OWED|SURPLUS"),
-    (names_not_compared, "apart", "MIXED"),
-    (names_not_compared, "repeatable", "MIXED"),
+    (request_ids_not_compared, "apart", "MIXED"),
+    (request_ids_not_compared, "repeatable", "MIXED"),
     (a_cut_event_counts_as_an_end, "until_close_stream", "MIXED"),
 )
 
--- a/tests/support/exchange_model.py
+++ b/tests/support/exchange_model.py
@@ -340,7 +340,7 @@
         """Check also that no handle reaches a client."""
         super().check(call)
         if b"kv_handle" in call.channel.data:
-            raise Violation(f"MIXED: {call.id!r} got the answer to the reading of its prompt")
+            raise Violation(f"MIXED: {call.id!r} got the answer to its prefill call")
 
 
 class Explorer:
