--- a/tests/router/registry/test_rules_instances.py
+++ b/tests/router/registry/test_rules_instances.py
@@ -5,22 +5,22 @@
 import asyncio
 import unittest
 
-from failing_instances import ByName, ShortKeepAlive, add, set_state
+from failing_instances import ByName, EarlyIdleTimeout, add, set_state
 from gateway_bench import DEFAULT, Bench, configuration, route
 from timed_instances import Timed
 from virtual_time import play
 
 from mallowbeam.router.rpc.messages_pb2 import ENDED
 
-RESTS_S = 1.0  # longer than `ShortKeepAlive` holds a connection, shorter than it says
+RESTS_S = 1.0  # longer than `EarlyIdleTimeout` holds a connection, shorter than it says
 
 
 class DroppedIdle(unittest.TestCase):
     """A connection that the instance has forgotten is reset when it is used again."""
 
-    async def ask_twice(self, target: str) -> tuple[list[int], ShortKeepAlive, Timed]:
+    async def ask_twice(self, target: str) -> tuple[list[int], EarlyIdleTimeout, Timed]:
         async with Bench(DEFAULT, ByName()) as bench:
-            forgetful, other = ShortKeepAlive("i-1"), Timed("i-2")
+            forgetful, other = EarlyIdleTimeout("i-1"), Timed("i-2")
             await add(bench, forgetful)
             await add(bench, other)
             statuses = [(await bench.ask(target)).status]
--- a/tests/support/failing_instances.py
+++ b/tests/support/failing_instances.py
@@ -93,10 +93,10 @@
 
 
 @dataclass
-class ShortKeepAlive(ModelServer):
-    """Drops a request that arrives on a connection that was idle for longer than `keep_alive_s`."""
+class EarlyIdleTimeout(ModelServer):
+    """Drops a request on a connection that was idle for longer than `actual_idle_timeout_s`."""
 
-    keep_alive_s: float = 0.3
+    actual_idle_timeout_s: float = 0.3
     reset: int = 0
 
     async def _answer(
@@ -104,7 +104,7 @@
     ) -> bool:
         now = asyncio.get_running_loop().time()
         since = writer.__dict__.get("answered_at", now)
-        if now - since > self.keep_alive_s:
+        if now - since > self.actual_idle_timeout_s:
             self.reset += 1
             return False
         keep_open = await super()._answer(seen, reader, writer)
