--- a/mallowbeam/router/data_plane/exchange.py
+++ b/mallowbeam/router/data_plane/exchange.py
@@ -1,7 +1,8 @@
 """One client request, from its plan to the attempt whose answer is forwarded.
 
-`Exchange` joins the cores: the planner names instances, the send policy allows sends, the outcomes say what
-an attempt proves.  However it ends, `close` gives back what it holds: booking, handle, connection.
+`Exchange` combines three decisions: the planner selects instances, the send policy permits sends, and
+`outcomes` classifies each attempt's result.  `close` always releases the booking, the KV handle and the
+connection.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 from mallowbeam.http.handler import Response
 from mallowbeam.router.admission.messages import Outcome, Plan, PlanRequest, Rejection
 from mallowbeam.router.configuration.model import Engine, Route
-from mallowbeam.router.data_plane.answers import complete_answer, own_answer
-from mallowbeam.router.data_plane.attempt import Attempt, SendOrder
+from mallowbeam.router.data_plane.answers import gateway_answer, instance_answer
+from mallowbeam.router.data_plane.attempt import Attempt, OutboundRequest
 from mallowbeam.router.data_plane.client_request import ClientRequest
-from mallowbeam.router.data_plane.demand import Tokens
+from mallowbeam.router.data_plane.demand import TokenKind
 from mallowbeam.router.data_plane.gateway import Gateway
-from mallowbeam.router.data_plane.outcomes import AttemptEnd, may_pass_on
+from mallowbeam.router.data_plane.outcomes import AttemptEnd, may_forward
 from mallowbeam.router.data_plane.prefill import Handle, read_handle
 from mallowbeam.router.data_plane.send_policy import SendPolicy
 from mallowbeam.router.streams.progress import StreamProgress
 
-LEAST_LEFT_S = 0.01  # a request with less time is abandoned
-RETRY_AFTER_S = 0.3  # with a refusal for which nobody names a time
-HANDLE_LIFETIME_FRACTION = 0.5  # of its time to live, after which a handle is not offered again
+MIN_TIME_LEFT_S = 0.01  # a request with less time left is abandoned
+RETRY_AFTER_S = 0.3  # Retry-After of a 503 if the planner gives none
+HANDLE_LIFETIME_FRACTION = 0.5  # of its time to live; an older handle is not offered again
 SAFE, STREAM = "safe", "stream"
 NOT_RUN = frozenset(
     (
@@ -43,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandoned:
-    """No further attempt is made."""
+    """The request is abandoned: no further attempt is made."""
 
     out_of_time: bool = False
     retry_after_s: float = RETRY_AFTER_S
 
 
 class Exchange:
-    """One request of a client."""
+    """The processing of one client request."""
 
     def __init__(
         self, gateway: Gateway, request: ClientRequest, route: Route, backend: str, deadline: float
@@ -59,100 +60,100 @@
         self.request = request
         self.route = route
         self.deadline = deadline
-        self.attempt: Attempt | None = None  # the one whose answer is forwarded
-        self.first_chunk = b""  # of its stream, not forwarded yet
+        self.attempt: Attempt | None = None  # the attempt whose answer is forwarded
+        self.first_chunk = b""  # of the attempt's stream, not forwarded yet
         self.progress = StreamProgress(route.resumable and route.route_type == STREAM, request.last_event_id)
         self._backend = backend
-        known = gateway.view.backend(backend)
-        self._engine: Engine | None = known.engine if known is not None else None
+        service = gateway.view.backend(backend)
+        self._engine: Engine | None = service.engine if service is not None else None
         idempotent = route.route_type == SAFE or self.progress.resumable
         self._policy = SendPolicy(gateway.budgets.of(backend), idempotent, route.max_retries)
         self._booking: int | None = None
         self._handle: Handle | None = None
-        self._counted = 0  # events of which the demand meter knows
-        self._head_sent = False  # part of the answer has gone out
-        self._failure: Message | None = None  # a failure that is forwarded if nothing better comes
+        self._counted_events = 0  # events already reported to the demand meter
+        self._head_sent = False  # part of the answer was already sent to the client
+        self._failure: Message | None = None  # a failure that is forwarded if no later attempt succeeds
 
     async def run(self, closing: Callable[[], bool]) -> Response | None:
-        """The answer, if it is complete; None where `attempt` holds one that is forwarded as it comes."""
+        """Return the complete answer, or None if `attempt` holds an answer to forward as it arrives."""
         try:
-            begun = await self._begin()
+            result = await self._attempt_until_answered()
         except BaseException:
             self.close(Outcome.CANCELLED)
             raise
-        if isinstance(begun, Abandoned):
+        if isinstance(result, Abandoned):
             self.close(Outcome.CANCELLED)
-            return self._last_answer(begun, closing())
-        self.attempt = begun
-        answer = begun.answer
+            return self._final_answer(result, closing())
+        self.attempt = result
+        answer = result.answer
         if answer is not None and answer.complete and not self.attempt.streams:
             self.close(Outcome.COMPLETED)
-            return complete_answer(answer, closing())
+            return instance_answer(answer, closing())
         return None
 
     @property
     def may_send_again(self) -> bool:
-        """Whether another send could still be allowed, the budget apart."""
+        """Whether another send could still be allowed, regardless of the retry budget."""
         return self._policy.may_continue()
 
     async def resume(self) -> bool:
-        """Take a stream that broke up at another instance; False where that is not allowed or fails."""
+        """Resume a broken stream at another instance; False if that is not allowed or fails."""
         self.progress.broken()
         self._head_sent = True
         if self.attempt is not None:
-            self._policy.broke_off(self.attempt.instance)
+            self._policy.answer_truncated(self.attempt.instance)
         self._release(Outcome.FAILED)
-        begun = await self._begin()
-        if isinstance(begun, Abandoned):
+        result = await self._attempt_until_answered()
+        if isinstance(result, Abandoned):
             return False
-        self.attempt = begun
-        return begun.streams
+        self.attempt = result
+        return result.streams
 
     def close(self, end: Outcome) -> None:
-        """Release everything that is reserved; idempotent."""
+        """Release all reserved resources; idempotent."""
         self._release(end)
         if self._handle is not None:
-            self._free(self._handle)
+            self._free_handle(self._handle)
 
     def count_tokens(self) -> None:
-        """Tell the demand meter of the events that came since the last call."""
+        """Report the events received since the last call to the demand meter."""
         if self._engine is None:
             return
-        events, self._counted = self.progress.events - self._counted, self.progress.events
-        kind = Tokens.GENERATED if self._counted > events else Tokens.FIRST
+        events, self._counted_events = self.progress.events - self._counted_events, self.progress.events
+        kind = TokenKind.GENERATED if self._counted_events > events else TokenKind.FIRST
         self.gateway.demand.count(self._backend, kind, events * max(1, self._engine.stride), time.monotonic())
 
-    async def _begin(self) -> Attempt | Abandoned:
-        """Send until an answer is to be forwarded."""
+    async def _attempt_until_answered(self) -> Attempt | Abandoned:
+        """Make attempts until one has an answer to forward or the request is abandoned."""
         while True:
             plan = await self._plan()
             if isinstance(plan, Abandoned):
                 return plan
-            handle = await self._read_prompt(plan)
+            handle = await self._prefill_prompt(plan)
             result = await self._send(plan, handle)
             if result is not None:
                 return result
 
     async def _plan(self) -> Plan | Abandoned:
-        """Ask for a plan and wait until it begins."""
+        """Request a plan and wait until its start time."""
         if self._out_of_time():
             return Abandoned(out_of_time=True)
         if not self._policy.may_continue():
             return Abandoned()
         now = time.monotonic()
-        left = self.deadline - now
-        planned = self.gateway.planner.plan(self._plan_request(left, now), now)
-        if isinstance(planned, Rejection):
-            return Abandoned(retry_after_s=planned.retry_after_s or RETRY_AFTER_S)
-        self._booking = planned.booking
-        if planned.start_in_s > left - LEAST_LEFT_S:
+        remaining_s = self.deadline - now
+        decision = self.gateway.planner.plan(self._plan_request(remaining_s, now), now)
+        if isinstance(decision, Rejection):
+            return Abandoned(retry_after_s=decision.retry_after_s or RETRY_AFTER_S)
+        self._booking = decision.booking
+        if decision.start_in_s > remaining_s - MIN_TIME_LEFT_S:
             return Abandoned()
-        if planned.start_in_s > 0:
-            await asyncio.sleep(planned.start_in_s)
-        self.gateway.planner.begun(planned.booking, time.monotonic())
-        return planned
+        if decision.start_in_s > 0:
+            await asyncio.sleep(decision.start_in_s)
+        self.gateway.planner.begun(decision.booking, time.monotonic())
+        return decision
 
-    def _plan_request(self, left: float, now: float) -> PlanRequest:
+    def _plan_request(self, remaining_s: float, now: float) -> PlanRequest:
         request, route, gateway = self.request, self.route, self.gateway
         ejected = gateway.health.excluded(gateway.view.instance_ids(self._backend), now)
         return PlanRequest(
@@ -164,19 +165,24 @@
             answer_tokens=request.answer_tokens,
             priority=route.priority,
             target_latency_s=route.target_latency_ms / 1000,
-            time_left_s=left,
+            time_left_s=remaining_s,
             zone=gateway.zone,
             excluded=ejected | self._policy.excluded,
             resumed=self._head_sent,
         )
 
-    async def _read_prompt(self, plan: Plan) -> Handle | None:
-        """The handle that the plan's decode instance is offered; None where it reads the prompt itself."""
+    async def _prefill_prompt(self, plan: Plan) -> Handle | None:
+        """Prefill the prompt separately if the plan says so.
+
+        Returns the KV handle to offer to the decode instance, or None if that instance prefills the prompt
+        itself.
+        """
         if self._handle is not None:
-            if self._fresh(self._handle):
+            if self._is_fresh(self._handle):
                 return self._handle
-            self._free(self._handle)
-        # A request without a prompt is executed by an instance that is asked to prefill it: it is sent once.
+            self._free_handle(self._handle)
+        # A prefill instance executes a request without a prompt instead of prefilling it, so the request is
+        # sent only to the decode instance.
         if plan.prefill_instance is None or not self.request.prompt_tokens:
             return None
         if not self._policy.may_prefill_separately() or self._out_of_time():
@@ -191,7 +197,7 @@
             if plan.prefill_instance in self.gateway.view.instances
             else ""
         )
-        end = await self._send_order(
+        end = await self._send_attempt(
             attempt, plan.prefill_instance, [(b"stage", b"prefill")], plan, signed=False
         )
         now = time.monotonic()
@@ -206,55 +212,60 @@
         return handle
 
     async def _send(self, plan: Plan, handle: Handle | None) -> Attempt | Abandoned | None:
-        """One send to the instance that answers; the attempt if its answer is forwarded, None to go on."""
-        if self._out_of_time():  # used up by the wait for the plan, or by the prompt's reading
+        """Send once to the decode instance.
+
+        Returns the attempt if its answer is to be forwarded, None if another attempt is to be made.
+        """
+        if self._out_of_time():  # spent waiting for the plan's start or on the prefill
             return Abandoned(out_of_time=True)
         ticket = self._policy.send(plan.decode_instance, time.monotonic(), self.gateway.view.gateways)
         if ticket is None:
             return Abandoned()
         attempt = self._new_attempt()
-        extra = [(b"kv-from", handle.kv_from)] if handle is not None else []
-        end = await self._send_order(attempt, plan.decode_instance, extra, plan)
+        added_headers = [(b"kv-from", handle.kv_from)] if handle is not None else []
+        end = await self._send_attempt(attempt, plan.decode_instance, added_headers, plan)
         if end is AttemptEnd.ANSWERED and attempt.streams:
-            end = await self._first_chunk(attempt)
+            end = await self._read_first_chunk(attempt)
         self._resolve_handle(end)
         if end is AttemptEnd.ANSWERED:
             self.gateway.planner.first_token(plan.booking, time.monotonic())
             return attempt
         if handle is not None and end is AttemptEnd.REJECTED:
-            # The memory could not be had. The same instance may read the prompt itself.
+            # The KV cache could not be transferred; the same instance may prefill the prompt itself.
             self.gateway.planner.hand_over_failed(plan.booking, time.monotonic())
             attempt.release()
             return await self._send(plan, None)
         self._policy.ended(ticket, end, time.monotonic())
         self._finish_booking(Outcome.REJECTED if end in NOT_RUN else Outcome.FAILED)
         if end is AttemptEnd.FAILED:
-            return self._failed(attempt)
+            return self._handle_failure(attempt)
         attempt.release()
         return Abandoned(out_of_time=True) if end is AttemptEnd.TIMED_OUT else None
 
-    async def _send_order(
-        self, attempt: Attempt, instance: str, extra: Headers, plan: Plan, signed: bool = True
+    async def _send_attempt(
+        self, attempt: Attempt, instance: str, added_headers: Headers, plan: Plan, signed: bool = True
     ) -> AttemptEnd:
-        """Send with the headers that every send carries, and learn from its end."""
+        """Send with the headers common to all sends, and record how the attempt ended."""
         if self._engine is not None:
             transferred = signed and self._handle is not None
             priority = plan.transferred_priority if transferred else plan.engine_priority
-            extra = [*extra, (b"priority", b"%d" % min(priority, 9))]
+            added_headers = [*added_headers, (b"priority", b"%d" % min(priority, 9))]
         if self.progress.last_event_id is not None:
-            extra = [*extra, (b"last-event-id", self.progress.last_event_id)]
-        once = signed and not self._policy.idempotent
-        order = SendOrder(self._backend, instance, self.request, extra, self.deadline, signed, once)
+            added_headers = [*added_headers, (b"last-event-id", self.progress.last_event_id)]
+        send_once = signed and not self._policy.idempotent
+        outbound = OutboundRequest(
+            self._backend, instance, self.request, added_headers, self.deadline, signed, send_once
+        )
         try:
-            end = await attempt.send(order)
+            end = await attempt.send(outbound)
         except BaseException:
             attempt.release()
             raise
         self.gateway.attempt_ended(instance, end, time.monotonic())
         return end
 
-    async def _first_chunk(self, attempt: Attempt) -> AttemptEnd:
-        """Read a stream up to its first chunk that can be forwarded: until then nothing has gone out."""
+    async def _read_first_chunk(self, attempt: Attempt) -> AttemptEnd:
+        """Read a stream up to its first forwardable chunk; before that nothing is sent to the client."""
         end = AttemptEnd.BROKEN
         try:
             async with asyncio.timeout(self.deadline - time.monotonic()):
@@ -272,10 +283,10 @@
         self.gateway.attempt_ended(attempt.instance, end, time.monotonic())
         return end
 
-    def _failed(self, attempt: Attempt) -> Attempt | None:
-        """An instance's failure: kept while another instance may do better, else forwarded."""
+    def _handle_failure(self, attempt: Attempt) -> Attempt | None:
+        """Keep a failure answer if another instance may succeed, else return it to be forwarded."""
         answer = attempt.answer
-        if answer is None or not may_pass_on(answer):
+        if answer is None or not may_forward(answer):
             attempt.release()
             return None
         if answer.complete and self._policy.may_continue():
@@ -284,32 +295,32 @@
             return None
         return attempt
 
-    def _last_answer(self, abandoned: Abandoned, close: bool) -> Response:
-        """The answer to a request that is abandoned, at once."""
+    def _final_answer(self, abandoned: Abandoned, close: bool) -> Response:
+        """Return the answer to an abandoned request."""
         if self._failure is not None:
-            return complete_answer(self._failure, close)
+            return instance_answer(self._failure, close)
         status = self._policy.status_when_abandoned(abandoned.out_of_time)
-        return own_answer(status, self.request.request_id, close, abandoned.retry_after_s)
+        return gateway_answer(status, self.request.request_id, close, abandoned.retry_after_s)
 
     def _resolve_handle(self, end: AttemptEnd) -> None:
-        """After a send that offered a handle: it was taken, may be offered once more, or is freed."""
+        """After a send that offered the handle, drop it if it was used, free it or keep it for later."""
         if self._handle is None:
             return
         if end is AttemptEnd.ANSWERED:
             self._handle = None
         elif end in (AttemptEnd.BROKEN, AttemptEnd.TIMED_OUT, AttemptEnd.FAILED, AttemptEnd.REJECTED):
-            self._free(self._handle)
+            self._free_handle(self._handle)
 
     def _out_of_time(self) -> bool:
-        return self.deadline - time.monotonic() < LEAST_LEFT_S
+        return self.deadline - time.monotonic() < MIN_TIME_LEFT_S
 
-    def _fresh(self, handle: Handle) -> bool:
-        lasts = self._engine.handle_ttl_s if self._engine is not None else 0.0
-        return time.monotonic() - handle.issued_at < lasts * HANDLE_LIFETIME_FRACTION
+    def _is_fresh(self, handle: Handle) -> bool:
+        ttl_s = self._engine.handle_ttl_s if self._engine is not None else 0.0
+        return time.monotonic() - handle.issued_at < ttl_s * HANDLE_LIFETIME_FRACTION
 
-    def _free(self, handle: Handle) -> None:
+    def _free_handle(self, handle: Handle) -> None:
         self._handle = None
-        self.gateway.handles.free(handle, self.gateway.view.most_connections(self._backend))
+        self.gateway.handles.free(handle, self.gateway.view.connection_limit(self._backend))
 
     def _new_attempt(self) -> Attempt:
         return Attempt(self.gateway.pool, self.gateway.view)
@@ -327,11 +338,12 @@
 
 
 async def read_chunk(attempt: Attempt, progress: StreamProgress) -> bytes:
-    """The next bytes of a stream that can be forwarded; empty at its end.
+    """Return the next forwardable bytes of a stream; empty at its end.
 
-    Raises `ConnectionBrokenError` where it ends without the end that its framing asks for, or inside an event
-    (what is forwarded byte by byte: only where nothing but the connection's end marks its own), and where its
-    events are out of order.
+    Raises:
+        ConnectionBrokenError: the stream ended before the end of its framing or inside an event, an event was
+            too long, or the event ids did not rise.  In a stream that is forwarded byte by byte, an end
+            inside an event is an error only if the end of the connection is what ends the stream.
     """
     link, answer = attempt.link, attempt.answer
     assert link is not None
--- a/mallowbeam/router/data_plane/relay.py
+++ b/mallowbeam/router/data_plane/relay.py
@@ -1,7 +1,7 @@
-"""Forwarding of an answer: chunks are sent as they come; a stream that breaks is resumed if allowed.
+"""Forwards an answer chunk by chunk as it arrives; resumes a broken stream if allowed.
 
-An answer that ends early never looks complete: `write` returns False and the connection ends without the
-framing's end mark.
+A truncated answer never looks complete: the writer returns False, and the connection is closed without the
+end marker of the answer's framing.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from mallowbeam.http.framing import Channel, Message, in_chunks, write_head
 from mallowbeam.http.handler import Response
 from mallowbeam.router.admission.messages import Outcome
-from mallowbeam.router.data_plane.answers import passed_headers
+from mallowbeam.router.data_plane.answers import forwarded_headers
 from mallowbeam.router.data_plane.exchange import Exchange, read_chunk
 from mallowbeam.router.data_plane.outcomes import AttemptEnd
 from mallowbeam.router.streams.timeouts import client_timeout_s, resume_timeout_s
@@ -23,7 +23,7 @@
 
 
 class Relay:
-    """Passes one exchange's answer on."""
+    """Forwards the answer of one exchange."""
 
     def __init__(self, exchange: Exchange, request: Message, closing: Callable[[], bool]) -> None:
         self._exchange = exchange
@@ -32,63 +32,65 @@
         self._chunked = True
         self._end = Outcome.CANCELLED
 
-    def reply(self) -> Response:
-        """The reply that passes the answer on."""
+    def response(self) -> Response:
+        """Return the response that forwards the answer."""
         answer = self._answer()
         return Response(answer.status, write=self._write)
 
     async def _write(self, channel: Channel) -> bool:
-        """Write head and body; False if the answer broke off."""
+        """Write head and body; False if the answer was truncated."""
         try:
             attempt = self._exchange.attempt
             complete = await (
-                self._stream(channel) if attempt is not None and attempt.streams else self._plain(channel)
+                self._forward_stream(channel)
+                if attempt is not None and attempt.streams
+                else self._forward_body(channel)
             )
             self._end = Outcome.COMPLETED if complete else Outcome.FAILED
             return complete
         finally:
             self._exchange.close(self._end)
 
-    async def _plain(self, channel: Channel) -> bool:
-        """A large answer."""
+    async def _forward_body(self, channel: Channel) -> bool:
+        """Forward a large answer; False if it was truncated."""
         answer = self._answer()
         await channel.send(self._head(answer, answer.length))
-        left = answer.length
+        remaining = answer.length
         while True:
             if answer.body:
                 chunk = bytes(answer.take())
-                left = left - len(chunk) if left is not None else None
-                await channel.send(self._framed(chunk))
+                remaining = remaining - len(chunk) if remaining is not None else None
+                await channel.send(self._encode_chunk(chunk))
             if answer.complete:
                 break
             try:
                 async with asyncio.timeout(self._exchange.deadline - time.monotonic()):
-                    await self._more(answer)
+                    await self._read_more(answer)
             except (ConnectionBrokenError, TimeoutError):
                 return False
         if self._chunked:
             await channel.send(LAST_CHUNK)
-        return not left
+        return not remaining
 
-    async def _stream(self, channel: Channel) -> bool:
-        """An event stream."""
+    async def _forward_stream(self, channel: Channel) -> bool:
+        """Forward an event stream; False if it was truncated."""
         head = self._head(self._answer(), None)
         chunk, self._exchange.first_chunk = self._exchange.first_chunk, b""
-        await channel.send(head + self._framed(chunk) if chunk else head)
+        await channel.send(head + self._encode_chunk(chunk) if chunk else head)
         while chunk:
             self._exchange.count_tokens()
-            following = await self._next_chunk()
-            if following is None:
+            next_chunk = await self._next_chunk()
+            if next_chunk is None:
                 return False
-            chunk = following
+            chunk = next_chunk
             if chunk:
-                await channel.send(self._framed(chunk))
+                await channel.send(self._encode_chunk(chunk))
         if self._chunked:
             await channel.send(LAST_CHUNK)
         return True
 
     async def _next_chunk(self) -> bytes | None:
-        """The next chunk, from another instance if need be; empty at the end, None where it broke off."""
+        """Return the next chunk, resuming elsewhere if needed; empty at the end, None if truncated."""
         exchange = self._exchange
         attempt = exchange.attempt
         assert attempt is not None
@@ -106,9 +108,9 @@
         return chunk
 
     def _event_timeout_s(self) -> float:
-        """Seconds that the stream may be silent from now on.
+        """Return the seconds without an event after which the stream counts as stalled.
 
-        As long as its client bears it, where no other instance may take it up.
+        If no other instance may resume the stream, this is as long as its client waits.
         """
         exchange = self._exchange
         route = exchange.route
@@ -121,12 +123,12 @@
 
     def _head(self, answer: Message, length: int | None) -> bytes:
         self._chunked = in_chunks(self._request, length)
-        return write_head(answer.status, passed_headers(answer), length, self._closing(), self._chunked)
+        return write_head(answer.status, forwarded_headers(answer), length, self._closing(), self._chunked)
 
-    def _framed(self, chunk: bytes) -> bytes:
+    def _encode_chunk(self, chunk: bytes) -> bytes:
         return b"%x\r\n%b\r\n" % (len(chunk), chunk) if self._chunked else chunk
 
-    async def _more(self, answer: Message) -> None:
+    async def _read_more(self, answer: Message) -> None:
         attempt = self._exchange.attempt
         assert attempt is not None
         assert attempt.link is not None
--- a/tests/router/data_plane/test_data_plane_idle.py
+++ b/tests/router/data_plane/test_data_plane_idle.py
@@ -1,4 +1,4 @@
-"""How long a connection to an instance may rest before it is used again, by what the instance says."""
+"""How long a connection to an instance may be idle, by the instance's Keep-Alive header."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from mallowbeam.http.framing import Message
 from mallowbeam.router.data_plane.link_pool import (
+    DEFAULT_IDLE_S,
     IDLE_TIMEOUT_FRACTION,
-    MOST_IDLE_S,
-    UNSTATED_IDLE_S,
+    MAX_IDLE_S,
     idle_time_s,
 )
 
@@ -28,14 +28,14 @@
         for seconds in range(1, 200):
             self.assertLess(idle_s(b"timeout=%d" % seconds), seconds)
 
-    def test_none_is_left_where_it_is_to_be_closed_at_once(self) -> None:
+    def test_zero_timeout_allows_no_idle_time(self) -> None:
         self.assertEqual(idle_s(b"timeout=0"), 0.0)
 
     def test_long_ones_are_bounded(self) -> None:
         for value in (b"timeout=61", b"timeout=99999999"):
-            self.assertEqual(idle_s(value), MOST_IDLE_S * IDLE_TIMEOUT_FRACTION, value)
+            self.assertEqual(idle_s(value), MAX_IDLE_S * IDLE_TIMEOUT_FRACTION, value)
 
-    def test_little_where_nothing_can_be_read(self) -> None:
+    def test_short_default_for_missing_or_malformed_values(self) -> None:
         for values in (
             (),
             (b"",),
@@ -47,7 +47,7 @@
             (b"timeout=999999999",),
             (b"timeout",),
         ):
-            self.assertEqual(idle_s(*values), UNSTATED_IDLE_S * IDLE_TIMEOUT_FRACTION, values)
+            self.assertEqual(idle_s(*values), DEFAULT_IDLE_S * IDLE_TIMEOUT_FRACTION, values)
 
 
 if __name__ == "__main__":
--- a/tests/router/data_plane/test_rules_budget.py
+++ b/tests/router/data_plane/test_rules_budget.py
@@ -1,11 +1,11 @@
-"""Arrivals of whole requests against what the retry budget was charged."""
+"""The retry budget is charged for exactly the arrivals at the instances."""
 
 from __future__ import annotations
 
 import unittest
 from collections.abc import Sequence
 
-from failing_instances import ByName, LostHandles, add
+from failing_instances import ByName, ExpiredHandles, add
 from gateway_bench import ENGINE, Bench, configuration, route
 from timed_instances import Timed, now
 from virtual_time import play
@@ -21,32 +21,36 @@
     route("/resume/", "stream", ENGINE, resumable=True, gap_aim_ms=100, max_retries=3),
 )
 BUDGET = 50
-MOST_INSTANCES = 3  # of each route
+MAX_INSTANCES = 3  # of each route
 
 
-def one_too_many(arrivals: int, first_prefill_taken: bool) -> int:
-    """What a request's arrivals cost: all but the first, and but a first prefill call that was taken."""
-    return max(0, arrivals - first_prefill_taken - 1)
+def expected_charge(arrivals: int, first_prefill_accepted: bool) -> int:
+    """Return the charge for arrivals: all except the first and a successful first prefill call."""
+    return max(0, arrivals - first_prefill_accepted - 1)
 
 
 class Charged(unittest.TestCase):
-    """The budget's charge is what the service sees, for every way that a request can go."""
+    """The charge matches the arrivals at the service, for every outcome of a request."""
 
     def ask(
-        self, target: str, faults: dict[str, Sequence[Fault]], readers: Sequence[str] = (), lost: bool = False
+        self,
+        target: str,
+        faults: dict[str, Sequence[Fault]],
+        prefill_ids: Sequence[str] = (),
+        expired: bool = False,
     ) -> tuple[int, int, list[int]]:
-        """Status, what was charged, and arrivals at each instance."""
+        """Return the status, the charge and the arrivals at each instance."""
         result: list[tuple[int, int, list[int]]] = []
 
         async def scenario() -> None:
-            async with Bench(ROUTES, ByName(*readers), BudgetSettings(0.0, 10.0, BUDGET)) as bench:
-                instances = [LostHandles(name, "prefill", lost=lost) for name in readers]
-                stage, backend = ("decode", ENGINE) if readers else ("", "plain")
+            async with Bench(ROUTES, ByName(*prefill_ids), BudgetSettings(0.0, 10.0, BUDGET)) as bench:
+                instances = [ExpiredHandles(name, "prefill", expired=expired) for name in prefill_ids]
+                stage, backend = ("decode", ENGINE) if prefill_ids else ("", "plain")
                 instances += [Timed(f"x-{number}", stage) for number in (1, 2, 3)]
                 for one in instances:
                     one.script.extend(faults.get(one.id, ()))
                     await add(bench, one, backend)
-                answer = await bench.ask(target, headers=PROMPT if readers else None)
+                answer = await bench.ask(target, headers=PROMPT if prefill_ids else None)
                 budget = bench.gateway.budgets.of(backend)
                 left = int(budget.available(now(), 1))
                 result.append((answer.status, BUDGET - left, [len(one.seen) for one in instances]))
@@ -54,10 +58,10 @@
         play(scenario())
         return result[0]
 
-    def test_a_first_prefill_call_that_is_taken_costs_nothing(self) -> None:
+    def test_accepted_first_prefill_call_costs_nothing(self) -> None:
         self.assertEqual(self.ask("/stream/", {}, ["p-1"]), (200, 0, [1, 1, 0, 0]))
 
-    def test_one_that_is_rejected_does_and_no_second_one_is_made(self) -> None:
+    def test_rejected_first_prefill_call_is_charged_and_not_repeated(self) -> None:
         for fault in (Fault.REJECT, Fault.MISDIRECT, Fault.FAIL, Fault.RESET):
             self.assertEqual(
                 self.ask("/stream/", {"p-1": [fault]}, ["p-1", "p-2"]), (200, 1, [1, 0, 1, 0, 0]), fault
@@ -68,18 +72,18 @@
             self.assertEqual(self.ask("/safe/", {"x-1": [fault]}), (200, 1, [1, 1, 0]), fault)
             self.assertEqual(self.ask("/safe/", {"x-1": [fault], "x-2": [fault]}), (200, 2, [1, 1, 1]), fault)
 
-    def test_a_handle_that_could_not_be_had(self) -> None:
-        """The decode instance rejects it: an arrival, and so is the next one."""
-        status, charged, arrivals = self.ask("/stream/", {}, ["p-1"], lost=True)
+    def test_unavailable_handle(self) -> None:
+        """The decode instance rejects the handle; that send and the next one both count as arrivals."""
+        status, charged, arrivals = self.ask("/stream/", {}, ["p-1"], expired=True)
         self.assertEqual((status, arrivals[0]), (200, 1))
-        self.assertEqual(charged, one_too_many(sum(arrivals), True))
+        self.assertEqual(charged, expected_charge(sum(arrivals), True))
         self.assertGreaterEqual(charged, 1)
 
     def test_a_stream_that_breaks_after_a_hand_over(self) -> None:
         for fault in (Fault.TRUNCATED, Fault.RESET, Fault.FAIL):
             self.assertEqual(self.ask("/resume/", {"x-1": [fault]}, ["p-1"]), (200, 1, [1, 1, 1, 0]), fault)
 
-    def test_no_way_of_failing_costs_less_than_it_should(self) -> None:
+    def test_every_combination_of_faults_is_charged_exactly(self) -> None:
         kinds = (None, Fault.REJECT, Fault.FAIL, Fault.RESET, Fault.TRUNCATED)
         for target in ("/stream/", "/resume/"):
             for reader in (None, Fault.REJECT, Fault.FAIL):
@@ -89,9 +93,9 @@
                         given = {name: [one for one in named if one] for name, named in faults.items()}
                         _, charged, arrivals = self.ask(target, given, ["p-1"])
                         taken = reader is None and arrivals[0] == 1
-                        self.assertEqual(charged, one_too_many(sum(arrivals), taken), (target, faults))
+                        self.assertEqual(charged, expected_charge(sum(arrivals), taken), (target, faults))
                         places = sum(1 for count in arrivals if count) - taken
-                        self.assertLessEqual(places, MOST_INSTANCES, (target, faults))
+                        self.assertLessEqual(places, MAX_INSTANCES, (target, faults))
 
 
 if __name__ == "__main__":
--- a/tests/router/data_plane/test_rules_headers.py
+++ b/tests/router/data_plane/test_rules_headers.py
@@ -1,4 +1,4 @@
-"""Which headers reach an instance: the system's own are never the client's, the client's never changed."""
+"""Headers at an instance: the system's own never come from the client, and the client's are unchanged."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     def check(
         self, instance: ModelServer, seen: ReceivedRequest, stage: str | None, priority: str | None
     ) -> None:
-        """Whether a request carries what the system set, and nothing of the client's."""
+        """Check that a request carries the system's headers and none of the client's values for them."""
         headers = seen.headers
         self.assertEqual(headers["target-instance"], instance.id)
         self.assertEqual((headers.get("stage"), headers.get("priority")), (stage, priority))
@@ -48,14 +48,14 @@
 
         play(scenario())
 
-    def test_where_the_prompt_is_read_apart(self) -> None:
+    def test_with_separate_prefill(self) -> None:
         async def scenario() -> None:
             for sent in SPELLINGS:
                 async with Bench(planner=ByName("p-1")) as bench:
                     reader = await bench.add("p-1", ENGINE, "prefill")
                     decoder = await bench.add("d-1", ENGINE, "decode")
                     answer = await bench.ask("/stream/", headers={**PROMPT, **sent})
-                    self.assertEqual((answer.whole, answer.body), (True, events()))
+                    self.assertEqual((answer.complete, answer.body), (True, events()))
                     self.check(reader, reader.seen[0], "prefill", "5")
                     self.check(decoder, decoder.seen[0], None, "0")
                     self.assertTrue(decoder.seen[0].headers["kv-from"].startswith(reader.address))
@@ -69,7 +69,7 @@
                 second = await bench.add("d-2", ENGINE, "decode")
                 first.script.append(Fault.TRUNCATED)
                 answer = await bench.ask("/resume/", headers=SYSTEMS)
-                self.assertEqual((answer.whole, answer.body), (True, events()))
+                self.assertEqual((answer.complete, answer.body), (True, events()))
                 for instance in (first, second):
                     self.check(instance, instance.seen[0], None, "5")
                     self.assertNotIn("kv-from", instance.seen[0].headers)
@@ -77,7 +77,7 @@
         play(scenario())
 
     def test_a_client_s_expected_version_ejects_nobody(self) -> None:
-        """Each 421 opens an instance's circuit: a version that nobody has would close the whole service."""
+        """Each 421 ejects an instance, so an unknown version would make the whole service unavailable."""
 
         async def scenario() -> None:
             async with Bench(planner=ByName()) as bench:
@@ -106,7 +106,7 @@
 
         play(scenario())
 
-    def test_no_connection_header_takes_them_away(self) -> None:
+    def test_connection_header_does_not_remove_them(self) -> None:
         async def scenario() -> None:
             async with Bench(planner=ByName()) as bench:
                 instance = await bench.add("d-1", ENGINE, "decode")
@@ -118,7 +118,7 @@
 
         play(scenario())
 
-    def test_none_is_made_up(self) -> None:
+    def test_missing_headers_are_not_invented(self) -> None:
         async def scenario() -> None:
             async with Bench(planner=ByName()) as bench:
                 instance = await bench.add("d-1", ENGINE, "decode")
@@ -135,11 +135,11 @@
 CHUNKED = b"3\r\nabc\r\n0\r\n\r\n"
 
 
-class Smuggled(unittest.TestCase):
-    """What two readers could take for different requests reaches no instance, or is one whole request."""
+class AmbiguousFraming(unittest.TestCase):
+    """Ambiguously framed requests reach no instance, or arrive as exactly one complete request."""
 
     def seen(self, data: bytes) -> tuple[int, list[ReceivedRequest]]:
-        """The first answer's status, and what reached the instance."""
+        """Return the first answer's status and the requests that reached the instance."""
         result: list[tuple[int, list[ReceivedRequest]]] = []
 
         async def scenario() -> None:
@@ -181,7 +181,7 @@
 
 
 class _OfVersion(ModelServer):
-    """Turns away what expects another version of its weights than 1."""
+    """Answers 421 to requests that expect a version of its weights other than 1."""
 
     async def _answer(self, seen, reader, writer):
         if seen.headers.get("expect-version", "1") != "1":
--- a/tests/support/exchange_model.py
+++ b/tests/support/exchange_model.py
@@ -1,7 +1,7 @@
-"""Two client requests that follow each other at one instance, in any order of events; no sockets, no waits.
+"""A model of two successive client requests at one instance, with events in any order; no sockets, no waits.
 
-The gateway's own code runs whole, from `ClientFrontend` down to `http.framing.Channel`, over the stand-in
-sockets of `exchange_sockets`; what it does is judged by what the instances saw: see `Violation`.
+The complete gateway code runs, from `ClientFrontend` down to `http.framing.Channel`, over the stand-in
+sockets of `exchange_sockets`.  Its behaviour is checked against what the instances received; see `Violation`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,16 @@
 from dataclasses import dataclass, replace
 from unittest.mock import patch
 
-from exchange_sockets import HEAD_END, WIDE, Arrival, Form, Line, ModelLoop, answer_body, handle_of
+from exchange_sockets import (
+    HEAD_END,
+    UNLIMITED_WINDOW_BYTES,
+    AnswerFraming,
+    Arrival,
+    InstanceConnection,
+    ModelLoop,
+    answer_body,
+    handle_of,
+)
 from failing_instances import ByName
 from gateway_bench import BUDGET, HOST
 
@@ -28,44 +37,44 @@
 from mallowbeam.router.rpc.messages_pb2 import READY, Instance
 
 FIRST, SECOND = b"r1", b"r2"
-LARGE_BODY = 24 * 1024  # more than the gateway copies together with a head
-SMALL_BODY = 8
-WINDOW = 4 * 1024  # that the kernel takes of a large request before the instance reads on
-REST_S = 0.03  # longer than a connection rests between two requests
+LARGE_BODY_BYTES = 24 * 1024  # larger than a body that the gateway joins with the head for one write
+SMALL_BODY_BYTES = 8
+SMALL_WINDOW_BYTES = 4 * 1024  # bytes of a large request that the kernel accepts before the instance reads on
+IDLE_WAIT_S = 0.03  # longer than the pool's delay between two requests on a connection
 BEYOND_DEADLINE_S = 3.0
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 class Violation(AssertionError):
-    """The gateway did what it must never do; the first word names the rule."""
+    """The gateway violated a rule; the first word of the text names the rule."""
 
 
 @dataclass(frozen=True)
 class Setting:
-    """What stays the same over one order of events."""
+    """The parameters of an exploration, the same for all event orders."""
 
     target: bytes = b"/unsafe/"
-    large: bool = False  # the first request is not taken by the kernel at once
-    until_close: bool = False  # answers have no length and end with their connection
-    held: bool = True  # small answers are read whole before they are passed on
-    connections: int = 1  # to each instance; one is used again without its rest
-    idempotent: bool = False  # the route's requests may run more than once
-    hands_over: bool = False  # prompts are read apart, at the instance that is watched
-    first_rejected: bool = False  # what follows the first one's reading, so its handle is freed
+    large: bool = False  # the kernel does not accept the first request at once
+    until_close: bool = False  # answers have no length and end with the connection
+    buffered: bool = True  # small answers are read completely before they are forwarded
+    connections: int = 1  # limit for each instance; with 1, a connection is reused without delay
+    idempotent: bool = False  # requests of the route may run more than once
+    separate_prefill: bool = False  # prompts are prefilled separately, at the watched instance
+    first_rejected: bool = False  # the decode send of the first request is rejected, so its handle is freed
 
 
 class ClientChannel:
-    """A client that takes all that is written."""
+    """A client channel that records all written data."""
 
     def __init__(self) -> None:
         self.data = b""
 
     async def send(self, data: bytes) -> None:
-        """Take it."""
+        """Record the data."""
         self.data += data
 
     def body(self) -> bytes:
-        """The body of the one answer, out of its chunks."""
+        """Return the body of the only answer, without chunk framing."""
         head, _, rest = self.data.partition(HEAD_END)
         if b"transfer-encoding: chunked" not in head:
             return rest
@@ -76,35 +85,35 @@
         return body
 
 
-class Call:
-    """One client request and what the client got."""
+class ClientCall:
+    """One client request and the client's answer."""
 
-    def __init__(self, world: World, id: bytes) -> None:
+    def __init__(self, model: GatewayModel, id: bytes) -> None:
         self.id = id
-        self.whole = False  # the answer looks complete
+        self.looks_complete = False  # whether the answer looks complete to the client
         self.reply: Response | None = None
         self.channel = ClientChannel()
-        self.task = asyncio.get_running_loop().create_task(self._run(world.front, world.request(id)))
+        self.task = asyncio.get_running_loop().create_task(self._run(model.front, model.request(id)))
 
     async def _run(self, front: ClientFrontend, request: Message) -> None:
         self.reply = await front.handle(request, lambda: False)
         if self.reply.write is None:
             await self.channel.send(self.reply.data)
-            self.whole = True
+            self.looks_complete = True
         else:
-            self.whole = await self.reply.write(self.channel)  # type: ignore[arg-type]
+            self.looks_complete = await self.reply.write(self.channel)  # type: ignore[arg-type]
 
 
-class World:
-    """A gateway with two instances; `act` plays one event."""
+class GatewayModel:
+    """A gateway with two instances; `execute` runs one event."""
 
     WATCHED = "i-1"  # the instance to which events happen
 
     def __init__(self, setting: Setting, routes: Configuration) -> None:
         self.setting = setting
-        self.lines: list[Line] = []
-        self.violations: list[str] = []  # seen on the way, perhaps in a task that nobody waits for
-        self.arrivals: list[tuple[Line, Arrival]] = []
+        self.instance_connections: list[InstanceConnection] = []
+        self.violations: list[str] = []  # recorded during the run, possibly in a task that nothing awaits
+        self.arrivals: list[tuple[InstanceConnection, Arrival]] = []
         self.loop = asyncio.get_running_loop()
         self.gateway = Gateway("z1", LinkPool(10), RetryBudgets(BUDGET), self.planner())
         rows = self.rows()
@@ -115,47 +124,52 @@
         self.gateway.set_configuration(replace(routes, backends=bounded), 0.0)
         self.gateway.instances_changed(InstanceChanges(tuple(rows), ()), 0.0)
         self.front = ClientFrontend(self.gateway, 300)
-        self.calls = [Call(self, FIRST)]
+        self.calls = [ClientCall(self, FIRST)]
 
     @staticmethod
     def planner() -> ByName:
-        """Who names instances: the first one by name that has not failed."""
+        """Return a planner that selects the first instance by name that has not failed."""
         return ByName()
 
     @staticmethod
     def rows() -> list[Instance]:
-        """The instances."""
+        """Return the instances."""
         return [
             Instance(id=name, backend="plain", address=f"{name}:1", zone="z1", slots=8, state=READY)
             for name in ("i-1", "i-2")
         ]
 
-    def form(self, instance: str) -> Form:
-        """How an instance answers."""
-        return Form(self.setting.until_close, b"stream" in self.setting.target)
+    def answer_framing(self, instance: str) -> AnswerFraming:
+        """Return how an instance frames its answers."""
+        return AnswerFraming(self.setting.until_close, b"stream" in self.setting.target)
 
-    def arrived(self, line: Line, arrival: Arrival) -> None:
-        """A request's head has come to an instance; the second one answers what may be sent again at once."""
-        self.arrivals.append((line, arrival))
-        if self.setting.idempotent and line.instance == "i-2":
-            self.loop.call_soon(line.answer)
+    def arrived(self, connection: InstanceConnection, arrival: Arrival) -> None:
+        """Record a request head at an instance; the second instance answers idempotent requests at once."""
+        self.arrivals.append((connection, arrival))
+        if self.setting.idempotent and connection.instance == "i-2":
+            self.loop.call_soon(connection.answer)
 
-    def violate(self, text: str) -> None:
-        """Note what the gateway must never do."""
+    def report_violation(self, text: str) -> None:
+        """Record a violation."""
         self.violations.append(text)
 
     async def connect(self, address: str, *_: object) -> Link:
-        """In the place of `http.client.connect`."""
+        """Replace `http.client.connect`."""
         instance = address.partition(":")[0]
-        first = self.setting.large and not self.lines
-        line = Line(self, instance, WINDOW if first else WIDE, self.form(instance))
-        self.lines.append(line)
-        return Link(Channel(line.sock, Framer(answers=True)), address)  # type: ignore[arg-type]
+        first = self.setting.large and not self.instance_connections
+        connection = InstanceConnection(
+            self,
+            instance,
+            SMALL_WINDOW_BYTES if first else UNLIMITED_WINDOW_BYTES,
+            self.answer_framing(instance),
+        )
+        self.instance_connections.append(connection)
+        return Link(Channel(connection.sock, Framer(answers=True)), address)  # type: ignore[arg-type]
 
     def request(self, id: bytes) -> Message:
-        """A client's request."""
+        """Return a client request."""
         message = Message()
-        length = LARGE_BODY if self.setting.large and id == FIRST else SMALL_BODY
+        length = LARGE_BODY_BYTES if self.setting.large and id == FIRST else SMALL_BODY_BYTES
         message.method, message.target = b"POST", self.setting.target
         message.complete, message.completed_at = True, time.monotonic()
         message.headers = [
@@ -168,76 +182,83 @@
         return message
 
     @property
-    def line(self) -> Line | None:
-        """The connection that was opened last to the instance that is watched."""
-        return next((line for line in reversed(self.lines) if line.instance == self.WATCHED), None)
-
-    def enabled(self) -> list[str]:
-        """The events that can come next."""
+    def connection(self) -> InstanceConnection | None:
+        """The connection most recently opened to the watched instance."""
+        return next(
+            (
+                connection
+                for connection in reversed(self.instance_connections)
+                if connection.instance == self.WATCHED
+            ),
+            None,
+        )
+
+    def possible_events(self) -> list[str]:
+        """Return the events that are possible next."""
         call = self.calls[-1]
         events: list[str] = []
         if call.task.done():
             events += ["next"] if len(self.calls) == 1 else []
         else:
             events += ["cancel", "timeout"]
-        line = self.line
-        if line is None or line.over or line.sock.closed:
+        connection = self.connection
+        if connection is None or connection.ended or connection.sock.closed:
             return events
         events += ["end", "reset"]
-        due = line.open_arrival
-        if due is not None and not line.sent_whole(due):
+        due = connection.pending_arrival
+        if due is not None and not connection.sent_completely(due):
             events += ["answer", "answer+end", "answer+reset"]
             events += ["half", "reject"] if not due.sent else []
             events += ["cancel+answer", "timeout+answer"] if not call.task.done() else []
             events += ["answer+repeat"] if not self.setting.until_close else []
-        if due is None or not due.sent:  # else it would be part of that answer's body
+        if due is None or not due.sent:  # otherwise the bytes would be part of that answer's body
             events += ["noise"]
-            events += ["repeat", "nameless"] if line.may_repeat else []
-        if not line.sock.window:
+            events += ["repeat", "nameless"] if connection.can_repeat else []
+        if not connection.sock.window:
             events += ["open", "open+reset"]
         if call.task.done() and len(self.calls) == 1 and self.setting.connections > 1:
             events += ["rest"]
         return events
 
-    async def act(self, event: str) -> None:
-        """Play an event; what is joined by + comes in one step."""
+    async def execute(self, event: str) -> None:
+        """Execute an event; parts joined by + happen in the same step."""
         for part in event.split("+"):
-            self._part(part)
+            self._execute_part(part)
         await self.settle()
 
-    def _part(self, part: str) -> None:
-        line, call = self.line, self.calls[-1]
+    def _execute_part(self, part: str) -> None:
+        connection, call = self.connection, self.calls[-1]
         if part == "next":
-            self.calls.append(Call(self, SECOND))
+            self.calls.append(ClientCall(self, SECOND))
         elif part == "cancel":
             call.task.cancel()
         elif part == "timeout":
             self.loop.at += BEYOND_DEADLINE_S  # type: ignore[attr-defined]
         elif part == "rest":
-            self.loop.at += REST_S  # type: ignore[attr-defined]
+            self.loop.at += IDLE_WAIT_S  # type: ignore[attr-defined]
         else:
-            assert line is not None
+            assert connection is not None
             {
-                "answer": line.answer,
-                "half": lambda: line.answer(0.8),
-                "reject": line.reject,
-                "repeat": line.repeat,
-                "nameless": lambda: line.repeat(named=False),
-                "noise": line.noise,
-                "end": line.end,
-                "reset": line.reset,
-                "open": line.sock.open_window,
+                "answer": connection.answer,
+                "half": lambda: connection.answer(0.8),
+                "reject": connection.reject,
+                "repeat": connection.repeat,
+                "nameless": lambda: connection.repeat(named=False),
+                "noise": connection.noise,
+                "end": connection.end,
+                "reset": connection.reset,
+                "open": connection.sock.open_window,
             }[part]()
 
     async def settle(self) -> None:
-        """Let the gateway do all that it can do without time."""
+        """Run the loop until the gateway can make no progress without time passing."""
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         while self.loop._ready:  # type: ignore[attr-defined]
             await asyncio.sleep(0)
 
     async def finish(self) -> None:
-        """Let what is under way end by its deadline, then judge."""
+        """Let the requests in flight end by their deadlines, then check all rules."""
         for _ in range(3):
             if not all(call.task.done() for call in self.calls):
                 self.loop.at += BEYOND_DEADLINE_S  # type: ignore[attr-defined]
@@ -245,54 +266,54 @@
         for violation in self.violations:
             raise Violation(violation)
         for call in self.calls:
-            self.judge(call)
+            self.check(call)
 
-    def judge(self, call: Call) -> None:
-        """Compare what a client got with what instances did."""
+    def check(self, call: ClientCall) -> None:
+        """Check a client's answer against what the instances did."""
         if not call.task.cancelled():
-            call.task.result()  # raises what the gateway raised
+            call.task.result()  # re-raises an exception of the gateway
         seen = [
             arrival
-            for line, arrival in self.arrivals
-            if arrival.id == call.id and not line.form.reads_prompts
+            for connection, arrival in self.arrivals
+            if arrival.id == call.id and not connection.answer_framing.is_prefill
         ]
         may_run = [arrival for arrival in seen if not arrival.rejected]
         if len(may_run) > 1 and not self.setting.idempotent:
             raise Violation(f"TWICE: {call.id!r} went out {len(may_run)} times and may have run each time")
         if call.reply is None:
             return
-        if call.reply.status in PROMISES and may_run:
+        if call.reply.status in NOT_RUN_STATUSES and may_run:
             raise Violation(f"REFUSED: {call.id!r} may have run and was answered {call.reply.status}")
-        self._judge_body(call, [arrival for arrival in may_run if arrival.answered])
+        self._check_body(call, [arrival for arrival in may_run if arrival.answered])
 
     @staticmethod
-    def _judge_body(call: Call, answered: list[Arrival]) -> None:
+    def _check_body(call: ClientCall, answered: list[Arrival]) -> None:
         other = SECOND if call.id == FIRST else FIRST
         if other in call.channel.data:
             raise Violation(f"MIXED: {call.id!r} got an answer to {other!r}")
         if call.reply is None or call.reply.status != 200:
             return
-        if call.whole and not answered:
-            raise Violation(f"MIXED: {call.id!r} got an answer that looks whole and is not")
+        if call.looks_complete and not answered:
+            raise Violation(f"MIXED: {call.id!r} got an answer that looks complete and is not")
         bodies = {answer_body(call.id)[: arrival.body_sent] for arrival in answered}
-        if call.whole and call.channel.body() not in bodies:
+        if call.looks_complete and call.channel.body() not in bodies:
             raise Violation(f"MIXED: {call.id!r} got another body")
 
 
-class HandOverWorld(World):
-    """Prompts are read at an instance to which events happen, and answered at one that always does well."""
+class HandOverModel(GatewayModel):
+    """Prompts are prefilled at the watched instance and answered at one that never fails."""
 
     WATCHED = "p-1"
 
     @staticmethod
     def planner() -> ByName:
-        """Has each prompt read at the watched instance."""
-        return ByName(HandOverWorld.WATCHED)
+        """Return a planner that has each prompt prefilled at the watched instance."""
+        return ByName(HandOverModel.WATCHED)
 
     @staticmethod
     def rows() -> list[Instance]:
-        """One instance of each stage."""
-        stages = {HandOverWorld.WATCHED: "prefill", "d-1": "decode"}
+        """Return one instance of each stage."""
+        stages = {HandOverModel.WATCHED: "prefill", "d-1": "decode"}
         return [
             Instance(
                 id=name, backend="engine", address=f"{name}:1", zone="z1", slots=8, state=READY, stage=stage
@@ -300,30 +321,30 @@
             for name, stage in stages.items()
         ]
 
-    def form(self, instance: str) -> Form:
-        """Handles of the one, streams of the other."""
-        return Form(reads_prompts=instance == self.WATCHED, streams=instance != self.WATCHED)
+    def answer_framing(self, instance: str) -> AnswerFraming:
+        """Return the framing: handles from the prefill instance, streams from the decode instance."""
+        return AnswerFraming(is_prefill=instance == self.WATCHED, streams=instance != self.WATCHED)
 
-    def arrived(self, line: Line, arrival: Arrival) -> None:
-        """A request for an answer has it at once; its handle must be its own."""
-        super().arrived(line, arrival)
-        if line.instance == self.WATCHED:
+    def arrived(self, connection: InstanceConnection, arrival: Arrival) -> None:
+        """Answer decode requests at once, and check that each carries its own handle."""
+        super().arrived(connection, arrival)
+        if connection.instance == self.WATCHED:
             return
         own = f"{self.WATCHED}:1/".encode() + handle_of(arrival.id)
         if arrival.kv_from not in (b"", own):
-            self.violate(f"MIXED: {arrival.id!r} goes on from {arrival.kv_from!r}")
+            self.report_violation(f"MIXED: {arrival.id!r} goes on from {arrival.kv_from!r}")
         rejected = self.setting.first_rejected and arrival.id == FIRST
-        self.loop.call_soon(line.reject if rejected else line.answer)
+        self.loop.call_soon(connection.reject if rejected else connection.answer)
 
-    def judge(self, call: Call) -> None:
-        """Besides: no handle reaches a client."""
-        super().judge(call)
+    def check(self, call: ClientCall) -> None:
+        """Check also that no handle reaches a client."""
+        super().check(call)
         if b"kv_handle" in call.channel.data:
-            raise Violation(f"MIXED: {call.id!r} got the answer to the reading of its prompt")
+            raise Violation(f"MIXED: {call.id!r} got the answer to its prefill call")
 
 
 class Explorer:
-    """Plays all orders of events up to a depth."""
+    """Explores all event orders up to a depth."""
 
     def __init__(self, setting: Setting, routes: Configuration) -> None:
         self._setting, self._routes = setting, routes
@@ -331,7 +352,11 @@
         self.runs = 0
 
     def explore(self, depth: int) -> None:
-        """Raises `Violation`, with the order of events, at the first one."""
+        """Explore all event orders.
+
+        Raises:
+            Violation: the first violation, with its event order.
+        """
         with patch.object(time, "monotonic", self._loop.time):
             try:
                 self._extend((), depth)
@@ -339,28 +364,31 @@
                 self._loop.close()
 
     def _extend(self, events: tuple[str, ...], depth: int) -> None:
-        for event in self._play(events):
+        for event in self._replay(events):
             if depth:
                 self._extend((*events, event), depth - 1)
 
-    def _play(self, events: tuple[str, ...]) -> list[str]:
+    def _replay(self, events: tuple[str, ...]) -> list[str]:
         self.runs += 1
         try:
-            return self._loop.run_until_complete(self._order(events))
+            return self._loop.run_until_complete(self._run_events(events))
         except Violation as violation:
             raise Violation(f"{violation}; after {', '.join(events)}; {self._setting}") from None
 
-    async def _order(self, events: tuple[str, ...]) -> list[str]:
-        kind = HandOverWorld if self._setting.hands_over else World
-        world = kind.__new__(kind)
-        held = attempt.BUFFERED_BYTES if self._setting.held else 1
-        with patch.object(link_pool, "connect", world.connect), patch.object(attempt, "BUFFERED_BYTES", held):
-            world.__init__(self._setting, self._routes)  # type: ignore[misc]
-            await world.settle()
+    async def _run_events(self, events: tuple[str, ...]) -> list[str]:
+        kind = HandOverModel if self._setting.separate_prefill else GatewayModel
+        model = kind.__new__(kind)
+        buffered = attempt.MAX_BUFFERED_BYTES if self._setting.buffered else 1
+        with (
+            patch.object(link_pool, "connect", model.connect),
+            patch.object(attempt, "MAX_BUFFERED_BYTES", buffered),
+        ):
+            model.__init__(self._setting, self._routes)  # type: ignore[misc]
+            await model.settle()
             for event in events:
-                await world.act(event)
-            following = world.enabled()
-            await world.finish()
-            world.gateway.pool.close()
-            await world.settle()
+                await model.execute(event)
+            following = model.possible_events()
+            await model.finish()
+            model.gateway.pool.close()
+            await model.settle()
         return following
--- a/tests/support/exchange_sockets.py
+++ b/tests/support/exchange_sockets.py
@@ -1,7 +1,7 @@
-"""A stand-in instance's end of a connection, and the gateway's socket to it; no kernel, no waits.
+"""A simulated connection: the stand-in instance's end and the gateway's socket; no kernel, no waits.
 
-The socket behaves as Linux does: what came is read before a reset is told, and a reset is told once. The
-instance keeps account of each byte, and tells its owner of what a gateway must never do.
+The socket behaves as on Linux: received data is read before a reset is reported, and a reset is reported
+once.  The instance tracks every byte and reports rule violations of the gateway to its owner.
 """
 
 from __future__ import annotations
@@ -14,158 +14,162 @@
 
 from simulated import Jumping
 
-ANSWER_BYTES = 64  # of a body
+ANSWER_BYTES = 64  # size of an answer's body
 HEAD_END = b"\r\n\r\n"
-WIDE = 1 << 30  # bytes of a window that is never full
+UNLIMITED_WINDOW_BYTES = 1 << 30  # size of a send window that never fills
 
 
 @dataclass(frozen=True)
-class Form:
+class AnswerFraming:
     """How an instance frames its answers."""
 
-    until_close: bool = False  # no length: the end is the connection's
+    until_close: bool = False  # no length: the answer ends with the connection
     streams: bool = False
-    reads_prompts: bool = False  # it answers with a handle, without a signature
+    is_prefill: bool = False  # a prefill instance: answers with an unsigned KV handle
 
 
-class Judge(Protocol):
-    """Is told of requests that arrive, and of what a gateway must never do."""
+class Observer(Protocol):
+    """Receives arriving requests and rule violations."""
 
-    def arrived(self, line: Line, arrival: Arrival) -> None:
-        """A request's head has come."""
+    def arrived(self, connection: InstanceConnection, arrival: Arrival) -> None:
+        """A request's head has arrived."""
 
-    def violate(self, text: str) -> None:
-        """The first word names the rule."""
+    def report_violation(self, text: str) -> None:
+        """Report a violation; the first word names the rule."""
 
 
 @dataclass
 class Arrival:
-    """A request of which at least one byte came."""
+    """A request whose head has arrived."""
 
-    id: bytes  # empty: a call that names no request
+    id: bytes  # empty for a call without a request id
     length: int
-    kv_from: bytes = b""  # the handle that it names
+    kv_from: bytes = b""  # the handle in its Kv-From header
     body: bytearray = field(default_factory=bytearray)
-    sent: int = 0  # bytes of its answer,
-    body_sent: int = 0  # and of that answer's body
-    answered: bool = False  # whole
-    rejected: bool = False  # the answer says that it was not run
+    sent: int = 0  # bytes sent of its answer
+    body_sent: int = 0  # bytes sent of that answer's body
+    answered: bool = False  # the answer was sent completely
+    rejected: bool = False  # the answer says that the request was not run
 
     @property
-    def whole(self) -> bool:
-        """Whether its last byte has come."""
+    def complete(self) -> bool:
+        """Whether the request has arrived completely."""
         return len(self.body) == self.length
 
 
-class Line:
+class InstanceConnection:
     """The instance's end of a connection."""
 
-    def __init__(self, judge: Judge, instance: str, window: int, form: Form) -> None:
-        self.judge, self.instance, self.form = judge, instance, form
+    def __init__(self, observer: Observer, instance: str, window: int, answer_framing: AnswerFraming) -> None:
+        self.observer, self.instance, self.answer_framing = observer, instance, answer_framing
         self.sock = StandInSocket(self, window)
         self.arrivals: list[Arrival] = []
         self.head = bytearray()
-        self.surplus = self.over = False  # bytes went out that are no answer due; the end or a reset did
+        self.sent_surplus = self.ended = False  # sent bytes that no request expects; sent an end or a reset
 
     def received(self, data: bytes) -> None:
-        """Bytes of the gateway: the rest of a body that is due, or a new request's."""
-        if self.arrivals and not self.arrivals[-1].whole and not self.head:
+        """Handle bytes of the gateway: the rest of a pending body or a new request."""
+        if self.arrivals and not self.arrivals[-1].complete and not self.head:
             data = self._body(self.arrivals[-1], data)
         if data and not self.head:
-            self._begins()
+            self._check_request_start()
         self.head += data
         if HEAD_END in self.head:
             head, _, rest = bytes(self.head).partition(HEAD_END)
             self.head.clear()
             self.arrivals.append(read_head(head))
-            self.judge.arrived(self, self.arrivals[-1])
+            self.observer.arrived(self, self.arrivals[-1])
             if rest:
                 self.received(rest)
 
-    def _begins(self) -> None:
-        """A request's first byte has come."""
-        if self.over:
-            self.judge.violate("ENDED: a request goes out on a connection that has ended")
-        if self.surplus:
-            self.judge.violate("SURPLUS: a request goes out behind bytes that nobody asked for")
+    def _check_request_start(self) -> None:
+        """Check the rules when the first byte of a request arrives."""
+        if self.ended:
+            self.observer.report_violation("ENDED: a request was sent on a connection that has ended")
+        if self.sent_surplus:
+            self.observer.report_violation("SURPLUS: a request was sent on a connection with surplus data")
         if any(not one.answered for one in self.arrivals):
-            self.judge.violate("OWED: a request goes out on a connection with an answer owed")
+            self.observer.report_violation(
+                "OWED: a request was sent on a connection with an outstanding answer"
+            )
 
     def _body(self, arrival: Arrival, data: bytes) -> bytes:
-        """Take a body's bytes in; what is left of them."""
+        """Consume bytes of a body; return the bytes after it."""
         due = arrival.length - len(arrival.body)
         arrival.body += data[:due]
         if arrival.body.strip(arrival.id[-1:]):
-            self.judge.violate("UNASKED: other bytes stand where the rest of a body is due")
+            self.observer.report_violation("UNASKED: unexpected bytes instead of the rest of a body")
         return data[due:]
 
     @property
-    def open_arrival(self) -> Arrival | None:
-        """The oldest request without its whole answer."""
+    def pending_arrival(self) -> Arrival | None:
+        """The oldest request that is not completely answered."""
         return next((one for one in self.arrivals if not one.answered), None)
 
-    def answer(self, share: float = 1.0) -> None:
-        """Send the due answer, or a first part of it."""
-        arrival = self.open_arrival
+    def answer(self, fraction: float = 1.0) -> None:
+        """Send the pending answer up to a fraction of its bytes."""
+        arrival = self.pending_arrival
         assert arrival is not None
-        whole = self._bytes(arrival)
-        upto = int(len(whole) * share)
-        self.sock.arrive(whole[arrival.sent : upto])
-        arrival.sent = upto
-        arrival.body_sent = len(whole[:upto].partition(HEAD_END)[2])
-        arrival.answered = upto == len(whole) and not self.form.until_close
+        encoded = self._bytes(arrival)
+        sent_until = int(len(encoded) * fraction)
+        self.sock.receive(encoded[arrival.sent : sent_until])
+        arrival.sent = sent_until
+        arrival.body_sent = len(encoded[:sent_until].partition(HEAD_END)[2])
+        arrival.answered = sent_until == len(encoded) and not self.answer_framing.until_close
 
     def reject(self) -> None:
-        """Refuse the due request."""
-        arrival = self.open_arrival
+        """Reject the pending request."""
+        arrival = self.pending_arrival
         assert arrival is not None
         arrival.answered = arrival.rejected = True
-        self.sock.arrive(
+        self.sock.receive(
             b"HTTP/1.1 503 Service Unavailable\r\n%bNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
-            % name_line(arrival.id)
+            % request_id_line(arrival.id)
         )
 
     def repeat(self, named: bool = True) -> None:
-        """Send the first request's answer once more, perhaps without its name."""
-        self.surplus = True
+        """Send the first request's answer again, without its request id if not `named`."""
+        self.sent_surplus = True
         first = self.arrivals[0]
         again = self._bytes(first, may_end=False)
-        self.sock.arrive(again if named else again.replace(name_line(first.id), b""))
+        self.sock.receive(again if named else again.replace(request_id_line(first.id), b""))
 
     @property
-    def may_repeat(self) -> bool:
-        """Whether the first request had an answer that can come once more."""
+    def can_repeat(self) -> bool:
+        """Whether the first request has an answer that can be repeated."""
         return bool(self.arrivals) and self.arrivals[0].answered and not self.arrivals[0].rejected
 
-    def sent_whole(self, arrival: Arrival) -> bool:
-        """Whether all bytes of an answer are out; one without length still needs the connection's end."""
+    def sent_completely(self, arrival: Arrival) -> bool:
+        """Whether all bytes of an answer were sent; without a length, it still needs the connection's end."""
         return arrival.sent == len(self._bytes(arrival))
 
     def noise(self) -> None:
-        """Send what is no answer."""
-        self.surplus = True
-        self.sock.arrive(b"\x16\x03\x01 no answer\r\n")
+        """Send bytes that are not an HTTP answer."""
+        self.sent_surplus = True
+        self.sock.receive(b"\x16\x03\x01 no answer\r\n")
 
     def end(self) -> None:
-        """End the connection in order: an answer without length is whole by it, unless a stream is cut."""
-        arrival = self.open_arrival
-        if arrival is not None and self.form.until_close:
-            arrival.answered = self.sent_whole(arrival) or not self.form.streams and arrival.sent > 0
-        self.over = True
-        self.sock.finish()
+        """Close the connection in order, which completes an answer without a length if no stream is cut."""
+        arrival = self.pending_arrival
+        if arrival is not None and self.answer_framing.until_close:
+            arrival.answered = (
+                self.sent_completely(arrival) or not self.answer_framing.streams and arrival.sent > 0
+            )
+        self.ended = True
+        self.sock.receive_end()
 
     def reset(self) -> None:
         """Reset the connection."""
-        self.over = True
-        self.sock.break_off()
+        self.ended = True
+        self.sock.receive_reset()
 
     def _bytes(self, arrival: Arrival, may_end: bool = True) -> bytes:
         body = self._body_for(arrival)
-        length = b"" if self.form.until_close and may_end else b"Content-Length: %d\r\n" % len(body)
-        kind = b"Content-Type: text/event-stream\r\n" if self.form.streams else b""
-        signature = b"" if self.form.reads_prompts else b"Server-Signature: s\r\n"
+        length = b"" if self.answer_framing.until_close and may_end else b"Content-Length: %d\r\n" % len(body)
+        kind = b"Content-Type: text/event-stream\r\n" if self.answer_framing.streams else b""
+        signature = b"" if self.answer_framing.is_prefill else b"Server-Signature: s\r\n"
         return b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=30\r\n%b%b%b%b\r\n%b" % (
-            name_line(arrival.id),
+            request_id_line(arrival.id),
             signature,
             kind,
             length,
@@ -173,97 +177,97 @@
         )
 
     def _body_for(self, arrival: Arrival) -> bytes:
-        if not self.form.reads_prompts:
+        if not self.answer_framing.is_prefill:
             return answer_body(arrival.id)
         return b'{"kv_handle":"%b"}' % handle_of(arrival.id) if arrival.id else b""
 
 
 class StandInSocket:
-    """The gateway's end of a connection, as the kernel offers it."""
+    """The gateway's end of a connection, with the interface of a kernel socket."""
 
-    def __init__(self, line: Line, window: int) -> None:
-        self.line, self.window = line, window
-        self.coming = bytearray()
-        self.finished = self.broken = self.closed = False
-        self.error = False  # a reset that nobody has been told of
+    def __init__(self, connection: InstanceConnection, window: int) -> None:
+        self.connection, self.window = connection, window
+        self.received_data = bytearray()
+        self.end_received = self.reset_received = self.closed = False
+        self.reset_unreported = False  # a reset that was not reported yet
         self.readable: Callable[[], None] | None = None
         self.writable: Callable[[], None] | None = None
 
     def setblocking(self, flag: bool) -> None:
-        """As a socket's."""
+        """Do nothing."""
 
     def setsockopt(self, *_: object) -> None:
-        """As a socket's."""
+        """Do nothing."""
 
     def send(self, data: bytes | bytearray | memoryview) -> int:
-        """Take what the window has room for."""
+        """Accept as many bytes as the send window allows."""
         self._check()
-        if self.broken:
+        if self.reset_received:
             raise BrokenPipeError(errno.EPIPE, "broken")
         if not self.window:
             raise BlockingIOError
         count = min(self.window, len(data))
         self.window -= count
-        self.line.received(bytes(data[:count]))
+        self.connection.received(bytes(data[:count]))
         return count
 
     def recv(self, count: int, flags: int = 0) -> bytes:
-        """What came, then a reset, once, then the end."""
-        if self.coming:
-            data = bytes(self.coming[:count])
+        """Return received data, then report a reset once, then return the end of the stream."""
+        if self.received_data:
+            data = bytes(self.received_data[:count])
             if not flags & socket.MSG_PEEK:
-                del self.coming[:count]
+                del self.received_data[:count]
             return data
         self._check()
-        if self.finished or self.broken:
+        if self.end_received or self.reset_received:
             return b""
         raise BlockingIOError
 
     def close(self) -> None:
-        """As a socket's."""
+        """Close the socket."""
         self.closed = True
 
-    def arrive(self, data: bytes) -> None:
-        """Bytes of the instance."""
-        self.coming += data
-        self._tell()
+    def receive(self, data: bytes) -> None:
+        """Receive bytes from the instance."""
+        self.received_data += data
+        self._notify()
 
-    def finish(self) -> None:
-        """The instance's end."""
-        self.finished = True
-        self._tell()
+    def receive_end(self) -> None:
+        """Receive an orderly end from the instance."""
+        self.end_received = True
+        self._notify()
 
-    def break_off(self) -> None:
-        """The instance's reset."""
-        self.broken = self.error = True
-        self._tell()
+    def receive_reset(self) -> None:
+        """Receive a reset from the instance."""
+        self.reset_received = self.reset_unreported = True
+        self._notify()
 
     def open_window(self) -> None:
-        """The instance reads on."""
-        self.window = WIDE
+        """Open the send window: the instance reads on."""
+        self.window = UNLIMITED_WINDOW_BYTES
         if self.writable is not None:
             self.writable()
 
     def _check(self) -> None:
         if self.closed:
             raise OSError(errno.EBADF, "closed")
-        if self.error:
-            self.error = False
+        if self.reset_unreported:
+            self.reset_unreported = False
             raise ConnectionResetError(errno.ECONNRESET, "reset")
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         readable, self.readable = self.readable, None
         if readable is not None:
             readable()
-        if self.writable is not None and (self.window or self.broken):
+        if self.writable is not None and (self.window or self.reset_received):
             self.writable()
 
 
 class ModelLoop(Jumping):
-    """A loop on whose stand-in sockets `Channel` works as on real ones."""
+    """An event loop on which `Channel` works with stand-in sockets."""
 
     async def sock_recv_into(self, sock: StandInSocket, buffer: memoryview) -> int:  # type: ignore[override]
-        """Wait for input and read it, in one step once it is there."""
+        """Wait for input and read it in the step in which it arrives."""
         while True:
             try:
                 data = sock.recv(len(buffer))
@@ -281,35 +285,35 @@
         callback: Callable[..., object],  # type: ignore[override]
         *args: object,
     ) -> None:
-        """Call back once the window is open."""
+        """Call back when the send window opens."""
         sock.writable = lambda: callback(*args)
 
     def remove_writer(self, sock: StandInSocket) -> bool:  # type: ignore[override]
-        """Call back no more."""
+        """Remove the callback."""
         if sock.closed:
-            raise ValueError("a closed socket is watched")
+            raise ValueError("the closed socket still has a writer")
         sock.writable = None
         return True
 
 
 def read_head(head: bytes) -> Arrival:
-    """A request by its head."""
+    """Parse a request's head."""
     fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:])
     return Arrival(
         fields.get(b"request-id", b""), int(fields.get(b"content-length", b"0")), fields.get(b"kv-from", b"")
     )
 
 
-def name_line(id: bytes) -> bytes:
-    """The header that names a request, if there is one."""
+def request_id_line(id: bytes) -> bytes:
+    """Return the Request-Id header line, or nothing for an empty id."""
     return b"Request-Id: %b\r\n" % id if id else b""
 
 
 def handle_of(id: bytes) -> bytes:
-    """The handle that a prompt's reading leaves."""
+    """Return the KV handle that the prefill of a request creates."""
     return b"handle" + id
 
 
 def answer_body(id: bytes) -> bytes:
-    """The one right answer to a request."""
+    """Return the only correct answer body to a request."""
     return b"id: 1\ndata: " + id.ljust(ANSWER_BYTES, b".") + b"\n\n"
