--- a/mallowbeam/scheduling/cycles.py
+++ b/mallowbeam/scheduling/cycles.py
@@ -50,14 +50,14 @@
     rate of a fast node.  The first cycle begins with a booking, and each further one where the previous ends.
     """
 
-    __slots__ = ("cycle_s", "slot_s", "first", "cycles", "bookings")
+    __slots__ = ("cycle_s", "slot_s", "first_number", "cycles", "bookings")
 
     def __init__(self, cycle_s: float) -> None:
         """Start without bookings; a cycle lasts at most `cycle_s` seconds."""
         if cycle_s <= 0:
             raise ValueError("a cycle's length must be above 0")
         self.cycle_s = self.slot_s = cycle_s
-        self.first = 0  # number of `cycles[0]`
+        self.first_number = 0  # number of `cycles[0]`
         self.cycles: deque[_Cycle] = deque()
         self.bookings: dict[int, Placement] = {}
 
@@ -74,26 +74,28 @@
         """Drop the cycles that have ended by `now`."""
         while self.cycles and self.cycles[0].end <= now:
             self.cycles.popleft()
-            self.first += 1
+            self.first_number += 1
 
     def place(self, units: int, now: float) -> Placement | None:
         """The earliest cycle with slots for `units`, or the cycles they span if m is less; None if full."""
         self.advance(now)
         units = max(1, units)
-        taken = self._one_cycle(units, now) if units <= self.slots else self._span(units, now)
-        return self._placement(taken, now) if taken else None
+        slots_by_cycle = (
+            self._within_one_cycle(units, now) if units <= self.slots else self._spanning_cycles(units, now)
+        )
+        return self._placement(slots_by_cycle, now) if slots_by_cycle else None
 
     def place_now(self, units: int, now: float) -> Placement:
         """The current cycle, even if it is full: for an idle node."""
         self.advance(now)
         self._cycle(0, now)
-        return Placement(((self.first, max(1, units)),), now, now + max(1, units) * self.slot_s)
+        return Placement(((self.first_number, max(1, units)),), now, now + max(1, units) * self.slot_s)
 
     def book(self, booking: int, placement: Placement) -> None:
         """Take the slots of a placement for a booking's number."""
         self.release(booking)
         for number, count in placement.slots_by_cycle:
-            self._change(number, count)
+            self._add_used(number, count)
         self.bookings[booking] = placement
 
     def release(self, booking: int) -> None:
@@ -102,51 +104,51 @@
         if placement is None:
             return
         for number, count in placement.slots_by_cycle:
-            self._change(number, -count)
+            self._add_used(number, -count)
 
     def forget(self, booking: int) -> None:
         """End a booking whose work is done: its slots stay taken until their cycles have passed."""
         self.bookings.pop(booking, None)
 
-    def free_slots(self, ahead: int, now: float) -> int:
-        """Free slots of the cycle that follows the current one by `ahead` cycles."""
-        cycle = self._cycle(ahead, now)
+    def free_slots(self, cycles_ahead: int, now: float) -> int:
+        """Free slots of the cycle that follows the current one by `cycles_ahead`."""
+        cycle = self._cycle(cycles_ahead, now)
         return max(0, slots_per_cycle(cycle.length, self.slot_s) - cycle.used)
 
     def _length(self) -> float:
         return max(MIN_CYCLE_S, min(self.cycle_s, MAX_SLOTS * self.slot_s))
 
-    def _cycle(self, ahead: int, now: float) -> _Cycle:
-        while len(self.cycles) <= ahead:
+    def _cycle(self, cycles_ahead: int, now: float) -> _Cycle:
+        while len(self.cycles) <= cycles_ahead:
             start = self.cycles[-1].end if self.cycles else now
             self.cycles.append(_Cycle(start, self._length()))
-        return self.cycles[ahead]
+        return self.cycles[cycles_ahead]
 
-    def _one_cycle(self, units: int, now: float) -> tuple[tuple[int, int], ...]:
-        for ahead in range(HORIZON_CYCLES):
-            if self.free_slots(ahead, now) >= units:
-                return ((self.first + ahead, units),)
+    def _within_one_cycle(self, units: int, now: float) -> tuple[tuple[int, int], ...]:
+        for cycles_ahead in range(HORIZON_CYCLES):
+            if self.free_slots(cycles_ahead, now) >= units:
+                return ((self.first_number + cycles_ahead, units),)
         return ()
 
-    def _span(self, units: int, now: float) -> tuple[tuple[int, int], ...]:
-        taken: list[tuple[int, int]] = []
+    def _spanning_cycles(self, units: int, now: float) -> tuple[tuple[int, int], ...]:
+        slots_by_cycle: list[tuple[int, int]] = []
         left = units
-        for ahead in range(HORIZON_CYCLES):
-            count = min(left, self.free_slots(ahead, now))
+        for cycles_ahead in range(HORIZON_CYCLES):
+            count = min(left, self.free_slots(cycles_ahead, now))
             if count:
-                taken.append((self.first + ahead, count))
+                slots_by_cycle.append((self.first_number + cycles_ahead, count))
                 left -= count
             if not left:
-                return tuple(taken)
+                return tuple(slots_by_cycle)
         return ()
 
-    def _placement(self, taken: tuple[tuple[int, int], ...], now: float) -> Placement:
-        starts_at = max(now, self.cycles[taken[0][0] - self.first].start)
-        last, count = self.cycles[taken[-1][0] - self.first], taken[-1][1]
+    def _placement(self, slots_by_cycle: tuple[tuple[int, int], ...], now: float) -> Placement:
+        starts_at = max(now, self.cycles[slots_by_cycle[0][0] - self.first_number].start)
+        last, count = self.cycles[slots_by_cycle[-1][0] - self.first_number], slots_by_cycle[-1][1]
         ends_at = max(last.start + (last.used + count) * self.slot_s, now + count * self.slot_s)
-        return Placement(taken, starts_at, ends_at)
+        return Placement(slots_by_cycle, starts_at, ends_at)
 
-    def _change(self, number: int, count: int) -> None:
-        index = number - self.first
+    def _add_used(self, number: int, count: int) -> None:
+        index = number - self.first_number
         if 0 <= index < len(self.cycles):
             self.cycles[index].used = max(0, self.cycles[index].used + count)
--- a/mallowbeam/scheduling/slots.py
+++ b/mallowbeam/scheduling/slots.py
@@ -29,17 +29,17 @@
 class FadingMean:
     """A mean whose samples lose weight exponentially with time."""
 
-    __slots__ = ("memory_s", "mean", "weight", "at")
+    __slots__ = ("memory_s", "mean", "weight", "updated_at")
 
     def __init__(self, memory_s: float) -> None:
         """Start without samples; a sample's weight falls to 1/e in `memory_s` seconds."""
-        self.memory_s, self.mean, self.weight, self.at = memory_s, 0.0, 0.0, 0.0
+        self.memory_s, self.mean, self.weight, self.updated_at = memory_s, 0.0, 0.0, 0.0
 
     def fade(self, now: float) -> None:
         """Decay the weight of the samples up to `now`."""
-        if now > self.at:
-            self.weight *= exp((self.at - now) / self.memory_s)
-            self.at = now
+        if now > self.updated_at:
+            self.weight *= exp((self.updated_at - now) / self.memory_s)
+            self.updated_at = now
 
     def add(self, value: float, now: float, weight: float = 1.0) -> None:
         """Add a sample."""
--- a/mallowbeam/storage_gateway/scheduler/attempts.py
+++ b/mallowbeam/storage_gateway/scheduler/attempts.py
@@ -31,7 +31,7 @@
 UNSENT = frozenset((Outcome.NO_CONNECTION, Outcome.NOT_SENT))  # on sockets: the last byte was never written
 NEVER_RAN = UNSENT | {Outcome.REJECTED, Outcome.MISDIRECTED}
 UNANSWERED = MAY_STILL_RUN | UNSENT
-MEASURED = frozenset((Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED))
+LATENCY_OUTCOMES = frozenset((Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED))
 CONNECTION_FAULTS = frozenset((Outcome.NO_CONNECTION, Outcome.RESET))
 
 
@@ -59,7 +59,7 @@
             attempt = request.in_flight[event.attempt]
             request.done = True
             attempt.node.remove_attempt(attempt)
-            self._health.answered(attempt.node)
+            self._health.on_answer(attempt.node)
             attempt.node.learn(request.units, event.latency, at_least=False)
 
     def on_upload_progress(self, event: UploadProgress) -> None:
@@ -92,7 +92,7 @@
         if request is not None:
             self._endings.end(request, answered=True)
 
-    def on_ended(self, event: AttemptEnded) -> None:
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
         """Record the outcome of an attempt; retry its request where that is allowed, else end it."""
         request = self._state.requests.get(event.request)
         attempt = request.in_flight.pop(event.attempt, None) if request else None
@@ -101,19 +101,19 @@
         node = attempt.node
         outcome = event.outcome
         was_working = node.remove_attempt(attempt)
-        self._state.touched[node.id] = node
+        self._state.nodes_to_poll[node.id] = node
         request.volume.uploading_units -= attempt.uploading_units
         if outcome in UNSENT:
-            self._give_back(request, attempt)
-        request.volume.report_remote_units(event.remote_units)
+            self._refund(request, attempt)
+        request.volume.deduct_remote_units(event.remote_units)
         if outcome not in UNANSWERED:
-            self._health.answered(node)
+            self._health.on_answer(node)
             self._health.count_answer(node, attempt, outcome is Outcome.ERROR)
-        if outcome not in MEASURED:
-            self._react(node, outcome)
+        if outcome not in LATENCY_OUTCOMES:
+            self._handle_failure(node, outcome)
         elif was_working:
-            self._measure(attempt, outcome)
-        self._conclude(request, attempt, event)
+            self._record_latency(attempt, outcome)
+        self._retry_or_end(request, attempt, event)
 
     def cancel_stuck(self, node: Node) -> None:
         """Cancel attempts that later ones overtook long ago, where a retry can still meet the target.
@@ -142,22 +142,22 @@
         for request in [request for request in requests if not request.in_flight]:
             self._endings.end(request)
 
-    def _conclude(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
+    def _retry_or_end(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
         """Record a possible run; book the request again where that is allowed, else end it."""
         outcome = event.outcome
         if outcome not in NEVER_RAN:
             node = attempt.node
             request.possible_runs.append(PossibleRun(node.zone, node.shard, attempt.sent_at))
         if outcome in MAY_STILL_RUN and request.order_key:
-            self._key_order.rest(request.order_key)
-        if event.finished or not self._is_retried(request, attempt, outcome):
+            self._key_order.pause(request.order_key)
+        if event.finished or not self._is_retryable(request, attempt, outcome):
             self._endings.end(request, answered=event.finished)
         else:
             self._booking.book(request)
         self._endings.forget(request)
 
     @staticmethod
-    def _give_back(request: Request, attempt: Attempt) -> None:
+    def _refund(request: Request, attempt: Attempt) -> None:
         """Refund the units of an attempt that reached no node to its volume's limit and reserve."""
         volume = request.volume
         attempt.slow_start_send.units = 0
@@ -168,7 +168,7 @@
             volume.limit_level += attempt.uploading_units
             volume.pending_units += attempt.uploading_units
 
-    def _measure(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _record_latency(self, attempt: Attempt, outcome: Outcome) -> None:
         """Record a node's latency from an answer, or a lower bound of it from the time without one."""
         node = attempt.node
         latency = self._state.now - attempt.sent_at
@@ -177,7 +177,7 @@
         elif not node.suspect and not attempt.stuck:  # silence is no measure of a node's speed
             node.learn(attempt.request.units, latency, at_least=True)
 
-    def _react(self, node: Node, outcome: Outcome) -> None:
+    def _handle_failure(self, node: Node, outcome: Outcome) -> None:
         """Back off from a node that rejects, and count failed connections."""
         if outcome is Outcome.REJECTED:
             self._back_off(node)
@@ -190,7 +190,7 @@
             node.window = max(1.0, node.window * (1.0 - WINDOW_SHRINK))
         node.paused_until = self._state.now + node.smoothed_latency
 
-    def _is_retried(self, request: Request, attempt: Attempt, outcome: Outcome) -> bool:
+    def _is_retryable(self, request: Request, attempt: Attempt, outcome: Outcome) -> bool:
         """Whether a request is booked again; one that cannot be sent again is ended at once instead."""
         if outcome is Outcome.MISDIRECTED:
             return False
--- a/mallowbeam/storage_gateway/scheduler/cycle_booking.py
+++ b/mallowbeam/storage_gateway/scheduler/cycle_booking.py
@@ -20,11 +20,11 @@
 from mallowbeam.storage_gateway.scheduler.slow_start import SlowStart
 from mallowbeam.storage_gateway.scheduler.state import SchedulerState
 
-OTHER_CHOICES = 6  # hashed alternatives for a new object; several, so that load does not all move to one node
-PREFERENCE = 1.25  # factor by which an alternative must finish earlier to be chosen
-HASH_STEPS = 7  # number of different probe strides over the nodes
-UNAVAILABLE = 60.0  # seconds added to the estimate of a node that is suspect or warms up
-FAILING_CYCLES = 10  # cycles added to the estimate of a failing node
+ALTERNATIVES = 6  # hashed alternatives for a new object; several, so that load does not all move to one node
+FIRST_CHOICE_FACTOR = 1.25  # factor by which an alternative must finish earlier to be chosen
+PROBE_STRIDES = 7  # number of different probe strides over the nodes
+UNAVAILABLE_PENALTY_S = 60.0  # seconds added to the estimate of a node that is suspect or warms up
+FAILING_PENALTY_CYCLES = 10  # cycles added to the estimate of a failing node
 
 
 class CycleBooking:
@@ -46,46 +46,46 @@
         """Queue a request at the node that is to serve it; reject it without a node or over the limit."""
         if request.done or request.in_flight:
             return
-        node = self._choose(request)
+        node = self._choose_node(request)
         if node is None:
             self._endings.end(request)
             return
-        if not request.budgeted:
+        if not request.counted_pending:
             volume = request.volume
             unit_value = request.request_class.value * volume.plan.price
             wait = volume.limit_wait(self._state.now, request.units + volume.pending_units, unit_value)
             if wait > 0:
                 self._endings.end(request, retry_after=wait)
                 return
-            request.budgeted = True
+            request.counted_pending = True
             self._slow_start.count_demand(request.units)
             volume.pending_units += request.units
         insort(node.queue, (request.target_at, request.sequence, request))
-        self._state.touched[node.id] = node
+        self._state.nodes_to_poll[node.id] = node
 
-    def rebook(self, node: Node, moves: Callable[[Request], bool]) -> None:
+    def rebook(self, node: Node, should_move: Callable[[Request], bool]) -> None:
         """Book again those requests of a node's queue that `should_move` selects."""
-        moved = [entry[2] for entry in node.queue if moves(entry[2])]
-        node.queue = [entry for entry in node.queue if not moves(entry[2])]
+        moved = [entry[2] for entry in node.queue if should_move(entry[2])]
+        node.queue = [entry for entry in node.queue if not should_move(entry[2])]
         for request in moved:
             self.book(request)
 
-    def _choose(self, request: Request) -> Node | None:
+    def _choose_node(self, request: Request) -> Node | None:
         """The open node with the shard; for a new object the first by hash if none finishes earlier."""
         # A retry is booked only where it may run: elsewhere it would wait unsent until its deadline.
         nodes = [
             node
-            for node in self._state.open
+            for node in self._state.open_nodes
             if request.shard in (None, node.shard)
             and (not request.possible_runs or self.retries.may_repeat(request, node))
         ]
         key = crc32(request.data_key.encode())
         best = None
         earliest = 0.0
-        for turn in range(min(OTHER_CHOICES + 1, len(nodes))):
-            node = nodes[(key + turn * (1 + key % HASH_STEPS)) % len(nodes)]
+        for probe in range(min(ALTERNATIVES + 1, len(nodes))):
+            node = nodes[(key + probe * (1 + key % PROBE_STRIDES)) % len(nodes)]
             finish = self._time_to_finish(node, request.units)
-            if best is None or finish * PREFERENCE < earliest:
+            if best is None or finish * FIRST_CHOICE_FACTOR < earliest:
                 best = node
                 earliest = finish
         return best
@@ -93,9 +93,9 @@
     def _time_to_finish(self, node: Node, units: int) -> float:
         """Seconds until a request that joins the end of a node's queue would be answered."""
         if node.suspect or self._state.now < node.slow_start_until:
-            return UNAVAILABLE + node.overdue_time()
+            return UNAVAILABLE_PENALTY_S + node.overdue_time()
         queued = sum(entry[2].units for entry in node.queue)
         ahead = queued + node.units_in_flight + units - node.window
         # A node that fails requests at once always seems idle: the penalty keeps new objects away from it.
-        penalty = FAILING_CYCLES * self._state.cycle if node.failing else 0.0
+        penalty = FAILING_PENALTY_CYCLES * self._state.cycle if node.failing else 0.0
         return max(0.0, ahead) * node.slot_time() + node.expected_latency(units) + penalty
--- a/mallowbeam/storage_gateway/scheduler/dispatch.py
+++ b/mallowbeam/storage_gateway/scheduler/dispatch.py
@@ -8,12 +8,12 @@
 from mallowbeam.storage_gateway.scheduler.node_health import NodeHealth
 from mallowbeam.storage_gateway.scheduler.queue_layout import QueueLayout
 from mallowbeam.storage_gateway.scheduler.sending import Sender
-from mallowbeam.storage_gateway.scheduler.state import CLOCK_SLACK, SchedulerState
+from mallowbeam.storage_gateway.scheduler.state import CLOCK_SLACK_S, SchedulerState
 
 POLL_FRACTION = 0.1  # of a cycle: interval between polls of a busy node
-SILENT_CYCLES = 1.5  # by which an answer may be overdue before its node is suspect
+MAX_SILENT_CYCLES = 1.5  # by which an answer may be overdue before its node is suspect
 EXTRA_SLOTS = 4  # a cycle has at least as many slots as the largest request has units, and these
-RUN_LENGTH = 2  # requests of the largest size that may exceed the window after one for the same data
+RUN_REQUESTS = 2  # requests of the largest size that may exceed the window after one for the same data
 
 
 class Dispatcher:
@@ -33,13 +33,13 @@
         self._sender = sender
         self._tracker = tracker
         self._min_slots = state.settings.max_units + EXTRA_SLOTS
-        self._run_units = RUN_LENGTH * state.settings.max_units
+        self._run_units = RUN_REQUESTS * state.settings.max_units
 
     def poll(self, node: Node) -> None:
         """Send the requests due at a node, end those without a slot, and poll again while it has work."""
         state = self._state
-        if node.open and node.overdue_time() > SILENT_CYCLES * state.cycle:
-            self._health.suspect(node)
+        if node.open and node.overdue_time() > MAX_SILENT_CYCLES * state.cycle:
+            self._health.mark_suspect(node)
         if state.settings.may_cancel:
             self._tracker.cancel_stuck(node)
         node.drop_finished()
@@ -54,7 +54,7 @@
     def _poll_again(self, node: Node) -> None:
         """Schedule the next poll; a node has one pending timer, however often it is polled."""
         state = self._state
-        if node.poll_at <= state.now + CLOCK_SLACK:
+        if node.poll_at <= state.now + CLOCK_SLACK_S:
             node.poll_at = state.now + POLL_FRACTION * state.cycle
             state.schedule(node.poll_at, node)
 
@@ -71,7 +71,7 @@
         if now < node.paused_until:
             return
         price = self._layout.price(node)
-        for request in self._grouped(node, order):
+        for request in self._grouped_by_data(node, order):
             if self._is_outpriced(request, node, price):
                 continue
             if not self._has_capacity(request, node, slots):
@@ -84,13 +84,13 @@
             node.paused_until = self._state.now + self._state.cycle
 
     @staticmethod
-    def _grouped(node: Node, order: list[Request]) -> list[Request]:
+    def _grouped_by_data(node: Node, order: list[Request]) -> list[Request]:
         """The order with requests for the same data grouped, those for the data sent last first."""
-        turns: dict[str, int] = {}
-        for turn, request in enumerate(order):
-            turns.setdefault(request.data_key, turn)
-        turns[node.last_data_key] = -1
-        return sorted(order, key=lambda request: turns[request.data_key])
+        positions: dict[str, int] = {}
+        for position, request in enumerate(order):
+            positions.setdefault(request.data_key, position)
+        positions[node.last_data_key] = -1
+        return sorted(order, key=lambda request: positions[request.data_key])
 
     def _is_outpriced(self, request: Request, node: Node, price: float) -> bool:
         """Whether a request must wait because its units are worth less than the price.
@@ -112,8 +112,8 @@
 
     def _has_capacity(self, request: Request, node: Node, slots: int) -> bool:
         """Whether window and cycle have capacity; requests for the data sent last need no slot."""
-        is_run = request.data_key == node.last_data_key
-        capacity = node.window + (self._run_units if is_run else 0)
+        continues_run = request.data_key == node.last_data_key
+        capacity = node.window + (self._run_units if continues_run else 0)
         if node.units_in_flight + request.units > capacity:
             if node.units_in_flight:
                 return False
@@ -121,4 +121,4 @@
             pace = request.units / node.window * node.smoothed_latency
             if self._state.now - node.last_sent_at < pace:
                 return False
-        return is_run or not node.cycle_units or node.cycle_units + request.units <= slots
+        return continues_run or not node.cycle_units or node.cycle_units + request.units <= slots
--- a/mallowbeam/storage_gateway/scheduler/gateway_host.py
+++ b/mallowbeam/storage_gateway/scheduler/gateway_host.py
@@ -101,7 +101,7 @@
     @property
     def nodes_open(self) -> int:
         """Number of nodes that accept new work."""
-        return len(self._scheduler.state.open)
+        return len(self._scheduler.state.open_nodes)
 
     @property
     def nodes_listed(self) -> int:
@@ -252,11 +252,11 @@
 
     def _changed_plans(self) -> list[list[object]]:
         """Allotments, and plans that differ from the settings: volume, fields, shard, this host's share."""
-        given = self._scheduler.state.settings.plans
+        configured = self._scheduler.state.settings.plans
         return [
             [key[0], asdict(plan), shard_of(key), limit_share]
             for key, (plan, limit_share) in self._scheduler.volumes.plans.items()
-            if key[0] or limit_share is not None or plan != given.get(key[1])
+            if key[0] or limit_share is not None or plan != configured.get(key[1])
         ]
 
     def _limit_levels(self, now: float) -> list[list[object]]:
--- a/mallowbeam/storage_gateway/scheduler/key_order.py
+++ b/mallowbeam/storage_gateway/scheduler/key_order.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from mallowbeam.storage_gateway.scheduler.model import Request
-from mallowbeam.storage_gateway.scheduler.state import CLOCK_SLACK, SchedulerState
+from mallowbeam.storage_gateway.scheduler.state import CLOCK_SLACK_S, SchedulerState
 
 
 class KeyOrder:
@@ -16,16 +16,16 @@
         self._state = state
         self._book = book
         self.queues: dict[str, deque[Request]] = {}  # in the order of arrival
-        self.rests_until: dict[str, float] = {}  # time before which no next request of a key may be sent
+        self.paused_until: dict[str, float] = {}  # time before which no next request of a key may be sent
 
     def add(self, key: str, request: Request) -> None:
         """Queue a request behind the others of its key; book it if it is the only one."""
         self.queues.setdefault(key, deque()).append(request)
         self.advance(key)
 
-    def rest(self, key: str) -> None:
+    def pause(self, key: str) -> None:
         """Pause a key: an attempt of its first request may still be running."""
-        self.rests_until[key] = self._state.now + self._state.settings.order_settle_time
+        self.paused_until[key] = self._state.now + self._state.settings.order_settle_time
 
     def is_next(self, request: Request) -> bool:
         """Whether a request may be sent: it is its key's oldest, and the key's pause has ended."""
@@ -35,7 +35,7 @@
             return True
         if queue[0] is not request:
             return False
-        return request.attempt_count > 0 or self.rests_until.get(key or "", 0.0) <= self._state.now
+        return request.attempt_count > 0 or self.paused_until.get(key or "", 0.0) <= self._state.now
 
     def advance(self, key: str) -> None:
         """Book the oldest unfinished request of a key, or set a timer for the end of the key's pause."""
@@ -48,16 +48,16 @@
             del self.queues[key]
             return
         first = queue[0]
-        if first.budgeted or first.done:
+        if first.counted_pending or first.done:
             return
-        until = self.rests_until.get(key, 0.0)
+        until = self.paused_until.get(key, 0.0)
         # A pause that ends within the clock's slack counts as over: its timer would fire at once, for ever.
-        if until > self._state.now + CLOCK_SLACK:
+        if until > self._state.now + CLOCK_SLACK_S:
             self._state.schedule(until, key)
         else:
             self._book(first)
 
     def forget_old(self) -> None:
         """Drop the pauses that have ended, so that memory is bounded."""
-        for key in [key for key, until in self.rests_until.items() if until <= self._state.now]:
-            del self.rests_until[key]
+        for key in [key for key, until in self.paused_until.items() if until <= self._state.now]:
+            del self.paused_until[key]
--- a/mallowbeam/storage_gateway/scheduler/model.py
+++ b/mallowbeam/storage_gateway/scheduler/model.py
@@ -12,9 +12,9 @@
 from typing import NamedTuple
 
 from mallowbeam.scheduling.slots import MAX_SLOTS, FadingMean, blend, slot_time
-from mallowbeam.storage_gateway.scheduler.host_context import LATENCY_MEMORY, HostContext
+from mallowbeam.storage_gateway.scheduler.host_context import LATENCY_MEMORY_S, HostContext
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, RequestArrived, RequestClass
-from mallowbeam.storage_gateway.scheduler.volumes import VALUE_MEMORY, Volume
+from mallowbeam.storage_gateway.scheduler.volumes import VALUE_MEMORY_S, Volume
 
 LONG_AGO = -1e9
 
@@ -51,7 +51,7 @@
 
     __slots__ = (
         "attempt_count",
-        "budgeted",
+        "counted_pending",
         "charged",
         "data_key",
         "deadline",
@@ -91,7 +91,7 @@
         self.possible_runs: list[PossibleRun] = []
         self.done = False  # it has its final answer, or needs none any more
         self.late = False  # it cannot meet its latency target by the last layout of the queue
-        self.budgeted = False  # its units count as pending at its volume
+        self.counted_pending = False  # its units count as pending at its volume
         self.outbid = False  # it lost its slot to others, and has raised its node's price once
         self.charged = False  # its units have been charged to its volume's limit
 
@@ -209,9 +209,9 @@
         self.units_in_flight = 0
         self.mean_units_in_flight = host.settings.typical_units  # smoothed over the attempts sent
         self.window = float(host.settings.max_units)  # maximum of units in flight
-        self.latency = FadingMean(LATENCY_MEMORY)  # of a typical request, from recent answers
+        self.latency = FadingMean(LATENCY_MEMORY_S)  # of a typical request, from recent answers
         self.latency.mean = host.baseline.prior
-        self.latency.at = host.now
+        self.latency.updated_at = host.now
         self.smoothed_latency = host.baseline.prior  # the same, blended with the baseline's prior
         self.cycle_started_at = host.now
         self.cycle_units = 0  # sent in this cycle
@@ -240,7 +240,7 @@
         """Decay the weight of past answers, so that old ones lose influence even where answers are rare."""
         now = self._host.now
         latency = self.latency
-        if now > latency.at:
+        if now > latency.updated_at:
             latency.fade(now)
             self.smoothed_latency = blend(
                 latency.weight, latency.mean, PRIOR_WEIGHT, self._host.baseline.prior
@@ -249,8 +249,8 @@
     def has_recent_answers(self) -> bool:
         """Whether its latency rests on recent answers."""
         latency = self.latency
-        age = latency.at - self._host.now
-        return not self.suspect and latency.weight * exp(age / LATENCY_MEMORY) > RECENT_WEIGHT
+        age = latency.updated_at - self._host.now
+        return not self.suspect and latency.weight * exp(age / LATENCY_MEMORY_S) > RECENT_WEIGHT
 
     def learn(self, units: int, latency: float, at_least: bool) -> None:
         """Add a latency sample in seconds (`at_least`: a lower bound, without an answer); adjust the window.
@@ -306,10 +306,10 @@
 
     # --- price -------------------------------------------------------------------------------
 
-    def bid(self, unit_value: float = 0.0) -> float:
+    def update_price(self, unit_value: float = 0.0) -> float:
         """The decayed price of a unit, after raising it towards `unit_value` of a request without a slot."""
         now = self._host.now
-        self.price *= exp((self.price_at - now) / VALUE_MEMORY)
+        self.price *= exp((self.price_at - now) / VALUE_MEMORY_S)
         self.price_at = now
         self.price += PRICE_STEP * max(0.0, unit_value - self.price)
         return self.price
--- a/mallowbeam/storage_gateway/scheduler/node_health.py
+++ b/mallowbeam/storage_gateway/scheduler/node_health.py
@@ -17,14 +17,14 @@
 
 WATCH_RETRY = 1.0  # maximum seconds to the retry of a failed call to discovery in a small fleet
 MAX_WATCH_RETRY = 2.2  # the same in a fleet of any size (`server/discovery.py`)
-FLEET_CALL_RATE = 5.0  # retries per second by all hosts together
-LATER_SPREAD = 0.2  # jitter as a fraction of the wait, after the first failure
+FLEET_CALLS_PER_S = 5.0  # retries per second by all hosts together
+LATER_JITTER = 0.2  # jitter as a fraction of the wait, after the first failure
 AGENT_RETRY = 0.05  # seconds to the retry at the host's local agent, which pushes the lists
-LIST_DELAY = 3.0  # seconds by which lists may lag: so long an unreachable node counts as warming up
+LIST_DELAY_S = 3.0  # seconds by which lists may lag: so long an unreachable node counts as warming up
 MAX_CONNECTION_FAULTS = 6  # weighted, without an answer between, after which a node is suspect
 CONNECTION_FAULT_WEIGHTS = {Outcome.NO_CONNECTION: 3, Outcome.RESET: 1}
 ERROR_SMOOTHING = 0.1  # weight of one answer in a node's error rate
-FAILING_RATE = 0.3  # error rate above which a node is failing
+FAILING_ERROR_RATE = 0.3  # error rate above which a node is failing
 
 
 class NodeHealth:
@@ -48,7 +48,7 @@
             left_out = [name for name in self._state.nodes if name not in named]
             entries = [NodeEntry(name, NodeState.REMOVED) for name in left_out] + entries
         for entry in entries:
-            self._update(entry, event.kind)
+            self._apply_entry(entry, event.kind)
 
     def on_operator_override(self, event: OperatorOverride) -> None:
         """Disable a node, or enable it.
@@ -67,10 +67,10 @@
             if (node.started_at or 0.0) < disabled_at:
                 self._slow_start.begin(node, state.now)
             node.suspect = True  # makes the next line reset its measurements
-            self.answered(node)
-        self._admit(node)
+            self.on_answer(node)
+        self._update_open(node)
 
-    def answered(self, node: Node) -> None:
+    def on_answer(self, node: Node) -> None:
         """Record that a node answered; for a suspect node, discard the latency measured in its silence."""
         node.last_answer_at = self._state.now
         node.connection_faults = 0
@@ -78,14 +78,14 @@
             node.suspect = False
             node.latency.weight = 0.0
             node.paused_until = self._state.now
-            self._state.touched[node.id] = node
+            self._state.nodes_to_poll[node.id] = node
 
     @staticmethod
     def count_answer(node: Node, attempt: Attempt, is_error: bool) -> None:
         """Add an answer to a node's error rate."""
         node.answered_up_to = max(node.answered_up_to, attempt.sent_at)
         node.error_rate += ERROR_SMOOTHING * (is_error - node.error_rate)
-        node.failing = node.error_rate > FAILING_RATE
+        node.failing = node.error_rate > FAILING_ERROR_RATE
         if is_error and node.failing and attempt.sent_at >= node.cycle_started_at:
             # Errors take no slot: retries must not fill the cycle.
             node.cycle_units -= attempt.request.units
@@ -94,18 +94,18 @@
         """Count a failed connection; a node is suspect after several without an answer in between."""
         node.connection_faults += CONNECTION_FAULT_WEIGHTS[outcome]
         if node.connection_faults >= MAX_CONNECTION_FAULTS:
-            self.suspect(node)
+            self.mark_suspect(node)
             now = self._state.now
             # It may restart, and be cold, before a list reports it.
-            if node.slow_start_until < now + LIST_DELAY:
-                self._slow_start.begin(node, now, LIST_DELAY)
+            if node.slow_start_until < now + LIST_DELAY_S:
+                self._slow_start.begin(node, now, LIST_DELAY_S)
 
-    def suspect(self, node: Node) -> None:
+    def mark_suspect(self, node: Node) -> None:
         """Mark a node as silent or unreachable: it gets one trial request a cycle until it answers."""
         if not node.suspect:
             node.suspect = True
             self._booking.rebook(node, lambda request: request.shard is None)
-            self._state.touched[node.id] = node
+            self._state.nodes_to_poll[node.id] = node
 
     def _retry_watch(self, kind: DiscoveryUpdateKind) -> None:
         """Schedule the next call to discovery.
@@ -117,8 +117,8 @@
         state = self._state
         self.watch_failures += 1
         is_first = self.watch_failures == 1
-        longest = min(max(WATCH_RETRY, state.settings.hosts / FLEET_CALL_RATE), MAX_WATCH_RETRY)
-        wait = longest * (1.0 - state.random.random() * (1.0 if is_first else LATER_SPREAD))
+        longest = min(max(WATCH_RETRY, state.settings.hosts / FLEET_CALLS_PER_S), MAX_WATCH_RETRY)
+        wait = longest * (1.0 - state.random.random() * (1.0 if is_first else LATER_JITTER))
         wait = min(wait, state.settings.max_list_age or wait)
         if kind is DiscoveryUpdateKind.TIMED_OUT and is_first:
             wait = 0.0
@@ -126,7 +126,7 @@
             wait = AGENT_RETRY
         state.schedule(state.now + wait, DISCOVERY)
 
-    def _update(self, entry: NodeEntry, kind: DiscoveryUpdateKind) -> None:
+    def _apply_entry(self, entry: NodeEntry, kind: DiscoveryUpdateKind) -> None:
         """Apply one entry of a list."""
         node = self._state.nodes.get(entry.node)
         is_new = node is None
@@ -142,15 +142,15 @@
                 started_at = self._state.now
             if started_at is not None and (is_new or started_at != node.started_at):
                 self._slow_start.begin(node, started_at)
-                self.answered(node)  # it runs: any silence was before the restart
+                self.on_answer(node)  # it runs: any silence was before the restart
             node.started_at = started_at
-        self._admit(node)
+        self._update_open(node)
 
-    def _admit(self, node: Node) -> None:
+    def _update_open(self, node: Node) -> None:
         """Open or close a node for new work; requests booked at a closed node are booked elsewhere."""
         state = self._state
         node.open = node.state is NodeState.READY and node.id not in state.disabled_nodes
-        state.open = [known for known in state.nodes.values() if known.open]
+        state.open_nodes = [known for known in state.nodes.values() if known.open]
         if not node.open:
             self._booking.rebook(node, lambda _: True)
-        state.touched[node.id] = node
+        state.nodes_to_poll[node.id] = node
--- a/mallowbeam/storage_gateway/scheduler/queue_layout.py
+++ b/mallowbeam/storage_gateway/scheduler/queue_layout.py
@@ -17,8 +17,8 @@
 from mallowbeam.storage_gateway.scheduler.volume_table import VolumeTable
 from mallowbeam.storage_gateway.scheduler.volumes import Volume
 
-ACTIVE_TIME = 2.0  # seconds after its last request for which a volume takes part in sharing a node
-CAPACITY_SHARED = 0.9  # of a node's capacity is shared by weight (the platform's rule)
+ACTIVE_TIME_S = 2.0  # seconds after its last request for which a volume takes part in sharing a node
+SHARED_CAPACITY_FRACTION = 0.9  # of a node's capacity is shared by weight (the platform's rule)
 CONGESTION_VALUE = 0.3  # of the highest unit value: the price where waiting takes up the whole target
 
 
@@ -42,14 +42,14 @@
 
     def arrange(self, node: Node) -> tuple[list[Request], list[Request]]:
         """The requests of a node's queue to send, on-time ones before late ones; and those without a slot."""
-        self._value(node)
+        self._set_values(node)
         rejected: list[Request] = []
         queue: list[Request] = []
         for _, _, request in node.queue:
-            (rejected if self._slow_start.bars(node, request) else queue).append(request)
+            (rejected if self._slow_start.is_over_budget(node, request) else queue).append(request)
         # Read once, before latencies decay, so that the whole layout uses one slot time.
         pace = Pace(node.slot_time(), node.window - node.units_in_flight)
-        units = self._choose_on_time(node, queue, pace)
+        units = self._mark_late(node, queue, pace)
         order = [request for request in queue if not request.late]
         price = self.price(node)
         late = [request for request in queue if request.late]
@@ -79,20 +79,20 @@
         floor = state.baseline.floor
         waiting = max(node.smoothed_latency, node.overdue_time()) - floor
         congestion = min(1.0, max(0.0, waiting) / max(state.cycle - floor, state.cycle / 4))
-        return max(node.bid(), CONGESTION_VALUE * self._volumes.max_unit_value * congestion**2)
+        return max(node.update_price(), CONGESTION_VALUE * self._volumes.max_unit_value * congestion**2)
 
-    def _value(self, node: Node) -> None:
+    def _set_values(self, node: Node) -> None:
         """Set tier and value of all requests of a node's queue."""
         now = self._state.now
-        if now - node.total_weight_at > ACTIVE_TIME / 4:
+        if now - node.total_weight_at > ACTIVE_TIME_S / 4:
             node.fair_shares = {
                 volume: share
                 for volume, share in node.fair_shares.items()
-                if now - share.refilled_at <= ACTIVE_TIME
+                if now - share.refilled_at <= ACTIVE_TIME_S
             }
             node.total_weight_at = now
             node.total_weight = sum(volume.plan.weight for volume in node.fair_shares)
-        capacity = CAPACITY_SHARED * node.window / max(node.smoothed_latency, 1e-3)
+        capacity = SHARED_CAPACITY_FRACTION * node.window / max(node.smoothed_latency, 1e-3)
         capacity_by_weight = capacity / max(node.total_weight, 1e-9)
         # Assigned from scratch each time, so that the most valuable classes get reserve and fair share first.
         levels_of: dict[Volume, list[float]] = {}
@@ -124,7 +124,7 @@
         share.refill(now, rate, max(rate, self._max_units))
         return [volume.reserve_level, share.level, NEVER]
 
-    def _choose_on_time(self, node: Node, queue: list[Request], pace: Pace) -> int:
+    def _mark_late(self, node: Node, queue: list[Request], pace: Pace) -> int:
         """Mark requests that cannot meet their target as late, the least valuable ones first.
 
         Returns the units that meet their targets.  `queue` is in the order of targets: while a request would
@@ -142,14 +142,14 @@
             heappush(on_time, (request.unit_value, -request.sequence, request))
             units += request.units
             while on_time and now + max(0.0, units - free_units) * slot_time + latency > request.target_at:
-                victim = heappop(on_time)[2]
-                victim.late = True
-                units -= victim.units
+                displaced = heappop(on_time)[2]
+                displaced.late = True
+                units -= displaced.units
                 # Other requests took its slot; it is not too large.
-                if now + latency < victim.target_at and not victim.outbid:
-                    victim.outbid = True
-                    node.bid(victim.unit_value)
-                if victim is request:
+                if now + latency < displaced.target_at and not displaced.outbid:
+                    displaced.outbid = True
+                    node.update_price(displaced.unit_value)
+                if displaced is request:
                     break
         return units
 
--- a/mallowbeam/storage_gateway/scheduler/request_endings.py
+++ b/mallowbeam/storage_gateway/scheduler/request_endings.py
@@ -33,14 +33,14 @@
         request.done = True
         settings = self._state.settings
         if not answered:
-            self._answer(request, retry_after)
+            self._give_final_answer(request, retry_after)
         if settings.may_cancel:
             self._state.actions += [Cancel(request.id, number) for number in request.in_flight]
-        if request.budgeted and not request.charged:
+        if request.counted_pending and not request.charged:
             request.volume.pending_units -= request.units
         self.forget(request)
 
-    def _answer(self, request: Request, retry_after: float | None) -> None:
+    def _give_final_answer(self, request: Request, retry_after: float | None) -> None:
         settings = self._state.settings
         if is_idempotent_everywhere(request) or not (request.possible_runs or request.in_flight):
             wait = min(retry_after or self._state.cycle, settings.max_retry_after)
--- a/mallowbeam/storage_gateway/scheduler/scheduler.py
+++ b/mallowbeam/storage_gateway/scheduler/scheduler.py
@@ -33,10 +33,10 @@
 from mallowbeam.storage_gateway.scheduler.retry_policy import RetryPolicy
 from mallowbeam.storage_gateway.scheduler.sending import Sender
 from mallowbeam.storage_gateway.scheduler.slow_start import SlowStart
-from mallowbeam.storage_gateway.scheduler.state import CLOCK_SLACK, DISCOVERY, SchedulerState
+from mallowbeam.storage_gateway.scheduler.state import CLOCK_SLACK_S, DISCOVERY, SchedulerState
 from mallowbeam.storage_gateway.scheduler.volume_table import VolumeTable
 
-SURVEY_INTERVAL = 1.0  # seconds between sweeps of old state and updates of the latency over all nodes
+HOUSEKEEPING_INTERVAL_S = 1.0  # seconds between sweeps of old state and updates of the latency over all nodes
 
 
 class Scheduler:
@@ -56,14 +56,14 @@
         self.tracker = AttemptTracker(state, self.booking, self.endings, self.health, self.key_order)
         layout = QueueLayout(state, self.volumes, self.slow_start)
         self.dispatcher = Dispatcher(state, self.health, layout, self.sender, self.tracker)
-        self._surveyed_at = now
+        self._last_housekeeping_at = now
         # The longest time to the deadline seen in each class.  A client's retry has less time left: the
         # difference tells how long ago its first attempt was.
         self._longest_expiry: dict[str, float] = {}
         self._handlers: dict[type, Callable[[Any], None]] = {
             RequestArrived: self._on_request,
             ClientDisconnected: self.tracker.on_client_disconnected,
-            AttemptEnded: self.tracker.on_ended,
+            AttemptEnded: self.tracker.on_attempt_ended,
             StreamStarted: self.tracker.on_stream_started,
             UploadProgress: self.tracker.on_upload_progress,
             SiblingSend: self.volumes.on_sibling_send,
@@ -77,14 +77,14 @@
         """Process the events up to `now` (seconds), and return the actions to carry out."""
         state = self.state
         state.now = now
-        if now - self._surveyed_at >= SURVEY_INTERVAL:
-            self._survey()
+        if now - self._last_housekeeping_at >= HOUSEKEEPING_INTERVAL_S:
+            self._run_housekeeping()
         for event in events:
             handler = self._handlers.get(type(event))
             if handler is not None:
                 handler(event)
-        while state.touched:
-            self.dispatcher.poll(state.touched.popitem()[1])
+        while state.nodes_to_poll:
+            self.dispatcher.poll(state.nodes_to_poll.popitem()[1])
         state.set_host_timer()
         return state.take_actions()
 
@@ -93,32 +93,32 @@
         self.state.now = now
         return self.sender.may_begin(request, attempt)
 
-    def _survey(self) -> None:
+    def _run_housekeeping(self) -> None:
         """Drop old state, so that memory is bounded, and update the latency over all nodes."""
         state = self.state
-        passed = state.now - self._surveyed_at
-        self._surveyed_at = state.now
+        passed = state.now - self._last_housekeeping_at
+        self._last_housekeeping_at = state.now
         self.retries.has_budget_left()  # drops the times past its window
         self.key_order.forget_old()
         self.volumes.forget_old()
         state.forget_old()
         latencies = [node.latency.mean for node in state.nodes.values() if node.has_recent_answers()]
-        state.baseline.survey(latencies, passed)
+        state.baseline.update(latencies, passed)
 
     def _on_timer(self, _: TimerFired) -> None:
         state = self.state
-        for due in state.due_timers():
-            if isinstance(due, Node):
-                if state.nodes.get(due.id) is due:  # else it was dropped in the meantime
-                    state.touched[due.id] = due
-            elif isinstance(due, Request):
+        for target in state.due_timers():
+            if isinstance(target, Node):
+                if state.nodes.get(target.id) is target:  # else it was dropped in the meantime
+                    state.nodes_to_poll[target.id] = target
+            elif isinstance(target, Request):
                 # A request whose deadline was moved has another timer.
-                if due.deadline - state.settings.tick <= state.now + CLOCK_SLACK:
-                    self.endings.end(due)
-            elif due == DISCOVERY:
+                if target.deadline - state.settings.tick <= state.now + CLOCK_SLACK_S:
+                    self.endings.end(target)
+            elif target == DISCOVERY:
                 state.actions.append(WatchNodes(True))
             else:
-                self.key_order.advance(due)
+                self.key_order.advance(target)
 
     def _on_request(self, event: RequestArrived) -> None:
         state = self.state
--- a/mallowbeam/storage_gateway/scheduler/sending.py
+++ b/mallowbeam/storage_gateway/scheduler/sending.py
@@ -9,7 +9,7 @@
 from mallowbeam.storage_gateway.scheduler.slow_start import SlowStart
 from mallowbeam.storage_gateway.scheduler.state import SchedulerState
 
-SMOOTHING = 0.1  # weight of one attempt in a node's mean units in flight
+IN_FLIGHT_SMOOTHING = 0.1  # weight of one attempt in a node's mean units in flight
 
 
 class Sender:
@@ -66,7 +66,7 @@
             return False
         if request.shard not in (None, node.shard) or request.attempt_count >= self._state.max_attempts:
             return False
-        if not self._key_order.is_next(request) or self._slow_start.bars(node, request):
+        if not self._key_order.is_next(request) or self._slow_start.is_over_budget(node, request):
             return False
         return not request.attempt_count or self._retries.has_budget_left()
 
@@ -93,7 +93,7 @@
         node.last_data_key = request.data_key
         if now < node.slow_start_until:
             node.slow_start_sends.append(attempt.slow_start_send)
-        node.mean_units_in_flight += SMOOTHING * (node.units_in_flight - node.mean_units_in_flight)
+        node.mean_units_in_flight += IN_FLIGHT_SMOOTHING * (node.units_in_flight - node.mean_units_in_flight)
         # An attempt ends at its target, so that late work does not add to the node's queue.  The cost: an
         # answer that would come later is lost.
         attempt.expires_at = request.target_at if now < request.target_at else request.deadline
--- a/mallowbeam/storage_gateway/scheduler/settings.py
+++ b/mallowbeam/storage_gateway/scheduler/settings.py
@@ -55,16 +55,16 @@
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         items = {"count": len(value)} | {str(index): item for index, item in enumerate(value)}
     elif isinstance(value, list):
-        return {path: ",".join(spell(item) for item in value)}
+        return {path: ",".join(format_scalar(item) for item in value)}
     else:
-        return {path: spell(value)}
+        return {path: format_scalar(value)}
     flat: dict[str, str] = {}
     for name, item in items.items():
         flat |= flatten(item, f"{path}.{name}" if path else name)
     return flat
 
 
-def spell(value: object) -> str:
+def format_scalar(value: object) -> str:
     """A scalar JSON value in the notation of the simulator's pairs."""
     if isinstance(value, bool):
         return "true" if value else "false"
--- a/mallowbeam/storage_gateway/scheduler/simulator_host.py
+++ b/mallowbeam/storage_gateway/scheduler/simulator_host.py
@@ -154,17 +154,17 @@
 # --- to the wire ------------------------------------------------------------------------------
 
 
-def seconds(value: float | None) -> str:
+def format_time(value: float | None) -> str:
     """A time or a duration, in the simulator's resolution of a microsecond."""
     return "-" if value is None else f"{value:.6f}"
 
 
 WRITERS: dict[type, Callable[[str, Any], str]] = {
-    Send: lambda host, action: f"PLACE {host} {action.request} {action.node} {seconds(action.timeout)}",
+    Send: lambda host, action: f"PLACE {host} {action.request} {action.node} {format_time(action.timeout)}",
     Cancel: lambda host, action: f"DROP_ATTEMPT {host} {action.request} {action.attempt}",
-    Reject: lambda host, action: f"SAY_NO {host} {action.request} {seconds(action.retry_after)}",
+    Reject: lambda host, action: f"SAY_NO {host} {action.request} {format_time(action.retry_after)}",
     Fail: lambda host, action: f"REPORT_FAILURE {host} {action.request}",
-    SetTimer: lambda host, action: f"DEFER {host} {seconds(action.at)} {action.token}",
+    SetTimer: lambda host, action: f"DEFER {host} {format_time(action.at)} {action.token}",
     WatchNodes: lambda host, action: f"TRACK {host} {int(action.active)}",
     FetchNodes: lambda host, _: f"SNAPSHOT {host}",
     HealthCheck: lambda host, action: f"PROBE {host} {action.node}",
--- a/mallowbeam/storage_gateway/scheduler/state.py
+++ b/mallowbeam/storage_gateway/scheduler/state.py
@@ -10,13 +10,13 @@
 from mallowbeam.storage_gateway.scheduler.interface import Action, NodeState, SetTimer, Settings, WatchNodes
 from mallowbeam.storage_gateway.scheduler.model import Node, Request
 
-CLOCK_SLACK = 2e-6  # seconds; a clock with microsecond resolution may fire a timer early by rounding
+CLOCK_SLACK_S = 2e-6  # seconds; a clock with microsecond resolution may fire a timer early by rounding
 MAX_STALE_TIMERS = 1000  # of ended requests, before they are swept
 NEVER = float("inf")
-UNLIMITED = 2**31  # number of attempts where the settings give no limit
+UNLIMITED_ATTEMPTS = 2**31  # number of attempts where the settings give no limit
 DISCOVERY = ""  # timer target: a call to discovery
 
-Due = Node | Request | str  # a node, a request, an ordered key, or `DISCOVERY`
+TimerTarget = Node | Request | str  # a node, a request, an ordered key, or `DISCOVERY`
 
 
 class SchedulerState(HostContext):
@@ -27,14 +27,14 @@
         "disabled_nodes",
         "max_attempts",
         "nodes",
-        "open",
+        "open_nodes",
         "random",
         "requests",
         "sequence",
         "started_at",
-        "timer_set_for",
+        "host_timer_at",
         "timers",
-        "touched",
+        "nodes_to_poll",
     )
 
     def __init__(self, settings: Settings, now: float) -> None:
@@ -42,36 +42,36 @@
         self.started_at = now
         self.random = random.Random(settings.seed)
         self.nodes: dict[str, Node] = {}
-        self.open: list[Node] = []  # nodes that accept new work
+        self.open_nodes: list[Node] = []  # nodes that accept new work
         self.disabled_nodes: dict[str, float] = {}  # by an operator; the time since when
-        self.touched: dict[str, Node] = {}  # nodes to poll before the step ends
+        self.nodes_to_poll: dict[str, Node] = {}  # nodes to poll before the step ends
         self.requests: dict[str, Request] = {}
-        self.max_attempts = settings.max_attempts or UNLIMITED
+        self.max_attempts = settings.max_attempts or UNLIMITED_ATTEMPTS
         self.sequence = 0  # of requests and timers, so that ties are broken by order
-        self.timers: list[tuple[float, int, Due]] = []  # a heap
-        self.timer_set_for = NEVER  # time of the host's pending timer
+        self.timers: list[tuple[float, int, TimerTarget]] = []  # a heap
+        self.host_timer_at = NEVER  # time of the host's pending timer
         self.actions: list[Action] = [WatchNodes(True)] if settings.discovery_on_request else []
 
-    def schedule(self, when: float, due: Due) -> None:
+    def schedule(self, when: float, target: TimerTarget) -> None:
         """Set a timer for a node, a request, an ordered key or discovery."""
         self.sequence += 1
-        heappush(self.timers, (when, self.sequence, due))
+        heappush(self.timers, (when, self.sequence, target))
 
-    def due_timers(self) -> Iterator[Due]:
+    def due_timers(self) -> Iterator[TimerTarget]:
         """Remove and return the targets due now; none if a later timer has replaced the one that fired."""
-        until = self.now + CLOCK_SLACK
-        if until < self.timer_set_for:
+        until = self.now + CLOCK_SLACK_S
+        if until < self.host_timer_at:
             return
-        self.timer_set_for = NEVER
+        self.host_timer_at = NEVER
         while self.timers and self.timers[0][0] <= until:
             yield heappop(self.timers)[2]
 
     def set_host_timer(self) -> None:
         """Request a timer of the host if something is due before its pending one."""
-        if self.timers and self.timers[0][0] < self.timer_set_for:
-            self.timer_set_for = self.timers[0][0]
+        if self.timers and self.timers[0][0] < self.host_timer_at:
+            self.host_timer_at = self.timers[0][0]
             self.sequence += 1
-            self.actions.append(SetTimer(max(self.timer_set_for, self.now), self.sequence))
+            self.actions.append(SetTimer(max(self.host_timer_at, self.now), self.sequence))
 
     def take_actions(self) -> list[Action]:
         """Return and clear the actions of this step."""
@@ -86,9 +86,9 @@
             if node.state is NodeState.REMOVED and not node.in_flight and not is_warming:
                 del self.nodes[name]
         if len(self.timers) > 2 * (len(self.requests) + len(self.nodes)) + MAX_STALE_TIMERS:
-            self.timers = [timer for timer in self.timers if not _is_over(timer[2])]
+            self.timers = [timer for timer in self.timers if not _is_ended(timer[2])]
             heapify(self.timers)
 
 
-def _is_over(due: Due) -> bool:
-    return isinstance(due, Request) and due.done
+def _is_ended(target: TimerTarget) -> bool:
+    return isinstance(target, Request) and target.done
--- a/mallowbeam/storage_gateway/scheduler/volumes.py
+++ b/mallowbeam/storage_gateway/scheduler/volumes.py
@@ -9,8 +9,8 @@
 
 from mallowbeam.storage_gateway.scheduler.interface import Plan
 
-VALUE_MEMORY = 2.0  # seconds; surges come and go within seconds, and so must their effect on prices
-RESERVED_BURST = 0.5  # fraction of the burst kept for units as valuable as those that the limit rejected last
+VALUE_MEMORY_S = 2.0  # seconds; surges come and go within seconds, and so must their effect on prices
+RESERVED_BURST_FRACTION = 0.5  # of the burst: kept for units as valuable as those the limit rejected last
 # Volume, plan, and the shard of a separate allotment.
 VolumeKey = tuple[str, str] | tuple[str, str, int]
 
@@ -55,19 +55,19 @@
         self.pending_units = 0  # booked, not yet sent
         self.uploading_units = 0  # charged, while the body is still being sent
 
-    def shares(self) -> float:
+    def share_count(self) -> float:
         """The limit divided by this host's share of it."""
         return self.hosts if self.limit_share is None else 1.0 / max(self.limit_share, 1e-9)
 
-    def change(self, plan: Plan, limit_share: float | None, now: float) -> None:
+    def set_plan(self, plan: Plan, limit_share: float | None, now: float) -> None:
         """Apply a plan: debts under the previous plan remain, and added capacity fills at the plan's rate."""
         self.refill(now)
-        slack_before = self.plan.limit_slack / self.shares()
+        slack_before = self.plan.limit_slack / self.share_count()
         was_limited = self.plan.limit > 0
         self.plan = plan
         self.limit_share = limit_share
         # Slack that this share gains starts empty: the host that lost it may just have spent it.
-        bottom = -plan.limit_slack / self.shares()
+        bottom = -plan.limit_slack / self.share_count()
         level = self.limit_level + min(0.0, bottom + slack_before)
         self.limit_level = level if was_limited else bottom - self.uploading_units
         self.reserve_cap = plan.reserve + self.max_units if plan.reserve else 0.0
@@ -77,10 +77,11 @@
         """Refill both buckets up to now."""
         passed = now - self.refilled_at
         self.refilled_at = now
-        shares = self.shares()
+        share_count = self.share_count()
         plan = self.plan
         self.limit_level = min(
-            plan.limit_burst / shares - self.uploading_units, self.limit_level + passed * plan.limit / shares
+            plan.limit_burst / share_count - self.uploading_units,
+            self.limit_level + passed * plan.limit / share_count,
         )
         self.reserve_level = min(self.reserve_cap, self.reserve_level + passed * plan.reserve)
 
@@ -95,16 +96,16 @@
         plan = self.plan
         if plan.limit <= 0:
             return 0.0
-        is_cheap = 0 < unit_value < self.rejected_value and now < self.rejected_at + VALUE_MEMORY
-        shares = self.shares()
-        reserved = (RESERVED_BURST * plan.limit_burst if is_cheap else 0.0) - plan.limit_slack
-        missing = units + 1e-6 + reserved / shares - self.limit_level
-        fits_at_all = units * shares <= plan.limit_burst + plan.limit_slack
+        is_cheap = 0 < unit_value < self.rejected_value and now < self.rejected_at + VALUE_MEMORY_S
+        share_count = self.share_count()
+        reserved = (RESERVED_BURST_FRACTION * plan.limit_burst if is_cheap else 0.0) - plan.limit_slack
+        missing = units + 1e-6 + reserved / share_count - self.limit_level
+        fits_at_all = units * share_count <= plan.limit_burst + plan.limit_slack
         if missing > 0 and unit_value > 0 and not is_cheap and fits_at_all:
             self.rejected_value = unit_value
             self.rejected_at = now
-        return max(0.0, missing * shares / plan.limit)
+        return max(0.0, missing * share_count / plan.limit)
 
-    def report_remote_units(self, units: int) -> None:
+    def deduct_remote_units(self, units: int) -> None:
         """Deduct units used through other hosts from the reserve, down to minus its maximum."""
         self.reserve_level = max(-self.reserve_cap, self.reserve_level - units)
--- a/tests/storage_gateway/scheduler/test_drawn_settings.py
+++ b/tests/storage_gateway/scheduler/test_drawn_settings.py
@@ -339,4 +339,4 @@
         for send in of(rig.step(rig.request("ordered")), Send):
             rig.step(rig.ended(send, Outcome.TIMEOUT))
     rig.step(after=5.0)
-    assert not rig.host.key_order.rests_until and not rig.host.retries.requests_at
+    assert not rig.host.key_order.paused_until and not rig.host.retries.requests_at
--- a/tests/storage_gateway/scheduler/test_plan_changes.py
+++ b/tests/storage_gateway/scheduler/test_plan_changes.py
@@ -22,7 +22,7 @@
     SiblingSend,
     TimerFired,
 )
-from mallowbeam.storage_gateway.scheduler.volume_table import FORGET_AFTER
+from mallowbeam.storage_gateway.scheduler.volume_table import FORGET_AFTER_S
 from mallowbeam.storage_gateway.scheduler.volumes import Volume
 
 BASIC = next(plan for plan in PLANS if plan.name == "basic")
@@ -204,7 +204,7 @@
     rig.step(PlanChanged(replace(BASIC, limit=10.0)))
     assert rig.host.volumes.by_key["b", "basic"].plan.limit == 4.0
     sent(rig, 5.0)
-    rig.wait(FORGET_AFTER + 5.0)
+    rig.wait(FORGET_AFTER_S + 5.0)
     rig.step(rig.request(units=1))
     assert ("b", "basic") not in rig.host.volumes.by_key and not rig.host.volumes.changed_at
     sent(rig, 12.0)
@@ -376,21 +376,21 @@
 
 
 def without_carry_over(monkeypatch, broken: str) -> None:
-    change = Volume.change
+    set_plan = Volume.set_plan
 
     def without(self: Volume, plan: Plan, limit_share: float | None, now: float) -> None:
         self.refill(now)
-        slack, before, level = self.plan.limit_slack / self.shares(), self.plan, self.limit_level
-        change(self, plan, limit_share, now)
+        slack, before, level = self.plan.limit_slack / self.share_count(), self.plan, self.limit_level
+        set_plan(self, plan, limit_share, now)
         if before.limit:
-            gained = max(0.0, plan.limit_slack / self.shares() - slack)
+            gained = max(0.0, plan.limit_slack / self.share_count() - slack)
             self.limit_level = {
-                "full": plan.limit_burst / self.shares(),
+                "full": plan.limit_burst / self.share_count(),
                 "slack": self.limit_level + gained,
                 "forgiven": max(level, 0.0),
             }[broken]
 
-    monkeypatch.setattr(Volume, "change", without)
+    monkeypatch.setattr(Volume, "set_plan", without)
 
 
 def test_without_the_carry_over_the_limit_of_a_fleet_breaks(monkeypatch):
--- a/tests/storage_gateway/scheduler/test_sending_rules.py
+++ b/tests/storage_gateway/scheduler/test_sending_rules.py
@@ -103,7 +103,7 @@
 
 def test_not_while_its_key_rests():
     rig, request, node = booked("ordered")
-    rig.host.key_order.rests_until["0a"] = rig.now + 1.0
+    rig.host.key_order.paused_until["0a"] = rig.now + 1.0
     assert not sends(rig, request, node)
 
 
