--- a/tests/scheduling/test_scheduling_cycles.py
+++ b/tests/scheduling/test_scheduling_cycles.py
@@ -1,4 +1,4 @@
-"""Cycles of m slots: sizes, the earliest cycle with room, holes, spans, idle nodes."""
+"""Cycles of m slots: sizes, the earliest cycle with free slots, gaps, spans, idle nodes."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def book_of(cycle_s: float = 1.0, slot_s: float = 0.25) -> CycleBook:
-    """A book whose cycles have four slots."""
+    """A `CycleBook` whose cycles have four slots by default."""
     book = CycleBook(cycle_s)
     book.measure(slot_s)
     return book
 
 
 def take(book: CycleBook, booking: int, units: int, now: float) -> tuple[tuple[int, int], ...]:
-    """Place and book; where it went."""
+    """Place and book units; returns their slots by cycle."""
     placement = book.place(units, now)
     assert placement is not None
     book.book(booking, placement)
@@ -104,13 +104,13 @@
     def test_more_units_than_m_span_cycles(self) -> None:
         self.assertEqual(take(book_of(), 1, 10, 0.0), ((0, 4), (1, 4), (2, 2)))
 
-    def test_a_span_uses_the_holes_on_its_way(self) -> None:
+    def test_a_span_uses_free_slots_between_bookings(self) -> None:
         book = book_of()
         take(book, 1, 3, 0.0)
         take(book, 2, 4, 0.0)
         self.assertEqual(take(book, 3, 6, 0.0), ((0, 1), (2, 4), (3, 1)))
 
-    def test_a_span_given_back_frees_all_of_its_cycles(self) -> None:
+    def test_a_released_span_frees_slots_in_all_of_its_cycles(self) -> None:
         book = book_of()
         take(book, 1, 10, 0.0)
         book.release(1)
@@ -137,7 +137,7 @@
         self.assertEqual(take(book, 2, 4, 0.0), ((0, 4),))
 
     def test_a_fast_node_gets_shorter_cycles(self) -> None:
-        """Guards a node of many short units: 32 a long cycle would bound its rate."""
+        """At most 32 slots in a long cycle would bound the rate of a node with short units."""
         book = book_of(cycle_s=1.0, slot_s=0.001)
         take(book, 1, 32, 0.0)
         placement = book.place(1, 0.0)
@@ -158,7 +158,7 @@
 
 
 class ManyBookings(unittest.TestCase):
-    def test_no_cycle_holds_more_than_m_and_all_is_given_back(self) -> None:
+    def test_no_cycle_holds_more_than_m_and_all_is_released(self) -> None:
         chance = random.Random(7)
         book = book_of(slot_s=0.1)
         live: dict[int, int] = {}
--- a/tests/scheduling/test_scheduling_slot_time.py
+++ b/tests/scheduling/test_scheduling_slot_time.py
@@ -1,4 +1,4 @@
-"""Slot time: latency over units out, smoothed, and drawn to the first one as samples age."""
+"""Slot time: latency over units in flight, smoothed, approaching the first slot time as samples age."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def exchange(slots: SlotTimer, booking: int, units: int, at: float, latency: float) -> None:
-    """One exchange that is alone at the node."""
+    """One exchange while nothing else is in flight at the node."""
     slots.sent(booking, units, at)
     slots.done(booking, at + latency)
 
@@ -94,19 +94,19 @@
         self.assertLess(slots.slot_s(TARGET, now), 2 * before)
 
     def test_silence_counts_before_an_answer_comes(self) -> None:
-        """Guards a node that stands still: no sample would ever tell."""
+        """A node that hangs gives no sample."""
         slots = timer()
         exchange(slots, 1, 1, 0.0, 0.05)
         slots.sent(2, 1, 1.0)
         self.assertAlmostEqual(slots.slot_s(TARGET, 3.0), 2.0)
 
-    def test_unmeasured_ends_teach_nothing(self) -> None:
+    def test_unmeasured_ends_add_no_sample(self) -> None:
         slots = timer()
         slots.sent(1, 3, 0.0)
         self.assertEqual(slots.done(1, 9.0, measured=False), 9.0)
         self.assertAlmostEqual(slots.slot_s(TARGET, 9.0), FIRST)
 
-    def test_what_is_out_is_counted_once(self) -> None:
+    def test_units_in_flight_are_counted_once(self) -> None:
         slots = timer()
         slots.sent(1, 3, 0.0)
         slots.sent(1, 3, 0.5)
--- a/tests/storage_gateway/scheduler/test_admission_limits.py
+++ b/tests/storage_gateway/scheduler/test_admission_limits.py
@@ -1,4 +1,4 @@
-"""Limits, reserves and what is forgotten of volumes, seen from outside the scheduler."""
+"""Limits, reserves and the expiry of volumes, through the scheduler's interface."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("count", [0, None])
-def test_a_volume_of_no_stated_hosts_is_held_to_come_through_all(count):
+def test_a_volume_without_a_host_count_is_limited_as_if_through_all_hosts(count):
     rig = Rig(hosts=4)
     rig.wait(5.0)
     sent = sum(
@@ -41,12 +41,12 @@
     assert sent <= 40 / 4
 
 
-def test_a_new_life_starts_with_its_part_of_the_limit_spent():
+def test_a_new_scheduler_starts_with_its_share_of_the_limit_spent():
     rig = Rig()
     assert of(rig.step(rig.request(plan="basic", volume="b")), Reject)
 
 
-def test_a_host_draws_only_its_part_of_the_limit():
+def test_a_host_uses_only_its_share_of_the_limit():
     rig = Rig()
     sent = 0
     rig.step(rig.request(plan="basic", volume="b", volume_hosts=2))
@@ -58,14 +58,14 @@
     assert 0.7 * 60 < sent <= 10 * 6.0, "10 units a second, for 6 s, from nothing"
 
 
-def test_a_first_attempt_whose_connection_never_came_up_takes_nothing_from_the_limit():
-    """Day split+mass: units drawn at a full store 0.25 s before any node had them took it past the slack."""
+def test_an_attempt_without_a_connection_is_not_charged_to_the_limit():
+    """Charging 0.25 s before a node had the units overdrew the bucket beyond its slack (split+mass)."""
     rig = Rig(nodes=2, limit_at_arrival=True)
-    rig.wait(5.0)  # the host's part stands full, as the platform's store does
+    rig.wait(5.0)  # the host's share of the bucket is full, as the platform's bucket is
     store = Store(rig.settings.plans["basic"], rig.now)
     first = of(rig.step(rig.request(plan="basic", volume="b", units=8, shard=None)), Send)[0]
     again = of(rig.step(rig.ended(first, Outcome.NO_CONNECTION), after=0.3), Send)
-    assert again, "sent again at once to the other node"
+    assert again, "retried at once at the other node"
     store.take(rig.now, 8)
     rig.step(rig.ended(again[0], attempt=1))
     for _ in range(100):
@@ -75,13 +75,14 @@
     assert store.least >= -rig.settings.plans["basic"].limit_slack
 
 
-def test_a_limit_holds_across_200_hosts_while_a_fifth_of_them_is_cut_off():
-    """Day split+mass at 200 gateways: what all hosts of a volume send stays within its one store.
+def test_a_limit_holds_across_200_hosts_with_partitions_and_late_lists():
+    """All hosts of a volume together stay within its limit (scenario split+mass at 200 gateways).
 
-    Each volume comes through one to three hosts in bursts; for 6 s a fifth of the nodes is cut off (attempts
-    there end unsent after the connect time, and go again elsewhere); a fifth of the hosts had their list 2 s
-    late; answers are lost after the node ran and connections reset under requests, which are sent again.  The
-    store counts as the platform does: a request's units go at its first attempt that reached a node.
+    Each volume is used through one to three hosts in bursts.  For 6 s a fifth of the nodes is unreachable:
+    attempts there end unsent after the connect time and are retried elsewhere.  A fifth of the hosts gets its
+    list 2 s late.  Answers are lost after the node ran, and connections are reset; these requests are
+    retried.  The bucket counts as the platform does: units are charged at the first attempt that reached a
+    node.
     """
     bronze = Plan("bronze", limit=12, limit_burst=48, limit_slack=8, price=0.8)
     draw = random.Random(23)
@@ -99,9 +100,9 @@
     ]
     volumes = {f"v{v}": draw.sample(range(200), draw.choice((1, 2, 3))) for v in range(60)}
     stores = {name: Store(bronze, 0.0) for name in volumes}
-    due: list[tuple[float, int, int, object]] = []  # when, order, which host, what comes
+    due: list[tuple[float, int, int, object]] = []  # time, order, host, event
     order = count()
-    for second in range(20):  # each second some volumes are quiet, some surge
+    for second in range(20):  # each second some volumes are idle and some surge
         for name, hosts in volumes.items():
             for _ in range(draw.choice((0, 1, 3, 8, 30))):
                 heappush(due, (second + draw.random(), next(order), draw.choice(hosts), name))
@@ -109,7 +110,7 @@
     for n in cut:
         heappush(due, (2.0, next(order), n, listed))  # the list comes 2 s late
     counted: set[str] = set()
-    asked: dict[str, tuple[str, int]] = {}  # each request's volume and units
+    asked: dict[str, tuple[str, int]] = {}  # volume and units by request
     tries: dict[tuple[int, str], int] = {}
     while due:
         now, _, n, what = heappop(due)
@@ -155,8 +156,8 @@
     assert min(store.least for store in stores.values()) >= -bronze.limit_slack
 
 
-def test_what_never_comes_back_is_forgotten():
-    """Guards memory over a long day: replaced nodes, volumes that came once, timers of requests long over."""
+def test_unused_nodes_volumes_and_timers_are_dropped():
+    """Memory must not grow with replaced nodes, volumes used once, or timers of ended requests."""
     rig = Rig()
     for i in range(1500):
         send = of(rig.step(rig.request(volume=f"v{i}", plan="silver", units=1, expires_in=1.2)), Send)[0]
@@ -177,8 +178,8 @@
     assert len(rig.host.volumes.by_key) == 1 and len(rig.host.state.timers) < 1100
 
 
-def test_what_is_forgotten_comes_back_under_the_rules():
-    """Guards the limit and cold nodes: a new store holds one part and no more, a node is as its list says."""
+def test_dropped_volumes_and_nodes_return_under_the_rules():
+    """A dropped volume returns with one share of its bucket, a dropped node with the start in its list."""
     rig = Rig(nodes=2, **COLD)
     rig.step(rig.request(plan="basic", volume="b"))
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n1", NodeState.REMOVED, 1)]))
@@ -191,8 +192,8 @@
     assert of(rig.step(rig.request(plan="silver", volume="s", shard=1)), Reject)
 
 
-def test_a_store_fills_from_the_start_of_a_life_not_from_its_volume_s_first_request():
-    """Day herd: after every return the first request of each limited volume was refused."""
+def test_a_bucket_refills_from_the_schedulers_start_not_from_the_first_request():
+    """Otherwise the first request of each limited volume is rejected after every restart (scenario herd)."""
     rig = Rig(hosts=1)
     rig.wait(5.0)
     assert of(rig.step(rig.request(plan="basic", volume="b", units=8)), Send)
@@ -200,8 +201,8 @@
     assert of(fresh.step(fresh.request(plan="basic", volume="b", units=8)), Reject)
 
 
-def test_a_volume_first_seen_late_in_a_life_has_the_whole_of_its_part():
-    """A store began at its bottom with a first request past 30 s of a life, though nothing had been drawn."""
+def test_a_volume_first_used_late_has_its_full_share():
+    """A bucket started empty if its first request came over 30 s after the start, though it was unused."""
     rig = Rig(hosts=1)
     rig.wait(40.0)
     sent = 0
@@ -213,7 +214,7 @@
 
 
 def test_a_volume_with_a_body_on_its_way_is_not_forgotten():
-    """Guards the limit: its units are drawn here and count there only once its last byte is out."""
+    """Its units are charged here, but count at the platform only when the last byte is sent."""
     rig = Rig(hosts=1, limit_at_arrival=True)
     rig.wait(5.0)
     send = of(rig.step(rig.request(plan="basic", volume="b", units=8)), Send)[0]
@@ -225,8 +226,8 @@
 
 
 @pytest.mark.parametrize(("classes", "reads"), [(("read", "log"), 0.75), (("log",), 0.0)])
-def test_where_a_limit_binds_the_class_worth_most_has_it(classes, reads):
-    """Lindores' surges: units went to whoever came first, two in five of them to the class worth less."""
+def test_a_scarce_limit_goes_to_the_most_valuable_class(classes, reads):
+    """In order of arrival, two in five units of a surge went to the less valuable class."""
     rig = Rig(hosts=1)
     rig.wait(5.0)
     units = dict.fromkeys(("read", "log"), 0)
@@ -236,11 +237,13 @@
             units[cls] += 1
             rig.step(rig.ended(send))
     assert units["read"] >= reads * sum(units.values())
-    assert sum(units.values()) >= 0.85 * (10.0 * 20 + 32), "what is kept for the dear is not lost"
+    assert sum(units.values()) >= 0.85 * (
+        10.0 * 20 + 32
+    ), "units kept for valuable requests must not stay unused"
 
 
-def test_a_limit_holds_whatever_one_client_says_of_its_volume():
-    """Guards the limit: the first request of a volume alone told its plan and how many hosts it has."""
+def test_a_limit_holds_whatever_host_count_a_client_states():
+    """The first request of a volume alone must not fix its plan and its host count."""
     rig = Rig(hosts=4)
     rig.step(rig.request(plan="gold", volume="b", volume_hosts=1))
     rig.step(rig.request(plan="basic", volume="b", volume_hosts=1), after=1.0)
@@ -254,8 +257,8 @@
     assert sent <= 10.0 * 20 / 4 + 32 / 4 + 8 / 4
 
 
-def test_what_a_sister_process_sends_counts_against_limit_and_cold_node():
-    """Guards the rules through an upgrade: two processes are one host, with one store and one part."""
+def test_units_sent_by_a_sibling_process_count_for_limit_and_warming_node():
+    """During an upgrade two processes are one host, with one bucket and one share."""
     rig = Rig(nodes=2, **COLD | {"hosts": 1})
     rig.step(SiblingSend("v", "basic", 1, limit_level=20.0))
     rig.step(SiblingSend("v", "basic", 1, "n1", 4, 4))
@@ -266,7 +269,7 @@
 
 
 def test_the_limit_counts_a_large_body_from_its_last_byte():
-    """Day bulk+slow+pieces, seed 3: stores filled up while bodies still came, and let too much through."""
+    """Buckets refilled during uploads and then admitted too much (scenario bulk+slow+pieces, seed 3)."""
     rig = Rig(hosts=1)
     rig.step(rig.request("keyed", plan="basic", volume="b", units=1))
     rig.wait(5.0)
--- a/tests/storage_gateway/scheduler/test_cycle_booking.py
+++ b/tests/storage_gateway/scheduler/test_cycle_booking.py
@@ -1,4 +1,4 @@
-"""Where and when a request is booked: latency targets, value, capacity, runs on the same data."""
+"""Booking of requests: latency targets, value, capacity, runs for the same data."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     assert [s.node for s in of(rig.step(rig.request()), Send)] == ["n0"]
 
 
-def test_what_no_cycle_finishes_in_time_is_refused_at_once():
+def test_requests_that_no_cycle_can_finish_in_time_are_rejected_at_once():
     rig = Rig()
     actions = rig.step(*[rig.request(units=8) for _ in range(120)])
     assert of(actions, Send)
@@ -39,14 +39,14 @@
 
 
 def test_ids_and_keys_of_any_form_are_taken():
-    """A host's own ids need not be hexadecimal, and a request may have no key."""
+    """A host's ids need not be hexadecimal, and a request may have no key."""
     rig = Rig(nodes=3)
     assert of(rig.step(rig.request(shard=None, key="plan/7"), rig.request(shard=None, key=None)), Send)
 
 
 @pytest.mark.parametrize(("keys", "most"), [("k", 8 + 2 * 8), (None, 8)])
-def test_what_follows_on_the_same_data_goes_at_once_within_a_bound(keys, most):
-    """Lindores' reads come in runs of up to five, and a node does the ones that follow for half the work."""
+def test_requests_for_the_same_data_follow_at_once_within_a_bound(keys, most):
+    """Reads come in runs of up to five, and the later ones of a run cost a node half the work."""
     rig = Rig()
     out = 0
     for _ in range(12):
@@ -56,7 +56,7 @@
 
 
 def test_requests_on_the_same_data_wait_and_go_together():
-    """They lay in turn of their aims, so that another's between two of them made the node seek twice."""
+    """In the order of targets, a request for other data between two of them made the node seek twice."""
     rig = Rig()
     sends = of(rig.step(rig.request(units=8)), Send)
     for key in ("a", "b", "a", "b", "a", "b"):
@@ -65,8 +65,8 @@
     assert order == ["r2", "r4", "r6", "r3", "r5", "r7"]
 
 
-def test_aim_of_a_further_try_runs_from_the_first():
-    """Incidents i19e2f3, i9b74b3: retries were booked as if their aim began anew, and came late."""
+def test_the_target_of_a_clients_retry_counts_from_its_first_attempt():
+    """Retries booked with a new latency target were answered late (incidents i19e2f3, i9b74b3)."""
     rig = Rig()
     rig.step(rig.request(expires_in=1.2))
     fresh, again = rig.request(expires_in=1.2), rig.request(expires_in=1.0)
@@ -76,16 +76,16 @@
 
 
 def test_cheap_units_leave_room_once_dear_ones_were_lost():
-    """Incidents i19e2f3, i48321c: bulk, which can wait, took every slot that came free."""
+    """Bulk requests, which can wait, took every free slot (incidents i19e2f3, i48321c)."""
     rig = Rig()
     node = rig.host.state.nodes["n0"]
     node.price, node.price_at = 3.0, rig.now
     assert not of(rig.step(*[rig.request(volume="c", plan="silver", units=1) for _ in range(8)]), Send)
-    assert len(of(rig.step(rig.request(volume="d", plan="gold", units=2)), Send)) == 1, "room was left"
+    assert len(of(rig.step(rig.request(volume="d", plan="gold", units=2)), Send)) == 1, "capacity was left"
 
 
-def test_room_left_for_dearer_units_is_used_at_the_last_chance_unless_the_node_is_at_work():
-    """Day bulk+slow+pieces: with nothing out, requests waited for a price to fall until they were refused."""
+def test_capacity_kept_for_valuable_units_is_used_at_the_last_chance_if_idle():
+    """At an idle node requests waited for the price to fall until they were rejected (bulk+slow+pieces)."""
     for busy in (False, True):
         rig = Rig()
         node = rig.host.state.nodes["n0"]
@@ -100,7 +100,7 @@
 
 
 def test_a_request_larger_than_the_room_is_paced():
-    """Incident i48321c: with twelve hosts, 'idle nodes get bookings at once' kept nodes full."""
+    """With twelve hosts, sending to every idle node at once kept nodes full (incident i48321c)."""
     rig = Rig()
     node = rig.host.state.nodes["n0"]
     first = of(rig.step(rig.request(units=2)), Send)[0]
@@ -112,16 +112,16 @@
 
 
 def test_late_and_cheap_is_refused_at_once():
-    """Incident ic3bbc9: late bookings were held to their deadline, then refused."""
+    """Late bookings were held until their deadline and then rejected (incident ic3bbc9)."""
     rig = Rig()
     rig.step(rig.request(expires_in=1.2))
     node = rig.host.state.nodes["n0"]
     node.price, node.price_at = 4.0, rig.now
-    assert of(rig.step(rig.request(expires_in=0.9)), Reject), "its aim has passed already"
+    assert of(rig.step(rig.request(expires_in=0.9)), Reject), "its latency target has already passed"
 
 
-def test_one_odd_deadline_makes_no_other_client_late():
-    """Guards the aim, which runs from a first try: that was told by the longest time of any client."""
+def test_one_clients_long_deadline_makes_no_other_client_late():
+    """The first attempt's time is inferred from the class, not from the longest deadline of any client."""
     rig = Rig()
     rig.step(rig.request(expires_in=3600.0, volume="odd"))
     send = of(rig.step(rig.request(expires_in=1.2)), Send)[0]
@@ -129,19 +129,19 @@
 
 
 def test_a_keyed_write_that_may_have_run_is_booked_where_it_may_run_again():
-    """Guards against a booking that can't be sent: it waited at another node until its deadline."""
+    """A booking at another node cannot be sent: it waited there until its deadline."""
     rig = Rig(nodes=8)
     first = of(rig.step(rig.request("keyed", shard=None, units=1)), Send)[0]
     for node in rig.host.state.nodes.values():
-        node.paused_until = rig.now + 9.0  # nothing goes out: where it is booked can be seen
-    rig.host.state.nodes[first.node].window = 0.0  # any other node has an earlier hole
+        node.paused_until = rig.now + 9.0  # nothing is sent, so its booking stays visible
+    rig.host.state.nodes[first.node].window = 0.0  # any other node could finish earlier
     rig.step(rig.ended(first, Outcome.ERROR), after=0.01)
     (holder,) = [node for node in rig.host.state.nodes.values() if node.queue]
     assert holder.zone == rig.host.state.nodes[first.node].zone
 
 
-def test_at_a_crowded_node_spare_units_are_left_out_first():
-    """Big days: with one request out a host, only latency tells that others have filled the node."""
+def test_at_a_node_loaded_by_other_hosts_spare_units_are_held_back_first():
+    """With one request in flight per host, only latency shows that other hosts load the node."""
     rig = Rig()
     node = rig.host.state.nodes["n0"]
     for _ in range(8):
@@ -149,4 +149,4 @@
             rig.step(rig.ended(send), after=0.18)
     assert node.units_in_flight == 0 and 0.12 < node.smoothed_latency < 0.2
     assert not of(rig.step(rig.request(units=1, volume="s", plan="silver", shard=0)), Send)
-    assert of(rig.step(rig.request("log", units=1)), Send), "what is inside the reserve still goes"
+    assert of(rig.step(rig.request("log", units=1)), Send), "units within the reserve are still sent"
--- a/tests/storage_gateway/scheduler/test_deployments.py
+++ b/tests/storage_gateway/scheduler/test_deployments.py
@@ -1,8 +1,8 @@
-"""Both kinds of deployment, each with settings of its shape, kept to the rules by many module instances.
+"""Many scheduler instances keep the rules in both kinds of deployment.
 
-`example/config.json` is shaped like the first deployment (one host, probes, Retry-After, four tries);
-`example/records.json` like the second (four hosts, pushed lists, no Retry-After, three tries, a limited plan
-whose volumes come through several hosts).  A checker reads the history of a day and names each broken rule.
+`example/config.json` resembles the first deployment (one host, probes, Retry-After, four attempts);
+`example/records.json` the second (four hosts, pushed lists, no Retry-After, three attempts, a limited plan
+whose volumes are used through several hosts).  A checker follows a simulated run and names each broken rule.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 )
 from mallowbeam.storage_gateway.server.config import read_config
 
-SPARE = 1.3  # a usual node bears this many times what every node bears cold
+SPARE = 1.3  # a typical node sustains this many times the guaranteed units while warming up
 MAY_HAVE_RUN = (*MAY_STILL_RUN, Outcome.ERROR)
 
 
@@ -50,18 +50,20 @@
 
 
 class Checker:
-    """The rules over a recorded history: what each request got, where and when it was sent."""
+    """Checks the rules over a run: each request's attempts, their nodes and times, and its final answer."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings, self.broken = settings, []
         self.finals: dict[str, int] = {}
-        self.out: dict[str, int] = {}  # attempts out, by request
+        self.out: dict[str, int] = {}  # attempts in flight, by request
         self.sends: dict[str, list[tuple[float, str]]] = {}
         self.ran: dict[str, bool] = {}  # whether an attempt may have run
-        self.draining: dict[tuple[int, str], float] = {}  # when each host was told that a node drains
+        self.draining: dict[tuple[int, str], float] = {}  # when each host learned that a node drains
         self.stores: dict[str, Store] = {}
         self.counted: set[str] = set()
-        self.cold: dict[str, tuple[float, deque[tuple[float, int]]]] = {}  # by node: its start, units of late
+        self.cold: dict[
+            str, tuple[float, deque[tuple[float, int]]]
+        ] = {}  # by node: its start, and recent units
 
     def arrived(self, event: RequestArrived) -> None:
         self.finals[event.request], self.out[event.request], self.sends[event.request] = 0, 0, []
@@ -90,7 +92,7 @@
         self.sends[request].append((now, node))
 
     def reached(self, now: float, plan: Plan, volume: str, request: str, units: int) -> None:
-        """The platform's one store of a volume: units go at the first attempt that reached a node."""
+        """Charge the platform's bucket of a volume at the first attempt that reached a node."""
         if not plan.limit or request in self.counted:
             return
         self.counted.add(request)
@@ -103,7 +105,7 @@
         self.cold[node] = (now, deque())
 
     def worked(self, now: float, node: str, units: int) -> None:
-        """All hosts' units at a node that has just started, against what it can do at that moment."""
+        """Check all hosts' units at a node that is warming up against its current capacity."""
         s = self.settings
         if node not in self.cold or not 0 <= now - self.cold[node][0] < s.slow_start_time:
             return
@@ -133,9 +135,10 @@
 
 
 def day(settings: Settings, seed: int, checker: Checker, hosts: int = 4, nodes: int = 10) -> int:
-    """A day of 20 s at `hosts` instances; returns the requests taken.
+    """Simulate 20 s with `hosts` instances; returns the number of requests.
 
-    One node drains at 5 s; one is gone at 7 s and back, cold, at 8 s, with a double part of the traffic.
+    One node drains at 5 s.  Another is removed at 7 s and returns, warming up, at 8 s, with twice the
+    traffic.
     """
     draw = random.Random(seed)
     entries = [NodeEntry(f"n{i}", shard=i, zone=str(i % 3)) for i in range(nodes)]
@@ -240,20 +243,22 @@
     taken = day(settings, seed, checker)
     assert taken > 1000
     assert checker.close() == []
-    assert len(checker.counted) > 100, "enough of a limited plan reached a node for the limit to be tried"
+    assert (
+        len(checker.counted) > 100
+    ), "enough requests of a limited plan reached a node to exercise the limit"
 
 
 def test_the_checker_names_each_broken_rule():
-    """A history with each rule broken once is caught: the checker can fail."""
+    """The checker can fail: it reports a run that breaks each rule once."""
     settings = shaped("records.json")
     fetch, store = settings.classes["fetch"], settings.classes["store"]
     checker = Checker(settings)
     for request in ("a", "b", "c", "d", "e"):
         checker.arrived(RequestArrived(request, "fetch", expires_in=2.0))
     checker.sent(0.0, fetch, "a", "n0")
-    checker.sent(0.0, fetch, "a", "n0")  # two at once
+    checker.sent(0.0, fetch, "a", "n0")  # two at a time
     checker.drains(0, "n1", 1.0)
-    checker.sent(1.3, fetch, "b", "n1")  # after the drain's grace
+    checker.sent(1.3, fetch, "b", "n1")  # after the drain grace period
     checker.sent(0.0, store, "c", "n2")
     checker.ended("c", Outcome.TIMEOUT)
     checker.sent(3.5, store, "c", "n2")  # a keyed repeat after its window
@@ -261,10 +266,10 @@
     checker.answered("d")  # twice
     plain = settings.plans["plain"]
     for i in range(40):
-        checker.reached(0.0, plain, "v", f"x{i}", 8)  # all at once, far over the store
+        checker.reached(0.0, plain, "v", f"x{i}", 8)  # all at once, far over the limit
     checker.starts("n3", 0.0)
     for i in range(20):
-        checker.worked(0.1 * i, "n3", 8)  # 160 units where some 80 tip it over
+        checker.worked(0.1 * i, "n3", 8)  # 160 units where about 80 overload it
     said = [line.split(": ")[1] for line in checker.close()]
     assert said[:4] == [
         "a second attempt while one is out",
--- a/tests/storage_gateway/scheduler/test_drawn_settings.py
+++ b/tests/storage_gateway/scheduler/test_drawn_settings.py
@@ -1,4 +1,4 @@
-"""Settings of any customer: instances are driven through drawn ones, and the rules checked from outside."""
+"""Random settings: instances run on drawn settings, and the rules are checked from outside."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def draw_settings(draw: random.Random) -> Settings:
-    """Any customer's: short and long times, rules that are there or not, tight limits, odd sizes."""
+    """Random settings: short and long times, optional rules, tight limits, unusual sizes."""
     top, hosts = draw.choice((1, 1, 2, 8, 40)), draw.choice((1, 1, 3, 200))
     classes, plans = {}, {}
     for name in "abc"[: draw.choice((1, 1, 2, 3))]:
@@ -102,7 +102,7 @@
 
 
 class Service:
-    """One instance on drawn settings, its clients and nodes, and the rules."""
+    """One instance on drawn settings, with its clients and nodes; checks the rules."""
 
     def __init__(self, seed: int) -> None:
         draw = self.draw = random.Random(seed)
@@ -158,7 +158,7 @@
                 or cls.idempotency is Idempotency.SAFE
                 or cls.idempotency is Idempotency.KEYED
                 and cls.dedup_scope is DeduplicationScope.ALL
-            ), "an untrue refusal"
+            ), "a rejection of a request that may have run"
 
     def sent(self, send: Send) -> None:
         name, request = send.request, self.asked[send.request]
@@ -182,13 +182,13 @@
             after, outcome = send.timeout, Outcome.TIMEOUT
         unsent = outcome in (Outcome.NOT_SENT, Outcome.NO_CONNECTION)
         if self.settings.limit_at_arrival and not unsent:
-            self.draws(name)  # its last byte is there at once
+            self.draws(name)  # its last byte arrives at once
         elif not self.settings.limit_at_arrival and outcome is not Outcome.NOT_SENT:
             self.draws(name)
         self.at(self.now + after, lambda: self.ended(name, number, outcome))
 
     def draws(self, name: str) -> None:
-        """This host's part of the store, as the platform counts it."""
+        """Charge this host's share of the volume's bucket, as the platform does."""
         request = self.asked[name]
         plan = self.settings.plans.get(request.plan)
         if plan is None or plan.limit <= 0 or name in self.drawn:
@@ -258,7 +258,7 @@
         return None
 
     def play(self, requests: int) -> None:
-        """All of it, until nothing is left to do; then nothing may be held."""
+        """Run to the end; every request must then have its final answer."""
         draw, when = self.draw, self.now
         pace = draw.choice((0.002, 0.02, 0.1))
         for _ in range(requests):
@@ -285,36 +285,36 @@
         assert not volume.pending_units and not volume.uploading_units
 
 
-def test_what_a_limit_never_bears_keeps_nothing_from_the_others():
-    """Guards the cheap: half of the store was left to a dearer request that is larger than the store."""
+def test_a_request_larger_than_the_limit_reserves_nothing_from_others():
+    """Half of the bucket was kept for a more valuable request that is larger than the bucket."""
     plan = Plan("p", limit=1.0, limit_burst=8.0)
     rig = Rig(plans={"p": plan})
-    rig.wait(60.0)  # the store is full
+    rig.wait(60.0)  # the bucket is full
     assert of(rig.step(rig.request("read", units=9, plan="p")), Reject)
     sent = sum(len(of(rig.step(rig.request("log", units=1, plan="p")), Send)) for _ in range(8))
-    assert sent == 7  # all but what rounding may take
+    assert sent == 7  # one less than the bucket holds, for rounding
 
 
 @pytest.mark.parametrize("slow_start_time", [0.0, None])
-def test_where_no_node_is_ever_cold_none_is_presumed_to_be(slow_start_time):
-    """Guards a node that lost its connections: without any such time it was held for cold, or it raised."""
+def test_without_slow_start_no_node_is_treated_as_warming_up(slow_start_time):
+    """Without a slow-start time, lost connections marked a node as warming up, or raised an error."""
     rig = Rig(**COLD | {"slow_start_time": slow_start_time, "slow_start_units": 1.0, "hosts": 200})
     for _ in range(2):
         rig.step(rig.ended(of(rig.step(rig.request(units=1)), Send)[0], Outcome.NO_CONNECTION))
-    assert rig.host.state.nodes["n0"].suspect  # so it gets a trickle
+    assert rig.host.state.nodes["n0"].suspect  # so it gets trial requests
     assert of(rig.step(rig.request(plan="silver", units=8), after=0.3), Send)
 
 
 @pytest.mark.parametrize("units", [1, 20, 200])
 def test_a_service_whose_requests_count_many_units_is_used(units):
-    """Guards against a first guess in units: twenty seemed to take longer than the deadline."""
+    """The initial latency estimate must not grow with the unit: 20 units seemed to exceed the deadline."""
     cls = RequestClass("only", latency_target=1.0, deadline=1.0)
     rig = Rig(classes={"only": cls}, typical_units=units, max_units=2 * units)
     assert of(rig.step(rig.request("only", units=2 * units)), Send)
 
 
 def test_a_timer_a_microsecond_early_does_not_spin(monkeypatch):
-    """Guards the loop: a rest that ended within the clock's rounding set the timer that was due again."""
+    """A key's pause that ended within the clock's rounding set a timer that was due at once, endlessly."""
     rig = Rig(order_settle_time=0.3)
     first = of(rig.step(rig.request("ordered", key="k")), Send)[0]
     rig.step(rig.ended(first, Outcome.TIMEOUT), rig.request("ordered", key="k"))
@@ -332,8 +332,8 @@
     assert of(rig.wait(0.2), Send)
 
 
-def test_nothing_is_kept_of_keys_and_budgets_that_rest():
-    """Guards memory: each key's rest, and the time of each request taken, stayed for good."""
+def test_idle_keys_and_retry_budgets_keep_no_state():
+    """Each key's pause, and the time of each request, stayed in memory for ever."""
     rig = Rig(order_settle_time=0.3, retry_budget_floor=2.0, retry_budget_window=1.0)
     for _ in range(20):
         for send in of(rig.step(rig.request("ordered")), Send):
--- a/tests/storage_gateway/scheduler/test_gateway_host.py
+++ b/tests/storage_gateway/scheduler/test_gateway_host.py
@@ -1,4 +1,4 @@
-"""The scheduler as the gateway calls it: plain values in and out, and nothing decided."""
+"""The adapter between gateway and scheduler: translates calls and actions, takes no decisions."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     assert [tried.number for tried in orders.attempts] == [1]
 
 
-def test_without_a_node_the_verdict_is_a_refusal_at_once():
+def test_without_a_node_the_final_answer_is_a_rejection_at_once():
     host = SchedulerHost(make_settings(), 100.0)
     (verdict,) = host.pick(100.0, "a", **FIELDS).final_answers
     assert verdict.request == "a" and verdict.rejected and verdict.retry_after > 0
@@ -57,7 +57,7 @@
     assert host.report(100.4, tried, Outcome.TIMEOUT, 0.4).final_answers == [FinalAnswer("a", False, None)]
 
 
-def test_leaving_cancels_what_is_out():
+def test_a_client_disconnect_cancels_the_attempts_in_flight():
     host = make_host()
     (tried,) = host.pick(100.0, "a", **FIELDS).attempts
     assert host.client_disconnected(100.1, "a").cancellations == [("a", 0)]
@@ -67,7 +67,7 @@
 
 
 def test_a_tick_before_its_time_changes_nothing():
-    """Guards the module's one pending timer: taken early, it would never be set again."""
+    """The scheduler has one pending timer: if it fired early, it would never be set again."""
     host = make_host()
     host.pick(100.0, "a", **FIELDS)
     due = host.wake_at
@@ -87,7 +87,7 @@
     assert not host.tick(102.0).final_answers
 
 
-def test_what_sockets_do_not_offer_is_an_error(monkeypatch):
+def test_an_action_that_the_gateway_does_not_support_is_an_error(monkeypatch):
     host = make_host()
     monkeypatch.setattr(host._scheduler, "step", lambda now, events: [HealthCheck("n0")])
     with pytest.raises(TypeError):
--- a/tests/storage_gateway/scheduler/test_node_health.py
+++ b/tests/storage_gateway/scheduler/test_node_health.py
@@ -1,4 +1,4 @@
-"""Which nodes get new work: time-outs, failures, lists, operators, and how discovery is called."""
+"""Which nodes get new work: time-outs, failures, lists, operator overrides, and calls to discovery."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     first = of(rig.step(rig.request(), rig.request()), Send)[0]
     rig.wait(0.7)
     actions = rig.step(*[rig.request() for _ in range(10)])
-    assert len(of(actions, Reject)) >= 8, "only a trickle goes to a node that answers nothing"
+    assert len(of(actions, Reject)) >= 8, "a node that does not answer gets only trial requests"
     rig.step(rig.ended(first), *[rig.ended(send) for send in of(actions, Send)])
     for attempt in list(rig.host.state.nodes["n0"].in_flight.values()):
         rig.step(rig.ended(Send(attempt.request.id, "n0"), Outcome.CANCELLED, attempt.number))
@@ -67,7 +67,7 @@
 
 
 def test_one_costly_request_does_not_close_a_node():
-    """Quiet days: a lone request of many times the usual work made its node look silent."""
+    """A single request of many times the usual work made its node look silent."""
     rig = Rig()
     rig.step(rig.request("log", units=8))
     rig.wait(0.39)
@@ -75,7 +75,7 @@
     assert not of(rig.step(rig.request("log", units=1)), Reject)
 
 
-def test_a_cut_connection_puts_a_node_on_a_trickle():
+def test_refused_connections_limit_a_node_to_trial_requests():
     rig = Rig()
     sends = fill(rig, units=1)
     rig.step(*[rig.ended(send, Outcome.NO_CONNECTION) for send in sends[:2]])
@@ -84,22 +84,22 @@
 
 
 def test_discovery_is_asked_again_within_seconds_however_often_it_failed():
-    """Guards drains: they count as told a few seconds later, whether word of them came or not."""
+    """Hosts count as informed of a drain after a few seconds, even if no list reached them."""
     rig = Rig(discovery_on_request=True)
-    for _ in range(2000):  # no overflow either, however long discovery is down
+    for _ in range(2000):  # and without overflow, however long discovery is down
         rig.step(DiscoveryUpdate(DiscoveryUpdateKind.FAILED))
         assert of(rig.wait(1.5), WatchNodes)
 
 
 def test_new_objects_keep_away_from_a_node_that_fails_at_once():
-    """Guards against a node that answers everything with an error: always idle, it drew all new objects."""
+    """A node that answers everything with an error is always idle, and attracted all new objects."""
     rig = Rig(nodes=2, max_attempts=4)
-    for _ in range(3):  # reads must go there, and are tried again
+    for _ in range(3):  # reads must go there, and are retried
         sends = of(rig.step(rig.request(units=1, shard=0)), Send)
         for attempt in range(4):
             sends = of(rig.step(rig.ended(sends[0], Outcome.ERROR, attempt), after=0.001), Send)
     assert rig.host.state.nodes["n0"].failing
-    assert rig.host.state.nodes["n0"].cycle_units < 12, "what fails at once takes no slot"
+    assert rig.host.state.nodes["n0"].cycle_units < 12, "immediate failures take no slot"
     sends = [of(rig.step(rig.request("log", units=1, shard=None, volume="w")), Send) for _ in range(4)]
     assert {send.node for sent in sends for send in sent} == {"n1"}
     while rig.host.state.nodes["n0"].failing:
@@ -107,8 +107,8 @@
         rig.step(rig.ended(send), after=0.05)
 
 
-def test_what_a_silence_taught_is_soon_forgotten():
-    """Townsville rough-1: attempts cancelled at nodes cut off taught them a latency that outlived the cut."""
+def test_latency_measured_in_a_silence_is_soon_dropped():
+    """Attempts cancelled in a partition left a latency that outlived it (Townsville rough-1)."""
     rig = Rig()
     node = rig.host.state.nodes["n0"]
     sends = fill(rig, units=1)
@@ -122,8 +122,8 @@
     assert node.smoothed_latency < 0.15
 
 
-def test_a_host_with_an_answer_in_seconds_believes_the_last_one():
-    """Kolkata-later overload: answers smoothed by count took minutes to tell that every node was full."""
+def test_with_rare_answers_the_last_one_determines_the_latency():
+    """Smoothing by count took minutes to show that every node was full (Kolkata-later overload)."""
     rig = Rig()
     node = rig.host.state.nodes["n0"]
     for _ in range(4):
@@ -134,8 +134,8 @@
     assert node.smoothed_latency > 0.1
 
 
-def test_a_host_that_heard_only_bad_of_all_its_nodes_tries_again():
-    """Townsville-later big-1: the prior stood at 0.75 s with no answer of late, and all was refused."""
+def test_after_high_latencies_at_all_nodes_requests_are_sent_again():
+    """The prior stayed at 0.75 s without new answers: all was rejected (Townsville-later big-1)."""
     rig = Rig(nodes=4)
     for node in rig.host.state.nodes.values():
         node.latency.mean, node.latency.weight = 3.0, 5.0
@@ -146,8 +146,8 @@
     assert of(rig.step(rig.request()), Send)
 
 
-def test_a_cancelled_attempt_teaches_that_a_node_is_slow():
-    """Incident i48321c: crowded nodes looked quick, as only what came back in time was counted."""
+def test_a_cancelled_attempt_raises_the_measured_latency():
+    """Overloaded nodes looked fast, as only answers in time were counted (incident i48321c)."""
     rig = Rig()
     node = rig.host.state.nodes["n0"]
     slow, quick = of(rig.step(rig.request(units=1), rig.request(units=1)), Send)
@@ -162,8 +162,8 @@
     return rig.step(OperatorOverride(node, out), after=0.1)
 
 
-def test_what_only_a_node_out_by_hand_could_serve_is_refused_at_once_and_whatever_the_list_says():
-    """Guards the operators' word: a list, whole or in part, must not lift it; one call back does."""
+def test_requests_for_a_disabled_node_are_rejected_at_once_whatever_lists_say():
+    """No list, full or delta, may enable a node that an operator disabled; one call to enable does."""
     rig = Rig(nodes=2, **COLD | {"hosts": 1})
     out_by_hand(rig, True)
     out_by_hand(rig, True)
@@ -175,8 +175,8 @@
     assert of(rig.step(rig.request(units=1)), Send)[0].node == "n0"
 
 
-def test_what_waited_at_a_node_and_what_comes_back_from_it_goes_there_no_more():
-    """Guards the drain rule: a try again is new work too."""
+def test_queued_and_returned_requests_are_not_sent_to_a_disabled_node():
+    """A retry is new work, too."""
     rig = Rig(nodes=1)
     sends = fill(rig, units=1)
     waiting = [name for name, request in rig.host.state.requests.items() if not request.in_flight]
@@ -187,8 +187,8 @@
 
 
 @pytest.mark.parametrize(("told", "cold_from"), [(None, "back"), (50.0, "back"), ("now", "told")])
-def test_a_node_called_back_is_cold_from_the_latest_start_there_can_have_been(told, cold_from):
-    """Guards a node that its operators restarted: no list has told of that yet, unless it has."""
+def test_an_enabled_node_warms_up_from_the_latest_possible_start(told, cold_from):
+    """Operators may have restarted the node: without a later start in a list, assume a start just now."""
     rig = Rig(nodes=2, **COLD | {"hosts": 1})
     node = rig.host.state.nodes["n0"]
     out_by_hand(rig, True)
@@ -197,12 +197,12 @@
     out_by_hand(rig, False)
     assert node.slow_start_from == (since if cold_from == "told" else rig.now)
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 3, [NodeEntry("n0", started_at=rig.now - 0.5)]))
-    assert node.slow_start_from == rig.now - 0.5, "what the list tells of a start later counts"
-    assert of(rig.step(rig.request(units=1)), Send), "and it is tried again at once"
+    assert node.slow_start_from == rig.now - 0.5, "a start that a later list gives counts"
+    assert of(rig.step(rig.request(units=1)), Send), "and it gets requests again at once"
 
 
-def test_an_answer_that_has_begun_gives_its_node_free_and_teaches_its_first_byte():
-    """Guards the others: a client that reads slowly kept its units out at the node, and made it look slow."""
+def test_an_answer_that_has_begun_releases_its_node_and_counts_to_its_first_byte():
+    """A client that reads slowly kept its units in flight at the node, and made the node look slow."""
     rig = Rig()
     node = rig.host.state.nodes["n0"]
     (send,) = of(rig.step(rig.request(units=2)), Send)
@@ -215,18 +215,18 @@
 
 
 @pytest.mark.parametrize(("hosts", "rate", "within"), [(40, 8.0, 16.0), (4, 8.0, 1.0)])
-def test_a_fleet_that_asks_discovery_at_one_instant_is_told_in_the_end(hosts, rate, within):
-    """Guards against hosts that ask again sooner than discovery can serve all.
+def test_a_fleet_that_calls_discovery_at_one_instant_is_served_in_the_end(hosts, rate, within):
+    """Hosts must not retry faster than discovery can serve them all.
 
-    At an interval of a second none but the first was told in 25 s; doubled from 0.5 s, it took 18.6 s.
+    With an interval of 1 s, only the first was served in 25 s; with doubling from 0.5 s, all took 18.6 s.
     """
     rigs = [
         Rig(discovery_on_request=True, max_list_age=10.0, hosts=hosts, seed=seed) for seed in range(hosts)
     ]
     service, told, now = DiscoveryQueue(rate), set(), 0.0
-    due = [(0.0, n, None) for n in range(hosts)]  # when, which host, how its call ended (None: it begins)
+    due = [(0.0, n, None) for n in range(hosts)]  # time, host, how its call ended (None: it begins)
     while due and now < within:
-        now, n, served = heappop(due)  # no two of one host, so nothing beyond it is compared
+        now, n, served = heappop(due)  # one entry per host, so the third item is never compared
         if served is None:
             end, good = service.call(now)
             heappush(due, (end, n, good))
@@ -240,7 +240,7 @@
 
 
 def test_a_node_first_listed_as_draining_may_start_later():
-    """Guards a rename: what a node's first entry says of its start was kept under a name that none read."""
+    """The start time of a node's first entry was stored under a name that nothing read."""
     # given
     rig = Rig(**COLD | {"hosts": 1})
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n1", NodeState.DRAINING)]))
--- a/tests/storage_gateway/scheduler/test_plan_changes.py
+++ b/tests/storage_gateway/scheduler/test_plan_changes.py
@@ -1,4 +1,4 @@
-"""Plans and allotments that change in service: levels carry over, and nothing is granted twice."""
+"""Changes of plans and allotments at run time: levels carry over, and nothing is granted twice."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def sent(rig: Rig, seconds: float, plan: str = "basic", every: float = 0.02, **fields) -> int:
-    """Units that go out in so long, asked for without end."""
+    """Units sent within `seconds` under constant demand."""
     units, end = 0, rig.now + seconds
     while rig.now < end:
         came = rig.request(**{"units": 1, "plan": plan, "volume": "b"} | fields)
@@ -66,8 +66,8 @@
     assert volume.limit_level == pytest.approx(20.0)
 
 
-def test_what_is_owed_stays_owed_and_a_larger_slack_is_no_gift():
-    """Guards the one store: what another host gives up of its slack may be spent: the gain fills up first."""
+def test_debt_remains_and_added_slack_starts_empty():
+    """The host that gave up the slack may have spent it: the gain must refill first."""
     rig = Rig()
     rig.step(SiblingSend("b", "basic", 1, limit_level=-7.0))
     volume, owed = rig.host.volumes.by_key["b", "basic"], -7.0
@@ -78,7 +78,7 @@
     assert not of(rig.step(rig.request(plan="basic", volume="b", units=1)), Send)
 
 
-def test_a_plan_that_gets_a_limit_begins_at_its_bottom():
+def test_a_plan_that_gets_a_limit_starts_with_an_empty_bucket():
     rig = Rig()
     rig.wait(5.0)
     assert sent(rig, 2.0, "silver") > 50
@@ -87,8 +87,8 @@
     assert 25 <= sent(rig, 4.0, "silver") <= 40
 
 
-def test_what_is_on_its_way_when_a_plan_gets_a_limit_is_no_credit():
-    """Guards the limit: what was never drawn from it would be given back if it is not sent."""
+def test_an_upload_from_before_a_limit_is_not_refunded_to_it():
+    """Units that were never charged would otherwise be refunded when the attempt is not sent."""
     rig = Rig(limit_at_arrival=True)
     (send,) = of(rig.step(rig.request(plan="silver", volume="b", units=8)), Send)
     rig.step(PlanChanged(Plan("silver", limit=10.0, limit_burst=40.0, limit_slack=6.0)))
@@ -97,7 +97,7 @@
 
 
 def test_bookings_that_wait_are_judged_by_the_new_plan():
-    """A cut to nothing keeps what waits back; a limit taken away lets it go."""
+    """A limit of almost 0 holds queued requests back; removing the limit releases them."""
     for limit, burst, goes in ((0.001, 0.0, False), (0.0, 0.0, True)):
         rig = Rig()
         rig.wait(5.0)
@@ -143,8 +143,8 @@
     assert volume.reserve_level <= 0.0
 
 
-def test_what_waits_is_worth_what_its_plan_says_now():
-    """Guards against worth that was fixed when a request came."""
+def test_queued_requests_have_the_value_of_the_new_plan():
+    """The value must not be fixed when a request arrives."""
     rig = Rig(plans={"one": Plan("one")})
     rig.step(rig.request(units=8, plan="one", volume="one"))
     rig.step(rig.request("log", units=8, plan="one", volume="one"))
@@ -155,7 +155,7 @@
     assert not waits.done and waits.unit_value >= 20 * before and rig.host.volumes.max_unit_value == 20 * 3
 
 
-def test_a_part_moves_between_two_hosts():
+def test_a_limit_share_moves_between_two_hosts():
     rigs = [Rig(hosts=2), Rig(hosts=2)]
     for rig in rigs:
         rig.wait(5.0)
@@ -164,10 +164,10 @@
     rigs[1].step(PlanChanged(BASIC, "b", limit_share=0.9))
     assert sent(rigs[0], 5.0, volume_hosts=2) == pytest.approx(10, abs=5)
     assert sent(rigs[1], 5.0, volume_hosts=2) == pytest.approx(90, abs=8)
-    assert sent(rigs[1], 5.0, volume="other", volume_hosts=2) < 80, "the other volumes keep theirs"
+    assert sent(rigs[1], 5.0, volume="other", volume_hosts=2) < 80, "other volumes keep their shares"
 
 
-def test_an_allotment_at_a_shard_counts_apart_and_what_waits_for_it_comes_along():
+def test_an_allotment_for_a_shard_counts_separately_and_takes_queued_requests_over():
     rig = Rig(nodes=2)
     rig.wait(5.0)
     (first,) = of(rig.step(rig.request(plan="basic", volume="b", units=8)), Send)
@@ -181,22 +181,22 @@
     rig.step(rig.ended(first))
     rig.wait(4.0)
     assert sent(rig, 5.0, shard=0) <= 5 * 5 + 5
-    assert sent(rig, 2.0, shard=1) > 32 + 2 * 15, "the rest has a store of its own"
+    assert sent(rig, 2.0, shard=1) > 32 + 2 * 15, "the other shards have their own bucket"
     rig.step(SiblingSend("b", "basic", 1, "n0", 9, 9), SiblingSend("b", "basic", 1, "n1", 2, 2))
-    assert apart.limit_level < -2.0, "what a sister process sent to that shard is counted there, too"
+    assert apart.limit_level < -2.0, "units that a sibling process sent to that shard count there, too"
     rig.now += 0.2
     main.refill(rig.now)
     owed, level = apart.limit_level + (rig.now - apart.refilled_at) * 5.0, main.limit_level
     assert owed < 0.0
     rig.step(PlanChanged(BASIC, "b", shard=0))
-    assert main.limit_level == pytest.approx(level + owed), "and stays owed"
+    assert main.limit_level == pytest.approx(level + owed), "the debt remains"
     assert ("b", "basic", 0) not in rig.host.volumes.by_key
     assert ("b", "basic", 0) not in rig.host.volumes.plans
     assert apart.pending_units == 0
     assert sent(rig, 5.0, shard=0) == pytest.approx(100, abs=15)
 
 
-def test_an_allotment_outlasts_what_is_forgotten_and_ends_when_taken_back():
+def test_an_allotment_outlives_its_dropped_volume_and_ends_when_revoked():
     rig = Rig()
     rig.wait(5.0)
     rig.step(PlanChanged(replace(BASIC, limit=4.0), "b"))
@@ -215,8 +215,8 @@
 
 
 @pytest.mark.parametrize("volume", ["", "b"])
-def test_a_volume_not_known_yet_begins_at_the_bottom_of_its_new_plan(volume):
-    """Guards the limit: it counted as filled for 30 s under a plan that holds since a moment ago."""
+def test_an_unknown_volume_starts_with_the_empty_bucket_of_a_new_plan(volume):
+    """It counted as refilled for 30 s under a plan that took effect just before."""
     rig = Rig()
     rig.wait(60.0)
     rig.step(PlanChanged(replace(BASIC, limit_burst=320.0), volume))
@@ -224,7 +224,7 @@
     assert sent(rig, 2.0) <= 40
 
 
-def test_the_facade_hands_on_a_plan_refuses_what_is_none_and_tells_its_successor(monkeypatch):
+def test_the_adapter_applies_plans_rejects_invalid_ones_and_exports_them(monkeypatch):
     host = gateway_host.SchedulerHost(make_settings(), 100.0)
     assert host.change_plan(100.0, replace(BASIC, limit=5.0)) == gateway_host.Orders()
     host.change_plan(100.0, replace(BASIC, limit=3.0), "b", shard=1, limit_share=0.25)
@@ -247,11 +247,11 @@
 
 
 def fleet(rich: Plan, poor: Plan) -> list[Store]:
-    """200 hosts with 60 volumes over one to three of them; limits and parts change under load.
+    """200 hosts with 60 volumes over one to three of them; limits and shares change under load.
 
-    Half of the volumes have allotments whose parts move between their hosts; both plans are raised (the
-    platform first, then host after host) and later lowered (host after host, then the platform).  The stores
-    count as the platform does: a request's units go at its first attempt that reached a node.
+    Half of the volumes have allotments whose shares move between their hosts.  The plan is raised (the
+    platform first, then host after host) and later lowered (host after host, then the platform).  The buckets
+    count as the platform does: units are charged at the first attempt that reached a node.
     """
     draw = random.Random(29)
     rigs = [
@@ -298,7 +298,7 @@
         elif isinstance(what, tuple) and what[0] == "platform":
             for store in stores.values():
                 store.change(now, what[1])
-        elif isinstance(what, tuple):  # the one shrinks first; what that frees comes to another later
+        elif isinstance(what, tuple):  # one host's share shrinks first, and another's grows by as much later
             _, name, freed = what
             if not freed:
                 n = draw.choice(hosts[name])
@@ -347,18 +347,18 @@
 RICH = replace(POOR, limit=24, limit_burst=96)
 
 
-def test_a_limit_holds_across_200_hosts_while_plans_and_parts_change():
+def test_a_limit_holds_across_200_hosts_while_plans_and_shares_change():
     assert min(store.least for store in fleet(RICH, POOR)) >= -POOR.limit_slack
 
 
 def to_and_fro() -> float:
-    """The least that a store holds while its part goes from host to host, each drawing all that it may."""
+    """The lowest bucket level while a limit share moves between two hosts that use all they may."""
     rigs, store = [Rig(nodes=16, hosts=2), Rig(nodes=16, hosts=2)], Store(BASIC, 100.0)
     for rig in rigs:
         rig.step(PlanChanged(BASIC, "b", limit_share=0.5), rig.request(plan="basic", volume="b"))
         rig.wait(5.0)
     for turn in range(12):
-        for n in (turn % 2, 1 - turn % 2) if turn else ():  # who loses is told first
+        for n in (turn % 2, 1 - turn % 2) if turn else ():  # the host that loses share is informed first
             rigs[n].step(PlanChanged(BASIC, "b", limit_share=(0.05, 0.95)[n != turn % 2]))
         for rig in rigs:
             for shard in range(32):
@@ -371,7 +371,7 @@
     return store.least
 
 
-def test_a_part_that_goes_to_and_fro_grants_nothing_twice():
+def test_a_limit_share_that_moves_to_and_fro_grants_nothing_twice():
     assert -BASIC.limit_slack <= to_and_fro() < 0.0
 
 
@@ -394,13 +394,13 @@
 
 
 def test_without_the_carry_over_the_limit_of_a_fleet_breaks(monkeypatch):
-    """The check can fail: each store is taken for full at a change."""
+    """The check can fail: each bucket counts as full at a change."""
     without_carry_over(monkeypatch, "full")
     assert min(store.least for store in fleet(RICH, POOR)) < -POOR.limit_slack
 
 
 @pytest.mark.parametrize("broken", ["full", "slack", "forgiven"])
-def test_without_the_carry_over_a_part_that_moves_breaks_the_limit(monkeypatch, broken):
-    """A store full at each change, a larger slack granted at once, a debt forgiven."""
+def test_without_the_carry_over_a_moving_limit_share_breaks_the_limit(monkeypatch, broken):
+    """The check can fail: bucket full at each change, added slack granted at once, debt forgiven."""
     without_carry_over(monkeypatch, broken)
     assert to_and_fro() < -BASIC.limit_slack
--- a/tests/storage_gateway/scheduler/test_replayed_actions.py
+++ b/tests/storage_gateway/scheduler/test_replayed_actions.py
@@ -1,4 +1,4 @@
-"""The decisions stay the same: a recorded run of some hundred events ends in the actions it had before."""
+"""Decisions stay the same: a recorded run of several hundred events yields the recorded actions."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     assert sha256(replay(run, digits=4)).hexdigest() == digest
 
 
-def test_one_event_told_otherwise_is_noticed():
-    """The digest can fail: another size of one request changes it."""
+def test_one_changed_event_changes_the_digest():
+    """The check can fail: another size of one request changes the digest."""
     (settings, steps), digest = load(FILE.read_bytes())
     at = next(n for n, (_, came) in enumerate(steps) if any(isinstance(e, RequestArrived) for e in came))
     steps[at] = (
@@ -30,6 +30,6 @@
     assert sha256(replay((settings, steps), digits=4)).hexdigest() != digest
 
 
-def test_what_is_packed_comes_back_whole():
+def test_a_stored_run_loads_unchanged():
     run = record(3, 60)
     assert load(store(run))[0] == run
--- a/tests/storage_gateway/scheduler/test_scheduler_properties.py
+++ b/tests/storage_gateway/scheduler/test_scheduler_properties.py
@@ -1,4 +1,4 @@
-"""Random legal sequences of events; the rules are checked from outside the scheduler."""
+"""Property tests: random legal event sequences, with the rules checked from outside the scheduler."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Referee:
-    """Watches a rig and holds what it sends and says against the rules."""
+    """Checks a rig's attempts and final answers against the rules."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig, self.open = rig, {f"n{i}" for i in range(3)}
@@ -68,13 +68,15 @@
                 if isinstance(action, Reject):
                     cls = self.rig.settings.classes[self.asked[action.request].request_class]
                     may_have_run = action.request in self.ran or any(k[0] == action.request for k in self.out)
-                    assert cls.idempotency is Idempotency.SAFE or not may_have_run, "an untrue refusal"
+                    assert (
+                        cls.idempotency is Idempotency.SAFE or not may_have_run
+                    ), "a rejection of a request that may have run"
                 self.over.add(action.request)
 
     def check_send(self, now: float, send: Send) -> None:
         request = self.asked[send.request]
         assert send.request not in self.over, "sent after its end"
-        assert send.node in self.open, "sent to a node that leaves"
+        assert send.node in self.open, "sent to a draining or removed node"
         number = self.tries.get(send.request, 0)
         self.tries[send.request] = number + 1
         assert number < self.rig.settings.max_attempts
@@ -83,10 +85,10 @@
             self.extras.append(now)
             recent = [t for t in self.extras if t > now - 5.0]
             taken = sum(1 for d in self.deadline if self.taken_at[d] > now - 5.0)
-            assert len(recent) <= 3 + 0.1 * taken, "over the budget of attempts"
+            assert len(recent) <= 3 + 0.1 * taken, "over the retry budget"
         cls = self.rig.settings.classes[request.request_class]
         if send.request in self.ran:
-            assert cls.idempotency is not Idempotency.UNSAFE, "an unsafe request again"
+            assert cls.idempotency is not Idempotency.UNSAFE, "an unsafe request sent again"
             if cls.idempotency is Idempotency.KEYED:
                 assert now <= self.ran[send.request][0] + cls.dedup_window
         if not number and request.plan == "basic":
@@ -100,23 +102,23 @@
                 if r.request_class == request.request_class
                 and (r.request not in self.over or any(k[0] == r.request for k in self.out))
             ]
-            assert turn[0].request == send.request, "out of turn"
+            assert turn[0].request == send.request, "out of order"
         self.out[(send.request, number)] = send.node
         self.sent.append((now, send.node, send.request, request.units))
         if send.node in self.cold:
             age = now - self.cold[send.node]
             if age < 10.0:
-                assert request.plan == "gold", "a cold node got what no reserve bounds"
+                assert request.plan == "gold", "a warming node got units outside reserves"
                 self.slow_start_units.append((now, send.node, request.units))
                 window = [u for t, n, u in self.slow_start_units if n == send.node and t > now - 2.0]
-                assert sum(window) <= 2 * 10.0 + 8 + 10, "a cold node got more than the reserve"
+                assert sum(window) <= 2 * 10.0 + 8 + 10, "a warming node got more than the reserve"
 
     taken_at: dict[str, float]
 
 
 @given(st.lists(MOVE, max_size=120))
 @example([("ask", "read", 0, 1, "basic"), ("ask", "log", 0, 1, "gold"), ("end", Outcome.MISDIRECTED, 0)])
-def test_rules_hold_whatever_comes(moves):
+def test_rules_hold_for_any_event_sequence(moves):
     rig = Rig(
         nodes=3,
         slow_start_units=24.0,
--- a/tests/storage_gateway/scheduler/test_sending.py
+++ b/tests/storage_gateway/scheduler/test_sending.py
@@ -1,4 +1,4 @@
-"""Attempts: retries, the one final answer, order by key, the retry budget, uploads."""
+"""Attempts: retries, the single final answer, order by key, the retry budget, uploads."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert len(of(actions, Reject) + of(actions, Fail)) == 1
 
 
-def test_nothing_is_said_after_the_client_has_gone():
+def test_no_final_answer_after_the_client_disconnected():
     rig = Rig()
     request = rig.request()
     send = of(rig.step(request), Send)[0]
@@ -74,7 +74,7 @@
     assert not of(actions, Fail) or len(of(actions, Send)) > 0
 
 
-def test_keyed_is_repeated_only_in_its_group_and_window():
+def test_a_keyed_request_is_retried_only_within_its_scope_and_window():
     rig = Rig(nodes=2)
     send = of(rig.step(rig.request("keyed")), Send)[0]
     again = rig.step(rig.ended(send, Outcome.ERROR), after=0.05)
@@ -83,7 +83,7 @@
     assert not of(late, Send) and of(late, Fail)
 
 
-def test_requests_of_a_key_take_turns_and_the_key_rests():
+def test_requests_of_an_ordered_key_run_one_at_a_time_with_a_pause():
     rig = Rig(order_settle_time=0.2)
     one, two = rig.request("ordered", key="aa"), rig.request("ordered", key="aa")
     sends = of(rig.step(one, two), Send)
@@ -104,8 +104,8 @@
     assert extras == 2
 
 
-def test_an_attempt_ends_at_the_aim_it_was_sent_in_time_for():
-    """Big days: with many hosts the bookings wait at the node, behind work already late for its clients."""
+def test_an_attempt_sent_in_time_ends_at_its_latency_target():
+    """With many hosts, requests otherwise queue at the node behind work that is already late."""
     rig = Rig()
     send = of(rig.step(rig.request()), Send)[0]
     assert abs(send.timeout - 0.25) < 1e-6
@@ -113,7 +113,7 @@
 
 
 def test_timers_of_requests_that_are_over_do_not_pile_up():
-    """Guards memory against clients whose deadlines lie hours ahead."""
+    """Memory must stay bounded with deadlines hours ahead."""
     rig = Rig()
     for _ in range(3000):
         for send in of(rig.step(rig.request(units=1, expires_in=3600.0), after=0.002), Send):
@@ -122,8 +122,8 @@
 
 
 @pytest.mark.parametrize(("cls", "again"), [("read", True), ("keyed", True), ("log", False)])
-def test_an_attempt_that_later_ones_pass_is_given_up_and_sent_again(cls, again):
-    """Guards against a connection that fell silent at a node that lives: it took the rest of the aim."""
+def test_an_attempt_that_later_ones_overtook_is_cancelled_and_retried(cls, again):
+    """A silent connection at a healthy node used up the rest of the latency target."""
     rig = Rig(max_attempts=4)
     for _ in range(20):
         rig.step(rig.ended(of(rig.step(rig.request(units=1)), Send)[0]), after=0.005)
@@ -136,25 +136,25 @@
     assert cancels == ([Cancel(stuck.request, 0)] if again else [])
     ended = rig.step(rig.ended(stuck, Outcome.CANCELLED))
     assert bool(of(ended, Send)) == again
-    assert rig.host.state.nodes["n0"].smoothed_latency < 0.03, "it tells nothing of the node's speed"
+    assert rig.host.state.nodes["n0"].smoothed_latency < 0.03, "it must not count for the node's latency"
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.REJECTED, Outcome.NOT_SENT])
 def test_after_its_last_attempt_a_request_is_answered_at_once(outcome):
-    """Guards the client: what can't be sent any more was held to its deadline."""
+    """A request that cannot be sent again was held until its deadline."""
     rig = Rig(max_attempts=2)
     send = of(rig.step(rig.request(units=1)), Send)[0]
     seen = rig.step(rig.ended(send, outcome), after=0.01) + rig.wait(0.15)
     assert of(rig.step(rig.ended(of(seen, Send)[0], outcome, 1)), Reject)
 
 
-def test_no_time_runs_while_a_large_body_comes_and_it_goes_out_only_once():
-    """Guards slow clients: their time counts from the last byte, and what has been passed on is gone."""
+def test_a_large_body_suspends_the_deadline_and_is_sent_only_once():
+    """The deadline of a slow client counts from the last byte, and a forwarded body cannot be sent again."""
     rig = Rig()
     node = rig.host.state.nodes["n0"]
     (send,) = of(rig.step(rig.request("keyed", units=2)), Send)
     rig.step(UploadProgress(send.request, 0))
-    assert node.units_in_flight == 0, "its node has nothing to do yet"
+    assert node.units_in_flight == 0, "its node has no work yet"
     assert not rig.wait(30.0) and not node.suspect
     rig.step(UploadProgress(send.request, 0, 3.0))
     assert node.units_in_flight == 2 and rig.host.state.requests[send.request].deadline == rig.now + 3.0
@@ -163,7 +163,7 @@
     assert node.units_in_flight == 0
 
 
-def test_a_large_body_that_never_comes_to_its_end_is_ended_with_its_attempt():
+def test_an_incomplete_large_body_ends_with_its_attempt():
     rig = Rig()
     (send,) = of(rig.step(rig.request("keyed", units=2)), Send)
     rig.step(UploadProgress(send.request, 0))
@@ -171,8 +171,8 @@
     assert not rig.host.state.requests and rig.host.state.nodes["n0"].units_in_flight == 0
 
 
-def test_a_node_that_is_not_the_place_is_asked_once_and_not_taken_for_full():
-    """Day bulk+slow+pieces: reads of data that lies elsewhere went out four times, and closed windows."""
+def test_a_misdirected_request_is_not_retried_and_does_not_shrink_the_window():
+    """Reads of data on another node were sent four times, and shrank windows (bulk+slow+pieces)."""
     rig = Rig()
     (send,) = of(rig.step(rig.request(units=2)), Send)
     window = rig.host.state.nodes["n0"].window
--- a/tests/storage_gateway/scheduler/test_sending_rules.py
+++ b/tests/storage_gateway/scheduler/test_sending_rules.py
@@ -1,4 +1,4 @@
-"""Each rule on sending and ending alone: every other condition is met."""
+"""Each rule on sending and ending in isolation: every other condition is met."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def booked(cls: str = "read", plan: str = "gold", count: int = 1, shard: int | None = 0, **settings):
-    """A rig with requests booked at n0 and kept there, that request which came last, and the node."""
+    """A rig with requests held in the queue of n0, the last of these requests, and the node."""
     rig = Rig(nodes=2, **settings)
     node = rig.host.state.nodes["n0"]
     for other in rig.host.state.nodes.values():
         other.paused_until = rig.now + 9.0
     rig.wait(5.0)
-    if plan == "basic":  # a limited volume starts with its part spent
+    if plan == "basic":  # a limited volume starts with its share spent
         rig.step(rig.request(cls, plan=plan, volume=plan))
         rig.wait(1.0)
     key = "0a" if cls == "ordered" else "0b"
@@ -35,7 +35,7 @@
 
 
 def sends(rig: Rig, request, node) -> bool:
-    """Whether the request is let out, as seen in the actions too."""
+    """Whether the request is sent; the actions must agree."""
     let = rig.host.sender.send(request, node)
     assert let == bool(of(rig.host.state.actions, Send))
     return let
@@ -82,13 +82,13 @@
     assert not sends(rig, request, node)
 
 
-def test_not_again_what_may_have_run_and_is_unsafe():
+def test_not_an_unsafe_request_that_may_have_run():
     rig, request, node = booked("log")
     request.possible_runs.append(PossibleRun(node.zone, node.shard, rig.now))
     assert not sends(rig, request, node)
 
 
-def test_not_outside_the_group_that_drops_repeats():
+def test_not_outside_the_deduplication_scope():
     rig, request, node = booked("keyed", shard=None)
     first = rig.host.state.nodes["n0"]
     request.possible_runs.append(PossibleRun(first.zone, first.shard, rig.now))
@@ -96,18 +96,18 @@
     assert sends(rig, request, rig.host.state.nodes["n0"])
 
 
-def test_not_out_of_turn():
+def test_not_before_an_older_request_of_its_key():
     rig, second, node = booked("ordered", count=2)
     assert not sends(rig, second, node)
 
 
-def test_not_while_its_key_rests():
+def test_not_while_its_key_is_paused():
     rig, request, node = booked("ordered")
     rig.host.key_order.paused_until["0a"] = rig.now + 1.0
     assert not sends(rig, request, node)
 
 
-def test_not_to_a_cold_node_beyond_what_is_reserved():
+def test_not_to_a_warming_node_beyond_its_budget():
     rig, request, node = booked(
         plan="silver",
         slow_start_units=0.0,
@@ -120,7 +120,7 @@
     assert request.tier > 0 and not sends(rig, request, node)
 
 
-def test_what_is_barred_from_a_cold_node_is_refused_at_once():
+def test_a_request_over_a_warming_nodes_budget_is_rejected_at_once():
     rig = Rig(
         slow_start_units=0.0,
         slow_start_capacity=0.2,
@@ -154,13 +154,13 @@
 
 
 @pytest.mark.parametrize("state", [NodeState.DRAINING, NodeState.REMOVED])
-def test_what_waits_at_a_node_that_leaves_is_answered_in_the_same_step(state):
+def test_requests_queued_at_a_closed_node_are_answered_in_the_same_step(state):
     rig, request, _ = booked()
     word = DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", state, 0, "a")])
     assert [a.request for a in of(rig.step(word), Reject)] == [request.id]
 
 
-def test_after_silence_one_request_a_cycle_goes_and_teaches_nothing():
+def test_a_silent_node_gets_one_request_a_cycle_and_no_latency_samples():
     rig = Rig()
     node = rig.host.state.nodes["n0"]
     first = of(rig.step(*[rig.request("log", units=1) for _ in range(4)]), Send)
@@ -171,8 +171,8 @@
     assert node.latency.weight == 0.0
 
 
-def test_pending_timers_do_not_grow_with_what_a_node_is_asked():
-    """One pending wake a node, and one a request for its deadline, however often the node is looked at."""
+def test_pending_timers_do_not_grow_with_a_nodes_requests():
+    """One pending timer per node, and one per request for its deadline, however often the node is polled."""
     rig = Rig(nodes=4)
     for i in range(200):
         for send in of(rig.step(rig.request(units=1, shard=i % 4)), Send):
--- a/tests/storage_gateway/scheduler/test_simulator_host.py
+++ b/tests/storage_gateway/scheduler/test_simulator_host.py
@@ -1,4 +1,4 @@
-"""The simulator host on recorded text written for these tests."""
+"""The simulator host on protocol text written for these tests."""
 
 from __future__ import annotations
 
--- a/tests/storage_gateway/scheduler/test_slow_start.py
+++ b/tests/storage_gateway/scheduler/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Nodes that have just started: what they get, from one host and from all."""
+"""Slow start: the work that a warming node gets from one host and from a fleet."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def cold_share(plan: str, age: float, since: float | None = 999.9) -> int:
-    """How many of forty requests one of many hosts sends a node that started so long ago."""
+    """How many of 40 requests one of 112 hosts sends to a node `age` seconds after it was listed."""
     rig = Rig(nodes=0, now=1000.0, **(COLD | {"hosts": 112, "overload_multiple": 3.0}))
     rig.step(
         DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, zone="a", started_at=since)])
@@ -31,8 +31,8 @@
 
 
 @pytest.mark.parametrize("since", [999.9, None])
-def test_a_cold_node_gets_a_part_of_what_is_inside_reserves(since):
-    """Incident iaa0fd1: with 112 hosts a cold node's certain budget is under a unit each, so it idled."""
+def test_a_warming_node_gets_a_sample_of_the_requests_within_reserves(since):
+    """With 112 hosts the even share is below one unit per host, so the node idled (incident iaa0fd1)."""
     assert 5 <= cold_share("gold", 0.0, since) <= 20
     assert cold_share("gold", 0.0, since) < cold_share("gold", 5.0, since)
     assert 0 < cold_share("silver", 0.0, since) < cold_share("gold", 0.0, since)
@@ -41,13 +41,13 @@
 @pytest.mark.parametrize(
     ("hosts", "age", "least", "most"), [(1, 0.0, 12, 13), (4, 0.0, 3, 7), (1, 4.5, 20, 40)]
 )
-def test_a_cold_node_gets_each_hosts_even_part_of_what_it_always_bears(hosts, age, least, most):
-    """Guards against an idle node: units beyond reserves were barred for the whole time that it was cold."""
+def test_a_warming_node_gets_each_hosts_even_share_of_its_budget(hosts, age, least, most):
+    """Units beyond reserves were blocked for the whole warm-up, which left the node idle."""
     rig = Rig(nodes=0, now=1000.0, **(COLD | {"hosts": hosts, "overload_multiple": 3.0}))
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, started_at=1000.0)]))
     rig.wait(age)
     sent = 0
-    for _ in range(60):  # within less than the rule's window
+    for _ in range(60):  # in less than the overload window
         for send in of(rig.step(rig.request(units=1, plan="silver"), after=0.02), Send):
             sent += 1
             rig.step(rig.ended(send), after=0.005)
@@ -55,21 +55,21 @@
 
 
 def test_one_hosts_surge_at_a_cold_node_is_bounded():
-    """Guards against a flare that comes through one host: its part by key alone would tip the node."""
+    """In a surge through one host, the sample by key alone would overload the node."""
     rig = Rig(nodes=0, now=1000.0, **(COLD | {"hosts": 40}))
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, started_at=1000.0)]))
     sent = 0
-    for _ in range(200):  # within half of the rule's window
+    for _ in range(200):  # within half of the overload window
         for send in of(rig.step(rig.request(units=1, plan="silver"), after=0.0045), Send):
             sent += 1
             rig.step(rig.ended(send))
     assert 4 <= sent <= 24.0 / 4
 
 
-def test_a_fleet_uses_a_zone_that_returns_cold_and_does_not_push_it_over():
-    """Guards against both: 40 hosts with under a unit each left it idle, all they have would tip it.
+def test_a_fleet_uses_a_restarted_zone_without_overloading_it():
+    """With 40 hosts, even shares below one unit left the node idle; all of the demand would overload it.
 
-    A node of 20 units a second at full; the fleet asks for twice that in reads beyond reserves.
+    The node's full capacity is 20 units a second; the demand is twice that in reads beyond reserves.
     """
     hosts, full, sent = 40, 20.0, []
     settings = {
@@ -91,12 +91,12 @@
     for first in (0.0, 1.0, 2.0, 3.0):
         least = full * (0.18 + 0.82 * first / 17.0)
         part = sum(first <= at < first + 3.0 for at in sent) / 3.0
-        assert 0.4 * least < part < 4.0 * least, "it serves, and nowhere near what tips it"
+        assert 0.4 * least < part < 4.0 * least, "it serves, far below its overload"
 
 
 @pytest.mark.parametrize("told", [True, False])
-def test_a_start_that_the_list_tells_ends_the_trickle(told):
-    """Guards against a zone that is back: each host barred it until a trickle of its own got through."""
+def test_a_start_time_in_a_list_ends_the_trial_requests(told):
+    """Each host otherwise avoids a restarted zone until a trial request of its own succeeds."""
     rig = Rig(now=1000.0, **(COLD | {"hosts": 40}))
     for _ in range(4):
         for send in of(rig.step(rig.request(plan="gold", units=1)), Send):
@@ -109,8 +109,8 @@
     assert rig.host.state.nodes["n0"].suspect is not told
 
 
-def test_repeats_of_a_request_fare_alike_at_a_cold_node():
-    """A client's tries must not add up to more chances, or retries would fill a cold node."""
+def test_retries_of_a_request_get_the_same_decision_at_a_warming_node():
+    """A client's retries must not raise its chance, or they would fill a warming node."""
     rig = Rig(now=1000.0, **COLD)
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, started_at=999.9)]))
     fates = []
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize(("outcome", "count"), [(Outcome.NO_CONNECTION, 1), (Outcome.RESET, 3)])
 def test_single_broken_connections_close_no_node(outcome, count):
-    """Guards a node that answers between them: it was held cold for seconds after each."""
+    """A node that answers in between was treated as warming up for seconds after each."""
     rig = Rig(**COLD)
     for _ in range(4):
         send = of(rig.step(rig.request(units=1)), Send)[0]
@@ -133,8 +133,8 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.NO_CONNECTION, Outcome.RESET])
-def test_a_node_not_reached_is_taken_for_cold_until_the_list_tells(outcome):
-    """Incident ibf7f54: nodes came back before the list said so, and all hosts at once pushed them over."""
+def test_an_unreachable_node_is_treated_as_warming_up_until_a_list_can_tell(outcome):
+    """Nodes restarted before the list said so, and all hosts together overloaded them (incident ibf7f54)."""
     rig = Rig(nodes=3, **COLD)
     count = {Outcome.NO_CONNECTION: 2, Outcome.RESET: 6}[outcome]
     *broken, last = [of(rig.step(rig.request(units=1)), Send)[0] for _ in range(count + 1)]
--- a/tests/storage_gateway/scheduler/test_slow_start_fleet.py
+++ b/tests/storage_gateway/scheduler/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""The slow-start budget over the sum of all hosts: fleets of schedulers on drawn settings."""
+"""The slow-start budget over all hosts together: fleets of schedulers on drawn settings."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     "shards": 1,
     "lasts": 6.0,
 }
-FELL = (2039, 2043)  # draws in which a node fell before the mend
+FELL = (2039, 2043)  # draws in which a node collapsed before the fix
 HARD = {
     "hosts restart in the middle of the window": {
         "hosts": 30,
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("seed", FELL)
 def test_no_cold_node_falls_on_drawn_settings(seed):
-    """These fell, each, before a host read off its own traffic how much the fleet asks for."""
+    """Each collapsed before hosts estimated the fleet's demand from their own traffic."""
     nodes = Fleet(seed).play()
     assert nodes and not any(node.fell for node in nodes)
 
@@ -89,8 +89,8 @@
         assert nodes and not any(node.fell for node in nodes)
 
 
-def test_the_count_can_fail():
-    """Where hosts know of no such rule the node falls, though all have been told of its start."""
+def test_the_check_can_fail():
+    """Without the slow-start rule the node collapses, though all hosts know of its start."""
 
     def heedless(settings, now):
         return Scheduler(replace(settings, overload_window=None), now)
@@ -104,7 +104,7 @@
     [(1, True, 1), (5, True, 1), (40, True, 1), (40, False, 1), (200, False, 20)],
 )
 def test_a_cold_node_is_not_left_idle(hosts, spread, shards):
-    """Guards the other side: where as much is asked as a warm one serves, it does half of what it can do."""
+    """With the demand that a warm node serves, a warming node uses more than half of its capacity."""
     fleet = Fleet(
         3,
         **SITE
--- a/tests/support/discovery_queue.py
+++ b/tests/support/discovery_queue.py
@@ -1,12 +1,12 @@
-"""Discovery's service as a queue in virtual time, for tests of how a fleet of hosts calls it."""
+"""Discovery as a queue in virtual time, for tests of how a fleet of hosts calls it."""
 
 from __future__ import annotations
 
 
 class DiscoveryQueue:
-    """One server: calls in turn, `rate` a second; whoever has waited `PATIENCE` seconds is rejected.
+    """One server that handles calls in order, `rate` a second; callers give up after `PATIENCE` seconds.
 
-    Work on a call is not undone by its caller's patience, as in any queue whose clients give up.
+    The server still works on a call after its caller gave up.
     """
 
     PATIENCE = 2.0  # seconds
@@ -18,7 +18,7 @@
         self.ends: list[float] = []
 
     def call(self, now: float) -> tuple[float, bool]:
-        """When a call that comes now ends, and whether it was served."""
+        """The time at which a call that arrives at `now` ends, and whether it was served."""
         self.ends = [end for end in self.ends if end > now]
         if len(self.ends) >= self.CAPACITY:
             return now, False
--- a/tests/support/recorded_names.py
+++ b/tests/support/recorded_names.py
@@ -1,7 +1,7 @@
-"""The names under which recorded runs of the scheduler are stored, and those that the code has now.
+"""Translates class and field names between recorded runs of the scheduler and the current code.
 
-Recordings (`scheduler.trace`) and the digests of their actions were made by version 63262d5.  They stay as
-they are, byte for byte: this module translates the names of classes and fields both ways.
+Recordings (`scheduler.trace`) and the digests of their actions were made by version 63262d5.  They stay
+unchanged, byte for byte; this module translates the names of classes and fields both ways.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from mallowbeam.storage_gateway.scheduler import interface
 
-# Recorded name of a class, by the name that it has now; others are the same.
+# Recorded class names by current name; classes that are not listed keep their name.
 RECORDED_CLASSES = {
     "DiscoveryUpdate": "NodesListed",
     "OperatorOverride": "ByHand",
@@ -31,7 +31,7 @@
     for name, kind in vars(interface).items()
     if isinstance(kind, type) and kind.__module__ == interface.__name__
 }
-# Recorded name of a field, by its class and the name that it has now; others are the same.
+# Recorded field names by current class and field name; fields that are not listed keep their name.
 RECORDED_FIELDS: dict[str, dict[str, str]] = {
     "RequestClass": {
         "value": "worth",
@@ -74,7 +74,7 @@
 
 
 def _translated(kind: str, fields: dict[str, Any], recorded: bool) -> dict[str, Any]:
-    """Fields of one object in plain values, with the names of the other side, nested objects included."""
+    """Plain fields of one object, renamed to (`recorded`) or from the recorded names, at all depths."""
 
     def names_of(name: str) -> dict[str, str]:
         names = RECORDED_FIELDS.get(name, {})
--- a/tests/support/scheduler_replay.py
+++ b/tests/support/scheduler_replay.py
@@ -1,4 +1,4 @@
-"""Runs of the scheduler: drawn by seed, stored, and replayed into a text of every action.
+"""Runs of the scheduler: drawn by seed, stored, and replayed to a text of all actions.
 
 `PYTHONPATH=. python tests/support/scheduler_replay.py` writes the small run that test_replayed_actions.py
 replays.  `compare_with_release.py` replays many runs through another version of the project.
@@ -58,18 +58,18 @@
 
 @dataclass(slots=True)
 class BeginCheck:
-    """Not an event of the interface: the host asks whether an attempt may send its first byte."""
+    """The host asks whether an attempt may send its first byte; not an event of the interface."""
 
     request: str
     attempt: int
 
 
-Step = tuple[float, list[Event | BeginCheck]]  # seconds of the host's clock, and what happened then
+Step = tuple[float, list[Event | BeginCheck]]  # time in seconds, and its events
 Run = tuple[Settings, list[Step]]
 
 
 def draw_settings(draw: random.Random) -> Settings:
-    """Settings in which rules come and go with the seed."""
+    """Settings with rules switched on and off by the seed."""
     settings = make_settings(
         seed=draw.getrandbits(32),
         hosts=draw.choice((1, 3, 40)),
@@ -88,7 +88,7 @@
 
 
 class Recorder:
-    """One host's run: the events of each step are drawn, and answer to what the scheduler did before."""
+    """Draws one host's run: the events of each step follow from the scheduler's earlier actions."""
 
     def __init__(self, seed: int) -> None:
         self.draw = random.Random(seed)
@@ -101,9 +101,9 @@
         self.latency = self.draw.choice((0.02, 0.04, 0.1))
         self.requests = 0
         self.attempts: dict[str, int] = {}  # the last attempt's number, by request
-        self.in_flight: dict[tuple[str, int], tuple[str, float]] = {}  # node, and when it will end
+        self.in_flight: dict[tuple[str, int], tuple[str, float]] = {}  # node, and end time
         self.starts: dict[str, float | None] = {}
-        # What may happen in a step, and how often in a thousand; else requests arrive.
+        # Event sources with their weights out of 1000; otherwise requests arrive.
         self.happenings: list[tuple[int, Callable[[], list[Event | BeginCheck]]]] = [
             (40, self.attempt_goes_on),
             (10, self.begin_check),
@@ -114,7 +114,7 @@
         ]
 
     def record(self, steps: int) -> Run:
-        """So many steps from the first list on."""
+        """Record a number of steps, beginning with the first list."""
         nodes = self.draw.randint(3, 10)
         kind = self.draw.choice((DiscoveryUpdateKind.CACHED, DiscoveryUpdateKind.FULL))
         entries = [NodeEntry(f"n{i}", shard=i % 5, zone=ZONES[i % 3]) for i in range(nodes)]
@@ -128,7 +128,7 @@
         return self.settings, run
 
     def note(self, action: Action) -> None:
-        """Remember what the scheduler did, so that later events follow from it."""
+        """Record an action of the scheduler, so that later events follow from it."""
         if isinstance(action, SetTimer):
             due = self.timer is None or self.timer <= self.now
             self.timer = action.at if due else min(self.timer, action.at)
@@ -141,7 +141,7 @@
             self.in_flight[action.request, action.attempt] = (node, self.now)
 
     def next_events(self) -> list[Event | BeginCheck]:
-        """Advance the clock to the next step, and draw what happens then."""
+        """Advance the clock to the next step, and draw its events."""
         if self.draw.random() < 0.01:
             self.gap = self.draw.choice((0.002, 0.01, 0.03, 0.05, 0.1, 0.3))
             self.latency = self.draw.choice((0.02, 0.04, 0.3))
@@ -158,7 +158,7 @@
         return events + [self.request() for _ in range(self.draw.choice((1, 1, 1, 1, 8)))]
 
     def ended_attempts(self) -> list[Event | BeginCheck]:
-        """Attempts whose time has come, each with a drawn outcome."""
+        """The attempts that end now, each with a drawn outcome."""
         events: list[Event | BeginCheck] = []
         for (request, number), (node, ends_at) in sorted(self.in_flight.items()):
             if ends_at <= self.now:
@@ -172,7 +172,7 @@
         return events
 
     def attempt_goes_on(self) -> list[Event | BeginCheck]:
-        """A stream starts, a large body passes, or the client leaves."""
+        """A stream starts, a large body is forwarded, or the client disconnects."""
         if not self.in_flight:
             return [self.request()]
         (request, number), (node, _) = self.draw.choice(sorted(self.in_flight.items()))
@@ -188,13 +188,13 @@
         ]
 
     def begin_check(self) -> list[Event | BeginCheck]:
-        """The connection of an attempt is up."""
+        """The connection of an attempt is established."""
         if not self.in_flight:
             return []
         return [BeginCheck(*self.draw.choice(sorted(self.in_flight)))]
 
     def discovery_update(self) -> list[Event | BeginCheck]:
-        """A list of one node or of all, or none."""
+        """A list of one node or of all, or a failure."""
         name = f"n{self.draw.randrange(9)}"
         self.starts[name] = self.draw.choice((self.starts.get(name), self.now, None))
         kind = self.draw.choice((DiscoveryUpdateKind.DELTA,) * 3 + tuple(DiscoveryUpdateKind))
@@ -212,13 +212,13 @@
         return [OperatorOverride(f"n{self.draw.randrange(9)}", self.draw.random() < 0.2, disabled_at)]
 
     def sibling_send(self) -> list[Event | BeginCheck]:
-        """Another process of the host sent, or hands over a level."""
+        """Another process of the host sent units, or hands over a level."""
         volume, plan = f"v{self.draw.randrange(6)}", self.draw.choice(("gold", "basic"))
         level = self.draw.choice((None, 5.0))
         return [SiblingSend(volume, plan, 2, f"n{self.draw.randrange(9)}", 3, 2, level)]
 
     def plan_change(self) -> list[Event | BeginCheck]:
-        """A plan for all volumes, an allotment of one, or the end of one."""
+        """A plan for all volumes, or an allotment that is made or revoked."""
         plan = self.settings.plans[self.draw.choice(("gold", "basic", "silver"))]
         changed = replace(
             plan,
@@ -254,14 +254,14 @@
 
 
 def record(seed: int, steps: int) -> Run:
-    """The run of a seed."""
+    """Record the run of a seed."""
     return Recorder(seed).record(steps)
 
 
 def step(
     scheduler: Scheduler, now: float, events: list[Event | BeginCheck]
 ) -> tuple[list[Action], list[bool]]:
-    """The actions of one step, and the answers to its checks, which come before its events."""
+    """The actions of one step, and the answers to its begin checks, which are made before its events."""
     checks = [event for event in events if isinstance(event, BeginCheck)]
     begins = [scheduler.may_begin(now, check.request, check.attempt) for check in checks]
     actions = scheduler.step(now, [replace(event) for event in events if not isinstance(event, BeginCheck)])
@@ -269,7 +269,7 @@
 
 
 def replay(run: Run, digits: int | None = None) -> bytes:
-    """Every action of a run as one text; figures rounded where it must outlive a version of libm."""
+    """All actions of a run as one text; `digits` rounds floats, for the same text with any libm version."""
     settings, steps = run
     scheduler, text = Scheduler(settings, steps[0][0]), []
     for now, events in steps:
@@ -280,7 +280,7 @@
 
 
 def written(action: Action, digits: int | None) -> str:
-    """An action as recordings write it."""
+    """An action in the notation of recordings."""
     kind, fields = to_recorded(action)
     figures = [
         f"{value:.{digits}f}" if digits and isinstance(value, float) else repr(value)
@@ -290,7 +290,7 @@
 
 
 def packed_steps(run: Run) -> list[list[object]]:
-    """The steps in plain values with the recorded names."""
+    """The steps as plain values with the recorded names."""
     return [
         [
             now,
@@ -306,7 +306,7 @@
 
 
 def store(run: Run) -> bytes:
-    """A run packed, with the digest of its actions."""
+    """Pack a run with the digest of its actions."""
     return zlib.compress(
         msgspec.msgpack.encode(
             {
@@ -320,7 +320,7 @@
 
 
 def load(packed: bytes) -> tuple[Run, str]:
-    """What `store` has packed."""
+    """Unpack a run and its digest; the inverse of `store`."""
     found = msgspec.msgpack.decode(zlib.decompress(packed))
     steps = [
         (
--- a/tests/support/scheduler_rig.py
+++ b/tests/support/scheduler_rig.py
@@ -1,4 +1,4 @@
-"""Small builders shared by the tests of the decision module, which is driven through its interface only."""
+"""Helpers for tests of the scheduler, which they drive through its interface only."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 def make_settings(**changes) -> Settings:
-    """Settings of a small deployment; keyword arguments replace single ones."""
+    """Settings of a small deployment; keyword arguments replace fields."""
     base = {
         "seed": 7,
         "hosts": 1,
@@ -81,7 +81,7 @@
 
 
 class Rig:
-    """One scheduler, its clock, and what it did."""
+    """One scheduler with its clock and its pending timer."""
 
     def __init__(self, nodes: int = 1, now: float = 100.0, **changes) -> None:
         self.now = now
@@ -93,7 +93,7 @@
         self.first = self.step(DiscoveryUpdate(DiscoveryUpdateKind.CACHED, 1, entries))
 
     def step(self, *events: Event, after: float = 0.0) -> list[Action]:
-        """Advance the clock, hand over the events, and return the actions but for timers."""
+        """Advance the clock, pass the events, and return the actions other than timers."""
         self.now += after
         actions = self.host.step(self.now, list(events))
         timers = [a.at for a in actions if isinstance(a, SetTimer)]
@@ -104,7 +104,7 @@
         return [a for a in actions if not isinstance(a, SetTimer)]
 
     def wait(self, seconds: float) -> list[Action]:
-        """Let time pass, firing the timers that fall due."""
+        """Advance the clock, firing the timers that become due."""
         end, seen = self.now + seconds, []
         while self.timer is not None and self.timer <= end:
             self.now, self.timer = max(self.now, self.timer), None
@@ -113,7 +113,7 @@
         return seen
 
     def request(self, request_class: str = "read", **fields) -> RequestArrived:
-        """A request with an id of its own."""
+        """A request with a new id."""
         self.count += 1
         values = {
             "request": f"r{self.count}",
@@ -138,7 +138,7 @@
 
 
 class Store:
-    """A volume's one store as the platform keeps it: it takes a request's units when a node first has it."""
+    """A volume's limit bucket at the platform: charged when a node first gets a request."""
 
     def __init__(self, plan: Plan, now: float) -> None:
         self.plan, self.level, self.at, self.least = plan, plan.limit_burst, now, plan.limit_burst
@@ -148,7 +148,7 @@
         self.at, self.least = now, min(self.least, self.level)
 
     def change(self, now: float, plan: Plan) -> None:
-        """The platform puts the volume on another plan: nothing is filled up by that."""
+        """Put the volume on another plan; this does not refill the bucket."""
         self.take(now, 0)
         self.plan, self.level = plan, min(self.level, plan.limit_burst)
 
@@ -159,5 +159,5 @@
 
 
 def fill(rig: Rig, **fields) -> list[Send]:
-    """Requests until the node's room is taken; returns what went out."""
+    """Fill the node's window with requests; returns the attempts sent."""
     return of(rig.step(*[rig.request(**fields) for _ in range(12)]), Send)
--- a/tests/support/slow_start_fleet.py
+++ b/tests/support/slow_start_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of schedulers before nodes that warm up, on drawn settings, and the platform's count of their load.
+"""Simulates a fleet of schedulers with warming nodes on drawn settings, and counts load as the platform does.
 
-`PYTHONPATH=. python tests/support/slow_start_fleet.py SECONDS [SEED]` plays draws for so long and says how
-many nodes collapsed.
+`PYTHONPATH=. python tests/support/slow_start_fleet.py SECONDS [SEED]` simulates draws for SECONDS and prints
+how many nodes collapsed.
 """
 
 from __future__ import annotations
@@ -44,21 +44,21 @@
 
 @dataclass
 class Cold:
-    """A node that has started, as the platform counts what comes to it."""
+    """A node that has started, with the load on it as the platform counts it."""
 
     settings: Settings
     since: float
     came: deque[tuple[float, int, bool]] = field(default_factory=deque)
     units: int = 0
-    told: int = 0  # of them from hosts that had been told of its start
-    worst: float = 0.0  # of what it bears with the slack: the most in any window
+    told: int = 0  # those units from hosts that knew of its start
+    worst: float = 0.0  # highest load in any window, as a fraction of its budget with the slack
     total: int = 0
-    last: float = 0.0  # when it was looked at last, or started anew
+    last: float = 0.0  # time of its last arrival
     down: bool = False
-    fell: bool = False  # over two thirds of it from hosts that had been told
+    fell: bool = False  # collapsed with over two thirds of the load from hosts that knew of its start
 
     def bears(self, now: float) -> float:
-        """Requests of mean work that the settings allow in the window that ends now."""
+        """Requests of mean size that the settings allow in the window that ends now."""
         s = self.settings
         age = max(0.0, now - self.since - s.overload_window / 2)
         ramp = min(
@@ -67,7 +67,7 @@
         return s.slow_start_units * ramp / s.slow_start_capacity / s.typical_units
 
     def used(self) -> float:
-        """What came while it was cold, of what it could do by the settings (as far as it was played)."""
+        """Units received while warming up, as a fraction of the capacity over the simulated time."""
         s = self.settings
         full = s.slow_start_units / (s.overload_multiple * s.slow_start_capacity * s.overload_window)
         lasts = min(self.last - self.since, s.slow_start_time)
@@ -79,7 +79,7 @@
         )
 
     def come(self, now: float, units: int, told: bool) -> None:
-        """Work arrives, whatever becomes of it."""
+        """Count units that arrive, whatever the outcome of their request."""
         if self.down or now >= self.since + self.settings.slow_start_time:
             return
         self.came.append((now, units, told))
@@ -96,9 +96,9 @@
 
 
 class Fleet:
-    """Hosts, nodes, volumes with their hosts, and the time between them: drawn whole from one seed.
+    """Hosts, nodes, and volumes with their hosts, all drawn from one seed.
 
-    What is given replaces what is drawn: a setting, or another of the names in `drawn`.
+    Keyword arguments replace drawn values: settings, or other names in `drawn`.
     """
 
     def __init__(self, seed: int, module: Callable = Scheduler, **given) -> None:
@@ -114,21 +114,25 @@
             "max_units": draw.choice((1, 2, 4, 8, 8, 20)),
             "shards": draw.choice((1, 3, 6)),
             "max_attempts": draw.choice((None, 2, 4)),
-            "demand": draw.choice((0.3, 1.0, 2.0, 4.0, 8.0)),  # times what a node can do by the settings
-            "reserved": draw.choice((0.0, 0.3, 0.8)),  # of what a node can do: inside reserves
-            "faulty": draw.choice((0.0, 0.0, 0.1, 0.4)),  # of attempts: how many end badly
-            "late": draw.choice((0.0, 0.0, 0.3)),  # of connections: how many come up 1.5 s late
-            "burst": draw.choice((1.0, 1.0, 1.5, 2.5)),  # times the traffic, for 3 s, from the start or later
-            "spread": draw.random() < 0.5,  # any host for any volume; some get several times the mean
+            "demand": draw.choice(
+                (0.3, 1.0, 2.0, 4.0, 8.0)
+            ),  # in multiples of a node's capacity by the settings
+            "reserved": draw.choice((0.0, 0.3, 0.8)),  # of a node's capacity: within reserves
+            "faulty": draw.choice((0.0, 0.0, 0.1, 0.4)),  # fraction of attempts that fail
+            "late": draw.choice((0.0, 0.0, 0.3)),  # fraction of connections that are established 1.5 s late
+            "burst": draw.choice(
+                (1.0, 1.0, 1.5, 2.5)
+            ),  # factor on the traffic for 3 s, from the start or 2 s later
+            "spread": draw.random() < 0.5,  # volumes use all hosts; some hosts get several times the mean
             "told_late": draw.random() < 0.5,
             "restarts": draw.random() < 0.3,
             "again": draw.random() < 0.2,
-            "hot": draw.random() < 0.3,  # half of all asks for one volume, through its few hosts
+            "hot": draw.random() < 0.3,  # half of the requests use one volume, through its few hosts
             "keys": draw.choice((60, 10**9, 10**9)),
             "only": None,
             "lasts": 12.0,
             "known": draw.choice((0.2, 3.0)),
-        } | given  # seconds of traffic that the hosts have seen before
+        } | given  # `known`: seconds of traffic before the first start
         settings = {name: drawn.pop(name) for name in list(drawn) if hasattr(Settings, name)}
         self.__dict__ |= drawn
         top, hosts = settings["max_units"], settings["hosts"]
@@ -138,7 +142,7 @@
         full = s["slow_start_units"] / (
             s["overload_multiple"] * s["slow_start_capacity"] * s["overload_window"]
         )
-        if full / usual * self.demand * s["shards"] > 600:  # keep a draw short
+        if full / usual * self.demand * s["shards"] > 600:  # keep a run short
             s["shards"] = 1
         count = s["shards"]
         self.volumes = [
@@ -202,12 +206,12 @@
         return host
 
     def at(self, when: float, what: Callable) -> None:
-        """Do something at some time."""
+        """Schedule a callback."""
         self.seq += 1
         heappush(self.events, (when, self.seq, what))
 
     def step(self, number: int, event: Event) -> None:
-        """One event at one host, and all that follows from it."""
+        """Pass one event to one host, and carry out its actions."""
         for action in self.instances[number].step(self.now, [event]):
             if isinstance(action, SetTimer):
                 self.at(
@@ -219,7 +223,7 @@
                 self.sent(number, action)
 
     def sent(self, number: int, send: Send) -> None:
-        """An attempt begins now, or when its connection comes up late; its outcome follows."""
+        """Begin an attempt now, or after 1.5 s if its connection is late; its outcome follows."""
         draw, life = self.draw, self.lives[number]
         attempt = self.tries[number, send.request] = self.tries.get((number, send.request), -1) + 1
         delay = 1.5 if draw.random() < self.late else 0.0
@@ -251,11 +255,11 @@
             comes()
 
     def arrive(self) -> None:
-        """A client asks, at a host of its volume; the next one comes after a while."""
+        """Send a client's request to a host of its volume, and schedule the next one."""
         draw, hosts = self.draw, self.settings.hosts
         hot = self.hot and draw.random() < 0.5
         name, through, shards, plan, _ = self.volumes[0] if hot else draw.choices(self.volumes, self.heats)[0]
-        # One host leads a volume; where it has several, the others get a part.
+        # A volume's first host gets most of its requests; the others share the rest.
         number, of = through[0] if draw.random() < 0.6 else draw.choice(through), len(set(through))
         if self.spread:
             number, of = draw.choices(range(hosts), self.weights)[0], hosts
@@ -281,7 +285,7 @@
         self.at(self.now + draw.expovariate(self.rate * surge), self.arrive)
 
     def start(self, name: str) -> None:
-        """A node has started; each host is told at once, late, or last."""
+        """Start a node; each host learns of it at once, or up to 5 s late."""
         since = self.starts[name] = self.now
         self.colds[name] = cold = Cold(self.settings, since)
         self.all_colds.append(cold)
@@ -290,7 +294,7 @@
             self.at(self.now + late, lambda number=number: self.tell(number, name, since))
 
     def tell(self, number: int, name: str, since: float) -> None:
-        """A host hears of a start, unless another has followed."""
+        """Inform a host of a start, unless the node has started again."""
         if self.starts[name] == since and self.told[number].get(name) != since:
             self.told[number][name] = since
             self.step(
@@ -303,13 +307,13 @@
             )
 
     def restart(self, number: int) -> None:
-        """A host comes back that knows nothing of what it has sent; its list tells of all starts."""
+        """Restart a host without its state; its new list has the start times of all nodes."""
         self.lives[number] += 1
         self.told[number] = dict(self.starts)
         self.instances[number] = self._host(number)
 
     def play(self) -> list[Cold]:
-        """The draw from its start to its end; the nodes that were cold."""
+        """Run the simulation; returns the nodes that started."""
         draw, begin = self.draw, self.now + self.known
         self.heats = [volume[4] for volume in self.volumes]
         self.burst_at = begin + draw.choice((0.0, 2.0))
