--- a/tests/storage_gateway/scheduler/test_admission_limits.py
+++ b/tests/storage_gateway/scheduler/test_admission_limits.py
@@ -110,8 +110,8 @@
     for n in cut:
         heappush(due, (2.0, next(order), n, listed))  # the list comes 2 s late
     counted: set[str] = set()
-    asked: dict[str, tuple[str, int]] = {}  # volume and units by request
-    tries: dict[tuple[int, str], int] = {}
+    charges: dict[str, tuple[str, int]] = {}  # volume and units by request
+    attempt_numbers: dict[tuple[int, str], int] = {}
     while due:
         now, _, n, what = heappop(due)
         rig = rigs[n]
@@ -131,9 +131,9 @@
                 volume_hosts=len(volumes[str(what)]),
                 units=draw.randint(1, 4),
             )
-            asked[event.request] = (event.volume, event.units)
+            charges[event.request] = (event.volume, event.units)
         for send in of(rig.step(event), Send):
-            number = tries[n, send.request] = tries.get((n, send.request), -1) + 1
+            number = attempt_numbers[n, send.request] = attempt_numbers.get((n, send.request), -1) + 1
             if 6.0 <= now < 12.0 and send.node in ("n0", "n1"):
                 outcome, after = Outcome.NO_CONNECTION, 0.25
             else:
@@ -148,7 +148,7 @@
                 )[0]
             if outcome is not Outcome.NO_CONNECTION and send.request not in counted:
                 counted.add(send.request)
-                stores[asked[send.request][0]].take(now, asked[send.request][1])
+                stores[charges[send.request][0]].take(now, charges[send.request][1])
             heappush(due, (now + after, next(order), n, rig.ended(send, outcome, number, after)))
         if rig.timer is not None:
             heappush(due, (rig.timer, next(order), n, "timer"))
@@ -186,8 +186,8 @@
     rig.wait(35.0)
     rig.step(rig.request(units=1))
     assert "n1" not in rig.host.state.nodes and ("b", "basic") not in rig.host.volumes.by_key
-    drawn = [of(rig.step(rig.request(plan="basic", volume="b", units=8)), Reject) for _ in range(6)]
-    assert drawn[-1] and not drawn[0]
+    answers = [of(rig.step(rig.request(plan="basic", volume="b", units=8)), Reject) for _ in range(6)]
+    assert answers[-1] and not answers[0]
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 3, [NodeEntry("n1", shard=1, started_at=rig.now)]))
     assert of(rig.step(rig.request(plan="silver", volume="s", shard=1)), Reject)
 
@@ -250,8 +250,8 @@
     rig.step(rig.request(plan="basic", volume="b", volume_hosts=4))
     sent = 0
     for _ in range(100):
-        came = rig.request(plan="basic", volume="b", volume_hosts=4)
-        for send in of(rig.step(came, after=0.1), Send):
+        request = rig.request(plan="basic", volume="b", volume_hosts=4)
+        for send in of(rig.step(request, after=0.1), Send):
             rig.step(rig.ended(send))
             sent += 2
     assert sent <= 10.0 * 20 / 4 + 32 / 4 + 8 / 4
--- a/tests/storage_gateway/scheduler/test_cycle_booking.py
+++ b/tests/storage_gateway/scheduler/test_cycle_booking.py
@@ -48,11 +48,11 @@
 def test_requests_for_the_same_data_follow_at_once_within_a_bound(keys, most):
     """Reads come in runs of up to five, and the later ones of a run cost a node half the work."""
     rig = Rig()
-    out = 0
+    sent_units = 0
     for _ in range(12):
-        came = rig.request(units=4, **({"key": keys} if keys else {}))
-        out += sum(4 for _ in of(rig.step(came), Send))
-    assert out == most
+        request = rig.request(units=4, **({"key": keys} if keys else {}))
+        sent_units += sum(4 for _ in of(rig.step(request), Send))
+    assert sent_units == most
 
 
 def test_requests_on_the_same_data_wait_and_go_together():
@@ -71,8 +71,8 @@
     rig.step(rig.request(expires_in=1.2))
     fresh, again = rig.request(expires_in=1.2), rig.request(expires_in=1.0)
     rig.step(again, fresh)
-    aims = {r.id: r.target_at - rig.now for r in rig.host.state.requests.values()}
-    assert aims[fresh.request] > 0.24 and abs(aims[again.request] - 0.05) < 1e-6
+    seconds_to_target = {r.id: r.target_at - rig.now for r in rig.host.state.requests.values()}
+    assert seconds_to_target[fresh.request] > 0.24 and abs(seconds_to_target[again.request] - 0.05) < 1e-6
 
 
 def test_cheap_units_leave_room_once_dear_ones_were_lost():
--- a/tests/storage_gateway/scheduler/test_deployments.py
+++ b/tests/storage_gateway/scheduler/test_deployments.py
@@ -40,11 +40,11 @@
 )
 from mallowbeam.storage_gateway.server.config import read_config
 
-SPARE = 1.3  # a typical node sustains this many times the guaranteed units while warming up
+TYPICAL_CAPACITY_FACTOR = 1.3  # a typical node sustains this many times the guaranteed units while warming up
 MAY_HAVE_RUN = (*MAY_STILL_RUN, Outcome.ERROR)
 
 
-def shaped(name: str) -> Settings:
+def example_settings(name: str) -> Settings:
     """The settings of an example configuration, as the gateway reads them."""
     return read_config({"BALANCER_CONFIG": str(EXAMPLE / name)}).settings
 
@@ -54,27 +54,26 @@
 
     def __init__(self, settings: Settings) -> None:
         self.settings, self.broken = settings, []
-        self.finals: dict[str, int] = {}
-        self.out: dict[str, int] = {}  # attempts in flight, by request
+        self.answers: dict[str, int] = {}
+        self.in_flight: dict[str, int] = {}  # attempts in flight, by request
         self.sends: dict[str, list[tuple[float, str]]] = {}
         self.ran: dict[str, bool] = {}  # whether an attempt may have run
         self.draining: dict[tuple[int, str], float] = {}  # when each host learned that a node drains
         self.stores: dict[str, Store] = {}
         self.counted: set[str] = set()
-        self.cold: dict[
-            str, tuple[float, deque[tuple[float, int]]]
-        ] = {}  # by node: its start, and recent units
+        # By node: its start, and its recent units.
+        self.started: dict[str, tuple[float, deque[tuple[float, int]]]] = {}
 
     def arrived(self, event: RequestArrived) -> None:
-        self.finals[event.request], self.out[event.request], self.sends[event.request] = 0, 0, []
+        self.answers[event.request], self.in_flight[event.request], self.sends[event.request] = 0, 0, []
 
     def drains(self, host: int, node: str, now: float) -> None:
         self.draining.setdefault((host, node), now)
 
     def sent(self, now: float, cls: RequestClass, request: str, node: str, host: int = 0) -> None:
-        if self.out[request]:
+        if self.in_flight[request]:
             self.broken.append(f"{request}: a second attempt while one is out")
-        if self.finals[request]:
+        if self.answers[request]:
             self.broken.append(f"{request}: sent after its final answer")
         if now > self.draining.get((host, node), now) + self.settings.drain_grace:
             self.broken.append(f"{request}: new work for {node} after it was told to drain")
@@ -88,7 +87,7 @@
             and (now - self.sends[request][0][0] > cls.dedup_window or self.sends[request][0][1] != node)
         ):
             self.broken.append(f"{request}: a keyed repeat outside its node's window")
-        self.out[request] += 1
+        self.in_flight[request] += 1
         self.sends[request].append((now, node))
 
     def reached(self, now: float, plan: Plan, volume: str, request: str, units: int) -> None:
@@ -102,39 +101,39 @@
             self.broken.append(f"{volume}: over its limit by {-store.level:.1f} units")
 
     def starts(self, node: str, now: float) -> None:
-        self.cold[node] = (now, deque())
+        self.started[node] = (now, deque())
 
     def worked(self, now: float, node: str, units: int) -> None:
         """Check all hosts' units at a node that is warming up against its current capacity."""
         s = self.settings
-        if node not in self.cold or not 0 <= now - self.cold[node][0] < s.slow_start_time:
+        if node not in self.started or not 0 <= now - self.started[node][0] < s.slow_start_time:
             return
-        since, units_of_late = self.cold[node]
-        units_of_late.append((now, units))
-        while units_of_late[0][0] <= now - s.overload_window:
-            units_of_late.popleft()
+        since, recent_units = self.started[node]
+        recent_units.append((now, units))
+        while recent_units[0][0] <= now - s.overload_window:
+            recent_units.popleft()
         part = s.slow_start_capacity + (1.0 - s.slow_start_capacity) * (now - since) / s.slow_start_time
         if (
-            sent := sum(n for _, n in units_of_late)
-        ) > SPARE * s.slow_start_units * part / s.slow_start_capacity:
+            sent := sum(n for _, n in recent_units)
+        ) > TYPICAL_CAPACITY_FACTOR * s.slow_start_units * part / s.slow_start_capacity:
             self.broken.append(f"{node}: pushed over cold by {sent} units")
 
     def ended(self, request: str, outcome: Outcome) -> None:
-        self.out[request] -= 1
+        self.in_flight[request] -= 1
         self.ran[request] = self.ran.get(request, False) or outcome in MAY_HAVE_RUN
         if outcome is Outcome.OK:
             self.answered(request)
 
     def answered(self, request: str) -> None:
-        self.finals[request] += 1
-        if self.finals[request] > 1:
+        self.answers[request] += 1
+        if self.answers[request] > 1:
             self.broken.append(f"{request}: a second final answer")
 
     def close(self) -> list[str]:
-        return self.broken + [f"{r}: no final answer" for r, n in self.finals.items() if n == 0]
+        return self.broken + [f"{r}: no final answer" for r, n in self.answers.items() if n == 0]
 
 
-def day(settings: Settings, seed: int, checker: Checker, hosts: int = 4, nodes: int = 10) -> int:
+def simulate(settings: Settings, seed: int, checker: Checker, hosts: int = 4, nodes: int = 10) -> int:
     """Simulate 20 s with `hosts` instances; returns the number of requests.
 
     One node drains at 5 s.  Another is removed at 7 s and returns, warming up, at 8 s, with twice the
@@ -156,14 +155,14 @@
         draining = [replace(entries[3], state=NodeState.DRAINING)]
         gone = [replace(entries[6], state=NodeState.REMOVED)]
         back = [replace(entries[6], started_at=8.0)]
-        for told, changed in ((5.0, draining), (7.0, gone), (8.0, back)):
+        for at, changed in ((5.0, draining), (7.0, gone), (8.0, back)):
             heappush(
                 due,
                 (
-                    told + 0.9 * draw.random(),
+                    at + 0.9 * draw.random(),
                     next(order),
                     n,
-                    DiscoveryUpdate(DiscoveryUpdateKind.DELTA, int(told), changed),
+                    DiscoveryUpdate(DiscoveryUpdateKind.DELTA, int(at), changed),
                 ),
             )
     checker.starts("n6", 8.0)
@@ -171,7 +170,7 @@
         for name, (_, through) in volumes.items():
             for _ in range(draw.choice((0, 2, 5, 20))):
                 heappush(due, (0.1 + second + draw.random(), next(order), draw.choice(through), name))
-    asked: dict[str, RequestArrived] = {}
+    requests: dict[str, RequestArrived] = {}
     while due:
         now, _, n, what = heappop(due)
         if what == "timer":
@@ -199,7 +198,7 @@
                 key=f"{draw.getrandbits(64):016x}",
                 expires_in=cls.deadline,
             )
-            asked[event.request] = event
+            requests[event.request] = event
             checker.arrived(event)
         for action in rigs[n].step(now, [event]):
             if isinstance(action, SetTimer):
@@ -207,7 +206,7 @@
             elif isinstance(action, Reject | Fail):
                 checker.answered(action.request)
             elif isinstance(action, Send):
-                request = asked[action.request]
+                request = requests[action.request]
                 cls = settings.classes[request.request_class]
                 checker.sent(now, cls, action.request, action.node, n)
                 number = len(checker.sends[action.request]) - 1
@@ -232,15 +231,15 @@
                 heappush(due, (now + after, next(order), n, ("end", ended)))
         if timers[n] is not None:
             heappush(due, (timers[n], next(order), n, "timer"))
-    return len(asked)
+    return len(requests)
 
 
 @pytest.mark.parametrize("name", ["config.json", "records.json"])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_each_deployment_keeps_the_rules_across_its_hosts(name, seed):
-    settings = shaped(name)
+    settings = example_settings(name)
     checker = Checker(settings)
-    taken = day(settings, seed, checker)
+    taken = simulate(settings, seed, checker)
     assert taken > 1000
     assert checker.close() == []
     assert (
@@ -250,7 +249,7 @@
 
 def test_the_checker_names_each_broken_rule():
     """The checker can fail: it reports a run that breaks each rule once."""
-    settings = shaped("records.json")
+    settings = example_settings("records.json")
     fetch, store = settings.classes["fetch"], settings.classes["store"]
     checker = Checker(settings)
     for request in ("a", "b", "c", "d", "e"):
@@ -270,12 +269,12 @@
     checker.starts("n3", 0.0)
     for i in range(20):
         checker.worked(0.1 * i, "n3", 8)  # 160 units where about 80 overload it
-    said = [line.split(": ")[1] for line in checker.close()]
-    assert said[:4] == [
+    reported = [line.split(": ")[1] for line in checker.close()]
+    assert reported[:4] == [
         "a second attempt while one is out",
         "new work for n1 after it was told to drain",
         "a keyed repeat outside its node's window",
         "a second final answer",
     ]
-    assert "pushed over cold" in " ".join(said)
-    assert "over its limit" in said[4] and said.count("no final answer") == 4
+    assert "pushed over cold" in " ".join(reported)
+    assert "over its limit" in reported[4] and reported.count("no final answer") == 4
--- a/tests/storage_gateway/scheduler/test_drawn_settings.py
+++ b/tests/storage_gateway/scheduler/test_drawn_settings.py
@@ -106,20 +106,20 @@
 
     def __init__(self, seed: int) -> None:
         draw = self.draw = random.Random(seed)
-        self.settings, self.now, self.seq = draw_settings(draw), 100.0, 0
+        self.settings, self.now, self.sequence = draw_settings(draw), 100.0, 0
         self.host = Scheduler(self.settings, self.now)
         self.nodes = {f"n{i}": (i % 3, "ab"[i % 2] if draw.random() < 0.8 else "") for i in range(4)}
         self.closed: set[str] = set()
         self.events: list = []
-        self.asked: dict[str, RequestArrived] = {}
-        self.until: dict[str, float] = {}
-        self.over: dict[str, str] = {}
-        self.tries: dict[str, int] = {}
-        self.out: dict[tuple[str, int], str] = {}
-        self.began: dict[tuple[str, int], float] = {}
+        self.requests: dict[str, RequestArrived] = {}
+        self.deadlines: dict[str, float] = {}
+        self.final_answers: dict[str, str] = {}
+        self.attempt_numbers: dict[str, int] = {}
+        self.in_flight: dict[tuple[str, int], str] = {}
+        self.sent_at: dict[tuple[str, int], float] = {}
         self.ran: dict[str, list[tuple[str, float]]] = {}
         self.stores: dict[str, Store] = {}
-        self.drawn: set[str] = set()
+        self.charged: set[str] = set()
         self.served, self.faulty = 0, draw.choice((0.0, 0.1, 0.5))
         self.latency = draw.choice((0.005, 0.05, 0.5))
         self.step(DiscoveryUpdate(DiscoveryUpdateKind.CACHED, 1, [self.entry(name) for name in self.nodes]))
@@ -128,8 +128,8 @@
         return NodeEntry(name, state, self.nodes[name][0], self.nodes[name][1], since)
 
     def at(self, when: float, what) -> None:
-        self.seq += 1
-        heappush(self.events, (when, self.seq, what))
+        self.sequence += 1
+        heappush(self.events, (when, self.sequence, what))
 
     def step(self, event: Event) -> None:
         for action in self.host.step(self.now, [event]):
@@ -137,22 +137,22 @@
                 self.at(action.at, lambda: self.step(TimerFired(0)))
             elif isinstance(action, Send):
                 self.sent(action)
-            elif isinstance(action, Cancel) and (action.request, action.attempt) in self.out:
+            elif isinstance(action, Cancel) and (action.request, action.attempt) in self.in_flight:
                 assert self.settings.may_cancel
                 self.at(self.now, lambda a=action: self.ended(a.request, a.attempt, Outcome.CANCELLED))
             elif isinstance(action, Reject | Fail):
-                self.said(action)
+                self.check_final_answer(action)
 
-    def said(self, action: Reject | Fail) -> None:
+    def check_final_answer(self, action: Reject | Fail) -> None:
         name = action.request
-        assert name not in self.over, "two final answers"
-        assert self.now <= self.until[name] + SLACK, "answered too late"
-        self.over[name] = type(action).__name__
+        assert name not in self.final_answers, "two final answers"
+        assert self.now <= self.deadlines[name] + SLACK, "answered too late"
+        self.final_answers[name] = type(action).__name__
         if isinstance(action, Reject):
             assert (action.retry_after is None) is not self.settings.retry_after
             assert 0 <= (action.retry_after or 0.0) <= self.settings.max_retry_after
-            cls = self.settings.classes[self.asked[name].request_class]
-            may_have_run = name in self.ran or any(known == name for known, _ in self.out)
+            cls = self.settings.classes[self.requests[name].request_class]
+            may_have_run = name in self.ran or any(known == name for known, _ in self.in_flight)
             assert (
                 not may_have_run
                 or cls.idempotency is Idempotency.SAFE
@@ -161,12 +161,14 @@
             ), "a rejection of a request that may have run"
 
     def sent(self, send: Send) -> None:
-        name, request = send.request, self.asked[send.request]
-        number = self.tries[name] = self.tries.get(name, -1) + 1
+        name, request = send.request, self.requests[send.request]
+        number = self.attempt_numbers[name] = self.attempt_numbers.get(name, -1) + 1
         cls, node = self.settings.classes[request.request_class], self.nodes[send.node]
-        assert name not in self.over and send.node not in self.closed, "over, or a closed node"
-        assert self.now < self.until[name] and 0 < send.timeout <= self.until[name] - self.now + 1e-9
-        assert number < (self.settings.max_attempts or 1e9) and all(known != name for known, _ in self.out)
+        assert name not in self.final_answers and send.node not in self.closed, "over, or a closed node"
+        assert self.now < self.deadlines[name] and 0 < send.timeout <= self.deadlines[name] - self.now + 1e-9
+        assert number < (self.settings.max_attempts or 1e9) and all(
+            known != name for known, _ in self.in_flight
+        )
         assert request.shard in (None, node[0])
         if name in self.ran:
             assert cls.idempotency is not Idempotency.UNSAFE, "an unsafe request again"
@@ -175,25 +177,25 @@
                 assert self.now <= began + cls.dedup_window, "a keyed request past its window"
                 group = {"all": slice(0), "zone": slice(1, 2), "shard": slice(1)}[cls.dedup_scope.value]
                 assert self.nodes[first][group] == node[group], "a keyed request outside its group"
-        self.out[name, number], self.began[name, number] = send.node, self.now
+        self.in_flight[name, number], self.sent_at[name, number] = send.node, self.now
         outcome = Outcome.OK if self.draw.random() >= self.faulty else self.draw.choice(list(Outcome))
         after = self.draw.expovariate(1 / self.latency)
         if after > send.timeout:
             after, outcome = send.timeout, Outcome.TIMEOUT
         unsent = outcome in (Outcome.NOT_SENT, Outcome.NO_CONNECTION)
         if self.settings.limit_at_arrival and not unsent:
-            self.draws(name)  # its last byte arrives at once
+            self.charge(name)  # its last byte arrives at once
         elif not self.settings.limit_at_arrival and outcome is not Outcome.NOT_SENT:
-            self.draws(name)
+            self.charge(name)
         self.at(self.now + after, lambda: self.ended(name, number, outcome))
 
-    def draws(self, name: str) -> None:
+    def charge(self, name: str) -> None:
         """Charge this host's share of the volume's bucket, as the platform does."""
-        request = self.asked[name]
+        request = self.requests[name]
         plan = self.settings.plans.get(request.plan)
-        if plan is None or plan.limit <= 0 or name in self.drawn:
+        if plan is None or plan.limit <= 0 or name in self.charged:
             return
-        self.drawn.add(name)
+        self.charged.add(name)
         part = Plan(
             "",
             limit=plan.limit / request.volume_hosts,
@@ -204,45 +206,47 @@
         assert store.level >= -plan.limit_slack / request.volume_hosts - 1e-3, "past its limit"
 
     def ended(self, name: str, number: int, outcome: Outcome) -> None:
-        if (node := self.out.pop((name, number), None)) is None:
+        if (node := self.in_flight.pop((name, number), None)) is None:
             return
         if outcome in MAY_RUN:
-            self.ran.setdefault(name, []).append((node, self.began[name, number]))
-        if outcome is Outcome.OK and name not in self.over:
-            self.over[name] = "OK"
+            self.ran.setdefault(name, []).append((node, self.sent_at[name, number]))
+        if outcome is Outcome.OK and name not in self.final_answers:
+            self.final_answers[name] = "OK"
             self.served += 1
         self.step(
-            AttemptEnded(name, number, node, outcome, self.now - self.began[name, number], name in self.over)
+            AttemptEnded(
+                name, number, node, outcome, self.now - self.sent_at[name, number], name in self.final_answers
+            )
         )
 
     def arrive(self) -> None:
         draw, s = self.draw, self.settings
-        self.seq += 1
-        name, cls = f"r{self.seq}", draw.choice(list(s.classes.values()))
+        self.sequence += 1
+        name, cls = f"r{self.sequence}", draw.choice(list(s.classes.values()))
         plan = draw.choice([*s.plans, "none"])
-        lasts = cls.deadline * draw.choice((1.0, 1.0, 0.3, 0.001))
-        self.asked[name] = request = RequestArrived(
+        expires_in = cls.deadline * draw.choice((1.0, 1.0, 0.3, 0.001))
+        self.requests[name] = request = RequestArrived(
             name,
             cls.name,
-            lasts,
+            expires_in,
             draw.choice((None, 0, 1, 2)),
             draw.randint(1, s.max_units),
             f"{plan}{draw.randrange(2)}",
             plan,
             s.hosts if s.hosts < 200 else 2,
-            draw.choice((f"k{draw.randrange(5)}", f"{self.seq:016x}", None)),
+            draw.choice((f"k{draw.randrange(5)}", f"{self.sequence:016x}", None)),
         )
-        self.until[name] = self.now + lasts
+        self.deadlines[name] = self.now + expires_in
         self.step(request)
         if draw.random() < 0.05:
-            self.at(self.now + draw.random() * lasts, lambda: self.gone(name))
+            self.at(self.now + draw.random() * expires_in, lambda: self.disconnect(name))
 
-    def gone(self, name: str) -> None:
-        if name not in self.over:
-            self.over[name] = "gone"
+    def disconnect(self, name: str) -> None:
+        if name not in self.final_answers:
+            self.final_answers[name] = "gone"
         self.step(ClientDisconnected(name))
 
-    def list(self) -> None:
+    def update_list(self) -> None:
         draw, name = self.draw, self.draw.choice(list(self.nodes))
         if draw.random() < 0.2:
             return self.step(
@@ -265,12 +269,12 @@
             when += draw.expovariate(1 / pace)
             self.at(when, self.arrive)
             if draw.random() < 0.03:
-                self.at(when, self.list)
+                self.at(when, self.update_list)
         self.at(when + 60.0, lambda: None)
         while self.events and self.events[0][0] <= when + 60.0:
             self.now, _, what = heappop(self.events)
             what()
-        assert set(self.over) == set(self.asked), "a request without its final answer"
+        assert set(self.final_answers) == set(self.requests), "a request without its final answer"
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -278,7 +282,7 @@
     service = Service(seed)
     service.play(150)
     host = service.host
-    assert not host.state.requests and not host.key_order.queues and not service.out
+    assert not host.state.requests and not host.key_order.queues and not service.in_flight
     for node in host.state.nodes.values():
         assert not node.in_flight and not node.units_in_flight and not node.queue
     for volume in host.volumes.by_key.values():
--- a/tests/storage_gateway/scheduler/test_gateway_host.py
+++ b/tests/storage_gateway/scheduler/test_gateway_host.py
@@ -32,9 +32,9 @@
 
 def test_a_request_is_tried_and_its_answer_ends_it():
     host = make_host()
-    (tried,) = host.pick(100.0, "a", **FIELDS).attempts
-    assert (tried.request, tried.number, tried.node) == ("a", 0, "n0")
-    orders = host.report(100.05, tried, Outcome.OK, 0.05)
+    (attempt,) = host.pick(100.0, "a", **FIELDS).attempts
+    assert (attempt.request, attempt.number, attempt.node) == ("a", 0, "n0")
+    orders = host.report(100.05, attempt, Outcome.OK, 0.05)
     assert not orders.attempts and not orders.final_answers and not host.knows("a")
 
 
@@ -42,27 +42,27 @@
     host = make_host()
     (first,) = host.pick(100.0, "a", **FIELDS).attempts
     orders = host.report(100.01, first, Outcome.ERROR, 0.01)
-    assert [tried.number for tried in orders.attempts] == [1]
+    assert [attempt.number for attempt in orders.attempts] == [1]
 
 
 def test_without_a_node_the_final_answer_is_a_rejection_at_once():
     host = SchedulerHost(make_settings(), 100.0)
-    (verdict,) = host.pick(100.0, "a", **FIELDS).final_answers
-    assert verdict.request == "a" and verdict.rejected and verdict.retry_after > 0
+    (answer,) = host.pick(100.0, "a", **FIELDS).final_answers
+    assert answer.request == "a" and answer.rejected and answer.retry_after > 0
 
 
 def test_a_write_that_may_have_run_fails():
     host = make_host()
-    (tried,) = host.pick(100.0, "a", **(FIELDS | {"request_class": "log"})).attempts
-    assert host.report(100.4, tried, Outcome.TIMEOUT, 0.4).final_answers == [FinalAnswer("a", False, None)]
+    (attempt,) = host.pick(100.0, "a", **(FIELDS | {"request_class": "log"})).attempts
+    assert host.report(100.4, attempt, Outcome.TIMEOUT, 0.4).final_answers == [FinalAnswer("a", False, None)]
 
 
 def test_a_client_disconnect_cancels_the_attempts_in_flight():
     host = make_host()
-    (tried,) = host.pick(100.0, "a", **FIELDS).attempts
+    (attempt,) = host.pick(100.0, "a", **FIELDS).attempts
     assert host.client_disconnected(100.1, "a").cancellations == [("a", 0)]
     assert host.knows("a")
-    host.report(100.1, tried, Outcome.CANCELLED, 0.1)
+    host.report(100.1, attempt, Outcome.CANCELLED, 0.1)
     assert not host.knows("a")
 
 
@@ -80,9 +80,9 @@
 
 def test_a_streamed_answer_that_breaks_off_gets_no_second_answer():
     host = make_host()
-    (tried,) = host.pick(100.0, "a", **FIELDS).attempts
-    host.stream_started(100.1, tried, 0.1)
-    orders = host.report(100.2, tried, Outcome.RESET, 0.2)
+    (attempt,) = host.pick(100.0, "a", **FIELDS).attempts
+    host.stream_started(100.1, attempt, 0.1)
+    orders = host.report(100.2, attempt, Outcome.RESET, 0.2)
     assert not orders.final_answers and not orders.attempts
     assert not host.tick(102.0).final_answers
 
--- a/tests/storage_gateway/scheduler/test_node_health.py
+++ b/tests/storage_gateway/scheduler/test_node_health.py
@@ -61,7 +61,7 @@
 
 def test_on_request_discovery_is_watched_and_asked_again_after_a_failure():
     rig = Rig(discovery_on_request=True, max_list_age=10.0)
-    assert of(rig.first, WatchNodes)
+    assert of(rig.initial_actions, WatchNodes)
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.FAILED))
     assert len(of(rig.wait(1.0), WatchNodes)) == 1
 
@@ -158,20 +158,20 @@
     assert node.smoothed_latency > max(before, middle)
 
 
-def out_by_hand(rig: Rig, out: bool, node: str = "n0") -> list[Action]:
-    return rig.step(OperatorOverride(node, out), after=0.1)
+def set_disabled(rig: Rig, disabled: bool, node: str = "n0") -> list[Action]:
+    return rig.step(OperatorOverride(node, disabled), after=0.1)
 
 
 def test_requests_for_a_disabled_node_are_rejected_at_once_whatever_lists_say():
     """No list, full or delta, may enable a node that an operator disabled; one call to enable does."""
     rig = Rig(nodes=2, **COLD | {"hosts": 1})
-    out_by_hand(rig, True)
-    out_by_hand(rig, True)
+    set_disabled(rig, True)
+    set_disabled(rig, True)
     for kind in (DiscoveryUpdateKind.DELTA, DiscoveryUpdateKind.FULL):
         rig.step(DiscoveryUpdate(kind, 2, [NodeEntry("n0", shard=0), NodeEntry("n1", shard=1)]))
         assert of(rig.step(rig.request()), Reject)
     assert of(rig.step(rig.request(shard=None)), Send)[0].node == "n1"
-    out_by_hand(rig, False)
+    set_disabled(rig, False)
     assert of(rig.step(rig.request(units=1)), Send)[0].node == "n0"
 
 
@@ -180,7 +180,7 @@
     rig = Rig(nodes=1)
     sends = fill(rig, units=1)
     waiting = [name for name, request in rig.host.state.requests.items() if not request.in_flight]
-    refused = of(out_by_hand(rig, True), Reject)
+    refused = of(set_disabled(rig, True), Reject)
     assert {action.request for action in refused} == set(waiting) and waiting
     seen = rig.step(rig.ended(sends[0], Outcome.REJECTED), after=0.05) + rig.wait(0.1)
     assert of(seen, Reject) and not of(seen, Send)
@@ -191,10 +191,10 @@
     """Operators may have restarted the node: without a later start in a list, assume a start just now."""
     rig = Rig(nodes=2, **COLD | {"hosts": 1})
     node = rig.host.state.nodes["n0"]
-    out_by_hand(rig, True)
+    set_disabled(rig, True)
     since = rig.now + 0.5 if told == "now" else told
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", started_at=since)]), after=1.0)
-    out_by_hand(rig, False)
+    set_disabled(rig, False)
     assert node.slow_start_from == (since if cold_from == "told" else rig.now)
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 3, [NodeEntry("n0", started_at=rig.now - 0.5)]))
     assert node.slow_start_from == rig.now - 0.5, "a start that a later list gives counts"
--- a/tests/storage_gateway/scheduler/test_plan_changes.py
+++ b/tests/storage_gateway/scheduler/test_plan_changes.py
@@ -32,8 +32,8 @@
     """Units sent within `seconds` under constant demand."""
     units, end = 0, rig.now + seconds
     while rig.now < end:
-        came = rig.request(**{"units": 1, "plan": plan, "volume": "b"} | fields)
-        for send in of(rig.step(came, after=every), Send):
+        request = rig.request(**{"units": 1, "plan": plan, "volume": "b"} | fields)
+        for send in of(rig.step(request, after=every), Send):
             rig.step(rig.ended(send, latency=0.01))
             units += 1
     return units
@@ -118,9 +118,9 @@
         names = {}
         for turn in range(3000):
             plan = ("one", "two")[turn % 2]
-            came = rig.request(plan=plan, volume=plan, units=2, expires_in=0.4)
-            names[came.request] = plan
-            sends += [(rig.now + 0.08, send) for send in of(rig.step(came, after=0.005), Send)]
+            request = rig.request(plan=plan, volume=plan, units=2, expires_in=0.4)
+            names[request.request] = plan
+            sends += [(rig.now + 0.08, send) for send in of(rig.step(request, after=0.005), Send)]
             while sends and sends[0][0] <= rig.now:
                 send = sends.pop(0)[1]
                 served[names[send.request]] += 1
@@ -172,27 +172,27 @@
     rig.wait(5.0)
     (first,) = of(rig.step(rig.request(plan="basic", volume="b", units=8)), Send)
     rig.step(rig.request("log", plan="basic", volume="b", units=4))
-    main = rig.host.volumes.by_key["b", "basic"]
-    assert main.pending_units == 4
+    volume = rig.host.volumes.by_key["b", "basic"]
+    assert volume.pending_units == 4
     own = Plan("basic", limit=5.0, limit_burst=5.0)
     rig.step(PlanChanged(own, "b", shard=0))
-    apart = rig.host.volumes.by_key["b", "basic", 0]
-    assert (main.pending_units, apart.pending_units) == (0, 4)
+    shard_volume = rig.host.volumes.by_key["b", "basic", 0]
+    assert (volume.pending_units, shard_volume.pending_units) == (0, 4)
     rig.step(rig.ended(first))
     rig.wait(4.0)
     assert sent(rig, 5.0, shard=0) <= 5 * 5 + 5
     assert sent(rig, 2.0, shard=1) > 32 + 2 * 15, "the other shards have their own bucket"
     rig.step(SiblingSend("b", "basic", 1, "n0", 9, 9), SiblingSend("b", "basic", 1, "n1", 2, 2))
-    assert apart.limit_level < -2.0, "units that a sibling process sent to that shard count there, too"
+    assert shard_volume.limit_level < -2.0, "units that a sibling process sent to that shard count there, too"
     rig.now += 0.2
-    main.refill(rig.now)
-    owed, level = apart.limit_level + (rig.now - apart.refilled_at) * 5.0, main.limit_level
+    volume.refill(rig.now)
+    owed, level = shard_volume.limit_level + (rig.now - shard_volume.refilled_at) * 5.0, volume.limit_level
     assert owed < 0.0
     rig.step(PlanChanged(BASIC, "b", shard=0))
-    assert main.limit_level == pytest.approx(level + owed), "the debt remains"
+    assert volume.limit_level == pytest.approx(level + owed), "the debt remains"
     assert ("b", "basic", 0) not in rig.host.volumes.by_key
     assert ("b", "basic", 0) not in rig.host.volumes.plans
-    assert apart.pending_units == 0
+    assert shard_volume.pending_units == 0
     assert sent(rig, 5.0, shard=0) == pytest.approx(100, abs=15)
 
 
@@ -241,12 +241,12 @@
     with pytest.raises(gateway_host.TooManyAllotmentsError):
         host.change_plan(100.0, BASIC, "c", limit_share=0.5)
     host.change_plan(100.0, replace(BASIC, limit=2.0), "b", shard=1)
-    heir = gateway_host.SchedulerHost(make_settings(), 101.0)
-    heir.import_state(101.0, host.export_state(101.0))
-    assert heir._scheduler.volumes.plans == host._scheduler.volumes.plans
+    successor = gateway_host.SchedulerHost(make_settings(), 101.0)
+    successor.import_state(101.0, host.export_state(101.0))
+    assert successor._scheduler.volumes.plans == host._scheduler.volumes.plans
 
 
-def fleet(rich: Plan, poor: Plan) -> list[Store]:
+def fleet(high: Plan, low: Plan) -> list[Store]:
     """200 hosts with 60 volumes over one to three of them; limits and shares change under load.
 
     Half of the volumes have allotments whose shares move between their hosts.  The plan is raised (the
@@ -255,11 +255,11 @@
     """
     draw = random.Random(29)
     rigs = [
-        Rig(nodes=6, now=0.0, hosts=200, seed=n, limit_at_arrival=True, plans={"p": poor}) for n in range(200)
+        Rig(nodes=6, now=0.0, hosts=200, seed=n, limit_at_arrival=True, plans={"p": low}) for n in range(200)
     ]
     hosts = {f"v{v}": draw.sample(range(200), draw.choice((1, 2, 3))) for v in range(60)}
     moving = [name for v, name in enumerate(hosts) if v < 30]
-    stores, held = {name: Store(poor, 0.0) for name in hosts}, {n: poor for n in range(200)}
+    stores, held = {name: Store(low, 0.0) for name in hosts}, {n: low for n in range(200)}
     parts = {(name, n): 1.0 / len(hosts[name]) for name in moving for n in hosts[name]}
     due, order = [], count()
 
@@ -273,10 +273,10 @@
         for name in draw.sample(moving, 12):
             at(second + draw.random(), 0, ("move", name, 0.0))
     for n in range(200):
-        at(7.0 + draw.random(), n, rich)
-        at(13.0 + draw.random(), n, poor)
-    at(7.0, 0, ("platform", rich, 0.0))
-    at(14.0, 0, ("platform", poor, 0.0))
+        at(7.0 + draw.random(), n, high)
+        at(13.0 + draw.random(), n, low)
+    at(7.0, 0, ("platform", high, 0.0))
+    at(14.0, 0, ("platform", low, 0.0))
     asked, tries, counted = {}, {}, set()
     while due:
         now, _, n, what = heappop(due)
@@ -343,15 +343,15 @@
     return list(stores.values())
 
 
-POOR = Plan("p", limit=12, limit_burst=48, limit_slack=8, price=0.8)
-RICH = replace(POOR, limit=24, limit_burst=96)
+LOW_PLAN = Plan("p", limit=12, limit_burst=48, limit_slack=8, price=0.8)
+HIGH_PLAN = replace(LOW_PLAN, limit=24, limit_burst=96)
 
 
 def test_a_limit_holds_across_200_hosts_while_plans_and_shares_change():
-    assert min(store.least for store in fleet(RICH, POOR)) >= -POOR.limit_slack
+    assert min(store.least for store in fleet(HIGH_PLAN, LOW_PLAN)) >= -LOW_PLAN.limit_slack
 
 
-def to_and_fro() -> float:
+def lowest_level_while_share_moves() -> float:
     """The lowest bucket level while a limit share moves between two hosts that use all they may."""
     rigs, store = [Rig(nodes=16, hosts=2), Rig(nodes=16, hosts=2)], Store(BASIC, 100.0)
     for rig in rigs:
@@ -362,8 +362,8 @@
             rigs[n].step(PlanChanged(BASIC, "b", limit_share=(0.05, 0.95)[n != turn % 2]))
         for rig in rigs:
             for shard in range(32):
-                came = rig.request(plan="basic", volume="b", units=1, shard=shard % 16)
-                for send in of(rig.step(came), Send):
+                request = rig.request(plan="basic", volume="b", units=1, shard=shard % 16)
+                for send in of(rig.step(request), Send):
                     store.take(rig.now, 1)
                     rig.step(rig.ended(send, latency=0.01))
         for rig in rigs:
@@ -372,7 +372,7 @@
 
 
 def test_a_limit_share_that_moves_to_and_fro_grants_nothing_twice():
-    assert -BASIC.limit_slack <= to_and_fro() < 0.0
+    assert -BASIC.limit_slack <= lowest_level_while_share_moves() < 0.0
 
 
 def without_carry_over(monkeypatch, broken: str) -> None:
@@ -396,11 +396,11 @@
 def test_without_the_carry_over_the_limit_of_a_fleet_breaks(monkeypatch):
     """The check can fail: each bucket counts as full at a change."""
     without_carry_over(monkeypatch, "full")
-    assert min(store.least for store in fleet(RICH, POOR)) < -POOR.limit_slack
+    assert min(store.least for store in fleet(HIGH_PLAN, LOW_PLAN)) < -LOW_PLAN.limit_slack
 
 
 @pytest.mark.parametrize("broken", ["full", "slack", "forgiven"])
 def test_without_the_carry_over_a_moving_limit_share_breaks_the_limit(monkeypatch, broken):
     """The check can fail: bucket full at each change, added slack granted at once, debt forgiven."""
     without_carry_over(monkeypatch, broken)
-    assert to_and_fro() < -BASIC.limit_slack
+    assert lowest_level_while_share_moves() < -BASIC.limit_slack
--- a/tests/storage_gateway/scheduler/test_scheduler_properties.py
+++ b/tests/storage_gateway/scheduler/test_scheduler_properties.py
@@ -26,7 +26,7 @@
 LIMITED, BURST, SLACK = 20.0, 32.0, 8.0
 NEVER_RAN = (Outcome.REJECTED, Outcome.MISDIRECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
 CLASSES = ("read", "log", "keyed", "ordered")
-MOVE = st.one_of(
+EVENTS = st.one_of(
     st.tuples(
         st.just("ask"),
         st.sampled_from(CLASSES),
@@ -41,51 +41,53 @@
 )
 
 
-class Referee:
+class RuleChecker:
     """Checks a rig's attempts and final answers against the rules."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig, self.open = rig, {f"n{i}" for i in range(3)}
-        self.asked: dict[str, RequestArrived] = {}
+        self.requests: dict[str, RequestArrived] = {}
         self.deadline: dict[str, float] = {}
-        self.over: set[str] = set()
-        self.tries: dict[str, int] = {}
-        self.out: dict[tuple[str, int], str] = {}
+        self.ended: set[str] = set()
+        self.attempt_numbers: dict[str, int] = {}
+        self.in_flight: dict[tuple[str, int], str] = {}
         self.ran: dict[str, list[float]] = {}
         self.sent: list[tuple[float, str, str, int]] = []
-        self.extras: list[float] = []
+        self.retries_at: list[float] = []
         self.level, self.at = BURST, rig.now
-        self.cold: dict[str, float] = {}
+        self.started_at: dict[str, float] = {}
         self.slow_start_units: list[tuple[float, str, int]] = []
 
-    def hold_against_the_rules(self, now: float, actions: list[Action]) -> None:
+    def check_actions(self, now: float, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 self.check_send(now, action)
             elif isinstance(action, Reject | Fail):
-                assert action.request not in self.over, "two final answers"
+                assert action.request not in self.ended, "two final answers"
                 assert now <= self.deadline[action.request] + 0.008, "answered too late"
                 if isinstance(action, Reject):
-                    cls = self.rig.settings.classes[self.asked[action.request].request_class]
-                    may_have_run = action.request in self.ran or any(k[0] == action.request for k in self.out)
+                    cls = self.rig.settings.classes[self.requests[action.request].request_class]
+                    may_have_run = action.request in self.ran or any(
+                        k[0] == action.request for k in self.in_flight
+                    )
                     assert (
                         cls.idempotency is Idempotency.SAFE or not may_have_run
                     ), "a rejection of a request that may have run"
-                self.over.add(action.request)
+                self.ended.add(action.request)
 
     def check_send(self, now: float, send: Send) -> None:
-        request = self.asked[send.request]
-        assert send.request not in self.over, "sent after its end"
+        request = self.requests[send.request]
+        assert send.request not in self.ended, "sent after its end"
         assert send.node in self.open, "sent to a draining or removed node"
-        number = self.tries.get(send.request, 0)
-        self.tries[send.request] = number + 1
+        number = self.attempt_numbers.get(send.request, 0)
+        self.attempt_numbers[send.request] = number + 1
         assert number < self.rig.settings.max_attempts
-        assert not any(k[0] == send.request for k in self.out), "two attempts at once"
+        assert not any(k[0] == send.request for k in self.in_flight), "two attempts at once"
         if number:
-            self.extras.append(now)
-            recent = [t for t in self.extras if t > now - 5.0]
-            taken = sum(1 for d in self.deadline if self.taken_at[d] > now - 5.0)
-            assert len(recent) <= 3 + 0.1 * taken, "over the retry budget"
+            self.retries_at.append(now)
+            recent = [t for t in self.retries_at if t > now - 5.0]
+            recent_requests = sum(1 for d in self.deadline if self.arrived_at[d] > now - 5.0)
+            assert len(recent) <= 3 + 0.1 * recent_requests, "over the retry budget"
         cls = self.rig.settings.classes[request.request_class]
         if send.request in self.ran:
             assert cls.idempotency is not Idempotency.UNSAFE, "an unsafe request sent again"
@@ -96,29 +98,29 @@
             self.at = now
             assert self.level >= -SLACK - 1e-6, "over the limit"
         if cls.ordered:
-            turn = [
+            unfinished = [
                 r
-                for r in self.asked.values()
+                for r in self.requests.values()
                 if r.request_class == request.request_class
-                and (r.request not in self.over or any(k[0] == r.request for k in self.out))
+                and (r.request not in self.ended or any(k[0] == r.request for k in self.in_flight))
             ]
-            assert turn[0].request == send.request, "out of order"
-        self.out[(send.request, number)] = send.node
+            assert unfinished[0].request == send.request, "out of order"
+        self.in_flight[(send.request, number)] = send.node
         self.sent.append((now, send.node, send.request, request.units))
-        if send.node in self.cold:
-            age = now - self.cold[send.node]
+        if send.node in self.started_at:
+            age = now - self.started_at[send.node]
             if age < 10.0:
                 assert request.plan == "gold", "a warming node got units outside reserves"
                 self.slow_start_units.append((now, send.node, request.units))
                 window = [u for t, n, u in self.slow_start_units if n == send.node and t > now - 2.0]
                 assert sum(window) <= 2 * 10.0 + 8 + 10, "a warming node got more than the reserve"
 
-    taken_at: dict[str, float]
+    arrived_at: dict[str, float]
 
 
-@given(st.lists(MOVE, max_size=120))
+@given(st.lists(EVENTS, max_size=120))
 @example([("ask", "read", 0, 1, "basic"), ("ask", "log", 0, 1, "gold"), ("end", Outcome.MISDIRECTED, 0)])
-def test_rules_hold_for_any_event_sequence(moves):
+def test_rules_hold_for_any_event_sequence(drawn_events):
     rig = Rig(
         nodes=3,
         slow_start_units=24.0,
@@ -132,77 +134,77 @@
         retry_budget_window=5.0,
         order_settle_time=0.1,
     )
-    referee = Referee(rig)
-    referee.taken_at = {}
+    checker = RuleChecker(rig)
+    checker.arrived_at = {}
     plain_step = rig.step
 
     def step(*events: Event, after: float = 0.0) -> list[Action]:
         actions = plain_step(*events, after=after)
-        referee.hold_against_the_rules(rig.now, actions)
+        checker.check_actions(rig.now, actions)
         return actions
 
     rig.step = step
-    for move in moves:
-        if move[0] == "ask":
-            _, cls, shard, units, plan = move
+    for drawn in drawn_events:
+        if drawn[0] == "ask":
+            _, cls, shard, units, plan = drawn
             request = rig.request(
                 cls,
                 shard=None if shard < 0 else shard,
                 units=units,
                 plan=plan,
                 volume=plan,
-                key="0a" if cls == "ordered" else f"{rig.count:016x}",
+                key="0a" if cls == "ordered" else f"{rig.request_count:016x}",
             )
-            referee.asked[request.request] = request
-            referee.deadline[request.request] = rig.now + request.expires_in
-            referee.taken_at[request.request] = rig.now
+            checker.requests[request.request] = request
+            checker.deadline[request.request] = rig.now + request.expires_in
+            checker.arrived_at[request.request] = rig.now
             step(request)
-        elif move[0] == "end" and referee.out:
-            (request, number), node = sorted(referee.out.items())[move[2] % len(referee.out)]
-            del referee.out[(request, number)]
-            outcome = move[1]
+        elif drawn[0] == "end" and checker.in_flight:
+            (request, number), node = sorted(checker.in_flight.items())[drawn[2] % len(checker.in_flight)]
+            del checker.in_flight[(request, number)]
+            outcome = drawn[1]
             if outcome not in NEVER_RAN:
-                referee.ran.setdefault(request, []).append(
-                    next(t for t, _, r, _ in referee.sent if r == request)
+                checker.ran.setdefault(request, []).append(
+                    next(t for t, _, r, _ in checker.sent if r == request)
                 )
-            served = outcome is Outcome.OK and request not in referee.over
+            served = outcome is Outcome.OK and request not in checker.ended
             if served:
-                referee.over.add(request)
+                checker.ended.add(request)
             step(AttemptEnded(request, number, node, outcome, 0.05, served))
-        elif move[0] == "gone":
-            waiting = [r for r in referee.asked if r not in referee.over]
+        elif drawn[0] == "gone":
+            waiting = [r for r in checker.requests if r not in checker.ended]
             if waiting:
-                name = waiting[move[1] % len(waiting)]
-                referee.over.add(name)
+                name = waiting[drawn[1] % len(waiting)]
+                checker.ended.add(name)
                 step(ClientDisconnected(name))
-        elif move[0] == "list":
-            _, number, state, restarted = move
+        elif drawn[0] == "list":
+            _, number, state, restarted = drawn
             name = f"n{number}"
-            (referee.open.add if state is NodeState.READY else referee.open.discard)(name)
-            since = rig.now if restarted else referee.cold.get(name)
+            (checker.open.add if state is NodeState.READY else checker.open.discard)(name)
+            since = rig.now if restarted else checker.started_at.get(name)
             if restarted and state is NodeState.READY:
-                referee.cold[name] = rig.now
+                checker.started_at[name] = rig.now
             step(
                 DiscoveryUpdate(
                     DiscoveryUpdateKind.DELTA, 2, [NodeEntry(name, state, number, "ab"[number % 2], since)]
                 )
             )
-        elif move[0] == "wait":
-            rig.wait(move[1])
+        elif drawn[0] == "wait":
+            rig.wait(drawn[1])
     rig.wait(4.0)
-    assert set(referee.asked) == referee.over, "a request without an answer"
+    assert set(checker.requests) == checker.ended, "a request without an answer"
 
 
-@given(st.lists(MOVE, max_size=60))
-def test_same_events_same_actions(moves):
+@given(st.lists(EVENTS, max_size=60))
+def test_same_events_same_actions(drawn_events):
     def play() -> list:
         rig, seen, sends = Rig(nodes=3), [], []
-        for move in moves:
-            if move[0] == "ask":
-                shard = None if move[2] < 0 else move[2]
-                actions = rig.step(rig.request(move[1], shard=shard, units=move[3]))
-            elif move[0] == "end" and sends:
-                actions = rig.step(rig.ended(sends.pop(move[2] % len(sends)), move[1]))
+        for drawn in drawn_events:
+            if drawn[0] == "ask":
+                shard = None if drawn[2] < 0 else drawn[2]
+                actions = rig.step(rig.request(drawn[1], shard=shard, units=drawn[3]))
+            elif drawn[0] == "end" and sends:
+                actions = rig.step(rig.ended(sends.pop(drawn[2] % len(sends)), drawn[1]))
             else:
                 actions = rig.wait(0.05)
             sends += of(actions, Send)
--- a/tests/storage_gateway/scheduler/test_sending.py
+++ b/tests/storage_gateway/scheduler/test_sending.py
@@ -18,8 +18,8 @@
     UploadProgress,
 )
 
-PROVEN = (Outcome.REJECTED, Outcome.NO_CONNECTION)
-UNPROVEN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR)
+NEVER_RAN = (Outcome.REJECTED, Outcome.NO_CONNECTION)
+MAY_HAVE_RUN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR)
 
 
 @pytest.mark.parametrize("cls", ["read", "log", "keyed"])
@@ -58,7 +58,7 @@
     assert rig.wait(10) == []
 
 
-@pytest.mark.parametrize("outcome", UNPROVEN)
+@pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_unsafe_is_failed_once_it_may_have_run(outcome):
     rig = Rig(nodes=2)
     send = of(rig.step(rig.request("log", shard=None)), Send)[0]
@@ -66,7 +66,7 @@
     assert of(actions, Fail) and not of(actions, Send) and not of(actions, Reject)
 
 
-@pytest.mark.parametrize("outcome", PROVEN)
+@pytest.mark.parametrize("outcome", NEVER_RAN)
 def test_unsafe_is_never_failed_while_proven_unrun(outcome):
     rig = Rig(nodes=2)
     send = of(rig.step(rig.request("log", shard=None)), Send)[0]
@@ -88,20 +88,20 @@
     one, two = rig.request("ordered", key="aa"), rig.request("ordered", key="aa")
     sends = of(rig.step(one, two), Send)
     assert [s.request for s in sends] == [one.request]
-    quiet = rig.step(rig.ended(sends[0], Outcome.TIMEOUT), after=0.05) + rig.wait(0.19)
-    assert not of(quiet, Send)
+    actions = rig.step(rig.ended(sends[0], Outcome.TIMEOUT), after=0.05) + rig.wait(0.19)
+    assert not of(actions, Send)
     assert [s.request for s in of(rig.wait(0.05), Send)] == [two.request]
 
 
 def test_further_attempts_stay_within_the_budget():
     rig = Rig(retry_budget_floor=2.0, retry_budget_ratio=0.0, retry_budget_window=5.0)
-    extras = 0
+    retries = 0
     for _ in range(8):
         actions = rig.step(rig.request(), after=0.1)
         sends = of(actions, Send)
         if sends:
-            extras += len(of(rig.step(rig.ended(sends[0], Outcome.ERROR)), Send))
-    assert extras == 2
+            retries += len(of(rig.step(rig.ended(sends[0], Outcome.ERROR)), Send))
+    assert retries == 2
 
 
 def test_an_attempt_sent_in_time_ends_at_its_latency_target():
--- a/tests/storage_gateway/scheduler/test_sending_rules.py
+++ b/tests/storage_gateway/scheduler/test_sending_rules.py
@@ -31,14 +31,14 @@
     key = "0a" if cls == "ordered" else "0b"
     for _ in range(count):
         rig.step(rig.request(cls, plan=plan, volume=plan, shard=shard, key=key))
-    return rig, rig.host.state.requests[f"r{rig.count}"], node
+    return rig, rig.host.state.requests[f"r{rig.request_count}"], node
 
 
 def sends(rig: Rig, request, node) -> bool:
     """Whether the request is sent; the actions must agree."""
-    let = rig.host.sender.send(request, node)
-    assert let == bool(of(rig.host.state.actions, Send))
-    return let
+    sent = rig.host.sender.send(request, node)
+    assert sent == bool(of(rig.host.state.actions, Send))
+    return sent
 
 
 @pytest.mark.parametrize("cls", ["read", "log", "keyed", "ordered"])
@@ -156,8 +156,8 @@
 @pytest.mark.parametrize("state", [NodeState.DRAINING, NodeState.REMOVED])
 def test_requests_queued_at_a_closed_node_are_answered_in_the_same_step(state):
     rig, request, _ = booked()
-    word = DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", state, 0, "a")])
-    assert [a.request for a in of(rig.step(word), Reject)] == [request.id]
+    update = DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", state, 0, "a")])
+    assert [a.request for a in of(rig.step(update), Reject)] == [request.id]
 
 
 def test_a_silent_node_gets_one_request_a_cycle_and_no_latency_samples():
@@ -178,5 +178,5 @@
         for send in of(rig.step(rig.request(units=1, shard=i % 4)), Send):
             rig.step(rig.ended(send))
         rig.wait(0.002)
-    wakes = [what for _, _, what in rig.host.state.timers if not hasattr(what, "deadline")]
-    assert len(wakes) <= 4
+    pending = [what for _, _, what in rig.host.state.timers if not hasattr(what, "deadline")]
+    assert len(pending) <= 4
--- a/tests/storage_gateway/scheduler/test_slow_start.py
+++ b/tests/storage_gateway/scheduler/test_slow_start.py
@@ -14,7 +14,7 @@
 )
 
 
-def cold_share(plan: str, age: float, since: float | None = 999.9) -> int:
+def sent_while_warming(plan: str, age: float, since: float | None = 999.9) -> int:
     """How many of 40 requests one of 112 hosts sends to a node `age` seconds after it was listed."""
     rig = Rig(nodes=0, now=1000.0, **(COLD | {"hosts": 112, "overload_multiple": 3.0}))
     rig.step(
@@ -33,9 +33,9 @@
 @pytest.mark.parametrize("since", [999.9, None])
 def test_a_warming_node_gets_a_sample_of_the_requests_within_reserves(since):
     """With 112 hosts the even share is below one unit per host, so the node idled (incident iaa0fd1)."""
-    assert 5 <= cold_share("gold", 0.0, since) <= 20
-    assert cold_share("gold", 0.0, since) < cold_share("gold", 5.0, since)
-    assert 0 < cold_share("silver", 0.0, since) < cold_share("gold", 0.0, since)
+    assert 5 <= sent_while_warming("gold", 0.0, since) <= 20
+    assert sent_while_warming("gold", 0.0, since) < sent_while_warming("gold", 5.0, since)
+    assert 0 < sent_while_warming("silver", 0.0, since) < sent_while_warming("gold", 0.0, since)
 
 
 @pytest.mark.parametrize(
@@ -113,11 +113,11 @@
     """A client's retries must not raise its chance, or they would fill a warming node."""
     rig = Rig(now=1000.0, **COLD)
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, started_at=999.9)]))
-    fates = []
+    outcomes = []
     for key in ("a", "b", "c", "d"):
-        tries = [of(rig.step(rig.request("log", key=key, units=1), after=0.05), Send) for _ in range(4)]
-        fates.append({bool(sends) for sends in tries})
-    assert all(len(fate) == 1 for fate in fates) and {False} in fates
+        attempts = [of(rig.step(rig.request("log", key=key, units=1), after=0.05), Send) for _ in range(4)]
+        outcomes.append({bool(sends) for sends in attempts})
+    assert all(len(outcome) == 1 for outcome in outcomes) and {False} in outcomes
 
 
 @pytest.mark.parametrize(("outcome", "count"), [(Outcome.NO_CONNECTION, 1), (Outcome.RESET, 3)])
--- a/tests/support/scheduler_replay.py
+++ b/tests/support/scheduler_replay.py
@@ -104,8 +104,8 @@
         self.in_flight: dict[tuple[str, int], tuple[str, float]] = {}  # node, and end time
         self.starts: dict[str, float | None] = {}
         # Event sources with their weights out of 1000; otherwise requests arrive.
-        self.happenings: list[tuple[int, Callable[[], list[Event | BeginCheck]]]] = [
-            (40, self.attempt_goes_on),
+        self.event_sources: list[tuple[int, Callable[[], list[Event | BeginCheck]]]] = [
+            (40, self.attempt_progress),
             (10, self.begin_check),
             (10, self.discovery_update),
             (5, self.operator_override),
@@ -123,11 +123,11 @@
         for _ in range(steps):
             run.append((self.now, events))
             for action in step(self.scheduler, self.now, events)[0]:
-                self.note(action)
+                self.record_action(action)
             events = self.next_events()
         return self.settings, run
 
-    def note(self, action: Action) -> None:
+    def record_action(self, action: Action) -> None:
         """Record an action of the scheduler, so that later events follow from it."""
         if isinstance(action, SetTimer):
             due = self.timer is None or self.timer <= self.now
@@ -151,9 +151,9 @@
             return [TimerFired(0)]
         events = self.ended_attempts()
         chosen = self.draw.randrange(1000)
-        for weight, happening in self.happenings:
+        for weight, event_source in self.event_sources:
             if chosen < weight:
-                return events + happening()
+                return events + event_source()
             chosen -= weight
         return events + [self.request() for _ in range(self.draw.choice((1, 1, 1, 1, 8)))]
 
@@ -171,7 +171,7 @@
                 )
         return events
 
-    def attempt_goes_on(self) -> list[Event | BeginCheck]:
+    def attempt_progress(self) -> list[Event | BeginCheck]:
         """A stream starts, a large body is forwarded, or the client disconnects."""
         if not self.in_flight:
             return [self.request()]
--- a/tests/support/scheduler_rig.py
+++ b/tests/support/scheduler_rig.py
@@ -87,10 +87,10 @@
         self.now = now
         self.settings = make_settings(**changes)
         self.host = Scheduler(self.settings, now)
-        self.count = 0
+        self.request_count = 0
         self.timer: float | None = None
         entries = [NodeEntry(f"n{i}", shard=i, zone="ab"[i % 2]) for i in range(nodes)]
-        self.first = self.step(DiscoveryUpdate(DiscoveryUpdateKind.CACHED, 1, entries))
+        self.initial_actions = self.step(DiscoveryUpdate(DiscoveryUpdateKind.CACHED, 1, entries))
 
     def step(self, *events: Event, after: float = 0.0) -> list[Action]:
         """Advance the clock, pass the events, and return the actions other than timers."""
@@ -105,25 +105,25 @@
 
     def wait(self, seconds: float) -> list[Action]:
         """Advance the clock, firing the timers that become due."""
-        end, seen = self.now + seconds, []
+        end, actions = self.now + seconds, []
         while self.timer is not None and self.timer <= end:
             self.now, self.timer = max(self.now, self.timer), None
-            seen += self.step(TimerFired(0))
+            actions += self.step(TimerFired(0))
         self.now = end
-        return seen
+        return actions
 
     def request(self, request_class: str = "read", **fields) -> RequestArrived:
         """A request with a new id."""
-        self.count += 1
+        self.request_count += 1
         values = {
-            "request": f"r{self.count}",
+            "request": f"r{self.request_count}",
             "request_class": request_class,
             "shard": 0,
             "units": 2,
             "volume": "v",
             "plan": "gold",
             "volume_hosts": 1,
-            "key": f"{self.count:016x}",
+            "key": f"{self.request_count:016x}",
             "expires_in": self.settings.classes[request_class].deadline,
         }
         return RequestArrived(**(values | fields))
--- a/tests/support/slow_start_fleet.py
+++ b/tests/support/slow_start_fleet.py
@@ -43,56 +43,60 @@
 
 
 @dataclass
-class Cold:
+class WarmingNode:
     """A node that has started, with the load on it as the platform counts it."""
 
     settings: Settings
-    since: float
-    came: deque[tuple[float, int, bool]] = field(default_factory=deque)
+    started_at: float
+    arrivals: deque[tuple[float, int, bool]] = field(default_factory=deque)
     units: int = 0
-    told: int = 0  # those units from hosts that knew of its start
-    worst: float = 0.0  # highest load in any window, as a fraction of its budget with the slack
-    total: int = 0
-    last: float = 0.0  # time of its last arrival
-    down: bool = False
-    fell: bool = False  # collapsed with over two thirds of the load from hosts that knew of its start
+    informed_units: int = 0  # those units from hosts that knew of its start
+    worst_load: float = 0.0  # highest load in any window, as a fraction of its budget with the slack
+    total_units: int = 0
+    last_arrival_at: float = 0.0  # time of its last arrival
+    overloaded: bool = False
+    collapsed: bool = False  # collapsed with over two thirds of the load from hosts that knew of its start
 
-    def bears(self, now: float) -> float:
+    def budget(self, now: float) -> float:
         """Requests of mean size that the settings allow in the window that ends now."""
         s = self.settings
-        age = max(0.0, now - self.since - s.overload_window / 2)
+        age = max(0.0, now - self.started_at - s.overload_window / 2)
         ramp = min(
             1.0, s.slow_start_capacity + (1.0 - s.slow_start_capacity) * age / max(s.slow_start_time, 1e-9)
         )
         return s.slow_start_units * ramp / s.slow_start_capacity / s.typical_units
 
-    def used(self) -> float:
+    def utilization(self) -> float:
         """Units received while warming up, as a fraction of the capacity over the simulated time."""
         s = self.settings
         full = s.slow_start_units / (s.overload_multiple * s.slow_start_capacity * s.overload_window)
-        lasts = min(self.last - self.since, s.slow_start_time)
+        lasts = min(self.last_arrival_at - self.started_at, s.slow_start_time)
         return (
-            self.total
+            self.total_units
             / full
             / lasts
             / (s.slow_start_capacity + (1 - s.slow_start_capacity) * lasts / s.slow_start_time / 2)
         )
 
-    def come(self, now: float, units: int, told: bool) -> None:
+    def add_arrival(self, now: float, units: int, informed: bool) -> None:
         """Count units that arrive, whatever the outcome of their request."""
-        if self.down or now >= self.since + self.settings.slow_start_time:
+        if self.overloaded or now >= self.started_at + self.settings.slow_start_time:
             return
-        self.came.append((now, units, told))
-        self.units, self.told, self.total = self.units + units, self.told + units * told, self.total + units
-        self.last = now
-        while self.came[0][0] <= now - self.settings.overload_window:
-            _, gone, was_told = self.came.popleft()
-            self.units, self.told = self.units - gone, self.told - gone * was_told
-        n = self.bears(now)
-        part = self.units / self.settings.typical_units / (n + 2 * n**0.5 + 2)
-        self.down = part > 1
-        if 3 * self.told > 2 * self.units:
-            self.worst, self.fell = max(self.worst, part), self.down
+        self.arrivals.append((now, units, informed))
+        self.units, self.informed_units, self.total_units = (
+            self.units + units,
+            self.informed_units + units * informed,
+            self.total_units + units,
+        )
+        self.last_arrival_at = now
+        while self.arrivals[0][0] <= now - self.settings.overload_window:
+            _, gone, was_informed = self.arrivals.popleft()
+            self.units, self.informed_units = self.units - gone, self.informed_units - gone * was_informed
+        budget = self.budget(now)
+        load = self.units / self.settings.typical_units / (budget + 2 * budget**0.5 + 2)
+        self.overloaded = load > 1
+        if 3 * self.informed_units > 2 * self.units:
+            self.worst_load, self.collapsed = max(self.worst_load, load), self.overloaded
 
 
 class Fleet:
@@ -101,9 +105,9 @@
     Keyword arguments replace drawn values: settings, or other names in `drawn`.
     """
 
-    def __init__(self, seed: int, module: Callable = Scheduler, **given) -> None:
+    def __init__(self, seed: int, scheduler_class: Callable = Scheduler, **overrides) -> None:
         draw = self.draw = random.Random(seed)
-        self.module, self.now, self.seq = module, 1000.0, 0
+        self.scheduler_class, self.now, self.sequence = scheduler_class, 1000.0, 0
         drawn = {
             "slow_start_units": draw.choice((4.0, 14.0, 24.0, 76.0, 76.0, 200.0)),
             "slow_start_capacity": draw.uniform(0.1, 0.5),
@@ -118,21 +122,21 @@
                 (0.3, 1.0, 2.0, 4.0, 8.0)
             ),  # in multiples of a node's capacity by the settings
             "reserved": draw.choice((0.0, 0.3, 0.8)),  # of a node's capacity: within reserves
-            "faulty": draw.choice((0.0, 0.0, 0.1, 0.4)),  # fraction of attempts that fail
-            "late": draw.choice((0.0, 0.0, 0.3)),  # fraction of connections that are established 1.5 s late
-            "burst": draw.choice(
+            "fault_rate": draw.choice((0.0, 0.0, 0.1, 0.4)),  # fraction of attempts that fail
+            "late_connection_rate": draw.choice((0.0, 0.0, 0.3)),  # established 1.5 s late
+            "burst_factor": draw.choice(
                 (1.0, 1.0, 1.5, 2.5)
-            ),  # factor on the traffic for 3 s, from the start or 2 s later
-            "spread": draw.random() < 0.5,  # volumes use all hosts; some hosts get several times the mean
-            "told_late": draw.random() < 0.5,
-            "restarts": draw.random() < 0.3,
-            "again": draw.random() < 0.2,
-            "hot": draw.random() < 0.3,  # half of the requests use one volume, through its few hosts
-            "keys": draw.choice((60, 10**9, 10**9)),
-            "only": None,
-            "lasts": 12.0,
-            "known": draw.choice((0.2, 3.0)),
-        } | given  # `known`: seconds of traffic before the first start
+            ),  # on the traffic for 3 s, from the start or 2 s later
+            "any_host": draw.random() < 0.5,  # volumes use all hosts; some hosts get several times the mean
+            "late_updates": draw.random() < 0.5,
+            "host_restarts": draw.random() < 0.3,
+            "second_start": draw.random() < 0.2,
+            "hot_volume": draw.random() < 0.3,  # half of the requests use one volume, through its few hosts
+            "key_count": draw.choice((60, 10**9, 10**9)),
+            "only_host": None,
+            "duration_s": 12.0,
+            "lead_time_s": draw.choice((0.2, 3.0)),
+        } | overrides  # `lead_time_s`: seconds of traffic before the first start
         settings = {name: drawn.pop(name) for name in list(drawn) if hasattr(Settings, name)}
         self.__dict__ |= drawn
         top, hosts = settings["max_units"], settings["hosts"]
@@ -178,18 +182,18 @@
         self.rate = full * self.demand * count / usual
         self.node_names = [f"n{n}" for n in range(count)]
         self.starts: dict[str, float] = {}
-        self.colds: dict[str, Cold] = {}
-        self.all_colds: list[Cold] = []
+        self.warming_nodes: dict[str, WarmingNode] = {}
+        self.all_warming_nodes: list[WarmingNode] = []
         self.events: list[tuple[float, int, Callable]] = []
         self.instances = [self._host(n) for n in range(hosts)]
-        self.lives = [0] * hosts
-        self.tries: dict[tuple[int, str], int] = {}
+        self.incarnations = [0] * hosts
+        self.attempt_numbers: dict[tuple[int, str], int] = {}
         self.units: dict[str, int] = {}
-        self.told: list[dict[str, float]] = [{} for _ in range(hosts)]
+        self.informed_of: list[dict[str, float]] = [{} for _ in range(hosts)]
         self.weights = [draw.choice((0.3, 1.0, 1.0, 4.0)) for _ in range(hosts)]
 
     def _host(self, number: int) -> Scheduler:
-        host = self.module(self.settings, self.now)
+        host = self.scheduler_class(self.settings, self.now)
         host.step(
             self.now,
             [
@@ -205,18 +209,18 @@
         )
         return host
 
-    def at(self, when: float, what: Callable) -> None:
+    def schedule(self, when: float, callback: Callable) -> None:
         """Schedule a callback."""
-        self.seq += 1
-        heappush(self.events, (when, self.seq, what))
+        self.sequence += 1
+        heappush(self.events, (when, self.sequence, callback))
 
     def step(self, number: int, event: Event) -> None:
         """Pass one event to one host, and carry out its actions."""
         for action in self.instances[number].step(self.now, [event]):
             if isinstance(action, SetTimer):
-                self.at(
+                self.schedule(
                     action.at,
-                    lambda life=self.lives[number]: life == self.lives[number]
+                    lambda incarnation=self.incarnations[number]: incarnation == self.incarnations[number]
                     and self.step(number, TimerFired(0)),
                 )
             elif isinstance(action, Send):
@@ -224,48 +228,52 @@
 
     def sent(self, number: int, send: Send) -> None:
         """Begin an attempt now, or after 1.5 s if its connection is late; its outcome follows."""
-        draw, life = self.draw, self.lives[number]
-        attempt = self.tries[number, send.request] = self.tries.get((number, send.request), -1) + 1
-        delay = 1.5 if draw.random() < self.late else 0.0
-        outcome = draw.choice(FAULTS) if draw.random() < self.faulty else Outcome.OK
-        units, begun = self.units[send.request], self.now
+        draw, incarnation = self.draw, self.incarnations[number]
+        attempt = self.attempt_numbers[number, send.request] = (
+            self.attempt_numbers.get((number, send.request), -1) + 1
+        )
+        delay = 1.5 if draw.random() < self.late_connection_rate else 0.0
+        outcome = draw.choice(FAULTS) if draw.random() < self.fault_rate else Outcome.OK
+        units, sent_at = self.units[send.request], self.now
 
         def ended() -> None:
-            if life == self.lives[number]:
+            if incarnation == self.incarnations[number]:
                 self.step(
                     number,
                     AttemptEnded(
-                        send.request, attempt, send.node, outcome, self.now - begun, outcome is Outcome.OK
+                        send.request, attempt, send.node, outcome, self.now - sent_at, outcome is Outcome.OK
                     ),
                 )
 
-        def comes() -> None:
+        def connect() -> None:
             nonlocal outcome
-            if life != self.lives[number]:
+            if incarnation != self.incarnations[number]:
                 return
             if not self.instances[number].may_begin(self.now, send.request, attempt):
                 outcome = Outcome.NOT_SENT
-            elif outcome is not Outcome.NO_CONNECTION and (cold := self.colds.get(send.node)):
-                cold.come(self.now, units, self.told[number].get(send.node) == cold.since)
-            self.at(self.now + draw.uniform(0.02, 0.3), ended)
+            elif outcome is not Outcome.NO_CONNECTION and (cold := self.warming_nodes.get(send.node)):
+                cold.add_arrival(self.now, units, self.informed_of[number].get(send.node) == cold.started_at)
+            self.schedule(self.now + draw.uniform(0.02, 0.3), ended)
 
         if delay:
-            self.at(self.now + delay, comes)
+            self.schedule(self.now + delay, connect)
         else:
-            comes()
+            connect()
 
     def arrive(self) -> None:
         """Send a client's request to a host of its volume, and schedule the next one."""
         draw, hosts = self.draw, self.settings.hosts
-        hot = self.hot and draw.random() < 0.5
-        name, through, shards, plan, _ = self.volumes[0] if hot else draw.choices(self.volumes, self.heats)[0]
+        hot = self.hot_volume and draw.random() < 0.5
+        name, through, shards, plan, _ = (
+            self.volumes[0] if hot else draw.choices(self.volumes, self.volume_weights)[0]
+        )
         # A volume's first host gets most of its requests; the others share the rest.
         number, of = through[0] if draw.random() < 0.6 else draw.choice(through), len(set(through))
-        if self.spread:
+        if self.any_host:
             number, of = draw.choices(range(hosts), self.weights)[0], hosts
-        number = number if self.only is None else self.only
-        self.seq += 1
-        request = f"r{self.seq}"
+        number = number if self.only_host is None else self.only_host
+        self.sequence += 1
+        request = f"r{self.sequence}"
         self.units[request] = draw.choice(self.sizes)
         self.step(
             number,
@@ -278,25 +286,25 @@
                 name,
                 plan,
                 of,
-                f"{draw.randrange(self.keys):016x}",
+                f"{draw.randrange(self.key_count):016x}",
             ),
         )
-        surge = self.burst if self.burst_at <= self.now < self.burst_at + 3.0 else 1.0
-        self.at(self.now + draw.expovariate(self.rate * surge), self.arrive)
+        surge = self.burst_factor if self.burst_at <= self.now < self.burst_at + 3.0 else 1.0
+        self.schedule(self.now + draw.expovariate(self.rate * surge), self.arrive)
 
     def start(self, name: str) -> None:
         """Start a node; each host learns of it at once, or up to 5 s late."""
         since = self.starts[name] = self.now
-        self.colds[name] = cold = Cold(self.settings, since)
-        self.all_colds.append(cold)
+        self.warming_nodes[name] = cold = WarmingNode(self.settings, since)
+        self.all_warming_nodes.append(cold)
         for number in range(self.settings.hosts):
-            late = self.draw.choice((0.0, 0.0, 0.0, 1.0, 5.0)) if self.told_late else 0.0
-            self.at(self.now + late, lambda number=number: self.tell(number, name, since))
+            late = self.draw.choice((0.0, 0.0, 0.0, 1.0, 5.0)) if self.late_updates else 0.0
+            self.schedule(self.now + late, lambda number=number: self.inform(number, name, since))
 
-    def tell(self, number: int, name: str, since: float) -> None:
+    def inform(self, number: int, name: str, since: float) -> None:
         """Inform a host of a start, unless the node has started again."""
-        if self.starts[name] == since and self.told[number].get(name) != since:
-            self.told[number][name] = since
+        if self.starts[name] == since and self.informed_of[number].get(name) != since:
+            self.informed_of[number][name] = since
             self.step(
                 number,
                 DiscoveryUpdate(
@@ -308,42 +316,46 @@
 
     def restart(self, number: int) -> None:
         """Restart a host without its state; its new list has the start times of all nodes."""
-        self.lives[number] += 1
-        self.told[number] = dict(self.starts)
+        self.incarnations[number] += 1
+        self.informed_of[number] = dict(self.starts)
         self.instances[number] = self._host(number)
 
-    def play(self) -> list[Cold]:
+    def run(self) -> list[WarmingNode]:
         """Run the simulation; returns the nodes that started."""
-        draw, begin = self.draw, self.now + self.known
-        self.heats = [volume[4] for volume in self.volumes]
+        draw, begin = self.draw, self.now + self.lead_time_s
+        self.volume_weights = [volume[4] for volume in self.volumes]
         self.burst_at = begin + draw.choice((0.0, 2.0))
-        self.at(self.now, self.arrive)
+        self.schedule(self.now, self.arrive)
         for name in draw.sample(self.node_names, draw.randint(1, len(self.node_names))):
-            self.at(begin + draw.choice((0.0, 0.0, 1.0)), lambda name=name: self.start(name))
-        if self.again:
-            self.at(begin + self.settings.overload_window / 2, lambda: self.start(self.node_names[0]))
-        for number in range(self.settings.hosts if self.restarts else 0):
+            self.schedule(begin + draw.choice((0.0, 0.0, 1.0)), lambda name=name: self.start(name))
+        if self.second_start:
+            self.schedule(begin + self.settings.overload_window / 2, lambda: self.start(self.node_names[0]))
+        for number in range(self.settings.hosts if self.host_restarts else 0):
             if draw.random() < 0.7:
-                self.at(begin + draw.uniform(0.3, 4.0), lambda number=number: self.restart(number))
-        while self.events[0][0] < begin + self.lasts:
-            self.now, _, what = heappop(self.events)
-            what()
-        return self.all_colds
+                self.schedule(begin + draw.uniform(0.3, 4.0), lambda number=number: self.restart(number))
+        while self.events[0][0] < begin + self.duration_s:
+            self.now, _, callback = heappop(self.events)
+            callback()
+        return self.all_warming_nodes
 
 
 def main(seconds: float, seed: int = 0) -> None:
     """See the module's docstring."""
-    until, draws, bad, colds, worst, used = time.monotonic() + seconds, 0, [], 0, [], []
+    until, draws, bad, warming_count, worst, used = time.monotonic() + seconds, 0, [], 0, [], []
     while time.monotonic() < until:
         fleet = Fleet(seed + draws)
-        nodes = fleet.play()
-        colds += len(nodes)
-        worst.append((max((cold.worst for cold in nodes), default=0.0), seed + draws))
-        used += [cold.used() for cold in nodes if fleet.demand >= 1 and cold.last - cold.since > 2.0]
-        if any(cold.fell for cold in nodes):
+        nodes = fleet.run()
+        warming_count += len(nodes)
+        worst.append((max((cold.worst_load for cold in nodes), default=0.0), seed + draws))
+        used += [
+            cold.utilization()
+            for cold in nodes
+            if fleet.demand >= 1 and cold.last_arrival_at - cold.started_at > 2.0
+        ]
+        if any(cold.collapsed for cold in nodes):
             bad.append(seed + draws)
         draws += 1
-    print(f"{draws} draws, {colds} cold nodes; falls in {len(bad)} draws: {bad[:40]}")
+    print(f"{draws} draws, {warming_count} cold nodes; falls in {len(bad)} draws: {bad[:40]}")
     used.sort()
     print(
         "units, of those that a node could have done while cold:",
