--- a/mallowbeam/router/admission/planner.py
+++ b/mallowbeam/router/admission/planner.py
@@ -266,7 +266,7 @@
         self, request: PlanRequest, instance: TrackedInstance, units: int, now: float
     ) -> Placement | None:
         """The placement of the units in the instance's cycles; an idle instance starts them at once."""
-        instance.cycles.measure(instance.timer.slot_s(request.target_latency_s, now))
+        instance.cycles.set_slot_time(instance.timer.slot_s(request.target_latency_s, now))
         return instance.cycles.place_now(units, now) if instance.idle else instance.cycles.place(units, now)
 
     def _believed(self, instance: TrackedInstance, now: float) -> bool:
--- a/mallowbeam/scheduling/cycles.py
+++ b/mallowbeam/scheduling/cycles.py
@@ -66,7 +66,7 @@
         """The number of slots (m) of a cycle that would begin now."""
         return slots_per_cycle(self._length(), self.slot_s)
 
-    def measure(self, slot_s: float) -> None:
+    def set_slot_time(self, slot_s: float) -> None:
         """Set the slot time in seconds; it also applies to cycles that already hold bookings."""
         self.slot_s = slot_s
 
--- a/mallowbeam/storage_gateway/scheduler/gateway_host.py
+++ b/mallowbeam/storage_gateway/scheduler/gateway_host.py
@@ -116,7 +116,7 @@
             for node in self._scheduler.state.nodes.values()
         )
 
-    def pick(self, now: float, request: str, **fields: Any) -> Orders:
+    def request_arrived(self, now: float, request: str, **fields: Any) -> Orders:
         """Hand over a new request; the fields are those of `interface.RequestArrived`."""
         self._attempts[request] = 0
         return self._step(now, RequestArrived(request, **fields))
--- a/mallowbeam/storage_gateway/scheduler/node_health.py
+++ b/mallowbeam/storage_gateway/scheduler/node_health.py
@@ -15,11 +15,11 @@
 from mallowbeam.storage_gateway.scheduler.slow_start import SlowStart
 from mallowbeam.storage_gateway.scheduler.state import DISCOVERY, SchedulerState
 
-WATCH_RETRY = 1.0  # maximum seconds to the retry of a failed call to discovery in a small fleet
-MAX_WATCH_RETRY = 2.2  # the same in a fleet of any size (`server/discovery.py`)
+WATCH_RETRY_S = 1.0  # maximum seconds to the retry of a failed call to discovery in a small fleet
+MAX_WATCH_RETRY_S = 2.2  # the same in a fleet of any size (`server/discovery.py`)
 FLEET_CALLS_PER_S = 5.0  # retries per second by all hosts together
 LATER_JITTER = 0.2  # jitter as a fraction of the wait, after the first failure
-AGENT_RETRY = 0.05  # seconds to the retry at the host's local agent, which pushes the lists
+AGENT_RETRY_S = 0.05  # seconds to the retry at the host's local agent, which pushes the lists
 LIST_DELAY_S = 3.0  # seconds by which lists may lag: so long an unreachable node counts as warming up
 MAX_CONNECTION_FAULTS = 6  # weighted, without an answer between, after which a node is suspect
 CONNECTION_FAULT_WEIGHTS = {Outcome.NO_CONNECTION: 3, Outcome.RESET: 1}
@@ -117,13 +117,13 @@
         state = self._state
         self.watch_failures += 1
         is_first = self.watch_failures == 1
-        longest = min(max(WATCH_RETRY, state.settings.hosts / FLEET_CALLS_PER_S), MAX_WATCH_RETRY)
+        longest = min(max(WATCH_RETRY_S, state.settings.hosts / FLEET_CALLS_PER_S), MAX_WATCH_RETRY_S)
         wait = longest * (1.0 - state.random.random() * (1.0 if is_first else LATER_JITTER))
         wait = min(wait, state.settings.max_list_age or wait)
         if kind is DiscoveryUpdateKind.TIMED_OUT and is_first:
             wait = 0.0
         if not state.settings.discovery_on_request:
-            wait = AGENT_RETRY
+            wait = AGENT_RETRY_S
         state.schedule(state.now + wait, DISCOVERY)
 
     def _apply_entry(self, entry: NodeEntry, kind: DiscoveryUpdateKind) -> None:
--- a/mallowbeam/storage_gateway/scheduler/settings.py
+++ b/mallowbeam/storage_gateway/scheduler/settings.py
@@ -23,12 +23,12 @@
 SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.SHARD}
 
 
-def opt(text: str, convert: Callable[[str], T]) -> T | None:
+def parse_optional(text: str, convert: Callable[[str], T]) -> T | None:
     """A converted value, or None where it is marked absent; raises the errors of `convert`."""
     return None if text == ABSENT else convert(text)
 
 
-def flag(text: str) -> bool:
+def parse_flag(text: str) -> bool:
     """A bool from a message field (1, 0) or a setting (true, false); `ValueError` for anything else."""
     if text in ("1", "true"):
         return True
@@ -98,7 +98,7 @@
 
     def flag(self, path: str) -> bool:
         """A bool; False where there is none."""
-        return self.optional(path, flag) or False
+        return self.optional(path, parse_flag) or False
 
     def items(self, path: str) -> Iterator[str]:
         """The paths of a list's items, each with a dot at its end."""
@@ -132,7 +132,7 @@
 
 def _read_classes(reader: SettingsReader) -> list[RequestClass]:
     write_flags = reader.text("FamilyInfo.ClassWrites")
-    writes = dict(enumerate(map(flag, write_flags.split(",") if write_flags else [])))
+    writes = dict(enumerate(map(parse_flag, write_flags.split(",") if write_flags else [])))
     return [
         RequestClass(
             name=reader.text(path + "Name"),
--- a/mallowbeam/storage_gateway/scheduler/simulator_host.py
+++ b/mallowbeam/storage_gateway/scheduler/simulator_host.py
@@ -41,7 +41,12 @@
     TimerFired,
     WatchNodes,
 )
-from mallowbeam.storage_gateway.scheduler.settings import flag, opt, read_pairs, read_settings
+from mallowbeam.storage_gateway.scheduler.settings import (
+    parse_flag,
+    parse_optional,
+    read_pairs,
+    read_settings,
+)
 
 OUTCOMES = {
     "S": Outcome.OK,
@@ -82,62 +87,62 @@
         raise ValueError("expected a NODE line")
     return NodeEntry(
         state=NODE_STATES[fields[1]],
-        shard=opt(fields[2], int) or 0,
-        zone=opt(fields[3], str) or "",
-        started_at=opt(fields[4], float) or None,
-        machine=opt(fields[5], str) or "",
-        weight=opt(fields[6], float) or 0.0,
+        shard=parse_optional(fields[2], int) or 0,
+        zone=parse_optional(fields[3], str) or "",
+        started_at=parse_optional(fields[4], float) or None,
+        machine=parse_optional(fields[5], str) or "",
+        weight=parse_optional(fields[6], float) or 0.0,
         node=fields[7],
     )
 
 
 def read_request(fields: list[str]) -> RequestArrived:
     """A `NEW_REQUEST` line; a negative shard means none."""
-    shard = opt(fields[3], int)
-    flags = opt(fields[4], int) or 0
+    shard = parse_optional(fields[3], int)
+    flags = parse_optional(fields[4], int) or 0
     return RequestArrived(
         request=fields[2],
         shard=None if shard is None or shard < 0 else shard,
         is_retry=bool(flags & FLAG_RETRY),
         is_write=bool(flags & FLAG_WRITE),
         request_class=fields[5],
-        volume_hosts=opt(fields[6], int),
-        units=opt(fields[7], int) or 1,
-        volume=opt(fields[8], str) or "",
+        volume_hosts=parse_optional(fields[6], int),
+        units=parse_optional(fields[7], int) or 1,
+        volume=parse_optional(fields[8], str) or "",
         expires_in=float(fields[9]),
-        key=opt(fields[10], str),
-        plan=opt(fields[11], str) or "",
+        key=parse_optional(fields[10], str),
+        plan=parse_optional(fields[11], str) or "",
     )
 
 
 def read_attempt_ended(fields: list[str]) -> AttemptEnded:
     """A `SETTLED` line; the use of the plan's rate is given as percent plus 1, or 0 if not reported."""
-    usage = opt(fields[8], int) or 0
+    usage = parse_optional(fields[8], int) or 0
     return AttemptEnded(
         request=fields[2],
         attempt=int(fields[3]),
         node=fields[4],
         outcome=OUTCOMES[fields[5]],
-        latency=opt(fields[6], float) or 0.0,
-        finished=flag(fields[7]),
+        latency=parse_optional(fields[6], float) or 0.0,
+        finished=parse_flag(fields[7]),
         usage_ratio=(usage - 1) / PERCENT if usage > 0 else None,
-        remote_units=opt(fields[9], int) or 0,
+        remote_units=parse_optional(fields[9], int) or 0,
     )
 
 
 def read_stream_started(fields: list[str]) -> StreamStarted:
     """A `HEADERS` line."""
-    return StreamStarted(fields[2], int(fields[5]), fields[3], opt(fields[4], float) or 0.0)
+    return StreamStarted(fields[2], int(fields[5]), fields[3], parse_optional(fields[4], float) or 0.0)
 
 
 def read_health_check(fields: list[str]) -> HealthCheckEnded:
     """A `PING_RESULT` line."""
-    return HealthCheckEnded(fields[2], opt(fields[3], float) or 0.0, OUTCOMES[fields[4]])
+    return HealthCheckEnded(fields[2], parse_optional(fields[3], float) or 0.0, OUTCOMES[fields[4]])
 
 
 def read_peer_message(fields: list[str]) -> PeerMessage:
     """An `INBOX` line."""
-    return PeerMessage(int(fields[2]), bytes.fromhex(opt(fields[3], str) or ""))
+    return PeerMessage(int(fields[2]), bytes.fromhex(parse_optional(fields[3], str) or ""))
 
 
 READERS: dict[str, Callable[[list[str]], Event]] = {
@@ -271,8 +276,8 @@
     def _read_update(self, fields: list[str]) -> DiscoveryUpdate:
         """A `PEERS_KNOWN` line and the `NODE` lines that follow it."""
         kind = UPDATE_KINDS[fields[2]]
-        version = opt(fields[3], int) or 0
-        count = opt(fields[4], int) or 0
+        version = parse_optional(fields[3], int) or 0
+        count = parse_optional(fields[4], int) or 0
         return DiscoveryUpdate(kind, version, [read_entry(self._next_line()) for _ in range(count)])
 
     def _next_line(self) -> list[str]:
--- a/mallowbeam/storage_gateway/server/config.py
+++ b/mallowbeam/storage_gateway/server/config.py
@@ -12,7 +12,7 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.storage_gateway.scheduler.interface import Settings
-from mallowbeam.storage_gateway.scheduler.settings import flatten, opt, read_settings
+from mallowbeam.storage_gateway.scheduler.settings import flatten, parse_optional, read_settings
 from mallowbeam.storage_gateway.server.listing import MAX_PORT, Listing, read_listing
 
 # Descriptors that are never given to clients or nodes.  Guards against a crash over the limit on sockets, and
@@ -105,7 +105,7 @@
     flat = flatten(raw["settings"])
 
     def seconds(path: str) -> float | None:
-        value: float | None = opt(flat.get(path, "-"), float)
+        value: float | None = parse_optional(flat.get(path, "-"), float)
         return value
 
     settings = replace(read_settings(int(str(raw.get("seed", "0")), 16), flat), limit_at_arrival=True)
--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -29,7 +29,7 @@
 
 # What discovery has, and could be asked for, counts as told 6 s later, whatever call failed.  In the worst
 # phase it is back just after a call began that still runs into its time-out; then comes the module's longest
-# draw (MAX_WATCH_RETRY in `scheduler/node_health.py`), then the next call, which is answered or turned away
+# draw (MAX_WATCH_RETRY_S in `scheduler/node_health.py`), then the next call, which is answered or turned away
 # after a second in discovery's queue: ANSWER + 2.2 + 1.0 = 5.4 s.  Where the first was an open watch that
 # fell silent, the module asks at once: WAITS[1] + OVERDUE + 1.0 = 5.4 s.  At an agent:
 # AGENT_RETRY + AGENT_OVERDUE + 0.05 s.
--- a/mallowbeam/storage_gateway/server/gateway.py
+++ b/mallowbeam/storage_gateway/server/gateway.py
@@ -269,7 +269,7 @@
             if self.observers:
                 for observe in self.observers:
                     observe(call.fields)
-            self.apply(self.scheduler.pick(self.now(), call.id, **call.fields))
+            self.apply(self.scheduler.request_arrived(self.now(), call.id, **call.fields))
             return await exchange.answer
         except asyncio.CancelledError:
             began = exchange.answer.done() and not exchange.answer.cancelled()
--- a/tests/scheduling/test_scheduling_cycles.py
+++ b/tests/scheduling/test_scheduling_cycles.py
@@ -11,7 +11,7 @@
 def book_of(cycle_s: float = 1.0, slot_s: float = 0.25) -> CycleBook:
     """A `CycleBook` whose cycles have four slots by default."""
     book = CycleBook(cycle_s)
-    book.measure(slot_s)
+    book.set_slot_time(slot_s)
     return book
 
 
@@ -126,14 +126,14 @@
     def test_slower_slots_leave_less_room_in_cycles_already_booked(self) -> None:
         book = book_of()
         take(book, 1, 2, 0.0)
-        book.measure(0.5)
+        book.set_slot_time(0.5)
         self.assertEqual(book.slots, 2)
         self.assertEqual(take(book, 2, 1, 0.0), ((1, 1),))
 
     def test_faster_slots_give_more(self) -> None:
         book = book_of()
         take(book, 1, 4, 0.0)
-        book.measure(0.125)
+        book.set_slot_time(0.125)
         self.assertEqual(take(book, 2, 4, 0.0), ((0, 4),))
 
     def test_a_fast_node_gets_shorter_cycles(self) -> None:
--- a/tests/storage_gateway/frontends/test_platform.py
+++ b/tests/storage_gateway/frontends/test_platform.py
@@ -214,14 +214,14 @@
 
     async def run() -> None:
         async with World() as world:
-            pick, seen = world.gateway.scheduler.pick, []
+            pick, seen = world.gateway.scheduler.request_arrived, []
 
             def picked(now, request, **fields):
                 orders = pick(now, request, **fields)
                 seen.append((world.gateway.has_id(request), world.gateway.scheduler.knows(request)))
                 return orders
 
-            world.gateway.scheduler.pick = picked
+            world.gateway.scheduler.request_arrived = picked
             await world.play("c1 send read shard=7\nc1 expect 503")
             assert seen == [(True, False)] and not world.gateway.has_id("0000000400000001")
 
@@ -347,13 +347,13 @@
 
     async def run() -> None:
         async with World() as world:
-            pick = world.gateway.scheduler.pick
+            pick = world.gateway.scheduler.request_arrived
 
             def faulty(*args, **fields):
-                world.gateway.scheduler.pick = pick
+                world.gateway.scheduler.request_arrived = pick
                 raise RuntimeError("once")
 
-            world.gateway.scheduler.pick = faulty
+            world.gateway.scheduler.request_arrived = faulty
             await world.play("""
                 c1 send read
                 c1 expect 500
--- a/tests/storage_gateway/scheduler/test_admission_limits.py
+++ b/tests/storage_gateway/scheduler/test_admission_limits.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 import pytest
-from scheduler_rig import COLD, Rig, Store, of
+from scheduler_rig import SLOW_START_SETTINGS, LimitBucket, Rig, of
 
 from mallowbeam.storage_gateway.scheduler.interface import (
     DiscoveryUpdate,
@@ -62,7 +62,7 @@
     """Charging 0.25 s before a node had the units overdrew the bucket beyond its slack (split+mass)."""
     rig = Rig(nodes=2, limit_at_arrival=True)
     rig.wait(5.0)  # the host's share of the bucket is full, as the platform's bucket is
-    store = Store(rig.settings.plans["basic"], rig.now)
+    store = LimitBucket(rig.settings.plans["basic"], rig.now)
     first = of(rig.step(rig.request(plan="basic", volume="b", units=8, shard=None)), Send)[0]
     again = of(rig.step(rig.ended(first, Outcome.NO_CONNECTION), after=0.3), Send)
     assert again, "retried at once at the other node"
@@ -72,7 +72,7 @@
         for send in of(rig.step(rig.request(plan="basic", volume="b", shard=None), after=0.02), Send):
             store.take(rig.now, 2)
             rig.step(rig.ended(send))
-    assert store.least >= -rig.settings.plans["basic"].limit_slack
+    assert store.lowest_level >= -rig.settings.plans["basic"].limit_slack
 
 
 def test_a_limit_holds_across_200_hosts_with_partitions_and_late_lists():
@@ -99,7 +99,7 @@
         for n in range(200)
     ]
     volumes = {f"v{v}": draw.sample(range(200), draw.choice((1, 2, 3))) for v in range(60)}
-    stores = {name: Store(bronze, 0.0) for name in volumes}
+    stores = {name: LimitBucket(bronze, 0.0) for name in volumes}
     due: list[tuple[float, int, int, object]] = []  # time, order, host, event
     order = count()
     for second in range(20):  # each second some volumes are idle and some surge
@@ -153,7 +153,7 @@
         if rig.timer is not None:
             heappush(due, (rig.timer, next(order), n, "timer"))
     assert len(counted) > 3000
-    assert min(store.least for store in stores.values()) >= -bronze.limit_slack
+    assert min(store.lowest_level for store in stores.values()) >= -bronze.limit_slack
 
 
 def test_unused_nodes_volumes_and_timers_are_dropped():
@@ -180,7 +180,7 @@
 
 def test_dropped_volumes_and_nodes_return_under_the_rules():
     """A dropped volume returns with one share of its bucket, a dropped node with the start in its list."""
-    rig = Rig(nodes=2, **COLD)
+    rig = Rig(nodes=2, **SLOW_START_SETTINGS)
     rig.step(rig.request(plan="basic", volume="b"))
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n1", NodeState.REMOVED, 1)]))
     rig.wait(35.0)
@@ -259,7 +259,7 @@
 
 def test_units_sent_by_a_sibling_process_count_for_limit_and_warming_node():
     """During an upgrade two processes are one host, with one bucket and one share."""
-    rig = Rig(nodes=2, **COLD | {"hosts": 1})
+    rig = Rig(nodes=2, **SLOW_START_SETTINGS | {"hosts": 1})
     rig.step(SiblingSend("v", "basic", 1, limit_level=20.0))
     rig.step(SiblingSend("v", "basic", 1, "n1", 4, 4))
     assert rig.host.volumes.by_key["v", "basic"].limit_level == pytest.approx(16.0)
--- a/tests/storage_gateway/scheduler/test_deployments.py
+++ b/tests/storage_gateway/scheduler/test_deployments.py
@@ -15,7 +15,7 @@
 
 import pytest
 from scenario import EXAMPLE
-from scheduler_rig import Store
+from scheduler_rig import LimitBucket
 
 from mallowbeam.storage_gateway.scheduler import Scheduler
 from mallowbeam.storage_gateway.scheduler.attempts import MAY_STILL_RUN
@@ -59,7 +59,7 @@
         self.sends: dict[str, list[tuple[float, str]]] = {}
         self.ran: dict[str, bool] = {}  # whether an attempt may have run
         self.draining: dict[tuple[int, str], float] = {}  # when each host learned that a node drains
-        self.stores: dict[str, Store] = {}
+        self.stores: dict[str, LimitBucket] = {}
         self.counted: set[str] = set()
         # By node: its start, and its recent units.
         self.started: dict[str, tuple[float, deque[tuple[float, int]]]] = {}
@@ -95,7 +95,7 @@
         if not plan.limit or request in self.counted:
             return
         self.counted.add(request)
-        store = self.stores.setdefault(volume, Store(plan, now))
+        store = self.stores.setdefault(volume, LimitBucket(plan, now))
         store.take(now, units)
         if store.level < -max(plan.limit_slack, 0.1 * plan.limit_burst, self.settings.max_units):
             self.broken.append(f"{volume}: over its limit by {-store.level:.1f} units")
--- a/tests/storage_gateway/scheduler/test_drawn_settings.py
+++ b/tests/storage_gateway/scheduler/test_drawn_settings.py
@@ -6,7 +6,7 @@
 from heapq import heappop, heappush
 
 import pytest
-from scheduler_rig import COLD, Rig, Store, make_settings, of
+from scheduler_rig import SLOW_START_SETTINGS, LimitBucket, Rig, make_settings, of
 
 from mallowbeam.storage_gateway.scheduler import Scheduler
 from mallowbeam.storage_gateway.scheduler.interface import (
@@ -118,7 +118,7 @@
         self.in_flight: dict[tuple[str, int], str] = {}
         self.sent_at: dict[tuple[str, int], float] = {}
         self.ran: dict[str, list[tuple[str, float]]] = {}
-        self.stores: dict[str, Store] = {}
+        self.stores: dict[str, LimitBucket] = {}
         self.charged: set[str] = set()
         self.served, self.faulty = 0, draw.choice((0.0, 0.1, 0.5))
         self.latency = draw.choice((0.005, 0.05, 0.5))
@@ -201,7 +201,7 @@
             limit=plan.limit / request.volume_hosts,
             limit_burst=plan.limit_burst / request.volume_hosts,
         )
-        store = self.stores.setdefault(request.volume, Store(part, 100.0))
+        store = self.stores.setdefault(request.volume, LimitBucket(part, 100.0))
         store.take(self.now, request.units)
         assert store.level >= -plan.limit_slack / request.volume_hosts - 1e-3, "past its limit"
 
@@ -302,7 +302,9 @@
 @pytest.mark.parametrize("slow_start_time", [0.0, None])
 def test_without_slow_start_no_node_is_treated_as_warming_up(slow_start_time):
     """Without a slow-start time, lost connections marked a node as warming up, or raised an error."""
-    rig = Rig(**COLD | {"slow_start_time": slow_start_time, "slow_start_units": 1.0, "hosts": 200})
+    rig = Rig(
+        **SLOW_START_SETTINGS | {"slow_start_time": slow_start_time, "slow_start_units": 1.0, "hosts": 200}
+    )
     for _ in range(2):
         rig.step(rig.ended(of(rig.step(rig.request(units=1)), Send)[0], Outcome.NO_CONNECTION))
     assert rig.host.state.nodes["n0"].suspect  # so it gets trial requests
--- a/tests/storage_gateway/scheduler/test_node_health.py
+++ b/tests/storage_gateway/scheduler/test_node_health.py
@@ -6,7 +6,7 @@
 
 import pytest
 from discovery_queue import DiscoveryQueue
-from scheduler_rig import COLD, Rig, fill, of
+from scheduler_rig import SLOW_START_SETTINGS, Rig, fill, of
 
 from mallowbeam.storage_gateway.scheduler.interface import (
     Action,
@@ -164,7 +164,7 @@
 
 def test_requests_for_a_disabled_node_are_rejected_at_once_whatever_lists_say():
     """No list, full or delta, may enable a node that an operator disabled; one call to enable does."""
-    rig = Rig(nodes=2, **COLD | {"hosts": 1})
+    rig = Rig(nodes=2, **SLOW_START_SETTINGS | {"hosts": 1})
     set_disabled(rig, True)
     set_disabled(rig, True)
     for kind in (DiscoveryUpdateKind.DELTA, DiscoveryUpdateKind.FULL):
@@ -189,7 +189,7 @@
 @pytest.mark.parametrize(("told", "cold_from"), [(None, "back"), (50.0, "back"), ("now", "told")])
 def test_an_enabled_node_warms_up_from_the_latest_possible_start(told, cold_from):
     """Operators may have restarted the node: without a later start in a list, assume a start just now."""
-    rig = Rig(nodes=2, **COLD | {"hosts": 1})
+    rig = Rig(nodes=2, **SLOW_START_SETTINGS | {"hosts": 1})
     node = rig.host.state.nodes["n0"]
     set_disabled(rig, True)
     since = rig.now + 0.5 if told == "now" else told
@@ -242,7 +242,7 @@
 def test_a_node_first_listed_as_draining_may_start_later():
     """The start time of a node's first entry was stored under a name that nothing read."""
     # given
-    rig = Rig(**COLD | {"hosts": 1})
+    rig = Rig(**SLOW_START_SETTINGS | {"hosts": 1})
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n1", NodeState.DRAINING)]))
     # when
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 3, [NodeEntry("n1", started_at=rig.now)]))
--- a/tests/storage_gateway/scheduler/test_plan_changes.py
+++ b/tests/storage_gateway/scheduler/test_plan_changes.py
@@ -8,7 +8,7 @@
 from itertools import count
 
 import pytest
-from scheduler_rig import PLANS, Rig, Store, make_settings, of
+from scheduler_rig import PLANS, LimitBucket, Rig, make_settings, of
 
 from mallowbeam.storage_gateway.scheduler import gateway_host
 from mallowbeam.storage_gateway.scheduler.interface import (
@@ -246,7 +246,7 @@
     assert successor._scheduler.volumes.plans == host._scheduler.volumes.plans
 
 
-def fleet(high: Plan, low: Plan) -> list[Store]:
+def fleet(high: Plan, low: Plan) -> list[LimitBucket]:
     """200 hosts with 60 volumes over one to three of them; limits and shares change under load.
 
     Half of the volumes have allotments whose shares move between their hosts.  The plan is raised (the
@@ -259,7 +259,7 @@
     ]
     hosts = {f"v{v}": draw.sample(range(200), draw.choice((1, 2, 3))) for v in range(60)}
     moving = [name for v, name in enumerate(hosts) if v < 30]
-    stores, held = {name: Store(low, 0.0) for name in hosts}, {n: low for n in range(200)}
+    stores, held = {name: LimitBucket(low, 0.0) for name in hosts}, {n: low for n in range(200)}
     parts = {(name, n): 1.0 / len(hosts[name]) for name in moving for n in hosts[name]}
     due, order = [], count()
 
@@ -348,12 +348,12 @@
 
 
 def test_a_limit_holds_across_200_hosts_while_plans_and_shares_change():
-    assert min(store.least for store in fleet(HIGH_PLAN, LOW_PLAN)) >= -LOW_PLAN.limit_slack
+    assert min(store.lowest_level for store in fleet(HIGH_PLAN, LOW_PLAN)) >= -LOW_PLAN.limit_slack
 
 
 def lowest_level_while_share_moves() -> float:
     """The lowest bucket level while a limit share moves between two hosts that use all they may."""
-    rigs, store = [Rig(nodes=16, hosts=2), Rig(nodes=16, hosts=2)], Store(BASIC, 100.0)
+    rigs, store = [Rig(nodes=16, hosts=2), Rig(nodes=16, hosts=2)], LimitBucket(BASIC, 100.0)
     for rig in rigs:
         rig.step(PlanChanged(BASIC, "b", limit_share=0.5), rig.request(plan="basic", volume="b"))
         rig.wait(5.0)
@@ -368,7 +368,7 @@
                     rig.step(rig.ended(send, latency=0.01))
         for rig in rigs:
             rig.wait(0.01)
-    return store.least
+    return store.lowest_level
 
 
 def test_a_limit_share_that_moves_to_and_fro_grants_nothing_twice():
@@ -396,7 +396,7 @@
 def test_without_the_carry_over_the_limit_of_a_fleet_breaks(monkeypatch):
     """The check can fail: each bucket counts as full at a change."""
     without_carry_over(monkeypatch, "full")
-    assert min(store.least for store in fleet(HIGH_PLAN, LOW_PLAN)) < -LOW_PLAN.limit_slack
+    assert min(store.lowest_level for store in fleet(HIGH_PLAN, LOW_PLAN)) < -LOW_PLAN.limit_slack
 
 
 @pytest.mark.parametrize("broken", ["full", "slack", "forgiven"])
--- a/tests/storage_gateway/scheduler/test_slow_start.py
+++ b/tests/storage_gateway/scheduler/test_slow_start.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from scheduler_rig import COLD, Rig, of
+from scheduler_rig import SLOW_START_SETTINGS, Rig, of
 
 from mallowbeam.storage_gateway.scheduler.interface import (
     DiscoveryUpdate,
@@ -16,7 +16,7 @@
 
 def sent_while_warming(plan: str, age: float, since: float | None = 999.9) -> int:
     """How many of 40 requests one of 112 hosts sends to a node `age` seconds after it was listed."""
-    rig = Rig(nodes=0, now=1000.0, **(COLD | {"hosts": 112, "overload_multiple": 3.0}))
+    rig = Rig(nodes=0, now=1000.0, **(SLOW_START_SETTINGS | {"hosts": 112, "overload_multiple": 3.0}))
     rig.step(
         DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, zone="a", started_at=since)])
     )
@@ -43,7 +43,7 @@
 )
 def test_a_warming_node_gets_each_hosts_even_share_of_its_budget(hosts, age, least, most):
     """Units beyond reserves were blocked for the whole warm-up, which left the node idle."""
-    rig = Rig(nodes=0, now=1000.0, **(COLD | {"hosts": hosts, "overload_multiple": 3.0}))
+    rig = Rig(nodes=0, now=1000.0, **(SLOW_START_SETTINGS | {"hosts": hosts, "overload_multiple": 3.0}))
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, started_at=1000.0)]))
     rig.wait(age)
     sent = 0
@@ -56,7 +56,7 @@
 
 def test_one_hosts_surge_at_a_cold_node_is_bounded():
     """In a surge through one host, the sample by key alone would overload the node."""
-    rig = Rig(nodes=0, now=1000.0, **(COLD | {"hosts": 40}))
+    rig = Rig(nodes=0, now=1000.0, **(SLOW_START_SETTINGS | {"hosts": 40}))
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, started_at=1000.0)]))
     sent = 0
     for _ in range(200):  # within half of the overload window
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("told", [True, False])
 def test_a_start_time_in_a_list_ends_the_trial_requests(told):
     """Each host otherwise avoids a restarted zone until a trial request of its own succeeds."""
-    rig = Rig(now=1000.0, **(COLD | {"hosts": 40}))
+    rig = Rig(now=1000.0, **(SLOW_START_SETTINGS | {"hosts": 40}))
     for _ in range(4):
         for send in of(rig.step(rig.request(plan="gold", units=1)), Send):
             rig.step(rig.ended(send, Outcome.NO_CONNECTION))
@@ -111,7 +111,7 @@
 
 def test_retries_of_a_request_get_the_same_decision_at_a_warming_node():
     """A client's retries must not raise its chance, or they would fill a warming node."""
-    rig = Rig(now=1000.0, **COLD)
+    rig = Rig(now=1000.0, **SLOW_START_SETTINGS)
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, started_at=999.9)]))
     outcomes = []
     for key in ("a", "b", "c", "d"):
@@ -123,7 +123,7 @@
 @pytest.mark.parametrize(("outcome", "count"), [(Outcome.NO_CONNECTION, 1), (Outcome.RESET, 3)])
 def test_single_broken_connections_close_no_node(outcome, count):
     """A node that answers in between was treated as warming up for seconds after each."""
-    rig = Rig(**COLD)
+    rig = Rig(**SLOW_START_SETTINGS)
     for _ in range(4):
         send = of(rig.step(rig.request(units=1)), Send)[0]
         for attempt in range(count):
@@ -135,7 +135,7 @@
 @pytest.mark.parametrize("outcome", [Outcome.NO_CONNECTION, Outcome.RESET])
 def test_an_unreachable_node_is_treated_as_warming_up_until_a_list_can_tell(outcome):
     """Nodes restarted before the list said so, and all hosts together overloaded them (incident ibf7f54)."""
-    rig = Rig(nodes=3, **COLD)
+    rig = Rig(nodes=3, **SLOW_START_SETTINGS)
     count = {Outcome.NO_CONNECTION: 2, Outcome.RESET: 6}[outcome]
     *broken, last = [of(rig.step(rig.request(units=1)), Send)[0] for _ in range(count + 1)]
     rig.step(*[rig.ended(send, outcome) for send in broken], after=0.01)
--- a/tests/storage_gateway/server/test_begins.py
+++ b/tests/storage_gateway/server/test_begins.py
@@ -11,7 +11,7 @@
 import pytest
 import uvloop
 from scenario import World
-from scheduler_rig import COLD, Rig, of
+from scheduler_rig import SLOW_START_SETTINGS, Rig, of
 
 from mallowbeam.storage_gateway.scheduler.interface import (
     ClientDisconnected,
@@ -150,7 +150,7 @@
 
 
 def test_what_never_began_is_charged_to_nothing():
-    rig = Rig(limit_at_arrival=True, **(COLD | {"hosts": 1, "slow_start_units": 100.0}))
+    rig = Rig(limit_at_arrival=True, **(SLOW_START_SETTINGS | {"hosts": 1, "slow_start_units": 100.0}))
     rig.wait(2.0)  # the limit's store fills
     rig.step(
         DiscoveryUpdate(
@@ -171,7 +171,7 @@
 
 def test_units_count_at_a_cold_node_from_when_they_come_there():
     """Guards the node: what was decided over a second and comes up at one instant, comes at one instant."""
-    rig = Rig(limit_at_arrival=True, **(COLD | {"hosts": 1}))
+    rig = Rig(limit_at_arrival=True, **(SLOW_START_SETTINGS | {"hosts": 1}))
     rig.step(
         DiscoveryUpdate(
             DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, zone="a", started_at=rig.now)]
@@ -185,7 +185,7 @@
 
 def test_units_that_come_later_than_the_window_since_they_were_decided_count_too():
     """Guards the node: what was decided over a window ago was forgotten before it came."""
-    rig = Rig(limit_at_arrival=True, **(COLD | {"hosts": 1, "overload_window": 0.1}))
+    rig = Rig(limit_at_arrival=True, **(SLOW_START_SETTINGS | {"hosts": 1, "overload_window": 0.1}))
     rig.step(
         DiscoveryUpdate(
             DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, zone="a", started_at=rig.now)]
@@ -208,7 +208,7 @@
     ],
 )
 def test_what_the_list_said_meanwhile_counts(listed, goes):
-    rig = Rig(limit_at_arrival=True, **COLD)
+    rig = Rig(limit_at_arrival=True, **SLOW_START_SETTINGS)
     send = of(rig.step(rig.request(units=1)), Send)[0]
     if listed:
         rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, listed))
--- a/tests/storage_gateway/server/test_lists_bad.py
+++ b/tests/storage_gateway/server/test_lists_bad.py
@@ -186,8 +186,8 @@
 
 def soon(monkeypatch) -> None:
     """Failed calls are repeated within a few milliseconds."""
-    monkeypatch.setattr(node_health, "WATCH_RETRY", 0.005)
-    monkeypatch.setattr(node_health, "MAX_WATCH_RETRY", 0.005)
+    monkeypatch.setattr(node_health, "WATCH_RETRY_S", 0.005)
+    monkeypatch.setattr(node_health, "MAX_WATCH_RETRY_S", 0.005)
 
 
 def test_bad_lists_are_failed_calls_and_the_list_known_before_stays_whole(monkeypatch):
--- a/tests/storage_gateway/server/test_watch.py
+++ b/tests/storage_gateway/server/test_watch.py
@@ -14,7 +14,7 @@
 from watch_intervals import ask
 
 from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdate, DiscoveryUpdateKind
-from mallowbeam.storage_gateway.scheduler.node_health import MAX_WATCH_RETRY
+from mallowbeam.storage_gateway.scheduler.node_health import MAX_WATCH_RETRY_S
 from mallowbeam.storage_gateway.server import discovery
 
 COUNTS = 6.0  # seconds after silence by which what was missed counts as told
@@ -31,8 +31,8 @@
         rig = Rig(discovery_on_request=True, max_list_age=10.0, hosts=200, seed=seed)
         rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
         assert ask(rig) == 0.0
-    assert min(drawn) > 0.0 and max(drawn) <= MAX_WATCH_RETRY + 0.001
-    parts = [sum(n < drawn_at / MAX_WATCH_RETRY * 10 <= n + 1 for drawn_at in drawn) for n in range(10)]
+    assert min(drawn) > 0.0 and max(drawn) <= MAX_WATCH_RETRY_S + 0.001
+    parts = [sum(n < drawn_at / MAX_WATCH_RETRY_S * 10 <= n + 1 for drawn_at in drawn) for n in range(10)]
     assert min(parts) >= 8 and max(parts) <= 36, "they are spread over all of it"
 
 
@@ -42,7 +42,7 @@
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
     ask(rig)
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
-    assert 0.8 * MAX_WATCH_RETRY <= ask(rig) <= MAX_WATCH_RETRY + 0.001
+    assert 0.8 * MAX_WATCH_RETRY_S <= ask(rig) <= MAX_WATCH_RETRY_S + 0.001
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2))
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
     assert ask(rig) == 0.0
--- a/tests/storage_gateway/server/test_watch_failing.py
+++ b/tests/storage_gateway/server/test_watch_failing.py
@@ -52,9 +52,9 @@
 def test_the_bound_holds_for_the_constants():
     """Guards the drains: from the end of one call to the answer of the next, at worst, it is under 6 s."""
     assert discovery.CONNECT_TIMEOUT <= discovery.ANSWER > QUEUE + discovery.NO_WAIT
-    assert discovery.ANSWER + node_health.MAX_WATCH_RETRY + QUEUE <= 5.41
+    assert discovery.ANSWER + node_health.MAX_WATCH_RETRY_S + QUEUE <= 5.41
     assert discovery.WAITS[1] + discovery.OVERDUE + QUEUE <= 5.4
-    assert discovery.AGENT_RETRY + discovery.AGENT_OVERDUE + node_health.AGENT_RETRY <= 0.25
+    assert discovery.AGENT_RETRY + discovery.AGENT_OVERDUE + node_health.AGENT_RETRY_S <= 0.25
 
 
 @pytest.mark.parametrize("hosts", [1, 4, 40, 200, 5000])
@@ -67,8 +67,8 @@
                     DiscoveryUpdateKind.FAILED if seed % 2 or failures == 0 else DiscoveryUpdateKind.TIMED_OUT
                 )
             )
-            least = 0.0 if failures == 0 else 0.8 * min(max(1.0, hosts / 5), node_health.MAX_WATCH_RETRY)
-            assert least < ask(rig) <= (1.0 if hosts < 6 else node_health.MAX_WATCH_RETRY) + 0.001
+            least = 0.0 if failures == 0 else 0.8 * min(max(1.0, hosts / 5), node_health.MAX_WATCH_RETRY_S)
+            assert least < ask(rig) <= (1.0 if hosts < 6 else node_health.MAX_WATCH_RETRY_S) + 0.001
 
 
 @pytest.mark.parametrize("hosts, runs", [(1, 6), (40, 1), (200, 1)])
@@ -177,7 +177,7 @@
     """Half a head, half a body: given up by the end, the reset or the time-out, and asked again."""
     monkeypatch.setattr(discovery, "WAITS", (0.1, 0.1))
     monkeypatch.setattr(discovery, "OVERDUE", 0.1)
-    monkeypatch.setattr(node_health, "MAX_WATCH_RETRY", 0.02)
+    monkeypatch.setattr(node_health, "MAX_WATCH_RETRY_S", 0.02)
     play(f"""
         d expect GET since=1
         d send raw '{sent}'
--- a/tests/support/compare_with_release.py
+++ b/tests/support/compare_with_release.py
@@ -27,7 +27,7 @@
 
 import msgspec
 from recorded_names import to_recorded
-from scheduler_replay import BeginCheck, Run, packed_steps, record, written
+from scheduler_replay import BeginCheck, Run, format_action, packed_steps, record
 
 from mallowbeam.storage_gateway.scheduler import Scheduler
 from mallowbeam.storage_gateway.scheduler.simulator_host import Wire
@@ -107,7 +107,7 @@
         actions = scheduler.step(now, others)
         spent += time.process_time() - begun
         text += [f"may begin: {begins}"] * bool(begins)
-        text += [written(action, None) for action in actions]
+        text += [format_action(action, None) for action in actions]
     return "\n".join(text), spent
 
 
--- a/tests/support/scheduler_replay.py
+++ b/tests/support/scheduler_replay.py
@@ -275,11 +275,11 @@
     for now, events in steps:
         actions, begins = step(scheduler, now, events)
         text += [f"may begin: {begins}"] * bool(begins)
-        text += [written(action, digits) for action in actions]
+        text += [format_action(action, digits) for action in actions]
     return "\n".join(text).encode()
 
 
-def written(action: Action, digits: int | None) -> str:
+def format_action(action: Action, digits: int | None) -> str:
     """An action in the notation of recordings."""
     kind, fields = to_recorded(action)
     figures = [
--- a/tests/support/scheduler_rig.py
+++ b/tests/support/scheduler_rig.py
@@ -48,7 +48,7 @@
     Plan("basic", rate=2, reserve=0, weight=1, price=0.7, limit=20, limit_burst=32, limit_slack=8),
 ]
 
-COLD = {
+SLOW_START_SETTINGS = {
     "slow_start_units": 24.0,
     "slow_start_capacity": 0.2,
     "slow_start_time": 10.0,
@@ -137,15 +137,15 @@
         )
 
 
-class Store:
+class LimitBucket:
     """A volume's limit bucket at the platform: charged when a node first gets a request."""
 
     def __init__(self, plan: Plan, now: float) -> None:
-        self.plan, self.level, self.at, self.least = plan, plan.limit_burst, now, plan.limit_burst
+        self.plan, self.level, self.at, self.lowest_level = plan, plan.limit_burst, now, plan.limit_burst
 
     def take(self, now: float, units: int) -> None:
         self.level = min(self.plan.limit_burst, self.level + (now - self.at) * self.plan.limit) - units
-        self.at, self.least = now, min(self.least, self.level)
+        self.at, self.lowest_level = now, min(self.lowest_level, self.level)
 
     def change(self, now: float, plan: Plan) -> None:
         """Put the volume on another plan; this does not refill the bucket."""
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -499,7 +499,7 @@
     old.change_plan(10.6, dataclasses.replace(config.settings.plans["silver"], limit=12.0, weight=2.0))
     old.change_plan(10.7, dataclasses.replace(config.settings.plans["bronze"], limit=7.0), "vol-1", 1, 0.5)
     for number, volume in enumerate(("vol-1", "vol-2")):
-        old.pick(
+        old.request_arrived(
             11.0,
             f"{number:016x}",
             shard=0,
