--- a/mallowbeam/storage_gateway/scheduler/queue_layout.py
+++ b/mallowbeam/storage_gateway/scheduler/queue_layout.py
@@ -145,7 +145,7 @@
                 displaced = heappop(on_time)[2]
                 displaced.late = True
                 units -= displaced.units
-                # Other requests took its slot; it is not too large.
+                # Only where others took its slot, not where it is too large to be in time.
                 if now + latency < displaced.target_at and not displaced.outbid:
                     displaced.outbid = True
                     node.update_price(displaced.unit_value)
--- a/tests/scheduling/test_scheduling_cycles.py
+++ b/tests/scheduling/test_scheduling_cycles.py
@@ -159,25 +159,25 @@
 
 class ManyBookings(unittest.TestCase):
     def test_no_cycle_holds_more_than_m_and_all_is_released(self) -> None:
-        chance = random.Random(7)
+        draw = random.Random(7)
         book = book_of(slot_s=0.1)
-        live: dict[int, int] = {}
+        booked_units: dict[int, int] = {}
         now = 0.0
         for booking in range(3000):
-            now += chance.expovariate(0.6)
-            units = chance.randint(1, 25)
+            now += draw.expovariate(0.6)
+            units = draw.randint(1, 25)
             placement = book.place(units, now)
             assert placement is not None
             self.assertEqual(sum(count for _, count in placement.slots_by_cycle), units)
             book.book(booking, placement)
-            live[booking] = units
+            booked_units[booking] = units
             for cycle in book.cycles:
                 self.assertLessEqual(cycle.used, 10)
-            if len(live) > 5:
-                gone = chance.choice(sorted(live))
-                del live[gone]
-                (book.release if chance.random() < 0.5 else book.forget)(gone)
-        for booking in list(live):
+            if len(booked_units) > 5:
+                ended = draw.choice(sorted(booked_units))
+                del booked_units[ended]
+                (book.release if draw.random() < 0.5 else book.forget)(ended)
+        for booking in list(booked_units):
             book.release(booking)
         self.assertEqual(book.bookings, {})
 
--- a/tests/storage_gateway/scheduler/test_admission_limits.py
+++ b/tests/storage_gateway/scheduler/test_admission_limits.py
@@ -62,17 +62,17 @@
     """Charging 0.25 s before a node had the units overdrew the bucket beyond its slack (split+mass)."""
     rig = Rig(nodes=2, limit_at_arrival=True)
     rig.wait(5.0)  # the host's share of the bucket is full, as the platform's bucket is
-    store = LimitBucket(rig.settings.plans["basic"], rig.now)
+    bucket = LimitBucket(rig.settings.plans["basic"], rig.now)
     first = of(rig.step(rig.request(plan="basic", volume="b", units=8, shard=None)), Send)[0]
     again = of(rig.step(rig.ended(first, Outcome.NO_CONNECTION), after=0.3), Send)
     assert again, "retried at once at the other node"
-    store.take(rig.now, 8)
+    bucket.take(rig.now, 8)
     rig.step(rig.ended(again[0], attempt=1))
     for _ in range(100):
         for send in of(rig.step(rig.request(plan="basic", volume="b", shard=None), after=0.02), Send):
-            store.take(rig.now, 2)
+            bucket.take(rig.now, 2)
             rig.step(rig.ended(send))
-    assert store.lowest_level >= -rig.settings.plans["basic"].limit_slack
+    assert bucket.lowest_level >= -rig.settings.plans["basic"].limit_slack
 
 
 def test_a_limit_holds_across_200_hosts_with_partitions_and_late_lists():
@@ -99,7 +99,7 @@
         for n in range(200)
     ]
     volumes = {f"v{v}": draw.sample(range(200), draw.choice((1, 2, 3))) for v in range(60)}
-    stores = {name: LimitBucket(bronze, 0.0) for name in volumes}
+    buckets = {name: LimitBucket(bronze, 0.0) for name in volumes}
     due: list[tuple[float, int, int, object]] = []  # time, order, host, event
     order = count()
     for second in range(20):  # each second some volumes are idle and some surge
@@ -113,22 +113,22 @@
     charges: dict[str, tuple[str, int]] = {}  # volume and units by request
     attempt_numbers: dict[tuple[int, str], int] = {}
     while due:
-        now, _, n, what = heappop(due)
+        now, _, n, entry = heappop(due)
         rig = rigs[n]
         rig.now = now
-        if what == "timer":
+        if entry == "timer":
             if rig.timer is None or rig.timer > now:
                 continue
             rig.timer, event = None, TimerFired(0)
-        elif isinstance(what, Event):
-            event = what
+        elif isinstance(entry, Event):
+            event = entry
         else:
             event = rig.request(
                 request=f"q{next(order)}",
                 plan="bronze",
-                volume=str(what),
+                volume=str(entry),
                 shard=None,
-                volume_hosts=len(volumes[str(what)]),
+                volume_hosts=len(volumes[str(entry)]),
                 units=draw.randint(1, 4),
             )
             charges[event.request] = (event.volume, event.units)
@@ -148,12 +148,12 @@
                 )[0]
             if outcome is not Outcome.NO_CONNECTION and send.request not in counted:
                 counted.add(send.request)
-                stores[charges[send.request][0]].take(now, charges[send.request][1])
+                buckets[charges[send.request][0]].take(now, charges[send.request][1])
             heappush(due, (now + after, next(order), n, rig.ended(send, outcome, number, after)))
         if rig.timer is not None:
             heappush(due, (rig.timer, next(order), n, "timer"))
     assert len(counted) > 3000
-    assert min(store.lowest_level for store in stores.values()) >= -bronze.limit_slack
+    assert min(bucket.lowest_level for bucket in buckets.values()) >= -bronze.limit_slack
 
 
 def test_unused_nodes_volumes_and_timers_are_dropped():
--- a/tests/storage_gateway/scheduler/test_deployments.py
+++ b/tests/storage_gateway/scheduler/test_deployments.py
@@ -59,7 +59,7 @@
         self.sends: dict[str, list[tuple[float, str]]] = {}
         self.ran: dict[str, bool] = {}  # whether an attempt may have run
         self.draining: dict[tuple[int, str], float] = {}  # when each host learned that a node drains
-        self.stores: dict[str, LimitBucket] = {}
+        self.buckets: dict[str, LimitBucket] = {}
         self.counted: set[str] = set()
         # By node: its start, and its recent units.
         self.started: dict[str, tuple[float, deque[tuple[float, int]]]] = {}
@@ -95,10 +95,10 @@
         if not plan.limit or request in self.counted:
             return
         self.counted.add(request)
-        store = self.stores.setdefault(volume, LimitBucket(plan, now))
-        store.take(now, units)
-        if store.level < -max(plan.limit_slack, 0.1 * plan.limit_burst, self.settings.max_units):
-            self.broken.append(f"{volume}: over its limit by {-store.level:.1f} units")
+        bucket = self.buckets.setdefault(volume, LimitBucket(plan, now))
+        bucket.take(now, units)
+        if bucket.level < -max(plan.limit_slack, 0.1 * plan.limit_burst, self.settings.max_units):
+            self.broken.append(f"{volume}: over its limit by {-bucket.level:.1f} units")
 
     def starts(self, node: str, now: float) -> None:
         self.started[node] = (now, deque())
@@ -112,10 +112,10 @@
         recent_units.append((now, units))
         while recent_units[0][0] <= now - s.overload_window:
             recent_units.popleft()
-        part = s.slow_start_capacity + (1.0 - s.slow_start_capacity) * (now - since) / s.slow_start_time
+        capacity = s.slow_start_capacity + (1.0 - s.slow_start_capacity) * (now - since) / s.slow_start_time
         if (
             sent := sum(n for _, n in recent_units)
-        ) > TYPICAL_CAPACITY_FACTOR * s.slow_start_units * part / s.slow_start_capacity:
+        ) > TYPICAL_CAPACITY_FACTOR * s.slow_start_units * capacity / s.slow_start_capacity:
             self.broken.append(f"{node}: pushed over cold by {sent} units")
 
     def ended(self, request: str, outcome: Outcome) -> None:
@@ -172,27 +172,27 @@
                 heappush(due, (0.1 + second + draw.random(), next(order), draw.choice(through), name))
     requests: dict[str, RequestArrived] = {}
     while due:
-        now, _, n, what = heappop(due)
-        if what == "timer":
+        now, _, n, entry = heappop(due)
+        if entry == "timer":
             if timers[n] is None or timers[n] > now:
                 continue
             timers[n], event = None, TimerFired(0)
-        elif isinstance(what, tuple):
-            event = what[1]
+        elif isinstance(entry, tuple):
+            event = entry[1]
             checker.ended(event.request, event.outcome)
-        elif isinstance(what, Event):
-            event = what
+        elif isinstance(entry, Event):
+            event = entry
             if isinstance(event, DiscoveryUpdate) and event.entries[0].state is NodeState.DRAINING:
                 checker.drains(n, event.entries[0].node, now)
         else:
-            plan, through = volumes[str(what)]
+            plan, through = volumes[str(entry)]
             cls = draw.choice(classes)
             event = RequestArrived(
                 request=f"q{next(order)}",
                 request_class=cls.name,
                 shard=draw.choice((*range(nodes), *[6] * 1)),
                 units=draw.randint(1, 8),
-                volume=str(what),
+                volume=str(entry),
                 plan=plan.name,
                 volume_hosts=len(through),
                 key=f"{draw.getrandbits(64):016x}",
--- a/tests/storage_gateway/scheduler/test_drawn_settings.py
+++ b/tests/storage_gateway/scheduler/test_drawn_settings.py
@@ -118,9 +118,9 @@
         self.in_flight: dict[tuple[str, int], str] = {}
         self.sent_at: dict[tuple[str, int], float] = {}
         self.ran: dict[str, list[tuple[str, float]]] = {}
-        self.stores: dict[str, LimitBucket] = {}
+        self.buckets: dict[str, LimitBucket] = {}
         self.charged: set[str] = set()
-        self.served, self.faulty = 0, draw.choice((0.0, 0.1, 0.5))
+        self.served, self.fault_rate = 0, draw.choice((0.0, 0.1, 0.5))
         self.latency = draw.choice((0.005, 0.05, 0.5))
         self.step(DiscoveryUpdate(DiscoveryUpdateKind.CACHED, 1, [self.entry(name) for name in self.nodes]))
 
@@ -178,7 +178,7 @@
                 group = {"all": slice(0), "zone": slice(1, 2), "shard": slice(1)}[cls.dedup_scope.value]
                 assert self.nodes[first][group] == node[group], "a keyed request outside its group"
         self.in_flight[name, number], self.sent_at[name, number] = send.node, self.now
-        outcome = Outcome.OK if self.draw.random() >= self.faulty else self.draw.choice(list(Outcome))
+        outcome = Outcome.OK if self.draw.random() >= self.fault_rate else self.draw.choice(list(Outcome))
         after = self.draw.expovariate(1 / self.latency)
         if after > send.timeout:
             after, outcome = send.timeout, Outcome.TIMEOUT
@@ -196,14 +196,14 @@
         if plan is None or plan.limit <= 0 or name in self.charged:
             return
         self.charged.add(name)
-        part = Plan(
+        host_share = Plan(
             "",
             limit=plan.limit / request.volume_hosts,
             limit_burst=plan.limit_burst / request.volume_hosts,
         )
-        store = self.stores.setdefault(request.volume, LimitBucket(part, 100.0))
-        store.take(self.now, request.units)
-        assert store.level >= -plan.limit_slack / request.volume_hosts - 1e-3, "past its limit"
+        bucket = self.buckets.setdefault(request.volume, LimitBucket(host_share, 100.0))
+        bucket.take(self.now, request.units)
+        assert bucket.level >= -plan.limit_slack / request.volume_hosts - 1e-3, "past its limit"
 
     def ended(self, name: str, number: int, outcome: Outcome) -> None:
         if (node := self.in_flight.pop((name, number), None)) is None:
--- a/tests/storage_gateway/scheduler/test_node_health.py
+++ b/tests/storage_gateway/scheduler/test_node_health.py
@@ -180,22 +180,24 @@
     rig = Rig(nodes=1)
     sends = fill(rig, units=1)
     waiting = [name for name, request in rig.host.state.requests.items() if not request.in_flight]
-    refused = of(set_disabled(rig, True), Reject)
-    assert {action.request for action in refused} == set(waiting) and waiting
+    rejections = of(set_disabled(rig, True), Reject)
+    assert {action.request for action in rejections} == set(waiting) and waiting
     seen = rig.step(rig.ended(sends[0], Outcome.REJECTED), after=0.05) + rig.wait(0.1)
     assert of(seen, Reject) and not of(seen, Send)
 
 
-@pytest.mark.parametrize(("told", "cold_from"), [(None, "back"), (50.0, "back"), ("now", "told")])
-def test_an_enabled_node_warms_up_from_the_latest_possible_start(told, cold_from):
+@pytest.mark.parametrize(
+    ("listed_start", "expected"), [(None, "enabled"), (50.0, "enabled"), ("now", "listed")]
+)
+def test_an_enabled_node_warms_up_from_the_latest_possible_start(listed_start, expected):
     """Operators may have restarted the node: without a later start in a list, assume a start just now."""
     rig = Rig(nodes=2, **SLOW_START_SETTINGS | {"hosts": 1})
     node = rig.host.state.nodes["n0"]
     set_disabled(rig, True)
-    since = rig.now + 0.5 if told == "now" else told
+    since = rig.now + 0.5 if listed_start == "now" else listed_start
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", started_at=since)]), after=1.0)
     set_disabled(rig, False)
-    assert node.slow_start_from == (since if cold_from == "told" else rig.now)
+    assert node.slow_start_from == (since if expected == "listed" else rig.now)
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 3, [NodeEntry("n0", started_at=rig.now - 0.5)]))
     assert node.slow_start_from == rig.now - 0.5, "a start that a later list gives counts"
     assert of(rig.step(rig.request(units=1)), Send), "and it gets requests again at once"
@@ -223,7 +225,7 @@
     rigs = [
         Rig(discovery_on_request=True, max_list_age=10.0, hosts=hosts, seed=seed) for seed in range(hosts)
     ]
-    service, told, now = DiscoveryQueue(rate), set(), 0.0
+    service, served_hosts, now = DiscoveryQueue(rate), set(), 0.0
     due = [(0.0, n, None) for n in range(hosts)]  # time, host, how its call ended (None: it begins)
     while due and now < within:
         now, n, served = heappop(due)  # one entry per host, so the third item is never compared
@@ -231,12 +233,12 @@
             end, good = service.call(now)
             heappush(due, (end, n, good))
         elif served:
-            told.add(n)
+            served_hosts.add(n)
         else:
             rigs[n].step(DiscoveryUpdate(DiscoveryUpdateKind.FAILED), after=100.0 + now - rigs[n].now)
             assert of(rigs[n].wait(rigs[n].timer - rigs[n].now), WatchNodes)
             heappush(due, (rigs[n].now - 100.0, n, None))
-    assert len(told) == hosts
+    assert len(served_hosts) == hosts
 
 
 def test_a_node_first_listed_as_draining_may_start_later():
--- a/tests/storage_gateway/scheduler/test_plan_changes.py
+++ b/tests/storage_gateway/scheduler/test_plan_changes.py
@@ -111,7 +111,7 @@
 
 def test_a_weight_moves_the_sharing_of_a_node():
     plans = {name: Plan(name, weight=1.0) for name in ("one", "two")}
-    parts = []
+    shares = []
     for weight in (1.0, 8.0):
         rig, served, sends = Rig(plans=plans), {"one": 0, "two": 0}, []
         rig.step(PlanChanged(Plan("one", weight=weight)))
@@ -125,8 +125,8 @@
                 send = sends.pop(0)[1]
                 served[names[send.request]] += 1
                 sends += [(rig.now + 0.08, more) for more in of(rig.step(rig.ended(send)), Send)]
-        parts.append(served["one"] / sum(served.values()))
-    assert 0.4 < parts[0] < 0.6 and parts[1] > parts[0] + 0.1
+        shares.append(served["one"] / sum(served.values()))
+    assert 0.4 < shares[0] < 0.6 and shares[1] > shares[0] + 0.1
 
 
 def test_a_reserve_that_is_given_fills_from_nothing_and_one_taken_is_gone():
@@ -259,12 +259,12 @@
     ]
     hosts = {f"v{v}": draw.sample(range(200), draw.choice((1, 2, 3))) for v in range(60)}
     moving = [name for v, name in enumerate(hosts) if v < 30]
-    stores, held = {name: LimitBucket(low, 0.0) for name in hosts}, {n: low for n in range(200)}
-    parts = {(name, n): 1.0 / len(hosts[name]) for name in moving for n in hosts[name]}
+    buckets, held = {name: LimitBucket(low, 0.0) for name in hosts}, {n: low for n in range(200)}
+    shares = {(name, n): 1.0 / len(hosts[name]) for name in moving for n in hosts[name]}
     due, order = [], count()
 
-    def at(when: float, n: int, what: object) -> None:
-        heappush(due, (when, next(order), n, what))
+    def at(when: float, n: int, entry: object) -> None:
+        heappush(due, (when, next(order), n, entry))
 
     for second in range(20):
         for name, through in hosts.items():
@@ -277,53 +277,53 @@
         at(13.0 + draw.random(), n, low)
     at(7.0, 0, ("platform", high, 0.0))
     at(14.0, 0, ("platform", low, 0.0))
-    asked, tries, counted = {}, {}, set()
+    charges, attempt_numbers, counted = {}, {}, set()
     while due:
-        now, _, n, what = heappop(due)
+        now, _, n, entry = heappop(due)
         events: list[Event] = []
-        if what == "timer":
+        if entry == "timer":
             if rigs[n].timer is None or rigs[n].timer > now:
                 continue
             rigs[n].timer, events = None, [TimerFired(0)]
-        elif isinstance(what, Plan):
-            held[n] = what
+        elif isinstance(entry, Plan):
+            held[n] = entry
             events = [
-                PlanChanged(what),
+                PlanChanged(entry),
                 *(
-                    PlanChanged(what, name, limit_share=part)
-                    for (name, where), part in parts.items()
+                    PlanChanged(entry, name, limit_share=share)
+                    for (name, where), share in shares.items()
                     if where == n
                 ),
             ]
-        elif isinstance(what, tuple) and what[0] == "platform":
-            for store in stores.values():
-                store.change(now, what[1])
-        elif isinstance(what, tuple):  # one host's share shrinks first, and another's grows by as much later
-            _, name, freed = what
+        elif isinstance(entry, tuple) and entry[0] == "platform":
+            for bucket in buckets.values():
+                bucket.change(now, entry[1])
+        elif isinstance(entry, tuple):  # one host's share shrinks first, and another's grows by as much later
+            _, name, freed = entry
             if not freed:
                 n = draw.choice(hosts[name])
-                freed = 0.7 * parts[name, n]
+                freed = 0.7 * shares[name, n]
                 at(now + 0.3 * draw.random(), draw.choice(hosts[name]), ("move", name, freed))
                 freed = -freed
-            parts[name, n] += freed
-            events = [PlanChanged(held[n], name, limit_share=parts[name, n])]
-        elif isinstance(what, AttemptEnded):
-            events = [what]
+            shares[name, n] += freed
+            events = [PlanChanged(held[n], name, limit_share=shares[name, n])]
+        elif isinstance(entry, AttemptEnded):
+            events = [entry]
         else:
             events = [
                 rigs[n].request(
                     request=f"q{next(order)}",
                     plan="p",
-                    volume=what,
+                    volume=entry,
                     shard=None,
-                    volume_hosts=len(hosts[what]),
+                    volume_hosts=len(hosts[entry]),
                     units=draw.randint(1, 4),
                 )
             ]
-            asked[events[0].request] = (what, events[0].units)
+            charges[events[0].request] = (entry, events[0].units)
         rigs[n].now = now
         for send in of(rigs[n].step(*events), Send):
-            number = tries[send.request] = tries.get(send.request, -1) + 1
+            number = attempt_numbers[send.request] = attempt_numbers.get(send.request, -1) + 1
             outcome, after = draw.choices(
                 [
                     (Outcome.OK, 0.05),
@@ -335,12 +335,12 @@
             )[0]
             if outcome is not Outcome.NO_CONNECTION and send.request not in counted:
                 counted.add(send.request)
-                stores[asked[send.request][0]].take(now, asked[send.request][1])
+                buckets[charges[send.request][0]].take(now, charges[send.request][1])
             at(now + after, n, rigs[n].ended(send, outcome, number, after))
         if rigs[n].timer is not None:
             at(rigs[n].timer, n, "timer")
     assert len(counted) > 3000
-    return list(stores.values())
+    return list(buckets.values())
 
 
 LOW_PLAN = Plan("p", limit=12, limit_burst=48, limit_slack=8, price=0.8)
@@ -348,12 +348,12 @@
 
 
 def test_a_limit_holds_across_200_hosts_while_plans_and_shares_change():
-    assert min(store.lowest_level for store in fleet(HIGH_PLAN, LOW_PLAN)) >= -LOW_PLAN.limit_slack
+    assert min(bucket.lowest_level for bucket in fleet(HIGH_PLAN, LOW_PLAN)) >= -LOW_PLAN.limit_slack
 
 
 def lowest_level_while_share_moves() -> float:
     """The lowest bucket level while a limit share moves between two hosts that use all they may."""
-    rigs, store = [Rig(nodes=16, hosts=2), Rig(nodes=16, hosts=2)], LimitBucket(BASIC, 100.0)
+    rigs, bucket = [Rig(nodes=16, hosts=2), Rig(nodes=16, hosts=2)], LimitBucket(BASIC, 100.0)
     for rig in rigs:
         rig.step(PlanChanged(BASIC, "b", limit_share=0.5), rig.request(plan="basic", volume="b"))
         rig.wait(5.0)
@@ -364,11 +364,11 @@
             for shard in range(32):
                 request = rig.request(plan="basic", volume="b", units=1, shard=shard % 16)
                 for send in of(rig.step(request), Send):
-                    store.take(rig.now, 1)
+                    bucket.take(rig.now, 1)
                     rig.step(rig.ended(send, latency=0.01))
         for rig in rigs:
             rig.wait(0.01)
-    return store.lowest_level
+    return bucket.lowest_level
 
 
 def test_a_limit_share_that_moves_to_and_fro_grants_nothing_twice():
@@ -396,7 +396,7 @@
 def test_without_the_carry_over_the_limit_of_a_fleet_breaks(monkeypatch):
     """The check can fail: each bucket counts as full at a change."""
     without_carry_over(monkeypatch, "full")
-    assert min(store.lowest_level for store in fleet(HIGH_PLAN, LOW_PLAN)) < -LOW_PLAN.limit_slack
+    assert min(bucket.lowest_level for bucket in fleet(HIGH_PLAN, LOW_PLAN)) < -LOW_PLAN.limit_slack
 
 
 @pytest.mark.parametrize("broken", ["full", "slack", "forgiven"])
--- a/tests/storage_gateway/scheduler/test_replayed_actions.py
+++ b/tests/storage_gateway/scheduler/test_replayed_actions.py
@@ -19,7 +19,7 @@
 def test_one_changed_event_changes_the_digest():
     """The check can fail: another size of one request changes the digest."""
     (settings, steps), digest = load(FILE.read_bytes())
-    at = next(n for n, (_, came) in enumerate(steps) if any(isinstance(e, RequestArrived) for e in came))
+    at = next(n for n, (_, events) in enumerate(steps) if any(isinstance(e, RequestArrived) for e in events))
     steps[at] = (
         steps[at][0],
         [
--- a/tests/storage_gateway/scheduler/test_slow_start.py
+++ b/tests/storage_gateway/scheduler/test_slow_start.py
@@ -94,19 +94,19 @@
         assert 0.4 * least < part < 4.0 * least, "it serves, far below its overload"
 
 
-@pytest.mark.parametrize("told", [True, False])
-def test_a_start_time_in_a_list_ends_the_trial_requests(told):
+@pytest.mark.parametrize("listed", [True, False])
+def test_a_start_time_in_a_list_ends_the_trial_requests(listed):
     """Each host otherwise avoids a restarted zone until a trial request of its own succeeds."""
     rig = Rig(now=1000.0, **(SLOW_START_SETTINGS | {"hosts": 40}))
     for _ in range(4):
         for send in of(rig.step(rig.request(plan="gold", units=1)), Send):
             rig.step(rig.ended(send, Outcome.NO_CONNECTION))
     assert rig.host.state.nodes["n0"].suspect
-    since = 999.9 if told else None
+    since = 999.9 if listed else None
     rig.step(
         DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, zone="a", started_at=since)])
     )
-    assert rig.host.state.nodes["n0"].suspect is not told
+    assert rig.host.state.nodes["n0"].suspect is not listed
 
 
 def test_retries_of_a_request_get_the_same_decision_at_a_warming_node():
--- a/tests/support/slow_start_fleet.py
+++ b/tests/support/slow_start_fleet.py
@@ -70,12 +70,12 @@
         """Units received while warming up, as a fraction of the capacity over the simulated time."""
         s = self.settings
         full = s.slow_start_units / (s.overload_multiple * s.slow_start_capacity * s.overload_window)
-        lasts = min(self.last_arrival_at - self.started_at, s.slow_start_time)
+        duration = min(self.last_arrival_at - self.started_at, s.slow_start_time)
         return (
             self.total_units
             / full
-            / lasts
-            / (s.slow_start_capacity + (1 - s.slow_start_capacity) * lasts / s.slow_start_time / 2)
+            / duration
+            / (s.slow_start_capacity + (1 - s.slow_start_capacity) * duration / s.slow_start_time / 2)
         )
 
     def add_arrival(self, now: float, units: int, informed: bool) -> None:
@@ -224,9 +224,9 @@
                     and self.step(number, TimerFired(0)),
                 )
             elif isinstance(action, Send):
-                self.sent(number, action)
+                self.start_attempt(number, action)
 
-    def sent(self, number: int, send: Send) -> None:
+    def start_attempt(self, number: int, send: Send) -> None:
         """Begin an attempt now, or after 1.5 s if its connection is late; its outcome follows."""
         draw, incarnation = self.draw, self.incarnations[number]
         attempt = self.attempt_numbers[number, send.request] = (
@@ -251,8 +251,10 @@
                 return
             if not self.instances[number].may_begin(self.now, send.request, attempt):
                 outcome = Outcome.NOT_SENT
-            elif outcome is not Outcome.NO_CONNECTION and (cold := self.warming_nodes.get(send.node)):
-                cold.add_arrival(self.now, units, self.informed_of[number].get(send.node) == cold.started_at)
+            elif outcome is not Outcome.NO_CONNECTION and (warming_node := self.warming_nodes.get(send.node)):
+                warming_node.add_arrival(
+                    self.now, units, self.informed_of[number].get(send.node) == warming_node.started_at
+                )
             self.schedule(self.now + draw.uniform(0.02, 0.3), ended)
 
         if delay:
@@ -295,8 +297,8 @@
     def start(self, name: str) -> None:
         """Start a node; each host learns of it at once, or up to 5 s late."""
         since = self.starts[name] = self.now
-        self.warming_nodes[name] = cold = WarmingNode(self.settings, since)
-        self.all_warming_nodes.append(cold)
+        self.warming_nodes[name] = warming_node = WarmingNode(self.settings, since)
+        self.all_warming_nodes.append(warming_node)
         for number in range(self.settings.hosts):
             late = self.draw.choice((0.0, 0.0, 0.0, 1.0, 5.0)) if self.late_updates else 0.0
             self.schedule(self.now + late, lambda number=number: self.inform(number, name, since))
@@ -346,19 +348,19 @@
         fleet = Fleet(seed + draws)
         nodes = fleet.run()
         warming_count += len(nodes)
-        worst.append((max((cold.worst_load for cold in nodes), default=0.0), seed + draws))
+        worst.append((max((warming_node.worst_load for warming_node in nodes), default=0.0), seed + draws))
         used += [
-            cold.utilization()
-            for cold in nodes
-            if fleet.demand >= 1 and cold.last_arrival_at - cold.started_at > 2.0
+            warming_node.utilization()
+            for warming_node in nodes
+            if fleet.demand >= 1 and warming_node.last_arrival_at - warming_node.started_at > 2.0
         ]
-        if any(cold.collapsed for cold in nodes):
+        if any(warming_node.collapsed for warming_node in nodes):
             bad.append(seed + draws)
         draws += 1
-    print(f"{draws} draws, {warming_count} cold nodes; falls in {len(bad)} draws: {bad[:40]}")
+    print(f"{draws} draws, {warming_count} warming nodes; collapses in {len(bad)} draws: {bad[:40]}")
     used.sort()
     print(
-        "units, of those that a node could have done while cold:",
+        "utilization of warming nodes, deciles and mean:",
         [round(used[len(used) * part // 10], 2) for part in range(10)],
         round(sum(used) / len(used), 2),
     )
