--- a/mallowbeam/storage_gateway/scheduler/sending.py
+++ b/mallowbeam/storage_gateway/scheduler/sending.py
@@ -38,8 +38,8 @@
             self._retries.count_retry()
         else:
             self._charge_tier(request, node)
-        # The limit counts them at the last byte: until then these units lower the bucket's maximum, and they
-        # are refunded if the attempt is not sent.
+        # The limit counts an attempt's units at the last byte: until then they lower the bucket's maximum,
+        # and they are refunded if the attempt is not sent.
         is_uploading = self._state.settings.limit_at_arrival and not request.charged
         self._start(request, node, request.units if is_uploading else 0)
         return True
--- a/tests/support/write_compatibility_samples.py
+++ b/tests/support/write_compatibility_samples.py
@@ -924,7 +924,7 @@
     facade.planned(10.6, dataclasses.replace(config.settings.plans["silver"], limit=12.0, weight=2.0))
     facade.planned(10.7, dataclasses.replace(config.settings.plans["bronze"], limit=7.0), "vol-1", 1, 0.5)
     for number, volume in enumerate(("vol-1", "vol-2")):
-        facade.request_arrived(
+        facade.pick(
             11.0,
             f"{number:016x}",
             shard=0,
