--- a/mallowbeam/scheduling/cycles.py
+++ b/mallowbeam/scheduling/cycles.py
@@ -1,9 +1,9 @@
-"""The cycle mechanism: a node's time is cut into cycles of m slots, and each unit of work takes a slot.
+"""The cycle mechanism: a node's time is divided into cycles of m slots, and each unit of work takes a slot.
 
 After Wu and Shu, "Optimal Scheduling for Parallel CBR Video Servers": m is the floor of cycle length over
-slot time, and what finds its cycle full is delayed to the nearest later one with enough free slots.  Here the
-work of a request sits on one node, so all of its units are booked there; one with more units than m spans
-cycles.  A booking that is released leaves a gap, which the next request fills.
+slot time, and a request whose cycle is full is delayed to the next cycle with enough free slots.  Here all
+units of a request are booked at one node; a request with more units than m spans cycles.  A released booking
+leaves free slots, which later requests fill.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from mallowbeam.scheduling.slots import slots_per_cycle as slots_per_cycle
 
 HORIZON_CYCLES = 256
-"""How many cycles ahead a node may be booked; what would need more is not placed."""
+"""How many cycles ahead a node may be booked; a request that needs more is not placed."""
 MIN_CYCLE_S = 0.01
 """The shortest cycle, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a booking would go: its slots by cycle, and when they start and end (steady seconds)."""
+    """The slots that a booking would get, and when they start and end (seconds of a monotonic clock)."""
 
     slots_by_cycle: tuple[tuple[int, int], ...]
-    """Pairs of a cycle's number and the slots taken in it, earliest first."""
+    """Pairs of a cycle's number and the count of slots in it, earliest first."""
     starts_at: float
     ends_at: float
 
@@ -44,109 +44,111 @@
 
 
 class CycleBook:
-    """The cycles of one node, as one gateway has booked them.
+    """The cycles of one node, with the bookings of one gateway.
 
-    A cycle is as long as `cycle_s`, or as 32 slots where those take less, so that the bound on m is no bound
-    on the rate of a fast node.  The first begins when something is booked, and each next one at its end.
+    A cycle lasts `cycle_s`, or 32 slots if those take less time, so that the maximum of m does not bound the
+    rate of a fast node.  The first cycle begins with a booking, and each further one where the previous ends.
     """
 
-    __slots__ = ("cycle_s", "slot_s", "first", "cycles", "bookings")
+    __slots__ = ("cycle_s", "slot_s", "first_number", "cycles", "bookings")
 
     def __init__(self, cycle_s: float) -> None:
-        """Start empty; a cycle lasts `cycle_s` seconds at most."""
+        """Start without bookings; a cycle lasts at most `cycle_s` seconds."""
         if cycle_s <= 0:
             raise ValueError("a cycle's length must be above 0")
         self.cycle_s = self.slot_s = cycle_s
-        self.first = 0  # number of `cycles[0]`
+        self.first_number = 0  # number of `cycles[0]`
         self.cycles: deque[_Cycle] = deque()
         self.bookings: dict[int, Placement] = {}
 
     @property
     def slots(self) -> int:
-        """The m of a cycle that would begin now."""
+        """The number of slots (m) of a cycle that would begin now."""
         return slots_per_cycle(self._length(), self.slot_s)
 
-    def measure(self, slot_s: float) -> None:
-        """Size cycles by this slot time from now on, those ahead too."""
+    def set_slot_time(self, slot_s: float) -> None:
+        """Set the slot time in seconds; it also applies to cycles that already hold bookings."""
         self.slot_s = slot_s
 
     def advance(self, now: float) -> None:
-        """Forget the cycles that have ended by `now`."""
+        """Drop the cycles that have ended by `now`."""
         while self.cycles and self.cycles[0].end <= now:
             self.cycles.popleft()
-            self.first += 1
+            self.first_number += 1
 
     def place(self, units: int, now: float) -> Placement | None:
-        """The earliest cycle with slots for `units`, or the cycles they span where m is less; None beyond."""
+        """The earliest cycle with slots for `units`, or the cycles they span if m is less; None if full."""
         self.advance(now)
         units = max(1, units)
-        taken = self._one_cycle(units, now) if units <= self.slots else self._span(units, now)
-        return self._placement(taken, now) if taken else None
+        slots_by_cycle = (
+            self._within_one_cycle(units, now) if units <= self.slots else self._spanning_cycles(units, now)
+        )
+        return self._placement(slots_by_cycle, now) if slots_by_cycle else None
 
     def place_now(self, units: int, now: float) -> Placement:
-        """The present cycle, whatever it holds: for an idle node."""
+        """The current cycle, even if it is full: for an idle node."""
         self.advance(now)
         self._cycle(0, now)
-        return Placement(((self.first, max(1, units)),), now, now + max(1, units) * self.slot_s)
+        return Placement(((self.first_number, max(1, units)),), now, now + max(1, units) * self.slot_s)
 
     def book(self, booking: int, placement: Placement) -> None:
-        """Take the slots of a placement under a booking's number."""
+        """Take the slots of a placement for a booking's number."""
         self.release(booking)
         for number, count in placement.slots_by_cycle:
-            self._change(number, count)
+            self._add_used(number, count)
         self.bookings[booking] = placement
 
     def release(self, booking: int) -> None:
-        """Release a booking's slots; those of cycles that have passed are of no use any more."""
+        """Free a booking's slots in the cycles that have not passed."""
         placement = self.bookings.pop(booking, None)
         if placement is None:
             return
         for number, count in placement.slots_by_cycle:
-            self._change(number, -count)
+            self._add_used(number, -count)
 
     def forget(self, booking: int) -> None:
-        """End a booking whose work was done: its slots stay taken until their cycles pass."""
+        """End a booking whose work is done: its slots stay taken until their cycles have passed."""
         self.bookings.pop(booking, None)
 
-    def free_slots(self, ahead: int, now: float) -> int:
-        """Free slots of the cycle so many after the present one."""
-        cycle = self._cycle(ahead, now)
+    def free_slots(self, cycles_ahead: int, now: float) -> int:
+        """Free slots of the cycle that follows the current one by `cycles_ahead`."""
+        cycle = self._cycle(cycles_ahead, now)
         return max(0, slots_per_cycle(cycle.length, self.slot_s) - cycle.used)
 
     def _length(self) -> float:
         return max(MIN_CYCLE_S, min(self.cycle_s, MAX_SLOTS * self.slot_s))
 
-    def _cycle(self, ahead: int, now: float) -> _Cycle:
-        while len(self.cycles) <= ahead:
+    def _cycle(self, cycles_ahead: int, now: float) -> _Cycle:
+        while len(self.cycles) <= cycles_ahead:
             start = self.cycles[-1].end if self.cycles else now
             self.cycles.append(_Cycle(start, self._length()))
-        return self.cycles[ahead]
+        return self.cycles[cycles_ahead]
 
-    def _one_cycle(self, units: int, now: float) -> tuple[tuple[int, int], ...]:
-        for ahead in range(HORIZON_CYCLES):
-            if self.free_slots(ahead, now) >= units:
-                return ((self.first + ahead, units),)
+    def _within_one_cycle(self, units: int, now: float) -> tuple[tuple[int, int], ...]:
+        for cycles_ahead in range(HORIZON_CYCLES):
+            if self.free_slots(cycles_ahead, now) >= units:
+                return ((self.first_number + cycles_ahead, units),)
         return ()
 
-    def _span(self, units: int, now: float) -> tuple[tuple[int, int], ...]:
-        taken: list[tuple[int, int]] = []
+    def _spanning_cycles(self, units: int, now: float) -> tuple[tuple[int, int], ...]:
+        slots_by_cycle: list[tuple[int, int]] = []
         left = units
-        for ahead in range(HORIZON_CYCLES):
-            count = min(left, self.free_slots(ahead, now))
+        for cycles_ahead in range(HORIZON_CYCLES):
+            count = min(left, self.free_slots(cycles_ahead, now))
             if count:
-                taken.append((self.first + ahead, count))
+                slots_by_cycle.append((self.first_number + cycles_ahead, count))
                 left -= count
             if not left:
-                return tuple(taken)
+                return tuple(slots_by_cycle)
         return ()
 
-    def _placement(self, taken: tuple[tuple[int, int], ...], now: float) -> Placement:
-        starts_at = max(now, self.cycles[taken[0][0] - self.first].start)
-        last, count = self.cycles[taken[-1][0] - self.first], taken[-1][1]
+    def _placement(self, slots_by_cycle: tuple[tuple[int, int], ...], now: float) -> Placement:
+        starts_at = max(now, self.cycles[slots_by_cycle[0][0] - self.first_number].start)
+        last, count = self.cycles[slots_by_cycle[-1][0] - self.first_number], slots_by_cycle[-1][1]
         ends_at = max(last.start + (last.used + count) * self.slot_s, now + count * self.slot_s)
-        return Placement(taken, starts_at, ends_at)
+        return Placement(slots_by_cycle, starts_at, ends_at)
 
-    def _change(self, number: int, count: int) -> None:
-        index = number - self.first
+    def _add_used(self, number: int, count: int) -> None:
+        index = number - self.first_number
         if 0 <= index < len(self.cycles):
             self.cycles[index].used = max(0, self.cycles[index].used + count)
--- a/tests/storage_gateway/scheduler/test_deployments.py
+++ b/tests/storage_gateway/scheduler/test_deployments.py
@@ -1,8 +1,8 @@
-"""Both kinds of deployment, each with settings of its shape, kept to the rules by many module instances.
+"""Many scheduler instances keep the rules in both kinds of deployment.
 
-`example/config.json` is shaped like the first deployment (one host, probes, Retry-After, four tries);
-`example/records.json` like the second (four hosts, pushed lists, no Retry-After, three tries, a limited plan
-whose volumes come through several hosts).  A checker reads the history of a day and names each broken rule.
+`example/config.json` resembles the first deployment (one host, probes, Retry-After, four attempts);
+`example/records.json` the second (four hosts, pushed lists, no Retry-After, three attempts, a limited plan
+whose volumes are used through several hosts).  A checker follows a simulated run and names each broken rule.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 import pytest
 from scenario import EXAMPLE
-from scheduler_rig import Store
+from scheduler_rig import LimitBucket
 
 from mallowbeam.storage_gateway.scheduler import Scheduler
 from mallowbeam.storage_gateway.scheduler.attempts import MAY_STILL_RUN
@@ -40,39 +40,40 @@
 )
 from mallowbeam.storage_gateway.server.config import read_config
 
-SPARE = 1.3  # a usual node bears this many times what every node bears cold
+TYPICAL_CAPACITY_FACTOR = 1.3  # a typical node sustains this many times the guaranteed units while warming up
 MAY_HAVE_RUN = (*MAY_STILL_RUN, Outcome.ERROR)
 
 
-def shaped(name: str) -> Settings:
+def example_settings(name: str) -> Settings:
     """The settings of an example configuration, as the gateway reads them."""
     return read_config({"BALANCER_CONFIG": str(EXAMPLE / name)}).settings
 
 
 class Checker:
-    """The rules over a recorded history: what each request got, where and when it was sent."""
+    """Checks the rules over a run: each request's attempts, their nodes and times, and its final answer."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings, self.broken = settings, []
-        self.finals: dict[str, int] = {}
-        self.out: dict[str, int] = {}  # attempts out, by request
+        self.answers: dict[str, int] = {}
+        self.in_flight: dict[str, int] = {}  # attempts in flight, by request
         self.sends: dict[str, list[tuple[float, str]]] = {}
         self.ran: dict[str, bool] = {}  # whether an attempt may have run
-        self.draining: dict[tuple[int, str], float] = {}  # when each host was told that a node drains
-        self.stores: dict[str, Store] = {}
+        self.draining: dict[tuple[int, str], float] = {}  # when each host learned that a node drains
+        self.buckets: dict[str, LimitBucket] = {}
         self.counted: set[str] = set()
-        self.cold: dict[str, tuple[float, deque[tuple[float, int]]]] = {}  # by node: its start, units of late
+        # By node: its start, and its recent units.
+        self.started: dict[str, tuple[float, deque[tuple[float, int]]]] = {}
 
     def arrived(self, event: RequestArrived) -> None:
-        self.finals[event.request], self.out[event.request], self.sends[event.request] = 0, 0, []
+        self.answers[event.request], self.in_flight[event.request], self.sends[event.request] = 0, 0, []
 
     def drains(self, host: int, node: str, now: float) -> None:
         self.draining.setdefault((host, node), now)
 
     def sent(self, now: float, cls: RequestClass, request: str, node: str, host: int = 0) -> None:
-        if self.out[request]:
+        if self.in_flight[request]:
             self.broken.append(f"{request}: a second attempt while one is out")
-        if self.finals[request]:
+        if self.answers[request]:
             self.broken.append(f"{request}: sent after its final answer")
         if now > self.draining.get((host, node), now) + self.settings.drain_grace:
             self.broken.append(f"{request}: new work for {node} after it was told to drain")
@@ -86,56 +87,57 @@
             and (now - self.sends[request][0][0] > cls.dedup_window or self.sends[request][0][1] != node)
         ):
             self.broken.append(f"{request}: a keyed repeat outside its node's window")
-        self.out[request] += 1
+        self.in_flight[request] += 1
         self.sends[request].append((now, node))
 
     def reached(self, now: float, plan: Plan, volume: str, request: str, units: int) -> None:
-        """The platform's one store of a volume: units go at the first attempt that reached a node."""
+        """Charge the platform's bucket of a volume at the first attempt that reached a node."""
         if not plan.limit or request in self.counted:
             return
         self.counted.add(request)
-        store = self.stores.setdefault(volume, Store(plan, now))
-        store.take(now, units)
-        if store.level < -max(plan.limit_slack, 0.1 * plan.limit_burst, self.settings.max_units):
-            self.broken.append(f"{volume}: over its limit by {-store.level:.1f} units")
+        bucket = self.buckets.setdefault(volume, LimitBucket(plan, now))
+        bucket.take(now, units)
+        if bucket.level < -max(plan.limit_slack, 0.1 * plan.limit_burst, self.settings.max_units):
+            self.broken.append(f"{volume}: over its limit by {-bucket.level:.1f} units")
 
     def starts(self, node: str, now: float) -> None:
-        self.cold[node] = (now, deque())
+        self.started[node] = (now, deque())
 
     def worked(self, now: float, node: str, units: int) -> None:
-        """All hosts' units at a node that has just started, against what it can do at that moment."""
+        """Check all hosts' units at a node that is warming up against its current capacity."""
         s = self.settings
-        if node not in self.cold or not 0 <= now - self.cold[node][0] < s.slow_start_time:
+        if node not in self.started or not 0 <= now - self.started[node][0] < s.slow_start_time:
             return
-        since, units_of_late = self.cold[node]
-        units_of_late.append((now, units))
-        while units_of_late[0][0] <= now - s.overload_window:
-            units_of_late.popleft()
-        part = s.slow_start_capacity + (1.0 - s.slow_start_capacity) * (now - since) / s.slow_start_time
+        since, recent_units = self.started[node]
+        recent_units.append((now, units))
+        while recent_units[0][0] <= now - s.overload_window:
+            recent_units.popleft()
+        capacity = s.slow_start_capacity + (1.0 - s.slow_start_capacity) * (now - since) / s.slow_start_time
         if (
-            sent := sum(n for _, n in units_of_late)
-        ) > SPARE * s.slow_start_units * part / s.slow_start_capacity:
+            sent := sum(n for _, n in recent_units)
+        ) > TYPICAL_CAPACITY_FACTOR * s.slow_start_units * capacity / s.slow_start_capacity:
             self.broken.append(f"{node}: pushed over cold by {sent} units")
 
     def ended(self, request: str, outcome: Outcome) -> None:
-        self.out[request] -= 1
+        self.in_flight[request] -= 1
         self.ran[request] = self.ran.get(request, False) or outcome in MAY_HAVE_RUN
         if outcome is Outcome.OK:
             self.answered(request)
 
     def answered(self, request: str) -> None:
-        self.finals[request] += 1
-        if self.finals[request] > 1:
+        self.answers[request] += 1
+        if self.answers[request] > 1:
             self.broken.append(f"{request}: a second final answer")
 
     def close(self) -> list[str]:
-        return self.broken + [f"{r}: no final answer" for r, n in self.finals.items() if n == 0]
+        return self.broken + [f"{r}: no final answer" for r, n in self.answers.items() if n == 0]
 
 
-def day(settings: Settings, seed: int, checker: Checker, hosts: int = 4, nodes: int = 10) -> int:
-    """A day of 20 s at `hosts` instances; returns the requests taken.
+def simulate(settings: Settings, seed: int, checker: Checker, hosts: int = 4, nodes: int = 10) -> int:
+    """Simulate 20 s with `hosts` instances; returns the number of requests.
 
-    One node drains at 5 s; one is gone at 7 s and back, cold, at 8 s, with a double part of the traffic.
+    One node drains at 5 s.  Another is removed at 7 s and returns, warming up, at 8 s, with twice the
+    traffic.
     """
     draw = random.Random(seed)
     entries = [NodeEntry(f"n{i}", shard=i, zone=str(i % 3)) for i in range(nodes)]
@@ -153,14 +155,14 @@
         draining = [replace(entries[3], state=NodeState.DRAINING)]
         gone = [replace(entries[6], state=NodeState.REMOVED)]
         back = [replace(entries[6], started_at=8.0)]
-        for told, changed in ((5.0, draining), (7.0, gone), (8.0, back)):
+        for at, changed in ((5.0, draining), (7.0, gone), (8.0, back)):
             heappush(
                 due,
                 (
-                    told + 0.9 * draw.random(),
+                    at + 0.9 * draw.random(),
                     next(order),
                     n,
-                    DiscoveryUpdate(DiscoveryUpdateKind.DELTA, int(told), changed),
+                    DiscoveryUpdate(DiscoveryUpdateKind.DELTA, int(at), changed),
                 ),
             )
     checker.starts("n6", 8.0)
@@ -168,35 +170,35 @@
         for name, (_, through) in volumes.items():
             for _ in range(draw.choice((0, 2, 5, 20))):
                 heappush(due, (0.1 + second + draw.random(), next(order), draw.choice(through), name))
-    asked: dict[str, RequestArrived] = {}
+    requests: dict[str, RequestArrived] = {}
     while due:
-        now, _, n, what = heappop(due)
-        if what == "timer":
+        now, _, n, entry = heappop(due)
+        if entry == "timer":
             if timers[n] is None or timers[n] > now:
                 continue
             timers[n], event = None, TimerFired(0)
-        elif isinstance(what, tuple):
-            event = what[1]
+        elif isinstance(entry, tuple):
+            event = entry[1]
             checker.ended(event.request, event.outcome)
-        elif isinstance(what, Event):
-            event = what
+        elif isinstance(entry, Event):
+            event = entry
             if isinstance(event, DiscoveryUpdate) and event.entries[0].state is NodeState.DRAINING:
                 checker.drains(n, event.entries[0].node, now)
         else:
-            plan, through = volumes[str(what)]
+            plan, through = volumes[str(entry)]
             cls = draw.choice(classes)
             event = RequestArrived(
                 request=f"q{next(order)}",
                 request_class=cls.name,
                 shard=draw.choice((*range(nodes), *[6] * 1)),
                 units=draw.randint(1, 8),
-                volume=str(what),
+                volume=str(entry),
                 plan=plan.name,
                 volume_hosts=len(through),
                 key=f"{draw.getrandbits(64):016x}",
                 expires_in=cls.deadline,
             )
-            asked[event.request] = event
+            requests[event.request] = event
             checker.arrived(event)
         for action in rigs[n].step(now, [event]):
             if isinstance(action, SetTimer):
@@ -204,7 +206,7 @@
             elif isinstance(action, Reject | Fail):
                 checker.answered(action.request)
             elif isinstance(action, Send):
-                request = asked[action.request]
+                request = requests[action.request]
                 cls = settings.classes[request.request_class]
                 checker.sent(now, cls, action.request, action.node, n)
                 number = len(checker.sends[action.request]) - 1
@@ -229,31 +231,33 @@
                 heappush(due, (now + after, next(order), n, ("end", ended)))
         if timers[n] is not None:
             heappush(due, (timers[n], next(order), n, "timer"))
-    return len(asked)
+    return len(requests)
 
 
 @pytest.mark.parametrize("name", ["config.json", "records.json"])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_each_deployment_keeps_the_rules_across_its_hosts(name, seed):
-    settings = shaped(name)
+    settings = example_settings(name)
     checker = Checker(settings)
-    taken = day(settings, seed, checker)
+    taken = simulate(settings, seed, checker)
     assert taken > 1000
     assert checker.close() == []
-    assert len(checker.counted) > 100, "enough of a limited plan reached a node for the limit to be tried"
+    assert (
+        len(checker.counted) > 100
+    ), "enough requests of a limited plan reached a node to exercise the limit"
 
 
 def test_the_checker_names_each_broken_rule():
-    """A history with each rule broken once is caught: the checker can fail."""
-    settings = shaped("records.json")
+    """The checker can fail: it reports a run that breaks each rule once."""
+    settings = example_settings("records.json")
     fetch, store = settings.classes["fetch"], settings.classes["store"]
     checker = Checker(settings)
     for request in ("a", "b", "c", "d", "e"):
         checker.arrived(RequestArrived(request, "fetch", expires_in=2.0))
     checker.sent(0.0, fetch, "a", "n0")
-    checker.sent(0.0, fetch, "a", "n0")  # two at once
+    checker.sent(0.0, fetch, "a", "n0")  # two at a time
     checker.drains(0, "n1", 1.0)
-    checker.sent(1.3, fetch, "b", "n1")  # after the drain's grace
+    checker.sent(1.3, fetch, "b", "n1")  # after the drain grace period
     checker.sent(0.0, store, "c", "n2")
     checker.ended("c", Outcome.TIMEOUT)
     checker.sent(3.5, store, "c", "n2")  # a keyed repeat after its window
@@ -261,16 +265,16 @@
     checker.answered("d")  # twice
     plain = settings.plans["plain"]
     for i in range(40):
-        checker.reached(0.0, plain, "v", f"x{i}", 8)  # all at once, far over the store
+        checker.reached(0.0, plain, "v", f"x{i}", 8)  # all at once, far over the limit
     checker.starts("n3", 0.0)
     for i in range(20):
-        checker.worked(0.1 * i, "n3", 8)  # 160 units where some 80 tip it over
-    said = [line.split(": ")[1] for line in checker.close()]
-    assert said[:4] == [
+        checker.worked(0.1 * i, "n3", 8)  # 160 units where about 80 overload it
+    reported = [line.split(": ")[1] for line in checker.close()]
+    assert reported[:4] == [
         "a second attempt while one is out",
         "new work for n1 after it was told to drain",
         "a keyed repeat outside its node's window",
         "a second final answer",
     ]
-    assert "pushed over cold" in " ".join(said)
-    assert "over its limit" in said[4] and said.count("no final answer") == 4
+    assert "pushed over cold" in " ".join(reported)
+    assert "over its limit" in reported[4] and reported.count("no final answer") == 4
--- a/tests/support/scheduler_rig.py
+++ b/tests/support/scheduler_rig.py
@@ -1,4 +1,4 @@
-"""Small builders shared by the tests of the decision module, which is driven through its interface only."""
+"""Helpers for tests of the scheduler, which they drive through its interface only."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     Plan("basic", rate=2, reserve=0, weight=1, price=0.7, limit=20, limit_burst=32, limit_slack=8),
 ]
 
-COLD = {
+SLOW_START_SETTINGS = {
     "slow_start_units": 24.0,
     "slow_start_capacity": 0.2,
     "slow_start_time": 10.0,
@@ -59,7 +59,7 @@
 
 
 def make_settings(**changes) -> Settings:
-    """Settings of a small deployment; keyword arguments replace single ones."""
+    """Settings of a small deployment; keyword arguments replace fields."""
     base = {
         "seed": 7,
         "hosts": 1,
@@ -81,19 +81,19 @@
 
 
 class Rig:
-    """One scheduler, its clock, and what it did."""
+    """One scheduler with its clock and its pending timer."""
 
     def __init__(self, nodes: int = 1, now: float = 100.0, **changes) -> None:
         self.now = now
         self.settings = make_settings(**changes)
         self.host = Scheduler(self.settings, now)
-        self.count = 0
+        self.request_count = 0
         self.timer: float | None = None
         entries = [NodeEntry(f"n{i}", shard=i, zone="ab"[i % 2]) for i in range(nodes)]
-        self.first = self.step(DiscoveryUpdate(DiscoveryUpdateKind.CACHED, 1, entries))
+        self.initial_actions = self.step(DiscoveryUpdate(DiscoveryUpdateKind.CACHED, 1, entries))
 
     def step(self, *events: Event, after: float = 0.0) -> list[Action]:
-        """Advance the clock, hand over the events, and return the actions but for timers."""
+        """Advance the clock, pass the events, and return the actions other than timers."""
         self.now += after
         actions = self.host.step(self.now, list(events))
         timers = [a.at for a in actions if isinstance(a, SetTimer)]
@@ -104,26 +104,26 @@
         return [a for a in actions if not isinstance(a, SetTimer)]
 
     def wait(self, seconds: float) -> list[Action]:
-        """Let time pass, firing the timers that fall due."""
-        end, seen = self.now + seconds, []
+        """Advance the clock, firing the timers that become due."""
+        end, actions = self.now + seconds, []
         while self.timer is not None and self.timer <= end:
             self.now, self.timer = max(self.now, self.timer), None
-            seen += self.step(TimerFired(0))
+            actions += self.step(TimerFired(0))
         self.now = end
-        return seen
+        return actions
 
     def request(self, request_class: str = "read", **fields) -> RequestArrived:
-        """A request with an id of its own."""
-        self.count += 1
+        """A request with a new id."""
+        self.request_count += 1
         values = {
-            "request": f"r{self.count}",
+            "request": f"r{self.request_count}",
             "request_class": request_class,
             "shard": 0,
             "units": 2,
             "volume": "v",
             "plan": "gold",
             "volume_hosts": 1,
-            "key": f"{self.count:016x}",
+            "key": f"{self.request_count:016x}",
             "expires_in": self.settings.classes[request_class].deadline,
         }
         return RequestArrived(**(values | fields))
@@ -137,18 +137,18 @@
         )
 
 
-class Store:
-    """A volume's one store as the platform keeps it: it takes a request's units when a node first has it."""
+class LimitBucket:
+    """A volume's limit bucket at the platform: charged when a node first gets a request."""
 
     def __init__(self, plan: Plan, now: float) -> None:
-        self.plan, self.level, self.at, self.least = plan, plan.limit_burst, now, plan.limit_burst
+        self.plan, self.level, self.at, self.lowest_level = plan, plan.limit_burst, now, plan.limit_burst
 
     def take(self, now: float, units: int) -> None:
         self.level = min(self.plan.limit_burst, self.level + (now - self.at) * self.plan.limit) - units
-        self.at, self.least = now, min(self.least, self.level)
+        self.at, self.lowest_level = now, min(self.lowest_level, self.level)
 
     def change(self, now: float, plan: Plan) -> None:
-        """The platform puts the volume on another plan: nothing is filled up by that."""
+        """Put the volume on another plan; this does not refill the bucket."""
         self.take(now, 0)
         self.plan, self.level = plan, min(self.level, plan.limit_burst)
 
@@ -159,5 +159,5 @@
 
 
 def fill(rig: Rig, **fields) -> list[Send]:
-    """Requests until the node's room is taken; returns what went out."""
+    """Fill the node's window with requests; returns the attempts sent."""
     return of(rig.step(*[rig.request(**fields) for _ in range(12)]), Send)
