--- a/mallowbeam/router/__init__.py
+++ b/mallowbeam/router/__init__.py
@@ -1,6 +1,6 @@
-"""The router fleet: gateways before model servers, and the members that keep configuration and instances.
+"""The router fleet: gateways in front of model servers, and members that store configuration and instances.
 
-Roles: `control_plane` and `data_plane` join the cores and do the I/O; the others decide and open nothing.
-State: each package's own; `docs/architecture.md` has the table of owners.
+Roles: `control_plane` and `data_plane` connect the deciding cores to the network; the cores do no I/O.
+State: each package owns its own; `docs/architecture.md` lists the owners.
 Callers: `mallowbeam.__main__` starts a role; `cli` and `simulation` use the packages directly.
 """
--- a/mallowbeam/router/admission/messages.py
+++ b/mallowbeam/router/admission/messages.py
@@ -1,4 +1,4 @@
-"""Requests to the planner and its answers."""
+"""Requests to the planner and its decisions."""
 
 from __future__ import annotations
 
@@ -26,23 +26,23 @@
 
     request_id: str
     backend: str
-    """The service that its route leads to."""
+    """The service that the request is routed to."""
     engine: Engine | None
     """The service's engine as configured; None for a service that is no model server."""
     prompt_segments: tuple[PromptSegment, ...] = ()
     prompt_tokens: int = 0
     answer_tokens: int = 0
-    """The most that may be generated."""
+    """Upper bound of generated tokens."""
     priority: int = 0
     target_latency_s: float = 1.0
     time_left_s: float = 10.0
-    """Until the client's deadline or the route's time-out, whichever is first."""
+    """Until the client's deadline or the route's timeout, whichever is first."""
     zone: str = ""
     """The gateway's zone."""
     excluded: frozenset[str] = frozenset()
     """Instances that must not be chosen, such as those tried before."""
     resumed: bool = False
-    """It continues an answer that has begun: it is not rejected while any instance may serve it."""
+    """The request continues an answer that has begun: it is not rejected while any instance may serve it."""
     read_at: str = ""
     """Instance that still holds a valid KV cache handle of this prompt; empty where there is none."""
 
@@ -52,7 +52,7 @@
     """Estimates for the chosen candidate: times in seconds, loss as a fraction of the request's value."""
 
     wait_s: float = 0.0
-    """Until the prefiller turns to the prompt."""
+    """Queueing delay until the prefill instance starts on the prompt."""
     prefill_s: float = 0.0
     transfer_s: float = 0.0
     join_s: float = 0.0
@@ -70,14 +70,14 @@
     """Instance for a separate prefill; None where the decode instance prefills itself."""
     decode_instance: str
     start_in_s: float
-    """Seconds until it is to be sent; 0 is at once."""
+    """Seconds until the request is to be sent; 0 is at once."""
     units: int
-    """Slots that it occupies in its cycles."""
+    """Slots that the request occupies in its cycles."""
     expected_first_token_s: float
     engine_priority: int = 5
     """Priority in the engine's own queue, 0 (first) to 9: short prefills go before long ones."""
     transferred_priority: int = 0
-    """The same where the KV cache is transferred: nothing is left to prefill, so it comes first."""
+    """Priority at the decode instance after a KV cache transfer: first, as nothing is left to prefill."""
     uncached_tokens: int = 0
     """Prompt tokens that are expected to miss the prefix cache of the prefill instance."""
     candidates: int = 0
@@ -93,7 +93,7 @@
     NO_CYCLE = "no_cycle"
     """No cycle completes it before its deadline."""
     OVERLOAD = "overload"
-    """Requests wait too long at every instance that was weighed."""
+    """Requests wait too long at every candidate instance."""
     NO_CAPACITY = "no_room"
     """This gateway's own requests occupy all slots or the memory of the instances."""
     TOO_LARGE = "too_large"
@@ -112,10 +112,10 @@
     """How a booking ended."""
 
     COMPLETED = "completed"
-    """The complete answer came."""
+    """The complete answer was received."""
     REJECTED = "rejected"
-    """The instance answered that it did not execute it."""
+    """The instance answered that it did not execute the request."""
     FAILED = "failed"
-    """The exchange failed or timed out."""
+    """The exchange with the instance failed or timed out."""
     CANCELLED = "cancelled"
-    """The client cancelled it, or it was never sent."""
+    """The client cancelled the request, or it was never sent."""
--- a/mallowbeam/router/admission/planner.py
+++ b/mallowbeam/router/admission/planner.py
@@ -30,21 +30,31 @@
 from mallowbeam.router.pairing.prompt import Prompt
 from mallowbeam.scheduling.cycles import Placement
 
-READY, ENDED = 0, 2  # of `messages.InstanceState`
-PRIORITY_STEPS = (0, 1, 2, 3, 4, 6, 8, 12, 16)  # the most units of each engine priority; the rest have 9
-MIDDLE_PRIORITY = 4
+READY, ENDED = 0, 2  # values of `messages.InstanceState`
+ENGINE_PRIORITY_MAX_UNITS = (
+    0,
+    1,
+    2,
+    3,
+    4,
+    6,
+    8,
+    12,
+    16,
+)  # largest prefill, in units, of engine priorities 0 to 8; larger ones get 9
+MIDDLE_ENGINE_PRIORITY = 4
 
 
 class BackendEntry(Protocol):
-    """A service as the operator's configuration names it."""
+    """A service of the operator's configuration."""
 
     @property
     def name(self) -> str:
-        """Its name."""
+        """Name of the service."""
 
     @property
     def engine(self) -> Engine | None:
-        """Its model server's figures, if it is one."""
+        """Parameters of its model server; None for a service that is no model server."""
 
 
 @dataclass(slots=True)
@@ -54,11 +64,11 @@
     request: PlanRequest
     candidate: Candidate
     units: int
-    ahead: int = 0
+    tokens_ahead: int = 0
     sent_at: float | None = None
     transferred_at: float | None = None
-    read: bool = False
-    first: bool = False
+    prefill_finished: bool = False
+    first_token_received: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +87,7 @@
 
 
 class Planner:
-    """Decides for each request of one gateway; owns its bookings and what it tracks of all instances."""
+    """Decides for each request of one gateway; owns its bookings and its view of all instances."""
 
     def __init__(self, settings: PlannerSettings, gateway: str = "") -> None:
         """The gateway's name salts the choices that should differ among gateways."""
@@ -86,7 +96,7 @@
         self.pairing = Pairing(settings.pairing, self.table, gateway)
         self.guard = OverloadGuard(settings, gateway)
         self.bookings: dict[int, _Booking] = {}
-        self._last = 0
+        self._last_booking = 0
 
     # ---------------------------------------------------------------- requests
 
@@ -94,8 +104,8 @@
         """Admit a request, with its instances and its cycle, or reject it."""
         prompt = self._prompt(request)
         if request.engine is not None:
-            need = request.prompt_tokens + request.answer_tokens
-            if 0 < request.engine.kv_capacity < need:
+            needed_tokens = request.prompt_tokens + request.answer_tokens
+            if 0 < request.engine.kv_capacity < needed_tokens:
                 return self._rejection(request, request.time_left_s, RejectionReason.TOO_LARGE)
             candidates = self.pairing.candidates(prompt, now)
         else:
@@ -112,14 +122,14 @@
             return
         prefiller = entry.candidate.prefiller
         entry.sent_at = now
-        entry.ahead = self._tokens_out(prefiller)
+        entry.tokens_ahead = self._tokens_in_flight(prefiller)
         prefiller.timer.sent(booking, entry.units, now)
 
     def prefill_done(self, booking: int, now: float) -> None:
         """The separate prefill is done; the request goes on to the decode instance."""
-        if not (entry := self.bookings.get(booking)) or entry.read or not entry.candidate.split:
+        if not (entry := self.bookings.get(booking)) or entry.prefill_finished or not entry.candidate.split:
             return
-        self._read_ended(booking, entry, now, measured=True)
+        self._end_prefill(booking, entry, now, measured=True)
         entry.transferred_at = now
 
     def hand_over_failed(self, booking: int, now: float) -> None:
@@ -127,39 +137,39 @@
         if not (entry := self.bookings.get(booking)) or entry.transferred_at is None:
             return
         entry.transferred_at = None
-        entry.candidate.prefiller.failures.add(1.0, now)
+        entry.candidate.prefiller.transfer_failures.add(1.0, now)
 
     def first_token(self, booking: int, now: float) -> None:
-        """The first token came (for a plain service: the head of the answer)."""
-        if not (entry := self.bookings.get(booking)) or entry.first:
+        """The first token was received (for a service without an engine: the head of the answer)."""
+        if not (entry := self.bookings.get(booking)) or entry.first_token_received:
             return
-        entry.first = True
+        entry.first_token_received = True
         candidate = entry.candidate
-        if not entry.read:  # a separate prefill was planned and did not happen
-            self._read_ended(booking, entry, now, measured=not candidate.split)
+        if not entry.prefill_finished:  # a separate prefill was planned but did not happen
+            self._end_prefill(booking, entry, now, measured=not candidate.split)
         if candidate.split and entry.transferred_at is not None:
             candidate.decoder.learn_join(
                 candidate.prefiller, now - entry.transferred_at, candidate.transfer_s, now
             )
         if entry.request.prompt_segments:
-            self._keep(entry, candidate.decoder)
+            self._record_cached(entry, candidate.decoder)
 
     def finished(self, booking: int, outcome: Outcome, now: float) -> None:
         """The request ended: release its slots and its memory."""
         if not (entry := self.bookings.pop(booking, None)):
             return
         candidate = entry.candidate
-        if not entry.read:
-            self._read_ended(
+        if not entry.prefill_finished:
+            self._end_prefill(
                 booking, entry, now, measured=outcome is Outcome.COMPLETED and not candidate.split
             )
-        self._free_places(entry)
+        self._release_slots(entry)
         if outcome is not Outcome.REJECTED:
             return
         if entry.transferred_at is not None:  # its KV cache could not be transferred
-            candidate.prefiller.failures.add(1.0, now)
+            candidate.prefiller.transfer_failures.add(1.0, now)
             return
-        instance = candidate.decoder if entry.read else candidate.prefiller
+        instance = candidate.decoder if entry.prefill_finished else candidate.prefiller
         instance.rejected_until = now + self.settings.pairing.rejected_s
 
     # ---------------------------------------------------------------- fleet state
@@ -167,7 +177,7 @@
     def instances_changed(
         self, instances: Iterable[InstanceEntry], now: float, complete: bool = False
     ) -> None:
-        """Instances were added, changed or removed; with `complete`, those not named are gone."""
+        """Instances were added, changed or removed; with `complete`, all others are removed."""
         named = set()
         for entry in instances:
             named.add(entry.id)
@@ -176,19 +186,19 @@
             else:
                 self.table.update(entry, entry.state == READY)
         if complete:
-            for gone in [known for known in self.table.instances if known not in named]:
-                self.table.remove(gone)
+            for removed_id in [known for known in self.table.instances if known not in named]:
+                self.table.remove(removed_id)
 
     def configuration_changed(self, backends: Iterable[BackendEntry], now: float) -> None:
-        """The operator's services, with their engines' figures; all that are configured."""
-        known = list(backends)
-        self.pairing.load.keep_only({backend.name for backend in known})
-        for backend in known:
+        """Apply the configured services; `backends` names all of them."""
+        configured = list(backends)
+        self.pairing.load.keep_only({backend.name for backend in configured})
+        for backend in configured:
             if backend.engine is not None:
                 self.table.set_capacity(backend.name, backend.engine.kv_capacity)
 
     def gateways_changed(self, count: int) -> None:
-        """How many gateways send to the same instances, this one included."""
+        """Set the number of gateways that send to the same instances, including this one."""
         self.pairing.load.gateways = max(1, count)
 
     def ejected(self, instance_ids: Iterable[str]) -> None:
@@ -217,41 +227,45 @@
         return min(self.settings.most_units, max(1, ceil(uncached_tokens / self.settings.tokens_per_unit)))
 
     def _choose(self, request: PlanRequest, candidates: list[Candidate], now: float) -> Plan | Rejection:
-        """Book the candidate of least loss; a delayed one may lose to one whose cycle begins sooner."""
-        need = request.prompt_tokens + request.answer_tokens
+        """Book the candidate of least loss, where a later start of its cycle adds to the loss."""
+        needed_tokens = request.prompt_tokens + request.answer_tokens
         open_candidates = [
             candidate
             for candidate in candidates
-            if candidate.decoder.has_capacity(need) or candidate.decoder.idle
+            if candidate.decoder.has_capacity(needed_tokens) or candidate.decoder.idle
         ]
-        limit, soonest = self._limit(request), float("inf")
+        limit_s, earliest_finish_s = self._first_token_limit_s(request), float("inf")
         best: _Offer | None = None
         for candidate in open_candidates:
             offer = self._offer(request, candidate, now)
             if offer is None or (best is not None and offer.loss >= best.loss):
                 continue
-            if offer.finish_s <= limit or request.resumed or not self._believed(candidate.prefiller, now):
+            if (
+                offer.finish_s <= limit_s
+                or request.resumed
+                or not self._may_reject_by_estimate(candidate.prefiller, now)
+            ):
                 best = offer
             else:
-                soonest = min(soonest, offer.finish_s)
+                earliest_finish_s = min(earliest_finish_s, offer.finish_s)
             if best is not None and best.start_in_s <= 0.0:
-                break  # candidates are sorted: those that follow lose more
+                break  # candidates are sorted by loss: the next ones are worse
         if best is not None:
-            return self._take(request, best, len(candidates), now)
-        over = soonest - limit if soonest < float("inf") else request.time_left_s
+            return self._book(request, best, len(candidates), now)
+        overshoot_s = earliest_finish_s - limit_s if earliest_finish_s < float("inf") else request.time_left_s
         return self._rejection(
-            request, over, RejectionReason.NO_CYCLE if open_candidates else RejectionReason.NO_CAPACITY
+            request, overshoot_s, RejectionReason.NO_CYCLE if open_candidates else RejectionReason.NO_CAPACITY
         )
 
     def _offer(self, request: PlanRequest, candidate: Candidate, now: float) -> _Offer | None:
-        """A candidate with its placement in the cycles of its prefill instance, if they have capacity."""
+        """Return a candidate with its placement in its prefill instance's cycles; None without capacity."""
         units = self.units(candidate.uncached_tokens)
         placement = self._placement(request, candidate.prefiller, units, now)
         if placement is None:
             return None
         start_in = max(0.0, placement.starts_at - now)
         expected = max(candidate.first_token_s, start_in + candidate.first_token_s - candidate.wait_s)
-        delay_loss = start_in / max(request.target_latency_s, 1e-3) * self.settings.delay_loss
+        start_delay_loss = start_in / max(request.target_latency_s, 1e-3) * self.settings.delay_loss
         return _Offer(
             candidate,
             units,
@@ -259,18 +273,18 @@
             start_in,
             expected,
             max(expected, placement.ends_at - now),
-            candidate.loss + delay_loss,
+            candidate.loss + start_delay_loss,
         )
 
     def _placement(
         self, request: PlanRequest, instance: TrackedInstance, units: int, now: float
     ) -> Placement | None:
-        """The placement of the units in the instance's cycles; an idle instance starts them at once."""
+        """Return the placement of units in the instance's cycles; an idle instance starts them at once."""
         instance.cycles.measure(instance.timer.slot_s(request.target_latency_s, now))
         return instance.cycles.place_now(units, now) if instance.idle else instance.cycles.place(units, now)
 
-    def _believed(self, instance: TrackedInstance, now: float) -> bool:
-        """Whether an estimate may reject: own work is there, and queueing was measured or is certain."""
+    def _may_reject_by_estimate(self, instance: TrackedInstance, now: float) -> bool:
+        """Whether the instance's estimate may reject: it is not idle, and queueing is measured or certain."""
         if instance.idle:
             return False
         return (
@@ -278,27 +292,27 @@
             or instance.timer.units_in_flight >= self.settings.measured_units
         )
 
-    def _limit(self, request: PlanRequest) -> float:
-        """Seconds within which the first token must arrive to be of use."""
+    def _first_token_limit_s(self, request: PlanRequest) -> float:
+        """Return the seconds within which the first token must arrive to be useful."""
         settings = self.settings
         if request.engine is None:
             return request.time_left_s
-        answer = request.answer_tokens * settings.answer_fraction * settings.answer_token_s
-        first_token_timeout = max(
+        answer_s = request.answer_tokens * settings.answer_fraction * settings.answer_token_s
+        first_token_timeout_s = max(
             settings.first_token_timeout_s, settings.first_token_timeout_targets * request.target_latency_s
         )
-        return min(request.time_left_s - answer, first_token_timeout)
+        return min(request.time_left_s - answer_s, first_token_timeout_s)
 
-    def _take(self, request: PlanRequest, offer: _Offer, candidates: int, now: float) -> Plan:
-        self._last += 1
-        booking, candidate = self._last, offer.candidate
+    def _book(self, request: PlanRequest, offer: _Offer, candidates: int, now: float) -> Plan:
+        self._last_booking += 1
+        booking, candidate = self._last_booking, offer.candidate
         candidate.prefiller.cycles.book(booking, offer.placement)
         candidate.prefiller.prefill_started(booking, candidate.uncached_tokens)
         entry = _Booking(request, candidate, offer.units)
         self.bookings[booking] = entry
-        self._take_places(entry, now)
+        self._occupy_slots(entry, now)
         if request.prompt_segments:
-            self._keep(entry, candidate.prefiller)
+            self._record_cached(entry, candidate.prefiller)
         prefill = candidate.prefiller.id if candidate.split else None
         return Plan(
             booking,
@@ -316,25 +330,29 @@
         )
 
     def _engine_priority(self, request: PlanRequest, units: int) -> int:
-        """Short prefills before long ones; some long ones get a middle priority, so that none starve."""
-        steps = bisect_left(PRIORITY_STEPS, units)
+        """Return the engine priority: short prefills first; some long ones in the middle, so none starve."""
+        steps = bisect_left(ENGINE_PRIORITY_MAX_UNITS, units)
         if units >= self.settings.long_units:
-            drawn = stable_hash("long " + request.request_id) / MASK
-            return MIDDLE_PRIORITY if drawn < self.settings.long_fraction else steps
+            draw = stable_hash("long " + request.request_id) / MASK
+            return MIDDLE_ENGINE_PRIORITY if draw < self.settings.long_fraction else steps
         return steps
 
-    def _rejection(self, request: PlanRequest, over_s: float, reason: RejectionReason) -> Rejection:
-        """Retry once the overshoot has passed, spread by a hash of the request id."""
+    def _rejection(self, request: PlanRequest, overshoot_s: float, reason: RejectionReason) -> Rejection:
+        """Reject with a retry after `overshoot_s` seconds, with jitter by a hash of the request id."""
         settings = self.settings
-        spread = 0.75 + 0.5 * stable_hash(request.request_id) / MASK
-        most = max(settings.least_retry_after_s, settings.retry_after_fraction * request.time_left_s)
-        return Rejection(min(most, max(settings.least_retry_after_s, over_s) * spread), reason)
+        jitter = 0.75 + 0.5 * stable_hash(request.request_id) / MASK
+        max_retry_after_s = max(
+            settings.least_retry_after_s, settings.retry_after_fraction * request.time_left_s
+        )
+        return Rejection(
+            min(max_retry_after_s, max(settings.least_retry_after_s, overshoot_s) * jitter), reason
+        )
 
     # ---------------------------------------------------------------- bookings
 
-    def _read_ended(self, booking: int, entry: _Booking, now: float, measured: bool) -> None:
-        """The prefill ended, or will not happen at this instance."""
-        entry.read = True
+    def _end_prefill(self, booking: int, entry: _Booking, now: float, measured: bool) -> None:
+        """Record that the prefill ended, or will not happen at this instance."""
+        entry.prefill_finished = True
         prefiller = entry.candidate.prefiller
         prefiller.prefill_ended(booking)
         if entry.sent_at is None:
@@ -343,42 +361,47 @@
         prefiller.cycles.forget(booking)
         latency = prefiller.timer.done(booking, now, measured)
         if latency is not None and entry.request.engine is not None and entry.candidate.uncached_tokens:
-            self._learn_read(entry, latency, measured, now)
+            self._learn_prefill(entry, latency, measured, now)
         if entry.candidate.split:
             prefiller.release_slot(entry.request.prompt_tokens)
 
-    def _learn_read(self, entry: _Booking, latency_s: float, measured: bool, now: float) -> None:
-        """Learn from a prefill that took this long, or was abandoned after it."""
+    def _learn_prefill(self, entry: _Booking, latency_s: float, measured: bool, now: float) -> None:
+        """Learn from a prefill that took `latency_s` seconds, or was abandoned after them."""
         candidate, model = entry.candidate, entry.candidate.prefiller.model
         if measured:
-            waited = model.learn(
-                candidate.known, candidate.unseen, entry.ahead, latency_s, self.pairing.cached_fraction, now
+            wait_s = model.learn(
+                candidate.known_misses,
+                candidate.unseen_tokens,
+                entry.tokens_ahead,
+                latency_s,
+                self.pairing.cached_fraction,
+                now,
             )
         else:
-            waited = model.learn_unread(candidate.uncached_tokens, latency_s, now)
-        self.guard.waited(entry.request.backend, candidate.uncached_tokens, waited, now)
+            wait_s = model.learn_abandoned(candidate.uncached_tokens, latency_s, now)
+        self.guard.record_wait(entry.request.backend, candidate.uncached_tokens, wait_s, now)
 
-    def _take_places(self, entry: _Booking, now: float) -> None:
+    def _occupy_slots(self, entry: _Booking, now: float) -> None:
         candidate, request = entry.candidate, entry.request
         candidate.decoder.occupy_slot(request.prompt_tokens + request.answer_tokens)
         self.pairing.load.stage(request.backend, candidate.decoder.stage, now).arrived(now)
         if candidate.split:
             candidate.prefiller.occupy_slot(request.prompt_tokens)
 
-    def _free_places(self, entry: _Booking) -> None:
+    def _release_slots(self, entry: _Booking) -> None:
         candidate = entry.candidate
-        need = entry.request.prompt_tokens + entry.request.answer_tokens
-        candidate.decoder.release_slot(need)
+        needed_tokens = entry.request.prompt_tokens + entry.request.answer_tokens
+        candidate.decoder.release_slot(needed_tokens)
         if candidate.split and entry.sent_at is None:
             candidate.prefiller.release_slot(entry.request.prompt_tokens)
 
     @staticmethod
-    def _tokens_out(instance: TrackedInstance) -> int:
+    def _tokens_in_flight(instance: TrackedInstance) -> int:
         return sum(instance.pending_prefills.get(booking, 0) for booking in instance.timer.in_flight)
 
-    def _keep(self, entry: _Booking, instance: TrackedInstance) -> None:
+    def _record_cached(self, entry: _Booking, instance: TrackedInstance) -> None:
         segments = entry.request.prompt_segments
         fraction = self.settings.pairing.own_segment_fraction * instance.prefix_cache.capacity
-        most = max(1, int(fraction / max(1, segments[-1].tokens)))
-        instance.prefix_cache.record_use(segments, min(self.pairing.load.gateways, most))
+        max_charges = max(1, int(fraction / max(1, segments[-1].tokens)))
+        instance.prefix_cache.record_use(segments, min(self.pairing.load.gateways, max_charges))
         self.pairing.remember(segments[-1].id, instance.id)
--- a/mallowbeam/router/admission/settings.py
+++ b/mallowbeam/router/admission/settings.py
@@ -1,4 +1,4 @@
-"""Settings of admission, each with its effect."""
+"""Settings of admission."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerSettings:
-    """Whether and when a request is sent."""
+    """Settings that decide whether and when a request is sent."""
 
     cycle_s: float = 0.5
     """The longest cycle, in seconds; m is the floor of a cycle over the instance's slot time."""
     tokens_per_unit: int = 1_024
     """Uncached prompt tokens that occupy one slot."""
     most_units: int = 24
-    """Upper bound of slots for one request, however long its prompt."""
+    """Upper bound of slots for one request."""
     delay_loss: float = 0.25
     """Loss, as a fraction of a request's value, for delaying it by one target latency."""
     long_units: int = 9
--- a/mallowbeam/router/pairing/__init__.py
+++ b/mallowbeam/router/pairing/__init__.py
@@ -1,5 +1,5 @@
-"""Pairing: which instance prefills a prompt and which one decodes, and how many instances each stage has.
+"""Pairing: chooses the instance that prefills a prompt, the one that decodes, and the size of each stage.
 
-State: per gateway, what it tracks of each instance (`InstanceTracker`); per leader, the balance of stages.
+State: per gateway, the tracked instances (`InstanceTracker`); per leader, the balance of stages.
 Callers: `admission.planner` for each request; `control_plane` for stage orders.
 """
--- a/mallowbeam/router/pairing/candidates.py
+++ b/mallowbeam/router/pairing/candidates.py
@@ -1,9 +1,10 @@
-"""The candidates for a request: pairs of instances with estimated first token and loss; the least loss wins.
+"""The candidates for a request: pairs of instances with their estimated time to first token and loss.
 
 A prompt is prefilled at a prefill instance and its KV cache is transferred to a decode instance, or a decode
 instance prefills it itself at a slower pace.  Cached segments are not prefilled again.  The prefill instance
-is found by rendezvous hashing on the deepest shared segment, so that all gateways choose the same one; the
-next ones in that order are chosen when its queue costs more than prefilling the shared segments again.
+is found by rendezvous hashing on the deepest shared segment, so that all gateways choose the same one, its
+home; the next ones in that order are chosen when the home's queue costs more than prefilling the shared
+segments again.  The candidate of least loss is chosen.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from mallowbeam.router.pairing.stages import DECODE, PREFILL
 
 BITS_PER_MBIT = 1e6
-OVERDUE = 3.0  # usual latencies after which a plain answer is overdue
+OVERDUE_FACTOR = 3.0  # multiple of the usual latency after which an answer without stages is overdue
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,10 +32,10 @@
 
     prefiller: TrackedInstance
     decoder: TrackedInstance
-    known: int
-    """Tokens that certainly miss the prefix cache."""
-    unseen: int
-    """Shared tokens that may be cached there, by other gateways' requests."""
+    known_misses: int
+    """Prompt tokens that certainly miss the prefix cache of the prefill instance."""
+    unseen_tokens: int
+    """Shared tokens not sent there by this gateway; other gateways' requests may have cached them."""
     uncached_tokens: int
     """Expected number of tokens to be prefilled."""
     wait_s: float
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Choices:
-    """The instances considered for a prompt, and the one that is its home by hashing."""
+    """The instances considered for a prompt, and its home instance by rendezvous hashing."""
 
     prefillers: list[TrackedInstance]
     decoders: list[TrackedInstance]
@@ -76,37 +77,37 @@
         self.load = FleetLoad()
         self.losses = Losses(settings, table, self.load)
         self.cached_fraction = CachedFraction(settings.unseen_cached_fraction)
-        self.sessions: dict[str, str] = {}  # last segment: the instance that has it
+        self.sessions: dict[str, str] = {}  # by id of a last segment: the instance that caches it
 
     def candidates(self, prompt: Prompt, now: float) -> list[Candidate]:
-        """The candidates that are weighed, least loss first; none where no instance is ready."""
-        found = self._choices(prompt)
+        """Return the candidates, least loss first; none if no instance is ready."""
+        choices = self._choices(prompt)
         if source := self.table.instances.get(prompt.read_at):
             return sorted(
-                (self._transferred(prompt, source, decoder, now) for decoder in found.decoders),
+                (self._transferred(prompt, source, decoder, now) for decoder in choices.decoders),
                 key=lambda candidate: candidate.loss,
             )
-        candidates = [self._direct(prompt, decoder, found.home, now) for decoder in found.decoders]
+        candidates = [self._direct(prompt, decoder, choices.home, now) for decoder in choices.decoders]
         candidates += [
-            self._split(prompt, prefiller, decoder, found.home, now)
-            for prefiller in found.prefillers
-            for decoder in found.decoders
+            self._split(prompt, prefiller, decoder, choices.home, now)
+            for prefiller in choices.prefillers
+            for decoder in choices.decoders
             if decoder.stage == DECODE
         ]
         return sorted(candidates, key=lambda candidate: candidate.loss)
 
     def plain_candidates(self, prompt: Prompt, now: float) -> list[Candidate]:
-        """The candidates of a request to a service whose instances have no stages, best first."""
+        """Return the candidates for a service whose instances have no stages, least loss first."""
         key = stable_hash(self.salt + prompt.request_id)
-        near = list(self.table.ranked(prompt.backend, "", prompt.zone, key, prompt.excluded))
-        names = {instance.id for instance in near}
-        far = [
+        same_zone = list(self.table.ranked(prompt.backend, "", prompt.zone, key, prompt.excluded))
+        names = {instance.id for instance in same_zone}
+        other_zones = [
             instance
             for instance in self.table.ranked(prompt.backend, "", "", key, prompt.excluded)
             if instance.id not in names
         ]
         return sorted(
-            (self._plain(prompt, instance, now) for instance in near + far),
+            (self._plain(prompt, instance, now) for instance in same_zone + other_zones),
             key=lambda candidate: candidate.loss,
         )
 
@@ -121,19 +122,19 @@
 
     def _choices(self, prompt: Prompt) -> _Choices:
         key, settings = stable_hash(prompt.affinity), self.settings
-        prefillers = self._first(prompt, PREFILL, "", key, settings.read_choices)
-        by_key = self._first(prompt, DECODE, "", key, settings.decode_choices)
+        prefillers = self._top_ranked(prompt, PREFILL, "", key, settings.read_choices)
+        by_key = self._top_ranked(prompt, DECODE, "", key, settings.decode_choices)
         home = self._home(prompt, key, prefillers[:1] + by_key[:1])
-        found = {instance.id: instance for instance in (*self._session(prompt), *by_key)}
-        drawn = stable_hash(self.salt + prompt.request_id)
+        choices = {instance.id: instance for instance in (*self._session_instances(prompt), *by_key)}
+        draw = stable_hash(self.salt + prompt.request_id)
         for zone in ("", *sorted({prefiller.zone for prefiller in prefillers})):
-            for instance in self._first(prompt, DECODE, zone, drawn, settings.spread_choices):
-                found[instance.id] = instance
-        decoders = list(found.values()) or self._any(prompt, key)
+            for instance in self._top_ranked(prompt, DECODE, zone, draw, settings.spread_choices):
+                choices[instance.id] = instance
+        decoders = list(choices.values()) or self._without_stage(prompt, key)
         return _Choices(prefillers, decoders, home or (decoders[0] if decoders else None))
 
     def _home(self, prompt: Prompt, key: int, firsts: Sequence[TrackedInstance]) -> TrackedInstance | None:
-        """The home of a key: the better ranked, by weight, of each stage's first instance."""
+        """Return the home of a key: the first instance of either stage, whichever has the higher score."""
         if not firsts:
             return None
         return max(
@@ -144,19 +145,24 @@
         weight = 1.0 if instance.stage == PREFILL else self.settings.decode_home_weight
         return weight * max(1.0, self.table.size(prompt.backend, instance.stage) / WINDOW)
 
-    def _session(self, prompt: Prompt) -> list[TrackedInstance]:
-        """The decode instance that caches the whole session, if it may be used."""
+    def _session_instances(self, prompt: Prompt) -> list[TrackedInstance]:
+        """Return the decode instance that caches the whole session, if it may be used."""
         name = self.sessions.get(prompt.segments[-1].id) if prompt.segments else None
         instance = self.table.instances.get(name) if name else None
         if instance is None or not instance.ready or instance.stage != DECODE:
             return []
         return [] if instance.id in prompt.excluded or instance.id in self.table.ejected else [instance]
 
-    def _any(self, prompt: Prompt, key: int) -> list[TrackedInstance]:
-        """Where none decodes: instances without a stage.  A prefill instance would reject the request."""
-        return self._first(prompt, "", "", key, self.settings.read_choices)
+    def _without_stage(self, prompt: Prompt, key: int) -> list[TrackedInstance]:
+        """Return instances without a stage, for services without decode instances.
 
-    def _first(self, prompt: Prompt, stage: str, zone: str, key: int, count: int) -> list[TrackedInstance]:
+        A prefill instance would reject the request.
+        """
+        return self._top_ranked(prompt, "", "", key, self.settings.read_choices)
+
+    def _top_ranked(
+        self, prompt: Prompt, stage: str, zone: str, key: int, count: int
+    ) -> list[TrackedInstance]:
         return list(islice(self.table.ranked(prompt.backend, stage, zone, key, prompt.excluded), count))
 
     # ---------------------------------------------------------------- estimates
@@ -164,15 +170,28 @@
     def _direct(
         self, prompt: Prompt, instance: TrackedInstance, home: TrackedInstance | None, now: float
     ) -> Candidate:
-        known, unseen, read = self._unread(prompt, instance, home)
-        losses, wait = self.losses, instance.wait_s(now)
-        reading = read * instance.model.token_s
-        prefill_s = self.settings.overhead_s + reading
-        join = losses.running(instance) * self.settings.running_s
-        loss = losses.late(wait + prefill_s + join, prompt) + losses.reread(prompt, instance, home)
-        loss += losses.interruption(instance, reading)
-        loss += losses.contention(instance) + losses.full(prompt, instance, now)
-        return Candidate(instance, instance, known, unseen, read, wait, prefill_s, 0.0, join, loss)
+        known_misses, unseen_tokens, uncached_tokens = self._cache_misses(prompt, instance, home)
+        losses, wait_s = self.losses, instance.wait_s(now)
+        compute_s = uncached_tokens * instance.model.token_s
+        prefill_s = self.settings.overhead_s + compute_s
+        join_s = losses.running_requests(instance) * self.settings.running_s
+        loss = losses.latency(wait_s + prefill_s + join_s, prompt) + losses.repeated_prefill(
+            prompt, instance, home
+        )
+        loss += losses.interruption(instance, compute_s)
+        loss += losses.contention(instance) + losses.missing_capacity(prompt, instance, now)
+        return Candidate(
+            instance,
+            instance,
+            known_misses,
+            unseen_tokens,
+            uncached_tokens,
+            wait_s,
+            prefill_s,
+            0.0,
+            join_s,
+            loss,
+        )
 
     def _split(
         self,
@@ -182,48 +201,63 @@
         home: TrackedInstance | None,
         now: float,
     ) -> Candidate:
-        known, unseen, read = self._unread(prompt, prefiller, home)
-        losses, wait = self.losses, prefiller.wait_s(now)
-        reading = read * prefiller.model.token_s
-        prefill_s = self.settings.overhead_s + reading
+        known_misses, unseen_tokens, uncached_tokens = self._cache_misses(prompt, prefiller, home)
+        losses, wait_s = self.losses, prefiller.wait_s(now)
+        compute_s = uncached_tokens * prefiller.model.token_s
+        prefill_s = self.settings.overhead_s + compute_s
         transfer_s = self.transfer_s(prompt, prefiller, decoder)
-        join = self._join_s(prefiller, decoder, now)
-        loss = losses.late(wait + prefill_s + transfer_s + join, prompt) + losses.reread(
+        join_s = self._join_s(prefiller, decoder, now)
+        loss = losses.latency(wait_s + prefill_s + transfer_s + join_s, prompt) + losses.repeated_prefill(
             prompt, prefiller, home
         )
-        loss += losses.waiting(prompt, decoder, transfer_s, now)
-        loss += losses.contention(decoder) + losses.full(prompt, decoder, now)
-        loss += losses.rejected(prefiller, now) + losses.hand_over(prefiller, decoder, now)
-        return Candidate(prefiller, decoder, known, unseen, read, wait, prefill_s, transfer_s, join, loss)
+        loss += losses.delayed_requests(prompt, decoder, transfer_s, now)
+        loss += losses.contention(decoder) + losses.missing_capacity(prompt, decoder, now)
+        loss += losses.rejected(prefiller, now) + losses.transfer(prefiller, decoder, now)
+        return Candidate(
+            prefiller,
+            decoder,
+            known_misses,
+            unseen_tokens,
+            uncached_tokens,
+            wait_s,
+            prefill_s,
+            transfer_s,
+            join_s,
+            loss,
+        )
 
     def _transferred(
         self, prompt: Prompt, source: TrackedInstance, decoder: TrackedInstance, now: float
     ) -> Candidate:
-        """The KV cache exists already at `source`: only the transfer is left."""
+        """Return a candidate whose KV cache exists already at `source`: only the transfer is left."""
         losses, transfer_s = self.losses, self.transfer_s(prompt, source, decoder)
-        join = self._join_s(source, decoder, now)
-        loss = losses.late(transfer_s + join, prompt) + losses.waiting(prompt, decoder, transfer_s, now)
-        loss += losses.contention(decoder) + losses.full(prompt, decoder, now)
-        loss += losses.hand_over(source, decoder, now)
-        return Candidate(decoder, decoder, 0, 0, 0, 0.0, 0.0, transfer_s, join, loss)
+        join_s = self._join_s(source, decoder, now)
+        loss = losses.latency(transfer_s + join_s, prompt) + losses.delayed_requests(
+            prompt, decoder, transfer_s, now
+        )
+        loss += losses.contention(decoder) + losses.missing_capacity(prompt, decoder, now)
+        loss += losses.transfer(source, decoder, now)
+        return Candidate(decoder, decoder, 0, 0, 0, 0.0, 0.0, transfer_s, join_s, loss)
 
     def _join_s(self, prefiller: TrackedInstance, decoder: TrackedInstance, now: float) -> float:
-        """Seconds from the end of the prefill to the first token elsewhere, without the transfer."""
-        return decoder.join_s(prefiller, now) + self.losses.running(decoder) * self.settings.running_s
+        """Return the seconds from the prefill's end to the first token at `decoder`, without the transfer."""
+        return (
+            decoder.join_s(prefiller, now) + self.losses.running_requests(decoder) * self.settings.running_s
+        )
 
     def _plain(self, prompt: Prompt, instance: TrackedInstance, now: float) -> Candidate:
         load = (instance.occupied_slots + 1) / instance.slots
         usual = instance.timer.latency_s(prompt.target_latency_s, now)
         queued = max(0, instance.occupied_slots + 1 - instance.slots) / instance.slots
-        wait = queued * usual + max(0.0, instance.timer.oldest_age(now) - OVERDUE * usual)
-        first = wait + usual
-        loss = self.settings.contention_loss * load * load + self.losses.late(first, prompt)
-        loss += self.losses.full(prompt, instance, now)
+        wait_s = queued * usual + max(0.0, instance.timer.oldest_age(now) - OVERDUE_FACTOR * usual)
+        first_token_s = wait_s + usual
+        loss = self.settings.contention_loss * load * load + self.losses.latency(first_token_s, prompt)
+        loss += self.losses.missing_capacity(prompt, instance, now)
         loss += self.settings.zone_loss if instance.zone != prompt.zone else 0.0
-        return Candidate(instance, instance, 0, 0, 0, wait, 0.0, 0.0, usual, loss)
+        return Candidate(instance, instance, 0, 0, 0, wait_s, 0.0, 0.0, usual, loss)
 
     def transfer_s(self, prompt: Prompt, prefiller: TrackedInstance, decoder: TrackedInstance) -> float:
-        """Expected transfer time of a prompt's KV cache, in seconds."""
+        """Return the expected transfer time of a prompt's KV cache, in seconds."""
         settings, engine = self.settings, prompt.engine
         if engine is None or engine.link_mbps <= 0:
             return settings.move_setup_s
@@ -231,16 +265,20 @@
         seconds = settings.move_setup_s + size * 8.0 / (engine.link_mbps * BITS_PER_MBIT)
         return seconds if prefiller.zone == decoder.zone else seconds * settings.zone_move_factor
 
-    def _unread(
+    def _cache_misses(
         self, prompt: Prompt, instance: TrackedInstance, home: TrackedInstance | None
     ) -> tuple[int, int, int]:
-        """Certain cache misses, tokens that other gateways' requests may have cached, expected misses."""
+        """Return, in tokens: certain misses, those that other gateways may have cached, expected misses."""
         left = max(1, prompt.tokens - instance.prefix_cache.cached_tokens(prompt.segments))
         shared = prompt.segments[:-1]
         if instance is not home or not shared or self.load.gateways <= 1:
             return left, 0, left
-        unseen = min(
+        unseen_tokens = min(
             left - 1, sum(segment.tokens for segment in shared) - instance.prefix_cache.cached_tokens(shared)
         )
-        known = left - unseen
-        return known, unseen, known + int(unseen * (1.0 - self.cached_fraction.value))
+        known_misses = left - unseen_tokens
+        return (
+            known_misses,
+            unseen_tokens,
+            known_misses + int(unseen_tokens * (1.0 - self.cached_fraction.value)),
+        )
--- a/mallowbeam/router/pairing/hashing.py
+++ b/mallowbeam/router/pairing/hashing.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: every gateway ranks the same instances for a key in the same order, without a message.
+"""Rendezvous hashing: all gateways rank the instances for a key in the same order, without communication.
 
 For a large service only a window of instances near the key on a ring is ranked, so that a request's cost does
-not grow with the service.  When an instance comes or goes, only the keys that it had or gets change place.
+not grow with the service.  When an instance is added or removed, only its own keys move.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 from math import log
 
 WINDOW = 48
-"""Instances ranked for one key."""
+"""Number of instances ranked for one key."""
 MASK = (1 << 64) - 1
 MIX = 0x9E3779B97F4A7C15
 
 
 def stable_hash(text: str) -> int:
-    """64 bits that are the same in every process."""
+    """Return a 64-bit hash that is the same in every process."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def rank(instance: int, key: int) -> int:
-    """An instance's weight for a key, from both hashes; the highest one comes first."""
+    """Return an instance's rank for a key, from both hashes; the highest rank is chosen first."""
     value = (instance ^ key) & MASK
     value = ((value ^ (value >> 31)) * MIX) & MASK
     value = ((value ^ (value >> 29)) * 0xBF58476D1CE4E5B9) & MASK
@@ -31,12 +31,12 @@
 
 
 def score(instance: int, key: int, weight: float) -> float:
-    """A rank among instances of unequal weights: each comes first for a share of keys like its weight."""
+    """Return a weighted rank: an instance comes first for a fraction of keys in proportion to its weight."""
     return -weight / log((rank(instance, key) + 1) / (MASK + 2))
 
 
 class Ring:
-    """Instances by hash, in order."""
+    """Instances ordered by the hash of their id."""
 
     __slots__ = ("points",)
 
@@ -44,29 +44,29 @@
         self.points: list[tuple[int, str]] = []
 
     def __len__(self) -> int:
-        """How many there are."""
+        """Return the number of instances."""
         return len(self.points)
 
     def __iter__(self) -> Iterator[str]:
-        """Their names, in the ring's order."""
+        """Iterate over the instance ids in ring order."""
         return (name for _, name in self.points)
 
     def add(self, name: str) -> None:
-        """Add an instance; one that is there already stays as it is."""
+        """Add an instance, unless the ring has it already."""
         point = (stable_hash(name), name)
         index = bisect_left(self.points, point)
         if self.points[index : index + 1] != [point]:
             insort(self.points, point)
 
     def remove(self, name: str) -> None:
-        """Take an instance out, if it is there."""
+        """Remove an instance, if the ring has it."""
         point = (stable_hash(name), name)
         index = bisect_left(self.points, point)
         if self.points[index : index + 1] == [point]:
             del self.points[index]
 
     def ranked(self, key: int) -> list[str]:
-        """The instances near the key, best first by rendezvous rank."""
+        """Return the instances near the key, highest rendezvous rank first."""
         points = self._window(key)
         return [name for _, name in sorted(points, key=lambda point: -rank(point[0], key))]
 
--- a/mallowbeam/router/pairing/instances.py
+++ b/mallowbeam/router/pairing/instances.py
@@ -1,4 +1,4 @@
-"""What one gateway tracks of the instances: own bookings, measured pace, prefix caches."""
+"""One gateway's view of the instances: own bookings, measured prefill pace, prefix caches."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
     @property
     def name(self) -> str:
-        """Its name."""
+        """Name of the model."""
 
     @property
     def revision(self) -> int:
@@ -59,7 +59,7 @@
 
     @property
     def state(self) -> int:
-        """READY, DRAINS or ENDED, by the numbers of `messages.InstanceState`."""
+        """READY, DRAINS or ENDED, as a value of `messages.InstanceState`."""
 
     @property
     def models(self) -> Iterable[ModelVersion]:
@@ -67,7 +67,7 @@
 
 
 class TrackedInstance:
-    """One instance: this gateway's bookings there, and what it has measured."""
+    """One instance: this gateway's bookings and measurements there."""
 
     __slots__ = (
         "id",
@@ -86,9 +86,9 @@
         "occupied_slots",
         "occupied_tokens",
         "model",
-        "join",
-        "handover",
-        "failures",
+        "join_delay",
+        "handover_delay",
+        "transfer_failures",
         "rejected_until",
     )
 
@@ -113,17 +113,17 @@
         self.prefix_cache = PrefixCache(kv_capacity)
         self.pending_prefills: dict[int, int] = {}  # by booking: tokens still to be prefilled here
         self.pending_tokens = 0
-        self.occupied_slots = 0  # bookings that occupy a slot or will
+        self.occupied_slots = 0  # bookings that occupy a slot, or will do so
         self.occupied_tokens = 0  # tokens of KV cache that they need
         self.model = self._new_model()
-        self.join = FadingMean(settings.delay_memory_s)  # delay of transfers that it received, seconds
-        self.handover = FadingMean(settings.delay_memory_s)  # delay of transfers that it sent, seconds
-        self.failures = FadingMean(settings.delay_memory_s)  # fraction of its sent transfers that failed
+        self.join_delay = FadingMean(settings.delay_memory_s)  # seconds, of transfers that it received
+        self.handover_delay = FadingMean(settings.delay_memory_s)  # seconds, of transfers that it sent
+        self.transfer_failures = FadingMean(settings.delay_memory_s)  # fraction of sent transfers that failed
         self.rejected_until = float("-inf")
 
     @property
     def idle(self) -> bool:
-        """Whether this gateway has nothing pending there, as far as it knows."""
+        """Whether this gateway has no request in flight and no pending prefill there."""
         return self.timer.idle and not self.pending_prefills
 
     def _new_model(self) -> PrefillModel:
@@ -132,62 +132,62 @@
         pace = settings.prefill_tokens_per_s if prefill else settings.decode_tokens_per_s
         return PrefillModel(settings, pace)
 
-    def changes_stage(self, stage: str) -> None:
-        """Change its stage: its prefill pace is measured anew."""
+    def change_stage(self, stage: str) -> None:
+        """Change the stage, and restart the measurement of the prefill pace."""
         self.stage = stage
         self.model = self._new_model()
 
     def wait_s(self, now: float) -> float:
-        """Expected queueing delay of a new prefill, in seconds, by own and other gateways' work."""
-        own = self.pending_tokens * self.model.token_s
+        """Return a new prefill's expected queueing delay in seconds, by own and other gateways' work."""
+        own_work_s = self.pending_tokens * self.model.token_s
         age = self.timer.oldest_age(now)
-        overdue = max(0.0, age - own - self.settings.overhead_s) if self.pending_prefills else 0.0
-        progress = min(age, own / 2)
-        return max(0.0, own - progress) + self.model.delay_s(now) + overdue
+        overdue_s = max(0.0, age - own_work_s - self.settings.overhead_s) if self.pending_prefills else 0.0
+        progress = min(age, own_work_s / 2)
+        return max(0.0, own_work_s - progress) + self.model.delay_s(now) + overdue_s
 
     def measured_wait_s(self, now: float) -> float:
-        """Measured queueing delay in seconds: of ended prefills, or of the oldest pending one."""
+        """Return the measured queueing delay in seconds, of ended prefills or of the oldest pending one."""
         age = self.timer.oldest_age(now) if self.pending_prefills else 0.0
-        own = self.pending_tokens * self.model.token_s + self.settings.overhead_s
-        return max(self.model.backlog_s(now), age - own)
+        own_work_s = self.pending_tokens * self.model.token_s + self.settings.overhead_s
+        return max(self.model.backlog_s(now), age - own_work_s)
 
     def prefill_started(self, booking: int, tokens: int) -> None:
-        """A booking has tokens to be prefilled here."""
+        """Record that a booking has `tokens` tokens to be prefilled here."""
         self.pending_prefills[booking] = tokens
         self.pending_tokens += tokens
 
     def prefill_ended(self, booking: int) -> int:
-        """They were prefilled, or will not be; returns their number."""
+        """Remove a booking's pending tokens, whether prefilled or not; returns their number."""
         tokens = self.pending_prefills.pop(booking, 0)
         self.pending_tokens -= tokens
         return tokens
 
     def join_s(self, prefiller: TrackedInstance, now: float) -> float:
-        """Seconds from the end of a prefill elsewhere to the first token, without transfer and contention."""
+        """Return the seconds from a prefill's end to the first token, without transfer and contention."""
         settings = self.settings
-        here = self.join.value(settings.join_s, 1.0, now)
-        there = prefiller.handover.value(settings.join_s, 1.0, now)
-        return max(here, there)
+        received_delay_s = self.join_delay.value(settings.join_s, 1.0, now)
+        sent_delay_s = prefiller.handover_delay.value(settings.join_s, 1.0, now)
+        return max(received_delay_s, sent_delay_s)
 
     def learn_join(self, prefiller: TrackedInstance, elapsed_s: float, transfer_s: float, now: float) -> None:
-        """Learn from a first token `elapsed_s` after the prefill, with the expected `transfer_s`."""
-        seen = max(0.0, elapsed_s - transfer_s)
-        self.join.add(seen, now)
-        prefiller.handover.add(seen, now)
-        prefiller.failures.add(0.0, now)
+        """Learn from a first token `elapsed_s` after the prefill, with an expected `transfer_s`."""
+        measured_s = max(0.0, elapsed_s - transfer_s)
+        self.join_delay.add(measured_s, now)
+        prefiller.handover_delay.add(measured_s, now)
+        prefiller.transfer_failures.add(0.0, now)
 
     def occupy_slot(self, tokens: int) -> None:
-        """A booking holds a slot and KV cache here."""
+        """Record that a booking occupies a slot and `tokens` tokens of KV cache."""
         self.occupied_slots += 1
         self.occupied_tokens += tokens
 
     def release_slot(self, tokens: int) -> None:
-        """The booking releases them."""
+        """Record that a booking releases its slot and KV cache."""
         self.occupied_slots -= 1
         self.occupied_tokens -= tokens
 
     def has_capacity(self, tokens: int) -> bool:
-        """Whether this gateway's own bookings alone leave a slot and KV cache."""
+        """Whether this gateway's own bookings leave a slot, and KV cache for `tokens` more tokens."""
         if self.occupied_slots >= self.slots * (1.0 + self.settings.queue_fraction):
             return False
         return not self.occupied_slots or self.occupied_tokens + tokens <= self.prefix_cache.capacity
@@ -201,12 +201,14 @@
         self.slot_time = slot_time
         self.cycle_s = cycle_s
         self.instances: dict[str, TrackedInstance] = {}
-        self.rings: dict[tuple[str, str, str], Ring] = {}  # service, stage, zone; zone "" is all of them
+        self.rings: dict[
+            tuple[str, str, str], Ring
+        ] = {}  # by service, stage and zone; zone "" stands for all zones
         self.capacities: dict[str, int] = {}
         self.ejected: frozenset[str] = frozenset()
 
     def update(self, entry: InstanceEntry, ready: bool) -> None:
-        """Apply an update of an instance."""
+        """Add an instance, or apply its new state."""
         instance = self.instances.get(entry.id)
         if instance is None:
             capacity = self.capacities.get(entry.backend, DEFAULT_KV_CAPACITY)
@@ -218,18 +220,18 @@
             instance.versions = versions
             instance.prefix_cache.clear()
         if entry.stage != instance.stage:
-            instance.changes_stage(entry.stage)
+            instance.change_stage(entry.stage)
         instance.zone, instance.slots, instance.ready = entry.zone, max(1, entry.slots), ready
         if ready:
             self._join_rings(instance)
 
     def remove(self, instance_id: str) -> None:
-        """Remove an instance that has ended; bookings there end without effect."""
+        """Remove an instance that has ended; its remaining bookings end without effect on the others."""
         if instance := self.instances.pop(instance_id, None):
             self._leave_rings(instance)
 
     def set_capacity(self, backend: str, kv_capacity: int) -> None:
-        """The KV cache of a service's instances, in tokens."""
+        """Set the KV cache size of a service's instances, in tokens."""
         if kv_capacity <= 0 or self.capacities.get(backend) == kv_capacity:
             return
         self.capacities[backend] = kv_capacity
@@ -240,7 +242,7 @@
     def ranked(
         self, backend: str, stage: str, zone: str, key: int, excluded: frozenset[str]
     ) -> Iterator[TrackedInstance]:
-        """Usable instances in rendezvous order of a key; zone "" stands for all zones."""
+        """Yield usable instances in rendezvous order of a key; zone "" stands for all zones."""
         ring = self.rings.get((backend, stage, zone))
         if ring is None:
             return
@@ -249,7 +251,7 @@
                 yield self.instances[name]
 
     def size(self, backend: str, stage: str) -> int:
-        """How many instances of a stage are ready."""
+        """Return the number of ready instances of a stage."""
         return len(self.rings.get((backend, stage, ""), ()))
 
     def _join_rings(self, instance: TrackedInstance) -> None:
--- a/mallowbeam/router/pairing/load.py
+++ b/mallowbeam/router/pairing/load.py
@@ -1,8 +1,9 @@
 """Load of the whole fleet on the instances of one stage, estimated from this gateway's own share of it.
 
-A gateway sees its own requests only, a few a second over dozens of instances: of one instance it knows next
-to nothing, of all instances of a stage together enough.  So its own counts are taken over the stage, times
-the number of gateways and divided by the number of instances.  Times are seconds of the monotonic clock.
+A gateway sees its own requests only, a few per second over dozens of instances: too few for an estimate of a
+single instance, but enough for all instances of a stage.  So its own counts are taken over the stage,
+multiplied by the number of gateways and divided by the number of instances.  Times are in seconds of the
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -23,12 +24,12 @@
         self._at = self._since = now
 
     def arrived(self, now: float) -> None:
-        """A booking arrives at this stage."""
+        """Record the arrival of a booking at this stage."""
         self._fade(now)
         self._count += 1.0
 
     def rate(self, now: float) -> float:
-        """Own arrivals per second over the last seconds; time before the first one counts as idle."""
+        """Return own arrivals per second over the last seconds; time before the first one counts as idle."""
         self._fade(now)
         span = 1.0 - exp(-max(1.0, now - self._since) / RATE_MEMORY_S)
         return self._count / (RATE_MEMORY_S * span)
@@ -47,7 +48,7 @@
         self._stages: dict[tuple[str, str], StageLoad] = {}  # by service and stage
 
     def stage(self, backend: str, stage: str, now: float) -> StageLoad:
-        """One stage's load."""
+        """Return the load of a stage, created at its first use."""
         load = self._stages.get((backend, stage))
         if load is None:
             load = self._stages[backend, stage] = StageLoad(now)
@@ -59,6 +60,6 @@
             del self._stages[stage]
 
     def arrivals(self, backend: str, stage: str, instances: int, now: float) -> float:
-        """Expected requests per second at one of `instances` instances, from all gateways."""
+        """Return the expected requests per second at one of `instances` instances, from all gateways."""
         load = self._stages.get((backend, stage))
         return load.rate(now) * self.gateways / max(1, instances) if load is not None else 0.0
--- a/mallowbeam/router/pairing/order_lease.py
+++ b/mallowbeam/router/pairing/order_lease.py
@@ -1,13 +1,13 @@
-"""When a member may send orders to instances: as the leader, under a lease granted by the log. A pure core.
+"""Decides when a member may send orders to instances: as leader, under a lease granted by the log.
 
-The lease's token fences orders, and rises with each new holder. Instances may lose the highest token, so the
-holders' orders are separated in time as well: a new holder waits until no order of the previous one can be in
-flight. The previous one sends only while a majority has confirmed its leadership within `fresh_s`, which the
-new holder's wait includes; a process that was suspended notices that by its clock before it sends.
-Times are in seconds of the monotonic clock.
+The lease's token is a fencing token for orders, and rises with each new holder. Instances may lose the
+highest token that they have seen, so the holders' orders are separated in time as well: a new holder waits
+until no order of the previous one can be in flight. The previous holder sends only while a majority has
+confirmed its leadership within `fresh_s`, which the new holder's wait includes; a process that was suspended
+detects that by its clock before it sends. Times are in seconds of the monotonic clock. A pure core.
 
-This is the holder's side of the lease that `mallowbeam.router.registry.leases` grants. The two differ on
-purpose: the granting side is replicated, and must depend neither on time nor on one member's leadership.
+This is the holder's side of the lease that `mallowbeam.router.registry.leases` grants. The two are separate
+because the granting side is replicated, and must depend neither on time nor on one member's leadership.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
     def __init__(self, settings: OrderLeaseSettings) -> None:
         self.settings = settings
         self._grant: _Grant | None = None
-        self._usable_at: dict[int, float] = {}  # by token, of the last one that this process acquired
+        self._usable_at: dict[int, float] = {}  # by token; only the last one that this process acquired
         self._acquiring_in = -1  # term of the attempt in progress
         self._next_attempt_at = -inf
 
@@ -80,8 +80,7 @@
     def acquired(self, term: int, token: int, now: float) -> None:
         """Record that the log granted the lease to a proposal that this member made as the leader of `term`.
 
-        A token that it had before proves that there was no other holder in between: the wait does not begin
-        anew.
+        If this process already had the token, no other holder was in between, and the wait is not restarted.
         """
         usable_at = now + self.settings.wait_s
         if token in self._usable_at:
--- a/mallowbeam/router/pairing/prefill_model.py
+++ b/mallowbeam/router/pairing/prefill_model.py
@@ -1,9 +1,10 @@
-"""How long an instance takes to prefill a prompt: its pace, and the queueing delay by others' work there.
+"""Estimates an instance's prefill time: its pace, and the queueing delay by other gateways' work there.
 
-Only the time from sending to the end of the prefill is observed.  How it grows with the tokens is the pace, a
-property of the machine; what a prefill took beyond that was queueing, which is forgotten in seconds.  Whether
-shared segments that this gateway has not used lately are cached at their home is not known; the fraction that
-is gets corrected by each sample, so that prompts with and without such segments show the same queueing delay.
+Only the time from sending to the end of the prefill is observed.  Its growth with the number of tokens is the
+pace, a property of the machine; the rest is queueing delay, whose estimate decays within seconds.  Whether
+shared segments that this gateway has not used lately ("unseen" ones) are cached at their home is not known.
+The estimated fraction of them that is cached is corrected by each sample, so that prompts with and without
+unseen segments show the same queueing delay.
 """
 
 from __future__ import annotations
@@ -14,16 +15,16 @@
 from mallowbeam.scheduling.slot_time import FadingMean
 
 PACE_MEMORY_S = 20.0  # seconds in which the weight of a sample for the pace decays to 1/e
-PACE_PRIOR_TOKENS = 4_000.0  # spread of sizes from which the measured pace outweighs the first one
-RANGE = 4.0  # the pace stays within this factor of its first value
+PACE_PRIOR_TOKENS = 4_000.0  # deviation of prompt sizes from which the measured pace outweighs the prior one
+MAX_PACE_FACTOR = 4.0  # the pace stays within this factor of its prior
 CACHED_FRACTION_STEP = 0.05  # how far one sample moves the estimated cached fraction
-MOSTLY_UNSEEN = 0.5  # fraction of certain misses below which a sample teaches the cached fraction
-LEAST_DELAY_WEIGHT = 0.5  # samples of the queueing delay that are needed to tell the two apart
-TOKENS_WEIGHT = 2_000.0  # tokens that count as one sample of the backlog
+MAX_KNOWN_FRACTION = 0.5  # fraction of certain misses below which a sample corrects the cached fraction
+MIN_DELAY_WEIGHT = 0.5  # weight of delay samples needed to tell queueing from cache misses
+TOKENS_PER_SAMPLE = 2_000.0  # tokens that count as one sample of the backlog
 
 
 class CachedFraction:
-    """Estimated fraction of shared, not recently seen segments that is cached at their home."""
+    """Estimated fraction of unseen shared segments that is cached at their home."""
 
     __slots__ = ("value",)
 
@@ -31,7 +32,10 @@
         self.value = value
 
     def learn(self, excess_s: float, unseen_s: float) -> None:
-        """A prefill took `excess_s` longer than expected; all unseen segments would have taken `unseen_s`."""
+        """Learn from a prefill that took `excess_s` longer than expected.
+
+        `unseen_s` is the time that prefilling all its unseen segments takes.
+        """
         if unseen_s > 0:
             error = max(-1.0, min(1.0, excess_s / unseen_s))
             self.value = max(0.0, min(1.0, self.value - CACHED_FRACTION_STEP * error))
@@ -40,37 +44,38 @@
 class _Slope:
     """Seconds per token: least squares over exponentially weighted samples, with a prior."""
 
-    __slots__ = ("first", "at", "weight", "tokens", "time", "spread", "together")
+    __slots__ = ("prior_slope", "at", "weight", "tokens", "time", "token_variance", "covariance")
 
-    def __init__(self, first: float) -> None:
-        self.first = first
+    def __init__(self, prior_slope: float) -> None:
+        self.prior_slope = prior_slope
         self.at = 0.0
         self.weight = self.tokens = self.time = 0.0  # sum of weights; weighted means
-        self.spread = self.together = 0.0  # weighted squares of tokens, products with time
+        # Weighted sums of squared token deviations, and of products of token and time deviations.
+        self.token_variance = self.covariance = 0.0
 
     def add(self, tokens: float, time: float, weight: float, now: float) -> None:
         """Add a sample."""
         if now > self.at:
-            kept = exp((self.at - now) / PACE_MEMORY_S)
+            decay = exp((self.at - now) / PACE_MEMORY_S)
             self.at = now
-            self.weight *= kept
-            self.spread *= kept
-            self.together *= kept
+            self.weight *= decay
+            self.token_variance *= decay
+            self.covariance *= decay
         if weight <= 0.0:
             return
         self.weight += weight
-        off_tokens, off_time = tokens - self.tokens, time - self.time
-        self.tokens += off_tokens * weight / self.weight
-        self.time += off_time * weight / self.weight
-        self.spread += weight * off_tokens * (tokens - self.tokens)
-        self.together += weight * off_tokens * (time - self.time)
+        token_deviation, time_deviation = tokens - self.tokens, time - self.time
+        self.tokens += token_deviation * weight / self.weight
+        self.time += time_deviation * weight / self.weight
+        self.token_variance += weight * token_deviation * (tokens - self.tokens)
+        self.covariance += weight * token_deviation * (time - self.time)
 
     @property
     def value(self) -> float:
-        """Seconds per token, within bounds around the first value."""
+        """Seconds per token, within bounds around the prior."""
         prior = PACE_PRIOR_TOKENS**2
-        slope = (self.together + prior * self.first) / (self.spread + prior)
-        return min(self.first * RANGE, max(self.first / RANGE, slope))
+        slope = (self.covariance + prior * self.prior_slope) / (self.token_variance + prior)
+        return min(self.prior_slope * MAX_PACE_FACTOR, max(self.prior_slope / MAX_PACE_FACTOR, slope))
 
 
 class PrefillModel:
@@ -87,42 +92,43 @@
         self.backlog = FadingMean(settings.delay_memory_s)
 
     def backlog_s(self, now: float) -> float:
-        """Recent queueing delay of a token, in seconds; long prefills weigh more."""
+        """Return the recent queueing delay in seconds, weighted by tokens."""
         return max(0.0, self.backlog.value(0.0, self.settings.delay_prior_weight, now))
 
-    def learn_unread(self, tokens: float, elapsed_s: float, now: float) -> float:
-        """A prefill was abandoned after `elapsed_s`: it queued for at least the excess over its own time."""
+    def learn_abandoned(self, tokens: float, elapsed_s: float, now: float) -> float:
+        """Learn from a prefill abandoned after `elapsed_s`; returns its least queueing delay in seconds."""
         excess = elapsed_s - self.settings.overhead_s - tokens * self.token_s
         if excess > self.backlog_s(now):
-            self.backlog.add(excess, now, tokens / TOKENS_WEIGHT)
+            self.backlog.add(excess, now, tokens / TOKENS_PER_SAMPLE)
         return excess
 
     def delay_s(self, now: float) -> float:
-        """Recent queueing delay by others' work, in seconds."""
+        """Return the recent queueing delay by other gateways' work, in seconds."""
         return max(0.0, self.delay.value(0.0, self.settings.delay_prior_weight, now))
 
     def learn(
         self,
-        known: float,
-        unseen: float,
-        ahead: float,
+        known_misses: float,
+        unseen_tokens: float,
+        tokens_ahead: float,
         elapsed_s: float,
         cached_fraction: CachedFraction,
         now: float,
     ) -> float:
         """Learn from a prefill; returns its estimated queueing delay in seconds.
 
-        It had `known` tokens that missed the cache and `unseen` ones that may have hit; `ahead` tokens of
-        this gateway were prefilled before it; it took `elapsed_s` seconds from sending on.
+        The prompt had `known_misses` tokens that certainly missed the cache and `unseen_tokens` that may have
+        hit it; `tokens_ahead` tokens of this gateway were prefilled before it; it took `elapsed_s` seconds
+        from being sent.
         """
-        expected_tokens = known + unseen * (1.0 - cached_fraction.value) + ahead
+        expected_tokens = known_misses + unseen_tokens * (1.0 - cached_fraction.value) + tokens_ahead
         elapsed = max(0.0, elapsed_s - self.settings.overhead_s)
-        certain = known / max(1.0, known + unseen)
-        self.slope.add(expected_tokens, elapsed, certain * certain, now)
+        known_fraction = known_misses / max(1.0, known_misses + unseen_tokens)
+        self.slope.add(expected_tokens, elapsed, known_fraction * known_fraction, now)
         self.token_s = self.slope.value
         excess = elapsed - expected_tokens * self.token_s
-        if certain < MOSTLY_UNSEEN and self.delay.weight > LEAST_DELAY_WEIGHT:
-            cached_fraction.learn(excess - self.delay.mean, unseen * self.token_s)
-        self.delay.add(excess, now, certain)
-        self.backlog.add(excess, now, certain * expected_tokens / TOKENS_WEIGHT)
+        if known_fraction < MAX_KNOWN_FRACTION and self.delay.weight > MIN_DELAY_WEIGHT:
+            cached_fraction.learn(excess - self.delay.mean, unseen_tokens * self.token_s)
+        self.delay.add(excess, now, known_fraction)
+        self.backlog.add(excess, now, known_fraction * expected_tokens / TOKENS_PER_SAMPLE)
         return excess
--- a/mallowbeam/router/pairing/prompt.py
+++ b/mallowbeam/router/pairing/prompt.py
@@ -1,4 +1,4 @@
-"""What pairing needs to know of a request."""
+"""The facts of a request that pairing depends on."""
 
 from __future__ import annotations
 
--- a/mallowbeam/router/pairing/stage_balancer.py
+++ b/mallowbeam/router/pairing/stage_balancer.py
@@ -1,8 +1,8 @@
-"""How many instances of a service read prompts, and which one changes its stage next.  A pure core.
+"""Decides how many instances of a service prefill, and which one changes its stage next.  A pure core.
 
-The number of prefill instances is the one at which the busier stage is least busy.  A change is ordered only
-if that stage gains a clear share by it, has gained it for a moment, and not soon against the change before.
-Times are seconds of the steady clock.
+The chosen number of prefill instances minimizes the utilization of the busier stage.  A change is ordered
+only if it lowers that utilization clearly, has been worthwhile for `confirmation_s`, and does not reverse the
+previous change too soon.  Times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -17,50 +17,51 @@
 from mallowbeam.router.pairing.stages import DECODE, PREFILL
 from mallowbeam.router.rpc.messages_pb2 import StageDemand
 
-LEAST_INSTANCES = 2  # of a service: one for each stage
-WINDOW_S = 60.0  # of `StageBalancerSettings.most_orders`
+MIN_INSTANCES = 2  # of a service: one for each stage
+ORDER_WINDOW_S = 60.0  # of `StageBalancerSettings.most_orders`
 
 
 @dataclass(frozen=True, slots=True)
 class StageBalancerSettings:
-    """What a change has to be worth."""
+    """Bounds of stage changes: minimum gains, rates and delays."""
 
     target_utilization: float = 0.4
-    """The share of an instance's slots that may decode at once before its tokens slow down much."""
+    """Fraction of an instance's slots that may decode concurrently before its tokens slow down much."""
     least_utilisation: float = 0.2
-    """Nothing changes while the busier stage is less busy than this."""
+    """Nothing changes while the utilization of the busier stage is below this."""
     least_gain: float = 0.1
-    """The share by which the busier stage's utilisation has to fall by a change."""
+    """Fraction by which a change must lower the utilization of the busier stage."""
     reverse_gain: float = 0.25
-    """Likewise for a change against the last one, within `reverse_s` of it."""
+    """The same for a change that reverses the last one within `reverse_s` seconds of it."""
     reverse_s: float = 20.0
     confirmation_s: float = 1.0
-    """How long a change has to be worth it before it is ordered."""
+    """Seconds for which a change must be worthwhile before it is ordered."""
     cooldown_s: float = 1.5
-    """Beyond the time that a switch takes, until a change against the last one is weighed."""
+    """Seconds, beyond the duration of a switch, before a change that reverses the last one is considered."""
     most_in_progress: int = 2
-    """Orders under way at once in a service,"""
+    """Upper bound of orders in progress in a service, unless `in_progress_fraction` allows more."""
     in_progress_fraction: float = 0.1
-    """or this share of its instances where that is more."""
+    """Upper bound of orders in progress, as a fraction of a service's instances."""
     most_orders: int = 12
-    """Orders in a minute in a service, or as many as it has instances where that is more; beyond it only a
-    stage without any instance gets one."""
+    """Upper bound of orders per minute in a service, or the number of its instances if that is more; beyond
+    it only a stage without any instance gets one."""
     least_each: int = 2
-    """Instances that each stage keeps,"""
+    """Instances that each stage keeps in a service of at least `least_each_from` instances."""
     least_each_from: int = 6
-    """in services of at least so many; smaller ones keep one."""
+    """Services with fewer instances than this keep one in each stage."""
     unanswered_s: float = 4.0
-    """How long an order without an answer may still show in the instance's stage, before another is tried."""
+    """Seconds for which an order without an answer may still take effect; after them another one is tried."""
     rejection_backoff_s: float = 3.0
-    """How long an instance that refused an order is left alone."""
+    """Seconds for which an instance that rejected an order gets no other one."""
     longest_switch_s: float = 15.0
-    """Beyond the time that a switch takes, what runs may take to its end; then it is waited for no more."""
+    """Seconds, beyond the duration of a switch, for which an accepted order stays pending while the instance
+    completes its running requests."""
     work: WorkSettings = field(default_factory=WorkSettings)
 
 
 @dataclass(frozen=True, slots=True)
 class StageInstance:
-    """A live instance of a service, as the registry knows it."""
+    """A live instance of a service, as the registry has it."""
 
     id: str
     address: str
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StageOrder:
-    """An instance is to change its stage."""
+    """An order to an instance to change its stage."""
 
     id: str
     address: str
@@ -81,66 +82,66 @@
 
 
 class OrderResult(Enum):
-    """What became of an order."""
+    """How sending an order ended."""
 
-    ACCEPTED = "taken"  # the instance switches, or holds that stage already
-    REJECTED = "refused"  # it was not taken
-    UNKNOWN = "unknown"  # sent without an answer: it may have been taken
-    NOT_SENT = "not_sent"  # nothing has left
+    ACCEPTED = "taken"  # the instance switches, or is in that stage already
+    REJECTED = "refused"  # the instance did not accept it
+    UNKNOWN = "unknown"  # sent without an answer: it may have been accepted
+    NOT_SENT = "not_sent"  # nothing was sent
 
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    """An order that has not shown in the instance's stage yet."""
+    """An order that does not show in the instance's stage yet."""
 
     stage: str
     until: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Intent:
-    """A change that would be worth it: 1 towards more prefill instances, -1 towards fewer."""
+class _WantedChange:
+    """A worthwhile change that is not confirmed yet: 1 adds prefill instances, -1 removes some."""
 
     direction: int
     since: float
 
 
-class _Plan:
-    """Counts as they will be once all that is under way is done."""
+class _StageCounts:
+    """Instance counts by stage as they will be once all orders in progress are completed."""
 
     def __init__(self) -> None:
-        self.count: Counter[str] = Counter()  # by stage
+        self.by_stage: Counter[str] = Counter()  # by stage
         self.zones: Counter[tuple[str, str]] = Counter()  # by stage and zone
-        self.movable: list[StageInstance] = []
-        self.under_way = 0
+        self.eligible: list[StageInstance] = []
+        self.in_progress = 0
 
     @property
     def total(self) -> int:
         """Instances of both stages."""
-        return self.count[PREFILL] + self.count[DECODE]
+        return self.by_stage[PREFILL] + self.by_stage[DECODE]
 
     def add(self, stage: str, zone: str) -> None:
         """Count an instance."""
-        self.count[stage] += 1
+        self.by_stage[stage] += 1
         self.zones[stage, zone] += 1
 
     def move(self, instance: StageInstance, stage: str) -> None:
-        """Count an instance on the other side."""
-        self.movable.remove(instance)
-        self.count[instance.stage] -= 1
+        """Count an instance in another stage than its present one."""
+        self.eligible.remove(instance)
+        self.by_stage[instance.stage] -= 1
         self.zones[instance.stage, instance.zone] -= 1
         self.add(stage, instance.zone)
-        self.under_way += 1
+        self.in_progress += 1
 
-    def next_to_leave(self, stage: str) -> StageInstance | None:
-        """The instance whose change to the other stage keeps both spread best over the zones.
+    def next_to_move(self, stage: str) -> StageInstance | None:
+        """Return the instance whose change to the other stage keeps both spread best over the zones.
 
-        That is one of the zone in which its stage has most instances beyond those of the other stage.
+        It is in the zone where the surplus of its stage over the other one is largest.
         """
         other = DECODE if stage == PREFILL else PREFILL
-        fits = [instance for instance in self.movable if instance.stage == stage]
+        candidates = [instance for instance in self.eligible if instance.stage == stage]
         return min(
-            fits,
+            candidates,
             default=None,
             key=lambda instance: (
                 self.zones[other, instance.zone] - self.zones[stage, instance.zone],
@@ -151,31 +152,31 @@
 
 
 class StageBalancer:
-    """Decides for one service; keeps what it ordered until the registry shows it."""
+    """Decides for one service; keeps its orders until the registry shows their effect."""
 
     def __init__(self, settings: StageBalancerSettings) -> None:
         self._settings = settings
         self._meter = WorkMeter(settings.work)
         self.work: StageWork | None = None  # at the last decision
         self._pending: dict[str, _Pending] = {}
-        self._backoff_until: dict[str, float] = {}  # id: until when
-        self._intent: _Intent | None = None
+        self._backoff_until: dict[str, float] = {}  # by instance id
+        self._wanted_change: _WantedChange | None = None
         self._last_direction = 0
-        self._last_at = -inf
-        self._orders_at: deque[float] = deque()
+        self._last_order_at = -inf
+        self._order_times: deque[float] = deque()
 
-    # ------------------------------------------------------------ what comes in
+    # ------------------------------------------------------------ inputs
 
     def observe(self, demand: StageDemand | None, instances: Iterable[StageInstance], now: float) -> None:
-        """Take the fleet's demand of the last second; None where no gateway told of any."""
+        """Record the fleet's demand of the last second; None if no gateway reported any."""
         if demand is None:
-            self._meter.forget()
+            self._meter.reset()
             return
-        working = Counter(one.stage for one in instances if not one.switching_to)
+        working = Counter(instance.stage for instance in instances if not instance.switching_to)
         self._meter.observe(demand, working[PREFILL], working[DECODE], now)
 
     def answered(self, order: StageOrder, result: OrderResult, switch_s: float, now: float) -> None:
-        """Say what became of an order."""
+        """Record how sending an order ended; `switch_s` is the duration of a stage change."""
         settings = self._settings
         self._pending.pop(order.id, None)
         if result is OrderResult.ACCEPTED:
@@ -185,34 +186,35 @@
         else:
             self._backoff_until[order.id] = now + settings.rejection_backoff_s
 
-    # ------------------------------------------------------------ the decision
+    # ------------------------------------------------------------ decision
 
     def decide(
         self, instances: Sequence[StageInstance], slots: int, switch_s: float, now: float
     ) -> list[StageOrder]:
-        """The orders to be sent now; each is under way until `answered`, and shows in the registry later.
+        """Return the orders to be sent now; each is pending until `answered` is called for it.
 
-        `slots` are those of one instance, `switch_s` is what a change of stage takes it.
+        Accepted orders show in the registry later.  `slots` is the number of slots of an instance, `switch_s`
+        the duration of its stage change.
         """
         self._reconcile(instances, now)
-        plan = self._plan(instances, now)
-        if plan.total < LEAST_INSTANCES:
-            self._intent = None
+        counts = self._count_stages(instances, now)
+        if counts.total < MIN_INSTANCES:
+            self._wanted_change = None
             return []
-        if missing := self._missing_stage(plan):
-            return self._order(plan, missing, 1, now)
+        if missing := self._missing_stage(counts):
+            return self._choose_orders(counts, missing, 1, now)
         work = self.work = self._meter.work(max(1.0, slots * self._settings.target_utilization), now)
         if work is None:
-            self._intent = None
+            self._wanted_change = None
             return []
-        change = self._change(plan, work, switch_s, now)
+        change = self._worthwhile_change(counts, work, switch_s, now)
         if not self._confirmed(change, now):
             return []
-        count = min(abs(change), self._may_order(plan, now))
-        return self._order(plan, PREFILL if change > 0 else DECODE, count, now)
+        count = min(abs(change), self._orders_allowed(counts, now))
+        return self._choose_orders(counts, PREFILL if change > 0 else DECODE, count, now)
 
     def _reconcile(self, instances: Sequence[StageInstance], now: float) -> None:
-        """Drop what has come true, has gone, or was waited for too long."""
+        """Drop orders that took effect, expired or whose instance is gone, and expired backoffs."""
         stages = {instance.id: instance.stage for instance in instances if instance.id in self._pending}
         self._pending = {
             id: pending
@@ -221,100 +223,106 @@
         }
         self._backoff_until = {id: until for id, until in self._backoff_until.items() if now < until}
 
-    def _plan(self, instances: Sequence[StageInstance], now: float) -> _Plan:
-        plan = _Plan()
+    def _count_stages(self, instances: Sequence[StageInstance], now: float) -> _StageCounts:
+        counts = _StageCounts()
         for instance in instances:
             if not instance.ready or instance.stage not in (PREFILL, DECODE):
                 continue
             pending = self._pending.get(instance.id)
             target = pending.stage if pending is not None else instance.switching_to
-            plan.add(target or instance.stage, instance.zone)
+            counts.add(target or instance.stage, instance.zone)
             if target:
-                plan.under_way += 1
+                counts.in_progress += 1
             elif not instance.warming and instance.id not in self._backoff_until:
-                plan.movable.append(instance)
-        return plan
+                counts.eligible.append(instance)
+        return counts
 
-    def _missing_stage(self, plan: _Plan) -> str:
-        """A stage that has no instance, though the other one has some to give."""
+    def _missing_stage(self, counts: _StageCounts) -> str:
+        """Return a stage that has no instance; empty if both have one."""
         for stage in (PREFILL, DECODE):
-            if not plan.count[stage]:
+            if not counts.by_stage[stage]:
                 return stage
         return ""
 
-    def _change(self, plan: _Plan, work: StageWork, switch_s: float, now: float) -> int:
-        """By how many the prefill instances should rise or fall now; 0 where that is not worth it."""
+    def _worthwhile_change(self, counts: _StageCounts, work: StageWork, switch_s: float, now: float) -> int:
+        """Return the change in the number of prefill instances; 0 if it is not worthwhile now."""
         settings = self._settings
-        present = plan.count[PREFILL]
-        least = settings.least_each if plan.total >= settings.least_each_from else 1
-        best = best_split(work, plan.total, least)
-        change = best - present
+        prefill_count = counts.by_stage[PREFILL]
+        min_per_stage = settings.least_each if counts.total >= settings.least_each_from else 1
+        best_count = best_split(work, counts.total, min_per_stage)
+        change = best_count - prefill_count
         if not change:
             return 0
-        if min(present, plan.total - present) < least:
-            return change  # a stage has fewer than it should keep
-        worst = worse_utilisation(work, present, plan.total)
-        gain = 1.0 - worse_utilisation(work, best, plan.total) / max(worst, 1e-9)
-        if worst < settings.least_utilisation or gain < settings.least_gain:
+        if min(prefill_count, counts.total - prefill_count) < min_per_stage:
+            return change  # a stage is below its minimum
+        present_utilization = busier_stage_utilization(work, prefill_count, counts.total)
+        gain = 1.0 - busier_stage_utilization(work, best_count, counts.total) / max(present_utilization, 1e-9)
+        if present_utilization < settings.least_utilisation or gain < settings.least_gain:
             return 0
         if change * self._last_direction < 0:
-            passed = now - self._last_at
-            if passed < switch_s + settings.cooldown_s:
+            elapsed_s = now - self._last_order_at
+            if elapsed_s < switch_s + settings.cooldown_s:
                 return 0
-            if passed < settings.reverse_s and gain < settings.reverse_gain:
+            if elapsed_s < settings.reverse_s and gain < settings.reverse_gain:
                 return 0
         return change
 
     def _confirmed(self, change: int, now: float) -> bool:
-        """Whether a change in this direction has been worth it for long enough."""
+        """Whether a change in this direction has been worthwhile for `confirmation_s`."""
         direction = (change > 0) - (change < 0)
         if not direction:
-            self._intent = None
-        elif self._intent is None or self._intent.direction != direction:
-            self._intent = _Intent(direction, now)
-        return self._intent is not None and now - self._intent.since >= self._settings.confirmation_s
+            self._wanted_change = None
+        elif self._wanted_change is None or self._wanted_change.direction != direction:
+            self._wanted_change = _WantedChange(direction, now)
+        return (
+            self._wanted_change is not None
+            and now - self._wanted_change.since >= self._settings.confirmation_s
+        )
 
-    def _may_order(self, plan: _Plan, now: float) -> int:
-        """How many orders the bounds allow now."""
+    def _orders_allowed(self, counts: _StageCounts, now: float) -> int:
+        """Return how many orders the bounds allow now."""
         settings = self._settings
-        while self._orders_at and now - self._orders_at[0] > WINDOW_S:
-            self._orders_at.popleft()
-        under_way = max(settings.most_in_progress, floor(settings.in_progress_fraction * plan.total))
-        in_window = max(settings.most_orders, plan.total)
-        return max(0, min(under_way - plan.under_way, in_window - len(self._orders_at)))
-
-    def _order(self, plan: _Plan, stage: str, count: int, now: float) -> list[StageOrder]:
-        """Choose instances for a stage."""
+        while self._order_times and now - self._order_times[0] > ORDER_WINDOW_S:
+            self._order_times.popleft()
+        in_progress = max(settings.most_in_progress, floor(settings.in_progress_fraction * counts.total))
+        max_in_window = max(settings.most_orders, counts.total)
+        return max(0, min(in_progress - counts.in_progress, max_in_window - len(self._order_times)))
+
+    def _choose_orders(self, counts: _StageCounts, stage: str, count: int, now: float) -> list[StageOrder]:
+        """Choose up to `count` instances that change to a stage, and record the orders as pending."""
         orders: list[StageOrder] = []
         for _ in range(count):
-            chosen = plan.next_to_leave(DECODE if stage == PREFILL else PREFILL)
+            chosen = counts.next_to_move(DECODE if stage == PREFILL else PREFILL)
             if chosen is None:
                 break
-            plan.move(chosen, stage)
+            counts.move(chosen, stage)
             self._pending[chosen.id] = _Pending(stage, now + self._settings.unanswered_s)
-            self._orders_at.append(now)
+            self._order_times.append(now)
             self._last_direction = 1 if stage == PREFILL else -1
-            self._last_at = now
+            self._last_order_at = now
             orders.append(StageOrder(chosen.id, chosen.address, stage))
         return orders
 
 
-def best_split(work: StageWork, total: int, least: int) -> int:
-    """The number of prefill instances, of `total`, at which the busier stage is least busy."""
-    lowest, highest = least, total - least
+def best_split(work: StageWork, total: int, min_per_stage: int) -> int:
+    """Return the number of prefill instances, of `total`, that minimizes the utilization of the busier stage.
+
+    Each stage keeps at least `min_per_stage` instances.
+    """
+    lowest, highest = min_per_stage, total - min_per_stage
     if work.prefill + work.decode <= 0.0:
         return max(lowest, min(highest, total // 2))
     crossing = floor(total * work.prefill / (work.prefill + work.decode))
     choices = {max(lowest, min(highest, count)) for count in (crossing, crossing + 1)}
-    return min(sorted(choices), key=lambda count: worse_utilisation(work, count, total))
+    return min(sorted(choices), key=lambda count: busier_stage_utilization(work, count, total))
 
 
-def worse_utilisation(work: StageWork, prefill_count: int, total: int) -> float:
-    """The utilisation of the busier stage, where so many of all instances read prompts."""
-    return max(_utilisation(work.prefill, prefill_count), _utilisation(work.decode, total - prefill_count))
+def busier_stage_utilization(work: StageWork, prefill_count: int, total: int) -> float:
+    """Return the utilization of the busier stage with `prefill_count` of `total` instances prefilling."""
+    return max(_utilization(work.prefill, prefill_count), _utilization(work.decode, total - prefill_count))
 
 
-def _utilisation(work: float, count: int) -> float:
+def _utilization(work: float, count: int) -> float:
     if count:
         return work / count
     return inf if work > 0.0 else 0.0
--- a/mallowbeam/router/pairing/stage_demand.py
+++ b/mallowbeam/router/pairing/stage_demand.py
@@ -1,8 +1,8 @@
-"""What a fleet's requests ask of each stage: sums of what gateways, or members, told of late.
+"""The fleet's demand on each stage: sums of the latest reports of gateways, or of members.
 
-Every gateway tells its member once a second, every member tells the others the sum over its gateways, so that
-each member knows the whole fleet's demand.  Nothing here grows with gateways times instances: a source costs
-one entry for each service.
+Every gateway reports to its member once a second, and every member reports the sum over its gateways to the
+others, so that each member knows the whole fleet's demand.  The size does not grow with gateways times
+instances: a source has one entry for each service.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from mallowbeam.router.registry.latest_reports import LatestReports
 from mallowbeam.router.rpc.messages_pb2 import StageDemand
 
-DEMAND_LIFETIME_S = 3.0  # how long a source's word holds without a new one
-MOST_BACKENDS = 64  # services that one source may tell of; further ones are left out
-MEASURES = (
+DEMAND_LIFETIME_S = 3.0  # seconds for which a source's report counts without a newer one
+MAX_BACKENDS_PER_SOURCE = 64  # services in one source's report; further ones are ignored
+SUMMED_FIELDS = (
     "reading",
     "read_tokens",
     "done_tokens",
@@ -24,32 +24,32 @@
     "generated",
     "first_tokens",
 )
-MOST_VALUE = 1e12  # what is larger, negative or no number counts as 0
+MAX_VALUE = 1e12  # larger values, negative ones and NaN count as 0
 
 
 class DemandTable(LatestReports[StageDemand]):
-    """What each source told last; one that is silent is counted for DEMAND_LIFETIME_S."""
+    """The latest report of each source; it expires after DEMAND_LIFETIME_S."""
 
     def __init__(self) -> None:
-        super().__init__(DEMAND_LIFETIME_S, MOST_BACKENDS)
+        super().__init__(DEMAND_LIFETIME_S, MAX_BACKENDS_PER_SOURCE)
 
     def sums(self, now: float) -> dict[str, StageDemand]:
-        """By service, the sum over all sources heard of late."""
+        """Return, by service, the sum over all unexpired reports."""
         return add_up(self.fresh(now))
 
 
 def add_up(demands: Iterable[StageDemand]) -> dict[str, StageDemand]:
-    """Sums by service, as new messages."""
+    """Return the sums by service, as new messages."""
     sums: dict[str, StageDemand] = {}
     for demand in demands:
         total = sums.get(demand.backend)
         if total is None:
             total = sums[demand.backend] = StageDemand(backend=demand.backend)
-        for name in MEASURES:
-            setattr(total, name, getattr(total, name) + _sound(getattr(demand, name)))
+        for name in SUMMED_FIELDS:
+            setattr(total, name, getattr(total, name) + _valid_or_zero(getattr(demand, name)))
     return sums
 
 
-def _sound(value: float) -> float:
-    """A value that sums can bear."""
-    return value if 0.0 <= value <= MOST_VALUE else 0.0
+def _valid_or_zero(value: float) -> float:
+    """Return the value, or 0 if it is negative, NaN or above MOST_VALUE."""
+    return value if 0.0 <= value <= MAX_VALUE else 0.0
--- a/mallowbeam/router/pairing/stage_work.py
+++ b/mallowbeam/router/pairing/stage_work.py
@@ -1,16 +1,18 @@
-"""How much work each stage of a service has, in instances that would be busy with it.  A pure core.
-
-Prefill.  Gateways tell how many calls are under way at prefill instances.  An instance with `L` of them on
-average is busy for the share `rho` of its time for which a queue of fixed service time holds `L` requests:
-L = rho + rho^2 / (2 (1 - rho)), so rho = 1 + L - sqrt(1 + L^2).  Tokens read over busy time give the seconds
-that a token takes, in the gateways' own count of tokens, whatever is kept.  Tokens that spilled to decode
-instances, or were refused, are work of prefill instances too, at the same seconds for each token.
-
-Decode.  An instance is fully used with a target_running number of requests, at which its tokens are not much
-slower than alone.  Requests that run over tokens a second give the time of a token.  Part of it is not the
-decode stage's own: while an instance reads a prompt, no request there gets a token.  That part is taken off,
-because it goes away with the prompts that spill; else a want of prefill instances would look like one of
-decode instances.  Prompts that are better read where they are decoded stay as work.
+"""Estimates the work of each stage of a service, in instances that it would keep busy.  A pure core.
+
+Prefill.  Gateways report how many calls are in flight at prefill instances.  The utilization `rho` of an
+instance with `L` calls in flight on average is that of a queue with fixed service time (M/D/1) and mean
+occupancy `L`: L = rho + rho^2 / (2 (1 - rho)), so rho = 1 + L - sqrt(1 + L^2).  Busy time over prefilled
+tokens gives the seconds per token, in tokens as the gateways count them, whatever the instances have cached.
+Tokens that spilled over to decode instances, or were rejected, are work of prefill instances too, at the same
+seconds per token.
+
+Decode.  An instance is fully used while it runs `target_running` requests, at which its tokens are not much
+slower than with a single one.  Running requests over generated tokens per second give the time per token.
+Part of that time is not due to decoding: while an instance prefills a prompt, no request there gets a token.
+That part is subtracted, because it vanishes when prompts no longer spill over; otherwise a shortage of
+prefill instances would look like one of decode instances.  Prompts for which a prefill at the decode instance
+is the better choice still count as decode work.
 """
 
 from __future__ import annotations
@@ -23,112 +25,123 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkSettings:
-    """How demand is smoothed and weighed."""
+    """How demand is smoothed and weighted."""
 
     memory_s: float = 2.5
-    """Seconds in which a sample of demand loses its weight to 1/e."""
+    """Seconds in which the weight of a demand sample decays to 1/e."""
     pace_memory_s: float = 15.0
-    """Likewise for the measured reading pace."""
+    """The same for the measured prefill pace."""
     tokens_per_s: float = 40_000.0
-    """Reading pace of a prefill instance before it is measured."""
+    """Prior prefill pace of a prefill instance."""
     prior_tokens: float = 20_000.0
-    """Tokens that this first pace counts as against measured ones."""
+    """Weight of the prior pace, as a number of measured tokens."""
     decode_read_factor: float = 2.0
-    """How many times longer a decode instance reads a token."""
+    """How many times longer a decode instance takes to prefill a token."""
     running_s: float = 0.0001
-    """What each running request adds to a decode step."""
+    """Seconds that each running request adds to a decode step."""
     most_reading: float = 0.75
-    """The largest share of their time that decode instances are taken to read prompts."""
+    """Upper bound of the estimated fraction of time in which decode instances prefill."""
     least_token_fraction: float = 0.3
-    """The least share of a token's time that is taken to be the decode stage's own."""
+    """Lower bound of the fraction of a token's time that counts as decoding."""
     least_generated: float = 20.0
-    """Tokens a second below which the decode stage counts as idle."""
+    """Generated tokens per second below which the decode stage counts as idle."""
     observed_s: float = 1.5
-    """Demand must have been seen for so long before it is acted on."""
+    """Seconds for which demand must have been observed before it is acted on."""
 
 
 @dataclass(frozen=True, slots=True)
 class StageWork:
-    """Work of both stages, in instances that it would keep fully used."""
+    """Work of both stages, each as the number of instances that it would keep fully used."""
 
     prefill: float
     decode: float
 
 
 class WorkMeter:
-    """Smooths a service's demand and turns it into work. Times are seconds of the steady clock."""
+    """Smooths a service's demand and converts it into work. Times are in seconds of the monotonic clock."""
 
     def __init__(self, settings: WorkSettings) -> None:
         self._settings = settings
-        self._busy = _Faded(settings.pace_memory_s)
-        self._read = _Faded(settings.pace_memory_s)
-        self.forget()
+        self._busy_instances = _ExponentialMean(settings.pace_memory_s)
+        self._prefilled_tokens_per_s = _ExponentialMean(settings.pace_memory_s)
+        self.reset()
 
-    def forget(self) -> None:
-        """Start anew: the demand was not seen for some time. The measured reading pace stays."""
+    def reset(self) -> None:
+        """Reset the smoothed demand, after a gap in the reports. The measured prefill pace is kept."""
         memory_s = self._settings.memory_s
-        self._first_at: float | None = None
-        self._at = 0.0
-        self._prompts = _Faded(memory_s)
-        self._direct = _Faded(memory_s)
-        self._spilled = _Faded(memory_s)
-        self._decoding = _Faded(memory_s)
-        self._generated = _Faded(memory_s)
-        self._first = _Faded(memory_s)
-        self._decode_count = _Faded(memory_s)
+        self._first_observed_at: float | None = None
+        self._observed_at = 0.0
+        self._prompt_tokens_per_s = _ExponentialMean(memory_s)
+        self._direct_tokens_per_s = _ExponentialMean(memory_s)
+        self._spilled_tokens_per_s = _ExponentialMean(memory_s)
+        self._decoding_requests = _ExponentialMean(memory_s)
+        self._generated_tokens_per_s = _ExponentialMean(memory_s)
+        self._first_tokens_per_s = _ExponentialMean(memory_s)
+        self._decode_instances = _ExponentialMean(memory_s)
 
     def observe(self, demand: StageDemand, prefill_count: int, decode_count: int, now: float) -> None:
-        """Take the fleet's demand of the last second, while so many instances worked in each stage."""
-        if self._first_at is None:
-            self._first_at = self._at = now
-        passed, self._at = now - self._at, now
-        self._prompts.add(demand.read_tokens + demand.spilled_tokens, passed)
-        self._direct.add(demand.direct_tokens, passed)
-        self._spilled.add(demand.spilled_tokens, passed)
-        self._decoding.add(demand.decoding, passed)
-        self._generated.add(demand.generated, passed)
-        self._first.add(demand.first_tokens, passed)
-        self._decode_count.add(decode_count, passed)
+        """Record the fleet's demand of the last second, with the instances that each stage had."""
+        if self._first_observed_at is None:
+            self._first_observed_at = self._observed_at = now
+        elapsed_s, self._observed_at = now - self._observed_at, now
+        self._prompt_tokens_per_s.add(demand.read_tokens + demand.spilled_tokens, elapsed_s)
+        self._direct_tokens_per_s.add(demand.direct_tokens, elapsed_s)
+        self._spilled_tokens_per_s.add(demand.spilled_tokens, elapsed_s)
+        self._decoding_requests.add(demand.decoding, elapsed_s)
+        self._generated_tokens_per_s.add(demand.generated, elapsed_s)
+        self._first_tokens_per_s.add(demand.first_tokens, elapsed_s)
+        self._decode_instances.add(decode_count, elapsed_s)
         if prefill_count > 0:
-            self._busy.add(prefill_count * utilisation(demand.reading / prefill_count), passed)
-            self._read.add(demand.done_tokens, passed)
+            self._busy_instances.add(prefill_count * utilization(demand.reading / prefill_count), elapsed_s)
+            self._prefilled_tokens_per_s.add(demand.done_tokens, elapsed_s)
 
     def work(self, target_running: float, now: float) -> StageWork | None:
-        """The work as smoothed; None while too little was seen.
+        """Return the smoothed work; None until demand has been observed for `observed_s`.
 
-        `target_running` is the number of requests with which a decode instance is fully used.
+        `target_running` is the number of running requests at which a decode instance is fully used.
         """
-        if self._first_at is None or now - self._first_at < self._settings.observed_s:
+        if self._first_observed_at is None or now - self._first_observed_at < self._settings.observed_s:
             return None
-        token_s = self.seconds_per_read_token()
-        direct = self._direct.value * token_s * self._settings.decode_read_factor
-        tokens = self._generated.value + self._first.value
-        running = tokens * self._generated_token_s(target_running)
-        return StageWork(self._prompts.value * token_s, running / target_running + direct)
-
-    def seconds_per_read_token(self) -> float:
-        """Seconds that a prefill instance is busy for a token to be read, as measured of late."""
+        token_s = self.prefill_token_s()
+        direct_work = self._direct_tokens_per_s.value * token_s * self._settings.decode_read_factor
+        tokens = self._generated_tokens_per_s.value + self._first_tokens_per_s.value
+        running_requests = tokens * self._generated_token_s(target_running)
+        return StageWork(
+            self._prompt_tokens_per_s.value * token_s, running_requests / target_running + direct_work
+        )
+
+    def prefill_token_s(self) -> float:
+        """Return the recent busy seconds of a prefill instance for each prompt token."""
         settings = self._settings
-        read = self._read.value * settings.pace_memory_s
-        busy = self._busy.value * settings.pace_memory_s
+        prefilled_tokens = self._prefilled_tokens_per_s.value * settings.pace_memory_s
+        busy_s = self._busy_instances.value * settings.pace_memory_s
         prior = settings.prior_tokens
-        return (busy + prior / settings.tokens_per_s) / (read + prior)
+        return (busy_s + prior / settings.tokens_per_s) / (prefilled_tokens + prior)
 
     def _generated_token_s(self, target_running: float) -> float:
-        """Seconds of a generated token at an instance that runs a target_running number and reads nothing."""
+        """Return the seconds per token at an instance that runs `target_running` requests and no prefill."""
         settings = self._settings
-        if self._generated.value < settings.least_generated or self._decode_count.value <= 0.0:
+        if (
+            self._generated_tokens_per_s.value < settings.least_generated
+            or self._decode_instances.value <= 0.0
+        ):
             return 0.0
-        token_s = self._decoding.value / self._generated.value
-        read = (self._direct.value + self._spilled.value) * self.seconds_per_read_token()
-        reading = min(settings.most_reading, read * settings.decode_read_factor / self._decode_count.value)
-        running_each = self._decoding.value / self._decode_count.value
-        own = token_s * (1.0 - reading) + settings.running_s * (target_running - running_each)
-        return max(own, token_s * settings.least_token_fraction)
-
-
-class _Faded:
-    """An exponential mean of samples that each hold since the one before; the first one counts whole."""
+        token_s = self._decoding_requests.value / self._generated_tokens_per_s.value
+        prefill_work = (
+            self._direct_tokens_per_s.value + self._spilled_tokens_per_s.value
+        ) * self.prefill_token_s()
+        prefill_fraction = min(
+            settings.most_reading, prefill_work * settings.decode_read_factor / self._decode_instances.value
+        )
+        running_per_instance = self._decoding_requests.value / self._decode_instances.value
+        decode_token_s = token_s * (1.0 - prefill_fraction) + settings.running_s * (
+            target_running - running_per_instance
+        )
+        return max(decode_token_s, token_s * settings.least_token_fraction)
+
+
+class _ExponentialMean:
+    """Exponential mean of samples that each cover the time since the previous one; the first counts fully."""
 
     __slots__ = ("value", "_memory_s", "_empty")
 
@@ -137,13 +150,13 @@
         self._memory_s = memory_s
         self._empty = True
 
-    def add(self, sample: float, passed: float) -> None:
-        """Take a sample that stands for the last `passed` seconds."""
-        weight = 1.0 if self._empty else 1.0 - exp(-passed / self._memory_s)
+    def add(self, sample: float, elapsed_s: float) -> None:
+        """Add a sample that covers the last `elapsed_s` seconds."""
+        weight = 1.0 if self._empty else 1.0 - exp(-elapsed_s / self._memory_s)
         self._empty = False
         self.value += (sample - self.value) * weight
 
 
-def utilisation(under_way: float) -> float:
-    """The share of its time for which an instance with so many calls under way on average is busy."""
-    return 1.0 + under_way - hypot(1.0, under_way)
+def utilization(calls_in_flight: float) -> float:
+    """Return the fraction of time for which an instance with this mean number of calls in flight is busy."""
+    return 1.0 + calls_in_flight - hypot(1.0, calls_in_flight)
--- a/mallowbeam/router/pairing/stages.py
+++ b/mallowbeam/router/pairing/stages.py
@@ -1,4 +1,4 @@
-"""The stages of model servers, as the wire names them."""
+"""The stages of model servers, by their names on the wire."""
 
 PREFILL = "prefill"
 DECODE = "decode"
--- a/tests/router/admission/test_rules_priority.py
+++ b/tests/router/admission/test_rules_priority.py
@@ -1,8 +1,8 @@
-"""More urgent kinds against less urgent ones of the same service, in the model of `test_admission_fleet.py`.
+"""Requests of different priorities for one service, in the model of `test_admission_fleet.py`.
 
-While the fleet can do nearly all that is asked, also in a burst, no kind is served clearly less often than a
-less urgent one.  Where it can't, `docs/rules.md` has the figures: short prompts are then served where long
-ones are not, whatever their urgency.
+While the fleet can serve nearly all requests, also in a burst, no kind is served clearly less often than a
+less urgent one.  For higher loads, `docs/rules.md` has the figures: short prompts are then served where long
+ones are not, whatever their priority.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class BurstWorld(World):
-    """The usual load, and a burst of some seconds."""
+    """The usual load with a burst of three seconds."""
 
     def _next(self, kind):
         self.load = BURST if BEGINS_S <= self.now < ENDS_S else USUAL
@@ -32,17 +32,17 @@
 
 
 @cache
-def served() -> dict[str, float]:
-    """The share served of each kind, over all seeds."""
+def served_fractions() -> dict[str, float]:
+    """Return the fraction served of each kind, over all seeds."""
     worlds = [BurstWorld(PlannerSettings(), USUAL, seed=seed, seconds=SECONDS).run() for seed in SEEDS]
     return {
-        kind.name: sum(world.tallies[kind.name].served for world in worlds) / len(worlds)
+        kind.name: sum(world.tallies[kind.name].served_fraction for world in worlds) / len(worlds)
         for kind in worlds[0].kinds
     }
 
 
-def put_behind(shares: dict[str, float], priorities: dict[str, int]) -> dict[tuple[str, str], float]:
-    """By how much each kind is served less often than a less urgent one, beyond the margin."""
+def violations(shares: dict[str, float], priorities: dict[str, int]) -> dict[tuple[str, str], float]:
+    """Return by how much each kind is served less often than a less urgent one, beyond the margin."""
     pairs = [(one, other) for one in shares for other in shares if priorities[one] < priorities[other]]
     return {(one, other): over for one, other in pairs if (over := shares[other] - shares[one] - MARGIN) > 0}
 
@@ -51,20 +51,20 @@
     PRIORITIES = {"medium": 0, "long": 1, "short": 2}
 
     def test_no_kind_is_put_behind_a_less_urgent_one(self) -> None:
-        self.assertEqual(put_behind(served(), self.PRIORITIES), {})
+        self.assertEqual(violations(served_fractions(), self.PRIORITIES), {})
 
     def test_the_check_can_fail(self) -> None:
         shares = {"medium": 0.90, "long": 0.94, "short": 0.96}
-        self.assertEqual(set(put_behind(shares, self.PRIORITIES)), {("medium", "short")})
+        self.assertEqual(set(violations(shares, self.PRIORITIES)), {("medium", "short")})
 
 
 class Refusals(unittest.TestCase):
-    """Of equal requests, the more urgent bear more wait before they are refused."""
+    """Of equal requests, the more urgent tolerate a longer wait before they are rejected."""
 
     REQUESTS = 400
 
-    def refused(self, priority: int) -> float:
-        """The share refused while another kind's waits are seen to grow."""
+    def rejected(self, priority: int) -> float:
+        """Return the fraction rejected after long measured waits of the service."""
         planner = Planner(PlannerSettings(), "g")
         engine = Engine(slots=64, kv_capacity=400_000, kv_token_bytes=18_432, link_mbps=500_000.0)
         planner.configuration_changed([Backend(name="s", engine=engine)], 0.0)
@@ -76,9 +76,9 @@
             ],
             0.0,
         )
-        for urgent in range(3):  # all priorities are known
+        for urgent in range(3):  # so that all priorities are known
             planner.plan(self.request(f"known-{urgent}", urgent), 0.0)
-        planner.guard.waited("s", 500_000, 0.9, 0.0)
+        planner.guard.record_wait("s", 500_000, 0.9, 0.0)
         requests = [self.request(f"r-{number}", priority) for number in range(self.REQUESTS)]
         return sum(isinstance(planner.plan(one, 0.01), Rejection) for one in requests) / self.REQUESTS
 
@@ -98,7 +98,7 @@
         )
 
     def test_the_more_urgent_are_refused_less_often(self) -> None:
-        shares = [self.refused(priority) for priority in (0, 1, 2)]
+        shares = [self.rejected(priority) for priority in (0, 1, 2)]
         self.assertLess(shares[0] + 0.1, shares[1])
         self.assertLess(shares[1] + 0.05, shares[2])
 
--- a/tests/router/health/test_fleet_attempts.py
+++ b/tests/router/health/test_fleet_attempts.py
@@ -1,4 +1,4 @@
-"""How the fleet's attempts at instances end: counted at gateways, added up by members, told back, used."""
+"""Outcomes of the fleet's attempts: counted at gateways, summed by members, reported back, and applied."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         for end in AttemptEnd:
             gateway.attempt_ended("a", end, 1.1)
         (entry,) = gateway.attempt_meter.sample()
-        self.assertEqual((entry.failed, entry.answered), (3, 3), "a deadline that passed says nothing")
+        self.assertEqual((entry.failed, entry.answered), (3, 3), "an exceeded deadline counts as neither")
 
 
 class AddedUp(unittest.TestCase):
@@ -67,10 +67,10 @@
         table.forget(1)
         self.assertEqual(table.sums(10.0), {})
 
-    def test_the_most_failures_are_told_first(self) -> None:
+    def test_most_failures_are_reported_first(self) -> None:
         sums = {f"i-{number:03}": AttemptSum(number) for number in range(MOST_REPORTED + 10)}
-        told = messages_of(sums, MOST_REPORTED)
-        self.assertEqual((len(told), told[0].id), (MOST_REPORTED, f"i-{MOST_REPORTED + 9:03}"))
+        reported = messages_of(sums, MOST_REPORTED)
+        self.assertEqual((len(reported), reported[0].id), (MOST_REPORTED, f"i-{MOST_REPORTED + 9:03}"))
 
     def test_members_add_each_other_s_gateways_once(self) -> None:
         first, second = AttemptReports(), AttemptReports()
@@ -80,18 +80,18 @@
             gossip = RegistryGossip()
             second.add_to_gossip(gossip, 10.0)
             first.receive_gossip(2, gossip, 10.0)
-        told = {one.id: (one.failed, one.answered) for one in first.for_gateways(10.0)}
-        self.assertEqual(told, {"a": (3, 1), "b": (3, 0)}, "only instances with failures are told")
+        reported = {one.id: (one.failed, one.answered) for one in first.for_gateways(10.0)}
+        self.assertEqual(reported, {"a": (3, 1), "b": (3, 0)}, "only instances with failures are reported")
 
-    def test_gossip_without_a_word_changes_nothing(self) -> None:
-        words = AttemptReports()
+    def test_gossip_without_reports_changes_nothing(self) -> None:
+        reports = AttemptReports()
         gossip, again = RegistryGossip(), RegistryGossip()
-        words.add_to_gossip(gossip, 10.0)
-        words.add_to_gossip(again, 10.1)
+        reports.add_to_gossip(gossip, 10.0)
+        reports.add_to_gossip(again, 10.1)
         self.assertEqual((gossip.tells_attempts, again.tells_attempts), (True, False))
-        words.receive_gossip(2, RegistryGossip(tells_attempts=True, attempts=[attempts("a", 9)]), 10.0)
-        words.receive_gossip(2, again, 10.1)
-        self.assertEqual(len(words.for_gateways(10.1)), 1)
+        reports.receive_gossip(2, RegistryGossip(tells_attempts=True, attempts=[attempts("a", 9)]), 10.0)
+        reports.receive_gossip(2, again, 10.1)
+        self.assertEqual(len(reports.for_gateways(10.1)), 1)
 
     def test_sums_of_sums(self) -> None:
         total = add_sums(({"a": AttemptSum(1, 1)}, {"a": AttemptSum(0, 3), "b": AttemptSum()}))
@@ -113,13 +113,13 @@
         self.assertEqual(gateway.health.excluded(among, 1.1), {"a"})
         self.assertEqual(gateway.health.excluded(among, 1.1 + OutlierSettings().suspected_s), set())
 
-    def test_a_success_of_its_own_takes_it_back(self) -> None:
+    def test_an_own_success_ends_the_suspicion(self) -> None:
         health = OutlierDetector()
         health.suspected("a", 1.0)
         health.succeeded("a")
         self.assertEqual(health.excluded(["a", "b", "c"], 1.1), set())
 
-    def test_where_most_would_be_left_out_none_is(self) -> None:
+    def test_none_is_left_out_where_most_would_be(self) -> None:
         health = OutlierDetector()
         for id in ("a", "b"):
             health.suspected(id, 1.0)
--- a/tests/router/pairing/test_pairing_hashing.py
+++ b/tests/router/pairing/test_pairing_hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous order: the same everywhere, even, and stable when instances come and go."""
+"""Rendezvous order: the same in all processes, even, and stable when instances are added or removed."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 KEYS = [stable_hash(f"key-{number}") for number in range(2000)]
 
 
-def ring_of(count: int, skip: str = "") -> Ring:
-    """A ring of so many instances, one left out."""
+def ring_with(count: int, skip: str = "") -> Ring:
+    """Return a ring of `count` instances without the one named `skip`."""
     ring = Ring()
     for number in range(count):
         if f"i{number}" != skip:
@@ -20,7 +20,7 @@
 
 
 def firsts(ring: Ring) -> list[str]:
-    """The first instance of each key."""
+    """Return the first instance of each key."""
     return [ring.ranked(key)[0] for key in KEYS]
 
 
@@ -35,36 +35,36 @@
         other = Ring()
         for number in reversed(range(9)):
             other.add(f"i{number}")
-        self.assertEqual(firsts(ring_of(9)), firsts(other))
+        self.assertEqual(firsts(ring_with(9)), firsts(other))
 
     def test_keys_are_spread_evenly(self) -> None:
-        counts = Counter(firsts(ring_of(9)))
+        counts = Counter(firsts(ring_with(9)))
         self.assertEqual(len(counts), 9)
         self.assertLess(max(counts.values()), 1.3 * len(KEYS) / 9)
         self.assertGreater(min(counts.values()), 0.7 * len(KEYS) / 9)
 
     def test_only_the_keys_of_an_instance_that_goes_move(self) -> None:
-        before, after = firsts(ring_of(9)), firsts(ring_of(9, skip="i4"))
+        before, after = firsts(ring_with(9)), firsts(ring_with(9, skip="i4"))
         for old, new in zip(before, after, strict=True):
             if old != "i4":
                 self.assertEqual(old, new)
 
     def test_an_instance_that_goes_leaves_its_keys_to_their_second(self) -> None:
-        whole, without = ring_of(9), ring_of(9, skip="i4")
+        whole, without = ring_with(9), ring_with(9, skip="i4")
         for key in KEYS:
             order = whole.ranked(key)
             if order[0] == "i4":
                 self.assertEqual(without.ranked(key)[0], order[1])
 
     def test_an_instance_that_comes_back_gets_the_same_keys(self) -> None:
-        ring = ring_of(9)
+        ring = ring_with(9)
         before = firsts(ring)
         ring.remove("i4")
         ring.add("i4")
         self.assertEqual(firsts(ring), before)
 
     def test_added_twice_it_is_there_once(self) -> None:
-        ring = ring_of(3)
+        ring = ring_with(3)
         ring.add("i1")
         self.assertEqual(len(ring), 3)
         ring.remove("unknown")
@@ -73,15 +73,15 @@
 
 class LargeServices(unittest.TestCase):
     def test_a_window_is_ranked(self) -> None:
-        self.assertEqual(len(ring_of(500).ranked(KEYS[0])), WINDOW)
+        self.assertEqual(len(ring_with(500).ranked(KEYS[0])), WINDOW)
 
     def test_few_keys_move_when_an_instance_goes(self) -> None:
-        before, after = firsts(ring_of(500)), firsts(ring_of(500, skip="i77"))
+        before, after = firsts(ring_with(500)), firsts(ring_with(500, skip="i77"))
         moved = sum(old != new for old, new in zip(before, after, strict=True))
         self.assertLess(moved, 0.02 * len(KEYS))
 
     def test_all_instances_get_keys(self) -> None:
-        counts = Counter(firsts(ring_of(100)))
+        counts = Counter(firsts(ring_with(100)))
         self.assertEqual(len(counts), 100)
         self.assertLess(max(counts.values()), 3.5 * len(KEYS) / 100)
 
--- a/tests/router/pairing/test_pairing_losses.py
+++ b/tests/router/pairing/test_pairing_losses.py
@@ -1,4 +1,4 @@
-"""Losses in one unit: time of the request, and of those that it keeps waiting."""
+"""Losses by the time of a request and of the requests that it delays, in one unit."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Load(unittest.TestCase):
-    def test_the_rate_is_that_of_late(self) -> None:
+    def test_rate_covers_recent_arrivals(self) -> None:
         load = StageLoad(0.0)
         for step in range(100):
             load.arrived(step * 0.25)
         self.assertAlmostEqual(load.rate(24.75), 4.0, delta=0.8)
         self.assertLess(load.rate(60.0), 0.1)
 
-    def test_a_first_arrival_is_no_flood(self) -> None:
+    def test_a_single_arrival_gives_a_low_rate(self) -> None:
         load = StageLoad(0.0)
         load.arrived(0.0)
         self.assertLessEqual(load.rate(0.0), 1.2)
@@ -47,9 +47,9 @@
 
 
 class Ways(unittest.TestCase):
-    """Which candidate a long prompt goes, on engines of unequal memory a token."""
+    """Whether long prompts are prefilled apart, on engines with different KV cache sizes per token."""
 
-    def share_read_apart(self, kv_token_bytes: int, link_mbps: float) -> float:
+    def fraction_prefilled_apart(self, kv_token_bytes: int, link_mbps: float) -> float:
         engine = Engine(
             slots=64,
             kv_capacity=250_000,
@@ -69,29 +69,29 @@
             0.0,
         )
         planner.gateways_changed(GATEWAYS)
-        apart = 0
+        prefilled_apart = 0
         for number in range(100):
             now = number * 0.3
-            parts = (PromptSegment(f"s-{number % 40}", 6_300), PromptSegment(f"own-{number}", 2_890))
-            request = PlanRequest(f"r-{number}", "m", engine, parts, 9_190, 7, 1, 0.5, 4.0, "z")
+            segments = (PromptSegment(f"s-{number % 40}", 6_300), PromptSegment(f"own-{number}", 2_890))
+            request = PlanRequest(f"r-{number}", "m", engine, segments, 9_190, 7, 1, 0.5, 4.0, "z")
             planned = planner.plan(request, now)
             assert isinstance(planned, Plan)
-            apart += planned.prefill_instance is not None
+            prefilled_apart += planned.prefill_instance is not None
             planner.begun(planned.booking, now)
             if planned.prefill_instance:
                 planner.prefill_done(planned.booking, now + 0.2)
             planner.first_token(planned.booking, now + 0.25)
             planner.finished(planned.booking, Outcome.COMPLETED, now + 0.28)
-        return apart / 100
+        return prefilled_apart / 100
 
     def test_large_memory_on_a_fast_link_moves_as_readily_as_small_memory(self) -> None:
-        """By the gigabyte, 3 GB that a link moves in 10 ms cost nearly half of a request's worth."""
-        self.assertGreater(self.share_read_apart(18_432, 550_000.0), 0.8)
-        self.assertGreater(self.share_read_apart(327_680, 2_400_000.0), 0.8)
+        """With a price per byte, 3 GB moved in 10 ms would cost nearly half of a request's value."""
+        self.assertGreater(self.fraction_prefilled_apart(18_432, 550_000.0), 0.8)
+        self.assertGreater(self.fraction_prefilled_apart(327_680, 2_400_000.0), 0.8)
 
     def test_a_slow_link_is_avoided(self) -> None:
         """3 GB over 10 Gbit/s take 2.4 s."""
-        self.assertLess(self.share_read_apart(327_680, 10_000.0), 0.1)
+        self.assertLess(self.fraction_prefilled_apart(327_680, 10_000.0), 0.1)
 
 
 if __name__ == "__main__":
--- a/tests/router/pairing/test_pairing_prefix_cache.py
+++ b/tests/router/pairing/test_pairing_prefix_cache.py
@@ -1,4 +1,4 @@
-"""The model of what an instance keeps: leading parts, least recently used first, others' requests."""
+"""The prefix cache model: leading segments, eviction by last use, charges for other gateways' requests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def prompt(*names: str, tokens: int = 100) -> tuple[PromptSegment, ...]:
-    """A prompt of parts of equal size."""
+    """Return a prompt of segments of equal size."""
     return tuple(PromptSegment(name, tokens) for name in names)
 
 
@@ -29,7 +29,7 @@
 
 
 class TheLeastRecentlyUsed(unittest.TestCase):
-    def test_it_goes_first(self) -> None:
+    def test_it_is_evicted_first(self) -> None:
         cache = PrefixCache(400)
         cache.record_use(prompt("a", "one"), 1)
         cache.record_use(prompt("b", "two"), 1)
@@ -37,7 +37,7 @@
         self.assertIn("a", cache)
         self.assertNotIn("one", cache)
 
-    def test_of_one_prompt_the_last_part_goes_first(self) -> None:
+    def test_of_one_prompt_the_last_segment_is_evicted_first(self) -> None:
         cache = PrefixCache(200)
         cache.record_use(prompt("a", "b", "own"), 1)
         self.assertEqual(list(cache), ["b", "a"])
@@ -55,7 +55,7 @@
         cache.record_use(prompt("a", "x"), 1)
         self.assertEqual(cache.tokens, 200)
 
-    def test_a_smaller_memory_forgets(self) -> None:
+    def test_resizing_evicts_segments(self) -> None:
         cache = PrefixCache(1000)
         cache.record_use(prompt("a", "b", "own"), 1)
         cache.resize(100)
@@ -69,8 +69,8 @@
 
 
 class OtherGateways(unittest.TestCase):
-    def test_own_parts_stand_for_those_of_others(self) -> None:
-        """Seven gateways fill the memory seven times as fast as this one sees."""
+    def test_own_segments_are_charged_for_other_gateways(self) -> None:
+        """Seven gateways fill the KV cache seven times as fast as one gateway's own requests."""
         alone, among = PrefixCache(2000), PrefixCache(2000)
         for number in range(5):
             alone.record_use(prompt(f"s{number}", f"own{number}"), 1)
--- a/tests/router/pairing/test_pairing_stage_balancer.py
+++ b/tests/router/pairing/test_pairing_stage_balancer.py
@@ -1,4 +1,4 @@
-"""How many instances of a service read prompts: the split, its bounds, and the pace of orders."""
+"""The balance of stages: the split of instances, its bounds, and the rate of orders."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 SETTINGS = StageBalancerSettings()
 SLOTS, SWITCH_S = 64, 1.0
-# Reading that keeps some 40 instances busy, at 40,000 tokens a second each, and hardly any decoding.
-HEAVY_READING = StageDemand(
+# Prefills that keep about 40 instances busy, at 40,000 tokens per second each, and hardly any decoding.
+HEAVY_PREFILL = StageDemand(
     backend="m",
     reading=60.0,
     read_tokens=1.6e6,
@@ -31,25 +31,25 @@
 
 
 class Fleet:
-    """Instances that do what they are ordered at once, beside one `StageBalancer`."""
+    """Instances that execute orders at once, and the `StageBalancer` that sends them."""
 
     def __init__(self, prefill: int, decode: int) -> None:
         self.stages = {
             f"i-{number:02}": PREFILL if number < prefill else DECODE for number in range(prefill + decode)
         }
-        self.share = StageBalancer(SETTINGS)
+        self.balancer = StageBalancer(SETTINGS)
         self.now = 0.0
 
     def instances(self) -> list[StageInstance]:
         return [StageInstance(id, f"{id}:1", stage, "z") for id, stage in self.stages.items()]
 
     def step(self, demand: StageDemand, seconds: float = 0.5) -> list[StageOrder]:
-        """Tell of a demand, and do what is ordered."""
+        """Report a demand, and execute the resulting orders."""
         self.now += seconds
-        self.share.observe(demand, self.instances(), self.now)
-        orders = self.share.decide(self.instances(), SLOTS, SWITCH_S, self.now)
+        self.balancer.observe(demand, self.instances(), self.now)
+        orders = self.balancer.decide(self.instances(), SLOTS, SWITCH_S, self.now)
         for order in orders:
-            self.share.answered(order, OrderResult.ACCEPTED, SWITCH_S, self.now)
+            self.balancer.answered(order, OrderResult.ACCEPTED, SWITCH_S, self.now)
             self.stages[order.id] = order.stage
         return orders
 
@@ -70,24 +70,24 @@
         for prefill, decode, least in ((18, 27, 2), (4, 5, 2), (2, 2, 1)):
             fleet = Fleet(prefill, decode)
             for _ in range(40):
-                fleet.step(HEAVY_READING)
+                fleet.step(HEAVY_PREFILL)
             self.assertGreaterEqual(fleet.count(DECODE), least)
 
-    def test_the_share_fits_within_seconds(self) -> None:
-        """A tenth of the instances at once: more at once left too few to decode what had only begun."""
+    def test_the_split_adapts_within_seconds(self) -> None:
+        """A tenth of the instances switch at once: more left too few to decode the requests just begun."""
         fleet = Fleet(18, 27)
-        first = next(step for step in range(40) if fleet.step(HEAVY_READING))
+        first = next(step for step in range(40) if fleet.step(HEAVY_PREFILL))
         self.assertLess(first * 0.5, 3.0)
         self.assertEqual(27 - fleet.count(DECODE), 4)
         for _ in range(10):
-            fleet.step(HEAVY_READING)
+            fleet.step(HEAVY_PREFILL)
         self.assertLessEqual(fleet.count(DECODE), 10)
 
     def test_no_more_are_under_way_than_allowed(self) -> None:
         fleet = Fleet(18, 27)
         orders: list[StageOrder] = []
         while not orders:
-            orders = fleet.step(HEAVY_READING)
+            orders = fleet.step(HEAVY_PREFILL)
         self.assertLessEqual(len(orders), SETTINGS.in_progress_fraction * 45)
 
 
--- a/tests/router/pairing/test_rules_orders.py
+++ b/tests/router/pairing/test_rules_orders.py
@@ -1,4 +1,4 @@
-"""Orders to instances: who may send one, what is sent, what each answer means, and requests beside them."""
+"""Stage orders: who may send one, its content, the meaning of each answer, and requests during a switch."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from failing_instances import ByName, add
 from gateway_bench import ENGINE, Bench, events
-from order_world import OrderWorld, faults
+from order_world import OrderWorld, lease_violations
 from timed_instances import Timed
 from virtual_time import play
 
@@ -33,21 +33,21 @@
 
 
 class NoWait(OrderLease):
-    """Sends as soon as it has the lease."""
+    """Broken: sends as soon as it has the lease."""
 
     def acquired(self, term: int, token: int, now: float) -> None:
         super().acquired(term, token, now - self.settings.wait_s)
 
 
-class NoLookAtTheMajority(OrderLease):
-    """Sends while it believes that it leads, however long ago that was confirmed."""
+class NoMajorityCheck(OrderLease):
+    """Broken: sends without a recent confirmation of its leadership by a majority."""
 
     def token(self, leadership: Leadership, now: float) -> int | None:
         return super().token(Leadership(leadership.is_leader, leadership.term, 0.0), now)
 
 
 class AnyTerm(OrderLease):
-    """Uses a lease in whatever term it leads."""
+    """Broken: uses a lease in other terms than the one in which it was acquired."""
 
     def token(self, leadership: Leadership, now: float) -> int | None:
         term = self._grant.term if self._grant is not None else 0
@@ -55,26 +55,26 @@
 
 
 class OneHolder(unittest.TestCase):
-    def played(self, seed: int, lease_type: type[OrderLease] = OrderLease) -> tuple[list[str], int, int]:
-        """Faults, orders, and how many holders sent some."""
+    def run_world(self, seed: int, lease_type: type[OrderLease] = OrderLease) -> tuple[list[str], int, int]:
+        """Return the faults, the number of orders and the number of holders that sent some."""
         random = Random(seed)
         world = OrderWorld(random, lease_type, random.choice((3, 5)))
-        arrivals = world.play(SECONDS)
-        found = faults(arrivals, world.settings.lease_s)
+        arrivals = world.run_for(SECONDS)
+        found = lease_violations(arrivals, world.settings.lease_s)
         return found, len(arrivals), len({order.holder for order in arrivals})
 
     def test_over_elections_cuts_freezes_restarts_and_lost_answers(self) -> None:
-        orders = turns = 0
+        orders = multi_holder_runs = 0
         for seed in SEEDS:
-            found, sent, holders = self.played(seed)
+            found, sent, holders = self.run_world(seed)
             self.assertEqual(found, [], seed)
-            orders, turns = orders + sent, turns + (holders > 1)
+            orders, multi_holder_runs = orders + sent, multi_holder_runs + (holders > 1)
         self.assertGreater(orders, 100 * len(SEEDS))
-        self.assertGreater(turns, len(SEEDS) // 2)
+        self.assertGreater(multi_holder_runs, len(SEEDS) // 2)
 
-    def test_broken_ones_are_found(self) -> None:
-        for broken in (NoWait, NoLookAtTheMajority, AnyTerm):
-            self.assertTrue(any(self.played(seed, broken)[0] for seed in SEEDS), broken.__name__)
+    def test_broken_leases_are_detected(self) -> None:
+        for broken in (NoWait, NoMajorityCheck, AnyTerm):
+            self.assertTrue(any(self.run_world(seed, broken)[0] for seed in SEEDS), broken.__name__)
 
     def test_a_leader_that_was_frozen_or_cut_off_sends_none(self) -> None:
         lease = OrderLease(OrderLeaseSettings(LEASE_S))
@@ -92,7 +92,7 @@
         lease.rejected(later)
         self.assertIsNone(lease.token(LEADS, later + 100.0))
 
-    def test_two_machines_never_get_one_token_whatever_is_asked(self) -> None:
+    def test_a_token_never_has_two_holders(self) -> None:
         random, leases = Random(3), Leases()
         holders: dict[int, int] = {}
         newest = 0
@@ -105,20 +105,20 @@
 
 
 @dataclass
-class Ordered:
-    """An instance's end of orders: as the protocol has it, with what is to be lost."""
+class OrderedInstance:
+    """An instance that answers orders by the protocol, and can omit its answers."""
 
     id: str = "i-1"
     silent: bool = False
     busy: bool = False
     sequence: int = 0
-    fence: int = 0  # the highest token seen
+    highest_token: int = 0  # the highest token seen
     stage: str = "decode"
-    taken: list[dict[str, object]] = field(default_factory=list)
+    accepted_orders: list[dict[str, object]] = field(default_factory=list)
     statuses: list[int] = field(default_factory=list)
     address: str = ""
 
-    async def __aenter__(self) -> Ordered:
+    async def __aenter__(self) -> OrderedInstance:
         self._server = await asyncio.start_server(self._connection, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
@@ -128,26 +128,26 @@
         self._server.close()
 
     def restart(self, id: str) -> None:
-        """Another incarnation at the same address: it has forgotten sequence and fences."""
-        self.id, self.sequence, self.fence, self.busy = id, 0, 0, False
+        """Start another incarnation at the same address: sequence and highest token are lost."""
+        self.id, self.sequence, self.highest_token, self.busy = id, 0, 0, False
 
-    def judge(self, headers: dict[str, str], order: dict[str, object]) -> int:
-        """The answer's status; an order that is taken is noted."""
+    def accept_or_reject(self, headers: dict[str, str], order: dict[str, object]) -> int:
+        """Return the status of the answer, and record an accepted order."""
         if headers.get("target-instance", self.id) != self.id:
             return 421
         if order.get("op") != "stage" or not order.get("holder") or not order.get("fencing_token"):
             return 400
         token = order["fencing_token"]
         assert isinstance(token, int)
-        if token < self.fence:
+        if token < self.highest_token:
             return 412
-        self.fence = token
+        self.highest_token = token
         if order["stage"] == self.stage:
             return 200
         if self.busy or order.get("if_revision", self.sequence) != self.sequence:
             return 409
         self.sequence, self.busy = self.sequence + 1, True
-        self.taken.append(order)
+        self.accepted_orders.append(order)
         return 202
 
     async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -157,7 +157,7 @@
             for name, _, value in (line.partition(":") for line in head.split("\r\n")[1:] if line)
         }
         order = json.loads(await reader.readexactly(int(headers["content-length"])))
-        status = self.judge(headers, order)
+        status = self.accept_or_reject(headers, order)
         self.statuses.append(status)
         if self.silent:
             await reader.read()
@@ -167,81 +167,83 @@
 
 
 class Lease(StageLease):
-    """A member's lease; all else about the member is as it is told."""
+    """A member's lease with a fixed view of its leadership."""
 
-    def __init__(self, token: int = 7, leads: bool = True, silence_s: float = 0.0) -> None:
-        self.member_id, self._told = HOLDER, Leadership(leads, TERM, silence_s)
+    def __init__(self, token: int = 7, is_leader: bool = True, confirmed_s_ago: float = 0.0) -> None:
+        self.member_id, self._fixed_leadership = HOLDER, Leadership(is_leader, TERM, confirmed_s_ago)
         self._gate = SimpleNamespace(may=lambda *_: True)
         self._lease = OrderLease(OrderLeaseSettings(LEASE_S))
         self._lease.acquired(TERM, token, time.monotonic() - self._lease.settings.wait_s)
 
     def _leadership(self, now: float) -> Leadership:
-        return self._told
+        return self._fixed_leadership
 
 
-def leader_with(token: int = 7, leads: bool = True, silence_s: float = 0.0) -> StageOrderClient:
-    """A client under such a lease."""
-    return StageOrderClient(Lease(token, leads, silence_s))
+def client_with_lease(
+    token: int = 7, is_leader: bool = True, confirmed_s_ago: float = 0.0
+) -> StageOrderClient:
+    """Return a client with such a lease."""
+    return StageOrderClient(Lease(token, is_leader, confirmed_s_ago))
 
 
 class Sending(unittest.IsolatedAsyncioTestCase):
-    """What a leader sends, and what it takes an answer for."""
+    """The orders that a leader sends, and how it interprets the answers."""
 
-    def to(self, instance: Ordered, stage: str = "prefill", id: str = "i-1") -> StageOrder:
+    def order_to(self, instance: OrderedInstance, stage: str = "prefill", id: str = "i-1") -> StageOrder:
         return StageOrder(id, instance.address, stage)
 
     async def test_op_holder_token_and_instance_are_named(self) -> None:
-        async with Ordered() as instance:
-            self.assertEqual(await leader_with().send(self.to(instance)), OrderResult.ACCEPTED)
+        async with OrderedInstance() as instance:
+            self.assertEqual(await client_with_lease().send(self.order_to(instance)), OrderResult.ACCEPTED)
             self.assertEqual(
-                instance.taken,
+                instance.accepted_orders,
                 [{"op": "stage", "stage": "prefill", "holder": f"{HOLDER:016x}", "fencing_token": 7}],
             )
 
     async def test_what_each_answer_means(self) -> None:
-        async with Ordered() as instance:
-            leader = leader_with()
-            self.assertEqual(await leader.send(self.to(instance)), OrderResult.ACCEPTED)  # 202
-            self.assertEqual(await leader.send(self.to(instance)), OrderResult.UNKNOWN)  # 409
+        async with OrderedInstance() as instance:
+            leader = client_with_lease()
+            self.assertEqual(await leader.send(self.order_to(instance)), OrderResult.ACCEPTED)  # 202
+            self.assertEqual(await leader.send(self.order_to(instance)), OrderResult.UNKNOWN)  # 409
             instance.stage, instance.busy = "prefill", False
-            self.assertEqual(await leader.send(self.to(instance)), OrderResult.ACCEPTED)  # 200
-            self.assertEqual(await leader.send(self.to(instance, id="i-0")), OrderResult.REJECTED)
+            self.assertEqual(await leader.send(self.order_to(instance)), OrderResult.ACCEPTED)  # 200
+            self.assertEqual(await leader.send(self.order_to(instance, id="i-0")), OrderResult.REJECTED)
             self.assertEqual(instance.statuses, [202, 409, 200, 421])
-            self.assertEqual(len(instance.taken), 1)
+            self.assertEqual(len(instance.accepted_orders), 1)
 
     async def test_a_lower_token_ends_the_lease(self) -> None:
-        async with Ordered(fence=9) as instance:
-            leader = leader_with(token=7)
-            self.assertEqual(await leader.send(self.to(instance)), OrderResult.REJECTED)
-            self.assertEqual(await leader.send(self.to(instance)), OrderResult.NOT_SENT)
-            self.assertEqual((instance.statuses, instance.taken), ([412], []))
-
-    async def test_no_answer_may_have_been_taken_and_no_connection_was_not(self) -> None:
-        async with Ordered(silent=True) as instance:
-            leader = leader_with()
-            self.assertEqual(await leader.send(self.to(instance)), OrderResult.UNKNOWN)
-            self.assertEqual(len(instance.taken), 1)
-        nobody = StageOrder("i-1", "127.0.0.1:1", "prefill")
-        self.assertEqual(await leader.send(nobody), OrderResult.NOT_SENT)
-
-    async def test_an_order_for_an_earlier_incarnation_is_not_taken_by_the_next(self) -> None:
-        """It has forgotten fences and sequence: its id alone tells it from the one that was meant."""
-        async with Ordered() as instance:
-            leader = leader_with()
+        async with OrderedInstance(highest_token=9) as instance:
+            leader = client_with_lease(token=7)
+            self.assertEqual(await leader.send(self.order_to(instance)), OrderResult.REJECTED)
+            self.assertEqual(await leader.send(self.order_to(instance)), OrderResult.NOT_SENT)
+            self.assertEqual((instance.statuses, instance.accepted_orders), ([412], []))
+
+    async def test_a_missing_answer_is_unknown_and_a_refused_connection_not_sent(self) -> None:
+        async with OrderedInstance(silent=True) as instance:
+            leader = client_with_lease()
+            self.assertEqual(await leader.send(self.order_to(instance)), OrderResult.UNKNOWN)
+            self.assertEqual(len(instance.accepted_orders), 1)
+        unreachable = StageOrder("i-1", "127.0.0.1:1", "prefill")
+        self.assertEqual(await leader.send(unreachable), OrderResult.NOT_SENT)
+
+    async def test_an_order_for_an_earlier_incarnation_is_rejected_by_the_next(self) -> None:
+        """The new incarnation has lost the highest token and the sequence: only its id differs."""
+        async with OrderedInstance() as instance:
+            leader = client_with_lease()
             instance.restart("i-2")
-            self.assertEqual(await leader.send(self.to(instance)), OrderResult.REJECTED)
-            self.assertEqual((instance.statuses, instance.taken), ([421], []))
-            self.assertEqual(await leader.send(self.to(instance, id="i-2")), OrderResult.ACCEPTED)
-
-    async def test_whoever_does_not_lead_or_is_out_of_touch_sends_nothing(self) -> None:
-        async with Ordered() as instance:
-            for leader in (leader_with(leads=False), leader_with(silence_s=2.0)):
-                self.assertEqual(await leader.send(self.to(instance)), OrderResult.NOT_SENT)
+            self.assertEqual(await leader.send(self.order_to(instance)), OrderResult.REJECTED)
+            self.assertEqual((instance.statuses, instance.accepted_orders), ([421], []))
+            self.assertEqual(await leader.send(self.order_to(instance, id="i-2")), OrderResult.ACCEPTED)
+
+    async def test_only_a_recently_confirmed_leader_sends(self) -> None:
+        async with OrderedInstance() as instance:
+            for leader in (client_with_lease(is_leader=False), client_with_lease(confirmed_s_ago=2.0)):
+                self.assertEqual(await leader.send(self.order_to(instance)), OrderResult.NOT_SENT)
             self.assertEqual(instance.statuses, [])
 
 
-class Switching(ModelServer):
-    """Turns away what has not begun while it does an order."""
+class SwitchingServer(ModelServer):
+    """Rejects new requests while it switches its stage."""
 
     busy: bool = True
 
@@ -254,10 +256,10 @@
 
 
 class RequestsMeanwhile(unittest.TestCase):
-    def test_they_go_elsewhere_and_the_instance_is_not_held_for_failed(self) -> None:
+    def test_they_go_elsewhere_and_the_instance_is_not_ejected(self) -> None:
         async def scenario() -> None:
             async with Bench(planner=ByName()) as bench:
-                first, second = Switching("d-1", "decode"), Timed("d-2", "decode")
+                first, second = SwitchingServer("d-1", "decode"), Timed("d-2", "decode")
                 await add(bench, first, ENGINE)
                 await add(bench, second, ENGINE)
                 for _ in range(5):
@@ -271,10 +273,10 @@
 
         play(scenario())
 
-    def test_a_prompt_is_read_where_it_is_answered(self) -> None:
+    def test_a_prompt_is_prefilled_by_the_decode_instance(self) -> None:
         async def scenario() -> None:
             async with Bench(planner=ByName("p-1")) as bench:
-                await add(bench, Switching("p-1", "prefill"), ENGINE)
+                await add(bench, SwitchingServer("p-1", "prefill"), ENGINE)
                 decoder = Timed("d-1", "decode")
                 await add(bench, decoder, ENGINE)
                 answer = await bench.ask("/stream/")
@@ -283,25 +285,25 @@
 
         play(scenario())
 
-    def test_alone_it_is_a_refusal_that_promises(self) -> None:
+    def test_a_single_instance_rejects_with_retry_after(self) -> None:
         async def scenario() -> None:
             async with Bench(planner=ByName()) as bench:
-                await add(bench, Switching("d-1", "decode"), ENGINE)
+                await add(bench, SwitchingServer("d-1", "decode"), ENGINE)
                 answer = await bench.ask("/stream/")
                 self.assertEqual((answer.status, "retry-after" in answer.headers), (503, True))
 
         play(scenario())
 
-    def test_none_is_sent_once_the_members_have_told_of_the_order(self) -> None:
+    def test_none_is_sent_once_members_have_announced_the_order(self) -> None:
         async def scenario() -> None:
             async with Bench(planner=ByName()) as bench:
-                first, second = Switching("d-1", "decode"), Timed("d-2", "decode")
+                first, second = SwitchingServer("d-1", "decode"), Timed("d-2", "decode")
                 await add(bench, first, ENGINE)
                 await add(bench, second, ENGINE)
-                row = Instance()
-                row.CopyFrom(bench.gateway.view.instances["d-1"])
-                row.switching_to = "prefill"
-                bench.tell(row)
+                entry = Instance()
+                entry.CopyFrom(bench.gateway.view.instances["d-1"])
+                entry.switching_to = "prefill"
+                bench.tell(entry)
                 self.assertEqual((await bench.ask("/stream/")).body, events())
                 self.assertEqual((first.seen, len(second.seen)), ([], 1))
                 self.assertNotEqual(bench.gateway.view.instances["d-1"].state, DRAINS)
