--- a/mallowbeam/router/admission/messages.py
+++ b/mallowbeam/router/admission/messages.py
@@ -43,7 +43,7 @@
     """Instances that must not be chosen, such as those tried before."""
     resumed: bool = False
     """The request continues an answer that has begun: it is not rejected while any instance may serve it."""
-    read_at: str = ""
+    kv_cache_source: str = ""
     """Instance that still holds a valid KV cache handle of this prompt; empty where there is none."""
 
 
--- a/mallowbeam/router/admission/planner.py
+++ b/mallowbeam/router/admission/planner.py
@@ -92,8 +92,8 @@
     def __init__(self, settings: PlannerSettings, gateway: str = "") -> None:
         """The gateway's name salts the choices that should differ among gateways."""
         self.settings = settings
-        self.table = InstanceTracker(settings.pairing, settings.slot_time, settings.cycle_s)
-        self.pairing = Pairing(settings.pairing, self.table, gateway)
+        self.tracker = InstanceTracker(settings.pairing, settings.slot_time, settings.cycle_s)
+        self.pairing = Pairing(settings.pairing, self.tracker, gateway)
         self.guard = OverloadGuard(settings, gateway)
         self.bookings: dict[int, _Booking] = {}
         self._last_booking = 0
@@ -109,7 +109,7 @@
                 return self._rejection(request, request.time_left_s, RejectionReason.TOO_LARGE)
             candidates = self.pairing.candidates(prompt, now)
         else:
-            candidates = self.pairing.plain_candidates(prompt, now)
+            candidates = self.pairing.unstaged_candidates(prompt, now)
         if not candidates:
             return self._rejection(request, 1.0, RejectionReason.NO_INSTANCE)
         if request.engine is not None and self.guard.rejects(request, candidates[0].prefiller, now):
@@ -182,12 +182,12 @@
         for entry in instances:
             named.add(entry.id)
             if entry.state == ENDED:
-                self.table.remove(entry.id)
+                self.tracker.remove(entry.id)
             else:
-                self.table.update(entry, entry.state == READY)
+                self.tracker.update(entry, entry.state == READY)
         if complete:
-            for removed_id in [known for known in self.table.instances if known not in named]:
-                self.table.remove(removed_id)
+            for removed_id in [known for known in self.tracker.instances if known not in named]:
+                self.tracker.remove(removed_id)
 
     def configuration_changed(self, backends: Iterable[BackendEntry], now: float) -> None:
         """Apply the configured services; `backends` names all of them."""
@@ -195,7 +195,7 @@
         self.pairing.load.keep_only({backend.name for backend in configured})
         for backend in configured:
             if backend.engine is not None:
-                self.table.set_capacity(backend.name, backend.engine.kv_capacity)
+                self.tracker.set_capacity(backend.name, backend.engine.kv_capacity)
 
     def gateways_changed(self, count: int) -> None:
         """Set the number of gateways that send to the same instances, including this one."""
@@ -203,7 +203,7 @@
 
     def ejected(self, instance_ids: Iterable[str]) -> None:
         """Replace the set of ejected instances."""
-        self.table.ejected = frozenset(instance_ids)
+        self.tracker.ejected = frozenset(instance_ids)
 
     # ---------------------------------------------------------------- choice and booking
 
@@ -219,7 +219,7 @@
             request.target_latency_s,
             request.zone,
             request.excluded,
-            request.read_at,
+            request.kv_cache_source,
         )
 
     def units(self, uncached_tokens: int) -> int:
--- a/mallowbeam/router/control_plane/attempt_reports.py
+++ b/mallowbeam/router/control_plane/attempt_reports.py
@@ -7,8 +7,8 @@
 from __future__ import annotations
 
 from mallowbeam.router.health.fleet_attempts import (
-    MOST_INSTANCES_PER_SOURCE,
-    MOST_REPORTED,
+    MAX_INSTANCES_PER_SOURCE,
+    MAX_REPORTED_INSTANCES,
     AttemptTable,
     add_sums,
     failing,
@@ -37,9 +37,9 @@
         if now >= self._next_gossip_at:
             self._next_gossip_at = now + GOSSIP_INTERVAL_S
             gossip.tells_attempts = True
-            gossip.attempts.extend(messages_of(self.gateways.sums(now), MOST_INSTANCES_PER_SOURCE))
+            gossip.attempts.extend(messages_of(self.gateways.sums(now), MAX_INSTANCES_PER_SOURCE))
 
     def for_gateways(self, now: float) -> list[InstanceAttempts]:
         """Sums over all gateways, of instances with failures."""
         fleet = add_sums((self.gateways.sums(now), self._members.sums(now)))
-        return messages_of(failing(fleet), MOST_REPORTED)
+        return messages_of(failing(fleet), MAX_REPORTED_INSTANCES)
--- a/mallowbeam/router/control_plane/stage_controller.py
+++ b/mallowbeam/router/control_plane/stage_controller.py
@@ -20,7 +20,7 @@
     StageInstance,
     StageOrder,
 )
-from mallowbeam.router.pairing.stage_demand import DemandTable, add_up
+from mallowbeam.router.pairing.stage_demand import DemandTable, sum_demands
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.registry.table import InstanceTable
 from mallowbeam.router.rpc.messages_pb2 import READY, Instance, RegistryGossip, StageDemand
@@ -114,7 +114,7 @@
     def _observe_demand(self, now: float) -> None:
         """Give each service's decision core the fleet's demand."""
         reports = [*self.gateways.sums(now).values(), *self._members.sums(now).values()]
-        fleet: dict[str, StageDemand] = add_up(reports)
+        fleet: dict[str, StageDemand] = sum_demands(reports)
         for backend, instances in self._instances.items():
             self._decisions_of(backend).observe(fleet.get(backend), instances, now)
 
@@ -161,7 +161,7 @@
         finally:
             self._orders_in_flight -= 1
             now = time.monotonic()
-            share.answered(order, result, switch_s, now)
+            share.record_result(order, result, switch_s, now)
         log.info("%s to %s: %s", order.id, order.stage, result.value)
         if result is OrderResult.ACCEPTED:
             deadline = now + switch_s + self._settings.longest_switch_s
--- a/mallowbeam/router/health/fleet_attempts.py
+++ b/mallowbeam/router/health/fleet_attempts.py
@@ -4,7 +4,7 @@
 only by own requests that time out.  So each gateway reports the outcomes of its attempts of the last half
 second to its member, a member reports the sums over its gateways to the others, and gateways receive the sums
 over the fleet for instances with failures.  A message has one entry for each failing instance, at most
-MOST_REPORTED.
+MAX_REPORTED_INSTANCES.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from mallowbeam.router.rpc.messages_pb2 import InstanceAttempts
 
 ATTEMPTS_LIFETIME_S = 1.6  # seconds for which a source's report counts without a newer one
-MOST_INSTANCES_PER_SOURCE = 4_096  # in one source's report; further ones are ignored
-MOST_REPORTED = 64  # instances in one message to gateways
-MOST_COUNT = 1 << 20
+MAX_INSTANCES_PER_SOURCE = 4_096  # in one source's report; further ones are ignored
+MAX_REPORTED_INSTANCES = 64  # instances in one message to gateways
+MAX_ATTEMPT_COUNT = 1 << 20
 
 
 @dataclass(slots=True)
@@ -30,15 +30,15 @@
 
     def add(self, failed: int, answered: int) -> None:
         """Add the counts of one source."""
-        self.failed += min(failed, MOST_COUNT)
-        self.answered += min(answered, MOST_COUNT)
+        self.failed += min(failed, MAX_ATTEMPT_COUNT)
+        self.answered += min(answered, MAX_ATTEMPT_COUNT)
 
 
 class AttemptTable(LatestReports[InstanceAttempts]):
     """The latest report of each source."""
 
     def __init__(self) -> None:
-        super().__init__(ATTEMPTS_LIFETIME_S, MOST_INSTANCES_PER_SOURCE)
+        super().__init__(ATTEMPTS_LIFETIME_S, MAX_INSTANCES_PER_SOURCE)
 
     def sums(self, now: float) -> dict[str, AttemptSum]:
         """Return, by instance, the sum over all unexpired reports."""
@@ -61,7 +61,9 @@
     """Return at most `max_messages` of the sums as messages, most failures first."""
     ranked = sorted(sums.items(), key=lambda entry: (-entry[1].failed, entry[0]))
     return [
-        InstanceAttempts(id=id, failed=min(one.failed, MOST_COUNT), answered=min(one.answered, MOST_COUNT))
+        InstanceAttempts(
+            id=id, failed=min(one.failed, MAX_ATTEMPT_COUNT), answered=min(one.answered, MAX_ATTEMPT_COUNT)
+        )
         for id, one in ranked[:max_messages]
     ]
 
--- a/mallowbeam/router/pairing/candidates.py
+++ b/mallowbeam/router/pairing/candidates.py
@@ -69,20 +69,20 @@
 class Pairing:
     """Chooses instances for one gateway."""
 
-    def __init__(self, settings: PairingSettings, table: InstanceTracker, gateway: str) -> None:
+    def __init__(self, settings: PairingSettings, tracker: InstanceTracker, gateway: str) -> None:
         """The gateway's name salts the choices that should differ among gateways."""
         self.settings = settings
-        self.table = table
+        self.tracker = tracker
         self.salt = gateway
         self.load = FleetLoad()
-        self.losses = Losses(settings, table, self.load)
+        self.losses = Losses(settings, tracker, self.load)
         self.cached_fraction = CachedFraction(settings.unseen_cached_fraction)
         self.sessions: dict[str, str] = {}  # by id of a last segment: the instance that caches it
 
     def candidates(self, prompt: Prompt, now: float) -> list[Candidate]:
         """Return the candidates, least loss first; none if no instance is ready."""
         choices = self._choices(prompt)
-        if source := self.table.instances.get(prompt.read_at):
+        if source := self.tracker.instances.get(prompt.kv_cache_source):
             return sorted(
                 (self._transferred(prompt, source, decoder, now) for decoder in choices.decoders),
                 key=lambda candidate: candidate.loss,
@@ -96,18 +96,18 @@
         ]
         return sorted(candidates, key=lambda candidate: candidate.loss)
 
-    def plain_candidates(self, prompt: Prompt, now: float) -> list[Candidate]:
+    def unstaged_candidates(self, prompt: Prompt, now: float) -> list[Candidate]:
         """Return the candidates for a service whose instances have no stages, least loss first."""
         key = stable_hash(self.salt + prompt.request_id)
-        same_zone = list(self.table.ranked(prompt.backend, "", prompt.zone, key, prompt.excluded))
+        same_zone = list(self.tracker.ranked(prompt.backend, "", prompt.zone, key, prompt.excluded))
         names = {instance.id for instance in same_zone}
         other_zones = [
             instance
-            for instance in self.table.ranked(prompt.backend, "", "", key, prompt.excluded)
+            for instance in self.tracker.ranked(prompt.backend, "", "", key, prompt.excluded)
             if instance.id not in names
         ]
         return sorted(
-            (self._plain(prompt, instance, now) for instance in same_zone + other_zones),
+            (self._unstaged_candidate(prompt, instance, now) for instance in same_zone + other_zones),
             key=lambda candidate: candidate.loss,
         )
 
@@ -143,15 +143,15 @@
 
     def _weight(self, prompt: Prompt, instance: TrackedInstance) -> float:
         weight = 1.0 if instance.stage == PREFILL else self.settings.decode_home_weight
-        return weight * max(1.0, self.table.size(prompt.backend, instance.stage) / WINDOW)
+        return weight * max(1.0, self.tracker.size(prompt.backend, instance.stage) / WINDOW)
 
     def _session_instances(self, prompt: Prompt) -> list[TrackedInstance]:
         """Return the decode instance that caches the whole session, if it may be used."""
         name = self.sessions.get(prompt.segments[-1].id) if prompt.segments else None
-        instance = self.table.instances.get(name) if name else None
+        instance = self.tracker.instances.get(name) if name else None
         if instance is None or not instance.ready or instance.stage != DECODE:
             return []
-        return [] if instance.id in prompt.excluded or instance.id in self.table.ejected else [instance]
+        return [] if instance.id in prompt.excluded or instance.id in self.tracker.ejected else [instance]
 
     def _without_stage(self, prompt: Prompt, key: int) -> list[TrackedInstance]:
         """Return instances without a stage, for services without decode instances.
@@ -163,7 +163,7 @@
     def _top_ranked(
         self, prompt: Prompt, stage: str, zone: str, key: int, count: int
     ) -> list[TrackedInstance]:
-        return list(islice(self.table.ranked(prompt.backend, stage, zone, key, prompt.excluded), count))
+        return list(islice(self.tracker.ranked(prompt.backend, stage, zone, key, prompt.excluded), count))
 
     # ---------------------------------------------------------------- estimates
 
@@ -245,7 +245,7 @@
             decoder.join_s(prefiller, now) + self.losses.running_requests(decoder) * self.settings.running_s
         )
 
-    def _plain(self, prompt: Prompt, instance: TrackedInstance, now: float) -> Candidate:
+    def _unstaged_candidate(self, prompt: Prompt, instance: TrackedInstance, now: float) -> Candidate:
         load = (instance.occupied_slots + 1) / instance.slots
         usual = instance.timer.latency_s(prompt.target_latency_s, now)
         queued = max(0, instance.occupied_slots + 1 - instance.slots) / instance.slots
--- a/mallowbeam/router/pairing/losses.py
+++ b/mallowbeam/router/pairing/losses.py
@@ -20,9 +20,9 @@
 class Losses:
     """The terms of a candidate's loss."""
 
-    def __init__(self, settings: PairingSettings, table: InstanceTracker, load: FleetLoad) -> None:
+    def __init__(self, settings: PairingSettings, tracker: InstanceTracker, load: FleetLoad) -> None:
         self._settings = settings
-        self._table = table
+        self._tracker = tracker
         self._load = load
 
     def latency(self, first_token_s: float, prompt: Prompt) -> float:
@@ -84,4 +84,4 @@
         return instance.occupied_slots * self._load.gateways
 
     def _size(self, instance: TrackedInstance) -> int:
-        return self._table.size(instance.backend, instance.stage)
+        return self._tracker.size(instance.backend, instance.stage)
--- a/mallowbeam/router/pairing/prompt.py
+++ b/mallowbeam/router/pairing/prompt.py
@@ -21,7 +21,7 @@
     target_latency_s: float
     zone: str
     excluded: frozenset[str]
-    read_at: str = ""
+    kv_cache_source: str = ""
 
     @property
     def affinity(self) -> str:
--- a/mallowbeam/router/pairing/stage_balancer.py
+++ b/mallowbeam/router/pairing/stage_balancer.py
@@ -175,7 +175,7 @@
         working = Counter(instance.stage for instance in instances if not instance.switching_to)
         self._meter.observe(demand, working[PREFILL], working[DECODE], now)
 
-    def answered(self, order: StageOrder, result: OrderResult, switch_s: float, now: float) -> None:
+    def record_result(self, order: StageOrder, result: OrderResult, switch_s: float, now: float) -> None:
         """Record how sending an order ended; `switch_s` is the duration of a stage change."""
         settings = self._settings
         self._pending.pop(order.id, None)
@@ -191,7 +191,7 @@
     def decide(
         self, instances: Sequence[StageInstance], slots: int, switch_s: float, now: float
     ) -> list[StageOrder]:
-        """Return the orders to be sent now; each is pending until `answered` is called for it.
+        """Return the orders to be sent now; each is pending until `record_result` is called for it.
 
         Accepted orders show in the registry later.  `slots` is the number of slots of an instance, `switch_s`
         the duration of its stage change.
--- a/mallowbeam/router/pairing/stage_demand.py
+++ b/mallowbeam/router/pairing/stage_demand.py
@@ -35,10 +35,10 @@
 
     def sums(self, now: float) -> dict[str, StageDemand]:
         """Return, by service, the sum over all unexpired reports."""
-        return add_up(self.fresh(now))
+        return sum_demands(self.fresh(now))
 
 
-def add_up(demands: Iterable[StageDemand]) -> dict[str, StageDemand]:
+def sum_demands(demands: Iterable[StageDemand]) -> dict[str, StageDemand]:
     """Return the sums by service, as new messages."""
     sums: dict[str, StageDemand] = {}
     for demand in demands:
@@ -51,5 +51,5 @@
 
 
 def _valid_or_zero(value: float) -> float:
-    """Return the value, or 0 if it is negative, NaN or above MOST_VALUE."""
+    """Return the value, or 0 if it is negative, NaN or above MAX_VALUE."""
     return value if 0.0 <= value <= MAX_VALUE else 0.0
--- a/tests/router/admission/test_admission_fleet.py
+++ b/tests/router/admission/test_admission_fleet.py
@@ -24,7 +24,7 @@
     StageInstance,
     StageOrder,
 )
-from mallowbeam.router.pairing.stage_demand import add_up
+from mallowbeam.router.pairing.stage_demand import sum_demands
 from mallowbeam.router.rpc import messages_pb2 as messages
 
 ZONES = ("a", "b", "c")
@@ -272,7 +272,7 @@
         world = self.world
         instances = [self._instance(server) for server in world.servers.values()]
         samples = [demand for meter in world.meters for demand in meter.sample(world.now)]
-        self.balancer.observe(add_up(samples).get(BACKEND), instances, world.now)
+        self.balancer.observe(sum_demands(samples).get(BACKEND), instances, world.now)
         for order in self.balancer.decide(instances, ENGINE.slots, ENGINE.switch_s, world.now):
             self._send(order)
         world.at(world.now + ORDER_INTERVAL_S, self._cycle)
@@ -284,7 +284,7 @@
         self.orders += 1
         server = self.world.servers[order.id]
         server.order(order.stage)
-        self.balancer.answered(order, OrderResult.ACCEPTED, ENGINE.switch_s, self.world.now)
+        self.balancer.record_result(order, OrderResult.ACCEPTED, ENGINE.switch_s, self.world.now)
         self.world.at(self.world.now + ANNOUNCEMENT_DELAY_S, lambda: self.world.announce(server))
 
 
--- a/tests/router/admission/test_admission_simulation.py
+++ b/tests/router/admission/test_admission_simulation.py
@@ -175,7 +175,7 @@
     def test_no_booking_is_left_behind(self) -> None:
         for planner in run_world(OVER).planners:
             self.assertEqual(planner.bookings, {})
-            for instance in planner.table.instances.values():
+            for instance in planner.tracker.instances.values():
                 self.assertEqual(
                     (instance.occupied_slots, instance.occupied_tokens, instance.pending_tokens), (0, 0, 0)
                 )
--- a/tests/router/health/test_fleet_attempts.py
+++ b/tests/router/health/test_fleet_attempts.py
@@ -13,7 +13,7 @@
 from mallowbeam.router.data_plane.retry_budget import BudgetSettings, RetryBudgets
 from mallowbeam.router.health.fleet_attempts import (
     ATTEMPTS_LIFETIME_S,
-    MOST_REPORTED,
+    MAX_REPORTED_INSTANCES,
     AttemptSum,
     AttemptTable,
     add_sums,
@@ -68,9 +68,11 @@
         self.assertEqual(table.sums(10.0), {})
 
     def test_most_failures_are_reported_first(self) -> None:
-        sums = {f"i-{number:03}": AttemptSum(number) for number in range(MOST_REPORTED + 10)}
-        reported = messages_of(sums, MOST_REPORTED)
-        self.assertEqual((len(reported), reported[0].id), (MOST_REPORTED, f"i-{MOST_REPORTED + 9:03}"))
+        sums = {f"i-{number:03}": AttemptSum(number) for number in range(MAX_REPORTED_INSTANCES + 10)}
+        reported = messages_of(sums, MAX_REPORTED_INSTANCES)
+        self.assertEqual(
+            (len(reported), reported[0].id), (MAX_REPORTED_INSTANCES, f"i-{MAX_REPORTED_INSTANCES + 9:03}")
+        )
 
     def test_members_add_each_other_s_gateways_once(self) -> None:
         first, second = AttemptReports(), AttemptReports()
--- a/tests/router/pairing/test_pairing_stage_balancer.py
+++ b/tests/router/pairing/test_pairing_stage_balancer.py
@@ -49,7 +49,7 @@
         self.balancer.observe(demand, self.instances(), self.now)
         orders = self.balancer.decide(self.instances(), SLOTS, SWITCH_S, self.now)
         for order in orders:
-            self.balancer.answered(order, OrderResult.ACCEPTED, SWITCH_S, self.now)
+            self.balancer.record_result(order, OrderResult.ACCEPTED, SWITCH_S, self.now)
             self.stages[order.id] = order.stage
         return orders
 
