--- a/mallowbeam/router/admission/planner.py
+++ b/mallowbeam/router/admission/planner.py
@@ -31,17 +31,8 @@
 from mallowbeam.scheduling.cycles import Placement
 
 READY, ENDED = 0, 2  # values of `messages.InstanceState`
-ENGINE_PRIORITY_MAX_UNITS = (
-    0,
-    1,
-    2,
-    3,
-    4,
-    6,
-    8,
-    12,
-    16,
-)  # largest prefill, in units, of engine priorities 0 to 8; larger ones get 9
+# The largest prefill, in units, of the engine priorities 0 to 8; larger ones get 9.
+ENGINE_PRIORITY_MAX_UNITS = (0, 1, 2, 3, 4, 6, 8, 12, 16)
 MIDDLE_ENGINE_PRIORITY = 4
 
 
--- a/mallowbeam/router/health/fleet_attempts.py
+++ b/mallowbeam/router/health/fleet_attempts.py
@@ -18,7 +18,7 @@
 ATTEMPTS_LIFETIME_S = 1.6  # seconds for which a source's report counts without a newer one
 MAX_INSTANCES_PER_SOURCE = 4_096  # in one source's report; further ones are ignored
 MAX_REPORTED_INSTANCES = 64  # instances in one message to gateways
-MAX_ATTEMPT_COUNT = 1 << 20
+MAX_ATTEMPT_COUNT = 1 << 20  # upper bound of each count in a report
 
 
 @dataclass(slots=True)
--- a/mallowbeam/router/pairing/candidates.py
+++ b/mallowbeam/router/pairing/candidates.py
@@ -247,14 +247,16 @@
 
     def _unstaged_candidate(self, prompt: Prompt, instance: TrackedInstance, now: float) -> Candidate:
         load = (instance.occupied_slots + 1) / instance.slots
-        usual = instance.timer.latency_s(prompt.target_latency_s, now)
+        usual_latency_s = instance.timer.latency_s(prompt.target_latency_s, now)
         queued = max(0, instance.occupied_slots + 1 - instance.slots) / instance.slots
-        wait_s = queued * usual + max(0.0, instance.timer.oldest_age(now) - OVERDUE_FACTOR * usual)
-        first_token_s = wait_s + usual
+        wait_s = queued * usual_latency_s + max(
+            0.0, instance.timer.oldest_age(now) - OVERDUE_FACTOR * usual_latency_s
+        )
+        first_token_s = wait_s + usual_latency_s
         loss = self.settings.contention_loss * load * load + self.losses.latency(first_token_s, prompt)
         loss += self.losses.missing_capacity(prompt, instance, now)
         loss += self.settings.zone_loss if instance.zone != prompt.zone else 0.0
-        return Candidate(instance, instance, 0, 0, 0, wait_s, 0.0, 0.0, usual, loss)
+        return Candidate(instance, instance, 0, 0, 0, wait_s, 0.0, 0.0, usual_latency_s, loss)
 
     def transfer_s(self, prompt: Prompt, prefiller: TrackedInstance, decoder: TrackedInstance) -> float:
         """Return the expected transfer time of a prompt's KV cache, in seconds."""
@@ -269,14 +271,15 @@
         self, prompt: Prompt, instance: TrackedInstance, home: TrackedInstance | None
     ) -> tuple[int, int, int]:
         """Return, in tokens: certain misses, those that other gateways may have cached, expected misses."""
-        left = max(1, prompt.tokens - instance.prefix_cache.cached_tokens(prompt.segments))
+        missing_tokens = max(1, prompt.tokens - instance.prefix_cache.cached_tokens(prompt.segments))
         shared = prompt.segments[:-1]
         if instance is not home or not shared or self.load.gateways <= 1:
-            return left, 0, left
+            return missing_tokens, 0, missing_tokens
         unseen_tokens = min(
-            left - 1, sum(segment.tokens for segment in shared) - instance.prefix_cache.cached_tokens(shared)
+            missing_tokens - 1,
+            sum(segment.tokens for segment in shared) - instance.prefix_cache.cached_tokens(shared),
         )
-        known_misses = left - unseen_tokens
+        known_misses = missing_tokens - unseen_tokens
         return (
             known_misses,
             unseen_tokens,
--- a/mallowbeam/router/pairing/stage_balancer.py
+++ b/mallowbeam/router/pairing/stage_balancer.py
@@ -18,7 +18,7 @@
 from mallowbeam.router.rpc.messages_pb2 import StageDemand
 
 MIN_INSTANCES = 2  # of a service: one for each stage
-ORDER_WINDOW_S = 60.0  # of `StageBalancerSettings.most_orders`
+ORDER_WINDOW_S = 60.0  # sliding window of `StageBalancerSettings.most_orders`
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,7 +110,7 @@
     """Instance counts by stage as they will be once all orders in progress are completed."""
 
     def __init__(self) -> None:
-        self.by_stage: Counter[str] = Counter()  # by stage
+        self.by_stage: Counter[str] = Counter()
         self.zones: Counter[tuple[str, str]] = Counter()  # by stage and zone
         self.eligible: list[StageInstance] = []
         self.in_progress = 0
@@ -191,7 +191,7 @@
     def decide(
         self, instances: Sequence[StageInstance], slots: int, switch_s: float, now: float
     ) -> list[StageOrder]:
-        """Return the orders to be sent now; each is pending until `record_result` is called for it.
+        """Return the orders to be sent now; each is in flight until its `record_result`.
 
         Accepted orders show in the registry later.  `slots` is the number of slots of an instance, `switch_s`
         the duration of its stage change.
--- a/tests/router/admission/test_admission_fleet.py
+++ b/tests/router/admission/test_admission_fleet.py
@@ -73,8 +73,8 @@
     gateway: int
     started: float
     answer_tokens: int
-    first_try: float
-    tries: int = 1
+    first_attempt_at: float
+    attempts: int = 1
     plan: Plan | None = None
     first_token_at: float | None = None
     last_at: float = 0.0
@@ -315,8 +315,8 @@
         order = list(range(len(stages)))
         self.random.shuffle(order)
         self.servers = {
-            f"s{k}": Server(self, f"s{k}", ZONES[place % 3], stages[k], speeds[place % 3])
-            for place, k in enumerate(order)
+            f"s{k}": Server(self, f"s{k}", ZONES[position % 3], stages[k], speeds[position % 3])
+            for position, k in enumerate(order)
         }
         self.planners = [Planner(settings, f"g{k}") for k in range(gateways)]
         self.meters = [DemandMeter() for _ in range(gateways)]
@@ -401,7 +401,7 @@
 
     def _attempt(self, job: Job) -> None:
         planner = self.measured[job.gateway]
-        left = job.kind.time_limit_s - (self.now - job.first_try)
+        left = job.kind.time_limit_s - (self.now - job.first_attempt_at)
         decision = planner.plan(replace(job.request, time_left_s=left), self.now)
         if isinstance(decision, Rejection):
             self._reject(job, decision.retry_after_s)
@@ -410,23 +410,25 @@
         self.tallies[job.kind.name].delayed += decision.start_in_s > 0
         self.tallies[job.kind.name].split += decision.prefill_instance is not None
         self.at(self.now + decision.start_in_s, lambda: self._send(job))
-        self.at(job.first_try + job.kind.time_limit_s, lambda: self._time_out(job))
+        self.at(job.first_attempt_at + job.kind.time_limit_s, lambda: self._time_out(job))
 
     def _reject(self, job: Job, after: float) -> None:
         tally = self.tallies[job.kind.name]
         tally.rejections += 1
-        places = sum(min(server.occupancy, ENGINE.slots) for server in self.servers.values())
+        occupied_slots = sum(min(server.occupancy, ENGINE.slots) for server in self.servers.values())
         # The first prompt of a queue is being prefilled.
         waits = any(len(server.queue) > 1 for server in self.servers.values())
-        tally.rejected_early += not waits and places < ENGINE.slots * len(self.servers) / 2
-        left = job.kind.time_limit_s - (self.now - job.first_try)
-        if job.tries < 2 and after < left / 3:
+        tally.rejected_early += not waits and occupied_slots < ENGINE.slots * len(self.servers) / 2
+        left = job.kind.time_limit_s - (self.now - job.first_attempt_at)
+        if job.attempts < 2 and after < left / 3:
             gateway = self.random.randrange(len(self.planners))
-            again = replace(job, tries=2, started=self.now + after, plan=None, ended=False, gateway=gateway)
+            again = replace(
+                job, attempts=2, started=self.now + after, plan=None, ended=False, gateway=gateway
+            )
             self.at(self.now + after, lambda: self._attempt(again))
         else:
             tally.rejected += 1
-            tally.rejected_twice += job.tries > 1
+            tally.rejected_twice += job.attempts > 1
 
     def _send(self, job: Job) -> None:
         plan, planner = job.plan, self.measured[job.gateway]
@@ -492,7 +494,7 @@
             return True
         self._end(job, Outcome.COMPLETED)
         tally = self.tallies[job.kind.name]
-        first = job.first_token_at - job.first_try
+        first = job.first_token_at - job.first_attempt_at
         tally.first_token_times.append(first)
         in_time = first <= job.kind.target_latency_s and job.longest_pause_s <= 0.25
         again = (
--- a/tests/router/pairing/test_pairing_prefix_cache.py
+++ b/tests/router/pairing/test_pairing_prefix_cache.py
@@ -13,16 +13,16 @@
 
 
 class LeadingParts(unittest.TestCase):
-    def test_nothing_is_kept_at_first(self) -> None:
+    def test_nothing_is_cached_at_first(self) -> None:
         self.assertEqual(PrefixCache(1000).cached_tokens(prompt("a", "b")), 0)
 
-    def test_what_was_read_is_kept(self) -> None:
+    def test_a_prefilled_prompt_is_cached(self) -> None:
         cache = PrefixCache(1000)
         cache.record_use(prompt("a", "b", "own"), 1)
         self.assertEqual(cache.cached_tokens(prompt("a", "b", "other")), 200)
         self.assertEqual(cache.cached_tokens(prompt("a", "b", "own")), 300)
 
-    def test_a_part_counts_only_after_all_before_it(self) -> None:
+    def test_a_segment_counts_only_after_all_before_it(self) -> None:
         cache = PrefixCache(1000)
         cache.record_use(prompt("a", "b", "own"), 1)
         self.assertEqual(cache.cached_tokens(prompt("x", "b", "own")), 0)
@@ -49,7 +49,7 @@
             self.assertLessEqual(cache.tokens, 1000)
             self.assertEqual(cache.tokens, sum(charged for _, charged in cache.segments.values()))
 
-    def test_a_part_used_again_is_charged_once(self) -> None:
+    def test_a_segment_used_again_is_charged_once(self) -> None:
         cache = PrefixCache(1000)
         cache.record_use(prompt("a", "x"), 1)
         cache.record_use(prompt("a", "x"), 1)
@@ -78,7 +78,7 @@
         self.assertIn("s0", alone)
         self.assertNotIn("s0", among)
 
-    def test_shared_parts_count_once(self) -> None:
+    def test_shared_segments_count_once(self) -> None:
         cache = PrefixCache(10_000)
         cache.record_use(prompt("a", "b", "own"), 7)
         self.assertEqual(cache.tokens, 900)
