--- a/mallowbeam/router/control_plane/bootstrap.py
+++ b/mallowbeam/router/control_plane/bootstrap.py
@@ -1,8 +1,8 @@
-"""How a member comes to its identity and first state: a pure core.
+"""Computes the identity and the initial state of a member with an empty store, without I/O.
 
 The seeds of the system's first start derive their ids from their addresses, so that all of them write the
-same first membership without communication. Every other member draws an id and starts with an empty snapshot:
-it learns of the membership from the leader that takes it in.
+same first membership without communication. Every other member draws a random id and starts with an empty
+snapshot; the leader that accepts it sends it the membership.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from mallowbeam.router.rpc.messages_pb2 import Member, Membership, Snapshot
 
 ID_BYTES = 8
-FIRST_INDEX = 1  # of the seeds' snapshot; a joiner's is 0, so that the leader sends it a snapshot
+FIRST_INDEX = 1  # log index of the seeds' snapshot; a joiner's is 0, so that the leader sends it a snapshot
 FIRST_TERM = 1
 
 
@@ -28,7 +28,7 @@
 
 
 def peer_address(control: str, port: int) -> str:
-    """The address of a member's link listener: ports are the same on all machines."""
+    """Address (IP:PORT) of a member's link listener, whose port is the same on all machines."""
     host, _, _ = control.rpartition(":")
     return f"{host}:{port}"
 
@@ -40,14 +40,14 @@
 
 
 def random_identity(random: Random) -> int:
-    """The random id of any other member."""
+    """A random id, for a member that is not a seed of the first start."""
     return random.randrange(1, 1 << (8 * ID_BYTES))
 
 
 def initial_state(
     control: str, seeds: Sequence[str], bootstrap: bool, port: int, random: Random
 ) -> InitialState:
-    """The initial state of a member with an empty store; `port` is that of all link listeners."""
+    """The initial state of a member with an empty store; `port` is the port of all link listeners."""
     if bootstrap and control in seeds:
         return InitialState(seed_identity(control), founding_snapshot(seeds, port))
     return InitialState(random_identity(random), Snapshot())
--- a/mallowbeam/router/control_plane/command_forwarder.py
+++ b/mallowbeam/router/control_plane/command_forwarder.py
@@ -1,7 +1,7 @@
 """Commands and linearizable reads: accepted by any member, forwarded to the leader.
 
-All commands are idempotent: the replicated state recognises one that it has applied. So a command whose
-leader is lost on the way is retried at the next one until the call's time-out.
+All commands are idempotent: the replicated state recognises a command that it has already applied. A command
+whose leader fails before it responds is therefore sent to the next leader, until the call times out.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
 )
 
 CALL_TIMEOUT_S = 0.9  # from a call's arrival to its response; callers wait for 1 s
-NO_LEADER_TIMEOUT_S = 0.7  # without any leader, after which a call is rejected
-MIN_WAIT_S = 0.001
+NO_LEADER_TIMEOUT_S = 0.7  # a call is rejected after this time without a known leader
+MIN_WAIT_S = 0.001  # wait at least this long, even at the deadline
 REQUEST_ID_BITS = 62  # of the first id; later ones count up from it
-RETRY_BACKOFF_S = 0.03  # before a leader that did not accept a call is asked again
+RETRY_BACKOFF_S = 0.03  # before a call is sent again to a leader that did not accept it
 
-Answer = TypeVar("Answer")
+ResponseT = TypeVar("ResponseT")
 
 log = get_logger("mallowbeam.commands")
 
@@ -54,102 +54,110 @@
         self._driver = driver
         self._links = links
         self._loop = asyncio.get_running_loop()
-        # Random first id: responses to an earlier process of this address match no request of this one.
+        # The first id is random, so that responses to an earlier process at this address match no request.
         self._last_id = secrets.randbits(REQUEST_ID_BITS)
         self._proposals: dict[int, asyncio.Future[CommandOutcome]] = {}
         self._reads: dict[int, asyncio.Future[int]] = {}
 
-    # ------------------------------------------------------------ for callers
+    # ------------------------------------------------------------ calls at this member
 
     async def submit(self, command: Command, since: float) -> CommandOutcome:
-        """Have a command applied; `since` is when the call arrived, by the monotonic clock.
+        """Have the leader apply a command; `since` is when the call arrived, by the monotonic clock.
 
-        Raises NothingProposedError, or OutcomeUnknownError if it may still be applied.
+        Raises:
+            NothingProposedError: the command was not proposed.
+            OutcomeUnknownError: the command may have been applied, or may still be.
         """
         deadline = _CallDeadline(since)
         while deadline.allows_attempt(self._driver.leader_id):
             attempt = self._propose_to_leader(command)
             if attempt is None:
-                await self._leadership_change(deadline.left_without_leader())
+                await self._wait_for_leadership_change(deadline.remaining_without_leader_s())
                 continue
             try:
-                outcome = await self._until_change(attempt, deadline.left())
+                outcome = await self._wait_for_response(attempt, deadline.remaining_s())
             except CommandNotAcceptedError:
-                await self._leadership_change(min(RETRY_BACKOFF_S, deadline.left()))
+                await self._wait_for_leadership_change(min(RETRY_BACKOFF_S, deadline.remaining_s()))
                 continue
-            except ConsensusError:  # lost with its leader's term
+            except ConsensusError:  # the proposal was lost at the end of its leader's term
                 deadline.outcome_unknown = True
                 continue
             if outcome is not None:
                 return outcome
             deadline.outcome_unknown = True
         if deadline.outcome_unknown:
-            raise OutcomeUnknownError("the leader did not answer in time")
+            raise OutcomeUnknownError("the leader did not respond in time")
         raise NothingProposedError("no leader was found in time")
 
     async def read_barrier(self, since: float) -> None:
-        """Wait until this member's state is as new as the call; raises NothingProposedError."""
+        """Wait until this member has applied all that was committed at the call.
+
+        Raises:
+            NothingProposedError: no leader confirmed the read in time.
+        """
         deadline = _CallDeadline(since)
         while deadline.allows_attempt(self._driver.leader_id):
             attempt = self._read_at_leader()
             if attempt is None:
-                await self._leadership_change(deadline.left_without_leader())
+                await self._wait_for_leadership_change(deadline.remaining_without_leader_s())
                 continue
             try:
-                index = await self._until_change(attempt, deadline.left())
+                index = await self._wait_for_response(attempt, deadline.remaining_s())
             except ConsensusError:
-                await self._leadership_change(min(RETRY_BACKOFF_S, deadline.left()))
+                await self._wait_for_leadership_change(min(RETRY_BACKOFF_S, deadline.remaining_s()))
                 continue
-            if index is not None and await self._applied(index, deadline.left()):
+            if index is not None and await self._wait_applied(index, deadline.remaining_s()):
                 return
         raise NothingProposedError("no leader confirmed the read in time")
 
-    # ------------------------------------------------------------ from other members
+    # ------------------------------------------------------------ requests and responses of other members
 
     def propose(self, sender: int, request: ProposeRequest) -> None:
-        """Another member forwards a command: propose it, and answer once it is applied.
+        """Propose a command that another member forwarded, and respond once it is applied.
 
-        A command of a newer program version is not proposed: this member could not apply it.
+        A command of a newer program version is not proposed, as this member could not apply it.
         """
         payload = request.command.SerializeToString()
         try:
             decode_command(0, payload)
         except UnsupportedFormatError as error:
-            log.warning("a forwarded command is not proposed: %s", error.line)
+            log.warning("rejected a forwarded command of a newer program version: %s", error.line)
             response = ProposeResponse(id=request.id, status=NOT_LEADER)
             self._links.send(sender, PeerFrame(propose_response=response))
             return
-        answer = self._driver.propose(payload)
-        answer.add_done_callback(lambda done: self._answer_proposal(sender, request.id, done))
+        future = self._driver.propose(payload)
+        future.add_done_callback(lambda done: self._respond_to_proposal(sender, request.id, done))
 
     def propose_response(self, response: ProposeResponse) -> None:
         """The leader's response to a forwarded command."""
-        answer = self._proposals.pop(response.id, None)
-        if answer is None or answer.done():
+        future = self._proposals.pop(response.id, None)
+        if future is None or future.done():
             return
         if response.status == APPLIED:
-            answer.set_result(CommandOutcome(response.result, response.index, response.token))
+            future.set_result(CommandOutcome(response.result, response.index, response.token))
         elif response.status == NOT_LEADER:
-            answer.set_exception(CommandNotAcceptedError("not the leader", step="propose"))
+            future.set_exception(CommandNotAcceptedError("not the leader", step="propose"))
         else:
-            answer.set_exception(ProposalLostError("lost with the leader's term", step="propose"))
+            future.set_exception(ProposalLostError("lost at the end of the leader's term", step="propose"))
 
     def read_index(self, sender: int, request: ReadIndexRequest) -> None:
         """Another member requests a read index."""
-        answer = self._driver.read_index()
-        answer.add_done_callback(lambda done: self._answer_read(sender, request.id, done))
+        future = self._driver.read_index()
+        future.add_done_callback(lambda done: self._respond_to_read(sender, request.id, done))
 
     def read_index_response(self, response: ReadIndexResponse) -> None:
         """The leader's response to a read."""
-        answer = self._reads.pop(response.id, None)
-        if answer is None or answer.done():
+        future = self._reads.pop(response.id, None)
+        if future is None or future.done():
             return
         if response.confirmed:
-            answer.set_result(response.index)
+            future.set_result(response.index)
         else:
-            answer.set_exception(ReadNotConfirmedError("not confirmed", step="read"))
+            future.set_exception(ReadNotConfirmedError("not confirmed", step="read"))
 
-    def _answer_proposal(self, sender: int, request_id: int, done: asyncio.Future[CommandOutcome]) -> None:
+    def _respond_to_proposal(
+        self, sender: int, request_id: int, done: asyncio.Future[CommandOutcome]
+    ) -> None:
         response = ProposeResponse(id=request_id)
         if done.cancelled():
             return
@@ -164,7 +172,7 @@
             response.status = _status_of(error)
         self._links.send(sender, PeerFrame(propose_response=response))
 
-    def _answer_read(self, sender: int, request_id: int, done: asyncio.Future[int]) -> None:
+    def _respond_to_read(self, sender: int, request_id: int, done: asyncio.Future[int]) -> None:
         if done.cancelled():
             return
         response = ReadIndexResponse(id=request_id)
@@ -176,15 +184,15 @@
     # ------------------------------------------------------------ attempts
 
     def _propose_to_leader(self, command: Command) -> asyncio.Future[CommandOutcome] | None:
-        """One attempt at the known leader; None without one."""
+        """Propose a command to the known leader; None without a leader."""
         leader = self._driver.leader_id
         if leader is None:
             return None
         if leader == self._links.own.id:
-            return _with_refusal_as_not_accepted(self._driver.propose(command.SerializeToString()))
+            return _with_rejection_as_not_accepted(self._driver.propose(command.SerializeToString()))
         request_id = self._next_id()
         frame = PeerFrame(propose=ProposeRequest(id=request_id, command=command))
-        return self._ask(leader, frame, request_id, self._proposals)
+        return self._send_request(leader, frame, request_id, self._proposals)
 
     def _read_at_leader(self) -> asyncio.Future[int] | None:
         leader = self._driver.leader_id
@@ -194,28 +202,33 @@
             return self._driver.read_index()
         request_id = self._next_id()
         frame = PeerFrame(read_index=ReadIndexRequest(id=request_id))
-        return self._ask(leader, frame, request_id, self._reads)
+        return self._send_request(leader, frame, request_id, self._reads)
 
-    def _ask(
-        self, leader: int, frame: PeerFrame, request_id: int, waiting: dict[int, asyncio.Future[Answer]]
-    ) -> asyncio.Future[Answer]:
-        """Send a request to the leader; the future of its response, dropped once it is done."""
-        answer: asyncio.Future[Answer] = self._loop.create_future()
+    def _send_request(
+        self, leader: int, frame: PeerFrame, request_id: int, waiting: dict[int, asyncio.Future[ResponseT]]
+    ) -> asyncio.Future[ResponseT]:
+        """Send a request to the leader; returns the future of its response.
+
+        The future leaves `waiting` once it is done.
+        """
+        future: asyncio.Future[ResponseT] = self._loop.create_future()
         if not self._links.send(leader, frame):
-            answer.set_exception(
+            future.set_exception(
                 CommandNotAcceptedError("the leader can't be reached", step="send", peer=leader)
             )
-            return answer
-        waiting[request_id] = answer
-        answer.add_done_callback(lambda _: waiting.pop(request_id, None))
-        return answer
+            return future
+        waiting[request_id] = future
+        future.add_done_callback(lambda _: waiting.pop(request_id, None))
+        return future
 
     def _next_id(self) -> int:
         self._last_id += 1
         return self._last_id
 
-    async def _until_change(self, attempt: asyncio.Future[Answer], timeout: float) -> Answer | None:
-        """An attempt's response; None if a change of leadership or the time-out came first."""
+    async def _wait_for_response(
+        self, attempt: asyncio.Future[ResponseT], timeout: float
+    ) -> ResponseT | None:
+        """Wait for an attempt's response; None if a change of leadership or the timeout comes first."""
         change = self._driver.leadership_changes.next()
         try:
             await asyncio.wait((attempt, change), timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
@@ -225,68 +238,68 @@
                 attempt.cancel()
         return None if attempt.cancelled() else attempt.result()
 
-    async def _leadership_change(self, timeout: float) -> None:
-        """Wait for another leader."""
+    async def _wait_for_leadership_change(self, timeout: float) -> None:
+        """Wait for a change of leadership, for at most `timeout` seconds."""
         change = self._driver.leadership_changes.next()
         try:
             await asyncio.wait((change,), timeout=timeout)
         finally:
             change.cancel()
 
-    async def _applied(self, index: int, timeout: float) -> bool:
-        """Wait until an index is applied here; False on a time-out."""
-        answer = self._driver.wait_applied(index)
-        await asyncio.wait((answer,), timeout=timeout)
-        if not answer.done():
-            answer.cancel()
+    async def _wait_applied(self, index: int, timeout: float) -> bool:
+        """Wait until this member has applied an index; False on a timeout."""
+        future = self._driver.wait_applied(index)
+        await asyncio.wait((future,), timeout=timeout)
+        if not future.done():
+            future.cancel()
             return False
         return True
 
 
 class _CallDeadline:
-    """How long a call may be retried."""
+    """The time limits of one call, within which it is retried."""
 
     def __init__(self, since: float) -> None:
         self._deadline = since + CALL_TIMEOUT_S
-        self._without_leader_until = since + NO_LEADER_TIMEOUT_S
-        self.outcome_unknown = False  # an attempt may have been accepted
-        self._first = True
+        self._no_leader_deadline = since + NO_LEADER_TIMEOUT_S
+        self.outcome_unknown = False  # an attempt may have been proposed
+        self._is_first_attempt = True
 
-    def left(self) -> float:
-        """Seconds until the response is due."""
+    def remaining_s(self) -> float:
+        """Seconds until the response is due, at least `MIN_WAIT_S`."""
         return max(MIN_WAIT_S, self._deadline - time.monotonic())
 
-    def left_without_leader(self) -> float:
-        """Seconds that may be spent waiting for a leader."""
-        end = self._deadline if self.outcome_unknown else self._without_leader_until
+    def remaining_without_leader_s(self) -> float:
+        """Seconds that may be spent waiting for a leader, at least `MIN_WAIT_S`."""
+        end = self._deadline if self.outcome_unknown else self._no_leader_deadline
         return max(MIN_WAIT_S, end - time.monotonic())
 
     def allows_attempt(self, leader: int | None) -> bool:
         """Whether there is time for one more attempt."""
         now = time.monotonic()
-        if self._first:
-            self._first = False
+        if self._is_first_attempt:
+            self._is_first_attempt = False
             return True
         if now >= self._deadline:
             return False
-        return leader is not None or self.outcome_unknown or now < self._without_leader_until
+        return leader is not None or self.outcome_unknown or now < self._no_leader_deadline
 
 
 def _status_of(error: BaseException) -> ProposeStatus:
-    """The status to report of a proposal that failed."""
+    """The status that is reported for a failed proposal."""
     if isinstance(error, ProposalLostError):
         return UNKNOWN
-    return NOT_LEADER  # rejected by the core: nothing was proposed
+    return NOT_LEADER  # rejected by the Raft node: nothing was proposed
 
 
-def _with_refusal_as_not_accepted(answer: asyncio.Future[CommandOutcome]) -> asyncio.Future[CommandOutcome]:
-    """A proposal's future on which a refusal by this member's core is a `CommandNotAcceptedError`."""
-    translated: asyncio.Future[CommandOutcome] = answer.get_loop().create_future()
+def _with_rejection_as_not_accepted(future: asyncio.Future[CommandOutcome]) -> asyncio.Future[CommandOutcome]:
+    """A future with a proposal's outcome, in which a rejection by the node is `CommandNotAcceptedError`."""
+    translated: asyncio.Future[CommandOutcome] = future.get_loop().create_future()
 
     def done(original: asyncio.Future[CommandOutcome]) -> None:
         if original.cancelled():
             return
-        error = original.exception()  # retrieved also if nobody waits any more
+        error = original.exception()  # retrieved even if nobody waits, so that asyncio does not log it
         if translated.done():
             return
         if error is None:
@@ -296,5 +309,5 @@
         else:
             translated.set_exception(CommandNotAcceptedError(str(error), step="propose"))
 
-    answer.add_done_callback(done)
+    future.add_done_callback(done)
     return translated
--- a/mallowbeam/router/control_plane/frame_dispatcher.py
+++ b/mallowbeam/router/control_plane/frame_dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatches frames of the link listener, to which members and gateways connect, to their handlers."""
+"""Dispatches the frames that members and gateways send to the link listener to their handlers."""
 
 from __future__ import annotations
 
@@ -34,31 +34,31 @@
     """Handles frames of other members; `sender` is a member's id."""
 
     def raft(self, sender: int, message: RaftMessage) -> None:
-        """A message of consensus."""
+        """A Raft message."""
 
     def registry(self, sender: int, gossip: RegistryGossip) -> None:
-        """Heartbeats, demand and attempts that came in at another member."""
+        """Heartbeats, demand and attempts that another member has received."""
 
     def join(self, connection: FrameConnection, request: JoinRequest) -> None:
         """A process asks to become a member; the response is sent on its connection."""
 
     def leave(self, sender: int, request: LeaveRequest) -> None:
-        """A member that stops asks the leader to replace it."""
+        """A stopping member asks the leader to replace it."""
 
     def leave_response(self, response: LeaveResponse) -> None:
-        """The leader's answer to this member's request to leave."""
+        """The leader's response to this member's request to leave."""
 
     def propose(self, sender: int, request: ProposeRequest) -> None:
-        """A command for the leader."""
+        """A command that a member forwards to the leader."""
 
     def propose_response(self, response: ProposeResponse) -> None:
         """The outcome of a command that was forwarded to the leader."""
 
     def read_index(self, sender: int, request: ReadIndexRequest) -> None:
-        """A read for the leader to confirm."""
+        """A member asks the leader to confirm a read."""
 
     def read_index_response(self, response: ReadIndexResponse) -> None:
-        """What the leader said to a read."""
+        """The leader's response to a read."""
 
     def wrong_recipient(self, caller: Member) -> None:
         """A member called an earlier identity of this address."""
@@ -74,11 +74,11 @@
         """A frame of a gateway; the first one subscribes it."""
 
     def gateway_closed(self, connection: FrameConnection) -> None:
-        """A connection is over, perhaps that of a gateway."""
+        """A connection has closed; it may be a gateway's."""
 
 
 class FrameDispatcher:
-    """Passes each frame to the handler of its kind."""
+    """Passes each frame to the handler for its kind."""
 
     def __init__(self, links: PeerLinks, peers: PeerHandler, feeds: FeedHandler) -> None:
         self._links = links
@@ -97,11 +97,11 @@
         }
 
     def received(self, connection: FrameConnection, body: bytes) -> None:
-        """Dispatch one frame; an unreadable one closes the connection."""
+        """Dispatch one frame; one that can't be decoded closes the connection."""
         try:
             frame = LinkFrame.FromString(body)
         except DecodeError:
-            log.warning("unreadable frame from %s", connection.peer)
+            log.warning("closing the connection from %s: a frame can't be decoded", connection.peer)
             connection.abort()
             return
         kind = frame.WhichOneof("body")
@@ -111,7 +111,7 @@
             self._feeds.gateway_frame(connection, frame.gateway)
 
     def closed(self, connection: FrameConnection) -> None:
-        """A connection is over."""
+        """A connection has closed."""
         if self._links.forget(connection):
             self._peers.link_lost()
         self._feeds.gateway_closed(connection)
@@ -135,5 +135,5 @@
 
 
 def join_answer(own: int, response: JoinResponse) -> LinkFrame:
-    """The frame that answers a join request on the connection on which it came."""
+    """The frame with the response to a join request, for the connection of the request."""
     return LinkFrame(peer=PeerFrame(sender=own, join_response=response))
--- a/mallowbeam/router/control_plane/leave_requests.py
+++ b/mallowbeam/router/control_plane/leave_requests.py
@@ -1,4 +1,4 @@
-"""Requests of members to leave the voting group, as the leader records and answers them."""
+"""Requests of members to give up their vote, as the leader records and answers them."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from mallowbeam.router.control_plane.membership_policy import LeaveOutcome
 from mallowbeam.router.rpc.messages_pb2 import LeaveRequest, LeaveResponse
 
-LEAVE_REQUEST_TTL_S = 1.5  # seconds after its last request for which a member counts as leaving
+LEAVE_REQUEST_TTL_S = 1.5  # a member counts as leaving for this time after its latest request
 
 
 class PendingLeaveRequests:
-    """Members that asked the leader to replace them, and the requests without an answer."""
+    """Members that asked the leader to replace them, and their unanswered requests."""
 
-    def __init__(self, answer: Callable[[int, LeaveResponse], None]) -> None:
-        """`answer` sends a response to a member."""
-        self._answer = answer
+    def __init__(self, send_response: Callable[[int, LeaveResponse], None]) -> None:
+        """`send_response` sends a response to a member."""
+        self._send_response = send_response
         self._requested_at: dict[int, float] = {}  # latest request, by member
         self._unanswered: dict[int, int] = {}  # id of the latest request, by member
 
     def add(self, member: int, request: LeaveRequest, now: float) -> None:
-        """Record a request, or its repetition."""
+        """Record a request or a repeated one."""
         self._requested_at[member] = now
         self._unanswered[member] = request.id
 
     def members(self, now: float) -> frozenset[int]:
-        """Members whose latest request is recent; requests of all others are forgotten."""
+        """Members whose latest request is recent; the requests of all others are removed."""
         self._requested_at = {
             member: requested_at
             for member, requested_at in self._requested_at.items()
@@ -40,7 +40,7 @@
 
     @property
     def has_unanswered(self) -> bool:
-        """Whether a member waits for an answer."""
+        """Whether a member waits for a response."""
         return bool(self._unanswered)
 
     def answer_decided(self, outcome_of: Callable[[int], LeaveOutcome]) -> None:
@@ -50,4 +50,4 @@
             if outcome is LeaveOutcome.PENDING:
                 continue
             del self._unanswered[member]
-            self._answer(member, LeaveResponse(id=request_id, given=outcome is LeaveOutcome.DEMOTED))
+            self._send_response(member, LeaveResponse(id=request_id, given=outcome is LeaveOutcome.DEMOTED))
--- a/mallowbeam/router/control_plane/member.py
+++ b/mallowbeam/router/control_plane/member.py
@@ -1,4 +1,4 @@
-"""A control-plane member from its opened store to its end: start, settings changes, graceful shutdown."""
+"""A control-plane member on an opened store: start, reload of the settings, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from mallowbeam.router.rpc.connection import FrameConnection, listen
 from mallowbeam.router.rpc.messages_pb2 import Membership
 
-TRANSFER_TIMEOUT_S = 0.5  # for another member to take over at a stop
+TRANSFER_TIMEOUT_S = 0.5  # for another member to take over leadership at a stop
 API_DRAIN_TIMEOUT_S = 0.9  # for calls in flight at a stop
 STORAGE_STOP_TIMEOUT_S = 0.5  # for writes in flight at a stop
 
@@ -26,20 +26,20 @@
     def __init__(self, parts: MemberParts, cycle: MemberCycle) -> None:
         self.parts = parts
         self.unusable: asyncio.Future[MallowbeamError] = asyncio.get_running_loop().create_future()
-        """Done once the store can't be used any more."""
+        """Done once the store is unusable."""
         self.outdated: asyncio.Future[MallowbeamError] = asyncio.get_running_loop().create_future()
-        """Done once what is committed can't be applied by this program version."""
+        """Done once this program version can't apply a committed entry or a snapshot."""
         self.storage_ended = False
-        """Once stopped: whether nothing is written any more."""
+        """After `stop`: whether the storage thread has ended, so that nothing more is written."""
         self._cycle = cycle
-        self._listening: asyncio.Server | None = None
-        self._incoming: dict[FrameConnection, None] = {}  # in the order in which they came, in which they end
+        self._listener: asyncio.Server | None = None
+        self._incoming_connections: dict[FrameConnection, None] = {}  # oldest first; closed in this order
 
     async def start(self) -> None:
-        """Listen and take part; raises an error of the listener if the address is in use."""
+        """Listen and take part in consensus; raises OSError if the address is in use."""
         parts = self.parts
         host, port = split_address(parts.own.address)
-        self._listening = await listen(
+        self._listener = await listen(
             host, port, parts.dispatcher.received, self._connection_opened, self._connection_closed
         )
         parts.storage.start()
@@ -52,14 +52,14 @@
         log.info("member %016x at %s, control API at %s", parts.own.id, parts.own.address, parts.own.control)
 
     def reload(self, settings: NodeSettings) -> None:
-        """Adopt changed settings: the seeds; all else is in force until the next start."""
+        """Apply changed seeds; all other changed settings apply from the next start."""
         self.parts.joining.set_seeds(seed_link_addresses(settings))
 
     async def stop(self) -> None:
-        """Transfer leadership, give up the vote, answer calls in flight, and end.
+        """Transfer leadership, give up the vote, drain the calls in flight, and close.
 
-        No new call is accepted meanwhile, but consensus goes on: the others may need this member until its
-        successor is committed.
+        No new call is accepted meanwhile, but consensus continues: the other members may need this one until
+        the change to its successor is committed.
         """
         parts = self.parts
         parts.joining.stop()
@@ -74,7 +74,7 @@
         await self._close()
 
     async def _transfer_leadership(self) -> None:
-        """Have another member lead where this one does; not for longer than `TRANSFER_TIMEOUT_S`."""
+        """Transfer leadership if this member leads; waits for at most `TRANSFER_TIMEOUT_S`."""
         driver = self.parts.driver
         if driver.is_leader:
             change = driver.leadership_changes.next()
@@ -86,46 +86,46 @@
         parts = self.parts
         if parts.metrics_server is not None:
             await parts.metrics_server.stop_accepting()
-        if self._listening is not None:
-            self._listening.close()
+        if self._listener is not None:
+            self._listener.close()
         parts.driver.stop()
         self.storage_ended = await parts.storage.stop(STORAGE_STOP_TIMEOUT_S)
         parts.feeds.close()
         parts.links.close()
-        for connection in list(self._incoming):
+        for connection in list(self._incoming_connections):
             connection.abort()
 
-    # ------------------------------------------------------------ events of consensus (DriverListener)
+    # ------------------------------------------------------------ DriverListener
 
     def entries_applied(self) -> None:
-        """Entries were applied: gateways get a new configuration at once."""
+        """Entries were applied: send gateways a new configuration at once."""
         self._cycle.flush()
         self.parts.membership.entries_applied()
 
     def membership_changed(self, membership: Membership) -> None:
-        """Another membership is in force."""
+        """Another membership is in effect."""
         self.parts.links.set_members(membership.members)
 
     def store_unusable(self, error: MallowbeamError) -> None:
-        """The store can't be used any more: take no further part; the role discards it."""
+        """The store is unusable: take no further part in consensus; the role discards the store."""
         if not self.unusable.done():
-            log.error("the store can't be used any more: %s", error.line)
+            log.error("the store is unusable: %s", error.line)
             self.parts.driver.stop()
             self.unusable.set_result(error)
 
     def program_outdated(self, error: MallowbeamError) -> None:
-        """A newer program version is needed: take no further part; the role ends and keeps the store."""
+        """A newer program version is needed: the role ends and keeps the store."""
         if not self.outdated.done():
-            log.error("a newer program version is needed here: %s", error.line)
+            log.error("this member needs a newer program version: %s", error.line)
             self.outdated.set_result(error)
 
     def _connection_opened(self, connection: FrameConnection) -> None:
         """Another process has connected."""
-        self._incoming[connection] = None
+        self._incoming_connections[connection] = None
 
     def _connection_closed(self, connection: FrameConnection) -> None:
-        """An incoming connection is over."""
-        self._incoming.pop(connection, None)
+        """An incoming connection has closed."""
+        self._incoming_connections.pop(connection, None)
         self.parts.dispatcher.closed(connection)
 
 
--- a/mallowbeam/router/control_plane/member_builder.py
+++ b/mallowbeam/router/control_plane/member_builder.py
@@ -1,7 +1,7 @@
-"""Composition root of a member: makes all parts and connects them. It starts nothing.
+"""Composition root of a member: builds all parts and connects them. It starts nothing.
 
-Parts refer to each other in circles (storage reports to consensus, which writes to storage), so callbacks go
-through :class:`_Wiring`, whose parts are set last. Nothing calls back before that.
+Some parts depend on each other (storage reports to consensus, which writes to storage), so their callbacks go
+through :class:`_Wiring`, which gets the parts last. No part calls back before that.
 """
 
 from __future__ import annotations
@@ -57,14 +57,14 @@
     RetireInstance,
 )
 
-TRAILING_ENTRIES = 64  # kept in memory behind a snapshot; entries may be large
+TRAILING_ENTRIES = 64  # compacted ones kept in memory for lagging members; entries may be large
 MAX_API_CONNECTIONS = 1024
 
 
 def build_member(
     settings: NodeSettings, opened: OpenedStore, run_job: JobRunner = run_in_thread
 ) -> ControlMember:
-    """Make a member on an opened store; `run_job` runs what large bodies take beside the event loop."""
+    """Build a member on an opened store; `run_job` runs work on large bodies outside the event loop."""
     wiring = _Wiring()
     replication = _build_replication(settings, opened, wiring)
     instances = _build_instances(settings, replication, wiring)
@@ -95,14 +95,14 @@
 
 
 class _Wiring:
-    """Callbacks between parts that are made before those that they call."""
+    """Callbacks into parts that are built after their callers."""
 
     def __init__(self) -> None:
         self.peer_requests = PeerRequests()
         self._loop = asyncio.get_running_loop()
 
     def connect(self, parts: MemberParts) -> ControlMember:
-        """Set the parts that the callbacks lead to."""
+        """Set the parts that the callbacks call, and build the member."""
         self._parts = parts
         self._cycle = MemberCycle(parts)
         self._member = ControlMember(parts, self._cycle)
@@ -114,31 +114,31 @@
         self._parts.dispatcher.received(connection, body)
 
     def instance_retired(self, retirement: RetireInstance) -> None:
-        """A retirement from the log."""
+        """A retirement was applied from the log or a snapshot."""
         self._parts.instances.retired(retirement)
 
     def gateways_outdated(self) -> None:
-        """Gateways or members must be sent a change."""
+        """A change must be sent to gateways or members."""
         self._cycle.flush_soon()
 
     def count_feeds(self) -> int:
-        """Gateways that follow this member."""
+        """Number of gateways that subscribe to this member's feed."""
         return len(self._parts.feeds)
 
     def writes_durable(self, writes: Sequence[Write]) -> None:
-        """Storage has synced writes; in the event loop."""
+        """Storage has made writes durable; called in the event loop."""
         self._parts.driver.durable(writes)
 
     def store_damaged(self, error: MallowbeamError) -> None:
-        """A write met damage; in the writer's thread."""
+        """A write found the store damaged; called in the writer's thread."""
         self._loop.call_soon_threadsafe(self.store_unusable, error)
 
     def send_raft(self, recipient: int, message: RaftMessage) -> None:
-        """Send a message of consensus."""
+        """Send a Raft message."""
         self._parts.links.send(recipient, PeerFrame(raft=message))
 
     def answer_leave(self, member: int, response: LeaveResponse) -> None:
-        """Answer a member that leaves, which may be this one."""
+        """Send a response to a leaving member, which may be this one."""
         if member == self._parts.own.id:
             self._parts.leaving.receive_response(response)
         else:
@@ -151,21 +151,21 @@
         self._member.entries_applied()
 
     def membership_changed(self, membership: Membership) -> None:
-        """Another membership is in force."""
+        """Another membership is in effect."""
         self._member.membership_changed(membership)
 
     def store_unusable(self, error: MallowbeamError) -> None:
-        """The store can't be used any more."""
+        """The store is unusable."""
         self._member.store_unusable(error)
 
     def program_outdated(self, error: MallowbeamError) -> None:
-        """A newer program version is needed for what is committed."""
+        """A newer program version is needed to apply committed data."""
         self._member.program_outdated(error)
 
 
 @dataclass(frozen=True, slots=True)
 class _Replication:
-    """Consensus, the state that it replicates, and what asks it."""
+    """Consensus, the replicated state, and the parts that use them directly."""
 
     own: Member
     parser: ConfigurationParser
@@ -203,7 +203,7 @@
 
 
 def _own_member(settings: NodeSettings, identity: int) -> Member:
-    """This member as others know it."""
+    """This member's entry in the membership."""
     assert settings.bind_addresses.control is not None
     return Member(
         id=identity,
@@ -215,7 +215,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _InstanceParts:
-    """What keeps and orders instances."""
+    """The parts that track instances and assign them to stages."""
 
     service: InstanceService
     stages: StageController
@@ -250,7 +250,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ServingParts:
-    """What answers operators, instances and gateways."""
+    """The parts that serve operators, instances and gateways."""
 
     status: StatusPage
     feeds: FeedServer
@@ -289,7 +289,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _MembershipParts:
-    """What changes the group."""
+    """The parts that change the membership."""
 
     manager: MembershipManager
     joining: ClusterJoin
--- a/mallowbeam/router/control_plane/member_cycle.py
+++ b/mallowbeam/router/control_plane/member_cycle.py
@@ -8,14 +8,14 @@
 
 from mallowbeam.router.control_plane.member_parts import MemberParts
 
-CYCLE_INTERVAL_S = 0.25  # between two cycles over group, instances and connections
-COALESCING_S = 0.03  # what is due within it is done now, to save a wake-up
+CYCLE_INTERVAL_S = 0.25  # between two cycles over membership, instances and connections
+COALESCING_S = 0.03  # work that is due within this time runs now, to save a wake-up
 TIMER_GRANULARITY_S = 0.001  # the loop's timers may fire this much early
-FLUSH_INTERVAL_S = 0.01  # changes of instances wait so long for others, so that bursts go out together
+FLUSH_INTERVAL_S = 0.01  # instance changes are batched for up to this time, to send bursts together
 
 
 class MemberCycle:
-    """Runs each part's periodic work when it is due."""
+    """Runs the periodic work of each part when it is due."""
 
     def __init__(self, parts: MemberParts) -> None:
         self._parts = parts
@@ -27,7 +27,7 @@
         self._flushed_at = 0.0
 
     def start(self) -> None:
-        """Run what is due, and set the timer."""
+        """Run all due work, and set the timer."""
         self._wake()
 
     def stop(self) -> None:
@@ -36,18 +36,18 @@
             self._timer.cancel()
 
     def flush(self) -> None:
-        """Send gateways what they lack, now."""
+        """Send pending changes to gateways now."""
         self._flush_pending = False
         self._flushed_at = time.monotonic()
         self._parts.feeds.send()
 
     def flush_soon(self) -> None:
-        """Send gateways or members what they lack, together with what else comes within a moment."""
+        """Schedule sending changes to gateways or members; changes in quick succession are batched."""
         self._flush_pending = True
         self._set_timer(time.monotonic())
 
     def _wake(self) -> None:
-        """Run what is due, and set the timer for the next."""
+        """Run all due work, and set the timer for the next."""
         self._timer = None
         self._timer_at = inf
         parts = self._parts
@@ -74,16 +74,16 @@
         parts.api_server.sweep()
 
     def _flush_at(self) -> float:
-        """When feeds are due, by the monotonic clock."""
+        """When feeds are due, by the monotonic clock in seconds."""
         heartbeat_at = self._parts.feeds.frames_at()
         return min(heartbeat_at, self._flushed_at + FLUSH_INTERVAL_S) if self._flush_pending else heartbeat_at
 
     def _set_timer(self, now: float) -> None:
-        """Set the timer for what is due first; an earlier timer stays and is set again when it fires."""
-        due = min(self._next_cycle_at, self._parts.instances.gossip_at(), self._flush_at())
-        if self._timer_at <= due:
+        """Set the timer for the earliest due work; an earlier timer stays and is set again when it fires."""
+        due_at = min(self._next_cycle_at, self._parts.instances.gossip_at(), self._flush_at())
+        if self._timer_at <= due_at:
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._timer_at = due
-        self._timer = self._loop.call_later(max(0.0, due - now) + TIMER_GRANULARITY_S, self._wake)
+        self._timer_at = due_at
+        self._timer = self._loop.call_later(max(0.0, due_at - now) + TIMER_GRANULARITY_S, self._wake)
--- a/mallowbeam/router/control_plane/member_parts.py
+++ b/mallowbeam/router/control_plane/member_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a member, as its builder has made them."""
+"""The parts of a member, as built by `member_builder`."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberParts:
-    """Every part with a life of its own; each is started, run and stopped by :class:`ControlMember`."""
+    """The long-lived parts of a member, which :class:`ControlMember` starts, runs and stops."""
 
-    own: Member  # this member as others know it
+    own: Member  # this member's entry in the membership
     links: PeerLinks
     dispatcher: FrameDispatcher
     machine: ReplicatedStateMachine
--- a/mallowbeam/router/control_plane/membership_manager.py
+++ b/mallowbeam/router/control_plane/membership_manager.py
@@ -1,4 +1,4 @@
-"""The leader's part in membership changes: accepts joiners, proposes what the policy decides."""
+"""Membership changes at the leader: accepts joiners, and proposes the changes that the policy decides on."""
 
 from __future__ import annotations
 
@@ -42,39 +42,39 @@
         self._driver = driver
         self._own_id = own_id
         self._leave_requests = PendingLeaveRequests(answer_leave)
-        self._examined: Membership | None = None  # the last committed one that the policy was given
-        self._change: asyncio.Future[CommandOutcome] | None = None  # in flight
+        self._examined_membership: Membership | None = None  # latest one given to the policy
+        self._pending_change: asyncio.Future[CommandOutcome] | None = None  # in flight
 
     def run_cycle(self) -> None:
-        """Propose the change that is due; to be called several times a second."""
+        """Propose the next change, if one is due; to be called several times a second."""
         if self._driver.is_leader:
             self._advance()
 
     def entries_applied(self) -> None:
         """A membership may have been committed: propose the next change without waiting for a cycle."""
         node = self._driver.node
-        is_unexamined = node.membership is not self._examined
+        is_unexamined = node.membership is not self._examined_membership
         if self._driver.is_leader and (self._leave_requests.has_unanswered or is_unexamined):
             self._advance()
 
     def leave(self, sender: int, request: LeaveRequest) -> None:
-        """Record a member's request to leave; a member that does not lead ignores it: it will be repeated."""
+        """Record a member's request to leave; ignored without leadership, as the request is repeated."""
         if self._driver.is_leader:
             self._leave_requests.add(sender, request, time.monotonic())
             self._advance()
 
     def join(self, connection: FrameConnection, request: JoinRequest) -> None:
-        """Propose a joiner as a learner; the response accepts it once it is one, or names the leader."""
+        """Propose a joiner as a learner; the response accepts it once it is a member, or names the leader."""
         response = JoinResponse()
         membership = self._driver.node.membership
         if not self._driver.is_leader:
             self._name_leader(response)
         elif contains(membership, request.member.id):
             response.accepted = True
-        elif self._change is None:
+        elif self._pending_change is None:
             changed = with_joiner(membership, request)
             if changed is not None:
-                log.info("taking in %016x at %s", request.member.id, request.member.address)
+                log.info("proposing learner %016x at %s", request.member.id, request.member.address)
                 self._propose(changed)
         connection.send(join_answer(self._own_id, response))
 
@@ -84,15 +84,15 @@
                 response.leader.CopyFrom(member)
 
     def _advance(self) -> None:
-        """Once the latest membership is committed: propose the next change, or answer those that leave."""
+        """Once the latest membership is committed, propose the next change or answer requests to leave."""
         node = self._driver.node
-        if self._change is not None or not node.membership_committed:
+        if self._pending_change is not None or not node.membership_committed:
             return
-        self._examined = node.membership
+        self._examined_membership = node.membership
         view = self._view()
         changed = next_membership(view)
         if changed is not None:
-            log.info("changing the group: %s", _describe_change(node.membership, changed))
+            log.info("proposing a membership change: %s", _describe_change(node.membership, changed))
             self._propose(changed)
         else:
             self._leave_requests.answer_decided(lambda member: leave_outcome(view, member))
@@ -112,18 +112,18 @@
         )
 
     def _propose(self, membership: Membership) -> None:
-        self._change = self._driver.change_membership(membership)
-        self._change.add_done_callback(self._change_done)
+        self._pending_change = self._driver.change_membership(membership)
+        self._pending_change.add_done_callback(self._change_done)
 
     def _change_done(self, done: asyncio.Future[CommandOutcome]) -> None:
-        self._change = None
+        self._pending_change = None
         error = None if done.cancelled() else done.exception()
         if isinstance(error, ConsensusError):
-            log.info("the group stays as it was: %s", error)
+            log.info("the membership change failed: %s", error)
 
 
 def _describe_change(old: Membership, new: Membership) -> str:
-    """A membership change in short, for the log."""
+    """A one-line summary of a membership change, for the log."""
     before = {member.id: member.voter for member in old.members}
     after = {member.id: member.voter for member in new.members}
     changes = [f"without {member:016x}" for member in before.keys() - after.keys()]
--- a/mallowbeam/router/control_plane/membership_policy.py
+++ b/mallowbeam/router/control_plane/membership_policy.py
@@ -1,10 +1,11 @@
 """Membership decisions of the leader: who joins, who votes, who replaces whom, who is removed.
 
-A pure core: it is given the membership, what the leader knows of each member and who asks to join or leave,
-and returns the next membership or None. A learner that has caught up is promoted where there are fewer voters
-than the target; otherwise it stands by as a successor, and replaces a voter that has lost its disk, is
-unreachable or asks to leave, in one joint change: the number of voters never falls. The host proposes a
-change and asks again once it is committed. Only a leader asks. Times are in seconds.
+Pure functions without I/O: from the membership, the leader's knowledge of each member and the requests to
+join or leave, they compute the next membership, or None. A learner that has caught up is promoted if there
+are fewer voters than the target. Otherwise it stands by as a successor, and replaces a voter that has lost
+its disk, is unreachable or asks to leave, in one joint change, so that the number of voters never falls. The
+leader proposes the change and calls again once it is committed; other members never call. Times are in
+seconds.
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 from mallowbeam.router.rpc.messages_pb2 import JoinRequest, Member, Membership
 
 CAUGHT_UP_ENTRIES = 8  # a learner this close to the commit index may be promoted
-RECENT_CONTACT_S = 0.5  # a learner must have been in contact within it to be promoted
-VOTER_TIMEOUT_S = 1.5  # without contact, after which a caught-up learner replaces a voter
-SURPLUS_VOTER_TIMEOUT_S = 2.0  # without contact, after which a voter beyond the target is removed
-LEARNER_TIMEOUT_S = 30.0  # without contact, after which a learner is removed; it may join again
+RECENT_CONTACT_S = 0.5  # a learner must have been in contact within this time to be promoted
+VOTER_TIMEOUT_S = 1.5  # a caught-up learner replaces a voter after this time without contact
+SURPLUS_VOTER_TIMEOUT_S = 2.0  # a voter beyond the target is removed after this time without contact
+LEARNER_TIMEOUT_S = 30.0  # a learner is removed after this time without contact; it may join again
 MAX_MEMBERS = 31  # further ones are not accepted
 
 
 class LeaveOutcome(Enum):
-    """What has become of a member's request to leave."""
+    """The outcome of a member's request to leave."""
 
     DEMOTED = "demoted"  # it does not vote
     PENDING = "pending"  # a successor is being promoted
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerProgress:
-    """What the leader knows of another member."""
+    """The leader's knowledge of another member."""
 
     match_index: int  # last log index known to be durable there
     seconds_since_contact: float  # or since this leader's term began
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterView:
-    """The group as its leader sees it."""
+    """The leader's view of the group."""
 
     leader: int  # the leader's own id
     membership: Membership  # the latest in the log
@@ -76,7 +77,7 @@
 
     @property
     def successors(self) -> list[Member]:
-        """Learners that run and stay; they may still have to catch up."""
+        """Learners in contact that are neither leaving nor superseded; they may still have to catch up."""
         return [
             learner
             for learner in self.learners
@@ -92,7 +93,7 @@
 
     @property
     def removable_learners(self) -> set[int]:
-        """Ids of learners without contact for long, or whose address belongs to a newer identity."""
+        """Ids of learners without contact for too long, or whose address belongs to a newer identity."""
         return {
             learner.id
             for learner in self.learners
@@ -100,7 +101,7 @@
         }
 
     def _superseded(self, learner: Member) -> bool:
-        """Whether a member that joined later has the learner's address: the learner's disk was lost."""
+        """Whether a later member has the learner's address, which means that the learner's disk was lost."""
         same_address = [member.id for member in self.membership.members if member.address == learner.address]
         return same_address[-1] != learner.id
 
@@ -113,9 +114,9 @@
 def with_joiner(membership: Membership, request: JoinRequest) -> Membership | None:
     """The membership with a new learner; None if it is a member already or the group is full.
 
-    None too while a joint change is in progress. Learners of the same address are removed: their disk is
-    lost. A voter of that address stays until the new member has caught up. A joiner of the system's first
-    start raises the target number of voters, unless its address was in the group.
+    Also None while a joint change is in progress. Learners with the joiner's address are removed, as their
+    disk is lost; a voter with that address stays until the new member has caught up. A joiner at the system's
+    first start raises the target number of voters, unless its address was already in the group.
     """
     joiner = request.member
     if not joiner.id or contains(membership, joiner.id) or membership.outgoing_voters:
@@ -126,14 +127,14 @@
     target = membership.target_voters
     if request.first_start and not _contains_address(membership, joiner.address):
         target += 1
-    return Membership(members=[*remaining, _learner(joiner)], target_voters=target)
+    return Membership(members=[*remaining, _as_learner(joiner)], target_voters=target)
 
 
 def _contains_address(membership: Membership, address: str) -> bool:
     return any(known.address == address for known in membership.members)
 
 
-def _learner(joiner: Member) -> Member:
+def _as_learner(joiner: Member) -> Member:
     """A joiner as a member that does not vote."""
     learner = Member()
     learner.CopyFrom(joiner)
@@ -142,7 +143,7 @@
 
 
 def next_membership(view: ClusterView) -> Membership | None:
-    """The change that is due now, or None; the first decision that applies, in a fixed order."""
+    """The change that is due now, or None: the first decision that applies, in a fixed order."""
     if view.membership.outgoing_voters:
         return None
     decisions = (_promote_learner, _replace_voters, _remove_surplus_voter, _remove_learners)
@@ -154,7 +155,7 @@
 
 
 def leave_outcome(view: ClusterView, member: int) -> LeaveOutcome:
-    """What has become of a member's request to leave; requires that the latest membership is committed."""
+    """The outcome of a member's request to leave; requires that the latest membership is committed."""
     if view.membership.outgoing_voters:
         return LeaveOutcome.PENDING
     if member not in {voter.id for voter in view.voters}:
@@ -165,7 +166,7 @@
 
 
 def _promote_learner(view: ClusterView) -> Membership | None:
-    """One more voter, where there are fewer than the target."""
+    """Add one voter if there are fewer than the target."""
     if len(view.voters) >= view.membership.target_voters:
         return None
     candidates = _unassigned_successors(view)
@@ -186,8 +187,8 @@
 def _replacements(view: ClusterView) -> dict[int, int]:
     """Successors by the id of the voter that they replace.
 
-    A voter whose disk was lost is replaced by the new identity of its address; one that leaves or is
-    unreachable by any other successor, of its own zone if there is one.
+    A voter whose disk was lost is replaced by the new identity of its address. A voter that leaves or is
+    unreachable is replaced by any other successor, preferably of its own zone.
     """
     successors = {learner.address: learner.id for learner in view.caught_up_successors}
     replacements: dict[int, int] = {}
@@ -224,7 +225,7 @@
 
 
 def _remove_surplus_voter(view: ClusterView) -> Membership | None:
-    """One voter less, where there are more than the target: groups of earlier versions may have such."""
+    """Remove or demote one voter beyond the target; groups of earlier versions may have such voters."""
     if len(view.voters) <= view.membership.target_voters:
         return None
     for voter in _leaving_or_unreachable(view, SURPLUS_VOTER_TIMEOUT_S):
@@ -246,7 +247,7 @@
 
 
 def _remove_learners(view: ClusterView) -> Membership | None:
-    """The group without learners that are gone; None if there are none."""
+    """The membership without its removable learners; None if there are none."""
     removable = view.removable_learners
     return _without(view.membership, removable) if removable else None
 
--- a/mallowbeam/router/control_plane/peer_links.py
+++ b/mallowbeam/router/control_plane/peer_links.py
@@ -1,8 +1,8 @@
 """Links to the other members: one outgoing connection to each, reconnected as long as the member is known.
 
-A link carries frames one way; responses arrive on the other member's own link. Frames are dropped, never
-queued without bound, while a link is down or its peer reads too slowly: consensus and gossip are repeated,
-and callers of commands learn it from the return value of `send`.
+A link carries frames one way; responses arrive on the other member's own link. While a link is down or its
+peer reads too slowly, frames are dropped rather than queued without bound: Raft messages and gossip are
+repeated, and the return value of `send` tells callers of commands that a frame was dropped.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from mallowbeam.router.rpc.messages_pb2 import LinkFrame, Member, PeerFrame
 
 CONNECT_TIMEOUT_S = 0.5
-MIN_BACKOFF_S = 0.05  # before a reconnection; doubled with each failure
+MIN_BACKOFF_S = 0.05  # before a reconnection; doubled after each failure
 MAX_BACKOFF_S = 0.5
-MAX_UNSENT_BYTES = 4 * 1024 * 1024  # on a link; further frames are dropped
-CONTACT_TIMEOUT_S = 1.0  # without a frame of the peer, after which a send reconnects
-GRACE_PERIOD_S = 1.0  # of a new connection before that
+MAX_UNSENT_BYTES = 4 * 1024 * 1024  # per link; further frames are dropped
+CONTACT_TIMEOUT_S = 1.0  # a send reconnects after this time without a frame of the peer
+GRACE_PERIOD_S = 1.0  # a new connection is kept for this time without a frame of the peer
 
 log = get_logger("mallowbeam.links")
 
@@ -28,22 +28,22 @@
     """The outgoing connection to one member."""
 
     def __init__(
-        self, own: Member, peer: Member, delivered: Callable[[FrameConnection, bytes], None]
+        self, own: Member, peer: Member, frame_received: Callable[[FrameConnection, bytes], None]
     ) -> None:
         self.peer = peer
         self._own = own
-        self._delivered = delivered
+        self._frame_received = frame_received
         self._loop = asyncio.get_running_loop()
         self._connection: FrameConnection | None = None
         self._opened_at = 0.0
         self._backoff_s = MIN_BACKOFF_S
         self._closing = False
-        self._introduced = False
+        self._identity_sent = False
         self.last_contact = self._loop.time()  # latest frame of the peer, on any connection
         self._connecting: asyncio.Task[None] | None = self._loop.create_task(self._connect())
 
     def send(self, frame: PeerFrame) -> bool:
-        """Send a frame; False where it was dropped."""
+        """Send a frame; False if it was dropped."""
         connection = self._connection
         if connection is None or not connection.open:
             return False
@@ -52,9 +52,9 @@
             return False
         if connection.unsent > MAX_UNSENT_BYTES:
             return False
-        if not self._introduced:
+        if not self._identity_sent:
             frame.sender_member.CopyFrom(self._own)
-            self._introduced = True
+            self._identity_sent = True
         return connection.send(LinkFrame(peer=frame))
 
     @property
@@ -64,7 +64,7 @@
 
     @property
     def seconds_since_contact(self) -> float:
-        """Seconds since the latest frame of the peer, or since the link was made."""
+        """Seconds since the latest frame of the peer, or since the link was created."""
         return self._loop.time() - self.last_contact
 
     def close(self) -> None:
@@ -76,7 +76,7 @@
             self._connection.abort()
 
     def _is_suspect(self) -> bool:
-        """Whether an open connection may be dead: after a partition, TCP waits long to retransmit."""
+        """Whether an open connection may be dead: after a partition, TCP may wait long to retransmit."""
         now = self._loop.time()
         return now - self._opened_at > GRACE_PERIOD_S and now - self.last_contact > CONTACT_TIMEOUT_S
 
@@ -85,7 +85,7 @@
         while not self._closing:
             try:
                 connection = await connect(
-                    self.peer.address, self._delivered, self._closed, CONNECT_TIMEOUT_S
+                    self.peer.address, self._frame_received, self._closed, CONNECT_TIMEOUT_S
                 )
             except OSError:
                 await asyncio.sleep(self._backoff_s)
@@ -93,9 +93,9 @@
                 continue
             self._connection = connection
             self._opened_at = self._loop.time()
-            self._introduced = False
+            self._identity_sent = False
             self._connecting = None
-            if not connection.open:  # closed in the step in which it was made
+            if not connection.open:  # closed before `connect` returned to this task
                 self._reconnect()
             return
 
@@ -120,29 +120,29 @@
 class PeerLinks:
     """The links to all known members, and the latest contact with each."""
 
-    def __init__(self, own: Member, delivered: Callable[[FrameConnection, bytes], None]) -> None:
+    def __init__(self, own: Member, frame_received: Callable[[FrameConnection, bytes], None]) -> None:
         self.own = own
-        self._delivered = delivered
+        self._frame_received = frame_received
         self._loop = asyncio.get_running_loop()
         self._links: dict[int, PeerLink] = {}
-        self._members: dict[int, Member] = {}  # of the group
-        self._introduced: dict[FrameConnection, Member] = {}  # owners of open incoming connections
+        self._members: dict[int, Member] = {}  # the group without this member
+        self._incoming: dict[FrameConnection, Member] = {}  # members by their open incoming connections
 
     def set_members(self, members: Iterable[Member]) -> None:
-        """Keep links to these members, and to those that are connected to this one."""
+        """Keep links to these members, and to members that are connected to this one."""
         self._members = {member.id: member for member in members if member.id != self.own.id}
         self._update_links()
 
     def introduce(self, connection: FrameConnection, member: Member) -> None:
-        """An incoming connection has identified its member."""
+        """Record the member at the other end of an incoming connection."""
         if member.id == self.own.id:
             return
-        self._introduced[connection] = member
+        self._incoming[connection] = member
         self._update_links()
 
     def forget(self, connection: FrameConnection) -> bool:
-        """An incoming connection is closed; whether it was a member's."""
-        if self._introduced.pop(connection, None) is None:
+        """Remove a closed incoming connection; returns whether it was a member's."""
+        if self._incoming.pop(connection, None) is None:
             return False
         self._update_links()
         return True
@@ -154,25 +154,25 @@
             link.last_contact = self._loop.time()
 
     def send(self, recipient: int, frame: PeerFrame) -> bool:
-        """Send a frame to a member; False where it was dropped."""
+        """Send a frame to a member; False if it was dropped."""
         link = self._links.get(recipient)
         if link is None:
             return False
-        self._count_partial_frames(recipient, link)
+        self._record_partial_frames(recipient, link)
         frame.sender = self.own.id
         frame.recipient = recipient
         return link.send(frame)
 
-    def _count_partial_frames(self, member_id: int, link: PeerLink) -> None:
-        """A partly received frame is contact with its sender: on a slow link it may take long."""
-        for connection, member in self._introduced.items():
+    def _record_partial_frames(self, member_id: int, link: PeerLink) -> None:
+        """Count a partly received frame as contact: on a slow link, a frame may take long to arrive."""
+        for connection, member in self._incoming.items():
             if member.id == member_id:
                 link.last_contact = max(link.last_contact, connection.last_received)
 
-    def send_to_group(self, make: Callable[[], PeerFrame]) -> None:
+    def send_to_group(self, make_frame: Callable[[], PeerFrame]) -> None:
         """Send a frame to each other member of the group."""
         for member in self._members:
-            self.send(member, make())
+            self.send(member, make_frame())
 
     def seconds_since_contact(self, member: int) -> float | None:
         """Seconds since the latest frame of a member; None for one without a link."""
@@ -180,8 +180,8 @@
         return link.seconds_since_contact if link is not None else None
 
     def zone(self, member: Member) -> str:
-        """A member's zone: as it states itself, else as in the membership."""
-        for known in self._introduced.values():
+        """A member's zone, as stated by the member itself if it is connected, else as in the membership."""
+        for known in self._incoming.values():
             if known.id == member.id and known.zone:
                 return known.zone
         return member.zone
@@ -194,14 +194,14 @@
 
     def _update_links(self) -> None:
         """Open missing links and close those that are no longer needed."""
-        wanted = {member.id: member for member in self._introduced.values()}
-        wanted.update(self._members)
-        for unwanted in [known for known in self._links if known not in wanted]:
-            self._links.pop(unwanted).close()
-        for member_id, member in wanted.items():
+        needed = {member.id: member for member in self._incoming.values()}
+        needed.update(self._members)
+        for unneeded in [known for known in self._links if known not in needed]:
+            self._links.pop(unneeded).close()
+        for member_id, member in needed.items():
             link = self._links.get(member_id)
             if link is not None and link.peer.address == member.address:
                 continue
             if link is not None:
                 link.close()
-            self._links[member_id] = PeerLink(self.own, member, self._delivered)
+            self._links[member_id] = PeerLink(self.own, member, self._frame_received)
--- a/mallowbeam/router/control_plane/peer_requests.py
+++ b/mallowbeam/router/control_plane/peer_requests.py
@@ -1,4 +1,4 @@
-"""Requests and messages of other members, each handed to the part that serves it."""
+"""Passes requests and messages of other members to the parts that handle them."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 
 class PeerRequests:
-    """The handler of peer frames (:class:`PeerHandler`); `parts` is set once all parts exist."""
+    """Implements :class:`PeerHandler`; `parts` is set once all parts exist."""
 
     parts: MemberParts
 
     def raft(self, sender: int, message: RaftMessage) -> None:
-        """A message of consensus."""
+        """A Raft message."""
         self.parts.driver.receive(sender, message)
 
     def registry(self, sender: int, gossip: RegistryGossip) -> None:
-        """Heartbeats, demand and attempts that came in at another member."""
+        """Heartbeats, demand and attempts that another member has received."""
         parts = self.parts
         parts.instances.receive_gossip(sender, gossip)
         now = time.monotonic()
@@ -46,11 +46,11 @@
         self.parts.membership.leave(sender, request)
 
     def leave_response(self, response: LeaveResponse) -> None:
-        """The leader's answer to this member's request to leave."""
+        """The leader's response to this member's request to leave."""
         self.parts.leaving.receive_response(response)
 
     def propose(self, sender: int, request: ProposeRequest) -> None:
-        """A command for the leader."""
+        """A command that a member forwards to the leader."""
         self.parts.commands.propose(sender, request)
 
     def propose_response(self, response: ProposeResponse) -> None:
@@ -58,15 +58,15 @@
         self.parts.commands.propose_response(response)
 
     def read_index(self, sender: int, request: ReadIndexRequest) -> None:
-        """A read for the leader to confirm."""
+        """A member asks the leader to confirm a read."""
         self.parts.commands.read_index(sender, request)
 
     def read_index_response(self, response: ReadIndexResponse) -> None:
-        """The leader's answer to a read."""
+        """The leader's response to a read."""
         self.parts.commands.read_index_response(response)
 
     def wrong_recipient(self, caller: Member) -> None:
-        """A member called an earlier identity of this address: it may be asked to accept this one."""
+        """A member called an earlier identity of this address; it can be asked to accept this member."""
         self.parts.joining.add_caller(caller.address)
 
     def link_lost(self) -> None:
--- a/mallowbeam/router/control_plane/pending_proposals.py
+++ b/mallowbeam/router/control_plane/pending_proposals.py
@@ -14,23 +14,23 @@
     def __init__(self) -> None:
         self._pending: dict[int, list[tuple[int, asyncio.Future[CommandOutcome]]]] = {}
 
-    def add(self, index: int, term: int, answer: asyncio.Future[CommandOutcome]) -> None:
-        """Resolve `answer` when the entry at `index` is applied, provided it still is that of `term`."""
-        self._pending.setdefault(index, []).append((term, answer))
+    def add(self, index: int, term: int, future: asyncio.Future[CommandOutcome]) -> None:
+        """Resolve `future` when the entry at `index` is applied; it fails unless that entry is of `term`."""
+        self._pending.setdefault(index, []).append((term, future))
 
     def applied(self, index: int, term: int, outcome: CommandOutcome) -> None:
         """Resolve the proposal of the entry at `index`; those of other terms fail (`ProposalLostError`)."""
-        for proposed_term, answer in self._pending.pop(index, ()):
-            if answer.done():
+        for proposed_term, future in self._pending.pop(index, ()):
+            if future.done():
                 continue
             if proposed_term == term:
-                answer.set_result(outcome)
+                future.set_result(outcome)
             else:
-                answer.set_exception(ProposalLostError("another entry took its place", step="propose"))
+                future.set_exception(ProposalLostError("replaced by another leader's entry", step="propose"))
 
     def replaced_by_snapshot(self, index: int) -> None:
-        """Fail proposals up to a snapshot's index: their outcomes can't be known any more."""
-        for position in [known for known in self._pending if known <= index]:
-            for _, answer in self._pending.pop(position):
-                if not answer.done():
-                    answer.set_exception(ProposalLostError("a snapshot took its place", step="propose"))
+        """Fail all proposals up to a snapshot's index, as their outcomes can no longer be known."""
+        for pending_index in [known for known in self._pending if known <= index]:
+            for _, future in self._pending.pop(pending_index):
+                if not future.done():
+                    future.set_exception(ProposalLostError("replaced by a snapshot", step="propose"))
--- a/mallowbeam/router/control_plane/proposal_errors.py
+++ b/mallowbeam/router/control_plane/proposal_errors.py
@@ -1,4 +1,4 @@
-"""Errors of proposals and reads on their way through the leader."""
+"""Errors of proposals and reads that are forwarded to the leader."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CommandNotAcceptedError(ConsensusError):
-    """The member that was asked did not accept the call: it is not the leader, or is unreachable."""
+    """The requested member did not accept the call: it is not the leader, or is unreachable."""
 
     error_name = "NotTaken"
     code = "CONSENSUS_NOT_TAKEN"
@@ -22,7 +22,7 @@
 
 
 class ReadNotConfirmedError(ConsensusError):
-    """A read was not confirmed: the member is not the leader, or no longer."""
+    """A read was not confirmed: the member is not the leader, or lost its leadership meanwhile."""
 
     error_name = "ReadRefused"
     code = "CONSENSUS_READ_REFUSED"
--- a/mallowbeam/router/control_plane/raft_driver.py
+++ b/mallowbeam/router/control_plane/raft_driver.py
@@ -1,6 +1,7 @@
 """Drives this member's Raft node: the only module that gives it input and carries out its output.
 
-Input is queued and processed in one step of the event loop, so that what arrived together is sent together.
+Input is queued and processed in one step of the event loop, so that the output for inputs that arrive
+together is batched.
 """
 
 from __future__ import annotations
@@ -25,27 +26,27 @@
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.rpc.messages_pb2 import COMMAND, DONE, Entry, Membership, RaftMessage, Snapshot
 
-COMPACT_ENTRIES = 2000  # applied since the last snapshot, after which the next one is made
-COMPACT_BYTES = 4 * 1024 * 1024  # the same, of payloads
-TIMER_GRANULARITY_S = 0.001  # seconds; the loop's timers may fire this much early
+COMPACT_ENTRIES = 2000  # a snapshot is made once so many were applied since the last one
+COMPACT_BYTES = 4 * 1024 * 1024  # likewise, for the payloads of these entries
+TIMER_GRANULARITY_S = 0.001  # the event loop's timers may fire this much early
 
 log = get_logger("mallowbeam.raft")
 
 
 class DriverListener(Protocol):
-    """Events of consensus that other parts of the member react to."""
+    """Consensus events that other parts of the member handle."""
 
     def entries_applied(self) -> None:
         """Entries were applied, or a snapshot was installed."""
 
     def membership_changed(self, membership: Membership) -> None:
-        """Another membership is in force."""
+        """Another membership is in effect."""
 
     def store_unusable(self, error: MallowbeamError) -> None:
-        """This member's store contradicts the group: it must stop, and rejoin as a new member."""
+        """This member's store contradicts the group's log: it must stop, and rejoin as a new member."""
 
     def program_outdated(self, error: MallowbeamError) -> None:
-        """A newer program version is needed for what is committed: it must stop, and keep its store."""
+        """Committed data needs a newer program version: this member must stop, and keep its store."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +62,7 @@
     """A command to propose."""
 
     payload: bytes
-    answer: asyncio.Future[CommandOutcome]
+    future: asyncio.Future[CommandOutcome]
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,19 +70,19 @@
     """A membership to propose."""
 
     membership: Membership
-    answer: asyncio.Future[CommandOutcome]
+    future: asyncio.Future[CommandOutcome]
 
 
 @dataclass(frozen=True, slots=True)
 class _Read:
     """A read to confirm."""
 
-    answer: asyncio.Future[int]
+    future: asyncio.Future[int]
 
 
 @dataclass(frozen=True, slots=True)
 class _Written:
-    """Writes up to a ticket are durable."""
+    """Notification that writes up to a ticket are durable."""
 
     ticket: int
 
@@ -95,7 +96,7 @@
 
 
 class RaftDriver:
-    """Owner of the node and of the state machine that its log leads to."""
+    """Owns the Raft node and the state machine to which its log is applied."""
 
     def __init__(
         self,
@@ -115,19 +116,19 @@
         self._events: deque[_Event] = deque()
         self._scheduled = False
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = inf
+        self._timer_due_at = inf
         self._reads: dict[int, asyncio.Future[int]] = {}
         self._last_read = 0
         self._proposals = PendingProposals()
         self._applied = AppliedIndexWaiters()
-        self._announced_leadership: tuple[int, int | None, Role] = (node.term, node.leader_id, node.role)
-        self._announced_membership = node.membership
+        self._notified_leadership: tuple[int, int | None, Role] = (node.term, node.leader_id, node.role)
+        self._notified_membership = node.membership
         self._uncompacted_entries = 0
         self._uncompacted_bytes = 0
         self.applied_index = node.commit_index
         self.leadership_changes = ChangeNotifier()
 
-    # ------------------------------------------------------------ state for other parts
+    # ------------------------------------------------------------ read by other parts
 
     @property
     def node(self) -> RaftNode:
@@ -136,7 +137,7 @@
 
     @property
     def leader_id(self) -> int | None:
-        """The leader's id, None where none is known."""
+        """The leader's id; None if unknown."""
         return self._node.leader_id
 
     @property
@@ -152,57 +153,57 @@
 
     def start(self) -> None:
         """Set the first timer."""
-        self._wake()
+        self._schedule_step()
 
     def receive(self, sender: int, message: RaftMessage) -> None:
-        """A message of another member."""
-        self._put(_Receive(sender, message))
+        """Process a message of another member."""
+        self._enqueue(_Receive(sender, message))
 
     def propose(self, payload: bytes) -> asyncio.Future[CommandOutcome]:
-        """Propose a command; the future fails with a ConsensusError if it is not accepted, or is lost."""
-        answer: asyncio.Future[CommandOutcome] = self._loop.create_future()
-        self._put(_Propose(payload, answer))
-        return answer
+        """Propose a command; the future fails with ConsensusError if it is not accepted or is lost."""
+        future: asyncio.Future[CommandOutcome] = self._loop.create_future()
+        self._enqueue(_Propose(payload, future))
+        return future
 
     def change_membership(self, membership: Membership) -> asyncio.Future[CommandOutcome]:
-        """Propose a membership; the future fails as that of `propose`."""
-        answer: asyncio.Future[CommandOutcome] = self._loop.create_future()
-        self._put(_Change(membership, answer))
-        return answer
+        """Propose a membership; the future fails like that of `propose`."""
+        future: asyncio.Future[CommandOutcome] = self._loop.create_future()
+        self._enqueue(_Change(membership, future))
+        return future
 
     def read_index(self) -> asyncio.Future[int]:
-        """Request a read index as the leader; the future fails with ReadNotConfirmedError without one."""
-        answer: asyncio.Future[int] = self._loop.create_future()
-        self._put(_Read(answer))
-        return answer
+        """Request a read index; fails with ReadNotConfirmedError unless leadership is confirmed."""
+        future: asyncio.Future[int] = self._loop.create_future()
+        self._enqueue(_Read(future))
+        return future
 
     def wait_applied(self, index: int) -> asyncio.Future[None]:
-        """Done once this member has applied all entries up to an index."""
+        """A future that is done once this member has applied all entries up to an index."""
         return self._applied.add(index, self.applied_index)
 
     def durable(self, writes: Sequence[Write]) -> None:
-        """Writes are durable: send the messages that waited for them."""
+        """Handle writes that became durable: send the messages that were held back for them."""
         for write in writes:
             self._send_all(write.send_when_durable)
-        self._put(_Written(writes[-1].ticket))
+        self._enqueue(_Written(writes[-1].ticket))
 
     def transfer_leadership(self) -> None:
         """Transfer leadership to another voter, if this member leads."""
-        self._put(_Transfer())
+        self._enqueue(_Transfer())
 
     def stop(self) -> None:
-        """Process no further input."""
+        """Stop processing input."""
         self._scheduled = True
         if self._timer is not None:
             self._timer.cancel()
 
-    # ------------------------------------------------------------ the step
+    # ------------------------------------------------------------ processing
 
-    def _put(self, event: _Event) -> None:
+    def _enqueue(self, event: _Event) -> None:
         self._events.append(event)
-        self._wake()
+        self._schedule_step()
 
-    def _wake(self) -> None:
+    def _schedule_step(self) -> None:
         if not self._scheduled:
             self._scheduled = True
             self._loop.call_soon(self._step)
@@ -217,7 +218,7 @@
             if now >= self._node.next_deadline():
                 self._node.tick(now)
             self._carry_out(self._node.output())
-            self._announce_changes()
+            self._notify_changes()
         except DivergedError as error:
             self.stop()
             self._listener.store_unusable(error)
@@ -227,10 +228,10 @@
             self._listener.program_outdated(error)
             return
         except Exception:
-            # A fault in handling one message must not stop the member.
-            log.exception("a step failed unforeseen")
+            # A bug in handling one message must not stop the member.
+            log.exception("unexpected error in a Raft step")
         if self._events:
-            self._wake()
+            self._schedule_step()
         self._set_timer(now)
 
     def _process(self, event: _Event, now: float) -> None:
@@ -240,32 +241,32 @@
                 node.receive(sender, message, now)
             case _Written(ticket):
                 node.written(ticket, now)
-            case _Read(answer):
+            case _Read(future):
                 self._last_read += 1
-                self._reads[self._last_read] = answer
+                self._reads[self._last_read] = future
                 node.read(self._last_read, now)
-            case _Propose(payload, answer):
-                self._propose(answer, lambda: node.propose(payload, now))
-            case _Change(membership, answer):
-                self._propose(answer, lambda: node.change_membership(membership, now))
+            case _Propose(payload, future):
+                self._propose(future, lambda: node.propose(payload, now))
+            case _Change(membership, future):
+                self._propose(future, lambda: node.change_membership(membership, now))
             case _Transfer():
                 self._transfer(now)
 
-    def _propose(self, answer: asyncio.Future[CommandOutcome], propose: Callable[[], Proposal]) -> None:
+    def _propose(self, future: asyncio.Future[CommandOutcome], propose: Callable[[], Proposal]) -> None:
         try:
             proposal = propose()
         except ConsensusError as error:
-            if not answer.done():
-                # Its frames hold the answer and the payload: with them, both would wait for the collector.
-                answer.set_exception(error.with_traceback(None))
+            if not future.done():
+                # The traceback refers to the future and the payload: it would keep both until a GC run.
+                future.set_exception(error.with_traceback(None))
             return
-        self._proposals.add(proposal.index, proposal.term, answer)
+        self._proposals.add(proposal.index, proposal.term, future)
 
     def _transfer(self, now: float) -> None:
         try:
             self._node.transfer_leadership(None, now)
         except ConsensusError as error:
-            log.info("leadership stays here: %s", error)
+            log.info("leadership was not transferred: %s", error)
 
     def _carry_out(self, output: Output) -> None:
         """Carry out the node's output, in the order that its interface requires."""
@@ -307,47 +308,47 @@
         self._proposals.replaced_by_snapshot(snapshot.index)
 
     def _compact_if_due(self) -> None:
-        """Bound the log: a snapshot replaces the applied entries."""
+        """Bound the log's size by replacing applied entries with a snapshot."""
         if self._uncompacted_entries < COMPACT_ENTRIES and self._uncompacted_bytes < COMPACT_BYTES:
             return
         self._node.compact(self.applied_index, self._machine.save())
         self._uncompacted_entries = 0
         self._uncompacted_bytes = 0
-        self._wake()  # the snapshot is written with the next output
+        self._schedule_step()  # the snapshot is written with the next output
 
     def _answer_read(self, result: ReadResult) -> None:
-        answer = self._reads.pop(result.read_id, None)
-        if answer is None or answer.done():
+        future = self._reads.pop(result.read_id, None)
+        if future is None or future.done():
             return
         if result.confirmed:
-            answer.set_result(result.index)
+            future.set_result(result.index)
         else:
-            answer.set_exception(ReadNotConfirmedError("not confirmed", step="read"))
+            future.set_exception(ReadNotConfirmedError("leadership was not confirmed", step="read"))
 
-    # ------------------------------------------------------------ after the step
+    # ------------------------------------------------------------ notifications and timer
 
-    def _announce_changes(self) -> None:
+    def _notify_changes(self) -> None:
         node = self._node
         leadership = (node.term, node.leader_id, node.role)
-        if leadership != self._announced_leadership:
-            if leadership[1:] != self._announced_leadership[1:]:
-                log.info("term %d: %s, leader %s", node.term, node.role.value, _name(node.leader_id))
-            self._announced_leadership = leadership
+        if leadership != self._notified_leadership:
+            if leadership[1:] != self._notified_leadership[1:]:
+                log.info("term %d: %s, leader %s", node.term, node.role.value, _format_id(node.leader_id))
+            self._notified_leadership = leadership
             self.leadership_changes.notify()
         membership = node.membership
-        if membership is not self._announced_membership:
-            self._announced_membership = membership
+        if membership is not self._notified_membership:
+            self._notified_membership = membership
             self._listener.membership_changed(membership)
 
     def _set_timer(self, now: float) -> None:
         """Set the timer for the node's deadline; an earlier timer stays and is set again when it fires."""
         deadline = self._node.next_deadline()
-        if self._timer is not None and self._timer_at <= deadline:
+        if self._timer is not None and self._timer_due_at <= deadline:
             return
         if self._timer is not None:
             self._timer.cancel()
         self._timer = None
-        self._timer_at = deadline
+        self._timer_due_at = deadline
         if deadline < inf:
             self._timer = self._loop.call_later(
                 max(0.0, deadline - now) + TIMER_GRANULARITY_S, self._timer_fired
@@ -355,9 +356,9 @@
 
     def _timer_fired(self) -> None:
         self._timer = None
-        self._timer_at = inf
-        self._wake()
+        self._timer_due_at = inf
+        self._schedule_step()
 
 
-def _name(member: int | None) -> str:
+def _format_id(member: int | None) -> str:
     return "unknown" if member is None else f"{member:016x}"
--- a/mallowbeam/router/control_plane/response_gate.py
+++ b/mallowbeam/router/control_plane/response_gate.py
@@ -1,11 +1,10 @@
-"""The conditions under which a member may send what others rely on, checked at the instant of sending.
+"""Decides, at the time of sending, whether a member may send data that others rely on.
 
-A pure core without I/O. The parts that write responses, frames and orders ask :class:`ResponseGate` in the
-step of the event loop in which the bytes are written, after all waits; none of them decides for itself. A
-process can be suspended between any two instructions, so a condition that held before a wait proves nothing
-after it.
+The logic is pure, without I/O. All parts that write responses, frames or orders ask :class:`ResponseGate` in
+the same event-loop step that writes the bytes, after all waits; none of them decides by itself. A process can
+be suspended between any two instructions, so a condition that held before a wait may not hold after it.
 
-``docs/control-guarantees.md`` argues for each condition. Times are seconds of the monotonic clock.
+``docs/control-guarantees.md`` justifies each condition. Times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,11 +17,11 @@
 from mallowbeam.router.control_plane.api_errors import IsolatedMemberError
 from mallowbeam.router.feed.publisher import FeedAllowance
 
-READ_MAX_AGE_S = 1.0  # a confirmed read is answered up to this age of its call: callers wait so long
-FEED_MAX_STALENESS_S = 1.0  # beyond it, neither configuration nor table is fed to gateways
+READ_MAX_AGE_S = 1.0  # a confirmed read is sent up to this age of its call: callers wait that long
+FEED_MAX_STALENESS_S = 1.0  # beyond it, neither configuration nor table is sent to gateways
 HEARTBEAT_MAX_STALENESS_S = 1.0  # beyond it, no heartbeat is acknowledged
 CALL_MAX_STALENESS_S = 2.0  # beyond it, calls are rejected at once
-ORDER_MAX_STALENESS_S = 0.5  # since a majority confirmed the leader: up to it, orders are sent
+ORDER_MAX_STALENESS_S = 0.5  # since a majority confirmed the leader; beyond it, no order is sent
 
 
 class ResponseKind(Enum):
@@ -31,14 +30,14 @@
     CONFIGURATION_READ = "configuration_read"
     CHANGE_ACKNOWLEDGED = "change_acknowledged"
     CHANGE_REFUSED = "change_refused"  # 412 or 4xx by the replicated state
-    BODY_REFUSED = "body_refused"  # 4xx of a call that no state would take
+    BODY_REFUSED = "body_refused"  # 4xx for a call that is invalid in any state
     UNAVAILABLE = "unavailable"  # 503 and 504
     HEARTBEAT_ACKNOWLEDGED = "heartbeat_acknowledged"
-    RETIREMENT_ACKNOWLEDGED = "retirement_acknowledged"  # of `draining` and DELETE, by an entry of this call
-    RETIREMENT_KNOWN = "retirement_known"  # likewise, of one that was applied here before
+    RETIREMENT_ACKNOWLEDGED = "retirement_acknowledged"  # for `draining` and DELETE, by this call's log entry
+    RETIREMENT_KNOWN = "retirement_known"  # likewise, for a retirement that this member applied before
     FEED_CONFIGURATION = "feed_configuration"  # full or incremental
     FEED_TABLE = "feed_table"  # all instances
-    FEED_INSTANCE_CHANGES = "feed_instance_changes"  # to gateways that have this member's table
+    FEED_INSTANCE_CHANGES = "feed_instance_changes"  # to gateways that already have this member's table
     FEED_HEARTBEAT = "feed_heartbeat"
     FEED_MEMBERS = "feed_members"
     INSTANCE_ORDER = "instance_order"
@@ -101,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoEvidence:
-    """No evidence beside the member's knowledge of the group."""
+    """No evidence besides the member's knowledge of the group."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,15 +122,15 @@
 
 
 class ResponseGate:
-    """Decides what this member may send now."""
+    """Decides which kinds of data this member may send now."""
 
     def __init__(
-        self, clock: Callable[[], float], staleness: Callable[[], float], leads: Callable[[], bool]
+        self, clock: Callable[[], float], staleness: Callable[[], float], is_leader: Callable[[], bool]
     ) -> None:
-        """`staleness` returns the age of this member's state in seconds, `leads` whether it leads."""
+        """`staleness` returns the age of this member's state in seconds, `is_leader` whether it leads."""
         self._clock = clock
         self._staleness = staleness
-        self._leads = leads
+        self._is_leader = is_leader
         self._started_at = clock()
 
     def staleness(self) -> float:
@@ -140,7 +139,7 @@
 
     @property
     def out_of_touch(self) -> bool:
-        """Whether gateways and operators are notified that this member has lost contact with the majority."""
+        """Whether to report to gateways and operators that this member has lost contact with the majority."""
         return self._staleness() > FEED_MAX_STALENESS_S
 
     def may(self, kind: ResponseKind, evidence: Evidence = NO_EVIDENCE) -> bool:
@@ -151,7 +150,7 @@
             case StateFresh(max_staleness_s):
                 return self._staleness() <= max_staleness_s
             case LeadershipConfirmed(max_staleness_s):
-                return self._leads() and self._staleness() <= max_staleness_s
+                return self._is_leader() and self._staleness() <= max_staleness_s
             case ReadConfirmed(max_age_s):
                 if not isinstance(evidence, ConfirmedRead):
                     return False
@@ -163,17 +162,20 @@
         """Raise :class:`IsolatedMemberError` if data of a kind may not be sent now."""
         if not self.may(kind, evidence):
             raise IsolatedMemberError(
-                "this member is cut off from the group, or stood still meanwhile", kind.value
+                "this member is isolated from the group, or was suspended during the call", kind.value
             )
 
     def check_reachable(self) -> None:
-        """Reject a call at once after a long loss of contact with the group; raises `IsolatedMemberError`.
+        """Reject a call at once after a long loss of contact with the group.
 
-        A member that has just started is first given the time to find the leader.
+        A member that has just started first gets the same time to find the leader.
+
+        Raises:
+            IsolatedMemberError: there was no contact for more than `CALL_MAX_STALENESS_S`.
         """
-        running = self._clock() - self._started_at
-        if min(self._staleness(), running) > CALL_MAX_STALENESS_S:
-            raise IsolatedMemberError("this member is cut off from the group")
+        running_s = self._clock() - self._started_at
+        if min(self._staleness(), running_s) > CALL_MAX_STALENESS_S:
+            raise IsolatedMemberError("this member is isolated from the group")
 
     def feed_allowance(self) -> FeedAllowance:
         """The parts of a feed that may be sent now."""
--- a/mallowbeam/router/control_plane/role.py
+++ b/mallowbeam/router/control_plane/role.py
@@ -20,17 +20,19 @@
 
 
 def main() -> int:
-    """Run a member until it is told to stop; the process's exit code."""
+    """Run a member until it is told to stop; returns the process's exit code."""
     return run_role(serve)
 
 
 async def serve(context: RoleContext) -> None:
-    """Run a member until the stop; one whose store is unusable is replaced by a new one on an empty store.
+    """Run a member until the stop; one with an unusable store is replaced by a new one on an empty store.
 
-    Raises `UnsupportedFormatError` where a newer program version is needed for what the store holds.
+    Raises:
+        UnsupportedFormatError: committed data needs a newer program version.
+        MallowbeamError: the store is unusable, and a write to it is still in progress.
     """
-    open_next = open_store
-    while (opened := await _open_store(context, open_next)) is not None:
+    open_store_once = open_store
+    while (opened := await _open_store(context, open_store_once)) is not None:
         member = build_member(context.settings, opened)
         context.on_reload(member.reload)
         await _run(context, member)
@@ -41,11 +43,11 @@
         if not member.storage_ended:
             raise member.unusable.result()  # a write is in progress: the store must not be discarded
         opened.store.close()
-        open_next = discard_and_reopen
+        open_store_once = discard_and_reopen
 
 
 async def _run(context: RoleContext, member: ControlMember) -> None:
-    """Run a member until the stop, or until its store or its program can't go on; then shut it down."""
+    """Run a member until the stop, or until its store is unusable or its program outdated; then stop it."""
     await member.start()
     stopping = asyncio.create_task(context.stopping.wait())
     try:
@@ -56,14 +58,14 @@
 
 
 async def _open_store(
-    context: RoleContext, open_once: Callable[[NodeSettings], OpenedStore]
+    context: RoleContext, open_store_once: Callable[[NodeSettings], OpenedStore]
 ) -> OpenedStore | None:
-    """Open the store, retrying while the disk refuses; None if the stop came first."""
+    """Open the store, retrying while the disk is full or failing; None if the stop comes first."""
     while not context.stopping.is_set():
         try:
-            return await asyncio.to_thread(open_once, context.settings)
+            return await asyncio.to_thread(open_store_once, context.settings)
         except (StoreFullError, StoreFailedError) as error:
-            log.error("the store can't be opened yet: %s", error.line)
+            log.error("can't open the store, retrying: %s", error.line)
         with suppress(TimeoutError):
             async with asyncio.timeout(OPEN_RETRY_INTERVAL_S):
                 await context.stopping.wait()
--- a/mallowbeam/router/control_plane/state_format.py
+++ b/mallowbeam/router/control_plane/state_format.py
@@ -1,10 +1,10 @@
-"""The format of replicated commands and snapshots: what a member must know before it may apply them.
+"""Decodes replicated commands and snapshots, and rejects those that this program version does not fully know.
 
-A member of an earlier program version that skipped what it doesn't know would reach another state than its
-peers. It stops instead, before it applies the entry or the snapshot, and keeps its store for a newer program.
+If a member of an earlier program version skipped unknown data, its state would differ from its peers'. It
+stops instead, before it applies the entry or the snapshot, and keeps its store for a newer program.
 
-Whoever adds a command, a field or a kind of entry that must not be skipped raises `STATE_FORMAT` by one and
-sets `format` to it in the commands that use the addition, and in snapshots whose state does.
+A change that adds a command, a field or a kind of entry that must not be skipped increments `STATE_FORMAT`,
+and sets `format` to it in the commands that use the addition and in snapshots whose state does.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     ReplicatedState,
 )
 
-STATE_FORMAT = 1  # newest one that this program applies
+STATE_FORMAT = 1  # the newest format that this program can apply
 KNOWN_ENTRY_KINDS = frozenset((NO_OPERATION, COMMAND, MEMBERSHIP))
 
 
@@ -42,15 +42,15 @@
 def decode_command(index: int, payload: bytes) -> Command:
     """Decode the command of the entry at a log index; raises `UnsupportedFormatError`.
 
-    An empty command, which logs of earlier versions may have, is none of a newer one: it has no body.
+    An empty command has no body and is accepted: logs of earlier versions may contain one.
     """
-    what = f"the command of entry {index}"
+    subject = f"the command of entry {index}"
     command = Command()
-    _parse(command, payload, what, "apply")
-    _check_known(command, command.format, what, "apply")
+    _parse(command, payload, subject, "apply")
+    _check_known(command, command.format, subject, "apply")
     body = command.WhichOneof("body")
     if body is not None:
-        _check_known(getattr(command, body), 0, what, "apply")
+        _check_known(getattr(command, body), 0, subject, "apply")
     return command
 
 
@@ -62,19 +62,19 @@
     return state
 
 
-def _parse(message: Message, encoded: bytes, what: str, step: str) -> None:
+def _parse(message: Message, encoded: bytes, subject: str, step: str) -> None:
     try:
         message.ParseFromString(encoded)
     except DecodeError as error:
-        raise _unsupported(f"{what} can't be decoded: {error}", step) from None
+        raise _unsupported(f"{subject} can't be decoded: {error}", step) from None
 
 
-def _check_known(message: Message, written_format: int, what: str, step: str) -> None:
+def _check_known(message: Message, written_format: int, subject: str, step: str) -> None:
     if written_format > STATE_FORMAT:
-        raise _unsupported(f"{what} has format {written_format}, this program knows {STATE_FORMAT}", step)
+        raise _unsupported(f"{subject} has format {written_format}, this program knows {STATE_FORMAT}", step)
     if len(UnknownFieldSet(message)):
-        raise _unsupported(f"{what} has fields of a newer version", step)
+        raise _unsupported(f"{subject} has fields of a newer version", step)
 
 
-def _unsupported(what: str, step: str) -> UnsupportedFormatError:
-    return UnsupportedFormatError(what, step=step)
+def _unsupported(subject: str, step: str) -> UnsupportedFormatError:
+    return UnsupportedFormatError(subject, step=step)
--- a/mallowbeam/router/control_plane/state_machine.py
+++ b/mallowbeam/router/control_plane/state_machine.py
@@ -24,7 +24,7 @@
     RetireInstance,
 )
 
-RECENT_CONFIGURATIONS = 4  # from which a difference to the current one can be computed
+RECENT_CONFIGURATIONS = 4  # kept as bases of incremental updates to the current one
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,17 +37,17 @@
 
 
 class ReplicatedStateMachine:
-    """The state that results from the log."""
+    """The state that results from applying the log."""
 
-    def __init__(self, parser: ConfigurationParser, retired: Callable[[RetireInstance], None]) -> None:
-        """`retired` is called for each new retirement; after a snapshot, for each that it contains."""
+    def __init__(self, parser: ConfigurationParser, on_retired: Callable[[RetireInstance], None]) -> None:
+        """`on_retired` is called for each new retirement, and for each one in a restored snapshot."""
         self.configurations = ConfigurationVersions(parser)
         self.retirements = Retirements()
         self.leases = Leases()
-        self._retired = retired
+        self._on_retired = on_retired
 
     def apply(self, index: int, payload: bytes) -> CommandOutcome:
-        """Apply one committed command; raises `UnsupportedFormatError` before anything of it is applied."""
+        """Apply one committed command; raises `UnsupportedFormatError` before it changes anything."""
         command = decode_command(index, payload)
         match command.WhichOneof("body"):
             case "put_configuration":
@@ -62,7 +62,7 @@
     def _retire(self, retirement: RetireInstance) -> CommandResult:
         result = self.retirements.apply(retirement)
         if result == DONE:
-            self._retired(retirement)
+            self._on_retired(retirement)
         return result
 
     def save(self) -> bytes:
@@ -75,35 +75,35 @@
         return saved
 
     def restore(self, saved: bytes) -> None:
-        """Replace the state by that of a snapshot; raises `UnsupportedFormatError` and changes nothing."""
+        """Replace the state with a snapshot's; raises `UnsupportedFormatError` before it changes anything."""
         state = decode_state(saved)
         self.configurations.restore(state)
         self.retirements.restore(state)
         self.leases.restore(state)
         for retirement in state.retired:
-            self._retired(retirement)
+            self._on_retired(retirement)
 
 
 class ConfigurationFeed:
-    """Tells subscribers what leads to the current configuration; each update is made once for all of them."""
+    """Computes updates to the current configuration; each is built once and shared by all subscribers."""
 
     def __init__(self, versions: ConfigurationVersions) -> None:
         self._versions = versions
         self._recent: dict[int, Configuration] = {}  # by revision, oldest first
-        self._updates: dict[int, ConfigurationUpdate] = {}  # to the current one, by the base revision
-        self._updates_to = 0
+        self._updates: dict[int, ConfigurationUpdate] = {}  # to the current configuration, by base revision
+        self._updates_revision = 0
 
     @property
     def revision(self) -> int:
-        """Revision of the current configuration; 0: none."""
+        """Revision of the current configuration; 0 if there is none."""
         return self._versions.revision
 
     def update_since(self, revision: int) -> ConfigurationUpdate | None:
-        """The update from `revision`: in full if that is not known, None if it is the current one."""
+        """The update from `revision`: a full one if its configuration is not kept; None if it is current."""
         current = self._versions.current()
         if current is None or revision >= current.revision:
             return None
-        self._remember(current)
+        self._keep_as_base(current)
         update = self._updates.get(revision)
         if update is None:
             base = self._recent.get(revision)
@@ -111,10 +111,10 @@
             self._updates[revision] = update
         return update
 
-    def _remember(self, current: Configuration) -> None:
-        if self._updates_to == current.revision:
+    def _keep_as_base(self, current: Configuration) -> None:
+        if self._updates_revision == current.revision:
             return
-        self._updates_to = current.revision
+        self._updates_revision = current.revision
         self._updates.clear()
         self._recent[current.revision] = current
         while len(self._recent) > RECENT_CONFIGURATIONS:
--- a/mallowbeam/router/control_plane/store_recovery.py
+++ b/mallowbeam/router/control_plane/store_recovery.py
@@ -16,8 +16,8 @@
 from mallowbeam.router.processes.settings import NodeSettings
 
 FOLDER = "replica"
-DISCARDED = "discarded"  # a marker file: the identity of a first start is never used here again
-DEFAULT_DISK_MB = 128  # where the settings state no limit
+DISCARDED_MARKER = "discarded"  # marker file: the identity derived at a first start is never used here again
+DEFAULT_DISK_MB = 128  # if the settings state no limit
 
 log = get_logger("mallowbeam.store")
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedStore:
-    """A store that has an identity, and the state that it contained."""
+    """An opened store with its identity and the state that it contained."""
 
     store: ReplicaStore
     identity: int
@@ -39,32 +39,35 @@
 
 
 class DamageReportingStore:
-    """A store that reports damage besides raising it: no later write can repair it."""
+    """A store that reports damage to a callback besides raising it, as no later write can repair it."""
 
-    def __init__(self, store: ReplicaStore, damaged: Callable[[StoreDamagedError], object]) -> None:
-        """`damaged` is called in the thread that writes."""
+    def __init__(self, store: ReplicaStore, on_damaged: Callable[[StoreDamagedError], object]) -> None:
+        """`on_damaged` is called in the writing thread."""
         self._store = store
-        self._damaged = damaged
+        self._on_damaged = on_damaged
 
     def write(self, writes: Sequence[Write]) -> None:
-        """Make all of them durable together, as the store does."""
+        """Make all writes durable together, as the store does."""
         try:
             self._store.write(writes)
         except StoreDamagedError as error:
-            self._damaged(error)
+            self._on_damaged(error)
             raise
 
 
 def open_store(settings: NodeSettings) -> OpenedStore:
-    """Open the store; a damaged one is logged and treated as an empty disk.
+    """Open the store; a damaged one is discarded and replaced by an empty one.
 
-    Raises `StoreFailedError` or `StoreFullError` where the disk refuses, `ControlSettingsError`.
+    Raises:
+        StoreFailedError: the disk fails.
+        StoreFullError: the disk is full.
+        ControlSettingsError: a required setting is missing.
     """
     folder = _folder(settings)
     try:
         return _load(ReplicaStore.open(folder, _disk_mb(settings)), settings)
     except StoreDamagedError as error:
-        log.error("the store is damaged, its member starts anew: %s", error.line)
+        log.error("the store is damaged; starting with an empty store and a new identity: %s", error.line)
     return discard_and_reopen(settings)
 
 
@@ -87,10 +90,10 @@
 
 
 def _write_discarded_marker(folder: str) -> None:
-    """Durable before the store is removed: this process may end in between."""
+    """Make the marker durable before the store is removed, as this process may end in between."""
     with raised_as_store_error("discard", folder):
         make_folder(folder)
-        with open(os.path.join(folder, DISCARDED), "wb") as file:
+        with open(os.path.join(folder, DISCARDED_MARKER), "wb") as file:
             os.fsync(file.fileno())
         sync_folder(folder)
 
@@ -104,11 +107,11 @@
 
 
 def _create(store: ReplicaStore, settings: NodeSettings) -> None:
-    """Write the initial state of an empty store; a discarded one's old identity is never used again."""
+    """Write the initial state of an empty store; after a discarded store, the identity is random."""
     control = settings.bind_addresses.control
     if control is None:
         raise ControlSettingsError("is missing", "bind_addresses.control")
-    bootstrap = settings.bootstrap and not os.path.exists(os.path.join(_folder(settings), DISCARDED))
-    first = initial_state(control, settings.seeds, bootstrap, settings.port_range[0], random.SystemRandom())
-    store.create(first.identity, first.snapshot)
-    log.info("new identity %016x", first.identity)
+    bootstrap = settings.bootstrap and not os.path.exists(os.path.join(_folder(settings), DISCARDED_MARKER))
+    initial = initial_state(control, settings.seeds, bootstrap, settings.port_range[0], random.SystemRandom())
+    store.create(initial.identity, initial.snapshot)
+    log.info("new identity %016x", initial.identity)
--- a/tests/router/control_plane/test_control_plane_bootstrap.py
+++ b/tests/router/control_plane/test_control_plane_bootstrap.py
@@ -23,7 +23,7 @@
         self.assertTrue(all(member.voter for member in members))
         self.assertEqual(states[0].snapshot.membership.target_voters, 3)
 
-    def test_others_draw_an_id_and_know_nobody(self) -> None:
+    def test_other_members_draw_a_random_id_and_start_empty(self) -> None:
         for control, bootstrap in (("10.0.0.4:8146", True), (SEEDS[0], False)):
             state = initial_state(control, SEEDS, bootstrap, 7660, random.Random(1))
             self.assertNotEqual(state.identity, seed_identity(control))
--- a/tests/router/control_plane/test_control_plane_command_forwarder.py
+++ b/tests/router/control_plane/test_control_plane_command_forwarder.py
@@ -1,4 +1,4 @@
-"""Commands through troubles of the leader: what is answered, and when nothing can have been proposed."""
+"""Commands during failures of the leader: their outcomes, and when nothing can have been proposed."""
 
 from __future__ import annotations
 
@@ -36,37 +36,37 @@
 from mallowbeam.simulation.machine import Machine
 from mallowbeam.simulation.network import Network
 
-OWN, FIRST, SECOND = 1, 2, 3  # ids of members; the latter two lead in turn
+OWN, FIRST, SECOND = 1, 2, 3  # ids of members; the latter two lead alternately
 ROUND_TRIP_S = 0.01
 SLACK_S = 0.02
 COMMAND = Command(acquire_lease=AcquireLease(subject="s", holder=1))
 
-# What happens to one attempt. Those below may have appended the command, whatever came back.
+# The results of one attempt. Those in MAY_BE_APPENDED may have appended the command.
 UNREACHABLE, REFUSED = "unreachable", "refused"
 ANSWERED, LOST, SILENT, DEPOSED = "answered", "lost", "silent", "deposed"
 MAY_BE_APPENDED = frozenset((ANSWERED, LOST, SILENT, DEPOSED))
-FATES = (UNREACHABLE, REFUSED, ANSWERED, LOST, SILENT, DEPOSED)
+RESULTS = (UNREACHABLE, REFUSED, ANSWERED, LOST, SILENT, DEPOSED)
 
 
 class FakeCluster:
-    """Stands in for this member's driver and links: each attempt meets the next fate, the last for good."""
+    """Stands in for the driver and the links: each attempt gets the next result, the last one repeatedly."""
 
-    def __init__(self, loop: SimulatedLoop, fates: tuple[str, ...], leads: bool) -> None:
-        self.loop, self.fates, self.leads = loop, list(fates), leads
+    def __init__(self, loop: SimulatedLoop, results: tuple[str, ...], leads: bool) -> None:
+        self.loop, self.results, self.leads = loop, list(results), leads
         self.own = Member(id=OWN)
         self.leadership_changes = ChangeNotifier()
         self.leader_id: int | None = OWN if leads else FIRST
-        self.met: list[str] = []
+        self.seen_results: list[str] = []
         self.ids: list[int] = []
         self.commands = CommandForwarder(cast(RaftDriver, self), cast(PeerLinks, self))
 
-    def next_fate(self) -> str:
-        """The fate of one more attempt."""
-        fate = self.fates.pop(0) if len(self.fates) > 1 else self.fates[0]
-        self.met.append(fate)
-        if fate == DEPOSED:
+    def next_result(self) -> str:
+        """The result of one more attempt."""
+        result = self.results.pop(0) if len(self.results) > 1 else self.results[0]
+        self.seen_results.append(result)
+        if result == DEPOSED:
             self.loop.call_later(ROUND_TRIP_S, self.depose)
-        return fate
+        return result
 
     def depose(self) -> None:
         """Another member leads."""
@@ -74,83 +74,83 @@
         self.leadership_changes.notify()
 
     def propose(self, payload: bytes) -> asyncio.Future[CommandOutcome]:
-        """Of the driver: this member leads."""
-        answer: asyncio.Future[CommandOutcome] = self.loop.create_future()
-        self.loop.call_later(ROUND_TRIP_S, self.decide, self.next_fate(), answer)
-        return answer
+        """The driver's method, called if this member leads."""
+        outcome: asyncio.Future[CommandOutcome] = self.loop.create_future()
+        self.loop.call_later(ROUND_TRIP_S, self.complete, self.next_result(), outcome)
+        return outcome
 
     @staticmethod
-    def decide(fate: str, answer: asyncio.Future[CommandOutcome]) -> None:
-        """The driver's answer, where there is one."""
-        if answer.done():
+    def complete(result: str, outcome: asyncio.Future[CommandOutcome]) -> None:
+        """Complete a proposal with the attempt's result, if it has one."""
+        if outcome.done():
             return
-        if fate == ANSWERED:
-            answer.set_result(CommandOutcome(DONE, 7, 3))
-        elif fate == LOST:
-            answer.set_exception(ProposalLostError("another entry took its place"))
-        elif fate in (REFUSED, UNREACHABLE):
-            answer.set_exception(NotLeaderError("propose", None))
+        if result == ANSWERED:
+            outcome.set_result(CommandOutcome(DONE, 7, 3))
+        elif result == LOST:
+            outcome.set_exception(ProposalLostError("replaced by another leader's entry"))
+        elif result in (REFUSED, UNREACHABLE):
+            outcome.set_exception(NotLeaderError("propose", None))
 
     def send(self, recipient: int, frame: PeerFrame) -> bool:
-        """Of the links: another member leads."""
-        fate = self.next_fate()
-        if fate == UNREACHABLE:
+        """The links' method, called if another member leads."""
+        result = self.next_result()
+        if result == UNREACHABLE:
             return False
         self.ids.append(frame.propose.id)
         statuses = {ANSWERED: APPLIED, REFUSED: NOT_LEADER, LOST: UNKNOWN}
-        if fate in statuses:
-            response = ProposeResponse(id=frame.propose.id, status=statuses[fate], index=7, token=3)
+        if result in statuses:
+            response = ProposeResponse(id=frame.propose.id, status=statuses[result], index=7, token=3)
             self.loop.call_later(ROUND_TRIP_S, self.commands.propose_response, response)
         return True
 
 
-class WithGroup(unittest.TestCase):
+class ClusterTestCase(unittest.TestCase):
     def setUp(self) -> None:
         self.simulator = Simulator(1)
         network = Network(self.simulator)
         machine = network.add(Machine(self.simulator, "m", None, "10.0.0.1"))
         machine.start()
         self.loop = SimulatedLoop(machine, Streams(network))
-        self.answers: list[object] = []
-        self.lasted = 0.0
+        self.outcomes: list[object] = []
+        self.duration_s = 0.0
 
-    def group(self, *fates: str, leads: bool = False) -> FakeCluster:
+    def group(self, *results: str, leads: bool = False) -> FakeCluster:
         made: list[FakeCluster] = []
-        self.loop.enter(lambda: made.append(FakeCluster(self.loop, fates, leads)))
+        self.loop.enter(lambda: made.append(FakeCluster(self.loop, results, leads)))
         return made[0]
 
     def submit(self, group: FakeCluster) -> object:
         """The outcome of one command, or the error's class."""
 
         async def run() -> None:
-            began = time.monotonic()
+            started_at = time.monotonic()
             try:
-                self.answers.append(await group.commands.submit(COMMAND, began))
+                self.outcomes.append(await group.commands.submit(COMMAND, started_at))
             except (NothingProposedError, OutcomeUnknownError) as error:
-                self.answers.append(type(error))
-            self.lasted = time.monotonic() - began
+                self.outcomes.append(type(error))
+            self.duration_s = time.monotonic() - started_at
 
         self.loop.enter(lambda: self.loop.create_task(run()))
         self.simulator.run_until(self.simulator.now + 3 * CALL_TIMEOUT_S)
-        return self.answers[-1]
+        return self.outcomes[-1]
 
 
-class Submitting(WithGroup):
-    def test_every_order_of_fates(self) -> None:
-        """A 503 is said only where nothing can have been appended, and each answer comes in time."""
+class Submitting(ClusterTestCase):
+    def test_every_sequence_of_attempt_results(self) -> None:
+        """A 503 is sent only if nothing can have been appended, and each response is in time."""
         seen = set()
         for leads, length in product((False, True), (1, 2, 3)):
-            for fates in product(FATES, repeat=length):
-                with self.subTest(fates=fates, leads=leads):
-                    group = self.group(*fates, leads=leads)
-                    answer = self.submit(group)
-                    appended = MAY_BE_APPENDED.intersection(group.met)
-                    if ANSWERED in group.met:
-                        self.assertEqual(answer, CommandOutcome(DONE, 7, 3))
+            for results in product(RESULTS, repeat=length):
+                with self.subTest(results=results, leads=leads):
+                    group = self.group(*results, leads=leads)
+                    outcome = self.submit(group)
+                    appended = MAY_BE_APPENDED.intersection(group.seen_results)
+                    if ANSWERED in group.seen_results:
+                        self.assertEqual(outcome, CommandOutcome(DONE, 7, 3))
                     else:
-                        self.assertIs(answer, OutcomeUnknownError if appended else NothingProposedError)
-                    self.assertLessEqual(self.lasted, CALL_TIMEOUT_S + SLACK_S)
-                    seen.add(answer)
+                        self.assertIs(outcome, OutcomeUnknownError if appended else NothingProposedError)
+                    self.assertLessEqual(self.duration_s, CALL_TIMEOUT_S + SLACK_S)
+                    seen.add(outcome)
         self.assertEqual(len(seen), 3)
         self.assertEqual(self.loop.failures, [])
 
@@ -159,48 +159,48 @@
         self.assertEqual(self.submit(group), CommandOutcome(DONE, 7, 3))
         self.assertEqual(len(set(group.ids)), 3)
 
-    def test_late_and_repeated_answers_answer_nothing_else(self) -> None:
+    def test_late_and_duplicate_responses_complete_no_other_call(self) -> None:
         group = self.group(DEPOSED, SILENT)
         self.submit(group)
         late = ProposeResponse(id=group.ids[0], status=APPLIED, index=9, token=9)
         self.loop.enter(lambda: group.commands.propose_response(late))
-        group.fates = [ANSWERED]
+        group.results = [ANSWERED]
         self.assertEqual(self.submit(group), CommandOutcome(DONE, 7, 3))
         self.loop.enter(lambda: group.commands.propose_response(late))
         self.assertEqual(group.commands._proposals, {})
 
-    def test_ids_begin_elsewhere_in_each_process(self) -> None:
+    def test_request_ids_start_at_a_random_value_in_each_process(self) -> None:
         self.assertEqual(len({self.group(ANSWERED).commands._last_id for _ in range(50)}), 50)
 
 
-class PassedOn(WithGroup):
-    """What the leader answers to a member that passes a command on."""
+class ForwardedCommands(ClusterTestCase):
+    """The leader's responses to a member that forwards a command."""
 
-    def answered(self, fate: str) -> list[ProposeResponse]:
-        group = self.group(fate, leads=True)
+    def responses_to(self, result: str) -> list[ProposeResponse]:
+        group = self.group(result, leads=True)
         responses: list[ProposeResponse] = []
 
-        def take(recipient: int, frame: PeerFrame) -> bool:
+        def record(recipient: int, frame: PeerFrame) -> bool:
             responses.append(frame.propose_response)
             return True
 
-        group.send = take  # type: ignore[method-assign]
+        group.send = record  # type: ignore[method-assign]
         request = ProposeRequest(id=5, command=COMMAND)
         self.loop.enter(lambda: group.commands.propose(FIRST, request))
         self.simulator.run_until(self.simulator.now + 1.0)
         return responses
 
-    def test_not_leader_is_answered_only_where_nothing_was_appended(self) -> None:
-        self.assertEqual([one.status for one in self.answered(REFUSED)], [NOT_LEADER])
-        self.assertEqual([one.status for one in self.answered(LOST)], [UNKNOWN])
-        self.assertEqual([one.status for one in self.answered(ANSWERED)], [APPLIED])
-        self.assertEqual(self.answered(SILENT), [])
+    def test_not_leader_is_reported_only_if_nothing_was_appended(self) -> None:
+        self.assertEqual([one.status for one in self.responses_to(REFUSED)], [NOT_LEADER])
+        self.assertEqual([one.status for one in self.responses_to(LOST)], [UNKNOWN])
+        self.assertEqual([one.status for one in self.responses_to(ANSWERED)], [APPLIED])
+        self.assertEqual(self.responses_to(SILENT), [])
 
 
-class BrokenVariants(WithGroup):
-    """The table of fates finds members that promise too much."""
+class BrokenVariants(ClusterTestCase):
+    """The test of all sequences detects members that promise too much."""
 
-    def test_one_that_mistakes_a_lost_proposal_for_one_that_was_not_accepted(self) -> None:
+    def test_a_lost_proposal_reported_as_not_accepted_is_detected(self) -> None:
         with mock.patch.object(
             command_forwarder, "ProposalLostError", command_forwarder.CommandNotAcceptedError
         ):
--- a/tests/router/control_plane/test_control_plane_command_idempotence.py
+++ b/tests/router/control_plane/test_control_plane_command_idempotence.py
@@ -1,4 +1,4 @@
-"""Copies of operators' calls in all orders, with snapshots between them and forgetting at the bounds."""
+"""Duplicates of operators' calls in all orders, with snapshots between them and drops at the bounds."""
 
 from __future__ import annotations
 
@@ -6,7 +6,15 @@
 from itertools import combinations
 from random import Random
 
-from command_model import Bounds, Call, Judge, NewVersions, Replicas, RuleBroken, apply_in_all_orders
+from command_model import (
+    Bounds,
+    Call,
+    InvariantViolationError,
+    NewVersions,
+    Replicas,
+    ResultChecker,
+    apply_in_all_orders,
+)
 from configuration_variants import (
     AcceptsAnyRevision,
     ComparesNothing,
@@ -58,50 +66,51 @@
 )
 
 
-def maker(kind: type[ConfigurationVersions], bounds: Bounds) -> NewVersions:
-    """How to make one replica; no document is parsed here, so that one parser does for all."""
+def replica_factory(kind: type[ConfigurationVersions], bounds: Bounds) -> NewVersions:
+    """A factory of replicas; no document is parsed here, so that all can share one parser."""
     return lambda: kind(PARSER, max_accepted=bounds.max_accepted, max_rejected=bounds.max_rejected)
 
 
-def started(kind: type[ConfigurationVersions], bounds: Bounds) -> Replicas:
-    """Replicas that have taken the first configuration."""
-    replicas = Replicas(maker(kind, bounds), Judge(bounds))
+def started_replicas(kind: type[ConfigurationVersions], bounds: Bounds) -> Replicas:
+    """Replicas that have accepted the first configuration."""
+    replicas = Replicas(replica_factory(kind, bounds), ResultChecker(bounds))
     replicas.apply(FIRST, FIRST.command())
     return replicas
 
 
-def play_all(kind: type[ConfigurationVersions], bounds: Bounds, calls: int) -> int:
-    """Each choice of so many different calls, their copies in each order; returns the applications."""
+def apply_all(kind: type[ConfigurationVersions], bounds: Bounds, calls: int) -> int:
+    """Apply each choice of `calls` different calls, with copies, in each order; returns the applications."""
     return sum(
-        apply_in_all_orders(started(kind, bounds), chosen, COPIES) for chosen in combinations(CALLS, calls)
+        apply_in_all_orders(started_replicas(kind, bounds), chosen, COPIES)
+        for chosen in combinations(CALLS, calls)
     )
 
 
-def play_random(kind: type[ConfigurationVersions], seed: int) -> Judge:
-    """Two operators over many versions; copies of their calls are applied up to long after."""
+def apply_random(kind: type[ConfigurationVersions], seed: int) -> ResultChecker:
+    """Two operators over many versions; copies of their calls may be applied much later."""
     random = Random(seed)
     bounds = Bounds(random.choice((1, 2, 5, 100)), random.choice((1, 2, 100)))
-    replicas = started(kind, bounds)
-    under_way = [FIRST]
+    replicas = started_replicas(kind, bounds)
+    sent_calls = [FIRST]
     for _ in range(60):
-        current = replicas.judge.revision
-        call = random.choice(under_way)
+        current = replicas.checker.revision
+        call = random.choice(sent_calls)
         if random.random() < 0.5:
             based_on = max(0, current + random.choice((-2, -1, 0, 0, 0, 0, 1, 2)))
             revision = max(1, current + random.choice((-1, 0, 1, 1, 2, 3)))
             call = Call(revision, random.choice(("left", "right")), based_on)
-            under_way.append(call)
+            sent_calls.append(call)
         replicas.apply(call, call.command())
-    return replicas.judge
+    return replicas.checker
 
 
-def play(kind: type[ConfigurationVersions]) -> None:
-    """All that the tests play, the small sizes first; raises `RuleBroken`."""
+def apply_histories(kind: type[ConfigurationVersions]) -> None:
+    """All histories of the tests, small sizes first; raises `InvariantViolationError`."""
     for bounds in (WIDE, NARROW):
         for calls in (1, 2):
-            play_all(kind, bounds, calls)
+            apply_all(kind, bounds, calls)
     for seed in range(RANDOM_SEEDS):
-        play_random(kind, seed)
+        apply_random(kind, seed)
 
 
 class AllOrders(unittest.TestCase):
@@ -109,39 +118,39 @@
 
     def test_two_calls(self) -> None:
         for bounds in (WIDE, NARROW):
-            self.assertGreater(play_all(ConfigurationVersions, bounds, 2), 1_000)
+            self.assertGreater(apply_all(ConfigurationVersions, bounds, 2), 1_000)
 
     def test_three_calls(self) -> None:
-        self.assertGreater(play_all(ConfigurationVersions, WIDE, 3), 60_000)
+        self.assertGreater(apply_all(ConfigurationVersions, WIDE, 3), 60_000)
 
     def test_three_calls_at_the_bounds(self) -> None:
-        self.assertGreater(play_all(ConfigurationVersions, NARROW, 3), 60_000)
+        self.assertGreater(apply_all(ConfigurationVersions, NARROW, 3), 60_000)
 
 
 class RandomOrders(unittest.TestCase):
     """Longer histories."""
 
     def test_random_histories(self) -> None:
-        in_force = acknowledged = refused = 0
+        in_effect = acknowledged = refused = 0
         for seed in range(RANDOM_SEEDS):
             with self.subTest(seed=seed):
-                judge = play_random(ConfigurationVersions, seed)
-            in_force += len(judge.in_force)
-            acknowledged += len(judge.acknowledged)
-            refused += len(judge.refused)
-        # the histories are worth something: changes, resends and refusals in plenty
-        self.assertGreater(in_force, 5 * RANDOM_SEEDS)
-        self.assertGreater(acknowledged, in_force)
+                checker = apply_random(ConfigurationVersions, seed)
+            in_effect += len(checker.in_effect)
+            acknowledged += len(checker.acknowledged)
+            refused += len(checker.refused)
+        # The histories contain many changes, resends and rejections.
+        self.assertGreater(in_effect, 5 * RANDOM_SEEDS)
+        self.assertGreater(acknowledged, in_effect)
         self.assertGreater(refused, 5 * RANDOM_SEEDS)
 
 
 class BrokenVariants(unittest.TestCase):
-    """The model finds each of them."""
+    """The model detects each broken variant."""
 
-    def test_broken_ones_are_found(self) -> None:
+    def test_broken_variants_are_detected(self) -> None:
         for kind in BROKEN:
-            with self.subTest(kind.__name__), self.assertRaises(RuleBroken):
-                play(kind)
+            with self.subTest(kind.__name__), self.assertRaises(InvariantViolationError):
+                apply_histories(kind)
 
 
 if __name__ == "__main__":
--- a/tests/router/control_plane/test_control_plane_forwarded_answers.py
+++ b/tests/router/control_plane/test_control_plane_forwarded_answers.py
@@ -1,4 +1,4 @@
-"""Answers to calls between members: each finds the call that it belongs to, or none."""
+"""Responses to forwarded calls between members: each completes its own call, or none."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Member:
-    """One process of a member: its calls to the leader, whose frames are kept."""
+    """One process of a member, which records the frames of its calls to the leader."""
 
     def __init__(self) -> None:
         self.sent: list[PeerFrame] = []
@@ -39,7 +39,7 @@
         return True
 
     async def call(self) -> asyncio.Task[object]:
-        """A command on its way to the leader."""
+        """Start a command that is forwarded to the leader."""
         task: asyncio.Task[object] = self.loop.create_task(self.commands.submit(Command(), self.loop.time()))
         await asyncio.sleep(0.01)
         return task
@@ -49,23 +49,23 @@
     return ProposeResponse(id=id, status=APPLIED, index=index)
 
 
-class Callers(unittest.TestCase):
-    def test_an_answer_to_a_process_before_a_restart_reaches_no_call(self) -> None:
+class ForwardedResponses(unittest.TestCase):
+    def test_a_response_to_a_process_before_a_restart_completes_no_call(self) -> None:
         async def scenario() -> None:
             for _ in range(20):
-                before, after = Member(), Member()
-                first = await before.call()
+                old_process, new_process = Member(), Member()
+                first = await old_process.call()
                 first.cancel()
-                second = await after.call()
-                after.commands.propose_response(applied(before.sent[0].propose.id, 7))
+                second = await new_process.call()
+                new_process.commands.propose_response(applied(old_process.sent[0].propose.id, 7))
                 await asyncio.sleep(0.01)
                 self.assertFalse(second.done())
-                after.commands.propose_response(applied(after.sent[0].propose.id, 8))
+                new_process.commands.propose_response(applied(new_process.sent[0].propose.id, 8))
                 self.assertEqual(getattr(await second, "index", None), 8)
 
         play(scenario())
 
-    def test_answers_that_pass_each_other_reach_their_own_calls(self) -> None:
+    def test_responses_out_of_order_complete_their_own_calls(self) -> None:
         async def scenario() -> None:
             member = Member()
             calls = [await member.call() for _ in range(3)]
@@ -75,18 +75,18 @@
 
         play(scenario())
 
-    def test_a_duplicate_answer_or_one_to_an_abandoned_call_reaches_no_other(self) -> None:
+    def test_a_duplicate_response_or_one_to_an_abandoned_call_completes_no_other(self) -> None:
         async def scenario() -> None:
             member = Member()
             first = await member.call()
-            answer = applied(member.sent[0].propose.id, 7)
-            member.commands.propose_response(answer)
+            response = applied(member.sent[0].propose.id, 7)
+            member.commands.propose_response(response)
             await first
             abandoned = await member.call()
             abandoned.cancel()
             await asyncio.sleep(0.01)
             second = await member.call()
-            for late in (answer, applied(member.sent[1].propose.id, 8)):
+            for late in (response, applied(member.sent[1].propose.id, 8)):
                 member.commands.propose_response(late)
             await asyncio.sleep(0.01)
             self.assertFalse(second.done())
@@ -94,7 +94,7 @@
 
         play(scenario())
 
-    def test_an_answer_to_a_read_is_none_to_a_command(self) -> None:
+    def test_a_read_response_does_not_complete_a_command(self) -> None:
         async def scenario() -> None:
             member = Member()
             call = await member.call()
--- a/tests/router/control_plane/test_control_plane_peer_links.py
+++ b/tests/router/control_plane/test_control_plane_peer_links.py
@@ -1,4 +1,4 @@
-"""A link is dialled anew where its peer was not heard, and not while a frame of it is still coming in."""
+"""A link reconnects if its peer was out of contact, but not while a frame of the peer is arriving."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 OWN = Member(id=1, address="127.0.0.1:1")
 PEER = Member(id=2, address="127.0.0.1:2")
-LONG_AGO = -10 * (GRACE_PERIOD_S + CONTACT_TIMEOUT_S)
+LONG_AGO_S = -10 * (GRACE_PERIOD_S + CONTACT_TIMEOUT_S)
 
 
 class OpenConnection:
-    """A connection that takes all it is given."""
+    """A connection that accepts all frames."""
 
     open = True
     unsent = 0
@@ -32,7 +32,7 @@
         self.aborted = True
 
 
-class Unheard(unittest.IsolatedAsyncioTestCase):
+class Reconnection(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.now = asyncio.get_running_loop().time()
         self.links = PeerLinks(OWN, lambda connection, body: None)
@@ -41,17 +41,17 @@
         link = self.links._links[PEER.id]
         self.outgoing = OpenConnection(self.now)
         link._connection = self.outgoing
-        link._opened_at = link.last_contact = self.now + LONG_AGO
+        link._opened_at = link.last_contact = self.now + LONG_AGO_S
 
     def send(self) -> bool:
         return self.links.send(PEER.id, PeerFrame())
 
-    async def test_dialled_anew(self) -> None:
-        self.links.introduce(OpenConnection(self.now + LONG_AGO), PEER)
+    async def test_reconnects_without_contact(self) -> None:
+        self.links.introduce(OpenConnection(self.now + LONG_AGO_S), PEER)
         self.assertFalse(self.send())
         self.assertTrue(self.outgoing.aborted)
 
-    async def test_not_while_bytes_come_in(self) -> None:
+    async def test_does_not_reconnect_while_bytes_arrive(self) -> None:
         self.links.introduce(OpenConnection(self.now), PEER)
         self.assertTrue(self.send())
         self.assertEqual((self.outgoing.sent, self.outgoing.aborted), (1, False))
--- a/tests/router/control_plane/test_control_plane_pending_proposals.py
+++ b/tests/router/control_plane/test_control_plane_pending_proposals.py
@@ -1,4 +1,4 @@
-"""Futures of proposals, of applied indexes and of changes."""
+"""Futures for proposals, applied indexes and changes."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 )
 
 
-class Waiting(unittest.IsolatedAsyncioTestCase):
-    async def test_a_proposal_is_answered_where_its_own_entry_is_applied(self) -> None:
+class Futures(unittest.IsolatedAsyncioTestCase):
+    async def test_a_proposal_is_resolved_when_its_own_entry_is_applied(self) -> None:
         loop = asyncio.get_running_loop()
         waiters = PendingProposals()
-        own, lost, passed = loop.create_future(), loop.create_future(), loop.create_future()
+        own, lost, replaced = loop.create_future(), loop.create_future(), loop.create_future()
         waiters.add(5, 2, own)
         waiters.add(5, 1, lost)
-        waiters.add(6, 2, passed)
+        waiters.add(6, 2, replaced)
         waiters.applied(5, 2, CommandOutcome(DONE, 5))
         self.assertEqual(own.result(), CommandOutcome(DONE, 5))
         self.assertIsInstance(lost.exception(), ProposalLostError)
         waiters.replaced_by_snapshot(9)
-        self.assertIsInstance(passed.exception(), ProposalLostError)
+        self.assertIsInstance(replaced.exception(), ProposalLostError)
 
-    async def test_those_who_no_longer_wait_are_passed_by(self) -> None:
+    async def test_cancelled_futures_are_skipped(self) -> None:
         waiters = PendingProposals()
-        gone = asyncio.get_running_loop().create_future()
-        waiters.add(5, 2, gone)
-        gone.cancel()
+        abandoned = asyncio.get_running_loop().create_future()
+        waiters.add(5, 2, abandoned)
+        abandoned.cancel()
         waiters.applied(5, 2, CommandOutcome(DONE, 5))
 
     async def test_applied_indexes(self) -> None:
--- a/tests/router/control_plane/test_control_plane_response_gate.py
+++ b/tests/router/control_plane/test_control_plane_response_gate.py
@@ -1,4 +1,4 @@
-"""What a member says on its worst days: the gate's conditions, the answers behind it, broken variants."""
+"""The response gate: its conditions in isolated and suspended members, and the API responses behind it."""
 
 from __future__ import annotations
 
@@ -45,25 +45,25 @@
 from mallowbeam.simulation.fleet_processes import ApiCall, message_of
 
 OTHERS = ["10.0.0.2:8146", "10.0.0.3:8146"]
-LONG = 20.0  # seconds for which a process stands still
+LONG_FREEZE_S = 20.0  # for which a process is suspended
 
 
 class Situation:
-    """What a member knows of the group, and its steady clock."""
+    """A member's knowledge of the group, and its monotonic clock."""
 
     def __init__(self, staleness: float = 0.1, leads: bool = False) -> None:
         self.now, self.leads = 100.0, leads
         self.current_at = self.now - staleness
         self.gate = ResponseGate(lambda: self.now, lambda: self.now - self.current_at, lambda: self.leads)
 
-    def freeze(self, seconds: float = LONG) -> None:
-        """The process stands still; nothing that it knows has changed when it goes on."""
+    def freeze(self, seconds: float = LONG_FREEZE_S) -> None:
+        """Suspend the process; its knowledge is unchanged when it resumes."""
         self.now += seconds
 
 
 @dataclass(frozen=True)
 class Expected:
-    """Everything that may be said in a situation; `read` and `entry` with evidence from before it."""
+    """The kinds of data allowed in a situation; `read` and `entry` with evidence from before it."""
 
     situation: str
     read: bool
@@ -73,7 +73,7 @@
     order: bool
 
 
-MODEL = (
+EXPECTATIONS = (
     Expected("leader", read=True, entry=True, heartbeat=True, feed=True, order=True),
     Expected("follower", read=True, entry=True, heartbeat=True, feed=True, order=False),
     Expected("follower with a stalled disk", read=True, entry=True, heartbeat=True, feed=True, order=False),
@@ -86,35 +86,35 @@
 )
 
 
-def bring_about(name: str) -> Situation:
-    """A situation of the model, 0 s or more after a read was confirmed at 100 s."""
+def make_situation(name: str) -> Situation:
+    """A situation of the model, at or after the time 100 s, at which a read was confirmed."""
     match name:
         case "leader":
             return Situation(leads=True)
-        case "follower" | "follower with a stalled disk":  # its own disk does not decide what it knows
+        case "follower" | "follower with a stalled disk":  # its own disk does not affect its knowledge
             return Situation()
         case "never in touch":
             situation = Situation(math.inf)
             situation.freeze()
             return situation
     situation = Situation(0.0, leads=name.startswith("leader"))
-    situation.freeze({"leader just cut off": 0.7, "cut off for 1.5 s": 1.5}.get(name, LONG))
+    situation.freeze({"leader just cut off": 0.7, "cut off for 1.5 s": 1.5}.get(name, LONG_FREEZE_S))
     return situation
 
 
 class Model(unittest.TestCase):
-    """Each thing said in each situation, against a table written by hand."""
+    """Each kind of response in each situation, against a table written by hand."""
 
-    def test_every_thing_in_every_situation(self) -> None:
+    def test_each_response_kind_in_each_situation(self) -> None:
         evidence: dict[ResponseKind, Evidence] = {
             ResponseKind.CONFIGURATION_READ: ConfirmedRead(100.0),
             ResponseKind.CHANGE_ACKNOWLEDGED: AppliedEntry(7),
             ResponseKind.CHANGE_REFUSED: AppliedEntry(7),
             ResponseKind.RETIREMENT_ACKNOWLEDGED: AppliedEntry(7),
         }
-        for expected in MODEL:
-            situation = bring_about(expected.situation)
-            wanted = {
+        for expected in EXPECTATIONS:
+            situation = make_situation(expected.situation)
+            allowed_kinds = {
                 ResponseKind.CONFIGURATION_READ: expected.read,
                 ResponseKind.CHANGE_ACKNOWLEDGED: expected.entry,
                 ResponseKind.CHANGE_REFUSED: expected.entry,
@@ -131,8 +131,8 @@
                 ResponseKind.FEED_MEMBERS: True,
                 ResponseKind.STATUS: True,
             }
-            self.assertEqual(set(wanted), set(ResponseKind))
-            for kind, allowed in wanted.items():
+            self.assertEqual(set(allowed_kinds), set(ResponseKind))
+            for kind, allowed in allowed_kinds.items():
                 with self.subTest(situation=expected.situation, kind=kind.name):
                     self.assertIs(situation.gate.may(kind, evidence.get(kind, NO_EVIDENCE)), allowed)
 
@@ -168,9 +168,9 @@
         situation.freeze(0.002)
         self.assertFalse(situation.gate.may(ResponseKind.CONFIGURATION_READ, ConfirmedRead(100.0)))
 
-    def test_calls_are_refused_at_once_only_after_a_start_has_had_its_time(self) -> None:
+    def test_a_starting_member_rejects_calls_only_after_a_grace_period(self) -> None:
         situation = Situation(math.inf)
-        situation.gate.check_reachable()  # the process began just now
+        situation.gate.check_reachable()  # the process has just started
         situation.freeze(CALL_MAX_STALENESS_S + 0.1)
         with self.assertRaises(IsolatedMemberError):
             situation.gate.check_reachable()
@@ -178,32 +178,32 @@
         situation.gate.check_reachable()
 
 
-class Log:
-    """In the place of `Commands`: answers as told, after the process has stood still."""
+class FakeCommandForwarder:
+    """Stands in for `CommandForwarder`: returns set outcomes after the process was suspended."""
 
     def __init__(self, situation: Situation) -> None:
         self.situation = situation
-        self.frozen_s = 0.0  # before the answer is known here
+        self.frozen_s = 0.0  # before the outcome is known here
         self.frozen_after_s = 0.0  # after it
         self.outcome = CommandOutcome(DONE, 5)
         self.calls = 0
 
     async def submit(self, command: Command, since: float) -> CommandOutcome:
         self.calls += 1
-        await self._stand_still()
+        await self._suspend()
         return self.outcome
 
     async def read_barrier(self, since: float) -> None:
         self.calls += 1
-        await self._stand_still()
+        await self._suspend()
 
-    async def _stand_still(self) -> None:
+    async def _suspend(self) -> None:
         await asyncio.sleep(0)
         self.situation.freeze(self.frozen_s)
 
 
-class Table:
-    """In the place of the instance table."""
+class FakeInstanceTable:
+    """Stands in for the instance table."""
 
     version, urgent = 0, False
 
@@ -215,19 +215,21 @@
 
 
 class Api(unittest.IsolatedAsyncioTestCase):
-    """The whole control API in front of a log that answers as told."""
+    """The complete control API with a command forwarder that returns set outcomes."""
 
     def setUp(self) -> None:
         self.situation = Situation()
-        self.log = Log(self.situation)
+        self.forwarder = FakeCommandForwarder(self.situation)
         self.kinds: dict[str, int] = {}
         versions = SimpleNamespace(current_body=lambda: b'{"revision":1}', revision=1)
         status = SimpleNamespace(other_controls=lambda: OTHERS, write=lambda: b"{}")
         self.gate = self.situation.gate
-        commands = cast(CommandForwarder, self.log)
+        commands = cast(CommandForwarder, self.forwarder)
         retirements = SimpleNamespace(kind=self.kinds.get)
         instances = InstanceService(
-            RegistryParts(cast("object", Table()), retirements, commands, SimpleNamespace(), self.gate),
+            RegistryParts(
+                cast("object", FakeInstanceTable()), retirements, commands, SimpleNamespace(), self.gate
+            ),
             lambda: None,
             lambda: 0,
             SimpleNamespace(),
@@ -260,7 +262,7 @@
     async def delete(self) -> Response:
         return await self.call("DELETE", "/mallowbeam/instances/i")
 
-    async def test_in_touch_all_is_answered(self) -> None:
+    async def test_in_contact_with_the_majority_all_calls_succeed(self) -> None:
         for call in (
             self.get,
             self.put,
@@ -270,30 +272,30 @@
         ):
             self.assertEqual((await call()).status, 200)
 
-    async def test_a_read_confirmed_before_the_process_stood_still_is_not_answered(self) -> None:
-        self.log.frozen_s = LONG
+    async def test_a_read_confirmed_before_the_process_was_suspended_is_not_answered(self) -> None:
+        self.forwarder.frozen_s = LONG_FREEZE_S
         self.assertEqual((await self.get()).status, 503)
-        self.log.frozen_s = 0.5
+        self.forwarder.frozen_s = 0.5
         self.situation.current_at = self.situation.now
         self.assertEqual((await self.get()).status, 200)
 
-    async def test_what_was_committed_is_acknowledged_however_late(self) -> None:
-        self.log.frozen_s = LONG
+    async def test_a_committed_change_is_acknowledged_however_late(self) -> None:
+        self.forwarder.frozen_s = LONG_FREEZE_S
         for call in (self.put, self.delete, lambda: self.heartbeat_call("draining")):
             self.situation.current_at = self.situation.now
             self.assertEqual((await call()).status, 200)
         for result, status in ((VERSION_MISMATCH, 412), (REVISION_NOT_ABOVE, 400)):
             self.situation.current_at = self.situation.now
-            self.log.outcome = CommandOutcome(result, 5)
+            self.forwarder.outcome = CommandOutcome(result, 5)
             self.assertEqual((await self.put()).status, status)
 
     async def test_nothing_is_acknowledged_without_an_entry(self) -> None:
         for result in (DONE, VERSION_MISMATCH, REVISION_NOT_ABOVE):
-            self.log.outcome = CommandOutcome(result, 0)
+            self.forwarder.outcome = CommandOutcome(result, 0)
             self.assertEqual((await self.put()).status, 503)
         self.assertEqual((await self.delete()).status, 503)
 
-    async def test_isolated_for_long_all_is_rejected_at_once_and_others_are_named(self) -> None:
+    async def test_isolated_for_long_all_calls_are_rejected_at_once_and_other_members_are_named(self) -> None:
         self.situation.freeze()
         for call in (
             self.get,
@@ -302,13 +304,13 @@
             self.delete,
             lambda: self.heartbeat_call("draining"),
         ):
-            reply = await call()
-            head, _, body = reply.data.partition(b"\r\n\r\n")
-            self.assertEqual(reply.status, 503)
+            response = await call()
+            head, _, body = response.data.partition(b"\r\n\r\n")
+            self.assertEqual(response.status, 503)
             self.assertIn(b"retry-after: ", head)
             self.assertNotIn(b"location", head.lower())
             self.assertEqual(json.loads(body)["members"], OTHERS)
-        self.assertEqual(self.log.calls, 0)
+        self.assertEqual(self.forwarder.calls, 0)
 
     async def test_isolated_invalid_calls_are_still_rejected_as_invalid(self) -> None:
         self.situation.freeze()
@@ -319,10 +321,10 @@
     async def test_a_retirement_that_this_member_has_applied_is_acknowledged_again(self) -> None:
         self.kinds["i"] = DRAINING
         self.assertEqual((await self.heartbeat_call("draining")).status, 200)
-        self.assertEqual(self.log.calls, 0)
+        self.assertEqual(self.forwarder.calls, 0)
         self.kinds["i"] = GONE
         self.assertEqual((await self.delete()).status, 200)
-        self.assertEqual(self.log.calls, 0)
+        self.assertEqual(self.forwarder.calls, 0)
 
     async def test_isolated_not_even_a_retirement_that_this_member_has_applied_is_acknowledged(self) -> None:
         self.situation.freeze()
--- a/tests/router/control_plane/test_control_plane_response_gate_variants.py
+++ b/tests/router/control_plane/test_control_plane_response_gate_variants.py
@@ -1,4 +1,4 @@
-"""The gate in the real member: frozen in a read; and members broken on purpose, which are caught."""
+"""The response gate in a real member that is frozen during a read, and broken variants that are detected."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 from mallowbeam.simulation.scenario import ViolationError
 
 SCENARIOS = SCENARIO_FOLDER / "system"
-STEPS_OF_A_READ = range(0, 60, 3)  # of the member's process, more than it takes
-STALE_FEED = r"g[23] is given 1 first, 2 was acknowledged"  # a gateway that began during the cut
+FREEZE_STEPS = range(0, 60, 3)  # of the member's process, more than a read needs
+STALE_FEED = r"g[23] is given 1 first, 2 was acknowledged"  # a gateway that started during the partition
 
 
-class FrozenInARead(unittest.TestCase):
-    """The real member, frozen at each step between a read's coming in and its answer."""
+class FrozenDuringRead(unittest.TestCase):
+    """The real member, frozen at each step between a read's arrival and its response."""
 
     def read(self, steps: int) -> tuple[int, bool]:
-        """Freeze the asked member so many steps after the call came, for 20 s with a change meanwhile.
+        """Freeze the called member `steps` steps after the call's arrival, for 20 s with a change meanwhile.
 
-        The answer's status, 0 for none, and whether it came before the freeze.
+        Returns the response's status, 0 for none, and whether the response came before the freeze.
         """
         player = FleetPlayer("members m1 m2 m3\ngateways g1\nat 2 put 1 on 0\nat 8 expect taken 1\n")
         player.play()
@@ -46,31 +46,31 @@
         end = simulator.steps + steps
         simulator.run_while(lambda: simulator.steps < end, 9.0)
         machine.freeze()
-        before = bool(received)
+        before_freeze = bool(received)
         player.do_put("2", "on", "1", "via", "m2")
         simulator.run_until(28.0)
         self.assertEqual(player.operator.orders[2].state, OrderState.ACCEPTED)
         machine.thaw()
         simulator.run_until(32.0)
         if not received:
-            return 0, before
-        if not before and received[0][1] == 200:
+            return 0, before_freeze
+        if not before_freeze and received[0][1] == 200:
             self.assertEqual(json.loads(received[0][2])["revision"], 2)
-        return received[0][1], before
+        return received[0][1], before_freeze
 
-    def test_frozen_at_any_step_of_a_read_no_old_configuration_is_answered(self) -> None:
-        results = [self.read(steps) for steps in STEPS_OF_A_READ]
+    def test_a_member_frozen_at_any_step_of_a_read_returns_no_old_configuration(self) -> None:
+        results = [self.read(steps) for steps in FREEZE_STEPS]
         self.assertIn((200, True), results)
-        self.assertTrue(any(not before for _, before in results))
+        self.assertTrue(any(not before_freeze for _, before_freeze in results))
 
-    def test_without_the_gate_an_old_one_would_be(self) -> None:
+    def test_without_the_gate_an_old_configuration_is_returned(self) -> None:
         with mock.patch.object(ResponseGate, "check", lambda *_: None), self.assertRaises(AssertionError):
-            for steps in STEPS_OF_A_READ:
+            for steps in FREEZE_STEPS:
                 self.read(steps)
 
 
 class BrokenVariants(unittest.TestCase):
-    """Members that are broken on purpose are caught by the scenarios and the fleet's checkers."""
+    """The scenarios and the fleet's checkers detect members that are broken on purpose."""
 
     def violation(self, scenario: str) -> str:
         text = (SCENARIOS / scenario).read_text()
@@ -78,7 +78,7 @@
             FleetPlayer(text).play()
         return str(caught.exception)
 
-    def without(self, kind: ResponseKind) -> object:
+    def without_condition(self, kind: ResponseKind) -> object:
         conditions = {**response_gate.CONDITIONS, kind: Unconditional()}
         return mock.patch.object(response_gate, "CONDITIONS", conditions)
 
@@ -91,7 +91,7 @@
             self.assertRegex(self.violation("gateway_reaches_only_cut_off.txt"), STALE_FEED)
 
     def test_a_configuration_fed_while_isolated(self) -> None:
-        with self.without(ResponseKind.FEED_CONFIGURATION):
+        with self.without_condition(ResponseKind.FEED_CONFIGURATION):
             self.assertRegex(self.violation("gateway_reaches_only_cut_off.txt"), STALE_FEED)
 
     def test_reads_without_a_barrier(self) -> None:
@@ -106,13 +106,13 @@
             )
 
     def test_heartbeats_acknowledged_for_too_long(self) -> None:
-        """As it was: the instances turned to the others only after these had taken them for gone."""
+        """As in an earlier version: instances switched members only after the others counted them as gone."""
         conditions = {**response_gate.CONDITIONS, ResponseKind.HEARTBEAT_ACKNOWLEDGED: StateFresh(2.0)}
         with mock.patch.object(response_gate, "CONDITIONS", conditions):
             self.assertIn("always gateways", self.violation("heartbeats_at_cut_off_member.txt"))
 
     def test_heartbeats_acknowledged_while_isolated(self) -> None:
-        with self.without(ResponseKind.HEARTBEAT_ACKNOWLEDGED):
+        with self.without_condition(ResponseKind.HEARTBEAT_ACKNOWLEDGED):
             self.assertIn("always gateways", self.violation("heartbeats_at_cut_off_member.txt"))
 
     def test_draining_acknowledged_without_the_log(self) -> None:
--- a/tests/router/control_plane/test_control_plane_state_format.py
+++ b/tests/router/control_plane/test_control_plane_state_format.py
@@ -1,4 +1,4 @@
-"""Members of an earlier program version among newer ones stop before what they don't know."""
+"""Members of an earlier program version among newer ones stop before data that they don't know."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 class Formats(unittest.TestCase):
     """Each pair of writer and reader."""
 
-    def test_what_this_version_or_an_earlier_one_writes_is_read(self) -> None:
+    def test_data_of_this_or_an_earlier_version_is_decoded(self) -> None:
         for command in KNOWN_COMMANDS:
             self.assertEqual(decode_command(5, command.SerializeToString()), command)
         for kind in (NO_OPERATION, COMMAND, MEMBERSHIP):
@@ -86,7 +86,7 @@
         self.assertEqual(decode_state(b""), ReplicatedState())
         self.assertEqual(decode_command(5, b""), Command())
 
-    def test_what_a_newer_version_writes_is_refused_with_its_place(self) -> None:
+    def test_data_of_a_newer_version_is_rejected_with_its_log_index(self) -> None:
         for name, payload in NEWER_COMMANDS.items():
             with self.subTest(name), self.assertRaisesRegex(UnsupportedFormatError, "entry 5"):
                 decode_command(5, payload)
@@ -102,7 +102,7 @@
         self.assertEqual(caught.exception.step, "apply")
         self.assertIn("store is kept", caught.exception.line)
 
-    def test_a_state_machine_changes_nothing(self) -> None:
+    def test_unknown_data_leaves_the_state_machine_unchanged(self) -> None:
         machine = ReplicatedStateMachine(ConfigurationParser(), lambda one: None)
         machine.apply(1, KNOWN_COMMANDS[1].SerializeToString())
         before = machine.save()
@@ -116,9 +116,9 @@
 
 
 class Fleet(unittest.TestCase):
-    """A newer leader, which is patched to know it, commits what the other members don't know."""
+    """A newer leader, simulated by a patch, commits commands that the other members don't know."""
 
-    def test_earlier_members_stop_before_it_and_go_on_from_their_store_with_a_newer_program(self) -> None:
+    def test_earlier_members_stop_before_unknown_data_and_resume_with_a_newer_program(self) -> None:
         for name, payload in NEWER_COMMANDS.items():
             with self.subTest(name):
                 self._play(payload)
@@ -141,7 +141,7 @@
         machine = driver._machine
         machine.apply = lambda at, command: newer(machine, at, command)
         driver.propose(payload)
-        with mock.patch.object(History, "applied"):  # it would decode what nobody knows
+        with mock.patch.object(History, "applied"):  # it would decode the unknown command
             player.simulator.run_until(12.0)
         for name, member in player.members.items():
             if name == leader:
@@ -184,7 +184,7 @@
 
 
 class Forwarded(unittest.TestCase):
-    def test_a_leader_does_not_propose_what_it_could_not_apply(self) -> None:
+    def test_a_leader_does_not_propose_commands_that_it_could_not_apply(self) -> None:
         async def play(command: Command) -> tuple[mock.Mock, list[PeerFrame]]:
             sent: list[PeerFrame] = []
             driver = mock.Mock()
@@ -195,7 +195,7 @@
 
         for name, payload in NEWER_COMMANDS.items():
             if name == "bytes that are no message":
-                continue  # the frame itself would not be read
+                continue  # the frame itself could not be decoded
             with self.subTest(name):
                 driver, (frame,) = asyncio.run(play(Command.FromString(payload)))
                 driver.propose.assert_not_called()
--- a/tests/router/control_plane/test_control_plane_state_machine.py
+++ b/tests/router/control_plane/test_control_plane_state_machine.py
@@ -58,7 +58,7 @@
         self.assertEqual(self.machine.apply(11, lease), CommandOutcome(DONE, 11, 1))
         self.assertEqual(self.machine.apply(12, Command().SerializeToString()).result, REFUSED)
 
-    def test_a_snapshot_holds_all_of_it(self) -> None:
+    def test_a_snapshot_holds_the_complete_state(self) -> None:
         self.machine.apply(5, put(self.parser, 3, 0))
         self.machine.apply(6, retire("i", DRAINING))
         received: list[tuple[str, int]] = []
@@ -69,7 +69,7 @@
         self.assertEqual(restored.apply(7, put(self.parser, 3, 0)).result, ALREADY_DONE)
         self.assertEqual(json.loads(restored.configurations.current_body()), configuration(3))
 
-    def test_the_feed_sends_differences_where_it_can(self) -> None:
+    def test_the_feed_sends_incremental_updates_where_it_can(self) -> None:
         feed = ConfigurationFeed(self.machine.configurations)
         self.assertIsNone(feed.update_since(0))
         self.machine.apply(5, put(self.parser, 3, 0))
--- a/tests/router/control_plane/test_control_plane_store_recovery.py
+++ b/tests/router/control_plane/test_control_plane_store_recovery.py
@@ -1,4 +1,4 @@
-"""Members that can not go on with what they have: a store diverged or damaged, a removal heard of late."""
+"""Members that can't continue with their store: it diverged or is damaged, or they were removed meanwhile."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Diverged(unittest.TestCase):
-    def test_a_member_whose_log_contradicts_the_group_comes_back_as_a_new_one(self) -> None:
+    def test_a_member_whose_log_contradicts_the_group_rejoins_as_a_new_one(self) -> None:
         player = FleetPlayer(
             HEAD + "at 12 expect voters 3\nat 12 put 2 on 1\nby 14 expect taken 2\n"
             "by 15 expect members revision 2\nend 15"
@@ -60,12 +60,12 @@
             driver._events.append(raft_driver._Receive(1, mock.Mock()))
             driver._step()
         self.assertIsInstance(seen[0], DivergedError)
-        driver._put(raft_driver._Transfer())
-        self.assertEqual(len(driver._events), 1)  # it waits for ever
+        driver._enqueue(raft_driver._Transfer())
+        self.assertEqual(len(driver._events), 1)  # it is never processed
 
 
 class RemovedLate(unittest.TestCase):
-    """A member that was away for longer than learners are kept comes back with its old store."""
+    """A member returns with its old store after a longer absence than learners are kept for."""
 
     TEXT = HEAD + (
         "at 8 add m4\nat 10 kill m3\nby 14 expect voters 3\nat 14 put 2 on 1\n"
@@ -80,7 +80,7 @@
         player.play()
         self.assertEqual(self._members(player), 4)
 
-    def test_also_where_the_log_was_compacted(self) -> None:
+    def test_it_joins_again_after_the_log_was_compacted(self) -> None:
         player = FleetPlayer(self.TEXT)
         with (
             mock.patch.object(raft_driver, "COMPACT_ENTRIES", 3),
@@ -90,7 +90,7 @@
         node = player.members["m3"].program.parts.driver.node
         self.assertGreater(node._state.log.snapshot.index, 3)
 
-    def test_it_was_removed_indeed(self) -> None:
+    def test_it_was_removed_while_absent(self) -> None:
         text = self.TEXT.partition("at 60 start")[0] + "end 59"
         player = FleetPlayer(text)
         player.play()
@@ -123,33 +123,33 @@
         )
 
     @property
-    def first(self) -> int:
+    def first_identity(self) -> int:
         return seed_identity(self.settings.bind_addresses.control)
 
-    def test_a_store_that_is_discarded_gives_no_identity_back(self) -> None:
+    def test_the_identity_of_a_discarded_store_is_not_reused(self) -> None:
         opened = open_store(self.settings)
-        self.assertEqual(opened.identity, self.first)
+        self.assertEqual(opened.identity, self.first_identity)
         opened.store.close()
-        anew = discard_and_reopen(self.settings)
-        self.assertNotEqual(anew.identity, self.first)
-        self.assertFalse(anew.restored.snapshot.membership.members)
-        anew.store.close()
+        reopened = discard_and_reopen(self.settings)
+        self.assertNotEqual(reopened.identity, self.first_identity)
+        self.assertFalse(reopened.restored.snapshot.membership.members)
+        reopened.store.close()
 
-    def test_not_even_where_the_process_ends_before_the_new_one_is_made(self) -> None:
+    def test_the_identity_is_not_reused_if_the_process_ends_before_the_new_store_is_created(self) -> None:
         open_store(self.settings).store.close()
         with mock.patch.object(ReplicaStore, "create", side_effect=KeyboardInterrupt):
             with self.assertRaises(KeyboardInterrupt):
                 discard_and_reopen(self.settings)
         opened = open_store(self.settings)
-        self.assertNotEqual(opened.identity, self.first)
+        self.assertNotEqual(opened.identity, self.first_identity)
         opened.store.close()
 
-    def test_damage_at_the_start_is_treated_alike(self) -> None:
+    def test_the_identity_of_a_store_that_is_damaged_at_the_start_is_not_reused(self) -> None:
         open_store(self.settings).store.close()
         for path in Path(self.folder, FOLDER).iterdir():
             path.write_bytes(b"\0" * path.stat().st_size)
         opened = open_store(self.settings)
-        self.assertNotEqual(opened.identity, self.first)
+        self.assertNotEqual(opened.identity, self.first_identity)
         opened.store.close()
         self.assertTrue(os.path.exists(os.path.join(self.folder, FOLDER, "discarded")))
 
@@ -205,13 +205,13 @@
                 asyncio.run(serve())
         return FakeMember.made
 
-    def test_a_member_with_an_unusable_store_is_stopped_and_comes_back_as_another(self) -> None:
+    def test_a_member_with_an_unusable_store_is_stopped_and_replaced_by_a_new_one(self) -> None:
         first, second = self.play()
         self.assertTrue(first.stopped and second.stopped)
         first.opened.store.close.assert_called_once()
         self.assertNotEqual(first.opened.identity, second.opened.identity)
 
-    def test_a_store_that_is_still_written_is_not_discarded(self) -> None:
+    def test_a_store_with_a_write_in_progress_is_not_discarded(self) -> None:
         def init(self, settings: object, opened, original=FakeMember.__init__) -> None:
             original(self, settings, opened)
             self.storage_ended = False
--- a/tests/support/command_model.py
+++ b/tests/support/command_model.py
@@ -1,8 +1,8 @@
 """A model of two operators' calls whose duplicates are applied in any order, and a checker of their results.
 
 Each call may be applied several times: its caller retries after a lost response, and members propose it again
-after a change of leader. The result of every duplicate counts as reported to its caller. One replica is never
-restored, a second one is restored from its own snapshot after each command.
+after a change of leader. The result of each duplicate counts as reported to its caller. One replica is never
+restored; a second one is restored from its own snapshot after each command.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 NewVersions = Callable[[], ConfigurationVersions]
 
 
-class RuleBroken(AssertionError):
+class InvariantViolationError(AssertionError):
     """A result that must not be reported to an operator, or replicas that differ."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call of an operator: what all of its duplicates have in common."""
+    """One call of an operator, without the data that differs between its duplicates."""
 
     revision: int
     content: str
@@ -40,11 +40,11 @@
 
     @property
     def document(self) -> tuple[int, str]:
-        """What the body says; calls on different versions may share it."""
+        """The body's content; calls based on different versions may share it."""
         return self.revision, self.content
 
     def command(self) -> PutConfiguration:
-        """The call as it stands in the log."""
+        """The call's command in the log."""
         text = f"{self.revision} {self.content}".encode()
         digest = hashlib.blake2b(text, digest_size=16).digest()
         return PutConfiguration(
@@ -54,102 +54,104 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How much the state machine remembers."""
+    """The limits of the records that the state machine keeps."""
 
     max_accepted: int
     max_rejected: int
 
 
 @dataclass(slots=True)
-class Judge:
-    """The results reported so far, and whether one more agrees with them."""
+class ResultChecker:
+    """The results reported so far; checks that each further result is consistent with them."""
 
     bounds: Bounds
-    in_force: list[Call] = field(default_factory=list)
+    in_effect: list[Call] = field(default_factory=list)
     refused: set[Call] = field(default_factory=set)
     acknowledged: set[Call] = field(default_factory=set)
 
     @property
     def revision(self) -> int:
         """The current revision."""
-        return self.in_force[-1].revision if self.in_force else 0
+        return self.in_effect[-1].revision if self.in_effect else 0
 
-    def copy(self) -> Judge:
-        """The same history, to go on in another way."""
-        return Judge(self.bounds, list(self.in_force), set(self.refused), set(self.acknowledged))
+    def copy(self) -> ResultChecker:
+        """A copy, for a different continuation."""
+        return ResultChecker(self.bounds, list(self.in_effect), set(self.refused), set(self.acknowledged))
 
     def check_result(self, call: Call, result: CommandResult) -> None:
-        """Check and record one result; raises `RuleBroken`."""
-        accepted = call.document in {one.document for one in self.in_force}
+        """Check and record one result; raises `InvariantViolationError`."""
+        accepted = call.document in {one.document for one in self.in_effect}
         if result == DONE:
-            self._must(not accepted, "accepted twice")
-            self._must(call not in self.refused, "in force although it was refused")
-            self._must(call.based_on == self.revision, "in force though another change of its version won")
-            self._must(call.revision > self.revision, "in force though its revision is not above")
-            self.in_force.append(call)
+            self._require(not accepted, "accepted twice")
+            self._require(call not in self.refused, "in effect although it was rejected")
+            self._require(call.based_on == self.revision, "in effect although based on another version")
+            self._require(call.revision > self.revision, "in effect although its revision is not higher")
+            self.in_effect.append(call)
             self.acknowledged.add(call)
         elif result == ALREADY_DONE:
-            self._must(accepted, "acknowledged and not in force")
+            self._require(accepted, "acknowledged but not in effect")
             self.acknowledged.add(call)
         elif result == OUTCOME_UNKNOWN:
-            self._must(
-                self._may_be_forgotten(call) or self._no_capacity(call), "no clear answer without need"
+            self._require(
+                self._may_be_forgotten(call) or self._no_capacity(call), "unknown outcome without need"
             )
         else:
-            self._must(not accepted and call not in self.acknowledged, "accepted, and then rejected")
+            self._require(not accepted and call not in self.acknowledged, "rejected after it was accepted")
             valid = call.based_on == self.revision < call.revision
-            self._must(call in self.refused or not valid, "a valid change was refused")
+            self._require(call in self.refused or not valid, "a valid change was rejected")
             self.refused.add(call)
 
     def check_bounds(self, state: ReplicatedState) -> None:
-        """Raise `RuleBroken` if a replica remembers more than its bounds allow."""
+        """Raise `InvariantViolationError` if a replica keeps more records than its bounds allow."""
         recorded = len(state.taken_records) // RECORD.size
-        self._must(recorded <= self.bounds.max_accepted, "more configurations are remembered than may be")
-        self._must(len(state.refused) <= self.bounds.max_rejected, "more refusals are remembered than may be")
+        self._require(recorded <= self.bounds.max_accepted, "more configurations are recorded than allowed")
+        self._require(
+            len(state.refused) <= self.bounds.max_rejected, "more rejections are recorded than allowed"
+        )
 
     def _may_be_forgotten(self, call: Call) -> bool:
-        dropped = self.in_force[: max(0, len(self.in_force) - self.bounds.max_accepted)]
+        dropped = self.in_effect[: max(0, len(self.in_effect) - self.bounds.max_accepted)]
         return bool(dropped) and call.revision <= dropped[-1].revision
 
     def _no_capacity(self, call: Call) -> bool:
-        waiting = [one for one in self.refused if self.revision <= one.based_on < one.revision]
-        return len(waiting) >= self.bounds.max_rejected and call.based_on > self.revision
+        recorded_ahead = [one for one in self.refused if self.revision <= one.based_on < one.revision]
+        return len(recorded_ahead) >= self.bounds.max_rejected and call.based_on > self.revision
 
-    def _must(self, holds: bool, what: str) -> None:
+    def _require(self, holds: bool, violation: str) -> None:
         if not holds:
-            raise RuleBroken(what)
+            raise InvariantViolationError(violation)
 
 
 class Replicas:
-    """Two replicas of one log, and the judge of what they answer."""
+    """Two replicas of one log, and the checker of their results."""
 
-    def __init__(self, new_versions: NewVersions, judge: Judge) -> None:
+    def __init__(self, new_versions: NewVersions, checker: ResultChecker) -> None:
         self._new_versions = new_versions
-        self.judge = judge
-        self.steady = new_versions()
+        self.checker = checker
+        self.unrestored = new_versions()
         self.restored = new_versions()
 
     def fork(self) -> Replicas:
-        """The same state, to go on in another way."""
-        other = Replicas(self._new_versions, self.judge.copy())
-        other.steady.restore(state_of(self.steady))
+        """A copy of the replicas, for a different continuation."""
+        other = Replicas(self._new_versions, self.checker.copy())
+        other.unrestored.restore(state_of(self.unrestored))
         other.restored.restore(state_of(self.restored))
         return other
 
     def apply(self, call: Call, command: PutConfiguration) -> None:
-        """Apply one duplicate of a call to all replicas; raises `RuleBroken`."""
-        result = self.steady.apply(command)
+        """Apply one duplicate of a call to all replicas; raises `InvariantViolationError`."""
+        result = self.unrestored.apply(command)
         if self.restored.apply(command) != result:
-            raise RuleBroken("replicas answer differently")
+            raise InvariantViolationError("replicas return different results")
         self.restart()
-        state = state_of(self.steady)
+        state = state_of(self.unrestored)
         if state != state_of(self.restored):
-            raise RuleBroken("replicas hold different states")
-        self.judge.check_result(call, result)
-        self.judge.check_bounds(state)
+            raise InvariantViolationError("replicas have different states")
+        self.checker.check_result(call, result)
+        self.checker.check_bounds(state)
 
     def restart(self) -> None:
-        """Build one replica anew from its snapshot."""
+        """Rebuild one replica from its snapshot."""
         saved = state_of(self.restored)
         self.restored = self._new_versions()
         self.restored.restore(saved)
@@ -163,22 +165,25 @@
 
 
 def apply_in_all_orders(replicas: Replicas, calls: Sequence[Call], copies: int) -> int:
-    """Apply so many duplicates of each call in each order; returns the number of applications."""
+    """Apply `copies` duplicates of each call in each order; returns the number of applications."""
     commands = [call.command() for call in calls]
-    return _go_on(replicas, calls, commands, [copies] * len(calls))
+    return _apply_remaining(replicas, calls, commands, [copies] * len(calls))
 
 
-def _go_on(
-    replicas: Replicas, calls: Sequence[Call], commands: Sequence[PutConfiguration], left: Sequence[int]
+def _apply_remaining(
+    replicas: Replicas,
+    calls: Sequence[Call],
+    commands: Sequence[PutConfiguration],
+    copies_left: Sequence[int],
 ) -> int:
     applied = 0
-    for number in _with_copies(left):
-        next_one = replicas.fork()
-        next_one.apply(calls[number], commands[number])
-        still_left = [count - (position == number) for position, count in enumerate(left)]
-        applied += 1 + _go_on(next_one, calls, commands, still_left)
+    for number in _calls_with_copies_left(copies_left):
+        branch = replicas.fork()
+        branch.apply(calls[number], commands[number])
+        remaining = [count - (position == number) for position, count in enumerate(copies_left)]
+        applied += 1 + _apply_remaining(branch, calls, commands, remaining)
     return applied
 
 
-def _with_copies(left: Sequence[int]) -> Iterator[int]:
-    return (number for number, count in enumerate(left) if count)
+def _calls_with_copies_left(copies_left: Sequence[int]) -> Iterator[int]:
+    return (number for number, count in enumerate(copies_left) if count)
--- a/tests/support/control_plane_rig.py
+++ b/tests/support/control_plane_rig.py
@@ -1,4 +1,4 @@
-"""Members as real processes on loopback: one address (127.0.x.y) for each machine, ports the same on all."""
+"""Members as real processes on loopback: each machine has an address (127.0.x.y), with the same ports."""
 
 from __future__ import annotations
 
@@ -21,14 +21,16 @@
 from mallowbeam.router.rpc.framing import FrameReader, encode_frame
 from mallowbeam.router.rpc.messages_pb2 import FeedFrame, FeedHello, GatewayFrame, LinkFrame
 
-WAIT_TIMEOUT_S = 30.0  # seconds for what should take a moment: only a failure takes so long
+WAIT_TIMEOUT_S = (
+    30.0  # upper bound for conditions that are normally met at once; only a failure takes so long
+)
 HTTP_TIMEOUT_S = 2.0
-UNCLEAR = (0, 503, 504)  # no answer, or one that promises nothing or asks to come again
+UNCLEAR = (0, 503, 504)  # no response, or one that leaves the outcome open or asks for a retry
 
 
 @dataclass(frozen=True)
 class Answer:
-    """What a call brought; status 0: no answer."""
+    """The response to a call; status 0 if there was none."""
 
     status: int
     body: bytes = b""
@@ -38,7 +40,7 @@
 
 
 def free_ports(ip: str, count: int) -> list[int]:
-    """Ports that nobody uses at an address."""
+    """Unused ports of an address."""
     sockets = [socket.socket() for _ in range(count)]
     try:
         for sock in sockets:
@@ -50,7 +52,7 @@
 
 
 class Machine:
-    """One machine: its address, its disk, and the member's process on it."""
+    """One machine with its address, its disk, and its member process."""
 
     def __init__(self, rig: Rig, number: int) -> None:
         self.rig, self.number = rig, number
@@ -136,13 +138,13 @@
     def clear(
         self, method: str, path: str, body: bytes = b"", headers: Mapping[str, str] | None = None
     ) -> Answer:
-        """The first clear answer; a call without one may be sent again, unchanged."""
+        """Repeat a call, unchanged, until its response is conclusive."""
 
         def attempt() -> Answer | None:
             answer = self.call(method, path, body, headers)
             return answer if answer.status not in UNCLEAR else None
 
-        return self.rig.until(f"a clear answer of {self.ip}", attempt)
+        return self.rig.until(f"a conclusive response from {self.ip}", attempt)
 
     def status(self) -> dict | None:
         answer = self.call("GET", "/mallowbeam/status")
@@ -153,7 +155,7 @@
 
 
 class Rig:
-    """A few machines, and what operators and instances do to them."""
+    """A few machines, and the actions of operators and instances."""
 
     def __init__(self, seeds: int = 3) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="mallowbeam-control-"))
@@ -173,7 +175,7 @@
         for machine in self.machines:
             machine.start(bootstrap=True)
         for machine in self.machines:
-            self.until("a member that answers", machine.status)
+            self.until("a member that responds", machine.status)
 
     def close(self) -> None:
         for machine in self.machines:
@@ -184,8 +186,8 @@
     def running(self) -> list[Machine]:
         return [machine for machine in self.machines if machine.process is not None]
 
-    def until(self, what: str, condition: Callable[[], object]) -> object:
-        """Wait for a condition; its value. Fails with the members' logs."""
+    def until(self, description: str, condition: Callable[[], object]) -> object:
+        """Wait until a condition is true and return its value; on a timeout, fail with the members' logs."""
         end = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < end:
             value = condition()
@@ -193,10 +195,10 @@
                 return value
             time.sleep(0.05)
         logs = "\n".join(f"--- {machine.ip}\n{machine.log()}" for machine in self.machines)
-        raise AssertionError(f"not seen: {what}\n{logs}")
+        raise AssertionError(f"timeout while waiting for {description}\n{logs}")
 
     def leader(self) -> Machine:
-        """The member that leads, once a majority says so."""
+        """Wait until a majority of the members names the same leader, and return it."""
         return self.until("a leader", self._leader)
 
     def _leader(self) -> Machine | None:
@@ -208,7 +210,7 @@
         return None
 
     def acknowledged(self, send: Callable[[Machine], Answer]) -> Answer:
-        """Send a call to one member after another until the answer is clear."""
+        """Send a call to one member after another until a response is conclusive."""
 
         def attempt() -> Answer | None:
             for machine in self.running():
@@ -217,7 +219,7 @@
                     return answer
             return None
 
-        return self.until("a clear answer", attempt)
+        return self.until("a conclusive response", attempt)
 
     def put_config(self, revision: int, based_on: int, **more: object) -> Answer:
         body = json.dumps(configuration(revision, **more)).encode()
@@ -272,7 +274,7 @@
 
 
 class Gateway:
-    """A gateway's end of a feed, on a plain socket."""
+    """The gateway's end of a feed, on a plain socket."""
 
     def __init__(self, machine: Machine, revision: int = 0) -> None:
         self._socket = socket.create_connection((machine.ip, machine.rig.peer_port), timeout=WAIT_TIMEOUT_S)
@@ -286,18 +288,18 @@
         while not self._frames:
             data = self._socket.recv(65536)
             if not data:
-                raise AssertionError("the feed has ended")
+                raise AssertionError("the feed was closed")
             self._frames += [FeedFrame.FromString(body) for body in self._reader.feed(data)]
         return self._frames.pop(0)
 
-    def until(self, what: str, condition: Callable[[FeedFrame], bool]) -> FeedFrame:
+    def until(self, description: str, condition: Callable[[FeedFrame], bool]) -> FeedFrame:
         """The first frame that meets a condition."""
         end = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < end:
             frame = self.frame()
             if condition(frame):
                 return frame
-        raise AssertionError(f"not told: {what}")
+        raise AssertionError(f"timeout while waiting for {description}")
 
     def close(self) -> None:
         self._socket.close()
