--- a/mallowbeam/router/control_plane/frame_dispatcher.py
+++ b/mallowbeam/router/control_plane/frame_dispatcher.py
@@ -112,7 +112,7 @@
 
     def closed(self, connection: FrameConnection) -> None:
         """A connection has closed."""
-        if self._links.forget(connection):
+        if self._links.remove_incoming(connection):
             self._peers.link_lost()
         self._feeds.gateway_closed(connection)
 
@@ -127,13 +127,13 @@
             return
         kind = frame.WhichOneof("body")
         if frame.HasField("sender_member") and kind != "join":
-            self._links.introduce(connection, frame.sender_member)
+            self._links.add_incoming(connection, frame.sender_member)
         self._links.record_contact(frame.sender)
         call = self._peer_calls.get(kind or "")
         if call is not None:
             call(connection, frame)
 
 
-def join_answer(own: int, response: JoinResponse) -> LinkFrame:
+def join_response_frame(own: int, response: JoinResponse) -> LinkFrame:
     """The frame with the response to a join request, for the connection of the request."""
     return LinkFrame(peer=PeerFrame(sender=own, join_response=response))
--- a/mallowbeam/router/control_plane/member.py
+++ b/mallowbeam/router/control_plane/member.py
@@ -53,7 +53,7 @@
 
     def reload(self, settings: NodeSettings) -> None:
         """Apply changed seeds; all other changed settings apply from the next start."""
-        self.parts.joining.set_seeds(seed_link_addresses(settings))
+        self.parts.cluster_join.set_seeds(seed_link_addresses(settings))
 
     async def stop(self) -> None:
         """Transfer leadership, give up the vote, drain the calls in flight, and close.
@@ -62,13 +62,13 @@
         the change to its successor is committed.
         """
         parts = self.parts
-        parts.joining.stop()
+        parts.cluster_join.stop()
         parts.stages.stop()
         if self.unusable.done() or self.outdated.done():
             await parts.api_server.drain(API_DRAIN_TIMEOUT_S)
         else:
             await self._transfer_leadership()
-            await asyncio.gather(parts.leaving.leave(), parts.api_server.drain(API_DRAIN_TIMEOUT_S))
+            await asyncio.gather(parts.graceful_leave.leave(), parts.api_server.drain(API_DRAIN_TIMEOUT_S))
             await self._transfer_leadership()  # it may have been elected meanwhile
         self._cycle.stop()
         await self._close()
--- a/mallowbeam/router/control_plane/member_builder.py
+++ b/mallowbeam/router/control_plane/member_builder.py
@@ -74,13 +74,13 @@
         own=replication.own,
         links=replication.links,
         dispatcher=FrameDispatcher(replication.links, wiring.peer_requests, serving.feeds),
-        machine=replication.machine,
+        state_machine=replication.state_machine,
         storage=replication.storage,
         driver=replication.driver,
         commands=replication.commands,
         membership=membership.manager,
-        joining=membership.joining,
-        leaving=membership.leaving,
+        cluster_join=membership.cluster_join,
+        graceful_leave=membership.graceful_leave,
         instances=instances.service,
         stages=instances.stages,
         attempts=instances.attempts,
@@ -90,7 +90,7 @@
         metrics_server=serving.metrics_server,
     )
     member = wiring.connect(parts)
-    parts.machine.restore(opened.restored.snapshot.state)
+    parts.state_machine.restore(opened.restored.snapshot.state)
     return member
 
 
@@ -127,7 +127,7 @@
 
     def writes_durable(self, writes: Sequence[Write]) -> None:
         """Storage has made writes durable; called in the event loop."""
-        self._parts.driver.durable(writes)
+        self._parts.driver.writes_durable(writes)
 
     def store_damaged(self, error: MallowbeamError) -> None:
         """A write found the store damaged; called in the writer's thread."""
@@ -140,7 +140,7 @@
     def answer_leave(self, member: int, response: LeaveResponse) -> None:
         """Send a response to a leaving member, which may be this one."""
         if member == self._parts.own.id:
-            self._parts.leaving.receive_response(response)
+            self._parts.graceful_leave.receive_response(response)
         else:
             self._parts.links.send(member, PeerFrame(leave_response=response))
 
@@ -171,7 +171,7 @@
     parser: ConfigurationParser
     links: PeerLinks
     table: InstanceTable
-    machine: ReplicatedStateMachine
+    state_machine: ReplicatedStateMachine
     storage: StorageWriter
     driver: RaftDriver
     gate: ResponseGate
@@ -184,17 +184,17 @@
     links = PeerLinks(own, wiring.frame_received)
     parser = ConfigurationParser()
     table = InstanceTable(settings.heartbeat_ms / 1000, now)
-    machine = ReplicatedStateMachine(parser, wiring.instance_retired)
+    state_machine = ReplicatedStateMachine(parser, wiring.instance_retired)
     storage = StorageWriter(DamageReportingStore(opened.store, wiring.store_damaged), wiring.writes_durable)
     raft_settings = RaftSettings(opened.identity, trailing_entries=TRAILING_ENTRIES)
     node = RaftNode(raft_settings, opened.restored, now, random.Random())
-    driver = RaftDriver(node, machine, storage.submit, wiring.send_raft, wiring)
+    driver = RaftDriver(node, state_machine, storage.submit, wiring.send_raft, wiring)
     return _Replication(
         own=own,
         parser=parser,
         links=links,
         table=table,
-        machine=machine,
+        state_machine=state_machine,
         storage=storage,
         driver=driver,
         gate=ResponseGate(time.monotonic, driver.staleness, lambda: driver.is_leader),
@@ -226,7 +226,7 @@
     service = InstanceService(
         RegistryParts(
             table=replication.table,
-            retirements=replication.machine.retirements,
+            retirements=replication.state_machine.retirements,
             commands=replication.commands,
             links=replication.links,
             gate=replication.gate,
@@ -241,7 +241,7 @@
     stages = StageController(
         StageOrderClient(lease),
         replication.table,
-        replication.machine.configurations,
+        replication.state_machine.configurations,
         wiring.gateways_outdated,
         apply_overrides(StageBalancerSettings(), read_overrides(), "stages"),
     )
@@ -265,7 +265,7 @@
     wiring: _Wiring,
     run_job: JobRunner,
 ) -> _ServingParts:
-    versions = replication.machine.configurations
+    versions = replication.state_machine.configurations
     status = StatusPage(replication.driver, replication.links, replication.table, versions, replication.gate)
     publisher = FeedPublisher(ConfigurationFeed(versions), replication.table, instances.attempts.for_gateways)
     feeds = FeedServer(
@@ -292,14 +292,14 @@
     """The parts that change the membership."""
 
     manager: MembershipManager
-    joining: ClusterJoin
-    leaving: GracefulLeave
+    cluster_join: ClusterJoin
+    graceful_leave: GracefulLeave
 
 
 def _build_membership(settings: NodeSettings, replication: _Replication, wiring: _Wiring) -> _MembershipParts:
     manager = MembershipManager(replication.driver, replication.own.id, wiring.answer_leave)
-    joining = ClusterJoin(
+    cluster_join = ClusterJoin(
         replication.driver, replication.own, settings.bootstrap, seed_link_addresses(settings)
     )
-    leaving = GracefulLeave(replication.driver, replication.links, manager.leave)
-    return _MembershipParts(manager, joining, leaving)
+    graceful_leave = GracefulLeave(replication.driver, replication.links, manager.leave)
+    return _MembershipParts(manager, cluster_join, graceful_leave)
--- a/mallowbeam/router/control_plane/member_cycle.py
+++ b/mallowbeam/router/control_plane/member_cycle.py
@@ -66,7 +66,7 @@
         """One cycle over all parts: membership, instances, gateways, stages, idle connections."""
         parts = self._parts
         parts.membership.run_cycle()
-        parts.joining.run_cycle()
+        parts.cluster_join.run_cycle()
         members = parts.driver.node.membership.members
         parts.instances.run_cycle([known.id for known in members if known.id != parts.own.id])
         parts.status.gateways = parts.instances.gateway_counts.total(len(parts.feeds), time.monotonic())
--- a/mallowbeam/router/control_plane/member_parts.py
+++ b/mallowbeam/router/control_plane/member_parts.py
@@ -29,13 +29,13 @@
     own: Member  # this member's entry in the membership
     links: PeerLinks
     dispatcher: FrameDispatcher
-    machine: ReplicatedStateMachine
+    state_machine: ReplicatedStateMachine
     storage: StorageWriter
     driver: RaftDriver
     commands: CommandForwarder
     membership: MembershipManager
-    joining: ClusterJoin
-    leaving: GracefulLeave
+    cluster_join: ClusterJoin
+    graceful_leave: GracefulLeave
     instances: InstanceService
     stages: StageController
     attempts: AttemptReports
--- a/mallowbeam/router/control_plane/membership_manager.py
+++ b/mallowbeam/router/control_plane/membership_manager.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from mallowbeam.router.consensus.errors import ConsensusError
-from mallowbeam.router.control_plane.frame_dispatcher import join_answer
+from mallowbeam.router.control_plane.frame_dispatcher import join_response_frame
 from mallowbeam.router.control_plane.leave_requests import PendingLeaveRequests
 from mallowbeam.router.control_plane.membership_policy import (
     ClusterView,
@@ -76,7 +76,7 @@
             if changed is not None:
                 log.info("proposing learner %016x at %s", request.member.id, request.member.address)
                 self._propose(changed)
-        connection.send(join_answer(self._own_id, response))
+        connection.send(join_response_frame(self._own_id, response))
 
     def _name_leader(self, response: JoinResponse) -> None:
         for member in self._driver.node.membership.members:
--- a/mallowbeam/router/control_plane/peer_links.py
+++ b/mallowbeam/router/control_plane/peer_links.py
@@ -19,7 +19,7 @@
 MAX_BACKOFF_S = 0.5
 MAX_UNSENT_BYTES = 4 * 1024 * 1024  # per link; further frames are dropped
 CONTACT_TIMEOUT_S = 1.0  # a send reconnects after this time without a frame of the peer
-GRACE_PERIOD_S = 1.0  # a new connection is kept for this time without a frame of the peer
+NEW_CONNECTION_GRACE_S = 1.0  # a new connection is kept for this time without a frame of the peer
 
 log = get_logger("mallowbeam.links")
 
@@ -78,7 +78,7 @@
     def _is_suspect(self) -> bool:
         """Whether an open connection may be dead: after a partition, TCP may wait long to retransmit."""
         now = self._loop.time()
-        return now - self._opened_at > GRACE_PERIOD_S and now - self.last_contact > CONTACT_TIMEOUT_S
+        return now - self._opened_at > NEW_CONNECTION_GRACE_S and now - self.last_contact > CONTACT_TIMEOUT_S
 
     async def _connect(self) -> None:
         """Connect, retrying with exponential backoff."""
@@ -133,14 +133,14 @@
         self._members = {member.id: member for member in members if member.id != self.own.id}
         self._update_links()
 
-    def introduce(self, connection: FrameConnection, member: Member) -> None:
+    def add_incoming(self, connection: FrameConnection, member: Member) -> None:
         """Record the member at the other end of an incoming connection."""
         if member.id == self.own.id:
             return
         self._incoming[connection] = member
         self._update_links()
 
-    def forget(self, connection: FrameConnection) -> bool:
+    def remove_incoming(self, connection: FrameConnection) -> bool:
         """Remove a closed incoming connection; returns whether it was a member's."""
         if self._incoming.pop(connection, None) is None:
             return False
--- a/mallowbeam/router/control_plane/peer_requests.py
+++ b/mallowbeam/router/control_plane/peer_requests.py
@@ -47,7 +47,7 @@
 
     def leave_response(self, response: LeaveResponse) -> None:
         """The leader's response to this member's request to leave."""
-        self.parts.leaving.receive_response(response)
+        self.parts.graceful_leave.receive_response(response)
 
     def propose(self, sender: int, request: ProposeRequest) -> None:
         """A command that a member forwards to the leader."""
@@ -67,7 +67,7 @@
 
     def wrong_recipient(self, caller: Member) -> None:
         """A member called an earlier identity of this address; it can be asked to accept this member."""
-        self.parts.joining.add_caller(caller.address)
+        self.parts.cluster_join.add_caller(caller.address)
 
     def link_lost(self) -> None:
         """Another member's connection to this one has ended."""
--- a/mallowbeam/router/control_plane/raft_driver.py
+++ b/mallowbeam/router/control_plane/raft_driver.py
@@ -106,7 +106,7 @@
         send: Callable[[int, RaftMessage], None],
         listener: DriverListener,
     ) -> None:
-        """`submit` queues a write in storage, which calls `durable`; `send` sends to a member by its id."""
+        """`submit` queues a write in storage, which calls `writes_durable`; `send` sends to a member id."""
         self._node = node
         self._machine = machine
         self._submit = submit
@@ -181,7 +181,7 @@
         """A future that is done once this member has applied all entries up to an index."""
         return self._applied.add(index, self.applied_index)
 
-    def durable(self, writes: Sequence[Write]) -> None:
+    def writes_durable(self, writes: Sequence[Write]) -> None:
         """Handle writes that became durable: send the messages that were held back for them."""
         for write in writes:
             self._send_all(write.send_when_durable)
--- a/mallowbeam/router/control_plane/response_gate.py
+++ b/mallowbeam/router/control_plane/response_gate.py
@@ -138,11 +138,11 @@
         return self._staleness()
 
     @property
-    def out_of_touch(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether to report to gateways and operators that this member has lost contact with the majority."""
         return self._staleness() > FEED_MAX_STALENESS_S
 
-    def may(self, kind: ResponseKind, evidence: Evidence = NO_EVIDENCE) -> bool:
+    def allows(self, kind: ResponseKind, evidence: Evidence = NO_EVIDENCE) -> bool:
         """Whether data of a kind may be sent now, given the evidence for it."""
         match CONDITIONS[kind]:
             case Unconditional():
@@ -160,7 +160,7 @@
 
     def check(self, kind: ResponseKind, evidence: Evidence = NO_EVIDENCE) -> None:
         """Raise :class:`IsolatedMemberError` if data of a kind may not be sent now."""
-        if not self.may(kind, evidence):
+        if not self.allows(kind, evidence):
             raise IsolatedMemberError(
                 "this member is isolated from the group, or was suspended during the call", kind.value
             )
@@ -180,7 +180,7 @@
     def feed_allowance(self) -> FeedAllowance:
         """The parts of a feed that may be sent now."""
         return FeedAllowance(
-            configuration=self.may(ResponseKind.FEED_CONFIGURATION),
-            table=self.may(ResponseKind.FEED_TABLE),
-            instance_changes=self.may(ResponseKind.FEED_INSTANCE_CHANGES),
+            configuration=self.allows(ResponseKind.FEED_CONFIGURATION),
+            table=self.allows(ResponseKind.FEED_TABLE),
+            instance_changes=self.allows(ResponseKind.FEED_INSTANCE_CHANGES),
         )
--- a/mallowbeam/router/control_plane/stage_lease.py
+++ b/mallowbeam/router/control_plane/stage_lease.py
@@ -38,7 +38,7 @@
 
     def token(self, now: float) -> int | None:
         """The fencing token under which an order may be sent in this step; None if none may be sent."""
-        if not self._gate.may(ResponseKind.INSTANCE_ORDER):
+        if not self._gate.allows(ResponseKind.INSTANCE_ORDER):
             return None
         return self._lease.token(self._leadership(now), now)
 
--- a/mallowbeam/router/control_plane/status_page.py
+++ b/mallowbeam/router/control_plane/status_page.py
@@ -49,7 +49,7 @@
             "term": node.term,
             "role": node.role.value,
             "silence_ms": milliseconds(self._gate.staleness()),
-            "out_of_touch": self._gate.out_of_touch,
+            "out_of_touch": self._gate.is_isolated,
             "commit_index": node.commit_index,
             "applied_index": self._driver.applied_index,
             "members": [self._member(member) for member in node.membership.members],
--- a/mallowbeam/router/control_plane/store_recovery.py
+++ b/mallowbeam/router/control_plane/store_recovery.py
@@ -15,7 +15,7 @@
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.processes.settings import NodeSettings
 
-FOLDER = "replica"
+STORE_FOLDER = "replica"
 DISCARDED_MARKER = "discarded"  # marker file: the identity derived at a first start is never used here again
 DEFAULT_DISK_MB = 128  # if the settings state no limit
 
@@ -82,7 +82,7 @@
 def _folder(settings: NodeSettings) -> str:
     if settings.data_dir is None:
         raise ControlSettingsError("is missing", "data_dir")
-    return os.path.join(settings.data_dir, FOLDER)
+    return os.path.join(settings.data_dir, STORE_FOLDER)
 
 
 def _disk_mb(settings: NodeSettings) -> int:
--- a/mallowbeam/simulation/fleet.py
+++ b/mallowbeam/simulation/fleet.py
@@ -291,7 +291,7 @@
         if name in self.gateways:
             return self.gateways[name].revision
         program = self.members[name].program
-        return program.parts.machine.configurations.revision if program is not None else 0
+        return program.parts.state_machine.configurations.revision if program is not None else 0
 
     def _leading(self) -> list[SimulatedMember]:
         return [
--- a/mallowbeam/simulation/fleet_processes.py
+++ b/mallowbeam/simulation/fleet_processes.py
@@ -251,7 +251,7 @@
         seeded = SimpleNamespace(Random=lambda: Random(self._random.random()))
         with replaced(member_builder, {"StorageWriter": writer, "Server": server, "random": seeded}):
             program = member_builder.build_member(self._settings, opened, run_inline)
-        self._record_applied(program.parts.machine)
+        self._record_applied(program.parts.state_machine)
         await program.start()
         self.program = program
         program.outdated.add_done_callback(lambda _: self.machine.kill())  # the role ends and keeps the store
--- a/tests/router/control_plane/test_control_plane_loopback.py
+++ b/tests/router/control_plane/test_control_plane_loopback.py
@@ -38,7 +38,7 @@
 
     @staticmethod
     def put_clear(machine: Machine, body: bytes, based_on: str) -> Answer:
-        return machine.clear("PUT", CONFIG, body, {"If-Match": based_on})
+        return machine.call_until_conclusive("PUT", CONFIG, body, {"If-Match": based_on})
 
     def read_back(self, revision: int) -> None:
         """All members answer with a configuration."""
@@ -59,13 +59,13 @@
 class Configurations(Members):
     def test_calls_and_their_answers(self) -> None:
         first, second, third = self.rig.machines
-        self.assertEqual(first.clear("GET", CONFIG).status, 404)
+        self.assertEqual(first.call_until_conclusive("GET", CONFIG).status, 404)
         body = json.dumps(configuration(3)).encode()
-        answer = self.rig.acknowledged(lambda machine: self.put(machine, body, "0"))
+        answer = self.rig.send_until_conclusive(lambda machine: self.put(machine, body, "0"))
         self.assertEqual((answer.status, answer.json()), (200, {"revision": 3}))
         for machine in self.rig.machines:
             self.assertEqual(self.put_clear(machine, body, "0").status, 200)
-            self.assertEqual(machine.clear("GET", CONFIG).json(), configuration(3))
+            self.assertEqual(machine.call_until_conclusive("GET", CONFIG).json(), configuration(3))
         other = json.dumps(configuration(4)).encode()
         self.assertEqual(self.put_clear(second, other, "2").status, 412)
         low = json.dumps(configuration(2)).encode()
@@ -74,15 +74,15 @@
             refused = self.put_clear(first, bad, based_on)
             self.assertEqual(refused.status // 100, 4)
             self.assertEqual(set(refused.json()["error"]), {"code", "where", "what", "remedy"})
-        self.assertEqual(first.clear("GET", "/elsewhere").status, 404)
-        self.assertEqual(first.clear("DELETE", CONFIG).status, 405)
+        self.assertEqual(first.call_until_conclusive("GET", "/elsewhere").status, 404)
+        self.assertEqual(first.call_until_conclusive("DELETE", CONFIG).status, 405)
         self.read_back(3)
 
     def test_a_rejected_call_stays_rejected_and_an_accepted_one_is_acknowledged_again(self) -> None:
         """One order builds on another that is taken only later; its copies come before, between and after."""
         first, second, third = self.rig.machines
         bodies = {revision: json.dumps(configuration(revision)).encode() for revision in (3, 4, 6)}
-        self.rig.acknowledged(lambda machine: self.put(machine, bodies[3], "0"))
+        self.rig.send_until_conclusive(lambda machine: self.put(machine, bodies[3], "0"))
         self.assertEqual(self.put_clear(first, bodies[6], "4").status, 412)
         self.assertEqual(self.put_clear(second, bodies[4], "3").status, 200)
         for machine in self.rig.machines:
@@ -115,20 +115,20 @@
         first, second, third = self.rig.machines
         gateway = Gateway(third)
         self.addCleanup(gateway.close)
-        self.assertEqual(first.clear("PUT", INSTANCE, heartbeat(1)).status, 200)
+        self.assertEqual(first.call_until_conclusive("PUT", INSTANCE, heartbeat(1)).status, 200)
         for machine in self.rig.machines:
             self.rig.until("an instance", lambda machine=machine: self.states(machine) == {"i-1": "ready"})
-        drained = second.clear("PUT", INSTANCE, heartbeat(2, "draining"))
+        drained = second.call_until_conclusive("PUT", INSTANCE, heartbeat(2, "draining"))
         self.assertEqual(drained.status, 200)
         for machine in self.rig.machines:
             self.rig.until("a drain", lambda machine=machine: self.states(machine) == {"i-1": "draining"})
         gateway.until("a drain", lambda frame: any(one.state == DRAINS for one in frame.instances.instances))
-        self.assertEqual(first.clear("PUT", INSTANCE, heartbeat(3)).status, 200)
+        self.assertEqual(first.call_until_conclusive("PUT", INSTANCE, heartbeat(3)).status, 200)
         self.assertEqual(self.states(first), {"i-1": "draining"})
-        ended = first.clear("DELETE", INSTANCE)
+        ended = first.call_until_conclusive("DELETE", INSTANCE)
         self.assertEqual(ended.status, 200)
         gateway.until("an end", lambda frame: any(one.state == ENDED for one in frame.instances.instances))
-        self.assertEqual(first.clear("PUT", INSTANCE, b"{}").status, 400)
+        self.assertEqual(first.call_until_conclusive("PUT", INSTANCE, b"{}").status, 400)
 
 
 class Failures(Members):
--- a/tests/router/control_plane/test_control_plane_peer_links.py
+++ b/tests/router/control_plane/test_control_plane_peer_links.py
@@ -5,12 +5,12 @@
 import asyncio
 import unittest
 
-from mallowbeam.router.control_plane.peer_links import CONTACT_TIMEOUT_S, GRACE_PERIOD_S, PeerLinks
+from mallowbeam.router.control_plane.peer_links import CONTACT_TIMEOUT_S, NEW_CONNECTION_GRACE_S, PeerLinks
 from mallowbeam.router.rpc.messages_pb2 import Member, PeerFrame
 
 OWN = Member(id=1, address="127.0.0.1:1")
 PEER = Member(id=2, address="127.0.0.1:2")
-LONG_AGO_S = -10 * (GRACE_PERIOD_S + CONTACT_TIMEOUT_S)
+LONG_AGO_S = -10 * (NEW_CONNECTION_GRACE_S + CONTACT_TIMEOUT_S)
 
 
 class OpenConnection:
@@ -47,12 +47,12 @@
         return self.links.send(PEER.id, PeerFrame())
 
     async def test_reconnects_without_contact(self) -> None:
-        self.links.introduce(OpenConnection(self.now + LONG_AGO_S), PEER)
+        self.links.add_incoming(OpenConnection(self.now + LONG_AGO_S), PEER)
         self.assertFalse(self.send())
         self.assertTrue(self.outgoing.aborted)
 
     async def test_does_not_reconnect_while_bytes_arrive(self) -> None:
-        self.links.introduce(OpenConnection(self.now), PEER)
+        self.links.add_incoming(OpenConnection(self.now), PEER)
         self.assertTrue(self.send())
         self.assertEqual((self.outgoing.sent, self.outgoing.aborted), (1, False))
 
--- a/tests/router/control_plane/test_control_plane_response_gate.py
+++ b/tests/router/control_plane/test_control_plane_response_gate.py
@@ -134,7 +134,7 @@
             self.assertEqual(set(allowed_kinds), set(ResponseKind))
             for kind, allowed in allowed_kinds.items():
                 with self.subTest(situation=expected.situation, kind=kind.name):
-                    self.assertIs(situation.gate.may(kind, evidence.get(kind, NO_EVIDENCE)), allowed)
+                    self.assertIs(situation.gate.allows(kind, evidence.get(kind, NO_EVIDENCE)), allowed)
 
     def test_without_evidence_nothing_of_the_replicated_state_is_sent(self) -> None:
         gate = Situation(leads=True).gate
@@ -145,11 +145,11 @@
             ResponseKind.RETIREMENT_ACKNOWLEDGED,
         ):
             for evidence in (NO_EVIDENCE, AppliedEntry(0)):
-                self.assertFalse(gate.may(kind, evidence))
+                self.assertFalse(gate.allows(kind, evidence))
             with self.assertRaises(IsolatedMemberError):
                 gate.check(kind)
-        self.assertFalse(gate.may(ResponseKind.CONFIGURATION_READ, AppliedEntry(7)))
-        self.assertFalse(gate.may(ResponseKind.CHANGE_ACKNOWLEDGED, ConfirmedRead(100.0)))
+        self.assertFalse(gate.allows(ResponseKind.CONFIGURATION_READ, AppliedEntry(7)))
+        self.assertFalse(gate.allows(ResponseKind.CHANGE_ACKNOWLEDGED, ConfirmedRead(100.0)))
 
     def test_each_bound_to_the_millisecond(self) -> None:
         bounds = (
@@ -160,13 +160,13 @@
             (ResponseKind.INSTANCE_ORDER, ORDER_MAX_STALENESS_S),
         )
         for kind, bound in bounds:
-            self.assertTrue(Situation(bound - 0.001, leads=True).gate.may(kind), kind)
-            self.assertFalse(Situation(bound + 0.001, leads=True).gate.may(kind), kind)
+            self.assertTrue(Situation(bound - 0.001, leads=True).gate.allows(kind), kind)
+            self.assertFalse(Situation(bound + 0.001, leads=True).gate.allows(kind), kind)
         situation = Situation()
         situation.freeze(READ_MAX_AGE_S - 0.001)
-        self.assertTrue(situation.gate.may(ResponseKind.CONFIGURATION_READ, ConfirmedRead(100.0)))
+        self.assertTrue(situation.gate.allows(ResponseKind.CONFIGURATION_READ, ConfirmedRead(100.0)))
         situation.freeze(0.002)
-        self.assertFalse(situation.gate.may(ResponseKind.CONFIGURATION_READ, ConfirmedRead(100.0)))
+        self.assertFalse(situation.gate.allows(ResponseKind.CONFIGURATION_READ, ConfirmedRead(100.0)))
 
     def test_a_starting_member_rejects_calls_only_after_a_grace_period(self) -> None:
         situation = Situation(math.inf)
--- a/tests/router/control_plane/test_control_plane_response_gate_variants.py
+++ b/tests/router/control_plane/test_control_plane_response_gate_variants.py
@@ -83,7 +83,7 @@
         return mock.patch.object(response_gate, "CONDITIONS", conditions)
 
     def test_a_gate_that_lets_everything_pass(self) -> None:
-        with mock.patch.object(ResponseGate, "may", lambda *_: True):
+        with mock.patch.object(ResponseGate, "allows", lambda *_: True):
             self.assertRegex(self.violation("gateway_reaches_only_cut_off.txt"), STALE_FEED)
 
     def test_feeds_without_the_gate(self) -> None:
--- a/tests/router/control_plane/test_control_plane_stage_order_client.py
+++ b/tests/router/control_plane/test_control_plane_stage_order_client.py
@@ -117,7 +117,9 @@
         self.assertFalse(self.written())
 
     async def test_the_gate_decides_last(self) -> None:
-        with mock.patch.object(ResponseGate, "may", lambda _, kind: kind is not ResponseKind.INSTANCE_ORDER):
+        with mock.patch.object(
+            ResponseGate, "allows", lambda _, kind: kind is not ResponseKind.INSTANCE_ORDER
+        ):
             self.assertIs(await self.exchange(lambda: None), OrderResult.NOT_SENT)
         self.assertFalse(self.written())
 
--- a/tests/router/control_plane/test_control_plane_store_recovery.py
+++ b/tests/router/control_plane/test_control_plane_store_recovery.py
@@ -14,7 +14,7 @@
 from mallowbeam.router.control_plane import membership_policy, raft_driver, role
 from mallowbeam.router.control_plane.bootstrap import seed_identity
 from mallowbeam.router.control_plane.store_recovery import (
-    FOLDER,
+    STORE_FOLDER,
     DamageReportingStore,
     discard_and_reopen,
     open_store,
@@ -146,12 +146,12 @@
 
     def test_the_identity_of_a_store_that_is_damaged_at_the_start_is_not_reused(self) -> None:
         open_store(self.settings).store.close()
-        for path in Path(self.folder, FOLDER).iterdir():
+        for path in Path(self.folder, STORE_FOLDER).iterdir():
             path.write_bytes(b"\0" * path.stat().st_size)
         opened = open_store(self.settings)
         self.assertNotEqual(opened.identity, self.first_identity)
         opened.store.close()
-        self.assertTrue(os.path.exists(os.path.join(self.folder, FOLDER, "discarded")))
+        self.assertTrue(os.path.exists(os.path.join(self.folder, STORE_FOLDER, "discarded")))
 
     def test_damage_while_running_is_reported(self) -> None:
         store, received = mock.Mock(), []
--- a/tests/router/pairing/test_rules_orders.py
+++ b/tests/router/pairing/test_rules_orders.py
@@ -171,7 +171,7 @@
 
     def __init__(self, token: int = 7, leads: bool = True, silence_s: float = 0.0) -> None:
         self.member_id, self._told = HOLDER, Leadership(leads, TERM, silence_s)
-        self._gate = SimpleNamespace(may=lambda *_: True)
+        self._gate = SimpleNamespace(allows=lambda *_: True)
         self._lease = OrderLease(OrderLeaseSettings(LEASE_S))
         self._lease.acquired(TERM, token, time.monotonic() - self._lease.settings.wait_s)
 
--- a/tests/support/control_plane_rig.py
+++ b/tests/support/control_plane_rig.py
@@ -25,7 +25,7 @@
     30.0  # upper bound for conditions that are normally met at once; only a failure takes so long
 )
 HTTP_TIMEOUT_S = 2.0
-UNCLEAR = (0, 503, 504)  # no response, or one that leaves the outcome open or asks for a retry
+INCONCLUSIVE_STATUSES = (0, 503, 504)  # no response, or one that leaves the outcome open
 
 
 @dataclass(frozen=True)
@@ -135,14 +135,14 @@
         finally:
             connection.close()
 
-    def clear(
+    def call_until_conclusive(
         self, method: str, path: str, body: bytes = b"", headers: Mapping[str, str] | None = None
     ) -> Answer:
         """Repeat a call, unchanged, until its response is conclusive."""
 
         def attempt() -> Answer | None:
             answer = self.call(method, path, body, headers)
-            return answer if answer.status not in UNCLEAR else None
+            return answer if answer.status not in INCONCLUSIVE_STATUSES else None
 
         return self.rig.until(f"a conclusive response from {self.ip}", attempt)
 
@@ -209,13 +209,13 @@
                 return machine
         return None
 
-    def acknowledged(self, send: Callable[[Machine], Answer]) -> Answer:
+    def send_until_conclusive(self, send: Callable[[Machine], Answer]) -> Answer:
         """Send a call to one member after another until a response is conclusive."""
 
         def attempt() -> Answer | None:
             for machine in self.running():
                 answer = send(machine)
-                if answer.status not in UNCLEAR:
+                if answer.status not in INCONCLUSIVE_STATUSES:
                     return answer
             return None
 
@@ -223,7 +223,7 @@
 
     def put_config(self, revision: int, based_on: int, **more: object) -> Answer:
         body = json.dumps(configuration(revision, **more)).encode()
-        return self.acknowledged(
+        return self.send_until_conclusive(
             lambda machine: machine.call("PUT", "/mallowbeam/config", body, {"If-Match": str(based_on)})
         )
 
--- a/tests/support/large_bodies_load.py
+++ b/tests/support/large_bodies_load.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from random import Random
 
-from control_plane_rig import UNCLEAR, Answer, Machine, Rig, configuration
+from control_plane_rig import INCONCLUSIVE_STATUSES, Answer, Machine, Rig, configuration
 from system_bulk import TEXT
 
 MEMBERS = 3
@@ -69,7 +69,7 @@
                 self._taken(based_on + 1)
                 return
             time.sleep(PAUSE_S)
-            if answer.status not in UNCLEAR:
+            if answer.status not in INCONCLUSIVE_STATUSES:
                 self.look()
                 return
 
--- a/tests/support/operator_races.py
+++ b/tests/support/operator_races.py
@@ -174,7 +174,7 @@
 
     def _versions(self) -> list[ConfigurationVersions]:
         return [
-            member.program.parts.machine.configurations
+            member.program.parts.state_machine.configurations
             for member in self.members.values()
             if member.live and member.program is not None
         ]
--- a/tests/support/snapshot_load.py
+++ b/tests/support/snapshot_load.py
@@ -65,7 +65,7 @@
         store = ReplicaStore.open(self.folder, self.disk_mb)
         store.create(OWN, FIRST)
         self.machine = machine = ReplicatedStateMachine(ConfigurationParser(), lambda _: None)
-        disk = StorageWriter(store, lambda writes: self.driver.durable(writes))
+        disk = StorageWriter(store, lambda writes: self.driver.writes_durable(writes))
         settings = RaftSettings(OWN, trailing_entries=TRAILING_ENTRIES)
         node = RaftNode(settings, store.load(), time.monotonic(), Random(1))
         self.driver = RaftDriver(node, machine, disk.submit, lambda recipient, message: None, Listener())
