--- a/mallowbeam/router/control_plane/membership_manager.py
+++ b/mallowbeam/router/control_plane/membership_manager.py
@@ -43,7 +43,7 @@
         self._own_id = own_id
         self._leave_requests = PendingLeaveRequests(answer_leave)
         self._examined_membership: Membership | None = None  # latest one given to the policy
-        self._pending_change: asyncio.Future[CommandOutcome] | None = None  # in flight
+        self._pending_change: asyncio.Future[CommandOutcome] | None = None
 
     def run_cycle(self) -> None:
         """Propose the next change, if one is due; to be called several times a second."""
--- a/tests/support/control_plane_rig.py
+++ b/tests/support/control_plane_rig.py
@@ -21,9 +21,7 @@
 from mallowbeam.router.rpc.framing import FrameReader, encode_frame
 from mallowbeam.router.rpc.messages_pb2 import FeedFrame, FeedHello, GatewayFrame, LinkFrame
 
-WAIT_TIMEOUT_S = (
-    30.0  # upper bound for conditions that are normally met at once; only a failure takes so long
-)
+WAIT_TIMEOUT_S = 30.0  # for conditions that are normally met at once; only a failure takes so long
 HTTP_TIMEOUT_S = 2.0
 INCONCLUSIVE_STATUSES = (0, 503, 504)  # no response, or one that leaves the outcome open
 
