--- a/tests/router/pairing/test_rules_orders.py
+++ b/tests/router/pairing/test_rules_orders.py
@@ -171,7 +171,7 @@
 
     def __init__(self, token: int = 7, is_leader: bool = True, confirmed_s_ago: float = 0.0) -> None:
         self.member_id, self._fixed_leadership = HOLDER, Leadership(is_leader, TERM, confirmed_s_ago)
-        self._gate = SimpleNamespace(may=lambda *_: True)
+        self._gate = SimpleNamespace(allows=lambda *_: True)
         self._lease = OrderLease(OrderLeaseSettings(LEASE_S))
         self._lease.acquired(TERM, token, time.monotonic() - self._lease.settings.wait_s)
 
