--- a/mallowbeam/router/consensus/chunk_receiver.py
+++ b/mallowbeam/router/consensus/chunk_receiver.py
@@ -7,7 +7,7 @@
 
 
 class ChunkContent(Enum):
-    """What a chunk is part of."""
+    """Kind of data that a chunk is part of."""
 
     SNAPSHOT = "snapshot"
     ENTRY = "entry"
--- a/mallowbeam/router/consensus/chunk_sender.py
+++ b/mallowbeam/router/consensus/chunk_sender.py
@@ -1,7 +1,7 @@
 """Sending a snapshot or a large entry to one member in chunks: flow control and retransmission.
 
-Chunks are sent in order, at most a window of bytes ahead of what the member has acknowledged.  A lost chunk
-shows as an acknowledgement without progress or as a missing one; sending then resumes at the expected offset.
+Chunks are sent in order, at most a window of bytes ahead of the acknowledged offset.  A lost chunk results in
+an acknowledgement without progress or in none at all; sending then resumes at the expected offset.
 """
 
 from __future__ import annotations
--- a/mallowbeam/router/consensus/election.py
+++ b/mallowbeam/router/consensus/election.py
@@ -160,7 +160,8 @@
     def _defer_campaign(self, sender: int, request: VoteRequest) -> None:
         """Yield to another campaign, once per election timeout, which makes split votes rare.
 
-        Of two pre-candidates the one with the older log, or else the smaller id, yields.
+        Of two pre-candidates the one with the older log yields; if the logs are equal, the one with the
+        smaller id.
         """
         state = self._state
         own = (state.log.last_term, state.log.last_index, state.own_id)
--- a/mallowbeam/router/consensus/errors.py
+++ b/mallowbeam/router/consensus/errors.py
@@ -6,7 +6,7 @@
 
 
 class ConsensusError(MallowbeamError):
-    """Base of the core's errors: a stable code, the rejected step, and the id of the member concerned."""
+    """Base of the core's errors: a stable code, the rejected step and the id of the member concerned."""
 
     code = "CONSENSUS"
     remedy = "see the error's own text"
@@ -38,7 +38,7 @@
 
 
 class DivergedError(ConsensusError):
-    """The leader's log conflicts with an entry committed here: some disk has lost acknowledged data."""
+    """The leader's log conflicts with an entry committed here: a disk has lost acknowledged data."""
 
     code = "CONSENSUS_DIVERGED"
     remedy = "none needed: the member discards its store and joins as a new one; look at the disks"
--- a/mallowbeam/router/consensus/follower.py
+++ b/mallowbeam/router/consensus/follower.py
@@ -26,7 +26,7 @@
         self._state = state
         self._receiver = ChunkReceiver(state.settings.max_chunked_bytes)
         self._echo = RoundEcho()
-        self._delayed_until = state.now  # messages received before may have been delayed for long
+        self._delayed_until = state.now  # until then, received messages may have been delayed for long
 
     def accepts_leader(self, sender: int, term: int, round_number: int) -> bool:
         """Return whether the sender leads the current term; a stale leader is notified (Raft §5.1)."""
@@ -79,7 +79,7 @@
         if not log.base_index <= previous <= self._state.commit_index:
             return
         if previous and log.term_at(previous) != request.previous_term:
-            raise DivergedError(f"entry {previous} is committed in another term", step="append")
+            raise DivergedError(f"entry {previous} is committed with a different term", step="append")
 
     def _is_current_with_leader(self, request: AppendRequest) -> bool:
         """Whether the leader's commit index is up to date and is reached here.
@@ -203,7 +203,7 @@
 
 
 def _append_request(chunk: EntryChunk, payload: bytes) -> AppendRequest:
-    """Build the append that a completely received entry stands for."""
+    """Build the append request that is equivalent to a completely received entry."""
     head = chunk.head
     entry = Entry(index=head.index, term=head.term, kind=head.kind, payload=payload)
     return AppendRequest(
--- a/mallowbeam/router/consensus/interface.py
+++ b/mallowbeam/router/consensus/interface.py
@@ -9,8 +9,8 @@
 3. once a write is durable, send its ``Write.send_when_durable`` and call ``RaftNode.written(ticket, now)``;
 4. install ``Output.install``, then apply ``Output.committed`` in order; answer ``Output.reads``.
 
-Entries may be committed, and therefore applied, before this member's own storage has written them: a
-majority of the voters has.  A write without hard state, entries and snapshot only orders its
+Entries may be committed, and therefore applied, before this member's own storage has written them, because
+other voters form a majority that has.  A write without hard state, entries and snapshot only orders its
 ``send_when_durable`` after the writes before it.  At start the host installs ``PersistentState.snapshot``
 itself; committed entries after the snapshot come from ``output()``.
 """
@@ -39,7 +39,7 @@
 
     member_id: int
     heartbeat_interval: float = 0.1
-    election_timeout_min: float = 0.4  # each election timeout is drawn uniformly from [min, max]
+    election_timeout_min: float = 0.4  # each election timeout is uniformly random in [min, max]
     election_timeout_max: float = 0.8
     write_stall_timeout: float = 0.8  # a leader steps down when one of its writes takes longer
     max_entries_per_message: int = 64
@@ -124,7 +124,7 @@
 
 @dataclass(slots=True)
 class Output:
-    """Work for the host, in the order given in the module's description."""
+    """Work for the host, to be processed in the order given in the module docstring."""
 
     send: list[Send] = field(default_factory=list)
     write: Write | None = None
--- a/mallowbeam/router/consensus/leader.py
+++ b/mallowbeam/router/consensus/leader.py
@@ -32,7 +32,7 @@
 
 
 class Leader:
-    """Leader from its election until it steps down, which it does by turning the state into a follower's."""
+    """Leads from the election until the member's state becomes a follower's, which is how it steps down."""
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
@@ -43,7 +43,7 @@
         self._next_heartbeat = state.now
         self._transfer = LeadershipTransfer(state, self._progress)
         state.last_leader_contact = state.now
-        # Its commit shows that the commit index is up to date, and commits older terms (Raft §5.4.2, §8).
+        # Committing this entry also commits older terms and makes the commit index current (Raft §5.4.2, §8).
         self._first_index = self._append(NO_OPERATION, b"").index
         self._sync_progress()
         self._begin_round()
@@ -143,7 +143,7 @@
             state.log.last_index - state.commit_index >= state.settings.max_uncommitted_entries
             or state.log.payload_bytes_after(state.commit_index) >= state.settings.max_uncommitted_bytes
         ):
-            raise OverloadedError("too many entries are not committed", step="propose")
+            raise OverloadedError("too many uncommitted entries or bytes", step="propose")
         return self._append(COMMAND, payload)
 
     def _append(self, kind: EntryKind, payload: bytes) -> Proposal:
@@ -151,7 +151,7 @@
         return Proposal(entry.index, entry.term)
 
     def advance_commit(self) -> None:
-        """Commit what is durable on a majority, if it is of this term (Raft §5.4.2).
+        """Commit the entries that are durable on a majority, if the last one is of this term (Raft §5.4.2).
 
         Entries of this member count once its own storage has written them.
         """
@@ -183,7 +183,7 @@
             raise MembershipChangeError("no entry of this term is committed yet", step=CHANGE_STEP)
         current = state.log.memberships.current
         if current.index > state.commit_index:
-            raise MembershipChangeError("a change is pending", step=CHANGE_STEP)
+            raise MembershipChangeError("another membership change is pending", step=CHANGE_STEP)
         check_change(current.membership, membership)
         self._check_recently_active(current.quorum, quorum_of(membership))
         return self._append_membership(membership)
@@ -194,18 +194,18 @@
         return proposal
 
     def _check_recently_active(self, old: Quorum, new: Quorum) -> None:
-        """Reject voters of which no majority is active: they could not commit their own membership."""
+        """Reject a membership without an active majority of voters: it could not be committed."""
         if new == old:
             return
         since = self._state.now - self._state.settings.election_timeout_max
         active = {member for member, progress in self._progress.items() if progress.recently_active(since)}
         if not new.is_quorum(active | {self._state.own_id}):
-            raise MembershipChangeError("most of the new voters are out of touch", step=CHANGE_STEP)
+            raise MembershipChangeError("no majority of the new voters is active", step=CHANGE_STEP)
 
     def _leave_joint(self) -> None:
         """Append the final membership once the joint one is committed (Raft §6).
 
-        Not during a leadership transfer: the next leader does it, or this one after the transfer has failed.
+        During a leadership transfer this is left to the next leader, or to this one if the transfer fails.
         """
         current = self._state.log.memberships.current
         committed = self._own_term_committed and current.index <= self._state.commit_index
--- a/mallowbeam/router/consensus/leadership_transfer.py
+++ b/mallowbeam/router/consensus/leadership_transfer.py
@@ -17,7 +17,7 @@
     def __init__(self, state: MemberState, progress: Mapping[int, Progress]) -> None:
         self._state = state
         self._progress = progress
-        self.target: int | None = None  # id of the voter that is to take over
+        self.target: int | None = None  # id of the voter that is to become the leader
         self.deadline = inf  # time in seconds at which the transfer times out
 
     def start(self, member_id: int | None) -> None:
@@ -29,7 +29,7 @@
         state = self._state
         target = self._best_voter() if member_id is None else member_id
         if target is None or target == state.own_id or target not in state.voters:
-            raise TransferError("no voter to hand over to", step="transfer", peer=target)
+            raise TransferError("no eligible voter to transfer leadership to", step="transfer", peer=target)
         self.target = target
         self.deadline = state.now + state.settings.election_timeout_max
 
--- a/mallowbeam/router/consensus/log.py
+++ b/mallowbeam/router/consensus/log.py
@@ -136,7 +136,7 @@
             if entry.index <= self.base_index or self.term_at(entry.index) == entry.term:
                 continue
             if entry.index <= committed:
-                raise DivergedError(f"entry {entry.index} is committed in another term", step="append")
+                raise DivergedError(f"entry {entry.index} is committed with a different term", step="append")
             truncated = self._truncate(entry.index)
             self.append(entries[position:])
             return truncated
@@ -154,8 +154,8 @@
     def compact(self, snapshot: Snapshot, trailing: int, trailing_bytes: int, oldest_needed: int) -> None:
         """Set a snapshot of an applied index and drop entries before it (Raft §7).
 
-        The last `trailing` entries and those after the index `oldest_needed` stay, as long as their payloads
-        do not exceed `trailing_bytes`.
+        The last `trailing` entries and those after the index `oldest_needed` are retained, as long as their
+        payloads do not exceed `trailing_bytes`.
         """
         base = min(snapshot.index - trailing, oldest_needed)
         min_bytes = self._bytes_up_to(snapshot.index) - trailing_bytes
--- a/mallowbeam/router/consensus/membership.py
+++ b/mallowbeam/router/consensus/membership.py
@@ -52,7 +52,7 @@
 
 
 def check_change(old: Membership, new: Membership) -> None:
-    """Check that every quorum of `old` intersects every quorum of `new`, and that voters fit the target.
+    """Check that every quorum of `old` intersects every quorum of `new` and that the target size is kept.
 
     `new` may be a joint membership, or differ from `old` in one voter (thesis 4.1).  The leader itself
     appends the end of a joint change, which is not checked here.
@@ -61,25 +61,27 @@
         MembershipChangeError: the change is not allowed.
     """
     if old.outgoing_voters:
-        raise MembershipChangeError("a joint change is under way", step=CHANGE_STEP)
+        raise MembershipChangeError("a joint change is in progress", step=CHANGE_STEP)
     _check_members(new)
     if len(voters_of(new)) > max(new.target_voters, len(voters_of(old))):
-        raise MembershipChangeError("there are more voters than places", step=CHANGE_STEP)
+        raise MembershipChangeError("there are more voters than the target allows", step=CHANGE_STEP)
     _check_quorums_intersect(old, new)
 
 
 def _check_members(membership: Membership) -> None:
     ids = [member.id for member in membership.members]
     if 0 in ids or len(set(ids)) != len(ids):
-        raise MembershipChangeError("an id is zero or given twice", step=CHANGE_STEP)
+        raise MembershipChangeError("a member id is zero or duplicated", step=CHANGE_STEP)
     if not voters_of(membership):
-        raise MembershipChangeError("no voter is left", step=CHANGE_STEP)
+        raise MembershipChangeError("the membership has no voter", step=CHANGE_STEP)
 
 
 def _check_quorums_intersect(old: Membership, new: Membership) -> None:
     outgoing = frozenset(new.outgoing_voters)
     if outgoing and (outgoing != voters_of(old) or not outgoing <= members_of(new)):
-        raise MembershipChangeError("the outgoing voters are not those in force", step=CHANGE_STEP)
+        raise MembershipChangeError(
+            "the outgoing voters are not the current voters or do not all remain members", step=CHANGE_STEP
+        )
     if not outgoing and len(voters_of(old) ^ voters_of(new)) > 1:
         raise MembershipChangeError("more than one voter differs", step=CHANGE_STEP)
 
--- a/mallowbeam/router/consensus/node.py
+++ b/mallowbeam/router/consensus/node.py
@@ -35,7 +35,7 @@
 
 
 class RaftNode:
-    """A member.  Times are in seconds of the monotonic clock; call `output` after each other call."""
+    """One Raft member.  Times are in seconds of the monotonic clock; call `output` after every other call."""
 
     def __init__(self, settings: RaftSettings, restored: PersistentState, now: float, random: Random) -> None:
         self._state = MemberState(settings, restored, now, random)
@@ -100,7 +100,7 @@
     # ------------------------------------------------------------ input
 
     def tick(self, now: float) -> None:
-        """Process the time-outs that have passed."""
+        """Process the timeouts that have passed."""
         self._advance_clock(now)
         if self._leader:
             self._leader.tick()
@@ -160,7 +160,7 @@
         """
         log = self._state.log
         if index > self._state.delivered_index:
-            raise ValueError(f"index {index} is not applied")
+            raise ValueError(f"index {index} is not applied yet")
         if index <= log.snapshot.index:
             return
         snapshot = Snapshot(
@@ -242,7 +242,7 @@
             self._leader.handle_chunk_progress(sender, progress)
 
     def _timeout_now(self, request: TimeoutNow) -> None:
-        """Campaign at once at the leader's request, unless it is stale or this member can't lead."""
+        """Campaign at once at the leader's request, unless it is stale or this member cannot lead."""
         state = self._state
         if request.term != state.term or self._leader or not state.is_voter or state.stalled:
             return
--- a/mallowbeam/router/consensus/persistence.py
+++ b/mallowbeam/router/consensus/persistence.py
@@ -1,4 +1,4 @@
-"""Writes to storage: what is submitted, what is durable, and the messages that wait for durability."""
+"""Writes to storage: submitted and durable state, and the messages that wait for durability."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Persistence:
-    """Owner of the hard state and of the outgoing messages, some of which wait for writes."""
+    """Owns the hard state and the outgoing messages, some of which wait for writes."""
 
     def __init__(self, hard_state: HardState, log: RaftLog) -> None:
         self._log = log
@@ -60,7 +60,7 @@
             self.send_after_write(recipient, message)
 
     def entries_truncated(self, first: int) -> None:
-        """Record that entries from `first` on were dropped: writes in flight do not make them durable."""
+        """Record that entries from `first` on were truncated: writes in flight do not make them durable."""
         self.durable_index = min(self.durable_index, first - 1)
         for write in self._inflight:
             write.last_index = min(write.last_index, first - 1)
--- a/mallowbeam/router/consensus/progress.py
+++ b/mallowbeam/router/consensus/progress.py
@@ -1,4 +1,4 @@
-"""A leader's view of another member, which decides what may be sent to it (compare etcd/raft's Progress)."""
+"""A leader's view of another member, which controls the messages to it (compare etcd/raft's Progress)."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
         return self.state is ProgressState.REPLICATE and self.match_index == self.next_index - 1
 
     def may_send(self, max_inflight_messages: int, max_inflight_bytes: int) -> bool:
-        """Return whether the flow control allows to send entries now."""
+        """Return whether flow control allows sending entries now."""
         if self.state is ProgressState.PROBE:
             return not self.probe_sent
         if self.state is ProgressState.CHUNKED:
--- a/mallowbeam/router/consensus/quorum.py
+++ b/mallowbeam/router/consensus/quorum.py
@@ -41,7 +41,7 @@
         return min(_majority_value(voters, value_of) for voters in self._sets)
 
     def is_won(self, votes: Mapping[int, bool]) -> bool:
-        """Return whether a majority of each set has granted its vote; absent voters have not answered."""
+        """Return whether a majority of each set has granted its vote; absent voters have not responded."""
         return all(_count(voters, votes, True) >= majority_of(len(voters)) for voters in self._sets)
 
     def is_lost(self, votes: Mapping[int, bool]) -> bool:
--- a/mallowbeam/router/consensus/replication.py
+++ b/mallowbeam/router/consensus/replication.py
@@ -1,4 +1,4 @@
-"""A leader's messages to one member: heartbeats, entries, snapshots; large ones in chunks."""
+"""A leader's messages to one member: heartbeats, entries, and chunks of snapshots and large entries."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Replicator:
-    """Sends each member what its progress requires."""
+    """Sends each member the messages that its progress requires."""
 
     def __init__(self, state: MemberState) -> None:
         self._state = state
@@ -111,7 +111,7 @@
             state.persistence.send_now(member_id, message)
 
     def handle_chunk_progress(self, progress: Progress, response: SnapshotProgress) -> None:
-        """Process the acknowledgement of a chunk; the next output sends what the window then allows."""
+        """Process the acknowledgement of a chunk; the next output sends the chunks that now fit."""
         sender = progress.chunk_sender
         if sender is not None and sender.index == response.index:
             sender.acknowledge(response.received, self._state.now)
--- a/mallowbeam/router/consensus/round_echo.py
+++ b/mallowbeam/router/consensus/round_echo.py
@@ -1,8 +1,9 @@
-"""How old a leader's message may be, by the round that it says this member has answered.
+"""An upper bound on the age of a leader's append, derived from the heartbeat round that it echoes.
 
-A leader echoes in each append the last of its rounds that the recipient has answered. It can have built that
-append only after the answer, so the append is not older than the moment at which the round was processed
-here. Unlike the time of arrival this holds behind a path that delays everything, for however long.
+In each append a leader echoes its latest round that the recipient has answered.  The leader must have built
+the append after receiving that answer, so the append is not older than the time at which this member
+processed the round.  Unlike the time of arrival, this bound holds on a path that delays all messages, for
+however long.
 """
 
 from __future__ import annotations
@@ -11,27 +12,27 @@
 from dataclasses import dataclass
 from math import inf
 
-MAX_ROUNDS = 1024  # remembered; an echo of an older one proves nothing
+MAX_ROUNDS = 1024  # rounds remembered; an echo of an older round gives no bound
 
 
 @dataclass(frozen=True, slots=True)
 class _ProcessedRound:
-    """A round, and the time in seconds at which its first message was processed here."""
+    """A round and the time in seconds at which this member processed its first message."""
 
     number: int
     at: float
 
 
 class RoundEcho:
-    """The latest rounds of one leader that this member has processed."""
+    """The latest rounds of one leader that this member has processed, oldest first."""
 
     def __init__(self) -> None:
         self._term = 0
         self._rounds: deque[_ProcessedRound] = deque(maxlen=MAX_ROUNDS)
-        self._echoed = False  # the leader of this term echoes: one of an earlier version does not
+        self._echoed = False  # whether this term's leader echoes rounds; earlier versions do not
 
     def processed(self, term: int, number: int, now: float) -> None:
-        """Record that a message of a round is processed; only the first one of each counts."""
+        """Record that a message of a round was processed; only the first message of each round counts."""
         if term != self._term:
             self._term = term
             self._rounds.clear()
@@ -40,9 +41,10 @@
             self._rounds.append(_ProcessedRound(number, now))
 
     def built_after(self, answered_round: int, now: float) -> float:
-        """The time in seconds after which an append with this echo was built; minus infinity if unknown.
+        """Return the time in seconds after which an append with this echo was built; -inf if unknown.
 
-        `now` for a leader that does not echo: what its appends prove must be known otherwise.
+        For a leader that does not echo this is `now`: its appends count as built when they arrive, and the
+        caller must bound their age in another way.
         """
         if answered_round == 0:
             return -inf if self._echoed else now
--- a/mallowbeam/router/consensus/storage/batch.py
+++ b/mallowbeam/router/consensus/storage/batch.py
@@ -15,7 +15,7 @@
 
 
 def apply_first(transaction: Any, identity: int, snapshot: Snapshot) -> None:
-    """Write the first state: format version and identity, empty hard state, snapshot."""
+    """Write the initial state: format version and identity, empty hard state, snapshot."""
     payload = records.IDENTITY_PAYLOAD.pack(records.FORMAT_VERSION, identity)
     _put(transaction, RecordKind.IDENTITY, 0, payload)
     _put_hard_state(transaction, HardState())
@@ -33,7 +33,7 @@
 
 
 def _apply_one(transaction: Any, write: Write) -> None:
-    """Entries that start at or before the snapshot's index are applied before it, others after it."""
+    """Apply one write: entries that start at or before the snapshot's index before it, others after it."""
     snapshot = write.snapshot
     entries_first = bool(write.entries) and (snapshot is None or write.entries[0].index <= snapshot.index)
     if entries_first:
@@ -60,7 +60,7 @@
         _delete(transaction, RecordKind.ENTRY, first, last)
     for position, entry in enumerate(entries):
         if entry.index != first + position:
-            raise StoreOrderError(f"entry {entry.index} where {first + position} is due", step="put")
+            raise StoreOrderError(f"entry {entry.index} found, {first + position} expected", step="put")
         _put(transaction, RecordKind.ENTRY, entry.index, entry.SerializeToString())
 
 
--- a/mallowbeam/router/consensus/storage/errors.py
+++ b/mallowbeam/router/consensus/storage/errors.py
@@ -6,7 +6,7 @@
 
 
 class StoreError(MallowbeamError):
-    """Base of the store's errors: a stable code, the failed step, and the system's error number."""
+    """Base of the store's errors: a stable code, the failed step and the system's error number."""
 
     code = "STORE"
     remedy = "look at the step and the error number, then at the machine's disk"
@@ -46,7 +46,7 @@
 
 
 class StoreOrderError(StoreError):
-    """A call does not fit the stored state, such as entries that leave a gap: a fault of the caller."""
+    """A call does not fit the stored state, such as entries that leave a gap: a bug in the caller."""
 
     code = "STORE_ORDER"
     remedy = "restart the member and report the fault with its log"
--- a/mallowbeam/router/consensus/storage/files.py
+++ b/mallowbeam/router/consensus/storage/files.py
@@ -49,13 +49,13 @@
 
     Raises:
         StoreFullError: the disk is full or lmdb's map size is reached.
-        StoreDamagedError: lmdb can't read the file.
+        StoreDamagedError: lmdb cannot read the file.
         StoreFailedError: any other error of lmdb or of a system call.
     """
     try:
         yield
     except lmdb.MapFullError as error:
-        raise StoreFullError("the store's bound is reached", where, step=step) from error
+        raise StoreFullError("the store's size limit is reached", where, step=step) from error
     except DAMAGE_ERRORS as error:
         raise StoreDamagedError(str(error), where, step=step) from error
     except lmdb.Error as error:
--- a/mallowbeam/router/consensus/storage/pages.py
+++ b/mallowbeam/router/consensus/storage/pages.py
@@ -1,9 +1,9 @@
 """A check of lmdb's pages before lmdb maps the file.
 
 lmdb trusts the pages that it maps: a damaged page number may end the process with a signal, and a damaged
-list of free pages may let a later write overwrite pages in use.  A power loss leaves neither (see `seal`),
-but a faulty disk may.  The check reads every page that lmdb would: page numbers, kinds, bounds, the order of
-keys, and that no free page is in use.  Values are covered by the checksums of the records.
+list of free pages may let a later write overwrite pages in use.  A power loss causes neither (see `seal`),
+but a faulty disk may.  The check reads every page that lmdb would read and verifies page numbers, kinds,
+bounds, the order of keys, and that no free page is in use.  The records' checksums cover the values.
 """
 
 from __future__ import annotations
@@ -71,19 +71,19 @@
         """Claim pages that must lie within the file."""
         end = number + count
         within = end - 1 <= self.last_page and end * PAGE_BYTES <= len(self.data)
-        _require(within, "beyond the file's end", number)
+        _require(within, "page is beyond the end of the file", number)
         for page in range(number, end):
-            _require(page not in self.used, "in use twice", page)
+            _require(page not in self.used, "page is referenced twice", page)
             self.used.add(page)
 
     def claim_free(self, value: bytes) -> None:
         """Claim the pages in a value of the tree of free pages: a count and that many page numbers."""
         valid_size = len(value) >= NUMBER.size and len(value) % NUMBER.size == 0
-        _require(valid_size, "a list of free pages", 0)
+        _require(valid_size, "malformed list of free pages", 0)
         count, *numbers = struct.unpack(f"<{len(value) // NUMBER.size}Q", value)
-        _require(count <= len(numbers), "a list of free pages", 0)
+        _require(count <= len(numbers), "malformed list of free pages", 0)
         for number in numbers[:count]:
-            _require(number not in self.used and number <= self.last_page, "a free page is in use", number)
+            _require(number not in self.used and number <= self.last_page, "invalid free page", number)
             self.used.add(number)
 
     def claim_overflow(self, number: int, size: int) -> int:
@@ -94,8 +94,8 @@
         own_number, _pad, flags, _lower, _upper = PAGE_HEADER.unpack_from(self.data, start)
         (own_count,) = OVERFLOW_COUNT.unpack_from(self.data, start + OVERFLOW_COUNT_OFFSET)
         is_overflow = flags & PAGE_KIND_MASK == OVERFLOW
-        _require(own_number == number and is_overflow, "an overflow page's head", number)
-        _require(own_count == count, "an overflow value's pages", number)
+        _require(own_number == number and is_overflow, "invalid overflow page header", number)
+        _require(own_count == count, "wrong number of overflow pages", number)
         return count
 
     def overflow_value(self, number: int, size: int) -> bytes:
@@ -120,7 +120,7 @@
 
 
 class _TreeCheck:
-    """Walks one tree and compares what it finds with the counts in the meta page."""
+    """Walks one tree and compares its page and entry counts with those in the meta page."""
 
     def __init__(self, pages: _Pages) -> None:
         self._pages = pages
@@ -136,10 +136,10 @@
         _pad, _flags, depth, branch, leaf, overflow, entries, root = TREE.unpack_from(meta, offset)
         self._depth = depth
         if root != EMPTY_ROOT:
-            _require(0 < depth <= MAX_DEPTH, "a tree's depth", root)
+            _require(0 < depth <= MAX_DEPTH, "invalid tree depth", root)
             self._check_page(root, 1, _KeyRange(None, None))
         found = (self._branch_pages, self._leaf_pages, self._overflow_pages, self._entries)
-        _require(found == (branch, leaf, overflow, entries), "a tree's counts", root)
+        _require(found == (branch, leaf, overflow, entries), "wrong page or entry counts", root)
         return self._collected()
 
     def _check_page(self, number: int, level: int, keys: _KeyRange) -> None:
@@ -156,14 +156,14 @@
     def _read_page(self, number: int, kind: int) -> _Page:
         content = self._pages.data[number * PAGE_BYTES : (number + 1) * PAGE_BYTES]
         own_number, _pad, flags, lower, upper = PAGE_HEADER.unpack_from(content)
-        _require(own_number == number and flags & PAGE_KIND_MASK == kind, "the page's head", number)
+        _require(own_number == number and flags & PAGE_KIND_MASK == kind, "invalid page header", number)
         in_bounds = PAGE_HEADER.size <= lower <= upper <= PAGE_BYTES and lower % 2 == 0
-        _require(in_bounds, "its bounds", number)
+        _require(in_bounds, "invalid page bounds", number)
         count = (lower - PAGE_HEADER.size) // 2
-        _require(count > 0, "no nodes", number)
+        _require(count > 0, "page has no nodes", number)
         offsets = struct.unpack_from(f"<{count}H", content, PAGE_HEADER.size)
         in_bounds = min(offsets) >= upper and max(offsets) + NODE.size <= PAGE_BYTES
-        _require(in_bounds, "its node offsets", number)
+        _require(in_bounds, "node offset out of bounds", number)
         return _Page(number, content, offsets)
 
     def _check_leaf(self, page: _Page, keys: _KeyRange) -> None:
@@ -171,13 +171,13 @@
         last = self._last_key
         for offset in page.offsets:
             key = self._check_leaf_node(page, offset)
-            _require(last is None or last < key, "the order of keys", page.number)
+            _require(last is None or last < key, "keys are out of order", page.number)
             if low is not None:
-                _require(low <= key, "a key below its page's", page.number)
+                _require(low <= key, "key is below the range of its page", page.number)
                 low = None  # the later ones are above the first
             last = key
         within = keys.high is None or (last is not None and last < keys.high)
-        _require(within, "a key above its page's", page.number)
+        _require(within, "key is above the range of its page", page.number)
         self._entries += len(page.offsets)
         self._last_key = last
 
@@ -186,8 +186,8 @@
         size_low, size_high, flags, key_bytes = NODE.unpack_from(page.content, offset)
         start = offset + NODE.size + key_bytes
         size = size_low | size_high << 16
-        _require(flags & ~BIG_DATA == 0, "a node's flags", page.number)
-        _require(start + (NUMBER.size if flags else size) <= PAGE_BYTES, "a node's size", page.number)
+        _require(flags & ~BIG_DATA == 0, "invalid node flags", page.number)
+        _require(start + (NUMBER.size if flags else size) <= PAGE_BYTES, "invalid node size", page.number)
         if flags:
             (first,) = NUMBER.unpack_from(page.content, start)
             self._overflow_pages += self._pages.claim_overflow(first, size)
@@ -203,7 +203,7 @@
         for position, offset in enumerate(page.offsets):
             child_low, child_high, child_top, key_bytes = NODE.unpack_from(page.content, offset)
             start = offset + NODE.size
-            _require(start + key_bytes <= PAGE_BYTES, "a node's size", page.number)
+            _require(start + key_bytes <= PAGE_BYTES, "invalid node size", page.number)
             children.append(child_low | child_high << 16 | child_top << 32)
             key = page.content[start : start + key_bytes]
             bounds.append(self._comparable(key) if position else keys.low)
@@ -216,10 +216,10 @@
         return key
 
     def _collect(self, content: bytes, start: int, size: int) -> None:
-        """Receive a value within a page; the main tree's are not read."""
+        """Receive a value within a page; values of the main tree are ignored."""
 
     def _collect_overflow(self, number: int, size: int) -> None:
-        """Receive a value in overflow pages; the main tree's are not read."""
+        """Receive a value in overflow pages; values of the main tree are ignored."""
 
     def _collected(self) -> list[bytes]:
         return []
--- a/mallowbeam/router/consensus/storage/restore.py
+++ b/mallowbeam/router/consensus/storage/restore.py
@@ -24,7 +24,7 @@
         StoreDamagedError: the identity is missing or damaged.
     """
     if not cursor.set_key(records.first_key(RecordKind.IDENTITY)):
-        raise StoreDamagedError("no identity", step="read")
+        raise StoreDamagedError("the identity record is missing", step="read")
     (record,) = records.decode_records([cursor.item()])
     return _identity(record.payload)
 
@@ -32,10 +32,10 @@
 def _identity(payload: bytes) -> int:
     version = int.from_bytes(payload[:VERSION_BYTES], "little")
     if version > records.FORMAT_VERSION:
-        what = f"format version {version}; this program knows up to {records.FORMAT_VERSION}"
+        what = f"format version {version}; this program supports versions up to {records.FORMAT_VERSION}"
         raise StoreVersionError(what, step="read")
     if len(payload) != records.IDENTITY_PAYLOAD.size:
-        raise StoreDamagedError("identity of a wrong size", step="read")
+        raise StoreDamagedError("the identity record has a wrong size", step="read")
     return int(records.IDENTITY_PAYLOAD.unpack(payload)[1])
 
 
@@ -63,7 +63,7 @@
                 raise StoreDamagedError("more than one snapshot", step="read")
             snapshot = _numbered(Snapshot.FromString(record.payload), record.number)
     if hard_state is None or snapshot is None:
-        raise StoreDamagedError("no hard state or no snapshot", step="read")
+        raise StoreDamagedError("the hard state or the snapshot is missing", step="read")
     _check_contiguous(entries, snapshot.index + 1)
     return PersistentState(hard_state, snapshot, tuple(entries))
 
@@ -76,12 +76,12 @@
 
 def _hard_state(payload: bytes) -> HardState:
     if len(payload) != records.HARD_STATE_PAYLOAD.size:
-        raise StoreDamagedError("hard state of a wrong size", step="read")
+        raise StoreDamagedError("the hard state record has a wrong size", step="read")
     return HardState(*records.HARD_STATE_PAYLOAD.unpack(payload))
 
 
 def _numbered(message: _Numbered, number: int) -> _Numbered:
     """Check that the index in a message equals the number in its key."""
     if message.index != number:
-        raise StoreDamagedError(f"index {message.index} under number {number}", step="read")
+        raise StoreDamagedError(f"index {message.index} is stored under key number {number}", step="read")
     return message
--- a/mallowbeam/router/consensus/storage/seal.py
+++ b/mallowbeam/router/consensus/storage/seal.py
@@ -1,10 +1,10 @@
 """Checksums of lmdb's two meta pages, which have none of their own.
 
 lmdb writes the roots of each transaction into one of two meta pages in turn.  When it opens a file, it uses
-the page with the higher transaction number.  A torn write may leave a new number beside old roots.  Therefore
-a seal, a checksum of what lmdb wrote, is stored in the unused rest of the page, and the same sync makes both
-durable.  A meta page whose seal does not match belongs to a transaction that was never acknowledged; before
-lmdb opens the file, such a page is replaced by a copy of the other one.
+the page with the higher transaction number.  A torn write may combine a new number with old roots.  Therefore
+a seal, which is a checksum of lmdb's data in the page, is stored in the unused rest of the page, and the same
+sync makes both durable.  A meta page whose seal does not match belongs to a transaction that was never
+acknowledged; before lmdb opens the file, such a page is replaced by a copy of the other one.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     transaction: int  # number of the transaction that wrote it
     sealed: bool  # whether the seal matches
     file_bytes: int  # length of the file when it was sealed; 0 if the seal does not match
-    content: bytes  # what lmdb wrote
+    content: bytes  # the part of the page that lmdb writes
 
 
 def read_pages(descriptor: int) -> tuple[MetaPage, MetaPage]:
--- a/mallowbeam/router/consensus/storage/store.py
+++ b/mallowbeam/router/consensus/storage/store.py
@@ -1,4 +1,4 @@
-"""A member's store: opening, first state, loading, durable writes.
+"""A member's store: opening, initial state, loading, durable writes.
 
 One caller at a time uses a store, possibly in a different thread for each call.
 """
@@ -35,7 +35,7 @@
 from mallowbeam.router.rpc.messages_pb2 import Snapshot
 
 STORE_FILE = "replica.lmdb"
-UNFINISHED_FILE = "replica.new"  # a store whose first state was never acknowledged
+UNFINISHED_FILE = "replica.new"  # a store whose initial state was never acknowledged
 
 MAX_MAP_BYTES = 1024 * MEGABYTE
 ENTRY_SPACE_DIVISOR = 2  # entries may use this fraction of the map size; the rest is for snapshots
@@ -60,7 +60,7 @@
         """Open the store in `folder`, which is created if absent, on a disk of `disk_mb` mebibytes.
 
         Raises:
-            StoreDamagedError: the store can't be read.
+            StoreDamagedError: the store cannot be read.
             StoreVersionError: a newer program wrote it.
         """
         map_bytes = min(max(disk_mb * MEGABYTE // 2, MIN_MAP_BYTES), MAX_MAP_BYTES)
@@ -94,13 +94,13 @@
         return self._file.used_bytes
 
     def create(self, identity: int, snapshot: Snapshot) -> None:
-        """Make the first state durable: identity, first snapshot, an empty hard state, no entries.
+        """Make the initial state durable: identity, first snapshot, an empty hard state, no entries.
 
         Raises:
             StoreOrderError: the store exists already.
         """
         if self._identity is not None:
-            raise StoreOrderError("the store has an identity already", self._folder, step="create")
+            raise StoreOrderError("the store already has an identity", self._folder, step="create")
         unfinished = os.path.join(self._folder, UNFINISHED_FILE)
         with raised_as_store_error("create", unfinished):
             remove_file(unfinished)
@@ -123,7 +123,7 @@
     def write(self, writes: Sequence[Write]) -> None:
         """Make all of `writes` durable in one transaction, in order; return when both syncs are done.
 
-        On failure the store is as before.
+        A failed call leaves the stored state unchanged.
 
         Raises:
             StoreFullError: the disk is full, or the size limit of entries is reached.
@@ -148,7 +148,7 @@
 
     def _existing_file(self) -> StoreFile:
         if self._identity is None:
-            raise StoreOrderError("the store has no first state yet", self._folder, step="open")
+            raise StoreOrderError("the store has no initial state yet", self._folder, step="open")
         return self._file
 
     def _read_identity(self) -> int:
@@ -156,7 +156,7 @@
             return restore.read_identity(transaction.cursor())
 
     def _check_capacity(self, writes: Sequence[Write]) -> None:
-        """Reject entries that would leave no space for the snapshot by which entries can be dropped."""
+        """Reject entries that would leave no space for a snapshot, which is needed to drop entries."""
         if any(write.snapshot is not None for write in writes):
             return
         added = sum(
@@ -167,7 +167,7 @@
         if added and used + added > limit:
             added -= self._replaced_bytes(writes)
         if added > 0 and used + added > limit:
-            what = f"{used} bytes in use, {added} more are over the bound of {limit}"
+            what = f"{used} bytes in use; {added} more would exceed the limit of {limit}"
             raise StoreFullError(what, self._path, step="bound")
 
     def _replaced_bytes(self, writes: Sequence[Write]) -> int:
@@ -179,7 +179,7 @@
 
     @contextlib.contextmanager
     def _read_errors(self) -> Iterator[None]:
-        """Raise everything that can't be read as damage, with the path."""
+        """Raise unreadable data as `StoreDamagedError`, with the path."""
         try:
             yield
         except (lmdb.Error, DecodeError) as error:
--- a/mallowbeam/router/consensus/storage/store_file.py
+++ b/mallowbeam/router/consensus/storage/store_file.py
@@ -23,7 +23,7 @@
 class StoreFile:
     """An existing store file, opened on demand.
 
-    After `close`, which follows each failure, the next opening rolls back what was not acknowledged.
+    The file is closed after each failure; the next opening rolls back to the last acknowledged transaction.
     """
 
     def __init__(self, path: str, map_bytes: int) -> None:
@@ -74,9 +74,10 @@
             os.close(descriptor)
 
     def _restore_meta_pages(self) -> seal.MetaPage:
-        """Return the meta page of the last durable transaction, and let lmdb find no other transaction.
+        """Return the meta page of the last durable transaction; replace the other one if it is torn or newer.
 
-        The sync comes first: data that a killed process wrote without a sync can be read here and lost later.
+        The sync comes first because data that a killed process wrote without a sync can be read now and still
+        be lost later.
         """
         os.fdatasync(self._descriptor)
         meta_pages = seal.read_pages(self._descriptor)
@@ -85,7 +86,7 @@
             raise StoreDamagedError("no meta page has a matching checksum", self._path, step="check")
         other = meta_pages[1 - valid.slot]
         if not seal.same_header(other, valid):
-            raise StoreDamagedError(f"page {other.slot}: no meta page", self._path, step="check")
+            raise StoreDamagedError(f"page {other.slot}: not a valid meta page", self._path, step="check")
         if not other.sealed or other.transaction > valid.transaction:
             seal.replace_page(self._descriptor, other.slot, valid)
             os.fdatasync(self._descriptor)
@@ -95,7 +96,7 @@
     def _check_pages(self, valid: seal.MetaPage) -> None:
         data = os.pread(self._descriptor, os.fstat(self._descriptor).st_size, 0)
         if len(data) < valid.file_bytes:
-            raise StoreDamagedError("the file is shorter than it was", self._path, step="check")
+            raise StoreDamagedError("the file is shorter than when it was sealed", self._path, step="check")
         try:
             pages.check_pages(data, valid.content)
         except StoreDamagedError as error:
@@ -126,7 +127,7 @@
 
 
 def write_first_state(path: str, map_bytes: int, identity: int, snapshot: Snapshot) -> None:
-    """Create a durable store file with its first state; its name is not durable yet."""
+    """Create a store file with its initial state and sync it; its name is not durable yet."""
     environment = _open_environment(path, map_bytes)
     try:
         with environment.begin(write=True) as transaction:
--- a/tests/router/consensus/test_consensus_durable.py
+++ b/tests/router/consensus/test_consensus_durable.py
@@ -1,4 +1,4 @@
-"""Nothing is said before what it rests on is durable."""
+"""Messages are sent only after the state that they depend on is durable."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Durable(unittest.TestCase):
-    """Nothing is said before what it rests on is durable."""
+    """Messages wait for the durability of entries, terms and votes."""
 
     def test_entries_are_acknowledged_after_their_write(self) -> None:
         host = Host()
--- a/tests/router/consensus/test_consensus_elections.py
+++ b/tests/router/consensus/test_consensus_elections.py
@@ -1,4 +1,4 @@
-"""Who campaigns, and who gets votes."""
+"""Leader elections: who campaigns, who votes, and which votes count."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Elections(unittest.TestCase):
-    """Who campaigns, who votes."""
+    """Campaigns, pre-votes and votes."""
 
     def test_sole_voter_leads_at_once(self) -> None:
         host = Host(voters=1)
--- a/tests/router/consensus/test_consensus_freshness.py
+++ b/tests/router/consensus/test_consensus_freshness.py
@@ -1,4 +1,4 @@
-"""When a follower's state counts as current."""
+"""Freshness of a follower: when its state is known to be current."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from mallowbeam.router.consensus.round_echo import MAX_ROUNDS, RoundEcho
 
 HEARTBEAT_S = 0.1
-LONG_S = 2.0  # what comes first after a start may have been on its way for long
+LONG_S = 2.0  # the first messages after a start may have been delayed for long
 
 
 class Freshness(unittest.TestCase):
     def test_follower_is_not_current_before_a_commit_of_the_leaders_term(self) -> None:
-        """After a restart of all, its commit index is far below what was acknowledged before."""
+        """After a restart of all members its commit index is far below the acknowledged entries."""
         host = Host(entries=(entry(2, 1), entry(3, 1)), term=2)
         self.heartbeats(host, (3, 1), commit=1)
         self.assertEqual(host.node.commit_index, 1)
@@ -28,14 +28,14 @@
         self.assertLess(host.node.freshness(host.now), 0.2)
 
     def heartbeats(self, host: Host, last: tuple[int, int], commit: int) -> None:
-        """The leader of term 2 is heard for a while."""
+        """Receive heartbeats of the leader of term 2 for `LONG_S` seconds."""
         for _ in range(int(LONG_S / 0.1)):
             host.now += 0.1
             host.append(2, 2, last, commit=commit)
 
 
 class Echoes(unittest.TestCase):
-    """An append that echoes the last answered round is as new as that answer, however late it arrives."""
+    """An append that echoes the last answered round is no older than that answer, however late it arrives."""
 
     def test_a_healthy_path_costs_a_round_trip_and_a_heartbeat_interval(self) -> None:
         self.assertLess(self.freshness(lag_s=0.002), 0.2)
@@ -58,16 +58,16 @@
             host.append(2, 1, (1, 1), commit=1, round_number=number, answered_round=number - 1)
         before = host.node.freshness(host.now)
         host.now += HEARTBEAT_S
-        host.append(2, 1, (1, 1), commit=1, round_number=29)  # as one that came in chunks
+        host.append(2, 1, (1, 1), commit=1, round_number=29)  # like an entry received in chunks
         self.assertAlmostEqual(host.node.freshness(host.now), before + HEARTBEAT_S)
 
     def freshness(self, lag_s: float) -> float:
-        """Of a follower, after ten lags, behind a path that delays all that its leader sends."""
+        """Return a follower's freshness after ten times `lag_s`, by which all leader messages are delayed."""
         host = Host()
         lag, rounds = max(1, round(lag_s / HEARTBEAT_S)), 10 * max(1, round(lag_s / HEARTBEAT_S)) + 30
         for number in range(1, rounds):
             host.now += HEARTBEAT_S
-            answered = max(0, number - lag)  # the answers are back at once
+            answered = max(0, number - lag)  # responses arrive without delay
             host.append(2, 1, (1, 1), commit=1, round_number=number, answered_round=answered)
         return host.node.freshness(host.now)
 
--- a/tests/router/consensus/test_consensus_leading.py
+++ b/tests/router/consensus/test_consensus_leading.py
@@ -1,4 +1,4 @@
-"""What a leader does beside replication: stepping down, transfer, reads, membership changes."""
+"""A leader apart from replication: stepping down, transfer, limits, reads, membership changes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Leading(unittest.TestCase):
-    """What a leader does beside replication."""
+    """Stepping down, leadership transfer, limits and progress."""
 
     def test_leader_steps_down_without_a_majority(self) -> None:
         host = Host()
@@ -109,7 +109,7 @@
 
 
 class Reads(unittest.TestCase):
-    """Read index."""
+    """Linearizable reads and freshness."""
 
     def test_not_confirmed_by_a_follower(self) -> None:
         host = Host()
@@ -179,15 +179,15 @@
     def test_freshness_of_a_follower(self) -> None:
         host = Host()
         host.append(2, 1, (1, 1), commit=1)
-        self.assertEqual(host.node.freshness(host.now), inf)  # it may have been held up
+        self.assertEqual(host.node.freshness(host.now), inf)  # it may have been delayed
         host.now += 0.1
         host.append(2, 1, (1, 1), commit=1)
         self.assertEqual(host.node.freshness(host.now), 0.0)
         host.now += 0.1
-        host.append(2, 1, (1, 1), commit=5)  # it lacks entries that are committed
+        host.append(2, 1, (1, 1), commit=5)  # committed entries are missing here
         self.assertAlmostEqual(host.node.freshness(host.now), 0.1)
         host.now += 0.1
-        host.append(3, 2, (1, 1), commit=1)  # a leader that committed nothing yet
+        host.append(3, 2, (1, 1), commit=1)  # this leader has not committed an entry of its term
         self.assertAlmostEqual(host.node.freshness(host.now), 0.2)
 
     def test_freshness_after_a_suspension(self) -> None:
@@ -226,8 +226,8 @@
         host = Host()
         host.lead()
         without_2 = Membership(members=[Member(id=1, voter=True), Member(id=3, voter=True)])
-        with self.assertRaisesRegex(MembershipChangeError, "out of touch"):
-            host.node.change_membership(without_2, host.now)  # member 3 has never answered
+        with self.assertRaisesRegex(MembershipChangeError, "no majority of the new voters is active"):
+            host.node.change_membership(without_2, host.now)  # member 3 has never responded
         host.node.change_membership(membership(2), host.now)
 
     def test_in_force_when_appended_and_rolled_back(self) -> None:
--- a/tests/router/consensus/test_consensus_quorum.py
+++ b/tests/router/consensus/test_consensus_quorum.py
@@ -1,4 +1,4 @@
-"""Quorums, which membership changes are allowed, and a joint change step by step."""
+"""Quorum rules, validation of membership changes, and the steps of a joint change."""
 
 from __future__ import annotations
 
@@ -68,15 +68,15 @@
 
     def test_never_more_voters_than_the_target(self) -> None:
         three = membership(3, 1)
-        self.refused(three, membership(4, 0, target=3), "places")
+        self.refused(three, membership(4, 0, target=3), "more voters than the target")
         grown = joint_change(three, membership(4, 0, target=3))
-        self.refused(three, grown, "places")
+        self.refused(three, grown, "more voters than the target")
 
     def test_a_group_that_has_too_many_may_shrink_and_replace(self) -> None:
         four = membership(4, 1, target=3)
         check_change(four, replaced(four, [4], [5]))
         check_change(four, without_member(four, 4))
-        self.refused(four, membership(5, 0, target=3), "places")
+        self.refused(four, membership(5, 0, target=3), "more voters than the target")
 
     def test_the_outgoing_voters_are_those_in_force_and_stay_members(self) -> None:
         three = membership(3, 1)
@@ -88,11 +88,11 @@
 
     def test_nothing_follows_a_joint_membership_but_its_end(self) -> None:
         joint = replaced(membership(3, 1), [3], [4])
-        self.refused(joint, without_outgoing(joint), "under way")
-        self.refused(joint, joint, "under way")
+        self.refused(joint, without_outgoing(joint), "in progress")
+        self.refused(joint, joint, "in progress")
 
     def test_what_is_allowed_overlaps(self) -> None:
-        """Drawn memberships: a check of the rule against all quorums, by a function of the tests' own."""
+        """Checks the rule for random memberships against an independent comparison of all quorums."""
         draw = Random(3)
         allowed = 0
         for _ in range(4000):
@@ -125,7 +125,7 @@
 
 
 class JointChange(unittest.TestCase):
-    """Member 1 leads 1, 2 and 3; learner 4 takes the place of 3, or of 1."""
+    """Member 1 leads 1, 2 and 3; learner 4 replaces voter 3 or 1."""
 
     def lead(self, out: int) -> Host:
         host = Host(3, 1)
@@ -188,7 +188,7 @@
         self.assertIs(host.node.role, Role.LEADER)
         host.write()
         host.confirm(2, joint + 1)
-        self.assertIs(host.node.role, Role.LEADER)  # its own disk does not count any more
+        self.assertIs(host.node.role, Role.LEADER)  # its own disk no longer counts
         output = host.confirm(4, joint + 1)
         self.assertIs(host.node.role, Role.FOLLOWER)
         self.assertEqual(len(bodies(output.send, "timeout_now")), 1)
@@ -210,7 +210,7 @@
     def test_compaction_in_the_middle_keeps_both_sets(self) -> None:
         host = self.lead(out=3)
         joint = self.joint_index(host)
-        host.node.transfer_leadership(2, host.now)  # so that it stays in the middle
+        host.node.transfer_leadership(2, host.now)  # defers the end of the joint change
         host.confirm(4, joint)
         host.confirm(2, joint)
         host.node.compact(joint, b"state")
@@ -219,7 +219,7 @@
         self.assertEqual(voters_of(snapshot.membership), {1, 2, 4})
 
     def restarted(self, own: int) -> Host:
-        """A member that starts from a snapshot taken in the middle of the change."""
+        """Return a member that starts from a snapshot taken during the joint change."""
         host = Host(own=own)
         joint = replaced(membership(3, 1), [3], [4])
         snapshot = Snapshot(index=5, term=1, membership=joint)
@@ -263,9 +263,10 @@
         self.assertEqual(voters_of(host.node.membership), {1, 2, 3})
 
     def test_a_voter_of_any_uncommitted_membership_may_campaign(self) -> None:
-        """Member 2 took the place of 1 and gave it back; it has the end of that change, 1 lacks it.
+        """Member 2 must campaign although its last membership excludes it, or no leader could be elected.
 
-        1 needs its vote, as of an outgoing voter, and its log is the shorter one: only 2 can be elected.
+        Member 2 replaced 1 and was replaced by 1 again.  Member 1 lacks the final membership of that change,
+        so it needs the vote of 2 as an outgoing voter, but its log is shorter: only 2 can be elected.
         """
         first = membership(1, 1)
         there = replaced(first, [1], [2])
--- a/tests/router/consensus/test_consensus_replication.py
+++ b/tests/router/consensus/test_consensus_replication.py
@@ -1,4 +1,4 @@
-"""Entries, probes and snapshots."""
+"""Replication of entries: limits, probes, conflicts, snapshots."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Replication(unittest.TestCase):
-    """Entries, probes, snapshots."""
+    """Messages between a leader and its followers."""
 
     def test_messages_are_limited(self) -> None:
         host = Host(max_entries_per_message=2, max_inflight_messages=2, max_bytes_per_message=10)
@@ -29,7 +29,7 @@
         refusal = AppendResponse(term=host.node.term, success=False, hint_index=4, round=1)
         (request,) = bodies(host.receive(3, append_response=refusal).send, "append_request")
         self.assertEqual((request.previous_index, request.entries[0].index), (4, 5))
-        output = host.receive(3, append_response=refusal)  # a duplicate tells nothing new
+        output = host.receive(3, append_response=refusal)  # a duplicate rejection is ignored
         self.assertEqual(output.send, [])
 
     def test_hint_skips_a_term(self) -> None:
--- a/tests/router/consensus/test_consensus_scenarios.py
+++ b/tests/router/consensus/test_consensus_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of consensus, each with its seeds."""
+"""All Raft scenarios, each with its seeds, and the scenario parser."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
                 self._parse(line)
 
     def test_unseen(self) -> None:
-        """An expectation that is not met fails, at once or when its time is up."""
+        """An unmet expectation fails, immediately or at its timeout."""
         lines = ("at 1.5 expect no leader", "at 0.1 expect leader within 0.2", "at 2.0 expect voters 1 2")
         for line in lines:
             with self.subTest(line=line), self.assertRaises(Violation):
--- a/tests/router/consensus/test_consensus_snapshots.py
+++ b/tests/router/consensus/test_consensus_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots and entries in chunks: what a leader sends, what a follower accepts, what the log retains."""
+"""Chunked snapshots and large entries: sending, flow control, retention in the log, reception."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Sending(unittest.TestCase):
-    """A leader's part."""
+    """Flow control and retransmission on a leader."""
 
     def test_chunks_are_sent_in_order_within_the_window(self) -> None:
         host = leader()
@@ -104,7 +104,7 @@
 
 
 class Retention(unittest.TestCase):
-    """What a leader keeps, and its bounds."""
+    """Entries that a leader retains, and limits in bytes."""
 
     def _compact(self, host: Host, payloads: int, size: int = 1) -> None:
         for _ in range(payloads):
@@ -187,7 +187,7 @@
 
 
 class LargeEntries(unittest.TestCase):
-    """An entry that is too large for one message goes in chunks."""
+    """An entry that is too large for one message is sent in chunks."""
 
     def _leader(self) -> Host:
         host = Host(chunked_entry_bytes=5, chunk_bytes=4, chunk_window_bytes=8)
@@ -232,7 +232,7 @@
         self.assertEqual(output.send, [])
         (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual((response.success, response.match_index), (True, 2))
-        output = self._receive(host, 10)  # asked again before it is durable
+        output = self._receive(host, 10)  # probed before it is durable
         (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual(response.match_index, 2)
 
@@ -266,7 +266,7 @@
 
 
 class SnapshotInsteadOfEntries(unittest.TestCase):
-    """A snapshot goes in place of entries that are much longer."""
+    """A leader sends a snapshot instead of entries that are much larger."""
 
     def _lagging(self, saved: int) -> Host:
         host = Host(trailing_entries=100, snapshot_preferred_bytes=saved)
--- a/tests/router/consensus/test_consensus_snapshots_received.py
+++ b/tests/router/consensus/test_consensus_snapshots_received.py
@@ -1,4 +1,4 @@
-"""Snapshots and entries in chunks, at the member that receives them."""
+"""Chunked snapshots on the receiving member, and joint memberships in snapshots."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Receiving(unittest.TestCase):
-    """A follower's part."""
+    """Reassembly, installation and acknowledgement on a follower."""
 
     def _chunk(
         self,
@@ -97,7 +97,7 @@
         self.assertEqual(host.node._state.log.last_index, 11)
 
     def test_chunk_after_installation_acknowledges_the_index(self) -> None:
-        """Whether or not it is durable already."""
+        """The index is acknowledged whether or not the snapshot is durable already."""
         host = Host()
         for offset in (0, 4, 8):
             self._chunk(host, offset)
@@ -130,7 +130,7 @@
 
 
 class JointMembershipInSnapshot(unittest.TestCase):
-    """A membership that is in force at the snapshot's index is sent with it, whatever its form."""
+    """A snapshot contains the membership in force at its index, also a joint one."""
 
     def test_sent(self) -> None:
         joint = Membership(
--- a/tests/router/consensus/test_consensus_variants.py
+++ b/tests/router/consensus/test_consensus_variants.py
@@ -1,4 +1,4 @@
-"""Each checker is able to fail: variants broken on purpose are caught, by schedules or by scenarios."""
+"""Broken variants of the core are detected by random schedules or scenarios, so each checker can fail."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
                 self.assertTrue(self._caught(lambda seed: Walk(seed).play(), checkers))
 
     def _caught(self, play: Callable[[int], object], checkers: set[str]) -> bool:
-        """Whether one of the checkers fails for one of the seeds; others may fail for those before."""
+        """Return whether one of the checkers fails for a seed; other checkers may fail for earlier seeds."""
         for seed in SEEDS:
             try:
                 play(seed)
--- a/tests/router/consensus/test_consensus_walks.py
+++ b/tests/router/consensus/test_consensus_walks.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults, from fixed seeds; a failure's note tells its seed and how to replay it."""
+"""Random schedules of faults from fixed seeds; a failure's note contains the command that replays it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         self._have_seen(outcomes)
 
     def _have_seen(self, outcomes) -> None:
-        """The schedules reach what they are there for."""
+        """Check that the schedules exercise each kind of event often enough."""
         self.assertEqual(len(outcomes), SCHEDULES)
         for name, least in {
             "acknowledged": 15,
--- a/tests/router/consensus/test_membership_plays.py
+++ b/tests/router/consensus/test_membership_plays.py
@@ -1,4 +1,4 @@
-"""Losses right after repairs, on groups of 3 to 8 members; `membership_plays` has the plays, for any seed."""
+"""Member losses right after repairs, in groups of 3 to 8 members; see `membership_plays`."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 SCENARIOS = SCENARIO_FOLDER / "system"
 
-CATCH_UP_S = 4.0  # what operators are promised to leave between two losses
-REPAIRED_S = 3.0  # until the next loss is survived, after any repair
-PLANNED_S = 0.5  # after SIGTERM, where a learner stands by
+CATCH_UP_S = 4.0  # documented minimum time between two tolerated losses
+REPAIRED_S = 3.0  # limit of any repair, until the next loss is tolerated
+PLANNED_S = 0.5  # limit of a replacement after SIGTERM if there is a learner
 SEEDS = {"planned_then_loss": 5, "planned_then_wipe": 5}
 OTHER_SEEDS = 2
 
@@ -49,7 +49,7 @@
 
 
 async def ends_at_once(self: GracefulLeave, timeout_s: float = 0.0) -> bool:
-    """A member that leaves without asking for its place to be given away."""
+    """Leave without requesting a replacement."""
     return False
 
 
@@ -59,7 +59,7 @@
             player = FleetPlayer((SCENARIOS / "planned_replacement_then_loss.txt").read_text())
             with self.assertRaises(ViolationError):
                 player.play()
-            repairs = run("silent_then_loss", 3, 1).repairs  # its place is still taken once it is silent
+            repairs = run("silent_then_loss", 3, 1).repairs  # it is still replaced after the voter timeout
         self.assertLess(max(repairs["silent"]), REPAIRED_S)
 
     def test_a_wiped_member_that_asks_the_seeds_alone(self) -> None:
--- a/tests/router/consensus/test_storage_damage.py
+++ b/tests/router/consensus/test_storage_damage.py
@@ -1,4 +1,4 @@
-"""Damage that no power loss leaves: bits, pages and lengths. It is detected, and never ends the process."""
+"""Damage of bits, pages and lengths that no power loss causes is detected and never crashes the process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Damage(unittest.TestCase):
-    """One store, damaged in copies."""
+    """Damaged copies of one intact store."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -31,7 +31,7 @@
             writes = draw_batch(model, chance)
             store.write(writes)
             model = model.after_all(writes)
-        for _ in range(10):  # so that the tree has branches
+        for _ in range(10):  # enough entries for the tree to have branch pages
             writes = [Write(1, None, draw_entries(model.last + 1, 30, 99, chance))]
             store.write(writes)
             model = model.after_all(writes)
@@ -42,7 +42,7 @@
         os.mkdir(os.path.join(self.folder, "copy"))
 
     def load(self, data: bytes) -> PersistentState:
-        """What a store with these bytes holds, and holds again once it has been written."""
+        """Return the contents of a store with these bytes; check that it can be written and read again."""
         folder = os.path.join(self.folder, "copy")
         with open(os.path.join(folder, "replica.lmdb"), "wb") as file:
             file.write(data)
@@ -82,7 +82,7 @@
                 self.load(self.intact[:length])
 
     def test_a_complete_older_state_is_not_damage(self) -> None:
-        """Damage in what lmdb last wrote into the newer meta page looks as a torn write does."""
+        """Damaged roots in the newer meta page look like a torn write, so the older state is restored."""
         data = bytearray(self.intact)
         data[newer_slot(self.intact) * seal.PAGE_BYTES + 100] ^= 1
         self.assertTrue(looks_torn(self.intact, bytes(data)))
@@ -97,7 +97,7 @@
                     self.load(bytes(data))
 
     def test_the_page_check_reads_every_page_in_use(self) -> None:
-        """Used, free and meta pages are all there is, so nothing in use escapes the check."""
+        """Pages in use and free pages are all pages of the file, so the check skips none in use."""
         start = newer_slot(self.intact) * seal.PAGE_BYTES
         found = pages.check_pages(self.intact, self.intact[start : start + seal.META_BYTES])
         every = found.in_use | found.free
@@ -155,13 +155,13 @@
 
 
 def newer_slot(intact: bytes) -> int:
-    """The meta page of the last transaction."""
+    """Return the number of the meta page that the last transaction wrote."""
     starts = [slot * seal.PAGE_BYTES + seal.TRANSACTION_OFFSET for slot in seal.SLOTS]
     return int(intact[starts[0] : starts[0] + 8][::-1] < intact[starts[1] : starts[1] + 8][::-1])
 
 
 def looks_torn(intact: bytes, data: bytes) -> bool:
-    """Whether bytes differ only where a transaction writes into its meta page: its roots and the seal."""
+    """Return whether the bytes differ only in the roots and the seal of the newer meta page."""
     start = newer_slot(intact) * seal.PAGE_BYTES
     written = {
         *range(start + seal.ROOTS_OFFSET, start + seal.META_BYTES),
@@ -171,19 +171,19 @@
 
 
 def damaged(intact: bytes, chance: random.Random, numbers: list[int]) -> bytes:
-    """One kind of damage in one of the pages given."""
+    """Apply a random kind of damage to one of the given pages."""
     data = bytearray(intact)
     page = chance.choice(numbers) * seal.PAGE_BYTES
     kind = chance.randrange(5)
     if kind == 0:
         data[page + chance.randrange(seal.PAGE_BYTES)] ^= 1 << chance.randrange(8)
-    elif kind == 1:  # where pages and nodes keep their numbers
+    elif kind == 1:  # page header and first node offsets
         data[page + chance.randrange(64)] ^= 1 << chance.randrange(8)
     elif kind == 2:
         data[page : page + seal.PAGE_BYTES] = bytes(seal.PAGE_BYTES)
     elif kind == 3:
         data[page : page + seal.PAGE_BYTES] = chance.randbytes(seal.PAGE_BYTES)
-    else:  # another page's bytes
+    else:  # bytes of another page
         other = chance.randrange(len(data) // seal.PAGE_BYTES) * seal.PAGE_BYTES
         data[page : page + seal.PAGE_BYTES] = intact[other : other + seal.PAGE_BYTES]
     return bytes(data)
--- a/tests/router/consensus/test_storage_large.py
+++ b/tests/router/consensus/test_storage_large.py
@@ -1,4 +1,4 @@
-"""Large configurations that do not compress, on the real store: the bounds of memory and disk hold."""
+"""Memory and disk usage stay within their limits under large incompressible configurations."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from project_paths import ROOT, SUPPORT
 
-COUNT = 100  # by then, the file and the process have long stopped growing
+COUNT = 100  # enough for the sizes of file and process to have stopped growing
 BODY = 4 * 1024 * 1024
 DISK_MB = 128
-MOST_S = 300.0  # many times what it takes, so that a load which stands still fails
-MEMORY_MIB = 296  # of a machine of the core
+MOST_S = 300.0  # many times the usual duration; a stalled load fails
+MEMORY_MIB = 296  # memory of a control plane machine
 
 
 class LargeConfigurations(unittest.TestCase):
--- a/tests/router/consensus/test_storage_power.py
+++ b/tests/router/consensus/test_storage_power.py
@@ -1,4 +1,4 @@
-"""Power loss at every call of the replica store; and that the trial notices a protection that is missing."""
+"""Power loss at every call of the replica store; the trial itself must detect missing protections."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 SEEDS = range(100, 102)
 BATCHES = 5
-ATTEMPTS = 40  # seeds in which a missing protection must be noticed
+ATTEMPTS = 40  # seeds within which a missing protection must be detected
 
 
 class PowerLoss(unittest.TestCase):
@@ -46,7 +46,7 @@
 
 
 class MissingProtections(unittest.TestCase):
-    """Each variant lacks one step; some image must then be lost."""
+    """Each variant omits one protection, so some image must lose acknowledged state."""
 
     def notices(
         self,
@@ -62,7 +62,7 @@
                     trial.run(batches)
             except (LostWriteError, StoreError):
                 return
-        self.fail("the trial did not notice")
+        self.fail("the trial did not detect the missing protection")
 
     def test_no_seal_check(self) -> None:
         unchecked = seal._read_page
@@ -109,7 +109,7 @@
         self.notices(lambda trial: mock.patch.object(seal, "newest_sealed", forgetful), refused=1.0)
 
     def test_no_replacement_of_a_torn_meta_page(self) -> None:
-        """lmdb may end the process here, so it runs in one of its own."""
+        """Runs in a subprocess because lmdb may crash the process."""
         script = (
             "from unittest import mock\n"
             "from storage_trial import Trial\n"
@@ -126,7 +126,7 @@
 
 @contextlib.contextmanager
 def deaf_in(trial: Trial, owner: object, name: str) -> Iterator[None]:
-    """Syncs do nothing while this method runs."""
+    """Ignore syncs while the method `name` of `owner` runs."""
     method = getattr(owner, name)
 
     def deaf(*arguments: Any) -> Any:
--- a/tests/router/consensus/test_storage_store.py
+++ b/tests/router/consensus/test_storage_store.py
@@ -1,4 +1,4 @@
-"""The replica store on a healthy disk, on a full one, and on one that refuses."""
+"""The replica store on a healthy disk, on a full disk, and with failing system calls."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
     def test_entries_and_a_snapshot_that_covers_some_of_them_in_one_write(self) -> None:
         self.write(entries(1, 10), taken=snapshot(8))
         self.assertEqual(self.indexes(), [9, 10])
-        self.write(entries(7, 5))  # those in the snapshot are left out
+        self.write(entries(7, 5))  # entries covered by the snapshot are skipped
         self.assertEqual(self.indexes(), [9, 10, 11])
 
     def test_a_batch_of_writes_is_applied_in_order(self) -> None:
@@ -172,7 +172,7 @@
 
 class Opening(StoreCase):
     def test_lmdb_syncs_data_before_the_meta_page_and_writes_through_no_mapping(self) -> None:
-        """The power trial's order of calls rests on these."""
+        """The power loss trial depends on these flags for its order of calls."""
         flags = self.store._file.environment.flags()
         self.assertEqual((flags["sync"], flags["metasync"], flags["writemap"]), (True, False, False))
         self.assertFalse(flags["map_async"])
@@ -226,7 +226,7 @@
 
 
 class Failures(StoreCase):
-    disk_mb = 8  # the map has 4 MB, entries may fill 2
+    disk_mb = 8  # the map size is 4 MB, of which entries may use 2 MB
 
     def test_entries_leave_space_for_a_snapshot(self) -> None:
         next_index = 1
@@ -236,15 +236,16 @@
                 next_index += 10
         self.assertEqual((caught.exception.code, caught.exception.step), ("STORE_FULL", "bound"))
         self.write(hard_state=HardState(4, 4))
-        for index in (3, 9, 15, next_index - 1):  # a sixth of the map, less what lmdb needs beside it
+        for index in (3, 9, 15, next_index - 1):  # about a sixth of the map size with lmdb's overhead
             self.write(taken=snapshot(index, size=600_000))
         self.write(entries(next_index, 10, size=1000))
         self.assertEqual(len(self.reopen().entries), 10)
 
     def test_entries_at_the_limit_can_be_replaced_by_another_leaders(self) -> None:
-        """They can't be committed, and so are never dropped by a snapshot.
+        """Entries of a failed leader cannot be committed, so no snapshot ever drops them.
 
-        A member that had to wait for one, and whose acknowledgement the new leader waits for, would be stuck.
+        A member that waited for a snapshot to make space, while the new leader waits for its acknowledgement,
+        would be stuck.
         """
         next_index = 1
         with self.assertRaises(StoreFullError):
@@ -291,7 +292,7 @@
         self.assertEqual(self.indexes(), [1, 2, 3, 4])
 
     def test_failed_write_of_lmdb(self) -> None:
-        """A bound on file sizes refuses what lmdb writes by itself."""
+        """A file size limit makes lmdb's own writes fail."""
         self.write(entries(1, 3))
         length = os.path.getsize(os.path.join(self.folder, "replica.lmdb"))
         limits = resource.getrlimit(resource.RLIMIT_FSIZE)
--- a/tests/support/consensus_bulk.py
+++ b/tests/support/consensus_bulk.py
@@ -1,14 +1,15 @@
 """Statements of consensus scenarios on large states, many changes and slow links.
 
-    state BYTES                      (from now on a snapshot's state has so many bytes)
-    compact-every ENTRIES BYTES      (members take a snapshot after so many applied entries, or so many bytes)
-    bandwidth BYTES [WHO]            (a second, on each way of all links, or of those of WHO)
-    write COUNT BYTES                (one command after another, each once the last is acknowledged)
-    power-off-on-install WHO         (once a snapshot is whole there, before it is durable)
-
-Expectations: ``written`` (all of them), ``received below WHO BYTES`` (since the machine was last started),
-``waiting below BYTES`` (on any link at any time; what is more is dropped), ``progress WHO`` (a part of a
-snapshot is held), ``applied WHO COUNT``, ``down WHO``, ``index WHO INDEX`` (its disk's snapshot's, at most).
+    state BYTES                      (size of the state in a snapshot from now on)
+    compact-every ENTRIES BYTES      (members take a snapshot after this many applied entries or bytes)
+    bandwidth BYTES [WHO]            (bytes per second, each way, on the links of WHO or on all others)
+    write COUNT BYTES                (commands of this size; each is proposed once the last is acknowledged)
+    power-off-on-install WHO         (WHO loses power when it has a complete snapshot that is not yet durable)
+
+Expectations: ``written`` (all commands are acknowledged), ``received below WHO BYTES`` (since the machine was
+last started), ``waiting below BYTES`` (maximum queued on any link at any time; further messages are dropped),
+``progress WHO`` (WHO has received part of a snapshot), ``applied WHO COUNT`` (at least), ``down WHO``,
+``index WHO INDEX`` (index of the snapshot on its disk, at most).
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
     from consensus_world import World
 
 POLL_SECONDS = 0.002
-REPEAT_SECONDS = 3.0  # without an acknowledgement: the command's leader may be gone
+REPEAT_SECONDS = 3.0  # retry without an acknowledgement: the leader may have failed
 
 
 class BulkStatements:
-    """What a player of scenarios can do and expect of them."""
+    """Statements and expectations that the scenario player executes."""
 
     world: World
     end: float
@@ -52,7 +53,7 @@
         self._write(int(count), int(size))
 
     def _write(self, count: int, size: int) -> None:
-        """Propose one command and wait for it, then the rest."""
+        """Propose one command, wait for its acknowledgement, then propose the rest."""
         world = self.world
         if count == 0:
             return
@@ -73,7 +74,7 @@
         poll()
 
     def do_power_off_on_install(self, who: str) -> None:
-        """The power is lost at the moment at which a snapshot is whole, before it is written."""
+        """Power off the machine once a snapshot is complete, before it is written."""
         machine = self._machine(who)
 
         def poll() -> None:
@@ -105,11 +106,11 @@
         return lambda: machine.node is None
 
     def expect_index(self, who: str, disk_index: str) -> Callable[[], bool]:
-        """``index WHO INDEX``: the snapshot on its disk is of that index, or an older one."""
+        """``index WHO INDEX``: the snapshot on its disk has this index or a lower one."""
         machine = self._machine(who)
         return lambda: machine.disk.snapshot.index <= int(disk_index)
 
     def expect_applied(self, who: str, count: str) -> Callable[[], bool]:
-        """``applied WHO COUNT``: so many commands, or more."""
+        """``applied WHO COUNT``: at least this many commands are applied."""
         machine = self._machine(who)
         return lambda: machine.node is not None and machine.applied.count >= int(count)
--- a/tests/support/consensus_checkers.py
+++ b/tests/support/consensus_checkers.py
@@ -1,4 +1,4 @@
-"""What must hold of a simulated group at every moment; a breach raises Violation with the checker's name."""
+"""Invariants of a simulated group, checked after each event; `Violation` carries the checker's name."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Violation(AssertionError):
-    """A breach of what must hold."""
+    """An invariant or an expectation does not hold."""
 
     def __init__(self, checker: str, what: str) -> None:
         super().__init__(f"{checker}: {what}")
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Applied:
-    """A state machine's state: how many commands, and a digest of them in their order."""
+    """State of a state machine: the number of applied commands and a digest of them in order."""
 
     count: int = 0
     digest: int = 0
@@ -38,7 +38,7 @@
         return Applied(self.count + 1, crc32(entry.payload, self.digest))
 
     def to_bytes(self, size: int = 0) -> bytes:
-        """As a snapshot's state, of `size` bytes or more; no part of it stands for another state's."""
+        """Encode as a snapshot's state of about `size` bytes; truncated or mixed states are detected."""
         line = f"{self.count} {self.digest}\n".encode()
         return line + (line * (size // len(line)) if size else b"")
 
@@ -49,23 +49,23 @@
         line = state[: state.find(b"\n") + 1]
         numbers = line.split()
         if len(numbers) != 2 or state != line * (len(state) // len(line)):
-            raise Violation("state machine", "a snapshot's state is not whole")
+            raise Violation("state machine", "a snapshot's state is incomplete or mixed")
         return cls(*map(int, numbers))
 
 
 @dataclass
 class Operation:
-    """A client's write or read. `floor`: commands that were certain when it was invoked."""
+    """A client's write or read.  `floor`: commands known to be committed when it was invoked."""
 
     floor: int
     invoked: float
 
 
 def overlap(before: Membership, after: Membership) -> bool:
-    """Whether each quorum of one membership shares a voter with each of the other; all are tried.
+    """Return whether each quorum of one membership shares a voter with each quorum of the other.
 
-    Written apart from the core's own rules. A quorum is a majority of each set of voters; where the least
-    ones overlap, greater ones do.
+    Implemented independently of the core's rules, by trying all minimal quorums.  A quorum is a majority of
+    each set of voters; if the minimal quorums overlap, larger ones do too.
     """
     return not any(
         quorum.isdisjoint(other) for quorum in _least_quorums(before) for other in _least_quorums(after)
@@ -73,7 +73,7 @@
 
 
 def _sets(membership: Membership) -> list[list[int]]:
-    """The voters, and those before a joint change that is under way."""
+    """The voters and, during a joint change, the outgoing voters."""
     sets = [[member.id for member in membership.members if member.voter], list(membership.outgoing_voters)]
     return [voters for voters in sets if voters]
 
@@ -87,28 +87,28 @@
 
 
 class Checkers:
-    """All checkers of one world. They see what members do, and inspect the disks."""
+    """All checkers of one world; they observe members' outputs and inspect the disks."""
 
     def __init__(self, world: World, first_index: int, first_membership: Membership) -> None:
         self.world = world
         self.first_index = first_index
-        self.committed: list[Entry] = []  # the one true order, behind the first index
-        self.commit_terms: list[int] = []  # of the leaders that committed them
-        self.states = [Applied()]  # after each of them
-        self.membership = first_membership  # the last that was committed
-        self.memberships = [(first_index, first_membership)]  # all that were, by index
-        self.leaders: dict[int, int] = {}  # member by term
+        self.committed: list[Entry] = []  # all committed entries after the first index
+        self.commit_terms: list[int] = []  # term of the leader that committed each of them
+        self.states = [Applied()]  # initial state, then the state after each committed entry
+        self.membership = first_membership  # the last committed one
+        self.memberships = [(first_index, first_membership)]  # all committed ones with their index
+        self.leaders: dict[int, int] = {}  # member id by term
         self.commit_seen: dict[tuple[int, int], int] = {}  # by member and incarnation
-        self.last_terms: dict[tuple[int, int], int] = {}  # the same
-        self.certain = 0  # commands acknowledged, or seen by a read that ended
+        self.last_terms: dict[tuple[int, int], int] = {}  # last log term, by member and incarnation
+        self.certain = 0  # commands acknowledged, or observed by a completed read
         self.acknowledged = 0
         self.reads_confirmed = 0
         self.reads_refused = 0
 
-    # ------------------------------------------------------------ durable before said
+    # ------------------------------------------------------------ durability before sending
 
     def sends(self, machine: Machine, send: Send) -> None:
-        """Look at a message that leaves: what it claims must be on the disk."""
+        """Check an outgoing message: the state that it claims must be on the sender's disk."""
         message, disk = send.message, machine.disk
         kind = message.WhichOneof("body")
         if kind == "vote_response" and not message.vote_response.pre_vote:
@@ -118,45 +118,51 @@
         elif kind == "append_response":
             response = message.append_response
             if disk.hard_state.term < response.term:
-                raise Violation("durable term", f"{machine.member_id} answers in term {response.term}")
-            overtaken = disk.hard_state.term > response.term  # by a later term in the same sync
+                raise Violation(
+                    "durable term",
+                    f"{machine.member_id} responds in unwritten term {response.term}",
+                )
+            overtaken = disk.hard_state.term > response.term  # a later term was written by the same sync
             if response.success and disk.last_index < response.match_index and not overtaken:
                 raise Violation(
                     "durable entries",
-                    f"{machine.member_id} confirms {response.match_index}, "
+                    f"{machine.member_id} acknowledges {response.match_index}, "
                     f"its disk ends at {disk.last_index}",
                 )
 
     def _candidacy_durable(self, machine: Machine, term: int) -> None:
         state = machine.disk.hard_state
         if state.term < term or state.term == term and state.vote != machine.member_id:
-            raise Violation("durable vote", f"{machine.member_id} asks in {term}, its disk has {state}")
+            raise Violation("durable vote", f"{machine.member_id} campaigns in term {term}, disk: {state}")
 
     def _vote_durable(self, machine: Machine, candidate: int, response) -> None:
         state = machine.disk.hard_state
         if state.term < response.term:
-            raise Violation("durable term", f"{machine.member_id} answers a candidate in {response.term}")
+            raise Violation(
+                "durable term",
+                f"{machine.member_id} votes in unwritten term {response.term}",
+            )
         if response.granted and state.term == response.term and state.vote != candidate:
-            raise Violation("durable vote", f"{machine.member_id} grants {candidate}, its disk has {state}")
+            raise Violation("durable vote", f"{machine.member_id} votes for {candidate}, disk: {state}")
 
     # ------------------------------------------------------------ leaders and commits
 
     def after(self, machine: Machine) -> None:
-        """Look at a member after an event."""
+        """Check a member after an event."""
         node = machine.node
         key = (machine.member_id, machine.incarnation)
         before = self.commit_seen.get(key, node.commit_index)
         if node.commit_index < before:
-            raise Violation("commit index", f"{machine.member_id} falls back to {node.commit_index}")
+            raise Violation("commit index", f"{machine.member_id} decreases it to {node.commit_index}")
         self.commit_seen[key] = node.commit_index
         log = node._state.log
-        if self.last_terms.get(key) != log.last_term:  # entries were dropped, or a term is new here
+        if self.last_terms.get(key) != log.last_term:  # truncated entries or a new term
             self.last_terms[key] = log.last_term
             self._membership_in_force(log)
         if node.role is Role.LEADER:
             self._leads(machine)
             if node.commit_index > before and node._state.log.term_at(node.commit_index) != node.term:
-                raise Violation("own term", f"{machine.member_id} commits one of an older term")
+                raise Violation("own term", f"{machine.member_id} commits an entry of an older term")
 
     def _leads(self, machine: Machine) -> None:
         node = machine.node
@@ -164,12 +170,12 @@
         if leader == machine.member_id:
             return
         if leader is not None:
-            raise Violation("one leader a term", f"{leader} and {machine.member_id} in term {node.term}")
+            raise Violation("one leader a term", f"{leader} and {machine.member_id} lead term {node.term}")
         self.leaders[node.term] = machine.member_id
         log = node._state.log
         for entry, commit_term in zip(self.committed, self.commit_terms, strict=True):
             if commit_term >= node.term:
-                continue  # a candidate that was frozen may win an old term late
+                continue  # a candidate that was frozen may win an old term after a newer one began
             if entry.index > log.base_index and log.term_at(entry.index) != entry.term:
                 raise Violation(
                     "committed entries",
@@ -178,16 +184,16 @@
                 )
 
     def commits(self, machine: Machine, entry: Entry) -> Applied:
-        """A member hands out a committed entry; the state after it."""
+        """Check a committed entry that a member returned; return the state after it."""
         position = entry.index - self.first_index - 1
         if position > len(self.committed):
-            raise Violation("state machine", f"{machine.member_id} skips to {entry.index}")
+            raise Violation("state machine", f"{machine.member_id} skips entries before {entry.index}")
         if position == len(self.committed):
             self._first_commit(machine, entry)
         elif self.committed[position] != entry:
             raise Violation(
                 "state machine",
-                f"{machine.member_id} applies another entry at {entry.index}: "
+                f"{machine.member_id} applies a different entry at {entry.index}: "
                 f"term {entry.term}, not {self.committed[position].term}",
             )
         return self.states[position + 1]
@@ -195,10 +201,10 @@
     def _first_commit(self, machine: Machine, entry: Entry) -> None:
         in_force = [machine.node.membership]
         if machine.node.role is not Role.LEADER:
-            in_force.append(self.membership)  # it has lost its leadership in the same batch of events
+            in_force.append(self.membership)  # it lost its leadership in the same batch of events
         if not any(self._durable_on_majority(membership, entry) for membership in in_force):
             what = f"entry {entry.index} of term {entry.term} is committed by {machine.member_id}"
-            raise Violation("durable on a majority", f"{what}, not held by a majority of its voters")
+            raise Violation("durable on a majority", f"{what} but not durable on a majority of its voters")
         self.committed.append(entry)
         self.commit_terms.append(machine.node.term)
         self.states.append(self.states[-1].after(entry))
@@ -208,24 +214,24 @@
                 raise Violation(
                     "durable on a majority",
                     f"membership {entry.index} is committed by "
-                    f"{machine.member_id} without a quorum of its own",
+                    f"{machine.member_id} without a quorum of itself",
                 )
             self._follows(entry.index, self.membership, membership)
             self.membership = membership
             self.memberships.append((entry.index, membership))
 
     def _follows(self, index: int, before: Membership, after: Membership) -> None:
-        """Each voter has a place, and quorums of successive memberships overlap."""
+        """Check that the target size is kept and that quorums of successive memberships overlap."""
         if len(voters_of(after)) > max(after.target_voters, len(voters_of(before))):
             raise Violation(
                 "places",
-                f"entry {index} has {len(voters_of(after))} voters, " f"{after.target_voters} places",
+                f"entry {index} has {len(voters_of(after))} voters, " f"its target is {after.target_voters}",
             )
         if not overlap(before, after):
-            raise Violation("membership", f"entry {index}: quorums of it and the one before do not overlap")
+            raise Violation("membership", f"entry {index}: its quorums do not overlap with those before it")
 
     def _durable_on_majority(self, membership: Membership, entry: Entry) -> bool:
-        """Whether a majority of each set of voters has the entry on disk; counted apart from the core."""
+        """Whether a majority of each set of voters has the entry on disk; independent of the core's count."""
         for voters in _sets(membership):
             holders = [voter for voter in voters if self.world.disk_of(voter).holds(entry)]
             if 2 * len(holders) <= len(voters):
@@ -233,19 +239,20 @@
         return True
 
     def installs(self, machine: Machine, index: int, applied: Applied) -> None:
-        """A member takes a snapshot's state."""
+        """Check a snapshot that a member installs."""
         if not self.first_index <= index <= self.first_index + len(self.committed):
             raise Violation("state machine", f"{machine.member_id} installs a snapshot at {index}")
         if self.states[index - self.first_index] != applied:
-            raise Violation("state machine", f"{machine.member_id} installs another state at {index}")
+            raise Violation("state machine", f"{machine.member_id} installs a different state at {index}")
 
     def compacts(self, machine: Machine) -> None:
-        """A member has taken a snapshot: it holds the membership of its index, whole."""
+        """Check that a snapshot that a member has taken contains the complete membership at its index."""
         snapshot = machine.node._state.log.snapshot
         earlier = [membership for index, membership in self.memberships if index <= snapshot.index]
         if snapshot.membership != earlier[-1]:
             raise Violation(
-                "membership", f"{machine.member_id} has another one in its snapshot at " f"{snapshot.index}"
+                "membership",
+                f"{machine.member_id} has another one in its snapshot at " f"{snapshot.index}",
             )
 
     # ------------------------------------------------------------ clients
@@ -254,9 +261,9 @@
         return Operation(self.certain, self.world.now)
 
     def write_acknowledged(self, operation: Operation, position: int) -> None:
-        """`position`: the command's place in the order, from 1."""
+        """`position`: the command's position among committed commands, from 1."""
         if position <= operation.floor:
-            raise Violation("linearizable", f"write at {position}, {operation.floor} were certain before")
+            raise Violation("linearizable", f"write at {position}, {operation.floor} were committed before")
         self.acknowledged += 1
         self.certain = max(self.certain, position)
 
@@ -265,14 +272,14 @@
             self.reads_refused += 1
             return
         if count < operation.floor:
-            raise Violation("linearizable", f"read sees {count}, {operation.floor} were certain before")
+            raise Violation("linearizable", f"read sees {count}, {operation.floor} were committed before")
         self.reads_confirmed += 1
         self.certain = max(self.certain, count)
 
     # ------------------------------------------------------------ logs
 
     def logs_match(self, window: int = 10**9) -> None:
-        """Two logs that agree in the term at an index agree in all before it; `window` last ones are read."""
+        """Check that logs with equal terms at an index are equal up to it, in their last `window` entries."""
         logs = [machine.node._state.log for machine in self.world.machines.values() if machine.node]
         for log in logs:
             self._membership_in_force(log)
@@ -281,12 +288,12 @@
                 self._match(one, other, window)
 
     def _membership_in_force(self, log) -> None:
-        """The last one in the log is in force."""
+        """Check that the last membership in the log is in force."""
         entries = log.slice(log.base_index + 1, log.last_index)
         later = [entry for entry in entries if entry.kind == MEMBERSHIP and entry.index > log.snapshot.index]
         wanted = Membership.FromString(later[-1].payload) if later else log.snapshot.membership
         if log.memberships.current.membership != wanted:
-            raise Violation("membership", f"that of entry {log.memberships.current.index} is in force")
+            raise Violation("membership", f"entry {log.memberships.current.index} is wrongly in force")
 
     def _match(self, one, other, window: int) -> None:
         last = min(one.last_index, other.last_index)
@@ -295,7 +302,7 @@
         for index in range(last, least, -1):
             same = one.term_at(index) == other.term_at(index)
             if agreed and not same:
-                raise Violation("log matching", f"logs agree behind {index}, not there")
+                raise Violation("log matching", f"logs agree after {index} but differ there")
             if same and one.slice(index, index) != other.slice(index, index):
-                raise Violation("log matching", f"two entries at {index} in term {one.term_at(index)}")
+                raise Violation("log matching", f"entries differ at {index} in term {one.term_at(index)}")
             agreed = agreed or same
--- a/tests/support/consensus_chunks.py
+++ b/tests/support/consensus_chunks.py
@@ -1,4 +1,4 @@
-"""A leader that sends a small snapshot in chunks to a member that lags behind."""
+"""Helpers for tests of a leader that sends a small snapshot in chunks to a lagging member."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def leader(**settings: object) -> Host:
-    """A leader whose log begins with a snapshot of ten bytes; chunks of four bytes, a window of eight."""
+    """Return a leader whose log begins with a snapshot of 10 bytes; chunks of 4 bytes, a window of 8."""
     settings = {"trailing_entries": 0, "chunk_bytes": 4, "chunk_window_bytes": 8, **settings}
     host = Host(**settings)
     host.lead()
@@ -23,13 +23,13 @@
 
 
 def reject_append(host: Host) -> list[SnapshotChunk]:
-    """The slow member rejects an append because its log is empty; returns the chunks sent to it."""
+    """Reject an append as the slow member, whose log is empty; return the chunks sent to it."""
     rejection = AppendResponse(term=host.node.term, success=False, hint_index=0, round=1)
     return bodies(host.receive(SLOW, append_response=rejection).send, "snapshot_chunk")
 
 
 def acknowledge(host: Host, received: int, index: int = 2) -> list[SnapshotChunk]:
-    """The slow member acknowledges `received` bytes; returns the chunks sent to it."""
+    """Acknowledge `received` bytes as the slow member; return the chunks sent to it."""
     progress = SnapshotProgress(term=host.node.term, round=1, index=index, received=received)
     return bodies(host.receive(SLOW, snapshot_progress=progress).send, "snapshot_chunk")
 
@@ -39,7 +39,7 @@
 
 
 def pass_time(host: Host, seconds: float, *, responds: bool = True) -> list[SnapshotChunk]:
-    """Let time pass; member 2 responds to heartbeats, and the slow one if it `responds`."""
+    """Advance time; member 2 responds to heartbeats, and the slow one only if it `responds`."""
     sent = []
     for _ in range(round(seconds / TICK_S)):
         host.confirm(2, 2)
--- a/tests/support/consensus_host.py
+++ b/tests/support/consensus_host.py
@@ -1,4 +1,4 @@
-"""One member of consensus, whose messages and writes a test hands over itself."""
+"""A host of one Raft member for unit tests, which deliver messages and complete writes explicitly."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Host:
-    """Drives one member; writes are durable only once the test says so."""
+    """Drives one member; writes become durable only when the test calls `write`."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         return output
 
     def write(self) -> Output:
-        """All writes so far are durable."""
+        """Make all submitted writes durable."""
         if self.tickets:
             self.node.written(self.tickets[-1], self.now)
         return self.output()
@@ -99,7 +99,7 @@
         return self.receive(sender, append_response=response)
 
     def lead(self, commit: bool = True) -> Output:
-        """Become the leader of three, by the vote of member 2; commit the term's first entry if wanted."""
+        """Become the leader of three by the vote of member 2; optionally commit the term's first entry."""
         self.tick(1.0)
         if self.node.role is Role.PRE_CANDIDATE:
             vote = VoteResponse(term=self.node.term + 1, granted=True, pre_vote=True)
--- a/tests/support/consensus_machine.py
+++ b/tests/support/consensus_machine.py
@@ -1,4 +1,4 @@
-"""A simulated machine: one member, its host's loop, its disk, its clock."""
+"""A simulated machine: one Raft member with its host loop, disk and clock."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 if TYPE_CHECKING:
     from consensus_world import World
 
-BATCH_SECONDS = (0.0, 0.004)  # how long a member's output may wait where events are batched
+BATCH_SECONDS = (0.0, 0.004)  # range of the delay of a member's output when events are batched
 
 
 class Disk(Replica):
-    """What is durable on one disk."""
+    """The durable state on one disk."""
 
     def holds(self, entry: Entry) -> bool:
-        """Whether the entry, known to be committed, is here."""
+        """Return whether the disk contains this entry, which is known to be committed."""
         if entry.index <= self.snapshot.index:
             return True
         if entry.index > self.last_index:
@@ -35,27 +35,27 @@
         return self.entries[entry.index - self.snapshot.index - 1].term == entry.term
 
     def memberships(self) -> list[Membership]:
-        """All memberships here that may be in force."""
+        """Return all memberships on this disk that may be in force."""
         logged = [Membership.FromString(entry.payload) for entry in self.entries if entry.kind == MEMBERSHIP]
         return [self.snapshot.membership, *logged] if self.snapshot.membership.members else logged
 
 
 class Machine:
-    """A host of one member: its process, its disk, its clock."""
+    """The host of one member: its process, disk and clock."""
 
     def __init__(self, world: World, member_id: int, snapshot: Snapshot, settings: RaftSettings) -> None:
         self.world = world
         self.member_id = member_id
         self.settings = replace(settings, member_id=member_id)
         self.disk = Disk(member_id, snapshot)
-        self.latency = (0.002, 0.006)  # seconds a write takes, between these
+        self.latency = (0.002, 0.006)  # range of the duration of a write in seconds
         self.stalled = False
         self.clock_rate = 1.0
         self.clock_offset = 0.0
         self.incarnation = 0
         self.node: RaftNode | None = None
         self.frozen = False
-        self.installed = 0  # snapshots taken from leaders
+        self.installed = 0  # number of leaders' snapshots installed
         self.start()
 
     # ------------------------------------------------------------ the process
@@ -72,7 +72,7 @@
         return self.clock_offset + self.clock_rate * self.world.now
 
     def start(self) -> None:
-        """Start the process from its disk."""
+        """Start the process with the state on its disk, unless it is running."""
         if self.node is not None:
             return
         self.incarnation += 1
@@ -81,8 +81,8 @@
         self.writes: deque[Write] = deque()
         self.writing = False
         self.drain_due = False
-        self.tick_due: float | None = None  # the member's time of the tick that is planned
-        self.operations: dict[int, tuple[int, Operation]] = {}  # writes by index, with their term
+        self.tick_due: float | None = None  # time of the scheduled tick by the member's clock
+        self.operations: dict[int, tuple[int, Operation]] = {}  # pending writes and their term, by index
         self.reads: dict[int, Operation] = {}
         self.applied_index = self.disk.snapshot.index
         self.applied = Applied.of_bytes(self.disk.snapshot.state)
@@ -93,7 +93,7 @@
         self.drain()
 
     def crash(self, durable_writes: int | None = None) -> None:
-        """End the process; of writes under way so many, or a random number, have reached the disk."""
+        """Kill the process; `durable_writes` of the writes in flight, by default at random, are durable."""
         if self.node is None:
             return
         if durable_writes is None:
@@ -106,7 +106,7 @@
         self.frozen = True
 
     def thaw(self) -> None:
-        """Go on: what came meanwhile is taken in its order, a tick and a read somewhere among it."""
+        """Resume: process the backlog in order, with a tick and a read inserted at random positions."""
         if not self.frozen or self.node is None:
             return
         self.frozen = False
@@ -117,7 +117,7 @@
             step()
 
     def later(self, delay: float, step: Callable[[], None]) -> None:
-        """Take a step of this process after a delay, unless it ends before; once thawed if it is frozen."""
+        """Run a step after a delay unless the process has ended; a frozen process adds it to the backlog."""
         incarnation = self.incarnation
 
         def due() -> None:
@@ -133,7 +133,7 @@
     # ------------------------------------------------------------ the host's loop
 
     def process_output(self) -> None:
-        """After an event, do what the member says: at once, or together with what comes a moment later."""
+        """Process the member's output after an event: at once, or batched with the output of later events."""
         if self.world.random.random() >= self.world.batched:
             self.drain()
         elif not self.drain_due:
@@ -145,7 +145,7 @@
             self.drain()
 
     def drain(self) -> None:
-        """Do what the member says."""
+        """Process the member's output now."""
         self.drain_due = False
         output = self.node.output()
         for send in output.send:
@@ -171,7 +171,7 @@
         self.world.checkers.installs(self, snapshot.index, self.applied)
 
     def _apply(self, entry: Entry) -> None:
-        assert entry.index == self.applied_index + 1, "entries are handed out in order"
+        assert entry.index == self.applied_index + 1, "committed entries are not in order"
         before = self.applied.after(entry)
         self.applied_index = entry.index
         self.applied = self.world.checkers.commits(self, entry)
@@ -185,7 +185,9 @@
 
     def _read_ended(self, result: ReadResult) -> None:
         operation = self.reads.pop(result.read_id)
-        assert not result.confirmed or result.index <= self.applied_index, "a read comes after its index"
+        assert (
+            not result.confirmed or result.index <= self.applied_index
+        ), "read completed before its index is applied"
         self.world.checkers.read_ended(operation, result, self.applied.count)
 
     def _plan_tick(self) -> None:
@@ -218,7 +220,7 @@
             return
         self.writing = True
         incarnation = self.incarnation
-        together = len(self.writes)  # all that waits goes with one sync
+        together = len(self.writes)  # one sync covers all queued writes
 
         def done() -> None:
             if self.node is not None and incarnation == self.incarnation:
@@ -253,7 +255,7 @@
     # ------------------------------------------------------------ clients
 
     def propose(self, payload: bytes) -> bool:
-        """Whether the member took the command."""
+        """Propose a command; return whether the member accepted it."""
         if not self.runs:
             return False
         operation = self.world.checkers.invoke()
@@ -272,7 +274,7 @@
             self.process_output()
 
     def _compact_where_due(self) -> None:
-        """As the driver does, where the world says so."""
+        """Take a snapshot, as the driver does, once one of the world's thresholds is reached."""
         world = self.world
         if self.uncompacted_entries >= world.compact_entries or self.uncompacted_bytes >= world.compact_bytes:
             self.compact()
@@ -288,7 +290,7 @@
     def change_membership(self, membership: Membership) -> bool:
         if not self.runs:
             return False
-        self.drain_if_due()  # so that commits are seen under the membership they had
+        self.drain_if_due()  # checks earlier commits against the membership in force at that time
         try:
             self.node.change_membership(membership, self.clock())
         except ConsensusError:
--- a/tests/support/consensus_scenario.py
+++ b/tests/support/consensus_scenario.py
@@ -1,23 +1,25 @@
-"""Scenarios of consensus from text files: a group, faults at their times, and what must be seen.
+"""Raft scenarios from text files: a group of members, timed faults, and expectations.
 
-One statement a line; ``#`` begins a comment. First the group::
+Each line is one statement; ``#`` begins a comment. The first lines describe the group::
 
     group 3 voters 1 learners        seeds 1 10          set trailing_entries 4
-    load every 0.02                  (a client writes at the leader, and reads at each that says it leads)
+    load every 0.02                  (a client writes at the leader and reads at each member in role leader)
 
-then ``at SECONDS STATEMENT``. WHO is an id, ``leader``, ``follower`` (the first running voter that does not
-lead), ``learner``, ``all``, or a name given before by ``as NAME``:
+The others are ``at SECONDS STATEMENT``. WHO is a member id, ``leader``, ``follower`` (the first running voter
+that is not the leader), ``learner``, ``all``, or a name defined earlier by ``as NAME``:
 
-    kill WHO | power-off WHO | start WHO | freeze WHO | thaw WHO       any of them with: as NAME
+    kill WHO | power-off WHO | start WHO | freeze WHO | thaw WHO       each optionally with: as NAME
     cut WHO WHO | cut-one-way FROM TO | isolate WHO | heal
-    lose SHARE | duplicate SHARE | reorder | delay LEAST MOST | lag WHO SECONDS (of all that reaches it)
-    disk WHO LEAST MOST | stall WHO | unstall WHO | wipe WHO (it comes back under a new id) | compact WHO
-    add | promote WHO (a place is added) | replace WHO by WHO (a joint change) | demote WHO | remove WHO |
-    transfer WHO or any | note term
+    lose PROBABILITY | duplicate PROBABILITY | reorder | delay MIN MAX
+    lag WHO SECONDS (extra delay of all messages to WHO)
+    disk WHO MIN MAX | stall WHO | unstall WHO | wipe WHO (restarts under a new id) | compact WHO
+    add | promote WHO (raises the target if necessary) | replace WHO by WHO (a joint change) | demote WHO
+    remove WHO | transfer WHO or any | note term
     expect EXPECTATION [within SECONDS]
 
-An expectation without ``within`` must hold at once, one with it at some time until then. See the methods
-``expect_...`` of Player for all; those on large states and slow links are in `consensus_bulk`.
+An expectation without ``within`` must hold immediately, one with it at some time before the timeout. See the
+methods ``expect_...`` of `Player` for all expectations; those for large states and slow links are in
+`consensus_bulk`.
 """
 
 from __future__ import annotations
@@ -38,8 +40,8 @@
 
 FOLDER = SCENARIO_FOLDER / "consensus"
 POLL_SECONDS = 0.002
-OPERATOR_SECONDS = 30.0  # how long an operator repeats a change
-LAG_UNDER_LOAD = 5  # entries that a member may lie behind where it agrees
+OPERATOR_SECONDS = 30.0  # how long a membership change is retried
+LAG_UNDER_LOAD = 5  # maximum lag in entries at which a member counts as caught up
 
 
 @dataclass(frozen=True)
@@ -65,7 +67,7 @@
 
 
 def parse(path: Path) -> Scenario:
-    """Read a file; raises ValueError for a line that can't be read."""
+    """Read a file; raises ValueError for an invalid line."""
     scenario = Scenario(path.stem)
     for number, line in enumerate(path.read_text().splitlines(), 1):
         words = shlex.split(line, comments=True)
@@ -90,11 +92,11 @@
         case ["at", time, *rest] if rest:
             scenario.statements.append(Statement(number, float(time), tuple(rest)))
         case _:
-            raise ValueError(f"{scenario.name}, line {number}: {' '.join(words)}")
+            raise ValueError(f"{scenario.name}, line {number}: invalid statement: {' '.join(words)}")
 
 
 def play(scenario: Scenario, seed: int) -> World:
-    """Play a scenario with one seed; raises Violation for what must not be, or is not seen."""
+    """Play a scenario with one seed; raises Violation if an invariant or expectation does not hold."""
     try:
         return Player(scenario, seed).play()
     except Exception as error:
@@ -234,11 +236,11 @@
             machine.compact()
 
     def do_wipe(self, who: str) -> None:
-        """The machine is to be a learner under its new id, `wiped`."""
+        """Wipe a machine's disk and add it as a learner under a new id, named `wiped`."""
         self._join(self.world.wipe(self._id(who)).member_id, "wiped")
 
     def do_add(self) -> None:
-        """A new machine is to be a learner, `added`."""
+        """Add a new machine as a learner, named `added`."""
         self._join(self.world.add_machine(self.world.next_id).member_id, "added")
 
     def _join(self, member_id: int, name: str) -> None:
@@ -256,7 +258,7 @@
         )
 
     def do_replace(self, who: str, by: str, successor: str) -> None:
-        """A voter gives its place to a learner, in one joint change."""
+        """Replace a voter by a learner in one joint change."""
         assert by == "by"
         out, added_voters = self._id(who), self._id(successor)
         self._change(
@@ -326,16 +328,16 @@
         return seen
 
     def expect_no_leader(self) -> Callable[[], bool]:
-        """Nobody that runs leads."""
+        """No running member is the leader."""
         return lambda: self.world.leader() is None
 
     def expect_role(self, who: str, role: str) -> Callable[[], bool]:
-        """``role WHO follower``, and so on."""
+        """``role WHO ROLE``, such as ``role 2 follower``."""
         machine = self._machine(who)
         return lambda: machine.node.role.value == role
 
     def expect_agree(self) -> Callable[[], bool]:
-        """All running members have applied what the leader has, but for what is under way."""
+        """All running members have applied the leader's entries, except for at most `LAG_UNDER_LOAD`."""
         return lambda: self._lag() <= LAG_UNDER_LOAD
 
     def _lag(self) -> int:
@@ -351,28 +353,28 @@
         return max(leader.applied_index - member.applied_index for member in members if member.runs)
 
     def expect_noted_term(self) -> Callable[[], bool]:
-        """The highest term of any member is the one noted before."""
+        """The highest term of any member is the one that ``note term`` recorded."""
         machines = self.world.machines.values()
         return lambda: max(machine.node.term for machine in machines if machine.node) == self.noted_term
 
     def expect_voters(self, *who: str) -> Callable[[], bool]:
-        """``voters WHO...``: these, by the last committed membership."""
+        """``voters WHO...``: the voters of the last committed membership."""
         wanted = {self._id(each) for each in who}
         return lambda: voters_of(self.world.checkers.membership) == wanted
 
     def expect_learners(self, *who: str) -> Callable[[], bool]:
-        """``learners WHO...``: these, by the last committed membership."""
+        """``learners WHO...``: the learners of the last committed membership."""
         wanted = {self._id(each) for each in who}
         membership = self.world.checkers
         return lambda: {each.id for each in membership.membership.members if not each.voter} == wanted
 
     def expect_installed(self, who: str) -> Callable[[], bool]:
-        """``installed WHO``: it took a leader's snapshot."""
+        """``installed WHO``: it has installed a leader's snapshot."""
         machine = self._machine(who)
         return lambda: machine.installed > 0
 
     def expect_write(self) -> Callable[[], bool]:
-        """A write that begins now, or at the next leader, is acknowledged."""
+        """A write proposed to the current leader, or else the next one, is acknowledged."""
         before = self.world.checkers.acknowledged
         self._propose_once(self.end)
         return lambda: self.world.checkers.acknowledged > before
@@ -384,26 +386,26 @@
         self.world.at(self.world.now + POLL_SECONDS, lambda: self._propose_once(until))
 
     def expect_stuck(self, seconds: str) -> Callable[[], bool]:
-        """``stuck SECONDS``: no write is acknowledged for so long from now on; it is checked at their end."""
+        """``stuck SECONDS``: no write is acknowledged for this time from now on; checked at its end."""
         before = self.world.checkers.acknowledged
         end = self.world.now + float(seconds)
         self.end = max(self.end, end)
 
         def check() -> None:
             if self.world.checkers.acknowledged != before:
-                raise Violation("scenario", "a write was acknowledged where none can be")
+                raise Violation("scenario", "a write was acknowledged although none may be")
 
         self.world.at(end, check)
         return lambda: True
 
     def expect_read_confirmed(self, who: str) -> Callable[[], bool]:
-        """``read confirmed WHO``: a read that begins there now is confirmed."""
+        """``read confirmed WHO``: a read requested from it now is confirmed."""
         confirmed = self.world.checkers.reads_confirmed
         self.world.read(self._machine(who))
         return lambda: self.world.checkers.reads_confirmed > confirmed
 
     def expect_read_refused(self, who: str) -> Callable[[], bool]:
-        """``read refused WHO``: a read that begins there now is refused."""
+        """``read refused WHO``: a read requested from it now is not confirmed."""
         refused = self.world.checkers.reads_refused
         self.world.read(self._machine(who))
         return lambda: self.world.checkers.reads_refused > refused
--- a/tests/support/consensus_variants.py
+++ b/tests/support/consensus_variants.py
@@ -1,4 +1,4 @@
-"""The core broken on purpose, one rule at a time: each variant patches it while its context is open."""
+"""Broken variants of the Raft core: each violates one rule by a patch while its context is open."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def commits_older_terms_by_count() -> AbstractContextManager[object]:
-    """A leader commits an older term's entry as soon as a majority has it."""
+    """A leader commits an entry of an older term as soon as a majority has it."""
 
     def advance_commit(self: Leader) -> None:
         state = self._state
@@ -50,7 +50,7 @@
 
 
 def own_vote_not_durable() -> AbstractContextManager[object]:
-    """A candidate asks for votes, and counts its own, before that one is durable."""
+    """A candidate requests votes and counts its own vote before that is durable."""
 
     @contextmanager
     def patched() -> Iterator[None]:
@@ -69,7 +69,7 @@
 
 
 def acknowledges_before_write() -> AbstractContextManager[object]:
-    """A follower confirms entries before they are durable."""
+    """A follower acknowledges entries before they are durable."""
 
     def acknowledge(self: Follower, leader: int, last: int, round_number: int, wait_for_write: bool) -> None:
         self._respond(leader, success=True, match_index=last, round_number=round_number)
@@ -84,12 +84,12 @@
 
 
 def truncated_entries_count() -> AbstractContextManager[object]:
-    """A write under way still makes entries durable that were dropped meanwhile."""
+    """A write in flight marks entries as durable that were truncated in the meantime."""
     return mock.patch.object(Persistence, "entries_truncated", lambda self, first: None)
 
 
 def reads_without_round() -> AbstractContextManager[object]:
-    """A leader confirms reads without asking a majority."""
+    """A leader confirms reads without a heartbeat round."""
 
     def read(self: Leader, read_id: int) -> None:
         self._reads.add(read_id, 0)
@@ -118,23 +118,23 @@
 
 
 def joint_by_incoming_only() -> AbstractContextManager[object]:
-    """During a joint change the new voters decide alone."""
+    """During a joint change only the incoming voters count."""
     return mock.patch.object(Quorum, "_sets", property(lambda self: (self.incoming,)))
 
 
 def joint_by_outgoing_only() -> AbstractContextManager[object]:
-    """During a joint change the voters before it decide alone."""
+    """During a joint change only the outgoing voters count."""
     return mock.patch.object(Quorum, "_sets", property(lambda self: (self.outgoing or self.incoming,)))
 
 
 def outgoing_dropped_at_compaction() -> AbstractContextManager[object]:
-    """A snapshot in the middle of a joint change holds the new voters only."""
+    """A snapshot taken during a joint change contains only the incoming voters."""
     at = MembershipHistory.at
     return mock.patch.object(MembershipHistory, "at", lambda self, index: without_outgoing(at(self, index)))
 
 
 def joint_ended_before_commit() -> AbstractContextManager[object]:
-    """A leader appends the end of a joint change together with its beginning."""
+    """A leader appends the final membership together with the joint one."""
 
     @contextmanager
     def patched() -> Iterator[None]:
@@ -153,7 +153,7 @@
 
 
 def target_voters_ignored() -> AbstractContextManager[object]:
-    """A learner is promoted where no place is free."""
+    """A learner is promoted although the target number of voters is reached."""
 
     @contextmanager
     def patched() -> Iterator[None]:
@@ -172,12 +172,12 @@
 
 
 def membership_not_rolled_back() -> AbstractContextManager[object]:
-    """A membership stays in force though its entry was dropped."""
+    """A membership stays in force although its entry was truncated."""
     return mock.patch.object(MembershipHistory, "truncate", lambda self, first_index: None)
 
 
 def votes_without_log_check() -> AbstractContextManager[object]:
-    """Votes go to candidates whatever their logs hold."""
+    """Votes are granted without comparing the candidate's log."""
 
     def may_grant(self: Election, sender: int, request) -> bool:
         state = self._state
@@ -189,7 +189,7 @@
 
 
 def votes_twice() -> AbstractContextManager[object]:
-    """A member that does not stand itself grants all votes; campaigns are not put off and collide."""
+    """A member that is no candidate grants all votes; campaigns are not deferred and so collide."""
 
     def may_grant(self: Election, sender: int, request) -> bool:
         log = self._state.log
@@ -206,12 +206,12 @@
 
 
 def previous_entry_unchecked() -> AbstractContextManager[object]:
-    """A follower takes entries whatever precedes them, as long as there is no gap."""
+    """A follower appends entries without comparing the entry before them, as long as there is no gap."""
     return mock.patch.object(RaftLog, "matches", lambda self, index, term: index <= self.last_index)
 
 
 def commit_index_falls() -> AbstractContextManager[object]:
-    """A follower takes any commit index that the leader tells."""
+    """A follower adopts any commit index of the leader, even a lower one."""
 
     def commit_to(self: MemberState, index: int) -> None:
         self.commit_index = index
@@ -220,12 +220,12 @@
 
 
 def rejections_ignored() -> AbstractContextManager[object]:
-    """A leader does not go back where a follower refuses entries."""
+    """A leader does not move the next index back when a follower rejects entries."""
     return mock.patch.object(Progress, "handle_rejection", lambda self, hint_index: None)
 
 
 def term_not_durable() -> AbstractContextManager[object]:
-    """A follower answers in a term before that is durable."""
+    """A follower responds in a term before the term is durable."""
 
     @contextmanager
     def patched() -> Iterator[None]:
@@ -242,7 +242,7 @@
 
 
 def commits_beyond_match() -> AbstractContextManager[object]:
-    """A follower takes the leader's commit index for entries that it has not compared."""
+    """A follower applies the leader's commit index to entries that it has not matched."""
 
     def commit_to(self: MemberState, index: int) -> None:
         self.commit_index = max(self.commit_index, min(index, self.log.last_index))
@@ -263,7 +263,7 @@
 
 
 def conflicting_entries_retained() -> AbstractContextManager[object]:
-    """A follower keeps own entries where a leader's differ in their term."""
+    """A follower keeps its own entries that conflict with the leader's."""
 
     def term_blind_merge(self: RaftLog, entries, committed: int) -> int | None:
         self.append([entry for entry in entries if entry.index > self.last_index])
@@ -273,12 +273,12 @@
 
 
 def removed_never_campaigns() -> AbstractContextManager[object]:
-    """A member does not campaign once its log holds its removal, committed or not."""
+    """A member does not campaign once its log contains its removal, committed or not."""
     return mock.patch.object(MemberState, "may_campaign", property(lambda self: self.is_voter))
 
 
 def learners_reject_votes() -> AbstractContextManager[object]:
-    """A member that knows itself as a learner refuses its vote."""
+    """A member that is a learner by its own log rejects vote requests."""
     may_grant = Election._may_grant
     return mock.patch.object(
         Election,
@@ -288,12 +288,12 @@
 
 
 def quorum_check_without_deadline() -> AbstractContextManager[object]:
-    """A leader looks for its majority only when a heartbeat is due."""
+    """A leader checks for a majority only when a heartbeat is due."""
     return mock.patch.object(Leader, "next_deadline", lambda self: self._next_heartbeat)
 
 
 def no_pre_vote() -> AbstractContextManager[object]:
-    """A member begins a new term without asking whether it would be elected."""
+    """A member starts a new term without a pre-vote."""
 
     def start(self: Election) -> None:
         self._state.campaigns += 1
@@ -303,7 +303,7 @@
 
 
 def no_check_quorum() -> AbstractContextManager[object]:
-    """A leader that hears of nobody goes on."""
+    """A leader without contact to a majority does not step down."""
 
     def update_contact(self: Leader) -> None:
         self._state.last_leader_contact = self._state.now
@@ -312,12 +312,12 @@
 
 
 def no_leader_stickiness() -> AbstractContextManager[object]:
-    """Votes are granted though a leader is live."""
+    """Votes are granted although a leader is live."""
     return mock.patch.object(MemberState, "leader_is_live", property(lambda self: False))
 
 
 def stalled_leader_stays() -> AbstractContextManager[object]:
-    """A member takes no note of a write that stands still."""
+    """A member does not notice a stalled write."""
     return mock.patch.object(MemberState, "stalled", property(lambda self: False))
 
 
@@ -341,7 +341,7 @@
 
 
 def chunk_streams_mixed() -> AbstractContextManager[object]:
-    """A follower goes on with the chunks of another snapshot or entry where it is."""
+    """A follower combines the chunks of different snapshots or entries."""
 
     def keep(self: ChunkReceiver, key) -> None:
         self._key = key
@@ -350,7 +350,7 @@
 
 
 def snapshot_acknowledged_before_write() -> AbstractContextManager[object]:
-    """A follower confirms a snapshot once it is complete, before it is durable."""
+    """A follower acknowledges a snapshot once it is complete, before it is durable."""
     take_snapshot = Follower._accept_snapshot
 
     def hasty(self: Follower, leader: int, snapshot: Snapshot, round_number: int) -> None:
@@ -361,7 +361,7 @@
 
 
 def chunks_restarted_from_zero() -> AbstractContextManager[object]:
-    """A leader begins a snapshot anew after a loss or a partition."""
+    """A leader restarts a snapshot from the beginning after a loss or a partition."""
 
     def send_again(self: ChunkSender, now: float) -> None:
         self._acknowledged = self._next_offset = 0
@@ -377,12 +377,12 @@
 
 
 def arrival_counts_as_news() -> AbstractContextManager[object]:
-    """A follower takes an append for as new as its arrival."""
+    """A follower uses the arrival time of an append as the time at which it was built."""
     return mock.patch.object(RoundEcho, "built_after", lambda self, answered_round, now: now)
 
 
 def window_unbounded() -> AbstractContextManager[object]:
-    """A leader sends all chunks at once."""
+    """A leader sends all chunks without a window."""
     chunks = ChunkSender.chunks
     return mock.patch.object(
         ChunkSender, "chunks", lambda self, leader, chunk, window: chunks(self, leader, chunk, 1 << 40)
@@ -390,5 +390,5 @@
 
 
 def entries_after_chunks_dropped() -> AbstractContextManager[object]:
-    """A leader compacts its log whatever snapshot it is sending."""
+    """A leader compacts its log without retaining the entries after a snapshot in flight."""
     return mock.patch.object(Leader, "oldest_needed_index", lambda self, index: index)
--- a/tests/support/consensus_walker.py
+++ b/tests/support/consensus_walker.py
@@ -1,6 +1,6 @@
-"""Random schedules: members under random faults, each drawn from one seed.
+"""Random schedules of faults for a group of Raft members, each generated from one seed.
 
-``python tests/support/consensus_walker.py FIRST COUNT`` plays seeds and prints those that fail.
+``python tests/support/consensus_walker.py FIRST COUNT`` plays COUNT seeds and prints those that fail.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from mallowbeam.router.consensus.progress import ProgressState
 from mallowbeam.router.rpc.messages_pb2 import Membership
 
-FAULT_SECONDS = 5.0  # faults begin within this time
-QUIET_SECONDS = 8.0  # after it all is mended; the group must be whole again by its end
-STEP_SECONDS = 0.05  # mean time between two steps of clients
+FAULT_SECONDS = 5.0  # faults are injected during this time
+QUIET_SECONDS = 8.0  # time to recover after all faults are repaired
+STEP_SECONDS = 0.05  # mean time between two client operations
 FAULTS = (
     "kill",
     "power_off",
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a walk saw."""
+    """Totals of one schedule."""
 
     seed: int
     acknowledged: int
@@ -113,7 +113,7 @@
             network.reordered = self.random.random() < 0.5
 
     def play(self) -> Outcome:
-        """Troubles, then quiet; raises Violation."""
+        """Inject faults, repair them and wait for recovery; raises Violation."""
         self.world.at(0.3, self._client)
         self.world.at(0.5, self._inject_fault)
         self.world.run(FAULT_SECONDS)
@@ -253,7 +253,7 @@
             self._change(machine, without_member(machine.node.membership, chosen))
 
     def _replace(self, machine: Machine) -> None:
-        """Learners take the places of as many voters, in one joint change; the leader's too."""
+        """Replace voters, possibly the leader, by as many learners in one joint change."""
         leader = self.world.leader()
         if leader is None:
             return
@@ -267,12 +267,12 @@
             self.world.at(soon, self.random.choice((self._compact_all, lambda: None)))
 
     def _compact_all(self) -> None:
-        """Have all take snapshots: some while the newest membership applied is a joint one."""
+        """Take a snapshot on each member, on some while the latest applied membership is joint."""
         for each in self.world.machines.values():
             each.compact()
 
     def _replace_at_once(self, machine: Machine) -> None:
-        """Two voters at once without a joint change: the core must refuse it."""
+        """Change two voters at once without a joint change, which the core must reject."""
         voters = sorted(voters_of(self.world.checkers.membership))
         learners = self._learners()
         if machine.leads and learners and len(voters) > 2:
@@ -280,7 +280,7 @@
             self._change(machine, without_member(changed, self.random.choice(voters)))
 
     def _change(self, machine: Machine, membership: Membership) -> None:
-        """Only where a majority has its disks: the leader may not have missed a wiped one yet."""
+        """Propose a change only if a majority keeps its disks: the leader may not know of a wiped one yet."""
         if self._majority_remains(membership, lost=None):
             machine.change_membership(membership)
 
@@ -289,7 +289,7 @@
         return quorum.is_quorum(self.world.machines.keys() - {lost})
 
     def _wipe(self, machine: Machine) -> None:
-        """Only where a majority keeps its disks, in any membership that may be in force."""
+        """Wipe a machine only if a majority keeps its disks in every membership that may be in force."""
         remains = [
             self._majority_remains(membership, machine.member_id) for membership in self._memberships()
         ]
@@ -315,7 +315,7 @@
         self._thaw(None)
 
     def _settles(self) -> None:
-        """All members end up with the same log, and writes and reads go through."""
+        """Wait until all members have the same log and writes and reads succeed."""
         world = self.world
         reads = world.checkers.reads_confirmed
         acknowledged = world.checkers.acknowledged
@@ -326,7 +326,7 @@
             return not (goes_on and self._agree())
 
         if world.run_while(unsettled, until):
-            raise Violation("recovery", "the group is not whole again in time")
+            raise Violation("recovery", "the group has not recovered in time")
 
     def _agree(self) -> bool:
         world = self.world
@@ -341,7 +341,7 @@
 
 
 def play(seed: int) -> Outcome:
-    """Play one seed; a violation names it."""
+    """Play one seed; a failure's note contains the seed."""
     try:
         return Walk(seed).play()
     except Exception as error:
--- a/tests/support/consensus_world.py
+++ b/tests/support/consensus_world.py
@@ -1,4 +1,4 @@
-"""A group of consensus members on simulated time: machines, the network between them, and faults."""
+"""A group of Raft members on simulated time: machines, the network between them, and faults."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from mallowbeam.router.rpc.messages_pb2 import Member, Membership, Snapshot
 
 FIRST_INDEX = 1
-CHECK_LOGS_EVERY = 250  # events
-CHECK_LOGS_WINDOW = 50  # last entries; all of them are read at the end
-MOST_UNSENT = 4 << 20  # bytes that wait on a link; what would come on top is dropped
+CHECK_LOGS_EVERY = 250  # scheduled events
+CHECK_LOGS_WINDOW = 50  # last entries compared each time; all are compared at the end
+MOST_UNSENT = 4 << 20  # queue limit of a link; further messages are dropped
 
 
 @dataclass
 class Network:
-    """How messages travel."""
+    """Delays and faults of message delivery."""
 
-    delay: tuple[float, float] = (0.0005, 0.003)  # seconds, between these
-    loss: float = 0.0  # parts of all messages
-    duplicates: float = 0.0
-    reordered: bool = False  # else those of one link arrive in their order
+    delay: tuple[float, float] = (0.0005, 0.003)  # range in seconds
+    loss: float = 0.0  # probability that a message is lost
+    duplicates: float = 0.0  # probability that a message is sent twice
+    reordered: bool = False  # otherwise messages of one link arrive in order
     disconnected: set[tuple[int, int]] = field(default_factory=set)
-    lags: dict[int, float] = field(default_factory=dict)  # seconds, by recipient, on top of the delay
+    lags: dict[int, float] = field(default_factory=dict)  # extra delay in seconds, by recipient
 
 
 class World:
@@ -42,21 +42,21 @@
     ) -> None:
         self.random = Random(seed)
         self.now = 0.0
-        self.digest = 0  # of the times and the order of all events
+        self.digest = 0  # hash of the times and order of all events
         self.network = Network()
-        self.batched = 0.0  # share of events after which a member's output waits for more
+        self.batched = 0.0  # probability that a member's output after an event is delayed
         self.settings = settings or RaftSettings(member_id=0)
         self.machines: dict[int, Machine] = {}
         self._retired: dict[int, Disk] = {}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
         self._link_free: dict[tuple[int, int], float] = {}
-        self._bandwidth: dict[int | None, float] = {}  # bytes a second, by member; None: the others'
-        self._sent_by: dict[tuple[int, int], float] = {}  # when the last bytes of a link will have left
-        self.most_waiting = 0.0  # bytes on any link at any time
-        self.state_bytes = 0  # of a snapshot; 0: as few as are needed
-        self.compact_entries, self.compact_bytes = inf, inf  # applied before a snapshot is taken
-        self.unwritten = 0  # commands of scenarios that are not acknowledged yet
+        self._bandwidth: dict[int | None, float] = {}  # bytes per second by member; None: all others
+        self._sent_by: dict[tuple[int, int], float] = {}  # time at which each link has sent all queued bytes
+        self.most_waiting = 0.0  # maximum of queued bytes on any link so far
+        self.state_bytes = 0  # size of a snapshot's state; 0: the minimum
+        self.compact_entries, self.compact_bytes = inf, inf  # take a snapshot after applying this many
+        self.unwritten = 0  # commands of `write` statements that are not acknowledged yet
         self._names = count(1)
         self.next_id = voters + learners + 1
         members = [Member(id=number, voter=number <= voters) for number in range(1, self.next_id)]
@@ -71,11 +71,11 @@
         heapq.heappush(self._events, (time, next(self._order), step))
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Run all events up to the time `until`."""
         self.run_while(lambda: True, until)
 
     def run_while(self, wanted: Callable[[], bool], until: float) -> bool:
-        """Let time pass as long as `wanted`; whether the time was up first."""
+        """Run events while `wanted` holds, up to `until`; return whether it still holds then."""
         while self._events and self._events[0][0] <= until:
             if not wanted():
                 return False
@@ -90,14 +90,14 @@
     # ------------------------------------------------------------ machines
 
     def add_machine(self, member_id: int, snapshot: Snapshot | None = None) -> Machine:
-        """A machine with an empty disk, or with the founders' first snapshot."""
+        """Add a machine with an empty disk, or with the founders' first snapshot."""
         machine = Machine(self, member_id, snapshot or Snapshot(), self.settings)
         self.machines[member_id] = machine
         self.next_id = max(self.next_id, member_id + 1)
         return machine
 
     def wipe(self, member_id: int) -> Machine:
-        """A machine loses its disk and comes back under a new id."""
+        """Replace a machine by one with an empty disk and a new member id."""
         machine = self.machines.pop(member_id)
         machine.crash()
         self._retired[member_id] = machine.disk
@@ -108,14 +108,14 @@
         return machine.disk if machine else self._retired[member_id]
 
     def leader(self) -> Machine | None:
-        """The leader of the highest term among machines that run."""
+        """Return the running leader of the highest term, if any."""
         leaders = [machine for machine in self.machines.values() if machine.leads]
         return max(leaders, key=lambda machine: machine.node.term, default=None)
 
     # ------------------------------------------------------------ the network
 
     def send(self, machine: Machine, send: Send) -> None:
-        """Put a message on its way."""
+        """Send a message over the simulated network."""
         self.checkers.sends(machine, send)
         copies = 2 if self.random.random() < self.network.duplicates else 1
         for _ in range(copies):
@@ -140,7 +140,7 @@
         self.at(arrival, arrive)
 
     def _departure(self, link: tuple[int, int], send: Send) -> float | None:
-        """When a message's last byte leaves; None where too much waits before it."""
+        """Return the time at which a message's last byte is sent; None if the link's queue is full."""
         if not self._bandwidth:
             return self.now
         unlimited = self._bandwidth.get(None, inf)
@@ -154,7 +154,7 @@
         return self._sent_by[link]
 
     def limit_links(self, bytes_a_second: float, member_id: int | None) -> None:
-        """Have the links of a member, or all others, carry so much each way."""
+        """Limit each direction of the links of a member, or of all other members for None."""
         self._bandwidth[member_id] = bytes_a_second
 
     def disconnect(self, one: int, other: int, both: bool = True) -> None:
@@ -181,7 +181,7 @@
     def change(
         self, done: Callable[[Membership], bool], edit: Callable[[Membership], Membership], until: float
     ) -> None:
-        """An operator asks the leader for a change, again and again until it is committed."""
+        """Request a membership change from the leader until it is committed, at most until `until`."""
         if done(self.checkers.membership) or self.now > until:
             return
         leader = self.leader()
@@ -191,21 +191,21 @@
 
 
 def with_member(membership: Membership, member_id: int, voter: bool) -> Membership:
-    """The membership with the member as a voter or learner."""
+    """Return the membership with the member as a voter or learner."""
     changed = without_member(membership, member_id)
     changed.members.append(Member(id=member_id, voter=voter))
     return changed
 
 
 def with_voter(membership: Membership, member_id: int) -> Membership:
-    """The membership with the member as a voter, for whom a place is added where there is none."""
+    """Return the membership with the member as a voter; the target is raised if necessary."""
     changed = with_member(membership, member_id, voter=True)
     changed.target_voters = max(changed.target_voters, len(voters_of(changed)))
     return changed
 
 
 def replaced(membership: Membership, out: Sequence[int], added_voters: Sequence[int]) -> Membership:
-    """The joint membership in which voters give their places to learners, and stay as learners."""
+    """Return the joint membership that replaces voters by learners; replaced voters become learners."""
     changed = membership
     for member_id in out:
         changed = with_member(changed, member_id, voter=False)
@@ -215,6 +215,6 @@
 
 
 def without_member(membership: Membership, member_id: int) -> Membership:
-    """The membership without the member."""
+    """Return the membership without the member."""
     remaining = [member for member in membership.members if member.id != member_id]
     return Membership(members=remaining, target_voters=membership.target_voters)
--- a/tests/support/membership_plays.py
+++ b/tests/support/membership_plays.py
@@ -1,7 +1,7 @@
-"""Plays of losses right after repairs, on groups of any size and any seed.
+"""Plays of member losses right after repairs, for groups of any size and any seed.
 
 ``python tests/support/membership_plays.py FIRST COUNT [PLAY...]`` plays seeds on 3, 5, 6 and 8 members. It
-prints what failed, and how long after each kind of repair the next loss was survived, in simulated seconds.
+prints the failures and, for each kind of repair, the simulated seconds until another loss was tolerated.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from mallowbeam.simulation.scenario import ViolationError
 
 SIZES = (3, 5, 6, 8)
-REPAIRED_WITHIN = 6.0  # seconds; far more than any repair may take, see `Repair`
-LEADER_WITHIN = 4.0  # after losses that are survived
-ACCEPTED_WITHIN = 8.0  # a configuration, by callers that try members by chance
+REPAIRED_WITHIN = 6.0  # seconds; far more than any repair may take
+LEADER_WITHIN = 4.0  # seconds after losses that the group tolerates
+ACCEPTED_WITHIN = 8.0  # seconds for a configuration, as callers try members at random
 CAUGHT_UP_ENTRIES = 8
 BEGIN = 8.0
 
 
 @dataclass
 class Result:
-    """What a play saw: for each repair, how many seconds it took."""
+    """Result of a play: the seconds that repairs took, by kind."""
 
     repairs: dict[str, list[float]] = field(default_factory=dict)
 
@@ -44,16 +44,16 @@
         )
         self.result = Result()
         self._revision = 1
-        self._leaving: set[str] = set()  # got SIGTERM: what they still do does not count
+        self._leaving: set[str] = set()  # received SIGTERM, so they no longer count
         self._checked: dict[str, tuple[Membership, bool]] = {}
 
     @property
     def tolerance(self) -> int:
-        """How many voters may be lost at once."""
+        """Number of voters that may be lost at once."""
         return (self.size - 1) // 2
 
     def begin(self) -> None:
-        """Start all members; from here on there is a place for each of them, and never more."""
+        """Start all members; from then on the number of voters is checked against the target."""
         self.player.play()
         self.player.simulator.check(self._check_voter_counts)
 
@@ -98,12 +98,12 @@
         return name
 
     def stands_by(self, *names: str) -> None:
-        """Wait until these members are learners that have caught up."""
+        """Wait until these members are learners, and half a second more for them to catch up."""
         self._until(lambda: all(self._is_learner(name) for name in names), 4.0, f"{names} stand by")
         self.wait(0.5)
 
     def repaired(self, kind: str) -> None:
-        """Wait until a further loss would be survived, and record how long that took."""
+        """Wait until the group tolerates a further loss, and record how long that took."""
         before = self.player.simulator.now
         self._until(self._is_repaired, REPAIRED_WITHIN, f"repaired after {kind}")
         self.result.repairs.setdefault(kind, []).append(self.player.simulator.now - before)
@@ -180,15 +180,15 @@
             if voters > membership.target_voters or leads and voters != self.size:
                 raise ViolationError(
                     f"{self.player.simulator.now:.3f} s, {name}: {voters} voters for "
-                    f"{membership.target_voters} places, {self.size} machines"
+                    f"a target of {membership.target_voters}, {self.size} machines"
                 )
 
 
-# ---------------------------------------------------------------- the plays
+# ---------------------------------------------------------------- plays
 
 
 def planned_then_loss(play: GroupPlay) -> None:
-    """As many as may be lost are replaced as planned; right after, as many are lost."""
+    """Planned replacement of as many voters as may be lost; right after it, as many are killed."""
     _replace_as_planned(play)
     play.wait(0.3)
     _lose(play)
@@ -196,7 +196,7 @@
 
 
 def planned_then_wipe(play: GroupPlay) -> None:
-    """The same; then as many lose their disks, and come back."""
+    """Planned replacement of as many voters as may be lost; right after it, as many lose their disks."""
     _replace_as_planned(play)
     play.wait(0.3)
     for name in play.voters()[-play.tolerance :]:
@@ -206,7 +206,7 @@
 
 
 def losses_one_by_one(play: GroupPlay) -> None:
-    """A disk is lost, again and again, each as soon as the last one is made up for; the leader's too."""
+    """Voters, also the leader, lose their disks one by one, each as soon as the last is repaired."""
     for turn in range(4):
         voters = play.voters()
         play.wipe(voters[-1] if turn % 2 else voters[0])
@@ -216,7 +216,7 @@
 
 
 def leader_leaves(play: GroupPlay) -> None:
-    """The leader is replaced as planned, then the next one, then as many as may be are lost."""
+    """Planned replacement of two leaders in turn; then as many voters as may be lost are killed."""
     for _ in range(2):
         play.stands_by(play.add())
         play.term(play.leader())
@@ -226,7 +226,7 @@
 
 
 def loss_during_change(play: GroupPlay) -> None:
-    """The leader dies in the middle of a planned change; a learner more stands by, and takes its place."""
+    """The leader is killed during a planned replacement; an additional learner replaces it."""
     play.stands_by(play.add(), play.add())
     play.term(play.voters()[0])
     play.wait(play.player.simulator.random.uniform(0.0, 0.02))
@@ -237,7 +237,7 @@
 
 
 def leaving_restarts(play: GroupPlay) -> None:
-    """One that left is started again at once: it stands by, and takes the place of the next one that dies."""
+    """A member that left is restarted at once as a learner and replaces the next voter that is killed."""
     play.stands_by(play.add())
     gone = play.voters()[0]
     play.term(gone)
@@ -252,7 +252,7 @@
 
 
 def silent_then_loss(play: GroupPlay) -> None:
-    """A voter dies while a learner stands by; its place taken, as many as may be are lost."""
+    """A voter is killed and a learner replaces it; then as many voters as may be lost are killed."""
     play.stands_by(play.add())
     play.kill(play.voters()[play.player.simulator.random.choice((0, -1))])
     play.repaired("silent")
@@ -261,7 +261,7 @@
 
 
 def dead_then_added(play: GroupPlay) -> None:
-    """A voter dies with nobody standing by; a new machine comes three seconds later."""
+    """A voter is killed without a learner to replace it; a new machine joins three seconds later."""
     play.kill(play.voters()[0])
     play.wait(3.0)
     play.add()
@@ -271,7 +271,7 @@
 
 
 def roll(play: GroupPlay) -> None:
-    """SIGTERM to one after the other, each started again a second later, while one stands by."""
+    """Rolling restart by SIGTERM, each member started again a second later, with a learner as a spare."""
     play.stands_by(play.add())
     for name in list(play.player.members):
         play.term(name)
@@ -292,7 +292,7 @@
 
 
 def _lose(play: GroupPlay) -> None:
-    """As many voters as may be lost die at once, the leader among them."""
+    """Kill as many voters as may be lost at once, including the leader."""
     for name in play.voters()[-play.tolerance :]:
         play.kill(name)
 
@@ -314,7 +314,7 @@
 
 
 def run(name: str, size: int, seed: int) -> Result:
-    """Run a play; raises ViolationError, with a note of how to run it again."""
+    """Run a play; a failure's note contains the command that repeats it."""
     try:
         play = GroupPlay(size, seed)
         play.begin()
@@ -333,7 +333,7 @@
 
 
 def main() -> int:
-    """Run plays by the command line; 1 where one fails."""
+    """Run plays by the command line; return 1 if one fails."""
     first, count, *chosen = sys.argv[1:]
     seeds = range(int(first), int(first) + int(count))
     failed = 0
--- a/tests/support/storage_disk.py
+++ b/tests/support/storage_disk.py
@@ -1,11 +1,11 @@
-"""A stand-in disk under the replica store, for cuts of power at every call.
-
-lmdb makes its system calls by itself, so its file is compared before and after each transaction. The rest
-(opens, writes, syncs, renames, removals) goes through a stand-in for `os`. Beside the real files the disk
-keeps what is durable and what was written since, in lmdb's documented order: data pages, sync, meta page.
-After every call that changes something `moment` is called; `draw` then makes a folder as a power loss may
-leave it. After a failed sync what was not durable is read back as written, but no later sync covers it,
-as Linux has it.
+"""A simulated disk under the replica store, which can lose power after every call.
+
+lmdb makes its own system calls, so its file is compared before and after each transaction. All other calls
+(open, write, sync, rename, unlink) go through a replacement of the module `os`. In addition to the real files
+the disk records the durable content and the writes since then, in lmdb's documented order: data pages, sync,
+meta page. It calls `moment` after every call that changes something; `draw` then returns the files as a power
+loss may leave them. After a failed sync, unsynced writes can still be read but no later sync makes them
+durable, as on Linux.
 """
 
 from __future__ import annotations
@@ -23,26 +23,26 @@
 from mallowbeam.router.consensus.storage import files, seal, store, store_file
 
 SECTOR = 512
-META_START, META_END = 32, 152  # what lmdb writes into a meta page
+META_START, META_END = 32, 152  # byte range that lmdb writes in a meta page
 
 
 @dataclass(slots=True)
 class Inode:
-    """A file's bytes: durable, writes that a failed sync gave up, and each write since the last sync."""
+    """A file's content: durable bytes, writes abandoned by a failed sync, writes since the last sync."""
 
     durable: bytes = b""
     since: list[tuple[int, bytes]] = field(default_factory=list)
     abandoned: list[tuple[int, bytes]] = field(default_factory=list)
 
     def now(self) -> bytes:
-        """The bytes as read now."""
+        """Return the bytes as a reader sees them now."""
         data = bytearray(self.durable)
         for offset, written in self.abandoned + self.since:
             put(data, offset, written)
         return bytes(data)
 
     def sync(self) -> None:
-        """Make durable what was written since the last sync."""
+        """Make the writes since the last sync durable."""
         data = bytearray(self.durable)
         for offset, written in self.since:
             put(data, offset, written)
@@ -50,27 +50,27 @@
         self.durable, self.since = bytes(data), []
 
     def fail(self) -> None:
-        """A sync has failed."""
+        """Record a failed sync: later syncs do not cover the writes before it."""
         self.abandoned += self.since
         self.since = []
 
     def copy(self) -> Inode:
-        """The same, apart."""
+        """Return an independent copy."""
         return Inode(self.durable, list(self.since), list(self.abandoned))
 
 
 class Disk:
-    """One folder on the stand-in disk."""
+    """One folder on the simulated disk."""
 
     def __init__(self, root: str, moment: Callable[[str], None] = lambda label: None) -> None:
         self.root = root
         self.moment = moment
-        self.names: dict[str, Inode] = {}  # as seen now
-        self.durable: dict[str, Inode] = {}  # as durable
+        self.names: dict[str, Inode] = {}  # current directory entries
+        self.durable: dict[str, Inode] = {}  # durable directory entries
         self.faults: dict[str, Exception] = {}
 
     def load(self, names: dict[str, Inode], durable: dict[str, Inode]) -> None:
-        """Put files there, with what is not durable yet; `durable` are the durable names."""
+        """Create files with their unsynced writes; `durable` contains the durable directory entries."""
         os.makedirs(self.root, exist_ok=True)
         copies = {id(inode): inode.copy() for inode in (*names.values(), *durable.values())}
         self.names = {name: copies[id(inode)] for name, inode in names.items()}
@@ -80,29 +80,29 @@
                 file.write(inode.now())
 
     def changed(self, call: str, name: str) -> None:
-        """A call has changed something."""
+        """Report a call that has changed the disk."""
         self.moment(f"{call} {name}")
 
     def due(self, call: str) -> None:
-        """Raise the error scripted for a call, once."""
+        """Raise the fault injected for a call, if any; it occurs once."""
         error = self.faults.pop(call, None)
         if error is not None:
             raise error
 
     def sync(self, name: str) -> None:
-        """A file's sync keeps its bytes and the name it was made under; a new name needs the folder's."""
+        """Sync a file's bytes and the name of a new file; a rename needs a sync of the folder."""
         inode = self.names[name]
         inode.sync()
         if not any(inode is durable for durable in self.durable.values()):
             self.durable[name] = inode
 
     def sync_names(self) -> None:
-        """The folder's sync."""
+        """Sync the folder: make all names durable."""
         self.durable = dict(self.names)
 
 
 def draw(disk: Disk, chance: random.Random) -> dict[str, bytes]:
-    """The files as a power loss leaves them: each unsynced name and write present, missing or torn."""
+    """Return the files after a random power loss: unsynced names and writes are kept, lost or torn."""
     tear = chance.choice((missing, complete, mixed, mixed, mixed, mixed))
     found: dict[str, bytes] = {}
     for name in sorted({**disk.durable, **disk.names}):
@@ -120,17 +120,17 @@
 
 
 def missing(length: int, offset: int, chance: random.Random) -> list[tuple[int, int]]:
-    """Nothing of a write came through."""
+    """Return no part of a write."""
     return []
 
 
 def complete(length: int, offset: int, chance: random.Random) -> list[tuple[int, int]]:
-    """All of it."""
+    """Return the whole write."""
     return [(0, length)]
 
 
 def mixed(length: int, offset: int, chance: random.Random) -> list[tuple[int, int]]:
-    """The parts of a write that came through: none, all, start, end, middle, any sectors, any bytes."""
+    """Return random parts of a write: none, all, start, end, middle, some sectors or some bytes."""
     first, second = sorted((chance.randint(0, length), chance.randint(0, length)))
     kind = chance.randrange(7)
     if kind < 2:
@@ -149,7 +149,7 @@
 
 
 def outside(writes: list[tuple[int, bytes]], start: int, end: int) -> list[tuple[int, bytes]]:
-    """What is left of writes where another one covers a range."""
+    """Return the parts of writes outside of the range from `start` to `end`."""
     left = []
     for offset, written in writes:
         before, behind = max(0, start - offset), max(0, end - offset)
@@ -158,26 +158,26 @@
 
 
 def put(data: bytearray, offset: int, written: bytes) -> None:
-    """A write into a file's bytes."""
+    """Apply a write to a file's bytes."""
     if written and len(data) < offset:
         data += bytes(offset - len(data))
     data[offset : offset + len(written)] = written
 
 
 class Calls:
-    """Stands for `os` and `lmdb` in the store's modules; what lies on no stand-in disk goes through."""
+    """Replaces `os` and `lmdb` in the store's modules; paths outside of simulated disks are passed on."""
 
     def __init__(self) -> None:
         self.disks: list[Disk] = []
         self.open_files: dict[int, tuple[Disk, str]] = {}
-        self.deaf = False  # syncs do nothing: to show that a missing one is noticed
+        self.deaf = False  # ignore syncs, to test that a missing sync is detected
 
     def __getattr__(self, name: str) -> Any:
         return getattr(os, name)
 
     @contextlib.contextmanager
     def standing_in(self) -> Iterator[Calls]:
-        """Until the end of the block."""
+        """Replace the modules until the end of the block."""
         lmdb_calls = mock.Mock(wraps=lmdb, Error=lmdb.Error)
         lmdb_calls.open = self.open_environment
         with contextlib.ExitStack() as stack:
@@ -187,7 +187,7 @@
             yield self
 
     def locate(self, path: str) -> tuple[Disk | None, str]:
-        """The disk and name of a path; the empty name is the folder itself."""
+        """Return the disk and file name of a path; an empty name is the folder itself."""
         for disk in reversed(self.disks):
             if path == disk.root or path.startswith(disk.root + os.sep):
                 return disk, path[len(disk.root) + 1 :]
@@ -206,12 +206,12 @@
         return descriptor
 
     def close(self, descriptor: int) -> None:
-        """Close it."""
+        """Close a descriptor."""
         self.open_files.pop(descriptor, None)
         os.close(descriptor)
 
     def pwrite(self, descriptor: int, data: bytes, offset: int) -> int:
-        """Write, not durable yet."""
+        """Write to a file; not durable until a sync."""
         if descriptor not in self.open_files:
             return os.pwrite(descriptor, data, offset)
         disk, name = self.open_files[descriptor]
@@ -222,7 +222,7 @@
         return written
 
     def fdatasync(self, descriptor: int) -> None:
-        """Make a file, or the folder's names, durable."""
+        """Sync a file, or the names in the folder."""
         if descriptor not in self.open_files:
             os.fdatasync(descriptor)
             return
@@ -243,7 +243,7 @@
     fsync = fdatasync
 
     def rename(self, source: str, target: str) -> None:
-        """Another name, not durable yet."""
+        """Rename a file; not durable until a sync of the folder."""
         disk, name = self.locate(source)
         os.rename(source, target)
         if disk is not None:
@@ -251,7 +251,7 @@
             disk.changed("rename", name)
 
     def unlink(self, path: str) -> None:
-        """Remove a name, not durable yet."""
+        """Remove a file; not durable until a sync of the folder."""
         disk, name = self.locate(path)
         os.unlink(path)
         if disk is not None:
@@ -261,7 +261,7 @@
     # ------------------------------------------------------------ lmdb
 
     def open_environment(self, path: str, **options: Any) -> Any:
-        """lmdb's open: of a new file it writes the meta pages without a sync."""
+        """Open with lmdb, which writes the meta pages of a new file without a sync."""
         disk, name = self.locate(path)
         if disk is None:
             return lmdb.open(path, **options)
@@ -275,7 +275,7 @@
 
 
 class Environment:
-    """An lmdb environment whose write transactions are seen by the disk."""
+    """An lmdb environment that reports its write transactions to the simulated disk."""
 
     def __init__(self, environment: Any, disk: Disk, name: str) -> None:
         self._environment, self._disk, self._name = environment, disk, name
@@ -285,7 +285,7 @@
 
     @contextlib.contextmanager
     def begin(self, write: bool = False) -> Iterator[Any]:
-        """A transaction; a commit is taken apart into its steps."""
+        """Begin a transaction; its commit is reported step by step."""
         if not write:
             with self._environment.begin() as transaction:
                 yield transaction
@@ -311,7 +311,7 @@
             start, end = slot * seal.PAGE_BYTES + META_START, slot * seal.PAGE_BYTES + META_END
             if after[start:end] != before[start:end]:
                 inode.since.append((start, after[start:end]))
-        assert len(inode.since) <= 1 and inode.now() == after, "lmdb wrote elsewhere"
+        assert len(inode.since) <= 1 and inode.now() == after, "lmdb wrote outside of pages and meta data"
         self._disk.changed("commit: meta page", self._name)
 
     def _inode(self) -> Inode:
@@ -322,6 +322,6 @@
 
 
 def read(path: str) -> bytes:
-    """All bytes of a file."""
+    """Return all bytes of a file."""
     with open(path, "rb") as file:
         return file.read()
--- a/tests/support/storage_model.py
+++ b/tests/support/storage_model.py
@@ -1,4 +1,4 @@
-"""What a replica store must hold: a plain model, and batches drawn from a seed."""
+"""A reference model of the replica store's contents, and random batches of writes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A store's contents."""
+    """Expected contents of a store."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot = field(default_factory=lambda: FIRST)
@@ -23,11 +23,11 @@
 
     @property
     def last(self) -> int:
-        """The highest index, of entries or the snapshot."""
+        """Highest index of the entries or the snapshot."""
         return self.snapshot.index + len(self.entries)
 
     def after(self, write: Write) -> Model:
-        """The contents once a write is durable."""
+        """Return the contents after a write."""
         snapshot, entries = self.snapshot, {entry.index: entry for entry in self.entries}
         changes = [write.entries, write.snapshot]
         if write.snapshot is not None and write.entries and write.entries[0].index > write.snapshot.index:
@@ -46,19 +46,19 @@
         return replace(self, hard_state=hard_state, snapshot=snapshot, entries=tuple(entries.values()))
 
     def after_all(self, writes: list[Write]) -> Model:
-        """The contents once a batch is durable."""
+        """Return the contents after a batch of writes."""
         model = self
         for write in writes:
             model = model.after(write)
         return model
 
     def restored(self) -> PersistentState:
-        """What `load` must return."""
+        """Return the state that `load` must return."""
         return PersistentState(self.hard_state, self.snapshot, self.entries)
 
 
 def draw_entries(first: int, count: int, term: int, chance: random.Random) -> tuple[Entry, ...]:
-    """Entries from an index on; some fill several pages."""
+    """Return random entries from index `first` on; some fill several pages."""
     return tuple(
         Entry(index=first + position, term=term, kind=COMMAND, payload=draw_bytes(chance))
         for position in range(count)
@@ -66,18 +66,18 @@
 
 
 def draw_bytes(chance: random.Random) -> bytes:
-    """A payload: mostly small."""
+    """Return a random payload, mostly a small one."""
     size = chance.randint(0, 300) if chance.random() < 0.9 else chance.randint(1500, 20000)
     return chance.randbytes(size)
 
 
 def draw_write(model: Model, ticket: int, chance: random.Random) -> Write:
-    """A write that fits a store with these contents."""
+    """Return a random write that is valid for a store with these contents."""
     term = model.hard_state.term
     kind = chance.randrange(10)
-    if kind < 4:  # appended
+    if kind < 4:  # append
         return Write(ticket, None, draw_entries(model.last + 1, chance.randint(1, 12), term, chance))
-    if kind < 6:  # a conflict: the end of the log is replaced
+    if kind < 6:  # conflict: replaces the end of the log
         first = chance.randint(model.snapshot.index + 1, model.last + 1)
         entries = draw_entries(first, chance.randint(1, 6), term + 1, chance)
         return Write(ticket, HardState(term + 1, chance.randrange(9)), entries)
@@ -91,13 +91,13 @@
 
 
 def draw_snapshot(index: int, term: int, chance: random.Random) -> Snapshot:
-    """A snapshot with some state."""
+    """Return a snapshot with a random state."""
     membership = JOINT if index % 3 == 0 else FIRST.membership
     return Snapshot(index=index, term=term, membership=membership, state=draw_bytes(chance))
 
 
 def draw_batch(model: Model, chance: random.Random) -> list[Write]:
-    """One to three writes, each fitting the one before."""
+    """Return one to three random writes that are valid in this order."""
     writes: list[Write] = []
     for ticket in range(chance.choice((1, 1, 2, 3))):
         write = draw_write(model, ticket, chance)
--- a/tests/support/storage_trial.py
+++ b/tests/support/storage_trial.py
@@ -1,6 +1,6 @@
-"""Trials of power loss: a store lives on a stand-in disk; after every call, images are drawn and opened.
+"""Power loss trials: after every call on a simulated disk, random disk images are generated and opened.
 
-Run for longer: ``python tests/support/storage_trial.py --images 20000 --seed 1``.
+For a longer run: ``python tests/support/storage_trial.py --images 20000 --seed 1``.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
 
 
 class LostWriteError(AssertionError):
-    """An image did not open with what was acknowledged."""
+    """An image did not open with the acknowledged state."""
 
 
 @dataclass
 class Trial:
-    """One seed's trial in a temporary folder."""
+    """The trial of one seed, in a temporary folder.  Probabilities are from 0 to 1."""
 
     seed: int
     images_a_moment: int = 3
-    killed: float = 0.3  # chance of a killed process at each call
-    refused: float = 0.15  # chance of a refused call in each batch
-    again: float = 0.2  # chance of a second loss at each call while opening
+    killed: float = 0.3  # probability of a killed process at each call
+    refused: float = 0.15  # probability of a failed call in each batch
+    again: float = 0.2  # probability of another power loss at each call while opening
     calls: Calls = field(default_factory=Calls)
     counts: collections.Counter[str] = field(default_factory=collections.Counter)
-    allowed: list[Model | None] = field(default_factory=lambda: [None])  # None: no state yet
+    allowed: list[Model | None] = field(default_factory=lambda: [None])  # valid states; None: no store
 
     def run(self, batches: int) -> collections.Counter[str]:
-        """A store's life: made, written, opened again; returns how many images of each kind were opened."""
+        """Create, write, reopen and discard a store; return the number of opened images by kind."""
         self.chance = random.Random(self.seed)
         self.folder = tempfile.mkdtemp(prefix="mallowbeam-store-")
         try:
@@ -81,7 +81,7 @@
         self._lose_power(self.disk, "discarded", 0)
 
     def _fail(self, store: ReplicaStore, model: Model, writes: list[Write]) -> None:
-        """The disk refuses one call: the batch is not claimed, and is tried again."""
+        """Let one call of a batch fail: the batch must not be stored, and the caller retries it."""
         call = self.chance.choice(("commit", "pwrite", "sync"))
         code = self.chance.choice((errno.ENOSPC, errno.EIO))
         self.disk.faults[call] = OSError(code, os.strerror(code))
@@ -91,19 +91,19 @@
         except kind:
             self.counts[f"refused: {call}"] += 1
         else:
-            raise LostWriteError(f"seed {self.seed}: a refused {call} went unnoticed")
+            raise LostWriteError(f"seed {self.seed}: a failed {call} was not reported")
         self._lose_power(self.disk, "refused", 0)
         if self.chance.random() < 0.5:
             if store.load() != model.restored():
-                raise LostWriteError(f"seed {self.seed}: a batch that failed is claimed")
+                raise LostWriteError(f"seed {self.seed}: a failed batch was loaded")
             self.allowed = [model]
             self._lose_power(self.disk, "rolled back", 0)
             self.allowed = [model, model.after_all(writes)]
 
-    # ------------------------------------------------------------ cuts
+    # ------------------------------------------------------------ power losses
 
     def _lose_power(self, disk: Disk, label: str, depth: int) -> None:
-        """The power is lost now; and, at some moments, the process is killed now and the power lost later."""
+        """Reopen images of a power loss and, at random, of a killed process with a later power loss."""
         if depth > 0 and self.chance.random() > self.again:
             return
         for _ in range(self.images_a_moment if depth == 0 else 1):
@@ -114,7 +114,7 @@
             self._reopen(disk.names, disk.durable, f"killed, {label}", depth)
 
     def _reopen(self, names: dict[str, Inode], durable: dict[str, Inode], label: str, depth: int) -> None:
-        """Open an image; power is lost again during that and after it. What was once read stays."""
+        """Open an image with further power losses during and after; a state that was read must persist."""
         self.counts[f"{label} (depth {depth})"] += 1
         self.counts["images"] += 1
         outer = self.allowed
@@ -135,7 +135,7 @@
             shutil.rmtree(disk.root)
 
     def _open_and_check(self, disk: Disk, label: str) -> Model | None:
-        """What the image holds, which must be allowed."""
+        """Return the contents of the image; raises LostWriteError unless they are allowed."""
         store = ReplicaStore.open(disk.root, DISK_MB)
         try:
             if store.identity is None:
@@ -146,11 +146,11 @@
         finally:
             store.close()
         if found not in self.allowed or store.identity not in (None, IDENTITY):
-            raise LostWriteError(f"seed {self.seed}, {label}: not what was acknowledged")
+            raise LostWriteError(f"seed {self.seed}, {label}: not the acknowledged state")
         return found
 
     def _write_on(self, disk: Disk, model: Model, label: str) -> None:
-        """Two more batches, then all of it is read back: the store is whole, not only readable."""
+        """Write two more batches and read them back, so that the store is known to be writable too."""
         moment, disk.moment = disk.moment, lambda inner: None
         store = ReplicaStore.open(disk.root, DISK_MB)
         for _ in range(2):
@@ -165,7 +165,7 @@
 
 
 def main() -> None:
-    """Trials until so many images were opened."""
+    """Run trials until the requested number of images has been opened."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--images", type=int, default=5000)
     parser.add_argument("--batches", type=int, default=30)
@@ -178,7 +178,7 @@
         seed += 1
     for label, count in sorted(counts.items()):
         print(f"{count:8} {label}")
-    print(f"seeds {options.seed} to {seed - 1}: every image opened with what was acknowledged")
+    print(f"seeds {options.seed} to {seed - 1}: every image opened with the acknowledged state")
 
 
 if __name__ == "__main__":
