--- a/mallowbeam/router/consensus/chunk_sender.py
+++ b/mallowbeam/router/consensus/chunk_sender.py
@@ -30,18 +30,18 @@
         self._data = data
         self._acknowledged = 0  # contiguous bytes that the member has received
         self._next_offset = 0  # of the next chunk
-        self._ended = False  # the last chunk was sent
-        self._resent = False  # since the last progress, in response to an acknowledgement
-        self._progress_at = now  # time in seconds of the last progress or retransmission
+        self._last_chunk_sent = False  # the last chunk was sent
+        self._retransmitted = False  # since the last progress, in response to an acknowledgement
+        self._last_progress_at = now  # time in seconds of the last progress or retransmission
 
     def chunks(self, leader: LeaderHeader, chunk_bytes: int, window_bytes: int) -> Iterator[RaftMessage]:
         """Yield the chunks that fit the window; empty data is sent as one empty chunk."""
         size = len(self._data)
-        while not self._ended and self._next_offset - self._acknowledged < window_bytes:
+        while not self._last_chunk_sent and self._next_offset - self._acknowledged < window_bytes:
             offset = self._next_offset
             data = self._data[offset : offset + chunk_bytes]
             self._next_offset = offset + len(data)
-            self._ended = self._next_offset == size
+            self._last_chunk_sent = self._next_offset == size
             yield self._message(leader, size, offset, data)
 
     def acknowledge(self, received: int, now: float) -> None:
@@ -51,25 +51,25 @@
         if received > self._acknowledged:
             self._acknowledged = received
             self._next_offset = max(self._next_offset, received)
-            self._resent = False
-            self._progress_at = now
-        elif received < self._acknowledged or received < self._next_offset and not self._resent:
+            self._retransmitted = False
+            self._last_progress_at = now
+        elif received < self._acknowledged or received < self._next_offset and not self._retransmitted:
             self._acknowledged = received
-            self._send_again(now)
-            self._resent = True
+            self._retransmit(now)
+            self._retransmitted = True
 
     def retry(self, now: float, timeout: float) -> None:
         """Retransmit unacknowledged bytes after `timeout` seconds without progress.
 
         If the member has received everything, an empty chunk asks whether it is durable there.
         """
-        if now - self._progress_at >= timeout:
-            self._send_again(now)
+        if now - self._last_progress_at >= timeout:
+            self._retransmit(now)
 
-    def _send_again(self, now: float) -> None:
+    def _retransmit(self, now: float) -> None:
         self._next_offset = self._acknowledged
-        self._ended = False
-        self._progress_at = now
+        self._last_chunk_sent = False
+        self._last_progress_at = now
 
     @abstractmethod
     def _message(self, leader: LeaderHeader, size: int, offset: int, data: bytes) -> RaftMessage:
--- a/mallowbeam/router/consensus/follower.py
+++ b/mallowbeam/router/consensus/follower.py
@@ -36,7 +36,7 @@
             state.persistence.respond(sender, RaftMessage(append_response=response))
             return False
         state.become_follower(term, sender)
-        self._echo.processed(term, round_number, state.now)
+        self._echo.record_processed(term, round_number, state.now)
         return True
 
     # ------------------------------------------------------------ appends
--- a/mallowbeam/router/consensus/heartbeat_rounds.py
+++ b/mallowbeam/router/consensus/heartbeat_rounds.py
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatRound:
-    """A round and the time in seconds at which it began."""
+    """A round and the time in seconds at which it started."""
 
     number: int
-    began: float
+    started_at: float
 
 
 class HeartbeatRounds:
@@ -22,7 +22,7 @@
         self.number = 0  # of the latest round
         self.unsent = False  # the latest round has not been sent
         self.confirmed = 0  # the highest round that a majority has acknowledged
-        self.confirmed_began = -inf  # when it began
+        self.confirmed_started_at = -inf  # when it started
         self._pending: deque[HeartbeatRound] = deque()
 
     def begin(self, now: float) -> None:
@@ -35,4 +35,4 @@
         """Record that a majority has acknowledged all rounds up to `number`."""
         self.confirmed = max(self.confirmed, number)
         while self._pending and self._pending[0].number <= self.confirmed:
-            self.confirmed_began = self._pending.popleft().began
+            self.confirmed_started_at = self._pending.popleft().started_at
--- a/mallowbeam/router/consensus/leader.py
+++ b/mallowbeam/router/consensus/leader.py
@@ -117,7 +117,7 @@
         rounds.confirm(int(self._majority_value(rounds.number, lambda progress: progress.acknowledged_round)))
         if not self._own_term_committed:
             return
-        state.current_as_of = max(state.current_as_of, rounds.confirmed_began)
+        state.current_as_of = max(state.current_as_of, rounds.confirmed_started_at)
         state.reads += self._reads.confirmed(rounds.confirmed, state.commit_index)
 
     def _majority_value(self, own: float, value_of: Callable[[Progress], float]) -> float:
--- a/mallowbeam/router/consensus/log.py
+++ b/mallowbeam/router/consensus/log.py
@@ -159,10 +159,10 @@
         """
         base = min(snapshot.index - trailing, oldest_needed)
         min_bytes = self._bytes_up_to(snapshot.index) - trailing_bytes
-        affordable = self.base_index + 1 + bisect_left(self._payload_ends, min_bytes)
+        min_base = self.base_index + 1 + bisect_left(self._payload_ends, min_bytes)
         if self._base_bytes >= min_bytes:
-            affordable = self.base_index
-        self._drop_up_to(min(max(base, affordable, self.base_index), snapshot.index))
+            min_base = self.base_index
+        self._drop_up_to(min(max(base, min_base, self.base_index), snapshot.index))
         self._set_snapshot(snapshot)
         self.memberships.compact(snapshot.index)
 
--- a/mallowbeam/router/consensus/persistence.py
+++ b/mallowbeam/router/consensus/persistence.py
@@ -15,7 +15,7 @@
     """A write that was submitted to storage and is not known to be durable."""
 
     ticket: int
-    since: float  # time of submission, in seconds of the monotonic clock
+    submitted_at: float  # time of submission, in seconds of the monotonic clock
     last_index: int  # becomes durable with it; lowered when entries are truncated
     hard_state: HardState
 
@@ -110,6 +110,6 @@
             self.durable_index = max(self.durable_index, write.last_index)
             self.durable_state = write.hard_state
 
-    def oldest_inflight_since(self) -> float | None:
+    def oldest_inflight_submitted_at(self) -> float | None:
         """Return the submission time of the oldest write in flight, or None without one."""
-        return self._inflight[0].since if self._inflight else None
+        return self._inflight[0].submitted_at if self._inflight else None
--- a/mallowbeam/router/consensus/round_echo.py
+++ b/mallowbeam/router/consensus/round_echo.py
@@ -20,7 +20,7 @@
     """A round and the time in seconds at which this member processed its first message."""
 
     number: int
-    at: float
+    processed_at: float
 
 
 class RoundEcho:
@@ -29,14 +29,14 @@
     def __init__(self) -> None:
         self._term = 0
         self._rounds: deque[_ProcessedRound] = deque(maxlen=MAX_ROUNDS)
-        self._echoed = False  # whether this term's leader echoes rounds; earlier versions do not
+        self._leader_echoes = False  # whether this term's leader echoes rounds; earlier versions do not
 
-    def processed(self, term: int, number: int, now: float) -> None:
+    def record_processed(self, term: int, number: int, now: float) -> None:
         """Record that a message of a round was processed; only the first message of each round counts."""
         if term != self._term:
             self._term = term
             self._rounds.clear()
-            self._echoed = False
+            self._leader_echoes = False
         if not self._rounds or number > self._rounds[-1].number:
             self._rounds.append(_ProcessedRound(number, now))
 
@@ -47,7 +47,11 @@
         caller must bound their age in another way.
         """
         if answered_round == 0:
-            return -inf if self._echoed else now
-        self._echoed = True
-        proven = (one.at for one in reversed(self._rounds) if one.number <= answered_round)
-        return next(proven, -inf)
+            return -inf if self._leader_echoes else now
+        self._leader_echoes = True
+        processing_times = (
+            processed_round.processed_at
+            for processed_round in reversed(self._rounds)
+            if processed_round.number <= answered_round
+        )
+        return next(processing_times, -inf)
--- a/mallowbeam/router/consensus/state.py
+++ b/mallowbeam/router/consensus/state.py
@@ -92,8 +92,8 @@
     @property
     def stall_deadline(self) -> float:
         """Time at which the oldest write in flight exceeds `write_stall_timeout`; infinite without one."""
-        since = self.persistence.oldest_inflight_since()
-        return inf if since is None else since + self.settings.write_stall_timeout
+        submitted_at = self.persistence.oldest_inflight_submitted_at()
+        return inf if submitted_at is None else submitted_at + self.settings.write_stall_timeout
 
     @property
     def leader_is_live(self) -> bool:
--- a/mallowbeam/router/consensus/storage/batch.py
+++ b/mallowbeam/router/consensus/storage/batch.py
@@ -14,7 +14,7 @@
 ENTRY_OVERHEAD_BYTES = 32  # header, key and lmdb node of an entry's first chunk
 
 
-def apply_first(transaction: Any, identity: int, snapshot: Snapshot) -> None:
+def apply_initial_state(transaction: Any, identity: int, snapshot: Snapshot) -> None:
     """Write the initial state: format version and identity, empty hard state, snapshot."""
     payload = records.IDENTITY_PAYLOAD.pack(records.FORMAT_VERSION, identity)
     _put(transaction, RecordKind.IDENTITY, 0, payload)
@@ -29,10 +29,10 @@
         StoreOrderError: a write does not fit the stored state.
     """
     for write in writes:
-        _apply_one(transaction, write)
+        _apply_write(transaction, write)
 
 
-def _apply_one(transaction: Any, write: Write) -> None:
+def _apply_write(transaction: Any, write: Write) -> None:
     """Apply one write: entries that start at or before the snapshot's index before it, others after it."""
     snapshot = write.snapshot
     entries_first = bool(write.entries) and (snapshot is None or write.entries[0].index <= snapshot.index)
--- a/mallowbeam/router/consensus/storage/pages.py
+++ b/mallowbeam/router/consensus/storage/pages.py
@@ -13,14 +13,14 @@
 from typing import NamedTuple
 
 from mallowbeam.router.consensus.storage.errors import StoreDamagedError
-from mallowbeam.router.consensus.storage.seal import PAGE_BYTES, SLOTS
+from mallowbeam.router.consensus.storage.seal import META_SLOTS, PAGE_BYTES
 
 PAGE_HEADER = struct.Struct("<QHHHH")  # number, pad, flags, lower, upper
 OVERFLOW_COUNT = struct.Struct("<I")  # in place of lower and upper: number of pages of an overflow value
 OVERFLOW_COUNT_OFFSET = 12
-NODE = struct.Struct("<HHHH")  # size or child (low), (high), flags or child (top), key bytes
-TREE = struct.Struct("<IHHQQQQQ")  # pad, flags, depth, branch, leaf, overflow pages, entries, root
-NUMBER = struct.Struct("<Q")
+NODE_HEADER = struct.Struct("<HHHH")  # size or child (low), (high), flags or child (top), key bytes
+TREE_DESCRIPTOR = struct.Struct("<IHHQQQQQ")  # pad, flags, depth, branch, leaf, overflow pages, entries, root
+PAGE_NUMBER = struct.Struct("<Q")
 
 FREE_TREE_OFFSET = 40  # in a meta page
 MAIN_TREE_OFFSET = 88
@@ -32,7 +32,7 @@
 PAGE_KIND_MASK = 0xF
 BIG_DATA = 1  # node flag: the value is in overflow pages
 EMPTY_ROOT = (1 << 64) - 1
-MAX_DEPTH = 32  # of lmdb's cursors
+MAX_TREE_DEPTH = 32  # of lmdb's cursors
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
     Raises:
         StoreDamagedError: a page is damaged.
     """
-    (last_page,) = NUMBER.unpack_from(meta, LAST_PAGE_OFFSET)
+    (last_page,) = PAGE_NUMBER.unpack_from(meta, LAST_PAGE_OFFSET)
     pages = _Pages(data, last_page)
     free_lists = _FreeTreeCheck(pages).check(meta, FREE_TREE_OFFSET)
     _TreeCheck(pages).check(meta, MAIN_TREE_OFFSET)
@@ -65,7 +65,7 @@
 
     data: bytes
     last_page: int
-    used: set[int] = field(default_factory=lambda: set(SLOTS))
+    used: set[int] = field(default_factory=lambda: set(META_SLOTS))
 
     def claim(self, number: int, count: int) -> None:
         """Claim pages that must lie within the file."""
@@ -78,9 +78,9 @@
 
     def claim_free(self, value: bytes) -> None:
         """Claim the pages in a value of the tree of free pages: a count and that many page numbers."""
-        valid_size = len(value) >= NUMBER.size and len(value) % NUMBER.size == 0
+        valid_size = len(value) >= PAGE_NUMBER.size and len(value) % PAGE_NUMBER.size == 0
         _require(valid_size, "malformed list of free pages", 0)
-        count, *numbers = struct.unpack(f"<{len(value) // NUMBER.size}Q", value)
+        count, *numbers = struct.unpack(f"<{len(value) // PAGE_NUMBER.size}Q", value)
         _require(count <= len(numbers), "malformed list of free pages", 0)
         for number in numbers[:count]:
             _require(number not in self.used and number <= self.last_page, "invalid free page", number)
@@ -133,10 +133,10 @@
 
     def check(self, meta: bytes, offset: int) -> list[bytes]:
         """Check the tree whose description is at `offset`; return the values that were collected."""
-        _pad, _flags, depth, branch, leaf, overflow, entries, root = TREE.unpack_from(meta, offset)
+        _pad, _flags, depth, branch, leaf, overflow, entries, root = TREE_DESCRIPTOR.unpack_from(meta, offset)
         self._depth = depth
         if root != EMPTY_ROOT:
-            _require(0 < depth <= MAX_DEPTH, "invalid tree depth", root)
+            _require(0 < depth <= MAX_TREE_DEPTH, "invalid tree depth", root)
             self._check_page(root, 1, _KeyRange(None, None))
         found = (self._branch_pages, self._leaf_pages, self._overflow_pages, self._entries)
         _require(found == (branch, leaf, overflow, entries), "wrong page or entry counts", root)
@@ -162,7 +162,7 @@
         count = (lower - PAGE_HEADER.size) // 2
         _require(count > 0, "page has no nodes", number)
         offsets = struct.unpack_from(f"<{count}H", content, PAGE_HEADER.size)
-        in_bounds = min(offsets) >= upper and max(offsets) + NODE.size <= PAGE_BYTES
+        in_bounds = min(offsets) >= upper and max(offsets) + NODE_HEADER.size <= PAGE_BYTES
         _require(in_bounds, "node offset out of bounds", number)
         return _Page(number, content, offsets)
 
@@ -183,13 +183,15 @@
 
     def _check_leaf_node(self, page: _Page, offset: int) -> bytes:
         """Check the size and value of a node; return its key."""
-        size_low, size_high, flags, key_bytes = NODE.unpack_from(page.content, offset)
-        start = offset + NODE.size + key_bytes
+        size_low, size_high, flags, key_bytes = NODE_HEADER.unpack_from(page.content, offset)
+        start = offset + NODE_HEADER.size + key_bytes
         size = size_low | size_high << 16
         _require(flags & ~BIG_DATA == 0, "invalid node flags", page.number)
-        _require(start + (NUMBER.size if flags else size) <= PAGE_BYTES, "invalid node size", page.number)
+        _require(
+            start + (PAGE_NUMBER.size if flags else size) <= PAGE_BYTES, "invalid node size", page.number
+        )
         if flags:
-            (first,) = NUMBER.unpack_from(page.content, start)
+            (first,) = PAGE_NUMBER.unpack_from(page.content, start)
             self._overflow_pages += self._pages.claim_overflow(first, size)
             self._collect_overflow(first, size)
         else:
@@ -201,8 +203,8 @@
         children: list[int] = []
         bounds: list[bytes | None] = []
         for position, offset in enumerate(page.offsets):
-            child_low, child_high, child_top, key_bytes = NODE.unpack_from(page.content, offset)
-            start = offset + NODE.size
+            child_low, child_high, child_top, key_bytes = NODE_HEADER.unpack_from(page.content, offset)
+            start = offset + NODE_HEADER.size
             _require(start + key_bytes <= PAGE_BYTES, "invalid node size", page.number)
             children.append(child_low | child_high << 16 | child_top << 32)
             key = page.content[start : start + key_bytes]
@@ -245,6 +247,6 @@
         return self._values
 
 
-def _require(condition: bool, what: str, number: int) -> None:
+def _require(condition: bool, problem: str, number: int) -> None:
     if not condition:
-        raise StoreDamagedError(f"page {number}: {what}", step="check")
+        raise StoreDamagedError(f"page {number}: {problem}", step="check")
--- a/mallowbeam/router/consensus/storage/seal.py
+++ b/mallowbeam/router/consensus/storage/seal.py
@@ -17,12 +17,12 @@
 from zlib import crc32
 
 PAGE_BYTES = min(mmap.PAGESIZE, 32768)  # lmdb's page size for files created on this machine
-SLOTS = (0, 1)  # page numbers of the meta pages
+META_SLOTS = (0, 1)  # page numbers of the meta pages
 
 META_BYTES = 152  # lmdb's page header and its meta data
 NUMBER_BYTES = 8  # the page number at the start of the page header
 ROOTS_OFFSET = 32  # start of the data that each transaction writes
-TRANSACTION = struct.Struct("<Q")
+TRANSACTION_NUMBER = struct.Struct("<Q")
 TRANSACTION_OFFSET = 144  # of the transaction number, the last field
 SEAL_OFFSET = 512  # after everything that lmdb writes
 SEAL = struct.Struct("<8sQI")  # magic, length of the file in bytes, checksum
@@ -87,7 +87,7 @@
 
 
 def _transaction(content: bytes) -> int:
-    return int(TRANSACTION.unpack_from(content, TRANSACTION_OFFSET)[0])
+    return int(TRANSACTION_NUMBER.unpack_from(content, TRANSACTION_OFFSET)[0])
 
 
 def _seal(content: bytes, file_bytes: int) -> bytes:
--- a/mallowbeam/router/consensus/storage/store.py
+++ b/mallowbeam/router/consensus/storage/store.py
@@ -30,7 +30,7 @@
     MEGABYTE,
     MIN_MAP_BYTES,
     StoreFile,
-    write_first_state,
+    write_initial_state,
 )
 from mallowbeam.router.rpc.messages_pb2 import Snapshot
 
@@ -104,7 +104,7 @@
         unfinished = os.path.join(self._folder, UNFINISHED_FILE)
         with raised_as_store_error("create", unfinished):
             remove_file(unfinished)
-            write_first_state(unfinished, self._map_bytes, identity, snapshot)
+            write_initial_state(unfinished, self._map_bytes, identity, snapshot)
             os.rename(unfinished, self._path)
             sync_folder(self._folder)
         self._file.open()
--- a/mallowbeam/router/consensus/storage/store_file.py
+++ b/mallowbeam/router/consensus/storage/store_file.py
@@ -123,20 +123,20 @@
     def _update_used_bytes(self) -> None:
         statistics = self._environment.stat()
         used = statistics["branch_pages"] + statistics["leaf_pages"] + statistics["overflow_pages"]
-        self.used_bytes = (used + len(seal.SLOTS)) * statistics["psize"]
+        self.used_bytes = (used + len(seal.META_SLOTS)) * statistics["psize"]
 
 
-def write_first_state(path: str, map_bytes: int, identity: int, snapshot: Snapshot) -> None:
+def write_initial_state(path: str, map_bytes: int, identity: int, snapshot: Snapshot) -> None:
     """Create a store file with its initial state and sync it; its name is not durable yet."""
     environment = _open_environment(path, map_bytes)
     try:
         with environment.begin(write=True) as transaction:
-            batch.apply_first(transaction, identity, snapshot)
+            batch.apply_initial_state(transaction, identity, snapshot)
     finally:
         environment.close()
     descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     try:
-        for slot in seal.SLOTS:
+        for slot in seal.META_SLOTS:
             seal.write_seal(descriptor, slot)
         os.fsync(descriptor)
     finally:
--- a/tests/router/consensus/test_consensus_durable.py
+++ b/tests/router/consensus/test_consensus_durable.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from consensus_host import OWN, Host, bodies, entry
+from consensus_host import OWN_ID, Host, bodies, entry
 
 from mallowbeam.router.consensus.interface import HardState
 from mallowbeam.router.consensus.node import Role
@@ -26,7 +26,7 @@
         host.append(2, 1, (1, 1), entry(2, 1))
         (response,) = bodies(host.append(2, 1, (2, 1), round_number=7).send, "append_response")
         self.assertEqual((response.success, response.match_index, response.round), (True, 1, 7))
-        host.write()
+        host.complete_writes()
         (response,) = bodies(host.append(2, 1, (2, 1)).send, "append_response")
         self.assertEqual(response.match_index, 2)
 
@@ -57,7 +57,7 @@
         vote = VoteResponse(term=2, granted=True, pre_vote=True)
         output = host.receive(2, vote_response=vote)
         self.assertEqual((host.node.role, output.send), (Role.CANDIDATE, []))
-        self.assertEqual(output.write.hard_state, HardState(2, OWN))
+        self.assertEqual(output.write.hard_state, HardState(2, OWN_ID))
         self.assertEqual(len(bodies(output.write.send_when_durable, "vote_request")), 2)
 
     def test_write_in_flight_does_not_acknowledge_truncated_entries(self) -> None:
@@ -78,7 +78,7 @@
         host.output()
         host.confirm(2, proposal.index)
         self.assertEqual(host.node.commit_index, proposal.index - 1)
-        host.write()
+        host.complete_writes()
         self.assertEqual(host.node.commit_index, proposal.index)
         self.assertEqual(host.committed[-1].payload, b"a")
 
--- a/tests/router/consensus/test_consensus_elections.py
+++ b/tests/router/consensus/test_consensus_elections.py
@@ -5,7 +5,7 @@
 import unittest
 from math import inf
 
-from consensus_host import OWN, Host, bodies, entry
+from consensus_host import OWN_ID, Host, bodies, entry
 
 from mallowbeam.router.consensus.interface import HardState
 from mallowbeam.router.consensus.node import Role
@@ -19,9 +19,9 @@
         host = Host(voters=1)
         self.assertEqual(host.node.next_deadline(), host.now)
         host.tick(0.0)
-        host.write()
-        self.assertEqual((host.node.role, host.node.leader_id), (Role.LEADER, OWN))
-        host.write()
+        host.complete_writes()
+        self.assertEqual((host.node.role, host.node.leader_id), (Role.LEADER, OWN_ID))
+        host.complete_writes()
         self.assertEqual(host.node.commit_index, 2)
 
     def test_learners_and_joiners_never_campaign(self) -> None:
@@ -53,7 +53,7 @@
     def test_one_vote_a_term(self) -> None:
         host = Host()
         host.receive(2, vote_request=VoteRequest(term=2, last_index=1, last_term=1))
-        host.write()
+        host.complete_writes()
         for sender, granted in ((3, False), (2, True)):
             output = host.receive(sender, vote_request=VoteRequest(term=2, last_index=1, last_term=1))
             (response,) = bodies(output.send, "vote_response")
@@ -104,7 +104,7 @@
         self.assertFalse(response.granted)
         host.receive(2, timeout_now=TimeoutNow(term=1))
         self.assertEqual(host.node.role, Role.FOLLOWER)
-        host.write()
+        host.complete_writes()
         host.tick(1.0)
         self.assertEqual(host.node.role, Role.PRE_CANDIDATE)
 
--- a/tests/router/consensus/test_consensus_freshness.py
+++ b/tests/router/consensus/test_consensus_freshness.py
@@ -10,7 +10,7 @@
 from mallowbeam.router.consensus.round_echo import MAX_ROUNDS, RoundEcho
 
 HEARTBEAT_S = 0.1
-LONG_S = 2.0  # the first messages after a start may have been delayed for long
+STARTUP_S = 2.0  # the first messages after a start may have been delayed for long
 
 
 class Freshness(unittest.TestCase):
@@ -28,8 +28,8 @@
         self.assertLess(host.node.freshness(host.now), 0.2)
 
     def heartbeats(self, host: Host, last: tuple[int, int], commit: int) -> None:
-        """Receive heartbeats of the leader of term 2 for `LONG_S` seconds."""
-        for _ in range(int(LONG_S / 0.1)):
+        """Receive heartbeats of the leader of term 2 for `STARTUP_S` seconds."""
+        for _ in range(int(STARTUP_S / 0.1)):
             host.now += 0.1
             host.append(2, 2, last, commit=commit)
 
@@ -76,22 +76,22 @@
     def test_the_first_message_of_a_round_counts(self) -> None:
         echo = RoundEcho()
         for now in (1.0, 2.0, 3.0):
-            echo.processed(1, 7, now)
+            echo.record_processed(1, 7, now)
         self.assertEqual(echo.built_after(7, 9.0), 1.0)
 
     def test_a_round_that_came_after_a_later_one_counts_as_the_one_before(self) -> None:
         echo = RoundEcho()
         for number, now in ((5, 1.0), (8, 2.0), (6, 3.0)):
-            echo.processed(1, number, now)
+            echo.record_processed(1, number, now)
         self.assertEqual(echo.built_after(6, 9.0), 1.0)
 
     def test_rounds_of_another_term_and_forgotten_ones_prove_nothing(self) -> None:
         echo = RoundEcho()
-        echo.processed(1, 5, 1.0)
-        echo.processed(2, 6, 2.0)
+        echo.record_processed(1, 5, 1.0)
+        echo.record_processed(2, 6, 2.0)
         self.assertEqual(echo.built_after(5, 9.0), -inf)
         for number in range(7, 7 + MAX_ROUNDS):
-            echo.processed(2, number, 3.0)
+            echo.record_processed(2, number, 3.0)
         self.assertEqual(echo.built_after(6, 9.0), -inf)
 
 
--- a/tests/router/consensus/test_consensus_leading.py
+++ b/tests/router/consensus/test_consensus_leading.py
@@ -5,7 +5,7 @@
 import unittest
 from math import inf
 
-from consensus_host import OWN, Host, bodies, entry, membership
+from consensus_host import OWN_ID, Host, bodies, entry, membership
 
 from mallowbeam.router.consensus.errors import (
     MembershipChangeError,
@@ -40,8 +40,8 @@
             host.confirm(3, proposal.index)
         output = host.tick(0.15)
         self.assertEqual(host.node.role, Role.FOLLOWER)
-        asked = [send.recipient for send in output.send if send.message.HasField("timeout_now")]
-        self.assertEqual(asked, [3])
+        recipients = [send.recipient for send in output.send if send.message.HasField("timeout_now")]
+        self.assertEqual(recipients, [3])
 
     def test_transfer(self) -> None:
         host = Host()
@@ -68,7 +68,7 @@
     def test_transfer_needs_a_voter(self) -> None:
         host = Host(learners=1)
         host.lead()
-        for target in (OWN, 4, 77):
+        for target in (OWN_ID, 4, 77):
             with self.assertRaises(TransferError):
                 host.node.transfer_leadership(target, host.now)
 
@@ -92,7 +92,7 @@
         with self.assertRaises(OverloadedError):
             host.node.propose(b"a", host.now)
         host.output()
-        host.write()
+        host.complete_writes()
         host.confirm(2, proposal.index)
         host.node.propose(b"a", host.now)
 
@@ -246,14 +246,14 @@
         others = Membership(members=[Member(id=2, voter=True), Member(id=3, voter=True)])
         proposal = host.node.change_membership(others, host.now)
         host.output()
-        host.write()
+        host.complete_writes()
         host.confirm(2, proposal.index)
         self.assertEqual((host.node.role, host.node.commit_index), (Role.LEADER, 2))
         output = host.confirm(3, proposal.index)
         self.assertEqual((host.node.role, host.node.commit_index), (Role.FOLLOWER, proposal.index))
         self.assertEqual(len(bodies(output.send, "timeout_now")), 1)
-        told = [request.commit for request in bodies(output.send, "append_request")]
-        self.assertEqual(told, [proposal.index, proposal.index])
+        sent_commits = [request.commit for request in bodies(output.send, "append_request")]
+        self.assertEqual(sent_commits, [proposal.index, proposal.index])
         self.assertEqual(host.node.next_deadline(), inf)
 
 
--- a/tests/router/consensus/test_consensus_quorum.py
+++ b/tests/router/consensus/test_consensus_quorum.py
@@ -5,9 +5,9 @@
 import unittest
 from random import Random
 
-from consensus_checkers import overlap
+from consensus_checkers import quorums_overlap
 from consensus_host import Host, bodies, entry
-from consensus_world import replaced, with_member, without_member
+from consensus_world import with_member, with_replaced_voters, without_member
 
 from mallowbeam.router.consensus.errors import MembershipChangeError
 from mallowbeam.router.consensus.interface import HardState, PersistentState, RaftSettings
@@ -16,7 +16,7 @@
 from mallowbeam.router.consensus.quorum import Quorum
 from mallowbeam.router.rpc.messages_pb2 import MEMBERSHIP, Entry, Member, Membership, Snapshot, VoteResponse
 
-ABC = frozenset((1, 2, 3))
+VOTERS_123 = frozenset((1, 2, 3))
 
 
 def membership(voters: int, learners: int = 0, target: int | None = None) -> Membership:
@@ -26,7 +26,7 @@
 
 class Quorums(unittest.TestCase):
     def test_one_set(self) -> None:
-        quorum = Quorum(ABC)
+        quorum = Quorum(VOTERS_123)
         self.assertFalse(quorum.is_joint)
         self.assertEqual(quorum.majority_value({1: 5, 2: 9, 3: 1}.__getitem__), 5)
         self.assertTrue(quorum.is_won({1: True, 2: True}))
@@ -35,7 +35,7 @@
         self.assertTrue(quorum.is_lost({3: False, 2: False}))
 
     def test_two_sets_need_a_majority_of_each(self) -> None:
-        quorum = Quorum(frozenset((3, 4, 5)), ABC)
+        quorum = Quorum(frozenset((3, 4, 5)), VOTERS_123)
         self.assertTrue(quorum.is_joint)
         self.assertEqual(quorum.voters, frozenset((1, 2, 3, 4, 5)))
         self.assertEqual(quorum.majority_value({1: 9, 2: 9, 3: 9, 4: 1, 5: 2}.__getitem__), 2)
@@ -49,7 +49,7 @@
 
 
 class Changes(unittest.TestCase):
-    def refused(self, old: Membership, new: Membership, what: str) -> None:
+    def assert_rejected(self, old: Membership, new: Membership, what: str) -> None:
         with self.assertRaisesRegex(MembershipChangeError, what):
             check_change(old, new)
 
@@ -58,67 +58,67 @@
         check_change(three, without_member(three, 3))
         check_change(three, with_member(three, 3, voter=False))
         check_change(membership(3, 1, target=4), membership(4, 0, target=4))
-        swapped = without_outgoing(replaced(three, [3], [4]))
-        self.refused(three, swapped, "more than one voter")
+        swapped = without_outgoing(with_replaced_voters(three, [3], [4]))
+        self.assert_rejected(three, swapped, "more than one voter")
 
     def test_a_joint_change_may_replace_any_number(self) -> None:
         four = membership(4, 3)
-        check_change(four, replaced(four, [1], [5]))
-        check_change(four, replaced(four, [1, 2, 3], [5, 6, 7]))
+        check_change(four, with_replaced_voters(four, [1], [5]))
+        check_change(four, with_replaced_voters(four, [1, 2, 3], [5, 6, 7]))
 
     def test_never_more_voters_than_the_target(self) -> None:
         three = membership(3, 1)
-        self.refused(three, membership(4, 0, target=3), "more voters than the target")
+        self.assert_rejected(three, membership(4, 0, target=3), "more voters than the target")
         grown = joint_change(three, membership(4, 0, target=3))
-        self.refused(three, grown, "more voters than the target")
+        self.assert_rejected(three, grown, "more voters than the target")
 
     def test_a_group_that_has_too_many_may_shrink_and_replace(self) -> None:
         four = membership(4, 1, target=3)
-        check_change(four, replaced(four, [4], [5]))
+        check_change(four, with_replaced_voters(four, [4], [5]))
         check_change(four, without_member(four, 4))
-        self.refused(four, membership(5, 0, target=3), "more voters than the target")
+        self.assert_rejected(four, membership(5, 0, target=3), "more voters than the target")
 
     def test_the_outgoing_voters_are_those_in_force_and_stay_members(self) -> None:
         three = membership(3, 1)
-        joint = replaced(three, [3], [4])
-        self.refused(
+        joint = with_replaced_voters(three, [3], [4])
+        self.assert_rejected(
             three, Membership(members=joint.members, target_voters=3, outgoing_voters=[1, 2]), "outgoing"
         )
-        self.refused(three, without_member_kept_outgoing(joint, 3), "outgoing")
+        self.assert_rejected(three, without_member_keeping_outgoing(joint, 3), "outgoing")
 
     def test_nothing_follows_a_joint_membership_but_its_end(self) -> None:
-        joint = replaced(membership(3, 1), [3], [4])
-        self.refused(joint, without_outgoing(joint), "in progress")
-        self.refused(joint, joint, "in progress")
+        joint = with_replaced_voters(membership(3, 1), [3], [4])
+        self.assert_rejected(joint, without_outgoing(joint), "in progress")
+        self.assert_rejected(joint, joint, "in progress")
 
-    def test_what_is_allowed_overlaps(self) -> None:
+    def test_allowed_changes_have_overlapping_quorums(self) -> None:
         """Checks the rule for random memberships against an independent comparison of all quorums."""
-        draw = Random(3)
+        rng = Random(3)
         allowed = 0
         for _ in range(4000):
-            old, new = self._drawn(draw), self._drawn(draw)
-            if draw.random() < 0.5:
+            old, new = self._random_membership(rng), self._random_membership(rng)
+            if rng.random() < 0.5:
                 new = joint_change(old, new)
             try:
                 check_change(old, new)
             except MembershipChangeError:
                 continue
             allowed += 1
-            self.assertTrue(overlap(old, new))
-            self.assertTrue(overlap(new, without_outgoing(new)))
+            self.assertTrue(quorums_overlap(old, new))
+            self.assertTrue(quorums_overlap(new, without_outgoing(new)))
             self.assertLessEqual(len(voters_of(new)), max(len(voters_of(old)), new.target_voters))
         self.assertGreater(allowed, 400)
 
     @staticmethod
-    def _drawn(draw: Random) -> Membership:
-        count = draw.randint(1, 6)
+    def _random_membership(rng: Random) -> Membership:
+        count = rng.randint(1, 6)
         members = [
-            Member(id=number, voter=number == 1 or draw.random() < 0.6) for number in range(1, count + 1)
+            Member(id=number, voter=number == 1 or rng.random() < 0.6) for number in range(1, count + 1)
         ]
-        return Membership(members=members, target_voters=draw.randint(1, 5))
+        return Membership(members=members, target_voters=rng.randint(1, 5))
 
 
-def without_member_kept_outgoing(joint: Membership, member_id: int) -> Membership:
+def without_member_keeping_outgoing(joint: Membership, member_id: int) -> Membership:
     changed = without_member(joint, member_id)
     changed.outgoing_voters.extend(joint.outgoing_voters)
     return changed
@@ -132,9 +132,9 @@
         host.lead()
         for peer in (2, 3, 4):
             host.confirm(peer, host.node.commit_index)
-        host.node.change_membership(replaced(host.node.membership, [out], [4]), host.now)
+        host.node.change_membership(with_replaced_voters(host.node.membership, [out], [4]), host.now)
         host.output()
-        host.write()
+        host.complete_writes()
         return host
 
     def joint_index(self, host: Host) -> int:
@@ -152,7 +152,7 @@
         self.assertEqual(voters_of(host.node.membership), {1, 2, 4})
         self.assertEqual([one.kind for one in output.write.entries], [MEMBERSHIP])
         self.assertFalse(host.node.membership_committed)
-        host.write()
+        host.complete_writes()
         host.confirm(4, joint + 1)
         self.assertTrue(host.node.membership_committed)
 
@@ -161,9 +161,9 @@
         host.lead()
         for peer in (2, 3, 4, 5):
             host.confirm(peer, host.node.commit_index)
-        host.node.change_membership(replaced(host.node.membership, [2, 3], [4, 5]), host.now)
+        host.node.change_membership(with_replaced_voters(host.node.membership, [2, 3], [4, 5]), host.now)
         host.output()
-        host.write()
+        host.complete_writes()
         joint = self.joint_index(host)
         for peer in (2, 3):
             host.confirm(peer, joint)
@@ -186,7 +186,7 @@
         host.confirm(4, joint)
         self.assertEqual(host.node.commit_index, joint)
         self.assertIs(host.node.role, Role.LEADER)
-        host.write()
+        host.complete_writes()
         host.confirm(2, joint + 1)
         self.assertIs(host.node.role, Role.LEADER)  # its own disk no longer counts
         output = host.confirm(4, joint + 1)
@@ -221,7 +221,7 @@
     def restarted(self, own: int) -> Host:
         """Return a member that starts from a snapshot taken during the joint change."""
         host = Host(own=own)
-        joint = replaced(membership(3, 1), [3], [4])
+        joint = with_replaced_voters(membership(3, 1), [3], [4])
         snapshot = Snapshot(index=5, term=1, membership=joint)
         host.node = RaftNode(RaftSettings(own), PersistentState(HardState(1), snapshot), host.now, Random(1))
         return host
@@ -229,17 +229,17 @@
     def test_a_new_leader_needs_both_majorities_and_ends_the_change(self) -> None:
         host = self.restarted(own=1)
         output = host.tick(1.0)
-        asked = {send.recipient for send in output.send}
-        self.assertEqual(asked, {2, 3, 4})
+        recipients = {send.recipient for send in output.send}
+        self.assertEqual(recipients, {2, 3, 4})
         host.receive(3, vote_response=VoteResponse(term=2, granted=True, pre_vote=True))
         self.assertIs(host.node.role, Role.PRE_CANDIDATE)  # 1 and 3 are no majority of 1, 2 and 4
         host.receive(4, vote_response=VoteResponse(term=2, granted=True, pre_vote=True))
-        host.write()
+        host.complete_writes()
         host.receive(3, vote_response=VoteResponse(term=2, granted=True))
         self.assertIs(host.node.role, Role.CANDIDATE)
         host.receive(4, vote_response=VoteResponse(term=2, granted=True))
         self.assertIs(host.node.role, Role.LEADER)
-        host.write()
+        host.complete_writes()
         host.confirm(4, 6)
         self.assertEqual(len(host.node.membership.outgoing_voters), 3)
         host.confirm(3, 6)
@@ -269,8 +269,8 @@
         so it needs the vote of 2 as an outgoing voter, but its log is shorter: only 2 can be elected.
         """
         first = membership(1, 1)
-        there = replaced(first, [1], [2])
-        back = replaced(without_outgoing(there), [2], [1])
+        there = with_replaced_voters(first, [1], [2])
+        back = with_replaced_voters(without_outgoing(there), [2], [1])
         changes = (there, without_outgoing(there), back, without_outgoing(back))
         entries = tuple(
             Entry(index=index, term=1, kind=MEMBERSHIP, payload=change.SerializeToString())
@@ -281,7 +281,7 @@
         self.assertIs(host.node.role, Role.PRE_CANDIDATE)
         self.assertEqual({send.recipient for send in output.send}, {1})
         host.receive(1, vote_response=VoteResponse(term=2, granted=True, pre_vote=True))
-        host.write()
+        host.complete_writes()
         host.receive(1, vote_response=VoteResponse(term=2, granted=True))
         self.assertIs(host.node.role, Role.LEADER)
 
--- a/tests/router/consensus/test_consensus_replication.py
+++ b/tests/router/consensus/test_consensus_replication.py
@@ -26,10 +26,10 @@
     def test_rejection_is_followed_by_a_probe(self) -> None:
         host = Host(entries=tuple(entry(index, 1) for index in range(2, 20)))
         host.lead()
-        refusal = AppendResponse(term=host.node.term, success=False, hint_index=4, round=1)
-        (request,) = bodies(host.receive(3, append_response=refusal).send, "append_request")
+        rejection = AppendResponse(term=host.node.term, success=False, hint_index=4, round=1)
+        (request,) = bodies(host.receive(3, append_response=rejection).send, "append_request")
         self.assertEqual((request.previous_index, request.entries[0].index), (4, 5))
-        output = host.receive(3, append_response=refusal)  # a duplicate rejection is ignored
+        output = host.receive(3, append_response=rejection)  # a duplicate rejection is ignored
         self.assertEqual(output.send, [])
 
     def test_hint_skips_a_term(self) -> None:
@@ -38,7 +38,7 @@
         output = host.append(2, 3, (5, 3))
         (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual((response.success, response.hint_index), (False, 2))
-        host.write()
+        host.complete_writes()
         (response,) = bodies(host.append(2, 3, (9, 3)).send, "append_response")
         self.assertEqual((response.success, response.hint_index), (False, 5))
 
@@ -57,13 +57,13 @@
         host = Host(trailing_entries=0)
         host.lead()
         host.node.compact(2, b"state")
-        output = host.write()
+        output = host.complete_writes()
         self.assertEqual(host.node._state.log.base_index, 2)
-        refusal = AppendResponse(term=host.node.term, success=False, hint_index=0, round=1)
-        output = host.receive(3, append_response=refusal)
+        rejection = AppendResponse(term=host.node.term, success=False, hint_index=0, round=1)
+        output = host.receive(3, append_response=rejection)
         (chunk,) = bodies(output.send, "snapshot_chunk")
         self.assertEqual((chunk.head.index, chunk.data, chunk.size), (2, b"state", 5))
-        self.assertEqual(bodies(host.receive(3, append_response=refusal).send, "snapshot_chunk"), [])
+        self.assertEqual(bodies(host.receive(3, append_response=rejection).send, "snapshot_chunk"), [])
         host.node.propose(b"a", host.now)
         host.output()
         (request,) = bodies(host.confirm(3, 2).send, "append_request")
@@ -73,12 +73,12 @@
         host = Host(trailing_entries=0, chunk_retry_timeout=0.5)
         host.lead()
         host.node.compact(2, b"state")
-        refusal = AppendResponse(term=host.node.term, success=False, hint_index=0, round=1)
-        host.receive(3, append_response=refusal)
+        rejection = AppendResponse(term=host.node.term, success=False, hint_index=0, round=1)
+        host.receive(3, append_response=rejection)
         sent = []
         for _ in range(6):
             host.confirm(2, 2)
-            host.receive(3, append_response=refusal)
+            host.receive(3, append_response=rejection)
             sent += bodies(host.tick(0.1).send, "snapshot_chunk")
         self.assertEqual([chunk.data for chunk in sent], [b"state"])
 
--- a/tests/router/consensus/test_consensus_scenarios.py
+++ b/tests/router/consensus/test_consensus_scenarios.py
@@ -7,12 +7,12 @@
 from tempfile import TemporaryDirectory
 
 from consensus_checkers import Violation
-from consensus_scenario import FOLDER, Scenario, Statement, parse, play
+from consensus_scenario import CONSENSUS_SCENARIOS, Scenario, Statement, parse, play
 
 
 class Scenarios(unittest.TestCase):
     def test_all(self) -> None:
-        paths = sorted(FOLDER.glob("*.txt"))
+        paths = sorted(CONSENSUS_SCENARIOS.glob("*.txt"))
         self.assertGreater(len(paths), 20)
         for path in paths:
             scenario = parse(path)
@@ -40,7 +40,7 @@
             with self.subTest(line=line), self.assertRaises(ValueError):
                 self._parse(line)
 
-    def test_unseen(self) -> None:
+    def test_unmet_expectation_fails(self) -> None:
         """An unmet expectation fails, immediately or at its timeout."""
         lines = ("at 1.5 expect no leader", "at 0.1 expect leader within 0.2", "at 2.0 expect voters 1 2")
         for line in lines:
--- a/tests/router/consensus/test_consensus_snapshots.py
+++ b/tests/router/consensus/test_consensus_snapshots.py
@@ -4,7 +4,15 @@
 
 import unittest
 
-from consensus_chunks import SLOW, STATE, acknowledge, leader, offsets, pass_time, reject_append
+from consensus_chunks import (
+    SLOW_MEMBER_ID,
+    SNAPSHOT_STATE,
+    acknowledge,
+    advance_time,
+    leader,
+    offsets,
+    reject_append,
+)
 from consensus_host import Host, bodies
 
 from mallowbeam.router.consensus.errors import OverloadedError
@@ -25,8 +33,8 @@
         self.assertEqual(offsets(chunks), [0, 4])
         more = acknowledge(host, 4)
         self.assertEqual(offsets(more), [8])
-        self.assertEqual(b"".join(chunk.data for chunk in chunks + more), STATE)
-        self.assertEqual({chunk.size for chunk in chunks + more}, {len(STATE)})
+        self.assertEqual(b"".join(chunk.data for chunk in chunks + more), SNAPSHOT_STATE)
+        self.assertEqual({chunk.size for chunk in chunks + more}, {len(SNAPSHOT_STATE)})
         self.assertEqual(
             {(chunk.head.index, chunk.head.term, chunk.head.state) for chunk in chunks + more},
             {(2, host.node.term, b"")},
@@ -38,13 +46,13 @@
         host = leader()
         reject_append(host)
         self.assertEqual(offsets(reject_append(host)), [])
-        self.assertEqual(offsets(pass_time(host, 0.5)), [])
+        self.assertEqual(offsets(advance_time(host, 0.5)), [])
 
     def test_timeout_retransmits_from_the_acknowledged_offset(self) -> None:
         host = leader(chunk_retry_timeout=0.5)
         reject_append(host)
         acknowledge(host, 4)
-        self.assertEqual(offsets(pass_time(host, 0.7)), [4, 8])
+        self.assertEqual(offsets(advance_time(host, 0.7)), [4, 8])
 
     def test_gap_is_retransmitted_at_once_and_once(self) -> None:
         host = leader()
@@ -65,8 +73,8 @@
         reject_append(host)
         acknowledge(host, 4)
         acknowledge(host, 10)
-        (asked,) = pass_time(host, 0.7)
-        self.assertEqual((asked.offset, asked.data), (10, b""))
+        (probe,) = advance_time(host, 0.7)
+        self.assertEqual((probe.offset, probe.data), (10, b""))
 
     def test_acknowledgements_of_another_snapshot_are_ignored(self) -> None:
         host = leader()
@@ -82,25 +90,25 @@
         output = host.output()
         self.assertEqual([send.recipient for send in output.send if send.message.append_request.entries], [])
         acknowledge(host, 10)
-        requests = bodies(host.confirm(SLOW, 2).send, "append_request")
+        requests = bodies(host.confirm(SLOW_MEMBER_ID, 2).send, "append_request")
         self.assertEqual([each.index for request in requests for each in request.entries], [3])
 
     def test_inactive_member_is_sent_nothing_and_then_aborted(self) -> None:
         host = leader(chunk_abort_timeout=2.0)
         reject_append(host)
-        self.assertEqual(offsets(pass_time(host, 1.5, responds=False)), [])
-        sender = host.node._leader._progress[SLOW].chunk_sender
+        self.assertEqual(offsets(advance_time(host, 1.5, responds=False)), [])
+        sender = host.node._leader._progress[SLOW_MEMBER_ID].chunk_sender
         self.assertEqual(sender.index, 2)
-        self.assertEqual(offsets(pass_time(host, 1.5, responds=False)), [])
-        self.assertIsNone(host.node._leader._progress[SLOW].chunk_sender)
+        self.assertEqual(offsets(advance_time(host, 1.5, responds=False)), [])
+        self.assertIsNone(host.node._leader._progress[SLOW_MEMBER_ID].chunk_sender)
         self.assertEqual(offsets(reject_append(host)), [0, 4])
 
     def test_resumed_after_a_short_partition(self) -> None:
         host = leader(chunk_retry_timeout=0.5)
         reject_append(host)
         acknowledge(host, 4)
-        pass_time(host, 1.5, responds=False)
-        self.assertEqual(offsets(pass_time(host, 0.2)), [4, 8])
+        advance_time(host, 1.5, responds=False)
+        self.assertEqual(offsets(advance_time(host, 0.2)), [4, 8])
 
 
 class Retention(unittest.TestCase):
@@ -111,7 +119,7 @@
             host.node.propose(b"x" * size, host.now)
         last = host.node._state.log.last_index
         host.output()
-        host.write()
+        host.complete_writes()
         host.confirm(2, last)
         host.node.compact(last, b"newer")
         host.output()
@@ -122,9 +130,9 @@
         self._compact(host, 5)
         self.assertEqual((host.node._state.log.snapshot.index, host.node._state.log.base_index), (7, 2))
         (chunk,) = acknowledge(host, 4)
-        self.assertEqual((chunk.head.index, chunk.data), (2, STATE[8:]))
+        self.assertEqual((chunk.head.index, chunk.data), (2, SNAPSHOT_STATE[8:]))
         acknowledge(host, 10)
-        requests = bodies(host.confirm(SLOW, 2).send, "append_request")
+        requests = bodies(host.confirm(SLOW_MEMBER_ID, 2).send, "append_request")
         self.assertEqual([each.index for request in requests for each in request.entries], [3, 4, 5, 6, 7])
 
     def test_newer_snapshot_follows_when_retained_entries_exceed_the_limit(self) -> None:
@@ -135,7 +143,7 @@
         (chunk,) = acknowledge(host, 4)
         self.assertEqual(chunk.head.index, 2)
         acknowledge(host, 10)
-        (chunk, *_) = bodies(host.confirm(SLOW, 2).send, "snapshot_chunk")
+        (chunk, *_) = bodies(host.confirm(SLOW_MEMBER_ID, 2).send, "snapshot_chunk")
         self.assertEqual((chunk.head.index, chunk.offset, chunk.data), (7, 0, b"newe"))
 
     def test_trailing_entries_are_limited_in_bytes(self) -> None:
@@ -149,7 +157,7 @@
     def test_compaction_after_acknowledgement_retains_nothing_for_it(self) -> None:
         host = leader()
         reject_append(host)
-        host.confirm(SLOW, 2)
+        host.confirm(SLOW_MEMBER_ID, 2)
         self._compact(host, 5)
         self.assertEqual(host.node._state.log.base_index, 7)
 
@@ -181,7 +189,7 @@
         with self.assertRaises(OverloadedError):
             host.node.propose(b"x", host.now)
         host.output()
-        host.write()
+        host.complete_writes()
         host.confirm(2, host.node._state.log.last_index)
         host.node.propose(b"x", host.now)
 
@@ -197,7 +205,7 @@
     def test_sent_after_the_entries_before_it(self) -> None:
         host = self._leader()
         host.node.propose(b"ab", host.now)
-        host.node.propose(STATE, host.now)
+        host.node.propose(SNAPSHOT_STATE, host.now)
         host.node.propose(b"cd", host.now)
         first = host.node._state.log.last_index - 2
         sent = [send for send in host.output().send if send.recipient == 2]
@@ -209,14 +217,14 @@
         self.assertEqual((chunks[0].head.index, chunks[0].previous_term), (first + 1, host.node.term))
         progress = SnapshotProgress(term=host.node.term, round=1, index=first + 1, received=8)
         (last,) = bodies(host.receive(2, snapshot_progress=progress).send, "entry_chunk")
-        self.assertEqual((last.offset, last.data, last.size), (8, STATE[8:], 10))
+        self.assertEqual((last.offset, last.data, last.size), (8, SNAPSHOT_STATE[8:], 10))
         requests = bodies(host.confirm(2, first + 1).send, "append_request")
         self.assertEqual([each.index for request in requests for each in request.entries], [first + 2])
 
     def test_not_sent_as_a_probe(self) -> None:
         host = self._leader()
-        host.node.propose(STATE, host.now)
-        sent = [send for send in host.output().send if send.recipient == SLOW]
+        host.node.propose(SNAPSHOT_STATE, host.now)
+        sent = [send for send in host.output().send if send.recipient == SLOW_MEMBER_ID]
         self.assertEqual(bodies(sent, "entry_chunk"), [])
         self.assertEqual([len(each.entries) for each in bodies(sent, "append_request")], [])
 
@@ -228,7 +236,7 @@
             (progress,) = bodies(output.send, "snapshot_progress")
             self.assertEqual(progress.received, offset + 4)
         output = self._receive(host, 8)
-        self.assertEqual([(each.index, each.payload) for each in output.write.entries], [(2, STATE)])
+        self.assertEqual([(each.index, each.payload) for each in output.write.entries], [(2, SNAPSHOT_STATE)])
         self.assertEqual(output.send, [])
         (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual((response.success, response.match_index), (True, 2))
@@ -258,9 +266,9 @@
             previous_term=1,
             head=head,
             commit=commit,
-            size=len(STATE),
+            size=len(SNAPSHOT_STATE),
             offset=offset,
-            data=STATE[offset : offset + 4],
+            data=SNAPSHOT_STATE[offset : offset + 4],
         )
         return host.receive(sender, entry_chunk=chunk)
 
@@ -271,26 +279,26 @@
     def _lagging(self, saved: int) -> Host:
         host = Host(trailing_entries=100, snapshot_preferred_bytes=saved)
         host.lead()
-        host.confirm(SLOW, 2)
+        host.confirm(SLOW_MEMBER_ID, 2)
         for _ in range(10):
             host.node.propose(b"x" * 10, host.now)
         last = host.node._state.log.last_index
         host.output()
-        host.write()
+        host.complete_writes()
         host.confirm(2, last)
         host.node.compact(last, b"state")
         return host
 
     def test_preferred_for_large_savings(self) -> None:
         host = self._lagging(saved=90)
-        host.node._leader._progress[SLOW].handle_rejection(2)
-        (chunk,) = bodies(host.confirm(SLOW, 2).send, "snapshot_chunk")
+        host.node._leader._progress[SLOW_MEMBER_ID].handle_rejection(2)
+        (chunk,) = bodies(host.confirm(SLOW_MEMBER_ID, 2).send, "snapshot_chunk")
         self.assertEqual(chunk.data, b"state")
 
     def test_not_preferred_for_small_savings(self) -> None:
         host = self._lagging(saved=100)
-        host.node._leader._progress[SLOW].handle_rejection(2)
-        output = host.confirm(SLOW, 2)
+        host.node._leader._progress[SLOW_MEMBER_ID].handle_rejection(2)
+        output = host.confirm(SLOW_MEMBER_ID, 2)
         self.assertEqual(bodies(output.send, "snapshot_chunk"), [])
         self.assertEqual(sum(len(each.entries) for each in bodies(output.send, "append_request")), 10)
 
--- a/tests/router/consensus/test_consensus_snapshots_received.py
+++ b/tests/router/consensus/test_consensus_snapshots_received.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from consensus_chunks import SLOW, STATE
-from consensus_host import OWN, Host, bodies, entry, membership
+from consensus_chunks import SLOW_MEMBER_ID, SNAPSHOT_STATE
+from consensus_host import OWN_ID, Host, bodies, entry, membership
 
 from mallowbeam.router.rpc.messages_pb2 import (
     Member,
@@ -26,7 +26,7 @@
         *,
         term: int = 1,
         index: int = 9,
-        size: int = len(STATE),
+        size: int = len(SNAPSHOT_STATE),
         sender: int = 2,
         joint: bool = False,
     ):
@@ -35,7 +35,12 @@
             voters.outgoing_voters.extend([1, 2, 4])
         head = Snapshot(index=index, term=1, membership=voters)
         chunk = SnapshotChunk(
-            term=term, round=7, head=head, size=size, offset=offset, data=data or STATE[offset : offset + 4]
+            term=term,
+            round=7,
+            head=head,
+            size=size,
+            offset=offset,
+            data=data or SNAPSHOT_STATE[offset : offset + 4],
         )
         return host.receive(sender, snapshot_chunk=chunk)
 
@@ -50,7 +55,7 @@
             self.assertIsNone(output.write)
             self.assertEqual(self._received(output), [offset + 4])
         output = self._chunk(host, 8)
-        self.assertEqual((output.install.index, output.install.state), (9, STATE))
+        self.assertEqual((output.install.index, output.install.state), (9, SNAPSHOT_STATE))
         self.assertEqual(output.write.snapshot, output.install)
         self.assertEqual(output.send, [])
         (response,) = bodies(output.write.send_when_durable, "append_response")
@@ -63,7 +68,7 @@
         self.assertEqual(self._received(self._chunk(host, 0)), [4])
         self.assertEqual(self._received(self._chunk(host, 8)), [4])
         self._chunk(host, 4)
-        self.assertEqual(self._chunk(host, 8).install.state, STATE)
+        self.assertEqual(self._chunk(host, 8).install.state, SNAPSHOT_STATE)
 
     def test_newer_snapshot_of_the_leader_replaces_the_older(self) -> None:
         host = Host()
@@ -105,7 +110,7 @@
         self.assertEqual(output.send, [])
         (response,) = bodies(output.write.send_when_durable, "append_response")
         self.assertEqual(response.match_index, 9)
-        host.write()
+        host.complete_writes()
         (response,) = bodies(self._chunk(host, 10).send, "append_response")
         self.assertEqual((response.success, response.match_index), (True, 9))
 
@@ -134,12 +139,13 @@
 
     def test_sent(self) -> None:
         joint = Membership(
-            members=[Member(id=number, voter=True) for number in (OWN, 2, SLOW)], outgoing_voters=[OWN, 2, 4]
+            members=[Member(id=number, voter=True) for number in (OWN_ID, 2, SLOW_MEMBER_ID)],
+            outgoing_voters=[OWN_ID, 2, 4],
         )
         host = Host()
         host.lead()
         host.node._state.log.memberships.current.membership.CopyFrom(joint)
-        host.node.compact(2, STATE)
+        host.node.compact(2, SNAPSHOT_STATE)
         snapshot = host.output().write.snapshot
         self.assertEqual(snapshot.membership, joint)
 
--- a/tests/router/consensus/test_consensus_walks.py
+++ b/tests/router/consensus/test_consensus_walks.py
@@ -16,12 +16,12 @@
         for seed in range(FIRST_SEED, FIRST_SEED + SCHEDULES):
             with self.subTest(seed=seed):
                 outcomes.append(play(seed))
-        self._have_seen(outcomes)
+        self._check_coverage(outcomes)
 
-    def _have_seen(self, outcomes) -> None:
+    def _check_coverage(self, outcomes) -> None:
         """Check that the schedules exercise each kind of event often enough."""
         self.assertEqual(len(outcomes), SCHEDULES)
-        for name, least in {
+        for name, minimum in {
             "acknowledged": 15,
             "reads_confirmed": 8,
             "terms": 1.5,
@@ -29,7 +29,7 @@
             "changes": 0.5,
         }.items():
             mean = sum(getattr(outcome, name) for outcome in outcomes) / SCHEDULES
-            self.assertGreater(mean, least, name)
+            self.assertGreater(mean, minimum, name)
 
     def test_replays(self) -> None:
         self.assertEqual(play(7), play(7))
--- a/tests/router/consensus/test_membership_plays.py
+++ b/tests/router/consensus/test_membership_plays.py
@@ -16,9 +16,9 @@
 
 SCENARIOS = SCENARIO_FOLDER / "system"
 
-CATCH_UP_S = 4.0  # documented minimum time between two tolerated losses
-REPAIRED_S = 3.0  # limit of any repair, until the next loss is tolerated
-PLANNED_S = 0.5  # limit of a replacement after SIGTERM if there is a learner
+MIN_LOSS_INTERVAL_S = 4.0  # documented minimum time between two tolerated losses
+REPAIR_LIMIT_S = 3.0  # limit of any repair, until the next loss is tolerated
+PLANNED_REPAIR_LIMIT_S = 0.5  # limit of a replacement after SIGTERM if there is a learner
 SEEDS = {"planned_then_loss": 5, "planned_then_wipe": 5}
 OTHER_SEEDS = 2
 
@@ -31,9 +31,9 @@
                     self._check(run(name, size, seed).repairs)
 
     def _check(self, repairs: dict[str, list[float]]) -> None:
-        self.assertLess(REPAIRED_S, CATCH_UP_S)
+        self.assertLess(REPAIR_LIMIT_S, MIN_LOSS_INTERVAL_S)
         for kind, times in repairs.items():
-            self.assertLess(max(times), PLANNED_S if kind == "planned" else REPAIRED_S, kind)
+            self.assertLess(max(times), PLANNED_REPAIR_LIMIT_S if kind == "planned" else REPAIR_LIMIT_S, kind)
 
 
 def _test_of(name: str):
@@ -48,19 +48,19 @@
     setattr(Plays, f"test_{_name}", _test_of(_name))
 
 
-async def ends_at_once(self: GracefulLeave, timeout_s: float = 0.0) -> bool:
+async def leave_at_once(self: GracefulLeave, timeout_s: float = 0.0) -> bool:
     """Leave without requesting a replacement."""
     return False
 
 
 class BrokenVariants(unittest.TestCase):
     def test_a_member_that_ends_at_once(self) -> None:
-        with mock.patch.object(GracefulLeave, "leave", ends_at_once):
+        with mock.patch.object(GracefulLeave, "leave", leave_at_once):
             player = FleetPlayer((SCENARIOS / "planned_replacement_then_loss.txt").read_text())
             with self.assertRaises(ViolationError):
                 player.play()
             repairs = run("silent_then_loss", 3, 1).repairs  # it is still replaced after the voter timeout
-        self.assertLess(max(repairs["silent"]), REPAIRED_S)
+        self.assertLess(max(repairs["silent"]), REPAIR_LIMIT_S)
 
     def test_a_wiped_member_that_asks_the_seeds_alone(self) -> None:
         with mock.patch.object(ClusterJoin, "add_caller", lambda self, address: None):
--- a/tests/router/consensus/test_storage_damage.py
+++ b/tests/router/consensus/test_storage_damage.py
@@ -7,7 +7,7 @@
 import tempfile
 import unittest
 
-from storage_model import FIRST, IDENTITY, Model, draw_batch, draw_entries
+from storage_model import IDENTITY, INITIAL_SNAPSHOT, Model, draw_batch, draw_entries
 
 from mallowbeam.router.consensus.interface import HardState, PersistentState, Write
 from mallowbeam.router.consensus.storage import ReplicaStore, StoreDamagedError, pages, records, restore, seal
@@ -24,19 +24,19 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = folder.name
-        chance, model = random.Random(7), Model()
+        rng, model = random.Random(7), Model()
         store = ReplicaStore.open(os.path.join(self.folder, "whole"), DISK_MB)
-        store.create(IDENTITY, FIRST)
+        store.create(IDENTITY, INITIAL_SNAPSHOT)
         for _ in range(40):
-            writes = draw_batch(model, chance)
+            writes = draw_batch(model, rng)
             store.write(writes)
             model = model.after_all(writes)
         for _ in range(10):  # enough entries for the tree to have branch pages
-            writes = [Write(1, None, draw_entries(model.last + 1, 30, 99, chance))]
+            writes = [Write(1, None, draw_entries(model.last_index + 1, 30, 99, rng))]
             store.write(writes)
             model = model.after_all(writes)
         store.close()
-        self.expected = model.restored()
+        self.expected = model.persistent_state()
         with open(os.path.join(self.folder, "whole", "replica.lmdb"), "rb") as file:
             self.intact = file.read()
         os.mkdir(os.path.join(self.folder, "copy"))
@@ -59,13 +59,13 @@
         self.assertEqual(self.load(self.intact), self.expected)
 
     def test_any_damage_is_detected_or_without_effect(self) -> None:
-        chance = random.Random(8)
+        rng = random.Random(8)
         detected = 0
-        start = newer_slot(self.intact) * seal.PAGE_BYTES
+        start = newer_meta_slot(self.intact) * seal.PAGE_BYTES
         numbers = pages.check_pages(self.intact, self.intact[start : start + seal.META_BYTES])
         in_use, free = numbers.in_use, numbers.free
         for _ in range(200):
-            data = damaged(self.intact, chance, sorted(in_use if chance.random() < 0.8 else free))
+            data = damaged(self.intact, rng, sorted(in_use if rng.random() < 0.8 else free))
             try:
                 found = self.load(data)
             except StoreDamagedError as error:
@@ -84,12 +84,12 @@
     def test_a_complete_older_state_is_not_damage(self) -> None:
         """Damaged roots in the newer meta page look like a torn write, so the older state is restored."""
         data = bytearray(self.intact)
-        data[newer_slot(self.intact) * seal.PAGE_BYTES + 100] ^= 1
+        data[newer_meta_slot(self.intact) * seal.PAGE_BYTES + 100] ^= 1
         self.assertTrue(looks_torn(self.intact, bytes(data)))
         self.assertNotEqual(self.load(bytes(data)), self.expected)
 
     def test_damage_in_the_rest_of_a_meta_page_is_detected(self) -> None:
-        for slot in seal.SLOTS:
+        for slot in seal.META_SLOTS:
             for offset in (0, 7, 10, 16, 20, 31):
                 data = bytearray(self.intact)
                 data[slot * seal.PAGE_BYTES + offset] ^= 1
@@ -98,10 +98,10 @@
 
     def test_the_page_check_reads_every_page_in_use(self) -> None:
         """Pages in use and free pages are all pages of the file, so the check skips none in use."""
-        start = newer_slot(self.intact) * seal.PAGE_BYTES
+        start = newer_meta_slot(self.intact) * seal.PAGE_BYTES
         found = pages.check_pages(self.intact, self.intact[start : start + seal.META_BYTES])
-        every = found.in_use | found.free
-        self.assertEqual(every, set(range(max(every) + 1)))
+        all_pages = found.in_use | found.free
+        self.assertEqual(all_pages, set(range(max(all_pages) + 1)))
 
 
 class Records(unittest.TestCase):
@@ -137,7 +137,7 @@
 
     def test_incomplete_state_is_detected(self) -> None:
         hard_state = (RecordKind.HARD_STATE, 0, records.HARD_STATE_PAYLOAD.pack(1, 2))
-        taken = (RecordKind.SNAPSHOT, 0, FIRST.SerializeToString())
+        taken = (RecordKind.SNAPSHOT, 0, INITIAL_SNAPSHOT.SerializeToString())
         second = (RecordKind.SNAPSHOT, 4, b"\x08\x04")
         entry = (RecordKind.ENTRY, 2, Entry(index=2).SerializeToString())
         misplaced = (RecordKind.ENTRY, 1, Entry(index=2).SerializeToString())
@@ -154,15 +154,15 @@
                 restore.restore_items(self.items(*wrong))
 
 
-def newer_slot(intact: bytes) -> int:
+def newer_meta_slot(intact: bytes) -> int:
     """Return the number of the meta page that the last transaction wrote."""
-    starts = [slot * seal.PAGE_BYTES + seal.TRANSACTION_OFFSET for slot in seal.SLOTS]
+    starts = [slot * seal.PAGE_BYTES + seal.TRANSACTION_OFFSET for slot in seal.META_SLOTS]
     return int(intact[starts[0] : starts[0] + 8][::-1] < intact[starts[1] : starts[1] + 8][::-1])
 
 
 def looks_torn(intact: bytes, data: bytes) -> bool:
     """Return whether the bytes differ only in the roots and the seal of the newer meta page."""
-    start = newer_slot(intact) * seal.PAGE_BYTES
+    start = newer_meta_slot(intact) * seal.PAGE_BYTES
     written = {
         *range(start + seal.ROOTS_OFFSET, start + seal.META_BYTES),
         *range(start + seal.SEAL_OFFSET, start + seal.SEAL_OFFSET + seal.SEAL.size),
@@ -170,21 +170,21 @@
     return all(at in written for at in range(len(intact)) if intact[at] != data[at])
 
 
-def damaged(intact: bytes, chance: random.Random, numbers: list[int]) -> bytes:
+def damaged(intact: bytes, rng: random.Random, numbers: list[int]) -> bytes:
     """Apply a random kind of damage to one of the given pages."""
     data = bytearray(intact)
-    page = chance.choice(numbers) * seal.PAGE_BYTES
-    kind = chance.randrange(5)
+    page = rng.choice(numbers) * seal.PAGE_BYTES
+    kind = rng.randrange(5)
     if kind == 0:
-        data[page + chance.randrange(seal.PAGE_BYTES)] ^= 1 << chance.randrange(8)
+        data[page + rng.randrange(seal.PAGE_BYTES)] ^= 1 << rng.randrange(8)
     elif kind == 1:  # page header and first node offsets
-        data[page + chance.randrange(64)] ^= 1 << chance.randrange(8)
+        data[page + rng.randrange(64)] ^= 1 << rng.randrange(8)
     elif kind == 2:
         data[page : page + seal.PAGE_BYTES] = bytes(seal.PAGE_BYTES)
     elif kind == 3:
-        data[page : page + seal.PAGE_BYTES] = chance.randbytes(seal.PAGE_BYTES)
+        data[page : page + seal.PAGE_BYTES] = rng.randbytes(seal.PAGE_BYTES)
     else:  # bytes of another page
-        other = chance.randrange(len(data) // seal.PAGE_BYTES) * seal.PAGE_BYTES
+        other = rng.randrange(len(data) // seal.PAGE_BYTES) * seal.PAGE_BYTES
         data[page : page + seal.PAGE_BYTES] = intact[other : other + seal.PAGE_BYTES]
     return bytes(data)
 
--- a/tests/router/consensus/test_storage_power.py
+++ b/tests/router/consensus/test_storage_power.py
@@ -26,7 +26,7 @@
     def test_every_image_opens_with_what_was_acknowledged(self) -> None:
         counts: Counter[str] = Counter()
         for seed in SEEDS:
-            counts += Trial(seed, images_a_moment=2, refused=0.4).run(BATCHES)
+            counts += Trial(seed, images_per_change=2, fault_probability=0.4).run(BATCHES)
         self.assertGreater(counts["images"], 200)
         for call in (
             "lmdb.open replica.new",
@@ -48,15 +48,15 @@
 class MissingProtections(unittest.TestCase):
     """Each variant omits one protection, so some image must lose acknowledged state."""
 
-    def notices(
+    def assert_detected(
         self,
         broken: Callable[[Trial], contextlib.AbstractContextManager[Any]],
         first_seed: int = 200,
         batches: int = BATCHES,
-        **chances: float,
+        **probabilities: float,
     ) -> None:
         for seed in range(first_seed, first_seed + ATTEMPTS):
-            trial = Trial(seed, **chances)
+            trial = Trial(seed, **probabilities)
             try:
                 with broken(trial):
                     trial.run(batches)
@@ -71,25 +71,25 @@
             page = unchecked(descriptor, slot)
             return seal.MetaPage(slot, page.transaction, True, 0, page.content)
 
-        self.notices(lambda trial: mock.patch.object(seal, "_read_page", trusting), first_seed=210)
+        self.assert_detected(lambda trial: mock.patch.object(seal, "_read_page", trusting), first_seed=210)
 
     def test_no_sync_while_opening(self) -> None:
-        self.notices(
-            lambda trial: deaf_in(trial, StoreFile, "_restore_meta_pages"),
+        self.assert_detected(
+            lambda trial: syncs_ignored_in(trial, StoreFile, "_restore_meta_pages"),
             first_seed=212,
             batches=2,
-            killed=1.0,
-            again=1.0,
+            kill_probability=1.0,
+            second_loss_probability=1.0,
         )
 
     def test_no_sync_of_the_meta_page(self) -> None:
-        self.notices(lambda trial: deaf_in(trial, StoreFile, "seal_and_sync"))
+        self.assert_detected(lambda trial: syncs_ignored_in(trial, StoreFile, "seal_and_sync"))
 
     def test_no_sync_of_the_first_state(self) -> None:
-        self.notices(lambda trial: deaf_in(trial, store, "write_first_state"))
+        self.assert_detected(lambda trial: syncs_ignored_in(trial, store, "write_initial_state"))
 
     def test_no_sync_of_the_folder_after_the_first_state(self) -> None:
-        self.notices(lambda trial: mock.patch.object(store, "sync_folder", lambda folder: None))
+        self.assert_detected(lambda trial: mock.patch.object(store, "sync_folder", lambda folder: None))
 
     def test_no_sync_of_the_folder_while_opening(self) -> None:
         original = ReplicaStore.open
@@ -98,7 +98,9 @@
             with mock.patch.object(store, "sync_folder", lambda folder: None):
                 return original(folder, disk_mb)
 
-        self.notices(lambda trial: mock.patch.object(ReplicaStore, "open", unsynced), batches=0, killed=1.0)
+        self.assert_detected(
+            lambda trial: mock.patch.object(ReplicaStore, "open", unsynced), batches=0, kill_probability=1.0
+        )
 
     def test_no_roll_back_after_a_failure(self) -> None:
         newest = seal.newest_sealed
@@ -106,7 +108,9 @@
         def forgetful(pages: list[seal.MetaPage], at_most: int) -> seal.MetaPage | None:
             return newest(pages)
 
-        self.notices(lambda trial: mock.patch.object(seal, "newest_sealed", forgetful), refused=1.0)
+        self.assert_detected(
+            lambda trial: mock.patch.object(seal, "newest_sealed", forgetful), fault_probability=1.0
+        )
 
     def test_no_replacement_of_a_torn_meta_page(self) -> None:
         """Runs in a subprocess because lmdb may crash the process."""
@@ -115,28 +119,28 @@
             "from storage_trial import Trial\n"
             "from mallowbeam.router.consensus.storage import seal\n"
             "with mock.patch.object(seal, 'replace_page', lambda *_: None):\n"
-            f"    for seed in range(200, 230): Trial(seed, refused=1.0).run({BATCHES})\n"
+            f"    for seed in range(200, 230): Trial(seed, fault_probability=1.0).run({BATCHES})\n"
         )
         path = {"PYTHONPATH": f"{SUPPORT}:{ROOT}", "PYTHONDONTWRITEBYTECODE": "1"}
-        ended = subprocess.run([sys.executable, "-c", script], env=path, capture_output=True, check=False)
-        self.assertNotEqual(ended.returncode, 0)
-        reported = b"LostWriteError" in ended.stderr or b"Store" in ended.stderr
-        self.assertTrue(ended.returncode < 0 or reported, ended.stderr)
+        process = subprocess.run([sys.executable, "-c", script], env=path, capture_output=True, check=False)
+        self.assertNotEqual(process.returncode, 0)
+        reported = b"LostWriteError" in process.stderr or b"Store" in process.stderr
+        self.assertTrue(process.returncode < 0 or reported, process.stderr)
 
 
 @contextlib.contextmanager
-def deaf_in(trial: Trial, owner: object, name: str) -> Iterator[None]:
+def syncs_ignored_in(trial: Trial, owner: object, name: str) -> Iterator[None]:
     """Ignore syncs while the method `name` of `owner` runs."""
     method = getattr(owner, name)
 
-    def deaf(*arguments: Any) -> Any:
-        trial.calls.deaf = True
+    def without_syncs(*arguments: Any) -> Any:
+        trial.calls.ignore_syncs = True
         try:
             return method(*arguments)
         finally:
-            trial.calls.deaf = False
+            trial.calls.ignore_syncs = False
 
-    with mock.patch.object(owner, name, deaf):
+    with mock.patch.object(owner, name, without_syncs):
         yield
 
 
--- a/tests/router/consensus/test_storage_store.py
+++ b/tests/router/consensus/test_storage_store.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 from unittest import mock
 
-from storage_model import FIRST, IDENTITY, Model, draw_batch, draw_entries
+from storage_model import IDENTITY, INITIAL_SNAPSHOT, Model, draw_batch, draw_entries
 
 from mallowbeam.router.consensus.interface import HardState, PersistentState, Write
 from mallowbeam.router.consensus.storage import (
@@ -37,7 +37,7 @@
 
 
 def snapshot(index: int, term: int = 1, size: int = 50) -> Snapshot:
-    return Snapshot(index=index, term=term, membership=FIRST.membership, state=os.urandom(size))
+    return Snapshot(index=index, term=term, membership=INITIAL_SNAPSHOT.membership, state=os.urandom(size))
 
 
 class StoreCase(unittest.TestCase):
@@ -51,7 +51,7 @@
         self.folder = os.path.join(folder.name, "data", "replica")
         self.store = ReplicaStore.open(self.folder, self.disk_mb)
         self.addCleanup(lambda: self.store.close())
-        self.store.create(IDENTITY, FIRST)
+        self.store.create(IDENTITY, INITIAL_SNAPSHOT)
 
     def write(
         self,
@@ -80,15 +80,15 @@
         self.assertEqual(os.listdir(self.folder + "-other"), [])
 
     def test_the_first_state(self) -> None:
-        self.assertEqual(self.reopen(), PersistentState(HardState(), FIRST))
+        self.assertEqual(self.reopen(), PersistentState(HardState(), INITIAL_SNAPSHOT))
         self.assertEqual(self.store.identity, IDENTITY)
         with self.assertRaises(StoreOrderError):
-            self.store.create(IDENTITY, FIRST)
+            self.store.create(IDENTITY, INITIAL_SNAPSHOT)
 
     def test_entries_replace_all_at_their_first_index_and_behind_it(self) -> None:
         self.write(entries(1, 10))
         self.write(entries(4, 2, term=2), hard_state=HardState(2, 7))
-        expected = PersistentState(HardState(2, 7), FIRST, entries(1, 3) + entries(4, 2, term=2))
+        expected = PersistentState(HardState(2, 7), INITIAL_SNAPSHOT, entries(1, 3) + entries(4, 2, term=2))
         self.assertEqual(self.reopen(), expected)
 
     def test_an_own_snapshot_drops_the_entries_it_covers(self) -> None:
@@ -119,13 +119,13 @@
                 Write(3, None, entries(3, 1, term=2)),
             ]
         )
-        expected = PersistentState(HardState(2, 0), FIRST, entries(1, 2) + entries(3, 1, term=2))
+        expected = PersistentState(HardState(2, 0), INITIAL_SNAPSHOT, entries(1, 2) + entries(3, 1, term=2))
         self.assertEqual(self.reopen(), expected)
 
     def test_empty_write(self) -> None:
         self.store.write([])
         self.store.write([Write(1)])
-        self.assertEqual(self.reopen(), PersistentState(HardState(), FIRST))
+        self.assertEqual(self.reopen(), PersistentState(HardState(), INITIAL_SNAPSHOT))
 
     def test_entries_and_snapshots_of_several_megabytes(self) -> None:
         large = draw_entries(1, 1, 1, random.Random(1))[0]
@@ -157,17 +157,17 @@
 
     def test_random_writes_equal_a_plain_model(self) -> None:
         for seed in range(3):
-            chance, model = random.Random(seed), Model()
+            rng, model = random.Random(seed), Model()
             self.store.close()
             ReplicaStore.discard(self.folder)
             self.store = ReplicaStore.open(self.folder, self.disk_mb)
-            self.store.create(IDENTITY, FIRST)
+            self.store.create(IDENTITY, INITIAL_SNAPSHOT)
             for step in range(60):
-                writes = draw_batch(model, chance)
+                writes = draw_batch(model, rng)
                 self.store.write(writes)
                 model = model.after_all(writes)
                 found = self.reopen() if step % 10 == 0 else self.store.load()
-                self.assertEqual(found, model.restored(), f"seed {seed}, step {step}")
+                self.assertEqual(found, model.persistent_state(), f"seed {seed}, step {step}")
 
 
 class Opening(StoreCase):
@@ -188,8 +188,8 @@
                 file.write(data)
             found = ReplicaStore.open(other, 128)
             self.assertIsNone(found.identity)
-            found.create(5, FIRST)
-            self.assertEqual(found.load(), PersistentState(HardState(), FIRST))
+            found.create(5, INITIAL_SNAPSHOT)
+            self.assertEqual(found.load(), PersistentState(HardState(), INITIAL_SNAPSHOT))
             found.close()
 
     def test_opening_an_intact_store_writes_nothing(self) -> None:
@@ -212,7 +212,7 @@
         with mock.patch.object(records, "FORMAT_VERSION", records.FORMAT_VERSION + 1):
             ReplicaStore.discard(self.folder)
             newer = ReplicaStore.open(self.folder, 128)
-            newer.create(IDENTITY, FIRST)
+            newer.create(IDENTITY, INITIAL_SNAPSHOT)
             newer.close()
         with self.assertRaises(StoreVersionError):
             ReplicaStore.open(self.folder, 128)
--- a/tests/support/consensus_bulk.py
+++ b/tests/support/consensus_bulk.py
@@ -21,8 +21,8 @@
     from consensus_machine import Machine
     from consensus_world import World
 
-POLL_SECONDS = 0.002
-REPEAT_SECONDS = 3.0  # retry without an acknowledgement: the leader may have failed
+POLL_INTERVAL_S = 0.002
+RETRY_TIMEOUT_S = 3.0  # retry without an acknowledgement: the leader may have failed
 
 
 class BulkStatements:
@@ -45,11 +45,11 @@
     def do_compact_every(self, entries: str, size: str) -> None:
         self.world.compact_entries, self.world.compact_bytes = int(entries), int(size)
 
-    def do_bandwidth(self, bytes_a_second: str, who: str = "") -> None:
-        self.world.limit_links(float(bytes_a_second), self._id(who) if who else None)
+    def do_bandwidth(self, bytes_per_second: str, who: str = "") -> None:
+        self.world.limit_bandwidth(float(bytes_per_second), self._id(who) if who else None)
 
     def do_write(self, count: str, size: str) -> None:
-        self.world.unwritten += int(count)
+        self.world.unacknowledged_commands += int(count)
         self._write(int(count), int(size))
 
     def _write(self, count: int, size: int) -> None:
@@ -60,16 +60,16 @@
         leader = world.leader()
         before = world.checkers.acknowledged
         proposed = leader is not None and leader.propose(world.random.randbytes(size))
-        until = world.now + (REPEAT_SECONDS if proposed else POLL_SECONDS)
+        until = world.now + (RETRY_TIMEOUT_S if proposed else POLL_INTERVAL_S)
 
         def poll() -> None:
             if world.checkers.acknowledged > before:
-                world.unwritten -= 1
+                world.unacknowledged_commands -= 1
                 self._write(count - 1, size)
             elif world.now >= until:
                 self._write(count, size)
             else:
-                world.at(world.now + POLL_SECONDS, poll)
+                world.at(world.now + POLL_INTERVAL_S, poll)
 
         poll()
 
@@ -81,21 +81,21 @@
             if machine.installed > 0:
                 machine.crash(durable_writes=0)
             else:
-                self.world.at(self.world.now + POLL_SECONDS, poll)
+                self.world.at(self.world.now + POLL_INTERVAL_S, poll)
 
         poll()
 
     # ------------------------------------------------------------ expectations
 
     def expect_written(self) -> Callable[[], bool]:
-        return lambda: self.world.unwritten == 0
+        return lambda: self.world.unacknowledged_commands == 0
 
     def expect_received_below(self, who: str, size: str) -> Callable[[], bool]:
         machine = self._machine(who)
         return lambda: machine.received_bytes < int(size)
 
     def expect_waiting_below(self, size: str) -> Callable[[], bool]:
-        return lambda: self.world.most_waiting < int(size)
+        return lambda: self.world.max_queued_bytes < int(size)
 
     def expect_progress(self, who: str) -> Callable[[], bool]:
         machine = self._machine(who)
--- a/tests/support/consensus_checkers.py
+++ b/tests/support/consensus_checkers.py
@@ -26,16 +26,16 @@
 
 
 @dataclass(frozen=True)
-class Applied:
+class AppliedState:
     """State of a state machine: the number of applied commands and a digest of them in order."""
 
     count: int = 0
     digest: int = 0
 
-    def after(self, entry: Entry) -> Applied:
+    def after(self, entry: Entry) -> AppliedState:
         if entry.kind != COMMAND:
             return self
-        return Applied(self.count + 1, crc32(entry.payload, self.digest))
+        return AppliedState(self.count + 1, crc32(entry.payload, self.digest))
 
     def to_bytes(self, size: int = 0) -> bytes:
         """Encode as a snapshot's state of about `size` bytes; truncated or mixed states are detected."""
@@ -43,7 +43,7 @@
         return line + (line * (size // len(line)) if size else b"")
 
     @classmethod
-    def of_bytes(cls, state: bytes) -> Applied:
+    def of_bytes(cls, state: bytes) -> AppliedState:
         if not state:
             return cls()
         line = state[: state.find(b"\n") + 1]
@@ -55,33 +55,33 @@
 
 @dataclass
 class Operation:
-    """A client's write or read.  `floor`: commands known to be committed when it was invoked."""
+    """A client's write or read.  `committed_before`: commands known to be committed when it was invoked."""
 
-    floor: int
+    committed_before: int
     invoked: float
 
 
-def overlap(before: Membership, after: Membership) -> bool:
+def quorums_overlap(before: Membership, after: Membership) -> bool:
     """Return whether each quorum of one membership shares a voter with each quorum of the other.
 
     Implemented independently of the core's rules, by trying all minimal quorums.  A quorum is a majority of
     each set of voters; if the minimal quorums overlap, larger ones do too.
     """
     return not any(
-        quorum.isdisjoint(other) for quorum in _least_quorums(before) for other in _least_quorums(after)
+        quorum.isdisjoint(other) for quorum in _minimal_quorums(before) for other in _minimal_quorums(after)
     )
 
 
-def _sets(membership: Membership) -> list[list[int]]:
+def _voter_sets(membership: Membership) -> list[list[int]]:
     """The voters and, during a joint change, the outgoing voters."""
     sets = [[member.id for member in membership.members if member.voter], list(membership.outgoing_voters)]
     return [voters for voters in sets if voters]
 
 
-def _least_quorums(membership: Membership) -> set[frozenset[int]]:
+def _minimal_quorums(membership: Membership) -> set[frozenset[int]]:
     majorities = [
         [frozenset(chosen) for chosen in combinations(voters, len(voters) // 2 + 1)]
-        for voters in _sets(membership)
+        for voters in _voter_sets(membership)
     ]
     return {frozenset().union(*chosen) for chosen in product(*majorities)}
 
@@ -94,27 +94,27 @@
         self.first_index = first_index
         self.committed: list[Entry] = []  # all committed entries after the first index
         self.commit_terms: list[int] = []  # term of the leader that committed each of them
-        self.states = [Applied()]  # initial state, then the state after each committed entry
+        self.states = [AppliedState()]  # initial state, then the state after each committed entry
         self.membership = first_membership  # the last committed one
         self.memberships = [(first_index, first_membership)]  # all committed ones with their index
         self.leaders: dict[int, int] = {}  # member id by term
-        self.commit_seen: dict[tuple[int, int], int] = {}  # by member and incarnation
+        self.last_commit_indexes: dict[tuple[int, int], int] = {}  # by member and incarnation
         self.last_terms: dict[tuple[int, int], int] = {}  # last log term, by member and incarnation
-        self.certain = 0  # commands acknowledged, or observed by a completed read
+        self.known_committed = 0  # commands acknowledged, or observed by a completed read
         self.acknowledged = 0
         self.reads_confirmed = 0
-        self.reads_refused = 0
+        self.reads_rejected = 0
 
     # ------------------------------------------------------------ durability before sending
 
-    def sends(self, machine: Machine, send: Send) -> None:
+    def on_send(self, machine: Machine, send: Send) -> None:
         """Check an outgoing message: the state that it claims must be on the sender's disk."""
         message, disk = send.message, machine.disk
         kind = message.WhichOneof("body")
         if kind == "vote_response" and not message.vote_response.pre_vote:
-            self._vote_durable(machine, send.recipient, message.vote_response)
+            self._check_vote_durable(machine, send.recipient, message.vote_response)
         elif kind == "vote_request" and not message.vote_request.pre_vote:
-            self._candidacy_durable(machine, message.vote_request.term)
+            self._check_candidacy_durable(machine, message.vote_request.term)
         elif kind == "append_response":
             response = message.append_response
             if disk.hard_state.term < response.term:
@@ -130,12 +130,12 @@
                     f"its disk ends at {disk.last_index}",
                 )
 
-    def _candidacy_durable(self, machine: Machine, term: int) -> None:
+    def _check_candidacy_durable(self, machine: Machine, term: int) -> None:
         state = machine.disk.hard_state
         if state.term < term or state.term == term and state.vote != machine.member_id:
             raise Violation("durable vote", f"{machine.member_id} campaigns in term {term}, disk: {state}")
 
-    def _vote_durable(self, machine: Machine, candidate: int, response) -> None:
+    def _check_vote_durable(self, machine: Machine, candidate: int, response) -> None:
         state = machine.disk.hard_state
         if state.term < response.term:
             raise Violation(
@@ -147,24 +147,24 @@
 
     # ------------------------------------------------------------ leaders and commits
 
-    def after(self, machine: Machine) -> None:
+    def on_event(self, machine: Machine) -> None:
         """Check a member after an event."""
         node = machine.node
         key = (machine.member_id, machine.incarnation)
-        before = self.commit_seen.get(key, node.commit_index)
+        before = self.last_commit_indexes.get(key, node.commit_index)
         if node.commit_index < before:
             raise Violation("commit index", f"{machine.member_id} decreases it to {node.commit_index}")
-        self.commit_seen[key] = node.commit_index
+        self.last_commit_indexes[key] = node.commit_index
         log = node._state.log
         if self.last_terms.get(key) != log.last_term:  # truncated entries or a new term
             self.last_terms[key] = log.last_term
-            self._membership_in_force(log)
+            self._check_membership_in_force(log)
         if node.role is Role.LEADER:
-            self._leads(machine)
+            self._check_new_leader(machine)
             if node.commit_index > before and node._state.log.term_at(node.commit_index) != node.term:
                 raise Violation("own term", f"{machine.member_id} commits an entry of an older term")
 
-    def _leads(self, machine: Machine) -> None:
+    def _check_new_leader(self, machine: Machine) -> None:
         node = machine.node
         leader = self.leaders.get(node.term)
         if leader == machine.member_id:
@@ -183,7 +183,7 @@
                     f"lacks entry {entry.index} of term {entry.term}",
                 )
 
-    def commits(self, machine: Machine, entry: Entry) -> Applied:
+    def on_commit(self, machine: Machine, entry: Entry) -> AppliedState:
         """Check a committed entry that a member returned; return the state after it."""
         position = entry.index - self.first_index - 1
         if position > len(self.committed):
@@ -216,36 +216,36 @@
                     f"membership {entry.index} is committed by "
                     f"{machine.member_id} without a quorum of itself",
                 )
-            self._follows(entry.index, self.membership, membership)
+            self._check_successor(entry.index, self.membership, membership)
             self.membership = membership
             self.memberships.append((entry.index, membership))
 
-    def _follows(self, index: int, before: Membership, after: Membership) -> None:
+    def _check_successor(self, index: int, before: Membership, after: Membership) -> None:
         """Check that the target size is kept and that quorums of successive memberships overlap."""
         if len(voters_of(after)) > max(after.target_voters, len(voters_of(before))):
             raise Violation(
                 "places",
                 f"entry {index} has {len(voters_of(after))} voters, " f"its target is {after.target_voters}",
             )
-        if not overlap(before, after):
+        if not quorums_overlap(before, after):
             raise Violation("membership", f"entry {index}: its quorums do not overlap with those before it")
 
     def _durable_on_majority(self, membership: Membership, entry: Entry) -> bool:
         """Whether a majority of each set of voters has the entry on disk; independent of the core's count."""
-        for voters in _sets(membership):
-            holders = [voter for voter in voters if self.world.disk_of(voter).holds(entry)]
+        for voters in _voter_sets(membership):
+            holders = [voter for voter in voters if self.world.disk_of(voter).contains_entry(entry)]
             if 2 * len(holders) <= len(voters):
                 return False
         return True
 
-    def installs(self, machine: Machine, index: int, applied: Applied) -> None:
+    def on_install(self, machine: Machine, index: int, applied: AppliedState) -> None:
         """Check a snapshot that a member installs."""
         if not self.first_index <= index <= self.first_index + len(self.committed):
             raise Violation("state machine", f"{machine.member_id} installs a snapshot at {index}")
         if self.states[index - self.first_index] != applied:
             raise Violation("state machine", f"{machine.member_id} installs a different state at {index}")
 
-    def compacts(self, machine: Machine) -> None:
+    def on_compact(self, machine: Machine) -> None:
         """Check that a snapshot that a member has taken contains the complete membership at its index."""
         snapshot = machine.node._state.log.snapshot
         earlier = [membership for index, membership in self.memberships if index <= snapshot.index]
@@ -258,36 +258,40 @@
     # ------------------------------------------------------------ clients
 
     def invoke(self) -> Operation:
-        return Operation(self.certain, self.world.now)
+        return Operation(self.known_committed, self.world.now)
 
     def write_acknowledged(self, operation: Operation, position: int) -> None:
         """`position`: the command's position among committed commands, from 1."""
-        if position <= operation.floor:
-            raise Violation("linearizable", f"write at {position}, {operation.floor} were committed before")
+        if position <= operation.committed_before:
+            raise Violation(
+                "linearizable", f"write at {position}, {operation.committed_before} were committed before"
+            )
         self.acknowledged += 1
-        self.certain = max(self.certain, position)
+        self.known_committed = max(self.known_committed, position)
 
-    def read_ended(self, operation: Operation, result: ReadResult, count: int) -> None:
+    def read_completed(self, operation: Operation, result: ReadResult, count: int) -> None:
         if not result.confirmed:
-            self.reads_refused += 1
+            self.reads_rejected += 1
             return
-        if count < operation.floor:
-            raise Violation("linearizable", f"read sees {count}, {operation.floor} were committed before")
+        if count < operation.committed_before:
+            raise Violation(
+                "linearizable", f"read sees {count}, {operation.committed_before} were committed before"
+            )
         self.reads_confirmed += 1
-        self.certain = max(self.certain, count)
+        self.known_committed = max(self.known_committed, count)
 
     # ------------------------------------------------------------ logs
 
-    def logs_match(self, window: int = 10**9) -> None:
+    def check_logs_match(self, window: int = 10**9) -> None:
         """Check that logs with equal terms at an index are equal up to it, in their last `window` entries."""
         logs = [machine.node._state.log for machine in self.world.machines.values() if machine.node]
         for log in logs:
-            self._membership_in_force(log)
+            self._check_membership_in_force(log)
         for position, one in enumerate(logs):
             for other in logs[position + 1 :]:
-                self._match(one, other, window)
+                self._check_match(one, other, window)
 
-    def _membership_in_force(self, log) -> None:
+    def _check_membership_in_force(self, log) -> None:
         """Check that the last membership in the log is in force."""
         entries = log.slice(log.base_index + 1, log.last_index)
         later = [entry for entry in entries if entry.kind == MEMBERSHIP and entry.index > log.snapshot.index]
@@ -295,11 +299,11 @@
         if log.memberships.current.membership != wanted:
             raise Violation("membership", f"entry {log.memberships.current.index} is wrongly in force")
 
-    def _match(self, one, other, window: int) -> None:
+    def _check_match(self, one, other, window: int) -> None:
         last = min(one.last_index, other.last_index)
-        least = max(one.base_index, other.base_index, last - window)
+        lower_bound = max(one.base_index, other.base_index, last - window)
         agreed = False
-        for index in range(last, least, -1):
+        for index in range(last, lower_bound, -1):
             same = one.term_at(index) == other.term_at(index)
             if agreed and not same:
                 raise Violation("log matching", f"logs agree after {index} but differ there")
--- a/tests/support/consensus_host.py
+++ b/tests/support/consensus_host.py
@@ -18,7 +18,7 @@
     VoteResponse,
 )
 
-OWN = 1
+OWN_ID = 1
 
 
 def membership(voters: int, learners: int = 0) -> Membership:
@@ -31,7 +31,7 @@
 
 
 class Host:
-    """Drives one member; writes become durable only when the test calls `write`."""
+    """Drives one member; writes become durable only when the test calls `complete_writes`."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         entries: tuple[Entry, ...] = (),
         term: int = 1,
         founder: bool = True,
-        own: int = OWN,
+        own: int = OWN_ID,
         **settings: object,
     ) -> None:
         self.now = 10.0
@@ -58,7 +58,7 @@
         self.committed += output.committed
         return output
 
-    def write(self) -> Output:
+    def complete_writes(self) -> Output:
         """Make all submitted writes durable."""
         if self.tickets:
             self.node.written(self.tickets[-1], self.now)
@@ -104,9 +104,9 @@
         if self.node.role is Role.PRE_CANDIDATE:
             vote = VoteResponse(term=self.node.term + 1, granted=True, pre_vote=True)
             self.receive(2, vote_response=vote)
-            self.write()
+            self.complete_writes()
             self.receive(2, vote_response=VoteResponse(term=self.node.term, granted=True))
-        output = self.write()
+        output = self.complete_writes()
         assert self.node.role is Role.LEADER
         if commit:
             last = self.node._state.log.last_index
--- a/tests/support/consensus_machine.py
+++ b/tests/support/consensus_machine.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from consensus_checkers import Applied, Operation
+from consensus_checkers import AppliedState, Operation
 
 from mallowbeam.router.consensus.errors import ConsensusError
 from mallowbeam.router.consensus.interface import RaftSettings, ReadResult, Send, Write
@@ -20,13 +20,13 @@
 if TYPE_CHECKING:
     from consensus_world import World
 
-BATCH_SECONDS = (0.0, 0.004)  # range of the delay of a member's output when events are batched
+BATCH_DELAY_RANGE_S = (0.0, 0.004)  # range of the delay of a member's output when events are batched
 
 
 class Disk(Replica):
     """The durable state on one disk."""
 
-    def holds(self, entry: Entry) -> bool:
+    def contains_entry(self, entry: Entry) -> bool:
         """Return whether the disk contains this entry, which is known to be committed."""
         if entry.index <= self.snapshot.index:
             return True
@@ -61,12 +61,12 @@
     # ------------------------------------------------------------ the process
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         return self.node is not None and not self.frozen
 
     @property
-    def leads(self) -> bool:
-        return self.runs and self.node.role is Role.LEADER
+    def is_leader(self) -> bool:
+        return self.is_running and self.node.role is Role.LEADER
 
     def clock(self) -> float:
         return self.clock_offset + self.clock_rate * self.world.now
@@ -80,17 +80,17 @@
         self.backlog: list[Callable[[], None]] = []
         self.writes: deque[Write] = deque()
         self.writing = False
-        self.drain_due = False
-        self.tick_due: float | None = None  # time of the scheduled tick by the member's clock
+        self.output_scheduled = False
+        self.scheduled_tick_at: float | None = None  # time of the scheduled tick by the member's clock
         self.operations: dict[int, tuple[int, Operation]] = {}  # pending writes and their term, by index
         self.reads: dict[int, Operation] = {}
         self.applied_index = self.disk.snapshot.index
-        self.applied = Applied.of_bytes(self.disk.snapshot.state)
+        self.applied = AppliedState.of_bytes(self.disk.snapshot.state)
         self.received_bytes = 0
         self.uncompacted_entries = self.uncompacted_bytes = 0
         random = Random(self.world.random.random())
         self.node = RaftNode(self.settings, self.disk.restored(), self.clock(), random)
-        self.drain()
+        self.process_output_now()
 
     def crash(self, durable_writes: int | None = None) -> None:
         """Kill the process; `durable_writes` of the writes in flight, by default at random, are durable."""
@@ -116,7 +116,7 @@
         for step in backlog:
             step()
 
-    def later(self, delay: float, step: Callable[[], None]) -> None:
+    def schedule(self, delay: float, step: Callable[[], None]) -> None:
         """Run a step after a delay unless the process has ended; a frozen process adds it to the backlog."""
         incarnation = self.incarnation
 
@@ -134,47 +134,47 @@
 
     def process_output(self) -> None:
         """Process the member's output after an event: at once, or batched with the output of later events."""
-        if self.world.random.random() >= self.world.batched:
-            self.drain()
-        elif not self.drain_due:
-            self.drain_due = True
-            self.later(self.world.random.uniform(*BATCH_SECONDS), self.drain_if_due)
+        if self.world.random.random() >= self.world.batch_probability:
+            self.process_output_now()
+        elif not self.output_scheduled:
+            self.output_scheduled = True
+            self.schedule(self.world.random.uniform(*BATCH_DELAY_RANGE_S), self.process_scheduled_output)
 
-    def drain_if_due(self) -> None:
-        if self.drain_due:
-            self.drain()
+    def process_scheduled_output(self) -> None:
+        if self.output_scheduled:
+            self.process_output_now()
 
-    def drain(self) -> None:
+    def process_output_now(self) -> None:
         """Process the member's output now."""
-        self.drain_due = False
+        self.output_scheduled = False
         output = self.node.output()
         for send in output.send:
             self.world.send(self, send)
         if output.write is not None:
             self.writes.append(output.write)
-            self.write_next()
+            self.start_next_write()
         if output.install is not None:
             self._install(output.install)
         for entry in output.committed:
             self._apply(entry)
         for result in output.reads:
-            self._read_ended(result)
-        self._plan_tick()
-        self.world.checkers.after(self)
-        self._compact_where_due()
+            self._complete_read(result)
+        self._schedule_tick()
+        self.world.checkers.on_event(self)
+        self._compact_if_due()
 
     def _install(self, snapshot: Snapshot) -> None:
         self.applied_index = snapshot.index
-        self.applied = Applied.of_bytes(snapshot.state)
+        self.applied = AppliedState.of_bytes(snapshot.state)
         self.installed += 1
         self.uncompacted_entries = self.uncompacted_bytes = 0
-        self.world.checkers.installs(self, snapshot.index, self.applied)
+        self.world.checkers.on_install(self, snapshot.index, self.applied)
 
     def _apply(self, entry: Entry) -> None:
         assert entry.index == self.applied_index + 1, "committed entries are not in order"
         before = self.applied.after(entry)
         self.applied_index = entry.index
-        self.applied = self.world.checkers.commits(self, entry)
+        self.applied = self.world.checkers.on_commit(self, entry)
         assert self.applied == before
         self.uncompacted_entries += 1
         self.uncompacted_bytes += len(entry.payload)
@@ -183,25 +183,25 @@
             if term == entry.term and entry.kind == COMMAND:
                 self.world.checkers.write_acknowledged(operation, self.applied.count)
 
-    def _read_ended(self, result: ReadResult) -> None:
+    def _complete_read(self, result: ReadResult) -> None:
         operation = self.reads.pop(result.read_id)
         assert (
             not result.confirmed or result.index <= self.applied_index
         ), "read completed before its index is applied"
-        self.world.checkers.read_ended(operation, result, self.applied.count)
+        self.world.checkers.read_completed(operation, result, self.applied.count)
 
-    def _plan_tick(self) -> None:
+    def _schedule_tick(self) -> None:
         deadline = self.node.next_deadline()
         if isinf(deadline):
             return
         delay = max(0.0001, (deadline - self.clock()) / self.clock_rate + 0.0001)
-        if self.tick_due != deadline:
-            self.tick_due = deadline
-            self.later(delay, lambda: self._tick_at(deadline))
+        if self.scheduled_tick_at != deadline:
+            self.scheduled_tick_at = deadline
+            self.schedule(delay, lambda: self._tick_at(deadline))
 
     def _tick_at(self, deadline: float) -> None:
-        if self.tick_due == deadline:
-            self.tick_due = None
+        if self.scheduled_tick_at == deadline:
+            self.scheduled_tick_at = None
             self._tick()
 
     def _tick(self) -> None:
@@ -215,28 +215,28 @@
 
     # ------------------------------------------------------------ the disk
 
-    def write_next(self) -> None:
+    def start_next_write(self) -> None:
         if self.writing or self.stalled or not self.writes or self.node is None:
             return
         self.writing = True
         incarnation = self.incarnation
-        together = len(self.writes)  # one sync covers all queued writes
+        batch_size = len(self.writes)  # one sync covers all queued writes
 
         def done() -> None:
             if self.node is not None and incarnation == self.incarnation:
                 self.writing = False
-                self._written(together)
+                self._written(batch_size)
 
         self.world.at(self.world.now + self.world.random.uniform(*self.latency), done)
 
-    def _written(self, together: int) -> None:
+    def _written(self, batch_size: int) -> None:
         if self.stalled:
             return
-        writes = [self.writes.popleft() for _ in range(together)]
+        writes = [self.writes.popleft() for _ in range(batch_size)]
         for write in writes:
             self.disk.apply(write)
-        self.later(0.0, lambda: self._write_completed(writes))
-        self.write_next()
+        self.schedule(0.0, lambda: self._write_completed(writes))
+        self.start_next_write()
 
     def _write_completed(self, writes: list[Write]) -> None:
         for write in writes:
@@ -250,13 +250,13 @@
 
     def unstall(self) -> None:
         self.stalled = False
-        self.write_next()
+        self.start_next_write()
 
     # ------------------------------------------------------------ clients
 
     def propose(self, payload: bytes) -> bool:
         """Propose a command; return whether the member accepted it."""
-        if not self.runs:
+        if not self.is_running:
             return False
         operation = self.world.checkers.invoke()
         try:
@@ -268,44 +268,44 @@
         return True
 
     def read(self, read_id: int) -> None:
-        if self.runs:
+        if self.is_running:
             self.reads[read_id] = self.world.checkers.invoke()
             self.node.read(read_id, self.clock())
             self.process_output()
 
-    def _compact_where_due(self) -> None:
+    def _compact_if_due(self) -> None:
         """Take a snapshot, as the driver does, once one of the world's thresholds is reached."""
         world = self.world
         if self.uncompacted_entries >= world.compact_entries or self.uncompacted_bytes >= world.compact_bytes:
             self.compact()
 
     def compact(self) -> None:
-        if self.runs:
+        if self.is_running:
             self.uncompacted_entries = self.uncompacted_bytes = 0
             self.node.compact(self.applied_index, self.applied.to_bytes(self.world.state_bytes))
             if self.node.membership.members:
-                self.world.checkers.compacts(self)
-            self.drain()
+                self.world.checkers.on_compact(self)
+            self.process_output_now()
 
     def change_membership(self, membership: Membership) -> bool:
-        if not self.runs:
+        if not self.is_running:
             return False
-        self.drain_if_due()  # checks earlier commits against the membership in force at that time
+        self.process_scheduled_output()  # checks earlier commits against the membership in force at that time
         try:
             self.node.change_membership(membership, self.clock())
         except ConsensusError:
             return False
         finally:
-            self.drain()
+            self.process_output_now()
         return True
 
     def transfer(self, member_id: int | None) -> bool:
-        if not self.runs:
+        if not self.is_running:
             return False
         try:
             self.node.transfer_leadership(member_id, self.clock())
         except ConsensusError:
             return False
         finally:
-            self.drain()
+            self.process_output_now()
         return True
--- a/tests/support/consensus_scenario.py
+++ b/tests/support/consensus_scenario.py
@@ -32,16 +32,16 @@
 from consensus_bulk import BulkStatements
 from consensus_checkers import Violation
 from consensus_machine import Machine
-from consensus_world import World, replaced, with_member, with_voter, without_member
+from consensus_world import World, with_member, with_replaced_voters, with_voter, without_member
 from project_paths import SCENARIOS as SCENARIO_FOLDER
 
 from mallowbeam.router.consensus.interface import RaftSettings
 from mallowbeam.router.consensus.membership import voters_of
 
-FOLDER = SCENARIO_FOLDER / "consensus"
-POLL_SECONDS = 0.002
-OPERATOR_SECONDS = 30.0  # how long a membership change is retried
-LAG_UNDER_LOAD = 5  # maximum lag in entries at which a member counts as caught up
+CONSENSUS_SCENARIOS = SCENARIO_FOLDER / "consensus"
+POLL_INTERVAL_S = 0.002
+CHANGE_TIMEOUT_S = 30.0  # how long a membership change is retried
+MAX_LAG_ENTRIES = 5  # maximum lag in entries at which a member counts as caught up
 
 
 @dataclass(frozen=True)
@@ -117,11 +117,11 @@
     def play(self) -> World:
         for statement in self.scenario.statements:
             self.end = max(self.end, statement.time + _within(statement.words))
-            self.world.at(statement.time, lambda statement=statement: self._do(statement))
+            self.world.at(statement.time, lambda statement=statement: self._execute(statement))
         if self.scenario.load:
             self.world.at(0.0, self._load)
-        self.world.run(self.end + 2 * POLL_SECONDS)
-        self.world.checkers.logs_match()
+        self.world.run(self.end + 2 * POLL_INTERVAL_S)
+        self.world.checkers.check_logs_match()
         return self.world
 
     def _load(self) -> None:
@@ -129,13 +129,13 @@
         if leader is not None:
             self.world.propose(leader)
         for machine in list(self.world.machines.values()):
-            if machine.leads:
+            if machine.is_leader:
                 self.world.read(machine)
         self.world.at(self.world.now + self.scenario.load, self._load)
 
     # ------------------------------------------------------------ statements
 
-    def _do(self, statement: Statement) -> None:
+    def _execute(self, statement: Statement) -> None:
         verb, *words = statement.words
         if verb == "expect":
             self._expect(statement, words)
@@ -167,7 +167,7 @@
             others = [
                 machine.member_id
                 for machine in world.machines.values()
-                if machine.runs and machine is not leader
+                if machine.is_running and machine is not leader
             ]
             return next(other for other in others if (other in voters) == (who == "follower"))
         return int(who)
@@ -213,15 +213,15 @@
     def do_reorder(self) -> None:
         self.world.network.reordered = True
 
-    def do_delay(self, least: str, most: str) -> None:
-        self.world.network.delay = (float(least), float(most))
+    def do_delay(self, minimum: str, maximum: str) -> None:
+        self.world.network.delay = (float(minimum), float(maximum))
 
     def do_lag(self, who: str, seconds: str) -> None:
-        self.world.network.lags[self._id(who)] = float(seconds)
+        self.world.network.extra_delays[self._id(who)] = float(seconds)
 
-    def do_disk(self, who: str, least: str, most: str) -> None:
+    def do_disk(self, who: str, minimum: str, maximum: str) -> None:
         for machine in self._machines(who):
-            machine.latency = (float(least), float(most))
+            machine.latency = (float(minimum), float(maximum))
 
     def do_stall(self, who: str) -> None:
         for machine in self._machines(who):
@@ -263,7 +263,7 @@
         out, added_voters = self._id(who), self._id(successor)
         self._change(
             lambda membership: added_voters in voters_of(membership),
-            lambda membership: replaced(membership, [out], [added_voters]),
+            lambda membership: with_replaced_voters(membership, [out], [added_voters]),
         )
 
     def do_demote(self, who: str) -> None:
@@ -281,7 +281,7 @@
         )
 
     def _change(self, done: Callable, edit: Callable) -> None:
-        self.world.change(done, edit, self.world.now + OPERATOR_SECONDS)
+        self.world.change(done, edit, self.world.now + CHANGE_TIMEOUT_S)
 
     def do_transfer(self, who: str) -> None:
         target = None if who == "any" else self._id(who)
@@ -306,26 +306,28 @@
         rest = words[len(name.split("_")) :]
         self._poll(getattr(self, "expect_" + name)(*rest), until, statement)
 
-    def _poll(self, seen: Callable[[], bool], until: float, statement: Statement) -> None:
-        if seen():
+    def _poll(self, condition: Callable[[], bool], until: float, statement: Statement) -> None:
+        if condition():
             return
         if self.world.now >= until:
             what = f"line {statement.line}: at {self.world.now:.3f} s, {' '.join(statement.words)}"
             raise Violation("scenario", what)
-        self.world.at(min(until, self.world.now + POLL_SECONDS), lambda: self._poll(seen, until, statement))
+        self.world.at(
+            min(until, self.world.now + POLL_INTERVAL_S), lambda: self._poll(condition, until, statement)
+        )
 
     def expect_leader(self, *words: str) -> Callable[[], bool]:
         """``leader``, ``leader WHO`` or ``leader other than WHO``: it runs and has committed in its term."""
         member_id = self._id(words[-1]) if words else 0
         other = words[:2] == ("other", "than")
 
-        def seen() -> bool:
+        def condition() -> bool:
             leader = self.world.leader()
             if leader is None or leader.node.freshness(leader.clock()) > 1.0:
                 return False
             return not words or (leader.member_id == member_id) != other
 
-        return seen
+        return condition
 
     def expect_no_leader(self) -> Callable[[], bool]:
         """No running member is the leader."""
@@ -337,20 +339,20 @@
         return lambda: machine.node.role.value == role
 
     def expect_agree(self) -> Callable[[], bool]:
-        """All running members have applied the leader's entries, except for at most `LAG_UNDER_LOAD`."""
-        return lambda: self._lag() <= LAG_UNDER_LOAD
+        """All running members have applied the leader's entries, except for at most `MAX_LAG_ENTRIES`."""
+        return lambda: self._lag() <= MAX_LAG_ENTRIES
 
     def _lag(self) -> int:
         world = self.world
         leader = world.leader()
         if leader is None:
-            return LAG_UNDER_LOAD + 1
+            return MAX_LAG_ENTRIES + 1
         members = [
             world.machines[member.id]
             for member in world.checkers.membership.members
             if member.id in world.machines
         ]
-        return max(leader.applied_index - member.applied_index for member in members if member.runs)
+        return max(leader.applied_index - member.applied_index for member in members if member.is_running)
 
     def expect_noted_term(self) -> Callable[[], bool]:
         """The highest term of any member is the one that ``note term`` recorded."""
@@ -383,7 +385,7 @@
         leader = self.world.leader()
         if leader is not None and self.world.propose(leader) or self.world.now > until:
             return
-        self.world.at(self.world.now + POLL_SECONDS, lambda: self._propose_once(until))
+        self.world.at(self.world.now + POLL_INTERVAL_S, lambda: self._propose_once(until))
 
     def expect_stuck(self, seconds: str) -> Callable[[], bool]:
         """``stuck SECONDS``: no write is acknowledged for this time from now on; checked at its end."""
@@ -406,9 +408,9 @@
 
     def expect_read_refused(self, who: str) -> Callable[[], bool]:
         """``read refused WHO``: a read requested from it now is not confirmed."""
-        refused = self.world.checkers.reads_refused
+        rejected = self.world.checkers.reads_rejected
         self.world.read(self._machine(who))
-        return lambda: self.world.checkers.reads_refused > refused
+        return lambda: self.world.checkers.reads_rejected > rejected
 
     def expect_freshness_below(self, who: str, seconds: str) -> Callable[[], bool]:
         """``freshness below WHO SECONDS``."""
--- a/tests/support/consensus_variants.py
+++ b/tests/support/consensus_variants.py
@@ -56,13 +56,13 @@
     def patched() -> Iterator[None]:
         campaign = Election.campaign
 
-        def hasty(self: Election, transfer: bool = False) -> None:
+        def premature(self: Election, transfer: bool = False) -> None:
             with mock.patch.object(Persistence, "send_after_write", Persistence.send_now):
                 campaign(self, transfer)
             self._votes[self._state.own_id] = True
             self._count()
 
-        with mock.patch.object(Election, "campaign", hasty):
+        with mock.patch.object(Election, "campaign", premature):
             yield
 
     return patched()
@@ -79,11 +79,11 @@
 
 def leader_counts_unwritten() -> AbstractContextManager[object]:
     """A leader counts itself for entries that its storage has not written."""
-    all_of_the_log = property(lambda self: self._log.last_index, lambda self, value: None)
-    return mock.patch.object(Persistence, "durable_index", all_of_the_log, create=True)
+    log_end = property(lambda self: self._log.last_index, lambda self, value: None)
+    return mock.patch.object(Persistence, "durable_index", log_end, create=True)
 
 
-def truncated_entries_count() -> AbstractContextManager[object]:
+def truncated_entries_acknowledged() -> AbstractContextManager[object]:
     """A write in flight marks entries as durable that were truncated in the meantime."""
     return mock.patch.object(Persistence, "entries_truncated", lambda self, first: None)
 
@@ -103,13 +103,13 @@
     return mock.patch.object(Leader, "_own_term_committed", property(lambda self: True))
 
 
-def learners_count() -> AbstractContextManager[object]:
+def learners_count_as_voters() -> AbstractContextManager[object]:
     """Learners count as voters."""
 
-    def with_all(index: int, changed: membership.Membership) -> MembershipRecord:
+    def record_with_all_voters(index: int, changed: membership.Membership) -> MembershipRecord:
         return MembershipRecord(index, changed, Quorum(members_of(changed)))
 
-    return mock.patch.object(membership, "membership_record", with_all)
+    return mock.patch.object(membership, "membership_record", record_with_all_voters)
 
 
 def changes_without_overlap() -> AbstractContextManager[object]:
@@ -140,13 +140,13 @@
     def patched() -> Iterator[None]:
         change = Leader.change_membership
 
-        def hasty(self: Leader, changed: membership.Membership):
+        def premature(self: Leader, changed: membership.Membership):
             proposal = change(self, changed)
             if changed.outgoing_voters:
                 self._append_membership(without_outgoing(changed))
             return proposal
 
-        with mock.patch.object(Leader, "change_membership", hasty):
+        with mock.patch.object(Leader, "change_membership", premature):
             yield
 
     return patched()
@@ -159,13 +159,13 @@
     def patched() -> Iterator[None]:
         check = membership.check_change
 
-        def blind(old: membership.Membership, new: membership.Membership) -> None:
+        def check_without_target(old: membership.Membership, new: membership.Membership) -> None:
             unlimited = membership.Membership()
             unlimited.CopyFrom(new)
             unlimited.target_voters = len(new.members)
             check(old, unlimited)
 
-        with mock.patch.object(leader, "check_change", blind):
+        with mock.patch.object(leader, "check_change", check_without_target):
             yield
 
     return patched()
@@ -231,11 +231,11 @@
     def patched() -> Iterator[None]:
         answer = Follower._respond
 
-        def hasty(self: Follower, leader: int, **fields) -> None:
+        def premature(self: Follower, leader: int, **fields) -> None:
             with mock.patch.object(Persistence, "respond", Persistence.send_now):
                 answer(self, leader, **fields)
 
-        with mock.patch.object(Follower, "_respond", hasty):
+        with mock.patch.object(Follower, "_respond", premature):
             yield
 
     return patched()
@@ -251,11 +251,11 @@
     def patched() -> Iterator[None]:
         append = Follower.append
 
-        def hasty(self: Follower, leader: int, request) -> None:
+        def premature(self: Follower, leader: int, request) -> None:
             append(self, leader, request)
             self._state.commit_to(request.commit)
 
-        with mock.patch.object(Follower, "append", hasty):
+        with mock.patch.object(Follower, "append", premature):
             with mock.patch.object(MemberState, "commit_to", commit_to):
                 yield
 
@@ -316,7 +316,7 @@
     return mock.patch.object(MemberState, "leader_is_live", property(lambda self: False))
 
 
-def stalled_leader_stays() -> AbstractContextManager[object]:
+def stall_undetected() -> AbstractContextManager[object]:
     """A member does not notice a stalled write."""
     return mock.patch.object(MemberState, "stalled", property(lambda self: False))
 
@@ -353,35 +353,35 @@
     """A follower acknowledges a snapshot once it is complete, before it is durable."""
     take_snapshot = Follower._accept_snapshot
 
-    def hasty(self: Follower, leader: int, snapshot: Snapshot, round_number: int) -> None:
+    def premature(self: Follower, leader: int, snapshot: Snapshot, round_number: int) -> None:
         with mock.patch.object(Persistence, "send_after_write", Persistence.send_now):
             take_snapshot(self, leader, snapshot, round_number)
 
-    return mock.patch.object(Follower, "_accept_snapshot", hasty)
+    return mock.patch.object(Follower, "_accept_snapshot", premature)
 
 
 def chunks_restarted_from_zero() -> AbstractContextManager[object]:
     """A leader restarts a snapshot from the beginning after a loss or a partition."""
 
-    def send_again(self: ChunkSender, now: float) -> None:
+    def retransmit(self: ChunkSender, now: float) -> None:
         self._acknowledged = self._next_offset = 0
-        self._ended = False
-        self._progress_at = now
+        self._last_chunk_sent = False
+        self._last_progress_at = now
 
-    return mock.patch.object(ChunkSender, "_send_again", send_again)
+    return mock.patch.object(ChunkSender, "_retransmit", retransmit)
 
 
-def chunks_never_sent_again() -> AbstractContextManager[object]:
+def chunks_never_retransmitted() -> AbstractContextManager[object]:
     """A leader sends each chunk once."""
-    return mock.patch.object(ChunkSender, "_send_again", lambda self, now: None)
+    return mock.patch.object(ChunkSender, "_retransmit", lambda self, now: None)
 
 
-def arrival_counts_as_news() -> AbstractContextManager[object]:
+def arrival_time_as_freshness() -> AbstractContextManager[object]:
     """A follower uses the arrival time of an append as the time at which it was built."""
     return mock.patch.object(RoundEcho, "built_after", lambda self, answered_round, now: now)
 
 
-def window_unbounded() -> AbstractContextManager[object]:
+def chunk_window_unlimited() -> AbstractContextManager[object]:
     """A leader sends all chunks without a window."""
     chunks = ChunkSender.chunks
     return mock.patch.object(
--- a/tests/support/consensus_walker.py
+++ b/tests/support/consensus_walker.py
@@ -11,16 +11,16 @@
 
 from consensus_checkers import Violation
 from consensus_machine import Machine
-from consensus_world import World, replaced, with_member, with_voter, without_member
+from consensus_world import World, with_member, with_replaced_voters, with_voter, without_member
 
 from mallowbeam.router.consensus.interface import RaftSettings
 from mallowbeam.router.consensus.membership import quorum_of, voters_of
 from mallowbeam.router.consensus.progress import ProgressState
 from mallowbeam.router.rpc.messages_pb2 import Membership
 
-FAULT_SECONDS = 5.0  # faults are injected during this time
-QUIET_SECONDS = 8.0  # time to recover after all faults are repaired
-STEP_SECONDS = 0.05  # mean time between two client operations
+FAULT_DURATION_S = 5.0  # faults are injected during this time
+RECOVERY_TIMEOUT_S = 8.0  # time to recover after all faults are repaired
+CLIENT_INTERVAL_S = 0.05  # mean time between two client operations
 FAULTS = (
     "kill",
     "power_off",
@@ -79,11 +79,11 @@
             settings=settings,
         )
         self._network()
-        self.world.batched = self.random.choice((0.0, 0.5, 0.9))
+        self.world.batch_probability = self.random.choice((0.0, 0.5, 0.9))
         for machine in self.world.machines.values():
             machine.clock_rate = self.random.uniform(0.9, 1.1)
         self.faults = {name: getattr(self, f"_{name}") for name in FAULTS}
-        self.pace = self.random.choice((0.1, 0.3, 0.6))  # mean seconds between faults
+        self.mean_fault_interval_s = self.random.choice((0.1, 0.3, 0.6))  # mean seconds between faults
 
     def _settings(self) -> RaftSettings:
         transfers = Random(f"transfers {self.seed}")
@@ -116,10 +116,10 @@
         """Inject faults, repair them and wait for recovery; raises Violation."""
         self.world.at(0.3, self._client)
         self.world.at(0.5, self._inject_fault)
-        self.world.run(FAULT_SECONDS)
+        self.world.run(FAULT_DURATION_S)
         self._repair_all()
-        self._settles()
-        self.world.checkers.logs_match()
+        self._wait_for_recovery()
+        self.world.checkers.check_logs_match()
         checkers = self.world.checkers
         snapshots = sum(machine.installed for machine in self.world.machines.values())
         changes = sum(entry.kind == 2 for entry in checkers.committed)
@@ -136,23 +136,25 @@
 
     def _client(self) -> None:
         machines = list(self.world.machines.values())
-        leaders = [machine for machine in machines if machine.leads]
+        leaders = [machine for machine in machines if machine.is_leader]
         machine = self.random.choice(leaders or machines)
         if self.random.random() < 0.6:
             self.world.propose(machine)
         else:
             self.world.read(machine)
-        self.world.at(self.world.now + self.random.expovariate(1 / STEP_SECONDS), self._client)
+        self.world.at(self.world.now + self.random.expovariate(1 / CLIENT_INTERVAL_S), self._client)
 
     # ------------------------------------------------------------ faults
 
     def _inject_fault(self) -> None:
-        if self.world.now >= FAULT_SECONDS:
+        if self.world.now >= FAULT_DURATION_S:
             return
-        self.faults[self.random.choice(FAULTS)](self._any())
-        self.world.at(self.world.now + self.random.expovariate(1 / self.pace), self._inject_fault)
+        self.faults[self.random.choice(FAULTS)](self._random_machine())
+        self.world.at(
+            self.world.now + self.random.expovariate(1 / self.mean_fault_interval_s), self._inject_fault
+        )
 
-    def _any(self) -> Machine:
+    def _random_machine(self) -> Machine:
         leader = self.world.leader()
         if leader is not None and self.random.random() < 0.4:
             return leader
@@ -182,10 +184,10 @@
             each.thaw()
 
     def _cut(self, machine: Machine) -> None:
-        self.world.disconnect(machine.member_id, self._any().member_id)
+        self.world.disconnect(machine.member_id, self._random_machine().member_id)
 
     def _cut_one_way(self, machine: Machine) -> None:
-        self.world.disconnect(machine.member_id, self._any().member_id, both=False)
+        self.world.disconnect(machine.member_id, self._random_machine().member_id, both=False)
 
     def _isolate(self, machine: Machine) -> None:
         self.world.isolate(machine.member_id)
@@ -208,7 +210,7 @@
         machine.compact()
 
     def _transfer(self, machine: Machine) -> None:
-        machine.transfer(self.random.choice((None, self._any().member_id)))
+        machine.transfer(self.random.choice((None, self._random_machine().member_id)))
 
     # ------------------------------------------------------------ membership
 
@@ -223,7 +225,7 @@
         self.world.change(
             lambda membership: any(member.id == member_id for member in membership.members),
             lambda membership: with_member(membership, member_id, voter=False),
-            FAULT_SECONDS,
+            FAULT_DURATION_S,
         )
 
     def _learners(self) -> list[int]:
@@ -233,7 +235,7 @@
 
     def _promote(self, machine: Machine) -> None:
         learners = self._learners()
-        if learners and machine.leads:
+        if learners and machine.is_leader:
             chosen = self.random.choice(learners)
             membership = machine.node.membership
             added = self.random.random() < 0.4
@@ -242,13 +244,13 @@
 
     def _demote(self, machine: Machine) -> None:
         voters = sorted(voters_of(self.world.checkers.membership))
-        if len(voters) > 2 and machine.leads:
+        if len(voters) > 2 and machine.is_leader:
             chosen = self.random.choice(voters)
             self._change(machine, with_member(machine.node.membership, chosen, voter=False))
 
     def _remove(self, machine: Machine) -> None:
         members = [member.id for member in self.world.checkers.membership.members]
-        if len(members) > 2 and machine.leads:
+        if len(members) > 2 and machine.is_leader:
             chosen = self.random.choice(members)
             self._change(machine, without_member(machine.node.membership, chosen))
 
@@ -262,7 +264,7 @@
         count = self.random.randint(1, min(len(learners), len(voters), 3)) if learners else 0
         if count:
             out, added_voters = self.random.sample(voters, count), self.random.sample(learners, count)
-            self._change(leader, replaced(membership, out, added_voters))
+            self._change(leader, with_replaced_voters(membership, out, added_voters))
             soon = self.world.now + self.random.uniform(0.0, 0.03)
             self.world.at(soon, self.random.choice((self._compact_all, lambda: None)))
 
@@ -275,7 +277,7 @@
         """Change two voters at once without a joint change, which the core must reject."""
         voters = sorted(voters_of(self.world.checkers.membership))
         learners = self._learners()
-        if machine.leads and learners and len(voters) > 2:
+        if machine.is_leader and learners and len(voters) > 2:
             changed = with_member(machine.node.membership, learners[0], voter=True)
             self._change(machine, without_member(changed, self.random.choice(voters)))
 
@@ -314,21 +316,23 @@
         self._start(None)
         self._thaw(None)
 
-    def _settles(self) -> None:
+    def _wait_for_recovery(self) -> None:
         """Wait until all members have the same log and writes and reads succeed."""
         world = self.world
         reads = world.checkers.reads_confirmed
         acknowledged = world.checkers.acknowledged
-        until = FAULT_SECONDS + QUIET_SECONDS
+        until = FAULT_DURATION_S + RECOVERY_TIMEOUT_S
 
-        def unsettled() -> bool:
-            goes_on = world.checkers.reads_confirmed > reads and world.checkers.acknowledged > acknowledged
-            return not (goes_on and self._agree())
+        def not_recovered() -> bool:
+            serves_clients = (
+                world.checkers.reads_confirmed > reads and world.checkers.acknowledged > acknowledged
+            )
+            return not (serves_clients and self._has_converged())
 
-        if world.run_while(unsettled, until):
+        if world.run_while(not_recovered, until):
             raise Violation("recovery", "the group has not recovered in time")
 
-    def _agree(self) -> bool:
+    def _has_converged(self) -> bool:
         world = self.world
         leader = world.leader()
         if leader is None:
@@ -360,14 +364,14 @@
             failed += 1
             print(f"seed {seed}: {type(error).__name__}: {error}", flush=True)
             continue
-        seen = (
+        counts = (
             outcome.acknowledged,
             outcome.reads_confirmed,
             outcome.terms,
             outcome.snapshots,
             outcome.changes,
         )
-        totals = [total + value for total, value in zip(totals, seen, strict=True)]
+        totals = [total + value for total, value in zip(totals, counts, strict=True)]
     print(
         f"{number} schedules from seed {first}: {failed} failed; acknowledged writes {totals[0]}, "
         f"confirmed reads {totals[1]}, terms with a leader {totals[2]}, snapshots installed {totals[3]}, "
--- a/tests/support/consensus_world.py
+++ b/tests/support/consensus_world.py
@@ -17,9 +17,9 @@
 from mallowbeam.router.rpc.messages_pb2 import Member, Membership, Snapshot
 
 FIRST_INDEX = 1
-CHECK_LOGS_EVERY = 250  # scheduled events
-CHECK_LOGS_WINDOW = 50  # last entries compared each time; all are compared at the end
-MOST_UNSENT = 4 << 20  # queue limit of a link; further messages are dropped
+CHECK_LOGS_INTERVAL_EVENTS = 250  # scheduled events
+CHECK_LOGS_WINDOW_ENTRIES = 50  # last entries compared each time; all are compared at the end
+MAX_QUEUED_BYTES = 4 << 20  # queue limit of a link; further messages are dropped
 
 
 @dataclass
@@ -31,7 +31,7 @@
     duplicates: float = 0.0  # probability that a message is sent twice
     reordered: bool = False  # otherwise messages of one link arrive in order
     disconnected: set[tuple[int, int]] = field(default_factory=set)
-    lags: dict[int, float] = field(default_factory=dict)  # extra delay in seconds, by recipient
+    extra_delays: dict[int, float] = field(default_factory=dict)  # extra delay in seconds, by recipient
 
 
 class World:
@@ -44,26 +44,28 @@
         self.now = 0.0
         self.digest = 0  # hash of the times and order of all events
         self.network = Network()
-        self.batched = 0.0  # probability that a member's output after an event is delayed
+        self.batch_probability = 0.0  # probability that a member's output after an event is delayed
         self.settings = settings or RaftSettings(member_id=0)
         self.machines: dict[int, Machine] = {}
         self._retired: dict[int, Disk] = {}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
-        self._link_free: dict[tuple[int, int], float] = {}
+        self._last_arrival: dict[tuple[int, int], float] = {}
         self._bandwidth: dict[int | None, float] = {}  # bytes per second by member; None: all others
-        self._sent_by: dict[tuple[int, int], float] = {}  # time at which each link has sent all queued bytes
-        self.most_waiting = 0.0  # maximum of queued bytes on any link so far
+        self._link_free_at: dict[tuple[int, int], float] = {}  # when all queued bytes are sent
+        self.max_queued_bytes = 0.0  # maximum of queued bytes on any link so far
         self.state_bytes = 0  # size of a snapshot's state; 0: the minimum
         self.compact_entries, self.compact_bytes = inf, inf  # take a snapshot after applying this many
-        self.unwritten = 0  # commands of `write` statements that are not acknowledged yet
-        self._names = count(1)
+        self.unacknowledged_commands = 0  # commands of `write` statements that are not acknowledged yet
+        self._operation_numbers = count(1)
         self.next_id = voters + learners + 1
         members = [Member(id=number, voter=number <= voters) for number in range(1, self.next_id)]
-        self.first = Membership(members=members, target_voters=voters)
-        self.checkers = Checkers(self, FIRST_INDEX, self.first)
+        self.initial_membership = Membership(members=members, target_voters=voters)
+        self.checkers = Checkers(self, FIRST_INDEX, self.initial_membership)
         for member in members:
-            self.add_machine(member.id, Snapshot(index=FIRST_INDEX, term=1, membership=self.first))
+            self.add_machine(
+                member.id, Snapshot(index=FIRST_INDEX, term=1, membership=self.initial_membership)
+            )
 
     # ------------------------------------------------------------ time
 
@@ -74,18 +76,18 @@
         """Run all events up to the time `until`."""
         self.run_while(lambda: True, until)
 
-    def run_while(self, wanted: Callable[[], bool], until: float) -> bool:
-        """Run events while `wanted` holds, up to `until`; return whether it still holds then."""
+    def run_while(self, condition: Callable[[], bool], until: float) -> bool:
+        """Run events while `condition` holds, up to `until`; return whether it still holds then."""
         while self._events and self._events[0][0] <= until:
-            if not wanted():
+            if not condition():
                 return False
             self.now, order, step = heapq.heappop(self._events)
             self.digest = hash((self.digest, self.now, order))
             step()
-            if order % CHECK_LOGS_EVERY == 0:
-                self.checkers.logs_match(CHECK_LOGS_WINDOW)
+            if order % CHECK_LOGS_INTERVAL_EVENTS == 0:
+                self.checkers.check_logs_match(CHECK_LOGS_WINDOW_ENTRIES)
         self.now = max(self.now, until)
-        return wanted()
+        return condition()
 
     # ------------------------------------------------------------ machines
 
@@ -109,14 +111,14 @@
 
     def leader(self) -> Machine | None:
         """Return the running leader of the highest term, if any."""
-        leaders = [machine for machine in self.machines.values() if machine.leads]
+        leaders = [machine for machine in self.machines.values() if machine.is_leader]
         return max(leaders, key=lambda machine: machine.node.term, default=None)
 
     # ------------------------------------------------------------ the network
 
     def send(self, machine: Machine, send: Send) -> None:
         """Send a message over the simulated network."""
-        self.checkers.sends(machine, send)
+        self.checkers.on_send(machine, send)
         copies = 2 if self.random.random() < self.network.duplicates else 1
         for _ in range(copies):
             if self.random.random() >= self.network.loss:
@@ -124,38 +126,42 @@
 
     def _deliver(self, sender: int, send: Send) -> None:
         link = (sender, send.recipient)
-        left = self._departure(link, send)
-        if left is None:
+        sent_at = self._departure_time(link, send)
+        if sent_at is None:
             return
-        arrival = left + self.random.uniform(*self.network.delay) + self.network.lags.get(send.recipient, 0.0)
+        arrival = (
+            sent_at
+            + self.random.uniform(*self.network.delay)
+            + self.network.extra_delays.get(send.recipient, 0.0)
+        )
         if not self.network.reordered:
-            arrival = max(arrival, self._link_free.get(link, 0.0))
-            self._link_free[link] = arrival
+            arrival = max(arrival, self._last_arrival.get(link, 0.0))
+            self._last_arrival[link] = arrival
 
         def arrive() -> None:
             machine = self.machines.get(send.recipient)
             if machine is not None and link not in self.network.disconnected:
-                machine.later(0.0, lambda: machine.receive(sender, send))
+                machine.schedule(0.0, lambda: machine.receive(sender, send))
 
         self.at(arrival, arrive)
 
-    def _departure(self, link: tuple[int, int], send: Send) -> float | None:
+    def _departure_time(self, link: tuple[int, int], send: Send) -> float | None:
         """Return the time at which a message's last byte is sent; None if the link's queue is full."""
         if not self._bandwidth:
             return self.now
         unlimited = self._bandwidth.get(None, inf)
         rate = min(self._bandwidth.get(end, unlimited) for end in link)
-        begins = max(self.now, self._sent_by.get(link, 0.0))
-        waiting = (begins - self.now) * rate if begins > self.now else 0.0
-        self.most_waiting = max(self.most_waiting, waiting)
-        if waiting > MOST_UNSENT:
+        starts_at = max(self.now, self._link_free_at.get(link, 0.0))
+        queued_bytes = (starts_at - self.now) * rate if starts_at > self.now else 0.0
+        self.max_queued_bytes = max(self.max_queued_bytes, queued_bytes)
+        if queued_bytes > MAX_QUEUED_BYTES:
             return None
-        self._sent_by[link] = begins + send.message.ByteSize() / rate
-        return self._sent_by[link]
+        self._link_free_at[link] = starts_at + send.message.ByteSize() / rate
+        return self._link_free_at[link]
 
-    def limit_links(self, bytes_a_second: float, member_id: int | None) -> None:
+    def limit_bandwidth(self, bytes_per_second: float, member_id: int | None) -> None:
         """Limit each direction of the links of a member, or of all other members for None."""
-        self._bandwidth[member_id] = bytes_a_second
+        self._bandwidth[member_id] = bytes_per_second
 
     def disconnect(self, one: int, other: int, both: bool = True) -> None:
         self.network.disconnected.add((one, other))
@@ -173,10 +179,10 @@
     # ------------------------------------------------------------ clients and operators
 
     def propose(self, machine: Machine) -> bool:
-        return machine.propose(f"command {next(self._names)}".encode())
+        return machine.propose(f"command {next(self._operation_numbers)}".encode())
 
     def read(self, machine: Machine) -> None:
-        machine.read(next(self._names))
+        machine.read(next(self._operation_numbers))
 
     def change(
         self, done: Callable[[Membership], bool], edit: Callable[[Membership], Membership], until: float
@@ -204,7 +210,9 @@
     return changed
 
 
-def replaced(membership: Membership, out: Sequence[int], added_voters: Sequence[int]) -> Membership:
+def with_replaced_voters(
+    membership: Membership, out: Sequence[int], added_voters: Sequence[int]
+) -> Membership:
     """Return the joint membership that replaces voters by learners; replaced voters become learners."""
     changed = membership
     for member_id in out:
--- a/tests/support/membership_plays.py
+++ b/tests/support/membership_plays.py
@@ -18,11 +18,11 @@
 from mallowbeam.simulation.scenario import ViolationError
 
 SIZES = (3, 5, 6, 8)
-REPAIRED_WITHIN = 6.0  # seconds; far more than any repair may take
-LEADER_WITHIN = 4.0  # seconds after losses that the group tolerates
-ACCEPTED_WITHIN = 8.0  # seconds for a configuration, as callers try members at random
+REPAIR_TIMEOUT_S = 6.0  # seconds; far more than any repair may take
+LEADER_TIMEOUT_S = 4.0  # seconds after losses that the group tolerates
+ACCEPT_TIMEOUT_S = 8.0  # seconds for a configuration, as callers try members at random
 CAUGHT_UP_ENTRIES = 8
-BEGIN = 8.0
+BEGIN_S = 8.0
 
 
 @dataclass
@@ -40,7 +40,7 @@
         names = " ".join(f"m{number}" for number in range(1, size + 1))
         self.player = FleetPlayer(
             f"seed {seed}\nmembers {names}\nat 2 put 1 on 0\n"
-            f"by {BEGIN} expect taken 1\nat {BEGIN} expect voters {size}\n"
+            f"by {BEGIN_S} expect taken 1\nat {BEGIN_S} expect voters {size}\n"
         )
         self.result = Result()
         self._revision = 1
@@ -65,18 +65,18 @@
     def leader(self) -> str:
         return self.player.names("leader")[0]
 
-    def voters(self, but: tuple[str, ...] = ()) -> list[str]:
+    def voters(self, excluding: tuple[str, ...] = ()) -> list[str]:
         """Names of live voters, the leader last."""
         leader = self.leader()
         ids = {member.id for member in self._membership() if member.voter}
         names = [
             name
             for name, member in self.player.members.items()
-            if self._counts(name) and self._identity(member) in ids and name != leader
+            if self._is_staying(name) and self._identity(member) in ids and name != leader
         ]
-        return [name for name in [*names, leader] if name not in but]
+        return [name for name in [*names, leader] if name not in excluding]
 
-    def term(self, name: str) -> None:
+    def terminate(self, name: str) -> None:
         self._leaving.add(name)
         self.player.do_terminate(name)
 
@@ -97,37 +97,39 @@
         self.player.do_add(name)
         return name
 
-    def stands_by(self, *names: str) -> None:
+    def wait_for_learners(self, *names: str) -> None:
         """Wait until these members are learners, and half a second more for them to catch up."""
-        self._until(lambda: all(self._is_learner(name) for name in names), 4.0, f"{names} stand by")
+        self._wait_until(lambda: all(self._is_learner(name) for name in names), 4.0, f"{names} stand by")
         self.wait(0.5)
 
-    def repaired(self, kind: str) -> None:
+    def wait_until_repaired(self, kind: str) -> None:
         """Wait until the group tolerates a further loss, and record how long that took."""
         before = self.player.simulator.now
-        self._until(self._is_repaired, REPAIRED_WITHIN, f"repaired after {kind}")
+        self._wait_until(self._is_repaired, REPAIR_TIMEOUT_S, f"repaired after {kind}")
         self.result.repairs.setdefault(kind, []).append(self.player.simulator.now - before)
 
-    def serves(self) -> None:
+    def wait_until_serving(self) -> None:
         """Wait until there is a leader and a configuration is accepted."""
         before = self.player.simulator.now
-        self._until(lambda: self._leads() and self.leader() not in self._leaving, LEADER_WITHIN, "a leader")
+        self._wait_until(
+            lambda: self._has_leader() and self.leader() not in self._leaving, LEADER_TIMEOUT_S, "a leader"
+        )
         self._revision += 1
         number = str(self._revision)
         self.player.do_put(number, "on", str(self._revision - 1), "via", self.leader())
-        self._until(lambda: self.player.holds(("taken", number)), ACCEPTED_WITHIN, f"taken {number}")
+        self._wait_until(lambda: self.player.holds(("taken", number)), ACCEPT_TIMEOUT_S, f"taken {number}")
         self.result.repairs["a change taken again"] = [self.player.simulator.now - before]
 
     # ------------------------------------------------------------ conditions
 
-    def _until(self, condition: Callable[[], bool], within: float, what: str) -> None:
+    def _wait_until(self, condition: Callable[[], bool], within: float, what: str) -> None:
         simulator = self.player.simulator
         if simulator.run_while(lambda: not condition(), simulator.now + within):
             raise ViolationError(
                 f"{simulator.now:.3f} s, seed {simulator.seed}: not {what} in time\n" f"{self.player.state()}"
             )
 
-    def _leads(self) -> bool:
+    def _has_leader(self) -> bool:
         return bool(self.player._leading())
 
     def _leading_node(self):
@@ -138,7 +140,7 @@
         node = self._leading_node()
         return list(node.membership.members) if node is not None else []
 
-    def _counts(self, name: str) -> bool:
+    def _is_staying(self, name: str) -> bool:
         return self.player.members[name].live and name not in self._leaving
 
     @staticmethod
@@ -157,13 +159,13 @@
         live = {
             self._identity(member): member
             for name, member in self.player.members.items()
-            if self._counts(name)
+            if self._is_staying(name)
         }
         voters = [member.id for member in node.membership.members if member.voter]
         if len(voters) != node.membership.target_voters or not all(voter in live for voter in voters):
             return False
-        least = node.commit_index - CAUGHT_UP_ENTRIES
-        return all(live[voter].replica.last_index >= least for voter in voters)
+        min_index = node.commit_index - CAUGHT_UP_ENTRIES
+        return all(live[voter].replica.last_index >= min_index for voter in voters)
 
     def _check_voter_counts(self) -> None:
         """A member's log never has more voters than its target, and a leader's log never fewer."""
@@ -191,8 +193,8 @@
     """Planned replacement of as many voters as may be lost; right after it, as many are killed."""
     _replace_as_planned(play)
     play.wait(0.3)
-    _lose(play)
-    play.serves()
+    _kill_tolerated_voters(play)
+    play.wait_until_serving()
 
 
 def planned_then_wipe(play: GroupPlay) -> None:
@@ -201,8 +203,8 @@
     play.wait(0.3)
     for name in play.voters()[-play.tolerance :]:
         play.wipe(name)
-    play.repaired("wiped")
-    play.serves()
+    play.wait_until_repaired("wiped")
+    play.wait_until_serving()
 
 
 def losses_one_by_one(play: GroupPlay) -> None:
@@ -210,54 +212,54 @@
     for turn in range(4):
         voters = play.voters()
         play.wipe(voters[-1] if turn % 2 else voters[0])
-        play.repaired("wiped")
-    _lose(play)
-    play.serves()
+        play.wait_until_repaired("wiped")
+    _kill_tolerated_voters(play)
+    play.wait_until_serving()
 
 
 def leader_leaves(play: GroupPlay) -> None:
     """Planned replacement of two leaders in turn; then as many voters as may be lost are killed."""
     for _ in range(2):
-        play.stands_by(play.add())
-        play.term(play.leader())
-        play.repaired("planned")
-    _lose(play)
-    play.serves()
+        play.wait_for_learners(play.add())
+        play.terminate(play.leader())
+        play.wait_until_repaired("planned")
+    _kill_tolerated_voters(play)
+    play.wait_until_serving()
 
 
 def loss_during_change(play: GroupPlay) -> None:
     """The leader is killed during a planned replacement; an additional learner replaces it."""
-    play.stands_by(play.add(), play.add())
-    play.term(play.voters()[0])
+    play.wait_for_learners(play.add(), play.add())
+    play.terminate(play.voters()[0])
     play.wait(play.player.simulator.random.uniform(0.0, 0.02))
-    play.kill(play.leader() if play._leads() else play.voters()[0])
-    play.repaired("during a change")
-    _lose(play)
-    play.serves()
+    play.kill(play.leader() if play._has_leader() else play.voters()[0])
+    play.wait_until_repaired("during a change")
+    _kill_tolerated_voters(play)
+    play.wait_until_serving()
 
 
 def leaving_restarts(play: GroupPlay) -> None:
     """A member that left is restarted at once as a learner and replaces the next voter that is killed."""
-    play.stands_by(play.add())
-    gone = play.voters()[0]
-    play.term(gone)
+    play.wait_for_learners(play.add())
+    leaving_name = play.voters()[0]
+    play.terminate(leaving_name)
     play.wait(play.player.simulator.random.uniform(0.0, 1.5))
-    play.kill(gone)
-    play.start(gone)
-    play.repaired("restarted")
-    play.kill(play.voters(but=(gone,))[0])
-    play.repaired("silent")
-    _lose(play)
-    play.serves()
+    play.kill(leaving_name)
+    play.start(leaving_name)
+    play.wait_until_repaired("restarted")
+    play.kill(play.voters(excluding=(leaving_name,))[0])
+    play.wait_until_repaired("silent")
+    _kill_tolerated_voters(play)
+    play.wait_until_serving()
 
 
 def silent_then_loss(play: GroupPlay) -> None:
     """A voter is killed and a learner replaces it; then as many voters as may be lost are killed."""
-    play.stands_by(play.add())
+    play.wait_for_learners(play.add())
     play.kill(play.voters()[play.player.simulator.random.choice((0, -1))])
-    play.repaired("silent")
-    _lose(play)
-    play.serves()
+    play.wait_until_repaired("silent")
+    _kill_tolerated_voters(play)
+    play.wait_until_serving()
 
 
 def dead_then_added(play: GroupPlay) -> None:
@@ -265,33 +267,33 @@
     play.kill(play.voters()[0])
     play.wait(3.0)
     play.add()
-    play.repaired("added")
-    _lose(play)
-    play.serves()
+    play.wait_until_repaired("added")
+    _kill_tolerated_voters(play)
+    play.wait_until_serving()
 
 
 def roll(play: GroupPlay) -> None:
     """Rolling restart by SIGTERM, each member started again a second later, with a learner as a spare."""
-    play.stands_by(play.add())
+    play.wait_for_learners(play.add())
     for name in list(play.player.members):
-        play.term(name)
+        play.terminate(name)
         play.wait(1.0)
         play.kill(name)
         play.start(name)
         play.wait(1.0)
-        play.repaired("rolled")
-    _lose(play)
-    play.serves()
+        play.wait_until_repaired("rolled")
+    _kill_tolerated_voters(play)
+    play.wait_until_serving()
 
 
 def _replace_as_planned(play: GroupPlay) -> None:
-    play.stands_by(*[play.add() for _ in range(play.tolerance)])
+    play.wait_for_learners(*[play.add() for _ in range(play.tolerance)])
     for name in play.voters()[: play.tolerance]:
-        play.term(name)
-    play.repaired("planned")
+        play.terminate(name)
+    play.wait_until_repaired("planned")
 
 
-def _lose(play: GroupPlay) -> None:
+def _kill_tolerated_voters(play: GroupPlay) -> None:
     """Kill as many voters as may be lost at once, including the leader."""
     for name in play.voters()[-play.tolerance :]:
         play.kill(name)
--- a/tests/support/storage_disk.py
+++ b/tests/support/storage_disk.py
@@ -3,9 +3,9 @@
 lmdb makes its own system calls, so its file is compared before and after each transaction. All other calls
 (open, write, sync, rename, unlink) go through a replacement of the module `os`. In addition to the real files
 the disk records the durable content and the writes since then, in lmdb's documented order: data pages, sync,
-meta page. It calls `moment` after every call that changes something; `draw` then returns the files as a power
-loss may leave them. After a failed sync, unsynced writes can still be read but no later sync makes them
-durable, as on Linux.
+meta page. It calls `on_change` after every call that changes something; `draw_crash_image` then returns the
+files as a power loss may leave them. After a failed sync, unsynced writes can still be read but no later sync
+makes them durable, as on Linux.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 from mallowbeam.router.consensus.storage import files, seal, store, store_file
 
-SECTOR = 512
+SECTOR_BYTES = 512
 META_START, META_END = 32, 152  # byte range that lmdb writes in a meta page
 
 
@@ -31,40 +31,40 @@
     """A file's content: durable bytes, writes abandoned by a failed sync, writes since the last sync."""
 
     durable: bytes = b""
-    since: list[tuple[int, bytes]] = field(default_factory=list)
+    unsynced: list[tuple[int, bytes]] = field(default_factory=list)
     abandoned: list[tuple[int, bytes]] = field(default_factory=list)
 
-    def now(self) -> bytes:
+    def content(self) -> bytes:
         """Return the bytes as a reader sees them now."""
         data = bytearray(self.durable)
-        for offset, written in self.abandoned + self.since:
-            put(data, offset, written)
+        for offset, written in self.abandoned + self.unsynced:
+            apply_write(data, offset, written)
         return bytes(data)
 
     def sync(self) -> None:
         """Make the writes since the last sync durable."""
         data = bytearray(self.durable)
-        for offset, written in self.since:
-            put(data, offset, written)
-            self.abandoned = outside(self.abandoned, offset, offset + len(written))
-        self.durable, self.since = bytes(data), []
+        for offset, written in self.unsynced:
+            apply_write(data, offset, written)
+            self.abandoned = parts_outside(self.abandoned, offset, offset + len(written))
+        self.durable, self.unsynced = bytes(data), []
 
-    def fail(self) -> None:
+    def fail_sync(self) -> None:
         """Record a failed sync: later syncs do not cover the writes before it."""
-        self.abandoned += self.since
-        self.since = []
+        self.abandoned += self.unsynced
+        self.unsynced = []
 
     def copy(self) -> Inode:
         """Return an independent copy."""
-        return Inode(self.durable, list(self.since), list(self.abandoned))
+        return Inode(self.durable, list(self.unsynced), list(self.abandoned))
 
 
 class Disk:
     """One folder on the simulated disk."""
 
-    def __init__(self, root: str, moment: Callable[[str], None] = lambda label: None) -> None:
+    def __init__(self, root: str, on_change: Callable[[str], None] = lambda label: None) -> None:
         self.root = root
-        self.moment = moment
+        self.on_change = on_change
         self.names: dict[str, Inode] = {}  # current directory entries
         self.durable: dict[str, Inode] = {}  # durable directory entries
         self.faults: dict[str, Exception] = {}
@@ -77,13 +77,13 @@
         self.durable = {name: copies[id(inode)] for name, inode in durable.items()}
         for name, inode in self.names.items():
             with open(os.path.join(self.root, name), "wb") as file:
-                file.write(inode.now())
+                file.write(inode.content())
 
-    def changed(self, call: str, name: str) -> None:
+    def report_change(self, call: str, name: str) -> None:
         """Report a call that has changed the disk."""
-        self.moment(f"{call} {name}")
+        self.on_change(f"{call} {name}")
 
-    def due(self, call: str) -> None:
+    def raise_fault(self, call: str) -> None:
         """Raise the fault injected for a call, if any; it occurs once."""
         error = self.faults.pop(call, None)
         if error is not None:
@@ -101,38 +101,38 @@
         self.durable = dict(self.names)
 
 
-def draw(disk: Disk, chance: random.Random) -> dict[str, bytes]:
+def draw_crash_image(disk: Disk, rng: random.Random) -> dict[str, bytes]:
     """Return the files after a random power loss: unsynced names and writes are kept, lost or torn."""
-    tear = chance.choice((missing, complete, mixed, mixed, mixed, mixed))
-    found: dict[str, bytes] = {}
+    parts_of = rng.choice((missing, complete, mixed, mixed, mixed, mixed))
+    image: dict[str, bytes] = {}
     for name in sorted({**disk.durable, **disk.names}):
         inode = disk.durable.get(name)
-        if inode is not disk.names.get(name) and chance.random() < 0.5:
+        if inode is not disk.names.get(name) and rng.random() < 0.5:
             inode = disk.names.get(name)
         if inode is None:
             continue
         data = bytearray(inode.durable)
-        for offset, written in inode.abandoned + inode.since:
-            for start, end in tear(len(written), offset, chance):
-                put(data, offset + start, written[start:end])
-        found[name] = bytes(data)
-    return found
+        for offset, written in inode.abandoned + inode.unsynced:
+            for start, end in parts_of(len(written), offset, rng):
+                apply_write(data, offset + start, written[start:end])
+        image[name] = bytes(data)
+    return image
 
 
-def missing(length: int, offset: int, chance: random.Random) -> list[tuple[int, int]]:
+def missing(length: int, offset: int, rng: random.Random) -> list[tuple[int, int]]:
     """Return no part of a write."""
     return []
 
 
-def complete(length: int, offset: int, chance: random.Random) -> list[tuple[int, int]]:
+def complete(length: int, offset: int, rng: random.Random) -> list[tuple[int, int]]:
     """Return the whole write."""
     return [(0, length)]
 
 
-def mixed(length: int, offset: int, chance: random.Random) -> list[tuple[int, int]]:
+def mixed(length: int, offset: int, rng: random.Random) -> list[tuple[int, int]]:
     """Return random parts of a write: none, all, start, end, middle, some sectors or some bytes."""
-    first, second = sorted((chance.randint(0, length), chance.randint(0, length)))
-    kind = chance.randrange(7)
+    first, second = sorted((rng.randint(0, length), rng.randint(0, length)))
+    kind = rng.randrange(7)
     if kind < 2:
         return [(0, length)][:kind]
     if kind == 2:
@@ -142,41 +142,41 @@
     if kind == 4:
         return [(first, second)]
     if kind == 5:
-        edges = [0, *range(SECTOR - offset % SECTOR, length, SECTOR), length]
+        edges = [0, *range(SECTOR_BYTES - offset % SECTOR_BYTES, length, SECTOR_BYTES), length]
         spans = zip(edges, edges[1:], strict=False)
-        return [span for span in spans if chance.random() < 0.5]
-    return [(at, at + 1) for at in range(min(length, 4096)) if chance.random() < 0.5]
+        return [span for span in spans if rng.random() < 0.5]
+    return [(at, at + 1) for at in range(min(length, 4096)) if rng.random() < 0.5]
 
 
-def outside(writes: list[tuple[int, bytes]], start: int, end: int) -> list[tuple[int, bytes]]:
+def parts_outside(writes: list[tuple[int, bytes]], start: int, end: int) -> list[tuple[int, bytes]]:
     """Return the parts of writes outside of the range from `start` to `end`."""
-    left = []
+    parts = []
     for offset, written in writes:
-        before, behind = max(0, start - offset), max(0, end - offset)
-        left += [(offset, written[:before]), (offset + behind, written[behind:])]
-    return [(offset, written) for offset, written in left if written]
+        before, skipped_bytes = max(0, start - offset), max(0, end - offset)
+        parts += [(offset, written[:before]), (offset + skipped_bytes, written[skipped_bytes:])]
+    return [(offset, written) for offset, written in parts if written]
 
 
-def put(data: bytearray, offset: int, written: bytes) -> None:
+def apply_write(data: bytearray, offset: int, written: bytes) -> None:
     """Apply a write to a file's bytes."""
     if written and len(data) < offset:
         data += bytes(offset - len(data))
     data[offset : offset + len(written)] = written
 
 
-class Calls:
+class SystemCalls:
     """Replaces `os` and `lmdb` in the store's modules; paths outside of simulated disks are passed on."""
 
     def __init__(self) -> None:
         self.disks: list[Disk] = []
         self.open_files: dict[int, tuple[Disk, str]] = {}
-        self.deaf = False  # ignore syncs, to test that a missing sync is detected
+        self.ignore_syncs = False  # ignore syncs, to test that a missing sync is detected
 
     def __getattr__(self, name: str) -> Any:
         return getattr(os, name)
 
     @contextlib.contextmanager
-    def standing_in(self) -> Iterator[Calls]:
+    def patched(self) -> Iterator[SystemCalls]:
         """Replace the modules until the end of the block."""
         lmdb_calls = mock.Mock(wraps=lmdb, Error=lmdb.Error)
         lmdb_calls.open = self.open_environment
@@ -199,7 +199,7 @@
         """Open an existing file or the folder."""
         disk, name = self.locate(path)
         if disk is not None:
-            disk.due("open")
+            disk.raise_fault("open")
         descriptor = os.open(path, flags)
         if disk is not None:
             self.open_files[descriptor] = (disk, name)
@@ -215,10 +215,10 @@
         if descriptor not in self.open_files:
             return os.pwrite(descriptor, data, offset)
         disk, name = self.open_files[descriptor]
-        disk.due("pwrite")
+        disk.raise_fault("pwrite")
         written = os.pwrite(descriptor, data, offset)
-        disk.names[name].since.append((offset, data[:written]))
-        disk.changed("pwrite", name)
+        disk.names[name].unsynced.append((offset, data[:written]))
+        disk.report_change("pwrite", name)
         return written
 
     def fdatasync(self, descriptor: int) -> None:
@@ -226,19 +226,19 @@
         if descriptor not in self.open_files:
             os.fdatasync(descriptor)
             return
-        if self.deaf:
+        if self.ignore_syncs:
             return
         disk, name = self.open_files[descriptor]
         try:
-            disk.due("sync")
+            disk.raise_fault("sync")
         except OSError:
-            disk.names[name].fail()
+            disk.names[name].fail_sync()
             raise
         if name:
             disk.sync(name)
         else:
             disk.sync_names()
-        disk.changed("sync", name)
+        disk.report_change("sync", name)
 
     fsync = fdatasync
 
@@ -248,7 +248,7 @@
         os.rename(source, target)
         if disk is not None:
             disk.names[self.locate(target)[1]] = disk.names.pop(name)
-            disk.changed("rename", name)
+            disk.report_change("rename", name)
 
     def unlink(self, path: str) -> None:
         """Remove a file; not durable until a sync of the folder."""
@@ -256,7 +256,7 @@
         os.unlink(path)
         if disk is not None:
             del disk.names[name]
-            disk.changed("unlink", name)
+            disk.report_change("unlink", name)
 
     # ------------------------------------------------------------ lmdb
 
@@ -269,8 +269,8 @@
         data = read(path)
         if name not in disk.names:
             disk.names[name] = Inode(b"", [(0, data)])
-            disk.changed("lmdb.open", name)
-        assert data == disk.names[name].now(), "lmdb.open changed an existing file"
+            disk.report_change("lmdb.open", name)
+        assert data == disk.names[name].content(), "lmdb.open changed an existing file"
         return Environment(environment, disk, name)
 
 
@@ -292,27 +292,29 @@
             return
         with self._environment.begin(write=True) as transaction:
             yield transaction
-            self._disk.due("commit")
-            assert self._read() == self._inode().now(), "put or delete wrote to the file"
-            self._disk.changed("put and delete", self._name)
+            self._disk.raise_fault("commit")
+            assert self._read() == self._inode().content(), "put or delete wrote to the file"
+            self._disk.report_change("put and delete", self._name)
         self._committed(self._inode(), self._read())
 
     def _committed(self, inode: Inode, after: bytes) -> None:
-        before = inode.now()
+        before = inode.content()
         pages = range(2 * seal.PAGE_BYTES, len(after), seal.PAGE_BYTES)
         for start in pages:
             page = after[start : start + seal.PAGE_BYTES]
             if page != before[start : start + seal.PAGE_BYTES]:
-                inode.since.append((start, page))
-                self._disk.changed("commit: page", self._name)
+                inode.unsynced.append((start, page))
+                self._disk.report_change("commit: page", self._name)
         self._disk.sync(self._name)
-        self._disk.changed("commit: sync", self._name)
-        for slot in seal.SLOTS:
+        self._disk.report_change("commit: sync", self._name)
+        for slot in seal.META_SLOTS:
             start, end = slot * seal.PAGE_BYTES + META_START, slot * seal.PAGE_BYTES + META_END
             if after[start:end] != before[start:end]:
-                inode.since.append((start, after[start:end]))
-        assert len(inode.since) <= 1 and inode.now() == after, "lmdb wrote outside of pages and meta data"
-        self._disk.changed("commit: meta page", self._name)
+                inode.unsynced.append((start, after[start:end]))
+        assert (
+            len(inode.unsynced) <= 1 and inode.content() == after
+        ), "lmdb wrote outside of pages and meta data"
+        self._disk.report_change("commit: meta page", self._name)
 
     def _inode(self) -> Inode:
         return self._disk.names[self._name]
--- a/tests/support/storage_model.py
+++ b/tests/support/storage_model.py
@@ -9,8 +9,12 @@
 from mallowbeam.router.rpc.messages_pb2 import COMMAND, Entry, Member, Membership, Snapshot
 
 IDENTITY = 0x8000_0000_0000_0001
-FIRST = Snapshot(membership=Membership(members=[Member(id=IDENTITY, address="10.0.0.1:1", voter=True)]))
-JOINT = Membership(members=FIRST.membership.members, target_voters=3, outgoing_voters=[IDENTITY, 5, 7])
+INITIAL_SNAPSHOT = Snapshot(
+    membership=Membership(members=[Member(id=IDENTITY, address="10.0.0.1:1", voter=True)])
+)
+JOINT_MEMBERSHIP = Membership(
+    members=INITIAL_SNAPSHOT.membership.members, target_voters=3, outgoing_voters=[IDENTITY, 5, 7]
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,11 +22,11 @@
     """Expected contents of a store."""
 
     hard_state: HardState = HardState()
-    snapshot: Snapshot = field(default_factory=lambda: FIRST)
+    snapshot: Snapshot = field(default_factory=lambda: INITIAL_SNAPSHOT)
     entries: tuple[Entry, ...] = ()
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """Highest index of the entries or the snapshot."""
         return self.snapshot.index + len(self.entries)
 
@@ -52,55 +56,55 @@
             model = model.after(write)
         return model
 
-    def restored(self) -> PersistentState:
+    def persistent_state(self) -> PersistentState:
         """Return the state that `load` must return."""
         return PersistentState(self.hard_state, self.snapshot, self.entries)
 
 
-def draw_entries(first: int, count: int, term: int, chance: random.Random) -> tuple[Entry, ...]:
+def draw_entries(first: int, count: int, term: int, rng: random.Random) -> tuple[Entry, ...]:
     """Return random entries from index `first` on; some fill several pages."""
     return tuple(
-        Entry(index=first + position, term=term, kind=COMMAND, payload=draw_bytes(chance))
+        Entry(index=first + position, term=term, kind=COMMAND, payload=draw_bytes(rng))
         for position in range(count)
     )
 
 
-def draw_bytes(chance: random.Random) -> bytes:
+def draw_bytes(rng: random.Random) -> bytes:
     """Return a random payload, mostly a small one."""
-    size = chance.randint(0, 300) if chance.random() < 0.9 else chance.randint(1500, 20000)
-    return chance.randbytes(size)
+    size = rng.randint(0, 300) if rng.random() < 0.9 else rng.randint(1500, 20000)
+    return rng.randbytes(size)
 
 
-def draw_write(model: Model, ticket: int, chance: random.Random) -> Write:
+def draw_write(model: Model, ticket: int, rng: random.Random) -> Write:
     """Return a random write that is valid for a store with these contents."""
     term = model.hard_state.term
-    kind = chance.randrange(10)
+    kind = rng.randrange(10)
     if kind < 4:  # append
-        return Write(ticket, None, draw_entries(model.last + 1, chance.randint(1, 12), term, chance))
+        return Write(ticket, None, draw_entries(model.last_index + 1, rng.randint(1, 12), term, rng))
     if kind < 6:  # conflict: replaces the end of the log
-        first = chance.randint(model.snapshot.index + 1, model.last + 1)
-        entries = draw_entries(first, chance.randint(1, 6), term + 1, chance)
-        return Write(ticket, HardState(term + 1, chance.randrange(9)), entries)
+        first = rng.randint(model.snapshot.index + 1, model.last_index + 1)
+        entries = draw_entries(first, rng.randint(1, 6), term + 1, rng)
+        return Write(ticket, HardState(term + 1, rng.randrange(9)), entries)
     if kind == 6:
-        return Write(ticket, HardState(term + 1, chance.randrange(9)))
+        return Write(ticket, HardState(term + 1, rng.randrange(9)))
     if kind < 9 and model.entries:  # own snapshot of applied entries
-        known = chance.choice(model.entries)
-        return Write(ticket, None, (), draw_snapshot(known.index, known.term, chance))
-    snapshot = draw_snapshot(model.last + chance.randint(1, 5), term, chance)  # a leader's snapshot
-    return Write(ticket, None, draw_entries(snapshot.index + 1, chance.randint(0, 3), term, chance), snapshot)
+        known = rng.choice(model.entries)
+        return Write(ticket, None, (), draw_snapshot(known.index, known.term, rng))
+    snapshot = draw_snapshot(model.last_index + rng.randint(1, 5), term, rng)  # a leader's snapshot
+    return Write(ticket, None, draw_entries(snapshot.index + 1, rng.randint(0, 3), term, rng), snapshot)
 
 
-def draw_snapshot(index: int, term: int, chance: random.Random) -> Snapshot:
+def draw_snapshot(index: int, term: int, rng: random.Random) -> Snapshot:
     """Return a snapshot with a random state."""
-    membership = JOINT if index % 3 == 0 else FIRST.membership
-    return Snapshot(index=index, term=term, membership=membership, state=draw_bytes(chance))
+    membership = JOINT_MEMBERSHIP if index % 3 == 0 else INITIAL_SNAPSHOT.membership
+    return Snapshot(index=index, term=term, membership=membership, state=draw_bytes(rng))
 
 
-def draw_batch(model: Model, chance: random.Random) -> list[Write]:
+def draw_batch(model: Model, rng: random.Random) -> list[Write]:
     """Return one to three random writes that are valid in this order."""
     writes: list[Write] = []
-    for ticket in range(chance.choice((1, 1, 2, 3))):
-        write = draw_write(model, ticket, chance)
+    for ticket in range(rng.choice((1, 1, 2, 3))):
+        write = draw_write(model, ticket, rng)
         writes.append(write)
         model = model.after(write)
     return writes
