--- a/mallowbeam/router/consensus/interface.py
+++ b/mallowbeam/router/consensus/interface.py
@@ -119,7 +119,7 @@
     """A leader's view of another member."""
 
     match_index: int  # last index known to be equal and durable there
-    silence: float  # seconds since the last response
+    since_response_s: float  # seconds since the last response
 
 
 @dataclass(slots=True)
--- a/mallowbeam/router/control_plane/membership_manager.py
+++ b/mallowbeam/router/control_plane/membership_manager.py
@@ -100,7 +100,7 @@
     def _view(self) -> ClusterView:
         node = self._driver.node
         progress = {
-            member: PeerProgress(known.match_index, known.silence)
+            member: PeerProgress(known.match_index, known.since_response_s)
             for member, known in node.progress().items()
         }
         return ClusterView(
--- a/tests/router/consensus/test_consensus_leading.py
+++ b/tests/router/consensus/test_consensus_leading.py
@@ -104,8 +104,8 @@
         host.confirm(3, 1)
         progress = host.node.progress()
         self.assertEqual({key: value.match_index for key, value in progress.items()}, {2: 2, 3: 1})
-        self.assertAlmostEqual(progress[2].silence, 0.3)
-        self.assertEqual(progress[3].silence, 0.0)
+        self.assertAlmostEqual(progress[2].since_response_s, 0.3)
+        self.assertEqual(progress[3].since_response_s, 0.0)
 
 
 class Reads(unittest.TestCase):
