--- a/mallowbeam/router/consensus/storage/records.py
+++ b/mallowbeam/router/consensus/storage/records.py
@@ -102,8 +102,8 @@
     length, checksum = RECORD_HEADER.unpack_from(blob)
     payload = blob[RECORD_HEADER.size :]
     if length != len(payload):
-        what = f"{record_name(kind, number)} has {len(payload)} bytes, {length} expected"
-        raise StoreDamagedError(what, step="read")
+        message = f"{record_name(kind, number)} has {len(payload)} bytes, {length} expected"
+        raise StoreDamagedError(message, step="read")
     if checksum != _checksum(kind, number, payload):
         raise StoreDamagedError(f"{record_name(kind, number)} has a wrong checksum", step="read")
     return Record(kind, number, payload)
--- a/mallowbeam/router/consensus/storage/restore.py
+++ b/mallowbeam/router/consensus/storage/restore.py
@@ -32,8 +32,8 @@
 def _identity(payload: bytes) -> int:
     version = int.from_bytes(payload[:VERSION_BYTES], "little")
     if version > records.FORMAT_VERSION:
-        what = f"format version {version}; this program supports versions up to {records.FORMAT_VERSION}"
-        raise StoreVersionError(what, step="read")
+        message = f"format version {version}; this program supports versions up to {records.FORMAT_VERSION}"
+        raise StoreVersionError(message, step="read")
     if len(payload) != records.IDENTITY_PAYLOAD.size:
         raise StoreDamagedError("the identity record has a wrong size", step="read")
     return int(records.IDENTITY_PAYLOAD.unpack(payload)[1])
--- a/mallowbeam/router/consensus/storage/store.py
+++ b/mallowbeam/router/consensus/storage/store.py
@@ -167,8 +167,8 @@
         if added and used + added > limit:
             added -= self._replaced_bytes(writes)
         if added > 0 and used + added > limit:
-            what = f"{used} bytes in use; {added} more would exceed the limit of {limit}"
-            raise StoreFullError(what, self._path, step="bound")
+            message = f"{used} bytes in use; {added} more would exceed the limit of {limit}"
+            raise StoreFullError(message, self._path, step="bound")
 
     def _replaced_bytes(self, writes: Sequence[Write]) -> int:
         """Return the bytes of the stored entries that a batch replaces."""
--- a/tests/router/consensus/test_consensus_quorum.py
+++ b/tests/router/consensus/test_consensus_quorum.py
@@ -49,8 +49,8 @@
 
 
 class Changes(unittest.TestCase):
-    def assert_rejected(self, old: Membership, new: Membership, what: str) -> None:
-        with self.assertRaisesRegex(MembershipChangeError, what):
+    def assert_rejected(self, old: Membership, new: Membership, expected_text: str) -> None:
+        with self.assertRaisesRegex(MembershipChangeError, expected_text):
             check_change(old, new)
 
     def test_one_voter_may_differ(self) -> None:
--- a/tests/support/consensus_checkers.py
+++ b/tests/support/consensus_checkers.py
@@ -20,8 +20,8 @@
 class Violation(AssertionError):
     """An invariant or an expectation does not hold."""
 
-    def __init__(self, checker: str, what: str) -> None:
-        super().__init__(f"{checker}: {what}")
+    def __init__(self, checker: str, message: str) -> None:
+        super().__init__(f"{checker}: {message}")
         self.checker = checker
 
 
@@ -203,8 +203,8 @@
         if machine.node.role is not Role.LEADER:
             in_force.append(self.membership)  # it lost its leadership in the same batch of events
         if not any(self._durable_on_majority(membership, entry) for membership in in_force):
-            what = f"entry {entry.index} of term {entry.term} is committed by {machine.member_id}"
-            raise Violation("durable on a majority", f"{what} but not durable on a majority of its voters")
+            message = f"entry {entry.index} of term {entry.term} is committed by {machine.member_id}"
+            raise Violation("durable on a majority", f"{message} but not durable on a majority of its voters")
         self.committed.append(entry)
         self.commit_terms.append(machine.node.term)
         self.states.append(self.states[-1].after(entry))
--- a/tests/support/consensus_scenario.py
+++ b/tests/support/consensus_scenario.py
@@ -260,10 +260,10 @@
     def do_replace(self, who: str, by: str, successor: str) -> None:
         """Replace a voter by a learner in one joint change."""
         assert by == "by"
-        out, added_voters = self._id(who), self._id(successor)
+        replaced_voters, added_voters = self._id(who), self._id(successor)
         self._change(
             lambda membership: added_voters in voters_of(membership),
-            lambda membership: with_replaced_voters(membership, [out], [added_voters]),
+            lambda membership: with_replaced_voters(membership, [replaced_voters], [added_voters]),
         )
 
     def do_demote(self, who: str) -> None:
@@ -287,8 +287,8 @@
         target = None if who == "any" else self._id(who)
         self._machine("leader").transfer(target)
 
-    def do_note(self, what: str) -> None:
-        assert what == "term"
+    def do_note(self, quantity: str) -> None:
+        assert quantity == "term"
         self.noted_term = self._machine("leader").node.term
 
     # ------------------------------------------------------------ expectations
@@ -310,8 +310,8 @@
         if condition():
             return
         if self.world.now >= until:
-            what = f"line {statement.line}: at {self.world.now:.3f} s, {' '.join(statement.words)}"
-            raise Violation("scenario", what)
+            message = f"line {statement.line}: at {self.world.now:.3f} s, {' '.join(statement.words)}"
+            raise Violation("scenario", message)
         self.world.at(
             min(until, self.world.now + POLL_INTERVAL_S), lambda: self._poll(condition, until, statement)
         )
--- a/tests/support/consensus_walker.py
+++ b/tests/support/consensus_walker.py
@@ -263,8 +263,11 @@
         learners, voters = self._learners(), sorted(voters_of(membership))
         count = self.random.randint(1, min(len(learners), len(voters), 3)) if learners else 0
         if count:
-            out, added_voters = self.random.sample(voters, count), self.random.sample(learners, count)
-            self._change(leader, with_replaced_voters(membership, out, added_voters))
+            replaced_voters, added_voters = (
+                self.random.sample(voters, count),
+                self.random.sample(learners, count),
+            )
+            self._change(leader, with_replaced_voters(membership, replaced_voters, added_voters))
             soon = self.world.now + self.random.uniform(0.0, 0.03)
             self.world.at(soon, self.random.choice((self._compact_all, lambda: None)))
 
--- a/tests/support/consensus_world.py
+++ b/tests/support/consensus_world.py
@@ -211,11 +211,11 @@
 
 
 def with_replaced_voters(
-    membership: Membership, out: Sequence[int], added_voters: Sequence[int]
+    membership: Membership, replaced_voters: Sequence[int], added_voters: Sequence[int]
 ) -> Membership:
     """Return the joint membership that replaces voters by learners; replaced voters become learners."""
     changed = membership
-    for member_id in out:
+    for member_id in replaced_voters:
         changed = with_member(changed, member_id, voter=False)
     for member_id in added_voters:
         changed = with_member(changed, member_id, voter=True)
--- a/tests/support/membership_plays.py
+++ b/tests/support/membership_plays.py
@@ -122,11 +122,12 @@
 
     # ------------------------------------------------------------ conditions
 
-    def _wait_until(self, condition: Callable[[], bool], within: float, what: str) -> None:
+    def _wait_until(self, condition: Callable[[], bool], within: float, description: str) -> None:
         simulator = self.player.simulator
         if simulator.run_while(lambda: not condition(), simulator.now + within):
             raise ViolationError(
-                f"{simulator.now:.3f} s, seed {simulator.seed}: not {what} in time\n" f"{self.player.state()}"
+                f"{simulator.now:.3f} s, seed {simulator.seed}: not {description} in time\n"
+                f"{self.player.state()}"
             )
 
     def _has_leader(self) -> bool:
--- a/tests/support/storage_disk.py
+++ b/tests/support/storage_disk.py
@@ -145,7 +145,7 @@
         edges = [0, *range(SECTOR_BYTES - offset % SECTOR_BYTES, length, SECTOR_BYTES), length]
         spans = zip(edges, edges[1:], strict=False)
         return [span for span in spans if rng.random() < 0.5]
-    return [(at, at + 1) for at in range(min(length, 4096)) if rng.random() < 0.5]
+    return [(position, position + 1) for position in range(min(length, 4096)) if rng.random() < 0.5]
 
 
 def parts_outside(writes: list[tuple[int, bytes]], start: int, end: int) -> list[tuple[int, bytes]]:
