--- a/tests/support/consensus_scenario.py
+++ b/tests/support/consensus_scenario.py
@@ -260,10 +260,10 @@
     def do_replace(self, who: str, by: str, successor: str) -> None:
         """Replace a voter by a learner in one joint change."""
         assert by == "by"
-        replaced_voters, added_voters = self._id(who), self._id(successor)
+        replaced_voter, added_voter = self._id(who), self._id(successor)
         self._change(
-            lambda membership: added_voters in voters_of(membership),
-            lambda membership: with_replaced_voters(membership, [replaced_voters], [added_voters]),
+            lambda membership: added_voter in voters_of(membership),
+            lambda membership: with_replaced_voters(membership, [replaced_voter], [added_voter]),
         )
 
     def do_demote(self, who: str) -> None:
--- a/tests/support/consensus_walker.py
+++ b/tests/support/consensus_walker.py
@@ -71,21 +71,21 @@
     def __init__(self, seed: int) -> None:
         self.seed = seed
         self.random = Random(seed)
-        settings = self._settings()
+        settings = self._draw_settings()
         self.world = World(
             seed,
             voters=self.random.choice((1, 2, 3, 3, 3, 4, 5, 5, 8)),
             learners=self.random.choice((0, 0, 1)),
             settings=settings,
         )
-        self._network()
+        self._configure_network()
         self.world.batch_probability = self.random.choice((0.0, 0.5, 0.9))
         for machine in self.world.machines.values():
             machine.clock_rate = self.random.uniform(0.9, 1.1)
         self.faults = {name: getattr(self, f"_{name}") for name in FAULTS}
-        self.mean_fault_interval_s = self.random.choice((0.1, 0.3, 0.6))  # mean seconds between faults
+        self.mean_fault_interval_s = self.random.choice((0.1, 0.3, 0.6))
 
-    def _settings(self) -> RaftSettings:
+    def _draw_settings(self) -> RaftSettings:
         transfers = Random(f"transfers {self.seed}")
         if self.random.random() < 0.3:
             return RaftSettings(member_id=0)
@@ -104,7 +104,7 @@
             chunk_window_bytes=8,
         )
 
-    def _network(self) -> None:
+    def _configure_network(self) -> None:
         network = self.world.network
         if self.random.random() < 0.5:
             network.delay = (0.0005, self.random.choice((0.003, 0.02, 0.1)))
