--- a/mallowbeam/router/consensus/chunk_sender.py
+++ b/mallowbeam/router/consensus/chunk_sender.py
@@ -30,7 +30,7 @@
         self._data = data
         self._acknowledged = 0  # contiguous bytes that the member has received
         self._next_offset = 0  # of the next chunk
-        self._last_chunk_sent = False  # the last chunk was sent
+        self._last_chunk_sent = False
         self._retransmitted = False  # since the last progress, in response to an acknowledgement
         self._last_progress_at = now  # time in seconds of the last progress or retransmission
 
--- a/mallowbeam/router/consensus/heartbeat_rounds.py
+++ b/mallowbeam/router/consensus/heartbeat_rounds.py
@@ -22,7 +22,7 @@
         self.number = 0  # of the latest round
         self.unsent = False  # the latest round has not been sent
         self.confirmed = 0  # the highest round that a majority has acknowledged
-        self.confirmed_started_at = -inf  # when it started
+        self.confirmed_started_at = -inf  # start time of that round
         self._pending: deque[HeartbeatRound] = deque()
 
     def begin(self, now: float) -> None:
--- a/mallowbeam/router/consensus/persistence.py
+++ b/mallowbeam/router/consensus/persistence.py
@@ -15,7 +15,7 @@
     """A write that was submitted to storage and is not known to be durable."""
 
     ticket: int
-    submitted_at: float  # time of submission, in seconds of the monotonic clock
+    submitted_at: float  # in seconds of the monotonic clock
     last_index: int  # becomes durable with it; lowered when entries are truncated
     hard_state: HardState
 
--- a/mallowbeam/router/consensus/storage/pages.py
+++ b/mallowbeam/router/consensus/storage/pages.py
@@ -32,7 +32,7 @@
 PAGE_KIND_MASK = 0xF
 BIG_DATA = 1  # node flag: the value is in overflow pages
 EMPTY_ROOT = (1 << 64) - 1
-MAX_TREE_DEPTH = 32  # of lmdb's cursors
+MAX_TREE_DEPTH = 32  # limit of lmdb's cursors
 
 
 @dataclass(frozen=True, slots=True)
