--- a/tests/support/consensus_machine.py
+++ b/tests/support/consensus_machine.py
@@ -93,7 +93,7 @@
         self.process_output_now()
 
     def crash(self, durable_writes: int | None = None) -> None:
-        """Kill the process; the first `durable_writes` writes in flight (default: a random number) persist."""
+        """Kill the process; the first `durable_writes` writes in flight, by default at random, persist."""
         if self.node is None:
             return
         if durable_writes is None:
