--- a/tests/router/consensus/test_consensus_leading.py
+++ b/tests/router/consensus/test_consensus_leading.py
@@ -1,11 +1,11 @@
-"""What a leader does beside replication: stepping down, transfer, reads, membership changes."""
+"""A leader apart from replication: stepping down, transfer, limits, reads, membership changes."""
 
 from __future__ import annotations
 
 import unittest
 from math import inf
 
-from consensus_host import OWN, Host, bodies, entry, membership
+from consensus_host import OWN_ID, Host, bodies, entry, membership
 
 from mallowbeam.router.consensus.errors import (
     MembershipChangeError,
@@ -19,7 +19,7 @@
 
 
 class Leading(unittest.TestCase):
-    """What a leader does beside replication."""
+    """Stepping down, leadership transfer, limits and progress."""
 
     def test_leader_steps_down_without_a_majority(self) -> None:
         host = Host()
@@ -40,8 +40,8 @@
             host.confirm(3, proposal.index)
         output = host.tick(0.15)
         self.assertEqual(host.node.role, Role.FOLLOWER)
-        asked = [send.recipient for send in output.send if send.message.HasField("timeout_now")]
-        self.assertEqual(asked, [3])
+        recipients = [send.recipient for send in output.send if send.message.HasField("timeout_now")]
+        self.assertEqual(recipients, [3])
 
     def test_transfer(self) -> None:
         host = Host()
@@ -68,7 +68,7 @@
     def test_transfer_needs_a_voter(self) -> None:
         host = Host(learners=1)
         host.lead()
-        for target in (OWN, 4, 77):
+        for target in (OWN_ID, 4, 77):
             with self.assertRaises(TransferError):
                 host.node.transfer_leadership(target, host.now)
 
@@ -92,7 +92,7 @@
         with self.assertRaises(OverloadedError):
             host.node.propose(b"a", host.now)
         host.output()
-        host.write()
+        host.complete_writes()
         host.confirm(2, proposal.index)
         host.node.propose(b"a", host.now)
 
@@ -104,12 +104,12 @@
         host.confirm(3, 1)
         progress = host.node.progress()
         self.assertEqual({key: value.match_index for key, value in progress.items()}, {2: 2, 3: 1})
-        self.assertAlmostEqual(progress[2].silence, 0.3)
-        self.assertEqual(progress[3].silence, 0.0)
+        self.assertAlmostEqual(progress[2].since_response_s, 0.3)
+        self.assertEqual(progress[3].since_response_s, 0.0)
 
 
 class Reads(unittest.TestCase):
-    """Read index."""
+    """Linearizable reads and freshness."""
 
     def test_not_confirmed_by_a_follower(self) -> None:
         host = Host()
@@ -179,15 +179,15 @@
     def test_freshness_of_a_follower(self) -> None:
         host = Host()
         host.append(2, 1, (1, 1), commit=1)
-        self.assertEqual(host.node.freshness(host.now), inf)  # it may have been held up
+        self.assertEqual(host.node.freshness(host.now), inf)  # it may have been delayed
         host.now += 0.1
         host.append(2, 1, (1, 1), commit=1)
         self.assertEqual(host.node.freshness(host.now), 0.0)
         host.now += 0.1
-        host.append(2, 1, (1, 1), commit=5)  # it lacks entries that are committed
+        host.append(2, 1, (1, 1), commit=5)  # committed entries are missing here
         self.assertAlmostEqual(host.node.freshness(host.now), 0.1)
         host.now += 0.1
-        host.append(3, 2, (1, 1), commit=1)  # a leader that committed nothing yet
+        host.append(3, 2, (1, 1), commit=1)  # this leader has not committed an entry of its term
         self.assertAlmostEqual(host.node.freshness(host.now), 0.2)
 
     def test_freshness_after_a_suspension(self) -> None:
@@ -226,8 +226,8 @@
         host = Host()
         host.lead()
         without_2 = Membership(members=[Member(id=1, voter=True), Member(id=3, voter=True)])
-        with self.assertRaisesRegex(MembershipChangeError, "out of touch"):
-            host.node.change_membership(without_2, host.now)  # member 3 has never answered
+        with self.assertRaisesRegex(MembershipChangeError, "no majority of the new voters is active"):
+            host.node.change_membership(without_2, host.now)  # member 3 has never responded
         host.node.change_membership(membership(2), host.now)
 
     def test_in_force_when_appended_and_rolled_back(self) -> None:
@@ -246,14 +246,14 @@
         others = Membership(members=[Member(id=2, voter=True), Member(id=3, voter=True)])
         proposal = host.node.change_membership(others, host.now)
         host.output()
-        host.write()
+        host.complete_writes()
         host.confirm(2, proposal.index)
         self.assertEqual((host.node.role, host.node.commit_index), (Role.LEADER, 2))
         output = host.confirm(3, proposal.index)
         self.assertEqual((host.node.role, host.node.commit_index), (Role.FOLLOWER, proposal.index))
         self.assertEqual(len(bodies(output.send, "timeout_now")), 1)
-        told = [request.commit for request in bodies(output.send, "append_request")]
-        self.assertEqual(told, [proposal.index, proposal.index])
+        sent_commits = [request.commit for request in bodies(output.send, "append_request")]
+        self.assertEqual(sent_commits, [proposal.index, proposal.index])
         self.assertEqual(host.node.next_deadline(), inf)
 
 
--- a/tests/router/consensus/test_storage_store.py
+++ b/tests/router/consensus/test_storage_store.py
@@ -1,4 +1,4 @@
-"""The replica store on a healthy disk, on a full one, and on one that refuses."""
+"""The replica store on a healthy disk, on a full disk, and with failing system calls."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 from unittest import mock
 
-from storage_model import FIRST, IDENTITY, Model, draw_batch, draw_entries
+from storage_model import IDENTITY, INITIAL_SNAPSHOT, Model, draw_batch, draw_entries
 
 from mallowbeam.router.consensus.interface import HardState, PersistentState, Write
 from mallowbeam.router.consensus.storage import (
@@ -37,7 +37,7 @@
 
 
 def snapshot(index: int, term: int = 1, size: int = 50) -> Snapshot:
-    return Snapshot(index=index, term=term, membership=FIRST.membership, state=os.urandom(size))
+    return Snapshot(index=index, term=term, membership=INITIAL_SNAPSHOT.membership, state=os.urandom(size))
 
 
 class StoreCase(unittest.TestCase):
@@ -51,7 +51,7 @@
         self.folder = os.path.join(folder.name, "data", "replica")
         self.store = ReplicaStore.open(self.folder, self.disk_mb)
         self.addCleanup(lambda: self.store.close())
-        self.store.create(IDENTITY, FIRST)
+        self.store.create(IDENTITY, INITIAL_SNAPSHOT)
 
     def write(
         self,
@@ -80,15 +80,15 @@
         self.assertEqual(os.listdir(self.folder + "-other"), [])
 
     def test_the_first_state(self) -> None:
-        self.assertEqual(self.reopen(), PersistentState(HardState(), FIRST))
+        self.assertEqual(self.reopen(), PersistentState(HardState(), INITIAL_SNAPSHOT))
         self.assertEqual(self.store.identity, IDENTITY)
         with self.assertRaises(StoreOrderError):
-            self.store.create(IDENTITY, FIRST)
+            self.store.create(IDENTITY, INITIAL_SNAPSHOT)
 
     def test_entries_replace_all_at_their_first_index_and_behind_it(self) -> None:
         self.write(entries(1, 10))
         self.write(entries(4, 2, term=2), hard_state=HardState(2, 7))
-        expected = PersistentState(HardState(2, 7), FIRST, entries(1, 3) + entries(4, 2, term=2))
+        expected = PersistentState(HardState(2, 7), INITIAL_SNAPSHOT, entries(1, 3) + entries(4, 2, term=2))
         self.assertEqual(self.reopen(), expected)
 
     def test_an_own_snapshot_drops_the_entries_it_covers(self) -> None:
@@ -108,7 +108,7 @@
     def test_entries_and_a_snapshot_that_covers_some_of_them_in_one_write(self) -> None:
         self.write(entries(1, 10), taken=snapshot(8))
         self.assertEqual(self.indexes(), [9, 10])
-        self.write(entries(7, 5))  # those in the snapshot are left out
+        self.write(entries(7, 5))  # entries covered by the snapshot are skipped
         self.assertEqual(self.indexes(), [9, 10, 11])
 
     def test_a_batch_of_writes_is_applied_in_order(self) -> None:
@@ -119,13 +119,13 @@
                 Write(3, None, entries(3, 1, term=2)),
             ]
         )
-        expected = PersistentState(HardState(2, 0), FIRST, entries(1, 2) + entries(3, 1, term=2))
+        expected = PersistentState(HardState(2, 0), INITIAL_SNAPSHOT, entries(1, 2) + entries(3, 1, term=2))
         self.assertEqual(self.reopen(), expected)
 
     def test_empty_write(self) -> None:
         self.store.write([])
         self.store.write([Write(1)])
-        self.assertEqual(self.reopen(), PersistentState(HardState(), FIRST))
+        self.assertEqual(self.reopen(), PersistentState(HardState(), INITIAL_SNAPSHOT))
 
     def test_entries_and_snapshots_of_several_megabytes(self) -> None:
         large = draw_entries(1, 1, 1, random.Random(1))[0]
@@ -157,22 +157,22 @@
 
     def test_random_writes_equal_a_plain_model(self) -> None:
         for seed in range(3):
-            chance, model = random.Random(seed), Model()
+            rng, model = random.Random(seed), Model()
             self.store.close()
             ReplicaStore.discard(self.folder)
             self.store = ReplicaStore.open(self.folder, self.disk_mb)
-            self.store.create(IDENTITY, FIRST)
+            self.store.create(IDENTITY, INITIAL_SNAPSHOT)
             for step in range(60):
-                writes = draw_batch(model, chance)
+                writes = draw_batch(model, rng)
                 self.store.write(writes)
                 model = model.after_all(writes)
                 found = self.reopen() if step % 10 == 0 else self.store.load()
-                self.assertEqual(found, model.restored(), f"seed {seed}, step {step}")
+                self.assertEqual(found, model.persistent_state(), f"seed {seed}, step {step}")
 
 
 class Opening(StoreCase):
     def test_lmdb_syncs_data_before_the_meta_page_and_writes_through_no_mapping(self) -> None:
-        """The power trial's order of calls rests on these."""
+        """The power loss trial depends on these flags for its order of calls."""
         flags = self.store._file.environment.flags()
         self.assertEqual((flags["sync"], flags["metasync"], flags["writemap"]), (True, False, False))
         self.assertFalse(flags["map_async"])
@@ -188,8 +188,8 @@
                 file.write(data)
             found = ReplicaStore.open(other, 128)
             self.assertIsNone(found.identity)
-            found.create(5, FIRST)
-            self.assertEqual(found.load(), PersistentState(HardState(), FIRST))
+            found.create(5, INITIAL_SNAPSHOT)
+            self.assertEqual(found.load(), PersistentState(HardState(), INITIAL_SNAPSHOT))
             found.close()
 
     def test_opening_an_intact_store_writes_nothing(self) -> None:
@@ -212,7 +212,7 @@
         with mock.patch.object(records, "FORMAT_VERSION", records.FORMAT_VERSION + 1):
             ReplicaStore.discard(self.folder)
             newer = ReplicaStore.open(self.folder, 128)
-            newer.create(IDENTITY, FIRST)
+            newer.create(IDENTITY, INITIAL_SNAPSHOT)
             newer.close()
         with self.assertRaises(StoreVersionError):
             ReplicaStore.open(self.folder, 128)
@@ -226,7 +226,7 @@
 
 
 class Failures(StoreCase):
-    disk_mb = 8  # the map has 4 MB, entries may fill 2
+    disk_mb = 8  # the map size is 4 MB, of which entries may use 2 MB
 
     def test_entries_leave_space_for_a_snapshot(self) -> None:
         next_index = 1
@@ -236,15 +236,16 @@
                 next_index += 10
         self.assertEqual((caught.exception.code, caught.exception.step), ("STORE_FULL", "bound"))
         self.write(hard_state=HardState(4, 4))
-        for index in (3, 9, 15, next_index - 1):  # a sixth of the map, less what lmdb needs beside it
+        for index in (3, 9, 15, next_index - 1):  # about a sixth of the map size with lmdb's overhead
             self.write(taken=snapshot(index, size=600_000))
         self.write(entries(next_index, 10, size=1000))
         self.assertEqual(len(self.reopen().entries), 10)
 
     def test_entries_at_the_limit_can_be_replaced_by_another_leaders(self) -> None:
-        """They can't be committed, and so are never dropped by a snapshot.
+        """Entries of a failed leader cannot be committed, so no snapshot ever drops them.
 
-        A member that had to wait for one, and whose acknowledgement the new leader waits for, would be stuck.
+        A member that waited for a snapshot to make space, while the new leader waits for its acknowledgement,
+        would be stuck.
         """
         next_index = 1
         with self.assertRaises(StoreFullError):
@@ -291,7 +292,7 @@
         self.assertEqual(self.indexes(), [1, 2, 3, 4])
 
     def test_failed_write_of_lmdb(self) -> None:
-        """A bound on file sizes refuses what lmdb writes by itself."""
+        """A file size limit makes lmdb's own writes fail."""
         self.write(entries(1, 3))
         length = os.path.getsize(os.path.join(self.folder, "replica.lmdb"))
         limits = resource.getrlimit(resource.RLIMIT_FSIZE)
--- a/tests/support/consensus_host.py
+++ b/tests/support/consensus_host.py
@@ -1,4 +1,4 @@
-"""One member of consensus, whose messages and writes a test hands over itself."""
+"""A host of one Raft member for unit tests, which deliver messages and complete writes explicitly."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     VoteResponse,
 )
 
-OWN = 1
+OWN_ID = 1
 
 
 def membership(voters: int, learners: int = 0) -> Membership:
@@ -31,7 +31,7 @@
 
 
 class Host:
-    """Drives one member; writes are durable only once the test says so."""
+    """Drives one member; writes become durable only when the test calls `complete_writes`."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         entries: tuple[Entry, ...] = (),
         term: int = 1,
         founder: bool = True,
-        own: int = OWN,
+        own: int = OWN_ID,
         **settings: object,
     ) -> None:
         self.now = 10.0
@@ -58,8 +58,8 @@
         self.committed += output.committed
         return output
 
-    def write(self) -> Output:
-        """All writes so far are durable."""
+    def complete_writes(self) -> Output:
+        """Make all submitted writes durable."""
         if self.tickets:
             self.node.written(self.tickets[-1], self.now)
         return self.output()
@@ -99,14 +99,14 @@
         return self.receive(sender, append_response=response)
 
     def lead(self, commit: bool = True) -> Output:
-        """Become the leader of three, by the vote of member 2; commit the term's first entry if wanted."""
+        """Become the leader of three by the vote of member 2; optionally commit the term's first entry."""
         self.tick(1.0)
         if self.node.role is Role.PRE_CANDIDATE:
             vote = VoteResponse(term=self.node.term + 1, granted=True, pre_vote=True)
             self.receive(2, vote_response=vote)
-            self.write()
+            self.complete_writes()
             self.receive(2, vote_response=VoteResponse(term=self.node.term, granted=True))
-        output = self.write()
+        output = self.complete_writes()
         assert self.node.role is Role.LEADER
         if commit:
             last = self.node._state.log.last_index
--- a/tests/support/consensus_scenario.py
+++ b/tests/support/consensus_scenario.py
@@ -1,23 +1,25 @@
-"""Scenarios of consensus from text files: a group, faults at their times, and what must be seen.
+"""Raft scenarios from text files: a group of members, timed faults, and expectations.
 
-One statement a line; ``#`` begins a comment. First the group::
+Each line is one statement; ``#`` begins a comment. The first lines describe the group::
 
     group 3 voters 1 learners        seeds 1 10          set trailing_entries 4
-    load every 0.02                  (a client writes at the leader, and reads at each that says it leads)
+    load every 0.02                  (a client writes at the leader and reads at each member in role leader)
 
-then ``at SECONDS STATEMENT``. WHO is an id, ``leader``, ``follower`` (the first running voter that does not
-lead), ``learner``, ``all``, or a name given before by ``as NAME``:
+The others are ``at SECONDS STATEMENT``. WHO is a member id, ``leader``, ``follower`` (the first running voter
+that is not the leader), ``learner``, ``all``, or a name defined earlier by ``as NAME``:
 
-    kill WHO | power-off WHO | start WHO | freeze WHO | thaw WHO       any of them with: as NAME
+    kill WHO | power-off WHO | start WHO | freeze WHO | thaw WHO       each optionally with: as NAME
     cut WHO WHO | cut-one-way FROM TO | isolate WHO | heal
-    lose SHARE | duplicate SHARE | reorder | delay LEAST MOST | lag WHO SECONDS (of all that reaches it)
-    disk WHO LEAST MOST | stall WHO | unstall WHO | wipe WHO (it comes back under a new id) | compact WHO
-    add | promote WHO (a place is added) | replace WHO by WHO (a joint change) | demote WHO | remove WHO |
-    transfer WHO or any | note term
+    lose PROBABILITY | duplicate PROBABILITY | reorder | delay MIN MAX
+    lag WHO SECONDS (extra delay of all messages to WHO)
+    disk WHO MIN MAX | stall WHO | unstall WHO | wipe WHO (restarts under a new id) | compact WHO
+    add | promote WHO (raises the target if necessary) | replace WHO by WHO (a joint change) | demote WHO
+    remove WHO | transfer WHO or any | note term
     expect EXPECTATION [within SECONDS]
 
-An expectation without ``within`` must hold at once, one with it at some time until then. See the methods
-``expect_...`` of Player for all; those on large states and slow links are in `consensus_bulk`.
+An expectation without ``within`` must hold immediately, one with it at some time before the timeout. See the
+methods ``expect_...`` of `Player` for all expectations; those for large states and slow links are in
+`consensus_bulk`.
 """
 
 from __future__ import annotations
@@ -30,16 +32,16 @@
 from consensus_bulk import BulkStatements
 from consensus_checkers import Violation
 from consensus_machine import Machine
-from consensus_world import World, replaced, with_member, with_voter, without_member
+from consensus_world import World, with_member, with_replaced_voters, with_voter, without_member
 from project_paths import SCENARIOS as SCENARIO_FOLDER
 
 from mallowbeam.router.consensus.interface import RaftSettings
 from mallowbeam.router.consensus.membership import voters_of
 
-FOLDER = SCENARIO_FOLDER / "consensus"
-POLL_SECONDS = 0.002
-OPERATOR_SECONDS = 30.0  # how long an operator repeats a change
-LAG_UNDER_LOAD = 5  # entries that a member may lie behind where it agrees
+CONSENSUS_SCENARIOS = SCENARIO_FOLDER / "consensus"
+POLL_INTERVAL_S = 0.002
+CHANGE_TIMEOUT_S = 30.0  # how long a membership change is retried
+MAX_LAG_ENTRIES = 5  # maximum lag in entries at which a member counts as caught up
 
 
 @dataclass(frozen=True)
@@ -65,7 +67,7 @@
 
 
 def parse(path: Path) -> Scenario:
-    """Read a file; raises ValueError for a line that can't be read."""
+    """Read a file; raises ValueError for an invalid line."""
     scenario = Scenario(path.stem)
     for number, line in enumerate(path.read_text().splitlines(), 1):
         words = shlex.split(line, comments=True)
@@ -90,11 +92,11 @@
         case ["at", time, *rest] if rest:
             scenario.statements.append(Statement(number, float(time), tuple(rest)))
         case _:
-            raise ValueError(f"{scenario.name}, line {number}: {' '.join(words)}")
+            raise ValueError(f"{scenario.name}, line {number}: invalid statement: {' '.join(words)}")
 
 
 def play(scenario: Scenario, seed: int) -> World:
-    """Play a scenario with one seed; raises Violation for what must not be, or is not seen."""
+    """Play a scenario with one seed; raises Violation if an invariant or expectation does not hold."""
     try:
         return Player(scenario, seed).play()
     except Exception as error:
@@ -115,11 +117,11 @@
     def play(self) -> World:
         for statement in self.scenario.statements:
             self.end = max(self.end, statement.time + _within(statement.words))
-            self.world.at(statement.time, lambda statement=statement: self._do(statement))
+            self.world.at(statement.time, lambda statement=statement: self._execute(statement))
         if self.scenario.load:
             self.world.at(0.0, self._load)
-        self.world.run(self.end + 2 * POLL_SECONDS)
-        self.world.checkers.logs_match()
+        self.world.run(self.end + 2 * POLL_INTERVAL_S)
+        self.world.checkers.check_logs_match()
         return self.world
 
     def _load(self) -> None:
@@ -127,13 +129,13 @@
         if leader is not None:
             self.world.propose(leader)
         for machine in list(self.world.machines.values()):
-            if machine.leads:
+            if machine.is_leader:
                 self.world.read(machine)
         self.world.at(self.world.now + self.scenario.load, self._load)
 
     # ------------------------------------------------------------ statements
 
-    def _do(self, statement: Statement) -> None:
+    def _execute(self, statement: Statement) -> None:
         verb, *words = statement.words
         if verb == "expect":
             self._expect(statement, words)
@@ -165,7 +167,7 @@
             others = [
                 machine.member_id
                 for machine in world.machines.values()
-                if machine.runs and machine is not leader
+                if machine.is_running and machine is not leader
             ]
             return next(other for other in others if (other in voters) == (who == "follower"))
         return int(who)
@@ -211,15 +213,15 @@
     def do_reorder(self) -> None:
         self.world.network.reordered = True
 
-    def do_delay(self, least: str, most: str) -> None:
-        self.world.network.delay = (float(least), float(most))
+    def do_delay(self, minimum: str, maximum: str) -> None:
+        self.world.network.delay = (float(minimum), float(maximum))
 
     def do_lag(self, who: str, seconds: str) -> None:
-        self.world.network.lags[self._id(who)] = float(seconds)
+        self.world.network.extra_delays[self._id(who)] = float(seconds)
 
-    def do_disk(self, who: str, least: str, most: str) -> None:
+    def do_disk(self, who: str, minimum: str, maximum: str) -> None:
         for machine in self._machines(who):
-            machine.latency = (float(least), float(most))
+            machine.latency = (float(minimum), float(maximum))
 
     def do_stall(self, who: str) -> None:
         for machine in self._machines(who):
@@ -234,11 +236,11 @@
             machine.compact()
 
     def do_wipe(self, who: str) -> None:
-        """The machine is to be a learner under its new id, `wiped`."""
+        """Wipe a machine's disk and add it as a learner under a new id, named `wiped`."""
         self._join(self.world.wipe(self._id(who)).member_id, "wiped")
 
     def do_add(self) -> None:
-        """A new machine is to be a learner, `added`."""
+        """Add a new machine as a learner, named `added`."""
         self._join(self.world.add_machine(self.world.next_id).member_id, "added")
 
     def _join(self, member_id: int, name: str) -> None:
@@ -256,12 +258,12 @@
         )
 
     def do_replace(self, who: str, by: str, successor: str) -> None:
-        """A voter gives its place to a learner, in one joint change."""
+        """Replace a voter by a learner in one joint change."""
         assert by == "by"
-        out, added_voters = self._id(who), self._id(successor)
+        replaced_voter, added_voter = self._id(who), self._id(successor)
         self._change(
-            lambda membership: added_voters in voters_of(membership),
-            lambda membership: replaced(membership, [out], [added_voters]),
+            lambda membership: added_voter in voters_of(membership),
+            lambda membership: with_replaced_voters(membership, [replaced_voter], [added_voter]),
         )
 
     def do_demote(self, who: str) -> None:
@@ -279,14 +281,14 @@
         )
 
     def _change(self, done: Callable, edit: Callable) -> None:
-        self.world.change(done, edit, self.world.now + OPERATOR_SECONDS)
+        self.world.change(done, edit, self.world.now + CHANGE_TIMEOUT_S)
 
     def do_transfer(self, who: str) -> None:
         target = None if who == "any" else self._id(who)
         self._machine("leader").transfer(target)
 
-    def do_note(self, what: str) -> None:
-        assert what == "term"
+    def do_note(self, quantity: str) -> None:
+        assert quantity == "term"
         self.noted_term = self._machine("leader").node.term
 
     # ------------------------------------------------------------ expectations
@@ -304,75 +306,77 @@
         rest = words[len(name.split("_")) :]
         self._poll(getattr(self, "expect_" + name)(*rest), until, statement)
 
-    def _poll(self, seen: Callable[[], bool], until: float, statement: Statement) -> None:
-        if seen():
+    def _poll(self, condition: Callable[[], bool], until: float, statement: Statement) -> None:
+        if condition():
             return
         if self.world.now >= until:
-            what = f"line {statement.line}: at {self.world.now:.3f} s, {' '.join(statement.words)}"
-            raise Violation("scenario", what)
-        self.world.at(min(until, self.world.now + POLL_SECONDS), lambda: self._poll(seen, until, statement))
+            message = f"line {statement.line}: at {self.world.now:.3f} s, {' '.join(statement.words)}"
+            raise Violation("scenario", message)
+        self.world.at(
+            min(until, self.world.now + POLL_INTERVAL_S), lambda: self._poll(condition, until, statement)
+        )
 
     def expect_leader(self, *words: str) -> Callable[[], bool]:
         """``leader``, ``leader WHO`` or ``leader other than WHO``: it runs and has committed in its term."""
         member_id = self._id(words[-1]) if words else 0
         other = words[:2] == ("other", "than")
 
-        def seen() -> bool:
+        def condition() -> bool:
             leader = self.world.leader()
             if leader is None or leader.node.freshness(leader.clock()) > 1.0:
                 return False
             return not words or (leader.member_id == member_id) != other
 
-        return seen
+        return condition
 
     def expect_no_leader(self) -> Callable[[], bool]:
-        """Nobody that runs leads."""
+        """No running member is the leader."""
         return lambda: self.world.leader() is None
 
     def expect_role(self, who: str, role: str) -> Callable[[], bool]:
-        """``role WHO follower``, and so on."""
+        """``role WHO ROLE``, such as ``role 2 follower``."""
         machine = self._machine(who)
         return lambda: machine.node.role.value == role
 
     def expect_agree(self) -> Callable[[], bool]:
-        """All running members have applied what the leader has, but for what is under way."""
-        return lambda: self._lag() <= LAG_UNDER_LOAD
+        """All running members have applied the leader's entries, except for at most `MAX_LAG_ENTRIES`."""
+        return lambda: self._lag() <= MAX_LAG_ENTRIES
 
     def _lag(self) -> int:
         world = self.world
         leader = world.leader()
         if leader is None:
-            return LAG_UNDER_LOAD + 1
+            return MAX_LAG_ENTRIES + 1
         members = [
             world.machines[member.id]
             for member in world.checkers.membership.members
             if member.id in world.machines
         ]
-        return max(leader.applied_index - member.applied_index for member in members if member.runs)
+        return max(leader.applied_index - member.applied_index for member in members if member.is_running)
 
     def expect_noted_term(self) -> Callable[[], bool]:
-        """The highest term of any member is the one noted before."""
+        """The highest term of any member is the one that ``note term`` recorded."""
         machines = self.world.machines.values()
         return lambda: max(machine.node.term for machine in machines if machine.node) == self.noted_term
 
     def expect_voters(self, *who: str) -> Callable[[], bool]:
-        """``voters WHO...``: these, by the last committed membership."""
+        """``voters WHO...``: the voters of the last committed membership."""
         wanted = {self._id(each) for each in who}
         return lambda: voters_of(self.world.checkers.membership) == wanted
 
     def expect_learners(self, *who: str) -> Callable[[], bool]:
-        """``learners WHO...``: these, by the last committed membership."""
+        """``learners WHO...``: the learners of the last committed membership."""
         wanted = {self._id(each) for each in who}
         membership = self.world.checkers
         return lambda: {each.id for each in membership.membership.members if not each.voter} == wanted
 
     def expect_installed(self, who: str) -> Callable[[], bool]:
-        """``installed WHO``: it took a leader's snapshot."""
+        """``installed WHO``: it has installed a leader's snapshot."""
         machine = self._machine(who)
         return lambda: machine.installed > 0
 
     def expect_write(self) -> Callable[[], bool]:
-        """A write that begins now, or at the next leader, is acknowledged."""
+        """A write proposed to the current leader, or else the next one, is acknowledged."""
         before = self.world.checkers.acknowledged
         self._propose_once(self.end)
         return lambda: self.world.checkers.acknowledged > before
@@ -381,32 +385,32 @@
         leader = self.world.leader()
         if leader is not None and self.world.propose(leader) or self.world.now > until:
             return
-        self.world.at(self.world.now + POLL_SECONDS, lambda: self._propose_once(until))
+        self.world.at(self.world.now + POLL_INTERVAL_S, lambda: self._propose_once(until))
 
     def expect_stuck(self, seconds: str) -> Callable[[], bool]:
-        """``stuck SECONDS``: no write is acknowledged for so long from now on; it is checked at their end."""
+        """``stuck SECONDS``: no write is acknowledged for this time from now on; checked at its end."""
         before = self.world.checkers.acknowledged
         end = self.world.now + float(seconds)
         self.end = max(self.end, end)
 
         def check() -> None:
             if self.world.checkers.acknowledged != before:
-                raise Violation("scenario", "a write was acknowledged where none can be")
+                raise Violation("scenario", "a write was acknowledged although none may be")
 
         self.world.at(end, check)
         return lambda: True
 
     def expect_read_confirmed(self, who: str) -> Callable[[], bool]:
-        """``read confirmed WHO``: a read that begins there now is confirmed."""
+        """``read confirmed WHO``: a read requested from it now is confirmed."""
         confirmed = self.world.checkers.reads_confirmed
         self.world.read(self._machine(who))
         return lambda: self.world.checkers.reads_confirmed > confirmed
 
     def expect_read_refused(self, who: str) -> Callable[[], bool]:
-        """``read refused WHO``: a read that begins there now is refused."""
-        refused = self.world.checkers.reads_refused
+        """``read refused WHO``: a read requested from it now is not confirmed."""
+        rejected = self.world.checkers.reads_rejected
         self.world.read(self._machine(who))
-        return lambda: self.world.checkers.reads_refused > refused
+        return lambda: self.world.checkers.reads_rejected > rejected
 
     def expect_freshness_below(self, who: str, seconds: str) -> Callable[[], bool]:
         """``freshness below WHO SECONDS``."""
