--- a/mallowbeam/router/feed/candidates.py
+++ b/mallowbeam/router/feed/candidates.py
@@ -16,18 +16,18 @@
     MAX_MEMBERS,
 )
 
-MAX_DOUBLINGS = 16  # of a backoff or an ejection; beyond it the maximum applies in any case
+MAX_DOUBLINGS = 16  # of a backoff or an ejection; the maximum applies before that
 
 
 @dataclass(slots=True)
 class Candidate:
-    """What is known of one member. Times are in seconds of the monotonic clock."""
+    """Health of one member. Times are in seconds of the monotonic clock."""
 
     failures: int = 0  # consecutive
-    backoff_until: float = 0.0  # no attempt before
-    ejected_until: float = 0.0  # it was unreachable, isolated or behind
+    backoff_until: float = 0.0  # no connection attempt before
+    ejected_until: float = 0.0  # because it was unreachable, isolated or behind
     ejections: int = 0  # consecutive
-    current_at: float = -math.inf  # when its state was current, as far as it is known
+    current_at: float = -math.inf  # the last time at which its state was known to be current
 
     def eligible(self, now: float) -> bool:
         """Whether the member is not ejected."""
@@ -38,7 +38,7 @@
     """Members learned from heartbeats, with the seeds as a fallback."""
 
     def __init__(self, seeds: Iterable[str], random: Random) -> None:
-        """Begin with the addresses of the settings."""
+        """Start with the addresses from the settings."""
         self._seeds = tuple(dict.fromkeys(seeds))
         self._members: tuple[str, ...] = ()
         self._random = random
@@ -46,13 +46,13 @@
         self._known: dict[str, Candidate] = {address: Candidate() for address in self._seeds}
 
     def update_members(self, members: Iterable[str]) -> None:
-        """Replace the membership; the records of members that stay are kept."""
+        """Replace the membership; members that remain keep their records."""
         self._members = tuple(dict.fromkeys(members))[:MAX_MEMBERS]
         addresses = dict.fromkeys(self._members + self._seeds)
         self._known = {address: self._known.get(address, Candidate()) for address in addresses}
 
     def get(self, address: str) -> Candidate:
-        """The record of one member; a new one if it is unknown."""
+        """The record of one member; a new, unattached one if it is unknown."""
         candidate = self._known.get(address)
         return candidate if candidate is not None else Candidate()
 
@@ -67,7 +67,7 @@
     def record_frame(self, address: str, current_at: float) -> None:
         """Record that a member sends frames, and when its state was current."""
         if all(known.failures for known in self._known.values()):
-            self.readmit_others(address)  # no member was reachable: the gateway's own links had failed
+            self.readmit_others(address)  # no member was reachable: the gateway's own network had failed
         candidate = self.get(address)
         candidate.failures = 0
         candidate.current_at = current_at
@@ -79,7 +79,7 @@
         candidate.ejections = 0
 
     def eject(self, address: str, now: float) -> None:
-        """Eject a member while others are eligible; no effect while it is ejected.
+        """Eject a member, so that eligible ones are tried before it; no effect while it is ejected.
 
         Consecutive ejections last longer, unless `ejections_grow` is off.
         """
@@ -90,17 +90,17 @@
             candidate.ejections += self.ejections_grow
 
     def readmit_others(self, address: str) -> None:
-        """Readmit all members but one that is no longer current: what is known of the others is outdated."""
+        """Readmit all members except `address`, which is no longer current: their ejections are outdated."""
         for other, candidate in self._known.items():
             if other != address:
                 candidate.ejected_until = 0.0
 
     def choose(self, now: float) -> str | None:
-        """The member to try now; None if all are backed off from.
+        """The member to try now; None if all are in backoff.
 
-        Eligible members come first, in random order; then eligible seeds that are not members any more; then,
-        if all are ejected, the one with the freshest state among those that could be reached; then the one
-        whose backoff ended first.
+        Eligible members come first, in random order; then eligible seeds that are no longer members; then, if
+        all are ejected, the one with the freshest state among those that were reachable; then the one whose
+        backoff ended first.
         """
         ready = [address for address, candidate in self._known.items() if candidate.backoff_until <= now]
         eligible = [address for address in ready if self._known[address].eligible(now)]
@@ -119,7 +119,7 @@
         return min((candidate.backoff_until for candidate in self._known.values()), default=math.inf)
 
     def has_better_than(self, address: str, now: float) -> bool:
-        """Whether another member is worth an attempt instead of an ejected one."""
+        """Whether another member should be tried instead of `address`, which is ejected."""
         own = self.get(address).current_at
         for other, candidate in self._known.items():
             if other == address or candidate.backoff_until > now:
@@ -129,5 +129,5 @@
         return False
 
     def _freshness(self, address: str) -> tuple[float, float]:
-        """Sort key of ejected members: the age of their state, then random."""
+        """Sort key of ejected members: when their state was last current, then random."""
         return self._known[address].current_at, self._random.random()
--- a/mallowbeam/router/feed/frame_staleness.py
+++ b/mallowbeam/router/feed/frame_staleness.py
@@ -2,8 +2,8 @@
 
 A partition, a suspended process or a slow path can keep frames in socket buffers for many seconds; they then
 arrive in one burst. Each frame carries the sender's monotonic clock. The two clocks have different origins,
-but their difference is constant: its minimum over a connection belongs to the frame with the least delay, and
-what a later frame exceeds it by is that frame's additional delay. Times are in seconds.
+but their difference is constant. Its minimum over a connection belongs to the frame with the least delay; the
+amount by which a later frame exceeds it is that frame's additional delay. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 class FrameStaleness:
     """The delay of one connection's frames, relative to the least delayed one.
 
-    The first frame itself is at most as old as the connection: the member builds it for this connection.
+    The first frame is at most as old as the connection, because the member builds it for this connection.
     """
 
     def __init__(self) -> None:
-        """Begin with a new connection."""
-        self._min_difference = 0.0  # of the two clocks, by the frame with the least delay
+        """Start with a new connection."""
+        self._min_difference = 0.0  # between the two clocks, from the frame with the least delay
         self._received_at: float | None = None  # when the last frame was received
 
     def measure(self, sent_at: float, now: float) -> float:
-        """The additional delay of a frame, by the sender's clock (`sent_at`) and this machine's (`now`)."""
+        """The additional delay of a frame, sent at `sent_at` on the sender's clock and received `now`."""
         difference = now - sent_at
         if self._received_at is None:
             self._min_difference = difference
--- a/mallowbeam/router/feed/gateway_count_window.py
+++ b/mallowbeam/router/feed/gateway_count_window.py
@@ -1,4 +1,4 @@
-"""The greatest of the recent counts of gateways."""
+"""The maximum of the recent gateway counts."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class GatewayCountWindow:
-    """The latest count, and the greatest one within GATEWAYS_WINDOW_S. Times are in seconds."""
+    """The latest count, and the maximum within GATEWAYS_WINDOW_S. Times are in seconds."""
 
     def __init__(self) -> None:
-        """Begin with a count of 0."""
+        """Start with a count of 0."""
         self.latest = 0
-        self._counts: deque[tuple[float, int]] = deque()  # (time, count), falling counts, oldest first
+        self._counts: deque[tuple[float, int]] = deque()  # (time, count) by descending count, oldest first
 
     def record(self, count: int, now: float) -> None:
         """Add the latest count."""
@@ -23,7 +23,7 @@
         self._counts.append((now, count))
 
     def maximum(self, now: float) -> int:
-        """The greatest count within the window, or the latest one if that is older."""
+        """The maximum within the window; the latest count if that is older than the window."""
         while len(self._counts) > 1 and now - self._counts[0][0] > GATEWAYS_WINDOW_S:
             self._counts.popleft()
         return max(self.latest, self._counts[0][1] if self._counts else 0)
--- a/mallowbeam/router/feed/instance_replica.py
+++ b/mallowbeam/router/feed/instance_replica.py
@@ -16,12 +16,12 @@
 class InstanceChanges:
     """The effect of an update on the replica."""
 
-    changed: tuple[Instance, ...] = ()  # new ones and those that differ now, draining ones among them
-    ended: tuple[str, ...] = ()  # ids that were removed
+    changed: tuple[Instance, ...] = ()  # new or modified instances, including draining ones
+    ended: tuple[str, ...] = ()  # ids of removed instances
 
 
 class InstanceReplica:
-    """Instances by id, and what is permanently known of those that left.
+    """Instances by id, and a bounded memory of those that are draining or have ended.
 
     A draining instance never becomes ready again, a deleted one never comes back, and one that ended
     otherwise comes back only with a higher sequence than it had at its end.
@@ -34,10 +34,10 @@
         self._ended_at: dict[str, int] = {}  # id to the sequence at its end; oldest first, bounded
 
     def apply(self, update: InstancesUpdate, replaces: bool) -> InstanceChanges:
-        """Apply an update. If it `replaces` the table, instances that it does not name have ended."""
+        """Apply an update. If it `replaces` the table, instances missing from it have ended."""
         changed: list[Instance] = []
         ended: list[str] = []
-        newest = replaces or not update.whole  # the sender's state is valid also against a higher sequence
+        newest = replaces or not update.whole  # the update overrides even a higher sequence
         for instance in update.instances:
             if instance.state == ENDED:
                 self._apply_end(instance, ended, newest)
@@ -51,7 +51,7 @@
         return InstanceChanges(tuple(changed), tuple(ended))
 
     def _apply_end(self, instance: Instance, ended: list[str], newest: bool) -> None:
-        """Remove an instance; an end in an incomplete table may be older than the replica."""
+        """Remove an instance, unless the end comes from an incomplete table and is older than the replica."""
         known = self.instances.get(instance.id)
         known_sequence = known.sequence if known is not None else 0
         if known_sequence > instance.sequence and not newest:
@@ -73,7 +73,7 @@
         if instance.state == DRAINS:
             _remember(self._draining, instance.id, None)
         if not instance.address or (known is not None and not newest and instance.sequence < known.sequence):
-            if known is None:  # nothing is known of it but that it is draining
+            if known is None:  # only known to be draining
                 return
             instance = known
         owned = Instance()
@@ -87,7 +87,7 @@
 
 
 def _remember(memory: dict[str, Value], id: str, value: Value) -> None:
-    """Put an entry at the end and drop the oldest beyond MAX_RETIRED."""
+    """Insert an entry as the newest and drop the oldest beyond MAX_RETIRED."""
     memory.pop(id, None)
     memory[id] = value
     if len(memory) > MAX_RETIRED:
--- a/mallowbeam/router/feed/publisher.py
+++ b/mallowbeam/router/feed/publisher.py
@@ -1,8 +1,8 @@
 """The member's end of the feed: which frame goes to which subscriber.
 
 Every subscriber has a cursor: the versions of configuration and instance table that it has. Subscribers with
-equal cursors get the same frame, which is built and encoded once, so that a change costs as many frames as
-there are different cursors (usually one), not as many as there are subscribers.
+equal cursors get the same frame, which is built and encoded once, so that a change costs one frame for each
+distinct cursor (usually one in all) instead of one for each subscriber.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from mallowbeam.router.rpc.messages_pb2 import ConfigurationUpdate, FeedFrame, FeedHello, InstanceAttempts
 
 NO_TABLE = -1  # version of a subscriber without the table
-NO_MEMBERS = -1  # likewise, without the membership
+NO_MEMBERS = -1  # version of a subscriber without the membership
 
 
 class ConfigurationSource(Protocol):
-    """The current configuration, as the publisher needs it."""
+    """Interface to the current configuration."""
 
     @property
     def revision(self) -> int:
         """Revision of the current configuration; 0 if there is none."""
 
     def update_since(self, revision: int) -> ConfigurationUpdate | None:
-        """The update from `revision` to the current one, None if nothing is newer.
+        """The update from `revision` to the current one; None if nothing is newer.
 
-        It is complete if no incremental one can be given.
+        It is complete if no incremental update is available.
         """
 
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """What the host knows besides configuration and instances."""
+    """Status of the member that its host supplies for each frame."""
 
     leader_silence_ms: int  # milliseconds since this member's state was known to be current
     gateways: int  # in the whole fleet
@@ -66,7 +66,7 @@
 
 
 class _Cursor(NamedTuple):
-    """What a subscriber has once its last frame has arrived."""
+    """The state that a subscriber has once its last frame has arrived."""
 
     revision: int  # of the configuration
     version: int  # of the instance table
@@ -75,7 +75,7 @@
 
 
 class FeedPublisher:
-    """Cursors of all subscribers of one member. Times are in seconds of the monotonic clock."""
+    """Builds the frames for all subscribers of one member. Times are in seconds of the monotonic clock."""
 
     def __init__(
         self,
@@ -83,7 +83,10 @@
         table: InstanceTable,
         attempts: Callable[[float], Sequence[InstanceAttempts]] | None = None,
     ) -> None:
-        """Publish both; `attempts` gives the outcomes of the fleet's attempts, for every second heartbeat."""
+        """Publish `configuration` and `table`.
+
+        `attempts` returns the outcomes of the fleet's attempts, which every second heartbeat carries.
+        """
         self._configuration = configuration
         self._table = table
         self._attempts = attempts
@@ -91,14 +94,14 @@
         self._cursors: dict[int, _Cursor] = {}
         self._heartbeat_at = 0.0
         self._members: tuple[str, ...] = ()
-        self._members_version = 0  # rises with each change of the membership
+        self._members_version = 0  # increases with each change of the membership
 
     def __len__(self) -> int:
         """The number of subscribed gateways."""
         return len(self._cursors)
 
     def subscribe(self, subscriber: int, hello: FeedHello, now: float) -> None:
-        """Add a gateway; its first frame comes with the next `frames()`, which the host calls at once."""
+        """Add a gateway; the next `frames()`, which the host calls at once, includes its first frame."""
         self._cursors[subscriber] = _Cursor(hello.configuration_revision, NO_TABLE, False, NO_MEMBERS)
 
     def unsubscribe(self, subscriber: int) -> None:
@@ -106,7 +109,7 @@
         self._cursors.pop(subscriber, None)
 
     def frames_at(self) -> float:
-        """When `frames()` is due at the latest."""
+        """The latest time for the next call of `frames()`."""
         return self._heartbeat_at
 
     def frames(self, now: float, status: MemberStatus, busy: Collection[int] = ()) -> list[FeedBatch]:
@@ -144,7 +147,7 @@
         return self._attempts(now) if self._attempts_due and self._attempts is not None else None
 
     def _by_cursor(self, busy: Collection[int]) -> dict[_Cursor, list[int]]:
-        """The subscribers that are not busy, by their cursor."""
+        """Group the subscribers that are not busy by their cursor."""
         groups: dict[_Cursor, list[int]] = {}
         for subscriber, cursor in self._cursors.items():
             if subscriber not in busy:
@@ -152,7 +155,7 @@
         return groups
 
     def _after(self, cursor: _Cursor, complete: bool, allowance: FeedAllowance) -> _Cursor:
-        """The cursor of a subscriber that has everything that may be published now."""
+        """The cursor of a subscriber after a frame with everything that may be published now."""
         after = cursor._replace(members=self._members_version)
         if allowance.configuration:
             after = after._replace(revision=max(cursor.revision, self._configuration.revision))
--- a/mallowbeam/router/feed/subscriber.py
+++ b/mallowbeam/router/feed/subscriber.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayIdentity:
-    """How a gateway introduces itself to the member that it follows."""
+    """How a gateway identifies itself to the member that it follows."""
 
     zone: str
     name: str = ""
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """Close the connection, then call `next_action()` at once; `failed()` is not to be called."""
+    """Close the connection, then call `next_action()` at once; don't call `failed()`."""
 
     address: str
 
@@ -71,7 +71,7 @@
 class FeedEvents(Generic[Configuration]):
     """The effect of a frame on the gateway."""
 
-    configuration: Configuration | None = None  # the new one, if it changed
+    configuration: Configuration | None = None  # the new configuration, if it changed
     instances: InstanceChanges = InstanceChanges()
     attempts: tuple[InstanceAttempts, ...] = ()  # outcomes of the fleet's attempts at failing instances
 
@@ -83,20 +83,20 @@
     address: str
     since: float
     open: bool = False
-    received_at: float = 0.0  # the last frame, or the opening
+    received_at: float = 0.0  # when the last frame arrived, or the connection was opened
     staleness: FrameStaleness = field(default_factory=FrameStaleness)
-    was_healthy: bool = False  # by any heartbeat
-    isolated: bool = False  # by the last heartbeat, or because that was far too stale
-    current: bool = False  # by the last heartbeat, the member's state was current just now
+    was_healthy: bool = False  # a heartbeat was healthy, and the others have not been readmitted since
+    isolated: bool = False  # according to the last heartbeat, or because its frame was far too stale
+    current: bool = False  # according to the last heartbeat, the member's state was current
     behind: bool = False  # the member sent an older configuration than this gateway has
-    inconsistent: bool = False  # the member's changes don't fit this gateway's state: needs a new start
+    inconsistent: bool = False  # the member's changes don't fit this gateway's state: reconnect
 
 
 class FeedSubscriber(Generic[Configuration]):
     """Follows one member at a time. Times are in seconds of the monotonic clock.
 
     `apply_update` makes the new configuration from the current one and an update; if it raises a
-    MallowbeamError, nothing is changed and the gateway starts again at another member.
+    MallowbeamError, the configuration stays as it is and the gateway reconnects, to another member if it can.
     """
 
     def __init__(
@@ -106,11 +106,11 @@
         random: Random,
         apply_update: Callable[[Configuration | None, ConfigurationUpdate], Configuration],
     ) -> None:
-        """Start without state; `seeds` are the addresses of the settings, HOST:PORT."""
+        """Start without state; `seeds` are the member addresses from the settings, HOST:PORT."""
         self._identity = identity
         self._apply_update = apply_update
         self._candidates = Candidates(seeds, random)
-        self._candidates.ejections_grow = False  # until it is ready
+        self._candidates.ejections_grow = False  # until the gateway is ready
         self._connection: _Connection | None = None
         self._replica = InstanceReplica()
         self._first_frame_at: float | None = None
@@ -124,7 +124,7 @@
 
     @property
     def instances(self) -> Mapping[str, Instance]:
-        """Instances by id, ready and draining; a read-only view."""
+        """Ready and draining instances by id, as a read-only view."""
         return MappingProxyType(self._replica.instances)
 
     @property
@@ -133,13 +133,13 @@
         return self._gateway_counts.latest
 
     def gateways_bound(self, now: float) -> int:
-        """The greatest number of gateways received within GATEWAYS_WINDOW_S, or the last one."""
+        """The maximum number of gateways received within GATEWAYS_WINDOW_S, or the last one."""
         return self._gateway_counts.maximum(now)
 
     def ready(self, now: float) -> bool:
-        """Whether requests can be served; once true it stays so, also without a feed.
+        """Whether requests can be served; once true it stays true, also without a feed.
 
-        A gateway must start with current state: it becomes ready while it follows a member that is current.
+        A gateway must start with current state, so it becomes ready only while it follows a current member.
         """
         if not self._was_ready and self.configuration_revision > 0 and self._follows_current(now):
             self._was_ready = self._table_complete or (
@@ -149,14 +149,14 @@
         return self._was_ready
 
     def _follows_current(self, now: float) -> bool:
-        """Whether the followed member was current by its last heartbeat, and that is recent."""
+        """Whether the followed member was current by its last heartbeat, and its last frame is recent."""
         connection = self._connection
         if connection is None or not connection.current or connection.inconsistent:
             return False
         return now - connection.received_at <= FRAME_TIMEOUT_S
 
     def _waited_for_table(self, now: float) -> bool:
-        """Whether an incomplete table is accepted."""
+        """Whether enough time has passed to accept an incomplete table."""
         return self._first_frame_at is not None and now - self._first_frame_at > READY_WITHOUT_COMPLETE_S
 
     def hello(self) -> FeedHello:
@@ -171,7 +171,7 @@
     # ------------------------------------------------------------ the connection
 
     def next_action(self, now: float) -> Action:
-        """What the host is to do now; to be called again after each event and at the end of a Wait."""
+        """The host's next action; call it again after each event and at the end of a Wait."""
         connection = self._connection
         if connection is None:
             return self._open(now)
@@ -187,7 +187,7 @@
         return Wait(connection.received_at + FRAME_TIMEOUT_S)
 
     def _may_leave(self, connection: _Connection, now: float) -> bool:
-        """Whether to leave an unhealthy member: it had time to recover, and another one may be better."""
+        """Whether to leave an unhealthy member: it had time to recover, and another may be better."""
         dwelled = connection.received_at - connection.since >= MIN_DWELL_S
         return dwelled and self._candidates.has_better_than(connection.address, now)
 
@@ -215,20 +215,20 @@
         return Connect(address)
 
     def _readmit_others_once(self, connection: _Connection) -> None:
-        """Readmit the other members, once, if the followed one is no longer current."""
+        """Readmit the other members when the followed one was healthy and no longer is; once."""
         if connection.was_healthy:
             connection.was_healthy = False
             self._candidates.readmit_others(connection.address)
 
     def _leave(self, connection: _Connection) -> Close:
-        """Leave the member."""
+        """Stop following the member."""
         self._connection = None
         return Close(connection.address)
 
     # ------------------------------------------------------------ frames
 
     def received(self, frame: FeedFrame, now: float) -> FeedEvents[Configuration]:
-        """Apply a frame of the open connection; a frame after its end has no effect."""
+        """Apply a frame from the open connection; without one, the frame has no effect."""
         connection = self._connection
         if connection is None or not connection.open or connection.inconsistent:
             return FeedEvents()
@@ -247,7 +247,7 @@
         return FeedEvents(configuration, changes, tuple(frame.attempts))
 
     def _apply_heartbeat(self, connection: _Connection, heartbeat: FeedHeartbeat, now: float) -> None:
-        """Judge the member by the age of its state, and learn the number of gateways and the membership."""
+        """Update the member's health from the age of its state, the gateway count and the membership."""
         state_age_ms = heartbeat.leader_silence_ms
         staleness_s = 0.0
         if heartbeat.sent_at_ms:
@@ -289,12 +289,12 @@
         return self.configuration
 
     def _reject_changes(self, connection: _Connection, now: float) -> None:
-        """Leave a member whose changes don't fit this gateway's state."""
+        """Mark a member for leaving whose changes don't fit this gateway's state."""
         connection.inconsistent = True
         self._candidates.record_failure(connection.address, now)
 
     def _apply_instances(self, update: InstancesUpdate, complete: bool) -> InstanceChanges:
-        """Apply a table or its changes; only a complete table replaces the replica."""
+        """Apply a full table or its changes; only a complete full table replaces the replica."""
         if complete and update.whole:
             self._table_complete = True
         return self._replica.apply(update, replaces=complete and update.whole)
--- a/mallowbeam/router/registry/changes.py
+++ b/mallowbeam/router/registry/changes.py
@@ -1,4 +1,4 @@
-"""Which entries changed since a version, in order."""
+"""Tracks which entries changed after a version, in the order of their last change."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
         self._last[id] = self.version
 
     def forget(self, id: str) -> None:
-        """Drop a removed entry; whoever has not seen its removal needs the complete table."""
+        """Drop a removed entry; a reader that has not seen its removal needs the complete table."""
         self._forgotten = max(self._forgotten, self._last.pop(id, 0))
 
     def since(self, version: int) -> list[str] | None:
-        """Ids changed after `version`, oldest change first; None if some of these are forgotten."""
+        """Ids changed after `version`, oldest first; None if some are forgotten or the version is unknown."""
         if version < self._forgotten or version > self.version:
             return None
         ids: list[str] = []
--- a/mallowbeam/router/registry/errors.py
+++ b/mallowbeam/router/registry/errors.py
@@ -8,7 +8,7 @@
 
 
 class HeartbeatError(MallowbeamError):
-    """A heartbeat that can't be read; `code` is stable, `where` names the field or part."""
+    """A heartbeat that can't be parsed; `code` is stable, `where` names the field or part."""
 
     remedy = "look at what the server sends as its heartbeat; the call is answered with 400"
 
--- a/mallowbeam/router/registry/instance_record.py
+++ b/mallowbeam/router/registry/instance_record.py
@@ -7,7 +7,7 @@
 from mallowbeam.router.rpc.messages_pb2 import ENDED, HeartbeatSeen, Instance
 
 MAX_AGE_MS = 2**32 - 1
-NO_HEARTBEAT = -1  # sequence of an instance of which no heartbeat is known
+NO_HEARTBEAT = -1  # sequence of an instance without a known heartbeat
 
 
 @dataclass(slots=True)
@@ -15,7 +15,7 @@
     """What a member knows of one instance. Times are in seconds of the monotonic clock."""
 
     instance: Instance  # owned by the table; its own sequence may be older
-    sequence: int  # highest that any member received
+    sequence: int  # highest that any member is known to have received
     last_heartbeat_at: float  # when the heartbeat of that sequence was received
     details_sequence: int = NO_HEARTBEAT  # sequence of the heartbeat that `instance` was read from
     ended_at: float | None = None
@@ -28,7 +28,7 @@
         return self.instance.state != ENDED
 
     def for_gateways(self) -> Instance:
-        """A new message with the highest known sequence, with which gateways compare that of an end."""
+        """A new message with the highest known sequence, which gateways compare with that of an end."""
         message = Instance()
         message.CopyFrom(self.instance)
         message.sequence = max(self.sequence, 0)
@@ -41,7 +41,7 @@
 
 
 def same_for_gateways(one: Instance, other: Instance) -> bool:
-    """Whether gateways would route alike by both: sequence and warm-up are not compared."""
+    """Whether gateways would route requests the same way; sequence and warm-up are not compared."""
     return (
         one.state == other.state
         and one.address == other.address
--- a/mallowbeam/router/registry/latest_reports.py
+++ b/mallowbeam/router/registry/latest_reports.py
@@ -1,4 +1,4 @@
-"""The latest report of each source, such as a gateway or a member, with a time to live. A pure core."""
+"""The latest report of each source, such as a gateway or a member, with a time to live."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class LatestReports(Generic[Item]):
-    """One report for each source; the report of a silent source expires."""
+    """One report for each source; it expires unless the source sends a new one."""
 
     def __init__(self, ttl_s: float, max_items: int) -> None:
-        """Expire a report `ttl_s` seconds after it was received; of its items keep the first `max_items`."""
+        """Keep the first `max_items` items of a report for `ttl_s` seconds after it was received."""
         self._ttl_s = ttl_s
         self._max_items = max_items
         self._reports: dict[Hashable, _Report[Item]] = {}
@@ -31,7 +31,7 @@
         self._reports[source] = _Report(tuple(items)[: self._max_items], now)
 
     def forget(self, source: Hashable) -> None:
-        """Drop the report of a source that has gone."""
+        """Drop the report of a source that no longer exists."""
         self._reports.pop(source, None)
 
     def fresh(self, now: float) -> Iterator[Item]:
--- a/mallowbeam/router/registry/leases.py
+++ b/mallowbeam/router/registry/leases.py
@@ -1,8 +1,8 @@
-"""Leases with fencing tokens, replicated through the log: who holds which subject, under which token.
+"""Leases with fencing tokens, replicated through the log: the holder and the token of each subject.
 
-The log has no time, so a lease does not expire here: a member that wants a lease from another holder waits
-out the lease time by its own monotonic clock before it proposes. The token rises with each new holder, over
-all subjects, so that late messages of an earlier holder are recognized.
+The log has no notion of time, so a lease does not expire here: a member that wants to take over a lease waits
+for the lease time by its own monotonic clock before it proposes. The token increases with each new holder,
+across all subjects, so that delayed messages of an earlier holder are recognized.
 
 This is the granting side. The holder's side, which decides when a granted token may be used, is
 `mallowbeam.router.pairing.order_lease`: it depends on time and on one member's view of its leadership, which
@@ -43,12 +43,12 @@
         self._most = most
 
     def get(self, subject: str) -> Lease | None:
-        """The lease over `subject`, as a message of the caller's own; None if it was never granted."""
+        """A copy of the lease on `subject`; None if it was never granted or has been dropped."""
         lease = self._leases.get(subject)
         return None if lease is None else _duplicate(lease)
 
     def apply(self, command: AcquireLease) -> LeaseGrant:
-        """Grant a lease: DONE with a higher token to a new holder, ALREADY_DONE to the present one."""
+        """Grant a lease: DONE with a higher token to a new holder, ALREADY_DONE to the current one."""
         if not command.subject or not command.holder:
             return LeaseGrant(REFUSED, 0)
         lease = self._leases.get(command.subject)
@@ -67,7 +67,7 @@
         state.leases.extend(self._leases.values())
 
     def restore(self, state: ReplicatedState) -> None:
-        """Replace the leases by those of a snapshot."""
+        """Replace the leases with those of a snapshot."""
         newest = list(state.leases)[-self._most :]
         self._leases = {lease.subject: _duplicate(lease) for lease in newest}
 
--- a/mallowbeam/router/registry/parse.py
+++ b/mallowbeam/router/registry/parse.py
@@ -34,7 +34,11 @@
 
 
 def parse_heartbeat(id: str, body: bytes) -> Instance:
-    """Parse one heartbeat of the instance `id`; raises `HeartbeatError` and nothing else."""
+    """Parse one heartbeat of the instance `id`.
+
+    Raises:
+        HeartbeatError: the id or the body is invalid. No other exception is raised, whatever the input.
+    """
     check_id(id)
     fields = _read_object(body)
     return Instance(
@@ -55,7 +59,7 @@
 def check_id(id: str) -> None:
     """Raise `HeartbeatError` if `id` can't be an instance's id."""
     if not 0 < len(id) <= MAX_ID_LENGTH or not ID_FORM.fullmatch(id) or "/" in id:
-        raise HeartbeatError(HeartbeatError.BAD_ID, "no id of an instance", "id")
+        raise HeartbeatError(HeartbeatError.BAD_ID, "not a valid instance id", "id")
 
 
 def _read_object(body: bytes) -> dict[str, Any]:
@@ -72,26 +76,26 @@
 
 
 def _field_error(where: str, what: str) -> HeartbeatError:
-    """The error on one field."""
+    """The error for one field."""
     return HeartbeatError(HeartbeatError.BAD_FIELD, what, where)
 
 
 def _text(fields: dict[str, Any], name: str, required: bool = False, where: str = "") -> str:
-    """A string; if `required`, it must be present and not empty."""
+    """A string field; if `required`, it must be present and not empty."""
     value = fields.get(name)
     if value is None and not required:
         return ""
     if not isinstance(value, str) or len(value) > MAX_NAME_LENGTH or (required and not value):
         raise _field_error(where + name, f"not a string of at most {MAX_NAME_LENGTH} characters")
     try:
-        value.encode()  # a lone surrogate can't be passed on
+        value.encode()  # JSON allows lone surrogates, which UTF-8 can't encode
     except UnicodeEncodeError:
         raise _field_error(where + name, "not valid Unicode") from None
     return value
 
 
 def _integer(fields: dict[str, Any], name: str, allowed: range, default: int | None, where: str = "") -> int:
-    """An integer within a range; required if there is no default."""
+    """An integer field within a range; required if there is no default."""
     value = fields.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int) or value not in allowed:
         raise _field_error(where + name, f"not a whole number from {allowed.start} to {allowed.stop - 1}")
@@ -99,7 +103,7 @@
 
 
 def _warmup(fields: dict[str, Any]) -> int:
-    """Milliseconds for which the instance is still warming up; fractions are cut off."""
+    """Milliseconds for which the instance is still warming up; fractions are truncated."""
     value = fields.get("warmup_left_ms", 0)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= MAX_WARMUP_MS:
         raise _field_error("warmup_left_ms", f"not a number from 0 to {MAX_WARMUP_MS}")
--- a/mallowbeam/router/registry/retirements.py
+++ b/mallowbeam/router/registry/retirements.py
@@ -1,4 +1,4 @@
-"""The replicated part of the registry: instances that announced that they leave.
+"""Retirements, replicated through the log: instances that announced that they are leaving.
 
 Commands are applied in log order on every member, so nothing here may depend on time or on what a single
 member has received. An id is one incarnation of one instance, so a retirement is permanent.
@@ -46,7 +46,7 @@
         return DONE
 
     def all(self) -> list[RetireInstance]:
-        """Every retirement that is remembered, oldest first."""
+        """All remembered retirements, oldest first."""
         return [RetireInstance(id=id, kind=kind) for id, kind in self._kinds.items()]
 
     def save(self, state: ReplicatedState) -> None:
@@ -55,6 +55,6 @@
         state.retired.extend(self.all())
 
     def restore(self, state: ReplicatedState) -> None:
-        """Replace the retirements by those of a snapshot."""
+        """Replace the retirements with those of a snapshot."""
         newest = list(state.retired)[-self._most :]
         self._kinds = {retired.id: retired.kind for retired in newest}
--- a/mallowbeam/router/registry/stage_transitions.py
+++ b/mallowbeam/router/registry/stage_transitions.py
@@ -1,6 +1,6 @@
-"""Instances that accepted an order to change their stage and have not reported the new one yet: soft state.
+"""Instances that accepted an order to change their stage but have not reported it yet. Soft state.
 
-It is separate from the heartbeats' details, because a heartbeat that another member received lacks it.
+It is kept apart from the details of heartbeats, because a heartbeat that another member received lacks it.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Transition:
-    """The stage that is awaited, until `deadline` in seconds of the monotonic clock."""
+    """The stage to be reported before `deadline`, in seconds of the monotonic clock."""
 
     stage: str
     deadline: float
@@ -47,7 +47,7 @@
             self._transitions.pop(id, None)
 
     def remove(self, id: str) -> None:
-        """Forget an instance."""
+        """Drop the transition of an instance, if it has one."""
         self._transitions.pop(id, None)
 
     def expire(self, now: float) -> list[str]:
@@ -58,7 +58,7 @@
         return expired
 
     def take_announcements(self, now: float) -> list[StageSwitch]:
-        """The transitions to announce since the last call, for all other members."""
+        """Return and clear the transitions to announce to all other members."""
         ids = [id for id in self._unannounced if id in self._transitions]
         self._unannounced.clear()
         return [self._message(id, now) for id in ids]
--- a/mallowbeam/router/registry/table.py
+++ b/mallowbeam/router/registry/table.py
@@ -1,9 +1,10 @@
-"""The table of instances that every member keeps: soft state from heartbeats, its own and other members'.
+"""The instance table of a member: soft state from heartbeats that it or another member received.
 
-An instance sends its heartbeats to one member, which passes them on to the others in batches. Every member
-decides by itself on expiry and on the use of addresses. An instance ends in one of three ways:
+An instance sends its heartbeats to one member, which forwards them to the others in batches. Every member
+decides on its own about expiry and about which instance owns an address. An instance ends in one of three
+ways:
 
-* *retired*: the instance announced that it leaves (draining, then gone). Permanent for its id.
+* *retired*: the instance announced that it is leaving (draining, then gone). Permanent for its id.
 * *expired*: no member received a heartbeat for some intervals. A heartbeat of a higher sequence revives it.
 * *superseded*: another id sent a heartbeat from its address. Only RETURN_HEARTBEATS further heartbeats revive
   it, so that a single delayed heartbeat neither revives a dead instance nor ends a live one for good.
@@ -50,10 +51,10 @@
     """The effect of a heartbeat."""
 
     CHANGED = "changed"  # gateways must be notified
-    SAME = "same"  # renewed
-    STALE = "stale"  # its sequence is not above the one that is known
-    RETIRED = "retired"  # the instance is gone: its id never comes back
-    FULL = "full"  # a new instance beyond the table's bound: rejected
+    SAME = "same"  # renewed without a change
+    STALE = "stale"  # its sequence is not higher than the known one
+    RETIRED = "retired"  # the instance is gone; its id is never accepted again
+    FULL = "full"  # a new instance, rejected because the table is full
 
 
 class InstanceTable:
@@ -66,11 +67,11 @@
         expire_intervals: float = EXPIRE_INTERVALS,
         most: int = MAX_INSTANCES,
     ) -> None:
-        """Start an empty table of at most `most` instances, which expire after so many intervals."""
+        """Start an empty table of at most `most` instances, each expiring after `expire_intervals`."""
         self._most = most
         self._expire_after_s = heartbeat_interval_s * expire_intervals
         self._records: dict[str, InstanceRecord] = {}
-        self._by_address: dict[str, str] = {}  # the id that holds each address
+        self._by_address: dict[str, str] = {}  # address to the id that owns it
         self._retired = Retirements()
         self._changes = ChangeLog()
         self._completeness = TableCompleteness(heartbeat_interval_s, started_at)
@@ -84,7 +85,7 @@
     # ------------------------------------------------------------ input
 
     def receive_heartbeat(self, instance: Instance, now: float) -> HeartbeatOutcome:
-        """Apply a heartbeat that the instance sent to this member. The table keeps the message."""
+        """Apply a heartbeat that the instance sent to this member. The table takes over the message."""
         if self._retired.kind(instance.id) == GONE:
             return HeartbeatOutcome.RETIRED
         if instance.id not in self._records and len(self._records) >= self._most:
@@ -104,14 +105,14 @@
     def retire(self, id: str, kind: RetirementKind, now: float, announce: bool = False) -> bool:
         """Apply a retirement; True if it is new.
 
-        With `announce`, the other members are notified at once: for a call that has just come in. Every
-        member applies by itself what comes from the log.
+        With `announce`, the other members are notified at once, for a request that this member has just
+        received. Retirements from the log need no announcement: every member applies them itself.
         """
         if self._retired.apply(RetireInstance(id=id, kind=kind)) != DONE:
             return False
         record = self._records.get(id)
         if record is None and len(self._records) >= self._most:
-            return False  # remembered, but gateways are not notified of an unknown instance
+            return False  # remembered, but without a record, so gateways are not notified
         if record is None:
             record = self._records[id] = InstanceRecord(Instance(id=id), NO_HEARTBEAT, now)
         if kind == GONE:
@@ -128,7 +129,7 @@
     def begin_stage_transition(self, id: str, stage: str, deadline: float, announce: bool = False) -> bool:
         """Record that a live instance was ordered to change its stage; True if this is new.
 
-        Gateways send it nothing until it reports that stage, or until the deadline.
+        Gateways send it no requests until it reports that stage, or until the deadline.
         """
         record = self._records.get(id)
         if record is None or not record.live or record.instance.stage == stage:
@@ -155,13 +156,13 @@
         return self._changes.version != before
 
     def link_lost(self, now: float) -> None:
-        """Record that a link to another member ended, or rejected a batch: what was lost is requested."""
+        """Record that a link to another member ended or rejected a batch, so that details may be missing."""
         self._completeness.details_lost(now)
 
     def mark_isolated(self, now: float) -> None:
         """Record that this member can't reach enough of the others: nothing expires, the table is incomplete.
 
-        To be called repeatedly while that lasts.
+        Call it repeatedly while that lasts.
         """
         self._completeness.mark_isolated(now)
 
@@ -170,8 +171,8 @@
     def expire(self, now: float) -> list[str]:
         """End the instances without a recent heartbeat; returns their ids. Drops those that ended long ago.
 
-        To be called several times in STALLED_S: a longer gap means that this process was suspended, and
-        heartbeats received meanwhile may still be unread.
+        Call it several times within STALLED_S: a longer gap means that this process was suspended, and
+        heartbeats that arrived meanwhile may still be unread.
         """
         if now - self._ran_at > STALLED_S:
             self.mark_isolated(now)
@@ -201,18 +202,18 @@
             self._changes.record(id)
 
     def is_complete(self, now: float) -> bool:
-        """Whether this member knows of all instances: by time, or from a member that did."""
+        """Whether this member knows all instances, by time or from another member's complete table."""
         return self._completeness.is_complete(now)
 
     # ------------------------------------------------------------ output to gateways
 
     @property
     def version(self) -> int:
-        """Rises with each change of which gateways must be notified."""
+        """Increases with each change that gateways must be notified of."""
         return self._changes.version
 
     def changes_since(self, version: int) -> InstancesUpdate:
-        """Changes after `version`; the complete table if these are forgotten (such as for version -1)."""
+        """Changes after `version`; the complete table if some are forgotten, or for version -1."""
         ids = self._changes.since(version)
         if ids is None:
             complete = (record.for_gateways() for record in self._records.values())
@@ -220,12 +221,12 @@
         return InstancesUpdate(instances=(self._records[id].for_gateways() for id in ids))
 
     def get(self, id: str) -> Instance | None:
-        """A new message with what is known of an instance; None if it is unknown."""
+        """A copy of an instance with its highest known sequence; None if it is unknown."""
         record = self._records.get(id)
         return None if record is None else record.for_gateways()
 
     def live(self) -> Iterator[Instance]:
-        """The instances that have not ended, as the table holds them: read at once, never modify."""
+        """The table's own messages of all live instances; read them at once and don't modify them."""
         return (record.instance for record in self._records.values() if record.live)
 
     # ------------------------------------------------------------ output to the other members
@@ -235,7 +236,7 @@
         return self._gossip_sent_at + (URGENT_INTERVAL_S if self.urgent else GOSSIP_INTERVAL_S)
 
     def gossip(self, now: float, gateways: int = 0) -> RegistryGossip:
-        """The batch for all other members: changes and heartbeats received here since the last one."""
+        """The batch for all other members: changes and heartbeats received here since the last batch."""
         batch = RegistryGossip(gateways=gateways)
         for id in self._unsent_changes:
             record = self._records.get(id)
@@ -268,9 +269,9 @@
     def should_request_full_gossip(self, now: float, links_missing: bool = False) -> bool:
         """Whether to request the table of one other member, drawn at random, now.
 
-        True every FULL_REQUEST_INTERVAL_S while the table is not complete or details may be missing. A member
-        without a link to some other one (`links_missing`) learns of that one's instances through a third:
-        then, every heartbeat interval.
+        True every FULL_REQUEST_INTERVAL_S while the table is not complete or details may be missing. With
+        `links_missing`, this member has no link to some other one and learns of its instances through a
+        third; it then requests a table every heartbeat interval.
         """
         if links_missing:
             self.link_lost(now)
@@ -279,7 +280,7 @@
     # ------------------------------------------------------------ records
 
     def _merge_instance(self, instance: Instance, heartbeat_at: float, now: float) -> None:
-        """Merge one instance as another member knows it."""
+        """Merge another member's details of one instance."""
         if instance.state == ENDED:
             self.retire(instance.id, GONE, now)
             return
@@ -331,7 +332,7 @@
         return changed
 
     def _live_state(self, id: str) -> InstanceState:
-        """The state of a live instance."""
+        """The state of an instance that has not ended: ready, or draining if it was retired."""
         return READY if self._retired.kind(id) is None else DRAINS
 
     def _renew(self, record: InstanceRecord, sequence: int, heartbeat_at: float) -> bool:
@@ -352,7 +353,7 @@
         return True
 
     def _claim_address(self, record: InstanceRecord) -> None:
-        """Give the address to the instance with the latest heartbeat; another one there is superseded."""
+        """Assign the address to the instance with the latest heartbeat and supersede the other one."""
         address, id = record.instance.address, record.instance.id
         owner_id = self._by_address.get(address)
         if owner_id == id or not address:
@@ -366,18 +367,18 @@
         self._by_address[address] = id
 
     def _release_address(self, instance: Instance) -> None:
-        """Free an instance's address, if it holds it."""
+        """Release an instance's address, if the instance owns it."""
         if self._by_address.get(instance.address) == instance.id:
             del self._by_address[instance.address]
 
     def _supersede(self, record: InstanceRecord) -> None:
-        """End an instance whose address another one has."""
+        """End an instance whose address another id has taken."""
         self._end(record, record.last_heartbeat_at)
         record.superseded = True
         self._changes.record(record.instance.id)
 
     def _end(self, record: InstanceRecord, now: float) -> None:
-        """Mark an instance as ended and free its address."""
+        """Mark an instance as ended and release its address."""
         record.instance.state = ENDED
         record.instance.switching_to = ""
         self._transitions.remove(record.instance.id)
--- a/tests/router/feed/test_feed_candidates.py
+++ b/tests/router/feed/test_feed_candidates.py
@@ -1,4 +1,4 @@
-"""Which member a gateway tries next while none answers."""
+"""The order in which a gateway tries members while none is reachable."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 class NoneAnswers(unittest.TestCase):
     def test_each_member_is_tried_within_a_few_seconds(self) -> None:
-        """Two that were followed before are gone; the others, never followed, must not be starved by them."""
+        """Two unreachable members that were followed before must not starve those never followed."""
         for seed in range(1, 21):
             candidates = Candidates(MEMBERS, Random(seed))
             candidates.update_members(MEMBERS)
@@ -27,7 +27,7 @@
                 self.assertEqual(tried, set(MEMBERS))
 
     def tried(self, candidates: Candidates, since: float, until: float) -> set[str]:
-        """Members that are tried while no connection opens."""
+        """Return the members that are tried while no connection opens."""
         now, tried = since, set()
         while now < until:
             member = candidates.choose(now)
--- a/tests/router/feed/test_feed_subscriber.py
+++ b/tests/router/feed/test_feed_subscriber.py
@@ -1,4 +1,4 @@
-"""The gateway's end of the feed: which member it follows, and which of its frames it applies."""
+"""The gateway's end of the feed: which member it follows, and which frames it applies."""
 
 from __future__ import annotations
 
@@ -80,7 +80,9 @@
             tried.append(self.connect(1.3))
             self.feed.failed(tried[-1], 1.3)
         self.assertEqual(set(tried[:2]), set(SEEDS) - {first})
-        self.assertEqual(tried[2], first)  # the others can't be reached: better than none
+        self.assertEqual(
+            tried[2], first
+        )  # the others are unreachable: an isolated member is better than none
 
     def test_a_new_feed_has_time_to_recover(self) -> None:
         first = self.connect(0.0)
@@ -108,7 +110,7 @@
         self.connect(0.0)
         members = ("10.0.1.1:1", "10.0.1.2:1")
         self.feed.received(frame(whole=True, members=members), 0.1)
-        self.feed.received(frame(), 0.2)  # no list: as before
+        self.feed.received(frame(), 0.2)  # without members: the list stays
         link = self.feed._connection
         assert link is not None
         self.feed.failed(link.address, 0.3)
@@ -129,12 +131,12 @@
 
 
 class StaleFrames(FeedCase):
-    """Frames that were delayed: by a partition, in a suspended process, behind a slow link."""
+    """Frames that were delayed by a partition, a suspended process or a slow link."""
 
-    CLOCK = 5_000.0  # of the member, when the gateway's shows 0
+    CLOCK = 5_000.0  # the member's clock when the gateway's is at 0, in seconds
 
     def receive(self, now: float, sent: float, silence_ms: int = 50, **more: object) -> None:
-        """Receive a frame that was sent at a time of the gateway's clock."""
+        """Receive a frame at `now` that was sent at `sent`, both by the gateway's clock."""
         made = frame(silence_ms=silence_ms, **more)
         made.heartbeat.sent_at_ms = round((self.CLOCK + sent) * 1000)
         self.feed.received(made, now)
@@ -144,13 +146,13 @@
         return self.feed._connection.isolated
 
     def test_a_burst_after_a_partition_leaves_the_member_isolated(self) -> None:
-        """Each frame reports 50 ms since the leader's contact, and was once counted as current."""
+        """Each delayed frame reports 50 ms since contact with the leader, and must not count as current."""
         self.connect(0.0)
         self.receive(0.1, 0.1, whole=True)
-        for sent in (0.35, 0.6, 0.85):  # held up, and brought in one burst
+        for sent in (0.35, 0.6, 0.85):  # delayed, and delivered in one burst
             self.receive(20.0, sent)
             self.assertTrue(self.isolated())
-        self.receive(20.25, 20.25)  # the member goes on
+        self.receive(20.25, 20.25)  # the first undelayed frame
         self.assertFalse(self.isolated())
 
     def test_a_suspended_gateway_does_not_become_ready_by_queued_frames(self) -> None:
@@ -164,7 +166,7 @@
     def test_a_growing_delay_counts_as_staleness(self) -> None:
         self.connect(0.0)
         late = 0.0
-        for step in range(80):  # a queue builds up: each frame is later than the one before
+        for step in range(80):  # a queue builds up: each frame is delayed more than the last one
             sent = 0.25 * step
             late = 0.3 * sent
             self.receive(0.1 + sent + late, sent, whole=step == 0, revision=3 if step == 79 else 0)
@@ -172,7 +174,7 @@
         self.assertFalse(self.feed.ready(0.1 + sent + late))
 
     def test_slight_staleness_neither_ends_the_feed_nor_makes_it_ready(self) -> None:
-        """A gateway whose own link is loaded gains nothing by a new connection."""
+        """A new connection does not help a gateway whose own link is congested."""
         self.connect(0.0)
         self.receive(0.1, 0.1)
         self.receive(2.0, 0.4, whole=True, revision=3)  # 1.6 s late
@@ -199,7 +201,7 @@
 
 
 class IsolatedMembers(FeedCase):
-    """A gateway that first connects to members which are isolated."""
+    """Readiness and ejections of a gateway that follows isolated members."""
 
     def test_an_isolated_member_does_not_make_it_ready(self) -> None:
         self.connect(0.0)
@@ -220,7 +222,7 @@
         self.assertTrue(self.feed.ready(later + 0.3))
 
     def test_ejections_do_not_grow_before_it_is_ready(self) -> None:
-        """Otherwise a gateway that starts without a majority would follow the wrong member for a minute."""
+        """Otherwise a gateway that starts without a majority could follow an isolated member for a minute."""
         now, attempts = 0.0, []
         while now < 120.0:
             action = self.feed.next_action(now)
@@ -235,7 +237,7 @@
         self.assertLessEqual(len(attempts), 120.0 / EJECTION_MIN_S * len(SEEDS))
 
     def test_others_are_readmitted_when_the_followed_member_becomes_isolated(self) -> None:
-        """They were unreachable a short time before, and were ejected for up to a minute."""
+        """They were unreachable shortly before, and would stay ejected for up to a minute."""
         first = self.connect(0.0)
         self.feed.received(frame(whole=True, revision=3), 0.1)
         self.assertTrue(self.feed.ready(0.1))
--- a/tests/router/registry/test_registry_broken.py
+++ b/tests/router/registry/test_registry_broken.py
@@ -1,4 +1,4 @@
-"""Mutation tests: every variant that is broken on purpose is caught by a scenario."""
+"""Mutation tests: a scenario detects every deliberately broken variant."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ExpiresBlindly(InstanceTable):
-    """Expires instances without heartbeats even while it could not have received any."""
+    """Expires instances without heartbeats even while it could not receive any."""
 
     def mark_isolated(self, now: float) -> None:
         pass
@@ -43,21 +43,21 @@
 
 
 class LosesDetails(InstanceTable):
-    """Does not request again what was lost on a link."""
+    """Does not request details that were lost on a link."""
 
     def link_lost(self, now: float) -> None:
         pass
 
 
 class ClaimsCompleteness(InstanceTable):
-    """Claims at once to know all instances."""
+    """Reports its table as complete from the start."""
 
     def is_complete(self, now: float) -> bool:
         return True
 
 
 class IgnoresAges(InstanceTable):
-    """Treats gossiped heartbeats as fresh, however old they are: here, by gossiping all for ever."""
+    """Ignores how old heartbeats are: each batch gossips a fresh one of every live instance."""
 
     def gossip(self, now: float, gateways: int = 0) -> RegistryGossip:
         batch = super().gossip(now, gateways)
@@ -74,7 +74,7 @@
 
 
 class ReplacesAlways(FeedSubscriber[int]):
-    """Replaces its table by any full table, also by that of a member that has just started."""
+    """Replaces its replica with any full table, even an incomplete one of a member that has just started."""
 
     def __init__(self, *arguments: object, **named: object) -> None:
         super().__init__(*arguments, **named)
--- a/tests/router/registry/test_registry_parse.py
+++ b/tests/router/registry/test_registry_parse.py
@@ -1,4 +1,4 @@
-"""Reading heartbeats: what is taken, what is refused with which code and where."""
+"""Parsing of heartbeats: accepted bodies, and the error code and field of rejected ones."""
 
 from __future__ import annotations
 
--- a/tests/router/registry/test_registry_random.py
+++ b/tests/router/registry/test_registry_random.py
@@ -1,4 +1,4 @@
-"""Random faults on the simulated world: the invariants at all times, and convergence afterwards.
+"""Random faults in the simulated world: invariants hold at all times, and gateways converge afterwards.
 
 A failure names its seed; `python tests/support/registry_walker.py SEED 1` replays it.
 """
--- a/tests/router/registry/test_registry_replicated.py
+++ b/tests/router/registry/test_registry_replicated.py
@@ -1,4 +1,4 @@
-"""Retirements and leases: same log, same state; bounds; snapshots."""
+"""Retirements and leases: determinism of the replicated state, bounds, snapshots."""
 
 from __future__ import annotations
 
@@ -87,11 +87,11 @@
                 last = grant.token
 
     def test_no_two_holders_share_a_token(self) -> None:
-        """Copies of requests in any order, restarts and dropped subjects."""
+        """Also with duplicate requests in any order, restarts and dropped subjects."""
         grant_in_all_orders()
 
     def test_a_repeated_request_keeps_its_token(self) -> None:
-        """The answer to a grant was lost: the same holder gets the same token, also after a restart."""
+        """A holder that repeats its request, because the response was lost, gets the same token."""
         leases = Leases(most=2)
         first = leases.apply(AcquireLease(subject="s", holder=1))
         leases = reloaded(leases)
@@ -104,7 +104,7 @@
 
 class BrokenLeases(unittest.TestCase):
     def test_broken_ones_are_found(self) -> None:
-        """Tokens from the number of leases, and tokens that begin anew."""
+        """Tokens derived from the number of leases, and tokens that start over."""
         for name, broken in (("counts", lambda self: len(self._leases)), ("begins anew", lambda self: 0)):
             with self.subTest(name), mock.patch.object(Leases, "_last_token", broken):
                 with self.assertRaises(AssertionError):
@@ -113,7 +113,7 @@
 
 class DuplicateRetirements(unittest.TestCase):
     def test_duplicate_retirements_in_any_order_lead_to_the_same_state(self) -> None:
-        """A drain or an end may be applied again, late and after the other: gone stays gone."""
+        """Drains and deletions may be applied twice and in either order; a deletion is never undone."""
         commands = [RetireInstance(id="a", kind=kind) for kind in (DRAINING, GONE)]
         for order in product(commands, repeat=5):
             retirements = Retirements()
@@ -124,9 +124,12 @@
 
 
 def grant_in_all_orders() -> None:
-    """Requests of two holders for three subjects, two of them remembered; one replica restarts all the time.
+    """Apply all orders of requests of two holders for three subjects, of which two are remembered.
 
-    Raises `AssertionError` where a token falls or has two holders, or the replicas differ.
+    One replica restarts before each request.
+
+    Raises:
+        AssertionError: a token decreases or has two holders, or the replicas differ.
     """
     requests = [AcquireLease(subject=subject, holder=holder) for subject in "stu" for holder in (1, 2)]
     for log in product(requests, repeat=5):
@@ -137,12 +140,12 @@
             restarted = reloaded(restarted)
             assert restarted.apply(command) == grant, "replicas differ"
             owner = command.subject, command.holder
-            assert grant.result == ALREADY_DONE or grant.token > max(owners, default=0), "a token falls"
+            assert grant.result == ALREADY_DONE or grant.token > max(owners, default=0), "a token decreases"
             assert owners.setdefault(grant.token, owner) == owner, "a token has two holders"
 
 
 def reloaded(leases: Leases) -> Leases:
-    """The same state in a new process."""
+    """The leases after a restart from a snapshot."""
     state = ReplicatedState()
     leases.save(state)
     again = Leases(most=2)
--- a/tests/router/registry/test_registry_table.py
+++ b/tests/router/registry/test_registry_table.py
@@ -28,7 +28,7 @@
     RegistryGossip,
 )
 
-STEP = 0.25  # between two calls of expire()
+STEP = 0.25  # seconds between two calls of expire()
 
 
 def heartbeat(
@@ -51,7 +51,7 @@
 
 
 def run(table: InstanceTable, start: float, end: float) -> list[str]:
-    """Let time pass; what ended."""
+    """Call `expire` from `start` to `end`; returns the ids of the ended instances."""
     ended: list[str] = []
     now = start
     while now <= end:
@@ -227,7 +227,7 @@
         self.one.receive_heartbeat(heartbeat(sequence=1), 1.0)
         self.other.merge(self.one.gossip(3.0), 103.0)
         run(self.other, 103.0, 106.4)
-        self.other.mark_isolated(0.0)  # as though it had been in touch all the time
+        self.other.mark_isolated(0.0)  # counts as connected ever since
         self.assertEqual(states(self.other), {"a": READY})
         self.assertEqual(self.other.expire(106.45), ["a"])
 
@@ -283,7 +283,7 @@
 
     @given(st.integers(0, 10_000))
     def test_tables_converge_whatever_the_order_and_duplicates(self, seed: int) -> None:
-        """Batches of two members reach a third in any order, some twice: it ends with what they know."""
+        """A third member that gets the batches of two others in any order, some twice, has the same table."""
         random = Random(seed)
         sources = [InstanceTable(1.0, 0.0), InstanceTable(1.0, 0.0)]
         batches: list[RegistryGossip] = []
@@ -380,9 +380,8 @@
         gateway_counts.record(1, 9, 1.0)
         self.assertEqual(gateway_counts.total(4, 2.5), 18)
         gateway_counts.record(1, 9, 2.5)
-        self.assertEqual(
-            gateway_counts.total(4, 3.0), 18
-        )  # member 2 is lost, its gateways may be on their way
+        # Member 2 is lost; its gateways may be reconnecting to other members.
+        self.assertEqual(gateway_counts.total(4, 3.0), 18)
         self.assertEqual(gateway_counts.total(4, 3.01), 13)
         self.assertEqual(gateway_counts.total(4, 4.51), 4)
 
@@ -392,7 +391,7 @@
         counts.record(2, gateways, 0.0)  # its last gossip
         for step in range(int(2 * GATEWAY_COUNT_TTL_S / step_s)):
             at = step * step_s
-            moved = min(gateways, step)  # one after the other subscribes here
+            moved = min(gateways, step)  # they subscribe here one by one
             valid = gateways if at <= GATEWAY_COUNT_TTL_S else 0
             self.assertEqual(counts.total(moved, at), moved + valid)
             self.assertGreaterEqual(counts.total(moved, at), gateways)
--- a/tests/router/registry/test_registry_world.py
+++ b/tests/router/registry/test_registry_world.py
@@ -1,4 +1,4 @@
-"""The simulated world of the registry: members, gateways and instances meet while nothing fails."""
+"""The simulated world of the registry without faults: members, gateways and instances."""
 
 from __future__ import annotations
 
--- a/tests/router/registry/test_rules_instances.py
+++ b/tests/router/registry/test_rules_instances.py
@@ -1,4 +1,4 @@
-"""What instances of grown deployments do: idle connections dropped in silence, health told falsely."""
+"""Behaviour of real deployments: instances that drop idle connections silently, and wrong health reports."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 from mallowbeam.router.rpc.messages_pb2 import ENDED
 
-RESTS_S = 1.0  # longer than `EarlyIdleTimeout` holds a connection, shorter than it says
+RESTS_S = 1.0  # longer than the idle timeout of `EarlyIdleTimeout`, shorter than it announces
 
 
 class DroppedIdle(unittest.TestCase):
-    """A connection that the instance has forgotten is reset when it is used again."""
+    """The instance drops an idle connection, which is reset when the gateway reuses it."""
 
     async def ask_twice(self, target: str) -> tuple[list[int], EarlyIdleTimeout, Timed]:
         async with Bench(DEFAULT, ByName()) as bench:
@@ -46,7 +46,7 @@
 
 
 class FalseHealth(unittest.TestCase):
-    """Health checks are neither made nor believed: what requests meet counts, and what members say."""
+    """There are no health checks: only request outcomes and the state that members report count."""
 
     def test_none_is_made(self) -> None:
         async def scenario() -> None:
--- a/tests/support/feed_case.py
+++ b/tests/support/feed_case.py
@@ -1,4 +1,4 @@
-"""A gateway's end of the feed under test: frames as a member sends them, and a subscriber to receive them."""
+"""Fixtures for tests of the feed subscriber: frames as a member sends them, and a test case."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def apply(current: tuple[int, ...] | None, update: ConfigurationUpdate) -> tuple[int, ...]:
-    """A configuration is the list of the revisions that led to it."""
+    """Apply an update to a configuration, which here is the tuple of its applied revisions."""
     if update.revision == 666:
         raise MallowbeamError("does not fit")
     return (update.revision,) if update.whole else (*(current or ()), update.revision)
@@ -67,7 +67,7 @@
         return action.address
 
     def again(self, now: float) -> str:
-        """The peer ends the connection; another one is opened, where needed after the backoff."""
+        """End the connection by its peer, then connect again once the backoff is over."""
         link = self.feed._connection
         assert link is not None
         self.feed.failed(link.address, now)
--- a/tests/support/registry_player.py
+++ b/tests/support/registry_player.py
@@ -1,10 +1,10 @@
-"""The player of the scenario files of registry and feed, on the simulated world.
+"""Runs the scenario files of registry and feed in the simulated world.
 
-A file has one statement a line; what follows a # is a comment.
+A file has one statement per line; # starts a comment.
 
     members m1 m2 m3            gateways g1 g2            instances a b
     at 5 COMMAND                                          commands run in the order of the file
-    never g1|all ID STATE from 5 to 9                     holds at every tick between
+    never g1|all ID STATE from 5 to 9                     checked at every tick between these times
     end 20
 
 Commands: start ID [ADDRESS [BACKEND]], crash ID, stage ID STAGE, drain|delete ID via M [refused], late ID
@@ -30,7 +30,7 @@
 
 
 class Player:
-    """Plays one scenario; raises Broken where it does not hold, with the line."""
+    """Runs one scenario; raises Broken with the line of the first statement that does not hold."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
             raise Broken(f"{self.world.now:.2f} {what}")
 
     def demand_outcome(self, call: str, acknowledged: bool, outcome: str) -> None:
-        """Raise Broken unless a call was acknowledged, or refused where the line says so."""
+        """Raise Broken unless a call was acknowledged, or refused if `outcome` says so."""
         self.demand(acknowledged == (outcome != "refused"), f"{call}: acknowledged is {acknowledged}")
 
     def gateways(self, who: str) -> list[Gateway]:
@@ -196,7 +196,7 @@
 
 
 def play_folder(test: unittest.TestCase, name: str) -> None:
-    """Play every scenario of a folder."""
+    """Run every scenario of a folder."""
     paths = sorted((FOLDER / name).glob("*.txt"))
     test.assertTrue(paths)
     for path in paths:
--- a/tests/support/registry_processes.py
+++ b/tests/support/registry_processes.py
@@ -34,16 +34,16 @@
     from registry_world import World
 
 TICK = 0.02
-INTERVAL = 1.2  # between two heartbeats of an instance
+INTERVAL = 1.2  # seconds between two heartbeats of an instance
 STATES = {READY: "ready", DRAINS: "draining"}
 
 
 class Broken(AssertionError):
-    """A rule of the scenario that does not hold."""
+    """A statement of a scenario or an invariant of the world that does not hold."""
 
 
 class Revisions:
-    """A configuration that consists of its revision only."""
+    """A configuration that consists only of its revision."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -56,7 +56,7 @@
 
 @dataclass
 class Connection:
-    """One way of a connection; what is under way stays in order."""
+    """One direction of a connection, with its messages in flight in order."""
 
     sender: str
     recipient: str
@@ -67,7 +67,7 @@
 
 @dataclass
 class Server:
-    """An instance as its own process."""
+    """The process of an instance."""
 
     id: str
     address: str
@@ -94,11 +94,11 @@
 
 
 class Member:
-    """One control-plane member: durable log position, and soft state that a restart loses."""
+    """One control-plane member: a durable log position, and soft state that is lost on restart."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name, self.up, self.frozen = world, name, False, False
-        self.durable = 0  # log entries on its disk
+        self.durable = 0  # number of log entries on its disk
         self.links: dict[str, Connection] = {}
 
     def start(self, now: float) -> None:
@@ -191,7 +191,7 @@
             Random(world.random.random()),
             lambda current, update: update.revision,
         )
-        self.number = 0  # of its present connection
+        self.number = 0  # of its current connection; 0 if there is none
         self.dialling: tuple[str, float] | None = None
         self.connects = 0
         self.revision = 0
@@ -249,7 +249,7 @@
         return "absent" if known is None else STATES[known.state]
 
     def check(self, now: float) -> None:
-        """What holds for every gateway at all times."""
+        """Check the invariants of every gateway, which hold at all times."""
         if self.subscriber.configuration_revision < self.revision:
             raise Broken(f"{now:.2f} {self.name}: configuration went back")
         self.revision = self.subscriber.configuration_revision
--- a/tests/support/registry_walker.py
+++ b/tests/support/registry_walker.py
@@ -1,6 +1,6 @@
-"""Random schedules of the registry's world: faults, calls, then convergence.
+"""Random schedules of the simulated registry world: faults and calls, then convergence.
 
-``python tests/support/registry_walker.py FIRST COUNT`` plays seeds and prints those that fail.
+``python tests/support/registry_walker.py FIRST COUNT`` runs a range of seeds and prints those that fail.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from mallowbeam.router.rpc.messages_pb2 import DRAINING, DRAINS, GONE
 
 FAULTS_UNTIL = 30.0
-RECOVERY = 16.0  # expiry, completeness, an ejected member
+RECOVERY = 16.0  # for expiry, completeness and the end of an ejection
 
 
 class FaultInjector:
@@ -116,7 +116,7 @@
         self.world.start_server(f"n{self.started}")
 
     def reuse(self) -> None:
-        """A new instance of another service at the address of one that has just ended."""
+        """Start an instance of another service at the address of one that ends now."""
         id = self.any_server()
         if id is not None:
             self.world.servers[id].running = False
@@ -145,7 +145,7 @@
     table_type: type[InstanceTable] = InstanceTable,
     subscriber_type: type[FeedSubscriber[int]] = FeedSubscriber,
 ) -> World:
-    """One random scenario; returns the world at its end, or raises Broken."""
+    """Run one random schedule; returns the world at its end, or raises Broken."""
     random = Random(seed)
     members = [f"m{number}" for number in range(1, random.choice([1, 3, 3, 5]) + 1)]
     world = World(members, ["g1", "g2", "g3"], seed, table_type, subscriber_type)
@@ -184,7 +184,7 @@
 
 
 def main() -> None:
-    """Play the seeds of the command line."""
+    """Run the seeds given on the command line."""
     first, number = int(sys.argv[1]), int(sys.argv[2])
     failed = 0
     for seed in range(first, first + number):
--- a/tests/support/registry_world.py
+++ b/tests/support/registry_world.py
@@ -1,9 +1,9 @@
-"""The simulated world: members, gateways and instances, driven through the interfaces of the two cores only.
+"""The simulated world: members, gateways and instances, driven through the interfaces of registry and feed.
 
-The world steps in ticks of TICK seconds. A connection keeps its order: while a path is cut, what was sent
-waits and arrives after the cut, unless the connection has been ended meanwhile. The replicated log is reduced
-to its guarantee: a member that reaches a majority accepts commands, and each member applies them while it
-reaches one.
+The world advances in ticks of TICK seconds. A connection delivers in order: while its path is partitioned,
+sent messages are held back, and they arrive after the partition unless the connection has been closed. The
+replicated log is reduced to its guarantee: a member that reaches a majority accepts commands, and each member
+applies them while it reaches one.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from mallowbeam.router.registry import HeartbeatOutcome, InstanceTable
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, GONE, READY, RegistryGossip, RetireInstance
 
-LINK_TIMEOUT = 1.5  # unacknowledged bytes end a connection
-DRAIN_BOUND = 2.0  # after an acknowledgement, by which no gateway uses the instance
-CONTACT = 3.0  # seconds of contact after which the bounds must hold
+LINK_TIMEOUT = 1.5  # seconds of unacknowledged bytes after which a connection ends
+DRAIN_BOUND = 2.0  # seconds from the acknowledgement until no gateway uses the instance
+CONTACT = 3.0  # seconds without a new fault after which DRAIN_BOUND must hold
 
 
 class World:
-    """All processes, the paths between them, and the clock."""
+    """All processes, the network paths between them, and the clock."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
     ) -> None:
         self.random = Random(seed)
         self.now = 0.0
-        self.digest = 0  # of all that arrived, with its time and way
+        self.digest = 0  # of all delivered messages with their times and paths
         self.table_type, self.subscriber_type, self.election = table_type, subscriber_type, election
         self.log: list[RetireInstance | int] = []
         self.cuts: set[tuple[str, str]] = set()
@@ -59,7 +59,7 @@
         return (sender, recipient) not in self.cuts
 
     def joined(self, one: str, other: str) -> bool:
-        """Both run, and a path leads both ways."""
+        """Whether both processes run and reach each other in both directions."""
         for name in (one, other):
             member = self.members.get(name)
             if member is not None and (not member.up or member.frozen):
@@ -67,7 +67,7 @@
         return one == other or (self.path(one, other) and self.path(other, one))
 
     def flows(self, connection: Connection) -> bool:
-        """Whether bytes arrive: acknowledgements need the way back."""
+        """Whether bytes arrive, which needs both directions because of the acknowledgements."""
         return self.path(connection.sender, connection.recipient) and self.path(
             connection.recipient, connection.sender
         )
@@ -118,7 +118,7 @@
             connection.deliver(body)
 
     def record_arrival(self, connection: Connection, body: bytes) -> None:
-        """Add an arrival to the digest."""
+        """Add a delivered message to the digest."""
         way = f"{self.now} {connection.sender} {connection.recipient} ".encode()
         self.digest = crc32(way + body, self.digest)
 
@@ -191,7 +191,7 @@
         )
 
     def retire(self, id: str, kind: int, name: str) -> bool:
-        """A call that retires an instance; True if it is acknowledged."""
+        """Call a member to retire an instance; True if it is acknowledged."""
         member = self.members[name]
         server = self.servers[id]
         server.state = DRAINS
@@ -238,14 +238,14 @@
             self.check_drains(gateway)
 
     def check_drains(self, gateway: Gateway) -> None:
-        """A gateway in touch uses nothing beyond the bound after an acknowledged retirement."""
+        """Check that a connected gateway stops using a retired instance within DRAIN_BOUND."""
         for id, at in self.acknowledged.items():
             late = self.now - max(at, gateway.in_touch_since + CONTACT - DRAIN_BOUND)
             if late > DRAIN_BOUND and gateway.state(id) == "ready" and self.in_touch(gateway):
                 raise Broken(f"{self.now:.2f} {gateway.name}: {id} still ready {self.now - at:.2f} s later")
 
     def in_touch(self, gateway: Gateway) -> bool:
-        """Whether the core has a majority that runs, and the gateway reaches every running member."""
+        """Whether a majority of the members runs, and the gateway reaches every running one."""
         running = [name for name, member in self.members.items() if member.up]
         if 2 * len(running) <= len(self.members):
             return False
