--- a/mallowbeam/router/control_plane/feed_server.py
+++ b/mallowbeam/router/control_plane/feed_server.py
@@ -79,9 +79,9 @@
             self._demand.forget(subscriber)
             self._attempts.forget(subscriber)
 
-    def frames_at(self) -> float:
+    def next_frames_at(self) -> float:
         """When `send` is due at the latest, by the monotonic clock."""
-        return self._publisher.frames_at()
+        return self._publisher.next_frames_at()
 
     def send(self) -> None:
         """Send each gateway the frames that are due."""
--- a/mallowbeam/router/control_plane/instance_service.py
+++ b/mallowbeam/router/control_plane/instance_service.py
@@ -147,9 +147,9 @@
             request = RegistryGossip(wants_whole=True, gateways=self._count_gateways())
             self._links.send(peer, PeerFrame(registry=request))
 
-    def gossip_at(self) -> float:
+    def next_gossip_at(self) -> float:
         """When `send_gossip` is due, by the monotonic clock."""
-        return self._table.gossip_at()
+        return self._table.next_gossip_at()
 
     def send_gossip(self, stages: StageController, attempts: AttemptReports) -> None:
         """Send the other members what arrived here since the last time, with the gateways' reports."""
--- a/mallowbeam/router/control_plane/member_cycle.py
+++ b/mallowbeam/router/control_plane/member_cycle.py
@@ -56,7 +56,7 @@
         if due_until >= self._next_cycle_at:
             self._next_cycle_at = now + CYCLE_INTERVAL_S
             self._run_cycle()
-        if due_until >= parts.instances.gossip_at():
+        if due_until >= parts.instances.next_gossip_at():
             parts.instances.send_gossip(parts.stages, parts.attempts)
         if now >= self._flush_at():
             self.flush()
@@ -75,12 +75,12 @@
 
     def _flush_at(self) -> float:
         """When feeds are due, by the monotonic clock."""
-        heartbeat_at = self._parts.feeds.frames_at()
+        heartbeat_at = self._parts.feeds.next_frames_at()
         return min(heartbeat_at, self._flushed_at + FLUSH_INTERVAL_S) if self._flush_pending else heartbeat_at
 
     def _set_timer(self, now: float) -> None:
         """Set the timer for what is due first; an earlier timer stays and is set again when it fires."""
-        due = min(self._next_cycle_at, self._parts.instances.gossip_at(), self._flush_at())
+        due = min(self._next_cycle_at, self._parts.instances.next_gossip_at(), self._flush_at())
         if self._timer_at <= due:
             return
         if self._timer is not None:
--- a/mallowbeam/router/feed/candidates.py
+++ b/mallowbeam/router/feed/candidates.py
@@ -114,11 +114,11 @@
             return max(reachable, key=self._freshness)
         return min(ready, key=lambda address: self._known[address].backoff_until)
 
-    def next_ready(self) -> float:
+    def first_backoff_end(self) -> float:
         """When the first backoff ends."""
         return min((candidate.backoff_until for candidate in self._known.values()), default=math.inf)
 
-    def has_better_than(self, address: str, now: float) -> bool:
+    def has_alternative(self, address: str, now: float) -> bool:
         """Whether another member should be tried instead of `address`, which is ejected."""
         own = self.get(address).current_at
         for other, candidate in self._known.items():
--- a/mallowbeam/router/feed/gateway_count_window.py
+++ b/mallowbeam/router/feed/gateway_count_window.py
@@ -4,11 +4,11 @@
 
 from collections import deque
 
-from mallowbeam.router.feed.limits import GATEWAYS_WINDOW_S
+from mallowbeam.router.feed.limits import GATEWAY_COUNT_WINDOW_S
 
 
 class GatewayCountWindow:
-    """The latest count, and the maximum within GATEWAYS_WINDOW_S. Times are in seconds."""
+    """The latest count, and the maximum within GATEWAY_COUNT_WINDOW_S. Times are in seconds."""
 
     def __init__(self) -> None:
         """Start with a count of 0."""
@@ -24,6 +24,6 @@
 
     def maximum(self, now: float) -> int:
         """The maximum within the window; the latest count if that is older than the window."""
-        while len(self._counts) > 1 and now - self._counts[0][0] > GATEWAYS_WINDOW_S:
+        while len(self._counts) > 1 and now - self._counts[0][0] > GATEWAY_COUNT_WINDOW_S:
             self._counts.popleft()
         return max(self.latest, self._counts[0][1] if self._counts else 0)
--- a/mallowbeam/router/feed/limits.py
+++ b/mallowbeam/router/feed/limits.py
@@ -20,5 +20,5 @@
 EJECTION_MAX_S = 60.0
 MAX_CLOCK_DRIFT = 0.15  # fraction by which the rates of two machines' monotonic clocks may differ
 READY_WITHOUT_COMPLETE_S = 3.0  # after the first frame, when an incomplete table is accepted
-GATEWAYS_WINDOW_S = 20.0  # over which the maximum number of gateways is kept
+GATEWAY_COUNT_WINDOW_S = 20.0  # over which the maximum number of gateways is kept
 MAX_MEMBERS = 1_024  # addresses accepted from one heartbeat
--- a/mallowbeam/router/feed/publisher.py
+++ b/mallowbeam/router/feed/publisher.py
@@ -108,7 +108,7 @@
         """Remove a gateway whose connection has ended."""
         self._cursors.pop(subscriber, None)
 
-    def frames_at(self) -> float:
+    def next_frames_at(self) -> float:
         """The latest time for the next call of `frames()`."""
         return self._heartbeat_at
 
--- a/mallowbeam/router/feed/subscriber.py
+++ b/mallowbeam/router/feed/subscriber.py
@@ -133,7 +133,7 @@
         return self._gateway_counts.latest
 
     def gateways_bound(self, now: float) -> int:
-        """The maximum number of gateways received within GATEWAYS_WINDOW_S, or the last one."""
+        """The maximum number of gateways received within GATEWAY_COUNT_WINDOW_S, or the last one."""
         return self._gateway_counts.maximum(now)
 
     def ready(self, now: float) -> bool:
@@ -189,7 +189,7 @@
     def _may_leave(self, connection: _Connection, now: float) -> bool:
         """Whether to leave an unhealthy member: it had time to recover, and another may be better."""
         dwelled = connection.received_at - connection.since >= MIN_DWELL_S
-        return dwelled and self._candidates.has_better_than(connection.address, now)
+        return dwelled and self._candidates.has_alternative(connection.address, now)
 
     def connected(self, address: str, now: float) -> None:
         """The connection is open; the host has sent `hello()`."""
@@ -210,7 +210,7 @@
         """Try the next member, or wait for the first backoff to end."""
         address = self._candidates.choose(now)
         if address is None:
-            return Wait(self._candidates.next_ready())
+            return Wait(self._candidates.first_backoff_end())
         self._connection = _Connection(address, now)
         return Connect(address)
 
--- a/mallowbeam/router/registry/completeness.py
+++ b/mallowbeam/router/registry/completeness.py
@@ -38,16 +38,16 @@
         self.connected_since = now
         self._complete_at = now + self._complete_after_s
 
-    def details_lost(self, now: float) -> None:
+    def record_lost_details(self, now: float) -> None:
         """Record that a batch of gossip may have been lost."""
         self._details_missing = True
         self._lost_at = now
 
-    def details_unknown(self) -> None:
+    def record_unknown_details(self) -> None:
         """Record that another member knows an instance whose details are unknown here."""
         self._details_missing = True
 
-    def merged_full_table(self, now: float) -> None:
+    def record_full_merge(self, now: float) -> None:
         """Record that another member's complete table has been merged.
 
         It supplies lost details only if the last request was LOSS_PROPAGATION_S or more after the last loss.
--- a/mallowbeam/router/registry/leases.py
+++ b/mallowbeam/router/registry/leases.py
@@ -37,10 +37,10 @@
 class Leases:
     """The holder and fencing token of each subject, bounded; the oldest grant is dropped first."""
 
-    def __init__(self, most: int = MAX_LEASES) -> None:
-        """Remember at most `most` subjects."""
+    def __init__(self, max_subjects: int = MAX_LEASES) -> None:
+        """Remember at most `max_subjects` subjects."""
         self._leases: dict[str, Lease] = {}  # by subject, oldest grant first
-        self._most = most
+        self._most = max_subjects
 
     def get(self, subject: str) -> Lease | None:
         """A copy of the lease on `subject`; None if it was never granted or has been dropped."""
--- a/mallowbeam/router/registry/parse.py
+++ b/mallowbeam/router/registry/parse.py
@@ -22,8 +22,8 @@
 )
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, READY, Instance, InstanceState, Model
 
-ID_FORM = re.compile(r"[!-~]+")  # visible ASCII
-ADDRESS_FORM = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})", re.ASCII)
+ID_PATTERN = re.compile(r"[!-~]+")  # visible ASCII
+ADDRESS_PATTERN = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})", re.ASCII)
 MAX_PORT = 65_535
 MAX_OCTET = 255
 
@@ -58,7 +58,7 @@
 
 def check_id(id: str) -> None:
     """Raise `HeartbeatError` if `id` can't be an instance's id."""
-    if not 0 < len(id) <= MAX_ID_LENGTH or not ID_FORM.fullmatch(id) or "/" in id:
+    if not 0 < len(id) <= MAX_ID_LENGTH or not ID_PATTERN.fullmatch(id) or "/" in id:
         raise HeartbeatError(HeartbeatError.BAD_ID, "not a valid instance id", "id")
 
 
@@ -122,7 +122,7 @@
 def _address(fields: dict[str, Any]) -> str:
     """The address of the instance, IPv4:PORT."""
     value = fields.get("address")
-    match = ADDRESS_FORM.fullmatch(value) if isinstance(value, str) else None
+    match = ADDRESS_PATTERN.fullmatch(value) if isinstance(value, str) else None
     if match is None:
         raise _field_error("address", "not IP:PORT")
     *octets, port = (int(digits) for digits in match.groups())
--- a/mallowbeam/router/registry/retirements.py
+++ b/mallowbeam/router/registry/retirements.py
@@ -21,10 +21,10 @@
 class Retirements:
     """Retired ids with the kind of their retirement, bounded; the oldest are dropped first."""
 
-    def __init__(self, most: int = MAX_RETIRED) -> None:
-        """Remember at most `most` ids."""
+    def __init__(self, max_ids: int = MAX_RETIRED) -> None:
+        """Remember at most `max_ids` ids."""
         self._kinds: dict[str, RetirementKind] = {}  # oldest first
-        self._most = most
+        self._most = max_ids
 
     def __len__(self) -> int:
         """The number of ids remembered."""
--- a/mallowbeam/router/registry/stage_transitions.py
+++ b/mallowbeam/router/registry/stage_transitions.py
@@ -41,7 +41,7 @@
         known = self._transitions.get(id)
         return known.stage if known is not None else ""
 
-    def stage_reported(self, id: str, stage: str) -> None:
+    def record_reported_stage(self, id: str, stage: str) -> None:
         """End the transition if the instance reports the awaited stage."""
         if self.target(id) == stage:
             self._transitions.pop(id, None)
--- a/mallowbeam/router/registry/table.py
+++ b/mallowbeam/router/registry/table.py
@@ -65,10 +65,10 @@
         heartbeat_interval_s: float,
         started_at: float,
         expire_intervals: float = EXPIRE_INTERVALS,
-        most: int = MAX_INSTANCES,
+        max_instances: int = MAX_INSTANCES,
     ) -> None:
-        """Start an empty table of at most `most` instances, each expiring after `expire_intervals`."""
-        self._most = most
+        """Start an empty table of up to `max_instances` instances, which expire after `expire_intervals`."""
+        self._most = max_instances
         self._expire_after_s = heartbeat_interval_s * expire_intervals
         self._records: dict[str, InstanceRecord] = {}
         self._by_address: dict[str, str] = {}  # address to the id that owns it
@@ -152,12 +152,12 @@
         for switch in gossip.switches:
             self.begin_stage_transition(switch.id, switch.stage, now + switch.left_ms / 1000)
         if gossip.whole:
-            self._completeness.merged_full_table(now)
+            self._completeness.record_full_merge(now)
         return self._changes.version != before
 
     def link_lost(self, now: float) -> None:
         """Record that a link to another member ended or rejected a batch, so that details may be missing."""
-        self._completeness.details_lost(now)
+        self._completeness.record_lost_details(now)
 
     def mark_isolated(self, now: float) -> None:
         """Record that this member can't reach enough of the others: nothing expires, the table is incomplete.
@@ -231,7 +231,7 @@
 
     # ------------------------------------------------------------ output to the other members
 
-    def gossip_at(self) -> float:
+    def next_gossip_at(self) -> float:
         """When the next batch is due."""
         return self._gossip_sent_at + (URGENT_INTERVAL_S if self.urgent else GOSSIP_INTERVAL_S)
 
@@ -302,7 +302,7 @@
         record = self._records.get(seen.id)
         if record is None or record.sequence == NO_HEARTBEAT:
             if self._retired.kind(seen.id) != GONE:
-                self._completeness.details_unknown()
+                self._completeness.record_unknown_details()
         elif seen.sequence > record.sequence and self._renew(record, seen.sequence, now - seen.age_ms / 1000):
             self._changes.record(seen.id)
 
@@ -318,7 +318,7 @@
             changed |= self._renew(record, instance.sequence, heartbeat_at)
         still_ended = ended and record.ended_at is not None
         instance.state = previous.state if still_ended else self._live_state(instance.id)
-        self._transitions.stage_reported(instance.id, instance.stage)
+        self._transitions.record_reported_stage(instance.id, instance.stage)
         instance.switching_to = self._transitions.target(instance.id)
         changed |= not same_for_gateways(previous, instance)
         if previous.address != instance.address:
--- a/tests/router/feed/test_feed_publisher.py
+++ b/tests/router/feed/test_feed_publisher.py
@@ -106,7 +106,7 @@
         self.frames(LATE + 0.01)
         self.beat("a", 2)  # a renewal is no change
         self.assertEqual(self.frames(LATE + 0.02), [])
-        self.assertEqual(self.publisher.frames_at(), LATE + HEARTBEAT_INTERVAL_S)
+        self.assertEqual(self.publisher.next_frames_at(), LATE + HEARTBEAT_INTERVAL_S)
         (batch,) = self.frames(LATE + HEARTBEAT_INTERVAL_S)
         self.assertEqual(batch.frame.ListFields()[0][0].name, "heartbeat")
         self.assertEqual(list(batch.frame.heartbeat.members), [])
--- a/tests/router/feed/test_feed_subscriber_tables.py
+++ b/tests/router/feed/test_feed_subscriber_tables.py
@@ -13,7 +13,7 @@
 from mallowbeam.router.feed.candidates import Candidates
 from mallowbeam.router.feed.limits import (
     EJECTION_MIN_S,
-    GATEWAYS_WINDOW_S,
+    GATEWAY_COUNT_WINDOW_S,
 )
 from mallowbeam.router.registry.limits import RETIRED_SEQUENCE
 from mallowbeam.router.rpc.messages_pb2 import (
@@ -123,7 +123,7 @@
         for now, count in ((0.1, 30), (0.2, 40), (0.3, 25), (0.4, 28)):
             self.feed.received(frame(gateways=count), now)
         self.assertEqual((self.feed.gateways, self.feed.gateways_bound(0.5)), (28, 40))
-        self.assertEqual(self.feed.gateways_bound(0.3 + GATEWAYS_WINDOW_S), 28)
+        self.assertEqual(self.feed.gateways_bound(0.3 + GATEWAY_COUNT_WINDOW_S), 28)
         self.assertEqual(self.feed.gateways_bound(1_000.0), 28)
 
     def test_a_member_out_of_touch_only_raises_the_count(self) -> None:
--- a/tests/router/registry/test_registry_replicated.py
+++ b/tests/router/registry/test_registry_replicated.py
@@ -36,7 +36,7 @@
         self.assertIsNone(retirements.kind("b"))
 
     def test_the_oldest_is_dropped_first(self) -> None:
-        retirements = Retirements(most=2)
+        retirements = Retirements(max_ids=2)
         for id in ("a", "b"):
             retirements.apply(RetireInstance(id=id, kind=DRAINING))
         retirements.apply(RetireInstance(id="a", kind=GONE))
@@ -45,7 +45,7 @@
 
     @given(st.lists(RETIRE, max_size=30), st.integers(0, 30))
     def test_a_snapshot_anywhere_changes_nothing(self, log: list[RetireInstance], cut: int) -> None:
-        whole, restored = Retirements(most=4), Retirements(most=4)
+        whole, restored = Retirements(max_ids=4), Retirements(max_ids=4)
         for command in log[:cut]:
             whole.apply(command)
         state = ReplicatedState()
@@ -74,12 +74,12 @@
 
     @given(st.lists(ACQUIRE, max_size=40), st.integers(0, 40))
     def test_tokens_rise_over_snapshots_and_dropped_subjects(self, log: list[AcquireLease], cut: int) -> None:
-        leases, last = Leases(most=2), 0
+        leases, last = Leases(max_subjects=2), 0
         for place, command in enumerate(log):
             if place == cut:
                 state = ReplicatedState()
                 leases.save(state)
-                leases = Leases(most=2)
+                leases = Leases(max_subjects=2)
                 leases.restore(ReplicatedState.FromString(state.SerializeToString()))
             grant = leases.apply(command)
             if grant.result == DONE:
@@ -92,7 +92,7 @@
 
     def test_a_repeated_request_keeps_its_token(self) -> None:
         """A holder that repeats its request, because the response was lost, gets the same token."""
-        leases = Leases(most=2)
+        leases = Leases(max_subjects=2)
         first = leases.apply(AcquireLease(subject="s", holder=1))
         leases = reloaded(leases)
         self.assertEqual(leases.apply(AcquireLease(subject="s", holder=1)), (ALREADY_DONE, first.token))
@@ -133,7 +133,7 @@
     """
     requests = [AcquireLease(subject=subject, holder=holder) for subject in "stu" for holder in (1, 2)]
     for log in product(requests, repeat=5):
-        steady, restarted = Leases(most=2), Leases(most=2)
+        steady, restarted = Leases(max_subjects=2), Leases(max_subjects=2)
         owners: dict[int, tuple[str, int]] = {}
         for command in log:
             grant = steady.apply(command)
@@ -148,7 +148,7 @@
     """The leases after a restart from a snapshot."""
     state = ReplicatedState()
     leases.save(state)
-    again = Leases(most=2)
+    again = Leases(max_subjects=2)
     again.restore(ReplicatedState.FromString(state.SerializeToString()))
     return again
 
--- a/tests/router/registry/test_registry_table.py
+++ b/tests/router/registry/test_registry_table.py
@@ -151,7 +151,7 @@
         self.assertEqual(run(self.table, 12.5, 13.0), ["a"])
 
     def test_a_full_table_rejects_new_instances(self) -> None:
-        table = InstanceTable(1.0, 0.0, most=2)
+        table = InstanceTable(1.0, 0.0, max_instances=2)
         for id in "ab":
             table.receive_heartbeat(heartbeat(id), 0.1)
         self.assertEqual(table.receive_heartbeat(heartbeat("c"), 0.2), HeartbeatOutcome.FULL)
@@ -212,11 +212,11 @@
     def test_a_new_instance_is_urgent_a_renewal_is_not(self) -> None:
         self.one.receive_heartbeat(heartbeat(sequence=1), 0.1)
         self.assertTrue(self.one.urgent)
-        self.assertEqual(self.one.gossip_at(), URGENT_INTERVAL_S)
+        self.assertEqual(self.one.next_gossip_at(), URGENT_INTERVAL_S)
         self.assertTrue(self.other.merge(self.one.gossip(0.1, gateways=3), 0.15))
         self.one.receive_heartbeat(heartbeat(sequence=2), 1.1)
         self.assertFalse(self.one.urgent)
-        self.assertEqual(self.one.gossip_at(), 0.1 + GOSSIP_INTERVAL_S)
+        self.assertEqual(self.one.next_gossip_at(), 0.1 + GOSSIP_INTERVAL_S)
         batch = self.one.gossip(1.2)
         self.assertEqual(([seen.sequence for seen in batch.seen], len(batch.changed)), ([2], 0))
         self.assertFalse(self.other.merge(batch, 1.25))
--- a/tests/support/registry_processes.py
+++ b/tests/support/registry_processes.py
@@ -142,7 +142,7 @@
 
     def gossip(self, now: float) -> None:
         missing = any(not self.world.joined(self.name, name) for name in self.world.members)
-        if now >= self.table.gossip_at():
+        if now >= self.table.next_gossip_at():
             batch = self.table.gossip(now, len(self.publisher))
             for name in self.world.members:
                 if name != self.name:
