--- a/mallowbeam/router/feed/candidates.py
+++ b/mallowbeam/router/feed/candidates.py
@@ -43,17 +43,17 @@
         self._members: tuple[str, ...] = ()
         self._random = random
         self.ejections_grow = True  # False while the gateway is not ready and needs any current member
-        self._known: dict[str, Candidate] = {address: Candidate() for address in self._seeds}
+        self._by_address: dict[str, Candidate] = {address: Candidate() for address in self._seeds}
 
     def update_members(self, members: Iterable[str]) -> None:
         """Replace the membership; members that remain keep their records."""
         self._members = tuple(dict.fromkeys(members))[:MAX_MEMBERS]
         addresses = dict.fromkeys(self._members + self._seeds)
-        self._known = {address: self._known.get(address, Candidate()) for address in addresses}
+        self._by_address = {address: self._by_address.get(address, Candidate()) for address in addresses}
 
     def get(self, address: str) -> Candidate:
         """The record of one member; a new, unattached one if it is unknown."""
-        candidate = self._known.get(address)
+        candidate = self._by_address.get(address)
         return candidate if candidate is not None else Candidate()
 
     def record_failure(self, address: str, now: float) -> None:
@@ -66,7 +66,7 @@
 
     def record_frame(self, address: str, current_at: float) -> None:
         """Record that a member sends frames, and when its state was current."""
-        if all(known.failures for known in self._known.values()):
+        if all(known.failures for known in self._by_address.values()):
             self.readmit_others(address)  # no member was reachable: the gateway's own network had failed
         candidate = self.get(address)
         candidate.failures = 0
@@ -91,7 +91,7 @@
 
     def readmit_others(self, address: str) -> None:
         """Readmit all members except `address`, which is no longer current: their ejections are outdated."""
-        for other, candidate in self._known.items():
+        for other, candidate in self._by_address.items():
             if other != address:
                 candidate.ejected_until = 0.0
 
@@ -102,32 +102,34 @@
         all are ejected, the one with the freshest state among those that were reachable; then the one whose
         backoff ended first.
         """
-        ready = [address for address, candidate in self._known.items() if candidate.backoff_until <= now]
-        eligible = [address for address in ready if self._known[address].eligible(now)]
+        not_in_backoff = [
+            address for address, candidate in self._by_address.items() if candidate.backoff_until <= now
+        ]
+        eligible = [address for address in not_in_backoff if self._by_address[address].eligible(now)]
         members = [address for address in eligible if address in self._members]
         if eligible:
             return self._random.choice(members or eligible)
-        if not ready:
+        if not not_in_backoff:
             return None
-        reachable = [address for address in ready if not self._known[address].failures]
+        reachable = [address for address in not_in_backoff if not self._by_address[address].failures]
         if reachable:
             return max(reachable, key=self._freshness)
-        return min(ready, key=lambda address: self._known[address].backoff_until)
+        return min(not_in_backoff, key=lambda address: self._by_address[address].backoff_until)
 
     def first_backoff_end(self) -> float:
         """When the first backoff ends."""
-        return min((candidate.backoff_until for candidate in self._known.values()), default=math.inf)
+        return min((candidate.backoff_until for candidate in self._by_address.values()), default=math.inf)
 
     def has_alternative(self, address: str, now: float) -> bool:
         """Whether another member should be tried instead of `address`, which is ejected."""
-        own = self.get(address).current_at
-        for other, candidate in self._known.items():
+        own_current_at = self.get(address).current_at
+        for other, candidate in self._by_address.items():
             if other == address or candidate.backoff_until > now:
                 continue
-            if candidate.eligible(now) or (not candidate.failures and candidate.current_at > own):
+            if candidate.eligible(now) or (not candidate.failures and candidate.current_at > own_current_at):
                 return True
         return False
 
     def _freshness(self, address: str) -> tuple[float, float]:
         """Sort key of ejected members: when their state was last current, then random."""
-        return self._known[address].current_at, self._random.random()
+        return self._by_address[address].current_at, self._random.random()
--- a/mallowbeam/router/feed/instance_replica.py
+++ b/mallowbeam/router/feed/instance_replica.py
@@ -31,18 +31,18 @@
         """Start empty."""
         self.instances: dict[str, Instance] = {}
         self._draining: dict[str, None] = {}  # oldest first, bounded
-        self._ended_at: dict[str, int] = {}  # id to the sequence at its end; oldest first, bounded
+        self._end_sequences: dict[str, int] = {}  # id to the sequence at its end; oldest first, bounded
 
     def apply(self, update: InstancesUpdate, replaces: bool) -> InstanceChanges:
         """Apply an update. If it `replaces` the table, instances missing from it have ended."""
         changed: list[Instance] = []
         ended: list[str] = []
-        newest = replaces or not update.whole  # the update overrides even a higher sequence
+        authoritative = replaces or not update.whole  # the update overrides even a higher sequence
         for instance in update.instances:
             if instance.state == ENDED:
-                self._apply_end(instance, ended, newest)
+                self._apply_end(instance, ended, authoritative)
             else:
-                self._apply_live(instance, changed, newest)
+                self._apply_live(instance, changed, authoritative)
         if replaces:
             named = {instance.id for instance in update.instances}
             for id in [id for id in self.instances if id not in named]:
@@ -50,29 +50,31 @@
                 ended.append(id)
         return InstanceChanges(tuple(changed), tuple(ended))
 
-    def _apply_end(self, instance: Instance, ended: list[str], newest: bool) -> None:
+    def _apply_end(self, instance: Instance, ended: list[str], authoritative: bool) -> None:
         """Remove an instance, unless the end comes from an incomplete table and is older than the replica."""
         known = self.instances.get(instance.id)
         known_sequence = known.sequence if known is not None else 0
-        if known_sequence > instance.sequence and not newest:
+        if known_sequence > instance.sequence and not authoritative:
             return
-        last = max(instance.sequence, known_sequence, self._ended_at.pop(instance.id, 0))
-        _remember(self._ended_at, instance.id, last)
-        if last == RETIRED_SEQUENCE:
+        last_sequence = max(instance.sequence, known_sequence, self._end_sequences.pop(instance.id, 0))
+        _insert_bounded(self._end_sequences, instance.id, last_sequence)
+        if last_sequence == RETIRED_SEQUENCE:
             self._draining.pop(instance.id, None)
         if known is not None:
             del self.instances[instance.id]
             ended.append(instance.id)
 
-    def _apply_live(self, instance: Instance, changed: list[Instance], newest: bool) -> None:
+    def _apply_live(self, instance: Instance, changed: list[Instance], authoritative: bool) -> None:
         """Add or replace an instance that has not ended."""
-        ended_at = self._ended_at.get(instance.id)
-        if ended_at is not None and instance.sequence <= ended_at:
+        end_sequence = self._end_sequences.get(instance.id)
+        if end_sequence is not None and instance.sequence <= end_sequence:
             return
         known = self.instances.get(instance.id)
         if instance.state == DRAINS:
-            _remember(self._draining, instance.id, None)
-        if not instance.address or (known is not None and not newest and instance.sequence < known.sequence):
+            _insert_bounded(self._draining, instance.id, None)
+        if not instance.address or (
+            known is not None and not authoritative and instance.sequence < known.sequence
+        ):
             if known is None:  # only known to be draining
                 return
             instance = known
@@ -81,14 +83,14 @@
         if instance.id in self._draining:
             owned.state = DRAINS
         self.instances[owned.id] = owned
-        self._ended_at.pop(owned.id, None)
+        self._end_sequences.pop(owned.id, None)
         if known is None or not same_for_gateways(known, owned):
             changed.append(owned)
 
 
-def _remember(memory: dict[str, Value], id: str, value: Value) -> None:
+def _insert_bounded(entries: dict[str, Value], id: str, value: Value) -> None:
     """Insert an entry as the newest and drop the oldest beyond MAX_RETIRED."""
-    memory.pop(id, None)
-    memory[id] = value
-    if len(memory) > MAX_RETIRED:
-        del memory[next(iter(memory))]
+    entries.pop(id, None)
+    entries[id] = value
+    if len(entries) > MAX_RETIRED:
+        del entries[next(iter(entries))]
--- a/mallowbeam/router/feed/publisher.py
+++ b/mallowbeam/router/feed/publisher.py
@@ -92,7 +92,7 @@
         self._attempts = attempts
         self._attempts_due = False  # with the next heartbeat
         self._cursors: dict[int, _Cursor] = {}
-        self._heartbeat_at = 0.0
+        self._next_heartbeat_at = 0.0
         self._members: tuple[str, ...] = ()
         self._members_version = 0  # increases with each change of the membership
 
@@ -110,43 +110,43 @@
 
     def next_frames_at(self) -> float:
         """The latest time for the next call of `frames()`."""
-        return self._heartbeat_at
+        return self._next_heartbeat_at
 
     def frames(self, now: float, status: MemberStatus, busy: Collection[int] = ()) -> list[FeedBatch]:
         """The frames to send now: changes and first frames at once, otherwise a heartbeat when it is due.
 
         Subscribers in `busy` read too slowly: they get nothing now, and all changes in one frame later.
         """
-        heartbeat_due = now >= self._heartbeat_at
+        heartbeat_due = now >= self._next_heartbeat_at
         attempts = self._begin_heartbeat(now) if heartbeat_due else None
         if status.members != self._members:
             self._members = status.members
             self._members_version += 1
-        stamp_ms = int(now * 1000)
+        now_ms = int(now * 1000)
         complete = self._table.is_complete(now)
         batches: list[FeedBatch] = []
-        for cursor, subscribers in self._by_cursor(busy).items():
-            after = self._after(cursor, complete, status.allowance)
-            if after == cursor and not heartbeat_due:
+        for cursor, subscribers in self._group_by_cursor(busy).items():
+            next_cursor = self._next_cursor(cursor, complete, status.allowance)
+            if next_cursor == cursor and not heartbeat_due:
                 continue
-            frame = self._frame(cursor, after, complete, status)
-            frame.heartbeat.sent_at_ms = stamp_ms
+            frame = self._build_frame(cursor, next_cursor, complete, status)
+            frame.heartbeat.sent_at_ms = now_ms
             if attempts is not None:
                 frame.attempts.extend(attempts)
             if frame.instances.whole:
-                after = after._replace(complete=complete)
+                next_cursor = next_cursor._replace(complete=complete)
             batches.append(FeedBatch(frame, encode_frame(frame), tuple(subscribers)))
             for subscriber in subscribers:
-                self._cursors[subscriber] = after
+                self._cursors[subscriber] = next_cursor
         return batches
 
     def _begin_heartbeat(self, now: float) -> Sequence[InstanceAttempts] | None:
         """Schedule the next heartbeat; returns the outcomes of attempts that go with this one, if any."""
-        self._heartbeat_at = now + HEARTBEAT_INTERVAL_S
+        self._next_heartbeat_at = now + HEARTBEAT_INTERVAL_S
         self._attempts_due = not self._attempts_due
         return self._attempts(now) if self._attempts_due and self._attempts is not None else None
 
-    def _by_cursor(self, busy: Collection[int]) -> dict[_Cursor, list[int]]:
+    def _group_by_cursor(self, busy: Collection[int]) -> dict[_Cursor, list[int]]:
         """Group the subscribers that are not busy by their cursor."""
         groups: dict[_Cursor, list[int]] = {}
         for subscriber, cursor in self._cursors.items():
@@ -154,32 +154,34 @@
                 groups.setdefault(cursor, []).append(subscriber)
         return groups
 
-    def _after(self, cursor: _Cursor, complete: bool, allowance: FeedAllowance) -> _Cursor:
+    def _next_cursor(self, cursor: _Cursor, complete: bool, allowance: FeedAllowance) -> _Cursor:
         """The cursor of a subscriber after a frame with everything that may be published now."""
-        after = cursor._replace(members=self._members_version)
+        next_cursor = cursor._replace(members=self._members_version)
         if allowance.configuration:
-            after = after._replace(revision=max(cursor.revision, self._configuration.revision))
+            next_cursor = next_cursor._replace(revision=max(cursor.revision, self._configuration.revision))
         if allowance.table:
-            after = after._replace(complete=cursor.complete or complete)
+            next_cursor = next_cursor._replace(complete=cursor.complete or complete)
         if allowance.table if cursor.version == NO_TABLE else allowance.instance_changes:
-            after = after._replace(version=self._table.version)
-        return after
+            next_cursor = next_cursor._replace(version=self._table.version)
+        return next_cursor
 
-    def _frame(self, cursor: _Cursor, after: _Cursor, complete: bool, status: MemberStatus) -> FeedFrame:
+    def _build_frame(
+        self, cursor: _Cursor, next_cursor: _Cursor, complete: bool, status: MemberStatus
+    ) -> FeedFrame:
         """The frame that advances a subscriber from one cursor to the other."""
         frame = FeedFrame()
         frame.heartbeat.leader_silence_ms = status.leader_silence_ms
         frame.heartbeat.gateways = status.gateways
         frame.heartbeat.table_complete = complete
-        if cursor.members != after.members:
+        if cursor.members != next_cursor.members:
             frame.heartbeat.members.extend(status.members)
-        if cursor.revision != after.revision:
+        if cursor.revision != next_cursor.revision:
             update = self._configuration.update_since(cursor.revision)
             if update is not None:
                 frame.configuration.CopyFrom(update)
-        newly_complete = after.complete and not cursor.complete
-        if newly_complete or cursor.version == NO_TABLE != after.version:
+        newly_complete = next_cursor.complete and not cursor.complete
+        if newly_complete or cursor.version == NO_TABLE != next_cursor.version:
             frame.instances.CopyFrom(self._table.changes_since(NO_TABLE))
-        elif cursor.version != after.version:
+        elif cursor.version != next_cursor.version:
             frame.instances.CopyFrom(self._table.changes_since(cursor.version))
         return frame
--- a/mallowbeam/router/feed/subscriber.py
+++ b/mallowbeam/router/feed/subscriber.py
@@ -182,11 +182,11 @@
             self._candidates.record_failure(connection.address, now)
             return self._leave(connection)
         unhealthy = connection.isolated or connection.behind
-        if connection.inconsistent or (unhealthy and self._may_leave(connection, now)):
+        if connection.inconsistent or (unhealthy and self._should_leave(connection, now)):
             return self._leave(connection)
         return Wait(connection.received_at + FRAME_TIMEOUT_S)
 
-    def _may_leave(self, connection: _Connection, now: float) -> bool:
+    def _should_leave(self, connection: _Connection, now: float) -> bool:
         """Whether to leave an unhealthy member: it had time to recover, and another may be better."""
         dwelled = connection.received_at - connection.since >= MIN_DWELL_S
         return dwelled and self._candidates.has_alternative(connection.address, now)
@@ -278,17 +278,17 @@
                 self._candidates.eject(connection.address, now)
             return None
         if not update.whole and update.based_on != self.configuration_revision:
-            self._reject_changes(connection, now)
+            self._mark_inconsistent(connection, now)
             return None
         try:
             self.configuration = self._apply_update(self.configuration, update)
         except MallowbeamError:
-            self._reject_changes(connection, now)
+            self._mark_inconsistent(connection, now)
             return None
         self.configuration_revision = update.revision
         return self.configuration
 
-    def _reject_changes(self, connection: _Connection, now: float) -> None:
+    def _mark_inconsistent(self, connection: _Connection, now: float) -> None:
         """Mark a member for leaving whose changes don't fit this gateway's state."""
         connection.inconsistent = True
         self._candidates.record_failure(connection.address, now)
--- a/mallowbeam/router/registry/changes.py
+++ b/mallowbeam/router/registry/changes.py
@@ -27,8 +27,8 @@
         if version < self._forgotten or version > self.version:
             return None
         ids: list[str] = []
-        for id, changed in reversed(self._last.items()):
-            if changed <= version:
+        for id, last_change in reversed(self._last.items()):
+            if last_change <= version:
                 break
             ids.append(id)
         ids.reverse()
--- a/mallowbeam/router/registry/completeness.py
+++ b/mallowbeam/router/registry/completeness.py
@@ -63,8 +63,8 @@
         interval_s = FULL_REQUEST_INTERVAL_S
         if links_missing:
             interval_s = max(interval_s, self._interval_s)
-        wanted = self._details_missing or not self.is_complete(now)
-        if not wanted or now - self._requested_at < interval_s:
+        needed = self._details_missing or not self.is_complete(now)
+        if not needed or now - self._requested_at < interval_s:
             return False
         self._requested_at = now
         return True
--- a/mallowbeam/router/registry/leases.py
+++ b/mallowbeam/router/registry/leases.py
@@ -40,7 +40,7 @@
     def __init__(self, max_subjects: int = MAX_LEASES) -> None:
         """Remember at most `max_subjects` subjects."""
         self._leases: dict[str, Lease] = {}  # by subject, oldest grant first
-        self._most = max_subjects
+        self._max_subjects = max_subjects
 
     def get(self, subject: str) -> Lease | None:
         """A copy of the lease on `subject`; None if it was never granted or has been dropped."""
@@ -57,7 +57,7 @@
         token = self._last_token() + 1
         self._leases.pop(command.subject, None)
         self._leases[command.subject] = Lease(subject=command.subject, holder=command.holder, token=token)
-        if len(self._leases) > self._most:
+        if len(self._leases) > self._max_subjects:
             del self._leases[next(iter(self._leases))]
         return LeaseGrant(DONE, token)
 
@@ -68,7 +68,7 @@
 
     def restore(self, state: ReplicatedState) -> None:
         """Replace the leases with those of a snapshot."""
-        newest = list(state.leases)[-self._most :]
+        newest = list(state.leases)[-self._max_subjects :]
         self._leases = {lease.subject: _duplicate(lease) for lease in newest}
 
     def _last_token(self) -> int:
--- a/mallowbeam/router/registry/parse.py
+++ b/mallowbeam/router/registry/parse.py
@@ -27,8 +27,8 @@
 MAX_PORT = 65_535
 MAX_OCTET = 255
 
-SLOTS = range(1, MAX_SLOTS + 1)
-SEQUENCES = range(MAX_SEQUENCE + 1)
+SLOT_RANGE = range(1, MAX_SLOTS + 1)
+SEQUENCE_RANGE = range(MAX_SEQUENCE + 1)
 
 _STATES: dict[str, InstanceState] = {"ready": READY, "draining": DRAINS}
 
@@ -43,16 +43,16 @@
     fields = _read_object(body)
     return Instance(
         id=id,
-        backend=_text(fields, "backend", required=True),
+        backend=_string(fields, "backend", required=True),
         address=_address(fields),
-        zone=_text(fields, "zone"),
-        revision=_text(fields, "revision"),
-        slots=_integer(fields, "slots", SLOTS, default=1),
+        zone=_string(fields, "zone"),
+        revision=_string(fields, "revision"),
+        slots=_integer(fields, "slots", SLOT_RANGE, default=1),
         state=_state(fields),
         warmup_left_ms=_warmup(fields),
-        stage=_text(fields, "stage"),
+        stage=_string(fields, "stage"),
         models=_models(fields),
-        sequence=_integer(fields, "sequence", SEQUENCES, default=None),
+        sequence=_integer(fields, "sequence", SEQUENCE_RANGE, default=None),
     )
 
 
@@ -80,7 +80,7 @@
     return HeartbeatError(HeartbeatError.BAD_FIELD, what, where)
 
 
-def _text(fields: dict[str, Any], name: str, required: bool = False, where: str = "") -> str:
+def _string(fields: dict[str, Any], name: str, required: bool = False, where: str = "") -> str:
     """A string field; if `required`, it must be present and not empty."""
     value = fields.get(name)
     if value is None and not required:
@@ -145,6 +145,6 @@
     """One model: its name and the revision of its weights."""
     if not isinstance(entry, dict):
         raise _field_error(where.rstrip("."), "not a JSON object")
-    name = _text(entry, "name", required=True, where=where)
-    revision = _integer(entry, "revision", SEQUENCES, default=0, where=where)
+    name = _string(entry, "name", required=True, where=where)
+    revision = _integer(entry, "revision", SEQUENCE_RANGE, default=0, where=where)
     return Model(name=name, revision=revision)
--- a/mallowbeam/router/registry/retirements.py
+++ b/mallowbeam/router/registry/retirements.py
@@ -24,7 +24,7 @@
     def __init__(self, max_ids: int = MAX_RETIRED) -> None:
         """Remember at most `max_ids` ids."""
         self._kinds: dict[str, RetirementKind] = {}  # oldest first
-        self._most = max_ids
+        self._max_ids = max_ids
 
     def __len__(self) -> int:
         """The number of ids remembered."""
@@ -41,7 +41,7 @@
             return ALREADY_DONE
         self._kinds.pop(command.id, None)
         self._kinds[command.id] = command.kind
-        if len(self._kinds) > self._most:
+        if len(self._kinds) > self._max_ids:
             del self._kinds[next(iter(self._kinds))]
         return DONE
 
@@ -56,5 +56,5 @@
 
     def restore(self, state: ReplicatedState) -> None:
         """Replace the retirements with those of a snapshot."""
-        newest = list(state.retired)[-self._most :]
+        newest = list(state.retired)[-self._max_ids :]
         self._kinds = {retired.id: retired.kind for retired in newest}
--- a/mallowbeam/router/registry/table.py
+++ b/mallowbeam/router/registry/table.py
@@ -68,15 +68,15 @@
         max_instances: int = MAX_INSTANCES,
     ) -> None:
         """Start an empty table of up to `max_instances` instances, which expire after `expire_intervals`."""
-        self._most = max_instances
+        self._max_instances = max_instances
         self._expire_after_s = heartbeat_interval_s * expire_intervals
         self._records: dict[str, InstanceRecord] = {}
-        self._by_address: dict[str, str] = {}  # address to the id that owns it
+        self._address_owners: dict[str, str] = {}  # address to the id that owns it
         self._retired = Retirements()
         self._changes = ChangeLog()
         self._completeness = TableCompleteness(heartbeat_interval_s, started_at)
         self._transitions = StageTransitions()
-        self._ran_at = started_at  # the last call of `expire`
+        self._last_expire_at = started_at  # the last call of `expire`
         self._unsent_changes: dict[str, None] = {}  # ids that changed here since the last batch
         self._unsent_heartbeats: dict[str, None] = {}  # ids with a heartbeat here since the last batch
         self._gossip_sent_at = started_at
@@ -88,7 +88,7 @@
         """Apply a heartbeat that the instance sent to this member. The table takes over the message."""
         if self._retired.kind(instance.id) == GONE:
             return HeartbeatOutcome.RETIRED
-        if instance.id not in self._records and len(self._records) >= self._most:
+        if instance.id not in self._records and len(self._records) >= self._max_instances:
             return HeartbeatOutcome.FULL
         draining = instance.state == DRAINS and self.retire(instance.id, DRAINING, now, announce=True)
         record = self._records.get(instance.id)
@@ -111,7 +111,7 @@
         if self._retired.apply(RetireInstance(id=id, kind=kind)) != DONE:
             return False
         record = self._records.get(id)
-        if record is None and len(self._records) >= self._most:
+        if record is None and len(self._records) >= self._max_instances:
             return False  # remembered, but without a record, so gateways are not notified
         if record is None:
             record = self._records[id] = InstanceRecord(Instance(id=id), NO_HEARTBEAT, now)
@@ -148,7 +148,7 @@
         for instance in gossip.changed:
             self._merge_instance(instance, now - ages.get(instance.id, 0.0), now)
         for seen in gossip.seen:
-            self._merge_seen(seen, now)
+            self._merge_heartbeat(seen, now)
         for switch in gossip.switches:
             self.begin_stage_transition(switch.id, switch.stage, now + switch.left_ms / 1000)
         if gossip.whole:
@@ -174,18 +174,18 @@
         Call it several times within STALLED_S: a longer gap means that this process was suspended, and
         heartbeats that arrived meanwhile may still be unread.
         """
-        if now - self._ran_at > STALLED_S:
+        if now - self._last_expire_at > STALLED_S:
             self.mark_isolated(now)
-        self._ran_at = now
+        self._last_expire_at = now
         expired: list[str] = []
         dropped: list[str] = []
-        latest = now - self._expire_after_s
-        blind = self._completeness.connected_since > latest
+        expire_before = now - self._expire_after_s
+        recently_isolated = self._completeness.connected_since > expire_before
         for id, record in self._records.items():
             if record.ended_at is not None:
                 if now - record.ended_at > ENDED_RETENTION_S:
                     dropped.append(id)
-            elif not blind and record.last_heartbeat_at < latest:
+            elif not recently_isolated and record.last_heartbeat_at < expire_before:
                 expired.append(id)
         for id in expired:
             self._end(self._records[id], now)
@@ -289,7 +289,7 @@
         if not instance.address or self._retired.kind(instance.id) == GONE:
             return
         record = self._records.get(instance.id)
-        if record is None and len(self._records) >= self._most:
+        if record is None and len(self._records) >= self._max_instances:
             return
         if record is not None and instance.sequence <= record.details_sequence:
             return
@@ -297,7 +297,7 @@
         owned.CopyFrom(instance)
         self._store(owned, heartbeat_at)
 
-    def _merge_seen(self, seen: HeartbeatSeen, now: float) -> None:
+    def _merge_heartbeat(self, seen: HeartbeatSeen, now: float) -> None:
         """Merge a heartbeat that another member received."""
         record = self._records.get(seen.id)
         if record is None or record.sequence == NO_HEARTBEAT:
@@ -355,7 +355,7 @@
     def _claim_address(self, record: InstanceRecord) -> None:
         """Assign the address to the instance with the latest heartbeat and supersede the other one."""
         address, id = record.instance.address, record.instance.id
-        owner_id = self._by_address.get(address)
+        owner_id = self._address_owners.get(address)
         if owner_id == id or not address:
             return
         owner = self._records.get(owner_id) if owner_id is not None else None
@@ -364,12 +364,12 @@
             return
         if owner is not None and owner.live:
             self._supersede(owner)
-        self._by_address[address] = id
+        self._address_owners[address] = id
 
     def _release_address(self, instance: Instance) -> None:
         """Release an instance's address, if the instance owns it."""
-        if self._by_address.get(instance.address) == instance.id:
-            del self._by_address[instance.address]
+        if self._address_owners.get(instance.address) == instance.id:
+            del self._address_owners[instance.address]
 
     def _supersede(self, record: InstanceRecord) -> None:
         """End an instance whose address another id has taken."""
--- a/tests/router/feed/test_feed_subscriber.py
+++ b/tests/router/feed/test_feed_subscriber.py
@@ -6,7 +6,7 @@
 import unittest
 from random import Random
 
-from feed_case import SEEDS, FeedCase, apply, frame, instance
+from feed_case import SEEDS, FeedCase, apply_update, frame, instance
 
 from mallowbeam.router.feed import Close, Connect, FeedSubscriber, GatewayIdentity, Wait
 from mallowbeam.router.feed.limits import (
@@ -43,7 +43,7 @@
         assert isinstance(following, Connect)
         self.assertNotEqual(following.address, action.address)
 
-    def test_all_refuse(self) -> None:
+    def test_members_that_refuse_are_retried_with_backoff(self) -> None:
         """Each is tried again after 0.05 to 0.1 s, later after 0.5 to 1 s."""
         now, attempts = 0.0, []
         while now < 20.0:
@@ -63,7 +63,7 @@
     def test_gateways_spread_over_members(self) -> None:
         chosen = []
         for seed in range(350):
-            action = FeedSubscriber(SEEDS, GatewayIdentity("z"), Random(seed), apply).next_action(0.0)
+            action = FeedSubscriber(SEEDS, GatewayIdentity("z"), Random(seed), apply_update).next_action(0.0)
             assert isinstance(action, Connect)
             chosen.append(action.address)
         self.assertTrue(all(90 < chosen.count(address) < 145 for address in SEEDS))
@@ -111,9 +111,9 @@
         members = ("10.0.1.1:1", "10.0.1.2:1")
         self.feed.received(frame(whole=True, members=members), 0.1)
         self.feed.received(frame(), 0.2)  # without members: the list stays
-        link = self.feed._connection
-        assert link is not None
-        self.feed.failed(link.address, 0.3)
+        connection = self.feed._connection
+        assert connection is not None
+        self.feed.failed(connection.address, 0.3)
         tried = []
         for _ in range(4):
             action = self.feed.next_action(0.3)
@@ -137,9 +137,9 @@
 
     def receive(self, now: float, sent: float, silence_ms: int = 50, **more: object) -> None:
         """Receive a frame at `now` that was sent at `sent`, both by the gateway's clock."""
-        made = frame(silence_ms=silence_ms, **more)
-        made.heartbeat.sent_at_ms = round((self.CLOCK + sent) * 1000)
-        self.feed.received(made, now)
+        feed_frame = frame(silence_ms=silence_ms, **more)
+        feed_frame.heartbeat.sent_at_ms = round((self.CLOCK + sent) * 1000)
+        self.feed.received(feed_frame, now)
 
     def isolated(self) -> bool:
         assert self.feed._connection is not None
@@ -185,7 +185,7 @@
 
     def test_clock_drift_is_not_staleness(self) -> None:
         for rate in (0.9, 1.1):
-            feed = self.feed = FeedSubscriber(SEEDS, GatewayIdentity("z", "g", 5), Random(7), apply)
+            feed = self.feed = FeedSubscriber(SEEDS, GatewayIdentity("z", "g", 5), Random(7), apply_update)
             self.connect(0.0)
             for step in range(4_000):
                 now = 0.25 * step
@@ -216,7 +216,7 @@
         self.feed.received(frame(instance("a"), whole=True, complete=False, revision=3), 0.1)
         later = 0.1 + READY_WITHOUT_COMPLETE_S + 0.5
         self.assertFalse(self.feed.ready(later))
-        self.again(later)
+        self.reconnect(later)
         self.assertFalse(self.feed.ready(later + 0.3))
         self.feed.received(frame(), later + 0.3)
         self.assertTrue(self.feed.ready(later + 0.3))
@@ -265,20 +265,20 @@
     def test_an_older_revision_is_rejected_and_the_member_left(self) -> None:
         self.connect(0.0)
         self.feed.received(frame(revision=5), 0.1)
-        second = self.again(1.0)
+        second = self.reconnect(1.0)
         self.assertIsNone(self.feed.received(frame(revision=4), 1.3).configuration)
         self.assertEqual(self.feed.configuration, (5,))
         self.feed.received(frame(), 1.9)
         self.assertEqual(self.feed.next_action(1.9), Close(second))
 
-    def test_an_update_of_another_base_needs_a_new_start(self) -> None:
+    def test_update_based_on_another_revision_forces_a_reconnect(self) -> None:
         first = self.connect(0.0)
         self.feed.received(frame(revision=5), 0.1)
         self.assertIsNone(self.feed.received(frame(revision=9, based_on=7), 0.2).configuration)
         self.assertEqual(self.feed.next_action(0.2), Close(first))
         self.assertEqual(self.feed.configuration, (5,))
 
-    def test_an_update_that_cannot_be_applied_needs_a_new_start(self) -> None:
+    def test_update_that_cannot_be_applied_forces_a_reconnect(self) -> None:
         first = self.connect(0.0)
         self.feed.received(frame(revision=5), 0.1)
         self.assertIsNone(self.feed.received(frame(revision=666, based_on=5), 0.2).configuration)
--- a/tests/router/feed/test_feed_subscriber_tables.py
+++ b/tests/router/feed/test_feed_subscriber_tables.py
@@ -5,7 +5,7 @@
 import unittest
 from random import Random
 
-from feed_case import SEEDS, FeedCase, apply, frame, instance
+from feed_case import SEEDS, FeedCase, apply_update, frame, instance
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -31,7 +31,7 @@
     def test_a_complete_table_replaces_an_incomplete_one_adds(self) -> None:
         self.connect(0.0)
         self.feed.received(frame(instance("a"), instance("b"), whole=True), 0.1)
-        self.again(1.0)
+        self.reconnect(1.0)
         events = self.feed.received(frame(instance("c"), whole=True, complete=False), 1.3)
         self.assertEqual(self.states(), {"a": READY, "b": READY, "c": READY})
         self.assertEqual(([i.id for i in events.instances.changed], events.instances.ended), (["c"], ()))
@@ -42,7 +42,7 @@
         self.connect(0.0)
         self.feed.received(frame(instance("a"), instance("b"), whole=True), 0.1)
         self.feed.received(frame(instance("a", DRAINS), instance("b", ENDED, RETIRED_SEQUENCE)), 0.2)
-        self.again(1.0)
+        self.reconnect(1.0)
         self.feed.received(frame(instance("a", READY, 99), instance("b", READY, 99), whole=True), 1.3)
         self.assertEqual(self.states(), {"a": DRAINS})
         self.feed.received(frame(instance("b", READY, 2**63)), 1.4)
@@ -60,7 +60,7 @@
     def test_an_incomplete_table_does_not_overwrite_newer_instances(self) -> None:
         self.connect(0.0)
         self.feed.received(frame(instance("a", sequence=9, stage="prefill"), whole=True), 0.1)
-        self.again(1.0)
+        self.reconnect(1.0)
         self.feed.received(
             frame(instance("a", sequence=4), instance("b", ENDED, 1), whole=True, complete=False), 1.3
         )
@@ -71,7 +71,7 @@
     def test_a_drain_without_details(self) -> None:
         self.connect(0.0)
         self.feed.received(frame(instance("a", sequence=9), whole=True), 0.1)
-        self.again(1.0)
+        self.reconnect(1.0)
         bare = [Instance(id="a", state=DRAINS), Instance(id="x", state=DRAINS)]
         events = self.feed.received(frame(*bare, whole=True, complete=False), 1.3)
         self.assertEqual(self.states(), {"a": DRAINS})
@@ -97,14 +97,14 @@
             max_size=25,
         )
     )
-    def test_states_only_move_on(self, words: list[tuple[str, int, int, bool, bool]]) -> None:
-        feed = FeedSubscriber(SEEDS, GatewayIdentity("z"), Random(1), apply)
+    def test_states_only_move_on(self, updates: list[tuple[str, int, int, bool, bool]]) -> None:
+        feed = FeedSubscriber(SEEDS, GatewayIdentity("z"), Random(1), apply_update)
         action = feed.next_action(0.0)
         assert isinstance(action, Connect)
         feed.connected(action.address, 0.0)
         draining: set[str] = set()
         deleted: set[str] = set()
-        for id, state, sequence, whole, complete in words:
+        for id, state, sequence, whole, complete in updates:
             if state != ENDED:
                 sequence = min(sequence, 3)
             feed.received(frame(instance(id, state, sequence), whole=whole, complete=complete), 0.1)
@@ -126,7 +126,7 @@
         self.assertEqual(self.feed.gateways_bound(0.3 + GATEWAY_COUNT_WINDOW_S), 28)
         self.assertEqual(self.feed.gateways_bound(1_000.0), 28)
 
-    def test_a_member_out_of_touch_only_raises_the_count(self) -> None:
+    def test_an_isolated_member_only_raises_the_count(self) -> None:
         self.connect(0.0)
         self.feed.received(frame(gateways=30), 0.1)
         self.feed.received(frame(gateways=3, silence_ms=2_000), 0.2)
--- a/tests/router/registry/test_registry_broken.py
+++ b/tests/router/registry/test_registry_broken.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from registry_player import FOLDER, Player
-from registry_processes import Broken
+from registry_player import SCENARIO_FOLDER, ScenarioRunner
+from registry_processes import CheckFailed
 
 from mallowbeam.router.feed import FeedSubscriber, InstanceChanges
 from mallowbeam.router.feed.instance_replica import InstanceReplica
@@ -20,15 +20,15 @@
 
     def __init__(self, heartbeat_interval_s: float, started_at: float) -> None:
         super().__init__(heartbeat_interval_s, started_at)
-        self._retired = Forgetful()
+        self._retired = NoRetirements()
 
 
-class Forgetful(Retirements):
+class NoRetirements(Retirements):
     def kind(self, id: str) -> RetirementKind | None:
         return None
 
 
-class ExpiresBlindly(InstanceTable):
+class ExpiresWhileIsolated(InstanceTable):
     """Expires instances without heartbeats even while it could not receive any."""
 
     def mark_isolated(self, now: float) -> None:
@@ -81,23 +81,23 @@
         self._replica = ReplacingReplica()
 
 
-class StaysForEver(FeedSubscriber[int]):
+class NeverLeaves(FeedSubscriber[int]):
     """Does not leave an isolated member."""
 
-    def _may_leave(self, link: object, now: float) -> bool:
+    def _should_leave(self, connection: object, now: float) -> bool:
         return False
 
 
-class Wanders(FeedSubscriber[int]):
+class AlwaysLeaves(FeedSubscriber[int]):
     """Leaves an isolated member whether or not another one is better."""
 
-    def _may_leave(self, link: object, now: float) -> bool:
+    def _should_leave(self, connection: object, now: float) -> bool:
         return True
 
 
 TABLES = {
     "registry/late_heartbeat_after_delete": ForgetsRetirements,
-    "registry/frozen_member": ExpiresBlindly,
+    "registry/frozen_member": ExpiresWhileIsolated,
     "registry/reused_address": IgnoresAddresses,
     "registry/lost_details_one_way": LosesDetails,
     "registry/all_members_restarted": ClaimsCompleteness,
@@ -105,21 +105,21 @@
 }
 SUBSCRIBERS = {
     "registry/all_members_restarted": ReplacesAlways,
-    "feed/stale_member": StaysForEver,
-    "feed/core_out": Wanders,
+    "feed/stale_member": NeverLeaves,
+    "feed/core_out": AlwaysLeaves,
 }
 
 
 class BrokenVariants(unittest.TestCase):
     def test_broken_tables_are_caught(self) -> None:
         for name, variant in TABLES.items():
-            with self.subTest(name), self.assertRaises(Broken):
-                Player((FOLDER / f"{name}.txt").read_text(), table_type=variant).play()
+            with self.subTest(name), self.assertRaises(CheckFailed):
+                ScenarioRunner((SCENARIO_FOLDER / f"{name}.txt").read_text(), table_type=variant).play()
 
     def test_broken_subscribers_are_caught(self) -> None:
         for name, variant in SUBSCRIBERS.items():
-            with self.subTest(name), self.assertRaises(Broken):
-                Player((FOLDER / f"{name}.txt").read_text(), subscriber_type=variant).play()
+            with self.subTest(name), self.assertRaises(CheckFailed):
+                ScenarioRunner((SCENARIO_FOLDER / f"{name}.txt").read_text(), subscriber_type=variant).play()
 
 
 if __name__ == "__main__":
--- a/tests/router/registry/test_registry_parse.py
+++ b/tests/router/registry/test_registry_parse.py
@@ -18,7 +18,7 @@
 )
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, READY, Instance, Model
 
-GOOD: dict[str, object] = {
+VALID_FIELDS: dict[str, object] = {
     "backend": "chat",
     "address": "10.1.2.3:8080",
     "zone": "north",
@@ -38,12 +38,12 @@
 
 
 def body(**changes: object) -> bytes:
-    fields = {**GOOD, **changes}
+    fields = {**VALID_FIELDS, **changes}
     return json.dumps({name: value for name, value in fields.items() if value is not ...}).encode()
 
 
 class Parsing(unittest.TestCase):
-    def refused(self, code: str, where: str, content: bytes, id: str = "i-1") -> None:
+    def assert_rejected(self, code: str, where: str, content: bytes, id: str = "i-1") -> None:
         with self.assertRaises(HeartbeatError) as caught:
             parse_heartbeat(id, content)
         self.assertEqual((caught.exception.code, caught.exception.where), (code, where))
@@ -80,23 +80,23 @@
     def test_required_fields(self) -> None:
         for name in ("backend", "address", "state", "sequence"):
             with self.subTest(name):
-                self.refused("HEARTBEAT_BAD_FIELD", name, body(**{name: ...}))
+                self.assert_rejected("HEARTBEAT_BAD_FIELD", name, body(**{name: ...}))
 
     def test_bounds(self) -> None:
-        for name, most in (("slots", MAX_SLOTS), ("sequence", MAX_SEQUENCE)):
-            parse_heartbeat("i-1", body(**{name: most}))
-            self.refused("HEARTBEAT_BAD_FIELD", name, body(**{name: most + 1}))
-        self.refused("HEARTBEAT_BAD_FIELD", "slots", body(slots=0))
-        self.refused("HEARTBEAT_BAD_FIELD", "sequence", body(sequence=-1))
+        for name, maximum in (("slots", MAX_SLOTS), ("sequence", MAX_SEQUENCE)):
+            parse_heartbeat("i-1", body(**{name: maximum}))
+            self.assert_rejected("HEARTBEAT_BAD_FIELD", name, body(**{name: maximum + 1}))
+        self.assert_rejected("HEARTBEAT_BAD_FIELD", "slots", body(slots=0))
+        self.assert_rejected("HEARTBEAT_BAD_FIELD", "sequence", body(sequence=-1))
         parse_heartbeat("i-1", body(zone="z" * MAX_NAME_LENGTH))
-        self.refused("HEARTBEAT_BAD_FIELD", "zone", body(zone="z" * (MAX_NAME_LENGTH + 1)))
+        self.assert_rejected("HEARTBEAT_BAD_FIELD", "zone", body(zone="z" * (MAX_NAME_LENGTH + 1)))
         parse_heartbeat("i-1", body(models=[{"name": "m"}] * MAX_MODELS))
         too_many = [{"name": "m"}] * (MAX_MODELS + 1)
-        self.refused("HEARTBEAT_BAD_FIELD", "models", body(models=too_many))
-        self.refused("HEARTBEAT_TOO_LARGE", "body", body() + b" " * MAX_BODY_BYTES)
+        self.assert_rejected("HEARTBEAT_BAD_FIELD", "models", body(models=too_many))
+        self.assert_rejected("HEARTBEAT_TOO_LARGE", "body", body() + b" " * MAX_BODY_BYTES)
 
     def test_types(self) -> None:
-        for name, wrong in (
+        for name, invalid in (
             ("slots", True),
             ("slots", 1.5),
             ("slots", "8"),
@@ -109,17 +109,17 @@
             ("warmup_left_ms", True),
             ("stage", "\ud800"),
         ):
-            with self.subTest(name=name, wrong=wrong):
-                self.refused("HEARTBEAT_BAD_FIELD", name, body(**{name: wrong}))
-        self.refused(
+            with self.subTest(name=name, invalid=invalid):
+                self.assert_rejected("HEARTBEAT_BAD_FIELD", name, body(**{name: invalid}))
+        self.assert_rejected(
             "HEARTBEAT_BAD_FIELD",
             "models[1].revision",
             body(models=[{"name": "a"}, {"name": "b", "revision": -1}]),
         )
-        self.refused("HEARTBEAT_BAD_FIELD", "models[0]", body(models=["a"]))
+        self.assert_rejected("HEARTBEAT_BAD_FIELD", "models[0]", body(models=["a"]))
 
     def test_addresses(self) -> None:
-        for wrong in (
+        for invalid in (
             "10.1.2.3",
             "10.1.2.3:0",
             "10.1.2.3:65536",
@@ -132,24 +132,24 @@
             None,
             4,
         ):
-            with self.subTest(wrong):
-                self.refused("HEARTBEAT_BAD_FIELD", "address", body(address=wrong))
+            with self.subTest(invalid):
+                self.assert_rejected("HEARTBEAT_BAD_FIELD", "address", body(address=invalid))
 
     def test_ids(self) -> None:
-        for wrong in ("", "a/b", "a b", "\u00e9", "x" * 129):
-            with self.subTest(wrong):
-                self.refused("HEARTBEAT_BAD_ID", "id", body(), wrong)
+        for invalid in ("", "a/b", "a b", "\u00e9", "x" * 129):
+            with self.subTest(invalid):
+                self.assert_rejected("HEARTBEAT_BAD_ID", "id", body(), invalid)
 
     def test_no_object(self) -> None:
-        for wrong in (b"", b"[]", b"{", b"\xff", b"[" * 20_000, b"7", b'{"slots":' + b"9" * 5_000 + b"}"):
-            with self.subTest(wrong[:20]):
-                self.refused("HEARTBEAT_NOT_JSON", "body", wrong)
+        for invalid in (b"", b"[]", b"{", b"\xff", b"[" * 20_000, b"7", b'{"slots":' + b"9" * 5_000 + b"}"):
+            with self.subTest(invalid[:20]):
+                self.assert_rejected("HEARTBEAT_NOT_JSON", "body", invalid)
 
     def test_warmup_may_have_a_fraction(self) -> None:
         self.assertEqual(parse_heartbeat("i-1", body(warmup_left_ms=12.7)).warmup_left_ms, 12)
-        self.refused("HEARTBEAT_BAD_FIELD", "warmup_left_ms", body(warmup_left_ms=float("nan")))
+        self.assert_rejected("HEARTBEAT_BAD_FIELD", "warmup_left_ms", body(warmup_left_ms=float("nan")))
 
-    @given(st.sampled_from(sorted(GOOD)), JSON)
+    @given(st.sampled_from(sorted(VALID_FIELDS)), JSON)
     def test_any_value_is_accepted_or_rejected_by_its_name(self, name: str, value: object) -> None:
         try:
             heartbeat = parse_heartbeat("i-1", body(**{name: value}))
--- a/tests/router/registry/test_registry_random.py
+++ b/tests/router/registry/test_registry_random.py
@@ -7,7 +7,7 @@
 
 import unittest
 
-from registry_processes import Broken
+from registry_processes import CheckFailed
 from registry_walker import play
 
 SEEDS = range(1, 31)
@@ -19,8 +19,8 @@
             with self.subTest(seed=seed):
                 try:
                     play(seed)
-                except Broken as broken:
-                    self.fail(f"seed {seed}: {broken}")
+                except CheckFailed as failure:
+                    self.fail(f"seed {seed}: {failure}")
 
 
 if __name__ == "__main__":
--- a/tests/router/registry/test_registry_replicated.py
+++ b/tests/router/registry/test_registry_replicated.py
@@ -44,18 +44,18 @@
         self.assertEqual([retired.id for retired in retirements.all()], ["a", "c"])
 
     @given(st.lists(RETIRE, max_size=30), st.integers(0, 30))
-    def test_a_snapshot_anywhere_changes_nothing(self, log: list[RetireInstance], cut: int) -> None:
-        whole, restored = Retirements(max_ids=4), Retirements(max_ids=4)
-        for command in log[:cut]:
-            whole.apply(command)
+    def test_a_snapshot_anywhere_changes_nothing(self, log: list[RetireInstance], split_at: int) -> None:
+        original, restored = Retirements(max_ids=4), Retirements(max_ids=4)
+        for command in log[:split_at]:
+            original.apply(command)
         state = ReplicatedState()
-        whole.save(state)
+        original.save(state)
         restored.apply(RetireInstance(id="other"))
         restored.restore(ReplicatedState.FromString(state.SerializeToString()))
-        results = [whole.apply(command) for command in log[cut:]]
-        self.assertEqual(results, [restored.apply(command) for command in log[cut:]])
-        self.assertEqual(whole.all(), restored.all())
-        self.assertLessEqual(len(whole), 4)
+        results = [original.apply(command) for command in log[split_at:]]
+        self.assertEqual(results, [restored.apply(command) for command in log[split_at:]])
+        self.assertEqual(original.all(), restored.all())
+        self.assertLessEqual(len(original), 4)
 
 
 class LeaseTests(unittest.TestCase):
@@ -68,15 +68,17 @@
         self.assertEqual(leases.apply(AcquireLease(subject="s", holder=1)), (DONE, 4))
         self.assertEqual(leases.apply(AcquireLease(subject="", holder=1)), (REFUSED, 0))
         self.assertEqual(leases.apply(AcquireLease(subject="s", holder=0)), (REFUSED, 0))
-        held = leases.get("s")
-        assert held is not None
-        self.assertEqual((held.holder, held.token), (1, 4))
+        lease = leases.get("s")
+        assert lease is not None
+        self.assertEqual((lease.holder, lease.token), (1, 4))
 
     @given(st.lists(ACQUIRE, max_size=40), st.integers(0, 40))
-    def test_tokens_rise_over_snapshots_and_dropped_subjects(self, log: list[AcquireLease], cut: int) -> None:
+    def test_tokens_rise_over_snapshots_and_dropped_subjects(
+        self, log: list[AcquireLease], split_at: int
+    ) -> None:
         leases, last = Leases(max_subjects=2), 0
-        for place, command in enumerate(log):
-            if place == cut:
+        for index, command in enumerate(log):
+            if index == split_at:
                 state = ReplicatedState()
                 leases.save(state)
                 leases = Leases(max_subjects=2)
@@ -94,16 +96,16 @@
         """A holder that repeats its request, because the response was lost, gets the same token."""
         leases = Leases(max_subjects=2)
         first = leases.apply(AcquireLease(subject="s", holder=1))
-        leases = reloaded(leases)
+        leases = restarted_from_snapshot(leases)
         self.assertEqual(leases.apply(AcquireLease(subject="s", holder=1)), (ALREADY_DONE, first.token))
         other = leases.apply(AcquireLease(subject="s", holder=2))
-        leases = reloaded(leases)
+        leases = restarted_from_snapshot(leases)
         self.assertGreater(other.token, first.token)
         self.assertGreater(leases.apply(AcquireLease(subject="s", holder=1)).token, other.token)
 
 
 class BrokenLeases(unittest.TestCase):
-    def test_broken_ones_are_found(self) -> None:
+    def test_broken_token_rules_are_detected(self) -> None:
         """Tokens derived from the number of leases, and tokens that start over."""
         for name, broken in (("counts", lambda self: len(self._leases)), ("begins anew", lambda self: 0)):
             with self.subTest(name), mock.patch.object(Leases, "_last_token", broken):
@@ -137,20 +139,20 @@
         owners: dict[int, tuple[str, int]] = {}
         for command in log:
             grant = steady.apply(command)
-            restarted = reloaded(restarted)
+            restarted = restarted_from_snapshot(restarted)
             assert restarted.apply(command) == grant, "replicas differ"
             owner = command.subject, command.holder
             assert grant.result == ALREADY_DONE or grant.token > max(owners, default=0), "a token decreases"
             assert owners.setdefault(grant.token, owner) == owner, "a token has two holders"
 
 
-def reloaded(leases: Leases) -> Leases:
+def restarted_from_snapshot(leases: Leases) -> Leases:
     """The leases after a restart from a snapshot."""
     state = ReplicatedState()
     leases.save(state)
-    again = Leases(max_subjects=2)
-    again.restore(ReplicatedState.FromString(state.SerializeToString()))
-    return again
+    restarted_leases = Leases(max_subjects=2)
+    restarted_leases.restore(ReplicatedState.FromString(state.SerializeToString()))
+    return restarted_leases
 
 
 if __name__ == "__main__":
--- a/tests/router/registry/test_registry_table.py
+++ b/tests/router/registry/test_registry_table.py
@@ -28,7 +28,7 @@
     RegistryGossip,
 )
 
-STEP = 0.25  # seconds between two calls of expire()
+STEP_S = 0.25  # seconds between two calls of expire()
 
 
 def heartbeat(
@@ -50,13 +50,13 @@
     return {instance.id: instance.state for instance in table.changes_since(-1).instances}
 
 
-def run(table: InstanceTable, start: float, end: float) -> list[str]:
+def expire_repeatedly(table: InstanceTable, start: float, end: float) -> list[str]:
     """Call `expire` from `start` to `end`; returns the ids of the ended instances."""
     ended: list[str] = []
     now = start
     while now <= end:
         ended += table.expire(now)
-        now += STEP
+        now += STEP_S
     return ended
 
 
@@ -89,7 +89,7 @@
         )
         self.assertEqual(states(self.table)["b"], DRAINS)
 
-    def test_draining_is_for_good_and_gone_too(self) -> None:
+    def test_draining_and_gone_are_permanent(self) -> None:
         self.table.receive_heartbeat(heartbeat(sequence=1), 0.1)
         self.assertEqual(
             self.table.receive_heartbeat(heartbeat(sequence=2, state=DRAINS), 0.2), HeartbeatOutcome.CHANGED
@@ -103,7 +103,7 @@
         self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=99), 0.5), HeartbeatOutcome.RETIRED)
         self.assertEqual(states(self.table), {"a": ENDED})
 
-    def test_a_late_heartbeat_that_says_draining_is_still_true(self) -> None:
+    def test_a_stale_draining_heartbeat_is_applied(self) -> None:
         self.table.receive_heartbeat(heartbeat(sequence=7), 0.1)
         self.assertEqual(
             self.table.receive_heartbeat(heartbeat(sequence=6, state=DRAINS), 0.2), HeartbeatOutcome.CHANGED
@@ -112,14 +112,14 @@
 
     def test_a_retirement_before_any_heartbeat_is_published(self) -> None:
         self.table.retire("a", GONE, 0.1)
-        told = self.table.changes_since(0).instances
-        self.assertEqual([(i.id, i.state, i.sequence) for i in told], [("a", ENDED, RETIRED_SEQUENCE)])
+        published = self.table.changes_since(0).instances
+        self.assertEqual([(i.id, i.state, i.sequence) for i in published], [("a", ENDED, RETIRED_SEQUENCE)])
 
     def test_expiry_and_return(self) -> None:
         self.table.receive_heartbeat(heartbeat(sequence=1), 10.0)
         self.table.expire(9.9)
-        self.assertEqual(run(self.table, 10.0, 13.4), [])
-        self.assertEqual(run(self.table, 13.5, 14.0), ["a"])
+        self.assertEqual(expire_repeatedly(self.table, 10.0, 13.4), [])
+        self.assertEqual(expire_repeatedly(self.table, 13.5, 14.0), ["a"])
         self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=1), 14.1), HeartbeatOutcome.STALE)
         self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=2), 14.2), HeartbeatOutcome.CHANGED)
         self.assertEqual(states(self.table), {"a": READY})
@@ -129,26 +129,26 @@
         self.table.receive_heartbeat(heartbeat("b", sequence=1), 0.1)
         cursor = self.table.version
         self.table.retire("a", GONE, 0.2)
-        run(self.table, 0.2, 2.0)
+        expire_repeatedly(self.table, 0.2, 2.0)
         self.assertFalse(self.table.changes_since(cursor).whole)
         now = 2.0
         for sequence in range(2, 40):
             self.table.receive_heartbeat(heartbeat("b", sequence), now)
-            run(self.table, now, now + 0.9)
+            expire_repeatedly(self.table, now, now + 0.9)
             now += 1.0
         self.assertGreater(now, ENDED_RETENTION_S)
         self.assertTrue(self.table.changes_since(cursor).whole)
         self.assertEqual(states(self.table), {"b": READY})
         self.assertEqual(self.table.receive_heartbeat(heartbeat(sequence=9), now), HeartbeatOutcome.RETIRED)
 
-    def test_a_stall_ends_nothing(self) -> None:
+    def test_a_suspended_member_expires_nothing(self) -> None:
         self.table.receive_heartbeat(heartbeat(), 0.1)
-        run(self.table, 0.0, 3.0)
+        expire_repeatedly(self.table, 0.0, 3.0)
         self.assertTrue(self.table.is_complete(3.0))
         self.assertEqual(self.table.expire(9.0), [])
         self.assertFalse(self.table.is_complete(9.0))
-        self.assertEqual(run(self.table, 9.25, 12.25), [])
-        self.assertEqual(run(self.table, 12.5, 13.0), ["a"])
+        self.assertEqual(expire_repeatedly(self.table, 9.25, 12.25), [])
+        self.assertEqual(expire_repeatedly(self.table, 12.5, 13.0), ["a"])
 
     def test_a_full_table_rejects_new_instances(self) -> None:
         table = InstanceTable(1.0, 0.0, max_instances=2)
@@ -176,7 +176,7 @@
         self.table.receive_heartbeat(heartbeat("b", 1, address="10.0.0.9:80"), 0.5)
         self.assertEqual(states(self.table), {"a": ENDED, "b": READY})
 
-    def test_one_late_heartbeat_changes_nothing_two_win_it_back(self) -> None:
+    def test_one_late_heartbeat_changes_nothing_two_reclaim_the_address(self) -> None:
         self.table.receive_heartbeat(heartbeat("b", 1, address="10.0.0.9:80"), 0.5)
         self.assertEqual(
             self.table.receive_heartbeat(heartbeat("a", 6, address="10.0.0.9:80"), 0.6), HeartbeatOutcome.SAME
@@ -223,10 +223,10 @@
         self.assertEqual(states(self.one), states(self.other))
         self.assertEqual(len(self.one.gossip(1.3).seen), 0)
 
-    def test_ages_count(self) -> None:
+    def test_ages_of_gossiped_heartbeats_are_considered(self) -> None:
         self.one.receive_heartbeat(heartbeat(sequence=1), 1.0)
         self.other.merge(self.one.gossip(3.0), 103.0)
-        run(self.other, 103.0, 106.4)
+        expire_repeatedly(self.other, 103.0, 106.4)
         self.other.mark_isolated(0.0)  # counts as connected ever since
         self.assertEqual(states(self.other), {"a": READY})
         self.assertEqual(self.other.expire(106.45), ["a"])
@@ -246,7 +246,7 @@
     def test_an_expiry_is_not_gossiped(self) -> None:
         self.one.receive_heartbeat(heartbeat(sequence=1), 0.1)
         self.other.merge(self.one.gossip(0.1), 0.1)
-        self.assertEqual(run(self.one, 0.1, 5.0), ["a"])
+        self.assertEqual(expire_repeatedly(self.one, 0.1, 5.0), ["a"])
         self.assertFalse(self.other.merge(self.one.full_gossip(5.0), 5.0))
         self.assertEqual(states(self.other), {"a": READY})
 
@@ -265,9 +265,9 @@
         self.one.receive_heartbeat(heartbeat(sequence=3, stage="prefill"), 2.1)
         self.other.merge(self.one.gossip(2.1), 2.1)
         self.assertTrue(self.other.merge(self.one.full_gossip(2.2), 2.2))
-        held = self.other.get("a")
-        assert held is not None
-        self.assertEqual((held.stage, held.sequence), ("prefill", 3))
+        stored = self.other.get("a")
+        assert stored is not None
+        self.assertEqual((stored.stage, stored.sequence), ("prefill", 3))
 
     def test_requests_for_the_complete_table(self) -> None:
         self.assertTrue(self.one.should_request_full_gossip(0.1))
@@ -302,9 +302,9 @@
         for batch in batches:
             expected.merge(batch, 2.0)
         table = InstanceTable(1.0, 0.0)
-        mixed = batches + random.sample(batches, 5)
-        random.shuffle(mixed)
-        for batch in mixed:
+        shuffled = batches + random.sample(batches, 5)
+        random.shuffle(shuffled)
+        for batch in shuffled:
             table.merge(RegistryGossip.FromString(batch.SerializeToString()), 2.0)
         for source in sources:
             table.merge(source.full_gossip(2.0), 2.0)
@@ -352,11 +352,11 @@
             table.expire(now)
             if random.random() < 0.2:
                 copies.append((table.version, complete_table(table)))
-        for version, held in copies:
+        for version, known_instances in copies:
             update = table.changes_since(version)
-            result = {} if update.whole else dict(held)
+            result = {} if update.whole else dict(known_instances)
             result.update({instance.id: instance for instance in update.instances})
-            self.assertEqual(decided(result), decided(complete_table(table)))
+            self.assertEqual(live_details(result), live_details(complete_table(table)))
 
 
 def complete_table(table: InstanceTable) -> dict[str, Instance]:
@@ -364,7 +364,7 @@
     return {instance.id: instance for instance in update.instances}
 
 
-def decided(instances: dict[str, Instance]) -> dict[str, tuple[int, str, str]]:
+def live_details(instances: dict[str, Instance]) -> dict[str, tuple[int, str, str]]:
     return {
         id: (instance.state, instance.stage, instance.address)
         for id, instance in instances.items()
--- a/tests/router/registry/test_rules_instances.py
+++ b/tests/router/registry/test_rules_instances.py
@@ -12,7 +12,7 @@
 
 from mallowbeam.router.rpc.messages_pb2 import ENDED
 
-RESTS_S = 1.0  # longer than the idle timeout of `EarlyIdleTimeout`, shorter than it announces
+IDLE_S = 1.0  # longer than the idle timeout of `EarlyIdleTimeout`, shorter than it announces
 
 
 class DroppedIdle(unittest.TestCase):
@@ -20,27 +20,27 @@
 
     async def ask_twice(self, target: str) -> tuple[list[int], EarlyIdleTimeout, Timed]:
         async with Bench(DEFAULT, ByName()) as bench:
-            forgetful, other = EarlyIdleTimeout("i-1"), Timed("i-2")
-            await add(bench, forgetful)
+            dropping, other = EarlyIdleTimeout("i-1"), Timed("i-2")
+            await add(bench, dropping)
             await add(bench, other)
             statuses = [(await bench.ask(target)).status]
-            await asyncio.sleep(RESTS_S)
+            await asyncio.sleep(IDLE_S)
             statuses.append((await bench.ask(target)).status)
-            return statuses, forgetful, other
+            return statuses, dropping, other
 
-    def test_what_may_not_run_twice_is_not_sent_again_and_nothing_is_promised(self) -> None:
+    def test_unsafe_request_is_not_retried_and_not_reported_as_not_run(self) -> None:
         async def scenario() -> None:
-            statuses, forgetful, other = await self.ask_twice("/unsafe/")
+            statuses, dropping, other = await self.ask_twice("/unsafe/")
             self.assertEqual(statuses, [200, 502])
-            self.assertEqual((forgetful.reset, len(forgetful.seen), len(other.seen)), (1, 1, 0))
+            self.assertEqual((dropping.reset, len(dropping.seen), len(other.seen)), (1, 1, 0))
 
         play(scenario())
 
-    def test_what_may_is(self) -> None:
+    def test_safe_request_is_retried(self) -> None:
         async def scenario() -> None:
-            statuses, forgetful, other = await self.ask_twice("/safe/")
+            statuses, dropping, other = await self.ask_twice("/safe/")
             self.assertEqual(statuses, [200, 200])
-            self.assertEqual((forgetful.reset, len(forgetful.seen), len(other.seen)), (1, 1, 1))
+            self.assertEqual((dropping.reset, len(dropping.seen), len(other.seen)), (1, 1, 1))
 
         play(scenario())
 
@@ -48,7 +48,7 @@
 class FalseHealth(unittest.TestCase):
     """There are no health checks: only request outcomes and the state that members report count."""
 
-    def test_none_is_made(self) -> None:
+    def test_no_health_check_is_made(self) -> None:
         async def scenario() -> None:
             async with Bench(configuration(route("/safe/", "safe")), ByName()) as bench:
                 instance = Timed("i-1")
--- a/tests/support/feed_case.py
+++ b/tests/support/feed_case.py
@@ -19,7 +19,7 @@
 SEEDS = ("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1")
 
 
-def apply(current: tuple[int, ...] | None, update: ConfigurationUpdate) -> tuple[int, ...]:
+def apply_update(current: tuple[int, ...] | None, update: ConfigurationUpdate) -> tuple[int, ...]:
     """Apply an update to a configuration, which here is the tuple of its applied revisions."""
     if update.revision == 666:
         raise MallowbeamError("does not fit")
@@ -36,18 +36,18 @@
     revision: int = 0,
     based_on: int | None = None,
 ) -> FeedFrame:
-    made = FeedFrame(
+    feed_frame = FeedFrame(
         heartbeat=FeedHeartbeat(
             leader_silence_ms=silence_ms, gateways=gateways, members=members, table_complete=complete
         )
     )
     if instances or whole:
-        made.instances.CopyFrom(InstancesUpdate(whole=whole, instances=instances))
+        feed_frame.instances.CopyFrom(InstancesUpdate(whole=whole, instances=instances))
     if revision:
-        made.configuration.CopyFrom(
+        feed_frame.configuration.CopyFrom(
             ConfigurationUpdate(revision=revision, whole=based_on is None, based_on=based_on or 0)
         )
-    return made
+    return feed_frame
 
 
 def instance(
@@ -58,7 +58,7 @@
 
 class FeedCase(unittest.TestCase):
     def setUp(self) -> None:
-        self.feed = FeedSubscriber(SEEDS, GatewayIdentity("z", "g", 5), Random(7), apply)
+        self.feed = FeedSubscriber(SEEDS, GatewayIdentity("z", "g", 5), Random(7), apply_update)
 
     def connect(self, now: float) -> str:
         action = self.feed.next_action(now)
@@ -66,9 +66,9 @@
         self.feed.connected(action.address, now)
         return action.address
 
-    def again(self, now: float) -> str:
+    def reconnect(self, now: float) -> str:
         """End the connection by its peer, then connect again once the backoff is over."""
-        link = self.feed._connection
-        assert link is not None
-        self.feed.failed(link.address, now)
+        connection = self.feed._connection
+        assert connection is not None
+        self.feed.failed(connection.address, now)
         return self.connect(now + 0.2)
--- a/tests/support/registry_player.py
+++ b/tests/support/registry_player.py
@@ -19,18 +19,18 @@
 import unittest
 
 from project_paths import SCENARIOS
-from registry_processes import Broken, Gateway, Member
+from registry_processes import CheckFailed, Gateway, Member
 from registry_world import World
 
 from mallowbeam.router.feed import FeedSubscriber
 from mallowbeam.router.registry import InstanceTable
 from mallowbeam.router.rpc.messages_pb2 import DRAINING, DRAINS, ENDED, GONE
 
-FOLDER = SCENARIOS
+SCENARIO_FOLDER = SCENARIOS
 
 
-class Player:
-    """Runs one scenario; raises Broken with the line of the first statement that does not hold."""
+class ScenarioRunner:
+    """Runs one scenario; raises CheckFailed with the line of the first statement that does not hold."""
 
     def __init__(
         self,
@@ -49,42 +49,42 @@
         )
         for id in names.get("instances", []):
             self.world.start_server(id)
-        self.nevers: list[tuple[str, str, str, float, float]] = []
+        self.never_rules: list[tuple[str, str, str, float, float]] = []
         for _, words in self.lines:
             if words[0] == "never":
-                who, id, state, _, since, _, until = words[1:]
-                self.nevers.append((who, id, state, float(since), float(until)))
+                selector, id, state, _, since, _, until = words[1:]
+                self.never_rules.append((selector, id, state, float(since), float(until)))
 
     def play(self) -> None:
         for number, words in self.lines:
             try:
                 if words[0] == "at":
-                    self.world.run_to(float(words[1]), self.check_nevers)
+                    self.world.run_to(float(words[1]), self.check_never_rules)
                     getattr(self, f"do_{words[2]}")(*words[3:])
                 elif words[0] == "end":
-                    self.world.run_to(float(words[1]), self.check_nevers)
-            except Broken as broken:
-                raise Broken(f"line {number}: {broken}") from None
+                    self.world.run_to(float(words[1]), self.check_never_rules)
+            except CheckFailed as failure:
+                raise CheckFailed(f"line {number}: {failure}") from None
 
-    def check_nevers(self, world: World) -> None:
-        for who, id, state, since, until in self.nevers:
+    def check_never_rules(self, world: World) -> None:
+        for selector, id, state, since, until in self.never_rules:
             if since <= world.now <= until:
-                for gateway in self.gateways(who):
-                    self.demand(gateway.state(id) != state, f"{gateway.name}: {id} is {state}")
+                for gateway in self.gateways(selector):
+                    self.require(gateway.state(id) != state, f"{gateway.name}: {id} is {state}")
 
-    def demand(self, holds: bool, what: str) -> None:
+    def require(self, holds: bool, message: str) -> None:
         if not holds:
-            raise Broken(f"{self.world.now:.2f} {what}")
+            raise CheckFailed(f"{self.world.now:.2f} {message}")
 
-    def demand_outcome(self, call: str, acknowledged: bool, outcome: str) -> None:
-        """Raise Broken unless a call was acknowledged, or refused if `outcome` says so."""
-        self.demand(acknowledged == (outcome != "refused"), f"{call}: acknowledged is {acknowledged}")
+    def require_outcome(self, call: str, acknowledged: bool, outcome: str) -> None:
+        """Raise CheckFailed unless a call was acknowledged, or refused if `outcome` says so."""
+        self.require(acknowledged == (outcome != "refused"), f"{call}: acknowledged is {acknowledged}")
 
-    def gateways(self, who: str) -> list[Gateway]:
-        return list(self.world.gateways.values()) if who == "all" else [self.world.gateways[who]]
+    def gateways(self, selector: str) -> list[Gateway]:
+        return list(self.world.gateways.values()) if selector == "all" else [self.world.gateways[selector]]
 
-    def members(self, who: str) -> list[str]:
-        return list(self.world.members) if who == "all" else [who]
+    def members(self, selector: str) -> list[str]:
+        return list(self.world.members) if selector == "all" else [selector]
 
     # ------------------------------------------------------------ commands
 
@@ -99,32 +99,32 @@
 
     def do_drain(self, id: str, _: str, member: str, outcome: str = "") -> None:
         acknowledged = self.world.retire(id, DRAINING, member)
-        self.demand_outcome(f"drain of {id}", acknowledged, outcome)
+        self.require_outcome(f"drain of {id}", acknowledged, outcome)
 
     def do_delete(self, id: str, _: str, member: str, outcome: str = "") -> None:
         acknowledged = self.world.retire(id, GONE, member)
-        self.demand(
+        self.require(
             acknowledged == (outcome != "refused"), f"deletion of {id}: acknowledged is {acknowledged}"
         )
 
     def do_late(self, id: str, sequence: str, _: str, member: str, __: str, outcome: str) -> None:
         result = self.world.late_heartbeat(member, id, int(sequence))
-        self.demand(result.value == outcome, f"late heartbeat of {id}: {result.value}")
+        self.require(result.value == outcome, f"late heartbeat of {id}: {result.value}")
 
-    def do_kill(self, who: str) -> None:
-        for name in self.members(who):
+    def do_kill(self, selector: str) -> None:
+        for name in self.members(selector):
             self.world.kill(name)
 
-    def do_restart(self, who: str) -> None:
-        for name in self.members(who):
+    def do_restart(self, selector: str) -> None:
+        for name in self.members(selector):
             self.world.restart(name)
 
-    def do_freeze(self, who: str) -> None:
-        for name in self.members(who):
+    def do_freeze(self, selector: str) -> None:
+        for name in self.members(selector):
             self.world.freeze(name, True)
 
-    def do_thaw(self, who: str) -> None:
-        for name in self.members(who):
+    def do_thaw(self, selector: str) -> None:
+        for name in self.members(selector):
             self.world.freeze(name, False)
 
     def do_cut(self, one: str, *others: str) -> None:
@@ -141,64 +141,66 @@
 
     def do_put(self, revision: str, _: str, member: str, outcome: str = "") -> None:
         acknowledged = self.world.put_configuration(int(revision), member)
-        self.demand(
+        self.require(
             acknowledged == (outcome != "refused"),
             f"configuration {revision}: acknowledged is {acknowledged}",
         )
 
     # ------------------------------------------------------------ checks
 
-    def do_expect(self, who: str, what: str, value: str = "") -> None:
-        if who in self.world.members:
-            self.expect_member(self.world.members[who], what, value)
+    def do_expect(self, selector: str, aspect: str, value: str = "") -> None:
+        if selector in self.world.members:
+            self.expect_member(self.world.members[selector], aspect, value)
             return
-        for gateway in self.gateways(who):
-            self.expect_gateway(gateway, what, value)
+        for gateway in self.gateways(selector):
+            self.expect_gateway(gateway, aspect, value)
 
-    def expect_member(self, member: Member, what: str, value: str) -> None:
-        if what in ("complete", "incomplete"):
+    def expect_member(self, member: Member, aspect: str, value: str) -> None:
+        if aspect in ("complete", "incomplete"):
             complete = member.table.is_complete(self.world.now)
-            self.demand(complete == (what == "complete"), f"{member.name}: complete is {complete}")
-        elif what == "gateways":
+            self.require(complete == (aspect == "complete"), f"{member.name}: complete is {complete}")
+        elif aspect == "gateways":
             count = member.gateway_counts.total(len(member.publisher), self.world.now)
-            self.demand(count == int(value), f"{member.name}: {count} gateways")
+            self.require(count == int(value), f"{member.name}: {count} gateways")
         elif value in ("prefill", "decode"):
-            self.demand(member.table.get(what).stage == value, f"{member.name}: {what} is not for {value}")
+            self.require(
+                member.table.get(aspect).stage == value, f"{member.name}: {aspect} is not for {value}"
+            )
         else:
-            known = member.table.get(what)
+            known = member.table.get(aspect)
             names = {DRAINS: "draining", ENDED: "ended"}
             state = "absent" if known is None else names.get(known.state, "ready")
-            self.demand(state == value, f"{member.name}: {what} is {state}")
+            self.require(state == value, f"{member.name}: {aspect} is {state}")
 
-    def expect_gateway(self, gateway: Gateway, what: str, value: str) -> None:
+    def expect_gateway(self, gateway: Gateway, aspect: str, value: str) -> None:
         subscriber = gateway.subscriber
         found: dict[str, object] = {
             "revision": subscriber.configuration_revision,
             "gateways": subscriber.gateways,
         }
-        if what in ("ready", "unready"):
+        if aspect in ("ready", "unready"):
             ready = subscriber.ready(self.world.now)
-            self.demand(ready == (what == "ready"), f"{gateway.name}: ready is {ready}")
-        elif what == "follows":
-            feed = self.world.feeds.get(gateway.number)
+            self.require(ready == (aspect == "ready"), f"{gateway.name}: ready is {ready}")
+        elif aspect == "follows":
+            feed = self.world.feeds.get(gateway.feed_id)
             followed = feed.sender if feed is not None else "none"
-            self.demand(followed == value, f"{gateway.name}: follows {followed}")
-        elif what == "bound":
+            self.require(followed == value, f"{gateway.name}: follows {followed}")
+        elif aspect == "bound":
             bound = subscriber.gateways_bound(self.world.now)
-            self.demand(bound >= int(value), f"{gateway.name}: bound is {bound}")
-        elif what == "connects":
-            self.demand(gateway.connects <= int(value), f"{gateway.name}: {gateway.connects} connections")
-        elif what in found:
-            self.demand(found[what] == int(value), f"{gateway.name}: {what} is {found[what]}")
+            self.require(bound >= int(value), f"{gateway.name}: bound is {bound}")
+        elif aspect == "connects":
+            self.require(gateway.connects <= int(value), f"{gateway.name}: {gateway.connects} connections")
+        elif aspect in found:
+            self.require(found[aspect] == int(value), f"{gateway.name}: {aspect} is {found[aspect]}")
         else:
-            state = gateway.state(what)
-            self.demand(state == value, f"{gateway.name}: {what} is {state}")
+            state = gateway.state(aspect)
+            self.require(state == value, f"{gateway.name}: {aspect} is {state}")
 
 
 def play_folder(test: unittest.TestCase, name: str) -> None:
     """Run every scenario of a folder."""
-    paths = sorted((FOLDER / name).glob("*.txt"))
+    paths = sorted((SCENARIO_FOLDER / name).glob("*.txt"))
     test.assertTrue(paths)
     for path in paths:
         with test.subTest(path.name):
-            Player(path.read_text()).play()
+            ScenarioRunner(path.read_text()).play()
--- a/tests/support/registry_processes.py
+++ b/tests/support/registry_processes.py
@@ -33,16 +33,16 @@
 if TYPE_CHECKING:
     from registry_world import World
 
-TICK = 0.02
-INTERVAL = 1.2  # seconds between two heartbeats of an instance
+TICK_S = 0.02
+HEARTBEAT_INTERVAL_S = 1.2  # seconds between two heartbeats of an instance
 STATES = {READY: "ready", DRAINS: "draining"}
 
 
-class Broken(AssertionError):
+class CheckFailed(AssertionError):
     """A statement of a scenario or an invariant of the world that does not hold."""
 
 
-class Revisions:
+class RevisionSource:
     """A configuration that consists only of its revision."""
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
     sender: str
     recipient: str
     deliver: Callable[[object], None]
-    waiting: deque[tuple[float, object]] = field(default_factory=deque)
+    in_flight: deque[tuple[float, object]] = field(default_factory=deque)
     open: bool = True
 
 
@@ -72,12 +72,12 @@
     id: str
     address: str
     backend: str
-    begun: float
+    started_at: float
     sequence: int = 0
     state: int = READY
     stage: str = "decode"
     running: bool = True
-    next_at: float = 0.0
+    next_heartbeat_at: float = 0.0
     member: str = ""
 
     def heartbeat(self, sequence: int, state: int) -> Instance:
@@ -103,13 +103,13 @@
 
     def start(self, now: float) -> None:
         self.up, self.frozen = True, False
-        self.table = self.world.table_type(INTERVAL, now)
+        self.table = self.world.table_type(HEARTBEAT_INTERVAL_S, now)
         self.retirements = Retirements()
-        self.configuration = Revisions()
+        self.configuration = RevisionSource()
         self.publisher = FeedPublisher(self.configuration, self.table)
         self.gateway_counts = GatewayCounts()
         self.current_at = now - 10.0
-        self.in_touch_since: float | None = None
+        self.majority_since: float | None = None
         for entry in self.world.log[: self.durable]:
             self.apply(entry, now)
 
@@ -121,19 +121,19 @@
             self.table.retire(entry.id, entry.kind, now)
 
     def reaches_majority(self) -> bool:
-        joined = [name for name in self.world.members if self.world.joined(self.name, name)]
-        return 2 * len(joined) > len(self.world.members)
+        reachable = [name for name in self.world.members if self.world.reachable(self.name, name)]
+        return 2 * len(reachable) > len(self.world.members)
 
     def tick(self, now: float) -> None:
         if self.reaches_majority():
-            self.in_touch_since = now if self.in_touch_since is None else self.in_touch_since
-            if now - self.in_touch_since >= self.world.election:
+            self.majority_since = now if self.majority_since is None else self.majority_since
+            if now - self.majority_since >= self.world.election_s:
                 self.current_at = now
                 for entry in self.world.log[self.durable :]:
                     self.apply(entry, now)
                 self.durable = len(self.world.log)
         else:
-            self.in_touch_since = None
+            self.majority_since = None
         if now - self.current_at > 1.0:
             self.table.mark_isolated(now)
         self.table.expire(now)
@@ -141,23 +141,23 @@
         self.feed(now)
 
     def gossip(self, now: float) -> None:
-        missing = any(not self.world.joined(self.name, name) for name in self.world.members)
+        links_missing = any(not self.world.reachable(self.name, name) for name in self.world.members)
         if now >= self.table.next_gossip_at():
             batch = self.table.gossip(now, len(self.publisher))
             for name in self.world.members:
                 if name != self.name:
                     self.world.send_peer(self.name, name, batch)
-        if self.table.should_request_full_gossip(now, missing):
+        if self.table.should_request_full_gossip(now, links_missing):
             others = [
                 name
                 for name in self.world.members
-                if name != self.name and self.world.joined(self.name, name)
+                if name != self.name and self.world.reachable(self.name, name)
             ]
             if others:
-                ask = RegistryGossip(wants_whole=True, gateways=len(self.publisher))
-                self.world.send_peer(self.name, self.world.random.choice(others), ask)
+                request = RegistryGossip(wants_whole=True, gateways=len(self.publisher))
+                self.world.send_peer(self.name, self.world.random.choice(others), request)
 
-    def take_gossip(self, sender: str, gossip: RegistryGossip) -> None:
+    def receive_gossip(self, sender: str, gossip: RegistryGossip) -> None:
         now = self.world.now
         if gossip.wants_whole:
             self.world.send_peer(self.name, sender, self.table.full_gossip(now, len(self.publisher)))
@@ -166,18 +166,18 @@
         self.table.merge(gossip, now)
 
     def feed(self, now: float) -> None:
-        silence = round((now - self.current_at) * 1000)
+        silence_ms = round((now - self.current_at) * 1000)
         gate = ResponseGate(lambda: now, lambda: now - self.current_at, lambda: False)
         status = MemberStatus(
-            silence,
+            silence_ms,
             self.gateway_counts.total(len(self.publisher), now),
             tuple(f"{name}:1" for name in self.world.members),
             gate.feed_allowance(),
         )
         for batch in self.publisher.frames(now, status):
             frame = FeedFrame.FromString(batch.encoded[4:])
-            for number in batch.subscribers:
-                self.world.feeds[number].waiting.append((now + TICK, frame))
+            for feed_id in batch.subscribers:
+                self.world.feeds[feed_id].in_flight.append((now + TICK_S, frame))
 
 
 class Gateway:
@@ -191,13 +191,13 @@
             Random(world.random.random()),
             lambda current, update: update.revision,
         )
-        self.number = 0  # of its current connection; 0 if there is none
+        self.feed_id = 0  # of its current connection; 0 if there is none
         self.dialling: tuple[str, float] | None = None
         self.connects = 0
         self.revision = 0
         self.known_retired: set[str] = set()
         self.was_ready = False
-        self.in_touch_since = 0.0
+        self.last_fault_at = 0.0
 
     def tick(self, now: float) -> None:
         if self.dialling is not None:
@@ -210,7 +210,7 @@
                 break
             if not isinstance(action, Close):
                 break
-            self.drop()
+            self.disconnect()
         self.check(now)
 
     def dial(self, now: float) -> None:
@@ -219,25 +219,25 @@
         member = self.world.members.get(name)
         if member is None or not member.up:
             self.dialling = None
-            if self.world.path(self.name, name) and self.world.path(name, self.name):
+            if self.world.has_path(self.name, name) and self.world.has_path(name, self.name):
                 self.subscriber.failed(address, now)  # refused at once
-        elif self.world.joined(self.name, name):
+        elif self.world.reachable(self.name, name):
             self.dialling = None
-            self.number = self.world.open_feed(self, member)
+            self.feed_id = self.world.open_feed(self, member)
             self.subscriber.connected(address, now)
-            member.publisher.subscribe(self.number, self.subscriber.hello(), now)
+            member.publisher.subscribe(self.feed_id, self.subscriber.hello(), now)
         elif now - since >= CONNECT_TIMEOUT_S:
             self.dialling = None
-        if self.dialling is None and self.number == 0:
+        if self.dialling is None and self.feed_id == 0:
             self.subscriber.failed(address, now)
 
-    def drop(self) -> None:
-        if self.number:
-            self.world.close_feed(self.number)
-        self.number, self.dialling = 0, None
+    def disconnect(self) -> None:
+        if self.feed_id:
+            self.world.close_feed(self.feed_id)
+        self.feed_id, self.dialling = 0, None
 
-    def take(self, number: int, frame: FeedFrame) -> None:
-        if number != self.number:
+    def receive_frame(self, feed_id: int, frame: FeedFrame) -> None:
+        if feed_id != self.feed_id:
             return
         self.subscriber.received(frame, self.world.now)
         for instance in frame.instances.instances:
@@ -251,12 +251,12 @@
     def check(self, now: float) -> None:
         """Check the invariants of every gateway, which hold at all times."""
         if self.subscriber.configuration_revision < self.revision:
-            raise Broken(f"{now:.2f} {self.name}: configuration went back")
+            raise CheckFailed(f"{now:.2f} {self.name}: configuration went back")
         self.revision = self.subscriber.configuration_revision
         ready = self.subscriber.ready(now)
         if self.was_ready and not ready:
-            raise Broken(f"{now:.2f} {self.name}: no longer ready")
+            raise CheckFailed(f"{now:.2f} {self.name}: no longer ready")
         self.was_ready = ready
         for id in self.known_retired:
             if self.state(id) == "ready":
-                raise Broken(f"{now:.2f} {self.name}: {id} is ready again after its retirement")
+                raise CheckFailed(f"{now:.2f} {self.name}: {id} is ready again after its retirement")
--- a/tests/support/registry_walker.py
+++ b/tests/support/registry_walker.py
@@ -8,15 +8,15 @@
 import sys
 from random import Random
 
-from registry_processes import Broken
+from registry_processes import CheckFailed
 from registry_world import World
 
 from mallowbeam.router.feed import FeedSubscriber
 from mallowbeam.router.registry import InstanceTable
 from mallowbeam.router.rpc.messages_pb2 import DRAINING, DRAINS, GONE
 
-FAULTS_UNTIL = 30.0
-RECOVERY = 16.0  # for expiry, completeness and the end of an ejection
+FAULTS_UNTIL_S = 30.0
+RECOVERY_S = 16.0  # for expiry, completeness and the end of an ejection
 
 
 class FaultInjector:
@@ -25,7 +25,7 @@
     def __init__(self, world: World, random: Random) -> None:
         self.world, self.random = world, random
         self.revision = 1
-        self.started = 0
+        self.servers_started = 0
 
     def any_member(self) -> str:
         return self.random.choice(list(self.world.members))
@@ -112,16 +112,16 @@
             self.world.servers[id].running = False
 
     def start(self) -> None:
-        self.started += 1
-        self.world.start_server(f"n{self.started}")
+        self.servers_started += 1
+        self.world.start_server(f"n{self.servers_started}")
 
     def reuse(self) -> None:
         """Start an instance of another service at the address of one that ends now."""
         id = self.any_server()
         if id is not None:
             self.world.servers[id].running = False
-            self.started += 1
-            self.world.start_server(f"n{self.started}", self.world.servers[id].address, "t")
+            self.servers_started += 1
+            self.world.start_server(f"n{self.servers_started}", self.world.servers[id].address, "t")
 
     def put(self) -> None:
         self.revision += self.random.randint(1, 3)
@@ -145,7 +145,7 @@
     table_type: type[InstanceTable] = InstanceTable,
     subscriber_type: type[FeedSubscriber[int]] = FeedSubscriber,
 ) -> World:
-    """Run one random schedule; returns the world at its end, or raises Broken."""
+    """Run one random schedule; returns the world at its end, or raises CheckFailed."""
     random = Random(seed)
     members = [f"m{number}" for number in range(1, random.choice([1, 3, 3, 5]) + 1)]
     world = World(members, ["g1", "g2", "g3"], seed, table_type, subscriber_type)
@@ -154,7 +154,7 @@
     world.put_configuration(1, "m1")
     faults = FaultInjector(world, random)
     at = 5.0
-    while at < FAULTS_UNTIL:
+    while at < FAULTS_UNTIL_S:
         world.run_to(at)
         faults.step()
         at += random.choice([0.02, 0.3, 1.0, 2.5])
@@ -163,24 +163,24 @@
     for name, member in world.members.items():
         if not member.up:
             world.restart(name)
-    world.run_to(FAULTS_UNTIL + RECOVERY)
+    world.run_to(FAULTS_UNTIL_S + RECOVERY_S)
     check_converged(world)
     return world
 
 
 def check_converged(world: World) -> None:
-    """Raise Broken unless every gateway has converged to the actual state."""
+    """Raise CheckFailed unless every gateway has converged to the actual state."""
     revisions = [entry for entry in world.log if isinstance(entry, int)]
     for gateway in world.gateways.values():
         if gateway.revision != (revisions[-1] if revisions else 0) or not gateway.was_ready:
-            raise Broken(f"{gateway.name}: revision {gateway.revision}, ready {gateway.was_ready}")
+            raise CheckFailed(f"{gateway.name}: revision {gateway.revision}, ready {gateway.was_ready}")
         for id, server in world.servers.items():
             expected = "ready" if server.state != DRAINS else "draining"
             expected = expected if server.running else "absent"
             if gateway.state(id) != expected:
-                raise Broken(f"{gateway.name}: {id} is {gateway.state(id)}, should be {expected}")
+                raise CheckFailed(f"{gateway.name}: {id} is {gateway.state(id)}, should be {expected}")
             if server.running and gateway.subscriber.instances[id].stage != server.stage:
-                raise Broken(f"{gateway.name}: {id} has another stage")
+                raise CheckFailed(f"{gateway.name}: {id} has another stage")
 
 
 def main() -> None:
