--- a/mallowbeam/router/registry/leases.py
+++ b/mallowbeam/router/registry/leases.py
@@ -1,8 +1,8 @@
-"""Leases with fencing tokens, replicated through the log: who holds which subject, under which token.
+"""Leases with fencing tokens, replicated through the log: the holder and the token of each subject.
 
-The log has no time, so a lease does not expire here: a member that wants a lease from another holder waits
-out the lease time by its own monotonic clock before it proposes. The token rises with each new holder, over
-all subjects, so that late messages of an earlier holder are recognized.
+The log has no notion of time, so a lease does not expire here: a member that wants to take over a lease waits
+for the lease time by its own monotonic clock before it proposes. The token increases with each new holder,
+across all subjects, so that delayed messages of an earlier holder are recognized.
 
 This is the granting side. The holder's side, which decides when a granted token may be used, is
 `mallowbeam.router.pairing.order_lease`: it depends on time and on one member's view of its leadership, which
@@ -37,18 +37,18 @@
 class Leases:
     """The holder and fencing token of each subject, bounded; the oldest grant is dropped first."""
 
-    def __init__(self, most: int = MAX_LEASES) -> None:
-        """Remember at most `most` subjects."""
+    def __init__(self, max_subjects: int = MAX_LEASES) -> None:
+        """Remember at most `max_subjects` subjects."""
         self._leases: dict[str, Lease] = {}  # by subject, oldest grant first
-        self._most = most
+        self._max_subjects = max_subjects
 
     def get(self, subject: str) -> Lease | None:
-        """The lease over `subject`, as a message of the caller's own; None if it was never granted."""
+        """A copy of the lease on `subject`; None if it was never granted or has been dropped."""
         lease = self._leases.get(subject)
         return None if lease is None else _duplicate(lease)
 
     def apply(self, command: AcquireLease) -> LeaseGrant:
-        """Grant a lease: DONE with a higher token to a new holder, ALREADY_DONE to the present one."""
+        """Grant a lease: DONE with a higher token to a new holder, ALREADY_DONE to the current one."""
         if not command.subject or not command.holder:
             return LeaseGrant(REFUSED, 0)
         lease = self._leases.get(command.subject)
@@ -57,7 +57,7 @@
         token = self._last_token() + 1
         self._leases.pop(command.subject, None)
         self._leases[command.subject] = Lease(subject=command.subject, holder=command.holder, token=token)
-        if len(self._leases) > self._most:
+        if len(self._leases) > self._max_subjects:
             del self._leases[next(iter(self._leases))]
         return LeaseGrant(DONE, token)
 
@@ -67,8 +67,8 @@
         state.leases.extend(self._leases.values())
 
     def restore(self, state: ReplicatedState) -> None:
-        """Replace the leases by those of a snapshot."""
-        newest = list(state.leases)[-self._most :]
+        """Replace the leases with those of a snapshot."""
+        newest = list(state.leases)[-self._max_subjects :]
         self._leases = {lease.subject: _duplicate(lease) for lease in newest}
 
     def _last_token(self) -> int:
--- a/mallowbeam/router/registry/parse.py
+++ b/mallowbeam/router/registry/parse.py
@@ -22,40 +22,44 @@
 )
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, READY, Instance, InstanceState, Model
 
-ID_FORM = re.compile(r"[!-~]+")  # visible ASCII
-ADDRESS_FORM = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})", re.ASCII)
+ID_PATTERN = re.compile(r"[!-~]+")  # visible ASCII
+ADDRESS_PATTERN = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})", re.ASCII)
 MAX_PORT = 65_535
 MAX_OCTET = 255
 
-SLOTS = range(1, MAX_SLOTS + 1)
-SEQUENCES = range(MAX_SEQUENCE + 1)
+SLOT_RANGE = range(1, MAX_SLOTS + 1)
+SEQUENCE_RANGE = range(MAX_SEQUENCE + 1)
 
 _STATES: dict[str, InstanceState] = {"ready": READY, "draining": DRAINS}
 
 
 def parse_heartbeat(id: str, body: bytes) -> Instance:
-    """Parse one heartbeat of the instance `id`; raises `HeartbeatError` and nothing else."""
+    """Parse one heartbeat of the instance `id`.
+
+    Raises:
+        HeartbeatError: the id or the body is invalid. No other exception is raised, whatever the input.
+    """
     check_id(id)
     fields = _read_object(body)
     return Instance(
         id=id,
-        backend=_text(fields, "backend", required=True),
+        backend=_string(fields, "backend", required=True),
         address=_address(fields),
-        zone=_text(fields, "zone"),
-        revision=_text(fields, "revision"),
-        slots=_integer(fields, "slots", SLOTS, default=1),
+        zone=_string(fields, "zone"),
+        revision=_string(fields, "revision"),
+        slots=_integer(fields, "slots", SLOT_RANGE, default=1),
         state=_state(fields),
         warmup_left_ms=_warmup(fields),
-        stage=_text(fields, "stage"),
+        stage=_string(fields, "stage"),
         models=_models(fields),
-        sequence=_integer(fields, "sequence", SEQUENCES, default=None),
+        sequence=_integer(fields, "sequence", SEQUENCE_RANGE, default=None),
     )
 
 
 def check_id(id: str) -> None:
     """Raise `HeartbeatError` if `id` can't be an instance's id."""
-    if not 0 < len(id) <= MAX_ID_LENGTH or not ID_FORM.fullmatch(id) or "/" in id:
-        raise HeartbeatError(HeartbeatError.BAD_ID, "no id of an instance", "id")
+    if not 0 < len(id) <= MAX_ID_LENGTH or not ID_PATTERN.fullmatch(id) or "/" in id:
+        raise HeartbeatError(HeartbeatError.BAD_ID, "not a valid instance id", "id")
 
 
 def _read_object(body: bytes) -> dict[str, Any]:
@@ -72,26 +76,26 @@
 
 
 def _field_error(where: str, what: str) -> HeartbeatError:
-    """The error on one field."""
+    """The error for one field."""
     return HeartbeatError(HeartbeatError.BAD_FIELD, what, where)
 
 
-def _text(fields: dict[str, Any], name: str, required: bool = False, where: str = "") -> str:
-    """A string; if `required`, it must be present and not empty."""
+def _string(fields: dict[str, Any], name: str, required: bool = False, where: str = "") -> str:
+    """A string field; if `required`, it must be present and not empty."""
     value = fields.get(name)
     if value is None and not required:
         return ""
     if not isinstance(value, str) or len(value) > MAX_NAME_LENGTH or (required and not value):
         raise _field_error(where + name, f"not a string of at most {MAX_NAME_LENGTH} characters")
     try:
-        value.encode()  # a lone surrogate can't be passed on
+        value.encode()  # JSON allows lone surrogates, which UTF-8 can't encode
     except UnicodeEncodeError:
         raise _field_error(where + name, "not valid Unicode") from None
     return value
 
 
 def _integer(fields: dict[str, Any], name: str, allowed: range, default: int | None, where: str = "") -> int:
-    """An integer within a range; required if there is no default."""
+    """An integer field within a range; required if there is no default."""
     value = fields.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int) or value not in allowed:
         raise _field_error(where + name, f"not a whole number from {allowed.start} to {allowed.stop - 1}")
@@ -99,7 +103,7 @@
 
 
 def _warmup(fields: dict[str, Any]) -> int:
-    """Milliseconds for which the instance is still warming up; fractions are cut off."""
+    """Milliseconds for which the instance is still warming up; fractions are truncated."""
     value = fields.get("warmup_left_ms", 0)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= MAX_WARMUP_MS:
         raise _field_error("warmup_left_ms", f"not a number from 0 to {MAX_WARMUP_MS}")
@@ -118,7 +122,7 @@
 def _address(fields: dict[str, Any]) -> str:
     """The address of the instance, IPv4:PORT."""
     value = fields.get("address")
-    match = ADDRESS_FORM.fullmatch(value) if isinstance(value, str) else None
+    match = ADDRESS_PATTERN.fullmatch(value) if isinstance(value, str) else None
     if match is None:
         raise _field_error("address", "not IP:PORT")
     *octets, port = (int(digits) for digits in match.groups())
@@ -141,6 +145,6 @@
     """One model: its name and the revision of its weights."""
     if not isinstance(entry, dict):
         raise _field_error(where.rstrip("."), "not a JSON object")
-    name = _text(entry, "name", required=True, where=where)
-    revision = _integer(entry, "revision", SEQUENCES, default=0, where=where)
+    name = _string(entry, "name", required=True, where=where)
+    revision = _integer(entry, "revision", SEQUENCE_RANGE, default=0, where=where)
     return Model(name=name, revision=revision)
