--- a/mallowbeam/router/configuration/accepted.py
+++ b/mallowbeam/router/configuration/accepted.py
@@ -1,7 +1,7 @@
 """The configurations accepted so far: one fixed-size record each, in ascending order of revision.
 
-Revisions only rise, so a record is found by bisection and the oldest records are dropped from the front. A
-dropped record is not known any more, but its revision is at most `_forgotten_revision`.
+Revisions only increase, so a record is found by bisection and the oldest records are dropped from the front.
+The revision of a dropped record is at most `_forgotten_revision`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from mallowbeam.router.rpc.messages_pb2 import ReplicatedState
 
 RECORD = struct.Struct(">Q16s")  # revision, digest
-MAX_ACCEPTED = 65_536  # records: 28 hours at 56,000 changes a day, 1.5 MiB of memory and of a snapshot
+MAX_ACCEPTED = 65_536  # records: 28 hours at 56,000 changes a day; 1.5 MiB in memory and in a snapshot
 MAX_ACCEPTED_IN_EARLIER_SNAPSHOTS = 4_096  # records that earlier versions kept, in `ReplicatedState.taken`
 
 
--- a/mallowbeam/router/configuration/decoding.py
+++ b/mallowbeam/router/configuration/decoding.py
@@ -1,4 +1,4 @@
-"""Reads JSON and loads it by the schemas; every error names the path inside the document at which it lies."""
+"""Decodes JSON and loads it by the schemas; every error names the path of the invalid value."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
     except msgspec.ValidationError as error:
         raise InvalidFieldError(str(error), where) from None
     except (ValueError, RecursionError) as error:
-        raise UnreadableConfigurationError(f"no JSON that can be read: {error}", where) from None
+        raise UnreadableConfigurationError(f"is not readable JSON: {error}", where) from None
 
 
 def read_entry(schema: Schema, text: bytes, where: str) -> ParsedEntry[Any]:
-    """One route or service from its JSON; raises a `ConfigurationError`."""
+    """Parse one route or service; raises a `ConfigurationError`."""
     document = decode(VALUE_DECODER, text, where)
     check_nesting(document, where)
     return ParsedEntry(load(schema, document, where), ENCODER.encode(document))
--- a/mallowbeam/router/configuration/errors.py
+++ b/mallowbeam/router/configuration/errors.py
@@ -1,6 +1,6 @@
 """Errors of the operator's configuration: each class has a stable code and the HTTP status of its response.
 
-`where` is the path inside the document at which the error lies, such as ``routes[3].timeout_ms``.
+`where` is the path of the invalid value in the document, such as ``routes[3].timeout_ms``.
 """
 
 from __future__ import annotations
--- a/mallowbeam/router/configuration/message_codec.py
+++ b/mallowbeam/router/configuration/message_codec.py
@@ -1,4 +1,4 @@
-"""Routes, services and limits as protobuf messages, and back. Both ends of the feed use it.
+"""Converts routes, services and limits to protobuf messages and back, for both ends of the feed.
 
 Gateways import this module; it must not import marshmallow or json (a test enforces it).
 """
--- a/mallowbeam/router/configuration/model.py
+++ b/mallowbeam/router/configuration/model.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as the processes use it: immutable, and free of everything that parses it.
+"""The immutable model of the operator's configuration, without the code that parses it.
 
 Gateways import this module; it must not import marshmallow or json (a test enforces it).
 """
@@ -29,7 +29,7 @@
     timeout_ms: int
     backends: tuple[WeightedBackend, ...]  # the sum of the weights is above 0
     name: str = ""
-    route_type: str = "unsafe"  # the type that permits least, if none is configured
+    route_type: str = "unsafe"  # the most restrictive type is the default
     target_latency_ms: int = 0  # 0: none configured
     priority: int = 0  # 0 is highest
     max_retries: int = 1  # instances to which one request may be sent
@@ -39,7 +39,7 @@
     key: str = field(init=False, repr=False, compare=False)  # host and prefix, unique among the routes
 
     def __post_init__(self) -> None:
-        """Build the key once: every table of routes is indexed by it."""
+        """Build the key once, because every table of routes is indexed by it."""
         object.__setattr__(self, "key", f"{self.hostname} {self.path_prefix}")
 
 
--- a/mallowbeam/router/configuration/parsing.py
+++ b/mallowbeam/router/configuration/parsing.py
@@ -1,9 +1,10 @@
 """Parses a request body into a validated configuration, its canonical document and its digest.
 
-The canonical document is the body's JSON with sorted keys and without white space; it keeps every field, also
-those that this program does not know, so that an operator reads back what was sent. Two bodies are the same
-change if their canonical documents are equal. Of a duplicate key the last value counts, as in most JSON
-parsers. An integer that is written as a fraction (1.0 for 1) is kept as it is, and is another change.
+The canonical document is the body's JSON with sorted keys and without white space. It keeps every field,
+including unknown ones, so that an operator reads back the document that was sent. Two bodies are the same
+change if their canonical documents are equal. The last value of a duplicate key wins, as in most JSON
+parsers. An integer that is written as a fraction (1.0 for 1) is kept in that form, which makes it another
+change.
 """
 
 from __future__ import annotations
@@ -34,12 +35,12 @@
 from mallowbeam.router.configuration.schemas import BackendSchema, DocumentSchema, RouteSchema
 from mallowbeam.router.configuration.validation import check_tenant_keys, index_backends, index_routes
 
-MAX_BODY_BYTES = 8 * 1024 * 1024  # of one body; a longer one is rejected with status 413
+MAX_BODY_BYTES = 8 * 1024 * 1024  # of one body; a larger one is rejected with status 413
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedConfiguration:
-    """A valid configuration; whether its revision is acceptable is for the replicated state to decide."""
+    """A valid configuration; the replicated state decides whether its revision is acceptable."""
 
     document: ConfigurationDocument
     canonical: bytes  # JSON
@@ -47,7 +48,7 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The part of it that gateways use."""
+        """The part of the document that gateways use."""
         return self.document.configuration
 
 
@@ -139,7 +140,7 @@
         routes: list[ParsedEntry[Route]],
         backends: list[ParsedEntry[Backend]],
     ) -> Configuration:
-        """Check what no single field shows; raises a `ConfigurationError`."""
+        """Check the rules that involve several fields; raises a `ConfigurationError`."""
         fields = load(self._document_schema, rest, "")
         check_tenant_keys(rest)
         backends_by_name = index_backends([entry.value for entry in backends])
--- a/mallowbeam/router/configuration/patch.py
+++ b/mallowbeam/router/configuration/patch.py
@@ -1,6 +1,6 @@
-"""Patches: entries of the operator's configuration to add, replace or remove, and the validated outcome.
+"""Patches add, replace or remove entries of the operator's configuration; the outcome is validated.
 
-The cost of a patch is that of what it changes: entries that it does not name are neither parsed nor validated
+The cost of a patch depends on what it changes: entries that it does not name are neither parsed nor validated
 again, except that the removal of a service checks every route. Any list of the document can be patched; an
 entry is identified by its `name`.
 """
@@ -81,7 +81,7 @@
     canonical: bytes  # JSON
 
     def digest(self, based_on: int) -> bytes:
-        """Digest that identifies the change: the same patch of another revision is another change."""
+        """Digest that identifies the change; the same patch of another revision is a different change."""
         return digest_of(b"patch %d " % based_on + self.canonical)
 
 
@@ -95,7 +95,7 @@
     members: dict[str, msgspec.Raw] = decode(MEMBERS_DECODER, body, "")
     for name in members:
         if name not in MEMBERS:
-            raise InvalidFieldError("is no member of a patch: it would have no effect", name)
+            raise InvalidFieldError("is not a member of a patch and would have no effect", name)
     document = decode(VALUE_DECODER, body, "")
     check_nesting(document, "")
     fields = load(DocumentSchema(), {REVISION: document.get(REVISION)}, "")
@@ -167,7 +167,7 @@
     named += [(name, f"{REMOVE}.{list_name}[{at}]") for at, name in enumerate(changed.remove)]
     for name, where in named:
         if name in seen:
-            raise DuplicateNameError(f"{name!r} is named twice in this patch", where)
+            raise DuplicateNameError(f"{name!r} is named more than once in this patch", where)
         seen.add(name)
 
 
@@ -189,7 +189,7 @@
     if entries is None:
         entries = []
     if not isinstance(entries, list):
-        raise InvalidFieldError("is no list in the configuration", list_name)
+        raise InvalidFieldError("is not a list in the configuration", list_name)
     names = [entry.get("name") if isinstance(entry, dict) else None for entry in entries]
     return _merge(entries, names, list_name, changed, [named.entry.value for named in changed.upsert])
 
@@ -229,7 +229,7 @@
     return positions
 
 
-# ---------------------------------------------------------------- applying to what gateways use
+# ---------------------------------------------------------------- applying to the gateways' configuration
 
 
 def _configuration(
--- a/mallowbeam/router/configuration/rejections.py
+++ b/mallowbeam/router/configuration/rejections.py
@@ -1,8 +1,8 @@
 """Rejected commands that could still succeed: a duplicate that is still in flight must get the same result.
 
 A command is rejected if it builds on a revision that is not current. If that revision is below the current
-one, the command can never succeed, since revisions only rise, and need not be remembered. If it is above, the
-command could succeed once that revision has been accepted.
+one, the command can never succeed, since revisions only increase, and need not be remembered. If it is above,
+the command could succeed once that revision has been accepted.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class CommandIdentity(NamedTuple):
-    """What duplicates of one command have in common; an operator's retry sends it unchanged."""
+    """Identifies a command and its duplicates; an operator's retry has the same identity."""
 
     digest: bytes
     based_on: int
@@ -38,14 +38,14 @@
         return self._results.get(command)
 
     def add(self, command: CommandIdentity, result: CommandResult) -> bool:
-        """Remember a rejection; False if there is no capacity left, so that it must not be reported."""
+        """Remember a rejection; return False at capacity, in which case it must not be reported."""
         if len(self._results) >= self._most:
             return False
         self._results[command] = result
         return True
 
     def drop_below(self, revision: int) -> None:
-        """Forget commands that build on less than the current revision: they can't succeed any more."""
+        """Forget commands that build on a revision below the current one: they can no longer succeed."""
         for command in [command for command in self._results if command.based_on < revision]:
             del self._results[command]
 
--- a/mallowbeam/router/configuration/schemas.py
+++ b/mallowbeam/router/configuration/schemas.py
@@ -1,6 +1,6 @@
-"""marshmallow schemas of the operator's configuration; field names are those of the wire.
+"""marshmallow schemas of the operator's configuration; field names are those of the JSON document.
 
-Only fields that this program reads are declared; any other field is skipped here and kept in the canonical
+Only fields that this program uses are declared; any other field is skipped here and kept in the canonical
 document. An optional field that is null counts as absent and gets the default of its dataclass. Numbers above
 the range of the protobuf messages are clamped, so that a limit set to "practically unlimited" stays valid.
 """
@@ -64,7 +64,7 @@
         try:
             value.encode()
         except UnicodeEncodeError:
-            raise ValidationError("must be text that UTF-8 can carry") from None
+            raise ValidationError("must be encodable as UTF-8") from None
         return value
 
 
@@ -156,7 +156,7 @@
 
 
 def integer_weights(entries: list[dict[str, Any]]) -> tuple[WeightedBackend, ...]:
-    """Services with 32-bit integer weights; other weights are scaled, and none above 0 becomes 0."""
+    """Services with 32-bit integer weights; other weights are scaled so that none above 0 becomes 0."""
     weights = [entry["weight"] for entry in entries]
     largest = max(weights, default=0)
     if largest > MAX_UINT32 or any(weight != int(weight) for weight in weights):
--- a/mallowbeam/router/configuration/updates.py
+++ b/mallowbeam/router/configuration/updates.py
@@ -49,7 +49,7 @@
 
 
 def changed_values(old: Mapping[str, Value], new: Mapping[str, Value]) -> Iterator[Value]:
-    """Values of `new` that `old` lacks or that differ there; identical objects are not compared."""
+    """Values of `new` that are missing from `old` or differ there; identical objects are not compared."""
     for key, value in new.items():
         known = old.get(key)
         if known is not value and known != value:
@@ -67,7 +67,9 @@
         return decode_full_update(update)
     if current is None or current.revision != update.based_on:
         holds = current.revision if current is not None else 0
-        raise UpdateMismatchError(f"revision {update.revision} builds on {update.based_on}; {holds} is held")
+        raise UpdateMismatchError(
+            f"revision {update.revision} builds on {update.based_on}, not on the current {holds}"
+        )
     return decode_incremental_update(current, update)
 
 
--- a/mallowbeam/router/configuration/validation.py
+++ b/mallowbeam/router/configuration/validation.py
@@ -23,7 +23,7 @@
     by_name: dict[str, Backend] = {}
     for position, backend in enumerate(backends):
         if backend.name in by_name:
-            raise DuplicateBackendError(f"{backend.name!r} is there twice", f"backends[{position}].name")
+            raise DuplicateBackendError(f"{backend.name!r} is defined twice", f"backends[{position}].name")
         by_name[backend.name] = backend
     return by_name
 
--- a/mallowbeam/router/configuration/versions.py
+++ b/mallowbeam/router/configuration/versions.py
@@ -60,7 +60,7 @@
         max_accepted: int = MAX_ACCEPTED,
         max_rejected: int = MAX_REJECTED,
     ) -> None:
-        """Start without a configuration; share the API's `parser`, so that no body is parsed twice."""
+        """Start without a configuration; `parser` is that of the API, so that no body is parsed twice."""
         self._parser = parser if parser is not None else ConfigurationParser()
         self._accepted = AcceptedConfigurations(max_accepted)
         self._rejected = RejectedCommands(max_rejected)
@@ -106,7 +106,7 @@
     def _is_current(self, command: PutConfiguration) -> bool:
         """Whether a complete document equals the outcome of the patch that gave the current revision.
 
-        If the current document was sent complete, its digest is on record and need not be computed again.
+        If the current document was not sent as a patch, its digest is recorded and is not computed again.
         """
         if not self._patched or command.patch or command.revision != self._revision:
             return False
@@ -134,7 +134,8 @@
     def check_patch(self, patch: ConfigurationPatch, based_on: int) -> None:
         """Raise `ConfigurationError` if a patch of the current revision has an invalid outcome.
 
-        A patch of any other revision passes: only the log decides whether that one is current.
+        A patch of any other revision passes: whether that one is current is decided when the command is
+        applied.
         """
         if based_on == self._revision and self._revision:
             apply_patch(self._current_document(), patch)
@@ -153,7 +154,9 @@
         """The current document; raises `NameNotFoundError` if there is none to patch."""
         if self._document is None:
             if not self._body:
-                raise NameNotFoundError("no configuration was taken yet; send a whole one", "If-Match")
+                raise NameNotFoundError(
+                    "no configuration has been accepted yet; send a complete one", "If-Match"
+                )
             parsed = self._parser.recall(self._accepted.last_digest) or self._parser.parse(
                 self.current_body()
             )
--- a/mallowbeam/router/processes/error_codes.py
+++ b/mallowbeam/router/processes/error_codes.py
@@ -1,6 +1,6 @@
 """The table of error codes: every :class:`MallowbeamError` of the router fleet has a stable one.
 
-A class states its code as ``code``; one that covers several states all of them as ``codes``.
+A class states its code as ``code``; a class with several codes lists them as ``codes``.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def code_table() -> dict[str, type[MallowbeamError]]:
-    """Error types by code, of all modules loaded so far; raises ValueError where two types share a code."""
+    """Error types by code, of all modules loaded so far; raises ValueError if two types share a code."""
     table: dict[str, type[MallowbeamError]] = {}
     for kind in error_types():
         for code in codes_of(kind):
--- a/mallowbeam/router/processes/logs.py
+++ b/mallowbeam/router/processes/logs.py
@@ -3,7 +3,7 @@
 A line contains the seconds since the start (monotonic clock), level, node, logger and message. An event is a
 logger's name with the message before its arguments are inserted: pass arguments separately
 (``log.warning("feed lost: %s", peer)``), or each text counts as an event of its own. At most ``BURST`` lines
-of an event are written in ``WINDOW_S`` seconds; the next line after that states how many were suppressed.
+of an event are written in ``WINDOW_S`` seconds; its next line states how many were suppressed.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from mallowbeam.http import reporting
 
 BURST = 3  # lines of an event per window
-WINDOW_S = 5.0  # seconds
+WINDOW_S = 5.0
 MAX_EVENTS = 512  # events that are counted; the oldest is dropped for a new one
 MAX_FRAMES = 8  # of a traceback, the innermost
 
@@ -92,7 +92,7 @@
         try:
             self._stream.write(line)
             self._stream.flush()
-        except (OSError, ValueError):  # standard error is closed or full: the role continues
+        except (OSError, ValueError):  # standard error is closed or full; the role must not fail for that
             pass
 
 
--- a/mallowbeam/router/processes/metrics.py
+++ b/mallowbeam/router/processes/metrics.py
@@ -1,7 +1,6 @@
-"""A role's metrics in the exposition format of Prometheus, on a listener of their own.
+"""A role's metrics in the exposition format of Prometheus, on a separate listener.
 
-Off unless the settings file contains `metrics = "PORT/PATH"`.  Metrics are collected for each request;
-nothing is stored for them.
+Off unless the settings file contains `metrics = "PORT/PATH"`.  Metrics are collected anew for each request.
 """
 
 from __future__ import annotations
@@ -62,7 +61,7 @@
     idle = 30.0  # seconds after which an idle connection is closed
 
     def __init__(self, path: bytes, collect: Collect) -> None:
-        """`path` is that of the page, with its slash; `collect` is called for each request."""
+        """Serve the page at `path`, which starts with a slash; `collect` is called for each request."""
         self._path = path
         self._collect = collect
 
@@ -79,7 +78,7 @@
         return _reply(status, text.encode() + b"\n", True)
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
-        """Requests are not counted."""
+        """Do nothing: requests for this page are not counted."""
 
 
 def _reply(status: int, body: bytes, close: bool) -> Response:
@@ -87,7 +86,7 @@
 
 
 def metrics_server(settings: NodeSettings, collect: Collect) -> Server | None:
-    """The listener of the settings; None if they configure none."""
+    """The listener that the settings configure; None if they configure none."""
     if settings.metrics is None:
         return None
     handler = MetricsHandler(settings.metrics.path.encode(), collect)
--- a/mallowbeam/router/processes/overrides.py
+++ b/mallowbeam/router/processes/overrides.py
@@ -1,8 +1,8 @@
 """Overrides of the decision cores' default settings, from an optional TOML file.
 
-The file is for trials: it disables a mechanism, or changes a value, without a change of the program.  No
-deployment needs it, and none contains it.  A table of the file is a settings dataclass, a key one of its
-fields, a nested table a nested dataclass.  Unknown keys are errors.
+The file is for trials: it disables a mechanism or changes a value without a code change.  No deployment
+needs or contains it.  A table of the file stands for a settings dataclass, a key for one of its fields, a
+nested table for a nested dataclass.  Unknown keys are errors.
 """
 
 from __future__ import annotations
--- a/mallowbeam/router/processes/role.py
+++ b/mallowbeam/router/processes/role.py
@@ -1,4 +1,4 @@
-"""Start, settings changes and stop of a role's process.
+"""Starts and stops a role's process and reloads its settings.
 
 Exit codes: 0 after a requested stop, 1 after an unexpected failure, 2 if the settings can't be used or the
 role itself raises a :class:`MallowbeamError` (such as an address in use).
@@ -25,7 +25,11 @@
 EXIT_FAILED = 1
 EXIT_UNUSABLE = 2
 SETTINGS_POLL_INTERVAL_S = 1.0  # between two polls of the settings file
-GC_THRESHOLDS = (20_000, 20, 50)  # new objects before a collection; collections before that of an older
+GC_THRESHOLDS = (
+    20_000,
+    20,
+    50,
+)  # allocations before a collection; collections before one of the next generation
 
 ReloadCallback = Callable[[NodeSettings], None]
 
@@ -57,7 +61,7 @@
         try:
             settings = read_settings(self._path)
         except SettingsError as error:
-            log.error("settings not taken: %s", error.line)
+            log.error("invalid settings, keeping the previous ones: %s", error.line)
             return
         if settings == self._settings:
             return
@@ -89,7 +93,7 @@
 
 def run_role(serve: Callable[[RoleContext], Awaitable[None]]) -> int:
     """Run a role until a signal stops it; returns the exit code of the process."""
-    hangups = defer_sighup()  # SIGHUPs before this line are covered by the reading below
+    hangups = defer_sighup()  # the settings are read below, so an earlier SIGHUP needs no reload
     path = settings_path()
     try:
         settings = read_settings(path)
@@ -129,7 +133,7 @@
 
 
 def relax_garbage_collection() -> None:
-    """Exclude the objects of the start from garbage collection, and collect others less often."""
+    """Exclude the objects created at start-up from garbage collection, and collect others less often."""
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     gc.enable()
@@ -143,6 +147,6 @@
 
 
 def _log_unhandled(_: asyncio.AbstractEventLoop, details: dict[str, Any]) -> None:
-    """Log an exception that no caller of a task receives."""
+    """Log an error that reached the event loop unhandled."""
     message, error = details.get("message", ""), details.get("exception")
-    log.error("unhandled in the event loop: %s", message, exc_info=error)
+    log.error("unhandled error in the event loop: %s", message, exc_info=error)
--- a/mallowbeam/router/processes/settings.py
+++ b/mallowbeam/router/processes/settings.py
@@ -1,7 +1,7 @@
 """The settings file of a process (DEPLOY.md: settings file): read at the start, and again when it changes.
 
 Unknown keys are ignored. Required keys must be present; all others have the defaults that the dataclasses
-state. The names of times and sizes end in their unit (``_ms``, ``_s``, ``_mb``).
+state. Names of times and sizes end in their unit (``_ms``, ``_s``, ``_mb``).
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class SettingsUnreadableError(SettingsError):
-    """The settings file can't be opened, or is no TOML."""
+    """The settings file can't be opened or is not valid TOML."""
 
     error_name = "SettingsUnreadable"
     code = "SETTINGS_UNREADABLE"
@@ -59,10 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricsPage:
-    """The page of the process's metrics, on its machine's address."""
+    """The page of the process's metrics, on the address `NodeSettings.ip`."""
 
     port: int
-    path: str  # with its slash
+    path: str  # starts with a slash
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTolerance:
-    """How many of one kind may fail at the same time."""
+    """How many machines, zones or regions may fail at the same time."""
 
     machines: int = 0
     zones: int = 0
@@ -194,7 +194,7 @@
     """Split IP:PORT; raises ValueError."""
     host, colon, port = address.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"no IP:PORT: {address!r}")
+        raise ValueError(f"not IP:PORT: {address!r}")
     return host, int(port)
 
 
@@ -218,27 +218,27 @@
 
 
 class _Section:
-    """A table of the file, with the path that names it in errors."""
+    """A table of the file, with its path for errors."""
 
     def __init__(self, table: Mapping[str, object], path: str) -> None:
         self._table, self._path = table, path
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A text; a key without a default must be present and not empty."""
+        """A string; a key without a default must be present and not empty."""
         value = self._table.get(key, default)
         if value is None:
             raise self._error(key, "is missing")
         if not isinstance(value, str):
-            raise self._error(key, "must be a text")
+            raise self._error(key, "must be a string")
         if default is None and not value:
             raise self._error(key, "must not be empty")
         return value
 
     def texts(self, key: str) -> tuple[str, ...]:
-        """A list of texts, empty if missing."""
+        """A list of strings, empty if missing."""
         value = self._table.get(key, [])
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-            raise self._error(key, "must be a list of texts")
+            raise self._error(key, "must be a list of strings")
         return tuple(value)
 
     def number(self, key: str, default: float) -> float:
@@ -290,7 +290,7 @@
             raise self._error(key, "must be a list of two ports")
         first, last = value
         if not 0 < first <= last <= MAX_PORT:
-            raise self._error(key, "must be two rising ports, 1 to 65535")
+            raise self._error(key, "must be two ascending ports from 1 to 65535")
         return first, last
 
     def section(self, key: str) -> _Section:
@@ -301,7 +301,7 @@
         return _Section(value, f"{self._path}{key}.")
 
     def text_map(self) -> Mapping[str, str]:
-        """All values of the table as texts, by key."""
+        """All values of the table, which must be strings, by key."""
         return MappingProxyType({key: self.text(key, "") for key in self._table})
 
     def _checked_address(self, key: str, value: str) -> str:
--- a/mallowbeam/router/rpc/connection.py
+++ b/mallowbeam/router/rpc/connection.py
@@ -11,7 +11,7 @@
 
 from mallowbeam.router.rpc.framing import FrameError, FrameReader, encode_frame
 
-USER_TIMEOUT_MS = 1500  # the kernel ends a connection whose bytes are unacknowledged for this long
+USER_TIMEOUT_MS = 1500  # the kernel closes a connection whose bytes stay unacknowledged for this long
 KEEPALIVE_IDLE_S = 1  # idle time before the kernel's first keep-alive probe
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
@@ -43,7 +43,7 @@
         self.last_received = asyncio.get_running_loop().time()
 
     def data_received(self, data: bytes) -> None:
-        """Split received bytes into frames; anything else ends the connection.
+        """Split received bytes into frames; an invalid frame ends the connection.
 
         Once the owner has aborted the connection, no further frame is delivered, not even one that was
         received in the same read.
@@ -76,7 +76,7 @@
         return self.send_encoded(encode_frame(message))
 
     def send_encoded(self, frame: bytes) -> bool:
-        """Queue a frame made by `encode_frame`, which may be shared by many connections; like `send`."""
+        """Queue a frame made by `encode_frame`, which many connections may share; returns as `send` does."""
         if self._transport is None or self._transport.is_closing():
             return False
         if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
@@ -97,7 +97,7 @@
 
 
 def configure(sock: socket.socket) -> None:
-    """Set TCP options: no delay for small frames, and a prompt error if the peer is unreachable."""
+    """Set TCP options: small frames are sent at once, and an unreachable peer is noticed soon."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
@@ -115,7 +115,7 @@
     """Connect to IP:PORT.
 
     Raises:
-        TimeoutError: there is no connection after `timeout` seconds.
+        TimeoutError: the connection was not established within `timeout` seconds.
         OSError: the connection failed.
     """
     host, _, port = address.rpartition(":")
--- a/mallowbeam/router/rpc/framing.py
+++ b/mallowbeam/router/rpc/framing.py
@@ -13,7 +13,7 @@
 
 
 class FrameError(MallowbeamError):
-    """The received bytes are no frame of allowed size; the connection can't be used any further."""
+    """A frame exceeds the size limit; the connection can no longer be used."""
 
     code = "RPC_FRAME"
     remedy = "look for a process of another version, or for another program that connects to this port"
--- a/tests/router/configuration/test_configuration_accepted.py
+++ b/tests/router/configuration/test_configuration_accepted.py
@@ -17,12 +17,12 @@
 
 
 def digest(number: int) -> bytes:
-    """A digest like no other."""
+    """A digest that is unique for each number."""
     return number.to_bytes(16, "big")
 
 
 def saved(records: AcceptedConfigurations | RejectedCommands) -> ReplicatedState:
-    """A snapshot, as another process reads it."""
+    """A snapshot, serialized and parsed again."""
     state = ReplicatedState()
     records.save(state)
     return ReplicatedState.FromString(state.SerializeToString())
@@ -94,7 +94,7 @@
 
 
 class RejectedRecords(unittest.TestCase):
-    """Refused calls that could still succeed."""
+    """Rejected commands that could still succeed."""
 
     def test_a_command_is_identified_by_digest_and_base(self) -> None:
         rejected = RejectedCommands()
--- a/tests/router/configuration/test_configuration_calls.py
+++ b/tests/router/configuration/test_configuration_calls.py
@@ -1,4 +1,4 @@
-"""What an operator is answered for each result of the replicated state."""
+"""The status of the response to an operator, for each result of the replicated state."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Decided:
-    """Commands that all come to one result."""
+    """Stand-in for the command forwarder: every command gets the same result."""
 
     def __init__(self, result: CommandResult) -> None:
         self.result = result
@@ -41,7 +41,7 @@
 
 
 class Alone:
-    """The status page of a member that knows no others."""
+    """Stand-in for the status page of a member that knows no other members."""
 
     def other_controls(self) -> list[str]:
         return []
@@ -49,14 +49,14 @@
 
 class Answers(unittest.TestCase):
     def test_each_result_has_its_status(self) -> None:
-        """Only what is known as taken is acknowledged, and only what can't be taken any more is refused."""
+        """Acknowledges only accepted commands, and rejects only commands that can no longer be accepted."""
         self.assertEqual(set(STATUSES), set(CommandResult.keys()))
         for name, status in STATUSES.items():
             with self.subTest(name):
                 self.assertEqual(self.status(CommandResult.Value(name)), status)
 
     def status(self, result: CommandResult) -> int:
-        """The answer's status where the replicated state comes to a result."""
+        """The response's status if the replicated state returns `result`."""
         parser = ConfigurationParser()
         in_touch = ResponseGate(lambda: 1.0, lambda: 0.0, lambda: False)
         api = ControlApi(
--- a/tests/router/configuration/test_configuration_documents.py
+++ b/tests/router/configuration/test_configuration_documents.py
@@ -1,4 +1,4 @@
-"""Which documents are taken and which refused, with the code and the path that the operator reads."""
+"""Accepted and rejected documents, with the code and the path that the operator reads."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def edited(edits: dict[str, Any]) -> dict[str, Any]:
-    """The document with values put at paths such as ``routes[0].timeout_ms``, or removed there."""
+    """The document with values set at, or removed from, paths such as ``routes[0].timeout_ms``."""
     changed = document()
     for path, value in edits.items():
         steps = [int(step) if step.isdigit() else step for step in re.findall(r"\w+", path)]
@@ -41,7 +41,7 @@
 
 
 def nested(levels: int) -> Any:
-    """Lists within lists."""
+    """Nested lists."""
     value: Any = 0
     for _ in range(levels):
         value = [value]
@@ -229,10 +229,10 @@
 
 
 class Documents(unittest.TestCase):
-    """One test a table."""
+    """One test per table."""
 
     def refusal(self, body: bytes, parser: ConfigurationParser | None = None) -> ConfigurationError:
-        """The error with which a body is refused."""
+        """The error with which a body is rejected."""
         with self.assertRaises(ConfigurationError) as caught:
             (parser or ConfigurationParser()).parse(body)
         return caught.exception
@@ -303,7 +303,7 @@
 
 
 class Values(unittest.TestCase):
-    """What the model holds."""
+    """The values of the parsed model."""
 
     def test_fields(self) -> None:
         configuration = parsed(document())
--- a/tests/router/configuration/test_configuration_fuzz.py
+++ b/tests/router/configuration/test_configuration_fuzz.py
@@ -14,7 +14,7 @@
 
 
 class Fuzz(unittest.TestCase):
-    """A part of what ``PYTHONPATH=. python tests/support/configuration_fuzz.py`` does."""
+    """A short run of ``PYTHONPATH=. python tests/support/configuration_fuzz.py``."""
 
     def test_damaged_bodies(self) -> None:
         outcomes = run(SEED, COUNT)
--- a/tests/router/configuration/test_configuration_identity.py
+++ b/tests/router/configuration/test_configuration_identity.py
@@ -1,4 +1,4 @@
-"""Which bodies are one change and which are two, and that what is read back is what was sent."""
+"""Which bodies count as the same change; a document is read back as it was sent."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 def replaced(old: str, new: str) -> bytes:
-    """The document's text with one part written otherwise."""
+    """The document's text with one part replaced."""
     assert old in TEXT, old
     return TEXT.replace(old, new, 1).encode()
 
 
 DIGEST = "46fd58bae2f78af18b316f656cebc0a9"  # of `CanonicalForm.CANONICAL` in a document
 
-SAME = {  # one JSON value, written in another way
+SAME = {  # the same JSON value in another notation
     "white space": json.dumps(json.loads(TEXT), indent=3).encode(),
     "order of keys": json.dumps(dict(reversed(json.loads(TEXT).items()))).encode(),
     "escapes": replaced('"a/b"', '"\\u0061\\/b"'),
     "form of a fraction": replaced("100.0", "1E2"),
     "an earlier value of a key that comes twice": replaced('"parts": [1, 2]', '"parts": 7, "parts": [1, 2]'),
 }
-OTHER = {  # another JSON value, or a whole number that is written as a fraction
+OTHER = {  # another JSON value, or an integer in the notation of a fraction
     "a field that is not known": replaced('"note"', '"later": null, "note"'),
     "a field that is not known, in a route": replaced('"hostname"', '"later": 1, "hostname"'),
     "its value": replaced('"a/b"', '"a/c"'),
@@ -83,7 +83,7 @@
 
 
 class CanonicalForm(unittest.TestCase):
-    """The digest is kept in logs and snapshots: another way to write the same value would make it unknown."""
+    """Digests are stored in logs and snapshots; a changed canonical form would make them unknown."""
 
     FIELDS = r"""{"z": [1E22, 1e-7, 0.1, 100.0, -0.0, 5e-324, 12345678901234567890, true, null],
         "\u00e4": "\u0007 \" \\ \/ \u2028 \ud83d\ude00 \u007f", "a": {"b": 1, "B": 2}}"""
@@ -101,7 +101,7 @@
 
 
 class OneParser(unittest.TestCase):
-    """What one member refuses before it is proposed, each other member refuses too."""
+    """Every member rejects the same documents before they are proposed, whatever it has parsed before."""
 
     def test_what_was_read_before_changes_nothing(self) -> None:
         no_timeout = replaced('"timeout_ms": 2500', '"timeout_ms": 0')
@@ -116,7 +116,7 @@
 
 
 def outcome(parser: ConfigurationParser, body: bytes) -> object:
-    """What a parser makes of a body: the configuration, or the error's code and place."""
+    """The result of parsing a body: the configuration, or the error's code and path."""
     try:
         return parser.parse(body)
     except ConfigurationError as error:
--- a/tests/router/configuration/test_configuration_patch.py
+++ b/tests/router/configuration/test_configuration_patch.py
@@ -1,4 +1,4 @@
-"""Patches of the operator's configuration: what is read, refused (code and place), and what comes of it."""
+"""Patches of the operator's configuration: parsing, rejection (code and path) and outcomes."""
 
 from __future__ import annotations
 
@@ -150,7 +150,7 @@
 
 
 class Reading(unittest.TestCase):
-    """Patches that are wrong by themselves, or lead to a configuration that is."""
+    """Patches that are malformed, or whose outcome is invalid."""
 
     def refused(self, patch: Any) -> ConfigurationError:
         known = ConfigurationParser().parse(body_of(document())).document
@@ -187,10 +187,10 @@
 
 
 class Outcomes(unittest.TestCase):
-    """The outcome is what a whole document of the same content is, in every respect."""
+    """The outcome equals a complete document of the same content in every respect."""
 
     def check(self, before: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
-        """Apply a patch and compare with a document that was read whole; that document."""
+        """Apply a patch and compare the outcome with a complete document; returns that document."""
         old = ConfigurationParser().parse(body_of(before)).document
         kept = copy.deepcopy(old.configuration)
         expected = patched(before, patch)
@@ -199,7 +199,7 @@
         self.assertEqual(json.loads(new.canonical()), expected)
         self.assertEqual(new.canonical(), whole.canonical)
         self.assertEqual(new.configuration, whole.configuration)
-        self.assertEqual(old.configuration, kept, "the document before was changed")
+        self.assertEqual(old.configuration, kept, "the previous document was modified")
         update = incremental_update(old.configuration, new.configuration)
         self.assertEqual(apply_update(old.configuration, update), whole.configuration)
         return expected
@@ -210,7 +210,7 @@
                 self.check(document(), patch_of(changes))
 
     def test_random_walks(self) -> None:
-        """300 patches one on another, each valid, against plain lists."""
+        """300 valid patches in sequence, compared with the reference implementation."""
         drawn = random.Random(48)
         now = large_document(40, revision=1)
         for revision in range(2, 302):
@@ -223,7 +223,7 @@
             now = self.check(now, patch)
 
     def test_a_patch_costs_what_it_changes(self) -> None:
-        """Command and difference of one route have the same size in a small configuration and a large one."""
+        """A one-route command and its update have the same size in a small configuration and a large one."""
         sizes = []
         for routes in (100, 4_000):
             old = ConfigurationParser().parse(body_of(large_document(routes))).document
@@ -241,7 +241,7 @@
 
 
 class Members(unittest.TestCase):
-    """What the replicated state does with patches where nobody has checked them before."""
+    """How the replicated state applies patches that no member has checked before."""
 
     def test_nothing_to_patch(self) -> None:
         patch = parse_patch(body_of(patch_of({"upsert": {"routes": [FIRST]}})))
@@ -259,7 +259,7 @@
         self.assertEqual(versions.apply(patch_command(patch, 6)), VERSION_MISMATCH)
 
     def test_patches_after_each_kind_of_start(self) -> None:
-        """A member that has parsed the document itself, and one that was given it by another's call."""
+        """A member whose API parsed the document, and one that only received the committed command."""
         parser = ConfigurationParser()
         command = put_command(parser.parse(body_of(document())), 0)
         patch = patch_command(parse_patch(body_of(patch_of({"remove": {"routes": ["r-1"]}}))), 7)
@@ -270,7 +270,7 @@
         self.assertEqual(len(bodies), 1)
 
     def test_a_complete_document_is_not_parsed_to_compare_another_of_its_revision(self) -> None:
-        """Its digest tells them apart; the stored body is not even readable here."""
+        """The digests suffice to tell them apart; the stored bodies are not even readable."""
         versions = ConfigurationVersions()
         stored = PutConfiguration(body=b"not zlib", based_on=0, digest=b"1" * 16, revision=7)
         other = PutConfiguration(body=b"not zlib", based_on=0, digest=b"2" * 16, revision=7)
--- a/tests/router/configuration/test_configuration_updates.py
+++ b/tests/router/configuration/test_configuration_updates.py
@@ -1,4 +1,4 @@
-"""Updates for gateways: an incremental update equals a full one, and no gateway goes back."""
+"""Updates for gateways: an incremental update equals a full one, and revisions never decrease."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
     with_backends: list[tuple[str, Backend]],
     with_limits: ClientLimits,
 ) -> Configuration:
-    """The old or the new configuration; services that routes name need not be there."""
+    """The old or the new configuration; the services that routes name may be missing."""
     chosen_routes = [route for place, route in with_routes if place in (which, "both")]
     chosen_backends = [backend for place, backend in with_backends if place in (which, "both")]
     return Configuration(
@@ -85,7 +85,7 @@
 
 
 def over_the_wire(update: ConfigurationUpdate) -> ConfigurationUpdate:
-    """An update as it arrives."""
+    """An update, serialized and parsed again."""
     arrived = ConfigurationUpdate()
     arrived.ParseFromString(update.SerializeToString())
     return arrived
@@ -109,7 +109,7 @@
         changed = apply_update(held, over_the_wire(incremental_update(old, new)))
         self.assertEqual(changed, new)
         self.assertEqual(apply_update(held, over_the_wire(full_update(new))), new)
-        self.assertEqual(held, old, "what was held has been changed")
+        self.assertEqual(held, old, "the held configuration has been modified")
 
     def test_the_property_fails_for_an_update_that_lacks_removals(self) -> None:
         def forgetful(old: Configuration, new: Configuration) -> ConfigurationUpdate:
--- a/tests/router/configuration/test_configuration_versions.py
+++ b/tests/router/configuration/test_configuration_versions.py
@@ -1,4 +1,4 @@
-"""Compare-and-set, resent configurations, snapshots: the scenarios, and variants broken on purpose."""
+"""Compare-and-set, resent configurations and snapshots: the scenarios, and faulty variants."""
 
 from __future__ import annotations
 
@@ -50,13 +50,13 @@
 
 
 def play(name: str, kind: type[ConfigurationVersions]) -> None:
-    """Play one scenario with one kind of state machine."""
+    """Run one scenario with one kind of state machine."""
     make: NewVersions = lambda bounds: kind(**bounds)  # noqa: E731
     Scenario(make).run((SCENARIOS / f"{name}.txt").read_text())
 
 
 class Scenarios(unittest.TestCase):
-    """Each file, and each broken variant in the files that must find it."""
+    """Each scenario file, and each faulty variant in the files that must detect it."""
 
     def test_scenarios(self) -> None:
         names = sorted(path.stem for path in SCENARIOS.glob("*.txt"))
@@ -74,7 +74,7 @@
 
 
 class Versions(unittest.TestCase):
-    """What scenarios don't show."""
+    """Properties that the scenarios do not cover."""
 
     def test_nothing_is_parsed_twice_when_the_api_shares_its_parser(self) -> None:
         parser = ConfigurationParser()
--- a/tests/router/configuration/test_operator_races.py
+++ b/tests/router/configuration/test_operator_races.py
@@ -1,4 +1,4 @@
-"""Operators that race through changes of leader, with lost answers, late copies, wipes and restarts."""
+"""Operators that race through leader changes, lost responses, late duplicates, wiped disks and restarts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from mallowbeam.simulation.scenario import ViolationError, scenario_tests
 
 FOLDER = SCENARIO_FOLDER / "operators"
-SNAPSHOT_ENTRIES = 4  # so that members that were away get snapshots
+SNAPSHOT_ENTRIES = 4  # few, so that members that were away get snapshots
 SEEDS = range(1, 7)
 ROUNDS = 3
 
@@ -45,7 +45,7 @@
 
 
 class WithSnapshots(unittest.TestCase):
-    """The scenario files once more, with members that take and send snapshots all the time."""
+    """The scenario files with members that take and send snapshots often."""
 
     def test_scenarios(self) -> None:
         for path in sorted(FOLDER.glob("*.txt")):
--- a/tests/router/configuration/test_rules_config.py
+++ b/tests/router/configuration/test_rules_config.py
@@ -1,4 +1,4 @@
-"""Which route and service a request takes while configurations change under open connections."""
+"""Route and service of each request while the configuration changes under open connections."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Changes(unittest.TestCase):
-    """Each change is seen by the next request, on old connections and new ones."""
+    """Each change applies to the next request, on old connections and new ones."""
 
     async def asked(
         self,
@@ -46,7 +46,7 @@
         target: str,
         host: str = HOST,
     ) -> str:
-        """The status, or the instance that signed; the same on both connections."""
+        """The status, or the instance that signed the response; checks that both connections agree."""
         kept[1].write(request_bytes(target, headers={"Host": host}))
         answers = [await read_answer(kept[0]), await bench.ask(target, headers={"Host": host})]
         results = {answer.headers.get("server-signature", str(answer.status)) for answer in answers}
@@ -133,7 +133,7 @@
         play(scenario())
 
     def test_nothing_is_sent_to_a_service_that_no_route_names_any_more(self) -> None:
-        """The second send of a request whose service was dropped meanwhile: no instance of it is left."""
+        """A request to a service that was removed in the meantime gets a 404 and reaches no instance."""
 
         async def scenario() -> None:
             async with Bench(DEFAULT, ByName()) as bench:
--- a/tests/router/processes/test_processes_errors.py
+++ b/tests/router/processes/test_processes_errors.py
@@ -1,4 +1,4 @@
-"""Error codes: each stands for one type, and the page for who is on call has a row for each."""
+"""Error codes: each belongs to one type and has a row on the on-call page."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         load_new_parts()
 
     def test_each_code_has_one_type_and_the_usual_form(self):
-        for code in code_table():  # raises where two types share one
+        for code in code_table():  # raises if two types share one
             self.assertRegex(code, CODE)
 
     def test_each_error_of_the_new_parts_has_a_code(self):
--- a/tests/router/processes/test_processes_logs.py
+++ b/tests/router/processes/test_processes_logs.py
@@ -1,4 +1,4 @@
-"""The log: one line an event, and no more lines of one event than its bound."""
+"""The log: one line per record, with a rate limit per event."""
 
 from __future__ import annotations
 
--- a/tests/router/processes/test_processes_main.py
+++ b/tests/router/processes/test_processes_main.py
@@ -1,4 +1,4 @@
-"""`python -m mallowbeam`: each first argument loads its own part and no other."""
+"""`python -m mallowbeam`: each first argument loads only the modules of its role."""
 
 from __future__ import annotations
 
--- a/tests/router/processes/test_processes_metrics.py
+++ b/tests/router/processes/test_processes_metrics.py
@@ -1,4 +1,4 @@
-"""The page of a role's own figures."""
+"""The metrics page of a role."""
 
 from __future__ import annotations
 
--- a/tests/router/processes/test_processes_overrides.py
+++ b/tests/router/processes/test_processes_overrides.py
@@ -1,4 +1,4 @@
-"""Settings of the decision cores that differ from their defaults."""
+"""Overrides of the decision cores' default settings."""
 
 from __future__ import annotations
 
--- a/tests/router/processes/test_processes_role.py
+++ b/tests/router/processes/test_processes_role.py
@@ -1,4 +1,4 @@
-"""A role's process: its start, the settings it takes while it runs, its end."""
+"""A role's process: start, reloaded settings and stop."""
 
 from __future__ import annotations
 
@@ -190,7 +190,7 @@
             print("on")
         """)
         self.assertEqual((ended.returncode, ended.stdout), (0, "on\n"))
-        self.assertIn("unhandled in the event loop", ended.stderr)
+        self.assertIn("unhandled error in the event loop", ended.stderr)
         self.assertIn("ZeroDivisionError", ended.stderr)
 
     def test_what_the_start_made_is_out_of_garbage_collection(self):
--- a/tests/router/processes/test_processes_settings.py
+++ b/tests/router/processes/test_processes_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: what is read, what is skipped, what is refused and where."""
+"""The settings file: keys that are read, ignored and rejected, with the path of an error."""
 
 from __future__ import annotations
 
--- a/tests/router/rpc/test_rpc_connection.py
+++ b/tests/router/rpc/test_rpc_connection.py
@@ -1,4 +1,4 @@
-"""A frame connection's end: what came together with it, or behind it, is handed on to nobody."""
+"""After a frame connection ends, frames received in the same read or later are not delivered."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class StandInTransport(asyncio.Transport):
-    """Keeps what is written; its protocol is told of an abort later, as by a real one."""
+    """Records written bytes; like a real transport, `abort` does not call the protocol at once."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/router/test_error_body.py
+++ b/tests/router/test_error_body.py
@@ -1,4 +1,4 @@
-"""The JSON error body of the control API: what a member writes, the command line reads."""
+"""The JSON error body of the control API, as a member writes it and the command line reads it."""
 
 from __future__ import annotations
 
--- a/tests/support/configuration_costs.py
+++ b/tests/support/configuration_costs.py
@@ -19,7 +19,7 @@
 
 
 def milliseconds(step: Callable[[], object]) -> float:
-    """The median time of a step."""
+    """The median duration of a step, in milliseconds."""
     times = []
     for _ in range(REPEATS):
         start = time.perf_counter()
@@ -29,7 +29,7 @@
 
 
 def measure(routes: int) -> dict[str, float]:
-    """Times in milliseconds, sizes in KB, for documents of so many routes that differ in one."""
+    """Times in milliseconds and sizes in KB, for documents of `routes` routes that differ in one route."""
     old_body = body_of(large_document(routes))
     document = large_document(routes, revision=8)
     document["routes"][routes // 2]["timeout_ms"] += 1
@@ -66,7 +66,7 @@
 
 
 def apply_bytes(data: bytes) -> Configuration:
-    """What a gateway does with a full update that it received."""
+    """Parse and apply a full update, as a gateway does."""
     return apply_update(None, ConfigurationUpdate.FromString(data))
 
 
--- a/tests/support/configuration_documents.py
+++ b/tests/support/configuration_documents.py
@@ -1,4 +1,4 @@
-"""Documents for the tests of the configuration: one as the wire has it, and large ones."""
+"""Configuration documents for tests: a typical one and large ones."""
 
 from __future__ import annotations
 
@@ -77,24 +77,24 @@
 
 
 def document(revision: int = 7) -> dict[str, Any]:
-    """A copy to change."""
+    """A copy of `DOCUMENT` that the caller may change."""
     changed: dict[str, Any] = copy.deepcopy(DOCUMENT)
     changed["revision"] = revision
     return changed
 
 
 def body_of(value: object) -> bytes:
-    """A document as the body of a call."""
+    """A document as a request body."""
     return json.dumps(value).encode()
 
 
 def parsed(value: object) -> Configuration:
-    """The configuration of a document."""
+    """The configuration that a document describes."""
     return parse_configuration(body_of(value)).configuration
 
 
 def large_document(routes: int, revision: int = 7) -> dict[str, Any]:
-    """A document of so many routes, one in four split, over a service for each ten."""
+    """A document with `routes` routes, a quarter of them weighted, and one service per ten routes."""
     services = max(2, routes // 10)
     changed = document(revision)
     changed["backends"] = [{**DOCUMENT["backends"][0], "name": f"service-{n}"} for n in range(services)]
--- a/tests/support/configuration_fuzz.py
+++ b/tests/support/configuration_fuzz.py
@@ -1,7 +1,7 @@
-"""Random damage to configurations: ``PYTHONPATH=. python tests/support/configuration_fuzz.py SEED COUNT``.
+"""Fuzzes configuration documents: ``PYTHONPATH=. python tests/support/configuration_fuzz.py SEED COUNT``.
 
-Each damaged body must be rejected with a `ConfigurationError`, or accepted and then kept without loss: as
-JSON in the canonical document, and as values in the message to gateways.
+Each damaged body must be rejected with a `ConfigurationError`, or be accepted without data loss: as JSON in
+the canonical document, and as values in the message to gateways.
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
 
 
 def paths(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """The paths of all values inside a document, its own not among them."""
+    """The paths of all values inside a document, without the empty path of the document itself."""
     found: list[tuple[Any, ...]] = []
     items = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for key, child in items:
@@ -97,28 +97,28 @@
 
 
 def parent_of(value: Any, path: tuple[Any, ...]) -> Any:
-    """The object or list that holds the value at a path."""
+    """The object or list that contains the value at a path."""
     for key in path[:-1]:
         value = value[key]
     return value
 
 
 def replace(source: random.Random, value: Any) -> bytes:
-    """Another value somewhere."""
+    """Replace a value at a random path."""
     path = source.choice(paths(value))
     parent_of(value, path)[path[-1]] = copy.deepcopy(source.choice(VALUES))
     return body_of(value)
 
 
 def remove(source: random.Random, value: Any) -> bytes:
-    """A value less."""
+    """Remove the value at a random path."""
     path = source.choice(paths(value))
     del parent_of(value, path)[path[-1]]
     return body_of(value)
 
 
 def add(source: random.Random, value: Any) -> bytes:
-    """A value more, or one of another place there."""
+    """Copy a value to another path, where it may replace the present one."""
     first, second = source.choice(paths(value)), source.choice(paths(value))
     copied = json.loads(json.dumps(parent_of(value, second)[second[-1]]))
     container = parent_of(value, first)
@@ -136,7 +136,7 @@
 
 
 def spoil(source: random.Random, value: Any) -> bytes:
-    """Some bytes changed."""
+    """Replace up to four bytes."""
     body = bytearray(body_of(value))
     for _ in range(source.randint(1, 4)):
         body[source.randrange(len(body))] = source.randrange(256)
@@ -144,7 +144,7 @@
 
 
 def splice(source: random.Random, value: Any) -> bytes:
-    """A text that is no JSON, or hard to read, in place of a value."""
+    """Replace a value by text that is invalid JSON or hard to parse."""
     path = source.choice(paths(value))
     parent_of(value, path)[path[-1]] = "@@"
     return body_of(value).replace(b'"@@"', source.choice(TEXTS))
@@ -168,25 +168,25 @@
     except ConfigurationError as error:
         alone = refusal_alone(body)
         if alone != error.code:
-            raise AssertionError(f"{error.code} by a parser in use, {alone} by a new one") from None
+            raise AssertionError(f"{error.code} from a used parser, {alone} from a new one") from None
         return error.code
     if comparable(result.canonical) != comparable(body):
         raise AssertionError("the canonical document differs from the body")
     if parse_configuration(result.canonical, MOST_BYTES) != result:
-        raise AssertionError("the canonical document is read otherwise than the body")
+        raise AssertionError("the canonical document is parsed differently from the body")
     update = ConfigurationUpdate.FromString(full_update(result.configuration).SerializeToString())
     if apply_update(None, update) != result.configuration:
-        raise AssertionError("the message to gateways loses something")
+        raise AssertionError("the message to gateways loses data")
     return "accepted"
 
 
 def comparable(text: bytes) -> str:
-    """JSON in one form, in which 1, 1.0 and true differ."""
+    """JSON in a normal form in which 1, 1.0 and true differ."""
     return json.dumps(json.loads(text), sort_keys=True)
 
 
 def refusal_alone(body: bytes) -> str:
-    """What a parser says that has read nothing before."""
+    """The outcome from a new parser, which has an empty cache."""
     try:
         parse_configuration(body, MOST_BYTES)
     except ConfigurationError as error:
@@ -195,7 +195,7 @@
 
 
 def run(seed: int, count: int) -> Counter[str]:
-    """Damage and read so many bodies; the outcomes by code. What else comes up is raised with its seed."""
+    """Damage and parse `count` bodies; returns outcomes by code. Other errors are raised with their seed."""
     parser = ConfigurationParser(MOST_BYTES)
     outcomes: Counter[str] = Counter()
     for number in range(count):
--- a/tests/support/configuration_scenario.py
+++ b/tests/support/configuration_scenario.py
@@ -1,29 +1,29 @@
 """Scenarios of members that apply one log of configurations, and of gateways that follow them.
 
-One step a line; ``#`` starts a comment. Members apply what is in the log at once unless they lag.
+One step per line; ``#`` starts a comment. Members apply log entries immediately unless they lag.
 
-    members a b c                       the members, with nothing taken yet
-    keep 3                              how many digests each of them remembers (before `members`)
-    keep-refused 3                      likewise of refused calls
+    members a b c                       the members, without a configuration
+    keep 3                              digests that each member remembers (before `members`)
+    keep-refused 3                      rejected commands that each member remembers
     document NAME revision=4 routes=2 timeout=500
-                                        a document, sent under NAME below; routes and timeout may be left out
-    put NAME on=3 RESULT                a command reaches the log; every member must come to RESULT
+                                        a document, NAME below; routes and timeout are optional
+    put NAME on=3 RESULT                a command is committed; every member must return RESULT
     change NAME revision=9 put=r-1 drop=r-0 timeout=100 put-service=s drop-service=service-1
-                                        a patch, sent under NAME below: routes and services by name, separated
-                                        by commas; all but the revision may be left out
-    patch NAME on=3 RESULT              likewise, a patch reaches the log
-    after NEW OLD NAME                  document NEW is what OLD becomes by a patch, by a plain reading of it
-    refused NAME CODE [where=PATH]      the document is refused before it reaches the log
-    lag b / catch-up b                  b applies nothing, and then all
-    restart b                           b is built again from its own snapshot
-    snapshot a b                        b is built again from a's snapshot, wherever it stood
-    current NAME                        every member that does not lag holds exactly this document
-    current b NAME                      so does b, lagging or not; NAME may be `nothing`
-    follow g a                          gateway g goes over to a, which sends it the whole configuration
-    update g                            its member sends what changed since it last sent something, or all
-                                        of it where g finds that this builds on another revision
-    mismatches g COUNT                  how often g found that
-    holds g NAME                        what g has in force
+                                        a patch, NAME below: routes and services by name, separated
+                                        by commas; all but the revision are optional
+    patch NAME on=3 RESULT              a patch is committed; every member must return RESULT
+    after NEW OLD NAME                  document NEW is OLD with the patch applied by the reference `patched`
+    refused NAME CODE [where=PATH]      the document is rejected before it is proposed
+    lag b / catch-up b                  b stops applying the log; b applies all of it
+    restart b                           b is rebuilt from its own snapshot
+    snapshot a b                        b is rebuilt from a's snapshot, whatever its own progress
+    current NAME                        every member that does not lag has exactly this document
+    current b NAME                      b has this document, lagging or not; NAME may be `nothing`
+    follow g a                          gateway g subscribes to a, which sends it a full update
+    update g                            its member sends the changes since its last update, or a full update
+                                        if g rejects these for building on another revision
+    mismatches g COUNT                  how often g rejected an incremental update
+    holds g NAME                        the document that g has; NAME may be `nothing`
 """
 
 from __future__ import annotations
@@ -50,14 +50,14 @@
 
 
 def new_versions(bounds: dict[str, int]) -> ConfigurationVersions:
-    """The program's own state machine; tests hand in broken ones."""
+    """The production state machine; tests pass faulty variants of it."""
     return ConfigurationVersions(**bounds)
 
 
 def reloaded(
     versions: ConfigurationVersions, into: ConfigurationVersions | None = None
 ) -> ConfigurationVersions:
-    """The same state in a new process, given as a snapshot."""
+    """The same state, transferred to another state machine by a snapshot."""
     state = ReplicatedState()
     versions.save(state)
     again = into if into is not None else ConfigurationVersions()
@@ -66,17 +66,17 @@
 
 
 def listed(options: dict[str, str], name: str) -> list[str]:
-    """Names separated by commas."""
+    """The comma-separated names of an option; empty if the option is missing."""
     return options[name].split(",") if name in options else []
 
 
 def named_route(name: str, timeout: int) -> dict[str, Any]:
-    """The route that a document has under a name such as ``r-2``."""
+    """The route of a name such as ``r-2``, as `do_document` builds it."""
     return {**large_route(int(name.removeprefix("r-")), 2), "timeout_ms": timeout}
 
 
 def patched(document: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
-    """What a patch makes of a document: replaced entries keep their place, added ones come last."""
+    """Reference implementation of a patch: replaced entries keep their position, added ones come last."""
     changed = {**document, "revision": patch["revision"]}
     upsert, remove = patch.get("upsert") or {}, patch.get("remove") or {}
     for name in {*upsert, *remove}:
@@ -107,7 +107,7 @@
 
 @dataclass
 class Scenario:
-    """The world of one file."""
+    """Members, gateways and log of one scenario file."""
 
     new_versions: NewVersions = new_versions
     bounds: dict[str, int] = field(default_factory=dict)
@@ -119,7 +119,7 @@
     results: list[CommandResult] = field(default_factory=list)
 
     def run(self, text: str) -> None:
-        """Play every line; raises `AssertionError` with the line that failed."""
+        """Run every line; raises `AssertionError` with the line that failed."""
         for number, line in enumerate(text.splitlines(), 1):
             words = shlex.split(line, comments=True)
             if not words:
@@ -175,7 +175,7 @@
         self.documents[new] = patched(self.documents[old], self.patches[name])
 
     def commit(self, command: PutConfiguration, result: str) -> None:
-        """A command reaches the log, and the members that do not lag."""
+        """Append a command to the log; members that do not lag apply it."""
         self.log.append(command)
         self.results.append(CommandResult.Value(result))
         for member in self.members.values():
@@ -185,10 +185,10 @@
         try:
             parse_configuration(body_of(self.documents[name]))
         except ConfigurationError as error:
-            assert error.code == code, f"refused with {error.code}"
-            assert error.where.startswith(where.removeprefix("where=")), f"refused at {error.where}"
+            assert error.code == code, f"rejected with {error.code}"
+            assert error.where.startswith(where.removeprefix("where=")), f"rejected at {error.where}"
             return
-        raise AssertionError("was not refused")
+        raise AssertionError("was not rejected")
 
     def do_lag(self, name: str) -> None:
         self.members[name].lags = True
@@ -231,7 +231,9 @@
         except UpdateMismatchError:
             gateway.mismatches += 1
             gateway.current = apply_update(before, full_update(current))
-        assert before is None or gateway.current.revision >= before.revision, "the gateway went back"
+        assert (
+            before is None or gateway.current.revision >= before.revision
+        ), "the gateway's revision decreased"
 
     def do_mismatches(self, name: str, count: str) -> None:
         assert self.gateways[name].mismatches == int(count), f"{self.gateways[name].mismatches}"
@@ -239,13 +241,13 @@
     def do_holds(self, name: str, document: str) -> None:
         current = self.gateways[name].current
         if document == "nothing":
-            assert current is None, f"holds revision {current.revision}"
+            assert current is None, f"has revision {current.revision}"
             return
         expected = parse_configuration(body_of(self.documents[document])).configuration
-        assert current == expected, f"holds revision {current.revision if current else None}"
+        assert current == expected, f"has revision {current.revision if current else None}"
 
     def apply(self, member: Member) -> None:
-        """Let a member apply the rest of the log, with the results that the log's lines name."""
+        """Let a member apply the rest of the log and compare its results with the expected ones."""
         while member.applied < len(self.log) and not member.lags:
             result = member.versions.apply(self.log[member.applied])
             expected = self.results[member.applied]
@@ -253,13 +255,15 @@
             assert result == expected, f"{CommandResult.Name(result)}, not {CommandResult.Name(expected)}"
 
     def check_body(self, name: str, versions: ConfigurationVersions, document: str) -> None:
-        """Raise `AssertionError` unless a member reads back exactly this document."""
+        """Raise `AssertionError` unless a member has exactly this document."""
         if document == "nothing":
             assert (versions.revision, versions.current_body(), versions.current()) == (0, b"", None), name
             return
         expected = self.documents[document]
         body = versions.current_body()
-        assert body and json.loads(body) == expected, f"{name} holds {versions.revision}"
+        assert body and json.loads(body) == expected, f"{name} has {versions.revision}"
         current = versions.current()
         assert versions.revision == expected["revision"] == (current.revision if current else 0), name
-        assert current == parse_configuration(body_of(expected)).configuration, f"{name} parsed otherwise"
+        assert (
+            current == parse_configuration(body_of(expected)).configuration
+        ), f"{name} parsed it differently"
--- a/tests/support/configuration_variants.py
+++ b/tests/support/configuration_variants.py
@@ -1,4 +1,4 @@
-"""State machines of configurations that are broken on purpose: the scenarios and the model must find each."""
+"""Faulty variants of `ConfigurationVersions`, each of which the scenarios and the model must detect."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def changed(command: PutConfiguration, based_on: int) -> PutConfiguration:
-    """The same command on another revision."""
+    """The same command, based on another revision."""
     duplicate = PutConfiguration()
     duplicate.CopyFrom(command)
     duplicate.based_on = based_on
@@ -35,7 +35,7 @@
 
 
 class ForgetsOnRestart(ConfigurationVersions):
-    """A snapshot loses the digests."""
+    """Loses the digests on restoring a snapshot."""
 
     def restore(self, state: ReplicatedState) -> None:
         super().restore(state)
@@ -43,7 +43,7 @@
 
 
 class ComparesNothing(ConfigurationVersions):
-    """Accepts a change whatever it builds on."""
+    """Accepts a change whatever revision it builds on."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         return super().apply(changed(command, self.revision))
@@ -69,7 +69,7 @@
 
 
 class KeepsTheOldModel(ConfigurationVersions):
-    """Does not parse again after a change."""
+    """Keeps the previous parsed document after a change."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         self.current()
@@ -87,7 +87,7 @@
 
 
 class PatchesWithoutRemoval(ConfigurationVersions):
-    """Adds and replaces entries, and removes none."""
+    """Ignores the entries that a patch removes."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         if not command.patch:
@@ -100,7 +100,7 @@
 
 
 class PatchesOnlyHere(ConfigurationVersions):
-    """Saves what was there before a patch."""
+    """Saves the last complete document without the patches since then."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         result = super().apply(command)
@@ -114,7 +114,7 @@
 
 
 class RejectsTheForgotten(ConfigurationVersions):
-    """Rejects what it may have accepted long ago."""
+    """Rejects commands that it may have accepted long ago, and forgotten."""
 
     def _decide(self, command: PutConfiguration) -> CommandResult:
         self._accepted._forgotten_revision = 0
@@ -130,7 +130,7 @@
 
 
 class ForgetsRejectionsOnRestart(ConfigurationVersions):
-    """A snapshot loses the rejected commands."""
+    """Loses the rejected commands on restoring a snapshot."""
 
     def restore(self, state: ReplicatedState) -> None:
         super().restore(state)
@@ -148,7 +148,7 @@
 
 
 class DropsRejectionsOfTheNextBase(ConfigurationVersions):
-    """Forgets rejected commands at the moment at which they could succeed."""
+    """Forgets rejected commands when the revision that they build on becomes current."""
 
     def _accept(self, command: PutConfiguration) -> None:
         super()._accept(command)
@@ -181,7 +181,7 @@
 
 
 class RemembersRejectionsWithoutBase(ConfigurationVersions):
-    """Rejects a document on the right revision because it was rejected on another one."""
+    """Rejects a document on the current revision because it was rejected on another one."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         for call in self._rejected._results:
--- a/tests/support/operator_races.py
+++ b/tests/support/operator_races.py
@@ -1,11 +1,11 @@
-"""Several operators with lost answers and late duplicates of their requests, on the simulated fleet.
+"""Several operators with lost responses and late duplicates of their requests, on the simulated fleet.
 
 Besides the statements of :mod:`mallowbeam.simulation.fleet`::
 
-    operators o1 o2                       declared last
-    at 8 send ORDER 5 on 3 from o1 [via M]   an order of revision 5, sent until a final answer
-    at 8 copy ORDER [via M]               a duplicate of it, as one delayed on the way
-    at 9 again ORDER [via M]              its operator sends it again until a final answer
+    operators o1 o2                       after all other declarations
+    at 8 send ORDER 5 on 3 from o1 [via M]   an order of revision 5, retried until a final response
+    at 8 copy ORDER [via M]               a duplicate of it, as if delayed by the network
+    at 9 again ORDER [via M]              its operator sends it again until a final response
     at 9 chain 300 on 3 from o1           orders link1 to link300, each based on the previous one
 
 Conditions: ``ORDER open|taken|refused``; ``one-won ORDER ORDER``; ``in-force ORDER``.
@@ -30,12 +30,12 @@
 from mallowbeam.simulation.fleet_history import ApiCall
 from mallowbeam.simulation.fleet_operators import FINAL_STATUSES, FIRST_BACKOFF_S, LONGEST_BACKOFF_S, document
 
-CHAIN_POLL_S = 0.005  # between two checks whether the last order of a chain is answered
+CHAIN_POLL_S = 0.005  # between two checks whether the last order of a chain has a response
 
 
 @dataclass(slots=True)
 class RacedOrder:
-    """One order: its request, and the results that its operator received."""
+    """A configuration change: its request, and the results that its operator received."""
 
     name: str
     revision: int
@@ -48,12 +48,12 @@
 
 
 class RacingOperator(Caller):
-    """Sends each order until it gets a final answer."""
+    """Sends each order until it gets a final response."""
 
-    answers = 0  # final ones so far, to any order
+    answers = 0  # final responses so far, to any order
 
     def send(self, order: RacedOrder, member: str, backoff_s: float = FIRST_BACKOFF_S) -> None:
-        """Send an order to a member, then to others until there is a final answer."""
+        """Send an order to a member, then to others until there is a final response."""
         order.open = True
 
         def answered(status: int, body: bytes) -> None:
@@ -71,7 +71,7 @@
 
 
 def is_final(status: int) -> bool:
-    """Whether an answer is final: no retry follows."""
+    """Whether a response is final, so that no retry follows."""
     return 200 <= status < 300 or status in FINAL_STATUSES
 
 
@@ -116,7 +116,7 @@
         order.operator.send(order, self._via(order, via))
 
     def do_again(self, name: str, *via: str) -> None:
-        """Send an order again until there is a final answer."""
+        """Send an order again until there is a final response."""
         order = self.orders[name]
         order.operator.send(order, self._via(order, via))
 
@@ -180,7 +180,7 @@
         ]
 
     def _check_orders(self) -> None:
-        """Check all orders if an answer arrived or a member changed since the last event."""
+        """Check all orders if a response arrived or a member changed since the last check."""
         answers = sum(operator.answers for operator in self.racing_operators.values())
         incarnations = [member.machine.incarnation for member in self.members.values()]
         state = answers, incarnations, [versions.revision for versions in self._versions()]
@@ -191,7 +191,7 @@
     def _check_all_orders(self) -> None:
         by_version: dict[int, list[RacedOrder]] = {}
         for order in self.orders.values():
-            self._require(len(order.results) < 2, f"{order.name} was acknowledged and refused")
+            self._require(len(order.results) < 2, f"{order.name} was acknowledged and rejected")
             if "taken" in order.results:
                 by_version.setdefault(order.based_on, []).append(order)
         for based_on, orders in by_version.items():
@@ -201,10 +201,11 @@
             for order in self.orders.values():
                 known, behind = remembers(versions, order), versions.revision < order.revision
                 self._require(
-                    not (known and "refused" in order.results), f"{order.name} is in force though refused"
+                    not (known and "refused" in order.results), f"{order.name} is in force though rejected"
                 )
                 self._require(
-                    known or behind or "taken" not in order.results, f"{order.name} is lost though taken"
+                    known or behind or "taken" not in order.results,
+                    f"{order.name} is lost though acknowledged",
                 )
 
 
@@ -223,7 +224,7 @@
 at 3 send first 1 on 0 from o1
 by 9 expect first taken
 """
-FAULTS: tuple[tuple[str, str], ...] = (  # what begins and what ends it
+FAULTS: tuple[tuple[str, str], ...] = (  # a command that starts the fault and one that ends it
     ("kill leader", "start members"),
     ("isolate leader", "heal"),
     ("freeze leader", "thaw members"),
@@ -234,9 +235,9 @@
     ("cut leader followers", "heal"),
     ("power-off members", "start members"),
 )
-BAD_PATHS_S = 10.0  # of a round: answers are lost or late
+BAD_PATHS_S = 10.0  # part of a round during which responses are lost or late
 GOOD_PATHS = "path members operators 0.001 0.01"
-ROUND_S = 20.0  # until all orders of a round have their clear answers
+ROUND_S = 20.0  # until all orders of a round must have final responses
 
 
 class RandomRace:
@@ -270,12 +271,12 @@
             self._later(random.uniform(1.0, 8.0), f"copy {name}")
         end_at = player.simulator.now + ROUND_S
         player.simulator.run_while(lambda: self._unanswered(names), end_at)
-        player._require(not self._unanswered(names), f"an order of round {number} has no clear answer")
+        player._require(not self._unanswered(names), f"an order of round {number} has no final response")
         player.simulator.run_until(end_at)
         self._resend_all(end_at)
 
     def _race(self, number: int) -> list[str]:
-        """Two orders on the current version, and one on a version that may come or not."""
+        """Send two orders on the current version, and one on a version that may never exist."""
         random, version = self._random, self._version()
         left, right, early = f"left{number}", f"right{number}", f"early{number}"
         left_revision = version + random.choice((1, 2, 3))
@@ -287,13 +288,13 @@
         return [left, right, early]
 
     def _resend_all(self, now: float) -> None:
-        """Every order that was taken is sent again and must be acknowledged again."""
+        """Send each accepted order again; it must be acknowledged again."""
         player = self.player
         names = [name for name, order in player.orders.items() if order.results == {"taken"}]
         for name in names:
             player.do_again(name)
         player.simulator.run_while(lambda: self._unanswered(names), now + ROUND_S)
-        player._require(not self._unanswered(names), "an order that was taken is not acknowledged again")
+        player._require(not self._unanswered(names), "an accepted order is not acknowledged again")
 
     def _version(self) -> int:
         return max(versions.revision for versions in self.player._versions())
@@ -306,7 +307,7 @@
         method = self.player._method("do", verb)
 
         def run() -> None:
-            with suppress(LookupError):  # no member leads just now, or the order was not sent yet
+            with suppress(LookupError):  # there is no leader, or the order was not sent yet
                 method(*arguments)
 
         self.player.simulator.after(delay, run)
--- a/tests/support/run_python.py
+++ b/tests/support/run_python.py
@@ -1,4 +1,4 @@
-"""Runs a program text in a Python process of its own."""
+"""Runs Python source code in a separate process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run_python(program: str, **environment: str) -> subprocess.CompletedProcess[str]:
-    """Run a program from the repository's root until it ends; `environment` adds to this process's own."""
+    """Run a program in the repository's root until it ends; `environment` extends that of this process."""
     return subprocess.run(
         [sys.executable, "-c", program],
         cwd=ROOT,
