--- a/mallowbeam/router/configuration/accepted.py
+++ b/mallowbeam/router/configuration/accepted.py
@@ -19,9 +19,9 @@
 class AcceptedConfigurations:
     """Revisions and digests of the configurations that were accepted, bounded."""
 
-    def __init__(self, most: int = MAX_ACCEPTED) -> None:
-        """Keep at most `most` records."""
-        self._most = most
+    def __init__(self, max_records: int = MAX_ACCEPTED) -> None:
+        """Keep at most `max_records` records."""
+        self._max_records = max_records
         self._records = bytearray()
         self._forgotten_revision = 0
 
@@ -63,7 +63,7 @@
         self._drop_surplus()
 
     def _drop_surplus(self) -> None:
-        surplus = len(self) - self._most
+        surplus = len(self) - self._max_records
         if surplus > 0:
             self._forgotten_revision = self._record(surplus - 1)[0]
             del self._records[: surplus * RECORD.size]
--- a/mallowbeam/router/configuration/parsing.py
+++ b/mallowbeam/router/configuration/parsing.py
@@ -88,7 +88,7 @@
 
     def __init__(self, max_bytes: int = MAX_BODY_BYTES) -> None:
         """Reject bodies of more than `max_bytes`."""
-        self._most_bytes = max_bytes
+        self._max_bytes = max_bytes
         self._routes: EntryReader[Route] = EntryReader(RouteSchema(), "routes")
         self._backends: EntryReader[Backend] = EntryReader(BackendSchema(), "backends")
         self._document_schema = DocumentSchema()
@@ -96,8 +96,8 @@
 
     def parse(self, body: bytes) -> ParsedConfiguration:
         """Parse one body; raises a `ConfigurationError` and nothing else."""
-        if len(body) > self._most_bytes:
-            raise ConfigurationTooLargeError(f"{len(body)} bytes; {self._most_bytes} are allowed")
+        if len(body) > self._max_bytes:
+            raise ConfigurationTooLargeError(f"{len(body)} bytes; {self._max_bytes} are allowed")
         members: dict[str, msgspec.Raw] = decode(MEMBERS_DECODER, body, "")
         rest = other_members(members)
         route_texts = entry_texts(members, "routes")
@@ -124,7 +124,7 @@
 
     def fork(self) -> ConfigurationParser:
         """A parser for another thread, with the present cache of this one."""
-        forked = ConfigurationParser(self._most_bytes)
+        forked = ConfigurationParser(self._max_bytes)
         forked.adopt(self)
         return forked
 
--- a/mallowbeam/router/configuration/patch.py
+++ b/mallowbeam/router/configuration/patch.py
@@ -103,8 +103,8 @@
     remove = {name: _names(name, text) for name, text in _lists(members, REMOVE).items()}
     names = [*upsert, *(name for name in remove if name not in upsert)]
     lists = {name: ListPatch(upsert.get(name, ()), remove.get(name, ())) for name in names}
-    for name, changed in lists.items():
-        _check_names(name, changed)
+    for name, list_patch in lists.items():
+        _check_names(name, list_patch)
     return ConfigurationPatch(fields[REVISION], lists, ENCODER.encode(document))
 
 
@@ -112,9 +112,9 @@
     """The document after a patch; raises a `ConfigurationError` if the outcome is invalid."""
     rest = dict(document.rest)
     rest[REVISION] = patch.revision
-    for name, changed in patch.lists.items():
+    for name, list_patch in patch.lists.items():
         if name not in SCHEMAS:
-            rest[name] = _patched_objects(rest.get(name), name, changed)
+            rest[name] = _patched_objects(rest.get(name), name, list_patch)
     check_tenant_keys(rest)
     routes, backends = patch.lists.get(ROUTES, NO_CHANGE), patch.lists.get(BACKENDS, NO_CHANGE)
     return ConfigurationDocument(
@@ -160,11 +160,11 @@
     return tuple(decode(NAMES_DECODER, text, f"{REMOVE}.{list_name}"))
 
 
-def _check_names(list_name: str, changed: ListPatch) -> None:
+def _check_names(list_name: str, list_patch: ListPatch) -> None:
     """Raise `DuplicateNameError` if a patch names an entry more than once."""
     seen: set[str] = set()
-    named = [(entry.name, f"{UPSERT}.{list_name}[{at}].name") for at, entry in enumerate(changed.upsert)]
-    named += [(name, f"{REMOVE}.{list_name}[{at}]") for at, name in enumerate(changed.remove)]
+    named = [(entry.name, f"{UPSERT}.{list_name}[{at}].name") for at, entry in enumerate(list_patch.upsert)]
+    named += [(name, f"{REMOVE}.{list_name}[{at}]") for at, name in enumerate(list_patch.remove)]
     for name, where in named:
         if name in seen:
             raise DuplicateNameError(f"{name!r} is named more than once in this patch", where)
@@ -175,47 +175,51 @@
 
 
 def _patched(
-    entries: Sequence[ParsedEntry[Entry]], list_name: str, changed: ListPatch
+    entries: Sequence[ParsedEntry[Entry]], list_name: str, list_patch: ListPatch
 ) -> Sequence[ParsedEntry[Entry]]:
     """A list after a patch: replaced entries keep their position, added ones follow in the patch's order."""
-    if changed == NO_CHANGE:
+    if list_patch == NO_CHANGE:
         return entries
     names = [entry.value.name for entry in entries]
-    return _merge(list(entries), names, list_name, changed, [named.entry for named in changed.upsert])
+    return _merge(list(entries), names, list_name, list_patch, [named.entry for named in list_patch.upsert])
 
 
-def _patched_objects(entries: Any, list_name: str, changed: ListPatch) -> list[Any]:
+def _patched_objects(entries: Any, list_name: str, list_patch: ListPatch) -> list[Any]:
     """A list that this program does not interpret, after a patch."""
     if entries is None:
         entries = []
     if not isinstance(entries, list):
         raise InvalidFieldError("is not a list in the configuration", list_name)
     names = [entry.get("name") if isinstance(entry, dict) else None for entry in entries]
-    return _merge(entries, names, list_name, changed, [named.entry.value for named in changed.upsert])
+    return _merge(entries, names, list_name, list_patch, [named.entry.value for named in list_patch.upsert])
 
 
 def _merge(
-    entries: Sequence[Any], names: Sequence[Any], list_name: str, changed: ListPatch, upserts: Sequence[Any]
+    entries: Sequence[Any],
+    names: Sequence[Any],
+    list_name: str,
+    list_patch: ListPatch,
+    upserts: Sequence[Any],
 ) -> list[Any]:
-    positions = _positions(names, list_name, changed)
+    positions = _positions(names, list_name, list_patch)
     merged: list[Any] = list(entries)
-    for named, entry in zip(changed.upsert, upserts, strict=True):
+    for named, entry in zip(list_patch.upsert, upserts, strict=True):
         if named.name in positions:
             merged[positions[named.name]] = entry
         else:
             merged.append(entry)
-    removed = {positions[name] for name in changed.remove}
+    removed = {positions[name] for name in list_patch.remove}
     if not removed:
         return merged
     return [entry for position, entry in enumerate(merged) if position not in removed]
 
 
-def _positions(names: Sequence[Any], list_name: str, changed: ListPatch) -> dict[str, int]:
+def _positions(names: Sequence[Any], list_name: str, list_patch: ListPatch) -> dict[str, int]:
     """Positions, by name, of the present entries that a patch names.
 
     Raises `NameNotFoundError` if an entry to remove is missing, `DuplicateNameError` if two share a name.
     """
-    wanted = {named.name for named in changed.upsert}.union(changed.remove)
+    wanted = {named.name for named in list_patch.upsert}.union(list_patch.remove)
     positions: dict[str, int] = {}
     for position, name in enumerate(names):
         if name not in wanted:
@@ -223,7 +227,7 @@
         if name in positions:
             raise DuplicateNameError(f"two entries of {list_name} have the name {name!r}", list_name)
         positions[name] = position
-    for at, name in enumerate(changed.remove):
+    for at, name in enumerate(list_patch.remove):
         if name not in positions:
             raise NameNotFoundError(f"{list_name} has no entry {name!r}", f"{REMOVE}.{list_name}[{at}]")
     return positions
@@ -249,20 +253,20 @@
     return Configuration(revision, routes_by_key, services, before.limits)
 
 
-def _services(before: Mapping[str, Backend], changed: ListPatch) -> dict[str, Backend]:
+def _services(before: Mapping[str, Backend], list_patch: ListPatch) -> dict[str, Backend]:
     services = dict(before)
-    for name in changed.remove:
+    for name in list_patch.remove:
         services.pop(name, None)
-    for named in changed.upsert:
+    for named in list_patch.upsert:
         services[named.name] = named.entry.value
     return services
 
 
-def _removed_routes(entries: Iterable[ParsedEntry[Route]], changed: ListPatch) -> list[Route]:
+def _removed_routes(entries: Iterable[ParsedEntry[Route]], list_patch: ListPatch) -> list[Route]:
     """The routes that a patch removes or replaces."""
-    if changed == NO_CHANGE:
+    if list_patch == NO_CHANGE:
         return []
-    names = {named.name for named in changed.upsert}.union(changed.remove)
+    names = {named.name for named in list_patch.upsert}.union(list_patch.remove)
     return [entry.value for entry in entries if entry.value.name in names]
 
 
--- a/mallowbeam/router/configuration/rejections.py
+++ b/mallowbeam/router/configuration/rejections.py
@@ -24,9 +24,9 @@
 class RejectedCommands:
     """Rejected commands with their results, bounded; none is dropped as long as it could succeed."""
 
-    def __init__(self, most: int = MAX_REJECTED) -> None:
-        """Remember at most `most` commands."""
-        self._most = most
+    def __init__(self, max_commands: int = MAX_REJECTED) -> None:
+        """Remember at most `max_commands` commands."""
+        self._max_commands = max_commands
         self._results: dict[CommandIdentity, CommandResult] = {}  # oldest first
 
     def __len__(self) -> int:
@@ -39,7 +39,7 @@
 
     def add(self, command: CommandIdentity, result: CommandResult) -> bool:
         """Remember a rejection; return False at capacity, in which case it must not be reported."""
-        if len(self._results) >= self._most:
+        if len(self._results) >= self._max_commands:
             return False
         self._results[command] = result
         return True
--- a/mallowbeam/router/configuration/updates.py
+++ b/mallowbeam/router/configuration/updates.py
@@ -66,9 +66,9 @@
     if update.whole:
         return decode_full_update(update)
     if current is None or current.revision != update.based_on:
-        holds = current.revision if current is not None else 0
+        current_revision = current.revision if current is not None else 0
         raise UpdateMismatchError(
-            f"revision {update.revision} builds on {update.based_on}, not on the current {holds}"
+            f"revision {update.revision} builds on {update.based_on}, not on the current {current_revision}"
         )
     return decode_incremental_update(current, update)
 
--- a/mallowbeam/router/control_plane/feed_server.py
+++ b/mallowbeam/router/control_plane/feed_server.py
@@ -88,7 +88,7 @@
         busy = [
             subscriber
             for subscriber, connection in self._connections.items()
-            if connection.unsent > MAX_UNSENT_BYTES
+            if connection.unsent_bytes > MAX_UNSENT_BYTES
         ]
         for batch in self._publisher.frames(time.monotonic(), self._status(), busy):
             for subscriber in batch.subscribers:
--- a/mallowbeam/router/control_plane/peer_links.py
+++ b/mallowbeam/router/control_plane/peer_links.py
@@ -50,7 +50,7 @@
         if self._is_suspect():
             connection.abort()
             return False
-        if connection.unsent > MAX_UNSENT_BYTES:
+        if connection.unsent_bytes > MAX_UNSENT_BYTES:
             return False
         if not self._introduced:
             frame.sender_member.CopyFrom(self._own)
--- a/mallowbeam/router/processes/error_codes.py
+++ b/mallowbeam/router/processes/error_codes.py
@@ -13,18 +13,18 @@
 def error_types() -> Iterator[type[MallowbeamError]]:
     """All loaded error types below the base, each once."""
     seen: set[type[MallowbeamError]] = set()
-    left: list[type[MallowbeamError]] = [MallowbeamError]
-    while left:
-        for kind in left.pop().__subclasses__():
-            if kind not in seen:
-                seen.add(kind)
-                left.append(kind)
-                yield kind
+    pending: list[type[MallowbeamError]] = [MallowbeamError]
+    while pending:
+        for error_type in pending.pop().__subclasses__():
+            if error_type not in seen:
+                seen.add(error_type)
+                pending.append(error_type)
+                yield error_type
 
 
-def codes_of(kind: type[MallowbeamError]) -> tuple[str, ...]:
+def codes_of(error_type: type[MallowbeamError]) -> tuple[str, ...]:
     """The codes that a class itself states, without inherited ones."""
-    own = vars(kind)
+    own = vars(error_type)
     code = own.get("code")
     codes = tuple(own.get("codes", ()))
     return (code, *codes) if isinstance(code, str) and code else codes
@@ -33,9 +33,9 @@
 def code_table() -> dict[str, type[MallowbeamError]]:
     """Error types by code, of all modules loaded so far; raises ValueError if two types share a code."""
     table: dict[str, type[MallowbeamError]] = {}
-    for kind in error_types():
-        for code in codes_of(kind):
+    for error_type in error_types():
+        for code in codes_of(error_type):
             if code in table:
-                raise ValueError(f"{code}: {table[code].__name__} and {kind.__name__}")
-            table[code] = kind
+                raise ValueError(f"{code}: {table[code].__name__} and {error_type.__name__}")
+            table[code] = error_type
     return table
--- a/mallowbeam/router/processes/logs.py
+++ b/mallowbeam/router/processes/logs.py
@@ -34,19 +34,19 @@
 
     def admit(self, logger: str, event: str, now: float) -> int | None:
         """The number of lines suppressed before this one, or None if this one is suppressed too."""
-        count = self._events.get((logger, event))
-        if count is None:
+        window = self._events.get((logger, event))
+        if window is None:
             if len(self._events) >= MAX_EVENTS:
                 del self._events[next(iter(self._events))]
-            count = self._events[logger, event] = _EventWindow(now)
-        if now - count.window_start >= WINDOW_S:
-            count.window_start = now
-            count.written = 0
-        if count.written >= BURST:
-            count.suppressed += 1
+            window = self._events[logger, event] = _EventWindow(now)
+        if now - window.window_start >= WINDOW_S:
+            window.window_start = now
+            window.written = 0
+        if window.written >= BURST:
+            window.suppressed += 1
             return None
-        count.written += 1
-        suppressed, count.suppressed = count.suppressed, 0
+        window.written += 1
+        suppressed, window.suppressed = window.suppressed, 0
         return suppressed
 
 
@@ -99,14 +99,14 @@
 class StandardLogForwarder(logging.Handler):
     """Forwards records of the shared HTTP modules, which use the standard library's logging."""
 
-    def __init__(self, lines: LineHandler) -> None:
+    def __init__(self, line_handler: LineHandler) -> None:
         super().__init__(logging.INFO)
-        self._lines = lines
+        self._line_handler = line_handler
 
     def emit(self, record: logging.LogRecord) -> None:
         """Forward one record."""
         error = record.exc_info[1] if record.exc_info else None
-        self._lines.write(record.levelname, record.name, str(record.msg), record.getMessage(), error)
+        self._line_handler.write(record.levelname, record.name, str(record.msg), record.getMessage(), error)
 
 
 def describe_error(error: BaseException) -> str:
@@ -132,11 +132,13 @@
     node: str, stream: TextIO | None = None, clock: Callable[[], float] = time.monotonic
 ) -> LineHandler:
     """Write all events of this process to ``stream`` (None: standard error), replacing earlier handlers."""
-    lines = LineHandler(node, stream if stream is not None else sys.stderr, clock)
+    line_handler = LineHandler(node, stream if stream is not None else sys.stderr, clock)
     for old in list(picologging.root.handlers):
         picologging.root.removeHandler(old)
-    picologging.root.addHandler(lines)
-    for earlier in [one for one in reporting.logger.handlers if isinstance(one, StandardLogForwarder)]:
+    picologging.root.addHandler(line_handler)
+    for earlier in [
+        handler for handler in reporting.logger.handlers if isinstance(handler, StandardLogForwarder)
+    ]:
         reporting.logger.removeHandler(earlier)
-    reporting.logger.addHandler(StandardLogForwarder(lines))
-    return lines
+    reporting.logger.addHandler(StandardLogForwarder(line_handler))
+    return line_handler
--- a/mallowbeam/router/processes/metrics.py
+++ b/mallowbeam/router/processes/metrics.py
@@ -16,7 +16,7 @@
 
 MAX_CONNECTIONS = 4
 MAX_BODY_BYTES = 1024
-TEXT = (b"content-type", b"text/plain; version=0.0.4")
+CONTENT_TYPE = (b"content-type", b"text/plain; version=0.0.4")
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
 
 
 def _reply(status: int, body: bytes, close: bool) -> Response:
-    return Response(status, write_head(status, [TEXT], len(body), close) + body)
+    return Response(status, write_head(status, [CONTENT_TYPE], len(body), close) + body)
 
 
 def metrics_server(settings: NodeSettings, collect: Collect) -> Server | None:
--- a/mallowbeam/router/processes/overrides.py
+++ b/mallowbeam/router/processes/overrides.py
@@ -40,7 +40,7 @@
 def _with_values(defaults: Any, table: Any, where: str) -> Any:
     if not isinstance(table, Mapping):
         raise SettingsFieldError("must be a table", where)
-    known = {one.name for one in fields(defaults)}
+    known = {field.name for field in fields(defaults)}
     values: dict[str, Any] = {}
     for key, value in table.items():
         if key not in known:
--- a/mallowbeam/router/processes/role.py
+++ b/mallowbeam/router/processes/role.py
@@ -93,7 +93,7 @@
 
 def run_role(serve: Callable[[RoleContext], Awaitable[None]]) -> int:
     """Run a role until a signal stops it; returns the exit code of the process."""
-    hangups = defer_sighup()  # the settings are read below, so an earlier SIGHUP needs no reload
+    pending_sighups = defer_sighup()  # the settings are read below, so an earlier SIGHUP needs no reload
     path = settings_path()
     try:
         settings = read_settings(path)
@@ -102,7 +102,7 @@
         return EXIT_UNUSABLE
     set_up_logging(settings.node_name)
     try:
-        uvloop.run(_serve(serve, settings, path, hangups))
+        uvloop.run(_serve(serve, settings, path, pending_sighups))
     except MallowbeamError as error:
         print(f"mallowbeam: {error.line}", file=sys.stderr)
         return EXIT_UNUSABLE
@@ -113,23 +113,26 @@
 
 
 async def _serve(
-    serve: Callable[[RoleContext], Awaitable[None]], settings: NodeSettings, path: str, hangups: Sequence[int]
+    serve: Callable[[RoleContext], Awaitable[None]],
+    settings: NodeSettings,
+    path: str,
+    pending_sighups: Sequence[int],
 ) -> None:
     """Run the role inside its event loop, with its signal handlers."""
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(_log_unhandled)
     context = RoleContext(settings, path)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, context.stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, context.stopping.set)
     loop.add_signal_handler(signal.SIGHUP, context.reload)
-    if hangups:
+    if pending_sighups:
         loop.call_soon(context.reload)
     relax_garbage_collection()
-    watch = loop.create_task(_watch_settings(context))
+    watcher = loop.create_task(_watch_settings(context))
     try:
         await serve(context)
     finally:
-        watch.cancel()
+        watcher.cancel()
 
 
 def relax_garbage_collection() -> None:
--- a/mallowbeam/router/processes/settings.py
+++ b/mallowbeam/router/processes/settings.py
@@ -206,14 +206,14 @@
 def _numbers(section: _Section, defaults: _Numbers) -> _Numbers:
     """Read a section of numbers and booleans; each has the type of its default."""
     values: dict[str, object] = {}
-    for one in fields(defaults):
-        default = getattr(defaults, one.name)
+    for setting in fields(defaults):
+        default = getattr(defaults, setting.name)
         if isinstance(default, bool):
-            values[one.name] = section.boolean(one.name, default)
+            values[setting.name] = section.boolean(setting.name, default)
         elif isinstance(default, int):
-            values[one.name] = section.integer(one.name, default)
+            values[setting.name] = section.integer(setting.name, default)
         else:
-            values[one.name] = section.number(one.name, default)
+            values[setting.name] = section.number(setting.name, default)
     return type(defaults)(**values)  # type: ignore[arg-type]
 
 
--- a/mallowbeam/router/rpc/connection.py
+++ b/mallowbeam/router/rpc/connection.py
@@ -37,7 +37,7 @@
         self._transport = cast(asyncio.Transport, transport)  # uvloop's class is not derived from it
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            configure(sock)
+            configure_socket(sock)
         address = transport.get_extra_info("peername")
         self.peer = f"{address[0]}:{address[1]}" if address else ""
         self.last_received = asyncio.get_running_loop().time()
@@ -86,7 +86,7 @@
         return True
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Queued bytes that the kernel has not accepted yet."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
@@ -96,7 +96,7 @@
             self._transport.abort()
 
 
-def configure(sock: socket.socket) -> None:
+def configure_socket(sock: socket.socket) -> None:
     """Set TCP options: small frames are sent at once, and an unreachable peer is noticed soon."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -110,17 +110,17 @@
     address: str,
     on_frame: Callable[[FrameConnection, bytes], None],
     on_closed: Callable[[FrameConnection], None],
-    timeout: float,
+    timeout_s: float,
 ) -> FrameConnection:
     """Connect to IP:PORT.
 
     Raises:
-        TimeoutError: the connection was not established within `timeout` seconds.
+        TimeoutError: the connection was not established within `timeout_s` seconds.
         OSError: the connection failed.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(timeout):
+    async with asyncio.timeout(timeout_s):
         _, connection = await loop.create_connection(
             lambda: FrameConnection(on_frame, on_closed), host, int(port)
         )
--- a/tests/router/configuration/test_configuration_accepted.py
+++ b/tests/router/configuration/test_configuration_accepted.py
@@ -47,10 +47,10 @@
             self.assertFalse(accepted.may_be_forgotten(revision))
 
     def test_what_is_dropped_may_be_forgotten_and_nothing_above_it(self) -> None:
-        accepted = AcceptedConfigurations(most=3)
+        accepted = AcceptedConfigurations(max_records=3)
         for revision in (2, 5, 6, 9, 12):
             accepted.add(revision, digest(revision))
-        again = AcceptedConfigurations(most=3)
+        again = AcceptedConfigurations(max_records=3)
         again.restore(saved(accepted))
         for one in (accepted, again):
             self.assertEqual(len(one), 3)
@@ -86,7 +86,7 @@
         self.assertFalse(accepted.may_be_forgotten(10))
 
     def test_restore_replaces_everything(self) -> None:
-        accepted = AcceptedConfigurations(most=1)
+        accepted = AcceptedConfigurations(max_records=1)
         accepted.add(1, digest(1))
         accepted.add(2, digest(2))
         accepted.restore(ReplicatedState())
@@ -107,7 +107,7 @@
             self.assertIsNone(one.result(CommandIdentity(digest(2), 5)))
 
     def test_at_the_bound_nothing_is_dropped(self) -> None:
-        rejected = RejectedCommands(most=1)
+        rejected = RejectedCommands(max_commands=1)
         self.assertTrue(rejected.add(CommandIdentity(digest(1), 5), VERSION_MISMATCH))
         self.assertFalse(rejected.add(CommandIdentity(digest(2), 5), VERSION_MISMATCH))
         self.assertIsNotNone(rejected.result(CommandIdentity(digest(1), 5)))
--- a/tests/router/configuration/test_configuration_calls.py
+++ b/tests/router/configuration/test_configuration_calls.py
@@ -30,7 +30,7 @@
 }
 
 
-class Decided:
+class FixedResultForwarder:
     """Stand-in for the command forwarder: every command gets the same result."""
 
     def __init__(self, result: CommandResult) -> None:
@@ -40,7 +40,7 @@
         return CommandOutcome(self.result, 7)
 
 
-class Alone:
+class NoOtherMembers:
     """Stand-in for the status page of a member that knows no other members."""
 
     def other_controls(self) -> list[str]:
@@ -58,14 +58,14 @@
     def status(self, result: CommandResult) -> int:
         """The response's status if the replicated state returns `result`."""
         parser = ConfigurationParser()
-        in_touch = ResponseGate(lambda: 1.0, lambda: 0.0, lambda: False)
+        response_gate = ResponseGate(lambda: 1.0, lambda: 0.0, lambda: False)
         api = ControlApi(
             ApiServices(
                 ConfigurationVersions(parser),
-                cast(CommandForwarder, Decided(result)),
+                cast(CommandForwarder, FixedResultForwarder(result)),
                 cast(InstanceService, None),
-                cast(StatusPage, Alone()),
-                in_touch,
+                cast(StatusPage, NoOtherMembers()),
+                response_gate,
             ),
             parser,
         )
--- a/tests/router/configuration/test_configuration_documents.py
+++ b/tests/router/configuration/test_configuration_documents.py
@@ -231,7 +231,7 @@
 class Documents(unittest.TestCase):
     """One test per table."""
 
-    def refusal(self, body: bytes, parser: ConfigurationParser | None = None) -> ConfigurationError:
+    def rejection(self, body: bytes, parser: ConfigurationParser | None = None) -> ConfigurationError:
         """The error with which a body is rejected."""
         with self.assertRaises(ConfigurationError) as caught:
             (parser or ConfigurationParser()).parse(body)
@@ -253,25 +253,25 @@
             body = body_of(edited(edits))
             for parser in (None, used):
                 with self.subTest(name, used=parser is not None):
-                    error = self.refusal(body, parser)
+                    error = self.rejection(body, parser)
                     self.assertEqual(error.code, code)
                     self.assertTrue(error.where.startswith(where), f"{error.where}, not {where}")
 
     def test_no_documents(self) -> None:
         for body, code in NO_DOCUMENTS.items():
             with self.subTest(body[:60]):
-                self.assertEqual(self.refusal(body).code, code)
+                self.assertEqual(self.rejection(body).code, code)
 
     def test_truncated_anywhere(self) -> None:
         body = body_of(document())
         for length in range(len(body)):
-            self.assertEqual(self.refusal(body[:length]).code, "CONFIG_UNREADABLE", f"cut at {length}")
+            self.assertEqual(self.rejection(body[:length]).code, "CONFIG_UNREADABLE", f"cut at {length}")
 
     def test_wrong_types(self) -> None:
         for path, values in WRONG_TYPES.items():
             for value in values:
                 with self.subTest(path, value=value):
-                    error = self.refusal(body_of(edited({path: value})))
+                    error = self.rejection(body_of(edited({path: value})))
                     self.assertEqual(error.code, "CONFIG_FIELD")
                     self.assertEqual(error.where.removesuffix(".name"), path.removesuffix(".name"))
 
@@ -284,11 +284,11 @@
 
     def test_too_large(self) -> None:
         body = body_of({**document(), "later": "x" * MAX_BODY_BYTES})
-        error = self.refusal(body)
+        error = self.rejection(body)
         self.assertEqual((error.code, error.status), ("CONFIG_TOO_LARGE", 413))
         small = ConfigurationParser(max_bytes=100)
-        self.assertEqual(self.refusal(b"x" * 101, small).code, "CONFIG_TOO_LARGE")
-        self.assertEqual(self.refusal(b"x" * 100, small).code, "CONFIG_UNREADABLE")
+        self.assertEqual(self.rejection(b"x" * 101, small).code, "CONFIG_TOO_LARGE")
+        self.assertEqual(self.rejection(b"x" * 100, small).code, "CONFIG_UNREADABLE")
 
     def test_errors_carry_code_place_and_remedy(self) -> None:
         classes = ConfigurationError.__subclasses__()
@@ -296,9 +296,9 @@
         for kind in classes:
             with self.subTest(kind.__name__):
                 self.assertIn(kind.status, (400, 413, 422))
-                told = kind("what", "where").told()
-                self.assertEqual((told["code"], told["where"]), (kind.code, "where"))
-                self.assertTrue(told["remedy"] and told["step"])
+                error_fields = kind("what", "where").told()
+                self.assertEqual((error_fields["code"], error_fields["where"]), (kind.code, "where"))
+                self.assertTrue(error_fields["remedy"] and error_fields["step"])
         self.assertIn(errors.DuplicateTenantKeyError, classes)
 
 
@@ -367,8 +367,8 @@
 
     def test_one_digest_for_all_orders_and_spaces(self) -> None:
         value = document()
-        turned = {key: value[key] for key in reversed(value)}
-        bodies = (body_of(value), json.dumps(value, indent=2).encode(), body_of(turned))
+        reordered = {key: value[key] for key in reversed(value)}
+        bodies = (body_of(value), json.dumps(value, indent=2).encode(), body_of(reordered))
         self.assertEqual(len({parse_configuration(body).digest for body in bodies}), 1)
         self.assertEqual(len({parse_configuration(body).canonical for body in bodies}), 1)
 
@@ -388,8 +388,8 @@
         value = large_document(50, revision=8)
         value["routes"][20]["timeout_ms"] += 1
         after = used.parse(body_of(value)).configuration
-        kept = [place for place in after.routes if after.routes[place] is before.routes[place]]
-        self.assertEqual(len(kept), 49)
+        reused = [key for key in after.routes if after.routes[key] is before.routes[key]]
+        self.assertEqual(len(reused), 49)
         self.assertTrue(all(after.backends[name] is before.backends[name] for name in after.backends))
 
     def test_a_rejected_document_does_not_change_the_parser(self) -> None:
--- a/tests/router/configuration/test_configuration_patch.py
+++ b/tests/router/configuration/test_configuration_patch.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from configuration_documents import body_of, document, large_document, large_route
-from configuration_scenario import patched, reloaded
+from configuration_scenario import patched, restored_copy
 
 from mallowbeam.router.configuration.errors import ConfigurationError
 from mallowbeam.router.configuration.parsing import ConfigurationParser, parse_configuration
@@ -152,32 +152,32 @@
 class Reading(unittest.TestCase):
     """Patches that are malformed, or whose outcome is invalid."""
 
-    def refused(self, patch: Any) -> ConfigurationError:
-        known = ConfigurationParser().parse(body_of(document())).document
+    def rejection(self, patch: Any) -> ConfigurationError:
+        base = ConfigurationParser().parse(body_of(document())).document
         with self.assertRaises(ConfigurationError) as caught:
-            apply_patch(known, parse_patch(body_of(patch)))
+            apply_patch(base, parse_patch(body_of(patch)))
         return caught.exception
 
     def test_malformed(self) -> None:
         for name, (patch, code, where) in MALFORMED.items():
             with self.subTest(name):
-                error = self.refused(patch)
+                error = self.rejection(patch)
                 self.assertEqual((error.code, error.where), (code, where))
                 self.assertTrue(400 <= error.status < 500)
 
     def test_invalid_outcomes(self) -> None:
         for name, (changes, code, where) in INVALID.items():
             with self.subTest(name):
-                error = self.refused(patch_of(changes))
+                error = self.rejection(patch_of(changes))
                 self.assertEqual((error.code, error.where), (code, where))
                 self.assertTrue(error.what and error.cure)
 
     def test_an_ambiguous_name(self) -> None:
         twice = document()
         twice["routes"][1]["name"] = "r-1"
-        known = ConfigurationParser().parse(body_of(twice)).document
+        base = ConfigurationParser().parse(body_of(twice)).document
         with self.assertRaises(ConfigurationError) as caught:
-            apply_patch(known, parse_patch(body_of(patch_of({"remove": {"routes": ["r-1"]}}))))
+            apply_patch(base, parse_patch(body_of(patch_of({"remove": {"routes": ["r-1"]}}))))
         self.assertEqual(caught.exception.code, "CONFIG_DUPLICATE_NAME")
 
     def test_no_json(self) -> None:
@@ -192,16 +192,16 @@
     def check(self, before: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
         """Apply a patch and compare the outcome with a complete document; returns that document."""
         old = ConfigurationParser().parse(body_of(before)).document
-        kept = copy.deepcopy(old.configuration)
+        snapshot = copy.deepcopy(old.configuration)
         expected = patched(before, patch)
         new = apply_patch(old, parse_patch(body_of(patch)))
-        whole = parse_configuration(body_of(expected))
+        complete = parse_configuration(body_of(expected))
         self.assertEqual(json.loads(new.canonical()), expected)
-        self.assertEqual(new.canonical(), whole.canonical)
-        self.assertEqual(new.configuration, whole.configuration)
-        self.assertEqual(old.configuration, kept, "the previous document was modified")
+        self.assertEqual(new.canonical(), complete.canonical)
+        self.assertEqual(new.configuration, complete.configuration)
+        self.assertEqual(old.configuration, snapshot, "the previous document was modified")
         update = incremental_update(old.configuration, new.configuration)
-        self.assertEqual(apply_update(old.configuration, update), whole.configuration)
+        self.assertEqual(apply_update(old.configuration, update), complete.configuration)
         return expected
 
     def test_valid(self) -> None:
@@ -211,16 +211,16 @@
 
     def test_random_walks(self) -> None:
         """300 valid patches in sequence, compared with the reference implementation."""
-        drawn = random.Random(48)
-        now = large_document(40, revision=1)
+        rng = random.Random(48)
+        current = large_document(40, revision=1)
         for revision in range(2, 302):
-            names = [route["name"] for route in now["routes"]]
-            gone = drawn.sample(names, min(len(names), drawn.randrange(3)))
-            numbers = [number for number in drawn.sample(range(80), 3) if f"r-{number}" not in gone]
-            timeout = drawn.randrange(1, 9_000)
+            names = [route["name"] for route in current["routes"]]
+            removed = rng.sample(names, min(len(names), rng.randrange(3)))
+            numbers = [number for number in rng.sample(range(80), 3) if f"r-{number}" not in removed]
+            timeout = rng.randrange(1, 9_000)
             routes = [{**large_route(number, 4), "timeout_ms": timeout} for number in numbers]
-            patch = {"revision": revision, "upsert": {"routes": routes}, "remove": {"routes": gone}}
-            now = self.check(now, patch)
+            patch = {"revision": revision, "upsert": {"routes": routes}, "remove": {"routes": removed}}
+            current = self.check(current, patch)
 
     def test_a_patch_costs_what_it_changes(self) -> None:
         """A one-route command and its update have the same size in a small configuration and a large one."""
@@ -233,7 +233,7 @@
             change = incremental_update(old.configuration, new.configuration)
             sizes.append((patch_command(patch, 7).ByteSize(), change.ByteSize()))
             shared = sum(
-                new.configuration.routes[place] is route for place, route in old.configuration.routes.items()
+                new.configuration.routes[key] is route for key, route in old.configuration.routes.items()
             )
             self.assertEqual(shared, routes - 1, "entries that are not named are the same objects")
         self.assertEqual(sizes[0], sizes[1])
@@ -275,7 +275,7 @@
         stored = PutConfiguration(body=b"not zlib", based_on=0, digest=b"1" * 16, revision=7)
         other = PutConfiguration(body=b"not zlib", based_on=0, digest=b"2" * 16, revision=7)
         self.assertEqual(versions.apply(stored), DONE)
-        for member in (versions, reloaded(versions)):
+        for member in (versions, restored_copy(versions)):
             self.assertEqual(member.apply(other), VERSION_MISMATCH)
             self.assertEqual(member.apply(stored), ALREADY_DONE)
 
@@ -285,7 +285,7 @@
         patch = parse_patch(body_of(patch_of({"remove": {"routes": ["r-1"]}})))
         self.assertEqual(versions.apply(patch_command(patch, 7)), DONE)
         same = put_command(parse_configuration(versions.current_body()), 7)
-        for member in (versions, reloaded(versions), reloaded(reloaded(versions))):
+        for member in (versions, restored_copy(versions), restored_copy(restored_copy(versions))):
             self.assertEqual(member.apply(same), ALREADY_DONE)
             self.assertEqual(member.apply(patch_command(patch, 7)), ALREADY_DONE)
 
--- a/tests/router/configuration/test_configuration_updates.py
+++ b/tests/router/configuration/test_configuration_updates.py
@@ -26,7 +26,7 @@
 from mallowbeam.router.configuration.updates import apply_update, full_update, incremental_update
 from mallowbeam.router.rpc.messages_pb2 import ConfigurationUpdate
 
-NOT_FOR_GATEWAYS = ("marshmallow", "msgspec", "json")
+FORBIDDEN_MODULES = ("marshmallow", "msgspec", "json")
 
 numbers = st.integers(0, 2**32 - 1)
 amounts = st.floats(0, 1e9)
@@ -74,8 +74,8 @@
     with_limits: ClientLimits,
 ) -> Configuration:
     """The old or the new configuration; the services that routes name may be missing."""
-    chosen_routes = [route for place, route in with_routes if place in (which, "both")]
-    chosen_backends = [backend for place, backend in with_backends if place in (which, "both")]
+    chosen_routes = [route for side, route in with_routes if side in (which, "both")]
+    chosen_backends = [backend for side, backend in with_backends if side in (which, "both")]
     return Configuration(
         revision,
         {route.key: route for route in chosen_routes},
@@ -104,22 +104,22 @@
     ) -> None:
         old = configuration("old", 3, with_routes, with_backends, with_limits[0])
         new = configuration("new", 5, with_routes, with_backends, with_limits[-1])
-        held = apply_update(None, over_the_wire(full_update(old)))
-        self.assertEqual(held, old)
-        changed = apply_update(held, over_the_wire(incremental_update(old, new)))
+        current = apply_update(None, over_the_wire(full_update(old)))
+        self.assertEqual(current, old)
+        changed = apply_update(current, over_the_wire(incremental_update(old, new)))
         self.assertEqual(changed, new)
-        self.assertEqual(apply_update(held, over_the_wire(full_update(new))), new)
-        self.assertEqual(held, old, "the held configuration has been modified")
+        self.assertEqual(apply_update(current, over_the_wire(full_update(new))), new)
+        self.assertEqual(current, old, "the held configuration has been modified")
 
     def test_the_property_fails_for_an_update_that_lacks_removals(self) -> None:
-        def forgetful(old: Configuration, new: Configuration) -> ConfigurationUpdate:
+        def update_without_removals(old: Configuration, new: Configuration) -> ConfigurationUpdate:
             update = incremental_update(old, new)
             del update.removed_routes[:]
             return update
 
         old, new = parsed(document()), parsed({**document(8), "routes": []})
         self.assertEqual(apply_update(old, incremental_update(old, new)), new)
-        self.assertNotEqual(apply_update(old, forgetful(old, new)), new)
+        self.assertNotEqual(apply_update(old, update_without_removals(old, new)), new)
 
     def test_an_incremental_update_contains_only_changes(self) -> None:
         value = large_document(200, revision=8)
@@ -153,18 +153,18 @@
 
     def test_an_update_of_another_revision_is_rejected(self) -> None:
         old, new, newest = (parsed(document(revision)) for revision in (7, 9, 12))
-        for held in (None, old):
+        for current in (None, old):
             with self.assertRaises(UpdateMismatchError) as caught:
-                apply_update(held, incremental_update(new, newest))
+                apply_update(current, incremental_update(new, newest))
             self.assertEqual(caught.exception.code, "CONFIG_UPDATE_BASE")
         self.assertEqual(apply_update(old, full_update(newest)), newest)
 
     def test_removal_of_unknown_names_is_ignored(self) -> None:
-        held = parsed(document(7))
+        current = parsed(document(7))
         update = ConfigurationUpdate(revision=8, based_on=7)
         update.removed_routes.append("none /")
         update.removed_backends.append("none")
-        self.assertEqual(apply_update(held, update), replace(held, revision=8))
+        self.assertEqual(apply_update(current, update), replace(current, revision=8))
 
     def test_an_update_without_limits_gets_defaults(self) -> None:
         update = ConfigurationUpdate(revision=1, whole=True)
@@ -173,7 +173,7 @@
     def test_gateways_need_no_schemas(self) -> None:
         script = (
             "import sys, mallowbeam.router.configuration.model, mallowbeam.router.configuration.updates\n"
-            f"print([name for name in {NOT_FOR_GATEWAYS!r} if name in sys.modules])"
+            f"print([name for name in {FORBIDDEN_MODULES!r} if name in sys.modules])"
         )
         command = [sys.executable, "-c", script]
         ran = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
--- a/tests/router/configuration/test_configuration_versions.py
+++ b/tests/router/configuration/test_configuration_versions.py
@@ -5,21 +5,21 @@
 import unittest
 
 from configuration_documents import body_of, document
-from configuration_scenario import SCENARIOS, NewVersions, Scenario, reloaded
+from configuration_scenario import SCENARIOS, Scenario, VersionsFactory, restored_copy
 from configuration_variants import (
+    AcceptsAnyBase,
     AcceptsAnyRevision,
-    ComparesNothing,
     DropsTheOldestRejection,
     ForgetsDigests,
     ForgetsOnRestart,
     ForgetsOutcomesOfPatches,
     ForgetsRejections,
     ForgetsRejectionsOnRestart,
-    KeepsTheOldModel,
-    PatchesOnlyHere,
+    KeepsPreviousDocument,
     PatchesWithoutRemoval,
     RecordsWithoutBound,
-    RejectsTheForgotten,
+    RejectsForgottenCommands,
+    SavesWithoutPatches,
 )
 
 from mallowbeam.router.configuration.accepted import RECORD
@@ -35,23 +35,23 @@
 BROKEN: dict[type[ConfigurationVersions], tuple[str, ...]] = {
     ForgetsDigests: ("resend", "restart", "bound"),
     ForgetsOnRestart: ("restart",),
-    ComparesNothing: ("race", "versions"),
+    AcceptsAnyBase: ("race", "versions"),
     AcceptsAnyRevision: ("race", "versions"),
     RecordsWithoutBound: ("bound",),
-    RejectsTheForgotten: ("bound",),
+    RejectsForgottenCommands: ("bound",),
     ForgetsRejections: ("late_copy", "refusals_bound"),
     ForgetsRejectionsOnRestart: ("late_copy",),
     DropsTheOldestRejection: ("refusals_bound",),
     ForgetsOutcomesOfPatches: ("patch",),
     PatchesWithoutRemoval: ("patch", "patch_invalid"),
-    PatchesOnlyHere: ("patch",),
-    KeepsTheOldModel: ("race", "resend", "gateways"),
+    SavesWithoutPatches: ("patch",),
+    KeepsPreviousDocument: ("race", "resend", "gateways"),
 }
 
 
 def play(name: str, kind: type[ConfigurationVersions]) -> None:
     """Run one scenario with one kind of state machine."""
-    make: NewVersions = lambda bounds: kind(**bounds)  # noqa: E731
+    make: VersionsFactory = lambda bounds: kind(**bounds)  # noqa: E731
     Scenario(make).run((SCENARIOS / f"{name}.txt").read_text())
 
 
@@ -113,7 +113,7 @@
             versions = ConfigurationVersions()
             for number, command in enumerate(commands):
                 if number == restarted_at:
-                    versions = reloaded(versions)
+                    versions = restored_copy(versions)
                 self.assertEqual(versions.apply(command), DONE)
                 self.assertEqual(versions.apply(command), ALREADY_DONE)
             state = ReplicatedState()
--- a/tests/router/configuration/test_rules_config.py
+++ b/tests/router/configuration/test_rules_config.py
@@ -39,16 +39,16 @@
 class Changes(unittest.TestCase):
     """Each change applies to the next request, on old connections and new ones."""
 
-    async def asked(
+    async def served_by(
         self,
         bench: Bench,
-        kept: tuple[asyncio.StreamReader, asyncio.StreamWriter],
+        kept_connection: tuple[asyncio.StreamReader, asyncio.StreamWriter],
         target: str,
         host: str = HOST,
     ) -> str:
         """The status, or the instance that signed the response; checks that both connections agree."""
-        kept[1].write(request_bytes(target, headers={"Host": host}))
-        answers = [await read_answer(kept[0]), await bench.ask(target, headers={"Host": host})]
+        kept_connection[1].write(request_bytes(target, headers={"Host": host}))
+        answers = [await read_answer(kept_connection[0]), await bench.ask(target, headers={"Host": host})]
         results = {answer.headers.get("server-signature", str(answer.status)) for answer in answers}
         self.assertEqual(len(results), 1, target)
         return results.pop().removeprefix("stamp.")
@@ -58,21 +58,29 @@
             async with Bench(with_backend(configuration(to("/a/", (PLAIN, 1))), "new"), ByName()) as bench:
                 await bench.add(OLD)
                 await bench.add(NEW, "new")
-                kept = await bench.client()
+                kept_connection = await bench.client()
 
                 async def change(*routes: Route) -> None:
                     bench.gateway.set_configuration(with_backend(configuration(*routes), "new"), 0.0)
 
-                self.assertEqual(await self.asked(bench, kept, "/a/"), OLD)
-                self.assertEqual(await self.asked(bench, kept, "/b/"), "404")
+                self.assertEqual(await self.served_by(bench, kept_connection, "/a/"), OLD)
+                self.assertEqual(await self.served_by(bench, kept_connection, "/b/"), "404")
                 await change(to("/a/", (PLAIN, 1)), to("/b/", (PLAIN, 1)))
-                self.assertEqual(await self.asked(bench, kept, "/b/x"), OLD)
+                self.assertEqual(await self.served_by(bench, kept_connection, "/b/x"), OLD)
                 await change(to("/a/", ("new", 1)), to("/b/", (PLAIN, 0), ("new", 3)))
-                self.assertEqual([await self.asked(bench, kept, one) for one in ("/a/", "/b/")], [NEW, NEW])
+                self.assertEqual(
+                    [await self.served_by(bench, kept_connection, one) for one in ("/a/", "/b/")], [NEW, NEW]
+                )
                 await change(to("/b/", (PLAIN, 1)))
-                self.assertEqual([await self.asked(bench, kept, one) for one in ("/a/", "/b/")], ["404", OLD])
+                self.assertEqual(
+                    [await self.served_by(bench, kept_connection, one) for one in ("/a/", "/b/")],
+                    ["404", OLD],
+                )
                 await change(to("/a/", (PLAIN, 1)))
-                self.assertEqual([await self.asked(bench, kept, one) for one in ("/a/", "/b/")], [OLD, "404"])
+                self.assertEqual(
+                    [await self.served_by(bench, kept_connection, one) for one in ("/a/", "/b/")],
+                    [OLD, "404"],
+                )
 
         play(scenario())
 
@@ -82,7 +90,7 @@
             async with Bench(with_backend(configuration(*routes), "new"), ByName()) as bench:
                 await bench.add(OLD)
                 await bench.add(NEW, "new")
-                kept = await bench.client()
+                kept_connection = await bench.client()
                 for host, target, expected in (
                     (HOST, "/a/", OLD),
                     (HOST, "/a/b", OLD),
@@ -94,11 +102,13 @@
                     (OTHER, "/a/b/", NEW),
                     ("third.example", "/a/", "404"),
                 ):
-                    self.assertEqual(await self.asked(bench, kept, target, host), expected, (host, target))
+                    self.assertEqual(
+                        await self.served_by(bench, kept_connection, target, host), expected, (host, target)
+                    )
                 without = with_backend(configuration(*routes[1:]), "new")
                 bench.gateway.set_configuration(without, 0.0)
-                self.assertEqual(await self.asked(bench, kept, "/a/b/"), NEW)
-                self.assertEqual(await self.asked(bench, kept, "/a/"), "404")
+                self.assertEqual(await self.served_by(bench, kept_connection, "/a/b/"), NEW)
+                self.assertEqual(await self.served_by(bench, kept_connection, "/a/"), "404")
 
         play(scenario())
 
--- a/tests/router/control_plane/test_control_plane_command_idempotence.py
+++ b/tests/router/control_plane/test_control_plane_command_idempotence.py
@@ -8,9 +8,9 @@
 
 from command_model import Bounds, Call, Judge, NewVersions, Replicas, RuleBroken, apply_in_all_orders
 from configuration_variants import (
+    AcceptsAnyBase,
     AcceptsAnyRevision,
-    ComparesNothing,
-    DropsRejectionsOfTheNextBase,
+    DropsRejectionsOfCurrentBase,
     DropsTheOldestRejection,
     ForgetsDigests,
     ForgetsOnRestart,
@@ -19,7 +19,7 @@
     IdentifiesByBaseAlone,
     IdentifiesByRevisionAlone,
     RecordsWithoutBound,
-    RejectsTheForgotten,
+    RejectsForgottenCommands,
     RemembersRejectionsWithoutBase,
 )
 
@@ -42,8 +42,8 @@
 RANDOM_SEEDS = 1_000
 
 BROKEN: tuple[type[ConfigurationVersions], ...] = (
-    ComparesNothing,
-    DropsRejectionsOfTheNextBase,
+    AcceptsAnyBase,
+    DropsRejectionsOfCurrentBase,
     DropsTheOldestRejection,
     ForgetsDigests,
     ForgetsOnRestart,
@@ -52,7 +52,7 @@
     RecordsWithoutBound,
     IdentifiesByBaseAlone,
     IdentifiesByRevisionAlone,
-    RejectsTheForgotten,
+    RejectsForgottenCommands,
     RemembersRejectionsWithoutBase,
     AcceptsAnyRevision,
 )
--- a/tests/router/control_plane/test_control_plane_peer_links.py
+++ b/tests/router/control_plane/test_control_plane_peer_links.py
@@ -17,7 +17,7 @@
     """A connection that takes all it is given."""
 
     open = True
-    unsent = 0
+    unsent_bytes = 0
 
     def __init__(self, last_received: float) -> None:
         self.last_received = last_received
--- a/tests/router/processes/test_processes_errors.py
+++ b/tests/router/processes/test_processes_errors.py
@@ -29,8 +29,8 @@
 
 
 def fleet_section() -> list[str]:
-    _, _, behind = PAGE.read_text().partition(SECTION + "\n")
-    return behind.partition("\n## ")[0].splitlines()
+    _, _, rest = PAGE.read_text().partition(SECTION + "\n")
+    return rest.partition("\n## ")[0].splitlines()
 
 
 class Codes(unittest.TestCase):
@@ -43,22 +43,22 @@
             self.assertRegex(code, CODE)
 
     def test_each_error_of_the_new_parts_has_a_code(self):
-        without = [
-            kind.__name__
-            for kind in error_types()
-            if in_new_parts(kind.__module__)
-            and not any(codes_of(one) for one in kind.__mro__ if issubclass(one, MallowbeamError))
-            and not kind.__subclasses__()
+        without_code = [
+            error_type.__name__
+            for error_type in error_types()
+            if in_new_parts(error_type.__module__)
+            and not any(codes_of(one) for one in error_type.__mro__ if issubclass(one, MallowbeamError))
+            and not error_type.__subclasses__()
         ]
-        self.assertEqual(without, [])
+        self.assertEqual(without_code, [])
 
     def test_each_code_has_a_row_on_the_page(self):
         rows = fleet_section()
         missing = [
             code
-            for code, kind in code_table().items()
-            if in_new_parts(kind.__module__)
-            and not any(f"| `{kind.error_name}` | `{code}` |" in row for row in rows)
+            for code, error_type in code_table().items()
+            if in_new_parts(error_type.__module__)
+            and not any(f"| `{error_type.error_name}` | `{code}` |" in row for row in rows)
         ]
         self.assertEqual(missing, [])
 
--- a/tests/router/processes/test_processes_logs.py
+++ b/tests/router/processes/test_processes_logs.py
@@ -36,9 +36,9 @@
         set_up_logging("node-1", self.stream, self.clock)
         self.log = get_logger("mallowbeam.test_logs")
 
-    def restore(self, lines, forwards):
+    def restore(self, lines, forwarders):
         picologging.root.handlers[:] = lines
-        reporting.logger.handlers[:] = forwards
+        reporting.logger.handlers[:] = forwarders
 
     @property
     def lines(self) -> list[str]:
@@ -90,8 +90,8 @@
         reporting.logger.warning("web")
         self.assertEqual(self.lines, [])
         self.assertEqual(len(stream.getvalue().splitlines()), 2)
-        forwards = [one for one in reporting.logger.handlers if isinstance(one, logs.StandardLogForwarder)]
-        self.assertEqual(len(forwards), 1)
+        forwarders = [one for one in reporting.logger.handlers if isinstance(one, logs.StandardLogForwarder)]
+        self.assertEqual(len(forwarders), 1)
 
     def test_a_closed_stream_does_not_stop_the_caller(self):
         self.stream.close()
@@ -104,17 +104,17 @@
 
 class Bound(unittest.TestCase):
     def test_left_out_lines_are_counted_once(self):
-        bound = EventRateLimiter()
-        told = [bound.admit("a", "e", 0.0) for _ in range(BURST + 2)]
-        self.assertEqual(told, [0] * BURST + [None, None])
-        self.assertEqual(bound.admit("a", "e", WINDOW_S), 2)
-        self.assertEqual(bound.admit("a", "e", WINDOW_S), 0)
+        limiter = EventRateLimiter()
+        suppressed = [limiter.admit("a", "e", 0.0) for _ in range(BURST + 2)]
+        self.assertEqual(suppressed, [0] * BURST + [None, None])
+        self.assertEqual(limiter.admit("a", "e", WINDOW_S), 2)
+        self.assertEqual(limiter.admit("a", "e", WINDOW_S), 0)
 
     def test_the_table_of_events_does_not_grow(self):
-        bound = EventRateLimiter()
+        limiter = EventRateLimiter()
         for number in range(MAX_EVENTS + 10):
-            self.assertEqual(bound.admit("a", str(number), 0.0), 0)
-        self.assertEqual(len(bound._events), MAX_EVENTS)
+            self.assertEqual(limiter.admit("a", str(number), 0.0), 0)
+        self.assertEqual(len(limiter._events), MAX_EVENTS)
 
 
 if __name__ == "__main__":
--- a/tests/router/processes/test_processes_metrics.py
+++ b/tests/router/processes/test_processes_metrics.py
@@ -43,9 +43,9 @@
 
 class Page(unittest.TestCase):
     def ask(self, method: str, target: str) -> Response:
-        front = MetricsHandler(b"/figures", lambda: [Metric("ready", 1, "Ready.")])
+        handler = MetricsHandler(b"/figures", lambda: [Metric("ready", 1, "Ready.")])
         message: Message = message_of(ApiCall(method, target), 1.0)
-        return asyncio.run(front.handle(message, lambda: False))
+        return asyncio.run(handler.handle(message, lambda: False))
 
     def test_statuses(self) -> None:
         self.assertEqual(self.ask("GET", "/figures").status, 200)
--- a/tests/router/processes/test_processes_role.py
+++ b/tests/router/processes/test_processes_role.py
@@ -82,10 +82,10 @@
 
     def test_a_file_that_replaces_the_old_one_is_read(self):
         before = self.path.stat()
-        beside = self.path.with_suffix(".new")
-        beside.write_text(SETTINGS.format(200))
-        os.utime(beside, ns=(before.st_atime_ns, before.st_mtime_ns))
-        beside.replace(self.path)
+        replacement = self.path.with_suffix(".new")
+        replacement.write_text(SETTINGS.format(200))
+        os.utime(replacement, ns=(before.st_atime_ns, before.st_mtime_ns))
+        replacement.replace(self.path)
         self.context.reload_if_changed()
         self.assertEqual(self.seen, [200.0])
 
--- a/tests/router/processes/test_processes_settings.py
+++ b/tests/router/processes/test_processes_settings.py
@@ -21,7 +21,7 @@
     split_address,
 )
 
-LEAST = {
+MINIMAL = {
     "node_name": "core-1",
     "role": "control-plane",
     "machine_class": "core",
@@ -101,7 +101,7 @@
         self.assertNotEqual(self.read(COMPLETE), self.read(COMPLETE.replace("800", "900")))
 
     def test_the_least_file_has_defaults(self):
-        settings = parse_settings(LEAST)
+        settings = parse_settings(MINIMAL)
         self.assertIsNone(settings.data_dir)
         self.assertEqual(settings.bounds, Bounds())
         self.assertEqual(settings.limits, Limits())
@@ -129,9 +129,9 @@
 
 class Refusing(unittest.TestCase):
     def test_each_key_that_must_be_there(self):
-        for key in LEAST:
+        for key in MINIMAL:
             with self.subTest(key), self.assertRaises(SettingsFieldError) as caught:
-                parse_settings({name: value for name, value in LEAST.items() if name != key})
+                parse_settings({name: value for name, value in MINIMAL.items() if name != key})
             self.assertEqual((caught.exception.where, caught.exception.code), (key, "SETTINGS_FIELD"))
 
     def test_wrong_values_are_named_by_their_path(self):
@@ -164,7 +164,7 @@
         ]
         for where, change in cases:
             with self.subTest(change=change), self.assertRaises(SettingsFieldError) as caught:
-                parse_settings({**LEAST, **change})
+                parse_settings({**MINIMAL, **change})
             self.assertEqual(caught.exception.where, where)
 
     def test_addresses(self):
--- a/tests/router/rpc/test_rpc_connection.py
+++ b/tests/router/rpc/test_rpc_connection.py
@@ -10,21 +10,21 @@
 from mallowbeam.router.rpc.framing import HEADER, MAX_MESSAGE_BYTES
 
 
-class StandInTransport(asyncio.Transport):
+class FakeTransport(asyncio.Transport):
     """Records written bytes; like a real transport, `abort` does not call the protocol at once."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.written, self.ending = b"", False
+        self.written, self.closing = b"", False
 
     def get_extra_info(self, name: str, default: object = None) -> object:
         return default
 
     def is_closing(self) -> bool:
-        return self.ending
+        return self.closing
 
     def abort(self) -> None:
-        self.ending = True
+        self.closing = True
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         self.written += data
@@ -38,43 +38,45 @@
 
 
 class Ends(unittest.IsolatedAsyncioTestCase):
-    def open(self, received: Callable[[FrameConnection, bytes], None]) -> FrameConnection:
+    def open_connection(self, received: Callable[[FrameConnection, bytes], None]) -> FrameConnection:
         connection = FrameConnection(received, lambda _: None)
-        connection.connection_made(StandInTransport())
+        connection.connection_made(FakeTransport())
         return connection
 
     async def test_frames_received_with_the_one_that_ends_it_are_not_delivered(self) -> None:
         for ends_at in range(3):
-            taken: list[bytes] = []
+            delivered: list[bytes] = []
 
-            def received(connection: FrameConnection, body: bytes, ends_at=ends_at, taken=taken) -> None:
-                taken.append(body)
-                if len(taken) > ends_at:
+            def received(
+                connection: FrameConnection, body: bytes, ends_at=ends_at, delivered=delivered
+            ) -> None:
+                delivered.append(body)
+                if len(delivered) > ends_at:
                     connection.abort()
 
-            connection = self.open(received)
+            connection = self.open_connection(received)
             connection.data_received(encoded(b"0", b"1", b"2"))
-            self.assertEqual(taken, [b"0", b"1", b"2"][: ends_at + 1])
+            self.assertEqual(delivered, [b"0", b"1", b"2"][: ends_at + 1])
 
     async def test_a_read_after_the_end_is_not_delivered(self) -> None:
-        taken: list[bytes] = []
-        connection = self.open(lambda _, body: taken.append(body))
+        delivered: list[bytes] = []
+        connection = self.open_connection(lambda _, body: delivered.append(body))
         connection.data_received(encoded(b"0", b"1")[:-1])
         connection.abort()
         connection.data_received(encoded(b"0", b"1")[-1:])
         connection.data_received(encoded(b"2"))
-        self.assertEqual(taken, [b"0"])
+        self.assertEqual(delivered, [b"0"])
 
     async def test_nothing_is_delivered_after_an_invalid_frame(self) -> None:
-        taken: list[bytes] = []
-        connection = self.open(lambda _, body: taken.append(body))
+        delivered: list[bytes] = []
+        connection = self.open_connection(lambda _, body: delivered.append(body))
         connection.data_received(encoded(b"0"))
         connection.data_received(HEADER.pack(MAX_MESSAGE_BYTES + 1))
         connection.data_received(encoded(b"1"))
-        self.assertEqual((taken, connection.open), ([b"0"], False))
+        self.assertEqual((delivered, connection.open), ([b"0"], False))
 
     async def test_nothing_is_sent_after_the_end(self) -> None:
-        connection = self.open(lambda _, body: None)
+        connection = self.open_connection(lambda _, body: None)
         connection.abort()
         self.assertFalse(connection.send_encoded(encoded(b"0")))
 
--- a/tests/support/configuration_costs.py
+++ b/tests/support/configuration_costs.py
@@ -18,12 +18,12 @@
 REPEATS = 7
 
 
-def milliseconds(step: Callable[[], object]) -> float:
+def milliseconds(function: Callable[[], object]) -> float:
     """The median duration of a step, in milliseconds."""
     times = []
     for _ in range(REPEATS):
         start = time.perf_counter()
-        step()
+        function()
         times.append(time.perf_counter() - start)
     return median(times) * 1000
 
@@ -39,26 +39,26 @@
     parser = ConfigurationParser()
     old = parser.parse(old_body)
     new = parser.parse(body)
-    alternate = [next_body, body]
+    bodies = [next_body, body]
 
-    def again() -> None:
-        alternate.reverse()
-        parser.parse(alternate[0])
+    def parse_alternately() -> None:
+        bodies.reverse()
+        parser.parse(bodies[0])
 
-    change = incremental_update(old.configuration, new.configuration)
+    incremental = incremental_update(old.configuration, new.configuration)
     full = full_update(new.configuration)
     full_bytes = full.SerializeToString()
     command = put_command(new, 0)
     return {
         "body KB": len(body) / 1000,
         "parse first": milliseconds(lambda: parse_configuration(body)),
-        "parse one changed": milliseconds(again),
+        "parse one changed": milliseconds(parse_alternately),
         "command": milliseconds(lambda: put_command(new, 7)),
         "command KB": command.ByteSize() / 1000,
         "apply command": milliseconds(lambda: ConfigurationVersions().apply(command)),
         "incremental": milliseconds(lambda: incremental_update(old.configuration, new.configuration)),
-        "incremental KB": change.ByteSize() / 1000,
-        "apply incremental": milliseconds(lambda: apply_update(old.configuration, change)),
+        "incremental KB": incremental.ByteSize() / 1000,
+        "apply incremental": milliseconds(lambda: apply_update(old.configuration, incremental)),
         "full": milliseconds(lambda: full_update(new.configuration).SerializeToString()),
         "full KB": len(full_bytes) / 1000,
         "apply full": milliseconds(lambda: apply_bytes(full_bytes)),
--- a/tests/support/configuration_fuzz.py
+++ b/tests/support/configuration_fuzz.py
@@ -21,8 +21,8 @@
 from mallowbeam.router.configuration.updates import apply_update, full_update
 from mallowbeam.router.rpc.messages_pb2 import ConfigurationUpdate
 
-MOST_BYTES = 100_000
-VALUES: tuple[Any, ...] = (
+MAX_BODY_BYTES = 100_000
+REPLACEMENT_VALUES: tuple[Any, ...] = (
     None,
     True,
     False,
@@ -66,7 +66,7 @@
     [{"backend": "models", "weight": 0}],
     [{"backend": "models", "weight": 0.5}],
 )
-TEXTS = (
+REPLACEMENT_TEXTS = (
     b"NaN",
     b"Infinity",
     b"-Infinity",
@@ -103,62 +103,69 @@
     return value
 
 
-def replace(source: random.Random, value: Any) -> bytes:
+def replace(rng: random.Random, value: Any) -> bytes:
     """Replace a value at a random path."""
-    path = source.choice(paths(value))
-    parent_of(value, path)[path[-1]] = copy.deepcopy(source.choice(VALUES))
+    path = rng.choice(paths(value))
+    parent_of(value, path)[path[-1]] = copy.deepcopy(rng.choice(REPLACEMENT_VALUES))
     return body_of(value)
 
 
-def remove(source: random.Random, value: Any) -> bytes:
+def remove(rng: random.Random, value: Any) -> bytes:
     """Remove the value at a random path."""
-    path = source.choice(paths(value))
+    path = rng.choice(paths(value))
     del parent_of(value, path)[path[-1]]
     return body_of(value)
 
 
-def add(source: random.Random, value: Any) -> bytes:
+def add(rng: random.Random, value: Any) -> bytes:
     """Copy a value to another path, where it may replace the present one."""
-    first, second = source.choice(paths(value)), source.choice(paths(value))
+    first, second = rng.choice(paths(value)), rng.choice(paths(value))
     copied = json.loads(json.dumps(parent_of(value, second)[second[-1]]))
     container = parent_of(value, first)
     if isinstance(container, list):
-        container.insert(source.randrange(len(container) + 1), copied)
+        container.insert(rng.randrange(len(container) + 1), copied)
     else:
         container[str(second[-1])] = copied
     return body_of(value)
 
 
-def truncate(source: random.Random, value: Any) -> bytes:
+def truncate(rng: random.Random, value: Any) -> bytes:
     """A truncated body."""
     body = body_of(value)
-    return body[: source.randrange(len(body))]
+    return body[: rng.randrange(len(body))]
 
 
-def spoil(source: random.Random, value: Any) -> bytes:
+def corrupt_bytes(rng: random.Random, value: Any) -> bytes:
     """Replace up to four bytes."""
     body = bytearray(body_of(value))
-    for _ in range(source.randint(1, 4)):
-        body[source.randrange(len(body))] = source.randrange(256)
+    for _ in range(rng.randint(1, 4)):
+        body[rng.randrange(len(body))] = rng.randrange(256)
     return bytes(body)
 
 
-def splice(source: random.Random, value: Any) -> bytes:
+def splice(rng: random.Random, value: Any) -> bytes:
     """Replace a value by text that is invalid JSON or hard to parse."""
-    path = source.choice(paths(value))
+    path = rng.choice(paths(value))
     parent_of(value, path)[path[-1]] = "@@"
-    return body_of(value).replace(b'"@@"', source.choice(TEXTS))
+    return body_of(value).replace(b'"@@"', rng.choice(REPLACEMENT_TEXTS))
 
 
-DAMAGES: tuple[Callable[[random.Random, Any], bytes], ...] = (replace, remove, add, truncate, spoil, splice)
+MUTATIONS: tuple[Callable[[random.Random, Any], bytes], ...] = (
+    replace,
+    remove,
+    add,
+    truncate,
+    corrupt_bytes,
+    splice,
+)
 
 
-def damaged(source: random.Random) -> bytes:
+def damaged_body(rng: random.Random) -> bytes:
     """One damaged body; some are damaged twice."""
-    value = document(source.randint(1, 9))
-    if source.random() < 0.3:
-        replace(source, value)
-    return source.choice(DAMAGES)(source, value)
+    value = document(rng.randint(1, 9))
+    if rng.random() < 0.3:
+        replace(rng, value)
+    return rng.choice(MUTATIONS)(rng, value)
 
 
 def outcome(body: bytes, parser: ConfigurationParser) -> str:
@@ -166,13 +173,13 @@
     try:
         result = parser.parse(body)
     except ConfigurationError as error:
-        alone = refusal_alone(body)
-        if alone != error.code:
-            raise AssertionError(f"{error.code} from a used parser, {alone} from a new one") from None
+        expected = outcome_of_new_parser(body)
+        if expected != error.code:
+            raise AssertionError(f"{error.code} from a used parser, {expected} from a new one") from None
         return error.code
     if comparable(result.canonical) != comparable(body):
         raise AssertionError("the canonical document differs from the body")
-    if parse_configuration(result.canonical, MOST_BYTES) != result:
+    if parse_configuration(result.canonical, MAX_BODY_BYTES) != result:
         raise AssertionError("the canonical document is parsed differently from the body")
     update = ConfigurationUpdate.FromString(full_update(result.configuration).SerializeToString())
     if apply_update(None, update) != result.configuration:
@@ -185,10 +192,10 @@
     return json.dumps(json.loads(text), sort_keys=True)
 
 
-def refusal_alone(body: bytes) -> str:
+def outcome_of_new_parser(body: bytes) -> str:
     """The outcome from a new parser, which has an empty cache."""
     try:
-        parse_configuration(body, MOST_BYTES)
+        parse_configuration(body, MAX_BODY_BYTES)
     except ConfigurationError as error:
         return error.code
     return "accepted"
@@ -196,10 +203,10 @@
 
 def run(seed: int, count: int) -> Counter[str]:
     """Damage and parse `count` bodies; returns outcomes by code. Other errors are raised with their seed."""
-    parser = ConfigurationParser(MOST_BYTES)
+    parser = ConfigurationParser(MAX_BODY_BYTES)
     outcomes: Counter[str] = Counter()
     for number in range(count):
-        body = damaged(random.Random(f"{seed}:{number}"))
+        body = damaged_body(random.Random(f"{seed}:{number}"))
         try:
             outcomes[outcome(body, parser)] += 1
         except Exception as error:
--- a/tests/support/configuration_scenario.py
+++ b/tests/support/configuration_scenario.py
@@ -46,7 +46,7 @@
 from mallowbeam.router.rpc.messages_pb2 import CommandResult, PutConfiguration, ReplicatedState
 
 SCENARIOS = SCENARIO_FOLDER / "configuration"
-NewVersions = Callable[[dict[str, int]], ConfigurationVersions]
+VersionsFactory = Callable[[dict[str, int]], ConfigurationVersions]
 
 
 def new_versions(bounds: dict[str, int]) -> ConfigurationVersions:
@@ -54,18 +54,18 @@
     return ConfigurationVersions(**bounds)
 
 
-def reloaded(
+def restored_copy(
     versions: ConfigurationVersions, into: ConfigurationVersions | None = None
 ) -> ConfigurationVersions:
     """The same state, transferred to another state machine by a snapshot."""
     state = ReplicatedState()
     versions.save(state)
-    again = into if into is not None else ConfigurationVersions()
-    again.restore(ReplicatedState.FromString(state.SerializeToString()))
-    return again
+    target = into if into is not None else ConfigurationVersions()
+    target.restore(ReplicatedState.FromString(state.SerializeToString()))
+    return target
 
 
-def listed(options: dict[str, str], name: str) -> list[str]:
+def option_names(options: dict[str, str], name: str) -> list[str]:
     """The comma-separated names of an option; empty if the option is missing."""
     return options[name].split(",") if name in options else []
 
@@ -109,7 +109,7 @@
 class Scenario:
     """Members, gateways and log of one scenario file."""
 
-    new_versions: NewVersions = new_versions
+    new_versions: VersionsFactory = new_versions
     bounds: dict[str, int] = field(default_factory=dict)
     documents: dict[str, dict[str, Any]] = field(default_factory=dict)
     patches: dict[str, dict[str, Any]] = field(default_factory=dict)
@@ -159,12 +159,19 @@
 
     def do_change(self, name: str, *settings: str) -> None:
         options = dict(setting.split("=") for setting in settings)
-        routes = [named_route(route, int(options.get("timeout", 2500))) for route in listed(options, "put")]
-        services = [{**DOCUMENT["backends"][0], "name": name} for name in listed(options, "put-service")]
+        routes = [
+            named_route(route, int(options.get("timeout", 2500))) for route in option_names(options, "put")
+        ]
+        services = [
+            {**DOCUMENT["backends"][0], "name": name} for name in option_names(options, "put-service")
+        ]
         self.patches[name] = {
             "revision": int(options["revision"]),
             "upsert": {"routes": routes, "backends": services},
-            "remove": {"routes": listed(options, "drop"), "backends": listed(options, "drop-service")},
+            "remove": {
+                "routes": option_names(options, "drop"),
+                "backends": option_names(options, "drop-service"),
+            },
         }
 
     def do_patch(self, name: str, based_on: str, result: str) -> None:
@@ -201,7 +208,7 @@
         self.do_snapshot(name, name)
 
     def do_snapshot(self, source: str, target: str) -> None:
-        versions = reloaded(self.members[source].versions, self.new_versions(self.bounds))
+        versions = restored_copy(self.members[source].versions, self.new_versions(self.bounds))
         previous = self.members.get(target, Member(versions))
         self.members[target] = Member(versions, self.members[source].applied, previous.lags)
         self.apply(self.members[target])
--- a/tests/support/configuration_variants.py
+++ b/tests/support/configuration_variants.py
@@ -18,7 +18,7 @@
 )
 
 
-def changed(command: PutConfiguration, based_on: int) -> PutConfiguration:
+def rebased(command: PutConfiguration, based_on: int) -> PutConfiguration:
     """The same command, based on another revision."""
     duplicate = PutConfiguration()
     duplicate.CopyFrom(command)
@@ -42,11 +42,11 @@
         self._accepted = AcceptedConfigurations()
 
 
-class ComparesNothing(ConfigurationVersions):
+class AcceptsAnyBase(ConfigurationVersions):
     """Accepts a change whatever revision it builds on."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
-        return super().apply(changed(command, self.revision))
+        return super().apply(rebased(command, self.revision))
 
 
 class AcceptsAnyRevision(ConfigurationVersions):
@@ -55,7 +55,7 @@
     def apply(self, command: PutConfiguration) -> CommandResult:
         self._revision, revision = min(self._revision, command.revision - 1), self._revision
         based_on = self._revision if command.based_on == revision else command.based_on
-        result = super().apply(changed(command, based_on))
+        result = super().apply(rebased(command, based_on))
         if result != DONE:
             self._revision = revision
         return result
@@ -68,7 +68,7 @@
         super().__init__(parser)
 
 
-class KeepsTheOldModel(ConfigurationVersions):
+class KeepsPreviousDocument(ConfigurationVersions):
     """Keeps the previous parsed document after a change."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
@@ -94,12 +94,12 @@
             return super().apply(command)
         document = json.loads(zlib.decompress(command.body))
         del document["remove"]
-        duplicate = changed(command, command.based_on)
+        duplicate = rebased(command, command.based_on)
         duplicate.body = zlib.compress(json.dumps(document).encode())
         return super().apply(duplicate)
 
 
-class PatchesOnlyHere(ConfigurationVersions):
+class SavesWithoutPatches(ConfigurationVersions):
     """Saves the last complete document without the patches since then."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
@@ -113,7 +113,7 @@
         state.body = zlib.compress(self.saved)
 
 
-class RejectsTheForgotten(ConfigurationVersions):
+class RejectsForgottenCommands(ConfigurationVersions):
     """Rejects commands that it may have accepted long ago, and forgotten."""
 
     def _decide(self, command: PutConfiguration) -> CommandResult:
@@ -142,12 +142,12 @@
 
     def _decide(self, command: PutConfiguration) -> CommandResult:
         rejected = self._rejected
-        if len(rejected) >= rejected._most:
+        if len(rejected) >= rejected._max_commands:
             del rejected._results[next(iter(rejected._results))]
         return super()._decide(command)
 
 
-class DropsRejectionsOfTheNextBase(ConfigurationVersions):
+class DropsRejectionsOfCurrentBase(ConfigurationVersions):
     """Forgets rejected commands when the revision that they build on becomes current."""
 
     def _accept(self, command: PutConfiguration) -> None:
@@ -184,7 +184,7 @@
     """Rejects a document on the current revision because it was rejected on another one."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
-        for call in self._rejected._results:
-            if call.digest == command.digest:
-                return self._rejected._results[CommandIdentity(*call)]
+        for identity in self._rejected._results:
+            if identity.digest == command.digest:
+                return self._rejected._results[CommandIdentity(*identity)]
         return super().apply(command)
--- a/tests/support/operator_races.py
+++ b/tests/support/operator_races.py
@@ -60,8 +60,8 @@
             record_result(order, status)
             order.open = not is_final(status)
             if order.open:
-                again = min(2 * backoff_s, LONGEST_BACKOFF_S)
-                self.machine.later(backoff_s, lambda: self.send(order, self.any_member(), again))
+                next_backoff_s = min(2 * backoff_s, LONGEST_BACKOFF_S)
+                self.machine.later(backoff_s, lambda: self.send(order, self.any_member(), next_backoff_s))
 
         self.ask(member, order.call, answered)
 
@@ -90,7 +90,7 @@
         super().prepare()
         self.racing_operators: dict[str, RacingOperator] = {}
         self.orders: dict[str, RacedOrder] = {}
-        self._checked: object = None
+        self._last_checked: object = None
         self.simulator.check(self._check_orders)
 
     def declare_operators(self, *names: str) -> None:
@@ -184,8 +184,8 @@
         answers = sum(operator.answers for operator in self.racing_operators.values())
         incarnations = [member.machine.incarnation for member in self.members.values()]
         state = answers, incarnations, [versions.revision for versions in self._versions()]
-        if state != self._checked:
-            self._checked = state
+        if state != self._last_checked:
+            self._last_checked = state
             self._check_all_orders()
 
     def _check_all_orders(self) -> None:
@@ -216,7 +216,7 @@
 
 # ---------------------------------------------------------------- random races
 
-HEAD = """seed {seed}
+SCENARIO_HEADER = """seed {seed}
 members m1 m2 m3
 gateways g1
 instances a
@@ -235,8 +235,8 @@
     ("cut leader followers", "heal"),
     ("power-off members", "start members"),
 )
-BAD_PATHS_S = 10.0  # part of a round during which responses are lost or late
-GOOD_PATHS = "path members operators 0.001 0.01"
+FAULTY_PATHS_S = 10.0  # part of a round during which responses are lost or late
+NORMAL_PATHS = "path members operators 0.001 0.01"
 ROUND_S = 20.0  # until all orders of a round must have final responses
 
 
@@ -246,8 +246,8 @@
     def __init__(self, seed: int, rounds: int) -> None:
         self._random = random = Random(seed)
         loss, delay = random.choice((0, 0.2, 0.4)), random.choice((0.01, 0.5, 0.9))
-        self._bad_paths = f"path members operators 0.001 {delay} {loss}"
-        self.player = RacesPlayer(HEAD.format(seed=seed))
+        self._faulty_paths = f"path members operators 0.001 {delay} {loss}"
+        self.player = RacesPlayer(SCENARIO_HEADER.format(seed=seed))
         self._rounds = rounds
 
     def play(self) -> None:
@@ -259,8 +259,8 @@
     def _play_round(self, number: int) -> None:
         random, player = self._random, self.player
         begin, end = random.choice(FAULTS)
-        self._later(0.0, self._bad_paths)
-        self._later(BAD_PATHS_S, GOOD_PATHS)
+        self._later(0.0, self._faulty_paths)
+        self._later(FAULTY_PATHS_S, NORMAL_PATHS)
         fault_s = random.uniform(0.0, 0.4)
         self._later(fault_s, begin)
         self._later(fault_s + random.uniform(0.3, 3.0), end)
--- a/tests/support/system_bulk.py
+++ b/tests/support/system_bulk.py
@@ -97,4 +97,4 @@
 
 
 def _waiting(link: PeerLink) -> int:
-    return link._connection.unsent if link._connection is not None else 0
+    return link._connection.unsent_bytes if link._connection is not None else 0
