--- a/tests/router/configuration/test_configuration_fuzz.py
+++ b/tests/router/configuration/test_configuration_fuzz.py
@@ -23,7 +23,7 @@
         for code in ("UNREADABLE", "FIELD", "NO_TIMEOUT", "UNKNOWN_BACKEND", "SAME_PLACE", "TOO_LARGE"):
             self.assertGreater(outcomes[f"CONFIG_{code}"], 0, code)
 
-    def test_it_finds_numbers_that_no_message_carries(self) -> None:
+    def test_fuzz_detects_numbers_outside_the_range_of_messages(self) -> None:
         with patch.object(schemas.Milliseconds, "_deserialize", lambda self, value, *_, **__: int(value)):
             with self.assertRaises(AssertionError):
                 run(SEED, COUNT)
--- a/tests/router/configuration/test_configuration_identity.py
+++ b/tests/router/configuration/test_configuration_identity.py
@@ -92,7 +92,7 @@
         '"\u00e4":"\\u0007 \\" \\\\ / \u2028 \U0001f600 \x7f"}'
     )
 
-    def test_it_stays_as_it_is(self) -> None:
+    def test_canonical_form_is_stable(self) -> None:
         body = b'{"revision": 7, "backends": [], "routes": [], "x": ' + self.FIELDS.encode() + b"}"
         parsed = parse_configuration(body)
         expected = f'{{"backends":[],"revision":7,"routes":[],"x":{self.CANONICAL}}}'
@@ -103,7 +103,7 @@
 class OneParser(unittest.TestCase):
     """Every member rejects the same documents before they are proposed, whatever it has parsed before."""
 
-    def test_what_was_read_before_changes_nothing(self) -> None:
+    def test_result_does_not_depend_on_earlier_parses(self) -> None:
         no_timeout = replaced('"timeout_ms": 2500', '"timeout_ms": 0')
         no_service = replaced('"backend": "models"', '"backend": "none"')
         invalid = [no_timeout, no_service, TEXT[:-1].encode()]
--- a/tests/router/configuration/test_configuration_patch.py
+++ b/tests/router/configuration/test_configuration_patch.py
@@ -249,7 +249,7 @@
         self.assertEqual(versions.apply(patch_command(patch, 0)), INVALID_OUTCOME)
         self.assertEqual((versions.revision, versions.current()), (0, None))
 
-    def test_a_member_knows_an_invalid_outcome_beforehand_only_on_its_own_revision(self) -> None:
+    def test_check_patch_rejects_only_patches_of_the_current_revision(self) -> None:
         versions = ConfigurationVersions()
         versions.apply(put_command(parse_configuration(body_of(document())), 0))
         patch = parse_patch(body_of(patch_of({"remove": {"backends": ["records"]}})))
--- a/tests/router/configuration/test_configuration_versions.py
+++ b/tests/router/configuration/test_configuration_versions.py
@@ -83,7 +83,7 @@
         self.assertEqual(versions.apply(put_command(parsed, 0)), DONE)
         self.assertIs(versions.current(), parsed.configuration)
 
-    def test_a_parser_that_went_on_is_no_source(self) -> None:
+    def test_parser_with_a_newer_document_is_not_the_source_of_the_current_one(self) -> None:
         parser = ConfigurationParser()
         versions = ConfigurationVersions(parser)
         parsed = parser.parse(body_of(document(3)))
--- a/tests/router/processes/test_processes_logs.py
+++ b/tests/router/processes/test_processes_logs.py
@@ -77,7 +77,7 @@
         get_logger("mallowbeam.test_logs.other").info("one")
         self.assertEqual(len(self.lines), BURST + 2)
 
-    def test_what_the_http_parts_report_comes_out_bounded(self):
+    def test_http_module_records_are_rate_limited(self):
         for _ in range(BURST + 1):
             reporting.logger.warning("cannot accept: %s", "too many")
         self.assertEqual(self.lines[0], "0.000 WARNING node-1 mallowbeam.http: cannot accept: too many")
--- a/tests/router/processes/test_processes_metrics.py
+++ b/tests/router/processes/test_processes_metrics.py
@@ -23,7 +23,7 @@
 
 
 class Text(unittest.TestCase):
-    def test_families_stand_together(self) -> None:
+    def test_samples_of_one_name_are_grouped(self) -> None:
         text = exposition(
             [
                 Metric("requests_total", 3, "Requests.", "counter", ("status", "200")),
@@ -63,7 +63,7 @@
         settings = parse_settings({**SETTINGS, "metrics": "9464/a/b"})
         self.assertEqual(settings.metrics, MetricsPage(9464, "/a/b"))
 
-    def test_wrong_ones(self) -> None:
+    def test_invalid_values_are_rejected(self) -> None:
         for value in ("9464", "/x", "0/x", "70000/x", "x/y", 3):
             with self.subTest(value), self.assertRaises(SettingsFieldError) as caught:
                 parse_settings({**SETTINGS, "metrics": value})
--- a/tests/router/processes/test_processes_role.py
+++ b/tests/router/processes/test_processes_role.py
@@ -50,7 +50,7 @@
         self.assertEqual(self.seen, [250.0])
         self.assertEqual(self.context.settings.heartbeat_ms, 250.0)
 
-    def test_equal_settings_do_not(self):
+    def test_equal_settings_do_not_reach_the_callback(self):
         self.write(SETTINGS.format(100) + "# a word\n")
         self.context.reload()
         self.assertEqual(self.seen, [])
@@ -89,7 +89,7 @@
         self.context.reload_if_changed()
         self.assertEqual(self.seen, [200.0])
 
-    def test_one_callback_that_fails_does_not_keep_the_others_from_it(self):
+    def test_failing_callback_does_not_block_the_others(self):
         def fails(_: object) -> None:
             raise RuntimeError("no")
 
@@ -182,7 +182,7 @@
         self.assertEqual(ended.returncode, 1)
         self.assertIn("the role failed [RuntimeError: odd; at ", ended.stderr)
 
-    def test_what_fails_outside_any_call_is_logged_and_the_role_goes_on(self):
+    def test_unhandled_event_loop_error_is_logged_and_the_role_continues(self):
         ended = self.run_program("""
             asyncio.get_running_loop().call_soon(lambda: 1 / 0)
             await asyncio.sleep(0)
@@ -193,7 +193,7 @@
         self.assertIn("unhandled error in the event loop", ended.stderr)
         self.assertIn("ZeroDivisionError", ended.stderr)
 
-    def test_what_the_start_made_is_out_of_garbage_collection(self):
+    def test_startup_objects_are_excluded_from_garbage_collection(self):
         ended = self.run_program("""
             import gc
             print(gc.isenabled(), gc.get_freeze_count() > 0, gc.get_threshold()[0] > 700)
