--- a/mallowbeam/router/configuration/decoding.py
+++ b/mallowbeam/router/configuration/decoding.py
@@ -26,7 +26,7 @@
     except msgspec.ValidationError as error:
         raise InvalidFieldError(str(error), where) from None
     except (ValueError, RecursionError) as error:
-        raise UnreadableConfigurationError(f"is not readable JSON: {error}", where) from None
+        raise UnreadableConfigurationError(f"not readable JSON: {error}", where) from None
 
 
 def read_entry(schema: Schema, text: bytes, where: str) -> ParsedEntry[Any]:
--- a/mallowbeam/router/configuration/updates.py
+++ b/mallowbeam/router/configuration/updates.py
@@ -68,7 +68,7 @@
     if current is None or current.revision != update.based_on:
         current_revision = current.revision if current is not None else 0
         raise UpdateMismatchError(
-            f"revision {update.revision} builds on {update.based_on}, not on the current {current_revision}"
+            f"revision {update.revision} builds on {update.based_on}, the current one is {current_revision}"
         )
     return decode_incremental_update(current, update)
 
--- a/mallowbeam/router/configuration/versions.py
+++ b/mallowbeam/router/configuration/versions.py
@@ -134,8 +134,7 @@
     def check_patch(self, patch: ConfigurationPatch, based_on: int) -> None:
         """Raise `ConfigurationError` if a patch of the current revision has an invalid outcome.
 
-        A patch of any other revision passes: whether that one is current is decided when the command is
-        applied.
+        A patch of any other revision passes, since it may be current when the command is applied.
         """
         if based_on == self._revision and self._revision:
             apply_patch(self._current_document(), patch)
--- a/mallowbeam/router/processes/metrics.py
+++ b/mallowbeam/router/processes/metrics.py
@@ -1,6 +1,7 @@
 """A role's metrics in the exposition format of Prometheus, on a separate listener.
 
-Off unless the settings file contains `metrics = "PORT/PATH"`.  Metrics are collected anew for each request.
+Off unless the settings file contains `metrics = "PORT/PATH"`.  Metrics are collected for each request and
+not stored.
 """
 
 from __future__ import annotations
--- a/mallowbeam/router/processes/role.py
+++ b/mallowbeam/router/processes/role.py
@@ -25,11 +25,8 @@
 EXIT_FAILED = 1
 EXIT_UNUSABLE = 2
 SETTINGS_POLL_INTERVAL_S = 1.0  # between two polls of the settings file
-GC_THRESHOLDS = (
-    20_000,
-    20,
-    50,
-)  # allocations before a collection; collections before one of the next generation
+# allocations before a collection of the youngest generation; collections before one of the next generation
+GC_THRESHOLDS = (20_000, 20, 50)
 
 ReloadCallback = Callable[[NodeSettings], None]
 
--- a/tests/support/configuration_costs.py
+++ b/tests/support/configuration_costs.py
@@ -19,7 +19,7 @@
 
 
 def milliseconds(function: Callable[[], object]) -> float:
-    """The median duration of a step, in milliseconds."""
+    """The median duration of a call, in milliseconds."""
     times = []
     for _ in range(REPEATS):
         start = time.perf_counter()
