--- a/mallowbeam/router/processes/overrides.py
+++ b/mallowbeam/router/processes/overrides.py
@@ -1,8 +1,8 @@
 """Overrides of the decision cores' default settings, from an optional TOML file.
 
-The file is for trials: it disables a mechanism, or changes a value, without a change of the program.  No
-deployment needs it, and none contains it.  A table of the file is a settings dataclass, a key one of its
-fields, a nested table a nested dataclass.  Unknown keys are errors.
+The file is for trials: it disables a mechanism or changes a value without a code change.  No deployment
+needs or contains it.  A table of the file stands for a settings dataclass, a key for one of its fields, a
+nested table for a nested dataclass.  Unknown keys are errors.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 def _with_values(defaults: Any, table: Any, where: str) -> Any:
     if not isinstance(table, Mapping):
         raise SettingsFieldError("must be a table", where)
-    known = {one.name for one in fields(defaults)}
+    known = {field.name for field in fields(defaults)}
     values: dict[str, Any] = {}
     for key, value in table.items():
         if key not in known:
--- a/mallowbeam/router/rpc/connection.py
+++ b/mallowbeam/router/rpc/connection.py
@@ -11,7 +11,7 @@
 
 from mallowbeam.router.rpc.framing import FrameError, FrameReader, encode_frame
 
-USER_TIMEOUT_MS = 1500  # the kernel ends a connection whose bytes are unacknowledged for this long
+USER_TIMEOUT_MS = 1500  # the kernel closes a connection whose bytes stay unacknowledged for this long
 KEEPALIVE_IDLE_S = 1  # idle time before the kernel's first keep-alive probe
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
@@ -37,13 +37,13 @@
         self._transport = cast(asyncio.Transport, transport)  # uvloop's class is not derived from it
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            configure(sock)
+            configure_socket(sock)
         address = transport.get_extra_info("peername")
         self.peer = f"{address[0]}:{address[1]}" if address else ""
         self.last_received = asyncio.get_running_loop().time()
 
     def data_received(self, data: bytes) -> None:
-        """Split received bytes into frames; anything else ends the connection.
+        """Split received bytes into frames; an invalid frame ends the connection.
 
         Once the owner has aborted the connection, no further frame is delivered, not even one that was
         received in the same read.
@@ -76,7 +76,7 @@
         return self.send_encoded(encode_frame(message))
 
     def send_encoded(self, frame: bytes) -> bool:
-        """Queue a frame made by `encode_frame`, which may be shared by many connections; like `send`."""
+        """Queue a frame made by `encode_frame`, which many connections may share; returns as `send` does."""
         if self._transport is None or self._transport.is_closing():
             return False
         if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
@@ -86,7 +86,7 @@
         return True
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Queued bytes that the kernel has not accepted yet."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
@@ -96,8 +96,8 @@
             self._transport.abort()
 
 
-def configure(sock: socket.socket) -> None:
-    """Set TCP options: no delay for small frames, and a prompt error if the peer is unreachable."""
+def configure_socket(sock: socket.socket) -> None:
+    """Set TCP options: small frames are sent at once, and an unreachable peer is noticed soon."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
@@ -110,17 +110,17 @@
     address: str,
     on_frame: Callable[[FrameConnection, bytes], None],
     on_closed: Callable[[FrameConnection], None],
-    timeout: float,
+    timeout_s: float,
 ) -> FrameConnection:
     """Connect to IP:PORT.
 
     Raises:
-        TimeoutError: there is no connection after `timeout` seconds.
+        TimeoutError: the connection was not established within `timeout_s` seconds.
         OSError: the connection failed.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(timeout):
+    async with asyncio.timeout(timeout_s):
         _, connection = await loop.create_connection(
             lambda: FrameConnection(on_frame, on_closed), host, int(port)
         )
--- a/tests/router/configuration/test_configuration_versions.py
+++ b/tests/router/configuration/test_configuration_versions.py
@@ -1,25 +1,25 @@
-"""Compare-and-set, resent configurations, snapshots: the scenarios, and variants broken on purpose."""
+"""Compare-and-set, resent configurations and snapshots: the scenarios, and faulty variants."""
 
 from __future__ import annotations
 
 import unittest
 
 from configuration_documents import body_of, document
-from configuration_scenario import SCENARIOS, NewVersions, Scenario, reloaded
+from configuration_scenario import SCENARIOS, Scenario, VersionsFactory, restored_copy
 from configuration_variants import (
+    AcceptsAnyBase,
     AcceptsAnyRevision,
-    ComparesNothing,
     DropsTheOldestRejection,
     ForgetsDigests,
     ForgetsOnRestart,
     ForgetsOutcomesOfPatches,
     ForgetsRejections,
     ForgetsRejectionsOnRestart,
-    KeepsTheOldModel,
-    PatchesOnlyHere,
+    KeepsPreviousDocument,
     PatchesWithoutRemoval,
     RecordsWithoutBound,
-    RejectsTheForgotten,
+    RejectsForgottenCommands,
+    SavesWithoutPatches,
 )
 
 from mallowbeam.router.configuration.accepted import RECORD
@@ -35,28 +35,28 @@
 BROKEN: dict[type[ConfigurationVersions], tuple[str, ...]] = {
     ForgetsDigests: ("resend", "restart", "bound"),
     ForgetsOnRestart: ("restart",),
-    ComparesNothing: ("race", "versions"),
+    AcceptsAnyBase: ("race", "versions"),
     AcceptsAnyRevision: ("race", "versions"),
     RecordsWithoutBound: ("bound",),
-    RejectsTheForgotten: ("bound",),
+    RejectsForgottenCommands: ("bound",),
     ForgetsRejections: ("late_copy", "refusals_bound"),
     ForgetsRejectionsOnRestart: ("late_copy",),
     DropsTheOldestRejection: ("refusals_bound",),
     ForgetsOutcomesOfPatches: ("patch",),
     PatchesWithoutRemoval: ("patch", "patch_invalid"),
-    PatchesOnlyHere: ("patch",),
-    KeepsTheOldModel: ("race", "resend", "gateways"),
+    SavesWithoutPatches: ("patch",),
+    KeepsPreviousDocument: ("race", "resend", "gateways"),
 }
 
 
 def play(name: str, kind: type[ConfigurationVersions]) -> None:
-    """Play one scenario with one kind of state machine."""
-    make: NewVersions = lambda bounds: kind(**bounds)  # noqa: E731
+    """Run one scenario with one kind of state machine."""
+    make: VersionsFactory = lambda bounds: kind(**bounds)  # noqa: E731
     Scenario(make).run((SCENARIOS / f"{name}.txt").read_text())
 
 
 class Scenarios(unittest.TestCase):
-    """Each file, and each broken variant in the files that must find it."""
+    """Each scenario file, and each faulty variant in the files that must detect it."""
 
     def test_scenarios(self) -> None:
         names = sorted(path.stem for path in SCENARIOS.glob("*.txt"))
@@ -74,7 +74,7 @@
 
 
 class Versions(unittest.TestCase):
-    """What scenarios don't show."""
+    """Properties that the scenarios do not cover."""
 
     def test_nothing_is_parsed_twice_when_the_api_shares_its_parser(self) -> None:
         parser = ConfigurationParser()
@@ -83,7 +83,7 @@
         self.assertEqual(versions.apply(put_command(parsed, 0)), DONE)
         self.assertIs(versions.current(), parsed.configuration)
 
-    def test_a_parser_that_went_on_is_no_source(self) -> None:
+    def test_parser_with_a_newer_document_is_not_the_source_of_the_current_one(self) -> None:
         parser = ConfigurationParser()
         versions = ConfigurationVersions(parser)
         parsed = parser.parse(body_of(document(3)))
@@ -113,7 +113,7 @@
             versions = ConfigurationVersions()
             for number, command in enumerate(commands):
                 if number == restarted_at:
-                    versions = reloaded(versions)
+                    versions = restored_copy(versions)
                 self.assertEqual(versions.apply(command), DONE)
                 self.assertEqual(versions.apply(command), ALREADY_DONE)
             state = ReplicatedState()
