--- a/mallowbeam/storage_gateway/application.py
+++ b/mallowbeam/storage_gateway/application.py
@@ -1,4 +1,4 @@
-"""One real gateway from its two files: its listeners, its subsystems, its start."""
+"""Builds and runs a gateway from its two files, the configuration and the fronts file."""
 
 from __future__ import annotations
 
@@ -38,22 +38,22 @@
     from mallowbeam.storage_gateway.frontends.object_api.settings import ObjectSettings
 
 LOG_FORMAT = "{time:YYYY-MM-DD HH:mm:ss.SSS} {level} {message}"
-FRONTS = Path(__file__).parents[2] / "deploy" / "fronts.json"  # the fronts beside the platform's
-LEAST_ROOM = 2  # connections for each front's clients: one is served, one refuses those beyond
-WATCHER_CONNECTIONS = 8  # of the clients' connections, for each listener that only balancers ask
+FRONTS = Path(__file__).parents[2] / "deploy" / "fronts.json"  # the default operators' file
+LEAST_ROOM = 2  # minimum client connections for a front: one is served, one refuses further clients
+WATCHER_CONNECTIONS = 8  # client connections for each listener used only by load balancers
 
 
 def open_servers(gateway: Gateway, fronts: dict[str, Any], legacy: Legacy | None = None) -> list[Server]:
-    """The listening sockets: the platform's, and what the fronts file turns on; raises `GatewayConfigError`.
+    """Opens the platform's listener and those enabled in the fronts file; raises `GatewayConfigError`.
 
-    Those that the process before this one handed over are taken as they are.
+    Sockets handed over by the previous process are used as they are.
     """
     handed = legacy.listeners if legacy else {}
     try:
         servers = _open_all(gateway, fronts, handed, upgrade=legacy is not None)
     except (ValueError, AttributeError) as error:
         raise GatewayConfigError(f"the fronts file is malformed: {error}") from None
-    for unused in handed.values():  # of a front that is off now: its clients would wait unheard
+    for unused in handed.values():  # of a front that is off now; its clients would wait in the accept queue
         unused.close()
     return servers
 
@@ -61,7 +61,7 @@
 def _open_all(
     gateway: Gateway, fronts: dict[str, Any], handed: dict[str, socket.socket], upgrade: bool
 ) -> list[Server]:
-    """Every front that is on; takes from `handed` the sockets that are in use again."""
+    """Opens every enabled front; removes from `handed` the sockets that it uses."""
     room = gateway.config.client_sockets
     servers: list[Server] = []
     objects = _read_objects(gateway, fronts)
@@ -76,16 +76,14 @@
         inherited = handed.pop("objects", None)
         servers.append(Server(objects.listen, front, room, name="objects", handed=inherited))
     if room < LEAST_ROOM:
-        raise GatewayConfigError(
-            "limits.sockets leaves no connection for clients beside the fronts that are on"
-        )
+        raise GatewayConfigError("limits.sockets leaves no client connections beside the enabled fronts")
     inherited = handed.pop("platform", None)
     servers.append(Server(gateway.config.listen, Platform(gateway), room, name="platform", handed=inherited))
     return servers
 
 
 def _open_checks(gateway: Gateway, fronts: dict[str, Any], handed: dict[str, socket.socket]) -> list[Server]:
-    """What only load balancers call: the health pages and the agent check, where they are on."""
+    """Opens the listeners used only by load balancers: health pages and agent check, if enabled."""
     servers = []
     connections: dict[str, ConnectionFactory] = {
         "health": Connection,
@@ -99,10 +97,10 @@
 
 
 def _read_objects(gateway: Gateway, fronts: dict[str, Any]) -> ObjectSettings | None:
-    """The settings of the object API, None where it is off."""
+    """Returns the settings of the object API, None if it is off."""
     if fronts.get("objects", {}).get("listen") is None:
         return None
-    # Loaded only where it is on: a start is short, as each second of it loses requests.
+    # Imported only if enabled: requests are lost for as long as a start takes.
     from mallowbeam.storage_gateway.frontends.object_api.settings import read_object_settings
 
     return read_object_settings(fronts["objects"], gateway)
@@ -111,7 +109,7 @@
 def _object_front(
     gateway: Gateway, fronts: dict[str, Any], objects: ObjectSettings, upgrade: bool
 ) -> RequestHandler:
-    """The object API, with the write-back buffer behind it where that is on."""
+    """Returns the object API front, with the write-back buffer if that is enabled."""
     if fronts.get("buffer", {}).get("folder") is not None:
         return open_buffered(gateway, fronts, upgrade)
     from mallowbeam.storage_gateway.frontends.object_api.front import Objects
@@ -120,7 +118,7 @@
 
 
 def open_fleet(gateway: Gateway, fronts: dict[str, Any]) -> Server:
-    """The fleet's log, with the subsystems that are on; raises `GatewayConfigError`."""
+    """Opens the listener of the fleet's log with the enabled subsystems; raises `GatewayConfigError`."""
     try:
         from mallowbeam.storage_gateway.coordination.status_pages import open_policy
         from mallowbeam.storage_gateway.operator_settings import SUBSYSTEMS, PolicySection, convert
@@ -140,7 +138,7 @@
 
 
 def open_buffered(gateway: Gateway, fronts: dict[str, Any], upgrade: bool) -> BufferedObjects:
-    """The object front with the write-back buffer behind it; raises `GatewayConfigError`."""
+    """Returns the object API front with the write-back buffer; raises `GatewayConfigError`."""
     try:
         from mallowbeam.storage_gateway.frontends.object_api.buffered import (
             BufferedObjects,
@@ -156,7 +154,7 @@
 
 
 def any_on(fronts: dict[str, Any]) -> bool:
-    """Whether the operators' file turns anything on: if not, nothing need be loaded to check it."""
+    """Whether the fronts file enables anything; if not, its validation needs no imports."""
     return any(
         not isinstance(section, dict)
         or section.get("listen") is not None
@@ -167,18 +165,18 @@
 
 
 async def serve(config: Config, fronts: dict[str, Any], deferred_sighups: Sequence[int] = ()) -> None:
-    """Run a gateway until it is told to stop; `deferred_sighups` came before its handler was installed."""
+    """Runs a gateway until it is stopped; `deferred_sighups` came before the handler was installed."""
     legacy = take_over(config)
     gateway = Gateway(legacy.config(config) if legacy else config)
     asyncio.get_running_loop().set_exception_handler(
         lambda _, context: logger.opt(exception=context.get("exception")).error(
-            "unforeseen: {}", context["message"]
+            "unexpected error: {}", context["message"]
         )
     )
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, gateway.stop)
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, gateway.reload, os.environ)
-    if deferred_sighups:  # its turn comes once the gateway serves
+    if deferred_sighups:  # handled once the gateway serves
         asyncio.get_running_loop().call_soon(gateway.reload, os.environ)
     try:
         admin, servers = open_admin(gateway), open_servers(gateway, fronts, legacy)
@@ -188,13 +186,13 @@
 
 
 def run(log_format: str = "text", deferred_sighups: Sequence[int] | None = None) -> int:
-    """Run the gateway; 0 after a planned stop, 2 where the configuration can't be used.
+    """Runs the gateway; returns 0 after a graceful shutdown, 2 if the configuration is invalid.
 
-    `deferred_sighups` are the SIGHUPs recorded since before this module was loaded, if they were.
+    `deferred_sighups` are the SIGHUPs recorded before this module was loaded, None if they were not recorded.
     """
     deferred_sighups = defer_sighup() if deferred_sighups is None else deferred_sighups
     logger.remove()
-    if log_format == "json":  # one object a line, with the fields that a line was given
+    if log_format == "json":  # one JSON object per line, with the bound fields
         logger.add(sys.stderr, serialize=True, level="INFO", backtrace=False, diagnose=False)
     else:
         logger.add(sys.stderr, format=LOG_FORMAT, level="INFO", backtrace=False, diagnose=False)
--- a/mallowbeam/storage_gateway/operator_settings.py
+++ b/mallowbeam/storage_gateway/operator_settings.py
@@ -1,7 +1,7 @@
-"""The operators' file: all that the platform's configuration does not hold, a section for each subsystem.
+"""The operators' (fronts) file: settings outside the platform's configuration, one section per subsystem.
 
-JSON, checked against typed structs.  Only what is turned on is checked at a start (`mallowbeam config check`
-checks all), so that a start with everything off loads none of this.
+The file is JSON, validated against typed structs.  A start validates it only if something is enabled, so that
+a start with everything off doesn't import this module; `mallowbeam config check` always validates it.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 
 class Section(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A section; an unknown key is an error."""
+    """Base class of sections; an unknown key is an error."""
 
 
 class Classes(Section, forbid_unknown_fields=True, frozen=True):
-    """Which of the platform's classes stand for the object API's calls."""
+    """The platform's request classes used for the object API's reads and writes."""
 
     read: Name
     write: Name
@@ -49,13 +49,13 @@
 
 
 class ListenSection(Section, forbid_unknown_fields=True, frozen=True):
-    """A front that only listens; off without `listen`."""
+    """A front whose only setting is its address; off without `listen`."""
 
     listen: Address | None = None
 
 
 class BufferSection(Section, forbid_unknown_fields=True, frozen=True):
-    """The write-back buffer; off without `folder`.  At any bound: direct writes, or SlowDown."""
+    """The write-back buffer; off without `folder`.  At a limit: direct writes, or SlowDown."""
 
     folder: Name | None = None
     buckets: list[Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9.-]{1,61}[a-z0-9]$")]] = []
@@ -85,16 +85,16 @@
 
 
 class SubsystemSection(Section, forbid_unknown_fields=True, frozen=True):
-    """A subsystem on the fleet's log; off without `on`, and the same on all members."""
+    """A subsystem on the fleet's log; off without `on`.  Settings must be the same on all members."""
 
     on: bool = False
 
 
 class MaintenanceSection(SubsystemSection, forbid_unknown_fields=True, frozen=True):
-    """Machines out for work, in an order that the gateways settle; seconds, the same on all members.
+    """Maintenance of machines, in an order on which the gateways agree; in seconds, the same on all members.
 
-    `lease_s` is how long the others count on a gateway's last report while machines are on their way, and
-    how long it serves by that report; `warm_s` how long a machine that is back is cold.
+    `lease_s` is how long the others rely on a gateway's last report while machines are changing state, and
+    how long the gateway serves by that report; `warm_s` is how long a machine that is back is cold.
     """
 
     lease_s: Annotated[float, Meta(ge=0.5, le=60)] = 2.0
@@ -103,10 +103,10 @@
 
 
 class SharesSection(SubsystemSection, forbid_unknown_fields=True, frozen=True):
-    """Tenants' fair shares across gateways; seconds, the same on all members.
+    """Fair shares of tenants across gateways; in seconds, the same on all members.
 
-    An epoch takes `epoch_s` at least, demand is counted in windows of `window_s`, and a gateway that is not
-    heard of for `quiet_s` asks for nothing.  `lease_s` is how long one that is cut off keeps its share.
+    An epoch takes at least `epoch_s`, demand is measured in windows of `window_s`, and a gateway without a
+    report for `quiet_s` has no demand.  `lease_s` is how long one that is cut off keeps its share.
     """
 
     epoch_s: Annotated[float, Meta(ge=0.1, le=60)] = 1.0
@@ -116,10 +116,10 @@
 
 
 class PoolsSection(SubsystemSection, forbid_unknown_fields=True, frozen=True):
-    """Connection budgets by the pool language."""
+    """Connection budgets, set by the pool language."""
 
 
-# Those that stand on the fleet's log, by section; each is loaded only where it is on.
+# The subsystems on the fleet's log, by section name; each is imported only if enabled.
 SUBSYSTEMS: dict[str, type[SubsystemSection]] = {
     "maintenance": MaintenanceSection,
     "shares": SharesSection,
@@ -141,7 +141,7 @@
 
 
 def convert(kind: type[T], raw: object, path: str = "") -> T:
-    """A section of the file, typed; raises `GatewayConfigError` with the place in it."""
+    """Converts a section of the file to its struct; raises `GatewayConfigError` with the faulty path."""
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
@@ -149,7 +149,7 @@
 
 
 def worded(text: str, path: str = "") -> str:
-    """msgspec's words as `place: what is wrong`."""
+    """Rewrites a message of msgspec as `path: fault`."""
     match = AT.match(text)
     text, inner = match.groups() if match else (text, "")
     place = ".".join(part for part in (path, inner) if part)
@@ -157,7 +157,7 @@
 
 
 def check(raw: Mapping[str, Any]) -> Operators:
-    """The complete file, typed, and what its sections must agree on; raises `GatewayConfigError`."""
+    """Validates the complete file, also across its sections; raises `GatewayConfigError`."""
     operators = convert(Operators, raw)
     _check_buffer(operators)
     _check_policy(operators)
@@ -184,11 +184,13 @@
     if policy is None or policy.folder is None:
         return
     if policy.listen is None:
-        raise GatewayConfigError("policy.listen: must be an address, where the policy is pushed and shown")
+        raise GatewayConfigError(
+            "policy.listen: must be the address at which the policy is uploaded and shown"
+        )
     if policy.name not in policy.members:
         raise GatewayConfigError("policy.name: must be among the members")
     if policy.lease_s < 2 * policy.beat_s:
-        raise GatewayConfigError("policy.lease_s: must be at least two beats")
+        raise GatewayConfigError("policy.lease_s: must be at least twice policy.beat_s")
 
 
 def _check_subsystems(operators: Operators) -> None:
@@ -206,7 +208,9 @@
     if maintenance is None or not maintenance.on or policy is None:
         return
     if maintenance.lease_s < max(policy.lease_s, 2 * maintenance.report_s):
-        raise GatewayConfigError("maintenance.lease_s: must be at least policy.lease_s, and two reports")
+        raise GatewayConfigError(
+            "maintenance.lease_s: must be at least policy.lease_s and twice maintenance.report_s"
+        )
 
 
 def _check_shares(operators: Operators) -> None:
@@ -222,5 +226,5 @@
 
 
 def schema() -> dict[str, Any]:
-    """The file's JSON Schema."""
+    """Returns the JSON Schema of the file."""
     return msgspec.json.schema(Operators)
--- a/mallowbeam/storage_gateway/server/__init__.py
+++ b/mallowbeam/storage_gateway/server/__init__.py
@@ -2,5 +2,5 @@
 
 State: `gateway.Gateway` owns the phase, pending calls and node addresses; `attempts.AttemptRunner` the
 attempts in flight; `peer.PeerCoordinator` the link to the other process of an upgrade.  Called by the
-frontends and subsystems, built by `application.py`.
+frontends and subsystems; built by `application.py`.
 """
--- a/mallowbeam/storage_gateway/server/admin.py
+++ b/mallowbeam/storage_gateway/server/admin.py
@@ -1,6 +1,6 @@
-"""The operators' door: readiness, the figures, and storage nodes taken out by hand.
+"""The admin endpoint: readiness, metrics, and detaching storage nodes by an operator.
 
-A thin front with a server, an address and connections of its own; one call a connection.
+It has its own server, address and connections, and serves one request per connection.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
 ID = re.compile(r"[\x21-\x7e]+\Z")
-MAX_ID = 256  # bytes of a body: no id is longer
+MAX_ID = 256  # bytes of a request body, which holds a node id
 
 
 class Admin:
-    """Answers the operators' calls."""
+    """Handles the requests of operators."""
 
     max_body = max_buffered_body = MAX_ID
     budget: BodyBudget | None = None
@@ -36,7 +36,7 @@
         }
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
-        """One call to its answer."""
+        """Dispatches one request and returns its response."""
         method, call = self.calls.get(request.target.partition(b"?")[0], (b"", None))
         if call is None:
             return text_response(404, "no such call", True)
@@ -45,11 +45,11 @@
         return call(request)
 
     def error_response(self, status: int, text: str) -> Response:
-        """The answer to what breaks HTTP or a bound."""
+        """Returns the response to a request that violates HTTP or a size limit."""
         return text_response(status, text, True)
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
-        """Operators' calls are not among the figures."""
+        """Does nothing: admin requests are not counted in the metrics."""
 
     def _ready(self, _: Message) -> Response:
         return text_response(200 if self.gateway.ready else 503, self.gateway.phase.value, True)
@@ -67,7 +67,7 @@
         return text_response(200, text, True)
 
     def _by_hand(self, request: Message, out: bool) -> Response:
-        """Take a node out, or let it serve again: both hold from this yes on."""
+        """Detaches or attaches a node; the change is in effect once the 200 response is sent."""
         node = request.body.decode("latin-1").strip()
         if not ID.match(node):
             return text_response(400, "the body is not the id of a storage node", True)
@@ -77,27 +77,27 @@
 
 
 class Caller(Connection):
-    """An operator's connection."""
+    """A connection to the admin endpoint."""
 
     @property
     def can_be_closed(self) -> bool:
-        """Whether it may be closed to make room.
+        """Whether it may be closed to free a connection slot.
 
-        Guards the door against callers that hold a connection without sending a whole call: where room is
-        short the oldest of them goes, since no call that has come in whole waits here.
+        Clients that hold a connection without sending a complete request would otherwise block the endpoint.
+        When slots run out, the oldest such connection is closed; complete requests never wait here.
         """
         return self.response_task is None and not self.channel.stale()
 
     def closes(self, request: Message) -> bool:
-        """Always: every answer of this door says so."""
+        """Always True: every response of the admin endpoint closes its connection."""
         return True
 
 
 def open_admin(gateway: Gateway) -> Server | None:
-    """The door's server, None where the configuration names no address; raises OSError."""
+    """Opens the admin server, or returns None if the configuration has no admin address; raises OSError."""
     if gateway.config.admin is None:
         return None
-    # Guards the operators: a second process with this address would answer for the first now and then.
+    # Not shared: a second process on this address would answer some requests meant for the first.
     server = Server(gateway.config.admin, Admin(gateway), ADMIN_SOCKETS, Caller, shared=False)
-    server.close_after_responses()  # one call a connection
+    server.close_after_responses()  # one request per connection
     return server
--- a/mallowbeam/storage_gateway/server/attempts.py
+++ b/mallowbeam/storage_gateway/server/attempts.py
@@ -1,8 +1,9 @@
-"""Attempts: one try of a request at one node, from its connection to the outcome the scheduler gets.
+"""Attempts: one try of a request at one node, from its connection to the outcome reported to the scheduler.
 
-Each attempt is a task.  It takes a connection, writes the request and reads the answer; a large request body
-is streamed to the node, a large answer to the client.  Its outcome says whether the request can have run: up
-to its last byte it can't.  However the task ends, `AttemptRunner._finish` reports exactly one outcome.
+Each attempt is a task.  It takes a connection, writes the request and reads the response; a large request
+body is streamed to the node, a large response to the client.  The outcome says whether the node can have
+executed the request, which it can't before the last byte is sent.  However the task ends,
+`AttemptRunner._finish` reports exactly one outcome.
 """
 
 from __future__ import annotations
@@ -37,35 +38,36 @@
 from mallowbeam.storage_gateway.server.metrics import Metrics
 from mallowbeam.storage_gateway.server.peer import PeerCoordinator
 
-MAX_METER_DIGITS = 9  # of a figure that a node reports
+MAX_METER_DIGITS = 9  # of a number that a node reports
 
-AttemptResult = tuple[Outcome, Message | None]  # how an attempt ended, and its answer where there is one
-# Refusals of a node that ran nothing: it is full, or this is not the place or the time for the request.
+AttemptResult = tuple[Outcome, Message | None]  # the outcome, and the response if there is one
+# Statuses with which a node rejects a request unexecuted: it is full (503), or it never
+# accepts this request (504).
 NOT_RUN = {503: Outcome.REJECTED, 504: Outcome.MISDIRECTED}
 
 
 class AttemptHost(Protocol):
-    """What attempts need of the gateway; the attributes are the gateway's own objects, and stay the same."""
+    """What attempts need of the gateway; its attributes are shared objects that are never replaced."""
 
     config: Config
     scheduler: SchedulerHost
     metrics: Metrics
     pool: Pool
-    addresses: dict[str, str]  # of nodes that are up
+    addresses: dict[str, str]  # by node id, of nodes that are up
     exchanges: dict[str, Exchange]
 
     def now(self) -> float:
-        """Unix time that never jumps, in seconds."""
+        """Unix time in seconds, advanced by a monotonic clock."""
 
     def apply(self, orders: Orders) -> None:
-        """Carry out what the scheduler orders."""
+        """Carries out the orders of the scheduler."""
 
     def time_left(self, call: Call) -> float:
-        """Seconds that a call may take from now on."""
+        """Returns the seconds that a call may still take."""
 
 
 class AttemptRunner:
-    """Starts, cancels and reports the attempts in flight."""
+    """Starts and cancels attempts, and reports their outcomes."""
 
     def __init__(self, gateway: AttemptHost, peer: PeerCoordinator) -> None:
         self.tasks: dict[tuple[str, int], asyncio.Task[AttemptResult]] = {}  # by request and attempt number
@@ -77,15 +79,15 @@
         self._addresses = gateway.addresses
         self._exchanges = gateway.exchanges
         self._now = gateway.now
-        self._no_socket = RateLimitedWarning("no room for a connection to a node")
-        self._unreadable = RateLimitedWarning("a node's answer can't be read")
+        self._no_socket = RateLimitedWarning("connection limit reached, no connection to a storage node")
+        self._unreadable = RateLimitedWarning("invalid response from a storage node")
 
     def start(self, order: AttemptOrder) -> None:
-        """Start an attempt; however its task ends, even before its first step, one report follows."""
+        """Starts an attempt; one report follows however its task ends, even before its first step."""
         started, exchange = self._now(), self._exchanges.get(order.request)
         if exchange is None:
-            # Guards the report of an attempt: whatever went wrong, the scheduler must not count it in flight.
-            logger.error("an attempt for a request that is not held")
+            # Reported all the same, so that the scheduler doesn't count the attempt as in flight forever.
+            logger.error("attempt ordered for an unknown request")
             self._gateway.apply(self._scheduler.report(started, order, Outcome.NOT_SENT, 0.0))
             return
         self._peer.announce_send(order, exchange.call)
@@ -94,12 +96,12 @@
         task.add_done_callback(lambda done: self._finish(order, started, done))
 
     def cancel(self, attempt: tuple[str, int]) -> None:
-        """Cancel an attempt, by request and number, if it is in flight."""
+        """Cancels an attempt, given by request id and attempt number, if it is in flight."""
         if task := self.tasks.get(attempt):
             task.cancel()
 
     async def _run(self, order: AttemptOrder, exchange: Exchange, started: float) -> AttemptResult:
-        """Connect, write and read; the outcome says whether the request can have run."""
+        """Connects, writes and reads; the outcome says whether the request can have been executed."""
         call, link, reusable = exchange.call, None, False
         left = exchange.deadline - started
         address = self._addresses.get(order.node, "")
@@ -113,7 +115,7 @@
             if link.request_sent:
                 reusable = self._pool.put(link, answer)
             elif outcome not in NOT_RUN.values():
-                outcome = Outcome.NOT_SENT  # answered before the request was complete
+                outcome = Outcome.NOT_SENT  # the node responded before the request was complete
             return outcome, answer
         except asyncio.CancelledError:
             if link is not None and link.request_sent:
@@ -126,10 +128,11 @@
                 self._pool.drop(link)
 
     async def _connect(self, order: AttemptOrder, address: str) -> Link | None:
-        """A connection on which the attempt begins in this very step, or None if it must not begin.
+        """Returns a connection on which the attempt begins without another await; None if it must not begin.
 
-        The one check before a first byte: since the decision a connection had to come up.  What has come on
-        it unasked, up to now, would be read as this request's answer.
+        This is the only check before the first byte.  Connecting takes time, so the scheduler's decision may
+        be outdated by now.  Bytes that arrived unrequested on the connection would be read as the response to
+        this request, so such a connection is not used.
         """
         while True:
             link, in_use = await self._pool.take(address), False
@@ -142,7 +145,7 @@
                 if not link.channel.stale():
                     in_use = True
                     return link
-                if not link.idle_since:  # a new one: the node lives, and takes nothing on it
+                if not link.idle_since:  # a new one: the node is alive but accepts nothing on it
                     return None
             finally:
                 if not in_use:
@@ -151,10 +154,10 @@
     async def _send(
         self, order: AttemptOrder, exchange: Exchange, link: Link, address: str, limit: asyncio.Timeout
     ) -> None:
-        """Write the request, with the time left in `x-deadline-ms`; a streamed body has no time limit."""
+        """Writes the request, with the time left in `x-deadline-ms`; a streamed body has no time limit."""
         call, loop = exchange.call, asyncio.get_running_loop()
         ends_at = limit.when()
-        assert ends_at is not None  # it was given a delay
+        assert ends_at is not None  # the time-out was created with a delay
         waits = ends_at - loop.time() if call.upload is None else float(call.fields["expires_in"])
         headers = [
             (b"host", address.encode()),
@@ -165,7 +168,7 @@
             head = write_request(call.method, call.target, headers, len(call.body))
             await link.request(head, call.body, bodiless=call.method == b"HEAD")
         else:
-            limit.reschedule(None)  # the client's time counts from its last byte
+            limit.reschedule(None)  # the deadline counts from the last byte of the client's body
             await self._upload(order, exchange, call.upload, link, headers)
             limit.reschedule(loop.time() + (exchange.deadline - self._now() if link.request_sent else MARGIN))
         self._metrics.upstream_requests += link.request_sent
@@ -173,7 +176,7 @@
     async def _receive(
         self, order: AttemptOrder, exchange: Exchange, link: Link, started: float, limit: asyncio.Timeout
     ) -> Message:
-        """Read the answer: complete, or streamed to the client where it is a large final one."""
+        """Reads the response completely, or streams it to the client if it is final and large."""
         call = exchange.call
         answer = await link.read_head()
         if (
@@ -181,14 +184,14 @@
             and call.streamed(answer.status)
             and await link.exceeds(answer, call.hold, call.most, call.standstill)
         ):
-            limit.reschedule(None)  # the answer has begun: it is the client's now
+            limit.reschedule(None)  # the client receives the response from here on; it can't be retried
             await self._stream_answer(order, exchange, link, answer, started)
         else:
             await link.read_body(answer, call.standstill)
         return answer
 
     def _failure(self, link: Link | None, error: Exception) -> Outcome:
-        """The outcome of an attempt that failed; raises `error` where it is unforeseen and may have run."""
+        """Returns the outcome of a failed attempt; raises an unexpected error if the request may have run."""
         match error:
             case TimeoutError():
                 return outcome_if_sent(link, Outcome.TIMEOUT)
@@ -196,26 +199,26 @@
                 self._no_socket(error)
                 return Outcome.NOT_SENT
             case RequestNotSentError():
-                # Guards a node that lives: one that took the connection was reached; a reset says no more.
+                # A node that accepted the connection is reachable, even if it then reset it.
                 return Outcome.NO_CONNECTION if link is None else Outcome.NOT_SENT
             case RemoteProtocolError():
-                # Guards a node that lives against being taken for a dead one: it ran this and answers others.
+                # Not a connection error: the node executed the request and is alive.
                 self._unreadable(error)
                 return outcome_if_sent(link, Outcome.ERROR)
             case ConnectionBrokenError():
                 return outcome_if_sent(link, Outcome.RESET)
-        if link is not None:  # it may have run
+        if link is not None:  # the request may have been executed
             raise error
-        # Guards a write that never left: before there is a connection nothing can have run.
-        logger.opt(exception=error).error("an attempt failed unforeseen")
+        # Without a connection nothing can have been executed, so even a write may be sent again.
+        logger.opt(exception=error).error("unexpected error in an attempt")
         return Outcome.NOT_SENT
 
     async def _upload(
         self, order: AttemptOrder, exchange: Exchange, body: Stream, link: Link, headers: Headers
     ) -> None:
-        """Stream a body to the node as its client sends it, up to its end or until the node answers.
+        """Streams a body to the node as the client sends it, up to its end or until the node responds.
 
-        Once begun it can't be retried, and its time limit starts with its last byte.
+        Once begun the request can't be retried; its time limit starts at the last byte.
         """
         call = exchange.call
         head = write_request(call.method, call.target, headers, call.length or 0, chunked=call.length is None)
@@ -237,9 +240,9 @@
     async def _stream_answer(
         self, order: AttemptOrder, exchange: Exchange, link: Link, answer: Message, started: float
     ) -> None:
-        """Hand an answer on in chunks, reading no faster than the client takes them."""
+        """Forwards a response in chunks, reading no faster than the client consumes them."""
         task = asyncio.current_task()
-        assert task is not None  # an attempt runs in a task of its own
+        assert task is not None  # every attempt runs in its own task
         stream = Stream(closed=task.cancel)
         most = exchange.call.most
         self._gateway.apply(self._scheduler.stream_started(self._now(), order, self._now() - started))
@@ -253,7 +256,7 @@
                 if answer.complete:
                     return await stream.put(None)
                 if most is not None and answer.received > most:
-                    raise RemoteProtocolError("an answer without end")
+                    raise RemoteProtocolError("response body exceeds its size limit")
                 async with asyncio.timeout(SILENCE_TIMEOUT):
                     await link.read_more(answer)
         except BaseException:
@@ -261,14 +264,14 @@
             raise
 
     def _finish(self, order: AttemptOrder, started: float, task: asyncio.Task[AttemptResult]) -> None:
-        """Hand a served answer to its client, and report the attempt's outcome to the scheduler."""
+        """Passes a served response to its client and reports the attempt's outcome to the scheduler."""
         del self.tasks[order.request, order.number]
         answer: Message | None = None
         if task.cancelled():
             outcome = Outcome.CANCELLED
         elif error := task.exception():
-            logger.opt(exception=error).error("an attempt failed unforeseen")
-            outcome = Outcome.RESET  # it may have run
+            logger.opt(exception=error).error("unexpected error in an attempt")
+            outcome = Outcome.RESET  # the request may have been executed
         else:
             outcome, answer = task.result()
         exchange = self._exchanges.get(order.request)
@@ -281,7 +284,7 @@
 
 
 def outcome_of(call: Call, answer: Message) -> Outcome:
-    """What a complete answer means for its attempt."""
+    """Returns the outcome of an attempt with a complete response."""
     if call.final(answer.status):
         return Outcome.OK
     if answer.status in NOT_RUN and answer.get(b"x-not-run") == b"1":
@@ -290,15 +293,15 @@
 
 
 def outcome_if_sent(link: Link | None, outcome: Outcome) -> Outcome:
-    """An outcome without an answer: the request never ran, unless its last byte may have left."""
+    """Returns `outcome` if the last byte of the request may have been sent, else `NOT_SENT`."""
     return outcome if link is not None and link.request_sent else Outcome.NOT_SENT
 
 
 def read_meter(answer: Message | None) -> tuple[float | None, int]:
-    """What an answer tells of the volume: its recent use, and its units served through other gateways."""
+    """Returns what a response reports of the volume: recent use, and units served through other gateways."""
     used, elsewhere = None, 0
     for name, value in answer.headers if answer is not None else ():
-        # Guards the report against a figure that can't be read, or is too long to be one.
+        # Ignores values that are not numbers or are too long.
         if not value.isdigit() or len(value) > MAX_METER_DIGITS:
             continue
         if name == b"x-meter":
--- a/mallowbeam/storage_gateway/server/calls.py
+++ b/mallowbeam/storage_gateway/server/calls.py
@@ -1,6 +1,6 @@
 """The interface of the gateway to its fronts and subsystems: a `Call`, its one `Answer`, a `Subsystem`.
 
-Plain values and what a subsystem must be; nothing here knows a socket or decides anything.
+Only data classes and the subsystem protocol; nothing here uses sockets or takes decisions.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from mallowbeam.http.framing import Headers
 from mallowbeam.http.stream import Stream
 
-SILENCE_TIMEOUT = 10.0  # seconds without a byte after which a streamed answer has broken off
-MARGIN = 0.01  # seconds kept of a client's deadline for the way in and the way back
+SILENCE_TIMEOUT = 10.0  # seconds without a byte after which a streamed response counts as broken
+MARGIN = 0.01  # seconds of a client's deadline reserved for network transit both ways
 
 
 class Phase(Enum):
-    """The program's phases, in order."""
+    """The phases of the process, in order."""
 
     STARTING = "starting"
     SERVING = "serving"
-    HANDED_OVER = "handed over"  # a new process takes what comes; its own connections come to an end
-    LAME_DUCK = "lame duck"  # told to stop: still takes what comes
-    DRAINING = "draining"  # takes nothing, finishes what it holds
+    HANDED_OVER = "handed over"  # a new process accepts the connections; this one finishes its own
+    LAME_DUCK = "lame duck"  # SIGTERM received; still accepts connections and requests
+    DRAINING = "draining"  # accepts nothing, finishes the pending requests
     STOPPED = "stopped"
 
 
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """The one final answer of a call."""
+    """The single final response to a call."""
 
     kind: AnswerKind
     status: int = 0
@@ -51,41 +51,41 @@
 
 @dataclass(slots=True)
 class Call:
-    """A request as a front hands it in: what the module is told, and what goes to a node."""
+    """A request submitted by a front: the fields for the scheduler, and the message for a node."""
 
     id: str
-    fields: dict[str, Any]  # as `interface.RequestArrived` names them
+    fields: dict[str, Any]  # named as in `interface.RequestArrived`
     method: bytes
     target: bytes
     headers: Headers
     body: bytes | bytearray = b""
-    final: Callable[[int], bool] = (200).__eq__  # which statuses of a node are the client's answer
-    streamed: Callable[[int], bool] = lambda status: False  # and which of them are passed on in pieces
-    standstill: float = SILENCE_TIMEOUT  # seconds without a byte in its body that end an answer
-    hold: int = 0  # bytes up to which a streamed answer is held whole after all
-    most: int | None = None  # and those that are passed on at most
-    upload: Stream | None = None  # the body where it passes through: it can be sent once
-    length: int | None = None  # and its length, None where it comes in chunks
+    final: Callable[[int], bool] = (200).__eq__  # which node statuses are returned to the client
+    streamed: Callable[[int], bool] = lambda status: False  # and which of them may be streamed
+    standstill: float = SILENCE_TIMEOUT  # seconds without a body byte after which a response has failed
+    hold: int = 0  # bytes up to which a response is buffered instead of streamed
+    most: int | None = None  # bytes of a streamed response, at most
+    upload: Stream | None = None  # a streamed request body, which can be sent only once
+    length: int | None = None  # length of the streamed body in bytes, None if it is chunked
 
 
 class Subsystem(Protocol):
-    """A subsystem that lives as long as the gateway."""
+    """A subsystem with the lifetime of the gateway."""
 
     def start(self) -> None:
-        """The gateway is about to serve."""
+        """Called just before the gateway starts serving."""
 
     async def hand_over(self) -> None:
-        """A new process takes what comes: let go of what only one can have."""
+        """Releases everything that only one process may own, for the new process."""
 
     async def stop(self) -> None:
-        """Everything is answered: end, with nothing lost."""
+        """Stops without losing data; called once every request has its response."""
 
     def gauges(self) -> Mapping[str, int]:
-        """Figures to be shown at the operators' door."""
+        """Returns the gauges to show at the admin endpoint."""
 
 
 class Exchange:
-    """A call that has no answer yet, and its attempts."""
+    """A pending call with its deadline and the future of its answer."""
 
     __slots__ = ("call", "deadline", "answer")
 
@@ -94,23 +94,23 @@
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
     def settle(self, answer: Answer) -> None:
-        """The first answer counts."""
+        """Sets the answer, unless there already is one."""
         if not self.answer.done():
             self.answer.set_result(answer)
 
 
 def read_deadline(value: bytes, most_ms: int) -> float | None:
-    """A client's deadline in seconds; None where it is senseless."""
+    """Returns a client's deadline in seconds, None if it is invalid or longer than `most_ms`."""
     if not value.isdigit() or len(value) > len(str(most_ms)) or not 0 < int(value) <= most_ms:
         return None
     return int(value) / 1000.0
 
 
 def time_left(deadline: float) -> float:
-    """What a deadline leaves for the call itself."""
+    """Returns the seconds of a deadline that remain for the call itself."""
     return max(0.001, deadline - MARGIN)
 
 
 def length_of(headers: Headers) -> int | None:
-    """The length that a node's answer states."""
+    """Returns the content-length of a node's response, None if it has none."""
     return next((int(value) for name, value in headers if name == b"content-length"), None)
--- a/mallowbeam/storage_gateway/server/config.py
+++ b/mallowbeam/storage_gateway/server/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a gateway, decoded once; anything wrong is one plain `GatewayConfigError`."""
+"""The platform's configuration of a gateway, decoded once; any fault in it raises `GatewayConfigError`."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from mallowbeam.storage_gateway.scheduler.settings import flatten, parse_optional, read_settings
 from mallowbeam.storage_gateway.server.listing import MAX_PORT, Listing, read_listing
 
-# Descriptors that are never given to clients or nodes.  Guards against a crash over the limit on sockets, and
-# against clients that fill them: discovery's call and each listener's accept always find one.  Counted at
-# rest: 3 of stdio, 9 of the loop and its signals, the listener, the place to meet the next process, and
-# discovery's call.  For a moment more: the call that a move of discovery replaces, the other process, a file
-# that is read, the connection that makes another one go.  The rest is in hand.
+# File descriptors reserved for the process itself, never used for clients or nodes, so that the discovery
+# call and each listener's accept always find one, and the process stays within its limit on sockets.  In
+# steady state: 3 of stdio, 9 of the event loop and its signals, the listener, the hand-over socket, and the
+# discovery call.  For a short time also: the discovery call replaced after a change of address, the link to
+# the other process, a file being read, an accepted connection that evicts another.  The rest is spare.
 OWN_SOCKETS = 24
-FRONT_SOCKETS = 2  # each further front: its listener, and the connection that makes another one go
-ADMIN_SOCKETS = 16  # connections at the operators' door, where there is one
-NODE_SHARE = 0.4  # of the rest: connections to nodes; the others are for clients
+FRONT_SOCKETS = 2  # for each further front: its listener, and an accepted connection that evicts another
+ADMIN_SOCKETS = 16  # connections to the admin endpoint, if there is one
+NODE_SHARE = 0.4  # share of the remaining descriptors for connections to nodes; the others are for clients
 LEAST_SOCKETS = 64
 
 
 class GatewayConfigError(MallowbeamError):
-    """The configuration can't be used; the text says why, on one line."""
+    """The configuration is invalid; the message gives the reason on one line."""
 
     error_name = "BadConfig"
     remedy = "mend the file that is named; mallowbeam config check says the same without a start"
@@ -36,16 +36,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """The few values that the program uses."""
+    """The values that the process uses."""
 
     name: str
     listen: tuple[str, int]
-    admin: tuple[str, int] | None  # the operators' door, None where there is none
+    admin: tuple[str, int] | None  # address of the admin endpoint, None if there is none
     discovery: str
-    node_sockets: int  # connections to nodes, at most
-    client_sockets: int  # connections of clients, at most, over all fronts
-    own_sockets: int  # descriptors of the program itself and its operators' door
-    memory: int  # bytes that the program may use
+    node_sockets: int  # maximum connections to nodes
+    client_sockets: int  # maximum client connections over all fronts
+    own_sockets: int  # descriptors reserved for the process itself and the admin endpoint
+    memory: int  # bytes that the process may use
     known: Listing
     settings: Settings
     idle_limit: float | None
@@ -53,7 +53,7 @@
 
 
 def read_address(text: str) -> tuple[str, int]:
-    """`host:port` as a socket address."""
+    """Parses `host:port` into a socket address; raises ValueError."""
     host, sep, port = str(text).rpartition(":")
     if not sep or not host or not port.isdigit() or int(port) > MAX_PORT:
         raise ValueError(f"not an address: {text!r}")
@@ -61,19 +61,19 @@
 
 
 def read_file(path: str) -> dict[str, Any]:
-    """A JSON object from a file."""
+    """Reads a JSON object from a file; raises `GatewayConfigError`."""
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
         raise GatewayConfigError(f"cannot read {path}: {error}") from None
     if not isinstance(raw, dict):
-        raise GatewayConfigError(f"{path} holds no JSON object")
+        raise GatewayConfigError(f"{path} does not contain a JSON object")
     return raw
 
 
 def read_config(env: Mapping[str, str]) -> Config:
-    """The configuration that the environment names."""
+    """Reads the configuration file named by the environment; raises `GatewayConfigError`."""
     path = env.get("BALANCER_CONFIG")
     if not path:
         raise GatewayConfigError("BALANCER_CONFIG is not set")
@@ -81,26 +81,26 @@
     try:
         return decode(raw, env, descriptors())
     except KeyError as error:
-        raise GatewayConfigError(f"{path} lacks {error}, or has an unknown word there") from None
+        raise GatewayConfigError(f"{path} lacks {error}, or has an unknown value there") from None
     except (ValueError, TypeError, AttributeError, OverflowError, RecursionError) as error:
         raise GatewayConfigError(f"{path} is malformed: {error}") from None
 
 
 def descriptors() -> int | None:
-    """How many descriptors this process may open, None if there is no limit; it is gone by, never raised."""
+    """Returns the process's soft limit on descriptors, None if unlimited; the limit is never raised."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return None if soft == resource.RLIM_INFINITY else soft
 
 
 def read_again(env: Mapping[str, str]) -> Config:
-    """The configuration at a reload: discovery's address in the file goes before the environment's of old."""
+    """Reads the configuration for a reload: the file's discovery address overrides the environment's."""
     return read_config({name: value for name, value in env.items() if name != "BALANCER_DISCOVERY"})
 
 
 def decode(raw: dict[str, Any], env: Mapping[str, str], most: int | None = None) -> Config:
-    """The configuration's few values; the environment goes before the file.
+    """Decodes the configuration; the environment overrides the file.
 
-    `most` is how many descriptors the machine allows: the lower of the two limits counts.
+    `most` is the process's limit on descriptors; the lower of it and `limits.sockets` applies.
     """
     flat = flatten(raw["settings"])
 
@@ -110,18 +110,18 @@
 
     settings = replace(read_settings(int(str(raw.get("seed", "0")), 16), flat), limit_at_arrival=True)
     if not settings.classes:
-        raise ValueError("no classes in the settings")
+        raise ValueError("the settings define no classes")
     discovery = str(env.get("BALANCER_DISCOVERY") or raw["discovery"])
     read_address(discovery)
     sockets = int(raw.get("limits", {}).get("sockets", 1024))
     if sockets < LEAST_SOCKETS:
-        raise ValueError(f"fewer than {LEAST_SOCKETS} sockets")
+        raise ValueError(f"limits.sockets must be at least {LEAST_SOCKETS}")
     if most is not None and most < sockets:
         logger.warning("limits.sockets is {}, but this process may open only {} descriptors", sockets, most)
         sockets = max(LEAST_SOCKETS, most)
     memory = int(raw.get("limits", {}).get("memory_mb", 192)) * 1024 * 1024
     if memory <= 0:
-        raise ValueError("no memory")
+        raise ValueError("limits.memory_mb must be greater than 0")
     door = env.get("BALANCER_ADMIN_ADDR") or raw.get("admin_addr")
     own = OWN_SOCKETS + (ADMIN_SOCKETS if door else 0)
     dealt = sockets - own
--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -1,14 +1,15 @@
-"""The watch on discovery: a long poll, the next call right after the last answer.
-
-A failed call ends the watch and is told to the module, which alone decides when to watch again.  So is
-silence: a call whose wait is over and that nobody ended is a watch that broke without a word, and what it
-missed counts as told soon after.  A new configuration may name another address: the call in flight is given
-up and the watch goes on there at once.
-
-How long a call waits decides how soon silence shows.  Asked for, the waits are drawn apart, as every gateway
-is answered at the same moment and would find the silence, and ask, at the same moment too.  Pushed, the
-address is an agent on this machine that answers at no cost, and what it gets when it is back counts at once.
-The first call after a failure waits for next to no news: it may be out in vain while discovery comes back.
+"""The watch on discovery: a long poll, repeated as soon as the last call is answered.
+
+A failed call ends the watch and is reported to the scheduler, which alone decides when to watch again.  A
+call that is neither answered nor closed in time is reported as timed out: its connection is broken, and the
+gateway is accountable for the lists it missed soon after.  A new configuration may change the address: the
+call in flight is cancelled and the watch continues at the new address at once.
+
+The wait of a call determines how soon a broken connection is detected.  When discovery is polled on request,
+the waits are randomized: discovery answers all gateways at the same moment, so with equal waits all of them
+would time out and retry at the same moment too.  When lists are pushed, the address is an agent on this
+machine; its answers cost nothing, and the gateway is accountable at once for a list that the agent receives
+after an outage.  The first call after a failure has a very short wait: it may hang while discovery returns.
 """
 
 from __future__ import annotations
@@ -27,34 +28,34 @@
 from mallowbeam.storage_gateway.server.listing import Listing, NodeListError, decode_listing
 from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 
-# What discovery has, and could be asked for, counts as told 6 s later, whatever call failed.  In the worst
-# phase it is back just after a call began that still runs into its time-out; then comes the module's longest
-# draw (MAX_WATCH_RETRY_S in `scheduler/node_health.py`), then the next call, which is answered or turned away
-# after a second in discovery's queue: ANSWER + 2.2 + 1.0 = 5.4 s.  Where the first was an open watch that
-# fell silent, the module asks at once: WAITS[1] + OVERDUE + 1.0 = 5.4 s.  At an agent:
-# AGENT_RETRY + AGENT_OVERDUE + 0.05 s.
-WAITS = (2.0, 4.0)  # seconds that one call may wait for news, drawn: silence counts for 6 s only
-OVERDUE = 0.4  # seconds past its wait after which a call has fallen silent
-ANSWER = 2.2  # seconds for a call that waits for no news, with its connection, queue and answer
-NO_WAIT = 0.1  # seconds for news in the first call after a failure
-AGENT_WAIT, AGENT_RETRY = 1.0, 0.1  # seconds that a call to the agent waits, and after a failure
-AGENT_OVERDUE = 0.1  # with the latter, within the time that is granted for a drain
+# The gateway must act on a list within 6 s of discovery having it and being reachable, whichever call failed.
+# In the worst case discovery is back just after a call began that still times out; then follow the
+# scheduler's longest retry delay (MAX_WATCH_RETRY_S in `scheduler/node_health.py`) and the next call, which
+# is answered or rejected after a second in discovery's queue: ANSWER + 2.2 + 1.0 = 5.4 s.  If the first was
+# an open watch that timed out, the scheduler retries at once: WAITS[1] + OVERDUE + 1.0 = 5.4 s.  With an
+# agent: AGENT_RETRY + AGENT_OVERDUE + 0.05 s.
+WAITS = (2.0, 4.0)  # seconds a long poll waits for a change, drawn from this range; see the 6 s
+OVERDUE = 0.4  # seconds past its wait after which a call has timed out
+ANSWER = 2.2  # seconds for a call without a long poll: connecting, queueing and the response
+NO_WAIT = 0.1  # seconds that the first call after a failure waits for a change
+AGENT_WAIT, AGENT_RETRY = 1.0, 0.1  # seconds that a call to the agent waits, normally and after a failure
+AGENT_OVERDUE = 0.1  # seconds; with AGENT_RETRY within the grace period of a drain
 CONNECT_TIMEOUT = 1.0
-MAX_LIST = 1024 * 1024  # bytes of a list
-LOST = 1.0  # seconds to the next call where the module could not be told of a failure
+MAX_LIST = 1024 * 1024  # bytes of a list's JSON
+LOST = 1.0  # seconds to the next call if reporting a failure to the scheduler raised an error
 
 
 class DiscoverySilentError(MallowbeamError):
-    """A call was not answered, and not ended either: its watch is broken."""
+    """A call was neither answered nor closed in time: the connection is broken."""
 
     error_name = "Silent"
     remedy = "if it goes on, look at discovery and at the way to it"
 
 
 class Watch:
-    """Follows the list of nodes while asked to; `told` gets each list, or how the watch ended.
+    """Follows the list of nodes; `told` is called with each list, or with the reason why the watch ended.
 
-    `pushed` says that discovery is an agent on this machine; `draw` gives random numbers from 0 to 1.
+    `pushed` says that discovery is an agent on this machine; `draw` returns random numbers from 0 to 1.
     """
 
     def __init__(
@@ -66,49 +67,49 @@
         draw: Callable[[], float] = random.random,
     ) -> None:
         self.address, self.told, self.pushed, self.draw = address, told, pushed, draw
-        self.revision: int | None = revision  # None: ask for the whole list first
-        self.anew = False  # the last call failed or fell silent
+        self.revision: int | None = revision  # None: request the full list first
+        self.anew = False  # the last call failed or timed out
         self.paused = False  # the other process of this gateway watches for both
         self.failed, self.fell_silent = (
             RateLimitedWarning("discovery call failed"),
-            RateLimitedWarning("discovery fell silent"),
+            RateLimitedWarning("discovery call timed out"),
         )
         self.task: asyncio.Task[None] | None = None
 
     def begin(self) -> None:
-        """Start watching, unless a watch goes on or it is another process's matter."""
+        """Starts watching, unless a watch is running or the other process watches."""
         if not self.paused and (self.task is None or self.task.done()):
             self.task = asyncio.create_task(self._run())
 
     def pause(self) -> None:
-        """Watch no more until `resume`, whatever the module asks for: a failed call's repeat may be due."""
+        """Stops watching until `resume`, even if the scheduler requests a watch, as a retry may be due."""
         self.paused = True
         self._give_up()
 
     def resume(self) -> None:
-        """Watch again."""
+        """Resumes watching."""
         self.paused = False
         self.begin()
 
     def move(self, address: str) -> None:
-        """Watch at another address from now on, unless paused."""
+        """Changes the address and continues watching there, unless paused."""
         if address == self.address:
             return
-        # Guards against changes missed between the two: what is at the new address may count its lists anew.
+        # Requests the full list: the new address may number its lists anew, so changes could be missed.
         self.address, self.revision = address, None
         self._give_up()
         self.begin()
 
     def update_from_peer(self, listing: Listing, address: str, take: Callable[[Listing], None]) -> None:
-        """Take in a list that the other process heard at an address, if it is news here.
+        """Applies a list that the other process received from an address, if it is newer than the one known.
 
-        Guards against going back: neither a list that is no newer nor one of an address left counts.
+        A list that is not newer, or comes from an address no longer watched, is ignored.
         """
         if address == self.address and (self.revision is None or listing.revision > self.revision):
             self._known(listing, take)
 
     def _give_up(self) -> None:
-        """End the call in flight; a cancelled task tells nobody anything."""
+        """Cancels the call in flight; a cancelled task reports nothing."""
         if self.task is not None:
             self.task.cancel()
             self.task = None
@@ -124,50 +125,50 @@
                             link = await connect(self.address, CONNECT_TIMEOUT, MAX_LIST)
                         answer = await self._call(link, wait)
                 except TimeoutError:
-                    raise DiscoverySilentError("neither answered nor ended") from None
+                    raise DiscoverySilentError("no response in time") from None
                 self._take(decode_listing(answer.body), asked)
                 if not link.reusable(answer):
                     link.close()
                     link = None
         except DiscoverySilentError:
             ended = DiscoveryUpdateKind.TIMED_OUT
-            self.fell_silent("asked anew")
+            self.fell_silent("retrying")
         except (
             RequestNotSentError,
             ConnectionBrokenError,
             ValueError,
-        ) as error:  # no good list, or an address that is none
+        ) as error:  # an invalid list or address
             self.failed(str(error) or type(error).__name__)
         except Exception as error:
-            # Guards the watch itself: a fault with one list must not end the sight of all later ones.
-            logger.opt(exception=error).error("a list failed unforeseen")
+            # An error with one list must not end the watch on all later ones.
+            logger.opt(exception=error).error("unexpected error while applying a node list")
         finally:
             if link is not None:
                 link.close()
         self.task, self.anew = None, True
         try:
             self.told(ended)
-        except Exception as error:  # the module, which says when to go on, may not have heard
-            logger.opt(exception=error).error("a list failed unforeseen")
+        except Exception as error:  # the scheduler, which decides on retries, may not know
+            logger.opt(exception=error).error("unexpected error while applying a node list")
             asyncio.get_running_loop().call_later(LOST, self.begin)
 
     def _take(self, listing: Listing, asked: int | None) -> None:
-        """Take in the answer to a call that asked for what is newer than `asked`, or for the whole list."""
+        """Applies the list requested since revision `asked`, or the full list if `asked` is None."""
         self.anew = False
         if self.revision is not None and asked != self.revision and listing.revision <= self.revision:
-            return  # the other process has told of it, or of more, meanwhile
+            return  # the other process has sent this list or a newer one meanwhile
         if not listing.complete:
             if asked is None:
-                raise NodeListError("changes, where the whole list was asked for")
-            if listing.revision < asked:  # it counts anew: what it leaves out is not known
+                raise NodeListError("received changes instead of the requested full list")
+            if listing.revision < asked:  # the numbering restarted, so the changes in between are unknown
                 self.revision = None
                 return
         self._known(listing, self.told)
 
     def _known(self, listing: Listing, take: Callable[[Listing], None]) -> None:
-        """Take in a list, which is then known, unless it is changes alone to nothing known.
+        """Applies a list and records its revision, unless it holds changes to an unknown list.
 
-        Guards the drains of a list that fails midway: neither it nor what of it was taken in is known then.
+        If applying fails midway no revision is recorded, so the full list is requested and no drain is lost.
         """
         before, self.revision = self.revision, None
         take(listing)
@@ -175,7 +176,7 @@
             self.revision = listing.revision
 
     def _times(self) -> tuple[float, float]:
-        """How long the next call may wait for news, and after how long it has fallen silent."""
+        """Returns for the next call the seconds to wait for a change, and those after which it times out."""
         if self.pushed:
             wait = AGENT_RETRY if self.anew else AGENT_WAIT
             return wait, wait + AGENT_OVERDUE
@@ -185,7 +186,7 @@
         return wait, wait + OVERDUE
 
     async def _call(self, link: Link, wait: float) -> Message:
-        """One long poll, or one call for the complete list, on a connection.
+        """Makes one call on a connection: a long poll for changes, or a request for the full list.
 
         Raises `RequestNotSentError` and `ConnectionBrokenError`.
         """
--- a/mallowbeam/storage_gateway/server/gateway.py
+++ b/mallowbeam/storage_gateway/server/gateway.py
@@ -1,8 +1,8 @@
-"""The gateway: one object that joins the scheduler, the connections to nodes, discovery and the fronts.
+"""The gateway: connects the scheduler, the connections to nodes, discovery and the fronts.
 
-Fronts hand in a `Call` and await its one `Answer` (`calls.py`).  What the module orders is done here: an
-attempt is started or cancelled (`attempts.py`), a verdict becomes an answer, a timer is set.  The program's
-phases are this object's `phase`; `peer.py` coordinates it with the other process of an upgrade.
+Fronts submit a `Call` and await its one `Answer` (`calls.py`).  The scheduler's orders are carried out here:
+attempts are started or cancelled (`attempts.py`), a final answer is passed to its call, a timer is set.
+`Gateway.phase` is the phase of the process; `peer.py` coordinates it with the other process of an upgrade.
 """
 
 from __future__ import annotations
@@ -36,20 +36,20 @@
 from mallowbeam.storage_gateway.server.metrics import Metrics
 from mallowbeam.storage_gateway.server.peer import PeerCoordinator
 
-LAME_DUCK = 0.5  # seconds after SIGTERM in which all goes on as before, at least
-STAY = 3.5  # seconds after SIGTERM by which all is answered, at the latest
-LEAVE = 0.5  # and the last of them, in which nothing new is taken
-SWEEP = 0.2  # seconds between looks at what has been idle or stalled
-GATED = 1.0  # seconds that a client refused at a shut gate is asked to stay away
-MAX_ANSWER = 4 * 1024 * 1024  # bytes of an answer that is not passed on in pieces
+LAME_DUCK = 0.5  # minimum seconds after SIGTERM in which it serves as before
+STAY = 3.5  # seconds after SIGTERM by which every request has its response
+LEAVE = 0.5  # the last seconds of these, in which nothing new is accepted
+SWEEP = 0.2  # seconds between checks for idle and stalled connections
+GATED = 1.0  # retry-after in seconds for a client refused by a closed gate
+MAX_ANSWER = 4 * 1024 * 1024  # bytes of a response that is buffered, not streamed
 
 
 class Gateway:
-    """One gateway, from start to exit: its state, its phases, its calls, and the list of nodes."""
+    """One gateway from start to exit: its phase, pending calls, subsystems and node addresses."""
 
     def __init__(self, config: Config) -> None:
         self.config, self.phase = config, Phase.STARTING
-        # The wall clock says when nodes started; between two readings only the steady one may count.
+        # Nodes have start times in Unix time, but the clock must not jump: `now` adds monotonic time.
         self.epoch = time.time() - time.monotonic()
         self.scheduler = SchedulerHost(config.settings, self.now())
         self.metrics = Metrics(config.settings.classes)
@@ -68,19 +68,19 @@
         )
         self.addresses: dict[str, str] = {}
         self.exchanges: dict[str, Exchange] = {}
-        self.servers: list[Server] = []  # the clients' doors
-        self.parts: list[Subsystem] = []  # the subsystems that are on
-        self.gates: list[Callable[[], bool]] = []  # what must hold for it to serve, where they say so
-        self.observers: list[Callable[[Mapping[str, object]], None]] = []  # told of a call before the module
+        self.servers: list[Server] = []  # the listeners for clients
+        self.parts: list[Subsystem] = []  # the enabled subsystems
+        self.gates: list[Callable[[], bool]] = []  # it serves only while all of these return True
+        self.observers: list[Callable[[Mapping[str, object]], None]] = []  # get each call's fields first
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = NEVER
         self.stopping, self.handed_over = asyncio.Event(), asyncio.Event()
-        self.leave_at = NEVER  # when all must be answered
+        self.leave_at = NEVER  # Unix time by which every request must have its response
         self.peer = PeerCoordinator(self)
         self.attempts = AttemptRunner(self, self.peer)
 
     def now(self) -> float:
-        """Unix time that never jumps."""
+        """Unix time in seconds, advanced by the monotonic clock."""
         return self.epoch + time.monotonic()
 
     # --- phases --------------------------------------------------------------------------------
@@ -92,9 +92,9 @@
         legacy: Legacy | None = None,
         meet: bool = False,
     ) -> None:
-        """Serve until told to stop, then finish what is held; the operators' door is open throughout.
+        """Serves until a stop or hand-over, then finishes the pending requests; `admin` runs throughout.
 
-        `legacy` is what the process before this one hands over, `meet` says whether to wait for the next.
+        `legacy` is the state from the previous process; `meet` says whether to wait for the next process.
         """
         self.servers = servers
         if admin is not None:
@@ -105,7 +105,7 @@
             self.peer.link = PeerLink(legacy.sock, self.peer, legacy.unread, leads=True)
             self.peer.link.ids.update(legacy.state["ids"])
             self.peer.split_limits(0)
-            if legacy.state.get("whole"):  # the old process moved, and heard nothing there yet
+            if legacy.state.get("whole"):  # the old process has no list from its new address yet
                 self.watch.revision = None
         if not self.config.settings.discovery_on_request:
             self.watch.begin()
@@ -125,16 +125,16 @@
         self._enter(Phase.DRAINING)
         await asyncio.gather(*(server.drain(self._rest()) for server in servers))
         faults = await self._each(part.stop() for part in self.parts)
-        if admin is not None:  # the operators' calls have their answers too
+        if admin is not None:  # admin requests get their responses too
             await admin.drain(self._rest())
         sweeper.cancel()
         self._enter(Phase.STOPPED)
-        if faults:  # the program's end tells of it too
+        if faults:  # the exit of the process reports it too
             raise faults[0]
 
     @staticmethod
     async def _any(*events: asyncio.Event) -> None:
-        """Wait for one of several events."""
+        """Waits for one of several events."""
         waits = [asyncio.create_task(event.wait()) for event in events]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
@@ -142,87 +142,87 @@
 
     @staticmethod
     async def _each(parts: Iterable[Awaitable[None]]) -> list[BaseException]:
-        """Wait for all parts; the faults of those that failed.
+        """Waits for all subsystems and returns the errors of those that failed.
 
-        Guards what is held: a part's fault ends neither the calls in hand nor the other parts' own work.
+        An error in one subsystem aborts neither pending calls nor the other subsystems.
         """
         ended = await asyncio.gather(*parts, return_exceptions=True)
         faults = [fault for fault in ended if isinstance(fault, BaseException)]
         for fault in faults:
-            logger.opt(exception=fault).error("a part failed unforeseen")
+            logger.opt(exception=fault).error("unexpected error in a subsystem")
         return faults
 
     async def _lame_duck(self) -> None:
-        """Serve on for a while: clients whose connections stay open need not find this gateway gone.
+        """Serves for a while longer, so that clients with open connections don't find the gateway gone.
 
-        Guards the one final answer: what still comes in has only the time that is left before the end.
+        Requests that still arrive are limited to the time left, so that each is answered before the exit.
         """
         self._leave()
         await asyncio.sleep(max(LAME_DUCK, self.leave_at - self.now() - LEAVE))
 
     def _leave(self) -> None:
-        """SIGTERM has come: from now on what comes has only the time that is left before the end."""
+        """Sets the time of exit after SIGTERM; it limits the deadlines of requests from now on."""
         longest = max(cls.deadline for cls in self.config.settings.classes.values())
         self.leave_at = self.now() + min(STAY, longest + LAME_DUCK)
 
     def _rest(self) -> float:
-        """Seconds up to the time at which all is to be answered."""
+        """Returns the seconds left until every request must have its response."""
         return max(0.0, self.leave_at - self.now())
 
     async def _hand_over(self) -> None:
-        """Let the new process take what comes, until nothing is left here or SIGTERM has come."""
+        """Leaves new connections to the new process, until none is left here or SIGTERM is received."""
         for server in self.servers:
             server.close_after_responses()
         for server in self.servers:
-            await server.stop_accepting()  # its accept queue is the new process's
+            await server.stop_accepting()  # the new process accepts the queued connections
         await self._each(part.hand_over() for part in self.parts)
-        if self.peer.link is not None:  # else it is gone in this very moment
-            self.watch.pause()  # what the new one hears it tells
+        if self.peer.link is not None:  # else it has just ended
+            self.watch.pause()  # the new process forwards the lists
         while not self.stopping.is_set() and any(server.connections for server in self.servers):
             self.peer.notify("clients", sum(len(server.connections) for server in self.servers))
             with suppress(TimeoutError):
                 async with asyncio.timeout(LAME_DUCK / 5):
                     await self.stopping.wait()
-        if self.stopping.is_set():  # idle connections have a moment for their next request
+        if self.stopping.is_set():  # idle connections have a moment to send their next request
             self._leave()
             await asyncio.sleep(LAME_DUCK)
 
     def _await_next(self) -> Handover | None:
-        """Wait for the next process; without a place to meet the two would share the address only."""
+        """Waits for the next process; None if the socket fails, and then the two share only the address."""
         try:
             return Handover(self.peer)
         except OSError as error:
-            logger.warning("no place to hand over at: {}", error)
+            logger.warning("cannot open the hand-over socket: {}", error)
             return None
 
     def stop(self) -> None:
-        """SIGTERM: begin to leave."""
+        """Starts the graceful shutdown, on SIGTERM."""
         self.stopping.set()
 
     def reload(self, env: Mapping[str, str]) -> None:
-        """SIGHUP: from now on discovery is where the file says; all else in it counts from the next start.
+        """Changes the discovery address to the one in the file, on SIGHUP; all other values need a restart.
 
-        Guards against a file that can't be used: it is decoded first, and changes nothing.
+        The file is decoded first, so an invalid one changes nothing.
         """
         try:
             config = read_again(env)
         except GatewayConfigError as error:
-            return logger.error("reload: old values stay: {}", error)
-        logger.info("reload: discovery at {}", config.discovery)
+            return logger.error("reload failed, keeping the old values: {}", error)
+        logger.info("reload: discovery address is {}", config.discovery)
         self.peer.notify("discovery", config.discovery)
         self.peer.move_discovery(config.discovery)
         return None
 
     def has_id(self, request: str) -> bool:
-        """Whether a request's id is in use: unanswered, or with an attempt still in flight.
+        """Whether a request id is in use: the request is pending, or has an attempt in flight.
 
-        Guards the one final answer: what the scheduler is done with is pending until its front has it.
+        A request that the scheduler has finished is still pending until its front receives the answer.
         """
         return request in self.exchanges or self.scheduler.knows(request) or self.peer.has_id(request)
 
     @property
     def ready(self) -> bool:
-        """Whether clients should be sent here; no from the very signal on."""
+        """Whether clients should be routed here; False as soon as a stop or hand-over is signalled."""
         return (
             self.phase is Phase.SERVING
             and not self.stopping.is_set()
@@ -232,18 +232,18 @@
 
     @property
     def open(self) -> bool:
-        """Whether all gates are: else what comes is refused at once."""
+        """Whether all gates are open; if not, requests are refused at once."""
         return all(gate() for gate in self.gates)
 
     @property
     def begins(self) -> bool:
-        """Whether work of the gateway's own may begin."""
+        """Whether the gateway may begin work of its own."""
         return self.phase in (Phase.SERVING, Phase.LAME_DUCK) and self.now() < self.leave_at - LEAVE
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
         logger.info(
-            "phase {}: {} requests held, {} nodes known",
+            "phase {}: {} pending requests, {} known nodes",
             phase.value,
             len(self.exchanges),
             len(self.addresses),
@@ -259,7 +259,7 @@
     # --- calls ---------------------------------------------------------------------------------
 
     async def submit(self, call: Call) -> Answer:
-        """Get a call its one answer; cancelled when its client leaves."""
+        """Returns the one answer to a call; cancelled when its client disconnects."""
         if not self.open:
             return Answer(AnswerKind.REFUSED, retry_after=GATED)
         call.fields["expires_in"] = expires = self.time_left(call)
@@ -274,7 +274,7 @@
         except asyncio.CancelledError:
             began = exchange.answer.done() and not exchange.answer.cancelled()
             if began and (stream := exchange.answer.result().stream):
-                stream.close()  # it began at the very moment the client left
+                stream.close()  # the response began just as the client disconnected
             self.apply(self.scheduler.client_disconnected(self.now(), call.id))
             raise
         finally:
@@ -282,11 +282,11 @@
             self.peer.release_id(call.id)
 
     def time_left(self, call: Call) -> float:
-        """Seconds that a call may take from now on: its own, up to the end of this process."""
+        """Returns the seconds that a call may still take, limited by the exit of this process."""
         return min(float(call.fields["expires_in"]), max(MARGIN, self.leave_at - self.now()))
 
     def apply(self, orders: Orders) -> None:
-        """Do what the module wants done, and come back when it wants to be called."""
+        """Carries out the scheduler's orders and sets the timer for its next tick."""
         for order in orders.attempts:
             self.attempts.start(order)
         for attempt in orders.cancellations:
@@ -315,36 +315,36 @@
     # --- nodes ---------------------------------------------------------------------------------
 
     def _discovery_update(self, listing: Listing | DiscoveryUpdateKind) -> None:
-        """Word from discovery, or how the watch on it ended."""
+        """Handles a list from discovery, or the reason why the watch ended."""
         if isinstance(listing, DiscoveryUpdateKind):
             self.apply(self.scheduler.update_nodes(self.now(), listing))
         else:
-            if self.peer.link is not None:  # else a complete list is written out for nobody
+            if self.peer.link is not None:  # else serializing the list is wasted work
                 self.peer.link.send("list", write_listing(*listing) | {"discovery": self.watch.address})
             self.update_nodes(listing)
 
     def by_hand(self, node: str, out: bool, *, from_peer: bool = False, listed: bool = True) -> bool:
-        """An operator takes a node out, or lets it serve again; False for one that nobody has.
+        """Detaches (`out`) or attaches a node for an operator; returns False for an unknown node.
 
-        `from_peer`: the other process reported it.  Not `listed`: it may be a node that is yet to come.
+        `from_peer`: the other process reported it.  If not `listed`, the node may be one not known yet.
         """
         orders = self.scheduler.override_node(self.now(), node, out, listed)
         if orders is None:
             return False
-        logger.info("storage node {} {} by hand", node, "out" if out else "back")
+        logger.info("storage node {} {} by an operator", node, "detached" if out else "attached")
         if not from_peer:
             self.peer.notify("hand", [node, out])
-        if out and node in self.addresses:  # it is about to be restarted: no idle connection is of use
+        if out and node in self.addresses:  # it is about to be restarted, which breaks idle connections
             self.pool.forget(self.addresses[node])
         self.apply(orders)
         return True
 
     def update_nodes(self, listing: Listing, kind: DiscoveryUpdateKind | None = None) -> None:
-        """Take in a list; what kind it is it says itself, unless it is an old one."""
+        """Applies a list of nodes; its kind follows from its `complete`, unless `kind` is given."""
         kind = kind or (DiscoveryUpdateKind.FULL if listing.complete else DiscoveryUpdateKind.DELTA)
         told = {entry.node for entry in listing.entries}
         for node, address in list(self.addresses.items()):
-            # Not up, not listed any more, or elsewhere: no idle connection there is of use.
+            # Closes idle connections to a node that is not up, no longer listed or at a new address.
             if (node in told or kind is not DiscoveryUpdateKind.DELTA) and listing.addresses.get(
                 node
             ) != address:
--- a/mallowbeam/storage_gateway/server/handover.py
+++ b/mallowbeam/storage_gateway/server/handover.py
@@ -1,8 +1,8 @@
-"""Two processes of one gateway: the old hands over to the new, and while both run they act as one.
+"""Hand-over between the old and the new process of one gateway, which act as one while both run.
 
-They meet over a Unix socket in $TMPDIR.  The old process sends its listening sockets and its state; from
-then on each tells the other, a line of JSON at a time, what must count for both.  The new one's `yes` makes
-the old leave.
+They connect over a Unix socket in $TMPDIR.  The old process sends its listening sockets and its state; from
+then on each sends the other, as lines of JSON, the events that apply to both.  The `yes` of the new process
+starts the shutdown of the old one.
 """
 
 from __future__ import annotations
@@ -24,77 +24,77 @@
 from mallowbeam.storage_gateway.server.config import Config
 from mallowbeam.storage_gateway.server.listing import Listing, read_listing
 
-HANDOVER_TIMEOUT = 1.0  # seconds for the old process to hand over: a wedged one holds up no start
-VERSION = 1  # of what is said here: an old process that speaks another hands over nothing
-MAX_LISTENERS = 8  # listening sockets handed over at most
-OPENING_MESSAGES = 2  # the names of the listeners, and the state
-MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # bytes of one line, and of lines that wait to be read
+HANDOVER_TIMEOUT = 1.0  # seconds for the old process to hand over, so that a hung one doesn't block the start
+VERSION = 1  # of the protocol; no hand-over from an old process with another version
+MAX_LISTENERS = 8  # maximum number of listening sockets handed over
+OPENING_MESSAGES = 2  # the listener names, and the state
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # bytes of one line, and of queued lines
 
 
 class Listener(Protocol):
-    """A listening socket that is handed over."""
+    """A listening socket to hand over."""
 
-    name: str  # of its front: the sockets are matched by it
+    name: str  # of its front; the new process matches sockets by it
     sock: socket.socket
 
 
 class Host(Protocol):
-    """One of the two processes, as their messages reach it."""
+    """The receiver of the other process's messages."""
 
     link: PeerLink | None
 
     @property
     def config(self) -> Config:
-        """Its configuration."""
+        """The configuration of this process."""
 
     @property
     def servers(self) -> Sequence[Listener]:
-        """Its listening sockets."""
+        """The listening sockets of this process."""
 
     def split_limits(self, peer_connections: int) -> None:
-        """The other process has so many connections of clients."""
+        """The other process has this number of client connections."""
 
     def disconnected(self) -> None:
-        """The other process is gone."""
+        """The other process has ended."""
 
     def confirmed(self) -> None:
-        """The other process, the new one, serves."""
+        """The other process, which is the new one, serves."""
 
     def sent_by_peer(self, sent: list[Any]) -> None:
         """The other process has sent a request to a node."""
 
     def listing_from_peer(self, listing: Listing, address: str | None = None) -> None:
-        """The other process has a list of nodes from discovery at an address."""
+        """The other process received a list of nodes from discovery at an address."""
 
     def move_discovery(self, address: str) -> None:
-        """Discovery is elsewhere."""
+        """The discovery address has changed."""
 
     def by_hand(self, node: str, out: bool) -> None:
-        """An operator took a node out, or called it back, at the other process."""
+        """An operator detached or attached a node at the other process."""
 
     def handover_state(self) -> Mapping[str, object]:
-        """All that a new process needs to go on where this one stands."""
+        """Returns the state that a new process needs to continue from this one."""
 
 
 @dataclass(slots=True)
 class Legacy:
-    """What a new process has from the old one: the line to it, its listening sockets and its state."""
+    """What the old process hands over to a new one: the link to it, its listening sockets and its state."""
 
     sock: socket.socket
-    listeners: dict[str, socket.socket]  # by the name of their front
+    listeners: dict[str, socket.socket]  # by front name
     state: dict[str, Any]
-    unread: bytes  # what came behind the state
+    unread: bytes  # bytes received after the state
 
     def config(self, own: Config) -> Config:
-        """The configuration, with the list and discovery's address as the old process has them."""
+        """Returns `own` with the node list and the discovery address of the old process."""
         return replace(own, discovery=self.state["discovery"], known=read_listing(self.state["list"]))
 
 
 @contextmanager
 def rendezvous_path(config: Config) -> Iterator[str]:
-    """Where the two meet, as a path.
+    """Yields the path of the hand-over socket.
 
-    Guards against a $TMPDIR too long for a socket's address: it is named through a descriptor of the folder.
+    The folder is named through a descriptor, as $TMPDIR may be too long for a socket address.
     """
     name = f"{config.name}|{config.listen}".encode()
     folder = os.open(tempfile.gettempdir(), os.O_RDONLY | os.O_DIRECTORY)
@@ -105,32 +105,32 @@
 
 
 def take_over(config: Config) -> Legacy | None:
-    """What the process that serves now hands over; None where there is none, or none that answers in time."""
+    """Takes over from the serving process; None if there is none, or if it doesn't hand over in time."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     inherited: list[socket.socket] = []
     try:
         sock.settimeout(HANDOVER_TIMEOUT)
         with rendezvous_path(config) as path:
             sock.connect(path)
-        # Guards a $TMPDIR that others can write to: what is taken over decides where requests go.
+        # $TMPDIR may be writable by other users, and the handed-over state decides where requests go.
         if struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))[1] != os.getuid():
-            raise ValueError("it is another user's process")
+            raise ValueError("the other process belongs to another user")
         data, fds, _, _ = socket.recv_fds(sock, 65536, MAX_LISTENERS)
         inherited = [socket.socket(fileno=fd) for fd in fds]
         while data.count(b"\n") < OPENING_MESSAGES:
             more = sock.recv(65536)
             if not more or len(data) > MAX_MESSAGE_BYTES:
-                raise ValueError("the state ended early")
+                raise ValueError("the connection ended before the state was complete")
             data += more
         first, second, rest = data.split(b"\n", 2)
         names, state = json.loads(first)["doors"], json.loads(second)["state"]
         if state["version"] != VERSION:
-            raise ValueError("the old process speaks another version")
+            raise ValueError("the old process uses another version of the protocol")
         legacy = Legacy(sock, dict(zip(names, inherited, strict=True)), state, rest)
         legacy.config(config)
         return legacy
     except (FileNotFoundError, ConnectionRefusedError):
-        pass  # nobody serves; a file that an ended process left says nothing
+        pass  # no process serves; a stale socket file is ignored
     except (OSError, ValueError, KeyError, TypeError) as error:
         logger.warning("no handover: {}", error or type(error).__name__)
     sock.close()
@@ -140,29 +140,30 @@
 
 
 class PeerLink:
-    """The other process of this gateway, for as long as there are two.
+    """The link to the other process of this gateway.
 
-    `leads` says that this process is the new one, which has the last word on where discovery is.
+    `leads` says that this process is the new one, whose discovery address wins if the two differ.
     """
 
     def __init__(self, sock: socket.socket, host: Host, received: bytes = b"", leads: bool = False) -> None:
         sock.setblocking(False)
         self.sock, self.host, self.leads = sock, host, leads
-        self.ids: set[str] = set()  # requests that it holds
+        self.ids: set[str] = set()  # ids of the other process's pending requests
         self.outgoing, self.wakeup = bytearray(), asyncio.Event()
         self.tasks = [asyncio.create_task(self._write()), asyncio.create_task(self._read(received))]
-        # Guards the next upgrade: a task that is cancelled before its first step runs nothing of its own.
+        # A callback: a task cancelled before its first step runs no `finally`, and without the cleanup the
+        # next upgrade would be refused.
         self.tasks[1].add_done_callback(self._ended)
 
     def send(self, kind: str, value: object) -> None:
-        """Queue a message; bounded, as a peer that reads no more is taken for gone."""
+        """Queues a message; closes the link at the queue's limit, as the peer has stopped reading."""
         self.outgoing += json.dumps({kind: value}).encode() + b"\n"
         self.wakeup.set()
         if len(self.outgoing) > MAX_MESSAGE_BYTES:
             self.close()
 
     def close(self) -> None:
-        """Talk no more."""
+        """Closes the link."""
         for task in self.tasks:
             task.cancel()
 
@@ -190,7 +191,7 @@
         except OSError:
             pass
         except Exception as error:
-            logger.opt(exception=error).error("the sister process can't be understood")
+            logger.opt(exception=error).error("unexpected error in a message from the other process")
 
     def _ended(self, _: asyncio.Task[None]) -> None:
         self.tasks[0].cancel()
@@ -210,7 +211,7 @@
                 host.listing_from_peer(read_listing(value), value.get("discovery"))
             case "discovery":
                 host.move_discovery(value)
-                if self.leads:  # Guards two reloads that cross: both end at one address
+                if self.leads:  # so that concurrent reloads at both end at one address
                     self.send("discovery", value)
             case "hand":
                 node, out = value
@@ -222,13 +223,13 @@
 
 
 class Handover:
-    """Waits for a new process and hands over to it."""
+    """Listens for a new process and hands over to it."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         with rendezvous_path(host.config) as path:
-            with suppress(FileNotFoundError):  # left by a process that has ended or is leaving
+            with suppress(FileNotFoundError):  # left by an earlier process
                 os.unlink(path)
             self.sock.bind(path)
             os.chmod(path, 0o600)
--- a/mallowbeam/storage_gateway/server/health.py
+++ b/mallowbeam/storage_gateway/server/health.py
@@ -1,6 +1,6 @@
-"""What balancers in front ask: readiness and status pages over HTTP, and HAProxy's agent-check line.
+"""Health checks for load balancers: readiness and status pages over HTTP, and HAProxy's agent check.
 
-Both tell the gateway's true state and nothing else.
+Both report the current state of the gateway.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 def readiness(gateway: Gateway, close: bool) -> Response:
-    """The readiness page: 200 while clients should be sent here, 503 else, with the phase as its text."""
+    """The readiness page: 200 while clients should be routed here, else 503, with the phase as its body."""
     return text_response(200 if gateway.ready else 503, gateway.phase.value, close)
 
 
 def page(gateway: Gateway, path: bytes, close: bool) -> Response | None:
-    """A health page, or None if there is none at that path."""
+    """Returns the health page at a path, or None if there is none."""
     if path == b"/healthz":
         return readiness(gateway, close)
     if path == b"/livez":
@@ -47,7 +47,7 @@
 
 
 class Health:
-    """A front that serves the health pages alone."""
+    """A front that serves only the health pages."""
 
     max_body = max_buffered_body = 0
     budget: BodyBudget | None = None
@@ -56,23 +56,23 @@
         self.gateway = gateway
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
-        """One page."""
+        """Returns the requested page."""
         if request.method not in (b"GET", b"HEAD"):
             return text_response(405, "only GET", closing(), [(b"allow", b"GET, HEAD")])
         return page(self.gateway, request.target, closing()) or text_response(404, "no such page", closing())
 
     def error_response(self, status: int, text: str) -> Response:
-        """The answer to what breaks HTTP or a bound."""
+        """Returns the response to a request that violates HTTP or a size limit."""
         return text_response(status, text, True)
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
-        """Checks are not among the figures."""
+        """Does nothing: health checks are not counted in the metrics."""
 
 
 def agent_line(gateway: Gateway) -> bytes:
-    """HAProxy's agent-check words: the administrative state, and the weight while there is room.
+    """Returns the agent-check reply for HAProxy: the administrative state, and the weight while serving.
 
-    The weight falls with the share of client connections in use, and never to 0, which would be a drain.
+    The weight falls with the share of client connections in use, but never to 0, which would drain it.
     """
     if gateway.phase in (Phase.LAME_DUCK, Phase.HANDED_OVER):
         return b"up drain\n"
@@ -85,7 +85,7 @@
 
 
 class AgentConnection:
-    """One agent check: the line is written, then the connection ends."""
+    """The connection of one agent check: the reply is written, then the connection is closed."""
 
     idle = can_be_closed = closing = closing_soon = answered = False
     pending = 0
@@ -104,7 +104,7 @@
                 await loop.sock_sendall(self.sock, agent_line(self.gateway))
                 self.sock.shutdown(socket.SHUT_WR)
                 while await loop.sock_recv_into(self.sock, buffer):
-                    pass  # what the balancer may send with a check says nothing here
+                    pass  # data that the balancer sends with a check is ignored
         except (OSError, TimeoutError, asyncio.CancelledError):
             pass
         finally:
@@ -112,7 +112,7 @@
             self.server.connections.discard(self)
 
     def sweep(self, now: float) -> None:
-        """Nothing to do: a check ends by itself."""
+        """Does nothing: a check ends by itself."""
 
     def close_soon(self) -> None:
-        """Nothing to do: its end has begun, and has its time."""
+        """Does nothing: the connection is already closing, within its time limit."""
--- a/mallowbeam/storage_gateway/server/listing.py
+++ b/mallowbeam/storage_gateway/server/listing.py
@@ -1,8 +1,8 @@
-"""Lists of nodes in discovery's JSON: decoded once into the few values used, or refused whole.
+"""Lists of nodes in discovery's JSON: decoded into the few values used, or rejected as a whole.
 
-One bad member spoils its list.  A list taken in by halves might lack the very drain that it was written for,
-and the revision that it carries would say that all of it is known; refused whole, it is asked for again
-within seconds, and what was known before stays in force meanwhile.
+One invalid member invalidates its list.  A list applied in part might lack the very drain for which it was
+published, while its revision would claim that all of it is known.  A rejected list is requested again within
+seconds, and the previous list stays in force meanwhile.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 STATES = {"up": NodeState.READY, "draining": NodeState.DRAINING, "removed": NodeState.REMOVED}
 MAX_PORT = 65535
 MAX_HOST_NAME = 253  # characters, RFC 1035 section 2.3.4
-MOST_TEXT = 256  # characters of an id, an address, a zone or a kind of machine
-MOST_NUMBER = 2**53  # of a revision, a cell, a time in milliseconds or a size
+MOST_TEXT = 256  # characters of an id, an address, a zone or a machine type
+MOST_NUMBER = 2**53  # bound of a revision, a cell, a time in milliseconds or a size
 NAME = re.compile(r"([A-Za-z0-9_-]{1,63}\.)*[A-Za-z0-9_-]{1,63}\.?")
 PORT = re.compile(r"[0-9]{1,5}")
 KINDS = {bool: "true or false", int: "a whole number", float: "a number", str: "text", list: "a list"}
@@ -29,14 +29,14 @@
 
 
 class NodeListError(MallowbeamError, ValueError):
-    """A list of nodes that can't be read: nothing of it was taken in."""
+    """An invalid list of nodes; nothing of it was applied."""
 
     error_name = "BadListing"
     remedy = "look at what discovery answers; the list known before stays in force until a good one comes"
 
 
 class Listing(NamedTuple):
-    """A list of nodes, or of changes to it, decoded; `addresses` of those that are up, by node id."""
+    """A decoded list of nodes, or of changes to it; `addresses`, by node id, has only nodes that are up."""
 
     revision: int
     complete: bool
@@ -45,18 +45,18 @@
 
 
 def decode_listing(body: bytes | bytearray) -> Listing:
-    """A list from the bytes of an answer; raises `NodeListError`."""
+    """Decodes a list from the body of a response; raises `NodeListError`."""
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise NodeListError(f"no JSON: {error}") from None
+        raise NodeListError(f"invalid JSON: {error}") from None
     return read_listing(raw)
 
 
 def read_listing(raw: object) -> Listing:
-    """Discovery's JSON, once into the few values used; raises `NodeListError`.
+    """Reads a list from discovery's parsed JSON; raises `NodeListError`.
 
-    In a list of changes the last word on a node counts; a whole list names each once.
+    In a list of changes the last entry of a node counts; a full list names each node once.
     """
     top = _Fields(raw, "the list")
     revision, complete = top.whole("revision"), top.of(bool, "complete")
@@ -66,9 +66,9 @@
         fields = _Fields(member, f"members[{number}]")
         node, state = fields.text("id"), STATES.get(fields.text("phase"))
         if not node or state is None:
-            raise NodeListError("an id without a character" if state else "an unknown phase", fields.where)
+            raise NodeListError("empty id" if state else "unknown phase", fields.where)
         if complete and node in entries:
-            raise NodeListError("the id stands there twice", fields.where)
+            raise NodeListError("duplicate id", fields.where)
         entries.pop(node, None)
         addresses.pop(node, None)
         entries[node] = NodeEntry(
@@ -83,14 +83,14 @@
         if state is NodeState.READY:
             addresses[node] = address = fields.text("host_port")
             if not can_be_connected(address):
-                raise NodeListError(f"no address to connect to: {address!r}", fields.where)
+                raise NodeListError(f"invalid host_port: {address!r}", fields.where)
     return Listing(revision, complete, list(entries.values()), addresses)
 
 
 def write_listing(
     revision: int, complete: bool, entries: list[NodeEntry], addresses: Mapping[str, str]
 ) -> dict[str, Any]:
-    """A list in discovery's JSON, as `read_listing` reads it."""
+    """Returns a list in discovery's JSON, the inverse of `read_listing`."""
     phases = {state: phase for phase, state in STATES.items()}
     return {
         "revision": revision,
@@ -112,9 +112,9 @@
 
 
 def can_be_connected(address: str) -> bool:
-    """Whether this is a host, by name or address, and a port that a socket can be led to.
+    """Whether this is a host name or IP address with a port to which a socket can connect.
 
-    Guards attempts: past this point an address is only ever refused, silent or answered.
+    Attempts rely on it: connecting to a valid address can only succeed, be refused or time out.
     """
     host, _, port = address.rpartition(":")
     if not PORT.fullmatch(port) or not 0 < int(port) <= MAX_PORT:
@@ -129,43 +129,43 @@
 
 
 class _Fields:
-    """The fields of one JSON object, each of its type and within bounds; all raise `NodeListError`."""
+    """Reads the fields of one JSON object, checked for type and bounds; all methods raise `NodeListError`."""
 
     def __init__(self, raw: object, where: str) -> None:
         if not isinstance(raw, dict):
-            raise NodeListError("no JSON object", where)
+            raise NodeListError("not a JSON object", where)
         self.raw, self.where = raw, where
 
     def of(self, kind: type, name: str, default: object = REQUIRED) -> Any:
-        """A value of exactly that type (true is no number)."""
+        """Returns a value of exactly that type (true is not a number)."""
         value = self.raw.get(name, default)
         if value is REQUIRED:
-            raise NodeListError(f"no {name}", self.where)
+            raise NodeListError(f"missing {name}", self.where)
         if type(value) is not kind:
             raise NodeListError(f"{name} is not {KINDS[kind]}", self.where)
         return value
 
     def text(self, name: str, default: object = REQUIRED) -> str:
-        """Text that can stand in a line of a log; what need not be there may be null."""
+        """Returns text that is safe to log; an optional field may be null."""
         if default is not REQUIRED and self.raw.get(name) is None:
             return str(default)
         value: str = self.of(str, name)
         if len(value) > MOST_TEXT or not value.isprintable():
-            raise NodeListError(f"{name} can't be shown: {value[:40]!r}", self.where)
+            raise NodeListError(f"{name} is too long or not printable: {value[:40]!r}", self.where)
         return value
 
     def whole(self, name: str, default: object = REQUIRED, least: int = 0) -> int:
-        """A whole number."""
+        """Returns an integer."""
         value: int = self.of(int, name, default)
         return self._bounded(name, value, least)
 
     def number(self, name: str, default: float) -> float:
-        """A number from 0 up."""
+        """Returns a number of at least 0."""
         value = self.raw.get(name, default)
         number: float = value if type(value) is int else self.of(float, name, default)
         return self._bounded(name, number)
 
     def _bounded(self, name: str, value: Number, least: int = 0) -> Number:
-        if not least <= value <= MOST_NUMBER:  # not-a-number is neither
+        if not least <= value <= MOST_NUMBER:  # NaN fails both comparisons
             raise NodeListError(f"{name} is out of range", self.where)
         return value
--- a/mallowbeam/storage_gateway/server/log.py
+++ b/mallowbeam/storage_gateway/server/log.py
@@ -1,4 +1,4 @@
-"""This program's log: what the shared HTTP parts report goes out through loguru, as all else does."""
+"""Logging of this process: forwards the warnings of the shared HTTP package to loguru."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Forward(logging.Handler):
-    """Hands each record on to loguru, with its level and its exception."""
+    """Forwards each record to loguru, with its level and exception."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Put one record out."""
+        """Forwards one record."""
         error = record.exc_info[1] if record.exc_info else None
         logger.opt(exception=error).log(record.levelname, "{}", record.getMessage())
 
--- a/mallowbeam/storage_gateway/server/peer.py
+++ b/mallowbeam/storage_gateway/server/peer.py
@@ -1,8 +1,8 @@
-"""Two processes of one gateway during an upgrade, as each of them stands to the other.
+"""Coordination of the two processes of one gateway during an upgrade.
 
-While an old process hands over to a new one both serve.  Limits count for both together, so each keeps to
-its part; what one sends or learns counts at the other; an id in use at one is in use at both.  The messages
-between them are the matter of `handover.py`, which calls this module through its `Host`.
+While an old process hands over to a new one both serve.  Limits apply to both together, so each keeps to
+its share; sends and node lists of one apply at the other; an id in use at one is in use at both.  The
+messages are defined in `handover.py`, which calls this module through its `Host`.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from mallowbeam.storage_gateway.server.handover import PeerLink
 from mallowbeam.storage_gateway.server.listing import Listing, write_listing
 
-LEAST_LIMIT_DIVISOR = 4  # a server keeps at least a quarter of its connections beside another process
+LEAST_LIMIT_DIVISOR = 4  # beside another process a server keeps at least a quarter of its connections
 
 
 class PeerGateway(Protocol):
-    """What a coordinator needs of its gateway."""
+    """The interface of the gateway to its coordinator."""
 
     config: Config
     phase: Phase
@@ -38,23 +38,23 @@
     handed_over: asyncio.Event
 
     def now(self) -> float:
-        """Unix time that never jumps, in seconds."""
+        """Unix time in seconds, advanced by a monotonic clock."""
 
     def apply(self, orders: Orders) -> None:
-        """Carry out what the scheduler orders."""
+        """Carries out the orders of the scheduler."""
 
     def update_nodes(self, listing: Listing) -> None:
-        """Take in a list of nodes."""
+        """Applies a list of nodes."""
 
     def by_hand(self, node: str, out: bool, *, from_peer: bool = False) -> bool:
-        """An operator takes a node out, or lets it serve again."""
+        """Detaches or attaches a node for an operator."""
 
 
 class PeerCoordinator:
-    """What this process shares with the other process of its gateway, while there are two."""
+    """Shares limits, sends, node lists and request ids with the other process, while there is one."""
 
     def __init__(self, gateway: PeerGateway) -> None:
-        self.link: PeerLink | None = None  # to the other process, while there are two
+        self.link: PeerLink | None = None  # None without another process
         self._gateway = gateway
 
     @property
@@ -68,9 +68,9 @@
         return self._gateway.servers
 
     def split_limits(self, peer_connections: int) -> None:
-        """While there are two processes, keep to this one's part of descriptors and memory.
+        """Reduces the limits to this process's share of descriptors and memory while there are two.
 
-        Guards the limits, which count for both together: `peer_connections` of clients are the other's.
+        The limits apply to both processes together; the other one has `peer_connections` client connections.
         """
         gateway = self._gateway
         parts = 1 if self.link is None else 2
@@ -84,37 +84,37 @@
         gateway.pool.limit_to_part(parts)
 
     def disconnected(self) -> None:
-        """The other process is gone."""
+        """Handles the end of the other process."""
         gateway = self._gateway
         self.link = None
         self.split_limits(0)
         if gateway.handed_over.is_set() and gateway.phase is not Phase.STOPPED:
-            gateway.watch.resume()  # nobody tells what discovery says any more
+            gateway.watch.resume()  # the other process no longer forwards discovery's lists
 
     def confirmed(self) -> None:
-        """The other process, the new one, serves: this one may leave."""
+        """Starts leaving, as the other process, which is the new one, serves."""
         self._gateway.handed_over.set()
 
     def sent_by_peer(self, sent: list[Any]) -> None:
-        """The other process has sent something that counts here too."""
+        """Counts a request that the other process sent to a node."""
         gateway = self._gateway
         gateway.apply(gateway.scheduler.sibling_sent(gateway.now(), SiblingSend(*sent)))
 
     def listing_from_peer(self, listing: Listing, address: str | None = None) -> None:
-        """The other process has a list from discovery at an address, which an older version doesn't name."""
+        """Applies a list that the other process received; an older version doesn't send the address."""
         watch = self._gateway.watch
         watch.update_from_peer(listing, address or watch.address, self._gateway.update_nodes)
 
     def move_discovery(self, address: str) -> None:
-        """Discovery is elsewhere from now on, as SIGHUP here or at the other process says."""
+        """Changes the discovery address, after a SIGHUP here or at the other process."""
         self._gateway.watch.move(address)
 
     def by_hand(self, node: str, out: bool) -> None:
-        """An operator took a node out, or called it back, at the other process."""
+        """Applies a detach or attach by an operator at the other process."""
         self._gateway.by_hand(node, out, from_peer=True)
 
     def handover_state(self) -> Mapping[str, object]:
-        """All that a new process needs to go on where this one stands; its keys are the wire's."""
+        """Returns the state that a new process needs to continue; its keys are part of the protocol."""
         gateway = self._gateway
         watch = gateway.watch
         nodes = gateway.scheduler.node_entries(gateway.now())
@@ -127,27 +127,27 @@
         }
 
     def notify(self, kind: str, value: object) -> None:
-        """Send a message to the other process, where there is one."""
+        """Sends a message to the other process, if there is one."""
         if self.link is not None:
             self.link.send(kind, value)
 
     def announce_send(self, order: AttemptOrder, call: Call) -> None:
-        """Tell the other process of a request sent to a node, which counts at both."""
+        """Reports a request sent to a node to the other process, which counts it too."""
         if self.link is None:
             return
         fields = call.fields
         units = fields["units"]
         hosts = fields.get("volume_hosts") or self._gateway.config.settings.hosts
-        first_units = 0 if order.number else units  # drawn from the volume's rate limit by the first attempt
+        first_units = 0 if order.number else units  # only the first attempt consumes the volume's rate limit
         self.link.send("sent", [fields["volume"], fields["plan"], hosts, order.node, units, first_units])
 
     def release_id(self, request: str) -> None:
-        """Tell the other process of an id that is free again."""
+        """Tells the other process that an id is free again, if it is."""
         if self.link is None or request in self._gateway.exchanges:
             return
         if not self._gateway.scheduler.knows(request):
             self.link.send("over", request)
 
     def has_id(self, request: str) -> bool:
-        """Whether the other process has a request of this id."""
+        """Whether the other process has a request with this id."""
         return self.link is not None and request in self.link.ids
--- a/tests/storage_gateway/server/test_admin.py
+++ b/tests/storage_gateway/server/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' door and the figures it shows, on loopback sockets."""
+"""The admin endpoint and its metrics, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_the_figures_tell_how_requests_ended_and_what_is_pending():
-    """Guards the counts: a request counts once, when its answer is out, an attempt once it is written."""
+    """A request counts once, when its response is sent; an attempt counts when it is completely written."""
     play(f"""
         c1 send read
         n0 expect GET
@@ -77,7 +77,7 @@
 def test_a_broken_off_answer_is_no_completed_one():
     metrics = Metrics(["read"])
     metrics.request_finished("read", 200, False)
-    metrics.request_finished("none", 200, True)  # a class that nobody has must not grow the table
+    metrics.request_finished("none", 200, True)  # an unknown class must not grow the table
     assert metrics.requests == {"read": {"completed": 0, "rejected": 0, "failed": 1}}
 
 
@@ -108,7 +108,7 @@
 
 
 def test_half_sent_calls_do_not_keep_others_out(monkeypatch):
-    """Guards the door: callers that never finish a call made everyone behind them wait for their time-out."""
+    """Clients that never finished a request made all later ones wait until those timed out."""
     monkeypatch.setattr(connection, "STALLED", 60.0)
     monkeypatch.setattr(gateway, "SWEEP", 0.05)
 
@@ -152,7 +152,7 @@
 
 
 def test_a_node_taken_out_while_a_connection_comes_up_gets_nothing():
-    """Guards the 250 ms from the yes where connecting takes longer."""
+    """A detach takes effect within 250 ms of its 200 response, even if connecting takes longer."""
 
     async def run() -> None:
         async with World() as world:
--- a/tests/storage_gateway/server/test_begins.py
+++ b/tests/storage_gateway/server/test_begins.py
@@ -1,6 +1,6 @@
-"""Between the decision to send and the first byte: a connection may come up late, and much may end meanwhile.
+"""Events between the decision to send a request and its first byte, while the connection is being opened.
 
-Each crossing is forced: connections to nodes are held while the thing happens, then let go.
+Each race is forced: connections to nodes are held back until the event has happened.
 """
 
 from __future__ import annotations
@@ -27,14 +27,17 @@
 
 
 async def quiet(world: World) -> None:
-    """Until no attempt is out."""
+    """Waits until no attempt is in flight."""
     async with asyncio.timeout(5):
         while world.gateway.attempts.tasks:
             await asyncio.sleep(0)
 
 
 def turned_down(before: str, meanwhile, after: str, reached: int = 0, **world: object) -> None:
-    """Play `before`, hold connections; while one is held `meanwhile` happens; nothing more reaches a node."""
+    """Plays `before`, runs `meanwhile` during a held connect, and checks that `reached` requests were sent.
+
+    If `before` is a tuple, its first scenario is played before connections are held.
+    """
 
     async def run() -> None:
         async with World(**world) as here:
@@ -54,7 +57,7 @@
 
 
 def later(seconds: float):
-    """The gateway's clock moves on while the connection comes up."""
+    """Returns a step that advances the gateway's clock while a connection is being opened."""
 
     async def pass_by(world: World) -> None:
         async with asyncio.timeout(5):
@@ -65,7 +68,7 @@
 
 
 def test_a_keyed_repeat_whose_window_has_closed_meanwhile_is_not_sent():
-    """Seen on zone+brink: a write was sent again outside its window, as its connection came up late."""
+    """Seen in the run zone+brink: a write was retried outside its window because connecting took long."""
     turned_down(
         ("c1 send write\nn0 expect PUT", "n0 close"),
         later(0.35),
@@ -81,7 +84,7 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_a_client_that_left_meanwhile_has_nothing_sent(cancel):
-    """Guards it also where attempts may not be cancelled: there the connection comes up all the same."""
+    """Also where attempts may not be cancelled, so that the connection is opened all the same."""
 
     async def leave(world: World) -> None:
         await later(0.0)(world)
@@ -96,7 +99,7 @@
 def test_a_verdict_that_came_meanwhile_ends_it():
     async def verdict(world: World) -> None:
         await later(0.0)(world)
-        world.gateway.epoch += 1.6  # the module's own timer is due
+        world.gateway.epoch += 1.6  # the scheduler's timer is due
         world.gateway.scheduler.wake_at = 0.0
         world.gateway._wake()
 
@@ -129,14 +132,14 @@
 
 
 def test_the_time_that_a_node_is_told_is_what_is_left_when_the_request_is_written():
-    """Guards the node against work that nobody waits for: the connection took a part of the time."""
+    """Connecting takes part of the deadline; the node must not work on for longer than the client waits."""
 
     async def run() -> None:
         async with World() as world:
             gate = world.hold_connecting()
             await world.play("c1 send read deadline=280")
             async with asyncio.timeout(5):
-                await world.held.wait()  # from here on the attempt's time runs
+                await world.held.wait()  # the attempt's time limit starts here
             await asyncio.sleep(0.1)
             gate.set()
             await world.play("n0 expect GET\nn0 send 200 body=x\nc1 expect 200")
@@ -146,12 +149,12 @@
     uvloop.run(run())
 
 
-# --- the module alone: what an attempt that never began is charged ---------------------------------------
+# --- the scheduler alone: what an attempt that never began is charged ------------------------------------
 
 
 def test_what_never_began_is_charged_to_nothing():
     rig = Rig(limit_at_arrival=True, **(SLOW_START_SETTINGS | {"hosts": 1, "slow_start_units": 100.0}))
-    rig.wait(2.0)  # the limit's store fills
+    rig.wait(2.0)  # the rate limit's tokens fill up
     rig.step(
         DiscoveryUpdate(
             DiscoveryUpdateKind.DELTA, 2, [NodeEntry("n0", shard=0, zone="a", started_at=rig.now)]
@@ -170,7 +173,7 @@
 
 
 def test_units_count_at_a_cold_node_from_when_they_come_there():
-    """Guards the node: what was decided over a second and comes up at one instant, comes at one instant."""
+    """Sends decided over a second can reach the node at one instant, so they count from when they start."""
     rig = Rig(limit_at_arrival=True, **(SLOW_START_SETTINGS | {"hosts": 1}))
     rig.step(
         DiscoveryUpdate(
@@ -184,7 +187,7 @@
 
 
 def test_units_that_come_later_than_the_window_since_they_were_decided_count_too():
-    """Guards the node: what was decided over a window ago was forgotten before it came."""
+    """A send decided more than a window ago was dropped from the count before it reached the node."""
     rig = Rig(limit_at_arrival=True, **(SLOW_START_SETTINGS | {"hosts": 1, "overload_window": 0.1}))
     rig.step(
         DiscoveryUpdate(
@@ -192,7 +195,7 @@
         )
     )
     send = of(rig.step(rig.request(units=2)), Send)[0]
-    rig.step(rig.request(units=1, volume="w"), after=0.15)  # looks at the node, and forgets
+    rig.step(rig.request(units=1, volume="w"), after=0.15)  # prunes the node's older sends
     assert rig.host.may_begin(rig.now, send.request, 0)
     sends = rig.host.state.nodes["n0"].slow_start_sends
     assert (rig.now, 2) in [(sent.sent_at, sent.units) for sent in sends]
--- a/tests/storage_gateway/server/test_clients_gone.py
+++ b/tests/storage_gateway/server/test_clients_gone.py
@@ -1,4 +1,4 @@
-"""Clients that leave while a request of theirs is held or waits, on loopback sockets; nothing is sent on."""
+"""Clients that disconnect while requests are pending, on loopback sockets: nothing more is forwarded."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from mallowbeam.http import read_ahead
 from mallowbeam.http.connection import PIPELINED
 
-MANY = 200  # more than what is read ahead
+MANY = 200  # more than is read ahead
 WAYS = {"close": Raw.leave, "reset": lambda client: client.leave(reset=True), "half": Raw.end}
 
 
 async def nothing_more(world: World) -> None:
-    """The call in hand is cancelled, its attempt given up, and no other one has come to the node."""
+    """Checks that the pending call and its attempt are cancelled, and that no other reached the node."""
     await until(lambda: not world.gateway.exchanges and not world.gateway.attempts.tasks)
     await until(lambda: not world.gateway.servers[-1].connections)
     await world.play("n0 expect end\nn0 expect nothing")
 
 
 def test_the_look_comes_often_enough():
-    """What begins 0.1 s after its client left is a break: the look has half of that."""
+    """Starting a request 0.1 s after its client left is a violation; the check interval is half of that."""
     assert connections.LOOK <= 0.05
 
 
 @pytest.fixture(params=[0, read_ahead.MAX_READ_AHEAD], ids=["none", "much"])
 def read_ahead_limit(monkeypatch: pytest.MonkeyPatch, request: pytest.FixtureRequest) -> int:
-    """How much is read ahead: past it the client's end has to be looked for."""
+    """The read-ahead limit; beyond it a disconnect is only found by the liveness check."""
     monkeypatch.setattr(read_ahead, "MAX_READ_AHEAD", request.param)
     return request.param
 
@@ -39,9 +39,9 @@
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("count", [1, MANY])
 def test_a_client_that_sends_much_at_once_and_goes_is_noticed(monkeypatch, read_ahead_limit, way, count):
-    """Guards nodes: behind unread requests neither an end nor a reset was seen, and all were sent on."""
+    """Behind unread requests neither an end nor a reset was noticed, and all requests were forwarded."""
     if read_ahead_limit:
-        monkeypatch.setattr(connections, "gone", lambda sock: False)  # the reader sees it by itself
+        monkeypatch.setattr(connections, "gone", lambda sock: False)  # the reader notices it by itself
 
     async def run() -> None:
         async with World() as world:
@@ -51,14 +51,14 @@
                 await until(lambda: len(here.channel.framer.ready) > PIPELINED)
             WAYS[way](client)
             await nothing_more(world)
-            if way == "half":  # an end of its sending counts as one of the connection
+            if way == "half":  # a half-close counts as a disconnect
                 assert await client.read() == b""
 
     uvloop.run(run())
 
 
 def test_a_request_whose_client_has_just_left_is_not_handed_on(monkeypatch):
-    """The crossing between two looks: the answer before it comes in the very moment its client leaves."""
+    """Race between two liveness checks: the previous response arrives just as the client disconnects."""
     monkeypatch.setattr(read_ahead, "MAX_READ_AHEAD", 0)
 
     async def run() -> None:
@@ -66,7 +66,7 @@
             client, here = await come(world, b"".join(request(i) for i in range(1, MANY)))
             await world.play("n0 expect GET")
             await until(lambda: here.reading_paused)
-            here.liveness_timer.cancel()  # no look comes now
+            here.liveness_timer.cancel()  # no liveness check from here on
             client.leave()
             await world.play("n0 send 200 body=one")
             await until(lambda: not world.gateway.servers[-1].connections)
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_a_client_that_leaves_behind_what_breaks_http_is_noticed(way):
-    """Garbage behind good requests: nothing was read until these were answered."""
+    """Garbage follows valid requests: nothing was read until these were answered."""
 
     async def run() -> None:
         async with World() as world:
@@ -94,13 +94,13 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_a_client_that_leaves_while_its_bodys_taker_is_slow_is_noticed(way):
-    """Nothing is read while the node takes nothing: the attempt held its connection up to a time-out."""
+    """Nothing is read from the client while the node reads nothing: the attempt lasted until its time-out."""
 
     async def run() -> None:
         async with World() as world:
             head = request(1, "content-length: 30000000", "idempotency-key: k", method="PUT", cls="new-write")
             client, here = await come(world, b"")
-            world.parties["n0"].still = True  # it reads nothing
+            world.parties["n0"].still = True  # the node reads nothing
             client.say(head)
             while not here.reading_paused:  # the gateway's and the kernel's buffers are full
                 try:
@@ -117,7 +117,7 @@
 
 
 def test_a_client_that_only_waits_stays(monkeypatch):
-    """The look takes no one for gone who is there: all that waits is answered."""
+    """The liveness check doesn't drop connected clients: all waiting requests are answered."""
     monkeypatch.setattr(read_ahead, "MAX_READ_AHEAD", 0)
 
     async def run() -> None:
@@ -126,7 +126,7 @@
             await world.play("n0 expect GET")
             await until(lambda: here.reading_paused)
             looks = here.liveness_timer
-            await until(lambda: here.liveness_timer is not looks)  # one look has passed
+            await until(lambda: here.liveness_timer is not looks)  # one liveness check has run
             await world.play("n0 send 200 body=one" + "\nn0 expect GET\nn0 send 200 body=more" * 7)
             await until(lambda: here.idle and here.answered)
             client.end()
@@ -136,7 +136,7 @@
 
 
 def test_what_is_read_ahead_is_answered_in_turn(read_ahead_limit):
-    """Hundreds at once, a body that passes through and one that is held among them, noise at the end."""
+    """Many pipelined requests, among them one streamed and one buffered body, and garbage at the end."""
 
     async def run() -> None:
         async with World(Classes=PATIENT) as world:
--- a/tests/storage_gateway/server/test_connections.py
+++ b/tests/storage_gateway/server/test_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections, on loopback sockets: what breaks HTTP, what stalls, and which make room."""
+"""Client connections on loopback sockets: protocol violations, stalls, and eviction when slots run out."""
 
 from __future__ import annotations
 
@@ -65,13 +65,13 @@
 
 
 def test_clients_beyond_the_descriptors_wait_and_are_served():
-    """Guards against a crash when descriptors run out: idle connections make room."""
+    """Descriptors ran out and the gateway crashed; idle connections must be evicted instead."""
     lines = "".join(f"c{i} send GET /healthz\nc{i} expect 200\n" for i in range(60))
     play(lines, sockets=120)
 
 
 def test_clients_beyond_the_last_busy_connection_are_refused_at_once():
-    """Guards the one final answer: what waits in the backlog is taken, and was lost at its deadline."""
+    """Requests in the backlog were lost at their deadline; they must be accepted and refused."""
 
     async def run() -> None:
         async with World(sockets=120) as world:
@@ -93,7 +93,7 @@
 
 
 def test_those_that_have_been_answered_make_room_before_those_that_have_not(monkeypatch):
-    """Guards first requests: clients that connected a moment ago lost theirs to those that came after."""
+    """Connections that had not sent their first request yet were evicted for later ones."""
     monkeypatch.setattr(connection, "FRESH", 0.0)
 
     async def run() -> None:
@@ -115,7 +115,7 @@
 
 
 def test_a_connection_that_has_just_come_or_holds_an_unread_request_is_not_let_go():
-    """Guards requests that are taken but not read: closed to make room, their connections lost them."""
+    """Evicting a connection with a received but unread request lost the request."""
 
     async def run() -> None:
         async with World(sockets=120) as world:
@@ -123,7 +123,7 @@
             (connection,) = world.gateway.servers[-1].connections
             assert connection.can_be_closed
             world.parties["c1"].raw("GET /healthz")
-            while not connection.channel.stale():  # the loop has not read it yet
+            while not connection.channel.stale():  # the event loop has not read it yet
                 await asyncio.sleep(0)
                 if not connection.idle:
                     break
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("front", ["c", "o"])
 def test_a_client_that_stalls_inside_a_request_gets_408_and_a_close(monkeypatch, front):
-    """Guards against requests that come in a trickle, or never: each held its connection for 10 s or more."""
+    """Requests sent in a trickle, or never completed, held their connections for 10 s or more."""
     monkeypatch.setattr(connection, "STALLED", 0.2)
     monkeypatch.setattr(gateway, "SWEEP", 0.05)
     drip = f"{front}2 send raw x\nwait 0.1\n"
@@ -158,7 +158,7 @@
 
 @pytest.mark.parametrize("front", ["c", "o"])
 def test_a_client_that_says_nothing_is_closed_long_before_one_that_has_been_answered(monkeypatch, front):
-    """Guards the descriptors: connections opened by the hundred lay there for two minutes."""
+    """Hundreds of silent connections kept their descriptors for two minutes."""
     monkeypatch.setattr(connection, "STALLED", 0.2)
     monkeypatch.setattr(gateway, "SWEEP", 0.05)
     play(f"""
@@ -173,7 +173,7 @@
 
 @pytest.mark.parametrize("front", ["c", "o"])
 def test_what_follows_a_request_that_is_too_large_is_read_for_a_while_only(monkeypatch, front):
-    """Guards the core: a client that sends 60 MB at full speed was read for as long as it went on."""
+    """A client that sent 60 MB at full speed was read to the end, which kept the CPU core busy."""
     monkeypatch.setattr(shutdown, "LINGER", 60.0)
 
     async def run() -> None:
@@ -184,7 +184,7 @@
             )
             writer = world.parties[f"{front}1"].writer
             with pytest.raises(ConnectionError):
-                for _ in range(512):  # 32 MB: far more than the sockets hold between them
+                for _ in range(512):  # 32 MB: far more than the socket buffers hold
                     writer.write(b"x" * 65536)
                     await writer.drain()
 
--- a/tests/storage_gateway/server/test_crossings.py
+++ b/tests/storage_gateway/server/test_crossings.py
@@ -1,6 +1,6 @@
-"""SIGHUP, SIGTERM and a list that meet within one step: forced, on real sockets, with `crossed.py`'s world.
+"""SIGHUP, SIGTERM and node lists within one event loop step, on real sockets, in the world of `crossed.py`.
 
-Each step is put between two others by a hook, so no sleep decides anything.
+Hooks force the order of the steps, so the tests don't depend on timing.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 
 
 class Held:
-    """The loop as one connection sees it: what is read comes when the test says so, a step before its use."""
+    """The event loop as seen by one connection; the test completes each read, a step before it is used."""
 
     def __init__(self) -> None:
         self.loop, self.read, self.buffer = asyncio.get_running_loop(), None, None
 
     def sock_recv_into(self, _, buffer: memoryview) -> asyncio.Future:
-        """A read that the test ends."""
+        """Starts a read that the test completes."""
         self.read, self.buffer = self.loop.create_future(), buffer
         return self.read
 
     def sock_sendall(self, sock, data: bytes):
-        """As the loop does."""
+        """Sends like the real loop."""
         return self.loop.sock_sendall(sock, data)
 
     def come(self, data: bytes) -> None:
-        """Bytes have come: the read is over, and the task that waits for it has not gone on yet."""
+        """Completes the read; the task that awaits it has not resumed yet."""
         self.buffer[: len(data)] = data
         self.read.set_result(len(data))
 
@@ -50,7 +50,7 @@
     ],
 )
 def test_an_answer_in_the_step_in_which_its_watch_is_given_up_is_told_to_nobody(monkeypatch, came, then):
-    """Nor does the end of the old run end the new one: a watch would be lost for good."""
+    """Nor does the end of the old run end the new one, which would end the watch for good."""
     told: list = []
 
     async def run() -> None:
@@ -69,7 +69,7 @@
         await until(lambda: links and links[0].channel.loop.read)
         links[0].channel.loop.come(came)
         if then == "move":
-            watch.address = "127.0.0.1:1"  # so that it moves to where the stand-in is
+            watch.address = "127.0.0.1:1"  # so that `move` to the stand-in's address is a change
             watch.move(stand.address)
         else:
             watch.pause()
@@ -93,7 +93,7 @@
 
 
 def test_a_watch_begun_in_the_word_of_its_end_goes_on():
-    """The module may ask at once: the run that ends must not take the new one for itself."""
+    """The scheduler may request a new watch at once; the ending run must not clear the new task."""
 
     async def run(here: Crossing) -> None:
         told = here.gateway.watch.told
@@ -109,7 +109,7 @@
 
 
 def test_a_move_while_an_answer_is_half_read_leaves_that_answer_s_list_untold():
-    """What counted as told before it stays in force, until the new list says otherwise."""
+    """The previous list stays in force until the list from the new address arrives."""
 
     async def run(here: Crossing) -> None:
         late = body(57, UP.replace("$n0", here.parties["n0"].address))
@@ -149,7 +149,7 @@
 
 
 def test_a_move_to_the_same_address_changes_nothing():
-    """An answer on its way counts, and no second call is made."""
+    """The call in flight continues, and no second call is made."""
 
     async def run(here: Crossing) -> None:
         await here.play("d expect GET since=1")
@@ -161,7 +161,7 @@
 
 
 def test_an_answer_that_is_older_than_what_the_other_process_told_meanwhile_changes_nothing():
-    """Guards against going back: both ask, and the answer of this one may have been written earlier."""
+    """Both processes poll, so a response here may be older than a list from the other process."""
 
     async def run(here: Crossing) -> None:
         n0 = here.parties["n0"].address
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize("first", ["hup", "stop"])
 def test_a_reload_and_a_stop_in_one_step_serve_what_is_held_by_the_new_discovery_s_list(monkeypatch, first):
-    """Guards the clients and the drains: the watch goes on at the new address until the end."""
+    """The watch continues at the new address until the exit, so that drains are still applied."""
     monkeypatch.setattr(gateways, "STAY", 1.0)
 
     async def run(here: Crossing) -> None:
@@ -212,7 +212,7 @@
 
 
 def test_a_pushed_list_s_agent_is_asked_for_the_whole_list_after_a_move(monkeypatch):
-    """Pushed lists count 4 s after SIGHUP: the call goes out at once, and again after 0.2 s of silence."""
+    """The new agent's list must be in force 4 s after SIGHUP: it is called at once, and again after 0.2 s."""
     monkeypatch.setattr(discovery, "AGENT_WAIT", 0.1)
 
     async def run(here: Crossing) -> None:
@@ -231,7 +231,7 @@
 
 
 def test_a_watch_that_failed_before_a_move_is_begun_at_once_at_the_new_address():
-    """The repeat that is due finds a watch that goes on."""
+    """The pending retry finds a running watch."""
 
     async def run(here: Crossing) -> None:
         await here.play("d expect GET since=1\nd send 503")
--- a/tests/storage_gateway/server/test_crossings_upgrade.py
+++ b/tests/storage_gateway/server/test_crossings_upgrade.py
@@ -1,4 +1,4 @@
-"""An upgrade that meets SIGHUP, SIGTERM, a list or its sister's end within one step: forced, on sockets."""
+"""An upgrade with SIGHUP, SIGTERM, a list or the end of one process within the same step, on sockets."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 @pytest.fixture(autouse=True)
 def place(monkeypatch, tmp_path):
-    """A folder of the test's own to meet in."""
+    """A temporary folder for the hand-over socket."""
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
 
 
 @pytest.mark.parametrize("first", ["stop", "upgrade"])
 def test_a_stop_beside_an_upgrade_loses_nothing(monkeypatch, first):
-    """The old process ends after it has handed over its state, or before anybody asked: both serve on."""
+    """The old process is stopped just after its state is written, or before the new one connects."""
     monkeypatch.setattr(gateways, "STAY", 1.0)
 
     async def before(old: Crossing) -> None:
@@ -45,7 +45,7 @@
         await old.play("n0 send 200 body=held\nc1 expect 200 held")
         await until(old.task.done)
         if old.gateway.peer.link is not None:
-            old.gateway.peer.link.close()  # as its end would
+            old.gateway.peer.link.close()  # as the end of the process would
         await until(lambda: new.gateway.peer.link is None)
         assert old.task.result() is None and new.gateway.phase is Phase.SERVING
         assert new.gateway.pool.connection_limit == new.gateway.pool.configured_limit
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize("when", ["before", "after"])
 def test_a_reload_of_the_old_process_beside_its_state_moves_the_new_one_too(when):
-    """Guards the nodes of the old address: asked for changes since nothing, the new process kept them all."""
+    """Without a full list from the new address, the new process kept all nodes of the old address."""
 
     async def before(old: Crossing) -> None:
         legacy = old.gateway.peer.handover_state
@@ -65,9 +65,9 @@
             asyncio.get_running_loop().call_soon(old.hup, "e")
             return legacy()
 
-        if when == "after":  # in the step after the state is written
+        if when == "after":  # in the step after the state is built
             old.gateway.peer.handover_state = state
-        else:  # and in one before, with nothing heard at the new address yet
+        else:  # in an earlier step, with no list from the new address yet
             old.hup("e")
 
     async def run(old: Crossing, new: Crossing) -> None:
@@ -75,7 +75,7 @@
         await until(lambda: old.gateway.phase is Phase.HANDED_OVER and old.gateway.watch.paused)
         await until(lambda: new.gateway.watch.address == e.address)
         served = 0
-        while new.gateway.watch.revision != 3:  # the call of either, in whatever order they come
+        while new.gateway.watch.revision != 3:  # calls of both processes, in any order
             async with asyncio.timeout(PATIENCE):
                 message, e.writer = await e.came.get() or (None, None)
             if message and not e.writer.is_closing():
@@ -91,21 +91,21 @@
 
 
 def news(world: Crossing, where: str, revision: int, member: str, whole: bool = True) -> dict:
-    """A list as the other process tells of it, heard at some discovery."""
+    """A `list` message of the other process, with the address of a discovery server."""
     member = member.replace("$n0", world.parties["n0"].address)
     listing = read_listing(json.loads(body(revision, member, whole)))
     return write_listing(*listing) | {"discovery": world.parties[where].address}
 
 
 async def told(teller: Crossing, hearer: Crossing) -> None:
-    """All that the other has said so far has been heard: a word after it has."""
+    """Waits until all previous messages of `teller` were received, by sending a marker after them."""
     ids = len(hearer.gateway.peer.link.ids)
     teller.gateway.peer.link.send("taken", f"mark{ids}")
     await until(lambda: len(hearer.gateway.peer.link.ids) > ids)
 
 
 def test_a_late_list_of_the_address_left_undoes_nothing_at_the_new_one():
-    """In both directions, with revisions that are higher there, and lower, than those of the new address."""
+    """In both directions, with revisions lower and higher than those of the new address."""
 
     async def run(old: Crossing, new: Crossing) -> None:
         await until(lambda: old.gateway.watch.paused)
@@ -124,11 +124,11 @@
 
 
 def test_a_list_of_the_address_left_that_comes_before_the_new_one_s_does_not_hide_that():
-    """Guards the old process: it took the old numbering for the new one, and heard no list any more."""
+    """The old process took the old address's revision for one of the new address and ignored later lists."""
 
     async def run(old: Crossing, new: Crossing) -> None:
         await until(lambda: old.gateway.watch.paused)
-        new.gateway.peer.link.send("list", news(old, "d", 57, UP))  # on its way
+        new.gateway.peer.link.send("list", news(old, "d", 57, UP))  # in flight
         old.hup("e")
         await told(new, old)
         await first_list(new, 3)
@@ -139,13 +139,13 @@
 
 
 def test_reloads_of_both_processes_that_cross_end_at_one_address():
-    """Guards the old process's sight: left at another address, it would hear nothing of the new one's."""
+    """If the addresses differed, the old process would ignore the lists that the new one forwards."""
 
     async def run(old: Crossing, new: Crossing) -> None:
         await until(lambda: old.gateway.watch.paused)
         old.hup("e")
         new.hup("f")
-        for _ in range(3):  # all that is said about it is heard
+        for _ in range(3):  # all messages about it are received
             await told(old, new)
             await told(new, old)
         assert old.gateway.watch.address == new.gateway.watch.address
@@ -158,13 +158,13 @@
 
 
 def test_a_repeat_that_the_module_asks_for_begins_no_second_watch_after_the_handover():
-    """Guards discovery: a call had failed before it, so the old process watched on beside the new one."""
+    """After a failed call the pending retry made the old process watch beside the new one."""
 
     async def run(old: Crossing, new: Crossing) -> None:
         await until(lambda: old.gateway.watch.paused)
-        old.gateway.apply(Orders(watch_nodes=True))  # the repeat that was due
+        old.gateway.apply(Orders(watch_nodes=True))  # the pending retry
         assert old.gateway.watch.task is None
-        new.gateway.peer.link.close()  # gone: now nobody else watches
+        new.gateway.peer.link.close()  # the new process is gone, so the old one watches again
         await until(lambda: old.gateway.peer.link is None)
         assert old.gateway.watch.task is not None
 
@@ -176,7 +176,7 @@
     async def run(old: Crossing, new: Crossing) -> None:
         await until(lambda: old.gateway.phase is Phase.HANDED_OVER)
         stays, goes = (old, new) if left == "old" else (new, old)
-        client = "c1" if left == "old" else "c8"  # c1's connection is the old process's
+        client = "c1" if left == "old" else "c8"  # c1 is connected to the old process
         name = f"{0xabc:016x}"
         await stays.play(f"{client} send read id={name}\nn0 expect GET")
         await until(lambda: name in goes.gateway.peer.link.ids)
@@ -193,7 +193,7 @@
 
 
 def test_a_state_too_large_to_be_told_leaves_no_half_upgrade_behind(monkeypatch):
-    """Guards the next upgrade: the line to the new process was given up before its tasks had begun."""
+    """The link was closed before its tasks had begun and never cleaned up, which blocked later upgrades."""
     whole = handover.MAX_MESSAGE_BYTES
 
     async def run() -> None:
--- a/tests/storage_gateway/server/test_descriptors.py
+++ b/tests/storage_gateway/server/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients fill all that is theirs: discovery, nodes and the listeners still find a descriptor."""
+"""Idle clients use all client descriptors: discovery, nodes and listeners must still get theirs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from mallowbeam.storage_gateway.server import config as configs
 from mallowbeam.storage_gateway.server.config import FRONT_SOCKETS, LEAST_SOCKETS, OWN_SOCKETS
 
-MOMENTS = 3  # a second call to discovery at a move, another process, a file that is read
+MOMENTS = 3  # short-lived descriptors: a second discovery call, the other process, a file being read
 READ = (
     b"GET /read/00000000000000aa/0000000000000001 HTTP/1.1\r\nhost: x\r\n"
     b"x-request-id: 0000000000000001\r\nx-class: read\r\nx-storage-class: silver\r\n"
@@ -26,18 +26,18 @@
 
 
 def count(pid: int) -> int:
-    """Descriptors that a process holds."""
+    """The number of descriptors that a process has open."""
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
 def share(most: int) -> int:
-    """Of so many descriptors, those that are for connections to nodes, with no operators' door."""
+    """How many of `most` descriptors are for connections to nodes, without an admin endpoint."""
     return int((most - OWN_SOCKETS) * configs.NODE_SHARE)
 
 
 @contextmanager
 def discovery() -> Iterator[socket.socket]:
-    """Discovery that is down: its address is taken, and nobody listens there until the test does."""
+    """A discovery server that is down: a bound socket on which the test listens later."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         sock.settimeout(PATIENCE)
@@ -49,7 +49,7 @@
 
 
 def answer(sock: socket.socket, status: bytes, body: bytes) -> bytes:
-    """Answer the next request on a connection; its start line."""
+    """Answers the next request on a connection and returns its request line."""
     sock.settimeout(PATIENCE)
     head = b""
     while b"\r\n\r\n" not in head:
@@ -59,7 +59,7 @@
 
 
 def test_idle_clients_leave_room_for_discovery_s_return_and_for_nodes(tmp_path: Path) -> None:
-    """The machine allows fewer descriptors than the configuration says, and clients fill what they can."""
+    """The process's limit is below the configured one, and clients use all descriptors they can get."""
     files = 100
     node = socket.create_server(("127.0.0.1", 0))
     member = json.loads((EXAMPLE / "config.json").read_text())["known"]["members"][0]
@@ -74,15 +74,15 @@
         program(tmp_path, {"discovery": address(down)}, files) as (process, at),
         ExitStack() as crowd,
     ):
-        for _ in range(files + 20):  # each rests after an answer, for as long as it may
+        for _ in range(files + 20):  # each stays idle after its response
             assert healthy(crowd.enter_context(connect(at)))
             assert count(process.pid) <= files - share(files) - MOMENTS
         full = count(process.pid)
-        assert full > files // 2  # the crowd is there
+        assert full > files // 2  # the idle clients are connected
         down.listen()
         with down.accept()[0] as call:
             assert answer(call, b"200 OK", json.dumps(listing).encode()).startswith(b"GET /v1/servers")
-            while b"since=9" not in call.recv(4096):  # the list is taken, and the watch goes on
+            while b"since=9" not in call.recv(4096):  # the list is applied, and the watch continues
                 pass
             with connect(at) as client:
                 client.sendall(READ)
@@ -95,7 +95,7 @@
 
 
 def test_with_every_front_on_and_full_the_limit_is_kept(tmp_path: Path) -> None:
-    """Each further listener is counted, and the one more that it holds while it lets another go."""
+    """Each further listener counts, with the connection that it accepts while evicting another."""
     files, doors = 128, {name: free_port() for name in ("objects", "health", "agent_check")}
     fronts = json.loads((EXAMPLE / "fronts.json").read_text())
     for name, port in doors.items():
@@ -110,7 +110,7 @@
             for port in (at[1], doors["objects"], doors["health"]):
                 sock = crowd.enter_context(connect(("127.0.0.1", port)))
                 sock.settimeout(PATIENCE)
-                sock.sendall(b"PATCH /x HTTP/1.1\r\nhost: x\r\n\r\n")  # nowhere anything: a rest follows
+                sock.sendall(b"PATCH /x HTTP/1.1\r\nhost: x\r\n\r\n")  # an error, then idle, on each front
                 assert sock.recv(4096).startswith(b"HTTP/1.1 4")
             assert count(process.pid) <= files - share(files) - MOMENTS
         process.terminate()
@@ -137,7 +137,7 @@
 
 
 def test_discovery_s_call_waits_for_nobody_where_descriptors_are_short(tmp_path: Path) -> None:
-    """Nodes that stand still fill their own share and no more: discovery is asked again and again."""
+    """Connections to hung nodes use only the nodes' share; discovery calls are still retried."""
     stand = socket.create_server(("127.0.0.1", 0), backlog=512)
     member = json.loads((EXAMPLE / "config.json").read_text())["known"]["members"][0]
     known = {
@@ -147,7 +147,7 @@
     }
     calls: list[bytes] = []
 
-    def down() -> None:  # it is there, and turns each call away
+    def down() -> None:  # discovery is up, and rejects each call
         while True:
             try:
                 with here.accept()[0] as call:
--- a/tests/storage_gateway/server/test_faults.py
+++ b/tests/storage_gateway/server/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults of our own, on loopback sockets: each costs what it touches, and nothing beside it."""
+"""Unexpected errors in the gateway itself, on loopback sockets: each affects only its own request or part."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def once(real: Callable) -> Callable:
-    """What fails the first time, and from then on does as it should."""
+    """Wraps a function so that its first call fails."""
     faults = iter([RuntimeError("once")])
 
     def faulty(*args: object, **named: object) -> object:
@@ -26,13 +26,13 @@
 
 
 class Part:
-    """A part that fails where it is told to."""
+    """A subsystem that fails in the named methods."""
 
     def __init__(self, *fails: str) -> None:
         self.fails, self.called = fails, []
 
     def start(self) -> None:
-        """Nothing to do."""
+        """Does nothing."""
 
     async def hand_over(self) -> None:
         await self._call("hand_over")
@@ -48,7 +48,7 @@
 
 
 def test_an_attempt_whose_pool_fails_was_never_sent():
-    """Guards writes: told as perhaps run, one that can't be repeated failed although no node ever had it."""
+    """Reported as possibly executed, a write without a key failed although no node ever received it."""
 
     async def run() -> None:
         async with World() as world:
@@ -98,7 +98,7 @@
             async with asyncio.timeout(5):
                 await asyncio.gather(first.task)
             assert world.gateway.servers[-1].connections == {second}
-            second.waiting_since -= 60.0  # idle for long
+            second.waiting_since -= 60.0  # idle beyond the limit
             await world.play("c1 expect end\nc2 expect end")
 
     uvloop.run(run())
--- a/tests/storage_gateway/server/test_handover.py
+++ b/tests/storage_gateway/server/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one gateway: the handover, and what counts for both."""
+"""The hand-over between two processes of one gateway, and the state that they share."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 
 @pytest.fixture(autouse=True)
 def place(monkeypatch, tmp_path):
-    """A folder of the test's own, and of a path too long for a Unix socket's address."""
+    """A temporary folder whose path is too long for a Unix socket address."""
     folder = tmp_path / ("long" * 40)
     folder.mkdir()
     monkeypatch.setattr(tempfile, "tempdir", str(folder))
 
 
 async def until(condition) -> None:
-    """Wait for what must come."""
+    """Waits until a condition holds; fails after PATIENCE."""
     async with asyncio.timeout(PATIENCE):
         while not condition():
             await asyncio.sleep(0)
 
 
 def upgrade(before: str, after: str, check=None, **world: object) -> None:
-    """Play one scenario with the old process, and one with the new while the old one still runs."""
+    """Plays one scenario with the old gateway, then one with the new gateway while the old one still runs."""
 
     async def run() -> None:
         async with World(meet=True, **world) as old:
@@ -55,7 +55,7 @@
 
 
 def test_the_new_process_takes_what_comes_and_the_old_one_ends_with_its_last_answer():
-    """Guards the clients: none is closed on, an idle connection has one more request, then a close."""
+    """No client finds its connection closed early: an idle one gets one more response, with a close."""
 
     async def ended(old: World, new: World) -> None:
         await until(old.task.done)
@@ -89,12 +89,12 @@
 
 
 def test_what_waits_in_the_backlog_is_taken_by_the_new_process():
-    """Guards requests at the door: a listener that is closed resets what it has not accepted."""
+    """A listening socket that is closed resets the connections it has not accepted."""
 
     async def run() -> None:
         async with World(meet=True) as old:
             server = old.gateway.servers[-1]
-            server.acceptor.cancel()  # a busy old process: it gets round to nobody
+            server.acceptor.cancel()  # as in a busy old process that accepts nothing
             await asyncio.sleep(0)
             await old.play("c1 send GET /healthz")
             async with World(before=old) as new:
@@ -105,7 +105,7 @@
 
 
 def test_bans_lists_and_discovery_s_address_are_in_hand_before_the_yes():
-    """Guards the rules on drains: a new process's configuration is older than what the old one knows."""
+    """The configuration of the new process is older than the node list of the old one."""
     changed = (
         '{"revision":7,"complete":false,"members":[{"id":"n0","host_port":"$n0","cell":0,'
         '"phase":"draining"}]}'
@@ -113,7 +113,7 @@
 
     async def check(old: World, new: World) -> None:
         assert new.gateway.scheduler.accepts_work("n2") and not new.gateway.scheduler.accepts_work("n0")
-        await until(lambda: old.gateway.watch.task is None)  # one watch is enough
+        await until(lambda: old.gateway.watch.task is None)  # the new process watches for both
         new.gateway.by_hand("n2", True)
         old.gateway.by_hand("n1", False)
         await until(
@@ -141,7 +141,7 @@
 
 
 def test_limit_stores_cold_units_and_ids_count_for_both():
-    """Guards the rules: two processes with a store each would let twice the limit through."""
+    """Two processes with separate rate limits would admit twice the limit."""
 
     async def check(old: World, new: World) -> None:
         assert new.gateway.has_id("00000000000000ff") and old.gateway.has_id("00000000000000ee")
@@ -183,9 +183,7 @@
 
     async def check(old: World, new: World) -> None:
         await until(lambda: not old.gateway.scheduler.accepts_work("n0"))
-        old.gateway.peer.listing_from_peer(
-            old.gateway.config.known
-        )  # older than what is known: changes nothing
+        old.gateway.peer.listing_from_peer(old.gateway.config.known)  # an older list changes nothing
         assert not old.gateway.scheduler.accepts_work("n0")
 
     upgrade(
@@ -216,7 +214,7 @@
             assert world.gateway.pool.budget.limit == world.gateway.pool.budget.configured_limit // 2
         old.gateway.stop()
         await until(old.task.done)
-        old.gateway.peer.link.close()  # as its end would
+        old.gateway.peer.link.close()  # as the end of the process would
         await until(lambda: new.gateway.peer.link is None)
         assert new.gateway.pool.connection_limit == new.gateway.pool.configured_limit
         assert new.gateway.servers[-1].connection_limit == new.gateway.servers[-1].configured_limit
@@ -225,7 +223,7 @@
 
 
 def speak(old: socket.socket, says: bytes) -> None:
-    """Say something to the first that comes, who may have gone by then."""
+    """Sends bytes to the first process that connects, which may have closed by then."""
 
     def run() -> None:
         with old.accept()[0] as sock, suppress(OSError):
@@ -235,7 +233,7 @@
 
 
 def test_another_user_s_process_is_not_taken_over_from(monkeypatch):
-    """Guards a folder that others can write to."""
+    """$TMPDIR may be writable by other users."""
     config = configs.decode(json.loads((EXAMPLE / "config.json").read_text()), {})
     with handover.rendezvous_path(config) as path, socket.socket(socket.AF_UNIX) as old:
         old.bind(path)
@@ -256,10 +254,10 @@
 def test_an_old_process_that_hands_over_nothing_holds_up_no_start(monkeypatch, says):
     monkeypatch.setattr(handover, "HANDOVER_TIMEOUT", 0.1)
     config = configs.decode(json.loads((EXAMPLE / "config.json").read_text()), {})
-    assert handover.take_over(config) is None  # nobody there
+    assert handover.take_over(config) is None  # no other process
     with handover.rendezvous_path(config) as path, socket.socket(socket.AF_UNIX) as old:
         old.bind(path)
-        assert handover.take_over(config) is None  # a stale file
+        assert handover.take_over(config) is None  # a stale socket file
         old.listen(1)
         if says:
             speak(old, says)
@@ -268,9 +266,9 @@
 
 @pytest.mark.parametrize("meet", [True, False])
 def test_a_second_start_takes_over_from_the_first(tmp_path, monkeypatch, meet):
-    """The programs as the platform starts them: same addresses, a second address of each one's own.
+    """The programs as the platform starts them: one client address, and an admin address each.
 
-    Where they can't meet they share the clients' address.
+    Without a hand-over socket they share the client address.
     """
     monkeypatch.setenv("TMPDIR", tempfile.gettempdir())
     doors, listen = [f"127.0.0.1:{free_port()}" for _ in range(2)], f"127.0.0.1:{free_port()}"
@@ -289,7 +287,7 @@
                     assert urllib.request.urlopen(f"http://{doors[1]}/_ready", timeout=PATIENCE).status == 200
                     break
                 except urllib.error.HTTPError as error:
-                    assert error.code == 503  # not before it takes clients
+                    assert error.code == 503  # until it serves clients
             first.send_signal(signal.SIGTERM)
             assert first.wait(PATIENCE) == 0
             with connect(address) as late:
@@ -302,7 +300,7 @@
 
 
 def test_a_second_process_with_the_same_door_for_operators_does_not_start(tmp_path, monkeypatch):
-    """Guards the operators: calls meant for one process would reach the other, now and then."""
+    """Requests of operators for one process would sometimes reach the other."""
     monkeypatch.setenv("BALANCER_ADMIN_ADDR", f"127.0.0.1:{free_port()}")
     with program(tmp_path, {}) as (_, address):
         connect(address).close()
--- a/tests/storage_gateway/server/test_links.py
+++ b/tests/storage_gateway/server/test_links.py
@@ -1,4 +1,4 @@
-"""Connections to nodes: what comes on them too late, half, or not at all, and how many there are."""
+"""Connections to nodes: late, partial or missing responses, and the connection count of the pool."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def played(scenario: str, *later: str, rest: float = -1.0, monkeypatch=None, check=None) -> None:
-    """Play scenarios in turn, with connections that rest so long; `check` looks at the gateway at the end."""
+    """Plays scenarios in turn, with `rest` as the pool's rest time; `check` is called at the end."""
     if monkeypatch is not None:
         monkeypatch.setattr(upstream, "REST", rest)
 
@@ -34,13 +34,13 @@
 
 
 def same_connection(world: World) -> bool:
-    """Whether one connection to the node was enough."""
+    """Whether all requests used one connection to the node."""
     return world.gateway.pool.count == 1
 
 
 @pytest.mark.parametrize("rests", [True, False])
 def test_a_connection_rests_after_an_answer_before_the_next_request(monkeypatch, rests):
-    """Guards an answer's owner: a second answer some milliseconds late is read by nobody."""
+    """A stray second response, some milliseconds late, must not be read as the next request's response."""
     played(
         """
         c1 send read
@@ -74,7 +74,7 @@
     "stray", ["x", "HTTP/1.1 2", *(f"{HEAD}content-length: 5\\r\\n\\r\\n{body}" for body in ("str", "stray"))]
 )
 def test_what_comes_between_the_connection_s_choice_and_the_write_is_nobody_s_answer(monkeypatch, stray):
-    """The crossing is forced: the node's bytes come once the connection is taken, before the first byte."""
+    """The race is forced: stray bytes arrive after the connection is chosen and before the first write."""
     monkeypatch.setattr(upstream, "REST", -1.0)
 
     async def run() -> None:
@@ -99,10 +99,10 @@
 
 @pytest.mark.parametrize("body", ["half", "half" * 20000], ids=["held", "passed on"])
 def test_a_body_without_length_that_is_reset_has_no_end(body):
-    """Guards the client: a reset is no end of a body that only the close marks."""
+    """A body without a length ends with an orderly close; a reset must not count as its end."""
 
     async def run() -> None:
-        patient = {"new-write": {"OnTime": 30.0, "HardLimit": 60.0}}  # no time of its own ends it
+        patient = {"new-write": {"OnTime": 30.0, "HardLimit": 60.0}}  # so that no deadline ends it
         async with World(Classes=patient) as world:
             await world.play(f"""
                 c1 send write deadline=60000
@@ -111,7 +111,7 @@
             """)
             node = world.parties["n0"].writer
             await node.drain()
-            if len(body) > 65536:  # it is being passed on
+            if len(body) > 65536:  # it is being streamed
                 async with asyncio.timeout(5):
                     while world.gateway.exchanges:
                         await asyncio.sleep(0)
@@ -138,7 +138,7 @@
     )
 
 
-# --- how many there are ----------------------------------------------------------------------------------
+# --- the connection count --------------------------------------------------------------------------------
 
 
 def pool(most: int = 2) -> Pool:
@@ -151,7 +151,7 @@
 
 @pytest.mark.parametrize("what", ["cancel", "timeout", "forget", "refused", "malformed"])
 def test_the_count_is_right_whatever_strikes_while_a_connection_comes_up(monkeypatch, what):
-    """The blow falls in the step in which the connection is up and the task that waits has not gone on."""
+    """The event occurs in the step in which the connection is open but its task has not resumed yet."""
 
     async def run() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -183,7 +183,7 @@
                 links.drop(task.result())
             elif what in ("refused", "malformed"):
                 assert isinstance(task.exception(), RequestNotSentError)
-            elif not task.cancelled():  # it was up already: then it is handed over whole
+            elif not task.cancelled():  # the connection was open already, and is returned
                 links.drop(task.result())
             assert links.count == 0 and not any(links.idle.values())
             if what in ("cancel", "timeout", "forget"):
@@ -210,7 +210,7 @@
 
 
 def test_a_connection_never_used_needs_no_rest(monkeypatch):
-    """What came up for an attempt that may not begin any more serves the next one at once."""
+    """A connection opened for an attempt that could not begin any more is used for the next one at once."""
     monkeypatch.setattr(upstream, "REST", 1e6)
 
     async def run() -> None:
--- a/tests/storage_gateway/server/test_lists_bad.py
+++ b/tests/storage_gateway/server/test_lists_bad.py
@@ -1,4 +1,4 @@
-"""Lists that can't be read: refused whole, with one plain line, and asked for again; what was known stays."""
+"""Invalid lists: rejected as a whole with one log line and requested again; the previous list stays."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     "up_since_ms": 0,
 }
 GOOD = {"revision": 2, "complete": True, "members": [MEMBER]}
-GONE = object()  # a field that is missing
+GONE = object()  # marks a missing field
 
 WRONG_TOP = (
     [("revision", value) for value in (GONE, "2", None, True, 2.5, -1, 10**30, [])]
@@ -128,7 +128,7 @@
 
 
 def test_good_lists_are_read_in_every_form_that_the_page_allows():
-    """Fields beyond those named, whole numbers or decimals, names, IPv6, no address where none counts."""
+    """Extra fields, integers and decimals, host names, IPv6, and no address for nodes that are not up."""
     fine = [
         MEMBER | {"up_since_ms": 1.5e12, "size": 1, "more": [{}]},
         MEMBER | {"host_port": "[::1]:80"},
@@ -145,7 +145,7 @@
 
 
 def test_the_last_word_on_a_node_counts_in_a_list_of_changes():
-    """Changes are told in their order; a node that drains in the end has no address to send to."""
+    """Changes are listed in order; a node that drains in the last one has no address."""
     up, drains = MEMBER, MEMBER | {"phase": "draining"}
     for order, open_now in (([up, drains], False), ([drains, up], True)):
         listing = read_listing({"revision": 3, "complete": False, "members": order})
@@ -185,13 +185,13 @@
 
 
 def soon(monkeypatch) -> None:
-    """Failed calls are repeated within a few milliseconds."""
+    """Makes the scheduler retry failed calls within a few milliseconds."""
     monkeypatch.setattr(node_health, "WATCH_RETRY_S", 0.005)
     monkeypatch.setattr(node_health, "MAX_WATCH_RETRY_S", 0.005)
 
 
 def test_bad_lists_are_failed_calls_and_the_list_known_before_stays_whole(monkeypatch):
-    """Over sockets, one after the other: asked again each time, one warning, no trace, and it serves."""
+    """Over sockets: each list is requested again, with one warning, no traceback, and the gateway serves."""
     soon(monkeypatch)
     monkeypatch.setattr(reporting, "WARNING_INTERVAL_S", 1e9)
     lines: list[str] = []
@@ -236,7 +236,7 @@
     ],
 )
 def test_an_answer_for_the_whole_list_that_is_none_is_a_failed_call(monkeypatch, answer):
-    """Among them: changes alone, where the whole list was asked for."""
+    """Among them: only changes, although the full list was requested."""
     soon(monkeypatch)
 
     async def run() -> None:
@@ -256,7 +256,7 @@
 
 
 def test_a_discovery_that_counts_anew_is_asked_for_the_whole_list():
-    """Guards the nodes that changes alone leave out, where a restarted discovery begins anew."""
+    """After a restart of discovery, changes alone would leave out nodes."""
     play(r"""
         d expect GET since=1
         d send 200 'body={"revision":50,"complete":true,"members":[{"id":"n0","cell":0,"phase":"draining"}]}'
@@ -299,7 +299,7 @@
 
 
 def test_a_list_of_twenty_thousand_nodes_fits_the_bound_and_one_byte_beyond_it_is_not_read(monkeypatch):
-    """Guards memory, and the loop: what is decoded at once has a bound."""
+    """The size limit bounds memory and the time for which decoding blocks the event loop."""
     members = [{"id": f"n{n}", "phase": "draining"} for n in range(20_000)]
     body = json.dumps(GOOD | {"members": members})
     assert len(body) < discovery.MAX_LIST and len(decode_listing(body.encode()).entries) == 20_000
--- a/tests/storage_gateway/server/test_nodes_listed.py
+++ b/tests/storage_gateway/server/test_nodes_listed.py
@@ -1,4 +1,4 @@
-"""The list of nodes, on loopback sockets: the watch on discovery, and nodes that drain or are gone."""
+"""The list of nodes, on loopback sockets: the watch on discovery, and nodes that drain or are removed."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def test_a_node_that_drains_while_a_connection_comes_up_gets_nothing():
-    """Guards the rule on draining where connecting takes longer than the grace."""
+    """The rule on draining holds even if connecting takes longer than the grace period."""
 
     async def run() -> None:
         async with World() as world:
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("pushed", [False, True])
 def test_a_fault_with_one_list_ends_neither_the_watch_nor_the_sight_of_what_that_list_told(pushed):
-    """Guards the drain in it: gone on from its revision, the watch never told of that again."""
+    """Continuing from the failed list's revision, the watch never received the drain in it again."""
     whole = '{"revision":2,"complete":true,"members":[{"id":"n0","cell":0,"phase":"draining"}]}'
 
     async def run() -> None:
--- a/tests/storage_gateway/server/test_phases.py
+++ b/tests/storage_gateway/server/test_phases.py
@@ -1,4 +1,4 @@
-"""The program's phases, on loopback sockets: the planned stop, and what balancers are told meanwhile."""
+"""The phases of the gateway, on loopback sockets: graceful shutdown, and health checks meanwhile."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 def knock(address: tuple[str, int], data: bytes) -> socket.socket:
-    """A connection with its request, made without a step of the loop: it lies in the accept queue."""
+    """Connects and sends a request without yielding to the event loop, so it stays in the accept queue."""
     sock = socket.create_connection(address, timeout=PATIENCE)
     sock.sendall(data)
     return sock
 
 
 def at(monkeypatch, phase: Phase, hook) -> None:
-    """Call a hook in the very step in which a gateway enters a phase."""
+    """Calls a hook in the same step in which a gateway enters a phase."""
     enter = Gateway._enter
 
     def entered(self: Gateway, to: Phase) -> None:
@@ -41,7 +41,7 @@
 
 
 def test_told_to_stop_it_serves_on_for_clients_that_keep_their_connection():
-    """Guards them: closed at once, they found their gateway gone for as long as a restart takes."""
+    """When closed at once, clients were without a gateway for as long as a restart takes."""
     play("""
         c1 send GET /healthz
         c1 expect 200
@@ -84,7 +84,7 @@
 
 
 def test_what_comes_while_leaving_has_only_the_time_that_is_left(monkeypatch):
-    """Guards the one final answer: SIGKILL follows, and what it finds unanswered is lost."""
+    """SIGKILL follows, and requests without a response by then are lost."""
     monkeypatch.setattr(gateway, "STAY", 1.0)
     monkeypatch.setattr(gateway, "LEAVE", 0.1)
 
@@ -110,7 +110,7 @@
 
 
 def test_what_comes_as_the_doors_are_shut_is_answered(monkeypatch):
-    """The crossing: they lie in the accept queues of both doors in the step in which draining begins."""
+    """Race: the requests are in the accept queues of both listeners in the step in which draining begins."""
     monkeypatch.setattr(gateway, "STAY", 0.0)
     monkeypatch.setattr(gateway, "LAME_DUCK", 0.02)
 
@@ -126,7 +126,7 @@
             )
             await world.play("g close\ng expect end")
             assert len(socks) == 25
-            for sock in socks:  # all is out by the gateway's end
+            for sock in socks:  # all responses were sent before the gateway ended
                 sock.setblocking(False)
                 with sock:
                     assert re.match(rb"HTTP/1.1 [45]", sock.recv(4096))
@@ -135,7 +135,7 @@
 
 
 def test_an_operators_call_in_the_last_moment_is_answered(monkeypatch):
-    """The crossing: it lies in the door's accept queue as the last part has stopped."""
+    """Race: the request is in the admin endpoint's accept queue when the last subsystem has stopped."""
     monkeypatch.setattr(gateway, "STAY", 0.0)
     monkeypatch.setattr(gateway, "LAME_DUCK", 0.02)
 
@@ -168,7 +168,7 @@
 
 
 def test_told_to_stop_before_it_is_ready_and_again_it_never_is_and_ends(monkeypatch):
-    """The crossing: SIGTERM, twice, before the first listener; who comes is told to go elsewhere."""
+    """Race: SIGTERM, twice, before the first listener starts; clients get 503."""
     monkeypatch.setattr(gateway, "STAY", 0.0)
 
     async def run() -> None:
@@ -206,7 +206,7 @@
 
 
 def test_told_to_stop_while_it_hands_over_it_leaves_in_its_time(monkeypatch, tmp_path):
-    """The crossing: SIGTERM with a request held, after the next process has said yes."""
+    """Race: SIGTERM with a pending request, after the next process has confirmed the hand-over."""
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
     monkeypatch.setattr(gateway, "STAY", 1.0)
 
@@ -220,14 +220,14 @@
                 async with asyncio.timeout(PATIENCE):
                     while old.gateway.leave_at > old.gateway.now() + gateway.STAY:
                         await asyncio.sleep(0)
-                await new.play("n0 send 200 body=held\nc1 expect '200|503'")  # it may have waited too long
+                await new.play("n0 send 200 body=held\nc1 expect '200|503'")  # 503 if it waited too long
                 await old.play("g expect end")
 
     uvloop.run(run())
 
 
 def test_a_door_of_a_front_that_is_off_now_is_closed():
-    """Guards who knocks there: a listener that was handed over and that nobody serves lets them wait."""
+    """Clients of a handed-over listener that is not served would wait in its accept queue."""
 
     async def run() -> None:
         world = World()
@@ -264,7 +264,7 @@
 
 
 def test_the_agent_line_follows_the_phase_and_the_nodes():
-    """HAProxy reads one line up to its end: ready with a weight, down without nodes, drain when leaving."""
+    """HAProxy reads one line: ready with a weight, down without nodes, drain during the shutdown."""
 
     async def run() -> list[str]:
         lines = []
--- a/tests/storage_gateway/server/test_program.py
+++ b/tests/storage_gateway/server/test_program.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: configuration, signals, descriptors."""
+"""The gateway process as the platform starts it: configuration, signals, descriptors."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     with program(tmp_path, {}) as (process, address), connect(address) as sock:
         assert healthy(sock)
         process.send_signal(signal.SIGTERM)
-        with connect(address) as late:  # new connections are still taken for a while
+        with connect(address) as late:  # new connections are still accepted for a while
             late.sendall(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n")
             assert late.recv(4096).startswith(b"HTTP/1.1 503")
         assert process.wait(PATIENCE) == 0
@@ -64,13 +64,13 @@
 
 
 def test_a_start_waits_for_no_answer_of_discovery():
-    """Guards the return of many at once: it turns them all away, and each is ready from its own list."""
+    """When many gateways start at once discovery rejects them all; each serves from its configured list."""
     (first,) = starts.run(count=1, hosts=3)
     assert first.ready_s < starts.PATIENCE and first.cpu_s > 0 and first.peak_kb > 0
 
 
 def test_a_start_loads_only_what_is_on():
-    """Guards the return of many at once: each second without a gateway loses its requests."""
+    """Requests are lost for as long as a start takes, so it must not import what is off."""
     run = subprocess.run(
         [
             sys.executable,
@@ -94,7 +94,7 @@
 
 
 def test_descriptors_running_out_crash_nothing(tmp_path):
-    """A limit that falls under what it went by at its start: accepting pauses, held connections go on."""
+    """The limit is lowered after the start: accepting pauses, and open connections continue."""
     with program(tmp_path, {}) as (process, address):
         with connect(address) as first:
             assert healthy(first)
@@ -109,12 +109,12 @@
                 assert healthy(late)
         assert process.poll() is None
         process.terminate()
-        # Guards the log: many refused sockets are one line now and then.
+        # The warning is rate-limited.
         assert process.communicate(timeout=PATIENCE)[1].count("cannot accept") <= 1
 
 
 def test_the_limit_on_sockets_is_kept(tmp_path):
-    """Guards against a gateway that is ended for one descriptor too many, as with 64 it once was."""
+    """With a limit of 64 the gateway was once killed for opening one descriptor too many."""
     with program(tmp_path, {"limits": {"sockets": 64}}) as (process, address):
         crowd = []
         for _ in range(80):
@@ -137,7 +137,7 @@
 
 
 def test_sighup_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path):
-    """Guards against the signal's default action, which ends the program with all that it holds."""
+    """The default action of SIGHUP would kill the process and its pending requests."""
     old, new = socket.create_server(("127.0.0.1", 0)), socket.create_server(("127.0.0.1", 0))
     addresses = ["{}:{}".format(*s.getsockname()) for s in (old, new)]
     with old, new, program(tmp_path, {"discovery": addresses[0]}) as (process, address):
@@ -149,14 +149,14 @@
             for text in ("{", json.dumps(good | {"discovery": "nowhere"})):
                 path.write_text(text)
                 process.send_signal(signal.SIGHUP)
-                while "reload: old values stay" not in process.stderr.readline():
+                while "reload failed, keeping the old values" not in process.stderr.readline():
                     assert process.poll() is None
             path.write_text(json.dumps(good | {"discovery": addresses[1]}))
             process.send_signal(signal.SIGHUP)
             new.settimeout(PATIENCE)
             with new.accept()[0] as moved:
                 assert moved.recv(4096).startswith(b"GET /v1/servers HTTP/1.1")
-                assert watch.recv(4096) == b""  # the call in flight is given up
+                assert watch.recv(4096) == b""  # the call in flight is cancelled
                 assert healthy(sock)
                 process.send_signal(signal.SIGTERM)
                 assert process.wait(PATIENCE) == 0
@@ -164,7 +164,10 @@
 
 @contextmanager
 def starting(tmp_path: Path, raw: dict) -> Iterator:
-    """The program, held in the middle of its start: it waits for its file until the last is called."""
+    """Runs the program and blocks its start in reading the configuration.
+
+    Yields the process, the path of the configuration, and a function that lets the start continue.
+    """
     path = tmp_path / "config.json"
     os.mkfifo(path)
     process = subprocess.Popen(
@@ -175,7 +178,7 @@
     )
     watchdog = threading.Timer(PATIENCE, process.kill)
     watchdog.start()
-    file = open(path, "w")  # it has come so far
+    file = open(path, "w")  # returns once the program opens the file
     try:
         yield process, path, lambda: (file.write(json.dumps(raw)), file.close())
     finally:
@@ -185,7 +188,7 @@
 
 
 def test_a_sighup_in_the_middle_of_the_start_is_not_lost(tmp_path):
-    """The crossing: the file that says where discovery is now replaces one that is being read."""
+    """Race: the configuration file is replaced while the old one is being read."""
     old, new = socket.create_server(("127.0.0.1", 0)), socket.create_server(("127.0.0.1", 0))
     raws = [
         json.loads((EXAMPLE / "config.json").read_text())
@@ -203,7 +206,7 @@
 
 
 def test_a_sighup_while_the_program_is_loaded_does_not_end_it():
-    """The crossing: it comes with the first import of the gateway's own files."""
+    """Race: the signal arrives at the first import of the gateway's modules."""
     code = (
         "import os, runpy, signal, sys\n"
         "class Crossing:\n"
@@ -219,7 +222,7 @@
 
 
 def test_a_sigterm_in_the_middle_of_the_start_ends_it_at_once(tmp_path):
-    """Nothing was taken, and nothing is owed: it never listens."""
+    """It has accepted nothing yet, so it exits without listening."""
     raw = json.loads((EXAMPLE / "config.json").read_text()) | {"listen": f"127.0.0.1:{free_port()}"}
     with starting(tmp_path, raw) as (process, _, go_on):
         process.send_signal(signal.SIGTERM)
--- a/tests/storage_gateway/server/test_watch.py
+++ b/tests/storage_gateway/server/test_watch.py
@@ -1,4 +1,4 @@
-"""Watches that fall silent: told apart from refusals, asked anew at once, not by all hosts in one moment."""
+"""Watches that time out: retried at once, unlike rejected ones, but not by all gateways in one moment."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from mallowbeam.storage_gateway.scheduler.node_health import MAX_WATCH_RETRY_S
 from mallowbeam.storage_gateway.server import discovery
 
-COUNTS = 6.0  # seconds after silence by which what was missed counts as told
-GRANTED = 0.25  # seconds that a drain may be missed by
+COUNTS = 6.0  # seconds after a silent break within which the gateway must have the missed list
+GRANTED = 0.25  # seconds within which a drain must take effect
 
 
 def test_a_silent_watch_is_asked_anew_at_once_and_a_refused_one_within_a_draw_over_the_whole_time():
-    """Guards drains: backed off as for a refusal, 200 hosts asked after the drain had counted as told."""
+    """With the backoff of a rejected call, 200 hosts retried too late to learn of a drain in time."""
     drawn = []
     for seed in range(200):
         rig = Rig(discovery_on_request=True, max_list_age=10.0, hosts=200, seed=seed)
@@ -37,7 +37,7 @@
 
 
 def test_silence_upon_silence_backs_off_and_a_list_ends_it():
-    """Guards a discovery that is down without a word: hosts would ask as fast as each call falls silent."""
+    """With a discovery that never responds, hosts would otherwise retry as fast as each call times out."""
     rig = Rig(discovery_on_request=True, max_list_age=10.0, hosts=200)
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
     ask(rig)
@@ -50,9 +50,9 @@
 
 @pytest.mark.parametrize("kind", [DiscoveryUpdateKind.TIMED_OUT, DiscoveryUpdateKind.FAILED])
 def test_a_hosts_own_agent_is_asked_again_within_what_a_drain_grants(kind):
-    """Guards drains where lists are pushed: what the agent gets at its return counts from that moment."""
+    """With pushed lists, a drain must take effect from the moment the agent receives it after an outage."""
     rig = Rig(hosts=200)
-    for _ in range(500):  # however long it is silent
+    for _ in range(500):  # however long the outage is
         rig.step(DiscoveryUpdate(kind))
         assert ask(rig) + discovery.AGENT_RETRY + discovery.AGENT_OVERDUE <= GRANTED + 1e-9
 
@@ -62,7 +62,7 @@
 
 
 def test_a_call_falls_silent_soon_enough_to_ask_again():
-    """Guards the time that is left after silence shows: over two seconds, as a call may wait in turn."""
+    """After the time-out 1.5 s must be left, as the next call may queue for a second."""
     for pushed in (False, True):
         for drawn in (0.0, 1.0):
             wait, silent = watch(pushed, lambda drawn=drawn: drawn)._times()
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("hosts", [200, 60])
 def test_a_fleet_whose_watches_fall_silent_at_one_instant_is_told_before_it_counts(hosts):
-    """Guards discovery, which has no room for all of them at once: their waits are drawn apart."""
+    """Discovery can't serve all of them at once, so their waits are randomized."""
     rigs = [
         Rig(discovery_on_request=True, max_list_age=10.0, hosts=hosts, seed=seed) for seed in range(hosts)
     ]
@@ -93,7 +93,7 @@
 
 
 def test_a_watch_that_falls_silent_is_given_up_and_opened_anew(monkeypatch):
-    """Guards against a discovery cut off without a word: the connection stays open and silent."""
+    """When discovery is cut off silently, the connection stays open without a response."""
     monkeypatch.setattr(discovery, "WAITS", (0.1, 0.1))
     monkeypatch.setattr(discovery, "OVERDUE", 0.1)
     play("""
@@ -104,7 +104,7 @@
 
 
 def test_an_agent_is_asked_with_shorter_waits_after_silence_until_it_answers(monkeypatch):
-    """Guards drains where lists are pushed: nothing tells a broken watch from a discovery that is down."""
+    """A broken connection to the agent looks like a discovery that is down, so drains need fast retries."""
     monkeypatch.setattr(discovery, "AGENT_WAIT", 0.15)
     play(
         """
@@ -119,7 +119,7 @@
 
 
 def test_a_call_for_the_whole_list_falls_silent_too(monkeypatch):
-    """Guards a new configuration's discovery that takes the call and says nothing."""
+    """The discovery of a new configuration may accept the call and never respond."""
     monkeypatch.setattr(discovery, "ANSWER", 0.1)
 
     async def run() -> None:
@@ -138,7 +138,7 @@
 
 
 def test_an_indented_list_is_read():
-    """Lists may come indented."""
+    """The JSON of a list may be indented."""
     text = json.dumps({"revision": 7, "complete": True, "members": []}, indent=4)
     escaped = text.replace("\n", r"\n")
     play(rf"""
--- a/tests/storage_gateway/server/test_watch_failing.py
+++ b/tests/storage_gateway/server/test_watch_failing.py
@@ -1,8 +1,8 @@
-"""Calls to discovery that fail, each in its way: what it has is told soon after its return, to any fleet.
+"""Calls to discovery that fail in various ways: fleets of any size get its list soon after an outage.
 
-A change counts as told 6 s after discovery had it and could be reached, whatever call failed.  The fleets run
-on a simulated clock (`simulated.py`): a call that began while discovery was away stays as it is, which is the
-worst phase of a return, and each call at the return waits a second in its queue.
+A gateway must have a change 6 s after discovery had it and was reachable, whichever call failed.  The fleets
+run on a simulated clock (`simulated.py`): a call that began during the outage stays hanging, which is the
+worst case of a return, and each call at the return waits a second in discovery's queue.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdate, DiscoveryUpdateKind
 from mallowbeam.storage_gateway.server import discovery
 
-TOLD = 5.45  # seconds after the return by which each host has the news: 6 are granted
-GRANTED = 0.26  # the same where lists are pushed
+TOLD = 5.45  # seconds after the return by which each host has the list; 6 are allowed
+GRANTED = 0.26  # the same for pushed lists
 FAILURES = ["refused", "lost", "reset", "silent", "503", "half", "cut"]
 
 
 @pytest.fixture(autouse=True)
 def quiet():
-    """A fleet's warnings are written for nobody."""
+    """Disables the log during fleet runs."""
     discovery.logger.disable("mallowbeam")
     yield
     discovery.logger.enable("mallowbeam")
 
 
 def through(failing: str, seed: int, hosts: int, delay: Callable, **fleet) -> tuple[list, Service]:
-    """A fleet through one outage: after how long each has the news, and the service."""
+    """Runs a fleet through one outage; returns each host's delay until it has the list, and the service."""
     service = Service(failing, delay)
 
     async def run() -> list:
@@ -50,7 +50,7 @@
 
 
 def test_the_bound_holds_for_the_constants():
-    """Guards the drains: from the end of one call to the answer of the next, at worst, it is under 6 s."""
+    """The longest time from the start of a failing call to the response of the next one is below 6 s."""
     assert discovery.CONNECT_TIMEOUT <= discovery.ANSWER > QUEUE + discovery.NO_WAIT
     assert discovery.ANSWER + node_health.MAX_WATCH_RETRY_S + QUEUE <= 5.41
     assert discovery.WAITS[1] + discovery.OVERDUE + QUEUE <= 5.4
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("hosts, runs", [(1, 6), (40, 1), (200, 1)])
 @pytest.mark.parametrize("failing", FAILURES)
 def test_whatever_call_failed_a_change_is_told_soon_after_the_return(failing, hosts, runs):
-    """Guards the drains: at 200 hosts word of them came up to 15 s late."""
+    """With 200 hosts, drains were applied up to 15 s late."""
     for seed in range(runs):
         waits, _ = through(failing, crc32(failing.encode()) + seed, hosts, lambda: (QUEUE, True))
         assert None not in waits and max(waits) <= TOLD
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("hosts", [1, 40, 200])
 @pytest.mark.parametrize("failing", FAILURES)
 def test_what_an_agent_has_at_its_return_is_told_at_once(failing, hosts):
-    """Guards the drains where lists are pushed: a call that began in vain held up the next for a second."""
+    """With pushed lists, a call begun during the outage delayed the next one by a second."""
     waits, _ = through(
         failing, crc32(failing.encode()) + hosts, hosts, lambda: (0.0, True), pushed=True, alive=2
     )
@@ -92,17 +92,17 @@
 
 @pytest.mark.parametrize("failing", ["refused", "reset", "silent"])
 def test_calls_at_the_return_are_spread_and_none_of_two_hundred_is_late(failing):
-    """Guards discovery, which serves a hundred calls a second and turns away who would wait over a second."""
+    """Discovery serves a hundred calls per second and rejects calls that would queue for over a second."""
     waits, service = through(failing, 11, 200, Turns(100.0))
     assert None not in waits and max(waits) <= 6.0
     most = max(
         sum(at <= call < at + 1.0 for call in service.calls) for at in service.calls if at >= service.back
     )
-    assert most <= 125  # a second, of openings: 162 to 175 of a reset before the draw
+    assert most <= 125  # calls in one second; 162 to 175 after a reset, before the delays were randomized
 
 
 async def told_of(serve: Callable) -> object:
-    """What a real watch tells of a call to a server that answers in some odd way."""
+    """Returns what a real watch reports of a call to a server with the handler `serve`."""
     told: asyncio.Queue = asyncio.Queue()
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     async with server:
@@ -121,7 +121,7 @@
     ],
 )
 def test_an_answer_at_a_byte_a_time_is_given_up_in_time(monkeypatch, first):
-    """Guards the bound: a byte that comes must not give its call more time."""
+    """A byte that arrives must not extend the time limit of its call."""
     monkeypatch.setattr(discovery, "WAITS", (0.1, 0.1))
     monkeypatch.setattr(discovery, "OVERDUE", 0.1)
 
@@ -146,7 +146,7 @@
     ],
 )
 def test_an_answer_without_end_is_given_up_at_its_bound(monkeypatch, first):
-    """Guards memory: a list has its most bytes, a head too, and a hundred interim answers are no answer."""
+    """Memory is bounded by limits on the bytes of a list, the bytes of a head, and the interim responses."""
     monkeypatch.setattr(discovery, "MAX_LIST", 1 << 18)
     held = []
 
@@ -160,7 +160,7 @@
                 await writer.drain()
 
     assert uvloop.run(told_of(flood)) is DiscoveryUpdateKind.FAILED
-    assert sum(held) < 64 << 20  # what the kernel and the two ends hold of it, and no more
+    assert sum(held) < 64 << 20  # only what the kernel and both ends buffer
 
 
 @pytest.mark.parametrize(
@@ -174,7 +174,7 @@
 )
 @pytest.mark.parametrize("then", ["d end", "d close", ""])
 def test_an_answer_that_stops_or_breaks_off_is_a_failed_call(monkeypatch, sent, then):
-    """Half a head, half a body: given up by the end, the reset or the time-out, and asked again."""
+    """A partial head or body ends by a close, a reset or the time-out, and the call is retried."""
     monkeypatch.setattr(discovery, "WAITS", (0.1, 0.1))
     monkeypatch.setattr(discovery, "OVERDUE", 0.1)
     monkeypatch.setattr(node_health, "MAX_WATCH_RETRY_S", 0.02)
--- a/tests/storage_gateway/server/test_written.py
+++ b/tests/storage_gateway/server/test_written.py
@@ -1,7 +1,7 @@
-"""What counts as sent: whether the kernel may have a request's last byte, whatever strikes in that instant.
+"""A request counts as sent once the kernel may have its last byte, even if its task is cancelled just then.
 
-The crossing is forced: the last write is held once, and in the step in which the other side has all of it,
-before the writing task goes on, the blow falls.
+The race is forced: the last write is blocked once; in the step in which the peer has received everything, but
+the writing task has not resumed, the task is cancelled or its time-out expires.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Held(socket.socket):
-    """A socket that can't write once, just before the last bytes of what it is told to write in all."""
+    """A socket that blocks once, just before the last of `whole` bytes is written."""
 
     whole, written, holds = 0, 0, True
 
@@ -43,7 +43,7 @@
     strike: Callable[[asyncio.Task], object],
     at: int | None = None,
 ) -> asyncio.Task:
-    """Write; once the peer has `at` bytes (all, unless told), strike, before the writing task goes on."""
+    """Writes; calls `strike` once the peer has `at` bytes (default: all), before the writing task resumes."""
     link.channel.sock.whole = whole
     task, got, at = asyncio.create_task(write()), 0, whole if at is None else at
     peer.setblocking(False)
@@ -59,7 +59,7 @@
 
 
 def pair() -> tuple[Link, socket.socket]:
-    """A link to a node whose last write is held, and the node's side of it."""
+    """Returns a link to a node whose last write blocks once, and the node's socket."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         ours = socket.create_connection(listener.getsockname())
         peer = listener.accept()[0]
@@ -78,7 +78,7 @@
 
 
 async def pieces(link: Link, length: int | None) -> None:
-    """A body as `Attempts` passes one on."""
+    """Writes a body in pieces, as `AttemptRunner` streams one."""
     await link.request(b"head", follows=length)
     await link.write(BODY[:100])
     await link.write(BODY[100:])
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("how", WRITES)
 def test_a_blow_before_the_last_byte_finds_it_unwritten(how):
-    """The last write never leaves: its socket stays held."""
+    """The last write is never made: its socket stays blocked."""
 
     async def run() -> None:
         link, peer = pair()
@@ -131,7 +131,7 @@
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         peer.close()
         with pytest.raises(RequestNotSentError):
-            for _ in range(3):  # the first write may still be taken
+            for _ in range(3):  # the first write may still succeed
                 await link.request(b"head", b"b" * CHUNK)
         assert not link.request_sent
 
@@ -139,7 +139,7 @@
 
 
 def test_a_request_whose_time_ran_out_as_it_was_written_is_not_sent_again(monkeypatch):
-    """Guards a write's one run: the timer strikes between its last byte and its task's next step."""
+    """A write must run only once, even if it times out between its last byte and its task's next step."""
 
     async def run() -> None:
         limits, timeout = [], asyncio.timeout
@@ -171,11 +171,11 @@
                             await asyncio.sleep(0)
                 task = next(iter(world.gateway.attempts.tasks.values()))
                 limit = next(at for at in limits if at._task is task and at._state.name == "ENTERED")
-                limit._on_timeout()  # in the step in which the node has all of it
+                limit._on_timeout()  # in the step in which the node has the whole request
                 monkeypatch.setattr(attempts.asyncio, "timeout", timeout)
                 await world.play("c1 expect 502")
                 with pytest.raises(BlockingIOError):
-                    node.accept()  # nobody came with it again
+                    node.accept()  # the request was not sent again
                 peer.close()
 
     uvloop.run(run())
--- a/tests/support/crossed.py
+++ b/tests/support/crossed.py
@@ -1,6 +1,6 @@
-"""A world with three discoveries, in which signals, upgrades and lists are made to meet within one step.
+"""A test world with three discovery servers, to run signals, upgrades and lists in the same event loop step.
 
-`d` is the discovery of the start, `e` and `f` are others.
+`d` is the initial discovery server, `e` and `f` are others.
 """
 
 from __future__ import annotations
@@ -18,18 +18,19 @@
 
 
 def body(revision: int, member: str = "", whole: bool = True) -> str:
+    """The JSON of a list with at most one member; `whole` says whether it is complete."""
     return f'{{"revision":{revision},"complete":{json.dumps(whole)},"members":[{member}]}}'
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait for what must come."""
+    """Waits until a condition holds; fails after PATIENCE."""
     async with asyncio.timeout(PATIENCE):
         while not condition():
             await asyncio.sleep(0)
 
 
 class Crossing(World):
-    """A world with two more discoveries, and files that name them."""
+    """A world with two more discovery servers, and configuration files that name them."""
 
     async def configuration(self) -> dict:
         for name in "ef":
@@ -38,7 +39,7 @@
         return await super().configuration()
 
     def hup(self, name: str) -> None:
-        """SIGHUP, the file naming another discovery."""
+        """Reloads as SIGHUP does, from a file with the address of another discovery server."""
         raw = json.loads((EXAMPLE / "config.json").read_text()) | {"discovery": self.parties[name].address}
         path = f"{tempfile.gettempdir()}/{name}.json"
         with open(path, "w", encoding="utf-8") as file:
@@ -46,12 +47,12 @@
         self.gateway.reload({"BALANCER_CONFIG": path})
 
     def serves(self) -> bool:
-        """Whether new work may go to n0."""
+        """Whether the scheduler sends new requests to n0."""
         return self.gateway.scheduler.accepts_work("n0")
 
 
 async def first_list(world: Crossing, revision: int, name: str = "e") -> None:
-    """The first call at a new address, and its list, by which n0 drains."""
+    """Plays the first call at a new address, answered with a list in which n0 drains."""
     await world.play(f"""
         {name} expect 'GET /v1/servers\\n'
         {name} send 200 'body={body(revision, DRAINING)}'
@@ -60,7 +61,7 @@
 
 
 def crossing(play_it: Callable, **world) -> None:
-    """Play one in a world of its own."""
+    """Runs a test in a new `Crossing` world."""
 
     async def run() -> None:
         async with Crossing(**world) as here:
@@ -70,7 +71,7 @@
 
 
 def upgraded(play_it: Callable, before: Callable | None = None) -> None:
-    """The same with an old and a new process, the old one told to `before` once it serves."""
+    """Runs a test with an old and a new gateway; `before` is called on the old one before the new starts."""
 
     async def run() -> None:
         async with Crossing(meet=True) as old:
