--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -1,4 +1,4 @@
-"""The gateway as a process of its own, on a changed example configuration, reached over sockets."""
+"""Runs the gateway as a separate process on a modified example configuration."""
 
 from __future__ import annotations
 
@@ -18,13 +18,16 @@
 
 from mallowbeam.lab.rig import hold_port
 
-PATIENCE = 20.0  # seconds until what is expected counts as missing
+PATIENCE = 20.0  # seconds to wait for an expected event
 
 
 @contextmanager
 def program(tmp_path: Path, change: dict, files: int = 1024, fronts: str | None = None) -> Iterator:
-    """The program on a changed example configuration, and its listening address."""
-    held, port = hold_port()  # nobody else is given it meanwhile
+    """Runs the gateway on a modified example configuration; yields the process and its listening address.
+
+    `files` is the limit on descriptors; `fronts` is the text of the fronts file.
+    """
+    held, port = hold_port()  # reserved until the test ends
     raw = json.loads((EXAMPLE / "config.json").read_text()) | {"listen": f"127.0.0.1:{port}"} | change
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
@@ -39,7 +42,7 @@
         text=True,
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (files, files)),
     )
-    watchdog = threading.Timer(2 * PATIENCE, process.kill)  # a test that waits for ever fails instead
+    watchdog = threading.Timer(2 * PATIENCE, process.kill)  # ends a test that would wait forever
     watchdog.start()
     try:
         yield process, ("127.0.0.1", port)
@@ -51,7 +54,7 @@
 
 
 def connect(address: tuple[str, int]) -> socket.socket:
-    """A connection, as soon as the program listens."""
+    """Connects as soon as the program listens."""
     end = time.monotonic() + PATIENCE
     while True:
         try:
@@ -62,6 +65,6 @@
 
 
 def healthy(sock: socket.socket) -> bool:
-    """Whether the health page answers 200."""
+    """Whether the health page returns 200."""
     sock.sendall(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n")
     return sock.recv(4096).startswith(b"HTTP/1.1 200")
--- a/tests/support/watch_intervals.py
+++ b/tests/support/watch_intervals.py
@@ -1,4 +1,4 @@
-"""How soon a scheduler asks discovery again."""
+"""Measures how soon a scheduler retries the watch on discovery."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def ask(rig: Rig) -> float:
-    """Seconds until the scheduler asks again."""
+    """Returns the seconds until the scheduler requests a watch."""
     began = rig.now
     while not of(rig.wait(rig.timer - rig.now), WatchNodes):
         pass
