--- a/mallowbeam/storage_gateway/application.py
+++ b/mallowbeam/storage_gateway/application.py
@@ -30,7 +30,7 @@
     read_file,
 )
 from mallowbeam.storage_gateway.server.gateway import Gateway
-from mallowbeam.storage_gateway.server.handover import Legacy, take_over
+from mallowbeam.storage_gateway.server.handover import Takeover, take_over
 from mallowbeam.storage_gateway.server.health import AgentConnection, Health
 
 if TYPE_CHECKING:  # loaded at run time only where the object API is on
@@ -38,51 +38,61 @@
     from mallowbeam.storage_gateway.frontends.object_api.settings import ObjectSettings
 
 LOG_FORMAT = "{time:YYYY-MM-DD HH:mm:ss.SSS} {level} {message}"
-FRONTS = Path(__file__).parents[2] / "deploy" / "fronts.json"  # the default operators' file
-LEAST_ROOM = 2  # minimum client connections for a front: one is served, one refuses further clients
+DEFAULT_FRONTS_FILE = Path(__file__).parents[2] / "deploy" / "fronts.json"  # the default operators' file
+MIN_CLIENT_CONNECTIONS = 2  # for each front: one is served, one refuses further clients
 WATCHER_CONNECTIONS = 8  # client connections for each listener used only by load balancers
 
 
-def open_servers(gateway: Gateway, fronts: dict[str, Any], legacy: Legacy | None = None) -> list[Server]:
+def open_servers(gateway: Gateway, fronts: dict[str, Any], takeover: Takeover | None = None) -> list[Server]:
     """Opens the platform's listener and those enabled in the fronts file; raises `GatewayConfigError`.
 
     Sockets handed over by the previous process are used as they are.
     """
-    handed = legacy.listeners if legacy else {}
+    handed_over = takeover.listeners if takeover else {}
     try:
-        servers = _open_all(gateway, fronts, handed, upgrade=legacy is not None)
+        servers = _open_enabled(gateway, fronts, handed_over, upgrade=takeover is not None)
     except (ValueError, AttributeError) as error:
         raise GatewayConfigError(f"the fronts file is malformed: {error}") from None
-    for unused in handed.values():  # of a front that is off now; its clients would wait in the accept queue
+    for unused in handed_over.values():  # of a disabled front, whose clients would wait in the accept queue
         unused.close()
     return servers
 
 
-def _open_all(
-    gateway: Gateway, fronts: dict[str, Any], handed: dict[str, socket.socket], upgrade: bool
+def _open_enabled(
+    gateway: Gateway, fronts: dict[str, Any], handed_over: dict[str, socket.socket], upgrade: bool
 ) -> list[Server]:
-    """Opens every enabled front; removes from `handed` the sockets that it uses."""
-    room = gateway.config.client_sockets
+    """Opens every enabled front; removes from `handed_over` the sockets that it uses."""
+    available = gateway.config.client_sockets
     servers: list[Server] = []
     objects = _read_objects(gateway, fronts)
     if fronts.get("policy", {}).get("folder") is not None:
-        servers.append(open_fleet(gateway, fronts))
-    servers += _open_checks(gateway, fronts, handed)
-    room -= len(servers) * (WATCHER_CONNECTIONS + FRONT_SOCKETS)
+        servers.append(open_fleet_log(gateway, fronts))
+    servers += _open_health_checks(gateway, fronts, handed_over)
+    available -= len(servers) * (WATCHER_CONNECTIONS + FRONT_SOCKETS)
     if objects is not None:
         gateway.pool.max_body = max(gateway.pool.max_body, objects.max_body)
-        room = (room - FRONT_SOCKETS) // 2
+        available = (available - FRONT_SOCKETS) // 2
         front = _object_front(gateway, fronts, objects, upgrade)
-        inherited = handed.pop("objects", None)
-        servers.append(Server(objects.listen, front, room, name="objects", handed=inherited))
-    if room < LEAST_ROOM:
+        inherited = handed_over.pop("objects", None)
+        servers.append(Server(objects.listen, front, available, name="objects", handed=inherited))
+    if available < MIN_CLIENT_CONNECTIONS:
         raise GatewayConfigError("limits.sockets leaves no client connections beside the enabled fronts")
-    inherited = handed.pop("platform", None)
-    servers.append(Server(gateway.config.listen, Platform(gateway), room, name="platform", handed=inherited))
+    inherited = handed_over.pop("platform", None)
+    servers.append(
+        Server(
+            gateway.config.listen,
+            Platform(gateway),
+            available,
+            name="platform",
+            handed=inherited,
+        )
+    )
     return servers
 
 
-def _open_checks(gateway: Gateway, fronts: dict[str, Any], handed: dict[str, socket.socket]) -> list[Server]:
+def _open_health_checks(
+    gateway: Gateway, fronts: dict[str, Any], handed_over: dict[str, socket.socket]
+) -> list[Server]:
     """Opens the listeners used only by load balancers: health pages and agent check, if enabled."""
     servers = []
     connections: dict[str, ConnectionFactory] = {
@@ -91,7 +101,7 @@
     }
     for name, connection in connections.items():
         if listen := fronts.get(name, {}).get("listen"):
-            address, inherited = read_address(listen), handed.pop(name, None)
+            address, inherited = read_address(listen), handed_over.pop(name, None)
             servers.append(Server(address, Health(gateway), WATCHER_CONNECTIONS, connection, name, inherited))
     return servers
 
@@ -117,7 +127,7 @@
     return Objects(gateway, objects)
 
 
-def open_fleet(gateway: Gateway, fronts: dict[str, Any]) -> Server:
+def open_fleet_log(gateway: Gateway, fronts: dict[str, Any]) -> Server:
     """Opens the listener of the fleet's log with the enabled subsystems; raises `GatewayConfigError`."""
     try:
         from mallowbeam.storage_gateway.coordination.status_pages import open_policy
@@ -153,7 +163,7 @@
     return BufferedObjects(gateway, objects, settings, upgrade)
 
 
-def any_on(fronts: dict[str, Any]) -> bool:
+def any_enabled(fronts: dict[str, Any]) -> bool:
     """Whether the fronts file enables anything; if not, its validation needs no imports."""
     return any(
         not isinstance(section, dict)
@@ -166,8 +176,8 @@
 
 async def serve(config: Config, fronts: dict[str, Any], deferred_sighups: Sequence[int] = ()) -> None:
     """Runs a gateway until it is stopped; `deferred_sighups` came before the handler was installed."""
-    legacy = take_over(config)
-    gateway = Gateway(legacy.config(config) if legacy else config)
+    takeover = take_over(config)
+    gateway = Gateway(takeover.config(config) if takeover else config)
     asyncio.get_running_loop().set_exception_handler(
         lambda _, context: logger.opt(exception=context.get("exception")).error(
             "unexpected error: {}", context["message"]
@@ -179,10 +189,10 @@
     if deferred_sighups:  # handled once the gateway serves
         asyncio.get_running_loop().call_soon(gateway.reload, os.environ)
     try:
-        admin, servers = open_admin(gateway), open_servers(gateway, fronts, legacy)
+        admin, servers = open_admin(gateway), open_servers(gateway, fronts, takeover)
     except OSError as error:
         raise GatewayConfigError(f"cannot listen: {error}") from None
-    await gateway.run(servers, admin, legacy, meet=True)
+    await gateway.run(servers, admin, takeover, await_successor=True)
 
 
 def run(log_format: str = "text", deferred_sighups: Sequence[int] | None = None) -> int:
@@ -197,8 +207,8 @@
     else:
         logger.add(sys.stderr, format=LOG_FORMAT, level="INFO", backtrace=False, diagnose=False)
     try:
-        fronts = read_file(os.environ.get("MALLOWBEAM_FRONTS") or str(FRONTS))
-        if any_on(fronts):
+        fronts = read_file(os.environ.get("MALLOWBEAM_FRONTS") or str(DEFAULT_FRONTS_FILE))
+        if any_enabled(fronts):
             from mallowbeam.storage_gateway.operator_settings import check
 
             check(fronts)
--- a/mallowbeam/storage_gateway/coordination/service.py
+++ b/mallowbeam/storage_gateway/coordination/service.py
@@ -114,7 +114,7 @@
             name: self._open(name, own) for name, own in (sections or {}).items()
         }
         self.log = ReplicatedLog([subsystem.state_machine for subsystem in self.subsystems.values()])
-        gateway.parts.append(self)
+        gateway.subsystems.append(self)
         gateway.gates.append(self.serves)
 
     def _open(self, name: str, section: Any) -> Subsystem:
--- a/mallowbeam/storage_gateway/coordination/subsystem_context.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem_context.py
@@ -30,7 +30,7 @@
         if not requesters:
             del self.requesters[node]
         if was_drained != bool(requesters):
-            self.gateway.by_hand(node, drained, listed=False)
+            self.gateway.set_detached(node, drained, listed=False)
 
 
 class PlanOverrides:
--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -121,7 +121,7 @@
             raise GatewayConfigError(why)
         self.max_buffered_body = min(settings.max_body, CHUNK_BYTES)  # larger bodies come in pieces
         self.buffer = Buffer(buffer, self, handed_over=handed)
-        gateway.parts.append(self.buffer)
+        gateway.subsystems.append(self.buffer)
 
     # --- calls of clients -----------------------------------------------------------------------
 
@@ -413,7 +413,7 @@
 
     def may_send(self) -> bool:
         """Whether the gateway begins new work."""
-        return self.gateway.begins
+        return self.gateway.accepts_own_work
 
     def _buffer_call(
         self, write: Write, method: bytes, body: bytes, expires: float, headers: Headers
@@ -439,7 +439,7 @@
             write.target,
             [*passed, (b"x-request-id", request_id.encode())],
             body,
-            final=lambda status: 200 <= status < 500,
+            is_final=lambda status: 200 <= status < 500,
         )
 
     async def send(self, write: Write, body: bytes, expires: float, seen: str | None) -> SendResult:
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -54,7 +54,7 @@
     Answer,
     AnswerKind,
     Call,
-    length_of,
+    content_length,
     read_deadline,
     time_left,
 )
@@ -226,7 +226,7 @@
                 b"GET",
                 target(query, ask),
                 [(b"x-request-id", request_id.encode())],
-                final=lambda status: 200 <= status < 500,
+                is_final=lambda status: 200 <= status < 500,
             )
         )
         if answer.kind is AnswerKind.REFUSED:
@@ -318,8 +318,10 @@
             request.target,
             passed,
             request.message.body,
-            final=lambda status: 200 <= status < 500,
-            streamed=lambda status: request.method == b"GET" and status in (200, 206) and not request.upload,
+            is_final=lambda status: 200 <= status < 500,
+            may_stream=lambda status: request.method == b"GET"
+            and status in (200, 206)
+            and not request.upload,
         )
 
     def seconds(self, cls: str, asked: bytes | None) -> float:
@@ -358,7 +360,7 @@
         """A node's answer that was read whole; what names an upload is put in the client's terms."""
         headers, body = passed_on(answer, request_id), answer.body
         if request.method == b"HEAD":
-            length = length_of(answer.headers)
+            length = content_length(answer.headers)
             if answer.status == 200 and length is not None and (asked := request.headers.get(b"range")):
                 if piece := cut_here(asked, length):
                     headers.append(range_of(*piece, length))
@@ -379,7 +381,7 @@
         self, request: Request, answer: Answer, stream: Stream, request_id: str, closing: Callable[[], bool]
     ) -> Response:
         """A body that is passed on as it comes, cut here where the node left the range to us."""
-        headers, status, length = passed_on(answer, request_id), answer.status, length_of(answer.headers)
+        headers, status, length = passed_on(answer, request_id), answer.status, content_length(answer.headers)
         start, end = 0, length
         asked = request.headers.get(b"range")
         if status == 200 and length is not None and asked and b"if-range" not in request.headers:
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -16,7 +16,7 @@
     Answer,
     AnswerKind,
     Call,
-    length_of,
+    content_length,
     read_deadline,
     time_left,
 )
@@ -142,10 +142,10 @@
             request.target,
             [h for h in request.headers if h[0] in PASSED_ON],
             request.body,
-            streamed=(200).__eq__,
-            standstill=max(LEAST, cls.latency_target * STANDSTILL),
-            hold=MAX_BODY,
-            most=MOST,
+            may_stream=(200).__eq__,
+            body_timeout_s=max(LEAST, cls.latency_target * STANDSTILL),
+            buffer_bytes=MAX_BODY,
+            max_stream_bytes=MOST,
             upload=request.stream,
             length=request.length,
         )
@@ -153,7 +153,7 @@
     @staticmethod
     def streamed(answer: Answer, stream: Stream, request: Message, closing: Callable[[], bool]) -> Response:
         """A large answer, passed on as it comes."""
-        size = length_of(answer.headers)
+        size = content_length(answer.headers)
         chunked = in_chunks(request, size)
 
         async def write(channel: Channel) -> bool:
--- a/mallowbeam/storage_gateway/operator_settings.py
+++ b/mallowbeam/storage_gateway/operator_settings.py
@@ -19,7 +19,7 @@
 Size = Annotated[int, Meta(ge=1)]
 Name = Annotated[str, Meta(min_length=1)]
 Address = Annotated[str, Meta(pattern=r"^.+:\d{1,5}$", description="host:port")]
-AT = re.compile(r"(.*) - at `\$?\.?(.*)`\Z", re.DOTALL)
+ERROR_PATH = re.compile(r"(.*) - at `\$?\.?(.*)`\Z", re.DOTALL)
 T = TypeVar("T")
 
 
@@ -145,12 +145,12 @@
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
-        raise GatewayConfigError(worded(str(error), path)) from None
+        raise GatewayConfigError(format_error(str(error), path)) from None
 
 
-def worded(text: str, path: str = "") -> str:
+def format_error(text: str, path: str = "") -> str:
     """Rewrites a message of msgspec as `path: fault`."""
-    match = AT.match(text)
+    match = ERROR_PATH.match(text)
     text, inner = match.groups() if match else (text, "")
     place = ".".join(part for part in (path, inner) if part)
     return f"{place or 'the file'}: {text[:1].lower()}{text[1:]}"
--- a/mallowbeam/storage_gateway/server/admin.py
+++ b/mallowbeam/storage_gateway/server/admin.py
@@ -16,33 +16,33 @@
 from mallowbeam.storage_gateway.server.config import ADMIN_SOCKETS
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
-ID = re.compile(r"[\x21-\x7e]+\Z")
-MAX_ID = 256  # bytes of a request body, which holds a node id
+NODE_ID = re.compile(r"[\x21-\x7e]+\Z")
+MAX_NODE_ID_BYTES = 256  # bytes of a request body, which holds a node id
 
 
 class Admin:
     """Handles the requests of operators."""
 
-    max_body = max_buffered_body = MAX_ID
+    max_body = max_buffered_body = MAX_NODE_ID_BYTES
     budget: BodyBudget | None = None
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
-        self.calls: dict[bytes, tuple[bytes, Callable[[Message], Response]]] = {
+        self.routes: dict[bytes, tuple[bytes, Callable[[Message], Response]]] = {
             b"/_ready": (b"GET", self._ready),
             b"/_vars": (b"GET", self._vars),
-            b"/_storage-nodes/detach": (b"PUT", lambda request: self._by_hand(request, True)),
-            b"/_storage-nodes/attach": (b"PUT", lambda request: self._by_hand(request, False)),
+            b"/_storage-nodes/detach": (b"PUT", lambda request: self._set_detached(request, True)),
+            b"/_storage-nodes/attach": (b"PUT", lambda request: self._set_detached(request, False)),
         }
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """Dispatches one request and returns its response."""
-        method, call = self.calls.get(request.target.partition(b"?")[0], (b"", None))
-        if call is None:
+        method, respond = self.routes.get(request.target.partition(b"?")[0], (b"", None))
+        if respond is None:
             return text_response(404, "no such call", True)
         if request.method != method and (request.method, method) != (b"HEAD", b"GET"):
             return text_response(405, "not by this method", True, [(b"allow", method)])
-        return call(request)
+        return respond(request)
 
     def error_response(self, status: int, text: str) -> Response:
         """Returns the response to a request that violates HTTP or a size limit."""
@@ -61,22 +61,26 @@
                 "pending": sum(server.pending for server in gateway.servers),
                 "members": gateway.scheduler.nodes_listed,
                 "members_unavailable": gateway.scheduler.nodes_unavailable,
-                **{name: value for part in gateway.parts for name, value in part.gauges().items()},
+                **{
+                    name: value
+                    for subsystem in gateway.subsystems
+                    for name, value in subsystem.gauges().items()
+                },
             }
         )
         return text_response(200, text, True)
 
-    def _by_hand(self, request: Message, out: bool) -> Response:
+    def _set_detached(self, request: Message, detached: bool) -> Response:
         """Detaches or attaches a node; the change is in effect once the 200 response is sent."""
         node = request.body.decode("latin-1").strip()
-        if not ID.match(node):
+        if not NODE_ID.match(node):
             return text_response(400, "the body is not the id of a storage node", True)
-        if not self.gateway.by_hand(node, out):
+        if not self.gateway.set_detached(node, detached):
             return text_response(404, "no such storage node", True)
-        return text_response(200, "out" if out else "back", True)
+        return text_response(200, "out" if detached else "back", True)
 
 
-class Caller(Connection):
+class AdminConnection(Connection):
     """A connection to the admin endpoint."""
 
     @property
@@ -98,6 +102,6 @@
     if gateway.config.admin is None:
         return None
     # Not shared: a second process on this address would answer some requests meant for the first.
-    server = Server(gateway.config.admin, Admin(gateway), ADMIN_SOCKETS, Caller, shared=False)
+    server = Server(gateway.config.admin, Admin(gateway), ADMIN_SOCKETS, AdminConnection, shared=False)
     server.close_after_responses()  # one request per connection
     return server
--- a/mallowbeam/storage_gateway/server/attempts.py
+++ b/mallowbeam/storage_gateway/server/attempts.py
@@ -26,8 +26,8 @@
 from mallowbeam.storage_gateway.scheduler.gateway_host import AttemptOrder, Orders, SchedulerHost
 from mallowbeam.storage_gateway.scheduler.interface import Outcome
 from mallowbeam.storage_gateway.server.calls import (
-    MARGIN,
-    SILENCE_TIMEOUT,
+    SILENCE_TIMEOUT_S,
+    TRANSIT_MARGIN_S,
     Answer,
     AnswerKind,
     Call,
@@ -43,7 +43,7 @@
 AttemptResult = tuple[Outcome, Message | None]  # the outcome, and the response if there is one
 # Statuses with which a node rejects a request unexecuted: it is full (503), or it never
 # accepts this request (504).
-NOT_RUN = {503: Outcome.REJECTED, 504: Outcome.MISDIRECTED}
+NOT_EXECUTED = {503: Outcome.REJECTED, 504: Outcome.MISDIRECTED}
 
 
 class AttemptHost(Protocol):
@@ -79,8 +79,10 @@
         self._addresses = gateway.addresses
         self._exchanges = gateway.exchanges
         self._now = gateway.now
-        self._no_socket = RateLimitedWarning("connection limit reached, no connection to a storage node")
-        self._unreadable = RateLimitedWarning("invalid response from a storage node")
+        self._warn_connection_limit = RateLimitedWarning(
+            "connection limit reached, no connection to a storage node"
+        )
+        self._warn_invalid_response = RateLimitedWarning("invalid response from a storage node")
 
     def start(self, order: AttemptOrder) -> None:
         """Starts an attempt; one report follows however its task ends, even before its first step."""
@@ -103,18 +105,20 @@
     async def _run(self, order: AttemptOrder, exchange: Exchange, started: float) -> AttemptResult:
         """Connects, writes and reads; the outcome says whether the request can have been executed."""
         call, link, reusable = exchange.call, None, False
-        left = exchange.deadline - started
+        time_left_s = exchange.deadline - started
         address = self._addresses.get(order.node, "")
         try:
-            async with asyncio.timeout(min(left, order.timeout) if order.timeout else left) as limit:
+            async with asyncio.timeout(
+                min(time_left_s, order.timeout) if order.timeout else time_left_s
+            ) as time_limit:
                 if (link := await self._connect(order, address)) is None:
                     return Outcome.NOT_SENT, None
-                await self._send(order, exchange, link, address, limit)
-                answer = await self._receive(order, exchange, link, started, limit)
+                await self._send(order, exchange, link, address, time_limit)
+                answer = await self._receive(order, exchange, link, started, time_limit)
             outcome = outcome_of(call, answer)
             if link.request_sent:
                 reusable = self._pool.put(link, answer)
-            elif outcome not in NOT_RUN.values():
+            elif outcome not in NOT_EXECUTED.values():
                 outcome = Outcome.NOT_SENT  # the node responded before the request was complete
             return outcome, answer
         except asyncio.CancelledError:
@@ -152,42 +156,44 @@
                     self._pool.drop(link)
 
     async def _send(
-        self, order: AttemptOrder, exchange: Exchange, link: Link, address: str, limit: asyncio.Timeout
+        self, order: AttemptOrder, exchange: Exchange, link: Link, address: str, time_limit: asyncio.Timeout
     ) -> None:
         """Writes the request, with the time left in `x-deadline-ms`; a streamed body has no time limit."""
         call, loop = exchange.call, asyncio.get_running_loop()
-        ends_at = limit.when()
+        ends_at = time_limit.when()
         assert ends_at is not None  # the time-out was created with a delay
-        waits = ends_at - loop.time() if call.upload is None else float(call.fields["expires_in"])
+        deadline_s = ends_at - loop.time() if call.upload is None else float(call.fields["expires_in"])
         headers = [
             (b"host", address.encode()),
             *call.headers,
-            (b"x-deadline-ms", b"%d" % max(1, round(waits * 1000))),
+            (b"x-deadline-ms", b"%d" % max(1, round(deadline_s * 1000))),
         ]
         if call.upload is None:
             head = write_request(call.method, call.target, headers, len(call.body))
             await link.request(head, call.body, bodiless=call.method == b"HEAD")
         else:
-            limit.reschedule(None)  # the deadline counts from the last byte of the client's body
+            time_limit.reschedule(None)  # the deadline counts from the last byte of the client's body
             await self._upload(order, exchange, call.upload, link, headers)
-            limit.reschedule(loop.time() + (exchange.deadline - self._now() if link.request_sent else MARGIN))
+            time_limit.reschedule(
+                loop.time() + (exchange.deadline - self._now() if link.request_sent else TRANSIT_MARGIN_S)
+            )
         self._metrics.upstream_requests += link.request_sent
 
     async def _receive(
-        self, order: AttemptOrder, exchange: Exchange, link: Link, started: float, limit: asyncio.Timeout
+        self, order: AttemptOrder, exchange: Exchange, link: Link, started: float, time_limit: asyncio.Timeout
     ) -> Message:
         """Reads the response completely, or streams it to the client if it is final and large."""
         call = exchange.call
         answer = await link.read_head()
         if (
-            call.final(answer.status)
-            and call.streamed(answer.status)
-            and await link.exceeds(answer, call.hold, call.most, call.standstill)
+            call.is_final(answer.status)
+            and call.may_stream(answer.status)
+            and await link.exceeds(answer, call.buffer_bytes, call.max_stream_bytes, call.body_timeout_s)
         ):
-            limit.reschedule(None)  # the client receives the response from here on; it can't be retried
+            time_limit.reschedule(None)  # the client receives the response from here on; it can't be retried
             await self._stream_answer(order, exchange, link, answer, started)
         else:
-            await link.read_body(answer, call.standstill)
+            await link.read_body(answer, call.body_timeout_s)
         return answer
 
     def _failure(self, link: Link | None, error: Exception) -> Outcome:
@@ -196,14 +202,14 @@
             case TimeoutError():
                 return outcome_if_sent(link, Outcome.TIMEOUT)
             case ConnectionLimitError():
-                self._no_socket(error)
+                self._warn_connection_limit(error)
                 return Outcome.NOT_SENT
             case RequestNotSentError():
                 # A node that accepted the connection is reachable, even if it then reset it.
                 return Outcome.NO_CONNECTION if link is None else Outcome.NOT_SENT
             case RemoteProtocolError():
                 # Not a connection error: the node executed the request and is alive.
-                self._unreadable(error)
+                self._warn_invalid_response(error)
                 return outcome_if_sent(link, Outcome.ERROR)
             case ConnectionBrokenError():
                 return outcome_if_sent(link, Outcome.RESET)
@@ -227,15 +233,15 @@
         while (chunk := await body.get()) is not None:
             if link.channel.stale():
                 return
-            async with asyncio.timeout(SILENCE_TIMEOUT):
+            async with asyncio.timeout(SILENCE_TIMEOUT_S):
                 await link.write(chunk)
         if body.aborted:
             raise RequestNotSentError("the client's body broke off")
         if call.length is None:
             await link.write(b"")
-        left = self._gateway.time_left(call)
-        exchange.deadline = self._now() + left
-        self._gateway.apply(self._scheduler.upload_progress(self._now(), order, left))
+        time_left_s = self._gateway.time_left(call)
+        exchange.deadline = self._now() + time_left_s
+        self._gateway.apply(self._scheduler.upload_progress(self._now(), order, time_left_s))
 
     async def _stream_answer(
         self, order: AttemptOrder, exchange: Exchange, link: Link, answer: Message, started: float
@@ -244,7 +250,7 @@
         task = asyncio.current_task()
         assert task is not None  # every attempt runs in its own task
         stream = Stream(closed=task.cancel)
-        most = exchange.call.most
+        max_bytes = exchange.call.max_stream_bytes
         self._gateway.apply(self._scheduler.stream_started(self._now(), order, self._now() - started))
         exchange.settle(Answer(AnswerKind.SERVED, answer.status, answer.headers, stream=stream))
         try:
@@ -255,9 +261,9 @@
                     await stream.put(chunk)
                 if answer.complete:
                     return await stream.put(None)
-                if most is not None and answer.received > most:
+                if max_bytes is not None and answer.received > max_bytes:
                     raise RemoteProtocolError("response body exceeds its size limit")
-                async with asyncio.timeout(SILENCE_TIMEOUT):
+                async with asyncio.timeout(SILENCE_TIMEOUT_S):
                     await link.read_more(answer)
         except BaseException:
             stream.abort()
@@ -285,10 +291,10 @@
 
 def outcome_of(call: Call, answer: Message) -> Outcome:
     """Returns the outcome of an attempt with a complete response."""
-    if call.final(answer.status):
+    if call.is_final(answer.status):
         return Outcome.OK
-    if answer.status in NOT_RUN and answer.get(b"x-not-run") == b"1":
-        return NOT_RUN[answer.status]
+    if answer.status in NOT_EXECUTED and answer.get(b"x-not-run") == b"1":
+        return NOT_EXECUTED[answer.status]
     return Outcome.ERROR
 
 
@@ -299,13 +305,13 @@
 
 def read_meter(answer: Message | None) -> tuple[float | None, int]:
     """Returns what a response reports of the volume: recent use, and units served through other gateways."""
-    used, elsewhere = None, 0
+    recent_use, units_elsewhere = None, 0
     for name, value in answer.headers if answer is not None else ():
         # Ignores values that are not numbers or are too long.
         if not value.isdigit() or len(value) > MAX_METER_DIGITS:
             continue
         if name == b"x-meter":
-            used = int(value) / 100.0
+            recent_use = int(value) / 100.0
         elif name == b"x-delta":
-            elsewhere = int(value)
-    return used, elsewhere
+            units_elsewhere = int(value)
+    return recent_use, units_elsewhere
--- a/mallowbeam/storage_gateway/server/calls.py
+++ b/mallowbeam/storage_gateway/server/calls.py
@@ -14,8 +14,8 @@
 from mallowbeam.http.framing import Headers
 from mallowbeam.http.stream import Stream
 
-SILENCE_TIMEOUT = 10.0  # seconds without a byte after which a streamed response counts as broken
-MARGIN = 0.01  # seconds of a client's deadline reserved for network transit both ways
+SILENCE_TIMEOUT_S = 10.0  # seconds without a byte after which a streamed response counts as broken
+TRANSIT_MARGIN_S = 0.01  # seconds of a client's deadline reserved for network transit both ways
 
 
 class Phase(Enum):
@@ -59,11 +59,11 @@
     target: bytes
     headers: Headers
     body: bytes | bytearray = b""
-    final: Callable[[int], bool] = (200).__eq__  # which node statuses are returned to the client
-    streamed: Callable[[int], bool] = lambda status: False  # and which of them may be streamed
-    standstill: float = SILENCE_TIMEOUT  # seconds without a body byte after which a response has failed
-    hold: int = 0  # bytes up to which a response is buffered instead of streamed
-    most: int | None = None  # bytes of a streamed response, at most
+    is_final: Callable[[int], bool] = (200).__eq__  # which node statuses are returned to the client
+    may_stream: Callable[[int], bool] = lambda status: False  # and which of them may be streamed
+    body_timeout_s: float = SILENCE_TIMEOUT_S  # seconds without a body byte after which a response has failed
+    buffer_bytes: int = 0  # bytes up to which a response is buffered instead of streamed
+    max_stream_bytes: int | None = None  # bytes of a streamed response, at most
     upload: Stream | None = None  # a streamed request body, which can be sent only once
     length: int | None = None  # length of the streamed body in bytes, None if it is chunked
 
@@ -99,18 +99,18 @@
             self.answer.set_result(answer)
 
 
-def read_deadline(value: bytes, most_ms: int) -> float | None:
-    """Returns a client's deadline in seconds, None if it is invalid or longer than `most_ms`."""
-    if not value.isdigit() or len(value) > len(str(most_ms)) or not 0 < int(value) <= most_ms:
+def read_deadline(value: bytes, max_ms: int) -> float | None:
+    """Returns a client's deadline in seconds, None if it is invalid or longer than `max_ms`."""
+    if not value.isdigit() or len(value) > len(str(max_ms)) or not 0 < int(value) <= max_ms:
         return None
     return int(value) / 1000.0
 
 
 def time_left(deadline: float) -> float:
     """Returns the seconds of a deadline that remain for the call itself."""
-    return max(0.001, deadline - MARGIN)
+    return max(0.001, deadline - TRANSIT_MARGIN_S)
 
 
-def length_of(headers: Headers) -> int | None:
+def content_length(headers: Headers) -> int | None:
     """Returns the content-length of a node's response, None if it has none."""
     return next((int(value) for name, value in headers if name == b"content-length"), None)
--- a/mallowbeam/storage_gateway/server/config.py
+++ b/mallowbeam/storage_gateway/server/config.py
@@ -20,11 +20,11 @@
 # steady state: 3 of stdio, 9 of the event loop and its signals, the listener, the hand-over socket, and the
 # discovery call.  For a short time also: the discovery call replaced after a change of address, the link to
 # the other process, a file being read, an accepted connection that evicts another.  The rest is spare.
-OWN_SOCKETS = 24
+RESERVED_SOCKETS = 24
 FRONT_SOCKETS = 2  # for each further front: its listener, and an accepted connection that evicts another
 ADMIN_SOCKETS = 16  # connections to the admin endpoint, if there is one
 NODE_SHARE = 0.4  # share of the remaining descriptors for connections to nodes; the others are for clients
-LEAST_SOCKETS = 64
+MIN_SOCKETS = 64
 
 
 class GatewayConfigError(MallowbeamError):
@@ -79,28 +79,28 @@
         raise GatewayConfigError("BALANCER_CONFIG is not set")
     raw = read_file(path)
     try:
-        return decode(raw, env, descriptors())
+        return decode_config(raw, env, descriptor_limit())
     except KeyError as error:
         raise GatewayConfigError(f"{path} lacks {error}, or has an unknown value there") from None
     except (ValueError, TypeError, AttributeError, OverflowError, RecursionError) as error:
         raise GatewayConfigError(f"{path} is malformed: {error}") from None
 
 
-def descriptors() -> int | None:
+def descriptor_limit() -> int | None:
     """Returns the process's soft limit on descriptors, None if unlimited; the limit is never raised."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return None if soft == resource.RLIM_INFINITY else soft
 
 
-def read_again(env: Mapping[str, str]) -> Config:
+def read_config_for_reload(env: Mapping[str, str]) -> Config:
     """Reads the configuration for a reload: the file's discovery address overrides the environment's."""
     return read_config({name: value for name, value in env.items() if name != "BALANCER_DISCOVERY"})
 
 
-def decode(raw: dict[str, Any], env: Mapping[str, str], most: int | None = None) -> Config:
+def decode_config(raw: dict[str, Any], env: Mapping[str, str], max_descriptors: int | None = None) -> Config:
     """Decodes the configuration; the environment overrides the file.
 
-    `most` is the process's limit on descriptors; the lower of it and `limits.sockets` applies.
+    `max_descriptors` is the process's limit on descriptors; the lower of it and `limits.sockets` applies.
     """
     flat = flatten(raw["settings"])
 
@@ -114,26 +114,28 @@
     discovery = str(env.get("BALANCER_DISCOVERY") or raw["discovery"])
     read_address(discovery)
     sockets = int(raw.get("limits", {}).get("sockets", 1024))
-    if sockets < LEAST_SOCKETS:
-        raise ValueError(f"limits.sockets must be at least {LEAST_SOCKETS}")
-    if most is not None and most < sockets:
-        logger.warning("limits.sockets is {}, but this process may open only {} descriptors", sockets, most)
-        sockets = max(LEAST_SOCKETS, most)
+    if sockets < MIN_SOCKETS:
+        raise ValueError(f"limits.sockets must be at least {MIN_SOCKETS}")
+    if max_descriptors is not None and max_descriptors < sockets:
+        logger.warning(
+            "limits.sockets is {}, but this process may open only {} descriptors", sockets, max_descriptors
+        )
+        sockets = max(MIN_SOCKETS, max_descriptors)
     memory = int(raw.get("limits", {}).get("memory_mb", 192)) * 1024 * 1024
     if memory <= 0:
         raise ValueError("limits.memory_mb must be greater than 0")
-    door = env.get("BALANCER_ADMIN_ADDR") or raw.get("admin_addr")
-    own = OWN_SOCKETS + (ADMIN_SOCKETS if door else 0)
-    dealt = sockets - own
-    node_sockets = int(dealt * NODE_SHARE)
+    admin_address = env.get("BALANCER_ADMIN_ADDR") or raw.get("admin_addr")
+    reserved = RESERVED_SOCKETS + (ADMIN_SOCKETS if admin_address else 0)
+    shared_sockets = sockets - reserved
+    node_sockets = int(shared_sockets * NODE_SHARE)
     return Config(
         name=str(env.get("BALANCER_NAME") or raw["name"]),
         listen=read_address(env.get("BALANCER_LISTEN") or raw["listen"]),
-        admin=read_address(door) if door else None,
+        admin=read_address(admin_address) if admin_address else None,
         discovery=discovery,
         node_sockets=node_sockets,
-        client_sockets=dealt - node_sockets,
-        own_sockets=own,
+        client_sockets=shared_sockets - node_sockets,
+        own_sockets=reserved,
         memory=memory,
         known=read_listing(raw["known"]),
         settings=settings,
--- a/mallowbeam/storage_gateway/server/discovery.py
+++ b/mallowbeam/storage_gateway/server/discovery.py
@@ -31,18 +31,18 @@
 # The gateway must act on a list within 6 s of discovery having it and being reachable, whichever call failed.
 # In the worst case discovery is back just after a call began that still times out; then follow the
 # scheduler's longest retry delay (MAX_WATCH_RETRY_S in `scheduler/node_health.py`) and the next call, which
-# is answered or rejected after a second in discovery's queue: ANSWER + 2.2 + 1.0 = 5.4 s.  If the first was
-# an open watch that timed out, the scheduler retries at once: WAITS[1] + OVERDUE + 1.0 = 5.4 s.  With an
-# agent: AGENT_RETRY + AGENT_OVERDUE + 0.05 s.
-WAITS = (2.0, 4.0)  # seconds a long poll waits for a change, drawn from this range; see the 6 s
-OVERDUE = 0.4  # seconds past its wait after which a call has timed out
-ANSWER = 2.2  # seconds for a call without a long poll: connecting, queueing and the response
-NO_WAIT = 0.1  # seconds that the first call after a failure waits for a change
-AGENT_WAIT, AGENT_RETRY = 1.0, 0.1  # seconds that a call to the agent waits, normally and after a failure
-AGENT_OVERDUE = 0.1  # seconds; with AGENT_RETRY within the grace period of a drain
-CONNECT_TIMEOUT = 1.0
-MAX_LIST = 1024 * 1024  # bytes of a list's JSON
-LOST = 1.0  # seconds to the next call if reporting a failure to the scheduler raised an error
+# is answered or rejected after a second in discovery's queue: RESPONSE_TIMEOUT_S + 2.2 + 1.0 = 5.4 s.  If the
+# first was an open watch that timed out, the scheduler retries at once: LONG_POLL_RANGE_S[1] +
+# TIMEOUT_MARGIN_S + 1.0 = 5.4 s.  With an agent: AGENT_RETRY_WAIT_S + AGENT_TIMEOUT_MARGIN_S + 0.05 s.
+LONG_POLL_RANGE_S = (2.0, 4.0)  # seconds a long poll waits for a change, drawn from this range; see the 6 s
+TIMEOUT_MARGIN_S = 0.4  # seconds past its wait after which a call has timed out
+RESPONSE_TIMEOUT_S = 2.2  # seconds for a call without a long poll: connecting, queueing and the response
+RETRY_WAIT_S = 0.1  # seconds that the first call after a failure waits for a change
+AGENT_WAIT_S, AGENT_RETRY_WAIT_S = 1.0, 0.1  # the wait of a call to the agent, and after a failure
+AGENT_TIMEOUT_MARGIN_S = 0.1  # seconds; with AGENT_RETRY_WAIT_S within the grace period of a drain
+CONNECT_TIMEOUT_S = 1.0
+MAX_LIST_BYTES = 1024 * 1024  # bytes of a list's JSON
+REPORT_RETRY_S = 1.0  # seconds to the next call if reporting a failure to the scheduler raised an error
 
 
 class DiscoverySilentError(MallowbeamError):
@@ -53,7 +53,7 @@
 
 
 class Watch:
-    """Follows the list of nodes; `told` is called with each list, or with the reason why the watch ended.
+    """Follows the list of nodes; `on_update` gets each list, or the reason why the watch ended.
 
     `pushed` says that discovery is an agent on this machine; `draw` returns random numbers from 0 to 1.
     """
@@ -62,15 +62,15 @@
         self,
         address: str,
         revision: int,
-        told: Callable[[Listing | DiscoveryUpdateKind], None],
+        on_update: Callable[[Listing | DiscoveryUpdateKind], None],
         pushed: bool = False,
         draw: Callable[[], float] = random.random,
     ) -> None:
-        self.address, self.told, self.pushed, self.draw = address, told, pushed, draw
+        self.address, self.on_update, self.pushed, self.draw = address, on_update, pushed, draw
         self.revision: int | None = revision  # None: request the full list first
-        self.anew = False  # the last call failed or timed out
+        self.last_call_failed = False  # the last call failed or timed out
         self.paused = False  # the other process of this gateway watches for both
-        self.failed, self.fell_silent = (
+        self.warn_failed, self.warn_timed_out = (
             RateLimitedWarning("discovery call failed"),
             RateLimitedWarning("discovery call timed out"),
         )
@@ -84,7 +84,7 @@
     def pause(self) -> None:
         """Stops watching until `resume`, even if the scheduler requests a watch, as a retry may be due."""
         self.paused = True
-        self._give_up()
+        self._cancel_call()
 
     def resume(self) -> None:
         """Resumes watching."""
@@ -97,18 +97,18 @@
             return
         # Requests the full list: the new address may number its lists anew, so changes could be missed.
         self.address, self.revision = address, None
-        self._give_up()
+        self._cancel_call()
         self.begin()
 
-    def update_from_peer(self, listing: Listing, address: str, take: Callable[[Listing], None]) -> None:
+    def update_from_peer(self, listing: Listing, address: str, apply: Callable[[Listing], None]) -> None:
         """Applies a list that the other process received from an address, if it is newer than the one known.
 
         A list that is not newer, or comes from an address no longer watched, is ignored.
         """
         if address == self.address and (self.revision is None or listing.revision > self.revision):
-            self._known(listing, take)
+            self._apply(listing, apply)
 
-    def _give_up(self) -> None:
+    def _cancel_call(self) -> None:
         """Cancels the call in flight; a cancelled task reports nothing."""
         if self.task is not None:
             self.task.cancel()
@@ -118,72 +118,72 @@
         link, ended = None, DiscoveryUpdateKind.FAILED
         try:
             while True:
-                asked, (wait, most) = self.revision, self._times()
+                since, (wait, timeout_s) = self.revision, self._call_times()
                 try:
-                    async with asyncio.timeout(most):
+                    async with asyncio.timeout(timeout_s):
                         if link is None:
-                            link = await connect(self.address, CONNECT_TIMEOUT, MAX_LIST)
+                            link = await connect(self.address, CONNECT_TIMEOUT_S, MAX_LIST_BYTES)
                         answer = await self._call(link, wait)
                 except TimeoutError:
                     raise DiscoverySilentError("no response in time") from None
-                self._take(decode_listing(answer.body), asked)
+                self._apply_response(decode_listing(answer.body), since)
                 if not link.reusable(answer):
                     link.close()
                     link = None
         except DiscoverySilentError:
             ended = DiscoveryUpdateKind.TIMED_OUT
-            self.fell_silent("retrying")
+            self.warn_timed_out("retrying")
         except (
             RequestNotSentError,
             ConnectionBrokenError,
             ValueError,
         ) as error:  # an invalid list or address
-            self.failed(str(error) or type(error).__name__)
+            self.warn_failed(str(error) or type(error).__name__)
         except Exception as error:
             # An error with one list must not end the watch on all later ones.
             logger.opt(exception=error).error("unexpected error while applying a node list")
         finally:
             if link is not None:
                 link.close()
-        self.task, self.anew = None, True
+        self.task, self.last_call_failed = None, True
         try:
-            self.told(ended)
+            self.on_update(ended)
         except Exception as error:  # the scheduler, which decides on retries, may not know
             logger.opt(exception=error).error("unexpected error while applying a node list")
-            asyncio.get_running_loop().call_later(LOST, self.begin)
+            asyncio.get_running_loop().call_later(REPORT_RETRY_S, self.begin)
 
-    def _take(self, listing: Listing, asked: int | None) -> None:
-        """Applies the list requested since revision `asked`, or the full list if `asked` is None."""
-        self.anew = False
-        if self.revision is not None and asked != self.revision and listing.revision <= self.revision:
+    def _apply_response(self, listing: Listing, since: int | None) -> None:
+        """Applies the list requested since revision `since`, or the full list if `since` is None."""
+        self.last_call_failed = False
+        if self.revision is not None and since != self.revision and listing.revision <= self.revision:
             return  # the other process has sent this list or a newer one meanwhile
         if not listing.complete:
-            if asked is None:
+            if since is None:
                 raise NodeListError("received changes instead of the requested full list")
-            if listing.revision < asked:  # the numbering restarted, so the changes in between are unknown
+            if listing.revision < since:  # the numbering restarted, so the changes in between are unknown
                 self.revision = None
                 return
-        self._known(listing, self.told)
+        self._apply(listing, self.on_update)
 
-    def _known(self, listing: Listing, take: Callable[[Listing], None]) -> None:
+    def _apply(self, listing: Listing, apply: Callable[[Listing], None]) -> None:
         """Applies a list and records its revision, unless it holds changes to an unknown list.
 
         If applying fails midway no revision is recorded, so the full list is requested and no drain is lost.
         """
         before, self.revision = self.revision, None
-        take(listing)
+        apply(listing)
         if listing.complete or before is not None:
             self.revision = listing.revision
 
-    def _times(self) -> tuple[float, float]:
+    def _call_times(self) -> tuple[float, float]:
         """Returns for the next call the seconds to wait for a change, and those after which it times out."""
         if self.pushed:
-            wait = AGENT_RETRY if self.anew else AGENT_WAIT
-            return wait, wait + AGENT_OVERDUE
-        if self.anew or self.revision is None:
-            return NO_WAIT, ANSWER
-        wait = WAITS[0] + (WAITS[1] - WAITS[0]) * self.draw()
-        return wait, wait + OVERDUE
+            wait = AGENT_RETRY_WAIT_S if self.last_call_failed else AGENT_WAIT_S
+            return wait, wait + AGENT_TIMEOUT_MARGIN_S
+        if self.last_call_failed or self.revision is None:
+            return RETRY_WAIT_S, RESPONSE_TIMEOUT_S
+        wait = LONG_POLL_RANGE_S[0] + (LONG_POLL_RANGE_S[1] - LONG_POLL_RANGE_S[0]) * self.draw()
+        return wait, wait + TIMEOUT_MARGIN_S
 
     async def _call(self, link: Link, wait: float) -> Message:
         """Makes one call on a connection: a long poll for changes, or a request for the full list.
--- a/mallowbeam/storage_gateway/server/handover.py
+++ b/mallowbeam/storage_gateway/server/handover.py
@@ -24,8 +24,8 @@
 from mallowbeam.storage_gateway.server.config import Config
 from mallowbeam.storage_gateway.server.listing import Listing, read_listing
 
-HANDOVER_TIMEOUT = 1.0  # seconds for the old process to hand over, so that a hung one doesn't block the start
-VERSION = 1  # of the protocol; no hand-over from an old process with another version
+HANDOVER_TIMEOUT_S = 1.0  # for the old process to hand over, so that a hung one doesn't block the start
+PROTOCOL_VERSION = 1  # of the protocol; no hand-over from an old process with another version
 MAX_LISTENERS = 8  # maximum number of listening sockets handed over
 OPENING_MESSAGES = 2  # the listener names, and the state
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024  # bytes of one line, and of queued lines
@@ -38,7 +38,7 @@
     sock: socket.socket
 
 
-class Host(Protocol):
+class MessageHandler(Protocol):
     """The receiver of the other process's messages."""
 
     link: PeerLink | None
@@ -69,7 +69,7 @@
     def move_discovery(self, address: str) -> None:
         """The discovery address has changed."""
 
-    def by_hand(self, node: str, out: bool) -> None:
+    def set_detached(self, node: str, detached: bool) -> None:
         """An operator detached or attached a node at the other process."""
 
     def handover_state(self) -> Mapping[str, object]:
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True)
-class Legacy:
+class Takeover:
     """What the old process hands over to a new one: the link to it, its listening sockets and its state."""
 
     sock: socket.socket
@@ -104,12 +104,12 @@
         os.close(folder)
 
 
-def take_over(config: Config) -> Legacy | None:
+def take_over(config: Config) -> Takeover | None:
     """Takes over from the serving process; None if there is none, or if it doesn't hand over in time."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     inherited: list[socket.socket] = []
     try:
-        sock.settimeout(HANDOVER_TIMEOUT)
+        sock.settimeout(HANDOVER_TIMEOUT_S)
         with rendezvous_path(config) as path:
             sock.connect(path)
         # $TMPDIR may be writable by other users, and the handed-over state decides where requests go.
@@ -118,17 +118,17 @@
         data, fds, _, _ = socket.recv_fds(sock, 65536, MAX_LISTENERS)
         inherited = [socket.socket(fileno=fd) for fd in fds]
         while data.count(b"\n") < OPENING_MESSAGES:
-            more = sock.recv(65536)
-            if not more or len(data) > MAX_MESSAGE_BYTES:
+            chunk = sock.recv(65536)
+            if not chunk or len(data) > MAX_MESSAGE_BYTES:
                 raise ValueError("the connection ended before the state was complete")
-            data += more
+            data += chunk
         first, second, rest = data.split(b"\n", 2)
         names, state = json.loads(first)["doors"], json.loads(second)["state"]
-        if state["version"] != VERSION:
+        if state["version"] != PROTOCOL_VERSION:
             raise ValueError("the old process uses another version of the protocol")
-        legacy = Legacy(sock, dict(zip(names, inherited, strict=True)), state, rest)
-        legacy.config(config)
-        return legacy
+        takeover = Takeover(sock, dict(zip(names, inherited, strict=True)), state, rest)
+        takeover.config(config)
+        return takeover
     except (FileNotFoundError, ConnectionRefusedError):
         pass  # no process serves; a stale socket file is ignored
     except (OSError, ValueError, KeyError, TypeError) as error:
@@ -142,13 +142,15 @@
 class PeerLink:
     """The link to the other process of this gateway.
 
-    `leads` says that this process is the new one, whose discovery address wins if the two differ.
+    `is_new` says that this process is the new one, whose discovery address wins if the two differ.
     """
 
-    def __init__(self, sock: socket.socket, host: Host, received: bytes = b"", leads: bool = False) -> None:
+    def __init__(
+        self, sock: socket.socket, handler: MessageHandler, received: bytes = b"", is_new: bool = False
+    ) -> None:
         sock.setblocking(False)
-        self.sock, self.host, self.leads = sock, host, leads
-        self.ids: set[str] = set()  # ids of the other process's pending requests
+        self.sock, self.handler, self.is_new = sock, handler, is_new
+        self.request_ids: set[str] = set()  # ids of the other process's pending requests
         self.outgoing, self.wakeup = bytearray(), asyncio.Event()
         self.tasks = [asyncio.create_task(self._write()), asyncio.create_task(self._read(received))]
         # A callback: a task cancelled before its first step runs no `finally`, and without the cleanup the
@@ -196,39 +198,39 @@
     def _ended(self, _: asyncio.Task[None]) -> None:
         self.tasks[0].cancel()
         self.sock.close()
-        self.host.disconnected()
+        self.handler.disconnected()
 
     def _receive(self, kind: str, value: Any) -> None:
-        host = self.host
+        handler = self.handler
         match kind:
             case "sent":
-                host.sent_by_peer(value)
+                handler.sent_by_peer(value)
             case "taken":
-                self.ids.add(value)
+                self.request_ids.add(value)
             case "over":
-                self.ids.discard(value)
+                self.request_ids.discard(value)
             case "list":
-                host.listing_from_peer(read_listing(value), value.get("discovery"))
+                handler.listing_from_peer(read_listing(value), value.get("discovery"))
             case "discovery":
-                host.move_discovery(value)
-                if self.leads:  # so that concurrent reloads at both end at one address
+                handler.move_discovery(value)
+                if self.is_new:  # so that concurrent reloads at both end at one address
                     self.send("discovery", value)
             case "hand":
-                node, out = value
-                host.by_hand(node, out)
+                node, detached = value
+                handler.set_detached(node, detached)
             case "clients":
-                host.split_limits(value)
+                handler.split_limits(value)
             case "yes":
-                host.confirmed()
+                handler.confirmed()
 
 
 class Handover:
     """Listens for a new process and hands over to it."""
 
-    def __init__(self, host: Host) -> None:
-        self.host = host
+    def __init__(self, handler: MessageHandler) -> None:
+        self.handler = handler
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        with rendezvous_path(host.config) as path:
+        with rendezvous_path(handler.config) as path:
             with suppress(FileNotFoundError):  # left by an earlier process
                 os.unlink(path)
             self.sock.bind(path)
@@ -238,24 +240,24 @@
         self.task = asyncio.create_task(self._run())
 
     async def _run(self) -> None:
-        loop, host = asyncio.get_running_loop(), self.host
+        loop, handler = asyncio.get_running_loop(), self.handler
         with self.sock:
             while True:
                 sock, _ = await loop.sock_accept(self.sock)
-                if host.link is not None:  # one upgrade at a time
+                if handler.link is not None:  # one upgrade at a time
                     sock.close()
                     continue
                 try:
-                    names = [server.name for server in host.servers]
+                    names = [server.name for server in handler.servers]
                     socket.send_fds(
                         sock,
                         [json.dumps({"doors": names}).encode() + b"\n"],
-                        [server.sock.fileno() for server in host.servers],
+                        [server.sock.fileno() for server in handler.servers],
                     )
                 except OSError as error:
                     logger.warning("no handover: {}", error)
                     sock.close()
                     continue
-                host.link = PeerLink(sock, host)
-                host.split_limits(0)
-                host.link.send("state", {"version": VERSION, **host.handover_state()})
+                handler.link = PeerLink(sock, handler)
+                handler.split_limits(0)
+                handler.link.send("state", {"version": PROTOCOL_VERSION, **handler.handover_state()})
--- a/mallowbeam/storage_gateway/server/health.py
+++ b/mallowbeam/storage_gateway/server/health.py
@@ -24,7 +24,7 @@
     return text_response(200 if gateway.ready else 503, gateway.phase.value, close)
 
 
-def page(gateway: Gateway, path: bytes, close: bool) -> Response | None:
+def health_page(gateway: Gateway, path: bytes, close: bool) -> Response | None:
     """Returns the health page at a path, or None if there is none."""
     if path == b"/healthz":
         return readiness(gateway, close)
@@ -59,7 +59,9 @@
         """Returns the requested page."""
         if request.method not in (b"GET", b"HEAD"):
             return text_response(405, "only GET", closing(), [(b"allow", b"GET, HEAD")])
-        return page(self.gateway, request.target, closing()) or text_response(404, "no such page", closing())
+        return health_page(self.gateway, request.target, closing()) or text_response(
+            404, "no such page", closing()
+        )
 
     def error_response(self, status: int, text: str) -> Response:
         """Returns the response to a request that violates HTTP or a size limit."""
@@ -69,7 +71,7 @@
         """Does nothing: health checks are not counted in the metrics."""
 
 
-def agent_line(gateway: Gateway) -> bytes:
+def agent_check_reply(gateway: Gateway) -> bytes:
     """Returns the agent-check reply for HAProxy: the administrative state, and the weight while serving.
 
     The weight falls with the share of client connections in use, but never to 0, which would drain it.
@@ -101,7 +103,7 @@
         try:
             self.sock.setblocking(False)
             async with asyncio.timeout(LINGER):
-                await loop.sock_sendall(self.sock, agent_line(self.gateway))
+                await loop.sock_sendall(self.sock, agent_check_reply(self.gateway))
                 self.sock.shutdown(socket.SHUT_WR)
                 while await loop.sock_recv_into(self.sock, buffer):
                     pass  # data that the balancer sends with a check is ignored
--- a/mallowbeam/storage_gateway/server/listing.py
+++ b/mallowbeam/storage_gateway/server/listing.py
@@ -19,11 +19,11 @@
 STATES = {"up": NodeState.READY, "draining": NodeState.DRAINING, "removed": NodeState.REMOVED}
 MAX_PORT = 65535
 MAX_HOST_NAME = 253  # characters, RFC 1035 section 2.3.4
-MOST_TEXT = 256  # characters of an id, an address, a zone or a machine type
-MOST_NUMBER = 2**53  # bound of a revision, a cell, a time in milliseconds or a size
-NAME = re.compile(r"([A-Za-z0-9_-]{1,63}\.)*[A-Za-z0-9_-]{1,63}\.?")
+MAX_TEXT_CHARS = 256  # characters of an id, an address, a zone or a machine type
+MAX_NUMBER = 2**53  # bound of a revision, a cell, a time in milliseconds or a size
+HOST_NAME = re.compile(r"([A-Za-z0-9_-]{1,63}\.)*[A-Za-z0-9_-]{1,63}\.?")
 PORT = re.compile(r"[0-9]{1,5}")
-KINDS = {bool: "true or false", int: "a whole number", float: "a number", str: "text", list: "a list"}
+TYPE_NAMES = {bool: "true or false", int: "a whole number", float: "a number", str: "text", list: "a list"}
 REQUIRED = object()
 Number = TypeVar("Number", int, float)
 
@@ -58,12 +58,12 @@
 
     In a list of changes the last entry of a node counts; a full list names each node once.
     """
-    top = _Fields(raw, "the list")
-    revision, complete = top.whole("revision"), top.of(bool, "complete")
+    top = _FieldReader(raw, "the list")
+    revision, complete = top.integer("revision"), top.typed(bool, "complete")
     entries: dict[str, NodeEntry] = {}
     addresses: dict[str, str] = {}
-    for number, member in enumerate(top.of(list, "members")):
-        fields = _Fields(member, f"members[{number}]")
+    for number, member in enumerate(top.typed(list, "members")):
+        fields = _FieldReader(member, f"members[{number}]")
         node, state = fields.text("id"), STATES.get(fields.text("phase"))
         if not node or state is None:
             raise NodeListError("empty id" if state else "unknown phase", fields.where)
@@ -74,7 +74,7 @@
         entries[node] = NodeEntry(
             node=node,
             state=state,
-            shard=fields.whole("cell", 0, -1),
+            shard=fields.integer("cell", 0, -1),
             zone=fields.text("locality", ""),
             started_at=fields.number("up_since_ms", 0) / 1000.0 or None,
             machine=fields.text("flavor", ""),
@@ -97,16 +97,16 @@
         "complete": complete,
         "members": [
             {
-                "id": e.node,
-                "host_port": addresses.get(e.node, ""),
-                "locality": e.zone,
-                "flavor": e.machine,
-                "cell": e.shard,
-                "phase": phases[e.state],
-                "size": e.weight,
-                "up_since_ms": round((e.started_at or 0.0) * 1000),
+                "id": entry.node,
+                "host_port": addresses.get(entry.node, ""),
+                "locality": entry.zone,
+                "flavor": entry.machine,
+                "cell": entry.shard,
+                "phase": phases[entry.state],
+                "size": entry.weight,
+                "up_since_ms": round((entry.started_at or 0.0) * 1000),
             }
-            for e in entries
+            for entry in entries
         ],
     }
 
@@ -120,7 +120,7 @@
     if not PORT.fullmatch(port) or not 0 < int(port) <= MAX_PORT:
         return False
     if ":" not in host:
-        return NAME.fullmatch(host) is not None and len(host) <= MAX_HOST_NAME
+        return HOST_NAME.fullmatch(host) is not None and len(host) <= MAX_HOST_NAME
     try:
         socket.inet_pton(socket.AF_INET6, host.removeprefix("[").removesuffix("]"))
     except OSError:
@@ -128,7 +128,7 @@
     return True
 
 
-class _Fields:
+class _FieldReader:
     """Reads the fields of one JSON object, checked for type and bounds; all methods raise `NodeListError`."""
 
     def __init__(self, raw: object, where: str) -> None:
@@ -136,36 +136,36 @@
             raise NodeListError("not a JSON object", where)
         self.raw, self.where = raw, where
 
-    def of(self, kind: type, name: str, default: object = REQUIRED) -> Any:
+    def typed(self, kind: type, name: str, default: object = REQUIRED) -> Any:
         """Returns a value of exactly that type (true is not a number)."""
         value = self.raw.get(name, default)
         if value is REQUIRED:
             raise NodeListError(f"missing {name}", self.where)
         if type(value) is not kind:
-            raise NodeListError(f"{name} is not {KINDS[kind]}", self.where)
+            raise NodeListError(f"{name} is not {TYPE_NAMES[kind]}", self.where)
         return value
 
     def text(self, name: str, default: object = REQUIRED) -> str:
         """Returns text that is safe to log; an optional field may be null."""
         if default is not REQUIRED and self.raw.get(name) is None:
             return str(default)
-        value: str = self.of(str, name)
-        if len(value) > MOST_TEXT or not value.isprintable():
+        value: str = self.typed(str, name)
+        if len(value) > MAX_TEXT_CHARS or not value.isprintable():
             raise NodeListError(f"{name} is too long or not printable: {value[:40]!r}", self.where)
         return value
 
-    def whole(self, name: str, default: object = REQUIRED, least: int = 0) -> int:
+    def integer(self, name: str, default: object = REQUIRED, minimum: int = 0) -> int:
         """Returns an integer."""
-        value: int = self.of(int, name, default)
-        return self._bounded(name, value, least)
+        value: int = self.typed(int, name, default)
+        return self._bounded(name, value, minimum)
 
     def number(self, name: str, default: float) -> float:
         """Returns a number of at least 0."""
         value = self.raw.get(name, default)
-        number: float = value if type(value) is int else self.of(float, name, default)
+        number: float = value if type(value) is int else self.typed(float, name, default)
         return self._bounded(name, number)
 
-    def _bounded(self, name: str, value: Number, least: int = 0) -> Number:
-        if not least <= value <= MOST_NUMBER:  # NaN fails both comparisons
+    def _bounded(self, name: str, value: Number, minimum: int = 0) -> Number:
+        if not minimum <= value <= MAX_NUMBER:  # NaN fails both comparisons
             raise NodeListError(f"{name} is out of range", self.where)
         return value
--- a/mallowbeam/storage_gateway/server/log.py
+++ b/mallowbeam/storage_gateway/server/log.py
@@ -11,7 +11,7 @@
 from mallowbeam.http.reporting import RateLimitedWarning as RateLimitedWarning
 
 
-class Forward(logging.Handler):
+class LoguruHandler(logging.Handler):
     """Forwards each record to loguru, with its level and exception."""
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -20,4 +20,4 @@
         logger.opt(exception=error).log(record.levelname, "{}", record.getMessage())
 
 
-reporting.logger.addHandler(Forward())
+reporting.logger.addHandler(LoguruHandler())
--- a/mallowbeam/storage_gateway/server/peer.py
+++ b/mallowbeam/storage_gateway/server/peer.py
@@ -21,7 +21,7 @@
 from mallowbeam.storage_gateway.server.handover import PeerLink
 from mallowbeam.storage_gateway.server.listing import Listing, write_listing
 
-LEAST_LIMIT_DIVISOR = 4  # beside another process a server keeps at least a quarter of its connections
+MIN_LIMIT_DIVISOR = 4  # beside another process a server keeps at least a quarter of its connections
 
 
 class PeerGateway(Protocol):
@@ -46,7 +46,7 @@
     def update_nodes(self, listing: Listing) -> None:
         """Applies a list of nodes."""
 
-    def by_hand(self, node: str, out: bool, *, from_peer: bool = False) -> bool:
+    def set_detached(self, node: str, detached: bool, *, from_peer: bool = False) -> bool:
         """Detaches or attaches a node for an operator."""
 
 
@@ -73,15 +73,15 @@
         The limits apply to both processes together; the other one has `peer_connections` client connections.
         """
         gateway = self._gateway
-        parts = 1 if self.link is None else 2
-        own = 0 if self.link is None else gateway.config.own_sockets
+        process_count = 1 if self.link is None else 2
+        reserved = 0 if self.link is None else gateway.config.own_sockets
         for server in gateway.servers:
-            taken = (peer_connections + own) // len(gateway.servers)
-            least = server.configured_limit // LEAST_LIMIT_DIVISOR
-            server.connection_limit = max(least, server.configured_limit - taken)
+            peer_share = (peer_connections + reserved) // len(gateway.servers)
+            minimum = server.configured_limit // MIN_LIMIT_DIVISOR
+            server.connection_limit = max(minimum, server.configured_limit - peer_share)
             if budget := getattr(server.front, "budget", None):
-                budget.limit = budget.configured_limit // parts
-        gateway.pool.limit_to_part(parts)
+                budget.limit = budget.configured_limit // process_count
+        gateway.pool.limit_to_part(process_count)
 
     def disconnected(self) -> None:
         """Handles the end of the other process."""
@@ -109,9 +109,9 @@
         """Changes the discovery address, after a SIGHUP here or at the other process."""
         self._gateway.watch.move(address)
 
-    def by_hand(self, node: str, out: bool) -> None:
+    def set_detached(self, node: str, detached: bool) -> None:
         """Applies a detach or attach by an operator at the other process."""
-        self._gateway.by_hand(node, out, from_peer=True)
+        self._gateway.set_detached(node, detached, from_peer=True)
 
     def handover_state(self) -> Mapping[str, object]:
         """Returns the state that a new process needs to continue; its keys are part of the protocol."""
@@ -150,4 +150,4 @@
 
     def has_id(self, request: str) -> bool:
         """Whether the other process has a request with this id."""
-        return self.link is not None and request in self.link.ids
+        return self.link is not None and request in self.link.request_ids
--- a/tests/storage_gateway/coordination/test_coordination_service.py
+++ b/tests/storage_gateway/coordination/test_coordination_service.py
@@ -57,7 +57,7 @@
     def now(self) -> float:
         return 0.0
 
-    def by_hand(self, node: str, out: bool, listed: bool = True) -> bool:
+    def set_detached(self, node: str, out: bool, listed: bool = True) -> bool:
         self.drained.append((node, out))
         return True
 
--- a/tests/storage_gateway/frontends/object_api/test_access.py
+++ b/tests/storage_gateway/frontends/object_api/test_access.py
@@ -262,12 +262,12 @@
             servers=[node.host_port for node in nodes], buffer=section, keys=str(EXAMPLE / "keys.json")
         ) as world:
             if buffered:
-                await world.gateway.parts[0].opened.wait()
+                await world.gateway.subsystems[0].opened.wait()
             reader, writer = await asyncio.open_connection(*world.objects)
             writer.write(chunked_request([b"hel", b"lo"], trailer, spoil))
             head = await reader.read()
             if buffered and status == 200:
-                buffer = world.gateway.parts[0]
+                buffer = world.gateway.subsystems[0]
                 assert await buffer.waiters.barrier_passed(await buffer.intake.put_barrier("plates"), 10)
             return head
 
--- a/tests/storage_gateway/frontends/object_api/test_batches.py
+++ b/tests/storage_gateway/frontends/object_api/test_batches.py
@@ -93,7 +93,7 @@
         async with World(
             servers=[node.host_port for node in nodes], buffer=section, keys=str(tmp_path / "keys.json")
         ) as world:
-            await world.gateway.parts[0].opened.wait()
+            await world.gateway.subsystems[0].opened.wait()
             await asyncio.to_thread(use, world.objects[1])
 
     uvloop.run(run())
--- a/tests/storage_gateway/frontends/object_api/test_bodies.py
+++ b/tests/storage_gateway/frontends/object_api/test_bodies.py
@@ -180,7 +180,7 @@
     async def play() -> None:
         section = {"folder": str(tmp_path), "buckets": ["buffered"], "max_bytes": 64 << 20}
         async with World(servers=[node.host_port for node in nodes], buffer=section) as world:
-            await world.gateway.parts[0].opened.wait()
+            await world.gateway.subsystems[0].opened.wait()
             await asyncio.to_thread(use, world.objects[1])
             await world.play(f"""
                 o1 send raw "{wrong}"
--- a/tests/storage_gateway/frontends/object_api/test_listings.py
+++ b/tests/storage_gateway/frontends/object_api/test_listings.py
@@ -208,7 +208,7 @@
     async def run() -> None:
         section = {"folder": str(tmp_path), "buckets": ["buffered"], "max_bytes": 64 << 20}
         async with World(servers=[node.host_port for node in nodes], buffer=section) as world:
-            await world.gateway.parts[0].opened.wait()
+            await world.gateway.subsystems[0].opened.wait()
             await asyncio.to_thread(use, world.objects[1])
 
     uvloop.run(run())
@@ -220,7 +220,7 @@
     async def run() -> None:
         section = {"folder": str(tmp_path), "buckets": ["plates"], "max_bytes": 64 << 20}
         async with World(servers=[node.host_port for node in nodes], buffer=section) as world:
-            part = world.gateway.parts[0]
+            part = world.gateway.subsystems[0]
             await part.opened.wait()
             await world.play("""
                 o1 send PUT /plates/old body=1
--- a/tests/storage_gateway/frontends/test_stream.py
+++ b/tests/storage_gateway/frontends/test_stream.py
@@ -196,7 +196,7 @@
 def test_an_upload_that_stalls_is_given_up_and_one_that_is_slow_is_not(monkeypatch):
     """Guards both: a client may send at 64 kB a second, one that stops must not hold a node's connection."""
     monkeypatch.setattr(connection, "STALLED", 0.3)
-    monkeypatch.setattr(gateway, "SWEEP", 0.05)
+    monkeypatch.setattr(gateway, "SWEEP_INTERVAL_S", 0.05)
     drip = "c1 send raw '' fill=20000\nwait 0.1\n"
     play(f"""
         c1 send raw '{START}' fill=100000
--- a/tests/storage_gateway/server/test_admin.py
+++ b/tests/storage_gateway/server/test_admin.py
@@ -50,7 +50,7 @@
     """)
 
 
-def test_a_refusal_at_the_door_and_an_answer_that_breaks_off_count():
+def test_refused_connection_and_broken_off_response_are_counted():
     async def run() -> None:
         async with World(sockets=140) as world:
             here = world.gateway.servers[-1]
@@ -92,7 +92,7 @@
         ("GET /_ready?x", 200),
     ],
 )
-def test_a_call_that_is_none_is_told_so(call, status):
+def test_unknown_calls_get_an_error_status(call, status):
     play(f"q1 send {call}\nq1 expect {status}\nq1 expect end")
 
 
@@ -110,7 +110,7 @@
 def test_half_sent_calls_do_not_keep_others_out(monkeypatch):
     """Clients that never finished a request made all later ones wait until those timed out."""
     monkeypatch.setattr(connection, "STALLED", 60.0)
-    monkeypatch.setattr(gateway, "SWEEP", 0.05)
+    monkeypatch.setattr(gateway, "SWEEP_INTERVAL_S", 0.05)
 
     async def run() -> None:
         async with World() as world:
@@ -121,7 +121,7 @@
     uvloop.run(run())
 
 
-def test_a_node_out_by_hand_gets_nothing_until_it_is_called_back():
+def test_detached_node_gets_nothing_until_it_is_attached():
     play(
         """
         q1 send PUT /_storage-nodes/detach body=n0
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("call", ["detach", "attach"])
 @pytest.mark.parametrize(("body", "status"), [("n9", 404), ("", 400), ("'a b'", 400), ("y" * 300, 413)])
-def test_an_id_that_nobody_has_or_that_is_none_gets_a_no(call, body, status):
+def test_unknown_or_invalid_node_id_is_rejected(call, body, status):
     play(f"q1 send PUT /_storage-nodes/{call} body={body}\nq1 expect {status}")
 
 
--- a/tests/storage_gateway/server/test_begins.py
+++ b/tests/storage_gateway/server/test_begins.py
@@ -23,17 +23,17 @@
     Send,
 )
 
-SHORT = {"new-write": {"Window": 0.3}}
+SHORT_WINDOW = {"new-write": {"Window": 0.3}}
 
 
-async def quiet(world: World) -> None:
+async def until_no_attempts(world: World) -> None:
     """Waits until no attempt is in flight."""
     async with asyncio.timeout(5):
         while world.gateway.attempts.tasks:
             await asyncio.sleep(0)
 
 
-def turned_down(before: str, meanwhile, after: str, reached: int = 0, **world: object) -> None:
+def assert_not_sent(before: str, meanwhile, after: str, reached: int = 0, **world: object) -> None:
     """Plays `before`, runs `meanwhile` during a held connect, and checks that `reached` requests were sent.
 
     If `before` is a tuple, its first scenario is played before connections are held.
@@ -47,7 +47,7 @@
             await here.play(before[-1] if isinstance(before, tuple) else before)
             await meanwhile(here)
             gate.set()
-            await quiet(here)
+            await until_no_attempts(here)
             await here.play(after)
             assert here.gateway.metrics.upstream_requests == reached
             here.gateway.pool.sweep()
@@ -56,54 +56,54 @@
     uvloop.run(run())
 
 
-def later(seconds: float):
+def advance_clock(seconds: float):
     """Returns a step that advances the gateway's clock while a connection is being opened."""
 
-    async def pass_by(world: World) -> None:
+    async def advance(world: World) -> None:
         async with asyncio.timeout(5):
             await world.held.wait()
         world.gateway.epoch += seconds
 
-    return pass_by
+    return advance
 
 
 def test_a_keyed_repeat_whose_window_has_closed_meanwhile_is_not_sent():
     """Seen in the run zone+brink: a write was retried outside its window because connecting took long."""
-    turned_down(
+    assert_not_sent(
         ("c1 send write\nn0 expect PUT", "n0 close"),
-        later(0.35),
+        advance_clock(0.35),
         "c1 expect 502\nn0 expect nothing",
         reached=1,
-        Classes=SHORT,
+        Classes=SHORT_WINDOW,
     )
 
 
 def test_what_has_no_time_left_is_refused_and_not_sent():
-    turned_down("c1 send read", later(1.6), "c1 expect 503\nn0 expect nothing")
+    assert_not_sent("c1 send read", advance_clock(1.6), "c1 expect 503\nn0 expect nothing")
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_a_client_that_left_meanwhile_has_nothing_sent(cancel):
+def test_nothing_is_sent_for_a_client_gone_while_connecting(cancel):
     """Also where attempts may not be cancelled, so that the connection is opened all the same."""
 
     async def leave(world: World) -> None:
-        await later(0.0)(world)
+        await advance_clock(0.0)(world)
         await world.play("c1 close")
         async with asyncio.timeout(5):
             while world.gateway.exchanges:
                 await asyncio.sleep(0)
 
-    turned_down("c1 send read", leave, "n0 expect nothing", Ceilings={"Cancel": cancel})
+    assert_not_sent("c1 send read", leave, "n0 expect nothing", Ceilings={"Cancel": cancel})
 
 
-def test_a_verdict_that_came_meanwhile_ends_it():
+def test_final_answer_while_connecting_prevents_the_send():
     async def verdict(world: World) -> None:
-        await later(0.0)(world)
+        await advance_clock(0.0)(world)
         world.gateway.epoch += 1.6  # the scheduler's timer is due
         world.gateway.scheduler.wake_at = 0.0
         world.gateway._wake()
 
-    turned_down(
+    assert_not_sent(
         "c1 send write deadline=1500", verdict, "c1 expect 502\nn0 expect nothing", Ceilings={"Cancel": False}
     )
 
@@ -152,7 +152,7 @@
 # --- the scheduler alone: what an attempt that never began is charged ------------------------------------
 
 
-def test_what_never_began_is_charged_to_nothing():
+def test_attempt_that_never_began_is_not_charged():
     rig = Rig(limit_at_arrival=True, **(SLOW_START_SETTINGS | {"hosts": 1, "slow_start_units": 100.0}))
     rig.wait(2.0)  # the rate limit's tokens fill up
     rig.step(
@@ -210,7 +210,7 @@
         ([NodeEntry("n0", shard=0, zone="a", started_at=100.0)], False),
     ],
 )
-def test_what_the_list_said_meanwhile_counts(listed, goes):
+def test_list_change_while_connecting_is_respected(listed, goes):
     rig = Rig(limit_at_arrival=True, **SLOW_START_SETTINGS)
     send = of(rig.step(rig.request(units=1)), Send)[0]
     if listed:
--- a/tests/storage_gateway/server/test_clients_gone.py
+++ b/tests/storage_gateway/server/test_clients_gone.py
@@ -14,17 +14,17 @@
 from mallowbeam.http.connection import PIPELINED
 
 MANY = 200  # more than is read ahead
-WAYS = {"close": Raw.leave, "reset": lambda client: client.leave(reset=True), "half": Raw.end}
+DISCONNECTS = {"close": Raw.leave, "reset": lambda client: client.leave(reset=True), "half": Raw.end}
 
 
-async def nothing_more(world: World) -> None:
+async def assert_nothing_more(world: World) -> None:
     """Checks that the pending call and its attempt are cancelled, and that no other reached the node."""
     await until(lambda: not world.gateway.exchanges and not world.gateway.attempts.tasks)
     await until(lambda: not world.gateway.servers[-1].connections)
     await world.play("n0 expect end\nn0 expect nothing")
 
 
-def test_the_look_comes_often_enough():
+def test_liveness_check_is_frequent_enough():
     """Starting a request 0.1 s after its client left is a violation; the check interval is half of that."""
     assert connections.LOOK <= 0.05
 
@@ -36,7 +36,7 @@
     return request.param
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("way", DISCONNECTS)
 @pytest.mark.parametrize("count", [1, MANY])
 def test_a_client_that_sends_much_at_once_and_goes_is_noticed(monkeypatch, read_ahead_limit, way, count):
     """Behind unread requests neither an end nor a reset was noticed, and all requests were forwarded."""
@@ -49,8 +49,8 @@
             await world.play("n0 expect GET")
             if count > 1:
                 await until(lambda: len(here.channel.framer.ready) > PIPELINED)
-            WAYS[way](client)
-            await nothing_more(world)
+            DISCONNECTS[way](client)
+            await assert_nothing_more(world)
             if way == "half":  # a half-close counts as a disconnect
                 assert await client.read() == b""
 
@@ -76,7 +76,7 @@
     uvloop.run(run())
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("way", DISCONNECTS)
 def test_a_client_that_leaves_behind_what_breaks_http_is_noticed(way):
     """Garbage follows valid requests: nothing was read until these were answered."""
 
@@ -86,13 +86,13 @@
             await world.play("n0 expect GET")
             await until(lambda: here.channel.framer.error is not None)
             arrive(client, here, b"x" * 50_000)
-            WAYS[way](client)
-            await nothing_more(world)
+            DISCONNECTS[way](client)
+            await assert_nothing_more(world)
 
     uvloop.run(run())
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("way", DISCONNECTS)
 def test_a_client_that_leaves_while_its_bodys_taker_is_slow_is_noticed(way):
     """Nothing is read from the client while the node reads nothing: the attempt lasted until its time-out."""
 
@@ -108,7 +108,7 @@
                 except BlockingIOError:
                     pass
                 await asyncio.sleep(0)
-            WAYS[way](client)
+            DISCONNECTS[way](client)
             await until(lambda: not world.gateway.exchanges and not world.gateway.attempts.tasks)
             await until(lambda: not world.gateway.servers[-1].connections)
             assert world.gateway.pool.count == 0
--- a/tests/storage_gateway/server/test_connections.py
+++ b/tests/storage_gateway/server/test_connections.py
@@ -92,7 +92,7 @@
     uvloop.run(run())
 
 
-def test_those_that_have_been_answered_make_room_before_those_that_have_not(monkeypatch):
+def test_answered_connections_are_evicted_first(monkeypatch):
     """Connections that had not sent their first request yet were evicted for later ones."""
     monkeypatch.setattr(connection, "FRESH", 0.0)
 
@@ -142,7 +142,7 @@
 def test_a_client_that_stalls_inside_a_request_gets_408_and_a_close(monkeypatch, front):
     """Requests sent in a trickle, or never completed, held their connections for 10 s or more."""
     monkeypatch.setattr(connection, "STALLED", 0.2)
-    monkeypatch.setattr(gateway, "SWEEP", 0.05)
+    monkeypatch.setattr(gateway, "SWEEP_INTERVAL_S", 0.05)
     drip = f"{front}2 send raw x\nwait 0.1\n"
     play(f"""
         {front}1 send raw 'GET / HTTP/1.1{NL}host: x{NL}'
@@ -160,7 +160,7 @@
 def test_a_client_that_says_nothing_is_closed_long_before_one_that_has_been_answered(monkeypatch, front):
     """Hundreds of silent connections kept their descriptors for two minutes."""
     monkeypatch.setattr(connection, "STALLED", 0.2)
-    monkeypatch.setattr(gateway, "SWEEP", 0.05)
+    monkeypatch.setattr(gateway, "SWEEP_INTERVAL_S", 0.05)
     play(f"""
         {front}1 send GET /_/other
         {front}1 expect 400
--- a/tests/storage_gateway/server/test_crossings.py
+++ b/tests/storage_gateway/server/test_crossings.py
@@ -19,7 +19,7 @@
 from mallowbeam.storage_gateway.server.listing import read_listing
 
 
-class Held:
+class SteppedLoop:
     """The event loop as seen by one connection; the test completes each read, a step before it is used."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         """Sends like the real loop."""
         return self.loop.sock_sendall(sock, data)
 
-    def come(self, data: bytes) -> None:
+    def complete_read(self, data: bytes) -> None:
         """Completes the read; the task that awaits it has not resumed yet."""
         self.buffer[: len(data)] = data
         self.read.set_result(len(data))
@@ -59,7 +59,7 @@
 
         async def holding(*args) -> discovery.Link:
             link = await connect(*args)
-            link.channel.loop = Held()
+            link.channel.loop = SteppedLoop()
             links.append(link)
             return link
 
@@ -67,7 +67,7 @@
         watch = discovery.Watch(stand.address, 1, told.append)
         watch.begin()
         await until(lambda: links and links[0].channel.loop.read)
-        links[0].channel.loop.come(came)
+        links[0].channel.loop.complete_read(came)
         if then == "move":
             watch.address = "127.0.0.1:1"  # so that `move` to the stand-in's address is a change
             watch.move(stand.address)
@@ -80,7 +80,7 @@
         if watch.task:
             await until(lambda: len(links) == 2 and links[1].channel.loop.read)
             assert watch.revision == (None if then == "move" else 1)
-            links[1].channel.loop.come(
+            links[1].channel.loop.complete_read(
                 b"HTTP/1.1 200 OK\r\ncontent-length: 43\r\n\r\n"
                 b'{"revision":7,"complete":true,"members":[]}'
             )
@@ -92,17 +92,17 @@
     uvloop.run(run())
 
 
-def test_a_watch_begun_in_the_word_of_its_end_goes_on():
+def test_watch_started_while_its_end_is_reported_continues():
     """The scheduler may request a new watch at once; the ending run must not clear the new task."""
 
     async def run(here: Crossing) -> None:
-        told = here.gateway.watch.told
+        told = here.gateway.watch.on_update
 
-        def at_once(word) -> None:
+        def restart(word) -> None:
             told(word)
             here.gateway.watch.begin()
 
-        here.gateway.watch.told = at_once
+        here.gateway.watch.on_update = restart
         await here.play("d expect GET since=1\nd send 503\nd expect GET since\nd close\nd expect GET since")
 
     crossing(run)
@@ -178,7 +178,7 @@
 @pytest.mark.parametrize("first", ["hup", "stop"])
 def test_a_reload_and_a_stop_in_one_step_serve_what_is_held_by_the_new_discovery_s_list(monkeypatch, first):
     """The watch continues at the new address until the exit, so that drains are still applied."""
-    monkeypatch.setattr(gateways, "STAY", 1.0)
+    monkeypatch.setattr(gateways, "SHUTDOWN_LIMIT_S", 1.0)
 
     async def run(here: Crossing) -> None:
         await here.play("d expect GET since=1\nc1 send read\nn0 expect GET")
@@ -199,7 +199,7 @@
     crossing(run)
 
 
-def test_changes_heard_before_any_whole_list_of_an_address_are_no_list_to_go_on_from():
+def test_changes_without_a_full_list_of_the_address_are_not_continued():
     async def run(here: Crossing) -> None:
         await here.play("d expect GET since=1")
         here.hup("e")
@@ -213,7 +213,7 @@
 
 def test_a_pushed_list_s_agent_is_asked_for_the_whole_list_after_a_move(monkeypatch):
     """The new agent's list must be in force 4 s after SIGHUP: it is called at once, and again after 0.2 s."""
-    monkeypatch.setattr(discovery, "AGENT_WAIT", 0.1)
+    monkeypatch.setattr(discovery, "AGENT_WAIT_S", 0.1)
 
     async def run(here: Crossing) -> None:
         await here.play("d expect GET since=1")
--- a/tests/storage_gateway/server/test_crossings_upgrade.py
+++ b/tests/storage_gateway/server/test_crossings_upgrade.py
@@ -19,7 +19,7 @@
 
 
 @pytest.fixture(autouse=True)
-def place(monkeypatch, tmp_path):
+def handover_folder(monkeypatch, tmp_path):
     """A temporary folder for the hand-over socket."""
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
 
@@ -27,15 +27,15 @@
 @pytest.mark.parametrize("first", ["stop", "upgrade"])
 def test_a_stop_beside_an_upgrade_loses_nothing(monkeypatch, first):
     """The old process is stopped just after its state is written, or before the new one connects."""
-    monkeypatch.setattr(gateways, "STAY", 1.0)
+    monkeypatch.setattr(gateways, "SHUTDOWN_LIMIT_S", 1.0)
 
     async def before(old: Crossing) -> None:
         await old.play("c1 send read\nn0 expect GET")
-        legacy = old.gateway.peer.handover_state
+        takeover = old.gateway.peer.handover_state
 
         def state() -> dict:
             asyncio.get_running_loop().call_soon(old.gateway.stop)
-            return legacy()
+            return takeover()
 
         old.gateway.peer.handover_state = state
         if first == "stop":
@@ -59,11 +59,11 @@
     """Without a full list from the new address, the new process kept all nodes of the old address."""
 
     async def before(old: Crossing) -> None:
-        legacy = old.gateway.peer.handover_state
+        takeover = old.gateway.peer.handover_state
 
         def state() -> dict:
             asyncio.get_running_loop().call_soon(old.hup, "e")
-            return legacy()
+            return takeover()
 
         if when == "after":  # in the step after the state is built
             old.gateway.peer.handover_state = state
@@ -90,21 +90,21 @@
     upgraded(run, before)
 
 
-def news(world: Crossing, where: str, revision: int, member: str, whole: bool = True) -> dict:
+def list_message(world: Crossing, where: str, revision: int, member: str, whole: bool = True) -> dict:
     """A `list` message of the other process, with the address of a discovery server."""
     member = member.replace("$n0", world.parties["n0"].address)
     listing = read_listing(json.loads(body(revision, member, whole)))
     return write_listing(*listing) | {"discovery": world.parties[where].address}
 
 
-async def told(teller: Crossing, hearer: Crossing) -> None:
-    """Waits until all previous messages of `teller` were received, by sending a marker after them."""
-    ids = len(hearer.gateway.peer.link.ids)
-    teller.gateway.peer.link.send("taken", f"mark{ids}")
-    await until(lambda: len(hearer.gateway.peer.link.ids) > ids)
+async def until_received(sender: Crossing, receiver: Crossing) -> None:
+    """Waits until all previous messages of `sender` were received, by sending a marker after them."""
+    ids = len(receiver.gateway.peer.link.request_ids)
+    sender.gateway.peer.link.send("taken", f"mark{ids}")
+    await until(lambda: len(receiver.gateway.peer.link.request_ids) > ids)
 
 
-def test_a_late_list_of_the_address_left_undoes_nothing_at_the_new_one():
+def test_late_list_of_the_old_address_is_ignored():
     """In both directions, with revisions lower and higher than those of the new address."""
 
     async def run(old: Crossing, new: Crossing) -> None:
@@ -113,24 +113,24 @@
         await first_list(new, 3)
         await until(lambda: old.gateway.watch.revision == 3)
         assert not old.serves() and not new.serves()
-        for teller, hearer in ((old, new), (new, old)):
+        for sender, receiver in ((old, new), (new, old)):
             for revision in (2, 57):
                 for whole in (True, False):
-                    teller.gateway.peer.link.send("list", news(old, "d", revision, UP, whole))
-            await told(teller, hearer)
-            assert not hearer.serves() and hearer.gateway.watch.revision == 3
+                    sender.gateway.peer.link.send("list", list_message(old, "d", revision, UP, whole))
+            await until_received(sender, receiver)
+            assert not receiver.serves() and receiver.gateway.watch.revision == 3
 
     upgraded(run)
 
 
-def test_a_list_of_the_address_left_that_comes_before_the_new_one_s_does_not_hide_that():
+def test_list_of_the_old_address_does_not_hide_the_first_of_the_new_one():
     """The old process took the old address's revision for one of the new address and ignored later lists."""
 
     async def run(old: Crossing, new: Crossing) -> None:
         await until(lambda: old.gateway.watch.paused)
-        new.gateway.peer.link.send("list", news(old, "d", 57, UP))  # in flight
+        new.gateway.peer.link.send("list", list_message(old, "d", 57, UP))  # in flight
         old.hup("e")
-        await told(new, old)
+        await until_received(new, old)
         await first_list(new, 3)
         await until(lambda: old.gateway.watch.revision == 3)
         assert not old.serves()
@@ -146,8 +146,8 @@
         old.hup("e")
         new.hup("f")
         for _ in range(3):  # all messages about it are received
-            await told(old, new)
-            await told(new, old)
+            await until_received(old, new)
+            await until_received(new, old)
         assert old.gateway.watch.address == new.gateway.watch.address
         name = {old.parties[name].address: name for name in "ef"}[new.gateway.watch.address]
         await first_list(new, 4, name)
@@ -179,7 +179,7 @@
         client = "c1" if left == "old" else "c8"  # c1 is connected to the old process
         name = f"{0xabc:016x}"
         await stays.play(f"{client} send read id={name}\nn0 expect GET")
-        await until(lambda: name in goes.gateway.peer.link.ids)
+        await until(lambda: name in goes.gateway.peer.link.request_ids)
         goes.gateway.peer.link.close()
         await until(lambda: stays.gateway.peer.link is None and goes.gateway.peer.link is None)
         assert stays.gateway.has_id(name) and not goes.gateway.has_id(name)
@@ -207,10 +207,10 @@
                 and not old.gateway.handed_over.is_set()
             )
             monkeypatch.setattr(handover, "MAX_MESSAGE_BYTES", whole)
-            legacy = await asyncio.to_thread(handover.take_over, old.config)
-            assert legacy is not None and isinstance(legacy.config(old.config).known, Listing)
-            legacy.sock.close()
-            for door in legacy.listeners.values():
+            takeover = await asyncio.to_thread(handover.take_over, old.config)
+            assert takeover is not None and isinstance(takeover.config(old.config).known, Listing)
+            takeover.sock.close()
+            for door in takeover.listeners.values():
                 door.close()
 
     uvloop.run(run())
--- a/tests/storage_gateway/server/test_descriptors.py
+++ b/tests/storage_gateway/server/test_descriptors.py
@@ -15,9 +15,9 @@
 from scenario import EXAMPLE, free_port
 
 from mallowbeam.storage_gateway.server import config as configs
-from mallowbeam.storage_gateway.server.config import FRONT_SOCKETS, LEAST_SOCKETS, OWN_SOCKETS
+from mallowbeam.storage_gateway.server.config import FRONT_SOCKETS, MIN_SOCKETS, RESERVED_SOCKETS
 
-MOMENTS = 3  # short-lived descriptors: a second discovery call, the other process, a file being read
+SHORT_LIVED = 3  # short-lived descriptors: a second discovery call, the other process, a file being read
 READ = (
     b"GET /read/00000000000000aa/0000000000000001 HTTP/1.1\r\nhost: x\r\n"
     b"x-request-id: 0000000000000001\r\nx-class: read\r\nx-storage-class: silver\r\n"
@@ -25,14 +25,14 @@
 )
 
 
-def count(pid: int) -> int:
+def open_descriptors(pid: int) -> int:
     """The number of descriptors that a process has open."""
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
-def share(most: int) -> int:
+def node_share(most: int) -> int:
     """How many of `most` descriptors are for connections to nodes, without an admin endpoint."""
-    return int((most - OWN_SOCKETS) * configs.NODE_SHARE)
+    return int((most - RESERVED_SOCKETS) * configs.NODE_SHARE)
 
 
 @contextmanager
@@ -72,12 +72,12 @@
         node,
         discovery() as down,
         program(tmp_path, {"discovery": address(down)}, files) as (process, at),
-        ExitStack() as crowd,
+        ExitStack() as idle_clients,
     ):
         for _ in range(files + 20):  # each stays idle after its response
-            assert healthy(crowd.enter_context(connect(at)))
-            assert count(process.pid) <= files - share(files) - MOMENTS
-        full = count(process.pid)
+            assert healthy(idle_clients.enter_context(connect(at)))
+            assert open_descriptors(process.pid) <= files - node_share(files) - SHORT_LIVED
+        full = open_descriptors(process.pid)
         assert full > files // 2  # the idle clients are connected
         down.listen()
         with down.accept()[0] as call:
@@ -103,37 +103,37 @@
     fronts["objects"] |= {"authentication": "off", "keys": None}
     with (
         discovery() as down,
-        ExitStack() as crowd,
+        ExitStack() as idle_clients,
         program(tmp_path, {"discovery": address(down)}, files, json.dumps(fronts)) as (process, at),
     ):
         for _ in range(48):
             for port in (at[1], doors["objects"], doors["health"]):
-                sock = crowd.enter_context(connect(("127.0.0.1", port)))
+                sock = idle_clients.enter_context(connect(("127.0.0.1", port)))
                 sock.settimeout(PATIENCE)
                 sock.sendall(b"PATCH /x HTTP/1.1\r\nhost: x\r\n\r\n")  # an error, then idle, on each front
                 assert sock.recv(4096).startswith(b"HTTP/1.1 4")
-            assert count(process.pid) <= files - share(files) - MOMENTS
+            assert open_descriptors(process.pid) <= files - node_share(files) - SHORT_LIVED
         process.terminate()
         assert "cannot accept" not in process.communicate(timeout=PATIENCE)[1]
 
 
 @pytest.mark.parametrize(
     ("said", "allowed", "counts"),
-    [(512, 256, 256), (512, 512, 512), (512, 4096, 512), (512, None, 512), (512, 40, LEAST_SOCKETS)],
+    [(512, 256, 256), (512, 512, 512), (512, 4096, 512), (512, None, 512), (512, 40, MIN_SOCKETS)],
 )
 def test_the_lower_limit_counts(said: int, allowed: int | None, counts: int) -> None:
     raw = json.loads((EXAMPLE / "config.json").read_text()) | {"limits": {"sockets": said}}
     raw.pop("admin_addr", None)
-    config = configs.decode(raw, {}, allowed)
+    config = configs.decode_config(raw, {}, allowed)
     assert config.node_sockets + config.client_sockets + config.own_sockets == counts
     assert config.own_sockets > 3 * FRONT_SOCKETS
 
 
-def test_a_limit_of_the_machine_is_gone_by_and_not_raised(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_descriptor_limit_is_respected_and_not_raised(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(configs.resource, "getrlimit", lambda _: (300, 4096))
-    assert configs.descriptors() == 300
+    assert configs.descriptor_limit() == 300
     monkeypatch.setattr(configs.resource, "getrlimit", lambda _: (configs.resource.RLIM_INFINITY,) * 2)
-    assert configs.descriptors() is None
+    assert configs.descriptor_limit() is None
 
 
 def test_discovery_s_call_waits_for_nobody_where_descriptors_are_short(tmp_path: Path) -> None:
@@ -160,14 +160,14 @@
     with (
         stand,
         socket.create_server(("127.0.0.1", 0)) as here,
-        ExitStack() as crowd,
-        program(tmp_path, {"discovery": address(here), "known": known}, LEAST_SOCKETS) as (process, at),
+        ExitStack() as idle_clients,
+        program(tmp_path, {"discovery": address(here), "known": known}, MIN_SOCKETS) as (process, at),
     ):
         threading.Thread(target=down, daemon=True).start()
         for i in range(40):
-            sock = crowd.enter_context(connect(at))
+            sock = idle_clients.enter_context(connect(at))
             sock.sendall(READ.replace(b"id: 0000000000000001", b"id: %016x" % (i + 2)))
         more.clear()
         assert more.wait(PATIENCE) and process.poll() is None
-        assert count(process.pid) <= LEAST_SOCKETS
+        assert open_descriptors(process.pid) <= MIN_SOCKETS
         here.shutdown(socket.SHUT_RDWR)
--- a/tests/storage_gateway/server/test_faults.py
+++ b/tests/storage_gateway/server/test_faults.py
@@ -13,7 +13,7 @@
 from mallowbeam.storage_gateway.server import gateway
 
 
-def once(real: Callable) -> Callable:
+def failing_once(real: Callable) -> Callable:
     """Wraps a function so that its first call fails."""
     faults = iter([RuntimeError("once")])
 
@@ -25,7 +25,7 @@
     return faulty
 
 
-class Part:
+class FailingSubsystem:
     """A subsystem that fails in the named methods."""
 
     def __init__(self, *fails: str) -> None:
@@ -52,7 +52,7 @@
 
     async def run() -> None:
         async with World() as world:
-            world.gateway.pool.take = once(world.gateway.pool.take)
+            world.gateway.pool.take = failing_once(world.gateway.pool.take)
             report, outcomes = world.gateway.scheduler.report, []
 
             def reported(now, tried, outcome, *rest):
@@ -72,11 +72,11 @@
     uvloop.run(run())
 
 
-def test_a_fault_with_a_connection_that_comes_does_not_close_the_door():
+def test_error_with_a_new_connection_does_not_stop_accepting():
     async def run() -> None:
         async with World() as world:
             here = world.gateway.servers[-1]
-            here.connection = once(here.connection)
+            here.connection = failing_once(here.connection)
             await world.play("""
                 c1 send GET /healthz
                 c1 expect end
@@ -88,13 +88,13 @@
 
 
 def test_a_fault_at_the_sweep_ends_that_connection_and_not_the_sweep(monkeypatch):
-    monkeypatch.setattr(gateway, "SWEEP", 0.02)
+    monkeypatch.setattr(gateway, "SWEEP_INTERVAL_S", 0.02)
 
     async def run() -> None:
         async with World() as world:
             await world.play("c1 send GET /healthz\nc1 expect 200\nc2 send GET /healthz\nc2 expect 200")
             first, second = world.gateway.servers[-1].connections
-            first.sweep = once(first.sweep)
+            first.sweep = failing_once(first.sweep)
             async with asyncio.timeout(5):
                 await asyncio.gather(first.task)
             assert world.gateway.servers[-1].connections == {second}
@@ -107,8 +107,8 @@
 def test_a_part_that_fails_to_hand_over_does_not_end_the_calls_in_hand():
     async def run() -> None:
         async with World() as world:
-            other = Part()
-            world.gateway.parts += [Part("hand_over"), other]
+            other = FailingSubsystem()
+            world.gateway.subsystems += [FailingSubsystem("hand_over"), other]
             await world.play("c1 send read\nn0 expect GET")
             world.gateway.handed_over.set()
             await world.play("wait 0.1\nn0 send 200 body=held\nc1 expect 200 held\ng expect end")
@@ -118,13 +118,13 @@
 
 
 def test_a_part_that_fails_to_stop_is_told_once_the_others_have_ended(monkeypatch):
-    monkeypatch.setattr(gateway, "STAY", 0.0)
-    monkeypatch.setattr(gateway, "LAME_DUCK", 0.02)
+    monkeypatch.setattr(gateway, "SHUTDOWN_LIMIT_S", 0.0)
+    monkeypatch.setattr(gateway, "LAME_DUCK_S", 0.02)
 
     async def run() -> None:
         async with World() as world:
-            other = Part()
-            world.gateway.parts += [Part("stop"), other]
+            other = FailingSubsystem()
+            world.gateway.subsystems += [FailingSubsystem("stop"), other]
             with pytest.raises(RuntimeError, match="stop"):
                 await world.play("g close\ng expect end")
             assert other.called == ["stop"] and world.gateway.phase is gateway.Phase.STOPPED
--- a/tests/storage_gateway/server/test_handover.py
+++ b/tests/storage_gateway/server/test_handover.py
@@ -25,7 +25,7 @@
 
 
 @pytest.fixture(autouse=True)
-def place(monkeypatch, tmp_path):
+def handover_folder(monkeypatch, tmp_path):
     """A temporary folder whose path is too long for a Unix socket address."""
     folder = tmp_path / ("long" * 40)
     folder.mkdir()
@@ -60,7 +60,7 @@
     async def ended(old: World, new: World) -> None:
         await until(old.task.done)
         assert old.gateway.metrics.upstream_requests == 2 and new.gateway.metrics.upstream_requests == 1
-        assert new.gateway.peer.link is None or not new.gateway.peer.link.ids
+        assert new.gateway.peer.link is None or not new.gateway.peer.link.request_ids
 
     upgrade(
         """
@@ -104,7 +104,7 @@
     uvloop.run(run())
 
 
-def test_bans_lists_and_discovery_s_address_are_in_hand_before_the_yes():
+def test_detached_nodes_lists_and_discovery_address_are_handed_over_first():
     """The configuration of the new process is older than the node list of the old one."""
     changed = (
         '{"revision":7,"complete":false,"members":[{"id":"n0","host_port":"$n0","cell":0,'
@@ -114,8 +114,8 @@
     async def check(old: World, new: World) -> None:
         assert new.gateway.scheduler.accepts_work("n2") and not new.gateway.scheduler.accepts_work("n0")
         await until(lambda: old.gateway.watch.task is None)  # the new process watches for both
-        new.gateway.by_hand("n2", True)
-        old.gateway.by_hand("n1", False)
+        new.gateway.set_detached("n2", True)
+        old.gateway.set_detached("n1", False)
         await until(
             lambda: new.gateway.scheduler.accepts_work("n1") and not old.gateway.scheduler.accepts_work("n2")
         )
@@ -140,7 +140,7 @@
     )
 
 
-def test_limit_stores_cold_units_and_ids_count_for_both():
+def test_rate_limits_slow_start_units_and_ids_apply_to_both():
     """Two processes with separate rate limits would admit twice the limit."""
 
     async def check(old: World, new: World) -> None:
@@ -178,7 +178,7 @@
     )
 
 
-def test_what_either_hears_of_the_list_binds_both():
+def test_list_received_by_one_process_applies_to_both():
     gone = '{"revision":2,"complete":false,"members":[{"id":"n0","cell":0,"phase":"draining"}]}'
 
     async def check(old: World, new: World) -> None:
@@ -222,24 +222,24 @@
     upgrade("c1 send GET /healthz\nc1 expect 200", "", check)
 
 
-def speak(old: socket.socket, says: bytes) -> None:
+def send_on_accept(old: socket.socket, data: bytes) -> None:
     """Sends bytes to the first process that connects, which may have closed by then."""
 
     def run() -> None:
         with old.accept()[0] as sock, suppress(OSError):
-            sock.sendall(says)
+            sock.sendall(data)
 
     threading.Thread(target=run, daemon=True).start()
 
 
 def test_another_user_s_process_is_not_taken_over_from(monkeypatch):
     """$TMPDIR may be writable by other users."""
-    config = configs.decode(json.loads((EXAMPLE / "config.json").read_text()), {})
+    config = configs.decode_config(json.loads((EXAMPLE / "config.json").read_text()), {})
     with handover.rendezvous_path(config) as path, socket.socket(socket.AF_UNIX) as old:
         old.bind(path)
         old.listen(1)
         monkeypatch.setattr(handover.os, "getuid", lambda: 987654)
-        speak(
+        send_on_accept(
             old,
             b'{"doors": []}\n{"state": {"version": 1, "discovery": "127.0.0.1:1", "list": '
             b'{"revision": 1, "complete": true, "members": []}}}\n',
@@ -248,19 +248,19 @@
 
 
 @pytest.mark.parametrize(
-    "says",
+    "data",
     [b"", b"noise\n", b'{"doors": []}\n{"state": {}}\n', b'{"doors": []}\n{"state": {"version": 0}}\n'],
 )
-def test_an_old_process_that_hands_over_nothing_holds_up_no_start(monkeypatch, says):
-    monkeypatch.setattr(handover, "HANDOVER_TIMEOUT", 0.1)
-    config = configs.decode(json.loads((EXAMPLE / "config.json").read_text()), {})
+def test_an_old_process_that_hands_over_nothing_holds_up_no_start(monkeypatch, data):
+    monkeypatch.setattr(handover, "HANDOVER_TIMEOUT_S", 0.1)
+    config = configs.decode_config(json.loads((EXAMPLE / "config.json").read_text()), {})
     assert handover.take_over(config) is None  # no other process
     with handover.rendezvous_path(config) as path, socket.socket(socket.AF_UNIX) as old:
         old.bind(path)
         assert handover.take_over(config) is None  # a stale socket file
         old.listen(1)
-        if says:
-            speak(old, says)
+        if data:
+            send_on_accept(old, data)
         assert handover.take_over(config) is None
 
 
@@ -271,20 +271,23 @@
     Without a hand-over socket they share the client address.
     """
     monkeypatch.setenv("TMPDIR", tempfile.gettempdir())
-    doors, listen = [f"127.0.0.1:{free_port()}" for _ in range(2)], f"127.0.0.1:{free_port()}"
+    admin_addresses, listen = [f"127.0.0.1:{free_port()}" for _ in range(2)], f"127.0.0.1:{free_port()}"
     monkeypatch.setenv("BALANCER_LISTEN", listen)
-    monkeypatch.setenv("BALANCER_ADMIN_ADDR", doors[0])
+    monkeypatch.setenv("BALANCER_ADMIN_ADDR", admin_addresses[0])
     host, _, port = listen.partition(":")
     address = (host, int(port))
     with program(tmp_path, {}) as (first, _), connect(address) as sock:
         assert healthy(sock)
-        monkeypatch.setenv("BALANCER_ADMIN_ADDR", doors[1])
+        monkeypatch.setenv("BALANCER_ADMIN_ADDR", admin_addresses[1])
         monkeypatch.setenv("TMPDIR", tempfile.gettempdir() if meet else str(tmp_path))
         with program(tmp_path, {}) as (second, _):
-            connect((host, int(doors[1].partition(":")[2]))).close()
+            connect((host, int(admin_addresses[1].partition(":")[2]))).close()
             while True:
                 try:
-                    assert urllib.request.urlopen(f"http://{doors[1]}/_ready", timeout=PATIENCE).status == 200
+                    assert (
+                        urllib.request.urlopen(f"http://{admin_addresses[1]}/_ready", timeout=PATIENCE).status
+                        == 200
+                    )
                     break
                 except urllib.error.HTTPError as error:
                     assert error.code == 503  # until it serves clients
@@ -299,7 +302,7 @@
                 assert "Traceback" not in process.stderr.read()
 
 
-def test_a_second_process_with_the_same_door_for_operators_does_not_start(tmp_path, monkeypatch):
+def test_second_process_with_the_same_admin_address_does_not_start(tmp_path, monkeypatch):
     """Requests of operators for one process would sometimes reach the other."""
     monkeypatch.setenv("BALANCER_ADMIN_ADDR", f"127.0.0.1:{free_port()}")
     with program(tmp_path, {}) as (_, address):
--- a/tests/storage_gateway/server/test_links.py
+++ b/tests/storage_gateway/server/test_links.py
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("what", ["cancel", "timeout", "forget", "refused", "malformed"])
-def test_the_count_is_right_whatever_strikes_while_a_connection_comes_up(monkeypatch, what):
+def test_connection_count_is_right_after_any_event_while_connecting(monkeypatch, what):
     """The event occurs in the step in which the connection is open but its task has not resumed yet."""
 
     async def run() -> None:
--- a/tests/storage_gateway/server/test_lists_bad.py
+++ b/tests/storage_gateway/server/test_lists_bad.py
@@ -38,16 +38,16 @@
     "up_since_ms": 0,
 }
 GOOD = {"revision": 2, "complete": True, "members": [MEMBER]}
-GONE = object()  # marks a missing field
+MISSING = object()  # marks a missing field
 
-WRONG_TOP = (
-    [("revision", value) for value in (GONE, "2", None, True, 2.5, -1, 10**30, [])]
-    + [("complete", value) for value in (GONE, None, 1, "false", [])]
-    + [("members", value) for value in (GONE, None, {}, "", 7, [None], [7], [[]], ["n0"], [{}] * 100_000)]
+INVALID_LIST_FIELDS = (
+    [("revision", value) for value in (MISSING, "2", None, True, 2.5, -1, 10**30, [])]
+    + [("complete", value) for value in (MISSING, None, 1, "false", [])]
+    + [("members", value) for value in (MISSING, None, {}, "", 7, [None], [7], [[]], ["n0"], [{}] * 100_000)]
 )
-WRONG_MEMBER = (
-    [("id", value) for value in (GONE, None, 7, "", [], "a\nb", "\ud800", "x" * 257)]
-    + [("phase", value) for value in (GONE, None, "", "UP", "gone", 1, [])]
+INVALID_MEMBER_FIELDS = (
+    [("id", value) for value in (MISSING, None, 7, "", [], "a\nb", "\ud800", "x" * 257)]
+    + [("phase", value) for value in (MISSING, None, "", "UP", "gone", 1, [])]
     + [
         ("up_since_ms", value)
         for value in ("0", None, True, -1, math.nan, math.inf, -math.inf, 1e300, 10**400, [], {})
@@ -59,7 +59,7 @@
     + [
         ("host_port", value)
         for value in (
-            GONE,
+            MISSING,
             None,
             7,
             [],
@@ -94,12 +94,15 @@
 
 
 def without(raw: dict, name: str, value: object) -> dict:
-    return {key: old for key, old in raw.items() if key != name} if value is GONE else raw | {name: value}
+    return {key: old for key, old in raw.items() if key != name} if value is MISSING else raw | {name: value}
 
 
 BAD = (
-    [without(GOOD, *wrong) for wrong in WRONG_TOP]
-    + [GOOD | {"members": [MEMBER | {"id": "n1"}, without(MEMBER, *wrong)]} for wrong in WRONG_MEMBER]
+    [without(GOOD, *wrong) for wrong in INVALID_LIST_FIELDS]
+    + [
+        GOOD | {"members": [MEMBER | {"id": "n1"}, without(MEMBER, *wrong)]}
+        for wrong in INVALID_MEMBER_FIELDS
+    ]
     + [GOOD | {"members": [MEMBER, MEMBER | {"phase": "draining"}]}, [], [GOOD], None, "list", 7]
 )
 GARBAGE = [
@@ -144,7 +147,7 @@
         assert read_listing(write_listing(*listing)) == listing
 
 
-def test_the_last_word_on_a_node_counts_in_a_list_of_changes():
+def test_last_entry_of_a_node_wins_in_a_list_of_changes():
     """Changes are listed in order; a node that drains in the last one has no address."""
     up, drains = MEMBER, MEMBER | {"phase": "draining"}
     for order, open_now in (([up, drains], False), ([drains, up], True)):
@@ -184,7 +187,7 @@
         uvloop.run(connect(address, 5.0, 1024))
 
 
-def soon(monkeypatch) -> None:
+def retry_soon(monkeypatch) -> None:
     """Makes the scheduler retry failed calls within a few milliseconds."""
     monkeypatch.setattr(node_health, "WATCH_RETRY_S", 0.005)
     monkeypatch.setattr(node_health, "MAX_WATCH_RETRY_S", 0.005)
@@ -192,7 +195,7 @@
 
 def test_bad_lists_are_failed_calls_and_the_list_known_before_stays_whole(monkeypatch):
     """Over sockets: each list is requested again, with one warning, no traceback, and the gateway serves."""
-    soon(monkeypatch)
+    retry_soon(monkeypatch)
     monkeypatch.setattr(reporting, "WARNING_INTERVAL_S", 1e9)
     lines: list[str] = []
     number = logger.add(lines.append, level="DEBUG")
@@ -235,9 +238,9 @@
         'd send 200 \'body={"revision":4,"complete":false,"members":[]}\'',
     ],
 )
-def test_an_answer_for_the_whole_list_that_is_none_is_a_failed_call(monkeypatch, answer):
+def test_invalid_response_to_a_full_list_request_is_a_failed_call(monkeypatch, answer):
     """Among them: only changes, although the full list was requested."""
-    soon(monkeypatch)
+    retry_soon(monkeypatch)
 
     async def run() -> None:
         async with World() as here:
@@ -280,16 +283,16 @@
     play(asked + "d expect GET since=6&")
 
 
-KNOWN = [*WRONG_TOP[:5], *WRONG_MEMBER[::4]]
+INVALID_KNOWN = [*INVALID_LIST_FIELDS[:5], *INVALID_MEMBER_FIELDS[::4]]
 
 
-@pytest.mark.parametrize("wrong", KNOWN, ids=range(len(KNOWN)))
+@pytest.mark.parametrize("wrong", INVALID_KNOWN, ids=range(len(INVALID_KNOWN)))
 def test_a_known_list_that_can_t_be_read_is_one_plain_bad_config(tmp_path, wrong):
     raw = json.loads((EXAMPLE / "config.json").read_text())
-    where = raw["known"]["members"][0] if wrong in WRONG_MEMBER else raw["known"]
+    where = raw["known"]["members"][0] if wrong in INVALID_MEMBER_FIELDS else raw["known"]
     for key in [key for key in where if key == wrong[0]]:
         del where[key]
-    if wrong[1] is not GONE:
+    if wrong[1] is not MISSING:
         where[wrong[0]] = wrong[1]
     file = tmp_path / "config.json"
     file.write_text(json.dumps(raw))
@@ -302,10 +305,10 @@
     """The size limit bounds memory and the time for which decoding blocks the event loop."""
     members = [{"id": f"n{n}", "phase": "draining"} for n in range(20_000)]
     body = json.dumps(GOOD | {"members": members})
-    assert len(body) < discovery.MAX_LIST and len(decode_listing(body.encode()).entries) == 20_000
+    assert len(body) < discovery.MAX_LIST_BYTES and len(decode_listing(body.encode()).entries) == 20_000
     small = json.dumps(GOOD | {"revision": 7, "members": []})
-    soon(monkeypatch)
-    monkeypatch.setattr(discovery, "MAX_LIST", len(small))
+    retry_soon(monkeypatch)
+    monkeypatch.setattr(discovery, "MAX_LIST_BYTES", len(small))
     play(f"""
         d expect GET since=1
         d send 200 'body={small} '
--- a/tests/storage_gateway/server/test_nodes_listed.py
+++ b/tests/storage_gateway/server/test_nodes_listed.py
@@ -80,20 +80,23 @@
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_fault_with_one_list_ends_neither_the_watch_nor_the_sight_of_what_that_list_told(pushed):
+def test_error_with_one_list_ends_neither_the_watch_nor_loses_its_drain(pushed):
     """Continuing from the failed list's revision, the watch never received the drain in it again."""
     whole = '{"revision":2,"complete":true,"members":[{"id":"n0","cell":0,"phase":"draining"}]}'
 
     async def run() -> None:
         async with World(pushed=pushed) as world:
-            told, faults = world.gateway.watch.told, iter([RuntimeError("once"), RuntimeError("at its end")])
+            told, faults = (
+                world.gateway.watch.on_update,
+                iter([RuntimeError("once"), RuntimeError("at its end")]),
+            )
 
             def faulty(listing) -> None:
                 for fault in faults:
                     raise fault
                 told(listing)
 
-            world.gateway.watch.told = faulty
+            world.gateway.watch.on_update = faulty
             await world.play(rf"""
                 d expect GET since=1
                 d send 200 'body={DRAINED}'
--- a/tests/storage_gateway/server/test_phases.py
+++ b/tests/storage_gateway/server/test_phases.py
@@ -16,19 +16,19 @@
 from mallowbeam.storage_gateway.server import gateway
 from mallowbeam.storage_gateway.server.calls import Phase
 from mallowbeam.storage_gateway.server.gateway import Gateway
-from mallowbeam.storage_gateway.server.handover import Legacy
+from mallowbeam.storage_gateway.server.handover import Takeover
 
 HEALTHZ = b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n"
 
 
-def knock(address: tuple[str, int], data: bytes) -> socket.socket:
+def connect_and_send(address: tuple[str, int], data: bytes) -> socket.socket:
     """Connects and sends a request without yielding to the event loop, so it stays in the accept queue."""
     sock = socket.create_connection(address, timeout=PATIENCE)
     sock.sendall(data)
     return sock
 
 
-def at(monkeypatch, phase: Phase, hook) -> None:
+def on_phase(monkeypatch, phase: Phase, hook) -> None:
     """Calls a hook in the same step in which a gateway enters a phase."""
     enter = Gateway._enter
 
@@ -59,8 +59,8 @@
 
 
 def test_a_planned_stop_answers_what_is_held_and_closes_connections(monkeypatch):
-    monkeypatch.setattr(gateway, "STAY", 0.0)
-    monkeypatch.setattr(gateway, "LAME_DUCK", 0.02)
+    monkeypatch.setattr(gateway, "SHUTDOWN_LIMIT_S", 0.0)
+    monkeypatch.setattr(gateway, "LAME_DUCK_S", 0.02)
 
     async def run() -> None:
         async with World() as world:
@@ -83,23 +83,23 @@
     uvloop.run(run())
 
 
-def test_what_comes_while_leaving_has_only_the_time_that_is_left(monkeypatch):
+def test_requests_during_shutdown_are_limited_to_the_time_left(monkeypatch):
     """SIGKILL follows, and requests without a response by then are lost."""
-    monkeypatch.setattr(gateway, "STAY", 1.0)
-    monkeypatch.setattr(gateway, "LEAVE", 0.1)
+    monkeypatch.setattr(gateway, "SHUTDOWN_LIMIT_S", 1.0)
+    monkeypatch.setattr(gateway, "DRAIN_S", 0.1)
 
     async def run() -> None:
         async with World() as world:
             await world.play("g close\nwait 0.05\nc1 send write deadline=2000\nn0 expect PUT")
             (exchange,) = world.gateway.exchanges.values()
-            assert exchange.deadline < world.gateway.leave_at + 0.1
+            assert exchange.deadline < world.gateway.shutdown_deadline + 0.1
             await world.play("n0 send 200 body=x\nc1 expect 200\ng expect end")
 
     uvloop.run(run())
 
 
 def test_a_request_that_never_comes_in_whole_does_not_hold_up_a_planned_stop(monkeypatch):
-    monkeypatch.setattr(gateway, "STAY", 0.6)
+    monkeypatch.setattr(gateway, "SHUTDOWN_LIMIT_S", 0.6)
     play("""
         c1 send raw 'GET / HTTP/1.1\\r\\n'
         wait 0.05
@@ -109,19 +109,20 @@
     """)
 
 
-def test_what_comes_as_the_doors_are_shut_is_answered(monkeypatch):
+def test_requests_arriving_as_listeners_close_are_answered(monkeypatch):
     """Race: the requests are in the accept queues of both listeners in the step in which draining begins."""
-    monkeypatch.setattr(gateway, "STAY", 0.0)
-    monkeypatch.setattr(gateway, "LAME_DUCK", 0.02)
+    monkeypatch.setattr(gateway, "SHUTDOWN_LIMIT_S", 0.0)
+    monkeypatch.setattr(gateway, "LAME_DUCK_S", 0.02)
 
     async def run() -> None:
         async with World() as world:
             socks: list[socket.socket] = []
-            at(
+            on_phase(
                 monkeypatch,
                 Phase.DRAINING,
                 lambda: socks.extend(
-                    knock(address, HEALTHZ) for address in [world.platform] * 20 + [world.objects] * 5
+                    connect_and_send(address, HEALTHZ)
+                    for address in [world.platform] * 20 + [world.objects] * 5
                 ),
             )
             await world.play("g close\ng expect end")
@@ -136,19 +137,19 @@
 
 def test_an_operators_call_in_the_last_moment_is_answered(monkeypatch):
     """Race: the request is in the admin endpoint's accept queue when the last subsystem has stopped."""
-    monkeypatch.setattr(gateway, "STAY", 0.0)
-    monkeypatch.setattr(gateway, "LAME_DUCK", 0.02)
+    monkeypatch.setattr(gateway, "SHUTDOWN_LIMIT_S", 0.0)
+    monkeypatch.setattr(gateway, "LAME_DUCK_S", 0.02)
 
-    class Last:
+    class LastSubsystem:
         async def stop(self) -> None:
-            calls.append(knock(world.admin, b"GET /_ready HTTP/1.1\r\nhost: x\r\n\r\n"))
+            calls.append(connect_and_send(world.admin, b"GET /_ready HTTP/1.1\r\nhost: x\r\n\r\n"))
 
     calls: list[socket.socket] = []
     world = World()
 
     async def run() -> None:
         async with world:
-            world.gateway.parts.append(Last())
+            world.gateway.subsystems.append(LastSubsystem())
             await world.play("g close\ng expect end")
             calls[0].setblocking(False)
             with calls[0]:
@@ -158,7 +159,7 @@
 
 
 def test_a_client_that_connects_and_sends_nothing_finds_an_end(monkeypatch):
-    monkeypatch.setattr(gateway, "STAY", 0.6)
+    monkeypatch.setattr(gateway, "SHUTDOWN_LIMIT_S", 0.6)
     play("""
         c1 send raw ''
         g close
@@ -169,17 +170,19 @@
 
 def test_told_to_stop_before_it_is_ready_and_again_it_never_is_and_ends(monkeypatch):
     """Race: SIGTERM, twice, before the first listener starts; clients get 503."""
-    monkeypatch.setattr(gateway, "STAY", 0.0)
+    monkeypatch.setattr(gateway, "SHUTDOWN_LIMIT_S", 0.0)
 
     async def run() -> None:
         world = World()
-        config = configs.decode(await world.configuration(), {})
+        config = configs.decode_config(await world.configuration(), {})
         here = Gateway(config)
         servers = open_servers(here, json.loads((EXAMPLE / "fronts.json").read_text()) | {"objects": {}})
         here.stop()
         here.stop()
         socks: list[socket.socket] = []
-        at(monkeypatch, Phase.SERVING, lambda: socks.append(knock(servers[-1].address, HEALTHZ)))
+        on_phase(
+            monkeypatch, Phase.SERVING, lambda: socks.append(connect_and_send(servers[-1].address, HEALTHZ))
+        )
         async with asyncio.timeout(PATIENCE):
             await here.run(servers)
         with socks[0] as sock:
@@ -191,7 +194,7 @@
 
 
 def test_told_to_stop_again_while_it_leaves_changes_nothing(monkeypatch):
-    monkeypatch.setattr(gateway, "STAY", 0.6)
+    monkeypatch.setattr(gateway, "SHUTDOWN_LIMIT_S", 0.6)
     play("""
         c1 send read
         n0 expect GET
@@ -208,7 +211,7 @@
 def test_told_to_stop_while_it_hands_over_it_leaves_in_its_time(monkeypatch, tmp_path):
     """Race: SIGTERM with a pending request, after the next process has confirmed the hand-over."""
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
-    monkeypatch.setattr(gateway, "STAY", 1.0)
+    monkeypatch.setattr(gateway, "SHUTDOWN_LIMIT_S", 1.0)
 
     async def run() -> None:
         async with World(meet=True) as old:
@@ -218,7 +221,7 @@
                     await asyncio.sleep(0)
                 old.gateway.stop()
                 async with asyncio.timeout(PATIENCE):
-                    while old.gateway.leave_at > old.gateway.now() + gateway.STAY:
+                    while old.gateway.shutdown_deadline > old.gateway.now() + gateway.SHUTDOWN_LIMIT_S:
                         await asyncio.sleep(0)
                 await new.play("n0 send 200 body=held\nc1 expect '200|503'")  # 503 if it waited too long
                 await old.play("g expect end")
@@ -226,17 +229,17 @@
     uvloop.run(run())
 
 
-def test_a_door_of_a_front_that_is_off_now_is_closed():
+def test_handed_over_listener_of_a_disabled_front_is_closed():
     """Clients of a handed-over listener that is not served would wait in its accept queue."""
 
     async def run() -> None:
         world = World()
-        config = configs.decode(await world.configuration(), {})
-        door = socket.create_server(("127.0.0.1", 0))
+        config = configs.decode_config(await world.configuration(), {})
+        listener = socket.create_server(("127.0.0.1", 0))
         link, _ = socket.socketpair()
-        with link, door:
-            servers = open_servers(Gateway(config), {}, Legacy(link, {"health": door}, {}, b""))
-            assert door.fileno() < 0 and [server.name for server in servers] == ["platform"]
+        with link, listener:
+            servers = open_servers(Gateway(config), {}, Takeover(link, {"health": listener}, {}, b""))
+            assert listener.fileno() < 0 and [server.name for server in servers] == ["platform"]
         servers[0].sock.close()
         for party in world.parties.values():
             party.server.close()
--- a/tests/storage_gateway/server/test_program.py
+++ b/tests/storage_gateway/server/test_program.py
@@ -20,7 +20,7 @@
 
 from mallowbeam.lab import starts
 from mallowbeam.storage_gateway.scheduler.settings import flatten, read_pairs, read_settings
-from mallowbeam.storage_gateway.server.config import read_again, read_config
+from mallowbeam.storage_gateway.server.config import read_config, read_config_for_reload
 
 
 def test_sigterm_ends_it_with_status_0(tmp_path):
@@ -236,4 +236,4 @@
     (tmp_path / "config.json").write_text(json.dumps(raw))
     env = {"BALANCER_CONFIG": str(tmp_path / "config.json"), "BALANCER_DISCOVERY": "127.0.0.1:1"}
     assert read_config(env).discovery == "127.0.0.1:1"
-    assert read_again(env).discovery == "127.0.0.1:2"
+    assert read_config_for_reload(env).discovery == "127.0.0.1:2"
--- a/tests/storage_gateway/server/test_watch.py
+++ b/tests/storage_gateway/server/test_watch.py
@@ -17,8 +17,8 @@
 from mallowbeam.storage_gateway.scheduler.node_health import MAX_WATCH_RETRY_S
 from mallowbeam.storage_gateway.server import discovery
 
-COUNTS = 6.0  # seconds after a silent break within which the gateway must have the missed list
-GRANTED = 0.25  # seconds within which a drain must take effect
+MISSED_LIST_LIMIT_S = 6.0  # seconds after a silent break within which the gateway must have the missed list
+DRAIN_LIMIT_S = 0.25  # seconds within which a drain must take effect
 
 
 def test_a_silent_watch_is_asked_anew_at_once_and_a_refused_one_within_a_draw_over_the_whole_time():
@@ -36,7 +36,7 @@
     assert min(parts) >= 8 and max(parts) <= 36, "they are spread over all of it"
 
 
-def test_silence_upon_silence_backs_off_and_a_list_ends_it():
+def test_repeated_timeouts_back_off_until_a_list_arrives():
     """With a discovery that never responds, hosts would otherwise retry as fast as each call times out."""
     rig = Rig(discovery_on_request=True, max_list_age=10.0, hosts=200)
     rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT))
@@ -49,12 +49,14 @@
 
 
 @pytest.mark.parametrize("kind", [DiscoveryUpdateKind.TIMED_OUT, DiscoveryUpdateKind.FAILED])
-def test_a_hosts_own_agent_is_asked_again_within_what_a_drain_grants(kind):
+def test_agent_is_retried_within_the_grace_period_of_a_drain(kind):
     """With pushed lists, a drain must take effect from the moment the agent receives it after an outage."""
     rig = Rig(hosts=200)
     for _ in range(500):  # however long the outage is
         rig.step(DiscoveryUpdate(kind))
-        assert ask(rig) + discovery.AGENT_RETRY + discovery.AGENT_OVERDUE <= GRANTED + 1e-9
+        assert (
+            ask(rig) + discovery.AGENT_RETRY_WAIT_S + discovery.AGENT_TIMEOUT_MARGIN_S <= DRAIN_LIMIT_S + 1e-9
+        )
 
 
 def watch(pushed: bool, draw=lambda: 0.0) -> discovery.Watch:
@@ -65,8 +67,8 @@
     """After the time-out 1.5 s must be left, as the next call may queue for a second."""
     for pushed in (False, True):
         for drawn in (0.0, 1.0):
-            wait, silent = watch(pushed, lambda drawn=drawn: drawn)._times()
-            assert wait < silent <= COUNTS - 1.5
+            wait, silent = watch(pushed, lambda drawn=drawn: drawn)._call_times()
+            assert wait < silent <= MISSED_LIST_LIMIT_S - 1.5
 
 
 @pytest.mark.parametrize("hosts", [200, 60])
@@ -78,7 +80,7 @@
     service, due, told = DiscoveryQueue(120.0), [], set()
     for n, rig in enumerate(rigs):
         rig.step(DiscoveryUpdate(DiscoveryUpdateKind.DELTA, 2))
-        silent = watch(False, random.Random(n).random)._times()[1]
+        silent = watch(False, random.Random(n).random)._call_times()[1]
         rig.step(DiscoveryUpdate(DiscoveryUpdateKind.TIMED_OUT), after=silent)
         ask(rig)
         heappush(due, (rig.now - 100.0, n, None))
@@ -87,15 +89,15 @@
         if served is None:
             end, good = service.call(now)
             heappush(due, (end, n, good))
-        elif served and now <= COUNTS:
+        elif served and now <= MISSED_LIST_LIMIT_S:
             told.add(n)
     assert len(told) == hosts
 
 
 def test_a_watch_that_falls_silent_is_given_up_and_opened_anew(monkeypatch):
     """When discovery is cut off silently, the connection stays open without a response."""
-    monkeypatch.setattr(discovery, "WAITS", (0.1, 0.1))
-    monkeypatch.setattr(discovery, "OVERDUE", 0.1)
+    monkeypatch.setattr(discovery, "LONG_POLL_RANGE_S", (0.1, 0.1))
+    monkeypatch.setattr(discovery, "TIMEOUT_MARGIN_S", 0.1)
     play("""
         d expect GET 'since=1&timeout_ms=100'
         d expect end
@@ -105,7 +107,7 @@
 
 def test_an_agent_is_asked_with_shorter_waits_after_silence_until_it_answers(monkeypatch):
     """A broken connection to the agent looks like a discovery that is down, so drains need fast retries."""
-    monkeypatch.setattr(discovery, "AGENT_WAIT", 0.15)
+    monkeypatch.setattr(discovery, "AGENT_WAIT_S", 0.15)
     play(
         """
         d expect GET 'since=1&timeout_ms=150'
@@ -120,7 +122,7 @@
 
 def test_a_call_for_the_whole_list_falls_silent_too(monkeypatch):
     """The discovery of a new configuration may accept the call and never respond."""
-    monkeypatch.setattr(discovery, "ANSWER", 0.1)
+    monkeypatch.setattr(discovery, "RESPONSE_TIMEOUT_S", 0.1)
 
     async def run() -> None:
         async with World() as here:
--- a/tests/storage_gateway/server/test_watch_failing.py
+++ b/tests/storage_gateway/server/test_watch_failing.py
@@ -24,8 +24,8 @@
 from mallowbeam.storage_gateway.scheduler.interface import DiscoveryUpdate, DiscoveryUpdateKind
 from mallowbeam.storage_gateway.server import discovery
 
-TOLD = 5.45  # seconds after the return by which each host has the list; 6 are allowed
-GRANTED = 0.26  # the same for pushed lists
+RETURN_LIMIT_S = 5.45  # seconds after the return by which each host has the list; 6 are allowed
+AGENT_RETURN_LIMIT_S = 0.26  # the same for pushed lists
 FAILURES = ["refused", "lost", "reset", "silent", "503", "half", "cut"]
 
 
@@ -37,7 +37,7 @@
     discovery.logger.enable("mallowbeam")
 
 
-def through(failing: str, seed: int, hosts: int, delay: Callable, **fleet) -> tuple[list, Service]:
+def run_outage(failing: str, seed: int, hosts: int, delay: Callable, **fleet) -> tuple[list, Service]:
     """Runs a fleet through one outage; returns each host's delay until it has the list, and the service."""
     service = Service(failing, delay)
 
@@ -51,10 +51,10 @@
 
 def test_the_bound_holds_for_the_constants():
     """The longest time from the start of a failing call to the response of the next one is below 6 s."""
-    assert discovery.CONNECT_TIMEOUT <= discovery.ANSWER > QUEUE + discovery.NO_WAIT
-    assert discovery.ANSWER + node_health.MAX_WATCH_RETRY_S + QUEUE <= 5.41
-    assert discovery.WAITS[1] + discovery.OVERDUE + QUEUE <= 5.4
-    assert discovery.AGENT_RETRY + discovery.AGENT_OVERDUE + node_health.AGENT_RETRY_S <= 0.25
+    assert discovery.CONNECT_TIMEOUT_S <= discovery.RESPONSE_TIMEOUT_S > QUEUE + discovery.RETRY_WAIT_S
+    assert discovery.RESPONSE_TIMEOUT_S + node_health.MAX_WATCH_RETRY_S + QUEUE <= 5.41
+    assert discovery.LONG_POLL_RANGE_S[1] + discovery.TIMEOUT_MARGIN_S + QUEUE <= 5.4
+    assert discovery.AGENT_RETRY_WAIT_S + discovery.AGENT_TIMEOUT_MARGIN_S + node_health.AGENT_RETRY_S <= 0.25
 
 
 @pytest.mark.parametrize("hosts", [1, 4, 40, 200, 5000])
@@ -76,24 +76,24 @@
 def test_whatever_call_failed_a_change_is_told_soon_after_the_return(failing, hosts, runs):
     """With 200 hosts, drains were applied up to 15 s late."""
     for seed in range(runs):
-        waits, _ = through(failing, crc32(failing.encode()) + seed, hosts, lambda: (QUEUE, True))
-        assert None not in waits and max(waits) <= TOLD
+        waits, _ = run_outage(failing, crc32(failing.encode()) + seed, hosts, lambda: (QUEUE, True))
+        assert None not in waits and max(waits) <= RETURN_LIMIT_S
 
 
 @pytest.mark.parametrize("hosts", [1, 40, 200])
 @pytest.mark.parametrize("failing", FAILURES)
-def test_what_an_agent_has_at_its_return_is_told_at_once(failing, hosts):
+def test_list_of_a_returning_agent_is_received_at_once(failing, hosts):
     """With pushed lists, a call begun during the outage delayed the next one by a second."""
-    waits, _ = through(
+    waits, _ = run_outage(
         failing, crc32(failing.encode()) + hosts, hosts, lambda: (0.0, True), pushed=True, alive=2
     )
-    assert None not in waits and max(waits) <= GRANTED
+    assert None not in waits and max(waits) <= AGENT_RETURN_LIMIT_S
 
 
 @pytest.mark.parametrize("failing", ["refused", "reset", "silent"])
 def test_calls_at_the_return_are_spread_and_none_of_two_hundred_is_late(failing):
     """Discovery serves a hundred calls per second and rejects calls that would queue for over a second."""
-    waits, service = through(failing, 11, 200, Turns(100.0))
+    waits, service = run_outage(failing, 11, 200, Turns(100.0))
     assert None not in waits and max(waits) <= 6.0
     most = max(
         sum(at <= call < at + 1.0 for call in service.calls) for at in service.calls if at >= service.back
@@ -101,7 +101,7 @@
     assert most <= 125  # calls in one second; 162 to 175 after a reset, before the delays were randomized
 
 
-async def told_of(serve: Callable) -> object:
+async def reported_by_watch(serve: Callable) -> object:
     """Returns what a real watch reports of a call to a server with the handler `serve`."""
     told: asyncio.Queue = asyncio.Queue()
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -122,8 +122,8 @@
 )
 def test_an_answer_at_a_byte_a_time_is_given_up_in_time(monkeypatch, first):
     """A byte that arrives must not extend the time limit of its call."""
-    monkeypatch.setattr(discovery, "WAITS", (0.1, 0.1))
-    monkeypatch.setattr(discovery, "OVERDUE", 0.1)
+    monkeypatch.setattr(discovery, "LONG_POLL_RANGE_S", (0.1, 0.1))
+    monkeypatch.setattr(discovery, "TIMEOUT_MARGIN_S", 0.1)
 
     async def trickle(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(first)
@@ -132,7 +132,7 @@
                 writer.write(b" ")
                 await asyncio.sleep(0.01)
 
-    assert uvloop.run(told_of(trickle)) is DiscoveryUpdateKind.TIMED_OUT
+    assert uvloop.run(reported_by_watch(trickle)) is DiscoveryUpdateKind.TIMED_OUT
 
 
 @pytest.mark.parametrize(
@@ -147,7 +147,7 @@
 )
 def test_an_answer_without_end_is_given_up_at_its_bound(monkeypatch, first):
     """Memory is bounded by limits on the bytes of a list, the bytes of a head, and the interim responses."""
-    monkeypatch.setattr(discovery, "MAX_LIST", 1 << 18)
+    monkeypatch.setattr(discovery, "MAX_LIST_BYTES", 1 << 18)
     held = []
 
     async def flood(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -159,7 +159,7 @@
                 held.append(len(piece))
                 await writer.drain()
 
-    assert uvloop.run(told_of(flood)) is DiscoveryUpdateKind.FAILED
+    assert uvloop.run(reported_by_watch(flood)) is DiscoveryUpdateKind.FAILED
     assert sum(held) < 64 << 20  # only what the kernel and both ends buffer
 
 
@@ -175,8 +175,8 @@
 @pytest.mark.parametrize("then", ["d end", "d close", ""])
 def test_an_answer_that_stops_or_breaks_off_is_a_failed_call(monkeypatch, sent, then):
     """A partial head or body ends by a close, a reset or the time-out, and the call is retried."""
-    monkeypatch.setattr(discovery, "WAITS", (0.1, 0.1))
-    monkeypatch.setattr(discovery, "OVERDUE", 0.1)
+    monkeypatch.setattr(discovery, "LONG_POLL_RANGE_S", (0.1, 0.1))
+    monkeypatch.setattr(discovery, "TIMEOUT_MARGIN_S", 0.1)
     monkeypatch.setattr(node_health, "MAX_WATCH_RETRY_S", 0.02)
     play(f"""
         d expect GET since=1
--- a/tests/storage_gateway/server/test_written.py
+++ b/tests/storage_gateway/server/test_written.py
@@ -21,7 +21,7 @@
 BODY = b"b" * 200
 
 
-class Held(socket.socket):
+class BlockingSocket(socket.socket):
     """A socket that blocks once, just before the last of `whole` bytes is written."""
 
     whole, written, holds = 0, 0, True
@@ -35,15 +35,15 @@
         return count
 
 
-async def struck(
+async def interrupted_write(
     link: Link,
     peer: socket.socket,
     whole: int,
     write,
-    strike: Callable[[asyncio.Task], object],
+    interrupt: Callable[[asyncio.Task], object],
     at: int | None = None,
 ) -> asyncio.Task:
-    """Writes; calls `strike` once the peer has `at` bytes (default: all), before the writing task resumes."""
+    """Writes; calls `interrupt` once the peer has `at` bytes (default: all), before the writer resumes."""
     link.channel.sock.whole = whole
     task, got, at = asyncio.create_task(write()), 0, whole if at is None else at
     peer.setblocking(False)
@@ -53,31 +53,31 @@
                 got += len(peer.recv(65536))
             except BlockingIOError:
                 await asyncio.sleep(0)
-    strike(task)
+    interrupt(task)
     await asyncio.wait([task])
     return task
 
 
-def pair() -> tuple[Link, socket.socket]:
+def link_and_peer() -> tuple[Link, socket.socket]:
     """Returns a link to a node whose last write blocks once, and the node's socket."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         ours = socket.create_connection(listener.getsockname())
         peer = listener.accept()[0]
-    return Link(Channel(Held(fileno=ours.detach()), Framer(answers=True)), ""), peer
+    return Link(Channel(BlockingSocket(fileno=ours.detach()), Framer(answers=True)), ""), peer
 
 
 WRITES = {
     "whole": (b"head" + BODY, lambda link: link.request(b"head", BODY)),
     "large": (b"head" + b"b" * (CHUNK + 1), lambda link: link.request(b"head", b"b" * (CHUNK + 1))),
-    "pieces": (b"head" + BODY, lambda link: pieces(link, len(BODY))),
+    "pieces": (b"head" + BODY, lambda link: write_pieces(link, len(BODY))),
     "chunks": (
         b"head" + b"64\r\n" + BODY[:100] + b"\r\n64\r\n" + BODY[100:] + b"\r\n0\r\n\r\n",
-        lambda link: pieces(link, None),
+        lambda link: write_pieces(link, None),
     ),
 }
 
 
-async def pieces(link: Link, length: int | None) -> None:
+async def write_pieces(link: Link, length: int | None) -> None:
     """Writes a body in pieces, as `AttemptRunner` streams one."""
     await link.request(b"head", follows=length)
     await link.write(BODY[:100])
@@ -87,11 +87,11 @@
 
 
 @pytest.mark.parametrize("how", WRITES)
-def test_a_blow_after_the_last_byte_finds_it_written(how):
+def test_cancel_after_the_last_byte_counts_as_sent(how):
     async def run() -> None:
-        link, peer = pair()
+        link, peer = link_and_peer()
         data, write = WRITES[how]
-        task = await struck(link, peer, len(data), lambda: write(link), asyncio.Task.cancel)
+        task = await interrupted_write(link, peer, len(data), lambda: write(link), asyncio.Task.cancel)
         assert link.request_sent and link.channel.unsent == 0 and not task.cancelled()
         peer.close()
 
@@ -99,15 +99,15 @@
 
 
 @pytest.mark.parametrize("how", WRITES)
-def test_a_blow_before_the_last_byte_finds_it_unwritten(how):
+def test_cancel_before_the_last_byte_counts_as_not_sent(how):
     """The last write is never made: its socket stays blocked."""
 
     async def run() -> None:
-        link, peer = pair()
+        link, peer = link_and_peer()
         data, write = WRITES[how]
         last = {"whole": len(data), "large": CHUNK + 1, "pieces": 100, "chunks": 5}[how]
         link._writable = link.channel._writable = asyncio.Event().wait
-        task = await struck(
+        task = await interrupted_write(
             link,
             peer,
             len(data),
@@ -126,7 +126,7 @@
 
 def test_a_connection_that_breaks_under_the_write_was_not_written():
     async def run() -> None:
-        link, peer = pair()
+        link, peer = link_and_peer()
         link.channel.sock.holds = False
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         peer.close()
@@ -150,7 +150,7 @@
 
                 async def held(address: str) -> Link:
                     link = await take(address)
-                    link.channel.sock = Held(fileno=link.channel.sock.detach())
+                    link.channel.sock = BlockingSocket(fileno=link.channel.sock.detach())
                     return link
 
                 def recorded(seconds: float) -> asyncio.Timeout:
--- a/tests/storage_gateway/write_buffer/test_buffer_order.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_order.py
@@ -185,13 +185,13 @@
 def test_a_node_that_drains_gets_nothing_and_its_writes_wait_until_it_is_back(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            assert world.gateway.by_hand("n0", True)
+            assert world.gateway.set_detached("n0", True)
             for key in keys_at(0, 4):
                 await world.play(f"o1 send PUT /plates/{key} body={key}\no1 expect 200 x-mallowbeam-durable")
             await world.play(f"o1 send GET /plates/{key}\no1 expect 200 {key}")
             await asyncio.sleep(0.5)
             assert not nodes[0].store.history and len(world.buffer_part.core.entries) == 4
-            assert world.gateway.by_hand("n0", False)
+            assert world.gateway.set_detached("n0", False)
             await world.flushed()
             assert set(nodes[0].store.objects) == {f"/plates/{key}" for key in keys_at(0, 4)}
 
--- a/tests/support/buffered.py
+++ b/tests/support/buffered.py
@@ -46,7 +46,7 @@
 
     @property
     def buffer_part(self):
-        return self.gateway.parts[0]
+        return self.gateway.subsystems[0]
 
     def keep_still(self) -> None:
         """Nothing goes to the nodes until `go_on`."""
@@ -65,7 +65,7 @@
     async def leave(self) -> None:
         """A planned end."""
         self.gateway.stop()
-        self.gateway.leave_at = 0.0  # at once
+        self.gateway.shutdown_deadline = 0.0  # at once
         await self.buffer_part.stop()
 
 
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -204,12 +204,12 @@
 
     async def __aenter__(self) -> World:
         if self.before is None:
-            self.config = configs.decode(await self.configuration(), {})
-            legacy = None
+            self.config = configs.decode_config(await self.configuration(), {})
+            takeover = None
         else:
             self.config, self.parties = self.before.config, dict(self.before.parties)
             self.parties.pop("q1", None)  # each has a door of its own
-            legacy = await asyncio.to_thread(take_over, self.config)
+            takeover = await asyncio.to_thread(take_over, self.config)
         fronts = json.loads((EXAMPLE / "fronts.json").read_text())
         fronts["objects"].update(
             {"authentication": "off", "keys": None} if self.keys is None else {"keys": self.keys}
@@ -218,12 +218,12 @@
             fronts[name]["listen"] = "127.0.0.1:0"
         if self.buffer:
             fronts["buffer"] = self.buffer
-        self.gateway = Gateway(legacy.config(self.config) if legacy else self.config)
-        servers = open_servers(self.gateway, fronts, legacy)
+        self.gateway = Gateway(takeover.config(self.config) if takeover else self.config)
+        servers = open_servers(self.gateway, fronts, takeover)
         self.health, self.agent, self.objects, self.platform = (s.address for s in servers)
         admin = open_admin(self.gateway)
         self.admin = admin.address
-        self.task = asyncio.create_task(self.gateway.run(servers, admin, legacy, self.meet))
+        self.task = asyncio.create_task(self.gateway.run(servers, admin, takeover, self.meet))
         while not self.gateway.ready:
             await asyncio.sleep(0)
         return self
--- a/tests/support/simulated.py
+++ b/tests/support/simulated.py
@@ -172,7 +172,7 @@
 
 
 RAW = json.loads((EXAMPLE / "config.json").read_text())
-CONFIG = configs.decode(RAW | {"known": RAW["known"] | {"members": []}}, {})
+CONFIG = configs.decode_config(RAW | {"known": RAW["known"] | {"members": []}}, {})
 
 
 def gateway(service: Service, told: Callable[[int], None], seed: int, hosts: int, pushed: bool) -> Gateway:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -458,25 +458,25 @@
 def test_a_new_process_takes_over_from_an_old_one_and_understands_each_word(tmp_path, monkeypatch):
     sample = samples("handover.json")
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
-    own = net_config.decode(sample["config"], {})
+    own = net_config.decode_config(sample["config"], {})
     old = OldProcess(own, sample["frames"])
-    legacy = handover.take_over(own)
+    takeover = handover.take_over(own)
     old.close()
-    assert legacy is not None
+    assert takeover is not None
     frames = [json.loads(frame) for frame in sample["frames"]]
-    assert list(legacy.listeners) == frames[0]["doors"] and legacy.state == frames[1]["state"]
-    assert legacy.config(own).known == read_listing(frames[1]["state"]["list"])
+    assert list(takeover.listeners) == frames[0]["doors"] and takeover.state == frames[1]["state"]
+    assert takeover.config(own).known == read_listing(frames[1]["state"]["list"])
 
     host = MagicMock()
 
     async def listen() -> set[str]:
-        link = handover.PeerLink(legacy.sock, host, legacy.unread)
+        link = handover.PeerLink(takeover.sock, host, takeover.unread)
         async with asyncio.timeout(PATIENCE_S):
             await asyncio.gather(*link.tasks, return_exceptions=True)
-        return link.ids
+        return link.request_ids
 
     assert asyncio.run(listen()) == set()
-    for door in legacy.listeners.values():
+    for door in takeover.listeners.values():
         door.close()
     listing = frames[6]["list"]
     assert [call.args for call in host.mock_calls] == [
@@ -492,7 +492,7 @@
 
 def test_the_state_that_is_handed_over_is_the_same():
     sample = samples("handover.json")
-    config = net_config.decode(sample["config"], {})
+    config = net_config.decode_config(sample["config"], {})
     old = SchedulerHost(config.settings, 10.0)
     old.update_nodes(10.0, DiscoveryUpdateKind.FULL, 1, list(config.known.entries))
     old.override_node(10.5, "n2", True)
@@ -642,7 +642,7 @@
 def test_the_platforms_configuration_is_read_as_before():
     sample = samples("settings.json")["platform"]
     for environment, name in (({}, "value"), (sample["environment"], "overridden")):
-        config = net_config.decode(sample["file"], environment)
+        config = net_config.decode_config(sample["file"], environment)
         own = dataclasses.replace(config, node_sockets=0, client_sockets=0, own_sockets=0)
         assert plain(own) == sample[name]
 
