--- a/tests/storage_gateway/coordination/test_coordination_service.py
+++ b/tests/storage_gateway/coordination/test_coordination_service.py
@@ -41,7 +41,7 @@
     """A gateway that records."""
 
     def __init__(self) -> None:
-        self.parts, self.gates, self.drained, self.plans = [], [], [], []
+        self.subsystems, self.gates, self.drained, self.plans = [], [], [], []
         self.exchanges = {}
         self.config = SimpleNamespace(settings=SimpleNamespace(plans={"silver": SILVER, "gold": GOLD}))
         self.scheduler = SimpleNamespace(change_plan=self.change_plan)
