--- a/tests/storage_gateway/coordination/test_coordination_service.py
+++ b/tests/storage_gateway/coordination/test_coordination_service.py
@@ -41,7 +41,7 @@
     """A gateway that records."""
 
     def __init__(self) -> None:
-        self.parts, self.gates, self.drained, self.plans = [], [], [], []
+        self.subsystems, self.gates, self.drained, self.plans = [], [], [], []
         self.exchanges = {}
         self.config = SimpleNamespace(settings=SimpleNamespace(plans={"silver": SILVER, "gold": GOLD}))
         self.scheduler = SimpleNamespace(change_plan=self.change_plan)
@@ -57,7 +57,7 @@
     def now(self) -> float:
         return 0.0
 
-    def by_hand(self, node: str, out: bool, listed: bool = True) -> bool:
+    def set_detached(self, node: str, out: bool, listed: bool = True) -> bool:
         self.drained.append((node, out))
         return True
 
--- a/tests/storage_gateway/server/test_faults.py
+++ b/tests/storage_gateway/server/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults of our own, on loopback sockets: each costs what it touches, and nothing beside it."""
+"""Unexpected errors in the gateway itself, on loopback sockets: each affects only its own request or part."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from mallowbeam.storage_gateway.server import gateway
 
 
-def once(real: Callable) -> Callable:
-    """What fails the first time, and from then on does as it should."""
+def failing_once(real: Callable) -> Callable:
+    """Wraps a function so that its first call fails."""
     faults = iter([RuntimeError("once")])
 
     def faulty(*args: object, **named: object) -> object:
@@ -25,14 +25,14 @@
     return faulty
 
 
-class Part:
-    """A part that fails where it is told to."""
+class FailingSubsystem:
+    """A subsystem that fails in the named methods."""
 
     def __init__(self, *fails: str) -> None:
         self.fails, self.called = fails, []
 
     def start(self) -> None:
-        """Nothing to do."""
+        """Does nothing."""
 
     async def hand_over(self) -> None:
         await self._call("hand_over")
@@ -48,11 +48,11 @@
 
 
 def test_an_attempt_whose_pool_fails_was_never_sent():
-    """Guards writes: told as perhaps run, one that can't be repeated failed although no node ever had it."""
+    """Reported as possibly executed, a write without a key failed although no node ever received it."""
 
     async def run() -> None:
         async with World() as world:
-            world.gateway.pool.take = once(world.gateway.pool.take)
+            world.gateway.pool.take = failing_once(world.gateway.pool.take)
             report, outcomes = world.gateway.scheduler.report, []
 
             def reported(now, tried, outcome, *rest):
@@ -72,11 +72,11 @@
     uvloop.run(run())
 
 
-def test_a_fault_with_a_connection_that_comes_does_not_close_the_door():
+def test_error_with_a_new_connection_does_not_stop_accepting():
     async def run() -> None:
         async with World() as world:
             here = world.gateway.servers[-1]
-            here.connection = once(here.connection)
+            here.connection = failing_once(here.connection)
             await world.play("""
                 c1 send GET /healthz
                 c1 expect end
@@ -88,17 +88,17 @@
 
 
 def test_a_fault_at_the_sweep_ends_that_connection_and_not_the_sweep(monkeypatch):
-    monkeypatch.setattr(gateway, "SWEEP", 0.02)
+    monkeypatch.setattr(gateway, "SWEEP_INTERVAL_S", 0.02)
 
     async def run() -> None:
         async with World() as world:
             await world.play("c1 send GET /healthz\nc1 expect 200\nc2 send GET /healthz\nc2 expect 200")
             first, second = world.gateway.servers[-1].connections
-            first.sweep = once(first.sweep)
+            first.sweep = failing_once(first.sweep)
             async with asyncio.timeout(5):
                 await asyncio.gather(first.task)
             assert world.gateway.servers[-1].connections == {second}
-            second.waiting_since -= 60.0  # idle for long
+            second.waiting_since -= 60.0  # idle beyond the limit
             await world.play("c1 expect end\nc2 expect end")
 
     uvloop.run(run())
@@ -107,8 +107,8 @@
 def test_a_part_that_fails_to_hand_over_does_not_end_the_calls_in_hand():
     async def run() -> None:
         async with World() as world:
-            other = Part()
-            world.gateway.parts += [Part("hand_over"), other]
+            other = FailingSubsystem()
+            world.gateway.subsystems += [FailingSubsystem("hand_over"), other]
             await world.play("c1 send read\nn0 expect GET")
             world.gateway.handed_over.set()
             await world.play("wait 0.1\nn0 send 200 body=held\nc1 expect 200 held\ng expect end")
@@ -118,13 +118,13 @@
 
 
 def test_a_part_that_fails_to_stop_is_told_once_the_others_have_ended(monkeypatch):
-    monkeypatch.setattr(gateway, "STAY", 0.0)
-    monkeypatch.setattr(gateway, "LAME_DUCK", 0.02)
+    monkeypatch.setattr(gateway, "SHUTDOWN_LIMIT_S", 0.0)
+    monkeypatch.setattr(gateway, "LAME_DUCK_S", 0.02)
 
     async def run() -> None:
         async with World() as world:
-            other = Part()
-            world.gateway.parts += [Part("stop"), other]
+            other = FailingSubsystem()
+            world.gateway.subsystems += [FailingSubsystem("stop"), other]
             with pytest.raises(RuntimeError, match="stop"):
                 await world.play("g close\ng expect end")
             assert other.called == ["stop"] and world.gateway.phase is gateway.Phase.STOPPED
