--- a/mallowbeam/router/control_plane/api.py
+++ b/mallowbeam/router/control_plane/api.py
@@ -52,7 +52,7 @@
 )
 
 MAX_BODY_BYTES = 4 * 1024 * 1024  # of a configuration
-MAX_SMALL_BODIES_BYTES = 24 * 1024 * 1024  # in memory at once; beyond it calls are rejected
+MAX_SMALL_BODIES_BYTES = 24 * 1024 * 1024  # held in memory at once; further calls are rejected
 CONFIG_PATH = b"/mallowbeam/config"
 STATUS_PATH = b"/mallowbeam/status"
 INSTANCES_PATH = b"/mallowbeam/instances/"
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiServices:
-    """The parts of a member that serve the calls."""
+    """The parts of a member that serve the API's calls."""
 
     versions: ConfigurationVersions
     commands: CommandForwarder
@@ -89,7 +89,7 @@
     def __init__(
         self, services: ApiServices, parser: ConfigurationParser, run_job: JobRunner = run_in_thread
     ) -> None:
-        """`run_job` processes large bodies beside the event loop."""
+        """`run_job` processes large bodies outside the event loop."""
         self.budget: BodyBudget | None = BodyBudget(MAX_SMALL_BODIES_BYTES, LARGE_BODY)
         self._large_bodies = LargeBodyAdmission(parser, run_job)
         self._parser = parser
@@ -108,7 +108,7 @@
         }
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
-        """Serve one call; its errors become error responses."""
+        """Serve one call; an error of the project becomes an error response."""
         since = request.completed_at or time.monotonic()
         try:
             status, body = await self._endpoint(request)(request, since)
@@ -123,35 +123,35 @@
         return body_reply(status, body, closing())
 
     def error_response(self, status: int, text: str) -> Response:
-        """The response to a violation of HTTP or of a limit; the connection is closed after it."""
+        """Return the response to a violation of HTTP or of a limit; the connection is closed after it."""
         if text == ANOTHER_LARGE_BODY:
             return error_reply(status, LargeBodyError(text, "body"), True, self._status.other_controls())
         return error_reply(status, CallError(text, status=status), True)
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
-        """Calls are not counted."""
+        """Do nothing: calls of the control API are not counted."""
 
     def _endpoint(self, request: Message) -> Endpoint:
         path = request.target.partition(b"?")[0]
         if path.startswith(INSTANCES_PATH):
             path = INSTANCES_PATH
-        call = self._endpoints.get((path, request.method))
-        if call is not None:
-            return call
-        if any(known == path for known, _ in self._endpoints):
-            raise CallError("not by this method", path.decode("latin-1"), status=405)
+        endpoint = self._endpoints.get((path, request.method))
+        if endpoint is not None:
+            return endpoint
+        if any(known_path == path for known_path, _ in self._endpoints):
+            raise CallError("method not allowed", path.decode("latin-1"), status=405)
         raise CallError("no such call", path.decode("latin-1"), status=404)
 
     # ------------------------------------------------------------ the operator's configuration
 
     async def _put_config(self, request: Message, since: float) -> tuple[int, bytes]:
-        return await self._submit(await self._document_command(request, _based_on(request)), since)
+        return await self._submit(await self._document_command(request, _base_revision(request)), since)
 
     async def _patch_config(self, request: Message, since: float) -> tuple[int, bytes]:
-        return await self._submit(await self._patch_command(request, _based_on(request)), since)
+        return await self._submit(await self._patch_command(request, _base_revision(request)), since)
 
     async def _submit(self, change: PutConfiguration, since: float) -> tuple[int, bytes]:
-        """Have a change committed; the status and body of the response."""
+        """Have a change committed, and return the status and body of the response."""
         self._gate.check_reachable()
         revision = change.revision
         command = Command(put_configuration=change)
@@ -162,19 +162,21 @@
             self._gate.check(ResponseKind.CHANGE_REFUSED, evidence)
             raise REJECTIONS[outcome.result]()
         if outcome.result not in (DONE, ALREADY_DONE):
-            raise OutcomeUnknownError("a copy of this call may have been taken, or may yet be", "revision")
+            raise OutcomeUnknownError(
+                "a copy of this call may have been committed, or may still be", "revision"
+            )
         self._gate.check(ResponseKind.CHANGE_ACKNOWLEDGED, evidence)
         return 200, b'{"revision":%d}' % revision
 
     async def _document_command(self, request: Message, based_on: int) -> PutConfiguration:
-        """The command of a full document; the request gives up its body."""
+        """Build the command for a full document; takes the request's body, to free its memory early."""
         body = request.take()
         if len(body) > LARGE_BODY:
             return await self._large_bodies.command(body, based_on)
         return put_command(self._parser.parse(bytes(body)), based_on)
 
     async def _patch_command(self, request: Message, based_on: int) -> PutConfiguration:
-        """The command of a patch; the request gives up its body."""
+        """Build the command for a patch; takes the request's body, to free its memory early."""
         body = request.take()
         if len(body) > LARGE_BODY:
             return await self._large_bodies.patch(body, based_on)
@@ -188,7 +190,7 @@
         self._gate.check(ResponseKind.CONFIGURATION_READ, ConfirmedRead(since))
         body = self._versions.current_body()
         if not body:
-            raise CallError("no configuration was taken yet", status=404)
+            raise CallError("no configuration has been accepted yet", status=404)
         return 200, body
 
     # ------------------------------------------------------------ instances
@@ -210,15 +212,19 @@
         return 200, self._status.write()
 
 
-def _based_on(request: Message) -> int:
-    """The revision on which a configuration is based, of If-Match; raises `CallError`."""
+def _base_revision(request: Message) -> int:
+    """Return the revision that a change is based on, from the If-Match header.
+
+    Raises:
+        CallError: the header is missing or not a whole number.
+    """
     value = request.get(b"if-match")
     match = IF_MATCH.match(value) if value is not None else None
     if match is None:
-        raise CallError("is missing or no whole number", "If-Match")
+        raise CallError("is missing or not a whole number", "If-Match")
     return int(match.group(1))
 
 
 def _instance_id(request: Message) -> str:
-    """The id in a call's path."""
+    """Return the instance id in a call's path."""
     return request.target.partition(b"?")[0][len(INSTANCES_PATH) :].decode("latin-1")
--- a/mallowbeam/router/control_plane/api_errors.py
+++ b/mallowbeam/router/control_plane/api_errors.py
@@ -13,7 +13,7 @@
     remedy = "mend the call as told"
 
     def __init__(self, what: str, where: str = "", status: int = 0) -> None:
-        """`status` replaces the class's own for one call."""
+        """`status` overrides the status of the class, unless it is 0."""
         super().__init__(what, where)
         self.status = status or self.status
 
@@ -52,7 +52,7 @@
 
 
 class VersionMismatchError(CallError):
-    """A configuration is based on another revision than the current one."""
+    """A configuration is based on a revision other than the current one."""
 
     code = "CONFIGURATION_VERSION"
     status = 412
--- a/mallowbeam/router/control_plane/attempt_reports.py
+++ b/mallowbeam/router/control_plane/attempt_reports.py
@@ -1,7 +1,7 @@
-"""Failure reports of the fleet's attempts at instances, gossiped between members and fed to gateways.
+"""Reports of failed attempts at instances, gossiped between members and sent to gateways.
 
-Nothing here is decided or replicated: an isolated member reports what its own gateways send, and reports that
-are not renewed expire within seconds.
+The reports are soft state, outside the replicated log: an isolated member reports what its own gateways send,
+and reports that are not renewed expire within seconds.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 )
 from mallowbeam.router.rpc.messages_pb2 import InstanceAttempts, RegistryGossip
 
-GOSSIP_INTERVAL_S = 0.4  # between two reports to the other members, at the least
+GOSSIP_INTERVAL_S = 0.4  # shortest time between two reports to the other members
 
 
 class AttemptReports:
-    """Latest reports of gateways and members."""
+    """The latest reports of this member's gateways and of the other members."""
 
     def __init__(self) -> None:
         self.gateways = AttemptTable()  # by subscriber
@@ -33,13 +33,13 @@
             self._members.record(member, gossip.attempts, now)
 
     def add_to_gossip(self, gossip: RegistryGossip, now: float) -> None:
-        """Add the reports of this member's gateways, where they are due."""
+        """Add the reports of this member's gateways to `gossip`, if a report is due."""
         if now >= self._next_gossip_at:
             self._next_gossip_at = now + GOSSIP_INTERVAL_S
             gossip.tells_attempts = True
             gossip.attempts.extend(messages_of(self.gateways.sums(now), MOST_INSTANCES_PER_SOURCE))
 
     def for_gateways(self, now: float) -> list[InstanceAttempts]:
-        """Sums over all gateways, of instances with failures."""
+        """Return the sums over all gateways of the fleet, for instances with failures."""
         fleet = add_sums((self.gateways.sums(now), self._members.sums(now)))
         return messages_of(failing(fleet), MOST_REPORTED)
--- a/mallowbeam/router/control_plane/feed_server.py
+++ b/mallowbeam/router/control_plane/feed_server.py
@@ -1,4 +1,4 @@
-"""Serves the feeds of gateways that follow this member: subscriptions, and the frames sent on them."""
+"""Serves the feeds of the gateways that follow this member: subscriptions, and the frames sent on them."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from mallowbeam.router.rpc.connection import FrameConnection
 from mallowbeam.router.rpc.messages_pb2 import GatewayFrame
 
-MAX_UNSENT_BYTES = 256 * 1024  # on a feed, beyond which nothing is added until it has drained
-MAX_FEEDS = 1024  # gateways that one member serves; others go to another member
+MAX_UNSENT_BYTES = 256 * 1024  # per feed; above it no frame is added until the feed has drained
+MAX_FEEDS = 1024  # gateways that one member serves; further ones must use another member
 
 
 class FeedServer:
-    """Subscribed gateways by their connections."""
+    """The subscribed gateways and their connections."""
 
     def __init__(
         self,
         publisher: FeedPublisher,
         status: Callable[[], MemberStatus],
-        subscribed: Callable[[], None],
+        on_subscribed: Callable[[], None],
         demand: DemandTable,
         attempts: AttemptTable,
     ) -> None:
-        """`subscribed` is called when a gateway waits for its first frame.
+        """`on_subscribed` is called when a gateway waits for its first frame.
 
-        `demand` and `attempts` record the reports of gateways.
+        `demand` and `attempts` record the gateways' reports, by subscriber.
         """
         self._publisher = publisher
         self._status = status
-        self._subscribed = subscribed
+        self._on_subscribed = on_subscribed
         self._demand = demand
         self._attempts = attempts
         self._connections: dict[int, FrameConnection] = {}
@@ -40,11 +40,11 @@
         self._last_subscriber = 0
 
     def __len__(self) -> int:
-        """Number of subscribed gateways."""
+        """Return the number of subscribed gateways."""
         return len(self._connections)
 
     def gateway_frame(self, connection: FrameConnection, frame: GatewayFrame) -> None:
-        """A frame of a gateway; a hello subscribes it, a further one subscribes it anew."""
+        """Handle a gateway's frame: a hello subscribes it, or renews its subscription; others are reports."""
         if not frame.HasField("hello"):
             self._record_report(connection, frame)
             return
@@ -57,10 +57,10 @@
         self._connections[subscriber] = connection
         self._subscribers[connection] = subscriber
         self._publisher.subscribe(subscriber, frame.hello, time.monotonic())
-        self._subscribed()
+        self._on_subscribed()
 
     def _record_report(self, connection: FrameConnection, frame: GatewayFrame) -> None:
-        """Record a gateway's demand and attempts; those of one that has not subscribed are ignored."""
+        """Record a gateway's demand and attempts; reports of gateways without a subscription are ignored."""
         subscriber = self._subscribers.get(connection)
         if subscriber is None:
             return
@@ -71,7 +71,7 @@
             self._attempts.record(subscriber, frame.attempts, now)
 
     def gateway_closed(self, connection: FrameConnection) -> None:
-        """A connection is over, perhaps a gateway's."""
+        """Remove the subscription on a closed connection, if there is one."""
         subscriber = self._subscribers.pop(connection, None)
         if subscriber is not None:
             del self._connections[subscriber]
@@ -80,23 +80,23 @@
             self._attempts.forget(subscriber)
 
     def frames_at(self) -> float:
-        """When `send` is due at the latest, by the monotonic clock."""
+        """Return the latest time at which `send` is due, by the monotonic clock."""
         return self._publisher.frames_at()
 
     def send(self) -> None:
         """Send each gateway the frames that are due."""
-        busy = [
+        backlogged = [
             subscriber
             for subscriber, connection in self._connections.items()
             if connection.unsent > MAX_UNSENT_BYTES
         ]
-        for batch in self._publisher.frames(time.monotonic(), self._status(), busy):
+        for batch in self._publisher.frames(time.monotonic(), self._status(), backlogged):
             for subscriber in batch.subscribers:
                 connection = self._connections.get(subscriber)
                 if connection is not None:
                     connection.send_encoded(batch.encoded)
 
     def close(self) -> None:
-        """End all feeds: their gateways go to other members."""
+        """Abort all feeds, so that their gateways subscribe to other members."""
         for connection in list(self._subscribers):
             connection.abort()
--- a/mallowbeam/router/control_plane/instance_service.py
+++ b/mallowbeam/router/control_plane/instance_service.py
@@ -1,7 +1,7 @@
-"""Instances: heartbeats and retirements from callers, gossip with the other members, expiry.
+"""Instances: heartbeats and retirements from callers, gossip with the other members, and expiry.
 
-Heartbeats are soft state, recorded here and gossiped; only a retirement goes through the log before it is
-acknowledged.
+Heartbeats are soft state, recorded by this member and gossiped. Only retirements go through the replicated
+log, before they are acknowledged.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
     RetirementKind,
 )
 
-CONTACT_TIMEOUT_S = 1.0  # after which another member, or the group, counts as unreachable
+CONTACT_TIMEOUT_S = 1.0  # without contact for longer, another member or the group counts as unreachable
 
 
 @dataclass(frozen=True, slots=True)
 class RegistryParts:
-    """The state of instances, and what replicates it."""
+    """The state of the instances, and the parts that replicate it."""
 
     table: InstanceTable
     retirements: Retirements
@@ -46,7 +46,7 @@
 
 
 class InstanceService:
-    """Connects the instance table with the log and with the other members."""
+    """Connects the instance table with the replicated log and with the other members."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
         count_gateways: Callable[[], int],
         random: Random,
     ) -> None:
-        """`gateways_outdated` is called when gateways must be sent a change.
+        """`gateways_outdated` is called when a change must be sent to the gateways.
 
-        `count_gateways` counts those that follow this member.
+        `count_gateways` returns the number of gateways that follow this member.
         """
         self._table = registry.table
         self._retirements = registry.retirements
@@ -74,13 +74,13 @@
     async def heartbeat(self, instance: Instance, since: float) -> None:
         """Record a heartbeat; returns once it may be acknowledged, raises as `CommandForwarder.submit`.
 
-        A member without contact to the group records it and raises `IsolatedMemberError`, so that the
-        instance turns to another member.
+        A member that has lost contact with the group records the heartbeat and raises `IsolatedMemberError`,
+        so that the instance turns to another member.
         """
         draining = instance.state == DRAINS
-        before = self._table.version
+        version_before = self._table.version
         self._table.receive_heartbeat(instance, time.monotonic())
-        self._notify_if_changed(before)
+        self._notify_if_changed(version_before)
         if draining:
             await self._retire(instance.id, DRAINING, since)
         else:
@@ -92,7 +92,7 @@
         await self._retire(id, GONE, since)
 
     async def _retire(self, id: str, kind: RetirementKind, since: float) -> None:
-        """Commit a retirement, unless this member has applied it, or a stronger one."""
+        """Commit a retirement, unless this member has already applied it or a stronger one."""
         if self._retirements.kind(id) in (kind, GONE):
             self._gate.check(ResponseKind.RETIREMENT_KNOWN)
             return
@@ -104,55 +104,55 @@
     # ------------------------------------------------------------ from the log and from other members
 
     def retired(self, retirement: RetireInstance, announce: bool = False) -> None:
-        """Apply a retirement, from the log or, with `announce`, from a call."""
-        before = self._table.version
+        """Apply a retirement from the log, or from a call: then `announce` is set, and it is gossiped."""
+        version_before = self._table.version
         self._table.retire(retirement.id, retirement.kind, time.monotonic(), announce)
-        self._notify_if_changed(before)
+        self._notify_if_changed(version_before)
 
     def receive_gossip(self, sender: int, gossip: RegistryGossip) -> None:
-        """Merge what another member knows of instances."""
+        """Merge another member's instances; if it requests the full table, send it."""
         now = time.monotonic()
         self.gateway_counts.record(sender, gossip.gateways, now)
         if gossip.wants_whole:
             self._links.send(sender, PeerFrame(registry=self._table.full_gossip(now, self._count_gateways())))
-        before = self._table.version
+        version_before = self._table.version
         self._table.merge(gossip, now)
-        self._notify_if_changed(before)
+        self._notify_if_changed(version_before)
 
     # ------------------------------------------------------------ time
 
     def link_lost(self) -> None:
-        """Another member's connection ended: gossip in flight on it is requested again."""
+        """Note that a member's connection ended, so that gossip in flight on it is requested again."""
         self._table.link_lost(time.monotonic())
 
     def run_cycle(self, members: list[int]) -> None:
-        """Expire instances, and request what is missing; to be called several times a second.
+        """Expire instances, and request a full table if needed; to be called several times a second.
 
         `members` are the ids of the other members.
         """
         now = time.monotonic()
         if self._gate.staleness() > CONTACT_TIMEOUT_S:
             self._table.mark_isolated(now)
-        before = self._table.version
+        version_before = self._table.version
         self._table.expire(now)
-        self._notify_if_changed(before)
-        missing = [
+        self._notify_if_changed(version_before)
+        unreachable = [
             member
             for member in members
             if (self._links.seconds_since_contact(member) or 0.0) > CONTACT_TIMEOUT_S
         ]
-        reachable = [member for member in members if member not in missing]
-        if reachable and self._table.should_request_full_gossip(now, links_missing=bool(missing)):
+        reachable = [member for member in members if member not in unreachable]
+        if reachable and self._table.should_request_full_gossip(now, links_missing=bool(unreachable)):
             peer = self._random.choice(reachable)
             request = RegistryGossip(wants_whole=True, gateways=self._count_gateways())
             self._links.send(peer, PeerFrame(registry=request))
 
     def gossip_at(self) -> float:
-        """When `send_gossip` is due, by the monotonic clock."""
+        """Return when `send_gossip` is due, by the monotonic clock."""
         return self._table.gossip_at()
 
     def send_gossip(self, stages: StageController, attempts: AttemptReports) -> None:
-        """Send the other members what arrived here since the last time, with the gateways' reports."""
+        """Send the other members the changes received here since the last call, and the gateways' reports."""
         now = time.monotonic()
         batch = self._table.gossip(now, self._count_gateways())
         stages.add_to_gossip(batch, now)
--- a/mallowbeam/router/control_plane/stage_controller.py
+++ b/mallowbeam/router/control_plane/stage_controller.py
@@ -1,7 +1,7 @@
 """Control loop of the prefill share: compares the fleet's demand with its stages, and orders changes.
 
-Every member adds up its gateways' demand and follows what `StageBalancer` decides for the fleet, so that a
-new leader knows it at once; only the leader sends orders, under the lease of `StageLease`.
+Every member sums the demand of the fleet's gateways and passes it to its `StageBalancer`s, so that a new
+leader has their state at once. Only the leader sends orders, under the lease of `StageLease`.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 from mallowbeam.router.rpc.messages_pb2 import READY, Instance, RegistryGossip, StageDemand
 
 CYCLE_INTERVAL_S = 0.5  # between two decisions
-GOSSIP_INTERVAL_S = 0.5  # between two reports to the other members, at the least
-REFRESH_INTERVAL_S = 2.0  # instances are read again after it though none has changed
-MAX_ORDERS_IN_FLIGHT = 64  # over all services; others wait for the next cycle
+GOSSIP_INTERVAL_S = 0.5  # shortest time between two reports to the other members
+REFRESH_INTERVAL_S = 2.0  # after it, instances are read again even if none has changed
+MAX_ORDERS_IN_FLIGHT = 64  # over all services; at the limit, further services wait for the next cycle
 
 log = get_logger("mallowbeam.stages")
 
 
 class StageController:
-    """Joins demand, decisions, lease and orders for all services with model servers."""
+    """Connects demand, balancers, lease and orders for all services with model servers."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         gateways_outdated: Callable[[], None],
         settings: StageBalancerSettings,
     ) -> None:
-        """`gateways_outdated` is called when gateways must be sent a change of instances."""
+        """`gateways_outdated` is called when a change of instances must be sent to the gateways."""
         self.gateways = DemandTable()  # by subscriber
         self._members = DemandTable()  # by member id
         self._client = client
@@ -53,13 +53,13 @@
         self._versions = versions
         self._gateways_outdated = gateways_outdated
         self._settings = settings
-        self._shares: dict[str, StageBalancer] = {}
+        self._balancers: dict[str, StageBalancer] = {}
         self._instances: dict[str, list[StageInstance]] = {}
         self._refreshed_at = 0.0
         self._table_version = -1
         self._next_cycle_at = 0.0
         self._next_gossip_at = 0.0
-        self._tasks: dict[asyncio.Task[None], None] = {}  # in the order of their starts
+        self._tasks: dict[asyncio.Task[None], None] = {}  # in the order in which they were started
         self._orders_in_flight = 0
         self._stopped = False
 
@@ -71,7 +71,7 @@
             self._members.record(member, gossip.demand, now)
 
     def add_to_gossip(self, gossip: RegistryGossip, now: float) -> None:
-        """Add the demand of this member's gateways, where a report is due."""
+        """Add the demand of this member's gateways to `gossip`, if a report is due."""
         if now >= self._next_gossip_at:
             self._next_gossip_at = now + GOSSIP_INTERVAL_S
             gossip.demand.extend(self.gateways.sums(now).values())
@@ -79,7 +79,7 @@
     # ------------------------------------------------------------ the cycle
 
     def run_cycle(self, now: float) -> None:
-        """Observe, and as the leader decide and send orders; to be called several times a second."""
+        """Observe the demand and, as the leader, send due orders; to be called several times a second."""
         if now < self._next_cycle_at or self._stopped:
             return
         self._next_cycle_at = now + CYCLE_INTERVAL_S
@@ -92,13 +92,13 @@
                 self._order_changes(backend, now)
 
     def stop(self) -> None:
-        """Send no further order."""
+        """Cancel the running tasks, and send no further orders."""
         self._stopped = True
         for task in list(self._tasks):
             task.cancel()
 
     def _refresh_instances(self, now: float) -> None:
-        """Read the instances of services with model servers where they may have changed."""
+        """Read the instances of services with model servers again, if they may have changed."""
         is_unchanged = self._table.version == self._table_version
         if is_unchanged and now - self._refreshed_at < REFRESH_INTERVAL_S:
             return
@@ -108,18 +108,18 @@
         for instance in self._table.live():
             if instance.stage:
                 self._instances.setdefault(instance.backend, []).append(_stage_instance(instance))
-        for backend in [known for known in self._shares if known not in self._instances]:
-            del self._shares[backend]
+        for backend in [known for known in self._balancers if known not in self._instances]:
+            del self._balancers[backend]
 
     def _observe_demand(self, now: float) -> None:
-        """Give each service's decision core the fleet's demand."""
+        """Pass the fleet's demand to the balancer of each service."""
         reports = [*self.gateways.sums(now).values(), *self._members.sums(now).values()]
         fleet: dict[str, StageDemand] = add_up(reports)
         for backend, instances in self._instances.items():
-            self._decisions_of(backend).observe(fleet.get(backend), instances, now)
+            self._balancer_of(backend).observe(fleet.get(backend), instances, now)
 
-    def _decisions_of(self, backend: str) -> StageBalancer:
-        return self._shares.setdefault(backend, StageBalancer(self._settings))
+    def _balancer_of(self, backend: str) -> StageBalancer:
+        return self._balancers.setdefault(backend, StageBalancer(self._settings))
 
     # ------------------------------------------------------------ the leader's orders
 
@@ -140,19 +140,19 @@
         engine = self._engine_of(backend)
         if engine is None or self._orders_in_flight >= MAX_ORDERS_IN_FLIGHT:
             return
-        share = self._decisions_of(backend)
-        orders = share.decide(self._instances[backend], engine.slots, engine.switch_s, now)
-        if orders and share.work is not None:
+        balancer = self._balancer_of(backend)
+        orders = balancer.decide(self._instances[backend], engine.slots, engine.switch_s, now)
+        if orders and balancer.work is not None:
             log.info(
-                "%s: work of %.2f prefill and %.2f decode instances",
+                "%s: ordering stage changes; the demand needs %.2f prefill and %.2f decode instances",
                 backend,
-                share.work.prefill,
-                share.work.decode,
+                balancer.work.prefill,
+                balancer.work.decode,
             )
         for order in orders:
-            self._start(self._send(share, order, engine.switch_s))
+            self._start(self._send(balancer, order, engine.switch_s))
 
-    async def _send(self, share: StageBalancer, order: StageOrder, switch_s: float) -> None:
+    async def _send(self, balancer: StageBalancer, order: StageOrder, switch_s: float) -> None:
         """Send one order and record its result; `switch_s` is the time that a change of stage takes."""
         self._orders_in_flight += 1
         result = OrderResult.UNKNOWN
@@ -161,26 +161,26 @@
         finally:
             self._orders_in_flight -= 1
             now = time.monotonic()
-            share.answered(order, result, switch_s, now)
-        log.info("%s to %s: %s", order.id, order.stage, result.value)
+            balancer.answered(order, result, switch_s, now)
+        log.info("stage order: instance %s to %s: %s", order.id, order.stage, result.value)
         if result is OrderResult.ACCEPTED:
             deadline = now + switch_s + self._settings.longest_switch_s
             self._table.begin_stage_transition(order.id, order.stage, deadline, announce=True)
             self._gateways_outdated()
 
-    def _start(self, work: Coroutine[object, object, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start(self, coroutine: Coroutine[object, object, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks[task] = None
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._task_done)
 
-    def _done(self, task: asyncio.Task[None]) -> None:
+    def _task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.pop(task, None)
         if not task.cancelled() and (error := task.exception()) is not None:
-            log.error("stage orders failed", exc_info=(type(error), error, error.__traceback__))
+            log.error("stage controller task failed", exc_info=(type(error), error, error.__traceback__))
 
 
 def _stage_instance(instance: Instance) -> StageInstance:
-    """The facts of an instance by which stages are decided."""
+    """Return the properties of an instance that stage decisions are based on."""
     return StageInstance(
         instance.id,
         instance.address,
--- a/mallowbeam/router/control_plane/stage_lease.py
+++ b/mallowbeam/router/control_plane/stage_lease.py
@@ -12,7 +12,7 @@
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.rpc.messages_pb2 import ALREADY_DONE, DONE, AcquireLease, Command
 
-SUBJECT = "stages"  # of the lease, over the stages of all services
+SUBJECT = "stages"  # of the lease, which covers the stages of all services
 
 log = get_logger("mallowbeam.stages")
 
@@ -21,7 +21,7 @@
     """This member's lease over the stages, with its fencing token."""
 
     def __init__(self, driver: RaftDriver, gate: ResponseGate, member_id: int, lease_s: float) -> None:
-        """`member_id` is this member's own; `lease_s` seconds lie between the orders of two lease holders."""
+        """`member_id` is this member's own; at least `lease_s` seconds lie between orders of two holders."""
         self.member_id = member_id
         self._driver = driver
         self._gate = gate
@@ -37,31 +37,31 @@
         return self._lease.should_acquire(self._leadership(now), now)
 
     def token(self, now: float) -> int | None:
-        """The fencing token under which an order may be sent in this step; None if none may be sent."""
+        """Return the fencing token for an order sent in this event-loop step; None if none may be sent."""
         if not self._gate.may(ResponseKind.INSTANCE_ORDER):
             return None
         return self._lease.token(self._leadership(now), now)
 
     def rejected(self) -> None:
-        """An instance has seen a higher fencing token: the lease is lost."""
+        """Give the lease up, because an instance has seen a higher fencing token."""
         self._lease.rejected(time.monotonic())
 
     def acquire(self) -> Coroutine[object, object, None]:
-        """The acquisition under this member's leadership of the present term, to be run as a task."""
+        """Return a coroutine that acquires the lease as leader of the current term, to be run as a task."""
         return self._acquire(self._driver.node.term)
 
     async def _acquire(self, term: int) -> None:
-        """Propose the acquisition, and record what became of it."""
+        """Propose the acquisition, and record its outcome."""
         command = Command(acquire_lease=AcquireLease(subject=SUBJECT, holder=self.member_id))
         try:
             outcome = await self._driver.propose(command.SerializeToString())
         except ConsensusError as error:
-            log.info("no lease over the stages: %s", error)
+            log.info("stage lease was not acquired: %s", error)
             self._lease.not_acquired(time.monotonic())
             return
         if outcome.result in (DONE, ALREADY_DONE):
             self._lease.acquired(term, outcome.token, time.monotonic())
-            log.info("lease over the stages, token %d", outcome.token)
+            log.info("acquired the stage lease with fencing token %d", outcome.token)
         else:
             self._lease.not_acquired(time.monotonic())
 
--- a/mallowbeam/router/control_plane/stage_order_client.py
+++ b/mallowbeam/router/control_plane/stage_order_client.py
@@ -18,22 +18,25 @@
 ORDER_PATH = b"/mallowbeam/order"
 CONNECT_TIMEOUT_S = 0.6
 MAX_RESPONSE_BYTES = 64 * 1024
-ACCEPTED_STATUSES = (200, 202)  # already in that stage, or changing to it
+ACCEPTED_STATUSES = (200, 202)  # the instance is in that stage already, or changing to it
 BUSY_STATUS = 409
 STALE_TOKEN_STATUS = 412
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: closing resets, and drops what has not arrived
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: close resets the connection and drops undelivered data
 
 log = get_logger("mallowbeam.stages")
 
 
 class StageOrderClient:
-    """Sends one order at a time per connection; it is never retried."""
+    """Sends each order once, over a connection of its own; an order is never retried."""
 
     def __init__(self, lease: StageLease) -> None:
         self.lease = lease
 
     async def send(self, order: StageOrder) -> OrderResult:
-        """Send an order and read its result; the token is taken in the step in which the order is written."""
+        """Send an order and read its result.
+
+        The token is read in the event-loop step that writes the order, so that it is still valid then.
+        """
         try:
             link = await connect(order.address, CONNECT_TIMEOUT_S, MAX_RESPONSE_BYTES)
         except RequestNotSentError:
@@ -41,7 +44,7 @@
         try:
             self._bound_delivery_time(link.channel.sock)
             token = self.lease.token(time.monotonic())
-            if token is None:  # leadership may have moved while the connection came up
+            if token is None:  # leadership may have been lost while connecting
                 return OrderResult.NOT_SENT
             with suppress(TimeoutError, RequestNotSentError, ConnectionBrokenError):
                 async with asyncio.timeout(self.lease.answer_timeout_s):
@@ -51,28 +54,29 @@
             link.close()
 
     def _bound_delivery_time(self, sock: socket.socket) -> None:
-        """Have an order that can't be delivered dropped rather than delivered late.
+        """Have an order that can't be delivered in time dropped, rather than delivered late.
 
-        By this process when it closes, and by the kernel where the process is suspended meanwhile.
+        `SO_LINGER` drops it when this process closes the socket, and `TCP_USER_TIMEOUT` makes the kernel drop
+        it if the process is suspended meanwhile.
         """
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         timeout_ms = int(self.lease.answer_timeout_s * 1000)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
 
     def _result(self, status: int) -> OrderResult:
-        """The result that a response's status stands for."""
+        """Return the result for a response's status."""
         if status in ACCEPTED_STATUSES:
             return OrderResult.ACCEPTED
         if status == STALE_TOKEN_STATUS:
             self.lease.rejected()
         elif status == BUSY_STATUS:  # another order is in progress, perhaps this one
             return OrderResult.UNKNOWN
-        log.warning("an order was refused with %d", status)
+        log.warning("stage order was rejected with HTTP status %d", status)
         return OrderResult.REJECTED
 
 
 async def _post(link: Link, order: StageOrder, member_id: int, token: int) -> int:
-    """Write the order and read the complete response; its status."""
+    """Write the order, read the complete response and return its status."""
     body = json.dumps(
         {"op": "stage", "stage": order.stage, "holder": f"{member_id:016x}", "fencing_token": token}
     ).encode()
--- a/mallowbeam/router/control_plane/status_page.py
+++ b/mallowbeam/router/control_plane/status_page.py
@@ -16,13 +16,13 @@
 from mallowbeam.router.registry.table import InstanceTable
 from mallowbeam.router.rpc.messages_pb2 import DRAINS, ENDED, Instance, Member
 
-MAX_STALENESS_MS = 2**32 - 1  # the greatest number that fits a message
+MAX_STALENESS_MS = 2**32 - 1  # the largest value of the messages' field
 MAX_STALENESS_S = MAX_STALENESS_MS / 1000
-STATES = {DRAINS: "draining", ENDED: "ended"}
+STATE_NAMES = {DRAINS: "draining", ENDED: "ended"}
 
 
 class StatusPage:
-    """Reads the state of the member's parts."""
+    """Collects the status from the member's parts."""
 
     def __init__(
         self,
@@ -37,10 +37,10 @@
         self._table = table
         self._versions = versions
         self._gate = gate
-        self.gateways = 0  # of the fleet, as last counted
+        self.gateways = 0  # number in the fleet, as last counted
 
     def write(self) -> bytes:
-        """The page as encoded JSON; its keys are read by the command line and by operators."""
+        """Return the page as encoded JSON; the command line and operators rely on its keys."""
         node = self._driver.node
         own = self._links.own
         page = {
@@ -55,13 +55,15 @@
             "members": [self._member(member) for member in node.membership.members],
             "target_voters": node.membership.target_voters,
             "gateways": self.gateways,
-            "instances": [instance_line(one) for one in self._table.changes_since(NO_TABLE).instances],
+            "instances": [
+                instance_line(instance) for instance in self._table.changes_since(NO_TABLE).instances
+            ],
             "revision": self._versions.revision,
         }
         return json.dumps(page, separators=(",", ":")).encode()
 
     def metrics(self) -> Iterator[Metric]:
-        """The member's own figures."""
+        """Yield this member's metrics."""
         node = self._driver.node
         yield Metric("mallowbeam_raft_term", node.term, "Term of the replicated group.")
         yield Metric("mallowbeam_raft_leader", int(self._driver.is_leader), "1 at the leader.")
@@ -75,18 +77,18 @@
         yield Metric("mallowbeam_gateways", self.gateways, "Gateways of the fleet.")
         yield Metric("mallowbeam_configuration_revision", self._versions.revision, "Current configuration.")
         instances = self._table.changes_since(NO_TABLE).instances
-        states = Counter(STATES.get(one.state, "ready") for one in instances)
+        states = Counter(STATE_NAMES.get(instance.state, "ready") for instance in instances)
         for state, count in sorted(states.items()):
             yield Metric("mallowbeam_instances", count, "Instances by state.", label=("state", state))
 
     def feed_status(self) -> MemberStatus:
-        """The status that feed frames carry beside configuration and instances."""
+        """Return the status that feed frames carry besides the configuration and instances."""
         members = sorted(member.address for member in self._driver.node.membership.members)
         allowance = self._gate.feed_allowance()
         return MemberStatus(milliseconds(self._gate.staleness()), self.gateways, tuple(members), allowance)
 
     def other_controls(self) -> list[str]:
-        """The other members' control addresses, where a call that is rejected here may succeed."""
+        """Return the control addresses of the other members, which may serve a call that is rejected here."""
         members = self._driver.node.membership.members
         return [member.control for member in members if member.control and member.id != self._links.own.id]
 
@@ -104,22 +106,22 @@
 
 
 def name(member: int) -> str:
-    """A member's id as pages and logs show it."""
+    """Format a member's id as shown on pages and in logs."""
     return f"{member:016x}"
 
 
 def milliseconds(seconds: float) -> int:
-    """Seconds as whole milliseconds, at most `MAX_STALENESS_MS`."""
+    """Convert seconds to whole milliseconds, at most `MAX_STALENESS_MS`."""
     return int(min(seconds * 1000, MAX_STALENESS_MS))
 
 
 def instance_line(instance: Instance) -> dict[str, object]:
-    """One instance as on the page."""
+    """Return an instance's entry on the page."""
     return {
         "id": instance.id,
         "backend": instance.backend,
         "address": instance.address,
         "zone": instance.zone,
-        "state": STATES.get(instance.state, "ready"),
+        "state": STATE_NAMES.get(instance.state, "ready"),
         "stage": instance.stage,
     }
--- a/tests/router/control_plane/test_control_plane_api_responses.py
+++ b/tests/router/control_plane/test_control_plane_api_responses.py
@@ -9,7 +9,7 @@
 from mallowbeam.router.control_plane.api_responses import error_reply
 
 
-class Answers(unittest.TestCase):
+class ErrorResponses(unittest.TestCase):
     def test_an_error_states_what_where_and_the_remedy(self) -> None:
         reply = error_reply(503, NothingProposedError("no leader"), True)
         head, _, body = reply.data.partition(b"\r\n\r\n")
--- a/tests/router/control_plane/test_control_plane_body_admission.py
+++ b/tests/router/control_plane/test_control_plane_body_admission.py
@@ -1,4 +1,4 @@
-"""Large configurations: one at a time for each member, beside the event loop, at no small call's cost."""
+"""Large configurations: one at a time per member, outside the event loop, without delaying small calls."""
 
 from __future__ import annotations
 
@@ -45,37 +45,37 @@
 
 CONFIG, INSTANCE = "/mallowbeam/config", "/mallowbeam/instances/i-1"
 CALLERS, MEMBERS = 8, 3
-LOAD_S = 60  # the load's bound; it ends long before, once so many changes were taken:
+LOAD_S = 60  # limit of the load, which ends long before, after `MAX_ACCEPTED` changes
 MAX_ACCEPTED = 4
-MEMORY_MIB = 296  # of a machine of the core
+MEMORY_MIB = 296  # memory of a core machine
 
 
 def large(revision: int, size: int = MAX_BODY_BYTES - 4096) -> bytes:
-    """A valid configuration with a note of so many bytes."""
+    """Return a valid configuration with a note of `size` bytes."""
     return json.dumps(configuration(revision) | {"note": "n" * size}).encode()
 
 
 def call(path: str, body: bytes, chunked: bool = False) -> bytes:
-    """A whole PUT as it goes over a connection."""
+    """Return the bytes of a complete PUT request."""
     length = "transfer-encoding: chunked" if chunked else f"content-length: {len(body)}"
     head = f"PUT {path} HTTP/1.1\r\nhost: m\r\nif-match: 1\r\n{length}\r\n\r\n".encode()
     return head + (b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body) if chunked else body)
 
 
 class PausedJobs:
-    """Work that goes on only when it is told to."""
+    """Runs jobs only once `resume` is set."""
 
     def __init__(self) -> None:
-        self.begun, self.go_on = asyncio.Event(), asyncio.Event()
+        self.started, self.resume = asyncio.Event(), asyncio.Event()
 
     async def __call__(self, job: Callable[[], object]) -> object:
-        self.begun.set()
-        await self.go_on.wait()
+        self.started.set()
+        await self.resume.wait()
         return job()
 
 
 class Log:
-    """In the place of the replicated log: every command is applied; it notes what came."""
+    """Stands in for the replicated log; records commands and reports each as applied."""
 
     def __init__(self) -> None:
         self.commands: list[Command] = []
@@ -86,14 +86,14 @@
 
 
 class Heartbeats:
-    """In the place of the instances."""
+    """Stands in for the instance service."""
 
     async def heartbeat(self, instance: object, since: float) -> None:
         pass
 
 
 def api_of(parser: ConfigurationParser, log: Log, run_job: JobRunner = run_in_thread) -> ControlApi:
-    """A control API in touch with its group."""
+    """Return a control API whose member is in contact with its group."""
     gate = ResponseGate(lambda: 1.0, lambda: 0.0, lambda: False)
     status = SimpleNamespace(other_controls=lambda: ["127.0.0.1:1"])
     return ControlApi(
@@ -110,12 +110,12 @@
 
 
 class Framing(unittest.TestCase):
-    """What the connections of one server hold together."""
+    """Limits over all connections of one server."""
 
     def setUp(self) -> None:
         self.budget = BodyBudget(MAX_SMALL_BODIES_BYTES, LARGE_BODY)
 
-    def fed(self, data: bytes) -> Framer:
+    def feed(self, data: bytes) -> Framer:
         framer = Framer(answers=False, max_body=MAX_BODY_BYTES, budget=self.budget)
         framer.feed(memoryview(data))
         return framer
@@ -123,44 +123,44 @@
     def test_a_second_large_body_is_refused_at_its_head(self) -> None:
         request = call(CONFIG, large(2))
         head = request[: request.index(b"\r\n\r\n") + 4]
-        first, second = self.fed(head), self.fed(head)
+        first, second = self.feed(head), self.feed(head)
         self.assertIsNone(first.error)
         self.assertEqual((second.error.status, str(second.error)), (503, ANOTHER_LARGE_BODY))
         second.release()
-        self.assertIsNotNone(self.fed(head).error, "the refused one gave the first one's place away")
+        self.assertIsNotNone(self.feed(head).error, "the rejected body released the first one's slot")
         first.release()
-        self.assertIsNone(self.fed(head).error)
+        self.assertIsNone(self.feed(head).error)
 
-    def test_one_without_a_stated_length_is_refused_once_it_is_large(self) -> None:
-        first, second = (self.fed(call(CONFIG, large(2), chunked=True)) for _ in range(2))
+    def test_a_chunked_body_is_rejected_once_it_is_large(self) -> None:
+        first, second = (self.feed(call(CONFIG, large(2), chunked=True)) for _ in range(2))
         self.assertEqual(len(first.ready), 1)
         self.assertEqual(str(second.error), ANOTHER_LARGE_BODY)
         self.assertLessEqual(len(second.incoming.body), MAX_BODY_BYTES)
 
-    def test_a_second_one_on_the_same_connection_is_refused(self) -> None:
-        framer = self.fed(call(CONFIG, large(2)) * 2)
+    def test_a_second_large_body_on_the_same_connection_is_rejected(self) -> None:
+        framer = self.feed(call(CONFIG, large(2)) * 2)
         self.assertEqual((len(framer.ready), str(framer.error)), (1, ANOTHER_LARGE_BODY))
 
-    def test_small_bodies_have_the_common_bound_for_themselves(self) -> None:
-        self.fed(call(CONFIG, large(2)))
+    def test_large_bodies_do_not_use_the_budget_of_small_ones(self) -> None:
+        self.feed(call(CONFIG, large(2)))
         self.assertEqual(self.budget.used, 0)
         small = call(INSTANCE, b"x" * LARGE_BODY)
-        paused = [self.fed(small) for _ in range(MAX_SMALL_BODIES_BYTES // LARGE_BODY)]
+        paused = [self.feed(small) for _ in range(MAX_SMALL_BODIES_BYTES // LARGE_BODY)]
         self.assertTrue(all(framer.error is None for framer in paused))
-        self.assertEqual(str(self.fed(small).error), TOO_MANY_BODIES)
+        self.assertEqual(str(self.feed(small).error), TOO_MANY_BODIES)
 
     def test_the_control_api_has_one_slot(self) -> None:
         api = api_of(ConfigurationParser(), Log())
         budget = api.budget
         assert budget is not None
         self.budget = budget
-        faults = [self.fed(call(CONFIG, large(2))).error for _ in range(2)]
-        self.assertIsNone(faults[0])
-        self.assertEqual(str(faults[1]), ANOTHER_LARGE_BODY)
+        errors = [self.feed(call(CONFIG, large(2))).error for _ in range(2)]
+        self.assertIsNone(errors[0])
+        self.assertEqual(str(errors[1]), ANOTHER_LARGE_BODY)
 
 
 class OverLoopback(unittest.IsolatedAsyncioTestCase):
-    """The control API behind its server."""
+    """The control API with its HTTP server."""
 
     async def asyncSetUp(self) -> None:
         self.work, self.log = PausedJobs(), Log()
@@ -170,7 +170,7 @@
         self.addAsyncCleanup(self.server.drain)
 
     async def put(self, path: str, body: bytes) -> tuple[Answer, bytes]:
-        """One call on its own connection, whose body is sent before anything is read: answer and head."""
+        """Send one call with all of its body on its own connection, then read; return the answer and head."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             return await self._put(path, body)
 
@@ -185,17 +185,17 @@
         finally:
             writer.close()
 
-    async def test_a_second_one_is_refused_while_small_calls_are_answered(self) -> None:
+    async def test_a_second_large_body_is_rejected_while_small_calls_are_served(self) -> None:
         first = asyncio.create_task(self.put(CONFIG, large(2)))
-        await self.work.begun.wait()
-        refused, head = await self.put(CONFIG, large(3))
-        self.assertEqual((refused.status, refused.json()["error"]["code"]), (503, "CONTROL_LARGE_BODY"))
+        await self.work.started.wait()
+        rejected, head = await self.put(CONFIG, large(3))
+        self.assertEqual((rejected.status, rejected.json()["error"]["code"]), (503, "CONTROL_LARGE_BODY"))
         self.assertIn(b"retry-after: ", head)
-        self.assertEqual(refused.json()["members"], ["127.0.0.1:1"])
+        self.assertEqual(rejected.json()["members"], ["127.0.0.1:1"])
         for path, body in ((INSTANCE, heartbeat(1)), (CONFIG, json.dumps(configuration(4)).encode())):
             self.assertEqual((await self.put(path, body))[0].status, 200)
         self.assertFalse(first.done())
-        self.work.go_on.set()
+        self.work.resume.set()
         self.assertEqual((await first)[0].json(), {"revision": 2})
         self.assertEqual((await self.put(CONFIG, large(5)))[0].status, 200)
         self.assertEqual([command.put_configuration.revision for command in self.log.commands], [4, 2, 5])
@@ -205,14 +205,14 @@
     async def test_a_cancelled_caller_keeps_the_slot_until_its_job_ends(self) -> None:
         work = PausedJobs()
         bodies = LargeBodyAdmission(ConfigurationParser(), work)
-        left = asyncio.create_task(bodies.command(bytearray(large(2)), 1))
-        await work.begun.wait()
-        left.cancel()
-        await asyncio.gather(left, return_exceptions=True)
+        cancelled = asyncio.create_task(bodies.command(bytearray(large(2)), 1))
+        await work.started.wait()
+        cancelled.cancel()
+        await asyncio.gather(cancelled, return_exceptions=True)
         with self.assertRaises(LargeBodyError):
             async with asyncio.timeout(WAIT_TIMEOUT_S):
                 await bodies.command(bytearray(large(3)), 1)
-        work.go_on.set()
+        work.resume.set()
         for _ in range(5):
             await asyncio.sleep(0)
         self.assertEqual((await bodies.command(bytearray(large(3)), 1)).revision, 3)
@@ -223,31 +223,31 @@
             await bodies.command(bytearray(b"{" + large(2)), 1)
         self.assertEqual((await bodies.command(bytearray(large(2)), 1)).revision, 2)
 
-    async def test_the_body_is_let_go_and_the_parser_knows_it(self) -> None:
+    async def test_the_body_is_released_and_the_parser_adopts_the_result(self) -> None:
         parser = ConfigurationParser()
         body = bytearray(large(2))
         command = await LargeBodyAdmission(parser, run_inline).command(body, 1)
         self.assertEqual(len(body), 0)
         self.assertEqual(parser.recall(command.digest).configuration.revision, 2)
 
-    async def test_jobs_run_beside_the_event_loop(self) -> None:
-        here = threading.get_ident()
-        self.assertNotEqual(await run_in_thread(threading.get_ident), here)
-        self.assertEqual(await run_inline(threading.get_ident), here)
+    async def test_run_in_thread_runs_jobs_outside_the_event_loop(self) -> None:
+        loop_thread = threading.get_ident()
+        self.assertNotEqual(await run_in_thread(threading.get_ident), loop_thread)
+        self.assertEqual(await run_inline(threading.get_ident), loop_thread)
 
-    async def test_a_member_runs_it_in_a_thread(self) -> None:
+    async def test_a_member_parses_a_large_body_in_a_thread(self) -> None:
         threads: list[int] = []
 
-        class Noted(ConfigurationParser):
+        class RecordingParser(ConfigurationParser):
             def fork(self) -> ConfigurationParser:
-                return Noted()
+                return RecordingParser()
 
             def parse(self, body: bytes) -> object:
                 threads.append(threading.get_ident())
                 return super().parse(body)
 
         gate = ResponseGate(lambda: 1.0, lambda: 0.0, lambda: False)
-        parser = Noted()
+        parser = RecordingParser()
         status = SimpleNamespace(other_controls=lambda: [])
         api = ControlApi(
             ApiServices(
@@ -268,7 +268,7 @@
 
 
 class Forks(unittest.TestCase):
-    def test_a_fork_knows_what_was_known_and_changes_nothing_until_it_is_adopted(self) -> None:
+    def test_a_fork_changes_its_parser_only_once_it_is_adopted(self) -> None:
         parser = ConfigurationParser()
         first = parser.parse(json.dumps(configuration(1)).encode())
         forked = parser.fork()
@@ -292,11 +292,11 @@
             str(LOAD_S),
             str(MAX_ACCEPTED),
         ]
-        ended = subprocess.run(script, env=environment, capture_output=True, check=False, text=True)
-        self.assertEqual(ended.returncode, 0, ended.stderr)
-        seen = json.loads(ended.stdout.splitlines()[-1])
-        self.assertGreaterEqual(seen["taken"], MAX_ACCEPTED, seen)
-        self.assertLess(max(seen["peak_mib"]), MEMORY_MIB, seen)
+        completed = subprocess.run(script, env=environment, capture_output=True, check=False, text=True)
+        self.assertEqual(completed.returncode, 0, completed.stderr)
+        report = json.loads(completed.stdout.splitlines()[-1])
+        self.assertGreaterEqual(report["taken"], MAX_ACCEPTED, report)
+        self.assertLess(max(report["peak_mib"]), MEMORY_MIB, report)
 
 
 if __name__ == "__main__":
--- a/tests/router/control_plane/test_control_plane_instance_service.py
+++ b/tests/router/control_plane/test_control_plane_instance_service.py
@@ -1,4 +1,4 @@
-"""A member's instances: what becomes of a lost link to another member."""
+"""Instance service: gossip is requested again after the connection to another member is lost."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Links:
-    """Links to one other member, heard just now."""
+    """Stands in for the links to one other member, which is in contact."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[int, PeerFrame]] = []
@@ -36,7 +36,7 @@
     def setUp(self) -> None:
         self.links = Links()
         table = InstanceTable(heartbeat_interval_s=1.0, started_at=time.monotonic())
-        table.merge(RegistryGossip(whole=True), time.monotonic())  # it knows all that there is
+        table.merge(RegistryGossip(whole=True), time.monotonic())  # the table is complete
         gate = ResponseGate(time.monotonic, lambda: 0.0, lambda: False)
         self.instances = InstanceService(
             RegistryParts(
@@ -48,13 +48,13 @@
         )
 
     def requested_from(self) -> list[int]:
-        """Whom one look asks for all that they know."""
+        """Run one cycle and return the members whose full state it requested."""
         self.links.sent.clear()
         self.instances.run_cycle([OTHER])
         return [member for member, frame in self.links.sent if frame.registry.wants_whole]
 
     def test_gossip_lost_with_a_link_is_requested_again(self) -> None:
-        """The call lacked the time: it raised, and what was under way on the link was never asked for."""
+        """Called without the time, the table's `link_lost` raised: lost gossip was not requested again."""
         self.assertEqual(self.requested_from(), [])
         self.instances.link_lost()
         self.assertEqual(self.requested_from(), [OTHER])
--- a/tests/router/control_plane/test_control_plane_loopback.py
+++ b/tests/router/control_plane/test_control_plane_loopback.py
@@ -15,7 +15,7 @@
 
 
 def voters_at(page: dict | None) -> set[str]:
-    """The machines whose members vote, as a status page has it."""
+    """Return the addresses of the voting members on a status page."""
     if page is None:
         return set()
     return {member["address"].partition(":")[0] for member in page["members"] if member["voter"]}
@@ -33,7 +33,7 @@
 
     @staticmethod
     def put(machine: Machine, body: bytes, based_on: str) -> Answer:
-        """One call, whatever its answer."""
+        """Send one call and return its response, conclusive or not."""
         return machine.call("PUT", CONFIG, body, {"If-Match": based_on})
 
     @staticmethod
@@ -41,13 +41,15 @@
         return machine.clear("PUT", CONFIG, body, {"If-Match": based_on})
 
     def read_back(self, revision: int) -> None:
-        """All members answer with a configuration."""
+        """Check that all running members return the configuration of this revision."""
         for machine in self.rig.running():
-            answer = self.rig.until("a configuration", lambda machine=machine: self._got(machine))
+            answer = self.rig.until(
+                "a configuration", lambda machine=machine: self._configuration_at(machine)
+            )
             self.assertEqual(answer["revision"], revision)
 
     @staticmethod
-    def _got(machine: Machine) -> dict | None:
+    def _configuration_at(machine: Machine) -> dict | None:
         answer = machine.call("GET", CONFIG)
         return answer.json() if answer.status == 200 else None
 
@@ -79,7 +81,7 @@
         self.read_back(3)
 
     def test_a_rejected_call_stays_rejected_and_an_accepted_one_is_acknowledged_again(self) -> None:
-        """One order builds on another that is taken only later; its copies come before, between and after."""
+        """Revision 6 is based on 4, which is accepted later; copies of 6 arrive before, between and after."""
         first, second, third = self.rig.machines
         bodies = {revision: json.dumps(configuration(revision)).encode() for revision in (3, 4, 6)}
         self.rig.acknowledged(lambda machine: self.put(machine, bodies[3], "0"))
@@ -145,7 +147,7 @@
         self.read_back(4)
         self.assertEqual(self.rig.put_config(5, 4).status, 200)
 
-    def test_a_minority_takes_nothing(self) -> None:
+    def test_a_minority_accepts_no_change(self) -> None:
         self.rig.put_config(3, 0)
         for machine in self.others(self.leader):
             machine.kill()
@@ -158,28 +160,28 @@
 
     def test_a_wiped_disk_and_a_replaced_machine(self) -> None:
         self.rig.put_config(3, 0)
-        wiped, gone = self.others(self.leader)
+        wiped, lost = self.others(self.leader)
         wiped.kill()
         wiped.wipe()
         wiped.start()
         everyone = {machine.ip for machine in self.rig.machines}
         self.rig.until("its vote back", lambda: self._has_voters(wiped, everyone, learners=set()))
-        gone.kill()
+        lost.kill()
         new = self.rig.add()
         new.start()
-        voters = everyone - {gone.ip} | {new.ip}
-        self.rig.until("its replacement", lambda: self._has_voters(new, voters, learners={gone.ip}))
+        voters = everyone - {lost.ip} | {new.ip}
+        self.rig.until("its replacement", lambda: self._has_voters(new, voters, learners={lost.ip}))
         self.assertEqual(self.rig.until("a status page", new.status)["target_voters"], 3)
         self.read_back(3)
 
     def _has_voters(self, machine: Machine, voters: set[str], learners: set[str]) -> bool:
-        """Whether these vote and, of other members, only those that may return are left."""
+        """Whether exactly `voters` vote, and the only other members are `learners`, which may return."""
         page = machine.status()
         if page is None:
             return False
-        at = [member["address"].partition(":")[0] for member in page["members"]]
-        everyone = len(at) == len(voters) + len(learners) and set(at) == voters | learners
-        return voters_at(page) == voters and everyone and page["revision"] == 3
+        addresses = [member["address"].partition(":")[0] for member in page["members"]]
+        members_match = len(addresses) == len(voters) + len(learners) and set(addresses) == voters | learners
+        return voters_at(page) == voters and members_match and page["revision"] == 3
 
     def test_a_frozen_leader_comes_back(self) -> None:
         self.rig.put_config(3, 0)
--- a/tests/router/control_plane/test_control_plane_stage_order_client.py
+++ b/tests/router/control_plane/test_control_plane_stage_order_client.py
@@ -1,4 +1,4 @@
-"""Orders to instances: sent only by a leader that a majority confirmed just now, whatever it waited for."""
+"""Stage orders are sent only by a leader that a majority has just confirmed, also after a wait to connect."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Leader:
-    """What the driver knows, and the member's steady clock."""
+    """Stands in for the Raft driver, and has the member's monotonic clock."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -36,28 +36,28 @@
 
 
 class Link:
-    """A connection to an instance: what was set and written, in order."""
+    """Stands in for a connection to an instance; records socket options and writes, in order."""
 
     def __init__(self) -> None:
-        self.done: list[tuple[object, ...]] = []
+        self.calls: list[tuple[object, ...]] = []
         self.channel = SimpleNamespace(sock=SimpleNamespace(setsockopt=self._set))
         self.order: dict[str, object] = {}
 
     def _set(self, *option: object) -> None:
-        self.done.append(option)
+        self.calls.append(option)
 
     async def request(self, head: bytes, body: bytes) -> None:
-        self.done.append(("request",))
+        self.calls.append(("request",))
         self.order = json.loads(body)
 
     async def read_head(self) -> SimpleNamespace:
         return SimpleNamespace(status=202)
 
-    async def read_body(self, answer: object) -> bytes:
+    async def read_body(self, response: object) -> bytes:
         return b""
 
     def close(self) -> None:
-        self.done.append(("close",))
+        self.calls.append(("close",))
 
 
 class Exchange(unittest.IsolatedAsyncioTestCase):
@@ -67,12 +67,12 @@
         gate = ResponseGate(lambda: leader.now, leader.staleness, lambda: leader.is_leader)
         self.gate = gate
         stage_lease = StageLease(cast(RaftDriver, leader), gate, 7, LEASE_S)
-        self.orders = StageOrderClient(stage_lease)
+        self.client = StageOrderClient(stage_lease)
         lease = stage_lease._lease
         lease.acquired(2, TOKEN, leader.now - lease.settings.wait_s)
 
     async def exchange(self, while_connecting: Callable[[], None]) -> OrderResult:
-        """One order; something happens while its connection comes up."""
+        """Send one order, calling `while_connecting` while its connection is established."""
 
         async def connect(*_: object) -> Link:
             while_connecting()
@@ -80,28 +80,28 @@
 
         clock = SimpleNamespace(monotonic=lambda: self.leader.now)
         with mock.patch.multiple(stage_order_client, connect=connect, time=clock):
-            return await self.orders.send(ORDER)
+            return await self.client.send(ORDER)
 
-    def written(self) -> bool:
-        return ("request",) in self.link.done
+    def is_written(self) -> bool:
+        return ("request",) in self.link.calls
 
-    async def test_a_leader_in_touch_sends_its_token(self) -> None:
+    async def test_a_confirmed_leader_sends_its_token(self) -> None:
         self.assertIs(await self.exchange(lambda: None), OrderResult.ACCEPTED)
         self.assertEqual(self.link.order["fencing_token"], TOKEN)
 
     async def test_frozen_while_the_connection_came_up(self) -> None:
-        def freeze() -> None:
+        def suspend() -> None:
             self.leader.now += 20.0
 
-        self.assertIs(await self.exchange(freeze), OrderResult.NOT_SENT)
-        self.assertFalse(self.written())
+        self.assertIs(await self.exchange(suspend), OrderResult.NOT_SENT)
+        self.assertFalse(self.is_written())
 
     async def test_isolated_while_the_connection_came_up(self) -> None:
         def isolate() -> None:
             self.leader.now += 0.6  # it still believes that it leads: check-quorum takes 0.8 s
 
         self.assertIs(await self.exchange(isolate), OrderResult.NOT_SENT)
-        self.assertFalse(self.written())
+        self.assertFalse(self.is_written())
 
     async def test_leadership_lost_and_won_again_meanwhile(self) -> None:
         def lose() -> None:
@@ -114,17 +114,17 @@
             self.leader.node.term = 4
 
         self.assertIs(await self.exchange(win_again), OrderResult.NOT_SENT)
-        self.assertFalse(self.written())
+        self.assertFalse(self.is_written())
 
-    async def test_the_gate_decides_last(self) -> None:
+    async def test_the_response_gate_can_prevent_an_order(self) -> None:
         with mock.patch.object(ResponseGate, "may", lambda _, kind: kind is not ResponseKind.INSTANCE_ORDER):
             self.assertIs(await self.exchange(lambda: None), OrderResult.NOT_SENT)
-        self.assertFalse(self.written())
+        self.assertFalse(self.is_written())
 
     async def test_an_order_that_does_not_arrive_is_dropped_by_the_kernel_too(self) -> None:
-        """A process frozen behind a cut closes nothing; the order would be delivered once the cut is over."""
+        """A process suspended in a partition can't close its socket: the order would arrive once it heals."""
         await self.exchange(lambda: None)
-        before = self.link.done[: self.link.done.index(("request",))]
+        before = self.link.calls[: self.link.calls.index(("request",))]
         self.assertIn((socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE), before)
         self.assertIn((socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 600), before)
 
