--- a/mallowbeam/router/control_plane/api.py
+++ b/mallowbeam/router/control_plane/api.py
@@ -25,7 +25,7 @@
 )
 from mallowbeam.router.control_plane.api_responses import SERVICE_UNAVAILABLE, body_reply, error_reply
 from mallowbeam.router.control_plane.body_admission import (
-    LARGE_BODY,
+    LARGE_BODY_BYTES,
     JobRunner,
     LargeBodyAdmission,
     run_in_thread,
@@ -57,7 +57,7 @@
 STATUS_PATH = b"/mallowbeam/status"
 INSTANCES_PATH = b"/mallowbeam/instances/"
 IF_MATCH = re.compile(rb'(?:W/)?"?(\d{1,19})"?\Z')
-EMPTY = b"{}"
+EMPTY_OBJECT = b"{}"
 OK = 200
 BAD_REQUEST = 400
 
@@ -90,7 +90,7 @@
         self, services: ApiServices, parser: ConfigurationParser, run_job: JobRunner = run_in_thread
     ) -> None:
         """`run_job` processes large bodies outside the event loop."""
-        self.budget: BodyBudget | None = BodyBudget(MAX_SMALL_BODIES_BYTES, LARGE_BODY)
+        self.budget: BodyBudget | None = BodyBudget(MAX_SMALL_BODIES_BYTES, LARGE_BODY_BYTES)
         self._large_bodies = LargeBodyAdmission(parser, run_job)
         self._parser = parser
         self._versions = services.versions
@@ -171,14 +171,14 @@
     async def _document_command(self, request: Message, based_on: int) -> PutConfiguration:
         """Build the command for a full document; takes the request's body, to free its memory early."""
         body = request.take()
-        if len(body) > LARGE_BODY:
+        if len(body) > LARGE_BODY_BYTES:
             return await self._large_bodies.command(body, based_on)
         return put_command(self._parser.parse(bytes(body)), based_on)
 
     async def _patch_command(self, request: Message, based_on: int) -> PutConfiguration:
         """Build the command for a patch; takes the request's body, to free its memory early."""
         body = request.take()
-        if len(body) > LARGE_BODY:
+        if len(body) > LARGE_BODY_BYTES:
             return await self._large_bodies.patch(body, based_on)
         patch = parse_patch(bytes(body))
         self._versions.check_patch(patch, based_on)
@@ -198,13 +198,13 @@
     async def _put_instance(self, request: Message, since: float) -> tuple[int, bytes]:
         instance = parse_heartbeat(_instance_id(request), bytes(request.body))
         await self._instances.heartbeat(instance, since)
-        return 200, EMPTY
+        return 200, EMPTY_OBJECT
 
     async def _delete_instance(self, request: Message, since: float) -> tuple[int, bytes]:
         id = _instance_id(request)
         check_id(id)
         await self._instances.delete(id, since)
-        return 200, EMPTY
+        return 200, EMPTY_OBJECT
 
     # ------------------------------------------------------------ the member
 
--- a/mallowbeam/router/control_plane/body_admission.py
+++ b/mallowbeam/router/control_plane/body_admission.py
@@ -20,7 +20,7 @@
 from mallowbeam.router.control_plane.api_errors import LargeBodyError
 from mallowbeam.router.rpc.messages_pb2 import PutConfiguration
 
-LARGE_BODY = 256 * 1024  # a body above this size is large
+LARGE_BODY_BYTES = 256 * 1024  # a body above this size is large
 
 Result = TypeVar("Result")
 
--- a/mallowbeam/router/control_plane/instance_service.py
+++ b/mallowbeam/router/control_plane/instance_service.py
@@ -88,7 +88,7 @@
 
     async def delete(self, id: str, since: float) -> None:
         """Retire an instance; returns once that may be acknowledged, raises as `CommandForwarder.submit`."""
-        self.retired(RetireInstance(id=id, kind=GONE), announce=True)
+        self.apply_retirement(RetireInstance(id=id, kind=GONE), announce=True)
         await self._retire(id, GONE, since)
 
     async def _retire(self, id: str, kind: RetirementKind, since: float) -> None:
@@ -103,7 +103,7 @@
 
     # ------------------------------------------------------------ from the log and from other members
 
-    def retired(self, retirement: RetireInstance, announce: bool = False) -> None:
+    def apply_retirement(self, retirement: RetireInstance, announce: bool = False) -> None:
         """Apply a retirement from the log, or from a call: then `announce` is set, and it is gossiped."""
         version_before = self._table.version
         self._table.retire(retirement.id, retirement.kind, time.monotonic(), announce)
--- a/mallowbeam/router/control_plane/member_builder.py
+++ b/mallowbeam/router/control_plane/member_builder.py
@@ -115,7 +115,7 @@
 
     def instance_retired(self, retirement: RetireInstance) -> None:
         """A retirement from the log."""
-        self._parts.instances.retired(retirement)
+        self._parts.instances.apply_retirement(retirement)
 
     def gateways_outdated(self) -> None:
         """Gateways or members must be sent a change."""
--- a/mallowbeam/router/control_plane/stage_lease.py
+++ b/mallowbeam/router/control_plane/stage_lease.py
@@ -12,7 +12,7 @@
 from mallowbeam.router.processes.logs import get_logger
 from mallowbeam.router.rpc.messages_pb2 import ALREADY_DONE, DONE, AcquireLease, Command
 
-SUBJECT = "stages"  # of the lease, which covers the stages of all services
+LEASE_SUBJECT = "stages"  # of the lease, which covers the stages of all services
 
 log = get_logger("mallowbeam.stages")
 
@@ -52,7 +52,7 @@
 
     async def _acquire(self, term: int) -> None:
         """Propose the acquisition, and record its outcome."""
-        command = Command(acquire_lease=AcquireLease(subject=SUBJECT, holder=self.member_id))
+        command = Command(acquire_lease=AcquireLease(subject=LEASE_SUBJECT, holder=self.member_id))
         try:
             outcome = await self._driver.propose(command.SerializeToString())
         except ConsensusError as error:
--- a/mallowbeam/router/control_plane/status_page.py
+++ b/mallowbeam/router/control_plane/status_page.py
@@ -44,11 +44,16 @@
         node = self._driver.node
         own = self._links.own
         page = {
-            "member": {"id": name(own.id), "address": own.address, "control": own.control, "zone": own.zone},
-            "leader": name(node.leader_id) if node.leader_id is not None else None,
+            "member": {
+                "id": format_member_id(own.id),
+                "address": own.address,
+                "control": own.control,
+                "zone": own.zone,
+            },
+            "leader": format_member_id(node.leader_id) if node.leader_id is not None else None,
             "term": node.term,
             "role": node.role.value,
-            "silence_ms": milliseconds(self._gate.staleness()),
+            "silence_ms": to_milliseconds(self._gate.staleness()),
             "out_of_touch": self._gate.out_of_touch,
             "commit_index": node.commit_index,
             "applied_index": self._driver.applied_index,
@@ -56,7 +61,7 @@
             "target_voters": node.membership.target_voters,
             "gateways": self.gateways,
             "instances": [
-                instance_line(instance) for instance in self._table.changes_since(NO_TABLE).instances
+                instance_entry(instance) for instance in self._table.changes_since(NO_TABLE).instances
             ],
             "revision": self._versions.revision,
         }
@@ -85,7 +90,7 @@
         """Return the status that feed frames carry besides the configuration and instances."""
         members = sorted(member.address for member in self._driver.node.membership.members)
         allowance = self._gate.feed_allowance()
-        return MemberStatus(milliseconds(self._gate.staleness()), self.gateways, tuple(members), allowance)
+        return MemberStatus(to_milliseconds(self._gate.staleness()), self.gateways, tuple(members), allowance)
 
     def other_controls(self) -> list[str]:
         """Return the control addresses of the other members, which may serve a call that is rejected here."""
@@ -96,26 +101,26 @@
         own = member.id == self._links.own.id
         contact_s = 0.0 if own else self._links.seconds_since_contact(member.id)
         return {
-            "id": name(member.id),
+            "id": format_member_id(member.id),
             "address": member.address,
             "control": member.control,
             "zone": self._links.own.zone if own else self._links.zone(member),
             "voter": member.voter,
-            "silence_ms": milliseconds(math.inf if contact_s is None else contact_s),
+            "silence_ms": to_milliseconds(math.inf if contact_s is None else contact_s),
         }
 
 
-def name(member: int) -> str:
+def format_member_id(member: int) -> str:
     """Format a member's id as shown on pages and in logs."""
     return f"{member:016x}"
 
 
-def milliseconds(seconds: float) -> int:
+def to_milliseconds(seconds: float) -> int:
     """Convert seconds to whole milliseconds, at most `MAX_STALENESS_MS`."""
     return int(min(seconds * 1000, MAX_STALENESS_MS))
 
 
-def instance_line(instance: Instance) -> dict[str, object]:
+def instance_entry(instance: Instance) -> dict[str, object]:
     """Return an instance's entry on the page."""
     return {
         "id": instance.id,
--- a/tests/router/control_plane/test_control_plane_body_admission.py
+++ b/tests/router/control_plane/test_control_plane_body_admission.py
@@ -30,7 +30,7 @@
 )
 from mallowbeam.router.control_plane.api_errors import LargeBodyError
 from mallowbeam.router.control_plane.body_admission import (
-    LARGE_BODY,
+    LARGE_BODY_BYTES,
     JobRunner,
     LargeBodyAdmission,
     run_in_thread,
@@ -113,7 +113,7 @@
     """Limits over all connections of one server."""
 
     def setUp(self) -> None:
-        self.budget = BodyBudget(MAX_SMALL_BODIES_BYTES, LARGE_BODY)
+        self.budget = BodyBudget(MAX_SMALL_BODIES_BYTES, LARGE_BODY_BYTES)
 
     def feed(self, data: bytes) -> Framer:
         framer = Framer(answers=False, max_body=MAX_BODY_BYTES, budget=self.budget)
@@ -144,8 +144,8 @@
     def test_large_bodies_do_not_use_the_budget_of_small_ones(self) -> None:
         self.feed(call(CONFIG, large(2)))
         self.assertEqual(self.budget.used, 0)
-        small = call(INSTANCE, b"x" * LARGE_BODY)
-        paused = [self.feed(small) for _ in range(MAX_SMALL_BODIES_BYTES // LARGE_BODY)]
+        small = call(INSTANCE, b"x" * LARGE_BODY_BYTES)
+        paused = [self.feed(small) for _ in range(MAX_SMALL_BODIES_BYTES // LARGE_BODY_BYTES)]
         self.assertTrue(all(framer.error is None for framer in paused))
         self.assertEqual(str(self.feed(small).error), TOO_MANY_BODIES)
 
