--- a/mallowbeam/storage_gateway/frontends/__init__.py
+++ b/mallowbeam/storage_gateway/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""What stands before the gateway: the platform's protocol and an object API, neither knowing the other."""
+"""Client-facing protocols of the gateway: the platform's and an object API, independent of each other."""
--- a/mallowbeam/storage_gateway/frontends/object_api/__init__.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/__init__.py
@@ -1,1 +1,1 @@
-"""The object API by S3's conventions, a module for each concern; `front` joins them."""
+"""The S3-compatible object API, one module per concern; `front` combines them."""
--- a/mallowbeam/storage_gateway/frontends/object_api/access.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/access.py
@@ -1,8 +1,8 @@
-"""Who may do what: keys with their secrets and rights, in a file that is read again while it changes.
+"""Access control: keys with their secrets and grants, from a file that is reloaded when it changes.
 
 The file is JSON: `{"keys": [{"id": ..., "secret": ..., "allow": [GRANT, ...]}, ...]}`, and a grant is
-`{"bucket": ..., "prefix": ..., "do": [...]}` with `read`, `write`, `list`.  A version that can't be used
-changes nothing, and is told once.
+`{"bucket": ..., "prefix": ..., "do": [...]}` with `read`, `write`, `list`.  An invalid version of the file
+leaves the previous keys in place and is logged once.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from mallowbeam.storage_gateway.frontends.object_api.errors import Error
 from mallowbeam.storage_gateway.server.config import GatewayConfigError
 
-MOST_FILE = 4 << 20  # bytes of the file
-LOOK_AGAIN = 1.0  # seconds between looks whether it has changed
+MOST_FILE = 4 << 20
+LOOK_AGAIN = 1.0  # between checks whether the file has changed
 
 
 class Grant(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What may be done under a prefix of a bucket; `*` for every bucket."""
+    """Actions allowed under a prefix of a bucket; the bucket `*` stands for every bucket."""
 
     bucket: Annotated[str, Meta(min_length=1)]
     do: list[Literal["read", "write", "list"]]
@@ -32,7 +32,7 @@
 
 
 class Key(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """An access key."""
+    """An access key with its secret and grants."""
 
     id: Annotated[str, Meta(min_length=3, max_length=128, pattern=r"^[^/, ]+$")]
     secret: Annotated[str, Meta(min_length=8, max_length=256)]
@@ -40,25 +40,27 @@
 
 
 class KeyFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole file."""
+    """Contents of the key file."""
 
     keys: list[Key]
 
 
 def read_keys(data: bytes) -> dict[str, Key]:
-    """The keys of a file by their ids; raises `GatewayConfigError`."""
+    """Parse a key file and return its keys by id; raises `GatewayConfigError`."""
     try:
         told = msgspec.json.decode(data, type=KeyFile)
-    except msgspec.DecodeError as error:  # it names the place, and never a value
+    except (
+        msgspec.DecodeError
+    ) as error:  # its text names the position and never contains a value such as a secret
         raise GatewayConfigError(str(error)) from None
     keys = {key.id: key for key in told.keys}
     if len(keys) < len(told.keys):
-        raise GatewayConfigError("an id stands there twice")
+        raise GatewayConfigError("an access key id appears twice")
     return keys
 
 
 def may(key: Key, what: str, bucket: str, name: bytes) -> bool:
-    """Whether a key may do that to a name."""
+    """Whether a key allows an action on an object name or prefix."""
     return any(
         grant.bucket in ("*", bucket) and what in grant.do and name.startswith(grant.prefix.encode())
         for grant in key.allow
@@ -66,26 +68,28 @@
 
 
 def require(key: Key | None, what: str, bucket: str, name: bytes) -> None:
-    """Raises `Error` where a key may not do that; None is a caller who need not say who he is."""
+    """Raise `Error` unless a key allows an action; a key of None means that authentication is off."""
     if key is not None and not may(key, what, bucket, name):
         raise Error("AccessDenied")
 
 
 @dataclass(slots=True)
 class Access:
-    """The keys as the file has them now."""
+    """The current access keys, reloaded from their file."""
 
     path: Path
     keys: dict[str, Key] = field(default_factory=dict)
-    seen: tuple[int, int, int] = (0, 0, 0)  # the file's inode, size and time of change
-    look_at: float = 0.0  # steady time of the next look
-    trouble: str = ""  # what was last told of a file that can't be used
+    seen: tuple[int, int, int] = (0, 0, 0)  # the loaded file's inode, size and modification time (ns)
+    look_at: float = 0.0  # monotonic time of the next check, in seconds
+    trouble: str = ""  # the last error logged for an invalid file; empty if the file is valid
 
     def open(self) -> None:
-        """Read the file for the first time; raises `GatewayConfigError`."""
+        """Load the file at startup; raises `GatewayConfigError`."""
         try:
             if self.path.stat().st_mode & 0o007:
-                logger.warning("object API: others may read the keys in {path}", path=str(self.path))
+                logger.warning(
+                    "object API: the key file {path} is readable by other users", path=str(self.path)
+                )
             self._read()
         except (OSError, GatewayConfigError) as error:
             why = error.strerror if isinstance(error, OSError) else error
@@ -100,7 +104,7 @@
             self.keys = read_keys(file.read(MOST_FILE))
 
     def look(self, now: float) -> None:
-        """Read the file again if it has changed; `now` in steady seconds."""
+        """Reload the file if it has changed; `now` is monotonic, in seconds."""
         if now < self.look_at:
             return
         self.look_at = now + LOOK_AGAIN
@@ -109,8 +113,10 @@
             if (told.st_ino, told.st_size, told.st_mtime_ns) != self.seen:
                 self._read()
                 self.trouble = ""
-                logger.info("object API: {count} keys read", count=len(self.keys))
+                logger.info("object API: reloaded {count} access keys", count=len(self.keys))
         except (OSError, GatewayConfigError) as error:
             if str(error) != self.trouble:
-                logger.error("object API: the keys of before stay: {why}", why=str(error))
+                logger.error(
+                    "object API: cannot reload the key file; keeping the previous keys: {why}", why=str(error)
+                )
             self.trouble = str(error)
--- a/mallowbeam/storage_gateway/frontends/object_api/batches.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/batches.py
@@ -1,6 +1,6 @@
-"""DeleteObjects: many names in one call, and a word for each.  No I/O.
+"""DeleteObjects: many names in one call, with a result for each.  No I/O.
 
-Source: Amazon S3 API reference, "DeleteObjects".  Versions of objects are not offered.
+Source: Amazon S3 API reference, "DeleteObjects".  Object versions are not supported.
 """
 
 from __future__ import annotations
@@ -13,12 +13,16 @@
 from mallowbeam.storage_gateway.frontends.object_api.errors import ERRORS, Error
 from mallowbeam.storage_gateway.frontends.object_api.listings import NAMESPACE, put
 
-MOST = 1000  # names in one call
-MOST_BYTES = 2 << 20  # of its document
+MOST = 1000
+MOST_BYTES = 2 << 20
 
 
 def read(body: bytes) -> tuple[list[str], bool]:
-    """The names, each once and in their order, and whether only errors are to be told; raises `Error`."""
+    """Parse a request document; raises `Error`.
+
+    Returns:
+        The names, each once and in order of first mention, and whether only errors are to be reported.
+    """
     if len(body) > MOST_BYTES:
         raise Error("MalformedXML")
     names, quiet = dict[str, None](), False
@@ -46,12 +50,17 @@
 
 
 def tag(element: Element) -> str:
-    """An element's name, whatever its namespace."""
+    """Return an element's name without its namespace."""
     return str(element.tag).rpartition("}")[2]
 
 
 def write(results: dict[str, str | None], quiet: bool) -> bytes:
-    """The document that tells of each name: deleted, or the code of what went wrong."""
+    """Return the result document.
+
+    Args:
+        results: For each name None if it was deleted, else an S3 error code.
+        quiet: Whether only errors are reported.
+    """
     root = Element("DeleteResult", xmlns=NAMESPACE)
     for name, code in results.items():
         if code is None:
--- a/mallowbeam/storage_gateway/frontends/object_api/bodies.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/bodies.py
@@ -1,8 +1,8 @@
-"""A body on its way in: `aws-chunked` taken apart, digests counted while it passes, checked at its end.
+"""Request bodies: decodes `aws-chunked`, computes digests on the fly and checks them at the end.
 
 No I/O.  Sources: Amazon S3 API reference, "Signature calculations: transferring payload in multiple chunks"
 (the framing, with and without signatures and trailers) and "Checking object integrity".  Chunk signatures are
-checked where the front knows keys.
+checked if authentication is on.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 KNOWN = frozenset({SUM + b"crc32", SUM + b"crc32c", *HASHES})
 CHUNK = re.compile(rb"([0-9a-fA-F]{1,8})(;chunk-signature=[0-9a-f]{64})?\Z")
 TRAILER = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}):[ \t]*([\x21-\x7e]{0,256})[ \t]*\Z")
-MOST_LINE = 512  # bytes of a chunk's head or a trailer
+MOST_LINE = 512  # of a chunk header or a trailer
 MOST_TRAILERS = 8
-# Of the framing alone: what a node gets is the bare body.
+# Headers that describe only the framing; a node gets the decoded body.
 FRAMING = frozenset(
     (b"x-amz-decoded-content-length", b"x-amz-trailer", b"content-length", b"transfer-encoding")
 )
@@ -40,19 +40,19 @@
 
 
 class Chunks:
-    """Takes the framing off; raises `Error` for what breaks it."""
+    """Incremental decoder of the `aws-chunked` framing; raises `Error` for malformed framing."""
 
     def __init__(self, signatures: ChunkSignatures | None = None) -> None:
-        self.signatures, self.told = signatures, ""  # the chain, and what the chunk that comes says
-        self.digest = hashlib.sha256()  # of that chunk, where it is signed
-        self.signed = b""  # the trailers as they are signed
-        self.rest = bytearray()  # of a line that has not come whole
-        self.left = 0  # bytes of a chunk still to come, with its CRLF
-        self.last = self.over = False  # the empty chunk has come; and the line that ends it all
+        self.signatures, self.told = signatures, ""  # the signature chain; the current chunk's signature
+        self.digest = hashlib.sha256()  # of the current chunk, if chunks are signed
+        self.signed = b""  # the trailers in the form that is signed
+        self.rest = bytearray()  # an incomplete line
+        self.left = 0  # bytes of the current chunk not received yet, including its CRLF
+        self.last = self.over = False  # received: the empty chunk; the final empty line
         self.trailers: dict[bytes, bytes] = {}
 
     def feed(self, data: bytes | bytearray) -> list[memoryview]:
-        """The body's bytes in what has come, in pieces."""
+        """Decode received bytes and return the body bytes among them."""
         view, at, out = memoryview(data), 0, []
         while at < len(view):
             if self.left > 2:
@@ -79,7 +79,7 @@
         if not line.endswith(b"\r\n") or self.over:
             raise Error("InvalidRequest")
         line = line[:-2]
-        if self.left:  # the CRLF behind a chunk
+        if self.left:  # the CRLF after a chunk
             if line:
                 raise Error("InvalidRequest")
             self.left = 0
@@ -115,15 +115,18 @@
             self.digest = hashlib.sha256()
 
     def end(self) -> None:
-        """Nothing more comes: was it all?  Some clients leave out the last empty line."""
+        """Check that the framing is complete; some clients omit the final empty line."""
         if not self.last or self.left or self.rest:
             raise Error("IncompleteBody")
         if self.signatures is not None and self.signed:
-            raise Error("SignatureDoesNotMatch")  # trailers that nothing signs
+            raise Error("SignatureDoesNotMatch")  # unsigned trailers
 
 
 class Body:
-    """What a client says of a body, counted along as it comes."""
+    """Decodes a body and checks it against the length and digests that its client declares.
+
+    `named` says whether this process computes the object's ETag, as it does for buffered writes.
+    """
 
     def __init__(
         self, headers: Mapping[bytes, bytes], signatures: ChunkSignatures | None = None, named: bool = True
@@ -136,21 +139,21 @@
         self.stated = int(told) if told is not None and self.chunks is not None else None
         trailing = {name.strip().lower() for name in headers.get(b"x-amz-trailer", b"").split(b",")}
         asked = {name for name in headers if name.startswith(SUM)} | trailing
-        # One that is not known here goes unchecked to its node, but not one that only a trailer tells.
+        # An unknown checksum is left to the node in a header, but rejected in a trailer, which no node sees.
         self.sums: dict[bytes, int] = dict.fromkeys(asked & {SUM + b"crc32", SUM + b"crc32c"}, 0)
         self.hashes: dict[bytes, Any] = {
             name: HASHES[name](usedforsecurity=False) for name in asked & HASHES.keys()
         }
         if {name for name in trailing if name.startswith(SUM)} - KNOWN:
             raise Error("NotImplemented")
-        # Of a body that its node names, and of which no client tells it, the MD5 is nobody's business here.
+        # Skips the MD5 if the node computes the ETag and the client declares no MD5.
         md5 = named or self.chunks is not None or b"content-md5" in headers
         self.md5 = hashlib.md5(usedforsecurity=False) if md5 else None
         whole = headers.get(b"x-amz-content-sha256", b"")
         self.sha256 = hashlib.sha256() if re.fullmatch(rb"[0-9a-f]{64}", whole) else None
 
     def feed(self, data: bytes | bytearray) -> list[memoryview]:
-        """The body's bytes in what has come; raises `Error`."""
+        """Process received bytes and return the body bytes among them; raises `Error`."""
         pieces = [memoryview(data)] if self.chunks is None else self.chunks.feed(data)
         for piece in pieces:
             self.size += len(piece)
@@ -167,7 +170,7 @@
         return pieces
 
     def end(self) -> None:
-        """The body is whole: does it match all that was said of it?  Raises `Error`."""
+        """Check the complete body against its declared length and digests; raises `Error`."""
         told = dict(self.headers)
         if self.chunks is not None:
             self.chunks.end()
@@ -186,20 +189,20 @@
 
     @property
     def etag(self) -> str:
-        """S3's ETag of an object put whole; only of a body that is `named` here."""
+        """S3's ETag of an object stored in one PUT; only available for a `named` body."""
         assert self.md5 is not None
         return f'"{self.md5.hexdigest()}"'
 
 
 def castagnoli(data: memoryview, value: int) -> int:
-    """CRC-32C, carried on."""
-    from crc32c import crc32c  # only where a client uses it
+    """Continue a CRC-32C from `value`."""
+    from crc32c import crc32c  # imported lazily: few clients use it
 
     return crc32c(data, value)
 
 
 def unwrap(message: Message, headers: Mapping[bytes, bytes], signatures: ChunkSignatures | None) -> None:
-    """Check a body held whole and take its framing off, its headers' too; raises `Error`."""
+    """Check a buffered body, and remove its framing and the framing's headers; raises `Error`."""
     body = Body(headers, signatures, named=False)
     pieces = body.feed(message.body)
     body.end()
@@ -210,7 +213,7 @@
 
 
 def bare(headers: Headers) -> Headers:
-    """The headers of a body whose framing was taken off."""
+    """Return the headers that describe a body after its framing was removed."""
     kept = []
     for name, value in headers:
         if name == b"content-encoding":
--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -1,10 +1,10 @@
-"""The object front with the write-back buffer behind it, for the buckets that the operators' file names.
+"""The object API with a write-back buffer, for the buckets that the operators' file names.
 
 A plain PUT or DELETE of such a bucket is acknowledged once it is durable in this gateway's folder; reads see
-it from then on.  What the buffer can't stand for (conditions on a node's state, multipart completions,
-headers that ask a node for more than to keep them) goes to the node as ever, once nothing buffered stands
-before it.
-This front is also the buffer's way to the nodes: its calls pass the same decisions as a client's.
+it from then on.  Writes that the buffer cannot handle (conditions on a node's state, multipart completions,
+headers that a node has to interpret rather than store) go directly to the node, after all buffered writes
+that must precede them.
+The buffer also reaches the nodes through this class: its calls are scheduled like those of clients.
 """
 
 from __future__ import annotations
@@ -50,12 +50,12 @@
 from mallowbeam.storage_gateway.write_buffer.store import CommitUnknownError, RecordRejectedError
 
 BARRIER = b"x-mallowbeam-barrier"  # on a write: `sync` or `through`
-BARRIER_ID = b"x-mallowbeam-barrier-id"  # on an answer: the barrier's number
-SLICE = 2000  # buffered names looked at in one go
+BARRIER_ID = b"x-mallowbeam-barrier-id"  # on a response: the barrier's number
+SLICE = 2000  # buffered names examined before yielding to other tasks
 DURABLE = (b"x-mallowbeam-durable", b"buffer")
 NUMBER = re.compile(r"[0-9]{1,18}\Z")
-# What a node is asked to keep with an object, and what concerns this hop only: writes with other headers of
-# S3's are not taken in, since only a node can say what they come to.
+# Headers that a node stores with an object, and headers that only concern this hop.  A write with any other
+# x-amz header is not buffered, as only a node can interpret it.
 KEPT = frozenset(
     (
         b"content-type",
@@ -81,17 +81,17 @@
 
 
 def read_buffer_settings(raw: Mapping[str, object], objects: ObjectSettings, gateway: Gateway) -> Settings:
-    """The buffer's settings from its section of the operators' file; raises `GatewayConfigError`."""
+    """Read the buffer's settings from its section of the operators' file; raises `GatewayConfigError`."""
     section = convert(BufferSection, raw, "buffer")
     assert section.folder is not None
     known = gateway.config.settings
     cls = known.classes[objects.write_class]
     if section.cache_bytes + section.flush_bytes > gateway.config.memory // 4:
         raise GatewayConfigError(
-            "buffer: cache_bytes and flush_bytes together are over a quarter of the memory"
+            "buffer: cache_bytes and flush_bytes together exceed a quarter of the memory"
         )
     if objects.max_body > section.max_bytes // 4:
-        raise GatewayConfigError("buffer.max_bytes: must hold at least four of the largest bodies")
+        raise GatewayConfigError("buffer.max_bytes: must be at least four times objects.max_body_bytes")
     limits = Limits(
         max_bytes=section.max_bytes,
         max_records=section.max_records,
@@ -112,30 +112,30 @@
 
 
 class BufferedObjects(Objects):
-    """The object front, buffering."""
+    """The object API with a write-back buffer."""
 
     def __init__(self, gateway: Gateway, settings: ObjectSettings, buffer: Settings, handed: bool) -> None:
         super().__init__(gateway, settings)
         why = check_folder(buffer, handed)
         if why is not None:
             raise GatewayConfigError(why)
-        self.max_buffered_body = min(settings.max_body, CHUNK_BYTES)  # larger bodies come in pieces
+        self.max_buffered_body = min(settings.max_body, CHUNK_BYTES)  # larger bodies are streamed
         self.buffer = Buffer(buffer, self, handed_over=handed)
         gateway.parts.append(self.buffer)
 
-    # --- calls of clients -----------------------------------------------------------------------
+    # --- client calls ---------------------------------------------------------------------------
 
     async def on_bucket(self, call: BucketCall) -> Response:
-        """A call on a bucket: a barrier of a buffered one, or what the front offers for any."""
+        """Serve a call on a bucket: a barrier of a buffered bucket, or an operation that any bucket has."""
         if call.bucket in self.buffer.settings.buckets:
             if self.buffer.phase is not Phase.OPEN:
-                raise slow_down()  # what it holds is not known here
+                raise slow_down()  # the buffer's contents are not known
             if "barrier" in call.query:
                 return await self._barrier_call(call)
         return await super().on_bucket(call)
 
     async def serve(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
-        """A call on an object: from here, into the buffer, or to its node."""
+        """Serve a call on an object: from the buffer, into the buffer, or by its node."""
         if request.bucket not in self.buffer.settings.buckets:
             return await self._direct(request, request_id, closing)
         if self.buffer.phase is not Phase.OPEN:
@@ -144,21 +144,21 @@
             return await self._read(request, request_id, closing)
         if request.method in (b"PUT", b"DELETE") and not request.upload:
             return await self._write(request, request_id, closing)
-        if request.upload and request.method == b"POST":  # an upload becomes an object
+        if request.upload and request.method == b"POST":  # completes an upload
             await self._stand_clear(request)
         return await self._direct(request, request_id, closing)
 
     def _deadline(self, message: Message) -> float:
-        """Seconds that a write or barrier may take, by its client or its class."""
+        """Return the time limit in seconds of a write or barrier, from its client or its class."""
         return self.seconds(self.settings.write_class, message.get(b"x-deadline-ms"))
 
     async def _direct(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
-        """A call straight to its node; a large body is held whole after all."""
+        """Forward a call directly to its node, with a streamed body buffered in memory first."""
         async with self.held(request.message):
             return await self.pass_on(request, request_id, closing)
 
     async def _stand_clear(self, request: Request) -> None:
-        """Wait until nothing buffered stands before a direct write; refuse at once where that takes long."""
+        """Wait until no buffered write must precede a direct write; refuse at once if that takes long."""
         buffer = self.buffer
         if not buffer.core.blocks_direct(request.bucket, request.path):
             return
@@ -173,7 +173,7 @@
             raise slow_down()
 
     def _seconds(self, writes: int) -> float:
-        """How long so many writes may take to reach the nodes, by what is on its way at once and answers."""
+        """Estimate the seconds that writes take to reach the nodes, from concurrency and latency target."""
         core = self.buffer.core
         cls = self.gateway.config.settings.classes[self.settings.write_class]
         return writes / max(1, core.allowed_in_flight(self.buffer.clock(), 0)) * cls.latency_target
@@ -181,7 +181,7 @@
     # --- writes ---------------------------------------------------------------------------------
 
     async def _write(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
-        """A PUT or DELETE: taken in, or sent to its node where it can't be."""
+        """Serve a PUT or DELETE: buffer it, or forward it to its node if it cannot be buffered."""
         message, buffer = request.message, self.buffer
         barrier = request.headers.get(BARRIER)
         if barrier not in (None, b"sync", b"through"):
@@ -196,7 +196,7 @@
         if admission is Admission.SLOW_DOWN or known is not None and admission is not Admission.ACCEPT:
             raise slow_down()
         if admission is Admission.DIRECT or conditional and known is None or not self._bufferable(request):
-            if barrier is not None:  # a barrier that nothing durable stands for is none
+            if barrier is not None:  # a barrier must be durable, and a direct write leaves no record
                 raise slow_down()
             await self._stand_clear(request)
             return await self._direct(request, request_id, closing)
@@ -208,7 +208,10 @@
             raise Error("InternalError") from None
         try:
             lsn = await buffer.intake.put_barrier(request.bucket) if barrier is not None else None
-        except (RecordRejectedError, CommitUnknownError):  # the write stands, so this is no refusal
+        except (
+            RecordRejectedError,
+            CommitUnknownError,
+        ):  # the write itself is durable, so this must not look like a refusal
             raise Error("InternalError") from None
         if lsn is not None and barrier == b"through":
             await self._through(request.bucket, lsn, self._deadline(request.message))
@@ -221,21 +224,21 @@
         return Response(200, write_head(200, headers, 0, closing()))
 
     def _standing(self, request: Request) -> Entry | None:
-        """The last write of that name taken in, durable or about to be."""
+        """Return the newest buffered write of an object, durable or still being committed."""
         chain = self.buffer.core.keys.get((request.bucket, request.path))
         return chain[-1] if chain else None
 
     def _check(self, request: Request) -> None:
-        """Whether a write's conditions hold against what is buffered of its key; raises `Error`."""
+        """Check a write's conditions against the newest buffered write of its object; raises `Error`."""
         known = self._standing(request)
         if known is None or self.buffer.reader.newest(request.bucket, request.path) is not known:
-            raise slow_down()  # it has just gone to its node, or may yet fail to be durable
+            raise slow_down()  # it has just been flushed to its node, or is not durable yet and may fail
         if not write_allowed(request.headers, known.etag if known.method == "PUT" else None):
             raise Error("PreconditionFailed")
 
     @staticmethod
     def _bufferable(request: Request) -> bool:
-        """Whether nothing but keeping the bytes and their description is asked of the node."""
+        """Whether a write only asks the node to store the body and its metadata."""
         return all(
             not name.startswith(b"x-amz-")
             or name in UNTOUCHED
@@ -245,7 +248,7 @@
         )
 
     async def _take(self, request: Request, request_id: str, conditional: bool) -> Entry:
-        """Bring a write into the log: its body whole or in pieces, checked against what its client says."""
+        """Append a write to the log, its body buffered or streamed, checked against its declared digests."""
         message, buffer = request.message, self.buffer
         token = request.headers.get(b"idempotency-key", request_id.encode())
         if not TOKEN.match(token):
@@ -277,7 +280,7 @@
         return await self._take_pieces(request, write, body, conditional)
 
     async def _take_pieces(self, request: Request, write: Write, body: Body, conditional: bool) -> Entry:
-        """A large body, a piece at a time."""
+        """Append a streamed write to the log, a piece at a time."""
         stream, buffer, upload = request.message.stream, self.buffer, Upload()
         assert stream is not None
         try:
@@ -291,7 +294,7 @@
             body.end()
             write.etag = body.etag
             await buffer.intake.complete(upload, write)
-            if conditional:  # other writes may have come while the body did
+            if conditional:  # other writes may have been accepted while the body was received
                 self._check(request)
             return await buffer.intake.put(write, b"")
         finally:
@@ -300,7 +303,7 @@
     # --- barriers -------------------------------------------------------------------------------
 
     async def _barrier_call(self, call: BucketCall) -> Response:
-        """`POST /b?barrier=sync|through` sets one, `GET /b?barrier=N` tells whether it has passed."""
+        """Serve `POST /b?barrier=sync|through` (set a barrier) and `GET /b?barrier=N` (has it passed?)."""
         buffer, message, bucket, what = self.buffer, call.message, call.bucket, call.query["barrier"]
         require(call.key, "read" if message.method == b"GET" else "write", bucket, b"")
         headers = [(b"x-amz-request-id", call.request_id.encode())]
@@ -327,7 +330,7 @@
         return Response(200, write_head(200, headers, 0, call.closing()))
 
     async def _through(self, bucket: str, lsn: int, seconds: float) -> None:
-        """Wait for a barrier; where it won't pass in time that is said at once, with its number for later."""
+        """Wait for a barrier; if it cannot pass in time, raise `Error` at once, with its number to poll."""
         before = self.buffer.core.writes_before(lsn) or 0
         expected = self._seconds(before)
         held = self.buffer.core.suspended_before_barrier(bucket) is not None
@@ -339,7 +342,7 @@
     # --- reads ----------------------------------------------------------------------------------
 
     async def _read(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
-        """A GET or HEAD: from here while the key is buffered, else from its node."""
+        """Serve a GET or HEAD from the buffer while it has the object, else from its node."""
         entry = self.buffer.reader.newest(request.bucket, request.path)
         if entry is None:
             return await self.pass_on(request, request_id, closing)
@@ -348,7 +351,7 @@
         try:
             write, whole = await self.buffer.reader.read(entry)
         except (LogIOError, ValueError):
-            if self.buffer.phase is Phase.CLOSED:  # another process has what this one can't read any more
+            if self.buffer.phase is Phase.CLOSED:  # another process has taken over the files
                 raise slow_down() from None
             raise Error("InternalError") from None
         headers: Headers = [
@@ -379,16 +382,16 @@
                 async for part in self.buffer.reader.body(write, whole, start, end):
                     await channel.send(part)
             except LogIOError:
-                return False  # the client can tell that it is not whole
+                return False  # the client sees that the body is incomplete
             return True
 
         return Response(status, write=stream)
 
     async def overlay(self, query: Query) -> dict[str, Item | None]:
-        """What is buffered of a listing: the nodes do not have it yet, or still have what is deleted here.
+        """Return buffered writes in a listing, which the nodes lack, and buffered deletes (None).
 
-        Read in slices, so that a full buffer holds up no other call: what goes to its node meanwhile is
-        listed there, and what comes meanwhile may be listed or not, as with any listing.
+        Reads in slices, so that a full buffer does not block other calls: a write flushed meanwhile is listed
+        by its node, and a write accepted meanwhile may be listed or not, as with any listing.
         """
         laid: dict[str, Item | None] = {}
         if query.bucket not in self.buffer.settings.buckets:
@@ -405,20 +408,20 @@
                 laid[name] = Item(name, entry.size, entry.etag, modified) if entry.method == "PUT" else None
         return laid
 
-    # --- the buffer's way to the nodes ----------------------------------------------------------
+    # --- calls of the buffer to nodes -----------------------------------------------------------
 
     def direct_calls(self) -> int:
-        """Calls that the gateway holds, the buffer's own among them."""
+        """Return the number of calls that the gateway holds, including the buffer's own."""
         return len(self.gateway.exchanges)
 
     def may_send(self) -> bool:
-        """Whether the gateway begins new work."""
+        """Whether the gateway starts new work."""
         return self.gateway.begins
 
     def _buffer_call(
         self, write: Write, method: bytes, body: bytes, expires: float, headers: Headers
     ) -> Call:
-        """A call of the buffer's own, as the module and a node see it."""
+        """Return a gateway call for a buffered write: what the scheduler and a node receive."""
         known, settings = self.gateway.config.settings, self.settings
         cls = settings.read_class if method == b"HEAD" else settings.write_class
         request_id = secrets.token_hex(8)
@@ -443,7 +446,7 @@
         )
 
     async def send(self, write: Write, body: bytes, expires: float, seen: str | None) -> SendResult:
-        """One attempt at storing a write; see `interface.NodeSender`."""
+        """Attempt once to store a write on its node; see `interface.NodeSender`."""
         headers = [*write.headers, (b"idempotency-key", write.token)]
         if seen:
             headers.append((b"if-match", seen.encode()))
@@ -466,7 +469,7 @@
         )
 
     async def read_version(self, write: Write, expires: float) -> VersionResult:
-        """Which version the node has; see `interface.NodeSender`."""
+        """Return the version that the node has; see `interface.NodeSender`."""
         answer = await self.gateway.submit(self._buffer_call(write, b"HEAD", b"", expires, []))
         if answer.kind is not AnswerKind.SERVED or answer.status not in (200, 404):
             return VersionResult(False)
--- a/mallowbeam/storage_gateway/frontends/object_api/calls.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/calls.py
@@ -1,4 +1,4 @@
-"""One call of a client, taken apart: its name, its place, its upload, and whether it is offered at all."""
+"""Parses client requests on objects: name, home shard, upload, and whether the operation is supported."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from mallowbeam.storage_gateway.frontends.object_api.uploads import unpack_upload
 
 MOST_PARTS = 10_000
-MOST_KEY = 1024  # bytes of an object's name
+MOST_KEY = 1024  # of an object's name
 BUCKET = re.compile(r"[a-z0-9][a-z0-9.-]{1,61}[a-z0-9]\Z")
-# The calls offered, by method, and the query that each may have (x-id: some clients name the operation).
+# Supported methods with the query parameters that each may have (x-id: some clients name the operation).
 QUERIES = {
     b"GET": {"uploadId", "max-parts", "part-number-marker", "x-id"},
     b"HEAD": set(),
@@ -46,7 +46,7 @@
 
 
 class Request:
-    """One call of a client, taken apart; raises `Error` for what S3 would turn down."""
+    """A client's parsed request on an object; raises `Error` for one that S3 would reject."""
 
     def __init__(self, message: Message, settings: ObjectSettings, shards: int) -> None:
         self.message, self.method = message, message.method
@@ -57,26 +57,26 @@
         if not path.startswith(b"/") or not BUCKET.match(bucket.decode("latin-1")):
             raise Error("InvalidBucketName")
         if not key:
-            raise Error("NotImplemented")  # calls on buckets: what a bucket holds is spread over nodes
+            raise Error("NotImplemented")  # bucket operations: a bucket is spread over nodes
         if len(name) > MOST_KEY:
             raise Error("KeyTooLongError")
         try:
-            name.decode()  # S3's names are UTF-8
+            name.decode()  # S3 names are UTF-8
         except UnicodeDecodeError:
             raise Error("InvalidURI") from None
         self.place = crc32(bucket + b"/" + name)
-        # One spelling for each name, as S3 has it (the canonical URI of Signature V4).
+        # The canonical spelling of each name, as in Signature V4's canonical URI.
         self.path = b"/" + bucket + b"/" + quote(name, safe="/-._~").encode()
         self.bucket, self.key = bucket.decode(), f"{self.place:016x}"
         self.query = dict(parse_qsl(raw_query.decode("latin-1"), keep_blank_values=True))
-        self.signatures: ChunkSignatures | None = None  # of its body's chunks, where they are signed
-        # A signature ends here; an upload's id is the node's own there.
+        self.signatures: ChunkSignatures | None = None  # of the body's chunks, if they are signed
+        # Presigned query parameters are not forwarded, and the upload id is replaced by the node's own.
         pairs = [
             pair
             for pair in raw_query.split(b"&")
             if pair and pair.partition(b"=")[0].decode("latin-1") not in (*SIGNED, "uploadId")
         ]
-        self.upload: str | None = None  # the id that the client knows
+        self.upload: str | None = None  # the id given to the client
         self.shard = self.place % shards
         if "uploadId" in self.query:
             self.upload = self.query["uploadId"]
@@ -91,16 +91,16 @@
         self.measure(size or 0, settings)
 
     def measure(self, size: int, settings: ObjectSettings) -> None:
-        """How many units so many bytes count as."""
+        """Set the request's size in scheduling units from its size in bytes."""
         self.units = max(1, math.ceil(size / settings.unit_bytes))
 
     @property
     def initiates(self) -> bool:
-        """Whether the call begins an upload."""
+        """Whether the request initiates a multipart upload."""
         return self.method == b"POST" and "uploads" in self.query
 
     def _check(self) -> None:
-        """Allow the calls that this front knows, and turn down the others rather than guess."""
+        """Reject operations that the object API does not support, rather than guess what they mean."""
         query, method = self.query, self.method
         part, upload = query.get("partNumber"), self.upload
         if method not in QUERIES:
--- a/mallowbeam/storage_gateway/frontends/object_api/conditions.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/conditions.py
@@ -1,4 +1,4 @@
-"""Conditions on a request whose object's state is known here (RFC 9110, 13.1 and 13.2.2)."""
+"""Conditional requests on objects whose state is known to the gateway (RFC 9110, 13.1 and 13.2.2)."""
 
 from __future__ import annotations
 
@@ -7,27 +7,33 @@
 
 
 def matches(header: bytes, etag: str | None, weak: bool) -> bool:
-    """Whether a list of entity tags names this one, None for no object; `weak`: W/ makes no difference."""
+    """Whether a list of entity tags matches an ETag.
+
+    Args:
+        header: Value of If-Match or If-None-Match.
+        etag: The object's ETag, None if there is no object.
+        weak: Whether to use weak comparison, which ignores the prefix `W/`.
+    """
     if etag is None:
         return False
     for tag in header.decode("latin-1").split(","):
         tag = tag.strip()
         if weak:
             tag = tag.removeprefix("W/")
-        if tag in ("*", etag) or f'"{tag}"' == etag:  # some clients of S3 leave the quotes out
+        if tag in ("*", etag) or f'"{tag}"' == etag:  # some S3 clients omit the quotes
             return True
     return False
 
 
 def write_allowed(headers: Mapping[bytes, bytes], etag: str | None) -> bool:
-    """Whether a write may go on, given the ETag that is there now, None for none."""
+    """Whether a write's conditions hold for the current ETag, None if there is no object."""
     if (asked := headers.get(b"if-match")) is not None and not matches(asked, etag, False):
         return False
     return (asked := headers.get(b"if-none-match")) is None or not matches(asked, etag, True)
 
 
 def read_status(headers: Mapping[bytes, bytes], etag: str, modified: float) -> int:
-    """200 where a read may be answered, else 304 or 412; `modified` in Unix seconds."""
+    """Return 200 if a read's conditions hold, else 304 or 412; `modified` is in Unix seconds."""
     if (asked := headers.get(b"if-match")) is not None:
         if not matches(asked, etag, False):
             return 412
@@ -40,7 +46,7 @@
 
 
 def date(header: bytes | None) -> float | None:
-    """An HTTP date in Unix seconds; None where there is none that can be read."""
+    """Parse an HTTP date into Unix seconds; None if it is missing or malformed."""
     if header is None:
         return None
     try:
--- a/mallowbeam/storage_gateway/frontends/object_api/errors.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/errors.py
@@ -1,4 +1,4 @@
-"""S3's errors: codes, statuses, words, and the document that tells them."""
+"""S3's errors: codes, statuses, messages and the error document."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.framing import Headers
 
-# S3's error codes: status and words.  The first of a status stands for it where no closer code is known.
+# S3's error codes with status and message.  The first code of a status is used if only the status is known.
 ERRORS = {
     "InvalidRequest": (400, "Invalid request."),
     "EntityTooLarge": (413, "Your proposed upload exceeds the maximum allowed size."),
@@ -43,7 +43,7 @@
 
 
 class Error(MallowbeamError):
-    """An S3 error that the gateway itself answers with."""
+    """An S3 error that the gateway itself returns to the client."""
 
     error_name = "Error"
     remedy = "the code says what the client has to change; SlowDown is repeated after its Retry-After"
@@ -54,7 +54,7 @@
 
 
 def error_body(code: str, target: bytes, request_id: str) -> bytes:
-    """S3's error document."""
+    """Return S3's error document."""
     resource = escape(target.partition(b"?")[0].decode("latin-1"))
     return (
         f'<?xml version="1.0" encoding="UTF-8"?>\n<Error><Code>{code}</Code><Message>{ERRORS[code][1]}'
@@ -64,5 +64,5 @@
 
 
 def slow_down(seconds: float | None = None) -> Error:
-    """A refusal; clients of S3 read whole seconds."""
+    """Return a SlowDown error; Retry-After is rounded up, as S3 clients expect whole seconds."""
     return Error("SlowDown", [(b"retry-after", b"%d" % max(1, math.ceil(seconds or 0)))])
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -1,8 +1,8 @@
-"""An object API over HTTP by S3's conventions: objects, byte ranges and multipart uploads.
+"""An S3-compatible object API over HTTP: objects, byte ranges and multipart uploads.
 
 An object's home is the shard that its name hashes to.  An upload id given to a client carries the shard and
-the node's own upload id, so that any gateway, a restarted one too, finds the upload again.  Every call goes
-through the gateway's decisions like any other request; only the words of S3 are added here.
+the node's own upload id, so that any gateway, a restarted one too, finds the upload again.  Every call passes
+the gateway's scheduling decisions like any other request; this module only adds S3's conventions.
 """
 
 from __future__ import annotations
@@ -61,29 +61,29 @@
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
 T = TypeVar("T")
-IN_THREAD = 256 * 1024  # bytes of a body from which on its digests would hold up other calls
-AT_ONCE = 16  # names of one batch that are on their way
-MOST_MS = 86_400_000  # a deadline of over a day is senseless
-# What concerns one connection, or the talk between gateway and node, is not passed on.
+IN_THREAD = 256 * 1024  # digests of larger bodies are computed in a thread, to not block other calls
+AT_ONCE = 16  # deletes of one batch in flight
+MOST_MS = 86_400_000  # deadlines over a day are rejected
+# Not forwarded: headers of a single connection, and headers between gateway and node.
 OWN_REQUEST = HOP_BY_HOP | {b"x-deadline-ms", b"x-request-id", b"idempotency-key"}
 OWN_ANSWER = HOP_BY_HOP | {b"x-meter", b"x-delta", b"x-load", b"x-not-run", b"x-amz-request-id"}
 
 
 class BucketCall(NamedTuple):
-    """One call on a bucket as a whole."""
+    """A client's call on a bucket."""
 
     message: Message
     bucket: str
     query: Mapping[str, str]
     headers: Mapping[bytes, bytes]
-    key: Key | None  # who makes it, None where nobody need say
+    key: Key | None  # the caller's access key, None if authentication is off
     signatures: ChunkSignatures | None
     request_id: str
     closing: Callable[[], bool]
 
 
 class Objects:
-    """Turns S3 calls into the gateway's calls and answers back."""
+    """Translates S3 requests into gateway calls, and their answers into responses."""
 
     def __init__(self, gateway: Gateway, settings: ObjectSettings) -> None:
         self.gateway, self.settings = gateway, settings
@@ -95,7 +95,7 @@
             self.access.open()
 
     async def handle(self, message: Message, closing: Callable[[], bool]) -> Response:
-        """One call to its one answer."""
+        """Return the response to a request."""
         request_id = secrets.token_hex(8)
         try:
             if match := BUCKET_CALL.match(message.target):
@@ -105,12 +105,12 @@
             return self.error(error, message, request_id, closing())
 
     async def serve(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
-        """A call on an object; raises `Error`."""
+        """Serve a call on an object; raises `Error`."""
         return await self.pass_on(request, request_id, closing)
 
     @asynccontextmanager
     async def held(self, message: Message) -> AsyncIterator[None]:
-        """A large body is held whole, within the budget, for as long as this lasts; raises `Error`."""
+        """Buffer a streamed body completely, charged to the budget until exit; raises `Error`."""
         taken, body = 0, bytearray()
         try:
             if message.stream is not None:
@@ -130,7 +130,7 @@
     def read_bucket(
         self, message: Message, match: re.Match[bytes], request_id: str, closing: Callable[[], bool]
     ) -> BucketCall:
-        """A call on a bucket taken apart, by one who is who he says; raises `Error`."""
+        """Parse and authenticate a call on a bucket; raises `Error`."""
         query = dict(
             parse_qsl((match[2] or b"").decode("latin-1"), keep_blank_values=True, errors="surrogateescape")
         )
@@ -146,7 +146,7 @@
         )
 
     def read(self, message: Message) -> Request:
-        """A call taken apart, by one who may make it; raises `Error`."""
+        """Parse, authenticate and authorize a call on an object; raises `Error`."""
         request = Request(message, self.settings, self.gateway.config.settings.shards)
         key, request.signatures = self.identify(message, request.headers, request.query)
         name = unquote_to_bytes(request.path.split(b"/", 2)[2])
@@ -154,7 +154,7 @@
         return request
 
     async def on_bucket(self, call: BucketCall) -> Response:
-        """A call on a bucket as a whole: its listing, or many deletes; raises `Error`."""
+        """Serve a call on a bucket: a listing or a multi-object delete; raises `Error`."""
         asked = set(call.query) - SIGNED
         if call.message.method == b"POST" and asked - {"x-id"} == {"delete"}:
             return await self._delete_many(call)
@@ -173,17 +173,17 @@
         return self._document(merge.page(), call)
 
     def _until(self, call: BucketCall, cls: str) -> float:
-        """When a call of that class must be over."""
+        """Return the time on the gateway's clock by which a call of a class must finish."""
         return self.gateway.now() + self.seconds(cls, call.headers.get(b"x-deadline-ms"))
 
     @staticmethod
     def _document(body: bytes, call: BucketCall) -> Response:
-        """A document of this front's own."""
+        """Return a response with an XML document."""
         told = [(b"content-type", b"application/xml"), (b"x-amz-request-id", call.request_id.encode())]
         return Response(200, write_head(200, told, len(body), call.closing()) + body)
 
     async def _delete_many(self, call: BucketCall) -> Response:
-        """DeleteObjects: each name a call like any other, a few at a time, all within one deadline."""
+        """Serve DeleteObjects: an ordinary call for each name, a few at a time, under one deadline."""
         until = self._until(call, self.settings.write_class)
         async with self.held(call.message):
             await self.unwrap(call.message, call.headers, call.signatures)
@@ -213,7 +213,7 @@
         return self._document(batches.write(results, quiet), call)
 
     async def _part(self, query: Query, ask: Ask, seconds: float) -> tuple[list[Item], str, bool]:
-        """One node's next names, as a call like any other: a unit, and the time that the whole has left."""
+        """Fetch a node's next names by an ordinary call of one unit, within the listing's remaining time."""
         if seconds <= 0:
             raise slow_down()
         request_id = secrets.token_hex(8)
@@ -236,13 +236,17 @@
         return read_part(bytes(answer.body))
 
     async def overlay(self, query: Query) -> dict[str, Item | None]:
-        """Names of a listing that are other than the nodes have them, None for one that is not there."""
+        """Return names whose state differs from the nodes', with None for a deleted name."""
         return {}
 
     def identify(
         self, message: Message, headers: Mapping[bytes, bytes], query: Mapping[str, str]
     ) -> tuple[Key | None, ChunkSignatures | None]:
-        """Who makes a call, proven, and what its chunks rest on; None where none need say; raises `Error`."""
+        """Authenticate a call; raises `Error`.
+
+        Returns:
+            The caller's key, None if authentication is off, and the verifier of its signed chunks, if any.
+        """
         if self.access is None:
             return None, None
         self.access.look(time.monotonic())
@@ -258,14 +262,14 @@
     async def unwrap(
         message: Message, headers: Mapping[bytes, bytes], signatures: ChunkSignatures | None
     ) -> None:
-        """Check a body held whole and take its framing off; a large one in a thread, as digests take long."""
+        """Check a buffered body and remove its framing; in a thread for a large one, as digests take long."""
         if len(message.body) > IN_THREAD:
             await asyncio.to_thread(unwrap, message, headers, signatures)
         else:
             unwrap(message, headers, signatures)
 
     async def pass_on(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
-        """A call to its home node; raises `Error`."""
+        """Forward a call to its home node; raises `Error`."""
         if request.method in (b"PUT", b"POST"):
             await self.unwrap(request.message, request.headers, request.signatures)
             request.measure(len(request.message.body), self.settings)
@@ -280,7 +284,7 @@
         return self._whole(request, answer, request_id, closing())
 
     def error_response(self, status: int, text: str) -> Response:
-        """The answer to what breaks HTTP or a bound."""
+        """Return the response to malformed HTTP or an exceeded limit."""
         code = CODE_OF.get(status, "InvalidRequest")
         headers = [(b"content-type", b"application/xml")]
         if code == "SlowDown":
@@ -289,19 +293,19 @@
         return Response(ERRORS[code][0], write_head(ERRORS[code][0], headers, len(body), True) + body)
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
-        """A call is over: reads and writes count for the classes that stand for them."""
+        """Count a finished request under the class configured for reads or writes."""
         settings = self.settings
         lane = settings.read_class if request.method in (b"GET", b"HEAD") else settings.write_class
         self.gateway.metrics.request_finished(lane, status, whole)
 
     def _call(self, request: Request, request_id: str) -> Call:
-        """What goes to the module and to a node."""
+        """Return the gateway call for a request: what the scheduler and a node receive."""
         settings, known, headers = self.settings, self.gateway.config.settings, request.headers
         cls = known.classes[settings.read_class if request.reads else settings.write_class]
         seconds = self.seconds(cls.name, headers.get(b"x-deadline-ms"))
-        drop = OWN_REQUEST if self.access is None else OWN_REQUEST | {b"authorization"}  # it ends here
+        drop = OWN_REQUEST if self.access is None else OWN_REQUEST | {b"authorization"}  # not for nodes
         passed = [header for header in request.message.headers if header[0] not in drop]
-        # A client's own key is kept, so that its own repeat is dropped too; else every attempt shares ours.
+        # Keeps a client's own key, so that its retries are deduplicated too; else all attempts share the id.
         token = headers.get(b"idempotency-key", request_id.encode())
         if not TOKEN.match(token):
             raise Error("InvalidArgument")
@@ -323,7 +327,7 @@
         )
 
     def seconds(self, cls: str, asked: bytes | None) -> float:
-        """What a call of that class may take here, by its client's word or its class; raises `Error`."""
+        """Return a call's time limit in seconds, from its client's header or its class; raises `Error`."""
         known = self.gateway.config.settings.classes[cls].deadline
         deadline = known if asked is None else read_deadline(asked, MOST_MS)
         if deadline is None:
@@ -333,7 +337,7 @@
     def fields(
         self, cls: str, expires: float, bucket: str, shard: int, key: str, units: int, writes: bool
     ) -> dict[str, object]:
-        """What the module is told of a call."""
+        """Return the fields of a call that the scheduler receives."""
         settings = self.settings
         return {
             "request_class": cls,
@@ -348,14 +352,14 @@
 
     @staticmethod
     def error(error: Error, message: Message, request_id: str, close: bool) -> Response:
-        """An S3 error."""
+        """Return the response for an S3 error."""
         body = error_body(error.code, message.target, request_id)
         headers = [(b"content-type", b"application/xml"), (b"x-amz-request-id", request_id.encode())]
         head = write_head(ERRORS[error.code][0], headers + error.headers, len(body), close)
         return Response(ERRORS[error.code][0], head + body)
 
     def _whole(self, request: Request, answer: Answer, request_id: str, close: bool) -> Response:
-        """A node's answer that was read whole; what names an upload is put in the client's terms."""
+        """Return the response for a buffered answer; a node's upload id is replaced by the client's."""
         headers, body = passed_on(answer, request_id), answer.body
         if request.method == b"HEAD":
             length = length_of(answer.headers)
@@ -378,7 +382,7 @@
     def _streamed(
         self, request: Request, answer: Answer, stream: Stream, request_id: str, closing: Callable[[], bool]
     ) -> Response:
-        """A body that is passed on as it comes, cut here where the node left the range to us."""
+        """Return a response that forwards a body as it arrives, cut to the range if the node did not."""
         headers, status, length = passed_on(answer, request_id), answer.status, length_of(answer.headers)
         start, end = 0, length
         asked = request.headers.get(b"range")
@@ -395,7 +399,7 @@
         size = None if end is None else end - start
 
         async def write(channel: Channel) -> bool:
-            # Guards against an attempt that would wait for ever for a client that has gone.
+            # The stream is closed in any case: its attempt would wait forever for a client that disconnected.
             chunked = in_chunks(request.message, size)
             try:
                 await channel.send(write_head(status, headers, size, closing(), chunked))
@@ -407,7 +411,7 @@
 
 
 async def gather(*work: Coroutine[Any, Any, T]) -> list[T]:
-    """All results, or the first error, and then the rest is given up; so it is when its client leaves."""
+    """Return all results, or raise the first error; the rest is cancelled then, as when this is cancelled."""
     tasks = [asyncio.create_task(one) for one in work]
     try:
         return list(await asyncio.gather(*tasks))
@@ -417,19 +421,19 @@
 
 
 def passed_on(answer: Answer, request_id: str) -> Headers:
-    """The headers of a node's answer that the client gets."""
+    """Return the headers of a node's answer that the client receives."""
     headers = [header for header in answer.headers if header[0] not in OWN_ANSWER]
     headers.append((b"x-amz-request-id", request_id.encode()))
     return headers
 
 
 def range_of(start: int, end: int, length: int) -> tuple[bytes, bytes]:
-    """The header that says which part of the object a 206 holds."""
+    """Return the Content-Range header of a 206 response."""
     return b"content-range", b"bytes %d-%d/%d" % (start, end - 1, length)
 
 
 def cut_here(asked: bytes, length: int) -> tuple[int, int] | None:
-    """The piece asked of an object whose node left the range to us; raises `Error` outside it."""
+    """Resolve a range that the node did not apply; raises `Error` if it lies outside the object."""
     try:
         return cut(asked, length)
     except Unsatisfiable:
--- a/mallowbeam/storage_gateway/frontends/object_api/listings.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/listings.py
@@ -1,9 +1,9 @@
-"""A bucket's names in order, merged from the parts that its nodes list: what to ask next, and the page.
+"""Bucket listings: a k-way merge of the sorted lists of a bucket's nodes into pages.
 
-No I/O.  Each node lists its own names sorted (by their UTF-8 bytes, as S3 does).  A page asks each for its
-even part and a little more, and again only the one whose names have run out before the page was full, so that
-what is held is a page's worth however large the bucket is.  Names that are buffered here are laid over what
-the nodes tell.
+No I/O.  Each node lists its own names sorted (by their UTF-8 bytes, as S3 does).  A page requests an even
+share and a little more from each node, and further names only from a node whose names run out before the page
+is full, so that memory is bound by the page size however large the bucket is.  Names in the write-back buffer
+override those of the nodes.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 NAMESPACE = "http://s3.amazonaws.com/doc/2006-03-01/"
 MOST_KEYS = 1000  # names on a page
-LEAST_ASKED = 16  # names asked of a node at once, where the page wants that many
-EXTRA = 1.25  # of its even part a node is asked for: names spread evenly, but not exactly
-LAST = "\U0010ffff" * 4  # behind a prefix: after every name that begins with it, but for absurd ones
+LEAST_ASKED = 16  # names requested from a node at once, unless the page needs fewer
+EXTRA = 1.25  # requested multiple of a node's even share, as names spread only roughly evenly
+LAST = "\U0010ffff" * 4  # appended to a prefix, sorts after practically every name with that prefix
 
 
 class Item(NamedTuple):
-    """A name on a page: an object, or with `size` None a common prefix."""
+    """An entry of a page: an object, or a common prefix if `size` is None."""
 
     name: str
     size: int | None = None
@@ -40,45 +40,45 @@
 
     @property
     def order(self) -> bytes:
-        """What it is sorted by."""
+        """The sort key."""
         return self.name.encode("utf-8", "surrogateescape")
 
 
 class Ask(NamedTuple):
-    """A node's next names are wanted."""
+    """A request for a node's next names."""
 
     shard: int
-    after: str  # names behind this one
-    token: str  # or the node's own word for where it was, if it gave one
+    after: str  # exclusive
+    token: str  # the node's own continuation token, which takes precedence over `after`
     most: int
 
 
 @dataclass(slots=True)
 class Part:
-    """What one node has told so far."""
+    """The merge's state of one node's list."""
 
     items: deque[Item] = field(default_factory=deque)
     token: str = ""
     after: str = ""
-    more: bool = True  # whether it may have further names
+    more: bool = True  # whether the node may have further names
 
 
 @dataclass(slots=True, frozen=True)
 class Query:
-    """What a client asks for; raises `Error` from `read`."""
+    """A client's listing request."""
 
     bucket: str
     prefix: str = ""
     delimiter: str = ""
-    after: str = ""  # names behind this one only
+    after: str = ""  # exclusive start
     most: int = MOST_KEYS
     second: bool = True  # ListObjectsV2
-    encoded: bool = False  # names in percent-encoding
-    told: tuple[tuple[str, str], ...] = ()  # what the answer repeats of the call
+    encoded: bool = False  # whether names are percent-encoded in the answer
+    told: tuple[tuple[str, str], ...] = ()  # request parameters that the answer repeats
 
     @classmethod
     def read(cls, bucket: str, query: Mapping[str, str]) -> Query:
-        """A listing call's words."""
+        """Parse the query parameters of a listing request; raises `Error`."""
         most, second = query.get("max-keys", str(MOST_KEYS)), query.get("list-type") == "2"
         if not (most.isascii() and most.isdigit() and len(most) < 10):
             raise Error("InvalidArgument")
@@ -108,13 +108,13 @@
 
 
 def seal_token(last: str, bucket: str, prefix: str, delimiter: str) -> str:
-    """Where a listing goes on, opaque to clients and tied to what they asked."""
+    """Return a continuation token: opaque to clients and bound to their bucket, prefix and delimiter."""
     tied = crc32(json.dumps([bucket, prefix, delimiter]).encode())
     return base64.urlsafe_b64encode(json.dumps([1, tied, last]).encode()).decode()
 
 
 def open_token(token: str, bucket: str, prefix: str, delimiter: str) -> str:
-    """The name behind a token; raises `Error` for one made up, or of another listing."""
+    """Return the last name in a token; raises `Error` for one that is invalid or of another listing."""
     try:
         version, tied, last = json.loads(base64.b64decode(token.encode(), altchars=b"-_", validate=True))
     except (ValueError, TypeError, RecursionError):
@@ -126,17 +126,17 @@
 
 
 class Merge:
-    """One page of a bucket that lies on so many shards."""
+    """Merges one page of a bucket from the lists of its shards."""
 
     def __init__(self, query: Query, shards: int, overlay: Mapping[str, Item | None] | None = None) -> None:
         self.query, self.shards = query, shards
-        # One more than the page has: whether any name follows must be known.
+        # One more than the page holds, to know whether any name follows.
         self.want = query.most + 1 if query.most else 0
         self.parts = [Part(after=skip(query.after, query.delimiter, query.prefix)) for _ in range(shards)]
         self.overlay = dict(overlay or {})
         self.items: list[Item] = []  # the page, in order
         self.over = not self.want
-        self.asked = 0  # names asked of nodes
+        self.asked = 0  # names requested from nodes
         self._laid = deque(
             sorted(
                 {
@@ -149,7 +149,7 @@
         )
 
     def needs(self) -> list[Ask]:
-        """What must be asked before the page can go on; empty when it is done."""
+        """Return the requests needed to continue the page; empty if the page is complete."""
         self._merge()
         if self.over:
             return []
@@ -164,11 +164,18 @@
         return asks
 
     def feed(self, shard: int, items: list[Item], token: str, more: bool) -> None:
-        """A node's next names, sorted; `token`: where it goes on, if there is `more`.  Raises `Error`."""
+        """Add a node's next names; raises `Error` if they are out of order or no progress is made.
+
+        Args:
+            shard: The node's shard.
+            items: Its names, sorted.
+            token: The node's continuation token, if any.
+            more: Whether the node has further names.
+        """
         part = self.parts[shard]
         before = part.after.encode("utf-8", "surrogateescape")
         for item in items:
-            # Guards the page's order against a node that does not keep to it.
+            # A node that violates the order would break the order of the page.
             if item.order < before:
                 raise Error("InternalError")
             before = item.order
@@ -177,18 +184,18 @@
         if items:
             part.after = items[-1].name
         elif more:
-            raise Error("InternalError")  # nothing, and more of it
+            raise Error("InternalError")  # an empty list that claims to continue would never end
         part.token, part.more = token, more
 
     def _merge(self) -> None:
-        """Take names in order for as long as each node's next one is known."""
+        """Merge names into the page for as long as the next name of every node is known."""
         while not self.over:
             heads = []
             for part in self.parts:
                 if part.items:
                     heads.append((part.items[0].order, part.items))
                 elif part.more:
-                    return  # its next name may be the first of all
+                    return  # its next name may sort first
             if self._laid:
                 heads.append((self._laid[0].order, self._laid))
             if not heads:
@@ -200,7 +207,7 @@
             self.over = len(self.items) >= self.want
 
     def _behind(self, item: Item) -> bool:
-        """Whether a name lies behind the last: a prefix that several nodes have counts once."""
+        """Whether a name sorts after the last one, which drops a common prefix listed by several nodes."""
         last = self.items[-1].name if self.items else self.query.after
         return item.order > last.encode("utf-8", "surrogateescape")
 
@@ -210,7 +217,7 @@
         return len(self.items) > self.query.most > 0
 
     def page(self) -> bytes:
-        """S3's document of the page."""
+        """Return the page as S3's XML document."""
         query, items = self.query, self.items[: self.query.most]
 
         def word(text: str) -> str:
@@ -257,12 +264,12 @@
 
 
 def put(parent: Element, tag: str, text: str) -> None:
-    """One element with text; of a name that is no UTF-8, from before that was asked, what can be shown."""
+    """Append an element with text; bytes that are not UTF-8, which older names may have, become `?`."""
     SubElement(parent, tag).text = text.encode("utf-8", "replace").decode()
 
 
 def rolled(item: Item, query: Query) -> Item:
-    """A name as it stands on the page: itself, or the common prefix that it falls under."""
+    """Return an item as the page lists it: itself, or the common prefix that it falls under."""
     if query.delimiter:
         at = item.name.find(query.delimiter, len(query.prefix))
         if at >= 0:
@@ -271,14 +278,14 @@
 
 
 def skip(after: str, delimiter: str, prefix: str) -> str:
-    """Where nodes go on behind a name: past all of it, if it is a common prefix."""
+    """Return where nodes continue after a name; after a common prefix, past every name under it."""
     if delimiter and after.endswith(delimiter) and len(after) > len(prefix) and after.startswith(prefix):
         return after + LAST
     return after
 
 
 def target(query: Query, ask: Ask) -> bytes:
-    """The call that asks a node."""
+    """Return the target of the listing request to a node."""
     words = {
         "list-type": "2",
         "encoding-type": "url",
@@ -294,7 +301,7 @@
 
 
 def read_part(body: bytes) -> tuple[list[Item], str, bool]:
-    """A node's document: its names in order, its token and whether more follow; raises `Error`."""
+    """Parse a node's listing into its sorted names, its token and whether more follow; raises `Error`."""
     items, token, more = [], "", False
     try:
         for element in fromstring(body):
--- a/mallowbeam/storage_gateway/frontends/object_api/ranges.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/ranges.py
@@ -1,4 +1,4 @@
-"""One byte range of a body, as RFC 9110 (14.1, 14.2) reads the `Range` header."""
+"""Parses and resolves a single byte range of the `Range` header (RFC 9110, 14.1 and 14.2)."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class Unsatisfiable(MallowbeamError):
-    """The range lies wholly outside the body: 416."""
+    """The range lies entirely outside the body: 416."""
 
     error_name = "Unsatisfiable"
     remedy = "ask for a range inside the object"
 
 
 def bounds(header: bytes) -> tuple[int | None, int | None] | None:
-    """First and last position as asked, None where left out; None for what must be ignored.
+    """Parse a range into its first and last position, None for one left out; None if it must be ignored.
 
-    Several ranges in one header are ignored too, as RFC 9110 allows and S3 does.
+    A header with several ranges is ignored too, as RFC 9110 allows and S3 does.
     """
     match = ONE_RANGE.match(header)
     if match is None or len(header) > 64:
@@ -31,12 +31,16 @@
 
 
 def cut(header: bytes, length: int) -> tuple[int, int] | None:
-    """Start and end (exclusive) within a body of this length; None where the whole body is the answer."""
+    """Resolve a range to start and end (exclusive) in a body; None if the complete body is the answer.
+
+    Raises:
+        Unsatisfiable: The range lies entirely outside a body of this length.
+    """
     asked = bounds(header)
     if asked is None:
         return None
     first, last = asked
-    if first is None:  # the last so many bytes
+    if first is None:  # a suffix range: the last N bytes
         assert last is not None
         if last == 0 or length == 0:
             raise Unsatisfiable
@@ -47,7 +51,7 @@
 
 
 def span(header: bytes | None) -> int | None:
-    """How many bytes are asked for at most, where the header alone tells."""
+    """Return the maximum number of requested bytes; None if the header alone does not determine it."""
     asked = bounds(header) if header else None
     if asked is None or asked[1] is None:
         return None
--- a/mallowbeam/storage_gateway/frontends/object_api/settings.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/settings.py
@@ -1,4 +1,4 @@
-"""What the operators' file says of the object front."""
+"""Settings of the object API from the operators' file."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ObjectSettings:
-    """What the file under deploy/ says of this front."""
+    """Settings of the object API, as the file under deploy/ gives them."""
 
     listen: tuple[str, int]
     read_class: str
     write_class: str
     plan: str
-    plans: dict[str, str]  # of single buckets
+    plans: dict[str, str]  # by bucket, overriding `plan`
     unit_bytes: int
     max_body: int
     held: int
-    keys: str | None = None  # the file of those who may call; None: whoever reaches it
+    keys: str | None = None  # path of the access key file; None: authentication is off
 
 
 def read_object_settings(raw: dict[str, Any], gateway: Gateway) -> ObjectSettings:
-    """The front's settings; raises `GatewayConfigError`."""
+    """Read the object API's settings; raises `GatewayConfigError`."""
     section = convert(ObjectsSection, raw, "objects")
     try:
         listen = read_address(str(section.listen))
@@ -46,14 +46,14 @@
     known = gateway.config.settings
     for name in (settings.read_class, settings.write_class):
         if name not in known.classes:
-            raise GatewayConfigError(f"the object front names an unknown class: {name}")
+            raise GatewayConfigError(f"objects.classes: unknown class: {name}")
     for name in (settings.plan, *settings.plans.values()):
         if name not in known.plans:
-            raise GatewayConfigError(f"the object front names an unknown plan: {name}")
+            raise GatewayConfigError(f"objects.plan, objects.plans: unknown plan: {name}")
     if settings.held > gateway.config.memory // 2:
-        raise GatewayConfigError("the object front may hold more than half of the memory")
+        raise GatewayConfigError("objects.held_bytes: exceeds half of the memory")
     if (section.keys is None) != (section.authentication == "off"):
-        raise GatewayConfigError('objects.keys: name the file of keys, or say "authentication": "off"')
+        raise GatewayConfigError('objects.keys: give either a key file or "authentication": "off"')
     if settings.held < settings.max_body:
-        raise GatewayConfigError("the object front's sizes are senseless")
+        raise GatewayConfigError("objects.held_bytes: is less than max_body_bytes")
     return settings
--- a/mallowbeam/storage_gateway/frontends/object_api/signatures.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/signatures.py
@@ -1,7 +1,7 @@
-"""Signature Version 4 as S3 checks it: in headers, in a presigned query, and chunk by chunk.
+"""Verifies Signature Version 4 as S3 does: in headers, in a presigned query, and chunk by chunk.
 
-No I/O; the time is handed in.  Source: Amazon S3 API reference, "Authenticating requests (AWS Signature
-Version 4)".  Comparisons take the same time whatever differs.
+No I/O; callers pass the time.  Source: Amazon S3 API reference, "Authenticating requests (AWS Signature
+Version 4)".  Signatures are compared in constant time.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from mallowbeam.storage_gateway.frontends.object_api.errors import Error
 
 ALGORITHM = "AWS4-HMAC-SHA256"
-SKEW = 900  # seconds by which a client's clock may be off
-MOST_EXPIRES = 604_800  # seconds for which a presigned URL may be good
+SKEW = 900  # by which a client's clock may be off
+MOST_EXPIRES = 604_800  # longest validity of a presigned URL
 AUTHORIZATION = re.compile(
     r"AWS4-HMAC-SHA256 +Credential=([^/, ]{1,128})/(\d{8})/([^/, ]{1,64})/s3/aws4_request *,"
     r" *SignedHeaders=([a-z0-9;-]{1,2048}) *, *Signature=([0-9a-f]{64})\Z"
@@ -38,25 +38,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Claim:
-    """Who says to have signed a request, and how: not believed yet."""
+    """A request's signature and its parameters, not verified yet."""
 
     key: str
     day: str
     region: str
-    date: str  # as S3 writes it: 20261201T175355Z
-    signed: tuple[str, ...]  # names of the headers that are signed
+    date: str  # in S3's format: 20261201T175355Z
+    signed: tuple[str, ...]  # names of the signed headers
     signature: str
-    payload: str  # what stands for the body in what is signed
-    expires: int | None = None  # seconds, of a presigned URL
+    payload: (
+        str  # represents the body in the canonical request: its SHA-256 or a marker such as UNSIGNED-PAYLOAD
+    )
+    expires: int | None = None  # validity of a presigned URL in seconds
 
     @property
     def scope(self) -> str:
-        """What the signing key is good for."""
+        """The credential scope: what the signing key is valid for."""
         return f"{self.day}/{self.region}/s3/aws4_request"
 
 
 def read_claim(headers: Mapping[bytes, bytes], query: Mapping[str, str]) -> Claim | None:
-    """The claim of a request, None for one without any; raises `Error`."""
+    """Parse a request's signature claim; None if the request is not signed.  Raises `Error`."""
     authorization = headers.get(b"authorization")
     presigned = "X-Amz-Algorithm" in query or "X-Amz-Signature" in query
     if authorization is not None and presigned:
@@ -67,7 +69,7 @@
 
 
 def header_claim(text: str, headers: Mapping[bytes, bytes]) -> Claim:
-    """The claim of an Authorization header."""
+    """Parse the claim of an Authorization header; raises `Error`."""
     match = AUTHORIZATION.match(text)
     if match is None:
         raise Error("AuthorizationHeaderMalformed")
@@ -81,7 +83,7 @@
 
 
 def query_claim(query: Mapping[str, str]) -> Claim:
-    """The claim of a presigned URL."""
+    """Parse the claim of a presigned URL; raises `Error`."""
     match = CREDENTIAL.match(query.get("X-Amz-Credential", ""))
     date, expires = query.get("X-Amz-Date", ""), query.get("X-Amz-Expires", "")
     signature, signed = query.get("X-Amz-Signature", ""), query.get("X-Amz-SignedHeaders", "")
@@ -108,7 +110,7 @@
 
 
 def in_time(claim: Claim, now: float) -> None:
-    """Raises `Error` for a claim that is over, or whose clock is far off; `now` in Unix seconds."""
+    """Raise `Error` if a claim has expired or its clock is too far off; `now` is in Unix seconds."""
     try:
         made = timegm(strptime(claim.date, "%Y%m%dT%H%M%SZ"))
     except ValueError:
@@ -121,11 +123,11 @@
         if abs(now - made) > SKEW:
             raise Error("RequestTimeTooSkewed")
     elif now < made - SKEW or now > made + claim.expires:
-        raise Error("AccessDenied")  # not yet good, or over
+        raise Error("AccessDenied")  # not valid yet, or expired
 
 
 def canonical(method: bytes, target: bytes, headers: Headers, claim: Claim) -> str:
-    """The request in the one form that is signed; raises `Error` where what must be signed is not."""
+    """Return the canonical request; raises `Error` if a header that must be signed is not."""
     path, _, raw = target.partition(b"?")
     told: dict[str, list[str]] = {}
     for name, value in headers:
@@ -150,7 +152,7 @@
 
 @lru_cache(64)
 def signing_key(secret: str, day: str, region: str) -> bytes:
-    """The key of a day and region."""
+    """Derive the signing key for a day and region."""
     key = f"AWS4{secret}".encode()
     for part in (day, region, "s3", "aws4_request"):
         key = hmac.digest(key, part.encode(), "sha256")
@@ -158,13 +160,13 @@
 
 
 def sign(claim: Claim, secret: str, kind: str, *lines: str) -> str:
-    """The signature over some lines, for a claim's date and scope."""
+    """Return the signature over lines of text, for a claim's date and scope."""
     text = "\n".join([kind, claim.date, claim.scope, *lines])
     return hmac.digest(signing_key(secret, claim.day, claim.region), text.encode(), "sha256").hex()
 
 
 def verify(message: Message, claim: Claim, secret: str | None, now: float) -> None:
-    """Raises `Error` where a request is not signed as it claims; `secret` None for an unknown key."""
+    """Raise `Error` unless a request's signature is valid; a `secret` of None means an unknown key."""
     in_time(claim, now)
     text = canonical(message.method, message.target, message.headers, claim)
     digest = hashlib.sha256(text.encode("latin-1")).hexdigest()
@@ -177,18 +179,18 @@
 
 
 class ChunkSignatures:
-    """The chain of signatures over the chunks of a body, each resting on the one before."""
+    """Verifies the chained signatures of a body's chunks; each signature covers the previous one."""
 
     def __init__(self, claim: Claim, secret: str) -> None:
         self._sign: Callable[..., str] = lambda kind, *lines: sign(claim, secret, kind, *lines)
         self.before = claim.signature
 
     def chunk(self, digest: str, told: str) -> None:
-        """A chunk with that SHA-256 is whole; raises `Error`."""
+        """Verify the signature of the next chunk, given its SHA-256; raises `Error`."""
         self._next(self._sign("AWS4-HMAC-SHA256-PAYLOAD", self.before, EMPTY, digest), told)
 
     def trailers(self, lines: bytes, told: str) -> None:
-        """The trailers, a line each as `name:value` and a newline; raises `Error`."""
+        """Verify the trailers' signature; `lines` has `name:value` and a newline for each; raises `Error`."""
         digest = hashlib.sha256(lines).hexdigest()
         self._next(self._sign("AWS4-HMAC-SHA256-TRAILER", self.before, digest), told)
 
--- a/mallowbeam/storage_gateway/frontends/object_api/uploads.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/uploads.py
@@ -1,4 +1,4 @@
-"""Multipart uploads: the id that a client gets, and the node's own behind it."""
+"""Multipart upload ids: the client's id encodes the home shard and the node's own id."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def pack_upload(shard: int, inner: str) -> str:
-    """The upload id that a client gets: where the upload lives, and what the node calls it."""
+    """Return the client's upload id for a shard and the node's own upload id."""
     return f"1.{shard}." + base64.urlsafe_b64encode(inner.encode()).decode().rstrip("=")
 
 
 def unpack_upload(outer: str) -> tuple[int, str]:
-    """Shard and the node's upload id; raises `Error`."""
+    """Return the shard and the node's upload id from a client's upload id; raises `Error`."""
     version, _, rest = outer.partition(".")
     shard, _, text = rest.partition(".")
     try:
@@ -33,7 +33,7 @@
 
 
 def rename_upload(body: bytes, known: str | None, shard: int) -> bytes:
-    """A node's document with the client's upload id in the place of the node's; raises `Error`."""
+    """Return a node's document with its upload id replaced by the client's; raises `Error`."""
     try:
         root = fromstring(body)
         element = next(e for e in root.iter() if e.tag.rpartition("}")[2] == "UploadId")
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -1,4 +1,4 @@
-"""The platform's protocol: thin, since the gateway's calls follow it closely."""
+"""The platform's HTTP protocol.  The gateway's calls mirror it, so little translation is needed."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 TARGET = re.compile(rb"/([^/?]+)/([0-9a-f]{16})/([0-9a-f]{16})(?:\?[\x21-\x7e]{0,1024})?\Z")
 REQUEST_ID = re.compile(rb"[0-9a-f]{16}\Z")
 EXTENT = re.compile(rb"units=(\d{1,9}),shard=(-?\d{1,9}),hosts=(\d{1,9})\Z")
-HELD = 24 * 1024 * 1024  # bytes of bodies held at once, over all connections: memory is bounded
-MOST_MS = 3_600_000  # a deadline of over an hour is senseless
-STANDSTILL, LEAST = 0.2, 0.05  # of the aim, and seconds: nodes write their small answers in one go
-FAILED = 502  # what a client is told of a failure: neither 429 nor 503, which would refuse
+HELD = 24 * 1024 * 1024  # of request bodies held at once over all connections
+MOST_MS = 3_600_000  # deadlines over an hour are rejected
+STANDSTILL, LEAST = 0.2, 0.05  # share of the latency target; nodes write small answers in one go
+FAILED = 502  # neither 429 nor 503, which would mean that the request was refused
 REFUSED = 503
-RETRY_AFTER = [(b"retry-after", b"0.3")]  # with a refusal that the module has no part in
-# Guards nodes against what they might not read, and close on: only what the protocol names is passed on.
+RETRY_AFTER = [(b"retry-after", b"0.3")]  # for refusals that the scheduler is not involved in
+# Only headers that the protocol names are forwarded: a node closes its connection on any it cannot parse.
 PASSED_ON = frozenset(
     (
         b"x-request-id",
@@ -44,18 +44,18 @@
         b"content-type",
     )
 )
-SINGLE = PASSED_ON | {b"x-deadline-ms"}  # and each at most once: readers may differ on which counts
+SINGLE = PASSED_ON | {b"x-deadline-ms"}  # at most once each: parsers differ on which duplicate counts
 
 
 class InvalidRequestError(MallowbeamError):
-    """A request that the protocol doesn't allow; the text says why."""
+    """A request violates the protocol; the text says how."""
 
     error_name = "BadRequest"
     remedy = "mend the client that sent it"
 
 
 class Platform:
-    """Turns the platform's requests into calls and answers back."""
+    """Translates the platform's requests into gateway calls, and their answers into responses."""
 
     max_body, max_buffered_body = MOST, MAX_BODY
 
@@ -63,7 +63,7 @@
         self.gateway, self.budget = gateway, BodyBudget(min(HELD, gateway.config.memory // 8))
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
-        """One request to its one answer."""
+        """Return the response to a request."""
         if request.target == b"/healthz" and request.method in (b"GET", b"HEAD"):
             return readiness(self.gateway, closing())
         try:
@@ -76,17 +76,17 @@
         return self.write(answer, closing())
 
     def error_response(self, status: int, text: str) -> Response:
-        """The answer to what breaks HTTP or a bound."""
+        """Return the response to malformed HTTP or an exceeded limit."""
         return text_response(status, text, True, RETRY_AFTER if status == REFUSED else None)
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
-        """A request is over: it counts for the class it names."""
+        """Count a finished request under the class that it names."""
         self.gateway.metrics.request_finished(
             (request.get(b"x-class") or b"").decode("latin-1"), status, whole
         )
 
     def read(self, request: Message) -> Call:
-        """A request's call; raises `InvalidRequestError`."""
+        """Parse a request into a call; raises `InvalidRequestError`."""
         settings, headers = self.gateway.config.settings, dict(request.headers)
         if sum(name in SINGLE for name, _ in request.headers) > sum(name in SINGLE for name in headers):
             raise InvalidRequestError("a header of the protocol comes twice")
@@ -105,7 +105,7 @@
             raise InvalidRequestError("the method is not the class's")
         if request.method == b"GET" and (request.received or request.length):
             raise InvalidRequestError("a read has no body")
-        # Guards against effects doubled: without a key, a second attempt would not be dropped as a repeat.
+        # Without a key, a node could not drop a second attempt as a duplicate and might apply a write twice.
         if not TOKEN.match(
             headers.get(b"idempotency-key", b"" if cls.idempotency is Idempotency.KEYED else b"-")
         ):
@@ -119,7 +119,7 @@
         extent = EXTENT.match(headers.get(b"x-extent", b""))
         if extent is None:
             raise InvalidRequestError("X-Extent is missing or malformed")
-        # Guards the client's time: it counts from its request's last byte, which may have waited here.
+        # The deadline counts from the request's last byte, which may have waited in this process.
         waited = time.monotonic() - request.completed_at if request.completed_at else 0.0
         units, shard, hosts = (int(part) for part in extent.groups())
         if not 1 <= units <= settings.max_units or shard < -1 or not 1 <= hosts <= settings.hosts:
@@ -152,7 +152,7 @@
 
     @staticmethod
     def streamed(answer: Answer, stream: Stream, request: Message, closing: Callable[[], bool]) -> Response:
-        """A large answer, passed on as it comes."""
+        """Return a response that forwards a large answer as it arrives."""
         size = length_of(answer.headers)
         chunked = in_chunks(request, size)
 
@@ -161,13 +161,13 @@
                 await channel.send(write_head(200, [], size, closing(), chunked))
                 return await copy(stream, channel, 0, size, chunked)
             finally:
-                stream.close()  # its attempt waits for no client that has gone
+                stream.close()  # the attempt must not wait for a client that has disconnected
 
         return Response(200, write=write)
 
     @staticmethod
     def write(answer: Answer, close: bool) -> Response:
-        """An answer as the client gets it."""
+        """Return the response for an answer that is held completely."""
         if answer.kind is AnswerKind.SERVED:
             return Response(200, write_head(200, [], len(answer.body), close) + answer.body)
         if answer.kind is AnswerKind.FAILED:
--- a/tests/storage_gateway/frontends/object_api/test_access.py
+++ b/tests/storage_gateway/frontends/object_api/test_access.py
@@ -1,4 +1,4 @@
-"""Signature V4 and rights: a real client's signatures, presigned URLs, signed chunks, keys that change."""
+"""Signature V4 and grants: a real client's signatures, presigned URLs, signed chunks, reloaded keys."""
 
 from __future__ import annotations
 
@@ -90,7 +90,7 @@
 
     with_world(nodes, use)
     gets = [run for node in nodes for run in node.store.runs if run.startswith("GET")]
-    assert gets == ["GET /plates/a"]  # and the node saw nothing of the signature
+    assert gets == ["GET /plates/a"]  # the signature is not forwarded to the node
 
 
 def message(method: str = "GET", target: str = "/plates/a", headers: dict[str, str] | None = None) -> Message:
@@ -112,7 +112,7 @@
 
 
 def signed(payload: str, method: str = "GET", target: str = "/plates/a", **extra: str) -> Message:
-    """A request signed by the letter of the specification, written apart from the code it tests."""
+    """Return a request signed as specified, by code independent of the code under test."""
     headers = {"host": "h", "x-amz-content-sha256": payload, "x-amz-date": DATE, **extra}
     names = ";".join(sorted(headers))
     lines = "".join(f"{name}:{headers[name]}\n" for name in sorted(headers))
@@ -214,7 +214,7 @@
 
 
 def chunked_request(pieces: list[bytes], trailer: bytes = b"", spoil: int | None = None) -> bytes:
-    """A whole PUT whose chunks are signed one after the other; `spoil`: the chunk whose byte is changed."""
+    """Return a complete PUT with signed chunks; `spoil` is the index of a chunk to corrupt."""
     kind = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD" + ("-TRAILER" if trailer else "")
     size = str(sum(map(len, pieces)))
     told = signed(kind, "PUT", **{"x-amz-decoded-content-length": size, "content-encoding": "aws-chunked"})
@@ -292,7 +292,7 @@
     access.look(10.0)
     assert set(access.keys) == {"new"}
     write(old)
-    access.look(10.5)  # not looked at yet
+    access.look(10.5)  # before the next check
     assert set(access.keys) == {"new"}
     path.write_text("{")
     access.look(12.0)
--- a/tests/storage_gateway/frontends/object_api/test_batches.py
+++ b/tests/storage_gateway/frontends/object_api/test_batches.py
@@ -1,4 +1,4 @@
-"""DeleteObjects: a word for each name; documents that are none; rights, refusals and what is buffered."""
+"""DeleteObjects: a result for each name, malformed documents, grants, refusals and buffered objects."""
 
 from __future__ import annotations
 
--- a/tests/storage_gateway/frontends/object_api/test_bodies.py
+++ b/tests/storage_gateway/frontends/object_api/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies as S3's clients frame them: chunks taken apart wherever they are cut, and digests checked."""
+"""Bodies as S3 clients frame them: chunks decoded from arbitrary reads, and digests checked."""
 
 from __future__ import annotations
 
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("bucket", ["plates", "buffered"])
 def test_a_real_client_puts_and_gets_with_its_defaults(nodes, tmp_path, bucket):
-    """boto3 as it comes: aws-chunked with a CRC32 in its trailer; and one whose trailer is wrong."""
+    """boto3 with its defaults, aws-chunked with a CRC32 trailer, and a request with a wrong trailer."""
     import asyncio
 
     def use(port: int) -> None:
--- a/tests/storage_gateway/frontends/object_api/test_listings.py
+++ b/tests/storage_gateway/frontends/object_api/test_listings.py
@@ -1,4 +1,4 @@
-"""Listings: merged pages against a plain sorted list, tokens, nodes that can't be asked, what is buffered."""
+"""Listings: merged pages against a plain sorted list, tokens, failing nodes and buffered objects."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Nodes:
-    """Nodes as plain sorted lists."""
+    """Model of nodes as plain sorted lists."""
 
     def __init__(self, query: Query, parts: list[list[str]]) -> None:
         self.query, self.asked = query, 0
@@ -41,7 +41,7 @@
         self.orders = [[name.encode() for name in part] for part in self.parts]
 
     def answer(self, ask: Ask) -> tuple[list[Item], str, bool]:
-        """Names behind one, rolled up, at most so many."""
+        """Return the next names, grouped by common prefix, at most `ask.most` of them."""
         names, order = self.parts[ask.shard], self.orders[ask.shard]
         at, items = bisect_right(order, (ask.token or ask.after).encode()), []
         last = ""
@@ -78,7 +78,7 @@
     st.dictionaries(NAMES, st.booleans(), max_size=4),
 )
 def test_pages_put_together_are_the_sorted_names(parts, prefix, delimiter, most, laid):
-    """Against one plain list: every name once, in order, whatever the size of a page."""
+    """Compares with one plain list: every name once, in order, for any page size."""
     names, seen = set(), []
     placed: list[list[str]] = [[] for _ in parts]
     for name in sorted(set().union(*parts)):
@@ -103,7 +103,7 @@
 
 
 def test_a_page_of_a_large_bucket_asks_for_little_and_holds_little():
-    """200,000 names on 8 nodes: the first page and one far behind."""
+    """200,000 names on 8 nodes: the first page and one far into the bucket."""
     parts = [[f"{i:07d}" for i in range(200_000) if i * 2654435761 % 8 == shard] for shard in range(8)]
     for after in ("", "0150000"):
         tracemalloc.start()
@@ -215,7 +215,7 @@
 
 
 def test_what_is_buffered_is_listed_and_what_is_deleted_here_is_not(nodes, tmp_path):
-    """While nothing goes out: the nodes still have the old, and have not got the new."""
+    """While nothing is flushed: the nodes still have the deleted object and lack the new one."""
 
     async def run() -> None:
         section = {"folder": str(tmp_path), "buckets": ["plates"], "max_bytes": 64 << 20}
--- a/tests/storage_gateway/frontends/object_api/test_objects.py
+++ b/tests/storage_gateway/frontends/object_api/test_objects.py
@@ -1,4 +1,4 @@
-"""The object front, on loopback: against a stand-in object server, and against nodes that misbehave."""
+"""The object API on loopback sockets, against a stand-in object server and misbehaving nodes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def nodes() -> Iterator[list]:
-    """Two stand-in object servers; the second leaves ranges to the gateway."""
+    """Two stand-in object servers; the second ignores ranges, which leaves them to the gateway."""
     servers = [ObjectNode(ignores_ranges=i == 1) for i in range(2)]
     yield servers
     for server in servers:
@@ -34,7 +34,7 @@
 
 
 def key_at(shard: int) -> str:
-    """A key of the bucket whose home is that shard of two."""
+    """Return a key whose home is the given shard of two."""
     return next(f"k{i}" for i in range(99) if crc32(f"plates/k{i}".encode()) % 2 == shard)
 
 
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("shard", [0, 1])
 def test_an_object_is_put_read_in_ranges_and_deleted(nodes, shard):
-    """Node 0 cuts ranges itself, node 1 answers the whole object: the client can't tell."""
+    """Node 0 applies ranges itself, node 1 returns the complete object: the client sees no difference."""
     path = f"/plates/{key_at(shard)}"
     play(
         f"""
@@ -101,7 +101,7 @@
 
 
 def test_a_multipart_upload_from_begin_to_end_across_a_restart(nodes):
-    """The upload id alone says where the upload lives: a gateway that knows nothing of it goes on with it."""
+    """The upload id alone locates the upload, so a gateway without any state of it can continue it."""
     path = f"/plates/{key_at(1)}"
     wanted = "".join(f"<Part><PartNumber>{number}</PartNumber></Part>" for number in (1, 2))
 
@@ -210,7 +210,7 @@
 
 
 def test_a_client_that_leaves_mid_download_frees_the_node_and_reads_are_held_back():
-    """Back-pressure: of 32 MiB a node can hand over only what buffers hold while the client reads nothing."""
+    """Back-pressure: while the client reads nothing, a node can send of 32 MiB only what buffers hold."""
 
     async def run() -> None:
         async with World() as world:
@@ -278,7 +278,7 @@
 
 
 def test_what_breaks_http_is_an_invalid_request():
-    """Guards the code for a bare status: malformed HTTP was called a bad digest."""
+    """Guards the code for a bare status: malformed HTTP was answered with BadDigest."""
     play("""
         o1 send raw 'NONSENSE\\r\\n\\r\\n'
         o1 expect 400 '<Code>InvalidRequest<'
@@ -286,7 +286,7 @@
 
 
 def test_bodies_held_at_once_are_bounded():
-    """Guards the memory limit: past the bound a body is turned down, and room returns with each answer."""
+    """Guards the memory limit: a body over the budget is refused, and each answer frees its share."""
     part = "send PUT /plates/a content-length:8388608 fill=8388607"
     play(
         "".join(f"o{i} {part}\n" for i in range(1, 5))
@@ -306,7 +306,7 @@
 
 @given(st.integers(0, 50), st.one_of(st.none(), st.integers(0, 60)), st.one_of(st.none(), st.integers(0, 60)))
 def test_a_cut_is_what_the_standard_says(length, first, last):
-    """Against a slow reading of RFC 9110: each position taken or not, by itself."""
+    """Compares with a naive reading of RFC 9110 that decides on each position separately."""
 
     def text(n):
         return "" if n is None else str(n)
@@ -329,7 +329,7 @@
 
 
 def unsteady() -> Turns:
-    """By turns, each way in which a node can err."""
+    """Return a script of every way in which a node can fail, in turn."""
     stall = Rule("stall", seconds=1.0)
     return Turns(
         [
@@ -361,7 +361,7 @@
             data = await reader.read()
         writer.close()
         heads = re.findall(rb"^HTTP/1\.1 (\d+) ", data, re.MULTILINE)
-        # A download that had begun may end short, which the client can tell; anything else is whole.
+        # A download that has begun may be truncated, which the client can detect; all else is complete.
         assert len(heads) == 1, data
         return int(heads[0])
 
--- a/tests/storage_gateway/frontends/object_api/test_uploads.py
+++ b/tests/storage_gateway/frontends/object_api/test_uploads.py
@@ -1,4 +1,4 @@
-"""Parts of uploads at nodes that misbehave, and the ids that say where an upload lives."""
+"""Upload parts on misbehaving nodes, and the ids that locate an upload."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_a_node_that_stands_still_mid_upload_costs_one_answer_and_no_second_part():
-    """The part may have run: its class is keyed within a shard, so it fails, once, and is not sent again."""
+    """The part may have been executed: its class is keyed within a shard, so it fails once, unretried."""
     play(f"""
         o1 send {PART} body=part x-deadline-ms:300
         n0 expect 'PUT /plates/a.partNumber=1&uploadId=up%2F1%20x' idempotency-key '\\n\\npart$'
@@ -27,7 +27,7 @@
 
 
 def test_a_part_that_a_node_never_took_in_is_answered_once():
-    """The node stops reading before the part's last byte: one answer, at the deadline, and no other try."""
+    """The node stops reading before the part's last byte: one answer at the deadline, and no retry."""
     play(f"""
         o1 send GET /plates/a
         n0 expect GET
--- a/tests/storage_gateway/frontends/test_platform.py
+++ b/tests/storage_gateway/frontends/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's front and the path behind it, on loopback sockets: requests in, nodes' answers back."""
+"""The platform's protocol and the path to the nodes, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def test_a_silent_node_costs_one_answer_and_no_second_run_of_a_write():
-    """A keyed write that timed out may have run: it fails, once, and is not sent again."""
+    """A keyed write that timed out may have been executed: it fails once and is not retried."""
     play("""
         c1 send write deadline=300
         n0 expect PUT
@@ -59,7 +59,7 @@
 
 
 def test_a_pooled_connection_that_the_node_closed_is_not_used():
-    """Guards against a reset of a write by a node's idle limit: it would count as perhaps run."""
+    """Guards against a write reset by a node's idle timeout, which would count as possibly executed."""
     play("""
         c1 send read
         n0 expect GET
@@ -122,7 +122,7 @@
     ids=lambda value: value[:50],
 )
 def test_a_spoilt_answer_is_a_failed_attempt_of_a_node_that_lives(front, spoilt):
-    """Guards against holding the node cold: the request is tried again there, and so is the next."""
+    """Guards against treating the node as down: the retry goes there, and so does the next request."""
     read = {"c": "c1 send read", "o": "o1 send GET /plates/a"}[front]
     play(f"""
         {read}
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize("extra", ["\\x00noise", f"{OK}content-length: 3{NL}{NL}bad", f"{NL}{NL}HTTP/1.1"])
 @pytest.mark.parametrize("connection", ["keep-alive", "close"])
 def test_a_good_answer_with_more_behind_it_is_served_and_its_connection_dropped(extra, connection):
-    """Guards the next request against the rest: on that connection it would be read as its answer."""
+    """Guards the next request on that connection: the surplus bytes would be read as its answer."""
     play(f"""
         c1 send read
         n0 expect GET
@@ -156,7 +156,7 @@
 
 
 def test_interim_answers_and_figures_that_cannot_be_read_are_passed_over():
-    """Guards the report of an attempt: lost, the module would count the request as out for ever."""
+    """Guards the attempt's report: without it the scheduler would count it as in flight forever."""
 
     async def run() -> None:
         async with World() as world:
@@ -173,7 +173,7 @@
 
 
 def test_an_answer_that_stops_short_is_tried_again_and_a_large_one_is_taken_whole():
-    """Guards the aim against a length that never comes, and answers of a few hundred kilobytes."""
+    """Guards the latency target against a body shorter than its length, and answers of several 100 kB."""
 
     async def run() -> None:
         async with World() as world:
@@ -191,7 +191,7 @@
 
 
 def test_answers_are_bounded_together():
-    """Guards memory: many answers at once are failed attempts, not more held than what is stated."""
+    """Guards memory: an answer that exceeds the shared budget is a failed attempt."""
 
     async def run() -> None:
         async with World() as world:
@@ -210,7 +210,7 @@
 
 
 def test_an_id_whose_answer_is_not_out_yet_is_turned_down():
-    """Guards the one final answer: the module forgets a request before its client has the answer."""
+    """Guards the one final answer: the scheduler forgets a request before its client has the answer."""
 
     async def run() -> None:
         async with World() as world:
@@ -278,7 +278,7 @@
 
 
 def test_only_what_the_protocol_names_is_passed_on():
-    """Guards nodes: they close on what they can't read, whatever else waits on that connection."""
+    """Guards nodes: they close a connection on a header that they cannot parse, whatever else waits on it."""
 
     async def run() -> None:
         async with World() as world:
@@ -295,7 +295,7 @@
 
 
 def test_a_deadline_beyond_the_class_counts_as_the_class_has_it():
-    """Guards memory: what is held for a client that would wait for an hour."""
+    """Guards memory against requests held for a client that would wait for an hour."""
 
     async def run() -> None:
         async with World() as world:
@@ -308,7 +308,7 @@
 
 
 def test_a_request_id_in_use_is_turned_down():
-    """Guards the one final answer: two requests under one id could not be told apart."""
+    """Guards the one final answer: two requests with the same id could not be told apart."""
     play("""
         c1 send read id=00000000000000ff
         n0 expect GET
@@ -320,7 +320,7 @@
 
 
 def test_an_id_whose_attempt_is_still_out_is_turned_down():
-    """Guards the module's book-keeping: the outcome of the first request's attempt would be the second's."""
+    """Guards the scheduler's state: the outcome of the first request's attempt would count for the second."""
 
     async def run() -> None:
         async with World(Ceilings={"Cancel": False}) as world:
@@ -343,7 +343,7 @@
 
 
 def test_a_fault_in_the_module_is_still_one_answer(monkeypatch):
-    """Guards the client: whatever goes wrong here, it gets a failure, and the next request is served."""
+    """Guards the client: after an internal error it gets a failure, and the next request is served."""
 
     async def run() -> None:
         async with World() as world:
--- a/tests/storage_gateway/frontends/test_stream.py
+++ b/tests/storage_gateway/frontends/test_stream.py
@@ -1,4 +1,4 @@
-"""Large bodies in pieces, both ways, and the forms that HTTP/1.1 gives them, on loopback sockets."""
+"""Streamed bodies in both directions and all forms of HTTP/1.1 framing, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_a_stream_holds_a_few_pieces_and_its_filler_waits():
-    """Guards memory: a body of 32 MB must not gather here while its taker is slow."""
+    """Guards memory: a body of 32 MB must not accumulate here while its consumer is slow."""
 
     async def run() -> None:
         closed = []
@@ -39,7 +39,7 @@
         assert await stream.get() == b"x"
         stream.close()
         stream.close()
-        await filler  # who waits to hand in more goes on
+        await filler  # a blocked producer continues
         assert closed == [1]
 
     async def fill(stream: Stream) -> None:
@@ -50,7 +50,7 @@
 
 
 def test_a_large_request_goes_to_its_node_as_it_comes():
-    """Guards against 413 for bodies that there is no room to hold: the node has the head before the end."""
+    """Guards against 413 for bodies too large to buffer: the node has the headers before the body ends."""
 
     async def run() -> None:
         async with World() as world:
@@ -82,7 +82,7 @@
             async with asyncio.timeout(PATIENCE):
                 while not any(c.writing for c in world.gateway.servers[-1].connections):
                     await asyncio.sleep(0)
-            await asyncio.sleep(0.4)  # past the deadline: what has begun is the client's
+            await asyncio.sleep(0.4)  # past the deadline, which does not end an answer that has begun
             await world.play("n0 send raw '' fill=200000\nc1 expect 200")
             assert bytes(world.parties["c1"].seen[0].body) == b"x" * 300_000
             await world.play("c1 send read\nn0 expect GET\nn0 send 200 body=x\nc1 expect 200 x")
@@ -91,7 +91,7 @@
 
 
 def test_an_answer_that_breaks_off_is_not_made_up_for():
-    """Guards the one final answer: the client sees the end, and nothing is sent a second time."""
+    """Guards the one final answer: the client sees the connection end, and the request is not retried."""
     play(f"""
         c1 send read
         n0 expect GET
@@ -117,7 +117,7 @@
 
 
 def test_an_answer_without_end_is_cut(monkeypatch):
-    """Guards against a node that never stops: in chunks, no length tells that beforehand."""
+    """Guards against a node that never stops sending: chunked framing declares no length beforehand."""
     monkeypatch.setattr(platform, "MOST", 200_000)
     play(f"""
         c1 send read
@@ -129,7 +129,7 @@
 
 
 def test_an_upload_that_breaks_at_the_node_is_refused_and_not_sent_again():
-    """Guards against a second run: what has been passed on is not here any more."""
+    """Guards against a second execution: forwarded bytes are not kept and cannot be sent again."""
     met = []
 
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -194,7 +194,7 @@
 
 
 def test_an_upload_that_stalls_is_given_up_and_one_that_is_slow_is_not(monkeypatch):
-    """Guards both: a client may send at 64 kB a second, one that stops must not hold a node's connection."""
+    """A client may send at 64 kB a second, but one that stops must not hold a node's connection."""
     monkeypatch.setattr(connection, "STALLED", 0.3)
     monkeypatch.setattr(gateway, "SWEEP", 0.05)
     drip = "c1 send raw '' fill=20000\nwait 0.1\n"
@@ -254,7 +254,7 @@
 
 @pytest.mark.parametrize("call", ["c1 send HEAD /healthz", "h1 send HEAD /status", "q1 send HEAD /_ready"])
 def test_an_answer_to_head_has_no_body(call):
-    """Guards the connection: what follows the headers would be read as the next answer."""
+    """Guards the connection: bytes after the headers would be read as the next answer."""
 
     async def run() -> None:
         async with World() as world:
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -1,4 +1,4 @@
-"""Clients of S3 from the registry, set up as these tests use them."""
+"""Third-party S3 clients, configured for the tests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def s3_client(port: int, key: str = "key", secret: str = "12345678"):
-    """boto3 as it comes, but for its address, path style and one attempt more at the most."""
+    """Return a boto3 client with default settings except its address, path style and at most one retry."""
     config = Config(s3={"addressing_style": "path"}, retries={"max_attempts": 1}, signature_version="s3v4")
     return boto3.client(
         "s3",
