--- a/mallowbeam/storage_gateway/frontends/object_api/access.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/access.py
@@ -19,8 +19,8 @@
 from mallowbeam.storage_gateway.frontends.object_api.errors import Error
 from mallowbeam.storage_gateway.server.config import GatewayConfigError
 
-MOST_FILE = 4 << 20
-LOOK_AGAIN = 1.0  # between checks whether the file has changed
+MAX_FILE_BYTES = 4 << 20
+CHECK_INTERVAL_S = 1.0  # between checks whether the file has changed
 
 
 class Grant(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -48,28 +48,28 @@
 def read_keys(data: bytes) -> dict[str, Key]:
     """Parse a key file and return its keys by id; raises `GatewayConfigError`."""
     try:
-        told = msgspec.json.decode(data, type=KeyFile)
+        key_file = msgspec.json.decode(data, type=KeyFile)
     except (
         msgspec.DecodeError
     ) as error:  # its text names the position and never contains a value such as a secret
         raise GatewayConfigError(str(error)) from None
-    keys = {key.id: key for key in told.keys}
-    if len(keys) < len(told.keys):
+    keys = {key.id: key for key in key_file.keys}
+    if len(keys) < len(key_file.keys):
         raise GatewayConfigError("an access key id appears twice")
     return keys
 
 
-def may(key: Key, what: str, bucket: str, name: bytes) -> bool:
+def may(key: Key, action: str, bucket: str, name: bytes) -> bool:
     """Whether a key allows an action on an object name or prefix."""
     return any(
-        grant.bucket in ("*", bucket) and what in grant.do and name.startswith(grant.prefix.encode())
+        grant.bucket in ("*", bucket) and action in grant.do and name.startswith(grant.prefix.encode())
         for grant in key.allow
     )
 
 
-def require(key: Key | None, what: str, bucket: str, name: bytes) -> None:
+def require(key: Key | None, action: str, bucket: str, name: bytes) -> None:
     """Raise `Error` unless a key allows an action; a key of None means that authentication is off."""
-    if key is not None and not may(key, what, bucket, name):
+    if key is not None and not may(key, action, bucket, name):
         raise Error("AccessDenied")
 
 
@@ -97,20 +97,20 @@
 
     def _read(self) -> None:
         with open(self.path, "rb") as file:
-            told = os.fstat(file.fileno())
-            self.seen = told.st_ino, told.st_size, told.st_mtime_ns
-            if told.st_size > MOST_FILE:
+            stat = os.fstat(file.fileno())
+            self.seen = stat.st_ino, stat.st_size, stat.st_mtime_ns
+            if stat.st_size > MAX_FILE_BYTES:
                 raise GatewayConfigError("the file is too large")
-            self.keys = read_keys(file.read(MOST_FILE))
+            self.keys = read_keys(file.read(MAX_FILE_BYTES))
 
     def look(self, now: float) -> None:
         """Reload the file if it has changed; `now` is monotonic, in seconds."""
         if now < self.look_at:
             return
-        self.look_at = now + LOOK_AGAIN
+        self.look_at = now + CHECK_INTERVAL_S
         try:
-            told = self.path.stat()
-            if (told.st_ino, told.st_size, told.st_mtime_ns) != self.seen:
+            stat = self.path.stat()
+            if (stat.st_ino, stat.st_size, stat.st_mtime_ns) != self.seen:
                 self._read()
                 self.trouble = ""
                 logger.info("object API: reloaded {count} access keys", count=len(self.keys))
--- a/mallowbeam/storage_gateway/frontends/object_api/batches.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/batches.py
@@ -13,8 +13,8 @@
 from mallowbeam.storage_gateway.frontends.object_api.errors import ERRORS, Error
 from mallowbeam.storage_gateway.frontends.object_api.listings import NAMESPACE, put
 
-MOST = 1000
-MOST_BYTES = 2 << 20
+MAX_NAMES = 1000
+MAX_DOCUMENT_BYTES = 2 << 20
 
 
 def read(body: bytes) -> tuple[list[str], bool]:
@@ -23,24 +23,24 @@
     Returns:
         The names, each once and in order of first mention, and whether only errors are to be reported.
     """
-    if len(body) > MOST_BYTES:
+    if len(body) > MAX_DOCUMENT_BYTES:
         raise Error("MalformedXML")
     names, quiet = dict[str, None](), False
     try:
         root = fromstring(body)
-        if tag(root) != "Delete":
+        if local_name(root) != "Delete":
             raise Error("MalformedXML")
         for element in root:
-            if tag(element) == "Quiet":
+            if local_name(element) == "Quiet":
                 quiet = (element.text or "").strip().lower() == "true"
-            elif tag(element) == "Object":
-                told = {tag(child): child.text or "" for child in element}
-                if "VersionId" in told:
+            elif local_name(element) == "Object":
+                fields = {local_name(child): child.text or "" for child in element}
+                if "VersionId" in fields:
                     raise Error("NotImplemented")
-                if not told.get("Key"):
+                if not fields.get("Key"):
                     raise Error("MalformedXML")
-                names[told["Key"]] = None
-                if len(names) > MOST:
+                names[fields["Key"]] = None
+                if len(names) > MAX_NAMES:
                     raise Error("MalformedXML")
     except (ParseError, DefusedXmlException):
         raise Error("MalformedXML") from None
@@ -49,7 +49,7 @@
     return list(names), quiet
 
 
-def tag(element: Element) -> str:
+def local_name(element: Element) -> str:
     """Return an element's name without its namespace."""
     return str(element.tag).rpartition("}")[2]
 
--- a/mallowbeam/storage_gateway/frontends/object_api/bodies.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/bodies.py
@@ -18,20 +18,20 @@
 from mallowbeam.storage_gateway.frontends.object_api.errors import Error
 from mallowbeam.storage_gateway.frontends.object_api.signatures import ChunkSignatures
 
-SUM = b"x-amz-checksum-"
-HASHES = {SUM + b"sha1": hashlib.sha1, SUM + b"sha256": hashlib.sha256}
-KNOWN = frozenset({SUM + b"crc32", SUM + b"crc32c", *HASHES})
-CHUNK = re.compile(rb"([0-9a-fA-F]{1,8})(;chunk-signature=[0-9a-f]{64})?\Z")
+CHECKSUM_PREFIX = b"x-amz-checksum-"
+CHECKSUM_HASHES = {CHECKSUM_PREFIX + b"sha1": hashlib.sha1, CHECKSUM_PREFIX + b"sha256": hashlib.sha256}
+KNOWN = frozenset({CHECKSUM_PREFIX + b"crc32", CHECKSUM_PREFIX + b"crc32c", *CHECKSUM_HASHES})
+CHUNK_HEADER = re.compile(rb"([0-9a-fA-F]{1,8})(;chunk-signature=[0-9a-f]{64})?\Z")
 TRAILER = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}):[ \t]*([\x21-\x7e]{0,256})[ \t]*\Z")
-MOST_LINE = 512  # of a chunk header or a trailer
-MOST_TRAILERS = 8
+MAX_LINE_BYTES = 512  # of a chunk header or a trailer
+MAX_TRAILERS = 8
 # Headers that describe only the framing; a node gets the decoded body.
-FRAMING = frozenset(
+FRAMING_HEADERS = frozenset(
     (b"x-amz-decoded-content-length", b"x-amz-trailer", b"content-length", b"transfer-encoding")
 )
 
 
-def chunked(headers: Mapping[bytes, bytes]) -> bool:
+def is_chunked(headers: Mapping[bytes, bytes]) -> bool:
     """Whether a body is framed as `aws-chunked`."""
     return (
         headers.get(b"x-amz-content-sha256", b"").startswith(b"STREAMING-")
@@ -43,82 +43,87 @@
     """Incremental decoder of the `aws-chunked` framing; raises `Error` for malformed framing."""
 
     def __init__(self, signatures: ChunkSignatures | None = None) -> None:
-        self.signatures, self.told = signatures, ""  # the signature chain; the current chunk's signature
-        self.digest = hashlib.sha256()  # of the current chunk, if chunks are signed
-        self.signed = b""  # the trailers in the form that is signed
+        self.signatures, self.chunk_signature = (
+            signatures,
+            "",
+        )  # the signature chain; the current chunk's signature
+        self.chunk_digest = hashlib.sha256()  # of the current chunk, if chunks are signed
+        self.signed_trailers = b""  # the trailers in the form that is signed
         self.rest = bytearray()  # an incomplete line
-        self.left = 0  # bytes of the current chunk not received yet, including its CRLF
-        self.last = self.over = False  # received: the empty chunk; the final empty line
+        self.remaining = 0  # bytes of the current chunk not received yet, including its CRLF
+        self.last_chunk_read = self.over = False  # received: the empty chunk; the final empty line
         self.trailers: dict[bytes, bytes] = {}
 
     def feed(self, data: bytes | bytearray) -> list[memoryview]:
         """Decode received bytes and return the body bytes among them."""
-        view, at, out = memoryview(data), 0, []
-        while at < len(view):
-            if self.left > 2:
-                piece = view[at : at + self.left - 2]
-                out.append(piece)
+        view, position, pieces = memoryview(data), 0, []
+        while position < len(view):
+            if self.remaining > 2:
+                piece = view[position : position + self.remaining - 2]
+                pieces.append(piece)
                 if self.signatures is not None:
-                    self.digest.update(piece)
-                self.left -= len(piece)
-                at += len(piece)
+                    self.chunk_digest.update(piece)
+                self.remaining -= len(piece)
+                position += len(piece)
                 continue
-            end = bytes(view[at : at + MOST_LINE]).find(b"\n")
-            part = bytes(view[at : at + MOST_LINE] if end < 0 else view[at : at + end + 1])
-            self.rest += part
-            at += len(part)
-            if len(self.rest) > MOST_LINE:
+            end = bytes(view[position : position + MAX_LINE_BYTES]).find(b"\n")
+            line_part = bytes(
+                view[position : position + MAX_LINE_BYTES] if end < 0 else view[position : position + end + 1]
+            )
+            self.rest += line_part
+            position += len(line_part)
+            if len(self.rest) > MAX_LINE_BYTES:
                 raise Error("InvalidRequest")
             if end >= 0:
                 line = bytes(self.rest)
                 self.rest.clear()
                 self._line(line)
-        return out
+        return pieces
 
     def _line(self, line: bytes) -> None:
         if not line.endswith(b"\r\n") or self.over:
             raise Error("InvalidRequest")
         line = line[:-2]
-        if self.left:  # the CRLF after a chunk
+        if self.remaining:  # the CRLF after a chunk
             if line:
                 raise Error("InvalidRequest")
-            self.left = 0
+            self.remaining = 0
             self._check_chunk()
-        elif not self.last:
-            match = CHUNK.match(line)
+        elif not self.last_chunk_read:
+            match = CHUNK_HEADER.match(line)
             if match is None:
                 raise Error("InvalidRequest")
             size = int(match[1], 16)
-            self.left = size + 2 if size else 0
-            self.last = not size
-            self.told = (match[2] or b"").partition(b"=")[2].decode()
-            if self.last:
+            self.remaining = size + 2 if size else 0
+            self.last_chunk_read = not size
+            self.chunk_signature = (match[2] or b"").partition(b"=")[2].decode()
+            if self.last_chunk_read:
                 self._check_chunk()
         elif not line:
             self.over = True
         else:
             trailer = TRAILER.match(line)
-            if trailer is None or len(self.trailers) >= MOST_TRAILERS:
+            if trailer is None or len(self.trailers) >= MAX_TRAILERS:
                 raise Error("InvalidRequest")
             name = trailer[1].lower()
             if name == b"x-amz-trailer-signature":
                 if self.signatures is not None:
-                    self.signatures.trailers(self.signed, trailer[2].decode())
-                    self.signed = b""
+                    self.signatures.trailers(self.signed_trailers, trailer[2].decode())
+                    self.signed_trailers = b""
             else:
-                self.signed += b"%b:%b\n" % (name, trailer[2])
+                self.signed_trailers += b"%b:%b\n" % (name, trailer[2])
             self.trailers[name] = trailer[2]
 
     def _check_chunk(self) -> None:
         if self.signatures is not None:
-            self.signatures.chunk(self.digest.hexdigest(), self.told)
-            self.digest = hashlib.sha256()
+            self.signatures.chunk(self.chunk_digest.hexdigest(), self.chunk_signature)
+            self.chunk_digest = hashlib.sha256()
 
     def end(self) -> None:
         """Check that the framing is complete; some clients omit the final empty line."""
-        if not self.last or self.left or self.rest:
+        if not self.last_chunk_read or self.remaining or self.rest:
             raise Error("IncompleteBody")
-        if self.signatures is not None and self.signed:
+        if self.signatures is not None and self.signed_trailers:
             raise Error("SignatureDoesNotMatch")  # unsigned trailers
 
 
@@ -132,25 +137,28 @@
         self, headers: Mapping[bytes, bytes], signatures: ChunkSignatures | None = None, named: bool = True
     ) -> None:
         self.headers, self.size = headers, 0
-        self.chunks = Chunks(signatures) if chunked(headers) else None
-        told = headers.get(b"x-amz-decoded-content-length")
-        if told is not None and (not told.isdigit() or len(told) > 15):
+        self.chunks = Chunks(signatures) if is_chunked(headers) else None
+        declared = headers.get(b"x-amz-decoded-content-length")
+        if declared is not None and (not declared.isdigit() or len(declared) > 15):
             raise Error("InvalidArgument")
-        self.stated = int(told) if told is not None and self.chunks is not None else None
-        trailing = {name.strip().lower() for name in headers.get(b"x-amz-trailer", b"").split(b",")}
-        asked = {name for name in headers if name.startswith(SUM)} | trailing
+        self.declared_size = int(declared) if declared is not None and self.chunks is not None else None
+        trailer_names = {name.strip().lower() for name in headers.get(b"x-amz-trailer", b"").split(b",")}
+        checksum_names = {name for name in headers if name.startswith(CHECKSUM_PREFIX)} | trailer_names
         # An unknown checksum is left to the node in a header, but rejected in a trailer, which no node sees.
-        self.sums: dict[bytes, int] = dict.fromkeys(asked & {SUM + b"crc32", SUM + b"crc32c"}, 0)
+        self.crcs: dict[bytes, int] = dict.fromkeys(
+            checksum_names & {CHECKSUM_PREFIX + b"crc32", CHECKSUM_PREFIX + b"crc32c"}, 0
+        )
         self.hashes: dict[bytes, Any] = {
-            name: HASHES[name](usedforsecurity=False) for name in asked & HASHES.keys()
+            name: CHECKSUM_HASHES[name](usedforsecurity=False)
+            for name in checksum_names & CHECKSUM_HASHES.keys()
         }
-        if {name for name in trailing if name.startswith(SUM)} - KNOWN:
+        if {name for name in trailer_names if name.startswith(CHECKSUM_PREFIX)} - KNOWN:
             raise Error("NotImplemented")
         # Skips the MD5 if the node computes the ETag and the client declares no MD5.
         md5 = named or self.chunks is not None or b"content-md5" in headers
         self.md5 = hashlib.md5(usedforsecurity=False) if md5 else None
-        whole = headers.get(b"x-amz-content-sha256", b"")
-        self.sha256 = hashlib.sha256() if re.fullmatch(rb"[0-9a-f]{64}", whole) else None
+        content_sha256 = headers.get(b"x-amz-content-sha256", b"")
+        self.sha256 = hashlib.sha256() if re.fullmatch(rb"[0-9a-f]{64}", content_sha256) else None
 
     def feed(self, data: bytes | bytearray) -> list[memoryview]:
         """Process received bytes and return the body bytes among them; raises `Error`."""
@@ -159,32 +167,34 @@
             self.size += len(piece)
             if self.md5 is not None:
                 self.md5.update(piece)
-            for name, value in self.sums.items():
-                self.sums[name] = crc32(piece, value) if name == SUM + b"crc32" else castagnoli(piece, value)
+            for name, value in self.crcs.items():
+                self.crcs[name] = (
+                    crc32(piece, value) if name == CHECKSUM_PREFIX + b"crc32" else update_crc32c(piece, value)
+                )
             for digest in self.hashes.values():
                 digest.update(piece)
             if self.sha256 is not None:
                 self.sha256.update(piece)
-        if self.stated is not None and self.size > self.stated:
+        if self.declared_size is not None and self.size > self.declared_size:
             raise Error("IncompleteBody")
         return pieces
 
     def end(self) -> None:
         """Check the complete body against its declared length and digests; raises `Error`."""
-        told = dict(self.headers)
+        declared = dict(self.headers)
         if self.chunks is not None:
             self.chunks.end()
-            told |= self.chunks.trailers
-        if self.stated is not None and self.size != self.stated:
+            declared |= self.chunks.trailers
+        if self.declared_size is not None and self.size != self.declared_size:
             raise Error("IncompleteBody")
-        found = {name: value.to_bytes(4, "big") for name, value in self.sums.items()}
-        found |= {name: digest.digest() for name, digest in self.hashes.items()}
-        if self.md5 is not None and b"content-md5" in told:
-            found[b"content-md5"] = self.md5.digest()
-        for name, value in found.items():
-            if told.get(name, b"").strip() != base64.b64encode(value):
+        computed = {name: value.to_bytes(4, "big") for name, value in self.crcs.items()}
+        computed |= {name: digest.digest() for name, digest in self.hashes.items()}
+        if self.md5 is not None and b"content-md5" in declared:
+            computed[b"content-md5"] = self.md5.digest()
+        for name, value in computed.items():
+            if declared.get(name, b"").strip() != base64.b64encode(value):
                 raise Error("BadDigest")
-        if self.sha256 is not None and self.sha256.hexdigest().encode() != told[b"x-amz-content-sha256"]:
+        if self.sha256 is not None and self.sha256.hexdigest().encode() != declared[b"x-amz-content-sha256"]:
             raise Error("XAmzContentSHA256Mismatch")
 
     @property
@@ -194,7 +204,7 @@
         return f'"{self.md5.hexdigest()}"'
 
 
-def castagnoli(data: memoryview, value: int) -> int:
+def update_crc32c(data: memoryview, value: int) -> int:
     """Continue a CRC-32C from `value`."""
     from crc32c import crc32c  # imported lazily: few clients use it
 
@@ -221,7 +231,7 @@
             if not others:
                 continue
             value = b",".join(others)
-        elif name in FRAMING or name == b"x-amz-content-sha256":
+        elif name in FRAMING_HEADERS or name == b"x-amz-content-sha256":
             continue
         kept.append((name, value))
     return kept
--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -49,14 +49,14 @@
 from mallowbeam.storage_gateway.write_buffer.service import Buffer
 from mallowbeam.storage_gateway.write_buffer.store import CommitUnknownError, RecordRejectedError
 
-BARRIER = b"x-mallowbeam-barrier"  # on a write: `sync` or `through`
-BARRIER_ID = b"x-mallowbeam-barrier-id"  # on a response: the barrier's number
-SLICE = 2000  # buffered names examined before yielding to other tasks
-DURABLE = (b"x-mallowbeam-durable", b"buffer")
-NUMBER = re.compile(r"[0-9]{1,18}\Z")
+BARRIER_HEADER = b"x-mallowbeam-barrier"  # on a write: `sync` or `through`
+BARRIER_ID_HEADER = b"x-mallowbeam-barrier-id"  # on a response: the barrier's number
+OVERLAY_BATCH = 2000  # buffered names examined before yielding to other tasks
+DURABLE_HEADER = (b"x-mallowbeam-durable", b"buffer")
+BARRIER_NUMBER = re.compile(r"[0-9]{1,18}\Z")
 # Headers that a node stores with an object, and headers that only concern this hop.  A write with any other
 # x-amz header is not buffered, as only a node can interpret it.
-KEPT = frozenset(
+STORED_HEADERS = frozenset(
     (
         b"content-type",
         b"content-encoding",
@@ -66,7 +66,7 @@
         b"expires",
     )
 )
-UNTOUCHED = frozenset(
+HOP_HEADERS = frozenset(
     (
         b"x-amz-date",
         b"x-amz-content-sha256",
@@ -137,7 +137,7 @@
     async def serve(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
         """Serve a call on an object: from the buffer, into the buffer, or by its node."""
         if request.bucket not in self.buffer.settings.buckets:
-            return await self._direct(request, request_id, closing)
+            return await self._forward_direct(request, request_id, closing)
         if self.buffer.phase is not Phase.OPEN:
             raise slow_down()
         if request.reads and not request.upload:
@@ -145,26 +145,28 @@
         if request.method in (b"PUT", b"DELETE") and not request.upload:
             return await self._write(request, request_id, closing)
         if request.upload and request.method == b"POST":  # completes an upload
-            await self._stand_clear(request)
-        return await self._direct(request, request_id, closing)
+            await self._wait_until_direct_allowed(request)
+        return await self._forward_direct(request, request_id, closing)
 
     def _deadline(self, message: Message) -> float:
         """Return the time limit in seconds of a write or barrier, from its client or its class."""
         return self.seconds(self.settings.write_class, message.get(b"x-deadline-ms"))
 
-    async def _direct(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
+    async def _forward_direct(
+        self, request: Request, request_id: str, closing: Callable[[], bool]
+    ) -> Response:
         """Forward a call directly to its node, with a streamed body buffered in memory first."""
         async with self.held(request.message):
             return await self.pass_on(request, request_id, closing)
 
-    async def _stand_clear(self, request: Request) -> None:
+    async def _wait_until_direct_allowed(self, request: Request) -> None:
         """Wait until no buffered write must precede a direct write; refuse at once if that takes long."""
         buffer = self.buffer
         if not buffer.core.blocks_direct(request.bucket, request.path):
             return
         if (
             buffer.core.suspended_before_barrier(request.bucket) is not None
-            or self._seconds(len(buffer.core.keys)) > 1.0
+            or self._flush_seconds(len(buffer.core.keys)) > 1.0
         ):
             raise slow_down()
         if not await buffer.waiters.direct_allowed(
@@ -172,7 +174,7 @@
         ):
             raise slow_down()
 
-    def _seconds(self, writes: int) -> float:
+    def _flush_seconds(self, writes: int) -> float:
         """Estimate the seconds that writes take to reach the nodes, from concurrency and latency target."""
         core = self.buffer.core
         cls = self.gateway.config.settings.classes[self.settings.write_class]
@@ -183,25 +185,25 @@
     async def _write(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
         """Serve a PUT or DELETE: buffer it, or forward it to its node if it cannot be buffered."""
         message, buffer = request.message, self.buffer
-        barrier = request.headers.get(BARRIER)
+        barrier = request.headers.get(BARRIER_HEADER)
         if barrier not in (None, b"sync", b"through"):
             raise Error("InvalidArgument")
         conditional = b"if-match" in request.headers or b"if-none-match" in request.headers
-        known = self._standing(request) if conditional else None
+        newest = self._newest_write(request) if conditional else None
         admission = buffer.intake.admit(
             request.bucket, request.path, max(message.received, message.length or 0)
         )
-        if known is not None and admission is Admission.ACCEPT:
-            self._check(request)
-        if admission is Admission.SLOW_DOWN or known is not None and admission is not Admission.ACCEPT:
+        if newest is not None and admission is Admission.ACCEPT:
+            self._check_conditions(request)
+        if admission is Admission.SLOW_DOWN or newest is not None and admission is not Admission.ACCEPT:
             raise slow_down()
-        if admission is Admission.DIRECT or conditional and known is None or not self._bufferable(request):
+        if admission is Admission.DIRECT or conditional and newest is None or not self._bufferable(request):
             if barrier is not None:  # a barrier must be durable, and a direct write leaves no record
                 raise slow_down()
-            await self._stand_clear(request)
-            return await self._direct(request, request_id, closing)
+            await self._wait_until_direct_allowed(request)
+            return await self._forward_direct(request, request_id, closing)
         try:
-            entry = await self._take(request, request_id, known is not None)
+            entry = await self._append_write(request, request_id, newest is not None)
         except RecordRejectedError:
             raise slow_down() from None
         except CommitUnknownError:
@@ -214,26 +216,26 @@
         ):  # the write itself is durable, so this must not look like a refusal
             raise Error("InternalError") from None
         if lsn is not None and barrier == b"through":
-            await self._through(request.bucket, lsn, self._deadline(request.message))
-        headers = [(b"x-amz-request-id", request_id.encode()), DURABLE]
+            await self._wait_for_barrier(request.bucket, lsn, self._deadline(request.message))
+        headers = [(b"x-amz-request-id", request_id.encode()), DURABLE_HEADER]
         if lsn is not None:
-            headers.append((BARRIER_ID, b"%d" % lsn))
+            headers.append((BARRIER_ID_HEADER, b"%d" % lsn))
         if request.method == b"DELETE":
             return Response(204, write_head(204, headers, None, closing()))
         headers.append((b"etag", entry.etag.encode()))
         return Response(200, write_head(200, headers, 0, closing()))
 
-    def _standing(self, request: Request) -> Entry | None:
+    def _newest_write(self, request: Request) -> Entry | None:
         """Return the newest buffered write of an object, durable or still being committed."""
         chain = self.buffer.core.keys.get((request.bucket, request.path))
         return chain[-1] if chain else None
 
-    def _check(self, request: Request) -> None:
+    def _check_conditions(self, request: Request) -> None:
         """Check a write's conditions against the newest buffered write of its object; raises `Error`."""
-        known = self._standing(request)
-        if known is None or self.buffer.reader.newest(request.bucket, request.path) is not known:
+        newest = self._newest_write(request)
+        if newest is None or self.buffer.reader.newest(request.bucket, request.path) is not newest:
             raise slow_down()  # it has just been flushed to its node, or is not durable yet and may fail
-        if not write_allowed(request.headers, known.etag if known.method == "PUT" else None):
+        if not write_allowed(request.headers, newest.etag if newest.method == "PUT" else None):
             raise Error("PreconditionFailed")
 
     @staticmethod
@@ -241,29 +243,29 @@
         """Whether a write only asks the node to store the body and its metadata."""
         return all(
             not name.startswith(b"x-amz-")
-            or name in UNTOUCHED
+            or name in HOP_HEADERS
             or name in KNOWN
             or name.startswith(b"x-amz-meta-")
             for name, _ in request.message.headers
         )
 
-    async def _take(self, request: Request, request_id: str, conditional: bool) -> Entry:
+    async def _append_write(self, request: Request, request_id: str, conditional: bool) -> Entry:
         """Append a write to the log, its body buffered or streamed, checked against its declared digests."""
         message, buffer = request.message, self.buffer
         token = request.headers.get(b"idempotency-key", request_id.encode())
         if not TOKEN.match(token):
             raise Error("InvalidArgument")
-        kept = [
+        stored_headers = [
             header
             for header in bare(message.headers)
-            if header[0] in KEPT or header[0].startswith(b"x-amz-meta-")
+            if header[0] in STORED_HEADERS or header[0].startswith(b"x-amz-meta-")
         ]
         write = Write(
             request.method.decode(),
             request.bucket,
             request.path,
             request.place,
-            kept,
+            stored_headers,
             token,
             "",
             0,
@@ -277,9 +279,11 @@
             body.end()
             write.etag, write.size = body.etag, len(data)
             return await buffer.intake.put(write, data)
-        return await self._take_pieces(request, write, body, conditional)
+        return await self._append_streamed_write(request, write, body, conditional)
 
-    async def _take_pieces(self, request: Request, write: Write, body: Body, conditional: bool) -> Entry:
+    async def _append_streamed_write(
+        self, request: Request, write: Write, body: Body, conditional: bool
+    ) -> Entry:
         """Append a streamed write to the log, a piece at a time."""
         stream, buffer, upload = request.message.stream, self.buffer, Upload()
         assert stream is not None
@@ -295,7 +299,7 @@
             write.etag = body.etag
             await buffer.intake.complete(upload, write)
             if conditional:  # other writes may have been accepted while the body was received
-                self._check(request)
+                self._check_conditions(request)
             return await buffer.intake.put(write, b"")
         finally:
             buffer.intake.drop(upload)
@@ -304,19 +308,19 @@
 
     async def _barrier_call(self, call: BucketCall) -> Response:
         """Serve `POST /b?barrier=sync|through` (set a barrier) and `GET /b?barrier=N` (has it passed?)."""
-        buffer, message, bucket, what = self.buffer, call.message, call.bucket, call.query["barrier"]
+        buffer, message, bucket, barrier = self.buffer, call.message, call.bucket, call.query["barrier"]
         require(call.key, "read" if message.method == b"GET" else "write", bucket, b"")
         headers = [(b"x-amz-request-id", call.request_id.encode())]
-        if message.method == b"GET" and NUMBER.match(what):
-            lsn = int(what)
+        if message.method == b"GET" and BARRIER_NUMBER.match(barrier):
+            lsn = int(barrier)
             if lsn > buffer.store.lsn:
                 raise Error("NoSuchBarrier")
             if buffer.core.writes_before(lsn) is not None:
-                raise slow_down(self._seconds(buffer.core.writes_before(lsn) or 0))
+                raise slow_down(self._flush_seconds(buffer.core.writes_before(lsn) or 0))
             return Response(200, write_head(200, headers, 0, call.closing()))
         if message.method != b"POST":
             raise Error("MethodNotAllowed")
-        if what not in ("sync", "through"):
+        if barrier not in ("sync", "through"):
             raise Error("InvalidArgument")
         try:
             lsn = await buffer.intake.put_barrier(bucket)
@@ -324,19 +328,27 @@
             raise slow_down() from None
         except CommitUnknownError:
             raise Error("InternalError") from None
-        headers.append((BARRIER_ID, b"%d" % lsn))
-        if what == "through":
-            await self._through(bucket, lsn, self._deadline(message))
+        headers.append((BARRIER_ID_HEADER, b"%d" % lsn))
+        if barrier == "through":
+            await self._wait_for_barrier(bucket, lsn, self._deadline(message))
         return Response(200, write_head(200, headers, 0, call.closing()))
 
-    async def _through(self, bucket: str, lsn: int, seconds: float) -> None:
+    async def _wait_for_barrier(self, bucket: str, lsn: int, seconds: float) -> None:
         """Wait for a barrier; if it cannot pass in time, raise `Error` at once, with its number to poll."""
-        before = self.buffer.core.writes_before(lsn) or 0
-        expected = self._seconds(before)
-        held = self.buffer.core.suspended_before_barrier(bucket) is not None
-        if held or expected > seconds or not await self.buffer.waiters.barrier_passed(lsn, seconds):
+        writes_before = self.buffer.core.writes_before(lsn) or 0
+        expected_seconds = self._flush_seconds(writes_before)
+        suspended = self.buffer.core.suspended_before_barrier(bucket) is not None
+        if (
+            suspended
+            or expected_seconds > seconds
+            or not await self.buffer.waiters.barrier_passed(lsn, seconds)
+        ):
             raise Error(
-                "SlowDown", [(b"retry-after", b"%d" % max(1, math.ceil(expected))), (BARRIER_ID, b"%d" % lsn)]
+                "SlowDown",
+                [
+                    (b"retry-after", b"%d" % max(1, math.ceil(expected_seconds))),
+                    (BARRIER_ID_HEADER, b"%d" % lsn),
+                ],
             )
 
     # --- reads ----------------------------------------------------------------------------------
@@ -367,10 +379,10 @@
         if status == 304:
             return Response(304, write_head(304, headers, None, closing()))
         start, end = 0, write.size
-        asked = request.headers.get(b"range")
-        if asked and request.headers.get(b"if-range", write.etag.encode()) == write.etag.encode():
-            if piece := cut_here(asked, write.size):
-                (start, end), status = piece, 206
+        range_header = request.headers.get(b"range")
+        if range_header and request.headers.get(b"if-range", write.etag.encode()) == write.etag.encode():
+            if byte_range := cut_here(range_header, write.size):
+                (start, end), status = byte_range, 206
                 headers.append(range_of(start, end, write.size))
         if request.method == b"HEAD" or not write.chunks:
             head = write_head(status, headers, end - start, closing())
@@ -393,20 +405,20 @@
         Reads in slices, so that a full buffer does not block other calls: a write flushed meanwhile is listed
         by its node, and a write accepted meanwhile may be listed or not, as with any listing.
         """
-        laid: dict[str, Item | None] = {}
+        items: dict[str, Item | None] = {}
         if query.bucket not in self.buffer.settings.buckets:
-            return laid
+            return items
         now, core = time.time() - self.buffer.clock(), self.buffer.core
-        for turn, (bucket, path) in enumerate(list(core.keys)):
-            if turn % SLICE == SLICE - 1:
+        for index, (bucket, path) in enumerate(list(core.keys)):
+            if index % OVERLAY_BATCH == OVERLAY_BATCH - 1:
                 await asyncio.sleep(0)
             if bucket != query.bucket or (entry := core.newest_of(bucket, path)) is None:
                 continue
             name = unquote(path.split(b"/", 2)[2].decode())
             if name.startswith(query.prefix):
                 modified = time.strftime("%Y-%m-%dT%H:%M:%S.000Z", time.gmtime(now + entry.accepted_at))
-                laid[name] = Item(name, entry.size, entry.etag, modified) if entry.method == "PUT" else None
-        return laid
+                items[name] = Item(name, entry.size, entry.etag, modified) if entry.method == "PUT" else None
+        return items
 
     # --- calls of the buffer to nodes -----------------------------------------------------------
 
@@ -422,25 +434,25 @@
         self, write: Write, method: bytes, body: bytes, expires: float, headers: Headers
     ) -> Call:
         """Return a gateway call for a buffered write: what the scheduler and a node receive."""
-        known, settings = self.gateway.config.settings, self.settings
+        gateway_settings, settings = self.gateway.config.settings, self.settings
         cls = settings.read_class if method == b"HEAD" else settings.write_class
         request_id = secrets.token_hex(8)
         fields = self.fields(
             cls,
             expires,
             write.bucket,
-            write.placement_hash % known.shards,
+            write.placement_hash % gateway_settings.shards,
             f"{write.placement_hash:016x}",
             max(1, math.ceil(len(body) / settings.unit_bytes)),
             method != b"HEAD",
         )
-        passed = [header for header in headers if header[0] not in HOP_BY_HOP]
+        forwarded = [header for header in headers if header[0] not in HOP_BY_HOP]
         return Call(
             request_id,
             fields,
             method,
             write.target,
-            [*passed, (b"x-request-id", request_id.encode())],
+            [*forwarded, (b"x-request-id", request_id.encode())],
             body,
             final=lambda status: 200 <= status < 500,
         )
--- a/mallowbeam/storage_gateway/frontends/object_api/calls.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/calls.py
@@ -15,11 +15,11 @@
 from mallowbeam.storage_gateway.frontends.object_api.signatures import ChunkSignatures
 from mallowbeam.storage_gateway.frontends.object_api.uploads import unpack_upload
 
-MOST_PARTS = 10_000
-MOST_KEY = 1024  # of an object's name
-BUCKET = re.compile(r"[a-z0-9][a-z0-9.-]{1,61}[a-z0-9]\Z")
+MAX_PARTS = 10_000
+MAX_KEY_BYTES = 1024  # of an object's name
+BUCKET_NAME = re.compile(r"[a-z0-9][a-z0-9.-]{1,61}[a-z0-9]\Z")
 # Supported methods with the query parameters that each may have (x-id: some clients name the operation).
-QUERIES = {
+QUERY_PARAMETERS = {
     b"GET": {"uploadId", "max-parts", "part-number-marker", "x-id"},
     b"HEAD": set(),
     b"PUT": {"partNumber", "uploadId", "x-id"},
@@ -54,11 +54,11 @@
         path, _, raw_query = message.target.partition(b"?")
         bucket, _, key = path[1:].partition(b"/")
         name = unquote_to_bytes(key)
-        if not path.startswith(b"/") or not BUCKET.match(bucket.decode("latin-1")):
+        if not path.startswith(b"/") or not BUCKET_NAME.match(bucket.decode("latin-1")):
             raise Error("InvalidBucketName")
         if not key:
             raise Error("NotImplemented")  # bucket operations: a bucket is spread over nodes
-        if len(name) > MOST_KEY:
+        if len(name) > MAX_KEY_BYTES:
             raise Error("KeyTooLongError")
         try:
             name.decode()  # S3 names are UTF-8
@@ -80,10 +80,10 @@
         self.shard = self.place % shards
         if "uploadId" in self.query:
             self.upload = self.query["uploadId"]
-            self.shard, inner = unpack_upload(self.upload)
+            self.shard, node_upload_id = unpack_upload(self.upload)
             if self.shard >= shards:
                 raise Error("NoSuchUpload")
-            pairs.append(b"uploadId=" + quote(inner, safe="").encode())
+            pairs.append(b"uploadId=" + quote(node_upload_id, safe="").encode())
         self.target = path + (b"?" + b"&".join(pairs) if pairs else b"")
         self._check()
         self.reads = self.method in (b"GET", b"HEAD")
@@ -103,14 +103,14 @@
         """Reject operations that the object API does not support, rather than guess what they mean."""
         query, method = self.query, self.method
         part, upload = query.get("partNumber"), self.upload
-        if method not in QUERIES:
+        if method not in QUERY_PARAMETERS:
             raise Error("MethodNotAllowed")
         if b"x-amz-copy-source" in self.headers:
             raise Error("NotImplemented")
-        if set(query) - QUERIES[method] - SIGNED:
+        if set(query) - QUERY_PARAMETERS[method] - SIGNED:
             raise Error("NotImplemented")
         if part is not None and not (
-            part.isascii() and part.isdigit() and len(part) < 6 and 1 <= int(part) <= MOST_PARTS
+            part.isascii() and part.isdigit() and len(part) < 6 and 1 <= int(part) <= MAX_PARTS
         ):
             raise Error("InvalidArgument")
         if method == b"PUT" and (part is None) != (upload is None):
--- a/mallowbeam/storage_gateway/frontends/object_api/conditions.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/conditions.py
@@ -27,25 +27,25 @@
 
 def write_allowed(headers: Mapping[bytes, bytes], etag: str | None) -> bool:
     """Whether a write's conditions hold for the current ETag, None if there is no object."""
-    if (asked := headers.get(b"if-match")) is not None and not matches(asked, etag, False):
+    if (condition := headers.get(b"if-match")) is not None and not matches(condition, etag, False):
         return False
-    return (asked := headers.get(b"if-none-match")) is None or not matches(asked, etag, True)
+    return (condition := headers.get(b"if-none-match")) is None or not matches(condition, etag, True)
 
 
 def read_status(headers: Mapping[bytes, bytes], etag: str, modified: float) -> int:
     """Return 200 if a read's conditions hold, else 304 or 412; `modified` is in Unix seconds."""
-    if (asked := headers.get(b"if-match")) is not None:
-        if not matches(asked, etag, False):
+    if (condition := headers.get(b"if-match")) is not None:
+        if not matches(condition, etag, False):
             return 412
-    elif (since := date(headers.get(b"if-unmodified-since"))) is not None and int(modified) > since:
+    elif (since := parse_date(headers.get(b"if-unmodified-since"))) is not None and int(modified) > since:
         return 412
-    if (asked := headers.get(b"if-none-match")) is not None:
-        return 304 if matches(asked, etag, True) else 200
-    since = date(headers.get(b"if-modified-since"))
+    if (condition := headers.get(b"if-none-match")) is not None:
+        return 304 if matches(condition, etag, True) else 200
+    since = parse_date(headers.get(b"if-modified-since"))
     return 304 if since is not None and int(modified) <= since else 200
 
 
-def date(header: bytes | None) -> float | None:
+def parse_date(header: bytes | None) -> float | None:
     """Parse an HTTP date into Unix seconds; None if it is missing or malformed."""
     if header is None:
         return None
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -61,12 +61,20 @@
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
 T = TypeVar("T")
-IN_THREAD = 256 * 1024  # digests of larger bodies are computed in a thread, to not block other calls
-AT_ONCE = 16  # deletes of one batch in flight
-MOST_MS = 86_400_000  # deadlines over a day are rejected
+INLINE_DIGEST_BYTES = (
+    256 * 1024
+)  # digests of larger bodies are computed in a thread, to not block other calls
+MAX_CONCURRENT_DELETES = 16  # deletes of one batch in flight
+MAX_DEADLINE_MS = 86_400_000  # deadlines over a day are rejected
 # Not forwarded: headers of a single connection, and headers between gateway and node.
-OWN_REQUEST = HOP_BY_HOP | {b"x-deadline-ms", b"x-request-id", b"idempotency-key"}
-OWN_ANSWER = HOP_BY_HOP | {b"x-meter", b"x-delta", b"x-load", b"x-not-run", b"x-amz-request-id"}
+UNFORWARDED_REQUEST_HEADERS = HOP_BY_HOP | {b"x-deadline-ms", b"x-request-id", b"idempotency-key"}
+UNFORWARDED_ANSWER_HEADERS = HOP_BY_HOP | {
+    b"x-meter",
+    b"x-delta",
+    b"x-load",
+    b"x-not-run",
+    b"x-amz-request-id",
+}
 
 
 class BucketCall(NamedTuple):
@@ -102,7 +110,7 @@
                 return await self.on_bucket(self.read_bucket(message, match, request_id, closing))
             return await self.serve(self.read(message), request_id, closing)
         except Error as error:
-            return self.error(error, message, request_id, closing())
+            return self.s3_error_response(error, message, request_id, closing())
 
     async def serve(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
         """Serve a call on an object; raises `Error`."""
@@ -111,12 +119,12 @@
     @asynccontextmanager
     async def held(self, message: Message) -> AsyncIterator[None]:
         """Buffer a streamed body completely, charged to the budget until exit; raises `Error`."""
-        taken, body = 0, bytearray()
+        reserved, body = 0, bytearray()
         try:
             if message.stream is not None:
                 while (piece := await message.stream.get()) is not None:
                     self.budget.used += len(piece)
-                    taken += len(piece)
+                    reserved += len(piece)
                     if self.budget.used > self.budget.limit:
                         raise slow_down()
                     body += piece
@@ -125,7 +133,7 @@
                 message.body = body
             yield
         finally:
-            self.budget.used -= taken
+            self.budget.used -= reserved
 
     def read_bucket(
         self, message: Message, match: re.Match[bytes], request_id: str, closing: Callable[[], bool]
@@ -155,52 +163,52 @@
 
     async def on_bucket(self, call: BucketCall) -> Response:
         """Serve a call on a bucket: a listing or a multi-object delete; raises `Error`."""
-        asked = set(call.query) - SIGNED
-        if call.message.method == b"POST" and asked - {"x-id"} == {"delete"}:
+        parameters = set(call.query) - SIGNED
+        if call.message.method == b"POST" and parameters - {"x-id"} == {"delete"}:
             return await self._delete_many(call)
         prefix = call.query.get("prefix", "").encode("utf-8", "surrogateescape")
         require(call.key, "list", call.bucket, prefix)
-        if call.message.method != b"GET" or asked - LISTING:
+        if call.message.method != b"GET" or parameters - LISTING:
             raise Error("NotImplemented")
         query = Query.read(call.bucket, call.query)
-        until = self._until(call, self.settings.read_class)
+        deadline = self._deadline_at(call, self.settings.read_class)
         merge = Merge(query, self.gateway.config.settings.shards, await self.overlay(query))
         while asks := merge.needs():
-            left = until - self.gateway.now()
-            parts = await gather(*(self._part(query, ask, left) for ask in asks))
-            for ask, part in zip(asks, parts, strict=True):
-                merge.feed(ask.shard, *part)
-        return self._document(merge.page(), call)
+            remaining = deadline - self.gateway.now()
+            node_lists = await gather_or_cancel(*(self._list_node(query, ask, remaining) for ask in asks))
+            for ask, listing in zip(asks, node_lists, strict=True):
+                merge.feed(ask.shard, *listing)
+        return self._xml_response(merge.page(), call)
 
-    def _until(self, call: BucketCall, cls: str) -> float:
+    def _deadline_at(self, call: BucketCall, cls: str) -> float:
         """Return the time on the gateway's clock by which a call of a class must finish."""
         return self.gateway.now() + self.seconds(cls, call.headers.get(b"x-deadline-ms"))
 
     @staticmethod
-    def _document(body: bytes, call: BucketCall) -> Response:
+    def _xml_response(body: bytes, call: BucketCall) -> Response:
         """Return a response with an XML document."""
-        told = [(b"content-type", b"application/xml"), (b"x-amz-request-id", call.request_id.encode())]
-        return Response(200, write_head(200, told, len(body), call.closing()) + body)
+        headers = [(b"content-type", b"application/xml"), (b"x-amz-request-id", call.request_id.encode())]
+        return Response(200, write_head(200, headers, len(body), call.closing()) + body)
 
     async def _delete_many(self, call: BucketCall) -> Response:
         """Serve DeleteObjects: an ordinary call for each name, a few at a time, under one deadline."""
-        until = self._until(call, self.settings.write_class)
+        deadline = self._deadline_at(call, self.settings.write_class)
         async with self.held(call.message):
             await self.unwrap(call.message, call.headers, call.signatures)
         names, quiet = batches.read(bytes(call.message.body))
         results: dict[str, str | None] = dict.fromkeys(names)
-        turns = asyncio.Semaphore(AT_ONCE)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_DELETES)
 
-        async def one(name: str) -> None:
-            async with turns:
+        async def delete_one(name: str) -> None:
+            async with semaphore:
                 try:
-                    left = until - self.gateway.now()
-                    if left <= 0:
+                    remaining = deadline - self.gateway.now()
+                    if remaining <= 0:
                         raise slow_down()
                     single = Message()
                     single.method, single.complete = b"DELETE", True
                     single.target = b"/%b/%b" % (call.bucket.encode(), quote(name, safe="/-._~").encode())
-                    single.headers = [(b"x-deadline-ms", b"%d" % max(1, int(left * 1000)))]
+                    single.headers = [(b"x-deadline-ms", b"%d" % max(1, int(remaining * 1000)))]
                     request = Request(single, self.settings, self.gateway.config.settings.shards)
                     require(call.key, "write", call.bucket, name.encode())
                     reply = await self.serve(request, secrets.token_hex(8), call.closing)
@@ -209,10 +217,10 @@
                 except Error as error:
                     results[name] = error.code
 
-        await gather(*(one(name) for name in names))
-        return self._document(batches.write(results, quiet), call)
+        await gather_or_cancel(*(delete_one(name) for name in names))
+        return self._xml_response(batches.write(results, quiet), call)
 
-    async def _part(self, query: Query, ask: Ask, seconds: float) -> tuple[list[Item], str, bool]:
+    async def _list_node(self, query: Query, ask: Ask, seconds: float) -> tuple[list[Item], str, bool]:
         """Fetch a node's next names by an ordinary call of one unit, within the listing's remaining time."""
         if seconds <= 0:
             raise slow_down()
@@ -263,7 +271,7 @@
         message: Message, headers: Mapping[bytes, bytes], signatures: ChunkSignatures | None
     ) -> None:
         """Check a buffered body and remove its framing; in a thread for a large one, as digests take long."""
-        if len(message.body) > IN_THREAD:
+        if len(message.body) > INLINE_DIGEST_BYTES:
             await asyncio.to_thread(unwrap, message, headers, signatures)
         else:
             unwrap(message, headers, signatures)
@@ -280,8 +288,8 @@
         if answer.kind is AnswerKind.FAILED:
             raise Error("InternalError")
         if answer.stream is not None:
-            return self._streamed(request, answer, answer.stream, request_id, closing)
-        return self._whole(request, answer, request_id, closing())
+            return self._streaming_response(request, answer, answer.stream, request_id, closing)
+        return self._buffered_response(request, answer, request_id, closing())
 
     def error_response(self, status: int, text: str) -> Response:
         """Return the response to malformed HTTP or an exceeded limit."""
@@ -295,23 +303,27 @@
     def finished(self, request: Message, status: int, whole: bool) -> None:
         """Count a finished request under the class configured for reads or writes."""
         settings = self.settings
-        lane = settings.read_class if request.method in (b"GET", b"HEAD") else settings.write_class
-        self.gateway.metrics.request_finished(lane, status, whole)
+        class_name = settings.read_class if request.method in (b"GET", b"HEAD") else settings.write_class
+        self.gateway.metrics.request_finished(class_name, status, whole)
 
     def _call(self, request: Request, request_id: str) -> Call:
         """Return the gateway call for a request: what the scheduler and a node receive."""
-        settings, known, headers = self.settings, self.gateway.config.settings, request.headers
-        cls = known.classes[settings.read_class if request.reads else settings.write_class]
+        settings, gateway_settings, headers = self.settings, self.gateway.config.settings, request.headers
+        cls = gateway_settings.classes[settings.read_class if request.reads else settings.write_class]
         seconds = self.seconds(cls.name, headers.get(b"x-deadline-ms"))
-        drop = OWN_REQUEST if self.access is None else OWN_REQUEST | {b"authorization"}  # not for nodes
-        passed = [header for header in request.message.headers if header[0] not in drop]
+        dropped = (
+            UNFORWARDED_REQUEST_HEADERS
+            if self.access is None
+            else UNFORWARDED_REQUEST_HEADERS | {b"authorization"}
+        )  # not for nodes
+        forwarded = [header for header in request.message.headers if header[0] not in dropped]
         # Keeps a client's own key, so that its retries are deduplicated too; else all attempts share the id.
         token = headers.get(b"idempotency-key", request_id.encode())
         if not TOKEN.match(token):
             raise Error("InvalidArgument")
-        passed.append((b"x-request-id", request_id.encode()))
+        forwarded.append((b"x-request-id", request_id.encode()))
         if not request.reads:
-            passed.append((b"idempotency-key", token))
+            forwarded.append((b"idempotency-key", token))
         fields = self.fields(
             cls.name, seconds, request.bucket, request.shard, request.key, request.units, not request.reads
         )
@@ -320,16 +332,16 @@
             fields,
             request.method,
             request.target,
-            passed,
+            forwarded,
             request.message.body,
             final=lambda status: 200 <= status < 500,
             streamed=lambda status: request.method == b"GET" and status in (200, 206) and not request.upload,
         )
 
-    def seconds(self, cls: str, asked: bytes | None) -> float:
+    def seconds(self, cls: str, header: bytes | None) -> float:
         """Return a call's time limit in seconds, from its client's header or its class; raises `Error`."""
-        known = self.gateway.config.settings.classes[cls].deadline
-        deadline = known if asked is None else read_deadline(asked, MOST_MS)
+        class_deadline = self.gateway.config.settings.classes[cls].deadline
+        deadline = class_deadline if header is None else read_deadline(header, MAX_DEADLINE_MS)
         if deadline is None:
             raise Error("InvalidArgument")
         return time_left(deadline)
@@ -351,22 +363,26 @@
         }
 
     @staticmethod
-    def error(error: Error, message: Message, request_id: str, close: bool) -> Response:
+    def s3_error_response(error: Error, message: Message, request_id: str, close: bool) -> Response:
         """Return the response for an S3 error."""
         body = error_body(error.code, message.target, request_id)
         headers = [(b"content-type", b"application/xml"), (b"x-amz-request-id", request_id.encode())]
         head = write_head(ERRORS[error.code][0], headers + error.headers, len(body), close)
         return Response(ERRORS[error.code][0], head + body)
 
-    def _whole(self, request: Request, answer: Answer, request_id: str, close: bool) -> Response:
+    def _buffered_response(self, request: Request, answer: Answer, request_id: str, close: bool) -> Response:
         """Return the response for a buffered answer; a node's upload id is replaced by the client's."""
-        headers, body = passed_on(answer, request_id), answer.body
+        headers, body = forwarded_headers(answer, request_id), answer.body
         if request.method == b"HEAD":
             length = length_of(answer.headers)
-            if answer.status == 200 and length is not None and (asked := request.headers.get(b"range")):
-                if piece := cut_here(asked, length):
-                    headers.append(range_of(*piece, length))
-                    return Response(206, write_head(206, headers, piece[1] - piece[0], close))
+            if (
+                answer.status == 200
+                and length is not None
+                and (range_header := request.headers.get(b"range"))
+            ):
+                if byte_range := cut_here(range_header, length):
+                    headers.append(range_of(*byte_range, length))
+                    return Response(206, write_head(206, headers, byte_range[1] - byte_range[0], close))
             return Response(answer.status, write_head(answer.status, headers, length, close))
         if answer.status >= 400 and not body:
             code = CODE_OF.get(answer.status, "InvalidRequest")
@@ -379,21 +395,25 @@
         size = None if answer.status in (204, 304) else len(body)
         return Response(answer.status, write_head(answer.status, headers, size, close) + body)
 
-    def _streamed(
+    def _streaming_response(
         self, request: Request, answer: Answer, stream: Stream, request_id: str, closing: Callable[[], bool]
     ) -> Response:
         """Return a response that forwards a body as it arrives, cut to the range if the node did not."""
-        headers, status, length = passed_on(answer, request_id), answer.status, length_of(answer.headers)
+        headers, status, length = (
+            forwarded_headers(answer, request_id),
+            answer.status,
+            length_of(answer.headers),
+        )
         start, end = 0, length
-        asked = request.headers.get(b"range")
-        if status == 200 and length is not None and asked and b"if-range" not in request.headers:
+        range_header = request.headers.get(b"range")
+        if status == 200 and length is not None and range_header and b"if-range" not in request.headers:
             try:
-                piece = cut_here(asked, length)
+                byte_range = cut_here(range_header, length)
             except Error:
                 stream.close()
                 raise
-            if piece:
-                start, end = piece
+            if byte_range:
+                start, end = byte_range
                 status = 206
                 headers.append(range_of(start, end, length))
         size = None if end is None else end - start
@@ -410,9 +430,9 @@
         return Response(status, write=write)
 
 
-async def gather(*work: Coroutine[Any, Any, T]) -> list[T]:
+async def gather_or_cancel(*coroutines: Coroutine[Any, Any, T]) -> list[T]:
     """Return all results, or raise the first error; the rest is cancelled then, as when this is cancelled."""
-    tasks = [asyncio.create_task(one) for one in work]
+    tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
     try:
         return list(await asyncio.gather(*tasks))
     finally:
@@ -420,9 +440,9 @@
             task.cancel()
 
 
-def passed_on(answer: Answer, request_id: str) -> Headers:
+def forwarded_headers(answer: Answer, request_id: str) -> Headers:
     """Return the headers of a node's answer that the client receives."""
-    headers = [header for header in answer.headers if header[0] not in OWN_ANSWER]
+    headers = [header for header in answer.headers if header[0] not in UNFORWARDED_ANSWER_HEADERS]
     headers.append((b"x-amz-request-id", request_id.encode()))
     return headers
 
@@ -432,9 +452,9 @@
     return b"content-range", b"bytes %d-%d/%d" % (start, end - 1, length)
 
 
-def cut_here(asked: bytes, length: int) -> tuple[int, int] | None:
+def cut_here(range_header: bytes, length: int) -> tuple[int, int] | None:
     """Resolve a range that the node did not apply; raises `Error` if it lies outside the object."""
     try:
-        return cut(asked, length)
+        return cut(range_header, length)
     except Unsatisfiable:
         raise Error("InvalidRange", [(b"content-range", b"bytes */%d" % length)]) from None
--- a/mallowbeam/storage_gateway/frontends/object_api/listings.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/listings.py
@@ -24,10 +24,10 @@
 from mallowbeam.storage_gateway.frontends.object_api.errors import Error
 
 NAMESPACE = "http://s3.amazonaws.com/doc/2006-03-01/"
-MOST_KEYS = 1000  # names on a page
-LEAST_ASKED = 16  # names requested from a node at once, unless the page needs fewer
-EXTRA = 1.25  # requested multiple of a node's even share, as names spread only roughly evenly
-LAST = "\U0010ffff" * 4  # appended to a prefix, sorts after practically every name with that prefix
+MAX_PAGE_NAMES = 1000  # names on a page
+MIN_NODE_NAMES = 16  # names requested from a node at once, unless the page needs fewer
+NODE_SHARE_FACTOR = 1.25  # requested multiple of a node's even share, as names spread only roughly evenly
+AFTER_PREFIX = "\U0010ffff" * 4  # appended to a prefix, sorts after practically every name with that prefix
 
 
 class Item(NamedTuple):
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Part:
+class NodeCursor:
     """The merge's state of one node's list."""
 
     items: deque[Item] = field(default_factory=deque)
@@ -71,7 +71,7 @@
     prefix: str = ""
     delimiter: str = ""
     after: str = ""  # exclusive start
-    most: int = MOST_KEYS
+    most: int = MAX_PAGE_NAMES
     second: bool = True  # ListObjectsV2
     encoded: bool = False  # whether names are percent-encoded in the answer
     told: tuple[tuple[str, str], ...] = ()  # request parameters that the answer repeats
@@ -79,29 +79,29 @@
     @classmethod
     def read(cls, bucket: str, query: Mapping[str, str]) -> Query:
         """Parse the query parameters of a listing request; raises `Error`."""
-        most, second = query.get("max-keys", str(MOST_KEYS)), query.get("list-type") == "2"
-        if not (most.isascii() and most.isdigit() and len(most) < 10):
+        page_size, is_v2 = query.get("max-keys", str(MAX_PAGE_NAMES)), query.get("list-type") == "2"
+        if not (page_size.isascii() and page_size.isdigit() and len(page_size) < 10):
             raise Error("InvalidArgument")
         if query.get("encoding-type", "url") != "url" or query.get("list-type", "2") != "2":
             raise Error("InvalidArgument")
         prefix, delimiter = query.get("prefix", ""), query.get("delimiter", "")
         token = query.get("continuation-token")
-        if second and token is not None:
+        if is_v2 and token is not None:
             after = open_token(token, bucket, prefix, delimiter)
         else:
-            after = query.get("start-after" if second else "marker", "")
+            after = query.get("start-after" if is_v2 else "marker", "")
         try:
             (prefix + delimiter + after).encode()
         except UnicodeEncodeError:  # names are UTF-8
             raise Error("InvalidArgument") from None
-        names = ("continuation-token", "start-after") if second else ("marker",)
+        names = ("continuation-token", "start-after") if is_v2 else ("marker",)
         return cls(
             bucket,
             prefix,
             delimiter,
             after,
-            min(MOST_KEYS, int(most)),
-            second,
+            min(MAX_PAGE_NAMES, int(page_size)),
+            is_v2,
             "encoding-type" in query,
             tuple((name, query[name]) for name in names if name in query),
         )
@@ -109,18 +109,18 @@
 
 def seal_token(last: str, bucket: str, prefix: str, delimiter: str) -> str:
     """Return a continuation token: opaque to clients and bound to their bucket, prefix and delimiter."""
-    tied = crc32(json.dumps([bucket, prefix, delimiter]).encode())
-    return base64.urlsafe_b64encode(json.dumps([1, tied, last]).encode()).decode()
+    checksum = crc32(json.dumps([bucket, prefix, delimiter]).encode())
+    return base64.urlsafe_b64encode(json.dumps([1, checksum, last]).encode()).decode()
 
 
 def open_token(token: str, bucket: str, prefix: str, delimiter: str) -> str:
     """Return the last name in a token; raises `Error` for one that is invalid or of another listing."""
     try:
-        version, tied, last = json.loads(base64.b64decode(token.encode(), altchars=b"-_", validate=True))
+        version, checksum, last = json.loads(base64.b64decode(token.encode(), altchars=b"-_", validate=True))
     except (ValueError, TypeError, RecursionError):
         raise Error("InvalidArgument") from None
-    wanted = crc32(json.dumps([bucket, prefix, delimiter]).encode())
-    if version != 1 or tied != wanted or not isinstance(last, str):
+    expected = crc32(json.dumps([bucket, prefix, delimiter]).encode())
+    if version != 1 or checksum != expected or not isinstance(last, str):
         raise Error("InvalidArgument")
     return last
 
@@ -131,13 +131,15 @@
     def __init__(self, query: Query, shards: int, overlay: Mapping[str, Item | None] | None = None) -> None:
         self.query, self.shards = query, shards
         # One more than the page holds, to know whether any name follows.
-        self.want = query.most + 1 if query.most else 0
-        self.parts = [Part(after=skip(query.after, query.delimiter, query.prefix)) for _ in range(shards)]
+        self.wanted = query.most + 1 if query.most else 0
+        self.parts = [
+            NodeCursor(after=start_after(query.after, query.delimiter, query.prefix)) for _ in range(shards)
+        ]
         self.overlay = dict(overlay or {})
         self.items: list[Item] = []  # the page, in order
-        self.over = not self.want
+        self.complete = not self.wanted
         self.asked = 0  # names requested from nodes
-        self._laid = deque(
+        self._overlay_items = deque(
             sorted(
                 {
                     rolled(item, query)
@@ -151,17 +153,20 @@
     def needs(self) -> list[Ask]:
         """Return the requests needed to continue the page; empty if the page is complete."""
         self._merge()
-        if self.over:
+        if self.complete:
             return []
-        left = self.want - len(self.items)
-        count = max(min(LEAST_ASKED, left), min(left, int(left / self.shards * EXTRA) + 1))
-        asks = [
-            Ask(shard, part.after, part.token, count)
-            for shard, part in enumerate(self.parts)
-            if part.more and not part.items
+        remaining = self.wanted - len(self.items)
+        count = max(
+            min(MIN_NODE_NAMES, remaining),
+            min(remaining, int(remaining / self.shards * NODE_SHARE_FACTOR) + 1),
+        )
+        requests = [
+            Ask(shard, cursor.after, cursor.token, count)
+            for shard, cursor in enumerate(self.parts)
+            if cursor.more and not cursor.items
         ]
-        self.asked += count * len(asks)
-        return asks
+        self.asked += count * len(requests)
+        return requests
 
     def feed(self, shard: int, items: list[Item], token: str, more: bool) -> None:
         """Add a node's next names; raises `Error` if they are out of order or no progress is made.
@@ -172,41 +177,41 @@
             token: The node's continuation token, if any.
             more: Whether the node has further names.
         """
-        part = self.parts[shard]
-        before = part.after.encode("utf-8", "surrogateescape")
+        cursor = self.parts[shard]
+        before = cursor.after.encode("utf-8", "surrogateescape")
         for item in items:
             # A node that violates the order would break the order of the page.
             if item.order < before:
                 raise Error("InternalError")
             before = item.order
             if item.name not in self.overlay:
-                part.items.append(item)
+                cursor.items.append(item)
         if items:
-            part.after = items[-1].name
+            cursor.after = items[-1].name
         elif more:
             raise Error("InternalError")  # an empty list that claims to continue would never end
-        part.token, part.more = token, more
+        cursor.token, cursor.more = token, more
 
     def _merge(self) -> None:
         """Merge names into the page for as long as the next name of every node is known."""
-        while not self.over:
+        while not self.complete:
             heads = []
-            for part in self.parts:
-                if part.items:
-                    heads.append((part.items[0].order, part.items))
-                elif part.more:
+            for cursor in self.parts:
+                if cursor.items:
+                    heads.append((cursor.items[0].order, cursor.items))
+                elif cursor.more:
                     return  # its next name may sort first
-            if self._laid:
-                heads.append((self._laid[0].order, self._laid))
+            if self._overlay_items:
+                heads.append((self._overlay_items[0].order, self._overlay_items))
             if not heads:
-                self.over = True
+                self.complete = True
                 return
             item = min(heads, key=lambda head: head[0])[1].popleft()
-            if self._behind(item) and len(self.items) < self.want:
+            if self._sorts_after_last(item) and len(self.items) < self.wanted:
                 self.items.append(item)
-            self.over = len(self.items) >= self.want
+            self.complete = len(self.items) >= self.wanted
 
-    def _behind(self, item: Item) -> bool:
+    def _sorts_after_last(self, item: Item) -> bool:
         """Whether a name sorts after the last one, which drops a common prefix listed by several nodes."""
         last = self.items[-1].name if self.items else self.query.after
         return item.order > last.encode("utf-8", "surrogateescape")
@@ -220,21 +225,21 @@
         """Return the page as S3's XML document."""
         query, items = self.query, self.items[: self.query.most]
 
-        def word(text: str) -> str:
+        def encode(text: str) -> str:
             return quote(text, safe="/", errors="surrogateescape") if query.encoded else text
 
         root = Element("ListBucketResult", xmlns=NAMESPACE)
         put(root, "Name", query.bucket)
-        put(root, "Prefix", word(query.prefix))
+        put(root, "Prefix", encode(query.prefix))
         if query.delimiter:
-            put(root, "Delimiter", word(query.delimiter))
+            put(root, "Delimiter", encode(query.delimiter))
         if query.encoded:
             put(root, "EncodingType", "url")
         put(root, "MaxKeys", str(query.most))
         put(root, "IsTruncated", "true" if self.truncated else "false")
         tags = {"continuation-token": "ContinuationToken", "start-after": "StartAfter", "marker": "Marker"}
         for name, value in query.told:
-            put(root, tags[name], value if name == "continuation-token" else word(value))
+            put(root, tags[name], value if name == "continuation-token" else encode(value))
         if query.second:
             put(root, "KeyCount", str(len(items)))
         if self.truncated:
@@ -246,14 +251,14 @@
                     seal_token(last, query.bucket, query.prefix, query.delimiter),
                 )
             else:
-                put(root, "NextMarker", word(last))
+                put(root, "NextMarker", encode(last))
         for item in items:
             if item.size is None:
-                put(SubElement(root, "CommonPrefixes"), "Prefix", word(item.name))
+                put(SubElement(root, "CommonPrefixes"), "Prefix", encode(item.name))
                 continue
             entry = SubElement(root, "Contents")
             for tag, value in (
-                ("Key", word(item.name)),
+                ("Key", encode(item.name)),
                 ("LastModified", item.modified),
                 ("ETag", item.etag),
                 ("Size", str(item.size)),
@@ -271,31 +276,33 @@
 def rolled(item: Item, query: Query) -> Item:
     """Return an item as the page lists it: itself, or the common prefix that it falls under."""
     if query.delimiter:
-        at = item.name.find(query.delimiter, len(query.prefix))
-        if at >= 0:
-            return Item(item.name[: at + len(query.delimiter)])
+        index = item.name.find(query.delimiter, len(query.prefix))
+        if index >= 0:
+            return Item(item.name[: index + len(query.delimiter)])
     return item
 
 
-def skip(after: str, delimiter: str, prefix: str) -> str:
+def start_after(after: str, delimiter: str, prefix: str) -> str:
     """Return where nodes continue after a name; after a common prefix, past every name under it."""
     if delimiter and after.endswith(delimiter) and len(after) > len(prefix) and after.startswith(prefix):
-        return after + LAST
+        return after + AFTER_PREFIX
     return after
 
 
 def target(query: Query, ask: Ask) -> bytes:
     """Return the target of the listing request to a node."""
-    words = {
+    parameters = {
         "list-type": "2",
         "encoding-type": "url",
         "max-keys": str(ask.most),
         "prefix": query.prefix,
         "delimiter": query.delimiter,
     }
-    words["continuation-token" if ask.token else "start-after"] = ask.token or ask.after
+    parameters["continuation-token" if ask.token else "start-after"] = ask.token or ask.after
     text = "&".join(
-        f"{name}={quote(value, safe='', errors='surrogateescape')}" for name, value in words.items() if value
+        f"{name}={quote(value, safe='', errors='surrogateescape')}"
+        for name, value in parameters.items()
+        if value
     )
     return b"/" + query.bucket.encode() + b"?" + text.encode()
 
@@ -307,13 +314,13 @@
         for element in fromstring(body):
             match element.tag.rpartition("}")[2]:
                 case "Contents":
-                    told = {child.tag.rpartition("}")[2]: child.text or "" for child in element}
+                    fields = {child.tag.rpartition("}")[2]: child.text or "" for child in element}
                     items.append(
                         Item(
-                            unquote(told["Key"], errors="surrogateescape"),
-                            int(told["Size"]),
-                            told.get("ETag", ""),
-                            told.get("LastModified", ""),
+                            unquote(fields["Key"], errors="surrogateescape"),
+                            int(fields["Size"]),
+                            fields.get("ETag", ""),
+                            fields.get("LastModified", ""),
                         )
                     )
                 case "CommonPrefixes":
--- a/mallowbeam/storage_gateway/frontends/object_api/ranges.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/ranges.py
@@ -16,7 +16,7 @@
     remedy = "ask for a range inside the object"
 
 
-def bounds(header: bytes) -> tuple[int | None, int | None] | None:
+def parse_range(header: bytes) -> tuple[int | None, int | None] | None:
     """Parse a range into its first and last position, None for one left out; None if it must be ignored.
 
     A header with several ranges is ignored too, as RFC 9110 allows and S3 does.
@@ -36,10 +36,10 @@
     Raises:
         Unsatisfiable: The range lies entirely outside a body of this length.
     """
-    asked = bounds(header)
-    if asked is None:
+    positions = parse_range(header)
+    if positions is None:
         return None
-    first, last = asked
+    first, last = positions
     if first is None:  # a suffix range: the last N bytes
         assert last is not None
         if last == 0 or length == 0:
@@ -52,7 +52,7 @@
 
 def span(header: bytes | None) -> int | None:
     """Return the maximum number of requested bytes; None if the header alone does not determine it."""
-    asked = bounds(header) if header else None
-    if asked is None or asked[1] is None:
+    positions = parse_range(header) if header else None
+    if positions is None or positions[1] is None:
         return None
-    return asked[1] if asked[0] is None else asked[1] - asked[0] + 1
+    return positions[1] if positions[0] is None else positions[1] - positions[0] + 1
--- a/mallowbeam/storage_gateway/frontends/object_api/signatures.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/signatures.py
@@ -20,15 +20,15 @@
 from mallowbeam.storage_gateway.frontends.object_api.errors import Error
 
 ALGORITHM = "AWS4-HMAC-SHA256"
-SKEW = 900  # by which a client's clock may be off
-MOST_EXPIRES = 604_800  # longest validity of a presigned URL
+MAX_CLOCK_SKEW_S = 900  # by which a client's clock may be off
+MAX_EXPIRES_S = 604_800  # longest validity of a presigned URL
 AUTHORIZATION = re.compile(
     r"AWS4-HMAC-SHA256 +Credential=([^/, ]{1,128})/(\d{8})/([^/, ]{1,64})/s3/aws4_request *,"
     r" *SignedHeaders=([a-z0-9;-]{1,2048}) *, *Signature=([0-9a-f]{64})\Z"
 )
 CREDENTIAL = re.compile(r"([^/]{1,128})/(\d{8})/([^/]{1,64})/s3/aws4_request\Z")
 DATE = re.compile(r"\d{8}T\d{6}Z\Z")
-EMPTY = hashlib.sha256().hexdigest()
+EMPTY_SHA256 = hashlib.sha256().hexdigest()
 PAYLOADS = re.compile(
     r"[0-9a-f]{64}\Z|UNSIGNED-PAYLOAD\Z|STREAMING-UNSIGNED-PAYLOAD-TRAILER\Z"
     r"|STREAMING-AWS4-HMAC-SHA256-PAYLOAD(-TRAILER)?\Z"
@@ -44,7 +44,7 @@
     day: str
     region: str
     date: str  # in S3's format: 20261201T175355Z
-    signed: tuple[str, ...]  # names of the signed headers
+    signed_headers: tuple[str, ...]  # names of the signed headers
     signature: str
     payload: (
         str  # represents the body in the canonical request: its SHA-256 or a marker such as UNSIGNED-PAYLOAD
@@ -64,11 +64,11 @@
     if authorization is not None and presigned:
         raise Error("InvalidArgument")
     if authorization is not None:
-        return header_claim(authorization.decode("latin-1"), headers)
+        return parse_header_claim(authorization.decode("latin-1"), headers)
     return query_claim(query) if presigned else None
 
 
-def header_claim(text: str, headers: Mapping[bytes, bytes]) -> Claim:
+def parse_header_claim(text: str, headers: Mapping[bytes, bytes]) -> Claim:
     """Parse the claim of an Authorization header; raises `Error`."""
     match = AUTHORIZATION.match(text)
     if match is None:
@@ -94,7 +94,7 @@
         or not re.fullmatch(r"[0-9a-f]{64}", signature)
         or not re.fullmatch(r"[a-z0-9;-]{1,2048}", signed)
         or not re.fullmatch(r"\d{1,6}", expires)
-        or not 1 <= int(expires) <= MOST_EXPIRES
+        or not 1 <= int(expires) <= MAX_EXPIRES_S
     ):
         raise Error("AuthorizationQueryParametersError")
     return Claim(
@@ -112,7 +112,7 @@
 def in_time(claim: Claim, now: float) -> None:
     """Raise `Error` if a claim has expired or its clock is too far off; `now` is in Unix seconds."""
     try:
-        made = timegm(strptime(claim.date, "%Y%m%dT%H%M%SZ"))
+        signed_at = timegm(strptime(claim.date, "%Y%m%dT%H%M%SZ"))
     except ValueError:
         raise Error("AccessDenied") from None
     if claim.date[:8] != claim.day:
@@ -120,20 +120,24 @@
             "AuthorizationHeaderMalformed" if claim.expires is None else "AuthorizationQueryParametersError"
         )
     if claim.expires is None:
-        if abs(now - made) > SKEW:
+        if abs(now - signed_at) > MAX_CLOCK_SKEW_S:
             raise Error("RequestTimeTooSkewed")
-    elif now < made - SKEW or now > made + claim.expires:
+    elif now < signed_at - MAX_CLOCK_SKEW_S or now > signed_at + claim.expires:
         raise Error("AccessDenied")  # not valid yet, or expired
 
 
 def canonical(method: bytes, target: bytes, headers: Headers, claim: Claim) -> str:
     """Return the canonical request; raises `Error` if a header that must be signed is not."""
     path, _, raw = target.partition(b"?")
-    told: dict[str, list[str]] = {}
+    values: dict[str, list[str]] = {}
     for name, value in headers:
-        told.setdefault(name.decode("latin-1"), []).append(" ".join(value.decode("latin-1").split()))
-    must = {name for name in told if name.startswith("x-amz-")} if claim.expires is None else set()
-    if "host" not in claim.signed or must - set(claim.signed) or list(claim.signed) != sorted(claim.signed):
+        values.setdefault(name.decode("latin-1"), []).append(" ".join(value.decode("latin-1").split()))
+    required = {name for name in values if name.startswith("x-amz-")} if claim.expires is None else set()
+    if (
+        "host" not in claim.signed_headers
+        or required - set(claim.signed_headers)
+        or list(claim.signed_headers) != sorted(claim.signed_headers)
+    ):
         raise Error("AccessDenied")
     pairs = []
     for pair in raw.split(b"&") if raw else ():
@@ -146,8 +150,8 @@
         quote(unquote_to_bytes(path), safe="/-._~"),
         "&".join(f"{name}={value}" for name, value in sorted(pairs)),
     ]
-    lines += [f"{name}:{','.join(told.get(name, ['']))}" for name in claim.signed]
-    return "\n".join([*lines, "", ";".join(claim.signed), claim.payload])
+    lines += [f"{name}:{','.join(values.get(name, ['']))}" for name in claim.signed_headers]
+    return "\n".join([*lines, "", ";".join(claim.signed_headers), claim.payload])
 
 
 @lru_cache(64)
@@ -170,11 +174,11 @@
     in_time(claim, now)
     text = canonical(message.method, message.target, message.headers, claim)
     digest = hashlib.sha256(text.encode("latin-1")).hexdigest()
-    wanted = sign(claim, secret or "unknown", ALGORITHM, digest)
-    good = hmac.compare_digest(wanted, claim.signature)
+    expected = sign(claim, secret or "unknown", ALGORITHM, digest)
+    valid = hmac.compare_digest(expected, claim.signature)
     if secret is None:
         raise Error("InvalidAccessKeyId")
-    if not good:
+    if not valid:
         raise Error("SignatureDoesNotMatch")
 
 
@@ -183,18 +187,20 @@
 
     def __init__(self, claim: Claim, secret: str) -> None:
         self._sign: Callable[..., str] = lambda kind, *lines: sign(claim, secret, kind, *lines)
-        self.before = claim.signature
+        self.previous = claim.signature
 
-    def chunk(self, digest: str, told: str) -> None:
+    def chunk(self, digest: str, signature: str) -> None:
         """Verify the signature of the next chunk, given its SHA-256; raises `Error`."""
-        self._next(self._sign("AWS4-HMAC-SHA256-PAYLOAD", self.before, EMPTY, digest), told)
+        self._verify_next(
+            self._sign("AWS4-HMAC-SHA256-PAYLOAD", self.previous, EMPTY_SHA256, digest), signature
+        )
 
-    def trailers(self, lines: bytes, told: str) -> None:
+    def trailers(self, lines: bytes, signature: str) -> None:
         """Verify the trailers' signature; `lines` has `name:value` and a newline for each; raises `Error`."""
         digest = hashlib.sha256(lines).hexdigest()
-        self._next(self._sign("AWS4-HMAC-SHA256-TRAILER", self.before, digest), told)
+        self._verify_next(self._sign("AWS4-HMAC-SHA256-TRAILER", self.previous, digest), signature)
 
-    def _next(self, wanted: str, told: str) -> None:
-        if not hmac.compare_digest(wanted, told):
+    def _verify_next(self, expected: str, signature: str) -> None:
+        if not hmac.compare_digest(expected, signature):
             raise Error("SignatureDoesNotMatch")
-        self.before = wanted
+        self.previous = expected
--- a/mallowbeam/storage_gateway/frontends/object_api/uploads.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/uploads.py
@@ -14,30 +14,30 @@
 register_namespace("", "http://s3.amazonaws.com/doc/2006-03-01/")
 
 
-def pack_upload(shard: int, inner: str) -> str:
+def pack_upload(shard: int, node_upload_id: str) -> str:
     """Return the client's upload id for a shard and the node's own upload id."""
-    return f"1.{shard}." + base64.urlsafe_b64encode(inner.encode()).decode().rstrip("=")
+    return f"1.{shard}." + base64.urlsafe_b64encode(node_upload_id.encode()).decode().rstrip("=")
 
 
-def unpack_upload(outer: str) -> tuple[int, str]:
+def unpack_upload(upload_id: str) -> tuple[int, str]:
     """Return the shard and the node's upload id from a client's upload id; raises `Error`."""
-    version, _, rest = outer.partition(".")
+    version, _, rest = upload_id.partition(".")
     shard, _, text = rest.partition(".")
     try:
         if version != "1" or not shard.isascii() or not shard.isdigit() or len(shard) > 9 or not text:
             raise ValueError
-        inner = base64.b64decode(text + "=" * (-len(text) % 4), altchars=b"-_", validate=True)
-        return int(shard), inner.decode()
+        node_upload_id = base64.b64decode(text + "=" * (-len(text) % 4), altchars=b"-_", validate=True)
+        return int(shard), node_upload_id.decode()
     except (ValueError, binascii.Error):
         raise Error("NoSuchUpload") from None
 
 
-def rename_upload(body: bytes, known: str | None, shard: int) -> bytes:
+def rename_upload(body: bytes, client_upload_id: str | None, shard: int) -> bytes:
     """Return a node's document with its upload id replaced by the client's; raises `Error`."""
     try:
         root = fromstring(body)
         element = next(e for e in root.iter() if e.tag.rpartition("}")[2] == "UploadId")
     except (ParseError, DefusedXmlException, StopIteration):
         raise Error("InternalError") from None
-    element.text = known or pack_upload(shard, element.text or "")
+    element.text = client_upload_id or pack_upload(shard, element.text or "")
     return bytes(tostring(root, encoding="UTF-8", xml_declaration=True))
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -26,14 +26,17 @@
 TARGET = re.compile(rb"/([^/?]+)/([0-9a-f]{16})/([0-9a-f]{16})(?:\?[\x21-\x7e]{0,1024})?\Z")
 REQUEST_ID = re.compile(rb"[0-9a-f]{16}\Z")
 EXTENT = re.compile(rb"units=(\d{1,9}),shard=(-?\d{1,9}),hosts=(\d{1,9})\Z")
-HELD = 24 * 1024 * 1024  # of request bodies held at once over all connections
-MOST_MS = 3_600_000  # deadlines over an hour are rejected
-STANDSTILL, LEAST = 0.2, 0.05  # share of the latency target; nodes write small answers in one go
-FAILED = 502  # neither 429 nor 503, which would mean that the request was refused
-REFUSED = 503
-RETRY_AFTER = [(b"retry-after", b"0.3")]  # for refusals that the scheduler is not involved in
+MAX_HELD_BYTES = 24 * 1024 * 1024  # of request bodies held at once over all connections
+MAX_DEADLINE_MS = 3_600_000  # deadlines over an hour are rejected
+BODY_TIMEOUT_RATIO, MIN_BODY_TIMEOUT_S = (
+    0.2,
+    0.05,
+)  # share of the latency target; nodes write small answers in one go
+FAILED_STATUS = 502  # neither 429 nor 503, which would mean that the request was refused
+REFUSED_STATUS = 503
+RETRY_AFTER_HEADER = [(b"retry-after", b"0.3")]  # for refusals that the scheduler is not involved in
 # Only headers that the protocol names are forwarded: a node closes its connection on any it cannot parse.
-PASSED_ON = frozenset(
+FORWARDED_HEADERS = frozenset(
     (
         b"x-request-id",
         b"x-class",
@@ -44,7 +47,9 @@
         b"content-type",
     )
 )
-SINGLE = PASSED_ON | {b"x-deadline-ms"}  # at most once each: parsers differ on which duplicate counts
+UNIQUE_HEADERS = FORWARDED_HEADERS | {
+    b"x-deadline-ms"
+}  # at most once each: parsers differ on which duplicate counts
 
 
 class InvalidRequestError(MallowbeamError):
@@ -60,14 +65,14 @@
     max_body, max_buffered_body = MOST, MAX_BODY
 
     def __init__(self, gateway: Gateway) -> None:
-        self.gateway, self.budget = gateway, BodyBudget(min(HELD, gateway.config.memory // 8))
+        self.gateway, self.budget = gateway, BodyBudget(min(MAX_HELD_BYTES, gateway.config.memory // 8))
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """Return the response to a request."""
         if request.target == b"/healthz" and request.method in (b"GET", b"HEAD"):
             return readiness(self.gateway, closing())
         try:
-            call = self.read(request)
+            call = self.parse_call(request)
         except InvalidRequestError as error:
             return text_response(400, str(error), closing())
         answer = await self.gateway.submit(call)
@@ -77,7 +82,7 @@
 
     def error_response(self, status: int, text: str) -> Response:
         """Return the response to malformed HTTP or an exceeded limit."""
-        return text_response(status, text, True, RETRY_AFTER if status == REFUSED else None)
+        return text_response(status, text, True, RETRY_AFTER_HEADER if status == REFUSED_STATUS else None)
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
         """Count a finished request under the class that it names."""
@@ -85,10 +90,12 @@
             (request.get(b"x-class") or b"").decode("latin-1"), status, whole
         )
 
-    def read(self, request: Message) -> Call:
+    def parse_call(self, request: Message) -> Call:
         """Parse a request into a call; raises `InvalidRequestError`."""
         settings, headers = self.gateway.config.settings, dict(request.headers)
-        if sum(name in SINGLE for name, _ in request.headers) > sum(name in SINGLE for name in headers):
+        if sum(name in UNIQUE_HEADERS for name, _ in request.headers) > sum(
+            name in UNIQUE_HEADERS for name in headers
+        ):
             raise InvalidRequestError("a header of the protocol comes twice")
         path = TARGET.match(request.target)
         if path is None:
@@ -113,7 +120,7 @@
         plan = settings.plans.get(headers.get(b"x-storage-class", b"").decode("latin-1"))
         if plan is None:
             raise InvalidRequestError("X-Storage-Class is missing or unknown")
-        deadline = read_deadline(headers.get(b"x-deadline-ms", b""), MOST_MS)
+        deadline = read_deadline(headers.get(b"x-deadline-ms", b""), MAX_DEADLINE_MS)
         if deadline is None:
             raise InvalidRequestError("X-Deadline-Ms is missing or senseless")
         extent = EXTENT.match(headers.get(b"x-extent", b""))
@@ -140,10 +147,10 @@
             },
             request.method,
             request.target,
-            [h for h in request.headers if h[0] in PASSED_ON],
+            [header for header in request.headers if header[0] in FORWARDED_HEADERS],
             request.body,
             streamed=(200).__eq__,
-            standstill=max(LEAST, cls.latency_target * STANDSTILL),
+            standstill=max(MIN_BODY_TIMEOUT_S, cls.latency_target * BODY_TIMEOUT_RATIO),
             hold=MAX_BODY,
             most=MOST,
             upload=request.stream,
@@ -171,8 +178,11 @@
         if answer.kind is AnswerKind.SERVED:
             return Response(200, write_head(200, [], len(answer.body), close) + answer.body)
         if answer.kind is AnswerKind.FAILED:
-            return text_response(FAILED, "failed", close)
-        after = answer.retry_after
+            return text_response(FAILED_STATUS, "failed", close)
+        retry_after = answer.retry_after
         return text_response(
-            REFUSED, "refused", close, [(b"retry-after", b"%.3f" % after)] if after else None
+            REFUSED_STATUS,
+            "refused",
+            close,
+            [(b"retry-after", b"%.3f" % retry_after)] if retry_after else None,
         )
