--- a/mallowbeam/storage_gateway/frontends/object_api/access.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/access.py
@@ -16,7 +16,7 @@
 from loguru import logger
 from msgspec import Meta
 
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
 from mallowbeam.storage_gateway.server.config import GatewayConfigError
 
 MAX_FILE_BYTES = 4 << 20
@@ -59,7 +59,7 @@
     return keys
 
 
-def may(key: Key, action: str, bucket: str, name: bytes) -> bool:
+def is_allowed(key: Key, action: str, bucket: str, name: bytes) -> bool:
     """Whether a key allows an action on an object name or prefix."""
     return any(
         grant.bucket in ("*", bucket) and action in grant.do and name.startswith(grant.prefix.encode())
@@ -67,10 +67,10 @@
     )
 
 
-def require(key: Key | None, action: str, bucket: str, name: bytes) -> None:
-    """Raise `Error` unless a key allows an action; a key of None means that authentication is off."""
-    if key is not None and not may(key, action, bucket, name):
-        raise Error("AccessDenied")
+def authorize(key: Key | None, action: str, bucket: str, name: bytes) -> None:
+    """Raise `S3Error` unless a key allows an action; a key of None means that authentication is off."""
+    if key is not None and not is_allowed(key, action, bucket, name):
+        raise S3Error("AccessDenied")
 
 
 @dataclass(slots=True)
@@ -79,9 +79,13 @@
 
     path: Path
     keys: dict[str, Key] = field(default_factory=dict)
-    seen: tuple[int, int, int] = (0, 0, 0)  # the loaded file's inode, size and modification time (ns)
-    look_at: float = 0.0  # monotonic time of the next check, in seconds
-    trouble: str = ""  # the last error logged for an invalid file; empty if the file is valid
+    file_identity: tuple[int, int, int] = (
+        0,
+        0,
+        0,
+    )  # the loaded file's inode, size and modification time (ns)
+    next_check: float = 0.0  # monotonic time of the next check, in seconds
+    last_error: str = ""  # the last error logged for an invalid file; empty if the file is valid
 
     def open(self) -> None:
         """Load the file at startup; raises `GatewayConfigError`."""
@@ -98,25 +102,25 @@
     def _read(self) -> None:
         with open(self.path, "rb") as file:
             stat = os.fstat(file.fileno())
-            self.seen = stat.st_ino, stat.st_size, stat.st_mtime_ns
+            self.file_identity = stat.st_ino, stat.st_size, stat.st_mtime_ns
             if stat.st_size > MAX_FILE_BYTES:
                 raise GatewayConfigError("the file is too large")
             self.keys = read_keys(file.read(MAX_FILE_BYTES))
 
-    def look(self, now: float) -> None:
+    def reload_if_changed(self, now: float) -> None:
         """Reload the file if it has changed; `now` is monotonic, in seconds."""
-        if now < self.look_at:
+        if now < self.next_check:
             return
-        self.look_at = now + CHECK_INTERVAL_S
+        self.next_check = now + CHECK_INTERVAL_S
         try:
             stat = self.path.stat()
-            if (stat.st_ino, stat.st_size, stat.st_mtime_ns) != self.seen:
+            if (stat.st_ino, stat.st_size, stat.st_mtime_ns) != self.file_identity:
                 self._read()
-                self.trouble = ""
+                self.last_error = ""
                 logger.info("object API: reloaded {count} access keys", count=len(self.keys))
         except (OSError, GatewayConfigError) as error:
-            if str(error) != self.trouble:
+            if str(error) != self.last_error:
                 logger.error(
                     "object API: cannot reload the key file; keeping the previous keys: {why}", why=str(error)
                 )
-            self.trouble = str(error)
+            self.last_error = str(error)
--- a/mallowbeam/storage_gateway/frontends/object_api/batches.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/batches.py
@@ -10,42 +10,42 @@
 from defusedxml import DefusedXmlException
 from defusedxml.ElementTree import fromstring
 
-from mallowbeam.storage_gateway.frontends.object_api.errors import ERRORS, Error
+from mallowbeam.storage_gateway.frontends.object_api.errors import ERRORS, S3Error
 from mallowbeam.storage_gateway.frontends.object_api.listings import NAMESPACE, put
 
 MAX_NAMES = 1000
 MAX_DOCUMENT_BYTES = 2 << 20
 
 
-def read(body: bytes) -> tuple[list[str], bool]:
-    """Parse a request document; raises `Error`.
+def parse_names(body: bytes) -> tuple[list[str], bool]:
+    """Parse a request document; raises `S3Error`.
 
     Returns:
         The names, each once and in order of first mention, and whether only errors are to be reported.
     """
     if len(body) > MAX_DOCUMENT_BYTES:
-        raise Error("MalformedXML")
+        raise S3Error("MalformedXML")
     names, quiet = dict[str, None](), False
     try:
         root = fromstring(body)
         if local_name(root) != "Delete":
-            raise Error("MalformedXML")
+            raise S3Error("MalformedXML")
         for element in root:
             if local_name(element) == "Quiet":
                 quiet = (element.text or "").strip().lower() == "true"
             elif local_name(element) == "Object":
                 fields = {local_name(child): child.text or "" for child in element}
                 if "VersionId" in fields:
-                    raise Error("NotImplemented")
+                    raise S3Error("NotImplemented")
                 if not fields.get("Key"):
-                    raise Error("MalformedXML")
+                    raise S3Error("MalformedXML")
                 names[fields["Key"]] = None
                 if len(names) > MAX_NAMES:
-                    raise Error("MalformedXML")
+                    raise S3Error("MalformedXML")
     except (ParseError, DefusedXmlException):
-        raise Error("MalformedXML") from None
+        raise S3Error("MalformedXML") from None
     if not names:
-        raise Error("MalformedXML")
+        raise S3Error("MalformedXML")
     return list(names), quiet
 
 
@@ -54,7 +54,7 @@
     return str(element.tag).rpartition("}")[2]
 
 
-def write(results: dict[str, str | None], quiet: bool) -> bytes:
+def result_document(results: dict[str, str | None], quiet: bool) -> bytes:
     """Return the result document.
 
     Args:
--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -20,12 +20,21 @@
 
 from mallowbeam.http.framing import HOP_BY_HOP, TOKEN, Channel, Headers, Message, write_head
 from mallowbeam.http.handler import Response
-from mallowbeam.storage_gateway.frontends.object_api.access import require
-from mallowbeam.storage_gateway.frontends.object_api.bodies import KNOWN, Body, bare
+from mallowbeam.storage_gateway.frontends.object_api.access import authorize
+from mallowbeam.storage_gateway.frontends.object_api.bodies import (
+    KNOWN_CHECKSUMS,
+    BodyVerifier,
+    without_framing,
+)
 from mallowbeam.storage_gateway.frontends.object_api.calls import Request
 from mallowbeam.storage_gateway.frontends.object_api.conditions import read_status, write_allowed
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error, slow_down
-from mallowbeam.storage_gateway.frontends.object_api.front import BucketCall, Objects, cut_here, range_of
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error, slow_down
+from mallowbeam.storage_gateway.frontends.object_api.front import (
+    BucketCall,
+    Objects,
+    apply_range,
+    content_range,
+)
 from mallowbeam.storage_gateway.frontends.object_api.listings import Item, Query
 from mallowbeam.storage_gateway.frontends.object_api.settings import ObjectSettings
 from mallowbeam.storage_gateway.operator_settings import BufferSection, convert
@@ -114,25 +123,27 @@
 class BufferedObjects(Objects):
     """The object API with a write-back buffer."""
 
-    def __init__(self, gateway: Gateway, settings: ObjectSettings, buffer: Settings, handed: bool) -> None:
+    def __init__(
+        self, gateway: Gateway, settings: ObjectSettings, buffer: Settings, handed_over: bool
+    ) -> None:
         super().__init__(gateway, settings)
-        why = check_folder(buffer, handed)
+        why = check_folder(buffer, handed_over)
         if why is not None:
             raise GatewayConfigError(why)
         self.max_buffered_body = min(settings.max_body, CHUNK_BYTES)  # larger bodies are streamed
-        self.buffer = Buffer(buffer, self, handed_over=handed)
+        self.buffer = Buffer(buffer, self, handed_over=handed_over)
         gateway.parts.append(self.buffer)
 
     # --- client calls ---------------------------------------------------------------------------
 
-    async def on_bucket(self, call: BucketCall) -> Response:
+    async def serve_bucket(self, call: BucketCall) -> Response:
         """Serve a call on a bucket: a barrier of a buffered bucket, or an operation that any bucket has."""
         if call.bucket in self.buffer.settings.buckets:
             if self.buffer.phase is not Phase.OPEN:
                 raise slow_down()  # the buffer's contents are not known
             if "barrier" in call.query:
                 return await self._barrier_call(call)
-        return await super().on_bucket(call)
+        return await super().serve_bucket(call)
 
     async def serve(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
         """Serve a call on an object: from the buffer, into the buffer, or by its node."""
@@ -140,7 +151,7 @@
             return await self._forward_direct(request, request_id, closing)
         if self.buffer.phase is not Phase.OPEN:
             raise slow_down()
-        if request.reads and not request.upload:
+        if request.is_read and not request.upload:
             return await self._read(request, request_id, closing)
         if request.method in (b"PUT", b"DELETE") and not request.upload:
             return await self._write(request, request_id, closing)
@@ -150,14 +161,14 @@
 
     def _deadline(self, message: Message) -> float:
         """Return the time limit in seconds of a write or barrier, from its client or its class."""
-        return self.seconds(self.settings.write_class, message.get(b"x-deadline-ms"))
+        return self.time_limit(self.settings.write_class, message.get(b"x-deadline-ms"))
 
     async def _forward_direct(
         self, request: Request, request_id: str, closing: Callable[[], bool]
     ) -> Response:
         """Forward a call directly to its node, with a streamed body buffered in memory first."""
-        async with self.held(request.message):
-            return await self.pass_on(request, request_id, closing)
+        async with self.buffered_body(request.message):
+            return await self.forward(request, request_id, closing)
 
     async def _wait_until_direct_allowed(self, request: Request) -> None:
         """Wait until no buffered write must precede a direct write; refuse at once if that takes long."""
@@ -187,7 +198,7 @@
         message, buffer = request.message, self.buffer
         barrier = request.headers.get(BARRIER_HEADER)
         if barrier not in (None, b"sync", b"through"):
-            raise Error("InvalidArgument")
+            raise S3Error("InvalidArgument")
         conditional = b"if-match" in request.headers or b"if-none-match" in request.headers
         newest = self._newest_write(request) if conditional else None
         admission = buffer.intake.admit(
@@ -207,14 +218,14 @@
         except RecordRejectedError:
             raise slow_down() from None
         except CommitUnknownError:
-            raise Error("InternalError") from None
+            raise S3Error("InternalError") from None
         try:
             lsn = await buffer.intake.put_barrier(request.bucket) if barrier is not None else None
         except (
             RecordRejectedError,
             CommitUnknownError,
         ):  # the write itself is durable, so this must not look like a refusal
-            raise Error("InternalError") from None
+            raise S3Error("InternalError") from None
         if lsn is not None and barrier == b"through":
             await self._wait_for_barrier(request.bucket, lsn, self._deadline(request.message))
         headers = [(b"x-amz-request-id", request_id.encode()), DURABLE_HEADER]
@@ -231,12 +242,12 @@
         return chain[-1] if chain else None
 
     def _check_conditions(self, request: Request) -> None:
-        """Check a write's conditions against the newest buffered write of its object; raises `Error`."""
+        """Check a write's conditions against the newest buffered write of its object; raises `S3Error`."""
         newest = self._newest_write(request)
         if newest is None or self.buffer.reader.newest(request.bucket, request.path) is not newest:
             raise slow_down()  # it has just been flushed to its node, or is not durable yet and may fail
         if not write_allowed(request.headers, newest.etag if newest.method == "PUT" else None):
-            raise Error("PreconditionFailed")
+            raise S3Error("PreconditionFailed")
 
     @staticmethod
     def _bufferable(request: Request) -> bool:
@@ -244,7 +255,7 @@
         return all(
             not name.startswith(b"x-amz-")
             or name in HOP_HEADERS
-            or name in KNOWN
+            or name in KNOWN_CHECKSUMS
             or name.startswith(b"x-amz-meta-")
             for name, _ in request.message.headers
         )
@@ -254,17 +265,17 @@
         message, buffer = request.message, self.buffer
         token = request.headers.get(b"idempotency-key", request_id.encode())
         if not TOKEN.match(token):
-            raise Error("InvalidArgument")
+            raise S3Error("InvalidArgument")
         stored_headers = [
             header
-            for header in bare(message.headers)
+            for header in without_framing(message.headers)
             if header[0] in STORED_HEADERS or header[0].startswith(b"x-amz-meta-")
         ]
         write = Write(
             request.method.decode(),
             request.bucket,
             request.path,
-            request.place,
+            request.placement_hash,
             stored_headers,
             token,
             "",
@@ -273,7 +284,7 @@
         )
         if request.method == b"DELETE":
             return await buffer.intake.put(write, b"")
-        body = Body(request.headers, request.signatures)
+        body = BodyVerifier(request.headers, request.signatures)
         if message.stream is None:
             data = b"".join(body.feed(message.body))
             body.end()
@@ -282,7 +293,7 @@
         return await self._append_streamed_write(request, write, body, conditional)
 
     async def _append_streamed_write(
-        self, request: Request, write: Write, body: Body, conditional: bool
+        self, request: Request, write: Write, body: BodyVerifier, conditional: bool
     ) -> Entry:
         """Append a streamed write to the log, a piece at a time."""
         stream, buffer, upload = request.message.stream, self.buffer, Upload()
@@ -291,10 +302,10 @@
             while (piece := await stream.get()) is not None:
                 for data in body.feed(piece):
                     if upload.size + len(data) > self.max_body:
-                        raise Error("EntityTooLarge")
+                        raise S3Error("EntityTooLarge")
                     await buffer.intake.add(upload, data)
             if stream.aborted:
-                raise Error("IncompleteBody")
+                raise S3Error("IncompleteBody")
             body.end()
             write.etag = body.etag
             await buffer.intake.complete(upload, write)
@@ -309,32 +320,32 @@
     async def _barrier_call(self, call: BucketCall) -> Response:
         """Serve `POST /b?barrier=sync|through` (set a barrier) and `GET /b?barrier=N` (has it passed?)."""
         buffer, message, bucket, barrier = self.buffer, call.message, call.bucket, call.query["barrier"]
-        require(call.key, "read" if message.method == b"GET" else "write", bucket, b"")
+        authorize(call.key, "read" if message.method == b"GET" else "write", bucket, b"")
         headers = [(b"x-amz-request-id", call.request_id.encode())]
         if message.method == b"GET" and BARRIER_NUMBER.match(barrier):
             lsn = int(barrier)
             if lsn > buffer.store.lsn:
-                raise Error("NoSuchBarrier")
+                raise S3Error("NoSuchBarrier")
             if buffer.core.writes_before(lsn) is not None:
                 raise slow_down(self._flush_seconds(buffer.core.writes_before(lsn) or 0))
             return Response(200, write_head(200, headers, 0, call.closing()))
         if message.method != b"POST":
-            raise Error("MethodNotAllowed")
+            raise S3Error("MethodNotAllowed")
         if barrier not in ("sync", "through"):
-            raise Error("InvalidArgument")
+            raise S3Error("InvalidArgument")
         try:
             lsn = await buffer.intake.put_barrier(bucket)
         except RecordRejectedError:
             raise slow_down() from None
         except CommitUnknownError:
-            raise Error("InternalError") from None
+            raise S3Error("InternalError") from None
         headers.append((BARRIER_ID_HEADER, b"%d" % lsn))
         if barrier == "through":
             await self._wait_for_barrier(bucket, lsn, self._deadline(message))
         return Response(200, write_head(200, headers, 0, call.closing()))
 
     async def _wait_for_barrier(self, bucket: str, lsn: int, seconds: float) -> None:
-        """Wait for a barrier; if it cannot pass in time, raise `Error` at once, with its number to poll."""
+        """Wait for a barrier; if it cannot pass in time, raise `S3Error` at once, with its number to poll."""
         writes_before = self.buffer.core.writes_before(lsn) or 0
         expected_seconds = self._flush_seconds(writes_before)
         suspended = self.buffer.core.suspended_before_barrier(bucket) is not None
@@ -343,7 +354,7 @@
             or expected_seconds > seconds
             or not await self.buffer.waiters.barrier_passed(lsn, seconds)
         ):
-            raise Error(
+            raise S3Error(
                 "SlowDown",
                 [
                     (b"retry-after", b"%d" % max(1, math.ceil(expected_seconds))),
@@ -357,15 +368,15 @@
         """Serve a GET or HEAD from the buffer while it has the object, else from its node."""
         entry = self.buffer.reader.newest(request.bucket, request.path)
         if entry is None:
-            return await self.pass_on(request, request_id, closing)
+            return await self.forward(request, request_id, closing)
         if entry.method == "DELETE":
-            raise Error("NoSuchKey")
+            raise S3Error("NoSuchKey")
         try:
             write, whole = await self.buffer.reader.read(entry)
         except (LogIOError, ValueError):
             if self.buffer.phase is Phase.CLOSED:  # another process has taken over the files
                 raise slow_down() from None
-            raise Error("InternalError") from None
+            raise S3Error("InternalError") from None
         headers: Headers = [
             *write.headers,
             (b"etag", write.etag.encode()),
@@ -375,15 +386,15 @@
         ]
         status = read_status(request.headers, write.etag, write.accepted_at)
         if status == 412:
-            raise Error("PreconditionFailed")
+            raise S3Error("PreconditionFailed")
         if status == 304:
             return Response(304, write_head(304, headers, None, closing()))
         start, end = 0, write.size
         range_header = request.headers.get(b"range")
         if range_header and request.headers.get(b"if-range", write.etag.encode()) == write.etag.encode():
-            if byte_range := cut_here(range_header, write.size):
+            if byte_range := apply_range(range_header, write.size):
                 (start, end), status = byte_range, 206
-                headers.append(range_of(start, end, write.size))
+                headers.append(content_range(start, end, write.size))
         if request.method == b"HEAD" or not write.chunks:
             head = write_head(status, headers, end - start, closing())
             return Response(status, head + whole[start:end])
@@ -437,7 +448,7 @@
         gateway_settings, settings = self.gateway.config.settings, self.settings
         cls = settings.read_class if method == b"HEAD" else settings.write_class
         request_id = secrets.token_hex(8)
-        fields = self.fields(
+        fields = self.scheduler_fields(
             cls,
             expires,
             write.bucket,
--- a/mallowbeam/storage_gateway/frontends/object_api/calls.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/calls.py
@@ -9,11 +9,11 @@
 from zlib import crc32
 
 from mallowbeam.http.framing import Message
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
 from mallowbeam.storage_gateway.frontends.object_api.ranges import span
 from mallowbeam.storage_gateway.frontends.object_api.settings import ObjectSettings
 from mallowbeam.storage_gateway.frontends.object_api.signatures import ChunkSignatures
-from mallowbeam.storage_gateway.frontends.object_api.uploads import unpack_upload
+from mallowbeam.storage_gateway.frontends.object_api.uploads import decode_upload_id
 
 MAX_PARTS = 10_000
 MAX_KEY_BYTES = 1024  # of an object's name
@@ -26,8 +26,8 @@
     b"DELETE": {"uploadId", "x-id"},
     b"POST": {"uploads", "uploadId", "x-id"},
 }
-BUCKET_CALL = re.compile(rb"/([a-z0-9][a-z0-9.-]{1,61}[a-z0-9])/?(?:\?([\x21-\x7e]*))?\Z")
-LISTING = {
+BUCKET_TARGET = re.compile(rb"/([a-z0-9][a-z0-9.-]{1,61}[a-z0-9])/?(?:\?([\x21-\x7e]*))?\Z")
+LISTING_PARAMETERS = {
     "list-type",
     "prefix",
     "delimiter",
@@ -39,14 +39,14 @@
     "fetch-owner",
     "x-id",
 }
-SIGNED = frozenset(
+SIGNATURE_PARAMETERS = frozenset(
     f"X-Amz-{name}"
     for name in ("Algorithm", "Credential", "Date", "Expires", "SignedHeaders", "Signature", "Security-Token")
 )
 
 
 class Request:
-    """A client's parsed request on an object; raises `Error` for one that S3 would reject."""
+    """A client's parsed request on an object; raises `S3Error` for one that S3 would reject."""
 
     def __init__(self, message: Message, settings: ObjectSettings, shards: int) -> None:
         self.message, self.method = message, message.method
@@ -55,47 +55,49 @@
         bucket, _, key = path[1:].partition(b"/")
         name = unquote_to_bytes(key)
         if not path.startswith(b"/") or not BUCKET_NAME.match(bucket.decode("latin-1")):
-            raise Error("InvalidBucketName")
+            raise S3Error("InvalidBucketName")
         if not key:
-            raise Error("NotImplemented")  # bucket operations: a bucket is spread over nodes
+            raise S3Error("NotImplemented")  # bucket operations: a bucket is spread over nodes
         if len(name) > MAX_KEY_BYTES:
-            raise Error("KeyTooLongError")
+            raise S3Error("KeyTooLongError")
         try:
             name.decode()  # S3 names are UTF-8
         except UnicodeDecodeError:
-            raise Error("InvalidURI") from None
-        self.place = crc32(bucket + b"/" + name)
+            raise S3Error("InvalidURI") from None
+        self.placement_hash = crc32(bucket + b"/" + name)
         # The canonical spelling of each name, as in Signature V4's canonical URI.
         self.path = b"/" + bucket + b"/" + quote(name, safe="/-._~").encode()
-        self.bucket, self.key = bucket.decode(), f"{self.place:016x}"
+        self.bucket, self.key = bucket.decode(), f"{self.placement_hash:016x}"
         self.query = dict(parse_qsl(raw_query.decode("latin-1"), keep_blank_values=True))
         self.signatures: ChunkSignatures | None = None  # of the body's chunks, if they are signed
         # Presigned query parameters are not forwarded, and the upload id is replaced by the node's own.
         pairs = [
             pair
             for pair in raw_query.split(b"&")
-            if pair and pair.partition(b"=")[0].decode("latin-1") not in (*SIGNED, "uploadId")
+            if pair and pair.partition(b"=")[0].decode("latin-1") not in (*SIGNATURE_PARAMETERS, "uploadId")
         ]
         self.upload: str | None = None  # the id given to the client
-        self.shard = self.place % shards
+        self.shard = self.placement_hash % shards
         if "uploadId" in self.query:
             self.upload = self.query["uploadId"]
-            self.shard, node_upload_id = unpack_upload(self.upload)
+            self.shard, node_upload_id = decode_upload_id(self.upload)
             if self.shard >= shards:
-                raise Error("NoSuchUpload")
+                raise S3Error("NoSuchUpload")
             pairs.append(b"uploadId=" + quote(node_upload_id, safe="").encode())
         self.target = path + (b"?" + b"&".join(pairs) if pairs else b"")
         self._check()
-        self.reads = self.method in (b"GET", b"HEAD")
-        size = span(self.headers.get(b"range")) if self.reads else max(message.received, message.length or 0)
-        self.measure(size or 0, settings)
+        self.is_read = self.method in (b"GET", b"HEAD")
+        size = (
+            span(self.headers.get(b"range")) if self.is_read else max(message.received, message.length or 0)
+        )
+        self.set_units(size or 0, settings)
 
-    def measure(self, size: int, settings: ObjectSettings) -> None:
+    def set_units(self, size: int, settings: ObjectSettings) -> None:
         """Set the request's size in scheduling units from its size in bytes."""
         self.units = max(1, math.ceil(size / settings.unit_bytes))
 
     @property
-    def initiates(self) -> bool:
+    def initiates_upload(self) -> bool:
         """Whether the request initiates a multipart upload."""
         return self.method == b"POST" and "uploads" in self.query
 
@@ -104,18 +106,18 @@
         query, method = self.query, self.method
         part, upload = query.get("partNumber"), self.upload
         if method not in QUERY_PARAMETERS:
-            raise Error("MethodNotAllowed")
+            raise S3Error("MethodNotAllowed")
         if b"x-amz-copy-source" in self.headers:
-            raise Error("NotImplemented")
-        if set(query) - QUERY_PARAMETERS[method] - SIGNED:
-            raise Error("NotImplemented")
+            raise S3Error("NotImplemented")
+        if set(query) - QUERY_PARAMETERS[method] - SIGNATURE_PARAMETERS:
+            raise S3Error("NotImplemented")
         if part is not None and not (
             part.isascii() and part.isdigit() and len(part) < 6 and 1 <= int(part) <= MAX_PARTS
         ):
-            raise Error("InvalidArgument")
+            raise S3Error("InvalidArgument")
         if method == b"PUT" and (part is None) != (upload is None):
-            raise Error("InvalidArgument")
+            raise S3Error("InvalidArgument")
         if method == b"POST" and ("uploads" in query) == (upload is not None):
-            raise Error("InvalidArgument")
+            raise S3Error("InvalidArgument")
         if method == b"PUT" and not {b"content-length", b"transfer-encoding"} & set(self.headers):
-            raise Error("MissingContentLength")
+            raise S3Error("MissingContentLength")
--- a/mallowbeam/storage_gateway/frontends/object_api/errors.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/errors.py
@@ -39,10 +39,10 @@
     "RequestTimeout": (408, "Your request was not read within the timeout period."),
     "SlowDown": (503, "Please reduce your request rate."),
 }
-CODE_OF = {status: code for code, (status, _) in reversed(ERRORS.items())}
+CODE_BY_STATUS = {status: code for code, (status, _) in reversed(ERRORS.items())}
 
 
-class Error(MallowbeamError):
+class S3Error(MallowbeamError):
     """An S3 error that the gateway itself returns to the client."""
 
     error_name = "Error"
@@ -63,6 +63,6 @@
     ).encode()
 
 
-def slow_down(seconds: float | None = None) -> Error:
+def slow_down(seconds: float | None = None) -> S3Error:
     """Return a SlowDown error; Retry-After is rounded up, as S3 clients expect whole seconds."""
-    return Error("SlowDown", [(b"retry-after", b"%d" % max(1, math.ceil(seconds or 0)))])
+    return S3Error("SlowDown", [(b"retry-after", b"%d" % max(1, math.ceil(seconds or 0)))])
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -23,33 +23,38 @@
 from mallowbeam.http.handler import Response
 from mallowbeam.http.stream import Stream, copy
 from mallowbeam.storage_gateway.frontends.object_api import batches
-from mallowbeam.storage_gateway.frontends.object_api.access import Access, Key, require
-from mallowbeam.storage_gateway.frontends.object_api.bodies import unwrap
-from mallowbeam.storage_gateway.frontends.object_api.calls import BUCKET_CALL, LISTING, SIGNED, Request
+from mallowbeam.storage_gateway.frontends.object_api.access import Access, Key, authorize
+from mallowbeam.storage_gateway.frontends.object_api.bodies import remove_framing
+from mallowbeam.storage_gateway.frontends.object_api.calls import (
+    BUCKET_TARGET,
+    LISTING_PARAMETERS,
+    SIGNATURE_PARAMETERS,
+    Request,
+)
 from mallowbeam.storage_gateway.frontends.object_api.errors import (
-    CODE_OF,
+    CODE_BY_STATUS,
     ERRORS,
-    Error,
+    S3Error,
     error_body,
     slow_down,
 )
 from mallowbeam.storage_gateway.frontends.object_api.listings import (
-    Ask,
     Item,
     Merge,
+    NodeRequest,
     Query,
-    read_part,
-    target,
+    listing_target,
+    parse_node_listing,
 )
-from mallowbeam.storage_gateway.frontends.object_api.ranges import Unsatisfiable, cut
+from mallowbeam.storage_gateway.frontends.object_api.ranges import UnsatisfiableRangeError, resolve_range
 from mallowbeam.storage_gateway.frontends.object_api.settings import ObjectSettings
 from mallowbeam.storage_gateway.frontends.object_api.signatures import (
-    CHUNKED,
+    CHUNKED_PAYLOAD,
     ChunkSignatures,
-    read_claim,
+    parse_claim,
     verify,
 )
-from mallowbeam.storage_gateway.frontends.object_api.uploads import rename_upload
+from mallowbeam.storage_gateway.frontends.object_api.uploads import replace_upload_id
 from mallowbeam.storage_gateway.server.calls import (
     Answer,
     AnswerKind,
@@ -106,19 +111,19 @@
         """Return the response to a request."""
         request_id = secrets.token_hex(8)
         try:
-            if match := BUCKET_CALL.match(message.target):
-                return await self.on_bucket(self.read_bucket(message, match, request_id, closing))
-            return await self.serve(self.read(message), request_id, closing)
-        except Error as error:
+            if match := BUCKET_TARGET.match(message.target):
+                return await self.serve_bucket(self.parse_bucket_call(message, match, request_id, closing))
+            return await self.serve(self.parse_request(message), request_id, closing)
+        except S3Error as error:
             return self.s3_error_response(error, message, request_id, closing())
 
     async def serve(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
-        """Serve a call on an object; raises `Error`."""
-        return await self.pass_on(request, request_id, closing)
+        """Serve a call on an object; raises `S3Error`."""
+        return await self.forward(request, request_id, closing)
 
     @asynccontextmanager
-    async def held(self, message: Message) -> AsyncIterator[None]:
-        """Buffer a streamed body completely, charged to the budget until exit; raises `Error`."""
+    async def buffered_body(self, message: Message) -> AsyncIterator[None]:
+        """Buffer a streamed body completely, charged to the budget until exit; raises `S3Error`."""
         reserved, body = 0, bytearray()
         try:
             if message.stream is not None:
@@ -129,16 +134,16 @@
                         raise slow_down()
                     body += piece
                 if message.stream.aborted:
-                    raise Error("IncompleteBody")
+                    raise S3Error("IncompleteBody")
                 message.body = body
             yield
         finally:
             self.budget.used -= reserved
 
-    def read_bucket(
+    def parse_bucket_call(
         self, message: Message, match: re.Match[bytes], request_id: str, closing: Callable[[], bool]
     ) -> BucketCall:
-        """Parse and authenticate a call on a bucket; raises `Error`."""
+        """Parse and authenticate a call on a bucket; raises `S3Error`."""
         query = dict(
             parse_qsl((match[2] or b"").decode("latin-1"), keep_blank_values=True, errors="surrogateescape")
         )
@@ -148,32 +153,32 @@
             match[1].decode(),
             query,
             headers,
-            *self.identify(message, headers, query),
+            *self.authenticate(message, headers, query),
             request_id,
             closing,
         )
 
-    def read(self, message: Message) -> Request:
-        """Parse, authenticate and authorize a call on an object; raises `Error`."""
+    def parse_request(self, message: Message) -> Request:
+        """Parse, authenticate and authorize a call on an object; raises `S3Error`."""
         request = Request(message, self.settings, self.gateway.config.settings.shards)
-        key, request.signatures = self.identify(message, request.headers, request.query)
+        key, request.signatures = self.authenticate(message, request.headers, request.query)
         name = unquote_to_bytes(request.path.split(b"/", 2)[2])
-        require(key, "read" if request.reads else "write", request.bucket, name)
+        authorize(key, "read" if request.is_read else "write", request.bucket, name)
         return request
 
-    async def on_bucket(self, call: BucketCall) -> Response:
-        """Serve a call on a bucket: a listing or a multi-object delete; raises `Error`."""
-        parameters = set(call.query) - SIGNED
+    async def serve_bucket(self, call: BucketCall) -> Response:
+        """Serve a call on a bucket: a listing or a multi-object delete; raises `S3Error`."""
+        parameters = set(call.query) - SIGNATURE_PARAMETERS
         if call.message.method == b"POST" and parameters - {"x-id"} == {"delete"}:
             return await self._delete_many(call)
         prefix = call.query.get("prefix", "").encode("utf-8", "surrogateescape")
-        require(call.key, "list", call.bucket, prefix)
-        if call.message.method != b"GET" or parameters - LISTING:
-            raise Error("NotImplemented")
-        query = Query.read(call.bucket, call.query)
+        authorize(call.key, "list", call.bucket, prefix)
+        if call.message.method != b"GET" or parameters - LISTING_PARAMETERS:
+            raise S3Error("NotImplemented")
+        query = Query.parse(call.bucket, call.query)
         deadline = self._deadline_at(call, self.settings.read_class)
         merge = Merge(query, self.gateway.config.settings.shards, await self.overlay(query))
-        while asks := merge.needs():
+        while asks := merge.next_requests():
             remaining = deadline - self.gateway.now()
             node_lists = await gather_or_cancel(*(self._list_node(query, ask, remaining) for ask in asks))
             for ask, listing in zip(asks, node_lists, strict=True):
@@ -182,7 +187,7 @@
 
     def _deadline_at(self, call: BucketCall, cls: str) -> float:
         """Return the time on the gateway's clock by which a call of a class must finish."""
-        return self.gateway.now() + self.seconds(cls, call.headers.get(b"x-deadline-ms"))
+        return self.gateway.now() + self.time_limit(cls, call.headers.get(b"x-deadline-ms"))
 
     @staticmethod
     def _xml_response(body: bytes, call: BucketCall) -> Response:
@@ -193,9 +198,9 @@
     async def _delete_many(self, call: BucketCall) -> Response:
         """Serve DeleteObjects: an ordinary call for each name, a few at a time, under one deadline."""
         deadline = self._deadline_at(call, self.settings.write_class)
-        async with self.held(call.message):
-            await self.unwrap(call.message, call.headers, call.signatures)
-        names, quiet = batches.read(bytes(call.message.body))
+        async with self.buffered_body(call.message):
+            await self.remove_framing(call.message, call.headers, call.signatures)
+        names, quiet = batches.parse_names(bytes(call.message.body))
         results: dict[str, str | None] = dict.fromkeys(names)
         semaphore = asyncio.Semaphore(MAX_CONCURRENT_DELETES)
 
@@ -210,29 +215,33 @@
                     single.target = b"/%b/%b" % (call.bucket.encode(), quote(name, safe="/-._~").encode())
                     single.headers = [(b"x-deadline-ms", b"%d" % max(1, int(remaining * 1000)))]
                     request = Request(single, self.settings, self.gateway.config.settings.shards)
-                    require(call.key, "write", call.bucket, name.encode())
+                    authorize(call.key, "write", call.bucket, name.encode())
                     reply = await self.serve(request, secrets.token_hex(8), call.closing)
                     if reply.status not in (204, 404):
-                        raise Error(CODE_OF.get(reply.status, "InternalError"))
-                except Error as error:
+                        raise S3Error(CODE_BY_STATUS.get(reply.status, "InternalError"))
+                except S3Error as error:
                     results[name] = error.code
 
         await gather_or_cancel(*(delete_one(name) for name in names))
-        return self._xml_response(batches.write(results, quiet), call)
+        return self._xml_response(batches.result_document(results, quiet), call)
 
-    async def _list_node(self, query: Query, ask: Ask, seconds: float) -> tuple[list[Item], str, bool]:
+    async def _list_node(
+        self, query: Query, ask: NodeRequest, seconds: float
+    ) -> tuple[list[Item], str, bool]:
         """Fetch a node's next names by an ordinary call of one unit, within the listing's remaining time."""
         if seconds <= 0:
             raise slow_down()
         request_id = secrets.token_hex(8)
         key = f"{crc32(query.bucket.encode()):016x}"
-        fields = self.fields(self.settings.read_class, seconds, query.bucket, ask.shard, key, 1, False)
+        fields = self.scheduler_fields(
+            self.settings.read_class, seconds, query.bucket, ask.shard, key, 1, False
+        )
         answer = await self.gateway.submit(
             Call(
                 request_id,
                 fields,
                 b"GET",
-                target(query, ask),
+                listing_target(query, ask),
                 [(b"x-request-id", request_id.encode())],
                 final=lambda status: 200 <= status < 500,
             )
@@ -240,60 +249,60 @@
         if answer.kind is AnswerKind.REFUSED:
             raise slow_down(answer.retry_after)
         if answer.kind is AnswerKind.FAILED or answer.status != 200:
-            raise Error("InternalError")
-        return read_part(bytes(answer.body))
+            raise S3Error("InternalError")
+        return parse_node_listing(bytes(answer.body))
 
     async def overlay(self, query: Query) -> dict[str, Item | None]:
         """Return names whose state differs from the nodes', with None for a deleted name."""
         return {}
 
-    def identify(
+    def authenticate(
         self, message: Message, headers: Mapping[bytes, bytes], query: Mapping[str, str]
     ) -> tuple[Key | None, ChunkSignatures | None]:
-        """Authenticate a call; raises `Error`.
+        """Authenticate a call; raises `S3Error`.
 
         Returns:
             The caller's key, None if authentication is off, and the verifier of its signed chunks, if any.
         """
         if self.access is None:
             return None, None
-        self.access.look(time.monotonic())
-        claim = read_claim(headers, query)
+        self.access.reload_if_changed(time.monotonic())
+        claim = parse_claim(headers, query)
         if claim is None:
-            raise Error("AccessDenied")
+            raise S3Error("AccessDenied")
         key = self.access.keys.get(claim.key)
         verify(message, claim, key.secret if key is not None else None, time.time())
         assert key is not None
-        return key, ChunkSignatures(claim, key.secret) if claim.payload.startswith(CHUNKED) else None
+        return key, ChunkSignatures(claim, key.secret) if claim.payload.startswith(CHUNKED_PAYLOAD) else None
 
     @staticmethod
-    async def unwrap(
+    async def remove_framing(
         message: Message, headers: Mapping[bytes, bytes], signatures: ChunkSignatures | None
     ) -> None:
         """Check a buffered body and remove its framing; in a thread for a large one, as digests take long."""
         if len(message.body) > INLINE_DIGEST_BYTES:
-            await asyncio.to_thread(unwrap, message, headers, signatures)
+            await asyncio.to_thread(remove_framing, message, headers, signatures)
         else:
-            unwrap(message, headers, signatures)
+            remove_framing(message, headers, signatures)
 
-    async def pass_on(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
-        """Forward a call to its home node; raises `Error`."""
+    async def forward(self, request: Request, request_id: str, closing: Callable[[], bool]) -> Response:
+        """Forward a call to its home node; raises `S3Error`."""
         if request.method in (b"PUT", b"POST"):
-            await self.unwrap(request.message, request.headers, request.signatures)
-            request.measure(len(request.message.body), self.settings)
+            await self.remove_framing(request.message, request.headers, request.signatures)
+            request.set_units(len(request.message.body), self.settings)
         call = self._call(request, request_id)
         answer = await self.gateway.submit(call)
         if answer.kind is AnswerKind.REFUSED:
             raise slow_down(answer.retry_after)
         if answer.kind is AnswerKind.FAILED:
-            raise Error("InternalError")
+            raise S3Error("InternalError")
         if answer.stream is not None:
             return self._streaming_response(request, answer, answer.stream, request_id, closing)
         return self._buffered_response(request, answer, request_id, closing())
 
     def error_response(self, status: int, text: str) -> Response:
         """Return the response to malformed HTTP or an exceeded limit."""
-        code = CODE_OF.get(status, "InvalidRequest")
+        code = CODE_BY_STATUS.get(status, "InvalidRequest")
         headers = [(b"content-type", b"application/xml")]
         if code == "SlowDown":
             headers.append((b"retry-after", b"1"))
@@ -309,8 +318,8 @@
     def _call(self, request: Request, request_id: str) -> Call:
         """Return the gateway call for a request: what the scheduler and a node receive."""
         settings, gateway_settings, headers = self.settings, self.gateway.config.settings, request.headers
-        cls = gateway_settings.classes[settings.read_class if request.reads else settings.write_class]
-        seconds = self.seconds(cls.name, headers.get(b"x-deadline-ms"))
+        cls = gateway_settings.classes[settings.read_class if request.is_read else settings.write_class]
+        seconds = self.time_limit(cls.name, headers.get(b"x-deadline-ms"))
         dropped = (
             UNFORWARDED_REQUEST_HEADERS
             if self.access is None
@@ -320,12 +329,12 @@
         # Keeps a client's own key, so that its retries are deduplicated too; else all attempts share the id.
         token = headers.get(b"idempotency-key", request_id.encode())
         if not TOKEN.match(token):
-            raise Error("InvalidArgument")
+            raise S3Error("InvalidArgument")
         forwarded.append((b"x-request-id", request_id.encode()))
-        if not request.reads:
+        if not request.is_read:
             forwarded.append((b"idempotency-key", token))
-        fields = self.fields(
-            cls.name, seconds, request.bucket, request.shard, request.key, request.units, not request.reads
+        fields = self.scheduler_fields(
+            cls.name, seconds, request.bucket, request.shard, request.key, request.units, not request.is_read
         )
         return Call(
             request_id,
@@ -338,15 +347,15 @@
             streamed=lambda status: request.method == b"GET" and status in (200, 206) and not request.upload,
         )
 
-    def seconds(self, cls: str, header: bytes | None) -> float:
-        """Return a call's time limit in seconds, from its client's header or its class; raises `Error`."""
+    def time_limit(self, cls: str, header: bytes | None) -> float:
+        """Return a call's time limit in seconds, from its client's header or its class; raises `S3Error`."""
         class_deadline = self.gateway.config.settings.classes[cls].deadline
         deadline = class_deadline if header is None else read_deadline(header, MAX_DEADLINE_MS)
         if deadline is None:
-            raise Error("InvalidArgument")
+            raise S3Error("InvalidArgument")
         return time_left(deadline)
 
-    def fields(
+    def scheduler_fields(
         self, cls: str, expires: float, bucket: str, shard: int, key: str, units: int, writes: bool
     ) -> dict[str, object]:
         """Return the fields of a call that the scheduler receives."""
@@ -363,7 +372,7 @@
         }
 
     @staticmethod
-    def s3_error_response(error: Error, message: Message, request_id: str, close: bool) -> Response:
+    def s3_error_response(error: S3Error, message: Message, request_id: str, close: bool) -> Response:
         """Return the response for an S3 error."""
         body = error_body(error.code, message.target, request_id)
         headers = [(b"content-type", b"application/xml"), (b"x-amz-request-id", request_id.encode())]
@@ -380,18 +389,20 @@
                 and length is not None
                 and (range_header := request.headers.get(b"range"))
             ):
-                if byte_range := cut_here(range_header, length):
-                    headers.append(range_of(*byte_range, length))
+                if byte_range := apply_range(range_header, length):
+                    headers.append(content_range(*byte_range, length))
                     return Response(206, write_head(206, headers, byte_range[1] - byte_range[0], close))
             return Response(answer.status, write_head(answer.status, headers, length, close))
         if answer.status >= 400 and not body:
-            code = CODE_OF.get(answer.status, "InvalidRequest")
+            code = CODE_BY_STATUS.get(answer.status, "InvalidRequest")
             if code == "NoSuchKey" and request.upload:
                 code = "NoSuchUpload"
             body = error_body(code, request.message.target, request_id)
             headers.append((b"content-type", b"application/xml"))
-        elif answer.status == 200 and (request.initiates or request.upload and request.method == b"GET"):
-            body = rename_upload(bytes(body), request.upload, request.shard)
+        elif answer.status == 200 and (
+            request.initiates_upload or request.upload and request.method == b"GET"
+        ):
+            body = replace_upload_id(bytes(body), request.upload, request.shard)
         size = None if answer.status in (204, 304) else len(body)
         return Response(answer.status, write_head(answer.status, headers, size, close) + body)
 
@@ -408,14 +419,14 @@
         range_header = request.headers.get(b"range")
         if status == 200 and length is not None and range_header and b"if-range" not in request.headers:
             try:
-                byte_range = cut_here(range_header, length)
-            except Error:
+                byte_range = apply_range(range_header, length)
+            except S3Error:
                 stream.close()
                 raise
             if byte_range:
                 start, end = byte_range
                 status = 206
-                headers.append(range_of(start, end, length))
+                headers.append(content_range(start, end, length))
         size = None if end is None else end - start
 
         async def write(channel: Channel) -> bool:
@@ -447,14 +458,14 @@
     return headers
 
 
-def range_of(start: int, end: int, length: int) -> tuple[bytes, bytes]:
+def content_range(start: int, end: int, length: int) -> tuple[bytes, bytes]:
     """Return the Content-Range header of a 206 response."""
     return b"content-range", b"bytes %d-%d/%d" % (start, end - 1, length)
 
 
-def cut_here(range_header: bytes, length: int) -> tuple[int, int] | None:
-    """Resolve a range that the node did not apply; raises `Error` if it lies outside the object."""
+def apply_range(range_header: bytes, length: int) -> tuple[int, int] | None:
+    """Resolve a range that the node did not apply; raises `S3Error` if it lies outside the object."""
     try:
-        return cut(range_header, length)
-    except Unsatisfiable:
-        raise Error("InvalidRange", [(b"content-range", b"bytes */%d" % length)]) from None
+        return resolve_range(range_header, length)
+    except UnsatisfiableRangeError:
+        raise S3Error("InvalidRange", [(b"content-range", b"bytes */%d" % length)]) from None
--- a/mallowbeam/storage_gateway/frontends/object_api/listings.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/listings.py
@@ -21,7 +21,7 @@
 from defusedxml import DefusedXmlException
 from defusedxml.ElementTree import fromstring
 
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
 
 NAMESPACE = "http://s3.amazonaws.com/doc/2006-03-01/"
 MAX_PAGE_NAMES = 1000  # names on a page
@@ -39,18 +39,18 @@
     modified: str = ""
 
     @property
-    def order(self) -> bytes:
+    def sort_key(self) -> bytes:
         """The sort key."""
         return self.name.encode("utf-8", "surrogateescape")
 
 
-class Ask(NamedTuple):
+class NodeRequest(NamedTuple):
     """A request for a node's next names."""
 
     shard: int
     after: str  # exclusive
     token: str  # the node's own continuation token, which takes precedence over `after`
-    most: int
+    limit: int
 
 
 @dataclass(slots=True)
@@ -71,29 +71,29 @@
     prefix: str = ""
     delimiter: str = ""
     after: str = ""  # exclusive start
-    most: int = MAX_PAGE_NAMES
-    second: bool = True  # ListObjectsV2
-    encoded: bool = False  # whether names are percent-encoded in the answer
-    told: tuple[tuple[str, str], ...] = ()  # request parameters that the answer repeats
+    limit: int = MAX_PAGE_NAMES
+    is_v2: bool = True  # ListObjectsV2
+    percent_encoded: bool = False  # whether names are percent-encoded in the answer
+    echoed: tuple[tuple[str, str], ...] = ()  # request parameters that the answer repeats
 
     @classmethod
-    def read(cls, bucket: str, query: Mapping[str, str]) -> Query:
-        """Parse the query parameters of a listing request; raises `Error`."""
+    def parse(cls, bucket: str, query: Mapping[str, str]) -> Query:
+        """Parse the query parameters of a listing request; raises `S3Error`."""
         page_size, is_v2 = query.get("max-keys", str(MAX_PAGE_NAMES)), query.get("list-type") == "2"
         if not (page_size.isascii() and page_size.isdigit() and len(page_size) < 10):
-            raise Error("InvalidArgument")
+            raise S3Error("InvalidArgument")
         if query.get("encoding-type", "url") != "url" or query.get("list-type", "2") != "2":
-            raise Error("InvalidArgument")
+            raise S3Error("InvalidArgument")
         prefix, delimiter = query.get("prefix", ""), query.get("delimiter", "")
         token = query.get("continuation-token")
         if is_v2 and token is not None:
-            after = open_token(token, bucket, prefix, delimiter)
+            after = decode_token(token, bucket, prefix, delimiter)
         else:
             after = query.get("start-after" if is_v2 else "marker", "")
         try:
             (prefix + delimiter + after).encode()
         except UnicodeEncodeError:  # names are UTF-8
-            raise Error("InvalidArgument") from None
+            raise S3Error("InvalidArgument") from None
         names = ("continuation-token", "start-after") if is_v2 else ("marker",)
         return cls(
             bucket,
@@ -107,21 +107,21 @@
         )
 
 
-def seal_token(last: str, bucket: str, prefix: str, delimiter: str) -> str:
+def encode_token(last: str, bucket: str, prefix: str, delimiter: str) -> str:
     """Return a continuation token: opaque to clients and bound to their bucket, prefix and delimiter."""
     checksum = crc32(json.dumps([bucket, prefix, delimiter]).encode())
     return base64.urlsafe_b64encode(json.dumps([1, checksum, last]).encode()).decode()
 
 
-def open_token(token: str, bucket: str, prefix: str, delimiter: str) -> str:
-    """Return the last name in a token; raises `Error` for one that is invalid or of another listing."""
+def decode_token(token: str, bucket: str, prefix: str, delimiter: str) -> str:
+    """Return the last name in a token; raises `S3Error` for one that is invalid or of another listing."""
     try:
         version, checksum, last = json.loads(base64.b64decode(token.encode(), altchars=b"-_", validate=True))
     except (ValueError, TypeError, RecursionError):
-        raise Error("InvalidArgument") from None
+        raise S3Error("InvalidArgument") from None
     expected = crc32(json.dumps([bucket, prefix, delimiter]).encode())
     if version != 1 or checksum != expected or not isinstance(last, str):
-        raise Error("InvalidArgument")
+        raise S3Error("InvalidArgument")
     return last
 
 
@@ -131,26 +131,26 @@
     def __init__(self, query: Query, shards: int, overlay: Mapping[str, Item | None] | None = None) -> None:
         self.query, self.shards = query, shards
         # One more than the page holds, to know whether any name follows.
-        self.wanted = query.most + 1 if query.most else 0
+        self.wanted = query.limit + 1 if query.limit else 0
         self.parts = [
             NodeCursor(after=start_after(query.after, query.delimiter, query.prefix)) for _ in range(shards)
         ]
         self.overlay = dict(overlay or {})
         self.items: list[Item] = []  # the page, in order
         self.complete = not self.wanted
-        self.asked = 0  # names requested from nodes
+        self.requested_names = 0  # names requested from nodes
         self._overlay_items = deque(
             sorted(
                 {
-                    rolled(item, query)
+                    grouped(item, query)
                     for name, item in self.overlay.items()
                     if item is not None and name.startswith(query.prefix)
                 },
-                key=lambda item: item.order,
+                key=lambda item: item.sort_key,
             )
         )
 
-    def needs(self) -> list[Ask]:
+    def next_requests(self) -> list[NodeRequest]:
         """Return the requests needed to continue the page; empty if the page is complete."""
         self._merge()
         if self.complete:
@@ -161,15 +161,15 @@
             min(remaining, int(remaining / self.shards * NODE_SHARE_FACTOR) + 1),
         )
         requests = [
-            Ask(shard, cursor.after, cursor.token, count)
+            NodeRequest(shard, cursor.after, cursor.token, count)
             for shard, cursor in enumerate(self.parts)
             if cursor.more and not cursor.items
         ]
-        self.asked += count * len(requests)
+        self.requested_names += count * len(requests)
         return requests
 
     def feed(self, shard: int, items: list[Item], token: str, more: bool) -> None:
-        """Add a node's next names; raises `Error` if they are out of order or no progress is made.
+        """Add a node's next names; raises `S3Error` if they are out of order or no progress is made.
 
         Args:
             shard: The node's shard.
@@ -181,15 +181,15 @@
         before = cursor.after.encode("utf-8", "surrogateescape")
         for item in items:
             # A node that violates the order would break the order of the page.
-            if item.order < before:
-                raise Error("InternalError")
-            before = item.order
+            if item.sort_key < before:
+                raise S3Error("InternalError")
+            before = item.sort_key
             if item.name not in self.overlay:
                 cursor.items.append(item)
         if items:
             cursor.after = items[-1].name
         elif more:
-            raise Error("InternalError")  # an empty list that claims to continue would never end
+            raise S3Error("InternalError")  # an empty list that claims to continue would never end
         cursor.token, cursor.more = token, more
 
     def _merge(self) -> None:
@@ -198,11 +198,11 @@
             heads = []
             for cursor in self.parts:
                 if cursor.items:
-                    heads.append((cursor.items[0].order, cursor.items))
+                    heads.append((cursor.items[0].sort_key, cursor.items))
                 elif cursor.more:
                     return  # its next name may sort first
             if self._overlay_items:
-                heads.append((self._overlay_items[0].order, self._overlay_items))
+                heads.append((self._overlay_items[0].sort_key, self._overlay_items))
             if not heads:
                 self.complete = True
                 return
@@ -214,41 +214,41 @@
     def _sorts_after_last(self, item: Item) -> bool:
         """Whether a name sorts after the last one, which drops a common prefix listed by several nodes."""
         last = self.items[-1].name if self.items else self.query.after
-        return item.order > last.encode("utf-8", "surrogateescape")
+        return item.sort_key > last.encode("utf-8", "surrogateescape")
 
     @property
     def truncated(self) -> bool:
         """Whether names follow the page."""
-        return len(self.items) > self.query.most > 0
+        return len(self.items) > self.query.limit > 0
 
     def page(self) -> bytes:
         """Return the page as S3's XML document."""
-        query, items = self.query, self.items[: self.query.most]
+        query, items = self.query, self.items[: self.query.limit]
 
         def encode(text: str) -> str:
-            return quote(text, safe="/", errors="surrogateescape") if query.encoded else text
+            return quote(text, safe="/", errors="surrogateescape") if query.percent_encoded else text
 
         root = Element("ListBucketResult", xmlns=NAMESPACE)
         put(root, "Name", query.bucket)
         put(root, "Prefix", encode(query.prefix))
         if query.delimiter:
             put(root, "Delimiter", encode(query.delimiter))
-        if query.encoded:
+        if query.percent_encoded:
             put(root, "EncodingType", "url")
-        put(root, "MaxKeys", str(query.most))
+        put(root, "MaxKeys", str(query.limit))
         put(root, "IsTruncated", "true" if self.truncated else "false")
         tags = {"continuation-token": "ContinuationToken", "start-after": "StartAfter", "marker": "Marker"}
-        for name, value in query.told:
+        for name, value in query.echoed:
             put(root, tags[name], value if name == "continuation-token" else encode(value))
-        if query.second:
+        if query.is_v2:
             put(root, "KeyCount", str(len(items)))
         if self.truncated:
             last = items[-1].name
-            if query.second:
+            if query.is_v2:
                 put(
                     root,
                     "NextContinuationToken",
-                    seal_token(last, query.bucket, query.prefix, query.delimiter),
+                    encode_token(last, query.bucket, query.prefix, query.delimiter),
                 )
             else:
                 put(root, "NextMarker", encode(last))
@@ -273,7 +273,7 @@
     SubElement(parent, tag).text = text.encode("utf-8", "replace").decode()
 
 
-def rolled(item: Item, query: Query) -> Item:
+def grouped(item: Item, query: Query) -> Item:
     """Return an item as the page lists it: itself, or the common prefix that it falls under."""
     if query.delimiter:
         index = item.name.find(query.delimiter, len(query.prefix))
@@ -289,12 +289,12 @@
     return after
 
 
-def target(query: Query, ask: Ask) -> bytes:
+def listing_target(query: Query, ask: NodeRequest) -> bytes:
     """Return the target of the listing request to a node."""
     parameters = {
         "list-type": "2",
         "encoding-type": "url",
-        "max-keys": str(ask.most),
+        "max-keys": str(ask.limit),
         "prefix": query.prefix,
         "delimiter": query.delimiter,
     }
@@ -307,8 +307,8 @@
     return b"/" + query.bucket.encode() + b"?" + text.encode()
 
 
-def read_part(body: bytes) -> tuple[list[Item], str, bool]:
-    """Parse a node's listing into its sorted names, its token and whether more follow; raises `Error`."""
+def parse_node_listing(body: bytes) -> tuple[list[Item], str, bool]:
+    """Parse a node's listing into its sorted names, its token and whether more follow; raises `S3Error`."""
     items, token, more = [], "", False
     try:
         for element in fromstring(body):
@@ -330,5 +330,5 @@
                 case "NextContinuationToken":
                     token = element.text or ""
     except (ParseError, DefusedXmlException, KeyError, ValueError, IndexError):
-        raise Error("InternalError") from None
-    return sorted(items, key=lambda item: item.order), token, more
+        raise S3Error("InternalError") from None
+    return sorted(items, key=lambda item: item.sort_key), token, more
--- a/mallowbeam/storage_gateway/frontends/object_api/ranges.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/ranges.py
@@ -9,7 +9,7 @@
 ONE_RANGE = re.compile(rb"bytes[ \t]*=[ \t]*(\d*)-(\d*)[ \t]*\Z", re.IGNORECASE)
 
 
-class Unsatisfiable(MallowbeamError):
+class UnsatisfiableRangeError(MallowbeamError):
     """The range lies entirely outside the body: 416."""
 
     error_name = "Unsatisfiable"
@@ -30,11 +30,11 @@
     return first, last
 
 
-def cut(header: bytes, length: int) -> tuple[int, int] | None:
+def resolve_range(header: bytes, length: int) -> tuple[int, int] | None:
     """Resolve a range to start and end (exclusive) in a body; None if the complete body is the answer.
 
     Raises:
-        Unsatisfiable: The range lies entirely outside a body of this length.
+        UnsatisfiableRangeError: The range lies entirely outside a body of this length.
     """
     positions = parse_range(header)
     if positions is None:
@@ -43,10 +43,10 @@
     if first is None:  # a suffix range: the last N bytes
         assert last is not None
         if last == 0 or length == 0:
-            raise Unsatisfiable
+            raise UnsatisfiableRangeError
         return max(0, length - last), length
     if first >= length:
-        raise Unsatisfiable
+        raise UnsatisfiableRangeError
     return first, length if last is None else min(last + 1, length)
 
 
--- a/mallowbeam/storage_gateway/frontends/object_api/signatures.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/signatures.py
@@ -17,7 +17,7 @@
 from urllib.parse import quote, unquote_to_bytes
 
 from mallowbeam.http.framing import Headers, Message
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
 
 ALGORITHM = "AWS4-HMAC-SHA256"
 MAX_CLOCK_SKEW_S = 900  # by which a client's clock may be off
@@ -33,7 +33,7 @@
     r"[0-9a-f]{64}\Z|UNSIGNED-PAYLOAD\Z|STREAMING-UNSIGNED-PAYLOAD-TRAILER\Z"
     r"|STREAMING-AWS4-HMAC-SHA256-PAYLOAD(-TRAILER)?\Z"
 )
-CHUNKED = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD"
+CHUNKED_PAYLOAD = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD"
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,33 +57,33 @@
         return f"{self.day}/{self.region}/s3/aws4_request"
 
 
-def read_claim(headers: Mapping[bytes, bytes], query: Mapping[str, str]) -> Claim | None:
-    """Parse a request's signature claim; None if the request is not signed.  Raises `Error`."""
+def parse_claim(headers: Mapping[bytes, bytes], query: Mapping[str, str]) -> Claim | None:
+    """Parse a request's signature claim; None if the request is not signed.  Raises `S3Error`."""
     authorization = headers.get(b"authorization")
     presigned = "X-Amz-Algorithm" in query or "X-Amz-Signature" in query
     if authorization is not None and presigned:
-        raise Error("InvalidArgument")
+        raise S3Error("InvalidArgument")
     if authorization is not None:
         return parse_header_claim(authorization.decode("latin-1"), headers)
-    return query_claim(query) if presigned else None
+    return parse_query_claim(query) if presigned else None
 
 
 def parse_header_claim(text: str, headers: Mapping[bytes, bytes]) -> Claim:
-    """Parse the claim of an Authorization header; raises `Error`."""
+    """Parse the claim of an Authorization header; raises `S3Error`."""
     match = AUTHORIZATION.match(text)
     if match is None:
-        raise Error("AuthorizationHeaderMalformed")
+        raise S3Error("AuthorizationHeaderMalformed")
     date = headers.get(b"x-amz-date", b"").decode("latin-1")
     payload = headers.get(b"x-amz-content-sha256", b"").decode("latin-1")
     if not DATE.match(date):
-        raise Error("AccessDenied")
+        raise S3Error("AccessDenied")
     if not PAYLOADS.match(payload):
-        raise Error("InvalidArgument")
+        raise S3Error("InvalidArgument")
     return Claim(match[1], match[2], match[3], date, tuple(match[4].split(";")), match[5], payload)
 
 
-def query_claim(query: Mapping[str, str]) -> Claim:
-    """Parse the claim of a presigned URL; raises `Error`."""
+def parse_query_claim(query: Mapping[str, str]) -> Claim:
+    """Parse the claim of a presigned URL; raises `S3Error`."""
     match = CREDENTIAL.match(query.get("X-Amz-Credential", ""))
     date, expires = query.get("X-Amz-Date", ""), query.get("X-Amz-Expires", "")
     signature, signed = query.get("X-Amz-Signature", ""), query.get("X-Amz-SignedHeaders", "")
@@ -96,7 +96,7 @@
         or not re.fullmatch(r"\d{1,6}", expires)
         or not 1 <= int(expires) <= MAX_EXPIRES_S
     ):
-        raise Error("AuthorizationQueryParametersError")
+        raise S3Error("AuthorizationQueryParametersError")
     return Claim(
         match[1],
         match[2],
@@ -109,25 +109,25 @@
     )
 
 
-def in_time(claim: Claim, now: float) -> None:
-    """Raise `Error` if a claim has expired or its clock is too far off; `now` is in Unix seconds."""
+def check_time(claim: Claim, now: float) -> None:
+    """Raise `S3Error` if a claim has expired or its clock is too far off; `now` is in Unix seconds."""
     try:
         signed_at = timegm(strptime(claim.date, "%Y%m%dT%H%M%SZ"))
     except ValueError:
-        raise Error("AccessDenied") from None
+        raise S3Error("AccessDenied") from None
     if claim.date[:8] != claim.day:
-        raise Error(
+        raise S3Error(
             "AuthorizationHeaderMalformed" if claim.expires is None else "AuthorizationQueryParametersError"
         )
     if claim.expires is None:
         if abs(now - signed_at) > MAX_CLOCK_SKEW_S:
-            raise Error("RequestTimeTooSkewed")
+            raise S3Error("RequestTimeTooSkewed")
     elif now < signed_at - MAX_CLOCK_SKEW_S or now > signed_at + claim.expires:
-        raise Error("AccessDenied")  # not valid yet, or expired
+        raise S3Error("AccessDenied")  # not valid yet, or expired
 
 
-def canonical(method: bytes, target: bytes, headers: Headers, claim: Claim) -> str:
-    """Return the canonical request; raises `Error` if a header that must be signed is not."""
+def canonical_request(method: bytes, target: bytes, headers: Headers, claim: Claim) -> str:
+    """Return the canonical request; raises `S3Error` if a header that must be signed is not."""
     path, _, raw = target.partition(b"?")
     values: dict[str, list[str]] = {}
     for name, value in headers:
@@ -138,7 +138,7 @@
         or required - set(claim.signed_headers)
         or list(claim.signed_headers) != sorted(claim.signed_headers)
     ):
-        raise Error("AccessDenied")
+        raise S3Error("AccessDenied")
     pairs = []
     for pair in raw.split(b"&") if raw else ():
         name, _, value = pair.partition(b"=")
@@ -170,16 +170,16 @@
 
 
 def verify(message: Message, claim: Claim, secret: str | None, now: float) -> None:
-    """Raise `Error` unless a request's signature is valid; a `secret` of None means an unknown key."""
-    in_time(claim, now)
-    text = canonical(message.method, message.target, message.headers, claim)
+    """Raise `S3Error` unless a request's signature is valid; a `secret` of None means an unknown key."""
+    check_time(claim, now)
+    text = canonical_request(message.method, message.target, message.headers, claim)
     digest = hashlib.sha256(text.encode("latin-1")).hexdigest()
     expected = sign(claim, secret or "unknown", ALGORITHM, digest)
     valid = hmac.compare_digest(expected, claim.signature)
     if secret is None:
-        raise Error("InvalidAccessKeyId")
+        raise S3Error("InvalidAccessKeyId")
     if not valid:
-        raise Error("SignatureDoesNotMatch")
+        raise S3Error("SignatureDoesNotMatch")
 
 
 class ChunkSignatures:
@@ -189,18 +189,18 @@
         self._sign: Callable[..., str] = lambda kind, *lines: sign(claim, secret, kind, *lines)
         self.previous = claim.signature
 
-    def chunk(self, digest: str, signature: str) -> None:
-        """Verify the signature of the next chunk, given its SHA-256; raises `Error`."""
+    def verify_chunk(self, digest: str, signature: str) -> None:
+        """Verify the signature of the next chunk, given its SHA-256; raises `S3Error`."""
         self._verify_next(
             self._sign("AWS4-HMAC-SHA256-PAYLOAD", self.previous, EMPTY_SHA256, digest), signature
         )
 
-    def trailers(self, lines: bytes, signature: str) -> None:
-        """Verify the trailers' signature; `lines` has `name:value` and a newline for each; raises `Error`."""
+    def verify_trailers(self, lines: bytes, signature: str) -> None:
+        """Verify the trailers' signature; `lines` has `name:value` and a newline each; raises `S3Error`."""
         digest = hashlib.sha256(lines).hexdigest()
         self._verify_next(self._sign("AWS4-HMAC-SHA256-TRAILER", self.previous, digest), signature)
 
     def _verify_next(self, expected: str, signature: str) -> None:
         if not hmac.compare_digest(expected, signature):
-            raise Error("SignatureDoesNotMatch")
+            raise S3Error("SignatureDoesNotMatch")
         self.previous = expected
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -77,8 +77,8 @@
             return text_response(400, str(error), closing())
         answer = await self.gateway.submit(call)
         if answer.stream is not None:
-            return self.streamed(answer, answer.stream, request, closing)
-        return self.write(answer, closing())
+            return self.streaming_response(answer, answer.stream, request, closing)
+        return self.buffered_response(answer, closing())
 
     def error_response(self, status: int, text: str) -> Response:
         """Return the response to malformed HTTP or an exceeded limit."""
@@ -158,7 +158,9 @@
         )
 
     @staticmethod
-    def streamed(answer: Answer, stream: Stream, request: Message, closing: Callable[[], bool]) -> Response:
+    def streaming_response(
+        answer: Answer, stream: Stream, request: Message, closing: Callable[[], bool]
+    ) -> Response:
         """Return a response that forwards a large answer as it arrives."""
         size = length_of(answer.headers)
         chunked = in_chunks(request, size)
@@ -173,7 +175,7 @@
         return Response(200, write=write)
 
     @staticmethod
-    def write(answer: Answer, close: bool) -> Response:
+    def buffered_response(answer: Answer, close: bool) -> Response:
         """Return the response for an answer that is held completely."""
         if answer.kind is AnswerKind.SERVED:
             return Response(200, write_head(200, [], len(answer.body), close) + answer.body)
--- a/tests/storage_gateway/frontends/object_api/test_access.py
+++ b/tests/storage_gateway/frontends/object_api/test_access.py
@@ -20,13 +20,13 @@
 from scenario import EXAMPLE, World
 
 from mallowbeam.http.framing import Message
-from mallowbeam.storage_gateway.frontends.object_api.access import Access, may, read_keys
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.access import Access, is_allowed, read_keys
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
 from mallowbeam.storage_gateway.frontends.object_api.signatures import (
-    canonical,
-    in_time,
-    query_claim,
-    read_claim,
+    canonical_request,
+    check_time,
+    parse_claim,
+    parse_query_claim,
     verify,
 )
 from mallowbeam.storage_gateway.server.config import GatewayConfigError
@@ -127,7 +127,7 @@
 
 
 def judge(told: Message, now: float = NOW, secret: str | None = SECRET) -> None:
-    claim = read_claim(dict(told.headers), {})
+    claim = parse_claim(dict(told.headers), {})
     assert claim is not None
     verify(told, claim, secret, now)
 
@@ -142,7 +142,7 @@
             told.method = b"DELETE"
         elif change == "header":
             told.headers = [(n, b"8" if n == b"x-amz-meta-lane" else v) for n, v in told.headers]
-        with pytest.raises(Error, match="SignatureDoesNotMatch"):
+        with pytest.raises(S3Error, match="SignatureDoesNotMatch"):
             judge(told, secret="another secret" if change == "secret" else SECRET)
 
 
@@ -152,7 +152,7 @@
 def test_a_clock_may_be_off_by_a_quarter_of_an_hour(late, code):
     if code is None:
         return judge(signed("UNSIGNED-PAYLOAD"), NOW + late)
-    with pytest.raises(Error, match=code):
+    with pytest.raises(S3Error, match=code):
         judge(signed("UNSIGNED-PAYLOAD"), NOW + late)
         return None
 
@@ -160,7 +160,7 @@
 def test_a_header_of_amazons_that_is_not_signed_is_refused():
     told = signed("UNSIGNED-PAYLOAD")
     told.headers.append((b"x-amz-acl", b"public-read"))
-    with pytest.raises(Error, match="AccessDenied"):
+    with pytest.raises(S3Error, match="AccessDenied"):
         judge(told)
 
 
@@ -188,28 +188,28 @@
     ],
 )
 def test_a_presigned_query_that_is_malformed_is_told(change):
-    query_claim(QUERY)
-    with pytest.raises(Error, match="AuthorizationQueryParametersError"):
-        query_claim(QUERY | change)
+    parse_query_claim(QUERY)
+    with pytest.raises(S3Error, match="AuthorizationQueryParametersError"):
+        parse_query_claim(QUERY | change)
 
 
 def test_a_presigned_url_is_over_at_its_end_and_not_before():
-    claim = query_claim(QUERY)
-    in_time(claim, NOW + 60)
+    claim = parse_query_claim(QUERY)
+    check_time(claim, NOW + 60)
     for now in (NOW + 61, NOW - 901):
-        with pytest.raises(Error, match="AccessDenied"):
-            in_time(claim, now)
+        with pytest.raises(S3Error, match="AccessDenied"):
+            check_time(claim, now)
 
 
 @given(st.text(max_size=300), st.dictionaries(st.sampled_from(sorted(QUERY)), st.text(max_size=40)))
 def test_whatever_is_claimed_is_read_or_an_error_of_s3s(authorization, query):
     for headers in ({b"authorization": authorization.encode()}, {}):
         try:
-            claim = read_claim(headers, query)
+            claim = parse_claim(headers, query)
             if claim is not None:
-                in_time(claim, NOW)
-                canonical(b"GET", b"/plates/a", [], claim)
-        except Error:
+                check_time(claim, NOW)
+                canonical_request(b"GET", b"/plates/a", [], claim)
+        except S3Error:
             pass
 
 
@@ -289,20 +289,20 @@
     access = Access(path)
     access.open()
     write(old | {"id": "new"})
-    access.look(10.0)
+    access.reload_if_changed(10.0)
     assert set(access.keys) == {"new"}
     write(old)
-    access.look(10.5)  # before the next check
+    access.reload_if_changed(10.5)  # before the next check
     assert set(access.keys) == {"new"}
     path.write_text("{")
-    access.look(12.0)
-    assert set(access.keys) == {"new"} and access.trouble
+    access.reload_if_changed(12.0)
+    assert set(access.keys) == {"new"} and access.last_error
     path.unlink()
-    access.look(14.0)
+    access.reload_if_changed(14.0)
     assert set(access.keys) == {"new"}
     write(old)
-    access.look(16.0)
-    assert set(access.keys) == {"old"} and not access.trouble
+    access.reload_if_changed(16.0)
+    assert set(access.keys) == {"old"} and not access.last_error
 
 
 def test_rights_go_by_bucket_prefix_and_deed():
@@ -319,7 +319,7 @@
         ("write", "b", b"all/1", True),
         ("write", "b", b"al", False),
     ):
-        assert may(keys["key"], what, bucket, name) is good
+        assert is_allowed(keys["key"], what, bucket, name) is good
 
 
 @pytest.mark.parametrize(
--- a/tests/storage_gateway/frontends/object_api/test_batches.py
+++ b/tests/storage_gateway/frontends/object_api/test_batches.py
@@ -13,7 +13,7 @@
 
 from mallowbeam.standins.faults import Rule
 from mallowbeam.storage_gateway.frontends.object_api import batches
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
 
 BOMB = (
     b'<!DOCTYPE a [<!ENTITY a "aaaaaaaaaa"><!ENTITY b "&a;&a;&a;&a;&a;&a;&a;&a;">]>'
@@ -41,13 +41,13 @@
     ],
 )
 def test_a_document_that_is_none_is_refused_whole(body, code):
-    with pytest.raises(Error, match=code):
-        batches.read(body)
+    with pytest.raises(S3Error, match=code):
+        batches.parse_names(body)
 
 
 def test_names_come_once_in_their_order_and_a_thousand_at_the_most():
-    assert batches.read(document("b", "a", "b", more="<Quiet>true</Quiet>")) == (["b", "a"], True)
-    assert len(batches.read(document(*(f"k{i}" for i in range(1000))))[0]) == 1000
+    assert batches.parse_names(document("b", "a", "b", more="<Quiet>true</Quiet>")) == (["b", "a"], True)
+    assert len(batches.parse_names(document(*(f"k{i}" for i in range(1000))))[0]) == 1000
 
 
 @pytest.mark.parametrize("bucket", ["plates", "buffered"])
--- a/tests/storage_gateway/frontends/object_api/test_bodies.py
+++ b/tests/storage_gateway/frontends/object_api/test_bodies.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 from scenario import World
 
-from mallowbeam.storage_gateway.frontends.object_api.bodies import Body, Chunks, bare
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.bodies import BodyVerifier, ChunkDecoder, without_framing
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
 
 SIGNED = b";chunk-signature=" + b"0" * 64
 STREAMING = {b"x-amz-content-sha256": b"STREAMING-UNSIGNED-PAYLOAD-TRAILER"}
@@ -35,25 +35,25 @@
 )
 def test_chunks_come_apart_wherever_the_bytes_are_cut(pieces, cuts, signed):
     data = framed(pieces, {b"x-amz-checksum-crc32": b"AAAAAA=="}, SIGNED if signed else b"")
-    chunks, out, at, turn = Chunks(), b"", 0, 0
+    chunks, out, at, turn = ChunkDecoder(), b"", 0, 0
     while at < len(data):
         size = cuts[turn % len(cuts)]
         out += b"".join(chunks.feed(data[at : at + size]))
         at, turn = at + size, turn + 1
     chunks.end()
-    assert out == b"".join(pieces) and chunks.over
+    assert out == b"".join(pieces) and chunks.complete
     assert chunks.trailers == {b"x-amz-checksum-crc32": b"AAAAAA=="}
 
 
 @given(st.binary(max_size=300))
 def test_whatever_comes_is_taken_apart_or_an_error_of_s3s(data):
-    chunks = Chunks()
+    chunks = ChunkDecoder()
     try:
         chunks.feed(data)
         chunks.end()
-    except Error as error:
+    except S3Error as error:
         assert error.code in ("InvalidRequest", "IncompleteBody")
-    assert len(chunks.rest) <= 1024
+    assert len(chunks.partial_line) <= 1024
 
 
 @pytest.mark.parametrize(
@@ -73,15 +73,15 @@
     ],
 )
 def test_framing_that_breaks_is_told(data, code):
-    chunks = Chunks()
-    with pytest.raises(Error) as error:
+    chunks = ChunkDecoder()
+    with pytest.raises(S3Error) as error:
         chunks.feed(data)
         chunks.end()
     assert error.value.code == code
 
 
-def told(data: bytes, headers: dict[bytes, bytes]) -> Body:
-    body = Body(headers)
+def told(data: bytes, headers: dict[bytes, bytes]) -> BodyVerifier:
+    body = BodyVerifier(headers)
     body.feed(data)
     body.end()
     return body
@@ -99,12 +99,12 @@
 def test_a_checksum_is_checked_in_a_header_and_in_a_trailer(name):
     key = b"x-amz-checksum-" + name.encode()
     assert told(b"hello", {key: sum_of(name, b"hello")}).etag == f'"{hashlib.md5(b"hello").hexdigest()}"'
-    with pytest.raises(Error, match="BadDigest"):
+    with pytest.raises(S3Error, match="BadDigest"):
         told(b"hullo", {key: sum_of(name, b"hello")})
     headers = {**STREAMING, b"x-amz-trailer": key, b"x-amz-decoded-content-length": b"5"}
     told(framed([b"hel", b"lo"], {key: sum_of(name, b"hello")}), headers)
     for wrong in ({key: sum_of(name, b"hullo")}, {}):
-        with pytest.raises(Error, match="BadDigest"):
+        with pytest.raises(S3Error, match="BadDigest"):
             told(framed([b"hello"], wrong), headers)
 
 
@@ -118,7 +118,7 @@
     ],
 )
 def test_what_is_said_of_a_framed_body_must_hold(headers, code):
-    with pytest.raises(Error, match=code):
+    with pytest.raises(S3Error, match=code):
         told(framed([b"hello"]), STREAMING | headers)
 
 
@@ -130,8 +130,8 @@
         (b"x-amz-content-sha256", b"STREAMING-X"),
         (b"content-type", b"a/b"),
     ]
-    assert bare(headers) == [(b"content-encoding", b"gzip"), (b"content-type", b"a/b")]
-    assert bare([(b"content-encoding", b"aws-chunked")]) == []
+    assert without_framing(headers) == [(b"content-encoding", b"gzip"), (b"content-type", b"a/b")]
+    assert without_framing([(b"content-encoding", b"aws-chunked")]) == []
 
 
 @pytest.mark.parametrize("bucket", ["plates", "buffered"])
--- a/tests/storage_gateway/frontends/object_api/test_listings.py
+++ b/tests/storage_gateway/frontends/object_api/test_listings.py
@@ -16,17 +16,17 @@
 from scenario import World, play
 
 from mallowbeam.standins.faults import Rule
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
 from mallowbeam.storage_gateway.frontends.object_api.listings import (
-    Ask,
     Item,
     Merge,
+    NodeRequest,
     Query,
-    open_token,
-    read_part,
-    rolled,
-    seal_token,
-    target,
+    decode_token,
+    encode_token,
+    grouped,
+    listing_target,
+    parse_node_listing,
 )
 
 NAMES = st.text("ab/\U0010ffffé", min_size=1, max_size=6)
@@ -36,26 +36,26 @@
     """Model of nodes as plain sorted lists."""
 
     def __init__(self, query: Query, parts: list[list[str]]) -> None:
-        self.query, self.asked = query, 0
+        self.query, self.requested_names = query, 0
         self.parts = [sorted(part, key=str.encode) for part in parts]
         self.orders = [[name.encode() for name in part] for part in self.parts]
 
-    def answer(self, ask: Ask) -> tuple[list[Item], str, bool]:
-        """Return the next names, grouped by common prefix, at most `ask.most` of them."""
+    def answer(self, ask: NodeRequest) -> tuple[list[Item], str, bool]:
+        """Return the next names, grouped by common prefix, at most `ask.limit` of them."""
         names, order = self.parts[ask.shard], self.orders[ask.shard]
         at, items = bisect_right(order, (ask.token or ask.after).encode()), []
         last = ""
-        while at < len(names) and len(items) < ask.most:
+        while at < len(names) and len(items) < ask.limit:
             name = names[at]
             if name.startswith(self.query.prefix):
-                item = rolled(Item(name, 1), self.query)
+                item = grouped(Item(name, 1), self.query)
                 if not items or items[-1].name != item.name:
                     items.append(item)
-                    self.asked += 1
+                    self.requested_names += 1
             last, at = name, at + 1
         more = any(
             name.startswith(self.query.prefix)
-            and (not items or rolled(Item(name, 1), self.query).name != items[-1].name)
+            and (not items or grouped(Item(name, 1), self.query).name != items[-1].name)
             for name in names[at : at + 2000]
         )
         return items, last if more else "", more
@@ -63,10 +63,10 @@
 
 def page(query: Query, parts: list[list[str]], overlay=None) -> Merge:
     merge, nodes = Merge(query, len(parts), overlay), Nodes(query, parts)
-    while asks := merge.needs():
+    while asks := merge.next_requests():
         for ask in asks:
             merge.feed(ask.shard, *nodes.answer(ask))
-    merge.asked = nodes.asked
+    merge.requested_names = nodes.requested_names
     return merge
 
 
@@ -77,7 +77,7 @@
     st.integers(1, 5),
     st.dictionaries(NAMES, st.booleans(), max_size=4),
 )
-def test_pages_put_together_are_the_sorted_names(parts, prefix, delimiter, most, laid):
+def test_pages_put_together_are_the_sorted_names(parts, prefix, delimiter, limit, laid):
     """Compares with one plain list: every name once, in order, for any page size."""
     names, seen = set(), []
     placed: list[list[str]] = [[] for _ in parts]
@@ -86,19 +86,21 @@
         names.add(name)
     overlay = {name: Item(name, 2) if there else None for name, there in laid.items()}
     names = {name for name in names | {n for n, there in laid.items() if there} if laid.get(name, True)}
-    base = Query("bucket", prefix, delimiter, "", most)
+    base = Query("bucket", prefix, delimiter, "", limit)
     wanted = sorted(
-        {rolled(Item(name, 0), base).name for name in names if name.startswith(prefix)}, key=str.encode
+        {grouped(Item(name, 0), base).name for name in names if name.startswith(prefix)}, key=str.encode
     )
     after = ""
     for _ in range(100):
-        merge = page(Query("bucket", prefix, delimiter, after, most), placed, overlay)
-        items = [item.name for item in merge.items[:most]]
-        assert len(items) <= most
+        merge = page(Query("bucket", prefix, delimiter, after, limit), placed, overlay)
+        items = [item.name for item in merge.items[:limit]]
+        assert len(items) <= limit
         seen += items
         if not merge.truncated:
             break
-        after = open_token(seal_token(items[-1], "bucket", prefix, delimiter), "bucket", prefix, delimiter)
+        after = decode_token(
+            encode_token(items[-1], "bucket", prefix, delimiter), "bucket", prefix, delimiter
+        )
     assert seen == wanted
 
 
@@ -113,7 +115,7 @@
         assert [item.name for item in merge.items[:1000]] == [
             f"{i:07d}" for i in range(int(after or -1) + 1, int(after or -1) + 1001)
         ]
-        assert merge.truncated and merge.asked < 1600
+        assert merge.truncated and merge.requested_names < 1600
         assert peak < 12 << 20  # mostly the plain nodes' own copies
 
 
@@ -121,16 +123,16 @@
     "token", ["", "x", "bm9uZQ==", "WzIsMCwiYSJd", "WzEsMCwiYSJd", "WzEsMCwxXQ==", "[" * 99]
 )
 def test_a_token_made_up_is_refused(token):
-    with pytest.raises(Error, match="InvalidArgument"):
-        Query.read("bucket", {"list-type": "2", "continuation-token": token})
+    with pytest.raises(S3Error, match="InvalidArgument"):
+        Query.parse("bucket", {"list-type": "2", "continuation-token": token})
 
 
 def test_a_token_of_another_listing_is_refused():
-    token = seal_token("a", "bucket", "", "")
-    assert Query.read("bucket", {"list-type": "2", "continuation-token": token}).after == "a"
+    token = encode_token("a", "bucket", "", "")
+    assert Query.parse("bucket", {"list-type": "2", "continuation-token": token}).after == "a"
     for bucket, more in (("other", {}), ("bucket", {"prefix": "x"}), ("bucket", {"delimiter": "/"})):
-        with pytest.raises(Error, match="InvalidArgument"):
-            Query.read(bucket, {"list-type": "2", "continuation-token": token} | more)
+        with pytest.raises(S3Error, match="InvalidArgument"):
+            Query.parse(bucket, {"list-type": "2", "continuation-token": token} | more)
 
 
 @pytest.mark.parametrize(
@@ -144,16 +146,16 @@
     ],
 )
 def test_a_malformed_listing_call_is_refused(query):
-    with pytest.raises(Error, match="InvalidArgument"):
-        Query.read("bucket", query)
+    with pytest.raises(S3Error, match="InvalidArgument"):
+        Query.parse("bucket", query)
 
 
 def test_a_node_that_does_not_keep_its_order_or_says_nothing_for_ever_is_no_listing():
     merge = Merge(Query("bucket"), 1)
-    merge.needs()
-    with pytest.raises(Error, match="InternalError"):
+    merge.next_requests()
+    with pytest.raises(S3Error, match="InternalError"):
         merge.feed(0, [Item("b", 1), Item("a", 1)], "", False)
-    with pytest.raises(Error, match="InternalError"):
+    with pytest.raises(S3Error, match="InternalError"):
         merge.feed(0, [], "", True)
 
 
@@ -168,13 +170,13 @@
     ],
 )
 def test_a_part_that_cannot_be_read_is_an_error(body):
-    with pytest.raises(Error, match="InternalError"):
-        read_part(body)
+    with pytest.raises(S3Error, match="InternalError"):
+        parse_node_listing(body)
 
 
 def test_a_nodes_call_carries_any_name():
     query = Query("bucket", "a&b=/ü", "/")
-    assert target(query, Ask(0, "x y", "", 7)) == (
+    assert listing_target(query, NodeRequest(0, "x y", "", 7)) == (
         b"/bucket?list-type=2&encoding-type=url&max-keys=7&prefix=a%26b%3D%2F%C3%BC&delimiter=%2F"
         b"&start-after=x%20y"
     )
--- a/tests/storage_gateway/frontends/object_api/test_objects.py
+++ b/tests/storage_gateway/frontends/object_api/test_objects.py
@@ -15,7 +15,7 @@
 
 from mallowbeam.standins.faults import Rule, Turns
 from mallowbeam.standins.node import ObjectNode
-from mallowbeam.storage_gateway.frontends.object_api.ranges import Unsatisfiable, cut
+from mallowbeam.storage_gateway.frontends.object_api.ranges import UnsatisfiableRangeError, resolve_range
 
 BODY = "0123456789"
 
@@ -313,7 +313,7 @@
 
     header = f"bytes={text(first)}-{text(last)}".encode()
     if first is None and last is None or first is not None and last is not None and first > last:
-        assert cut(header, length) is None
+        assert resolve_range(header, length) is None
         return
     wanted = [
         i
@@ -321,8 +321,8 @@
         if (i >= length - last if first is None else i >= first and (last is None or i <= last))
     ]
     try:
-        start, end = cut(header, length)
-    except Unsatisfiable:
+        start, end = resolve_range(header, length)
+    except UnsatisfiableRangeError:
         assert not wanted
     else:
         assert list(range(start, end)) == wanted != []
--- a/tests/storage_gateway/frontends/object_api/test_uploads.py
+++ b/tests/storage_gateway/frontends/object_api/test_uploads.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 from scenario import World, play
 
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error
-from mallowbeam.storage_gateway.frontends.object_api.uploads import pack_upload, unpack_upload
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
+from mallowbeam.storage_gateway.frontends.object_api.uploads import decode_upload_id, encode_upload_id
 
-PART = f"PUT /plates/a?partNumber=1&uploadId={pack_upload(0, 'up/1 x')}"
+PART = f"PUT /plates/a?partNumber=1&uploadId={encode_upload_id(0, 'up/1 x')}"
 
 
 def test_a_node_that_stands_still_mid_upload_costs_one_answer_and_no_second_part():
@@ -61,14 +61,14 @@
 
 @given(st.integers(0, 10**9 - 1), st.text(min_size=1, max_size=60).filter(lambda t: t.isprintable()))
 def test_an_upload_id_comes_back_as_it_was(shard, inner):
-    assert unpack_upload(pack_upload(shard, inner)) == (shard, inner)
+    assert decode_upload_id(encode_upload_id(shard, inner)) == (shard, inner)
 
 
 @given(st.text(max_size=40))
 def test_a_strange_upload_id_is_no_such_upload(text):
     try:
-        shard, inner = unpack_upload(text)
-    except Error as error:
+        shard, inner = decode_upload_id(text)
+    except S3Error as error:
         assert error.code == "NoSuchUpload"
     else:
         assert text.startswith(f"1.{shard}.") or text.startswith("1.0")
