--- a/tests/storage_gateway/frontends/object_api/test_access.py
+++ b/tests/storage_gateway/frontends/object_api/test_access.py
@@ -94,10 +94,10 @@
 
 
 def message(method: str = "GET", target: str = "/plates/a", headers: dict[str, str] | None = None) -> Message:
-    told = Message()
-    told.method, told.target = method.encode(), target.encode()
-    told.headers = [(name.encode(), value.encode()) for name, value in (headers or {}).items()]
-    return told
+    request = Message()
+    request.method, request.target = method.encode(), target.encode()
+    request.headers = [(name.encode(), value.encode()) for name, value in (headers or {}).items()]
+    return request
 
 
 def mac(key: bytes, text: str) -> bytes:
@@ -126,24 +126,24 @@
     return message(method, target, headers)
 
 
-def judge(told: Message, now: float = NOW, secret: str | None = SECRET) -> None:
-    claim = parse_claim(dict(told.headers), {})
+def verify_request(request: Message, now: float = NOW, secret: str | None = SECRET) -> None:
+    claim = parse_claim(dict(request.headers), {})
     assert claim is not None
-    verify(told, claim, secret, now)
+    verify(request, claim, secret, now)
 
 
 def test_a_signature_by_the_letter_is_good_and_each_changed_byte_is_not():
-    judge(signed("UNSIGNED-PAYLOAD"))
+    verify_request(signed("UNSIGNED-PAYLOAD"))
     for change in ("target", "method", "header", "secret"):
-        told = signed("UNSIGNED-PAYLOAD", **{"x-amz-meta-lane": "7"})
+        request = signed("UNSIGNED-PAYLOAD", **{"x-amz-meta-lane": "7"})
         if change == "target":
-            told.target = b"/plates/b"
+            request.target = b"/plates/b"
         elif change == "method":
-            told.method = b"DELETE"
+            request.method = b"DELETE"
         elif change == "header":
-            told.headers = [(n, b"8" if n == b"x-amz-meta-lane" else v) for n, v in told.headers]
+            request.headers = [(n, b"8" if n == b"x-amz-meta-lane" else v) for n, v in request.headers]
         with pytest.raises(S3Error, match="SignatureDoesNotMatch"):
-            judge(told, secret="another secret" if change == "secret" else SECRET)
+            verify_request(request, secret="another secret" if change == "secret" else SECRET)
 
 
 @pytest.mark.parametrize(
@@ -151,17 +151,17 @@
 )
 def test_a_clock_may_be_off_by_a_quarter_of_an_hour(late, code):
     if code is None:
-        return judge(signed("UNSIGNED-PAYLOAD"), NOW + late)
+        return verify_request(signed("UNSIGNED-PAYLOAD"), NOW + late)
     with pytest.raises(S3Error, match=code):
-        judge(signed("UNSIGNED-PAYLOAD"), NOW + late)
+        verify_request(signed("UNSIGNED-PAYLOAD"), NOW + late)
         return None
 
 
 def test_a_header_of_amazons_that_is_not_signed_is_refused():
-    told = signed("UNSIGNED-PAYLOAD")
-    told.headers.append((b"x-amz-acl", b"public-read"))
+    request = signed("UNSIGNED-PAYLOAD")
+    request.headers.append((b"x-amz-acl", b"public-read"))
     with pytest.raises(S3Error, match="AccessDenied"):
-        judge(told)
+        verify_request(request)
 
 
 QUERY = {
@@ -202,7 +202,7 @@
 
 
 @given(st.text(max_size=300), st.dictionaries(st.sampled_from(sorted(QUERY)), st.text(max_size=40)))
-def test_whatever_is_claimed_is_read_or_an_error_of_s3s(authorization, query):
+def test_arbitrary_credentials_are_parsed_or_raise_an_s3_error(authorization, query):
     for headers in ({b"authorization": authorization.encode()}, {}):
         try:
             claim = parse_claim(headers, query)
@@ -213,12 +213,12 @@
             pass
 
 
-def chunked_request(pieces: list[bytes], trailer: bytes = b"", spoil: int | None = None) -> bytes:
-    """Return a complete PUT with signed chunks; `spoil` is the index of a chunk to corrupt."""
+def chunked_request(pieces: list[bytes], trailer: bytes = b"", corrupt: int | None = None) -> bytes:
+    """Return a complete PUT with signed chunks; `corrupt` is the index of a chunk to corrupt."""
     kind = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD" + ("-TRAILER" if trailer else "")
     size = str(sum(map(len, pieces)))
-    told = signed(kind, "PUT", **{"x-amz-decoded-content-length": size, "content-encoding": "aws-chunked"})
-    before = dict(told.headers)[b"authorization"].decode().rpartition("=")[2]
+    request = signed(kind, "PUT", **{"x-amz-decoded-content-length": size, "content-encoding": "aws-chunked"})
+    before = dict(request.headers)[b"authorization"].decode().rpartition("=")[2]
     scope, data = CREDENTIAL.partition("/")[2], b""
     empty = hashlib.sha256().hexdigest()
     for i, piece in enumerate([*pieces, b""]):
@@ -227,7 +227,7 @@
             f"AWS4-HMAC-SHA256-PAYLOAD\n{DATE}\n{scope}\n{before}\n{empty}\n"
             + hashlib.sha256(piece).hexdigest(),
         ).hex()
-        sent = b"!" + piece[1:] if i == spoil else piece
+        sent = b"!" + piece[1:] if i == corrupt else piece
         data += b"%x;chunk-signature=%b\r\n" % (len(piece), before.encode()) + sent + b"\r\n" * bool(piece)
     if trailer:
         before = mac(
@@ -239,7 +239,7 @@
     data += b"\r\n"
     lines = [
         b"PUT /plates/a HTTP/1.1",
-        *(b"%b: %b" % header for header in told.headers),
+        *(b"%b: %b" % header for header in request.headers),
         b"content-length: %d" % len(data),
         b"connection: close",
         b"",
@@ -249,11 +249,13 @@
 
 
 @pytest.mark.parametrize(
-    "trailer, spoil, status",
+    "trailer, corrupt, status",
     [(b"", None, 200), (b"x-amz-checksum-crc32:NhCmhg==", None, 200), (b"", 1, 403), (b"", 0, 403)],
 )
 @pytest.mark.parametrize("buffered", [False, True])
-def test_signed_chunks_are_checked_one_by_one(nodes, tmp_path, monkeypatch, trailer, spoil, status, buffered):
+def test_signed_chunks_are_checked_one_by_one(
+    nodes, tmp_path, monkeypatch, trailer, corrupt, status, buffered
+):
     monkeypatch.setattr("mallowbeam.storage_gateway.frontends.object_api.front.time.time", lambda: NOW)
     section = {"folder": str(tmp_path), "buckets": ["plates"], "max_bytes": 64 << 20} if buffered else None
 
@@ -264,7 +266,7 @@
             if buffered:
                 await world.gateway.parts[0].opened.wait()
             reader, writer = await asyncio.open_connection(*world.objects)
-            writer.write(chunked_request([b"hel", b"lo"], trailer, spoil))
+            writer.write(chunked_request([b"hel", b"lo"], trailer, corrupt))
             head = await reader.read()
             if buffered and status == 200:
                 buffer = world.gateway.parts[0]
@@ -305,7 +307,7 @@
     assert set(access.keys) == {"old"} and not access.last_error
 
 
-def test_rights_go_by_bucket_prefix_and_deed():
+def test_grants_match_by_bucket_prefix_and_action():
     allow = [
         {"bucket": "a", "do": ["read"], "prefix": "x/"},
         {"bucket": "*", "do": ["write"], "prefix": "all/"},
@@ -340,7 +342,7 @@
         read_keys(json.dumps({"keys": [{"id": "key", "secret": "12345678", "allow": []}] * 2}).encode())
 
 
-def test_the_front_stays_shut_unless_keys_are_named_or_said_to_be_off(nodes):
+def test_the_object_api_does_not_start_with_a_missing_key_file(nodes):
     async def start() -> None:
         async with World(servers=[node.host_port for node in nodes], keys="/none/keys.json"):
             pass
--- a/tests/storage_gateway/frontends/object_api/test_batches.py
+++ b/tests/storage_gateway/frontends/object_api/test_batches.py
@@ -40,7 +40,7 @@
         (document("a").replace(b"</Key>", b"</Key><VersionId>1</VersionId>"), "NotImplemented"),
     ],
 )
-def test_a_document_that_is_none_is_refused_whole(body, code):
+def test_a_malformed_document_is_rejected(body, code):
     with pytest.raises(S3Error, match=code):
         batches.parse_names(body)
 
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("bucket", ["plates", "buffered"])
-def test_a_real_client_deletes_many_with_a_word_for_each(nodes, tmp_path, bucket):
+def test_a_real_client_deletes_many_with_a_result_for_each(nodes, tmp_path, bucket):
     (tmp_path / "keys.json").write_text(
         json.dumps(
             {
--- a/tests/storage_gateway/frontends/object_api/test_bodies.py
+++ b/tests/storage_gateway/frontends/object_api/test_bodies.py
@@ -46,7 +46,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_whatever_comes_is_taken_apart_or_an_error_of_s3s(data):
+def test_arbitrary_bytes_are_decoded_or_raise_an_s3_error(data):
     chunks = ChunkDecoder()
     try:
         chunks.feed(data)
@@ -80,14 +80,14 @@
     assert error.value.code == code
 
 
-def told(data: bytes, headers: dict[bytes, bytes]) -> BodyVerifier:
+def verified(data: bytes, headers: dict[bytes, bytes]) -> BodyVerifier:
     body = BodyVerifier(headers)
     body.feed(data)
     body.end()
     return body
 
 
-def sum_of(name: str, data: bytes) -> bytes:
+def checksum_of(name: str, data: bytes) -> bytes:
     if name.startswith("crc"):
         value = (crc32 if name == "crc32" else crc32c)(data).to_bytes(4, "big")
     else:
@@ -98,14 +98,17 @@
 @pytest.mark.parametrize("name", ["crc32", "crc32c", "sha1", "sha256"])
 def test_a_checksum_is_checked_in_a_header_and_in_a_trailer(name):
     key = b"x-amz-checksum-" + name.encode()
-    assert told(b"hello", {key: sum_of(name, b"hello")}).etag == f'"{hashlib.md5(b"hello").hexdigest()}"'
+    assert (
+        verified(b"hello", {key: checksum_of(name, b"hello")}).etag
+        == f'"{hashlib.md5(b"hello").hexdigest()}"'
+    )
     with pytest.raises(S3Error, match="BadDigest"):
-        told(b"hullo", {key: sum_of(name, b"hello")})
+        verified(b"hullo", {key: checksum_of(name, b"hello")})
     headers = {**STREAMING, b"x-amz-trailer": key, b"x-amz-decoded-content-length": b"5"}
-    told(framed([b"hel", b"lo"], {key: sum_of(name, b"hello")}), headers)
-    for wrong in ({key: sum_of(name, b"hullo")}, {}):
+    verified(framed([b"hel", b"lo"], {key: checksum_of(name, b"hello")}), headers)
+    for wrong in ({key: checksum_of(name, b"hullo")}, {}):
         with pytest.raises(S3Error, match="BadDigest"):
-            told(framed([b"hello"], wrong), headers)
+            verified(framed([b"hello"], wrong), headers)
 
 
 @pytest.mark.parametrize(
@@ -117,12 +120,12 @@
         ({b"x-amz-trailer": b"x-amz-checksum-crc64nvme"}, "NotImplemented"),
     ],
 )
-def test_what_is_said_of_a_framed_body_must_hold(headers, code):
+def test_headers_of_a_framed_body_must_match_it(headers, code):
     with pytest.raises(S3Error, match=code):
-        told(framed([b"hello"]), STREAMING | headers)
+        verified(framed([b"hello"]), STREAMING | headers)
 
 
-def test_a_node_gets_the_bare_body_and_the_coding_that_is_the_objects_own():
+def test_headers_without_framing_keep_the_objects_own_coding():
     headers = [
         (b"content-encoding", b"aws-chunked,gzip"),
         (b"x-amz-decoded-content-length", b"5"),
--- a/tests/storage_gateway/frontends/object_api/test_listings.py
+++ b/tests/storage_gateway/frontends/object_api/test_listings.py
@@ -77,15 +77,17 @@
     st.integers(1, 5),
     st.dictionaries(NAMES, st.booleans(), max_size=4),
 )
-def test_pages_put_together_are_the_sorted_names(parts, prefix, delimiter, limit, laid):
+def test_pages_put_together_are_the_sorted_names(parts, prefix, delimiter, limit, buffered):
     """Compares with one plain list: every name once, in order, for any page size."""
     names, seen = set(), []
     placed: list[list[str]] = [[] for _ in parts]
     for name in sorted(set().union(*parts)):
         placed[crc32(name.encode()) % len(parts)].append(name)
         names.add(name)
-    overlay = {name: Item(name, 2) if there else None for name, there in laid.items()}
-    names = {name for name in names | {n for n, there in laid.items() if there} if laid.get(name, True)}
+    overlay = {name: Item(name, 2) if there else None for name, there in buffered.items()}
+    names = {
+        name for name in names | {n for n, there in buffered.items() if there} if buffered.get(name, True)
+    }
     base = Query("bucket", prefix, delimiter, "", limit)
     wanted = sorted(
         {grouped(Item(name, 0), base).name for name in names if name.startswith(prefix)}, key=str.encode
@@ -150,7 +152,7 @@
         Query.parse("bucket", query)
 
 
-def test_a_node_that_does_not_keep_its_order_or_says_nothing_for_ever_is_no_listing():
+def test_an_unsorted_or_endless_node_listing_is_an_error():
     merge = Merge(Query("bucket"), 1)
     merge.next_requests()
     with pytest.raises(S3Error, match="InternalError"):
@@ -246,7 +248,7 @@
 
 
 @pytest.mark.parametrize("fault, status", [("refuse", "503"), ("error", "500"), ("status", "500")])
-def test_a_node_that_cannot_be_asked_makes_the_page_an_error_and_never_a_hole(nodes, fault, status):
+def test_a_failing_node_makes_the_page_an_error_and_never_incomplete(nodes, fault, status):
     nodes[1].script.add(Rule(fault, "GET", times=-1, status=404))
     play(
         f"""
--- a/tests/storage_gateway/frontends/object_api/test_objects.py
+++ b/tests/storage_gateway/frontends/object_api/test_objects.py
@@ -177,7 +177,7 @@
     """)
 
 
-def test_a_download_that_breaks_off_is_cut_short_not_made_up():
+def test_a_truncated_download_is_not_retried():
     play("""
         o1 send GET /plates/a
         n0 expect GET
@@ -227,7 +227,7 @@
     uvloop.run(run())
 
 
-def test_an_upload_waits_for_the_word_to_continue():
+def test_an_upload_waits_for_100_continue():
     play("""
         o1 send PUT /plates/a expect:100-continue content-length:2
         o1 expect 100
@@ -305,7 +305,7 @@
 
 
 @given(st.integers(0, 50), st.one_of(st.none(), st.integers(0, 60)), st.one_of(st.none(), st.integers(0, 60)))
-def test_a_cut_is_what_the_standard_says(length, first, last):
+def test_a_range_is_resolved_as_the_rfc_says(length, first, last):
     """Compares with a naive reading of RFC 9110 that decides on each position separately."""
 
     def text(n):
@@ -328,7 +328,7 @@
         assert list(range(start, end)) == wanted != []
 
 
-def unsteady() -> Turns:
+def failing_script() -> Turns:
     """Return a script of every way in which a node can fail, in turn."""
     stall = Rule("stall", seconds=1.0)
     return Turns(
@@ -348,7 +348,7 @@
 
 def test_whatever_nodes_do_each_call_gets_one_answer_and_no_part_runs_twice(nodes):
     for node in nodes:
-        node.script = unsteady()
+        node.script = failing_script()
 
     async def call(world: World, method: str, path: str, body: bytes = b"") -> int:
         reader, writer = await asyncio.open_connection(*world.objects)
--- a/tests/storage_gateway/frontends/object_api/test_uploads.py
+++ b/tests/storage_gateway/frontends/object_api/test_uploads.py
@@ -13,7 +13,7 @@
 PART = f"PUT /plates/a?partNumber=1&uploadId={encode_upload_id(0, 'up/1 x')}"
 
 
-def test_a_node_that_stands_still_mid_upload_costs_one_answer_and_no_second_part():
+def test_a_node_that_stalls_mid_upload_fails_the_part_once():
     """The part may have been executed: its class is keyed within a shard, so it fails once, unretried."""
     play(f"""
         o1 send {PART} body=part x-deadline-ms:300
@@ -41,7 +41,7 @@
     """)
 
 
-def test_a_part_turned_away_unrun_is_sent_again_under_the_same_key():
+def test_a_part_rejected_unexecuted_is_retried_with_the_same_key():
     async def run() -> list:
         async with World() as world:
             await world.play(f"""
--- a/tests/storage_gateway/frontends/test_platform.py
+++ b/tests/storage_gateway/frontends/test_platform.py
@@ -23,7 +23,7 @@
     """)
 
 
-def test_turned_away_unrun_is_tried_again_and_a_failed_write_is_not():
+def test_a_write_rejected_unexecuted_is_retried():
     play("""
         c1 send write deadline=900
         n0 expect PUT
@@ -74,7 +74,7 @@
     """)
 
 
-def test_a_break_inside_the_answer_is_no_answer():
+def test_a_truncated_answer_is_retried():
     play("""
         c1 send write
         n0 expect PUT
@@ -98,13 +98,13 @@
 
 
 @pytest.mark.parametrize(
-    ("front", "spoilt"),
+    ("front", "malformed"),
     [
         ("c", f"{OK}content-length: 3000000000{NL}{NL}ok"),
         *(
-            (front, spoilt)
+            (front, malformed)
             for front in "co"
-            for spoilt in (
+            for malformed in (
                 f"\\x00\\x01noise{NL}{NL}",
                 f"HTTP/1.1 2x0 OK{NL}{NL}",
                 f"{OK}content-length: -5{NL}{NL}ok",
@@ -121,13 +121,13 @@
     ],
     ids=lambda value: value[:50],
 )
-def test_a_spoilt_answer_is_a_failed_attempt_of_a_node_that_lives(front, spoilt):
+def test_a_malformed_answer_fails_the_attempt_and_not_the_node(front, malformed):
     """Guards against treating the node as down: the retry goes there, and so does the next request."""
     read = {"c": "c1 send read", "o": "o1 send GET /plates/a"}[front]
     play(f"""
         {read}
         n0 expect GET
-        n0 send raw '{spoilt}'
+        n0 send raw '{malformed}'
         n0 expect GET
         n0 send 200 body=good
         {front}1 expect 200 good
@@ -209,7 +209,7 @@
     uvloop.run(run())
 
 
-def test_an_id_whose_answer_is_not_out_yet_is_turned_down():
+def test_a_request_id_is_rejected_until_its_answer_is_sent():
     """Guards the one final answer: the scheduler forgets a request before its client has the answer."""
 
     async def run() -> None:
@@ -228,7 +228,7 @@
     uvloop.run(run())
 
 
-def test_a_client_that_leaves_takes_its_attempt_along():
+def test_a_client_disconnect_cancels_its_attempt():
     play("""
         c1 send read
         n0 expect GET
@@ -319,7 +319,7 @@
     """)
 
 
-def test_an_id_whose_attempt_is_still_out_is_turned_down():
+def test_a_request_id_is_rejected_while_its_attempt_is_in_flight():
     """Guards the scheduler's state: the outcome of the first request's attempt would count for the second."""
 
     async def run() -> None:
