--- a/mallowbeam/storage_gateway/frontends/object_api/access.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/access.py
@@ -79,11 +79,8 @@
 
     path: Path
     keys: dict[str, Key] = field(default_factory=dict)
-    file_identity: tuple[int, int, int] = (
-        0,
-        0,
-        0,
-    )  # the loaded file's inode, size and modification time (ns)
+    # Inode, size and modification time (ns) of the loaded file.
+    file_identity: tuple[int, int, int] = (0, 0, 0)
     next_check: float = 0.0  # monotonic time of the next check, in seconds
     last_error: str = ""  # the last error logged for an invalid file; empty if the file is valid
 
--- a/mallowbeam/storage_gateway/frontends/object_api/bodies.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/bodies.py
@@ -43,10 +43,8 @@
     """Incremental decoder of the `aws-chunked` framing; raises `S3Error` for malformed framing."""
 
     def __init__(self, signatures: ChunkSignatures | None = None) -> None:
-        self.signatures, self.chunk_signature = (
-            signatures,
-            "",
-        )  # the signature chain; the current chunk's signature
+        # The signature chain, and the signature that the current chunk states.
+        self.signatures, self.chunk_signature = signatures, ""
         self.chunk_digest = hashlib.sha256()  # of the current chunk, if chunks are signed
         self.signed_trailers = b""  # the trailers in the form that is signed
         self.partial_line = bytearray()  # an incomplete line
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -66,9 +66,8 @@
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
 T = TypeVar("T")
-INLINE_DIGEST_BYTES = (
-    256 * 1024
-)  # digests of larger bodies are computed in a thread, to not block other calls
+# Digests of larger bodies are computed in a thread, to not block other calls.
+INLINE_DIGEST_BYTES = 256 * 1024
 MAX_CONCURRENT_DELETES = 16  # deletes of one batch in flight
 MAX_DEADLINE_MS = 86_400_000  # deadlines over a day are rejected
 # Not forwarded: headers of a single connection, and headers between gateway and node.
@@ -320,11 +319,12 @@
         settings, gateway_settings, headers = self.settings, self.gateway.config.settings, request.headers
         cls = gateway_settings.classes[settings.read_class if request.is_read else settings.write_class]
         seconds = self.time_limit(cls.name, headers.get(b"x-deadline-ms"))
+        # The signature is verified here and is not for nodes.
         dropped = (
             UNFORWARDED_REQUEST_HEADERS
             if self.access is None
             else UNFORWARDED_REQUEST_HEADERS | {b"authorization"}
-        )  # not for nodes
+        )
         forwarded = [header for header in request.message.headers if header[0] not in dropped]
         # Keeps a client's own key, so that its retries are deduplicated too; else all attempts share the id.
         token = headers.get(b"idempotency-key", request_id.encode())
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -28,10 +28,8 @@
 EXTENT = re.compile(rb"units=(\d{1,9}),shard=(-?\d{1,9}),hosts=(\d{1,9})\Z")
 MAX_HELD_BYTES = 24 * 1024 * 1024  # of request bodies held at once over all connections
 MAX_DEADLINE_MS = 3_600_000  # deadlines over an hour are rejected
-BODY_TIMEOUT_RATIO, MIN_BODY_TIMEOUT_S = (
-    0.2,
-    0.05,
-)  # share of the latency target; nodes write small answers in one go
+# Timeout between reads of a small answer, as a share of the latency target: nodes write it in one go.
+BODY_TIMEOUT_RATIO, MIN_BODY_TIMEOUT_S = 0.2, 0.05
 FAILED_STATUS = 502  # neither 429 nor 503, which would mean that the request was refused
 REFUSED_STATUS = 503
 RETRY_AFTER_HEADER = [(b"retry-after", b"0.3")]  # for refusals that the scheduler is not involved in
@@ -47,9 +45,8 @@
         b"content-type",
     )
 )
-UNIQUE_HEADERS = FORWARDED_HEADERS | {
-    b"x-deadline-ms"
-}  # at most once each: parsers differ on which duplicate counts
+# Headers allowed at most once: parsers differ on which duplicate counts.
+UNIQUE_HEADERS = FORWARDED_HEADERS | {b"x-deadline-ms"}
 
 
 class InvalidRequestError(MallowbeamError):
--- a/tests/storage_gateway/frontends/test_stream.py
+++ b/tests/storage_gateway/frontends/test_stream.py
@@ -19,10 +19,10 @@
     "x-request-id:00000000000000f1 x-class:new-write x-storage-class:silver x-deadline-ms:2000 "
     "x-extent:units=1,shard=0,hosts=1 idempotency-key:k"
 )
-HTTP_11 = f"PUT {WRITE} HTTP/1.1{NL}" + NL.join(HEAD.split()).replace(":", ": ") + NL
-HTTP_10 = f"PUT {WRITE} HTTP/1.0{NL}" + NL.join(HEAD.split()).replace(":", ": ") + NL
+RAW = f"PUT {WRITE} HTTP/1.1{NL}" + NL.join(HEAD.split()).replace(":", ": ") + NL
+RAW_HTTP_1_0 = f"PUT {WRITE} HTTP/1.0{NL}" + NL.join(HEAD.split()).replace(":", ": ") + NL
 LARGE = 300_000
-START = f"{HTTP_11}content-length: {LARGE}{NL}{NL}"
+START = f"{RAW}content-length: {LARGE}{NL}{NL}"
 ANSWER = f"HTTP/1.1 200 OK{NL}content-length: {LARGE}{NL}{NL}"
 
 
@@ -141,7 +141,7 @@
         served = await asyncio.start_server(node, "127.0.0.1", 0)
         async with World(servers=["{}:{}".format(*served.sockets[0].getsockname())]) as world:
             await world.play(f"""
-                c1 send raw '{HTTP_11}content-length: 9000000{NL}{NL}' fill=1000000
+                c1 send raw '{RAW}content-length: 9000000{NL}{NL}' fill=1000000
                 c1 expect 503 'connection: close'
                 c1 expect end
             """)
@@ -152,7 +152,7 @@
 
 def test_a_large_request_in_chunks_reaches_its_node_in_chunks():
     play(f"""
-        c1 send raw '{HTTP_11}transfer-encoding: chunked{NL}{NL}15f90;a=b{NL}' fill=90000
+        c1 send raw '{RAW}transfer-encoding: chunked{NL}{NL}15f90;a=b{NL}' fill=90000
         wait 0.02
         c1 send raw '{NL}186a0{NL}' fill=100000
         c1 send raw '{NL}0{NL}x-t: 1{NL}{NL}'
@@ -164,7 +164,7 @@
 
 def test_an_upload_without_a_node_is_refused_instead_of_100_continue():
     play(f"""
-        c1 send raw '{HTTP_11.replace("shard=0", "shard=1")}expect: 100-continue{NL}content-length: 70000{NL}{NL}'
+        c1 send raw '{RAW.replace("shard=0", "shard=1")}expect: 100-continue{NL}content-length: 70000{NL}{NL}'
         c1 expect 503 'connection: close'
         c1 expect end
         n0 expect nothing
@@ -173,7 +173,7 @@
 
 def test_an_upload_that_expects_100_continue_gets_it_once_the_node_is_there():
     play(f"""
-        c1 send raw '{HTTP_11}expect: 100-continue{NL}content-length: {LARGE}{NL}{NL}'
+        c1 send raw '{RAW}expect: 100-continue{NL}content-length: {LARGE}{NL}{NL}'
         c1 expect 100
         c1 send raw '' fill=300000
         n0 expect PUT
@@ -184,7 +184,7 @@
 
 def test_an_old_client_gets_no_interim_answer():
     play(f"""
-        c1 send raw '{HTTP_10}expect: 100-continue{NL}content-length: 2{NL}{NL}'
+        c1 send raw '{RAW_HTTP_1_0}expect: 100-continue{NL}content-length: 2{NL}{NL}'
         wait 0.05
         c1 send raw 'ab'
         n0 expect PUT
@@ -215,13 +215,13 @@
     ("request_", "body"),
     [
         (
-            f"{HTTP_11}transfer-encoding: chunked{NL}{NL}3;a=b{NL}abc{NL}2{NL}de{NL}0{NL}x-t: 1{NL}{NL}",
+            f"{RAW}transfer-encoding: chunked{NL}{NL}3;a=b{NL}abc{NL}2{NL}de{NL}0{NL}x-t: 1{NL}{NL}",
             "abcde",
         ),
-        (f"{NL}{NL}{HTTP_11}content-length: 2 {NL}{NL}ab", "ab"),
-        (f"{HTTP_11}x-trace: t \\t{NL}content-length: 2\\t{NL}{NL}ab", "ab"),
-        (f"{HTTP_11.replace(' /', ' http://api.internal:80/')}content-length: 2{NL}{NL}ab", "ab"),
-        (f"{HTTP_10}content-length: 2{NL}{NL}ab", "ab"),
+        (f"{NL}{NL}{RAW}content-length: 2 {NL}{NL}ab", "ab"),
+        (f"{RAW}x-trace: t \\t{NL}content-length: 2\\t{NL}{NL}ab", "ab"),
+        (f"{RAW.replace(' /', ' http://api.internal:80/')}content-length: 2{NL}{NL}ab", "ab"),
+        (f"{RAW_HTTP_1_0}content-length: 2{NL}{NL}ab", "ab"),
     ],
     ids=["chunks", "blank lines", "space", "absolute", "1.0"],
 )
@@ -244,7 +244,7 @@
         "length": f"content-length: {size}{NL}{NL}",
     }[form]
     end = {"chunks": f"n0 send raw '{NL}0{NL}x-t: 1{NL}{NL}'", "close": "n0 end", "length": ""}[form]
-    head = HTTP_11.replace("HTTP/1.1", f"HTTP/{version}")
+    head = RAW.replace("HTTP/1.1", f"HTTP/{version}")
     play(f"""
         c1 send raw '{head}content-length: 0{NL}{NL}'
         n0 expect PUT
