--- a/mallowbeam/storage_gateway/frontends/object_api/access.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/access.py
@@ -49,9 +49,7 @@
     """Parse a key file and return its keys by id; raises `GatewayConfigError`."""
     try:
         key_file = msgspec.json.decode(data, type=KeyFile)
-    except (
-        msgspec.DecodeError
-    ) as error:  # its text names the position and never contains a value such as a secret
+    except msgspec.DecodeError as error:  # its text names the position but no values, such as secrets
         raise GatewayConfigError(str(error)) from None
     keys = {key.id: key for key in key_file.keys}
     if len(keys) < len(key_file.keys):
--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -221,10 +221,8 @@
             raise S3Error("InternalError") from None
         try:
             lsn = await buffer.intake.put_barrier(request.bucket) if barrier is not None else None
-        except (
-            RecordRejectedError,
-            CommitUnknownError,
-        ):  # the write itself is durable, so this must not look like a refusal
+        except (RecordRejectedError, CommitUnknownError):
+            # The write itself is durable, so the answer must not look like a refusal.
             raise S3Error("InternalError") from None
         if lsn is not None and barrier == b"through":
             await self._wait_for_barrier(request.bucket, lsn, self._deadline(request.message))
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -28,7 +28,7 @@
 EXTENT = re.compile(rb"units=(\d{1,9}),shard=(-?\d{1,9}),hosts=(\d{1,9})\Z")
 MAX_HELD_BYTES = 24 * 1024 * 1024  # of request bodies held at once over all connections
 MAX_DEADLINE_MS = 3_600_000  # deadlines over an hour are rejected
-# Timeout between reads of a small answer, as a share of the latency target: nodes write it in one go.
+# Idle timeout of an answer's body, as a share of the latency target: nodes write small answers in one go.
 BODY_TIMEOUT_RATIO, MIN_BODY_TIMEOUT_S = 0.2, 0.05
 FAILED_STATUS = 502  # neither 429 nor 503, which would mean that the request was refused
 REFUSED_STATUS = 503
