--- a/mallowbeam/storage_gateway/frontends/object_api/batches.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/batches.py
@@ -11,7 +11,7 @@
 from defusedxml.ElementTree import fromstring
 
 from mallowbeam.storage_gateway.frontends.object_api.errors import ERRORS, S3Error
-from mallowbeam.storage_gateway.frontends.object_api.listings import NAMESPACE, put
+from mallowbeam.storage_gateway.frontends.object_api.listings import NAMESPACE, add_element
 
 MAX_NAMES = 1000
 MAX_DOCUMENT_BYTES = 2 << 20
@@ -65,10 +65,10 @@
     for name, code in results.items():
         if code is None:
             if not quiet:
-                put(SubElement(root, "Deleted"), "Key", name)
+                add_element(SubElement(root, "Deleted"), "Key", name)
             continue
         element = SubElement(root, "Error")
-        put(element, "Key", name)
-        put(element, "Code", code)
-        put(element, "Message", ERRORS[code][1])
+        add_element(element, "Key", name)
+        add_element(element, "Code", code)
+        add_element(element, "Message", ERRORS[code][1])
     return bytes(tostring(root, encoding="UTF-8", xml_declaration=True))
--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -370,7 +370,7 @@
         if entry.method == "DELETE":
             raise S3Error("NoSuchKey")
         try:
-            write, whole = await self.buffer.reader.read(entry)
+            write, body_data = await self.buffer.reader.read(entry)
         except (LogIOError, ValueError):
             if self.buffer.phase is Phase.CLOSED:  # another process has taken over the files
                 raise slow_down() from None
@@ -395,12 +395,12 @@
                 headers.append(content_range(start, end, write.size))
         if request.method == b"HEAD" or not write.chunks:
             head = write_head(status, headers, end - start, closing())
-            return Response(status, head + whole[start:end])
+            return Response(status, head + body_data[start:end])
 
         async def stream(channel: Channel) -> bool:
             await channel.send(write_head(status, headers, end - start, closing()))
             try:
-                async for part in self.buffer.reader.body(write, whole, start, end):
+                async for part in self.buffer.reader.body(write, body_data, start, end):
                     await channel.send(part)
             except LogIOError:
                 return False  # the client sees that the body is incomplete
--- a/mallowbeam/storage_gateway/frontends/object_api/calls.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/calls.py
@@ -10,7 +10,7 @@
 
 from mallowbeam.http.framing import Message
 from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
-from mallowbeam.storage_gateway.frontends.object_api.ranges import span
+from mallowbeam.storage_gateway.frontends.object_api.ranges import max_range_bytes
 from mallowbeam.storage_gateway.frontends.object_api.settings import ObjectSettings
 from mallowbeam.storage_gateway.frontends.object_api.signatures import ChunkSignatures
 from mallowbeam.storage_gateway.frontends.object_api.uploads import decode_upload_id
@@ -88,7 +88,9 @@
         self._check()
         self.is_read = self.method in (b"GET", b"HEAD")
         size = (
-            span(self.headers.get(b"range")) if self.is_read else max(message.received, message.length or 0)
+            max_range_bytes(self.headers.get(b"range"))
+            if self.is_read
+            else max(message.received, message.length or 0)
         )
         self.set_units(size or 0, settings)
 
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -177,11 +177,13 @@
         query = Query.parse(call.bucket, call.query)
         deadline = self._deadline_at(call, self.settings.read_class)
         merge = Merge(query, self.gateway.config.settings.shards, await self.overlay(query))
-        while asks := merge.next_requests():
+        while node_requests := merge.next_requests():
             remaining = deadline - self.gateway.now()
-            node_lists = await gather_or_cancel(*(self._list_node(query, ask, remaining) for ask in asks))
-            for ask, listing in zip(asks, node_lists, strict=True):
-                merge.feed(ask.shard, *listing)
+            node_lists = await gather_or_cancel(
+                *(self._list_node(query, node_request, remaining) for node_request in node_requests)
+            )
+            for node_request, listing in zip(node_requests, node_lists, strict=True):
+                merge.feed(node_request.shard, *listing)
         return self._xml_response(merge.page(), call)
 
     def _deadline_at(self, call: BucketCall, cls: str) -> float:
@@ -225,7 +227,7 @@
         return self._xml_response(batches.result_document(results, quiet), call)
 
     async def _list_node(
-        self, query: Query, ask: NodeRequest, seconds: float
+        self, query: Query, node_request: NodeRequest, seconds: float
     ) -> tuple[list[Item], str, bool]:
         """Fetch a node's next names by an ordinary call of one unit, within the listing's remaining time."""
         if seconds <= 0:
@@ -233,14 +235,14 @@
         request_id = secrets.token_hex(8)
         key = f"{crc32(query.bucket.encode()):016x}"
         fields = self.scheduler_fields(
-            self.settings.read_class, seconds, query.bucket, ask.shard, key, 1, False
+            self.settings.read_class, seconds, query.bucket, node_request.shard, key, 1, False
         )
         answer = await self.gateway.submit(
             Call(
                 request_id,
                 fields,
                 b"GET",
-                listing_target(query, ask),
+                listing_target(query, node_request),
                 [(b"x-request-id", request_id.encode())],
                 final=lambda status: 200 <= status < 500,
             )
--- a/mallowbeam/storage_gateway/frontends/object_api/listings.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/listings.py
@@ -132,7 +132,7 @@
         self.query, self.shards = query, shards
         # One more than the page holds, to know whether any name follows.
         self.wanted = query.limit + 1 if query.limit else 0
-        self.parts = [
+        self.cursors = [
             NodeCursor(after=start_after(query.after, query.delimiter, query.prefix)) for _ in range(shards)
         ]
         self.overlay = dict(overlay or {})
@@ -162,7 +162,7 @@
         )
         requests = [
             NodeRequest(shard, cursor.after, cursor.token, count)
-            for shard, cursor in enumerate(self.parts)
+            for shard, cursor in enumerate(self.cursors)
             if cursor.more and not cursor.items
         ]
         self.requested_names += count * len(requests)
@@ -177,7 +177,7 @@
             token: The node's continuation token, if any.
             more: Whether the node has further names.
         """
-        cursor = self.parts[shard]
+        cursor = self.cursors[shard]
         before = cursor.after.encode("utf-8", "surrogateescape")
         for item in items:
             # A node that violates the order would break the order of the page.
@@ -196,7 +196,7 @@
         """Merge names into the page for as long as the next name of every node is known."""
         while not self.complete:
             heads = []
-            for cursor in self.parts:
+            for cursor in self.cursors:
                 if cursor.items:
                     heads.append((cursor.items[0].sort_key, cursor.items))
                 elif cursor.more:
@@ -229,32 +229,32 @@
             return quote(text, safe="/", errors="surrogateescape") if query.percent_encoded else text
 
         root = Element("ListBucketResult", xmlns=NAMESPACE)
-        put(root, "Name", query.bucket)
-        put(root, "Prefix", encode(query.prefix))
+        add_element(root, "Name", query.bucket)
+        add_element(root, "Prefix", encode(query.prefix))
         if query.delimiter:
-            put(root, "Delimiter", encode(query.delimiter))
+            add_element(root, "Delimiter", encode(query.delimiter))
         if query.percent_encoded:
-            put(root, "EncodingType", "url")
-        put(root, "MaxKeys", str(query.limit))
-        put(root, "IsTruncated", "true" if self.truncated else "false")
+            add_element(root, "EncodingType", "url")
+        add_element(root, "MaxKeys", str(query.limit))
+        add_element(root, "IsTruncated", "true" if self.truncated else "false")
         tags = {"continuation-token": "ContinuationToken", "start-after": "StartAfter", "marker": "Marker"}
         for name, value in query.echoed:
-            put(root, tags[name], value if name == "continuation-token" else encode(value))
+            add_element(root, tags[name], value if name == "continuation-token" else encode(value))
         if query.is_v2:
-            put(root, "KeyCount", str(len(items)))
+            add_element(root, "KeyCount", str(len(items)))
         if self.truncated:
             last = items[-1].name
             if query.is_v2:
-                put(
+                add_element(
                     root,
                     "NextContinuationToken",
                     encode_token(last, query.bucket, query.prefix, query.delimiter),
                 )
             else:
-                put(root, "NextMarker", encode(last))
+                add_element(root, "NextMarker", encode(last))
         for item in items:
             if item.size is None:
-                put(SubElement(root, "CommonPrefixes"), "Prefix", encode(item.name))
+                add_element(SubElement(root, "CommonPrefixes"), "Prefix", encode(item.name))
                 continue
             entry = SubElement(root, "Contents")
             for tag, value in (
@@ -264,11 +264,11 @@
                 ("Size", str(item.size)),
                 ("StorageClass", "STANDARD"),
             ):
-                put(entry, tag, value)
+                add_element(entry, tag, value)
         return bytes(tostring(root, encoding="UTF-8", xml_declaration=True))
 
 
-def put(parent: Element, tag: str, text: str) -> None:
+def add_element(parent: Element, tag: str, text: str) -> None:
     """Append an element with text; bytes that are not UTF-8, which older names may have, become `?`."""
     SubElement(parent, tag).text = text.encode("utf-8", "replace").decode()
 
@@ -289,16 +289,18 @@
     return after
 
 
-def listing_target(query: Query, ask: NodeRequest) -> bytes:
+def listing_target(query: Query, node_request: NodeRequest) -> bytes:
     """Return the target of the listing request to a node."""
     parameters = {
         "list-type": "2",
         "encoding-type": "url",
-        "max-keys": str(ask.limit),
+        "max-keys": str(node_request.limit),
         "prefix": query.prefix,
         "delimiter": query.delimiter,
     }
-    parameters["continuation-token" if ask.token else "start-after"] = ask.token or ask.after
+    parameters["continuation-token" if node_request.token else "start-after"] = (
+        node_request.token or node_request.after
+    )
     text = "&".join(
         f"{name}={quote(value, safe='', errors='surrogateescape')}"
         for name, value in parameters.items()
--- a/mallowbeam/storage_gateway/frontends/object_api/ranges.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/ranges.py
@@ -50,7 +50,7 @@
     return first, length if last is None else min(last + 1, length)
 
 
-def span(header: bytes | None) -> int | None:
+def max_range_bytes(header: bytes | None) -> int | None:
     """Return the maximum number of requested bytes; None if the header alone does not determine it."""
     positions = parse_range(header) if header else None
     if positions is None or positions[1] is None:
--- a/tests/storage_gateway/frontends/object_api/test_listings.py
+++ b/tests/storage_gateway/frontends/object_api/test_listings.py
@@ -40,12 +40,12 @@
         self.parts = [sorted(part, key=str.encode) for part in parts]
         self.orders = [[name.encode() for name in part] for part in self.parts]
 
-    def answer(self, ask: NodeRequest) -> tuple[list[Item], str, bool]:
-        """Return the next names, grouped by common prefix, at most `ask.limit` of them."""
-        names, order = self.parts[ask.shard], self.orders[ask.shard]
-        at, items = bisect_right(order, (ask.token or ask.after).encode()), []
+    def answer(self, node_request: NodeRequest) -> tuple[list[Item], str, bool]:
+        """Return the next names, grouped by common prefix, at most `node_request.limit` of them."""
+        names, order = self.parts[node_request.shard], self.orders[node_request.shard]
+        at, items = bisect_right(order, (node_request.token or node_request.after).encode()), []
         last = ""
-        while at < len(names) and len(items) < ask.limit:
+        while at < len(names) and len(items) < node_request.limit:
             name = names[at]
             if name.startswith(self.query.prefix):
                 item = grouped(Item(name, 1), self.query)
@@ -63,9 +63,9 @@
 
 def page(query: Query, parts: list[list[str]], overlay=None) -> Merge:
     merge, nodes = Merge(query, len(parts), overlay), Nodes(query, parts)
-    while asks := merge.next_requests():
-        for ask in asks:
-            merge.feed(ask.shard, *nodes.answer(ask))
+    while node_requests := merge.next_requests():
+        for node_request in node_requests:
+            merge.feed(node_request.shard, *nodes.answer(node_request))
     merge.requested_names = nodes.requested_names
     return merge
 
