--- a/mallowbeam/storage_gateway/frontends/object_api/listings.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/listings.py
@@ -1,9 +1,9 @@
-"""A bucket's names in order, merged from the parts that its nodes list: what to ask next, and the page.
+"""Bucket listings: a k-way merge of the sorted lists of a bucket's nodes into pages.
 
-No I/O.  Each node lists its own names sorted (by their UTF-8 bytes, as S3 does).  A page asks each for its
-even part and a little more, and again only the one whose names have run out before the page was full, so that
-what is held is a page's worth however large the bucket is.  Names that are buffered here are laid over what
-the nodes tell.
+No I/O.  Each node lists its own names sorted (by their UTF-8 bytes, as S3 does).  A page requests an even
+share and a little more from each node, and further names only from a node whose names run out before the page
+is full, so that memory is bound by the page size however large the bucket is.  Names in the write-back buffer
+override those of the nodes.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 from defusedxml import DefusedXmlException
 from defusedxml.ElementTree import fromstring
 
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
 
 NAMESPACE = "http://s3.amazonaws.com/doc/2006-03-01/"
-MOST_KEYS = 1000  # names on a page
-LEAST_ASKED = 16  # names asked of a node at once, where the page wants that many
-EXTRA = 1.25  # of its even part a node is asked for: names spread evenly, but not exactly
-LAST = "\U0010ffff" * 4  # behind a prefix: after every name that begins with it, but for absurd ones
+MAX_PAGE_NAMES = 1000  # names on a page
+MIN_NODE_NAMES = 16  # names requested from a node at once, unless the page needs fewer
+NODE_SHARE_FACTOR = 1.25  # requested multiple of a node's even share, as names spread only roughly evenly
+AFTER_PREFIX = "\U0010ffff" * 4  # appended to a prefix, sorts after practically every name with that prefix
 
 
 class Item(NamedTuple):
-    """A name on a page: an object, or with `size` None a common prefix."""
+    """An entry of a page: an object, or a common prefix if `size` is None."""
 
     name: str
     size: int | None = None
@@ -39,274 +39,290 @@
     modified: str = ""
 
     @property
-    def order(self) -> bytes:
-        """What it is sorted by."""
+    def sort_key(self) -> bytes:
+        """The sort key."""
         return self.name.encode("utf-8", "surrogateescape")
 
 
-class Ask(NamedTuple):
-    """A node's next names are wanted."""
+class NodeRequest(NamedTuple):
+    """A request for a node's next names."""
 
     shard: int
-    after: str  # names behind this one
-    token: str  # or the node's own word for where it was, if it gave one
-    most: int
+    after: str  # exclusive
+    token: str  # the node's own continuation token, which takes precedence over `after`
+    limit: int
 
 
 @dataclass(slots=True)
-class Part:
-    """What one node has told so far."""
+class NodeCursor:
+    """The merge's state of one node's list."""
 
     items: deque[Item] = field(default_factory=deque)
     token: str = ""
     after: str = ""
-    more: bool = True  # whether it may have further names
+    more: bool = True  # whether the node may have further names
 
 
 @dataclass(slots=True, frozen=True)
 class Query:
-    """What a client asks for; raises `Error` from `read`."""
+    """A client's listing request."""
 
     bucket: str
     prefix: str = ""
     delimiter: str = ""
-    after: str = ""  # names behind this one only
-    most: int = MOST_KEYS
-    second: bool = True  # ListObjectsV2
-    encoded: bool = False  # names in percent-encoding
-    told: tuple[tuple[str, str], ...] = ()  # what the answer repeats of the call
+    after: str = ""  # exclusive start
+    limit: int = MAX_PAGE_NAMES
+    is_v2: bool = True  # ListObjectsV2
+    percent_encoded: bool = False  # whether names are percent-encoded in the answer
+    echoed: tuple[tuple[str, str], ...] = ()  # request parameters that the answer repeats
 
     @classmethod
-    def read(cls, bucket: str, query: Mapping[str, str]) -> Query:
-        """A listing call's words."""
-        most, second = query.get("max-keys", str(MOST_KEYS)), query.get("list-type") == "2"
-        if not (most.isascii() and most.isdigit() and len(most) < 10):
-            raise Error("InvalidArgument")
+    def parse(cls, bucket: str, query: Mapping[str, str]) -> Query:
+        """Parse the query parameters of a listing request; raises `S3Error`."""
+        page_size, is_v2 = query.get("max-keys", str(MAX_PAGE_NAMES)), query.get("list-type") == "2"
+        if not (page_size.isascii() and page_size.isdigit() and len(page_size) < 10):
+            raise S3Error("InvalidArgument")
         if query.get("encoding-type", "url") != "url" or query.get("list-type", "2") != "2":
-            raise Error("InvalidArgument")
+            raise S3Error("InvalidArgument")
         prefix, delimiter = query.get("prefix", ""), query.get("delimiter", "")
         token = query.get("continuation-token")
-        if second and token is not None:
-            after = open_token(token, bucket, prefix, delimiter)
+        if is_v2 and token is not None:
+            after = decode_token(token, bucket, prefix, delimiter)
         else:
-            after = query.get("start-after" if second else "marker", "")
+            after = query.get("start-after" if is_v2 else "marker", "")
         try:
             (prefix + delimiter + after).encode()
         except UnicodeEncodeError:  # names are UTF-8
-            raise Error("InvalidArgument") from None
-        names = ("continuation-token", "start-after") if second else ("marker",)
+            raise S3Error("InvalidArgument") from None
+        names = ("continuation-token", "start-after") if is_v2 else ("marker",)
         return cls(
             bucket,
             prefix,
             delimiter,
             after,
-            min(MOST_KEYS, int(most)),
-            second,
+            min(MAX_PAGE_NAMES, int(page_size)),
+            is_v2,
             "encoding-type" in query,
             tuple((name, query[name]) for name in names if name in query),
         )
 
 
-def seal_token(last: str, bucket: str, prefix: str, delimiter: str) -> str:
-    """Where a listing goes on, opaque to clients and tied to what they asked."""
-    tied = crc32(json.dumps([bucket, prefix, delimiter]).encode())
-    return base64.urlsafe_b64encode(json.dumps([1, tied, last]).encode()).decode()
+def encode_token(last: str, bucket: str, prefix: str, delimiter: str) -> str:
+    """Return a continuation token: opaque to clients and bound to their bucket, prefix and delimiter."""
+    checksum = crc32(json.dumps([bucket, prefix, delimiter]).encode())
+    return base64.urlsafe_b64encode(json.dumps([1, checksum, last]).encode()).decode()
 
 
-def open_token(token: str, bucket: str, prefix: str, delimiter: str) -> str:
-    """The name behind a token; raises `Error` for one made up, or of another listing."""
+def decode_token(token: str, bucket: str, prefix: str, delimiter: str) -> str:
+    """Return the last name in a token; raises `S3Error` for one that is invalid or of another listing."""
     try:
-        version, tied, last = json.loads(base64.b64decode(token.encode(), altchars=b"-_", validate=True))
+        version, checksum, last = json.loads(base64.b64decode(token.encode(), altchars=b"-_", validate=True))
     except (ValueError, TypeError, RecursionError):
-        raise Error("InvalidArgument") from None
-    wanted = crc32(json.dumps([bucket, prefix, delimiter]).encode())
-    if version != 1 or tied != wanted or not isinstance(last, str):
-        raise Error("InvalidArgument")
+        raise S3Error("InvalidArgument") from None
+    expected = crc32(json.dumps([bucket, prefix, delimiter]).encode())
+    if version != 1 or checksum != expected or not isinstance(last, str):
+        raise S3Error("InvalidArgument")
     return last
 
 
 class Merge:
-    """One page of a bucket that lies on so many shards."""
+    """Merges one page of a bucket from the lists of its shards."""
 
     def __init__(self, query: Query, shards: int, overlay: Mapping[str, Item | None] | None = None) -> None:
         self.query, self.shards = query, shards
-        # One more than the page has: whether any name follows must be known.
-        self.want = query.most + 1 if query.most else 0
-        self.parts = [Part(after=skip(query.after, query.delimiter, query.prefix)) for _ in range(shards)]
+        # One more than the page holds, to know whether any name follows.
+        self.wanted = query.limit + 1 if query.limit else 0
+        self.cursors = [
+            NodeCursor(after=start_after(query.after, query.delimiter, query.prefix)) for _ in range(shards)
+        ]
         self.overlay = dict(overlay or {})
         self.items: list[Item] = []  # the page, in order
-        self.over = not self.want
-        self.asked = 0  # names asked of nodes
-        self._laid = deque(
+        self.complete = not self.wanted
+        self.requested_names = 0  # names requested from nodes
+        self._overlay_items = deque(
             sorted(
                 {
-                    rolled(item, query)
+                    grouped(item, query)
                     for name, item in self.overlay.items()
                     if item is not None and name.startswith(query.prefix)
                 },
-                key=lambda item: item.order,
+                key=lambda item: item.sort_key,
             )
         )
 
-    def needs(self) -> list[Ask]:
-        """What must be asked before the page can go on; empty when it is done."""
+    def next_requests(self) -> list[NodeRequest]:
+        """Return the requests needed to continue the page; empty if the page is complete."""
         self._merge()
-        if self.over:
+        if self.complete:
             return []
-        left = self.want - len(self.items)
-        count = max(min(LEAST_ASKED, left), min(left, int(left / self.shards * EXTRA) + 1))
-        asks = [
-            Ask(shard, part.after, part.token, count)
-            for shard, part in enumerate(self.parts)
-            if part.more and not part.items
+        remaining = self.wanted - len(self.items)
+        count = max(
+            min(MIN_NODE_NAMES, remaining),
+            min(remaining, int(remaining / self.shards * NODE_SHARE_FACTOR) + 1),
+        )
+        requests = [
+            NodeRequest(shard, cursor.after, cursor.token, count)
+            for shard, cursor in enumerate(self.cursors)
+            if cursor.more and not cursor.items
         ]
-        self.asked += count * len(asks)
-        return asks
+        self.requested_names += count * len(requests)
+        return requests
 
     def feed(self, shard: int, items: list[Item], token: str, more: bool) -> None:
-        """A node's next names, sorted; `token`: where it goes on, if there is `more`.  Raises `Error`."""
-        part = self.parts[shard]
-        before = part.after.encode("utf-8", "surrogateescape")
+        """Add a node's next names; raises `S3Error` if they are out of order or no progress is made.
+
+        Args:
+            shard: The node's shard.
+            items: Its names, sorted.
+            token: The node's continuation token, if any.
+            more: Whether the node has further names.
+        """
+        cursor = self.cursors[shard]
+        before = cursor.after.encode("utf-8", "surrogateescape")
         for item in items:
-            # Guards the page's order against a node that does not keep to it.
-            if item.order < before:
-                raise Error("InternalError")
-            before = item.order
+            # A node that violates the order would break the order of the page.
+            if item.sort_key < before:
+                raise S3Error("InternalError")
+            before = item.sort_key
             if item.name not in self.overlay:
-                part.items.append(item)
+                cursor.items.append(item)
         if items:
-            part.after = items[-1].name
+            cursor.after = items[-1].name
         elif more:
-            raise Error("InternalError")  # nothing, and more of it
-        part.token, part.more = token, more
+            raise S3Error("InternalError")  # an empty list that claims to continue would never end
+        cursor.token, cursor.more = token, more
 
     def _merge(self) -> None:
-        """Take names in order for as long as each node's next one is known."""
-        while not self.over:
+        """Merge names into the page for as long as the next name of every node is known."""
+        while not self.complete:
             heads = []
-            for part in self.parts:
-                if part.items:
-                    heads.append((part.items[0].order, part.items))
-                elif part.more:
-                    return  # its next name may be the first of all
-            if self._laid:
-                heads.append((self._laid[0].order, self._laid))
+            for cursor in self.cursors:
+                if cursor.items:
+                    heads.append((cursor.items[0].sort_key, cursor.items))
+                elif cursor.more:
+                    return  # its next name may sort first
+            if self._overlay_items:
+                heads.append((self._overlay_items[0].sort_key, self._overlay_items))
             if not heads:
-                self.over = True
+                self.complete = True
                 return
             item = min(heads, key=lambda head: head[0])[1].popleft()
-            if self._behind(item) and len(self.items) < self.want:
+            if self._sorts_after_last(item) and len(self.items) < self.wanted:
                 self.items.append(item)
-            self.over = len(self.items) >= self.want
+            self.complete = len(self.items) >= self.wanted
 
-    def _behind(self, item: Item) -> bool:
-        """Whether a name lies behind the last: a prefix that several nodes have counts once."""
+    def _sorts_after_last(self, item: Item) -> bool:
+        """Whether a name sorts after the last one, which drops a common prefix listed by several nodes."""
         last = self.items[-1].name if self.items else self.query.after
-        return item.order > last.encode("utf-8", "surrogateescape")
+        return item.sort_key > last.encode("utf-8", "surrogateescape")
 
     @property
     def truncated(self) -> bool:
         """Whether names follow the page."""
-        return len(self.items) > self.query.most > 0
+        return len(self.items) > self.query.limit > 0
 
     def page(self) -> bytes:
-        """S3's document of the page."""
-        query, items = self.query, self.items[: self.query.most]
+        """Return the page as S3's XML document."""
+        query, items = self.query, self.items[: self.query.limit]
 
-        def word(text: str) -> str:
-            return quote(text, safe="/", errors="surrogateescape") if query.encoded else text
+        def encode(text: str) -> str:
+            return quote(text, safe="/", errors="surrogateescape") if query.percent_encoded else text
 
         root = Element("ListBucketResult", xmlns=NAMESPACE)
-        put(root, "Name", query.bucket)
-        put(root, "Prefix", word(query.prefix))
+        add_element(root, "Name", query.bucket)
+        add_element(root, "Prefix", encode(query.prefix))
         if query.delimiter:
-            put(root, "Delimiter", word(query.delimiter))
-        if query.encoded:
-            put(root, "EncodingType", "url")
-        put(root, "MaxKeys", str(query.most))
-        put(root, "IsTruncated", "true" if self.truncated else "false")
+            add_element(root, "Delimiter", encode(query.delimiter))
+        if query.percent_encoded:
+            add_element(root, "EncodingType", "url")
+        add_element(root, "MaxKeys", str(query.limit))
+        add_element(root, "IsTruncated", "true" if self.truncated else "false")
         tags = {"continuation-token": "ContinuationToken", "start-after": "StartAfter", "marker": "Marker"}
-        for name, value in query.told:
-            put(root, tags[name], value if name == "continuation-token" else word(value))
-        if query.second:
-            put(root, "KeyCount", str(len(items)))
+        for name, value in query.echoed:
+            add_element(root, tags[name], value if name == "continuation-token" else encode(value))
+        if query.is_v2:
+            add_element(root, "KeyCount", str(len(items)))
         if self.truncated:
             last = items[-1].name
-            if query.second:
-                put(
+            if query.is_v2:
+                add_element(
                     root,
                     "NextContinuationToken",
-                    seal_token(last, query.bucket, query.prefix, query.delimiter),
+                    encode_token(last, query.bucket, query.prefix, query.delimiter),
                 )
             else:
-                put(root, "NextMarker", word(last))
+                add_element(root, "NextMarker", encode(last))
         for item in items:
             if item.size is None:
-                put(SubElement(root, "CommonPrefixes"), "Prefix", word(item.name))
+                add_element(SubElement(root, "CommonPrefixes"), "Prefix", encode(item.name))
                 continue
             entry = SubElement(root, "Contents")
             for tag, value in (
-                ("Key", word(item.name)),
+                ("Key", encode(item.name)),
                 ("LastModified", item.modified),
                 ("ETag", item.etag),
                 ("Size", str(item.size)),
                 ("StorageClass", "STANDARD"),
             ):
-                put(entry, tag, value)
+                add_element(entry, tag, value)
         return bytes(tostring(root, encoding="UTF-8", xml_declaration=True))
 
 
-def put(parent: Element, tag: str, text: str) -> None:
-    """One element with text; of a name that is no UTF-8, from before that was asked, what can be shown."""
+def add_element(parent: Element, tag: str, text: str) -> None:
+    """Append an element with text; bytes that are not UTF-8, which older names may have, become `?`."""
     SubElement(parent, tag).text = text.encode("utf-8", "replace").decode()
 
 
-def rolled(item: Item, query: Query) -> Item:
-    """A name as it stands on the page: itself, or the common prefix that it falls under."""
+def grouped(item: Item, query: Query) -> Item:
+    """Return an item as the page lists it: itself, or the common prefix that it falls under."""
     if query.delimiter:
-        at = item.name.find(query.delimiter, len(query.prefix))
-        if at >= 0:
-            return Item(item.name[: at + len(query.delimiter)])
+        index = item.name.find(query.delimiter, len(query.prefix))
+        if index >= 0:
+            return Item(item.name[: index + len(query.delimiter)])
     return item
 
 
-def skip(after: str, delimiter: str, prefix: str) -> str:
-    """Where nodes go on behind a name: past all of it, if it is a common prefix."""
+def start_after(after: str, delimiter: str, prefix: str) -> str:
+    """Return where nodes continue after a name; after a common prefix, past every name under it."""
     if delimiter and after.endswith(delimiter) and len(after) > len(prefix) and after.startswith(prefix):
-        return after + LAST
+        return after + AFTER_PREFIX
     return after
 
 
-def target(query: Query, ask: Ask) -> bytes:
-    """The call that asks a node."""
-    words = {
+def listing_target(query: Query, node_request: NodeRequest) -> bytes:
+    """Return the target of the listing request to a node."""
+    parameters = {
         "list-type": "2",
         "encoding-type": "url",
-        "max-keys": str(ask.most),
+        "max-keys": str(node_request.limit),
         "prefix": query.prefix,
         "delimiter": query.delimiter,
     }
-    words["continuation-token" if ask.token else "start-after"] = ask.token or ask.after
+    parameters["continuation-token" if node_request.token else "start-after"] = (
+        node_request.token or node_request.after
+    )
     text = "&".join(
-        f"{name}={quote(value, safe='', errors='surrogateescape')}" for name, value in words.items() if value
+        f"{name}={quote(value, safe='', errors='surrogateescape')}"
+        for name, value in parameters.items()
+        if value
     )
     return b"/" + query.bucket.encode() + b"?" + text.encode()
 
 
-def read_part(body: bytes) -> tuple[list[Item], str, bool]:
-    """A node's document: its names in order, its token and whether more follow; raises `Error`."""
+def parse_node_listing(body: bytes) -> tuple[list[Item], str, bool]:
+    """Parse a node's listing into its sorted names, its token and whether more follow; raises `S3Error`."""
     items, token, more = [], "", False
     try:
         for element in fromstring(body):
             match element.tag.rpartition("}")[2]:
                 case "Contents":
-                    told = {child.tag.rpartition("}")[2]: child.text or "" for child in element}
+                    fields = {child.tag.rpartition("}")[2]: child.text or "" for child in element}
                     items.append(
                         Item(
-                            unquote(told["Key"], errors="surrogateescape"),
-                            int(told["Size"]),
-                            told.get("ETag", ""),
-                            told.get("LastModified", ""),
+                            unquote(fields["Key"], errors="surrogateescape"),
+                            int(fields["Size"]),
+                            fields.get("ETag", ""),
+                            fields.get("LastModified", ""),
                         )
                     )
                 case "CommonPrefixes":
@@ -316,5 +332,5 @@
                 case "NextContinuationToken":
                     token = element.text or ""
     except (ParseError, DefusedXmlException, KeyError, ValueError, IndexError):
-        raise Error("InternalError") from None
-    return sorted(items, key=lambda item: item.order), token, more
+        raise S3Error("InternalError") from None
+    return sorted(items, key=lambda item: item.sort_key), token, more
--- a/tests/storage_gateway/frontends/object_api/test_listings.py
+++ b/tests/storage_gateway/frontends/object_api/test_listings.py
@@ -1,4 +1,4 @@
-"""Listings: merged pages against a plain sorted list, tokens, nodes that can't be asked, what is buffered."""
+"""Listings: merged pages against a plain sorted list, tokens, failing nodes and buffered objects."""
 
 from __future__ import annotations
 
@@ -16,46 +16,46 @@
 from scenario import World, play
 
 from mallowbeam.standins.faults import Rule
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
 from mallowbeam.storage_gateway.frontends.object_api.listings import (
-    Ask,
     Item,
     Merge,
+    NodeRequest,
     Query,
-    open_token,
-    read_part,
-    rolled,
-    seal_token,
-    target,
+    decode_token,
+    encode_token,
+    grouped,
+    listing_target,
+    parse_node_listing,
 )
 
 NAMES = st.text("ab/\U0010ffffé", min_size=1, max_size=6)
 
 
 class Nodes:
-    """Nodes as plain sorted lists."""
+    """Model of nodes as plain sorted lists."""
 
     def __init__(self, query: Query, parts: list[list[str]]) -> None:
-        self.query, self.asked = query, 0
+        self.query, self.requested_names = query, 0
         self.parts = [sorted(part, key=str.encode) for part in parts]
         self.orders = [[name.encode() for name in part] for part in self.parts]
 
-    def answer(self, ask: Ask) -> tuple[list[Item], str, bool]:
-        """Names behind one, rolled up, at most so many."""
-        names, order = self.parts[ask.shard], self.orders[ask.shard]
-        at, items = bisect_right(order, (ask.token or ask.after).encode()), []
+    def answer(self, node_request: NodeRequest) -> tuple[list[Item], str, bool]:
+        """Return the next names, grouped by common prefix, at most `node_request.limit` of them."""
+        names, order = self.parts[node_request.shard], self.orders[node_request.shard]
+        at, items = bisect_right(order, (node_request.token or node_request.after).encode()), []
         last = ""
-        while at < len(names) and len(items) < ask.most:
+        while at < len(names) and len(items) < node_request.limit:
             name = names[at]
             if name.startswith(self.query.prefix):
-                item = rolled(Item(name, 1), self.query)
+                item = grouped(Item(name, 1), self.query)
                 if not items or items[-1].name != item.name:
                     items.append(item)
-                    self.asked += 1
+                    self.requested_names += 1
             last, at = name, at + 1
         more = any(
             name.startswith(self.query.prefix)
-            and (not items or rolled(Item(name, 1), self.query).name != items[-1].name)
+            and (not items or grouped(Item(name, 1), self.query).name != items[-1].name)
             for name in names[at : at + 2000]
         )
         return items, last if more else "", more
@@ -63,10 +63,10 @@
 
 def page(query: Query, parts: list[list[str]], overlay=None) -> Merge:
     merge, nodes = Merge(query, len(parts), overlay), Nodes(query, parts)
-    while asks := merge.needs():
-        for ask in asks:
-            merge.feed(ask.shard, *nodes.answer(ask))
-    merge.asked = nodes.asked
+    while node_requests := merge.next_requests():
+        for node_request in node_requests:
+            merge.feed(node_request.shard, *nodes.answer(node_request))
+    merge.requested_names = nodes.requested_names
     return merge
 
 
@@ -77,33 +77,37 @@
     st.integers(1, 5),
     st.dictionaries(NAMES, st.booleans(), max_size=4),
 )
-def test_pages_put_together_are_the_sorted_names(parts, prefix, delimiter, most, laid):
-    """Against one plain list: every name once, in order, whatever the size of a page."""
+def test_pages_put_together_are_the_sorted_names(parts, prefix, delimiter, limit, buffered):
+    """Compares with one plain list: every name once, in order, for any page size."""
     names, seen = set(), []
     placed: list[list[str]] = [[] for _ in parts]
     for name in sorted(set().union(*parts)):
         placed[crc32(name.encode()) % len(parts)].append(name)
         names.add(name)
-    overlay = {name: Item(name, 2) if there else None for name, there in laid.items()}
-    names = {name for name in names | {n for n, there in laid.items() if there} if laid.get(name, True)}
-    base = Query("bucket", prefix, delimiter, "", most)
+    overlay = {name: Item(name, 2) if there else None for name, there in buffered.items()}
+    names = {
+        name for name in names | {n for n, there in buffered.items() if there} if buffered.get(name, True)
+    }
+    base = Query("bucket", prefix, delimiter, "", limit)
     wanted = sorted(
-        {rolled(Item(name, 0), base).name for name in names if name.startswith(prefix)}, key=str.encode
+        {grouped(Item(name, 0), base).name for name in names if name.startswith(prefix)}, key=str.encode
     )
     after = ""
     for _ in range(100):
-        merge = page(Query("bucket", prefix, delimiter, after, most), placed, overlay)
-        items = [item.name for item in merge.items[:most]]
-        assert len(items) <= most
+        merge = page(Query("bucket", prefix, delimiter, after, limit), placed, overlay)
+        items = [item.name for item in merge.items[:limit]]
+        assert len(items) <= limit
         seen += items
         if not merge.truncated:
             break
-        after = open_token(seal_token(items[-1], "bucket", prefix, delimiter), "bucket", prefix, delimiter)
+        after = decode_token(
+            encode_token(items[-1], "bucket", prefix, delimiter), "bucket", prefix, delimiter
+        )
     assert seen == wanted
 
 
 def test_a_page_of_a_large_bucket_asks_for_little_and_holds_little():
-    """200,000 names on 8 nodes: the first page and one far behind."""
+    """200,000 names on 8 nodes: the first page and one far into the bucket."""
     parts = [[f"{i:07d}" for i in range(200_000) if i * 2654435761 % 8 == shard] for shard in range(8)]
     for after in ("", "0150000"):
         tracemalloc.start()
@@ -113,7 +117,7 @@
         assert [item.name for item in merge.items[:1000]] == [
             f"{i:07d}" for i in range(int(after or -1) + 1, int(after or -1) + 1001)
         ]
-        assert merge.truncated and merge.asked < 1600
+        assert merge.truncated and merge.requested_names < 1600
         assert peak < 12 << 20  # mostly the plain nodes' own copies
 
 
@@ -121,16 +125,16 @@
     "token", ["", "x", "bm9uZQ==", "WzIsMCwiYSJd", "WzEsMCwiYSJd", "WzEsMCwxXQ==", "[" * 99]
 )
 def test_a_token_made_up_is_refused(token):
-    with pytest.raises(Error, match="InvalidArgument"):
-        Query.read("bucket", {"list-type": "2", "continuation-token": token})
+    with pytest.raises(S3Error, match="InvalidArgument"):
+        Query.parse("bucket", {"list-type": "2", "continuation-token": token})
 
 
 def test_a_token_of_another_listing_is_refused():
-    token = seal_token("a", "bucket", "", "")
-    assert Query.read("bucket", {"list-type": "2", "continuation-token": token}).after == "a"
+    token = encode_token("a", "bucket", "", "")
+    assert Query.parse("bucket", {"list-type": "2", "continuation-token": token}).after == "a"
     for bucket, more in (("other", {}), ("bucket", {"prefix": "x"}), ("bucket", {"delimiter": "/"})):
-        with pytest.raises(Error, match="InvalidArgument"):
-            Query.read(bucket, {"list-type": "2", "continuation-token": token} | more)
+        with pytest.raises(S3Error, match="InvalidArgument"):
+            Query.parse(bucket, {"list-type": "2", "continuation-token": token} | more)
 
 
 @pytest.mark.parametrize(
@@ -144,16 +148,16 @@
     ],
 )
 def test_a_malformed_listing_call_is_refused(query):
-    with pytest.raises(Error, match="InvalidArgument"):
-        Query.read("bucket", query)
+    with pytest.raises(S3Error, match="InvalidArgument"):
+        Query.parse("bucket", query)
 
 
-def test_a_node_that_does_not_keep_its_order_or_says_nothing_for_ever_is_no_listing():
+def test_an_unsorted_or_endless_node_listing_is_an_error():
     merge = Merge(Query("bucket"), 1)
-    merge.needs()
-    with pytest.raises(Error, match="InternalError"):
+    merge.next_requests()
+    with pytest.raises(S3Error, match="InternalError"):
         merge.feed(0, [Item("b", 1), Item("a", 1)], "", False)
-    with pytest.raises(Error, match="InternalError"):
+    with pytest.raises(S3Error, match="InternalError"):
         merge.feed(0, [], "", True)
 
 
@@ -168,13 +172,13 @@
     ],
 )
 def test_a_part_that_cannot_be_read_is_an_error(body):
-    with pytest.raises(Error, match="InternalError"):
-        read_part(body)
+    with pytest.raises(S3Error, match="InternalError"):
+        parse_node_listing(body)
 
 
 def test_a_nodes_call_carries_any_name():
     query = Query("bucket", "a&b=/ü", "/")
-    assert target(query, Ask(0, "x y", "", 7)) == (
+    assert listing_target(query, NodeRequest(0, "x y", "", 7)) == (
         b"/bucket?list-type=2&encoding-type=url&max-keys=7&prefix=a%26b%3D%2F%C3%BC&delimiter=%2F"
         b"&start-after=x%20y"
     )
@@ -215,7 +219,7 @@
 
 
 def test_what_is_buffered_is_listed_and_what_is_deleted_here_is_not(nodes, tmp_path):
-    """While nothing goes out: the nodes still have the old, and have not got the new."""
+    """While nothing is flushed: the nodes still have the deleted object and lack the new one."""
 
     async def run() -> None:
         section = {"folder": str(tmp_path), "buckets": ["plates"], "max_bytes": 64 << 20}
@@ -244,7 +248,7 @@
 
 
 @pytest.mark.parametrize("fault, status", [("refuse", "503"), ("error", "500"), ("status", "500")])
-def test_a_node_that_cannot_be_asked_makes_the_page_an_error_and_never_a_hole(nodes, fault, status):
+def test_a_failing_node_makes_the_page_an_error_and_never_incomplete(nodes, fault, status):
     nodes[1].script.add(Rule(fault, "GET", times=-1, status=404))
     play(
         f"""
--- a/tests/storage_gateway/frontends/test_stream.py
+++ b/tests/storage_gateway/frontends/test_stream.py
@@ -1,4 +1,4 @@
-"""Large bodies in pieces, both ways, and the forms that HTTP/1.1 gives them, on loopback sockets."""
+"""Streamed bodies in both directions and all forms of HTTP/1.1 framing, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     "x-extent:units=1,shard=0,hosts=1 idempotency-key:k"
 )
 RAW = f"PUT {WRITE} HTTP/1.1{NL}" + NL.join(HEAD.split()).replace(":", ": ") + NL
-ZERO = f"PUT {WRITE} HTTP/1.0{NL}" + NL.join(HEAD.split()).replace(":", ": ") + NL
+RAW_HTTP_1_0 = f"PUT {WRITE} HTTP/1.0{NL}" + NL.join(HEAD.split()).replace(":", ": ") + NL
 LARGE = 300_000
 START = f"{RAW}content-length: {LARGE}{NL}{NL}"
 ANSWER = f"HTTP/1.1 200 OK{NL}content-length: {LARGE}{NL}{NL}"
 
 
 def test_a_stream_holds_a_few_pieces_and_its_filler_waits():
-    """Guards memory: a body of 32 MB must not gather here while its taker is slow."""
+    """Guards memory: a body of 32 MB must not accumulate here while its consumer is slow."""
 
     async def run() -> None:
         closed = []
@@ -39,7 +39,7 @@
         assert await stream.get() == b"x"
         stream.close()
         stream.close()
-        await filler  # who waits to hand in more goes on
+        await filler  # a blocked producer continues
         assert closed == [1]
 
     async def fill(stream: Stream) -> None:
@@ -50,7 +50,7 @@
 
 
 def test_a_large_request_goes_to_its_node_as_it_comes():
-    """Guards against 413 for bodies that there is no room to hold: the node has the head before the end."""
+    """Guards against 413 for bodies too large to buffer: the node has the headers before the body ends."""
 
     async def run() -> None:
         async with World() as world:
@@ -82,7 +82,7 @@
             async with asyncio.timeout(PATIENCE):
                 while not any(c.writing for c in world.gateway.servers[-1].connections):
                     await asyncio.sleep(0)
-            await asyncio.sleep(0.4)  # past the deadline: what has begun is the client's
+            await asyncio.sleep(0.4)  # past the deadline, which does not end an answer that has begun
             await world.play("n0 send raw '' fill=200000\nc1 expect 200")
             assert bytes(world.parties["c1"].seen[0].body) == b"x" * 300_000
             await world.play("c1 send read\nn0 expect GET\nn0 send 200 body=x\nc1 expect 200 x")
@@ -90,8 +90,8 @@
     uvloop.run(run())
 
 
-def test_an_answer_that_breaks_off_is_not_made_up_for():
-    """Guards the one final answer: the client sees the end, and nothing is sent a second time."""
+def test_an_answer_truncated_midstream_is_not_retried():
+    """Guards the one final answer: the client sees the connection end, and the request is not retried."""
     play(f"""
         c1 send read
         n0 expect GET
@@ -116,8 +116,8 @@
     """)
 
 
-def test_an_answer_without_end_is_cut(monkeypatch):
-    """Guards against a node that never stops: in chunks, no length tells that beforehand."""
+def test_an_endless_answer_is_cut_off(monkeypatch):
+    """Guards against a node that never stops sending: chunked framing declares no length beforehand."""
     monkeypatch.setattr(platform, "MOST", 200_000)
     play(f"""
         c1 send read
@@ -129,11 +129,11 @@
 
 
 def test_an_upload_that_breaks_at_the_node_is_refused_and_not_sent_again():
-    """Guards against a second run: what has been passed on is not here any more."""
-    met = []
+    """Guards against a second execution: forwarded bytes are not kept and cannot be sent again."""
+    connections = []
 
     async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        met.append(await reader.readuntil(b"\r\n\r\n"))
+        connections.append(await reader.readuntil(b"\r\n\r\n"))
         await reader.readexactly(50_000)
         writer.transport.abort()
 
@@ -145,7 +145,7 @@
                 c1 expect 503 'connection: close'
                 c1 expect end
             """)
-        assert len(met) == 1
+        assert len(connections) == 1
 
     uvloop.run(run())
 
@@ -162,7 +162,7 @@
     """)
 
 
-def test_an_upload_is_refused_at_once_where_there_is_no_node_and_no_word_to_go_on_comes_first():
+def test_an_upload_without_a_node_is_refused_instead_of_100_continue():
     play(f"""
         c1 send raw '{RAW.replace("shard=0", "shard=1")}expect: 100-continue{NL}content-length: 70000{NL}{NL}'
         c1 expect 503 'connection: close'
@@ -171,7 +171,7 @@
     """)
 
 
-def test_an_upload_that_waits_for_a_word_gets_it_once_the_node_is_there():
+def test_an_upload_that_expects_100_continue_gets_it_once_the_node_is_there():
     play(f"""
         c1 send raw '{RAW}expect: 100-continue{NL}content-length: {LARGE}{NL}{NL}'
         c1 expect 100
@@ -184,7 +184,7 @@
 
 def test_an_old_client_gets_no_interim_answer():
     play(f"""
-        c1 send raw '{ZERO}expect: 100-continue{NL}content-length: 2{NL}{NL}'
+        c1 send raw '{RAW_HTTP_1_0}expect: 100-continue{NL}content-length: 2{NL}{NL}'
         wait 0.05
         c1 send raw 'ab'
         n0 expect PUT
@@ -194,7 +194,7 @@
 
 
 def test_an_upload_that_stalls_is_given_up_and_one_that_is_slow_is_not(monkeypatch):
-    """Guards both: a client may send at 64 kB a second, one that stops must not hold a node's connection."""
+    """A client may send at 64 kB a second, but one that stops must not hold a node's connection."""
     monkeypatch.setattr(connection, "STALLED", 0.3)
     monkeypatch.setattr(gateway, "SWEEP_INTERVAL_S", 0.05)
     drip = "c1 send raw '' fill=20000\nwait 0.1\n"
@@ -214,11 +214,14 @@
 @pytest.mark.parametrize(
     ("request_", "body"),
     [
-        (f"{RAW}transfer-encoding: chunked{NL}{NL}3;a=b{NL}abc{NL}2{NL}de{NL}0{NL}x-t: 1{NL}{NL}", "abcde"),
+        (
+            f"{RAW}transfer-encoding: chunked{NL}{NL}3;a=b{NL}abc{NL}2{NL}de{NL}0{NL}x-t: 1{NL}{NL}",
+            "abcde",
+        ),
         (f"{NL}{NL}{RAW}content-length: 2 {NL}{NL}ab", "ab"),
         (f"{RAW}x-trace: t \\t{NL}content-length: 2\\t{NL}{NL}ab", "ab"),
         (f"{RAW.replace(' /', ' http://api.internal:80/')}content-length: 2{NL}{NL}ab", "ab"),
-        (f"{ZERO}content-length: 2{NL}{NL}ab", "ab"),
+        (f"{RAW_HTTP_1_0}content-length: 2{NL}{NL}ab", "ab"),
     ],
     ids=["chunks", "blank lines", "space", "absolute", "1.0"],
 )
@@ -254,7 +257,7 @@
 
 @pytest.mark.parametrize("call", ["c1 send HEAD /healthz", "h1 send HEAD /status", "q1 send HEAD /_ready"])
 def test_an_answer_to_head_has_no_body(call):
-    """Guards the connection: what follows the headers would be read as the next answer."""
+    """Guards the connection: bytes after the headers would be read as the next answer."""
 
     async def run() -> None:
         async with World() as world:
