--- a/mallowbeam/storage_gateway/write_buffer/actions.py
+++ b/mallowbeam/storage_gateway/write_buffer/actions.py
@@ -1,11 +1,11 @@
-"""What the buffer's decisions ask for: typed actions, and the queue that hands them over."""
+"""The actions that the buffer's core requests, and the queue that hands them over."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
-MAX_DONE_PER_ACTION = 256  # writes recorded as done at once
+MAX_DONE_PER_ACTION = 256  # writes in one `RecordDone`
 
 
 class Send(NamedTuple):
@@ -21,26 +21,26 @@
 
 
 class ReadBack(NamedTuple):
-    """Ask a write's node, within `expires` seconds, which version it has."""
+    """Read, within `expires` seconds, which version a write's node has."""
 
     lsn: int
     expires: float
 
 
 class Intend(NamedTuple):
-    """Make durable that these writes are about to be sent; then call `Core.intent_durable`."""
+    """Record durably that these writes are about to be sent; then call `Core.intent_durable`."""
 
     lsns: list[int]
 
 
 class RecordDone(NamedTuple):
-    """Make durable, soon, that these writes are done; then call `Core.done_durable`."""
+    """Record durably, with a short delay, that these writes are done; then call `Core.done_durable`."""
 
     lsns: list[int]
 
 
 class Suspend(NamedTuple):
-    """Make durable that a write is suspended (without a reason: resumed), and tell the operator."""
+    """Record durably that a write is suspended (resumed, if `reason` is empty), and warn the operator."""
 
     lsn: int
     reason: str
@@ -53,13 +53,13 @@
 
 
 class Relocate(NamedTuple):
-    """Copy writes and barriers to the log's end; then call `Core.relocated` for each."""
+    """Copy writes and barriers to the end of the log; then call `Core.relocated` for each."""
 
     lsns: list[int]
 
 
 class Remove(NamedTuple):
-    """Remove segments that nothing needs any more."""
+    """Remove segments that are no longer needed."""
 
     segments: list[int]
 
@@ -68,22 +68,22 @@
 
 
 class ActionQueue:
-    """Actions in the order in which they are to be executed; records of done writes are batched and last."""
+    """Actions in the order of execution; records of done writes are batched and come last."""
 
     def __init__(self) -> None:
         self._actions: list[Action] = []
         self._done: list[int] = []
 
     def add(self, action: Action) -> None:
-        """Ask for an action."""
+        """Append an action."""
         self._actions.append(action)
 
     def record_done(self, lsns: Iterable[int]) -> None:
-        """Ask that it is made durable that these writes are done."""
+        """Request a durable record that these writes are done."""
         self._done.extend(lsns)
 
     def take(self) -> list[Action]:
-        """All that was asked for since the last call."""
+        """Return the actions requested since the last call."""
         for start in range(0, len(self._done), MAX_DONE_PER_ACTION):
             self._actions.append(RecordDone(self._done[start : start + MAX_DONE_PER_ACTION]))
         self._done = []
--- a/mallowbeam/storage_gateway/write_buffer/core.py
+++ b/mallowbeam/storage_gateway/write_buffer/core.py
@@ -1,11 +1,11 @@
 """The buffer's decisions: what to accept, send, retry, read back, suspend, and relocate in the log.
 
-No I/O, no clock, no randomness of its own.  Events come in by methods that are given the time (seconds of a
-clock that runs through one boot of the machine); actions come out of `take`.
+No I/O, no clock, no randomness of its own.  Events are method calls that are given the time (seconds of a
+clock that runs through one boot of the machine); `take` returns the resulting actions.
 
-`Core` joins the parts: `entries` (a write and its states), `limits`, `pending_writes` (order by key),
-`groups` (order by barriers), `dispatch` and `shards` (what is sent), `segments` (what the log may drop),
-`actions` and `replay` (what an earlier process left).
+`Core` combines the parts: `entries` (a write and its states), `limits`, `pending_writes` (order by key),
+`groups` (order by barriers), `dispatch` and `shards` (which writes are sent, and when), `segments`
+(which parts of the log may be removed), `actions` and `replay` (the state that an earlier process left).
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from mallowbeam.storage_gateway.write_buffer.segments import SegmentTable
 from mallowbeam.storage_gateway.write_buffer.shards import Shard
 
-MIN_FLUSH_FRACTION = 0.1  # of its window that the flush keeps, however much direct traffic there is
-CALM_PRESSURE = 0.5  # from which on the flush yields less, up to a pressure of 1
-RELOCATE_ABOVE = 0.5  # fraction of `max_bytes` from which on old segments are compacted
-MAX_RELOCATED = 64  # writes relocated at once
+MIN_FLUSH_FRACTION = 0.1  # of its window, which the flush keeps under any direct traffic
+CALM_PRESSURE = 0.5  # above it the flush yields less, down to not at all at pressure 1
+RELOCATE_ABOVE = 0.5  # fraction of `max_bytes` above which old segments are compacted
+MAX_RELOCATED = 64  # writes in one relocation
 RELOCATABLE = (State.READY, State.UNCERTAIN, State.SUSPENDED)
 
 
@@ -38,18 +38,18 @@
         self.actions = ActionQueue()
         self.dispatch = Dispatch(limits, rng, self.writes, self.segments, self.actions)
         self.committing = 0  # bytes being committed to the disk
-        self.unavailable = True  # what the folder holds is not known here, or no longer
-        self.failure: str | None = None  # why nothing is accepted, None where writes are
-        self.untrusted_keys: set[Key] = set()  # keys with a record in a file that is not trusted any more
+        self.unavailable = True  # the folder is not open yet, or closed, or a fault occurred
+        self.failure: str | None = None  # why no writes are accepted, None while they are
+        self.untrusted_keys: set[Key] = set()  # keys with a record in a file that is no longer trusted
         self._relocating: set[int] = set()
 
     def take(self) -> list[Action]:
-        """The actions to be executed, handed over."""
+        """Return the actions to execute, and clear the queue."""
         return self.actions.take()
 
     @property
     def limits(self) -> Limits:
-        """The bounds in force."""
+        """The limits in force."""
         return self.dispatch.limits
 
     @limits.setter
@@ -65,7 +65,7 @@
 
     @property
     def keys(self) -> dict[Key, list[Entry]]:
-        """The same by bucket and name, in their order."""
+        """The buffered writes of each bucket and name, in order."""
         return self.writes.keys
 
     @property
@@ -75,7 +75,7 @@
 
     @property
     def barriers(self) -> dict[int, tuple[str, int]]:
-        """Pending barriers: bucket, and their record's segment."""
+        """Pending barriers by lsn: bucket, and the segment of the record."""
         return self.writes.groups.barriers
 
     @property
@@ -85,12 +85,12 @@
 
     @property
     def counts(self) -> Counts:
-        """What has happened since this process started."""
+        """Counters since this process started."""
         return self.writes.counts
 
     @property
     def shards(self) -> dict[int, Shard]:
-        """What is in flight to each shard."""
+        """The shards by number, with their windows and attempts in flight."""
         return self.dispatch.shards.shards
 
     @property
@@ -100,7 +100,7 @@
 
     @property
     def in_flight_bytes(self) -> int:
-        """Bytes of their bodies."""
+        """Bytes of the bodies in flight."""
         return self.dispatch.shards.in_flight_bytes
 
     @property
@@ -125,7 +125,7 @@
         return self.writes.oldest_age(now)
 
     def pressure(self, now: float) -> float:
-        """How full the buffer is, 0 to 1 and beyond, by what is nearest to its bound."""
+        """The largest utilization of the buffer's limits: 1 at the limit, more beyond it."""
         limits = self.limits
         return max(
             (self.bytes + self.committing) / limits.max_bytes,
@@ -134,14 +134,14 @@
         )
 
     def blocks_direct(self, bucket: str, name: Name) -> bool:
-        """Whether something must be on the nodes before a direct write of that name may be sent."""
+        """Whether buffered writes must reach the nodes before a direct write of that name may be sent."""
         return self.writes.blocks_direct((bucket, name))
 
     def admit(self, now: float, bucket: str, name: Name, size: int) -> Admission:
-        """What becomes of a write of `size` bytes in the log."""
+        """Decide on a write that would take `size` bytes in the log."""
         limits = self.limits
         if (bucket, name) in self.untrusted_keys:
-            return Admission.SLOW_DOWN  # a record in an untrusted file may be restored
+            return Admission.SLOW_DOWN  # a record in an untrusted file may be restored after a restart
         if (
             self.has_capacity(size)
             and len(self.entries) < limits.max_records
@@ -154,7 +154,7 @@
         return Admission.DIRECT
 
     def has_capacity(self, size: int) -> bool:
-        """Whether so many bytes more may be written to the disk."""
+        """Whether `size` more bytes may be written to the disk."""
         return (
             self.failure is None
             and not self.unavailable
@@ -162,12 +162,12 @@
         )
 
     def accept(self, entry: Entry) -> None:
-        """A write is being committed, behind all accepted before it."""
+        """Add a write that is being committed, after all accepted earlier."""
         self.writes.add(entry)
         self.committing += entry.log_bytes
 
     def durable(self, now: float, lsn: int, position: tuple[int, int], segments: Iterable[int]) -> None:
-        """A write is durable at `position`: it counts from now on, and absorbs earlier ones still unsent."""
+        """Note that a write is durable at `position`; it absorbs earlier unsent writes of its key."""
         entry = self.entries[lsn]
         self.committing -= entry.log_bytes
         self.counts.accepted += 1
@@ -180,48 +180,48 @@
         self.dispatch.queue(entry, now)
 
     def lost(self, lsn: int) -> None:
-        """A write could not be committed: it was never here."""
+        """Drop a write that could not be committed."""
         entry = self.entries[lsn]
         self.committing -= entry.log_bytes
         self.counts.lost += 1
         self.dispatch.drop(entry)
 
     def newest_of(self, bucket: str, name: Name) -> Entry | None:
-        """The last durable write of a name."""
+        """The newest durable write of a name."""
         return self.writes.newest_of((bucket, name))
 
     # --- barriers -------------------------------------------------------------------------------
 
     def open_barrier(self, lsn: int, bucket: str) -> None:
-        """A barrier is being committed."""
+        """Add a barrier that is being committed."""
         self.writes.groups.open_barrier(lsn, bucket)
 
     def barrier_durable(self, lsn: int, segment: int) -> None:
-        """A barrier is durable, its record in `segment`."""
+        """Note that a barrier is durable, with its record in `segment`."""
         bucket = self.writes.groups.barrier_durable(lsn, segment)
         self.segments.pin(segment)
         self.dispatch.pass_barriers(bucket)
 
     def barrier_lost(self, lsn: int) -> None:
-        """A barrier could not be committed: the writes before and behind it are one group again."""
+        """Drop a barrier that could not be committed: the groups before and after it are merged."""
         bucket = self.writes.groups.barrier_lost(lsn)
         self.dispatch.pass_barriers(bucket)
         self.dispatch.queue_first_group(bucket)
 
     def writes_before(self, lsn: int) -> int | None:
-        """The number of writes that a barrier waits for; None where it has passed, or there never was one."""
+        """The number of writes that a barrier waits for; None if it has passed or never existed."""
         return self.writes.groups.writes_before(lsn)
 
     def suspended_before_barrier(self, bucket: str) -> Entry | None:
-        """The suspended write, if there is one, that keeps the bucket's first barrier from passing."""
+        """The first suspended write, if any, that keeps the bucket's first barrier from passing."""
         return self.writes.groups.suspended_in_first_group(bucket) if self.suspended else None
 
     # --- flushing -------------------------------------------------------------------------------
 
     def allowed_in_flight(self, now: float, direct: int) -> int:
-        """The number of attempts in flight at once, given so many direct calls that the gateway serves.
+        """The number of attempts that may be in flight while the gateway serves `direct` direct calls.
 
-        The flush yields in proportion to direct traffic, and less as the buffer fills.
+        The flush yields in proportion to direct traffic, and less as the buffer fills up.
         """
         most = self.limits.in_flight
         yielding = 1.0 / (1.0 + direct / max(1.0, most / 4))
@@ -229,76 +229,76 @@
         return max(1, int(most * max(MIN_FLUSH_FRACTION, yielding, min(1.0, max(0.0, urgency)))))
 
     def plan(self, now: float, direct: int = 0) -> None:
-        """Choose what is sent now, and what the log may drop."""
+        """Choose the writes to send now, and the segments to remove or compact."""
         self.dispatch.plan(now, self.allowed_in_flight(now, direct))
         self._compact()
 
     def next_wakeup(self) -> float:
-        """When `plan` may find something to do again, if nothing else happens first."""
+        """When `plan` should be called again, unless another event happens first."""
         return self.dispatch.next_wakeup()
 
     def intent_durable(self, now: float, lsns: list[int]) -> None:
-        """The log has the record that these are about to be sent."""
+        """Note that the intent to send these writes is durable."""
         self.dispatch.intent_durable(now, lsns)
 
     def intent_lost(self, now: float, lsns: list[int]) -> None:
-        """The log could not take that record: they are not sent yet."""
+        """Note that the intent could not be recorded: these writes are not sent yet."""
         self.dispatch.intent_lost(now, lsns)
 
     def attempt_ended(
         self, now: float, lsn: int, outcome: Outcome, retry_after: float = 0.0, reason: str = ""
     ) -> None:
-        """An attempt has ended; `retry_after` in seconds, as a rejection asked for."""
+        """Note how an attempt ended; `retry_after` is the delay in seconds that a rejection asked for."""
         self.dispatch.attempt_ended(now, lsn, outcome, retry_after, reason)
 
     def version_read(self, now: float, lsn: int, version: str | None, answered: bool) -> None:
-        """A node has said which version it has, None for none; or it has not `answered`."""
+        """Note which version a node has (None for no object), or that it has not `answered`."""
         self.dispatch.version_read(now, lsn, version, answered)
 
     def suspend(self, lsn: int, reason: str) -> None:
-        """A write cannot go on: its bytes cannot be read any more."""
+        """Suspend a write whose bytes can no longer be read."""
         self.dispatch.suspend(lsn, reason)
 
     def restore_suspended(self, entry: Entry, reason: str) -> None:
-        """A write was suspended in an earlier process, and still is."""
+        """Restore a write that was suspended in an earlier process."""
         entry.state = State.SUSPENDED
         entry.reason = reason
         entry.queued = False
         self.writes.suspended += 1
 
     def release(self, now: float, lsn: int, drop: bool) -> bool:
-        """An operator resumes or drops a suspended write; False where none is suspended under that number."""
+        """Resume or drop a suspended write for an operator; False if no suspended write has that lsn."""
         return self.dispatch.release(now, lsn, drop)
 
     def done_durable(self, lsns: Iterable[int]) -> None:
-        """The log has recorded that writes are done: their segments need not stay for them."""
+        """Note that the log has recorded these writes as done: they no longer need their segments."""
         self.dispatch.done_durable(lsns)
 
     def done_lost(self, lsns: Iterable[int]) -> None:
-        """The log could not take that record: it is written again."""
+        """Note that the log could not record these writes as done, and request the record again."""
         self.actions.record_done(lsns)
 
     def opened(self) -> None:
-        """The folder's content is known: writes are accepted from now on, and counters start at zero."""
+        """Start accepting writes once the folder's content is known; the counters start at zero."""
         self.writes.counts = Counts()
         self.unavailable = False
 
     # --- segments -------------------------------------------------------------------------------
 
     def update_segments(self, sizes: dict[int, int], newest: int) -> None:
-        """The sizes of the segments on disk in bytes, and which one is being written."""
+        """Set the sizes of the segments on disk in bytes, and the number of the one being written."""
         self.segments.update(sizes, newest)
 
     def pin(self, segment: int, count: int = 1) -> None:
-        """A segment holds chunks of a body that is being received, or, with -1, no longer."""
+        """Keep a segment that holds chunks of a body being received; -1 undoes that."""
         self.segments.pin(segment, count)
 
     def segments_removed(self, segments: list[int]) -> None:
-        """Segments were removed from the disk."""
+        """Note that segments were removed from the disk."""
         self.segments.removed(segments)
 
     def relocated(self, lsn: int, position: tuple[int, int], segments: Iterable[int]) -> None:
-        """A write was copied to the log's end."""
+        """Note that a write was copied to the end of the log."""
         entry = self.entries.get(lsn)
         if entry is None:
             return
@@ -307,16 +307,16 @@
         self.segments.assign(entry, position, segments)
 
     def barrier_relocated(self, lsn: int, segment: int) -> None:
-        """A barrier was copied to the log's end."""
+        """Note that a barrier was copied to the end of the log."""
         self.segments.release(self.writes.groups.barrier_relocated(lsn, segment), 0)
         self.segments.pin(segment)
 
     def relocation_ended(self) -> None:
-        """What was to be copied has been, or could not be."""
+        """Note that the relocation has ended, whether or not everything was copied."""
         self._relocating = set()
 
     def _compact(self) -> None:
-        """Remove the oldest segments that nothing needs; empty one that little needs, if space is short."""
+        """Remove the oldest unneeded segments; if space is short, relocate the records of a sparse one."""
         free = self.segments.start_removal()
         if free:
             self.actions.add(Remove(free))
@@ -326,7 +326,7 @@
                 self._relocate_from(oldest)
 
     def _relocate_from(self, segment: int) -> None:
-        """Copy what still needs a segment."""
+        """Relocate the writes and barriers that still need a segment."""
         lsns = [
             entry.lsn
             for entry in self.entries.values()
--- a/mallowbeam/storage_gateway/write_buffer/disk.py
+++ b/mallowbeam/storage_gateway/write_buffer/disk.py
@@ -23,10 +23,10 @@
     """An open file."""
 
     def write(self, parts: list[bytes], at: int) -> None:
-        """Write all parts, one behind the other, from an offset on; raises OSError."""
+        """Write all parts consecutively, starting at an offset; raises OSError."""
 
     def read(self, size: int, at: int) -> bytes:
-        """Up to so many bytes from an offset on; raises OSError."""
+        """Read up to `size` bytes, starting at an offset; raises OSError."""
 
     def size(self) -> int:
         """The file's length in bytes."""
@@ -35,7 +35,7 @@
         """Set the length in bytes; a longer file is filled with zeros."""
 
     def sync(self) -> None:
-        """Make the data durable (fdatasync); raises OSError, after which the file must not be trusted."""
+        """Make the data durable (fdatasync); raises OSError, after which the file can't be trusted."""
 
     def close(self) -> None:
         """Close the file."""
@@ -48,13 +48,13 @@
         """The names of the files in the folder."""
 
     def open(self, name: str, new: bool = False) -> File:
-        """Open a file to read and write; `new`: create it, which fails where it exists."""
+        """Open a file to read and write; `new`: create it, which fails if it exists."""
 
     def remove(self, name: str) -> None:
         """Remove a file."""
 
     def sync(self) -> None:
-        """Make the names durable (fsync of the folder)."""
+        """Make the file names durable (fsync of the folder)."""
 
     def lock(self) -> None:
         """Lock the folder for this process; raises `FolderLockedError`."""
@@ -64,13 +64,13 @@
 
 
 class RealFile:
-    """A file of the operating system, by its descriptor."""
+    """A file of the operating system, accessed by its descriptor."""
 
     def __init__(self, fd: int) -> None:
         self.fd = fd
 
     def write(self, parts: list[bytes], at: int) -> None:
-        """pwrite, in as many calls as it takes."""
+        """Write with pwrite, in as many calls as it takes."""
         data = parts[0] if len(parts) == 1 else b"".join(parts)
         view = memoryview(data)
         while view:
@@ -79,19 +79,19 @@
             at += count
 
     def read(self, size: int, at: int) -> bytes:
-        """pread."""
+        """Read with pread."""
         return os.pread(self.fd, size, at)
 
     def size(self) -> int:
-        """fstat."""
+        """The length in bytes, by fstat."""
         return os.fstat(self.fd).st_size
 
     def truncate(self, size: int) -> None:
-        """ftruncate."""
+        """Set the length with ftruncate."""
         os.ftruncate(self.fd, size)
 
     def sync(self) -> None:
-        """fdatasync: the data, and the length where that changed."""
+        """Make the data, and a changed length, durable with fdatasync."""
         os.fdatasync(self.fd)
 
     def close(self) -> None:
@@ -118,15 +118,15 @@
         return RealFile(os.open(name, flags | os.O_CLOEXEC, 0o600, dir_fd=self.fd))
 
     def remove(self, name: str) -> None:
-        """unlink."""
+        """Remove a file with unlink."""
         os.unlink(name, dir_fd=self.fd)
 
     def sync(self) -> None:
-        """fsync of the folder."""
+        """Make the file names durable with fsync of the folder."""
         os.fsync(self.fd)
 
     def lock(self) -> None:
-        """flock, which ends with the process, however that ends."""
+        """Lock with flock, which the kernel releases when the process ends in any way."""
         fd = os.open("lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600, dir_fd=self.fd)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/mallowbeam/storage_gateway/write_buffer/dispatch.py
+++ b/mallowbeam/storage_gateway/write_buffer/dispatch.py
@@ -1,9 +1,9 @@
-"""Which writes are sent to the nodes, when, and what follows from how an attempt ended.
+"""Decides which writes are sent to the nodes and when, and handles the outcomes of attempts.
 
-No I/O and no clock of its own: the time comes in, actions go into an `ActionQueue`.
+No I/O and no clock of its own: the time is passed in, actions go to an `ActionQueue`.
 
-Sources: full jitter as in M. Brooker, "Exponential Backoff And Jitter" (2015); the retry budget in `limits`,
-the windows in `shards`.
+The backoff uses full jitter (M. Brooker, "Exponential Backoff And Jitter", 2015); `limits` has the retry
+budget, `shards` the windows.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from mallowbeam.storage_gateway.write_buffer.segments import SegmentTable
 from mallowbeam.storage_gateway.write_buffer.shards import Shard, ShardTable
 
-WINDOW_MARGIN_S = 0.25  # of the deduplication window left unused: transit, and the node's clock
-MIN_ATTEMPT_S = 0.1  # an attempt with less time than that is not begun
-NODE_DROP_S = 0.5  # after its deadline, by when a node has dropped a call that it has not begun
+WINDOW_MARGIN_S = 0.25  # of the deduplication window left unused, for transit time and the node's clock
+MIN_ATTEMPT_S = 0.1  # no attempt is begun with less time left
+NODE_DROP_S = 0.5  # after its deadline, until a node has surely dropped a call that it has not begun
 MAX_DOUBLINGS = 30  # of the backoff
-MIN_RETRY_AFTER_JITTER = 0.5  # a shard is left alone for this fraction of Retry-After at least
+MIN_RETRY_AFTER_JITTER = 0.5  # a shard is blocked for at least this fraction of Retry-After
 
 
 class Dispatch:
@@ -56,7 +56,7 @@
     # --- what is sent ---------------------------------------------------------------------------
 
     def plan(self, now: float, allowed: int) -> None:
-        """Choose what is sent now, so that no more than `allowed` attempts are in flight."""
+        """Choose the writes to send now, so that no more than `allowed` attempts are in flight."""
         intending: list[int] = []
         for parked in self.shards.unpark():
             self.queue(parked, parked.due_at)
@@ -65,7 +65,7 @@
             if self._must_wait(entry, now):
                 continue
             if self._exceeds_flush_bytes(entry):
-                self.queue(entry, now)  # others may be smaller, but none overtakes it for ever
+                self.queue(entry, now)  # smaller writes must not overtake it for ever
                 break
             if self._start(entry, now, intending):
                 self.shards.begin(entry)
@@ -74,23 +74,23 @@
             self._actions.add(Intend(intending))
 
     def next_wakeup(self) -> float:
-        """When `plan` may find something to do again, if nothing else happens first."""
+        """When `plan` should be called again, unless another event happens first."""
         return self._ready[0][0] if self._ready else NEVER
 
     def queue(self, entry: Entry, due_at: float) -> None:
-        """Consider a write again at that time; those that must wait for others are queued after those."""
+        """Queue a write for `due_at`; one that must wait for other writes is queued after them."""
         entry.due_at = due_at
         if not entry.queued and self._writes.may_send(entry):
             entry.queued = True
             heappush(self._ready, (due_at, entry.lsn))
 
     def queue_first_group(self, bucket: str) -> None:
-        """Queue the writes of a bucket that no barrier stands before."""
+        """Queue the writes of a bucket that no pending barrier precedes."""
         for entry in self._writes.groups.first_group(bucket):
             self.queue(entry, entry.due_at)
 
     def _pop_ready(self, now: float) -> Entry | None:
-        """The first queued write that is due and next in its order."""
+        """Remove and return the first queued write that is due and next in its order."""
         while self._ready and self._ready[0][0] <= now:
             _, lsn = heappop(self._ready)
             entry = self._writes.entries.get(lsn)
@@ -102,7 +102,7 @@
         return None
 
     def _must_wait(self, entry: Entry, now: float) -> bool:
-        """Queue or park a write that has to wait for its time or its shard; whether it has to."""
+        """Queue or park a write that has to wait for its due time or its shard; returns whether it has to."""
         if entry.due_at > now:
             self.queue(entry, entry.due_at)
             return True
@@ -120,7 +120,7 @@
         return bool(in_flight) and in_flight + entry.size > self.limits.flush_bytes
 
     def _start(self, entry: Entry, now: float, intending: list[int]) -> bool:
-        """Begin the next step of a write; False where it has to wait."""
+        """Begin the next step of a write; False if it has to wait."""
         if entry.uncertain_since is not None:
             return self._retry_uncertain(entry, now)
         if entry.intent_at is not None:
@@ -134,7 +134,7 @@
         return True
 
     def _retry_uncertain(self, entry: Entry, now: float) -> bool:
-        """Retry a write that may have run, or read it back; False where it has to wait."""
+        """Retry a write that may have run, or read it back; False if it has to wait."""
         remaining = self._remaining_window(entry, now)
         if remaining < MIN_ATTEMPT_S:
             return self._read_back(entry, now)
@@ -149,7 +149,7 @@
         return True
 
     def _remaining_window(self, entry: Entry, now: float) -> float:
-        """Seconds in which a write that may have run may be retried under its key."""
+        """Seconds for which a write that may have run may still be retried under its idempotency key."""
         limits = self.limits
         if not limits.keyed or entry.uncertain_since is None:
             return 0.0
@@ -206,7 +206,7 @@
     def _attempt_failed(
         self, now: float, entry: Entry, shard: Shard, outcome: Outcome, retry_after: float
     ) -> None:
-        """An attempt was rejected, or its outcome is unknown: the write is retried later."""
+        """Schedule the retry of a write whose attempt was rejected or has an unknown outcome."""
         shard.narrow()
         entry.failed_attempts += 1
         if outcome is Outcome.REJECTED:
@@ -219,7 +219,7 @@
         self._back_off(entry, now, retry_after)
 
     def version_read(self, now: float, lsn: int, version: str | None, answered: bool) -> None:
-        """A node has said which version it has, None for none; or it has not `answered`."""
+        """Note which version a node has (None for no object), or that it has not `answered`."""
         entry = self._writes.entries[lsn]
         self.shards.end(entry)
         entry.state = State.UNCERTAIN
@@ -233,7 +233,7 @@
         elif version is not None and not is_delete and not self.limits.sole_writer:
             self._suspend(entry, "its attempt has no known end, and the node has another version")
         else:
-            # It did not run, and cannot any more: a first attempt follows, conditional on what was seen.
+            # The attempt did not run and no longer can: a new first attempt is conditional on this version.
             entry.seen = version or ""
             entry.intent_at = None
             entry.uncertain_since = None
@@ -241,7 +241,7 @@
             self.queue(entry, now)
 
     def _back_off(self, entry: Entry, now: float, at_least: float) -> None:
-        """Queue a write after full jitter, behind what a rejection asked for."""
+        """Queue a write after `at_least` seconds (a rejection's request) plus a backoff with full jitter."""
         limits = self.limits
         doublings = min(entry.failed_attempts, MAX_DOUBLINGS)
         longest = min(limits.max_backoff, limits.backoff * 2.0**doublings)
@@ -250,14 +250,14 @@
     # --- suspended until an operator decides ----------------------------------------------------
 
     def suspend(self, lsn: int, reason: str) -> None:
-        """A write cannot go on: its bytes cannot be read any more."""
+        """Suspend a write whose bytes can no longer be read."""
         entry = self._writes.entries[lsn]
         if entry.state in (State.SENDING, State.READING_BACK):
             self.shards.end(entry)
         self._suspend(entry, reason)
 
     def release(self, now: float, lsn: int, drop: bool) -> bool:
-        """An operator resumes or drops a suspended write; False where none is suspended under that number."""
+        """Resume or drop a suspended write for an operator; False if no suspended write has that lsn."""
         entry = self._writes.entries.get(lsn)
         if entry is None or entry.state is not State.SUSPENDED:
             return False
@@ -285,20 +285,20 @@
     # --- finished writes ------------------------------------------------------------------------
 
     def finish(self, entry: Entry) -> None:
-        """A write is done: the log is to record it, and what waited for it may be sent."""
+        """Finish a write: request its done record, and queue the writes that waited for it."""
         self.drop(entry)
         self._actions.record_done([entry.lsn])
         self._writes.begin_finishing(entry)
 
     def drop(self, entry: Entry) -> None:
-        """A write is not pending any more; what waited for it may be sent."""
+        """Remove a write from the pending ones, and queue the writes that waited for it."""
         following = self._writes.remove(entry)
         if following is not None:
             self.queue(following, following.due_at)
         self.pass_barriers(entry.bucket)
 
     def done_durable(self, lsns: Iterable[int]) -> None:
-        """The log has recorded that writes are done: their segments need not stay for them."""
+        """Note that the log has recorded these writes as done: they no longer need their segments."""
         for lsn in lsns:
             entry, following = self._writes.end_finishing(lsn)
             if following is not None:
@@ -306,7 +306,7 @@
             self._segments.release_entry(entry)
 
     def pass_barriers(self, bucket: str) -> None:
-        """Let the barriers of a bucket pass that have no writes left before them."""
+        """Let the barriers of a bucket pass that have no pending writes before them."""
         groups = self._writes.groups
         passed = groups.pass_barriers(bucket)
         for barrier in passed:
--- a/mallowbeam/storage_gateway/write_buffer/entries.py
+++ b/mallowbeam/storage_gateway/write_buffer/entries.py
@@ -1,9 +1,9 @@
-"""A buffered write, the states that it passes through, and the counters.
+"""A buffered write, its states, and the counters.
 
-A write is COMMITTING until the log has it, READY once it may be sent, INTENDING while the record that it is
-about to be sent is being made durable, SENDING while an attempt runs.  An attempt whose outcome is unknown
-leaves it UNCERTAIN: it is retried under its idempotency key while the node still drops duplicates, and after
-that only once reading back has shown that the attempt did not run.  What neither resolves is SUSPENDED until
+A write is COMMITTING until it is durable in the log, READY once it may be sent, INTENDING while its intent
+record is being made durable, SENDING while an attempt runs.  An attempt whose outcome is unknown leaves it
+UNCERTAIN: it is retried under its idempotency key while the node still drops duplicates, and after that only
+once reading back has shown that the attempt did not run.  A write that neither resolves is SUSPENDED until
 an operator decides.
 """
 
@@ -29,20 +29,20 @@
 
 
 class Admission(Enum):
-    """What becomes of a write that a client sends."""
+    """The decision on a write that a client sends."""
 
-    ACCEPT = "take"  # into the buffer
-    DIRECT = "direct"  # straight to its node: there is no capacity here
-    SLOW_DOWN = "slow down"  # rejected: order or an unknown outcome here forbids the direct way
+    ACCEPT = "take"  # buffer it
+    DIRECT = "direct"  # send it directly to its node: the buffer has no capacity
+    SLOW_DOWN = "slow down"  # reject it: the order of writes or an unknown outcome forbids a direct write
 
 
 class Outcome(Enum):
-    """How an attempt at a node ended."""
+    """How an attempt to send a write to its node ended."""
 
     STORED = "stored"
-    REJECTED = "refused"  # it never ran
+    REJECTED = "refused"  # the node did not run it
     UNKNOWN = "unknown"  # it may have run
-    DECLINED = "declined"  # a final answer of the node against the write
+    DECLINED = "declined"  # the node answered with a permanent error
 
 
 class Entry:
@@ -86,7 +86,7 @@
         self.state = State.COMMITTING
         self.position = (0, 0)  # segment and offset of its record
         self.segments: tuple[int, ...] = ()  # all segments that hold a part of it
-        self.intent_at: float | None = None  # since when it may have been sent
+        self.intent_at: float | None = None  # from when on it may have been sent
         self.uncertain_since: float | None = None  # when the first attempt of unknown outcome began
         self.last_attempt_at = 0.0
         self.failed_attempts = 0
@@ -99,31 +99,31 @@
 
     @property
     def key(self) -> tuple[str, bytes]:
-        """Bucket and name: writes with one key are sent in order."""
+        """Bucket and name: writes of the same key are sent in order."""
         return self.bucket, self.name
 
 
 class Group:
-    """The writes of a bucket between two barriers."""
+    """The writes of a bucket between two consecutive barriers."""
 
     __slots__ = ("entries", "barrier", "durable")
 
     def __init__(self) -> None:
         self.entries: dict[int, Entry] = {}
-        self.barrier: int | None = None  # the lsn of the barrier that ends it, None while it is open
-        self.durable = False  # whether the log has that barrier
+        self.barrier: int | None = None  # the lsn of the barrier that ends the group, None while it is open
+        self.durable = False  # whether that barrier is durable
 
 
 @dataclass(slots=True)
 class Counts:
-    """What has happened since this process started."""
+    """Counters since this process started."""
 
     accepted: int = 0
     stored: int = 0
     absorbed: int = 0  # replaced by a later write of the same key before they were sent
     retries: int = 0
     read_back: int = 0
-    rejected: int = 0  # attempts that never ran
+    rejected: int = 0  # attempts that the node did not run
     suspended: int = 0
     relocated: int = 0
-    lost: int = 0  # never acknowledged, as the log could not take them
+    lost: int = 0  # never acknowledged, as the log could not store them
--- a/mallowbeam/storage_gateway/write_buffer/errors.py
+++ b/mallowbeam/storage_gateway/write_buffer/errors.py
@@ -6,14 +6,14 @@
 
 
 class DiskFullError(MallowbeamError):
-    """There was no space for a batch; none of it is in the log."""
+    """There was no disk space for a batch; none of it is in the log."""
 
     error_name = "DiskFull"
     remedy = "make room on the disk; the buffer goes on by itself"
 
 
 class LogIOError(MallowbeamError):
-    """A batch or a read failed for another reason; after a failed batch its file is not trusted any more."""
+    """A batch or a read failed for another reason; the file of a failed batch is no longer trusted."""
 
     error_name = "Failed"
     remedy = "look at the disk, then run mallowbeam buffer verify on the folder"
--- a/mallowbeam/storage_gateway/write_buffer/flush.py
+++ b/mallowbeam/storage_gateway/write_buffer/flush.py
@@ -1,4 +1,4 @@
-"""Executes the core's actions: intents, sends, reads back, and what is recorded, relocated and removed."""
+"""Executes the core's actions: records intents, sends writes, reads back, and compacts the log."""
 
 from __future__ import annotations
 
@@ -35,30 +35,30 @@
 )
 from mallowbeam.storage_gateway.write_buffer.waiters import Waiters
 
-DONE_DELAY_S = 0.05  # for which records of done writes wait for a batch to go along with
+DONE_DELAY_S = 0.05  # delay of done records, so that they join another batch
 MAX_DONE_PER_RECORD = 4096  # writes
-RELOCATE_RETRY_S = 1.0  # after a relocation that failed
+RELOCATE_RETRY_S = 1.0  # delay after a failed relocation
 
 
 class Flush:
-    """Carries out the core's decisions on the log and the nodes."""
+    """Executes the core's decisions on the log and the nodes."""
 
     def __init__(self, runtime: Runtime, reader: WriteReader, intake: Intake, sender: NodeSender) -> None:
         self.sender = sender
-        self.store: Store  # from the moment that the folder is open
+        self.store: Store  # set once the folder is open
         self.waiters = Waiters(runtime.core)
-        self.calls = 0  # at the gateway, in flight
+        self.calls = 0  # in flight at the gateway
         self._runtime = runtime
         self._core = runtime.core
         self._reader = reader
         self._intake = intake
         self._done: list[int] = []  # writes done, not yet recorded in the log
         self._done_timer: asyncio.TimerHandle | None = None
-        self._suspended = RateLimitedWarning("a buffered write is held for an operator")
-        self.disk_fault = RateLimitedWarning("the buffer's disk is in trouble")
+        self._suspended = RateLimitedWarning("buffer: a write is suspended until an operator decides")
+        self.disk_fault = RateLimitedWarning("buffer: disk error")
 
     def execute(self) -> None:
-        """Execute what the core asks for, and wake the clients that waited for it."""
+        """Execute the core's pending actions, and wake clients whose direct write is allowed now."""
         for action in self._core.take():
             self._execute_one(action)
         self.waiters.wake_direct()
@@ -88,7 +88,7 @@
     # --- attempts at nodes ----------------------------------------------------------------------
 
     async def _intend(self, lsns: list[int]) -> None:
-        """The intent is durable before the first byte is sent."""
+        """Record the intent to send writes; it is durable before the first byte is sent."""
         self.record_done()
         shards = self._core.limits.shards
         intent = Intent(lsns, self._runtime.boot, self._runtime.clock(), shards)
@@ -103,7 +103,7 @@
 
     @contextmanager
     def _call(self) -> Iterator[None]:
-        """A call at the gateway."""
+        """Count a call in flight at the gateway."""
         self.calls += 1
         try:
             yield
@@ -116,7 +116,9 @@
             write, inline = await self._reader.read(entry)
             body = await self._complete_body(write, inline)
         except (LogIOError, ValueError) as error:
-            logger.error("buffer: write {lsn} can't be read again: {why}", lsn=action.lsn, why=str(error))
+            logger.error(
+                "buffer: write {lsn} can't be read from the log: {why}", lsn=action.lsn, why=str(error)
+            )
             self._core.suspend(action.lsn, f"its bytes can't be read: {error}")
         else:
             with self._call():
@@ -144,7 +146,7 @@
     # --- records of finished and suspended writes -----------------------------------------------
 
     def _queue_done(self, lsns: list[int]) -> None:
-        """Done writes are recorded with the next batch, or a moment later."""
+        """Record done writes with the next intent, or after `DONE_DELAY_S`."""
         for lsn in lsns:
             self._reader.forget(lsn)
         self._done += lsns
@@ -152,7 +154,7 @@
             self._done_timer = asyncio.get_running_loop().call_later(DONE_DELAY_S, self.record_done)
 
     def record_done(self) -> None:
-        """Append records of all done writes now."""
+        """Append the records of all done writes now."""
         if self._done_timer is not None:
             self._done_timer.cancel()
             self._done_timer = None
@@ -176,13 +178,13 @@
     async def _record_suspension(self, lsn: int, reason: str) -> None:
         if reason:
             self._suspended(f"{lsn}: {reason}")
-        with suppress(RecordRejectedError, CommitUnknownError):  # after a restart it is found out again
+        with suppress(RecordRejectedError, CommitUnknownError):  # after a restart the reason is found again
             await self._append(Kind.HELD, pack(Kind.HELD, Suspension(lsn, reason))).done
 
     # --- compaction of the log ------------------------------------------------------------------
 
     async def _relocate(self, lsns: list[int]) -> None:
-        """Copy writes and barriers to the log's end."""
+        """Copy writes and barriers to the end of the log."""
         try:
             for lsn in lsns:
                 await self._relocate_one(lsn)
@@ -217,7 +219,7 @@
             self._core.barrier_relocated(lsn, pending.record.segment)
 
     async def _copy_chunks(self, upload: Upload, write: Write) -> Write:
-        """Copy a large body; the write with its new chunks."""
+        """Copy a large body; returns the write with its new chunks."""
         async for chunk in self._reader.body(write, b"", 0, write.size if write.chunks else 0):
             if chunk:
                 await self._intake.add(upload, chunk)
@@ -239,7 +241,7 @@
         )
 
     def _intent_of(self, entry: Entry) -> tuple[bytes, float, int] | None:
-        """Since when a write may have been sent: boot, time on its clock, number of shards."""
+        """From when on a write may have been sent: boot id, time on that boot's clock, number of shards."""
         if entry.intent_at is None:
             return None
         sent_at = entry.intent_at if entry.uncertain_since is None else max(0.0, entry.uncertain_since)
--- a/mallowbeam/storage_gateway/write_buffer/groups.py
+++ b/mallowbeam/storage_gateway/write_buffer/groups.py
@@ -1,6 +1,6 @@
-"""The order that barriers impose on the writes of a bucket: those behind one wait for all before it.
+"""The order that barriers impose on the writes of a bucket: writes after a barrier wait for all before it.
 
-Source: group order as in a write-back cache with barriers (SCSI SBC, SYNCHRONIZE CACHE).
+The order of groups is that of a write-back cache with barriers (SCSI SBC, SYNCHRONIZE CACHE).
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class PassedBarrier(NamedTuple):
-    """A barrier with no writes left before it, and the segment of its record."""
+    """A barrier that has no pending writes before it, and the segment of its record."""
 
     lsn: int
     segment: int
@@ -23,19 +23,21 @@
 
     def __init__(self) -> None:
         self.buckets: dict[str, deque[Group]] = {}
-        self.barriers: dict[int, tuple[str, int]] = {}  # pending ones: bucket, and their record's segment
+        self.barriers: dict[
+            int, tuple[str, int]
+        ] = {}  # pending barriers by lsn: bucket, segment of the record
 
     def add(self, entry: Entry) -> None:
-        """A write joins the last group of its bucket."""
+        """Add a write to the last group of its bucket."""
         entry.group = self._of(entry.bucket)[-1]
         entry.group.entries[entry.lsn] = entry
 
     def in_first_group(self, entry: Entry) -> bool:
-        """Whether no barrier stands before a write."""
+        """Whether no pending barrier precedes a write."""
         return self.buckets[entry.bucket][0] is entry.group
 
     def first_group(self, bucket: str) -> list[Entry]:
-        """The writes of a bucket that no barrier stands before."""
+        """The writes of a bucket that no pending barrier precedes."""
         groups = self.buckets.get(bucket)
         return list(groups[0].entries.values()) if groups else []
 
@@ -44,14 +46,14 @@
         return len(self.buckets.get(bucket, ())) > 1
 
     def open_barrier(self, lsn: int, bucket: str) -> None:
-        """A barrier is being committed: a new group begins behind it."""
+        """Add a barrier that is being committed, and begin a new group after it."""
         groups = self._of(bucket)
         groups[-1].barrier = lsn
         groups.append(Group())
         self.barriers[lsn] = bucket, 0
 
     def barrier_durable(self, lsn: int, segment: int) -> str:
-        """A barrier is durable, its record in `segment`; its bucket."""
+        """Mark a barrier as durable, with its record in `segment`; returns its bucket."""
         bucket, _ = self.barriers[lsn]
         self.barriers[lsn] = bucket, segment
         for group in self.buckets[bucket]:
@@ -60,7 +62,7 @@
         return bucket
 
     def barrier_lost(self, lsn: int) -> str:
-        """A barrier could not be committed: the two groups become one again; its bucket."""
+        """Remove a barrier that could not be committed and merge its two groups; returns its bucket."""
         bucket, _ = self.barriers.pop(lsn)
         groups = self.buckets[bucket]
         for position, group in enumerate(groups):
@@ -75,13 +77,13 @@
         return bucket
 
     def barrier_relocated(self, lsn: int, segment: int) -> int:
-        """A barrier's record was copied to `segment`; the segment of the earlier record."""
+        """Note that a barrier's record was copied to `segment`; returns the segment of the earlier record."""
         bucket, earlier_segment = self.barriers[lsn]
         self.barriers[lsn] = bucket, segment
         return earlier_segment
 
     def pass_barriers(self, bucket: str) -> list[PassedBarrier]:
-        """Let barriers pass that have no writes left before them."""
+        """Remove and return the barriers that have no pending writes before them."""
         groups = self.buckets[bucket]
         passed = []
         while len(groups) > 1 and not groups[0].entries and groups[0].durable:
@@ -98,7 +100,7 @@
             del self.buckets[bucket]
 
     def writes_before(self, lsn: int) -> int | None:
-        """How many writes a barrier still waits for; None where it has passed, or there never was one."""
+        """The number of writes that a barrier waits for; None if it has passed or never existed."""
         pending = self.barriers.get(lsn)
         if pending is None:
             return None
@@ -111,7 +113,7 @@
         return count
 
     def suspended_in_first_group(self, bucket: str) -> Entry | None:
-        """The suspended write, if there is one, that keeps a bucket's first barrier from passing."""
+        """The first suspended write, if any, that keeps a bucket's first barrier from passing."""
         return next((entry for entry in self.first_group(bucket) if entry.state is State.SUSPENDED), None)
 
     def _of(self, bucket: str) -> deque[Group]:
--- a/mallowbeam/storage_gateway/write_buffer/inspect.py
+++ b/mallowbeam/storage_gateway/write_buffer/inspect.py
@@ -1,7 +1,7 @@
-"""A buffer's folder inspected from outside: its content, whether it is intact, its writes as files.
+"""Inspects a buffer's folder from outside: reports its content and damage, and exports its writes as files.
 
-Changes nothing in the folder, so a folder in use may be inspected too; what is written meanwhile may be seen
-or not.
+The folder is not changed, so a folder in use may be inspected too; records written meanwhile may or may
+not be seen.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from mallowbeam.storage_gateway.write_buffer.reopen import boot_clock, replay
 from mallowbeam.storage_gateway.write_buffer.replay import Replay, RestoredWrite
 
-PROGRESS_BYTES = 1 << 20  # between calls of a progress callback
+PROGRESS_BYTES = 1 << 20  # between calls of the progress callback
 MAX_FILE_NAME = 150  # characters of a target in the name of an exported file
 QUARANTINE_PREFIX = "apart-"
 
@@ -44,7 +44,7 @@
 
 
 class CountingLog(Log):
-    """A log that is read without its lock, and counts the records that it reads by kind."""
+    """A log that is read without locking the folder, and counts its records by kind."""
 
     def __init__(self, disk: RealDisk, progress: Progress | None) -> None:
         super().__init__(disk, 0)
@@ -56,7 +56,7 @@
         self._progress = progress
 
     def records(self, result: ScanResult) -> Iterator[Record]:
-        """All records in order, counted."""
+        """Yield all records in order, and count them."""
         unreported = 0
         for record in read_records(self.disk, self.owner, result):
             name = record.kind.name.lower()
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """What a folder holds; the fields are keys of `mallowbeam buffer show --json`."""
+    """The content of a folder; the fields are keys of `mallowbeam buffer show --json`."""
 
     folder: str
     segments: int = 0
@@ -107,7 +107,7 @@
         return not (self.missing or self.unreadable or any(d.kind == "damaged" for d in self.damage))
 
     def json(self) -> str:
-        """As JSON, for scripts."""
+        """The report as JSON, for scripts."""
         return json.dumps(asdict(self) | {"whole": self.is_intact}, indent=2)
 
 
@@ -121,7 +121,7 @@
 
 
 def inspect_folder(folder: str, chunks: bool = False, progress: Progress | None = None) -> Report:
-    """Read a folder through; `chunks`: also those of large bodies, one by one.
+    """Read a whole folder; `chunks`: also check each chunk of large bodies.
 
     Raises `UnsupportedFormatError` or OSError.
     """
@@ -148,7 +148,7 @@
 
 
 def _pending_barriers(state: Replay) -> int:
-    """The number of barriers with a write of their bucket before them."""
+    """The number of barriers that have a write of their bucket before them."""
     first_writes: dict[str, int] = {}  # by bucket
     for lsn, restored in state.writes.items():
         bucket = restored.entry.bucket
@@ -183,7 +183,7 @@
 
 
 def is_readable(log: Log, restored: RestoredWrite) -> bool:
-    """Whether a write and its chunks are where the log says."""
+    """Whether a write and all its chunks can be read."""
     try:
         write, _ = read_write(log, restored)
         for segment, offset, _ in write.chunks:
@@ -194,7 +194,7 @@
 
 
 def read_write(log: Log, restored: RestoredWrite) -> tuple[Write, memoryview]:
-    """A write, and its body unless that is in chunks; raises `LogIOError` or ValueError."""
+    """Read a write, and its body unless that is in chunks; raises `LogIOError` or ValueError."""
     record = log.read(*restored.position)
     content, body = unpack(record.kind, record.payload)
     write = content.write if isinstance(content, RelocatedWrite) else content
@@ -203,9 +203,9 @@
 
 
 def export_writes(folder: str, target: Path, progress: Progress | None = None) -> int:
-    """Write every pending write to a file, and `index.json` beside them; the number of writes.
+    """Export every pending write to a file, and `index.json` beside them; returns the number of writes.
 
-    Files are named by the order of the writes: the last of one name is what a reader would see.
+    File names sort in the order of the writes: the last one of a name is the object that a reader would see.
     """
     disk = RealDisk(folder, read_only=True)
     try:
--- a/mallowbeam/storage_gateway/write_buffer/intake.py
+++ b/mallowbeam/storage_gateway/write_buffer/intake.py
@@ -1,6 +1,6 @@
 """Accepting writes, large bodies and barriers.
 
-A write is the core's from the moment that the log is asked to append it, and acknowledged once it is durable.
+The core counts a write from the moment that it is queued for the log; it is acknowledged once it is durable.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 
 
 class Intake:
-    """Appends what clients write to the log."""
+    """Appends the writes of clients to the log."""
 
     def __init__(self, runtime: Runtime, reader: WriteReader) -> None:
-        self.store: Store  # from the moment that the folder is open
+        self.store: Store  # set once the folder is open
         self._runtime = runtime
         self._core = runtime.core
         self._reader = reader
 
     def admit(self, bucket: str, name: bytes, size: int) -> Admission:
-        """What becomes of a write with a body of so many bytes."""
+        """Decide on a write with a body of `size` bytes."""
         return self._core.admit(self._runtime.clock(), bucket, name, size + MAX_DESCRIPTION_BYTES)
 
     async def put(self, write: Write, body: bytes) -> Entry:
@@ -50,7 +50,7 @@
         pending = self.store.append(Kind.WRITE, lsn, parts)
         if not write.chunks:
             self._reader.remember(lsn, write, body)
-        # The commit counts whether or not the client still waits: it is awaited by a task of its own.
+        # A separate task awaits the commit, as it counts even if the client no longer waits.
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._runtime.spawn_commit(self._commit_write(entry, write, pending, done))
         await done
@@ -99,20 +99,20 @@
         upload.chunks.append((record.segment, record.offset, size))
 
     async def complete(self, upload: Upload, write: Write) -> None:
-        """A large body is complete: append the rest and give its chunks to `write`, for `put`."""
+        """Append the rest of a complete large body and set the chunks of `write`, for `put`."""
         if upload.rest:
             await self._append_chunk(upload, len(upload.rest))
         write.chunks = list(upload.chunks)
         write.size = upload.size
 
     def drop(self, upload: Upload) -> None:
-        """A body's chunks need not stay for its own sake: it is a write now, or was given up."""
+        """Release the segments of an upload's chunks: it became a write, or was abandoned."""
         for segment, _, _ in upload.chunks:
             self._core.pin(segment, -1)
         upload.chunks = []
 
     async def put_barrier(self, bucket: str) -> int:
-        """A point in the bucket's order, durable once this returns; its lsn.
+        """Add a barrier to the bucket's order of writes; returns its lsn once it is durable.
 
         Raises `RecordRejectedError` or `CommitUnknownError`.
         """
--- a/mallowbeam/storage_gateway/write_buffer/interface.py
+++ b/mallowbeam/storage_gateway/write_buffer/interface.py
@@ -1,4 +1,4 @@
-"""The buffer's settings, its phases, and its way to the nodes."""
+"""The buffer's settings and phases, and the interface through which it reaches the nodes."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class Phase(Enum):
-    """Whether the buffer accepts and sends writes; only in OPEN it does."""
+    """Whether the buffer accepts and sends writes: only in OPEN."""
 
-    OPENING = "opening"  # the folder is being read, or the process before this one still has it
+    OPENING = "opening"  # the folder is being read, or the previous process still has it locked
     OPEN = "open"
     CLOSED = "away"  # handed over or closed
 
 
 class SendResult(NamedTuple):
-    """How an attempt at a node ended."""
+    """The result of an attempt to send a write to its node."""
 
     outcome: Outcome
     retry_after: float = 0.0  # seconds
@@ -28,31 +28,31 @@
 
 
 class VersionResult(NamedTuple):
-    """Which version a node has: its ETag, None for no object."""
+    """The version that a node has: its ETag, or None for no object."""
 
     answered: bool
     version: str | None = None
 
 
 class NodeSender(Protocol):
-    """The way to the nodes: through the gateway's scheduler, as any other call."""
+    """Calls the nodes through the gateway's scheduler, as any other call does."""
 
     async def send(self, write: Write, body: bytes, expires: float, seen: str | None) -> SendResult:
-        """One attempt, over within `expires` seconds; `seen` as in `actions.Send`."""
+        """Make one attempt that ends within `expires` seconds; `seen` as in `actions.Send`."""
 
     async def read_version(self, write: Write, expires: float) -> VersionResult:
-        """Which version the node has, over within `expires` seconds."""
+        """Read the version that the node has, within `expires` seconds."""
 
     def direct_calls(self) -> int:
-        """The number of calls that the gateway serves now, the buffer's own among them."""
+        """The number of calls that the gateway is serving, including the buffer's own."""
 
     def may_send(self) -> bool:
-        """Whether the gateway is in a phase to begin new work."""
+        """Whether the gateway is in a phase in which new work may begin."""
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The buffer's section of the operators' file, decoded."""
+    """The decoded buffer section of the operators' settings file."""
 
     folder: str
     buckets: frozenset[str]
@@ -66,5 +66,5 @@
     """A large body that is being written to the log."""
 
     chunks: list[tuple[int, int, int]] = field(default_factory=list)  # segment, offset, bytes
-    rest: bytearray = field(default_factory=bytearray)  # received, not in the log yet
+    rest: bytearray = field(default_factory=bytearray)  # received, but not in the log yet
     size: int = 0  # bytes received
--- a/mallowbeam/storage_gateway/write_buffer/log.py
+++ b/mallowbeam/storage_gateway/write_buffer/log.py
@@ -1,8 +1,8 @@
-"""The segmented log: records appended, synced, read again, and complete segments removed.
+"""The segmented log: appends, syncs and reads records, and removes whole segments.
 
-Blocking; one thread at a time.  A batch is written behind the last synced byte and synced once.  A batch that
-cannot be written or synced is never acknowledged: where the disk is full its bytes are truncated; where
-writing or syncing failed otherwise, that file is not trusted any more and a new segment begins.
+Calls block; one thread at a time.  A batch is written after the last synced byte and synced once.  A batch
+that cannot be written or synced is never acknowledged: if the disk is full, its bytes are truncated; after any
+other failure to write or sync, the file is no longer trusted and a new segment begins.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
     segment_head,
 )
 
-READ_BYTES = 1 << 20  # read at once when the log is read through
-RESERVE_BYTES = 1 << 20  # kept free for records that finish writes, where the disk is full
+READ_BYTES = 1 << 20  # per read while the log is scanned
+RESERVE_BYTES = 1 << 20  # reserved for records that finish writes on a full disk
 FOLDER_FILE = "folder.json"
 FOLDER_FORMAT = "mallowbeam-buffer"
 MAX_FOLDER_FILE = 4096  # bytes
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class NewRecord:
-    """A record to be appended; `segment` and `offset` are known once it is written."""
+    """A record to be appended; `segment` and `offset` are set when it is written."""
 
     kind: Kind
     lsn: int
@@ -57,31 +57,31 @@
 
     @property
     def size(self) -> int:
-        """Bytes in the log."""
+        """Bytes that the record takes in the log."""
         return RECORD.size + sum(map(len, self.parts))
 
 
 @dataclass(slots=True)
 class QuarantinedRange:
-    """Bytes that are not a record, moved to a file of their own."""
+    """Bytes that are not a record, copied to a file of their own."""
 
     name: str
     segment: int
     offset: int
     length: int
-    acknowledged: bool  # it held records known to be durable; else a torn end
+    acknowledged: bool  # whether it held records known to be durable; otherwise it is a torn end
 
 
 @dataclass(slots=True)
 class ScanResult:
-    """What reading the folder brought, besides its records."""
+    """The results of scanning a folder, besides its records."""
 
     last_lsn: int = 0  # the highest
-    durable: int = 0  # up to this lsn records say that they are durable
+    durable: int = 0  # records say that the log is durable up to this lsn
     segments: dict[int, int] = field(default_factory=dict)  # bytes of each
     damaged: list[DamagedRange] = field(default_factory=list)
     headless: list[int] = field(default_factory=list)  # segments without a readable head
-    missing: list[int] = field(default_factory=list)  # segments that should lie between others
+    missing: list[int] = field(default_factory=list)  # missing numbers between existing segments
 
 
 def segment_name(number: int) -> str:
@@ -100,7 +100,7 @@
 
 
 def folder_id(disk: Disk) -> bytes | None:
-    """The folder's own id, None for an empty one; raises `UnsupportedFormatError`."""
+    """The folder's id, None for an empty folder; raises `UnsupportedFormatError`."""
     if FOLDER_FILE not in disk.names():
         if segment_numbers(disk):
             raise UnsupportedFormatError(f"there are segments but no {FOLDER_FILE}")
@@ -109,7 +109,7 @@
     try:
         header = json.loads(file.read(MAX_FOLDER_FILE, 0))
         if header["format"] != FOLDER_FORMAT:
-            raise UnsupportedFormatError("it is no buffer of this program's")
+            raise UnsupportedFormatError("it is no buffer folder of this program")
         if header["version"] > VERSION:
             raise UnsupportedFormatError(
                 f"it is of version {header['version']}, this program reads {VERSION}"
@@ -124,7 +124,7 @@
 
 
 def create_folder(disk: Disk) -> bytes:
-    """Make an empty folder a buffer's; its new id."""
+    """Initialize an empty folder as a buffer's; returns its new id."""
     owner = os.urandom(16)
     if FOLDER_FILE in disk.names():
         disk.remove(FOLDER_FILE)
@@ -138,20 +138,20 @@
 
 
 def read_chunks(file: File, offset: int) -> Iterator[bytes]:
-    """A file's bytes from an offset on."""
+    """Yield a file's bytes from an offset to its end."""
     while data := file.read(READ_BYTES, offset):
         offset += len(data)
         yield data
 
 
 def read_records(disk: Disk, owner: bytes, result: ScanResult) -> Iterator[Record]:
-    """All records of a folder in order; `result` is filled in on the way.  Changes nothing."""
+    """Yield all records of a folder in order, and fill in `result`.  The folder is not changed."""
     numbers = segment_numbers(disk)
     result.missing = sorted(set(range(numbers[0], numbers[-1])) - set(numbers)) if numbers else []
     for number in numbers:
         try:
             file = disk.open(segment_name(number))
-        except FileNotFoundError:  # its owner has just removed it: all in it is done
+        except FileNotFoundError:  # its owner has just removed it: all its writes are done
             continue
         try:
             yield from _read_segment(file, number, owner, result)
@@ -177,7 +177,7 @@
 
 
 def _segment_marker(file: File, number: int, owner: bytes) -> int | None:
-    """A segment's marker from its head or, where that is damaged, from its first record."""
+    """A segment's marker, from its head or, if that is damaged, from its first record."""
     marker = read_head(file.read(SEGMENT.size, 0), owner, number)
     if marker is None:
         marker = marker_at(file.read(READ_BYTES + RECORD.size, SEGMENT.size))
@@ -193,19 +193,19 @@
         self.owner = b""  # the folder's id
         self.sizes: dict[int, int] = {}  # bytes by segment
         self.number = 0  # of the segment being written
-        self.offset = 0  # where its next record goes
+        self.offset = 0  # of its next record
         self.file: File | None = None
-        self.durable = 0  # the highest lsn that is
-        self.syncs = 0  # of a file so far
+        self.durable = 0  # the highest durable lsn
+        self.syncs = 0  # file syncs so far
         self._files: dict[int, File] = {}
         self._markers: dict[int, int] = {}
         self._has_reserve = False
-        self._opening = threading.Lock()  # reads run in threads of their own
+        self._opening = threading.Lock()  # reads run in other threads
 
     # --- opening --------------------------------------------------------------------------------
 
     def open(self) -> ScanResult:
-        """Lock the folder; `records` and `recover` follow.
+        """Lock the folder; call `records` and `recover` next.
 
         Raises `FolderLockedError`, `UnsupportedFormatError` or OSError.
         """
@@ -214,14 +214,14 @@
         return ScanResult()
 
     def records(self, result: ScanResult) -> Iterator[Record]:
-        """All records in order; `result` is filled in on the way."""
+        """Yield all records in order, and fill in `result`."""
         yield from read_records(self.disk, self.owner, result)
 
     def recover(self, result: ScanResult) -> list[QuarantinedRange]:
-        """Once the records are read: quarantine damaged bytes, and begin a new segment.
+        """Quarantine damaged bytes and begin a new segment; call it after all records were read.
 
-        A torn end is truncated: it would look like damage to acknowledged records once later records say
-        that the log is durable beyond it.
+        A torn end is truncated: otherwise it would look like damage to acknowledged records once later
+        records say that the log is durable beyond it.
         """
         self.sizes = dict(result.segments)
         self.number = max(result.segments, default=0)
@@ -249,7 +249,7 @@
         self.sizes[number] = size
 
     def _quarantine(self, damage: DamagedRange, acknowledged: bool) -> list[QuarantinedRange]:
-        """Copy damaged bytes to a file; none where an earlier process has done and reported that."""
+        """Copy damaged bytes to a file; an empty list if an earlier process has copied and reported them."""
         name = f"apart-{damage.segment:010d}-{damage.offset}.bin"
         if name in self.disk.names():
             return []
@@ -268,9 +268,9 @@
     # --- appending ------------------------------------------------------------------------------
 
     def commit(self, batch: list[NewRecord], finishes_writes: bool = False) -> None:
-        """Append a batch and sync it; raises `DiskFullError` or `LogIOError`, and then none of it is durable.
+        """Append a batch and sync it; raises `DiskFullError` or `LogIOError`, and then none of it counts.
 
-        `finishes_writes`: the batch makes space; where the disk is full it may use the reserve.
+        `finishes_writes`: the batch frees space, so it may use the reserve if the disk is full.
         """
         try:
             self._write(batch)
@@ -280,7 +280,7 @@
             try:
                 self._release_reserve()
             except OSError as error:
-                raise LogIOError(f"the reserve can't be let go: {error}") from None
+                raise LogIOError(f"the reserved space can't be released: {error}") from None
             self._write(batch)
         assert self.file is not None
         try:
@@ -311,7 +311,7 @@
         try:
             self.file.write(parts, self.offset)
         except OSError as error:
-            # Guards the end of the log: what was written of a batch without space is truncated.
+            # Truncates the part of the batch that was written before the disk was full.
             if error.errno in DISK_FULL_ERRORS and self._truncate_batch():
                 raise DiskFullError(str(error)) from None
             self.abandon()
@@ -327,11 +327,11 @@
         return True
 
     def abandon(self) -> None:
-        """Write nothing more to the current segment."""
+        """Stop writing to the current segment."""
         self.file = None
 
     def _begin_segment(self, first_lsn: int) -> None:
-        """Begin a segment: its head and its name are durable before a record is written to it."""
+        """Begin a segment; its head and its file name are durable before the first record is written."""
         number = self.number + 1
         marker = int.from_bytes(os.urandom(4), "little") | 1
         file = self.disk.open(segment_name(number), new=True)
@@ -342,7 +342,7 @@
             self.disk.sync()
         except OSError:
             file.close()
-            self.disk.remove(segment_name(number))  # or each new attempt would leave a file
+            self.disk.remove(segment_name(number))  # otherwise each new attempt would leave a file behind
             raise
         self._markers[number] = marker
         self._files[number] = file
@@ -352,7 +352,7 @@
         self.sizes[number] = SEGMENT.size
 
     def _create_reserve(self) -> None:
-        """Reserve space, so that finished writes can still be recorded on a full disk."""
+        """Reserve disk space, so that finished writes can still be recorded when the disk is full."""
         if RESERVE_FILE in self.disk.names():
             self.disk.remove(RESERVE_FILE)
         try:
@@ -374,7 +374,7 @@
     # --- reading and removing -------------------------------------------------------------------
 
     def read(self, segment: int, offset: int) -> Record:
-        """A record again; raises `LogIOError` where it is no longer what was written."""
+        """Read one record; raises `LogIOError` if it can't be read or is damaged."""
         try:
             file = self._open_segment(segment)
             head = file.read(RECORD.size, offset)
@@ -389,7 +389,7 @@
         return Record(Kind(kind), lsn, durable, segment, offset, data[RECORD.size :])
 
     def _open_segment(self, segment: int) -> File:
-        """A segment's file; its marker is known then."""
+        """Return a segment's file, after loading its marker."""
         with self._opening:
             file = self._files.get(segment)
             if file is None:
@@ -402,12 +402,12 @@
             return file
 
     def remove(self, segments: list[int]) -> None:
-        """Remove segments that nothing needs any more; raises OSError."""
+        """Remove segments that are no longer needed; raises OSError."""
         for number in segments:
             file = self._files.pop(number, None)
             if file is not None:
                 file.close()
-            with suppress(FileNotFoundError):  # a removal that was interrupted is repeated
+            with suppress(FileNotFoundError):  # an interrupted removal is repeated
                 self.disk.remove(segment_name(number))
             self.sizes.pop(number, None)
             self._markers.pop(number, None)
@@ -425,5 +425,5 @@
 
 
 def durability_marker(lsn: int) -> NewRecord:
-    """A record that says only how far the log is durable."""
+    """A record without content, whose header says how far the log is durable."""
     return NewRecord(Kind.MARK, lsn, pack(Kind.MARK, None))
--- a/mallowbeam/storage_gateway/write_buffer/pending_writes.py
+++ b/mallowbeam/storage_gateway/write_buffer/pending_writes.py
@@ -1,7 +1,7 @@
 """The buffered writes, by number and by key.
 
-Writes of one key are sent one after the other, and none before the log has recorded that the one before it is
-done: after a crash that one would be restored and replace it.
+Writes of one key are sent one after the other, and each only once the log has recorded that the previous one
+is done: otherwise a crash would restore the previous write, and it would replace the later one.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from mallowbeam.storage_gateway.write_buffer.entries import Counts, Entry, State
 from mallowbeam.storage_gateway.write_buffer.groups import WriteGroups
 
-Name = bytes  # of an object in its bucket
+Name = bytes  # an object's name in its bucket
 Key = tuple[str, Name]  # a bucket, and a name in it
 
 
 class PendingWrites:
-    """All writes that are not finished, and those finished whose record is not durable yet."""
+    """All unfinished writes, and the finished ones whose done record is not durable yet."""
 
     def __init__(self) -> None:
         self.entries: dict[int, Entry] = {}
@@ -26,18 +26,18 @@
         self.counts = Counts()
         self.suspended = 0  # writes that wait for an operator
         self._by_age: deque[Entry] = deque()
-        self._finishing: dict[int, Entry] = {}  # finished, but the log may not have that yet
+        self._finishing: dict[int, Entry] = {}  # finished, but the done record is not durable yet
         self._finishing_keys: dict[Key, int] = {}  # the number of those, by key
 
     def add(self, entry: Entry) -> None:
-        """A write is accepted, behind all accepted before it."""
+        """Add a write, after all accepted earlier."""
         self.entries[entry.lsn] = entry
         self.keys.setdefault(entry.key, []).append(entry)
         self.groups.add(entry)
         self._by_age.append(entry)
 
     def remove(self, entry: Entry) -> Entry | None:
-        """A write is not pending any more; the next one of its key, if there is one."""
+        """Remove a write; returns the next one of its key, if any."""
         entry.state = State.FINISHED
         del self.entries[entry.lsn]
         del entry.group.entries[entry.lsn]
@@ -49,12 +49,12 @@
         return None
 
     def begin_finishing(self, entry: Entry) -> None:
-        """A removed write is finished; the log has yet to record that."""
+        """Note that a removed write is finished, while the log has yet to record that."""
         self._finishing[entry.lsn] = entry
         self._finishing_keys[entry.key] = self._finishing_keys.get(entry.key, 0) + 1
 
     def end_finishing(self, lsn: int) -> tuple[Entry, Entry | None]:
-        """The log has recorded that a write is done; it, and the next of its key if that may be sent now."""
+        """Note that a done record is durable; returns the write, and the next of its key if it may be sent."""
         entry = self._finishing.pop(lsn)
         self._finishing_keys[entry.key] -= 1
         if self._finishing_keys[entry.key]:
@@ -64,35 +64,35 @@
         return entry, chain[0] if chain else None
 
     def earlier(self, entry: Entry) -> Iterator[Entry]:
-        """The writes of the same key that were accepted before one."""
+        """Yield the writes of the same key that were accepted before `entry`."""
         for other in list(self.keys[entry.key]):
             if other is entry:
                 return
             yield other
 
     def newest_of(self, key: Key) -> Entry | None:
-        """The last durable write of a key."""
+        """The newest durable write of a key."""
         for entry in reversed(self.keys.get(key, ())):
             if entry.state is not State.COMMITTING:
                 return entry
         return None
 
     def oldest_age(self, now: float) -> float:
-        """Seconds since the oldest write was accepted; suspended ones do not count."""
+        """Seconds since the oldest write was accepted; suspended writes do not count."""
         while self._by_age and self._by_age[0].state in (State.FINISHED, State.SUSPENDED):
             self._by_age.popleft()
         return max(0.0, now - self._by_age[0].accepted_at) if self._by_age else 0.0
 
     def resume_age(self, entry: Entry) -> None:
-        """A suspended write is resumed: its age counts again."""
+        """Count the age of a resumed write again."""
         self._by_age.appendleft(entry)
 
     def blocks_direct(self, key: Key) -> bool:
-        """Whether something must be on the nodes before a direct write of that key may be sent."""
+        """Whether buffered writes must reach the nodes before a direct write of that key may be sent."""
         return key in self.keys or key in self._finishing_keys or self.groups.has_barrier(key[0])
 
     def may_send(self, entry: Entry) -> bool:
-        """Whether a write is next: first of its key, in the first group of its bucket, and not suspended."""
+        """Whether a write may be sent: first of its key, in its bucket's first group, and not suspended."""
         return (
             entry.state in (State.READY, State.UNCERTAIN)
             and self.keys[entry.key][0] is entry
--- a/mallowbeam/storage_gateway/write_buffer/records.py
+++ b/mallowbeam/storage_gateway/write_buffer/records.py
@@ -1,8 +1,8 @@
-"""The format of the buffer's log: records to bytes and back, as docs/formats/buffer-log.md has it.
+"""Encodes and decodes the records of the buffer's log, as specified in docs/formats/buffer-log.md.
 
-No I/O.  A record's checksum covers its header and payload; a marker drawn at random for each segment stands
-before every record, so that the next record is found behind damaged bytes, and bytes that a client stores
-can't pass for records.
+No I/O.  A record's checksum covers its header and payload.  Every record starts with a marker that is drawn
+at random for each segment, so that the next record is found after damaged bytes, and bytes that a client
+stores can't be mistaken for records.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class UnsupportedFormatError(MallowbeamError):
-    """The folder was written by a newer version, or is no buffer's; the text says which."""
+    """The folder was written by a newer version, or is not a buffer's; the message says which."""
 
     error_name = "Newer"
     remedy = "run the version that wrote it, or name another folder"
@@ -37,13 +37,13 @@
     """The kinds of records; the numbers are in the log, the names in the output of `mallowbeam buffer`."""
 
     WRITE = 1  # an accepted write: its description, then its body or the list of its chunks
-    PIECE = 2  # a chunk of a large body, ahead of its WRITE
-    BARRIER = 3  # what comes later in this bucket waits for what came before
+    PIECE = 2  # a chunk of a large body, before its WRITE
+    BARRIER = 3  # later writes of this bucket wait for the earlier ones
     INTENT = 4  # these writes are about to be sent for the first time
     DONE = 5  # these writes are on their nodes, absorbed by later ones, or dropped by an operator
     HELD = 6  # a write is suspended until an operator decides, and why
     VOID = 7  # writes that were never acknowledged
-    MARK = 8  # no content: only how far the log is durable
+    MARK = 8  # no content: its header says how far the log is durable
     MOVED = 9  # a write relocated from an old segment, with its intent and suspension
 
 
@@ -52,9 +52,9 @@
 
     method: str
     bucket: str
-    target: bytes  # path and query as they go to the node
-    placement_hash: int  # of its name: chooses the shard
-    headers: list[tuple[bytes, bytes]]  # those that go to the node
+    target: bytes  # path and query as sent to the node
+    placement_hash: int  # hash of its name, which selects the shard
+    headers: list[tuple[bytes, bytes]]  # those sent to the node
     token: bytes  # its idempotency key
     etag: str  # S3's: the quoted MD5 of the body
     size: int
@@ -63,19 +63,19 @@
 
 
 class Barrier(msgspec.Struct, array_like=True):
-    """A point in a bucket's order; relocated from an old segment it has the lsn that it keeps."""
+    """A barrier in a bucket's order of writes; `lsn` is set in a relocated copy, to the original's lsn."""
 
     bucket: str
     lsn: int = 0
 
 
 class Intent(msgspec.Struct, array_like=True):
-    """Writes that may be sent from now on, and when that was."""
+    """Writes that may be sent from now on, and the time of this record."""
 
     lsns: list[int]
     boot: bytes  # the id of the machine's boot
     at: float  # seconds of that boot's clock
-    shards: int  # the number of shards, on which the node of an object depends
+    shards: int  # the number of shards, which determines the node of an object
 
 
 class Done(msgspec.Struct, array_like=True):
@@ -85,7 +85,7 @@
 
 
 class Suspension(msgspec.Struct, array_like=True):
-    """A write suspended until an operator decides; without a reason it is resumed."""
+    """A write suspended until an operator decides; an empty reason means that it is resumed."""
 
     lsn: int
     reason: str
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True)
 class Record:
-    """A record as read: its position, and its payload still packed."""
+    """A record as read: its position, and its payload, still encoded."""
 
     kind: Kind
     lsn: int
@@ -128,7 +128,7 @@
 
     @property
     def end(self) -> int:
-        """The offset behind it."""
+        """The offset of the first byte after it."""
         return self.offset + RECORD.size + len(self.payload)
 
 
@@ -147,7 +147,7 @@
 def pack(
     kind: Kind, content: RecordContent | None, body: bytes | bytearray | memoryview = b""
 ) -> list[bytes]:
-    """A record's payload in parts that follow each other."""
+    """Encode a record's payload, as consecutive parts."""
     if kind is Kind.PIECE:
         return [bytes(body)]
     if content is None:
@@ -160,13 +160,13 @@
 
 
 def unpack(kind: Kind, payload: bytes | memoryview) -> tuple[RecordContent, memoryview]:
-    """The content of a payload and the body behind it; raises ValueError where it cannot be read."""
+    """Decode a payload into its content and the body after it; raises ValueError if it is malformed."""
     view = memoryview(payload)
     if len(view) < CONTENT_HEADER.size:
-        raise ValueError("a payload without words")
+        raise ValueError("payload is shorter than its content header")
     size = CONTENT_HEADER.unpack_from(view)[0]
     if CONTENT_HEADER.size + size > len(view):
-        raise ValueError("a payload that ends within its words")
+        raise ValueError("payload ends within its content")
     try:
         content: RecordContent = DECODERS[kind].decode(view[CONTENT_HEADER.size : CONTENT_HEADER.size + size])
     except (msgspec.DecodeError, KeyError) as error:
@@ -175,10 +175,10 @@
 
 
 def frame(marker: int, kind: Kind, lsn: int, durable: int, parts: list[bytes]) -> list[bytes]:
-    """A complete record in parts that follow each other."""
+    """Encode a complete record, as consecutive parts."""
     size = sum(map(len, parts))
     if size > MAX_PAYLOAD:
-        raise ValueError("a record over its bound")
+        raise ValueError("record payload exceeds the maximum size")
     crc = crc32c(RECORD.pack(marker, 0, size, kind, lsn, durable))
     for part in parts:
         crc = crc32c(part, crc)
@@ -186,13 +186,13 @@
 
 
 def segment_head(marker: int, folder: bytes, number: int, first: int) -> bytes:
-    """The first bytes of a segment."""
+    """Encode the head of a segment."""
     head = SEGMENT.pack(MAGIC, VERSION, 0, marker, folder, number, first, 0)[:-4]
     return head + struct.pack("<I", crc32c(head))
 
 
 def read_head(data: bytes, folder: bytes, number: int) -> int | None:
-    """A segment's marker; None where its head is damaged.
+    """Decode a segment's head and return its marker; None if the head is damaged.
 
     Raises `UnsupportedFormatError` for a segment of another folder or a newer version.
     """
@@ -211,7 +211,7 @@
 
 
 def check(data: memoryview, at: int, marker: int) -> tuple[int, int, int, int] | None:
-    """Kind, lsn, durable lsn and payload size of the record at an offset; None without a valid one."""
+    """Kind, lsn, durable lsn and payload size of the record at an offset; None if there is no valid one."""
     if at + RECORD.size > len(data):
         return None
     record_marker, crc, size, kind, lsn, durable = RECORD.unpack_from(data, at)
@@ -229,7 +229,7 @@
 
 
 def marker_at(data: bytes) -> int | None:
-    """The marker of a segment whose head is damaged, from its first record; None without a valid one."""
+    """The marker of a segment whose head is damaged, from its first record; None if that is invalid."""
     if len(data) < RECORD.size:
         return None
     marker = int(RECORD.unpack_from(data)[0])
@@ -239,15 +239,15 @@
 def scan(
     chunks: Iterator[bytes], segment: int, marker: int, last_lsn: int
 ) -> Iterator[Record | DamagedRange]:
-    """Records and damaged ranges of a segment in order, from the bytes behind its head.
+    """Yield the records and damaged ranges of a segment in order, from the bytes after its head.
 
-    `last_lsn` is the highest lsn before it.  A few records' worth of bytes are in memory at once.
+    `last_lsn` is the highest lsn of earlier segments.  Only a few records' worth of bytes are held in memory.
     """
     marker_bytes = struct.pack("<I", marker)
     data = bytearray()
-    base, at = SEGMENT.size, 0  # the offset in the file of `data`, and the position in it
+    base, at = SEGMENT.size, 0  # the file offset of `data`, and the position in `data`
     ended = False
-    damage_at, is_blank = -1, True  # the offset in the file where damaged bytes began, -1 for none
+    damage_at, is_blank = -1, True  # the file offset where damaged bytes began, -1 for none
     while True:
         if not ended and len(data) - at < MAX_RECORD:
             chunk = next(chunks, b"")
@@ -278,7 +278,7 @@
 
 
 def _next_candidate(data: bytearray, at: int, marker_bytes: bytes, ended: bool) -> int:
-    """Where a record may begin behind damaged bytes: at the next marker, or beyond what has been read."""
+    """Where a record may begin after damaged bytes: at the next marker, or after the bytes read so far."""
     following = data.find(marker_bytes, at + 1)
     if following >= 0:
         return following
--- a/mallowbeam/storage_gateway/write_buffer/reopen.py
+++ b/mallowbeam/storage_gateway/write_buffer/reopen.py
@@ -1,4 +1,4 @@
-"""Opening a folder: whether it can be used, and the state that the process before left in its log."""
+"""Opening a folder: checks whether it can be used, and reads the state that the previous process left."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 def boot_clock() -> float:
-    """Seconds of a clock that is never set and runs through one boot of the machine."""
+    """Seconds of a clock that is never adjusted and runs through one boot of the machine."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def boot_id() -> bytes:
-    """An id of this boot; where the system has none, no two processes count as of one boot."""
+    """The id of this boot; random if the system has none, so that no two processes share a boot."""
     try:
         with open(BOOT_ID_FILE, "rb") as file:
             return file.read(BOOT_ID_BYTES).strip()
@@ -47,9 +47,9 @@
 
 
 def check_folder(settings: Settings, wait: bool) -> str | None:
-    """Why the folder cannot be used, in a line; None where it can.
+    """Why the folder cannot be used, in one line; None if it can.
 
-    `wait`: the process that has locked the folder will hand it over.
+    `wait`: another process has locked the folder and will hand it over.
     """
     try:
         disk = RealDisk(settings.folder)
@@ -72,7 +72,7 @@
 
 @contextmanager
 def no_garbage_collection() -> Iterator[None]:
-    """Suspend the cyclic collector while very many objects without cycles are made: a third of the time."""
+    """Disable the cyclic garbage collector, which takes a third of the time of creating very many objects."""
     was_enabled = gc.isenabled()
     gc.disable()
     try:
@@ -83,7 +83,7 @@
 
 
 def replay(log: Log, result: ScanResult, wall: float, now: float) -> Replay:
-    """Read the log and rebuild the state at the end of the process before.
+    """Read the log and rebuild the state at the end of the previous process.
 
     `wall` is Unix time and `now` the boot clock, in seconds.  Raises `UnsupportedFormatError` or OSError.
     """
@@ -115,7 +115,7 @@
 
 
 def restore_write(record: Record, lsn: int, write: Write, wall: float, now: float) -> RestoredWrite:
-    """A write from its record; its age is by the wall clock, and zero where that was set back."""
+    """Restore a write from its record; its age is by the wall clock, and zero if that was set back."""
     log_bytes = RECORD.size + len(record.payload) + sum(RECORD.size + size for _, _, size in write.chunks)
     write.bucket = sys.intern(write.bucket)
     entry = Entry(lsn, write, log_bytes, now - max(0.0, wall - write.accepted_at))
--- a/mallowbeam/storage_gateway/write_buffer/replay.py
+++ b/mallowbeam/storage_gateway/write_buffer/replay.py
@@ -1,4 +1,4 @@
-"""The state that the process before left, rebuilt from the log's records."""
+"""Rebuilds the state that the previous process left, from the log's records."""
 
 from __future__ import annotations
 
@@ -11,75 +11,75 @@
 
 
 class RestoreTarget(Protocol):
-    """What the restored writes and barriers are given to: the buffer's core."""
+    """The receiver of restored writes and barriers: the buffer's core."""
 
     @property
     def limits(self) -> Limits:
-        """The bounds in force."""
+        """The limits in force."""
 
     def accept(self, entry: Entry) -> None:
-        """A write is accepted."""
+        """Add a write."""
 
     def durable(self, now: float, lsn: int, position: tuple[int, int], segments: Iterable[int]) -> None:
-        """It is durable."""
+        """Note that a write is durable."""
 
     def open_barrier(self, lsn: int, bucket: str) -> None:
-        """A barrier is accepted."""
+        """Add a barrier."""
 
     def barrier_durable(self, lsn: int, segment: int) -> None:
-        """It is durable."""
+        """Note that a barrier is durable."""
 
     def restore_suspended(self, entry: Entry, reason: str) -> None:
-        """A write was suspended, and still is."""
+        """Mark a write as still suspended."""
 
     def opened(self) -> None:
-        """Everything has been restored."""
+        """Note that everything has been restored."""
 
 
 @dataclass(slots=True)
 class RestoredWrite:
-    """A write as the log has it."""
+    """A write as the log's records describe it."""
 
     entry: Entry
     position: tuple[int, int]  # segment and offset of its record
     segments: list[int]  # of the chunks of its body
-    intent: tuple[bytes, float, int] | None = None  # boot, time on its clock, number of shards
+    intent: tuple[bytes, float, int] | None = None  # boot id, time on that boot's clock, number of shards
     suspension: str | None = None  # why it is suspended
 
 
 @dataclass(slots=True)
 class Replay:
-    """Builds the state at the end of the process before, from the log's records in order."""
+    """Builds the state at the end of the previous process, from the log's records in order."""
 
     writes: dict[int, RestoredWrite] = field(default_factory=dict)
     barriers: dict[int, tuple[str, int]] = field(default_factory=dict)  # bucket, segment
 
     def write(self, restored: RestoredWrite) -> None:
-        """A write, or a relocated one: the later position counts, and an earlier intent stays."""
+        """Add a write or its relocated copy: the later position counts, and an earlier intent is kept."""
         earlier = self.writes.pop(restored.entry.lsn, None)
         if earlier is not None and restored.intent is None:
             restored.intent = earlier.intent
         self.writes[restored.entry.lsn] = restored
 
     def barrier(self, lsn: int, bucket: str, segment: int) -> None:
-        """A barrier, or a relocated one."""
+        """Add a barrier or its relocated copy."""
         self.barriers[lsn] = bucket, segment
 
     def intent(self, lsns: list[int], intent: tuple[bytes, float, int]) -> None:
-        """Writes may have been sent since then."""
+        """Note from when on writes may have been sent."""
         for lsn in lsns:
             restored = self.writes.get(lsn)
             if restored is not None:
-                restored.intent = intent  # a later one stands for a new first attempt
+                restored.intent = intent  # a later intent belongs to a new first attempt
 
     def done(self, lsns: list[int]) -> None:
-        """Writes are done, or were never acknowledged."""
+        """Remove writes that are done or were never acknowledged."""
         for lsn in lsns:
             self.writes.pop(lsn, None)
             self.barriers.pop(lsn, None)
 
     def suspended(self, lsn: int, reason: str) -> None:
-        """A write is suspended, or, without a reason, resumed."""
+        """Mark a write as suspended, or, if `reason` is empty, as resumed."""
         restored = self.writes.get(lsn)
         if restored is not None:
             restored.suspension = reason or None
@@ -87,9 +87,11 @@
                 restored.intent = None
 
     def build(self, core: RestoreTarget, now: float, boot: bytes) -> None:
-        """Give all that is left to the core."""
+        """Give all remaining writes and barriers to the core."""
         for lsn in sorted([*self.writes, *self.barriers]):
-            restored = self.writes.pop(lsn, None)  # one at a time: a full buffer would be in memory twice
+            restored = self.writes.pop(
+                lsn, None
+            )  # frees each one: otherwise a full buffer would be in memory twice
             if restored is None:
                 bucket, segment = self.barriers[lsn]
                 core.open_barrier(lsn, bucket)
@@ -101,9 +103,9 @@
     def _build_write(self, core: RestoreTarget, restored: RestoredWrite, now: float, boot: bytes) -> None:
         """Give one write to the core.
 
-        An attempt of unknown outcome may be retried within its window only where one clock measured both its
-        start and now: that of this very boot, and with the same number of shards.  All others are read back,
-        and not before an attempt begun just before this start could no longer run.
+        An attempt of unknown outcome may be retried within its window only if the same clock, that of this
+        boot, measured its start and now, and the number of shards is the same.  All others are read back, and
+        only once an attempt begun just before this start can no longer run.
         """
         entry = restored.entry
         core.accept(entry)
--- a/mallowbeam/storage_gateway/write_buffer/service.py
+++ b/mallowbeam/storage_gateway/write_buffer/service.py
@@ -1,4 +1,4 @@
-"""The buffer at work: joins the core, the log and the gateway.  Decides nothing."""
+"""Runs the buffer: connects the core, the log and the gateway.  Makes no decisions of its own."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 from mallowbeam.storage_gateway.write_buffer.runtime import Runtime
 from mallowbeam.storage_gateway.write_buffer.store import Store
 
-LOCK_RETRY_S = 0.02  # between attempts to lock a folder that the process before this one still has
-DRAIN_S = 1.0  # for attempts in flight to end when the folder is handed over
+LOCK_RETRY_S = 0.02  # between attempts to lock a folder that the previous process still has locked
+DRAIN_S = 1.0  # time for attempts in flight to end when the folder is handed over
 DRAIN_POLL_S = 0.01
-MIN_PLAN_INTERVAL_S = 0.02  # while there is something to send and no window for it
+MIN_PLAN_INTERVAL_S = 0.02  # while writes wait to be sent and the windows are full
 
 
 class Buffer:
     """One folder's buffer.
 
     `intake` accepts writes and barriers, `reader` reads buffered writes, `waiters` are clients that wait for
-    the flush.  `handed_over`: another process has the folder and will hand it over.
+    the flush.  `handed_over`: another process has the folder locked and will hand it over.
     """
 
     def __init__(
@@ -48,10 +48,10 @@
         self.settings = settings
         self.handed_over = handed_over
         self.clock = clock
-        self.disk: Disk | None = None  # None: the folder of the settings
+        self.disk: Disk | None = None  # None: the folder in the settings
         self.phase = Phase.OPENING
         self.opened = asyncio.Event()
-        self.store: Store  # from OPEN on
+        self.store: Store  # set once the phase is OPEN
         self.core = Core(settings.limits, random.Random())
         self._runtime = Runtime(self.core, clock, boot_id())
         self.reader = WriteReader(self.core, settings.cache_bytes)
@@ -63,7 +63,7 @@
     # --- opening --------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Open the folder, then flush what it holds."""
+        """Open the folder, then flush its writes, in a background task."""
         self._main = asyncio.create_task(self._run())
 
     async def _run(self) -> None:
@@ -74,12 +74,12 @@
         except asyncio.CancelledError:
             raise
         except Exception as error:
-            # Guards against an acknowledgement without a log: with a fault in here nothing more is accepted.
+            # No more writes are accepted, so that none is acknowledged without a log.
             self.core.unavailable = True
-            logger.opt(exception=error).error("the buffer failed unforeseen; nothing more is taken in")
+            logger.opt(exception=error).error("buffer: unexpected error; no more writes are accepted")
 
     async def _step(self) -> None:
-        """Send what may be sent now, then wait until there may be more."""
+        """Send the writes that may be sent now, then wait for the next wake-up."""
         wakeup = self._runtime.wakeup
         wakeup.clear()
         now = self.clock()
@@ -104,7 +104,8 @@
             _report_quarantined(quarantined)
         if result.missing:
             logger.error(
-                "buffer: segments {segments} are missing: what they held is lost", segments=result.missing
+                "buffer: segments {segments} are missing; the records in them are lost",
+                segments=result.missing,
             )
         self.store = Store(log, result.last_lsn, self._disk_changed, self.core.update_segments)
         self.reader.store = self.intake.store = self.flush.store = self.store
@@ -119,7 +120,7 @@
         )
 
     def _read(self) -> tuple[Log | None, ScanResult, Replay]:
-        """Lock the folder and read it, in a thread; no log while another process has locked it."""
+        """Lock the folder and read it, in a thread; returns no log while another process has it locked."""
         disk = self.disk or RealDisk(self.settings.folder)
         log = Log(disk, self.settings.segment_bytes)
         try:
@@ -134,7 +135,7 @@
             return log, result, replay(log, result, time.time(), self.clock())
 
     def _recover(self, log: Log, result: ScanResult, state: Replay) -> list[QuarantinedRange]:
-        """Make the folder and the core ready, in a thread: until the phase changes nobody else uses them."""
+        """Prepare the folder and the core, in a thread: until the phase changes nothing else uses them."""
         quarantined = log.recover(result)
         with no_garbage_collection():
             state.build(self.core, self.clock(), self._runtime.boot)
@@ -144,13 +145,13 @@
     # --- closing --------------------------------------------------------------------------------
 
     async def hand_over(self) -> None:
-        """Another process takes the folder: drain, then unlock it."""
+        """Hand the folder over to another process: drain, then unlock it."""
         await self.stop()
 
     async def stop(self) -> None:
-        """Accept nothing more, drain for a moment, sync, unlock the folder, and notify all that wait.
+        """Stop accepting writes, drain for `DRAIN_S` at most, sync, unlock the folder, and notify clients.
 
-        Attempts still in flight have their intent in the log: whoever opens the folder next resolves them.
+        Attempts still in flight have their intent in the log: the next process resolves them.
         """
         if self.phase is Phase.CLOSED:
             return
@@ -179,12 +180,12 @@
     # --- for operators --------------------------------------------------------------------------
 
     def wake(self) -> None:
-        """Something was changed from outside: plan again."""
+        """Plan again, after a change from outside."""
         self._runtime.wakeup.set()
 
     def gauges(self) -> dict[str, int]:
-        """Metrics; the keys are their names behind `app_`."""
-        if self.phase is Phase.OPENING:  # a thread uses the core
+        """The metrics; each key is a metric's name without its prefix `app_`."""
+        if self.phase is Phase.OPENING:  # a thread is using the core
             return {"buffer_opening": 1}
         core = self.core
         counts = core.counts
@@ -205,11 +206,11 @@
         }
 
     def _disk_changed(self, failure: str | None, lost: list[int]) -> None:
-        """The disk fails, with these records uncertain, or works again."""
+        """Note that the disk fails, with the records `lost` uncertain, or that it works again."""
         if failure is not None:
             self.flush.disk_fault(failure)
         elif self.core.failure is not None:
-            logger.info("buffer: the disk takes writes again")
+            logger.info("buffer: the disk accepts writes again")
             self.core.untrusted_keys.clear()
         self.core.failure = failure
 
@@ -218,12 +219,12 @@
     if quarantined.acknowledged:
         logger.error(
             "buffer: {length} bytes of segment {segment} at {offset} are damaged and "
-            "held acknowledged records; set apart as {name}",
+            "held acknowledged records; quarantined as {name}",
             **asdict(quarantined),
         )
     else:
         logger.warning(
-            "buffer: {length} bytes of segment {segment} at {offset} are torn, and "
-            "nothing says they were acknowledged; set apart as {name}",
+            "buffer: {length} bytes of segment {segment} at {offset} are torn, with "
+            "no sign that they were acknowledged; quarantined as {name}",
             **asdict(quarantined),
         )
--- a/mallowbeam/storage_gateway/write_buffer/shards.py
+++ b/mallowbeam/storage_gateway/write_buffer/shards.py
@@ -1,6 +1,6 @@
-"""How many attempts are in flight to each shard of the nodes, and how many may be.
+"""The number of attempts in flight to each shard of the nodes, and the window that limits it.
 
-Source: windows by additive increase, multiplicative decrease (Chiu and Jain, 1989).
+The windows follow additive increase, multiplicative decrease (Chiu and Jain, 1989).
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
     def __init__(self, window: float) -> None:
         self.window = window  # attempts that may be in flight
         self.in_flight = 0
-        self.blocked_until = 0.0  # when the shard may be sent to again
+        self.blocked_until = 0.0  # time before which no attempt is begun
         self.parked: deque[Entry] = deque()
 
     @property
     def is_full(self) -> bool:
-        """Whether as many attempts are in flight as may be."""
+        """Whether the window has no space for another attempt."""
         return self.in_flight >= max(1, int(self.window))
 
     def widen(self, most: int) -> None:
-        """A write was stored: one attempt more in each round trip, `most` at most."""
+        """Widen the window after a stored write, by one attempt each round trip and to at most `most`."""
         self.window = min(most, self.window + 1.0 / self.window)
 
     def narrow(self) -> None:
-        """An attempt failed: half as many."""
+        """Halve the window after a failed attempt."""
         self.window = max(1.0, self.window / 2)
 
 
 class ShardTable:
-    """All shards, and what is in flight in total."""
+    """All shards, and the total in flight."""
 
     def __init__(self, limits: Limits) -> None:
         self.shards: dict[int, Shard] = {}
@@ -56,13 +56,13 @@
         return shard
 
     def begin(self, entry: Entry) -> None:
-        """An attempt of a write begins."""
+        """Count an attempt of a write that begins."""
         self.of(entry).in_flight += 1
         self.in_flight += 1
         self.in_flight_bytes += entry.size
 
     def end(self, entry: Entry) -> Shard:
-        """An attempt of a write has ended; its shard."""
+        """Stop counting an attempt of a write that has ended; returns its shard."""
         shard = self.of(entry)
         shard.in_flight -= 1
         self.in_flight -= 1
@@ -70,12 +70,12 @@
         return shard
 
     def park(self, entry: Entry) -> None:
-        """A write waits until its shard's window has space."""
+        """Let a write wait until its shard's window has space."""
         self.of(entry).parked.append(entry)
         self._crowded.add(self._number(entry))
 
     def unpark(self) -> list[Entry]:
-        """Parked writes for which their shard's window has space now."""
+        """Remove and return the parked writes for which their shard's window has space now."""
         found = []
         for number in list(self._crowded):
             shard = self.shards[number]
--- a/mallowbeam/storage_gateway/write_buffer/store.py
+++ b/mallowbeam/storage_gateway/write_buffer/store.py
@@ -1,7 +1,7 @@
 """Runs the log off the event loop: group commit in one thread, reads in others.
 
-Writers that wait together share one sync: while a batch is being synced the next one gathers.  A batch with
-both new writes and records that finish older ones is split where the disk is full, as the latter make space.
+Concurrent writers share one sync: while a batch is being synced, the next one accumulates.  If the disk is
+full, a batch of both new writes and records that finish older ones is split, as the latter free space.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 from mallowbeam.storage_gateway.write_buffer.records import Done, Kind, Record, pack
 
 MAX_BATCH_BYTES = 4 << 20  # synced at once
-IDLE_MARKER_S = 0.05  # without a batch, after which a marker records how far the log is durable
+IDLE_MARKER_S = 0.05  # without a batch, after which a marker record says how far the log is durable
 RETRY_S = 0.5  # between attempts to write to a failing disk
 READ_THREADS = 2
 AWAITED_KINDS = (Kind.WRITE, Kind.PIECE, Kind.BARRIER)  # of new writes; all others finish or relocate writes
 
 
 class RecordRejectedError(MallowbeamError):
-    """The log does not have the record, and never will: nothing was acknowledged, nothing can be restored."""
+    """The record is not in the log and will never be: it was not acknowledged and can't be restored."""
 
     error_name = "NotTaken"
     remedy = "look at the disk and at the bounds of the buffer; clients repeat by themselves"
 
 
 class CommitUnknownError(MallowbeamError):
-    """Whether the log has the record is not known: it may be restored after a restart."""
+    """It is not known whether the log has the record: it may be restored after a restart."""
 
     error_name = "Doubtful"
     remedy = "look at the disk, then run mallowbeam buffer show on the folder"
@@ -53,19 +53,19 @@
         return self.record.kind in AWAITED_KINDS
 
     def committed(self) -> None:
-        """The record is durable."""
+        """Complete the future: the record is durable."""
         if not self.done.done():
             self.done.set_result(None)
 
     def failed(self, error: Exception) -> None:
-        """The record is not durable; nobody needs to wait for it."""
+        """Fail the future: the record is not durable."""
         if not self.done.done():
             self.done.set_exception(error)
-            self.done.exception()  # marks it as retrieved for asyncio
+            self.done.exception()  # marks the exception as retrieved, as nobody may be waiting
 
 
 class Store:
-    """The log of an open folder, as the event loop sees it.
+    """The log of an open folder, for use on the event loop.
 
     `on_failure` is called with the reason and the lsns of uncertain records when the disk fails, and with
     None when it works again; `on_segments` with the sizes of segments by number, and the newest one.
@@ -86,23 +86,23 @@
         self._reader = ThreadPoolExecutor(READ_THREADS, "buffer-read")
         self._queue: deque[PendingRecord] = deque()
         self._wakeup = asyncio.Event()
-        self._unvoided: list[int] = []  # never acknowledged, but may be in an untrusted file
+        self._unvoided: list[int] = []  # lsns never acknowledged that may be in an untrusted file
         self._pins: Counter[int] = Counter()  # reads by segment
-        self._removable: list[int] = []  # segments to be removed once nobody reads them
+        self._removable: list[int] = []  # segments to be removed once no read uses them
         self._closing = False
         self._closed = False
         self._task = asyncio.create_task(self._run())
         self._task.add_done_callback(self._ended)
 
     def next_lsn(self) -> int:
-        """The number of the next record."""
+        """Allocate the lsn of the next record."""
         self.lsn += 1
         return self.lsn
 
     def append(self, kind: Kind, lsn: int, parts: list[bytes]) -> PendingRecord:
-        """Queue a record; its future ends once it is synced, or with one of this module's errors.
+        """Queue a record; its future completes once it is synced, or fails with one of this module's errors.
 
-        The queue is bounded by the core, which counts the bytes being committed.
+        The core bounds the queue, as it counts the bytes being committed.
         """
         pending = PendingRecord(NewRecord(kind, lsn, parts))
         if self._closed:
@@ -113,10 +113,10 @@
         return pending
 
     def _ended(self, task: asyncio.Task[None]) -> None:
-        """Nothing is committed any more: all that waits is rejected, so that nobody waits for ever."""
+        """Reject all queued records once the commit task has ended, so that no caller waits for ever."""
         self._closed = True
         if not task.cancelled() and (error := task.exception()) is not None:
-            logger.opt(exception=error).error("the buffer's log failed unforeseen")
+            logger.opt(exception=error).error("buffer: unexpected error in the log writer")
             self._on_failure("a fault in the log", [])
         self._reject_queue()
 
@@ -137,7 +137,7 @@
                 continue
             if self._closing and not self._queue:
                 return
-            if self._unvoided:  # nothing new before it is clear what the untrusted files hold
+            if self._unvoided:  # no new records before VOID covers the untrusted files
                 await self._write_void()
                 if self._unvoided:
                     self._reject_queue()
@@ -161,18 +161,18 @@
         return batch
 
     def _reject_queue(self) -> None:
-        """Reject all that waits: the disk fails."""
+        """Reject all queued records because the disk fails."""
         if not self._closing:
             self._wakeup.clear()
         while self._queue:
-            self._queue.popleft().failed(RecordRejectedError("the disk takes nothing"))
+            self._queue.popleft().failed(RecordRejectedError("the disk accepts no writes"))
 
     async def _commit_in_thread(self, records: list[NewRecord], finishes_writes: bool) -> None:
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(self._writer, self.log.commit, records, finishes_writes)
 
     async def _commit(self, batch: list[PendingRecord], finishes_writes: bool = False) -> None:
-        """One batch: all of it durable, or none."""
+        """Commit a batch: all of it is durable, or none."""
         try:
             await self._commit_in_thread([pending.record for pending in batch], finishes_writes)
         except DiskFullError as error:
@@ -185,7 +185,7 @@
         self._on_segments(dict(self.log.sizes), self.log.number)
 
     async def _disk_full(self, batch: list[PendingRecord], reason: str, finishes_writes: bool) -> None:
-        """Reject new writes; commit alone what finishes writes, as that makes space."""
+        """Reject new writes; commit the records that finish writes separately, as they free space."""
         finishing = [pending for pending in batch if not pending.is_awaited]
         for pending in batch:
             if pending.is_awaited:
@@ -197,9 +197,9 @@
             pending.failed(RecordRejectedError(reason))
 
     async def _distrust(self, batch: list[PendingRecord], reason: str) -> None:
-        """A file cannot be trusted: record durably, elsewhere, that its last batch was never acknowledged.
+        """Record in another segment that the last batch of an untrusted file was never acknowledged.
 
-        Guards against a write that failed here, was sent directly, and is then restored with an older body.
+        Otherwise a write that failed here and was then sent directly could be restored with an older body.
         """
         lost = [pending.record.lsn for pending in batch if pending.record.kind in (Kind.WRITE, Kind.BARRIER)]
         self._unvoided += lost
@@ -225,7 +225,7 @@
     # --- reading and removing -------------------------------------------------------------------
 
     async def read(self, position: tuple[int, int]) -> Record:
-        """The record at a segment and offset; raises `LogIOError`, also once the log is closed."""
+        """Read the record at a segment and offset; raises `LogIOError`, also once the log is closed."""
         if self._closed:
             raise LogIOError("the log is closed")
         segment, offset = position
@@ -238,7 +238,7 @@
             self._pins[segment] -= 1
 
     async def remove(self, segments: list[int]) -> list[int]:
-        """Remove segments, but for those being read, which are removed with the next; those removed now."""
+        """Remove segments, those being read only by a later call; returns the segments removed now."""
         self._removable += segments
         free = [segment for segment in self._removable if not self._pins[segment]]
         try:
@@ -249,7 +249,7 @@
         return free
 
     async def close(self) -> None:
-        """Sync what waits, then close and unlock the folder."""
+        """Commit the queued records, then close and unlock the folder."""
         self._closing = True
         self._wakeup.set()
         await self._task
--- a/mallowbeam/storage_gateway/write_buffer/waiters.py
+++ b/mallowbeam/storage_gateway/write_buffer/waiters.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectWait:
-    """A client that waits until nothing buffered must come before its direct write."""
+    """A client that waits until no buffered write must precede its direct write."""
 
     bucket: str
     name: bytes
@@ -18,7 +18,7 @@
 
 
 class Waiters:
-    """All clients that wait."""
+    """All waiting clients."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
@@ -26,7 +26,7 @@
         self._direct: list[DirectWait] = []
 
     async def barrier_passed(self, lsn: int, seconds: float) -> bool:
-        """Wait until a barrier has passed; False where it does not in that time."""
+        """Wait until a barrier has passed; False if it has not within `seconds`."""
         if self._core.writes_before(lsn) is None:
             return True
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -34,7 +34,7 @@
         return await _wait(future, seconds)
 
     async def direct_allowed(self, bucket: str, name: bytes, seconds: float) -> bool:
-        """Wait until nothing must come before a direct write of that name; False where that takes longer."""
+        """Wait until no write must precede a direct write of that name; False if not within `seconds`."""
         if not self._core.blocks_direct(bucket, name):
             return True
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -42,13 +42,13 @@
         return await _wait(future, seconds)
 
     def pass_barrier(self, lsn: int) -> None:
-        """A barrier has passed: wake those that wait for it."""
+        """Wake the clients that wait for a barrier that has passed."""
         for future in self._by_barrier.pop(lsn, ()):
             if not future.done():
                 future.set_result(None)
 
     def wake_direct(self) -> None:
-        """Wake those whose direct write is allowed now, and drop those that gave up."""
+        """Wake the clients whose direct write is allowed now, and drop those that gave up."""
         if not self._direct:
             return
         waiting = self._direct
@@ -62,7 +62,7 @@
                 wait.future.set_result(None)
 
     def cancel(self) -> None:
-        """The folder is closed: whoever waits still gets False."""
+        """Let all remaining clients get False, as the folder is closed."""
         for futures in self._by_barrier.values():
             for future in futures:
                 future.cancel()
