--- a/mallowbeam/storage_gateway/write_buffer/groups.py
+++ b/mallowbeam/storage_gateway/write_buffer/groups.py
@@ -23,9 +23,7 @@
 
     def __init__(self) -> None:
         self.buckets: dict[str, deque[Group]] = {}
-        self.barriers: dict[
-            int, tuple[str, int]
-        ] = {}  # pending barriers by lsn: bucket, segment of the record
+        self.barriers: dict[int, tuple[str, int]] = {}  # pending ones: bucket, segment of the record
 
     def add(self, entry: Entry) -> None:
         """Add a write to the last group of its bucket."""
--- a/mallowbeam/storage_gateway/write_buffer/log.py
+++ b/mallowbeam/storage_gateway/write_buffer/log.py
@@ -1,8 +1,8 @@
 """The segmented log: appends, syncs and reads records, and removes whole segments.
 
 Calls block; one thread at a time.  A batch is written after the last synced byte and synced once.  A batch
-that cannot be written or synced is never acknowledged: if the disk is full, its bytes are truncated; after any
-other failure to write or sync, the file is no longer trusted and a new segment begins.
+that cannot be written or synced is never acknowledged: if the disk is full, its bytes are truncated; after
+any other failure to write or sync, the file is no longer trusted and a new segment begins.
 """
 
 from __future__ import annotations
--- a/mallowbeam/storage_gateway/write_buffer/pending_writes.py
+++ b/mallowbeam/storage_gateway/write_buffer/pending_writes.py
@@ -54,7 +54,7 @@
         self._finishing_keys[entry.key] = self._finishing_keys.get(entry.key, 0) + 1
 
     def end_finishing(self, lsn: int) -> tuple[Entry, Entry | None]:
-        """Note that a done record is durable; returns the write, and the next of its key if it may be sent."""
+        """Note that a done record is durable; returns the write, and the next of its key if sendable."""
         entry = self._finishing.pop(lsn)
         self._finishing_keys[entry.key] -= 1
         if self._finishing_keys[entry.key]:
--- a/mallowbeam/storage_gateway/write_buffer/replay.py
+++ b/mallowbeam/storage_gateway/write_buffer/replay.py
@@ -89,9 +89,7 @@
     def build(self, core: RestoreTarget, now: float, boot: bytes) -> None:
         """Give all remaining writes and barriers to the core."""
         for lsn in sorted([*self.writes, *self.barriers]):
-            restored = self.writes.pop(
-                lsn, None
-            )  # frees each one: otherwise a full buffer would be in memory twice
+            restored = self.writes.pop(lsn, None)  # frees each: otherwise all would be in memory twice
             if restored is None:
                 bucket, segment = self.barriers[lsn]
                 core.open_barrier(lsn, bucket)
--- a/tests/storage_gateway/write_buffer/test_buffer_bounds.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_bounds.py
@@ -1,4 +1,4 @@
-"""The buffered object front, on sockets: full buffers and disks, failing ones, folders, limits, upgrades."""
+"""The buffered object front end, on sockets: full buffers, disk faults, folders, rate limits and upgrades."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
 
 
 def test_a_disk_that_fails_for_good_closes_the_doubtful_keys_and_recovers(nodes, tmp_path):
-    """No VOID can be written: 500, its key stays closed, others go direct; until the disk is back."""
+    """While no VOID record can be written, the write gets a 500, its key is rejected, others go direct."""
     disk = SimDisk()
 
     async def play() -> None:
@@ -151,14 +151,14 @@
 
 
 def test_a_bronze_limit_holds_for_the_flush_as_for_clients(nodes, tmp_path):
-    """Bronze bears 49 units a second and 67 at once, 8 more in slack: the flush waits its turn."""
+    """Bronze allows 49 units a second in bursts of 67, plus 8 of slack; the flush must keep to it as well."""
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             world.buffer_part.flush.sender.settings.plans["plates"] = "bronze"
             for i in range(160):
                 await world.play(f"o1 send PUT /plates/k{i} body=v\no1 expect 200 x-mallowbeam-durable")
-                if i % 2:  # the same volume's clients surge meanwhile
+                if i % 2:  # direct calls of the same volume's clients at the same time
                     await world.play(
                         f"o2 send PUT /plates/direct{i} body=v x-amz-tagging:a=b\n" "o2 expect '200|503'"
                     )
@@ -166,14 +166,14 @@
 
     run(play())
     times = sorted(r.at for n in nodes for r in n.store.history)
-    assert len(times) >= 160  # a direct one may always be refused
+    assert len(times) >= 160  # direct writes may be rejected at any time
     for i in range(len(times)):
         for j in range(i + 1, len(times)):
             assert j - i + 1 <= 67 + 8 + 49 * (times[j] - times[i] + 0.15) + 1
 
 
 def test_an_upgrade_hands_the_folder_over(nodes, tmp_path):
-    """What the old process acknowledged the new one serves and flushes; the old one says SlowDown."""
+    """The new process serves and flushes the old one's acknowledged writes; the old one answers SlowDown."""
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path, meet=True) as old:
@@ -241,7 +241,7 @@
 
 
 def test_a_direct_write_is_refused_while_its_key_cannot_be_cleared(nodes, tmp_path):
-    """Else the buffered one, taken in before it, would replace it."""
+    """Otherwise the buffered write, which was accepted before it, would replace it."""
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
@@ -271,7 +271,7 @@
     ],
 )
 def test_what_follows_a_reading_back_is_tied_to_what_was_seen(nodes, tmp_path, there, seen, outcome):
-    """`seen` is the version of `other`, "" for none: whoever wrote since must not be replaced."""
+    """`seen` is the version of `other`, "" for no object: a later write by others must not be replaced."""
     other = f'"{hashlib.md5(b"other").hexdigest()}"'
 
     async def play() -> SendResult:
@@ -290,7 +290,7 @@
 
 
 def test_a_body_that_outgrows_the_buffer_on_its_way_in_is_refused_and_leaves_nothing(nodes, tmp_path):
-    """Its length is not told, so that it is found out only on the way."""
+    """The body is chunked, so that its length is known only while it is received."""
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
@@ -322,7 +322,7 @@
 
 
 def test_words_that_end_writes_are_synced_though_the_disk_has_no_room_for_new_ones():
-    """Both in one batch: the new one is turned away, the other makes room, from what was kept back for it."""
+    """Both records are in one batch: the new write is rejected, the DONE record uses the reserve."""
     disk = SimDisk()
     log = Log(disk, 1 << 20)
     log.recover(log.open())
@@ -342,7 +342,7 @@
 
 
 def test_writes_for_a_node_that_is_replaced_go_to_the_one_that_discovery_names(nodes, tmp_path):
-    """Another machine, another address, the same shard: told by discovery while the buffer holds writes."""
+    """Discovery names a new address for the shard while the buffer holds writes for it."""
     new = ObjectNode()
 
     async def play() -> None:
--- a/tests/storage_gateway/write_buffer/test_buffer_closing.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_closing.py
@@ -1,4 +1,4 @@
-"""The folder is closed while calls wait for it: each of them gets its answer."""
+"""Every call that waits for the buffer while its folder is closed gets an answer."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from mallowbeam.storage_gateway.write_buffer.interface import Phase
 from mallowbeam.storage_gateway.write_buffer.records import Write
 
-GIVE_UP_S = 10.0  # a call without an answer by then has none
+GIVE_UP_S = 10.0  # a call not answered by then counts as unanswered
 
 
 class GatedDisk(SimDisk):
-    """A disk whose syncs wait at a gate."""
+    """A disk whose syncs block while its gate is shut."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -31,7 +31,7 @@
         self.waiting = threading.Event()
 
     def step(self, call: str, name: str) -> None:
-        """Wait at the gate before a sync."""
+        """Wait before a sync until the gate is open."""
         if call == "sync" and not self.gate.is_set():
             self.waiting.set()
             assert self.gate.wait(GIVE_UP_S)
@@ -39,7 +39,7 @@
 
     @contextmanager
     def shut(self) -> Iterator[None]:
-        """The gate is shut at first; it is open at the end in any case."""
+        """Shut the gate, and open it on exit in any case."""
         self.gate.clear()
         try:
             yield
@@ -47,12 +47,12 @@
             self.gate.set()
 
     async def sync_begun(self) -> None:
-        """Wait until a sync stands at the gate."""
+        """Wait until a sync waits at the gate."""
         assert await asyncio.to_thread(self.waiting.wait, GIVE_UP_S)
 
 
 async def closing(world: Buffered) -> asyncio.Task[None]:
-    """Begin to hand the folder over; returns once every task that is cancelled has been."""
+    """Begin to hand the folder over; returns once the buffer's tasks are cancelled and the log closes."""
     handing_over = asyncio.create_task(world.buffer_part.hand_over())
     async with asyncio.timeout(GIVE_UP_S):
         while not (world.buffer_part.phase is Phase.CLOSED and world.buffer_part.store._closing):  # noqa: SLF001
@@ -66,7 +66,7 @@
         ("PUT /plates/a body=1", "200 x-mallowbeam-durable"),
         ("DELETE /plates/a", "204 x-mallowbeam-durable"),
         ("POST /plates?barrier=sync", "200 x-mallowbeam-barrier-id"),
-        ("PUT /plates/a fill=600000", "503 SlowDown"),  # its later chunks find the log closed
+        ("PUT /plates/a fill=600000", "503 SlowDown"),  # its later chunks are rejected by the closed log
     ],
 )
 def test_a_call_whose_commit_is_under_way_as_the_folder_closes_is_answered(nodes, tmp_path, call, answer):
@@ -117,7 +117,7 @@
             read = world.buffer_part.reader.read
 
             async def read_once_closed(entry: Entry) -> tuple[Write, bytes]:
-                await world.buffer_part.hand_over()  # between the call's look at the phase and its read
+                await world.buffer_part.hand_over()  # between the call's phase check and its read
                 return await read(entry)
 
             monkeypatch.setattr(world.buffer_part.reader, "read", read_once_closed)
--- a/tests/storage_gateway/write_buffer/test_buffer_core.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_core.py
@@ -1,4 +1,4 @@
-"""The decisions of the buffer's core, one by one."""
+"""Unit tests of the buffer core's decisions."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
 
 
 def test_a_clock_from_another_boot_or_place_is_not_believed():
-    """An intent "from the future", of another boot, or with other places of objects: read back."""
+    """A write is read back if its intent is in the future, of another boot, or of another shard count."""
     for told in ((b"b0", 200.0, 2), (b"other", 99.9, 2), (b"b0", 99.9, 3)):
         world = World()
         state = Replay()
@@ -144,7 +144,7 @@
     world.commit()
     assert sent(world) == [] and world.core.writes_before(barrier) == 1
     assert world.core.release(world.now, lsn, True)
-    world.nodes.applied["a", b"1"] = lsn  # dropped: it counts for the barrier as if it were there
+    world.nodes.applied["a", b"1"] = lsn  # a dropped write no longer holds up the barrier
     assert sent(world) == [behind] and lsn not in world.core.entries
 
 
@@ -200,7 +200,7 @@
 
 
 def test_repeats_keep_within_their_budget_and_a_floor():
-    """All nodes fail: after the stock is used, repeats go at the floor's rate whatever waits."""
+    """All nodes fail: once the saved budget is used, retries are sent at the minimum rate."""
     world = World(
         Limits(shards=1, in_flight=64, per_shard=64, min_retries_per_second=2.0, window=None, max_backoff=0.1)
     )
@@ -220,7 +220,7 @@
 
 def test_a_shard_that_refuses_is_left_alone_and_others_go_on():
     world = World(Limits(shards=2, per_shard=4, in_flight=8))
-    slow = [world.offer("a", b"%d" % i) for i in range(0, 6, 2)]  # b"0", b"2", ...: even places
+    slow = [world.offer("a", b"%d" % i) for i in range(0, 6, 2)]  # b"0", b"2", ...: all on the first shard
     world.commit()
     sent(world)
     for lsn in slow:
@@ -274,7 +274,7 @@
 
 
 def test_a_write_past_the_buffer_waits_until_the_log_knows_that_the_one_before_is_settled():
-    """Else a crash would bring the settled one back, and it would replace what was acknowledged since."""
+    """Otherwise a crash would restore the finished write, and it would replace the direct write."""
     world = World()
     lsn = world.offer("a", b"k")
     world.commit()
@@ -289,7 +289,7 @@
 
 
 def test_a_later_write_waits_until_the_log_knows_that_an_absorbed_one_is():
-    """Else the absorbed one, never sent, would come back behind it."""
+    """Otherwise a crash would restore the absorbed write, and it would be sent after the later one."""
     world = World()
     world.offer("a", b"k")
     world.commit()
@@ -297,7 +297,7 @@
     world.commit()
     done = world.pending
     assert done and done[0][0] == "done"
-    world.pending = []  # the disk did not take that word
+    world.pending = []  # the disk did not store the done record
     world.plan()
     assert not world.pending and not world.sends
     world.core.done_lost(done[0][1])
--- a/tests/storage_gateway/write_buffer/test_buffer_crash.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_crash.py
@@ -1,4 +1,4 @@
-"""A real gateway killed with SIGKILL 200 times under load; and that what judges it sees what is wrong."""
+"""A real gateway is killed with SIGKILL 200 times under load; the checker itself is tested too."""
 
 from __future__ import annotations
 
--- a/tests/storage_gateway/write_buffer/test_buffer_format.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_format.py
@@ -1,4 +1,4 @@
-"""The buffer's files as read: what is refused, what a scan gives back, what a torn or damaged end costs."""
+"""Reading the buffer's files: unsupported formats, the results of a scan, torn ends and damage."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def test_bytes_that_a_client_stores_never_pass_for_records():
-    """A body that holds a whole copy of the log, behind a record that was damaged, is searched through."""
+    """A scan after a damaged record also searches a body, which here holds forged records."""
     disk = SimDisk()
     log, *_ = opened(disk)
     log.commit([write(1)])
@@ -107,10 +107,10 @@
 
 
 def test_a_marker_across_two_reads_is_found_behind_damaged_bytes():
-    """More than a megabyte of it, so that the scan does not hold all at once."""
+    """More than a megabyte is damaged, so that the scan does not hold it all at once."""
     marker = 0x51A7C0DE
     good = b"".join(frame(marker, Kind.PIECE, 1, 0, [b"behind"]))
-    for short in range(-1, 5):  # bytes of the marker that come before the second read ends
+    for short in range(-1, 5):  # bytes of the marker in the second read
         data = b"j" * ((2 << 20) - short) + good
         parts = iter([data[at : at + (1 << 20)] for at in range(0, len(data), 1 << 20)])
         bad, record = scan(parts, 1, marker, 0)
--- a/tests/storage_gateway/write_buffer/test_buffer_front.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_front.py
@@ -1,4 +1,4 @@
-"""The object front with the write-back buffer, on sockets: S3's calls."""
+"""The S3 calls of the object front end with the write-back buffer, on sockets."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 def test_conditions_are_decided_where_the_key_is(nodes, tmp_path):
-    """While it is buffered, here; after that at its node.  What does not hold changes nothing."""
+    """The buffer checks conditions on a buffered key, the node others; a failed condition changes nothing."""
     tag = hashlib.md5(b"one").hexdigest()
 
     async def play() -> None:
@@ -137,7 +137,7 @@
     ],
 )
 def test_conditions_on_reads(headers, status):
-    """The order of RFC 9110, 13.2.2: tags go before dates."""
+    """Entity tags take precedence over dates, as in RFC 9110, 13.2.2."""
     assert read_status(headers, '"a"', 1_700_000_000.4) == status
 
 
--- a/tests/storage_gateway/write_buffer/test_buffer_log.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_log.py
@@ -1,4 +1,4 @@
-"""The buffer's log on a disk that loses what was not synced: cut at every call, flipped, full, failing."""
+"""The buffer's log on a simulated disk: power loss at every call, flipped bits, full and failing disks."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def test_the_power_goes_at_every_write_and_sync_of_a_workload():
-    """Each cut is followed by three draws of what the disk kept, and each must come up whole."""
+    """Each power loss is tried with three random choices of the data that the disk kept."""
     whole = run(Work(), SimDisk(), None).ops
     assert whole > 60
     for cut in range(whole + 1):
@@ -33,7 +33,7 @@
 
 
 def test_the_power_goes_again_at_every_call_of_the_recovery_and_of_the_life_after_it():
-    """Two crashes in a row, the second at each call from the first of the recovery on."""
+    """Two power losses in a row: the second at every call from the start of the recovery on."""
     for first_cut, seed in ((17, 1), (40, 2), (58, 3)):
 
         def disk() -> tuple[Work, SimDisk]:
@@ -51,7 +51,7 @@
 
 
 def test_a_checker_that_sees_no_loss_would_be_none():
-    """A log that does not sync is caught by the same judge."""
+    """The checker must report the losses of a log that does not sync."""
 
     class Lazy(SimDisk):
         def open(self, name, new=False):
@@ -73,7 +73,7 @@
 
 
 def test_every_flipped_bit_is_named_and_costs_no_other_record():
-    """Damage to what is known to be acknowledged is an error with its place; its neighbours still stand."""
+    """Damage to an acknowledged record is reported with its position, and all other records are restored."""
     disk, work = filled()
     name = next(n for n in disk.names() if n.startswith("segment-"))
     size = len(disk.files[name].now)
@@ -149,7 +149,7 @@
     log.commit([NewRecord(Kind.VOID, 4, pack(Kind.VOID, Done([2]))), write(5)])
     assert log.number == bad + 1 and len(disk.files[segment_name(bad)].now) == size
     log.close()
-    for seed in range(20):  # whether or not the failed batch reached the disk
+    for seed in range(20):  # with and without the failed batch on the disk
         _, stands, *_ = opened(disk.crashed(seed))
         assert stands == {1: body(1), 5: body(5)}
 
@@ -159,7 +159,7 @@
 
     class Busy(SimDisk):
         def names(self):
-            return [*disk.names(), segment_name(0)]  # it was there a moment ago
+            return [*disk.names(), segment_name(0)]  # listed, but removed since
 
         def open(self, name, new=False):
             return disk.open(name, new)
--- a/tests/storage_gateway/write_buffer/test_buffer_model.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_model.py
@@ -1,4 +1,4 @@
-"""The buffer's core against a plain model of nodes and log, with hypothesis."""
+"""The buffer's core checked against a simple model of nodes and log, with hypothesis."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Machine(RuleBasedStateMachine):
-    """Clients, disk, nodes and crashes in any order."""
+    """Events of clients, disk, nodes and crashes in any order."""
 
     @initialize()
     def begin(self) -> None:
@@ -69,7 +69,7 @@
             self.world.drain()
 
 
-# Some 45 steps a run, over 10,000 in all; what fails is printed with what reproduces it.
+# About 45 steps a run, over 10,000 in total; `print_blob` prints what reproduces a failure.
 Machine.TestCase.settings = hypothesis_settings(
     max_examples=300, stateful_step_count=50, deadline=None, print_blob=True
 )
--- a/tests/storage_gateway/write_buffer/test_buffer_order.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_order.py
@@ -1,4 +1,4 @@
-"""The buffered object front, on sockets: barriers, direct writes, and what nodes do to the order."""
+"""The buffered object front end, on sockets: barriers, direct writes, and write order with node faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def test_what_only_a_node_can_answer_for_goes_there(nodes, tmp_path):
-    """A tag, an access list, a multipart upload, another bucket: none is acknowledged from here."""
+    """Writes with a tag or ACL, multipart uploads and other buckets are not acknowledged by the buffer."""
     path = f"/plates/{keys_at(0, 1)[0]}"
 
     async def play() -> None:
@@ -93,7 +93,7 @@
 
 
 def test_a_barrier_that_cannot_pass_in_time_is_answered_at_once(nodes, tmp_path):
-    """A held write stands before it: no waiting for the deadline, and its number to ask for later."""
+    """A suspended write precedes it: 503 at once, not at the deadline, with the barrier's id."""
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
@@ -113,7 +113,7 @@
 
 
 def test_a_crash_between_a_barriers_word_and_its_flush(nodes, tmp_path):
-    """Acknowledged, killed before a byte went out, killed again: the order still holds."""
+    """Two restarts after the acknowledgement and before the first send: the writes still run in order."""
 
     async def first() -> None:
         async with Buffered(nodes, tmp_path) as world:
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("fault", ["run-cut", "answer-cut", "cut", "refuse", "error", "stall"])
 def test_whatever_a_node_does_each_write_runs_once_and_arrives(nodes, tmp_path, fault):
-    """A crash of the node between the last byte and its answer among them."""
+    """The faults include a crash of the node between the last byte of a request and its answer."""
     for node in nodes:
         node.script.add(Rule(fault, "PUT", times=3, seconds=3.0))
 
@@ -163,7 +163,7 @@
 
 
 def test_a_node_that_answers_and_dies_and_comes_back_empty(nodes, tmp_path):
-    """Its 200 counts; what was still meant for it goes to the one in its place."""
+    """Writes that it answered with 200 count as stored; the others go to the node that replaces it."""
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
--- a/tests/support/buffer_world.py
+++ b/tests/support/buffer_world.py
@@ -1,4 +1,4 @@
-"""A plain model of nodes and log around the buffer's core, driven by hand in any order."""
+"""A simple model of nodes and log around the buffer's core; tests trigger its events in any order."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
 
 class Nodes:
-    """What the nodes hold and have run: a run is a repeat if its token ran within the window."""
+    """The objects on the nodes and the writes that ran; a token that ran within the window is a duplicate."""
 
     def __init__(self) -> None:
-        self.versions: dict[tuple[str, bytes], int] = {}  # the lsn whose body is there; 0 for none
+        self.versions: dict[tuple[str, bytes], int] = {}  # the lsn of the stored body; 0 for no object
         self.applied: dict[tuple[str, bytes], int] = {}  # the highest lsn that ever ran
-        self.ran: dict[int, float] = {}  # by lsn, which stands for the token
-        self.coming: list[tuple[float, Entry, str | None]] = []  # may yet run, until then
+        self.ran: dict[int, float] = {}  # time by lsn, which stands for the token
+        self.coming: list[tuple[float, Entry, str | None]] = []  # may still run, until then
 
     def run(self, now: float, entry: Entry, seen: str | None) -> bool:
-        """Run a write; False where a condition does not hold."""
+        """Run a write; False if its condition does not hold."""
         if entry.lsn in self.ran:
             assert now - self.ran[entry.lsn] < WINDOW, f"{entry.lsn} ran twice"
             return True
@@ -52,15 +52,15 @@
 
 
 class World:
-    """A core, its log and nodes; what the shell does is done here by hand, in any order."""
+    """A core, its log and nodes; tests do the work of `Flush` and `Intake`, in any order."""
 
     def __init__(self, limits: Limits = LIMITS) -> None:
         self.limits, self.now, self.boot, self.lsn = limits, 100.0, b"b0", 0
         self.core = Core(limits, random.Random(7))
         self.core.unavailable = False
-        self.log: list[tuple[int, tuple]] = []  # segment and record, as durable
+        self.log: list[tuple[int, tuple]] = []  # durable records, each with its segment
         self.segment = 1
-        self.pending: list[tuple] = []  # appended, not synced
+        self.pending: list[tuple] = []  # records that are appended but not synced
         self.sends: dict[int, actions.Send] = {}
         self.reads: dict[int, actions.ReadBack] = {}
         self.sent_at: dict[int, float] = {}
@@ -70,7 +70,7 @@
         self.barriers: dict[int, str] = {}
         self.passed: set[int] = set()
 
-    # what clients do
+    # events of clients
 
     def entry(self, lsn: int, bucket: str, name: bytes, method: str, at: float) -> Entry:
         write = Write(method, bucket, name, name[0], [], b"", f"v{lsn}", 60, at)
@@ -91,7 +91,7 @@
         return self.lsn
 
     def direct(self, bucket: str, name: bytes, method: str = "PUT") -> bool:
-        """A write past the buffer, acknowledged by its node; False where its order forbids that."""
+        """A direct write, acknowledged by its node; False if its order forbids it."""
         if self.core.blocks_direct(bucket, name):
             return False
         self.lsn += 1
@@ -101,10 +101,10 @@
         assert self.nodes.run(self.now, entry, None)
         return True
 
-    # what the shell and the disk do
+    # events of the buffer's I/O and of the disk
 
     def keep(self, record: tuple) -> int:
-        """A record becomes durable; its segment."""
+        """Make a record durable; returns its segment."""
         if sum(segment == self.segment for segment, _ in self.log) >= PER_SEGMENT:
             self.segment += 1
         self.log.append((self.segment, record))
@@ -125,7 +125,7 @@
         self.core.update_segments(sizes, self.segment)
 
     def commit(self, good: bool = True) -> None:
-        """All that waits is synced, or none of it, and then it is void."""
+        """Sync all pending records, or none, and then they are void."""
         batch, self.pending = self.pending, []
         lost = []
         for record in batch:
@@ -213,7 +213,7 @@
         self.core.plan(self.now, direct)
         self.do()
 
-    # what nodes do
+    # events of nodes
 
     def run(self, entry: Entry, seen: str | None) -> bool:
         for lsn, bucket in self.barriers.items():
@@ -222,7 +222,7 @@
         return self.nodes.run(self.now, entry, seen)
 
     def check_barrier(self, barrier: int) -> None:
-        """All taken in before a barrier is on the nodes."""
+        """Assert that all writes accepted before a barrier are on the nodes."""
         for key, lsns in self.durable.items():
             before = [lsn for lsn in lsns if lsn < barrier]
             if key[0] == self.barriers[barrier] and before:
@@ -233,7 +233,7 @@
         entry, outcome = self.core.entries[lsn], Outcome.UNKNOWN
         until = self.sent_at[lsn] + send.expires
         if self.now > until and how in ("stored", "ran", "late"):
-            how = "gone"  # by then the node has dropped it
+            how = "gone"  # the node has dropped it by then
         if how in ("stored", "ran"):
             assert self.run(entry, send.seen)
             outcome = Outcome.STORED if how == "stored" else Outcome.UNKNOWN
@@ -249,12 +249,12 @@
         entry = self.core.entries[lsn]
         version = self.nodes.versions.get(entry.key, 0)
         if answered and not version and entry.method == "DELETE":
-            self.nodes.applied[entry.key] = lsn  # what was to be gone is gone: as good as run
+            self.nodes.applied[entry.key] = lsn  # the object does not exist: as if the DELETE had run
         self.core.version_read(self.now, lsn, f"v{version}" if version else None, answered)
         self.do()
 
     def advance(self, seconds: float) -> None:
-        """Time passes; what may yet run does, at the last moment or never."""
+        """Let time pass; attempts that may still run do so at their deadline."""
         self.now += seconds
         later = []
         for until, entry, seen in self.nodes.coming:
@@ -266,10 +266,10 @@
                 later.append((until, entry, seen))
         self.nodes.coming = later
 
-    # what goes wrong
+    # crashes
 
     def crash(self, kept: int, reboot: bool, ran: list[bool]) -> None:
-        """This life ends: some of what was not synced stands all the same; attempts out run or not."""
+        """Crash and restart: `kept` unsynced records survive; attempts in flight run as `ran` says."""
         for record in self.pending[:kept]:
             self.keep(record)
         self.pending = []
@@ -308,7 +308,7 @@
         self.do()
 
     def drain(self) -> None:
-        """Everything is well from now on: all goes to the nodes, in bounded time."""
+        """Without further faults, check that all writes reach the nodes in bounded time."""
         for _ in range(4000):
             self.plan()
             self.commit()
@@ -328,7 +328,7 @@
             assert self.nodes.versions.get(key, 0) == (0 if self.methods[last] == "DELETE" else last)
 
     def check_reads(self) -> None:
-        """A reader sees the newest durable write, here or at its node."""
+        """Assert that a reader sees the newest durable write, in the buffer or on its node."""
         for key, lsns in self.durable.items():
             newest = self.core.newest_of(*key)
             if newest is not None:
--- a/tests/support/buffered.py
+++ b/tests/support/buffered.py
@@ -1,4 +1,4 @@
-"""A world with the write-back buffer in it, shared by the tests of the buffered object front."""
+"""A test gateway with the write-back buffer, shared by the tests of the buffered object front end."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def keys_at(shard: int, count: int) -> list[str]:
-    """Keys of the bucket whose home is that shard of two."""
+    """Keys of the bucket `plates` that belong to that one of two shards."""
     return [f"k{i}" for i in range(99) if crc32(f"plates/k{i}".encode()) % 2 == shard][:count]
 
 
 class Buffered(World):
-    """A world whose bucket `plates` is buffered, in a folder or on a disk of a stand-in."""
+    """A world whose bucket `plates` is buffered, in a folder or on a simulated disk."""
 
     def __init__(
         self, nodes: list[ObjectNode], folder, disk: SimDisk | None = None, change: dict | None = None, **rest
@@ -34,7 +34,7 @@
 
     async def __aenter__(self) -> Buffered:
         await super().__aenter__()
-        if self.disk is not None:  # opened in a task that has not run yet
+        if self.disk is not None:  # the task that opens it has not run yet
             self.buffer_part.disk = self.disk
         async with asyncio.timeout(10):
             await self.buffer_part.opened.wait()
@@ -42,18 +42,18 @@
 
     async def __aexit__(self, *what: object) -> None:
         await super().__aexit__(*what)
-        self.buffer_part.store.log.disk.unlock()  # as the end of a process would
+        self.buffer_part.store.log.disk.unlock()  # as the end of the process would
 
     @property
     def buffer_part(self):
         return self.gateway.parts[0]
 
     def keep_still(self) -> None:
-        """Nothing goes to the nodes until `go_on`."""
+        """Pause the flush to the nodes until `go_on`."""
         self.buffer_part.flush.sender = Still(self.buffer_part.flush.sender)
 
     def go_on(self) -> None:
-        """What is buffered goes out again."""
+        """Resume the flush."""
         self.buffer_part.flush.sender = self.buffer_part.flush.sender.real
         self.buffer_part.wake()
 
@@ -63,9 +63,9 @@
                 await asyncio.sleep(0.01)
 
     async def leave(self) -> None:
-        """A planned end."""
+        """Shut the gateway down gracefully."""
         self.gateway.stop()
-        self.gateway.leave_at = 0.0  # at once
+        self.gateway.leave_at = 0.0  # without a drain period
         await self.buffer_part.stop()
 
 
@@ -78,13 +78,13 @@
 
 
 def hold(nodes: list[ObjectNode], seconds: float = 30.0) -> None:
-    """Nodes that stand still: what is buffered stays buffered."""
+    """Stall the nodes, so that buffered writes stay buffered."""
     for node in nodes:
         node.stand_still(seconds)
 
 
 class Still:
-    """A way to the nodes on which nothing moves."""
+    """A sender that sends nothing."""
 
     def __init__(self, real) -> None:
         self.real = real
--- a/tests/support/logged.py
+++ b/tests/support/logged.py
@@ -1,4 +1,4 @@
-"""Logs on a simulated disk, a workload for them and its judge, shared by the tests of the buffer's log."""
+"""Logs on a simulated disk, a workload and its checker, shared by the tests of the buffer's log."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 from mallowbeam.storage_gateway.write_buffer.reopen import replay
 
-SMALL = 4096  # bytes of a segment: a workload crosses many
+SMALL = 4096  # bytes of a segment, so small that a workload fills many
 
 
 def body(lsn: int) -> bytes:
@@ -33,7 +33,7 @@
 
 
 def opened(disk: SimDisk) -> tuple[Log, dict[int, bytes], list[QuarantinedRange], ScanResult]:
-    """A log come up on a disk: what stands, by lsn, and what was set apart."""
+    """Open and recover a log: the log, restored bodies by lsn, quarantined ranges and scan result."""
     log = Log(disk, SMALL)
     found = log.open()
     state = replay(log, found, 2.0, 2.0)
@@ -46,19 +46,19 @@
 
 
 class Work:
-    """A workload of batches, and what of it was acknowledged: it can be run on any disk, from any point."""
+    """A workload of batches and the writes acknowledged of it; it can be run on any disk."""
 
     def __init__(self, first: int = 1, batches: int = 24) -> None:
         self.first, self.batches = first, batches
         self.acked: set[int] = set()
-        self.over: set[int] = set()  # DONE was acknowledged
+        self.over: set[int] = set()  # writes whose DONE record was acknowledged
         self.maybe_over: set[int] = set()
         self.offered: set[int] = set()
 
     def __call__(self, disk: SimDisk) -> None:
         log, _, _, found = opened(disk)
         lsn = max(self.first, log.durable + 1)
-        segments: dict[int, set[int]] = {number: {0} for number in found.segments}  # others' stay
+        segments: dict[int, set[int]] = {number: {0} for number in found.segments}  # kept
         for batch in range(self.batches):
             items = [write(lsn + i) for i in range(1 + batch * 7 % 5)]
             lsn += len(items)
@@ -75,7 +75,7 @@
             for item in items:
                 if item.kind is Kind.WRITE:
                     segments.setdefault(item.segment, set()).add(item.lsn)
-            if batch % 6 == 5:  # the oldest that nothing needs go, as the core has it
+            if batch % 6 == 5:  # removes the oldest unneeded segments, as the core does
                 free = []
                 for number in sorted(log.sizes):
                     if number == log.number or segments.get(number, set()) - self.over:
@@ -96,17 +96,17 @@
 
 
 def judge(works: list[Work], stands: dict[int, bytes], apart: list[QuarantinedRange]) -> None:
-    """All that was acknowledged and not ended stands with its bytes; nothing stands that nobody offered."""
+    """Check that all acknowledged, unfinished writes are restored intact, and no unknown write is."""
     offered = set().union(*(work.offered for work in works))
     ended = set().union(*(work.maybe_over for work in works))
     for work in works:
         missing = work.acked - ended - set(stands)
         assert not missing, f"acknowledged and lost: {sorted(missing)}"
     assert set(stands) <= offered
-    assert not set(stands) & set().union(*(work.over for work in works)), "what was over came back"
+    assert not set(stands) & set().union(*(work.over for work in works)), "finished writes were restored"
     for lsn, data in stands.items():
         assert data == body(lsn)
-    assert not any(a.acknowledged for a in apart), "a power cut was taken for damage"
+    assert not any(a.acknowledged for a in apart), "a power loss was reported as damage"
 
 
 def filled(batches: int = 6) -> tuple[SimDisk, Work]:
