--- a/tests/storage_gateway/write_buffer/test_buffer_bounds.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_bounds.py
@@ -25,7 +25,7 @@
 from mallowbeam.storage_gateway.write_buffer.store import RecordRejectedError, Store
 
 
-def test_a_full_buffer_writes_direct_and_refuses_what_would_lose_its_order(nodes, tmp_path):
+def test_a_full_buffer_sends_writes_direct_and_rejects_those_that_would_break_order(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path, change={"max_records": 2}) as world:
             world.keep_still()
@@ -47,7 +47,7 @@
     assert writes(nodes) == ["PUT /plates/c"]
 
 
-def test_a_disk_that_fills_up_turns_writes_direct_and_takes_them_again(nodes, tmp_path):
+def test_writes_on_a_full_disk_go_direct_until_there_is_space_again(nodes, tmp_path):
     disk = SimDisk()
 
     async def play() -> None:
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("call", ["write", "sync"])
-def test_an_io_error_is_never_answered_yes_and_the_failed_write_never_comes_back(nodes, tmp_path, call):
+def test_a_write_that_failed_with_an_io_error_is_neither_acknowledged_nor_restored(nodes, tmp_path, call):
     disk = SimDisk()
 
     async def play() -> None:
@@ -97,7 +97,7 @@
         run(again())
 
 
-def test_a_disk_that_fails_for_good_closes_the_doubtful_keys_and_recovers(nodes, tmp_path):
+def test_writes_of_uncertain_keys_are_rejected_until_a_failed_disk_recovers(nodes, tmp_path):
     """While no VOID record can be written, the write gets a 500, its key is rejected, others go direct."""
     disk = SimDisk()
 
@@ -128,7 +128,7 @@
     assert sorted(writes(nodes)) == ["PUT /plates/a", "PUT /plates/b"]
 
 
-def test_a_client_that_breaks_off_leaves_nothing_behind(nodes, tmp_path):
+def test_an_aborted_upload_releases_its_segments(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             reader, writer = await asyncio.open_connection(*world.objects)
@@ -150,7 +150,7 @@
     assert writes(nodes) == []
 
 
-def test_a_bronze_limit_holds_for_the_flush_as_for_clients(nodes, tmp_path):
+def test_the_flush_keeps_to_the_volumes_rate_limit(nodes, tmp_path):
     """Bronze allows 49 units a second in bursts of 67, plus 8 of slack; the flush must keep to it as well."""
 
     async def play() -> None:
@@ -206,14 +206,14 @@
         run(start())
 
 
-def test_a_write_taken_in_before_the_clock_stepped_back_is_young_and_not_ancient():
+def test_a_write_accepted_before_the_wall_clock_was_set_back_has_age_zero():
     words = Write("PUT", "plates", b"/plates/a", 1, [], b"t", '"e"', 1, 5000.0)
     record = Record(Kind.WRITE, 1, 0, 1, 0, b"")
     assert restore_write(record, 1, words, wall=4000.0, now=100.0).entry.accepted_at == 100.0
     assert restore_write(record, 1, words, wall=5040.0, now=100.0).entry.accepted_at == 60.0
 
 
-def test_figures_of_the_buffer_stand_at_the_operators_door(nodes, tmp_path):
+def test_the_operators_listener_serves_the_buffers_metrics(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             await world.play("o1 send PUT /plates/a body=1\no1 expect 200")
@@ -240,7 +240,7 @@
         run(start(tmp_path))
 
 
-def test_a_direct_write_is_refused_while_its_key_cannot_be_cleared(nodes, tmp_path):
+def test_a_direct_write_is_rejected_while_its_key_can_not_be_flushed(nodes, tmp_path):
     """Otherwise the buffered write, which was accepted before it, would replace it."""
 
     async def play() -> None:
@@ -270,7 +270,9 @@
         ("newer", None, Outcome.STORED),
     ],
 )
-def test_what_follows_a_reading_back_is_tied_to_what_was_seen(nodes, tmp_path, there, seen, outcome):
+def test_an_attempt_after_reading_back_is_conditional_on_the_version_read(
+    nodes, tmp_path, there, seen, outcome
+):
     """`seen` is the version of `other`, "" for no object: a later write by others must not be replaced."""
     other = f'"{hashlib.md5(b"other").hexdigest()}"'
 
@@ -289,7 +291,7 @@
         assert body == there.encode()
 
 
-def test_a_body_that_outgrows_the_buffer_on_its_way_in_is_refused_and_leaves_nothing(nodes, tmp_path):
+def test_a_chunked_body_that_exceeds_the_buffer_is_rejected_and_releases_its_segments(nodes, tmp_path):
     """The body is chunked, so that its length is known only while it is received."""
 
     async def play() -> None:
@@ -308,7 +310,7 @@
     run(play())
 
 
-def test_bodies_at_hand_keep_within_their_bound_and_others_are_read_again(nodes, tmp_path):
+def test_cached_bodies_stay_within_cache_bytes_and_others_are_read_from_the_log(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path, change={"cache_bytes": 300_000}) as world:
             world.keep_still()
@@ -321,7 +323,7 @@
     run(play())
 
 
-def test_words_that_end_writes_are_synced_though_the_disk_has_no_room_for_new_ones():
+def test_done_records_are_committed_on_a_full_disk_that_rejects_new_writes():
     """Both records are in one batch: the new write is rejected, the DONE record uses the reserve."""
     disk = SimDisk()
     log = Log(disk, 1 << 20)
--- a/tests/storage_gateway/write_buffer/test_buffer_closing.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_closing.py
@@ -109,7 +109,7 @@
     run(play())
 
 
-def test_a_read_that_finds_the_folder_closed_is_sent_to_the_next_process(nodes, tmp_path, monkeypatch):
+def test_a_read_that_finds_the_folder_closed_is_answered_with_slow_down(nodes, tmp_path, monkeypatch):
     async def play() -> None:
         async with Buffered(nodes, tmp_path, change={"cache_bytes": 0}) as world:
             world.keep_still()
@@ -132,7 +132,7 @@
     assert counts["hand-overs"] == 200 and counts["acknowledged"] > 0 and counts["runs"] > 0
 
 
-def test_a_call_without_an_answer_is_noticed(tmp_path):
+def test_the_hand_over_checker_reports_an_unanswered_call(tmp_path):
     async def play() -> HandoverLane:
         async def close_unanswered(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readline()
--- a/tests/storage_gateway/write_buffer/test_buffer_core.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_core.py
@@ -37,7 +37,7 @@
     assert behind in sent(world)
 
 
-def test_an_attempt_that_may_have_run_goes_again_within_the_window_only():
+def test_an_uncertain_attempt_is_retried_only_within_the_window():
     world = World()
     lsn = world.offer("a", b"k")
     world.commit()
@@ -53,7 +53,7 @@
     assert not world.core.entries and world.core.counts.retries == 1
 
 
-def test_a_repeat_is_given_no_more_time_than_the_window_has_left():
+def test_a_retry_gets_no_more_time_than_the_window_has_left():
     world = World()
     lsn = world.offer("a", b"k")
     world.commit()
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("ran", [True, False])
-def test_after_a_reboot_an_attempt_of_unknown_end_is_read_back_and_not_too_early(ran):
+def test_after_a_reboot_an_uncertain_attempt_is_read_back_once_it_can_no_longer_run(ran):
     world = World()
     lsn = world.offer("a", b"k")
     world.commit()
@@ -96,7 +96,7 @@
     assert world.sends[lsn].expires <= WINDOW - 1.0 - WINDOW_MARGIN_S + 1e-9
 
 
-def test_a_clock_from_another_boot_or_place_is_not_believed():
+def test_an_intent_of_another_boot_or_shard_count_is_read_back():
     """A write is read back if its intent is in the future, of another boot, or of another shard count."""
     for told in ((b"b0", 200.0, 2), (b"other", 99.9, 2), (b"b0", 99.9, 3)):
         world = World()
@@ -109,7 +109,7 @@
         assert core.take() == [] and core.entries[1].state is State.UNCERTAIN
 
 
-def test_a_version_that_came_from_elsewhere_is_held_where_others_may_write():
+def test_a_write_is_suspended_if_reading_back_finds_another_writers_version():
     from dataclasses import replace
 
     world = World(replace(LIMITS, sole_writer=False))
@@ -132,7 +132,7 @@
     assert sent(world) == [lsn]
 
 
-def test_a_nodes_own_no_holds_the_write_and_its_bucket_behind_a_barrier_only():
+def test_a_declined_write_is_suspended_and_blocks_only_writes_after_a_barrier():
     world = World()
     lsn, other = world.offer("a", b"1"), world.offer("a", b"2")
     world.commit()
@@ -148,7 +148,7 @@
     assert sent(world) == [behind] and lsn not in world.core.entries
 
 
-def test_what_is_full_goes_direct_unless_its_order_forbids():
+def test_a_full_core_admits_writes_direct_unless_their_order_forbids_it():
     from dataclasses import replace
 
     for limits in (
@@ -168,7 +168,7 @@
         assert offer(world.now, "b", b"other", COST) is Admission.DIRECT
 
 
-def test_nothing_is_decided_about_writes_while_the_folder_is_not_known():
+def test_writes_are_rejected_until_the_folder_has_been_read():
     core = Core(LIMITS, random.Random(1))
     assert core.admit(0.0, "a", b"k", 1) is Admission.SLOW_DOWN
     core.unavailable, core.failure = False, "no disk"
@@ -187,7 +187,7 @@
     assert world.core.admit(world.now, "a", b"x", COST) is Admission.ACCEPT
 
 
-def test_the_flush_gives_way_to_direct_traffic_until_the_buffer_fills():
+def test_the_flush_yields_to_direct_traffic_until_the_buffer_fills_up():
     world = World(Limits(in_flight=32, max_records=100))
     assert world.core.allowed_in_flight(0.0, 0) == 32
     assert world.core.allowed_in_flight(0.0, 8) == 16 and world.core.allowed_in_flight(0.0, 1000) == 3
@@ -199,7 +199,7 @@
     assert world.core.allowed_in_flight(world.now, 1000) == 32
 
 
-def test_repeats_keep_within_their_budget_and_a_floor():
+def test_retries_keep_to_the_budget_and_its_minimum_rate():
     """All nodes fail: once the saved budget is used, retries are sent at the minimum rate."""
     world = World(
         Limits(shards=1, in_flight=64, per_shard=64, min_retries_per_second=2.0, window=None, max_backoff=0.1)
@@ -218,7 +218,7 @@
     assert 2.0 * 20 <= repeats <= 2.0 * 20 + 11
 
 
-def test_a_shard_that_refuses_is_left_alone_and_others_go_on():
+def test_a_shard_that_rejects_is_blocked_while_others_continue():
     world = World(Limits(shards=2, per_shard=4, in_flight=8))
     slow = [world.offer("a", b"%d" % i) for i in range(0, 6, 2)]  # b"0", b"2", ...: all on the first shard
     world.commit()
@@ -235,7 +235,7 @@
     assert world.core.shards[0].window < 4
 
 
-def test_an_old_segment_that_one_held_write_keeps_is_emptied_by_copying():
+def test_an_old_segment_needed_by_one_suspended_write_is_compacted():
     from dataclasses import replace
 
     world = World(replace(LIMITS, max_bytes=3000, max_records=1000))
@@ -256,7 +256,7 @@
     assert world.core.entries[held].state is State.SUSPENDED and world.core.writes_before(barrier) == 1
 
 
-def test_doubt_costs_a_read_before_anything_else_without_keys():
+def test_without_idempotency_keys_an_uncertain_write_is_read_back_first():
     from dataclasses import replace
 
     world = World(replace(LIMITS, keyed=False))
@@ -273,7 +273,7 @@
     assert not world.core.entries
 
 
-def test_a_write_past_the_buffer_waits_until_the_log_knows_that_the_one_before_is_settled():
+def test_a_direct_write_waits_until_the_earlier_writes_done_record_is_durable():
     """Otherwise a crash would restore the finished write, and it would replace the direct write."""
     world = World()
     lsn = world.offer("a", b"k")
@@ -288,7 +288,7 @@
     world.drain()
 
 
-def test_a_later_write_waits_until_the_log_knows_that_an_absorbed_one_is():
+def test_a_later_write_waits_until_the_absorbed_writes_done_record_is_durable():
     """Otherwise a crash would restore the absorbed write, and it would be sent after the later one."""
     world = World()
     world.offer("a", b"k")
--- a/tests/storage_gateway/write_buffer/test_buffer_crash.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_crash.py
@@ -16,7 +16,7 @@
     assert counts["kills"] == 200 and counts["acknowledged"] > 0 and counts["runs"] > 0
 
 
-def test_the_judge_sees_a_lost_write_a_changed_one_and_one_that_ran_twice(tmp_path):
+def test_the_checker_reports_a_lost_write_a_changed_one_and_one_that_ran_twice(tmp_path):
     trial: Lane = asyncio.run(lane(tmp_path / "lane", 7, 1, asyncio.Queue()))
     assert trial.wrong == []
     trial.wanted = {"a": [b"one"], "b": [b"two"], "c": [None]}
@@ -27,7 +27,7 @@
     assert len(trial.wrong) == 4 and any("ran 2 times" in text for text in trial.wrong)
 
 
-def test_a_reader_who_sees_what_was_never_offered_is_noticed(tmp_path, monkeypatch):
+def test_the_checker_reports_a_read_of_a_value_that_was_never_written(tmp_path, monkeypatch):
     class Chance(random.Random):
         def random(self) -> float:
             return 0.1  # a read
--- a/tests/storage_gateway/write_buffer/test_buffer_format.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_format.py
@@ -31,7 +31,7 @@
     "change, words",
     [({"version": 2}, "version 2"), ({"format": "else"}, "no buffer"), (None, "can't be read")],
 )
-def test_what_is_not_ours_or_newer_is_refused(change, words):
+def test_a_folder_of_another_format_or_a_newer_version_is_rejected(change, words):
     disk, _ = filled(2)
     told = json.loads(disk.files["folder.json"].now)
     disk.files["folder.json"].now[:] = b"{" if change is None else json.dumps(told | change).encode()
@@ -51,7 +51,7 @@
         opened(disk)
 
 
-def test_bytes_that_a_client_stores_never_pass_for_records():
+def test_bytes_that_a_client_stores_are_never_read_as_records():
     """A scan after a damaged record also searches a body, which here holds forged records."""
     disk = SimDisk()
     log, *_ = opened(disk)
@@ -99,7 +99,7 @@
 
 
 @given(st.binary(max_size=200), st.sampled_from([kind for kind in Kind if kind is not Kind.PIECE]))
-def test_words_that_cannot_be_read_are_a_value_error(data, kind):
+def test_a_payload_that_can_not_be_decoded_raises_value_error(data, kind):
     try:
         unpack(kind, data)
     except ValueError:
@@ -118,7 +118,7 @@
         assert isinstance(record, Record) and record.payload == b"behind"
 
 
-def test_a_torn_end_is_cut_off_so_that_later_records_do_not_make_it_damage():
+def test_a_torn_end_is_truncated_so_that_it_is_not_later_reported_as_damage():
     disk = SimDisk()
     log, *_ = opened(disk)
     log.commit([write(1)])
--- a/tests/storage_gateway/write_buffer/test_buffer_front.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_front.py
@@ -70,7 +70,7 @@
     run(play())
 
 
-def test_conditions_are_decided_where_the_key_is(nodes, tmp_path):
+def test_conditions_are_checked_where_the_newest_version_is(nodes, tmp_path):
     """The buffer checks conditions on a buffered key, the node others; a failed condition changes nothing."""
     tag = hashlib.md5(b"one").hexdigest()
 
@@ -159,7 +159,7 @@
     run(play())
 
 
-def test_a_condition_on_a_large_body_is_looked_at_again_when_the_body_is_whole(nodes, tmp_path):
+def test_a_condition_on_a_large_body_is_checked_again_once_the_body_is_complete(nodes, tmp_path):
     tag = hashlib.md5(b"one").hexdigest().encode()
 
     async def play() -> None:
@@ -182,7 +182,7 @@
     run(play())
 
 
-def test_a_large_body_comes_in_pieces_and_reads_back_by_ranges(nodes, tmp_path):
+def test_a_large_body_is_stored_in_chunks_and_read_by_ranges(nodes, tmp_path):
     body = bytes(range(256)) * 4096 + b"end"
 
     async def play() -> None:
@@ -212,7 +212,7 @@
     run(play())
 
 
-def test_what_does_not_match_its_digest_is_never_taken_in(nodes, tmp_path):
+def test_a_body_that_does_not_match_its_digest_is_rejected(nodes, tmp_path):
     good = base64.b64encode(hashlib.md5(b"hello").digest()).decode()
 
     async def play() -> None:
--- a/tests/storage_gateway/write_buffer/test_buffer_log.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_log.py
@@ -20,7 +20,7 @@
 )
 
 
-def test_the_power_goes_at_every_write_and_sync_of_a_workload():
+def test_power_loss_at_every_write_and_sync_of_a_workload():
     """Each power loss is tried with three random choices of the data that the disk kept."""
     whole = run(Work(), SimDisk(), None).ops
     assert whole > 60
@@ -32,7 +32,7 @@
             judge([work], stands, apart)
 
 
-def test_the_power_goes_again_at_every_call_of_the_recovery_and_of_the_life_after_it():
+def test_a_second_power_loss_at_every_call_of_the_recovery_and_after_it():
     """Two power losses in a row: the second at every call from the start of the recovery on."""
     for first_cut, seed in ((17, 1), (40, 2), (58, 3)):
 
@@ -50,7 +50,7 @@
             judge([first, second], stands, apart)
 
 
-def test_a_checker_that_sees_no_loss_would_be_none():
+def test_the_checker_reports_the_losses_of_a_log_that_does_not_sync():
     """The checker must report the losses of a log that does not sync."""
 
     class Lazy(SimDisk):
@@ -72,7 +72,7 @@
     assert caught
 
 
-def test_every_flipped_bit_is_named_and_costs_no_other_record():
+def test_every_flipped_bit_is_reported_and_costs_no_other_record():
     """Damage to an acknowledged record is reported with its position, and all other records are restored."""
     disk, work = filled()
     name = next(n for n in disk.names() if n.startswith("segment-"))
@@ -93,7 +93,7 @@
         assert all(data == body(lsn) for lsn, data in stands.items())
 
 
-def test_a_damaged_head_costs_nothing_and_a_missing_segment_is_named():
+def test_a_damaged_head_costs_no_record_and_a_missing_segment_is_reported():
     disk, work = filled(20)
     segments = [n for n in disk.names() if n.startswith("segment-")]
     disk.flip(segments[1], 3)
@@ -105,7 +105,7 @@
     assert found.missing == [int(segments[1][8:-4])]
 
 
-def test_damage_is_told_once_and_keeps_its_name():
+def test_damage_is_reported_once_and_its_file_is_kept():
     disk, _ = filled()
     name = next(n for n in disk.names() if n.startswith("segment-"))
     disk.flip(name, SEGMENT.size + RECORD.size + 9)
@@ -116,7 +116,7 @@
     assert again == [] and apart[0].name in disk.names()
 
 
-def test_a_full_disk_takes_back_what_it_could_not_hold_and_still_lets_writes_end():
+def test_a_full_disk_truncates_a_failed_batch_and_still_records_done_writes():
     disk = SimDisk()
     log, *_ = opened(disk)
     log.commit([write(1)])
@@ -154,7 +154,7 @@
         assert stands == {1: body(1), 5: body(5)}
 
 
-def test_a_folder_in_use_is_read_while_its_oldest_segment_goes():
+def test_a_folder_in_use_is_read_while_its_oldest_segment_is_removed():
     disk, work = filled(20)
 
     class Busy(SimDisk):
--- a/tests/storage_gateway/write_buffer/test_buffer_order.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_order.py
@@ -10,7 +10,7 @@
 from mallowbeam.standins.faults import Rule
 
 
-def test_what_only_a_node_can_answer_for_goes_there(nodes, tmp_path):
+def test_calls_that_only_a_node_can_answer_are_sent_direct(nodes, tmp_path):
     """Writes with a tag or ACL, multipart uploads and other buckets are not acknowledged by the buffer."""
     path = f"/plates/{keys_at(0, 1)[0]}"
 
@@ -34,7 +34,7 @@
     assert len(writes(nodes)) == 4
 
 
-def test_a_direct_write_waits_for_what_is_buffered_of_its_key(nodes, tmp_path):
+def test_a_direct_write_waits_for_the_buffered_writes_of_its_key(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             hold(nodes, 0.2)
@@ -112,7 +112,7 @@
     run(play())
 
 
-def test_a_crash_between_a_barriers_word_and_its_flush(nodes, tmp_path):
+def test_a_barrier_keeps_the_order_across_crashes_before_its_flush(nodes, tmp_path):
     """Two restarts after the acknowledgement and before the first send: the writes still run in order."""
 
     async def first() -> None:
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("fault", ["run-cut", "answer-cut", "cut", "refuse", "error", "stall"])
-def test_whatever_a_node_does_each_write_runs_once_and_arrives(nodes, tmp_path, fault):
+def test_each_write_runs_exactly_once_despite_node_faults(nodes, tmp_path, fault):
     """The faults include a crash of the node between the last byte of a request and its answer."""
     for node in nodes:
         node.script.add(Rule(fault, "PUT", times=3, seconds=3.0))
@@ -162,7 +162,7 @@
     assert sorted(writes(nodes)) == sorted(f"PUT /plates/k{i}" for i in range(8))
 
 
-def test_a_node_that_answers_and_dies_and_comes_back_empty(nodes, tmp_path):
+def test_a_node_that_answers_then_dies_and_is_replaced_empty(nodes, tmp_path):
     """Writes that it answered with 200 count as stored; the others go to the node that replaces it."""
 
     async def play() -> None:
@@ -182,7 +182,7 @@
     assert before and before | after == {f"/plates/{key}" for key in keys_at(0, 6)}
 
 
-def test_a_node_that_drains_gets_nothing_and_its_writes_wait_until_it_is_back(nodes, tmp_path):
+def test_writes_for_a_draining_node_wait_until_it_is_back(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             assert world.gateway.by_hand("n0", True)
