--- a/mallowbeam/storage_gateway/frontends/object_api/buffered.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/buffered.py
@@ -416,7 +416,7 @@
         return self.gateway.begins
 
     def _buffer_call(
-        self, write: Write, method: bytes, body: bytes, expires: float, headers: Headers
+        self, write: Write, method: bytes, body: bytes, timeout_s: float, headers: Headers
     ) -> Call:
         """A call of the buffer's own, as the module and a node see it."""
         known, settings = self.gateway.config.settings, self.settings
@@ -424,7 +424,7 @@
         request_id = secrets.token_hex(8)
         fields = self.fields(
             cls,
-            expires,
+            timeout_s,
             write.bucket,
             write.placement_hash % known.shards,
             f"{write.placement_hash:016x}",
@@ -442,15 +442,17 @@
             final=lambda status: 200 <= status < 500,
         )
 
-    async def send(self, write: Write, body: bytes, expires: float, seen: str | None) -> SendResult:
+    async def send(
+        self, write: Write, body: bytes, timeout_s: float, expected_version: str | None
+    ) -> SendResult:
         """One attempt at storing a write; see `interface.NodeSender`."""
         headers = [*write.headers, (b"idempotency-key", write.token)]
-        if seen:
-            headers.append((b"if-match", seen.encode()))
-        elif seen == "" and write.method == "PUT":
+        if expected_version:
+            headers.append((b"if-match", expected_version.encode()))
+        elif expected_version == "" and write.method == "PUT":
             headers.append((b"if-none-match", b"*"))
         answer = await self.gateway.submit(
-            self._buffer_call(write, write.method.encode(), body, expires, headers)
+            self._buffer_call(write, write.method.encode(), body, timeout_s, headers)
         )
         status = answer.status
         if answer.kind is AnswerKind.REFUSED:
@@ -465,9 +467,9 @@
             + (": another version has come there since" if status == 412 else ""),
         )
 
-    async def read_version(self, write: Write, expires: float) -> VersionResult:
+    async def read_version(self, write: Write, timeout_s: float) -> VersionResult:
         """Which version the node has; see `interface.NodeSender`."""
-        answer = await self.gateway.submit(self._buffer_call(write, b"HEAD", b"", expires, []))
+        answer = await self.gateway.submit(self._buffer_call(write, b"HEAD", b"", timeout_s, []))
         if answer.kind is not AnswerKind.SERVED or answer.status not in (200, 404):
             return VersionResult(False)
         etag = next((value for name, value in answer.headers if name == b"etag"), b"")
--- a/mallowbeam/storage_gateway/write_buffer/actions.py
+++ b/mallowbeam/storage_gateway/write_buffer/actions.py
@@ -9,22 +9,22 @@
 
 
 class Send(NamedTuple):
-    """Send a write to its node, within `expires` seconds.
+    """Send a write to its node, within `timeout_s` seconds.
 
-    `seen` is the version read back, on which the attempt is conditional: "" for no object, None where the
+    The attempt is conditional on `expected_version`, the version read back: "" for no object, None where the
     attempt is unconditional.
     """
 
     lsn: int
-    expires: float
-    seen: str | None
+    timeout_s: float
+    expected_version: str | None
 
 
 class ReadBack(NamedTuple):
-    """Read, within `expires` seconds, which version a write's node has."""
+    """Read, within `timeout_s` seconds, which version a write's node has."""
 
     lsn: int
-    expires: float
+    timeout_s: float
 
 
 class Intend(NamedTuple):
--- a/mallowbeam/storage_gateway/write_buffer/core.py
+++ b/mallowbeam/storage_gateway/write_buffer/core.py
@@ -23,7 +23,7 @@
 from mallowbeam.storage_gateway.write_buffer.shards import Shard
 
 MIN_FLUSH_FRACTION = 0.1  # of its window, which the flush keeps under any direct traffic
-CALM_PRESSURE = 0.5  # above it the flush yields less, down to not at all at pressure 1
+YIELD_LESS_ABOVE_PRESSURE = 0.5  # above it the flush yields less, down to not at all at pressure 1
 RELOCATE_ABOVE = 0.5  # fraction of `max_bytes` above which old segments are compacted
 MAX_RELOCATED = 64  # writes in one relocation
 RELOCATABLE = (State.READY, State.UNCERTAIN, State.SUSPENDED)
@@ -223,10 +223,10 @@
 
         The flush yields in proportion to direct traffic, and less as the buffer fills up.
         """
-        most = self.limits.in_flight
-        yielding = 1.0 / (1.0 + direct / max(1.0, most / 4))
-        urgency = (self.pressure(now) - CALM_PRESSURE) / (1.0 - CALM_PRESSURE)
-        return max(1, int(most * max(MIN_FLUSH_FRACTION, yielding, min(1.0, max(0.0, urgency)))))
+        max_in_flight = self.limits.in_flight
+        yielding = 1.0 / (1.0 + direct / max(1.0, max_in_flight / 4))
+        urgency = (self.pressure(now) - YIELD_LESS_ABOVE_PRESSURE) / (1.0 - YIELD_LESS_ABOVE_PRESSURE)
+        return max(1, int(max_in_flight * max(MIN_FLUSH_FRACTION, yielding, min(1.0, max(0.0, urgency)))))
 
     def plan(self, now: float, direct: int = 0) -> None:
         """Choose the writes to send now, and the segments to remove or compact."""
--- a/mallowbeam/storage_gateway/write_buffer/dispatch.py
+++ b/mallowbeam/storage_gateway/write_buffer/dispatch.py
@@ -160,7 +160,7 @@
     def _send(self, entry: Entry, now: float, remaining: float) -> None:
         entry.state = State.SENDING
         entry.last_attempt_at = now
-        self._actions.add(Send(entry.lsn, min(self.limits.deadline, remaining), entry.seen))
+        self._actions.add(Send(entry.lsn, min(self.limits.deadline, remaining), entry.expected_version))
 
     def _read_back(self, entry: Entry, now: float) -> bool:
         """Read back from the node, once the last attempt can no longer run there."""
@@ -234,7 +234,7 @@
             self._suspend(entry, "its attempt has no known end, and the node has another version")
         else:
             # The attempt did not run and no longer can: a new first attempt is conditional on this version.
-            entry.seen = version or ""
+            entry.expected_version = version or ""
             entry.intent_at = None
             entry.uncertain_since = None
             entry.state = State.READY
@@ -269,7 +269,7 @@
             return True
         entry.intent_at = None
         entry.uncertain_since = None
-        entry.seen = None
+        entry.expected_version = None
         self._writes.resume_age(entry)
         self._actions.add(Suspend(lsn, ""))
         self.queue(entry, now)
--- a/mallowbeam/storage_gateway/write_buffer/entries.py
+++ b/mallowbeam/storage_gateway/write_buffer/entries.py
@@ -68,7 +68,7 @@
         "due_at",
         "queued",
         "group",
-        "seen",
+        "expected_version",
         "reason",
         "attempted",
     )
@@ -94,7 +94,7 @@
         self.due_at = 0.0
         self.queued = False
         self.group: Group
-        self.seen: str | None = None  # the version read back, "" for none
+        self.expected_version: str | None = None  # the version read back, "" for none
         self.reason = ""  # why it is suspended
 
     @property
--- a/mallowbeam/storage_gateway/write_buffer/flush.py
+++ b/mallowbeam/storage_gateway/write_buffer/flush.py
@@ -54,8 +54,10 @@
         self._intake = intake
         self._done: list[int] = []  # writes done, not yet recorded in the log
         self._done_timer: asyncio.TimerHandle | None = None
-        self._suspended = RateLimitedWarning("buffer: a write is suspended until an operator decides")
-        self.disk_fault = RateLimitedWarning("buffer: disk error")
+        self._suspension_warning = RateLimitedWarning(
+            "buffer: a write is suspended until an operator decides"
+        )
+        self.disk_warning = RateLimitedWarning("buffer: disk error")
 
     def execute(self) -> None:
         """Execute the core's pending actions, and wake clients whose direct write is allowed now."""
@@ -95,7 +97,7 @@
         try:
             await self._append(Kind.INTENT, pack(Kind.INTENT, intent)).done
         except (RecordRejectedError, CommitUnknownError) as error:
-            self.disk_fault(error)
+            self.disk_warning(error)
             self._core.intent_lost(self._runtime.clock(), lsns)
         else:
             self._core.intent_durable(self._runtime.clock(), lsns)
@@ -122,7 +124,7 @@
             self._core.suspend(action.lsn, f"its bytes can't be read: {error}")
         else:
             with self._call():
-                result = await self.sender.send(write, body, action.expires, action.seen)
+                result = await self.sender.send(write, body, action.timeout_s, action.expected_version)
             self._core.attempt_ended(self._runtime.clock(), action.lsn, *result)
         self._runtime.wakeup.set()
 
@@ -139,7 +141,7 @@
             self._core.suspend(action.lsn, f"its bytes can't be read: {error}")
         else:
             with self._call():
-                result = await self.sender.read_version(write, action.expires)
+                result = await self.sender.read_version(write, action.timeout_s)
             self._core.version_read(self._runtime.clock(), action.lsn, result.version, result.answered)
         self._runtime.wakeup.set()
 
@@ -168,7 +170,7 @@
         try:
             await pending.done
         except (RecordRejectedError, CommitUnknownError) as error:
-            self.disk_fault(error)
+            self.disk_warning(error)
             await asyncio.sleep(DONE_DELAY_S)
             self._core.done_lost(lsns)
         else:
@@ -177,7 +179,7 @@
 
     async def _record_suspension(self, lsn: int, reason: str) -> None:
         if reason:
-            self._suspended(f"{lsn}: {reason}")
+            self._suspension_warning(f"{lsn}: {reason}")
         with suppress(RecordRejectedError, CommitUnknownError):  # after a restart the reason is found again
             await self._append(Kind.HELD, pack(Kind.HELD, Suspension(lsn, reason))).done
 
@@ -189,7 +191,7 @@
             for lsn in lsns:
                 await self._relocate_one(lsn)
         except (RecordRejectedError, CommitUnknownError, LogIOError, ValueError) as error:
-            self.disk_fault(error)
+            self.disk_warning(error)
             await asyncio.sleep(RELOCATE_RETRY_S)
         self._core.relocation_ended()
         self._runtime.wakeup.set()
--- a/mallowbeam/storage_gateway/write_buffer/groups.py
+++ b/mallowbeam/storage_gateway/write_buffer/groups.py
@@ -27,7 +27,7 @@
 
     def add(self, entry: Entry) -> None:
         """Add a write to the last group of its bucket."""
-        entry.group = self._of(entry.bucket)[-1]
+        entry.group = self._groups_of(entry.bucket)[-1]
         entry.group.entries[entry.lsn] = entry
 
     def in_first_group(self, entry: Entry) -> bool:
@@ -45,7 +45,7 @@
 
     def open_barrier(self, lsn: int, bucket: str) -> None:
         """Add a barrier that is being committed, and begin a new group after it."""
-        groups = self._of(bucket)
+        groups = self._groups_of(bucket)
         groups[-1].barrier = lsn
         groups.append(Group())
         self.barriers[lsn] = bucket, 0
@@ -114,7 +114,7 @@
         """The first suspended write, if any, that keeps a bucket's first barrier from passing."""
         return next((entry for entry in self.first_group(bucket) if entry.state is State.SUSPENDED), None)
 
-    def _of(self, bucket: str) -> deque[Group]:
+    def _groups_of(self, bucket: str) -> deque[Group]:
         groups = self.buckets.get(bucket)
         if groups is None:
             groups = self.buckets[bucket] = deque([Group()])
--- a/mallowbeam/storage_gateway/write_buffer/inspect.py
+++ b/mallowbeam/storage_gateway/write_buffer/inspect.py
@@ -36,7 +36,7 @@
 from mallowbeam.storage_gateway.write_buffer.replay import Replay, RestoredWrite
 
 PROGRESS_BYTES = 1 << 20  # between calls of the progress callback
-MAX_FILE_NAME = 150  # characters of a target in the name of an exported file
+MAX_FILE_NAME_CHARS = 150  # characters of a target in the name of an exported file
 QUARANTINE_PREFIX = "apart-"
 
 Progress = Callable[[int], None]
@@ -216,7 +216,7 @@
         for lsn in sorted(state.writes):
             restored = state.writes[lsn]
             write, body = read_write(log, restored)
-            name = f"{lsn:012d}-{write.method}-" + quote(write.target, safe="")[:MAX_FILE_NAME]
+            name = f"{lsn:012d}-{write.method}-" + quote(write.target, safe="")[:MAX_FILE_NAME_CHARS]
             if write.method == "PUT":
                 with open(target / name, "xb") as file:
                     file.write(body)
--- a/mallowbeam/storage_gateway/write_buffer/interface.py
+++ b/mallowbeam/storage_gateway/write_buffer/interface.py
@@ -37,11 +37,13 @@
 class NodeSender(Protocol):
     """Calls the nodes through the gateway's scheduler, as any other call does."""
 
-    async def send(self, write: Write, body: bytes, expires: float, seen: str | None) -> SendResult:
-        """Make one attempt that ends within `expires` seconds; `seen` as in `actions.Send`."""
+    async def send(
+        self, write: Write, body: bytes, timeout_s: float, expected_version: str | None
+    ) -> SendResult:
+        """Make one attempt that ends within `timeout_s` seconds; `expected_version` as in `actions.Send`."""
 
-    async def read_version(self, write: Write, expires: float) -> VersionResult:
-        """Read the version that the node has, within `expires` seconds."""
+    async def read_version(self, write: Write, timeout_s: float) -> VersionResult:
+        """Read the version that the node has, within `timeout_s` seconds."""
 
     def direct_calls(self) -> int:
         """The number of calls that the gateway is serving, including the buffer's own."""
--- a/mallowbeam/storage_gateway/write_buffer/limits.py
+++ b/mallowbeam/storage_gateway/write_buffer/limits.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 NEVER = float("inf")
-MIN_BURST = 10.0  # the bucket holds at least this many retries
-BURST_SECONDS = 5  # seconds of `min_retries_per_second` that the bucket holds
+MIN_BURST_RETRIES = 10.0  # the bucket holds at least this many retries
+BURST_S = 5  # seconds of `min_retries_per_second` that the bucket holds
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,17 +40,19 @@
     def __init__(self, limits: Limits) -> None:
         self._per_attempt = limits.retry_ratio
         self._per_second = limits.min_retries_per_second
-        self._most = max(MIN_BURST, BURST_SECONDS * self._per_second)
-        self._tokens = self._most
+        self._max_tokens = max(MIN_BURST_RETRIES, BURST_S * self._per_second)
+        self._tokens = self._max_tokens
         self._updated_at = 0.0
 
     def first_attempt(self) -> None:
         """Count a first attempt."""
-        self._tokens = min(self._most, self._tokens + self._per_attempt)
+        self._tokens = min(self._max_tokens, self._tokens + self._per_attempt)
 
     def wait(self, now: float) -> float:
         """Seconds until a retry is allowed; 0 means that it is allowed now and has been counted."""
-        self._tokens = min(self._most, self._tokens + max(0.0, now - self._updated_at) * self._per_second)
+        self._tokens = min(
+            self._max_tokens, self._tokens + max(0.0, now - self._updated_at) * self._per_second
+        )
         self._updated_at = now
         if self._tokens >= 1.0:
             self._tokens -= 1.0
--- a/mallowbeam/storage_gateway/write_buffer/log.py
+++ b/mallowbeam/storage_gateway/write_buffer/log.py
@@ -38,7 +38,7 @@
 RESERVE_BYTES = 1 << 20  # reserved for records that finish writes on a full disk
 FOLDER_FILE = "folder.json"
 FOLDER_FORMAT = "mallowbeam-buffer"
-MAX_FOLDER_FILE = 4096  # bytes
+MAX_FOLDER_FILE_BYTES = 4096
 RESERVE_FILE = "reserve"
 SEGMENT_PREFIX = "segment-"
 SEGMENT_SUFFIX = ".log"
@@ -107,7 +107,7 @@
         return None
     file = disk.open(FOLDER_FILE)
     try:
-        header = json.loads(file.read(MAX_FOLDER_FILE, 0))
+        header = json.loads(file.read(MAX_FOLDER_FILE_BYTES, 0))
         if header["format"] != FOLDER_FORMAT:
             raise UnsupportedFormatError("it is no buffer folder of this program")
         if header["version"] > VERSION:
@@ -200,7 +200,7 @@
         self._files: dict[int, File] = {}
         self._markers: dict[int, int] = {}
         self._has_reserve = False
-        self._opening = threading.Lock()  # reads run in other threads
+        self._files_lock = threading.Lock()  # reads run in other threads
 
     # --- opening --------------------------------------------------------------------------------
 
@@ -390,7 +390,7 @@
 
     def _open_segment(self, segment: int) -> File:
         """Return a segment's file, after loading its marker."""
-        with self._opening:
+        with self._files_lock:
             file = self._files.get(segment)
             if file is None:
                 file = self._files[segment] = self.disk.open(segment_name(segment))
--- a/mallowbeam/storage_gateway/write_buffer/records.py
+++ b/mallowbeam/storage_gateway/write_buffer/records.py
@@ -21,8 +21,8 @@
 MAGIC = b"MBWBSEG\n"
 SEGMENT = struct.Struct("<8sHHI16sQQI")  # magic, version, 0, marker, folder id, number, first lsn, crc
 RECORD = struct.Struct("<IIIBxxxQQ")  # marker, crc, payload bytes, kind, lsn, durable lsn
-MAX_PAYLOAD = 1 << 20  # bytes of one record's payload
-MAX_RECORD = RECORD.size + MAX_PAYLOAD  # bytes
+MAX_PAYLOAD_BYTES = 1 << 20  # of one record
+MAX_RECORD_BYTES = RECORD.size + MAX_PAYLOAD_BYTES
 CONTENT_HEADER = struct.Struct("<I")  # bytes of the msgpack part in front of a body
 
 
@@ -177,7 +177,7 @@
 def frame(marker: int, kind: Kind, lsn: int, durable: int, parts: list[bytes]) -> list[bytes]:
     """Encode a complete record, as consecutive parts."""
     size = sum(map(len, parts))
-    if size > MAX_PAYLOAD:
+    if size > MAX_PAYLOAD_BYTES:
         raise ValueError("record payload exceeds the maximum size")
     crc = crc32c(RECORD.pack(marker, 0, size, kind, lsn, durable))
     for part in parts:
@@ -217,7 +217,7 @@
     record_marker, crc, size, kind, lsn, durable = RECORD.unpack_from(data, at)
     if (
         record_marker != marker
-        or size > MAX_PAYLOAD
+        or size > MAX_PAYLOAD_BYTES
         or not FIRST_KIND <= kind <= LAST_KIND
         or at + RECORD.size + size > len(data)
     ):
@@ -249,7 +249,7 @@
     ended = False
     damage_at, is_blank = -1, True  # the file offset where damaged bytes began, -1 for none
     while True:
-        if not ended and len(data) - at < MAX_RECORD:
+        if not ended and len(data) - at < MAX_RECORD_BYTES:
             chunk = next(chunks, b"")
             ended = not chunk
             del data[:at]
--- a/mallowbeam/storage_gateway/write_buffer/service.py
+++ b/mallowbeam/storage_gateway/write_buffer/service.py
@@ -208,7 +208,7 @@
     def _disk_changed(self, failure: str | None, lost: list[int]) -> None:
         """Note that the disk fails, with the records `lost` uncertain, or that it works again."""
         if failure is not None:
-            self.flush.disk_fault(failure)
+            self.flush.disk_warning(failure)
         elif self.core.failure is not None:
             logger.info("buffer: the disk accepts writes again")
             self.core.untrusted_keys.clear()
--- a/mallowbeam/storage_gateway/write_buffer/shards.py
+++ b/mallowbeam/storage_gateway/write_buffer/shards.py
@@ -27,9 +27,9 @@
         """Whether the window has no space for another attempt."""
         return self.in_flight >= max(1, int(self.window))
 
-    def widen(self, most: int) -> None:
-        """Widen the window after a stored write, by one attempt each round trip and to at most `most`."""
-        self.window = min(most, self.window + 1.0 / self.window)
+    def widen(self, max_window: int) -> None:
+        """Widen the window after a stored write: by one attempt each round trip, up to `max_window`."""
+        self.window = min(max_window, self.window + 1.0 / self.window)
 
     def narrow(self) -> None:
         """Halve the window after a failed attempt."""
@@ -45,7 +45,7 @@
         self.in_flight_bytes = 0  # of their bodies
         self._count = limits.shards
         self._first_window = float(limits.per_shard)
-        self._crowded: set[int] = set()  # shards with parked writes
+        self._numbers_with_parked: set[int] = set()  # shards with parked writes
 
     def of(self, entry: Entry) -> Shard:
         """The shard that a write goes to."""
@@ -72,18 +72,18 @@
     def park(self, entry: Entry) -> None:
         """Let a write wait until its shard's window has space."""
         self.of(entry).parked.append(entry)
-        self._crowded.add(self._number(entry))
+        self._numbers_with_parked.add(self._number(entry))
 
     def unpark(self) -> list[Entry]:
         """Remove and return the parked writes for which their shard's window has space now."""
         found = []
-        for number in list(self._crowded):
+        for number in list(self._numbers_with_parked):
             shard = self.shards[number]
             for _ in range(max(1, int(shard.window)) - shard.in_flight):
                 if shard.parked:
                     found.append(shard.parked.popleft())
             if not shard.parked:
-                self._crowded.discard(number)
+                self._numbers_with_parked.discard(number)
         return found
 
     def _number(self, entry: Entry) -> int:
--- a/tests/storage_gateway/write_buffer/test_buffer_core.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_core.py
@@ -44,7 +44,7 @@
     assert sent(world) == [lsn]
     world.answer(lsn, "ran")
     world.advance(0.5)
-    assert sent(world) == [lsn] and world.sends[lsn].expires <= WINDOW - 0.5
+    assert sent(world) == [lsn] and world.sends[lsn].timeout_s <= WINDOW - 0.5
     world.answer(lsn, "gone")
     world.advance(WINDOW)
     world.plan()
@@ -61,7 +61,7 @@
     world.answer(lsn, "gone")
     world.advance(WINDOW - WINDOW_MARGIN_S - 0.3)
     world.plan()
-    assert 0 < world.sends[lsn].expires <= 0.3 + 1e-9
+    assert 0 < world.sends[lsn].timeout_s <= 0.3 + 1e-9
 
 
 @pytest.mark.parametrize("ran", [True, False])
@@ -80,7 +80,7 @@
     assert list(world.reads) == [lsn]
     world.look(lsn, True)
     if not ran:
-        assert sent(world) == [lsn] and world.sends[lsn].seen == ""
+        assert sent(world) == [lsn] and world.sends[lsn].expected_version == ""
         world.answer(lsn, "stored")
     assert not world.core.entries
 
@@ -92,8 +92,8 @@
     sent(world)
     world.advance(1.0)
     world.crash(0, False, [False])
-    assert sent(world) == [lsn] and world.sends[lsn].seen is None
-    assert world.sends[lsn].expires <= WINDOW - 1.0 - WINDOW_MARGIN_S + 1e-9
+    assert sent(world) == [lsn] and world.sends[lsn].expected_version is None
+    assert world.sends[lsn].timeout_s <= WINDOW - 1.0 - WINDOW_MARGIN_S + 1e-9
 
 
 def test_an_intent_of_another_boot_or_shard_count_is_read_back():
--- a/tests/support/buffer_world.py
+++ b/tests/support/buffer_world.py
@@ -36,13 +36,13 @@
         self.ran: dict[int, float] = {}  # time by lsn, which stands for the token
         self.coming: list[tuple[float, Entry, str | None]] = []  # may still run, until then
 
-    def run(self, now: float, entry: Entry, seen: str | None) -> bool:
+    def run(self, now: float, entry: Entry, expected_version: str | None) -> bool:
         """Run a write; False if its condition does not hold."""
         if entry.lsn in self.ran:
             assert now - self.ran[entry.lsn] < WINDOW, f"{entry.lsn} ran twice"
             return True
         there = self.versions.get(entry.key, 0)
-        if seen is not None and seen != (f"v{there}" if there else ""):
+        if expected_version is not None and expected_version != (f"v{there}" if there else ""):
             return False
         assert entry.lsn > self.applied.get(entry.key, 0), "a key's writes ran out of order"
         self.ran[entry.lsn] = now
@@ -170,12 +170,12 @@
                     self.pending.append(("done", lsns))
                 case actions.Suspend(lsn, reason):
                     self.pending.append(("held", lsn, reason))
-                case actions.Send(lsn, expires, _):
+                case actions.Send(lsn, timeout_s, _):
                     assert any(
                         r[0] == "intent" and lsn in r[1] or r[0] == "moved" and r[1] == lsn
                         for _, r in self.log
                     ), "sent without an intent"
-                    assert expires > 0
+                    assert timeout_s > 0
                     self.sends[lsn], self.sent_at[lsn] = action, self.now
                 case actions.ReadBack(lsn, _):
                     self.reads[lsn] = action
@@ -215,11 +215,11 @@
 
     # events of nodes
 
-    def run(self, entry: Entry, seen: str | None) -> bool:
+    def run(self, entry: Entry, expected_version: str | None) -> bool:
         for lsn, bucket in self.barriers.items():
             if bucket == entry.bucket and lsn < entry.lsn:
                 self.check_barrier(lsn)
-        return self.nodes.run(self.now, entry, seen)
+        return self.nodes.run(self.now, entry, expected_version)
 
     def check_barrier(self, barrier: int) -> None:
         """Assert that all writes accepted before a barrier are on the nodes."""
@@ -231,14 +231,14 @@
     def answer(self, lsn: int, how: str) -> None:
         send = self.sends.pop(lsn)
         entry, outcome = self.core.entries[lsn], Outcome.UNKNOWN
-        until = self.sent_at[lsn] + send.expires
+        until = self.sent_at[lsn] + send.timeout_s
         if self.now > until and how in ("stored", "ran", "late"):
             how = "gone"  # the node has dropped it by then
         if how in ("stored", "ran"):
-            assert self.run(entry, send.seen)
+            assert self.run(entry, send.expected_version)
             outcome = Outcome.STORED if how == "stored" else Outcome.UNKNOWN
         elif how == "late":
-            self.nodes.coming.append((until, entry, send.seen))
+            self.nodes.coming.append((until, entry, send.expected_version))
         elif how == "refused":
             outcome = Outcome.REJECTED
         self.core.attempt_ended(self.now, lsn, outcome, 0.05)
@@ -257,13 +257,13 @@
         """Let time pass; attempts that may still run do so at their deadline."""
         self.now += seconds
         later = []
-        for until, entry, seen in self.nodes.coming:
+        for until, entry, expected_version in self.nodes.coming:
             if until < self.now:
                 self.now, now = until, self.now
-                self.run(entry, seen)
+                self.run(entry, expected_version)
                 self.now = now
             else:
-                later.append((until, entry, seen))
+                later.append((until, entry, expected_version))
         self.nodes.coming = later
 
     # crashes
@@ -274,9 +274,9 @@
             self.keep(record)
         self.pending = []
         for i, (lsn, send) in enumerate(sorted(self.sends.items())):
-            until = self.sent_at[lsn] + send.expires
+            until = self.sent_at[lsn] + send.timeout_s
             if until > self.now and ran[i % len(ran)]:
-                self.nodes.coming.append((until, self.core.entries[lsn], send.seen))
+                self.nodes.coming.append((until, self.core.entries[lsn], send.expected_version))
         self.sends, self.reads = {}, {}
         if reboot:
             self.boot += b"+"
