--- a/tests/storage_gateway/write_buffer/test_buffer_bounds.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_bounds.py
@@ -10,7 +10,7 @@
 from zlib import crc32
 
 import pytest
-from buffered import Buffered, keys_at, run, writes
+from buffered import Buffered, keys_of_shard, run, writes
 
 from mallowbeam.standins.discovery import member
 from mallowbeam.standins.disk import Fault, SimDisk
@@ -27,8 +27,8 @@
 
 def test_a_full_buffer_sends_writes_direct_and_rejects_those_that_would_break_order(nodes, tmp_path):
     async def play() -> None:
-        async with Buffered(nodes, tmp_path, change={"max_records": 2}) as world:
-            world.keep_still()
+        async with Buffered(nodes, tmp_path, overrides={"max_records": 2}) as world:
+            world.pause_flush()
             await world.play("""
                 o1 send PUT /plates/a body=1
                 o1 expect 200 x-mallowbeam-durable
@@ -74,7 +74,7 @@
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path, disk) as world:
-            world.keep_still()
+            world.pause_flush()
             await world.play("o1 send PUT /plates/a body=kept\no1 expect 200")
             disk.faults = [Fault(call, errno.EIO, "segment-")]
             await world.play("""
@@ -86,15 +86,15 @@
 
     run(play())
     for seed in range(6):
-        left = disk.crashed(seed)
+        crashed_disk = disk.crashed(seed)
 
-        async def again() -> None:
-            async with Buffered(nodes, tmp_path, left) as world:  # noqa: B023
+        async def restart() -> None:
+            async with Buffered(nodes, tmp_path, crashed_disk) as world:  # noqa: B023
                 core = world.buffer_part.core
                 assert [e.name for e in core.entries.values()] == [b"/plates/a", b"/plates/c"]
-                world.keep_still()
+                world.pause_flush()
 
-        run(again())
+        run(restart())
 
 
 def test_writes_of_uncertain_keys_are_rejected_until_a_failed_disk_recovers(nodes, tmp_path):
@@ -119,9 +119,9 @@
                     await asyncio.sleep(0.02)
             await world.play("o1 send PUT /plates/a body=4\no1 expect 200 x-mallowbeam-durable")
             await world.flushed()
-            await world.leave()
-        left = disk.crashed(5)
-        async with Buffered(nodes, tmp_path, left) as world:
+            await world.stop_gracefully()
+        crashed_disk = disk.crashed(5)
+        async with Buffered(nodes, tmp_path, crashed_disk) as world:
             assert not world.buffer_part.core.entries
 
     run(play())
@@ -177,7 +177,7 @@
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path, meet=True) as old:
-            old.keep_still()
+            old.pause_flush()
             await old.play("o1 send PUT /plates/a body=kept\no1 expect 200 x-mallowbeam-durable")
             new = Buffered(nodes, tmp_path, before=old)
             async with new:
@@ -207,10 +207,10 @@
 
 
 def test_a_write_accepted_before_the_wall_clock_was_set_back_has_age_zero():
-    words = Write("PUT", "plates", b"/plates/a", 1, [], b"t", '"e"', 1, 5000.0)
+    content = Write("PUT", "plates", b"/plates/a", 1, [], b"t", '"e"', 1, 5000.0)
     record = Record(Kind.WRITE, 1, 0, 1, 0, b"")
-    assert restore_write(record, 1, words, wall=4000.0, now=100.0).entry.accepted_at == 100.0
-    assert restore_write(record, 1, words, wall=5040.0, now=100.0).entry.accepted_at == 60.0
+    assert restore_write(record, 1, content, wall=4000.0, now=100.0).entry.accepted_at == 100.0
+    assert restore_write(record, 1, content, wall=5040.0, now=100.0).entry.accepted_at == 60.0
 
 
 def test_the_operators_listener_serves_the_buffers_metrics(nodes, tmp_path):
@@ -245,7 +245,7 @@
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            world.keep_still()
+            world.pause_flush()
             await world.play("""
                 o1 send PUT /plates/a body=first
                 o1 expect 200 x-mallowbeam-durable
@@ -260,7 +260,7 @@
 
 
 @pytest.mark.parametrize(
-    "there, seen, outcome",
+    "present, seen, outcome",
     [
         ("", "", Outcome.STORED),
         ("other", "", Outcome.DECLINED),
@@ -271,24 +271,26 @@
     ],
 )
 def test_an_attempt_after_reading_back_is_conditional_on_the_version_read(
-    nodes, tmp_path, there, seen, outcome
+    nodes, tmp_path, present, seen, outcome
 ):
     """`seen` is the version of `other`, "" for no object: a later write by others must not be replaced."""
     other = f'"{hashlib.md5(b"other").hexdigest()}"'
 
     async def play() -> SendResult:
         async with Buffered(nodes, tmp_path) as world:
-            if there:
-                await world.play(f"o1 send PUT /plates/a body={there} x-amz-tagging:a=b\no1 expect 200")
+            if present:
+                await world.play(f"o1 send PUT /plates/a body={present} x-amz-tagging:a=b\no1 expect 200")
             write = Write("PUT", "plates", b"/plates/a", crc32(b"plates/a"), [], b"token", '"e"', 4, 0.0)
             return await world.buffer_part.flush.sender.send(write, b"mine", 2.0, other if seen else seen)
 
     assert run(play()).outcome is outcome
-    body = next(stored.body for node in nodes for stored in node.store.objects.values()) if there else b"mine"
+    body = (
+        next(stored.body for node in nodes for stored in node.store.objects.values()) if present else b"mine"
+    )
     if outcome is Outcome.STORED:
         assert b"mine" in [stored.body for node in nodes for stored in node.store.objects.values()]
-    elif there:
-        assert body == there.encode()
+    elif present:
+        assert body == present.encode()
 
 
 def test_a_chunked_body_that_exceeds_the_buffer_is_rejected_and_releases_its_segments(nodes, tmp_path):
@@ -312,8 +314,8 @@
 
 def test_cached_bodies_stay_within_cache_bytes_and_others_are_read_from_the_log(nodes, tmp_path):
     async def play() -> None:
-        async with Buffered(nodes, tmp_path, change={"cache_bytes": 300_000}) as world:
-            world.keep_still()
+        async with Buffered(nodes, tmp_path, overrides={"cache_bytes": 300_000}) as world:
+            world.pause_flush()
             for i in range(10):
                 await world.play(f"o1 send PUT /plates/k{i} fill=100000\no1 expect 200 x-mallowbeam-durable")
                 assert world.buffer_part.reader.cached_bytes <= 300_000
@@ -332,8 +334,8 @@
     async def play() -> None:
         store = Store(log, 0, lambda *_: None, lambda *_: None)
         disk.capacity = disk.used()
-        words = Write("PUT", "plates", b"/plates/a", 1, [], b"t", '"e"', 9000, 0.0)
-        new = store.append(Kind.WRITE, store.next_lsn(), pack(Kind.WRITE, words, bytes(9000)))
+        content = Write("PUT", "plates", b"/plates/a", 1, [], b"t", '"e"', 9000, 0.0)
+        new = store.append(Kind.WRITE, store.next_lsn(), pack(Kind.WRITE, content, bytes(9000)))
         end = store.append(Kind.DONE, store.next_lsn(), pack(Kind.DONE, Done([1])))
         with pytest.raises(RecordRejectedError):
             await new.done
@@ -349,8 +351,8 @@
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            world.keep_still()
-            for key in keys_at(0, 3):
+            world.pause_flush()
+            for key in keys_of_shard(0, 3):
                 await world.play(f"o1 send PUT /plates/{key} body={key}\no1 expect 200 x-mallowbeam-durable")
             members = [
                 member("n0", nodes[0].host_port, 0, "draining"),
@@ -362,12 +364,12 @@
             async with asyncio.timeout(10):
                 while "n9" not in world.gateway.addresses:
                     await asyncio.sleep(0.01)
-            world.go_on()
+            world.resume_flush()
             await world.flushed()
 
     try:
         run(play())
-        assert set(new.store.objects) == {f"/plates/{key}" for key in keys_at(0, 3)}
+        assert set(new.store.objects) == {f"/plates/{key}" for key in keys_of_shard(0, 3)}
         assert not nodes[0].store.history
     finally:
         new.close()
--- a/tests/storage_gateway/write_buffer/test_buffer_closing.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_closing.py
@@ -74,7 +74,7 @@
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path, disk) as world:
-            world.keep_still()
+            world.pause_flush()
             with disk.shut():
                 await world.play(f"o1 send {call}")
                 await disk.sync_begun()
@@ -89,7 +89,7 @@
 def test_a_client_that_waits_for_the_flush_as_the_folder_closes_is_answered(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            world.keep_still()
+            world.pause_flush()
             await world.play("""
                 o1 send PUT /plates/a body=1
                 o1 expect 200 x-mallowbeam-durable
@@ -111,8 +111,8 @@
 
 def test_a_read_that_finds_the_folder_closed_is_answered_with_slow_down(nodes, tmp_path, monkeypatch):
     async def play() -> None:
-        async with Buffered(nodes, tmp_path, change={"cache_bytes": 0}) as world:
-            world.keep_still()
+        async with Buffered(nodes, tmp_path, overrides={"cache_bytes": 0}) as world:
+            world.pause_flush()
             await world.play("o1 send PUT /plates/a body=1\no1 expect 200 x-mallowbeam-durable")
             read = world.buffer_part.reader.read
 
@@ -138,11 +138,11 @@
             await reader.readline()
             writer.close()
 
-        trial = HandoverLane(new_rig(tmp_path / "lane"), random.Random(7))
+        lane_under_test = HandoverLane(new_rig(tmp_path / "lane"), random.Random(7))
         async with await asyncio.start_server(close_unanswered, "127.0.0.1", 0) as server:
-            trial.rig.ports[1] = server.sockets[0].getsockname()[1]
-            await trial.call(random.Random(7), "key")
-        trial.rig.close()
-        return trial
+            lane_under_test.rig.ports[1] = server.sockets[0].getsockname()[1]
+            await lane_under_test.call(random.Random(7), "key")
+        lane_under_test.rig.close()
+        return lane_under_test
 
     assert ["no answer" in text for text in asyncio.run(play()).wrong] == [True]
--- a/tests/storage_gateway/write_buffer/test_buffer_format.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_format.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from logged import SMALL, filled, opened, write
+from logged import SEGMENT_BYTES, filled_disk, open_log, write
 
 from mallowbeam.standins.disk import SimDisk
 from mallowbeam.storage_gateway.write_buffer.log import Log, NewRecord, ScanResult, read_records, segment_name
@@ -28,33 +28,33 @@
 
 
 @pytest.mark.parametrize(
-    "change, words",
+    "overrides, message",
     [({"version": 2}, "version 2"), ({"format": "else"}, "no buffer"), (None, "can't be read")],
 )
-def test_a_folder_of_another_format_or_a_newer_version_is_rejected(change, words):
-    disk, _ = filled(2)
-    told = json.loads(disk.files["folder.json"].now)
-    disk.files["folder.json"].now[:] = b"{" if change is None else json.dumps(told | change).encode()
-    with pytest.raises(UnsupportedFormatError, match=words):
-        Log(disk, SMALL).open()
+def test_a_folder_of_another_format_or_a_newer_version_is_rejected(overrides, message):
+    disk, _ = filled_disk(2)
+    header = json.loads(disk.files["folder.json"].now)
+    disk.files["folder.json"].now[:] = b"{" if overrides is None else json.dumps(header | overrides).encode()
+    with pytest.raises(UnsupportedFormatError, match=message):
+        Log(disk, SEGMENT_BYTES).open()
 
 
 def test_segments_without_their_folder_file_or_of_another_folder_are_refused():
-    disk, _ = filled(2)
+    disk, _ = filled_disk(2)
     del disk.files["folder.json"]
     with pytest.raises(UnsupportedFormatError, match=r"no folder\.json"):
-        Log(disk, SMALL).open()
-    disk, other = filled(2)[0], filled(2)[0]
+        Log(disk, SEGMENT_BYTES).open()
+    disk, other = filled_disk(2)[0], filled_disk(2)[0]
     name = next(n for n in disk.names() if n.startswith("segment-"))
     disk.files[name] = other.files[name]
     with pytest.raises(UnsupportedFormatError, match="another folder"):
-        opened(disk)
+        open_log(disk)
 
 
 def test_bytes_that_a_client_stores_are_never_read_as_records():
     """A scan after a damaged record also searches a body, which here holds forged records."""
     disk = SimDisk()
-    log, *_ = opened(disk)
+    log, *_ = open_log(disk)
     log.commit([write(1)])
     forged = b"".join(frame(12345, Kind.DONE, 99, 0, pack(Kind.DONE, Done([1, 2]))))
     log.commit([write(2, forged * 3)])
@@ -62,8 +62,8 @@
     log.close()
     name = segment_name(log.number)
     disk.flip(name, len(disk.files[name].now) - log.offset + SEGMENT.size + RECORD.size + 2)
-    _, stands, *_ = opened(disk)
-    assert 3 in stands and 99 not in stands
+    _, bodies, *_ = open_log(disk)
+    assert 3 in bodies and 99 not in bodies
 
 
 @given(
@@ -120,13 +120,13 @@
 
 def test_a_torn_end_is_truncated_so_that_it_is_not_later_reported_as_damage():
     disk = SimDisk()
-    log, *_ = opened(disk)
+    log, *_ = open_log(disk)
     log.commit([write(1)])
     torn = segment_name(log.number)
     log.file.write([b"torn" * 50], log.offset)
     log.close()
-    log, stands, apart, _ = opened(disk)
-    assert set(stands) == {1} and [a.acknowledged for a in apart] == [False]
+    log, bodies, quarantined, _ = open_log(disk)
+    assert set(bodies) == {1} and [a.acknowledged for a in quarantined] == [False]
     log.commit([write(5)])
     log.commit([write(6)])
     log.close()
@@ -152,6 +152,6 @@
 
 
 def test_an_intent_is_read_back_with_its_clock():
-    words = Intent([1, 2], b"boot", 12.5, 3)
-    parts = pack(Kind.INTENT, words)
-    assert unpack(Kind.INTENT, b"".join(parts))[0] == words
+    content = Intent([1, 2], b"boot", 12.5, 3)
+    parts = pack(Kind.INTENT, content)
+    assert unpack(Kind.INTENT, b"".join(parts))[0] == content
--- a/tests/storage_gateway/write_buffer/test_buffer_front.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_front.py
@@ -7,7 +7,7 @@
 import hashlib
 
 import pytest
-from buffered import Buffered, hold, run, writes
+from buffered import Buffered, run, stall_nodes, writes
 from crc32c import crc32c
 
 from mallowbeam.storage_gateway.frontends.object_api.conditions import read_status, write_allowed
@@ -18,7 +18,7 @@
 def test_a_buffered_write_is_acknowledged_read_and_found_at_its_node(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            hold(nodes, 0.5)
+            stall_nodes(nodes, 0.5)
             await world.play("""
                 o1 send PUT /plates/a body=0123456789 content-type:text/csv x-amz-meta-lane:7 expires:0
                 o1 expect 200 etag x-mallowbeam-durable
@@ -38,8 +38,8 @@
                 o1 send GET /plates/a
                 o1 expect 200 'content-type: text/csv' 'x-amz-meta-lane: 7' '\\n\\n0123456789$'
             """)
-        held = [stored for node in nodes for stored in node.store.objects.values()]
-        assert [(stored.body, stored.etag) for stored in held] == [(b"0123456789", etag)]
+        stored_objects = [stored for node in nodes for stored in node.store.objects.values()]
+        assert [(stored.body, stored.etag) for stored in stored_objects] == [(b"0123456789", etag)]
 
     run(play())
 
@@ -49,7 +49,7 @@
         async with Buffered(nodes, tmp_path) as world:
             await world.play("o1 send PUT /plates/a body=old\no1 expect 200")
             await world.flushed()
-            hold(nodes, 0.5)
+            stall_nodes(nodes, 0.5)
             await world.play("o1 send PUT /plates/a body=hello\no1 expect 200")
             reader, writer = await asyncio.open_connection(*world.objects)
             for extra in ("", "range: bytes=1-2\r\n", "connection: close\r\n"):
@@ -76,7 +76,7 @@
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            world.keep_still()
+            world.pause_flush()
             await world.play(f"""
                 o1 send PUT /plates/a body=one
                 o1 expect 200
@@ -95,7 +95,7 @@
                 o1 send PUT /plates/a body=three if-none-match:*
                 o1 expect 200 x-mallowbeam-durable
             """)
-            world.go_on()
+            world.resume_flush()
             await world.flushed()
             await world.play("""
                 o1 send PUT /plates/a body=four if-none-match:*
@@ -144,7 +144,7 @@
 def test_one_name_is_one_key_however_it_is_spelled(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            hold(nodes, 0.4)
+            stall_nodes(nodes, 0.4)
             await world.play("""
                 o1 send PUT /plates/a~b%2Bc body=one
                 o1 expect 200
@@ -164,7 +164,7 @@
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            world.keep_still()
+            world.pause_flush()
             await world.play("o1 send PUT /plates/a body=one\no1 expect 200")
             reader, writer = await asyncio.open_connection(*world.objects)
             writer.write(
@@ -187,7 +187,7 @@
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            hold(nodes, 0.5)
+            stall_nodes(nodes, 0.5)
             reader, writer = await asyncio.open_connection(*world.objects)
             writer.write(
                 b"PUT /plates/big HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n"
--- a/tests/storage_gateway/write_buffer/test_buffer_model.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_model.py
@@ -19,7 +19,7 @@
         key=st.integers(0, 4), bucket=st.sampled_from("ab"), method=st.sampled_from(["PUT", "PUT", "DELETE"])
     )
     def put(self, key: int, bucket: str, method: str) -> None:
-        self.world.offer(bucket, b"%d" % key, method)
+        self.world.put(bucket, b"%d" % key, method)
 
     @rule(key=st.integers(0, 4), bucket=st.sampled_from("ab"))
     def put_direct(self, key: int, bucket: str) -> None:
@@ -30,9 +30,9 @@
         if len(self.world.core.barriers) < 8:
             self.world.barrier(bucket)
 
-    @rule(good=st.sampled_from([True, True, True, False]))
-    def commit(self, good: bool) -> None:
-        self.world.commit(good)
+    @rule(succeeds=st.sampled_from([True, True, True, False]))
+    def commit(self, succeeds: bool) -> None:
+        self.world.commit(succeeds)
 
     @rule(direct=st.sampled_from([0, 0, 3, 100]))
     def plan(self, direct: int) -> None:
@@ -49,7 +49,7 @@
     @precondition(lambda self: self.world.reads)
     @rule(which=st.integers(0, 9), answered=st.sampled_from([True, True, False]))
     def look(self, which: int, answered: bool) -> None:
-        self.world.look(sorted(self.world.reads)[which % len(self.world.reads)], answered)
+        self.world.finish_read_back(sorted(self.world.reads)[which % len(self.world.reads)], answered)
 
     @rule(seconds=st.sampled_from([0.01, 0.1, 0.5, 1.0, 2.0, 5.0]))
     def advance(self, seconds: float) -> None:
--- a/tests/storage_gateway/write_buffer/test_buffer_order.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_order.py
@@ -5,14 +5,14 @@
 import asyncio
 
 import pytest
-from buffered import Buffered, hold, keys_at, run, writes
+from buffered import Buffered, keys_of_shard, run, stall_nodes, writes
 
 from mallowbeam.standins.faults import Rule
 
 
 def test_calls_that_only_a_node_can_answer_are_sent_direct(nodes, tmp_path):
     """Writes with a tag or ACL, multipart uploads and other buckets are not acknowledged by the buffer."""
-    path = f"/plates/{keys_at(0, 1)[0]}"
+    path = f"/plates/{keys_of_shard(0, 1)[0]}"
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
@@ -37,7 +37,7 @@
 def test_a_direct_write_waits_for_the_buffered_writes_of_its_key(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            hold(nodes, 0.2)
+            stall_nodes(nodes, 0.2)
             await world.play("""
                 o1 send PUT /plates/a body=first
                 o1 expect 200 x-mallowbeam-durable
@@ -54,7 +54,7 @@
 def test_barriers_by_call_and_by_header(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            world.keep_still()
+            world.pause_flush()
             await world.play("""
                 o1 send PUT /plates/a body=1 x-mallowbeam-barrier:sync
                 o1 expect 200 'x-mallowbeam-barrier-id: \\d'
@@ -66,7 +66,7 @@
                 o1 send GET /plates?barrier={number}
                 o1 expect 503 SlowDown retry-after
             """)
-            world.go_on()
+            world.resume_flush()
             await world.play(f"""
                 o1 send POST /plates?barrier=through
                 o1 expect 200 x-mallowbeam-barrier-id
@@ -97,7 +97,7 @@
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            key = keys_at(0, 1)[0]
+            key = keys_of_shard(0, 1)[0]
             nodes[0].script.add(Rule("status", "PUT", key, status=403))
             await world.play(f"o1 send PUT /plates/{key} body=x\no1 expect 200")
             async with asyncio.timeout(10):
@@ -117,8 +117,8 @@
 
     async def first() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            hold(nodes, 3600)
-            world.keep_still()
+            stall_nodes(nodes, 3600)
+            world.pause_flush()
             await world.play("""
                 o1 send PUT /plates/a body=before
                 o1 expect 200
@@ -131,11 +131,11 @@
     async def second() -> None:
         async with Buffered(nodes, tmp_path) as world:
             assert len(world.buffer_part.core.entries) == 2 and len(world.buffer_part.core.barriers) == 1
-            world.keep_still()
+            world.pause_flush()
 
     async def third() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            hold(nodes, 0)
+            stall_nodes(nodes, 0)
             await world.flushed()
 
     run(first())
@@ -168,31 +168,31 @@
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             nodes[0].script.add(Rule("answer-die", "PUT"))
-            for key in keys_at(0, 6):
+            for key in keys_of_shard(0, 6):
                 await world.play(f"o1 send PUT /plates/{key} body=v\no1 expect 200")
             await asyncio.sleep(0.3)
-            there = set(nodes[0].store.objects)
+            stored_before = set(nodes[0].store.objects)
             nodes[0].replace()
             nodes[0].listen()
             await world.flushed()
-            return there
+            return stored_before
 
     before = run(play())
     after = set().union(*(node.store.objects for node in nodes))
-    assert before and before | after == {f"/plates/{key}" for key in keys_at(0, 6)}
+    assert before and before | after == {f"/plates/{key}" for key in keys_of_shard(0, 6)}
 
 
 def test_writes_for_a_draining_node_wait_until_it_is_back(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             assert world.gateway.by_hand("n0", True)
-            for key in keys_at(0, 4):
+            for key in keys_of_shard(0, 4):
                 await world.play(f"o1 send PUT /plates/{key} body={key}\no1 expect 200 x-mallowbeam-durable")
             await world.play(f"o1 send GET /plates/{key}\no1 expect 200 {key}")
             await asyncio.sleep(0.5)
             assert not nodes[0].store.history and len(world.buffer_part.core.entries) == 4
             assert world.gateway.by_hand("n0", False)
             await world.flushed()
-            assert set(nodes[0].store.objects) == {f"/plates/{key}" for key in keys_at(0, 4)}
+            assert set(nodes[0].store.objects) == {f"/plates/{key}" for key in keys_of_shard(0, 4)}
 
     run(play())
--- a/tests/support/buffer_world.py
+++ b/tests/support/buffer_world.py
@@ -11,20 +11,20 @@
 from mallowbeam.storage_gateway.write_buffer.records import Write
 from mallowbeam.storage_gateway.write_buffer.replay import Replay, RestoredWrite
 
-WINDOW, DEADLINE = 4.0, 1.0
+WINDOW_S, DEADLINE_S = 4.0, 1.0
 LIMITS = Limits(
     max_bytes=6000,
     max_records=30,
     max_age=1000.0,
     in_flight=4,
     per_shard=2,
-    deadline=DEADLINE,
-    window=WINDOW,
+    deadline=DEADLINE_S,
+    window=WINDOW_S,
     shards=2,
     max_commit=3000,
     flush_bytes=250,
 )
-COST, PER_SEGMENT = 100, 5
+WRITE_LOG_BYTES, RECORDS_PER_SEGMENT = 100, 5
 
 
 class Nodes:
@@ -34,15 +34,17 @@
         self.versions: dict[tuple[str, bytes], int] = {}  # the lsn of the stored body; 0 for no object
         self.applied: dict[tuple[str, bytes], int] = {}  # the highest lsn that ever ran
         self.ran: dict[int, float] = {}  # time by lsn, which stands for the token
-        self.coming: list[tuple[float, Entry, str | None]] = []  # may still run, until then
+        self.may_still_run: list[
+            tuple[float, Entry, str | None]
+        ] = []  # attempts, by the time until which they may run
 
     def run(self, now: float, entry: Entry, expected_version: str | None) -> bool:
         """Run a write; False if its condition does not hold."""
         if entry.lsn in self.ran:
-            assert now - self.ran[entry.lsn] < WINDOW, f"{entry.lsn} ran twice"
+            assert now - self.ran[entry.lsn] < WINDOW_S, f"{entry.lsn} ran twice"
             return True
-        there = self.versions.get(entry.key, 0)
-        if expected_version is not None and expected_version != (f"v{there}" if there else ""):
+        current = self.versions.get(entry.key, 0)
+        if expected_version is not None and expected_version != (f"v{current}" if current else ""):
             return False
         assert entry.lsn > self.applied.get(entry.key, 0), "a key's writes ran out of order"
         self.ran[entry.lsn] = now
@@ -74,10 +76,10 @@
 
     def entry(self, lsn: int, bucket: str, name: bytes, method: str, at: float) -> Entry:
         write = Write(method, bucket, name, name[0], [], b"", f"v{lsn}", 60, at)
-        return Entry(lsn, write, COST, at)
+        return Entry(lsn, write, WRITE_LOG_BYTES, at)
 
-    def offer(self, bucket: str, name: bytes, method: str = "PUT") -> int | None:
-        if self.core.admit(self.now, bucket, name, COST) is not Admission.ACCEPT:
+    def put(self, bucket: str, name: bytes, method: str = "PUT") -> int | None:
+        if self.core.admit(self.now, bucket, name, WRITE_LOG_BYTES) is not Admission.ACCEPT:
             return None
         self.lsn += 1
         self.core.accept(self.entry(self.lsn, bucket, name, method, self.now))
@@ -103,9 +105,9 @@
 
     # events of the buffer's I/O and of the disk
 
-    def keep(self, record: tuple) -> int:
+    def append_durable(self, record: tuple) -> int:
         """Make a record durable; returns its segment."""
-        if sum(segment == self.segment for segment, _ in self.log) >= PER_SEGMENT:
+        if sum(segment == self.segment for segment, _ in self.log) >= RECORDS_PER_SEGMENT:
             self.segment += 1
         self.log.append((self.segment, record))
         match record:
@@ -114,23 +116,23 @@
                 self.methods[lsn] = method
             case ("barrier", lsn, bucket):
                 self.barriers[lsn] = bucket
-        self.sizes()
+        self.update_sizes()
         return self.segment
 
-    def sizes(self) -> None:
+    def update_sizes(self) -> None:
         sizes: dict[int, int] = {}
         for segment, _ in self.log:
-            sizes[segment] = sizes.get(segment, 0) + COST
+            sizes[segment] = sizes.get(segment, 0) + WRITE_LOG_BYTES
         sizes.setdefault(self.segment, 0)
         self.core.update_segments(sizes, self.segment)
 
-    def commit(self, good: bool = True) -> None:
+    def commit(self, succeeds: bool = True) -> None:
         """Sync all pending records, or none, and then they are void."""
         batch, self.pending = self.pending, []
         lost = []
         for record in batch:
             kind = record[0]
-            if not good:
+            if not succeeds:
                 match record:
                     case ("write", lsn, *_):
                         lost.append(lsn)
@@ -145,7 +147,7 @@
                     case ("moved", *_):
                         self.core.relocation_ended()
                 continue
-            segment = self.keep(record)
+            segment = self.append_durable(record)
             if kind == "write":
                 self.core.durable(self.now, record[1], (segment, 0), ())
             elif kind == "barrier":
@@ -159,9 +161,9 @@
                 self.core.relocation_ended()
         if lost:
             self.log.append((self.segment, ("done", lost)))
-        self.do()
+        self.execute_actions()
 
-    def do(self) -> None:
+    def execute_actions(self) -> None:
         for action in self.core.take():
             match action:
                 case actions.Intend(lsns):
@@ -189,7 +191,7 @@
                     for lsn in lsns:
                         if lsn in self.core.barriers:
                             self.core.barrier_relocated(
-                                lsn, self.keep(("barrier again", lsn, self.core.barriers[lsn][0]))
+                                lsn, self.append_durable(("barrier again", lsn, self.core.barriers[lsn][0]))
                             )
                         elif (e := self.core.entries.get(lsn)) is not None:
                             intent = (
@@ -211,7 +213,7 @@
 
     def plan(self, direct: int = 0) -> None:
         self.core.plan(self.now, direct)
-        self.do()
+        self.execute_actions()
 
     # events of nodes
 
@@ -238,51 +240,51 @@
             assert self.run(entry, send.expected_version)
             outcome = Outcome.STORED if how == "stored" else Outcome.UNKNOWN
         elif how == "late":
-            self.nodes.coming.append((until, entry, send.expected_version))
+            self.nodes.may_still_run.append((until, entry, send.expected_version))
         elif how == "refused":
             outcome = Outcome.REJECTED
         self.core.attempt_ended(self.now, lsn, outcome, 0.05)
-        self.do()
+        self.execute_actions()
 
-    def look(self, lsn: int, answered: bool) -> None:
+    def finish_read_back(self, lsn: int, answered: bool) -> None:
         self.reads.pop(lsn)
         entry = self.core.entries[lsn]
         version = self.nodes.versions.get(entry.key, 0)
         if answered and not version and entry.method == "DELETE":
             self.nodes.applied[entry.key] = lsn  # the object does not exist: as if the DELETE had run
         self.core.version_read(self.now, lsn, f"v{version}" if version else None, answered)
-        self.do()
+        self.execute_actions()
 
     def advance(self, seconds: float) -> None:
         """Let time pass; attempts that may still run do so at their deadline."""
         self.now += seconds
         later = []
-        for until, entry, expected_version in self.nodes.coming:
+        for until, entry, expected_version in self.nodes.may_still_run:
             if until < self.now:
                 self.now, now = until, self.now
                 self.run(entry, expected_version)
                 self.now = now
             else:
                 later.append((until, entry, expected_version))
-        self.nodes.coming = later
+        self.nodes.may_still_run = later
 
     # crashes
 
     def crash(self, kept: int, reboot: bool, ran: list[bool]) -> None:
         """Crash and restart: `kept` unsynced records survive; attempts in flight run as `ran` says."""
         for record in self.pending[:kept]:
-            self.keep(record)
+            self.append_durable(record)
         self.pending = []
         for i, (lsn, send) in enumerate(sorted(self.sends.items())):
             until = self.sent_at[lsn] + send.timeout_s
             if until > self.now and ran[i % len(ran)]:
-                self.nodes.coming.append((until, self.core.entries[lsn], send.expected_version))
+                self.nodes.may_still_run.append((until, self.core.entries[lsn], send.expected_version))
         self.sends, self.reads = {}, {}
         if reboot:
             self.boot += b"+"
         self.core = Core(self.limits, random.Random(7))
         self.segment += 1
-        self.sizes()
+        self.update_sizes()
         state = Replay()
         for segment, record in self.log:
             match record:
@@ -305,7 +307,7 @@
                 case ("held", lsn, reason):
                     state.suspended(lsn, reason)
         state.build(self.core, self.now, self.boot)
-        self.do()
+        self.execute_actions()
 
     def drain(self) -> None:
         """Without further faults, check that all writes reach the nodes in bounded time."""
@@ -315,7 +317,7 @@
             for lsn in list(self.sends):
                 self.answer(lsn, "stored")
             for lsn in list(self.reads):
-                self.look(lsn, True)
+                self.finish_read_back(lsn, True)
             if not self.core.entries and not self.pending:
                 break
             self.advance(0.05)
--- a/tests/support/buffered.py
+++ b/tests/support/buffered.py
@@ -12,7 +12,7 @@
 from mallowbeam.standins.node import ObjectNode
 
 
-def keys_at(shard: int, count: int) -> list[str]:
+def keys_of_shard(shard: int, count: int) -> list[str]:
     """Keys of the bucket `plates` that belong to that one of two shards."""
     return [f"k{i}" for i in range(99) if crc32(f"plates/k{i}".encode()) % 2 == shard][:count]
 
@@ -21,7 +21,12 @@
     """A world whose bucket `plates` is buffered, in a folder or on a simulated disk."""
 
     def __init__(
-        self, nodes: list[ObjectNode], folder, disk: SimDisk | None = None, change: dict | None = None, **rest
+        self,
+        nodes: list[ObjectNode],
+        folder,
+        disk: SimDisk | None = None,
+        overrides: dict | None = None,
+        **options,
     ) -> None:
         section = {
             "folder": str(folder),
@@ -29,7 +34,9 @@
             "max_bytes": 32 << 20,
             "segment_bytes": 1 << 20,
         }
-        super().__init__(servers=[node.host_port for node in nodes], buffer=section | (change or {}), **rest)
+        super().__init__(
+            servers=[node.host_port for node in nodes], buffer=section | (overrides or {}), **options
+        )
         self.disk = disk
 
     async def __aenter__(self) -> Buffered:
@@ -40,19 +47,19 @@
             await self.buffer_part.opened.wait()
         return self
 
-    async def __aexit__(self, *what: object) -> None:
-        await super().__aexit__(*what)
+    async def __aexit__(self, *exc_info: object) -> None:
+        await super().__aexit__(*exc_info)
         self.buffer_part.store.log.disk.unlock()  # as the end of the process would
 
     @property
     def buffer_part(self):
         return self.gateway.parts[0]
 
-    def keep_still(self) -> None:
-        """Pause the flush to the nodes until `go_on`."""
-        self.buffer_part.flush.sender = Still(self.buffer_part.flush.sender)
+    def pause_flush(self) -> None:
+        """Pause the flush to the nodes until `resume_flush`."""
+        self.buffer_part.flush.sender = PausedSender(self.buffer_part.flush.sender)
 
-    def go_on(self) -> None:
+    def resume_flush(self) -> None:
         """Resume the flush."""
         self.buffer_part.flush.sender = self.buffer_part.flush.sender.real
         self.buffer_part.wake()
@@ -62,7 +69,7 @@
             while self.buffer_part.core.entries:
                 await asyncio.sleep(0.01)
 
-    async def leave(self) -> None:
+    async def stop_gracefully(self) -> None:
         """Shut the gateway down gracefully."""
         self.gateway.stop()
         self.gateway.leave_at = 0.0  # without a drain period
@@ -77,13 +84,13 @@
     return [run for node in nodes for run in node.store.runs if not run.startswith(("GET", "HEAD"))]
 
 
-def hold(nodes: list[ObjectNode], seconds: float = 30.0) -> None:
+def stall_nodes(nodes: list[ObjectNode], seconds: float = 30.0) -> None:
     """Stall the nodes, so that buffered writes stay buffered."""
     for node in nodes:
         node.stand_still(seconds)
 
 
-class Still:
+class PausedSender:
     """A sender that sends nothing."""
 
     def __init__(self, real) -> None:
