--- a/tests/support/buffer_world.py
+++ b/tests/support/buffer_world.py
@@ -34,9 +34,7 @@
         self.versions: dict[tuple[str, bytes], int] = {}  # the lsn of the stored body; 0 for no object
         self.applied: dict[tuple[str, bytes], int] = {}  # the highest lsn that ever ran
         self.ran: dict[int, float] = {}  # time by lsn, which stands for the token
-        self.may_still_run: list[
-            tuple[float, Entry, str | None]
-        ] = []  # attempts, by the time until which they may run
+        self.may_still_run: list[tuple[float, Entry, str | None]] = []  # attempts, until then
 
     def run(self, now: float, entry: Entry, expected_version: str | None) -> bool:
         """Run a write; False if its condition does not hold."""
