--- a/mallowbeam/storage_gateway/write_buffer/core.py
+++ b/mallowbeam/storage_gateway/write_buffer/core.py
@@ -332,7 +332,7 @@
             for entry in self.entries.values()
             if segment in entry.segments and entry.state in RELOCATABLE
         ][:MAX_RELOCATED]
-        barriers = [lsn for lsn, (_, holder) in self.barriers.items() if holder == segment]
+        barriers = [lsn for lsn, (_, record_segment) in self.barriers.items() if record_segment == segment]
         lsns += barriers[:MAX_RELOCATED]
         if lsns:
             self._relocating = set(lsns)
--- a/mallowbeam/storage_gateway/write_buffer/dispatch.py
+++ b/mallowbeam/storage_gateway/write_buffer/dispatch.py
@@ -28,7 +28,7 @@
 
 WINDOW_MARGIN_S = 0.25  # of the deduplication window left unused, for transit time and the node's clock
 MIN_ATTEMPT_S = 0.1  # no attempt is begun with less time left
-NODE_DROP_S = 0.5  # after its deadline, until a node has surely dropped a call that it has not begun
+NODE_DROP_S = 0.5  # after its deadline, until a node has dropped a call that it has not begun
 MAX_DOUBLINGS = 30  # of the backoff
 MIN_RETRY_AFTER_JITTER = 0.5  # a shard is blocked for at least this fraction of Retry-After
 
@@ -176,14 +176,14 @@
     # --- outcomes -------------------------------------------------------------------------------
 
     def intent_durable(self, now: float, lsns: Iterable[int]) -> None:
-        """The log has the record that these are about to be sent."""
+        """Note that the intent to send these writes is durable."""
         for lsn in lsns:
             entry = self._writes.entries[lsn]
             entry.intent_at = now
             self._send(entry, now, NEVER)
 
     def intent_lost(self, now: float, lsns: Iterable[int]) -> None:
-        """The log could not take that record: they are not sent yet."""
+        """Note that the intent could not be recorded: these writes are not sent yet."""
         for lsn in lsns:
             entry = self._writes.entries[lsn]
             self.shards.end(entry)
@@ -191,7 +191,7 @@
             self._back_off(entry, now, 0.0)
 
     def attempt_ended(self, now: float, lsn: int, outcome: Outcome, retry_after: float, reason: str) -> None:
-        """An attempt has ended; `retry_after` in seconds, as a rejection asked for."""
+        """Note how an attempt ended; `retry_after` is the delay in seconds that a rejection asked for."""
         entry = self._writes.entries[lsn]
         shard = self.shards.end(entry)
         if outcome is Outcome.STORED:
@@ -211,8 +211,8 @@
         entry.failed_attempts += 1
         if outcome is Outcome.REJECTED:
             self._writes.counts.rejected += 1
-            pause = retry_after * self._random.uniform(MIN_RETRY_AFTER_JITTER, 1.0)
-            shard.blocked_until = max(shard.blocked_until, now + pause)
+            delay = retry_after * self._random.uniform(MIN_RETRY_AFTER_JITTER, 1.0)
+            shard.blocked_until = max(shard.blocked_until, now + delay)
         elif entry.uncertain_since is None:
             entry.uncertain_since = entry.last_attempt_at
         entry.state = State.READY if entry.uncertain_since is None else State.UNCERTAIN
--- a/mallowbeam/storage_gateway/write_buffer/flush.py
+++ b/mallowbeam/storage_gateway/write_buffer/flush.py
@@ -47,7 +47,7 @@
         self.sender = sender
         self.store: Store  # set once the folder is open
         self.waiters = Waiters(runtime.core)
-        self.calls = 0  # in flight at the gateway
+        self.calls_in_flight = 0  # at the gateway
         self._runtime = runtime
         self._core = runtime.core
         self._reader = reader
@@ -104,13 +104,13 @@
         self._runtime.wakeup.set()
 
     @contextmanager
-    def _call(self) -> Iterator[None]:
+    def _count_call(self) -> Iterator[None]:
         """Count a call in flight at the gateway."""
-        self.calls += 1
+        self.calls_in_flight += 1
         try:
             yield
         finally:
-            self.calls -= 1
+            self.calls_in_flight -= 1
 
     async def _send(self, action: actions.Send) -> None:
         entry = self._core.entries[action.lsn]
@@ -123,7 +123,7 @@
             )
             self._core.suspend(action.lsn, f"its bytes can't be read: {error}")
         else:
-            with self._call():
+            with self._count_call():
                 result = await self.sender.send(write, body, action.timeout_s, action.expected_version)
             self._core.attempt_ended(self._runtime.clock(), action.lsn, *result)
         self._runtime.wakeup.set()
@@ -140,7 +140,7 @@
         except (LogIOError, ValueError) as error:
             self._core.suspend(action.lsn, f"its bytes can't be read: {error}")
         else:
-            with self._call():
+            with self._count_call():
                 result = await self.sender.read_version(write, action.timeout_s)
             self._core.version_read(self._runtime.clock(), action.lsn, result.version, result.answered)
         self._runtime.wakeup.set()
--- a/mallowbeam/storage_gateway/write_buffer/limits.py
+++ b/mallowbeam/storage_gateway/write_buffer/limits.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 NEVER = float("inf")
-MIN_BURST_RETRIES = 10.0  # the bucket holds at least this many retries
-BURST_S = 5  # seconds of `min_retries_per_second` that the bucket holds
+MIN_BURST_RETRIES = 10.0  # the token bucket holds at least this many retries
+BURST_S = 5  # seconds of `min_retries_per_second` that the token bucket holds
 
 
 @dataclass(slots=True, frozen=True)
--- a/mallowbeam/storage_gateway/write_buffer/log.py
+++ b/mallowbeam/storage_gateway/write_buffer/log.py
@@ -268,7 +268,7 @@
     # --- appending ------------------------------------------------------------------------------
 
     def commit(self, batch: list[NewRecord], finishes_writes: bool = False) -> None:
-        """Append a batch and sync it; raises `DiskFullError` or `LogIOError`, and then none of it counts.
+        """Append a batch and sync it; after `DiskFullError` or `LogIOError` none of it counts as durable.
 
         `finishes_writes`: the batch frees space, so it may use the reserve if the disk is full.
         """
--- a/mallowbeam/storage_gateway/write_buffer/reopen.py
+++ b/mallowbeam/storage_gateway/write_buffer/reopen.py
@@ -33,7 +33,7 @@
 
 
 def boot_clock() -> float:
-    """Seconds of a clock that is never adjusted and runs through one boot of the machine."""
+    """Seconds of a clock that is never set and runs through one boot of the machine."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
@@ -72,7 +72,7 @@
 
 @contextmanager
 def no_garbage_collection() -> Iterator[None]:
-    """Disable the cyclic garbage collector, which takes a third of the time of creating very many objects."""
+    """Disable cyclic garbage collection, which takes a third of the time of creating many acyclic objects."""
     was_enabled = gc.isenabled()
     gc.disable()
     try:
--- a/mallowbeam/storage_gateway/write_buffer/service.py
+++ b/mallowbeam/storage_gateway/write_buffer/service.py
@@ -171,7 +171,7 @@
 
     async def _drain(self) -> None:
         deadline = self.clock() + DRAIN_S
-        while self.flush.calls and self.clock() < deadline:
+        while self.flush.calls_in_flight and self.clock() < deadline:
             await asyncio.sleep(DRAIN_POLL_S)
         self.flush.execute()
         self.flush.record_done()
--- a/tests/storage_gateway/write_buffer/test_buffer_core.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_core.py
@@ -177,7 +177,7 @@
     assert core.admit(0.0, "a", b"k", 1) is Admission.SLOW_DOWN
 
 
-def test_a_held_write_does_not_make_the_buffer_old():
+def test_a_suspended_write_does_not_count_for_the_buffers_age():
     world = World()
     lsn = world.put("a", b"k")
     world.commit()
--- a/tests/storage_gateway/write_buffer/test_buffer_log.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_log.py
@@ -34,11 +34,11 @@
 
 def test_a_second_power_loss_at_every_call_of_the_recovery_and_after_it():
     """Two power losses in a row: the second at every call from the start of the recovery on."""
-    for first_cut, seed in ((17, 1), (40, 2), (58, 3)):
+    for calls_before_first_loss, seed in ((17, 1), (40, 2), (58, 3)):
 
         def disk() -> tuple[Workload, SimDisk]:
             work = Workload()
-            return work, run(work, SimDisk(), first_cut).crashed(seed)  # noqa: B023
+            return work, run(work, SimDisk(), calls_before_first_loss).crashed(seed)  # noqa: B023
 
         _, probe = disk()
         calls = run(Workload(batches=6), probe, None).ops
