--- a/tests/support/buffer_world.py
+++ b/tests/support/buffer_world.py
@@ -1,4 +1,4 @@
-"""A plain model of nodes and log around the buffer's core, driven by hand in any order."""
+"""A simple model of nodes and log around the buffer's core; tests trigger its events in any order."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 from mallowbeam.storage_gateway.write_buffer.records import Write
 from mallowbeam.storage_gateway.write_buffer.replay import Replay, RestoredWrite
 
-WINDOW, DEADLINE = 4.0, 1.0
+WINDOW_S, DEADLINE_S = 4.0, 1.0
 LIMITS = Limits(
     max_bytes=6000,
     max_records=30,
     max_age=1000.0,
     in_flight=4,
     per_shard=2,
-    deadline=DEADLINE,
-    window=WINDOW,
+    deadline=DEADLINE_S,
+    window=WINDOW_S,
     shards=2,
     max_commit=3000,
     flush_bytes=250,
 )
-COST, PER_SEGMENT = 100, 5
+WRITE_LOG_BYTES, RECORDS_PER_SEGMENT = 100, 5
 
 
 class Nodes:
-    """What the nodes hold and have run: a run is a repeat if its token ran within the window."""
+    """The objects on the nodes and the writes that ran; a token that ran within the window is a duplicate."""
 
     def __init__(self) -> None:
-        self.versions: dict[tuple[str, bytes], int] = {}  # the lsn whose body is there; 0 for none
+        self.versions: dict[tuple[str, bytes], int] = {}  # the lsn of the stored body; 0 for no object
         self.applied: dict[tuple[str, bytes], int] = {}  # the highest lsn that ever ran
-        self.ran: dict[int, float] = {}  # by lsn, which stands for the token
-        self.coming: list[tuple[float, Entry, str | None]] = []  # may yet run, until then
+        self.ran: dict[int, float] = {}  # time by lsn, which stands for the token
+        self.may_still_run: list[tuple[float, Entry, str | None]] = []  # attempts, until then
 
-    def run(self, now: float, entry: Entry, seen: str | None) -> bool:
-        """Run a write; False where a condition does not hold."""
+    def run(self, now: float, entry: Entry, expected_version: str | None) -> bool:
+        """Run a write; False if its condition does not hold."""
         if entry.lsn in self.ran:
-            assert now - self.ran[entry.lsn] < WINDOW, f"{entry.lsn} ran twice"
+            assert now - self.ran[entry.lsn] < WINDOW_S, f"{entry.lsn} ran twice"
             return True
-        there = self.versions.get(entry.key, 0)
-        if seen is not None and seen != (f"v{there}" if there else ""):
+        current = self.versions.get(entry.key, 0)
+        if expected_version is not None and expected_version != (f"v{current}" if current else ""):
             return False
         assert entry.lsn > self.applied.get(entry.key, 0), "a key's writes ran out of order"
         self.ran[entry.lsn] = now
@@ -52,15 +52,15 @@
 
 
 class World:
-    """A core, its log and nodes; what the shell does is done here by hand, in any order."""
+    """A core, its log and nodes; tests do the work of `Flush` and `Intake`, in any order."""
 
     def __init__(self, limits: Limits = LIMITS) -> None:
         self.limits, self.now, self.boot, self.lsn = limits, 100.0, b"b0", 0
         self.core = Core(limits, random.Random(7))
         self.core.unavailable = False
-        self.log: list[tuple[int, tuple]] = []  # segment and record, as durable
+        self.log: list[tuple[int, tuple]] = []  # durable records, each with its segment
         self.segment = 1
-        self.pending: list[tuple] = []  # appended, not synced
+        self.pending: list[tuple] = []  # records that are appended but not synced
         self.sends: dict[int, actions.Send] = {}
         self.reads: dict[int, actions.ReadBack] = {}
         self.sent_at: dict[int, float] = {}
@@ -70,14 +70,14 @@
         self.barriers: dict[int, str] = {}
         self.passed: set[int] = set()
 
-    # what clients do
+    # events of clients
 
     def entry(self, lsn: int, bucket: str, name: bytes, method: str, at: float) -> Entry:
         write = Write(method, bucket, name, name[0], [], b"", f"v{lsn}", 60, at)
-        return Entry(lsn, write, COST, at)
+        return Entry(lsn, write, WRITE_LOG_BYTES, at)
 
-    def offer(self, bucket: str, name: bytes, method: str = "PUT") -> int | None:
-        if self.core.admit(self.now, bucket, name, COST) is not Admission.ACCEPT:
+    def put(self, bucket: str, name: bytes, method: str = "PUT") -> int | None:
+        if self.core.admit(self.now, bucket, name, WRITE_LOG_BYTES) is not Admission.ACCEPT:
             return None
         self.lsn += 1
         self.core.accept(self.entry(self.lsn, bucket, name, method, self.now))
@@ -91,7 +91,7 @@
         return self.lsn
 
     def direct(self, bucket: str, name: bytes, method: str = "PUT") -> bool:
-        """A write past the buffer, acknowledged by its node; False where its order forbids that."""
+        """A direct write, acknowledged by its node; False if its order forbids it."""
         if self.core.blocks_direct(bucket, name):
             return False
         self.lsn += 1
@@ -101,11 +101,11 @@
         assert self.nodes.run(self.now, entry, None)
         return True
 
-    # what the shell and the disk do
+    # events of the buffer's I/O and of the disk
 
-    def keep(self, record: tuple) -> int:
-        """A record becomes durable; its segment."""
-        if sum(segment == self.segment for segment, _ in self.log) >= PER_SEGMENT:
+    def append_durable(self, record: tuple) -> int:
+        """Make a record durable; returns its segment."""
+        if sum(segment == self.segment for segment, _ in self.log) >= RECORDS_PER_SEGMENT:
             self.segment += 1
         self.log.append((self.segment, record))
         match record:
@@ -114,23 +114,23 @@
                 self.methods[lsn] = method
             case ("barrier", lsn, bucket):
                 self.barriers[lsn] = bucket
-        self.sizes()
+        self.update_sizes()
         return self.segment
 
-    def sizes(self) -> None:
+    def update_sizes(self) -> None:
         sizes: dict[int, int] = {}
         for segment, _ in self.log:
-            sizes[segment] = sizes.get(segment, 0) + COST
+            sizes[segment] = sizes.get(segment, 0) + WRITE_LOG_BYTES
         sizes.setdefault(self.segment, 0)
         self.core.update_segments(sizes, self.segment)
 
-    def commit(self, good: bool = True) -> None:
-        """All that waits is synced, or none of it, and then it is void."""
+    def commit(self, succeeds: bool = True) -> None:
+        """Sync all pending records, or none, and then they are void."""
         batch, self.pending = self.pending, []
         lost = []
         for record in batch:
             kind = record[0]
-            if not good:
+            if not succeeds:
                 match record:
                     case ("write", lsn, *_):
                         lost.append(lsn)
@@ -145,7 +145,7 @@
                     case ("moved", *_):
                         self.core.relocation_ended()
                 continue
-            segment = self.keep(record)
+            segment = self.append_durable(record)
             if kind == "write":
                 self.core.durable(self.now, record[1], (segment, 0), ())
             elif kind == "barrier":
@@ -159,9 +159,9 @@
                 self.core.relocation_ended()
         if lost:
             self.log.append((self.segment, ("done", lost)))
-        self.do()
+        self.execute_actions()
 
-    def do(self) -> None:
+    def execute_actions(self) -> None:
         for action in self.core.take():
             match action:
                 case actions.Intend(lsns):
@@ -170,12 +170,12 @@
                     self.pending.append(("done", lsns))
                 case actions.Suspend(lsn, reason):
                     self.pending.append(("held", lsn, reason))
-                case actions.Send(lsn, expires, _):
+                case actions.Send(lsn, timeout_s, _):
                     assert any(
                         r[0] == "intent" and lsn in r[1] or r[0] == "moved" and r[1] == lsn
                         for _, r in self.log
                     ), "sent without an intent"
-                    assert expires > 0
+                    assert timeout_s > 0
                     self.sends[lsn], self.sent_at[lsn] = action, self.now
                 case actions.ReadBack(lsn, _):
                     self.reads[lsn] = action
@@ -189,7 +189,7 @@
                     for lsn in lsns:
                         if lsn in self.core.barriers:
                             self.core.barrier_relocated(
-                                lsn, self.keep(("barrier again", lsn, self.core.barriers[lsn][0]))
+                                lsn, self.append_durable(("barrier again", lsn, self.core.barriers[lsn][0]))
                             )
                         elif (e := self.core.entries.get(lsn)) is not None:
                             intent = (
@@ -211,18 +211,18 @@
 
     def plan(self, direct: int = 0) -> None:
         self.core.plan(self.now, direct)
-        self.do()
+        self.execute_actions()
 
-    # what nodes do
+    # events of nodes
 
-    def run(self, entry: Entry, seen: str | None) -> bool:
+    def run(self, entry: Entry, expected_version: str | None) -> bool:
         for lsn, bucket in self.barriers.items():
             if bucket == entry.bucket and lsn < entry.lsn:
                 self.check_barrier(lsn)
-        return self.nodes.run(self.now, entry, seen)
+        return self.nodes.run(self.now, entry, expected_version)
 
     def check_barrier(self, barrier: int) -> None:
-        """All taken in before a barrier is on the nodes."""
+        """Assert that all writes accepted before a barrier are on the nodes."""
         for key, lsns in self.durable.items():
             before = [lsn for lsn in lsns if lsn < barrier]
             if key[0] == self.barriers[barrier] and before:
@@ -231,58 +231,58 @@
     def answer(self, lsn: int, how: str) -> None:
         send = self.sends.pop(lsn)
         entry, outcome = self.core.entries[lsn], Outcome.UNKNOWN
-        until = self.sent_at[lsn] + send.expires
+        until = self.sent_at[lsn] + send.timeout_s
         if self.now > until and how in ("stored", "ran", "late"):
-            how = "gone"  # by then the node has dropped it
+            how = "gone"  # the node has dropped it by then
         if how in ("stored", "ran"):
-            assert self.run(entry, send.seen)
+            assert self.run(entry, send.expected_version)
             outcome = Outcome.STORED if how == "stored" else Outcome.UNKNOWN
         elif how == "late":
-            self.nodes.coming.append((until, entry, send.seen))
+            self.nodes.may_still_run.append((until, entry, send.expected_version))
         elif how == "refused":
             outcome = Outcome.REJECTED
         self.core.attempt_ended(self.now, lsn, outcome, 0.05)
-        self.do()
+        self.execute_actions()
 
-    def look(self, lsn: int, answered: bool) -> None:
+    def finish_read_back(self, lsn: int, answered: bool) -> None:
         self.reads.pop(lsn)
         entry = self.core.entries[lsn]
         version = self.nodes.versions.get(entry.key, 0)
         if answered and not version and entry.method == "DELETE":
-            self.nodes.applied[entry.key] = lsn  # what was to be gone is gone: as good as run
+            self.nodes.applied[entry.key] = lsn  # the object does not exist: as if the DELETE had run
         self.core.version_read(self.now, lsn, f"v{version}" if version else None, answered)
-        self.do()
+        self.execute_actions()
 
     def advance(self, seconds: float) -> None:
-        """Time passes; what may yet run does, at the last moment or never."""
+        """Let time pass; attempts that may still run do so at their deadline."""
         self.now += seconds
         later = []
-        for until, entry, seen in self.nodes.coming:
+        for until, entry, expected_version in self.nodes.may_still_run:
             if until < self.now:
                 self.now, now = until, self.now
-                self.run(entry, seen)
+                self.run(entry, expected_version)
                 self.now = now
             else:
-                later.append((until, entry, seen))
-        self.nodes.coming = later
+                later.append((until, entry, expected_version))
+        self.nodes.may_still_run = later
 
-    # what goes wrong
+    # crashes
 
     def crash(self, kept: int, reboot: bool, ran: list[bool]) -> None:
-        """This life ends: some of what was not synced stands all the same; attempts out run or not."""
+        """Crash and restart: `kept` unsynced records survive; attempts in flight run as `ran` says."""
         for record in self.pending[:kept]:
-            self.keep(record)
+            self.append_durable(record)
         self.pending = []
         for i, (lsn, send) in enumerate(sorted(self.sends.items())):
-            until = self.sent_at[lsn] + send.expires
+            until = self.sent_at[lsn] + send.timeout_s
             if until > self.now and ran[i % len(ran)]:
-                self.nodes.coming.append((until, self.core.entries[lsn], send.seen))
+                self.nodes.may_still_run.append((until, self.core.entries[lsn], send.expected_version))
         self.sends, self.reads = {}, {}
         if reboot:
             self.boot += b"+"
         self.core = Core(self.limits, random.Random(7))
         self.segment += 1
-        self.sizes()
+        self.update_sizes()
         state = Replay()
         for segment, record in self.log:
             match record:
@@ -305,17 +305,17 @@
                 case ("held", lsn, reason):
                     state.suspended(lsn, reason)
         state.build(self.core, self.now, self.boot)
-        self.do()
+        self.execute_actions()
 
     def drain(self) -> None:
-        """Everything is well from now on: all goes to the nodes, in bounded time."""
+        """Without further faults, check that all writes reach the nodes in bounded time."""
         for _ in range(4000):
             self.plan()
             self.commit()
             for lsn in list(self.sends):
                 self.answer(lsn, "stored")
             for lsn in list(self.reads):
-                self.look(lsn, True)
+                self.finish_read_back(lsn, True)
             if not self.core.entries and not self.pending:
                 break
             self.advance(0.05)
@@ -328,7 +328,7 @@
             assert self.nodes.versions.get(key, 0) == (0 if self.methods[last] == "DELETE" else last)
 
     def check_reads(self) -> None:
-        """A reader sees the newest durable write, here or at its node."""
+        """Assert that a reader sees the newest durable write, in the buffer or on its node."""
         for key, lsns in self.durable.items():
             newest = self.core.newest_of(*key)
             if newest is not None:
