--- a/mallowbeam/__main__.py
+++ b/mallowbeam/__main__.py
@@ -1,6 +1,6 @@
-"""Starts one process: a role of the router fleet, its command line, the gateway in service, or a sub-command.
+"""Starts one process: a role of the router fleet, its command line, the storage gateway, or a sub-command.
 
-Each way loads what it needs and nothing else: a start costs processor time while requests wait.
+Each branch imports only what it needs: a start uses processor time while requests wait.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 
 def main() -> int:
-    """What the first argument names; without one, the gateway in service."""
+    """Run the program that the first argument names; without arguments, the storage gateway."""
     name = sys.argv[1] if len(sys.argv) > 1 else ""
     if name == "data-plane":
-        defer_sighup()  # before the imports, the longest part of a start
+        defer_sighup()  # before the imports, which take most of the start-up time
         from mallowbeam.router.data_plane.role import main as run_data_plane
 
         return run_data_plane()
--- a/mallowbeam/errors.py
+++ b/mallowbeam/errors.py
@@ -1,8 +1,7 @@
-"""The base of the project's error types: what went wrong, where, and what an operator can do.
+"""The base class of the project's errors: what failed, where, and what an operator can do about it.
 
-The command line, the pages' JSON answers and the log show the same through `line` and `told`.  A class
-states a `remedy` that holds for all of its errors, and the router fleet's classes a `code` that stays the
-same; an error that knows better is given its own.
+The command line, the JSON responses and the log render an error through `line` and `told`.  A class sets a
+default `remedy`, and the router fleet's classes a stable `code`; a raised error can override both.
 """
 
 from __future__ import annotations
@@ -11,20 +10,20 @@
 
 
 class MallowbeamError(Exception):
-    """An error of the project; `remedy` is one sentence that tells an operator what to do."""
+    """Base class of the project's errors; `remedy` is one sentence that tells an operator what to do."""
 
     error_name: ClassVar[str] = "MallowbeamError"
-    """How answers and the on-call page name the type; it stays when the class is renamed."""
+    """The type's name in responses and on the on-call page; it stays the same when the class is renamed."""
     remedy: ClassVar[str] = ""
     code: str = ""
-    """A name for programs and for the table of errors; empty for types from before there was one."""
+    """Stable identifier for programs and the table of errors; empty for types that predate error codes."""
     step: str = ""
-    """What was being done, in a word or two."""
+    """The operation that failed, in a word or two."""
     peer: int | str | None = None
-    """The process at which it arose: a member's id, or an address."""
+    """The process where the error arose: a member's id, or an address."""
 
     def __init_subclass__(cls, **more: object) -> None:
-        """A type that states no `error_name` goes by its class's name."""
+        """Use the class name as `error_name` where the class sets none."""
         super().__init_subclass__(**more)
         if "error_name" not in vars(cls):
             cls.error_name = cls.__name__
@@ -39,7 +38,16 @@
         step: str = "",
         peer: int | str | None = None,
     ) -> None:
-        """Tell what is wrong; `where` is a place in a file or message, the peer where none is given."""
+        """Create the error.
+
+        Args:
+            what: Description of the failure.
+            where: Position in a file or message; defaults to the peer.
+            remedy: Overrides the class's remedy.
+            code: Overrides the class's code.
+            step: Overrides the class's step.
+            peer: The process where the error arose: a member's id, or an address.
+        """
         super().__init__(what)
         self.what = what
         self.where = where or _name_of(peer)
@@ -49,16 +57,16 @@
         self.peer = peer
 
     def __str__(self) -> str:
-        """Where and what."""
+        """Return the position and the description."""
         return f"{self.where}: {self.what}" if self.where else self.what
 
     @property
     def line(self) -> str:
-        """All of it on one line."""
+        """The position, the description and the remedy on one line."""
         return f"{self} ({self.cure})" if self.cure else str(self)
 
     def told(self) -> dict[str, str]:
-        """The same for a JSON answer, with the code and the step where they are known."""
+        """Return the error as the fields of a JSON response; code and step only where they are set."""
         told = {"error": self.error_name, "what": self.what, "where": self.where, "remedy": self.cure}
         if self.code:
             told["code"] = self.code
@@ -68,7 +76,7 @@
 
 
 def _name_of(peer: int | str | None) -> str:
-    """A peer as an operator reads it."""
+    """Format a peer for an operator."""
     if peer is None:
         return ""
     return f"member {peer}" if isinstance(peer, int) else peer
--- a/mallowbeam/http/budget.py
+++ b/mallowbeam/http/budget.py
@@ -1,4 +1,4 @@
-"""A bound on the bytes of bodies that a server's connections buffer together; one large body at a time."""
+"""Limits the body bytes that a server's connections buffer together; one large body at a time."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 
 class BodyBudget:
-    """Bytes of bodies that the connections of one server may hold together.
+    """Limit on the body bytes that the connections of one server buffer together.
 
-    With `large_from`, only one body of more bytes than that is held at a time, and what comes of it from then
-    on does not count among the others: none of them is refused for its sake.
+    With `large_from`, only one body larger than that many bytes is buffered at a time.  Its bytes past that
+    size are not charged to the budget, so other bodies are not rejected because of it.
     """
 
     def __init__(self, most: int, large_from: float = inf) -> None:
-        self.configured_limit = self.limit = most  # in all, and while another process has its part
+        self.configured_limit = self.limit = most  # total, and the limit while another process holds a share
         self.used = 0
         self.large_body_from = large_from
-        self.large_body_of: object | None = None  # the message whose body is the large one
+        self.large_body_of: object | None = None  # the message whose body is the large one, if any
 
 
 class BudgetReservation:
-    """What one connection holds of a budget; without a budget all is allowed."""
+    """The bytes that one connection has reserved of a budget; without a budget there is no limit."""
 
     def __init__(self, budget: BodyBudget | None) -> None:
         self._budget = budget
         self._bytes = 0
-        self._large: object | None = None  # the budget's large one, where it is held here
+        self._large: object | None = None  # the message with the large body, if this connection holds it
 
     def expect(self, message: object, size: int) -> str | None:
-        """A message has, or will have, a body of so many bytes; why it can't be taken, None where it can."""
+        """Announce a body of `size` bytes; return the reason if it must be rejected, else None."""
         budget = self._budget
         if budget is None or size <= budget.large_body_from or self._large is message:
             return None
@@ -41,7 +41,7 @@
         return None
 
     def charge(self, message: object, came: int, count: int) -> str | None:
-        """`count` more bytes of a body came, which has `came` of them now; as `expect`."""
+        """Charge `count` more bytes of a body that now has `came` bytes; return as `expect` does."""
         refusal = self.expect(message, came)
         budget = self._budget
         if refusal is not None or budget is None or self._large is message:
@@ -51,7 +51,7 @@
         return TOO_MANY_BODIES if budget.used > budget.limit else None
 
     def release(self) -> None:
-        """Give all back: the bodies are answered, or their connection is over."""
+        """Return all reserved bytes, once the bodies are answered or their connection has closed."""
         if self._budget is None:
             return
         self._budget.used -= self._bytes
--- a/mallowbeam/http/client.py
+++ b/mallowbeam/http/client.py
@@ -1,9 +1,10 @@
-"""Connections to nodes: opened when needed, kept while idle, retired well before the node would close them.
+"""Connections to nodes: opened on demand, pooled while idle, retired before the node would close them.
 
-What has run decides every error here.  Up to the last byte of a request none is complete at its node
-(`RequestNotSentError`); from then on it may have run (`ConnectionBrokenError`).  A node that answers before
-it has read a complete request may have run it all the same: a caller that must not send twice checks
-`Link.begun`, which only the kernel's count of accepted bytes decides.  This module never retries.
+The error types tell whether a request may have run.  Until its last byte is written the node can't have a
+complete request (`RequestNotSentError`); after that the request may have run (`ConnectionBrokenError`).  A
+node that answers before it has read the complete request may have run it nevertheless: a caller that must not
+send twice checks `Link.begun`, which depends only on how many bytes the kernel has accepted.  This module
+never retries.
 """
 
 from __future__ import annotations
@@ -17,39 +18,39 @@
 from mallowbeam.http.budget import BodyBudget
 from mallowbeam.http.framing import CHUNK, Channel, Framer, Message
 
-RETIRE = 0.8  # of the nodes' idle limit: a connection idle for longer is not used again
-MAX_IDLE_EACH = 32  # idle connections kept to one node
-REST = 0.02  # seconds after an answer before the next request: a second answer shows by then
+RETIRE = 0.8  # fraction of the nodes' idle timeout after which an idle connection is not reused
+MAX_IDLE_EACH = 32  # idle connections kept for each node
+REST = 0.02  # seconds between a response and reuse: an unsolicited second response shows by then
 FIRST_INTERIM, FIRST_FINAL = 100, 200  # status codes: 1xx are interim (RFC 9110 section 15.2)
-MOST_INTERIM = 16  # interim answers (1xx) in front of one answer
+MOST_INTERIM = 16  # interim responses (1xx) before one final response
 
 
 class RequestNotSentError(MallowbeamError):
-    """The connection failed before the request's last byte was written: it never ran."""
+    """The connection failed before the request's last byte was written: the request never ran."""
 
     error_name = "Unsent"
-    remedy = "if it goes on, look at the node and at the way to it"
+    remedy = "if it persists, check the node and the network path to it"
 
 
 class ConnectionLimitError(RequestNotSentError):
-    """No socket is left here: says nothing of the node."""
+    """This process has no socket left; the error says nothing about the node."""
 
     error_name = "NoRoom"
-    remedy = "raise the limit on sockets, or look for nodes that stand still"
+    remedy = "raise the socket limit, or look for nodes that hang"
 
 
 class ConnectionBrokenError(MallowbeamError):
-    """The connection broke after the request was written: it may have run."""
+    """The connection broke after the request was written: the request may have run."""
 
     error_name = "Broken"
-    remedy = "if it goes on, look at the node and at what lies between"
+    remedy = "if it persists, check the node and any proxy before it"
 
 
 class RemoteProtocolError(ConnectionBrokenError):
-    """What came back can't be read, or never ends: the request may have run, and the node lives."""
+    """The response is malformed, too large or incomplete: the request may have run, and the node is alive."""
 
     error_name = "Spoilt"
-    remedy = "look at the node's software and at what lies between"
+    remedy = "check the node's software and any proxy before it"
 
 
 class Link:
@@ -57,23 +58,30 @@
 
     def __init__(self, channel: Channel, address: str) -> None:
         self.channel, self.address, self.idle_since = channel, address, 0.0
-        self.request_sent = False  # the request's last byte is the kernel's: it may run
-        self.body_left: int | None = 0  # bytes of its body that are not written; None: comes in chunks
-        self._start = channel.bytes_sent  # the count of bytes taken as the request began
-        self._writer: asyncio.Task[None] | None = None  # writes what the kernel did not take at once
-        self._refused = False  # a write failed: the end of the connection is no orderly one
+        self.request_sent = False  # the kernel has accepted the request's last byte, so it may run
+        self.body_left: int | None = 0  # unwritten bytes of the request's body; None: chunked
+        self._start = channel.bytes_sent  # `channel.bytes_sent` at the start of the request
+        self._writer: asyncio.Task[None] | None = None  # writes what the kernel did not accept at once
+        self._refused = False  # a write failed: an end of stream is not an orderly close
 
     @property
     def begun(self) -> bool:
-        """Whether the kernel has taken any byte of the request; if not, it is proven unsent."""
+        """Whether the kernel has accepted any byte of the request; if not, it is certainly unsent."""
         return self.channel.bytes_sent > self._start
 
     async def request(
         self, head: bytes, body: bytes | bytearray = b"", bodiless: bool = False, follows: int | None = 0
     ) -> None:
-        """Write a request; `bodiless` if its answer has no body.  Raises `RequestNotSentError`.
+        """Write a request.
 
-        `follows` tells how many bytes of its body come by `write`, None where they come in chunks.
+        Args:
+            head: Start line and headers.
+            body: The body, or its first bytes.
+            bodiless: Whether the response has no body, as for HEAD.
+            follows: Body bytes that the caller passes to `write` later; None for a chunked body.
+
+        Raises:
+            RequestNotSentError: The connection failed before the last byte was written.
         """
         self._begin(bodiless, follows)
         if len(body) > CHUNK:  # a large body is not copied
@@ -83,13 +91,15 @@
             await self._send(head + body, follows == 0)
 
     async def round_trip(self, head: bytes, body: bytes | bytearray = b"", bodiless: bool = False) -> Message:
-        """Write a request and return its answer, headers read.
+        """Write a request and return its response once the headers are read.
 
-        The kernel is given the request in this step, with nothing awaited before.  What it does not take at
-        once is written beside the reading: a node may answer before it has read a long body, and reads on
-        later.  Until all is written the connection is of no further use.
+        The request is passed to the kernel before the first await.  Bytes that the kernel does not accept at
+        once are written while the response is read: a node may answer before it has read a long body and read
+        the rest later.  The connection can't be reused until all is written.
 
-        Raises `RequestNotSentError` and `ConnectionBrokenError`.
+        Raises:
+            RequestNotSentError: The connection failed before the last byte was written.
+            ConnectionBrokenError: The connection broke after that.
         """
         self._begin(bodiless, 0)
         data = head if len(body) > CHUNK else head + body
@@ -103,20 +113,20 @@
         return await self.read_head()
 
     def _begin(self, bodiless: bool, follows: int | None) -> None:
-        """A request begins; the one before it is over."""
+        """Reset the per-request state."""
         self.channel.framer.bodiless = bodiless
         self.request_sent, self.body_left = False, follows
         self._start = self.channel.bytes_sent
 
     def _push(self, data: bytes | bytearray) -> memoryview:
-        """Write what the kernel takes at once; what is left."""
+        """Write what the kernel accepts without waiting; return the rest."""
         try:
             return memoryview(data)[self.channel.push(data) :]
         except OSError as error:
             raise RequestNotSentError(str(error)) from None
 
     async def _write_rest(self, rest: list[memoryview]) -> None:
-        """Write what is left of a request; a failure shows in what is read."""
+        """Write the rest of a request; a failure is reported by the concurrent read."""
         try:
             for piece in rest:
                 await self.channel.send(piece)
@@ -126,7 +136,7 @@
             self.request_sent = True
 
     async def write(self, piece: bytes | bytearray) -> None:
-        """Write a piece of a body; in chunks, an empty one is its end.  Raises `RequestNotSentError`."""
+        """Write part of a body; an empty one ends a chunked body.  Raises `RequestNotSentError`."""
         if self.body_left is None:
             return await self._send(b"".join((b"%x\r\n" % len(piece), piece, b"\r\n")), not piece)
         self.body_left -= len(piece)
@@ -134,7 +144,10 @@
         return None
 
     async def _send(self, data: bytes | bytearray, last: bool) -> None:
-        """Write; `last` if the request ends with it.  From its last byte to `written` nothing can strike."""
+        """Write data; `last` if it ends the request.
+
+        No cancellation can occur between the kernel accepting the last byte and `request_sent` being set.
+        """
         try:
             await self.channel.send(data)
         except OSError as error:
@@ -142,37 +155,46 @@
         self.request_sent = last
 
     async def exceeds(self, answer: Message, hold: int, most: int | None, standstill: float | None) -> bool:
-        """Whether an answer is larger than what is held whole, as any is where nothing is.
+        """Whether a response is larger than `hold` bytes, up to which it is buffered (0: always true).
 
-        Guards a large answer's further try up to its first byte, and a small one's up to its last.
+        Keeps a retry possible until the first byte of a large response, or until the last byte of a small
+        one, has arrived.
+
+        Args:
+            answer: The response, its headers read.
+            hold: Bytes of body that are buffered.
+            most: Largest stated length that is accepted, in bytes; None for any.
+            standstill: Seconds without a byte after which reading fails; None for no limit.
+
+        Raises:
+            ConnectionBrokenError: The connection ended inside the response.
+            RemoteProtocolError: The response is too large or stalled.
         """
         if hold == 0:
             return True
         if answer.length is not None and most is not None and answer.length > most:
-            raise RemoteProtocolError(f"an answer of {answer.length} bytes")
+            raise RemoteProtocolError(f"a response body of {answer.length} bytes exceeds the limit")
         if answer.length is not None and answer.length > hold:
-            hold = 1  # its first bytes are worth passing on
+            hold = 1  # wait only for its first bytes
         while len(answer.body) < hold and not answer.complete:
             await self._on(answer, standstill)
         return not answer.complete
 
     async def read_head(self) -> Message:
-        """The answer, its headers read and its body perhaps still coming; raises `ConnectionBrokenError`."""
+        """Return the response once its headers are read; raises `ConnectionBrokenError`."""
         framer = self.channel.framer
         for _ in range(MOST_INTERIM + 1):
             answer = await self._next_head()
-            if (
-                not FIRST_INTERIM <= answer.status < FIRST_FINAL
-            ):  # else an interim answer: the real one follows
+            if not FIRST_INTERIM <= answer.status < FIRST_FINAL:  # else interim: the final response follows
                 break
         else:
-            raise RemoteProtocolError("interim answers without end")
+            raise RemoteProtocolError("too many interim responses")
         if framer.bodiless:
             answer.complete = True
         return answer
 
     async def _next_head(self) -> Message:
-        """The next answer, an interim one too, as soon as its headers are read."""
+        """Return the next response, interim or final, once its headers are read."""
         framer = self.channel.framer
         while True:
             if framer.ready:
@@ -183,37 +205,39 @@
                 raise ConnectionBrokenError("the connection ended before the answer")
 
     async def read_more(self, answer: Message) -> None:
-        """Read on in an answer's body; raises `ConnectionBrokenError`."""
+        """Read more of a response's body; raises `ConnectionBrokenError`."""
         if not await self._read():
-            # A write that failed has taken the reset that a read would have told of.
+            # A failed write consumes the reset error, so that the read reports a plain end of stream.
             if not answer.until_close or self._refused:
-                raise ConnectionBrokenError("the connection ended inside the answer")
+                raise ConnectionBrokenError("the connection ended inside the response")
             answer.complete, answer.keep_alive = True, False
         ready = self.channel.framer.ready
-        if ready and ready[0] is answer:  # one behind it stays: such a connection is not used again
+        if ready and ready[0] is answer:  # a response after it stays, which prevents reuse of the connection
             ready.popleft()
 
     async def read_body(self, answer: Message, standstill: float | None = None) -> bytearray:
-        """The whole body of an answer that is not passed on in pieces.
+        """Return the complete body of a response that is not streamed.
 
-        Guards against one that stops short: past `standstill` seconds without a byte no more of it comes.
+        Raises:
+            ConnectionBrokenError: The connection ended inside the response.
+            RemoteProtocolError: The response is too large, or no byte of it came for `standstill` seconds.
         """
         if answer.length is not None and answer.length > self.channel.framer.max_body and not answer.complete:
-            raise RemoteProtocolError(f"an answer of {answer.length} bytes")
+            raise RemoteProtocolError(f"a response body of {answer.length} bytes exceeds the limit")
         while not answer.complete:
             await self._on(answer, standstill)
         return answer.body
 
     async def _on(self, answer: Message, standstill: float | None) -> None:
-        """Read on, but not for longer than `standstill` seconds without a byte."""
+        """Read more; raises `RemoteProtocolError` after `standstill` seconds without a byte."""
         try:
             async with asyncio.timeout(standstill):
                 await self.read_more(answer)
         except TimeoutError:
-            raise RemoteProtocolError("the answer stopped short") from None
+            raise RemoteProtocolError("the response stalled before its end") from None
 
     async def _read(self) -> bool:
-        """Read once; raises `RemoteProtocolError` for what is malformed, unless an answer came before it."""
+        """Read once; raises `RemoteProtocolError` for malformed data, unless a response preceded it."""
         framer = self.channel.framer
         try:
             going_on = framer.error is None and await self.channel.receive()
@@ -224,7 +248,7 @@
         return going_on
 
     def reusable(self, answer: Message) -> bool:
-        """Whether another request may follow on this connection."""
+        """Whether the connection can carry another request."""
         framer = self.channel.framer
         return (
             self.request_sent
@@ -237,32 +261,32 @@
         )
 
     def close(self) -> None:
-        """Close the connection: what is out on it is given up."""
+        """Close the connection and abandon any request in flight on it."""
         self.channel.close()
 
 
 async def connect(address: str, timeout: float, max_body: int, budget: BodyBudget | None = None) -> Link:
-    """Open a connection, whose answers' bodies `budget` bounds together; raises `RequestNotSentError`."""
+    """Open a connection; `budget` limits its responses' bodies.  Raises `RequestNotSentError`."""
     host, _, port = address.rpartition(":")
     try:
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
-    except OSError as error:  # descriptors have run out: this attempt fails, nothing else
+    except OSError as error:  # no file descriptors left: only this attempt fails
         raise ConnectionLimitError(str(error)) from None
     try:
         sock.setblocking(False)
         async with asyncio.timeout(timeout):
             await asyncio.get_running_loop().sock_connect(sock, (host.strip("[]"), int(port)))
         return Link(Channel(sock, Framer(answers=True, max_body=max_body, budget=budget)), address)
-    except (OSError, TimeoutError, ValueError, OverflowError) as error:  # or the address is none
+    except (OSError, TimeoutError, ValueError, OverflowError) as error:  # or the address is invalid
         sock.close()
-        raise RequestNotSentError(str(error) or "the connection never came up") from None
+        raise RequestNotSentError(str(error) or "the connection attempt timed out") from None
     except BaseException:
         sock.close()
         raise
 
 
 class Pool:
-    """The idle connections to nodes, and how many there are in all."""
+    """Pool of idle connections to nodes; also limits how many connections are open in total."""
 
     def __init__(
         self,
@@ -273,19 +297,23 @@
         budget: BodyBudget,
     ) -> None:
         self.configured_limit = self.connection_limit = (
-            most  # connections in all, and how many of them may be open now
+            most  # the configured total, and how many may be open now
         )
         self.max_body, self.budget = max_body, budget
-        self.idle_lifetime = (idle_limit or 10.0) * RETIRE  # seconds that a connection may lie idle
+        self.idle_lifetime = (idle_limit or 10.0) * RETIRE  # seconds that a connection may stay idle
         self.connect_timeout = connect_timeout or 1.0
         self.idle: dict[str, list[Link]] = {}
         self.count = 0  # connections open or being opened
 
     async def take(self, address: str) -> Link:
-        """An idle connection, or a new one; whether it is still good is looked at just before the write.
+        """Return an idle connection, or open one; the caller checks that it is still good before it writes.
+
+        A connection is reused only `REST` seconds after its last response: a late unsolicited response would
+        otherwise be read as the response to the next request.
 
-        Guards an answer against being taken for another request's: one that is late behind the answer before
-        it would be read as the next one's, so a connection rests first.
+        Raises:
+            ConnectionLimitError: No further connection is allowed.
+            RequestNotSentError: The connection could not be opened.
         """
         idle, now = self.idle.get(address, []), time.monotonic()
         rested = bisect_right(idle, now - REST, key=lambda link: link.idle_since)
@@ -305,11 +333,11 @@
             raise
 
     def put(self, link: Link, answer: Message) -> bool:
-        """Keep a connection whose answer was read whole, once it has rested; False if it is of no use."""
+        """Return a connection whose response was read to the end to the pool; False if it can't be reused."""
         return link.reusable(answer) and self.keep(link, time.monotonic())
 
     def keep(self, link: Link, since: float | None = None) -> bool:
-        """Keep a connection on which nothing is out, idle `since` or unused; False if there are enough."""
+        """Pool a connection with no request in flight, idle `since` or unused; False if the pool is full."""
         idle = self.idle.setdefault(link.address, [])
         if len(idle) >= MAX_IDLE_EACH:
             return False
@@ -320,13 +348,13 @@
         return True
 
     def drop(self, link: Link) -> None:
-        """Close a connection that was taken."""
+        """Close a connection that was taken from the pool."""
         self.count -= 1
         link.channel.framer.release()
         link.close()
 
     def limit_to_part(self, parts: int) -> None:
-        """Keep to one of so many equal parts of connections and bodies; idle ones beyond it are closed."""
+        """Limit connections and body budget to 1/`parts` of the total, and close excess idle connections."""
         self.connection_limit, self.budget.limit = (
             self.configured_limit // parts,
             self.budget.configured_limit // parts,
@@ -335,7 +363,7 @@
             pass
 
     def sweep(self) -> None:
-        """Close what has been idle for too long, oldest first in each list."""
+        """Close connections that have been idle for too long; each list is ordered oldest first."""
         limit = time.monotonic() - self.idle_lifetime
         for address, idle in list(self.idle.items()):
             while idle and idle[0].idle_since < limit:
@@ -344,7 +372,7 @@
                 del self.idle[address]
 
     def forget(self, address: str) -> None:
-        """Close the idle connections to a node that is gone."""
+        """Close the idle connections to a node that has left."""
         for link in self.idle.pop(address, []):
             self.drop(link)
 
--- a/mallowbeam/http/connection.py
+++ b/mallowbeam/http/connection.py
@@ -1,9 +1,9 @@
-"""One client's connection: its requests in, their answers out, and how long either may take.
+"""One client's connection: reads requests, writes their responses, and enforces the time-outs of both.
 
-A front is called with each whole request and returns the one answer; a client that ends or resets its
-connection has gone, which cancels that call and drops what waits behind it.  While a request is answered the
-next ones are read ahead, up to a bound; past it the client's end is looked for now and then.  How it ends,
-and the one way in which others end it (`leave`), is the matter of `http/shutdown.py`.
+The front is called with each complete request and returns its response.  A client that ends or resets its
+connection has gone: that cancels the call and drops the requests queued after it.  While a request is being
+answered the next ones are read ahead, up to a limit; beyond it the connection is polled for the client's
+departure.  `http/shutdown.py` closes the connection, also for callers outside (`close_soon`).
 """
 
 from __future__ import annotations
@@ -29,22 +29,22 @@
 )
 from mallowbeam.http.stream import Stream
 
-PIPELINED = 2  # whole requests that may wait behind the one being answered
-STALLED = 2.5  # seconds in which a request must come in, on a new connection from its start on
-SLOWEST = 48 * 1024  # bytes of a body that are worth a second more
-UNREAD = 10.0  # seconds without a byte after which an answer has stopped going out
-IDLE = 10.0  # seconds that a connection may lie idle after an answer
-LOOK = 0.04  # seconds between looks, while nothing is read, whether the client is still there
-FRESH = 1.0  # seconds in which a client that has just come begins, where room is short
+PIPELINED = 2  # complete requests that may wait behind the one being answered
+STALLED = 2.5  # seconds to receive a request; on a new connection since it opened
+SLOWEST = 48 * 1024  # bytes of body that extend that time by a second
+UNREAD = 10.0  # seconds without progress after which writing a response is given up
+IDLE = 10.0  # seconds that a connection may stay idle after a response
+LOOK = 0.04  # seconds between checks whether the client is still connected, while reading is paused
+FRESH = 1.0  # seconds that a new client has to begin a request when connections are short
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class Connection(ConnectionShutdown):
-    """One client's connection: a task that reads, and while a request is held one that answers."""
+    """One client's connection: a task that reads, and one that answers while there is a request."""
 
     def __init__(self, server: Owner, sock: socket.socket, over: bool = False) -> None:
         self.server, front = server, server.front
-        self.rejected = over  # no room for it: its request is refused at once
+        self.rejected = over  # over the connection limit: its request is rejected at once
         self.channel = Channel(
             sock,
             Framer(
@@ -54,38 +54,38 @@
                 max_head=getattr(front, "max_head", MAX_HEAD),
             ),
         )
-        self.read_ahead = ReadAhead(front.budget)  # read, and not parsed yet
-        self.incoming: Message | None = None  # the request that is coming in
-        self.waiting_since = time.monotonic()  # when that began, or the last answer went out
+        self.read_ahead = ReadAhead(front.budget)  # bytes read but not parsed yet
+        self.incoming: Message | None = None  # the request being received
+        self.waiting_since = time.monotonic()  # when that began, or when the last response was sent
         self.response_task: asyncio.Task[None] | None = None
-        self.request: Message | None = None  # the one that is being answered
-        self.streamed_request: Message | None = None  # the same, while its body passes through
-        self.consumer_is_slow = False  # nothing is read: the body's taker is slow
+        self.request: Message | None = None  # the request being answered
+        self.streamed_request: Message | None = None  # the request whose body is being streamed
+        self.consumer_is_slow = False  # reading is paused because the body's consumer is slow
         self.writing = self.answered = False
-        self.pipeline_deadline = 0.0  # until when what waits is answered before it ends
-        self.reading_paused = False  # nothing is read, but the client is looked for
+        self.pipeline_deadline = 0.0  # until when pipelined requests are answered before a close
+        self.reading_paused = False  # reading is paused; only the client's departure is checked
         self.liveness_timer: asyncio.TimerHandle | None = None
         self.reading_may_resume = asyncio.Event()
         self.task = asyncio.create_task(self._run())
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is coming in, held or going out."""
+        """Whether no request is being received, waiting or answered."""
         return self.response_task is None and self.channel.framer.empty
 
     @property
     def pending(self) -> int:
-        """Requests here that have come in whole and are not over yet."""
+        """Number of requests received completely and not yet answered."""
         return len(self.channel.framer.ready) + (self.request is not None and self.request.complete)
 
     @property
     def can_be_closed(self) -> bool:
-        """Whether it may be closed to make room.
+        """Whether the connection may be closed to make room for another.
 
-        Guards requests on their way in: a client that has just come is about to send one, and one that lies
-        unread in the socket is taken and would be lost with it.
+        Not while a request may be arriving: a new client is about to send one, and one that is unread in the
+        socket counts as received and would be lost.
         """
-        if self.closing:  # perhaps it has had its last answer
+        if self.closing:  # its last response may have been sent
             return self.state is not Stage.LAST
         return (
             self.idle
@@ -99,17 +99,17 @@
         except (OSError, asyncio.CancelledError):
             pass
         except Exception as error:
-            logger.error("a connection failed unforeseen", exc_info=error)
+            logger.error("unforeseen error in a client connection", exc_info=error)
         finally:
             await self._close()
 
     async def _read_requests(self) -> None:
-        """Take requests in, until the client's end or ours."""
+        """Read requests until the client or this side ends the connection."""
         framer = self.channel.framer
         while await self._receive():
             if framer.incoming is not self.incoming:
                 self.incoming = framer.incoming
-                if self.answered:  # the first request has its time from the connection's start
+                if self.answered:  # the first request's time counts from the connection's start
                     self.waiting_since = time.monotonic()
             self._start_next_response()
             if framer.error is not None:
@@ -120,7 +120,7 @@
         return None
 
     async def _receive(self) -> bool:
-        """Take in what came next, in the step of its read; False at the client's end and after ours."""
+        """Parse the next bytes in the loop step that reads them; False once either side has ended."""
         channel, framer = self.channel, self.channel.framer
         while self.state is not Stage.LINGERING:
             waits = len(framer.ready) > PIPELINED
@@ -133,7 +133,7 @@
                 await self._wait_unread(self.reading_may_resume.wait())
                 continue
             count = await channel.read()
-            # Another task may have hung up meanwhile, which mypy does not see: this is not sent on.
+            # Another task may have closed this side meanwhile, which mypy does not see: discard the bytes.
             if count is None or self.state is Stage.LINGERING:  # type: ignore[comparison-overlap]
                 continue
             if not count:
@@ -146,14 +146,14 @@
         return False
 
     def _feed(self, data: memoryview, at: float) -> None:
-        """Parse what was read at a time, within the front's bounds, which may have changed since the last."""
+        """Parse bytes read at time `at`, within the front's limits, which can change between calls."""
         framer, front = self.channel.framer, self.server.front
         framer.bound(front.max_body, getattr(front, "max_head", MAX_HEAD))
         framer.read_at = at
         framer.feed(data)
 
     async def _wait_unread(self, wait: Awaitable[object]) -> None:
-        """Wait while nothing is read, and look now and then whether the client is still there."""
+        """Wait with reading paused, checking periodically that the client is still connected."""
         self.reading_paused = True
         self._check_liveness()
         try:
@@ -164,13 +164,17 @@
                 self.liveness_timer.cancel()
 
     def _check_liveness(self) -> None:
-        """Guards nodes against requests of a client that has left behind bytes which are not read."""
+        """Cancel the connection if its client has left.
+
+        Without this check the end of stream would stay hidden behind unread bytes, and nodes would work for a
+        departed client.
+        """
         if gone(self.channel.sock):
             self.task.cancel()
         self.liveness_timer = self.channel.loop.call_later(LOOK, self._check_liveness)
 
     async def _close(self) -> None:
-        """The one place in which the socket is closed, and what still depends on it is ended."""
+        """Close the socket and everything that depends on it; the only place that does."""
         self.state = Stage.CLOSED
         if self.close_timer is not None:
             self.close_timer.cancel()
@@ -188,12 +192,12 @@
             self.server.connections.discard(self)
 
     def _start_next_response(self) -> None:
-        """Begin to answer the next request that is whole, or too large to be held, unless one is answered."""
+        """Start to answer the next complete or streamed request, unless one is being answered."""
         framer = self.channel.framer
         if self.response_task is not None or self.state in (Stage.LINGERING, Stage.CLOSED):
             return
         if self._client_has_left():
-            self.task.cancel()  # nothing of it is sent on
+            self.task.cancel()  # its request is not forwarded
             return
         if framer.ready:
             request = framer.ready.popleft()
@@ -206,9 +210,9 @@
         self.response_task = asyncio.create_task(self._answer(request))
 
     def _client_has_left(self) -> bool:
-        """Whether the client of a request that had to wait is no longer there.
+        """Whether the client of a request that had to wait has disconnected.
 
-        Guards nodes: a new connection may have lain in the accept queue, and its client has come and gone.
+        Saves nodes the work: a new connection may have waited in the accept queue until its client gave up.
         """
         return (
             self.reading_paused
@@ -218,13 +222,13 @@
         )
 
     def _send_continue(self) -> None:
-        """The first piece of a large body is asked for: a client that waits for a word gets it."""
+        """Send `100 Continue` to a client that expects it, once its streamed body is first requested."""
         if self.channel.framer.wants_continue():
-            with suppress(OSError):  # a few bytes, and nothing else is being written
+            with suppress(OSError):  # a few bytes, and no other write is in progress
                 self.channel.sock.send(CONTINUE)
 
     async def _forward_body(self) -> None:
-        """Hand on what came of a large body; while its taker is slow nothing is read, and no time counts."""
+        """Pass on bytes of a streamed body; reading and time-outs pause while its consumer is slow."""
         request = self.streamed_request
         if request is None or (stream := request.stream) is None:
             return
@@ -246,8 +250,8 @@
                 await stream.put(None)
 
     async def _answer(self, request: Message) -> None:
-        """One request, from its last byte in to its answer's last byte out."""
-        last = not request.keep_alive  # as its client asked
+        """Answer one request, and then close the connection or start the next response."""
+        last = not request.keep_alive  # the client asked for the close
         try:
             self.request = request
             whole = await self._write(request)
@@ -255,7 +259,7 @@
         except OSError:
             whole = close = False
         except Exception as error:
-            logger.error("a request failed unforeseen", exc_info=error)
+            logger.error("unforeseen error in a request", exc_info=error)
             whole, close = False, True
         self.writing, self.response_task, self.waiting_since, self.answered = (
             False,
@@ -268,7 +272,7 @@
             request.stream.close()
         if self.channel.framer.empty:
             self.channel.framer.release()
-        if self.state is Stage.CLOSED:  # the client has gone
+        if self.state is Stage.CLOSED:  # the client has disconnected
             return
         if not whole:
             self._end_truncated(request)
@@ -281,7 +285,7 @@
             self.channel.wake()
 
     async def _write(self, request: Message) -> bool:
-        """Write the front's answer to a request; False if it broke off."""
+        """Write the front's response to a request; False if it was truncated."""
         try:
             if self.rejected:
                 request.keep_alive = False
@@ -289,14 +293,14 @@
             else:
                 reply = await self.server.front.handle(request, lambda: self.closes(request))
         except Exception as error:
-            # Guards the client against a fault of ours: it still gets its one answer.
-            logger.error("a request failed unforeseen", exc_info=error)
+            # The client still gets a response when the front fails.
+            logger.error("unforeseen error in a request", exc_info=error)
             reply = self.server.front.error_response(500, "internal error")
             request.keep_alive = False
         self.channel.last_activity, self.writing, whole = time.monotonic(), True, False
         try:
             if reply.write is None:
-                head_only = request.method == b"HEAD"  # its answer ends with the headers, whatever they say
+                head_only = request.method == b"HEAD"  # no body follows, whatever its headers state
                 await self.channel.send(
                     reply.data.partition(b"\r\n\r\n")[0] + b"\r\n\r\n" if head_only else reply.data
                 )
@@ -306,9 +310,10 @@
         return whole
 
     def _request_is_pending(self) -> bool:
-        """Whether our side can't end yet after its last answer: a request came while that was written.
+        """Whether a request arrived while the last response was being written.
 
-        Guards it: it has crossed the answer, and is taken.  Its client may read on up to our end.
+        Such a request counts as received, so it is answered before this side ends.  Its client may read until
+        then.
         """
         if (
             time.monotonic() > self.pipeline_deadline
@@ -320,12 +325,12 @@
         return True
 
     def closes(self, request: Message) -> bool:
-        """Whether the connection ends after the answer to a request; a yes stands.
+        """Whether the connection closes after the response to a request; True is final.
 
-        Guards requests that have come in whole behind it: where the end is ours they are answered first, for
-        a while.
+        If the close is this side's choice, complete requests queued behind it are answered first, for at most
+        `LINGER` seconds.
         """
-        if not request.keep_alive or not request.complete:  # its body may still be coming
+        if not request.keep_alive or not request.complete:  # incomplete: its body may still be arriving
             return True
         if not self.server.closing and self.state is Stage.OPEN:
             return False
@@ -335,11 +340,11 @@
         return not request.keep_alive
 
     async def _answer_malformed(self, fault: MessageError) -> None:
-        """Answer what breaks HTTP once the request before it has its answer, then end in order."""
+        """Answer malformed input after the requests before it have their responses, then close in order."""
         if self.streamed_request is not None and self.streamed_request.stream is not None:
-            self.streamed_request.stream.abort()  # what is passed on of it can't be finished
+            self.streamed_request.stream.abort()  # the forwarded body can't be completed
         most = LINGER_BYTES
-        while self.response_task is not None:  # whole requests before it have their answers first
+        while self.response_task is not None:  # complete requests before it are answered first
             if most <= 0:
                 await self._wait_unread(asyncio.wait([self.response_task]))
             elif (count := await self.channel.read()) == 0:
@@ -355,25 +360,25 @@
         await self._discard_input()
 
     def _answer_timeout(self) -> None:
-        """Answer a request that did not come in time; best effort: its client may not read either."""
+        """Answer 408 to a request that took too long to arrive; best effort, as its client may not read."""
         with suppress(OSError):
             self.channel.sock.send(self._final_error(408, "the request did not come in time"))
         self._half_close()
 
     def _final_error(self, status: int, text: str) -> bytes:
-        """The last word on a request that does not come in whole; it counts if its head has."""
+        """Build the error response to an incomplete request, counted if its head is complete."""
         part = self.channel.framer.incoming
         if part is not None and not self.channel.framer.in_head:
             self.server.front.finished(part, status, True)
         return self.server.front.error_response(status, text).data
 
     def sweep(self, now: float) -> None:
-        """End a connection that has been idle or stalled for too long."""
+        """End the connection if it has been idle or stalled for too long."""
         if self.state in (Stage.LINGERING, Stage.CLOSED):
-            return  # that has its time
+            return  # the close has a time limit of its own
         if self.writing:
             if now - self.channel.last_activity > UNREAD:
-                reset_at_close(self.channel.sock)  # it reads nothing, and must not take this for an end
+                reset_at_close(self.channel.sock)  # the client must not mistake this for a regular end
                 self.task.cancel()
         elif self.idle:
             limit = self._idle_timeout() if self.answered else self._request_timeout()
@@ -386,7 +391,7 @@
                 and not self.consumer_is_slow
                 and now - self.waiting_since > self._request_time_limit()
             ):
-                stream.abort()  # its taker ends it, and that is answered
+                stream.abort()  # the consumer ends the request, which produces the response
         elif (
             self.response_task is None
             and now - self.waiting_since > self._request_time_limit()
@@ -395,16 +400,16 @@
             self._answer_timeout()
 
     def _request_time_limit(self) -> float:
-        """Seconds that the request which is coming in may take, by what came: a trickle is no upload."""
+        """Seconds allowed for the request being received; grows with the body bytes received."""
         part = self.channel.framer.incoming
         return self._request_timeout() + (part.received / SLOWEST if part else 0.0)
 
     def _request_timeout(self) -> float:
-        """Seconds in which a request must come in: the front's `stalled`, if it has one."""
+        """Seconds allowed for receiving a request: the front's `stalled`, if it has one."""
         seconds: float = getattr(self.server.front, "stalled", STALLED)
         return seconds
 
     def _idle_timeout(self) -> float:
-        """Seconds that a connection may lie idle after an answer: the front's `idle`, if it has one."""
+        """Seconds that a connection may stay idle after a response: the front's `idle`, if it has one."""
         seconds: float = getattr(self.server.front, "idle", IDLE)
         return seconds
--- a/mallowbeam/http/framing.py
+++ b/mallowbeam/http/framing.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 framing on a non-blocking socket: httptools parses, this file bounds and writes.
+"""HTTP/1.1 framing on a non-blocking socket: httptools parses, this module enforces limits and writes.
 
-Every buffer has a bound: a message over it raises `MessageError` with the status that says so.
+Every buffer is limited: a message that exceeds a limit raises `MessageError` with the matching status.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from mallowbeam.http.budget import BodyBudget, BudgetReservation
 from mallowbeam.http.stream import Stream
 
-CHUNK = 16 * 1024  # bytes read at once: what one connection may hold beyond its messages
-BULK = 32 * 1024  # the same while a large body passes through
+CHUNK = 16 * 1024  # bytes per read: what a connection may buffer besides its messages
+BULK = 32 * 1024  # bytes per read while a large body is streamed
 MAX_HEAD = 16 * 1024  # bytes of start line and headers
-MAX_BODY = 64 * 1024  # bytes of a body that are held whole, where a front does not say otherwise
-MAX_QUIET = MAX_HEAD  # bytes without a whole head, a piece of body or an end: trailers, chunk marks
+MAX_BODY = 64 * 1024  # bytes of a body that are buffered, unless the front sets another limit
+MAX_QUIET = MAX_HEAD  # bytes without a complete head, body data or a message end: trailers, chunk sizes
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -37,7 +37,7 @@
         b"host",
     )
 )
-TOKEN = re.compile(rb"[\x21-\x7e]{1,256}\Z")  # what a key that goes on to a node may be
+TOKEN = re.compile(rb"[\x21-\x7e]{1,256}\Z")  # allowed form of a key that is forwarded to a node
 ABSOLUTE = re.compile(rb"\Ahttps?://[^/?#]*", re.IGNORECASE)
 REASONS = {status.value: status.phrase for status in HTTPStatus}
 
@@ -45,10 +45,10 @@
 
 
 class MessageError(MallowbeamError):
-    """What came in breaks HTTP or a bound; `status` is what a server answers to it."""
+    """A received message is malformed or exceeds a limit; `status` is the server's response to it."""
 
     error_name = "BadMessage"
-    remedy = "mend the client or the node that sent it"
+    remedy = "correct the client or the node that sent it"
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -56,7 +56,7 @@
 
 
 class Message:
-    """A request or an answer."""
+    """A request or a response."""
 
     __slots__ = (
         "method",
@@ -77,29 +77,29 @@
     def __init__(self) -> None:
         self.method, self.target, self.status = b"", b"", 0
         self.headers: Headers = []  # names in lower case
-        self.body = bytearray()  # what is held of it
-        self.length: int | None = None  # the length stated
-        self.received = 0  # bytes of it so far
-        self.stream: Stream | None = None  # where it goes, if not held whole
+        self.body = bytearray()  # the part of the body that is buffered
+        self.length: int | None = None  # the Content-Length, if stated
+        self.received = 0  # body bytes received so far
+        self.stream: Stream | None = None  # destination of the body if it is streamed, not buffered
         self.keep_alive, self.complete, self.version = True, False, "1.1"
-        self.completed_at = 0.0  # when its last byte was read, by the steady clock
-        self.until_close = False  # its end (a request's: its answer's) is the connection's
+        self.completed_at = 0.0  # when its last byte was read, by the monotonic clock
+        self.until_close = False  # the connection's end marks the body's end (for a request: its response's)
 
     def get(self, name: bytes) -> bytes | None:
-        """The first header of that name."""
+        """Return the value of the first header of that name."""
         for known, value in self.headers:
             if known == name:
                 return value
         return None
 
     def take(self) -> bytearray:
-        """The body as far as it has come, handed over."""
+        """Remove and return the body bytes received so far."""
         body, self.body = self.body, bytearray()
         return body
 
 
 class Framer:
-    """Turns bytes into messages, within bounds."""
+    """Parses bytes into messages, within limits."""
 
     _current: Message  # the message that the parser's callbacks fill; `incoming` until it is complete
 
@@ -119,15 +119,15 @@
             self.parser = self._response_parser = httptools.HttpResponseParser(self)
         else:
             self.parser = self._request_parser = httptools.HttpRequestParser(self)
-        self.ready: deque[Message] = deque()  # whole messages
-        self.incoming: Message | None = None  # the one that is coming in
+        self.ready: deque[Message] = deque()  # complete messages
+        self.incoming: Message | None = None  # the message being received
         self.in_head, self.pending_bytes = False, 0
-        self.bodiless = False  # the next answer is to a HEAD
-        self.read_at = 0.0  # when what is fed was read
-        self.error: MessageError | None = None  # what came after the messages in `ready` is of no use
+        self.bodiless = False  # the next response answers a HEAD request
+        self.read_at = 0.0  # when the bytes being parsed were read
+        self.error: MessageError | None = None  # set once the input after the messages in `ready` is unusable
 
     def feed(self, data: memoryview) -> None:
-        """Take in bytes; what breaks HTTP or a bound sets `fault`, and messages whole before it stand."""
+        """Parse bytes; malformed or oversized input sets `error`, and messages completed before it stay."""
         if self.error is not None:
             return
         self.pending_bytes += len(data)
@@ -137,23 +137,23 @@
             self.error = MessageError(400, "upgrade is not offered")
         except httptools.HttpParserError as error:
             self.error = self.error or MessageError(400, f"malformed message: {error}")
-        # Guards against a header or trailer without end, which the parser would collect without bound.
+        # The parser would buffer an endless header or trailer without limit.
         if self.pending_bytes > max(MAX_QUIET, self.max_head):
             self.error = self.error or MessageError(431, "header too large")
 
     def bound(self, max_body: int, max_head: int) -> None:
-        """Other bounds from now on; what is coming in may still be as large as it was when it began."""
+        """Change the limits; the message being received keeps the old ones where they are larger."""
         if self.incoming is not None:
             max_body, max_head = max(max_body, self.max_body), max(max_head, self.max_head)
         self.max_body, self.max_head = max_body, max_head
 
     @property
     def empty(self) -> bool:
-        """Whether nothing is coming in and nothing waits."""
+        """Whether no message is being received and none is ready."""
         return self.incoming is None and not self.ready
 
     def holds_more_than(self, most: int) -> bool:
-        """Whether the request coming in is one with a body larger than that."""
+        """Whether the request being received has a body larger than `most` bytes."""
         part = self.incoming
         return (
             self.error is None
@@ -163,9 +163,9 @@
         )
 
     def wants_continue(self) -> bool:
-        """Whether the client waits for a word before it sends the body of a request; true once for each."""
+        """Whether the client waits for `100 Continue` before its body; true only once for each request."""
         part = self.incoming
-        if part is None or self.in_head or part.body or part.version == "1.0":  # an old client knows no 1xx
+        if part is None or self.in_head or part.body or part.version == "1.0":  # HTTP/1.0 has no 1xx
             return False
         if (part.get(b"expect") or b"").lower() != b"100-continue":
             return False
@@ -176,7 +176,7 @@
         self.error = MessageError(status, text)
         raise self.error
 
-    def on_message_begin(self) -> None:  # noqa: D102 (httptools' names)
+    def on_message_begin(self) -> None:  # noqa: D102 (callback names of httptools)
         self.incoming = self._current = Message()
         self.in_head = True
 
@@ -184,8 +184,8 @@
         self._current.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:  # noqa: D102
-        if self.in_head:  # a trailer is read and not kept
-            # Space around a value is not part of it (RFC 9110 section 5.5); the parser leaves what is behind.
+        if self.in_head:  # trailers are parsed and discarded
+            # Whitespace around a value is not part of it (RFC 9110 section 5.5); the parser leaves some.
             self._current.headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:  # noqa: D102
@@ -196,10 +196,10 @@
         if length is not None and not length.isdigit():
             self._fail(400, "content-length is no number")
         part.length = None if length is None else int(length)
-        # Answers are bounded by what is kept of them: a streamed one may be of any length.
+        # Responses are limited by what is buffered of them: a streamed one may be of any length.
         if part.length is not None and part.length > self.max_body and not self.answers:
             self._fail(413, "body too large")
-        # Guards against a body whose end nothing marks, or that is another one once its coding is dropped
+        # Rejects a body whose end can't be determined, or that would change once its coding is removed
         # (RFC 9112 section 6.1).
         if (part.get(b"transfer-encoding") or b"chunked").strip().lower() != b"chunked":
             self._fail(400, "unknown transfer coding")
@@ -215,7 +215,7 @@
             part.method, part.version = request_parser.get_method(), request_parser.get_http_version()
             if request_parser.should_upgrade():
                 self._fail(400, "upgrade is not offered")
-            # An absolute target (RFC 9112 section 3.2.2) names the host once more; what counts is behind it.
+            # An absolute target (RFC 9112 section 3.2.2) repeats the host; only the path after it is used.
             part.target = ABSOLUTE.sub(b"", part.target) or b"/"
         part.keep_alive = self.parser.should_keep_alive()
         if refusal := self.reservation.expect(part, part.length or 0):
@@ -232,20 +232,20 @@
             self._fail(503, refusal)
 
     def release(self) -> None:
-        """Give back what was charged for bodies: they are answered, or their connection is over."""
+        """Release the budget charged for bodies, once they are answered or their connection has closed."""
         self.reservation.release()
 
     def on_message_complete(self) -> None:  # noqa: D102
         message = self._current
         message.complete, self.pending_bytes, message.completed_at = True, 0, self.read_at
-        if message.stream is None:  # else it is being answered already
+        if message.stream is None:  # a streamed request is already being answered
             self.ready.append(message)
         self.incoming = None
-        del self._current  # its body must not outlive its answer here
+        del self._current  # frees the body once the request is answered
 
 
 class Channel:
-    """A connected socket and the framer of what comes in on it."""
+    """A connected socket and the framer that parses its input."""
 
     def __init__(self, sock: socket.socket, framer: Framer) -> None:
         sock.setblocking(False)
@@ -253,15 +253,15 @@
         self.sock, self.framer = sock, framer
         self.loop = asyncio.get_running_loop()
         self.buffer = memoryview(bytearray(CHUNK))
-        self.last_activity = time.monotonic()  # when bytes last went in or out
-        self.unsent = 0  # bytes of the last write that the kernel has not taken yet
-        self.bytes_sent = 0  # bytes that the kernel has taken since the connection came up
-        self.write_waiter: asyncio.Future[None] | None = None  # who waits for the kernel to take more
-        self.reading = False  # the loop tells when there is more,
-        self.read_waiter: asyncio.Future[None] | None = None  # and who waits for that
+        self.last_activity = time.monotonic()  # when bytes were last read or written
+        self.unsent = 0  # bytes of the last write that the kernel has not accepted yet
+        self.bytes_sent = 0  # bytes that the kernel has accepted since the connection opened
+        self.write_waiter: asyncio.Future[None] | None = None  # pending while a write is blocked
+        self.reading = False  # whether the loop watches the socket for input
+        self.read_waiter: asyncio.Future[None] | None = None  # pending while `read` waits for input
 
     async def receive(self) -> bool:
-        """Read once and take it in; False at the end of the stream."""
+        """Read once and parse the bytes; False at the end of the stream."""
         count = await self.loop.sock_recv_into(self.sock, self.buffer)
         self.last_activity = time.monotonic()
         if count:
@@ -269,9 +269,10 @@
         return count > 0
 
     async def send(self, data: bytes | bytearray | memoryview) -> None:
-        """Write all of it.
+        """Write all of the data.
 
-        Guards what counts as sent: a cancel can strike only while the kernel has not taken the last byte.
+        Cancellation is possible only while the kernel has not accepted the last byte, so that the count of
+        sent bytes stays exact.
         """
         view = memoryview(data)
         self.unsent = len(view)
@@ -282,7 +283,7 @@
         self.last_activity = time.monotonic()
 
     def push(self, data: bytes | bytearray | memoryview) -> int:
-        """Write what the kernel takes now, without waiting; the count of bytes that it took."""
+        """Write without waiting; return the number of bytes that the kernel accepted."""
         try:
             count = self.sock.send(data)
         except (BlockingIOError, InterruptedError):
@@ -291,7 +292,7 @@
         return count
 
     async def _writable(self) -> None:
-        """Wait until the kernel takes more."""
+        """Wait until the socket is writable."""
         ready = self.write_waiter = self.loop.create_future()
         self.loop.add_writer(self.sock, _resolve, ready)
         try:
@@ -300,33 +301,39 @@
             self._unblock()
 
     def _unblock(self) -> None:
-        """Look no more whether the kernel takes more; who still waits for that is cancelled."""
+        """Stop watching for writability; a write that still waits for it is cancelled."""
         blocked, self.write_waiter = self.write_waiter, None
         if blocked is not None:
             self.loop.remove_writer(self.sock)
             blocked.cancel()
 
     def grow_buffer(self) -> None:
-        """Read more at once from now on: a large body passes through."""
+        """Use the larger read buffer, while a large body is streamed."""
         if len(self.buffer) < BULK:
             self.buffer = memoryview(bytearray(BULK))
 
     def shrink_buffer(self) -> None:
-        """Read as usual again."""
+        """Return to the usual read buffer."""
         if len(self.buffer) > CHUNK:
             self.buffer = memoryview(bytearray(CHUNK))
 
     async def read(self) -> int | None:
-        """Wait, then read into `buffer`: the bytes, 0 at the end, None where nothing came; raises OSError.
+        """Wait for input, then read it into `buffer`.
 
-        Guards the step between a read and what is done with it: what is not here yet lies in the socket, and
-        `peek` tells of it, up to the very step in which it is returned.
+        Bytes stay in the socket, where `peek` sees them, until the loop step in which this method returns
+        them: there is no moment at which bytes are read but not yet processed.
+
+        Returns:
+            The number of bytes, 0 at the end of the stream, None if nothing came (see `wake`).
+
+        Raises:
+            OSError: The connection was reset.
         """
         self.read_waiter = self.loop.create_future()
         if not self.reading:
             self.reading = True
             self.loop.add_reader(self.sock, self._readable)
-        await self.read_waiter  # also where there is more: others have their turn first
+        await self.read_waiter  # even if input is pending: other tasks run first
         try:
             count = self.sock.recv_into(self.buffer)
         except BlockingIOError:
@@ -335,12 +342,12 @@
         return count
 
     def wake(self) -> None:
-        """Let `read` return at once, with nothing if nothing came."""
+        """Make `read` return at once, with None if there is no input."""
         if self.read_waiter is not None and not self.read_waiter.done():
             self.read_waiter.set_result(None)
 
     def _readable(self) -> None:
-        """Something lies there: wake who waits for it; if no one does, it is not watched for now."""
+        """Wake the waiting `read` on input; if none waits, stop watching the socket for now."""
         waiter, self.read_waiter = self.read_waiter, None
         if waiter is None or waiter.done():
             self._unwatch()
@@ -353,7 +360,7 @@
             self.loop.remove_reader(self.sock)
 
     def peek(self) -> bool | None:
-        """What lies unread: True for bytes, False for the other side's end or its reset, None for nothing."""
+        """Check for unread input: True for bytes, False for the peer's end or reset, None for nothing."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
         except BlockingIOError:
@@ -362,18 +369,18 @@
             return False
 
     def stale(self) -> bool:
-        """Whether the other side has closed this idle connection or said something unasked."""
+        """Whether the peer has closed this idle connection or sent unsolicited bytes."""
         return self.peek() is not None
 
     def close(self) -> None:
-        """Close the socket; no read may be waiting on it, and a write that waits is cancelled."""
+        """Close the socket and cancel a waiting write; no read may be waiting."""
         self._unwatch()
         self._unblock()
         self.sock.close()
 
 
 def _resolve(future: asyncio.Future[None]) -> None:
-    """Wake whoever waits for a future, unless that is done."""
+    """Resolve a future, unless it is done."""
     if not future.done():
         future.set_result(None)
 
@@ -381,7 +388,7 @@
 def write_request(
     method: bytes, target: bytes, headers: Headers, length: int = 0, chunked: bool = False
 ) -> bytes:
-    """A request's start line and headers."""
+    """Format a request's start line and headers."""
     lines = [b"%b %b HTTP/1.1" % (method, target)]
     lines += [b"%b: %b" % header for header in headers]
     if chunked:
@@ -392,9 +399,10 @@
 
 
 def in_chunks(request: Message, length: int | None) -> bool:
-    """Whether the body of the answer to a request goes out in chunks: if no length is known before its end.
+    """Whether the response to a request uses chunked encoding: if its body's length is not known in advance.
 
-    A client of HTTP/1.0 knows none (RFC 9112 section 7.1): the end of the connection ends its body.
+    HTTP/1.0 clients don't support chunks (RFC 9112 section 7.1): the end of the connection ends the body, and
+    the request is marked `until_close`.
     """
     if length is None and request.version == "1.0":
         request.until_close, request.keep_alive = True, False
@@ -402,7 +410,7 @@
 
 
 def write_head(status: int, headers: Headers, length: int | None, close: bool, chunked: bool = True) -> bytes:
-    """An answer's start line and headers; a body without a length comes in chunks, or ends with the close."""
+    """Format a response's start line and headers; a body without a length is chunked or ends at the close."""
     lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, "Unknown").encode())]
     lines += [b"%b: %b" % header for header in headers]
     if length is not None:
--- a/mallowbeam/http/handler.py
+++ b/mallowbeam/http/handler.py
@@ -1,4 +1,4 @@
-"""The interface between the server and an application: a complete request in, one `Response` out."""
+"""The interface between the server and an application: a request in, one `Response` out."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Response(NamedTuple):
-    """An answer: its status, and its bytes or what writes them as they come (False: it broke off)."""
+    """A response: its status, and its bytes or a function that streams them (False: it was truncated)."""
 
     status: int
     data: bytes = b""
@@ -18,37 +18,37 @@
 
 
 class RequestHandler(Protocol):
-    """An application behind a server: speaks one protocol to its clients."""
+    """An application behind a server; implements one protocol towards its clients."""
 
     @property
     def max_body(self) -> int:
-        """Bytes of a request's body, at most."""
+        """Largest request body, in bytes."""
 
     @property
     def max_buffered_body(self) -> int:
-        """Bytes of a body up to which it is buffered and handed over complete; a longer one is streamed."""
+        """Largest body, in bytes, that is buffered and passed on complete; a longer one is streamed."""
 
     @property
     def budget(self) -> BodyBudget | None:
-        """What bounds the bodies of all connections together; None for no bound."""
+        """Shared limit on the bodies of all connections; None for no limit."""
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
-        """The answer to a request.
+        """Return the response to a request.
 
-        `closing`, asked when the answer is known, tells whether the connection is closed after it.
+        `closing`, called once the response is known, tells whether the connection closes after it.
         """
 
     def error_response(self, status: int, text: str) -> Response:
-        """The answer to what breaks HTTP or a bound; the connection is closed after it."""
+        """Return the response to a malformed or oversized request; the connection closes after it."""
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
-        """A request's answer has gone out, or broken off: the one place where requests are counted."""
+        """Called when a response was sent or truncated; the only place where requests are counted."""
 
 
 def text_response(
     status: int, text: str, close: bool, headers: list[tuple[bytes, bytes]] | None = None
 ) -> Response:
-    """A whole answer with a line of text."""
+    """Build a complete response with one line of text."""
     body = text.encode() + b"\n"
     head = write_head(status, [(b"content-type", b"text/plain"), *(headers or [])], len(body), close)
     return Response(status, head + body)
--- a/mallowbeam/http/read_ahead.py
+++ b/mallowbeam/http/read_ahead.py
@@ -1,4 +1,4 @@
-"""Bytes read ahead of their turn from a pipelining client; its end of stream shows only behind them."""
+"""Bytes read ahead from a pipelining client; its end of stream is visible only after them."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 from mallowbeam.http.budget import BodyBudget
 
-MAX_READ_AHEAD = 64 * 1024  # bytes that one client may have here
-CHUNK_OVERHEAD = 128  # bytes that each piece counts for besides: a trickle must not hold more
+MAX_READ_AHEAD = 64 * 1024  # bytes buffered for one client
+CHUNK_OVERHEAD = 128  # bytes charged for each chunk in addition: one-byte reads must not exceed the limit
 
 
 class ReadAhead:
-    """Bytes that wait to be parsed, bounded for each connection and by the budget that all share."""
+    """Bytes that wait to be parsed, limited for each connection and by the shared budget."""
 
     def __init__(self, budget: BodyBudget | None) -> None:
-        self.chunks: deque[tuple[float, bytes]] = deque()  # with when each was read
-        self.buffered, self.budget = 0, budget  # bytes in all
+        self.chunks: deque[tuple[float, bytes]] = deque()  # (time read, bytes)
+        self.buffered, self.budget = 0, budget  # bytes buffered, including overhead
 
     def __bool__(self) -> bool:
-        """Whether something waits."""
+        """Whether any chunk is buffered."""
         return bool(self.chunks)
 
     @property
     def full(self) -> bool:
-        """Whether nothing more may be read: the rest stays with its client."""
+        """Whether reading must pause, so that TCP flow control holds back the client."""
         return (
             self.buffered >= MAX_READ_AHEAD
             or self.budget is not None
@@ -31,12 +31,12 @@
         )
 
     def append(self, data: memoryview, at: float) -> None:
-        """Queue what was read at a time, by the monotonic clock."""
+        """Queue bytes that were read at time `at` of the monotonic clock."""
         self.chunks.append((at, bytes(data)))
         self._charge(len(data) + CHUNK_OVERHEAD)
 
     def popleft(self) -> tuple[float, bytes]:
-        """When the next piece was read, and the piece."""
+        """Remove the next chunk; return when it was read, and its bytes."""
         at, data = self.chunks.popleft()
         self._charge(-len(data) - CHUNK_OVERHEAD)
         return at, data
--- a/mallowbeam/http/server.py
+++ b/mallowbeam/http/server.py
@@ -1,9 +1,9 @@
-"""The clients' side: a listening socket, how many connections it holds, and which of them make room.
+"""The server side: a listening socket, its connection limit, and which connections are closed to make room.
 
-Each connection is a task of its own (`http/connection.py`) that calls the front behind this server.  What the
-kernel has taken for the listener lies in its accept queue and is owed an answer like any other: it is taken
-from there and becomes a connection in one step, so that a cancel between the two loses none, and the listener
-is closed in the step in which its queue was found empty.
+Each connection is a task of its own (`http/connection.py`) that calls the front behind this server.
+Connections in the kernel's accept queue must be answered like any other.  Each is accepted and becomes a
+connection object in one loop step, so that a cancellation between the two loses none, and the listener is
+closed in the step in which its queue was found empty.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 from mallowbeam.http.connection import Connection
 from mallowbeam.http.handler import RequestHandler
-from mallowbeam.http.handler import Response as Response  # for the fleet's page, which has them from here
+from mallowbeam.http.handler import Response as Response  # re-exported for the fleet's page
 from mallowbeam.http.handler import text_response as text_response
 from mallowbeam.http.reporting import RateLimitedWarning, logger
 from mallowbeam.http.shutdown import LINGER
 
 BACKLOG = 512
-SPARE = 8  # one in so many connections is kept for refusing those beyond the others
-AT_ONCE = 16  # connections accepted in one step of the loop, at most
-NO_DESCRIPTORS = 0.05  # seconds without accepting after descriptors ran out
-# What accept(2) says of the one connection that it was about to hand over, not of the listener.
+SPARE = 8  # one in this many connections is reserved for rejecting the excess ones
+AT_ONCE = 16  # connections accepted in one loop step, at most
+NO_DESCRIPTORS = 0.05  # seconds without accepting after file descriptors ran out
+# Errors of accept(2) that concern the connection being accepted, not the listener.
 GONE = frozenset(
     (
         errno.ECONNABORTED,
@@ -45,58 +45,58 @@
 
 
 class ServedConnection(Protocol):
-    """A client's connection, as its server sees it."""
+    """A client's connection, as far as its server uses it."""
 
     task: asyncio.Task[None]  # ends with the connection
 
     @property
     def closing(self) -> bool:
-        """Whether it is about to end, or has ended."""
+        """Whether the connection is closing or closed."""
 
     @property
     def closing_soon(self) -> bool:
-        """Whether it was told to leave: nothing more can be hurried."""
+        """Whether `close_soon` was called: the close can't be hastened further."""
 
     @property
     def answered(self) -> bool:
-        """Whether a request on it has had its answer."""
+        """Whether any request on the connection has been answered."""
 
     @property
     def response_task(self) -> asyncio.Task[None] | None:
-        """What answers a request, while there is one."""
+        """The task that answers a request, while there is one."""
 
     @property
     def waiting_since(self) -> float:
-        """When what it waits for began, by the monotonic clock."""
+        """When the current wait began, by the monotonic clock."""
 
     @property
     def pending(self) -> int:
-        """Requests here that have come in whole and are not over yet."""
+        """Number of requests received completely and not yet answered."""
 
     @property
     def can_be_closed(self) -> bool:
-        """Whether it may be closed to make room."""
+        """Whether the connection may be closed to make room."""
 
     def close_soon(self) -> None:
-        """Begin the orderly end, without waiting."""
+        """Begin the orderly close, without waiting."""
 
     def sweep(self, now: float) -> None:
-        """End it where it has been idle or stalled for too long."""
+        """End the connection if it has been idle or stalled for too long."""
 
 
 class ConnectionFactory(Protocol):
-    """Makes the connection of an accepted socket."""
+    """Creates the connection object of an accepted socket."""
 
     def __call__(self, server: Server, sock: socket.socket, over: bool, /) -> ServedConnection:
-        """Begin to serve the socket; with `over` there is no room for it, and its request is refused."""
+        """Serve the socket; `over` means over the limit: its request is rejected."""
 
 
 class Server:
     """One listening address and the front behind it."""
 
-    acceptor: asyncio.Task[None]  # from `start` on
+    acceptor: asyncio.Task[None]  # set by `start`
 
-    def __init__(  # noqa: PLR0913 (all that a listener is; by name where called)
+    def __init__(  # noqa: PLR0913 (callers pass keywords)
         self,
         address: tuple[str, int],
         front: RequestHandler,
@@ -108,7 +108,7 @@
     ) -> None:
         self.front, self.closing, self.name = front, False, name
         self.configured_limit = self.connection_limit = (
-            most  # connections that may be held at once: in all, and now
+            most  # connections open at once: the configured limit, and the one in force
         )
         self.connection = connection
         self.sock = handed or bound(address, shared)
@@ -121,20 +121,20 @@
 
     @property
     def spare(self) -> int:
-        """How many of the connections only refuse.
+        """How many of the connections are reserved for rejecting requests.
 
-        Guards against requests lost in the backlog, where their clients count them as taken: the last few
-        refuse, at once, so that there is always room for one more.
+        Requests left in the accept queue would be lost although their clients consider them received.  The
+        last few connections reject at once, so that there is always room to accept one more.
         """
         return max(1, self.connection_limit // SPARE)
 
     @property
     def pending(self) -> int:
-        """Requests taken in whole that are not over yet."""
+        """Number of requests received completely and not yet answered, over all connections."""
         return sum(connection.pending for connection in self.connections)
 
     def start(self) -> None:
-        """Begin to listen."""
+        """Start to listen and accept connections."""
         self.sock.listen(BACKLOG)
         self.sock.setblocking(False)
         self.acceptor = asyncio.create_task(self._accept())
@@ -145,7 +145,7 @@
             await self._take_in()
 
     async def _knocked(self) -> None:
-        """Wait until there is something in the accept queue; it stays there, so a cancel loses nothing."""
+        """Wait for a connection in the accept queue; it stays there, so a cancellation loses nothing."""
         loop, knocked = asyncio.get_running_loop(), asyncio.Event()
         loop.add_reader(self.sock, knocked.set)
         try:
@@ -154,9 +154,10 @@
             loop.remove_reader(self.sock)
 
     async def _take_in(self) -> bool:
-        """Take in what lies in the accept queue, up to AT_ONCE of it; whether it was found empty at the end.
+        """Accept up to AT_ONCE connections; return whether the queue was found empty.
 
-        Guards against an accepted socket without an owner: nothing is awaited before it is a connection.
+        Nothing is awaited between the accept and the creation of the connection, so that no accepted socket
+        is left without an owner.
         """
         for _ in range(AT_ONCE):
             try:
@@ -166,7 +167,7 @@
             except OSError as error:
                 if error.errno not in GONE:
                     self.cannot_accept(error)
-                    # Guards against descriptors running out: those held go on, new clients wait in the queue.
+                    # Without file descriptors, open connections go on and new clients wait in the queue.
                     await asyncio.sleep(NO_DESCRIPTORS)
                 continue
             try:
@@ -174,32 +175,33 @@
                 if over:
                     self.all_busy(f"{len(self.connections)} of {self.connection_limit}")
                 self.connections.add(self.connection(self, sock, over))
-            except OSError:  # its client has gone
+            except OSError:  # the client has disconnected
                 sock.close()
             except Exception as error:
-                # Guards the listener: a fault with one connection must not leave all later ones unheard.
+                # A failure of one connection must not stop the listener.
                 sock.close()
-                logger.error("a connection failed unforeseen", exc_info=error)
+                logger.error("unforeseen error while a connection was accepted", exc_info=error)
             while len(self.connections) > self.connection_limit:
-                # Guards those that wait to be accepted: what has had its last answer goes first.
+                # Makes room for the connections in the queue: those past their last response close first.
                 self._let_go()
                 ending = [c.task for c in self.connections if c.closing] or [c.task for c in self.connections]
                 await asyncio.wait(ending, return_when=asyncio.FIRST_COMPLETED)
         return False
 
     def _make_room(self) -> bool:
-        """Whether there is room for one more request, if need be that of a connection which may be closed."""
+        """Whether another connection may serve requests; closes an idle connection for it if needed."""
         room = self.connection_limit - self.spare
-        if len(self.connections) < room:  # the usual case, without a look at any
+        if len(self.connections) < room:  # the common case: no scan of the connections
             return True
         return sum(not c.closing for c in self.connections) < room or self._let_go(ending=False)
 
     def _let_go(self, ending: bool = True) -> bool:
-        """Close one that may be closed: hung up first, then the longest idle; False if there is none.
+        """Close one connection that may be closed; False if there is none.
 
-        Guards first requests: a client whose connection closes after an answer only sends again, while one
-        that has had nothing yet may be about to send, and that request would fail.  Where clients come in
-        crowds this is most of the work: only those in question are put in order, as far as needed.
+        The order is: those already closing, then those that were answered before, then the longest idle.  A
+        client whose connection closes after a response simply sends its next request again; a client without
+        any response may be about to send its first request, which would fail.  With many new clients this
+        scan dominates the cost, so it uses a heap of the candidates only instead of a full sort.
         """
         among = [
             (not closing, not c.answered, c.waiting_since, id(c), c)
@@ -215,42 +217,43 @@
         return False
 
     def sweep(self) -> None:
-        """Look for connections that are idle or stalled for too long."""
+        """End connections that have been idle or stalled for too long."""
         now = time.monotonic()
         for connection in list(self.connections):
             try:
                 connection.sweep(now)
             except Exception as error:
-                # Guards the others: a fault with one must not end the look at all of them.
-                logger.error("a connection failed unforeseen", exc_info=error)
+                # A failure of one connection must not stop the sweep of the others.
+                logger.error("unforeseen error in a client connection", exc_info=error)
                 connection.close_soon()
 
     def close_after_responses(self) -> None:
-        """From now on every answer closes its connection."""
+        """Make every response from now on close its connection."""
         self.closing = True
 
     async def stop_accepting(self, within: float | None = None) -> None:
-        """Take no new connection.
+        """Close the listener.
 
-        What lies in the accept queue is taken in first, for at most `within` seconds where there is no room
-        for it at once; with None it stays there, for the next process that has this listener.
+        Args:
+            within: Seconds to accept the connections that are still in the queue, if there is no room for
+                them at once; None leaves them to the next process that has this listener.
         """
         self.acceptor.cancel()
         await asyncio.gather(self.acceptor, return_exceptions=True)
-        if self.sock.fileno() < 0:  # shut before
+        if self.sock.fileno() < 0:  # closed before
             return
         if within is not None:
             with suppress(TimeoutError):
-                async with asyncio.timeout(within):  # strikes where there is no room, and nowhere else
+                async with asyncio.timeout(within):  # can only expire while waiting for room
                     while not await self._take_in():
                         pass
-        self.sock.close()  # in the step in which the queue was found empty
+        self.sock.close()  # in the loop step in which the queue was found empty
 
     async def drain(self, within: float = LINGER) -> None:
-        """Take no new connection, let go of idle ones, and wait for what is held.
+        """Shut down gracefully: stop accepting, close idle connections, and wait for pending requests.
 
-        A request that has not come in whole was never taken; its client has a moment to finish it, at most
-        `within` seconds.
+        A partial request does not count as received; its client has at most `within` seconds, and never more
+        than `LINGER`, to complete it.
         """
         self.close_after_responses()
         within = min(within, LINGER)
@@ -258,7 +261,7 @@
         await self.stop_accepting(within)
         while self.connections:
             for connection in list(self.connections):
-                if connection.closing:  # it has had its last answer, and a moment to read it
+                if connection.closing:  # its close is under way and has a time limit
                     continue
                 if connection.can_be_closed or time.monotonic() > end and self._nothing_taken(connection):
                     connection.close_soon()
@@ -268,7 +271,7 @@
 
     @staticmethod
     def _nothing_taken(connection: ServedConnection) -> bool:
-        """Whether no request is held there, nor lies unread in the socket; an agent check ends by itself."""
+        """Whether the connection has no request, answered or unread; an agent check ends by itself."""
         return (
             isinstance(connection, Connection)
             and connection.response_task is None
@@ -277,7 +280,7 @@
 
 
 def bound(address: tuple[str, int], shared: bool) -> socket.socket:
-    """A socket bound to an address, shared or not with another process of this gateway."""
+    """Bind a socket to an address; `shared` lets another process of this gateway bind the same one."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, shared)
--- a/mallowbeam/http/shutdown.py
+++ b/mallowbeam/http/shutdown.py
@@ -1,9 +1,9 @@
 """Connection shutdown: the lingering close of RFC 9112 section 9.6, and how a departed client is noticed.
 
-A socket that is closed over bytes which nobody read resets its connection, and the reset may take an answer
-away that was on its way.  So there is one order: our side ends (`shutdown`), what still comes up to the
-client's end is read and dropped, within a bound of bytes and of time, and then the socket is closed.  What is
-read after the shutdown is never sent on: its client sees our end, and sends again elsewhere.
+Closing a socket that holds unread bytes resets its connection, and the reset can destroy a response in
+transit.  Therefore the server shuts down its sending side first, then reads and discards input until the
+client ends too, within limits of bytes and time, and then closes the socket.  Requests read after the
+shutdown are never forwarded: the client sees the end of the connection and sends them again elsewhere.
 """
 
 from __future__ import annotations
@@ -21,103 +21,104 @@
 from mallowbeam.http.handler import RequestHandler
 from mallowbeam.http.read_ahead import ReadAhead
 
-LINGER = 1.0  # seconds given to a client to read the last answer before the close
-LINGER_LEAST = 0.05  # and where it was told to leave, or sends without end
-LINGER_BYTES = 256 * 1024  # and what is read of it meanwhile, at most
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+LINGER = 1.0  # seconds that a client has to read the last response before the close
+LINGER_LEAST = 0.05  # the same when the connection is to close soon, or the client keeps sending
+LINGER_BYTES = 256 * 1024  # bytes read and discarded meanwhile, at most
+RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER that makes close() send a reset: on, 0 seconds
 
 
 class Stage(Enum):
-    """How far a client's connection is; it only goes forward."""
+    """Stage of a client's connection; stages only advance."""
 
     OPEN = "open"  # requests are read and answered
-    LAST = "last"  # to be ended once what has come is answered
-    LINGERING = "lingering"  # our side has ended: what still comes is read and dropped
+    LAST = "last"  # closes once the received requests are answered
+    LINGERING = "lingering"  # this side has ended: further input is read and discarded
     CLOSED = "closed"
 
 
 def shut(sock: socket.socket) -> None:
-    """End our side; where the other has reset the connection, its reader is told."""
+    """Shut down the sending side; a reset by the peer is left to the reader to report."""
     with suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
 
 
 def gone(sock: socket.socket) -> bool:
-    """Whether the client has ended or reset its connection, also behind bytes that are not read yet."""
+    """Whether the client has ended or reset its connection, even if unread bytes precede the end."""
     poll = select.poll()
-    poll.register(sock, select.POLLRDHUP)  # a reset is told unasked
+    poll.register(sock, select.POLLRDHUP)  # resets are always reported
     return bool(poll.poll(0))
 
 
 def drop(sock: socket.socket, buffer: memoryview, most: int) -> None:
-    """Read what lies there and drop it, without waiting; `most` in bytes."""
+    """Read and discard pending input without waiting, up to about `most` bytes."""
     try:
         while most > 0 and (count := sock.recv_into(buffer)):
             most -= count
-    except OSError:  # nothing more, or a reset: nothing is owed
+    except OSError:  # nothing left to read, or a reset
         pass
 
 
 def reset_at_close(sock: socket.socket) -> None:
-    """Let the close be a reset.
+    """Make the later close send a reset.
 
-    Guards a client against a part that looks whole, where the end of the connection marks that of the body.
+    Where the end of the connection marks the end of the body, a client would otherwise take a truncated body
+    for a complete one.
     """
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
 
 
 class Connections(Protocol):
-    """The open connections of a server, as one of them sees these."""
+    """A server's set of open connections, as far as a connection uses it."""
 
     def discard(self, connection: ConnectionShutdown, /) -> None:
-        """Take out a connection that is closed."""
+        """Remove a closed connection."""
 
 
 class Owner(Protocol):
-    """What a connection belongs to."""
+    """The server that a connection belongs to, as far as the connection uses it."""
 
     @property
     def front(self) -> RequestHandler:
-        """What answers its requests."""
+        """The application that answers its requests."""
 
     @property
     def closing(self) -> bool:
-        """Whether every answer closes its connection."""
+        """Whether every response closes its connection."""
 
     @property
     def connections(self) -> Connections:
-        """Those that are open; one takes itself out at its end."""
+        """The open connections; each removes itself when it closes."""
 
 
 class ConnectionShutdown:
-    """How a client's connection ends.  A part of `Connection`, which makes what is named here."""
+    """Closing of a client's connection; the base of `Connection`, which sets the attributes declared here."""
 
     server: Owner
     channel: Channel
     read_ahead: ReadAhead
     task: asyncio.Task[None]
-    response_task: asyncio.Task[None] | None  # what answers, while a request is held
-    streamed_request: Message | None  # a request whose body passes through
-    writing: bool  # an answer is going out
+    response_task: asyncio.Task[None] | None  # set while a request is being answered
+    streamed_request: Message | None  # the request whose body is being streamed
+    writing: bool  # a response is being written
     reading_may_resume: asyncio.Event
 
     state = Stage.OPEN
-    closing_soon = False  # told to leave: nothing more can be hurried
-    half_closed_at = 0.0  # when our side ended
-    close_timer: asyncio.TimerHandle | None = None  # until when the client may end its own
+    closing_soon = False  # `close_soon` was called: the close can't be hastened further
+    half_closed_at = 0.0  # when this side ended
+    close_timer: asyncio.TimerHandle | None = None  # limits the client's time to end its own side
 
     @property
     def closing(self) -> bool:
-        """Whether it is about to end, or has ended."""
+        """Whether the connection is closing or closed."""
         return self.state is not Stage.OPEN
 
     def close_soon(self) -> None:
-        """Begin the orderly end, without waiting; again and again is as good as once.
+        """Begin the orderly close, without waiting; idempotent.
 
-        What is being answered, and what has come in whole, is answered first; part of a request was never
-        taken, and its client sends it again elsewhere.  Where our side has ended already, the time that its
-        client has to end its own is cut short.
+        Complete requests are answered first; a partial request does not count as received, and its client
+        sends it again elsewhere.  If this side has ended already, the client's time to end its own is cut
+        short.
         """
         if self.state is Stage.LINGERING:
             self._close_by(self.half_closed_at + LINGER_LEAST)
@@ -129,24 +130,25 @@
         self.closing_soon = True
 
     def _nothing_unread(self) -> bool:
-        """Whether nothing lies unread: asked in the very step in which our side ends by our own choice.
+        """Whether the socket holds no unread bytes.
 
-        Guards a request that is taken but not read: a close over it would lose it.
+        Checked in the loop step in which this side ends by its own choice: a request that has arrived but is
+        not read would otherwise be lost.
         """
         return self.channel.peek() is None
 
     def _half_close(self, linger: float | None = None) -> None:
-        """End our side; the client has `linger` seconds to read and to end its own before the close."""
+        """End this side; the client has `linger` seconds to read and to end its own before the close."""
         self.state, self.half_closed_at = Stage.LINGERING, time.monotonic()
-        self.channel.framer.ready.clear()  # behind the last answer nothing is taken
+        self.channel.framer.ready.clear()  # no request is accepted after the last response
         self.read_ahead.clear()
         shut(self.channel.sock)
         self._close_by(self.half_closed_at + (LINGER if linger is None else linger))
-        self.closing_soon = False  # that may be cut short
+        self.closing_soon = False  # `close_soon` can still cut the lingering short
         self.reading_may_resume.set()
 
     def _close_by(self, when: float) -> None:
-        """Close it by then; an earlier time stands."""
+        """Close the socket at monotonic time `when` at the latest; an earlier deadline stays."""
         loop = self.channel.loop
         at = loop.time() + when - time.monotonic()
         if self.close_timer is None or at < self.close_timer.when():
@@ -155,7 +157,7 @@
             self.close_timer = loop.call_at(at, self.task.cancel)
 
     def _end_truncated(self, request: Message) -> None:
-        """End after an answer that is not whole: in order where its framing shows that, else by a reset."""
+        """Close after a truncated response: orderly if its framing shows the truncation, else by a reset."""
         if request.until_close:
             reset_at_close(self.channel.sock)
             self.task.cancel()
@@ -163,12 +165,12 @@
             self._half_close()
 
     async def _discard_input(self) -> None:
-        """Read on and drop it up to the client's end, so that the last answer is not lost with it."""
+        """Read and discard input until the client ends, so that no reset destroys the last response."""
         most: int = max(LINGER_BYTES, getattr(self.server.front, "unread_body", 0))
-        if self.streamed_request is not None:  # refused before its end
+        if self.streamed_request is not None:  # rejected before its end
             most = max(most, self.streamed_request.length or self.channel.framer.max_body)
         while most > 0:
             if (count := await self.channel.read()) == 0:
                 return
             most -= count or 0
-        await asyncio.sleep(LINGER_LEAST)  # a flood: it has this long to read our answer
+        await asyncio.sleep(LINGER_LEAST)  # the client keeps sending: it has this long to read the response
--- a/mallowbeam/http/stream.py
+++ b/mallowbeam/http/stream.py
@@ -1,4 +1,4 @@
-"""A body on its way through, in pieces: whoever hands it in waits while its taker is slow."""
+"""A streamed body, passed on in chunks with back-pressure from its consumer to its producer."""
 
 from __future__ import annotations
 
@@ -6,46 +6,46 @@
 from collections.abc import Callable
 from typing import Protocol
 
-HELD_CHUNKS = 2  # pieces that wait for a slow taker: many bodies at once stay within memory
-MOST = 40 * 1024 * 1024  # bytes of a body that passes through the platform's front, at most
+HELD_CHUNKS = 2  # chunks queued for a slow consumer: limits the memory of many bodies at once
+MOST = 40 * 1024 * 1024  # largest body, in bytes, streamed by the platform front
 
 
 class Writer(Protocol):
-    """What a body is written to: a `Channel`."""
+    """Destination of a body, such as a `Channel`."""
 
     async def send(self, data: bytes | bytearray | memoryview) -> None:
         """Write all of the data; raises `OSError`."""
 
 
 class Stream:
-    """Between one who reads a body and one who passes it on; a few pieces wait here."""
+    """Bounded queue of chunks between the producer and the consumer of one body."""
 
     def __init__(
         self, closed: Callable[[], object] | None = None, wanted: Callable[[], object] | None = None
     ) -> None:
         self._pieces: asyncio.Queue[bytearray | None] = asyncio.Queue(HELD_CHUNKS)
-        self._closed, self._wanted = closed, wanted  # told once: no more is wanted; the first piece is
+        self._closed, self._wanted = closed, wanted  # called once: at `close`; before the first `get`
         self.aborted = self.closed = False
 
     @property
     def full(self) -> bool:
-        """Whether the next piece would wait."""
+        """Whether the next `put` would wait."""
         return not self.closed and self._pieces.full()
 
     async def put(self, piece: bytearray | None) -> None:
-        """Hand in a piece, or None at the end; waits while the taker is slow."""
+        """Queue a chunk, or None at the end; waits while the queue is full."""
         if not self.closed:
             await self._pieces.put(piece)
 
     def abort(self) -> None:
-        """The body is over before its end."""
+        """Mark the body as truncated and wake the consumer."""
         self.aborted = True
         if self._pieces.full():
             self._pieces.get_nowait()
         self._pieces.put_nowait(None)
 
     async def get(self) -> bytearray | None:
-        """The next piece; None at the end and where it broke."""
+        """Return the next chunk; None at the end, and if the body was truncated (`aborted`)."""
         wanted = self._wanted
         if wanted is not None:
             self._wanted = None
@@ -54,7 +54,7 @@
         return None if self.aborted else piece
 
     def close(self) -> None:
-        """No more is wanted; who waits to hand in a piece goes on."""
+        """Stop consuming: queued chunks are dropped, and a waiting `put` returns."""
         if not self.closed:
             self.closed = True
             while not self._pieces.empty():
@@ -64,7 +64,7 @@
 
 
 async def copy(stream: Stream, channel: Writer, skip: int, size: int | None, chunked: bool) -> bool:
-    """Write a stream's bytes from `skip` on: `size` of them, or all to its end; False if it broke off."""
+    """Write `size` bytes of a stream from offset `skip`, or all to its end; False if it was truncated."""
     left = size
     while left is None or left > 0:
         piece = await stream.get()
--- a/mallowbeam/reload_signal.py
+++ b/mallowbeam/reload_signal.py
@@ -1,4 +1,4 @@
-"""SIGHUP during a start: recorded before anything else is loaded, and handled once the program serves."""
+"""SIGHUP during start-up: recorded before other modules are imported, handled once the program serves."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def defer_sighup() -> list[int]:
-    """Record SIGHUPs until the program installs its own handler; each one that arrives is appended.
+    """Record SIGHUPs until the program installs its own handler; each one is appended to the returned list.
 
-    Guards a start against the signal's default action, which ends the program, and against a reload that is
-    lost: the file to be reloaded may have been read just before.
+    Without this, a SIGHUP during start-up would end the program (the default action).  Ignoring it would lose
+    a reload: the file to be reloaded may have been read just before.
     """
     deferred: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: deferred.append(number))
--- a/tests/http/test_accepting.py
+++ b/tests/http/test_accepting.py
@@ -1,4 +1,4 @@
-"""What a listener owes to connections that come, on real sockets: in its queue, at its end, in trouble."""
+"""A listener on real sockets: connections in its accept queue, at its shutdown, and under accept errors."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from mallowbeam.http.handler import Response, text_response
 from mallowbeam.http.server import Server
 
-PATIENCE = 10.0  # seconds until what is expected counts as missing
+PATIENCE = 10.0  # seconds to wait for an expected event
 REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"
 LAST = b"GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
 
 
 class Pages:
-    """A front that answers everything at once, or once `held` is set."""
+    """A front that answers every request once `held` is set, which it is at first."""
 
     max_body, max_buffered_body, budget = 0, 0, None
 
@@ -43,7 +43,7 @@
 
 
 class Crossed(socket.socket):
-    """A listener's socket with hooks: before each accept, with what it gave, and as it is closed."""
+    """A listening socket with hooks before and after each accept, and before its close."""
 
     before: Callable[[], None] = staticmethod(lambda: None)
     after: Callable[[], None] = staticmethod(lambda: None)
@@ -61,7 +61,7 @@
 
 
 def scene(play: Callable[[Server], Awaitable[None]], most: int = 64) -> None:
-    """Play one scene with a server that has not begun to listen."""
+    """Run a coroutine with a server that does not listen yet."""
 
     async def run() -> None:
         server = Server(("127.0.0.1", 0), Pages(), most)
@@ -73,14 +73,14 @@
 
 
 def knock(server: Server, data: bytes = REQUEST) -> socket.socket:
-    """A client's connection with its request, made without a step of the loop: it lies in the queue."""
+    """Connect and send a request without a loop step: the connection stays in the accept queue."""
     sock = socket.create_connection(server.address, timeout=PATIENCE)
     sock.sendall(data)
     return sock
 
 
 async def answer(sock: socket.socket) -> bytes:
-    """All that comes up to the end; a reset is an error."""
+    """Read to the end of the stream; a reset raises."""
     sock.setblocking(False)
     whole = b""
     with sock:
@@ -94,7 +94,7 @@
 
 
 def test_what_lies_in_the_accept_queue_at_the_end_is_answered():
-    """Guards requests at the door: a listener that is closed resets what it has not accepted."""
+    """Closing a listener resets the connections that it has not accepted."""
 
     async def play(server: Server) -> None:
         server.start()
@@ -107,7 +107,7 @@
 
 
 def test_a_queue_longer_than_the_room_is_answered_to_the_last():
-    """Each gets 200, or 503 where there is no room: none is closed unread, and never more are held."""
+    """Each gets 200, or 503 over the limit; none is closed unread, and the limit holds."""
 
     async def play(server: Server) -> None:
         server.start()
@@ -130,7 +130,7 @@
 
 
 def test_the_time_for_the_accept_queue_is_bounded():
-    """Guards the end: a client that holds the only place is not waited for beyond the time that is left."""
+    """A client that occupies the only connection must not delay the shutdown beyond its deadline."""
 
     async def play(server: Server) -> None:
         server.start()
@@ -147,7 +147,7 @@
 
 
 def test_one_accepted_in_the_very_instant_of_the_end_is_answered():
-    """The crossing: the listener is shut between the accept and the acceptor's next step."""
+    """Race: the listener is closed between the accept and the acceptor's next loop step."""
 
     async def play(server: Server) -> None:
         ends = []
@@ -160,7 +160,7 @@
 
 
 def test_one_that_comes_with_the_last_look_at_the_queue_is_answered():
-    """The crossing: it comes while the listener is being shut, after its end was decided."""
+    """Race: connections arrive while the listener is being closed."""
 
     async def play(server: Server) -> None:
         socks = []
@@ -177,7 +177,7 @@
 
 
 def test_a_queue_that_is_handed_over_is_answered_once_by_either():
-    """The crossing: the old process shuts in the instant of its accept, and the new one has the rest."""
+    """Race: the old process stops right after its first accept; the new process accepts the rest."""
 
     async def play(server: Server) -> None:
         new, shuts = Server(server.address, Pages(), 64, handed=server.sock.dup()), []
@@ -210,14 +210,14 @@
 
 
 def test_a_request_that_lies_unread_when_time_is_up_is_answered():
-    """The crossing: a new connection's first request comes as its time to send it ends."""
+    """Race: a new connection's first request arrives as its time to send it ends."""
 
     async def play(server: Server) -> None:
         server.start()
         sock = knock(server, b"")
         while not server.connections:
             await asyncio.sleep(0)
-        server.sock.closed = lambda: sock.sendall(REQUEST)  # the first look follows, in the same step
+        server.sock.closed = lambda: sock.sendall(REQUEST)  # the first check follows in the same loop step
         drained = asyncio.create_task(server.drain(0.0))
         assert await answers([sock]) == [b"HTTP/1.1 200"]
         await drained
@@ -262,7 +262,7 @@
 
 
 def test_one_that_has_gone_right_after_its_accept_is_no_fault():
-    """Guards the log and the others: the socket of a client that has gone may refuse whatever it is asked."""
+    """Any call on the socket of a departed client may fail; that must not be logged or affect others."""
 
     async def play(server: Server) -> None:
         def gone(*_: object) -> None:
@@ -303,7 +303,7 @@
         assert await asyncio.get_running_loop().sock_recv(held, 4096)
         drained = asyncio.create_task(server.drain())
         refused.clear()
-        await refused.wait()  # met again by the end's look at the queue
+        await refused.wait()  # hit again as the shutdown empties the queue
         spared.append(1)
         assert await answers([sock, held]) == [b"HTTP/1.1 200", b""]
         await drained
@@ -312,7 +312,7 @@
 
 
 def test_a_listener_that_fails_for_good_does_not_spin():
-    """Guards the loop: what fails every time is looked at again after a pause, and ends with the listener."""
+    """A persistent accept error is retried after a pause, so it does not occupy the event loop."""
 
     async def play(server: Server) -> None:
         tries = []
@@ -326,7 +326,7 @@
         with knock(server):
             while not tries:
                 await asyncio.sleep(0)
-            for _ in range(50):  # steps of the loop
+            for _ in range(50):  # loop steps
                 await asyncio.sleep(0)
             assert len(tries) < 10
             await server.drain()
--- a/tests/http/test_broken_off.py
+++ b/tests/http/test_broken_off.py
@@ -1,4 +1,4 @@
-"""Answers that break off at the node, on loopback sockets: the client can tell that they are not whole."""
+"""Responses truncated by the node, on loopback sockets: the client can detect the truncation."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @pytest.mark.parametrize("front", ["platform", "objects"])
 @pytest.mark.parametrize("broken", [True, False])
 def test_a_body_that_ends_with_its_connection_is_reset_where_it_breaks_off(keep, front, broken):
-    """Guards a client of HTTP/1.0: a part of an answer looked like the whole."""
+    """An HTTP/1.0 client took a truncated response for a complete one."""
 
     async def run() -> None:
         async with World() as world:
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("form", ["content-length: 300000", "transfer-encoding: chunked"])
 def test_an_answer_whose_framing_shows_its_end_breaks_off_in_order(form):
-    """Guards earlier answers on the connection, which a reset would take away."""
+    """A reset would destroy earlier responses on the connection."""
 
     async def run() -> None:
         async with World() as world:
--- a/tests/http/test_closing.py
+++ b/tests/http/test_closing.py
@@ -1,4 +1,4 @@
-"""The end of a client's connection, on loopback sockets: what crosses it, and what it owes."""
+"""Closing of a client's connection, on loopback sockets, and its races with requests and responses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from mallowbeam.http.framing import Channel
 from mallowbeam.http.shutdown import Stage
 
-LATER = 60.0  # seconds after which anything idle or stalled has been so for too long
+LATER = 60.0  # seconds; longer than every idle and stall time-out
 
 
 def sweep(here: Connection) -> None:
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_a_request_that_lies_unread_when_its_connection_is_ended_is_answered(way):
-    """Guards the one answer: the socket was closed over the request, which nobody had read."""
+    """The socket was closed although it held an unread request."""
 
     async def run() -> None:
         async with World() as world:
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_part_of_a_request_that_lies_unread_has_its_time(way):
-    """Guards a slow writer: half a line that came in the instant of the end was closed over."""
+    """The socket was closed although half a request line had just arrived from a slow client."""
 
     async def run() -> None:
         async with World() as world:
@@ -62,14 +62,14 @@
             arrive(client, here, request(2)[:20])
             WAYS[way](here)
             await until(lambda: here.incoming is not None)
-            sweep(here)  # and its time is over
+            sweep(here)  # its time is over
             assert (await client.read()).startswith(b"HTTP/1.1 408")
 
     uvloop.run(run())
 
 
 class Crossing:
-    """Does something once, right before our side is shut or the socket closed, whichever comes first."""
+    """Runs an action once, right before the gateway shuts down or closes a socket, whichever is first."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.act, self.shuts, self.over = None, 0, 0
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("count", [1, 300])
 @pytest.mark.parametrize("way", WAYS)
 def test_requests_that_cross_the_end_meet_an_orderly_end_and_go_nowhere(monkeypatch, way, count):
-    """The client rests until the gateway ends it and sends between the look and the shutdown."""
+    """The client sends between the gateway's check of the idle connection and the shutdown."""
     crossing = Crossing(monkeypatch)
 
     async def run() -> None:
@@ -144,7 +144,7 @@
     ids=["pipeline", "garbage", "upload"],
 )
 def test_what_follows_a_request_that_closes_is_read_and_dropped(monkeypatch, behind):
-    """Guards the last answer: the reader stopped at the first bytes, and the close over the rest reset it."""
+    """The reader stopped at the first bytes, and closing with the rest unread reset the last response."""
     crossing = Crossing(monkeypatch)
 
     async def run() -> None:
@@ -165,7 +165,7 @@
 
 
 def test_a_flood_behind_the_last_answer_is_read_within_a_bound_and_then_rests(monkeypatch):
-    """Guards both: the core against a client that sends for ever, and the answer against the close."""
+    """An endless sender must not occupy the core, and the close must not destroy its response."""
     monkeypatch.setattr(shutdown, "LINGER", LATER)
 
     async def run() -> None:
@@ -174,7 +174,7 @@
             await world.play("n0 expect GET\nn0 send 200 body=one")
             await until(lambda: here.state is Stage.LINGERING)
             with pytest.raises(ConnectionError):
-                while True:  # far more than the sockets hold between them
+                while True:  # far more than the socket buffers hold
                     await client.loop.sock_sendall(client.sock, b"x" * 65536)
 
     uvloop.run(run())
@@ -199,7 +199,7 @@
 
 
 def test_a_connection_that_leaves_answers_all_that_has_come_in_whole():
-    """Guards what stands in line: the first answer that said `close` lost those behind it."""
+    """The first response with `connection: close` lost the queued requests."""
 
     async def run() -> None:
         async with World() as world:
@@ -218,14 +218,14 @@
 
 
 def test_part_of_a_request_gets_an_orderly_end_without_a_word_where_its_connection_leaves():
-    """It was never taken: its client sends it again elsewhere, while a 4xx would have failed it."""
+    """The client sends a partial request again elsewhere, whereas a 4xx would have failed it."""
 
     async def run() -> None:
         async with World() as world:
             client, here = await come(world, request(1)[:40])
             await until(lambda: here.incoming is not None)
             here.close_soon()
-            client.say(request(1)[40:])  # it crosses the end
+            client.say(request(1)[40:])  # crosses the close
             assert await client.read() == b""
             client.leave()
             await until(lambda: here.task.done())
@@ -249,7 +249,7 @@
 
 
 def test_a_client_that_reads_nothing_is_reset(monkeypatch):
-    """Guards against a part that looks whole: where only the end of a connection marks that of a body."""
+    """Where the close marks the body's end, an orderly one makes a truncated body look complete."""
 
     async def run() -> None:
         async with World() as world:
@@ -265,7 +265,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_an_upload_whose_connection_is_ended_is_answered(way):
-    """It stalls: its node gets no more, its client the answer; one that goes on gets its node's."""
+    """A stalled upload is aborted at the node and gets 503; one that goes on gets the node's response."""
 
     async def run() -> None:
         async with World() as world:
@@ -316,7 +316,7 @@
             sweep(here)
             assert here.can_be_closed and not here.closing_soon
             here.close_soon()
-            arrive(client, here, request(1))  # it is read, so that this is no reset
+            arrive(client, here, request(1))  # it must be read, or the close would be a reset
             await asyncio.wait_for(here.task, 5)
             assert await client.read() == b""
             await world.play("n0 expect nothing")
@@ -341,7 +341,7 @@
 
 @pytest.mark.parametrize("parsed", [False, True], ids=["unread", "parsed"])
 def test_a_request_that_crosses_the_last_answer_of_a_gateway_that_stops_is_answered(parsed):
-    """Guards what is taken: the answer says `close`, and while it is written the next request comes."""
+    """The next request arrives while a response with `connection: close` is being written."""
 
     async def run() -> None:
         async with World() as world:
@@ -368,7 +368,7 @@
 
 
 def test_requests_without_end_do_not_keep_a_connection_that_leaves(monkeypatch):
-    """Guards the planned end: what crosses it is answered for a while only."""
+    """Requests that arrive during a close are answered for a limited time only."""
     monkeypatch.setattr(shutdown, "LINGER", 0.0)
     monkeypatch.setattr(connections, "LINGER", 0.0)
 
--- a/tests/http/test_floods.py
+++ b/tests/http/test_floods.py
@@ -1,4 +1,4 @@
-"""Bad input from clients, on loopback sockets: each gets its 4xx or its end, and the others are served."""
+"""Malformed and excessive client input, on loopback sockets: rejected or closed, others are served."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture(autouse=True)
 def quiet_log() -> Iterator[None]:
-    """Nothing that clients send is a fault of ours: no error and no traceback is told."""
+    """Client input must never cause a logged warning, error or traceback."""
     told: list[str] = []
     sink = logger.add(told.append, level="WARNING", backtrace=False)
     yield
@@ -72,7 +72,7 @@
         async with World() as world:
             client, here = await come(world, raw)
             await serves_others(world)
-            got = await client.read()  # its end, and no reset
+            got = await client.read()  # an orderly end, no reset
             assert got.startswith((b"HTTP/1.1 400", b"HTTP/1.1 413", b"HTTP/1.1 431")), got
             assert got.count(b"HTTP/1.1") == 1
             client.leave()
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize("start, more", ENDLESS.values(), ids=ENDLESS.keys())
 def test_a_flood_is_cut_in_time_and_within_memory(start, more):
-    """The client sends until it can't: the gateway answers, reads on within its bound, and closes."""
+    """The client sends until the connection fails: the gateway answers, discards a limited amount, closes."""
 
     async def run() -> None:
         async with World() as world:
@@ -133,7 +133,7 @@
                     most = max(most, here.channel.framer.pending_bytes)
 
             flooding = asyncio.create_task(flood())
-            if start.endswith(b"x" * 10):  # a whole request comes first, and it is answered first
+            if start.endswith(b"x" * 10):  # a complete request precedes the flood and is answered first
                 await world.play("n0 expect PUT\nn0 send 200 body=stored")
             await serves_others(world)
             with pytest.raises(ConnectionError):
@@ -146,7 +146,7 @@
 
 
 def test_requests_without_end_are_read_ahead_within_a_bound():
-    """Guards memory: while one is answered the rest stays with its client."""
+    """While one request is answered, memory is limited: flow control holds back the client."""
 
     async def run() -> None:
         async with World() as world:
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize("raw, drops", TRICKLES.values(), ids=TRICKLES.keys())
 def test_a_trickle_ends_at_its_bound(raw, drops):
-    """A byte a second is no upload: however many come, the request ends when its time is over."""
+    """A byte per second does not extend the request's time."""
 
     async def run() -> None:
         async with World() as world:
@@ -193,9 +193,9 @@
                 await until(lambda: here.channel.peek() is None)
             assert (
                 here.waiting_since - start < connections.STALLED / 2
-            )  # only time in which its taker was slow
+            )  # moved only while the consumer was slow
             here.sweep(here.waiting_since + connections.STALLED + 0.01)
-            # An upload is passed on already: its taker says that it broke off.
+            # An upload is being forwarded already: its consumer reports the truncation.
             assert (await client.read()).startswith(b"HTTP/1.1 503" if b"90000" in raw else b"HTTP/1.1 408")
             client.leave()
             await until(lambda: here.task.done())
@@ -204,7 +204,7 @@
 
 
 def test_a_slow_writer_gets_its_answer():
-    """64 KiB a second over a minute are fair: each second's bytes earn it more than that second."""
+    """64 KiB/s is above the minimum rate: each second's bytes extend the time by more than a second."""
 
     async def run() -> None:
         async with World() as world:
@@ -217,7 +217,7 @@
                 arrive(client, here, b"x" * piece)
                 sent += piece
                 await until(lambda: here.streamed_request is None or here.streamed_request.received == sent)  # noqa: B023
-                here.waiting_since = start  # the taker's time does not count, nor does this machine's
+                here.waiting_since = start  # excludes the consumer's and this machine's delays
             await world.play("n0 expect PUT\nn0 send 200 body=stored")
             assert (await client.read(until=b"stored")).startswith(b"HTTP/1.1 200")
 
--- a/tests/http/test_waiting.py
+++ b/tests/http/test_waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait for their turn on one connection: their time counts from their last byte."""
+"""Pipelined requests that wait on one connection: their deadline counts from their last byte."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_what_has_waited_out_its_time_is_refused_and_not_sent():
-    """The crossing is forced: those behind a held request were read so long ago."""
+    """The requests queued behind one in progress are dated back, so that their deadlines have passed."""
 
     async def run() -> None:
         async with World() as world:
@@ -52,7 +52,7 @@
 
 
 def test_pieces_read_ahead_keep_when_they_were_read_and_are_bounded_however_small():
-    """Guards memory against a trickle: a byte a read would hold a hundred times its size."""
+    """Limits memory under one-byte reads, whose chunks take up a hundred times their payload."""
     budget = BodyBudget(1 << 30)
     ahead = ReadAhead(budget)
     while not ahead.full:
--- a/tests/support/raw.py
+++ b/tests/support/raw.py
@@ -1,4 +1,4 @@
-"""A client on a bare socket: what it says is in the gateway's buffer when the call returns."""
+"""A client on a bare socket: sent bytes are in the gateway's receive buffer when the call returns."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 HEALTH = b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n"
 
 
-# Settings under which no time of a request's own ends it: many of them may wait for their turn for long.
+# Settings whose time limits are long enough for many requests to wait in a queue.
 PATIENT = {name: {"OnTime": 30.0, "HardLimit": 60.0} for name in ("read", "new-write")}
 
 
@@ -26,7 +26,7 @@
     version: str = "1.1",
     deadline: int = 1100,
 ) -> bytes:
-    """A request of the platform, its id ending in a number; `deadline` in milliseconds."""
+    """Build a platform request whose id ends in `number`; `deadline` in milliseconds."""
     lines = [
         f"{method} /{cls}/00000000000000aa/0000000000000001 HTTP/{version}",
         "host: x",
@@ -41,7 +41,7 @@
 
 
 class Raw:
-    """One client."""
+    """One client connection."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.sock = socket.create_connection(address)
@@ -51,11 +51,11 @@
         self.got = b""
 
     def say(self, data: bytes) -> None:
-        """Send all of it now, in this step of the loop."""
+        """Send all of the data in this loop step."""
         assert self.sock.send(data) == len(data)
 
     async def read(self, until: bytes | None = None) -> bytes:
-        """All up to the end, or up to some bytes; raises ConnectionResetError."""
+        """Read to the end of the stream, or until `until` was received; raises ConnectionResetError."""
         async with asyncio.timeout(PATIENCE):
             while until is None or until not in self.got:
                 data = await self.loop.sock_recv(self.sock, 65536)
@@ -66,25 +66,28 @@
         return self.got
 
     def end(self) -> None:
-        """End its sending."""
+        """Shut down the sending side."""
         self.sock.shutdown(socket.SHUT_WR)
 
     def leave(self, reset: bool = False) -> None:
-        """Close the connection, in order or by a reset."""
+        """Close the connection, orderly or by a reset."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
 
 async def until(true: Callable[[], object]) -> None:
-    """Wait for something that comes by itself."""
+    """Wait until a condition holds."""
     async with asyncio.timeout(PATIENCE):
         while not true():
             await asyncio.sleep(0.001)
 
 
 async def come(world: World, first: bytes = HEALTH) -> tuple[Raw, Connection]:
-    """A client that rests after an answer (or has said what is given), and the gateway's side of it."""
+    """Connect a client and return it with the gateway's connection object.
+
+    By default the client has had one response and is idle; otherwise it has sent `first`.
+    """
     here = world.gateway.servers[-1]
     before, client = set(here.connections), Raw(world.platform)
     await until(lambda: here.connections - before)
@@ -98,7 +101,7 @@
 
 
 def arrive(client: Raw, connection: Connection, data: bytes) -> None:
-    """Bytes come in, and lie unread in the gateway's socket when this returns."""
+    """Send bytes; they are unread in the gateway's socket when this returns."""
     client.say(data)
     while connection.channel.peek() is None:
         pass
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -1,20 +1,20 @@
-"""A small language for scenarios on sockets, and the world in which they play.
+"""A small language for scenarios on sockets, and the environment that runs them.
 
-A line names a party, a verb and what follows; `wait SECONDS` stands alone.  Parties: clients `c1`, `c2`, ...
-(`o1`, ... at the object front, `q1`, ... at the operators' door), nodes `n0`, `n1`, ..., discovery `d`,
-and the gateway `g`.
+A line consists of a party, a verb and arguments; `wait SECONDS` stands alone.  Parties: clients `c1`, `c2`,
+... (`o1`, ... at the object front, `q1`, ... at the admin endpoint, `h1`, ... at the health endpoint, `a1`,
+... at the agent check), nodes `n0`, `n1`, ..., discovery `d`, and the gateway `g`.
 
-    c1 send read shard=1 deadline=500   a request of the platform; or `METHOD TARGET name:value body=TEXT`
+    c1 send read shard=1 deadline=500   send a platform request; or `METHOD TARGET name:value body=TEXT`
                                         (`fill=N`: a body of N bytes), or `raw "BYTES"` (and `fill=N`)
-    n0 expect GET x-request-id          the next request there: patterns that its text matches
-    n0 expect nothing                   no request has come there that was not expected
-    n0 send 200 x-meter:50 body=hello   its answer, or `raw "BYTES"`
-    c1 expect 200 hello                 the next answer: its status, and patterns; `end`: the connection ends
-    n0 close                            reset the connection of the last request (`n0 close all`: and listen
-                                        no more); `c1 close` leaves; `g close` tells the gateway to stop
-    n0 end                              end its sending, without a reset
-    n0 wait                             stand still: read nothing more
-    wait 0.1                            let time pass
+    n0 expect GET x-request-id          the next request received there matches these patterns
+    n0 expect nothing                   no further request was received there
+    n0 send 200 x-meter:50 body=hello   send the response, or `raw "BYTES"`
+    c1 expect 200 hello                 the next response's status and patterns; `end`: the connection ends
+    n0 close                            reset the connection of the last request (`n0 close all`: also stop
+                                        listening); `c1 close` resets a client's; `g close` stops the gateway
+    n0 end                              shut down the sending side, without a reset
+    n0 wait                             stop reading
+    wait 0.1                            wait that many seconds
 """
 
 from __future__ import annotations
@@ -35,26 +35,26 @@
 from mallowbeam.storage_gateway.server.gateway import Gateway
 from mallowbeam.storage_gateway.server.handover import take_over
 
-PATIENCE = 10.0  # seconds until what is expected counts as missing
+PATIENCE = 10.0  # seconds to wait for an expected event
 LARGE = 1 << 26
 
 
 def words(message: Message) -> str:
-    """A message as text for patterns."""
+    """Format a message as text for pattern matching."""
     start = f"{message.method.decode()} {message.target.decode()}" if message.method else str(message.status)
     lines = [f"{name.decode()}: {value.decode()}" for name, value in message.headers]
     return "\n".join([start, *lines, "", bytes(message.body).decode("latin-1")])
 
 
 def check(message: Message, patterns: list[str]) -> None:
-    """The first pattern stands at the beginning, the others anywhere."""
+    """Assert that the first pattern matches at the start of the message, the others anywhere."""
     text = words(message)
     for i, pattern in enumerate(patterns):
         assert (re.match if i == 0 else re.search)(pattern, text), f"{pattern!r} is not in:\n{text}"
 
 
 class Party:
-    """One end of scripted connections."""
+    """One end of scripted connections: a client, a node or discovery."""
 
     def __init__(self) -> None:
         self.came: asyncio.Queue[tuple[Message, asyncio.StreamWriter] | None] = asyncio.Queue()
@@ -63,7 +63,7 @@
         self.still = False
 
     async def read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answers: bool) -> None:
-        """Take in what comes on a connection; its end is told after it."""
+        """Queue the messages received on a connection, then None for its end."""
         framer = Framer(answers, LARGE)
         try:
             while not self.still and (data := await reader.read(65536)):
@@ -80,7 +80,7 @@
         self.came.put_nowait(None)
 
     async def expect(self, patterns: list[str]) -> None:
-        """The next message, or the end."""
+        """Wait for the next message, or the end, and check it."""
         if patterns == ["nothing"]:
             return self._expect_nothing()
         async with asyncio.timeout(PATIENCE):
@@ -88,7 +88,7 @@
             while came is None and patterns != ["end"]:
                 came = await self.came.get()
         if patterns == ["end"]:
-            assert came is None, f"not the end but:\n{words(came[0])}"
+            assert came is None, f"expected the end, received:\n{words(came[0])}"
             return None
         message, self.writer = came
         self.seen.append(message)
@@ -100,7 +100,7 @@
         assert not rest, f"unexpected:\n{words(rest[0][0])}"
 
     def write(self, start: str, rest: list[str]) -> None:
-        """A message from its start line, `name:value` headers and `body=TEXT`."""
+        """Write a message of a start line, `name:value` headers and `body=TEXT` or `fill=N`."""
         given = {word[:5]: word[5:] for word in rest if word.startswith(("body=", "fill="))}
         body = given["body="].encode() if "body=" in given else b"x" * int(given.get("fill=", 0))
         headers = [word.replace(":", ": ", 1) for word in rest if word[:5] not in given]
@@ -109,12 +109,12 @@
         self.writer.write("\r\n".join([start, *headers, "", ""]).encode() + body)
 
     def raw(self, text: str, *rest: str) -> None:
-        """Bytes as they stand, with escapes; `fill=N` puts so many more behind them."""
+        """Write bytes given with escapes; `fill=N` appends N more bytes."""
         fill = int(rest[0].removeprefix("fill=")) if rest else 0
         self.writer.write(text.encode().decode("unicode_escape").encode("latin-1") + b"x" * fill)
 
     def reset(self) -> None:
-        """Break the connection."""
+        """Reset the connection."""
         self.writer.transport.abort()
 
 
@@ -122,12 +122,12 @@
     """A scripted server: a node or discovery."""
 
     async def start(self) -> None:
-        """Listen on a port from the kernel."""
+        """Listen on a port that the kernel assigns."""
         self.server = await asyncio.start_server(lambda r, w: self.read(r, w, answers=False), "127.0.0.1", 0)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname())
 
     async def send(self, first: str, rest: list[str]) -> None:
-        """An answer to the last request expected."""
+        """Send the response to the last expected request."""
         if first == "raw":
             return self.raw(*rest)
         self.write(f"HTTP/1.1 {first} {REASONS[int(first)]}", rest)
@@ -135,7 +135,7 @@
 
 
 class Client(Party):
-    """A scripted client, on one connection until that ends."""
+    """A scripted client; reuses one connection until it ends."""
 
     def __init__(self, address: tuple[str, int], number: int) -> None:
         super().__init__()
@@ -143,7 +143,7 @@
         self.task: asyncio.Task | None = None
 
     async def send(self, first: str, rest: list[str]) -> None:
-        """A request, on a new connection if there is none."""
+        """Send a request, on a new connection if none is open."""
         if self.writer is None or self.writer.is_closing() or self.task.done():
             reader, self.writer = await asyncio.open_connection(*self.address)
             self.task = asyncio.create_task(self.read(reader, self.writer, answers=True))
@@ -181,7 +181,7 @@
 
 
 class World:
-    """A gateway between scripted parties; `servers` are addresses of nodes that are no scripted ones."""
+    """A gateway between scripted parties; `servers` are node addresses that replace the scripted nodes."""
 
     def __init__(
         self,
@@ -196,10 +196,10 @@
         **settings: dict,
     ) -> None:
         self.nodes, self.servers, self.sockets, self.settings = nodes, servers, sockets, settings
-        self.pushed = pushed  # whether discovery is an agent that lists are pushed to
-        self.keys = keys  # the file of those who may call the object front
-        self.buffer = buffer  # the write-back buffer's section, where it is on
-        self.before, self.meet = before, meet  # the process before this one; whether to hand over to a next
+        self.pushed = pushed  # whether the gateway receives member lists by push
+        self.keys = keys  # file of the object front's access keys; None: authentication off
+        self.buffer = buffer  # settings of the write-back buffer; None: off
+        self.before, self.meet = before, meet  # the predecessor process; whether to hand over to a successor
         self.parties: dict[str, Party] = {}
 
     async def __aenter__(self) -> World:
@@ -208,7 +208,7 @@
             legacy = None
         else:
             self.config, self.parties = self.before.config, dict(self.before.parties)
-            self.parties.pop("q1", None)  # each has a door of its own
+            self.parties.pop("q1", None)  # each process has an admin endpoint of its own
             legacy = await asyncio.to_thread(take_over, self.config)
         fronts = json.loads((EXAMPLE / "fronts.json").read_text())
         fronts["objects"].update(
@@ -229,14 +229,14 @@
         return self
 
     async def configuration(self) -> dict:
-        """The example's configuration, with scripted nodes and discovery in it."""
+        """Return the example's configuration, changed to use scripted nodes and discovery."""
         for name in ["d", *(f"n{i}" for i in range(self.nodes))]:
             self.parties[name] = Stand()
             await self.parties[name].start()
         addresses = self.servers or [self.parties[f"n{i}"].address for i in range(self.nodes)]
         raw = json.loads((EXAMPLE / "config.json").read_text())
         for name, values in self.settings.items():
-            part = raw["settings"][name]  # of classes and plans, which are lists, those named change
+            part = raw["settings"][name]  # in lists (classes, plans), the entries named by `values` change
             for place in [part] if isinstance(part, dict) else part:
                 place.update(values if place is part else values.get(place["Name"], {}))
         raw["settings"]["FamilyInfo"]["SlotsTotal"] = len(addresses)
@@ -261,9 +261,9 @@
         await asyncio.gather(*others, return_exceptions=True)
 
     def hold_connecting(self) -> asyncio.Event:
-        """Connections to nodes come up only once the event is set."""
+        """Block new connections to nodes until the returned event is set."""
         gate, take = asyncio.Event(), self.gateway.pool.take
-        self.held = asyncio.Event()  # one has come to the gate
+        self.held = asyncio.Event()  # a connection attempt is blocked
 
         async def slow(address: str):
             self.held.set()
@@ -274,7 +274,7 @@
         return gate
 
     def party(self, name: str) -> Party:
-        """A party by its name; clients come into being when first named."""
+        """Return a party by its name; clients are created when first named."""
         if name not in self.parties:
             assert name[0] in "cohaq", f"no party {name}"
             address = {
@@ -288,13 +288,13 @@
         return self.parties[name]
 
     async def play(self, scenario: str) -> None:
-        """Play a scenario, line by line; `$n0` stands for that party's address."""
+        """Run a scenario line by line; `$n0` is replaced by that party's address."""
         for line in filter(None, (line.strip() for line in scenario.splitlines())):
             text = re.sub(r"\$(\w+)", lambda m: self.parties[m[1]].address, line)
             try:
                 await self._line(shlex.split(text))
             except (AssertionError, TimeoutError) as error:
-                raise AssertionError(f"at `{line}`: {error or 'nothing came'}") from None
+                raise AssertionError(f"at `{line}`: {error or 'timed out'}") from None
 
     async def _line(self, parts: list[str]) -> None:
         match parts:
@@ -323,7 +323,7 @@
 
 
 def play(scenario: str, **world: object) -> None:
-    """Play one scenario in a world of its own."""
+    """Run one scenario in a new environment."""
 
     async def run() -> None:
         async with World(**world) as here:
@@ -333,7 +333,7 @@
 
 
 def free_port() -> int:
-    """A port from the kernel."""
+    """Return a free port."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return sock.getsockname()[1]
