--- a/mallowbeam/errors.py
+++ b/mallowbeam/errors.py
@@ -50,7 +50,7 @@
         """
         super().__init__(what)
         self.what = what
-        self.where = where or _name_of(peer)
+        self.where = where or _format_peer(peer)
         self.cure = remedy or self.remedy
         self.code = code or self.code
         self.step = step or self.step
@@ -75,7 +75,7 @@
         return told
 
 
-def _name_of(peer: int | str | None) -> str:
+def _format_peer(peer: int | str | None) -> str:
     """Format a peer for an operator."""
     if peer is None:
         return ""
--- a/mallowbeam/http/client.py
+++ b/mallowbeam/http/client.py
@@ -16,13 +16,13 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.budget import BodyBudget
-from mallowbeam.http.framing import CHUNK, Channel, Framer, Message
+from mallowbeam.http.framing import READ_BUFFER_BYTES, Channel, Framer, Message
 
-RETIRE = 0.8  # fraction of the nodes' idle timeout after which an idle connection is not reused
-MAX_IDLE_EACH = 32  # idle connections kept for each node
-REST = 0.02  # seconds between a response and reuse: an unsolicited second response shows by then
-FIRST_INTERIM, FIRST_FINAL = 100, 200  # status codes: 1xx are interim (RFC 9110 section 15.2)
-MOST_INTERIM = 16  # interim responses (1xx) before one final response
+IDLE_LIFETIME_FRACTION = 0.8  # of the nodes' idle timeout: an older idle connection is not reused
+MAX_IDLE_PER_NODE = 32  # idle connections kept for each node
+REUSE_DELAY_S = 0.02  # seconds between a response and reuse: an unsolicited second response shows by then
+MIN_INTERIM_STATUS, MIN_FINAL_STATUS = 100, 200  # status codes: 1xx are interim (RFC 9110 section 15.2)
+MAX_INTERIM_RESPONSES = 16  # interim responses (1xx) before one final response
 
 
 class RequestNotSentError(MallowbeamError):
@@ -60,14 +60,14 @@
         self.channel, self.address, self.idle_since = channel, address, 0.0
         self.request_sent = False  # the kernel has accepted the request's last byte, so it may run
         self.body_left: int | None = 0  # unwritten bytes of the request's body; None: chunked
-        self._start = channel.bytes_sent  # `channel.bytes_sent` at the start of the request
+        self._bytes_sent_before = channel.bytes_sent  # `channel.bytes_sent` at the start of the request
         self._writer: asyncio.Task[None] | None = None  # writes what the kernel did not accept at once
-        self._refused = False  # a write failed: an end of stream is not an orderly close
+        self._write_failed = False  # a write failed: an end of stream is not an orderly close
 
     @property
     def begun(self) -> bool:
         """Whether the kernel has accepted any byte of the request; if not, it is certainly unsent."""
-        return self.channel.bytes_sent > self._start
+        return self.channel.bytes_sent > self._bytes_sent_before
 
     async def request(
         self, head: bytes, body: bytes | bytearray = b"", bodiless: bool = False, follows: int | None = 0
@@ -83,8 +83,8 @@
         Raises:
             RequestNotSentError: The connection failed before the last byte was written.
         """
-        self._begin(bodiless, follows)
-        if len(body) > CHUNK:  # a large body is not copied
+        self._start_request(bodiless, follows)
+        if len(body) > READ_BUFFER_BYTES:  # a large body is not copied
             await self._send(head, False)
             await self._send(body, True)
         else:
@@ -101,46 +101,46 @@
             RequestNotSentError: The connection failed before the last byte was written.
             ConnectionBrokenError: The connection broke after that.
         """
-        self._begin(bodiless, 0)
-        data = head if len(body) > CHUNK else head + body
-        rest = [self._push(data)]
-        if len(body) > CHUNK:
-            rest.append(memoryview(body) if rest[0] else self._push(body))
-        if any(rest):
-            self._writer = asyncio.create_task(self._write_rest(rest))
+        self._start_request(bodiless, 0)
+        data = head if len(body) > READ_BUFFER_BYTES else head + body
+        remainder = [self._write_now(data)]
+        if len(body) > READ_BUFFER_BYTES:
+            remainder.append(memoryview(body) if remainder[0] else self._write_now(body))
+        if any(remainder):
+            self._writer = asyncio.create_task(self._write_rest(remainder))
         else:
             self.request_sent = True
         return await self.read_head()
 
-    def _begin(self, bodiless: bool, follows: int | None) -> None:
+    def _start_request(self, bodiless: bool, follows: int | None) -> None:
         """Reset the per-request state."""
         self.channel.framer.bodiless = bodiless
         self.request_sent, self.body_left = False, follows
-        self._start = self.channel.bytes_sent
+        self._bytes_sent_before = self.channel.bytes_sent
 
-    def _push(self, data: bytes | bytearray) -> memoryview:
+    def _write_now(self, data: bytes | bytearray) -> memoryview:
         """Write what the kernel accepts without waiting; return the rest."""
         try:
             return memoryview(data)[self.channel.push(data) :]
         except OSError as error:
             raise RequestNotSentError(str(error)) from None
 
-    async def _write_rest(self, rest: list[memoryview]) -> None:
+    async def _write_rest(self, remainder: list[memoryview]) -> None:
         """Write the rest of a request; a failure is reported by the concurrent read."""
         try:
-            for piece in rest:
-                await self.channel.send(piece)
+            for chunk in remainder:
+                await self.channel.send(chunk)
         except OSError:
-            self._refused = True
+            self._write_failed = True
         else:
             self.request_sent = True
 
-    async def write(self, piece: bytes | bytearray) -> None:
+    async def write(self, chunk: bytes | bytearray) -> None:
         """Write part of a body; an empty one ends a chunked body.  Raises `RequestNotSentError`."""
         if self.body_left is None:
-            return await self._send(b"".join((b"%x\r\n" % len(piece), piece, b"\r\n")), not piece)
-        self.body_left -= len(piece)
-        await self._send(piece, self.body_left <= 0)
+            return await self._send(b"".join((b"%x\r\n" % len(chunk), chunk, b"\r\n")), not chunk)
+        self.body_left -= len(chunk)
+        await self._send(chunk, self.body_left <= 0)
         return None
 
     async def _send(self, data: bytes | bytearray, last: bool) -> None:
@@ -154,38 +154,40 @@
             raise RequestNotSentError(str(error)) from None
         self.request_sent = last
 
-    async def exceeds(self, answer: Message, hold: int, most: int | None, standstill: float | None) -> bool:
-        """Whether a response is larger than `hold` bytes, up to which it is buffered (0: always true).
+    async def exceeds(
+        self, answer: Message, buffer_limit: int, max_length: int | None, stall_timeout: float | None
+    ) -> bool:
+        """Whether a response is larger than the `buffer_limit` bytes that are buffered (0: always true).
 
         Keeps a retry possible until the first byte of a large response, or until the last byte of a small
         one, has arrived.
 
         Args:
             answer: The response, its headers read.
-            hold: Bytes of body that are buffered.
-            most: Largest stated length that is accepted, in bytes; None for any.
-            standstill: Seconds without a byte after which reading fails; None for no limit.
+            buffer_limit: Bytes of body that are buffered.
+            max_length: Largest stated length that is accepted, in bytes; None for any.
+            stall_timeout: Seconds without a byte after which reading fails; None for no limit.
 
         Raises:
             ConnectionBrokenError: The connection ended inside the response.
             RemoteProtocolError: The response is too large or stalled.
         """
-        if hold == 0:
+        if buffer_limit == 0:
             return True
-        if answer.length is not None and most is not None and answer.length > most:
+        if answer.length is not None and max_length is not None and answer.length > max_length:
             raise RemoteProtocolError(f"a response body of {answer.length} bytes exceeds the limit")
-        if answer.length is not None and answer.length > hold:
-            hold = 1  # wait only for its first bytes
-        while len(answer.body) < hold and not answer.complete:
-            await self._on(answer, standstill)
+        if answer.length is not None and answer.length > buffer_limit:
+            buffer_limit = 1  # wait only for its first bytes
+        while len(answer.body) < buffer_limit and not answer.complete:
+            await self._read_more_within(answer, stall_timeout)
         return not answer.complete
 
     async def read_head(self) -> Message:
         """Return the response once its headers are read; raises `ConnectionBrokenError`."""
         framer = self.channel.framer
-        for _ in range(MOST_INTERIM + 1):
+        for _ in range(MAX_INTERIM_RESPONSES + 1):
             answer = await self._next_head()
-            if not FIRST_INTERIM <= answer.status < FIRST_FINAL:  # else interim: the final response follows
+            if not MIN_INTERIM_STATUS <= answer.status < MIN_FINAL_STATUS:  # else a final one follows
                 break
         else:
             raise RemoteProtocolError("too many interim responses")
@@ -208,30 +210,30 @@
         """Read more of a response's body; raises `ConnectionBrokenError`."""
         if not await self._read():
             # A failed write consumes the reset error, so that the read reports a plain end of stream.
-            if not answer.until_close or self._refused:
+            if not answer.until_close or self._write_failed:
                 raise ConnectionBrokenError("the connection ended inside the response")
             answer.complete, answer.keep_alive = True, False
         ready = self.channel.framer.ready
         if ready and ready[0] is answer:  # a response after it stays, which prevents reuse of the connection
             ready.popleft()
 
-    async def read_body(self, answer: Message, standstill: float | None = None) -> bytearray:
+    async def read_body(self, answer: Message, stall_timeout: float | None = None) -> bytearray:
         """Return the complete body of a response that is not streamed.
 
         Raises:
             ConnectionBrokenError: The connection ended inside the response.
-            RemoteProtocolError: The response is too large, or no byte of it came for `standstill` seconds.
+            RemoteProtocolError: The response is too large, or no byte of it came for `stall_timeout` seconds.
         """
         if answer.length is not None and answer.length > self.channel.framer.max_body and not answer.complete:
             raise RemoteProtocolError(f"a response body of {answer.length} bytes exceeds the limit")
         while not answer.complete:
-            await self._on(answer, standstill)
+            await self._read_more_within(answer, stall_timeout)
         return answer.body
 
-    async def _on(self, answer: Message, standstill: float | None) -> None:
-        """Read more; raises `RemoteProtocolError` after `standstill` seconds without a byte."""
+    async def _read_more_within(self, answer: Message, stall_timeout: float | None) -> None:
+        """Read more; raises `RemoteProtocolError` after `stall_timeout` seconds without a byte."""
         try:
-            async with asyncio.timeout(standstill):
+            async with asyncio.timeout(stall_timeout):
                 await self.read_more(answer)
         except TimeoutError:
             raise RemoteProtocolError("the response stalled before its end") from None
@@ -240,12 +242,12 @@
         """Read once; raises `RemoteProtocolError` for malformed data, unless a response preceded it."""
         framer = self.channel.framer
         try:
-            going_on = framer.error is None and await self.channel.receive()
+            stream_open = framer.error is None and await self.channel.receive()
         except OSError as error:
             raise ConnectionBrokenError(str(error)) from None
         if framer.error is not None and not framer.ready:
             raise RemoteProtocolError(str(framer.error))
-        return going_on
+        return stream_open
 
     def reusable(self, answer: Message) -> bool:
         """Whether the connection can carry another request."""
@@ -290,17 +292,17 @@
 
     def __init__(
         self,
-        most: int,
+        max_connections: int,
         idle_limit: float | None,
         connect_timeout: float | None,
         max_body: int,
         budget: BodyBudget,
     ) -> None:
         self.configured_limit = self.connection_limit = (
-            most  # the configured total, and how many may be open now
+            max_connections  # the configured total, and how many may be open now
         )
         self.max_body, self.budget = max_body, budget
-        self.idle_lifetime = (idle_limit or 10.0) * RETIRE  # seconds that a connection may stay idle
+        self.idle_lifetime = (idle_limit or 10.0) * IDLE_LIFETIME_FRACTION  # seconds
         self.connect_timeout = connect_timeout or 1.0
         self.idle: dict[str, list[Link]] = {}
         self.count = 0  # connections open or being opened
@@ -308,18 +310,18 @@
     async def take(self, address: str) -> Link:
         """Return an idle connection, or open one; the caller checks that it is still good before it writes.
 
-        A connection is reused only `REST` seconds after its last response: a late unsolicited response would
-        otherwise be read as the response to the next request.
+        A connection is reused only `REUSE_DELAY_S` seconds after its last response: a late unsolicited
+        response would otherwise be read as the response to the next request.
 
         Raises:
             ConnectionLimitError: No further connection is allowed.
             RequestNotSentError: The connection could not be opened.
         """
         idle, now = self.idle.get(address, []), time.monotonic()
-        rested = bisect_right(idle, now - REST, key=lambda link: link.idle_since)
-        while rested:
-            rested -= 1
-            link = idle.pop(rested)
+        usable = bisect_right(idle, now - REUSE_DELAY_S, key=lambda link: link.idle_since)
+        while usable:
+            usable -= 1
+            link = idle.pop(usable)
             if now - link.idle_since < self.idle_lifetime:
                 return link
             self.drop(link)
@@ -339,11 +341,14 @@
     def keep(self, link: Link, since: float | None = None) -> bool:
         """Pool a connection with no request in flight, idle `since` or unused; False if the pool is full."""
         idle = self.idle.setdefault(link.address, [])
-        if len(idle) >= MAX_IDLE_EACH:
+        if len(idle) >= MAX_IDLE_PER_NODE:
             return False
         link.channel.framer.release()
         link.channel.shrink_buffer()
-        link.request_sent, link.idle_since = False, time.monotonic() - REST if since is None else since
+        link.request_sent, link.idle_since = (
+            False,
+            time.monotonic() - REUSE_DELAY_S if since is None else since,
+        )
         insort(idle, link, key=lambda link: link.idle_since)
         return True
 
--- a/mallowbeam/http/connection.py
+++ b/mallowbeam/http/connection.py
@@ -14,44 +14,44 @@
 from collections.abc import Awaitable
 from contextlib import suppress
 
-from mallowbeam.http.framing import MAX_HEAD, Channel, Framer, Message, MessageError
+from mallowbeam.http.framing import MAX_HEAD_BYTES, Channel, Framer, Message, MessageError
 from mallowbeam.http.read_ahead import ReadAhead
 from mallowbeam.http.reporting import logger
 from mallowbeam.http.shutdown import (
-    LINGER,
-    LINGER_BYTES,
+    LINGER_S,
+    MAX_DISCARDED_BYTES,
+    ConnectionOwner,
     ConnectionShutdown,
-    Owner,
     Stage,
-    drop,
-    gone,
+    discard_unread,
+    peer_has_closed,
     reset_at_close,
 )
 from mallowbeam.http.stream import Stream
 
-PIPELINED = 2  # complete requests that may wait behind the one being answered
-STALLED = 2.5  # seconds to receive a request; on a new connection since it opened
-SLOWEST = 48 * 1024  # bytes of body that extend that time by a second
-UNREAD = 10.0  # seconds without progress after which writing a response is given up
-IDLE = 10.0  # seconds that a connection may stay idle after a response
-LOOK = 0.04  # seconds between checks whether the client is still connected, while reading is paused
-FRESH = 1.0  # seconds that a new client has to begin a request when connections are short
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+MAX_PIPELINED = 2  # complete requests that may wait behind the one being answered
+REQUEST_TIMEOUT_S = 2.5  # to receive a request; on a new connection since it opened
+MIN_UPLOAD_BYTES_PER_S = 48 * 1024  # bytes of body that extend that time by a second
+WRITE_STALL_TIMEOUT_S = 10.0  # without progress, after which writing a response is given up
+IDLE_TIMEOUT_S = 10.0  # after a response
+LIVENESS_CHECK_INTERVAL_S = 0.04  # between checks for the client's departure while reading is paused
+NEW_CONNECTION_GRACE_S = 1.0  # for a new client to begin a request when connections are short
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class Connection(ConnectionShutdown):
     """One client's connection: a task that reads, and one that answers while there is a request."""
 
-    def __init__(self, server: Owner, sock: socket.socket, over: bool = False) -> None:
+    def __init__(self, server: ConnectionOwner, sock: socket.socket, over_limit: bool = False) -> None:
         self.server, front = server, server.front
-        self.rejected = over  # over the connection limit: its request is rejected at once
+        self.rejected = over_limit  # its request is rejected at once
         self.channel = Channel(
             sock,
             Framer(
                 answers=False,
                 max_body=front.max_body,
                 budget=front.budget,
-                max_head=getattr(front, "max_head", MAX_HEAD),
+                max_head=getattr(front, "max_head", MAX_HEAD_BYTES),
             ),
         )
         self.read_ahead = ReadAhead(front.budget)  # bytes read but not parsed yet
@@ -86,10 +86,10 @@
         socket counts as received and would be lost.
         """
         if self.closing:  # its last response may have been sent
-            return self.state is not Stage.LAST
+            return self.state is not Stage.DRAINING
         return (
             self.idle
-            and (self.answered or time.monotonic() - self.waiting_since > FRESH)
+            and (self.answered or time.monotonic() - self.waiting_since > NEW_CONNECTION_GRACE_S)
             and not self.channel.stale()
         )
 
@@ -115,7 +115,7 @@
             if framer.error is not None:
                 return await self._answer_malformed(framer.error)
             if self.response_task is None and framer.wants_continue():
-                await self.channel.send(CONTINUE)
+                await self.channel.send(CONTINUE_RESPONSE)
             await self._forward_body()
         return None
 
@@ -123,12 +123,12 @@
         """Parse the next bytes in the loop step that reads them; False once either side has ended."""
         channel, framer = self.channel, self.channel.framer
         while self.state is not Stage.LINGERING:
-            waits = len(framer.ready) > PIPELINED
-            if self.read_ahead and not waits:
+            queue_is_full = len(framer.ready) > MAX_PIPELINED
+            if self.read_ahead and not queue_is_full:
                 at, data = self.read_ahead.popleft()
                 self._feed(memoryview(data), at)
                 return True
-            if waits and self.read_ahead.full:
+            if queue_is_full and self.read_ahead.full:
                 self.reading_may_resume.clear()
                 await self._wait_unread(self.reading_may_resume.wait())
                 continue
@@ -138,7 +138,7 @@
                 continue
             if not count:
                 return False
-            if not waits and not self.read_ahead:
+            if not queue_is_full and not self.read_ahead:
                 self._feed(channel.buffer[:count], channel.last_activity)
                 return True
             self.read_ahead.append(channel.buffer[:count], channel.last_activity)
@@ -148,7 +148,7 @@
     def _feed(self, data: memoryview, at: float) -> None:
         """Parse bytes read at time `at`, within the front's limits, which can change between calls."""
         framer, front = self.channel.framer, self.server.front
-        framer.bound(front.max_body, getattr(front, "max_head", MAX_HEAD))
+        framer.set_limits(front.max_body, getattr(front, "max_head", MAX_HEAD_BYTES))
         framer.read_at = at
         framer.feed(data)
 
@@ -169,9 +169,9 @@
         Without this check the end of stream would stay hidden behind unread bytes, and nodes would work for a
         departed client.
         """
-        if gone(self.channel.sock):
+        if peer_has_closed(self.channel.sock):
             self.task.cancel()
-        self.liveness_timer = self.channel.loop.call_later(LOOK, self._check_liveness)
+        self.liveness_timer = self.channel.loop.call_later(LIVENESS_CHECK_INTERVAL_S, self._check_liveness)
 
     async def _close(self) -> None:
         """Close the socket and everything that depends on it; the only place that does."""
@@ -187,7 +187,7 @@
                 self.streamed_request.stream.close()
             self.read_ahead.clear()
             self.channel.framer.release()
-            drop(self.channel.sock, self.channel.buffer, LINGER_BYTES)
+            discard_unread(self.channel.sock, self.channel.buffer, MAX_DISCARDED_BYTES)
             self.channel.close()
             self.server.connections.discard(self)
 
@@ -201,9 +201,11 @@
             return
         if framer.ready:
             request = framer.ready.popleft()
-        elif framer.incoming is not None and framer.holds_more_than(self.server.front.max_buffered_body):
+        elif framer.incoming is not None and framer.incoming_body_exceeds(
+            self.server.front.max_buffered_body
+        ):
             request = self.streamed_request = framer.incoming
-            request.stream = Stream(wanted=self._send_continue)
+            request.stream = Stream(on_first_get=self._send_continue)
             self.channel.grow_buffer()
         else:
             return
@@ -216,7 +218,7 @@
         """
         return (
             self.reading_paused
-            and gone(self.channel.sock)
+            and peer_has_closed(self.channel.sock)
             or not self.answered
             and self.channel.peek() is False
         )
@@ -225,21 +227,21 @@
         """Send `100 Continue` to a client that expects it, once its streamed body is first requested."""
         if self.channel.framer.wants_continue():
             with suppress(OSError):  # a few bytes, and no other write is in progress
-                self.channel.sock.send(CONTINUE)
+                self.channel.sock.send(CONTINUE_RESPONSE)
 
     async def _forward_body(self) -> None:
         """Pass on bytes of a streamed body; reading and time-outs pause while its consumer is slow."""
         request = self.streamed_request
         if request is None or (stream := request.stream) is None:
             return
-        if piece := request.take():
+        if chunk := request.take():
             self.channel.framer.release()
-            began, self.consumer_is_slow = time.monotonic(), True
+            started, self.consumer_is_slow = time.monotonic(), True
             if stream.full:
-                await self._wait_unread(stream.put(piece))
+                await self._wait_unread(stream.put(chunk))
             else:
-                await stream.put(piece)
-            self.waiting_since += time.monotonic() - began
+                await stream.put(chunk)
+            self.waiting_since += time.monotonic() - started
             self.consumer_is_slow = False
         if request.complete:
             self.streamed_request = None
@@ -251,16 +253,16 @@
 
     async def _answer(self, request: Message) -> None:
         """Answer one request, and then close the connection or start the next response."""
-        last = not request.keep_alive  # the client asked for the close
+        client_closes = not request.keep_alive  # the client asked for the close
         try:
             self.request = request
-            whole = await self._write(request)
+            sent_completely = await self._write_response(request)
             close = self.closes(request)
         except OSError:
-            whole = close = False
+            sent_completely = close = False
         except Exception as error:
             logger.error("unforeseen error in a request", exc_info=error)
-            whole, close = False, True
+            sent_completely, close = False, True
         self.writing, self.response_task, self.waiting_since, self.answered = (
             False,
             None,
@@ -274,9 +276,11 @@
             self.channel.framer.release()
         if self.state is Stage.CLOSED:  # the client has disconnected
             return
-        if not whole:
+        if not sent_completely:
             self._end_truncated(request)
-        elif close and (last or self.rejected or not request.complete or not self._request_is_pending()):
+        elif close and (
+            client_closes or self.rejected or not request.complete or not self._request_is_pending()
+        ):
             self._half_close()
         else:
             self._start_next_response()
@@ -284,7 +288,7 @@
         if self.read_ahead or self.channel.framer.error is not None:
             self.channel.wake()
 
-    async def _write(self, request: Message) -> bool:
+    async def _write_response(self, request: Message) -> bool:
         """Write the front's response to a request; False if it was truncated."""
         try:
             if self.rejected:
@@ -297,17 +301,17 @@
             logger.error("unforeseen error in a request", exc_info=error)
             reply = self.server.front.error_response(500, "internal error")
             request.keep_alive = False
-        self.channel.last_activity, self.writing, whole = time.monotonic(), True, False
+        self.channel.last_activity, self.writing, sent_completely = time.monotonic(), True, False
         try:
             if reply.write is None:
                 head_only = request.method == b"HEAD"  # no body follows, whatever its headers state
                 await self.channel.send(
                     reply.data.partition(b"\r\n\r\n")[0] + b"\r\n\r\n" if head_only else reply.data
                 )
-            whole = reply.write is None or await reply.write(self.channel)
+            sent_completely = reply.write is None or await reply.write(self.channel)
         finally:
-            self.server.front.finished(request, reply.status, whole)
-        return whole
+            self.server.front.finished(request, reply.status, sent_completely)
+        return sent_completely
 
     def _request_is_pending(self) -> bool:
         """Whether a request arrived while the last response was being written.
@@ -321,40 +325,40 @@
             and self._nothing_unread()
         ):
             return False
-        self.state = Stage.LAST
+        self.state = Stage.DRAINING
         return True
 
     def closes(self, request: Message) -> bool:
         """Whether the connection closes after the response to a request; True is final.
 
         If the close is this side's choice, complete requests queued behind it are answered first, for at most
-        `LINGER` seconds.
+        `LINGER_S` seconds.
         """
         if not request.keep_alive or not request.complete:  # incomplete: its body may still be arriving
             return True
         if not self.server.closing and self.state is Stage.OPEN:
             return False
         now = time.monotonic()
-        self.pipeline_deadline = self.pipeline_deadline or now + LINGER
+        self.pipeline_deadline = self.pipeline_deadline or now + LINGER_S
         request.keep_alive = bool(self.channel.framer.ready) and now < self.pipeline_deadline
         return not request.keep_alive
 
-    async def _answer_malformed(self, fault: MessageError) -> None:
+    async def _answer_malformed(self, error: MessageError) -> None:
         """Answer malformed input after the requests before it have their responses, then close in order."""
         if self.streamed_request is not None and self.streamed_request.stream is not None:
             self.streamed_request.stream.abort()  # the forwarded body can't be completed
-        most = LINGER_BYTES
+        remaining = MAX_DISCARDED_BYTES
         while self.response_task is not None:  # complete requests before it are answered first
-            if most <= 0:
+            if remaining <= 0:
                 await self._wait_unread(asyncio.wait([self.response_task]))
             elif (count := await self.channel.read()) == 0:
                 return
             else:
-                most -= count or 0
+                remaining -= count or 0
         if self.state is not Stage.LINGERING:
-            self.state, self.writing = Stage.LAST, True
-            async with asyncio.timeout(LINGER):
-                await self.channel.send(self._final_error(fault.status, str(fault)))
+            self.state, self.writing = Stage.DRAINING, True
+            async with asyncio.timeout(LINGER_S):
+                await self.channel.send(self._final_error(error.status, str(error)))
             self.writing = False
             self._half_close()
         await self._discard_input()
@@ -367,9 +371,9 @@
 
     def _final_error(self, status: int, text: str) -> bytes:
         """Build the error response to an incomplete request, counted if its head is complete."""
-        part = self.channel.framer.incoming
-        if part is not None and not self.channel.framer.in_head:
-            self.server.front.finished(part, status, True)
+        request = self.channel.framer.incoming
+        if request is not None and not self.channel.framer.in_head:
+            self.server.front.finished(request, status, True)
         return self.server.front.error_response(status, text).data
 
     def sweep(self, now: float) -> None:
@@ -377,7 +381,7 @@
         if self.state in (Stage.LINGERING, Stage.CLOSED):
             return  # the close has a time limit of its own
         if self.writing:
-            if now - self.channel.last_activity > UNREAD:
+            if now - self.channel.last_activity > WRITE_STALL_TIMEOUT_S:
                 reset_at_close(self.channel.sock)  # the client must not mistake this for a regular end
                 self.task.cancel()
         elif self.idle:
@@ -401,15 +405,15 @@
 
     def _request_time_limit(self) -> float:
         """Seconds allowed for the request being received; grows with the body bytes received."""
-        part = self.channel.framer.incoming
-        return self._request_timeout() + (part.received / SLOWEST if part else 0.0)
+        request = self.channel.framer.incoming
+        return self._request_timeout() + (request.received / MIN_UPLOAD_BYTES_PER_S if request else 0.0)
 
     def _request_timeout(self) -> float:
         """Seconds allowed for receiving a request: the front's `stalled`, if it has one."""
-        seconds: float = getattr(self.server.front, "stalled", STALLED)
+        seconds: float = getattr(self.server.front, "stalled", REQUEST_TIMEOUT_S)
         return seconds
 
     def _idle_timeout(self) -> float:
         """Seconds that a connection may stay idle after a response: the front's `idle`, if it has one."""
-        seconds: float = getattr(self.server.front, "idle", IDLE)
+        seconds: float = getattr(self.server.front, "idle", IDLE_TIMEOUT_S)
         return seconds
--- a/mallowbeam/http/framing.py
+++ b/mallowbeam/http/framing.py
@@ -18,11 +18,11 @@
 from mallowbeam.http.budget import BodyBudget, BudgetReservation
 from mallowbeam.http.stream import Stream
 
-CHUNK = 16 * 1024  # bytes per read: what a connection may buffer besides its messages
-BULK = 32 * 1024  # bytes per read while a large body is streamed
-MAX_HEAD = 16 * 1024  # bytes of start line and headers
-MAX_BODY = 64 * 1024  # bytes of a body that are buffered, unless the front sets another limit
-MAX_QUIET = MAX_HEAD  # bytes without a complete head, body data or a message end: trailers, chunk sizes
+READ_BUFFER_BYTES = 16 * 1024  # per read: what a connection may buffer besides its messages
+LARGE_READ_BUFFER_BYTES = 32 * 1024  # per read while a large body is streamed
+MAX_HEAD_BYTES = 16 * 1024  # start line and headers
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # unless the front sets another limit
+MAX_FRAMING_BYTES = MAX_HEAD_BYTES  # without a complete head, body data or message end, as in trailers
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -38,8 +38,8 @@
     )
 )
 TOKEN = re.compile(rb"[\x21-\x7e]{1,256}\Z")  # allowed form of a key that is forwarded to a node
-ABSOLUTE = re.compile(rb"\Ahttps?://[^/?#]*", re.IGNORECASE)
-REASONS = {status.value: status.phrase for status in HTTPStatus}
+ABSOLUTE_TARGET_PREFIX = re.compile(rb"\Ahttps?://[^/?#]*", re.IGNORECASE)
+REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -106,9 +106,9 @@
     def __init__(
         self,
         answers: bool,
-        max_body: int = MAX_BODY,
+        max_body: int = MAX_BUFFERED_BODY_BYTES,
         budget: BodyBudget | None = None,
-        max_head: int = MAX_HEAD,
+        max_head: int = MAX_HEAD_BYTES,
     ) -> None:
         self.answers, self.max_body, self.max_head = answers, max_body, max_head
         self.reservation = BudgetReservation(budget)
@@ -138,10 +138,10 @@
         except httptools.HttpParserError as error:
             self.error = self.error or MessageError(400, f"malformed message: {error}")
         # The parser would buffer an endless header or trailer without limit.
-        if self.pending_bytes > max(MAX_QUIET, self.max_head):
+        if self.pending_bytes > max(MAX_FRAMING_BYTES, self.max_head):
             self.error = self.error or MessageError(431, "header too large")
 
-    def bound(self, max_body: int, max_head: int) -> None:
+    def set_limits(self, max_body: int, max_head: int) -> None:
         """Change the limits; the message being received keeps the old ones where they are larger."""
         if self.incoming is not None:
             max_body, max_head = max(max_body, self.max_body), max(max_head, self.max_head)
@@ -152,24 +152,24 @@
         """Whether no message is being received and none is ready."""
         return self.incoming is None and not self.ready
 
-    def holds_more_than(self, most: int) -> bool:
-        """Whether the request being received has a body larger than `most` bytes."""
-        part = self.incoming
+    def incoming_body_exceeds(self, limit: int) -> bool:
+        """Whether the request being received has a body larger than `limit` bytes."""
+        message = self.incoming
         return (
             self.error is None
-            and part is not None
+            and message is not None
             and not self.in_head
-            and max(part.length or 0, part.received) > most
+            and max(message.length or 0, message.received) > limit
         )
 
     def wants_continue(self) -> bool:
         """Whether the client waits for `100 Continue` before its body; true only once for each request."""
-        part = self.incoming
-        if part is None or self.in_head or part.body or part.version == "1.0":  # HTTP/1.0 has no 1xx
+        message = self.incoming
+        if message is None or self.in_head or message.body or message.version == "1.0":  # HTTP/1.0 has no 1xx
             return False
-        if (part.get(b"expect") or b"").lower() != b"100-continue":
+        if (message.get(b"expect") or b"").lower() != b"100-continue":
             return False
-        part.headers = [header for header in part.headers if header[0] != b"expect"]
+        message.headers = [header for header in message.headers if header[0] != b"expect"]
         return True
 
     def _fail(self, status: int, text: str) -> None:
@@ -189,46 +189,49 @@
             self._current.headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:  # noqa: D102
-        part, self.in_head, self.pending_bytes = self._current, False, 0
-        if sum(len(name) + len(value) for name, value in part.headers) + len(part.target) > self.max_head:
+        message, self.in_head, self.pending_bytes = self._current, False, 0
+        if (
+            sum(len(name) + len(value) for name, value in message.headers) + len(message.target)
+            > self.max_head
+        ):
             self._fail(431, "header too large")
-        length = part.get(b"content-length")
+        length = message.get(b"content-length")
         if length is not None and not length.isdigit():
             self._fail(400, "content-length is no number")
-        part.length = None if length is None else int(length)
+        message.length = None if length is None else int(length)
         # Responses are limited by what is buffered of them: a streamed one may be of any length.
-        if part.length is not None and part.length > self.max_body and not self.answers:
+        if message.length is not None and message.length > self.max_body and not self.answers:
             self._fail(413, "body too large")
         # Rejects a body whose end can't be determined, or that would change once its coding is removed
         # (RFC 9112 section 6.1).
-        if (part.get(b"transfer-encoding") or b"chunked").strip().lower() != b"chunked":
+        if (message.get(b"transfer-encoding") or b"chunked").strip().lower() != b"chunked":
             self._fail(400, "unknown transfer coding")
         if (parser := self._response_parser) is not None:
-            part.status = parser.get_status_code()
-            part.until_close = (
+            message.status = parser.get_status_code()
+            message.until_close = (
                 length is None
-                and part.get(b"transfer-encoding") is None
-                and part.status not in (204, 304)
+                and message.get(b"transfer-encoding") is None
+                and message.status not in (204, 304)
                 and not self.bodiless
             )
         elif (request_parser := self._request_parser) is not None:
-            part.method, part.version = request_parser.get_method(), request_parser.get_http_version()
+            message.method, message.version = request_parser.get_method(), request_parser.get_http_version()
             if request_parser.should_upgrade():
                 self._fail(400, "upgrade is not offered")
             # An absolute target (RFC 9112 section 3.2.2) repeats the host; only the path after it is used.
-            part.target = ABSOLUTE.sub(b"", part.target) or b"/"
-        part.keep_alive = self.parser.should_keep_alive()
-        if refusal := self.reservation.expect(part, part.length or 0):
+            message.target = ABSOLUTE_TARGET_PREFIX.sub(b"", message.target) or b"/"
+        message.keep_alive = self.parser.should_keep_alive()
+        if refusal := self.reservation.expect(message, message.length or 0):
             self._fail(503, refusal)
 
     def on_body(self, body: bytes) -> None:  # noqa: D102
-        part = self._current
-        part.body += body
-        part.received += len(body)
+        message = self._current
+        message.body += body
+        message.received += len(body)
         self.pending_bytes = 0
-        if (len(part.body) if self.answers else part.received) > self.max_body:
+        if (len(message.body) if self.answers else message.received) > self.max_body:
             self._fail(413, "body too large")
-        if refusal := self.reservation.charge(part, part.received, len(body)):
+        if refusal := self.reservation.charge(message, message.received, len(body)):
             self._fail(503, refusal)
 
     def release(self) -> None:
@@ -252,7 +255,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock, self.framer = sock, framer
         self.loop = asyncio.get_running_loop()
-        self.buffer = memoryview(bytearray(CHUNK))
+        self.buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.last_activity = time.monotonic()  # when bytes were last read or written
         self.unsent = 0  # bytes of the last write that the kernel has not accepted yet
         self.bytes_sent = 0  # bytes that the kernel has accepted since the connection opened
@@ -309,13 +312,13 @@
 
     def grow_buffer(self) -> None:
         """Use the larger read buffer, while a large body is streamed."""
-        if len(self.buffer) < BULK:
-            self.buffer = memoryview(bytearray(BULK))
+        if len(self.buffer) < LARGE_READ_BUFFER_BYTES:
+            self.buffer = memoryview(bytearray(LARGE_READ_BUFFER_BYTES))
 
     def shrink_buffer(self) -> None:
         """Return to the usual read buffer."""
-        if len(self.buffer) > CHUNK:
-            self.buffer = memoryview(bytearray(CHUNK))
+        if len(self.buffer) > READ_BUFFER_BYTES:
+            self.buffer = memoryview(bytearray(READ_BUFFER_BYTES))
 
     async def read(self) -> int | None:
         """Wait for input, then read it into `buffer`.
@@ -411,7 +414,7 @@
 
 def write_head(status: int, headers: Headers, length: int | None, close: bool, chunked: bool = True) -> bytes:
     """Format a response's start line and headers; a body without a length is chunked or ends at the close."""
-    lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, "Unknown").encode())]
+    lines = [b"HTTP/1.1 %d %b" % (status, REASON_PHRASES.get(status, "Unknown").encode())]
     lines += [b"%b: %b" % header for header in headers]
     if length is not None:
         lines.append(b"content-length: %d" % length)
--- a/mallowbeam/http/read_ahead.py
+++ b/mallowbeam/http/read_ahead.py
@@ -6,8 +6,8 @@
 
 from mallowbeam.http.budget import BodyBudget
 
-MAX_READ_AHEAD = 64 * 1024  # bytes buffered for one client
-CHUNK_OVERHEAD = 128  # bytes charged for each chunk in addition: one-byte reads must not exceed the limit
+MAX_READ_AHEAD_BYTES = 64 * 1024  # for one client
+CHUNK_OVERHEAD_BYTES = 128  # charged for each chunk in addition, so that one-byte reads stay limited
 
 
 class ReadAhead:
@@ -25,7 +25,7 @@
     def full(self) -> bool:
         """Whether reading must pause, so that TCP flow control holds back the client."""
         return (
-            self.buffered >= MAX_READ_AHEAD
+            self.buffered >= MAX_READ_AHEAD_BYTES
             or self.budget is not None
             and self.budget.used >= self.budget.limit
         )
@@ -33,12 +33,12 @@
     def append(self, data: memoryview, at: float) -> None:
         """Queue bytes that were read at time `at` of the monotonic clock."""
         self.chunks.append((at, bytes(data)))
-        self._charge(len(data) + CHUNK_OVERHEAD)
+        self._charge(len(data) + CHUNK_OVERHEAD_BYTES)
 
     def popleft(self) -> tuple[float, bytes]:
         """Remove the next chunk; return when it was read, and its bytes."""
         at, data = self.chunks.popleft()
-        self._charge(-len(data) - CHUNK_OVERHEAD)
+        self._charge(-len(data) - CHUNK_OVERHEAD_BYTES)
         return at, data
 
     def clear(self) -> None:
--- a/mallowbeam/http/reporting.py
+++ b/mallowbeam/http/reporting.py
@@ -19,15 +19,15 @@
     """A warning logged at most once every WARNING_INTERVAL_S, with the count of those suppressed."""
 
     def __init__(self, text: str) -> None:
-        self.text, self.after, self.left_out = text, float("-inf"), 0
+        self.text, self.next_log_at, self.suppressed = text, float("-inf"), 0
 
     def __call__(self, detail: object) -> None:
         """Log the warning, or count it as suppressed."""
-        if time.monotonic() < self.after:
-            self.left_out += 1
+        if time.monotonic() < self.next_log_at:
+            self.suppressed += 1
             return
-        self.write("%s: %s (%d similar warnings suppressed)" % (self.text, detail, self.left_out))  # noqa: UP031
-        self.after, self.left_out = time.monotonic() + WARNING_INTERVAL_S, 0
+        self.write("%s: %s (%d similar warnings suppressed)" % (self.text, detail, self.suppressed))  # noqa: UP031
+        self.next_log_at, self.suppressed = time.monotonic() + WARNING_INTERVAL_S, 0
 
     def write(self, line: str) -> None:
         """Log one line; a subclass can send it elsewhere."""
--- a/mallowbeam/http/server.py
+++ b/mallowbeam/http/server.py
@@ -21,14 +21,14 @@
 from mallowbeam.http.handler import Response as Response  # re-exported for the fleet's page
 from mallowbeam.http.handler import text_response as text_response
 from mallowbeam.http.reporting import RateLimitedWarning, logger
-from mallowbeam.http.shutdown import LINGER
+from mallowbeam.http.shutdown import LINGER_S
 
-BACKLOG = 512
-SPARE = 8  # one in this many connections is reserved for rejecting the excess ones
-AT_ONCE = 16  # connections accepted in one loop step, at most
-NO_DESCRIPTORS = 0.05  # seconds without accepting after file descriptors ran out
+LISTEN_BACKLOG = 512
+REJECT_ONLY_DIVISOR = 8  # one in this many connections is reserved for rejecting the excess ones
+MAX_ACCEPTS_PER_STEP = 16  # connections accepted in one event-loop step
+ACCEPT_RETRY_DELAY_S = 0.05  # after file descriptors ran out
 # Errors of accept(2) that concern the connection being accepted, not the listener.
-GONE = frozenset(
+CONNECTION_ERRNOS = frozenset(
     (
         errno.ECONNABORTED,
         errno.EPROTO,
@@ -87,8 +87,8 @@
 class ConnectionFactory(Protocol):
     """Creates the connection object of an accepted socket."""
 
-    def __call__(self, server: Server, sock: socket.socket, over: bool, /) -> ServedConnection:
-        """Serve the socket; `over` means over the limit: its request is rejected."""
+    def __call__(self, server: Server, sock: socket.socket, over_limit: bool, /) -> ServedConnection:
+        """Serve the socket; with `over_limit` its request is rejected."""
 
 
 class Server:
@@ -100,7 +100,7 @@
         self,
         address: tuple[str, int],
         front: RequestHandler,
-        most: int,
+        max_connections: int,
         connection: ConnectionFactory = Connection,
         name: str = "",
         handed: socket.socket | None = None,
@@ -108,10 +108,10 @@
     ) -> None:
         self.front, self.closing, self.name = front, False, name
         self.configured_limit = self.connection_limit = (
-            most  # connections open at once: the configured limit, and the one in force
+            max_connections  # connections open at once: the configured limit, and the one in force
         )
         self.connection = connection
-        self.sock = handed or bound(address, shared)
+        self.sock = handed or bind_socket(address, shared)
         self.address = self.sock.getsockname()
         self.connections: set[ServedConnection] = set()
         self.all_busy, self.cannot_accept = (
@@ -126,7 +126,7 @@
         Requests left in the accept queue would be lost although their clients consider them received.  The
         last few connections reject at once, so that there is always room to accept one more.
         """
-        return max(1, self.connection_limit // SPARE)
+        return max(1, self.connection_limit // REJECT_ONLY_DIVISOR)
 
     @property
     def pending(self) -> int:
@@ -135,46 +135,46 @@
 
     def start(self) -> None:
         """Start to listen and accept connections."""
-        self.sock.listen(BACKLOG)
+        self.sock.listen(LISTEN_BACKLOG)
         self.sock.setblocking(False)
         self.acceptor = asyncio.create_task(self._accept())
 
     async def _accept(self) -> None:
         while True:
-            await self._knocked()
-            await self._take_in()
+            await self._wait_for_connection()
+            await self._accept_queued()
 
-    async def _knocked(self) -> None:
+    async def _wait_for_connection(self) -> None:
         """Wait for a connection in the accept queue; it stays there, so a cancellation loses nothing."""
-        loop, knocked = asyncio.get_running_loop(), asyncio.Event()
-        loop.add_reader(self.sock, knocked.set)
+        loop, readable = asyncio.get_running_loop(), asyncio.Event()
+        loop.add_reader(self.sock, readable.set)
         try:
-            await knocked.wait()
+            await readable.wait()
         finally:
             loop.remove_reader(self.sock)
 
-    async def _take_in(self) -> bool:
-        """Accept up to AT_ONCE connections; return whether the queue was found empty.
+    async def _accept_queued(self) -> bool:
+        """Accept up to MAX_ACCEPTS_PER_STEP connections; return whether the queue was found empty.
 
         Nothing is awaited between the accept and the creation of the connection, so that no accepted socket
         is left without an owner.
         """
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_ACCEPTS_PER_STEP):
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
                 return True
             except OSError as error:
-                if error.errno not in GONE:
+                if error.errno not in CONNECTION_ERRNOS:
                     self.cannot_accept(error)
                     # Without file descriptors, open connections go on and new clients wait in the queue.
-                    await asyncio.sleep(NO_DESCRIPTORS)
+                    await asyncio.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
             try:
-                over = not self._make_room()
-                if over:
+                over_limit = not self._make_room()
+                if over_limit:
                     self.all_busy(f"{len(self.connections)} of {self.connection_limit}")
-                self.connections.add(self.connection(self, sock, over))
+                self.connections.add(self.connection(self, sock, over_limit))
             except OSError:  # the client has disconnected
                 sock.close()
             except Exception as error:
@@ -183,19 +183,21 @@
                 logger.error("unforeseen error while a connection was accepted", exc_info=error)
             while len(self.connections) > self.connection_limit:
                 # Makes room for the connections in the queue: those past their last response close first.
-                self._let_go()
-                ending = [c.task for c in self.connections if c.closing] or [c.task for c in self.connections]
-                await asyncio.wait(ending, return_when=asyncio.FIRST_COMPLETED)
+                self._close_one()
+                tasks = [c.task for c in self.connections if c.closing] or [c.task for c in self.connections]
+                await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         return False
 
     def _make_room(self) -> bool:
         """Whether another connection may serve requests; closes an idle connection for it if needed."""
-        room = self.connection_limit - self.spare
-        if len(self.connections) < room:  # the common case: no scan of the connections
+        serving_limit = self.connection_limit - self.spare
+        if len(self.connections) < serving_limit:  # the common case: no scan of the connections
             return True
-        return sum(not c.closing for c in self.connections) < room or self._let_go(ending=False)
+        return sum(not c.closing for c in self.connections) < serving_limit or self._close_one(
+            include_closing=False
+        )
 
-    def _let_go(self, ending: bool = True) -> bool:
+    def _close_one(self, include_closing: bool = True) -> bool:
         """Close one connection that may be closed; False if there is none.
 
         The order is: those already closing, then those that were answered before, then the longest idle.  A
@@ -203,14 +205,14 @@
         any response may be about to send its first request, which would fail.  With many new clients this
         scan dominates the cost, so it uses a heap of the candidates only instead of a full sort.
         """
-        among = [
+        candidates = [
             (not closing, not c.answered, c.waiting_since, id(c), c)
             for c in self.connections
-            if not c.closing_soon and (ending if (closing := c.closing) else c.response_task is None)
+            if not c.closing_soon and (include_closing if (closing := c.closing) else c.response_task is None)
         ]
-        heapify(among)
-        while among:
-            connection = heappop(among)[-1]
+        heapify(candidates)
+        while candidates:
+            connection = heappop(candidates)[-1]
             if connection.can_be_closed:
                 connection.close_soon()
                 return True
@@ -245,32 +247,32 @@
         if within is not None:
             with suppress(TimeoutError):
                 async with asyncio.timeout(within):  # can only expire while waiting for room
-                    while not await self._take_in():
+                    while not await self._accept_queued():
                         pass
         self.sock.close()  # in the loop step in which the queue was found empty
 
-    async def drain(self, within: float = LINGER) -> None:
+    async def drain(self, within: float = LINGER_S) -> None:
         """Shut down gracefully: stop accepting, close idle connections, and wait for pending requests.
 
         A partial request does not count as received; its client has at most `within` seconds, and never more
-        than `LINGER`, to complete it.
+        than `LINGER_S`, to complete it.
         """
         self.close_after_responses()
-        within = min(within, LINGER)
+        within = min(within, LINGER_S)
         end = time.monotonic() + within
         await self.stop_accepting(within)
         while self.connections:
             for connection in list(self.connections):
                 if connection.closing:  # its close is under way and has a time limit
                     continue
-                if connection.can_be_closed or time.monotonic() > end and self._nothing_taken(connection):
+                if connection.can_be_closed or time.monotonic() > end and self._has_no_request(connection):
                     connection.close_soon()
             await asyncio.wait(
-                [c.task for c in self.connections], timeout=LINGER / 10, return_when=asyncio.FIRST_COMPLETED
+                [c.task for c in self.connections], timeout=LINGER_S / 10, return_when=asyncio.FIRST_COMPLETED
             )
 
     @staticmethod
-    def _nothing_taken(connection: ServedConnection) -> bool:
+    def _has_no_request(connection: ServedConnection) -> bool:
         """Whether the connection has no request, answered or unread; an agent check ends by itself."""
         return (
             isinstance(connection, Connection)
@@ -279,7 +281,7 @@
         )
 
 
-def bound(address: tuple[str, int], shared: bool) -> socket.socket:
+def bind_socket(address: tuple[str, int], shared: bool) -> socket.socket:
     """Bind a socket to an address; `shared` lets another process of this gateway bind the same one."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/mallowbeam/http/shutdown.py
+++ b/mallowbeam/http/shutdown.py
@@ -21,39 +21,39 @@
 from mallowbeam.http.handler import RequestHandler
 from mallowbeam.http.read_ahead import ReadAhead
 
-LINGER = 1.0  # seconds that a client has to read the last response before the close
-LINGER_LEAST = 0.05  # the same when the connection is to close soon, or the client keeps sending
-LINGER_BYTES = 256 * 1024  # bytes read and discarded meanwhile, at most
-RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER that makes close() send a reset: on, 0 seconds
+LINGER_S = 1.0  # time for a client to read the last response before the close
+MIN_LINGER_S = 0.05  # the same when the connection is to close soon, or the client keeps sending
+MAX_DISCARDED_BYTES = 256 * 1024  # read and discarded meanwhile
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER that makes close() send a reset: on, 0 seconds
 
 
 class Stage(Enum):
     """Stage of a client's connection; stages only advance."""
 
     OPEN = "open"  # requests are read and answered
-    LAST = "last"  # closes once the received requests are answered
+    DRAINING = "last"  # closes once the received requests are answered
     LINGERING = "lingering"  # this side has ended: further input is read and discarded
     CLOSED = "closed"
 
 
-def shut(sock: socket.socket) -> None:
+def shutdown_write(sock: socket.socket) -> None:
     """Shut down the sending side; a reset by the peer is left to the reader to report."""
     with suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
 
 
-def gone(sock: socket.socket) -> bool:
+def peer_has_closed(sock: socket.socket) -> bool:
     """Whether the client has ended or reset its connection, even if unread bytes precede the end."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)  # resets are always reported
     return bool(poll.poll(0))
 
 
-def drop(sock: socket.socket, buffer: memoryview, most: int) -> None:
-    """Read and discard pending input without waiting, up to about `most` bytes."""
+def discard_unread(sock: socket.socket, buffer: memoryview, max_bytes: int) -> None:
+    """Read and discard pending input without waiting, up to about `max_bytes` bytes."""
     try:
-        while most > 0 and (count := sock.recv_into(buffer)):
-            most -= count
+        while max_bytes > 0 and (count := sock.recv_into(buffer)):
+            max_bytes -= count
     except OSError:  # nothing left to read, or a reset
         pass
 
@@ -65,7 +65,7 @@
     for a complete one.
     """
     with suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
 
 
 class Connections(Protocol):
@@ -75,7 +75,7 @@
         """Remove a closed connection."""
 
 
-class Owner(Protocol):
+class ConnectionOwner(Protocol):
     """The server that a connection belongs to, as far as the connection uses it."""
 
     @property
@@ -94,7 +94,7 @@
 class ConnectionShutdown:
     """Closing of a client's connection; the base of `Connection`, which sets the attributes declared here."""
 
-    server: Owner
+    server: ConnectionOwner
     channel: Channel
     read_ahead: ReadAhead
     task: asyncio.Task[None]
@@ -121,12 +121,12 @@
         short.
         """
         if self.state is Stage.LINGERING:
-            self._close_by(self.half_closed_at + LINGER_LEAST)
+            self._close_by(self.half_closed_at + MIN_LINGER_S)
         elif self.state is not Stage.CLOSED:
             if self.response_task is not None or self.writing or not self._nothing_unread():
-                self.state = Stage.LAST
+                self.state = Stage.DRAINING
             else:
-                self._half_close(LINGER_LEAST)
+                self._half_close(MIN_LINGER_S)
         self.closing_soon = True
 
     def _nothing_unread(self) -> bool:
@@ -142,8 +142,8 @@
         self.state, self.half_closed_at = Stage.LINGERING, time.monotonic()
         self.channel.framer.ready.clear()  # no request is accepted after the last response
         self.read_ahead.clear()
-        shut(self.channel.sock)
-        self._close_by(self.half_closed_at + (LINGER if linger is None else linger))
+        shutdown_write(self.channel.sock)
+        self._close_by(self.half_closed_at + (LINGER_S if linger is None else linger))
         self.closing_soon = False  # `close_soon` can still cut the lingering short
         self.reading_may_resume.set()
 
@@ -166,11 +166,11 @@
 
     async def _discard_input(self) -> None:
         """Read and discard input until the client ends, so that no reset destroys the last response."""
-        most: int = max(LINGER_BYTES, getattr(self.server.front, "unread_body", 0))
+        remaining: int = max(MAX_DISCARDED_BYTES, getattr(self.server.front, "unread_body", 0))
         if self.streamed_request is not None:  # rejected before its end
-            most = max(most, self.streamed_request.length or self.channel.framer.max_body)
-        while most > 0:
+            remaining = max(remaining, self.streamed_request.length or self.channel.framer.max_body)
+        while remaining > 0:
             if (count := await self.channel.read()) == 0:
                 return
-            most -= count or 0
-        await asyncio.sleep(LINGER_LEAST)  # the client keeps sending: it has this long to read the response
+            remaining -= count or 0
+        await asyncio.sleep(MIN_LINGER_S)  # the client keeps sending: it has this long to read the response
--- a/mallowbeam/http/stream.py
+++ b/mallowbeam/http/stream.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-HELD_CHUNKS = 2  # chunks queued for a slow consumer: limits the memory of many bodies at once
-MOST = 40 * 1024 * 1024  # largest body, in bytes, streamed by the platform front
+MAX_QUEUED_CHUNKS = 2  # chunks queued for a slow consumer: limits the memory of many bodies at once
+MAX_STREAMED_BYTES = 40 * 1024 * 1024  # largest body streamed by the platform front
 
 
 class Writer(Protocol):
@@ -21,62 +21,62 @@
     """Bounded queue of chunks between the producer and the consumer of one body."""
 
     def __init__(
-        self, closed: Callable[[], object] | None = None, wanted: Callable[[], object] | None = None
+        self, closed: Callable[[], object] | None = None, on_first_get: Callable[[], object] | None = None
     ) -> None:
-        self._pieces: asyncio.Queue[bytearray | None] = asyncio.Queue(HELD_CHUNKS)
-        self._closed, self._wanted = closed, wanted  # called once: at `close`; before the first `get`
+        self._chunks: asyncio.Queue[bytearray | None] = asyncio.Queue(MAX_QUEUED_CHUNKS)
+        self._on_close, self._on_first_get = closed, on_first_get  # each is called once
         self.aborted = self.closed = False
 
     @property
     def full(self) -> bool:
         """Whether the next `put` would wait."""
-        return not self.closed and self._pieces.full()
+        return not self.closed and self._chunks.full()
 
-    async def put(self, piece: bytearray | None) -> None:
+    async def put(self, chunk: bytearray | None) -> None:
         """Queue a chunk, or None at the end; waits while the queue is full."""
         if not self.closed:
-            await self._pieces.put(piece)
+            await self._chunks.put(chunk)
 
     def abort(self) -> None:
         """Mark the body as truncated and wake the consumer."""
         self.aborted = True
-        if self._pieces.full():
-            self._pieces.get_nowait()
-        self._pieces.put_nowait(None)
+        if self._chunks.full():
+            self._chunks.get_nowait()
+        self._chunks.put_nowait(None)
 
     async def get(self) -> bytearray | None:
         """Return the next chunk; None at the end, and if the body was truncated (`aborted`)."""
-        wanted = self._wanted
-        if wanted is not None:
-            self._wanted = None
-            wanted()
-        piece = await self._pieces.get()
-        return None if self.aborted else piece
+        on_first_get = self._on_first_get
+        if on_first_get is not None:
+            self._on_first_get = None
+            on_first_get()
+        chunk = await self._chunks.get()
+        return None if self.aborted else chunk
 
     def close(self) -> None:
         """Stop consuming: queued chunks are dropped, and a waiting `put` returns."""
         if not self.closed:
             self.closed = True
-            while not self._pieces.empty():
-                self._pieces.get_nowait()
-            if self._closed is not None:
-                self._closed()
+            while not self._chunks.empty():
+                self._chunks.get_nowait()
+            if self._on_close is not None:
+                self._on_close()
 
 
 async def copy(stream: Stream, channel: Writer, skip: int, size: int | None, chunked: bool) -> bool:
     """Write `size` bytes of a stream from offset `skip`, or all to its end; False if it was truncated."""
     left = size
     while left is None or left > 0:
-        piece = await stream.get()
-        if piece is None:
+        chunk = await stream.get()
+        if chunk is None:
             if stream.aborted or left is not None:
                 return False
             if chunked:
                 await channel.send(b"0\r\n\r\n")
             return True
-        skipped = min(skip, len(piece))
+        skipped = min(skip, len(chunk))
         skip -= skipped
-        data = memoryview(piece)[skipped:] if left is None else memoryview(piece)[skipped : skipped + left]
+        data = memoryview(chunk)[skipped:] if left is None else memoryview(chunk)[skipped : skipped + left]
         if not data:
             continue
         if chunked:
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -8,9 +8,9 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.budget import BodyBudget
-from mallowbeam.http.framing import MAX_BODY, TOKEN, Channel, Message, in_chunks, write_head
+from mallowbeam.http.framing import MAX_BUFFERED_BODY_BYTES, TOKEN, Channel, Message, in_chunks, write_head
 from mallowbeam.http.handler import Response, text_response
-from mallowbeam.http.stream import MOST, Stream, copy
+from mallowbeam.http.stream import MAX_STREAMED_BYTES, Stream, copy
 from mallowbeam.storage_gateway.scheduler.interface import Idempotency
 from mallowbeam.storage_gateway.server.calls import (
     Answer,
@@ -57,7 +57,7 @@
 class Platform:
     """Turns the platform's requests into calls and answers back."""
 
-    max_body, max_buffered_body = MOST, MAX_BODY
+    max_body, max_buffered_body = MAX_STREAMED_BYTES, MAX_BUFFERED_BODY_BYTES
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway, self.budget = gateway, BodyBudget(min(HELD, gateway.config.memory // 8))
@@ -144,8 +144,8 @@
             request.body,
             streamed=(200).__eq__,
             standstill=max(LEAST, cls.latency_target * STANDSTILL),
-            hold=MAX_BODY,
-            most=MOST,
+            hold=MAX_BUFFERED_BODY_BYTES,
+            most=MAX_STREAMED_BYTES,
             upload=request.stream,
             length=request.length,
         )
--- a/mallowbeam/storage_gateway/server/health.py
+++ b/mallowbeam/storage_gateway/server/health.py
@@ -14,7 +14,7 @@
 from mallowbeam.http.framing import Message, write_head
 from mallowbeam.http.handler import Response, text_response
 from mallowbeam.http.server import Server
-from mallowbeam.http.shutdown import LINGER
+from mallowbeam.http.shutdown import LINGER_S
 from mallowbeam.storage_gateway.server.calls import Phase
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
@@ -100,7 +100,7 @@
         loop, buffer = asyncio.get_running_loop(), bytearray(256)
         try:
             self.sock.setblocking(False)
-            async with asyncio.timeout(LINGER):
+            async with asyncio.timeout(LINGER_S):
                 await loop.sock_sendall(self.sock, agent_line(self.gateway))
                 self.sock.shutdown(socket.SHUT_WR)
                 while await loop.sock_recv_into(self.sock, buffer):
--- a/tests/http/test_accepting.py
+++ b/tests/http/test_accepting.py
@@ -227,7 +227,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"GET / HT"])
 def test_a_client_that_stands_still_does_not_hold_up_the_end(monkeypatch, data):
-    monkeypatch.setattr(servers, "LINGER", 8 * PATIENCE)
+    monkeypatch.setattr(servers, "LINGER_S", 8 * PATIENCE)
 
     async def play(server: Server) -> None:
         server.start()
@@ -243,7 +243,7 @@
 
 @pytest.mark.parametrize("number", [errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN])
 def test_one_that_has_gone_before_its_accept_holds_up_nobody(monkeypatch, number):
-    monkeypatch.setattr(servers, "NO_DESCRIPTORS", 8 * PATIENCE)
+    monkeypatch.setattr(servers, "ACCEPT_RETRY_DELAY_S", 8 * PATIENCE)
 
     async def play(server: Server) -> None:
         def fail() -> None:
--- a/tests/http/test_closing.py
+++ b/tests/http/test_closing.py
@@ -166,7 +166,7 @@
 
 def test_a_flood_behind_the_last_answer_is_read_within_a_bound_and_then_rests(monkeypatch):
     """An endless sender must not occupy the core, and the close must not destroy its response."""
-    monkeypatch.setattr(shutdown, "LINGER", LATER)
+    monkeypatch.setattr(shutdown, "LINGER_S", LATER)
 
     async def run() -> None:
         async with World() as world:
@@ -190,7 +190,7 @@
                 here.close_soon()
             assert here.closing_soon and here.closing and here.state is Stage.LINGERING
             await client.read()
-            await until(lambda: here.task.done())  # LINGER_LEAST, where its client does not end it
+            await until(lambda: here.task.done())  # after MIN_LINGER_S if the client does not end it
             here.close_soon()
             assert here.state is Stage.CLOSED and crossing.shuts == 1
             assert here not in world.gateway.servers[-1].connections
@@ -241,7 +241,7 @@
             await world.play("n0 expect GET\nn0 send 200 fill=3000000")
             await client.read(until=b"\r\n\r\n")
             here.close_soon()
-            assert here.writing and here.state is Stage.LAST
+            assert here.writing and here.state is Stage.DRAINING
             got = await client.read()
             assert len(got.partition(b"\r\n\r\n")[2]) == 3_000_000
 
@@ -287,7 +287,7 @@
 
 
 def test_a_client_that_never_ends_its_side_is_closed_when_its_time_is_over(monkeypatch):
-    monkeypatch.setattr(shutdown, "LINGER", 0.05)
+    monkeypatch.setattr(shutdown, "LINGER_S", 0.05)
 
     async def run() -> None:
         async with World() as world:
@@ -307,8 +307,8 @@
 
 
 def test_where_room_is_short_a_lingering_connection_is_cut_short(monkeypatch):
-    monkeypatch.setattr(shutdown, "LINGER", LATER)
-    monkeypatch.setattr(shutdown, "LINGER_LEAST", 0.0)
+    monkeypatch.setattr(shutdown, "LINGER_S", LATER)
+    monkeypatch.setattr(shutdown, "MIN_LINGER_S", 0.0)
 
     async def run() -> None:
         async with World() as world:
@@ -369,8 +369,8 @@
 
 def test_requests_without_end_do_not_keep_a_connection_that_leaves(monkeypatch):
     """Requests that arrive during a close are answered for a limited time only."""
-    monkeypatch.setattr(shutdown, "LINGER", 0.0)
-    monkeypatch.setattr(connections, "LINGER", 0.0)
+    monkeypatch.setattr(shutdown, "LINGER_S", 0.0)
+    monkeypatch.setattr(connections, "LINGER_S", 0.0)
 
     async def run() -> None:
         async with World() as world:
--- a/tests/http/test_floods.py
+++ b/tests/http/test_floods.py
@@ -12,7 +12,7 @@
 from scenario import World
 
 from mallowbeam.http import connection as connections
-from mallowbeam.http.framing import CHUNK, MAX_QUIET
+from mallowbeam.http.framing import MAX_FRAMING_BYTES, READ_BUFFER_BYTES
 
 PUT = {"method": "PUT", "cls": "new-write"}
 KEY = "idempotency-key: k"
@@ -139,7 +139,7 @@
             with pytest.raises(ConnectionError):
                 await asyncio.wait_for(flooding, 5)
             await until(lambda: here.task.done())
-            assert most <= MAX_QUIET + CHUNK
+            assert most <= MAX_FRAMING_BYTES + READ_BUFFER_BYTES
             await world.play("n0 expect nothing")
 
     uvloop.run(run())
@@ -156,7 +156,10 @@
             await until(lambda: here.reading_paused)
             looks = here.liveness_timer
             await until(lambda: here.liveness_timer is not looks)
-            assert len(here.channel.framer.ready) <= connections.PIPELINED + CHUNK // len(HEALTH) + 1
+            assert (
+                len(here.channel.framer.ready)
+                <= connections.MAX_PIPELINED + READ_BUFFER_BYTES // len(HEALTH) + 1
+            )
             assert not flooding.done()
             await serves_others(world)
             flooding.cancel()
@@ -192,9 +195,9 @@
                 arrive(client, here, bytes([drop]))
                 await until(lambda: here.channel.peek() is None)
             assert (
-                here.waiting_since - start < connections.STALLED / 2
+                here.waiting_since - start < connections.REQUEST_TIMEOUT_S / 2
             )  # moved only while the consumer was slow
-            here.sweep(here.waiting_since + connections.STALLED + 0.01)
+            here.sweep(here.waiting_since + connections.REQUEST_TIMEOUT_S + 0.01)
             # An upload is being forwarded already: its consumer reports the truncation.
             assert (await client.read()).startswith(b"HTTP/1.1 503" if b"90000" in raw else b"HTTP/1.1 408")
             client.leave()
--- a/tests/http/test_waiting.py
+++ b/tests/http/test_waiting.py
@@ -7,10 +7,10 @@
 from scenario import World
 
 from mallowbeam.http.budget import BodyBudget
-from mallowbeam.http.connection import PIPELINED
-from mallowbeam.http.read_ahead import CHUNK_OVERHEAD, MAX_READ_AHEAD, ReadAhead
+from mallowbeam.http.connection import MAX_PIPELINED
+from mallowbeam.http.read_ahead import CHUNK_OVERHEAD_BYTES, MAX_READ_AHEAD_BYTES, ReadAhead
 
-PIPE = PIPELINED + 20
+PIPE = MAX_PIPELINED + 20
 
 
 def test_what_has_waited_out_its_time_is_refused_and_not_sent():
@@ -20,7 +20,7 @@
         async with World() as world:
             client, here = await come(world, b"".join(request(i) for i in range(1, PIPE + 1)))
             await world.play("n0 expect GET")
-            await until(lambda: len(here.channel.framer.ready) + len(here.read_ahead.chunks) > PIPELINED)
+            await until(lambda: len(here.channel.framer.ready) + len(here.read_ahead.chunks) > MAX_PIPELINED)
             for waiting in here.channel.framer.ready:
                 waiting.completed_at -= 60.0
             here.read_ahead.chunks = type(here.read_ahead.chunks)(
@@ -57,7 +57,9 @@
     ahead = ReadAhead(budget)
     while not ahead.full:
         ahead.append(memoryview(b"x"), float(len(ahead.chunks)))
-    assert len(ahead.chunks) <= MAX_READ_AHEAD / CHUNK_OVERHEAD + 1 and budget.used == ahead.buffered
+    assert (
+        len(ahead.chunks) <= MAX_READ_AHEAD_BYTES / CHUNK_OVERHEAD_BYTES + 1 and budget.used == ahead.buffered
+    )
     assert [ahead.popleft() for _ in range(2)] == [(0.0, b"x"), (1.0, b"x")]
     ahead.clear()
     assert budget.used == ahead.buffered == 0 and not ahead
--- a/tests/storage_gateway/frontends/test_stream.py
+++ b/tests/storage_gateway/frontends/test_stream.py
@@ -9,7 +9,7 @@
 from scenario import PATIENCE, World, play
 
 from mallowbeam.http import connection
-from mallowbeam.http.stream import HELD_CHUNKS, Stream
+from mallowbeam.http.stream import MAX_QUEUED_CHUNKS, Stream
 from mallowbeam.storage_gateway.frontends import platform
 from mallowbeam.storage_gateway.server import gateway
 
@@ -35,7 +35,7 @@
         filler = asyncio.create_task(fill(stream))
         for _ in range(50):
             await asyncio.sleep(0)
-        assert stream._pieces.qsize() == HELD_CHUNKS and not filler.done()
+        assert stream._chunks.qsize() == MAX_QUEUED_CHUNKS and not filler.done()
         assert await stream.get() == b"x"
         stream.close()
         stream.close()
@@ -118,7 +118,7 @@
 
 def test_an_answer_without_end_is_cut(monkeypatch):
     """Guards against a node that never stops: in chunks, no length tells that beforehand."""
-    monkeypatch.setattr(platform, "MOST", 200_000)
+    monkeypatch.setattr(platform, "MAX_STREAMED_BYTES", 200_000)
     play(f"""
         c1 send read
         n0 expect GET
@@ -195,7 +195,7 @@
 
 def test_an_upload_that_stalls_is_given_up_and_one_that_is_slow_is_not(monkeypatch):
     """Guards both: a client may send at 64 kB a second, one that stops must not hold a node's connection."""
-    monkeypatch.setattr(connection, "STALLED", 0.3)
+    monkeypatch.setattr(connection, "REQUEST_TIMEOUT_S", 0.3)
     monkeypatch.setattr(gateway, "SWEEP", 0.05)
     drip = "c1 send raw '' fill=20000\nwait 0.1\n"
     play(f"""
--- a/tests/storage_gateway/server/test_admin.py
+++ b/tests/storage_gateway/server/test_admin.py
@@ -109,7 +109,7 @@
 
 def test_half_sent_calls_do_not_keep_others_out(monkeypatch):
     """Guards the door: callers that never finish a call made everyone behind them wait for their time-out."""
-    monkeypatch.setattr(connection, "STALLED", 60.0)
+    monkeypatch.setattr(connection, "REQUEST_TIMEOUT_S", 60.0)
     monkeypatch.setattr(gateway, "SWEEP", 0.05)
 
     async def run() -> None:
--- a/tests/storage_gateway/server/test_clients_gone.py
+++ b/tests/storage_gateway/server/test_clients_gone.py
@@ -11,7 +11,7 @@
 
 from mallowbeam.http import connection as connections
 from mallowbeam.http import read_ahead
-from mallowbeam.http.connection import PIPELINED
+from mallowbeam.http.connection import MAX_PIPELINED
 
 MANY = 200  # more than what is read ahead
 WAYS = {"close": Raw.leave, "reset": lambda client: client.leave(reset=True), "half": Raw.end}
@@ -26,13 +26,13 @@
 
 def test_the_look_comes_often_enough():
     """What begins 0.1 s after its client left is a break: the look has half of that."""
-    assert connections.LOOK <= 0.05
+    assert connections.LIVENESS_CHECK_INTERVAL_S <= 0.05
 
 
-@pytest.fixture(params=[0, read_ahead.MAX_READ_AHEAD], ids=["none", "much"])
+@pytest.fixture(params=[0, read_ahead.MAX_READ_AHEAD_BYTES], ids=["none", "much"])
 def read_ahead_limit(monkeypatch: pytest.MonkeyPatch, request: pytest.FixtureRequest) -> int:
     """How much is read ahead: past it the client's end has to be looked for."""
-    monkeypatch.setattr(read_ahead, "MAX_READ_AHEAD", request.param)
+    monkeypatch.setattr(read_ahead, "MAX_READ_AHEAD_BYTES", request.param)
     return request.param
 
 
@@ -48,7 +48,7 @@
             client, here = await come(world, b"".join(request(i) for i in range(1, count + 1)))
             await world.play("n0 expect GET")
             if count > 1:
-                await until(lambda: len(here.channel.framer.ready) > PIPELINED)
+                await until(lambda: len(here.channel.framer.ready) > MAX_PIPELINED)
             WAYS[way](client)
             await nothing_more(world)
             if way == "half":  # an end of its sending counts as one of the connection
@@ -59,7 +59,7 @@
 
 def test_a_request_whose_client_has_just_left_is_not_handed_on(monkeypatch):
     """The crossing between two looks: the answer before it comes in the very moment its client leaves."""
-    monkeypatch.setattr(read_ahead, "MAX_READ_AHEAD", 0)
+    monkeypatch.setattr(read_ahead, "MAX_READ_AHEAD_BYTES", 0)
 
     async def run() -> None:
         async with World() as world:
@@ -118,7 +118,7 @@
 
 def test_a_client_that_only_waits_stays(monkeypatch):
     """The look takes no one for gone who is there: all that waits is answered."""
-    monkeypatch.setattr(read_ahead, "MAX_READ_AHEAD", 0)
+    monkeypatch.setattr(read_ahead, "MAX_READ_AHEAD_BYTES", 0)
 
     async def run() -> None:
         async with World(Classes=PATIENT) as world:
--- a/tests/storage_gateway/server/test_connections.py
+++ b/tests/storage_gateway/server/test_connections.py
@@ -94,7 +94,7 @@
 
 def test_those_that_have_been_answered_make_room_before_those_that_have_not(monkeypatch):
     """Guards first requests: clients that connected a moment ago lost theirs to those that came after."""
-    monkeypatch.setattr(connection, "FRESH", 0.0)
+    monkeypatch.setattr(connection, "NEW_CONNECTION_GRACE_S", 0.0)
 
     async def run() -> None:
         async with World(sockets=120) as world:
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize("front", ["c", "o"])
 def test_a_client_that_stalls_inside_a_request_gets_408_and_a_close(monkeypatch, front):
     """Guards against requests that come in a trickle, or never: each held its connection for 10 s or more."""
-    monkeypatch.setattr(connection, "STALLED", 0.2)
+    monkeypatch.setattr(connection, "REQUEST_TIMEOUT_S", 0.2)
     monkeypatch.setattr(gateway, "SWEEP", 0.05)
     drip = f"{front}2 send raw x\nwait 0.1\n"
     play(f"""
@@ -159,7 +159,7 @@
 @pytest.mark.parametrize("front", ["c", "o"])
 def test_a_client_that_says_nothing_is_closed_long_before_one_that_has_been_answered(monkeypatch, front):
     """Guards the descriptors: connections opened by the hundred lay there for two minutes."""
-    monkeypatch.setattr(connection, "STALLED", 0.2)
+    monkeypatch.setattr(connection, "REQUEST_TIMEOUT_S", 0.2)
     monkeypatch.setattr(gateway, "SWEEP", 0.05)
     play(f"""
         {front}1 send GET /_/other
@@ -174,7 +174,7 @@
 @pytest.mark.parametrize("front", ["c", "o"])
 def test_what_follows_a_request_that_is_too_large_is_read_for_a_while_only(monkeypatch, front):
     """Guards the core: a client that sends 60 MB at full speed was read for as long as it went on."""
-    monkeypatch.setattr(shutdown, "LINGER", 60.0)
+    monkeypatch.setattr(shutdown, "LINGER_S", 60.0)
 
     async def run() -> None:
         async with World() as world:
--- a/tests/storage_gateway/server/test_links.py
+++ b/tests/storage_gateway/server/test_links.py
@@ -21,7 +21,7 @@
 def played(scenario: str, *later: str, rest: float = -1.0, monkeypatch=None, check=None) -> None:
     """Play scenarios in turn, with connections that rest so long; `check` looks at the gateway at the end."""
     if monkeypatch is not None:
-        monkeypatch.setattr(upstream, "REST", rest)
+        monkeypatch.setattr(upstream, "REUSE_DELAY_S", rest)
 
     async def run() -> None:
         async with World() as world:
@@ -75,7 +75,7 @@
 )
 def test_what_comes_between_the_connection_s_choice_and_the_write_is_nobody_s_answer(monkeypatch, stray):
     """The crossing is forced: the node's bytes come once the connection is taken, before the first byte."""
-    monkeypatch.setattr(upstream, "REST", -1.0)
+    monkeypatch.setattr(upstream, "REUSE_DELAY_S", -1.0)
 
     async def run() -> None:
         async with World() as world:
@@ -211,7 +211,7 @@
 
 def test_a_connection_never_used_needs_no_rest(monkeypatch):
     """What came up for an attempt that may not begin any more serves the next one at once."""
-    monkeypatch.setattr(upstream, "REST", 1e6)
+    monkeypatch.setattr(upstream, "REUSE_DELAY_S", 1e6)
 
     async def run() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
--- a/tests/storage_gateway/server/test_written.py
+++ b/tests/storage_gateway/server/test_written.py
@@ -15,7 +15,7 @@
 from scenario import World
 
 from mallowbeam.http.client import Link, RequestNotSentError
-from mallowbeam.http.framing import CHUNK, Channel, Framer
+from mallowbeam.http.framing import READ_BUFFER_BYTES, Channel, Framer
 from mallowbeam.storage_gateway.server import attempts
 
 BODY = b"b" * 200
@@ -68,7 +68,10 @@
 
 WRITES = {
     "whole": (b"head" + BODY, lambda link: link.request(b"head", BODY)),
-    "large": (b"head" + b"b" * (CHUNK + 1), lambda link: link.request(b"head", b"b" * (CHUNK + 1))),
+    "large": (
+        b"head" + b"b" * (READ_BUFFER_BYTES + 1),
+        lambda link: link.request(b"head", b"b" * (READ_BUFFER_BYTES + 1)),
+    ),
     "pieces": (b"head" + BODY, lambda link: pieces(link, len(BODY))),
     "chunks": (
         b"head" + b"64\r\n" + BODY[:100] + b"\r\n64\r\n" + BODY[100:] + b"\r\n0\r\n\r\n",
@@ -105,7 +108,7 @@
     async def run() -> None:
         link, peer = pair()
         data, write = WRITES[how]
-        last = {"whole": len(data), "large": CHUNK + 1, "pieces": 100, "chunks": 5}[how]
+        last = {"whole": len(data), "large": READ_BUFFER_BYTES + 1, "pieces": 100, "chunks": 5}[how]
         link._writable = link.channel._writable = asyncio.Event().wait
         task = await struck(
             link,
@@ -132,7 +135,7 @@
         peer.close()
         with pytest.raises(RequestNotSentError):
             for _ in range(3):  # the first write may still be taken
-                await link.request(b"head", b"b" * CHUNK)
+                await link.request(b"head", b"b" * READ_BUFFER_BYTES)
         assert not link.request_sent
 
     uvloop.run(run())
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -28,7 +28,7 @@
 import uvloop
 from project_paths import EXAMPLE
 
-from mallowbeam.http.framing import REASONS, Framer, Message
+from mallowbeam.http.framing import REASON_PHRASES, Framer, Message
 from mallowbeam.storage_gateway.application import open_servers
 from mallowbeam.storage_gateway.server import config as configs
 from mallowbeam.storage_gateway.server.admin import open_admin
@@ -130,7 +130,7 @@
         """Send the response to the last expected request."""
         if first == "raw":
             return self.raw(*rest)
-        self.write(f"HTTP/1.1 {first} {REASONS[int(first)]}", rest)
+        self.write(f"HTTP/1.1 {first} {REASON_PHRASES[int(first)]}", rest)
         return None
 
 
