--- a/tests/router/data_plane/test_exchange_model.py
+++ b/tests/router/data_plane/test_exchange_model.py
@@ -189,7 +189,7 @@
 
     async def forgetting(self: Link, rest: list[memoryview]) -> None:
         await write_rest(self, rest)
-        self._refused = False
+        self._write_failed = False
 
     stack.enter_context(patch.object(Link, "_write_rest", forgetting))
 
--- a/tests/storage_gateway/server/test_clients_gone.py
+++ b/tests/storage_gateway/server/test_clients_gone.py
@@ -41,7 +41,7 @@
 def test_a_client_that_sends_much_at_once_and_goes_is_noticed(monkeypatch, read_ahead_limit, way, count):
     """Guards nodes: behind unread requests neither an end nor a reset was seen, and all were sent on."""
     if read_ahead_limit:
-        monkeypatch.setattr(connections, "gone", lambda sock: False)  # the reader sees it by itself
+        monkeypatch.setattr(connections, "peer_has_closed", lambda sock: False)  # the reader sees it by itself
 
     async def run() -> None:
         async with World() as world:
