--- a/mallowbeam/cli/system.py
+++ b/mallowbeam/cli/system.py
@@ -46,7 +46,7 @@
         found = system_config.summary(system_config.read_configuration(file))
     except ConfigurationError as error:
         text = f"{file}: {error.code}: {error.line}"
-        _show({"valid": False, "code": error.code, **error.told()}, text, json)
+        _show({"valid": False, "code": error.code, **error.as_dict()}, text, json)
         return EXIT_DIFFERENT
     text = "{}: valid, revision {revision}, {routes} routes, {backends} backends".format(file, **found)
     _show({"valid": True, **found}, text, json)
--- a/mallowbeam/errors.py
+++ b/mallowbeam/errors.py
@@ -1,6 +1,6 @@
 """The base class of the project's errors: what failed, where, and what an operator can do about it.
 
-The command line, the JSON responses and the log render an error through `line` and `told`.  A class sets a
+The command line, the JSON responses and the log render an error through `line` and `as_dict`.  A class sets a
 default `remedy`, and the router fleet's classes a stable `code`; a raised error can override both.
 """
 
@@ -51,7 +51,7 @@
         super().__init__(what)
         self.what = what
         self.where = where or _format_peer(peer)
-        self.cure = remedy or self.remedy
+        self.remedy_text = remedy or self.remedy
         self.code = code or self.code
         self.step = step or self.step
         self.peer = peer
@@ -63,16 +63,21 @@
     @property
     def line(self) -> str:
         """The position, the description and the remedy on one line."""
-        return f"{self} ({self.cure})" if self.cure else str(self)
+        return f"{self} ({self.remedy_text})" if self.remedy_text else str(self)
 
-    def told(self) -> dict[str, str]:
+    def as_dict(self) -> dict[str, str]:
         """Return the error as the fields of a JSON response; code and step only where they are set."""
-        told = {"error": self.error_name, "what": self.what, "where": self.where, "remedy": self.cure}
+        fields = {
+            "error": self.error_name,
+            "what": self.what,
+            "where": self.where,
+            "remedy": self.remedy_text,
+        }
         if self.code:
-            told["code"] = self.code
+            fields["code"] = self.code
         if self.step:
-            told["step"] = self.step
-        return told
+            fields["step"] = self.step
+        return fields
 
 
 def _format_peer(peer: int | str | None) -> str:
--- a/mallowbeam/http/client.py
+++ b/mallowbeam/http/client.py
@@ -2,9 +2,9 @@
 
 The error types tell whether a request may have run.  Until its last byte is written the node can't have a
 complete request (`RequestNotSentError`); after that the request may have run (`ConnectionBrokenError`).  A
-node that answers before it has read the complete request may have run it nevertheless: a caller that must not
-send twice checks `Link.begun`, which depends only on how many bytes the kernel has accepted.  This module
-never retries.
+node that answers before it has read the complete request may have run it nevertheless: a caller that must
+not send twice checks `Link.write_started`, which depends only on how many bytes the kernel has accepted.
+This module never retries.
 """
 
 from __future__ import annotations
@@ -65,12 +65,16 @@
         self._write_failed = False  # a write failed: an end of stream is not an orderly close
 
     @property
-    def begun(self) -> bool:
+    def write_started(self) -> bool:
         """Whether the kernel has accepted any byte of the request; if not, it is certainly unsent."""
         return self.channel.bytes_sent > self._bytes_sent_before
 
     async def request(
-        self, head: bytes, body: bytes | bytearray = b"", bodiless: bool = False, follows: int | None = 0
+        self,
+        head: bytes,
+        body: bytes | bytearray = b"",
+        bodiless: bool = False,
+        streamed_length: int | None = 0,
     ) -> None:
         """Write a request.
 
@@ -78,17 +82,17 @@
             head: Start line and headers.
             body: The body, or its first bytes.
             bodiless: Whether the response has no body, as for HEAD.
-            follows: Body bytes that the caller passes to `write` later; None for a chunked body.
+            streamed_length: Body bytes that the caller passes to `write` later; None for a chunked body.
 
         Raises:
             RequestNotSentError: The connection failed before the last byte was written.
         """
-        self._start_request(bodiless, follows)
+        self._start_request(bodiless, streamed_length)
         if len(body) > READ_BUFFER_BYTES:  # a large body is not copied
             await self._send(head, False)
             await self._send(body, True)
         else:
-            await self._send(head + body, follows == 0)
+            await self._send(head + body, streamed_length == 0)
 
     async def round_trip(self, head: bytes, body: bytes | bytearray = b"", bodiless: bool = False) -> Message:
         """Write a request and return its response once the headers are read.
@@ -112,10 +116,10 @@
             self.request_sent = True
         return await self.read_head()
 
-    def _start_request(self, bodiless: bool, follows: int | None) -> None:
+    def _start_request(self, bodiless: bool, streamed_length: int | None) -> None:
         """Reset the per-request state."""
         self.channel.framer.bodiless = bodiless
-        self.request_sent, self.body_left = False, follows
+        self.request_sent, self.body_left = False, streamed_length
         self._bytes_sent_before = self.channel.bytes_sent
 
     def _write_now(self, data: bytes | bytearray) -> memoryview:
--- a/mallowbeam/http/connection.py
+++ b/mallowbeam/http/connection.py
@@ -409,11 +409,11 @@
         return self._request_timeout() + (request.received / MIN_UPLOAD_BYTES_PER_S if request else 0.0)
 
     def _request_timeout(self) -> float:
-        """Seconds allowed for receiving a request: the front's `stalled`, if it has one."""
-        seconds: float = getattr(self.server.front, "stalled", REQUEST_TIMEOUT_S)
+        """Seconds allowed for receiving a request: the front's `request_timeout_s`, if it has one."""
+        seconds: float = getattr(self.server.front, "request_timeout_s", REQUEST_TIMEOUT_S)
         return seconds
 
     def _idle_timeout(self) -> float:
-        """Seconds that a connection may stay idle after a response: the front's `idle`, if it has one."""
-        seconds: float = getattr(self.server.front, "idle", IDLE_TIMEOUT_S)
+        """Seconds that a connection may stay idle: the front's `idle_timeout_s`, if it has one."""
+        seconds: float = getattr(self.server.front, "idle_timeout_s", IDLE_TIMEOUT_S)
         return seconds
--- a/mallowbeam/http/framing.py
+++ b/mallowbeam/http/framing.py
@@ -401,7 +401,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-def in_chunks(request: Message, length: int | None) -> bool:
+def use_chunked_encoding(request: Message, length: int | None) -> bool:
     """Whether the response to a request uses chunked encoding: if its body's length is not known in advance.
 
     HTTP/1.0 clients don't support chunks (RFC 9112 section 7.1): the end of the connection ends the body, and
--- a/mallowbeam/router/data_plane/attempt.py
+++ b/mallowbeam/router/data_plane/attempt.py
@@ -75,7 +75,7 @@
             return AttemptEnd.NO_CONNECTION
         # An instance may run and answer a request that it has read only in part, so the request is proven
         # unsent only if the kernel accepted no byte of it.
-        if not self.link.begun:
+        if not self.link.write_started:
             end = AttemptEnd.NOT_SENT
         elif end is AttemptEnd.NOT_SENT:
             end = AttemptEnd.BROKEN
--- a/mallowbeam/router/data_plane/client_frontend.py
+++ b/mallowbeam/router/data_plane/client_frontend.py
@@ -41,8 +41,8 @@
         """Apply limits to requests that start from now on, also on open connections."""
         self.max_body = limits.max_body_bytes
         self.max_head = limits.max_header_bytes
-        self.stalled = limits.header_timeout_ms / 1000 + CLIENT_TIMEOUT_MARGIN_S
-        self.idle = limits.idle_timeout_ms / 1000 + CLIENT_TIMEOUT_MARGIN_S
+        self.request_timeout_s = limits.header_timeout_ms / 1000 + CLIENT_TIMEOUT_MARGIN_S
+        self.idle_timeout_s = limits.idle_timeout_ms / 1000 + CLIENT_TIMEOUT_MARGIN_S
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
         """Handle one request and return its answer."""
--- a/mallowbeam/router/data_plane/readiness.py
+++ b/mallowbeam/router/data_plane/readiness.py
@@ -18,7 +18,7 @@
 
     max_body = max_buffered_body = MAX_BODY_BYTES
     budget: BodyBudget | None = None
-    idle = 30.0  # seconds that a caller's connection may be idle
+    idle_timeout_s = 30.0  # seconds that a caller's connection may be idle
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         self._ready = ready
--- a/mallowbeam/router/data_plane/relay.py
+++ b/mallowbeam/router/data_plane/relay.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from mallowbeam.http.client import ConnectionBrokenError
-from mallowbeam.http.framing import Channel, Message, in_chunks, write_head
+from mallowbeam.http.framing import Channel, Message, use_chunked_encoding, write_head
 from mallowbeam.http.handler import Response
 from mallowbeam.router.admission.messages import Outcome
 from mallowbeam.router.data_plane.answers import forwarded_headers
@@ -122,7 +122,7 @@
         return min(timeout_s, exchange.deadline - time.monotonic())
 
     def _head(self, answer: Message, length: int | None) -> bytes:
-        self._chunked = in_chunks(self._request, length)
+        self._chunked = use_chunked_encoding(self._request, length)
         return write_head(answer.status, forwarded_headers(answer), length, self._closing(), self._chunked)
 
     def _encode_chunk(self, chunk: bytes) -> bytes:
--- a/mallowbeam/router/error_body.py
+++ b/mallowbeam/router/error_body.py
@@ -25,7 +25,7 @@
     def from_error(cls, error: MallowbeamError) -> ErrorBody:
         """Describe an error of the project; one without a code is identified by its error name."""
         code = error.code or error.error_name
-        return cls(code=code, where=error.where, what=error.what, remedy=error.cure)
+        return cls(code=code, where=error.where, what=error.what, remedy=error.remedy_text)
 
     @classmethod
     def parse(cls, body: bytes) -> ErrorBody | None:
--- a/mallowbeam/router/processes/metrics.py
+++ b/mallowbeam/router/processes/metrics.py
@@ -59,7 +59,7 @@
 
     max_body = max_buffered_body = MAX_BODY_BYTES
     budget: BodyBudget | None = None
-    idle = 30.0  # seconds after which an idle connection is closed
+    idle_timeout_s = 30.0  # seconds after which an idle connection is closed
 
     def __init__(self, path: bytes, collect: Collect) -> None:
         """`path` is that of the page, with its slash; `collect` is called for each request."""
--- a/mallowbeam/storage_gateway/coordination/pools/errors.py
+++ b/mallowbeam/storage_gateway/coordination/pools/errors.py
@@ -24,10 +24,10 @@
         super().__init__(what, where, remedy)
         self.position = position
 
-    def told(self) -> dict[str, str]:
+    def as_dict(self) -> dict[str, str]:
         """The base's fields and the position, for a JSON answer."""
         position = self.position
-        return super().told() | {
+        return super().as_dict() | {
             "line": str(position.line),
             "column": str(position.column),
             "text": position.text,
--- a/mallowbeam/storage_gateway/coordination/raft_node.py
+++ b/mallowbeam/storage_gateway/coordination/raft_node.py
@@ -165,7 +165,7 @@
             try:
                 policy = read_policy(body)
             except MallowbeamError as error:  # of another program's pusher; the same text on all members
-                return Refusal(error.what, error.where, error.cure)
+                return Refusal(error.what, error.where, error.remedy_text)
             return self.log.push(policy, judges)
         except (LogUnusableError, *LOCAL_ERRORS) as error:
             self._fail(error)
--- a/mallowbeam/storage_gateway/coordination/service.py
+++ b/mallowbeam/storage_gateway/coordination/service.py
@@ -361,7 +361,7 @@
             "version": core.in_force.version,
             "digest": digest(core.in_force),
             "policy": json.loads(core.in_force.body),
-            "failed": self.failure.told() if self.failure else None,
+            "failed": self.failure.as_dict() if self.failure else None,
             "engine": self.raft.describe() if self.raft else None,
         }
 
--- a/mallowbeam/storage_gateway/coordination/shares/state_machine.py
+++ b/mallowbeam/storage_gateway/coordination/shares/state_machine.py
@@ -235,7 +235,7 @@
                 return state
             floors = _floors(section, state.floors, len(self.gateways))
         except (InvalidSharesError, InvalidPolicyError) as error:
-            return Refusal(error.what, error.where, error.cure)
+            return Refusal(error.what, error.where, error.remedy_text)
         after = msgspec.structs.replace(state, policy=section, floors=floors, recompute=Recompute.AT_ONCE)
         tenants = tuple(sorted(section.tenants))
         nodes = tuple(sorted(section.nodes))
@@ -283,7 +283,7 @@
         try:
             quota = open_quota_epoch(state.quota, rows, state.floors)
         except (InvalidTargetError, TooManyOpenEpochsError) as error:
-            return Refusal(error.what, error.where, error.cure)
+            return Refusal(error.what, error.where, error.remedy_text)
         return msgspec.structs.replace(
             state,
             quota=quota,
--- a/mallowbeam/storage_gateway/coordination/status_pages.py
+++ b/mallowbeam/storage_gateway/coordination/status_pages.py
@@ -60,7 +60,7 @@
             headers: Headers = []
             if isinstance(error, MethodNotAllowedError):
                 headers = [(b"allow", ALLOWED.get(request.target, b"PUT"))]
-            return json_response(status, error.told(), closing(), headers)
+            return json_response(status, error.as_dict(), closing(), headers)
 
     async def _respond(self, request: Message, closing: Callable[[], bool]) -> Response:
         path, _, query = request.target.decode("latin-1").partition("?")
@@ -87,7 +87,7 @@
 
     def error_response(self, status: int, text: str) -> Response:
         """The response to a request that breaks HTTP or a bound."""
-        return json_response(status, UnreadableRequestError(text).told(), True)
+        return json_response(status, UnreadableRequestError(text).as_dict(), True)
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
         """Requests for the pages are not counted in the metrics."""
--- a/mallowbeam/storage_gateway/frontends/object_api/front.py
+++ b/mallowbeam/storage_gateway/frontends/object_api/front.py
@@ -19,7 +19,15 @@
 from zlib import crc32
 
 from mallowbeam.http.budget import BodyBudget
-from mallowbeam.http.framing import HOP_BY_HOP, TOKEN, Channel, Headers, Message, in_chunks, write_head
+from mallowbeam.http.framing import (
+    HOP_BY_HOP,
+    TOKEN,
+    Channel,
+    Headers,
+    Message,
+    use_chunked_encoding,
+    write_head,
+)
 from mallowbeam.http.handler import Response
 from mallowbeam.http.stream import Stream, copy
 from mallowbeam.storage_gateway.frontends.object_api import batches
@@ -396,7 +404,7 @@
 
         async def write(channel: Channel) -> bool:
             # Guards against an attempt that would wait for ever for a client that has gone.
-            chunked = in_chunks(request.message, size)
+            chunked = use_chunked_encoding(request.message, size)
             try:
                 await channel.send(write_head(status, headers, size, closing(), chunked))
                 return await copy(stream, channel, start, size, chunked)
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -8,7 +8,14 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.budget import BodyBudget
-from mallowbeam.http.framing import MAX_BUFFERED_BODY_BYTES, TOKEN, Channel, Message, in_chunks, write_head
+from mallowbeam.http.framing import (
+    MAX_BUFFERED_BODY_BYTES,
+    TOKEN,
+    Channel,
+    Message,
+    use_chunked_encoding,
+    write_head,
+)
 from mallowbeam.http.handler import Response, text_response
 from mallowbeam.http.stream import MAX_STREAMED_BYTES, Stream, copy
 from mallowbeam.storage_gateway.scheduler.interface import Idempotency
@@ -154,7 +161,7 @@
     def streamed(answer: Answer, stream: Stream, request: Message, closing: Callable[[], bool]) -> Response:
         """A large answer, passed on as it comes."""
         size = length_of(answer.headers)
-        chunked = in_chunks(request, size)
+        chunked = use_chunked_encoding(request, size)
 
         async def write(channel: Channel) -> bool:
             try:
--- a/mallowbeam/storage_gateway/server/attempts.py
+++ b/mallowbeam/storage_gateway/server/attempts.py
@@ -220,7 +220,7 @@
         call = exchange.call
         head = write_request(call.method, call.target, headers, call.length or 0, chunked=call.length is None)
         self._gateway.apply(self._scheduler.upload_progress(self._now(), order, None))
-        await link.request(head, follows=call.length)
+        await link.request(head, streamed_length=call.length)
         while (chunk := await body.get()) is not None:
             if link.channel.stale():
                 return
--- a/tests/http/test_accepting.py
+++ b/tests/http/test_accepting.py
@@ -16,12 +16,12 @@
 from mallowbeam.http.handler import Response, text_response
 from mallowbeam.http.server import Server
 
-PATIENCE = 10.0  # seconds to wait for an expected event
+TIMEOUT_S = 10.0  # seconds to wait for an expected event
 REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"
-LAST = b"GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
+CLOSING_REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
 
 
-class Pages:
+class GatedHandler:
     """A front that answers every request once `held` is set, which it is at first."""
 
     max_body, max_buffered_body, budget = 0, 0, None
@@ -42,7 +42,7 @@
         pass
 
 
-class Crossed(socket.socket):
+class HookedSocket(socket.socket):
     """A listening socket with hooks before and after each accept, and before its close."""
 
     before: Callable[[], None] = staticmethod(lambda: None)
@@ -60,63 +60,63 @@
         super().close()
 
 
-def scene(play: Callable[[Server], Awaitable[None]], most: int = 64) -> None:
+def run_with_server(play: Callable[[Server], Awaitable[None]], most: int = 64) -> None:
     """Run a coroutine with a server that does not listen yet."""
 
     async def run() -> None:
-        server = Server(("127.0.0.1", 0), Pages(), most)
-        server.sock = Crossed(fileno=server.sock.detach())
-        async with asyncio.timeout(PATIENCE):
+        server = Server(("127.0.0.1", 0), GatedHandler(), most)
+        server.sock = HookedSocket(fileno=server.sock.detach())
+        async with asyncio.timeout(TIMEOUT_S):
             await play(server)
 
     uvloop.run(run())
 
 
-def knock(server: Server, data: bytes = REQUEST) -> socket.socket:
+def connect_with_request(server: Server, data: bytes = REQUEST) -> socket.socket:
     """Connect and send a request without a loop step: the connection stays in the accept queue."""
-    sock = socket.create_connection(server.address, timeout=PATIENCE)
+    sock = socket.create_connection(server.address, timeout=TIMEOUT_S)
     sock.sendall(data)
     return sock
 
 
-async def answer(sock: socket.socket) -> bytes:
+async def read_to_end(sock: socket.socket) -> bytes:
     """Read to the end of the stream; a reset raises."""
     sock.setblocking(False)
-    whole = b""
+    received = b""
     with sock:
         while data := await asyncio.get_running_loop().sock_recv(sock, 65536):
-            whole += data
-    return whole
+            received += data
+    return received
 
 
-async def answers(socks: list[socket.socket]) -> list[bytes]:
-    return [whole[:12] for whole in await asyncio.gather(*map(answer, socks))]
+async def read_statuses(socks: list[socket.socket]) -> list[bytes]:
+    return [received[:12] for received in await asyncio.gather(*map(read_to_end, socks))]
 
 
-def test_what_lies_in_the_accept_queue_at_the_end_is_answered():
+def test_queued_connections_are_answered_at_shutdown():
     """Closing a listener resets the connections that it has not accepted."""
 
     async def play(server: Server) -> None:
         server.start()
-        socks = [knock(server) for _ in range(40)]
+        socks = [connect_with_request(server) for _ in range(40)]
         drained = asyncio.create_task(server.drain())
-        assert await answers(socks) == [b"HTTP/1.1 200"] * 40
+        assert await read_statuses(socks) == [b"HTTP/1.1 200"] * 40
         await drained
 
-    scene(play)
+    run_with_server(play)
 
 
-def test_a_queue_longer_than_the_room_is_answered_to_the_last():
+def test_an_accept_queue_longer_than_the_limit_is_answered_completely():
     """Each gets 200, or 503 over the limit; none is closed unread, and the limit holds."""
 
     async def play(server: Server) -> None:
         server.start()
-        held = [knock(server)]
+        held = [connect_with_request(server)]
         server.front.held.clear()
         await asyncio.sleep(0)
-        socks = held + [knock(server) for _ in range(40)]
+        socks = held + [connect_with_request(server) for _ in range(40)]
         drained = asyncio.create_task(server.drain())
-        got = asyncio.create_task(answers(socks))
+        got = asyncio.create_task(read_statuses(socks))
         while not server.connections:
             await asyncio.sleep(0)
         server.front.held.set()
@@ -126,7 +126,7 @@
         assert set(got.result()) <= {b"HTTP/1.1 200", b"HTTP/1.1 503"}
         await drained
 
-    scene(play, most=8)
+    run_with_server(play, most=8)
 
 
 def test_the_time_for_the_accept_queue_is_bounded():
@@ -135,7 +135,7 @@
     async def play(server: Server) -> None:
         server.start()
         server.front.held.clear()
-        with knock(server), knock(server), knock(server):
+        with connect_with_request(server), connect_with_request(server), connect_with_request(server):
             while len(server.connections) <= server.connection_limit:
                 await asyncio.sleep(0)
             await server.stop_accepting(0.05)
@@ -143,107 +143,107 @@
         server.front.held.set()
         await server.drain()
 
-    scene(play, most=1)
+    run_with_server(play, most=1)
 
 
-def test_one_accepted_in_the_very_instant_of_the_end_is_answered():
+def test_a_connection_accepted_as_shutdown_begins_is_answered():
     """Race: the listener is closed between the accept and the acceptor's next loop step."""
 
     async def play(server: Server) -> None:
         ends = []
         server.sock.after = lambda: ends or ends.append(asyncio.ensure_future(server.drain()))
         server.start()
-        assert await answers([knock(server)]) == [b"HTTP/1.1 200"]
+        assert await read_statuses([connect_with_request(server)]) == [b"HTTP/1.1 200"]
         await ends[0]
 
-    scene(play)
+    run_with_server(play)
 
 
-def test_one_that_comes_with_the_last_look_at_the_queue_is_answered():
+def test_connections_that_arrive_while_the_listener_closes_are_answered():
     """Race: connections arrive while the listener is being closed."""
 
     async def play(server: Server) -> None:
         socks = []
         server.start()
         await asyncio.sleep(0)
-        server.sock.before = lambda: len(socks) < 3 and socks.append(knock(server))
+        server.sock.before = lambda: len(socks) < 3 and socks.append(connect_with_request(server))
         drained = asyncio.create_task(server.drain())
         while len(socks) < 3:
             await asyncio.sleep(0)
-        assert await answers(socks) == [b"HTTP/1.1 200"] * 3
+        assert await read_statuses(socks) == [b"HTTP/1.1 200"] * 3
         await drained
 
-    scene(play)
+    run_with_server(play)
 
 
 def test_a_queue_that_is_handed_over_is_answered_once_by_either():
     """Race: the old process stops right after its first accept; the new process accepts the rest."""
 
     async def play(server: Server) -> None:
-        new, shuts = Server(server.address, Pages(), 64, handed=server.sock.dup()), []
+        new, shuts = Server(server.address, GatedHandler(), 64, handed=server.sock.dup()), []
         server.sock.after = lambda: shuts or shuts.append(asyncio.ensure_future(server.stop_accepting()))
         server.start()
-        socks = [knock(server) for _ in range(40)]
+        socks = [connect_with_request(server) for _ in range(40)]
         while server.sock.fileno() >= 0:
             await asyncio.sleep(0)
         new.start()
-        got = asyncio.create_task(answers(socks))
+        got = asyncio.create_task(read_statuses(socks))
         while new.front.count + server.front.count < 40:
             await asyncio.sleep(0)
         await asyncio.gather(server.drain(), new.drain())
         assert await got == [b"HTTP/1.1 200"] * 40
         assert server.front.count and new.front.count and server.front.count + new.front.count == 40
 
-    scene(play)
+    run_with_server(play)
 
 
-def test_a_connection_opened_in_the_step_of_the_last_answers_gets_one_and_a_close():
+def test_a_connection_opened_as_closing_begins_gets_a_response_and_a_close():
     async def play(server: Server) -> None:
         server.start()
-        sock = knock(server)
+        sock = connect_with_request(server)
         server.close_after_responses()
-        whole = await answer(sock)
-        assert whole.startswith(b"HTTP/1.1 200") and b"connection: close" in whole
+        received = await read_to_end(sock)
+        assert received.startswith(b"HTTP/1.1 200") and b"connection: close" in received
         await server.drain()
 
-    scene(play)
+    run_with_server(play)
 
 
-def test_a_request_that_lies_unread_when_time_is_up_is_answered():
+def test_an_unread_request_is_answered_at_the_drain_deadline():
     """Race: a new connection's first request arrives as its time to send it ends."""
 
     async def play(server: Server) -> None:
         server.start()
-        sock = knock(server, b"")
+        sock = connect_with_request(server, b"")
         while not server.connections:
             await asyncio.sleep(0)
         server.sock.closed = lambda: sock.sendall(REQUEST)  # the first check follows in the same loop step
         drained = asyncio.create_task(server.drain(0.0))
-        assert await answers([sock]) == [b"HTTP/1.1 200"]
+        assert await read_statuses([sock]) == [b"HTTP/1.1 200"]
         await drained
 
-    scene(play)
+    run_with_server(play)
 
 
 @pytest.mark.parametrize("data", [b"", b"GET / HT"])
-def test_a_client_that_stands_still_does_not_hold_up_the_end(monkeypatch, data):
-    monkeypatch.setattr(servers, "LINGER_S", 8 * PATIENCE)
+def test_a_stalled_client_does_not_delay_shutdown(monkeypatch, data):
+    monkeypatch.setattr(servers, "LINGER_S", 8 * TIMEOUT_S)
 
     async def play(server: Server) -> None:
         server.start()
-        sock = knock(server, data)
+        sock = connect_with_request(server, data)
         while not server.connections:
             await asyncio.sleep(0)
         drained = asyncio.create_task(server.drain(0.0))
-        assert not (await answer(sock)).startswith(b"HTTP/1.1 200")
+        assert not (await read_to_end(sock)).startswith(b"HTTP/1.1 200")
         await drained
 
-    scene(play)
+    run_with_server(play)
 
 
 @pytest.mark.parametrize("number", [errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN])
-def test_one_that_has_gone_before_its_accept_holds_up_nobody(monkeypatch, number):
-    monkeypatch.setattr(servers, "ACCEPT_RETRY_DELAY_S", 8 * PATIENCE)
+def test_a_connection_aborted_before_its_accept_does_not_delay_others(monkeypatch, number):
+    monkeypatch.setattr(servers, "ACCEPT_RETRY_DELAY_S", 8 * TIMEOUT_S)
 
     async def play(server: Server) -> None:
         def fail() -> None:
@@ -254,36 +254,36 @@
         failed: list[int] = []
         server.sock.before = fail
         server.start()
-        sock = knock(server, LAST)
-        assert await answers([sock]) == [b"HTTP/1.1 200"] and failed
+        sock = connect_with_request(server, CLOSING_REQUEST)
+        assert await read_statuses([sock]) == [b"HTTP/1.1 200"] and failed
         await server.drain()
 
-    scene(play)
+    run_with_server(play)
 
 
-def test_one_that_has_gone_right_after_its_accept_is_no_fault():
+def test_a_client_gone_right_after_its_accept_is_not_logged():
     """Any call on the socket of a departed client may fail; that must not be logged or affect others."""
 
     async def play(server: Server) -> None:
         def gone(*_: object) -> None:
-            server.connection = whole
+            server.connection = original
             raise OSError(errno.EINVAL, "invalid argument")
 
-        whole, server.connection = server.connection, gone
+        original, server.connection = server.connection, gone
         server.start()
-        with knock(server):
-            assert await answers([knock(server, LAST)]) == [b"HTTP/1.1 200"]
+        with connect_with_request(server):
+            assert await read_statuses([connect_with_request(server, CLOSING_REQUEST)]) == [b"HTTP/1.1 200"]
         await server.drain()
 
     lines: list[str] = []
     sink = logger.add(lines.append, level="WARNING")
-    scene(play)
+    run_with_server(play)
     logger.remove(sink)
     assert not lines
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE])
-def test_without_descriptors_those_held_go_on_and_what_waits_is_answered_at_the_end(number):
+def test_without_descriptors_open_connections_go_on_and_queued_ones_are_answered_at_shutdown(number):
     async def play(server: Server) -> None:
         def fail() -> None:
             if not spared:
@@ -293,11 +293,11 @@
         refused, spared = asyncio.Event(), [1]
         server.sock.before = fail
         server.start()
-        held = knock(server)
+        held = connect_with_request(server)
         held.setblocking(False)
         assert await asyncio.get_running_loop().sock_recv(held, 4096)
         spared.clear()
-        sock = knock(server, LAST)
+        sock = connect_with_request(server, CLOSING_REQUEST)
         await refused.wait()
         held.send(REQUEST)
         assert await asyncio.get_running_loop().sock_recv(held, 4096)
@@ -305,10 +305,10 @@
         refused.clear()
         await refused.wait()  # hit again as the shutdown empties the queue
         spared.append(1)
-        assert await answers([sock, held]) == [b"HTTP/1.1 200", b""]
+        assert await read_statuses([sock, held]) == [b"HTTP/1.1 200", b""]
         await drained
 
-    scene(play)
+    run_with_server(play)
 
 
 def test_a_listener_that_fails_for_good_does_not_spin():
@@ -323,7 +323,7 @@
 
         server.sock.before = fail
         server.start()
-        with knock(server):
+        with connect_with_request(server):
             while not tries:
                 await asyncio.sleep(0)
             for _ in range(50):  # loop steps
@@ -332,4 +332,4 @@
             await server.drain()
             assert server.sock.fileno() < 0
 
-    scene(play)
+    run_with_server(play)
--- a/tests/http/test_broken_off.py
+++ b/tests/http/test_broken_off.py
@@ -4,7 +4,7 @@
 
 import pytest
 import uvloop
-from raw import Raw, come, request
+from raw import RawClient, connect_client, request
 from scenario import World
 
 from mallowbeam.http.shutdown import reset_at_close
@@ -13,13 +13,13 @@
 @pytest.mark.parametrize("keep", [(), ("connection: keep-alive",)], ids=["close", "keep-alive"])
 @pytest.mark.parametrize("front", ["platform", "objects"])
 @pytest.mark.parametrize("broken", [True, False])
-def test_a_body_that_ends_with_its_connection_is_reset_where_it_breaks_off(keep, front, broken):
+def test_a_truncated_body_delimited_by_the_close_is_reset(keep, front, broken):
     """An HTTP/1.0 client took a truncated response for a complete one."""
 
     async def run() -> None:
         async with World() as world:
-            client = Raw(getattr(world, front))
-            client.say(
+            client = RawClient(getattr(world, front))
+            client.send_now(
                 request(1, *keep, version="1.0")
                 if front == "platform"
                 else "\r\n".join(["GET /plates/a HTTP/1.0", "host: x", *keep, "", ""]).encode()
@@ -39,12 +39,12 @@
 
 
 @pytest.mark.parametrize("form", ["content-length: 300000", "transfer-encoding: chunked"])
-def test_an_answer_whose_framing_shows_its_end_breaks_off_in_order(form):
+def test_a_truncated_response_with_framing_is_closed_orderly(form):
     """A reset would destroy earlier responses on the connection."""
 
     async def run() -> None:
         async with World() as world:
-            client, _ = await come(world, request(1))
+            client, _ = await connect_client(world, request(1))
             start = "ffffff\\r\\n" if "chunked" in form else ""
             await world.play(
                 f"n0 expect GET\n" f"n0 send raw 'HTTP/1.1 200 OK\\r\\n{form}\\r\\n\\r\\n{start}' fill=100000"
--- a/tests/http/test_closing.py
+++ b/tests/http/test_closing.py
@@ -8,7 +8,7 @@
 
 import pytest
 import uvloop
-from raw import Raw, arrive, come, request, until
+from raw import RawClient, connect_client, request, send_unread, until
 from scenario import World
 
 from mallowbeam.http import connection as connections
@@ -17,24 +17,24 @@
 from mallowbeam.http.framing import Channel
 from mallowbeam.http.shutdown import Stage
 
-LATER = 60.0  # seconds; longer than every idle and stall time-out
+SWEEP_DELAY_S = 60.0  # seconds; longer than every idle and stall time-out
 
 
 def sweep(here: Connection) -> None:
-    here.sweep(time.monotonic() + LATER)
+    here.sweep(time.monotonic() + SWEEP_DELAY_S)
 
 
 WAYS = {"sweep": sweep, "leave": Connection.close_soon}
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_a_request_that_lies_unread_when_its_connection_is_ended_is_answered(way):
+def test_an_unread_request_is_answered_when_its_connection_is_closed(way):
     """The socket was closed although it held an unread request."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world)
-            arrive(client, here, request(1))
+            client, here = await connect_client(world)
+            send_unread(client, here, request(1))
             WAYS[way](here)
             await world.play("n0 expect GET\nn0 send 200 body=one")
             got = await client.read(until=b"one")
@@ -46,20 +46,20 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_part_of_a_request_that_lies_unread_has_its_time(way):
+def test_an_unread_partial_request_gets_its_whole_time_limit(way):
     """The socket was closed although half a request line had just arrived from a slow client."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world)
-            arrive(client, here, request(1)[:20])
+            client, here = await connect_client(world)
+            send_unread(client, here, request(1)[:20])
             WAYS[way](here)
             await until(lambda: here.incoming is not None)
-            client.say(request(1)[20:])
+            client.send_now(request(1)[20:])
             await world.play("n0 expect GET\nn0 send 200 body=one")
             await client.read(until=b"one")
-            client, here = await come(world)
-            arrive(client, here, request(2)[:20])
+            client, here = await connect_client(world)
+            send_unread(client, here, request(2)[:20])
             WAYS[way](here)
             await until(lambda: here.incoming is not None)
             sweep(here)  # its time is over
@@ -72,62 +72,62 @@
     """Runs an action once, right before the gateway shuts down or closes a socket, whichever is first."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.act, self.shuts, self.over = None, 0, 0
+        self.action, self.shuts, self.over = None, 0, 0
         shutdown, close = socket.socket.shutdown, Channel.close
 
         def shut(sock: socket.socket, how: int) -> None:
             self.shuts += 1
-            self._cross()
+            self._run_action()
             shutdown(sock, how)
 
         def closed(channel: Channel) -> None:
-            self._cross()
+            self._run_action()
             self.over += channel.peek() is True  # closed over unread bytes
             close(channel)
 
         monkeypatch.setattr(socket.socket, "shutdown", shut)
         monkeypatch.setattr(Channel, "close", closed)
 
-    def _cross(self) -> None:
-        act, self.act = self.act, None
-        if act is not None:
-            act()
+    def _run_action(self) -> None:
+        action, self.action = self.action, None
+        if action is not None:
+            action()
 
 
 @pytest.mark.parametrize("count", [1, 300])
 @pytest.mark.parametrize("way", WAYS)
-def test_requests_that_cross_the_end_meet_an_orderly_end_and_go_nowhere(monkeypatch, way, count):
+def test_requests_that_race_the_close_see_an_orderly_end_and_are_not_forwarded(monkeypatch, way, count):
     """The client sends between the gateway's check of the idle connection and the shutdown."""
     crossing = Crossing(monkeypatch)
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world)
-            crossing.act = lambda: arrive(client, here, b"".join(request(i) for i in range(count)))
+            client, here = await connect_client(world)
+            crossing.action = lambda: send_unread(client, here, b"".join(request(i) for i in range(count)))
             WAYS[way](here)
             assert await client.read() == b""  # an end, and no reset
-            client.say(request(999))  # and once more, after it
-            client.leave()
+            client.send_now(request(999))  # and once more, after it
+            client.disconnect()
             await until(lambda: here.task.done())
             await world.play("n0 expect nothing")
-            assert not world.gateway.exchanges and crossing.act is None
+            assert not world.gateway.exchanges and crossing.action is None
 
     uvloop.run(run())
 
 
-def test_requests_that_cross_the_last_answer_do_not_take_it_away(monkeypatch):
+def test_requests_that_race_the_last_response_do_not_destroy_it(monkeypatch):
     crossing = Crossing(monkeypatch)
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, request(1, "connection: close"))
+            client, here = await connect_client(world, request(1, "connection: close"))
             await world.play("n0 expect GET")
-            crossing.act = lambda: arrive(client, here, b"".join(request(i) for i in range(2, 300)))
+            crossing.action = lambda: send_unread(client, here, b"".join(request(i) for i in range(2, 300)))
             await world.play("n0 send 200 body=one")
-            await until(lambda: crossing.act is None)
-            client.say(request(999))
+            await until(lambda: crossing.action is None)
+            client.send_now(request(999))
             assert (await client.read()).endswith(b"one")
-            client.leave()
+            client.disconnect()
             await until(lambda: here.task.done())
             await world.play("n0 expect nothing")
 
@@ -143,20 +143,20 @@
     ],
     ids=["pipeline", "garbage", "upload"],
 )
-def test_what_follows_a_request_that_closes_is_read_and_dropped(monkeypatch, behind):
+def test_input_after_a_closing_request_is_discarded(monkeypatch, behind):
     """The reader stopped at the first bytes, and closing with the rest unread reset the last response."""
     crossing = Crossing(monkeypatch)
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, b"")
-            client.say(request(1, "connection: close") + behind)
+            client, here = await connect_client(world, b"")
+            client.send_now(request(1, "connection: close") + behind)
             await world.play("n0 expect GET\nn0 send 200 body=one")
             # The client reads only once the gateway has read all, or closed.
             await until(lambda: here.task.done() or here.closing and here.channel.peek() is None)
             got = await client.read()
             assert got.startswith(b"HTTP/1.1 200") and b"\r\n\r\none" in got and got.count(b"HTTP/1.1") == 1
-            client.leave()
+            client.disconnect()
             await until(lambda: here.task.done())
             await world.play("n0 expect nothing")
             assert not crossing.over
@@ -164,13 +164,13 @@
     uvloop.run(run())
 
 
-def test_a_flood_behind_the_last_answer_is_read_within_a_bound_and_then_rests(monkeypatch):
+def test_a_flood_after_the_last_response_is_read_up_to_a_limit(monkeypatch):
     """An endless sender must not occupy the core, and the close must not destroy its response."""
-    monkeypatch.setattr(shutdown, "LINGER_S", LATER)
+    monkeypatch.setattr(shutdown, "LINGER_S", SWEEP_DELAY_S)
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, request(1, "connection: close"))
+            client, here = await connect_client(world, request(1, "connection: close"))
             await world.play("n0 expect GET\nn0 send 200 body=one")
             await until(lambda: here.state is Stage.LINGERING)
             with pytest.raises(ConnectionError):
@@ -180,12 +180,12 @@
     uvloop.run(run())
 
 
-def test_leaving_twice_is_as_good_as_once(monkeypatch):
+def test_close_soon_is_idempotent(monkeypatch):
     crossing = Crossing(monkeypatch)
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world)
+            client, here = await connect_client(world)
             for _ in range(3):
                 here.close_soon()
             assert here.closing_soon and here.closing and here.state is Stage.LINGERING
@@ -198,12 +198,12 @@
     uvloop.run(run())
 
 
-def test_a_connection_that_leaves_answers_all_that_has_come_in_whole():
+def test_a_closing_connection_answers_all_complete_requests():
     """The first response with `connection: close` lost the queued requests."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, b"".join(request(i) for i in range(1, 6)))
+            client, here = await connect_client(world, b"".join(request(i) for i in range(1, 6)))
             await world.play("n0 expect GET")
             here.close_soon()
             here.close_soon()
@@ -217,27 +217,27 @@
     uvloop.run(run())
 
 
-def test_part_of_a_request_gets_an_orderly_end_without_a_word_where_its_connection_leaves():
+def test_a_partial_request_on_a_closing_connection_gets_an_orderly_end_without_a_response():
     """The client sends a partial request again elsewhere, whereas a 4xx would have failed it."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, request(1)[:40])
+            client, here = await connect_client(world, request(1)[:40])
             await until(lambda: here.incoming is not None)
             here.close_soon()
-            client.say(request(1)[40:])  # crosses the close
+            client.send_now(request(1)[40:])  # crosses the close
             assert await client.read() == b""
-            client.leave()
+            client.disconnect()
             await until(lambda: here.task.done())
             await world.play("n0 expect nothing")
 
     uvloop.run(run())
 
 
-def test_an_answer_that_is_being_written_when_its_connection_leaves_goes_out_whole():
+def test_a_response_being_written_on_a_closing_connection_is_completed():
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, request(1))
+            client, here = await connect_client(world, request(1))
             await world.play("n0 expect GET\nn0 send 200 fill=3000000")
             await client.read(until=b"\r\n\r\n")
             here.close_soon()
@@ -253,7 +253,7 @@
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, request(1, version="1.0"))
+            client, here = await connect_client(world, request(1, version="1.0"))
             await world.play("n0 expect GET\nn0 send raw 'HTTP/1.1 200 OK\\r\\n\\r\\n' fill=9000000")
             await until(lambda: here.writing)
             sweep(here)
@@ -264,13 +264,13 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_an_upload_whose_connection_is_ended_is_answered(way):
+def test_an_upload_is_answered_when_its_connection_is_closed(way):
     """A stalled upload is aborted at the node and gets 503; one that goes on gets the node's response."""
 
     async def run() -> None:
         async with World() as world:
             head = request(1, "content-length: 300000", "idempotency-key: k", method="PUT", cls="new-write")
-            client, here = await come(world, head + b"x" * 100_000)
+            client, here = await connect_client(world, head + b"x" * 100_000)
             await until(
                 lambda: here.streamed_request is not None
                 and here.streamed_request.received == 100_000
@@ -278,7 +278,7 @@
             )
             WAYS[way](here)
             if way == "leave":
-                client.say(b"x" * 200_000)
+                client.send_now(b"x" * 200_000)
                 await world.play("n0 expect PUT\nn0 send 200 body=stored")
             got = await client.read()
             assert got.startswith(b"HTTP/1.1 200" if way == "leave" else b"HTTP/1.1 503")
@@ -291,12 +291,12 @@
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world)
+            client, here = await connect_client(world)
             sweep(here)
             await asyncio.wait_for(here.task, 5)
             assert await client.read() == b""
             for raw in (b"NONSENSE\r\n\r\n", request(1)[:30]):
-                client, here = await come(world, raw)
+                client, here = await connect_client(world, raw)
                 await until(lambda: here.incoming is not None or here.closing)  # noqa: B023
                 sweep(here)
                 await asyncio.wait_for(here.task, 5)
@@ -306,17 +306,17 @@
     uvloop.run(run())
 
 
-def test_where_room_is_short_a_lingering_connection_is_cut_short(monkeypatch):
-    monkeypatch.setattr(shutdown, "LINGER_S", LATER)
+def test_close_soon_cuts_lingering_short(monkeypatch):
+    monkeypatch.setattr(shutdown, "LINGER_S", SWEEP_DELAY_S)
     monkeypatch.setattr(shutdown, "MIN_LINGER_S", 0.0)
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world)
+            client, here = await connect_client(world)
             sweep(here)
             assert here.can_be_closed and not here.closing_soon
             here.close_soon()
-            arrive(client, here, request(1))  # it must be read, or the close would be a reset
+            send_unread(client, here, request(1))  # it must be read, or the close would be a reset
             await asyncio.wait_for(here.task, 5)
             assert await client.read() == b""
             await world.play("n0 expect nothing")
@@ -328,33 +328,33 @@
     async def run() -> None:
         async with World() as world:
             server = next(s for s in world.gateway.servers if s.address == world.agent)
-            client = Raw(world.agent)
-            client.say(b"check\n" * 100)
+            client = RawClient(world.agent)
+            client.send_now(b"check\n" * 100)
             await until(lambda: server.connections)
             for here in server.connections:
                 here.close_soon()
             assert (await client.read()).startswith(b"up ready")
-            client.leave()
+            client.disconnect()
 
     uvloop.run(run())
 
 
 @pytest.mark.parametrize("parsed", [False, True], ids=["unread", "parsed"])
-def test_a_request_that_crosses_the_last_answer_of_a_gateway_that_stops_is_answered(parsed):
+def test_a_request_that_races_the_last_response_of_a_stopping_gateway_is_answered(parsed):
     """The next request arrives while a response with `connection: close` is being written."""
 
     async def run() -> None:
         async with World() as world:
             server = world.gateway.servers[-1]
             server.close_after_responses()
-            client, here = await come(world, request(1))
+            client, here = await connect_client(world, request(1))
             await world.play("n0 expect GET")
             send = here.channel.send
 
             async def crossed(data: bytes) -> None:
                 here.channel.send = send
                 await send(data)
-                arrive(client, here, request(2))
+                send_unread(client, here, request(2))
                 if parsed:
                     await until(lambda: here.channel.framer.ready)
 
@@ -367,14 +367,14 @@
     uvloop.run(run())
 
 
-def test_requests_without_end_do_not_keep_a_connection_that_leaves(monkeypatch):
+def test_endless_requests_do_not_keep_a_closing_connection_open(monkeypatch):
     """Requests that arrive during a close are answered for a limited time only."""
     monkeypatch.setattr(shutdown, "LINGER_S", 0.0)
     monkeypatch.setattr(connections, "LINGER_S", 0.0)
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, b"".join(request(i) for i in range(1, 6)))
+            client, here = await connect_client(world, b"".join(request(i) for i in range(1, 6)))
             await world.play("n0 expect GET")
             here.close_soon()
             await world.play("n0 send 200 body=one")
--- a/tests/http/test_floods.py
+++ b/tests/http/test_floods.py
@@ -8,7 +8,7 @@
 import pytest
 import uvloop
 from loguru import logger
-from raw import HEALTH, Raw, arrive, come, request, until
+from raw import HEALTH, RawClient, connect_client, request, send_unread, until
 from scenario import World
 
 from mallowbeam.http import connection as connections
@@ -20,13 +20,13 @@
 
 
 @pytest.fixture(autouse=True)
-def quiet_log() -> Iterator[None]:
+def no_logged_faults() -> Iterator[None]:
     """Client input must never cause a logged warning, error or traceback."""
-    told: list[str] = []
-    sink = logger.add(told.append, level="WARNING", backtrace=False)
+    logged: list[str] = []
+    sink = logger.add(logged.append, level="WARNING", backtrace=False)
     yield
     logger.remove(sink)
-    assert not told, told
+    assert not logged, logged
 
 
 def put(*headers: str, body: bytes = b"") -> bytes:
@@ -67,15 +67,15 @@
 
 
 @pytest.mark.parametrize("raw", BAD.values(), ids=BAD.keys())
-def test_what_breaks_http_is_told_and_ended_while_others_are_served(raw):
+def test_malformed_requests_are_rejected_and_closed_while_others_are_served(raw):
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, raw)
+            client, here = await connect_client(world, raw)
             await serves_others(world)
             got = await client.read()  # an orderly end, no reset
             assert got.startswith((b"HTTP/1.1 400", b"HTTP/1.1 413", b"HTTP/1.1 431")), got
             assert got.count(b"HTTP/1.1") == 1
-            client.leave()
+            client.disconnect()
             await until(lambda: here.task.done())
             await world.play("n0 expect nothing")
             assert world.gateway.servers[-1].front.budget.used == 0
@@ -94,11 +94,11 @@
     ],
     ids=["line", "TLS", "head", "length"],
 )
-def test_every_door_does_so(front, raw):
+def test_every_endpoint_rejects_malformed_requests(front, raw):
     async def run() -> None:
         async with World() as world:
-            client = Raw(getattr(world, front))
-            client.say(raw)
+            client = RawClient(getattr(world, front))
+            client.send_now(raw)
             assert (await client.read()).startswith(b"HTTP/1.1 4")
 
     uvloop.run(run())
@@ -118,12 +118,12 @@
 
 
 @pytest.mark.parametrize("start, more", ENDLESS.values(), ids=ENDLESS.keys())
-def test_a_flood_is_cut_in_time_and_within_memory(start, more):
+def test_a_flood_is_closed_within_limits_of_time_and_memory(start, more):
     """The client sends until the connection fails: the gateway answers, discards a limited amount, closes."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, start)
+            client, here = await connect_client(world, start)
             most = 0
 
             async def flood() -> None:
@@ -145,12 +145,12 @@
     uvloop.run(run())
 
 
-def test_requests_without_end_are_read_ahead_within_a_bound():
+def test_endless_pipelining_is_read_ahead_up_to_a_limit():
     """While one request is answered, memory is limited: flow control holds back the client."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, request(1))
+            client, here = await connect_client(world, request(1))
             await world.play("n0 expect GET")
             flooding = asyncio.create_task(client.loop.sock_sendall(client.sock, HEALTH * 300_000))
             await until(lambda: here.reading_paused)
@@ -164,7 +164,7 @@
             await serves_others(world)
             flooding.cancel()
             await asyncio.wait([flooding])
-            client.leave()
+            client.disconnect()
             await until(lambda: here.task.done() and not world.gateway.exchanges)
 
     uvloop.run(run())
@@ -181,18 +181,18 @@
 
 
 @pytest.mark.parametrize("raw, drops", TRICKLES.values(), ids=TRICKLES.keys())
-def test_a_trickle_ends_at_its_bound(raw, drops):
+def test_a_trickled_request_times_out(raw, drops):
     """A byte per second does not extend the request's time."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, raw)
+            client, here = await connect_client(world, raw)
             await until(lambda: here.incoming is not None)
             start = here.waiting_since
             for drop, passed in zip(drops, (1.0, 2.0, 2.4), strict=True):
                 here.sweep(start + passed)
                 assert not here.closing
-                arrive(client, here, bytes([drop]))
+                send_unread(client, here, bytes([drop]))
                 await until(lambda: here.channel.peek() is None)
             assert (
                 here.waiting_since - start < connections.REQUEST_TIMEOUT_S / 2
@@ -200,24 +200,24 @@
             here.sweep(here.waiting_since + connections.REQUEST_TIMEOUT_S + 0.01)
             # An upload is being forwarded already: its consumer reports the truncation.
             assert (await client.read()).startswith(b"HTTP/1.1 503" if b"90000" in raw else b"HTTP/1.1 408")
-            client.leave()
+            client.disconnect()
             await until(lambda: here.task.done())
 
     uvloop.run(run())
 
 
-def test_a_slow_writer_gets_its_answer():
+def test_a_slow_upload_is_answered():
     """64 KiB/s is above the minimum rate: each second's bytes extend the time by more than a second."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, put("content-length: 1310720", body=b"x"))
+            client, here = await connect_client(world, put("content-length: 1310720", body=b"x"))
             await until(lambda: here.streamed_request is not None)
             start, sent = here.waiting_since, 1
             for second in range(20):
                 here.sweep(start + second)
                 piece = min(65536, 1310720 - sent)
-                arrive(client, here, b"x" * piece)
+                send_unread(client, here, b"x" * piece)
                 sent += piece
                 await until(lambda: here.streamed_request is None or here.streamed_request.received == sent)  # noqa: B023
                 here.waiting_since = start  # excludes the consumer's and this machine's delays
--- a/tests/http/test_waiting.py
+++ b/tests/http/test_waiting.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import uvloop
-from raw import come, request, until
+from raw import connect_client, request, until
 from scenario import World
 
 from mallowbeam.http.budget import BodyBudget
@@ -13,12 +13,12 @@
 PIPE = MAX_PIPELINED + 20
 
 
-def test_what_has_waited_out_its_time_is_refused_and_not_sent():
+def test_pipelined_requests_past_their_deadline_are_rejected_and_not_forwarded():
     """The requests queued behind one in progress are dated back, so that their deadlines have passed."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, b"".join(request(i) for i in range(1, PIPE + 1)))
+            client, here = await connect_client(world, b"".join(request(i) for i in range(1, PIPE + 1)))
             await world.play("n0 expect GET")
             await until(lambda: len(here.channel.framer.ready) + len(here.read_ahead.chunks) > MAX_PIPELINED)
             for waiting in here.channel.framer.ready:
@@ -40,10 +40,10 @@
     uvloop.run(run())
 
 
-def test_what_has_not_waited_has_its_whole_time():
+def test_a_request_that_did_not_wait_keeps_its_whole_deadline():
     async def run() -> None:
         async with World() as world:
-            _, here = await come(world, request(1))
+            _, here = await connect_client(world, request(1))
             await world.play("n0 expect GET")
             assert 0.2 < float(world.parties["n0"].seen[0].get(b"x-deadline-ms")) / 1000 <= 0.3
             assert here.request.completed_at <= here.channel.last_activity
@@ -51,7 +51,7 @@
     uvloop.run(run())
 
 
-def test_pieces_read_ahead_keep_when_they_were_read_and_are_bounded_however_small():
+def test_read_ahead_keeps_read_times_and_limits_small_chunks():
     """Limits memory under one-byte reads, whose chunks take up a hundred times their payload."""
     budget = BodyBudget(1 << 30)
     ahead = ReadAhead(budget)
--- a/tests/router/configuration/test_configuration_documents.py
+++ b/tests/router/configuration/test_configuration_documents.py
@@ -296,7 +296,7 @@
         for kind in classes:
             with self.subTest(kind.__name__):
                 self.assertIn(kind.status, (400, 413, 422))
-                told = kind("what", "where").told()
+                told = kind("what", "where").as_dict()
                 self.assertEqual((told["code"], told["where"]), (kind.code, "where"))
                 self.assertTrue(told["remedy"] and told["step"])
         self.assertIn(errors.DuplicateTenantKeyError, classes)
--- a/tests/router/configuration/test_configuration_patch.py
+++ b/tests/router/configuration/test_configuration_patch.py
@@ -170,7 +170,7 @@
             with self.subTest(name):
                 error = self.refused(patch_of(changes))
                 self.assertEqual((error.code, error.where), (code, where))
-                self.assertTrue(error.what and error.cure)
+                self.assertTrue(error.what and error.remedy_text)
 
     def test_an_ambiguous_name(self) -> None:
         twice = document()
--- a/tests/router/data_plane/test_data_plane_answers.py
+++ b/tests/router/data_plane/test_data_plane_answers.py
@@ -207,7 +207,9 @@
             peer.sendall(EARLY)
             answer = await link.round_trip(HEAD % LARGE_BYTES, b"b" * LARGE_BYTES)
             self.assertEqual((answer.status, await link.read_body(answer)), (503, b"no"))
-            self.assertEqual((link.request_sent, link.begun, link.reusable(answer)), (False, True, False))
+            self.assertEqual(
+                (link.request_sent, link.write_started, link.reusable(answer)), (False, True, False)
+            )
 
         self.play(scenario)
 
--- a/tests/router/data_plane/test_exchange_model.py
+++ b/tests/router/data_plane/test_exchange_model.py
@@ -136,7 +136,7 @@
 
 def second_send_after_part_of_a_request(stack: ExitStack) -> None:
     """A request that the instance has not read completely counts as not run."""
-    stack.enter_context(patch.object(Link, "begun", property(lambda self: self.request_sent)))
+    stack.enter_context(patch.object(Link, "write_started", property(lambda self: self.request_sent)))
 
 
 def second_send_after_a_time_out(stack: ExitStack) -> None:
--- a/tests/router/processes/test_processes_settings.py
+++ b/tests/router/processes/test_processes_settings.py
@@ -113,7 +113,7 @@
             read_settings("/nonexistent/settings.toml")
         self.assertEqual(caught.exception.code, "SETTINGS_UNREADABLE")
         self.assertEqual(caught.exception.where, "/nonexistent/settings.toml")
-        self.assertTrue(caught.exception.cure)
+        self.assertTrue(caught.exception.remedy_text)
 
     def test_files_that_are_no_toml(self):
         for text in (b"node_name = ", b"\xff\xfe", b"a = 1\na = 2\n"):
--- a/tests/storage_gateway/coordination/pools/test_pools_language.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_language.py
@@ -100,7 +100,7 @@
         Allocation(made, FLEET, facts)
     )
     for error in find_errors(made, FLEET):  # the checks end, and say what they say in our words
-        assert isinstance(error, PoolError) and error.cure
+        assert isinstance(error, PoolError) and error.remedy_text
     # rules of different kinds in any order are the same value
     chance = random.Random(seed)
     head, *rules = show(made).splitlines()
@@ -233,7 +233,7 @@
         parse(text)
     error = caught.value
     assert type(error) is kind and (error.position.line, error.position.column) == (line, column), error.line
-    assert error.position.text.startswith(there) and remedy in error.cure, error.line
+    assert error.position.text.startswith(there) and remedy in error.remedy_text, error.line
     assert {"error", "what", "where", "remedy", "line", "column", "text"} == set(error.told())
 
 
@@ -282,7 +282,7 @@
             list(find_errors(parse(text), FLEET))
             read += 1
         except PoolError as error:
-            assert error.cure and error.position.line >= 1 and error.position.column >= 1, error.line
+            assert error.remedy_text and error.position.line >= 1 and error.position.column >= 1, error.line
         slowest = max(slowest, time.perf_counter() - began)
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
--- a/tests/storage_gateway/coordination/test_coordination_service.py
+++ b/tests/storage_gateway/coordination/test_coordination_service.py
@@ -344,7 +344,7 @@
 def test_a_policy_that_can_not_be_is_refused_with_a_remedy(text, said):
     with pytest.raises(InvalidPolicyError) as caught:
         read_policy(text)
-    assert said in str(caught.value) and caught.value.cure
+    assert said in str(caught.value) and caught.value.remedy_text
 
 
 def test_a_section_is_checked_against_the_type_that_its_package_states(monkeypatch):
@@ -367,6 +367,6 @@
     ]
     assert NoLeaderError in kinds
     for kind in kinds:
-        told = kind("what", "where").told()
+        told = kind("what", "where").as_dict()
         assert told == {"error": kind.error_name, "what": "what", "where": "where", "remedy": kind.remedy}
         assert kind.remedy and 400 <= kind.status < 600
--- a/tests/storage_gateway/coordination/test_quota_transfer.py
+++ b/tests/storage_gateway/coordination/test_quota_transfer.py
@@ -103,7 +103,7 @@
 def test_a_target_that_must_not_be_is_refused_with_a_remedy(rows, capacity, kind):
     with pytest.raises(kind) as told:
         next_epoch(QuotaEpochs(holders=NAMES), rows, Bounds(floor, lambda resource: capacity))
-    assert isinstance(told.value, MallowbeamError) and told.value.where == "x" and told.value.cure
+    assert isinstance(told.value, MallowbeamError) and told.value.where == "x" and told.value.remedy_text
 
 
 def test_a_capacity_that_fell_is_checked_for_rows_that_did_not_change():
--- a/tests/storage_gateway/coordination/test_raft_node.py
+++ b/tests/storage_gateway/coordination/test_raft_node.py
@@ -35,7 +35,11 @@
 def test_a_push_refused_by_one_state_machine_is_in_force_nowhere_and_reports_why(fleet):
     fleet.put("g0", "pools", Add(50))
     refused = fleet.push("g1", 0, POLICY)
-    assert isinstance(refused, PolicyRejectedError) and refused.where == "pools.most" and "50" in refused.cure
+    assert (
+        isinstance(refused, PolicyRejectedError)
+        and refused.where == "pools.most"
+        and "50" in refused.remedy_text
+    )
     assert fleet.push("g1", 0, POLICY.replace("40", "50")) == 1
     assert isinstance(fleet.push("g2", 0, POLICY), VersionConflictError)
     fleet.lease_renewed()
--- a/tests/storage_gateway/coordination/test_replicated_log.py
+++ b/tests/storage_gateway/coordination/test_replicated_log.py
@@ -65,7 +65,7 @@
 def test_an_entry_beyond_its_bound_is_not_put_in():
     with pytest.raises(EntryTooLargeError, match="at most 65536") as caught:
         make_log().encode("shares", "g1", Stranger("x" * MAX_ENTRY_BYTES))
-    assert caught.value.cure
+    assert caught.value.remedy_text
 
 
 def test_an_exception_of_a_state_machine_is_a_refusal():
--- a/tests/storage_gateway/frontends/test_stream.py
+++ b/tests/storage_gateway/frontends/test_stream.py
@@ -6,7 +6,7 @@
 
 import pytest
 import uvloop
-from scenario import PATIENCE, World, play
+from scenario import TIMEOUT_S, World, play
 
 from mallowbeam.http import connection
 from mallowbeam.http.stream import MAX_QUEUED_CHUNKS, Stream
@@ -55,7 +55,7 @@
     async def run() -> None:
         async with World() as world:
             await world.play(f"c1 send raw '{START}' fill=100000")
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT_S):
                 while not world.gateway.pool.count:
                     await asyncio.sleep(0)
             assert world.gateway.metrics.upstream_requests == 0
@@ -79,7 +79,7 @@
         async with World() as world:
             await world.play("c1 send read deadline=300\nn0 expect GET")
             await world.play(f"n0 send raw '{ANSWER}' fill=100000")
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT_S):
                 while not any(c.writing for c in world.gateway.servers[-1].connections):
                     await asyncio.sleep(0)
             await asyncio.sleep(0.4)  # past the deadline: what has begun is the client's
--- a/tests/storage_gateway/server/test_clients_gone.py
+++ b/tests/storage_gateway/server/test_clients_gone.py
@@ -6,7 +6,7 @@
 
 import pytest
 import uvloop
-from raw import PATIENT, Raw, arrive, come, request, until
+from raw import LONG_LIMITS, RawClient, connect_client, request, send_unread, until
 from scenario import World
 
 from mallowbeam.http import connection as connections
@@ -14,7 +14,11 @@
 from mallowbeam.http.connection import MAX_PIPELINED
 
 MANY = 200  # more than what is read ahead
-WAYS = {"close": Raw.leave, "reset": lambda client: client.leave(reset=True), "half": Raw.end}
+WAYS = {
+    "close": RawClient.disconnect,
+    "reset": lambda client: client.disconnect(reset=True),
+    "half": RawClient.end,
+}
 
 
 async def nothing_more(world: World) -> None:
@@ -41,11 +45,11 @@
 def test_a_client_that_sends_much_at_once_and_goes_is_noticed(monkeypatch, read_ahead_limit, way, count):
     """Guards nodes: behind unread requests neither an end nor a reset was seen, and all were sent on."""
     if read_ahead_limit:
-        monkeypatch.setattr(connections, "peer_has_closed", lambda sock: False)  # the reader sees it by itself
+        monkeypatch.setattr(connections, "peer_has_closed", lambda sock: False)  # the reader sees it
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, b"".join(request(i) for i in range(1, count + 1)))
+            client, here = await connect_client(world, b"".join(request(i) for i in range(1, count + 1)))
             await world.play("n0 expect GET")
             if count > 1:
                 await until(lambda: len(here.channel.framer.ready) > MAX_PIPELINED)
@@ -63,11 +67,11 @@
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, b"".join(request(i) for i in range(1, MANY)))
+            client, here = await connect_client(world, b"".join(request(i) for i in range(1, MANY)))
             await world.play("n0 expect GET")
             await until(lambda: here.reading_paused)
             here.liveness_timer.cancel()  # no look comes now
-            client.leave()
+            client.disconnect()
             await world.play("n0 send 200 body=one")
             await until(lambda: not world.gateway.servers[-1].connections)
             await world.play("n0 expect nothing")
@@ -82,10 +86,10 @@
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, request(1) + request(2) + b"\x00garbage\r\n\r\n")
+            client, here = await connect_client(world, request(1) + request(2) + b"\x00garbage\r\n\r\n")
             await world.play("n0 expect GET")
             await until(lambda: here.channel.framer.error is not None)
-            arrive(client, here, b"x" * 50_000)
+            send_unread(client, here, b"x" * 50_000)
             WAYS[way](client)
             await nothing_more(world)
 
@@ -99,9 +103,9 @@
     async def run() -> None:
         async with World() as world:
             head = request(1, "content-length: 30000000", "idempotency-key: k", method="PUT", cls="new-write")
-            client, here = await come(world, b"")
-            world.parties["n0"].still = True  # it reads nothing
-            client.say(head)
+            client, here = await connect_client(world, b"")
+            world.parties["n0"].reading_stopped = True  # it reads nothing
+            client.send_now(head)
             while not here.reading_paused:  # the gateway's and the kernel's buffers are full
                 try:
                     client.sock.send(b"x" * 65536)
@@ -121,8 +125,10 @@
     monkeypatch.setattr(read_ahead, "MAX_READ_AHEAD_BYTES", 0)
 
     async def run() -> None:
-        async with World(Classes=PATIENT) as world:
-            client, here = await come(world, b"".join(request(i, deadline=60_000) for i in range(1, 9)))
+        async with World(Classes=LONG_LIMITS) as world:
+            client, here = await connect_client(
+                world, b"".join(request(i, deadline=60_000) for i in range(1, 9))
+            )
             await world.play("n0 expect GET")
             await until(lambda: here.reading_paused)
             looks = here.liveness_timer
@@ -139,14 +145,14 @@
     """Hundreds at once, a body that passes through and one that is held among them, noise at the end."""
 
     async def run() -> None:
-        async with World(Classes=PATIENT) as world:
+        async with World(Classes=LONG_LIMITS) as world:
             large = ["idempotency-key: k", "content-length: 100000"]
             small = ["idempotency-key: k", "content-length: 5"]
             write = {"method": "PUT", "cls": "new-write", "deadline": 60_000}
             parts = [request(i, deadline=60_000) for i in range(1, 150)]
             parts[5:5] = [request(901, *large, **write) + b"x" * 100_000]
             parts[40:40] = [request(902, *small, **write) + b"hello"]
-            client, here = await come(world, b"")
+            client, here = await connect_client(world, b"")
             data = b"".join(parts) + b"NOISE\r\n\r\n"
             sending = asyncio.create_task(client.loop.sock_sendall(client.sock, data))
             for turn in range(len(parts)):
@@ -159,7 +165,7 @@
             assert got.count(b"HTTP/1.1 200") == len(parts) and got.count(b"HTTP/1.1 400") == 1
             seen = world.parties["n0"].seen
             assert len(seen[5].body) == 100_000 and seen[40].body == b"hello"
-            client.leave()
+            client.disconnect()
             await until(lambda: here.task.done())
             assert world.gateway.servers[-1].front.budget.used == 0
 
--- a/tests/storage_gateway/server/test_crossings.py
+++ b/tests/storage_gateway/server/test_crossings.py
@@ -11,7 +11,7 @@
 import pytest
 import uvloop
 from crossed import DRAINING, UP, Crossing, body, crossing, first_list, until
-from scenario import Stand
+from scenario import ScriptedServer
 
 from mallowbeam.storage_gateway.scheduler.gateway_host import Orders
 from mallowbeam.storage_gateway.server import discovery
@@ -54,7 +54,7 @@
     told: list = []
 
     async def run() -> None:
-        stand, links, connect = Stand(), [], discovery.connect
+        stand, links, connect = ScriptedServer(), [], discovery.connect
         await stand.start()
 
         async def holding(*args) -> discovery.Link:
--- a/tests/storage_gateway/server/test_crossings_upgrade.py
+++ b/tests/storage_gateway/server/test_crossings_upgrade.py
@@ -9,7 +9,7 @@
 import pytest
 import uvloop
 from crossed import UP, Crossing, body, first_list, until, upgraded
-from scenario import PATIENCE
+from scenario import TIMEOUT_S
 
 from mallowbeam.storage_gateway.scheduler.gateway_host import Orders
 from mallowbeam.storage_gateway.server import gateway as gateways
@@ -76,14 +76,14 @@
         await until(lambda: new.gateway.watch.address == e.address)
         served = 0
         while new.gateway.watch.revision != 3:  # the call of either, in whatever order they come
-            async with asyncio.timeout(PATIENCE):
-                message, e.writer = await e.came.get() or (None, None)
+            async with asyncio.timeout(TIMEOUT_S):
+                message, e.writer = await e.received.get() or (None, None)
             if message and not e.writer.is_closing():
                 assert message.target == b"/v1/servers", message.target
                 e.write("HTTP/1.1 200 OK", [f"body={body(3)}"])
                 served += 1
                 await asyncio.sleep(0)
-                await until(lambda: new.gateway.watch.revision == 3 or not e.came.empty())
+                await until(lambda: new.gateway.watch.revision == 3 or not e.received.empty())
         await until(lambda: old.gateway.watch.revision == 3)
         assert old.gateway.watch.address == e.address and not new.gateway.scheduler.nodes_listed
 
--- a/tests/storage_gateway/server/test_lists_bad.py
+++ b/tests/storage_gateway/server/test_lists_bad.py
@@ -124,7 +124,7 @@
 def test_a_list_that_can_t_be_read_is_one_typed_error_with_a_remedy(body):
     with pytest.raises(NodeListError) as told:
         decode_listing(body)
-    assert told.value.cure and len(told.value.line) < 400 and "\n" not in told.value.line
+    assert told.value.remedy_text and len(told.value.line) < 400 and "\n" not in told.value.line
 
 
 def test_good_lists_are_read_in_every_form_that_the_page_allows():
--- a/tests/storage_gateway/server/test_phases.py
+++ b/tests/storage_gateway/server/test_phases.py
@@ -9,7 +9,7 @@
 import tempfile
 
 import uvloop
-from scenario import EXAMPLE, PATIENCE, World, play
+from scenario import EXAMPLE, TIMEOUT_S, World, play
 
 from mallowbeam.storage_gateway.application import open_servers
 from mallowbeam.storage_gateway.server import config as configs
@@ -23,7 +23,7 @@
 
 def knock(address: tuple[str, int], data: bytes) -> socket.socket:
     """A connection with its request, made without a step of the loop: it lies in the accept queue."""
-    sock = socket.create_connection(address, timeout=PATIENCE)
+    sock = socket.create_connection(address, timeout=TIMEOUT_S)
     sock.sendall(data)
     return sock
 
@@ -180,7 +180,7 @@
         here.stop()
         socks: list[socket.socket] = []
         at(monkeypatch, Phase.SERVING, lambda: socks.append(knock(servers[-1].address, HEALTHZ)))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             await here.run(servers)
         with socks[0] as sock:
             assert sock.recv(4096).startswith(b"HTTP/1.1 503")
@@ -217,7 +217,7 @@
                 while old.gateway.phase is not Phase.HANDED_OVER:
                     await asyncio.sleep(0)
                 old.gateway.stop()
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TIMEOUT_S):
                     while old.gateway.leave_at > old.gateway.now() + gateway.STAY:
                         await asyncio.sleep(0)
                 await new.play("n0 send 200 body=held\nc1 expect '200|503'")  # it may have waited too long
--- a/tests/storage_gateway/server/test_watch_failing.py
+++ b/tests/storage_gateway/server/test_watch_failing.py
@@ -15,7 +15,7 @@
 
 import pytest
 import uvloop
-from scenario import PATIENCE, play
+from scenario import TIMEOUT_S, play
 from scheduler_rig import Rig
 from simulated import QUEUE, Service, Turns, outage, simulate
 from watch_intervals import ask
@@ -108,7 +108,7 @@
     async with server:
         watch = discovery.Watch("{}:{}".format(*server.sockets[0].getsockname()), 1, told.put_nowait)
         watch.begin()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             return await told.get()
 
 
--- a/tests/support/crossed.py
+++ b/tests/support/crossed.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 import uvloop
-from scenario import EXAMPLE, PATIENCE, Stand, World
+from scenario import EXAMPLE, TIMEOUT_S, ScriptedServer, World
 
 DRAINING = '{"id":"n0","cell":0,"phase":"draining"}'
 UP = '{"id":"n0","host_port":"$n0","cell":0,"phase":"up"}'
@@ -23,7 +23,7 @@
 
 async def until(condition: Callable[[], object]) -> None:
     """Wait for what must come."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0)
 
@@ -33,7 +33,7 @@
 
     async def configuration(self) -> dict:
         for name in "ef":
-            self.parties[name] = Stand()
+            self.parties[name] = ScriptedServer()
             await self.parties[name].start()
         return await super().configuration()
 
--- a/tests/support/raw.py
+++ b/tests/support/raw.py
@@ -7,7 +7,7 @@
 import struct
 from collections.abc import Callable
 
-from scenario import PATIENCE, World
+from scenario import TIMEOUT_S, World
 
 from mallowbeam.http.connection import Connection
 
@@ -15,7 +15,7 @@
 
 
 # Settings whose time limits are long enough for many requests to wait in a queue.
-PATIENT = {name: {"OnTime": 30.0, "HardLimit": 60.0} for name in ("read", "new-write")}
+LONG_LIMITS = {name: {"OnTime": 30.0, "HardLimit": 60.0} for name in ("read", "new-write")}
 
 
 def request(
@@ -40,7 +40,7 @@
     return "\r\n".join([*lines, "", ""]).encode()
 
 
-class Raw:
+class RawClient:
     """One client connection."""
 
     def __init__(self, address: tuple[str, int]) -> None:
@@ -50,13 +50,13 @@
         self.loop = asyncio.get_running_loop()
         self.got = b""
 
-    def say(self, data: bytes) -> None:
+    def send_now(self, data: bytes) -> None:
         """Send all of the data in this loop step."""
         assert self.sock.send(data) == len(data)
 
     async def read(self, until: bytes | None = None) -> bytes:
         """Read to the end of the stream, or until `until` was received; raises ConnectionResetError."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             while until is None or until not in self.got:
                 data = await self.loop.sock_recv(self.sock, 65536)
                 if not data:
@@ -69,7 +69,7 @@
         """Shut down the sending side."""
         self.sock.shutdown(socket.SHUT_WR)
 
-    def leave(self, reset: bool = False) -> None:
+    def disconnect(self, reset: bool = False) -> None:
         """Close the connection, orderly or by a reset."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -78,21 +78,21 @@
 
 async def until(true: Callable[[], object]) -> None:
     """Wait until a condition holds."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_S):
         while not true():
             await asyncio.sleep(0.001)
 
 
-async def come(world: World, first: bytes = HEALTH) -> tuple[Raw, Connection]:
+async def connect_client(world: World, first: bytes = HEALTH) -> tuple[RawClient, Connection]:
     """Connect a client and return it with the gateway's connection object.
 
     By default the client has had one response and is idle; otherwise it has sent `first`.
     """
     here = world.gateway.servers[-1]
-    before, client = set(here.connections), Raw(world.platform)
+    before, client = set(here.connections), RawClient(world.platform)
     await until(lambda: here.connections - before)
     (connection,) = here.connections - before
-    client.say(first)
+    client.send_now(first)
     if first is HEALTH:
         await client.read(until=b"serving\n")
         await until(lambda: connection.idle and connection.answered)
@@ -100,8 +100,8 @@
     return client, connection
 
 
-def arrive(client: Raw, connection: Connection, data: bytes) -> None:
+def send_unread(client: RawClient, connection: Connection, data: bytes) -> None:
     """Send bytes; they are unread in the gateway's socket when this returns."""
-    client.say(data)
+    client.send_now(data)
     while connection.channel.peek() is None:
         pass
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -35,11 +35,11 @@
 from mallowbeam.storage_gateway.server.gateway import Gateway
 from mallowbeam.storage_gateway.server.handover import take_over
 
-PATIENCE = 10.0  # seconds to wait for an expected event
-LARGE = 1 << 26
+TIMEOUT_S = 10.0  # seconds to wait for an expected event
+MAX_BODY_BYTES = 1 << 26
 
 
-def words(message: Message) -> str:
+def format_message(message: Message) -> str:
     """Format a message as text for pattern matching."""
     start = f"{message.method.decode()} {message.target.decode()}" if message.method else str(message.status)
     lines = [f"{name.decode()}: {value.decode()}" for name, value in message.headers]
@@ -48,7 +48,7 @@
 
 def check(message: Message, patterns: list[str]) -> None:
     """Assert that the first pattern matches at the start of the message, the others anywhere."""
-    text = words(message)
+    text = format_message(message)
     for i, pattern in enumerate(patterns):
         assert (re.match if i == 0 else re.search)(pattern, text), f"{pattern!r} is not in:\n{text}"
 
@@ -57,47 +57,51 @@
     """One end of scripted connections: a client, a node or discovery."""
 
     def __init__(self) -> None:
-        self.came: asyncio.Queue[tuple[Message, asyncio.StreamWriter] | None] = asyncio.Queue()
+        self.received: asyncio.Queue[tuple[Message, asyncio.StreamWriter] | None] = asyncio.Queue()
         self.writer: asyncio.StreamWriter | None = None
         self.seen: list[Message] = []
-        self.still = False
+        self.reading_stopped = False
 
     async def read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answers: bool) -> None:
         """Queue the messages received on a connection, then None for its end."""
-        framer = Framer(answers, LARGE)
+        framer = Framer(answers, MAX_BODY_BYTES)
         try:
-            while not self.still and (data := await reader.read(65536)):
+            while not self.reading_stopped and (data := await reader.read(65536)):
                 framer.feed(memoryview(data))
                 assert framer.error is None, framer.error
                 while framer.ready:
-                    self.came.put_nowait((framer.ready.popleft(), writer))
-            if self.still:
+                    self.received.put_nowait((framer.ready.popleft(), writer))
+            if self.reading_stopped:
                 await asyncio.Event().wait()
         except (OSError, asyncio.CancelledError):
             pass
         if framer.incoming is not None and framer.incoming.until_close:
-            self.came.put_nowait((framer.incoming, writer))
-        self.came.put_nowait(None)
+            self.received.put_nowait((framer.incoming, writer))
+        self.received.put_nowait(None)
 
     async def expect(self, patterns: list[str]) -> None:
         """Wait for the next message, or the end, and check it."""
         if patterns == ["nothing"]:
             return self._expect_nothing()
-        async with asyncio.timeout(PATIENCE):
-            came = await self.came.get()
-            while came is None and patterns != ["end"]:
-                came = await self.came.get()
+        async with asyncio.timeout(TIMEOUT_S):
+            received = await self.received.get()
+            while received is None and patterns != ["end"]:
+                received = await self.received.get()
         if patterns == ["end"]:
-            assert came is None, f"expected the end, received:\n{words(came[0])}"
+            assert received is None, f"expected the end, received:\n{format_message(received[0])}"
             return None
-        message, self.writer = came
+        message, self.writer = received
         self.seen.append(message)
         check(message, patterns)
         return None
 
     def _expect_nothing(self) -> None:
-        rest = [came for came in iter(lambda: self.came.empty() or self.came.get_nowait(), True) if came]
-        assert not rest, f"unexpected:\n{words(rest[0][0])}"
+        rest = [
+            received
+            for received in iter(lambda: self.received.empty() or self.received.get_nowait(), True)
+            if received
+        ]
+        assert not rest, f"unexpected:\n{format_message(rest[0][0])}"
 
     def write(self, start: str, rest: list[str]) -> None:
         """Write a message of a start line, `name:value` headers and `body=TEXT` or `fill=N`."""
@@ -118,7 +122,7 @@
         self.writer.transport.abort()
 
 
-class Stand(Party):
+class ScriptedServer(Party):
     """A scripted server: a node or discovery."""
 
     async def start(self) -> None:
@@ -231,7 +235,7 @@
     async def configuration(self) -> dict:
         """Return the example's configuration, changed to use scripted nodes and discovery."""
         for name in ["d", *(f"n{i}" for i in range(self.nodes))]:
-            self.parties[name] = Stand()
+            self.parties[name] = ScriptedServer()
             await self.parties[name].start()
         addresses = self.servers or [self.parties[f"n{i}"].address for i in range(self.nodes)]
         raw = json.loads((EXAMPLE / "config.json").read_text())
@@ -253,7 +257,7 @@
     async def __aexit__(self, *_: object) -> None:
         self.task.cancel()
         for party in self.parties.values():
-            if isinstance(party, Stand):
+            if isinstance(party, ScriptedServer):
                 party.server.close()
         others = asyncio.all_tasks() - {asyncio.current_task()}
         for task in others:
@@ -263,10 +267,10 @@
     def hold_connecting(self) -> asyncio.Event:
         """Block new connections to nodes until the returned event is set."""
         gate, take = asyncio.Event(), self.gateway.pool.take
-        self.held = asyncio.Event()  # a connection attempt is blocked
+        self.connect_blocked = asyncio.Event()  # a connection attempt is blocked
 
         async def slow(address: str):
-            self.held.set()
+            self.connect_blocked.set()
             await gate.wait()
             return await take(address)
 
@@ -303,7 +307,7 @@
             case ["g", "close"]:
                 self.gateway.stop()
             case ["g", "expect", "end"]:
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TIMEOUT_S):
                     await self.task
             case [name, "send", first, *rest]:
                 await self.party(name).send(first, rest)
@@ -317,7 +321,7 @@
             case [name, "end"]:
                 self.party(name).writer.write_eof()
             case [name, "wait"]:
-                self.party(name).still = True
+                self.party(name).reading_stopped = True
             case _:
                 raise ValueError(f"no such line: {parts}")
 
--- a/tests/support/write_compatibility_samples.py
+++ b/tests/support/write_compatibility_samples.py
@@ -669,7 +669,7 @@
         try:
             parse(text)
         except PoolError as error:
-            pool_errors.append({"text": text, "keys": sorted(error.told()), **error_text(error)})
+            pool_errors.append({"text": text, "keys": sorted(error.as_dict()), **error_text(error)})
     good = []
     for text in texts:
         spelt = canonical(read_policy(json.dumps(text)))
@@ -1015,7 +1015,7 @@
                     "document": bad,
                     **error_text(error),
                     "status": error.status,
-                    "told": sorted(error.told()),
+                    "told": sorted(error.as_dict()),
                     "reply": reply.data.decode(),
                 }
             )
@@ -1039,7 +1039,7 @@
             {
                 **error_text(error),
                 "status": error.status,
-                "reply": page(error.status, error.told(), False).data.decode(),
+                "reply": page(error.status, error.as_dict(), False).data.decode(),
             }
         )
     storage = {name: error_body(name, b"/tolls/x?y", "0123").decode() for name in sorted(ERRORS)}
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -144,7 +144,7 @@
 
 def check_error(error: MallowbeamError, sample: dict[str, Any]) -> None:
     """An error has the name, code and place that it always had, and a text with a remedy."""
-    told = error.told()
+    told = error.as_dict()
     assert (error.code, told["where"]) == (sample["code"], sample["where"])
     assert told["what"] and told["remedy"]
     if not error.code or isinstance(error, ConfigurationError):  # these are shown by name
@@ -344,7 +344,7 @@
     for one in sample["pool_errors"]:
         error = raised(PoolError, lambda: parse(one["text"]))  # noqa: B023
         check_error(error, one)
-        assert sorted(error.told()) == one["keys"]
+        assert sorted(error.as_dict()) == one["keys"]
 
 
 # ------------------------------------------------------------------------------------------ agreement
@@ -591,7 +591,7 @@
     for one in sample["documents"]:
         error = raised(ConfigurationError, lambda: parse_configuration(one["document"].encode()))  # noqa: B023
         check_error(error, one)
-        assert sorted(error.told()) == one["told"]
+        assert sorted(error.as_dict()) == one["told"]
         check_reply(error_reply(one["status"], error, False).data, one["reply"])
     for one in sample["heartbeats"]:
         body = one["body"].ljust(one["size"], "x").encode()
@@ -603,7 +603,7 @@
     for one in samples("errors.json")["fleet_pages"]:
         error = kinds[one["name"]]("what is wrong", "somewhere")
         assert error.status == one["status"]
-        check_reply(json_response(error.status, error.told(), False).data, one["reply"])
+        check_reply(json_response(error.status, error.as_dict(), False).data, one["reply"])
 
 
 def test_the_object_api_answers_errors_as_before():
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -55,7 +55,7 @@
 
     error = Odd("it is off", "knob")
     assert error.line == "knob: it is off (turn it)"
-    assert error.told() == {"error": "Odd", "what": "it is off", "where": "knob", "remedy": "turn it"}
+    assert error.as_dict() == {"error": "Odd", "what": "it is off", "where": "knob", "remedy": "turn it"}
     assert Odd("it is off", remedy="leave it").line == "it is off (leave it)"
 
 
@@ -67,7 +67,7 @@
 
     error = Coded("it is off")
     assert (error.code, error.step, error.peer, error.where) == ("CODED", "read", None, "")
-    assert error.told() == {
+    assert error.as_dict() == {
         "error": "Coded",
         "what": "it is off",
         "where": "",
