--- a/tests/storage_gateway/server/test_begins.py
+++ b/tests/storage_gateway/server/test_begins.py
@@ -58,7 +58,7 @@
 
     async def pass_by(world: World) -> None:
         async with asyncio.timeout(5):
-            await world.held.wait()
+            await world.connect_blocked.wait()
         world.gateway.epoch += seconds
 
     return pass_by
@@ -136,7 +136,7 @@
             gate = world.hold_connecting()
             await world.play("c1 send read deadline=280")
             async with asyncio.timeout(5):
-                await world.held.wait()  # from here on the attempt's time runs
+                await world.connect_blocked.wait()  # from here on the attempt's time runs
             await asyncio.sleep(0.1)
             gate.set()
             await world.play("n0 expect GET\nn0 send 200 body=x\nc1 expect 200")
