--- a/tests/storage_gateway/server/test_written.py
+++ b/tests/storage_gateway/server/test_written.py
@@ -82,7 +82,7 @@
 
 async def pieces(link: Link, length: int | None) -> None:
     """A body as `Attempts` passes one on."""
-    await link.request(b"head", follows=length)
+    await link.request(b"head", streamed_length=length)
     await link.write(BODY[:100])
     await link.write(BODY[100:])
     if length is None:
