--- a/tests/storage_gateway/coordination/pools/test_pools_language.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_language.py
@@ -234,7 +234,7 @@
     error = caught.value
     assert type(error) is kind and (error.position.line, error.position.column) == (line, column), error.line
     assert error.position.text.startswith(there) and remedy in error.remedy_text, error.line
-    assert {"error", "what", "where", "remedy", "line", "column", "text"} == set(error.told())
+    assert {"error", "what", "where", "remedy", "line", "column", "text"} == set(error.as_dict())
 
 
 def test_sixteen_deep_is_read():
