--- a/mallowbeam/http/connection.py
+++ b/mallowbeam/http/connection.py
@@ -1,9 +1,9 @@
-"""One client's connection: its requests in, their answers out, and how long either may take.
+"""One client's connection: reads requests, writes their responses, and enforces the time-outs of both.
 
-A front is called with each whole request and returns the one answer; a client that ends or resets its
-connection has gone, which cancels that call and drops what waits behind it.  While a request is answered the
-next ones are read ahead, up to a bound; past it the client's end is looked for now and then.  How it ends,
-and the one way in which others end it (`leave`), is the matter of `http/shutdown.py`.
+The front is called with each complete request and returns its response.  A client that ends or resets its
+connection has gone: that cancels the call and drops the requests queued after it.  While a request is being
+answered the next ones are read ahead, up to a limit; beyond it the connection is polled for the client's
+departure.  `http/shutdown.py` closes the connection, also for callers outside (`close_soon`).
 """
 
 from __future__ import annotations
@@ -14,82 +14,82 @@
 from collections.abc import Awaitable
 from contextlib import suppress
 
-from mallowbeam.http.framing import MAX_HEAD, Channel, Framer, Message, MessageError
+from mallowbeam.http.framing import MAX_HEAD_BYTES, Channel, Framer, Message, MessageError
 from mallowbeam.http.read_ahead import ReadAhead
 from mallowbeam.http.reporting import logger
 from mallowbeam.http.shutdown import (
-    LINGER,
-    LINGER_BYTES,
+    LINGER_S,
+    MAX_DISCARDED_BYTES,
+    ConnectionOwner,
     ConnectionShutdown,
-    Owner,
     Stage,
-    drop,
-    gone,
+    discard_unread,
+    peer_has_closed,
     reset_at_close,
 )
 from mallowbeam.http.stream import Stream
 
-PIPELINED = 2  # whole requests that may wait behind the one being answered
-STALLED = 2.5  # seconds in which a request must come in, on a new connection from its start on
-SLOWEST = 48 * 1024  # bytes of a body that are worth a second more
-UNREAD = 10.0  # seconds without a byte after which an answer has stopped going out
-IDLE = 10.0  # seconds that a connection may lie idle after an answer
-LOOK = 0.04  # seconds between looks, while nothing is read, whether the client is still there
-FRESH = 1.0  # seconds in which a client that has just come begins, where room is short
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+MAX_PIPELINED = 2  # complete requests that may wait behind the one being answered
+REQUEST_TIMEOUT_S = 2.5  # to receive a request; on a new connection since it opened
+MIN_UPLOAD_BYTES_PER_S = 48 * 1024  # bytes of body that extend that time by a second
+WRITE_STALL_TIMEOUT_S = 10.0  # without progress, after which writing a response is given up
+IDLE_TIMEOUT_S = 10.0  # after a response
+LIVENESS_CHECK_INTERVAL_S = 0.04  # between checks for the client's departure while reading is paused
+NEW_CONNECTION_GRACE_S = 1.0  # for a new client to begin a request when connections are short
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class Connection(ConnectionShutdown):
-    """One client's connection: a task that reads, and while a request is held one that answers."""
+    """One client's connection: a task that reads, and one that answers while there is a request."""
 
-    def __init__(self, server: Owner, sock: socket.socket, over: bool = False) -> None:
+    def __init__(self, server: ConnectionOwner, sock: socket.socket, over_limit: bool = False) -> None:
         self.server, front = server, server.front
-        self.rejected = over  # no room for it: its request is refused at once
+        self.rejected = over_limit  # its request is rejected at once
         self.channel = Channel(
             sock,
             Framer(
                 answers=False,
                 max_body=front.max_body,
                 budget=front.budget,
-                max_head=getattr(front, "max_head", MAX_HEAD),
+                max_head=getattr(front, "max_head", MAX_HEAD_BYTES),
             ),
         )
-        self.read_ahead = ReadAhead(front.budget)  # read, and not parsed yet
-        self.incoming: Message | None = None  # the request that is coming in
-        self.waiting_since = time.monotonic()  # when that began, or the last answer went out
+        self.read_ahead = ReadAhead(front.budget)  # bytes read but not parsed yet
+        self.incoming: Message | None = None  # the request being received
+        self.waiting_since = time.monotonic()  # when that began, or when the last response was sent
         self.response_task: asyncio.Task[None] | None = None
-        self.request: Message | None = None  # the one that is being answered
-        self.streamed_request: Message | None = None  # the same, while its body passes through
-        self.consumer_is_slow = False  # nothing is read: the body's taker is slow
+        self.request: Message | None = None  # the request being answered
+        self.streamed_request: Message | None = None  # the request whose body is being streamed
+        self.consumer_is_slow = False  # reading is paused because the body's consumer is slow
         self.writing = self.answered = False
-        self.pipeline_deadline = 0.0  # until when what waits is answered before it ends
-        self.reading_paused = False  # nothing is read, but the client is looked for
+        self.pipeline_deadline = 0.0  # until when pipelined requests are answered before a close
+        self.reading_paused = False  # reading is paused; only the client's departure is checked
         self.liveness_timer: asyncio.TimerHandle | None = None
         self.reading_may_resume = asyncio.Event()
         self.task = asyncio.create_task(self._run())
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is coming in, held or going out."""
+        """Whether no request is being received, waiting or answered."""
         return self.response_task is None and self.channel.framer.empty
 
     @property
     def pending(self) -> int:
-        """Requests here that have come in whole and are not over yet."""
+        """Number of requests received completely and not yet answered."""
         return len(self.channel.framer.ready) + (self.request is not None and self.request.complete)
 
     @property
     def can_be_closed(self) -> bool:
-        """Whether it may be closed to make room.
+        """Whether the connection may be closed to make room for another.
 
-        Guards requests on their way in: a client that has just come is about to send one, and one that lies
-        unread in the socket is taken and would be lost with it.
+        Not while a request may be arriving: a new client is about to send one, and one that is unread in the
+        socket counts as received and would be lost.
         """
-        if self.closing:  # perhaps it has had its last answer
-            return self.state is not Stage.LAST
+        if self.closing:  # its last response may have been sent
+            return self.state is not Stage.DRAINING
         return (
             self.idle
-            and (self.answered or time.monotonic() - self.waiting_since > FRESH)
+            and (self.answered or time.monotonic() - self.waiting_since > NEW_CONNECTION_GRACE_S)
             and not self.channel.stale()
         )
 
@@ -99,46 +99,46 @@
         except (OSError, asyncio.CancelledError):
             pass
         except Exception as error:
-            logger.error("a connection failed unforeseen", exc_info=error)
+            logger.error("unforeseen error in a client connection", exc_info=error)
         finally:
             await self._close()
 
     async def _read_requests(self) -> None:
-        """Take requests in, until the client's end or ours."""
+        """Read requests until the client or this side ends the connection."""
         framer = self.channel.framer
         while await self._receive():
             if framer.incoming is not self.incoming:
                 self.incoming = framer.incoming
-                if self.answered:  # the first request has its time from the connection's start
+                if self.answered:  # the first request's time counts from the connection's start
                     self.waiting_since = time.monotonic()
             self._start_next_response()
             if framer.error is not None:
                 return await self._answer_malformed(framer.error)
             if self.response_task is None and framer.wants_continue():
-                await self.channel.send(CONTINUE)
+                await self.channel.send(CONTINUE_RESPONSE)
             await self._forward_body()
         return None
 
     async def _receive(self) -> bool:
-        """Take in what came next, in the step of its read; False at the client's end and after ours."""
+        """Parse the next bytes in the loop step that reads them; False once either side has ended."""
         channel, framer = self.channel, self.channel.framer
         while self.state is not Stage.LINGERING:
-            waits = len(framer.ready) > PIPELINED
-            if self.read_ahead and not waits:
+            queue_is_full = len(framer.ready) > MAX_PIPELINED
+            if self.read_ahead and not queue_is_full:
                 at, data = self.read_ahead.popleft()
                 self._feed(memoryview(data), at)
                 return True
-            if waits and self.read_ahead.full:
+            if queue_is_full and self.read_ahead.full:
                 self.reading_may_resume.clear()
                 await self._wait_unread(self.reading_may_resume.wait())
                 continue
             count = await channel.read()
-            # Another task may have hung up meanwhile, which mypy does not see: this is not sent on.
+            # Another task may have closed this side meanwhile, which mypy does not see: discard the bytes.
             if count is None or self.state is Stage.LINGERING:  # type: ignore[comparison-overlap]
                 continue
             if not count:
                 return False
-            if not waits and not self.read_ahead:
+            if not queue_is_full and not self.read_ahead:
                 self._feed(channel.buffer[:count], channel.last_activity)
                 return True
             self.read_ahead.append(channel.buffer[:count], channel.last_activity)
@@ -146,14 +146,14 @@
         return False
 
     def _feed(self, data: memoryview, at: float) -> None:
-        """Parse what was read at a time, within the front's bounds, which may have changed since the last."""
+        """Parse bytes read at time `at`, within the front's limits, which can change between calls."""
         framer, front = self.channel.framer, self.server.front
-        framer.bound(front.max_body, getattr(front, "max_head", MAX_HEAD))
+        framer.set_limits(front.max_body, getattr(front, "max_head", MAX_HEAD_BYTES))
         framer.read_at = at
         framer.feed(data)
 
     async def _wait_unread(self, wait: Awaitable[object]) -> None:
-        """Wait while nothing is read, and look now and then whether the client is still there."""
+        """Wait with reading paused, checking periodically that the client is still connected."""
         self.reading_paused = True
         self._check_liveness()
         try:
@@ -164,13 +164,17 @@
                 self.liveness_timer.cancel()
 
     def _check_liveness(self) -> None:
-        """Guards nodes against requests of a client that has left behind bytes which are not read."""
-        if gone(self.channel.sock):
+        """Cancel the connection if its client has left.
+
+        Without this check the end of stream would stay hidden behind unread bytes, and nodes would work for a
+        departed client.
+        """
+        if peer_has_closed(self.channel.sock):
             self.task.cancel()
-        self.liveness_timer = self.channel.loop.call_later(LOOK, self._check_liveness)
+        self.liveness_timer = self.channel.loop.call_later(LIVENESS_CHECK_INTERVAL_S, self._check_liveness)
 
     async def _close(self) -> None:
-        """The one place in which the socket is closed, and what still depends on it is ended."""
+        """Close the socket and everything that depends on it; the only place that does."""
         self.state = Stage.CLOSED
         if self.close_timer is not None:
             self.close_timer.cancel()
@@ -183,59 +187,61 @@
                 self.streamed_request.stream.close()
             self.read_ahead.clear()
             self.channel.framer.release()
-            drop(self.channel.sock, self.channel.buffer, LINGER_BYTES)
+            discard_unread(self.channel.sock, self.channel.buffer, MAX_DISCARDED_BYTES)
             self.channel.close()
             self.server.connections.discard(self)
 
     def _start_next_response(self) -> None:
-        """Begin to answer the next request that is whole, or too large to be held, unless one is answered."""
+        """Start to answer the next complete or streamed request, unless one is being answered."""
         framer = self.channel.framer
         if self.response_task is not None or self.state in (Stage.LINGERING, Stage.CLOSED):
             return
         if self._client_has_left():
-            self.task.cancel()  # nothing of it is sent on
+            self.task.cancel()  # its request is not forwarded
             return
         if framer.ready:
             request = framer.ready.popleft()
-        elif framer.incoming is not None and framer.holds_more_than(self.server.front.max_buffered_body):
+        elif framer.incoming is not None and framer.incoming_body_exceeds(
+            self.server.front.max_buffered_body
+        ):
             request = self.streamed_request = framer.incoming
-            request.stream = Stream(wanted=self._send_continue)
+            request.stream = Stream(on_first_get=self._send_continue)
             self.channel.grow_buffer()
         else:
             return
         self.response_task = asyncio.create_task(self._answer(request))
 
     def _client_has_left(self) -> bool:
-        """Whether the client of a request that had to wait is no longer there.
+        """Whether the client of a request that had to wait has disconnected.
 
-        Guards nodes: a new connection may have lain in the accept queue, and its client has come and gone.
+        Saves nodes the work: a new connection may have waited in the accept queue until its client gave up.
         """
         return (
             self.reading_paused
-            and gone(self.channel.sock)
+            and peer_has_closed(self.channel.sock)
             or not self.answered
             and self.channel.peek() is False
         )
 
     def _send_continue(self) -> None:
-        """The first piece of a large body is asked for: a client that waits for a word gets it."""
+        """Send `100 Continue` to a client that expects it, once its streamed body is first requested."""
         if self.channel.framer.wants_continue():
-            with suppress(OSError):  # a few bytes, and nothing else is being written
-                self.channel.sock.send(CONTINUE)
+            with suppress(OSError):  # a few bytes, and no other write is in progress
+                self.channel.sock.send(CONTINUE_RESPONSE)
 
     async def _forward_body(self) -> None:
-        """Hand on what came of a large body; while its taker is slow nothing is read, and no time counts."""
+        """Pass on bytes of a streamed body; reading and time-outs pause while its consumer is slow."""
         request = self.streamed_request
         if request is None or (stream := request.stream) is None:
             return
-        if piece := request.take():
+        if chunk := request.take():
             self.channel.framer.release()
-            began, self.consumer_is_slow = time.monotonic(), True
+            started, self.consumer_is_slow = time.monotonic(), True
             if stream.full:
-                await self._wait_unread(stream.put(piece))
+                await self._wait_unread(stream.put(chunk))
             else:
-                await stream.put(piece)
-            self.waiting_since += time.monotonic() - began
+                await stream.put(chunk)
+            self.waiting_since += time.monotonic() - started
             self.consumer_is_slow = False
         if request.complete:
             self.streamed_request = None
@@ -246,17 +252,17 @@
                 await stream.put(None)
 
     async def _answer(self, request: Message) -> None:
-        """One request, from its last byte in to its answer's last byte out."""
-        last = not request.keep_alive  # as its client asked
+        """Answer one request, and then close the connection or start the next response."""
+        client_closes = not request.keep_alive  # the client asked for the close
         try:
             self.request = request
-            whole = await self._write(request)
+            sent_completely = await self._write_response(request)
             close = self.closes(request)
         except OSError:
-            whole = close = False
+            sent_completely = close = False
         except Exception as error:
-            logger.error("a request failed unforeseen", exc_info=error)
-            whole, close = False, True
+            logger.error("unforeseen error in a request", exc_info=error)
+            sent_completely, close = False, True
         self.writing, self.response_task, self.waiting_since, self.answered = (
             False,
             None,
@@ -268,11 +274,13 @@
             request.stream.close()
         if self.channel.framer.empty:
             self.channel.framer.release()
-        if self.state is Stage.CLOSED:  # the client has gone
+        if self.state is Stage.CLOSED:  # the client has disconnected
             return
-        if not whole:
+        if not sent_completely:
             self._end_truncated(request)
-        elif close and (last or self.rejected or not request.complete or not self._request_is_pending()):
+        elif close and (
+            client_closes or self.rejected or not request.complete or not self._request_is_pending()
+        ):
             self._half_close()
         else:
             self._start_next_response()
@@ -280,8 +288,8 @@
         if self.read_ahead or self.channel.framer.error is not None:
             self.channel.wake()
 
-    async def _write(self, request: Message) -> bool:
-        """Write the front's answer to a request; False if it broke off."""
+    async def _write_response(self, request: Message) -> bool:
+        """Write the front's response to a request; False if it was truncated."""
         try:
             if self.rejected:
                 request.keep_alive = False
@@ -289,26 +297,27 @@
             else:
                 reply = await self.server.front.handle(request, lambda: self.closes(request))
         except Exception as error:
-            # Guards the client against a fault of ours: it still gets its one answer.
-            logger.error("a request failed unforeseen", exc_info=error)
+            # The client still gets a response when the front fails.
+            logger.error("unforeseen error in a request", exc_info=error)
             reply = self.server.front.error_response(500, "internal error")
             request.keep_alive = False
-        self.channel.last_activity, self.writing, whole = time.monotonic(), True, False
+        self.channel.last_activity, self.writing, sent_completely = time.monotonic(), True, False
         try:
             if reply.write is None:
-                head_only = request.method == b"HEAD"  # its answer ends with the headers, whatever they say
+                head_only = request.method == b"HEAD"  # no body follows, whatever its headers state
                 await self.channel.send(
                     reply.data.partition(b"\r\n\r\n")[0] + b"\r\n\r\n" if head_only else reply.data
                 )
-            whole = reply.write is None or await reply.write(self.channel)
+            sent_completely = reply.write is None or await reply.write(self.channel)
         finally:
-            self.server.front.finished(request, reply.status, whole)
-        return whole
+            self.server.front.finished(request, reply.status, sent_completely)
+        return sent_completely
 
     def _request_is_pending(self) -> bool:
-        """Whether our side can't end yet after its last answer: a request came while that was written.
+        """Whether a request arrived while the last response was being written.
 
-        Guards it: it has crossed the answer, and is taken.  Its client may read on up to our end.
+        Such a request counts as received, so it is answered before this side ends.  Its client may read until
+        then.
         """
         if (
             time.monotonic() > self.pipeline_deadline
@@ -316,64 +325,64 @@
             and self._nothing_unread()
         ):
             return False
-        self.state = Stage.LAST
+        self.state = Stage.DRAINING
         return True
 
     def closes(self, request: Message) -> bool:
-        """Whether the connection ends after the answer to a request; a yes stands.
+        """Whether the connection closes after the response to a request; True is final.
 
-        Guards requests that have come in whole behind it: where the end is ours they are answered first, for
-        a while.
+        If the close is this side's choice, complete requests queued behind it are answered first, for at most
+        `LINGER_S` seconds.
         """
-        if not request.keep_alive or not request.complete:  # its body may still be coming
+        if not request.keep_alive or not request.complete:  # incomplete: its body may still be arriving
             return True
         if not self.server.closing and self.state is Stage.OPEN:
             return False
         now = time.monotonic()
-        self.pipeline_deadline = self.pipeline_deadline or now + LINGER
+        self.pipeline_deadline = self.pipeline_deadline or now + LINGER_S
         request.keep_alive = bool(self.channel.framer.ready) and now < self.pipeline_deadline
         return not request.keep_alive
 
-    async def _answer_malformed(self, fault: MessageError) -> None:
-        """Answer what breaks HTTP once the request before it has its answer, then end in order."""
+    async def _answer_malformed(self, error: MessageError) -> None:
+        """Answer malformed input after the requests before it have their responses, then close in order."""
         if self.streamed_request is not None and self.streamed_request.stream is not None:
-            self.streamed_request.stream.abort()  # what is passed on of it can't be finished
-        most = LINGER_BYTES
-        while self.response_task is not None:  # whole requests before it have their answers first
-            if most <= 0:
+            self.streamed_request.stream.abort()  # the forwarded body can't be completed
+        remaining = MAX_DISCARDED_BYTES
+        while self.response_task is not None:  # complete requests before it are answered first
+            if remaining <= 0:
                 await self._wait_unread(asyncio.wait([self.response_task]))
             elif (count := await self.channel.read()) == 0:
                 return
             else:
-                most -= count or 0
+                remaining -= count or 0
         if self.state is not Stage.LINGERING:
-            self.state, self.writing = Stage.LAST, True
-            async with asyncio.timeout(LINGER):
-                await self.channel.send(self._final_error(fault.status, str(fault)))
+            self.state, self.writing = Stage.DRAINING, True
+            async with asyncio.timeout(LINGER_S):
+                await self.channel.send(self._final_error(error.status, str(error)))
             self.writing = False
             self._half_close()
         await self._discard_input()
 
     def _answer_timeout(self) -> None:
-        """Answer a request that did not come in time; best effort: its client may not read either."""
+        """Answer 408 to a request that took too long to arrive; best effort, as its client may not read."""
         with suppress(OSError):
             self.channel.sock.send(self._final_error(408, "the request did not come in time"))
         self._half_close()
 
     def _final_error(self, status: int, text: str) -> bytes:
-        """The last word on a request that does not come in whole; it counts if its head has."""
-        part = self.channel.framer.incoming
-        if part is not None and not self.channel.framer.in_head:
-            self.server.front.finished(part, status, True)
+        """Build the error response to an incomplete request, counted if its head is complete."""
+        request = self.channel.framer.incoming
+        if request is not None and not self.channel.framer.in_head:
+            self.server.front.finished(request, status, True)
         return self.server.front.error_response(status, text).data
 
     def sweep(self, now: float) -> None:
-        """End a connection that has been idle or stalled for too long."""
+        """End the connection if it has been idle or stalled for too long."""
         if self.state in (Stage.LINGERING, Stage.CLOSED):
-            return  # that has its time
+            return  # the close has a time limit of its own
         if self.writing:
-            if now - self.channel.last_activity > UNREAD:
-                reset_at_close(self.channel.sock)  # it reads nothing, and must not take this for an end
+            if now - self.channel.last_activity > WRITE_STALL_TIMEOUT_S:
+                reset_at_close(self.channel.sock)  # the client must not mistake this for a regular end
                 self.task.cancel()
         elif self.idle:
             limit = self._idle_timeout() if self.answered else self._request_timeout()
@@ -386,7 +395,7 @@
                 and not self.consumer_is_slow
                 and now - self.waiting_since > self._request_time_limit()
             ):
-                stream.abort()  # its taker ends it, and that is answered
+                stream.abort()  # the consumer ends the request, which produces the response
         elif (
             self.response_task is None
             and now - self.waiting_since > self._request_time_limit()
@@ -395,16 +404,16 @@
             self._answer_timeout()
 
     def _request_time_limit(self) -> float:
-        """Seconds that the request which is coming in may take, by what came: a trickle is no upload."""
-        part = self.channel.framer.incoming
-        return self._request_timeout() + (part.received / SLOWEST if part else 0.0)
+        """Seconds allowed for the request being received; grows with the body bytes received."""
+        request = self.channel.framer.incoming
+        return self._request_timeout() + (request.received / MIN_UPLOAD_BYTES_PER_S if request else 0.0)
 
     def _request_timeout(self) -> float:
-        """Seconds in which a request must come in: the front's `stalled`, if it has one."""
-        seconds: float = getattr(self.server.front, "stalled", STALLED)
+        """Seconds allowed for receiving a request: the front's `request_timeout_s`, if it has one."""
+        seconds: float = getattr(self.server.front, "request_timeout_s", REQUEST_TIMEOUT_S)
         return seconds
 
     def _idle_timeout(self) -> float:
-        """Seconds that a connection may lie idle after an answer: the front's `idle`, if it has one."""
-        seconds: float = getattr(self.server.front, "idle", IDLE)
+        """Seconds that a connection may stay idle: the front's `idle_timeout_s`, if it has one."""
+        seconds: float = getattr(self.server.front, "idle_timeout_s", IDLE_TIMEOUT_S)
         return seconds
--- a/mallowbeam/router/processes/metrics.py
+++ b/mallowbeam/router/processes/metrics.py
@@ -59,7 +59,7 @@
 
     max_body = max_buffered_body = MAX_BODY_BYTES
     budget: BodyBudget | None = None
-    idle = 30.0  # seconds after which an idle connection is closed
+    idle_timeout_s = 30.0  # seconds after which an idle connection is closed
 
     def __init__(self, path: bytes, collect: Collect) -> None:
         """Serve the page at `path`, which starts with a slash; `collect` is called for each request."""
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -8,9 +8,16 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.budget import BodyBudget
-from mallowbeam.http.framing import MAX_BODY, TOKEN, Channel, Message, in_chunks, write_head
+from mallowbeam.http.framing import (
+    MAX_BUFFERED_BODY_BYTES,
+    TOKEN,
+    Channel,
+    Message,
+    use_chunked_encoding,
+    write_head,
+)
 from mallowbeam.http.handler import Response, text_response
-from mallowbeam.http.stream import MOST, Stream, copy
+from mallowbeam.http.stream import MAX_STREAMED_BYTES, Stream, copy
 from mallowbeam.storage_gateway.scheduler.interface import Idempotency
 from mallowbeam.storage_gateway.server.calls import (
     Answer,
@@ -59,7 +66,7 @@
 class Platform:
     """Translates the platform's requests into gateway calls, and their answers into responses."""
 
-    max_body, max_buffered_body = MOST, MAX_BODY
+    max_body, max_buffered_body = MAX_STREAMED_BYTES, MAX_BUFFERED_BODY_BYTES
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway, self.budget = gateway, BodyBudget(min(MAX_HELD_BYTES, gateway.config.memory // 8))
@@ -148,8 +155,8 @@
             request.body,
             may_stream=(200).__eq__,
             body_timeout_s=max(MIN_BODY_TIMEOUT_S, cls.latency_target * BODY_TIMEOUT_RATIO),
-            buffer_bytes=MAX_BODY,
-            max_stream_bytes=MOST,
+            buffer_bytes=MAX_BUFFERED_BODY_BYTES,
+            max_stream_bytes=MAX_STREAMED_BYTES,
             upload=request.stream,
             length=request.length,
         )
@@ -160,7 +167,7 @@
     ) -> Response:
         """Return a response that forwards a large answer as it arrives."""
         size = content_length(answer.headers)
-        chunked = in_chunks(request, size)
+        chunked = use_chunked_encoding(request, size)
 
         async def write(channel: Channel) -> bool:
             try:
--- a/tests/http/test_floods.py
+++ b/tests/http/test_floods.py
@@ -1,4 +1,4 @@
-"""Bad input from clients, on loopback sockets: each gets its 4xx or its end, and the others are served."""
+"""Malformed and excessive client input, on loopback sockets: rejected or closed, others are served."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 import pytest
 import uvloop
 from loguru import logger
-from raw import HEALTH, Raw, arrive, come, request, until
+from raw import HEALTH, RawClient, connect_client, request, send_unread, until
 from scenario import World
 
 from mallowbeam.http import connection as connections
-from mallowbeam.http.framing import CHUNK, MAX_QUIET
+from mallowbeam.http.framing import MAX_FRAMING_BYTES, READ_BUFFER_BYTES
 
 PUT = {"method": "PUT", "cls": "new-write"}
 KEY = "idempotency-key: k"
@@ -20,13 +20,13 @@
 
 
 @pytest.fixture(autouse=True)
-def quiet_log() -> Iterator[None]:
-    """Nothing that clients send is a fault of ours: no error and no traceback is told."""
-    told: list[str] = []
-    sink = logger.add(told.append, level="WARNING", backtrace=False)
+def no_logged_faults() -> Iterator[None]:
+    """Client input must never cause a logged warning, error or traceback."""
+    logged: list[str] = []
+    sink = logger.add(logged.append, level="WARNING", backtrace=False)
     yield
     logger.remove(sink)
-    assert not told, told
+    assert not logged, logged
 
 
 def put(*headers: str, body: bytes = b"") -> bytes:
@@ -67,15 +67,15 @@
 
 
 @pytest.mark.parametrize("raw", BAD.values(), ids=BAD.keys())
-def test_what_breaks_http_is_told_and_ended_while_others_are_served(raw):
+def test_malformed_requests_are_rejected_and_closed_while_others_are_served(raw):
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, raw)
+            client, here = await connect_client(world, raw)
             await serves_others(world)
-            got = await client.read()  # its end, and no reset
+            got = await client.read()  # an orderly end, no reset
             assert got.startswith((b"HTTP/1.1 400", b"HTTP/1.1 413", b"HTTP/1.1 431")), got
             assert got.count(b"HTTP/1.1") == 1
-            client.leave()
+            client.disconnect()
             await until(lambda: here.task.done())
             await world.play("n0 expect nothing")
             assert world.gateway.servers[-1].front.budget.used == 0
@@ -94,11 +94,11 @@
     ],
     ids=["line", "TLS", "head", "length"],
 )
-def test_every_door_does_so(front, raw):
+def test_every_endpoint_rejects_malformed_requests(front, raw):
     async def run() -> None:
         async with World() as world:
-            client = Raw(getattr(world, front))
-            client.say(raw)
+            client = RawClient(getattr(world, front))
+            client.send_now(raw)
             assert (await client.read()).startswith(b"HTTP/1.1 4")
 
     uvloop.run(run())
@@ -118,12 +118,12 @@
 
 
 @pytest.mark.parametrize("start, more", ENDLESS.values(), ids=ENDLESS.keys())
-def test_a_flood_is_cut_in_time_and_within_memory(start, more):
-    """The client sends until it can't: the gateway answers, reads on within its bound, and closes."""
+def test_a_flood_is_closed_within_limits_of_time_and_memory(start, more):
+    """The client sends until the connection fails: the gateway answers, discards a limited amount, closes."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, start)
+            client, here = await connect_client(world, start)
             most = 0
 
             async def flood() -> None:
@@ -133,35 +133,38 @@
                     most = max(most, here.channel.framer.pending_bytes)
 
             flooding = asyncio.create_task(flood())
-            if start.endswith(b"x" * 10):  # a whole request comes first, and it is answered first
+            if start.endswith(b"x" * 10):  # a complete request precedes the flood and is answered first
                 await world.play("n0 expect PUT\nn0 send 200 body=stored")
             await serves_others(world)
             with pytest.raises(ConnectionError):
                 await asyncio.wait_for(flooding, 5)
             await until(lambda: here.task.done())
-            assert most <= MAX_QUIET + CHUNK
+            assert most <= MAX_FRAMING_BYTES + READ_BUFFER_BYTES
             await world.play("n0 expect nothing")
 
     uvloop.run(run())
 
 
-def test_requests_without_end_are_read_ahead_within_a_bound():
-    """Guards memory: while one is answered the rest stays with its client."""
+def test_endless_pipelining_is_read_ahead_up_to_a_limit():
+    """While one request is answered, memory is limited: flow control holds back the client."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, request(1))
+            client, here = await connect_client(world, request(1))
             await world.play("n0 expect GET")
             flooding = asyncio.create_task(client.loop.sock_sendall(client.sock, HEALTH * 300_000))
             await until(lambda: here.reading_paused)
             looks = here.liveness_timer
             await until(lambda: here.liveness_timer is not looks)
-            assert len(here.channel.framer.ready) <= connections.PIPELINED + CHUNK // len(HEALTH) + 1
+            assert (
+                len(here.channel.framer.ready)
+                <= connections.MAX_PIPELINED + READ_BUFFER_BYTES // len(HEALTH) + 1
+            )
             assert not flooding.done()
             await serves_others(world)
             flooding.cancel()
             await asyncio.wait([flooding])
-            client.leave()
+            client.disconnect()
             await until(lambda: here.task.done() and not world.gateway.exchanges)
 
     uvloop.run(run())
@@ -178,46 +181,46 @@
 
 
 @pytest.mark.parametrize("raw, drops", TRICKLES.values(), ids=TRICKLES.keys())
-def test_a_trickle_ends_at_its_bound(raw, drops):
-    """A byte a second is no upload: however many come, the request ends when its time is over."""
+def test_a_trickled_request_times_out(raw, drops):
+    """A byte per second does not extend the request's time."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, raw)
+            client, here = await connect_client(world, raw)
             await until(lambda: here.incoming is not None)
             start = here.waiting_since
             for drop, passed in zip(drops, (1.0, 2.0, 2.4), strict=True):
                 here.sweep(start + passed)
                 assert not here.closing
-                arrive(client, here, bytes([drop]))
+                send_unread(client, here, bytes([drop]))
                 await until(lambda: here.channel.peek() is None)
             assert (
-                here.waiting_since - start < connections.STALLED / 2
-            )  # only time in which its taker was slow
-            here.sweep(here.waiting_since + connections.STALLED + 0.01)
-            # An upload is passed on already: its taker says that it broke off.
+                here.waiting_since - start < connections.REQUEST_TIMEOUT_S / 2
+            )  # moved only while the consumer was slow
+            here.sweep(here.waiting_since + connections.REQUEST_TIMEOUT_S + 0.01)
+            # An upload is being forwarded already: its consumer reports the truncation.
             assert (await client.read()).startswith(b"HTTP/1.1 503" if b"90000" in raw else b"HTTP/1.1 408")
-            client.leave()
+            client.disconnect()
             await until(lambda: here.task.done())
 
     uvloop.run(run())
 
 
-def test_a_slow_writer_gets_its_answer():
-    """64 KiB a second over a minute are fair: each second's bytes earn it more than that second."""
+def test_a_slow_upload_is_answered():
+    """64 KiB/s is above the minimum rate: each second's bytes extend the time by more than a second."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, put("content-length: 1310720", body=b"x"))
+            client, here = await connect_client(world, put("content-length: 1310720", body=b"x"))
             await until(lambda: here.streamed_request is not None)
             start, sent = here.waiting_since, 1
             for second in range(20):
                 here.sweep(start + second)
                 piece = min(65536, 1310720 - sent)
-                arrive(client, here, b"x" * piece)
+                send_unread(client, here, b"x" * piece)
                 sent += piece
                 await until(lambda: here.streamed_request is None or here.streamed_request.received == sent)  # noqa: B023
-                here.waiting_since = start  # the taker's time does not count, nor does this machine's
+                here.waiting_since = start  # excludes the consumer's and this machine's delays
             await world.play("n0 expect PUT\nn0 send 200 body=stored")
             assert (await client.read(until=b"stored")).startswith(b"HTTP/1.1 200")
 
--- a/tests/http/test_waiting.py
+++ b/tests/http/test_waiting.py
@@ -1,26 +1,26 @@
-"""Requests that wait for their turn on one connection: their time counts from their last byte."""
+"""Pipelined requests that wait on one connection: their deadline counts from their last byte."""
 
 from __future__ import annotations
 
 import uvloop
-from raw import come, request, until
+from raw import connect_client, request, until
 from scenario import World
 
 from mallowbeam.http.budget import BodyBudget
-from mallowbeam.http.connection import PIPELINED
-from mallowbeam.http.read_ahead import CHUNK_OVERHEAD, MAX_READ_AHEAD, ReadAhead
+from mallowbeam.http.connection import MAX_PIPELINED
+from mallowbeam.http.read_ahead import CHUNK_OVERHEAD_BYTES, MAX_READ_AHEAD_BYTES, ReadAhead
 
-PIPE = PIPELINED + 20
+PIPE = MAX_PIPELINED + 20
 
 
-def test_what_has_waited_out_its_time_is_refused_and_not_sent():
-    """The crossing is forced: those behind a held request were read so long ago."""
+def test_pipelined_requests_past_their_deadline_are_rejected_and_not_forwarded():
+    """The requests queued behind one in progress are dated back, so that their deadlines have passed."""
 
     async def run() -> None:
         async with World() as world:
-            client, here = await come(world, b"".join(request(i) for i in range(1, PIPE + 1)))
+            client, here = await connect_client(world, b"".join(request(i) for i in range(1, PIPE + 1)))
             await world.play("n0 expect GET")
-            await until(lambda: len(here.channel.framer.ready) + len(here.read_ahead.chunks) > PIPELINED)
+            await until(lambda: len(here.channel.framer.ready) + len(here.read_ahead.chunks) > MAX_PIPELINED)
             for waiting in here.channel.framer.ready:
                 waiting.completed_at -= 60.0
             here.read_ahead.chunks = type(here.read_ahead.chunks)(
@@ -40,10 +40,10 @@
     uvloop.run(run())
 
 
-def test_what_has_not_waited_has_its_whole_time():
+def test_a_request_that_did_not_wait_keeps_its_whole_deadline():
     async def run() -> None:
         async with World() as world:
-            _, here = await come(world, request(1))
+            _, here = await connect_client(world, request(1))
             await world.play("n0 expect GET")
             assert 0.2 < float(world.parties["n0"].seen[0].get(b"x-deadline-ms")) / 1000 <= 0.3
             assert here.request.completed_at <= here.channel.last_activity
@@ -51,13 +51,15 @@
     uvloop.run(run())
 
 
-def test_pieces_read_ahead_keep_when_they_were_read_and_are_bounded_however_small():
-    """Guards memory against a trickle: a byte a read would hold a hundred times its size."""
+def test_read_ahead_keeps_read_times_and_limits_small_chunks():
+    """Limits memory under one-byte reads, whose chunks take up a hundred times their payload."""
     budget = BodyBudget(1 << 30)
     ahead = ReadAhead(budget)
     while not ahead.full:
         ahead.append(memoryview(b"x"), float(len(ahead.chunks)))
-    assert len(ahead.chunks) <= MAX_READ_AHEAD / CHUNK_OVERHEAD + 1 and budget.used == ahead.buffered
+    assert (
+        len(ahead.chunks) <= MAX_READ_AHEAD_BYTES / CHUNK_OVERHEAD_BYTES + 1 and budget.used == ahead.buffered
+    )
     assert [ahead.popleft() for _ in range(2)] == [(0.0, b"x"), (1.0, b"x")]
     ahead.clear()
     assert budget.used == ahead.buffered == 0 and not ahead
--- a/tests/router/configuration/test_configuration_documents.py
+++ b/tests/router/configuration/test_configuration_documents.py
@@ -296,7 +296,7 @@
         for kind in classes:
             with self.subTest(kind.__name__):
                 self.assertIn(kind.status, (400, 413, 422))
-                error_fields = kind("what", "where").told()
+                error_fields = kind("what", "where").as_dict()
                 self.assertEqual((error_fields["code"], error_fields["where"]), (kind.code, "where"))
                 self.assertTrue(error_fields["remedy"] and error_fields["step"])
         self.assertIn(errors.DuplicateTenantKeyError, classes)
--- a/tests/storage_gateway/server/test_admin.py
+++ b/tests/storage_gateway/server/test_admin.py
@@ -109,7 +109,7 @@
 
 def test_half_sent_calls_do_not_keep_others_out(monkeypatch):
     """Clients that never finished a request made all later ones wait until those timed out."""
-    monkeypatch.setattr(connection, "STALLED", 60.0)
+    monkeypatch.setattr(connection, "REQUEST_TIMEOUT_S", 60.0)
     monkeypatch.setattr(gateway, "SWEEP_INTERVAL_S", 0.05)
 
     async def run() -> None:
--- a/tests/storage_gateway/server/test_written.py
+++ b/tests/storage_gateway/server/test_written.py
@@ -15,7 +15,7 @@
 from scenario import World
 
 from mallowbeam.http.client import Link, RequestNotSentError
-from mallowbeam.http.framing import CHUNK, Channel, Framer
+from mallowbeam.http.framing import READ_BUFFER_BYTES, Channel, Framer
 from mallowbeam.storage_gateway.server import attempts
 
 BODY = b"b" * 200
@@ -68,7 +68,10 @@
 
 WRITES = {
     "whole": (b"head" + BODY, lambda link: link.request(b"head", BODY)),
-    "large": (b"head" + b"b" * (CHUNK + 1), lambda link: link.request(b"head", b"b" * (CHUNK + 1))),
+    "large": (
+        b"head" + b"b" * (READ_BUFFER_BYTES + 1),
+        lambda link: link.request(b"head", b"b" * (READ_BUFFER_BYTES + 1)),
+    ),
     "pieces": (b"head" + BODY, lambda link: write_pieces(link, len(BODY))),
     "chunks": (
         b"head" + b"64\r\n" + BODY[:100] + b"\r\n64\r\n" + BODY[100:] + b"\r\n0\r\n\r\n",
@@ -79,7 +82,7 @@
 
 async def write_pieces(link: Link, length: int | None) -> None:
     """Writes a body in pieces, as `AttemptRunner` streams one."""
-    await link.request(b"head", follows=length)
+    await link.request(b"head", streamed_length=length)
     await link.write(BODY[:100])
     await link.write(BODY[100:])
     if length is None:
@@ -105,7 +108,7 @@
     async def run() -> None:
         link, peer = link_and_peer()
         data, write = WRITES[how]
-        last = {"whole": len(data), "large": CHUNK + 1, "pieces": 100, "chunks": 5}[how]
+        last = {"whole": len(data), "large": READ_BUFFER_BYTES + 1, "pieces": 100, "chunks": 5}[how]
         link._writable = link.channel._writable = asyncio.Event().wait
         task = await interrupted_write(
             link,
@@ -132,7 +135,7 @@
         peer.close()
         with pytest.raises(RequestNotSentError):
             for _ in range(3):  # the first write may still succeed
-                await link.request(b"head", b"b" * CHUNK)
+                await link.request(b"head", b"b" * READ_BUFFER_BYTES)
         assert not link.request_sent
 
     uvloop.run(run())
--- a/tests/support/raw.py
+++ b/tests/support/raw.py
@@ -1,4 +1,4 @@
-"""A client on a bare socket: what it says is in the gateway's buffer when the call returns."""
+"""A client on a bare socket: sent bytes are in the gateway's receive buffer when the call returns."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 import struct
 from collections.abc import Callable
 
-from scenario import PATIENCE, World
+from scenario import TIMEOUT_S, World
 
 from mallowbeam.http.connection import Connection
 
 HEALTH = b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n"
 
 
-# Settings under which no time of a request's own ends it: many of them may wait for their turn for long.
-PATIENT = {name: {"OnTime": 30.0, "HardLimit": 60.0} for name in ("read", "new-write")}
+# Settings whose time limits are long enough for many requests to wait in a queue.
+LONG_LIMITS = {name: {"OnTime": 30.0, "HardLimit": 60.0} for name in ("read", "new-write")}
 
 
 def request(
@@ -26,7 +26,7 @@
     version: str = "1.1",
     deadline: int = 1100,
 ) -> bytes:
-    """A request of the platform, its id ending in a number; `deadline` in milliseconds."""
+    """Build a platform request whose id ends in `number`; `deadline` in milliseconds."""
     lines = [
         f"{method} /{cls}/00000000000000aa/0000000000000001 HTTP/{version}",
         "host: x",
@@ -40,8 +40,8 @@
     return "\r\n".join([*lines, "", ""]).encode()
 
 
-class Raw:
-    """One client."""
+class RawClient:
+    """One client connection."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.sock = socket.create_connection(address)
@@ -50,13 +50,13 @@
         self.loop = asyncio.get_running_loop()
         self.got = b""
 
-    def say(self, data: bytes) -> None:
-        """Send all of it now, in this step of the loop."""
+    def send_now(self, data: bytes) -> None:
+        """Send all of the data in this loop step."""
         assert self.sock.send(data) == len(data)
 
     async def read(self, until: bytes | None = None) -> bytes:
-        """All up to the end, or up to some bytes; raises ConnectionResetError."""
-        async with asyncio.timeout(PATIENCE):
+        """Read to the end of the stream, or until `until` was received; raises ConnectionResetError."""
+        async with asyncio.timeout(TIMEOUT_S):
             while until is None or until not in self.got:
                 data = await self.loop.sock_recv(self.sock, 65536)
                 if not data:
@@ -66,30 +66,33 @@
         return self.got
 
     def end(self) -> None:
-        """End its sending."""
+        """Shut down the sending side."""
         self.sock.shutdown(socket.SHUT_WR)
 
-    def leave(self, reset: bool = False) -> None:
-        """Close the connection, in order or by a reset."""
+    def disconnect(self, reset: bool = False) -> None:
+        """Close the connection, orderly or by a reset."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
 
 async def until(true: Callable[[], object]) -> None:
-    """Wait for something that comes by itself."""
-    async with asyncio.timeout(PATIENCE):
+    """Wait until a condition holds."""
+    async with asyncio.timeout(TIMEOUT_S):
         while not true():
             await asyncio.sleep(0.001)
 
 
-async def come(world: World, first: bytes = HEALTH) -> tuple[Raw, Connection]:
-    """A client that rests after an answer (or has said what is given), and the gateway's side of it."""
+async def connect_client(world: World, first: bytes = HEALTH) -> tuple[RawClient, Connection]:
+    """Connect a client and return it with the gateway's connection object.
+
+    By default the client has had one response and is idle; otherwise it has sent `first`.
+    """
     here = world.gateway.servers[-1]
-    before, client = set(here.connections), Raw(world.platform)
+    before, client = set(here.connections), RawClient(world.platform)
     await until(lambda: here.connections - before)
     (connection,) = here.connections - before
-    client.say(first)
+    client.send_now(first)
     if first is HEALTH:
         await client.read(until=b"serving\n")
         await until(lambda: connection.idle and connection.answered)
@@ -97,8 +100,8 @@
     return client, connection
 
 
-def arrive(client: Raw, connection: Connection, data: bytes) -> None:
-    """Bytes come in, and lie unread in the gateway's socket when this returns."""
-    client.say(data)
+def send_unread(client: RawClient, connection: Connection, data: bytes) -> None:
+    """Send bytes; they are unread in the gateway's socket when this returns."""
+    client.send_now(data)
     while connection.channel.peek() is None:
         pass
