--- a/mallowbeam/storage_gateway/coordination/errors.py
+++ b/mallowbeam/storage_gateway/coordination/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the fleet's log and its pages; each with the HTTP status by which a page answers it.
+"""Errors of the fleet's log and its pages, each with the HTTP status of the page's response.
 
 `error_name` is what pages, the command line and docs/on-call.md call the error; it never changes.
 """
@@ -20,7 +20,7 @@
 
 
 class NoLeaderError(CoordinationError):
-    """Nothing was proposed, as no member leads: no majority is connected, or an election is under way."""
+    """Nothing was proposed without a leader: no majority is connected, or an election is under way."""
 
     error_name = "NoLeader"
     status = 503
@@ -52,7 +52,7 @@
 
 
 class MissingBaseVersionError(CoordinationError):
-    """A push that does not say which version it follows."""
+    """A push does not name the version that it follows."""
 
     error_name = "NoBase"
     status = 428
@@ -60,7 +60,7 @@
 
 
 class InvalidPolicyError(CoordinationError):
-    """A policy's text that can't be read, or that names a subsystem or plan that is not there."""
+    """A policy's text can't be parsed, or names a subsystem that is off or an unknown plan."""
 
     error_name = "BadPolicy"
     status = 400
@@ -76,7 +76,7 @@
 
 
 class SubsystemMismatchError(CoordinationError):
-    """Members run with different subsystems, so that they could not all judge a policy alike."""
+    """Members host different subsystems, so they could disagree on whether a policy is valid."""
 
     error_name = "NotAlike"
     status = 409
@@ -84,7 +84,7 @@
 
 
 class PageNotFoundError(CoordinationError):
-    """A path that is no page."""
+    """No page has this path."""
 
     error_name = "NoSuchPage"
     status = 404
@@ -92,7 +92,7 @@
 
 
 class MethodNotAllowedError(CoordinationError):
-    """A page that does not take the request's method."""
+    """The page does not support the request's method."""
 
     error_name = "NotByThisMethod"
     status = 405
@@ -100,7 +100,7 @@
 
 
 class LogUnusableError(CoordinationError):
-    """The log holds what this program can't apply, so that its states would not be the fleet's."""
+    """The log has an entry or snapshot that this program can't apply, so its states would diverge."""
 
     error_name = "LogUnusable"
     status = 503
--- a/mallowbeam/storage_gateway/coordination/metrics.py
+++ b/mallowbeam/storage_gateway/coordination/metrics.py
@@ -16,17 +16,17 @@
 CONTENT_TYPE = CONTENT_TYPE_PLAIN_0_0_4
 INVALID_CHARACTERS = re.compile(r"[^a-zA-Z0-9_]")
 
-GaugesBySubsystem = Callable[[], Mapping[str, Mapping[str, float]]]  # the log's own have the empty name
+GaugesBySubsystem = Callable[[], Mapping[str, Mapping[str, float]]]  # the log's own are under the empty name
 
 
 class _SubsystemCollector(Collector):
-    """All subsystems' gauges, as they are now."""
+    """Collects the current gauges of all subsystems."""
 
     def __init__(self, gauges_by_subsystem: GaugesBySubsystem) -> None:
         self.gauges_by_subsystem = gauges_by_subsystem
 
     def collect(self) -> Iterator[GaugeMetricFamily]:
-        """One metric for each gauge."""
+        """Yield one metric for each gauge."""
         for subsystem, gauges in self.gauges_by_subsystem().items():
             for name, value in gauges.items():
                 full_name = "_".join(filter(None, ("mallowbeam_fleet", subsystem, name)))
@@ -36,12 +36,12 @@
 
 
 class CoordinationMetrics:
-    """The body of the page."""
+    """Renders the body of the page."""
 
     def __init__(self, gauges_by_subsystem: GaugesBySubsystem) -> None:
         self.registry = CollectorRegistry(auto_describe=False)
         self.registry.register(_SubsystemCollector(gauges_by_subsystem))
 
     def text(self) -> bytes:
-        """All metrics."""
+        """Return all metrics in the text exposition format."""
         return generate_latest(self.registry)
--- a/mallowbeam/storage_gateway/coordination/policy.py
+++ b/mallowbeam/storage_gateway/coordination/policy.py
@@ -1,8 +1,8 @@
-"""The lease under which a gateway may serve by the fleet's policy; without I/O.
+"""The lease under which a gateway may serve with the fleet's policy; without I/O.
 
 The fleet's log (`raft_node.py`) holds the policy's versions in one order; a version is committed once a
-majority has it.  This core takes in what is committed and decides which version is in force here, and whether
-this gateway may serve.
+majority has it.  This core receives committed versions and heartbeats and decides which version is in force
+here, and whether this gateway may serve.
 
 The lease rests on one fact: a heartbeat of this gateway's own, proposed to the log at time t and seen
 committed, proves that everything committed before t has been seen too.  So the lease runs from `renewed_at`,
@@ -25,12 +25,12 @@
 
 from mallowbeam.errors import MallowbeamError
 
-MAX_PENDING_HEARTBEATS = 64  # that are remembered; older ones count as lost
+MAX_PENDING_HEARTBEATS = 64  # older ones count as lost
 NEVER = float("-inf")
 
 
 class Phase(Enum):
-    """How sure this gateway is of its policy."""
+    """Whether this gateway knows the newest committed policy."""
 
     LEARNING = "learning"
     CURRENT = "current"
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyPolicy:
-    """Let this version take effect as a whole; `before` is the one that it replaces."""
+    """Apply this version as a whole; `before` is the one that it replaces."""
 
     change: PolicyVersion
     before: PolicyVersion
@@ -71,7 +71,7 @@
 
 
 class VersionOrderError(MallowbeamError):
-    """A version that does not follow the ones before: this is not the log of this fleet."""
+    """A version is out of order: this is not the log of this fleet."""
 
     error_name = "OutOfOrder"
     remedy = "move the folder away and start the gateway again: it learns from the others"
@@ -103,7 +103,7 @@
         return now <= self.renewed_at + self.lease or not self.rejects_when_stale
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed: a heartbeat may be due, the lease may have expired."""
+        """Propose a heartbeat if one is due, and become stale if the lease has expired."""
         actions: list[Action] = []
         if now >= self.heartbeat_due_at:
             self.last_heartbeat += 1
@@ -117,7 +117,7 @@
         return actions
 
     def committed(self, change: PolicyVersion) -> list[Action]:
-        """Take in the log's newest version; a restart or a snapshot may skip versions.
+        """Handle a newly committed version; a restart or a snapshot may skip versions.
 
         Raises `VersionOrderError`.
         """
@@ -128,15 +128,15 @@
                 raise VersionOrderError(f"two policies of version {change.version}")
             return []
         self.newest = change
-        # Until a heartbeat is committed a newer version may be on its way: an old one does not take effect.
+        # Until a heartbeat is committed, a newer version may follow: this one does not take effect.
         return [] if self.phase is Phase.LEARNING else self._apply()
 
     def heartbeat_committed(self, number: int, now: float) -> list[Action]:
-        """A heartbeat of this gateway was committed: all that was committed before it is known here."""
+        """Renew the lease: everything committed before this heartbeat's proposal is known here."""
         if (proposed_at := self.pending_heartbeats.pop(number, None)) is None:
-            return []  # of an earlier incarnation, or given up
+            return []  # of an earlier incarnation, or dropped as lost
         while self.pending_heartbeats and next(iter(self.pending_heartbeats)) < number:
-            self.pending_heartbeats.popitem(last=False)  # proposed earlier: it would renew nothing
+            self.pending_heartbeats.popitem(last=False)  # proposed earlier: it can't extend the lease
         self.renewed_at = max(self.renewed_at, proposed_at)
         actions: list[Action] = []
         if now <= self.renewed_at + self.lease and self.phase is not Phase.CURRENT:
--- a/mallowbeam/storage_gateway/coordination/policy_document.py
+++ b/mallowbeam/storage_gateway/coordination/policy_document.py
@@ -1,9 +1,9 @@
-"""A policy's text: its sections, their types, and the canonical spelling from which digests are made.
+"""A policy's text: its sections, their types, and the canonical form from which digests are made.
 
-JSON.  `drains` and `plans` are the fleet's own.  The other sections belong to the subsystems: each registers
-its section's type (`register_section`) when it is loaded, and its state machine judges what the section says
-(`StateMachine.apply_policy`).  The log reads a text by `read_policy` alone, which knows no such type: whether
-a member takes a text for a policy must not depend on what that member has loaded.
+The text is JSON.  `drains` and `plans` belong to the fleet itself, the other sections to the subsystems: each
+registers its section's type (`register_section`) when it is loaded, and its state machine validates the
+section's content (`StateMachine.apply_policy`).  The log parses a text with `read_policy` only, which uses
+none of these types: whether a member accepts a text must not depend on which subsystems it has loaded.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 MAX_POLICY_BYTES = 64 * 1024
 MAX_PLANS = 1000  # of one policy; each is one event for the scheduler
-MAX_DEPTH = 32  # of nested values: far from where any reader gives up
+MAX_DEPTH = 32  # levels of nested values; far below any parser's recursion limit
 SUBSYSTEMS = ("maintenance", "shares", "pools")  # each a section of a policy, and of the operators' file
 
 Name = Annotated[str, Meta(min_length=1, max_length=256)]
@@ -41,7 +41,7 @@
     price: Amount | None = None
 
     def applied_to(self, plan: Plan) -> Plan:
-        """The platform's plan with these figures in place of its own."""
+        """Return the platform's plan with these figures in place of its own."""
         fields = {name: getattr(self, name) for name in self.__struct_fields__}
         return replace(plan, **{name: value for name, value in fields.items() if value is not None})
 
@@ -49,8 +49,8 @@
 class Policy(msgspec.Struct, forbid_unknown_fields=True, frozen=True, omit_defaults=True):
     """A policy.
 
-    `drains` are nodes by their ids in discovery; a subsystem's section is as its package types it, None
-    where the policy says nothing of it.
+    `drains` are the ids of nodes in discovery.  A subsystem's section has the type that its package
+    registers; it is None where the policy has no such section.
     """
 
     drains: list[Name] = []
@@ -64,14 +64,14 @@
 
 
 def register_section(section: str, kind: type[msgspec.Struct]) -> None:
-    """Register the type of a section; called as the subsystem's package is loaded."""
+    """Register the type of a section; called when the subsystem's package is loaded."""
     if section not in SUBSYSTEMS:
-        raise ValueError(f"no policy has a section {section}")
+        raise ValueError(f"a policy has no section {section}")
     _TYPES[section] = kind
 
 
 def section_of(policy: Policy, name: str, kind: type[T]) -> T | None:
-    """A subsystem's section by its type, None where the policy has none; raises `InvalidPolicyError`."""
+    """Convert a subsystem's section to its type, None if there is none; raises `InvalidPolicyError`."""
     raw = getattr(policy, name)
     if raw is None:
         return None
@@ -83,7 +83,7 @@
 
 
 def read_policy(text: bytes | str) -> Policy:
-    """Read a policy's text and check the fleet's own sections; raises `InvalidPolicyError`."""
+    """Parse a policy's text and check the fleet's own sections; raises `InvalidPolicyError`."""
     if len(text) > MAX_POLICY_BYTES:
         what = f"a policy of {len(text)} bytes, at most {MAX_POLICY_BYTES}"
         raise InvalidPolicyError(what, remedy="push fewer rules at once")
@@ -93,18 +93,18 @@
         what, _, path = str(error).partition(" - at `$")
         raise InvalidPolicyError(what, path.strip(".`")) from None
     counts = Counter(plan.name for plan in policy.plans)
-    if twice := sorted(name for name, count in counts.items() if count > 1):
-        raise InvalidPolicyError(f"plan {twice[0]} is there twice", "plans")
+    if duplicates := sorted(name for name, count in counts.items() if count > 1):
+        raise InvalidPolicyError(f"plan {duplicates[0]} is listed twice", "plans")
     for name in SUBSYSTEMS:
         if not _is_shallow(getattr(policy, name)):
-            raise InvalidPolicyError(f"more than {MAX_DEPTH} levels within each other", name)
+            raise InvalidPolicyError(f"more than {MAX_DEPTH} nested levels", name)
     return policy
 
 
 def _is_shallow(raw: object) -> bool:
     """Whether a section is nested no deeper than `MAX_DEPTH`.
 
-    Guards the log: a text nested as deep as a stack allows is read by one member and not by another.
+    Guards the log: one member could parse a text nested close to the stack's limit, and another could not.
     """
     level = [raw]
     for _ in range(MAX_DEPTH + 1):
@@ -119,12 +119,12 @@
     return False
 
 
-def check_sections(policy: Policy, on: tuple[str, ...]) -> None:
+def check_sections(policy: Policy, enabled: tuple[str, ...]) -> None:
     """Check the sections against their types; raises `InvalidPolicyError`, also where a subsystem is off."""
     for name in SUBSYSTEMS:
         if getattr(policy, name) is None:
             continue
-        if name not in on:
+        if name not in enabled:
             raise InvalidPolicyError(
                 "this subsystem is off",
                 name,
@@ -136,7 +136,7 @@
 
 
 def canonical(policy: Policy) -> str:
-    """The text of a policy by which equal ones have equal digests: keys, drains and plans are sorted."""
+    """Serialize a policy so that equal ones have equal digests: keys, drains and plans are sorted."""
     sections: dict[str, Any] = {"drains": sorted(set(policy.drains))}
     if policy.plans:
         sections["plans"] = sorted(msgspec.to_builtins(policy.plans), key=lambda plan: str(plan["name"]))
--- a/mallowbeam/storage_gateway/coordination/quota_epochs.py
+++ b/mallowbeam/storage_gateway/coordination/quota_epochs.py
@@ -1,15 +1,16 @@
 """The replicated side of a quota transfer: the epochs that are not complete yet; pure functions.
 
 A state machine holds one `QuotaEpochs` in its state.  `next_epoch` opens an epoch, `release` records that a
-holder stays within its quota of an epoch (or that its lease has surely expired, which serves as well), and
-both forget the epochs that are complete.  An epoch names only the *rows* that it changes; a row has one
+holder stays within its quota of an epoch (or that its lease has surely expired, which is equivalent), and
+both drop the epochs that are complete.  An epoch names only the *rows* that it changes; a row has one
 resource's amounts by holder, and a holder that it does not name has its floor.  A holder whose amount falls
 in an epoch *owes* it a release.  An epoch is complete once no holder owes a release to it or to an earlier
 one; its rows are folded into `rows` then.  So the state has one row for each resource and at most `MOST_OPEN`
 epochs of changes.
 
-`next_epoch` refuses a further epoch.  Whoever proposes epochs proposes the releases of expired holders first
-(`QuotaTransfer.expired_holders`): a dead holder keeps an epoch open no longer than lease and linger.
+`next_epoch` refuses a further epoch.  A member that proposes an epoch first proposes the releases of expired
+holders (`QuotaTransfer.expired_holders`), so a dead holder keeps an epoch open no longer than lease and
+linger.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochTarget(Generic[N]):
-    """What one epoch grants: the rows that it changes; a holder that a row does not name has its floor.
+    """The amounts one epoch grants: the rows it changes; a holder that a row does not name has its floor.
 
     A resource that is not named keeps its row; an empty row leaves every holder its floor.
     """
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """To be put into the log: this holder stays within its quota of that epoch from now on."""
+    """A release to propose: this holder stays within its quota of that epoch from now on."""
 
     epoch: int
 
@@ -111,10 +112,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds(Generic[N]):
-    """What amounts have to keep to: each holder's floor, and each resource's capacity.
+    """The bounds of all amounts: each holder's floor, and each resource's capacity.
 
-    `sum_of_floors` is the sum of all floors of a resource, for a caller that knows it without asking for
-    each.
+    `sum_of_floors` returns the sum of all floors of a resource, for callers that need not add them up.
     """
 
     floor: Floor[N]
@@ -138,15 +138,15 @@
     """Open an epoch that grants these amounts; the same state when they change nothing.
 
     If `complete`, a resource that is not named goes back to its floors; otherwise it keeps its row.
-    Raises `InvalidTargetError`, `FloorsExceedCapacityError` or `TooManyOpenEpochsError`, alike on every
-    member.
+    Raises `InvalidTargetError`, `FloorsExceedCapacityError` or `TooManyOpenEpochsError`, the same on
+    every member.
     """
     before = quota.amounts
     rows = {name: dict(row) for name, row in amounts.items() if row != before.get(name, {})}
     for name, row in (amounts if complete else rows).items():
         floors = bounds.floors(name, quota.holders)
         capacity = bounds.capacity(name)
-        if name in rows or not sum(row.values()) + floors <= capacity:  # an unchanged row fits as a rule
+        if name in rows or not sum(row.values()) + floors <= capacity:  # an unchanged row usually fits
             _check_row(quota, name, row, bounds)
     if complete:
         rows.update((name, dict[str, N]()) for name, row in before.items() if row and name not in amounts)
@@ -176,7 +176,7 @@
 
 
 def release(quota: QuotaEpochs[N], holder: Holder, epoch: int) -> QuotaEpochs[N]:
-    """The state after a holder's release; one that is unknown, old or ahead of the log changes nothing."""
+    """Record a holder's release; an unknown holder, or an epoch old or ahead of the log, changes nothing."""
     if holder not in quota.holders or not quota.released.get(holder, 0) < epoch <= quota.epoch:
         return quota
     return fold_complete_epochs(msgspec.structs.replace(quota, released={**quota.released, holder: epoch}))
@@ -191,7 +191,7 @@
     total = floors
     for holder, amount in row.items():
         if holder not in quota.holders:
-            raise InvalidTargetError(f"{holder!r} is no gateway of this fleet", name)
+            raise InvalidTargetError(f"{holder!r} is not a gateway of this fleet", name)
         floor = bounds.floor(name, holder)
         if not amount >= floor:
             raise InvalidTargetError(f"{amount} for {holder}, its floor is {floor}", name)
--- a/mallowbeam/storage_gateway/coordination/quota_transfer.py
+++ b/mallowbeam/storage_gateway/coordination/quota_transfer.py
@@ -14,10 +14,10 @@
 counts the leases of others from when it learned of the epoch, which is after the commit, and longer by
 `drift`.  No clock is compared with another's.
 
-The rule for one resource. T(e, k) is what epoch e grants holder k. Holder k knows a newest epoch N(k), and a
-newest epoch C(k) that is *complete* in its view: of every other holder h it knows a base, the newest epoch
-that h has released or that was seen here more than lease and linger ago, and h's targets from its base up to
-C(k) are none above T(C(k), h). What k has in use fits T(C(k), k) too. It may use
+The rule for one resource. T(e, k) is the amount that epoch e grants holder k. Holder k knows a newest epoch
+N(k), and a newest epoch C(k) that is *complete* in its view: of every other holder h it knows a base, the
+newest epoch that h has released or that was seen here more than lease and linger ago, and h's targets from
+its base up to C(k) are none above T(C(k), h). What k has in use fits T(C(k), k) too. It may use
 
     min(T(e, k) for e in C(k)..N(k)),  or its floor once its own lease has expired or was never renewed.
 
@@ -39,8 +39,8 @@
 acting; and a stopped process closes no connection: its connections stay for as long as the node keeps them,
 and are counted only as far as `linger` covers that.
 
-Whole connections can't be taken back at once.  `usable` is for new ones.  `report_use` says how many are
-open, and closed ones too while the other side may still see them; a release waits until they fit.
+Connections in use can't be taken back at once, so `usable` limits new ones only.  `report_use` says how many
+are open, and closed ones too while the other side may still see them; a release waits until they fit.
 `hard_limit` is how many may be open at all: those above it are closed by force.  It falls `lease` after the
 renewal that was the newest when the epoch was seen, before any holder stops waiting in order to grow.
 `linger` is how long a dead process's connections may stay at a silent node: a holder that grows waits longer
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceStatus(Generic[N]):
-    """One resource for the page: the newest target here, what may be used, and who is waited for."""
+    """One resource for the page: the newest target here, the usable amount, and the holders it waits for."""
 
     target: N
     usable: N
@@ -132,7 +132,7 @@
     # --- committed entries ------------------------------------------------------------------------
 
     def follow(self, quota: QuotaEpochs[N], now: float) -> list[Release]:
-        """Take in the log's state after an entry, or after a snapshot that passed over epochs."""
+        """Follow the log's state after an entry, or after a snapshot that skipped epochs."""
         if quota.base_epoch > self.epoch:
             self.restore(quota, now)
             return self._due_release(now)
@@ -175,13 +175,13 @@
         return self._due_release(now)
 
     def lease_renewed(self, proposed_at: float) -> None:
-        """A heartbeat of this incarnation was committed; the entries before it must be taken in first."""
+        """Renew the lease by a committed heartbeat; the entries before it must be processed first."""
         self.renewed_at = max(self.renewed_at, proposed_at)
 
-    # --- what may be used -------------------------------------------------------------------------
+    # --- usable amounts -------------------------------------------------------------------------
 
     def usable(self, resource: Resource, now: float) -> N:
-        """What may be used here now; new connections are opened only while fewer are in use."""
+        """The amount usable here now; new connections are opened only while fewer are in use."""
         floor = self.floor(resource, self.me)
         if now <= self.started_at + self.linger:
             return floor * 0  # Guards what an earlier incarnation may still have open at a silent node.
@@ -197,7 +197,7 @@
         return now <= self.renewed_at + self.lease
 
     def hard_limit(self, resource: Resource, now: float) -> N:
-        """What may be in use at all; what is above it is closed by force, now."""
+        """The most that may be in use now; connections above it are closed by force."""
         if not self.has_lease(now) or (rows := self.open_rows.get(resource)) is None:
             return self.usable(resource, now)
         floor = self.floor(resource, self.me)
@@ -208,7 +208,7 @@
         )
 
     def report_use(self, resource: Resource, amount: N, now: float) -> list[Release]:
-        """Report what is in use of a resource, so that a release waits until it fits."""
+        """Report the amount of a resource in use, so that a release waits until it fits."""
         if amount:
             self.in_use[resource] = amount
         else:
@@ -219,7 +219,7 @@
         return []
 
     def tick(self, now: float) -> list[Release]:
-        """Time has passed: leases of others may have expired, a release may be due again."""
+        """Expire the leases of other holders, and repeat a release that is due."""
         expired = self.expired_epoch
         for epoch, (seen_at, _) in self.epochs_seen.items():
             if now > seen_at + self.grow_delay:
@@ -234,7 +234,7 @@
     def expired_holders(self, quota: QuotaEpochs[N]) -> dict[Holder, int]:
         """The holders that owe a release and whose leases have surely expired, and up to which epoch.
 
-        Whoever proposes the next epoch proposes their releases, so that a dead holder keeps no epoch open.
+        The member that proposes the next epoch also proposes their releases: a dead holder keeps none open.
         """
         return {
             holder: opened.epoch
@@ -258,22 +258,22 @@
     # --- epochs and releases ----------------------------------------------------------------------
 
     def _see_epoch(self, epoch: int, rows: Mapping[Resource, Row[N]], now: float) -> None:
-        """Take in an epoch that is newer than all seen."""
+        """Record an epoch that is newer than all seen."""
         self.epochs_seen[epoch] = (now, self.renewed_at)
         previous = self.epoch
         self.epoch = epoch
         empty: Row[N] = {}
-        fell = False
+        target_fell = False
         for resource, row in rows.items():
             old = self.rows.get(resource, empty)
             if row is old or row == old:
                 continue
             floor = self.floor(resource, self.me)
-            fell = fell or row.get(self.me, floor) < old.get(self.me, floor)
+            target_fell = target_fell or row.get(self.me, floor) < old.get(self.me, floor)
             self.open_rows.setdefault(resource, [(previous, old)]).append((epoch, row))
             self.rows[resource] = row
             self._find_complete_epoch(resource, now)
-        if fell:
+        if target_fell:
             self.unreleased_epochs.append(epoch)
 
     def _record_release(self, holder: Holder, epoch: int) -> None:
@@ -287,7 +287,7 @@
         self.to_recheck |= self.blocking.get(holder, set())
 
     def _recheck(self, now: float) -> None:
-        """Look once at each resource that waited for any of the releases just taken in."""
+        """Recheck each resource that waited for a release recorded since."""
         resources = self.to_recheck
         self.to_recheck = set()
         for resource in resources & self.open_rows.keys():
@@ -319,25 +319,24 @@
     def _blocker(
         self, resource: Resource, rows: list[tuple[int, Row[N]]], position: int, now: float
     ) -> Holder | None:
-        """A holder that keeps the epoch at this position from being complete; None where there is none."""
+        """A holder that keeps the epoch at this position from being complete; None if there is none."""
         epoch, row = rows[position]
         if self.expired_epoch >= epoch:
             return None
         if self._uses_too_much(resource, epoch, row, now):
             return self.me
         for earlier in range(position - 1, -1, -1):
-            until = rows[earlier + 1][
-                0
-            ]  # a holder whose base is this epoch or later has left that row behind
+            # A holder whose base is this epoch or later no longer uses that row.
+            next_epoch = rows[earlier + 1][0]
             for holder, had in rows[earlier][1].items():
                 if (amount := row.get(holder)) is None:
                     amount = self.floor(resource, holder)
-                if had > amount and holder != self.me and self._base(holder) < until:
+                if had > amount and holder != self.me and self._base(holder) < next_epoch:
                     return holder
-        return None  # a holder that no row names had its floor: it can't have lost
+        return None  # a holder that no row names had its floor, so it can't have lost
 
     def _uses_too_much(self, resource: Resource, epoch: int, row: Row[N], now: float) -> bool:
-        """Whether what is in use here exceeds this row, and may still do so."""
+        """Whether the amount in use here exceeds this row, and may still do so."""
         in_use = self.in_use.get(resource)
         if in_use is None or self._base(self.me) >= epoch:
             return False
@@ -365,7 +364,7 @@
         return [Release(epoch)]
 
     def _newest_epoch_that_fits(self) -> int:
-        """The newest epoch whose targets, and those of all before it, cover what is in use."""
+        """The newest epoch whose targets, and those of all before it, cover the amounts in use."""
         newest = self.epoch
         for resource, amount in self.in_use.items():
             for epoch, row in self.open_rows.get(resource, ())[1:]:
--- a/mallowbeam/storage_gateway/coordination/raft_node.py
+++ b/mallowbeam/storage_gateway/coordination/raft_node.py
@@ -1,18 +1,18 @@
 """The adapter to the consensus engine, Raft by pysyncobj; the cores never see the engine.
 
-The engine runs in a thread of its own.  What it commits is handed to `on_events`, called in that thread once
-for each entry, in order, with immutable values: a policy (`PolicyVersion`), entries and states of state
+The engine runs in a thread of its own.  Committed entries are passed to `on_events`, called in that thread
+once for each entry, in order, with immutable values: a policy (`PolicyVersion`), entries and states of state
 machines (`Committed`), the number of a heartbeat of this member's own (`HeartbeatCommitted`).  At the start,
-and after a snapshot, all states are handed over.
+and after a snapshot, all states are passed.
 
 Three calls are replicated.  The order of their names and of their arguments is the format of the journal
 (docs/formats/fleet-log.md): the engine numbers calls by their sorted names, so a new one must sort behind the
 others or be of a new `ver`.
 
-A call must have the same effect on every member, and must not raise: the engine would try the entry again for
-ever.  A failure that comes of the entry (any exception but those of `replicated_log.LOCAL_ERRORS`) happens on
-every member and changes nothing.  A failure that comes of this process is reported as `ReplicaFailed`; from
-then on this member applies nothing and writes no snapshot, and its service leaves the fleet.
+A call must have the same effect on every member, and must not raise: the engine would retry the entry for
+ever.  A failure caused by the entry (any exception but those of `replicated_log.LOCAL_ERRORS`) happens on
+every member and changes nothing.  A failure caused by this process is reported as `ReplicaFailed`; from then
+on this member applies nothing and writes no snapshot, and its service leaves the fleet.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
     ReplicatedLog,
 )
 
-MAX_KNOWN_MEMBERS = 1024  # whose subsystems are remembered; the operators' file names fewer
+MAX_KNOWN_MEMBERS = 1024  # members whose subsystems are remembered; the operators' file names fewer
 MESSAGE_BYTES = 1 << 18  # of entries in a message; more than any entry, as chunks can't be checked
 SNAPSHOT_FORMAT = 2  # 1 has version and body alone
 NOT_PROPOSED = {
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaFailed:
-    """This member's states are not the fleet's any more."""
+    """This member's states have diverged from the fleet's."""
 
     error: MallowbeamError
 
@@ -92,7 +92,7 @@
 
 
 class PeerNode(TCPNode):  # type: ignore[misc]
-    """A member that may be dialled at another address than the one by which the fleet knows it."""
+    """A member that may be dialled at an address other than its address in the fleet."""
 
     def __init__(self, address: str, dial: str | None = None) -> None:
         super().__init__(address)
@@ -115,7 +115,7 @@
 
 
 class ReplicatedState(SyncObjConsumer):  # type: ignore[misc]
-    """What the log replicates: the newest committed policy, and the states of the state machines.
+    """The replicated state: the newest committed policy, and the states of the state machines.
 
     All members apply the same calls in the same order.
     """
@@ -141,15 +141,15 @@
     def change_policy(self, base: int, body: str, judges: tuple[str, ...] = ()) -> int | Refusal | None:
         """Put a new policy in force, if `base` is still the newest version and no state machine refuses it.
 
-        Returns its version, 0 where another change came first, a state machine's refusal, or None where this
-        member can't tell the outcome on the others.  `judges` are the state machines that the pushing member
-        hosts: so the outcome does not depend on which ones the replaying member has.
+        Returns its version, 0 if another change was committed first, a state machine's refusal, or None if
+        this member can't tell the outcome on the others.  `judges` are the state machines that the pushing
+        member hosts, so that the outcome does not depend on those of the replaying member.
         """
         if self.failure is not None:
             return None
         if base != self.version:
             return 0
-        outcome = self._judge(body, judges)
+        outcome = self._apply_to_state_machines(body, judges)
         if outcome is None or isinstance(outcome, Refusal):
             return outcome
         self.version = base + 1
@@ -157,25 +157,29 @@
         self._emit(PolicyVersion(self.version, self.body), *outcome)
         return self.version
 
-    def _judge(self, body: str, judges: tuple[str, ...]) -> list[Committed] | Refusal | None:
-        """Let a policy take effect in the state machines; None where this member has failed."""
+    def _apply_to_state_machines(
+        self, body: str, judges: tuple[str, ...]
+    ) -> list[Committed] | Refusal | None:
+        """Apply a policy to the state machines; returns None if this member has failed."""
         try:
             if missing := sorted(set(judges) - set(self.log.by_name)):
-                raise LogUnusableError(f"a policy was judged by {', '.join(missing)}, off here", "sections")
+                raise LogUnusableError(
+                    f"a policy was validated by {', '.join(missing)}, not hosted here", "sections"
+                )
             try:
                 policy = read_policy(body)
-            except MallowbeamError as error:  # of another program's pusher; the same text on all members
+            except MallowbeamError as error:  # pushed by another program version; the same on all members
                 return Refusal(error.what, error.where, error.cure)
             return self.log.push(policy, judges)
         except (LogUnusableError, *LOCAL_ERRORS) as error:
             self._fail(error)
             return None
-        except Exception as error:  # noqa: BLE001 (a failure of the entry: see the module)
+        except Exception as error:  # noqa: BLE001 (caused by the entry: see the module)
             return self._entry_failed(error)
 
     @replicated  # type: ignore[untyped-decorator]
     def heartbeat(self, name: str, incarnation: str, number: int, subsystems: str = "") -> None:
-        """Prove that a member has all that was committed before; `subsystems` are separated by commas."""
+        """Prove that a member has everything committed before; `subsystems` are separated by commas."""
         events: list[Event] = []
         if name in self.hosted or len(self.hosted) < MAX_KNOWN_MEMBERS:
             self.last_heartbeat_at[name] = time.monotonic()
@@ -196,13 +200,15 @@
                     self._emit(committed)
             except LOCAL_ERRORS as error:
                 self._fail(error)
-            except Exception as error:  # noqa: BLE001 (a failure of the entry: see the module)
+            except Exception as error:  # noqa: BLE001 (caused by the entry: see the module)
                 self._entry_failed(error)
 
     @staticmethod
     def _entry_failed(error: Exception) -> Refusal:
-        """Log a failure that comes of the entry and so happens on every member."""
-        logger.opt(exception=error).error("fleet log: a call failed, here as on every member")
+        """Log a failure that is caused by the entry and so happens on every member."""
+        logger.opt(exception=error).error(
+            "fleet log: a replicated call failed, on this member as on every other"
+        )
         return Refusal(f"the log failed: {type(error).__name__}", "", "report it with the log's line")
 
     def _emit(self, *events: Event) -> None:
@@ -210,18 +216,18 @@
             self.on_events(events)
 
     def _fail(self, error: Exception) -> None:
-        """Stop applying, and report it once."""
+        """Stop applying entries, and report the failure once."""
         if not isinstance(error, MallowbeamError):
             error = LogUnusableError(f"{type(error).__name__}: {error}", "the log")
         self._emit(ReplicaFailed(error))
         self.failure = error
 
-    # --- snapshots: called by the engine in place of its own methods, which take all attributes ------
+    # --- snapshots: override the engine's methods, which would take all attributes -----------------
 
     def _serialize(self) -> dict[str, Any]:
-        """The replicated state, without what is this process's."""
-        if self.failure is not None:  # an older snapshot that is right stays
-            raise LogUnusableError("no snapshot of states that are not the fleet's", "snapshot")
+        """Return the replicated state, without the attributes of this process alone."""
+        if self.failure is not None:  # the older, valid snapshot stays
+            raise LogUnusableError("this member's states have diverged: no snapshot is written", "snapshot")
         return {"format": SNAPSHOT_FORMAT, "version": self.version, "body": self.body, "log": self.log.dump()}
 
     def _deserialize(self, data: Mapping[str, Any]) -> None:
@@ -235,13 +241,13 @@
             self.version = data["version"]
             self.body = data["body"]
             self._emit(PolicyVersion(self.version, self.body), *states)
-        except Exception as error:  # noqa: BLE001 (the engine would swallow it and go on)
+        except Exception as error:  # noqa: BLE001 (the engine would ignore it and go on)
             self._fail(error)
 
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """The fleet's members as one of them sees them: `members` maps names to host:port.
+    """The fleet's members from the view of one of them: `members` maps names to host:port.
 
     `name` and `incarnation` tell this member's heartbeats from those of others and of its own earlier
     processes; `dial` (by name) overrides where a member is reached from here.
@@ -254,7 +260,7 @@
 
 
 class RaftNode:
-    """This process's member of the fleet's Raft group; `folder` exists, and is this process's alone."""
+    """This process's member of the fleet's Raft group; `folder` exists and belongs to this process alone."""
 
     def __init__(
         self,
@@ -280,7 +286,7 @@
             consumers=[self.state],
             transportClass=self._open_transport,
         )
-        # Long before the engine first truncates its journal.
+        # In time: the engine first truncates its journal much later.
         install_atomic_truncation(self.engine, folder / "journal")
 
     def _open_transport(self, engine: Any, own: Any, others: Any) -> RaftTransport:
@@ -288,7 +294,7 @@
         return self.transport
 
     def describe(self) -> dict[str, object]:
-        """The engine's state for the page `/policy`; empty where it changed while it was read."""
+        """The engine's state for the page `/policy`; empty if it changed while it was read."""
         with suppress(RuntimeError, IndexError):
             return self.transport.describe(
                 {address: name for name, address in self.membership.members.items()}
@@ -296,12 +302,12 @@
         return {}
 
     def propose_heartbeat(self, number: int) -> None:
-        """Propose a heartbeat; it is lost silently where there is no leader."""
+        """Propose a heartbeat; it is lost silently if there is no leader."""
         own = self.membership
         self.state.heartbeat(own.name, own.incarnation, number, ",".join(self.state.subsystems))
 
     def propose(self, body: bytes) -> None:
-        """Propose an entry; it is lost silently where there is no leader or the queue is full."""
+        """Propose an entry; it is lost silently if there is no leader or the queue is full."""
         self.state.put_entry(body)
 
     def propose_policy(
@@ -310,22 +316,24 @@
         """Propose a policy after version `base`.
 
         `on_outcome` is called in the engine's thread with the new version, or with the error.  After
-        `OutcomeUnknownError` the policy may yet be committed: the log tells.
+        `OutcomeUnknownError` the policy may still be committed; it then appears in the log.
         """
 
-        def ended(result: int | Refusal | None, reason: Any) -> None:
+        def report_outcome(result: int | Refusal | None, reason: Any) -> None:
             if reason in NOT_PROPOSED:
-                return on_outcome(NOT_PROPOSED[reason]("nothing was put in"))
+                return on_outcome(NOT_PROPOSED[reason]("nothing was proposed"))
             if reason != FAIL_REASON.SUCCESS or result is None:
-                return on_outcome(OutcomeUnknownError("its end is not known"))
+                return on_outcome(OutcomeUnknownError("the outcome of the push is not known"))
             if isinstance(result, Refusal):
                 return on_outcome(PolicyRejectedError(result.what, result.where, result.remedy))
-            return on_outcome(result or VersionConflictError("another change came first", f"version {base}"))
+            return on_outcome(
+                result or VersionConflictError("another change was committed first", f"version {base}")
+            )
 
-        self.state.change_policy(base, body, self.state.subsystems, callback=ended)
+        self.state.change_policy(base, body, self.state.subsystems, callback=report_outcome)
 
     def seconds_since_heartbeat(self, name: str) -> float:
-        """For how long no heartbeat of that member has been committed here; infinite for an unknown one."""
+        """Seconds since a heartbeat of that member was committed here; infinite for an unknown member."""
         return time.monotonic() - self.state.last_heartbeat_at.get(name, float("-inf"))
 
     def leader(self) -> str | None:
--- a/mallowbeam/storage_gateway/coordination/raft_transport.py
+++ b/mallowbeam/storage_gateway/coordination/raft_transport.py
@@ -1,21 +1,21 @@
-"""The engine's transport between members, with links known to be alive and faster repair of followers' logs.
-
-The engine dials, frames and reads; this transport adds what it leaves open.
-
-Links.  The member with the greater address dials.  Every link carries a ping both ways each `PING_S`, so that
-silence means a fault: past the engine's `connectionTimeout` both ends close the link, and the one that dials
-dials again.  (The engine looks at that clock only when it sends, and followers send each other nothing: their
-links were closed at the first request for a vote, and the vote was lost with them.)  A dial that does not
-end, and a caller that does not identify itself, are given up after the same time.  A dial has a number: a
-newer link replaces the older one and closes it; one that arrives late, after waiting at a process that was
-stopped, is rejected with all that it carries.
-
-Entries.  A follower whose log has diverged from its leader's asks for what follows its own commit index: all
-before that is in every leader's log, so one answer is enough.  (The engine goes back by one entry with each
-answer, some ten a second.  While a majority does so nothing is committed, and the heartbeats that pile up
-meanwhile have to be walked back over after the next election: it can grow without end.)  Entries that a
-follower has already are skipped, never removed and added again; an acknowledgement counts only in the term in
-which it was given.
+"""The engine's transport between members, with live-checked links and faster repair of followers' logs.
+
+The engine dials, frames and reads; this transport adds liveness checks and handles repeated entries.
+
+Links.  The member with the greater address dials.  Every link carries a ping both ways each
+`PING_INTERVAL_S`, so that silence means a fault: past the engine's `connectionTimeout` both ends close the
+link, and the one that dials dials again.  (The engine checks that timeout only when it sends, and followers
+send each other nothing: without pings their links would be closed at the first request for a vote, and the
+vote lost with them.)  A dial that does not complete, and a caller that does not identify itself, time out
+after the same time.  A dial has a number: a newer link replaces the older one and closes it; a link that
+arrives late, after waiting at a process that was stopped, is rejected with all messages on it.
+
+Entries.  A follower whose log has diverged from its leader's asks for the entries after its own commit index:
+all entries up to it are in every leader's log, so one response is enough.  (The engine goes back by one entry
+with each response, some ten a second.  While a majority does so nothing is committed, and the heartbeats that
+accumulate meanwhile have to be gone back over after the next election: this can grow without bound.)  Entries
+that a follower has already are skipped, never removed and added again; an acknowledgement counts only in the
+term in which it was given.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from pysyncobj.tcp_connection import CONNECTION_STATE, TcpConnection
 from pysyncobj.transport import TCPTransport
 
-PING_S = 0.3  # seconds between pings; some of them within any `connectionTimeout`
+PING_INTERVAL_S = 0.3  # several pings fit into any `connectionTimeout`
 INDEX = 1  # position in an entry of the engine's journal: command, index, term
 TERM = 2
 LEADER = 2  # the engine's states: follower, candidate, leader
@@ -48,13 +48,13 @@
     def __init__(self, engine: Any, own: Node, others: set[Node]) -> None:
         self.incarnation = time.time_ns()
         self.dial_numbers = itertools.count(1)
-        self.newest_dial: dict[Node, tuple[int, int]] = {}  # by who dialled: its incarnation and number
+        self.newest_dial: dict[Node, tuple[int, int]] = {}  # by dialling member: its incarnation and number
         self.link_changed_at: dict[Node, float] = {}  # when a link came up or went down
-        self.unidentified: dict[TcpConnection, float] = {}  # callers, and when they connected
+        self.unidentified: dict[TcpConnection, float] = {}  # callers, by when they connected
         self.pinged_at = 0.0
         self.ticked_at = 0.0
         self.slowest_tick = 0.0  # the longest time between two ticks, in seconds
-        self.log_rewinds = 0  # answers that asked for older entries
+        self.log_rewinds = 0  # responses that asked for older entries
         super().__init__(engine, own, others)
 
     # --- links ------------------------------------------------------------------------------------
@@ -79,13 +79,13 @@
             return
         self.newest_dial[node] = (incarnation, number)
         self.unidentified.pop(conn, None)
-        before = self._connections.get(node)
+        replaced = self._connections.get(node)
         super()._onIncomingMessageReceived(conn, address)
-        if before is not None and before is not conn:
-            before.disconnect()  # what it still carries is not read
+        if replaced is not None and replaced is not conn:
+            replaced.disconnect()  # its unread messages are dropped
 
     def _is_late(self, node: Node, incarnation: int, number: int) -> bool:
-        """Guards against a link older than the present one: it would cut off that one's answers."""
+        """Whether a link is older than the current one; accepting it would lose the responses on that one."""
         newest = self.newest_dial.get(node)
         return newest is not None and newest[0] == incarnation and number < newest[1]
 
@@ -106,22 +106,28 @@
         now = time.monotonic()
         self.slowest_tick = max(self.slowest_tick, now - (self.ticked_at or now))
         self.ticked_at = now
-        if now < self.pinged_at + PING_S:
+        if now < self.pinged_at + PING_INTERVAL_S:
             return
         self.pinged_at = now
-        limit = now - self._syncObj.conf.connectionTimeout
+        timed_out_before = now - self._syncObj.conf.connectionTimeout
         for node, conn in list(self._connections.items()):
             if conn.state == CONNECTION_STATE.CONNECTED:
-                conn.send({"type": "ping"})  # the engine closes a link that was silent too long as it sends
-            elif conn.state == CONNECTION_STATE.CONNECTING and self._lastConnectAttempt[node] < limit:
+                # As it sends, the engine closes a link that was silent for too long.
+                conn.send({"type": "ping"})
+            elif (
+                conn.state == CONNECTION_STATE.CONNECTING
+                and self._lastConnectAttempt[node] < timed_out_before
+            ):
                 conn.disconnect()
-        for conn in [conn for conn, began in self.unidentified.items() if began < limit]:
+        for conn in [
+            conn for conn, connected_at in self.unidentified.items() if connected_at < timed_out_before
+        ]:
             conn.disconnect()
 
     # --- entries ----------------------------------------------------------------------------------
 
     def send(self, node: Node, message: Message) -> bool:
-        """Send, where the link is up."""
+        """Send a message if the link is up."""
         if message["type"] == "next_node_idx":
             message["term"] = self._syncObj.raftCurrentTerm
             rejected = message["reset"] and not message["success"]
@@ -136,20 +142,20 @@
             return
         if kind == "next_node_idx" and message["term"] != self._syncObj.raftCurrentTerm:
             return
-        known_until = 0
+        matched_index = 0
         if kind == "append_entries" and message["term"] >= self._syncObj.raftCurrentTerm:
-            known_until = self._skip_known_entries(message)
+            matched_index = self._skip_known_entries(message)
         super()._onMessageReceived(node, message)
-        if known_until:
-            answer = {"type": "next_node_idx", "next_node_idx": known_until + 1}
-            self.send(node, {**answer, "reset": False, "success": True})
+        if matched_index:
+            acknowledgement = {"type": "next_node_idx", "next_node_idx": matched_index + 1}
+            self.send(node, {**acknowledgement, "reset": False, "success": True})
 
     def _skip_known_entries(self, message: Message) -> int:
         """Remove from a leader's message the entries that this log has already.
 
-        Entries that differ from this log stay in the message; the engine removes its own from there on. Where
-        no new entry is left and this log goes further, the message is an old one: all that it tells is up to
-        which index both logs agree, which is returned for an answer (otherwise 0).
+        Entries that differ from this log stay in the message; the engine removes its own from there on. If no
+        new entry is left and this log goes further, the message is an old one and shows only up to which
+        index both logs agree. Returns that index, which is to be acknowledged, otherwise 0.
         """
         log = self._log
         index = message.get("prevLogIdx")
@@ -184,7 +190,7 @@
     def describe(self, names: dict[str, str]) -> dict[str, object]:
         """The engine's state for the page, to find out why a fleet has no leader; `names` are by address.
 
-        Read from another thread: each figure is right, though not all of them at one instant.
+        Read from another thread: each figure is correct, but not all of them are of the same instant.
         """
         engine = self._syncObj
         now = time.monotonic()
@@ -214,7 +220,7 @@
     def _describe_link(
         self, node: Node, connection: TcpConnection, status: dict[str, Any], now: float
     ) -> dict[str, object]:
-        """One link: its state for how long, who dialled, and how far the follower's log agrees."""
+        """One link: its state and for how long, which side dialled, and how far the follower's log agrees."""
         is_leader = status["state"] == LEADER
         return {
             "state": STATES[connection.state],
--- a/mallowbeam/storage_gateway/coordination/replicated_log.py
+++ b/mallowbeam/storage_gateway/coordination/replicated_log.py
@@ -1,18 +1,18 @@
-"""The fleet's log as its readers see it: typed entries in one order, and the states that follow from them.
+"""The fleet's replicated log: typed entries in one order, and the states derived from them.
 
 Without I/O, and without the consensus engine: `raft_node.py` calls `ReplicatedLog.apply` with the bytes of
 each committed entry, the same on every member in the same order. A state machine's state is one frozen value;
 `apply` makes the next one from it and an entry, never from a clock, a random number or anything local. An
-entry that can't take effect changes nothing and says why (`Refusal`); every member sees the same refusal.
+entry that can't take effect changes nothing and yields a `Refusal`, the same on every member.
 
-A policy is offered to every state machine (`apply_policy`) before it takes effect: one refusal rejects all of
-it.
+A policy is passed to every state machine (`apply_policy`) before it takes effect: one refusal rejects the
+whole policy.
 
-An unforeseen exception of a state machine counts as a refusal too.  It is the same on every member: `apply`
-and `apply_policy` are given equal values and look at nothing else, so they raise on all members or on none.
-An exception that comes of the process and not of the values (`LOCAL_ERRORS`: memory or stack is exhausted, a
-system call failed) is passed on, because that member alone has lost its state; it must leave, not go on with
-states of its own.
+An unexpected exception of a state machine counts as a refusal too.  It is the same on every member: `apply`
+and `apply_policy` get equal values and read nothing else, so they raise on all members or on none.  An
+exception caused by the process and not by the values (`LOCAL_ERRORS`: memory or stack is exhausted, a system
+call failed) propagates, because only that member has lost its state; it must leave the fleet rather than go
+on with diverged states.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 MAX_ENTRY_BYTES = 64 * 1024  # every member skips a longer one
 MAX_UNHOSTED = 16  # names of state machines not hosted here that are remembered
 MAX_UNHOSTED_NAME = 64  # characters
-LOCAL_ERRORS = (MemoryError, RecursionError, OSError)  # that come of the process, not of an entry
+LOCAL_ERRORS = (MemoryError, RecursionError, OSError)  # caused by the process, not by an entry
 
 State = Any  # a frozen msgspec.Struct of the state machine's own
 States = Mapping[str, State]  # by state machine; all of them as they are before this entry
 
 
 class Entry(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="kind"):
-    """An entry of the log; each state machine has kinds of its own, and states their tags."""
+    """An entry of the log; each state machine defines kinds of its own and their tags."""
 
 
 class EntryTooLargeError(MallowbeamError):
@@ -114,7 +114,7 @@
         return body
 
     def apply(self, body: bytes) -> Committed | None:
-        """Apply the next committed entry; None for one that this program does not know."""
+        """Apply the next committed entry; returns None for one that this program does not know."""
         self.index += 1
         if len(body) > MAX_ENTRY_BYTES:
             return None
@@ -145,7 +145,7 @@
             return step()
         except LOCAL_ERRORS:
             raise
-        except Exception as error:  # noqa: BLE001 (whatever it is)
+        except Exception as error:  # noqa: BLE001 (of any type)
             logger.opt(exception=error).error("fleet log: topic {} failed at entry {}", name, self.index)
             return Refusal(
                 f"{name} failed: {type(error).__name__}",
@@ -154,7 +154,7 @@
             )
 
     def push(self, policy: Any, names: Collection[str] | None = None) -> list[Committed] | Refusal:
-        """Let a policy take effect for all state machines (or these); a refusal of one rejects it for all."""
+        """Apply a policy to all state machines (or to these); a refusal of one rejects it for all."""
         after: dict[str, State] = {}
         for machine in self.state_machines:
             if names is not None and machine.name not in names:
@@ -172,9 +172,9 @@
         return msgspec.msgpack.encode((FORMAT, self.index, self.states, sorted(self.unhosted)))
 
     def load(self, body: bytes) -> list[Committed]:
-        """Load a snapshot; state machines that it does not name start anew.
+        """Load a snapshot; state machines that it does not name start from their initial state.
 
-        Raises `InvalidSnapshotError` where a state can't be read, or where a state machine that is hosted
+        Raises `InvalidSnapshotError` if a state can't be read, or if a state machine that is hosted
         here had entries while it was not, so that its state is unknown; then nothing is loaded.
         """
         try:
@@ -199,5 +199,5 @@
         return self.all_states()
 
     def all_states(self) -> list[Committed]:
-        """All states as they are now."""
+        """All current states."""
         return [Committed(self.index, name, "", None, state) for name, state in self.states.items()]
--- a/mallowbeam/storage_gateway/coordination/service.py
+++ b/mallowbeam/storage_gateway/coordination/service.py
@@ -1,7 +1,7 @@
-"""The fleet's log, the cores and the gateway joined in one gateway: I/O, and no decisions.
+"""Connects the fleet's log, the cores and one gateway: does the I/O and makes no decisions.
 
-What the log commits reaches the gateway on its event loop, in order and one entry at a time: a policy goes to
-the policy's core and from there to drains and plans; a state machine's entry goes to its subsystem.  The
+Committed entries reach the gateway on its event loop, in order and one at a time: a policy goes to the
+policy's core and from there to drains and plans; a state machine's entry goes to its subsystem.  The
 subsystems that the operators' file turns on are loaded here and nowhere else (`subsystem.py`).
 """
 
@@ -63,15 +63,15 @@
 from mallowbeam.storage_gateway.server.gateway import Gateway
 from mallowbeam.storage_gateway.write_buffer.disk import FolderLockedError, RealDisk
 
-PUSH_TIMEOUT_S = 3.0  # after which the outcome of a push is called unknown
-POLICY = "policy"  # the policy's name as a requester of drains, beside those of the subsystems
+PUSH_TIMEOUT_S = 3.0  # after which the outcome of a push is reported as unknown
+POLICY = "policy"  # the policy's name as a requester of drains; the others are the subsystems' names
 DIGEST_LENGTH = 12  # hexadecimal digits
 
 
 def lock_folder(folder: Path) -> RealDisk:
-    """The folder for this process alone, made if it is not there; raises `GatewayConfigError`.
+    """Lock the folder for this process, and create it if necessary; raises `GatewayConfigError`.
 
-    Guards the journal: of two processes that write it, each would undo what the other has acknowledged.
+    Guards the journal: two processes that write it would each undo entries that the other has acknowledged.
     """
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -88,7 +88,7 @@
 
 
 class CoordinationService:
-    """This gateway's member of the fleet; one of the gateway's parts."""
+    """This gateway's member of the fleet; one of the gateway's subsystems."""
 
     def __init__(
         self, gateway: Gateway, section: PolicySection, sections: Mapping[str, Any] | None = None
@@ -101,17 +101,17 @@
         self.drains = NodeDrains(gateway)
         self.plans = PlanOverrides(gateway)
         self.raft: RaftNode | None = None
-        self.failure: MallowbeamError | None = None  # why this member applies nothing any more
+        self.failure: MallowbeamError | None = None  # why this member has stopped applying entries
         self.hosted: dict[str, tuple[str, ...]] = {}  # by member: its subsystems, by its heartbeats
         self.known_leader: str | None = None  # as of the last tick
         self.counts = {"proposed": 0, "dropped": 0, "refused": 0, "faults": 0}  # keys are names of metrics
         self.folder = Path(section.folder)
-        self.disk = lock_folder(self.folder)  # until this process ends, however it ends
+        self.disk = lock_folder(self.folder)  # locked until this process exits
         self.tick_task: asyncio.Task[None] | None = None
         self.leave_task: asyncio.Task[None] | None = None
         self.loop: asyncio.AbstractEventLoop | None = None
         self.subsystems: dict[str, Subsystem] = {
-            name: self._open(name, own) for name, own in (sections or {}).items()
+            name: self._open(name, subsystem_section) for name, subsystem_section in (sections or {}).items()
         }
         self.log = ReplicatedLog([subsystem.state_machine for subsystem in self.subsystems.values()])
         gateway.subsystems.append(self)
@@ -138,10 +138,10 @@
         """Whether requests may be accepted now."""
         return self.core.serves(time.monotonic())
 
-    # --- a part of the gateway --------------------------------------------------------------------
+    # --- lifecycle, called by the gateway ---------------------------------------------------------
 
     def start(self) -> None:
-        """Join the fleet; nothing is served until a heartbeat is committed."""
+        """Join the fleet; no request is accepted until a heartbeat is committed."""
         self.loop = asyncio.get_running_loop()
         section = self.section
         incarnation = f"{time.time_ns():x}"
@@ -150,7 +150,7 @@
         self.tick_task = asyncio.create_task(self._tick())
 
     async def hand_over(self) -> None:
-        """Stop before the new process starts: two processes can't be one member."""
+        """Leave the fleet before the new process joins: two processes can't be one member."""
         await self.stop()
 
     async def stop(self) -> None:
@@ -182,20 +182,20 @@
     def _call(self, name: str, method: str, *arguments: object) -> None:
         """Call a method of a subsystem.
 
-        Guards the heartbeats and the other subsystems: an exception is logged and stays the subsystem's own.
+        Guards the heartbeats and the other subsystems: an exception is logged and does not propagate.
         """
         try:
             getattr(self.subsystems[name], method)(*arguments)
-        except Exception as error:  # noqa: BLE001 (whatever it is)
+        except Exception as error:  # noqa: BLE001 (of any type)
             self.counts["faults"] += 1
             logger.opt(exception=error).error("fleet: {} failed in {}", name, method)
 
     # --- events of the log ------------------------------------------------------------------------
 
     def _on_events(self, events: tuple[Event, ...]) -> None:
-        """The log has committed an entry; called in the engine's thread."""
+        """Pass the events of an entry to the event loop; called in the engine's thread."""
         assert self.loop is not None
-        with suppress(RuntimeError):  # the loop is closed: the gateway has ended
+        with suppress(RuntimeError):  # the loop is closed: the gateway has stopped
             self.loop.call_soon_threadsafe(self._handle, events)
 
     def _handle(self, events: tuple[Event, ...]) -> None:
@@ -260,7 +260,7 @@
                     self._apply(change, before)
 
     def _apply(self, change: PolicyVersion, before: PolicyVersion) -> None:
-        """Let a policy take effect, in one turn of the event loop."""
+        """Apply a policy, in one turn of the event loop."""
         new = read_policy(change.body)
         old = read_policy(before.body)
         for node in set(old.drains) - set(new.drains):
@@ -273,24 +273,24 @@
         )
 
     def _apply_plans(self, new: Policy, old: Policy) -> None:
-        """Change the plans that the policy names; those it names no more go back to the settings."""
+        """Change the plans that the policy names; those it no longer names get their settings back."""
         changes = {plan.name: plan for plan in new.plans}
         settings = self.plans.settings
         for name in sorted({*changes, *(plan.name for plan in old.plans)}):
             if (base := settings.get(name)) is None:
-                logger.error("policy: plan {} is not among the platform's", name)
+                logger.error("policy: plan {} is not in the platform's settings", name)
                 continue
             try:
                 plan = changes[name].applied_to(base) if name in changes else base
                 if not self.plans.apply_plan(plan):
-                    logger.error("policy: plan {} can't take hold while the gateway runs", name)
-            except MallowbeamError as error:  # the rest of the policy takes effect all the same
+                    logger.error("policy: plan {} can't be changed while the gateway runs", name)
+            except MallowbeamError as error:  # the rest of the policy still takes effect
                 logger.error("policy: {}", error.line)
 
     # --- proposals --------------------------------------------------------------------------------
 
     def _propose(self, topic: str, entry: Entry) -> bool:
-        """Propose a subsystem's entry; dropped where nobody leads, as it would be lost later."""
+        """Propose a subsystem's entry; dropped if there is no leader, as it would be lost later."""
         if self.raft is None or self.known_leader is None:
             self.counts["dropped"] += 1
             return False
@@ -305,18 +305,18 @@
         if unknown := sorted({plan.name for plan in policy.plans} - set(self.plans.settings)):
             raise InvalidPolicyError(f"no plan {unknown[0]} in the platform's settings", "plans")
         body = canonical(policy)
-        read_policy(body)  # as the log will: its bound holds for this spelling
+        read_policy(body)  # the log applies its size limit to this form
         if self.failure is not None:
             raise LogUnusableError(self.failure.what, self.failure.where)
         if self.raft is None:
-            raise NoLeaderError("this gateway has left the log")
+            raise NoLeaderError("this gateway has left the fleet")
         self._check_subsystems_of_members(self.raft)
         return await self._outcome(self.raft, base, body)
 
     def _check_subsystems_of_members(self, raft: RaftNode) -> None:
-        """Raise `SubsystemMismatchError` where a member that is up hosts other subsystems.
+        """Raise `SubsystemMismatchError` if a member that is up hosts other subsystems.
 
-        One that is down leaves when it comes back: see `ReplicatedState.change_policy`.
+        A member that is down leaves the fleet when it comes back: see `ReplicatedState.change_policy`.
         """
         own = tuple(sorted(self.subsystems))
         for name, subsystems in self.hosted.items():
@@ -342,7 +342,7 @@
             async with asyncio.timeout(PUSH_TIMEOUT_S):
                 outcome = await future
         except TimeoutError:
-            raise OutcomeUnknownError(f"no word of it in {PUSH_TIMEOUT_S:.0f} s") from None
+            raise OutcomeUnknownError(f"no outcome within {PUSH_TIMEOUT_S:.0f} s") from None
         if isinstance(outcome, CoordinationError):
             raise outcome
         return outcome
@@ -350,9 +350,9 @@
     # --- pages ------------------------------------------------------------------------------------
 
     def describe_policy(self) -> dict[str, object]:
-        """For the page `/policy`: the version in force, and how sure this gateway is of it."""
+        """For the page `/policy`: the version in force, and whether it is known to be the newest."""
         core = self.core
-        self._carry_out(core.tick(time.monotonic()))  # the phase as the clock has it, not as the last tick
+        self._carry_out(core.tick(time.monotonic()))  # the phase may have changed since the last tick
         return {
             "name": self.name,
             "phase": core.phase.value,
--- a/mallowbeam/storage_gateway/coordination/shares/core_driver.py
+++ b/mallowbeam/storage_gateway/coordination/shares/core_driver.py
@@ -1,7 +1,7 @@
-"""Carries out what the shares' core returns; it decides nothing itself.
+"""Carries out the actions that the shares' core returns; makes no decisions itself.
 
-`propose` puts an entry into the log, `allot` lets an allotment take effect in the scheduler; the subsystem
-provides both and calls in here. A request is reported (`observed`) before the scheduler decides on it, so
+`propose` proposes an entry to the log, `allot` applies an allotment in the scheduler; the subsystem provides
+both and reports its events here. A request is reported (`observed`) before the scheduler decides on it, so
 that a process that was stopped has given up its old allotments by then.
 """
 
@@ -30,24 +30,24 @@
         self.allot = allot
 
     def committed(self, committed: Committed, now: float) -> None:
-        """The log has committed an entry of the shares."""
+        """Handle a committed entry of the shares."""
         self._carry_out(self.core.committed(committed, now))
 
     def lease_renewed(self, proposed_at: float, now: float) -> None:
-        """A heartbeat of this incarnation, proposed at that time, was committed."""
+        """Handle a committed heartbeat of this incarnation, proposed at that time."""
         self._carry_out(self.core.lease_renewed(proposed_at, now))
 
     def tick(self, now: float, is_leader: bool = False) -> None:
-        """Time has passed; `is_leader` as far as this member knows."""
+        """Do what is due; `is_leader` as far as this member knows."""
         self.core.is_leader = is_leader
         self._carry_out(self.core.tick(now))
 
     def observed(self, tenant: str, node: str, units: float, now: float) -> None:
-        """A tenant's request that belongs to a node has arrived; before it is decided on."""
+        """Count a tenant's request at a node, before the scheduler decides on it."""
         self._carry_out(self.core.observed(tenant, node, units, now))
 
     def node_changed(self, node: str, lost: bool, now: float) -> None:
-        """Discovery has lost a node, or has it again."""
+        """Handle a node that discovery has lost, or has found again."""
         self._carry_out(self.core.node_changed(node, lost, now))
 
     def describe(self, now: float) -> dict[str, object]:
--- a/mallowbeam/storage_gateway/coordination/shares/demand_encoding.py
+++ b/mallowbeam/storage_gateway/coordination/shares/demand_encoding.py
@@ -18,7 +18,7 @@
 
 MOST_RATE = 10**9  # milli-units a second
 FIXED_POINT_ONE = 1 << 60  # of the fixed-point numbers from which steps are rounded
-HALVINGS = 8  # of an octave between two steps: 2 ** 8 steps
+HALVINGS = 8  # how often an octave is halved: it has 2 ** 8 steps
 GROUP_BITS = 7  # of a distance in one byte; the highest bit says that another byte follows
 GROUP_MASK = 0x7F
 CONTINUES = 0x80
@@ -43,7 +43,7 @@
 
 
 class InvalidDemandError(MallowbeamError):
-    """Bytes that are no demand report: truncated, or with flows or codes out of range."""
+    """The bytes are no valid demand report: truncated, or with flows or codes out of range."""
 
     error_name = "BadRows"
     remedy = "run one version of the program on all gateways"
@@ -78,12 +78,12 @@
         distance, position = _decode_distance(body, position)
         flow += distance + 1
         if position + 1 >= len(body):
-            raise InvalidDemandError("cut short")
+            raise InvalidDemandError("truncated demand report")
         if flow >= flow_count:
-            raise InvalidDemandError("a flow that is not there")
+            raise InvalidDemandError("flow number out of range")
         code = body[position] | body[position + 1] << 8
         if code >= len(RATE_STEPS):
-            raise InvalidDemandError("a step that is not there")
+            raise InvalidDemandError("rate code out of range")
         codes[flow] = code
         position += 2
     return codes
@@ -101,5 +101,5 @@
             return distance, position
         shift += GROUP_BITS
         if shift > MOST_SHIFT:
-            raise InvalidDemandError("a gap too wide")
-    raise InvalidDemandError("cut short")
+            raise InvalidDemandError("distance between flows out of range")
+    raise InvalidDemandError("truncated demand report")
--- a/mallowbeam/storage_gateway/coordination/shares/demand_meter.py
+++ b/mallowbeam/storage_gateway/coordination/shares/demand_meter.py
@@ -31,7 +31,7 @@
     windows: dict[int, tuple[float, ...]] = field(default_factory=dict)  # milli-units a second, newest first
 
     def add(self, flow: int, units: float) -> bool:
-        """Count units that were asked for; whether the flow is new here."""
+        """Count requested units; returns whether the flow is new here."""
         if flow in self.units:
             self.units[flow] += units
             return False
@@ -42,19 +42,19 @@
 
     def current_demand(self) -> dict[int, int]:
         """Milli-units a second by flow: the higher of the last two windows; `FIRST_RATE` for new flows."""
-        measured = {flow: int(max(past[:2]) * HEADROOM) for flow, past in self.windows.items()}
+        measured = {flow: int(max(windows[:2]) * HEADROOM) for flow, windows in self.windows.items()}
         return {**dict.fromkeys(self.units, FIRST_RATE), **measured}
 
     def end_window(self, seconds: float, reported: Mapping[int, int]) -> dict[int, int]:
-        """End the window; the rate codes by flow of what should be reported.
+        """End the window; returns the rate codes to report, by flow.
 
-        `reported` is what the log has of this gateway, in milli-units a second by flow.
+        `reported` is this gateway's demand in the log, in milli-units a second by flow.
         """
         for flow in self.windows.keys() | self.units.keys():
             newest = self.units.get(flow, 0.0) * 1000 / seconds
-            past = (newest, *self.windows.get(flow, ())[: LONG - 1])
-            if any(past):
-                self.windows[flow] = past
+            windows = (newest, *self.windows.get(flow, ())[: LONG - 1])
+            if any(windows):
+                self.windows[flow] = windows
             else:
                 del self.windows[flow]
         self.units.clear()
@@ -67,16 +67,16 @@
         return rows
 
 
-def _rate_to_report(past: tuple[float, ...], reported: int) -> float | None:
+def _rate_to_report(windows: tuple[float, ...], reported: int) -> float | None:
     """The rate that replaces the reported one; None while the reported one stays good enough."""
-    highest = max(past[:SHORT])
-    if past[0] > reported:
+    highest = max(windows[:SHORT])
+    if windows[0] > reported:
         return highest
     if highest >= reported * WELL_BELOW:
-        highest = max(past)
-        if len(past) < LONG or highest >= reported * BELOW:
+        highest = max(windows)
+        if len(windows) < LONG or highest >= reported * BELOW:
             return None
         return highest
-    if len(past) < SHORT and past != NO_WINDOWS:
+    if len(windows) < SHORT and windows != NO_WINDOWS:
         return None
     return highest
--- a/mallowbeam/storage_gateway/coordination/shares/flow_division.py
+++ b/mallowbeam/storage_gateway/coordination/shares/flow_division.py
@@ -5,8 +5,9 @@
 Where flows without a granted rate are in demand, the floor is kept free for them, or half of the quota where
 that is less.
 
-What one flow does not use now is lent within this gateway to flows that are short, in proportion to what they
-lack; a `RETAINED`th of its rate stays with it, so that its demand is noticed at once when it comes back.
+The part of its rate that a flow does not use now is lent within this gateway to flows that are short, in
+proportion to their shortfalls; a `RETAINED`th of its rate stays with it, so that its demand is noticed at
+once when it comes back.
 
 Rates and quotas are milli-units a second.
 """
@@ -32,8 +33,8 @@
 ) -> dict[int, int]:
     """Rates by flow whose sums fit the usable quotas.
 
-    `granted` is by the newest close, `demand` what is asked for here now, of new flows too; `usable` is this
-    gateway's quota of a resource.
+    `granted` has the rates of the newest close, `demand` the current demand here, also of new flows; `usable`
+    returns this gateway's quota of a resource.
     """
     if not state.nodes:
         return {}
@@ -68,16 +69,16 @@
 
     def fit(self, kind: int) -> None:
         """Scale the flows of each link of this kind down until their sum fits its quota."""
-        too_full = self._too_full(kind)
-        if not too_full:
+        oversubscribed = self._oversubscribed(kind)
+        if not oversubscribed:
             return
         for flow, rate in self.rates.items():
             for of_kind, position, _ in self.links[flow]:
-                if of_kind == kind and position in too_full:
-                    quota, total = too_full[position]
+                if of_kind == kind and position in oversubscribed:
+                    quota, total = oversubscribed[position]
                     self.rates[flow] = rate * quota // total
 
-    def _too_full(self, kind: int) -> dict[int, tuple[int, int]]:
+    def _oversubscribed(self, kind: int) -> dict[int, tuple[int, int]]:
         """By position, the quota and the sum of the flows of each link of this kind where the sum is more."""
         sums: dict[int, int] = {}
         resources: dict[int, str] = {}
@@ -87,14 +88,14 @@
                     sums[position] = sums.get(position, 0) + rate
                     resources[position] = resource
         with_new_flows = self._links_of_new_flows(kind)
-        too_full: dict[int, tuple[int, int]] = {}
+        oversubscribed: dict[int, tuple[int, int]] = {}
         for position, total in sums.items():
             quota = self.quotas[kind][position]
             if position in with_new_flows:
                 quota -= min(self.state.floors.get(resources[position], 0), quota // 2)
             if total > quota:
-                too_full[position] = (quota, total)
-        return too_full
+                oversubscribed[position] = (quota, total)
+        return oversubscribed
 
     def _links_of_new_flows(self, kind: int) -> set[int]:
         """The positions of the links of this kind that are used by flows without a granted rate."""
@@ -107,21 +108,21 @@
         }
 
     def redistribute_unused(self) -> None:
-        """Give flows that are short what others on their links do not use, and what is left over."""
-        lack = {
+        """Give flows that are short the unused rates of others on their links, and the remaining quota."""
+        shortfalls = {
             flow: wanted - self.rates.get(flow, 0)
             for flow, wanted in self.demand.items()
             if wanted > self.rates.get(flow, 0)
         }
-        total_lack = self._sums_by_link(lack)
-        available = self._reclaim_unused(lack, total_lack)
-        for flow in sorted(lack):
-            lacking = lack[flow]
+        total_shortfall = self._sums_by_link(shortfalls)
+        available = self._reclaim_unused(shortfalls, total_shortfall)
+        for flow in sorted(shortfalls):
+            shortfall = shortfalls[flow]
             shares = (
-                lacking * available[kind][position] // total_lack[kind][position]
+                shortfall * available[kind][position] // total_shortfall[kind][position]
                 for kind, position, _ in self.links[flow]
             )
-            self.rates[flow] = self.rates.get(flow, 0) + max(0, min(lacking, *shares))
+            self.rates[flow] = self.rates.get(flow, 0) + max(0, min(shortfall, *shares))
 
     def _sums_by_link(self, amounts: Mapping[int, int]) -> list[dict[int, int]]:
         """The sums of amounts by flow, by kind and position of their links."""
@@ -132,19 +133,21 @@
         return sums
 
     def _reclaim_unused(
-        self, lack: Mapping[int, int], total_lack: list[dict[int, int]]
+        self, shortfalls: Mapping[int, int], total_shortfall: list[dict[int, int]]
     ) -> list[dict[int, int]]:
-        """Lower the flows that do not use their rates; what is free then on the links of flows that lack."""
+        """Lower the flows that do not use their rates; returns the free quota on the links of short flows."""
         available = [
-            {position: self.quotas[kind][position] for position in total_lack[kind]} for kind in KINDS
+            {position: self.quotas[kind][position] for position in total_shortfall[kind]} for kind in KINDS
         ]
         lowered: dict[int, int] = {}
         for flow, granted in self.rates.items():
             shared = [
-                (kind, position) for kind, position, _ in self.links[flow] if position in total_lack[kind]
+                (kind, position)
+                for kind, position, _ in self.links[flow]
+                if position in total_shortfall[kind]
             ]
             rate = granted
-            if shared and flow not in lack:
+            if shared and flow not in shortfalls:
                 rate = min(granted, max(self.demand.get(flow, 0), granted // RETAINED))
                 lowered[flow] = rate
             for kind, position in shared:
--- a/mallowbeam/storage_gateway/coordination/shares/gateway_core.py
+++ b/mallowbeam/storage_gateway/coordination/shares/gateway_core.py
@@ -1,15 +1,15 @@
-"""One gateway's side of the shares, without I/O: its reports, when an epoch is closed, what it may serve.
+"""One gateway's side of the shares, without I/O: its reports, the closing of epochs, and its allotments.
 
 The demand that arrives is measured and reported where it has changed (`demand_meter.py`).  An epoch is closed
 when the replicated demand has changed: the leader proposes it once `epoch` seconds have passed since the last
-close, or at once after a lost node or a new policy; another gateway proposes it when nobody has for
+close, or at once after a lost node or a new policy; another gateway proposes it if none has done so for
 `patience` more epochs.  A second proposal of the same number changes nothing.  Any proposal may be lost, so
-it is made again for as long as the replicated state shows that it is still due.
+it is made again for as long as the replicated state shows that it is due.
 
 What an epoch grants is used only as far as the quota transfer allows (`quota_transfer.py`): this gateway's
 quota at each node, zone and tenant.  The gateway divides its quotas itself (`flow_division.py`): each flow
-has the rate granted to it, scaled down where a quota has not grown to it yet; the rest, as a rule the floor,
-is for flows that are new here.  A gateway whose lease has expired is left with its floors and divides those.
+has the rate granted to it, scaled down where a quota has not grown that far yet; the rest, usually the floor,
+is for flows that are new here.  A gateway whose lease has expired divides its floors only.
 
 Times are seconds on this process's monotonic clock.
 """
@@ -40,14 +40,14 @@
 )
 
 T = TypeVar("T")
-MOST_ROWS = 4000  # flows of one report, some 16 KiB; the others go with the next one
+MOST_ROWS = 4000  # flows of one report, some 16 KiB; the others follow in the next one
 MOST_PROPOSALS = 1000  # whose times are remembered
 NEVER = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Put this entry into the log; it may be lost."""
+    """Propose this entry to the log; it may be lost."""
 
     entry: Entry
 
@@ -70,7 +70,7 @@
     """Intervals in seconds, the same on every gateway."""
 
     epoch: float = 1.0  # at least, between two closes
-    window: float = 0.3  # of measuring; there is at most one report in it
+    window: float = 0.3  # of measuring; at most one report in each
     patience: int = 2  # epochs that others wait for the leader's close
     report_timeout: float = 5.0  # without an entry, after which a gateway's demand counts as none
     heartbeat: float = 1.5  # between reports of a gateway whose demand does not change
@@ -93,7 +93,7 @@
     meter: DemandMeter = field(default_factory=lambda: DemandMeter(MOST_FLOWS))
     last_entry_at: dict[str, float] = field(default_factory=dict)  # by gateway
     lost_nodes: dict[str, bool] = field(default_factory=dict)  # as discovery reports them
-    proposed_at: dict[str, float] = field(default_factory=dict)  # by what was proposed
+    proposed_at: dict[str, float] = field(default_factory=dict)  # by proposal
     granted: dict[int, int] = field(default_factory=dict)  # by the newest close, by flow
     allotted: dict[int, int] = field(default_factory=dict)  # the newest `Allot`, by flow
     transfer: QuotaTransfer[int] = field(init=False)
@@ -103,7 +103,7 @@
     reported_at: float = NEVER
     close_number: int = -1  # of the close that `granted` is of
     stale: bool = True  # the allotments have to be computed again
-    releases_pending: bool = False  # others released quota: look at it at the next tick
+    releases_pending: bool = False  # others released quota: processed at the next tick
     had_lease: bool = False  # when the allotments were computed
 
     def __post_init__(self) -> None:
@@ -125,13 +125,13 @@
     # --- events -----------------------------------------------------------------------------------
 
     def observed(self, tenant: str, node: str, units: float, now: float) -> list[Action]:
-        """A request asks for units at a node; the actions are to be done before it is decided on."""
+        """Count a request's units at a node; the actions must be done before the request is decided on."""
         if (flow := self.flow(tenant, node)) is None:
             return []
         if self.meter.add(flow, units) and flow not in self.allotted:
             self.stale = True
         if self.had_lease and not self.transfer.has_lease(now):
-            # Guards against a process that was stopped and resumes with allotments of an expired lease.
+            # Guards against a process that was stopped and resumes with the allotments of an expired lease.
             self.stale = True
         return self._allotment_changes(now)
 
@@ -147,18 +147,18 @@
         return tenant_position * len(state.nodes) + node_position
 
     def node_changed(self, node: str, lost: bool, now: float) -> list[Action]:
-        """Discovery has lost a node, or has it again."""
+        """Handle a node that discovery has lost, or has found again."""
         self.lost_nodes[node] = lost
         return self._report_lost_nodes(now)
 
     def lease_renewed(self, proposed_at: float, now: float) -> list[Action]:
-        """A heartbeat of this incarnation, proposed at that time, was committed."""
+        """Handle a committed heartbeat of this incarnation, proposed at that time."""
         self.transfer.lease_renewed(proposed_at)
         self.stale = self.stale or self.transfer.has_lease(now) != self.had_lease
         return self._allotment_changes(now)
 
     def committed(self, committed: Committed, now: float) -> list[Action]:
-        """The log has committed an entry of the shares, or the state came complete in a snapshot."""
+        """Handle a committed entry of the shares, or a state loaded from a snapshot."""
         before = self.state
         self.state = committed.state
         if committed.by in self.last_entry_at:
@@ -168,7 +168,7 @@
         quota = self.state.quota
         releases: list[Release] = []
         if isinstance(committed.entry, QuotaReleased) and quota.epoch == self.transfer.epoch:
-            self.releases_pending = True  # one look at the next tick serves for all releases until then
+            self.releases_pending = True  # all releases until the next tick are processed there at once
         elif quota is not before.quota:
             releases = self.transfer.follow(quota, now)
             self.stale = True
@@ -177,14 +177,14 @@
             self.closed_at = now
             self.granted = granted_rates(self.state, self.me)
             self.stale = True
-        # An allotment that falls has fallen before its release is proposed.
+        # Allotments are lowered before the release is proposed.
         return self._allotment_changes(now) + self._propose_releases(releases)
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed."""
+        """Do what is due."""
         timing = self.timing
         if now - self.ticked_at > timing.report_timeout / 2:
-            # Guards against a process that was stopped and takes everybody else for silent.
+            # Guards against a process that was stopped and then considers all others silent.
             self.last_entry_at = dict.fromkeys(self.gateways, now)
             self.closed_at = max(self.closed_at, now - timing.epoch)
         self.ticked_at = now
@@ -203,15 +203,15 @@
 
     # --- proposals --------------------------------------------------------------------------------
 
-    def _may_propose(self, what: str, now: float) -> bool:
-        """Whether this was not proposed a moment ago; it counts as proposed now."""
-        if now < self.proposed_at.get(what, NEVER) + self.timing.retry:
+    def _may_propose(self, proposal: str, now: float) -> bool:
+        """Whether this was not proposed within `retry`; if so, it counts as proposed now."""
+        if now < self.proposed_at.get(proposal, NEVER) + self.timing.retry:
             return False
-        self.proposed_at[what] = now
+        self.proposed_at[proposal] = now
         return True
 
     def _report_demand(self, now: float) -> list[Action]:
-        """At the end of a window, what has changed, or a heartbeat where nothing has for long."""
+        """At the end of a window, report the changed demand, or an empty report as a heartbeat."""
         if (seconds := now - self.window_began) < self.timing.window:
             return []
         self.window_began = now
@@ -225,7 +225,7 @@
         return [Propose(DemandReport(self.state.numbering, body))]
 
     def _report_lost_nodes(self, now: float) -> list[Action]:
-        """Entries where the replicated state differs from what discovery reports here."""
+        """Propose an entry for each node whose replicated state differs from discovery's here."""
         actions: list[Action] = []
         for node, lost in self.lost_nodes.items():
             known = self.me in self.state.lost_nodes.get(node, ())
@@ -237,7 +237,7 @@
         return [Propose(QuotaReleased(release.epoch)) for release in releases]
 
     def _close_epoch(self, now: float) -> list[Action]:
-        """Propose the end of the epoch, where it is due and this gateway's turn."""
+        """Propose the end of the epoch if it is due and it is this gateway's turn."""
         state = self.state
         silent = self._newly_silent(now)
         if not silent and state.recompute == Recompute.NONE:
@@ -265,7 +265,7 @@
         )
 
     def _close_due_at(self) -> float:
-        """When this gateway proposes the next close; the others wait for the leader, each a little longer."""
+        """When this gateway proposes the next close; non-leaders wait longer, each by another delay."""
         timing = self.timing
         due = self.closed_at + timing.epoch
         if not self.is_leader:
@@ -298,7 +298,7 @@
         ]
 
     def _renumber(self, before: SharesState) -> None:
-        """A policy gave the flows new numbers: carry over what is kept by flow."""
+        """Move the values kept by flow to the numbers that a policy has given the flows."""
         node_count = len(before.nodes)
 
         def renumber(rows: Mapping[int, T]) -> dict[int, T]:
@@ -313,7 +313,7 @@
         self.granted = renumber(self.granted)
 
     def describe(self, now: float) -> dict[str, object]:
-        """For the page `/fleet`: the epoch, who is waited for, and what may be served here."""
+        """For the page `/fleet`: the epoch, the awaited releases, and the allotments here."""
         state = self.state
         node_count = len(self.state.nodes)
         return {
--- a/mallowbeam/storage_gateway/coordination/shares/max_min_fairness.py
+++ b/mallowbeam/storage_gateway/coordination/shares/max_min_fairness.py
@@ -10,8 +10,8 @@
 
 The *level* of a filling is the rate for each unit of weight.  It is found by events in order of their
 levels, not by rounds: a flow leaves its floor or has its demand, a link is full.  The level at which a link
-is full only increases as flows on it are frozen, so a level computed earlier is a lower bound and is computed
-again when it comes up.
+is full only increases as flows on it are frozen, so a level computed earlier is a lower bound and is
+recomputed when it is reached.
 
 Rates are milli-units a second, weights thousandths, levels fixed-point numbers.  All are integers, so every
 gateway computes the same rates to the last bit on any machine; rounding is always down, so no sum exceeds
@@ -90,7 +90,7 @@
     next_saturation: list[Level] = field(init=False)  # by link: its lowest level in the heap
 
     def __post_init__(self) -> None:
-        """Nothing has been given to any flow yet."""
+        """Start with no rate for any flow."""
         self.node_count = len(self.network.nodes)
         bounds = (*self.network.nodes, *self.network.zones, *self.limits)
         self.capacities = [UNBOUNDED if bound is None else bound for bound in bounds]
@@ -172,7 +172,7 @@
                 self.fixed_rate[link] += demand[flow]
 
     def _schedule_flow(self, flow: Flow, floor: int, links: list[int]) -> None:
-        """Note the levels at which a flow leaves its floor (`-1 - flow`) and has its demand (`flow`)."""
+        """Schedule the levels at which a flow leaves its floor (`-1 - flow`) and has its demand (`flow`)."""
         weight = self.weights[flow // self.node_count]
         self.links_of[flow] = links
         self.flow_events.append((-(-(self.demand[flow] << SHIFT) // weight), flow))
@@ -205,20 +205,20 @@
                 self._schedule_saturation(link, self._saturation_level(link))
 
     def _schedule_saturation(self, link: int, level: Level) -> None:
-        """Look at this link again once the flows have risen to that level."""
+        """Check this link again once the flows have risen to that level."""
         self.next_saturation[link] = level
         heappush(self.saturations, (level, link))
 
     def _take_next_saturation(self) -> None:
-        """Freeze the flows of the link that is full next, if it is full at the level that was foreseen."""
-        foreseen, link = heappop(self.saturations)
-        if foreseen > self.next_saturation[link]:
+        """Freeze the flows of the link that is full next, if it is full at the scheduled level."""
+        scheduled_level, link = heappop(self.saturations)
+        if scheduled_level > self.next_saturation[link]:
             return  # the link was scheduled again, at a lower level
         self.next_saturation[link] = UNBOUNDED << SHIFT
         if not self.rising_weight[link]:
             return
         level = self._saturation_level(link)
-        if level > foreseen:  # some of its flows were frozen since: it is full later
+        if level > scheduled_level:  # some of its flows were frozen since, so it is full later
             self._schedule_saturation(link, level)
             return
         self._freeze_flows_of(link, level)
@@ -244,7 +244,7 @@
                 rising_weight[link] -= weight
 
     def _freeze_at_demand(self, flow: Flow) -> None:
-        """This flow has all that it asks for, unless it was frozen before."""
+        """Freeze this flow at its demand, unless it was frozen before."""
         links = self.links_of.pop(flow, None)
         if links is None:
             return
--- a/mallowbeam/storage_gateway/coordination/shares/quota_rows.py
+++ b/mallowbeam/storage_gateway/coordination/shares/quota_rows.py
@@ -1,7 +1,7 @@
-"""From the rates of flows to the rows of a quota transfer: each gateway's sum at each node, zone and tenant.
+"""Sums the rates of flows to the rows of a quota transfer: by gateway, at each node, zone and tenant.
 
-Rates are milli-units a second.  All flows of all gateways are visited once in a close; that is its most
-expensive step, so the inner loop does little for each.
+Rates are milli-units a second.  A close visits all flows of all gateways once; that is its most expensive
+step, so the inner loop does as little as possible.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
     tenant_floors: list[int] = field(init=False)
 
     def __post_init__(self) -> None:
-        """No gateway has anything yet."""
+        """Start with empty rows."""
         self.zones = sorted(set(self.names.zones))
         self.zone_of = [self.zones.index(zone) for zone in self.names.zones]
         self.node_rows = [{} for _ in self.names.nodes]
@@ -136,7 +136,7 @@
 def trim_row(row: dict[str, int], capacity: int, floor: int, gateways: int) -> dict[str, int]:
     """The row, reduced in proportion until it fits together with the floors of the gateways it does not name.
 
-    What is lost is at most what is set aside for those, a hundredth as a rule; the floors alone always fit.
+    The reduction is at most the sum of those floors, usually a hundredth; the floors alone always fit.
     """
     while True:
         total = sum(row.values())
--- a/mallowbeam/storage_gateway/coordination/shares/state_machine.py
+++ b/mallowbeam/storage_gateway/coordination/shares/state_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state machine of the shares: the demand of all gateways, and what the newest epoch grants.
+"""The replicated state machine of the shares: the demand of all gateways, and the newest epoch's grants.
 
 Gateways report the demand that arrives at them (`DemandReport`).  `CloseEpoch` ends an epoch: every member
 computes the same rates from the same demand (`max_min_fairness.py`) and opens the epoch of the quota transfer
@@ -11,8 +11,8 @@
 start within them.
 
 The state machine reads no clock.  A gateway that has stopped reporting is named as silent in a `CloseEpoch`
-by the member that noticed, and counts again from its next report on.  A lost node is reported by gateways
-whose discovery lost it (`NodeLost`); while one of them says so its capacity is 0.
+by the member that noticed, and counts again from its next report on.  A lost node is reported by the gateways
+whose discovery lost it (`NodeLost`); while any of them reports it lost, its capacity is 0.
 
 Rates are milli-units a second, weights thousandths.
 """
@@ -54,10 +54,10 @@
     trim_row,
 )
 
-MOST_TENANTS = 10_000  # in a policy; a push beyond is refused
+MOST_TENANTS = 10_000  # in a policy; a push with more is refused
 MOST_NODES = 2_000
 MOST_RATE = 10**9  # milli-units a second of one capacity, reserve or limit
-MOST_FLOWS = 16_000  # of one gateway; a report beyond is refused, and its new flows use the floors
+MOST_FLOWS = 16_000  # of one gateway; a report with more is refused, and its new flows use the floors
 MOST_PROBE = 500  # thousandths
 
 
@@ -210,7 +210,7 @@
         return SharesState(QuotaEpochs(self.gateways))
 
     def apply(self, states: Mapping[str, Any], index: int, by: str, entry: Any) -> SharesState | Refusal:
-        """The state after this entry, or why it changes nothing."""
+        """The state after this entry, or a refusal."""
         state: SharesState = states[self.name]
         match entry:
             case DemandReport():
@@ -224,7 +224,7 @@
         return Refusal("no such entry")
 
     def apply_policy(self, states: Mapping[str, Any], index: int, policy: Any) -> SharesState | Refusal:
-        """The state under this policy, or why it is refused; without a section `shares` nothing is shared."""
+        """The state under this policy, or a refusal; without a section `shares` nothing is shared."""
         state: SharesState = states[self.name]
         section = getattr(policy, "shares", None)
         try:
@@ -296,7 +296,7 @@
 
 
 def granted_rates(state: SharesState, gateway: str) -> dict[int, int]:
-    """What the newest close grants this gateway, in milli-units a second by flow."""
+    """The rates that the newest close grants this gateway, in milli-units a second by flow."""
     ratios = granted_ratios(state.rates, state.closed_total)
     return {flow: int(rate * ratios[flow]) for flow, rate in state.closed_demand.get(gateway, {}).items()}
 
@@ -347,7 +347,7 @@
     if len(policy.tenants) > MOST_TENANTS or len(policy.nodes) > MOST_NODES:
         raise InvalidSharesError(f"more than {MOST_TENANTS} tenants or {MOST_NODES} nodes", "shares")
     if not 0 <= policy.probe <= MOST_PROBE:
-        raise InvalidSharesError("not within 0 and 500 thousandths", "shares.probe")
+        raise InvalidSharesError("must be within 0 and 500 thousandths", "shares.probe")
     floors = dict(before)
     _set_tenant_floors(floors, policy, gateways)
     _set_node_floors(floors, policy, gateways)
@@ -361,14 +361,14 @@
         _check_tenant(share, where)
         _set_floor(floors, f"t:{name}", share.limit or 0, policy.probe, gateways)
         if share.limit is not None and floors[f"t:{name}"] * gateways > share.limit:
-            raise InvalidSharesError("the limit is under the floors set aside of it", where)
+            raise InvalidSharesError("the limit is lower than the sum of its floors", where)
 
 
 def _set_node_floors(floors: dict[str, int], policy: SharesPolicy, gateways: int) -> None:
     for name, node in policy.nodes.items():
         where = f"shares.nodes.{name}"
         if not 0 <= node.capacity <= MOST_RATE:
-            raise InvalidSharesError(f"capacity within 0 and {MOST_RATE}", where)
+            raise InvalidSharesError(f"capacity must be within 0 and {MOST_RATE}", where)
         _set_floor(floors, f"n:{name}", node.capacity, policy.probe, gateways)
         _check_floors_fit(floors[f"n:{name}"] * gateways, node.capacity, where)
 
@@ -376,8 +376,8 @@
 def _set_zone_floors(floors: dict[str, int], policy: SharesPolicy, gateways: int) -> None:
     for zone in {node.zone for node in policy.nodes.values()}:
         capacity = policy.zones.get(zone, MOST_RATE * MOST_NODES)
-        of_nodes = sum(node.capacity for node in policy.nodes.values() if node.zone == zone)
-        _set_floor(floors, f"z:{zone}", min(capacity, of_nodes), policy.probe, gateways)
+        node_capacities = sum(node.capacity for node in policy.nodes.values() if node.zone == zone)
+        _set_floor(floors, f"z:{zone}", min(capacity, node_capacities), policy.probe, gateways)
         _check_floors_fit(floors[f"z:{zone}"] * gateways, capacity, f"shares.zones.{zone}")
 
 
@@ -390,16 +390,16 @@
     """Raise `InvalidSharesError` where a tenant's figures are out of range."""
     if not (1 <= share.weight <= MOST_WEIGHT and 0 <= share.reserve <= MOST_RATE):
         raise InvalidSharesError(
-            f"weight within 1 and {MOST_WEIGHT}, reserve within 0 and {MOST_RATE}", where
+            f"weight must be within 1 and {MOST_WEIGHT}, reserve within 0 and {MOST_RATE}", where
         )
     if share.limit is not None and not 0 <= share.limit <= MOST_RATE:
-        raise InvalidSharesError(f"limit within 0 and {MOST_RATE}", where)
+        raise InvalidSharesError(f"limit must be within 0 and {MOST_RATE}", where)
 
 
 def _check_floors_fit(floors: int, capacity: int, where: str) -> None:
     """Raise `InvalidSharesError` where all floors together exceed a capacity."""
     if floors > capacity:
-        raise InvalidSharesError("the capacity is under the floors set aside of it", where)
+        raise InvalidSharesError("the capacity is lower than the sum of its floors", where)
 
 
 def _without_silent(state: SharesState, silent: tuple[str, ...]) -> SharesState:
--- a/mallowbeam/storage_gateway/coordination/shares/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/shares/subsystem.py
@@ -2,10 +2,11 @@
 
 A request is measured before the scheduler decides on it (`SubsystemContext.observe`).  A volume's request for
 a shard counts at the nodes listed for that shard, in equal parts; one for a new object (no shard) at all
-nodes of the policy, by their capacities.  The scheduler counts by shard, so the sum of a shard's nodes is
-what holds: it is each node's own bound where a shard has one node.  Where a tenant also writes new objects,
-its rates are divided between those and its shards as its recent requests were, looked at each `MIX_S`; the
-scheduler chooses the node of a new object, so there the bounds hold for the sum of all nodes only.
+nodes of the policy, by their capacities.  The scheduler counts by shard, so the bound holds for the sum of a
+shard's nodes; where a shard has one node, it is that node's own bound.  Where a tenant also writes new
+objects, its rates are divided between those and its shards in the proportion of its recent requests, updated
+each `MIX_S`; the scheduler chooses the node of a new object, so there the bounds hold for the sum of all
+nodes only.
 
 An allotment is the tenant's plan as it is in force, with the allotted rate as its limit, all of it for this
 gateway (fraction 1).  A tenant that uses several plans has its rate in equal parts under each.  The burst is
@@ -13,8 +14,8 @@
 any T seconds a node gets at most its capacity times T and one epoch, and `max_units` for each tenant at each
 gateway.  A rate of 0 is written as fraction 0, because to the scheduler a limit of 0 means none.
 
-Under an unknown plan there is no allotment.  What the scheduler refuses is logged, and the static division of
-the platform's settings stays in force.
+There is no allotment under an unknown plan.  An allotment that the scheduler refuses is logged, and the
+static division of the platform's settings stays in force.
 """
 
 from __future__ import annotations
@@ -35,8 +36,10 @@
 from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 
 MIX_S = 1.0  # seconds between updates of a tenant's mix of requests; each halves what was counted before
-LEAST_UNITS = 0.01  # counted units under which a plan or a mix is forgotten: some 8 s after one request
-MIX_STEP = 0.05  # by which a mix must have changed; also its distance from 0 and 1 while both kinds occur
+LEAST_UNITS = 0.01  # counted units below which a plan or a mix is dropped: some 8 s after one request
+MIX_STEP = (
+    0.05  # by which a mix must change to be applied; also its distance from 0 and 1 while both kinds occur
+)
 MOST_PLANS = 4  # of one tenant at once; under a further one there is no allotment
 MOST_HEARTBEAT_S = 1.5
 
@@ -47,7 +50,7 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """What is known of one tenant here; units are those of recent requests, halved each `MIX_S`."""
+    """One tenant at this gateway; units are those of recent requests, halved each `MIX_S`."""
 
     units_by_plan: dict[str, float] = field(default_factory=dict)
     rates: dict[str, float] = field(default_factory=dict)  # by node, units a second
@@ -83,7 +86,9 @@
         self.lost_nodes: dict[str, bool] = {}
         self.plans: dict[str, Plan | None] = {}  # that requests named, as they are in force
         self.refused = 0
-        self.log_failure = RateLimitedWarning("shares: an allotment does not hold, the static part does")
+        self.log_failure = RateLimitedWarning(
+            "shares: an allotment was not applied, the static division stays in force"
+        )
         context.observe(lambda fields: self.observed(fields, time.monotonic()))
 
     @property
@@ -94,7 +99,7 @@
     # --- events from the service ------------------------------------------------------------------
 
     def committed(self, committed: Committed, now: float) -> None:
-        """An entry of the shares was committed; what the policy no longer names loses its allotments."""
+        """Handle a committed entry; tenants and nodes no longer in the policy lose their allotments."""
         before = self.driver.core.state.numbering
         self.driver.committed(committed, now)
         if self.driver.core.state.numbering == before:
@@ -111,11 +116,11 @@
                 del self.tenants[name]
 
     def lease_renewed(self, proposed_at: float, now: float) -> None:
-        """A heartbeat of this gateway, proposed at that time, was committed."""
+        """Handle a committed heartbeat of this gateway, proposed at that time."""
         self.driver.lease_renewed(proposed_at, now)
 
     def tick(self, now: float) -> None:
-        """Take in the listed nodes and the plans in force, and do what is due."""
+        """Update the listed nodes and the plans in force, and do what is due."""
         listed = {entry.node: entry.shard for entry in self.context.nodes()}
         if listed != self.shards:
             self._nodes_listed(listed)
@@ -123,7 +128,7 @@
             self._report_lost_nodes(listed, now)
         plans = {plan: self.context.plan(plan) for plan in self.plans}
         if plans != self.plans:
-            self.plans = plans  # a policy changed a plan: its allotments are made from it
+            self.plans = plans  # a policy changed a plan, and allotments derive from plans
             for name, tenant in self.tenants.items():
                 self._apply_allotments(name, tenant, again=True)
         if now >= self.mixed_at + MIX_S:
@@ -132,7 +137,7 @@
         self.driver.tick(now, self.context.leader())
 
     def _nodes_listed(self, listed: Mapping[str, int]) -> None:
-        """Discovery lists other nodes or shards."""
+        """Update the nodes and shards that discovery lists."""
         self.shards = dict(listed)
         self.nodes_of = {}
         for node, shard in sorted(listed.items()):
@@ -148,7 +153,7 @@
                 self.driver.node_changed(node, lost, now)
 
     def observed(self, fields: Mapping[str, object], now: float) -> None:
-        """A request has arrived, with these fields of `RequestArrived`; before it is decided on."""
+        """Count a request by its fields of `RequestArrived`, before the scheduler decides on it."""
         name = str(fields.get("volume", ""))
         if name not in self.policy.tenants:
             return
@@ -174,7 +179,7 @@
             self._apply_allotments(name, tenant)
 
     def _count_new_object(self, tenant: Tenant, units: float) -> bool:
-        """Count the units of a request for a new object; whether the tenant has made none of late."""
+        """Count a request for a new object; returns whether the tenant has made none recently."""
         is_first = not tenant.new_object_units and not tenant.new_fraction
         if is_first:
             tenant.new_fraction = MIX_STEP
@@ -182,13 +187,15 @@
         return is_first
 
     def _count_plan(self, name: str, tenant: Tenant, plan: str, units: float) -> bool:
-        """Count a request's units under its plan; whether the tenant has not used that plan of late."""
+        """Count a request under its plan; returns whether the tenant has not used that plan recently."""
         if plan in tenant.units_by_plan:
             tenant.units_by_plan[plan] += units
             return False
         in_force = self.context.plan(plan)
         if in_force is None or len(tenant.units_by_plan) >= MOST_PLANS:
-            self.log_failure(f"volume {name} asks under plan {plan}, which is not known or one too many")
+            self.log_failure(
+                f"volume {name} uses plan {plan}, which is unknown or exceeds {MOST_PLANS} plans"
+            )
             return False
         self.plans[plan] = in_force
         tenant.units_by_plan[plan] = units
@@ -215,7 +222,7 @@
                 tenant.shard_units = tenant.new_object_units = 0.0
 
     def _update_mix(self, tenant: Tenant, new_fraction: float) -> bool:
-        """Take in a tenant's measured fraction of new objects; whether its allotments change by it."""
+        """Update a tenant's fraction of new objects; returns whether its allotments change."""
         if 0 < new_fraction < 1:
             new_fraction = min(1 - MIX_STEP, max(MIX_STEP, new_fraction))
         changed = abs(new_fraction - tenant.new_fraction) >= MIX_STEP
@@ -224,12 +231,12 @@
         recent = {plan: units / 2 for plan, units in tenant.units_by_plan.items() if units > LEAST_UNITS}
         if not recent:
             return False
-        forgotten = len(recent) < len(tenant.units_by_plan)
+        plans_dropped = len(recent) < len(tenant.units_by_plan)
         tenant.units_by_plan = recent
-        return changed or forgotten
+        return changed or plans_dropped
 
     def _apply_allotments(self, name: str, tenant: Tenant, again: bool = False) -> None:
-        """Let the scheduler have the allotments, what falls first; `again`: the unchanged ones too."""
+        """Apply the allotments in the scheduler, falling ones first; `again`: the unchanged ones too."""
         wanted = self._wanted_allotments(tenant)
         for plan, shard in [key for key in tenant.allotments if key not in wanted]:
             if self._apply_plan(name, plan, shard, None):
@@ -255,7 +262,7 @@
         return wanted
 
     def _apply_plan(self, volume: str, plan: str, shard: int | None, rate: float | None) -> bool:
-        """One allotment of `rate` units a second, None takes it back; whether the scheduler has taken it."""
+        """Apply an allotment of `rate` units a second, or remove it (None); returns whether that worked."""
         in_force = self.context.plan(plan)
         if in_force is None:
             return False
@@ -269,7 +276,7 @@
         try:
             if self.context.apply_plan(allotment, volume, shard, fraction):
                 return True
-            self.log_failure("this gateway's module takes none")
+            self.log_failure("this gateway's scheduler accepts no allotments")
         except MallowbeamError as error:
             self.log_failure(error.line)
         self.refused += 1
@@ -278,7 +285,7 @@
     # --- pages ------------------------------------------------------------------------------------
 
     def describe(self) -> dict[str, object]:
-        """For the page `/fleet`: the epoch, and what may be served here."""
+        """For the page `/fleet`: the epoch, and the allotments here."""
         return self.driver.describe(time.monotonic())
 
     def gauges(self) -> Mapping[str, float]:
@@ -293,5 +300,5 @@
 
 
 def open_subsystem(context: SubsystemContext, section: SharesSection) -> SharesSubsystem:
-    """The subsystem of a gateway; `section` is the operators' file's."""
+    """The subsystem of a gateway; `section` is its section of the operators' file."""
     return SharesSubsystem(context, section, context.gateway().config.settings.max_units)
--- a/mallowbeam/storage_gateway/coordination/status_pages.py
+++ b/mallowbeam/storage_gateway/coordination/status_pages.py
@@ -1,13 +1,13 @@
 """The HTTP pages of the fleet on the policy's listener.
 
-    GET  /policy          the policy in force here, and how sure this gateway is of it
+    GET  /policy          the policy in force here, and whether it is known to be the newest
     PUT  /policy          push a policy after the version that If-Match names
     GET  /fleet           members and subsystems
     GET  /fleet/metrics   metrics, in Prometheus's text exposition
     PUT  /fleet/maintenance/back?NAME   the work on this machine is done
 
-All but the metrics are JSON.  An error is answered with its status and the fields of `MallowbeamError`: what,
-where, and what an operator can do.
+All pages but the metrics are JSON.  The response to an error has its status and the fields of
+`MallowbeamError`: what, where, and what an operator can do.
 """
 
 from __future__ import annotations
@@ -67,8 +67,8 @@
         maintenance = self.service.subsystems.get("maintenance")
         if path == MAINTENANCE_DONE and maintenance is not None:
             if request.method != b"PUT":
-                raise MethodNotAllowedError("not by this method", path)
-            complete_work = getattr(maintenance, "complete_work")  # noqa: B009 (no method of all subsystems)
+                raise MethodNotAllowedError("method not allowed", path)
+            complete_work = getattr(maintenance, "complete_work")  # noqa: B009 (only this subsystem has it)
             return json_response(202, complete_work(unquote(query)), closing())
         if request.target not in ALLOWED:
             raise PageNotFoundError("no such page", request.target.decode("latin-1"))
@@ -76,7 +76,7 @@
             version = await self.service.push(read_base_version(request), bytes(request.body))
             return json_response(200, {"version": version}, closing())
         if request.method != b"GET":
-            raise MethodNotAllowedError("not by this method", request.target.decode())
+            raise MethodNotAllowedError("method not allowed", request.target.decode())
         if request.target == b"/fleet/metrics":
             body = self.metrics.text()
             head = write_head(200, [(b"content-type", CONTENT_TYPE.encode())], len(body), closing())
@@ -86,7 +86,7 @@
         return json_response(200, self.service.describe_fleet(), closing())
 
     def error_response(self, status: int, text: str) -> Response:
-        """The response to a request that breaks HTTP or a bound."""
+        """The response to a request that violates HTTP or a limit."""
         return json_response(status, UnreadableRequestError(text).told(), True)
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
@@ -94,17 +94,17 @@
 
 
 class UnreadableRequestError(InvalidPolicyError):
-    """A request that breaks HTTP or a bound."""
+    """The request violates HTTP or a limit."""
 
     error_name = "Unreadable"
     remedy = f"send whole HTTP/1.1 calls, with {MAX_POLICY_BYTES} bytes of a policy at most"
 
 
 def read_base_version(request: Message) -> int:
-    """The version that a push follows, from If-Match; raises `MissingBaseVersionError`."""
+    """Read the version that a push follows from If-Match; raises `MissingBaseVersionError`."""
     base = dict(request.headers).get(b"if-match", b"").strip(b'"')
     if not base.isdigit() or len(base) > MAX_VERSION_DIGITS:
-        raise MissingBaseVersionError("If-Match must name the version that this follows", "If-Match")
+        raise MissingBaseVersionError("If-Match must name the version that this push follows", "If-Match")
     return int(base)
 
 
--- a/mallowbeam/storage_gateway/coordination/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem.py
@@ -16,18 +16,18 @@
 
 
 class Subsystem(Protocol):
-    """One subsystem in one gateway: a core, and what carries out its actions."""
+    """One subsystem in one gateway: a core, and the code that carries out its actions."""
 
     state_machine: StateMachine
 
     def committed(self, committed: Committed, now: float) -> None:
-        """An entry of the state machine was committed, or its state loaded or changed by a policy."""
+        """Handle a committed entry of the state machine, or a state loaded or changed by a policy."""
 
     def lease_renewed(self, proposed_at: float, now: float) -> None:
-        """A heartbeat of this gateway was committed: all committed before its proposal is known here."""
+        """Handle a committed heartbeat of this gateway: all committed before its proposal is known here."""
 
     def tick(self, now: float) -> None:
-        """Time has passed; called twice in each interval between heartbeats."""
+        """Do what is due; called twice in each interval between heartbeats."""
 
     def describe(self) -> dict[str, object]:
         """The subsystem's part of the page `/fleet`."""
@@ -37,13 +37,13 @@
 
 
 class SubsystemContext(Protocol):
-    """What a subsystem may do and see; each call acts at once, on the event loop."""
+    """The operations open to a subsystem; each takes effect at once, on the event loop."""
 
     me: str  # this member's name
     members: tuple[str, ...]  # all members' names, sorted
 
     def propose(self, entry: Entry) -> bool:
-        """Propose an entry of its state machine; False where it is dropped at once.
+        """Propose an entry of its state machine; returns False if it is dropped at once.
 
         It may be lost later too, so cores propose again.  Raises `EntryTooLargeError`.
         """
@@ -51,15 +51,15 @@
     def leader(self) -> bool:
         """Whether this member leads the log, as far as it knows."""
 
-    def drain(self, node: str, out: bool) -> None:
-        """Drain a node here, or do not any more; it is drained while anybody drains it."""
+    def drain(self, node: str, drained: bool) -> None:
+        """Drain a node here, or stop draining it; it stays drained while any requester drains it."""
 
     def apply_plan(
         self, plan: Plan, volume: str = "", shard: int | None = None, fraction: float | None = None
     ) -> bool:
-        """Let a plan, or one volume's allotment, take effect, as the scheduler's `change_plan` does.
+        """Apply a plan, or one volume's allotment, with the scheduler's `change_plan`.
 
-        False where this gateway's scheduler has no such call; raises its `MallowbeamError` where it refuses.
+        Returns False if this scheduler has no such call; raises its `MallowbeamError` if it refuses.
         """
 
     def settings_plans(self) -> Mapping[str, Plan]:
@@ -87,7 +87,7 @@
         """Stop this gateway as SIGTERM would."""
 
     def gateway(self) -> Any:
-        """The gateway itself, for what has no call here yet; a reason to add one."""
+        """The gateway itself, for uses without a method here yet; add one instead where possible."""
 
 
 class SubsystemFactory(Protocol):
--- a/mallowbeam/storage_gateway/coordination/subsystem_context.py
+++ b/mallowbeam/storage_gateway/coordination/subsystem_context.py
@@ -1,4 +1,4 @@
-"""What the service offers a subsystem: `subsystem.SubsystemContext` over the gateway.  It decides nothing."""
+"""Implements `subsystem.SubsystemContext` over the gateway; it makes no decisions."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class NodeDrains:
-    """Which nodes are drained here, and by whom; a node is back in service when nobody drains it any more."""
+    """The nodes drained here, and by whom; a node is back in service when no requester drains it."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
         self.requesters: dict[str, set[str]] = {}  # by node
 
     def set_drained(self, requester: str, node: str, drained: bool) -> None:
-        """A requester (the policy, a subsystem) drains a node, or does not any more."""
+        """Record that a requester (the policy, a subsystem) drains a node or stops draining it."""
         requesters = self.requesters.setdefault(node, set())
         was_drained = bool(requesters)
         if drained:
@@ -49,14 +49,14 @@
     def apply_plan(
         self, plan: Plan, volume: str = "", shard: int | None = None, fraction: float | None = None
     ) -> bool:
-        """Let a plan, or one volume's allotment, take effect; False where the scheduler has no such call.
+        """Apply a plan, or one volume's allotment; returns False if the scheduler has no such call.
 
-        Raises the scheduler's `MallowbeamError` where it refuses; nothing has changed then.
+        Raises the scheduler's `MallowbeamError` if it refuses; then nothing has changed.
         """
-        call = getattr(self.gateway.scheduler, "change_plan", None)
-        if call is None:
+        change_plan = getattr(self.gateway.scheduler, "change_plan", None)
+        if change_plan is None:
             return False
-        self.gateway.apply(call(self.gateway.now(), plan, volume, shard, fraction))
+        self.gateway.apply(change_plan(self.gateway.now(), plan, volume, shard, fraction))
         if not volume:
             self.overrides[plan.name] = plan
         return True
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True, eq=False)
 class GatewayContext:
-    """The context of the subsystem `name`; `put` proposes an entry of its state machine's."""
+    """The context of the subsystem `name`; `_propose_entry` proposes an entry of its state machine."""
 
     name: str
     me: str
@@ -76,7 +76,7 @@
     _gateway: Gateway
     _drains: NodeDrains
     _plans: PlanOverrides
-    _put: Callable[[str, Entry], bool]
+    _propose_entry: Callable[[str, Entry], bool]
     leader: Callable[[], bool]
     is_open: bool = True
 
@@ -85,17 +85,17 @@
         self._gateway.gates.append(lambda: self.is_open)
 
     def propose(self, entry: Entry) -> bool:
-        """Propose an entry; False where it is dropped at once."""
-        return self._put(self.name, entry)
+        """Propose an entry; returns False if it is dropped at once."""
+        return self._propose_entry(self.name, entry)
 
-    def drain(self, node: str, out: bool) -> None:
-        """Drain a node here, or do not any more."""
-        self._drains.set_drained(self.name, node, out)
+    def drain(self, node: str, drained: bool) -> None:
+        """Drain a node here, or stop draining it."""
+        self._drains.set_drained(self.name, node, drained)
 
     def apply_plan(
         self, plan: Plan, volume: str = "", shard: int | None = None, fraction: float | None = None
     ) -> bool:
-        """Let a plan, or one volume's allotment, take effect."""
+        """Apply a plan, or one volume's allotment."""
         return self._plans.apply_plan(plan, volume, shard, fraction)
 
     def settings_plans(self) -> Mapping[str, Plan]:
@@ -108,12 +108,12 @@
 
     def observe(self, observer: Callable[[Mapping[str, object]], None]) -> None:
         """Call the observer with each request before it is decided on; its exceptions are logged."""
-        log_failure = RateLimitedWarning(f"fleet: {self.name} failed at a call")
+        log_failure = RateLimitedWarning(f"fleet: {self.name} failed to observe a request")
 
         def guarded(fields: Mapping[str, object]) -> None:
             try:
                 observer(fields)
-            except Exception as error:  # noqa: BLE001 (Guards the request: it is decided on all the same)
+            except Exception as error:  # noqa: BLE001 (guards the request: it is still decided on)
                 log_failure(repr(error))
 
         self._gateway.observers.append(guarded)
