--- a/mallowbeam/storage_gateway/coordination/shares/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/shares/subsystem.py
@@ -194,7 +194,7 @@
         in_force = self.context.plan(plan)
         if in_force is None or len(tenant.units_by_plan) >= MOST_PLANS:
             self.log_failure(
-                f"volume {name} uses plan {plan}, which is unknown or exceeds {MOST_PLANS} plans"
+                f"volume {name} uses plan {plan}, which is unknown or beyond {MOST_PLANS} plans"
             )
             return False
         self.plans[plan] = in_force
