--- a/mallowbeam/lab/faults/model.py
+++ b/mallowbeam/lab/faults/model.py
@@ -24,7 +24,7 @@
 from typing import Any, Generic
 
 from mallowbeam.storage_gateway.coordination.quota_epochs import (
-    MOST_OPEN,
+    MAX_OPEN_EPOCHS,
     Bounds,
     N,
     QuotaEpochs,
@@ -33,7 +33,7 @@
 )
 from mallowbeam.storage_gateway.coordination.quota_transfer import QuotaTransfer, Release, TransferTiming
 
-SLACK = 1e-9  # of a capacity: a sum of floats
+RELATIVE_TOLERANCE = 1e-9  # of a capacity: a sum of floats
 GATEWAYS = ("a", "b", "c")
 Rows = Mapping[str, Mapping[str, N]]
 
@@ -186,7 +186,7 @@
         """Names of all that may happen next and would change something."""
         can = ["time"]
         newest = self.log[-1].state
-        if len(self.commits) < len(self.script.epochs) and len(newest.open_epochs) < MOST_OPEN:
+        if len(self.commits) < len(self.script.epochs) and len(newest.open_epochs) < MAX_OPEN_EPOCHS:
             can.append("epoch")
         for thing in sorted(self.way, key=repr):
             can.append(f"commit {thing!r}")
@@ -328,7 +328,7 @@
             )
             total = sum(self.used(number, resource) for number in range(len(self.seats)))
             total += sum(amount for _, held in self.ghosts for name, amount in held if name == resource)
-            if total > capacity_of_epochs * (1 + SLACK):
+            if total > capacity_of_epochs * (1 + RELATIVE_TOLERANCE):
                 return f"{resource}: {total} in use, {capacity_of_epochs} at most"
         return ""
 
--- a/mallowbeam/storage_gateway/coordination/policy_document.py
+++ b/mallowbeam/storage_gateway/coordination/policy_document.py
@@ -29,7 +29,7 @@
 T = TypeVar("T")
 
 
-class PlanText(msgspec.Struct, forbid_unknown_fields=True, frozen=True, omit_defaults=True):
+class PlanOverride(msgspec.Struct, forbid_unknown_fields=True, frozen=True, omit_defaults=True):
     """One plan's figures over all gateways, units a second; a figure left out stays as in the settings."""
 
     name: Name
@@ -54,7 +54,7 @@
     """
 
     drains: list[Name] = []
-    plans: Annotated[list[PlanText], Meta(max_length=MAX_PLANS)] = []
+    plans: Annotated[list[PlanOverride], Meta(max_length=MAX_PLANS)] = []
     maintenance: dict[str, Any] | None = None
     shares: dict[str, Any] | None = None
     pools: dict[str, Any] | None = None
--- a/mallowbeam/storage_gateway/coordination/quota_epochs.py
+++ b/mallowbeam/storage_gateway/coordination/quota_epochs.py
@@ -5,8 +5,8 @@
 both drop the epochs that are complete.  An epoch names only the *rows* that it changes; a row has one
 resource's amounts by holder, and a holder that it does not name has its floor.  A holder whose amount falls
 in an epoch *owes* it a release.  An epoch is complete once no holder owes a release to it or to an earlier
-one; its rows are folded into `rows` then.  So the state has one row for each resource and at most `MOST_OPEN`
-epochs of changes.
+one; its rows are folded into `rows` then.  So the state has one row for each resource and at most
+`MAX_OPEN_EPOCHS` epochs of changes.
 
 `next_epoch` refuses a further epoch.  A member that proposes an epoch first proposes the releases of expired
 holders (`QuotaTransfer.expired_holders`), so a dead holder keeps an epoch open no longer than lease and
@@ -28,8 +28,8 @@
 Holder = str
 Floor = Callable[[Resource, Holder], N]
 
-MOST_OPEN = 8  # epochs; the next one is refused until a release
-SLACK = 1e-9  # of a capacity, by which a sum of floats may exceed it
+MAX_OPEN_EPOCHS = 8  # epochs; the next one is refused until a release
+RELATIVE_TOLERANCE = 1e-9  # of a capacity, by which a sum of floats may exceed it
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
 
 
 class TooManyOpenEpochsError(MallowbeamError):
-    """`MOST_OPEN` epochs are open."""
+    """`MAX_OPEN_EPOCHS` epochs are open."""
 
     error_name = "TooManyOpen"
     remedy = "nothing to do: it passes as gateways release, at the latest after their lease; see who owes"
@@ -152,9 +152,9 @@
         rows.update((name, dict[str, N]()) for name, row in before.items() if row and name not in amounts)
     if not rows:
         return quota
-    if len(quota.open_epochs) >= MOST_OPEN:
+    if len(quota.open_epochs) >= MAX_OPEN_EPOCHS:
         raise TooManyOpenEpochsError(
-            f"{MOST_OPEN} epochs are open", ", ".join(sorted(quota.awaited_releases))
+            f"{MAX_OPEN_EPOCHS} epochs are open", ", ".join(sorted(quota.awaited_releases))
         )
     opened = OpenEpoch(quota.epoch + 1, rows, _losers(before, rows, bounds))
     return fold_complete_epochs(
@@ -186,7 +186,7 @@
     """Raise `InvalidTargetError` where a row breaks a floor or the capacity."""
     floors = bounds.floors(name, quota.holders)
     capacity = bounds.capacity(name)
-    if floors > capacity * (1 + SLACK):
+    if floors > capacity * (1 + RELATIVE_TOLERANCE):
         raise FloorsExceedCapacityError(f"floors of {floors} in all, capacity {capacity}", name)
     total = floors
     for holder, amount in row.items():
@@ -196,7 +196,7 @@
         if not amount >= floor:
             raise InvalidTargetError(f"{amount} for {holder}, its floor is {floor}", name)
         total += amount - floor
-    if total > capacity * (1 + SLACK):
+    if total > capacity * (1 + RELATIVE_TOLERANCE):
         raise InvalidTargetError(f"{total} granted in all, capacity {capacity}", name)
 
 
--- a/mallowbeam/storage_gateway/coordination/shares/demand_encoding.py
+++ b/mallowbeam/storage_gateway/coordination/shares/demand_encoding.py
@@ -16,13 +16,13 @@
 
 from mallowbeam.errors import MallowbeamError
 
-MOST_RATE = 10**9  # milli-units a second
+MAX_RATE = 10**9  # milli-units a second
 FIXED_POINT_ONE = 1 << 60  # of the fixed-point numbers from which steps are rounded
 HALVINGS = 8  # how often an octave is halved: it has 2 ** 8 steps
 GROUP_BITS = 7  # of a distance in one byte; the highest bit says that another byte follows
 GROUP_MASK = 0x7F
 CONTINUES = 0x80
-MOST_SHIFT = 35  # bits before the last byte of a distance
+MAX_SHIFT = 35  # bits before the last byte of a distance
 
 
 def _rate_steps() -> tuple[int, ...]:
@@ -31,7 +31,7 @@
         ratio = isqrt(ratio * FIXED_POINT_ONE)
     steps = [0]
     exact = FIXED_POINT_ONE
-    while steps[-1] < MOST_RATE:
+    while steps[-1] < MAX_RATE:
         step = -(-exact // FIXED_POINT_ONE)
         if step > steps[-1]:
             steps.append(step)
@@ -100,6 +100,6 @@
         if byte < CONTINUES:
             return distance, position
         shift += GROUP_BITS
-        if shift > MOST_SHIFT:
+        if shift > MAX_SHIFT:
             raise InvalidDemandError("distance between flows out of range")
     raise InvalidDemandError("truncated demand report")
--- a/mallowbeam/storage_gateway/coordination/shares/flow_division.py
+++ b/mallowbeam/storage_gateway/coordination/shares/flow_division.py
@@ -6,8 +6,8 @@
 that is less.
 
 The part of its rate that a flow does not use now is lent within this gateway to flows that are short, in
-proportion to their shortfalls; a `RETAINED`th of its rate stays with it, so that its demand is noticed at
-once when it comes back.
+proportion to their shortfalls; one `RETAINED_DIVISOR`th part of its rate stays with it, so that its demand is
+noticed at once when it comes back.
 
 Rates and quotas are milli-units a second.
 """
@@ -19,7 +19,7 @@
 
 from mallowbeam.storage_gateway.coordination.shares.state_machine import SharesState
 
-RETAINED = 10  # the divisor of a lent flow's rate that stays with it
+RETAINED_DIVISOR = 10  # the divisor of a lent flow's rate that stays with it
 Usable = Callable[[str], int]
 Link = tuple[int, int, str]  # kind, position among its kind, resource
 NODE = 0
@@ -148,7 +148,7 @@
             ]
             rate = granted
             if shared and flow not in shortfalls:
-                rate = min(granted, max(self.demand.get(flow, 0), granted // RETAINED))
+                rate = min(granted, max(self.demand.get(flow, 0), granted // RETAINED_DIVISOR))
                 lowered[flow] = rate
             for kind, position in shared:
                 available[kind][position] -= rate
--- a/mallowbeam/storage_gateway/coordination/shares/gateway_core.py
+++ b/mallowbeam/storage_gateway/coordination/shares/gateway_core.py
@@ -29,7 +29,7 @@
 from mallowbeam.storage_gateway.coordination.shares.flow_division import divide_quota
 from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import MILLI
 from mallowbeam.storage_gateway.coordination.shares.state_machine import (
-    MOST_FLOWS,
+    MAX_FLOWS,
     CloseEpoch,
     DemandReport,
     NodeLost,
@@ -40,8 +40,8 @@
 )
 
 T = TypeVar("T")
-MOST_ROWS = 4000  # flows of one report, some 16 KiB; the others follow in the next one
-MOST_PROPOSALS = 1000  # whose times are remembered
+MAX_REPORT_ROWS = 4000  # flows of one report, some 16 KiB; the others follow in the next one
+MAX_REMEMBERED_PROPOSALS = 1000  # whose times are remembered
 NEVER = float("-inf")
 
 
@@ -90,7 +90,7 @@
     timing: SharesTiming = field(default_factory=SharesTiming)
     is_leader: bool = False
 
-    meter: DemandMeter = field(default_factory=lambda: DemandMeter(MOST_FLOWS))
+    meter: DemandMeter = field(default_factory=lambda: DemandMeter(MAX_FLOWS))
     last_entry_at: dict[str, float] = field(default_factory=dict)  # by gateway
     lost_nodes: dict[str, bool] = field(default_factory=dict)  # as discovery reports them
     proposed_at: dict[str, float] = field(default_factory=dict)  # by proposal
@@ -221,7 +221,7 @@
         if not rows and not heartbeat_due:
             return []
         self.reported_at = now
-        body = encode_demand(dict(sorted(rows.items())[:MOST_ROWS]))
+        body = encode_demand(dict(sorted(rows.items())[:MAX_REPORT_ROWS]))
         return [Propose(DemandReport(self.state.numbering, body))]
 
     def _report_lost_nodes(self, now: float) -> list[Action]:
@@ -250,7 +250,7 @@
                 actions.append(Propose(QuotaReleased(epoch, holder)))
         if self._may_propose("close", now):
             actions.append(Propose(CloseEpoch(state.close_number + 1, silent)))
-        if len(self.proposed_at) > MOST_PROPOSALS:
+        if len(self.proposed_at) > MAX_REMEMBERED_PROPOSALS:
             self.proposed_at.clear()
         return actions
 
@@ -308,7 +308,7 @@
             }
             return {new: rows[old] for old, new in numbers.items() if new is not None}
 
-        self.meter = DemandMeter(MOST_FLOWS, renumber(self.meter.units), renumber(self.meter.windows))
+        self.meter = DemandMeter(MAX_FLOWS, renumber(self.meter.units), renumber(self.meter.windows))
         self.allotted = renumber(self.allotted)
         self.granted = renumber(self.granted)
 
--- a/mallowbeam/storage_gateway/coordination/shares/max_min_fairness.py
+++ b/mallowbeam/storage_gateway/coordination/shares/max_min_fairness.py
@@ -25,12 +25,12 @@
 from heapq import heappop, heappush
 
 MILLI = 1000  # milli-units of one unit; thousandths of a weight of one
-SHIFT = 32  # fractional bits of a level: rounding stays under a milli-unit for each flow
-MOST_WEIGHT = 1000 * MILLI  # so that the product of a level and a weight stays a small integer
+LEVEL_FRACTION_BITS = 32  # fractional bits of a level: rounding stays under a milli-unit for each flow
+MAX_WEIGHT = 1000 * MILLI  # so that the product of a level and a weight stays a small integer
 UNBOUNDED = 1 << 62  # milli-units a second: the capacity of a link without a bound
 
 Flow = int  # tenant * number of nodes + node, by their positions in sorted order
-Level = int  # milli-units a second for each unit of weight, with `SHIFT` fractional bits
+Level = int  # milli-units a second for each unit of weight, with `LEVEL_FRACTION_BITS` fractional bits
 Rates = dict[Flow, int]
 
 
@@ -175,10 +175,10 @@
         """Schedule the levels at which a flow leaves its floor (`-1 - flow`) and has its demand (`flow`)."""
         weight = self.weights[flow // self.node_count]
         self.links_of[flow] = links
-        self.flow_events.append((-(-(self.demand[flow] << SHIFT) // weight), flow))
+        self.flow_events.append((-(-(self.demand[flow] << LEVEL_FRACTION_BITS) // weight), flow))
         flows_of = self.flows_of
         if floor:
-            self.flow_events.append((-(-(floor << SHIFT) // weight), -1 - flow))
+            self.flow_events.append((-(-(floor << LEVEL_FRACTION_BITS) // weight), -1 - flow))
             fixed_rate = self.fixed_rate
             for link in links:
                 flows_of[link].append(flow)
@@ -194,11 +194,13 @@
 
     def _saturation_level(self, link: int) -> Level:
         """The level at which this link is full if all flows that rise on it now go on rising."""
-        return (self.capacities[link] - self.fixed_rate[link] << SHIFT) // self.rising_weight[link]
+        return (self.capacities[link] - self.fixed_rate[link] << LEVEL_FRACTION_BITS) // self.rising_weight[
+            link
+        ]
 
     def _schedule_all_saturations(self) -> None:
         """Build the heap of the levels at which links with rising flows are full."""
-        self.next_saturation = [UNBOUNDED << SHIFT] * len(self.capacities)
+        self.next_saturation = [UNBOUNDED << LEVEL_FRACTION_BITS] * len(self.capacities)
         self.saturations = []
         for link, weight in enumerate(self.rising_weight):
             if weight:
@@ -214,7 +216,7 @@
         scheduled_level, link = heappop(self.saturations)
         if scheduled_level > self.next_saturation[link]:
             return  # the link was scheduled again, at a lower level
-        self.next_saturation[link] = UNBOUNDED << SHIFT
+        self.next_saturation[link] = UNBOUNDED << LEVEL_FRACTION_BITS
         if not self.rising_weight[link]:
             return
         level = self._saturation_level(link)
@@ -238,7 +240,7 @@
                 self.rates[flow] = self.floors[flow]
                 continue
             weight = self.weights[flow // self.node_count]
-            self.rates[flow] = rate = level * weight >> SHIFT
+            self.rates[flow] = rate = level * weight >> LEVEL_FRACTION_BITS
             for link in links:
                 fixed_rate[link] += rate
                 rising_weight[link] -= weight
--- a/mallowbeam/storage_gateway/coordination/shares/quota_rows.py
+++ b/mallowbeam/storage_gateway/coordination/shares/quota_rows.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from mallowbeam.storage_gateway.coordination.quota_epochs import (
-    MOST_OPEN,
+    MAX_OPEN_EPOCHS,
     OpenEpoch,
     QuotaEpochs,
     TooManyOpenEpochsError,
@@ -160,9 +160,9 @@
             rows[name] = {}
     if not rows:
         return quota
-    if len(quota.open_epochs) >= MOST_OPEN:
+    if len(quota.open_epochs) >= MAX_OPEN_EPOCHS:
         raise TooManyOpenEpochsError(
-            f"{MOST_OPEN} epochs are open", ", ".join(sorted(quota.awaited_releases))
+            f"{MAX_OPEN_EPOCHS} epochs are open", ", ".join(sorted(quota.awaited_releases))
         )
     losers: set[str] = set()
     for name, row in rows.items():
--- a/mallowbeam/storage_gateway/coordination/shares/state_machine.py
+++ b/mallowbeam/storage_gateway/coordination/shares/state_machine.py
@@ -41,8 +41,8 @@
     decode_demand,
 )
 from mallowbeam.storage_gateway.coordination.shares.max_min_fairness import (
+    MAX_WEIGHT,
     MILLI,
-    MOST_WEIGHT,
     Network,
     allocate,
 )
@@ -54,11 +54,11 @@
     trim_row,
 )
 
-MOST_TENANTS = 10_000  # in a policy; a push with more is refused
-MOST_NODES = 2_000
-MOST_RATE = 10**9  # milli-units a second of one capacity, reserve or limit
-MOST_FLOWS = 16_000  # of one gateway; a report with more is refused, and its new flows use the floors
-MOST_PROBE = 500  # thousandths
+MAX_TENANTS = 10_000  # in a policy; a push with more is refused
+MAX_NODES = 2_000
+MAX_RATE = 10**9  # milli-units a second of one capacity, reserve or limit
+MAX_FLOWS = 16_000  # of one gateway; a report with more is refused, and its new flows use the floors
+MAX_PROBE = 500  # thousandths
 
 
 class TenantShare(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -252,8 +252,8 @@
             return Refusal(str(error), by)
         before = state.demand.get(by, {})
         after = _updated_demand({} if entry.complete else before, reported)
-        if len(after) > MOST_FLOWS:
-            return Refusal(f"{len(after)} flows at one gateway, at most {MOST_FLOWS}", by)
+        if len(after) > MAX_FLOWS:
+            return Refusal(f"{len(after)} flows at one gateway, at most {MAX_FLOWS}", by)
         silent = tuple(name for name in state.silent if name != by)
         if after == before:
             return state if silent == state.silent else msgspec.structs.replace(state, silent=silent)
@@ -344,9 +344,9 @@
 
 def _floors(policy: SharesPolicy, before: Mapping[str, int], gateways: int) -> dict[str, int]:
     """Each gateway's floors by resource: those of before, and new ones; raises `InvalidSharesError`."""
-    if len(policy.tenants) > MOST_TENANTS or len(policy.nodes) > MOST_NODES:
-        raise InvalidSharesError(f"more than {MOST_TENANTS} tenants or {MOST_NODES} nodes", "shares")
-    if not 0 <= policy.probe <= MOST_PROBE:
+    if len(policy.tenants) > MAX_TENANTS or len(policy.nodes) > MAX_NODES:
+        raise InvalidSharesError(f"more than {MAX_TENANTS} tenants or {MAX_NODES} nodes", "shares")
+    if not 0 <= policy.probe <= MAX_PROBE:
         raise InvalidSharesError("must be within 0 and 500 thousandths", "shares.probe")
     floors = dict(before)
     _set_tenant_floors(floors, policy, gateways)
@@ -367,15 +367,15 @@
 def _set_node_floors(floors: dict[str, int], policy: SharesPolicy, gateways: int) -> None:
     for name, node in policy.nodes.items():
         where = f"shares.nodes.{name}"
-        if not 0 <= node.capacity <= MOST_RATE:
-            raise InvalidSharesError(f"capacity must be within 0 and {MOST_RATE}", where)
+        if not 0 <= node.capacity <= MAX_RATE:
+            raise InvalidSharesError(f"capacity must be within 0 and {MAX_RATE}", where)
         _set_floor(floors, f"n:{name}", node.capacity, policy.probe, gateways)
         _check_floors_fit(floors[f"n:{name}"] * gateways, node.capacity, where)
 
 
 def _set_zone_floors(floors: dict[str, int], policy: SharesPolicy, gateways: int) -> None:
     for zone in {node.zone for node in policy.nodes.values()}:
-        capacity = policy.zones.get(zone, MOST_RATE * MOST_NODES)
+        capacity = policy.zones.get(zone, MAX_RATE * MAX_NODES)
         node_capacities = sum(node.capacity for node in policy.nodes.values() if node.zone == zone)
         _set_floor(floors, f"z:{zone}", min(capacity, node_capacities), policy.probe, gateways)
         _check_floors_fit(floors[f"z:{zone}"] * gateways, capacity, f"shares.zones.{zone}")
@@ -388,12 +388,12 @@
 
 def _check_tenant(share: TenantShare, where: str) -> None:
     """Raise `InvalidSharesError` where a tenant's figures are out of range."""
-    if not (1 <= share.weight <= MOST_WEIGHT and 0 <= share.reserve <= MOST_RATE):
+    if not (1 <= share.weight <= MAX_WEIGHT and 0 <= share.reserve <= MAX_RATE):
         raise InvalidSharesError(
-            f"weight must be within 1 and {MOST_WEIGHT}, reserve within 0 and {MOST_RATE}", where
+            f"weight must be within 1 and {MAX_WEIGHT}, reserve within 0 and {MAX_RATE}", where
         )
-    if share.limit is not None and not 0 <= share.limit <= MOST_RATE:
-        raise InvalidSharesError(f"limit must be within 0 and {MOST_RATE}", where)
+    if share.limit is not None and not 0 <= share.limit <= MAX_RATE:
+        raise InvalidSharesError(f"limit must be within 0 and {MAX_RATE}", where)
 
 
 def _check_floors_fit(floors: int, capacity: int, where: str) -> None:
--- a/mallowbeam/storage_gateway/coordination/shares/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/shares/subsystem.py
@@ -5,8 +5,8 @@
 nodes of the policy, by their capacities.  The scheduler counts by shard, so the bound holds for the sum of a
 shard's nodes; where a shard has one node, it is that node's own bound.  Where a tenant also writes new
 objects, its rates are divided between those and its shards in the proportion of its recent requests, updated
-each `MIX_S`; the scheduler chooses the node of a new object, so there the bounds hold for the sum of all
-nodes only.
+each `MIX_UPDATE_INTERVAL_S`; the scheduler chooses the node of a new object, so there the bounds hold for the
+sum of all nodes only.
 
 An allotment is the tenant's plan as it is in force, with the allotted rate as its limit, all of it for this
 gateway (fraction 1).  A tenant that uses several plans has its rate in equal parts under each.  The burst is
@@ -35,13 +35,15 @@
 from mallowbeam.storage_gateway.scheduler.interface import Plan
 from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 
-MIX_S = 1.0  # seconds between updates of a tenant's mix of requests; each halves what was counted before
-LEAST_UNITS = 0.01  # counted units below which a plan or a mix is dropped: some 8 s after one request
-MIX_STEP = (
+MIX_UPDATE_INTERVAL_S = (
+    1.0  # seconds between updates of a tenant's mix of requests; each halves what was counted before
+)
+MIN_COUNTED_UNITS = 0.01  # counted units below which a plan or a mix is dropped: some 8 s after one request
+MIN_MIX_CHANGE = (
     0.05  # by which a mix must change to be applied; also its distance from 0 and 1 while both kinds occur
 )
-MOST_PLANS = 4  # of one tenant at once; under a further one there is no allotment
-MOST_HEARTBEAT_S = 1.5
+MAX_PLANS_PER_TENANT = 4  # of one tenant at once; under a further one there is no allotment
+MAX_HEARTBEAT_S = 1.5
 
 AllotmentKey = tuple[str, int | None]  # plan and shard; None: new objects
 
@@ -50,7 +52,7 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """One tenant at this gateway; units are those of recent requests, halved each `MIX_S`."""
+    """One tenant at this gateway; units are those of recent requests, halved each `MIX_UPDATE_INTERVAL_S`."""
 
     units_by_plan: dict[str, float] = field(default_factory=dict)
     rates: dict[str, float] = field(default_factory=dict)  # by node, units a second
@@ -74,7 +76,7 @@
             window=section.window_s,
             report_timeout=section.quiet_s,
             lease=section.lease_s,
-            heartbeat=min(MOST_HEARTBEAT_S, section.quiet_s / 3),
+            heartbeat=min(MAX_HEARTBEAT_S, section.quiet_s / 3),
         )
         core = SharesCore(
             context.me, tuple(sorted(context.members)), self.state_machine.start(), self.now, timing
@@ -131,7 +133,7 @@
             self.plans = plans  # a policy changed a plan, and allotments derive from plans
             for name, tenant in self.tenants.items():
                 self._apply_allotments(name, tenant, again=True)
-        if now >= self.mixed_at + MIX_S:
+        if now >= self.mixed_at + MIX_UPDATE_INTERVAL_S:
             self.mixed_at = now
             self._update_mixes()
         self.driver.tick(now, self.context.leader())
@@ -182,7 +184,7 @@
         """Count a request for a new object; returns whether the tenant has made none recently."""
         is_first = not tenant.new_object_units and not tenant.new_fraction
         if is_first:
-            tenant.new_fraction = MIX_STEP
+            tenant.new_fraction = MIN_MIX_CHANGE
         tenant.new_object_units += units
         return is_first
 
@@ -192,9 +194,9 @@
             tenant.units_by_plan[plan] += units
             return False
         in_force = self.context.plan(plan)
-        if in_force is None or len(tenant.units_by_plan) >= MOST_PLANS:
+        if in_force is None or len(tenant.units_by_plan) >= MAX_PLANS_PER_TENANT:
             self.log_failure(
-                f"volume {name} uses plan {plan}, which is unknown or beyond {MOST_PLANS} plans"
+                f"volume {name} uses plan {plan}, which is unknown or beyond {MAX_PLANS_PER_TENANT} plans"
             )
             return False
         self.plans[plan] = in_force
@@ -218,17 +220,19 @@
                 self._apply_allotments(name, tenant)
             tenant.shard_units /= 2
             tenant.new_object_units /= 2
-            if tenant.shard_units + tenant.new_object_units < LEAST_UNITS:
+            if tenant.shard_units + tenant.new_object_units < MIN_COUNTED_UNITS:
                 tenant.shard_units = tenant.new_object_units = 0.0
 
     def _update_mix(self, tenant: Tenant, new_fraction: float) -> bool:
         """Update a tenant's fraction of new objects; returns whether its allotments change."""
         if 0 < new_fraction < 1:
-            new_fraction = min(1 - MIX_STEP, max(MIX_STEP, new_fraction))
-        changed = abs(new_fraction - tenant.new_fraction) >= MIX_STEP
+            new_fraction = min(1 - MIN_MIX_CHANGE, max(MIN_MIX_CHANGE, new_fraction))
+        changed = abs(new_fraction - tenant.new_fraction) >= MIN_MIX_CHANGE
         if changed:
             tenant.new_fraction = new_fraction
-        recent = {plan: units / 2 for plan, units in tenant.units_by_plan.items() if units > LEAST_UNITS}
+        recent = {
+            plan: units / 2 for plan, units in tenant.units_by_plan.items() if units > MIN_COUNTED_UNITS
+        }
         if not recent:
             return False
         plans_dropped = len(recent) < len(tenant.units_by_plan)
--- a/tests/storage_gateway/coordination/shares/test_shares_state_machine.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_state_machine.py
@@ -18,7 +18,7 @@
     encode_demand,
     rate_code,
 )
-from mallowbeam.storage_gateway.coordination.shares.demand_meter import LONG, DemandMeter
+from mallowbeam.storage_gateway.coordination.shares.demand_meter import LONG_TERM_WINDOWS, DemandMeter
 from mallowbeam.storage_gateway.coordination.shares.gateway_core import SharesCore
 from mallowbeam.storage_gateway.coordination.shares.quota_rows import trim_row
 from mallowbeam.storage_gateway.coordination.shares.state_machine import (
@@ -176,7 +176,7 @@
     assert window(10) and not window(10) and window(12)
     assert not any(window(11 + at % 2) for at in range(30))  # a flicker that comes back
     assert [window(5) for _ in range(3)] == [False, False, True]
-    assert not any(window(4.7) for _ in range(LONG - 1)) and window(4.7)
+    assert not any(window(4.7) for _ in range(LONG_TERM_WINDOWS - 1)) and window(4.7)
     assert [window(0) for _ in range(3)] == [False, False, True] and told[1] == 0
     assert meter.add(2, 1) and not meter.add(2, 1)
     meter.add(3, 1)
--- a/tests/storage_gateway/coordination/test_quota_transfer.py
+++ b/tests/storage_gateway/coordination/test_quota_transfer.py
@@ -9,7 +9,7 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.storage_gateway.coordination.quota_epochs import (
-    MOST_OPEN,
+    MAX_OPEN_EPOCHS,
     Bounds,
     EpochTarget,
     FloorsExceedCapacityError,
@@ -112,8 +112,8 @@
 
 
 def test_at_the_bound_the_next_epoch_is_refused_until_a_release():
-    handed = opened(*({"x": {"abc"[n % 3]: 8}} for n in range(MOST_OPEN + 1)))
-    assert len(handed.open_epochs) == MOST_OPEN
+    handed = opened(*({"x": {"abc"[n % 3]: 8}} for n in range(MAX_OPEN_EPOCHS + 1)))
+    assert len(handed.open_epochs) == MAX_OPEN_EPOCHS
     with pytest.raises(TooManyOpenEpochsError) as told:
         opened({"x": {"a": 2}}, handed=handed)
     assert "a" in told.value.where
@@ -128,9 +128,9 @@
         try:
             handed = next_epoch(handed, rows, Bounds(floor, ten))
         except TooManyOpenEpochsError:
-            assert len(handed.open_epochs) == MOST_OPEN
+            assert len(handed.open_epochs) == MAX_OPEN_EPOCHS
         handed = release(handed, who, epoch)
-        assert len(handed.open_epochs) <= MOST_OPEN and len(handed.rows) <= 2
+        assert len(handed.open_epochs) <= MAX_OPEN_EPOCHS and len(handed.rows) <= 2
         assert not handed.open_epochs or handed.awaited_releases
         assert msgspec.msgpack.decode(msgspec.msgpack.encode(handed), type=QuotaEpochs[int]) == handed
 
