--- a/mallowbeam/storage_gateway/coordination/shares/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/shares/subsystem.py
@@ -35,13 +35,9 @@
 from mallowbeam.storage_gateway.scheduler.interface import Plan
 from mallowbeam.storage_gateway.server.log import RateLimitedWarning
 
-MIX_UPDATE_INTERVAL_S = (
-    1.0  # seconds between updates of a tenant's mix of requests; each halves what was counted before
-)
+MIX_UPDATE_INTERVAL_S = 1.0  # between updates of a tenant's mix of requests; each halves its counts
 MIN_COUNTED_UNITS = 0.01  # counted units below which a plan or a mix is dropped: some 8 s after one request
-MIN_MIX_CHANGE = (
-    0.05  # by which a mix must change to be applied; also its distance from 0 and 1 while both kinds occur
-)
+MIN_MIX_CHANGE = 0.05  # for a mix to be applied; also its distance from 0 and 1 while both kinds occur
 MAX_PLANS_PER_TENANT = 4  # of one tenant at once; under a further one there is no allotment
 MAX_HEARTBEAT_S = 1.5
 
--- a/tests/storage_gateway/coordination/shares/test_shares_broken.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_broken.py
@@ -1,9 +1,9 @@
-"""The checker of the shares' simulation finds what is broken on purpose."""
+"""The checker of the shares' simulation detects broken variants of the core."""
 
 from __future__ import annotations
 
 import pytest
-from test_shares_fleet import SETUP, fleet
+from test_shares_fleet import POLICY, fleet
 
 from mallowbeam.storage_gateway.coordination.quota_transfer import QuotaTransfer
 from mallowbeam.storage_gateway.coordination.shares.gateway_core import SharesCore
@@ -11,109 +11,116 @@
 
 
 class GrowsAtOnce(SharesCore):
-    """Uses the newest target without waiting for those that lose."""
+    """Uses the newest target without waiting for the releases of others."""
 
     def __post_init__(self):
         super().__post_init__()
-        self.transfer.__class__ = Hasty
+        self.transfer.__class__ = GrowsWithoutWaiting
 
 
-class Hasty(QuotaTransfer):
+class GrowsWithoutWaiting(QuotaTransfer):
     def usable(self, resource, now):
         row, floor = self.rows.get(resource, {}), self.floor(resource, self.me)
         return row.get(self.me, floor) if self.has_lease(now) else floor
 
 
-class ForgetsTheLease(SharesCore):
-    """Takes its allotments for good."""
+class IgnoresItsLease(SharesCore):
+    """Keeps its allotments after its lease has expired."""
 
     def __post_init__(self):
         super().__post_init__()
-        self.transfer.__class__ = Lasting
+        self.transfer.__class__ = NeverExpires
 
 
-class Lasting(QuotaTransfer):
+class NeverExpires(QuotaTransfer):
     def has_lease(self, now):
         return self.renewed_at > float("-inf")
 
 
-class WakesWithItsOld(SharesCore):
-    """Looks at its lease only when it ticks."""
+class ChecksItsLeaseInTicksOnly(SharesCore):
+    """Checks its lease in ticks only."""
 
     def observed(self, tenant, node, units, now):
         self.had_lease = False
         return super().observed(tenant, node, units, now)
 
 
-class ReleasesFirst(SharesCore):
-    """Says that it has shrunk, and shrinks a second later."""
+class ReleasesTooSoon(SharesCore):
+    """Releases quota one second before it lowers its allotments."""
 
-    since = float("-inf")
+    last_close_at = float("-inf")
 
     def _allotment_changes(self, now):
-        if now < type(self).since + 1.0:
+        if now < type(self).last_close_at + 1.0:
             return []
         return super()._allotment_changes(now)
 
-    def committed(self, told, now):
-        if told.state.close_number != self.close_number:
-            type(self).since = now
-        return super().committed(told, now)
+    def committed(self, committed, now):
+        if committed.state.close_number != self.close_number:
+            type(self).last_close_at = now
+        return super().committed(committed, now)
 
 
-def shift(it):
-    """The busiest gateway changes, twice."""
-    it.run(10)
-    it.demand["g3", "a", "n0"] = it.demand.pop(("g0", "a", "n0"))
-    it.run(5)
-    it.demand["g0", "a", "n0"] = it.demand.pop(("g3", "a", "n0"))
-    it.run(5)
+def move_load(simulation):
+    """Move the load of the busiest gateway to another one and back."""
+    simulation.run(10)
+    simulation.demand["g3", "a", "n0"] = simulation.demand.pop(("g0", "a", "n0"))
+    simulation.run(5)
+    simulation.demand["g0", "a", "n0"] = simulation.demand.pop(("g3", "a", "n0"))
+    simulation.run(5)
 
 
-def cut(it):
-    """The one with a large share is cut off, and others take over."""
-    it.run(10)
-    it.cut("0", "1234")
-    it.demand["g3", "a", "n0"] = 90
-    it.run(15)
+def partition(simulation):
+    """Partition the gateway with a large share, and move its load to others."""
+    simulation.run(10)
+    simulation.cut("0", "1234")
+    simulation.demand["g3", "a", "n0"] = 90
+    simulation.run(15)
 
 
-def sleep(it):
-    """The same, stopped, and awake again."""
-    it.run(10)
-    it.stop("g0")
-    it.demand["g3", "a", "n0"] = 90
-    it.run(15)
-    it.stop("g0", False)
-    it.run(1)
+def stop_and_resume(simulation):
+    """The same with the gateway stopped and resumed."""
+    simulation.run(10)
+    simulation.stop("g0")
+    simulation.demand["g3", "a", "n0"] = 90
+    simulation.run(15)
+    simulation.stop("g0", False)
+    simulation.run(1)
 
 
-CASES = [(GrowsAtOnce, shift), (ForgetsTheLease, cut), (WakesWithItsOld, sleep), (ReleasesFirst, shift)]
+CASES = [
+    (GrowsAtOnce, move_load),
+    (IgnoresItsLease, partition),
+    (ChecksItsLeaseInTicksOnly, stop_and_resume),
+    (ReleasesTooSoon, move_load),
+]
 
 
-@pytest.mark.parametrize(("kind", "what"), CASES)
-def test_what_is_broken_on_purpose_is_found(kind, what):
-    def over() -> bool:
+@pytest.mark.parametrize(("kind", "scenario"), CASES)
+def test_broken_variants_are_detected(kind, scenario):
+    def fails() -> bool:
         for seed in range(6):
-            it = fleet(seed, core=kind)
+            simulation = fleet(seed, core=kind)
             try:
-                what(it)
+                scenario(simulation)
             except AssertionError as error:
                 assert "allowed" in str(error)
                 return True
         return False
 
-    assert over()
+    assert fails()
 
 
-@pytest.mark.parametrize("what", [shift, cut, sleep])
-def test_the_same_without_the_fault_is_clean(what):
+@pytest.mark.parametrize("scenario", [move_load, partition, stop_and_resume])
+def test_the_same_without_the_fault_is_clean(scenario):
     for seed in range(3):
-        what(fleet(seed))
+        scenario(fleet(seed))
 
 
 def test_a_bound_that_falls_is_held_after_the_lease():
-    it = fleet(1).run(10)
-    it.push(SharesPolicy({**SETUP.tenants, "c": TenantShare(1000, limit=20_000)}, SETUP.nodes, SETUP.zones))
-    it.run(8)
-    assert it.used()["t:c"] <= 20.0
+    simulation = fleet(1).run(10)
+    simulation.push(
+        SharesPolicy({**POLICY.tenants, "c": TenantShare(1000, limit=20_000)}, POLICY.nodes, POLICY.zones)
+    )
+    simulation.run(8)
+    assert simulation.used()["t:c"] <= 20.0
--- a/tests/storage_gateway/coordination/shares/test_shares_subsystem.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_subsystem.py
@@ -1,4 +1,4 @@
-"""Shares joined to gateways: several parts on one log in memory, hands that record what they are told."""
+"""The subsystem `shares`: several gateways on one log in memory, with contexts that record allotments."""
 
 from __future__ import annotations
 
@@ -21,17 +21,23 @@
 
 
 class SubsystemContext:
-    """One gateway's; what is proposed is kept until the test commits it."""
+    """One gateway's context; proposals are kept until the test commits them."""
 
     members = NAMES
 
     def __init__(self, me):
-        self.me, self.put, self.held, self.told, self.full = me, [], {}, None, False
+        self.me, self.proposals, self.allotments, self.observer, self.rejects_allotments = (
+            me,
+            [],
+            {},
+            None,
+            False,
+        )
         self.listed = [NodeEntry("n0", NodeState.READY, 4), NodeEntry("n1", NodeState.READY, 5)]
         self.plans = {plan.name: plan for plan in (GOLD, TIN)}
 
     def propose(self, entry):
-        self.put.append(entry)
+        self.proposals.append(entry)
         return True
 
     def leader(self):
@@ -41,17 +47,17 @@
         return self.plans.get(name)
 
     def observe(self, observer):
-        self.told = observer
+        self.observer = observer
 
     def nodes(self):
         return self.listed
 
-    def apply_plan(self, plan, volume="", shard=None, part=None):
-        if self.full:
+    def apply_plan(self, plan, volume="", shard=None, fraction=None):
+        if self.rejects_allotments:
             raise TooManyAllotmentsError("full", volume)
-        self.held[volume, plan.name, shard] = plan, part
-        if part is None and plan == self.plans[plan.name]:
-            del self.held[volume, plan.name, shard]
+        self.allotments[volume, plan.name, shard] = plan, fraction
+        if fraction is None and plan == self.plans[plan.name]:
+            del self.allotments[volume, plan.name, shard]
         return True
 
     def gateway(self):
@@ -59,135 +65,143 @@
 
 
 class Fleet:
-    """Three parts and the log; time in steps of 0.1 s."""
+    """Three gateways' subsystems and the log; time runs in steps of 0.1 s."""
 
     def __init__(self):
         self.context = {name: SubsystemContext(name) for name in NAMES}
-        self.parts = {name: open_subsystem(self.context[name], SharesSection(on=True)) for name in NAMES}
-        self.now = max(part.now for part in self.parts.values())
-        self.log, self.asks = ReplicatedLog([self.parts["g0"].state_machine]), {}
+        self.subsystems = {name: open_subsystem(self.context[name], SharesSection(on=True)) for name in NAMES}
+        self.now = max(subsystem.now for subsystem in self.subsystems.values())
+        self.log, self.requests = ReplicatedLog([self.subsystems["g0"].state_machine]), {}
         self.push(SHARES)
 
     def push(self, shares):
-        told = self.log.push(read_policy(b'{"drains":[]}').__class__(shares=shares))
-        if isinstance(told, Refusal):
-            return told
-        for part in self.parts.values():
-            part.committed(told[0], self.now)
+        result = self.log.push(read_policy(b'{"drains":[]}').__class__(shares=shares))
+        if isinstance(result, Refusal):
+            return result
+        for subsystem in self.subsystems.values():
+            subsystem.committed(result[0], self.now)
         return None
 
     def run(self, seconds):
         for _ in range(round(seconds * 10)):
             self.now += 0.1
-            for name, part in self.parts.items():
-                part.lease_renewed(self.now - 0.05, self.now)
-                for (gateway, volume, plan, shard), rate in self.asks.items():
+            for name, subsystem in self.subsystems.items():
+                subsystem.lease_renewed(self.now - 0.05, self.now)
+                for (gateway, volume, plan, shard), rate in self.requests.items():
                     if gateway == name:
-                        part.observed(
+                        subsystem.observed(
                             {"volume": volume, "plan": plan, "shard": shard, "units": rate / 10}, self.now
                         )
-                part.tick(self.now)
+                subsystem.tick(self.now)
             for name, context in self.context.items():
-                put, context.put = context.put, []
-                for entry in put:
-                    told = self.log.apply(self.log.encode("shares", name, entry))
-                    for part in self.parts.values():
-                        part.committed(told, self.now)
+                proposals, context.proposals = context.proposals, []
+                for entry in proposals:
+                    result = self.log.apply(self.log.encode("shares", name, entry))
+                    for subsystem in self.subsystems.values():
+                        subsystem.committed(result, self.now)
         return self
 
     def limit(self, volume):
         return sum(
-            plan.limit * part
+            plan.limit * fraction
             for context in self.context.values()
-            for (name, *_), (plan, part) in context.held.items()
+            for (name, *_), (plan, fraction) in context.allotments.items()
             if name == volume
         )
 
 
 @pytest.fixture
 def fleet():
-    it = Fleet()
-    it.asks = {("g0", "a", "gold", 4): 40.0, ("g1", "b", "gold", 4): 30.0, ("g2", "b", "gold", 4): 10.0}
-    return it.run(5)
+    simulated_fleet = Fleet()
+    simulated_fleet.requests = {
+        ("g0", "a", "gold", 4): 40.0,
+        ("g1", "b", "gold", 4): 30.0,
+        ("g2", "b", "gold", 4): 10.0,
+    }
+    return simulated_fleet.run(5)
 
 
 def test_a_tenant_of_twice_the_weight_is_allotted_twice_as_much(fleet):
     assert fleet.limit("a") == pytest.approx(20, rel=0.03)
     assert fleet.limit("b") == pytest.approx(10, rel=0.03)
-    ((plan, part),) = fleet.context["g0"].held.values()
-    assert (plan.weight, part, plan.limit_burst) == (3.0, 1.0, 8 + plan.limit)  # else its own
-    assert set(fleet.context["g0"].held) == {("a", "gold", 4)}
+    ((plan, fraction),) = fleet.context["g0"].allotments.values()
+    assert (plan.weight, fraction, plan.limit_burst) == (3.0, 1.0, 8 + plan.limit)  # the plan's weight
+    assert set(fleet.context["g0"].allotments) == {("a", "gold", 4)}
     assert fleet.limit("a") + fleet.limit("b") <= 30
 
 
-def test_who_asks_for_what_is_not_shared_is_left_alone(fleet):
-    fleet.asks = {("g0", "c", "gold", 4): 10.0, ("g0", "a", "gold", 5): 10.0}
-    before = dict(fleet.context["g0"].held)
+def test_requests_for_unshared_tenants_and_nodes_get_no_allotment(fleet):
+    fleet.requests = {("g0", "c", "gold", 4): 10.0, ("g0", "a", "gold", 5): 10.0}
+    before = dict(fleet.context["g0"].allotments)
     fleet.run(0.1)
-    assert fleet.context["g0"].held.keys() == before.keys()
+    assert fleet.context["g0"].allotments.keys() == before.keys()
 
 
 def test_a_rate_of_zero_rejects_and_is_not_unlimited(fleet):
-    fleet.asks.pop(("g0", "a", "gold", 4))
+    fleet.requests.pop(("g0", "a", "gold", 4))
     fleet.run(8)
-    plan, part = fleet.context["g0"].held["a", "gold", 4]
-    assert part == 0.0 and plan.limit > 0  # to the module a limit of 0 is none
-    fleet.parts["g0"].observed({"volume": "a", "plan": "gold", "shard": 4, "units": 1}, fleet.now)
-    plan, part = fleet.context["g0"].held["a", "gold", 4]
-    assert part == 1.0 and 0 < plan.limit <= 0.1  # its floor, before that call is decided on
+    plan, fraction = fleet.context["g0"].allotments["a", "gold", 4]
+    assert fraction == 0.0 and plan.limit > 0  # to the scheduler a limit of 0 means none
+    fleet.subsystems["g0"].observed({"volume": "a", "plan": "gold", "shard": 4, "units": 1}, fleet.now)
+    plan, fraction = fleet.context["g0"].allotments["a", "gold", 4]
+    assert fraction == 1.0 and 0 < plan.limit <= 0.1  # its floor, before that request is decided on
 
 
 def test_allotments_are_taken_back_when_shares_go_out_of_the_policy(fleet):
     assert fleet.push(None) is None
-    assert all(not context.held for context in fleet.context.values())
+    assert all(not context.allotments for context in fleet.context.values())
     fleet.run(2)
-    assert all(not context.held for context in fleet.context.values())
+    assert all(not context.allotments for context in fleet.context.values())
     fleet.push(SHARES)
     assert fleet.run(5).limit("a") == pytest.approx(20, rel=0.03)
 
 
 def test_a_tenant_under_two_plans_has_no_more_than_its_share(fleet):
-    fleet.asks["g0", "a", "tin", 4] = 40.0
+    fleet.requests["g0", "a", "tin", 4] = 40.0
     fleet.run(5)
-    assert {key[1] for key in fleet.context["g0"].held} == {"gold", "tin"}
+    assert {key[1] for key in fleet.context["g0"].allotments} == {"gold", "tin"}
     assert fleet.limit("a") == pytest.approx(20, rel=0.03)
-    fleet.asks.pop(("g0", "a", "gold", 4))
+    fleet.requests.pop(("g0", "a", "gold", 4))
     fleet.run(20)
-    assert {key[1] for key in fleet.context["g0"].held} == {"tin"}
-    fleet.parts["g0"].observed({"volume": "a", "plan": "made up", "shard": 4}, fleet.now)
+    assert {key[1] for key in fleet.context["g0"].allotments} == {"tin"}
+    fleet.subsystems["g0"].observed({"volume": "a", "plan": "made up", "shard": 4}, fleet.now)
     assert fleet.run(1).limit("a") == pytest.approx(20, rel=0.03)
 
 
 def test_plans_of_one_tenant_are_bounded(fleet):
     for number in range(8):
         fleet.context["g0"].plans[f"p{number}"] = Plan(f"p{number}")
-        fleet.parts["g0"].observed({"volume": "a", "plan": f"p{number}", "shard": 4}, fleet.now)
-    assert {key[1] for key in fleet.context["g0"].held} == {"gold", "p0", "p1", "p2"}
+        fleet.subsystems["g0"].observed({"volume": "a", "plan": f"p{number}", "shard": 4}, fleet.now)
+    assert {key[1] for key in fleet.context["g0"].allotments} == {"gold", "p0", "p1", "p2"}
 
 
 def test_new_objects_have_their_part_of_the_rate(fleet):
-    fleet.asks["g0", "a", "gold", None] = 40.0
+    fleet.requests["g0", "a", "gold", None] = 40.0
     fleet.run(6)
-    held = fleet.context["g0"].held
-    assert held["a", "gold", None][0].limit == pytest.approx(held["a", "gold", 4][0].limit, rel=0.2)
+    allotments = fleet.context["g0"].allotments
+    assert allotments["a", "gold", None][0].limit == pytest.approx(
+        allotments["a", "gold", 4][0].limit, rel=0.2
+    )
     assert fleet.limit("a") == pytest.approx(20, rel=0.03)
 
 
-def test_a_plan_that_a_policy_changes_changes_what_rests_on_it(fleet):
+def test_allotments_follow_a_plan_changed_by_a_policy(fleet):
     fleet.context["g0"].plans["gold"] = Plan("gold", weight=7.0)
     fleet.run(0.1)
-    assert fleet.context["g0"].held["a", "gold", 4][0].weight == 7.0
+    assert fleet.context["g0"].allotments["a", "gold", 4][0].weight == 7.0
 
 
-def test_what_the_module_refuses_is_asked_for_again(fleet):
-    fleet.context["g0"].full = True
-    fleet.asks["g0", "b", "gold", 4] = 10.0
+def test_an_allotment_refused_by_the_scheduler_is_retried(fleet):
+    fleet.context["g0"].rejects_allotments = True
+    fleet.requests["g0", "b", "gold", 4] = 10.0
     fleet.run(2)
-    assert ("b", "gold", 4) not in fleet.context["g0"].held and fleet.parts["g0"].gauges()["refused"] > 0
-    fleet.context["g0"].full = False
-    fleet.asks["g0", "b", "gold", 4] = 20.0
+    assert ("b", "gold", 4) not in fleet.context["g0"].allotments and fleet.subsystems["g0"].gauges()[
+        "refused"
+    ] > 0
+    fleet.context["g0"].rejects_allotments = False
+    fleet.requests["g0", "b", "gold", 4] = 20.0
     fleet.run(3)
-    assert ("b", "gold", 4) in fleet.context["g0"].held
+    assert ("b", "gold", 4) in fleet.context["g0"].allotments
 
 
 def test_a_node_no_longer_listed_is_reported_and_an_empty_list_is_not(fleet):
@@ -199,33 +213,35 @@
     assert set(fleet.log.states["shares"].lost_nodes) == {"n0"}
 
 
-def test_the_store_lets_the_largest_call_pass():
+def test_the_scheduler_admits_the_largest_request():
     settings = Settings(max_units=8, plans={"gold": GOLD}, hosts=1, classes={"read": RequestClass("read")})
-    part, facade = Fleet().parts["g0"], SchedulerHost(settings, 0.0)
-    part.context.apply_plan = lambda plan, *more: bool(facade.change_plan(0.0, plan, *more)) or True
-    part.shards, part.nodes_of = {"n0": 4}, {4: ["n0"]}
-    part.observed({"volume": "a", "plan": "gold", "shard": 4, "units": 8}, 0.0)
-    part._allot("a", "n0", 1.0, 1.0)
-    facade.tick(0.0)
-    volume = facade._scheduler.volumes.get("a", "gold", 1, 4)
+    subsystem, scheduler_host = Fleet().subsystems["g0"], SchedulerHost(settings, 0.0)
+    subsystem.context.apply_plan = (
+        lambda plan, *more: bool(scheduler_host.change_plan(0.0, plan, *more)) or True
+    )
+    subsystem.shards, subsystem.nodes_of = {"n0": 4}, {4: ["n0"]}
+    subsystem.observed({"volume": "a", "plan": "gold", "shard": 4, "units": 8}, 0.0)
+    subsystem._allot("a", "n0", 1.0, 1.0)
+    scheduler_host.tick(0.0)
+    volume = scheduler_host._scheduler.volumes.get("a", "gold", 1, 4)
     assert volume.limit_wait(0.0, 8) == pytest.approx(8, rel=0.01)
     assert volume.limit_wait(8.1, 8) == 0
 
 
 @pytest.mark.parametrize("wrong", [{"nodes": {"n0": {}}}, {"tenants": {"a": {"weight": 0}}}, {"zone": {}}])
-def test_a_policy_that_can_not_hold_is_refused(wrong):
-    it = Fleet()
-    before = it.log.states["shares"]
-    refusal = it.push(wrong)
+def test_an_invalid_shares_section_is_refused(wrong):
+    simulated_fleet = Fleet()
+    before = simulated_fleet.log.states["shares"]
+    refusal = simulated_fleet.push(wrong)
     assert isinstance(refusal, Refusal) and "failed" not in refusal.what
-    assert it.log.states["shares"] == before
+    assert simulated_fleet.log.states["shares"] == before
 
 
 def test_a_push_names_the_place_of_what_is_wrong():
     policy = read_policy(b'{"drains": [], "shares": {"nodes": {"n0": {"capacity": "many"}}}}')
-    with pytest.raises(Exception, match="int") as told:
+    with pytest.raises(Exception, match="int") as result:
         check_sections(policy, ("shares",))
-    assert "shares.nodes" in str(told.value.where)
+    assert "shares.nodes" in str(result.value.where)
 
 
 @pytest.mark.parametrize(
@@ -238,10 +254,10 @@
         check({"policy": policy, "shares": {"on": True, **times}})
 
 
-def test_what_an_observer_raises_stays_off_the_call():
+def test_an_exception_of_an_observer_does_not_fail_the_request():
     gateway, seen = SimpleNamespace(observers=[], gates=[]), []
     context = GatewayContext("shares", "g0", NAMES, gateway, None, None, None, None)
     context.observe(lambda fields: seen.append(fields["volume"]))
     gateway.observers[0]({"volume": "a"})
-    gateway.observers[0]({})  # a KeyError: logged
+    gateway.observers[0]({})  # a KeyError, which is logged
     assert seen == ["a"]
--- a/tests/storage_gateway/coordination/shares/test_shares_trial.py
+++ b/tests/storage_gateway/coordination/shares/test_shares_trial.py
@@ -1,4 +1,4 @@
-"""Shares on real processes, and the trial's checker shown able to fail."""
+"""Shares on real processes, and invalid records that the trial's checker must reject."""
 
 from __future__ import annotations
 
--- a/tests/storage_gateway/coordination/test_coordination_service.py
+++ b/tests/storage_gateway/coordination/test_coordination_service.py
@@ -1,4 +1,4 @@
-"""The fleet's service and pages in this process: a fleet of one, a gateway that records what it is told."""
+"""The coordination service and its pages in this process: a fleet of one, with a recording gateway."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 SILVER, GOLD = Plan("silver", rate=5, price=0.5), Plan("gold", reserve=10, weight=2)
 
 
-class Recorder:
-    """A gateway that records."""
+class RecordingGateway:
+    """A gateway that records drains and plan changes."""
 
     def __init__(self) -> None:
         self.subsystems, self.gates, self.drained, self.plans = [], [], [], []
@@ -62,42 +62,42 @@
         return True
 
 
-class Part:
-    """A subsystem that records what it is told, and may be made to fail."""
+class RecordingSubsystem:
+    """A subsystem that records its events, and can be made to fail."""
 
     def __init__(self, context: GatewayContext, section: object) -> None:
         self.state_machine, self.context, self.section = Adder("shares"), context, section
-        self.told, self.proofs, self.fails = [], [], False
+        self.events, self.renewals, self.failing = [], [], False
 
-    def committed(self, told, now: float) -> None:
-        self.told.append(told)
-        assert not self.fails
+    def committed(self, committed, now: float) -> None:
+        self.events.append(committed)
+        assert not self.failing
 
     def lease_renewed(self, proposed_at: float, now: float) -> None:
         assert proposed_at <= now
-        self.proofs.append(proposed_at)
+        self.renewals.append(proposed_at)
 
     def tick(self, now: float) -> None:
-        assert not self.fails
+        assert not self.failing
 
     def describe(self) -> dict[str, object]:
-        return {"total": self.told[-1].state.total}
+        return {"total": self.events[-1].state.total}
 
     def gauges(self) -> dict[str, float]:
-        return {"total": float(self.told[-1].state.total), "odd-name": 1.0}
+        return {"total": float(self.events[-1].state.total), "odd-name": 1.0}
 
 
-class World:
-    """The service, its part and its pages."""
+class ServiceHarness:
+    """The service, its subsystem and its pages."""
 
     def __init__(self, folder, monkeypatch) -> None:
         module = ModuleType("mallowbeam.storage_gateway.coordination.shares.subsystem")
-        module.open_subsystem = Part
+        module.open_subsystem = RecordingSubsystem
         monkeypatch.setitem(sys.modules, module.__name__, module)
-        # whatever another test has loaded
+        # drops the types that other tests have registered
         monkeypatch.setattr("mallowbeam.storage_gateway.coordination.policy_document._TYPES", {})
         self.sock, port = hold_port(socket.SO_REUSEADDR)
-        self.gateway = Recorder()
+        self.gateway = RecordingGateway()
         section = PolicySection(
             folder=str(folder / "log"),
             name="g0",
@@ -107,192 +107,200 @@
             lease_s=20.0,
         )
         self.service = CoordinationService(self.gateway, section, {"shares": SharesSection(on=True)})
-        self.part: Part = self.service.subsystems["shares"]
+        self.subsystem: RecordingSubsystem = self.service.subsystems["shares"]
         self.pages = StatusPages(self.service)
 
-    async def until(self, holds: Callable[[], object]) -> None:
+    async def wait_until(self, condition: Callable[[], object]) -> None:
         async with asyncio.timeout(30):
-            while not holds():
+            while not condition():
                 await asyncio.sleep(0.01)
 
-    async def ask(self, method: str, target: str, body: bytes = b"", base: object = None):
+    async def request(self, method: str, target: str, body: bytes = b"", base: object = None):
         message = Message()
         message.method, message.target, message.body = method.encode(), target.encode(), bytearray(body)
         if base is not None:
             message.headers = [(b"if-match", f'"{base}"'.encode())]
-        reply = await self.pages.handle(message, lambda: False)
-        head, _, told = reply.data.partition(b"\r\n\r\n")
-        return reply.status, told if b"text/plain" in head else json.loads(told)
+        response = await self.pages.handle(message, lambda: False)
+        head, _, content = response.data.partition(b"\r\n\r\n")
+        return response.status, content if b"text/plain" in head else json.loads(content)
 
     async def push(self, base: int, policy: object):
-        return await self.ask("PUT", "/policy", json.dumps(policy).encode(), base)
+        return await self.request("PUT", "/policy", json.dumps(policy).encode(), base)
 
 
 @pytest.fixture
-def play(tmp_path, monkeypatch):
-    def played(scene: Callable[[World], Awaitable[None]]) -> None:
+def run_scenario(tmp_path, monkeypatch):
+    def run_with_service(scenario: Callable[[ServiceHarness], Awaitable[None]]) -> None:
         async def run() -> None:
-            world = World(tmp_path, monkeypatch)
-            world.service.start()
+            harness = ServiceHarness(tmp_path, monkeypatch)
+            harness.service.start()
             try:
-                await world.until(lambda: world.service.serves() and world.service.known_leader)
-                await scene(world)
+                await harness.wait_until(lambda: harness.service.serves() and harness.service.known_leader)
+                await scenario(harness)
             finally:
-                await world.service.stop()
-                world.service.disk.close()
-                world.sock.close()
+                await harness.service.stop()
+                harness.service.disk.close()
+                harness.sock.close()
 
         asyncio.run(run())
 
-    return played
-
-
-def test_a_subsystem_gets_states_renewals_and_entries_and_its_failures_stay_its_own(play):
-    async def scene(world: World) -> None:
-        part = world.part
-        assert part.told[0].entry is None and part.section == SharesSection(on=True)
-        await world.until(lambda: len(part.proofs) > 1)
-        assert part.context.leader() and part.context.members == ("g0",) and part.context.propose(Add(5))
-        await world.until(lambda: part.told[-1].entry == Add(5))
-        part.fails = True
-        assert part.context.propose(Fail())
-        proofs = len(part.proofs)
-        await world.until(lambda: part.told[-1].refusal and len(part.proofs) > proofs + 2)
-        assert world.service.counts["faults"] > 0 and world.service.counts["refused"] == 1
-        status, told = await world.ask("GET", "/fleet")
-        assert status == 200 and told["subsystems"] == {"shares": {"total": 5}}
-        status, text = await world.ask("GET", "/fleet/metrics")
+    return run_with_service
+
+
+def test_a_subsystem_gets_states_renewals_and_entries_and_its_failures_do_not_propagate(run_scenario):
+    async def scenario(harness: ServiceHarness) -> None:
+        subsystem = harness.subsystem
+        assert subsystem.events[0].entry is None and subsystem.section == SharesSection(on=True)
+        await harness.wait_until(lambda: len(subsystem.renewals) > 1)
+        assert (
+            subsystem.context.leader()
+            and subsystem.context.members == ("g0",)
+            and subsystem.context.propose(Add(5))
+        )
+        await harness.wait_until(lambda: subsystem.events[-1].entry == Add(5))
+        subsystem.failing = True
+        assert subsystem.context.propose(Fail())
+        renewals = len(subsystem.renewals)
+        await harness.wait_until(
+            lambda: subsystem.events[-1].refusal and len(subsystem.renewals) > renewals + 2
+        )
+        assert harness.service.counts["faults"] > 0 and harness.service.counts["refused"] == 1
+        status, content = await harness.request("GET", "/fleet")
+        assert status == 200 and content["subsystems"] == {"shares": {"total": 5}}
+        status, text = await harness.request("GET", "/fleet/metrics")
         assert b"mallowbeam_fleet_shares_total 5.0\n" in text and b"fleet_shares_odd_name 1.0\n" in text
         assert b"mallowbeam_fleet_policy_serves 1.0\n" in text and b"process_" not in text
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_what_is_proposed_without_a_leader_is_dropped_at_once(play):
-    async def scene(world: World) -> None:
-        world.service.known_leader = None
-        assert not world.part.context.propose(Add(1)) and world.service.counts["dropped"] == 1
-        await world.service.stop()
-        assert not world.part.context.propose(Add(1)) and world.service.counts["dropped"] == 2
-        assert (await world.push(0, {}))[1]["error"] == "NoLeader"
+def test_what_is_proposed_without_a_leader_is_dropped_at_once(run_scenario):
+    async def scenario(harness: ServiceHarness) -> None:
+        harness.service.known_leader = None
+        assert not harness.subsystem.context.propose(Add(1)) and harness.service.counts["dropped"] == 1
+        await harness.service.stop()
+        assert not harness.subsystem.context.propose(Add(1)) and harness.service.counts["dropped"] == 2
+        assert (await harness.push(0, {}))[1]["error"] == "NoLeader"
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_plans_of_a_policy_take_hold_and_go_with_it(play):
-    async def scene(world: World) -> None:
-        plans = world.gateway.plans
-        assert (await world.push(0, {"plans": [{"name": "silver", "limit": 9, "weight": 3}]}))[0] == 200
+def test_plans_of_a_policy_apply_and_are_reset_when_it_no_longer_names_them(run_scenario):
+    async def scenario(harness: ServiceHarness) -> None:
+        plans = harness.gateway.plans
+        assert (await harness.push(0, {"plans": [{"name": "silver", "limit": 9, "weight": 3}]}))[0] == 200
         assert plans == [Plan("silver", rate=5, price=0.5, limit=9, weight=3)]
-        assert (await world.push(1, {"plans": [{"name": "gold", "reserve": 0}]}))[0] == 200
+        assert (await harness.push(1, {"plans": [{"name": "gold", "reserve": 0}]}))[0] == 200
         assert plans[1:] == [Plan("gold", reserve=0, weight=2), SILVER]
-        assert (await world.push(2, {}))[0] == 200
+        assert (await harness.push(2, {}))[0] == 200
         assert plans[3:] == [GOLD]
         both = {"drains": ["n1"], "plans": [{"name": "gold", "limit": 13}, {"name": "silver", "limit": 1}]}
-        assert (await world.push(3, both))[0] == 200
-        assert [plan.name for plan in plans[4:]] == ["silver"] and world.gateway.drained == [("n1", True)]
+        assert (await harness.push(3, both))[0] == 200
+        assert [plan.name for plan in plans[4:]] == ["silver"] and harness.gateway.drained == [("n1", True)]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_node_that_two_want_out_is_in_again_when_neither_does(play):
-    async def scene(world: World) -> None:
-        context, told = world.part.context, world.gateway.drained
+def test_a_node_drained_by_two_requesters_returns_when_both_have_stopped(run_scenario):
+    async def scenario(harness: ServiceHarness) -> None:
+        context, drained = harness.subsystem.context, harness.gateway.drained
         context.drain("n1", True)
-        await world.push(0, {"drains": ["n1", "n2"]})
+        await harness.push(0, {"drains": ["n1", "n2"]})
         context.drain("n1", False)
-        assert told == [("n1", True), ("n2", True)]
-        await world.push(1, {})
-        assert sorted(told[2:]) == [("n1", False), ("n2", False)]
+        assert drained == [("n1", True), ("n2", True)]
+        await harness.push(1, {})
+        assert sorted(drained[2:]) == [("n1", False), ("n2", False)]
         context.gate(False)
-        assert not all(gate() for gate in world.gateway.gates)
+        assert not all(gate() for gate in harness.gateway.gates)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_every_refusal_is_json_with_what_where_and_remedy(play):
-    async def scene(world: World) -> None:
-        await world.until(lambda: world.part.context.propose(Add(50)))
-        await world.until(lambda: world.part.told[-1].entry == Add(50))
-        swells = json.dumps({"drains": ["é" * 200 + str(i) for i in range(60)]}, ensure_ascii=False).encode()
+def test_every_refusal_is_json_with_what_where_and_remedy(run_scenario):
+    async def scenario(harness: ServiceHarness) -> None:
+        await harness.wait_until(lambda: harness.subsystem.context.propose(Add(50)))
+        await harness.wait_until(lambda: harness.subsystem.events[-1].entry == Add(50))
+        grows_when_escaped = json.dumps(
+            {"drains": ["é" * 200 + str(i) for i in range(60)]}, ensure_ascii=False
+        ).encode()
         calls = [
-            (await world.ask("GET", "/nothing"), 404, "NoSuchPage", "/nothing"),
-            (await world.ask("DELETE", "/policy"), 405, "NotByThisMethod", "/policy"),
-            (await world.ask("PUT", "/policy", b"{}"), 428, "NoBase", "If-Match"),
-            (await world.push(0, {"drains": [1]}), 400, "BadPolicy", "drains[0]"),
-            (await world.ask("PUT", "/policy", b"\xff", 0), 400, "BadPolicy", ""),
-            (await world.ask("PUT", "/policy", swells, 0), 400, "BadPolicy", ""),
-            (await world.push(0, {"pools": {}}), 400, "BadPolicy", "pools"),
-            (await world.push(0, {"plans": [{"name": "tin"}]}), 400, "BadPolicy", "plans"),
-            (await world.push(0, {"shares": {"most": 40}}), 409, "PolicyRefused", "shares.most"),
-            (await world.push(3, {}), 412, "Overtaken", "version 3"),
+            (await harness.request("GET", "/nothing"), 404, "NoSuchPage", "/nothing"),
+            (await harness.request("DELETE", "/policy"), 405, "NotByThisMethod", "/policy"),
+            (await harness.request("PUT", "/policy", b"{}"), 428, "NoBase", "If-Match"),
+            (await harness.push(0, {"drains": [1]}), 400, "BadPolicy", "drains[0]"),
+            (await harness.request("PUT", "/policy", b"\xff", 0), 400, "BadPolicy", ""),
+            (await harness.request("PUT", "/policy", grows_when_escaped, 0), 400, "BadPolicy", ""),
+            (await harness.push(0, {"pools": {}}), 400, "BadPolicy", "pools"),
+            (await harness.push(0, {"plans": [{"name": "tin"}]}), 400, "BadPolicy", "plans"),
+            (await harness.push(0, {"shares": {"most": 40}}), 409, "PolicyRefused", "shares.most"),
+            (await harness.push(3, {}), 412, "Overtaken", "version 3"),
         ]
-        for (status, told), wanted, name, where in calls:
-            assert (status, told["error"], told["where"]) == (wanted, name, where), told
-            assert told["what"] and told["remedy"]
-        assert (await world.ask("GET", "/policy"))[1]["version"] == 0
-        told = json.loads(world.pages.error_response(413, "too long").data.partition(b"\r\n\r\n")[2])
-        assert told["error"] == "Unreadable" and told["remedy"]
+        for (status, content), wanted, name, where in calls:
+            assert (status, content["error"], content["where"]) == (wanted, name, where), content
+            assert content["what"] and content["remedy"]
+        assert (await harness.request("GET", "/policy"))[1]["version"] == 0
+        content = json.loads(harness.pages.error_response(413, "too long").data.partition(b"\r\n\r\n")[2])
+        assert content["error"] == "Unreadable" and content["remedy"]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_push_may_come_in_pieces(play):
-    """Guards pushes by any client: httpx sends head and body apart."""
+def test_a_push_may_come_in_pieces(run_scenario):
+    """Guards pushes by any client: httpx sends head and body separately."""
 
-    async def scene(world: World) -> None:
+    async def scenario(harness: ServiceHarness) -> None:
         sock, port = hold_port()
-        server = Server(read_address(f"127.0.0.1:{port}"), world.pages, 8, name="policy")
+        server = Server(read_address(f"127.0.0.1:{port}"), harness.pages, 8, name="policy")
         server.start()
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         head = (
             b'PUT /policy HTTP/1.1\r\nhost: x\r\nif-match: "0"\r\n'
             b"content-length: 2\r\nconnection: close\r\n\r\n"
         )
-        for piece in (head, b"{", b"}"):
-            writer.write(piece)
-            await asyncio.sleep(0.05)  # so that it goes out; nothing hangs on how long
+        for segment in (head, b"{", b"}"):
+            writer.write(segment)
+            await asyncio.sleep(0.05)  # so that it is a segment of its own; the time does not matter
         assert (await reader.read()).endswith(b'{"version":1}')
         writer.close()
         await server.drain()
         sock.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_member_with_other_subsystems_blocks_pushes_while_its_heartbeats_are_committed(play):
-    async def scene(world: World) -> None:
-        world.service.section.members["g1"] = "127.0.0.1:2"
-        world.service._handle((SubsystemsHosted("g1", ()),))
-        world.service.raft.state.last_heartbeat_at["g1"] = float("inf")
-        status, told = await world.push(0, {})
-        assert (status, told["error"]) == (409, "NotAlike") and "g1" in told["what"]
-        del world.service.raft.state.last_heartbeat_at["g1"]
-        assert (await world.push(0, {}))[0] == 200
+def test_a_member_with_other_subsystems_blocks_pushes_while_its_heartbeats_are_committed(run_scenario):
+    async def scenario(harness: ServiceHarness) -> None:
+        harness.service.section.members["g1"] = "127.0.0.1:2"
+        harness.service._handle((SubsystemsHosted("g1", ()),))
+        harness.service.raft.state.last_heartbeat_at["g1"] = float("inf")
+        status, content = await harness.push(0, {})
+        assert (status, content["error"]) == (409, "NotAlike") and "g1" in content["what"]
+        del harness.service.raft.state.last_heartbeat_at["g1"]
+        assert (await harness.push(0, {}))[0] == 200
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
-    "heard",
+    "event",
     [ReplicaFailed(LogUnusableError("newer", "snapshot")), PolicyVersion(0, '{"drains":["n9"]}')],
 )
-def test_a_failed_replica_leaves_the_fleet_and_reports_why(play, heard):
-    async def scene(world: World) -> None:
-        world.service._handle((heard,))
-        await world.until(lambda: world.service.leave_task.done())
-        assert world.service.raft is None
-        assert (await world.ask("GET", "/policy"))[1]["failed"]["error"] == "LogUnusable"
-        assert (await world.push(0, {}))[1]["error"] == "LogUnusable" and world.gateway.drained == []
-        proofs = len(world.part.proofs)
-        world.service._handle((PolicyVersion(1, '{"drains":["n1"]}'),))
-        assert world.gateway.drained == [] and len(world.part.proofs) == proofs
+def test_a_failed_replica_leaves_the_fleet_and_reports_why(run_scenario, event):
+    async def scenario(harness: ServiceHarness) -> None:
+        harness.service._handle((event,))
+        await harness.wait_until(lambda: harness.service.leave_task.done())
+        assert harness.service.raft is None
+        assert (await harness.request("GET", "/policy"))[1]["failed"]["error"] == "LogUnusable"
+        assert (await harness.push(0, {}))[1]["error"] == "LogUnusable" and harness.gateway.drained == []
+        renewals = len(harness.subsystem.renewals)
+        harness.service._handle((PolicyVersion(1, '{"drains":["n1"]}'),))
+        assert harness.gateway.drained == [] and len(harness.subsystem.renewals) == renewals
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
-    ("answer", "code", "said"),
+    ("answer", "exit_code", "expected"),
     [
         ((200, {"version": 3}), 0, "version 3 is committed"),
         (
@@ -304,20 +312,20 @@
         ((0, {"what": "no answer"}), 3, "no answer"),
     ],
 )
-def test_the_command_line_says_what_where_and_what_to_do(monkeypatch, tmp_path, answer, code, said):
-    async def told(address: str, method: str, *_: object):
+def test_the_command_line_says_what_where_and_what_to_do(monkeypatch, tmp_path, answer, exit_code, expected):
+    async def respond(address: str, method: str, *_: object):
         return (200, {"serves": True, "version": 2}) if method == "GET" else answer
 
-    monkeypatch.setattr("mallowbeam.cli.policy._ask", told)
+    monkeypatch.setattr("mallowbeam.cli.policy._ask", respond)
     (tmp_path / "p.json").write_text("{}")
     done = CliRunner().invoke(app, ["push", str(tmp_path / "p.json"), "--at", "h:1"])
-    assert done.exit_code == code and said in done.output
+    assert done.exit_code == exit_code and expected in done.output
 
 
-# --- the text, the errors -------------------------------------------------------------------------
+# --- policy texts and errors ----------------------------------------------------------------------
 
 
-def test_equal_policies_have_one_spelling():
+def test_equal_policies_have_one_canonical_form():
     one = read_policy(
         '{"plans": [{"name": "b", "limit": 1}, {"name": "a"}], "drains": ["y", "x", "x"],'
         ' "shares": {"b": 1, "a": {"d": 1, "c": 2}}}'
@@ -327,11 +335,11 @@
         ' "plans": [{"name": "a"}, {"limit": 1.0, "name": "b"}]}'
     )
     assert canonical(one) == canonical(two) and read_policy(canonical(one)) == read_policy(canonical(two))
-    assert canonical(read_policy("{}")) == '{"drains":[]}', "as ever"
+    assert canonical(read_policy("{}")) == '{"drains":[]}', "the form of earlier versions"
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
         ('{"plans": [{"name": "a"}, {"name": "a"}]}', "twice"),
         ('{"plans": [{"name": "a", "weight": 0}]}', "weight"),
@@ -341,10 +349,10 @@
     ],
     ids=["twice", "weightless", "deep", "deeper than a stack", "long"],
 )
-def test_a_policy_that_can_not_be_is_refused_with_a_remedy(text, said):
+def test_an_invalid_policy_is_rejected_with_a_remedy(text, expected):
     with pytest.raises(InvalidPolicyError) as caught:
         read_policy(text)
-    assert said in str(caught.value) and caught.value.cure
+    assert expected in str(caught.value) and caught.value.cure
 
 
 def test_a_section_is_checked_against_the_type_that_its_package_states(monkeypatch):
@@ -367,6 +375,6 @@
     ]
     assert NoLeaderError in kinds
     for kind in kinds:
-        told = kind("what", "where").told()
-        assert told == {"error": kind.error_name, "what": "what", "where": "where", "remedy": kind.remedy}
+        content = kind("what", "where").told()
+        assert content == {"error": kind.error_name, "what": "what", "where": "where", "remedy": kind.remedy}
         assert kind.remedy and 400 <= kind.status < 600
--- a/tests/storage_gateway/coordination/test_policy.py
+++ b/tests/storage_gateway/coordination/test_policy.py
@@ -1,4 +1,4 @@
-"""The fleet's policy: the core against a model log, the checkers on wrong histories, whole processes."""
+"""The fleet's policy: the core against a model log, the checkers on invalid histories, real processes."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def test_nothing_is_served_or_applied_until_a_heartbeat_is_committed():
-    """Guards a restart: what the log told so far may be old, and a newer change may be on its way."""
+    """Guards a restart: the entries replayed so far may be old, and a newer change may follow."""
     policy = core()
     assert policy.tick(10.0) == [ProposeHeartbeat(1)] and not policy.serves(10.0)
     assert policy.committed(PolicyVersion(1, ONE)) == [] and policy.committed(PolicyVersion(2, TWO)) == []
@@ -50,7 +50,7 @@
 
 
 def test_the_lease_runs_from_the_proposal_of_the_heartbeat():
-    """Guards against a late answer: that the log spoke at 10.9 proves what it held at 10.0 and no more."""
+    """Guards against a late commit: one seen at 10.9 proves only the log's content as of 10.0."""
     policy = core()
     policy.tick(10.0)
     policy.heartbeat_committed(1, 10.9)
@@ -68,7 +68,7 @@
 
 
 def test_a_stopped_process_does_not_serve_before_its_first_tick():
-    """Guards against SIGSTOP: its phase says current until a tick, and what came meanwhile is read first."""
+    """Guards against SIGSTOP: the phase stays current until a tick, and pending requests are read first."""
     policy = core()
     policy.tick(10.0)
     policy.heartbeat_committed(1, 10.05)
@@ -76,15 +76,15 @@
     assert PhaseChanged(Phase.STALE) in policy.tick(60.0) and policy.in_force == PolicyVersion()
 
 
-@pytest.mark.parametrize("refuses", [True, False])
-def test_a_stale_gateway_keeps_the_last_policy_and_serves_only_if_configured_to(refuses):
-    policy = core(rejects_when_stale=refuses)
+@pytest.mark.parametrize("rejects", [True, False])
+def test_a_stale_gateway_keeps_the_last_policy_and_serves_only_if_configured_to(rejects):
+    policy = core(rejects_when_stale=rejects)
     policy.tick(10.0)
     policy.committed(PolicyVersion(1, ONE))
     policy.heartbeat_committed(1, 10.0)
     policy.tick(20.0)
     assert policy.phase is Phase.STALE and policy.in_force == PolicyVersion(1, ONE)
-    assert policy.serves(20.0) is not refuses
+    assert policy.serves(20.0) is not rejects
 
 
 def test_heartbeats_of_another_incarnation_and_older_ones_renew_nothing():
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("change", [PolicyVersion(1, ONE), PolicyVersion(2, ONE)])
-def test_a_log_that_goes_back_or_names_two_policies_alike_is_refused(change):
+def test_a_log_with_decreasing_or_conflicting_versions_is_rejected(change):
     policy = core()
     policy.tick(0.0)
     policy.heartbeat_committed(1, 0.0)
@@ -116,41 +116,46 @@
     assert policy.in_force == PolicyVersion(2, TWO)
 
 
-class Model:
-    """One log, and gateways that hear of it late, in order, or from the start after a restart."""
+class LogModel:
+    """One log, and gateways that read it late, in order, and from the start after a restart."""
 
-    def __init__(self, seed: int, make: Callable[..., PolicyCore], size: int = 4) -> None:
-        self.draw, self.make, self.now = random.Random(seed), make, 0.0
-        self.log: list[tuple[str, int, int]] = []  # a change, or a gateway's mark by life and number
-        self.cores = [make(lease=1.0, heartbeat_interval=0.2) for _ in range(size)]
-        self.heard, self.lives = [0] * size, [0] * size
+    def __init__(self, seed: int, make_core: Callable[..., PolicyCore], size: int = 4) -> None:
+        self.random_source, self.make_core, self.now = random.Random(seed), make_core, 0.0
+        # A change, or a gateway's heartbeat by incarnation and number.
+        self.log: list[tuple[str, int, int]] = []
+        self.cores = [make_core(lease=1.0, heartbeat_interval=0.2) for _ in range(size)]
+        self.positions, self.incarnations = [0] * size, [0] * size
         self.history, self.version = History(), 0
 
     def step(self) -> None:
-        self.now += self.draw.random() * 0.15
-        n = self.draw.randrange(len(self.cores))
-        what = self.draw.choices(("tick", "hear", "push", "restart", "sleep"), (8, 8, 1, 0.3, 0.2))[0]
-        if what == "tick":
+        self.now += self.random_source.random() * 0.15
+        n = self.random_source.randrange(len(self.cores))
+        event = self.random_source.choices(("tick", "hear", "push", "restart", "sleep"), (8, 8, 1, 0.3, 0.2))[
+            0
+        ]
+        if event == "tick":
             for action in self.cores[n].tick(self.now):
                 if (
-                    isinstance(action, ProposeHeartbeat) and self.draw.random() < 0.8
-                ):  # else there was no leader
-                    self.log.append((f"{n} {self.lives[n]}", action.number, 0))
-        elif what == "hear":
-            for whose, number, version in self.log[self.heard[n] : self.heard[n] + self.draw.randint(1, 30)]:
-                self.heard[n] += 1
-                if not whose:
+                    isinstance(action, ProposeHeartbeat) and self.random_source.random() < 0.8
+                ):  # otherwise there was no leader
+                    self.log.append((f"{n} {self.incarnations[n]}", action.number, 0))
+        elif event == "hear":
+            for proposer, number, version in self.log[
+                self.positions[n] : self.positions[n] + self.random_source.randint(1, 30)
+            ]:
+                self.positions[n] += 1
+                if not proposer:
                     self.cores[n].committed(PolicyVersion(version, f'{{"drains":["n{version}"]}}'))
-                elif whose == f"{n} {self.lives[n]}":
+                elif proposer == f"{n} {self.incarnations[n]}":
                     self.cores[n].heartbeat_committed(number, self.now)
-        elif what == "push":
+        elif event == "push":
             self.version += 1
             self.log.append(("", 0, self.version))
             body = f'{{"drains":["n{self.version}"]}}'
             self.history.add(Pushed(self.now, self.now, "g", self.version - 1, body, self.version, ""))
-        elif what == "restart":
-            self.cores[n], self.heard[n] = self.make(lease=1.0, heartbeat_interval=0.2), 0
-            self.lives[n] += 1
+        elif event == "restart":
+            self.cores[n], self.positions[n] = self.make_core(lease=1.0, heartbeat_interval=0.2), 0
+            self.incarnations[n] += 1
         else:
             self.now += 2.0
         for i, policy in enumerate(self.cores):
@@ -166,34 +171,34 @@
                 )
             )
 
-    def wrong(self) -> list[str]:
+    def violations(self) -> list[str]:
         return [line for line in check(self.history, set(), 1.0) if "at the end" not in line]
 
 
 @given(st.integers(0, 10_000))
 def test_the_core_keeps_to_the_log_whatever_the_order_of_events(seed):
-    model = Model(seed, PolicyCore)
+    model = LogModel(seed, PolicyCore)
     for _ in range(300):
         model.step()
-    assert model.wrong() == []
+    assert model.violations() == []
 
 
-class NeverStale(PolicyCore):
-    """Broken on purpose: it serves without end once it has learned."""
+class IgnoresLease(PolicyCore):
+    """Broken variant: serves forever once it has learned a policy."""
 
     def serves(self, now: float) -> bool:
         return self.phase is not Phase.LEARNING
 
 
-class Hasty(PolicyCore):
-    """Broken on purpose: it serves from its start, under whatever the log has told so far."""
+class ServesAtStart(PolicyCore):
+    """Broken variant: serves from its start, under the entries replayed so far."""
 
     def serves(self, now: float) -> bool:
         return True
 
 
-class FromWhenHeard(PolicyCore):
-    """Broken on purpose: its lease runs from when a mark came back."""
+class LeaseFromCommit(PolicyCore):
+    """Broken variant: its lease runs from when a heartbeat was committed."""
 
     def heartbeat_committed(self, number: int, now: float) -> list:
         if number in self.pending_heartbeats:
@@ -201,14 +206,14 @@
         return super().heartbeat_committed(number, now)
 
 
-@pytest.mark.parametrize("broken", [NeverStale, Hasty, FromWhenHeard])
+@pytest.mark.parametrize("broken", [IgnoresLease, ServesAtStart, LeaseFromCommit])
 def test_the_checkers_catch_a_broken_core(broken):
     found = []
     for seed in range(40):
-        model = Model(seed, broken)
+        model = LogModel(seed, broken)
         for _ in range(300):
             model.step()
-        found += model.wrong()
+        found += model.violations()
     assert found
 
 
@@ -219,57 +224,59 @@
     return Seen(at, at, name, "current", serves, version, body)
 
 
-TOLD = Pushed(1.0, 0.9, "a", 0, ONE, 1, "")
+PUSHED = Pushed(1.0, 0.9, "a", 0, ONE, 1, "")
 
 
 @pytest.mark.parametrize(
-    ("events", "said"),
+    ("events", "expected"),
     [
-        ([TOLD, seen(1.1, "a", 1, ONE), seen(1.1, "b", 1, ONE)], None),
+        ([PUSHED, seen(1.1, "a", 1, ONE), seen(1.1, "b", 1, ONE)], None),
         (
             [
                 Pushed(1.0, 0.9, "a", 0, TWO, 0, "no leader"),
-                TOLD,
+                PUSHED,
                 seen(1.1, "a", 1, TWO),
                 seen(1.2, "b", 1, TWO),
             ],
             "a policy that was refused",
         ),
-        ([TOLD, seen(1.1, "a", 2, TWO), seen(1.1, "b", 1, ONE)], "nobody pushed"),
-        ([TOLD, Pushed(1.2, 1.1, "b", 0, TWO, 1, ""), seen(1.3, "a", 1, ONE)], "told to two pushes"),
+        ([PUSHED, seen(1.1, "a", 2, TWO), seen(1.1, "b", 1, ONE)], "nobody pushed"),
+        ([PUSHED, Pushed(1.2, 1.1, "b", 0, TWO, 1, ""), seen(1.3, "a", 1, ONE)], "told to two pushes"),
         (
-            [TOLD, Pushed(1.2, 1.1, "b", 1, TWO, 0, "unknown"), seen(1.3, "a", 1, TWO)],
+            [PUSHED, Pushed(1.2, 1.1, "b", 1, TWO, 0, "unknown"), seen(1.3, "a", 1, TWO)],
             "another policy as version 1",
         ),
-        ([TOLD, seen(1.1, "a", 1, ONE), seen(1.2, "a", 0, "{}")], "serves version 0 after 1"),
-        ([TOLD, seen(9.0, "a", 0, "{}")], "told over"),
-        ([TOLD, seen(1.1, "a", 1, ONE), seen(1.1, "b", 0, "{}")], "at the end there are versions"),
-        ([TOLD, seen(1.1, "a", 1, ONE), seen(1.1, "b", 1, ONE, False)], "does not serve at the end"),
-        ([TOLD, seen(1.1, "a", 1, ONE)], "b was never seen"),
+        ([PUSHED, seen(1.1, "a", 1, ONE), seen(1.2, "a", 0, "{}")], "serves version 0 after 1"),
+        ([PUSHED, seen(9.0, "a", 0, "{}")], "told over"),
+        ([PUSHED, seen(1.1, "a", 1, ONE), seen(1.1, "b", 0, "{}")], "at the end there are versions"),
+        ([PUSHED, seen(1.1, "a", 1, ONE), seen(1.1, "b", 1, ONE, False)], "does not serve at the end"),
+        ([PUSHED, seen(1.1, "a", 1, ONE)], "b was never seen"),
     ],
 )
-def test_the_checkers_name_what_is_wrong(events, said):
-    wrong = check(History([*events, Fault(9.9, "heal", ())]), {"a", "b"}, LEASE)
-    assert (wrong == []) if said is None else any(said in line for line in wrong), wrong
+def test_the_checkers_name_what_is_wrong(events, expected):
+    violations = check(History([*events, Fault(9.9, "heal", ())]), {"a", "b"}, LEASE)
+    assert (
+        (violations == []) if expected is None else any(expected in line for line in violations)
+    ), violations
 
 
-def test_a_log_in_use_or_out_of_reach_is_refused_at_the_start(tmp_path):
-    """Guards the journal: two processes that write one would each undo what the other has promised."""
-    held = lock_folder(tmp_path / "log")
+def test_a_folder_that_is_locked_or_can_not_be_created_is_rejected_at_the_start(tmp_path):
+    """Guards the journal: two processes that write one would each undo entries the other acknowledged."""
+    locked_disk = lock_folder(tmp_path / "log")
     with pytest.raises(GatewayConfigError, match="in use by another process"):
         lock_folder(tmp_path / "log")
-    held.close()
+    locked_disk.close()
     lock_folder(tmp_path / "log").close()
     (tmp_path / "file").write_text("")
     with pytest.raises(GatewayConfigError, match="policy.folder"):
         lock_folder(tmp_path / "file" / "log")
 
 
-# --- whole processes ------------------------------------------------------------------------------
+# --- real processes -------------------------------------------------------------------------------
 
 
-def played(folder: Path, trial: Callable[[Fleet], Awaitable[None]], **changes) -> list[str]:
-    """A trial on five gateways; what the checkers say of it."""
+def run_trial(folder: Path, trial: Callable[[Fleet], Awaitable[None]], **changes) -> list[str]:
+    """Run a trial on five gateways; returns the violations that the checkers find."""
 
     async def play() -> list[str]:
         async with Fleet(folder, **changes) as fleet:
@@ -291,9 +298,9 @@
         assert second > first
         fleet.heal()
         back = await fleet.until(lambda seen: seen.get("g0") is not None and seen["g0"].serves)
-        assert back["g0"].version == second, "it served nothing before it had learned"
+        assert back["g0"].version == second, "it must not serve before it has learned the newest version"
 
-    assert played(tmp_path, trial) == []
+    assert run_trial(tmp_path, trial) == []
 
 
 def test_the_leader_is_killed_in_the_middle_of_a_change(tmp_path):
@@ -310,10 +317,10 @@
             fleet.heal()
         assert len(list(fleet.history.pushed())) == 3
 
-    assert played(tmp_path, trial) == []
+    assert run_trial(tmp_path, trial) == []
 
 
-def test_one_cut_off_during_a_change_refuses_and_learns_when_healed(tmp_path):
+def test_a_partitioned_gateway_rejects_requests_and_catches_up_after_the_heal(tmp_path):
     async def trial(fleet: Fleet) -> None:
         fleet.part(["g4"])
         assert (await fleet.push("g4", 0, ["n1"])).version == 0, "a minority commits nothing"
@@ -321,7 +328,7 @@
         cut = await fleet.until(lambda seen: "g4" in seen and not seen["g4"].serves)
         assert cut["g4"].phase == "stale" and cut["g4"].version == 0, "the last committed one stays in force"
 
-    assert played(tmp_path, trial) == []
+    assert run_trial(tmp_path, trial) == []
 
 
 def test_a_gateway_stopped_through_a_change_serves_under_it_or_not_at_all(tmp_path):
@@ -334,11 +341,11 @@
         for _ in range(20):
             await fleet.look("g3")
 
-    assert played(tmp_path, trial) == []
+    assert run_trial(tmp_path, trial) == []
 
 
 def test_the_checkers_catch_gateways_that_serve_on_when_cut_off(tmp_path):
-    """A checker that can't fail proves nothing: `when_stale` at `serve` gives up just what it looks for."""
+    """Shows that the checker can fail: with `when_stale` at `serve` a cut-off gateway goes on serving."""
 
     async def trial(fleet: Fleet) -> None:
         fleet.part(["g4"])
@@ -346,4 +353,4 @@
         end = fleet.now() + LEASE + 0.2
         await fleet.until(lambda seen: fleet.now() > end)
 
-    assert any("g4 serves version 0" in line for line in played(tmp_path, trial, when_stale="serve"))
+    assert any("g4 serves version 0" in line for line in run_trial(tmp_path, trial, when_stale="serve"))
--- a/tests/storage_gateway/coordination/test_raft_node.py
+++ b/tests/storage_gateway/coordination/test_raft_node.py
@@ -1,4 +1,4 @@
-"""Two topics over one real Raft of three members in this process."""
+"""Two state machines over one real Raft group of three members in this process."""
 
 from __future__ import annotations
 
@@ -15,64 +15,67 @@
 @pytest.fixture
 def fleet(tmp_path):
     members = Members(tmp_path)
-    members.lease_renewed()
+    members.commit_heartbeats()
     yield members
     members.close()
 
 
 def test_every_member_gets_the_same_entries_and_refusals_in_the_same_order(fleet):
-    for name in fleet.up:
-        fleet.put(name, "shares", Add(2))
-        fleet.put(name, "pools", Add(40))  # the third is beyond 100
-        fleet.put(name, "pools", Fail())
-    fleet.lease_renewed()
-    told = [told.entries for told in fleet.told.values()]
-    assert told[0] == told[1] == told[2] and len(told[0]) == 9
-    assert sum(committed.refusal is not None for committed in told[0]) == 4
-    assert fleet.told["g0"].states() == {"shares": Sum(6, "g2"), "pools": Sum(80, "g1")}
+    for name in fleet.running:
+        fleet.propose_entry(name, "shares", Add(2))
+        fleet.propose_entry(name, "pools", Add(40))  # the third would exceed 100
+        fleet.propose_entry(name, "pools", Fail())
+    fleet.commit_heartbeats()
+    recorded = [recorded.entries for recorded in fleet.recorded.values()]
+    assert recorded[0] == recorded[1] == recorded[2] and len(recorded[0]) == 9
+    assert sum(committed.refusal is not None for committed in recorded[0]) == 4
+    assert fleet.recorded["g0"].states() == {"shares": Sum(6, "g2"), "pools": Sum(80, "g1")}
 
 
 def test_a_push_refused_by_one_state_machine_is_in_force_nowhere_and_reports_why(fleet):
-    fleet.put("g0", "pools", Add(50))
+    fleet.propose_entry("g0", "pools", Add(50))
     refused = fleet.push("g1", 0, POLICY)
     assert isinstance(refused, PolicyRejectedError) and refused.where == "pools.most" and "50" in refused.cure
     assert fleet.push("g1", 0, POLICY.replace("40", "50")) == 1
     assert isinstance(fleet.push("g2", 0, POLICY), VersionConflictError)
-    fleet.lease_renewed()
-    for told in fleet.told.values():
-        assert [change.version for change in told.of(PolicyVersion)] == [0, 1]
-        assert told.states() == {"shares": Sum(0, "", 7), "pools": Sum(50, "g0", 50)}
+    fleet.commit_heartbeats()
+    for recorded in fleet.recorded.values():
+        assert [change.version for change in recorded.of(PolicyVersion)] == [0, 1]
+        assert recorded.states() == {"shares": Sum(0, "", 7), "pools": Sum(50, "g0", 50)}
 
 
 def test_states_are_loaded_from_a_snapshot_after_a_restart_and_after_the_loss_of_the_folder(fleet):
-    fleet.put("g0", "shares", Add(5))
+    fleet.propose_entry("g0", "shares", Add(5))
     assert fleet.push("g0", 0, POLICY) == 1
-    fleet.lease_renewed()
-    for name, node in fleet.up.items():
+    fleet.commit_heartbeats()
+    for name, node in fleet.running.items():
         node.engine.forceLogCompaction()
-        fleet.until(lambda name=name: (fleet.folder / name / "snapshot").exists())
+        fleet.wait_until(lambda name=name: (fleet.folder / name / "snapshot").exists())
     fleet.stop("g1")
-    fleet.put("g0", "shares", Add(1))
+    fleet.propose_entry("g0", "shares", Add(1))
     fleet.start("g1")
-    fleet.lease_renewed("g0", "g1")  # else g2 would take along the only other copy of what is new
+    fleet.commit_heartbeats("g0", "g1")  # otherwise g2 could take the only other copy of the new entry along
     fleet.stop("g2")
     shutil.rmtree(fleet.folder / "g2")
     fleet.start("g2")
-    fleet.lease_renewed()
-    for told in fleet.told.values():
-        assert told.states() == {"shares": Sum(6, "g0", 7), "pools": Sum(0, "", 40)}
-        assert not told.of(ReplicaFailed)
+    fleet.commit_heartbeats()
+    for recorded in fleet.recorded.values():
+        assert recorded.states() == {"shares": Sum(6, "g0", 7), "pools": Sum(0, "", 40)}
+        assert not recorded.of(ReplicaFailed)
     for name in ("g1", "g2"):
-        told = fleet.told[name]
-        assert [committed.entry for committed in told.entries] in ([Add(1)], []), "the rest came whole"
-        assert told.of(PolicyVersion)[-1] == PolicyVersion(1, POLICY)
+        recorded = fleet.recorded[name]
+        assert [committed.entry for committed in recorded.entries] in (
+            [Add(1)],
+            [],
+        ), "the other entries came in a snapshot"
+        assert recorded.of(PolicyVersion)[-1] == PolicyVersion(1, POLICY)
 
 
 def test_a_member_with_other_state_machines_is_known_and_leaves_at_a_push_it_can_not_judge(fleet):
     fleet.stop("g2")
     fleet.start("g2", "shares")
-    fleet.lease_renewed()
-    fleet.until(lambda: SubsystemsHosted("g2", ("shares",)) in fleet.told["g0"].heard)
+    fleet.commit_heartbeats()
+    fleet.wait_until(lambda: SubsystemsHosted("g2", ("shares",)) in fleet.recorded["g0"].events)
     assert fleet.push("g0", 0, POLICY) == 1
-    fleet.until(lambda: fleet.told["g2"].of(ReplicaFailed))
-    assert fleet.told["g2"].of(PolicyVersion)[-1].version == 0
+    fleet.wait_until(lambda: fleet.recorded["g2"].of(ReplicaFailed))
+    assert fleet.recorded["g2"].of(PolicyVersion)[-1].version == 0
--- a/tests/support/raft_members.py
+++ b/tests/support/raft_members.py
@@ -1,4 +1,4 @@
-"""Two small topics for tests of the fleet's log, and members of it in this process."""
+"""Two small state machines for tests of the fleet's log, and members of it in this process."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class Add(Entry, frozen=True, tag="add"):
-    """So much more."""
+    """Add this amount."""
 
     amount: int
 
 
 class Fail(Entry, frozen=True, tag="fail"):
-    """Make the topic raise."""
+    """Make the state machine raise."""
 
 
 class Sum(msgspec.Struct, frozen=True):
-    """All that was added, by whom last, and what the policy allows."""
+    """The sum, the member that added last, and the limit of the policy."""
 
     total: int = 0
     by: str = ""
@@ -41,7 +41,7 @@
 
 
 class Adder:
-    """A topic: a sum that a policy's section bounds."""
+    """A state machine: a sum that a policy's section bounds."""
 
     entries, state = Add | Fail, Sum
 
@@ -72,93 +72,97 @@
     return ReplicatedLog([Adder(name) for name in names or ("shares", "pools")])
 
 
-class Told:
-    """What one member was told, in order."""
+class EventRecorder:
+    """Records the events of one member, in order."""
 
     def __init__(self) -> None:
-        self.heard: list[Any] = []
+        self.events: list[Any] = []
 
-    def __call__(self, heard: tuple[Any, ...]) -> None:
-        self.heard += heard
+    def __call__(self, events: tuple[Any, ...]) -> None:
+        self.events += events
 
     def of(self, kind: type) -> list[Any]:
-        return [told for told in list(self.heard) if isinstance(told, kind)]
+        return [event for event in list(self.events) if isinstance(event, kind)]
 
     @property
     def entries(self) -> list[Committed]:
-        return [told for told in self.of(Committed) if told.entry is not None]
+        return [committed for committed in self.of(Committed) if committed.entry is not None]
 
     def states(self) -> dict[str, Any]:
-        return {told.topic: told.state for told in self.of(Committed)}
+        return {committed.topic: committed.state for committed in self.of(Committed)}
 
 
 class Members:
-    """Members of one fleet in this process, on the kernel's ports."""
+    """Members of one fleet in this process, on ports from the kernel."""
 
     def __init__(self, folder: Path, size: int = 3) -> None:
         pairs = [hold_port(socket.SO_REUSEADDR) for _ in range(size)]
-        self.folder, self.held = folder, [sock for sock, _ in pairs]
+        self.folder, self.sockets = folder, [sock for sock, _ in pairs]
         self.addresses = {f"g{i}": f"127.0.0.1:{port}" for i, (_, port) in enumerate(pairs)}
-        self.up: dict[str, RaftNode] = {}
-        self.told: dict[str, Told] = {}
-        self.marks = 0
+        self.running: dict[str, RaftNode] = {}
+        self.recorded: dict[str, EventRecorder] = {}
+        self.heartbeat_count = 0
         for name in self.addresses:
             self.start(name)
 
     def start(self, name: str, *topics: str) -> None:
-        place = self.folder / name
-        place.mkdir(parents=True, exist_ok=True)
-        self.told[name] = Told()
+        member_folder = self.folder / name
+        member_folder.mkdir(parents=True, exist_ok=True)
+        self.recorded[name] = EventRecorder()
         membership = Membership(name, f"{time.monotonic_ns()}", self.addresses)
-        self.up[name] = RaftNode(membership, place, self.told[name], make_log(*topics))
+        self.running[name] = RaftNode(membership, member_folder, self.recorded[name], make_log(*topics))
 
     def stop(self, name: str) -> None:
-        node = self.up.pop(name)
+        node = self.running.pop(name)
         node.close()
         while node.engine.tick_thread_alive():
             time.sleep(0.01)
 
     def close(self) -> None:
-        for name in list(self.up):
+        for name in list(self.running):
             self.stop(name)
-        for sock in self.held:
+        for sock in self.sockets:
             sock.close()
 
-    def until(self, holds: Any, seconds: float = 30.0) -> None:
+    def wait_until(self, condition: Any, seconds: float = 30.0) -> None:
         end = time.monotonic() + seconds
-        while not holds():
-            assert time.monotonic() < end, {name: told.heard[-5:] for name, told in self.told.items()}
+        while not condition():
+            assert time.monotonic() < end, {
+                name: recorded.events[-5:] for name, recorded in self.recorded.items()
+            }
             time.sleep(0.02)
 
-    def lease_renewed(self, *names: str) -> None:
-        """Until marks put in now have come back to these members (all), so that what was before is there."""
-        for name in names or tuple(self.up):
-            self.marks += 1
-            number = self.marks
+    def commit_heartbeats(self, *names: str) -> None:
+        """Commit new heartbeats of these members (default: all), and so all entries before them."""
+        for name in names or tuple(self.running):
+            self.heartbeat_count += 1
+            number = self.heartbeat_count
 
-            def back(name: str = name, number: int = number) -> bool:
-                if HeartbeatCommitted(number) in self.told[name].heard or self.told[name].of(ReplicaFailed):
+            def heartbeat_committed(name: str = name, number: int = number) -> bool:
+                if HeartbeatCommitted(number) in self.recorded[name].events or self.recorded[name].of(
+                    ReplicaFailed
+                ):
                     return True
-                self.up[name].propose_heartbeat(number)
+                self.running[name].propose_heartbeat(number)
                 return False
 
-            self.until(back)
+            self.wait_until(heartbeat_committed)
 
     def push(self, name: str, base: int, body: str) -> Any:
-        """A push's end."""
-        self.lease_renewed(name)  # a leader is there: what is put in is not lost
-        over, ends = threading.Event(), list[Any]()
-        self.up[name].propose_policy(base, body, lambda told: (ends.append(told), over.set()))
-        assert over.wait(30)
-        return ends[0]
-
-    def put(self, name: str, topic: str, entry: Entry) -> None:
-        """Put an entry in and wait until it is out, or a refusal of it."""
-        self.lease_renewed(name)
-        node, told = self.up[name], self.told[name]
-        body, before = node.state.log.encode(topic, name, entry), len(told.entries)
+        """Push a policy; returns the outcome."""
+        self.commit_heartbeats(name)  # there is a leader, so the proposal is not lost
+        done, outcomes = threading.Event(), list[Any]()
+        self.running[name].propose_policy(base, body, lambda outcome: (outcomes.append(outcome), done.set()))
+        assert done.wait(30)
+        return outcomes[0]
+
+    def propose_entry(self, name: str, topic: str, entry: Entry) -> None:
+        """Propose an entry and wait until it is committed, or refused."""
+        self.commit_heartbeats(name)
+        node, recorded = self.running[name], self.recorded[name]
+        body, before = node.state.log.encode(topic, name, entry), len(recorded.entries)
         node.propose(body)
-        self.until(lambda: len(told.entries) > before)
+        self.wait_until(lambda: len(recorded.entries) > before)
 
 
 __all__ = [
@@ -170,6 +174,6 @@
     "SubsystemsHosted",
     "Members",
     "Sum",
-    "Told",
+    "EventRecorder",
     "make_log",
 ]
