--- a/mallowbeam/storage_gateway/coordination/shares/state_machine.py
+++ b/mallowbeam/storage_gateway/coordination/shares/state_machine.py
@@ -376,8 +376,8 @@
 def _set_zone_floors(floors: dict[str, int], policy: SharesPolicy, gateways: int) -> None:
     for zone in {node.zone for node in policy.nodes.values()}:
         capacity = policy.zones.get(zone, MAX_RATE * MAX_NODES)
-        node_capacities = sum(node.capacity for node in policy.nodes.values() if node.zone == zone)
-        _set_floor(floors, f"z:{zone}", min(capacity, node_capacities), policy.probe, gateways)
+        total_node_capacity = sum(node.capacity for node in policy.nodes.values() if node.zone == zone)
+        _set_floor(floors, f"z:{zone}", min(capacity, total_node_capacity), policy.probe, gateways)
         _check_floors_fit(floors[f"z:{zone}"] * gateways, capacity, f"shares.zones.{zone}")
 
 
--- a/tests/storage_gateway/coordination/test_quota_transfer_model.py
+++ b/tests/storage_gateway/coordination/test_quota_transfer_model.py
@@ -170,7 +170,7 @@
     assert len(world.log[-1].state.open_epochs) <= 3
 
 
-# --- broken variants: each one must be detected -------------------------------------------
+# --- broken variants: each one must be detected ---------------------------------------------------
 
 
 class GrowsAtOnce(QuotaTransfer):
