--- a/mallowbeam/storage_gateway/coordination/quota_transfer.py
+++ b/mallowbeam/storage_gateway/coordination/quota_transfer.py
@@ -178,7 +178,7 @@
         """Renew the lease by a committed heartbeat; the entries before it must be processed first."""
         self.renewed_at = max(self.renewed_at, proposed_at)
 
-    # --- usable amounts -------------------------------------------------------------------------
+    # --- usable amounts ---------------------------------------------------------------------------
 
     def usable(self, resource: Resource, now: float) -> N:
         """The amount usable here now; new connections are opened only while fewer are in use."""
--- a/mallowbeam/storage_gateway/coordination/raft_node.py
+++ b/mallowbeam/storage_gateway/coordination/raft_node.py
@@ -222,7 +222,7 @@
         self._emit(ReplicaFailed(error))
         self.failure = error
 
-    # --- snapshots: override the engine's methods, which would take all attributes -----------------
+    # --- snapshots: override the engine's methods, which would take all attributes ----------------
 
     def _serialize(self) -> dict[str, Any]:
         """Return the replicated state, without the attributes of this process alone."""
--- a/mallowbeam/storage_gateway/coordination/shares/max_min_fairness.py
+++ b/mallowbeam/storage_gateway/coordination/shares/max_min_fairness.py
@@ -225,7 +225,7 @@
             return
         self._freeze_flows_of(link, level)
 
-    # --- freezing and rising flows ------------------------------------------------------------------
+    # --- freezing and rising flows ----------------------------------------------------------------
 
     def _freeze_flows_of(self, full_link: int, level: Level) -> None:
         """Give the flows of a full link the rates of that level, or their floors where those are more."""
