--- a/mallowbeam/storage_gateway/coordination/maintenance/actions.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/actions.py
@@ -1,4 +1,4 @@
-"""What goes into and comes out of one gateway's maintenance core: settings, its view, and its actions."""
+"""Inputs and outputs of one gateway's maintenance core: timings, the local view, and actions."""
 
 from __future__ import annotations
 
@@ -11,55 +11,55 @@
 
 @dataclass(frozen=True, slots=True)
 class Timings:
-    """Intervals of the core, in seconds; `lease_s` is the same on all gateways."""
+    """Intervals of the core in seconds; `lease_s` must be the same on all gateways."""
 
-    lease_s: float = 2.0  # of the policy
-    clock_drift: float = 1.1  # by which clocks may differ in rate, as a factor
-    drain_grace_s: float = 0.25  # from a drain until nothing is on its way to the machine any more
+    lease_s: float = 2.0  # a gateway may serve this long after proposing its newest committed report
+    clock_drift: float = 1.1  # highest ratio between the rates of two gateways' clocks
+    drain_grace_s: float = 0.25  # from a drain until no request can still be on its way to the machine
     report_s: float = 0.5  # between reports while maintenance is active
-    idle_report_s: float = 30.0  # the same while it is not
-    changed_report_s: float = 0.1  # between reports where the content has changed
-    proposal_timeout_s: float = 1.0  # after which a proposal counts as lost
-    due_refresh_s: float = 0.2  # between computations of what is due while only reports are committed
-    rank_delay_s: float = 0.5  # by which each member waits for the one before it
-    warmup_s: float = 5.0  # for which a machine that is back counts as cold
+    idle_report_s: float = 30.0  # between reports while no maintenance is active
+    changed_report_s: float = 0.1  # between reports whose content differs
+    proposal_timeout_s: float = 1.0  # after this a proposal counts as lost and is repeated
+    due_refresh_s: float = 0.2  # between computations of the due entries while only reports are committed
+    rank_delay_s: float = 0.5  # extra delay before proposing, for each rank behind the leader
+    warmup_s: float = 5.0  # a machine that is back in service counts as cold for this long
 
 
 @dataclass(frozen=True, slots=True)
 class LocalView:
-    """What the gateway sees now."""
+    """The gateway's current observations."""
 
     nodes: Mapping[str, NodeStatus] = field(default_factory=dict)
-    in_flight: int = 0  # requests that it has accepted and not answered
-    released_allotments: bool = False  # it uses none of its quota allotments
-    leader: str | None = None  # of the replicated log, where this gateway knows it
+    in_flight: int = 0  # requests that the gateway has accepted and not answered
+    released_allotments: bool = False  # the gateway uses none of its quota allotments
+    leader: str | None = None  # of the replicated log; None if this gateway does not know it
     zone: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Put this entry into the log; it may be lost."""
+    """Propose this entry to the replicated log; the proposal may be lost."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Send nothing new to this node."""
+    """Send no new requests to this node."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class Undrain:
-    """Let this node serve again."""
+    """Send requests to this node again."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class WarmUp:
-    """This node is cold: this gateway's share (0 to 1) of the limit for cold nodes."""
+    """Treat this node as cold; `share` (0 to 1) is this gateway's part of the limit for cold nodes."""
 
     node: str
     share: float
@@ -67,19 +67,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StepDown:
-    """This gateway goes out of service: release allotments, and with `reject` accept no requests either."""
+    """Take this gateway out of service: release allotments and, if `reject`, accept no requests."""
 
     reject: bool
 
 
 @dataclass(frozen=True, slots=True)
 class StepUp:
-    """This gateway serves again."""
+    """Put this gateway back into service."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """A line for the operators' log."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/mallowbeam/storage_gateway/coordination/maintenance/constraints.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/constraints.py
@@ -1,6 +1,7 @@
-"""Constraints on maintenance: each says why a machine may not go out of service now, or nothing.
+"""Constraints on maintenance.
 
-Reasons are part of the replicated state, so their wording is the same in all versions of the program.
+Each constraint returns the reason why a machine may not go out of service now, or "".  are part
+of the replicated state, so their wording is the same in all versions of the program.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 Constraint = Callable[[FleetView, str, Request], str]
 """Takes the fleet, a machine's name and a request; returns the reason against it, or ""."""
 
-TOLERANCE = 1e-9  # of comparisons between fractions of weight
-MAX_SHOWN_NAMES = 3  # machines that a reason names
+WEIGHT_FRACTION_TOLERANCE = 1e-9  # for comparisons between fractions of weight
+MAX_SHOWN_NAMES = 3  # machines listed by name in a reason
 
 
 def max_unavailable(view: FleetView, machine: str, request: Request) -> str:
-    """At most `at_once` machines are unavailable; lost ones no longer count as worked on."""
+    """At most `at_once` machines are unavailable; lost machines do not count as in progress."""
     competing = sorted(view.competing(machine))
     if len(competing) + 1 <= request.at_once:
         return ""
-    return f"{_names(competing)} not there, {request.id} allows {request.at_once} at once"
+    return f"{_names_with_verb(competing)} not there, {request.id} allows {request.at_once} at once"
 
 
 def max_unavailable_in_zone(view: FleetView, machine: str, request: Request) -> str:
@@ -32,7 +33,7 @@
     if len(competing) + 1 <= request.at_once_zone:
         return ""
     return (
-        f"{_names(competing)} not there in zone {zone!r}, "
+        f"{_names_with_verb(competing)} not there in zone {zone!r}, "
         f"{request.id} allows {request.at_once_zone} in one zone"
     )
 
@@ -88,7 +89,7 @@
 
 
 def quorum(view: FleetView, machine: str, request: Request) -> str:
-    """More than half of the gateways stay available, so that the replicated log has its majority."""
+    """More than half of the gateways stay available, so that the replicated log keeps its quorum."""
     if machine not in view.members:
         return ""
     unavailable = sorted(name for name in view.members if name in view.unavailable and name != machine)
@@ -96,7 +97,7 @@
         return ""
     return (
         f"{len(unavailable) + 1} of {len(view.members)} gateways would not be there"
-        f"{f' ({_names(unavailable)} now)' if unavailable else ''}: the log needs more than half"
+        f"{f' ({_names_with_verb(unavailable)} now)' if unavailable else ''}: the log needs more than half"
     )
 
 
@@ -118,20 +119,20 @@
     sole_data: "copy its data elsewhere first, or set sole_data to true and accept that it is not served",
     quorum: "a fleet of three gateways or more can do without one; leave gateways out of the request",
 }
-"""What an operator can change where a constraint excludes a machine for good."""
+"""What an operator can change if a constraint permanently excludes a machine."""
 
 
 def _capacity_reason(group: str, remaining: float, request_id: str, floor: float) -> str:
-    """The reason against a machine whose group would keep too small a fraction of its weight."""
-    if remaining >= floor - TOLERANCE:
+    """The reason against a machine if its group would keep less than `floor` of its weight; else ""."""
+    if remaining >= floor - WEIGHT_FRACTION_TOLERANCE:
         return ""
     return f"{group} would keep {remaining:.2f} of its capacity, {request_id} wants {floor:.2f}"
 
 
 def _remaining_weight(view: FleetView, machine: str, group: Sequence[str]) -> float:
-    """The fraction of a group's weight that stays available once this machine is out.
+    """The fraction of a group's weight that stays available once this machine is out of service.
 
-    It is 1 for a group without any weight.
+    It is 1 for a group whose weights sum to zero.
     """
     total = sum(view.nodes[name].weight for name in group)
     if not total > 0:
@@ -140,7 +141,7 @@
     return sum(view.nodes[name].weight for name in group if name not in excluded) / total
 
 
-def _names(names: Sequence[str]) -> str:
+def _names_with_verb(names: Sequence[str]) -> str:
     text = ", ".join(names[:MAX_SHOWN_NAMES])
     if len(names) > MAX_SHOWN_NAMES:
         text += f" and {len(names) - MAX_SHOWN_NAMES} more"
--- a/mallowbeam/storage_gateway/coordination/maintenance/entries.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/entries.py
@@ -1,6 +1,6 @@
-"""Entries that gateways put into the replicated log for the topic `maintenance`.
+"""Entries that gateways propose to the replicated log for the topic `maintenance`.
 
-Tags and encoded field names are fixed: members of different versions read one another's entries
+Tags and encoded field names are fixed, because gateways of different versions read each other's entries
 (docs/formats/fleet-log.md).  `rename` maps a field to its name in the log.
 """
 
@@ -11,7 +11,7 @@
 from mallowbeam.storage_gateway.coordination.maintenance.steps import Step
 from mallowbeam.storage_gateway.coordination.replicated_log import Entry
 
-MAX_NODES = 600  # of one report, bounded by the size of an entry; further nodes are not reported
+MAX_NODES = 600  # in one report, so that it fits into an entry; further nodes are not reported
 
 
 class NodeStatus(msgspec.Struct, frozen=True, array_like=True):
@@ -21,10 +21,12 @@
     shard: int = 0
     weight: float = 1.0
     up: bool = True
-    in_flight: int = 0  # this gateway's attempts at the node
-    utilization: float = 0.0  # fraction of its time in which the node works
-    sole_replica: bool = False  # this gateway knows of data that no other node serves
-    start_count: int = 0  # tells the node's starts apart, by discovery's time of it; 0 where it is not known
+    in_flight: int = 0  # requests that this gateway has in flight at the node
+    utilization: float = 0.0  # fraction of time (0 to 1) in which the node is busy
+    sole_replica: bool = False  # this gateway knows data that only this node serves
+    start_count: int = (
+        0  # identifies the node's latest start (its start time as discovery has it); 0: unknown
+    )
 
 
 class StatusReport(
@@ -33,20 +35,20 @@
     tag="Report",
     rename={"incarnation": "life", "applied_index": "heard", "released_allotments": "gave_up"},
 ):
-    """What one gateway sees and has done, as of the log entry `applied_index`."""
+    """One gateway's observations and progress after applying the log entry `applied_index`."""
 
     incarnation: str  # of the gateway's process
     number: int  # counts the reports of one incarnation
     applied_index: int
     zone: str
     nodes: dict[str, NodeStatus]
-    empty: list[str] = []  # machines it sends nothing to any more, with nothing in flight there
-    warm: list[str] = []  # machines that are warmed up, by its own clock
-    released_allotments: bool = False  # it uses none of its quota allotments
+    empty: list[str] = []  # machines that it no longer sends requests to, with none in flight
+    warm: list[str] = []  # machines whose warm-up has ended by the gateway's own clock
+    released_allotments: bool = False  # the gateway uses none of its quota allotments
 
 
 class LeaseExpired(Entry, frozen=True, tag="Gone", rename={"incarnation": "life", "report_number": "number"}):
-    """A gateway's lease has certainly run out; names the last report that the proposer has seen of it."""
+    """A gateway's lease has certainly expired; identifies its last report that the proposer has seen."""
 
     gateway: str
     incarnation: str
@@ -54,13 +56,13 @@
 
 
 class SelectNext(Entry, frozen=True, tag="Next", rename={"selection": "turn"}):
-    """Select the next machine; `selection` counts selections, so that concurrent proposals select once."""
+    """Select the next machine; `selection` counts selections, so that concurrent proposals select one."""
 
     selection: int
 
 
 class Transition(Entry, frozen=True, tag="Move", rename={"target": "to", "version": "turn"}):
-    """One machine's next step; `version` is that of the machine's state on which the proposal rests."""
+    """One machine's next step; `version` is the version of the machine's state that the proposer saw."""
 
     machine: str
     target: Step
@@ -70,7 +72,7 @@
 class DeadlineExceeded(Entry, frozen=True, tag="TimeUp", rename={"agreed_index": "began"}):
     """A machine is past its deadline by the proposer's clock.
 
-    `agreed_index` identifies the maintenance that is late, as a machine may go out again later.
+    `agreed_index` identifies the overdue maintenance, because the machine may go out of service again later.
     """
 
     machine: str
--- a/mallowbeam/storage_gateway/coordination/maintenance/fleet_view.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/fleet_view.py
@@ -1,7 +1,8 @@
-"""The fleet as all gateways with a valid lease report it together.
+"""The fleet's view, merged from the reports of all gateways with a valid lease.
 
-A node's zone, shard and weight are what most gateways report; it is down if at least half of the gateways
-that list it say so; its requests in flight are the sum.  All gateways compute the same view from one state.
+A node's zone, shard and weight are the values that most gateways report.  A node is down if at least half of
+the gateways that list it report it as down.  Its requests in flight are the sum over all gateways.  All
+gateways compute the same view from the same state.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """Nodes and gateways with what makes each of them unavailable."""
+    """Nodes and gateways, and the reasons why some are unavailable."""
 
     nodes: dict[str, NodeStatus]
-    zones: dict[str, str]  # of nodes and gateways
+    zones: dict[str, str]  # by name of a node or gateway
     members: tuple[str, ...]  # the gateways
     in_progress: frozenset[str] = frozenset()  # under maintenance
     down: frozenset[str] = frozenset()  # failed, or drained by the policy
@@ -31,14 +32,14 @@
 
     @property
     def unavailable(self) -> frozenset[str]:
-        """All machines that do not serve."""
+        """All machines that are out of service."""
         return self.in_progress | self.down | self.lost
 
     def competing(self, machine: str) -> set[str]:
-        """Machines that count against the limit on machines at once: all in progress, and failed ones.
+        """Machines that count against the limit on machines out at once: those in progress and failed ones.
 
-        Failed machines count only for their own kind: a gateway that is down takes no capacity from the
-        nodes and must not block their maintenance.
+        Failed machines count only against machines of their own kind: a gateway that is down takes no
+        capacity from the nodes and must not block their maintenance.
         """
         is_gateway = machine in self.members
         failed = {name for name in self.down if (name in self.members) == is_gateway}
@@ -49,11 +50,11 @@
         return replace(self, in_progress=self.in_progress - {machine}, down=self.down - {machine})
 
     def zone(self, machine: str) -> str:
-        """A machine's zone; empty where nobody reports it."""
+        """A machine's zone; empty if no gateway reports it."""
         return self.zones.get(machine, "")
 
     def in_flight(self, machine: str) -> int:
-        """Attempts of all gateways at a node; 0 for a gateway."""
+        """Requests of all gateways in flight at a node; 0 for a gateway."""
         node = self.nodes.get(machine)
         return node.in_flight if node is not None else 0
 
@@ -64,7 +65,7 @@
 
 
 def merge_reports(state: MaintenanceState, members: Sequence[str]) -> FleetView:
-    """The view that the latest reports give together; expired gateways count only where all are expired."""
+    """Merge the latest reports; reports of expired gateways count only if all gateways are expired."""
     statuses: dict[str, list[NodeStatus]] = {}
     for report in _counted_reports(state):
         for name, status in report.nodes.items():
@@ -107,7 +108,7 @@
 
 
 def _most_common(values: list[Value]) -> Value:
-    """The most frequent value; the least of several, so that all gateways choose the same."""
+    """The most frequent value; the smallest of a tie, so that all gateways choose the same one."""
     distinct = set(values)
     if len(distinct) == 1:
         return values[0]
--- a/mallowbeam/storage_gateway/coordination/maintenance/gateway_core.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/gateway_core.py
@@ -1,11 +1,13 @@
 """One gateway's maintenance core, without I/O; `now` is the gateway's monotonic clock in seconds.
 
-What the gateway does follows from the replicated state alone, whichever entries it missed: nothing new goes
-to a machine whose step is in `NO_NEW_WORK`; one that warms up is given this gateway's share of the limit for
-cold nodes.  What it proposes is what `TransitionGuard.due` lists, and what only a clock can call for:
-`DeadlineExceeded` and `LeaseExpired`.  The log's leader proposes at once, the others one after the other by
-their rank, so that a leader lost between two steps delays the next one and no more.  A proposal may be lost:
-it is repeated until the state has changed.
+The gateway's actions depend only on the replicated state, not on the entries that led to it.  A machine whose
+step is in `NO_NEW_WORK` gets no new requests.  A machine that warms up gets requests within this gateway's
+share of the limit for cold nodes.
+
+The gateway proposes the entries that `TransitionGuard.due` lists, and the ones that depend on a clock:
+`DeadlineExceeded` and `LeaseExpired`.  The log's leader proposes immediately and the others after a delay
+that grows with their rank, so that losing the leader between two steps only delays the next step.  Proposals
+may be lost, so each is repeated until the state has changed.
 """
 
 from __future__ import annotations
@@ -50,15 +52,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SteppedDown:
-    """This gateway is going out of service."""
+    """This gateway is going out of service or is out."""
 
-    rejects: bool  # it accepts no requests either
+    rejects: bool  # it accepts no requests
     since: float
 
 
 @dataclass(slots=True)
 class PendingProposal:
-    """An entry that is due, and when it was."""
+    """Since when an entry has been due, and when it was last proposed."""
 
     due_since: float
     proposed_at: float = NEVER
@@ -66,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DueEntries:
-    """What the state machine called for when it was last asked."""
+    """The entries that the state machine listed as due for `state`."""
 
     state: MaintenanceState
     computed_at: float
@@ -74,7 +76,7 @@
 
 
 class MaintenanceCore:
-    """One gateway's view of the replicated state, and the actions that follow from it."""
+    """One gateway's copy of the replicated state, and the actions that follow from it."""
 
     def __init__(
         self,
@@ -97,7 +99,7 @@
         self._warming_since: dict[str, float] = {}  # by machine
         self._agreed_at: dict[tuple[str, int], float] = {}  # by machine and `agreed_index`
         self._stepped_down: SteppedDown | None = None
-        self._completed_work: set[str] = set()  # machines that an operator reported here as done
+        self._completed_work: set[str] = set()  # machines that an operator reported to this gateway as done
         self._proposals: dict[bytes, PendingProposal] = {}  # by encoded entry
         self._due: DueEntries | None = None
 
@@ -108,15 +110,15 @@
         self.local = local
 
     def caught_up(self, proposed_at: float) -> None:
-        """A marker of this gateway was committed: all committed before it was proposed is applied here."""
+        """A marker of this gateway was committed: all entries committed before `proposed_at` are applied."""
         self.lease.caught_up(proposed_at)
 
     def complete_work(self, machine: str) -> None:
-        """An operator reported here that the work on a machine is done; proposed until the log has it."""
+        """An operator reported that the work on a machine is done; this is proposed until it is committed."""
         self._completed_work.add(machine)
 
     def serves(self, now: float) -> bool:
-        """Whether the gateway may serve requests, by the clock; always while no maintenance is active."""
+        """Whether the gateway may serve requests: its lease is valid, or no maintenance is active."""
         return not self.state.active or self.lease.is_valid(now)
 
     def accepts_work(self, machine: str) -> bool:
@@ -125,7 +127,7 @@
         return state is None or state.step not in NO_NEW_WORK
 
     def committed(self, committed: Committed, now: float) -> list[Action]:
-        """The log's next entry for this topic, and the actions that follow from the new state."""
+        """Apply the log's next entry for this topic; returns the actions that follow from the new state."""
         before = self.state
         self.state = committed.state
         self.applied_index = max(committed.index, self.applied_index)
@@ -143,7 +145,7 @@
                 self.lease.renew(proposed_at)
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed: a report, a step or a deadline may be due."""
+        """Propose reports, steps and expired deadlines that are due by now."""
         actions: list[Action] = []
         report = self._reporter.next_report(
             self.state,
@@ -164,8 +166,8 @@
     # --- following the state ----------------------------------------------------------------------
 
     def _follow(self, before: MaintenanceState, now: float) -> list[Action]:
-        """The actions by which the gateway follows a new state."""
-        actions = self._warm_ups()  # known before the node serves again
+        """The actions that bring the gateway in line with a new state."""
+        actions = self._warm_ups()  # first, so that the limit is set before the node gets requests again
         actions += self._undrains()
         for name, machine in self.state.machines.items():
             actions += self._follow_machine(name, machine, before.machines.get(name), now)
@@ -202,7 +204,7 @@
         return actions
 
     def _forget_finished(self) -> None:
-        """Drop the times of machines that no longer need them."""
+        """Forget the times of machines whose warm-up or maintenance has ended."""
         machines = self.state.machines
         self._warming_since = {
             name: since
@@ -218,7 +220,7 @@
         }
 
     def _follow_own_step(self, now: float) -> list[Action]:
-        """This gateway's own maintenance: first it releases its allotments, then it rejects requests."""
+        """This gateway's own maintenance: it first releases its allotments, then also rejects requests."""
         machine = self.state.machines.get(self.name)
         step = machine.step if machine is not None else None
         rejects = step in NO_NEW_WORK and step != Step.BACK
@@ -231,10 +233,10 @@
             return [StepUp()]
         return []
 
-    # --- what is reported -------------------------------------------------------------------------
+    # --- reports ----------------------------------------------------------------------------------
 
     def empty_machines(self, now: float) -> list[str]:
-        """Machines that this gateway has sent nothing to for a while, with nothing in flight there."""
+        """Machines drained for at least `drain_grace_s`, with no request of this gateway in flight."""
         return [
             name
             for name, machine in sorted(self.state.machines.items())
@@ -252,7 +254,7 @@
                 and self.local.in_flight == 0
             )
         if machine.is_gateway:
-            return True  # gateways send nothing to one another
+            return True  # gateways send each other no requests
         status = self.local.nodes.get(name)
         in_flight = status.in_flight if status is not None else 0
         return now >= self._drained_at.get(name, now) + grace and in_flight == 0
@@ -262,7 +264,7 @@
             name for name, since in self._warming_since.items() if now >= since + self.timings.warmup_s
         )
 
-    # --- what is proposed -------------------------------------------------------------------------
+    # --- proposals --------------------------------------------------------------------------------
 
     def due_entries(self, now: float) -> list[Entry]:
         """All entries that are due, by the state or by this gateway's clock."""
@@ -280,7 +282,10 @@
         ]
 
     def _due_transitions(self, now: float) -> list[Entry]:
-        """What the state calls for; computed anew at once for a step, else each `due_refresh_s`."""
+        """The entries that are due by the state.
+
+        They are recomputed immediately after a step or an expired lease, and otherwise every `due_refresh_s`.
+        """
         state = self.state
         due = self._due
         if due is None or (
@@ -318,7 +323,7 @@
         return found
 
     def _propose(self, now: float) -> list[Action]:
-        """Propose what is due, after this member's delay, and again where a proposal was lost."""
+        """Propose due entries after this member's delay, and again if a proposal was lost."""
         due = {msgspec.msgpack.encode(entry): entry for entry in self.due_entries(now)}
         self._proposals = {key: self._proposals.get(key) or PendingProposal(now) for key in due}
         delay = self._rank() * self.timings.rank_delay_s
@@ -333,7 +338,7 @@
         return actions
 
     def _rank(self) -> int:
-        """This member's position among those who propose: the leader is first."""
+        """This member's position in the order of proposers; the leader is 0."""
         members = self.state_machine.members
         leader = members.index(self.local.leader) if self.local.leader in members else 0
         return (members.index(self.name) - leader) % len(members)
--- a/mallowbeam/storage_gateway/coordination/maintenance/policy_requests.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/policy_requests.py
@@ -1,8 +1,8 @@
-"""A pushed policy's maintenance requests, merged into the state.
+"""Merges a pushed policy's maintenance requests into the state.
 
-A machine that two requests name goes out once for both, under the constraints of both.  A machine that no
-request names any more comes back: not begun it is dropped, before `out` it is aborted, after that it only
-takes the steps back into service.
+A machine that two requests name goes out of service once for both, under the constraints of both.  A machine
+that no request names any more returns to service: if its maintenance has not begun it is dropped, before
+`out` it is aborted, and after that it only takes the steps back into service.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 def apply_policy(
     selector: MachineSelector, state: MaintenanceState, index: int, policy: Any
 ) -> MaintenanceState | Refusal:
-    """The state under this policy, or why the policy is rejected."""
+    """The state under this policy, or the reason for rejecting the policy."""
     try:
         requests = read_section(policy).requests
     except msgspec.ValidationError as error:
@@ -92,13 +92,13 @@
     request_ids: tuple[str, ...],
     index: int,
 ) -> MachineState:
-    """A machine that the policy names: it goes on where it is, or begins anew for a new request."""
-    begins = (
+    """A machine that the policy names: it continues at its step, or starts over for a new request."""
+    starts_over = (
         machine is None
         or machine.step == Step.ABORTED
         or (machine.step in FINISHED and not set(request_ids) <= set(machine.request_ids))
     )
-    if machine is None or begins:
+    if machine is None or starts_over:
         machine = MachineState(
             name,
             name in members,
@@ -112,7 +112,7 @@
 
 def _withdrawn(machine: MachineState, index: int) -> tuple[MachineState, Decision]:
     """A machine in progress that no request names any more, and the decision to be recorded."""
-    if machine.step in RECALLABLE:  # it has not gone out: it goes on serving
+    if machine.step in RECALLABLE:  # it has not gone out of service, so it stays in service
         aborted = replace(
             machine,
             step=Step.ABORTED,
@@ -129,7 +129,7 @@
 def _still_applicable(
     state: MaintenanceState, by_id: Mapping[str, Request], machines: Mapping[str, MachineState]
 ) -> dict[str, Request]:
-    """Dropped requests whose constraints hold on until their machines are back in service."""
+    """Withdrawn requests whose constraints still apply until their machines are back in service."""
     return {
         request_id: request
         for request_id, request in state.requests.items()
--- a/mallowbeam/storage_gateway/coordination/maintenance/reporting.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/reporting.py
@@ -1,4 +1,4 @@
-"""When one gateway proposes a status report, and which of its reports have been committed."""
+"""Schedules one gateway's status reports and tracks which of them have been committed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from mallowbeam.storage_gateway.coordination.maintenance.entries import MAX_NODES, NodeStatus, StatusReport
 from mallowbeam.storage_gateway.coordination.maintenance.state import MaintenanceState
 
-MAX_PENDING_REPORTS = 64  # own reports that are remembered until committed; older ones count as lost
+MAX_PENDING_REPORTS = 64  # reports remembered until they are committed; older ones count as lost
 
 
 class StatusReporter:
@@ -24,7 +24,7 @@
         self._last_content = StatusReport("", 0, 0, "", {})
 
     def committed(self, number: int) -> float | None:
-        """A report was committed; when it was proposed, None where that is no longer known."""
+        """A report was committed; returns when it was proposed, or None if that is no longer known."""
         self._committed_number = max(self._committed_number, number)
         return self._pending.pop(number, None)
 
@@ -37,10 +37,10 @@
         warm: list[str],
         now: float,
     ) -> StatusReport | None:
-        """The report to be proposed now; None where none is due."""
+        """The report to propose now, or None if none is due."""
         nodes = dict(sorted(local.nodes.items())[:MAX_NODES])
         steady_nodes = _without_load(nodes)
-        if not state.active:  # nobody needs what changes all the time
+        if not state.active:  # the load changes constantly and is only needed during maintenance
             nodes = steady_nodes
         report = StatusReport(
             self._incarnation, 0, 0, local.zone, nodes, empty, warm, local.released_allotments
--- a/mallowbeam/storage_gateway/coordination/maintenance/request_checks.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/request_checks.py
@@ -1,6 +1,6 @@
-"""Checks of pushed requests: what makes a policy's maintenance requests unacceptable.
+"""Checks that reject a pushed policy's unacceptable maintenance requests.
 
-A request that could never be met is rejected at once, with what to change.  Rejections are the same on all
+A request that could never be met is rejected immediately, with a remedy.  Rejections are the same on all
 gateways, so their wording is the same in all versions of the program.
 """
 
@@ -20,7 +20,7 @@
 
 
 class RequestChecks:
-    """The checks of one push against the state and the fleet's view at that moment."""
+    """Checks one push against the state and the fleet's view at that moment."""
 
     def __init__(self, selector: MachineSelector, state: MaintenanceState, view: FleetView) -> None:
         self.selector = selector
@@ -29,7 +29,7 @@
         self.in_progress = sorted(view.in_progress)
 
     def rejections(self, requests: Sequence[Request]) -> Iterator[Refusal]:
-        """All that is wrong with the requests, in a fixed order."""
+        """All reasons for rejecting the requests, in a fixed order."""
         for request_id, count in Counter(request.id for request in requests).items():
             if count > 1:
                 yield Refusal(
@@ -44,7 +44,7 @@
                 yield from self._machine(request, machine)
 
     def _changed_constraints(self, request: Request) -> Iterator[Refusal]:
-        """A request's constraints stay the same while a machine of it is in progress."""
+        """A request's constraints must not change while one of its machines is in progress."""
         previous = self.state.requests.get(request.id)
         if previous is None or _same_constraints(previous, request):
             return
@@ -58,7 +58,7 @@
             )
 
     def _too_narrow(self, request: Request) -> Iterator[Refusal]:
-        """A request that joins a machine in progress allows as many machines as are in progress."""
+        """A request that adds a machine in progress must allow as many machines as are in progress."""
         joined = [
             name
             for name in self.in_progress
@@ -76,7 +76,7 @@
             )
 
     def _machine(self, request: Request, machine: str) -> Iterator[Refusal]:
-        """A machine is known, by one kind, and could go out under the request's constraints."""
+        """A machine must be known, not be both node and gateway, and be able to go out of service."""
         where = f"maintenance.{request.id}.{machine}"
         is_node = machine in self.view.nodes
         is_gateway = machine in self.selector.members
@@ -100,7 +100,7 @@
         return previous is not None and machine in previous.machines and _same_constraints(previous, request)
 
     def _never_possible(self, request: Request, machine: str, where: str) -> Iterator[Refusal]:
-        """A constraint that excludes the machine even where everything else is available."""
+        """Constraints that exclude the machine even while all other machines are available."""
         all_available = FleetView(self.view.nodes, self.view.zones, self.view.members)
         for constraint in self.selector.constraints:
             if reason := constraint(all_available, machine, request):
--- a/mallowbeam/storage_gateway/coordination/maintenance/section.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/section.py
@@ -19,16 +19,18 @@
 
 
 class Request(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Machines to be taken out of service one after the other, and the constraints that hold meanwhile."""
+    """Machines to take out of service one after the other, and the constraints that apply meanwhile."""
 
     id: Name
     machines: Annotated[tuple[Name, ...], Meta(min_length=1, max_length=MAX_MACHINES)]
-    at_once: MachineCount = 1  # most machines unavailable at the same time
-    at_once_zone: MachineCount = 1  # the same within one zone
+    at_once: MachineCount = 1  # maximum number of machines unavailable at the same time
+    at_once_zone: MachineCount = 1  # the same, within one zone
     zone_floor: Fraction = 0.5  # fraction of a zone's weight that stays available
     shard_floor: Fraction = 0.0  # fraction of a shard's weight that stays available
-    sole_data: bool = False  # a node may go although no other node serves its data
-    repeats: Literal["", "all", "zone", "shard"] = ""  # nodes that retry for each other never go together
+    sole_data: bool = False  # a node may go out of service although no other node serves its data
+    repeats: Literal["", "all", "zone", "shard"] = (
+        ""  # nodes that serve each other's retries are never out together
+    )
     time_s: Annotated[float, Meta(gt=0.0, le=604800.0)] = 3600.0  # deadline per machine, agreed to done
     on_time_up: Literal["go on", "stop"] = "stop"
 
@@ -40,9 +42,10 @@
 
 
 def read_section(policy: Any) -> Section:
-    """The section of a policy (a mapping or an object); empty where the policy has none.
+    """The section of a policy (a mapping or an object); empty if the policy has none.
 
-    Raises `msgspec.ValidationError` where the section does not follow its schema.
+    Raises:
+        msgspec.ValidationError: the section does not follow its schema.
     """
     value = policy.get("maintenance") if isinstance(policy, dict) else getattr(policy, "maintenance", None)
     return Section() if value is None else msgspec.convert(value, Section, from_attributes=True)
--- a/mallowbeam/storage_gateway/coordination/maintenance/selection.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/selection.py
@@ -1,7 +1,7 @@
 """Selection of the next machine: a pure function of the replicated state.
 
-Candidates are tried in one order, and the first that all constraints admit is selected.  The constraints
-hold for each request that names the candidate, and for each request with a machine in progress.
+Candidates are tried in a fixed order, and the first one that satisfies all constraints is selected.  The
+constraints apply for each request that names the candidate and each request with a machine in progress.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """The selected machine, or None; with the reason in either case."""
+    """The selected machine, or None, and the reason."""
 
     machine: str | None
     reason: str
@@ -26,13 +26,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineSelector:
-    """Selects machines for a fleet of these gateways under these constraints."""
+    """Selects machines under the given constraints; `members` are the fleet's gateways."""
 
     members: tuple[str, ...]
     constraints: tuple[Constraint, ...] = field(default=CONSTRAINTS)
 
     def blocking_reason(self, state: MaintenanceState, machine: MachineState, view: FleetView) -> str:
-        """Why this machine may not be out of service now; "" if it may."""
+        """The reason why this machine may not be out of service now; "" if it may."""
         view = view.without(machine.name)
         for request in self._applicable_requests(state, machine, view):
             for constraint in self.constraints:
@@ -43,7 +43,7 @@
     def _applicable_requests(
         self, state: MaintenanceState, machine: MachineState, view: FleetView
     ) -> list[Request]:
-        """The requests that name this machine and those with a machine in progress, by their id."""
+        """The requests that name this machine and those with a machine in progress, sorted by id."""
         ids = set(machine.request_ids)
         for name in view.in_progress:
             ids |= set(state.machines[name].request_ids)
@@ -52,9 +52,9 @@
     def candidates(self, state: MaintenanceState, view: FleetView) -> list[MachineState]:
         """The machines that wait to be selected, in the order in which they are tried.
 
-        Nodes come before gateways, as the selection rests on gateways' reports; then machines of a zone
-        where maintenance has begun, so that few zones are disturbed; then those with the fewest requests in
-        flight, which are drained soonest, the least utilized, and by name.
+        The sort keys, most significant first: nodes before gateways, because the selection depends on
+        gateways' reports; zones in which maintenance has begun, so that few zones are disturbed; fewest
+        requests in flight, because such a machine is drained soonest; lowest utilization; name.
         """
         begun_zones = {
             view.zone(machine.name)
@@ -78,17 +78,19 @@
         )
 
     def select(self, state: MaintenanceState, view: FleetView | None = None) -> Selection:
-        """The next machine; the same on every gateway that has applied the same entries."""
+        """Select the next machine; gateways that have applied the same entries get the same result."""
         view = view or merge_reports(state, self.members)
         candidates = self.candidates(state, view)
-        blocked: list[str] = []
+        blocked_reasons: list[str] = []
         for machine in candidates:
             if reason := self.blocking_reason(state, machine, view):
-                blocked.append(f"{machine.name} may not go: {reason}")
+                blocked_reasons.append(f"{machine.name} may not go: {reason}")
                 continue
-            return Selection(machine.name, self._selected_reason(machine, view, len(candidates), blocked))
-        if blocked:
-            return Selection(None, f"paused: {blocked[0]}")
+            return Selection(
+                machine.name, self._selected_reason(machine, view, len(candidates), blocked_reasons)
+            )
+        if blocked_reasons:
+            return Selection(None, f"paused: {blocked_reasons[0]}")
         if state.halted_requests and any(
             machine.step == Step.PROPOSED for machine in state.machines.values()
         ):
@@ -96,7 +98,7 @@
         return Selection(None, "nothing waits")
 
     def _selected_reason(
-        self, machine: MachineState, view: FleetView, candidates: int, blocked: Sequence[str]
+        self, machine: MachineState, view: FleetView, candidates: int, blocked_reasons: Sequence[str]
     ) -> str:
         if machine.is_gateway:
             preference = "a gateway, as no node may go"
@@ -105,4 +107,4 @@
                 f"zone {view.zone(machine.name)!r}, {view.in_flight(machine.name)} attempts out there"
             )
         reason = f"{machine.name} is next of {candidates} that wait: {preference}"
-        return f"{reason}; {blocked[0]}" if blocked else reason
+        return f"{reason}; {blocked_reasons[0]}" if blocked_reasons else reason
--- a/mallowbeam/storage_gateway/coordination/maintenance/state.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/state.py
@@ -1,7 +1,8 @@
 """The replicated state of maintenance: requests, gateways' reports and each machine's step.
 
-Values only.  `MachineState.version` counts a machine's steps, so that an entry proposed on an earlier state
-is recognised as a duplicate.  Encoded field names are fixed (`rename`): states are part of snapshots.
+The classes are immutable values without behaviour.  `MachineState.version` counts a machine's steps, so that
+an entry proposed for an earlier state is recognised as a duplicate.  Encoded field names are fixed
+(`rename`), because states are part of snapshots.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from mallowbeam.storage_gateway.coordination.maintenance.section import Request
 from mallowbeam.storage_gateway.coordination.maintenance.steps import FINISHED, Step
 
-MAX_DECISIONS = 1024  # past decisions that are kept for `/fleet`; the oldest are dropped
+MAX_DECISIONS = 1024  # past decisions kept for `/fleet`; the oldest are dropped
 
 
 class MachineState(
@@ -40,19 +41,19 @@
     request_ids: tuple[str, ...]
     step: Step = Step.PROPOSED
     version: int = 0
-    step_index: int = 0  # the entry that made this step
-    agreed_index: int = 0  # the entry that agreed on it
-    draining_index: int = 0  # the entry that began to drain it
+    step_index: int = 0  # the entry that caused this step
+    agreed_index: int = 0  # the entry that selected the machine
+    draining_index: int = 0  # the entry that started to drain it
     reason: str = ""
-    start_count: int = 0  # the node's, as it went out
-    incarnation: str = ""  # the gateway's, as it went out
-    seen_down: bool = False  # reported down since it went out
-    withdrawn: bool = False  # no request names it any more: it only comes back
+    start_count: int = 0  # the node's start when it went out; see `NodeStatus`
+    incarnation: str = ""  # the gateway's when it went out
+    seen_down: bool = False  # the machine was reported down after it went out
+    withdrawn: bool = False  # no request names it any more, so it only returns to service
     warmup_shares: dict[str, float] = {}  # by gateway: its fraction (0 to 1) of the limit for cold nodes
 
 
 class Decision(msgspec.Struct, frozen=True, rename={"reason": "why"}):
-    """A step that was decided on, kept for `/fleet`."""
+    """A step that was decided, kept for `/fleet`."""
 
     index: int
     machine: str
@@ -77,15 +78,15 @@
     requests: dict[str, Request] = {}
     machines: dict[str, MachineState] = {}
     reports: dict[str, StatusReport] = {}  # the latest of each gateway
-    expired_gateways: frozenset[str] = frozenset()  # whose lease has run out
-    halted_requests: dict[str, str] = {}  # requests that take no further machine, with the reason
-    drained_by_policy: frozenset[str] = frozenset()  # nodes that the policy drains by itself: unavailable
+    expired_gateways: frozenset[str] = frozenset()  # gateways whose lease has expired
+    halted_requests: dict[str, str] = {}  # requests that start no further machine, and the reason
+    drained_by_policy: frozenset[str] = frozenset()  # nodes drained by the policy itself, so unavailable
     decisions: tuple[Decision, ...] = ()
     selections: int = 0
 
     @property
     def active(self) -> bool:
-        """Whether any machine is still to be worked on; those of halted requests wait for operators."""
+        """Whether any maintenance is unfinished; waiting machines of halted requests do not count."""
         return any(
             machine.step not in FINISHED and not (machine.step == Step.PROPOSED and self.is_halted(machine))
             for machine in self.machines.values()
--- a/mallowbeam/storage_gateway/coordination/maintenance/state_machine.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/state_machine.py
@@ -1,9 +1,9 @@
-"""The replicated state machine of maintenance: what each entry makes of the state; no clock, no I/O.
+"""The replicated state machine of maintenance: applies entries to the state, without clock or I/O.
 
-An entry proposes a step; whether it is taken is decided here from the state alone, so that gateways that
-propose different steps, or the same one twice, get one result.  `LeaseExpired` takes a gateway out of those
-whose reports are required; its next report puts it back, and an `empty` machine where it still has requests
-in flight goes back to `draining`.
+An entry proposes a step, and the state machine decides from the state alone whether to take it.  So gateways
+that propose different steps, or the same step twice, get one result.  After `LeaseExpired` the gateway's
+reports are no longer required; its next report reverses that, and an `empty` machine at which it still has
+requests in flight goes back to `draining`.
 
 Reasons and rejections are part of the replicated state, so their wording is the same in all versions.
 """
@@ -66,11 +66,11 @@
         return MaintenanceState()
 
     def apply_policy(self, states: States, index: int, policy: Any) -> MaintenanceState | Refusal:
-        """The state under a new policy, or why the policy is rejected."""
+        """The state under a new policy, or the reason for rejecting the policy."""
         return policy_requests.apply_policy(self.selector, states[self.name], index, policy)
 
     def apply(self, states: States, index: int, by: str, entry: Any) -> MaintenanceState | Refusal:
-        """The state after an entry that gateway `by` put in, or why the entry changes nothing."""
+        """The state after an entry that gateway `by` proposed, or the reason for ignoring the entry."""
         state: MaintenanceState = states[self.name]
         match entry:
             case StatusReport():
@@ -112,7 +112,7 @@
     def _update_unavailable(
         self, state: MaintenanceState, index: int, by: str, report: StatusReport
     ) -> MaintenanceState:
-        """What a report says of machines that are out or about to go out."""
+        """Apply a report's observations of machines that are out of service or about to go out."""
         view = merge_reports(state, self.members)
         after = state
         for name, machine in state.machines.items():
@@ -195,7 +195,7 @@
     def take_step(
         self, state: MaintenanceState, index: int, machine: MachineState, target: Step, reason: str
     ) -> MaintenanceState:
-        """The state after a machine has taken a step, with the decision recorded."""
+        """The state after a machine has taken a step, including the recorded decision."""
         after = replace(machine, step=target, version=machine.version + 1, step_index=index, reason=reason)
         if target == Step.DRAINING and machine.step == Step.AGREED:
             after = replace(after, draining_index=index)
@@ -213,7 +213,7 @@
         )
 
     def _record_going_out(self, state: MaintenanceState, machine: MachineState) -> MachineState:
-        """What a machine looked like as it went out, by which it is recognised when it is back."""
+        """Record a machine's start and incarnation when it goes out, to recognise a restart later."""
         node = merge_reports(state, self.members).nodes.get(machine.name)
         report = state.reports.get(machine.name)
         return replace(
@@ -224,7 +224,7 @@
         )
 
     def _warmup_shares(self, state: MaintenanceState, machine: MachineState) -> dict[str, float]:
-        """Equal shares of the limit for cold nodes for all live gateways; none for a gateway."""
+        """By live gateway, an equal share of the limit for cold nodes; empty if the machine is a gateway."""
         if machine.is_gateway:
             return {}
         live = [name for name in self.members if name not in state.expired_gateways]
@@ -270,9 +270,10 @@
 
 
 def _with_missing_nodes(report: StatusReport, previous: StatusReport) -> StatusReport:
-    """A report with the nodes that only the gateway's previous one has, as down.
+    """The report, plus the nodes that only the gateway's previous report lists, as down.
 
-    Guards capacity: a node that discovery drops while machines are out is down, not removed.
+    A node that discovery drops while machines are out is lost capacity, so it must count as down instead of
+    disappearing.
     """
     missing = {
         name: replace(status, up=False, in_flight=0)
@@ -282,8 +283,8 @@
     return replace(report, nodes=dict(report.nodes) | missing) if missing else report
 
 
-def describe(machine: MaintenanceStateMachine, state: MaintenanceState) -> dict[str, Any]:
-    """What the page `/fleet` shows: each machine's step, past selections and the next one, with reasons."""
+def describe(state_machine: MaintenanceStateMachine, state: MaintenanceState) -> dict[str, Any]:
+    """Content of the page `/fleet`: each machine's step, past selections and the next one, with reasons."""
     return {
         "machines": {
             name: {"step": each.step, "why": each.reason, "requests": list(each.request_ids)}
@@ -292,7 +293,7 @@
         "order": [
             msgspec.to_builtins(decision) for decision in state.decisions if decision.step == Step.AGREED
         ],
-        "next": machine.selector.select(state).reason,
+        "next": state_machine.selector.select(state).reason,
         "stopped": dict(state.halted_requests),
         "gone": sorted(state.expired_gateways),
     }
--- a/mallowbeam/storage_gateway/coordination/maintenance/steps.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/steps.py
@@ -4,7 +4,7 @@
 
     proposed -> agreed -> draining -> empty -> out -> back -> warming -> done
         ^---------+----------+---------+        |
-         recalled: it no longer fits            +--> lost (past its deadline; it still counts as unavailable)
+         recalled: constraints are violated     +--> lost (past its deadline; it still counts as unavailable)
 
 `failed` (past its deadline before it was out, or while it warmed up) and `aborted` (its request was
 withdrawn) end the maintenance of a machine with the machine in service.
@@ -35,13 +35,13 @@
 """Steps in which a machine counts as unavailable because of its maintenance."""
 
 NO_NEW_WORK = frozenset({Step.DRAINING, Step.EMPTY, Step.OUT, Step.BACK, Step.LOST})
-"""Steps in which nothing new is sent to a machine."""
+"""Steps in which a machine gets no new requests."""
 
 FINISHED = frozenset({Step.DONE, Step.FAILED, Step.ABORTED})
 """Steps that end a machine's maintenance."""
 
 RECALLABLE = frozenset({Step.AGREED, Step.DRAINING, Step.EMPTY})
-"""Steps from which a machine can still go back to `proposed`, as work on it has not begun."""
+"""Steps from which a machine can still go back to `proposed`, because work on it has not begun."""
 
 OUT_OF_SERVICE = frozenset({Step.OUT, Step.LOST})
-"""Steps in which work on a machine may be under way."""
+"""Steps in which operators may be working on a machine."""
--- a/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
@@ -1,8 +1,9 @@
-"""Maintenance joined to its gateway: executes the core's actions and feeds it what the gateway sees.
+"""Connects the maintenance core to its gateway: executes its actions and passes it observations.
 
-Whether the gateway serves is checked by the clock at each request (`MaintenanceCore.serves`), not by a tick:
-a process that was suspended rejects requests before it has received anything.  An operator's report that the
-work on a machine is done (`PUT /fleet/maintenance/back?NAME`) is kept here until the log has it.
+`MaintenanceCore.serves` compares the lease with the clock at each request, not at each tick, so that a
+process that was suspended rejects requests even before it has received any log entry.  The core keeps an
+operator's report that the work on a machine is done (`PUT /fleet/maintenance/back?NAME`) until it is
+committed.
 """
 
 from __future__ import annotations
@@ -56,19 +57,21 @@
 
 
 def _start_count(entry: NodeEntry) -> int:
-    """Tells one start of a node from another: its time as discovery has it, in milliseconds; 0 if unknown.
+    """Identifies a node's latest start: its time from discovery, in milliseconds; 0 if unknown.
 
-    A node that is down for less than most gateways' report interval is recognised as restarted by it alone.
+    It is the only evidence of a restart if the node is down for less than most gateways' report interval.
     """
     return round(entry.started_at * 1000) if entry.started_at is not None else 0
 
 
 class MaintenanceSubsystem:
-    """The subsystem of one gateway.
+    """The maintenance subsystem of one gateway.
 
-    `allotments` are called with True to release what this gateway holds, and return whether they have; with
-    False they may acquire again.  `warmers` are called with a cold node and this gateway's share (0 to 1) of
-    the limit for cold nodes.
+    Attributes:
+        allotments: callbacks that release this gateway's quota allotments when called with True and return
+            whether they hold none any more; called with False, they may acquire allotments again.
+        warmers: callbacks that receive a cold node and this gateway's share (0 to 1) of the limit for cold
+            nodes.
     """
 
     def __init__(self, context: SubsystemContext, section: MaintenanceSection) -> None:
@@ -86,16 +89,16 @@
         self.stepped_down = False
         context.gateway().gates.append(lambda: self.core.serves(time.monotonic()))
 
-    def committed(self, told: Committed, now: float) -> None:
+    def committed(self, committed: Committed, now: float) -> None:
         """The log has committed an entry of this topic; `now` is the monotonic clock in seconds."""
-        self._execute(self.core.committed(told, now))
+        self._execute(self.core.committed(committed, now))
 
     def lease_renewed(self, proposed_at: float, now: float) -> None:
-        """A marker of this gateway was committed that it proposed at this moment."""
+        """A marker that this gateway proposed at `proposed_at` was committed."""
         self.core.caught_up(proposed_at)
 
     def tick(self, now: float) -> None:
-        """Time has passed: pass on what the gateway sees now, and do what is due."""
+        """Pass the gateway's current observations to the core and execute the actions that are due."""
         context = self.context
         nodes = {
             entry.node: NodeStatus(
@@ -110,16 +113,17 @@
         }
         released = False
         if self.stepped_down:
-            # A list, not a generator: every allotment is told to release.
+            # A list, not a generator, so that every callback runs.
             released = all([release(True) for release in self.allotments])  # noqa: C419
         leader = context.me if context.leader() else None
         self.core.observe(LocalView(nodes, context.open_requests(), released, leader))
         self._execute(self.core.tick(now))
 
     def complete_work(self, name: str) -> dict[str, object]:
-        """An operator reports on the page that the work on a machine is done; the answer for the page.
+        """Record an operator's report that the work on a machine is done; returns the response body.
 
-        Raises `MachineNotOutError` for a machine that is not out of service.
+        Raises:
+            MachineNotOutError: the machine is not out of service.
         """
         machine = self.core.state.machines.get(name)
         if machine is None or machine.step not in OUT_OF_SERVICE:
@@ -133,7 +137,7 @@
         return describe(self.state_machine, self.core.state) | {"counted": self.core.serves(time.monotonic())}
 
     def gauges(self) -> Mapping[str, float]:
-        """The number of machines by the kind of their step; the keys are names of metrics."""
+        """The number of machines by group of steps; the keys are metric names."""
         steps = [machine.step for machine in self.core.state.machines.values()]
         return {
             "waiting": steps.count(Step.PROPOSED),
@@ -152,8 +156,8 @@
                 case Undrain(node):
                     self.context.drain(node, False)
                 case WarmUp(node, share):
-                    for warm in self.warmers:
-                        warm(node, share)
+                    for warmer in self.warmers:
+                        warmer(node, share)
                 case StepDown(reject):
                     self.stepped_down = True
                     self.context.gate(not reject)
@@ -170,5 +174,5 @@
 
 
 def open_subsystem(context: SubsystemContext, section: MaintenanceSection) -> MaintenanceSubsystem:
-    """The subsystem in the gateway of this context; the coordination service calls it by name."""
+    """Create the subsystem for a gateway; the coordination service looks this function up by name."""
     return MaintenanceSubsystem(context, section)
--- a/mallowbeam/storage_gateway/coordination/maintenance/transitions.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/transitions.py
@@ -1,8 +1,9 @@
-"""Guards of the steps: what each transition of a machine requires, and which transitions are due.
+"""Guards of the steps: the requirements of each transition, and the transitions that are due.
 
-`empty` requires a report of *every* gateway whose lease may still be valid: made after the gateway applied
-`draining`, and naming the machine as empty.  `out` requires a further report of each one, made after `empty`:
-a gateway that died meanwhile has none, so its lease is known to have expired before the machine goes out.
+`empty` requires a report from *every* gateway whose lease may still be valid, made after the gateway applied
+`draining` and listing the machine as empty.  `out` requires a further report from each of them, made after
+`empty`.  A gateway that died in between makes no such report, so its lease must be known to have expired
+before the machine goes out.
 """
 
 from __future__ import annotations
@@ -23,10 +24,10 @@
     Step.BACK: Step.WARMING,
     Step.WARMING: Step.DONE,
 }
-"""Where a machine goes next by itself, by its step."""
+"""The next step that a machine takes without an operator's request, by its current step."""
 
 CONSTRAINED_STEPS = frozenset({(Step.AGREED, Step.DRAINING), (Step.EMPTY, Step.OUT)})
-"""Transitions before which all constraints are checked once more."""
+"""Transitions that require all constraints to be checked again."""
 
 
 class TransitionGuard:
@@ -39,7 +40,7 @@
     def blocked_reason(
         self, state: MaintenanceState, machine: MachineState, target: Step, view: FleetView | None = None
     ) -> str:
-        """Why a machine may not take this step now; "" if it may."""
+        """The reason why a machine may not take this step now; "" if it may."""
         if target == Step.PROPOSED and machine.step in RECALLABLE:
             return "" if self._constraint(state, machine, view) else "it still fits"
         if (machine.step, target) in CONSTRAINED_STEPS:
@@ -51,7 +52,7 @@
     def _requirement(
         self, state: MaintenanceState, machine: MachineState, target: Step, view: FleetView | None
     ) -> str:
-        """What the step itself requires, apart from the constraints."""
+        """The unmet requirement of the step itself, apart from the constraints; "" if there is none."""
         match machine.step, target:
             case Step.AGREED, Step.DRAINING:
                 return self._allotments_reason(state, machine)
@@ -70,7 +71,7 @@
         return self.selector.blocking_reason(state, machine, view or merge_reports(state, self.members))
 
     def _allotments_reason(self, state: MaintenanceState, machine: MachineState) -> str:
-        """A gateway releases its quota allotments before it is drained."""
+        """The reason if a gateway must still release its quota allotments before it is drained; else ""."""
         if not machine.is_gateway or machine.name in state.expired_gateways:
             return ""
         report = state.reports.get(machine.name)
@@ -89,12 +90,12 @@
                 continue
             report = state.reports.get(name)
             if report is None or report.applied_index < since or machine.name not in _reported(report, step):
-                what = "empty" if step == Step.EMPTY else "warm"
-                return f"{name} has not said that {machine.name} is {what}"
+                condition = "empty" if step == Step.EMPTY else "warm"
+                return f"{name} has not said that {machine.name} is {condition}"
         return ""
 
     def _has_restarted(self, state: MaintenanceState, machine: MachineState, view: FleetView | None) -> bool:
-        """Whether a machine that was out has been seen to come back by itself."""
+        """Whether reports show that a machine has restarted since it went out of service."""
         if machine.is_gateway:
             report = state.reports.get(machine.name)
             return (
@@ -109,7 +110,7 @@
         return machine.seen_down or newly_started
 
     def due(self, state: MaintenanceState) -> list[Entry]:
-        """The entries that the state calls for, apart from those that only a clock can call for."""
+        """The entries that are due by the state, without those that depend on a clock."""
         if not state.active:
             return []
         view = merge_reports(state, self.members)
@@ -118,12 +119,12 @@
         for name in sorted(state.machines):
             machine = state.machines[name]
             if machine.step in RECALLABLE and not self.blocked_reason(state, machine, Step.PROPOSED, view):
-                recalls.append(machine)  # it would not be selected now
+                recalls.append(machine)  # it would not be selected in the current state
                 continue
             target = AUTOMATIC_STEPS.get(machine.step)
             if target is not None and not self.blocked_reason(state, machine, target, view):
                 found.append(Transition(name, target, machine.version))
-        if recalls:  # one at a time, the last begun first: that may be enough
+        if recalls:  # recall only the one selected last, as that may satisfy the constraints
             last = max(recalls, key=lambda machine: (machine.agreed_index, machine.name))
             found.append(Transition(last.name, Step.PROPOSED, last.version))
         elif self.selector.select(state, view).machine is not None:
--- a/mallowbeam/storage_gateway/coordination/pools/__init__.py
+++ b/mallowbeam/storage_gateway/coordination/pools/__init__.py
@@ -1,5 +1,5 @@
-"""The pool language: how the operators divide a storage node's connections over gateways and tenants.
+"""The pool language, in which operators divide a storage node's connections over gateways and tenants.
 
-Owns one gateway's counts of open and borrowed connections (`borrowing.py`); all else are pure functions of a
-text, the fleet and the agreed facts.  Nothing calls it yet but its tests (docs/pools.md, "Open").
+`borrowing.py` counts one gateway's open and borrowed connections; all other modules are pure functions of a
+text, the fleet and the agreed facts.  Only tests use this package so far (docs/pools.md, "Open").
 """
--- a/mallowbeam/storage_gateway/coordination/pools/allocation.py
+++ b/mallowbeam/storage_gateway/coordination/pools/allocation.py
@@ -1,13 +1,13 @@
-"""What a document means for a fleet: connections by node, gateway and tenant.
+"""Applies a document to a fleet: connections by node, gateway and tenant.
 
-Two levels.  A node's budget is apportioned over claimants, which are gateways or groups of gateways that
-share; then what a gateway has at a node is apportioned over the tenants that connect through it.  One more
-connection in the budget goes to one claimant, and there to one tenant, so the whole is as house-monotone as
-each apportionment.
+There are two levels.  A node's budget is apportioned over claimants, which are gateways or groups of gateways
+that share connections.  Then a gateway's connections to the node are apportioned over the tenants that
+connect through it.  One more connection in the budget goes to one claimant, and there to one tenant, so the
+whole is house-monotone because each apportionment is.
 
-For each question the first rule that matches decides all of its terms.  A node that no budget matches is
-unbounded.  A group `in turns` divides its connections among its members; where it has fewer than one for
-each, the member that comes first moves on with the epoch (`turn` is the epoch's number).
+For each query the first matching rule decides all terms.  A node that no budget matches is unbounded.  A
+group `in turns` divides its connections evenly among its members; any remainder goes to members in an order
+that rotates with the epoch (`turn` is the epoch's number).
 """
 
 from __future__ import annotations
@@ -43,12 +43,12 @@
 )
 
 MS_PER_S = 1000
-KEY_SEPARATOR = "\0"  # in no name
+KEY_SEPARATOR = "\0"  # occurs in no name
 
 
 @dataclass(frozen=True, slots=True)
 class NodeBudget:
-    """A node's connections in all, and each gateway's part of them (0 for those that have none)."""
+    """A node's total connections, and the part of each gateway (0 for a gateway that has none)."""
 
     total: int
     gateways: Mapping[str, int]
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SharingGroup:
-    """Gateways that have one part of a node's budget together."""
+    """Gateways that share one part of a node's budget."""
 
     rule: SharingRule
     members: list[str]
@@ -64,19 +64,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LoanTerms:
-    """What a tenant lends."""
+    """The terms on which a tenant lends its idle connections."""
 
     percent: int  # of its own connections, 0 to 100
     reserve: int  # connections that are never lent
     borrowers: frozenset[str]
-    recall_s: float  # within which a recalled connection is back
+    recall_s: float  # deadline for the return of a recalled connection
 
 
 @dataclass(frozen=True, slots=True)
 class TenantTerms:
     """A tenant's terms at a node and gateway."""
 
-    ceiling: int | None  # connections that it may have with borrowed ones; None: unbounded
+    ceiling: int | None  # maximum connections including borrowed ones; None: unbounded
     loan: LoanTerms
 
 
@@ -87,7 +87,7 @@
 
 
 def claimant(name: str, terms: Terms, default_floor: int) -> Claimant:
-    """A claimant with these terms; a ceiling of 0 lowers the default floor as well."""
+    """A claimant with these terms; a ceiling below the default floor lowers the floor."""
     floor = default_floor if terms.floor is None else terms.floor
     if terms.ceiling is not None and terms.floor is None:
         floor = min(floor, terms.ceiling)
@@ -95,37 +95,37 @@
     return Claimant(name, weight, floor, terms.ceiling)
 
 
-def _in_force(rules: Sequence[ConditionalRule], facts: Facts) -> list[ConditionalRule]:
+def _applicable_rules(rules: Sequence[ConditionalRule], facts: Facts) -> list[ConditionalRule]:
     return [rule for rule in rules if holds(rule.when, facts)]
 
 
 class Allocation:
-    """A document applied to a fleet under given facts; asked node by node, and cached."""
+    """A document applied to a fleet under given facts; computed on demand by node, and cached."""
 
     def __init__(self, document: PoolsDocument, fleet: Fleet, facts: Facts = NO_FACTS, turn: int = 0) -> None:
         self.fleet = fleet
         self.turn = turn
-        self._budgets = _in_force(document.budgets, facts)
-        self._gateway_rules = _in_force(document.gateways, facts)
-        self._sharing_rules = _in_force(document.sharing, facts)
-        self._tenant_rules = _in_force(document.tenants, facts)
+        self._budgets = _applicable_rules(document.budgets, facts)
+        self._gateway_rules = _applicable_rules(document.gateways, facts)
+        self._sharing_rules = _applicable_rules(document.sharing, facts)
+        self._tenant_rules = _applicable_rules(document.tenants, facts)
         self._recall_ms = DEFAULT_RECALL_MS if document.recall_ms is None else document.recall_ms
         self._classes = document.classes
         self._nodes = {node.name: node_traits(node) for node in fleet.nodes}
         self._gateways = {gateway.name: gateway_traits(gateway) for gateway in fleet.gateways}
-        # By the rules that match: nodes that no rule tells apart have the same claimants.
+        # By the matching rules: nodes that match the same rules have the same claimants.
         self._gateway_claims: dict[tuple[tuple[int, ...], tuple[int, ...]], GatewayClaims] = {}
         self._tenant_claims: dict[tuple[str, tuple[int, ...]], TenantClaims] = {}
 
     # --- nodes and gateways ---------------------------------------------------------------------------
 
     def budget(self, node: str) -> int | None:
-        """A node's connections in all; None where no budget bounds it."""
+        """A node's total connections; None if no budget matches it."""
         traits = self._nodes[node]
         return next((rule.connections for rule in self._budgets if matches(rule.nodes, traits)), None)
 
     def node_budget(self, node: str) -> NodeBudget | None:
-        """A node's budget and each gateway's part of it; None where nothing bounds the node."""
+        """A node's budget and each gateway's part of it; None if no budget matches the node."""
         total = self.budget(node)
         if total is None:
             return None
@@ -136,7 +136,7 @@
         return NodeBudget(total, counts)
 
     def gateway_claimants(self, node: str) -> GatewayClaims:
-        """Who takes part in a node's budget: gateways and groups, and the groups by their claimant's name."""
+        """The claimants of a node's budget (gateways and groups), and the groups by claimant name."""
         traits = self._nodes[node]
         rules = tuple(i for i, rule in enumerate(self._gateway_rules) if matches(rule.nodes, traits))
         sharing = tuple(i for i, rule in enumerate(self._sharing_rules) if matches(rule.nodes, traits))
@@ -153,7 +153,7 @@
                 members.setdefault(shared, []).append(name)
             else:
                 claimants.append(claimant(name, self._gateway_terms(rules, traits), DEFAULT_GATEWAY_FLOOR))
-        # A group is named by its members, so that ties do not depend on the order of rules.
+        # A group is named after its members, so that ties do not depend on the order of rules.
         groups = {
             KEY_SEPARATOR.join(["", *sorted(names)]): SharingGroup(self._sharing_rules[i], names)
             for i, names in members.items()
@@ -171,14 +171,14 @@
         return Terms() if first is None else first.terms
 
     def _within_group(self, count: int, group: SharingGroup, node: str) -> dict[str, int]:
-        """A group's connections by member."""
+        """Divides a group's connections over its members."""
         members = sorted(group.members, key=tie_breaker(node))
         through = group.rule.through
-        if through in members:  # else it has left the fleet: they take turns
+        if through in members:  # a gateway that is not in the fleet is ignored, and the members take turns
             return {name: count if name == through else 0 for name in members}
-        each, rest = divmod(count, len(members))
+        quotient, remainder = divmod(count, len(members))
         return {
-            name: each + ((position - self.turn) % len(members) < rest)
+            name: quotient + ((position - self.turn) % len(members) < remainder)
             for position, name in enumerate(members)
         }
 
@@ -221,8 +221,8 @@
 
     def _loan_terms(self, rule: int | None) -> LoanTerms:
         if rule is None:
-            everybody = frozenset(self._tenants)
-            return LoanTerms(DEFAULT_LENT_PERCENT, 0, everybody, self._recall_ms / MS_PER_S)
+            all_tenants = frozenset(self._tenants)
+            return LoanTerms(DEFAULT_LENT_PERCENT, 0, all_tenants, self._recall_ms / MS_PER_S)
         loan = self._tenant_rules[rule].loan
         return LoanTerms(
             DEFAULT_LENT_PERCENT if loan.percent is None else loan.percent,
@@ -238,12 +238,12 @@
 
     @cached_property
     def _rule_tenants(self) -> list[frozenset[str]]:
-        """The tenants that each tenant rule is about."""
+        """By tenant rule, the tenants that it matches."""
         return [self._matching_tenants(rule.tenants) for rule in self._tenant_rules]
 
     @cached_property
     def _rule_borrowers(self) -> list[frozenset[str]]:
-        """The tenants that may borrow under each tenant rule."""
+        """By tenant rule, the tenants that may borrow under it."""
         return [self._matching_tenants(rule.loan.borrowers) for rule in self._tenant_rules]
 
     def _matching_tenants(self, expression: Expression) -> frozenset[str]:
@@ -251,7 +251,7 @@
 
 
 def gateway_connections(allocation: Allocation) -> dict[str, dict[str, int]]:
-    """Connections by node and gateway, bounded nodes only: what the fleet agrees on."""
+    """Connections by bounded node and gateway, which is what the fleet agrees on."""
     budgets = {node.name: allocation.node_budget(node.name) for node in allocation.fleet.nodes}
     return {name: dict(budget.gateways) for name, budget in budgets.items() if budget is not None}
 
--- a/mallowbeam/storage_gateway/coordination/pools/apportionment.py
+++ b/mallowbeam/storage_gateway/coordination/pools/apportionment.py
@@ -1,16 +1,18 @@
 """Apportionment of whole connections by a divisor method, Webster's (Sainte-Laguë's).
 
-Every claimant first gets its floor; then each further connection goes to the claimant below its ceiling whose
-weight / (2a + 1) is highest, where a is what it has.  So one connection more takes none from anybody (the
-largest remainder method does: the Alabama paradox), a larger weight never gets less, and no connection is
-unused while a ceiling permits.  Where the floors exceed the total, the same rule apportions up to the floors.
-
-All arithmetic is in integers.  What would take h steps one by one is reached by bisection: for a divisor m, a
-claimant has all its steps with w / (2a + 1) >= W / m (W: the sum of weights), which is one division for all
-claimants with the same terms; the last few steps, at most one a claimant, are sorted.
-
-Ties are broken by a hash of salt and name: the same on all gateways, whatever the order of claimants, and not
-always in favour of the same one.
+Every claimant first gets its floor.  Each further connection goes to the claimant below its ceiling with the
+highest weight / (2a + 1), where a is the number of connections that it already has.  With this method one
+more connection in the total takes none from any claimant (the largest remainder method can, which is the
+Alabama paradox), a larger weight never gets less, and no connection stays unused while a ceiling permits its
+use.  If the floors exceed the total, the same method apportions the total up to the floors.
+
+All arithmetic is in integers.  Instead of handing out connections one by one, the method bisects on a
+divisor: for a divisor m, a claimant gets all its steps with w / (2a + 1) >= W / m (W: the sum of weights),
+which is one division for all claimants with the same terms.  The last few steps, at most one per claimant,
+are sorted.
+
+Ties are broken by a hash of salt and name.  The result is the same on all gateways, independent of the order
+of claimants, and ties do not always favour the same claimant.
 """
 
 from __future__ import annotations
@@ -27,17 +29,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Claimant:
-    """One that takes part in an apportionment, by a name that no other one has."""
+    """A participant of an apportionment; its name is unique."""
 
     name: str
-    weight: int = 1  # 0: it gets its floor and no more
+    weight: int = 1  # 0: it gets only its floor
     floor: int = 0
-    ceiling: int | None = None  # None: unbounded; else not below the floor
+    ceiling: int | None = None  # None: unbounded; otherwise not below the floor
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimantGroup:
-    """Claimants with the same terms: what each has at the start, and at most."""
+    """Claimants with the same terms; each one gets from `start` to `limit` connections."""
 
     names: list[str]
     weight: int
@@ -51,13 +53,13 @@
 
 
 def tie_breaker(salt: str) -> Callable[[str], tuple[int, str]]:
-    """A sort key of names: the lowest wins a tie; another salt gives another order."""
-    odd = _hash(salt) | 1
-    return lambda name: (_hash(name) * odd & HASH_MASK, name)
+    """A sort key for names: the lowest wins a tie, and each salt gives a different order."""
+    odd_multiplier = _hash(salt) | 1
+    return lambda name: (_hash(name) * odd_multiplier & HASH_MASK, name)
 
 
 def apportion(total: int, claimants: Iterable[Claimant], salt: str = "") -> dict[str, int]:
-    """Connections by claimant's name; their sum is `total` where ceilings permit it."""
+    """Connections by claimant name; their sum is `total` unless ceilings prevent it."""
     names_by_terms: dict[tuple[int, int, int | None], list[str]] = {}
     for claimant in claimants:
         terms = (claimant.weight, claimant.floor, claimant.ceiling)
@@ -65,17 +67,17 @@
     floors = sum(floor * len(names) for (_, floor, _), names in names_by_terms.items())
     groups: list[ClaimantGroup] = []
     for (weight, floor, ceiling), names in names_by_terms.items():
-        most = total if ceiling is None else min(ceiling, total)
-        if floors > total:  # up to the floors alone; a weight of 0 counts as the least weight
-            groups.append(ClaimantGroup(names, weight or 1, 0, min(floor, most)))
+        maximum = total if ceiling is None else min(ceiling, total)
+        if floors > total:  # apportion only up to the floors; a weight of 0 counts as 1
+            groups.append(ClaimantGroup(names, weight or 1, 0, min(floor, maximum)))
         else:
-            limit = max(most, floor) if weight else floor
+            limit = max(maximum, floor) if weight else floor
             groups.append(ClaimantGroup(names, weight or 1, floor, limit))
     return _allocate(total, groups, salt)
 
 
 def _allocate(total: int, groups: list[ClaimantGroup], salt: str) -> dict[str, int]:
-    """From each one's start up to its limit, each step to the highest priority."""
+    """Allocates connections from each claimant's start to its limit, each step to the highest priority."""
     total = min(total, sum(group.limit * len(group.names) for group in groups))
     counts, next_counts = _bisect(total, groups)
     if _sum(next_counts, groups) == total:
@@ -100,7 +102,7 @@
 def _bisect(total: int, groups: list[ClaimantGroup]) -> tuple[list[int], list[int]]:
     """Counts by group for the largest divisor whose sum is within `total`, and for the next divisor.
 
-    The two differ by at most one step, as no weight is above the sum of weights.
+    The two counts of a group differ by at most one, because no weight exceeds the sum of weights.
     """
     total_weight = sum(group.weight * len(group.names) for group in groups)
 
--- a/mallowbeam/storage_gateway/coordination/pools/canonical.py
+++ b/mallowbeam/storage_gateway/coordination/pools/canonical.py
@@ -1,10 +1,10 @@
 """The canonical text of a document, from which its digest is computed.
 
-`show` writes a document in fixed words and spaces; parsing that gives an equal document.  `canonical` first
-normalises it: names sorted, nested `and` and `or` flattened, defaults left out, and rules of a kind sorted as
-far as that changes nothing.  Two rules may be exchanged only if no node, gateway and tenant matches both, as
-names under one key show it (where they do not show it the rules keep their order).  Of all orders that such
-exchanges can reach the alphabetically first one is taken, so that all of them have the same text.
+`show` writes a document in a fixed form; parsing that text gives an equal document.  `canonical` first
+normalises the document: names are sorted, nested `and` and `or` flattened, defaults left out, and rules of a
+kind sorted as far as the meaning stays the same.  Two rules may be exchanged only if the names under one key
+prove that no node, gateway and tenant matches both; otherwise they keep their order.  The result is the
+alphabetically first of all orders that such exchanges can reach, so that all these orders have the same text.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 
 def digest(document: PoolsDocument) -> str:
-    """A short name of what a document means; equal digests mean equal allocations."""
+    """A short identifier of a document's meaning; equal digests mean equal allocations."""
     return hashlib.sha256(canonical(document).encode()).hexdigest()[:DIGEST_LENGTH]
 
 
@@ -63,7 +63,7 @@
 
 
 def show_expression(expression: Expression, nested: bool = False) -> str:
-    """An expression as text; `nested` in another one, it is put into parentheses where it needs them."""
+    """An expression as text; with `nested`, in parentheses if it needs them inside another expression."""
     match expression:
         case Everything():
             return "all"
@@ -100,7 +100,7 @@
 
 
 def show(document: PoolsDocument) -> str:
-    """A document as text, rules of a kind in their order."""
+    """A document as text; rules of one kind keep their order."""
     lines = [f"pools {LANGUAGE_VERSION};"]
     if document.recall_ms is not None:
         lines.append(f"recall {document.recall_ms}ms;")
@@ -143,7 +143,7 @@
 
 
 def normalize(document: PoolsDocument) -> PoolsDocument:
-    """A document with the same meaning, in the one order and without defaults."""
+    """A document with the same meaning in normal form: sorted and without defaults."""
     classes = [replace(rule, members=simplify(rule.members)) for rule in document.classes]
     budgets = [
         replace(rule, nodes=simplify(rule.nodes), when=simplify(rule.when)) for rule in document.budgets
@@ -184,7 +184,7 @@
 
 
 def simplify(expression: Expression) -> Expression:
-    """Names and operands sorted, each once; nested `and` and `or` flattened; no `not not`."""
+    """Sorts and deduplicates names and operands, flattens nested `and` and `or`, removes `not not`."""
     match expression:
         case KeyIn(_, names):
             return replace(expression, names=tuple(sorted(set(names))))
@@ -203,7 +203,7 @@
 
 
 def _without_defaults(terms: Terms, default_floor: int, may_be_empty: bool) -> Terms:
-    """Terms without defaults; where a rule must have a term and has no other, its weight stays."""
+    """Terms without defaults; the weight stays if the rule would otherwise have no term but needs one."""
     explicit = Terms(
         None if terms.weight == DEFAULT_WEIGHT else terms.weight,
         None if terms.floor == default_floor and terms.ceiling != 0 else terms.floor,
@@ -227,7 +227,7 @@
 def _sort_rules(
     rules: Sequence[RuleKind], are_independent: Callable[[RuleKind, RuleKind], bool]
 ) -> tuple[RuleKind, ...]:
-    """The alphabetically first order in which rules that depend on each other keep their order."""
+    """The alphabetically first order that keeps the relative order of dependent rules."""
     texts = [show_rule(rule) for rule in rules]
     predecessors = [
         {i for i in range(j) if not are_independent(rules[i], rules[j])} for j in range(len(rules))
@@ -260,7 +260,7 @@
 
 
 def are_disjoint(one: Expression, other: Expression) -> bool:
-    """Whether nothing can match both, as far as names under a key show it (not classes: they overlap)."""
+    """Whether names under a key prove that nothing matches both (classes prove nothing, as they overlap)."""
     names = _required_names(one)
     other_names = _required_names(other)
     return any(key in other_names and not names[key] & other_names[key] for key in names)
@@ -277,7 +277,7 @@
 
 
 def _classes_in(expression: Expression) -> set[str]:
-    """The classes that an expression names."""
+    """The classes that an expression refers to."""
     match expression:
         case KeyIn(key, names):
             return set(names) if key == "class" else set()
--- a/mallowbeam/storage_gateway/coordination/pools/case_checks.py
+++ b/mallowbeam/storage_gateway/coordination/pools/case_checks.py
@@ -1,12 +1,12 @@
 """Checks over all combinations of nodes, gateways, tenants and scenarios.
 
-Checks are exhaustive, not sampled: nodes, gateways and tenants that no rule distinguishes are one *kind*, and
-conditions are sets of scenarios, so each combination of kinds is checked once for all scenarios.
+The checks are exhaustive, not sampled.  Nodes, gateways or tenants that no rule distinguishes form one
+*kind*, and conditions are sets of scenarios, so each combination of kinds is checked once for all scenarios.
 
-What holds at the largest allowed fleet holds at any smaller one: a gateway more adds a claimant and its
-floor.  A gateway not known yet (`Fleet.max_gateways` above those named) counts with the highest floor that a
-known zone has.  A tenant's floor at a gateway must fit into the floor of that gateway, which is all that is
-certain at any size.
+A check that holds for the largest allowed fleet holds for any smaller one, because one more gateway adds a
+claimant and its floor.  A gateway that is not known yet (`Fleet.max_gateways` exceeds the named ones) counts
+with the highest floor of any known zone.  Tenants' floors at a gateway must fit into the gateway's floor,
+because only that is certain at any fleet size.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeKind:
-    """Nodes alike to all rules: which rules are about them."""
+    """Nodes that no rule distinguishes, by the rules that match them."""
 
     budgets: RuleSet
     gateways: RuleSet
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayKind:
-    """Gateways alike to all rules: which rules are about them."""
+    """Gateways that no rule distinguishes, by the rules that match them."""
 
     gateways: RuleSet
     sharing: RuleSet
@@ -63,12 +63,12 @@
 
 
 TenantCounts = tuple[tuple[RuleSet, int], ...]
-"""The tenants that connect through a gateway: which rules are about them, and how many tenants are alike."""
+"""The tenants that connect through a gateway: sets of matching rules, and the number of tenants of each."""
 
 
 @dataclass(frozen=True, slots=True)
 class FloorCase:
-    """In some scenarios a gateway has this floor, by itself or (`group`) as one of a sharing rule's group."""
+    """A gateway's floor in some scenarios: its own, or that of its group (`group`: a sharing rule)."""
 
     group: int | None
     floor: int
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class ScenarioFloors:
-    """The floors at a node in one scenario: of single gateways as (floor, number), and groups."""
+    """The floors at a node in one scenario: (floor, number) of single gateways, and the groups."""
 
     single: list[tuple[int, int]]
     groups: set[int]
@@ -85,14 +85,14 @@
 
 @dataclass(slots=True)
 class TenantFloors:
-    """By scenario, the sum of tenants' floors at a gateway and node, and the last rule that added to it."""
+    """By scenario, the sum of tenants' floors at a gateway and node, and the last rule that contributed."""
 
     needed: list[int]
     last_rules: list[int | None]
 
 
 class CaseChecks:
-    """Kinds of nodes, gateways and tenants, and what the rules decide for each combination."""
+    """Kinds of nodes, gateways and tenants, and the decisions of the rules for each combination."""
 
     def __init__(self, document: PoolsDocument, fleet: Fleet) -> None:
         self._document = document
@@ -136,7 +136,7 @@
         return found
 
     def _tenant_rules(self) -> list[tuple[frozenset[str] | None, RuleSet]]:
-        """For each tenant, its gateways and the rules that are about it."""
+        """For each tenant, its gateways and the rules that match it."""
         subjects = [rule.tenants for rule in self._document.tenants]
         return [
             (tenant.gateways, matching_rules(subjects, tenant_traits(tenant, self._document.classes)))
@@ -146,7 +146,7 @@
     def _find_gateway_kinds(
         self, tenants: list[tuple[frozenset[str] | None, RuleSet]]
     ) -> dict[tuple[GatewayKind, TenantCounts], tuple[int, str]]:
-        """Gateways alike to all rules and with tenants alike: how many there are, and the name of one."""
+        """Gateways by kind and tenants: how many there are, and the name of one of them."""
         everywhere = Counter(rules for gateways, rules in tenants if gateways is None)
         found: dict[tuple[GatewayKind, TenantCounts], tuple[int, str]] = {}
         for gateway in self._fleet.gateways:
@@ -185,7 +185,7 @@
                     continue
                 budget = self._document.budgets[match.rule]
                 for scenario in members(match.scenarios):
-                    needed, claimants = self._largest_need(floors[scenario], unnamed_floor[scenario])
+                    needed, claimants = self._required_connections(floors[scenario], unnamed_floor[scenario])
                     if needed > budget.connections and match.rule not in reported:
                         reported.add(match.rule)
                         yield self._budget_error(budget, node, needed, claimants, scenario)
@@ -205,11 +205,11 @@
 
     @property
     def _unnamed_gateways(self) -> int:
-        """How many gateways may join that are not named yet."""
+        """How many gateways that are not named yet may join."""
         return max(0, self._fleet.max_gateways - len(self._fleet.gateways))
 
     def _unnamed_floors(self, kind: NodeKind) -> list[int]:
-        """By scenario, the highest floor that a gateway not named yet may have."""
+        """By scenario, the highest floor of a gateway that is not named yet."""
         highest = [0] * self._scenarios.count
         for gateway_kind in self._unnamed_kinds if self._unnamed_gateways else ():
             for case in self._floor_cases(kind, gateway_kind):
@@ -219,12 +219,14 @@
 
     def _floor_cases(self, node: NodeKind, gateway: GatewayKind) -> Iterator[FloorCase]:
         """The floors of one kind of gateway at one kind of node."""
-        for shared in self._first_sharing.decide(node.sharing & gateway.sharing):
-            if shared.rule is not None:
-                yield FloorCase(shared.rule, self._group_floor(shared.rule), shared.scenarios)
+        for sharing_match in self._first_sharing.decide(node.sharing & gateway.sharing):
+            if sharing_match.rule is not None:
+                yield FloorCase(
+                    sharing_match.rule, self._group_floor(sharing_match.rule), sharing_match.scenarios
+                )
                 continue
             for match in self._first_gateway.decide(node.gateways & gateway.gateways):
-                both = match.scenarios & shared.scenarios
+                both = match.scenarios & sharing_match.scenarios
                 if both:
                     yield FloorCase(None, self._gateway_floor(match.rule), both)
 
@@ -235,7 +237,7 @@
     def _group_floor(self, rule: int) -> int:
         return claimant("", self._document.sharing[rule].terms, DEFAULT_GATEWAY_FLOOR).floor
 
-    def _largest_need(self, floors: ScenarioFloors, unnamed_floor: int) -> tuple[int, int]:
+    def _required_connections(self, floors: ScenarioFloors, unnamed_floor: int) -> tuple[int, int]:
         """The sum of floors in the largest allowed fleet, and the number of claimants with a floor."""
         unnamed = self._unnamed_gateways
         needed = unnamed * unnamed_floor
@@ -266,7 +268,7 @@
     # --- tenants --------------------------------------------------------------------------------------
 
     def tenant_errors(self) -> Iterator[PoolError]:
-        """Tenants' floors beyond what a gateway certainly has, and rules that can never apply."""
+        """Tenants' floors beyond their gateway's certain connections, and rules that can never apply."""
         reported: set[int] = set()
         for node_kind, node in self._node_kinds.items():
             for (gateway_kind, tenants), (_, gateway) in self._gateway_kinds.items():
@@ -282,7 +284,7 @@
         yield from self._first_tenant.unreachable()
 
     def _tenant_floors(self, node: NodeKind, gateway: GatewayKind, tenants: TenantCounts) -> TenantFloors:
-        """The floors of all tenants of one kind of gateway at one kind of node, where it is bounded."""
+        """The floors of all tenants at one kind of gateway and node, where the node is bounded."""
         budgets = self._first_budget.decide(node.budgets)
         bounded = sum(match.scenarios for match in budgets if match.rule is not None)
         found = TenantFloors([0] * self._scenarios.count, [None] * self._scenarios.count)
@@ -297,7 +299,10 @@
         return found
 
     def _certain_floors(self, node: NodeKind, gateway: GatewayKind, name: str) -> Iterator[tuple[int, int]]:
-        """What a gateway has at least at any size, by scenario: its floor, or that of a group through it."""
+        """Pairs of floor and scenario: connections that a gateway has at any fleet size.
+
+        This is its own floor, or its group's floor if the group goes through it, or else 0.
+        """
         for case in self._floor_cases(node, gateway):
             is_own = case.group is None or self._document.sharing[case.group].through == name
             for scenario in members(case.scenarios):
--- a/mallowbeam/storage_gateway/coordination/pools/checks.py
+++ b/mallowbeam/storage_gateway/coordination/pools/checks.py
@@ -1,4 +1,4 @@
-"""What is wrong with a document for a given fleet, found before it takes effect; without I/O."""
+"""Finds errors of a document for a given fleet before it takes effect; without I/O."""
 
 from __future__ import annotations
 
@@ -11,17 +11,21 @@
 from mallowbeam.storage_gateway.coordination.pools.rules import PoolsDocument
 from mallowbeam.storage_gateway.coordination.pools.term_checks import check_terms
 
-MAX_CASES = 500_000  # kinds of nodes x gateways x tenants that are checked; beyond: PoolBoundError
+MAX_CASES = 500_000  # kinds of nodes x gateways x tenants to check; more raise PoolBoundError
 
 
 def check(document: PoolsDocument, fleet: Fleet) -> None:
-    """Raise the first `PoolError` that there is."""
+    """Raise the first error of `find_errors`, if any.
+
+    Raises:
+        PoolError: the document is not valid for the fleet.
+    """
     for error in find_errors(document, fleet):
         raise error
 
 
 def find_errors(document: PoolsDocument, fleet: Fleet) -> Iterator[PoolError]:
-    """All errors of a document; those that depend on names and terms only where these are valid."""
+    """All errors of a document; the checks of combinations run only if names and terms are valid."""
     errors = [*check_names(document, fleet), *check_terms(document)]
     yield from errors
     if errors:
--- a/mallowbeam/storage_gateway/coordination/pools/errors.py
+++ b/mallowbeam/storage_gateway/coordination/pools/errors.py
@@ -1,4 +1,7 @@
-"""Errors of the pool language, with position, excerpt and remedy; the parser library's own never get out."""
+"""Errors of the pool language, with position, excerpt and remedy.
+
+Errors of the parser library are always converted to these.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 class PoolError(MallowbeamError):
-    """A text of the pool language is wrong at `position`."""
+    """A text of the pool language has an error at `position`."""
 
     error_name = "PoolError"
     remedy = "correct the pools text there and push it again"
@@ -25,7 +28,7 @@
         self.position = position
 
     def told(self) -> dict[str, str]:
-        """The base's fields and the position, for a JSON answer."""
+        """The base class's fields and the position, for a JSON response."""
         position = self.position
         return super().told() | {
             "line": str(position.line),
@@ -42,7 +45,7 @@
 
 
 class PoolBoundError(PoolError):
-    """A number, the text or its nesting is beyond a bound."""
+    """A number, the text's size or its nesting exceeds a limit."""
 
     error_name = "PoolBound"
     remedy = "keep within the bounds of docs/formats/pool-language.md"
@@ -70,14 +73,14 @@
 
 
 class PoolOvercommittedError(PoolError):
-    """Floors that add up to more than there is, at some allowed size of the fleet."""
+    """Floors add up to more than the available connections at some allowed fleet size."""
 
     error_name = "PoolOvercommitted"
     remedy = "lower the floors, raise the budget, or allow fewer gateways"
 
 
 class PoolTooFewError(PoolError):
-    """A budget below one connection for each gateway, and no rule says which gateways share."""
+    """A budget has fewer connections than gateways, and no rule says which gateways share."""
 
     error_name = "PoolTooFew"
     remedy = (
--- a/mallowbeam/storage_gateway/coordination/pools/expressions.py
+++ b/mallowbeam/storage_gateway/coordination/pools/expressions.py
@@ -1,6 +1,6 @@
-"""Expressions of the pool language: which nodes, gateways or tenants a rule is about, and when it applies.
+"""Expressions of the pool language: the nodes, gateways or tenants that a rule matches, and its conditions.
 
-Frozen values, equal where the texts use the same words; a position in the text is no part of equality.
+They are immutable values that are equal if the texts use the same words; positions are not compared.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SourcePosition:
-    """Where something begins in the text: line and column count from 1, `text` is an excerpt from there."""
+    """A position in the text: `line` and `column` count from 1; `text` is an excerpt that starts there."""
 
     line: int = 0
     column: int = 0
@@ -21,7 +21,7 @@
 
 
 def position_field() -> SourcePosition:
-    """A dataclass field for a position: unknown by default, and no part of equality."""
+    """A dataclass field for a position; unknown by default and not compared."""
     return field(default=UNKNOWN_POSITION, compare=False, repr=False)
 
 
@@ -57,21 +57,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Not:
-    """Whatever the operand does not match."""
+    """Matches if the operand does not match."""
 
     operand: Expression
 
 
 @dataclass(frozen=True, slots=True)
 class And:
-    """What all of two or more operands match."""
+    """Matches if all of two or more operands match."""
 
     operands: tuple[Expression, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Or:
-    """What any of two or more operands matches."""
+    """Matches if any of two or more operands matches."""
 
     operands: tuple[Expression, ...]
 
--- a/mallowbeam/storage_gateway/coordination/pools/first_match.py
+++ b/mallowbeam/storage_gateway/coordination/pools/first_match.py
@@ -1,4 +1,4 @@
-"""Which rule of one kind is the first to match, for all scenarios at once."""
+"""Finds the first matching rule of one kind, for all scenarios at once."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 ConditionalRule = BudgetRule | GatewayRule | SharingRule | TenantRule
 
 RuleSet = int
-"""A set of rules of one kind, a bit for each by its index."""
+"""A set of rules of one kind: a bit mask by rule index."""
 
 
 @dataclass(frozen=True, slots=True)
 class Match:
-    """The rule that decides in some scenarios; None where no rule does."""
+    """The rule that decides in some scenarios; None if no rule does."""
 
     rule: int | None
     scenarios: ScenarioSet
@@ -36,7 +36,7 @@
 
 
 class FirstMatch:
-    """The rules of one kind, and which of them have been the first to match in any case asked for."""
+    """The rules of one kind; records which of them were the first to match in any queried case."""
 
     def __init__(self, rules: Sequence[ConditionalRule], scenarios: Scenarios) -> None:
         self._rules = rules
@@ -44,14 +44,16 @@
         self._holds_in = [scenarios.where(rule.when) for rule in rules]
         self._reached: RuleSet = 0
         self._considered: RuleSet = 0
-        self._covered_by: dict[int, int] = {}  # a rule that did not decide: one that did in its place
-        self._found: dict[RuleSet, list[Match]] = {}
+        self._covered_by: dict[
+            int, int
+        ] = {}  # by rule that did not decide: an earlier rule that decided instead
+        self._decisions: dict[RuleSet, list[Match]] = {}
 
     def decide(self, candidates: RuleSet) -> list[Match]:
-        """For rules whose subjects match: which one decides, in which scenarios."""
-        found = self._found.get(candidates)
+        """Of the rules whose subjects match: the deciding ones, each with its scenarios."""
+        found = self._decisions.get(candidates)
         if found is None:
-            found = self._found[candidates] = self._find(candidates)
+            found = self._decisions[candidates] = self._find(candidates)
         return found
 
     def _find(self, candidates: RuleSet) -> list[Match]:
@@ -79,7 +81,7 @@
         return found
 
     def unreachable(self) -> Iterator[PoolError]:
-        """Errors for rules that never decided, once all cases have been asked for."""
+        """Errors for rules that never decided; valid after all cases have been queried."""
         for i, rule in enumerate(self._rules):
             if self._reached >> i & 1:
                 continue
--- a/mallowbeam/storage_gateway/coordination/pools/fleet.py
+++ b/mallowbeam/storage_gateway/coordination/pools/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet that a text of the pool language is applied to, and the facts on which its conditions depend."""
+"""The fleet to which a text of the pool language applies, and the facts that its conditions test."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
     gateways: tuple[Gateway, ...]
     nodes: tuple[Node, ...]
     tenants: tuple[Tenant, ...] = ()
-    max_gateways: int = 0  # how many gateways there may be; 0: as many as are named
-    plans: frozenset[str] = frozenset()  # plans known besides those of the tenants
+    max_gateways: int = 0  # maximum number of gateways; 0: only those named
+    plans: frozenset[str] = frozenset()  # known plans in addition to those of the tenants
 
 
 @dataclass(frozen=True, slots=True)
 class Facts:
-    """What the fleet has agreed on; by default no zone is out and nothing is in maintenance."""
+    """Facts that the fleet has agreed on; by default no zone is out and no machine is in maintenance."""
 
     zones_out: frozenset[str] = frozenset()
     in_maintenance: frozenset[str] = frozenset()
--- a/mallowbeam/storage_gateway/coordination/pools/grammar.py
+++ b/mallowbeam/storage_gateway/coordination/pools/grammar.py
@@ -1,7 +1,8 @@
-"""Grammar of the pool language (docs/formats/pool-language.md) and the LALR parser that lark makes of it.
+"""Grammar of the pool language (docs/formats/pool-language.md) and the LALR parser that lark builds from it.
 
-All keywords of the language stand here; the rest of the package uses the names of `rules.py`.  No rule of the
-grammar can refer to a rule of a text, so nothing loops or recurs; classes name earlier classes only.
+All keywords of the language are defined here; the rest of the package uses the names of `rules.py`.  A rule
+of a text cannot refer to other rules, so there are no loops and no recursion; classes refer only to earlier
+classes.
 """
 
 from __future__ import annotations
@@ -62,7 +63,7 @@
     "gateways": ("name", "zone"),
     "tenants": ("name", "plan", "class"),
 }
-"""The keys by which each kind of subject can be chosen."""
+"""The keys by which each kind of subject can be selected."""
 
 TERMINALS = {
     "NAME": 'a name in "quotes"',
@@ -78,12 +79,12 @@
     "RPAR": "`)`",
     "$END": "the end",
 }
-"""How errors name the grammar's terminals; a keyword is named by itself."""
+"""Names of the grammar's terminals in errors; keywords are shown as they are."""
 
 
 @cache
 def parser() -> Lark:
-    """The parser, made when the first text is parsed."""
+    """The parser; built when the first text is parsed."""
     return Lark(
         GRAMMAR, parser="lalr", lexer="contextual", propagate_positions=True, maybe_placeholders=False
     )
--- a/mallowbeam/storage_gateway/coordination/pools/matching.py
+++ b/mallowbeam/storage_gateway/coordination/pools/matching.py
@@ -1,4 +1,4 @@
-"""Which nodes, gateways and tenants an expression matches, and whether a condition holds."""
+"""Matches expressions against nodes, gateways and tenants, and evaluates conditions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from mallowbeam.storage_gateway.coordination.pools.rules import TenantClass
 
 Traits = Mapping[str, frozenset[str]]
-"""What a node, gateway or tenant can be matched by: values by key."""
+"""The values of a node, gateway or tenant that expressions can match, by key."""
 
 
 def node_traits(node: Node) -> Traits:
@@ -35,7 +35,7 @@
 
 
 def tenant_traits(tenant: Tenant, classes: Iterable[TenantClass]) -> Traits:
-    """A tenant's name, plan and classes; classes are in the text's order, as one may name earlier ones."""
+    """A tenant's name, plan and classes; `classes` are in the text's order, as each may use earlier ones."""
     traits = {"name": frozenset((tenant.name,)), "plan": frozenset((tenant.plan,)), "class": frozenset[str]()}
     for tenant_class in classes:
         if matches(tenant_class.members, traits):
@@ -44,7 +44,7 @@
 
 
 def matches(expression: Expression, traits: Traits) -> bool:
-    """Whether an expression matches what has these traits."""
+    """Whether an expression matches a node, gateway or tenant with these traits."""
     match expression:
         case KeyIn(key, names):
             return not traits[key].isdisjoint(names)
--- a/mallowbeam/storage_gateway/coordination/pools/name_checks.py
+++ b/mallowbeam/storage_gateway/coordination/pools/name_checks.py
@@ -1,4 +1,4 @@
-"""Names in a document that the fleet does not know."""
+"""Finds names in a document that the fleet does not know."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from mallowbeam.storage_gateway.coordination.pools.matching import gateway_traits, matches
 from mallowbeam.storage_gateway.coordination.pools.rules import GatewayRule, PoolsDocument, SharingRule
 
-MAX_SHOWN_NAMES = 8  # known names that an error lists
+MAX_SHOWN_NAMES = 8  # known names listed in an error
 
 KnownNames = Mapping[str, set[str]]
 """The names that exist, by key."""
 
 
 def check_names(document: PoolsDocument, fleet: Fleet) -> Iterator[PoolError]:
-    """An error for each name that does not exist where it stands."""
+    """An error for each name that does not exist for the key under which it is used."""
     return _NameChecks(fleet).check(document)
 
 
@@ -48,7 +48,7 @@
         self._tenants: dict[str, set[str]] = {
             "name": {tenant.name for tenant in fleet.tenants},
             "plan": {tenant.plan for tenant in fleet.tenants} | fleet.plans,
-            "class": set(),  # filled class by class: a class may name earlier ones
+            "class": set(),  # filled class by class, as a class may use earlier ones
         }
         self._facts = {
             "zone": self._nodes["zone"] | self._gateways["zone"],
@@ -78,7 +78,7 @@
             yield from _unknown_names(tenant_rule.when, "fact", self._facts)
 
     def _check_through(self, rule: SharingRule) -> Iterator[PoolError]:
-        """The gateway that a group goes through is one of the group."""
+        """The gateway that a group goes through must be a member of the group."""
         if rule.through is None:
             return
         is_member = any(
@@ -101,7 +101,7 @@
 
 
 def _used_names(expression: Expression) -> Iterator[tuple[str, str, SourcePosition]]:
-    """Each name that an expression uses: its key, the name, and where the key stands."""
+    """Each name that an expression uses: its key, the name, and the position of the key."""
     match expression:
         case KeyIn(key, names):
             for name in names:
--- a/mallowbeam/storage_gateway/coordination/pools/parser.py
+++ b/mallowbeam/storage_gateway/coordination/pools/parser.py
@@ -10,32 +10,36 @@
 from mallowbeam.storage_gateway.coordination.pools.rules import MAX_TEXT_BYTES, PoolsDocument
 from mallowbeam.storage_gateway.coordination.pools.tree_reader import EXCERPT_LENGTH, TreeReader
 
-MAX_EXPECTED = 8  # alternatives that a syntax error offers; more are no help
+MAX_EXPECTED = 8  # alternatives in a syntax error; a longer list is no help and is omitted
 
 
 def parse(text: str) -> PoolsDocument:
-    """The document that a text describes; raises a `PoolError`."""
+    """The document that a text describes.
+
+    Raises:
+        PoolError: the text is not valid.
+    """
     _check_encoding(text)
     lines = text.split("\n")
     try:
         tree = parser().parse(text)
     except UnexpectedInput as error:
         raise _syntax_error(error, lines) from None
-    except LarkError as error:  # none is known to occur; no error of the library gets out
+    except LarkError as error:  # not known to occur, but no error of the library must escape
         message = str(error).split("\n")[0]
         raise PoolSyntaxError(message, position=SourcePosition(1, 1, lines[0][:EXCERPT_LENGTH])) from None
     return TreeReader(lines).read(tree)
 
 
 def _check_encoding(text: str) -> None:
-    """Raise an error for a text that is too long or cannot be encoded."""
+    """Reject a text that is too long or cannot be encoded as UTF-8."""
     try:
         size = len(text.encode())
     except UnicodeEncodeError as error:
         line = text.count("\n", 0, error.start) + 1
         column = error.start - text.rfind("\n", 0, error.start)
         position = SourcePosition(line, column)
-        raise PoolSyntaxError("a character that is no text", position=position) from None
+        raise PoolSyntaxError("a character that cannot be encoded as UTF-8", position=position) from None
     if size > MAX_TEXT_BYTES:
         raise PoolBoundError(
             f"a text of {size} bytes, at most {MAX_TEXT_BYTES}",
@@ -44,7 +48,7 @@
 
 
 def _syntax_error(error: UnexpectedInput, lines: list[str]) -> PoolSyntaxError:
-    """The library's error as ours."""
+    """Convert the parser library's error."""
     line = int(error.line or 0)
     column = int(error.column or 0)
     what = "this can't stand here"
@@ -59,7 +63,7 @@
 
 
 def _expected(error: UnexpectedInput) -> list[str]:
-    """What could stand there instead, as the library knows it."""
+    """The tokens that the parser would have accepted there."""
     terminals = (
         getattr(error, "accepts", None) or getattr(error, "expected", None) or getattr(error, "allowed", ())
     )
--- a/mallowbeam/storage_gateway/coordination/pools/rules.py
+++ b/mallowbeam/storage_gateway/coordination/pools/rules.py
@@ -1,7 +1,7 @@
 """Rules of the pool language as typed values, its defaults and its bounds.
 
-Rules of one kind keep the text's order, as the first that matches decides; the order between kinds has no
-meaning.  A term is None where the rule leaves it at the default.  Equality is that of the words.
+Rules of one kind keep the text's order, as the first matching one decides; the order between kinds has no
+meaning.  A term is None if the rule does not set it.  Rules are equal if their texts use the same words.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
     position_field,
 )
 
-# Bounds; a text beyond one of them is rejected with `PoolBoundError`.
-MAX_TEXT_BYTES = 64 * 1024  # as of a whole policy
+# Limits; a text that exceeds one of them is rejected with `PoolBoundError`.
+MAX_TEXT_BYTES = 64 * 1024  # the same as for a whole policy
 MAX_RULES = 512  # of all kinds together
 MAX_DEPTH = 16  # of nested parentheses and `not`
 MAX_FACTS = 8  # different facts in conditions, as checks enumerate all 2**8 scenarios
@@ -25,18 +25,18 @@
 MAX_RECALL_MS = 60_000
 MAX_NAME_LENGTH = 128  # characters
 
-LANGUAGE_VERSION = 1  # in the first line of a text; a newer one is rejected
+LANGUAGE_VERSION = 1  # stated in the first line of a text; newer versions are rejected
 
 DEFAULT_WEIGHT = 1
-DEFAULT_GATEWAY_FLOOR = 1  # of a gateway or group: it can reach the node
+DEFAULT_GATEWAY_FLOOR = 1  # of a gateway or group, so that it can reach the node
 DEFAULT_TENANT_FLOOR = 0
-DEFAULT_RECALL_MS = 2_000  # well above a latency target, so that most loans end by themselves
+DEFAULT_RECALL_MS = 2_000  # well above a latency target, so that most loans end before the deadline
 DEFAULT_LENT_PERCENT = 100
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Weight, and least and most connections."""
+    """Weight, minimum (`floor`) and maximum (`ceiling`) of connections."""
 
     weight: int | None = None
     floor: int | None = None
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Loan:
-    """What a tenant lends of its idle connections at a gateway, and to whom."""
+    """Which of its idle connections at a gateway a tenant lends, and to which tenants."""
 
     percent: int | None = None  # of its own connections; None: all of them
     borrowers: Expression = EVERYTHING
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantClass:
-    """`class "batch" is ...`: a name for some tenants, by names, plans and earlier classes."""
+    """`class "batch" is ...`: a named set of tenants, chosen by names, plans and earlier classes."""
 
     name: str
     members: Expression
@@ -85,9 +85,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SharingRule:
-    """`share gateways ...: in turns`: a group of gateways that has one part of the budget together.
+    """`share gateways ...: in turns`: a group of gateways that shares one part of the budget.
 
-    `through` names the gateway that uses all of it; None: the members take turns.
+    `through` names the gateway that uses the whole part; None: the members take turns.
     """
 
     gateways: Expression
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantRule:
-    """`tenants ...: floor 1`: how a gateway's connections to a node are divided over tenants, and lent."""
+    """`tenants ...: floor 1`: how a gateway's connections to a node are divided over tenants and lent."""
 
     tenants: Expression
     nodes: Expression
--- a/mallowbeam/storage_gateway/coordination/pools/scenarios.py
+++ b/mallowbeam/storage_gateway/coordination/pools/scenarios.py
@@ -1,8 +1,8 @@
 """All scenarios that a text can distinguish.
 
-A scenario assigns true or false to each fact that the text's conditions name.  A set of scenarios is one
-integer with a bit for each (2**8 of them at most): `and`, `or` and `not` are one operation each, so a check
-covers all scenarios at once.
+A scenario assigns true or false to each fact in the text's conditions.  A set of scenarios is one integer
+with a bit for each (at most 2**8): `and`, `or` and `not` are one operation each, so one check covers all
+scenarios.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def facts_in(condition: Expression) -> set[Fact]:
-    """The facts that a condition names."""
+    """The facts that a condition tests."""
     match condition:
         case ZoneOut(zone):
             return {("zone", zone)}
@@ -48,7 +48,7 @@
 
 
 class Scenarios:
-    """The scenarios of some facts; bit i of a scenario's number says whether the i-th fact is true."""
+    """The scenarios of some facts; bit i of a scenario's number tells whether the i-th fact is true."""
 
     def __init__(self, facts: Iterable[Fact]) -> None:
         self.facts = sorted(facts)
@@ -87,10 +87,10 @@
         return found
 
     def describe(self, number: int) -> str:
-        """A scenario as an error shows it."""
-        true = [
+        """A scenario as text for an error."""
+        true_facts = [
             f'zone "{name}" is out' if kind == "zone" else f'machine "{name}" is in maintenance'
             for i, (kind, name) in enumerate(self.facts)
             if number >> i & 1
         ]
-        return "when " + " and ".join(true) if true else "in peace"
+        return "when " + " and ".join(true_facts) if true_facts else "in peace"
--- a/mallowbeam/storage_gateway/coordination/pools/term_checks.py
+++ b/mallowbeam/storage_gateway/coordination/pools/term_checks.py
@@ -1,4 +1,4 @@
-"""Terms of single rules that contradict each other or have no effect."""
+"""Finds terms of single rules that contradict each other or have no effect."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def check_terms(document: PoolsDocument) -> Iterator[PoolError]:
-    """An error for each contradiction, rule by rule."""
+    """All errors in terms, rule by rule."""
     rules: tuple[GatewayRule | SharingRule | TenantRule, ...] = (
         *document.gateways,
         *document.sharing,
--- a/mallowbeam/storage_gateway/coordination/pools/tree_reader.py
+++ b/mallowbeam/storage_gateway/coordination/pools/tree_reader.py
@@ -1,6 +1,6 @@
-"""Reads lark's tree into typed rules, checking keys, numbers and nesting.
+"""Converts lark's tree to typed rules and checks keys, numbers and nesting.
 
-The parser keeps its stack in a list; this reader recurs, so it counts the depth and stops at `MAX_DEPTH`.
+The parser keeps its stack in a list, but this reader is recursive, so it limits the depth to `MAX_DEPTH`.
 """
 
 from __future__ import annotations
@@ -46,17 +46,17 @@
     Terms,
 )
 
-EXCERPT_LENGTH = 40  # characters of the text that an error shows
+EXCERPT_LENGTH = 40  # characters of the text in an error
 MAX_VERSION = 10**9
-MAX_DIGITS = 10  # of any number, so that no huge one is converted
+MAX_DIGITS = 10  # of any number, so that no huge number is converted
 MAX_PERCENT = 100
 MS_PER_S = 1000
 
-Tree = Any  # lark's, whose children are trees and tokens
+Tree = Any  # lark's tree, whose children are trees and tokens
 
 
 class TreeReader:
-    """Reads one text's tree; `lines` are the text's, for excerpts in errors."""
+    """Reads one text's tree; `lines` are the text's lines, for excerpts in errors."""
 
     def __init__(self, lines: list[str]) -> None:
         self._lines = lines
@@ -64,7 +64,11 @@
         self._facts: set[tuple[str, str]] = set()
 
     def read(self, tree: Tree) -> PoolsDocument:
-        """The document; raises a `PoolError`."""
+        """The document that the tree describes.
+
+        Raises:
+            PoolError: a name, number, key or clause is not valid.
+        """
         version, *rules = tree.children
         self._check_version(version)
         self._check_rule_count(rules)
@@ -116,7 +120,7 @@
         if name in self._classes:
             self._raise_repeated(name_token, f"class {name}")
         tenant_class = TenantClass(name, self._expression(members, "tenants"), self._position(rule))
-        self._classes.add(name)  # after its own expression: a class cannot name itself
+        self._classes.add(name)  # after its own expression, so that a class cannot refer to itself
         return tenant_class
 
     def _budget(self, rule: Tree) -> BudgetRule:
@@ -187,14 +191,14 @@
     # --- clauses --------------------------------------------------------------------------------------
 
     def _clause(self, clauses: list[Tree], name: str) -> Expression:
-        """The optional clause of that name; everything where the rule has none."""
+        """The expression of the named optional clause; `EVERYTHING` if the rule has none."""
         for tree in clauses:
             if tree.data == name:
                 return self._expression(tree.children[0], name.removeprefix("at_"))
         return EVERYTHING
 
     def _by_name(self, clauses: list[Tree]) -> dict[str, Tree]:
-        """A rule's clauses by name; a second one of a name is an error."""
+        """A rule's clauses by name; a repeated clause is an error."""
         found: dict[str, Tree] = {}
         for tree in clauses:
             name = str(tree.children[0]) if tree.data == "term" else tree.data
@@ -208,8 +212,8 @@
         for tree in clauses:
             if tree.data == "term":
                 keyword, value = tree.children
-                most = MAX_WEIGHT if keyword == "weight" else MAX_CONNECTIONS
-                values[str(keyword)] = self._number(value, 0, most, f"a {keyword}")
+                maximum = MAX_WEIGHT if keyword == "weight" else MAX_CONNECTIONS
+                values[str(keyword)] = self._number(value, 0, maximum, f"a {keyword}")
         return Terms(**values)
 
     # --- expressions ----------------------------------------------------------------------------------
@@ -247,7 +251,7 @@
         return KeyIn(str(key), tuple(self._name(name) for name in names), self._position(tree))
 
     def _fact(self, tree: Tree) -> Expression:
-        """A condition on one fact; there may be `MAX_FACTS` different ones."""
+        """A condition on one fact; a text may use at most `MAX_FACTS` different facts."""
         fact: ZoneOut | InMaintenance
         if tree.data == "out":
             key, name = tree.children
@@ -270,9 +274,9 @@
 
     # --- tokens ---------------------------------------------------------------------------------------
 
-    def _position(self, at: Any) -> SourcePosition:
-        """Where a token or tree begins."""
-        meta: Any = at if isinstance(at, Token) else at.meta
+    def _position(self, element: Any) -> SourcePosition:
+        """The position at which a token or tree begins."""
+        meta: Any = element if isinstance(element, Token) else element.meta
         line, column = meta.line, meta.column
         excerpt = self._lines[line - 1][column - 1 : column - 1 + EXCERPT_LENGTH]
         return SourcePosition(line, column, excerpt)
@@ -287,14 +291,14 @@
             )
         return name
 
-    def _number(self, token: Token, least: int, most: int, what: str, unit: str = "") -> int:
+    def _number(self, token: Token, minimum: int, maximum: int, quantity: str, unit: str = "") -> int:
         """A number within its range."""
         digits = str(token).removesuffix(unit).lstrip("0") or "0"
-        if len(digits) > MAX_DIGITS or not least <= int(digits) <= most:
+        if len(digits) > MAX_DIGITS or not minimum <= int(digits) <= maximum:
             raise PoolBoundError(
-                f"{what} must be between {least} and {most}{unit}",
+                f"{quantity} must be between {minimum} and {maximum}{unit}",
                 position=self._position(token),
-                remedy=f"give a number from {least} to {most}",
+                remedy=f"give a number from {minimum} to {maximum}",
             )
         return int(digits)
 
@@ -304,5 +308,7 @@
         scale = 1 if unit == "ms" else MS_PER_S
         return scale * self._number(token, 1, MAX_RECALL_MS // scale, "a time", unit)
 
-    def _raise_repeated(self, at: Any, what: str) -> NoReturn:
-        raise PoolNameError(f"{what} is given twice", position=self._position(at), remedy="keep one of them")
+    def _raise_repeated(self, element: Any, name: str) -> NoReturn:
+        raise PoolNameError(
+            f"{name} is given twice", position=self._position(element), remedy="keep one of them"
+        )
