--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_broken.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_broken.py
@@ -1,4 +1,4 @@
-"""Each checker of maintenance catches machines, cores and gateways that are broken on purpose."""
+"""Each checker of maintenance catches deliberately broken state machines, cores and gateways."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from mallowbeam.storage_gateway.coordination.maintenance.transitions import CONSTRAINED_STEPS, TransitionGuard
 
 
-def without(*left_out):
-    """A state machine that knows all constraints but these."""
-    kept = tuple(each for each in constraints.CONSTRAINTS if each not in left_out)
+def without_constraints(*omitted):
+    """A state machine that lacks these constraints."""
+    kept = tuple(each for each in constraints.CONSTRAINTS if each not in omitted)
     return lambda members: MaintenanceStateMachine(members, kept)
 
 
-class NeverAgain(MaintenanceStateMachine):
-    """Checks the constraints when it selects a machine, and not again."""
+class ConstraintsCheckedOnce(MaintenanceStateMachine):
+    """Checks the constraints only when it selects a machine."""
 
     class Guard(TransitionGuard):
         def blocked_reason(self, state, machine, target, view=None):
@@ -39,8 +39,8 @@
         super().__init__(members, guard=self.Guard)
 
 
-class Unasked(MaintenanceStateMachine):
-    """Believes that all is empty."""
+class NoReportsRequired(MaintenanceStateMachine):
+    """Requires no reports before a machine counts as empty or warm."""
 
     class Guard(TransitionGuard):
         def missing_report(self, state, machine, step):
@@ -50,8 +50,8 @@
         super().__init__(members, guard=self.Guard)
 
 
-class FirstWord(MaintenanceStateMachine):
-    """One gateway's report is enough."""
+class OneReportSuffices(MaintenanceStateMachine):
+    """Requires the report of only one gateway."""
 
     class Guard(TransitionGuard):
         def missing_report(self, state, machine, step):
@@ -67,8 +67,8 @@
         return super().take_step(state, index, machine, target, reason)
 
 
-def blind(members):
-    """Takes what is down for up."""
+def treating_down_as_up(members):
+    """A state machine whose constraints treat machines that are down as up."""
 
     def up(constraint):
         return lambda view, machine, request: constraint(
@@ -78,8 +78,8 @@
     return MaintenanceStateMachine(members, tuple(up(each) for each in constraints.CONSTRAINTS))
 
 
-class Own:
-    """Replicas that differ: each one gets a number of its own."""
+class ReplicaNumbers:
+    """Gives each replica a number of its own, so that replicas can differ."""
 
     count = 0
 
@@ -89,41 +89,41 @@
         return cls.count
 
 
-class OwnOrder(MaintenanceStateMachine):
-    """Each replica has an order of its own."""
+class DifferentOrders(MaintenanceStateMachine):
+    """Each replica selects machines in an order of its own."""
 
     def __init__(self, members):
-        salt = Own.number()
+        salt = ReplicaNumbers.number()
 
-        class Mixed(MachineSelector):
+        class ShuffledSelector(MachineSelector):
             def candidates(self, state, view):
                 return sorted(
                     super().candidates(state, view),
                     key=lambda machine: zlib.crc32(f"{machine.name}{salt}".encode()),
                 )
 
-        super().__init__(members, selector=Mixed)
+        super().__init__(members, selector=ShuffledSelector)
 
 
-class Forgetful(MaintenanceStateMachine):
-    """Some replicas pass over an entry now and then."""
+class SkipsTransitions(MaintenanceStateMachine):
+    """Some replicas skip certain entries."""
 
     def __init__(self, members):
         super().__init__(members)
-        self.odd = Own.number() % 3 == 0
+        self.skips_drains = ReplicaNumbers.number() % 3 == 0
 
     def apply(self, states, index, by, entry):
-        if self.odd and isinstance(entry, Transition) and entry.target == Step.DRAINING:
+        if self.skips_drains and isinstance(entry, Transition) and entry.target == Step.DRAINING:
             return states[self.name]
         return super().apply(states, index, by, entry)
 
 
-class Local(MaintenanceStateMachine):
-    """The selection rests on what this replica saw of late, not on what is agreed."""
+class SkipsReports(MaintenanceStateMachine):
+    """Each replica skips some reports, so its selection depends on local information."""
 
     def __init__(self, members):
         super().__init__(members)
-        self.salt = Own.number()
+        self.salt = ReplicaNumbers.number()
 
     def apply(self, states, index, by, entry):
         if isinstance(entry, StatusReport) and (index + self.salt) % 2:
@@ -131,35 +131,35 @@
         return super().apply(states, index, by, entry)
 
 
-class Deaf(Gateway):
-    """Goes on sending to what is drained."""
+class IgnoresDrains(Gateway):
+    """Keeps sending requests to drained nodes."""
 
     def do(self, due):
         super().do(due)
         self.drained = set()
 
 
-class Gateless(Gateway):
-    """Serves whatever its lease says."""
+class IgnoresLease(Gateway):
+    """Serves even after its lease has expired."""
 
     def serves(self):
         return not self.refuses
 
 
-class Hasty(MaintenanceCore):
-    """Says empty at once, whatever is out."""
+class ReportsEmptyEarly(MaintenanceCore):
+    """Reports a draining machine as empty immediately, despite requests in flight."""
 
     def empty_machines(self, now):
         machines = self.state.machines
         return [name for name, each in machines.items() if each.step in (Step.DRAINING, Step.EMPTY)]
 
 
-class HastyGateway(Gateway):
-    core_type = Hasty
+class ReportsEmptyEarlyGateway(Gateway):
+    core_type = ReportsEmptyEarly
 
 
-class Early(MaintenanceCore):
-    """Takes a gateway for gone that it has not heard of for a moment."""
+class ExpiresLeasesEarly(MaintenanceCore):
+    """Proposes another gateway's lease as expired too early."""
 
     def due_entries(self, now):
         renewed_at, self.lease.renewed_at = self.lease.renewed_at, now + 9.0
@@ -168,22 +168,22 @@
         return found
 
 
-class EarlyGateway(Gateway):
-    core_type = Early
+class ExpiresLeasesEarlyGateway(Gateway):
+    core_type = ExpiresLeasesEarly
 
 
 def trial(topic=MaintenanceStateMachine, gateway=Gateway, work_s=0.6, **changes):
-    """A walk where each rule matters."""
-    asked = {"id": "a", "machines": ["n0", "n1", "n3", "n4", "g1", "g2"], "at_once": 2, "time_s": 60.0}
-    asked |= changes
-    Own.count = 0
+    """A walk in which every constraint matters."""
+    request = {"id": "a", "machines": ["n0", "n1", "n3", "n4", "g1", "g2"], "at_once": 2, "time_s": 60.0}
+    request |= changes
+    ReplicaNumbers.count = 0
     walk = Walk(3, topic=topic, gateway=gateway, work_s=work_s)
-    walk.works = dict.fromkeys(asked["machines"], 6.0)
+    walk.works = dict.fromkeys(request["machines"], 6.0)
     walk.run(4.0)
-    walk.insist("g0", [asked])
+    walk.insist("g0", [request])
     walk.run(40.0)
     walk.add(orderly.Ended(walk.now, True))
-    return walk, [asked]
+    return walk, [request]
 
 
 QUICK = actions.Timings(
@@ -193,79 +193,89 @@
 WIDE = {"at_once": 9, "at_once_zone": 9, "zone_floor": 0.0, "sole_data": True}
 
 BROKEN = [
-    (orderly.too_many, without(constraints.max_unavailable), Gateway, {}),
+    (orderly.too_many, without_constraints(constraints.max_unavailable), Gateway, {}),
     (
         orderly.too_many,
-        without(constraints.max_unavailable_in_zone),
+        without_constraints(constraints.max_unavailable_in_zone),
         Gateway,
         {"zone_floor": 0.0, "at_once": 9, "sole_data": True},
     ),
     (
         orderly.too_many,
-        without(constraints.max_unavailable, constraints.max_unavailable_in_zone),
+        without_constraints(constraints.max_unavailable, constraints.max_unavailable_in_zone),
         Gateway,
         {},
     ),
-    (orderly.below_floor, without(constraints.zone_capacity), Gateway, WIDE | {"zone_floor": 0.5}),
-    (orderly.below_floor, without(constraints.shard_capacity), Gateway, WIDE | {"shard_floor": 0.6}),
-    (orderly.together, without(constraints.retry_peers), Gateway, WIDE | {"repeats": "zone"}),
-    (orderly.together, without(constraints.retry_peers), Gateway, WIDE | {"repeats": "shard"}),
-    (orderly.together, without(constraints.retry_peers), Gateway, WIDE | {"repeats": "all"}),
-    (orderly.orders_differ, OwnOrder, Gateway, {}),
-    (orderly.orders_differ, Forgetful, Gateway, {}),
-    (orderly.orders_differ, Local, Gateway, {}),
-    (orderly.sent_to_drained, MaintenanceStateMachine, Deaf, {}),
-    (orderly.sent_to_drained, MaintenanceStateMachine, HastyGateway, {"work_s": 6.0}),
-    (orderly.sent_to_drained, Unasked, Gateway, {"work_s": 6.0}),
-    (orderly.sent_to_drained, FirstWord, Gateway, {"work_s": 6.0}),
-    (orderly.without_quorum, without(constraints.quorum), Gateway, WIDE),
-    (orderly.without_quorum, blind, Gateway, WIDE),
-    (orderly.without_quorum, NeverAgain, Gateway, WIDE),
+    (
+        orderly.below_floor,
+        without_constraints(constraints.zone_capacity),
+        Gateway,
+        WIDE | {"zone_floor": 0.5},
+    ),
+    (
+        orderly.below_floor,
+        without_constraints(constraints.shard_capacity),
+        Gateway,
+        WIDE | {"shard_floor": 0.6},
+    ),
+    (orderly.together, without_constraints(constraints.retry_peers), Gateway, WIDE | {"repeats": "zone"}),
+    (orderly.together, without_constraints(constraints.retry_peers), Gateway, WIDE | {"repeats": "shard"}),
+    (orderly.together, without_constraints(constraints.retry_peers), Gateway, WIDE | {"repeats": "all"}),
+    (orderly.orders_differ, DifferentOrders, Gateway, {}),
+    (orderly.orders_differ, SkipsTransitions, Gateway, {}),
+    (orderly.orders_differ, SkipsReports, Gateway, {}),
+    (orderly.sent_to_drained, MaintenanceStateMachine, IgnoresDrains, {}),
+    (orderly.sent_to_drained, MaintenanceStateMachine, ReportsEmptyEarlyGateway, {"work_s": 6.0}),
+    (orderly.sent_to_drained, NoReportsRequired, Gateway, {"work_s": 6.0}),
+    (orderly.sent_to_drained, OneReportSuffices, Gateway, {"work_s": 6.0}),
+    (orderly.without_quorum, without_constraints(constraints.quorum), Gateway, WIDE),
+    (orderly.without_quorum, treating_down_as_up, Gateway, WIDE),
+    (orderly.without_quorum, ConstraintsCheckedOnce, Gateway, WIDE),
 ]
 
 
-def crowd(topic, gateway, changes):
-    """Gateways that are asked for all at once, two of them down already."""
-    asked = {"id": "a", "machines": ["g0", "g1", "g2"], "time_s": 90.0} | changes
+def lose_two_gateways(topic, gateway, changes):
+    """A request for three gateways at once while the other two are killed."""
+    request = {"id": "a", "machines": ["g0", "g1", "g2"], "time_s": 90.0} | changes
     walk = Walk(5, topic=topic, gateway=gateway)
     walk.works = dict.fromkeys(walk.members, 9.0)
     walk.run(4.0)
-    walk.insist("g0", [asked])
+    walk.insist("g0", [request])
     for one in walk.gateways.values():
-        one.in_hand.append(walk.now + 12.0)  # the first is held at draining while others die
+        one.in_hand.append(walk.now + 12.0)  # keeps the first one draining while others die
     walk.kill("g3")
     walk.kill("g4")
     walk.run(40.0)
-    return walk, [asked]
+    return walk, [request]
 
 
-def wrong(checker, topic, gateway, changes):
+def violations(checker, topic, gateway, changes):
     changes = dict(changes)
     if checker is orderly.without_quorum:
-        walk, asked = crowd(topic, gateway, changes)
+        walk, requests = lose_two_gateways(topic, gateway, changes)
         return checker(walk.history, places(walk))
-    walk, asked = trial(topic, gateway, **changes)
+    walk, requests = trial(topic, gateway, **changes)
     if checker in (orderly.too_many, orderly.below_floor, orderly.together):
-        return checker(walk.history, places(walk), asked)
+        return checker(walk.history, places(walk), requests)
     return checker(walk.history)
 
 
 @pytest.mark.parametrize("checker, topic, gateway, changes", BROKEN)
 def test_a_checker_catches_what_is_broken_and_nothing_else(checker, topic, gateway, changes):
-    assert wrong(checker, topic, gateway, changes)
-    assert not sound(checker, tuple(sorted(changes.items())))
+    assert violations(checker, topic, gateway, changes)
+    assert not violations_of_real_code(checker, tuple(sorted(changes.items())))
 
 
 @functools.cache
-def sound(checker, changes):
-    """What the checker says of the machine, core and gateway as they are."""
-    return wrong(checker, MaintenanceStateMachine, Gateway, dict(changes))
+def violations_of_real_code(checker, changes):
+    """The checker's findings for the real state machine, core and gateway."""
+    return violations(checker, MaintenanceStateMachine, Gateway, dict(changes))
 
 
 @pytest.mark.parametrize("checker, at_once", [(orderly.below_floor, 9), (orderly.too_many, 1)])
-def test_what_is_down_is_taken_for_up(checker, at_once):
+def test_constraints_that_treat_down_machines_as_up_are_caught(checker, at_once):
     def run(topic):
-        asked = {
+        request = {
             "id": "a",
             "machines": ["n1"],
             "at_once": at_once,
@@ -277,17 +287,17 @@
         walk.run(4.0)
         walk.fail("n4")
         walk.run(8.0)
-        walk.insist("g2", [asked])
+        walk.insist("g2", [request])
         walk.run(15.0)
-        return checker(walk.history, places(walk), [asked])
+        return checker(walk.history, places(walk), [request])
 
-    assert run(blind) and not run(MaintenanceStateMachine)
+    assert run(treating_down_as_up) and not run(MaintenanceStateMachine)
 
 
 @pytest.mark.parametrize("checker, at_once", [(orderly.below_floor, 9), (orderly.too_many, 1)])
-def test_limits_that_are_not_looked_at_again(checker, at_once):
+def test_constraints_that_are_not_checked_again_are_caught(checker, at_once):
     def run(topic):
-        asked = {
+        request = {
             "id": "a",
             "machines": ["n1"],
             "at_once": at_once,
@@ -298,20 +308,23 @@
         }
         walk = Walk(5, topic=topic)
         walk.run(4.0)
-        walk.insist("g2", [asked])
+        walk.insist("g2", [request])
         for one in walk.gateways.values():
             one.work.append((walk.now + 15.0, "n1"))
         walk.run(3.0)
         walk.fail("n4")
         walk.run(20.0)
-        return checker(walk.history, places(walk), [asked])
+        return checker(walk.history, places(walk), [request])
+
+    assert run(ConstraintsCheckedOnce) and not run(MaintenanceStateMachine)
 
-    assert run(NeverAgain) and not run(MaintenanceStateMachine)
 
+@pytest.mark.parametrize("gateway", [IgnoresLease, ExpiresLeasesEarlyGateway])
+def test_a_resumed_gateway_that_ignores_or_shortens_leases_is_caught(gateway):
+    """Guards against requests to a machine that went out of service while the gateway was suspended.
 
-@pytest.mark.parametrize("gateway", [Gateless, EarlyGateway])
-def test_a_stopped_gateway_that_wakes(gateway):
-    """Its gate alone keeps it from what went out meanwhile; `LeaseExpired` must not come too soon."""
+    Only its lease check prevents them, so `LeaseExpired` must not be proposed too early.
+    """
 
     def run(kind):
         found = []
@@ -325,7 +338,7 @@
             walk.stop("g3")
             walk.run(30.0, lambda w=walk: w.state.machines["n0"].step == "out")
             walk.go("g3")
-            walk.part(["g3"])  # it hears nothing for a while
+            walk.part(["g3"])  # it receives no entries for a while
             walk.run(3.0)
             found += orderly.sent_to_drained(walk.history)
         return found
@@ -333,15 +346,15 @@
     assert run(gateway) and not run(Gateway)
 
 
-def test_what_never_ends_is_caught():
-    class Silent(MaintenanceCore):
+def test_maintenance_that_never_ends_is_caught():
+    class ProposesNothing(MaintenanceCore):
         def due_entries(self, now):
             return []
 
-    class Lazy(Gateway):
-        core_type = Silent
+    class ProposesNothingGateway(Gateway):
+        core_type = ProposesNothing
 
-    walk = Walk(1, gateway=Lazy)
+    walk = Walk(1, gateway=ProposesNothingGateway)
     walk.run(4.0)
     walk.insist("g0", [{"id": "a", "machines": ["n0"]}])
     assert not walk.rest(30.0) and orderly.unended(walk.history)
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_core.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_core.py
@@ -1,4 +1,4 @@
-"""One gateway's core: what it says and when, leases, ranks, and what an operator tells it."""
+"""One gateway's core: reports, leases, ranks, and operators' reports of completed work."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 class Rig:
-    """A core on a log of its own; it hears at once what is put in, and may be kept from it."""
+    """A core on a log of its own, which applies each entry immediately unless a test loses it."""
 
-    def __init__(self, name="g1", now=100.0, known=99.5):
+    def __init__(self, name="g1", now=100.0, caught_up_at=99.5):
         self.log = ReplicatedLog([MaintenanceStateMachine(MEMBERS)])
         self.core = MaintenanceCore(name, "l", MEMBERS, now)
-        self.core.caught_up(known)
+        self.core.caught_up(caught_up_at)
         self.core.observe(actions.LocalView(NODES))
         self.name, self.now, self.did = name, now, []
         for by in MEMBERS:
@@ -45,7 +45,7 @@
             self.did += self.core.committed(committed, self.now)
 
     def wait(self, seconds, lost=False):
-        """Let time pass; what the core proposes is put in, or lost, and handed back."""
+        """Let time pass; commit the core's proposals unless `lost`, and return them."""
         self.now += seconds
         found = self.core.tick(self.now)
         entries = [action.entry for action in found if isinstance(action, actions.Propose)]
@@ -67,10 +67,10 @@
         assert self.step(machine) == "draining"
 
     def out(self):
-        for turn, to in ((2, "empty"), (3, "out")):
+        for version, target in ((2, "empty"), (3, "out")):
             for by in MEMBERS:
-                self.put(by, StatusReport("l", 50 + turn, self.log.index, "z", NODES, ["n0"]))
-            self.put("g0", Transition("n0", to, turn))
+                self.put(by, StatusReport("l", 50 + version, self.log.index, "z", NODES, ["n0"]))
+            self.put("g0", Transition("n0", target, version))
         assert self.step("n0") == "out"
 
 
@@ -78,31 +78,31 @@
     return [entry for entry in entries if isinstance(entry, StatusReport)]
 
 
-def test_a_report_that_is_lost_is_made_again_and_one_that_came_back_is_not():
+def test_a_lost_report_is_repeated_and_a_committed_one_is_not():
     rig = Rig()
     assert reports(rig.wait(0.1, lost=True))
     assert not reports(rig.wait(0.5))
-    assert reports(rig.wait(1.0))  # again, and this one comes back
+    assert reports(rig.wait(1.0))  # repeated, and this one is committed
     assert not reports(rig.wait(5.0))
     assert reports(rig.wait(30.0))
 
 
-def test_serves_by_its_reports_lease_while_machines_are_on_their_way():
-    rig = Rig(known=99.0)
-    assert rig.core.serves(1e6)  # nothing is asked for
+def test_while_maintenance_is_active_it_serves_by_the_lease_of_its_reports():
+    rig = Rig(caught_up_at=99.0)
+    assert rig.core.serves(1e6)  # no maintenance is requested
     rig.push("n0")
-    assert rig.core.serves(101.0) and not rig.core.serves(101.1)  # by the mark before it was asked
+    assert rig.core.serves(101.0) and not rig.core.serves(101.1)  # by the marker from before the request
     rig.wait(0.5)
     assert rig.core.serves(102.5) and not rig.core.serves(102.6)
 
 
-def test_gone_only_once_it_has_proven_to_have_heard_all():
+def test_a_lease_expires_only_after_own_committed_reports_prove_it():
     rig = Rig()
-    rig.now += 50.0  # nothing was asked for: nobody had to say anything
+    rig.now += 50.0  # without maintenance no gateway had to report
     rig.push("n0")
     assert not [e for e in rig.wait(1.0) if isinstance(e, LeaseExpired)]
     rig.put("g0", StatusReport("l", 2, 0, "z", NODES))
-    for _ in range(4):  # its own reports are lost: it may have missed the others'
+    for _ in range(4):  # its own reports are lost, so it may have missed those of others
         assert not [e for e in rig.wait(1.0, lost=True) if isinstance(e, LeaseExpired)]
     found = []
     for _ in range(6):
@@ -111,31 +111,31 @@
     assert {e.gateway for e in found} == {"g2"}
 
 
-@pytest.mark.parametrize("leader, waits", [("g1", 0.0), ("g0", 0.5), ("g2", 1.0)])
-def test_the_leader_proposes_first_and_others_by_their_rank(leader, waits):
+@pytest.mark.parametrize("leader, expected_s", [("g1", 0.0), ("g0", 0.5), ("g2", 1.0)])
+def test_the_leader_proposes_first_and_others_by_their_rank(leader, expected_s):
     rig = Rig()
     rig.core.observe(actions.LocalView(NODES, leader=leader))
     rig.push("n0")
-    spent = 0.0
+    waited_s = 0.0
     while not any(isinstance(e, SelectNext) for e in rig.wait(0.1, lost=True)):
-        spent += 0.1
-        assert spent < 3.0
-    assert spent == pytest.approx(waits, abs=0.11)
+        waited_s += 0.1
+        assert waited_s < 3.0
+    assert waited_s == pytest.approx(expected_s, abs=0.11)
 
 
-def test_empty_is_said_after_a_moment_and_with_nothing_out():
+def test_empty_is_reported_after_the_grace_time_with_nothing_in_flight():
     rig = Rig()
     rig.draining()
     assert actions.Drain("n0") in rig.did and not rig.core.accepts_work("n0")
     assert not any("n0" in e.empty for e in reports(rig.wait(0.2)))
-    busy = NODES | {"n0": NodeStatus("a", 0, in_flight=1)}
-    rig.core.observe(actions.LocalView(busy))
+    busy_nodes = NODES | {"n0": NodeStatus("a", 0, in_flight=1)}
+    rig.core.observe(actions.LocalView(busy_nodes))
     assert not any("n0" in e.empty for e in reports(rig.wait(0.5)))
     rig.core.observe(actions.LocalView(NODES))
     assert any("n0" in e.empty for e in reports(rig.wait(0.2)))
 
 
-def test_a_gateway_gives_up_then_refuses_then_says_that_it_holds_nothing():
+def test_a_gateway_releases_allotments_then_rejects_requests_then_reports_empty():
     rig = Rig()
     rig.push("g1")
     rig.put("g0", SelectNext(0))
@@ -147,27 +147,27 @@
     assert not any("g1" in e.empty for e in reports(rig.wait(0.6)))
     rig.core.observe(actions.LocalView(NODES, in_flight=0, released_allotments=True))
     assert any("g1" in e.empty for e in reports(rig.wait(0.6)))
-    rig.push("n0")  # taken back before it was out
+    rig.push("n0")  # withdrawn before it was out
     assert actions.StepUp() in rig.did
 
 
-def test_time_is_counted_from_agreement_by_its_own_clock():
+def test_the_deadline_counts_from_agreement_by_its_own_clock():
     rig = Rig()
     rig.push("n0", time_s=5.0)
-    rig.now += 60.0  # waiting is not counted
+    rig.now += 60.0  # the time before the selection does not count
     rig.put("g0", SelectNext(0))
     assert not [e for e in rig.wait(4.0, lost=True) if isinstance(e, DeadlineExceeded)]
     rig.wait(1.5, lost=True)
     assert [e for e in rig.wait(1.0, lost=True) if isinstance(e, DeadlineExceeded)]
 
 
-def test_an_operators_word_is_proposed_until_the_log_has_it():
+def test_completed_work_is_proposed_until_it_is_committed():
     rig = Rig()
     rig.draining()
     rig.out()
     rig.core.complete_work("n0")
-    said = [rig.wait(0.5, lost=True) for _ in range(10)]
-    assert sum(WorkCompleted("n0") in entries for entries in said) > 2
+    proposed = [rig.wait(0.5, lost=True) for _ in range(10)]
+    assert sum(WorkCompleted("n0") in entries for entries in proposed) > 2
     rig.wait(1.0)
     assert rig.step("n0") != "out"
     assert not any(isinstance(e, WorkCompleted) for _ in range(5) for e in rig.wait(0.5, lost=True))
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_subsystem.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_subsystem.py
@@ -1,4 +1,4 @@
-"""Maintenance joined to a gateway: what its hands are asked to do, its gate, and the page's word `back`."""
+"""The subsystem in a gateway: calls to its context, its lease check, and the page `maintenance/back`."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from mallowbeam.storage_gateway.operator_settings import MaintenanceSection
 from mallowbeam.storage_gateway.scheduler.interface import NodeEntry, NodeState
 
-STARTS = {1: 12.25, 2: 0.0}  # of nodes, in seconds; of the others discovery gives none
+STARTS = {1: 12.25, 2: 0.0}  # start time in seconds by node number; discovery has none for the others
 
 
 class RecordingContext:
-    """A context that records; what is proposed is put in by the test."""
+    """A context that records calls; the tests commit proposals themselves."""
 
     me, members = "g0", ("g0", "g1", "g2")
 
@@ -76,8 +76,8 @@
         for committed in log.push({"drains": [], "maintenance": {"requests": requests}}):
             subsystem.committed(committed, 100.0)
 
-    def say():
-        """All gateways' words."""
+    def report_all():
+        """Commit a report of every gateway."""
         for number, by in enumerate(context.members):
             put(
                 by,
@@ -94,20 +94,22 @@
             )
 
     subsystem.tick(99.0)
-    say()
-    return SimpleNamespace(context=context, subsystem=subsystem, put=put, push=push, say=say, log=log)
+    report_all()
+    return SimpleNamespace(
+        context=context, subsystem=subsystem, put=put, push=push, report_all=report_all, log=log
+    )
 
 
-def go(rig, machine, *steps):
+def take_steps(rig, machine, *steps):
     for step in steps:
-        rig.say()
+        rig.report_all()
         rig.put("g1", Transition(machine, step, rig.subsystem.core.state.machines[machine].version))
 
 
-def test_a_node_is_drained_and_called_back_by_an_operators_word_at_the_page(rig):
+def test_a_node_is_drained_and_returned_by_an_operators_request_to_the_page(rig):
     rig.push("n0")
     rig.put("g0", SelectNext(0))
-    go(rig, "n0", "draining")
+    take_steps(rig, "n0", "draining")
     assert rig.context.drained == {"n0"}
     pages = StatusPages(SimpleNamespace(subsystems={"maintenance": rig.subsystem}, gauges_by_subsystem=dict))
 
@@ -117,7 +119,7 @@
         return asyncio.run(pages.handle(request, lambda: False)).status
 
     assert ask(b"PUT", b"/fleet/maintenance/back?n0") == 409
-    go(rig, "n0", "empty", "out")
+    take_steps(rig, "n0", "empty", "out")
     assert ask(b"GET", b"/fleet/maintenance/back?n0") == 405
     assert ask(b"PUT", b"/fleet/maintenance/back?n0") == 202
     rig.subsystem.tick(101.0)
@@ -127,12 +129,12 @@
         rig.subsystem.complete_work("n0")
     warmed = []
     rig.subsystem.warmers.append(lambda node, share: warmed.append((node, round(share, 2))))
-    go(rig, "n0", "warming")
+    take_steps(rig, "n0", "warming")
     assert rig.context.drained == set() and warmed == [("n0", 0.33)]
     assert rig.subsystem.gauges()["away"] == 1
 
 
-def test_a_gateway_gives_up_its_allotments_then_shuts_its_door(rig):
+def test_a_gateway_releases_its_allotments_then_rejects_requests(rig):
     held = [True]
     rig.subsystem.allotments.append(lambda out: not held[0])
     rig.push("g0")
@@ -143,16 +145,16 @@
     held.append(False)
     rig.subsystem.tick(101.0)
     assert any(getattr(entry, "released_allotments", False) for entry in rig.context.proposed)
-    go(rig, "g0", "draining")
+    take_steps(rig, "g0", "draining")
     assert not rig.context.opened
     rig.push()
     assert rig.context.opened
 
 
-def test_the_door_is_shut_by_the_clock_once_no_report_comes_back(rig):
+def test_requests_are_rejected_by_the_clock_without_a_committed_report(rig):
     assert rig.context.gates[0]()
     rig.push("n0")
-    assert not rig.context.gates[0]()  # no mark and no report of its own has come back yet
+    assert not rig.context.gates[0]()  # no marker and no report of its own has been committed yet
     assert rig.subsystem.describe()["counted"] is False
 
 
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_trial.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_trial.py
@@ -1,4 +1,4 @@
-"""Maintenance on real processes under load: two nodes and a gateway go out and come back, with a fault."""
+"""Maintenance on real processes under load: two nodes and a gateway go out and return, with a fault."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from mallowbeam.lab.faults.maintenance import Record, check, run
 
 
-def good():
+def valid_record():
     return Record(
         got=[(1.0, "n0"), (9.0, "n0")],
         worked=[(2.0, 3.0, "n0"), (5.0, 6.0, "g4")],
@@ -34,7 +34,7 @@
     ],
 )
 def test_the_checker_catches(broken):
-    record = good()
+    record = valid_record()
     assert check(record) == []
     broken(record)
     assert len(check(record)) == 1
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_work.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_work.py
@@ -1,4 +1,4 @@
-"""Machines out on five gateways under load through their fronts, judged by what nodes and clients saw."""
+"""Maintenance on five gateways under load through their front ends, judged by nodes' and clients' records."""
 
 from __future__ import annotations
 
--- a/tests/storage_gateway/coordination/pools/test_pools_apportionment.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_apportionment.py
@@ -1,4 +1,4 @@
-"""The split by Webster's divisor method, against a reference that deals out one connection at a time."""
+"""Apportionment by Webster's divisor method, against a reference that allocates connections one by one."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def one_by_one(total: int, some: list[Claimant], salt: str) -> dict[str, int]:
-    """What the method says, without bisection: each connection to the highest w / (2a + 1)."""
+    """The method without bisection: each connection goes to the highest w / (2a + 1)."""
     beyond = sum(seat.floor for seat in some) > total
     have = {seat.name: 0 if beyond else seat.floor for seat in some}
     while sum(have.values()) < total:
@@ -88,7 +88,7 @@
 
 
 def largest_remainder(total: int, weights: dict[str, int]) -> dict[str, int]:
-    """The way not taken."""
+    """The largest remainder method, for comparison."""
     whole = sum(weights.values())
     have = {name: total * weight // whole for name, weight in weights.items()}
     rest = sorted(weights, key=lambda name: (-(total * weights[name] % whole), name))
@@ -96,7 +96,7 @@
 
 
 def test_the_paradox_that_largest_remainder_has():
-    """The tests above can fail: weights 6, 6 and 2 with 10 and then 11 connections."""
+    """Shows a case in which the tests above fail: weights 6, 6 and 2 with 10 and then 11 connections."""
     weights = {"g0": 6, "g1": 6, "g2": 2}
     some = [Claimant(name, weight) for name, weight in weights.items()]
     assert largest_remainder(10, weights)["g2"] == 2 > largest_remainder(11, weights)["g2"] == 1
@@ -104,7 +104,7 @@
 
 
 def test_ties_do_not_favour_one_gateway():
-    """Ten gateways alike and one connection at each of 1,000 nodes: each has some of them."""
+    """Ten equal gateways and one connection at each of 1,000 nodes: each gateway gets some of them."""
     some = [Claimant(f"g{i}") for i in range(10)]
     wins = dict.fromkeys((seat.name for seat in some), 0)
     for n in range(1000):
--- a/tests/storage_gateway/coordination/pools/test_pools_checks.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_checks.py
@@ -1,4 +1,4 @@
-"""What a push is refused for: each check with a text that fails and one that passes."""
+"""Each check of a pushed document, with a text that fails it and one that passes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from mallowbeam.storage_gateway.coordination.pools.fleet import Fleet
 from mallowbeam.storage_gateway.coordination.pools.parser import parse
 
-CASES = [  # kind, words in it, a text that fails, one that passes
+CASES = [  # error class, part of its text, a text that fails, a text that passes
     (
         PoolNameError,
         'no node is named "n9"',
@@ -175,20 +175,20 @@
 ]
 
 
-@pytest.mark.parametrize("kind, words, wrong, right", CASES, ids=range(len(CASES)))
-def test_each_check_refuses_and_lets_through(kind, words, wrong, right):
-    found = list(find_errors(parse("pools 1;\n" + wrong), FLEET))
+@pytest.mark.parametrize("kind, message, invalid, valid", CASES, ids=range(len(CASES)))
+def test_each_check_refuses_and_lets_through(kind, message, invalid, valid):
+    found = list(find_errors(parse("pools 1;\n" + invalid), FLEET))
     assert [type(error) for error in found] == [kind], [error.line for error in found]
-    assert words in found[0].line and found[0].position.line >= 2 and found[0].position.text
-    check(parse("pools 1;\n" + right), FLEET)
+    assert message in found[0].line and found[0].position.line >= 2 and found[0].position.text
+    check(parse("pools 1;\n" + valid), FLEET)
 
 
 @pytest.mark.parametrize(
-    "most, budget, fits", [(5, 5, True), (6, 5, False), (6, 6, True), (3, 3, True), (4, 3, False)]
+    "max_gateways, budget, fits", [(5, 5, True), (6, 5, False), (6, 6, True), (3, 3, True), (4, 3, False)]
 )
-def test_floors_hold_at_any_allowed_size_of_the_fleet(most, budget, fits):
-    """Guards a fleet that may grow (gateways not named yet) or never be whole at once."""
-    fleet = Fleet(FLEET.gateways, FLEET.nodes, FLEET.tenants, max_gateways=most)
+def test_floors_hold_at_any_allowed_size_of_the_fleet(max_gateways, budget, fits):
+    """Guards a fleet that may grow (gateways not named yet) or is never complete."""
+    fleet = Fleet(FLEET.gateways, FLEET.nodes, FLEET.tenants, max_gateways=max_gateways)
     found = list(find_errors(parse(f"pools 1; budget {budget} for nodes all;"), fleet))
     assert (not found) is fits and all(isinstance(error, PoolTooFewError) for error in found)
 
@@ -201,13 +201,13 @@
 
 
 def test_the_number_of_cases_is_bounded(monkeypatch):
-    """Guards the time of a push: so many combinations are looked at, and no more."""
+    """Guards the duration of a push: at most `MAX_CASES` combinations are checked."""
     monkeypatch.setattr(checks, "MAX_CASES", 3)
     text = 'pools 1; budget 9 for nodes zone "a"; gateways zone "a": weight 2; tenants plan "gold": weight 2;'
     assert isinstance(next(find_errors(parse(text), FLEET)), PoolBoundError)
 
 
-def test_all_that_is_wrong_is_told_at_once():
+def test_all_errors_are_reported_together():
     found = list(
         find_errors(parse('pools 1; budget 9 for nodes name "n8", "n9"; gateways all: weight 0;'), FLEET)
     )
--- a/tests/storage_gateway/coordination/pools/test_pools_examples.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_examples.py
@@ -1,4 +1,4 @@
-"""The worked examples of docs/pools: each passes the checks and deals out what its table says."""
+"""The worked examples of docs/pools: each passes the checks and yields the connections in its table."""
 
 from __future__ import annotations
 
@@ -14,31 +14,33 @@
 from mallowbeam.storage_gateway.coordination.pools.rules import PoolsDocument
 
 EXAMPLES = sorted((DOCS / "pools").glob("*.pool"))
-MARK = "#= "  # a line of the table: the world, the node (and gateway), who has how many
+ROW_PREFIX = "#= "  # starts a row of the table: facts, node (and gateway), connections by name
 
 
 def row(pools: PoolsDocument, world: str, place: str) -> str:
-    """A line of the table as the program has it; a world is `-` or facts and a turn, joined by `+`."""
-    words = [] if world == "-" else world.split("+")
+    """A row of the table as computed; `world` is `-` or facts and a turn, joined by `+`."""
+    facts_and_turn = [] if world == "-" else world.split("+")
     facts = Facts(
-        frozenset(w[5:] for w in words if w.startswith("zone=")),
-        frozenset(w[8:] for w in words if w.startswith("machine=")),
+        frozenset(w[5:] for w in facts_and_turn if w.startswith("zone=")),
+        frozenset(w[8:] for w in facts_and_turn if w.startswith("machine=")),
+    )
+    allocation = Allocation(
+        pools, FLEET, facts, sum(int(w[5:]) for w in facts_and_turn if w.startswith("turn="))
     )
-    allocation = Allocation(pools, FLEET, facts, sum(int(w[5:]) for w in words if w.startswith("turn=")))
     node, _, gateway = place.partition("/")
     budget = allocation.node_budget(node)
     if budget is None:
-        held = "not bounded"
+        connections = "not bounded"
     elif gateway:
         terms = allocation.tenant_terms(node, gateway)
-        held = ", ".join(
+        connections = ", ".join(
             f"{name} {count} lends {terms[name].loan.percent}%"
             for name, count in allocation.tenant_connections(node, gateway, budget.gateways[gateway]).items()
         )
     else:
         by = sorted(budget.gateways.items())
-        held = f"{budget.total}: " + ", ".join(f"{name} {count}" for name, count in by)
-    return f"{MARK}{world} {place} {held}"
+        connections = f"{budget.total}: " + ", ".join(f"{name} {count}" for name, count in by)
+    return f"{ROW_PREFIX}{world} {place} {connections}"
 
 
 def test_there_are_ten():
@@ -46,11 +48,11 @@
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=lambda path: path.stem)
-def test_an_example_deals_out_what_it_says(path):
+def test_an_example_yields_its_table(path):
     text = path.read_text()
     pools = parse(text)
     check(pools, FLEET)
     assert parse(canonical(pools)) == parse(canonical(parse(canonical(pools))))
-    told = [line for line in text.splitlines() if line.startswith(MARK)]
-    assert len(told) >= 2
-    assert told == [row(pools, *line[len(MARK) :].split()[:2]) for line in told]
+    expected = [line for line in text.splitlines() if line.startswith(ROW_PREFIX)]
+    assert len(expected) >= 2
+    assert expected == [row(pools, *line[len(ROW_PREFIX) :].split()[:2]) for line in expected]
--- a/tests/storage_gateway/coordination/pools/test_pools_language.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_language.py
@@ -1,4 +1,4 @@
-"""The pool language: texts and their meaning, errors and their places, the canonical text, mutations."""
+"""The pool language: parsed rules, errors and their positions, the canonical text, mutated texts."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 tenants all: weight 2;
 """
 
-# Two groups whose order the canonical text changes: what each has may not hang on that.
+# The canonical text changes the order of these two groups, which must not change their connections.
 SWAPPED = parse(
     'pools 1; budget 57 for nodes all; share gateways name "g1": in turns ceiling 9;'
     'share gateways name "g0": in turns ceiling 9; gateways all: ceiling 13;'
@@ -60,7 +60,7 @@
 
 
 def facts_of(draw_from: int) -> Facts:
-    """One of the sixteen worlds of the tests' facts."""
+    """One of the sixteen combinations of the tests' facts."""
     held = [fact for i, fact in enumerate(FACTS) if draw_from >> i & 1]
     return Facts(
         frozenset(f.zone for f in held if isinstance(f, ZoneOut)),
@@ -68,18 +68,18 @@
     )
 
 
-def test_a_whole_text_reads_as_it_is_meant():
-    made = parse(TEXT)
-    assert made.recall_ms == 1000 and [c.name for c in made.classes] == ["batch", "rest"]
-    assert made.budgets[0].nodes == And(
+def test_a_complete_text_is_parsed_into_its_rules():
+    document = parse(TEXT)
+    assert document.recall_ms == 1000 and [c.name for c in document.classes] == ["batch", "rest"]
+    assert document.budgets[0].nodes == And(
         (KeyIn("zone", ("a",)), Or((KeyIn("model", ("big",)), Not(KeyIn("name", ("n1", "n2"))))))
     )
-    assert made.budgets[0].when == Not(ZoneOut("b")) and made.budgets[1].when == EVERYTHING
-    assert made.gateways[0].terms == Terms(3, 2, 12)
-    assert [share.through for share in made.sharing] == [None, "g4"]
-    assert made.tenants[0].loan == Loan(50, KeyIn("class", ("rest",)), 1, 500)
-    assert made.budgets[1].position == SourcePosition(6, 1, "budget 20 for nodes all;")
-    assert not list(find_errors(made, FLEET))
+    assert document.budgets[0].when == Not(ZoneOut("b")) and document.budgets[1].when == EVERYTHING
+    assert document.gateways[0].terms == Terms(3, 2, 12)
+    assert [share.through for share in document.sharing] == [None, "g4"]
+    assert document.tenants[0].loan == Loan(50, KeyIn("class", ("rest",)), 1, 500)
+    assert document.budgets[1].position == SourcePosition(6, 1, "budget 20 for nodes all;")
+    assert not list(find_errors(document, FLEET))
 
 
 @settings(
@@ -87,7 +87,7 @@
     derandomize=not LONG,
     suppress_health_check=list(HealthCheck),
     phases=(Phase.explicit, Phase.generate),
-)  # an example of this size shrinks for minutes
+)  # no shrinking, as examples of this size shrink for minutes
 @example(SWAPPED, 1, 0)
 @given(pools(), st.integers(0, 15), st.integers(0, 1 << 30))
 def test_random_texts_come_back_and_mean_what_their_canonical_text_means(made, world, seed):
@@ -99,9 +99,9 @@
     assert connection_table(Allocation(parse(text), FLEET, facts)) == connection_table(
         Allocation(made, FLEET, facts)
     )
-    for error in find_errors(made, FLEET):  # the checks end, and say what they say in our words
+    for error in find_errors(made, FLEET):  # the checks terminate and yield only our errors
         assert isinstance(error, PoolError) and error.cure
-    # rules of different kinds in any order are the same value
+    # the order between rules of different kinds does not change the document
     chance = random.Random(seed)
     head, *rules = show(made).splitlines()
     kinds = [
@@ -158,7 +158,7 @@
 
 
 def test_an_order_that_matters_is_kept():
-    """Guards first-match: rules that may both match never change places."""
+    """Guards the first-match rule: rules that may both match keep their order."""
     one = parse('pools 1; budget 9 for nodes zone "a"; budget 8 for nodes model "big";')
     other = parse('pools 1; budget 8 for nodes model "big"; budget 9 for nodes zone "a";')
     assert digest(one) != digest(other)
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, kind, line, column, there, remedy",
+    "text, kind, line, column, excerpt, remedy",
     [
         ("", PoolSyntaxError, 1, 1, "", "put `pools` there"),
         ("pools 2;", PoolSyntaxError, 1, 7, "2;", "bring the gateways up to date"),
@@ -228,23 +228,23 @@
     ],
     ids=range(24),
 )
-def test_an_error_says_where_what_and_what_to_do(text, kind, line, column, there, remedy):
+def test_an_error_has_position_and_remedy(text, kind, line, column, excerpt, remedy):
     with pytest.raises(PoolError) as caught:
         parse(text)
     error = caught.value
     assert type(error) is kind and (error.position.line, error.position.column) == (line, column), error.line
-    assert error.position.text.startswith(there) and remedy in error.cure, error.line
+    assert error.position.text.startswith(excerpt) and remedy in error.cure, error.line
     assert {"error", "what", "where", "remedy", "line", "column", "text"} == set(error.told())
 
 
-def test_sixteen_deep_is_read():
+def test_nesting_of_the_maximum_depth_is_parsed():
     parse("pools 1; budget 7 for nodes " + "not " * 16 + "all;")
 
 
-def test_mutated_texts_end_in_a_meaning_or_in_our_error():
-    """Guards every push: no other error, bounded time and memory, whatever the text."""
-    chance, slowest, read = random.Random(SEED), 0.0, 0
-    words = TEXT.split() + [
+def test_mutated_texts_are_parsed_or_raise_a_pool_error():
+    """Guards every push: any text is parsed or raises a `PoolError`, in bounded time and memory."""
+    rng, slowest_s, parsed = random.Random(SEED), 0.0, 0
+    fragments = TEXT.split() + [
         "not",
         "(",
         ")",
@@ -264,30 +264,30 @@
     tracemalloc.start()
     for _ in range(10 * LONG or 1_000):
         text = TEXT
-        for _ in range(chance.randint(1, 4)):
-            at, to = sorted((chance.randrange(len(text) + 1), chance.randrange(len(text) + 1)))
-            match chance.randrange(5):
+        for _ in range(rng.randint(1, 4)):
+            at, to = sorted((rng.randrange(len(text) + 1), rng.randrange(len(text) + 1)))
+            match rng.randrange(5):
                 case 0:
-                    text = text[:at] + text[at + chance.randint(1, 8) :]
+                    text = text[:at] + text[at + rng.randint(1, 8) :]
                 case 1:
-                    text = text[:at] + chance.choice(words) + text[at:]
+                    text = text[:at] + rng.choice(fragments) + text[at:]
                 case 2:
-                    text = text[:at] + chr(chance.randrange(chance.choice((128, 0x110000)))) + text[at:]
+                    text = text[:at] + chr(rng.randrange(rng.choice((128, 0x110000)))) + text[at:]
                 case 3:
                     text = (text[:at] + text[at:to] * 2 + text[to:])[:70_000]
                 case 4:
-                    text = text[:at] + " " + chance.choice(words) + " " + text[min(to, at + 12) :]
+                    text = text[:at] + " " + rng.choice(fragments) + " " + text[min(to, at + 12) :]
         began = time.perf_counter()
         try:
             list(find_errors(parse(text), FLEET))
-            read += 1
+            parsed += 1
         except PoolError as error:
             assert error.cure and error.position.line >= 1 and error.position.column >= 1, error.line
-        slowest = max(slowest, time.perf_counter() - began)
+        slowest_s = max(slowest_s, time.perf_counter() - began)
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
-    print(f"slowest {slowest * 1000:.0f} ms, peak {peak / 1e6:.1f} MB, {read} read")
-    assert read and peak < 64e6
+    print(f"slowest {slowest_s * 1000:.0f} ms, peak {peak / 1e6:.1f} MB, {parsed} read")
+    assert parsed and peak < 64e6
 
 
 @pytest.mark.parametrize(
@@ -302,7 +302,7 @@
     ],
     ids=range(6),
 )
-def test_the_largest_texts_end_as_others_do(text):
+def test_the_largest_texts_are_parsed_or_raise_a_pool_error(text):
     try:
         parse(text)
     except PoolError as error:
--- a/tests/support/pool_texts.py
+++ b/tests/support/pool_texts.py
@@ -29,7 +29,9 @@
     Terms,
 )
 
-LONG = int(os.environ.get("POOLS_LONG", "0"))  # so many random texts, ten times the mutations; 0: as in CI
+LONG = int(
+    os.environ.get("POOLS_LONG", "0")
+)  # number of random texts, and a tenth of the mutations; 0: as in CI
 SEED = int(os.environ.get("POOLS_SEED", "33"))
 FLEET = Fleet(
     tuple(Gateway(f"g{i}", "abc"[i % 3]) for i in range(5)),
@@ -37,7 +39,7 @@
     tuple(Tenant(f"v{i}", ("gold", "basic")[i % 2]) for i in range(4)),
 )
 
-SOME = {
+NAMES = {
     "nodes": {"name": [n.name for n in FLEET.nodes], "zone": list("abc"), "model": ["big", "small"]},
     "gateways": {"name": [g.name for g in FLEET.gateways], "zone": list("abc")},
     "tenants": {"name": [t.name for t in FLEET.tenants] + ["v ü;9"], "plan": ["gold", "basic"]},
@@ -45,7 +47,7 @@
 FACTS = [ZoneOut("a"), ZoneOut("b"), InMaintenance("n1"), InMaintenance("g2")]
 
 
-def _grow(leaves: st.SearchStrategy[Expression]) -> st.SearchStrategy[Expression]:
+def _nested(leaves: st.SearchStrategy[Expression]) -> st.SearchStrategy[Expression]:
     return st.recursive(
         leaves,
         lambda inner: st.one_of(
@@ -58,38 +60,38 @@
 
 
 @cache
-def chosen(sort: str, classes: tuple[str, ...] = ()) -> st.SearchStrategy[Expression]:
-    """Which nodes, gateways or tenants."""
-    keys = dict(SOME[sort]) | ({"class": list(classes)} if classes else {})
+def subjects(kind: str, classes: tuple[str, ...] = ()) -> st.SearchStrategy[Expression]:
+    """Expressions that select nodes, gateways or tenants (`kind`), with these classes."""
+    keys = dict(NAMES[kind]) | ({"class": list(classes)} if classes else {})
     leaf = st.sampled_from(sorted(keys)).flatmap(
         lambda key: st.builds(
             KeyIn, st.just(key), st.lists(st.sampled_from(keys[key]), min_size=1, max_size=3).map(tuple)
         )
     )
-    return st.just(EVERYTHING) | _grow(leaf)
+    return st.just(EVERYTHING) | _nested(leaf)
 
 
-WHEN = st.just(EVERYTHING) | _grow(st.sampled_from(FACTS))
+WHEN = st.just(EVERYTHING) | _nested(st.sampled_from(FACTS))
 NUMBER = st.none() | st.integers(0, 40)
 
 
-def _terms(least: bool) -> st.SearchStrategy[Terms]:
+def _terms(not_empty: bool) -> st.SearchStrategy[Terms]:
     made = st.builds(Terms, st.none() | st.integers(1, 50), NUMBER, NUMBER)
-    return made.filter(lambda terms: terms != Terms()) if least else made
+    return made.filter(lambda terms: terms != Terms()) if not_empty else made
 
 
 def _loans(classes: tuple[str, ...]) -> st.SearchStrategy[Loan]:
     keep, recall = st.none() | st.integers(0, 9), st.none() | st.integers(1, 9000)
-    return st.builds(Loan, st.integers(0, 100), chosen("tenants", classes), keep, recall) | st.builds(
+    return st.builds(Loan, st.integers(0, 100), subjects("tenants", classes), keep, recall) | st.builds(
         Loan, st.none(), st.just(EVERYTHING), keep, recall
     )
 
 
-def _some(each: st.SearchStrategy[object]) -> st.SearchStrategy[tuple]:
+def _up_to_two(each: st.SearchStrategy[object]) -> st.SearchStrategy[tuple]:
     return st.lists(each, max_size=2).map(tuple)
 
 
-EDGES, NODES = chosen("gateways"), chosen("nodes")
+GATEWAYS, NODES = subjects("gateways"), subjects("nodes")
 
 
 @cache
@@ -100,28 +102,30 @@
         st.none() | st.integers(1, 60_000),
         st.tuples(
             *(
-                st.builds(TenantClass, st.just(name), chosen("tenants", names[:i]))
+                st.builds(TenantClass, st.just(name), subjects("tenants", names[:i]))
                 for i, name in enumerate(names)
             )
         ),
-        _some(st.builds(BudgetRule, st.integers(1, 60), NODES, WHEN)),
-        _some(st.builds(GatewayRule, EDGES, NODES, WHEN, _terms(True))),
-        _some(
+        _up_to_two(st.builds(BudgetRule, st.integers(1, 60), NODES, WHEN)),
+        _up_to_two(st.builds(GatewayRule, GATEWAYS, NODES, WHEN, _terms(True))),
+        _up_to_two(
             st.builds(
                 SharingRule,
-                EDGES,
+                GATEWAYS,
                 NODES,
                 WHEN,
                 _terms(False),
-                st.none() | st.sampled_from(SOME["gateways"]["name"]),
+                st.none() | st.sampled_from(NAMES["gateways"]["name"]),
             )
         ),
-        _some(
-            st.builds(TenantRule, chosen("tenants", names), NODES, EDGES, WHEN, _terms(True), _loans(names))
+        _up_to_two(
+            st.builds(
+                TenantRule, subjects("tenants", names), NODES, GATEWAYS, WHEN, _terms(True), _loans(names)
+            )
         ),
     )
 
 
 def pools() -> st.SearchStrategy[PoolsDocument]:
-    """Any text's meaning: it follows the grammar, and may well be refused by the checks."""
+    """Documents that follow the grammar; the checks may reject them."""
     return st.integers(0, 3).flatmap(_pools)
