--- a/mallowbeam/storage_gateway/coordination/maintenance/entries.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/entries.py
@@ -24,9 +24,7 @@
     in_flight: int = 0  # requests that this gateway has in flight at the node
     utilization: float = 0.0  # fraction of time (0 to 1) in which the node is busy
     sole_replica: bool = False  # this gateway knows data that only this node serves
-    start_count: int = (
-        0  # identifies the node's latest start (its start time as discovery has it); 0: unknown
-    )
+    start_count: int = 0  # identifies the node's latest start (start time from discovery); 0: unknown
 
 
 class StatusReport(
--- a/mallowbeam/storage_gateway/coordination/maintenance/lease.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/lease.py
@@ -4,9 +4,9 @@
 report.  It checks this by its own clock at each request, so that a process that was suspended rejects
 requests even before it has received any log entry.
 
-A gateway's lease has expired for an observer that received its last report at t and has since seen one of
-its own reports committed that it proposed after t + `lease_s` x `clock_drift`: no further report of the
-gateway was committed in between.  This holds as long as clock rates differ by less than the drift factor.
+A gateway's lease has expired for an observer that received its last report at t and has since seen one of its
+own reports committed that it proposed after t + `lease_s` x `max_clock_rate_ratio`: no further report of the
+gateway was committed in between.  This holds as long as clock rates differ by less than that ratio.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
     def expired(self, known: Collection[str]) -> list[str]:
         """Other gateways whose lease has certainly expired, except those in `known`."""
-        lease_bound_s = self._timings.lease_s * self._timings.clock_drift
+        lease_bound_s = self._timings.lease_s * self._timings.max_clock_rate_ratio
         return [
             member
             for member, received_at in self._last_report_at.items()
--- a/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/subsystem.py
@@ -68,9 +68,9 @@
     """The maintenance subsystem of one gateway.
 
     Attributes:
-        allotments: callbacks that release this gateway's quota allotments when called with True and return
+        allotment_callbacks: release this gateway's quota allotments when called with True and return
             whether they hold none any more; called with False, they may acquire allotments again.
-        warmers: callbacks that receive a cold node and this gateway's share (0 to 1) of the limit for cold
+        warmup_callbacks: receive a cold node and this gateway's share (0 to 1) of the limit for cold
             nodes.
     """
 
@@ -84,8 +84,8 @@
             time.monotonic(),
             Timings(lease_s=section.lease_s, report_s=section.report_s, warmup_s=section.warm_s),
         )
-        self.allotments: list[Callable[[bool], bool]] = []
-        self.warmers: list[Callable[[str, float], None]] = []
+        self.allotment_callbacks: list[Callable[[bool], bool]] = []
+        self.warmup_callbacks: list[Callable[[str, float], None]] = []
         self.stepped_down = False
         context.gateway().gates.append(lambda: self.core.serves(time.monotonic()))
 
@@ -114,7 +114,7 @@
         released = False
         if self.stepped_down:
             # A list, not a generator, so that every callback runs.
-            released = all([release(True) for release in self.allotments])  # noqa: C419
+            released = all([release(True) for release in self.allotment_callbacks])  # noqa: C419
         leader = context.me if context.leader() else None
         self.core.observe(LocalView(nodes, context.open_requests(), released, leader))
         self._execute(self.core.tick(now))
@@ -156,7 +156,7 @@
                 case Undrain(node):
                     self.context.drain(node, False)
                 case WarmUp(node, share):
-                    for warmer in self.warmers:
+                    for warmer in self.warmup_callbacks:
                         warmer(node, share)
                 case StepDown(reject):
                     self.stepped_down = True
@@ -168,7 +168,7 @@
 
     def _step_up(self) -> None:
         self.stepped_down = False
-        for release in self.allotments:
+        for release in self.allotment_callbacks:
             release(False)
         self.context.gate(True)
 
--- a/mallowbeam/storage_gateway/coordination/pools/allocation.py
+++ b/mallowbeam/storage_gateway/coordination/pools/allocation.py
@@ -7,7 +7,7 @@
 
 For each query the first matching rule decides all terms.  A node that no budget matches is unbounded.  A
 group `in turns` divides its connections evenly among its members; any remainder goes to members in an order
-that rotates with the epoch (`turn` is the epoch's number).
+that rotates with the epoch number (`epoch`).
 """
 
 from __future__ import annotations
@@ -86,7 +86,7 @@
 GatewayClaims = tuple[list[Claimant], dict[str, SharingGroup]]
 
 
-def claimant(name: str, terms: Terms, default_floor: int) -> Claimant:
+def make_claimant(name: str, terms: Terms, default_floor: int) -> Claimant:
     """A claimant with these terms; a ceiling below the default floor lowers the floor."""
     floor = default_floor if terms.floor is None else terms.floor
     if terms.ceiling is not None and terms.floor is None:
@@ -102,9 +102,11 @@
 class Allocation:
     """A document applied to a fleet under given facts; computed on demand by node, and cached."""
 
-    def __init__(self, document: PoolsDocument, fleet: Fleet, facts: Facts = NO_FACTS, turn: int = 0) -> None:
+    def __init__(
+        self, document: PoolsDocument, fleet: Fleet, facts: Facts = NO_FACTS, epoch: int = 0
+    ) -> None:
         self.fleet = fleet
-        self.turn = turn
+        self.epoch = epoch
         self._budgets = _applicable_rules(document.budgets, facts)
         self._gateway_rules = _applicable_rules(document.gateways, facts)
         self._sharing_rules = _applicable_rules(document.sharing, facts)
@@ -152,14 +154,16 @@
             if shared is not None:
                 members.setdefault(shared, []).append(name)
             else:
-                claimants.append(claimant(name, self._gateway_terms(rules, traits), DEFAULT_GATEWAY_FLOOR))
+                claimants.append(
+                    make_claimant(name, self._gateway_terms(rules, traits), DEFAULT_GATEWAY_FLOOR)
+                )
         # A group is named after its members, so that ties do not depend on the order of rules.
         groups = {
             KEY_SEPARATOR.join(["", *sorted(names)]): SharingGroup(self._sharing_rules[i], names)
             for i, names in members.items()
         }
         claimants += [
-            claimant(name, group.rule.terms, DEFAULT_GATEWAY_FLOOR) for name, group in groups.items()
+            make_claimant(name, group.rule.terms, DEFAULT_GATEWAY_FLOOR) for name, group in groups.items()
         ]
         return claimants, groups
 
@@ -178,7 +182,7 @@
             return {name: count if name == through else 0 for name in members}
         quotient, remainder = divmod(count, len(members))
         return {
-            name: quotient + ((position - self.turn) % len(members) < remainder)
+            name: quotient + ((position - self.epoch) % len(members) < remainder)
             for position, name in enumerate(members)
         }
 
@@ -215,7 +219,7 @@
                 continue
             first = next((i for i in rules if tenant.name in self._rule_tenants[i]), None)
             terms = Terms() if first is None else self._tenant_rules[first].terms
-            claimants.append(claimant(tenant.name, terms, DEFAULT_TENANT_FLOOR))
+            claimants.append(make_claimant(tenant.name, terms, DEFAULT_TENANT_FLOOR))
             terms_by_tenant[tenant.name] = TenantTerms(terms.ceiling, loans[first])
         return claimants, terms_by_tenant
 
--- a/mallowbeam/storage_gateway/coordination/pools/borrowing.py
+++ b/mallowbeam/storage_gateway/coordination/pools/borrowing.py
@@ -205,8 +205,8 @@
     def acquire(self, node: str, tenant: str, max_wait_s: float) -> tuple[Acquisition, float]:
         """Try to get a connection for a tenant; returns the result and the longest wait in seconds.
 
-        A caller that waits must call `waited` before it asks again or when it gives up.  `max_wait_s` is the
-        remaining part of the request's latency target, in seconds.
+        A caller that waits must call `wait_ended` before it asks again or when it gives up.  `max_wait_s` is
+        the remaining part of the request's latency target, in seconds.
         """
         if self.may_open(node, tenant):
             return Acquisition.OPEN, 0.0
@@ -230,7 +230,7 @@
         connections.recalled[borrower] = connections.recalled.get(borrower, 0) + 1
         return True
 
-    def waited(self, node: str, tenant: str) -> None:
+    def wait_ended(self, node: str, tenant: str) -> None:
         """A wait has ended, with or without a connection."""
         connections = self.nodes.get(node)
         if connections is not None:
--- a/mallowbeam/storage_gateway/coordination/pools/case_checks.py
+++ b/mallowbeam/storage_gateway/coordination/pools/case_checks.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from mallowbeam.storage_gateway.coordination.pools.allocation import claimant
+from mallowbeam.storage_gateway.coordination.pools.allocation import make_claimant
 from mallowbeam.storage_gateway.coordination.pools.errors import (
     PoolError,
     PoolOvercommittedError,
@@ -232,10 +232,10 @@
 
     def _gateway_floor(self, rule: int | None) -> int:
         terms = Terms() if rule is None else self._document.gateways[rule].terms
-        return claimant("", terms, DEFAULT_GATEWAY_FLOOR).floor
+        return make_claimant("", terms, DEFAULT_GATEWAY_FLOOR).floor
 
     def _group_floor(self, rule: int) -> int:
-        return claimant("", self._document.sharing[rule].terms, DEFAULT_GATEWAY_FLOOR).floor
+        return make_claimant("", self._document.sharing[rule].terms, DEFAULT_GATEWAY_FLOOR).floor
 
     def _required_connections(self, floors: ScenarioFloors, unnamed_floor: int) -> tuple[int, int]:
         """The sum of floors in the largest allowed fleet, and the number of claimants with a floor."""
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_subsystem.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_subsystem.py
@@ -128,7 +128,7 @@
     with pytest.raises(MachineNotOutError):
         rig.subsystem.complete_work("n0")
     warmed = []
-    rig.subsystem.warmers.append(lambda node, share: warmed.append((node, round(share, 2))))
+    rig.subsystem.warmup_callbacks.append(lambda node, share: warmed.append((node, round(share, 2))))
     take_steps(rig, "n0", "warming")
     assert rig.context.drained == set() and warmed == [("n0", 0.33)]
     assert rig.subsystem.gauges()["away"] == 1
@@ -136,7 +136,7 @@
 
 def test_a_gateway_releases_its_allotments_then_rejects_requests(rig):
     held = [True]
-    rig.subsystem.allotments.append(lambda out: not held[0])
+    rig.subsystem.allotment_callbacks.append(lambda out: not held[0])
     rig.push("g0")
     rig.put("g1", SelectNext(0))
     rig.subsystem.tick(100.0)
--- a/tests/storage_gateway/coordination/pools/test_pools_borrowing.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_borrowing.py
@@ -66,7 +66,7 @@
     assert not tracker.may_open("n", "a") and not tracker.may_open(
         "n", "c"
     )  # it is reserved for b, which waits
-    tracker.waited("n", "b")
+    tracker.wait_ended("n", "b")
     assert tracker.acquire("n", "b", 9.0)[0] is Acquisition.OPEN
 
 
@@ -79,7 +79,7 @@
     assert tracker.acquire("n", "c", 9.0)[0] is Acquisition.REJECT  # c has none of its own to recall
     assert tracker.idle_to_close("n") == {} and not tracker.keep("n", "a")
     tracker.closed("n", "a", busy=True)
-    tracker.waited("n", "b")
+    tracker.wait_ended("n", "b")
     assert tracker.may_open("n", "b")
     tracker.opened("n", "b")
     assert not tracker.keep("n", "a")  # the second one is still recalled
@@ -98,7 +98,7 @@
     tracker = tracker_with({"a": 2, "b": 2, "c": 2})
     tracker.opened("n", "c")
     assert open_all(tracker, "a") == 5 and tracker.acquire("n", "b", 9.0)[0] is Acquisition.WAIT
-    tracker.waited("n", "b")  # b gave up and c closes its own, so all of theirs is idle
+    tracker.wait_ended("n", "b")  # b gave up and c closes its own, so all of theirs is idle
     tracker.closed("n", "c", busy=True)
     assert not tracker.may_open("n", "a")
     tracker.closed("n", "a", busy=True)  # returned
@@ -192,7 +192,7 @@
                     for _ in range(count):
                         tracker.closed("n", name, busy=False)
                 if waits:
-                    tracker.waited("n", waits.pop(0))
+                    tracker.wait_ended("n", waits.pop(0))
         assert (
             connections.total_open() <= max(before, connections.total)
             and connections.total_open() <= connections.total
@@ -201,7 +201,7 @@
         assert all(count > 0 for each in counts for count in each.values())
         assert all(n <= connections.borrowed(name) for name, n in connections.recalled.items())
     for name in waits:
-        tracker.waited("n", name)
+        tracker.wait_ended("n", name)
     owner = max(own, key=own.__getitem__)
     for _ in range(own[owner] - connections.open(owner)):
         if not tracker.may_open("n", owner):
@@ -209,6 +209,6 @@
             for name in sorted(ALL):
                 while connections.recalled.get(name):
                     tracker.closed("n", name, busy=bool(connections.busy.get(name)))
-            tracker.waited("n", owner)
+            tracker.wait_ended("n", owner)
         assert tracker.may_open("n", owner)
         tracker.opened("n", owner)
