--- a/tests/storage_gateway/coordination/pools/test_pools_apportionment.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_apportionment.py
@@ -6,11 +6,11 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from pool_texts import LONG
+from pool_texts import RANDOM_TEXTS
 
 from mallowbeam.storage_gateway.coordination.pools.apportionment import Claimant, apportion, tie_breaker
 
-MANY = LONG or 150
+MANY = RANDOM_TEXTS or 150
 
 
 @st.composite
--- a/tests/storage_gateway/coordination/pools/test_pools_language.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_language.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import HealthCheck, Phase, example, given, settings
 from hypothesis import strategies as st
-from pool_texts import FACTS, FLEET, LONG, SEED, pools
+from pool_texts import FACTS, FLEET, RANDOM_TEXTS, SEED, documents
 
 from mallowbeam.storage_gateway.coordination.pools.allocation import (
     Allocation,
@@ -83,13 +83,13 @@
 
 
 @settings(
-    max_examples=LONG or 250,
-    derandomize=not LONG,
+    max_examples=RANDOM_TEXTS or 250,
+    derandomize=not RANDOM_TEXTS,
     suppress_health_check=list(HealthCheck),
     phases=(Phase.explicit, Phase.generate),
 )  # no shrinking, as examples of this size shrink for minutes
 @example(SWAPPED, 1, 0)
-@given(pools(), st.integers(0, 15), st.integers(0, 1 << 30))
+@given(documents(), st.integers(0, 15), st.integers(0, 1 << 30))
 def test_random_texts_come_back_and_mean_what_their_canonical_text_means(made, world, seed):
     """One value: shown and read it is the same; its canonical text is stable and deals out the same."""
     assert parse(show(made)) == made
@@ -114,8 +114,10 @@
     assert parse("\n".join([head, *mixed])) == made
 
 
-@settings(max_examples=LONG or 60, derandomize=not LONG, phases=(Phase.explicit, Phase.generate))
-@given(pools(), st.integers(0, 15))
+@settings(
+    max_examples=RANDOM_TEXTS or 60, derandomize=not RANDOM_TEXTS, phases=(Phase.explicit, Phase.generate)
+)
+@given(documents(), st.integers(0, 15))
 def test_texts_that_pass_the_checks_deal_out_every_budget_whole(made, world):
     """Guards `check`: what it lets through leaves no gateway without its floor, and loses no connection."""
     if any(find_errors(made, FLEET)):
@@ -262,7 +264,7 @@
     ]
     parse(TEXT)
     tracemalloc.start()
-    for _ in range(10 * LONG or 1_000):
+    for _ in range(10 * RANDOM_TEXTS or 1_000):
         text = TEXT
         for _ in range(rng.randint(1, 4)):
             at, to = sorted((rng.randrange(len(text) + 1), rng.randrange(len(text) + 1)))
--- a/tests/support/pool_texts.py
+++ b/tests/support/pool_texts.py
@@ -29,9 +29,8 @@
     Terms,
 )
 
-LONG = int(
-    os.environ.get("POOLS_LONG", "0")
-)  # number of random texts, and a tenth of the mutations; 0: as in CI
+# Number of random texts, with ten times as many mutated texts; 0: as in CI.
+RANDOM_TEXTS = int(os.environ.get("POOLS_LONG", "0"))
 SEED = int(os.environ.get("POOLS_SEED", "33"))
 FLEET = Fleet(
     tuple(Gateway(f"g{i}", "abc"[i % 3]) for i in range(5)),
@@ -95,7 +94,7 @@
 
 
 @cache
-def _pools(count: int) -> st.SearchStrategy[PoolsDocument]:
+def _documents(count: int) -> st.SearchStrategy[PoolsDocument]:
     names = tuple(f"c{i}" for i in range(count))
     return st.builds(
         PoolsDocument,
@@ -126,6 +125,6 @@
     )
 
 
-def pools() -> st.SearchStrategy[PoolsDocument]:
+def documents() -> st.SearchStrategy[PoolsDocument]:
     """Documents that follow the grammar; the checks may reject them."""
-    return st.integers(0, 3).flatmap(_pools)
+    return st.integers(0, 3).flatmap(_documents)
