--- a/mallowbeam/storage_gateway/coordination/maintenance/actions.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/actions.py
@@ -14,7 +14,7 @@
     """Intervals of the core in seconds; `lease_s` must be the same on all gateways."""
 
     lease_s: float = 2.0  # a gateway may serve this long after proposing its newest committed report
-    max_clock_rate_ratio: float = 1.1  # highest ratio between the rates of two gateways' clocks
+    max_clock_rate_ratio: float = 1.1  # the clock rates of two gateways differ by less than this factor
     drain_grace_s: float = 0.25  # from a drain until no request can still be on its way to the machine
     report_s: float = 0.5  # between reports while maintenance is active
     idle_report_s: float = 30.0  # between reports while no maintenance is active
--- a/mallowbeam/storage_gateway/coordination/maintenance/gateway_core.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/gateway_core.py
@@ -1,8 +1,8 @@
 """One gateway's maintenance core, without I/O; `now` is the gateway's monotonic clock in seconds.
 
 The gateway's actions depend only on the replicated state, so it does not matter which entries it missed.  A
-machine whose step is in `NO_NEW_WORK` gets no new requests.  A machine that warms up gets requests within this
-gateway's share of the limit for cold nodes.
+machine whose step is in `NO_NEW_WORK` gets no new requests.  A machine that warms up gets requests within
+this gateway's share of the limit for cold nodes.
 
 The gateway proposes the entries that `TransitionGuard.due` lists, and the ones that depend on a clock:
 `DeadlineExceeded` and `LeaseExpired`.  The log's leader proposes immediately and the others after a delay
--- a/mallowbeam/storage_gateway/coordination/maintenance/section.py
+++ b/mallowbeam/storage_gateway/coordination/maintenance/section.py
@@ -28,9 +28,7 @@
     zone_floor: Fraction = 0.5  # fraction of a zone's weight that stays available
     shard_floor: Fraction = 0.0  # fraction of a shard's weight that stays available
     sole_data: bool = False  # a node may go out of service although no other node serves its data
-    repeats: Literal["", "all", "zone", "shard"] = (
-        ""  # nodes that serve each other's retries are never out together
-    )
+    repeats: Literal["", "all", "zone", "shard"] = ""  # nodes that serve each other's retries: never together
     time_s: Annotated[float, Meta(gt=0.0, le=604800.0)] = 3600.0  # deadline per machine, agreed to done
     on_time_up: Literal["go on", "stop"] = "stop"
 
--- a/mallowbeam/storage_gateway/coordination/pools/first_match.py
+++ b/mallowbeam/storage_gateway/coordination/pools/first_match.py
@@ -44,9 +44,7 @@
         self._holds_in = [scenarios.where(rule.when) for rule in rules]
         self._reached: RuleSet = 0
         self._considered: RuleSet = 0
-        self._covered_by: dict[
-            int, int
-        ] = {}  # by rule that did not decide: an earlier rule that decided instead
+        self._covered_by: dict[int, int] = {}  # by rule that did not decide: one that did instead
         self._decisions: dict[RuleSet, list[Match]] = {}
 
     def decide(self, candidates: RuleSet) -> list[Match]:
--- a/tests/storage_gateway/coordination/maintenance/test_maintenance_machine.py
+++ b/tests/storage_gateway/coordination/maintenance/test_maintenance_machine.py
@@ -100,9 +100,8 @@
     log = fleet()
     push(log, request("n2", "n0", "g1"))
     first = put(log, "g0", SelectNext(0))
-    assert (
-        first.refusal is None and state(log).machines["n0"].step == "agreed"
-    )  # fewest requests in flight in its zone
+    # n0 has the fewest requests in flight in its zone.
+    assert first.refusal is None and state(log).machines["n0"].step == "agreed"
     assert put(log, "g1", SelectNext(0)).refusal is not None
     assert "n0 is next of 3" in state(log).machines["n0"].reason
     paused = put(log, "g1", SelectNext(1)).refusal
@@ -154,9 +153,7 @@
     start_draining(log)
     report_empty(log, "g0", "g1", number=2)
     assert "g2 has not said" in put(log, "g0", Transition("n0", "empty", 2)).refusal.what
-    report_empty(
-        log, "g2", number=2, applied_index=1
-    )  # made before it applied the drain, so it does not count
+    report_empty(log, "g2", number=2, applied_index=1)  # from before it applied the drain: does not count
     assert "g2 has not said" in put(log, "g0", Transition("n0", "empty", 2)).refusal.what
     assert put(log, "g0", LeaseExpired("g2", "l", 1)).refusal is not None  # it has reported since
     assert put(log, "g0", LeaseExpired("g2", "l", 2)).refusal is None
--- a/tests/storage_gateway/coordination/pools/test_pools_borrowing.py
+++ b/tests/storage_gateway/coordination/pools/test_pools_borrowing.py
@@ -63,9 +63,8 @@
     assert tracker.acquire("n", "b", 9.0) == (Acquisition.WAIT, 2.0)
     assert tracker.idle_to_close("n") == {"a": 1}
     tracker.closed("n", "a", busy=False)
-    assert not tracker.may_open("n", "a") and not tracker.may_open(
-        "n", "c"
-    )  # it is reserved for b, which waits
+    # The free connection is reserved for b, which waits.
+    assert not tracker.may_open("n", "a") and not tracker.may_open("n", "c")
     tracker.wait_ended("n", "b")
     assert tracker.acquire("n", "b", 9.0)[0] is Acquisition.OPEN
 
