--- a/tests/storage_gateway/coordination/test_quota_transfer.py
+++ b/tests/storage_gateway/coordination/test_quota_transfer.py
@@ -107,7 +107,9 @@
 def test_an_invalid_target_is_rejected_with_a_remedy(rows, capacity, kind):
     with pytest.raises(kind) as caught:
         next_epoch(QuotaEpochs(holders=NAMES), rows, Bounds(floor, lambda resource: capacity))
-    assert isinstance(caught.value, MallowbeamError) and caught.value.where == "x" and caught.value.remedy_text
+    assert (
+        isinstance(caught.value, MallowbeamError) and caught.value.where == "x" and caught.value.remedy_text
+    )
 
 
 def test_a_capacity_that_fell_is_checked_for_rows_that_did_not_change():
