--- a/mallowbeam/simulation/clock.py
+++ b/mallowbeam/simulation/clock.py
@@ -29,10 +29,9 @@
         self.random = Random(seed)
         self.now = 0.0  # seconds
         self.steps = 0  # events that have run
-        self.digest = 0  # of the times and the order of all events that have run
-        self._events: list[
-            tuple[float, int, Event]
-        ] = []  # ties run in the order in which they were scheduled
+        self.digest = 0  # hash over the times and the order of all events that have run
+        # Time in seconds, scheduling order (breaks ties) and event.
+        self._events: list[tuple[float, int, Event]] = []
         self._order = 0
         self._checks: list[Step] = []
 
@@ -55,12 +54,12 @@
         """Run all events up to a time in seconds."""
         self.run_while(lambda: True, until)
 
-    def run_while(self, wanted: Callable[[], bool], until: float) -> bool:
-        """Run events while `wanted` is true, at most up to `until` seconds; returns its last value."""
-        while wanted():
+    def run_while(self, condition: Callable[[], bool], until: float) -> bool:
+        """Run events while `condition` is true, at most up to `until` seconds; returns its last value."""
+        while condition():
             if not self._run_next(until):
                 self.now = max(self.now, until)
-                return wanted()
+                return condition()
         return False
 
     def _run_next(self, until: float) -> bool:
--- a/mallowbeam/simulation/dialing.py
+++ b/mallowbeam/simulation/dialing.py
@@ -12,7 +12,7 @@
 from mallowbeam.simulation.network import Network
 from mallowbeam.simulation.stream import Endpoint
 
-CONNECT_RETRY_S = 1.0  # until a connection request is retransmitted; doubles each time
+CONNECT_RETRY_S = 1.0  # delay of the first retransmission of a connection request; doubles each time
 FIRST_FREE_PORT = 32768
 
 
@@ -20,7 +20,7 @@
 class Dial:
     """A connection attempt; `opened` or `refused` is called once, as a step of the process.
 
-    `cancelled` is set by a caller that stops waiting, and when the process ends.
+    A caller that stops waiting sets `cancelled`; it is also set when the process ends.
     """
 
     opened: Callable[[Endpoint], None]
@@ -41,12 +41,12 @@
     dials: list[Dial] = field(default_factory=list)
 
     def add(self, endpoint: Endpoint) -> None:
-        """Add an endpoint and drop those that are closed."""
+        """Add an endpoint and forget those that are closed."""
         self.endpoints = [known for known in self.endpoints if not known.closed]
         self.endpoints.append(endpoint)
 
     def add_dial(self, dial: Dial) -> None:
-        """Add a connection attempt and drop those that were cancelled."""
+        """Add a connection attempt and forget those that were cancelled."""
         self.dials = [known for known in self.dials if not known.cancelled]
         self.dials.append(dial)
 
@@ -82,13 +82,13 @@
         self._listeners.pop((machine.name, port), None)
 
     def connect(self, machine: Machine, ip: str, port: int, dial: Dial) -> None:
-        """Open a stream to an address; retries until it is opened, refused or cancelled."""
+        """Open a stream to an address; retries until the stream is opened, refused or cancelled."""
         self._watch(machine)
         self._ends[machine.name].add_dial(dial)
         self._send_connect(machine, ip, port, dial, CONNECT_RETRY_S)
 
     def _send_connect(self, machine: Machine, ip: str, port: int, dial: Dial, backoff: float) -> None:
-        """Send a connection request, and again after `backoff` seconds if the target is unreachable."""
+        """Send a connection request; retries after `backoff` seconds if the target is unreachable."""
         if dial.cancelled:
             return
         target = self._machine_at(ip)
@@ -99,6 +99,7 @@
             self._retry_connect(machine, ip, port, dial, backoff)
 
     def _retry_connect(self, machine: Machine, ip: str, port: int, dial: Dial, backoff: float) -> None:
+        """Send the connection request again after `backoff` seconds, and double the backoff."""
         machine.after_true(backoff, lambda: self._send_connect(machine, ip, port, dial, 2 * backoff))
 
     def _connect_arrived(
@@ -135,6 +136,7 @@
             dial.opened(near)
 
     def _reaches(self, one: Machine, other: Machine) -> bool:
+        """Whether messages pass both ways and the other machine is on."""
         both = self._network.passes(one.name, other.name) and self._network.passes(other.name, one.name)
         return both and other.powered
 
--- a/mallowbeam/simulation/disk.py
+++ b/mallowbeam/simulation/disk.py
@@ -1,7 +1,7 @@
 """A simulated disk: writes become durable one after another, each after its own random latency.
 
 The disk stores no bytes: it runs the owner's change at the moment the write becomes durable. When a process
-ends, some prefix of its pending writes has reached the disk, drawn at random.
+ends, a prefix of its pending writes becomes durable; its length is random.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from mallowbeam.simulation.clock import Event, Step
 from mallowbeam.simulation.machine import End, Machine
 
-USUAL_LATENCY = (0.002, 0.006)  # seconds, least and most, for a write and its sync
+USUAL_LATENCY = (0.002, 0.006)  # minimum and maximum of a write and its sync
 SLOW_LATENCY = (0.05, 0.4)
 
 
@@ -49,7 +49,7 @@
     def write(self, change: Step, done: Step, failed: Callable[[OSError], object] | None = None) -> None:
         """Make a change durable, then run the step `done` of the process.
 
-        On a full disk the write is lost; `failed` runs with the OSError, if it is given.
+        On a full disk the write is lost and `failed`, if given, runs with the OSError.
         """
         self._writes.append(_Write(change, done, failed))
         self._start_next_write()
--- a/mallowbeam/simulation/loop.py
+++ b/mallowbeam/simulation/loop.py
@@ -203,7 +203,7 @@
 
 def new_loop(machine: Machine, streams: Streams) -> SimulatedLoop:
     """Create the event loop of a process that has just started."""
-    return SimulatedLoop(machine, streams)  # type: ignore[abstract]  # no role uses the methods left out
+    return SimulatedLoop(machine, streams)  # type: ignore[abstract]  # no role uses the missing methods
 
 
 class SimulatedServer(asyncio.AbstractServer):
@@ -248,7 +248,7 @@
         self._endpoint = endpoint
 
     def setsockopt(self, level: int, option: int, value: int) -> None:
-        """Set an option (times in ms or s as in the kernel); options without effect here are ignored."""
+        """Set an option, in the units of the kernel (ms or s); ignores options that are not simulated."""
         options: StreamOptions = self._endpoint.options
         match (level, option):
             case (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT):
--- a/mallowbeam/simulation/loss_budget.py
+++ b/mallowbeam/simulation/loss_budget.py
@@ -1,14 +1,15 @@
-"""Counts the members that are lost at one time, by the operators' fault model; does no I/O.
+"""Counts the members that are lost at the same time, by the operators' fault model; does no I/O.
 
 A member counts as lost while it is down, frozen, slow or partitioned, and for the catch-up time after its
-return; a removed one until its successor has had that time. Times are simulated seconds.
+return. A removed member counts as lost until its successor's catch-up time is over. Times are in simulated
+seconds.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-CATCH_UP_S = 4.0  # that a member needs after its return
+CATCH_UP_S = 4.0  # catch-up time that a member needs after its return
 
 
 class LossBudget:
@@ -16,9 +17,9 @@
 
     def __init__(self, tolerance: int) -> None:
         self.tolerance = tolerance
-        self._until: dict[str, float] = {}  # when a member's catch-up time is over
+        self._until: dict[str, float] = {}  # end of each member's catch-up time; inf during a fault
         self._active: set[str] = set()
-        self.last_change = -inf  # when a fault last began or ended
+        self.last_change = -inf  # time of the last event of any member
 
     def begin(self, name: str, now: float) -> bool:
         """Mark a member as lost; returns False if it already is or if the tolerance is used up."""
@@ -48,7 +49,7 @@
         self.last_change = now
 
     def disturbed(self, now: float) -> None:
-        """Record another event of the members, such as a start."""
+        """Record another event of a member, such as a start."""
         self.last_change = now
 
     def is_lost(self, name: str) -> bool:
@@ -65,4 +66,5 @@
         return now - self.last_change
 
     def _counted(self, now: float) -> set[str]:
+        """Members that count as lost, including those in their catch-up time."""
         return {name for name, until in self._until.items() if until > now}
--- a/mallowbeam/simulation/machine.py
+++ b/mallowbeam/simulation/machine.py
@@ -20,7 +20,7 @@
     """How a process ended; decides whether its peers get connection resets."""
 
     KILLED = "killed"  # the kernel survives and resets the connections
-    POWER = "power"  # the machine is off: peers get no reset
+    POWER = "power"  # the machine is off; its peers get no reset
 
 
 class Timer:
@@ -62,7 +62,7 @@
         self.incarnation = 0  # incremented at each start
         self.clock_rate = 1.0  # seconds of its monotonic clock per simulated second
         self.clock_offset = 0.0
-        self.step_cost = 0.0  # simulated seconds that each step of the process takes
+        self.step_cost = 0.0  # duration of each step of the process in simulated seconds
         self._busy_until = 0.0
         self._waiting: list[Timer] = []  # deferred while the process is frozen
         self._end_listeners: list[Callable[[End], None]] = []
--- a/mallowbeam/simulation/machine_scenarios.py
+++ b/mallowbeam/simulation/machine_scenarios.py
@@ -3,10 +3,10 @@
 A command that takes a machine also takes ``all`` or the name of a group that the player declares::
 
     at 1 start M      kill M      power-off M     freeze M    thaw M
-    at 1 slow M 0.002                     each step of its process takes so many seconds; 0: no time
-    at 1 clock M 1.1                      its monotonic clock runs at this rate
+    at 1 slow M 0.002                     duration of each step of its process in seconds; 0 ends the fault
+    at 1 clock M 1.1                      rate of its monotonic clock
     at 1 cut A B      cut A > B   isolate M       heal        heal A B
-    at 1 path A B 0.01 0.05 [LOSS]        least and most delay in seconds; also with all on one side
+    at 1 path A B 0.01 0.05 [LOSS]        minimum and maximum delay in seconds; A or B may be ``all``
     at 1 slow-disk M  stall-disk M  fill-disk M   mend-disk M
 """
 
@@ -42,7 +42,7 @@
         return machine
 
     def names(self, target: str) -> list[str]:
-        """Names of the machines that a word of a command denotes; raises LookupError."""
+        """Names of the machines of `target` (a machine, a group or ``all``); raises LookupError."""
         if target == "all":
             return list(self.network.machines)
         if target in self.groups:
@@ -53,7 +53,7 @@
 
     def _each(self, targets: tuple[str, ...], action: Callable[[Machine], None]) -> None:
         if not targets:
-            raise ValueError("no machine is named")
+            raise ValueError("the command names no machine")
         for target in targets:
             for name in self.names(target):
                 action(self.network.machines[name])
@@ -100,7 +100,7 @@
             case (other,):
                 both = True
             case _:
-                raise ValueError("needs cut A B or cut A > B")
+                raise ValueError("expected cut A B or cut A > B")
         for sender in self.names(one):
             for recipient in self.names(other):
                 self.network.partition(sender, recipient, both)
@@ -110,14 +110,14 @@
         self._each(targets, lambda machine: self.network.isolate(machine.name))
 
     def do_heal(self, one: str | None = None, other: str | None = None) -> None:
-        """End partitions: all, those of one machine, or those between two."""
+        """End all partitions, those of one machine, or those between two machines."""
         for name in (one, other):
             if name is not None:
                 self.names(name)
         self.network.heal(one, other)
 
     def do_path(self, one: str, other: str, least: str, most: str, loss: str = "0") -> None:
-        """Set least and most delay in seconds and the loss probability of paths."""
+        """Set the minimum and maximum delay in seconds and the loss probability of paths."""
         path = Path(float(least), float(most), float(loss))
         for sender in self.names(one):
             for recipient in self.names(other):
--- a/mallowbeam/simulation/network.py
+++ b/mallowbeam/simulation/network.py
@@ -29,10 +29,9 @@
         self.default = path or Path()
         self._paths: dict[tuple[str, str], Path] = {}
         self._partitions: set[tuple[str, str]] = set()
-        self._arrival: dict[tuple[str, str], float] = {}
-        self._busy_until: dict[
-            tuple[str, str], float
-        ] = {}  # paths with limited bandwidth: until all queued bytes are sent
+        self._arrival: dict[tuple[str, str], float] = {}  # latest arrival time on paths that keep the order
+        # For paths with limited bandwidth: time at which all queued bytes have been sent.
+        self._busy_until: dict[tuple[str, str], float] = {}
 
     def add(self, machine: Machine) -> Machine:
         """Add a machine; its name must be new."""
@@ -65,7 +64,7 @@
             self.partition(name, other)
 
     def heal(self, one: str | None = None, other: str | None = None) -> None:
-        """End all partitions, those of one machine, or those between two; delays and loss stay."""
+        """End all partitions, those of one machine, or those between two machines; path properties stay."""
         if one is None:
             self._partitions.clear()
             return
@@ -78,7 +77,7 @@
         return (sender, recipient) not in self._partitions
 
     def delay(self, sender: str, recipient: str, size: int = 0) -> float:
-        """Draw the delay in seconds of the next `size` bytes, respecting the order of the path."""
+        """Draw the delay in seconds of the next `size` bytes; keeps their order unless the path reorders."""
         path, now = self.path(sender, recipient), self.simulator.now
         sent = self._sent_at(sender, recipient, size / path.bandwidth) if path.bandwidth else now
         arrival = sent + self.simulator.random.uniform(path.least_delay, path.most_delay)
@@ -88,20 +87,20 @@
         return arrival - now
 
     def _sent_at(self, sender: str, recipient: str, seconds: float) -> float:
-        """Time at which bytes that need `seconds` of bandwidth have been sent, behind those queued."""
+        """Queue bytes whose transmission takes `seconds`; returns the time at which they have been sent."""
         begins = max(self.simulator.now, self._busy_until.get((sender, recipient), 0.0))
         self._busy_until[sender, recipient] = begins + seconds
         return begins + seconds
 
     def drop_waiting(self, sender: str, recipient: str) -> None:
-        """Drop the bytes queued for a path, as their connection has ended."""
+        """Drop the bytes queued for a path because their connection has ended."""
         self._busy_until.pop((sender, recipient), None)
         self._arrival.pop((sender, recipient), None)
 
     # ------------------------------------------------------------ datagrams
 
     def send(self, sender: Machine, recipient: str, deliver: Step) -> None:
-        """Send a datagram; `deliver` runs as a step of the recipient's process zero, one or two times."""
+        """Send a datagram; `deliver` runs zero to two times, each as a step of the recipient's process."""
         path, random = self.path(sender.name, recipient), self.simulator.random
         copies = 2 if random.random() < path.duplicates else 1
         for _ in range(copies):
--- a/mallowbeam/simulation/recovery.py
+++ b/mallowbeam/simulation/recovery.py
@@ -1,11 +1,11 @@
-"""When each part of the fleet is ready again after all machines lost power, on simulated time.
+"""Measures in simulated time how fast the fleet recovers after its machines lost power.
 
 From the command line::
 
     python -m mallowbeam.simulation.recovery [SEEDS]
 
 prints the median and the longest time of each milestone in seconds after the machines are powered on. All
-processes start at once; how long a real process and its store take to open is not part of the simulation.
+processes start at once; the start-up time of a real process and its store is not simulated.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from mallowbeam.simulation.fleet_processes import SimulatedGateway
 from mallowbeam.simulation.walk import discard_logs
 
-POWER_ON_S = 14.0
-GIVE_UP_S = 30.0
-CURRENT_WITHIN_S = 1.0  # age of a follower's state up to which it feeds gateways
+POWER_ON_S = 14.0  # time at which the machines are powered on again
+GIVE_UP_S = 30.0  # time at which the run ends, even if milestones are missing
+CURRENT_WITHIN_S = 1.0  # maximum age of a follower's state at which it feeds gateways
 DEFAULT_SEEDS = 20
 SCENARIO = """seed {seed}
 members m1 m2 m3 m4 m5
@@ -38,7 +38,7 @@
 
 
 class Milestone(Enum):
-    """What is reached, in the order in which it must be."""
+    """Milestones of the recovery, in the order in which they are expected."""
 
     FIRST_MEMBER_STARTED = "first member started"
     MAJORITY_STARTED = "majority of members started"
@@ -52,10 +52,10 @@
 
 
 class RecoveryRun:
-    """One loss of power, with the time of each milestone."""
+    """One simulated power loss and the time of each milestone."""
 
     def __init__(self, seed: int, lost: str) -> None:
-        """`lost`: the machines that lose power, as a scenario names them."""
+        """Create the run; `lost` names the machines that lose power, in the words of a scenario."""
         self.player = FleetPlayer(SCENARIO.format(seed=seed, lost=lost))
         self.reached: dict[Milestone, float] = {}
         self._tests: Mapping[Milestone, Callable[[], bool]] = {
@@ -71,7 +71,7 @@
         }
 
     def play(self) -> dict[Milestone, float]:
-        """Play it; the seconds from power-on to each milestone. Raises ViolationError."""
+        """Run the scenario; returns the seconds from power-on to each milestone. Raises ViolationError."""
         player = self.player
         player.play()
         player.simulator.at(POWER_ON_S, lambda: player.do_start("members", "gateways", "instances"))
@@ -92,7 +92,7 @@
         return self.player.holds(("leader",))
 
     def _current(self, counts: Callable[[Role], bool]) -> int:
-        """How many members of the roles that count know their state to be current."""
+        """Number of members with an accepted role whose state is known to be current."""
         nodes = [
             (member.program.parts.driver.node, member.machine.clock())
             for member in self.player.members.values()
@@ -108,7 +108,7 @@
 
 
 def measure(seeds: range, lost: str) -> dict[Milestone, list[float]]:
-    """The times of each milestone over many seeds."""
+    """Run once per seed; returns the times of each milestone in seconds."""
     times: dict[Milestone, list[float]] = {milestone: [] for milestone in Milestone}
     for seed in seeds:
         for milestone, at in RecoveryRun(seed, lost).play().items():
@@ -117,7 +117,7 @@
 
 
 def main() -> int:
-    """Print a table for each kind of loss."""
+    """Print a table for each set of machines that lose power."""
     discard_logs()
     seeds = range(1, 1 + (int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SEEDS))
     for lost in ("members", "members gateways instances"):
--- a/mallowbeam/simulation/replica.py
+++ b/mallowbeam/simulation/replica.py
@@ -26,10 +26,10 @@
             self._put_snapshot(write.snapshot)
         if write.entries:
             first = write.entries[0].index
-            assert self.snapshot.index < first <= self.last_index + 1, "a gap in the log"
+            assert self.snapshot.index < first <= self.last_index + 1, "the write leaves a gap in the log"
             self.entries[first - self.snapshot.index - 1 :] = write.entries
         if write.hard_state is not None:
-            assert write.hard_state.term >= self.hard_state.term, "a term that falls"
+            assert write.hard_state.term >= self.hard_state.term, "the write decreases the term"
             self.hard_state = write.hard_state
 
     def restored(self) -> PersistentState:
@@ -37,7 +37,7 @@
         return PersistentState(self.hard_state, self.snapshot, tuple(self.entries))
 
     def _put_snapshot(self, snapshot: Snapshot) -> None:
-        """Install a snapshot; keeps the entries after it if they continue the same history."""
+        """Install a snapshot; keeps the entries after it if the log has the snapshot's last entry."""
         covered = self.snapshot.index < snapshot.index <= self.last_index
         if covered and self.entries[snapshot.index - self.snapshot.index - 1].term == snapshot.term:
             del self.entries[: snapshot.index - self.snapshot.index]
--- a/mallowbeam/simulation/scenario.py
+++ b/mallowbeam/simulation/scenario.py
@@ -2,8 +2,8 @@
 
 A file has one statement per line; a ``#`` starts a comment. Times are in seconds::
 
-    seed 7                              of the run; default 1
-    WORD NAMES...                       a declaration, such as the machines; comes first
+    seed 7                              seed of the run; default 1
+    WORD NAMES...                       a declaration, such as of machines; precedes all commands
     at 5 COMMAND ...                    a command at that time; commands run in the order of the file
     at 5 expect CONDITION               the condition is true at that time
     by 9 expect CONDITION               the condition becomes true by then; the run
@@ -26,7 +26,7 @@
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.simulation.clock import Simulator
 
-METHOD_NAMES = {  # by kind and word of the scenario files, where the method has another name
+METHOD_NAMES = {  # methods not named after their scenario word, by kind and word
     ("do", "cut"): "do_partition",
     ("do", "mend-disk"): "do_repair_disk",
     ("do", "term"): "do_terminate",
@@ -94,14 +94,14 @@
 
     def holds(self, words: Sequence[str]) -> bool:
         """Whether a condition is true now; raises LookupError or ValueError if it is unknown."""
-        raise ValueError("no condition")
+        raise ValueError("the player defines no conditions")
 
     def state(self) -> str:
         """Describe the simulated system, for the message of a violation."""
         return ""
 
     def play(self) -> None:
-        """Run all statements; raises :class:`ViolationError` or :class:`ScenarioError` with the line."""
+        """Run all statements; raises :class:`ViolationError` or :class:`ScenarioError`, naming the line."""
         for statement in self.statements:
             try:
                 self._run(statement)
@@ -159,7 +159,7 @@
                 try:
                     return int(statement.words[1])
                 except (IndexError, ValueError):
-                    raise ScenarioError("no seed", f"line {statement.line}") from None
+                    raise ScenarioError("seed needs an integer", f"line {statement.line}") from None
         return 1
 
     def _invariant(self, statement: Statement) -> Invariant:
@@ -169,7 +169,9 @@
                     return Invariant(statement, tuple(condition), kind == "always", float(begin), float(end))
                 except ValueError:
                     pass
-        raise ScenarioError(f"{statement.text}: needs CONDITION from TIME to TIME", f"line {statement.line}")
+        raise ScenarioError(
+            f"{statement.text}: expected CONDITION from TIME to TIME", f"line {statement.line}"
+        )
 
     def _check_invariants(self) -> None:
         for invariant in self.invariants:
--- a/mallowbeam/simulation/stream.py
+++ b/mallowbeam/simulation/stream.py
@@ -1,7 +1,7 @@
 """Byte streams between simulated machines that fail the way TCP connections do.
 
-Bytes arrive in order or not at all. Segments lost on the way are retransmitted with exponential backoff; a
-connection is lost when a segment stays unacknowledged for the user time-out or when keep-alive probes stay
+Bytes arrive in order or not at all. Lost segments are retransmitted with exponential backoff; a connection
+is lost when a segment stays unacknowledged for the user time-out or when keep-alive probes stay
 unanswered. The kernel resets the connections of a process that ends; a machine that is off does not respond
 and resets old connections once it is on again. A peer that does not read fills its receive window.
 """
@@ -16,10 +16,10 @@
 from mallowbeam.simulation.machine import End, Machine
 from mallowbeam.simulation.network import Network
 
-FIRST_RETRY_S = 0.2  # until the first retransmission; doubles up to the longest
+FIRST_RETRY_S = 0.2  # doubles with each retransmission, up to the maximum
 LONGEST_RETRY_S = 60.0
 SHORTEST_RETRY_S = 0.001
-WINDOW_BYTES = 64 * 1024  # receive window of a process that does not read
+WINDOW_BYTES = 64 * 1024  # receive window: bytes buffered for a process that does not read
 SEGMENT_BYTES = 16 * 1024  # segment size on a path with limited bandwidth
 NO_TIMEOUT_S = 900.0  # default user time-out
 
@@ -31,7 +31,7 @@
     number: int
     data: bytes | None
     since: float
-    arrives: float = 0.0  # when the last transmission reaches the peer; in the past if it was lost
+    arrives: float = 0.0  # arrival time of the last transmission at the peer; in the past if it was lost
 
 
 @dataclass(slots=True)
@@ -53,8 +53,8 @@
     """Callbacks of the process that owns an endpoint, each run as one step."""
 
     received: Callable[[bytes], None] = _nothing
-    ended: Callable[[], None] = _nothing  # end of the peer's stream
-    lost: Callable[[OSError | None], None] = _nothing  # last callback; None after its own close
+    ended: Callable[[], None] = _nothing  # the peer ended its stream
+    lost: Callable[[OSError | None], None] = _nothing  # the last callback; the error is None after a close
 
 
 class Endpoint:
@@ -68,7 +68,7 @@
         self.peer: Endpoint | None = None
         self.options = StreamOptions()
         self.handlers = StreamHandlers()
-        self.closed = False  # nothing is sent or received any more
+        self.closed = False  # no longer sends or receives
         self._finished = False  # the end of the stream is queued
         self._sent, self._expected = 0, 0  # segments
         self._unacknowledged: deque[_Segment] = deque()
@@ -97,7 +97,7 @@
         return sum(len(segment.data) for segment in self._unacknowledged if segment.data is not None)
 
     def attach(self, handlers: StreamHandlers) -> None:
-        """Attach the process's handlers and deliver what was received before."""
+        """Attach the process's handlers and deliver the bytes received before."""
         self.handlers = handlers
         self._attached = True
         if self.closed:
@@ -115,7 +115,7 @@
             self._queue(data[start : start + step])
 
     def close(self) -> None:
-        """Send what is queued and the end of the stream; `lost` is called once all is acknowledged."""
+        """Queue the end of the stream; `lost` is called once all segments are acknowledged."""
         if not self.closed and not self._finished:
             self._finished = True
             self._queue(None)
@@ -134,7 +134,7 @@
             self._deliver(self._undelivered.popleft())
 
     def start_keepalive(self) -> None:
-        """Start keep-alive probes as the options say."""
+        """Start keep-alive probes if the options enable them."""
         if self.options.keepalive_idle is not None and self._keepalive is None and not self.closed:
             self._keepalive = self._simulator.after(self.options.keepalive_idle, self._send_keepalive_probe)
 
@@ -250,7 +250,7 @@
         self.machine.after_true(0.0, take)
 
     def _open_window(self) -> None:
-        """Have the peer retransmit what did not fit into the window."""
+        """Have the peer retransmit the segments that did not fit into the window."""
         if self._window_was_full and self._unread < WINDOW_BYTES and self._passes_to(self._peer):
             self._window_was_full = False
             delay = self._network.delay(self.machine.name, self._peer.machine.name)
--- a/tests/simulation/test_recovery.py
+++ b/tests/simulation/test_recovery.py
@@ -1,4 +1,4 @@
-"""After a loss of all power: the milestones come in their order and within their bounds."""
+"""Recovery after all machines lost power: order and time bounds of the milestones."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 EVERYTHING = "members gateways instances"
 BOUNDS_S = {
     Milestone.MAJORITY_STARTED: 0.1,
-    Milestone.LEADER_ELECTED: 1.2,  # an election time-out of at most 0.8 s, and a second round at times
+    Milestone.LEADER_ELECTED: 1.2,  # an election time-out of at most 0.8 s, and sometimes a second election
     Milestone.OWN_TERM_COMMITTED: 1.3,
     Milestone.MEMBERS_CURRENT: 1.6,
     Milestone.FIRST_GATEWAY_FED: 1.6,
--- a/tests/simulation/test_simulation_scenarios.py
+++ b/tests/simulation/test_simulation_scenarios.py
@@ -1,4 +1,4 @@
-"""The player of scenario files, on a world of machines that greet each other."""
+"""The player of scenario files, on simulated machines that greet each other."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Greeters(MachinesPlayer):
-    """Each machine greets all others ten times a second and records when each was received."""
+    """Each machine greets all others ten times a second and records when it last received each greeting."""
 
     def prepare(self) -> None:
         super().prepare()
@@ -50,7 +50,7 @@
                 )
             case (who, "wrote", least):
                 return all(self.written[name] >= int(least) for name in self.names(who))
-        raise ValueError("no such condition")
+        raise ValueError("unknown condition")
 
     def state(self) -> str:
         return str(self.last_greeting)
