--- a/mallowbeam/simulation/clock.py
+++ b/mallowbeam/simulation/clock.py
@@ -32,14 +32,14 @@
         self.digest = 0  # hash over the times and the order of all events that have run
         # Time in seconds, scheduling order (breaks ties) and event.
         self._events: list[tuple[float, int, Event]] = []
-        self._order = 0
+        self._last_order = 0
         self._checks: list[Step] = []
 
     def at(self, time: float, step: Step) -> Event:
         """Schedule a step at a time in seconds; a time in the past counts as now."""
-        self._order += 1
+        self._last_order += 1
         event = Event(step)
-        heapq.heappush(self._events, (max(time, self.now), self._order, event))
+        heapq.heappush(self._events, (max(time, self.now), self._last_order, event))
         return event
 
     def after(self, delay: float, step: Step) -> Event:
--- a/mallowbeam/simulation/dialing.py
+++ b/mallowbeam/simulation/dialing.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class _Ends:
+class _MachineConnections:
     """The open endpoints and the connection attempts of a machine's process."""
 
     endpoints: list[Endpoint] = field(default_factory=list)
@@ -42,12 +42,12 @@
 
     def add(self, endpoint: Endpoint) -> None:
         """Add an endpoint and forget those that are closed."""
-        self.endpoints = [known for known in self.endpoints if not known.closed]
+        self.endpoints = [existing for existing in self.endpoints if not existing.closed]
         self.endpoints.append(endpoint)
 
     def add_dial(self, dial: Dial) -> None:
         """Add a connection attempt and forget those that were cancelled."""
-        self.dials = [known for known in self.dials if not known.cancelled]
+        self.dials = [existing for existing in self.dials if not existing.cancelled]
         self.dials.append(dial)
 
     def process_ended(self, end: End) -> None:
@@ -67,14 +67,14 @@
         self._network = network
         self._simulator = network.simulator
         self._listeners: dict[tuple[str, int], _Listener] = {}  # by machine and port
-        self._ends: dict[str, _Ends] = {}
+        self._connections: dict[str, _MachineConnections] = {}
         self._next_port = FIRST_FREE_PORT
 
     def listen(self, machine: Machine, port: int, accept: Callable[[Endpoint], None]) -> None:
         """Accept connections at a port; `accept` is a step of the process. Raises OSError if it is in use."""
         if (machine.name, port) in self._listeners:
             raise OSError(f"{machine.ip}:{port}: address already in use")
-        self._watch(machine)
+        self._watch_process_end(machine)
         self._listeners[machine.name, port] = _Listener(accept)
 
     def stop_listening(self, machine: Machine, port: int) -> None:
@@ -83,8 +83,8 @@
 
     def connect(self, machine: Machine, ip: str, port: int, dial: Dial) -> None:
         """Open a stream to an address; retries until the stream is opened, refused or cancelled."""
-        self._watch(machine)
-        self._ends[machine.name].add_dial(dial)
+        self._watch_process_end(machine)
+        self._connections[machine.name].add_dial(dial)
         self._send_connect(machine, ip, port, dial, CONNECT_RETRY_S)
 
     def _send_connect(self, machine: Machine, ip: str, port: int, dial: Dial, backoff: float) -> None:
@@ -117,23 +117,26 @@
             error = ConnectionRefusedError(f"{target.ip}:{port}: connection refused")
             self._simulator.after(delay, lambda: machine.after_true(0.0, lambda: self._refuse(dial, error)))
             return
-        near, far = Endpoint(self._network, machine, self._free_port()), Endpoint(self._network, target, port)
-        near.peer, far.peer = far, near
-        self._ends[machine.name].add(near)
-        self._ends[target.name].add(far)
-        target.after_true(0.0, lambda: listener.accept(far))
-        self._simulator.after(delay, lambda: machine.after_true(0.0, lambda: self._open(dial, near)))
+        client, server = (
+            Endpoint(self._network, machine, self._allocate_port()),
+            Endpoint(self._network, target, port),
+        )
+        client.peer, server.peer = server, client
+        self._connections[machine.name].add(client)
+        self._connections[target.name].add(server)
+        target.after_true(0.0, lambda: listener.accept(server))
+        self._simulator.after(delay, lambda: machine.after_true(0.0, lambda: self._open(dial, client)))
 
     def _refuse(self, dial: Dial, error: OSError) -> None:
         if not dial.cancelled:
             dial.refused(error)
 
-    def _open(self, dial: Dial, near: Endpoint) -> None:
+    def _open(self, dial: Dial, client: Endpoint) -> None:
         """Hand the connection to the caller, or abort it if the attempt was cancelled meanwhile."""
         if dial.cancelled:
-            near.abort()
+            client.abort()
         else:
-            dial.opened(near)
+            dial.opened(client)
 
     def _reaches(self, one: Machine, other: Machine) -> bool:
         """Whether messages pass both ways and the other machine is on."""
@@ -143,17 +146,17 @@
     def _machine_at(self, ip: str) -> Machine | None:
         return next((machine for machine in self._network.machines.values() if machine.ip == ip), None)
 
-    def _free_port(self) -> int:
+    def _allocate_port(self) -> int:
         self._next_port += 1
         return self._next_port
 
-    def _watch(self, machine: Machine) -> None:
+    def _watch_process_end(self, machine: Machine) -> None:
         """Register for the end of a machine's process, once."""
-        if machine.name not in self._ends:
-            self._ends[machine.name] = _Ends()
+        if machine.name not in self._connections:
+            self._connections[machine.name] = _MachineConnections()
             machine.on_end(lambda end: self._process_ended(machine, end))
 
     def _process_ended(self, machine: Machine, end: End) -> None:
         for name, port in [key for key in self._listeners if key[0] == machine.name]:
             del self._listeners[name, port]
-        self._ends[machine.name].process_ended(end)
+        self._connections[machine.name].process_ended(end)
--- a/mallowbeam/simulation/disk.py
+++ b/mallowbeam/simulation/disk.py
@@ -15,8 +15,8 @@
 from mallowbeam.simulation.clock import Event, Step
 from mallowbeam.simulation.machine import End, Machine
 
-USUAL_LATENCY = (0.002, 0.006)  # minimum and maximum of a write and its sync
-SLOW_LATENCY = (0.05, 0.4)
+NORMAL_LATENCY_RANGE_S = (0.002, 0.006)  # minimum and maximum of a write and its sync
+SLOW_LATENCY_RANGE_S = (0.05, 0.4)
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,13 +36,13 @@
         self._simulator = machine.simulator
         self._writes: deque[_Write] = deque()
         self._sync: Event | None = None
-        self.latency = USUAL_LATENCY
+        self.latency = NORMAL_LATENCY_RANGE_S
         self.stalled = False  # no write completes
         self.full = False  # every write fails with ENOSPC
         machine.on_end(self._process_ended)
 
     @property
-    def waiting(self) -> int:
+    def pending_writes(self) -> int:
         """Number of writes that are not durable yet."""
         return len(self._writes)
 
@@ -65,7 +65,7 @@
         """Clear all faults of the disk."""
         self.stalled = False
         self.full = False
-        self.latency = USUAL_LATENCY
+        self.latency = NORMAL_LATENCY_RANGE_S
         self._start_next_write()
 
     def _start_next_write(self) -> None:
@@ -85,8 +85,10 @@
 
     def _process_ended(self, _: End) -> None:
         """Apply a random prefix of the pending writes and drop the rest."""
-        reached = 0 if self.full or self.stalled else self._simulator.random.randint(0, len(self._writes))
-        for write in list(self._writes)[:reached]:
+        durable_count = (
+            0 if self.full or self.stalled else self._simulator.random.randint(0, len(self._writes))
+        )
+        for write in list(self._writes)[:durable_count]:
             write.change()
         self._writes.clear()
         if self._sync is not None:
--- a/mallowbeam/simulation/loop.py
+++ b/mallowbeam/simulation/loop.py
@@ -155,17 +155,17 @@
         **_: object,
     ) -> tuple[asyncio.Transport, asyncio.Protocol]:
         """Open a stream to an address; raises OSError if it is refused."""
-        opening: asyncio.Future[Endpoint] = self.create_future()
+        endpoint_future: asyncio.Future[Endpoint] = self.create_future()
 
         def opened(endpoint: Endpoint) -> None:
-            if opening.done():
+            if endpoint_future.done():
                 endpoint.abort()
             else:
-                opening.set_result(endpoint)
+                endpoint_future.set_result(endpoint)
 
         def refused(error: OSError) -> None:
-            if not opening.done():
-                opening.set_exception(error)
+            if not endpoint_future.done():
+                endpoint_future.set_exception(error)
 
         dial = Dial(
             lambda endpoint: self.enter(lambda: opened(endpoint)),
@@ -173,7 +173,7 @@
         )
         self._streams.connect(self._machine, host, port, dial)
         try:
-            endpoint = await opening
+            endpoint = await endpoint_future
         finally:
             dial.cancelled = True
         protocol = protocol_factory()
@@ -254,12 +254,12 @@
             case (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT):
                 options.user_timeout = value / 1000
             case (socket.SOL_SOCKET, socket.SO_KEEPALIVE):
-                options.keepalive_idle = options.keepalive_idle or options.keepalive_every
+                options.keepalive_idle = options.keepalive_idle or options.keepalive_interval
                 self._endpoint.start_keepalive()
             case (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE):
                 options.keepalive_idle = float(value)
             case (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL):
-                options.keepalive_every = float(value)
+                options.keepalive_interval = float(value)
             case (socket.IPPROTO_TCP, socket.TCP_KEEPCNT):
                 options.keepalive_probes = value
 
@@ -285,12 +285,12 @@
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         """Return `socket`, `sockname` or `peername`; else the default."""
         assert self._endpoint.peer is not None
-        known = {
+        extra_info = {
             "socket": SimulatedSocket(self._endpoint),
             "sockname": self._endpoint.address,
             "peername": self._endpoint.peer.address,
         }
-        return known.get(name, default)
+        return extra_info.get(name, default)
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """Queue bytes to be sent."""
--- a/mallowbeam/simulation/machine.py
+++ b/mallowbeam/simulation/machine.py
@@ -38,7 +38,7 @@
         if self._event is not None:
             self._event.cancel()
 
-    def scheduled(self, event: Event) -> None:
+    def set_event(self, event: Event) -> None:
         """Remember the simulator event that runs the step."""
         self._event = event
 
@@ -64,7 +64,7 @@
         self.clock_offset = 0.0
         self.step_cost = 0.0  # duration of each step of the process in simulated seconds
         self._busy_until = 0.0
-        self._waiting: list[Timer] = []  # deferred while the process is frozen
+        self._deferred: list[Timer] = []  # steps deferred until the process is thawed
         self._end_listeners: list[Callable[[End], None]] = []
         self._thaw_listeners: list[Step] = []
 
@@ -87,18 +87,18 @@
         """Schedule a step of the process after a delay in simulated seconds."""
         timer, incarnation = Timer(step), self.incarnation
 
-        def due() -> None:
+        def run_when_due() -> None:
             if incarnation != self.incarnation or self.state is State.OFF:
                 return
             if self.state is State.FROZEN:
-                self._waiting.append(timer)
+                self._deferred.append(timer)
             elif self.simulator.now < self._busy_until:
-                timer.scheduled(self.simulator.at(self._busy_until, due))
+                timer.set_event(self.simulator.at(self._busy_until, run_when_due))
             else:
                 self._busy_until = self.simulator.now + self.step_cost
                 timer.run()
 
-        timer.scheduled(self.simulator.after(delay, due))
+        timer.set_event(self.simulator.after(delay, run_when_due))
         return timer
 
     # ------------------------------------------------------------ life cycle and faults
@@ -146,16 +146,16 @@
         if self.state is not State.FROZEN:
             return
         self.state = State.RUNNING
-        waiting, self._waiting = self._waiting, []
+        deferred, self._deferred = self._deferred, []
         for listener in self._thaw_listeners:
             listener()
-        for timer in waiting:
+        for timer in deferred:
             self.after_true(0.0, timer.run)
 
     def _end(self, end: End) -> None:
         if self.state is State.OFF:
             return
         self.state = State.OFF
-        self._waiting.clear()
+        self._deferred.clear()
         for listener in self._end_listeners:
             listener(end)
--- a/mallowbeam/simulation/machine_scenarios.py
+++ b/mallowbeam/simulation/machine_scenarios.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 
 from mallowbeam.simulation.clock import Step
-from mallowbeam.simulation.disk import SLOW_LATENCY, Disk
+from mallowbeam.simulation.disk import SLOW_LATENCY_RANGE_S, Disk
 from mallowbeam.simulation.machine import Machine
 from mallowbeam.simulation.network import Network, Path
 from mallowbeam.simulation.scenario import ScenarioPlayer
@@ -51,7 +51,7 @@
             raise LookupError(f"no machine {target!r}")
         return [target]
 
-    def _each(self, targets: tuple[str, ...], action: Callable[[Machine], None]) -> None:
+    def _for_each_machine(self, targets: tuple[str, ...], action: Callable[[Machine], None]) -> None:
         if not targets:
             raise ValueError("the command names no machine")
         for target in targets:
@@ -62,23 +62,23 @@
 
     def do_start(self, *targets: str) -> None:
         """Start processes that do not run."""
-        self._each(targets, Machine.start)
+        self._for_each_machine(targets, Machine.start)
 
     def do_kill(self, *targets: str) -> None:
         """Kill processes."""
-        self._each(targets, Machine.kill)
+        self._for_each_machine(targets, Machine.kill)
 
     def do_power_off(self, *targets: str) -> None:
         """Turn machines off."""
-        self._each(targets, Machine.power_off)
+        self._for_each_machine(targets, Machine.power_off)
 
     def do_freeze(self, *targets: str) -> None:
         """Suspend processes."""
-        self._each(targets, Machine.freeze)
+        self._for_each_machine(targets, Machine.freeze)
 
     def do_thaw(self, *targets: str) -> None:
         """Resume frozen processes."""
-        self._each(targets, Machine.thaw)
+        self._for_each_machine(targets, Machine.thaw)
 
     def do_slow(self, target: str, seconds: str) -> None:
         """Make each step of a process take `seconds`."""
@@ -107,7 +107,7 @@
 
     def do_isolate(self, *targets: str) -> None:
         """Partition machines from all others."""
-        self._each(targets, lambda machine: self.network.isolate(machine.name))
+        self._for_each_machine(targets, lambda machine: self.network.isolate(machine.name))
 
     def do_heal(self, one: str | None = None, other: str | None = None) -> None:
         """End all partitions, those of one machine, or those between two machines."""
@@ -116,9 +116,9 @@
                 self.names(name)
         self.network.heal(one, other)
 
-    def do_path(self, one: str, other: str, least: str, most: str, loss: str = "0") -> None:
+    def do_path(self, one: str, other: str, minimum: str, maximum: str, loss: str = "0") -> None:
         """Set the minimum and maximum delay in seconds and the loss probability of paths."""
-        path = Path(float(least), float(most), float(loss))
+        path = Path(float(minimum), float(maximum), float(loss))
         for sender in self.names(one):
             for recipient in self.names(other):
                 if sender != recipient:
@@ -128,23 +128,23 @@
 
     def do_slow_disk(self, target: str) -> None:
         """Increase the write latency of disks."""
-        for disk in self._disks(target):
-            disk.latency = SLOW_LATENCY
+        for disk in self._disks_of(target):
+            disk.latency = SLOW_LATENCY_RANGE_S
 
     def do_stall_disk(self, target: str) -> None:
         """Stop disks from completing writes."""
-        for disk in self._disks(target):
+        for disk in self._disks_of(target):
             disk.stall()
 
     def do_fill_disk(self, target: str) -> None:
         """Make writes fail with ENOSPC."""
-        for disk in self._disks(target):
+        for disk in self._disks_of(target):
             disk.full = True
 
     def do_repair_disk(self, target: str) -> None:
         """Clear the faults of disks."""
-        for disk in self._disks(target):
+        for disk in self._disks_of(target):
             disk.repair()
 
-    def _disks(self, target: str) -> list[Disk]:
+    def _disks_of(self, target: str) -> list[Disk]:
         return [self.disks[name] for name in self.names(target)]
--- a/mallowbeam/simulation/network.py
+++ b/mallowbeam/simulation/network.py
@@ -12,8 +12,8 @@
 class Path:
     """Properties of the path from one machine to another, one direction."""
 
-    least_delay: float = 0.0005  # seconds
-    most_delay: float = 0.003
+    min_delay: float = 0.0005  # seconds
+    max_delay: float = 0.003
     loss: float = 0.0  # probability that a message is lost
     duplicates: float = 0.0  # probability that a message arrives twice
     reordered: bool = False  # False: messages of one direction arrive in order
@@ -29,7 +29,8 @@
         self.default = path or Path()
         self._paths: dict[tuple[str, str], Path] = {}
         self._partitions: set[tuple[str, str]] = set()
-        self._arrival: dict[tuple[str, str], float] = {}  # latest arrival time on paths that keep the order
+        # Latest arrival time on paths that keep the order of messages.
+        self._last_arrival: dict[tuple[str, str], float] = {}
         # For paths with limited bandwidth: time at which all queued bytes have been sent.
         self._busy_until: dict[tuple[str, str], float] = {}
 
@@ -80,22 +81,22 @@
         """Draw the delay in seconds of the next `size` bytes; keeps their order unless the path reorders."""
         path, now = self.path(sender, recipient), self.simulator.now
         sent = self._sent_at(sender, recipient, size / path.bandwidth) if path.bandwidth else now
-        arrival = sent + self.simulator.random.uniform(path.least_delay, path.most_delay)
+        arrival = sent + self.simulator.random.uniform(path.min_delay, path.max_delay)
         if not path.reordered:
-            arrival = max(arrival, self._arrival.get((sender, recipient), 0.0))
-            self._arrival[sender, recipient] = arrival
+            arrival = max(arrival, self._last_arrival.get((sender, recipient), 0.0))
+            self._last_arrival[sender, recipient] = arrival
         return arrival - now
 
     def _sent_at(self, sender: str, recipient: str, seconds: float) -> float:
         """Queue bytes whose transmission takes `seconds`; returns the time at which they have been sent."""
-        begins = max(self.simulator.now, self._busy_until.get((sender, recipient), 0.0))
-        self._busy_until[sender, recipient] = begins + seconds
-        return begins + seconds
+        start = max(self.simulator.now, self._busy_until.get((sender, recipient), 0.0))
+        self._busy_until[sender, recipient] = start + seconds
+        return start + seconds
 
-    def drop_waiting(self, sender: str, recipient: str) -> None:
+    def drop_queued(self, sender: str, recipient: str) -> None:
         """Drop the bytes queued for a path because their connection has ended."""
         self._busy_until.pop((sender, recipient), None)
-        self._arrival.pop((sender, recipient), None)
+        self._last_arrival.pop((sender, recipient), None)
 
     # ------------------------------------------------------------ datagrams
 
--- a/mallowbeam/simulation/recovery.py
+++ b/mallowbeam/simulation/recovery.py
@@ -21,7 +21,7 @@
 from mallowbeam.simulation.walk import discard_logs
 
 POWER_ON_S = 14.0  # time at which the machines are powered on again
-GIVE_UP_S = 30.0  # time at which the run ends, even if milestones are missing
+DEADLINE_S = 30.0  # time at which the run ends, even if milestones are missing
 CURRENT_WITHIN_S = 1.0  # maximum age of a follower's state at which it feeds gateways
 DEFAULT_SEEDS = 20
 SCENARIO = """seed {seed}
@@ -58,15 +58,18 @@
         """Create the run; `lost` names the machines that lose power, in the words of a scenario."""
         self.player = FleetPlayer(SCENARIO.format(seed=seed, lost=lost))
         self.reached: dict[Milestone, float] = {}
-        self._tests: Mapping[Milestone, Callable[[], bool]] = {
-            Milestone.FIRST_MEMBER_STARTED: lambda: self._started() >= 1,
-            Milestone.MAJORITY_STARTED: lambda: 2 * self._started() > len(self.player.members),
+        self._conditions: Mapping[Milestone, Callable[[], bool]] = {
+            Milestone.FIRST_MEMBER_STARTED: lambda: self._count_started() >= 1,
+            Milestone.MAJORITY_STARTED: lambda: 2 * self._count_started() > len(self.player.members),
             Milestone.LEADER_ELECTED: self._leader_elected,
-            Milestone.OWN_TERM_COMMITTED: lambda: self._current(lambda role: role is Role.LEADER) >= 1,
-            Milestone.MEMBERS_CURRENT: lambda: self._current(lambda _: True) == len(self.player.members),
-            Milestone.FIRST_GATEWAY_FED: lambda: any(one.revision for one in self._gateways()),
-            Milestone.FIRST_GATEWAY_READY: lambda: any(one.ready for one in self._gateways()),
-            Milestone.GATEWAYS_READY: lambda: all(one.ready for one in self.player.gateways.values()),
+            Milestone.OWN_TERM_COMMITTED: lambda: self._count_current(lambda role: role is Role.LEADER) >= 1,
+            Milestone.MEMBERS_CURRENT: lambda: self._count_current(lambda _: True)
+            == len(self.player.members),
+            Milestone.FIRST_GATEWAY_FED: lambda: any(
+                gateway.revision for gateway in self._running_gateways()
+            ),
+            Milestone.FIRST_GATEWAY_READY: lambda: any(gateway.ready for gateway in self._running_gateways()),
+            Milestone.GATEWAYS_READY: lambda: all(gateway.ready for gateway in self.player.gateways.values()),
             Milestone.INSTANCES_KNOWN: self._instances_known,
         }
 
@@ -76,32 +79,32 @@
         player.play()
         player.simulator.at(POWER_ON_S, lambda: player.do_start("members", "gateways", "instances"))
         player.simulator.run_until(POWER_ON_S)
-        player.simulator.check(self._look)
-        player.simulator.run_while(lambda: len(self.reached) < len(Milestone), GIVE_UP_S)
+        player.simulator.check(self._record_milestones)
+        player.simulator.run_while(lambda: len(self.reached) < len(Milestone), DEADLINE_S)
         return self.reached
 
-    def _look(self) -> None:
-        for milestone, is_reached in self._tests.items():
+    def _record_milestones(self) -> None:
+        for milestone, is_reached in self._conditions.items():
             if milestone not in self.reached and is_reached():
                 self.reached[milestone] = self.player.simulator.now - POWER_ON_S
 
-    def _started(self) -> int:
+    def _count_started(self) -> int:
         return sum(member.live and member.program is not None for member in self.player.members.values())
 
     def _leader_elected(self) -> bool:
         return self.player.holds(("leader",))
 
-    def _current(self, counts: Callable[[Role], bool]) -> int:
+    def _count_current(self, accepts_role: Callable[[Role], bool]) -> int:
         """Number of members with an accepted role whose state is known to be current."""
         nodes = [
             (member.program.parts.driver.node, member.machine.clock())
             for member in self.player.members.values()
             if member.live and member.program is not None
         ]
-        return sum(counts(node.role) and node.freshness(now) <= CURRENT_WITHIN_S for node, now in nodes)
+        return sum(accepts_role(node.role) and node.freshness(now) <= CURRENT_WITHIN_S for node, now in nodes)
 
-    def _gateways(self) -> list[SimulatedGateway]:
-        return [one for one in self.player.gateways.values() if one.machine.running]
+    def _running_gateways(self) -> list[SimulatedGateway]:
+        return [gateway for gateway in self.player.gateways.values() if gateway.machine.running]
 
     def _instances_known(self) -> bool:
         return all(self.player.holds(("gateways", name, "ready")) for name in self.player.instances)
--- a/mallowbeam/simulation/replica.py
+++ b/mallowbeam/simulation/replica.py
@@ -23,7 +23,7 @@
     def apply(self, write: Write) -> None:
         """Make a write durable."""
         if write.snapshot is not None:
-            self._put_snapshot(write.snapshot)
+            self._install_snapshot(write.snapshot)
         if write.entries:
             first = write.entries[0].index
             assert self.snapshot.index < first <= self.last_index + 1, "the write leaves a gap in the log"
@@ -36,7 +36,7 @@
         """The state from which a member starts."""
         return PersistentState(self.hard_state, self.snapshot, tuple(self.entries))
 
-    def _put_snapshot(self, snapshot: Snapshot) -> None:
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
         """Install a snapshot; keeps the entries after it if the log has the snapshot's last entry."""
         covered = self.snapshot.index < snapshot.index <= self.last_index
         if covered and self.entries[snapshot.index - self.snapshot.index - 1].term == snapshot.term:
--- a/mallowbeam/simulation/scenario.py
+++ b/mallowbeam/simulation/scenario.py
@@ -63,7 +63,7 @@
 
     statement: Statement
     condition: tuple[str, ...]
-    wanted: bool
+    expected: bool
     begin: float
     end: float
 
@@ -120,7 +120,7 @@
                 self.simulator.run_until(float(time))
                 self._expect(condition)
             case ("by", time, "expect", *condition):
-                self._await(condition, float(time))
+                self._expect_by(condition, float(time))
             case ("at", time, command, *arguments):
                 self.simulator.run_until(float(time))
                 self._method("do", command)(*arguments)
@@ -140,14 +140,14 @@
         if not self.holds(condition):
             raise self._violation(f"not {' '.join(condition)}")
 
-    def _await(self, condition: Sequence[str], until: float) -> None:
+    def _expect_by(self, condition: Sequence[str], until: float) -> None:
         if self.simulator.run_while(lambda: not self.holds(condition), until):
             raise self._violation(f"not {' '.join(condition)} in time")
 
-    def _violation(self, what: str) -> ViolationError:
+    def _violation(self, description: str) -> ViolationError:
         state = self.state()
         return ViolationError(
-            f"{self.simulator.now:.3f} s, seed {self.simulator.seed}: {what}"
+            f"{self.simulator.now:.3f} s, seed {self.simulator.seed}: {description}"
             + (f"\n{state}" if state else "")
         )
 
@@ -176,7 +176,7 @@
     def _check_invariants(self) -> None:
         for invariant in self.invariants:
             active = invariant.begin <= self.simulator.now <= invariant.end
-            if active and self.holds(invariant.condition) is not invariant.wanted:
+            if active and self.holds(invariant.condition) is not invariant.expected:
                 raise self._violation(f"{invariant.statement.text} (line {invariant.statement.line})")
 
 
@@ -184,11 +184,11 @@
     """Build a test case with one test per scenario file of a folder."""
     methods: dict[str, Callable[[unittest.TestCase], None]] = {}
     for path in sorted(folder.glob("*.txt")):
-        methods[f"test_{path.stem}"] = _test_of(path.name, path.read_text(), player)
+        methods[f"test_{path.stem}"] = _scenario_test(path.name, path.read_text(), player)
     return type("Scenarios", (unittest.TestCase,), methods)
 
 
-def _test_of(name: str, text: str, player: type[ScenarioPlayer]) -> Callable[[unittest.TestCase], None]:
+def _scenario_test(name: str, text: str, player: type[ScenarioPlayer]) -> Callable[[unittest.TestCase], None]:
     def test(_: unittest.TestCase) -> None:
         player(text).play()
 
--- a/mallowbeam/simulation/stream.py
+++ b/mallowbeam/simulation/stream.py
@@ -16,12 +16,12 @@
 from mallowbeam.simulation.machine import End, Machine
 from mallowbeam.simulation.network import Network
 
-FIRST_RETRY_S = 0.2  # doubles with each retransmission, up to the maximum
-LONGEST_RETRY_S = 60.0
-SHORTEST_RETRY_S = 0.001
+INITIAL_RETRANSMIT_DELAY_S = 0.2  # doubles with each retransmission, up to the maximum
+MAX_RETRANSMIT_DELAY_S = 60.0
+MIN_RETRANSMIT_DELAY_S = 0.001
 WINDOW_BYTES = 64 * 1024  # receive window: bytes buffered for a process that does not read
 SEGMENT_BYTES = 16 * 1024  # segment size on a path with limited bandwidth
-NO_TIMEOUT_S = 900.0  # default user time-out
+DEFAULT_USER_TIMEOUT_S = 900.0
 
 
 @dataclass(slots=True)
@@ -30,21 +30,21 @@
 
     number: int
     data: bytes | None
-    since: float
-    arrives: float = 0.0  # arrival time of the last transmission at the peer; in the past if it was lost
+    queued_at: float
+    arrives_at: float = 0.0  # arrival time of the last transmission at the peer; in the past if it was lost
 
 
 @dataclass(slots=True)
 class StreamOptions:
     """Socket options of one endpoint; times in seconds."""
 
-    user_timeout: float = NO_TIMEOUT_S
+    user_timeout: float = DEFAULT_USER_TIMEOUT_S
     keepalive_idle: float | None = None  # None: no probes
-    keepalive_every: float = 1.0
+    keepalive_interval: float = 1.0
     keepalive_probes: int = 2
 
 
-def _nothing(*_: object) -> None:
+def _ignore(*_: object) -> None:
     """Default handler before a process attaches."""
 
 
@@ -52,9 +52,9 @@
 class StreamHandlers:
     """Callbacks of the process that owns an endpoint, each run as one step."""
 
-    received: Callable[[bytes], None] = _nothing
-    ended: Callable[[], None] = _nothing  # the peer ended its stream
-    lost: Callable[[OSError | None], None] = _nothing  # the last callback; the error is None after a close
+    received: Callable[[bytes], None] = _ignore
+    ended: Callable[[], None] = _ignore  # the peer ended its stream
+    lost: Callable[[OSError | None], None] = _ignore  # the last callback; the error is None after a close
 
 
 class Endpoint:
@@ -69,20 +69,20 @@
         self.options = StreamOptions()
         self.handlers = StreamHandlers()
         self.closed = False  # no longer sends or receives
-        self._finished = False  # the end of the stream is queued
-        self._sent, self._expected = 0, 0  # segments
+        self._end_queued = False
+        self._next_number, self._expected_number = 0, 0  # of the segments sent and received
         self._unacknowledged: deque[_Segment] = deque()
         self._out_of_order: dict[int, bytes | None] = {}  # received before earlier segments
-        self._unread = 0  # bytes received but not read by the process
+        self._unread_bytes = 0  # bytes received but not read by the process
         self._window_was_full = False  # a segment was dropped because the window was full
         self._undelivered: deque[bytes | None] = deque()  # received in order while reading is paused
         self.reading = self._attached = False
         self._error: OSError | None = None
         self._last_received_at = self._simulator.now
         self._progress_at = 0.0  # time of the last acknowledgement
-        self._retry: Event | None = None
-        self._retry_backoff = FIRST_RETRY_S
-        self._keepalive: Event | None = None
+        self._retransmit_event: Event | None = None
+        self._retransmit_delay = INITIAL_RETRANSMIT_DELAY_S
+        self._keepalive_event: Event | None = None
 
     # ------------------------------------------------------------ interface of the process
 
@@ -107,17 +107,17 @@
 
     def write(self, data: bytes) -> None:
         """Queue bytes to be sent."""
-        if not data or self.closed or self._finished:
+        if not data or self.closed or self._end_queued:
             return
         limited = self._network.path(self.machine.name, self._peer.machine.name).bandwidth > 0
-        step = SEGMENT_BYTES if limited else len(data)
-        for start in range(0, len(data), step):
-            self._queue(data[start : start + step])
+        chunk_bytes = SEGMENT_BYTES if limited else len(data)
+        for start in range(0, len(data), chunk_bytes):
+            self._queue(data[start : start + chunk_bytes])
 
     def close(self) -> None:
         """Queue the end of the stream; `lost` is called once all segments are acknowledged."""
-        if not self.closed and not self._finished:
-            self._finished = True
+        if not self.closed and not self._end_queued:
+            self._end_queued = True
             self._queue(None)
 
     def abort(self) -> None:
@@ -135,49 +135,51 @@
 
     def start_keepalive(self) -> None:
         """Start keep-alive probes if the options enable them."""
-        if self.options.keepalive_idle is not None and self._keepalive is None and not self.closed:
-            self._keepalive = self._simulator.after(self.options.keepalive_idle, self._send_keepalive_probe)
+        if self.options.keepalive_idle is not None and self._keepalive_event is None and not self.closed:
+            self._keepalive_event = self._simulator.after(
+                self.options.keepalive_idle, self._send_keepalive_probe
+            )
 
     # ------------------------------------------------------------ sending
 
     def _queue(self, data: bytes | None) -> None:
-        segment = _Segment(self._sent, data, self._simulator.now)
-        self._sent += 1
+        segment = _Segment(self._next_number, data, self._simulator.now)
+        self._next_number += 1
         self._unacknowledged.append(segment)
         self._transmit(segment)
-        if self._retry is None:
-            self._schedule_retry()
+        if self._retransmit_event is None:
+            self._schedule_retransmission()
 
     def _transmit(self, segment: _Segment) -> None:
         peer = self._peer
         path = self._network.path(self.machine.name, peer.machine.name)
         if self._passes_to(peer) and self._simulator.random.random() >= path.loss:
             delay = self._network.delay(self.machine.name, peer.machine.name, len(segment.data or b""))
-            segment.arrives = self._simulator.now + delay
+            segment.arrives_at = self._simulator.now + delay
             self._simulator.after(delay, lambda: peer._arrive(segment))
 
-    def _schedule_retry(self) -> None:
-        self._retry = self._simulator.after(self._retry_backoff, self._retransmit)
+    def _schedule_retransmission(self) -> None:
+        self._retransmit_event = self._simulator.after(self._retransmit_delay, self._retransmit)
 
     def _retransmit(self) -> None:
-        self._retry = None
+        self._retransmit_event = None
         if self.closed or not self._unacknowledged:
             return
-        unacknowledged_since = max(self._unacknowledged[0].since, self._progress_at)
+        unacknowledged_since = max(self._unacknowledged[0].queued_at, self._progress_at)
         if self._simulator.now - unacknowledged_since >= self.options.user_timeout:
             self._close_with(TimeoutError("connection timed out"))
             return
         self._retransmit_lost()
-        self._retry_backoff = min(2 * self._retry_backoff, LONGEST_RETRY_S)
+        self._retransmit_delay = min(2 * self._retransmit_delay, MAX_RETRANSMIT_DELAY_S)
         due = unacknowledged_since + self.options.user_timeout - self._simulator.now
-        self._retry = self._simulator.after(
-            min(self._retry_backoff, max(due, SHORTEST_RETRY_S)), self._retransmit
+        self._retransmit_event = self._simulator.after(
+            min(self._retransmit_delay, max(due, MIN_RETRANSMIT_DELAY_S)), self._retransmit
         )
 
     def _retransmit_lost(self) -> None:
         """Retransmit segments that are neither acknowledged nor in flight."""
         for segment in self._unacknowledged:
-            if segment.arrives <= self._simulator.now:
+            if segment.arrives_at <= self._simulator.now:
                 self._transmit(segment)
 
     def _acknowledged(self, number: int) -> None:
@@ -188,11 +190,11 @@
         ended = False
         while self._unacknowledged and self._unacknowledged[0].number <= number:
             ended = self._unacknowledged.popleft().data is None
-            self._retry_backoff = FIRST_RETRY_S
+            self._retransmit_delay = INITIAL_RETRANSMIT_DELAY_S
             self._progress_at = self._simulator.now
-        if not self._unacknowledged and self._retry is not None:
-            self._retry.cancel()
-            self._retry = None
+        if not self._unacknowledged and self._retransmit_event is not None:
+            self._retransmit_event.cancel()
+            self._retransmit_event = None
         if ended:
             self._close_with(None)
 
@@ -210,19 +212,19 @@
                 self._reset_peer()
             return
         self._last_received_at = self._simulator.now
-        if segment.number >= self._expected:
-            if self._unread >= WINDOW_BYTES:
+        if segment.number >= self._expected_number:
+            if self._unread_bytes >= WINDOW_BYTES:
                 self._window_was_full = True
                 return
             self._out_of_order[segment.number] = segment.data
-        while self._expected in self._out_of_order:
-            self._accept(self._out_of_order.pop(self._expected))
-        self._acknowledge(self._expected - 1)
+        while self._expected_number in self._out_of_order:
+            self._accept(self._out_of_order.pop(self._expected_number))
+        self._acknowledge(self._expected_number - 1)
 
     def _accept(self, data: bytes | None) -> None:
         """Accept the next segment in order (None: the end of the stream)."""
-        self._expected += 1
-        self._unread += len(data or b"")
+        self._expected_number += 1
+        self._unread_bytes += len(data or b"")
         if self.reading and not self._undelivered:
             self._deliver(data)
         else:
@@ -237,8 +239,8 @@
     def _deliver(self, data: bytes | None) -> None:
         """Deliver bytes, or the end of the stream, as a step of the process."""
 
-        def take() -> None:
-            self._unread -= len(data or b"")
+        def consume() -> None:
+            self._unread_bytes -= len(data or b"")
             if self.closed:
                 return
             self._open_window()
@@ -247,11 +249,11 @@
             else:
                 self.handlers.received(data)
 
-        self.machine.after_true(0.0, take)
+        self.machine.after_true(0.0, consume)
 
     def _open_window(self) -> None:
         """Have the peer retransmit the segments that did not fit into the window."""
-        if self._window_was_full and self._unread < WINDOW_BYTES and self._passes_to(self._peer):
+        if self._window_was_full and self._unread_bytes < WINDOW_BYTES and self._passes_to(self._peer):
             self._window_was_full = False
             delay = self._network.delay(self.machine.name, self._peer.machine.name)
             self._simulator.after(delay, self._peer._retransmit_lost)
@@ -262,24 +264,24 @@
         """Close the endpoint because its process ended; a killed one resets the peer."""
         if not self.closed:
             self.closed = True
-            self._stop_events()
+            self._cancel_timers()
             if end is End.KILLED:
                 self._reset_peer()
 
     def _close_with(self, error: OSError | None) -> None:
         self.closed = True
         self._error = error
-        self._stop_events()
+        self._cancel_timers()
         if self._attached:
             self.machine.after_true(0.0, lambda: self.handlers.lost(error))
 
-    def _stop_events(self) -> None:
-        for event in (self._retry, self._keepalive):
+    def _cancel_timers(self) -> None:
+        for event in (self._retransmit_event, self._keepalive_event):
             if event is not None:
                 event.cancel()
-        self._retry = self._keepalive = None
+        self._retransmit_event = self._keepalive_event = None
         if self._unacknowledged:
-            self._network.drop_waiting(self.machine.name, self._peer.machine.name)
+            self._network.drop_queued(self.machine.name, self._peer.machine.name)
         self._unacknowledged.clear()
 
     def _reset_peer(self) -> None:
@@ -294,7 +296,7 @@
 
     def _send_keepalive_probe(self) -> None:
         """Probe the peer and close the connection if it has been idle for too long."""
-        self._keepalive = None
+        self._keepalive_event = None
         options, peer = self.options, self._peer
         if self.closed or options.keepalive_idle is None:
             return
@@ -304,11 +306,11 @@
             else:
                 self._last_received_at = self._simulator.now
         idle = self._simulator.now - self._last_received_at
-        limit = options.keepalive_idle + options.keepalive_every * options.keepalive_probes
-        if idle >= min(limit, max(options.user_timeout, options.keepalive_idle)):
+        idle_limit = options.keepalive_idle + options.keepalive_interval * options.keepalive_probes
+        if idle >= min(idle_limit, max(options.user_timeout, options.keepalive_idle)):
             self._close_with(TimeoutError("connection timed out"))
             return
-        self._keepalive = self._simulator.after(options.keepalive_every, self._send_keepalive_probe)
+        self._keepalive_event = self._simulator.after(options.keepalive_interval, self._send_keepalive_probe)
 
     @property
     def _peer(self) -> Endpoint:
--- a/tests/simulation/test_recovery.py
+++ b/tests/simulation/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery after all machines lost power: order and time bounds of the milestones."""
+"""Recovery after machines lost power: order and time bounds of the milestones."""
 
 from __future__ import annotations
 
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -15,28 +15,28 @@
         self.simulator = Simulator()
         self.seen: list[object] = []
 
-    def note(self, what: object):
-        return lambda: self.seen.append((round(self.simulator.now, 3), what))
+    def record(self, label: object):
+        return lambda: self.seen.append((round(self.simulator.now, 3), label))
 
     def test_events_run_in_the_order_of_their_times_and_of_scheduling(self):
-        self.simulator.at(2.0, self.note("c"))
-        self.simulator.at(1.0, self.note("a"))
-        self.simulator.at(1.0, self.note("b"))
+        self.simulator.at(2.0, self.record("c"))
+        self.simulator.at(1.0, self.record("a"))
+        self.simulator.at(1.0, self.record("b"))
         self.simulator.run_until(1.5)
         self.assertEqual((self.seen, self.simulator.now), ([(1.0, "a"), (1.0, "b")], 1.5))
         self.simulator.run_until(2.0)
         self.assertEqual(self.seen[-1], (2.0, "c"))
 
     def test_a_cancelled_event_does_not_run_and_the_past_counts_as_now(self):
-        self.simulator.at(1.0, self.note("no")).cancel()
+        self.simulator.at(1.0, self.record("no")).cancel()
         self.simulator.run_until(3.0)
-        self.simulator.at(1.0, self.note("late"))
+        self.simulator.at(1.0, self.record("late"))
         self.simulator.run_until(3.0)
         self.assertEqual(self.seen, [(3.0, "late")])
 
     def test_run_while_stops_at_the_event_that_is_waited_for(self):
         for number in range(1, 5):
-            self.simulator.at(number, self.note(number))
+            self.simulator.at(number, self.record(number))
         self.assertFalse(self.simulator.run_while(lambda: len(self.seen) < 2, 10.0))
         self.assertEqual(self.simulator.now, 2.0)
         self.assertTrue(self.simulator.run_while(lambda: len(self.seen) < 9, 10.0))
@@ -45,7 +45,7 @@
     def test_checks_run_after_each_event(self):
         self.simulator.check(lambda: self.assertLess(len(self.seen), 2))
         for number in (1, 2):
-            self.simulator.at(number, self.note(number))
+            self.simulator.at(number, self.record(number))
         with self.assertRaises(AssertionError):
             self.simulator.run_until(5.0)
         self.assertEqual(self.simulator.now, 2.0)
@@ -58,27 +58,27 @@
         self.machine.start()
         self.seen: list[object] = []
 
-    def note(self, what: object):
-        return lambda: self.seen.append(what)
+    def record(self, label: object):
+        return lambda: self.seen.append(label)
 
     def test_steps_of_a_process_that_ended_do_not_run(self):
-        self.machine.later(1.0, self.note("before"))
+        self.machine.later(1.0, self.record("before"))
         self.machine.kill()
         self.machine.start()
-        self.machine.later(1.0, self.note("after"))
+        self.machine.later(1.0, self.record("after"))
         self.simulator.run_until(2.0)
         self.assertEqual(self.seen, ["after"])
 
     def test_a_thawed_process_runs_deferred_steps_in_order(self):
         for number in (1, 2, 3):
-            self.machine.later(number, self.note(number))
-        cancelled = self.machine.later(1.5, self.note("cancelled"))
+            self.machine.later(number, self.record(number))
+        cancelled = self.machine.later(1.5, self.record("cancelled"))
         self.machine.freeze()
         self.simulator.run_until(2.5)
         self.assertEqual(self.seen, [])
         cancelled.cancel()
         self.machine.thaw()
-        self.machine.later(0.0, self.note("new"))
+        self.machine.later(0.0, self.record("new"))
         self.simulator.run_until(2.5)
         self.assertEqual(self.seen, [1, 2, "new"])
         self.simulator.run_until(3.0)
@@ -88,7 +88,7 @@
         self.simulator.run_until(10.0)
         self.machine.set_clock_rate(2.0)
         self.assertAlmostEqual(self.machine.clock(), 10.0)
-        self.machine.later(4.0, self.note("four of its seconds"))
+        self.machine.later(4.0, self.record("four of its seconds"))
         self.simulator.run_until(11.9)
         self.assertEqual(self.seen, [])
         self.simulator.run_until(12.0)
--- a/tests/simulation/test_simulation_loop.py
+++ b/tests/simulation/test_simulation_loop.py
@@ -6,7 +6,7 @@
 import time
 import unittest
 
-from simulated_network import WithNetwork
+from simulated_network import NetworkTestCase
 
 from mallowbeam.simulation.dialing import Streams
 from mallowbeam.simulation.loop import SimulatedLoop
@@ -32,11 +32,14 @@
         self.lost.append(type(error).__name__)
 
 
-class LoopTest(WithNetwork):
+class LoopTest(NetworkTestCase):
     def setUp(self):
         super().setUp()
         self.streams = Streams(self.network)
-        self.near, self.far = SimulatedLoop(self.a, self.streams), SimulatedLoop(self.b, self.streams)
+        self.client_loop, self.server_loop = (
+            SimulatedLoop(self.a, self.streams),
+            SimulatedLoop(self.b, self.streams),
+        )
 
     def test_tasks_timers_and_the_clock(self):
         async def work() -> None:
@@ -49,7 +52,7 @@
             except TimeoutError:
                 self.seen.append(round(time.monotonic() - began, 6))
 
-        self.near.create_task(work())
+        self.client_loop.create_task(work())
         self.run_for(10.0)
         self.assertEqual(self.seen, [1.5, 3.5])
         self.assertGreater(time.monotonic(), 0.0)
@@ -68,11 +71,11 @@
             await asyncio.sleep(1.0)
             transport.close()
 
-        self.far.create_task(serve())
-        self.near.create_task(ask())
+        self.server_loop.create_task(serve())
+        self.client_loop.create_task(ask())
         self.run_for(3.0)
         self.assertEqual((client.data, client.lost), ([b"HELLO"], ["NoneType"]))
-        self.assertEqual((self.near.failures, self.far.failures), ([], []))
+        self.assertEqual((self.client_loop.failures, self.server_loop.failures), ([], []))
 
     def test_a_refused_connection_raises(self):
         async def ask() -> None:
@@ -81,7 +84,7 @@
             except ConnectionRefusedError as error:
                 self.seen.append(str(error))
 
-        self.near.create_task(ask())
+        self.client_loop.create_task(ask())
         self.run_for(1.0)
         self.assertEqual(self.seen, ["b:81: connection refused"])
 
@@ -94,7 +97,7 @@
                 self.seen.append("given up")
 
         self.network.isolate("b")
-        self.near.create_task(ask())
+        self.client_loop.create_task(ask())
         self.run_for(1.0)
         self.network.heal()
         self.run_for(9.0)
@@ -112,7 +115,7 @@
                 except OSError:
                     self.seen.append("taken")
 
-        self.far.create_task(serve())
+        self.server_loop.create_task(serve())
         self.run_for(1.0)
         self.assertEqual(self.seen, ["taken"])
 
@@ -122,19 +125,19 @@
                 await asyncio.sleep(1.0)
                 self.seen.append("no")
             finally:
-                self.near.call_soon(lambda: self.seen.append("no"))
+                self.client_loop.call_soon(lambda: self.seen.append("no"))
 
-        self.near.create_task(work())
+        self.client_loop.create_task(work())
         self.run_for(0.5)
         self.a.kill()
         self.a.start()
         self.run_for(5.0)
-        self.assertEqual((self.seen, self.near.is_closed()), ([], True))
+        self.assertEqual((self.seen, self.client_loop.is_closed()), ([], True))
 
     def test_unhandled_exceptions_are_recorded(self):
-        self.near.call_soon(lambda: 1 / 0)
+        self.client_loop.call_soon(lambda: 1 / 0)
         self.run_for(0.1)
-        self.assertIsInstance(self.near.failures[0]["exception"], ZeroDivisionError)
+        self.assertIsInstance(self.client_loop.failures[0]["exception"], ZeroDivisionError)
 
 
 if __name__ == "__main__":
--- a/tests/simulation/test_simulation_network.py
+++ b/tests/simulation/test_simulation_network.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from simulated_network import WithNetwork
+from simulated_network import NetworkTestCase
 
 from mallowbeam.simulation.clock import Simulator
 from mallowbeam.simulation.dialing import Dial, Streams
@@ -13,9 +13,9 @@
 from mallowbeam.simulation.stream import WINDOW_BYTES, Endpoint, StreamHandlers
 
 
-class DatagramTest(WithNetwork):
-    def send(self, what: object, sender: str = "a", recipient: str = "b") -> None:
-        self.network.send(self.network.machines[sender], recipient, lambda: self.seen.append(what))
+class DatagramTest(NetworkTestCase):
+    def send(self, label: object, sender: str = "a", recipient: str = "b") -> None:
+        self.network.send(self.network.machines[sender], recipient, lambda: self.seen.append(label))
 
     def test_a_message_takes_its_delay(self):
         self.send(1)
@@ -83,27 +83,27 @@
         self.assertNotEqual(play(4), play(5))
 
 
-class StreamTest(WithNetwork):
+class StreamTest(NetworkTestCase):
     def setUp(self):
         super().setUp()
         self.streams = Streams(self.network)
-        self.near: Endpoint | None = None
-        self.far: Endpoint | None = None
+        self.client: Endpoint | None = None
+        self.server: Endpoint | None = None
         self.streams.listen(self.b, 80, self.accepted)
 
-    def handlers(self, who: str) -> StreamHandlers:
+    def handlers(self, endpoint_name: str) -> StreamHandlers:
         return StreamHandlers(
-            received=lambda data: self.seen.append((who, data)),
-            ended=lambda: self.seen.append((who, "end")),
-            lost=lambda error: self.seen.append((who, type(error).__name__)),
+            received=lambda data: self.seen.append((endpoint_name, data)),
+            ended=lambda: self.seen.append((endpoint_name, "end")),
+            lost=lambda error: self.seen.append((endpoint_name, type(error).__name__)),
         )
 
     def accepted(self, endpoint: Endpoint) -> None:
-        self.far = endpoint
+        self.server = endpoint
         endpoint.attach(self.handlers("b"))
 
     def opened(self, endpoint: Endpoint) -> None:
-        self.near = endpoint
+        self.client = endpoint
         endpoint.attach(self.handlers("a"))
 
     def connect(self, ip: str = "b", port: int = 80) -> Dial:
@@ -114,18 +114,20 @@
     def open(self) -> None:
         self.connect()
         self.run_for(0.1)
-        self.assertIsNotNone(self.near)
-        self.assertIsNotNone(self.far)
+        self.assertIsNotNone(self.client)
+        self.assertIsNotNone(self.server)
 
     def test_bytes_arrive_in_order_both_ways(self):
         self.open()
         for number in range(3):
-            self.near.write(b"%d" % number)
-        self.far.write(b"x")
+            self.client.write(b"%d" % number)
+        self.server.write(b"x")
         self.run_for(0.1)
-        self.assertEqual([data for who, data in self.seen if who == "b"], [b"0", b"1", b"2"])
+        self.assertEqual(
+            [data for endpoint_name, data in self.seen if endpoint_name == "b"], [b"0", b"1", b"2"]
+        )
         self.assertIn(("a", b"x"), self.seen)
-        self.assertEqual(self.near.unsent, 0)
+        self.assertEqual(self.client.unsent, 0)
 
     def test_a_dead_port_refuses(self):
         self.connect(port=81)
@@ -147,37 +149,37 @@
         self.run_for(0.5)
         self.network.heal()
         self.run_for(1.0)
-        self.assertIsNotNone(self.near)
+        self.assertIsNotNone(self.client)
 
     def test_a_cancelled_dial_stays_cancelled(self):
         self.connect().cancelled = True
         self.run_for(5.0)
-        self.assertEqual((self.near, self.seen), (None, []))
+        self.assertEqual((self.client, self.seen), (None, []))
 
     def test_segments_lost_in_a_partition_arrive_after_it(self):
         self.open()
         self.network.partition("a", "b", both=False)
-        self.near.write(b"late")
+        self.client.write(b"late")
         self.run_for(0.5)
-        self.assertEqual((self.seen, self.near.unsent), ([], 4))
+        self.assertEqual((self.seen, self.client.unsent), ([], 4))
         self.network.heal()
         self.run_for(2.0)
-        self.assertEqual((self.seen, self.near.unsent), ([("b", b"late")], 0))
+        self.assertEqual((self.seen, self.client.unsent), ([("b", b"late")], 0))
 
     def test_lost_segments_are_retransmitted_in_order(self):
         self.network.set_path("a", "b", Path(0.001, 0.01, loss=0.4))
         self.open()
         for number in range(60):
-            self.near.write(b"%d," % number)
+            self.client.write(b"%d," % number)
         self.run_for(60.0)
-        data = b"".join(data for who, data in self.seen if who == "b")
+        data = b"".join(data for endpoint_name, data in self.seen if endpoint_name == "b")
         self.assertEqual(data, b"".join(b"%d," % number for number in range(60)))
 
     def test_a_sender_fails_after_its_user_timeout_in_a_one_way_partition(self):
         self.open()
-        self.near.options.user_timeout = 1.5
+        self.client.options.user_timeout = 1.5
         self.network.partition("b", "a", both=False)
-        self.near.write(b"x")
+        self.client.write(b"x")
         self.run_for(1.4)
         self.assertEqual(self.seen, [("b", b"x")])
         self.run_for(0.2)
@@ -185,8 +187,8 @@
 
     def test_an_unresponsive_peer_is_detected_by_keepalive(self):
         self.open()
-        self.near.options.keepalive_idle = 1.0
-        self.near.start_keepalive()
+        self.client.options.keepalive_idle = 1.0
+        self.client.start_keepalive()
         self.run_for(10.0)
         self.assertEqual(self.seen, [])
         self.network.isolate("b")
@@ -196,7 +198,7 @@
     def test_a_restarted_peer_resets_old_connections(self):
         self.open()
         self.b.power_off()
-        self.near.write(b"x")
+        self.client.write(b"x")
         self.b.start()
         self.run_for(5.0)
         self.assertEqual(self.seen, [("a", "ConnectionResetError")])
@@ -212,24 +214,24 @@
 
     def test_a_graceful_close(self):
         self.open()
-        self.near.write(b"last")
-        self.near.close()
+        self.client.write(b"last")
+        self.client.close()
         self.run_for(0.1)
         self.assertEqual(self.seen, [("b", b"last"), ("b", "end"), ("a", "NoneType")])
-        self.far.close()
+        self.server.close()
         self.run_for(0.1)
         self.assertEqual(self.seen[3:], [("b", "NoneType")])
 
     def test_a_frozen_process_fills_its_window_and_resumes(self):
         self.open()
         self.b.freeze()
-        self.near.write(bytes(WINDOW_BYTES))
-        self.near.write(bytes(10))
+        self.client.write(bytes(WINDOW_BYTES))
+        self.client.write(bytes(10))
         self.run_for(1.0)
-        self.assertEqual((self.seen, self.near.unsent), ([], 10))
+        self.assertEqual((self.seen, self.client.unsent), ([], 10))
         self.b.thaw()
         self.run_for(2.0)
-        self.assertEqual(self.near.unsent, 0)
+        self.assertEqual(self.client.unsent, 0)
         self.assertEqual(sum(len(data) for _, data in self.seen), WINDOW_BYTES + 10)
 
     def test_bytes_received_before_attach_are_delivered_after_it(self):
--- a/tests/simulation/test_simulation_scenarios.py
+++ b/tests/simulation/test_simulation_scenarios.py
@@ -41,22 +41,22 @@
 
     def holds(self, words: Sequence[str]) -> bool:
         match words:
-            case (who, "hears", whom):
+            case (target, "hears", source):
                 return all(
                     self.simulator.now - self.last_greeting[name].get(other, -9.0) < 0.3
-                    for name in self.names(who)
-                    for other in self.names(whom)
+                    for name in self.names(target)
+                    for other in self.names(source)
                     if other != name
                 )
-            case (who, "wrote", least):
-                return all(self.written[name] >= int(least) for name in self.names(who))
+            case (target, "wrote", least):
+                return all(self.written[name] >= int(least) for name in self.names(target))
         raise ValueError("unknown condition")
 
     def state(self) -> str:
         return str(self.last_greeting)
 
 
-QUIET = "greeters a b c\n"
+DECLARATION = "greeters a b c\n"
 
 
 class PlayerTest(unittest.TestCase):
@@ -71,29 +71,37 @@
         return str(caught.exception)
 
     def test_expectations_at_and_by_a_time(self):
-        player = self.play(QUIET + "by 2 expect all hears all\nat 1 expect a hears b  # a comment\nend 3")
+        player = self.play(
+            DECLARATION + "by 2 expect all hears all\nat 1 expect a hears b  # a comment\nend 3"
+        )
         self.assertEqual(player.simulator.now, 3.0)
 
     def test_by_continues_at_the_moment_the_condition_is_true(self):
-        player = self.play(QUIET + "by 9 expect all hears all")
+        player = self.play(DECLARATION + "by 9 expect all hears all")
         self.assertLess(player.simulator.now, 0.2)
 
     def test_a_violation_names_line_time_seed_and_state(self):
-        text = self.violation("seed 4\n" + QUIET + "at 1 isolate c\nat 2 heal a b\nby 3 expect a hears c")
+        text = self.violation(
+            "seed 4\n" + DECLARATION + "at 1 isolate c\nat 2 heal a b\nby 3 expect a hears c"
+        )
         self.assertIn("line 5: 3.000 s, seed 4: not a hears c in time", text)
         self.assertIn("'b':", text)
-        self.assertIn("not a hears c", self.violation(QUIET + "at 1 isolate c\nat 2 expect a hears c"))
+        self.assertIn("not a hears c", self.violation(DECLARATION + "at 1 isolate c\nat 2 expect a hears c"))
 
     def test_always_and_never(self):
-        self.play(QUIET + "always a hears b from 0.5 to 4\nnever b hears c from 2 to 4\nat 1 cut b c\nend 4")
-        text = self.violation(QUIET + "always a hears b from 0.5 to 4\nat 1 cut a > b\nat 2 cut b > a\nend 4")
+        self.play(
+            DECLARATION + "always a hears b from 0.5 to 4\nnever b hears c from 2 to 4\nat 1 cut b c\nend 4"
+        )
+        text = self.violation(
+            DECLARATION + "always a hears b from 0.5 to 4\nat 1 cut a > b\nat 2 cut b > a\nend 4"
+        )
         self.assertIn("always a hears b from 0.5 to 4 (line 2)", text)
         self.assertIn("line 5: 2.20", text)
-        self.assertIn("never", self.violation(QUIET + "never all hears all from 1 to 2\nend 3"))
+        self.assertIn("never", self.violation(DECLARATION + "never all hears all from 1 to 2\nend 3"))
 
     def test_each_fault(self):
         self.play(
-            QUIET
+            DECLARATION
             + """
             at 1 cut a b
             by 2 expect a hears c
@@ -124,7 +132,7 @@
 
     def test_disks(self):
         self.play(
-            QUIET
+            DECLARATION
             + """
             at 1 stall-disk a
             at 2 fill-disk b
@@ -138,7 +146,7 @@
         )
 
     def test_the_same_text_gives_the_same_run(self):
-        text = "seed {}\n" + QUIET + "at 0 path a b 0.001 0.1 0.5\nend 20"
+        text = "seed {}\n" + DECLARATION + "at 0 path a b 0.001 0.1 0.5\nend 20"
         one, two, other = (self.play(text.format(seed)).last_greeting for seed in (3, 3, 4))
         self.assertEqual(one, two)
         self.assertNotEqual(one, other)
@@ -164,7 +172,7 @@
         ]
         for line in cases:
             with self.subTest(line), self.assertRaises(ScenarioError) as caught:
-                self.play(QUIET + "\n" + line)
+                self.play(DECLARATION + "\n" + line)
             self.assertEqual(caught.exception.where, "line 3")
             self.assertEqual(caught.exception.code, "SCENARIO")
 
@@ -174,8 +182,8 @@
 
     def test_a_folder_becomes_a_test_case(self):
         with tempfile.TemporaryDirectory() as folder:
-            Path(folder, "good.txt").write_text("# It is quiet.\n" + QUIET + "end 1")
-            Path(folder, "bad.txt").write_text("# It is not.\n" + QUIET + "at 1 expect a wrote 99")
+            Path(folder, "good.txt").write_text("# It is quiet.\n" + DECLARATION + "end 1")
+            Path(folder, "bad.txt").write_text("# It is not.\n" + DECLARATION + "at 1 expect a wrote 99")
             case = scenario_tests(Path(folder), Greeters)
         names = unittest.defaultTestLoader.getTestCaseNames(case)
         self.assertEqual(names, ["test_bad", "test_good"])
--- a/tests/support/simulated_network.py
+++ b/tests/support/simulated_network.py
@@ -8,13 +8,13 @@
 from mallowbeam.simulation.machine import Machine
 from mallowbeam.simulation.network import Network, Path
 
-FIXED = Path(0.01, 0.01)
+FIXED_DELAY_PATH = Path(0.01, 0.01)
 
 
-class WithNetwork(unittest.TestCase):
+class NetworkTestCase(unittest.TestCase):
     def setUp(self):
         self.simulator = Simulator(5)
-        self.network = Network(self.simulator, FIXED)
+        self.network = Network(self.simulator, FIXED_DELAY_PATH)
         self.a = self.network.add(Machine(self.simulator, "a"))
         self.b = self.network.add(Machine(self.simulator, "b"))
         for machine in (self.a, self.b):
