--- a/mallowbeam/standins/__main__.py
+++ b/mallowbeam/standins/__main__.py
@@ -15,7 +15,7 @@
 def main() -> None:
     """Serve the nodes and the discovery of a configuration until interrupted."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("config", type=Path, help="a configuration as the platform writes it")
+    parser.add_argument("config", type=Path, help="configuration file in the platform's format")
     config = json.loads(parser.parse_args().config.read_text())
 
     def address(text: str) -> tuple[str, int]:
--- a/mallowbeam/standins/backend.py
+++ b/mallowbeam/standins/backend.py
@@ -1,7 +1,7 @@
-"""Executes the requests of a storage node on its store; does no I/O.
+"""Executes the requests of a stand-in storage node on its store, without I/O.
 
 It supports byte ranges, conditions (RFC 9110, 13.1), multipart uploads, and deduplication of requests with
-an idempotency key within `window` seconds. Each execution is recorded with its time, for checkers.
+an idempotency key within `window` seconds. Each request is recorded with its time, for checkers.
 """
 
 from __future__ import annotations
@@ -32,20 +32,20 @@
         self.window = window
 
     def handle(self, method: str, target: str, headers: dict[str, str], body: bytes) -> Answer:
-        """Answer a request; a repeat of a request with an idempotency key gets the first answer."""
-        token, now = headers.get("idempotency-key", ""), time.monotonic()
+        """Answer a request; repeating an idempotency key within the window gets the first answer."""
+        idempotency_key, now = headers.get("idempotency-key", ""), time.monotonic()
         path = urlsplit(target).path
-        known = self.store.done.get(token)
-        if token and known is not None and now - known[0] < self.window:
-            self.store.history.append(Run(now, method, path, token, "", True))
-            return known[1]
-        self.store.history.append(Run(now, method, target, token, etag_of(body) if body else ""))
-        answer = self._run(method, target, headers, body)
-        if token:
-            self.store.done[token] = now, answer
+        earlier = self.store.done.get(idempotency_key)
+        if idempotency_key and earlier is not None and now - earlier[0] < self.window:
+            self.store.history.append(Run(now, method, path, idempotency_key, "", True))
+            return earlier[1]
+        self.store.history.append(Run(now, method, target, idempotency_key, etag_of(body) if body else ""))
+        answer = self._execute(method, target, headers, body)
+        if idempotency_key:
+            self.store.done[idempotency_key] = now, answer
         return answer
 
-    def _run(self, method: str, target: str, headers: dict[str, str], body: bytes) -> Answer:
+    def _execute(self, method: str, target: str, headers: dict[str, str], body: bytes) -> Answer:
         """Execute a request, without deduplication."""
         url = urlsplit(target)
         path = unquote(url.path)  # different encodings of a name denote one object
@@ -57,7 +57,7 @@
         if method == "POST" and "uploads" in query:
             return self._create_upload(path)
         if method == "GET" and path.count("/") == 1:
-            return self._listing(path[1:], query)
+            return self._list_objects(path[1:], query)
         return self._object(method, path, headers, body)
 
     def _create_upload(self, path: str) -> Answer:
@@ -71,8 +71,8 @@
     def _object(self, method: str, path: str, headers: dict[str, str], body: bytes) -> Answer:
         """Write, delete or read one object."""
         objects = self.store.objects
-        known = objects.get(path)
-        if method in ("PUT", "DELETE") and not self._conditions_met(headers, known):
+        existing = objects.get(path)
+        if method in ("PUT", "DELETE") and not self._conditions_met(headers, existing):
             return error(412, "PreconditionFailed")
         if method == "PUT":
             stored = objects[path] = Stored(body, etag_of(body), _stored_headers(headers))
@@ -80,59 +80,59 @@
         if method == "DELETE":
             objects.pop(path, None)
             return 204, {}, b""
-        if known is None:
+        if existing is None:
             return error(404, "NoSuchKey")
-        return self._read_range(known, headers)
+        return self._read_range(existing, headers)
 
-    def _listing(self, bucket: str, query: dict[str, str]) -> Answer:
+    def _list_objects(self, bucket: str, query: dict[str, str]) -> Answer:
         """Answer ListObjectsV2; names are percent-encoded."""
         prefix, delimiter = query.get("prefix", ""), query.get("delimiter", "")
-        after = unquote(query.get("continuation-token", "")) or query.get("start-after", "")
-        most, found = int(query.get("max-keys", "1000")), dict[str, dict[str, object]]()
-        places = sorted(
+        start_after = unquote(query.get("continuation-token", "")) or query.get("start-after", "")
+        max_keys, entries = int(query.get("max-keys", "1000")), dict[str, dict[str, object]]()
+        names = sorted(
             (path.split("/", 2)[2] for path in self.store.objects if path.startswith(f"/{bucket}/")),
             key=str.encode,
         )
-        last, more = "", False
-        for name in places:
-            if name.encode() <= after.encode() or not name.startswith(prefix):
+        last_name, truncated = "", False
+        for name in names:
+            if name.encode() <= start_after.encode() or not name.startswith(prefix):
                 continue
-            at = name.find(delimiter, len(prefix)) if delimiter else -1
-            shown = name if at < 0 else name[: at + len(delimiter)]
-            if shown not in found and len(found) >= most:
-                more = True
+            delimiter_at = name.find(delimiter, len(prefix)) if delimiter else -1
+            listed_name = name if delimiter_at < 0 else name[: delimiter_at + len(delimiter)]
+            if listed_name not in entries and len(entries) >= max_keys:
+                truncated = True
                 break
             stored = self.store.objects[f"/{bucket}/{name}"]
-            found[shown] = (
-                {"Prefix": quote(shown)}
-                if at >= 0
+            entries[listed_name] = (
+                {"Prefix": quote(listed_name)}
+                if delimiter_at >= 0
                 else {
-                    "Key": quote(shown),
+                    "Key": quote(listed_name),
                     "Size": len(stored.body),
                     "ETag": stored.etag,
                     "LastModified": "2026-12-01T00:00:00.000Z",
                 }
             )
-            last = name
-        fields: dict[str, object] = {"IsTruncated": "true" if more else "false"}
-        if more:
-            fields["NextContinuationToken"] = quote(last)
-        fields["Contents"] = [entry for entry in found.values() if "Key" in entry]
-        fields["CommonPrefixes"] = [entry for entry in found.values() if "Prefix" in entry]
+            last_name = name
+        fields: dict[str, object] = {"IsTruncated": "true" if truncated else "false"}
+        if truncated:
+            fields["NextContinuationToken"] = quote(last_name)
+        fields["Contents"] = [entry for entry in entries.values() if "Key" in entry]
+        fields["CommonPrefixes"] = [entry for entry in entries.values() if "Prefix" in entry]
         return 200, {}, document("ListBucketResult", **fields)
 
     @staticmethod
-    def _conditions_met(headers: dict[str, str], known: Stored | None) -> bool:
+    def _conditions_met(headers: dict[str, str], stored: Stored | None) -> bool:
         """Whether the conditions of a write are met (RFC 9110, 13.1.1 and 13.1.2)."""
-        match, none = headers.get("if-match"), headers.get("if-none-match")
-        if match is not None and (known is None or match not in ("*", known.etag)):
+        if_match, if_none_match = headers.get("if-match"), headers.get("if-none-match")
+        if if_match is not None and (stored is None or if_match not in ("*", stored.etag)):
             return False
-        return none is None or known is None or none not in ("*", known.etag)
+        return if_none_match is None or stored is None or if_none_match not in ("*", stored.etag)
 
-    def _read_range(self, known: Stored, request_headers: dict[str, str]) -> Answer:
+    def _read_range(self, stored: Stored, request_headers: dict[str, str]) -> Answer:
         """Answer with the requested byte range, or the complete object."""
-        data = known.body
-        headers = {**known.headers, "ETag": known.etag, "Accept-Ranges": "bytes"}
+        data = stored.body
+        headers = {**stored.headers, "ETag": stored.etag, "Accept-Ranges": "bytes"}
         match = re.fullmatch(r"bytes=(\d*)-(\d*)", request_headers.get("range", ""))
         first, last = match.groups() if match else ("", "")
         if not first + last or first and last and int(first) > int(last) or self.ignores_ranges:
--- a/mallowbeam/standins/connection.py
+++ b/mallowbeam/standins/connection.py
@@ -117,9 +117,9 @@
         method = self.parser.get_method().decode()
         self.pending.append(Request(method, self.target.decode("latin-1"), self.headers, bytes(self.body)))
         if self.task is None or self.task.done():
-            self._next()
+            self._answer_pending()
 
-    def _next(self) -> None:
+    def _answer_pending(self) -> None:
         """Answer the pending requests; only a delayed answer needs a task."""
         while self.pending and not self.transport.is_closing():
             request = self.pending.pop(0)
@@ -136,15 +136,15 @@
     async def _answer_later(self, seconds: float, rule: Rule | None, request: Request) -> None:
         await asyncio.sleep(seconds)
         self._answer(rule, request)
-        self._next()
+        self._answer_pending()
 
     def _answer(self, rule: Rule | None, request: Request) -> None:
-        """Answer a request, or fail as the rule says."""
+        """Answer a request, or apply the fault of the rule."""
         action = rule.action if rule is not None else ""
         if action == "cut":
             self.transport.abort()
             return
-        answer = self._answer_without_run(rule)
+        answer = self._unexecuted_answer(rule)
         if answer is not None:
             self._write(answer, request.method)
             return
@@ -156,8 +156,8 @@
         if action == "answer-die":
             asyncio.get_running_loop().call_soon(self.server.die)
 
-    def _answer_without_run(self, rule: Rule | None) -> Answer | None:
-        """The answer to a request that is not executed; None if it is executed."""
+    def _unexecuted_answer(self, rule: Rule | None) -> Answer | None:
+        """Return the answer to a request that is not executed; None if the request is to be executed."""
         match rule.action if rule is not None else "":
             case "refuse":
                 return NOT_EXECUTED
@@ -169,7 +169,7 @@
         return NOT_EXECUTED if self.server.draining else None
 
     def _write(self, answer: Answer, method: str, limit: int | None = None) -> None:
-        """Send an answer; with `limit` only so many bytes of it, and close the connection."""
+        """Send an answer; with `limit` send only its first `limit` bytes and close the connection."""
         status, headers, data = answer
         lines = [
             f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}",
--- a/mallowbeam/standins/discovery.py
+++ b/mallowbeam/standins/discovery.py
@@ -11,7 +11,7 @@
 from mallowbeam.standins.faults import Rule, Script
 from mallowbeam.standins.node import Answer, Server
 
-POLL = 0.05  # seconds until a watch is answered: bound on the delay of a change
+POLL = 0.05  # seconds until a watch is answered: the longest delay before a change is reported
 
 
 def member(
@@ -31,7 +31,7 @@
 
 
 class Discovery(Server):
-    """A discovery service on a socket; `poll` in seconds."""
+    """A discovery service on a socket; a watch is answered after `poll` seconds."""
 
     def __init__(
         self,
--- a/mallowbeam/standins/disk.py
+++ b/mallowbeam/standins/disk.py
@@ -17,7 +17,7 @@
 SECTOR = 512  # bytes that are written atomically
 DURABLE_PROBABILITY = 0.5  # that an unsynced name, length or sector is durable after a power loss
 ALL_SECTORS_BOUND = 0.3  # below it all sectors of a write are durable
-SOME_SECTORS_BOUND = 0.8  # from there up to here each sector by chance, above it none
+SOME_SECTORS_BOUND = 0.8  # between the bounds each sector is durable at random, above this one none
 
 
 class PowerLossError(Exception):
@@ -115,20 +115,20 @@
     # --- faults ---------------------------------------------------------------------
 
     def crashed(self, seed: int) -> SimDisk:
-        """Return the disk after a power loss: durable data, and a random part of the unsynced changes."""
-        chance = random.Random(seed)
-        after = SimDisk()
-        every = {**self.durable, **self.files}
-        for name in sorted(every):
-            known, now = self.durable.get(name), self.files.get(name)
-            if known is not now and chance.random() < DURABLE_PROBABILITY:
-                known = now
-            if known is not None:
-                data = bytearray(known.durable)
-                for change in known.unsynced:
-                    apply(data, change, chance)
-                after.files[name] = after.durable[name] = Inode(data, bytes(data))
-        return after
+        """Return the disk after a power loss: the durable data and a random part of the unsynced changes."""
+        rng = random.Random(seed)
+        recovered = SimDisk()
+        inodes = {**self.durable, **self.files}
+        for name in sorted(inodes):
+            inode, current = self.durable.get(name), self.files.get(name)
+            if inode is not current and rng.random() < DURABLE_PROBABILITY:
+                inode = current
+            if inode is not None:
+                data = bytearray(inode.durable)
+                for change in inode.unsynced:
+                    apply(data, change, rng)
+                recovered.files[name] = recovered.durable[name] = Inode(data, bytes(data))
+        return recovered
 
     def flip(self, name: str, offset: int, bit: int = 0) -> None:
         """Flip one bit of a file, as silent corruption does."""
@@ -136,22 +136,22 @@
         self.files[name].durable = bytes(self.files[name].now)
 
 
-def apply(data: bytearray, change: tuple[int, bytes] | int, chance: random.Random) -> None:
-    """Apply an unsynced change as a power loss leaves it: any subset of its sectors."""
+def apply(data: bytearray, change: tuple[int, bytes] | int, rng: random.Random) -> None:
+    """Apply an unsynced change as a power loss may leave it: a random subset of the sectors of a write."""
     if isinstance(change, int):
-        if chance.random() < DURABLE_PROBABILITY:
+        if rng.random() < DURABLE_PROBABILITY:
             del data[change:]
         return
     offset, written = change
-    mode, at = chance.random(), 0
-    while at < len(written):
-        end = min(len(written), (offset + at) // SECTOR * SECTOR + SECTOR - offset)
-        some = mode < SOME_SECTORS_BOUND
-        if mode < ALL_SECTORS_BOUND or (some and chance.random() < DURABLE_PROBABILITY):
+    mode, position = rng.random(), 0
+    while position < len(written):
+        end = min(len(written), (offset + position) // SECTOR * SECTOR + SECTOR - offset)
+        by_sector = mode < SOME_SECTORS_BOUND
+        if mode < ALL_SECTORS_BOUND or (by_sector and rng.random() < DURABLE_PROBABILITY):
             if len(data) < offset + end:
                 data += bytes(offset + end - len(data))
-            data[offset + at : offset + end] = written[at:end]
-        at = end
+            data[offset + position : offset + end] = written[position:end]
+        position = end
 
 
 class SimFile:
@@ -167,9 +167,9 @@
         data = b"".join(parts)
         self.disk.step("write", self.name)
         capacity = self.disk.capacity
-        grows = max(0, at + len(data) - len(self.inode.now))
-        if capacity is not None and self.disk.used() + grows > capacity:
-            data = data[: max(0, len(data) - (self.disk.used() + grows - capacity))]
+        growth = max(0, at + len(data) - len(self.inode.now))
+        if capacity is not None and self.disk.used() + growth > capacity:
+            data = data[: max(0, len(data) - (self.disk.used() + growth - capacity))]
             self._put(data, at)
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         self._put(data, at)
@@ -196,11 +196,11 @@
         self.inode.unsynced.append(size)
 
     def sync(self) -> None:
-        """Make the data durable; after an error unsynced pages count as clean, as on Linux."""
+        """Make the data durable; after an error the unsynced pages count as clean, as on Linux."""
         try:
             self.disk.step("sync", self.name)
         except OSError:
-            self.inode.unsynced = []  # never written, though reads still show it
+            self.inode.unsynced = []  # never written to disk, though reads still return it
             raise
         self.inode.durable = bytes(self.inode.now)
         self.inode.unsynced = []
--- a/mallowbeam/standins/faults.py
+++ b/mallowbeam/standins/faults.py
@@ -1,7 +1,7 @@
 """Scripted faults: which requests of a stand-in fail, how often, and how.
 
 A script is an ordered list of rules; the first rule that matches a request is applied and its count
-decremented. The same script and requests give the same run: nothing is random.
+decremented. Nothing is random: the same script and requests give the same run.
 """
 
 from __future__ import annotations
@@ -16,9 +16,11 @@
 class Rule:
     """One scripted fault; `action` is one of :data:`ACTIONS`.
 
-    `refuse`: 503 with X-Not-Run, not executed.  `error`: 500, not executed.  `stall`: the request is executed
-    after `seconds`.  `cut`: the connection is reset and not executed.  `run-cut`: executed, and the
-    connection is reset before the answer.
+    `refuse`: answered with 503 and X-Not-Run, not executed.
+    `error`: answered with 500, not executed.
+    `stall`: executed after `seconds`.
+    `cut`: not executed; the connection is reset.
+    `run-cut`: executed; the connection is reset before the answer.
     `answer-cut`: executed; the connection is closed after 40 bytes of the answer.
     `answer-die`: executed and answered; then the node stops.
     `status`: answered with `status`, not executed.
@@ -35,7 +37,7 @@
     def __post_init__(self) -> None:
         """Raise ValueError for an unknown action."""
         if self.action not in ACTIONS:
-            raise ValueError(f"no such fault: {self.action}")
+            raise ValueError(f"unknown fault action: {self.action}")
 
 
 class Script:
--- a/mallowbeam/standins/model_server.py
+++ b/mallowbeam/standins/model_server.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-EVENTS = 5  # of a complete stream
+EVENTS = 5  # events of a complete stream
 FAULTY_EVENT = 3  # number of the event at which a stream fails
 Headers = dict[str, str]
 
@@ -23,8 +23,8 @@
     MISDIRECT = "misdirect"  # 421
     FAIL = "fail"  # 500 with its signature
     UNPROVEN_503 = "unproven_503"  # 503 without Not-Executed
-    RESET = "reset"  # closes once the request is read
-    SILENT = "silent"  # never answers
+    RESET = "reset"  # closes the connection once the request is read
+    SILENT = "silent"  # never answers; waits until the client closes
     OTHER_ID = "other_id"  # an answer with the id of another request
     NO_SIGNATURE = "no_signature"
     TRUNCATED = "truncated"  # a stream ends inside its third event
@@ -46,7 +46,7 @@
 
 @dataclass
 class ModelServer:
-    """One instance; `keep_alive_s` in seconds."""
+    """One instance; `keep_alive_s` is the keep-alive timeout that it announces, in seconds."""
 
     id: str
     stage: str = ""  # prefill, decode, or empty for a plain service
@@ -111,7 +111,7 @@
         return await self._serve(seen, reader, writer, fault)
 
     def _next_fault(self, seen: ReceivedRequest) -> Fault | None:
-        """The next scripted fault, or the one of a request for another instance."""
+        """Return the next scripted fault; without one, MISDIRECT for a request to another instance."""
         fault = self.script.popleft() if self.script else None
         if fault is None and seen.headers.get("target-instance", self.id) != self.id:
             return Fault.MISDIRECT
--- a/mallowbeam/standins/server.py
+++ b/mallowbeam/standins/server.py
@@ -35,7 +35,7 @@
         raise NotImplementedError
 
     def listen(self) -> None:
-        """Start listening; after `die` at the same address as before."""
+        """Start listening; after `die`, on the same address as before."""
 
         async def start() -> None:
             self._server = await self.loop.create_server(lambda: Connection(self), *self.address)
--- a/mallowbeam/standins/store.py
+++ b/mallowbeam/standins/store.py
@@ -17,7 +17,7 @@
     path: str
     token: str  # idempotency key; empty: none
     etag: str  # of the body
-    deduped: bool = False  # not executed: repeat of an earlier request
+    deduped: bool = False  # not executed: the key of an earlier request was repeated
 
 
 @dataclass(slots=True)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,17 +16,17 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    """Which of the tests listed in `KNOWN-RED.txt` to run; `.ci/run` runs them apart from all others."""
+    """Add the option for the tests listed in `KNOWN-RED.txt`; `.ci/run` runs them separately."""
     parser.addoption(
         "--known-red",
         choices=("run", "leave-out", "only"),
         default="run",
-        help="the tests listed in KNOWN-RED.txt: run as others, left out, or run alone",
+        help="tests listed in KNOWN-RED.txt: run them like all others, leave them out, or run only them",
     )
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Take the listed tests out, or all others."""
+    """Deselect the listed tests (`leave-out`) or all others (`only`)."""
     choice = config.getoption("--known-red")
     if choice == "run":
         return
--- a/tests/support/compare_with_release.py
+++ b/tests/support/compare_with_release.py
@@ -1,15 +1,15 @@
-"""Whether the scheduler does, byte for byte, what it did in another version of the project.
+"""Checks that the scheduler behaves byte for byte as in another version of the project.
 
     PYTHONPATH=. python tests/support/compare_with_release.py RELEASE [RUNS] [FIRST SEED]
 
 `RELEASE` is a checkout of version 63262d5 or of one with the same module names (`mallowbeam.interface`,
-`mallowbeam.control`, `mallowbeam.wirehost`).  Two comparisons, on drawn runs of 3,000 steps each:
+`mallowbeam.control`, `mallowbeam.wirehost`).  Two comparisons, on random runs of 3,000 steps each:
 
-- *actions*: events go into both schedulers, which run in processes of their own; every action is written out
-  with all digits and compared.  The processor time of both is measured.
-- *wire*: the simulator's lines go into both programs' simulator hosts; what they write is compared.
+- *actions*: both schedulers receive the same events, each in its own process; every action is written with
+  all digits and compared.  The processor time of both is measured.
+- *wire*: both simulator hosts receive the same lines of the simulator; their output is compared.
 
-Exit status 1 with the first difference, else 0 and the figures.
+Exits with status 1 and the first difference, else with 0 and the figures.
 """
 
 from __future__ import annotations
@@ -81,7 +81,7 @@
         )
 
     def replay(self, run: Run) -> tuple[str, float]:
-        """The actions of a run, and the seconds of processor time that they took."""
+        """Return the actions of a run, and the processor time in seconds that they took."""
         packed = msgspec.msgpack.encode({"settings": to_recorded(run[0])[1], "steps": packed_steps(run)})
         self.process.stdin.write(b"%d\n" % len(packed) + packed)
         self.process.stdin.flush()
@@ -96,7 +96,7 @@
 
 
 def replay_here(run: Run) -> tuple[str, float]:
-    """The same by this tree."""
+    """Replay a run with this tree's scheduler; returns the same as `ReleaseReplay.replay`."""
     settings, steps = run
     scheduler, text, spent = Scheduler(settings, steps[0][0]), [], 0.0
     for now, events in steps:
@@ -124,7 +124,7 @@
 
 
 def compare_actions(release: Path, seeds: range) -> str:
-    """Replay drawn runs in both; the figures as a line of text."""
+    """Replay random runs in both versions; returns the figures as a line of text."""
     other = ReleaseReplay(release)
     kinds: Counter[str] = Counter()
     events, before, after = 0, 0.0, 0.0
@@ -148,7 +148,7 @@
 
 
 class WireRecorder(io.TextIOBase):
-    """Plays the simulator against this tree's host: its lines are drawn, and follow from what was written."""
+    """Plays the simulator to this tree's host: its lines are random and depend on the host's output."""
 
     def __init__(self, seed: int) -> None:
         super().__init__()
@@ -158,18 +158,18 @@
         self.attempts: dict[str, int] = {}
         self.in_flight: list[tuple[float, str, int, str, float]] = []  # ends at, request, attempt, node, sent
         self.timers: list[tuple[float, str]] = []
-        self.lines: list[str] = []  # everything that the host was told
+        self.lines: list[str] = []  # all lines that the host has read
         self.written = io.StringIO()
         self.pending = self.batches()
 
     def readline(self, size: int | None = -1) -> str:  # noqa: ARG002
-        """The next line for the host."""
+        """Return the next line for the host."""
         line = next(self.pending, "")
         self.lines.append(line)
         return line
 
     def write(self, text: str) -> int:
-        """Take in what the host wrote."""
+        """Process the host's output."""
         for line in text.splitlines():
             kind, *parts = line.split(" ")
             if kind == "PLACE":
@@ -181,10 +181,10 @@
         return self.written.write(text)
 
     def flush(self) -> None:
-        """Nothing is kept back."""
+        """Do nothing: output is not buffered."""
 
     def batches(self) -> Iterator[str]:
-        """The start, and a batch for each step."""
+        """Yield the start-up batch, then one batch for each step."""
         yield f"TICK {self.now}\n"
         yield f"NEW_INSTANCE host/0 {self.draw.getrandbits(32)} {' '.join(self.settings())}\n"
         nodes = self.draw.randint(3, 10)
@@ -199,7 +199,7 @@
             yield "EOF_BATCH\n"
 
     def settings(self) -> list[str]:
-        """Start-up pairs in which rules come and go."""
+        """Return start-up settings with a random choice of rules."""
         pick = self.draw.choice
         classes = [
             ("read", 3.0, 0.3, 1.5, "safe", "all", "false"),
@@ -254,12 +254,12 @@
         return pairs
 
     def node(self, number: int, state: str) -> str:
-        """A line of a list."""
+        """Return the line of one node in a membership list."""
         started = self.draw.choice(("-", "-", f"{self.now:.6f}"))
         return f"NODE {state} {number % 5} hall-{number % 3} {started} box 1.0 n{number}\n"
 
     def events(self, nodes: int) -> Iterator[str]:
-        """What happens in one step."""
+        """Yield the lines of one step."""
         self.timers.sort()
         while self.timers and self.timers[0][0] <= self.now:
             yield f"BELL host/0 {self.timers.pop(0)[1]}\n"
@@ -285,17 +285,17 @@
                 yield self.node(number, self.draw.choice(("live", "live", "live", "quiescing", "dead")))
         elif chosen < 0.05 and self.in_flight:
             _, request, number, node, _ = self.draw.choice(self.in_flight)
-            gone, streamed = (
+            abandoned, response_head = (
                 f"ABANDONED host/0 {request}\n",
                 f"HEADERS host/0 {request} {node} 0.04 {number}\n",
             )
-            yield self.draw.choice((gone, streamed))
+            yield self.draw.choice((abandoned, response_head))
         else:
             for _ in range(self.draw.choice((1, 1, 1, 4))):
                 yield self.request()
 
     def request(self) -> str:
-        """A request's line."""
+        """Return the line of a new request."""
         self.requests += 1
         name = self.draw.choice(("read", "read", "new-write", "log", "ordered"))
         key = f"k{self.draw.randrange(3)}" if name == "ordered" else f"{self.draw.randrange(400):016x}"
@@ -307,13 +307,13 @@
 
 
 def compare_wire(release: Path, seeds: range) -> str:
-    """Feed drawn lines to both simulator hosts; the figures as a line of text."""
-    told, wrote = 0, 0
+    """Feed random lines to both simulator hosts; returns the figures as a line of text."""
+    line_count, byte_count = 0, 0
     for seed in seeds:
         recorder = WireRecorder(seed)
         with redirect_stdout(sys.stderr):
             Wire(recorder, recorder).run()
-        found = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", RELEASE_MODULES[2]],
             cwd=release,
             env=os.environ | {"PYTHONPATH": str(release), "PYTHONDONTWRITEBYTECODE": "1"},
@@ -324,9 +324,9 @@
         new = recorder.written.getvalue()
         if "BROKEN" in new:
             sys.exit(f"wire seed {seed}: {new[new.index('BROKEN') :].splitlines()[0]}")
-        first_difference(found.stdout.decode(), new, f"wire seed {seed}")
-        told, wrote = told + len(recorder.lines), wrote + len(new)
-    return f"wire: {len(seeds)} runs, {told} lines in, {wrote} bytes out, the same byte for byte"
+        first_difference(completed.stdout.decode(), new, f"wire seed {seed}")
+        line_count, byte_count = line_count + len(recorder.lines), byte_count + len(new)
+    return f"wire: {len(seeds)} runs, {line_count} lines in, {byte_count} bytes out, the same byte for byte"
 
 
 def main(release: Path, runs: int = 20, first: int = 0) -> None:
--- a/tests/support/configuration_costs.py
+++ b/tests/support/configuration_costs.py
@@ -1,4 +1,4 @@
-"""Measures parsing, differences and updates: ``PYTHONPATH=. python tests/support/configuration_costs.py``."""
+"""Measures parsing, diffs and updates: ``PYTHONPATH=. python tests/support/configuration_costs.py``."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def milliseconds(function: Callable[[], object]) -> float:
-    """The median duration of a call, in milliseconds."""
+    """Return the median duration of a call, in milliseconds."""
     times = []
     for _ in range(REPEATS):
         start = time.perf_counter()
@@ -29,7 +29,7 @@
 
 
 def measure(routes: int) -> dict[str, float]:
-    """Times in milliseconds and sizes in KB, for documents of `routes` routes that differ in one route."""
+    """Return times (ms) and sizes (KB) for documents of `routes` routes that differ in one route."""
     old_body = body_of(large_document(routes))
     document = large_document(routes, revision=8)
     document["routes"][routes // 2]["timeout_ms"] += 1
--- a/tests/support/doc_references.py
+++ b/tests/support/doc_references.py
@@ -1,8 +1,8 @@
-"""References of the documentation to files, tests and symbols, and whether the tree has them.
+"""Finds references in the documentation to files, tests and symbols that the tree does not have.
 
-What counts as a reference, always in backticks: a path with the ending of a tracked kind of file; a test id
-(`module::Class::test`, without `test_` and `.py` as well); parts of a test's name between dots
-(`..._part_of_a_name_...`); a symbol right behind a path (`` `path.py` `symbol` ``).
+These count as references, always in backticks: a path with a known file extension; a test id
+(`module::Class::test`, also without `test_` and `.py`); part of a test's name between ellipses
+(`..._part_of_a_name_...`); a symbol directly after a path (`` `path.py` `symbol` ``).
 """
 
 from __future__ import annotations
@@ -20,7 +20,11 @@
 TEST_ID = re.compile(r"`((?:[\w/.]+)?(?:\.\.\.)?)::(\w+)(?:::(\w+))?[^`]*`")
 PART_OF_NAME = re.compile(r"`(?:[\w/]*test_\w+)?\.\.\._?(\w+?)_?(?:\.\.\.)?(?:\[[^`]*\])?`")
 DEFINED = re.compile(r"^\s*(?:async )?(?:def|class) (\w+)|^\s*(\w+)(?:: [^=]+)? = ", re.MULTILINE)
-HISTORY = ("CHANGELOG.md", "docs/readers-tests.md", "docs/readers.md")  # these name what was there before
+HISTORY = (
+    "CHANGELOG.md",
+    "docs/readers-tests.md",
+    "docs/readers.md",
+)  # these may name files and symbols of earlier versions
 FILES_OF_A_RUN = frozenset(
     ("config.json", "fronts.json", "settings.toml", "log.txt", "/etc/mallowbeam/settings.toml", "LATER.md")
 )
@@ -28,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StaleReference:
-    """A reference to something that the tree doesn't have."""
+    """A reference to a file, test or symbol that the tree does not have."""
 
     page: str
     line: int
     reference: str
 
     def __str__(self) -> str:
-        """As an editor opens it."""
+        """Return ``page:line: reference``, which editors can open."""
         return f"{self.page}:{self.line}: {self.reference}"
 
 
@@ -49,12 +53,12 @@
 
     @classmethod
     def of_checkout(cls) -> Tree:
-        """All files that git tracks."""
+        """Return the tree of all files that git tracks."""
         return cls(tuple(subprocess.check_output(["git", "ls-files"], cwd=ROOT, text=True).split()))
 
     @cached_property
     def by_tail(self) -> dict[str, list[str]]:
-        """Files by each end of their paths, beginning at a folder."""
+        """Files by each trailing part of their paths."""
         found: dict[str, list[str]] = {}
         for path in self.files:
             parts = path.split("/")
@@ -64,17 +68,17 @@
 
     @cached_property
     def test_names(self) -> str:
-        """The names of all tests, a line each."""
+        """All names defined in the test modules, one per line."""
         modules = [path for path in self.files if path.startswith("tests/") and path.endswith(".py")]
         return "\n".join(name for path in modules for name in self.definitions(path))
 
     def pages(self) -> list[str]:
-        """The pages whose references must hold."""
+        """Return the pages whose references must exist."""
         pages = [path for path in self.files if path.endswith(".md") and not path.startswith("journal/")]
         return [page for page in pages if page not in HISTORY]
 
     def definitions(self, path: str) -> frozenset[str]:
-        """Functions, classes and assigned names of a module."""
+        """Return the functions, classes and assigned names of a module."""
         if path not in self._definitions:
             text = (self.root / path).read_text()
             self._definitions[path] = frozenset(
@@ -83,7 +87,7 @@
         return self._definitions[path]
 
     def stale(self, page: str, text: str) -> Iterator[StaleReference]:
-        """References of a page's text that lead nowhere."""
+        """Yield the references of a page's text that the tree does not have."""
         module = ""
         for number, line in enumerate(text.splitlines(), 1):
             for match in PATH.finditer(line):
--- a/tests/support/large_bodies_load.py
+++ b/tests/support/large_bodies_load.py
@@ -1,11 +1,11 @@
-"""Callers that send large configurations at once to real members on loopback, each a process of its own.
+"""Sends large configurations concurrently to real members on loopback, each in its own process.
 
     PYTHONPATH=. python tests/support/large_bodies_load.py UP CALLERS SECONDS [MOST_TAKEN] [BYTES]
 
-Of three members `UP` are up. Each caller sends one configuration of random text until its answer is clear,
-turning to another member after each answer that is not, and then the next one. It ends after `SECONDS`, or
-once `MOST_TAKEN` changes were taken. Prints a JSON object: changes taken, answers by status (0: none), each
-member's peak memory in MiB, and the seconds that all took.
+Of three members, `UP` are running. Each caller sends a configuration of random text, retries it on another
+member after each inconclusive answer, and then sends the next one. The run ends after `SECONDS`, or once
+`MOST_TAKEN` changes have been committed. Prints a JSON object: committed changes, answers by status (0: no answer), each
+member's peak memory in MiB, and the total seconds.
 """
 
 from __future__ import annotations
@@ -22,66 +22,66 @@
 from system_bulk import TEXT
 
 MEMBERS = 3
-BODY = 4 * 1024 * 1024 - 4096  # bytes of text; the rest of a configuration has room beside it
-PAUSE_S = 0.2  # after a 503, as its Retry-After asks, and after a change was another's
-KIBIBYTES = 1024  # in a MiB
-LETTERS = bytes(TEXT[code % len(TEXT)] for code in range(256))  # one for each byte
+TEXT_BYTES = 4 * 1024 * 1024 - 4096  # leaves room for the rest of a configuration
+PAUSE_S = 0.2  # after a 503, as its Retry-After asks, and after losing to another caller's change
+KIB_PER_MIB = 1024
+TEXT_TABLE = bytes(TEXT[code % len(TEXT)] for code in range(256))  # maps each byte to a character of TEXT
 
 
 class Load:
-    """The callers, and what they were answered."""
+    """The callers, and counts of the answers that they received."""
 
     def __init__(self, rig: Rig, seconds: float, most_taken: int, size: int) -> None:
         self._machines = rig.running()
         self._ends_at = time.monotonic() + seconds
         self._most_taken, self._size = most_taken, size
         self._lock = threading.Lock()
-        self.revision = 0  # of the last change that was taken
+        self.revision = 0  # of the last committed change
         self.statuses: Counter[int] = Counter()
 
     def run(self, callers: int) -> None:
-        """All callers, until the last one has ended."""
+        """Run all callers until the last one has ended."""
         threads = [threading.Thread(target=self._caller, args=(Random(number),)) for number in range(callers)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
 
-    def _over(self) -> bool:
+    def _is_over(self) -> bool:
         return time.monotonic() > self._ends_at or self.revision >= self._most_taken
 
     def _caller(self, random: Random) -> None:
-        while not self._over():
+        while not self._is_over():
             based_on = self.revision
             change = configuration(based_on + 1) | {"note": self._text(random)}
             self._send(random, json.dumps(change).encode(), based_on)
 
     def _text(self, random: Random) -> str:
-        return random.randbytes(self._size).translate(LETTERS).decode()
+        return random.randbytes(self._size).translate(TEXT_TABLE).decode()
 
     def _send(self, random: Random, body: bytes, based_on: int) -> None:
-        """One change to one member after another, until it is known what became of it."""
+        """Send one change to one member after another, until its outcome is known."""
         position = random.randrange(len(self._machines))
-        while not self._over():
+        while not self._is_over():
             answer = self._call(self._machines[position % len(self._machines)], body, based_on)
             position += 1
             if answer.status == 200:
-                self._taken(based_on + 1)
+                self._record_revision(based_on + 1)
                 return
             time.sleep(PAUSE_S)
             if answer.status not in INCONCLUSIVE_STATUSES:
-                self.look()
+                self.read_revisions()
                 return
 
-    def _taken(self, revision: int) -> None:
+    def _record_revision(self, revision: int) -> None:
         with self._lock:
             self.revision = max(self.revision, revision)
 
-    def look(self) -> None:
-        """See what was taken without its caller's having learned of it."""
+    def read_revisions(self) -> None:
+        """Read the members' revisions, to count commits whose caller received no conclusive answer."""
         for machine in self._machines:
             page = machine.status()
-            self._taken(page["revision"] if page is not None else 0)
+            self._record_revision(page["revision"] if page is not None else 0)
 
     def _call(self, machine: Machine, body: bytes, based_on: int) -> Answer:
         answer = machine.call("PUT", "/mallowbeam/config", body, {"If-Match": str(based_on)})
@@ -91,17 +91,17 @@
 
 
 def peak_mib(machine: Machine) -> float:
-    """The largest resident memory that a member's process has had."""
+    """Return the peak resident memory of a member's process, in MiB."""
     assert machine.process is not None
     status = Path(f"/proc/{machine.process.pid}/status").read_text()
     line = next(line for line in status.splitlines() if line.startswith("VmHWM"))
-    return round(int(line.split()[1]) / KIBIBYTES, 1)
+    return round(int(line.split()[1]) / KIB_PER_MIB, 1)
 
 
 def main() -> None:
     up, callers, seconds = int(sys.argv[1]), int(sys.argv[2]), float(sys.argv[3])
     most_taken = int(sys.argv[4]) if len(sys.argv) > 4 else sys.maxsize
-    size = int(sys.argv[5]) if len(sys.argv) > 5 else BODY
+    size = int(sys.argv[5]) if len(sys.argv) > 5 else TEXT_BYTES
     rig = Rig(MEMBERS)
     try:
         rig.start()
@@ -112,7 +112,7 @@
         load = Load(rig, seconds, most_taken, size)
         began = time.monotonic()
         load.run(callers)
-        load.look()
+        load.read_revisions()
         print(
             json.dumps(
                 {
--- a/tests/support/project_paths.py
+++ b/tests/support/project_paths.py
@@ -1,4 +1,4 @@
-"""Folders of the checkout that tests and their helpers read, so that no file counts its own depth."""
+"""Folders of the checkout, so that tests and helpers need not derive them from their own paths."""
 
 from __future__ import annotations
 
--- a/tests/support/simulated.py
+++ b/tests/support/simulated.py
@@ -1,7 +1,7 @@
-"""Gateways' watches on a simulated clock: real `Gateway`, `Watch`, `Link` and module, a stand-in discovery.
+"""Runs the discovery watches of gateways on a simulated clock, against a stand-in discovery service.
 
-The loop's clock jumps to the next timer, so minutes of a fleet take a second and the same seed gives the same
-run.  Only the socket is a stand-in: `Wire` takes the place of a channel, beneath the real framing.
+`Gateway`, its watch, `Link` and the framing are real; `Wire` replaces only the socket channel. The loop's
+clock jumps to the next timer, so minutes of a fleet take a second and the same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 from mallowbeam.storage_gateway.server import config as configs
 from mallowbeam.storage_gateway.server.gateway import Gateway
 
-QUEUE = 1.0  # seconds that a call waits in discovery's queue before it is turned away, at most
+QUEUE = 1.0  # longest time in seconds that a call waits in discovery's queue before it is rejected
 
 
 class Jumping(asyncio.SelectorEventLoop):
-    """A loop whose clock jumps to the next timer: no real time passes."""
+    """An event loop whose clock jumps to the next timer, so that no real time passes."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.at, real = 100.0, self._selector.select
+        self.at, real_select = 100.0, self._selector.select
 
         def select(timeout: float | None = None) -> list:
-            assert timeout is not None, "nothing will ever happen again"
+            assert timeout is not None, "no timer is pending: the simulation would wait forever"
             self.at += timeout
-            return real(0)
+            return real_select(0)
 
         self._selector.select = select
 
@@ -44,91 +44,91 @@
 
 
 def simulate(main: Callable[[], Awaitable]) -> object:
-    """Run to the end on a simulated clock."""
+    """Run `main` to its end on a simulated clock."""
     with asyncio.Runner(loop_factory=Jumping) as runner:
         return runner.run(main())
 
 
 class Wire:
-    """A connection to the stand-in, in the place of a channel."""
+    """A connection to the stand-in service; replaces the socket channel."""
 
     def __init__(self, service: Service, max_body: int) -> None:
         self.service, self.framer = service, Framer(answers=True, max_body=max_body)
         self.bytes_sent = 0
-        self.coming: asyncio.Queue[bytes | None] = asyncio.Queue()
+        self.received: asyncio.Queue[bytes | None] = asyncio.Queue()
         self.task: asyncio.Task | None = None
-        self.served = False  # a call that follows on it continues a watch
+        self.served = False  # a later call on this connection continues a watch
 
     async def send(self, data: bytes) -> None:
-        """A whole request."""
+        """Start answering a request; `data` holds the complete request."""
         since = re.search(rb"since=(\d+)&timeout_ms=(\d+)", data)
         call = (int(since[1]), int(since[2]) / 1000) if since else (None, 0.0)
         self.task = asyncio.create_task(self.service.answer(self, *call))
 
     async def receive(self) -> bool:
-        """What comes back: bytes, the end (empty), or a reset (None)."""
-        data = await self.coming.get()
+        """Feed received bytes to the framer; False at the end of the stream, raises ConnectionResetError."""
+        data = await self.received.get()
         if data is None:
             raise ConnectionResetError("reset")
         self.framer.feed(memoryview(data))
         return bool(data)
 
     def put(self, status: int, body: bytes, sent: float = 1.0) -> None:
-        """An answer, or the first part of one."""
+        """Queue the first `sent` (a fraction) of an answer."""
         whole = b"HTTP/1.1 %d OK\r\ncontent-length: %d\r\n\r\n%b" % (status, len(body), body)
-        self.coming.put_nowait(whole[: int(len(whole) * sent)])
+        self.received.put_nowait(whole[: int(len(whole) * sent)])
 
     def close(self) -> None:
-        """The gateway gives up what is out."""
+        """Cancel the call in flight."""
         if self.task is not None:
             self.task.cancel()
 
 
 @dataclass
 class Service:
-    """Discovery, or an agent: up at first, then failing in one way, then up with a newer list.
+    """Discovery, or an agent: first available, then failing in one way, then available with a newer list.
 
-    A call that began while it failed stays as it is: the worst phase of a return.  `delay` gives the seconds
-    in its queue and whether a call is served.
+    A call that began during the outage keeps failing after it: the worst case of a recovery. `delay` returns
+    the seconds that a call waits in the queue and whether it is served.
     """
 
     failing: str
     delay: Callable[[], tuple[float, bool]]
     down: bool = False
     revision: int = 1
-    calls: list[float] = field(default_factory=list)  # when one reached it that continues no watch
-    changed: asyncio.Event = field(default_factory=asyncio.Event)  # it goes down, or has news
-    back: float = 0.0  # when it was up again
+    calls: list[float] = field(default_factory=list)  # arrival times of calls that do not continue a watch
+    changed: asyncio.Event = field(default_factory=asyncio.Event)  # set once the state changes
+    back: float = 0.0  # time of the last change, after the outage that of the recovery
 
     async def connect(self, address: str, timeout: float, max_body: int) -> Link:
-        """In the place of `upstream.connect`."""
+        """Replacement of `upstream.connect`."""
         if self.down and self.failing == "refused":
             raise RequestNotSentError("refused")
         if self.down and self.failing == "lost":
             await asyncio.sleep(timeout)
-            raise RequestNotSentError("the connection never came up")
+            raise RequestNotSentError("connecting timed out")
         return Link(Wire(self, max_body), address)
 
     async def answer(self, wire: Wire, since: int | None, wait: float) -> None:
-        """One call, to its end."""
+        """Answer one call, or fail it; `wait` is the long-poll timeout in seconds."""
         seconds, served = 0.0, True
         if not wire.served:
             self.calls.append(asyncio.get_running_loop().time())
         if not self.down:
             if not wire.served:
                 seconds, served = self.delay()
-            await self._unless_down(seconds)
+            await self._wait_for_change(seconds)
             if not self.down and not served:
                 return wire.put(503, b"")
             if not self.down and since is not None and since >= self.revision:
-                await self._unless_down(wait)  # or until there is news
+                await self._wait_for_change(wait)  # long poll: until the list changes
             if not self.down:
                 wire.served = True
                 text = {"revision": self.revision, "complete": True, "members": []}
                 return wire.put(200, json.dumps(text).encode())
         match self.failing:
             case "reset" | "refused":
-                wire.coming.put_nowait(None)
+                wire.received.put_nowait(None)
                 return None
             case "503":
                 await asyncio.sleep(QUEUE)
@@ -139,11 +139,11 @@
                 return None
             case "cut":
                 wire.put(200, b"x" * 100, sent=0.7)
-                wire.coming.put_nowait(b"")
+                wire.received.put_nowait(b"")
                 return None
-            # "silent", "lost": nothing comes, and nothing ends
+            # "silent", "lost": no answer, and the connection stays open
 
-    async def _unless_down(self, seconds: float) -> None:
+    async def _wait_for_change(self, seconds: float) -> None:
         try:
             async with asyncio.timeout(seconds):
                 await self.changed.wait()
@@ -151,7 +151,7 @@
             pass
 
     def turn(self, down: bool) -> None:
-        """Fail from now on, or be up again with a newer list."""
+        """Begin the outage, or end it with a newer list."""
         self.down, self.revision = down, self.revision + (not down)
         self.back = asyncio.get_running_loop().time()
         self.changed.set()
@@ -159,13 +159,13 @@
 
 
 class Turns:
-    """Discovery's queue: calls in turn, `rate` a second; who would wait longer than QUEUE is turned away."""
+    """Discovery's queue: serves `rate` calls a second in order; rejects calls that would wait over QUEUE."""
 
     def __init__(self, rate: float) -> None:
         self.work, self.free_at = 1.0 / rate, 0.0
 
     def __call__(self) -> tuple[float, bool]:
-        """How long a call that comes now waits, and whether it is served; one turned away costs work too."""
+        """Return how long a call waits from now, and whether it is served; a rejected call costs work too."""
         now = asyncio.get_running_loop().time()
         self.free_at = max(now, self.free_at) + self.work
         return min(QUEUE, self.free_at - now), self.free_at <= now + QUEUE
@@ -175,21 +175,21 @@
 CONFIG = configs.decode_config(RAW | {"known": RAW["known"] | {"members": []}}, {})
 
 
-def gateway(service: Service, told: Callable[[int], None], seed: int, hosts: int, pushed: bool) -> Gateway:
-    """A gateway that only watches; `told` gets the revision of each list taken in."""
+def gateway(service: Service, on_list: Callable[[int], None], seed: int, hosts: int, pushed: bool) -> Gateway:
+    """Build a gateway that only watches; `on_list` is called with the revision of each applied list."""
     config = CONFIG
     settings = replace(config.settings, seed=seed, hosts=hosts, discovery_on_request=not pushed)
     host = Gateway(replace(config, settings=settings))
     host.epoch, host.now = 0.0, asyncio.get_running_loop().time
     host.watch.draw = random.Random(seed).random
-    taken = host.update_nodes
+    update_nodes = host.update_nodes
 
     def listing(*args) -> None:
-        taken(*args)
-        told(args[0].revision)
+        update_nodes(*args)
+        on_list(args[0].revision)
 
     host.update_nodes = listing
-    taken(config.known, DiscoveryUpdateKind.CACHED)
+    update_nodes(config.known, DiscoveryUpdateKind.CACHED)
     if pushed:
         host.watch.begin()
     return host
@@ -198,29 +198,33 @@
 async def outage(
     service: Service, rng: random.Random, hosts: int, pushed: bool = False, alive: int | None = None
 ) -> list[float | None]:
-    """A fleet, or `alive` of it, through one outage: seconds from its end to when each has the news.
+    """Run a fleet, or `alive` gateways of it, through one outage.
 
-    They start over 4 s; the outage takes 2 to 18 s.
+    The gateways start over 4 s; the outage takes 2 to 18 s.
+
+    Returns:
+        For each gateway the seconds from the end of the outage until it has the newer list; None if it has
+        not received it within 30 s.
     """
-    loop, told = asyncio.get_running_loop(), {}
+    loop, received_at = asyncio.get_running_loop(), {}
     fleet: list[Gateway] = []
 
-    def start(n: int) -> None:
-        def heard(revision: int) -> None:
+    def start(number: int) -> None:
+        def on_list(revision: int) -> None:
             if revision > 1:
-                told.setdefault(n, loop.time())
+                received_at.setdefault(number, loop.time())
 
-        fleet.append(gateway(service, heard, rng.randrange(1 << 30), hosts, pushed))
+        fleet.append(gateway(service, on_list, rng.randrange(1 << 30), hosts, pushed))
 
     count = alive or hosts
-    for n in range(count):
-        loop.call_later(4.0 * rng.random(), start, n)
+    for number in range(count):
+        loop.call_later(4.0 * rng.random(), start, number)
     await asyncio.sleep(6.0 + 4.0 * rng.random())
     service.turn(down=True)
     await asyncio.sleep(2.0 + 16.0 * rng.random())
     service.turn(down=False)
-    while len(told) < count and loop.time() < service.back + 30.0:
+    while len(received_at) < count and loop.time() < service.back + 30.0:
         await asyncio.sleep(0.5)
     for host in fleet:
         host.watch.pause()
-    return [told[n] - service.back if n in told else None for n in range(count)]
+    return [received_at[number] - service.back if number in received_at else None for number in range(count)]
--- a/tests/support/snapshot_load.py
+++ b/tests/support/snapshot_load.py
@@ -1,9 +1,9 @@
-"""A member's log, disk writer and real store under large configurations that do not compress, in one process.
+"""Loads a member's log, disk writer and real store with large incompressible configurations, in one process.
 
     python tests/support/snapshot_load.py COUNT BYTES [DISK_MB]        with PYTHONPATH=.
 
-Prints a JSON object: peak memory of the process and largest size of the store, in MiB, what a restart reads
-back, and the seconds that all took.
+Prints a JSON object: peak memory of the process and largest size of the store, in MiB, the revision and
+entries that a restart reads back, and the total seconds.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 from mallowbeam.router.control_plane.storage_writer import StorageWriter
 from mallowbeam.router.rpc.messages_pb2 import DONE, Command, Member, Membership, PutConfiguration, Snapshot
 
-OWN = 1
+MEMBER_ID = 1
 CALLERS = 8  # concurrent operators
-MEBIBYTE = 1 << 20
-FOUNDERS = Membership(members=[Member(id=OWN, voter=True)], target_voters=1)
-FIRST = Snapshot(index=1, term=1, membership=FOUNDERS)
+MIB_BYTES = 1 << 20
+INITIAL_MEMBERSHIP = Membership(members=[Member(id=MEMBER_ID, voter=True)], target_voters=1)
+INITIAL_SNAPSHOT = Snapshot(index=1, term=1, membership=INITIAL_MEMBERSHIP)
 
 
 class Listener:
@@ -63,30 +63,30 @@
 
     async def run(self, count: int, size: int) -> None:
         store = ReplicaStore.open(self.folder, self.disk_mb)
-        store.create(OWN, FIRST)
+        store.create(MEMBER_ID, INITIAL_SNAPSHOT)
         self.machine = machine = ReplicatedStateMachine(ConfigurationParser(), lambda _: None)
         disk = StorageWriter(store, lambda writes: self.driver.writes_durable(writes))
-        settings = RaftSettings(OWN, trailing_entries=TRAILING_ENTRIES)
+        settings = RaftSettings(MEMBER_ID, trailing_entries=TRAILING_ENTRIES)
         node = RaftNode(settings, store.load(), time.monotonic(), Random(1))
         self.driver = RaftDriver(node, machine, disk.submit, lambda recipient, message: None, Listener())
         disk.start()
         self.driver.start()
         while not self.driver.is_leader:
             await asyncio.sleep(0.01)
-        waiting = iter(range(count))
-        await asyncio.gather(*(self._caller(waiting, size) for _ in range(CALLERS)))
+        numbers = iter(range(count))
+        await asyncio.gather(*(self._caller(numbers, size) for _ in range(CALLERS)))
         await disk.stop(30.0)
         store.close()
 
     async def _caller(self, numbers, size: int) -> None:
-        """Make one change after another, each until it is accepted; all are based on the latest revision."""
+        """Propose one change after another, retrying each on the latest revision until it is accepted."""
         for _ in numbers:
             body = os.urandom(size)
             while not await self._change(body):
                 pass
 
     async def _change(self, body: bytes) -> bool:
-        """Whether the change was accepted: not if another was first, or a slow disk has ended the term."""
+        """Propose a change; returns False if another was first, or a slow disk has ended the term."""
         based_on = self.machine.configurations.revision
         put = PutConfiguration(body=body, based_on=based_on, digest=os.urandom(16), revision=based_on + 1)
         try:
@@ -100,7 +100,7 @@
 
 
 def peak_kib() -> int:
-    """Peak memory of this program. `getrusage` would count that of the process which started it, too."""
+    """Return this process's peak memory in KiB; `getrusage` would include that of its parent process."""
     status = Path("/proc/self/status").read_text()
     line = next(line for line in status.splitlines() if line.startswith("VmHWM:"))
     return int(line.split()[1])
@@ -127,7 +127,7 @@
                 "taken": load.machine.configurations.revision,
                 "refused": load.refused,
                 "peak_mib": round(peak, 1),
-                "file_mib": round(load.largest_file / MEBIBYTE, 1),
+                "file_mib": round(load.largest_file / MIB_BYTES, 1),
                 "revision_read_back": machine.configurations.revision,
                 "entries_read_back": len(restored.entries),
                 "seconds": round(time.monotonic() - began, 1),
--- a/tests/support/system_cli.py
+++ b/tests/support/system_cli.py
@@ -1,4 +1,4 @@
-"""Stand-in members on loopback, and a way to run the fleet's command line against them."""
+"""Stand-in members on loopback, and a test case that runs the fleet's command line against them."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 
 class FakeTime:
-    """A clock that only sleeping and being read move on."""
+    """A clock that advances only when it is read or slept on."""
 
     def __init__(self) -> None:
         self.now, self.pauses = 0.0, []
@@ -90,7 +90,10 @@
 
 
 class StandIn:
-    """A member whose answers are given: `answer(method, path)` returns status, document and headers."""
+    """A member with scripted answers: `answer(method, path)` returns status, document and headers.
+
+    If it returns None, the connection is closed without an answer.
+    """
 
     def __init__(self, answer: Callable[[str, str], ANSWER | None]) -> None:
         self.calls: list[tuple[str, str, dict[str, str], bytes]] = []
@@ -101,7 +104,7 @@
                 body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
                 stand_in.calls.append((self.command, self.path, dict(self.headers), body))
                 given = answer(self.command, self.path)
-                if given is None:  # closed without an answer
+                if given is None:
                     self.close_connection = True
                     return
                 status, document, headers = given
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests known to fail: exact ids, whole lines, nothing stale."""
+"""Tests the list of tests known to fail: complete lines, exact test ids, no unknown tests."""
 
 from __future__ import annotations
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Who may import whom: no circles; `server/` knows nothing that stands on it, `http/` only the errors."""
+"""Checks imports between modules: no cycles; `server/` and `http/` import only what is below them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def name_of(path: Path) -> str:
-    """A file's name as a module."""
+    """Return the module name of a file."""
     return ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
 
 
@@ -29,7 +29,7 @@
 
 
 def imported(tree: ast.AST) -> set[str]:
-    """The project's modules that a file imports, late ones and those for types alone included."""
+    """Return the project's modules that a file imports, also in functions and for type checking."""
     found = set()
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
@@ -43,7 +43,7 @@
 
 
 def check(graph: dict[str, set[str]]) -> None:
-    """Raise an error that names a circle, if there is one."""
+    """Raise AssertionError with an import cycle, if there is one."""
     try:
         TopologicalSorter(graph).prepare()
     except CycleError as error:
