--- a/tests/support/doc_references.py
+++ b/tests/support/doc_references.py
@@ -20,11 +20,7 @@
 TEST_ID = re.compile(r"`((?:[\w/.]+)?(?:\.\.\.)?)::(\w+)(?:::(\w+))?[^`]*`")
 PART_OF_NAME = re.compile(r"`(?:[\w/]*test_\w+)?\.\.\._?(\w+?)_?(?:\.\.\.)?(?:\[[^`]*\])?`")
 DEFINED = re.compile(r"^\s*(?:async )?(?:def|class) (\w+)|^\s*(\w+)(?:: [^=]+)? = ", re.MULTILINE)
-HISTORY = (
-    "CHANGELOG.md",
-    "docs/readers-tests.md",
-    "docs/readers.md",
-)  # these may name files and symbols of earlier versions
+HISTORY = ("CHANGELOG.md", "docs/readers-tests.md", "docs/readers.md")  # may name removed files and symbols
 FILES_OF_A_RUN = frozenset(
     ("config.json", "fronts.json", "settings.toml", "log.txt", "/etc/mallowbeam/settings.toml", "LATER.md")
 )
@@ -68,7 +64,7 @@
 
     @cached_property
     def test_names(self) -> str:
-        """All names defined in the test modules, one per line."""
+        """All names defined in the modules below `tests/`, one per line."""
         modules = [path for path in self.files if path.startswith("tests/") and path.endswith(".py")]
         return "\n".join(name for path in modules for name in self.definitions(path))
 
--- a/tests/support/large_bodies_load.py
+++ b/tests/support/large_bodies_load.py
@@ -4,8 +4,8 @@
 
 Of three members, `UP` are running. Each caller sends a configuration of random text, retries it on another
 member after each inconclusive answer, and then sends the next one. The run ends after `SECONDS`, or once
-`MOST_TAKEN` changes have been committed. Prints a JSON object: committed changes, answers by status (0: no answer), each
-member's peak memory in MiB, and the total seconds.
+`MOST_TAKEN` changes have been committed. Prints a JSON object: committed changes, answers by status (0: no
+answer), each member's peak memory in MiB, and the total seconds.
 """
 
 from __future__ import annotations
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(
     "script",
     [("mixed_fleet.py", "--leader", "new"), ("mixed_storage_gateways.py", "--buffer", "off")],
-    ids=lambda script: script[0],
+    ids=lambda command: command[0],
 )
 def test_a_short_trial_ends_without_a_violation(script):
     name, *options = script
