--- a/mallowbeam/simulation/fleet.py
+++ b/mallowbeam/simulation/fleet.py
@@ -1,30 +1,32 @@
-"""Scenarios of the whole router fleet: members, gateways reduced to their feeds, instances and operators.
+"""Scenarios of the whole router fleet: members, gateways that run only their feed, instances and operators.
 
 Declarations, in this order: ``members M...`` (the first three are the seeds), ``gateways G...``,
-``instances I...``. All start within 0.3 s. Commands, besides those of
-:mod:`mallowbeam.simulation.machine_scenarios`, in which ``leader`` and ``followers`` also denote members::
+``instances I...``. All start within 0.3 s. Besides the
+commands of :mod:`mallowbeam.simulation.machine_scenarios`, in which ``leader`` and ``followers`` also denote
+members, there are these commands::
 
-    at 1 put REVISION on BASED [via M] [by NAME]   an operator submits a configuration until there is a
-                                          final answer, to member M first
+    at 1 put REVISION on BASED [via M] [by NAME]   an operator submits a configuration, to member M first,
+                                          and retries until it gets a final answer
     at 1 get [via M]                      the operator reads the configuration back
     at 1 again REVISION                   the operator submits an accepted configuration again
-    at 1 call I M                         an instance's next request goes to this member
-    at 1 launch-gateway G                 a new gateway
+    at 1 call I M                         an instance sends its next request to this member
+    at 1 launch-gateway G                 add and start a gateway
     at 1 seeds G M...                     a gateway has these seeds after its next start
     at 1 lose-answers NAME RATE           answers to an operator are lost with this probability
-    at 1 drain I      delete I            an instance reports that it is draining, or has ended
-    at 1 launch I                         a new instance
+    at 1 drain I      delete I            an instance reports that it is draining, or that it ends
+    at 1 launch I                         add and start an instance
     at 1 wipe M                           a member loses its disk and is restarted
-    at 1 add M                            a new machine with an empty disk
-    at 1 operator NAME                    another operator, for `put ... by NAME`
+    at 1 add M                            add and start a member with an empty disk
+    at 1 operator NAME                    add an operator, for `put ... by NAME`
     at 1 term M                           a member gets SIGTERM and shuts down gracefully
 
 Conditions: ``leader``; ``no-leader``; ``voters N``; ``voters complete``; ``taken|refused|pending REVISION``;
 ``one-taken REVISION REVISION``; ``read REVISION``; ``acknowledged I`` (its drain or end);
 ``WHO revision N``; ``G ready``; ``G I ready|draining|absent``; ``G gateways N``.
 
-Invariants of every scenario: a term has at most one leader, the configuration of a gateway never goes back,
-an acknowledged configuration is read back, no task of a process fails unhandled, and the checks of
+Invariants of every scenario: a term has at most one leader, the configuration revision of a gateway never
+decreases while its process runs, an acknowledged configuration is read back, no task of a process raises an
+unhandled exception, and the checks of
 :mod:`mallowbeam.simulation.fleet_history` and :data:`mallowbeam.simulation.fleet_checkers.ALWAYS` pass.
 """
 
@@ -52,7 +54,7 @@
 from mallowbeam.simulation.scenario import ViolationError
 
 SEEDS = 3  # members that settings name as seeds
-START_WITHIN_S = 0.3  # longest random delay of a start
+START_WITHIN_S = 0.3  # longest random delay before a machine starts
 
 
 def term_of(member: SimulatedMember) -> int:
@@ -72,7 +74,7 @@
         self.gateways: dict[str, SimulatedGateway] = {}
         self.instances: dict[str, SimulatedInstance] = {}
         self.history = History()
-        self.target_size = 0  # members that the fleet is meant to have
+        self.target_size = 0  # number of members that the fleet should have
         self.world = World(self.network, self.members, self.gateways, self.history, lambda: self.target_size)
         self.checkers: list[Checker] = [checker() for checker in ALWAYS]
         self.operators: dict[str, Operator] = {}
@@ -109,7 +111,7 @@
             return super().names(target)
         leaders = self._leading()
         if not leaders:
-            raise LookupError("no member leads")
+            raise LookupError("no member is the leader")
         leader = max(leaders, key=term_of).machine.name
         return [leader] if target == "leader" else [name for name in self.members if name != leader]
 
@@ -194,15 +196,18 @@
     # ------------------------------------------------------------ conditions
 
     def holds(self, words: Sequence[str]) -> bool:
-        """Whether a condition of the module's text is true; raises LookupError or ValueError."""
+        """Whether a condition from the module's docstring is true.
+
+        Raises LookupError for an unknown name or without a leader, ValueError for an unknown condition.
+        """
         for evaluate in (self._membership_condition, self._caller_condition, self._process_condition):
             result = evaluate(words)
             if result is not None:
                 return result
-        raise ValueError("no such condition")
+        raise ValueError("unknown condition")
 
     def _membership_condition(self, words: Sequence[str]) -> bool | None:
-        """A condition on leader and voters; None if it is none of these."""
+        """Evaluate a condition on the leader or the voters; None for any other condition."""
         match words:
             case ("leader",):
                 return bool(self._leading())
@@ -215,7 +220,7 @@
         return None
 
     def _caller_condition(self, words: Sequence[str]) -> bool | None:
-        """A condition on what operators and instances were answered; None if it is none of these."""
+        """Evaluate a condition on answers to operators and instances; None for any other condition."""
         match words:
             case ("taken" | "refused" | "pending" as state, revision):
                 return self.operator.orders[int(revision)].state is OrderState(state)
@@ -230,7 +235,7 @@
         return None
 
     def _process_condition(self, words: Sequence[str]) -> bool | None:
-        """A condition on the state of members and gateways; None if it is none of these."""
+        """Evaluate a condition on the state of members or gateways; None for any other condition."""
         match words:
             case (who, "revision", revision):
                 return all(self._revision(name) == int(revision) for name in self.names(who))
@@ -270,7 +275,7 @@
         self._start_soon(machine)
 
     def replace_seeds(self, removed: Container[str]) -> None:
-        """Change the seeds in all settings to members that are not removed for good."""
+        """Change the seeds in all settings to members that are not permanently removed."""
         remaining = [member.machine.ip for name, member in self.members.items() if name not in removed]
         self.seeds = remaining[:SEEDS]
         for member in self.members.values():
@@ -284,7 +289,7 @@
     def _subscriber(self, name: str) -> FeedSubscriber[Configuration]:
         subscriber = self.gateways[name].subscriber
         if subscriber is None:
-            raise ValueError(f"{name} was never started")
+            raise ValueError(f"gateway {name} has never been started")
         return subscriber
 
     def _revision(self, name: str) -> int:
@@ -301,7 +306,7 @@
         ]
 
     def complete(self) -> bool:
-        """Whether all members run, vote with the identity on their disk, and agree on term and commits."""
+        """Whether all members run, vote with the identity on their disk, and share term and commit index."""
         leaders = self._leading()
         members = self.members.values()
         if not leaders or not all(member.live for member in members):
@@ -314,7 +319,7 @@
         return voters == identities and len({node.term for node in nodes}) == 1 and behind == 0
 
     def _wanted_voters(self) -> int:
-        """Target number of voters by the newest leader's membership; 0 without a leader."""
+        """Target number of voters in the newest leader's membership; 0 without a leader."""
         leader = self.world.leader()
         return leader[1].membership.target_voters if leader is not None else 0
 
--- a/mallowbeam/simulation/fleet_callers.py
+++ b/mallowbeam/simulation/fleet_callers.py
@@ -12,7 +12,7 @@
 from mallowbeam.simulation.machine import Machine
 from mallowbeam.simulation.network import Network
 
-CALL_TIMEOUT_S = 1.0  # of one attempt
+CALL_TIMEOUT_S = 1.0  # per attempt
 DRAIN_DURATION_S = 6.0  # from the start of a drain to the end of the instance
 
 
@@ -35,7 +35,7 @@
         self.answer_loss = 0.0  # probability that a response is lost
 
     def any_member(self) -> str:
-        """Draw a member that was not removed for good; it may be off or out of reach for a while."""
+        """Draw a member that is not permanently removed; it may be off or unreachable for a while."""
         return self.random.choice([name for name, member in self._members.items() if not member.removed])
 
     def member_after(self, name: str) -> str:
@@ -44,7 +44,7 @@
         return names[(names.index(name) + 1) % len(names)]
 
     def ask(self, name: str, call: ApiCall, answered: Callable[[int, bytes], None]) -> None:
-        """Send a request once; `answered` is called once, with status 0 after a time-out."""
+        """Send a request once; `answered` is called once, with status 0 after :data:`CALL_TIMEOUT_S`."""
         finished = False
 
         def finish(status: int, body: bytes) -> None:
--- a/mallowbeam/simulation/fleet_checkers.py
+++ b/mallowbeam/simulation/fleet_checkers.py
@@ -21,13 +21,13 @@
 from mallowbeam.simulation.network import Network
 
 CHECK_INTERVAL_S = 0.05  # between two runs of all checkers
-STALENESS_BOUND_S = 3.0  # greatest age of the first configuration of a started gateway
+STALENESS_BOUND_S = 3.0  # maximum staleness of the first configuration of a started gateway
 PROPAGATION_BOUND_S = 2.0  # from an acknowledgement until all connected gateways have it
-CONTACT_S = 3.0  # without an event, after which a gateway must be connected
-ELECTION_BOUND_S = 2.5  # from an event until there is a leader of a majority
-REPAIR_BOUND_S = 3.0  # from a repair until a further loss within the tolerance is survived
+CONTACT_S = 3.0  # time without an event after which a gateway must be connected
+ELECTION_BOUND_S = 2.5  # from an event until a leader with a reachable majority exists
+REPAIR_BOUND_S = 3.0  # from a repair until the fleet survives a further loss within the tolerance
 CATCH_UP_BOUND_S = 4.0  # from an event until all members have applied earlier commits
-COMMIT_AGE_S = 1.0  # age of the commits that all members must have
+COMMIT_AGE_S = 1.0  # age from which all members must have a commit
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
     members: dict[str, SimulatedMember]
     gateways: dict[str, SimulatedGateway]
     history: History
-    target_size: Callable[[], int]  # members that the system is meant to have
+    target_size: Callable[[], int]  # number of members that the fleet should have
 
     @property
     def now(self) -> float:
@@ -66,7 +66,7 @@
         }
 
     def leader(self) -> tuple[str, RaftNode] | None:
-        """The leader of the newest term, if any, with its Raft node."""
+        """Name and Raft node of the leader with the newest term; None without a leader."""
         leaders = [
             (name, node)
             for name, member, node in self.live()
@@ -152,10 +152,10 @@
 
 
 class FreshGatewayChecker:
-    """Guarantee 1: a gateway that has started does not serve by an old configuration.
+    """Guarantee 1: a gateway that has started does not serve with an old configuration.
 
-    Checks its first configuration and the one with which it becomes ready, except on a gateway that was
-    frozen meanwhile: that one first applies what it received before.
+    Checks its first configuration and the one with which it becomes ready. A gateway that was frozen recently
+    is exempt, because it first applies the updates that it received before.
     """
 
     def __init__(self) -> None:
@@ -185,7 +185,7 @@
 class MajorityReachMonitor:
     """Records since when each member has had no reachable majority, for the checks of its answers.
 
-    A majority also counts as reachable through a leader that reaches it.
+    A majority also counts as reachable if the member reaches another member that reaches a majority.
     """
 
     def check(self, world: World) -> str:
@@ -241,7 +241,7 @@
 
 
 class RepairChecker:
-    """Guarantee 3: within a bound after each repair, a further loss within the tolerance is survived."""
+    """Guarantee 3: within a bound after each repair, the fleet survives a further tolerated loss."""
 
     def __init__(self, budget: LossBudget) -> None:
         self._budget = budget
@@ -291,7 +291,7 @@
 
 
 class GatewayConvergenceChecker:
-    """Guarantee 5: connected gateways have each acknowledged change, drain and end within a bound."""
+    """Guarantee 5: connected gateways apply each acknowledged change, drain and deletion within a bound."""
 
     def __init__(self, budget: LossBudget, gateway_events: dict[str, float]) -> None:
         """`gateway_events`: time of the last event per gateway; infinity while its fault lasts."""
--- a/mallowbeam/simulation/fleet_history.py
+++ b/mallowbeam/simulation/fleet_history.py
@@ -13,8 +13,8 @@
 
 from mallowbeam.router.rpc.messages_pb2 import DONE, Command, CommandResult
 
-SLOWEST_ANSWER_S = 1.5  # from the arrival of a request at a running member to its answer
-NO_MAJORITY_BOUND_S = 3.0  # without a reachable majority, after which a member must not acknowledge
+SLOWEST_ANSWER_S = 1.5  # from the arrival of a request at a running member until its answer
+NO_MAJORITY_BOUND_S = 3.0  # a member without a reachable majority for longer must not acknowledge
 REJECTIONS = frozenset((HTTPStatus.BAD_REQUEST, HTTPStatus.CONFLICT, HTTPStatus.PRECONDITION_FAILED))
 CONFIG_PATH = "/mallowbeam/config"
 
@@ -48,7 +48,7 @@
     ended: float
     status: int
     body: bytes
-    paused: bool  # the process was frozen meanwhile, or is slow
+    paused: bool  # the process was frozen during the request, or is slow
     out_of_reach: float  # seconds without a reachable majority
 
 
@@ -75,8 +75,8 @@
     violation: str = ""
     in_force: set[ChangeKey] = field(default_factory=set)
     refused: set[ChangeKey] = field(default_factory=set)
-    acknowledged: dict[int, ChangeKey] = field(default_factory=dict)  # by the version they are based on
-    retired: dict[str, float] = field(default_factory=dict)  # instances, by time of the first acknowledgement
+    acknowledged: dict[int, ChangeKey] = field(default_factory=dict)  # by base version
+    retired: dict[str, float] = field(default_factory=dict)  # time of the first acknowledgement, by instance
     answers: int = 0
     _applied: dict[int, _Applied] = field(default_factory=dict)  # by log index
     _retirements: set[str] = field(default_factory=set)
@@ -86,7 +86,7 @@
     # ------------------------------------------------------------ acknowledgements
 
     def newest_acknowledged(self, before: float) -> int:
-        """The highest revision acknowledged before a time in seconds; 0: none."""
+        """The highest revision acknowledged up to `before`, in simulated seconds; 0 if there is none."""
         for winner in reversed(self._newest):
             if winner.at <= before:
                 return winner.revision
@@ -95,7 +95,7 @@
     # ------------------------------------------------------------ the log
 
     def applied(self, member: str, index: int, payload: bytes, result: CommandResult) -> None:
-        """Record that a member applied an entry; all members must agree on it and its result."""
+        """Record that a member applied an entry; the entry and its result must be the same on all members."""
         entry = _Applied(hash(payload), result)
         known = self._applied.setdefault(index, entry)
         if known != entry:
@@ -205,7 +205,7 @@
 
 
 def change_key(body: bytes, based_on: int) -> ChangeKey:
-    """Identity of a change from its JSON and base version; the first hostname names the author."""
+    """Identity of a change from its JSON and base version; the first route's hostname names the author."""
     document = json.loads(body)
     return ChangeKey(document["revision"], document["routes"][0]["hostname"], based_on)
 
--- a/mallowbeam/simulation/fleet_operators.py
+++ b/mallowbeam/simulation/fleet_operators.py
@@ -14,10 +14,10 @@
 from mallowbeam.simulation.machine import Machine
 from mallowbeam.simulation.network import Network
 
-FIRST_BACKOFF_S = 0.1  # between two attempts; doubles up to the longest backoff
+FIRST_BACKOFF_S = 0.1  # delay before the first retry; doubles up to LONGEST_BACKOFF_S
 LONGEST_BACKOFF_S = 1.0
-FINAL_STATUSES = frozenset((400, 404, 409, 412, 413, 422))  # besides 2xx: not retried
-ROUTE_PADDING_BYTES = 1000  # of padding per route
+FINAL_STATUSES = frozenset((400, 404, 409, 412, 413, 422))  # not retried, like 2xx
+ROUTE_PADDING_BYTES = 1000  # padding per extra route
 
 
 class OrderState(Enum):
@@ -30,11 +30,11 @@
 
 @dataclass(slots=True)
 class Order:
-    """A configuration that an operator submits until it gets a final answer."""
+    """A configuration that an operator submits until it gets a final answer; `backoff` is in seconds."""
 
     revision: int
     call: ApiCall
-    member: str = ""  # the only member that is called; empty: any
+    member: str = ""  # the only member to call; empty for any member
     backoff: float = FIRST_BACKOFF_S
     state: OrderState = OrderState.PENDING
 
@@ -51,14 +51,14 @@
         self.orders: dict[int, Order] = {}
         self.acknowledged = 0  # the highest acknowledged revision
         self.read = 0  # revision of the last configuration read back
-        self.lost: str = ""  # violation: an acknowledged revision that was not read back
+        self.lost: str = ""  # text of a violation: an acknowledged revision was not read back
 
     def put(
         self, revision: int, based_on: int, member: str = "", only: bool = False, padding: int = 0
     ) -> None:
         """Submit a configuration, to the named member first, or with `only` to that member alone.
 
-        `padding` adds so many bytes to the body.
+        `padding` is the number of bytes by which the body is enlarged.
         """
         headers = (("If-Match", str(based_on)),)
         body = document(revision, f"{self.machine.name}.example", padding, self.random.randbytes)
@@ -77,7 +77,7 @@
             order.member = ""
 
     def get(self, member: str = "") -> None:
-        """Read the newest configuration back; retries until there is an answer."""
+        """Read the newest configuration back; retries until it gets an answer."""
         before = self.acknowledged
 
         def answered(status: int, body: bytes) -> None:
--- a/mallowbeam/simulation/fleet_processes.py
+++ b/mallowbeam/simulation/fleet_processes.py
@@ -41,7 +41,7 @@
 PEER_PORT = 7660
 CONTROL_PORT = 8146
 HEARTBEAT_MS = 1200.0
-RETRY_S = 0.1  # between two attempts to write to a full disk
+RETRY_S = 0.1  # delay between attempts to write to a full disk
 
 
 def message_of(call: ApiCall, now: float) -> Message:
@@ -146,7 +146,7 @@
         self, machine: Machine, streams: Streams, disk: Disk, settings: NodeSettings, history: History
     ) -> None:
         """`history` records what the member applies and answers."""
-        self.removed = False  # for good, as operators know
+        self.removed = False  # permanently; operators no longer call it
         self.machine = machine
         self._streams = streams
         self._disk = disk
@@ -177,7 +177,7 @@
             loop.enter(lambda: program.reload(settings))
 
     def terminate(self) -> None:
-        """Send SIGTERM: graceful shutdown, then the process ends; one that is still starting ends at once."""
+        """Send SIGTERM: the process shuts down gracefully; one that is still starting ends at once."""
         loop, program = self.loop, self.program
         if not self.machine.running or loop is None:
             return
@@ -199,7 +199,7 @@
         return self.machine.running and self.program is not None
 
     def call(self, call: ApiCall, answered: Callable[[int, bytes], None]) -> None:
-        """Pass a request to the control API as a step of the machine; no answer if it does not serve."""
+        """Pass a request to the control API as a step of the machine; no answer while it does not serve."""
         loop, server = self.loop, self._server
         if loop is None or server is None or not server.serving:
             return
@@ -238,7 +238,9 @@
         if self.replica is None:
             self.replica = await self._create_replica(loop)
         replica = self.replica
-        store = cast(ReplicaStore, None)  # only the writer uses it, and the simulated one has the replica
+        store = cast(
+            ReplicaStore, None
+        )  # only the writer uses the store; the simulated writer uses the replica instead
         opened = OpenedStore(store, replica.identity, replica.restored())
 
         def writer(_: object, durable: Callable[[Sequence[Write]], None]) -> SimulatedWriter:
@@ -254,8 +256,10 @@
         self._record_applied(program.parts.state_machine)
         await program.start()
         self.program = program
-        program.outdated.add_done_callback(lambda _: self.machine.kill())  # the role ends and keeps the store
-        await program.unusable  # then it rejoins as a new member, as the role does
+        program.outdated.add_done_callback(
+            lambda _: self.machine.kill()
+        )  # the real role exits and keeps the store
+        await program.unusable  # afterwards it rejoins as a new member, like the real role
         await program.stop()
         self.program = self.replica = None
         self._settings = replace(self._settings, bootstrap=False)
@@ -270,7 +274,7 @@
             self._history.applied(name, index, payload, outcome.result)
             return outcome
 
-        setattr(state, "apply", recording)  # noqa: B010 (an attribute of the instance hides the method)
+        setattr(state, "apply", recording)  # noqa: B010 (an instance attribute hides the method)
 
     async def _create_replica(self, loop: SimulatedLoop) -> Replica:
         """Write the initial state to an empty disk."""
@@ -295,7 +299,7 @@
 
 
 class SimulatedGateway:
-    """A gateway reduced to its feed: the real subscriber on the real link."""
+    """A gateway that runs only its feed: the real subscriber and link on simulated streams."""
 
     def __init__(self, machine: Machine, streams: Streams, settings: NodeSettings) -> None:
         self.machine = machine
@@ -309,12 +313,12 @@
         machine.on_thaw(self._thawed)
 
     def set_seeds(self, ips: Sequence[str]) -> None:
-        """Change the seeds, effective at the next start."""
+        """Change the seeds; takes effect at the next start."""
         self._settings = replace(self._settings, seeds=seeds_of(ips))
 
     @property
     def revision(self) -> int:
-        """Revision of the configuration in force; 0: none."""
+        """Revision of the configuration in force; 0 if there is none."""
         return self.subscriber.configuration_revision if self.subscriber is not None else 0
 
     def _thawed(self) -> None:
@@ -322,7 +326,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it would serve requests; False before its first start."""
+        """Whether the gateway would serve requests; False before its first start."""
         return self.subscriber is not None and self.subscriber.ready(self.machine.clock())
 
     def instance_state(self, id: str) -> str:
--- a/mallowbeam/simulation/walk.py
+++ b/mallowbeam/simulation/walk.py
@@ -1,12 +1,12 @@
-"""Random walks of the whole fleet: faults drawn from a seed, then none, after which the fleet must recover.
+"""Random walks of the whole fleet: faults are drawn from a seed, then they end, and the fleet must recover.
 
 A seed draws the number of members and tolerated losses, the rates of faults and configuration changes, how
-often members take snapshots, and whether losses stay within the tolerance. Within it every guarantee is
-checked; beyond it only those that hold under any fault. From the command line::
+often members take snapshots, and whether losses stay within the tolerance. If they do, every guarantee is
+checked; otherwise only those that hold under any fault. From the command line::
 
     python -m mallowbeam.simulation.walk FIRST COUNT [PROCESSES]
 
-prints the seeds that fail, each with the command that repeats it.
+prints the seeds that fail, each with the command that reproduces the failure.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 FAULTS_BEGIN_S = 10.0
 FAULTS_END_S = 32.0
-LONGEST_RECOVERY_S = 14.0  # from the last fault drawn until all have ended
+LONGEST_RECOVERY_S = 14.0  # from the last drawn fault until all faults have ended
 RECOVERY_BOUND_S = 12.0  # from the end of the last fault until the fleet has recovered
 UNBOUNDED_PROBABILITY = 0.25
 PREFERRED_PROBABILITY = 0.5
@@ -50,8 +50,8 @@
 )
 LARGE_BODY_PROBABILITY = 0.15
 GATEWAY_FAULT_PROBABILITY = 0.2
-LARGEST_CHANGE_MIN_INTERVAL_S = 0.3  # a walk with more frequent changes has no largest one
-SINGLE_LOSS_MEMBERS = 4  # up to so many members one loss is tolerated, then two
+LARGEST_CHANGE_MIN_INTERVAL_S = 0.3  # walks with more frequent changes submit no largest change
+SINGLE_LOSS_MEMBERS = 4  # fleets of up to 4 members tolerate one loss, larger fleets two
 SETUP = """seed {seed}
 members {members}
 gateways g1 g2 g3
@@ -77,7 +77,7 @@
 
     @property
     def tolerance(self) -> int:
-        """Number of members that may be lost at one time."""
+        """Number of members that may be lost at the same time."""
         return 1 if self.members <= SINGLE_LOSS_MEMBERS else 2
 
 
@@ -192,7 +192,10 @@
             self._unbounded.repair_all()
 
     def _recovered(self) -> bool:
-        """Whether all vote, all orders are answered, and all have the newest configuration and instances."""
+        """Whether the fleet has recovered from all faults.
+
+        All members vote, all orders are answered, and all members and gateways are up to date.
+        """
         player = self.player
         orders = [order for operator in player.operators.values() for order in operator.orders.values()]
         if any(order.state is OrderState.PENDING for order in orders):
@@ -210,7 +213,7 @@
         return all(self._instance_converged(name) for name in player.instances)
 
     def _remaining(self) -> list[str]:
-        """Members that are not being removed for good."""
+        """Members that are not being removed permanently."""
         return [name for name in self.player.members if name not in self.members.retiring]
 
     def _instance_converged(self, name: str) -> bool:
@@ -239,7 +242,7 @@
 
 
 def play(seed: int) -> int:
-    """Play one seed; an exception gets a note with the command that repeats it."""
+    """Play one seed; an exception gets a note with the command that reproduces it."""
     try:
         return Walk(seed).play()
     except Exception as error:
--- a/mallowbeam/simulation/walk_callers.py
+++ b/mallowbeam/simulation/walk_callers.py
@@ -20,12 +20,12 @@
 FUTURE_REVISION_GAP = 60  # from the newest revision to that of a change based on a future version
 LONGEST_GATEWAY_FAULT_S = 5.0
 LONGEST_GATEWAY_RESTART_S = 0.2
-STALE_BASE_BOUND = 0.06  # below it a change is based on the previous version
-FUTURE_BASE_BOUND = 0.1  # from there up to here on a future one
+STALE_BASE_BOUND = 0.06  # draws below it base a change on the previous version
+FUTURE_BASE_BOUND = 0.1  # draws from STALE_BASE_BOUND up to it base a change on a future version
 SAME_REVISION_PROBABILITY = 0.5
 LARGE_BODY_PROBABILITY = 0.1
 LAUNCH_PROBABILITY = 0.5
-PARTITIONED_MEMBER_PROBABILITY = 0.7  # that a retiring instance reports to a partitioned member
+PARTITIONED_MEMBER_PROBABILITY = 0.7  # a retiring instance first reports to a partitioned member
 
 
 class Callers:
@@ -62,7 +62,7 @@
         self._put(self._operator(), based_on, "", False)
 
     def _submit_future_change(self) -> None:
-        """Submit a change that must be rejected, also once its base version is in force."""
+        """Submit a change that must stay rejected even after its base version comes into force."""
         operator = self._operator()
         revision = self._revision + FUTURE_REVISION_GAP
         if revision not in operator.orders:
@@ -120,7 +120,7 @@
         self._operator().put(self._revision, self.newest(), padding=LARGEST_BYTES)
 
     def stop_losses(self) -> None:
-        """Stop losing answers, and let every order go to any member."""
+        """Stop dropping answers to operators, and let every order go to any member."""
         for operator in self.player.operators.values():
             operator.answer_loss = 0.0
             operator.lift_restrictions()
@@ -142,7 +142,7 @@
         instance = self.player.instances[self._random.choice(running)]
         partitioned = sorted(self.member_faults.partitioned) if self.member_faults is not None else []
         if partitioned and self._random.random() < PARTITIONED_MEMBER_PROBABILITY:
-            instance.member = self._random.choice(partitioned)  # reports there first
+            instance.member = self._random.choice(partitioned)  # its first report goes there
         ends: Sequence[Step] = (instance.drain, instance.drain, instance.delete, instance.machine.power_off)
         self._random.choice(ends)()
 
--- a/mallowbeam/simulation/walk_members.py
+++ b/mallowbeam/simulation/walk_members.py
@@ -1,4 +1,4 @@
-"""Faults of members that a random walk draws, within the loss budget; each ends by itself."""
+"""Member faults that a random walk draws within the loss budget; each ends without a further draw."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from mallowbeam.simulation.fleet import FleetPlayer
 from mallowbeam.simulation.loss_budget import CATCH_UP_S, LossBudget
 
-FAULT_DURATIONS_S = (0.5, 2.0, 6.0)  # a fault draws one of these as its upper bound
+FAULT_DURATIONS_S = (0.5, 2.0, 6.0)  # upper bounds of a fault's duration; each fault draws one
 POWER_LOSS_AFTER_ACK_S = 0.004  # longest delay from an acknowledgement to the power loss
 POWER_LOSS_AFTER_SUBMIT_S = (0.005, 0.4)  # from the submission of a change to the power loss
-LONGEST_REPLACEMENT_DELAY_S = 3.0  # from a permanent loss to its empty replacement
+LONGEST_REPLACEMENT_DELAY_S = 3.0  # from a permanent loss to the start of the empty replacement
 PLANNED_LEAD_S = (0.5, 6.0)  # from the start of the successor to the SIGTERM
-SLOWEST_EXIT_S = 10.0  # of a process after SIGTERM
-EXIT_POLL_S = 0.05  # between two checks whether the process has ended
-FULL_OUTAGE_INTERVAL_S = 8.0  # between two faults of all members
-RETURN_CHANGE_DELAY_S = (0.0, 0.05)  # before changes are submitted to a member that returns
-MEMBER_LIMIT = 20  # machines that were ever members
+SLOWEST_EXIT_S = 10.0  # from SIGTERM until a process is forced off
+EXIT_POLL_S = 0.05  # interval between checks for the end of a process
+FULL_OUTAGE_INTERVAL_S = 8.0  # minimum time between two faults of all members
+RETURN_CHANGE_DELAY_S = (0.0, 0.05)  # from the return of a member until changes are submitted to it
+MEMBER_LIMIT = 20  # machines in a walk, including removed members
 SHORTEST_FAULT_S = 0.1
-SHUTDOWN_RETRY_S = 0.5  # between two attempts of a planned removal
+SHUTDOWN_RETRY_S = 0.5  # delay between attempts of a planned removal
 ACK_POLL_S = 0.001
 ACK_POLLS = 1000
-LEADER_BOUND = 0.4  # below it the leader is chosen, if it is healthy
-OLDEST_DISK_BOUND = 0.6  # below it the member whose disk has lasted longest
-SINGLE_MEMBER_PROBABILITY = 0.3  # that changes go to one member alone until it answers
+LEADER_BOUND = 0.4  # draws below it choose the leader, if it is healthy
+OLDEST_DISK_BOUND = 0.6  # other draws below it choose the member with the oldest disk
+SINGLE_MEMBER_PROBABILITY = 0.3  # changes go only to one member until it answers
 OTHER_SEEDS_PROBABILITY = 0.5
 DISK_LOSS_PROBABILITY = 0.4
 
@@ -34,7 +34,7 @@
 
 
 class MemberFaults:
-    """Draws faults and ends them. `put` submits changes that race on one version at one member."""
+    """Draws faults and ends them. `put` submits racing changes, based on the same version, at one member."""
 
     def __init__(
         self, player: FleetPlayer, budget: LossBudget, random: Random, put: Put, gateway_events: EventTimes
@@ -46,8 +46,8 @@
         self._gateway_events = gateway_events
         self._disk_since: dict[str, float] = {}
         self._next_full_outage = 0.0
-        self._planned_replacements = 0  # in progress, at most as many as the tolerance
-        self.retiring: dict[str, str] = {}  # members being removed for good, and their successors
+        self._planned_replacements = 0  # in progress; limited to the tolerance
+        self.retiring: dict[str, str] = {}  # successors of members that are being removed permanently
         self.partitioned: set[str] = set()
         self.drawn: dict[str, int] = {}  # by kind
         self.kinds: dict[str, Callable[[], bool]] = {
@@ -71,7 +71,7 @@
         }
 
     def draw(self, without: frozenset[str] = frozenset(), kind: str = "") -> None:
-        """Inject a fault of the given kind, or of a drawn one, if a member may have it."""
+        """Inject a fault of the given or a drawn kind, if the loss budget and the fleet's state allow it."""
         if not kind or kind in without:
             kind = self._random.choice([kind for kind in self.kinds if kind not in without])
         if self.kinds[kind]():
@@ -117,7 +117,7 @@
         self.player.simulator.after(self._random.uniform(SHORTEST_FAULT_S, upper), step)
 
     def _member_returns(self, name: str) -> None:
-        """Restart a member and submit changes to it at about that moment."""
+        """Restart a member, unless it is being removed, and submit changes to it at about the same time."""
         machine = self.player.network.machines[name]
         if name not in self.retiring:
             machine.start()
@@ -125,7 +125,7 @@
         self._submit_around_return(name)
 
     def _submit_around_return(self, name: str) -> None:
-        """Submit no, one or two racing changes at a member; sometimes only to it until it answers."""
+        """Submit zero to two racing changes at a member; sometimes only to that member until it answers."""
         count = self._random.choice((0, 0, 1, 2))
         if count:
             only = self._random.random() < SINGLE_MEMBER_PROBABILITY
@@ -186,7 +186,7 @@
                 EXIT_POLL_S, lambda: self._when_ended(name, step, waited + EXIT_POLL_S)
             )
             return
-        machine.power_off()  # as an operator would who does not wait any longer
+        machine.power_off()  # like an operator who stops waiting
         self.budget.disturbed(self.now)
         step()
 
@@ -216,7 +216,7 @@
         return name
 
     def _replace(self) -> bool:
-        """Remove a member for good; its empty replacement starts later."""
+        """Remove a member permanently; its empty replacement starts later."""
         if len(self.player.members) >= MEMBER_LIMIT:
             return False
         name = self._begin_loss()
--- a/mallowbeam/simulation/walk_unbounded.py
+++ b/mallowbeam/simulation/walk_unbounded.py
@@ -1,6 +1,6 @@
-"""Faults of a random walk beyond the fault model, under which only the guarantees of any fault are checked.
+"""Faults of a random walk beyond the fault model; only guarantees that hold under any fault are checked.
 
-Disks are still lost one at a time: no replication could recover from more.
+Disks are still lost one at a time, because no replication could recover from more.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from mallowbeam.simulation.loss_budget import CATCH_UP_S
 from mallowbeam.simulation.network import Path
 
-LONGEST_EXIT_S = 10  # of a process after SIGTERM
+LONGEST_EXIT_S = 10  # from SIGTERM until a process has ended
 LEADER_PROBABILITY = 0.4
 
 
--- a/tests/simulation/test_fleet_variants.py
+++ b/tests/simulation/test_fleet_variants.py
@@ -1,4 +1,4 @@
-"""Each checker of the fleet can fail: variants that are broken on purpose are caught, the real one passes."""
+"""Each checker of the fleet detects a deliberately broken variant and accepts the real program."""
 
 from __future__ import annotations
 
--- a/tests/simulation/test_simulation_walks.py
+++ b/tests/simulation/test_simulation_walks.py
@@ -1,4 +1,4 @@
-"""Random walks of the whole fleet, what they draw, and the budget of losses that bounds them."""
+"""Random walks of the whole fleet, their drawn plans and faults, and the loss budget that bounds them."""
 
 from __future__ import annotations
 
--- a/tests/simulation/test_system_broken.py
+++ b/tests/simulation/test_system_broken.py
@@ -1,4 +1,4 @@
-"""The fleet's checkers can fail: variants that are broken on purpose are found."""
+"""The fleet's checkers detect deliberately broken variants."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 class BrokenVariants(unittest.TestCase):
     def violation(self, text: str) -> str:
-        FleetPlayer(HEAD + text)  # the text itself is good
+        FleetPlayer(HEAD + text)  # the scenario itself is valid
         with self.assertRaises(ViolationError) as caught:
             FleetPlayer(HEAD + text).play()
         return str(caught.exception)
--- a/tests/simulation/test_system_scenarios.py
+++ b/tests/simulation/test_system_scenarios.py
@@ -25,7 +25,7 @@
         self.assertEqual(*runs)
 
 
-# A gateway that reached nobody for a while comes back beside a partitioned member.
+# A gateway reconnects after an isolation while one member is partitioned from the others.
 RETURNS_BESIDE_CUT_OFF = """seed {seed}
 members m1 m2 m3
 gateways g1
@@ -42,7 +42,7 @@
 """
 
 
-# Gateways that reached nobody for a while come back when four of the nine members that they know are off.
+# Gateways reconnect after an isolation while four of the nine members that they know are off.
 RETURNS_AMONG_DEAD = """seed {seed}
 members m1 m2 m3 m4 m5 m6 m7 m8 m9
 gateways g1 g2 g3 g4 g5 g6
--- a/tests/simulation/test_system_snapshots.py
+++ b/tests/simulation/test_system_snapshots.py
@@ -1,4 +1,4 @@
-"""A member that was away for many or large changes comes back over slow links: the real member, simulated."""
+"""A member that missed many or large changes catches up over slow links: the real member on simulated I/O."""
 
 from __future__ import annotations
 
--- a/tests/simulation/test_walk_order.py
+++ b/tests/simulation/test_walk_order.py
@@ -1,4 +1,4 @@
-"""A random walk depends on its seed alone: not on the walks before it, nor on the process's hash seed."""
+"""A random walk depends only on its seed, not on earlier walks or the hash seed of the process."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Digests:
-    """Digests of walks that are played in a process of their own."""
+    """Digests of walks that a separate process plays."""
 
     def __init__(self, kind: str, seeds: tuple[int, ...], hash_seed: str) -> None:
         self._process = subprocess.Popen(
@@ -31,7 +31,7 @@
         )
 
     def by_seed(self) -> dict[str, int]:
-        """The digest of each seed, once all have been played."""
+        """Wait until all seeds have been played and return the digest of each."""
         output, _ = self._process.communicate(timeout=TIMEOUT_S)
         assert self._process.returncode == 0
         return json.loads(output)
--- a/tests/support/fleet_variants.py
+++ b/tests/support/fleet_variants.py
@@ -1,7 +1,7 @@
-"""Variants of the fleet that are broken on purpose, each with the scenario that shows it.
+"""Deliberately broken variants of the fleet, each with a scenario that exposes the fault.
 
-A variant patches the real classes while its scenario is played. The scenario itself passes without the patch,
-so that it is the fault which is found.
+A variant patches the real classes while its scenario is played. The scenario passes without the patch, so a
+violation is due to the fault.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """A fault, the scenario that brings it about, and a part of the message of its violation."""
+    """A fault, the scenario that exposes it, and a part of the message of its violation."""
 
     name: str
     message: str
@@ -64,7 +64,7 @@
 
 async def _taken_unasked(self: ControlApi, request: Any, since: float) -> Any:
     revision = json.loads(bytes(request.body))["revision"]
-    if revision == 1:  # the first, which the gateways wait for
+    if revision == 1:  # the gateways wait for the first configuration
         return await _put_config(self, request, since)
     return 200, b'{"revision":%d}' % revision
 
@@ -107,7 +107,7 @@
 )
 
 
-# ------------------------------------------------------------ 2: one number, one winner
+# ------------------------------------------------------------ 2: one accepted change per base version
 
 _apply_version = ConfigurationVersions.apply
 
@@ -168,7 +168,7 @@
 
 @contextmanager
 def _any_membership() -> Iterator[None]:
-    """The policy proposes it, and the core's own check is off too."""
+    """Let the policy promote any learner, and disable the check of the consensus core too."""
     with (
         mock.patch.object(membership_manager, "next_membership", _promote_all),
         mock.patch.object(leader, "check_change", lambda old, new: None),
@@ -240,7 +240,7 @@
 )
 
 
-# ------------------------------------------------------------ 5: answers and spread
+# ------------------------------------------------------------ 5: answers and propagation
 
 
 def _any_pending(self: CommandForwarder, response: Any) -> None:
@@ -280,7 +280,7 @@
 
 
 def _swapped() -> Callable[[CommandForwarder, Any], None]:
-    """Hold one answer back and give the next two to each other's calls."""
+    """Hold back every other response and swap the request ids of it and the next one."""
     held: list[Any] = []
 
     def respond(self: CommandForwarder, response: Any) -> None:
--- a/tests/support/system_bulk.py
+++ b/tests/support/system_bulk.py
@@ -1,12 +1,13 @@
 """Scenarios of the fleet with many or large configurations and slow links.
 
-Beside the commands of the fleet::
+Commands besides those of the fleet::
 
-    at 1 change COUNT [BYTES]        one configuration after another, each once the last is acknowledged
-    at 1 bandwidth A B BYTES         bytes per second, both ways
+    at 1 change COUNT [BYTES]        submit COUNT configurations, each after the previous is acknowledged
+    at 1 bandwidth A B BYTES         limit the bytes per second in both directions
 
-BYTES is the size of a body, of random text. Conditions: ``changed`` (all are acknowledged), ``M current`` (it
-has applied what was acknowledged), ``waiting-below BYTES`` (on any link of a leader, so far).
+For `change`, BYTES is the size of random text that is added to the body. Conditions: ``changed`` (all are
+acknowledged), ``M current`` (the member has applied the last acknowledged configuration), ``waiting-below
+BYTES`` (no link of a leader has had as many unsent bytes so far).
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class BulkPlayer(FleetPlayer):
-    """Plays these scenarios."""
+    """Plays fleet scenarios with bulk changes and limited bandwidth."""
 
     def prepare(self) -> None:
         super().prepare()
@@ -56,7 +57,7 @@
         return super().holds(words)
 
     def _change(self, count: int, size: int) -> None:
-        """Send one configuration until it is accepted, then the rest."""
+        """Submit one configuration, retry until it is accepted, then submit the remaining ones."""
         if count == 0:
             return
         revision = self.changed_revision + 1
--- a/tests/support/walk_digests.py
+++ b/tests/support/walk_digests.py
@@ -1,8 +1,8 @@
 """Plays random walks and prints a digest of all events of each.
 
 ``python tests/support/walk_digests.py KIND SEED...`` plays the seeds in the order given, in one process, and
-prints a JSON object with the digest of each. A walk whose digest depends on the walks before it, or on the
-process's hash seed, can fail once and never again.
+prints a JSON object with the digest of each. If a digest depended on earlier walks or on the hash seed of the
+process, a failure could not be reproduced from its seed.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 def dependent(seed: int) -> int:
-    """A broken walk for the test of the check itself: it depends on those before it."""
+    """Digest of a deliberately broken walk that depends on earlier walks, to test the check itself."""
     _played.append(seed)
     return hash(tuple(_played))
 
@@ -58,7 +58,7 @@
 
 
 def main() -> None:
-    """Play and print."""
+    """Play the seeds of the command line and print their digests."""
     kind, *seeds = sys.argv[1:]
     print(json.dumps({seed: KINDS[kind](int(seed)) for seed in seeds}))
 
