--- a/mallowbeam/simulation/fleet.py
+++ b/mallowbeam/simulation/fleet.py
@@ -109,7 +109,7 @@
         """Names of a machine, a group, the newest term's leader or its followers; raises LookupError."""
         if target not in ("leader", "followers"):
             return super().names(target)
-        leaders = self._leading()
+        leaders = self._live_leaders()
         if not leaders:
             raise LookupError("no member is the leader")
         leader = max(leaders, key=term_of).machine.name
@@ -210,13 +210,13 @@
         """Evaluate a condition on the leader or the voters; None for any other condition."""
         match words:
             case ("leader",):
-                return bool(self._leading())
+                return bool(self._live_leaders())
             case ("no-leader",):
-                return not self._leading()
+                return not self._live_leaders()
             case ("voters", "complete"):
-                return self._voters() == self._wanted_voters() > 0
+                return self._voter_count() == self._target_voters() > 0
             case ("voters", number):
-                return self._voters() == int(number)
+                return self._voter_count() == int(number)
         return None
 
     def _caller_condition(self, words: Sequence[str]) -> bool | None:
@@ -298,7 +298,7 @@
         program = self.members[name].program
         return program.parts.state_machine.configurations.revision if program is not None else 0
 
-    def _leading(self) -> list[SimulatedMember]:
+    def _live_leaders(self) -> list[SimulatedMember]:
         return [
             member
             for member in self.members.values()
@@ -307,7 +307,7 @@
 
     def complete(self) -> bool:
         """Whether all members run, vote with the identity on their disk, and share term and commit index."""
-        leaders = self._leading()
+        leaders = self._live_leaders()
         members = self.members.values()
         if not leaders or not all(member.live for member in members):
             return False
@@ -318,14 +318,14 @@
         behind = newest.commit_index - min(node.commit_index for node in nodes)
         return voters == identities and len({node.term for node in nodes}) == 1 and behind == 0
 
-    def _wanted_voters(self) -> int:
+    def _target_voters(self) -> int:
         """Target number of voters in the newest leader's membership; 0 without a leader."""
         leader = self.world.leader()
         return leader[1].membership.target_voters if leader is not None else 0
 
-    def _voters(self) -> int:
+    def _voter_count(self) -> int:
         """Number of voters in the newest leader's membership; 0 without a leader."""
-        leaders = self._leading()
+        leaders = self._live_leaders()
         if not leaders:
             return 0
         newest = max(leaders, key=term_of)
@@ -335,7 +335,7 @@
     # ------------------------------------------------------------ invariants
 
     def _check_processes(self) -> None:
-        for member in self._leading():
+        for member in self._live_leaders():
             term = term_of(member)
             leader = self._leaders.setdefault(term, member.machine.name)
             self._require(
--- a/mallowbeam/simulation/fleet_checkers.py
+++ b/mallowbeam/simulation/fleet_checkers.py
@@ -129,7 +129,7 @@
 
     def __init__(self) -> None:
         self._committed = 0  # highest commit index observed
-        self._terminate = 0  # term of the entry at that index
+        self._committed_term = 0  # term of the entry at that index
         self._leaders: set[tuple[str, int]] = set()
 
     def check(self, world: World) -> str:
@@ -139,7 +139,7 @@
             if leads and (name, node.term) not in self._leaders:
                 self._leaders.add((name, node.term))
                 last = node._state.log.last_index
-                if node.term > self._terminate and last < self._committed:
+                if node.term > self._committed_term and last < self._committed:
                     return (
                         f"4: {name} leads term {node.term} with entries up to {last}, "
                         f"{self._committed} were committed"
@@ -147,7 +147,7 @@
         for _, _, node in world.live():
             if node.commit_index > self._committed:
                 self._committed = node.commit_index
-                self._terminate = node._state.log.term_at(node.commit_index) or node.term
+                self._committed_term = node._state.log.term_at(node.commit_index) or node.term
         return ""
 
 
@@ -296,7 +296,7 @@
     def __init__(self, budget: LossBudget, gateway_events: dict[str, float]) -> None:
         """`gateway_events`: time of the last event per gateway; infinity while its fault lasts."""
         self._budget = budget
-        self._events = gateway_events
+        self._gateway_events = gateway_events
 
     def check(self, world: World) -> str:
         """Check gateways that have been connected for :data:`CONTACT_S`."""
@@ -324,7 +324,7 @@
         return ""
 
     def _is_connected(self, world: World, name: str, gateway: SimulatedGateway) -> bool:
-        if not gateway.machine.running or world.now - self._events.get(name, 0.0) < CONTACT_S:
+        if not gateway.machine.running or world.now - self._gateway_events.get(name, 0.0) < CONTACT_S:
             return False
         passes = world.network.passes
         return all(
--- a/mallowbeam/simulation/fleet_history.py
+++ b/mallowbeam/simulation/fleet_history.py
@@ -13,7 +13,7 @@
 
 from mallowbeam.router.rpc.messages_pb2 import DONE, Command, CommandResult
 
-SLOWEST_ANSWER_S = 1.5  # from the arrival of a request at a running member until its answer
+ANSWER_BOUND_S = 1.5  # from the arrival of a request at a running member until its answer
 NO_MAJORITY_BOUND_S = 3.0  # a member without a reachable majority for longer must not acknowledge
 REJECTIONS = frozenset((HTTPStatus.BAD_REQUEST, HTTPStatus.CONFLICT, HTTPStatus.PRECONDITION_FAILED))
 CONFIG_PATH = "/mallowbeam/config"
@@ -49,11 +49,11 @@
     status: int
     body: bytes
     paused: bool  # the process was frozen during the request, or is slow
-    out_of_reach: float  # seconds without a reachable majority
+    unreachable_s: float  # seconds without a reachable majority
 
 
 @dataclass(frozen=True, slots=True)
-class _Applied:
+class _AppliedEntry:
     """Hash of an applied entry, and its result."""
 
     payload: int
@@ -61,7 +61,7 @@
 
 
 @dataclass(slots=True)
-class _Winner:
+class _Acknowledgement:
     """A revision, and the time of its first acknowledgement."""
 
     at: float
@@ -78,16 +78,16 @@
     acknowledged: dict[int, ChangeKey] = field(default_factory=dict)  # by base version
     retired: dict[str, float] = field(default_factory=dict)  # time of the first acknowledgement, by instance
     answers: int = 0
-    _applied: dict[int, _Applied] = field(default_factory=dict)  # by log index
+    _applied: dict[int, _AppliedEntry] = field(default_factory=dict)  # by log index
     _retirements: set[str] = field(default_factory=set)
-    _newest: list[_Winner] = field(default_factory=list)  # ascending in time and revision
+    _acknowledgements: list[_Acknowledgement] = field(default_factory=list)  # ascending in time and revision
     _keys: dict[bytes, ChangeKey] = field(default_factory=dict)  # by digest
 
     # ------------------------------------------------------------ acknowledgements
 
     def newest_acknowledged(self, before: float) -> int:
         """The highest revision acknowledged up to `before`, in simulated seconds; 0 if there is none."""
-        for winner in reversed(self._newest):
+        for winner in reversed(self._acknowledgements):
             if winner.at <= before:
                 return winner.revision
         return 0
@@ -96,10 +96,12 @@
 
     def applied(self, member: str, index: int, payload: bytes, result: CommandResult) -> None:
         """Record that a member applied an entry; the entry and its result must be the same on all members."""
-        entry = _Applied(hash(payload), result)
+        entry = _AppliedEntry(hash(payload), result)
         known = self._applied.setdefault(index, entry)
         if known != entry:
-            self._fail(f"4: {member} applied another entry at {index} than others, or with another result")
+            self._record_violation(
+                f"4: {member} applied another entry at {index} than others, or with another result"
+            )
         if known is entry:
             self._record_command(Command.FromString(payload), result)
 
@@ -110,7 +112,7 @@
                 key = self._key_of(put.digest, put.body, put.based_on)
                 self.in_force.add(key)
                 if key in self.refused:
-                    self._fail(f"2: {key} was refused and came into force")
+                    self._record_violation(f"2: {key} was refused and came into force")
             case "retire_instance":
                 self._retirements.add(command.retire_instance.id)
 
@@ -125,15 +127,15 @@
         """Record and check a member's answer."""
         self.answers += 1
         accepted = is_success(answer.status)
-        if answer.ended - answer.began > SLOWEST_ANSWER_S and not answer.paused:
-            self._fail(
+        if answer.ended - answer.began > ANSWER_BOUND_S and not answer.paused:
+            self._record_violation(
                 f"1: {answer.member} answered {answer.call.method} {answer.call.path} after "
                 f"{answer.ended - answer.began:.2f} s"
             )
-        if accepted and answer.out_of_reach > NO_MAJORITY_BOUND_S:
-            self._fail(
+        if accepted and answer.unreachable_s > NO_MAJORITY_BOUND_S:
+            self._record_violation(
                 f"1: {answer.member} answered {answer.call.method} {answer.call.path} with "
-                f"{answer.status} after {answer.out_of_reach:.1f} s without a majority in reach"
+                f"{answer.status} after {answer.unreachable_s:.1f} s without a majority in reach"
             )
         if answer.call.path != CONFIG_PATH:
             self._instance_answered(answer, accepted)
@@ -150,35 +152,41 @@
         document = json.loads(answer.body) if found else {"revision": 0}
         if document["revision"] < newest:
             read = document["revision"]
-            self._fail(f"1: revision {newest} was acknowledged, {answer.member} reads {read} back")
+            self._record_violation(
+                f"1: revision {newest} was acknowledged, {answer.member} reads {read} back"
+            )
         if found and not any(same_document(key, document) for key in self.in_force):
-            self._fail(f"2: {answer.member} reads back a configuration that never came into force")
+            self._record_violation(
+                f"2: {answer.member} reads back a configuration that never came into force"
+            )
 
     def _put_answered(self, answer: Answer, accepted: bool) -> None:
         key = call_key(answer.call)
         if accepted:
             self._put_acknowledged(answer, key)
         elif answer.status in REJECTIONS and key in self.in_force:
-            self._fail(f"2: {answer.member} refused {key}, which is or was in force: {answer.status}")
+            self._record_violation(
+                f"2: {answer.member} refused {key}, which is or was in force: {answer.status}"
+            )
 
     def refusal_received(self, call: ApiCall) -> None:
         """Record that an operator received a rejection of its change."""
         key = call_key(call)
         self.refused.add(key)
         if key in self.in_force:
-            self._fail(f"2: {key} was refused and is or was in force")
+            self._record_violation(f"2: {key} was refused and is or was in force")
 
     def _put_acknowledged(self, answer: Answer, key: ChangeKey) -> None:
         acknowledged_revision = json.loads(answer.body).get("revision")
         if acknowledged_revision != key.revision:
-            self._fail(f"5: {answer.member} answered {key} with revision {acknowledged_revision}")
+            self._record_violation(f"5: {answer.member} answered {key} with revision {acknowledged_revision}")
         if key not in self.in_force:
-            self._fail(f"1: {answer.member} acknowledged {key}, which no member has applied")
+            self._record_violation(f"1: {answer.member} acknowledged {key}, which no member has applied")
         winner = self.acknowledged.setdefault(key.based_on, key)
         if winner != key:
-            self._fail(f"2: {winner} and {key} were both acknowledged")
-        if not self._newest or key.revision > self._newest[-1].revision:
-            self._newest.append(_Winner(answer.ended, key.revision))
+            self._record_violation(f"2: {winner} and {key} were both acknowledged")
+        if not self._acknowledgements or key.revision > self._acknowledgements[-1].revision:
+            self._acknowledgements.append(_Acknowledgement(answer.ended, key.revision))
 
     def _instance_answered(self, answer: Answer, accepted: bool) -> None:
         call = answer.call
@@ -186,11 +194,13 @@
             return
         instance = call.path.rpartition("/")[2]
         if instance not in self._retirements:
-            self._fail(f"5: {answer.member} acknowledged that {instance} leaves, which no member has applied")
+            self._record_violation(
+                f"5: {answer.member} acknowledged that {instance} leaves, which no member has applied"
+            )
         self.retired.setdefault(instance, answer.ended)
 
-    def _fail(self, what: str) -> None:
-        self.violation = self.violation or what
+    def _record_violation(self, message: str) -> None:
+        self.violation = self.violation or message
 
 
 def is_success(status: int) -> bool:
--- a/mallowbeam/simulation/fleet_processes.py
+++ b/mallowbeam/simulation/fleet_processes.py
@@ -222,9 +222,9 @@
     def _record_answer(self, call: ApiCall, began: float, status: int, body: bytes, paused: bool) -> None:
         self.check_reach()
         now = self.machine.simulator.now
-        out_of_reach = now - self.unreachable_since if self.unreachable_since is not None else 0.0
+        unreachable_s = now - self.unreachable_since if self.unreachable_since is not None else 0.0
         name = self.machine.name
-        self._history.answered(Answer(name, call, began, now, status, body, paused, out_of_reach))
+        self._history.answered(Answer(name, call, began, now, status, body, paused, unreachable_s))
 
     def _thawed(self) -> None:
         self._thawed_at = self.machine.simulator.now
@@ -342,9 +342,9 @@
         random = Random(self._random.random())
         identity = GatewayIdentity(self._settings.zone, self._settings.node_name, self.machine.incarnation)
         self.subscriber = FeedSubscriber(seeds, identity, random, apply_update)
-        loop.create_task(self._follow())
+        loop.create_task(self._run_feed())
 
-    async def _follow(self) -> None:
+    async def _run_feed(self) -> None:
         assert self.subscriber is not None
         await FeedLink(self.subscriber, lambda events, now: None).run()
 
--- a/mallowbeam/simulation/walk.py
+++ b/mallowbeam/simulation/walk.py
@@ -146,7 +146,7 @@
         self._end_all_faults()
         self.callers.submit_change()
         if simulator.run_while(lambda: not self._recovered(), simulator.now + RECOVERY_BOUND_S):
-            raise ViolationError(f"seed {simulator.seed}: not recovered in time\n{self._view()}")
+            raise ViolationError(f"seed {simulator.seed}: not recovered in time\n{self._describe_state()}")
         player.do_get()
         simulator.run_until(simulator.now + 2.0)
 
@@ -222,7 +222,7 @@
         ended = not instance.machine.running or instance.state is InstanceState.GONE
         return self.player.holds(("gateways", name, "absent" if ended else instance.state.value))
 
-    def _view(self) -> str:
+    def _describe_state(self) -> str:
         player = self.player
         lines = [player.state()]
         lines += [f"{name}: revision {gateway.revision}" for name, gateway in player.gateways.items()]
@@ -278,8 +278,8 @@
     processes = rest[0] if rest else 1
     failed = 0
     accepted = 0
-    quiet = discard_logs if count > 1 else partial(set_up_logging, "walk")
-    with ProcessPoolExecutor(processes, initializer=quiet) as pool:
+    log_setup = discard_logs if count > 1 else partial(set_up_logging, "walk")
+    with ProcessPoolExecutor(processes, initializer=log_setup) as pool:
         for result in pool.map(run_seed, range(first, first + count)):
             accepted += result.accepted
             if result.failure:
--- a/mallowbeam/simulation/walk_callers.py
+++ b/mallowbeam/simulation/walk_callers.py
@@ -36,7 +36,7 @@
     ) -> None:
         self.player = player
         self._random = random
-        self._events = gateway_events
+        self._gateway_events = gateway_events
         self._large = large
         self._revision = 1
         self._launched = 0
@@ -59,11 +59,11 @@
         elif draw < FUTURE_BASE_BOUND:
             self._submit_future_change()
             return
-        self._put(self._operator(), based_on, "", False)
+        self._put(self._random_operator(), based_on, "", False)
 
     def _submit_future_change(self) -> None:
         """Submit a change that must stay rejected even after its base version comes into force."""
-        operator = self._operator()
+        operator = self._random_operator()
         revision = self._revision + FUTURE_REVISION_GAP
         if revision not in operator.orders:
             operator.put(revision, self._revision + self._random.randint(1, 4))
@@ -75,7 +75,7 @@
         self._put(first, based_on, "", False)
         if self._random.random() < SAME_REVISION_PROBABILITY:
             self._revision -= 1
-        self._put(second, based_on, "", False, least=1)
+        self._put(second, based_on, "", False, min_increment=1)
 
     def put_at(self, member: str, count: int, only: bool) -> None:
         """Submit `count` changes of different operators based on one version at one member."""
@@ -85,11 +85,11 @@
 
     def set_answer_loss(self) -> None:
         """Change the probability that answers to an operator are lost."""
-        self._operator().answer_loss = self._random.choice(ANSWER_LOSS_RATES)
+        self._random_operator().answer_loss = self._random.choice(ANSWER_LOSS_RATES)
 
     def resubmit(self) -> None:
         """Submit a recently accepted order again."""
-        operator = self._operator()
+        operator = self._random_operator()
         accepted = [
             order.revision for order in operator.orders.values() if order.state is OrderState.ACCEPTED
         ]
@@ -100,13 +100,15 @@
         """Read from any member, preferring partitioned ones."""
         partitioned = sorted(self.member_faults.partitioned) if self.member_faults is not None else []
         member = self._random.choice(partitioned or list(self.player.members))
-        self._operator().read_once(member)
+        self._random_operator().read_once(member)
 
-    def _operator(self) -> Operator:
+    def _random_operator(self) -> Operator:
         return self._random.choice(list(self.player.operators.values()))
 
-    def _put(self, operator: Operator, based_on: int, member: str, only: bool, least: int = 1) -> None:
-        self._revision += self._random.randint(least, 3)
+    def _put(
+        self, operator: Operator, based_on: int, member: str, only: bool, min_increment: int = 1
+    ) -> None:
+        self._revision += self._random.randint(min_increment, 3)
         while self._revision in operator.orders:
             self._revision += 1
         padding = 0
@@ -117,7 +119,7 @@
     def submit_largest_change(self) -> None:
         """Submit a change with a body of :data:`LARGEST_BYTES`."""
         self._revision += 1
-        self._operator().put(self._revision, self.newest(), padding=LARGEST_BYTES)
+        self._random_operator().put(self._revision, self.newest(), padding=LARGEST_BYTES)
 
     def stop_losses(self) -> None:
         """Stop dropping answers to operators, and let every order go to any member."""
@@ -152,18 +154,18 @@
         """Restart, kill, freeze or partition a gateway for a while."""
         name = self._random.choice(list(self.player.gateways))
         machine = self.player.network.machines[name]
-        if self._events.get(name) == inf or not machine.running:
+        if self._gateway_events.get(name) == inf or not machine.running:
             return
         kind = self._random.choice(("restart", "kill", "power", "freeze", "partition"))
-        self._events[name] = inf
+        self._gateway_events[name] = inf
         removed = self.member_faults.retiring if self.member_faults is not None else {}
         ips = [member.machine.ip for name, member in self.player.members.items() if name not in removed]
         self.player.gateways[name].set_seeds(self._random.sample(ips, min(3, len(ips))))
-        longest = LONGEST_GATEWAY_FAULT_S
+        longest_s = LONGEST_GATEWAY_FAULT_S
         match kind:
             case "restart":
                 machine.kill()
-                longest = LONGEST_GATEWAY_RESTART_S
+                longest_s = LONGEST_GATEWAY_RESTART_S
             case "kill":
                 machine.kill()
             case "power":
@@ -172,9 +174,11 @@
                 machine.freeze()
             case "partition":
                 self.player.network.isolate(name)
-        self.player.simulator.after(self._random.uniform(0.1, longest), lambda: self._gateway_returns(name))
+        self.player.simulator.after(
+            self._random.uniform(0.1, longest_s), lambda: self._end_gateway_fault(name)
+        )
 
-    def _gateway_returns(self, name: str) -> None:
+    def _end_gateway_fault(self, name: str) -> None:
         machine = self.player.network.machines[name]
         for member in self.player.members:
             if self.member_faults is None or member not in self.member_faults.partitioned:
@@ -183,4 +187,4 @@
             self.player.network.heal(name, other)
         machine.thaw()
         machine.start()
-        self._events[name] = self.player.simulator.now
+        self._gateway_events[name] = self.player.simulator.now
--- a/mallowbeam/simulation/walk_members.py
+++ b/mallowbeam/simulation/walk_members.py
@@ -29,7 +29,7 @@
 OTHER_SEEDS_PROBABILITY = 0.5
 DISK_LOSS_PROBABILITY = 0.4
 
-Put = Callable[[str, int, bool], None]  # member, number of changes, only to this member
+SubmitChanges = Callable[[str, int, bool], None]  # member, number of changes, only to this member
 EventTimes = dict[str, float]  # last event in seconds, by gateway
 
 
@@ -37,12 +37,17 @@
     """Draws faults and ends them. `put` submits racing changes, based on the same version, at one member."""
 
     def __init__(
-        self, player: FleetPlayer, budget: LossBudget, random: Random, put: Put, gateway_events: EventTimes
+        self,
+        player: FleetPlayer,
+        budget: LossBudget,
+        random: Random,
+        put: SubmitChanges,
+        gateway_events: EventTimes,
     ) -> None:
         self.player = player
         self.budget = budget
         self._random = random
-        self._put = put
+        self._submit_changes = put
         self._gateway_events = gateway_events
         self._disk_since: dict[str, float] = {}
         self._next_full_outage = 0.0
@@ -52,7 +57,7 @@
         self.drawn: dict[str, int] = {}  # by kind
         self.kinds: dict[str, Callable[[], bool]] = {
             "kill": self._kill,
-            "power": self._power,
+            "power": self._power_off,
             "freeze": self._freeze,
             "restart": self._restart,
             "wipe": self._wipe,
@@ -63,10 +68,10 @@
             "partition-one-way": self._partition_one_way,
             "partition-and-restart": self._partition_and_restart,
             "partition-seeds": self._partition_seeds,
-            "disk": self._disk,
-            "power-after-ack": self._power_lost_after_ack,
-            "power-after-submit": self._power_lost_after_submit,
-            "slow": self._slow,
+            "disk": self._impair_disk,
+            "power-after-ack": self._power_off_after_ack,
+            "power-after-submit": self._power_off_after_submit,
+            "slow": self._slow_down,
             "all": self._full_outage,
         }
 
@@ -113,10 +118,10 @@
 
     def _after_random_delay(self, step: Step, longest: float | None = None) -> None:
         """Run a step after a random delay, such as the end of a fault; `longest` in seconds."""
-        upper = longest if longest is not None else self._random.choice(FAULT_DURATIONS_S)
-        self.player.simulator.after(self._random.uniform(SHORTEST_FAULT_S, upper), step)
+        upper_s = longest if longest is not None else self._random.choice(FAULT_DURATIONS_S)
+        self.player.simulator.after(self._random.uniform(SHORTEST_FAULT_S, upper_s), step)
 
-    def _member_returns(self, name: str) -> None:
+    def _return_member(self, name: str) -> None:
         """Restart a member, unless it is being removed, and submit changes to it at about the same time."""
         machine = self.player.network.machines[name]
         if name not in self.retiring:
@@ -130,7 +135,7 @@
         if count:
             only = self._random.random() < SINGLE_MEMBER_PROBABILITY
             delay = self._random.uniform(*RETURN_CHANGE_DELAY_S)
-            self.player.simulator.after(delay, lambda: self._put(name, count, only))
+            self.player.simulator.after(delay, lambda: self._submit_changes(name, count, only))
 
     # ------------------------------------------------------------ processes
 
@@ -141,7 +146,7 @@
         end(name)
         if lose_disk:
             self._erase_disk(name)
-        self._after_random_delay(lambda: self._member_returns(name))
+        self._after_random_delay(lambda: self._return_member(name))
         return True
 
     def _erase_disk(self, name: str) -> None:
@@ -151,7 +156,7 @@
     def _kill(self) -> bool:
         return self._stop_member(lambda name: self.player.do_kill(name))
 
-    def _power(self) -> bool:
+    def _power_off(self) -> bool:
         return self._stop_member(lambda name: self.player.do_power_off(name))
 
     def _wipe(self) -> bool:
@@ -165,7 +170,7 @@
 
         def thaw() -> None:
             self.player.do_thaw(name)
-            self._member_returns(name)
+            self._return_member(name)
 
         self._after_random_delay(thaw)
         return True
@@ -176,21 +181,21 @@
         if name is None:
             return False
         self.player.do_terminate(name)
-        self._when_ended(name, lambda: self._after_random_delay(lambda: self._member_returns(name), 2.0))
+        self._when_ended(name, lambda: self._after_random_delay(lambda: self._return_member(name), 2.0))
         return True
 
-    def _when_ended(self, name: str, step: Step, waited: float = 0.0) -> None:
+    def _when_ended(self, name: str, step: Step, waited_s: float = 0.0) -> None:
         machine = self.player.network.machines[name]
-        if machine.running and waited < SLOWEST_EXIT_S:
+        if machine.running and waited_s < SLOWEST_EXIT_S:
             self.player.simulator.after(
-                EXIT_POLL_S, lambda: self._when_ended(name, step, waited + EXIT_POLL_S)
+                EXIT_POLL_S, lambda: self._when_ended(name, step, waited_s + EXIT_POLL_S)
             )
             return
         machine.power_off()  # like an operator who stops waiting
         self.budget.disturbed(self.now)
         step()
 
-    def _slow(self) -> bool:
+    def _slow_down(self) -> bool:
         """Slow a process down and possibly change the rate of its clock."""
         name = self._begin_loss()
         if name is None:
@@ -201,7 +206,7 @@
 
         def end() -> None:
             machine.step_cost = 0.0
-            self._member_returns(name)
+            self._return_member(name)
 
         self._after_random_delay(end)
         return True
@@ -247,21 +252,21 @@
         successor, since = self._add_successor(), self.now
         self.retiring[name] = successor
         self.budget.disturbed(self.now)
-        ahead = self._random.uniform(*PLANNED_LEAD_S)
-        self.player.simulator.after(ahead, lambda: self._shut_down(name, since))
+        lead_s = self._random.uniform(*PLANNED_LEAD_S)
+        self.player.simulator.after(lead_s, lambda: self._shut_down(name, since))
         return True
 
     def _shut_down(self, name: str, successor_at: float) -> None:
         """Send SIGTERM to a member whose successor runs; retried while too many members are lost."""
-        is_lost = successor_at + CATCH_UP_S > self.now
-        if is_lost and not self.budget.begin(name, self.now):
+        counts_as_lost = successor_at + CATCH_UP_S > self.now
+        if counts_as_lost and not self.budget.begin(name, self.now):
             self.player.simulator.after(SHUTDOWN_RETRY_S, lambda: self._shut_down(name, successor_at))
             return
         self.player.do_terminate(name)
         self.budget.disturbed(self.now)
-        self._when_ended(name, lambda: self._removed(name, successor_at))
+        self._when_ended(name, lambda: self._record_removal(name, successor_at))
 
-    def _removed(self, name: str, successor_at: float) -> None:
+    def _record_removal(self, name: str, successor_at: float) -> None:
         self._planned_replacements -= 1
         self.player.members[name].removed = True
         self.budget.removed(name, self.now, successor_at)
@@ -284,7 +289,7 @@
                 self.player.network.heal(name, other)
             self.partitioned.discard(name)
             self._record_gateway_event(peers)
-            self._member_returns(name)
+            self._return_member(name)
 
         self._after_random_delay(heal)
         return name
@@ -344,7 +349,7 @@
 
     # ------------------------------------------------------------ disks and acknowledgements
 
-    def _disk(self) -> bool:
+    def _impair_disk(self) -> bool:
         """Make a member's disk slow, stalled or full."""
         name = self._begin_loss()
         if name is None:
@@ -356,35 +361,35 @@
 
         def repair() -> None:
             self.player.do_repair_disk(name)
-            self._member_returns(name)
+            self._return_member(name)
 
         self._after_random_delay(repair)
         return True
 
-    def _power_lost_after_ack(self) -> bool:
+    def _power_off_after_ack(self) -> bool:
         """Turn a member off right after it answered a change; its disk may be lost too."""
         name = self._choose_target()
         if name is None:
             return False
         before = self.player.history.answers
-        self._put(name, 1, False)
+        self._submit_changes(name, 1, False)
 
         def poll(polls_left: int) -> None:
             if self.player.history.answers > before:
-                within = self._random.uniform(0.0, POWER_LOSS_AFTER_ACK_S)
-                self.player.simulator.after(within, lambda: self._lose_power(name))
+                delay_s = self._random.uniform(0.0, POWER_LOSS_AFTER_ACK_S)
+                self.player.simulator.after(delay_s, lambda: self._lose_power(name))
             elif polls_left:
                 self.player.simulator.after(ACK_POLL_S, lambda: poll(polls_left - 1))
 
         poll(ACK_POLLS)
         return True
 
-    def _power_lost_after_submit(self) -> bool:
+    def _power_off_after_submit(self) -> bool:
         """Turn a member off soon after a change was submitted to it."""
         name = self._choose_target()
         if name is None:
             return False
-        self._put(name, 1, False)
+        self._submit_changes(name, 1, False)
         self.player.simulator.after(
             self._random.uniform(*POWER_LOSS_AFTER_SUBMIT_S), lambda: self._lose_power(name)
         )
@@ -396,7 +401,7 @@
         self.player.do_power_off(name)
         if self._random.random() < DISK_LOSS_PROBABILITY:
             self._erase_disk(name)
-        self._after_random_delay(lambda: self._member_returns(name))
+        self._after_random_delay(lambda: self._return_member(name))
 
     # ------------------------------------------------------------ all members
 
@@ -407,11 +412,11 @@
         self._next_full_outage = self.now + FULL_OUTAGE_INTERVAL_S
         names = self.healthy_members()
         self.budget.begin_all(names, self.now)
-        lose = self._random.choice((self.player.do_kill, self.player.do_power_off))
-        lose(*names)
-        self.player.simulator.after(self._random.uniform(0.1, 2.0), lambda: self._members_return(names))
+        stop = self._random.choice((self.player.do_kill, self.player.do_power_off))
+        stop(*names)
+        self.player.simulator.after(self._random.uniform(0.1, 2.0), lambda: self._return_members(names))
         return True
 
-    def _members_return(self, names: list[str]) -> None:
+    def _return_members(self, names: list[str]) -> None:
         for name in names:
-            self._member_returns(name)
+            self._return_member(name)
--- a/mallowbeam/simulation/walk_unbounded.py
+++ b/mallowbeam/simulation/walk_unbounded.py
@@ -38,7 +38,7 @@
             self._isolate,
             self._heal,
             self._heal,
-            self._lossy,
+            self._lose_messages,
             self._stall_disk,
             self._slow_disk,
             self._fill_disk,
@@ -48,7 +48,7 @@
             self._wipe,
             self._wipe,
             self._terminate,
-            self._clock,
+            self._change_clock_rate,
         )
 
     def draw(self) -> None:
@@ -69,19 +69,19 @@
 
     # ------------------------------------------------------------ processes
 
-    def _member(self) -> str:
+    def _random_member(self) -> str:
         if self._random.random() < LEADER_PROBABILITY and self.player.holds(("leader",)):
             return "leader"
         return self._random.choice(list(self.player.members))
 
-    def _process(self) -> str:
-        return self._random.choice([self._member(), self._member(), *self.player.gateways])
+    def _random_process(self) -> str:
+        return self._random.choice([self._random_member(), self._random_member(), *self.player.gateways])
 
     def _kill(self) -> None:
-        self.player.do_kill(self._process())
+        self.player.do_kill(self._random_process())
 
     def _power_off(self) -> None:
-        self.player.do_power_off(self._process())
+        self.player.do_power_off(self._random_process())
 
     def _power_off_all(self) -> None:
         self.player.do_power_off("members")
@@ -90,7 +90,7 @@
         self.player.do_start("members", "gateways")
 
     def _freeze(self) -> None:
-        self.player.do_freeze(self._process())
+        self.player.do_freeze(self._random_process())
 
     def _thaw(self) -> None:
         self.player.do_thaw("members", "gateways")
@@ -100,38 +100,38 @@
         now = self.player.simulator.now
         if now >= self._next_wipe and self.player.complete():
             self._next_wipe = now + CATCH_UP_S
-            self.player.do_wipe(self._member())
+            self.player.do_wipe(self._random_member())
 
     # ------------------------------------------------------------ paths and disks
 
-    def _any(self) -> str:
+    def _random_machine(self) -> str:
         machines = self.player.network.machines
         return self._random.choice([name for name in machines if name not in self.player.operators])
 
     def _partition(self) -> None:
-        self.player.do_partition(self._any(), self._any())
+        self.player.do_partition(self._random_machine(), self._random_machine())
 
     def _partition_one_way(self) -> None:
-        self.player.do_partition(self._member(), ">", self._any())
+        self.player.do_partition(self._random_member(), ">", self._random_machine())
 
     def _isolate(self) -> None:
-        self.player.do_isolate(self._any())
+        self.player.do_isolate(self._random_machine())
 
     def _heal(self) -> None:
         self.player.do_heal()
 
-    def _lossy(self) -> None:
+    def _lose_messages(self) -> None:
         loss = self._random.choice((0.0, 0.05, 0.3))
         self.player.network.default = Path(0.0005, self._random.choice((0.003, 0.05)), loss)
 
     def _stall_disk(self) -> None:
-        self.player.do_stall_disk(self._member())
+        self.player.do_stall_disk(self._random_member())
 
     def _slow_disk(self) -> None:
-        self.player.do_slow_disk(self._member())
+        self.player.do_slow_disk(self._random_member())
 
     def _fill_disk(self) -> None:
-        self.player.do_fill_disk(self._member())
+        self.player.do_fill_disk(self._random_member())
 
     def _repair_disks(self) -> None:
         self.player.do_repair_disk("members")
@@ -139,7 +139,7 @@
     # ------------------------------------------------------------ shutdowns and clocks
 
     def _terminate(self) -> None:
-        self.player.do_terminate(self._member())
+        self.player.do_terminate(self._random_member())
 
-    def _clock(self) -> None:
-        self.player.do_clock(self._process(), str(self._random.choice((0.95, 1.0, 1.05))))
+    def _change_clock_rate(self) -> None:
+        self.player.do_clock(self._random_process(), str(self._random.choice((0.95, 1.0, 1.05))))
--- a/tests/simulation/test_fleet_variants.py
+++ b/tests/simulation/test_fleet_variants.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from unittest import mock
 
-from fleet_variants import HEAD, M3_CUT_OFF, VARIANTS, Variant, _always_fresh
+from fleet_variants import HEAD, M3_PARTITIONED, VARIANTS, Variant, _return_fresh
 
 from mallowbeam.router.consensus.node import RaftNode
 from mallowbeam.simulation import fleet_checkers
@@ -15,7 +15,7 @@
 from mallowbeam.simulation.scenario import ViolationError
 
 LATE_GATEWAY = (
-    M3_CUT_OFF
+    M3_PARTITIONED
     + """at 8 call a m1
 at 8 call b m1
 at 8 kill g1
@@ -44,12 +44,12 @@
     methods: dict[str, Callable[[unittest.TestCase], None]] = {}
     for variant in variants:
         name = variant.name.replace(" ", "_")
-        methods[f"test_caught_{name}"] = _caught(variant)
-        methods[f"test_passed_without_{name}"] = _passed(variant)
+        methods[f"test_caught_{name}"] = _caught_test(variant)
+        methods[f"test_passed_without_{name}"] = _passed_test(variant)
     return type("Variants", (unittest.TestCase,), methods)
 
 
-def _caught(variant: Variant) -> Callable[[unittest.TestCase], None]:
+def _caught_test(variant: Variant) -> Callable[[unittest.TestCase], None]:
     def test(case: unittest.TestCase) -> None:
         with variant.patch(), case.assertRaises(ViolationError) as caught:
             player_of(variant).play()
@@ -58,7 +58,7 @@
     return test
 
 
-def _passed(variant: Variant) -> Callable[[unittest.TestCase], None]:
+def _passed_test(variant: Variant) -> Callable[[unittest.TestCase], None]:
     def test(_: unittest.TestCase) -> None:
         player_of(variant).play()
 
@@ -70,7 +70,7 @@
 
 class StartedGateways(unittest.TestCase):
     def test_a_started_gateway_is_given_an_old_configuration(self) -> None:
-        with mock.patch.object(RaftNode, "freshness", _always_fresh):
+        with mock.patch.object(RaftNode, "freshness", _return_fresh):
             with self.assertRaisesRegex(ViolationError, "1: g1 is given 1 first, 2 was acknowledged"):
                 FleetPlayer(HEAD + LATE_GATEWAY).play()
 
--- a/tests/simulation/test_system_broken.py
+++ b/tests/simulation/test_system_broken.py
@@ -25,7 +25,7 @@
         return str(caught.exception)
 
     def test_acknowledgements_before_writes_are_durable(self):
-        def early(self: Disk, change: Step, done: Step, failed: object = None) -> None:
+        def acknowledge_early(self: Disk, change: Step, done: Step, failed: object = None) -> None:
             self._machine.after_true(0.0, done)
             self._machine.after_true(1.0, change)
 
@@ -34,24 +34,24 @@
             "at 14 get\nend 16"
         )
         FleetPlayer(HEAD + text).play()
-        with mock.patch.object(Disk, "write", early):
+        with mock.patch.object(Disk, "write", acknowledge_early):
             self.assertIn("revision 2 was acknowledged, ", self.violation(text))
 
     def test_a_gateway_that_accepts_an_older_configuration(self):
-        take = FeedSubscriber.received
+        receive = FeedSubscriber.received
 
-        def forgets(self: FeedSubscriber[Configuration], frame: object, now: float) -> object:
+        def forget_revision(self: FeedSubscriber[Configuration], frame: object, now: float) -> object:
             if now > 10.0:
                 self.configuration_revision = 0
-            return take(self, frame, now)
+            return receive(self, frame, now)
 
-        with mock.patch.object(FeedSubscriber, "received", forgets):
+        with mock.patch.object(FeedSubscriber, "received", forget_revision):
             self.assertIn("the configuration went back", self.violation("end 12"))
 
     def test_a_gateway_that_overlooks_a_drain(self):
         apply = InstanceReplica.apply
 
-        def overlooks(self: InstanceReplica, update: object, replaces: bool) -> object:
+        def ignore_drains(self: InstanceReplica, update: object, replaces: bool) -> object:
             changes = apply(self, update, replaces)
             for instance in self.instances.values():
                 instance.state = 0
@@ -59,7 +59,7 @@
 
         text = "at 8 drain a\nby 9 expect acknowledged a\nnever g1 a ready from 9.5 to 12\nend 12"
         FleetPlayer(HEAD + text).play()
-        with mock.patch.object(InstanceReplica, "apply", overlooks):
+        with mock.patch.object(InstanceReplica, "apply", ignore_drains):
             self.assertIn("never g1 a ready", self.violation(text))
 
     def test_a_task_that_fails_unhandled(self):
--- a/tests/simulation/test_system_scenarios.py
+++ b/tests/simulation/test_system_scenarios.py
@@ -26,7 +26,7 @@
 
 
 # A gateway reconnects after an isolation while one member is partitioned from the others.
-RETURNS_BESIDE_CUT_OFF = """seed {seed}
+RECONNECT_BESIDE_PARTITIONED = """seed {seed}
 members m1 m2 m3
 gateways g1
 instances a
@@ -43,7 +43,7 @@
 
 
 # Gateways reconnect after an isolation while four of the nine members that they know are off.
-RETURNS_AMONG_DEAD = """seed {seed}
+RECONNECT_WITH_MEMBERS_OFF = """seed {seed}
 members m1 m2 m3 m4 m5 m6 m7 m8 m9
 gateways g1 g2 g3 g4 g5 g6
 instances a
@@ -63,12 +63,12 @@
     def test_gateways_that_return_find_a_running_member_in_time_though_most_that_they_try_are_off(self):
         for seed in range(1, 16):
             with self.subTest(seed=seed):
-                FleetPlayer(RETURNS_AMONG_DEAD.format(seed=seed)).play()
+                FleetPlayer(RECONNECT_WITH_MEMBERS_OFF.format(seed=seed)).play()
 
     def test_a_gateway_that_returns_does_not_stay_with_a_partitioned_member(self):
         for seed in range(1, 21):
             with self.subTest(seed=seed):
-                FleetPlayer(RETURNS_BESIDE_CUT_OFF.format(seed=seed)).play()
+                FleetPlayer(RECONNECT_BESIDE_PARTITIONED.format(seed=seed)).play()
 
 
 if __name__ == "__main__":
--- a/tests/support/fleet_variants.py
+++ b/tests/support/fleet_variants.py
@@ -33,7 +33,7 @@
 from mallowbeam.simulation.replica import Replica
 
 HEAD = "members m1 m2 m3\ngateways g1\ninstances a b\nat 2 put 1 on 0\nby 8 expect gateways ready\n"
-M3_CUT_OFF = "at 8 cut m3 m1\nat 8 cut m3 m2\nat 8.5 put 2 on 1 via m1\nby 11 expect taken 2\n"
+M3_PARTITIONED = "at 8 cut m3 m1\nat 8 cut m3 m2\nat 8.5 put 2 on 1 via m1\nby 11 expect taken 2\n"
 Patch = Callable[[], AbstractContextManager[Any]]
 
 
@@ -58,51 +58,51 @@
 _put_config = ControlApi._put_config
 
 
-async def _read_at_hand(self: ControlApi, request: Any, since: float) -> Any:
+async def _read_local_state(self: ControlApi, request: Any, since: float) -> Any:
     return 200, self._versions.current_body()
 
 
-async def _taken_unasked(self: ControlApi, request: Any, since: float) -> Any:
+async def _acknowledge_uncommitted(self: ControlApi, request: Any, since: float) -> Any:
     revision = json.loads(bytes(request.body))["revision"]
     if revision == 1:  # the gateways wait for the first configuration
         return await _put_config(self, request, since)
     return 200, b'{"revision":%d}' % revision
 
 
-async def _held_up(self: ControlApi, request: Any, closing: Any) -> Any:
+async def _delay_reads(self: ControlApi, request: Any, closing: Any) -> Any:
     if request.method == b"GET":
         await asyncio.sleep(2.0)
     return await _handle(self, request, closing)
 
 
-def _always_fresh(self: RaftNode, now: float) -> float:
+def _return_fresh(self: RaftNode, now: float) -> float:
     return 0.0
 
 
-CONTACT = (
+MAJORITY_CONTACT = (
     Variant(
         "reads without the leader's word",
         "revision 2 was acknowledged, m3 reads 1 back",
-        M3_CUT_OFF + "at 11 get via m3\nend 14",
-        _replaced(ControlApi, "_get_config", _read_at_hand),
+        M3_PARTITIONED + "at 11 get via m3\nend 14",
+        _replaced(ControlApi, "_get_config", _read_local_state),
     ),
     Variant(
         "changes acknowledged before they are committed",
         "which no member has applied",
         "at 8 put 2 on 1\nend 11",
-        _replaced(ControlApi, "_put_config", _taken_unasked),
+        _replaced(ControlApi, "_put_config", _acknowledge_uncommitted),
     ),
     Variant(
         "heartbeats acknowledged by a member that is cut off",
         "without a majority in reach",
-        M3_CUT_OFF + "at 8 call a m3\nend 14",
-        _replaced(RaftNode, "freshness", _always_fresh),
+        M3_PARTITIONED + "at 8 call a m3\nend 14",
+        _replaced(RaftNode, "freshness", _return_fresh),
     ),
     Variant(
         "callers held up by a member that is cut off",
         "m3 answered GET /mallowbeam/config after",
-        M3_CUT_OFF + "at 11 get via m3\nend 16",
-        _replaced(ControlApi, "handle", _held_up),
+        M3_PARTITIONED + "at 11 get via m3\nend 16",
+        _replaced(ControlApi, "handle", _delay_reads),
     ),
 )
 
@@ -112,7 +112,7 @@
 _apply_version = ConfigurationVersions.apply
 
 
-def _on_any_version(self: ConfigurationVersions, command: Any) -> Any:
+def _accept_any_base_version(self: ConfigurationVersions, command: Any) -> Any:
     result = _apply_version(self, command)
     if result == VERSION_MISMATCH and command.revision > self.revision:
         command.based_on = self.revision
@@ -120,34 +120,34 @@
     return result
 
 
-def _known_is_refused(self: ConfigurationVersions, command: Any) -> Any:
+def _reject_resubmitted(self: ConfigurationVersions, command: Any) -> Any:
     result = _apply_version(self, command)
     return VERSION_MISMATCH if result == ALREADY_DONE else result
 
 
-async def _refused_though_taken(self: ControlApi, request: Any, since: float) -> Any:
+async def _reject_after_commit(self: ControlApi, request: Any, since: float) -> Any:
     await _put_config(self, request, since)
     raise VersionMismatchError("another version is current", "If-Match")
 
 
-WINNERS = (
+CONFLICTING_CHANGES = (
     Variant(
         "both of two changes on one version are taken",
         "were both acknowledged",
         "at 8 operator second\nat 9 put 2 on 1 via m1\nat 9.1 put 3 on 1 via m2 by second\nend 12",
-        _replaced(ConfigurationVersions, "apply", _on_any_version),
+        _replaced(ConfigurationVersions, "apply", _accept_any_base_version),
     ),
     Variant(
         "a change that is sent again is refused",
         "refused ChangeKey(",
         "at 8 put 2 on 1\nby 10 expect taken 2\nat 10 again 2\nend 12",
-        _replaced(ConfigurationVersions, "apply", _known_is_refused),
+        _replaced(ConfigurationVersions, "apply", _reject_resubmitted),
     ),
     Variant(
         "a refused change comes into force",
         "refused ChangeKey(",
         "at 8 put 2 on 1\nend 10",
-        _replaced(ControlApi, "_put_config", _refused_though_taken),
+        _replaced(ControlApi, "_put_config", _reject_after_commit),
     ),
 )
 
@@ -167,7 +167,7 @@
 
 
 @contextmanager
-def _any_membership() -> Iterator[None]:
+def _unchecked_membership() -> Iterator[None]:
     """Let the policy promote any learner, and disable the check of the consensus core too."""
     with (
         mock.patch.object(membership_manager, "next_membership", _promote_all),
@@ -181,7 +181,7 @@
         "a learner gets a vote without a place",
         "4 voters for 3 places",
         "at 8 wipe m3\nend 14",
-        _any_membership,
+        _unchecked_membership,
     ),
     Variant(
         "nobody stands for election",
@@ -203,14 +203,14 @@
 # ------------------------------------------------------------ 4: logs and snapshots
 
 
-def _forgets_entries(self: Replica) -> PersistentState:
+def _restore_without_entries(self: Replica) -> PersistentState:
     return PersistentState(self.hard_state, self.snapshot)
 
 
 _raft = PeerRequests.raft
 
 
-def _deaf(self: PeerRequests, sender: int, message: Any) -> None:
+def _drop_messages_to_m3(self: PeerRequests, sender: int, message: Any) -> None:
     if not (self.parts.own.address.startswith("10.0.0.3:") and time.monotonic() > 9.0):
         _raft(self, sender, message)
 
@@ -218,7 +218,7 @@
 _apply_entry = ReplicatedStateMachine.apply
 
 
-def _differs_at_random(self: ReplicatedStateMachine, index: int, payload: bytes) -> CommandOutcome:
+def _return_varying_results(self: ReplicatedStateMachine, index: int, payload: bytes) -> CommandOutcome:
     outcome = _apply_entry(self, index, payload)
     return CommandOutcome(REFUSED if id(self) % 3 else DONE, outcome.index) if index > 3 else outcome
 
@@ -228,13 +228,13 @@
         "entries are forgotten at a restart",
         "were committed",
         "at 9 power-off members\nat 10 start members\nend 13",
-        _replaced(Replica, "restored", _forgets_entries),
+        _replaced(Replica, "restored", _restore_without_entries),
     ),
     Variant(
         "a member never catches up",
         "m3 has committed",
         "at 9 put 2 on 1\nby 11 expect taken 2\nend 16",
-        _replaced(PeerRequests, "raft", _deaf),
+        _replaced(PeerRequests, "raft", _drop_messages_to_m3),
         ("CatchUpChecker",),
     ),
 )
@@ -243,7 +243,7 @@
 # ------------------------------------------------------------ 5: answers and propagation
 
 
-def _any_pending(self: CommandForwarder, response: Any) -> None:
+def _match_any_proposal(self: CommandForwarder, response: Any) -> None:
     pending = next(iter(self._proposals), None)
     if pending is not None:
         response.id = pending
@@ -254,7 +254,7 @@
 _apply_instances = InstanceReplica.apply
 
 
-def _overlooks_drains(self: InstanceReplica, update: Any, replaces: bool) -> object:
+def _ignore_drains(self: InstanceReplica, update: Any, replaces: bool) -> object:
     changes = _apply_instances(self, update, replaces)
     for instance in self.instances.values():
         instance.state = 0
@@ -267,19 +267,19 @@
         "ChangeKey",
         "at 8 operator second\nat 9 put 2 on 1 via followers\nat 9 put 3 on 1 via followers by second\n"
         "at 9 put 4 on 1 via followers\nat 9 put 5 on 1 via followers by second\nend 12",
-        lambda: mock.patch.object(CommandForwarder, "propose_response", _swapped()),
+        lambda: mock.patch.object(CommandForwarder, "propose_response", _swap_responses()),
     ),
     Variant(
         "drains are overlooked by a gateway",
         "holds a for ready",
         "at 8 drain a\nend 13.5",
-        _replaced(InstanceReplica, "apply", _overlooks_drains),
+        _replaced(InstanceReplica, "apply", _ignore_drains),
         ("GatewayConvergenceChecker",),
     ),
 )
 
 
-def _swapped() -> Callable[[CommandForwarder, Any], None]:
+def _swap_responses() -> Callable[[CommandForwarder, Any], None]:
     """Hold back every other response and swap the request ids of it and the next one."""
     held: list[Any] = []
 
@@ -297,4 +297,4 @@
     return respond
 
 
-VARIANTS = CONTACT + WINNERS + MEMBERSHIP + LOGS + ANSWERS
+VARIANTS = MAJORITY_CONTACT + CONFLICTING_CHANGES + MEMBERSHIP + LOGS + ANSWERS
--- a/tests/support/system_bulk.py
+++ b/tests/support/system_bulk.py
@@ -23,7 +23,7 @@
 from mallowbeam.simulation.scenario import ViolationError
 
 RETRY_S = 0.1
-TEXT = bytes(code for code in range(35, 127) if chr(code) not in '"\\')  # needs no escape in JSON
+TEXT_ALPHABET = bytes(code for code in range(35, 127) if chr(code) not in '"\\')  # needs no escape in JSON
 
 
 class BulkPlayer(FleetPlayer):
@@ -33,17 +33,17 @@
         super().prepare()
         self.changes_left = 0
         self.changed_revision = 0
-        self.most_waiting = 0
+        self.max_unsent_bytes = 0
         self.simulator.check(self._check_links)
 
     def do_change(self, count: str, size: str = "0") -> None:
         self.changes_left += int(count)
         self._change(int(count), int(size))
 
-    def do_bandwidth(self, one: str, other: str, bytes_a_second: str) -> None:
+    def do_bandwidth(self, one: str, other: str, bytes_per_second: str) -> None:
         for sender in self.names(one):
             for recipient in self.names(other):
-                path = replace(self.network.path(sender, recipient), bandwidth=float(bytes_a_second))
+                path = replace(self.network.path(sender, recipient), bandwidth=float(bytes_per_second))
                 self.network.set_path(sender, recipient, path)
 
     def holds(self, words: Sequence[str]) -> bool:
@@ -53,7 +53,7 @@
             case (who, "current"):
                 return all(self._revision(name) == self.changed_revision for name in self.names(who))
             case ("waiting-below", size):
-                return self.most_waiting < int(size)
+                return self.max_unsent_bytes < int(size)
         return super().holds(words)
 
     def _change(self, count: int, size: int) -> None:
@@ -85,7 +85,7 @@
 
     def _text(self, size: int) -> str:
         """Text that does not compress well."""
-        table = (TEXT * 3)[:256]
+        table = (TEXT_ALPHABET * 3)[:256]
         return self.simulator.random.randbytes(size).translate(table).decode()
 
     def _check_links(self) -> None:
@@ -94,8 +94,8 @@
                 if not member.program.parts.driver.is_leader:
                     continue  # their links queue commands forwarded to the leader
                 for link in member.program.parts.links._links.values():
-                    self.most_waiting = max(self.most_waiting, _waiting(link))
+                    self.max_unsent_bytes = max(self.max_unsent_bytes, _unsent_bytes(link))
 
 
-def _waiting(link: PeerLink) -> int:
+def _unsent_bytes(link: PeerLink) -> int:
     return link._connection.unsent_bytes if link._connection is not None else 0
