--- a/tests/support/large_bodies_load.py
+++ b/tests/support/large_bodies_load.py
@@ -19,13 +19,14 @@
 from random import Random
 
 from control_plane_rig import INCONCLUSIVE_STATUSES, Answer, Machine, Rig, configuration
-from system_bulk import TEXT
+from system_bulk import TEXT_ALPHABET
 
 MEMBERS = 3
 TEXT_BYTES = 4 * 1024 * 1024 - 4096  # leaves room for the rest of a configuration
 PAUSE_S = 0.2  # after a 503, as its Retry-After asks, and after losing to another caller's change
 KIB_PER_MIB = 1024
-TEXT_TABLE = bytes(TEXT[code % len(TEXT)] for code in range(256))  # maps each byte to a character of TEXT
+# Maps each byte to a character of the alphabet.
+TEXT_TABLE = bytes(TEXT_ALPHABET[code % len(TEXT_ALPHABET)] for code in range(256))
 
 
 class Load:
--- a/tests/support/membership_plays.py
+++ b/tests/support/membership_plays.py
@@ -131,10 +131,10 @@
             )
 
     def _has_leader(self) -> bool:
-        return bool(self.player._leading())
+        return bool(self.player._live_leaders())
 
     def _leading_node(self):
-        leading = self.player._leading()
+        leading = self.player._live_leaders()
         return max(leading, key=term_of).program.parts.driver.node if leading else None
 
     def _membership(self) -> list[Member]:
