--- a/mallowbeam/router/control_plane/member_builder.py
+++ b/mallowbeam/router/control_plane/member_builder.py
@@ -115,7 +115,7 @@
 
     def instance_retired(self, retirement: RetireInstance) -> None:
         """A retirement was applied from the log or a snapshot."""
-        self._parts.instances.retired(retirement)
+        self._parts.instances.apply_retirement(retirement)
 
     def gateways_outdated(self) -> None:
         """A change must be sent to gateways or members."""
--- a/mallowbeam/router/processes/metrics.py
+++ b/mallowbeam/router/processes/metrics.py
@@ -1,7 +1,7 @@
-"""A role's metrics in the exposition format of Prometheus, on a listener of their own.
+"""A role's metrics in the exposition format of Prometheus, on a separate listener.
 
-Off unless the settings file contains `metrics = "PORT/PATH"`.  Metrics are collected for each request;
-nothing is stored for them.
+Off unless the settings file contains `metrics = "PORT/PATH"`.  Metrics are collected for each request and
+not stored.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 MAX_CONNECTIONS = 4
 MAX_BODY_BYTES = 1024
-TEXT = (b"content-type", b"text/plain; version=0.0.4")
+CONTENT_TYPE = (b"content-type", b"text/plain; version=0.0.4")
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,10 +59,10 @@
 
     max_body = max_buffered_body = MAX_BODY_BYTES
     budget: BodyBudget | None = None
-    idle = 30.0  # seconds after which an idle connection is closed
+    idle_timeout_s = 30.0  # seconds after which an idle connection is closed
 
     def __init__(self, path: bytes, collect: Collect) -> None:
-        """`path` is that of the page, with its slash; `collect` is called for each request."""
+        """Serve the page at `path`, which starts with a slash; `collect` is called for each request."""
         self._path = path
         self._collect = collect
 
@@ -79,15 +79,15 @@
         return _reply(status, text.encode() + b"\n", True)
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
-        """Requests are not counted."""
+        """Do nothing: requests for this page are not counted."""
 
 
 def _reply(status: int, body: bytes, close: bool) -> Response:
-    return Response(status, write_head(status, [TEXT], len(body), close) + body)
+    return Response(status, write_head(status, [CONTENT_TYPE], len(body), close) + body)
 
 
 def metrics_server(settings: NodeSettings, collect: Collect) -> Server | None:
-    """The listener of the settings; None if they configure none."""
+    """The listener that the settings configure; None if they configure none."""
     if settings.metrics is None:
         return None
     handler = MetricsHandler(settings.metrics.path.encode(), collect)
--- a/mallowbeam/router/processes/role.py
+++ b/mallowbeam/router/processes/role.py
@@ -1,4 +1,4 @@
-"""Start, settings changes and stop of a role's process.
+"""Starts and stops a role's process and reloads its settings.
 
 Exit codes: 0 after a requested stop, 1 after an unexpected failure, 2 if the settings can't be used or the
 role itself raises a :class:`MallowbeamError` (such as an address in use).
@@ -25,7 +25,8 @@
 EXIT_FAILED = 1
 EXIT_UNUSABLE = 2
 SETTINGS_POLL_INTERVAL_S = 1.0  # between two polls of the settings file
-GC_THRESHOLDS = (20_000, 20, 50)  # new objects before a collection; collections before that of an older
+# allocations before a collection of the youngest generation; collections before one of the next generation
+GC_THRESHOLDS = (20_000, 20, 50)
 
 ReloadCallback = Callable[[NodeSettings], None]
 
@@ -57,7 +58,7 @@
         try:
             settings = read_settings(self._path)
         except SettingsError as error:
-            log.error("settings not taken: %s", error.line)
+            log.error("invalid settings, keeping the previous ones: %s", error.line)
             return
         if settings == self._settings:
             return
@@ -89,7 +90,7 @@
 
 def run_role(serve: Callable[[RoleContext], Awaitable[None]]) -> int:
     """Run a role until a signal stops it; returns the exit code of the process."""
-    hangups = defer_sighup()  # SIGHUPs before this line are covered by the reading below
+    pending_sighups = defer_sighup()  # the settings are read below, so an earlier SIGHUP needs no reload
     path = settings_path()
     try:
         settings = read_settings(path)
@@ -98,7 +99,7 @@
         return EXIT_UNUSABLE
     set_up_logging(settings.node_name)
     try:
-        uvloop.run(_serve(serve, settings, path, hangups))
+        uvloop.run(_serve(serve, settings, path, pending_sighups))
     except MallowbeamError as error:
         print(f"mallowbeam: {error.line}", file=sys.stderr)
         return EXIT_UNUSABLE
@@ -109,27 +110,30 @@
 
 
 async def _serve(
-    serve: Callable[[RoleContext], Awaitable[None]], settings: NodeSettings, path: str, hangups: Sequence[int]
+    serve: Callable[[RoleContext], Awaitable[None]],
+    settings: NodeSettings,
+    path: str,
+    pending_sighups: Sequence[int],
 ) -> None:
     """Run the role inside its event loop, with its signal handlers."""
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(_log_unhandled)
     context = RoleContext(settings, path)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, context.stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, context.stopping.set)
     loop.add_signal_handler(signal.SIGHUP, context.reload)
-    if hangups:
+    if pending_sighups:
         loop.call_soon(context.reload)
     relax_garbage_collection()
-    watch = loop.create_task(_watch_settings(context))
+    watcher = loop.create_task(_watch_settings(context))
     try:
         await serve(context)
     finally:
-        watch.cancel()
+        watcher.cancel()
 
 
 def relax_garbage_collection() -> None:
-    """Exclude the objects of the start from garbage collection, and collect others less often."""
+    """Exclude the objects created at start-up from garbage collection, and collect others less often."""
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     gc.enable()
@@ -143,6 +147,6 @@
 
 
 def _log_unhandled(_: asyncio.AbstractEventLoop, details: dict[str, Any]) -> None:
-    """Log an exception that no caller of a task receives."""
+    """Log an error that reached the event loop unhandled."""
     message, error = details.get("message", ""), details.get("exception")
-    log.error("unhandled in the event loop: %s", message, exc_info=error)
+    log.error("unhandled error in the event loop: %s", message, exc_info=error)
--- a/mallowbeam/router/registry/retirements.py
+++ b/mallowbeam/router/registry/retirements.py
@@ -1,4 +1,4 @@
-"""The replicated part of the registry: instances that announced that they leave.
+"""Retirements, replicated through the log: instances that announced that they are leaving.
 
 Commands are applied in log order on every member, so nothing here may depend on time or on what a single
 member has received. An id is one incarnation of one instance, so a retirement is permanent.
@@ -21,10 +21,10 @@
 class Retirements:
     """Retired ids with the kind of their retirement, bounded; the oldest are dropped first."""
 
-    def __init__(self, most: int = MAX_RETIRED) -> None:
-        """Remember at most `most` ids."""
+    def __init__(self, max_ids: int = MAX_RETIRED) -> None:
+        """Remember at most `max_ids` ids."""
         self._kinds: dict[str, RetirementKind] = {}  # oldest first
-        self._most = most
+        self._max_ids = max_ids
 
     def __len__(self) -> int:
         """The number of ids remembered."""
@@ -41,12 +41,12 @@
             return ALREADY_DONE
         self._kinds.pop(command.id, None)
         self._kinds[command.id] = command.kind
-        if len(self._kinds) > self._most:
+        if len(self._kinds) > self._max_ids:
             del self._kinds[next(iter(self._kinds))]
         return DONE
 
     def all(self) -> list[RetireInstance]:
-        """Every retirement that is remembered, oldest first."""
+        """All remembered retirements, oldest first."""
         return [RetireInstance(id=id, kind=kind) for id, kind in self._kinds.items()]
 
     def save(self, state: ReplicatedState) -> None:
@@ -55,6 +55,6 @@
         state.retired.extend(self.all())
 
     def restore(self, state: ReplicatedState) -> None:
-        """Replace the retirements by those of a snapshot."""
-        newest = list(state.retired)[-self._most :]
+        """Replace the retirements with those of a snapshot."""
+        newest = list(state.retired)[-self._max_ids :]
         self._kinds = {retired.id: retired.kind for retired in newest}
--- a/mallowbeam/storage_gateway/coordination/shares/quota_rows.py
+++ b/mallowbeam/storage_gateway/coordination/shares/quota_rows.py
@@ -1,7 +1,7 @@
-"""From the rates of flows to the rows of a quota transfer: each gateway's sum at each node, zone and tenant.
+"""Sums the rates of flows to the rows of a quota transfer: by gateway, at each node, zone and tenant.
 
-Rates are milli-units a second.  All flows of all gateways are visited once in a close; that is its most
-expensive step, so the inner loop does little for each.
+Rates are milli-units a second.  A close visits all flows of all gateways once; that is its most expensive
+step, so the inner loop does as little as possible.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import msgspec
 
 from mallowbeam.storage_gateway.coordination.quota_epochs import (
-    MOST_OPEN,
+    MAX_OPEN_EPOCHS,
     OpenEpoch,
     QuotaEpochs,
     TooManyOpenEpochsError,
@@ -78,7 +78,7 @@
     tenant_floors: list[int] = field(init=False)
 
     def __post_init__(self) -> None:
-        """No gateway has anything yet."""
+        """Start with empty rows."""
         self.zones = sorted(set(self.names.zones))
         self.zone_of = [self.zones.index(zone) for zone in self.names.zones]
         self.node_rows = [{} for _ in self.names.nodes]
@@ -136,7 +136,7 @@
 def trim_row(row: dict[str, int], capacity: int, floor: int, gateways: int) -> dict[str, int]:
     """The row, reduced in proportion until it fits together with the floors of the gateways it does not name.
 
-    What is lost is at most what is set aside for those, a hundredth as a rule; the floors alone always fit.
+    The reduction is at most the sum of those floors, usually a hundredth; the floors alone always fit.
     """
     while True:
         total = sum(row.values())
@@ -160,9 +160,9 @@
             rows[name] = {}
     if not rows:
         return quota
-    if len(quota.open_epochs) >= MOST_OPEN:
+    if len(quota.open_epochs) >= MAX_OPEN_EPOCHS:
         raise TooManyOpenEpochsError(
-            f"{MOST_OPEN} epochs are open", ", ".join(sorted(quota.awaited_releases))
+            f"{MAX_OPEN_EPOCHS} epochs are open", ", ".join(sorted(quota.awaited_releases))
         )
     losers: set[str] = set()
     for name, row in rows.items():
--- a/mallowbeam/storage_gateway/frontends/platform.py
+++ b/mallowbeam/storage_gateway/frontends/platform.py
@@ -1,4 +1,4 @@
-"""The platform's protocol: thin, since the gateway's calls follow it closely."""
+"""The platform's HTTP protocol.  The gateway's calls mirror it, so little translation is needed."""
 
 from __future__ import annotations
 
@@ -8,15 +8,22 @@
 
 from mallowbeam.errors import MallowbeamError
 from mallowbeam.http.budget import BodyBudget
-from mallowbeam.http.framing import MAX_BODY, TOKEN, Channel, Message, in_chunks, write_head
+from mallowbeam.http.framing import (
+    MAX_BUFFERED_BODY_BYTES,
+    TOKEN,
+    Channel,
+    Message,
+    use_chunked_encoding,
+    write_head,
+)
 from mallowbeam.http.handler import Response, text_response
-from mallowbeam.http.stream import MOST, Stream, copy
+from mallowbeam.http.stream import MAX_STREAMED_BYTES, Stream, copy
 from mallowbeam.storage_gateway.scheduler.interface import Idempotency
 from mallowbeam.storage_gateway.server.calls import (
     Answer,
     AnswerKind,
     Call,
-    length_of,
+    content_length,
     read_deadline,
     time_left,
 )
@@ -26,14 +33,15 @@
 TARGET = re.compile(rb"/([^/?]+)/([0-9a-f]{16})/([0-9a-f]{16})(?:\?[\x21-\x7e]{0,1024})?\Z")
 REQUEST_ID = re.compile(rb"[0-9a-f]{16}\Z")
 EXTENT = re.compile(rb"units=(\d{1,9}),shard=(-?\d{1,9}),hosts=(\d{1,9})\Z")
-HELD = 24 * 1024 * 1024  # bytes of bodies held at once, over all connections: memory is bounded
-MOST_MS = 3_600_000  # a deadline of over an hour is senseless
-STANDSTILL, LEAST = 0.2, 0.05  # of the aim, and seconds: nodes write their small answers in one go
-FAILED = 502  # what a client is told of a failure: neither 429 nor 503, which would refuse
-REFUSED = 503
-RETRY_AFTER = [(b"retry-after", b"0.3")]  # with a refusal that the module has no part in
-# Guards nodes against what they might not read, and close on: only what the protocol names is passed on.
-PASSED_ON = frozenset(
+MAX_HELD_BYTES = 24 * 1024 * 1024  # of request bodies held at once over all connections
+MAX_DEADLINE_MS = 3_600_000  # deadlines over an hour are rejected
+# Idle timeout of an answer's body, as a share of the latency target: nodes write small answers in one go.
+BODY_TIMEOUT_RATIO, MIN_BODY_TIMEOUT_S = 0.2, 0.05
+FAILED_STATUS = 502  # neither 429 nor 503, which would mean that the request was refused
+REFUSED_STATUS = 503
+RETRY_AFTER_HEADER = [(b"retry-after", b"0.3")]  # for refusals that the scheduler is not involved in
+# Only headers that the protocol names are forwarded: a node closes its connection on any it cannot parse.
+FORWARDED_HEADERS = frozenset(
     (
         b"x-request-id",
         b"x-class",
@@ -44,51 +52,54 @@
         b"content-type",
     )
 )
-SINGLE = PASSED_ON | {b"x-deadline-ms"}  # and each at most once: readers may differ on which counts
+# Headers allowed at most once: parsers differ on which duplicate counts.
+UNIQUE_HEADERS = FORWARDED_HEADERS | {b"x-deadline-ms"}
 
 
 class InvalidRequestError(MallowbeamError):
-    """A request that the protocol doesn't allow; the text says why."""
+    """A request violates the protocol; the text says how."""
 
     error_name = "BadRequest"
     remedy = "mend the client that sent it"
 
 
 class Platform:
-    """Turns the platform's requests into calls and answers back."""
+    """Translates the platform's requests into gateway calls, and their answers into responses."""
 
-    max_body, max_buffered_body = MOST, MAX_BODY
+    max_body, max_buffered_body = MAX_STREAMED_BYTES, MAX_BUFFERED_BODY_BYTES
 
     def __init__(self, gateway: Gateway) -> None:
-        self.gateway, self.budget = gateway, BodyBudget(min(HELD, gateway.config.memory // 8))
+        self.gateway, self.budget = gateway, BodyBudget(min(MAX_HELD_BYTES, gateway.config.memory // 8))
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
-        """One request to its one answer."""
+        """Return the response to a request."""
         if request.target == b"/healthz" and request.method in (b"GET", b"HEAD"):
             return readiness(self.gateway, closing())
         try:
-            call = self.read(request)
+            call = self.parse_call(request)
         except InvalidRequestError as error:
             return text_response(400, str(error), closing())
         answer = await self.gateway.submit(call)
         if answer.stream is not None:
-            return self.streamed(answer, answer.stream, request, closing)
-        return self.write(answer, closing())
+            return self.streaming_response(answer, answer.stream, request, closing)
+        return self.buffered_response(answer, closing())
 
     def error_response(self, status: int, text: str) -> Response:
-        """The answer to what breaks HTTP or a bound."""
-        return text_response(status, text, True, RETRY_AFTER if status == REFUSED else None)
+        """Return the response to malformed HTTP or an exceeded limit."""
+        return text_response(status, text, True, RETRY_AFTER_HEADER if status == REFUSED_STATUS else None)
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
-        """A request is over: it counts for the class it names."""
+        """Count a finished request under the class that it names."""
         self.gateway.metrics.request_finished(
             (request.get(b"x-class") or b"").decode("latin-1"), status, whole
         )
 
-    def read(self, request: Message) -> Call:
-        """A request's call; raises `InvalidRequestError`."""
+    def parse_call(self, request: Message) -> Call:
+        """Parse a request into a call; raises `InvalidRequestError`."""
         settings, headers = self.gateway.config.settings, dict(request.headers)
-        if sum(name in SINGLE for name, _ in request.headers) > sum(name in SINGLE for name in headers):
+        if sum(name in UNIQUE_HEADERS for name, _ in request.headers) > sum(
+            name in UNIQUE_HEADERS for name in headers
+        ):
             raise InvalidRequestError("a header of the protocol comes twice")
         path = TARGET.match(request.target)
         if path is None:
@@ -105,7 +116,7 @@
             raise InvalidRequestError("the method is not the class's")
         if request.method == b"GET" and (request.received or request.length):
             raise InvalidRequestError("a read has no body")
-        # Guards against effects doubled: without a key, a second attempt would not be dropped as a repeat.
+        # Without a key, a node could not drop a second attempt as a duplicate and might apply a write twice.
         if not TOKEN.match(
             headers.get(b"idempotency-key", b"" if cls.idempotency is Idempotency.KEYED else b"-")
         ):
@@ -113,13 +124,13 @@
         plan = settings.plans.get(headers.get(b"x-storage-class", b"").decode("latin-1"))
         if plan is None:
             raise InvalidRequestError("X-Storage-Class is missing or unknown")
-        deadline = read_deadline(headers.get(b"x-deadline-ms", b""), MOST_MS)
+        deadline = read_deadline(headers.get(b"x-deadline-ms", b""), MAX_DEADLINE_MS)
         if deadline is None:
             raise InvalidRequestError("X-Deadline-Ms is missing or senseless")
         extent = EXTENT.match(headers.get(b"x-extent", b""))
         if extent is None:
             raise InvalidRequestError("X-Extent is missing or malformed")
-        # Guards the client's time: it counts from its request's last byte, which may have waited here.
+        # The deadline counts from the request's last byte, which may have waited in this process.
         waited = time.monotonic() - request.completed_at if request.completed_at else 0.0
         units, shard, hosts = (int(part) for part in extent.groups())
         if not 1 <= units <= settings.max_units or shard < -1 or not 1 <= hosts <= settings.hosts:
@@ -140,39 +151,44 @@
             },
             request.method,
             request.target,
-            [h for h in request.headers if h[0] in PASSED_ON],
+            [header for header in request.headers if header[0] in FORWARDED_HEADERS],
             request.body,
-            streamed=(200).__eq__,
-            standstill=max(LEAST, cls.latency_target * STANDSTILL),
-            hold=MAX_BODY,
-            most=MOST,
+            may_stream=(200).__eq__,
+            body_timeout_s=max(MIN_BODY_TIMEOUT_S, cls.latency_target * BODY_TIMEOUT_RATIO),
+            buffer_bytes=MAX_BUFFERED_BODY_BYTES,
+            max_stream_bytes=MAX_STREAMED_BYTES,
             upload=request.stream,
             length=request.length,
         )
 
     @staticmethod
-    def streamed(answer: Answer, stream: Stream, request: Message, closing: Callable[[], bool]) -> Response:
-        """A large answer, passed on as it comes."""
-        size = length_of(answer.headers)
-        chunked = in_chunks(request, size)
+    def streaming_response(
+        answer: Answer, stream: Stream, request: Message, closing: Callable[[], bool]
+    ) -> Response:
+        """Return a response that forwards a large answer as it arrives."""
+        size = content_length(answer.headers)
+        chunked = use_chunked_encoding(request, size)
 
         async def write(channel: Channel) -> bool:
             try:
                 await channel.send(write_head(200, [], size, closing(), chunked))
                 return await copy(stream, channel, 0, size, chunked)
             finally:
-                stream.close()  # its attempt waits for no client that has gone
+                stream.close()  # the attempt must not wait for a client that has disconnected
 
         return Response(200, write=write)
 
     @staticmethod
-    def write(answer: Answer, close: bool) -> Response:
-        """An answer as the client gets it."""
+    def buffered_response(answer: Answer, close: bool) -> Response:
+        """Return the response for an answer that is held completely."""
         if answer.kind is AnswerKind.SERVED:
             return Response(200, write_head(200, [], len(answer.body), close) + answer.body)
         if answer.kind is AnswerKind.FAILED:
-            return text_response(FAILED, "failed", close)
-        after = answer.retry_after
+            return text_response(FAILED_STATUS, "failed", close)
+        retry_after = answer.retry_after
         return text_response(
-            REFUSED, "refused", close, [(b"retry-after", b"%.3f" % after)] if after else None
+            REFUSED_STATUS,
+            "refused",
+            close,
+            [(b"retry-after", b"%.3f" % retry_after)] if retry_after else None,
         )
--- a/tests/router/control_plane/test_control_plane_command_idempotence.py
+++ b/tests/router/control_plane/test_control_plane_command_idempotence.py
@@ -16,9 +16,9 @@
     apply_in_all_orders,
 )
 from configuration_variants import (
+    AcceptsAnyBase,
     AcceptsAnyRevision,
-    ComparesNothing,
-    DropsRejectionsOfTheNextBase,
+    DropsRejectionsOfCurrentBase,
     DropsTheOldestRejection,
     ForgetsDigests,
     ForgetsOnRestart,
@@ -27,7 +27,7 @@
     IdentifiesByBaseAlone,
     IdentifiesByRevisionAlone,
     RecordsWithoutBound,
-    RejectsTheForgotten,
+    RejectsForgottenCommands,
     RemembersRejectionsWithoutBase,
 )
 
@@ -50,8 +50,8 @@
 RANDOM_SEEDS = 1_000
 
 BROKEN: tuple[type[ConfigurationVersions], ...] = (
-    ComparesNothing,
-    DropsRejectionsOfTheNextBase,
+    AcceptsAnyBase,
+    DropsRejectionsOfCurrentBase,
     DropsTheOldestRejection,
     ForgetsDigests,
     ForgetsOnRestart,
@@ -60,7 +60,7 @@
     RecordsWithoutBound,
     IdentifiesByBaseAlone,
     IdentifiesByRevisionAlone,
-    RejectsTheForgotten,
+    RejectsForgottenCommands,
     RemembersRejectionsWithoutBase,
     AcceptsAnyRevision,
 )
--- a/tests/router/processes/test_processes_errors.py
+++ b/tests/router/processes/test_processes_errors.py
@@ -1,4 +1,4 @@
-"""Error codes: each stands for one type, and the page for who is on call has a row for each."""
+"""Error codes: each belongs to one type and has a row on the on-call page."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 
 
 def fleet_section() -> list[str]:
-    _, _, behind = PAGE.read_text().partition(SECTION + "\n")
-    return behind.partition("\n## ")[0].splitlines()
+    _, _, rest = PAGE.read_text().partition(SECTION + "\n")
+    return rest.partition("\n## ")[0].splitlines()
 
 
 class Codes(unittest.TestCase):
@@ -39,26 +39,26 @@
         load_new_parts()
 
     def test_each_code_has_one_type_and_the_usual_form(self):
-        for code in code_table():  # raises where two types share one
+        for code in code_table():  # raises if two types share one
             self.assertRegex(code, CODE)
 
     def test_each_error_of_the_new_parts_has_a_code(self):
-        without = [
-            kind.__name__
-            for kind in error_types()
-            if in_new_parts(kind.__module__)
-            and not any(codes_of(one) for one in kind.__mro__ if issubclass(one, MallowbeamError))
-            and not kind.__subclasses__()
+        without_code = [
+            error_type.__name__
+            for error_type in error_types()
+            if in_new_parts(error_type.__module__)
+            and not any(codes_of(one) for one in error_type.__mro__ if issubclass(one, MallowbeamError))
+            and not error_type.__subclasses__()
         ]
-        self.assertEqual(without, [])
+        self.assertEqual(without_code, [])
 
     def test_each_code_has_a_row_on_the_page(self):
         rows = fleet_section()
         missing = [
             code
-            for code, kind in code_table().items()
-            if in_new_parts(kind.__module__)
-            and not any(f"| `{kind.error_name}` | `{code}` |" in row for row in rows)
+            for code, error_type in code_table().items()
+            if in_new_parts(error_type.__module__)
+            and not any(f"| `{error_type.error_name}` | `{code}` |" in row for row in rows)
         ]
         self.assertEqual(missing, [])
 
--- a/tests/router/processes/test_processes_metrics.py
+++ b/tests/router/processes/test_processes_metrics.py
@@ -1,4 +1,4 @@
-"""The page of a role's own figures."""
+"""The metrics page of a role."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Text(unittest.TestCase):
-    def test_families_stand_together(self) -> None:
+    def test_samples_of_one_name_are_grouped(self) -> None:
         text = exposition(
             [
                 Metric("requests_total", 3, "Requests.", "counter", ("status", "200")),
@@ -43,9 +43,9 @@
 
 class Page(unittest.TestCase):
     def ask(self, method: str, target: str) -> Response:
-        front = MetricsHandler(b"/figures", lambda: [Metric("ready", 1, "Ready.")])
+        handler = MetricsHandler(b"/figures", lambda: [Metric("ready", 1, "Ready.")])
         message: Message = message_of(ApiCall(method, target), 1.0)
-        return asyncio.run(front.handle(message, lambda: False))
+        return asyncio.run(handler.handle(message, lambda: False))
 
     def test_statuses(self) -> None:
         self.assertEqual(self.ask("GET", "/figures").status, 200)
@@ -63,7 +63,7 @@
         settings = parse_settings({**SETTINGS, "metrics": "9464/a/b"})
         self.assertEqual(settings.metrics, MetricsPage(9464, "/a/b"))
 
-    def test_wrong_ones(self) -> None:
+    def test_invalid_values_are_rejected(self) -> None:
         for value in ("9464", "/x", "0/x", "70000/x", "x/y", 3):
             with self.subTest(value), self.assertRaises(SettingsFieldError) as caught:
                 parse_settings({**SETTINGS, "metrics": value})
--- a/tests/router/processes/test_processes_role.py
+++ b/tests/router/processes/test_processes_role.py
@@ -1,4 +1,4 @@
-"""A role's process: its start, the settings it takes while it runs, its end."""
+"""A role's process: start, reloaded settings and stop."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
         self.assertEqual(self.seen, [250.0])
         self.assertEqual(self.context.settings.heartbeat_ms, 250.0)
 
-    def test_equal_settings_do_not(self):
+    def test_equal_settings_do_not_reach_the_callback(self):
         self.write(SETTINGS.format(100) + "# a word\n")
         self.context.reload()
         self.assertEqual(self.seen, [])
@@ -82,14 +82,14 @@
 
     def test_a_file_that_replaces_the_old_one_is_read(self):
         before = self.path.stat()
-        beside = self.path.with_suffix(".new")
-        beside.write_text(SETTINGS.format(200))
-        os.utime(beside, ns=(before.st_atime_ns, before.st_mtime_ns))
-        beside.replace(self.path)
+        replacement = self.path.with_suffix(".new")
+        replacement.write_text(SETTINGS.format(200))
+        os.utime(replacement, ns=(before.st_atime_ns, before.st_mtime_ns))
+        replacement.replace(self.path)
         self.context.reload_if_changed()
         self.assertEqual(self.seen, [200.0])
 
-    def test_one_callback_that_fails_does_not_keep_the_others_from_it(self):
+    def test_failing_callback_does_not_block_the_others(self):
         def fails(_: object) -> None:
             raise RuntimeError("no")
 
@@ -182,7 +182,7 @@
         self.assertEqual(ended.returncode, 1)
         self.assertIn("the role failed [RuntimeError: odd; at ", ended.stderr)
 
-    def test_what_fails_outside_any_call_is_logged_and_the_role_goes_on(self):
+    def test_unhandled_event_loop_error_is_logged_and_the_role_continues(self):
         ended = self.run_program("""
             asyncio.get_running_loop().call_soon(lambda: 1 / 0)
             await asyncio.sleep(0)
@@ -190,10 +190,10 @@
             print("on")
         """)
         self.assertEqual((ended.returncode, ended.stdout), (0, "on\n"))
-        self.assertIn("unhandled in the event loop", ended.stderr)
+        self.assertIn("unhandled error in the event loop", ended.stderr)
         self.assertIn("ZeroDivisionError", ended.stderr)
 
-    def test_what_the_start_made_is_out_of_garbage_collection(self):
+    def test_startup_objects_are_excluded_from_garbage_collection(self):
         ended = self.run_program("""
             import gc
             print(gc.isenabled(), gc.get_freeze_count() > 0, gc.get_threshold()[0] > 700)
--- a/tests/router/registry/test_registry_random.py
+++ b/tests/router/registry/test_registry_random.py
@@ -1,4 +1,4 @@
-"""Random faults on the simulated world: the invariants at all times, and convergence afterwards.
+"""Random faults in the simulated world: invariants hold at all times, and gateways converge afterwards.
 
 A failure names its seed; `python tests/support/registry_walker.py SEED 1` replays it.
 """
@@ -7,7 +7,7 @@
 
 import unittest
 
-from registry_processes import Broken
+from registry_processes import CheckFailed
 from registry_walker import play
 
 SEEDS = range(1, 31)
@@ -19,8 +19,8 @@
             with self.subTest(seed=seed):
                 try:
                     play(seed)
-                except Broken as broken:
-                    self.fail(f"seed {seed}: {broken}")
+                except CheckFailed as failure:
+                    self.fail(f"seed {seed}: {failure}")
 
 
 if __name__ == "__main__":
--- a/tests/storage_gateway/frontends/object_api/test_access.py
+++ b/tests/storage_gateway/frontends/object_api/test_access.py
@@ -1,4 +1,4 @@
-"""Signature V4 and rights: a real client's signatures, presigned URLs, signed chunks, keys that change."""
+"""Signature V4 and grants: a real client's signatures, presigned URLs, signed chunks, reloaded keys."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from scenario import EXAMPLE, World
 
 from mallowbeam.http.framing import Message
-from mallowbeam.storage_gateway.frontends.object_api.access import Access, may, read_keys
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.access import Access, is_allowed, read_keys
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
 from mallowbeam.storage_gateway.frontends.object_api.signatures import (
-    canonical,
-    in_time,
-    query_claim,
-    read_claim,
+    canonical_request,
+    check_time,
+    parse_claim,
+    parse_query_claim,
     verify,
 )
 from mallowbeam.storage_gateway.server.config import GatewayConfigError
@@ -90,14 +90,14 @@
 
     with_world(nodes, use)
     gets = [run for node in nodes for run in node.store.runs if run.startswith("GET")]
-    assert gets == ["GET /plates/a"]  # and the node saw nothing of the signature
+    assert gets == ["GET /plates/a"]  # the signature is not forwarded to the node
 
 
 def message(method: str = "GET", target: str = "/plates/a", headers: dict[str, str] | None = None) -> Message:
-    told = Message()
-    told.method, told.target = method.encode(), target.encode()
-    told.headers = [(name.encode(), value.encode()) for name, value in (headers or {}).items()]
-    return told
+    request = Message()
+    request.method, request.target = method.encode(), target.encode()
+    request.headers = [(name.encode(), value.encode()) for name, value in (headers or {}).items()]
+    return request
 
 
 def mac(key: bytes, text: str) -> bytes:
@@ -112,7 +112,7 @@
 
 
 def signed(payload: str, method: str = "GET", target: str = "/plates/a", **extra: str) -> Message:
-    """A request signed by the letter of the specification, written apart from the code it tests."""
+    """Return a request signed as specified, by code independent of the code under test."""
     headers = {"host": "h", "x-amz-content-sha256": payload, "x-amz-date": DATE, **extra}
     names = ";".join(sorted(headers))
     lines = "".join(f"{name}:{headers[name]}\n" for name in sorted(headers))
@@ -126,24 +126,24 @@
     return message(method, target, headers)
 
 
-def judge(told: Message, now: float = NOW, secret: str | None = SECRET) -> None:
-    claim = read_claim(dict(told.headers), {})
+def verify_request(request: Message, now: float = NOW, secret: str | None = SECRET) -> None:
+    claim = parse_claim(dict(request.headers), {})
     assert claim is not None
-    verify(told, claim, secret, now)
+    verify(request, claim, secret, now)
 
 
 def test_a_signature_by_the_letter_is_good_and_each_changed_byte_is_not():
-    judge(signed("UNSIGNED-PAYLOAD"))
+    verify_request(signed("UNSIGNED-PAYLOAD"))
     for change in ("target", "method", "header", "secret"):
-        told = signed("UNSIGNED-PAYLOAD", **{"x-amz-meta-lane": "7"})
+        request = signed("UNSIGNED-PAYLOAD", **{"x-amz-meta-lane": "7"})
         if change == "target":
-            told.target = b"/plates/b"
+            request.target = b"/plates/b"
         elif change == "method":
-            told.method = b"DELETE"
+            request.method = b"DELETE"
         elif change == "header":
-            told.headers = [(n, b"8" if n == b"x-amz-meta-lane" else v) for n, v in told.headers]
-        with pytest.raises(Error, match="SignatureDoesNotMatch"):
-            judge(told, secret="another secret" if change == "secret" else SECRET)
+            request.headers = [(n, b"8" if n == b"x-amz-meta-lane" else v) for n, v in request.headers]
+        with pytest.raises(S3Error, match="SignatureDoesNotMatch"):
+            verify_request(request, secret="another secret" if change == "secret" else SECRET)
 
 
 @pytest.mark.parametrize(
@@ -151,17 +151,17 @@
 )
 def test_a_clock_may_be_off_by_a_quarter_of_an_hour(late, code):
     if code is None:
-        return judge(signed("UNSIGNED-PAYLOAD"), NOW + late)
-    with pytest.raises(Error, match=code):
-        judge(signed("UNSIGNED-PAYLOAD"), NOW + late)
+        return verify_request(signed("UNSIGNED-PAYLOAD"), NOW + late)
+    with pytest.raises(S3Error, match=code):
+        verify_request(signed("UNSIGNED-PAYLOAD"), NOW + late)
         return None
 
 
 def test_a_header_of_amazons_that_is_not_signed_is_refused():
-    told = signed("UNSIGNED-PAYLOAD")
-    told.headers.append((b"x-amz-acl", b"public-read"))
-    with pytest.raises(Error, match="AccessDenied"):
-        judge(told)
+    request = signed("UNSIGNED-PAYLOAD")
+    request.headers.append((b"x-amz-acl", b"public-read"))
+    with pytest.raises(S3Error, match="AccessDenied"):
+        verify_request(request)
 
 
 QUERY = {
@@ -188,37 +188,37 @@
     ],
 )
 def test_a_presigned_query_that_is_malformed_is_told(change):
-    query_claim(QUERY)
-    with pytest.raises(Error, match="AuthorizationQueryParametersError"):
-        query_claim(QUERY | change)
+    parse_query_claim(QUERY)
+    with pytest.raises(S3Error, match="AuthorizationQueryParametersError"):
+        parse_query_claim(QUERY | change)
 
 
 def test_a_presigned_url_is_over_at_its_end_and_not_before():
-    claim = query_claim(QUERY)
-    in_time(claim, NOW + 60)
+    claim = parse_query_claim(QUERY)
+    check_time(claim, NOW + 60)
     for now in (NOW + 61, NOW - 901):
-        with pytest.raises(Error, match="AccessDenied"):
-            in_time(claim, now)
+        with pytest.raises(S3Error, match="AccessDenied"):
+            check_time(claim, now)
 
 
 @given(st.text(max_size=300), st.dictionaries(st.sampled_from(sorted(QUERY)), st.text(max_size=40)))
-def test_whatever_is_claimed_is_read_or_an_error_of_s3s(authorization, query):
+def test_arbitrary_credentials_are_parsed_or_raise_an_s3_error(authorization, query):
     for headers in ({b"authorization": authorization.encode()}, {}):
         try:
-            claim = read_claim(headers, query)
+            claim = parse_claim(headers, query)
             if claim is not None:
-                in_time(claim, NOW)
-                canonical(b"GET", b"/plates/a", [], claim)
-        except Error:
+                check_time(claim, NOW)
+                canonical_request(b"GET", b"/plates/a", [], claim)
+        except S3Error:
             pass
 
 
-def chunked_request(pieces: list[bytes], trailer: bytes = b"", spoil: int | None = None) -> bytes:
-    """A whole PUT whose chunks are signed one after the other; `spoil`: the chunk whose byte is changed."""
+def chunked_request(pieces: list[bytes], trailer: bytes = b"", corrupt: int | None = None) -> bytes:
+    """Return a complete PUT with signed chunks; `corrupt` is the index of a chunk to corrupt."""
     kind = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD" + ("-TRAILER" if trailer else "")
     size = str(sum(map(len, pieces)))
-    told = signed(kind, "PUT", **{"x-amz-decoded-content-length": size, "content-encoding": "aws-chunked"})
-    before = dict(told.headers)[b"authorization"].decode().rpartition("=")[2]
+    request = signed(kind, "PUT", **{"x-amz-decoded-content-length": size, "content-encoding": "aws-chunked"})
+    before = dict(request.headers)[b"authorization"].decode().rpartition("=")[2]
     scope, data = CREDENTIAL.partition("/")[2], b""
     empty = hashlib.sha256().hexdigest()
     for i, piece in enumerate([*pieces, b""]):
@@ -227,7 +227,7 @@
             f"AWS4-HMAC-SHA256-PAYLOAD\n{DATE}\n{scope}\n{before}\n{empty}\n"
             + hashlib.sha256(piece).hexdigest(),
         ).hex()
-        sent = b"!" + piece[1:] if i == spoil else piece
+        sent = b"!" + piece[1:] if i == corrupt else piece
         data += b"%x;chunk-signature=%b\r\n" % (len(piece), before.encode()) + sent + b"\r\n" * bool(piece)
     if trailer:
         before = mac(
@@ -239,7 +239,7 @@
     data += b"\r\n"
     lines = [
         b"PUT /plates/a HTTP/1.1",
-        *(b"%b: %b" % header for header in told.headers),
+        *(b"%b: %b" % header for header in request.headers),
         b"content-length: %d" % len(data),
         b"connection: close",
         b"",
@@ -249,11 +249,13 @@
 
 
 @pytest.mark.parametrize(
-    "trailer, spoil, status",
+    "trailer, corrupt, status",
     [(b"", None, 200), (b"x-amz-checksum-crc32:NhCmhg==", None, 200), (b"", 1, 403), (b"", 0, 403)],
 )
 @pytest.mark.parametrize("buffered", [False, True])
-def test_signed_chunks_are_checked_one_by_one(nodes, tmp_path, monkeypatch, trailer, spoil, status, buffered):
+def test_signed_chunks_are_checked_one_by_one(
+    nodes, tmp_path, monkeypatch, trailer, corrupt, status, buffered
+):
     monkeypatch.setattr("mallowbeam.storage_gateway.frontends.object_api.front.time.time", lambda: NOW)
     section = {"folder": str(tmp_path), "buckets": ["plates"], "max_bytes": 64 << 20} if buffered else None
 
@@ -262,12 +264,12 @@
             servers=[node.host_port for node in nodes], buffer=section, keys=str(EXAMPLE / "keys.json")
         ) as world:
             if buffered:
-                await world.gateway.parts[0].opened.wait()
+                await world.gateway.subsystems[0].opened.wait()
             reader, writer = await asyncio.open_connection(*world.objects)
-            writer.write(chunked_request([b"hel", b"lo"], trailer, spoil))
+            writer.write(chunked_request([b"hel", b"lo"], trailer, corrupt))
             head = await reader.read()
             if buffered and status == 200:
-                buffer = world.gateway.parts[0]
+                buffer = world.gateway.subsystems[0]
                 assert await buffer.waiters.barrier_passed(await buffer.intake.put_barrier("plates"), 10)
             return head
 
@@ -289,23 +291,23 @@
     access = Access(path)
     access.open()
     write(old | {"id": "new"})
-    access.look(10.0)
+    access.reload_if_changed(10.0)
     assert set(access.keys) == {"new"}
     write(old)
-    access.look(10.5)  # not looked at yet
+    access.reload_if_changed(10.5)  # before the next check
     assert set(access.keys) == {"new"}
     path.write_text("{")
-    access.look(12.0)
-    assert set(access.keys) == {"new"} and access.trouble
+    access.reload_if_changed(12.0)
+    assert set(access.keys) == {"new"} and access.last_error
     path.unlink()
-    access.look(14.0)
+    access.reload_if_changed(14.0)
     assert set(access.keys) == {"new"}
     write(old)
-    access.look(16.0)
-    assert set(access.keys) == {"old"} and not access.trouble
+    access.reload_if_changed(16.0)
+    assert set(access.keys) == {"old"} and not access.last_error
 
 
-def test_rights_go_by_bucket_prefix_and_deed():
+def test_grants_match_by_bucket_prefix_and_action():
     allow = [
         {"bucket": "a", "do": ["read"], "prefix": "x/"},
         {"bucket": "*", "do": ["write"], "prefix": "all/"},
@@ -319,7 +321,7 @@
         ("write", "b", b"all/1", True),
         ("write", "b", b"al", False),
     ):
-        assert may(keys["key"], what, bucket, name) is good
+        assert is_allowed(keys["key"], what, bucket, name) is good
 
 
 @pytest.mark.parametrize(
@@ -340,7 +342,7 @@
         read_keys(json.dumps({"keys": [{"id": "key", "secret": "12345678", "allow": []}] * 2}).encode())
 
 
-def test_the_front_stays_shut_unless_keys_are_named_or_said_to_be_off(nodes):
+def test_the_object_api_does_not_start_with_a_missing_key_file(nodes):
     async def start() -> None:
         async with World(servers=[node.host_port for node in nodes], keys="/none/keys.json"):
             pass
--- a/tests/storage_gateway/frontends/object_api/test_batches.py
+++ b/tests/storage_gateway/frontends/object_api/test_batches.py
@@ -1,4 +1,4 @@
-"""DeleteObjects: a word for each name; documents that are none; rights, refusals and what is buffered."""
+"""DeleteObjects: a result for each name, malformed documents, grants, refusals and buffered objects."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from mallowbeam.standins.faults import Rule
 from mallowbeam.storage_gateway.frontends.object_api import batches
-from mallowbeam.storage_gateway.frontends.object_api.errors import Error
+from mallowbeam.storage_gateway.frontends.object_api.errors import S3Error
 
 BOMB = (
     b'<!DOCTYPE a [<!ENTITY a "aaaaaaaaaa"><!ENTITY b "&a;&a;&a;&a;&a;&a;&a;&a;">]>'
@@ -40,18 +40,18 @@
         (document("a").replace(b"</Key>", b"</Key><VersionId>1</VersionId>"), "NotImplemented"),
     ],
 )
-def test_a_document_that_is_none_is_refused_whole(body, code):
-    with pytest.raises(Error, match=code):
-        batches.read(body)
+def test_a_malformed_document_is_rejected(body, code):
+    with pytest.raises(S3Error, match=code):
+        batches.parse_names(body)
 
 
 def test_names_come_once_in_their_order_and_a_thousand_at_the_most():
-    assert batches.read(document("b", "a", "b", more="<Quiet>true</Quiet>")) == (["b", "a"], True)
-    assert len(batches.read(document(*(f"k{i}" for i in range(1000))))[0]) == 1000
+    assert batches.parse_names(document("b", "a", "b", more="<Quiet>true</Quiet>")) == (["b", "a"], True)
+    assert len(batches.parse_names(document(*(f"k{i}" for i in range(1000))))[0]) == 1000
 
 
 @pytest.mark.parametrize("bucket", ["plates", "buffered"])
-def test_a_real_client_deletes_many_with_a_word_for_each(nodes, tmp_path, bucket):
+def test_a_real_client_deletes_many_with_a_result_for_each(nodes, tmp_path, bucket):
     (tmp_path / "keys.json").write_text(
         json.dumps(
             {
@@ -93,7 +93,7 @@
         async with World(
             servers=[node.host_port for node in nodes], buffer=section, keys=str(tmp_path / "keys.json")
         ) as world:
-            await world.gateway.parts[0].opened.wait()
+            await world.gateway.subsystems[0].opened.wait()
             await asyncio.to_thread(use, world.objects[1])
 
     uvloop.run(run())
--- a/tests/storage_gateway/server/test_handover.py
+++ b/tests/storage_gateway/server/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one gateway: the handover, and what counts for both."""
+"""The hand-over between two processes of one gateway, and the state that they share."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 
 
 @pytest.fixture(autouse=True)
-def place(monkeypatch, tmp_path):
-    """A folder of the test's own, and of a path too long for a Unix socket's address."""
+def handover_folder(monkeypatch, tmp_path):
+    """A temporary folder whose path is too long for a Unix socket address."""
     folder = tmp_path / ("long" * 40)
     folder.mkdir()
     monkeypatch.setattr(tempfile, "tempdir", str(folder))
 
 
 async def until(condition) -> None:
-    """Wait for what must come."""
+    """Waits until a condition holds; fails after PATIENCE."""
     async with asyncio.timeout(PATIENCE):
         while not condition():
             await asyncio.sleep(0)
 
 
 def upgrade(before: str, after: str, check=None, **world: object) -> None:
-    """Play one scenario with the old process, and one with the new while the old one still runs."""
+    """Plays one scenario with the old gateway, then one with the new gateway while the old one still runs."""
 
     async def run() -> None:
         async with World(meet=True, **world) as old:
@@ -55,12 +55,12 @@
 
 
 def test_the_new_process_takes_what_comes_and_the_old_one_ends_with_its_last_answer():
-    """Guards the clients: none is closed on, an idle connection has one more request, then a close."""
+    """No client finds its connection closed early: an idle one gets one more response, with a close."""
 
     async def ended(old: World, new: World) -> None:
         await until(old.task.done)
         assert old.gateway.metrics.upstream_requests == 2 and new.gateway.metrics.upstream_requests == 1
-        assert new.gateway.peer.link is None or not new.gateway.peer.link.ids
+        assert new.gateway.peer.link is None or not new.gateway.peer.link.request_ids
 
     upgrade(
         """
@@ -89,12 +89,12 @@
 
 
 def test_what_waits_in_the_backlog_is_taken_by_the_new_process():
-    """Guards requests at the door: a listener that is closed resets what it has not accepted."""
+    """A listening socket that is closed resets the connections it has not accepted."""
 
     async def run() -> None:
         async with World(meet=True) as old:
             server = old.gateway.servers[-1]
-            server.acceptor.cancel()  # a busy old process: it gets round to nobody
+            server.acceptor.cancel()  # as in a busy old process that accepts nothing
             await asyncio.sleep(0)
             await old.play("c1 send GET /healthz")
             async with World(before=old) as new:
@@ -104,8 +104,8 @@
     uvloop.run(run())
 
 
-def test_bans_lists_and_discovery_s_address_are_in_hand_before_the_yes():
-    """Guards the rules on drains: a new process's configuration is older than what the old one knows."""
+def test_detached_nodes_lists_and_discovery_address_are_handed_over_first():
+    """The configuration of the new process is older than the node list of the old one."""
     changed = (
         '{"revision":7,"complete":false,"members":[{"id":"n0","host_port":"$n0","cell":0,'
         '"phase":"draining"}]}'
@@ -113,9 +113,9 @@
 
     async def check(old: World, new: World) -> None:
         assert new.gateway.scheduler.accepts_work("n2") and not new.gateway.scheduler.accepts_work("n0")
-        await until(lambda: old.gateway.watch.task is None)  # one watch is enough
-        new.gateway.by_hand("n2", True)
-        old.gateway.by_hand("n1", False)
+        await until(lambda: old.gateway.watch.task is None)  # the new process watches for both
+        new.gateway.set_detached("n2", True)
+        old.gateway.set_detached("n1", False)
         await until(
             lambda: new.gateway.scheduler.accepts_work("n1") and not old.gateway.scheduler.accepts_work("n2")
         )
@@ -140,8 +140,8 @@
     )
 
 
-def test_limit_stores_cold_units_and_ids_count_for_both():
-    """Guards the rules: two processes with a store each would let twice the limit through."""
+def test_rate_limits_slow_start_units_and_ids_apply_to_both():
+    """Two processes with separate rate limits would admit twice the limit."""
 
     async def check(old: World, new: World) -> None:
         assert new.gateway.has_id("00000000000000ff") and old.gateway.has_id("00000000000000ee")
@@ -178,14 +178,12 @@
     )
 
 
-def test_what_either_hears_of_the_list_binds_both():
+def test_list_received_by_one_process_applies_to_both():
     gone = '{"revision":2,"complete":false,"members":[{"id":"n0","cell":0,"phase":"draining"}]}'
 
     async def check(old: World, new: World) -> None:
         await until(lambda: not old.gateway.scheduler.accepts_work("n0"))
-        old.gateway.peer.listing_from_peer(
-            old.gateway.config.known
-        )  # older than what is known: changes nothing
+        old.gateway.peer.listing_from_peer(old.gateway.config.known)  # an older list changes nothing
         assert not old.gateway.scheduler.accepts_work("n0")
 
     upgrade(
@@ -216,7 +214,7 @@
             assert world.gateway.pool.budget.limit == world.gateway.pool.budget.configured_limit // 2
         old.gateway.stop()
         await until(old.task.done)
-        old.gateway.peer.link.close()  # as its end would
+        old.gateway.peer.link.close()  # as the end of the process would
         await until(lambda: new.gateway.peer.link is None)
         assert new.gateway.pool.connection_limit == new.gateway.pool.configured_limit
         assert new.gateway.servers[-1].connection_limit == new.gateway.servers[-1].configured_limit
@@ -224,24 +222,24 @@
     upgrade("c1 send GET /healthz\nc1 expect 200", "", check)
 
 
-def speak(old: socket.socket, says: bytes) -> None:
-    """Say something to the first that comes, who may have gone by then."""
+def send_on_accept(old: socket.socket, data: bytes) -> None:
+    """Sends bytes to the first process that connects, which may have closed by then."""
 
     def run() -> None:
         with old.accept()[0] as sock, suppress(OSError):
-            sock.sendall(says)
+            sock.sendall(data)
 
     threading.Thread(target=run, daemon=True).start()
 
 
 def test_another_user_s_process_is_not_taken_over_from(monkeypatch):
-    """Guards a folder that others can write to."""
-    config = configs.decode(json.loads((EXAMPLE / "config.json").read_text()), {})
+    """$TMPDIR may be writable by other users."""
+    config = configs.decode_config(json.loads((EXAMPLE / "config.json").read_text()), {})
     with handover.rendezvous_path(config) as path, socket.socket(socket.AF_UNIX) as old:
         old.bind(path)
         old.listen(1)
         monkeypatch.setattr(handover.os, "getuid", lambda: 987654)
-        speak(
+        send_on_accept(
             old,
             b'{"doors": []}\n{"state": {"version": 1, "discovery": "127.0.0.1:1", "list": '
             b'{"revision": 1, "complete": true, "members": []}}}\n',
@@ -250,46 +248,49 @@
 
 
 @pytest.mark.parametrize(
-    "says",
+    "data",
     [b"", b"noise\n", b'{"doors": []}\n{"state": {}}\n', b'{"doors": []}\n{"state": {"version": 0}}\n'],
 )
-def test_an_old_process_that_hands_over_nothing_holds_up_no_start(monkeypatch, says):
-    monkeypatch.setattr(handover, "HANDOVER_TIMEOUT", 0.1)
-    config = configs.decode(json.loads((EXAMPLE / "config.json").read_text()), {})
-    assert handover.take_over(config) is None  # nobody there
+def test_an_old_process_that_hands_over_nothing_holds_up_no_start(monkeypatch, data):
+    monkeypatch.setattr(handover, "HANDOVER_TIMEOUT_S", 0.1)
+    config = configs.decode_config(json.loads((EXAMPLE / "config.json").read_text()), {})
+    assert handover.take_over(config) is None  # no other process
     with handover.rendezvous_path(config) as path, socket.socket(socket.AF_UNIX) as old:
         old.bind(path)
-        assert handover.take_over(config) is None  # a stale file
+        assert handover.take_over(config) is None  # a stale socket file
         old.listen(1)
-        if says:
-            speak(old, says)
+        if data:
+            send_on_accept(old, data)
         assert handover.take_over(config) is None
 
 
 @pytest.mark.parametrize("meet", [True, False])
 def test_a_second_start_takes_over_from_the_first(tmp_path, monkeypatch, meet):
-    """The programs as the platform starts them: same addresses, a second address of each one's own.
+    """The programs as the platform starts them: one client address, and an admin address each.
 
-    Where they can't meet they share the clients' address.
+    Without a hand-over socket they share the client address.
     """
     monkeypatch.setenv("TMPDIR", tempfile.gettempdir())
-    doors, listen = [f"127.0.0.1:{free_port()}" for _ in range(2)], f"127.0.0.1:{free_port()}"
+    admin_addresses, listen = [f"127.0.0.1:{free_port()}" for _ in range(2)], f"127.0.0.1:{free_port()}"
     monkeypatch.setenv("BALANCER_LISTEN", listen)
-    monkeypatch.setenv("BALANCER_ADMIN_ADDR", doors[0])
+    monkeypatch.setenv("BALANCER_ADMIN_ADDR", admin_addresses[0])
     host, _, port = listen.partition(":")
     address = (host, int(port))
     with program(tmp_path, {}) as (first, _), connect(address) as sock:
         assert healthy(sock)
-        monkeypatch.setenv("BALANCER_ADMIN_ADDR", doors[1])
+        monkeypatch.setenv("BALANCER_ADMIN_ADDR", admin_addresses[1])
         monkeypatch.setenv("TMPDIR", tempfile.gettempdir() if meet else str(tmp_path))
         with program(tmp_path, {}) as (second, _):
-            connect((host, int(doors[1].partition(":")[2]))).close()
+            connect((host, int(admin_addresses[1].partition(":")[2]))).close()
             while True:
                 try:
-                    assert urllib.request.urlopen(f"http://{doors[1]}/_ready", timeout=PATIENCE).status == 200
+                    assert (
+                        urllib.request.urlopen(f"http://{admin_addresses[1]}/_ready", timeout=PATIENCE).status
+                        == 200
+                    )
                     break
                 except urllib.error.HTTPError as error:
-                    assert error.code == 503  # not before it takes clients
+                    assert error.code == 503  # until it serves clients
             first.send_signal(signal.SIGTERM)
             assert first.wait(PATIENCE) == 0
             with connect(address) as late:
@@ -301,8 +302,8 @@
                 assert "Traceback" not in process.stderr.read()
 
 
-def test_a_second_process_with_the_same_door_for_operators_does_not_start(tmp_path, monkeypatch):
-    """Guards the operators: calls meant for one process would reach the other, now and then."""
+def test_second_process_with_the_same_admin_address_does_not_start(tmp_path, monkeypatch):
+    """Requests of operators for one process would sometimes reach the other."""
     monkeypatch.setenv("BALANCER_ADMIN_ADDR", f"127.0.0.1:{free_port()}")
     with program(tmp_path, {}) as (_, address):
         connect(address).close()
--- a/tests/storage_gateway/write_buffer/test_buffer_bounds.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_bounds.py
@@ -1,4 +1,4 @@
-"""The buffered object front, on sockets: full buffers and disks, failing ones, folders, limits, upgrades."""
+"""The buffered object front end, on sockets: full buffers, disk faults, folders, rate limits and upgrades."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from zlib import crc32
 
 import pytest
-from buffered import Buffered, keys_at, run, writes
+from buffered import Buffered, keys_of_shard, run, writes
 
 from mallowbeam.standins.discovery import member
 from mallowbeam.standins.disk import Fault, SimDisk
@@ -25,10 +25,10 @@
 from mallowbeam.storage_gateway.write_buffer.store import RecordRejectedError, Store
 
 
-def test_a_full_buffer_writes_direct_and_refuses_what_would_lose_its_order(nodes, tmp_path):
+def test_a_full_buffer_sends_writes_direct_and_rejects_those_that_would_break_order(nodes, tmp_path):
     async def play() -> None:
-        async with Buffered(nodes, tmp_path, change={"max_records": 2}) as world:
-            world.keep_still()
+        async with Buffered(nodes, tmp_path, overrides={"max_records": 2}) as world:
+            world.pause_flush()
             await world.play("""
                 o1 send PUT /plates/a body=1
                 o1 expect 200 x-mallowbeam-durable
@@ -47,7 +47,7 @@
     assert writes(nodes) == ["PUT /plates/c"]
 
 
-def test_a_disk_that_fills_up_turns_writes_direct_and_takes_them_again(nodes, tmp_path):
+def test_writes_on_a_full_disk_go_direct_until_there_is_space_again(nodes, tmp_path):
     disk = SimDisk()
 
     async def play() -> None:
@@ -69,12 +69,12 @@
 
 
 @pytest.mark.parametrize("call", ["write", "sync"])
-def test_an_io_error_is_never_answered_yes_and_the_failed_write_never_comes_back(nodes, tmp_path, call):
+def test_a_write_that_failed_with_an_io_error_is_neither_acknowledged_nor_restored(nodes, tmp_path, call):
     disk = SimDisk()
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path, disk) as world:
-            world.keep_still()
+            world.pause_flush()
             await world.play("o1 send PUT /plates/a body=kept\no1 expect 200")
             disk.faults = [Fault(call, errno.EIO, "segment-")]
             await world.play("""
@@ -86,19 +86,19 @@
 
     run(play())
     for seed in range(6):
-        left = disk.crashed(seed)
+        crashed_disk = disk.crashed(seed)
 
-        async def again() -> None:
-            async with Buffered(nodes, tmp_path, left) as world:  # noqa: B023
+        async def restart() -> None:
+            async with Buffered(nodes, tmp_path, crashed_disk) as world:  # noqa: B023
                 core = world.buffer_part.core
                 assert [e.name for e in core.entries.values()] == [b"/plates/a", b"/plates/c"]
-                world.keep_still()
+                world.pause_flush()
 
-        run(again())
+        run(restart())
 
 
-def test_a_disk_that_fails_for_good_closes_the_doubtful_keys_and_recovers(nodes, tmp_path):
-    """No VOID can be written: 500, its key stays closed, others go direct; until the disk is back."""
+def test_writes_of_uncertain_keys_are_rejected_until_a_failed_disk_recovers(nodes, tmp_path):
+    """While no VOID record can be written, the write gets a 500, its key is rejected, others go direct."""
     disk = SimDisk()
 
     async def play() -> None:
@@ -119,16 +119,16 @@
                     await asyncio.sleep(0.02)
             await world.play("o1 send PUT /plates/a body=4\no1 expect 200 x-mallowbeam-durable")
             await world.flushed()
-            await world.leave()
-        left = disk.crashed(5)
-        async with Buffered(nodes, tmp_path, left) as world:
+            await world.stop_gracefully()
+        crashed_disk = disk.crashed(5)
+        async with Buffered(nodes, tmp_path, crashed_disk) as world:
             assert not world.buffer_part.core.entries
 
     run(play())
     assert sorted(writes(nodes)) == ["PUT /plates/a", "PUT /plates/b"]
 
 
-def test_a_client_that_breaks_off_leaves_nothing_behind(nodes, tmp_path):
+def test_an_aborted_upload_releases_its_segments(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             reader, writer = await asyncio.open_connection(*world.objects)
@@ -150,15 +150,15 @@
     assert writes(nodes) == []
 
 
-def test_a_bronze_limit_holds_for_the_flush_as_for_clients(nodes, tmp_path):
-    """Bronze bears 49 units a second and 67 at once, 8 more in slack: the flush waits its turn."""
+def test_the_flush_keeps_to_the_volumes_rate_limit(nodes, tmp_path):
+    """Bronze allows 49 units a second in bursts of 67, plus 8 of slack; the flush must keep to it as well."""
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             world.buffer_part.flush.sender.settings.plans["plates"] = "bronze"
             for i in range(160):
                 await world.play(f"o1 send PUT /plates/k{i} body=v\no1 expect 200 x-mallowbeam-durable")
-                if i % 2:  # the same volume's clients surge meanwhile
+                if i % 2:  # direct calls of the same volume's clients at the same time
                     await world.play(
                         f"o2 send PUT /plates/direct{i} body=v x-amz-tagging:a=b\n" "o2 expect '200|503'"
                     )
@@ -166,18 +166,18 @@
 
     run(play())
     times = sorted(r.at for n in nodes for r in n.store.history)
-    assert len(times) >= 160  # a direct one may always be refused
+    assert len(times) >= 160  # direct writes may be rejected at any time
     for i in range(len(times)):
         for j in range(i + 1, len(times)):
             assert j - i + 1 <= 67 + 8 + 49 * (times[j] - times[i] + 0.15) + 1
 
 
 def test_an_upgrade_hands_the_folder_over(nodes, tmp_path):
-    """What the old process acknowledged the new one serves and flushes; the old one says SlowDown."""
+    """The new process serves and flushes the old one's acknowledged writes; the old one answers SlowDown."""
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path, meet=True) as old:
-            old.keep_still()
+            old.pause_flush()
             await old.play("o1 send PUT /plates/a body=kept\no1 expect 200 x-mallowbeam-durable")
             new = Buffered(nodes, tmp_path, before=old)
             async with new:
@@ -206,14 +206,14 @@
         run(start())
 
 
-def test_a_write_taken_in_before_the_clock_stepped_back_is_young_and_not_ancient():
-    words = Write("PUT", "plates", b"/plates/a", 1, [], b"t", '"e"', 1, 5000.0)
+def test_a_write_accepted_before_the_wall_clock_was_set_back_has_age_zero():
+    content = Write("PUT", "plates", b"/plates/a", 1, [], b"t", '"e"', 1, 5000.0)
     record = Record(Kind.WRITE, 1, 0, 1, 0, b"")
-    assert restore_write(record, 1, words, wall=4000.0, now=100.0).entry.accepted_at == 100.0
-    assert restore_write(record, 1, words, wall=5040.0, now=100.0).entry.accepted_at == 60.0
+    assert restore_write(record, 1, content, wall=4000.0, now=100.0).entry.accepted_at == 100.0
+    assert restore_write(record, 1, content, wall=5040.0, now=100.0).entry.accepted_at == 60.0
 
 
-def test_figures_of_the_buffer_stand_at_the_operators_door(nodes, tmp_path):
+def test_the_operators_listener_serves_the_buffers_metrics(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
             await world.play("o1 send PUT /plates/a body=1\no1 expect 200")
@@ -240,12 +240,12 @@
         run(start(tmp_path))
 
 
-def test_a_direct_write_is_refused_while_its_key_cannot_be_cleared(nodes, tmp_path):
-    """Else the buffered one, taken in before it, would replace it."""
+def test_a_direct_write_is_rejected_while_its_key_can_not_be_flushed(nodes, tmp_path):
+    """Otherwise the buffered write, which was accepted before it, would replace it."""
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            world.keep_still()
+            world.pause_flush()
             await world.play("""
                 o1 send PUT /plates/a body=first
                 o1 expect 200 x-mallowbeam-durable
@@ -260,7 +260,7 @@
 
 
 @pytest.mark.parametrize(
-    "there, seen, outcome",
+    "present, seen, outcome",
     [
         ("", "", Outcome.STORED),
         ("other", "", Outcome.DECLINED),
@@ -270,27 +270,31 @@
         ("newer", None, Outcome.STORED),
     ],
 )
-def test_what_follows_a_reading_back_is_tied_to_what_was_seen(nodes, tmp_path, there, seen, outcome):
-    """`seen` is the version of `other`, "" for none: whoever wrote since must not be replaced."""
+def test_an_attempt_after_reading_back_is_conditional_on_the_version_read(
+    nodes, tmp_path, present, seen, outcome
+):
+    """`seen` is the version of `other`, "" for no object: a later write by others must not be replaced."""
     other = f'"{hashlib.md5(b"other").hexdigest()}"'
 
     async def play() -> SendResult:
         async with Buffered(nodes, tmp_path) as world:
-            if there:
-                await world.play(f"o1 send PUT /plates/a body={there} x-amz-tagging:a=b\no1 expect 200")
+            if present:
+                await world.play(f"o1 send PUT /plates/a body={present} x-amz-tagging:a=b\no1 expect 200")
             write = Write("PUT", "plates", b"/plates/a", crc32(b"plates/a"), [], b"token", '"e"', 4, 0.0)
             return await world.buffer_part.flush.sender.send(write, b"mine", 2.0, other if seen else seen)
 
     assert run(play()).outcome is outcome
-    body = next(stored.body for node in nodes for stored in node.store.objects.values()) if there else b"mine"
+    body = (
+        next(stored.body for node in nodes for stored in node.store.objects.values()) if present else b"mine"
+    )
     if outcome is Outcome.STORED:
         assert b"mine" in [stored.body for node in nodes for stored in node.store.objects.values()]
-    elif there:
-        assert body == there.encode()
+    elif present:
+        assert body == present.encode()
 
 
-def test_a_body_that_outgrows_the_buffer_on_its_way_in_is_refused_and_leaves_nothing(nodes, tmp_path):
-    """Its length is not told, so that it is found out only on the way."""
+def test_a_chunked_body_that_exceeds_the_buffer_is_rejected_and_releases_its_segments(nodes, tmp_path):
+    """The body is chunked, so that its length is known only while it is received."""
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
@@ -308,10 +312,10 @@
     run(play())
 
 
-def test_bodies_at_hand_keep_within_their_bound_and_others_are_read_again(nodes, tmp_path):
+def test_cached_bodies_stay_within_cache_bytes_and_others_are_read_from_the_log(nodes, tmp_path):
     async def play() -> None:
-        async with Buffered(nodes, tmp_path, change={"cache_bytes": 300_000}) as world:
-            world.keep_still()
+        async with Buffered(nodes, tmp_path, overrides={"cache_bytes": 300_000}) as world:
+            world.pause_flush()
             for i in range(10):
                 await world.play(f"o1 send PUT /plates/k{i} fill=100000\no1 expect 200 x-mallowbeam-durable")
                 assert world.buffer_part.reader.cached_bytes <= 300_000
@@ -321,8 +325,8 @@
     run(play())
 
 
-def test_words_that_end_writes_are_synced_though_the_disk_has_no_room_for_new_ones():
-    """Both in one batch: the new one is turned away, the other makes room, from what was kept back for it."""
+def test_done_records_are_committed_on_a_full_disk_that_rejects_new_writes():
+    """Both records are in one batch: the new write is rejected, the DONE record uses the reserve."""
     disk = SimDisk()
     log = Log(disk, 1 << 20)
     log.recover(log.open())
@@ -330,8 +334,8 @@
     async def play() -> None:
         store = Store(log, 0, lambda *_: None, lambda *_: None)
         disk.capacity = disk.used()
-        words = Write("PUT", "plates", b"/plates/a", 1, [], b"t", '"e"', 9000, 0.0)
-        new = store.append(Kind.WRITE, store.next_lsn(), pack(Kind.WRITE, words, bytes(9000)))
+        content = Write("PUT", "plates", b"/plates/a", 1, [], b"t", '"e"', 9000, 0.0)
+        new = store.append(Kind.WRITE, store.next_lsn(), pack(Kind.WRITE, content, bytes(9000)))
         end = store.append(Kind.DONE, store.next_lsn(), pack(Kind.DONE, Done([1])))
         with pytest.raises(RecordRejectedError):
             await new.done
@@ -342,13 +346,13 @@
 
 
 def test_writes_for_a_node_that_is_replaced_go_to_the_one_that_discovery_names(nodes, tmp_path):
-    """Another machine, another address, the same shard: told by discovery while the buffer holds writes."""
+    """Discovery names a new address for the shard while the buffer holds writes for it."""
     new = ObjectNode()
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            world.keep_still()
-            for key in keys_at(0, 3):
+            world.pause_flush()
+            for key in keys_of_shard(0, 3):
                 await world.play(f"o1 send PUT /plates/{key} body={key}\no1 expect 200 x-mallowbeam-durable")
             members = [
                 member("n0", nodes[0].host_port, 0, "draining"),
@@ -360,12 +364,12 @@
             async with asyncio.timeout(10):
                 while "n9" not in world.gateway.addresses:
                     await asyncio.sleep(0.01)
-            world.go_on()
+            world.resume_flush()
             await world.flushed()
 
     try:
         run(play())
-        assert set(new.store.objects) == {f"/plates/{key}" for key in keys_at(0, 3)}
+        assert set(new.store.objects) == {f"/plates/{key}" for key in keys_of_shard(0, 3)}
         assert not nodes[0].store.history
     finally:
         new.close()
--- a/tests/storage_gateway/write_buffer/test_buffer_closing.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_closing.py
@@ -1,4 +1,4 @@
-"""The folder is closed while calls wait for it: each of them gets its answer."""
+"""Every call that waits for the buffer while its folder is closed gets an answer."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from mallowbeam.storage_gateway.write_buffer.interface import Phase
 from mallowbeam.storage_gateway.write_buffer.records import Write
 
-GIVE_UP_S = 10.0  # a call without an answer by then has none
+GIVE_UP_S = 10.0  # a call not answered by then counts as unanswered
 
 
 class GatedDisk(SimDisk):
-    """A disk whose syncs wait at a gate."""
+    """A disk whose syncs block while its gate is shut."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -31,7 +31,7 @@
         self.waiting = threading.Event()
 
     def step(self, call: str, name: str) -> None:
-        """Wait at the gate before a sync."""
+        """Wait before a sync until the gate is open."""
         if call == "sync" and not self.gate.is_set():
             self.waiting.set()
             assert self.gate.wait(GIVE_UP_S)
@@ -39,7 +39,7 @@
 
     @contextmanager
     def shut(self) -> Iterator[None]:
-        """The gate is shut at first; it is open at the end in any case."""
+        """Shut the gate, and open it on exit in any case."""
         self.gate.clear()
         try:
             yield
@@ -47,12 +47,12 @@
             self.gate.set()
 
     async def sync_begun(self) -> None:
-        """Wait until a sync stands at the gate."""
+        """Wait until a sync waits at the gate."""
         assert await asyncio.to_thread(self.waiting.wait, GIVE_UP_S)
 
 
 async def closing(world: Buffered) -> asyncio.Task[None]:
-    """Begin to hand the folder over; returns once every task that is cancelled has been."""
+    """Begin to hand the folder over; returns once the buffer's tasks are cancelled and the log closes."""
     handing_over = asyncio.create_task(world.buffer_part.hand_over())
     async with asyncio.timeout(GIVE_UP_S):
         while not (world.buffer_part.phase is Phase.CLOSED and world.buffer_part.store._closing):  # noqa: SLF001
@@ -66,7 +66,7 @@
         ("PUT /plates/a body=1", "200 x-mallowbeam-durable"),
         ("DELETE /plates/a", "204 x-mallowbeam-durable"),
         ("POST /plates?barrier=sync", "200 x-mallowbeam-barrier-id"),
-        ("PUT /plates/a fill=600000", "503 SlowDown"),  # its later chunks find the log closed
+        ("PUT /plates/a fill=600000", "503 SlowDown"),  # its later chunks are rejected by the closed log
     ],
 )
 def test_a_call_whose_commit_is_under_way_as_the_folder_closes_is_answered(nodes, tmp_path, call, answer):
@@ -74,7 +74,7 @@
 
     async def play() -> None:
         async with Buffered(nodes, tmp_path, disk) as world:
-            world.keep_still()
+            world.pause_flush()
             with disk.shut():
                 await world.play(f"o1 send {call}")
                 await disk.sync_begun()
@@ -89,7 +89,7 @@
 def test_a_client_that_waits_for_the_flush_as_the_folder_closes_is_answered(nodes, tmp_path):
     async def play() -> None:
         async with Buffered(nodes, tmp_path) as world:
-            world.keep_still()
+            world.pause_flush()
             await world.play("""
                 o1 send PUT /plates/a body=1
                 o1 expect 200 x-mallowbeam-durable
@@ -109,15 +109,15 @@
     run(play())
 
 
-def test_a_read_that_finds_the_folder_closed_is_sent_to_the_next_process(nodes, tmp_path, monkeypatch):
+def test_a_read_that_finds_the_folder_closed_is_answered_with_slow_down(nodes, tmp_path, monkeypatch):
     async def play() -> None:
-        async with Buffered(nodes, tmp_path, change={"cache_bytes": 0}) as world:
-            world.keep_still()
+        async with Buffered(nodes, tmp_path, overrides={"cache_bytes": 0}) as world:
+            world.pause_flush()
             await world.play("o1 send PUT /plates/a body=1\no1 expect 200 x-mallowbeam-durable")
             read = world.buffer_part.reader.read
 
             async def read_once_closed(entry: Entry) -> tuple[Write, bytes]:
-                await world.buffer_part.hand_over()  # between the call's look at the phase and its read
+                await world.buffer_part.hand_over()  # between the call's phase check and its read
                 return await read(entry)
 
             monkeypatch.setattr(world.buffer_part.reader, "read", read_once_closed)
@@ -132,17 +132,17 @@
     assert counts["hand-overs"] == 200 and counts["acknowledged"] > 0 and counts["runs"] > 0
 
 
-def test_a_call_without_an_answer_is_noticed(tmp_path):
+def test_the_hand_over_checker_reports_an_unanswered_call(tmp_path):
     async def play() -> HandoverLane:
         async def close_unanswered(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readline()
             writer.close()
 
-        trial = HandoverLane(new_rig(tmp_path / "lane"), random.Random(7))
+        lane_under_test = HandoverLane(new_rig(tmp_path / "lane"), random.Random(7))
         async with await asyncio.start_server(close_unanswered, "127.0.0.1", 0) as server:
-            trial.rig.ports[1] = server.sockets[0].getsockname()[1]
-            await trial.call(random.Random(7), "key")
-        trial.rig.close()
-        return trial
+            lane_under_test.rig.ports[1] = server.sockets[0].getsockname()[1]
+            await lane_under_test.call(random.Random(7), "key")
+        lane_under_test.rig.close()
+        return lane_under_test
 
     assert ["no answer" in text for text in asyncio.run(play()).wrong] == [True]
--- a/tests/storage_gateway/write_buffer/test_buffer_format.py
+++ b/tests/storage_gateway/write_buffer/test_buffer_format.py
@@ -1,4 +1,4 @@
-"""The buffer's files as read: what is refused, what a scan gives back, what a torn or damaged end costs."""
+"""Reading the buffer's files: unsupported formats, the results of a scan, torn ends and damage."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from logged import SMALL, filled, opened, write
+from logged import SEGMENT_BYTES, filled_disk, open_log, write
 
 from mallowbeam.standins.disk import SimDisk
 from mallowbeam.storage_gateway.write_buffer.log import Log, NewRecord, ScanResult, read_records, segment_name
@@ -28,33 +28,33 @@
 
 
 @pytest.mark.parametrize(
-    "change, words",
+    "overrides, message",
     [({"version": 2}, "version 2"), ({"format": "else"}, "no buffer"), (None, "can't be read")],
 )
-def test_what_is_not_ours_or_newer_is_refused(change, words):
-    disk, _ = filled(2)
-    told = json.loads(disk.files["folder.json"].now)
-    disk.files["folder.json"].now[:] = b"{" if change is None else json.dumps(told | change).encode()
-    with pytest.raises(UnsupportedFormatError, match=words):
-        Log(disk, SMALL).open()
+def test_a_folder_of_another_format_or_a_newer_version_is_rejected(overrides, message):
+    disk, _ = filled_disk(2)
+    header = json.loads(disk.files["folder.json"].now)
+    disk.files["folder.json"].now[:] = b"{" if overrides is None else json.dumps(header | overrides).encode()
+    with pytest.raises(UnsupportedFormatError, match=message):
+        Log(disk, SEGMENT_BYTES).open()
 
 
 def test_segments_without_their_folder_file_or_of_another_folder_are_refused():
-    disk, _ = filled(2)
+    disk, _ = filled_disk(2)
     del disk.files["folder.json"]
     with pytest.raises(UnsupportedFormatError, match=r"no folder\.json"):
-        Log(disk, SMALL).open()
-    disk, other = filled(2)[0], filled(2)[0]
+        Log(disk, SEGMENT_BYTES).open()
+    disk, other = filled_disk(2)[0], filled_disk(2)[0]
     name = next(n for n in disk.names() if n.startswith("segment-"))
     disk.files[name] = other.files[name]
     with pytest.raises(UnsupportedFormatError, match="another folder"):
-        opened(disk)
+        open_log(disk)
 
 
-def test_bytes_that_a_client_stores_never_pass_for_records():
-    """A body that holds a whole copy of the log, behind a record that was damaged, is searched through."""
+def test_bytes_that_a_client_stores_are_never_read_as_records():
+    """A scan after a damaged record also searches a body, which here holds forged records."""
     disk = SimDisk()
-    log, *_ = opened(disk)
+    log, *_ = open_log(disk)
     log.commit([write(1)])
     forged = b"".join(frame(12345, Kind.DONE, 99, 0, pack(Kind.DONE, Done([1, 2]))))
     log.commit([write(2, forged * 3)])
@@ -62,8 +62,8 @@
     log.close()
     name = segment_name(log.number)
     disk.flip(name, len(disk.files[name].now) - log.offset + SEGMENT.size + RECORD.size + 2)
-    _, stands, *_ = opened(disk)
-    assert 3 in stands and 99 not in stands
+    _, bodies, *_ = open_log(disk)
+    assert 3 in bodies and 99 not in bodies
 
 
 @given(
@@ -99,7 +99,7 @@
 
 
 @given(st.binary(max_size=200), st.sampled_from([kind for kind in Kind if kind is not Kind.PIECE]))
-def test_words_that_cannot_be_read_are_a_value_error(data, kind):
+def test_a_payload_that_can_not_be_decoded_raises_value_error(data, kind):
     try:
         unpack(kind, data)
     except ValueError:
@@ -107,10 +107,10 @@
 
 
 def test_a_marker_across_two_reads_is_found_behind_damaged_bytes():
-    """More than a megabyte of it, so that the scan does not hold all at once."""
+    """More than a megabyte is damaged, so that the scan does not hold it all at once."""
     marker = 0x51A7C0DE
     good = b"".join(frame(marker, Kind.PIECE, 1, 0, [b"behind"]))
-    for short in range(-1, 5):  # bytes of the marker that come before the second read ends
+    for short in range(-1, 5):  # bytes of the marker in the second read
         data = b"j" * ((2 << 20) - short) + good
         parts = iter([data[at : at + (1 << 20)] for at in range(0, len(data), 1 << 20)])
         bad, record = scan(parts, 1, marker, 0)
@@ -118,15 +118,15 @@
         assert isinstance(record, Record) and record.payload == b"behind"
 
 
-def test_a_torn_end_is_cut_off_so_that_later_records_do_not_make_it_damage():
+def test_a_torn_end_is_truncated_so_that_it_is_not_later_reported_as_damage():
     disk = SimDisk()
-    log, *_ = opened(disk)
+    log, *_ = open_log(disk)
     log.commit([write(1)])
     torn = segment_name(log.number)
     log.file.write([b"torn" * 50], log.offset)
     log.close()
-    log, stands, apart, _ = opened(disk)
-    assert set(stands) == {1} and [a.acknowledged for a in apart] == [False]
+    log, bodies, quarantined, _ = open_log(disk)
+    assert set(bodies) == {1} and [a.acknowledged for a in quarantined] == [False]
     log.commit([write(5)])
     log.commit([write(6)])
     log.close()
@@ -152,6 +152,6 @@
 
 
 def test_an_intent_is_read_back_with_its_clock():
-    words = Intent([1, 2], b"boot", 12.5, 3)
-    parts = pack(Kind.INTENT, words)
-    assert unpack(Kind.INTENT, b"".join(parts))[0] == words
+    content = Intent([1, 2], b"boot", 12.5, 3)
+    parts = pack(Kind.INTENT, content)
+    assert unpack(Kind.INTENT, b"".join(parts))[0] == content
--- a/tests/support/configuration_variants.py
+++ b/tests/support/configuration_variants.py
@@ -1,4 +1,4 @@
-"""State machines of configurations that are broken on purpose: the scenarios and the model must find each."""
+"""Faulty variants of `ConfigurationVersions`, each of which the scenarios and the model must detect."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 )
 
 
-def changed(command: PutConfiguration, based_on: int) -> PutConfiguration:
-    """The same command on another revision."""
+def rebased(command: PutConfiguration, based_on: int) -> PutConfiguration:
+    """The same command, based on another revision."""
     duplicate = PutConfiguration()
     duplicate.CopyFrom(command)
     duplicate.based_on = based_on
@@ -35,18 +35,18 @@
 
 
 class ForgetsOnRestart(ConfigurationVersions):
-    """A snapshot loses the digests."""
+    """Loses the digests on restoring a snapshot."""
 
     def restore(self, state: ReplicatedState) -> None:
         super().restore(state)
         self._accepted = AcceptedConfigurations()
 
 
-class ComparesNothing(ConfigurationVersions):
-    """Accepts a change whatever it builds on."""
+class AcceptsAnyBase(ConfigurationVersions):
+    """Accepts a change whatever revision it builds on."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
-        return super().apply(changed(command, self.revision))
+        return super().apply(rebased(command, self.revision))
 
 
 class AcceptsAnyRevision(ConfigurationVersions):
@@ -55,7 +55,7 @@
     def apply(self, command: PutConfiguration) -> CommandResult:
         self._revision, revision = min(self._revision, command.revision - 1), self._revision
         based_on = self._revision if command.based_on == revision else command.based_on
-        result = super().apply(changed(command, based_on))
+        result = super().apply(rebased(command, based_on))
         if result != DONE:
             self._revision = revision
         return result
@@ -68,8 +68,8 @@
         super().__init__(parser)
 
 
-class KeepsTheOldModel(ConfigurationVersions):
-    """Does not parse again after a change."""
+class KeepsPreviousDocument(ConfigurationVersions):
+    """Keeps the previous parsed document after a change."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         self.current()
@@ -87,20 +87,20 @@
 
 
 class PatchesWithoutRemoval(ConfigurationVersions):
-    """Adds and replaces entries, and removes none."""
+    """Ignores the entries that a patch removes."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         if not command.patch:
             return super().apply(command)
         document = json.loads(zlib.decompress(command.body))
         del document["remove"]
-        duplicate = changed(command, command.based_on)
+        duplicate = rebased(command, command.based_on)
         duplicate.body = zlib.compress(json.dumps(document).encode())
         return super().apply(duplicate)
 
 
-class PatchesOnlyHere(ConfigurationVersions):
-    """Saves what was there before a patch."""
+class SavesWithoutPatches(ConfigurationVersions):
+    """Saves the last complete document without the patches since then."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
         result = super().apply(command)
@@ -113,8 +113,8 @@
         state.body = zlib.compress(self.saved)
 
 
-class RejectsTheForgotten(ConfigurationVersions):
-    """Rejects what it may have accepted long ago."""
+class RejectsForgottenCommands(ConfigurationVersions):
+    """Rejects commands that it may have accepted long ago, and forgotten."""
 
     def _decide(self, command: PutConfiguration) -> CommandResult:
         self._accepted._forgotten_revision = 0
@@ -130,7 +130,7 @@
 
 
 class ForgetsRejectionsOnRestart(ConfigurationVersions):
-    """A snapshot loses the rejected commands."""
+    """Loses the rejected commands on restoring a snapshot."""
 
     def restore(self, state: ReplicatedState) -> None:
         super().restore(state)
@@ -142,13 +142,13 @@
 
     def _decide(self, command: PutConfiguration) -> CommandResult:
         rejected = self._rejected
-        if len(rejected) >= rejected._most:
+        if len(rejected) >= rejected._max_commands:
             del rejected._results[next(iter(rejected._results))]
         return super()._decide(command)
 
 
-class DropsRejectionsOfTheNextBase(ConfigurationVersions):
-    """Forgets rejected commands at the moment at which they could succeed."""
+class DropsRejectionsOfCurrentBase(ConfigurationVersions):
+    """Forgets rejected commands when the revision that they build on becomes current."""
 
     def _accept(self, command: PutConfiguration) -> None:
         super()._accept(command)
@@ -181,10 +181,10 @@
 
 
 class RemembersRejectionsWithoutBase(ConfigurationVersions):
-    """Rejects a document on the right revision because it was rejected on another one."""
+    """Rejects a document on the current revision because it was rejected on another one."""
 
     def apply(self, command: PutConfiguration) -> CommandResult:
-        for call in self._rejected._results:
-            if call.digest == command.digest:
-                return self._rejected._results[CommandIdentity(*call)]
+        for identity in self._rejected._results:
+            if identity.digest == command.digest:
+                return self._rejected._results[CommandIdentity(*identity)]
         return super().apply(command)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -144,7 +144,7 @@
 
 def check_error(error: MallowbeamError, sample: dict[str, Any]) -> None:
     """An error has the name, code and place that it always had, and a text with a remedy."""
-    told = error.told()
+    told = error.as_dict()
     assert (error.code, told["where"]) == (sample["code"], sample["where"])
     assert told["what"] and told["remedy"]
     if not error.code or isinstance(error, ConfigurationError):  # these are shown by name
@@ -344,7 +344,7 @@
     for one in sample["pool_errors"]:
         error = raised(PoolError, lambda: parse(one["text"]))  # noqa: B023
         check_error(error, one)
-        assert sorted(error.told()) == one["keys"]
+        assert sorted(error.as_dict()) == one["keys"]
 
 
 # ------------------------------------------------------------------------------------------ agreement
@@ -458,25 +458,25 @@
 def test_a_new_process_takes_over_from_an_old_one_and_understands_each_word(tmp_path, monkeypatch):
     sample = samples("handover.json")
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
-    own = net_config.decode(sample["config"], {})
+    own = net_config.decode_config(sample["config"], {})
     old = OldProcess(own, sample["frames"])
-    legacy = handover.take_over(own)
+    takeover = handover.take_over(own)
     old.close()
-    assert legacy is not None
+    assert takeover is not None
     frames = [json.loads(frame) for frame in sample["frames"]]
-    assert list(legacy.listeners) == frames[0]["doors"] and legacy.state == frames[1]["state"]
-    assert legacy.config(own).known == read_listing(frames[1]["state"]["list"])
+    assert list(takeover.listeners) == frames[0]["doors"] and takeover.state == frames[1]["state"]
+    assert takeover.config(own).known == read_listing(frames[1]["state"]["list"])
 
     host = MagicMock()
 
     async def listen() -> set[str]:
-        link = handover.PeerLink(legacy.sock, host, legacy.unread)
+        link = handover.PeerLink(takeover.sock, host, takeover.unread)
         async with asyncio.timeout(PATIENCE_S):
             await asyncio.gather(*link.tasks, return_exceptions=True)
-        return link.ids
+        return link.request_ids
 
     assert asyncio.run(listen()) == set()
-    for door in legacy.listeners.values():
+    for door in takeover.listeners.values():
         door.close()
     listing = frames[6]["list"]
     assert [call.args for call in host.mock_calls] == [
@@ -492,7 +492,7 @@
 
 def test_the_state_that_is_handed_over_is_the_same():
     sample = samples("handover.json")
-    config = net_config.decode(sample["config"], {})
+    config = net_config.decode_config(sample["config"], {})
     old = SchedulerHost(config.settings, 10.0)
     old.update_nodes(10.0, DiscoveryUpdateKind.FULL, 1, list(config.known.entries))
     old.override_node(10.5, "n2", True)
@@ -591,7 +591,7 @@
     for one in sample["documents"]:
         error = raised(ConfigurationError, lambda: parse_configuration(one["document"].encode()))  # noqa: B023
         check_error(error, one)
-        assert sorted(error.told()) == one["told"]
+        assert sorted(error.as_dict()) == one["told"]
         check_reply(error_reply(one["status"], error, False).data, one["reply"])
     for one in sample["heartbeats"]:
         body = one["body"].ljust(one["size"], "x").encode()
@@ -603,7 +603,7 @@
     for one in samples("errors.json")["fleet_pages"]:
         error = kinds[one["name"]]("what is wrong", "somewhere")
         assert error.status == one["status"]
-        check_reply(json_response(error.status, error.told(), False).data, one["reply"])
+        check_reply(json_response(error.status, error.as_dict(), False).data, one["reply"])
 
 
 def test_the_object_api_answers_errors_as_before():
@@ -642,7 +642,7 @@
 def test_the_platforms_configuration_is_read_as_before():
     sample = samples("settings.json")["platform"]
     for environment, name in (({}, "value"), (sample["environment"], "overridden")):
-        config = net_config.decode(sample["file"], environment)
+        config = net_config.decode_config(sample["file"], environment)
         own = dataclasses.replace(config, node_sockets=0, client_sockets=0, own_sockets=0)
         assert plain(own) == sample[name]
 
