--- a/mallowbeam/scheduling/cycles.py
+++ b/mallowbeam/scheduling/cycles.py
@@ -1,9 +1,9 @@
-"""The cycle mechanism: a node's time is cut into cycles of m slots, and each unit of work takes a slot.
+"""The cycle mechanism: a node's time is divided into cycles of m slots, and each unit of work takes a slot.
 
 After Wu and Shu, "Optimal Scheduling for Parallel CBR Video Servers": m is the floor of cycle length over
-slot time, and what finds its cycle full is delayed to the nearest later one with enough free slots.  Here the
-work of a request sits on one node, so all of its units are booked there; one with more units than m spans
-cycles.  A booking that is released leaves a gap, which the next request fills.
+slot time, and a request whose cycle is full is delayed to the next cycle with enough free slots.  Here all
+units of a request are booked at one node; a request with more units than m spans cycles.  A released booking
+leaves free slots, which later requests fill.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from mallowbeam.scheduling.slots import slots_per_cycle as slots_per_cycle
 
 HORIZON_CYCLES = 256
-"""How many cycles ahead a node may be booked; what would need more is not placed."""
+"""How many cycles ahead a node may be booked; a request that needs more is not placed."""
 MIN_CYCLE_S = 0.01
 """The shortest cycle, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a booking would go: its slots by cycle, and when they start and end (steady seconds)."""
+    """The slots that a booking would get, and when they start and end (seconds of a monotonic clock)."""
 
     slots_by_cycle: tuple[tuple[int, int], ...]
-    """Pairs of a cycle's number and the slots taken in it, earliest first."""
+    """Pairs of a cycle's number and the count of slots in it, earliest first."""
     starts_at: float
     ends_at: float
 
@@ -44,16 +44,16 @@
 
 
 class CycleBook:
-    """The cycles of one node, as one gateway has booked them.
+    """The cycles of one node, with the bookings of one gateway.
 
-    A cycle is as long as `cycle_s`, or as 32 slots where those take less, so that the bound on m is no bound
-    on the rate of a fast node.  The first begins when something is booked, and each next one at its end.
+    A cycle lasts `cycle_s`, or 32 slots if those take less time, so that the maximum of m does not bound the
+    rate of a fast node.  The first cycle begins with a booking, and each further one where the previous ends.
     """
 
     __slots__ = ("cycle_s", "slot_s", "first", "cycles", "bookings")
 
     def __init__(self, cycle_s: float) -> None:
-        """Start empty; a cycle lasts `cycle_s` seconds at most."""
+        """Start without bookings; a cycle lasts at most `cycle_s` seconds."""
         if cycle_s <= 0:
             raise ValueError("a cycle's length must be above 0")
         self.cycle_s = self.slot_s = cycle_s
@@ -63,41 +63,41 @@
 
     @property
     def slots(self) -> int:
-        """The m of a cycle that would begin now."""
+        """The number of slots (m) of a cycle that would begin now."""
         return slots_per_cycle(self._length(), self.slot_s)
 
     def measure(self, slot_s: float) -> None:
-        """Size cycles by this slot time from now on, those ahead too."""
+        """Set the slot time in seconds; it also applies to cycles that already hold bookings."""
         self.slot_s = slot_s
 
     def advance(self, now: float) -> None:
-        """Forget the cycles that have ended by `now`."""
+        """Drop the cycles that have ended by `now`."""
         while self.cycles and self.cycles[0].end <= now:
             self.cycles.popleft()
             self.first += 1
 
     def place(self, units: int, now: float) -> Placement | None:
-        """The earliest cycle with slots for `units`, or the cycles they span where m is less; None beyond."""
+        """The earliest cycle with slots for `units`, or the cycles they span if m is less; None if full."""
         self.advance(now)
         units = max(1, units)
         taken = self._one_cycle(units, now) if units <= self.slots else self._span(units, now)
         return self._placement(taken, now) if taken else None
 
     def place_now(self, units: int, now: float) -> Placement:
-        """The present cycle, whatever it holds: for an idle node."""
+        """The current cycle, even if it is full: for an idle node."""
         self.advance(now)
         self._cycle(0, now)
         return Placement(((self.first, max(1, units)),), now, now + max(1, units) * self.slot_s)
 
     def book(self, booking: int, placement: Placement) -> None:
-        """Take the slots of a placement under a booking's number."""
+        """Take the slots of a placement for a booking's number."""
         self.release(booking)
         for number, count in placement.slots_by_cycle:
             self._change(number, count)
         self.bookings[booking] = placement
 
     def release(self, booking: int) -> None:
-        """Release a booking's slots; those of cycles that have passed are of no use any more."""
+        """Free a booking's slots in the cycles that have not passed."""
         placement = self.bookings.pop(booking, None)
         if placement is None:
             return
@@ -105,11 +105,11 @@
             self._change(number, -count)
 
     def forget(self, booking: int) -> None:
-        """End a booking whose work was done: its slots stay taken until their cycles pass."""
+        """End a booking whose work is done: its slots stay taken until their cycles have passed."""
         self.bookings.pop(booking, None)
 
     def free_slots(self, ahead: int, now: float) -> int:
-        """Free slots of the cycle so many after the present one."""
+        """Free slots of the cycle that follows the current one by `ahead` cycles."""
         cycle = self._cycle(ahead, now)
         return max(0, slots_per_cycle(cycle.length, self.slot_s) - cycle.used)
 
--- a/mallowbeam/scheduling/slot_time.py
+++ b/mallowbeam/scheduling/slot_time.py
@@ -1,8 +1,8 @@
-"""Slot time: how long one unit of work takes a node, measured from the answers that this process sees.
+"""Slot time: how long one unit of work takes a node, measured from the answers that this process receives.
 
 A node's slot time is its smoothed unit latency over the count of units in flight there: with `n` units in
-flight and a latency of `t` seconds, a unit ends every `t / n` seconds.  Before anything is measured, the
-caller's first slot time holds.  Nothing here reads a clock; times are seconds of any steady clock.
+flight and a latency of `t` seconds, a unit ends every `t / n` seconds.  Before any measurement, it is a share
+of the caller's target latency.  Nothing here reads a clock; times are seconds of any monotonic clock.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
     memory_s: float = 2.0
     """Seconds in which a sample's weight falls to 1/e."""
     prior_weight: float = 0.5
-    """Samples that the first slot time counts as."""
+    """Weight of the first slot time, in samples."""
     clip: float = 3.0
-    """A sample counts as at most this many times the present mean: one pause cannot poison it."""
+    """Cap of a sample, in multiples of the current mean, so that one pause cannot dominate it."""
     first_share: float = 0.05
     """The first slot time, before any measurement, as a share of the class's target latency."""
 
@@ -46,13 +46,17 @@
         return not self.in_flight
 
     def sent(self, booking: int, units: int, now: float) -> None:
-        """A booking's units were sent to the node."""
+        """Record that a booking's units were sent to the node."""
         if booking not in self.in_flight:
             self.in_flight[booking] = (now, units)
             self.units_in_flight += units
 
     def done(self, booking: int, now: float, measured: bool = True) -> float | None:
-        """A booking's units ended; their latency in seconds, or None where they were not in flight."""
+        """Record that a booking's units ended.
+
+        Returns their latency in seconds, or None if they were not in flight.  The latency counts as a sample
+        only if `measured`.
+        """
         entry = self.in_flight.pop(booking, None)
         if entry is None:
             return None
@@ -69,7 +73,7 @@
         self.mean_units_in_flight.add(float(self.units_in_flight), now)
 
     def oldest_age(self, now: float) -> float:
-        """Seconds since the oldest unit in flight was sent; 0 at an idle node."""
+        """Seconds since the oldest unit in flight was sent; 0 if none is in flight."""
         if not self.in_flight:
             return 0.0
         sent_at, _ = next(iter(self.in_flight.values()))
--- a/mallowbeam/scheduling/slots.py
+++ b/mallowbeam/scheduling/slots.py
@@ -1,6 +1,6 @@
-"""The figures of the cycle mechanism: slot time, slots per cycle, and means whose samples fade.
+"""Calculations of the cycle mechanism: slot time, slots per cycle, and means with decaying samples.
 
-A module of its own, light to import: the storage gateway uses these alone.
+This is a separate module because the storage gateway imports nothing else of the package.
 """
 
 from __future__ import annotations
@@ -8,11 +8,11 @@
 from math import exp
 
 MAX_SLOTS = 32
-"""The most slots that a cycle has, whatever the measured slot time."""
+"""Maximum slots of a cycle, whatever the measured slot time."""
 
 
 def slots_per_cycle(cycle_s: float, slot_s: float, min_slots: int = 1, max_slots: int = MAX_SLOTS) -> int:
-    """The m of a cycle: the floor of its length over slot time, from `min_slots` to `max_slots`."""
+    """Slots of a cycle (m): the floor of its length over slot time, from `min_slots` to `max_slots`."""
     return int(min(max_slots, max(min_slots, cycle_s / slot_s))) if slot_s > 0 else max_slots
 
 
@@ -22,12 +22,12 @@
 
 
 def blend(weight: float, mean: float, prior_weight: float, prior: float) -> float:
-    """Mean of measured values, which count `weight`, and a prior, which counts `prior_weight`."""
+    """Weighted mean of a measured mean and a prior."""
     return (weight * mean + prior_weight * prior) / (weight + prior_weight)
 
 
 class FadingMean:
-    """A mean whose samples lose weight with time: recent ones count, old ones are forgotten."""
+    """A mean whose samples lose weight exponentially with time."""
 
     __slots__ = ("memory_s", "mean", "weight", "at")
 
@@ -36,18 +36,18 @@
         self.memory_s, self.mean, self.weight, self.at = memory_s, 0.0, 0.0, 0.0
 
     def fade(self, now: float) -> None:
-        """Bring the weight of what was seen up to `now`."""
+        """Decay the weight of the samples up to `now`."""
         if now > self.at:
             self.weight *= exp((self.at - now) / self.memory_s)
             self.at = now
 
     def add(self, value: float, now: float, weight: float = 1.0) -> None:
-        """Take in a sample."""
+        """Add a sample."""
         self.fade(now)
         self.weight += weight
         self.mean += (value - self.mean) * weight / self.weight
 
     def value(self, prior: float, prior_weight: float, now: float) -> float:
-        """The mean as of `now`, drawn towards `prior` as samples age."""
+        """The mean as of `now`, which approaches `prior` as samples age."""
         self.fade(now)
         return blend(self.weight, self.mean, prior_weight, prior)
--- a/mallowbeam/storage_gateway/scheduler/attempts.py
+++ b/mallowbeam/storage_gateway/scheduler/attempts.py
@@ -1,4 +1,4 @@
-"""What comes of attempts: answers, streams, uploads and failures, and what follows for request and node."""
+"""Processes the outcomes of attempts: answers, streams, uploads and failures."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 from mallowbeam.storage_gateway.scheduler.request_endings import RequestEndings
 from mallowbeam.storage_gateway.scheduler.state import NEVER, SchedulerState
 
-STUCK_MULTIPLE = 5.0  # of its expected latency, after which an attempt passed by later ones is given up
+STUCK_MULTIPLE = 5.0  # of its expected latency, after which an attempt that later ones overtook is cancelled
 
 MAY_STILL_RUN = frozenset((Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED))
-UNSENT = frozenset((Outcome.NO_CONNECTION, Outcome.NOT_SENT))  # on sockets: its last byte never left
+UNSENT = frozenset((Outcome.NO_CONNECTION, Outcome.NOT_SENT))  # on sockets: the last byte was never written
 NEVER_RAN = UNSENT | {Outcome.REJECTED, Outcome.MISDIRECTED}
 UNANSWERED = MAY_STILL_RUN | UNSENT
 MEASURED = frozenset((Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED))
@@ -36,7 +36,7 @@
 
 
 class AttemptTracker:
-    """Takes in what the host reports of attempts."""
+    """Applies the host's reports on attempts to the request and the node concerned."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         self._key_order = key_order
 
     def on_stream_started(self, event: StreamStarted) -> None:
-        """An answer has begun: its node is done with it, and what is left is forwarding it."""
+        """Release the node of an answer that has begun: only forwarding to the client remains."""
         request = self._state.requests.get(event.request)
         if request is not None:
             attempt = request.in_flight[event.attempt]
@@ -63,14 +63,17 @@
             attempt.node.learn(request.units, event.latency, at_least=False)
 
     def on_upload_progress(self, event: UploadProgress) -> None:
-        """A large body is forwarded: until its last byte is sent no time runs, and it is sent only once."""
+        """Suspend the deadline while a large body is forwarded; the last byte (`time_left` set) restarts it.
+
+        A body cannot be sent again, so the request is not retried.
+        """
         request = self._state.requests.get(event.request)
         attempt = request.in_flight.get(event.attempt) if request else None
         if request is None or attempt is None:
             return
         node = attempt.node
         node.remove_attempt(attempt)
-        # Charged when sent, but the limit counts from the last byte on.
+        # The units were charged when the attempt was sent, but the limit counts them from the last byte on.
         request.volume.uploading_units -= attempt.uploading_units
         attempt.uploading_units = request.units if event.time_left is None else 0
         request.volume.uploading_units += attempt.uploading_units
@@ -84,13 +87,13 @@
             node.units_in_flight += request.units
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Nobody waits for an answer any more."""
+        """End a request whose client no longer waits for an answer."""
         request = self._state.requests.get(event.request)
         if request is not None:
             self._endings.end(request, answered=True)
 
     def on_ended(self, event: AttemptEnded) -> None:
-        """Learn from an attempt that ended; retry its request where that is allowed, else end it."""
+        """Record the outcome of an attempt; retry its request where that is allowed, else end it."""
         request = self._state.requests.get(event.request)
         attempt = request.in_flight.pop(event.attempt, None) if request else None
         if request is None or attempt is None:
@@ -113,9 +116,9 @@
         self._conclude(request, attempt, event)
 
     def cancel_stuck(self, node: Node) -> None:
-        """Cancel attempts that later ones passed long ago, where another can meet the target.
+        """Cancel attempts that later ones overtook long ago, where a retry can still meet the target.
 
-        Their connection has fallen silent.
+        Such an attempt's connection has gone silent although the node answers others.
         """
         now = self._state.now
         for attempt in node.in_flight.values():
@@ -135,12 +138,12 @@
                 self._state.actions.append(Cancel(request.id, attempt.number))
 
     def end_unsent(self, requests: list[Request]) -> None:
-        """End those of some requests that have no attempt in flight: they got no slot."""
+        """End those of the given requests that have no attempt in flight: they got no slot."""
         for request in [request for request in requests if not request.in_flight]:
             self._endings.end(request)
 
     def _conclude(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
-        """Note what may have run; book the request again where that is allowed, else end it."""
+        """Record a possible run; book the request again where that is allowed, else end it."""
         outcome = event.outcome
         if outcome not in NEVER_RAN:
             node = attempt.node
@@ -155,7 +158,7 @@
 
     @staticmethod
     def _give_back(request: Request, attempt: Attempt) -> None:
-        """No node has an attempt's units: they are charged to nothing."""
+        """Refund the units of an attempt that reached no node to its volume's limit and reserve."""
         volume = request.volume
         attempt.slow_start_send.units = 0
         if attempt.number == 0 and request.tier is Tier.RESERVED:
@@ -166,29 +169,29 @@
             volume.pending_units += attempt.uploading_units
 
     def _measure(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Learn a node's latency from an answer, or from the time for which there was none."""
+        """Record a node's latency from an answer, or a lower bound of it from the time without one."""
         node = attempt.node
         latency = self._state.now - attempt.sent_at
         if outcome is Outcome.OK:
             node.learn(attempt.request.units, latency, at_least=False)
-        elif not node.suspect and not attempt.stuck:  # the latency of a node that is silent is not its speed
+        elif not node.suspect and not attempt.stuck:  # silence is no measure of a node's speed
             node.learn(attempt.request.units, latency, at_least=True)
 
     def _react(self, node: Node, outcome: Outcome) -> None:
-        """Spare a node that rejects, and count connections that fail."""
+        """Back off from a node that rejects, and count failed connections."""
         if outcome is Outcome.REJECTED:
             self._back_off(node)
         elif outcome in CONNECTION_FAULTS:
             self._health.connection_failed(node, outcome)
 
     def _back_off(self, node: Node) -> None:
-        """A node's queue is full, whoever filled it: fewer units in flight, and a pause of a round trip."""
+        """Shrink the window of a node whose queue is full, and pause sending for one round trip."""
         if self._state.now >= node.paused_until:
             node.window = max(1.0, node.window * (1.0 - WINDOW_SHRINK))
         node.paused_until = self._state.now + node.smoothed_latency
 
     def _is_retried(self, request: Request, attempt: Attempt, outcome: Outcome) -> bool:
-        """Whether a request is booked again; where that is in vain, it need not wait."""
+        """Whether a request is booked again; one that cannot be sent again is ended at once instead."""
         if outcome is Outcome.MISDIRECTED:
             return False
         if outcome in MAY_STILL_RUN and outcome is not Outcome.RESET and not attempt.stuck:
--- a/mallowbeam/storage_gateway/scheduler/cycle_booking.py
+++ b/mallowbeam/storage_gateway/scheduler/cycle_booking.py
@@ -1,11 +1,11 @@
-"""Where a request is booked: at which node, and in which order there.
+"""Books requests: chooses the node, and the position in its queue.
 
 The paper books a read into a numbered cycle of its node, as `mallowbeam.scheduling.cycles.CycleBook` does for
-the router fleet.  Here a booking has no cycle before it is sent: a queue is laid out anew at every poll, as
-values, prices and windows change within a cycle, and slots of later cycles would be booked by figures that no
-longer hold.  Only the present cycle is counted (`Node.cycle_units`), by what was sent; there is nothing ahead
-to release or to fill.  So the two differ in what they store; what is the same is shared: the size of a cycle
-(`slots_per_cycle`), slot time, and the smoothing of latencies (`mallowbeam.scheduling.slots`).
+the router fleet.  Here a booking gets no cycle before it is sent: the queue is reordered at every poll,
+because values, prices and windows change within a cycle and bookings in later cycles would rest on outdated
+measurements.  Only the units sent in the current cycle are counted (`Node.cycle_units`); later cycles hold no
+bookings to release or fill.  The two modules therefore store different state and share the rest: the size of
+a cycle (`slots_per_cycle`), slot time, and the smoothing of latencies (`mallowbeam.scheduling.slots`).
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from mallowbeam.storage_gateway.scheduler.slow_start import SlowStart
 from mallowbeam.storage_gateway.scheduler.state import SchedulerState
 
-OTHER_CHOICES = 6  # nodes that a new object may go to beside the first, hashed too, lest all turn to one
-PREFERENCE = 1.25  # how much later the first may finish and still be chosen
-HASH_STEPS = 7  # different orders in which the nodes are tried
-UNAVAILABLE = 60.0  # seconds that a node counts as slower which is suspect or warms up
-FAILING_CYCLES = 10  # the same, in cycles, of one that fails
+OTHER_CHOICES = 6  # hashed alternatives for a new object; several, so that load does not all move to one node
+PREFERENCE = 1.25  # factor by which an alternative must finish earlier to be chosen
+HASH_STEPS = 7  # number of different probe strides over the nodes
+UNAVAILABLE = 60.0  # seconds added to the estimate of a node that is suspect or warms up
+FAILING_CYCLES = 10  # cycles added to the estimate of a failing node
 
 
 class CycleBooking:
-    """Books requests at nodes."""
+    """Books requests at nodes; it owns no state of its own."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self._endings = endings
 
     def book(self, request: Request) -> None:
-        """Queue a request at the node that is to serve it; reject it if there is none, or over the limit."""
+        """Queue a request at the node that is to serve it; reject it without a node or over the limit."""
         if request.done or request.in_flight:
             return
         node = self._choose(request)
@@ -64,15 +64,15 @@
         self._state.touched[node.id] = node
 
     def rebook(self, node: Node, moves: Callable[[Request], bool]) -> None:
-        """Book those of a node's queue anew that are to move."""
+        """Book again those requests of a node's queue that `should_move` selects."""
         moved = [entry[2] for entry in node.queue if moves(entry[2])]
         node.queue = [entry for entry in node.queue if not moves(entry[2])]
         for request in moved:
             self.book(request)
 
     def _choose(self, request: Request) -> Node | None:
-        """The open node with the shard; for a new object the one hashed, unless another finishes earlier."""
-        # Guards against a booking where it may never be sent: it would wait there to its deadline.
+        """The open node with the shard; for a new object the first by hash if none finishes earlier."""
+        # A retry is booked only where it may run: elsewhere it would wait unsent until its deadline.
         nodes = [
             node
             for node in self._state.open
@@ -91,11 +91,11 @@
         return best
 
     def _time_to_finish(self, node: Node, units: int) -> float:
-        """Seconds until a request that is booked last at a node would be answered."""
+        """Seconds until a request that joins the end of a node's queue would be answered."""
         if node.suspect or self._state.now < node.slow_start_until:
             return UNAVAILABLE + node.overdue_time()
         queued = sum(entry[2].units for entry in node.queue)
         ahead = queued + node.units_in_flight + units - node.window
-        # Guards new objects against a node that fails them at once, and so always seems to be free.
+        # A node that fails requests at once always seems idle: the penalty keeps new objects away from it.
         penalty = FAILING_CYCLES * self._state.cycle if node.failing else 0.0
         return max(0.0, ahead) * node.slot_time() + node.expected_latency(units) + penalty
--- a/mallowbeam/storage_gateway/scheduler/dispatch.py
+++ b/mallowbeam/storage_gateway/scheduler/dispatch.py
@@ -1,4 +1,4 @@
-"""When bookings are sent: a poll of a node, its cycle of m slots, and what is due."""
+"""Polls nodes and sends the bookings that fit into window and cycle."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from mallowbeam.storage_gateway.scheduler.sending import Sender
 from mallowbeam.storage_gateway.scheduler.state import CLOCK_SLACK, SchedulerState
 
-POLL_FRACTION = 0.1  # of a cycle: how often a node at work is polled
-SILENT_CYCLES = 1.5  # without an answer that is due, after which a node seems to hang
-EXTRA_SLOTS = 4  # a cycle has capacity for the largest request and so many units more
-RUN_LENGTH = 2  # largest requests: what may be in flight beyond the window behind one of the same data
+POLL_FRACTION = 0.1  # of a cycle: interval between polls of a busy node
+SILENT_CYCLES = 1.5  # by which an answer may be overdue before its node is suspect
+EXTRA_SLOTS = 4  # a cycle has at least as many slots as the largest request has units, and these
+RUN_LENGTH = 2  # requests of the largest size that may exceed the window after one for the same data
 
 
 class Dispatcher:
-    """Polls nodes, and sends what is due there."""
+    """Polls nodes, and sends the requests that are due."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._run_units = RUN_LENGTH * state.settings.max_units
 
     def poll(self, node: Node) -> None:
-        """Send what is due at a node, end what has no slot there, and come back while it has work."""
+        """Send the requests due at a node, end those without a slot, and poll again while it has work."""
         state = self._state
         if node.open and node.overdue_time() > SILENT_CYCLES * state.cycle:
             self._health.suspect(node)
@@ -52,14 +52,14 @@
             self._poll_again(node)
 
     def _poll_again(self, node: Node) -> None:
-        """Keep one pending timer a node, however often it is polled."""
+        """Schedule the next poll; a node has one pending timer, however often it is polled."""
         state = self._state
         if node.poll_at <= state.now + CLOCK_SLACK:
             node.poll_at = state.now + POLL_FRACTION * state.cycle
             state.schedule(node.poll_at, node)
 
     def _send_due(self, node: Node, order: list[Request]) -> None:
-        """Send from the front of the order what the node has capacity for now."""
+        """Send requests from the front of the order until the node has no capacity left."""
         now = self._state.now
         if now - node.cycle_started_at >= self._state.cycle:
             node.cycle_started_at = now
@@ -85,7 +85,7 @@
 
     @staticmethod
     def _grouped(node: Node, order: list[Request]) -> list[Request]:
-        """The order with requests for the same data behind one another, first those for the last sent."""
+        """The order with requests for the same data grouped, those for the data sent last first."""
         turns: dict[str, int] = {}
         for turn, request in enumerate(order):
             turns.setdefault(request.data_key, turn)
@@ -93,9 +93,10 @@
         return sorted(order, key=lambda request: turns[request.data_key])
 
     def _is_outpriced(self, request: Request, node: Node, price: float) -> bool:
-        """Whether a request must wait as its units are worth less than the price.
+        """Whether a request must wait because its units are worth less than the price.
 
-        Capacity kept for dearer units is of use to nobody if it is still free at a request's last chance.
+        At an idle node a request is sent at its last chance to meet its target: capacity kept free for more
+        valuable units would otherwise go unused.
         """
         unit_value = request.unit_value
         if request.late:
@@ -110,13 +111,13 @@
         return not is_last_chance
 
     def _has_capacity(self, request: Request, node: Node, slots: int) -> bool:
-        """Whether window and cycle have capacity; requests for the data sent last need no slot there."""
+        """Whether window and cycle have capacity; requests for the data sent last need no slot."""
         is_run = request.data_key == node.last_data_key
         capacity = node.window + (self._run_units if is_run else 0)
         if node.units_in_flight + request.units > capacity:
             if node.units_in_flight:
                 return False
-            # One larger than the window goes alone, at the pace of the window.
+            # A request larger than the window is sent alone, at the rate that the window allows.
             pace = request.units / node.window * node.smoothed_latency
             if self._state.now - node.last_sent_at < pace:
                 return False
--- a/mallowbeam/storage_gateway/scheduler/gateway_host.py
+++ b/mallowbeam/storage_gateway/scheduler/gateway_host.py
@@ -1,7 +1,7 @@
-"""The scheduler as the gateway calls it: plain method calls in, `Orders` out.
+"""Adapter between the gateway and the scheduler: method calls in, `Orders` out.
 
-Network code never sees the scheduler's events and actions.  Nothing is decided here, and nothing reads a
-clock: every call is given the time, in seconds of the caller's monotonic clock.
+It hides the scheduler's events and actions from network code.  It takes no decisions and reads no clock:
+every call is given the time, in seconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 from mallowbeam.storage_gateway.scheduler.volumes import VolumeKey, shard_of
 
 NEVER = float("inf")
-MAX_ALLOTMENTS = 20_000  # plans and allotments kept at once, some 10 MB; a new one past that is rejected
+MAX_ALLOTMENTS = 20_000  # plans and allotments together, about 10 MB; further ones are rejected
 
 
 class InvalidPlanError(MallowbeamError):
@@ -50,14 +50,14 @@
 
 
 class TooManyAllotmentsError(MallowbeamError):
-    """More allotments than a gateway keeps."""
+    """The gateway keeps no further allotment."""
 
     error_name = "TooManyAllotments"
     remedy = "Take back allotments that are not needed (their plan's own figures, no part)."
 
 
 class AttemptOrder(NamedTuple):
-    """Send a request to a node now, and stop waiting after `timeout` seconds."""
+    """An attempt to start now; `timeout` is how long to wait for its answer, in seconds."""
 
     request: str
     number: int
@@ -66,16 +66,16 @@
 
 
 class FinalAnswer(NamedTuple):
-    """The final answer to a request that no node served; `retry_after` in seconds."""
+    """The final answer to a request that no node answered; `retry_after` in seconds."""
 
     request: str
-    rejected: bool  # it was not run, and a retry is harmless; else it failed
+    rejected: bool  # True: it was not run, a retry is harmless; False: it failed
     retry_after: float | None
 
 
 @dataclass(slots=True)
 class Orders:
-    """What the gateway is to do now."""
+    """What the gateway must do after a call."""
 
     attempts: list[AttemptOrder] = field(default_factory=list)
     cancellations: list[tuple[str, int]] = field(default_factory=list)  # request, number of the attempt
@@ -86,38 +86,38 @@
 class SchedulerHost:
     """One gateway's scheduler.
 
-    It owns the numbers of the attempts and the time of the next `tick`; everything else is the scheduler's.
+    It owns the attempt numbers and the time of the next `tick`; the scheduler owns everything else.
     """
 
     def __init__(self, settings: Settings, now: float) -> None:
         self._scheduler = Scheduler(settings, now)
-        self._attempts: dict[str, int] = {}  # attempts so far, of each request that has no final answer
+        self._attempts: dict[str, int] = {}  # attempts so far of each request without a final answer
         self.wake_at = NEVER  # when `tick` is due
 
     def knows(self, request: str) -> bool:
-        """Whether this id is in use: by a request without an answer, or by an attempt still in flight."""
+        """Whether a request id is in use, by an unanswered request or by an attempt in flight."""
         return request in self._scheduler.state.requests
 
     @property
     def nodes_open(self) -> int:
-        """How many nodes take new work."""
+        """Number of nodes that accept new work."""
         return len(self._scheduler.state.open)
 
     @property
     def nodes_listed(self) -> int:
-        """How many nodes discovery lists, in whatever state."""
+        """Number of nodes that discovery lists, in any state."""
         return sum(node.state is not NodeState.REMOVED for node in self._scheduler.state.nodes.values())
 
     @property
     def nodes_unavailable(self) -> int:
-        """How many of the listed nodes get no new work, or next to none."""
+        """Number of listed nodes that get no new work, or only trial requests."""
         return sum(
             node.state is not NodeState.REMOVED and (not node.open or node.suspect or node.failing)
             for node in self._scheduler.state.nodes.values()
         )
 
     def pick(self, now: float, request: str, **fields: Any) -> Orders:
-        """Take a request; the fields are those of `interface.RequestArrived`."""
+        """Hand over a new request; the fields are those of `interface.RequestArrived`."""
         self._attempts[request] = 0
         return self._step(now, RequestArrived(request, **fields))
 
@@ -129,9 +129,9 @@
         latency: float,
         usage: tuple[float | None, int] = (None, 0),
     ) -> Orders:
-        """End an attempt; with `Outcome.OK` its answer goes to the client.
+        """Report that an attempt ended; with `Outcome.OK` its answer goes to the client.
 
-        `usage` is what the answer reports of the volume: `AttemptEnded.usage_ratio` and `remote_units`.
+        `usage` is the volume's use as the answer reports it: `AttemptEnded.usage_ratio` and `remote_units`.
         """
         if outcome is Outcome.OK:
             self._attempts.pop(attempt.request, None)
@@ -144,20 +144,20 @@
         )
 
     def may_begin(self, now: float, attempt: AttemptOrder) -> bool:
-        """Whether an attempt may send its first byte; asked once its connection is up, just before."""
+        """Whether an attempt may send its first byte; to be asked once, when its connection is up."""
         return self._scheduler.may_begin(now, attempt.request, attempt.number)
 
     def stream_started(self, now: float, attempt: AttemptOrder, latency: float) -> Orders:
-        """Note that a streamed answer has begun: the request is over but for the rest of this attempt."""
+        """Report that a streamed answer has begun: the request is answered, the attempt still in flight."""
         self._attempts.pop(attempt.request, None)
         return self._step(now, StreamStarted(attempt.request, attempt.number, attempt.node, latency))
 
     def upload_progress(self, now: float, attempt: AttemptOrder, time_left: float | None) -> Orders:
-        """Note that a large body is being forwarded; with `time_left` (seconds), that all of it is sent."""
+        """Report that a large body is being forwarded; with `time_left` (seconds), that all of it is sent."""
         return self._step(now, UploadProgress(attempt.request, attempt.number, time_left))
 
     def client_disconnected(self, now: float, request: str) -> Orders:
-        """Drop a request whose client no longer waits."""
+        """Report that the client of a request no longer waits."""
         self._attempts.pop(request, None)
         return self._step(now, ClientDisconnected(request))
 
@@ -168,13 +168,13 @@
         version: int = 0,
         entries: list[NodeEntry] | None = None,
     ) -> Orders:
-        """Take in a list from discovery, or the failure to get one."""
+        """Report a list from discovery, or the failure to get one."""
         return self._step(now, DiscoveryUpdate(kind, version, entries or []))
 
     def override_node(self, now: float, node: str, disabled: bool, listed: bool = True) -> Orders | None:
-        """Disable a node by an operator's word, or enable it again.
+        """Disable a node on an operator's request, or enable it again.
 
-        Returns None, and does nothing, for a node that is not known, unless `listed` is False.
+        Returns None and does nothing where the node is neither listed nor disabled, unless `listed` is False.
         """
         known = self._scheduler.state.nodes.get(node)
         is_listed = known is not None and known.state is not NodeState.REMOVED
@@ -183,7 +183,7 @@
         return self._step(now, OperatorOverride(node, disabled))
 
     def sibling_sent(self, now: float, event: SiblingSend) -> Orders:
-        """Count what another process of this host sent to a node."""
+        """Count units that another process of this host sent to a node."""
         return self._step(now, event)
 
     def change_plan(
@@ -194,27 +194,31 @@
         shard: int | None = None,
         limit_share: float | None = None,
     ) -> Orders:
-        """Put a plan in force, for all volumes on it or as one's allotment: see `interface.PlanChanged`.
+        """Apply a plan to all volumes on it, or as an allotment of one volume: see `interface.PlanChanged`.
 
         Raises:
-            InvalidPlanError: a figure is out of range, or a shard is given without a volume.
-            TooManyAllotmentsError: it is a new allotment, and `MAX_ALLOTMENTS` are kept already.
+            InvalidPlanError: a value is out of range, or a shard is given without a volume.
+            TooManyAllotmentsError: it is a new allotment, and `MAX_ALLOTMENTS` are already kept.
 
         In both cases nothing has changed.
         """
         figures = (plan.reserve, plan.weight, plan.price, plan.limit, plan.limit_burst, plan.limit_slack)
         if not all(0 <= value < NEVER for value in figures) or not 0 <= (limit_share or 0.0) <= 1:
-            raise InvalidPlanError("a figure is below 0, or the part is not from 0 to 1", f"plan {plan.name}")
+            raise InvalidPlanError(
+                "a value is negative or infinite, or the limit share is not from 0 to 1", f"plan {plan.name}"
+            )
         if shard is not None and not volume:
-            raise InvalidPlanError("an allotment at a shard names no volume", f"plan {plan.name}")
+            raise InvalidPlanError("an allotment for a shard names no volume", f"plan {plan.name}")
         known = self._scheduler.volumes.plans
         key: VolumeKey = (volume, plan.name) if shard is None else (volume, plan.name, shard)
         if key not in known and len(known) >= MAX_ALLOTMENTS:
-            raise TooManyAllotmentsError(f"{MAX_ALLOTMENTS} are held already", f"volume {volume}")
+            raise TooManyAllotmentsError(
+                f"{MAX_ALLOTMENTS} plans and allotments are already kept", f"volume {volume}"
+            )
         return self._step(now, PlanChanged(plan, volume, shard, limit_share))
 
     def node_entries(self, now: float) -> list[NodeEntry]:
-        """The list of nodes as it stands; one that is warming up has the start that is known or presumed."""
+        """The current list of nodes; for a node that is warming up, with its known or assumed start time."""
         return [
             NodeEntry(
                 node.id,
@@ -228,10 +232,11 @@
         ]
 
     def export_state(self, now: float) -> dict[str, object]:
-        """What this host's next process must know to decide as this one would, in plain values.
+        """The state that this host's next process needs to decide as this one would, in plain values.
 
-        The keys and the fields of the plans are a format between processes of different versions.  Allotments
-        at one shard are included, but not the level of their limits: there the successor starts empty.
+        The keys and the plans' field names are a format that processes of different versions exchange.
+        Allotments for one shard are included, but not the levels of their limits: the successor starts those
+        empty.
         """
         scheduler = self._scheduler
         return {
@@ -246,7 +251,7 @@
         }
 
     def _changed_plans(self) -> list[list[object]]:
-        """Allotments, and plans that differ from the settings: volume, figures, shard, this host's share."""
+        """Allotments, and plans that differ from the settings: volume, fields, shard, this host's share."""
         given = self._scheduler.state.settings.plans
         return [
             [key[0], asdict(plan), shard_of(key), limit_share]
@@ -255,7 +260,7 @@
         ]
 
     def _limit_levels(self, now: float) -> list[list[object]]:
-        """The limits' token buckets, filled up to now: volume, plan, hosts, level."""
+        """The limits' token buckets, refilled up to now: volume, plan, hosts, level."""
         levels: list[list[object]] = []
         for key, volume in self._scheduler.volumes.by_key.items():
             if volume.plan.limit > 0 and shard_of(key) is None:
@@ -264,7 +269,7 @@
         return levels
 
     def import_state(self, now: float, state: dict[str, Any]) -> None:
-        """Take over from this host's last process (`export_state`), once the list of nodes is known."""
+        """Restore the state of this host's previous process (`export_state`); the nodes must be known."""
         for node, disabled_at in state["out"].items():
             self._step(now, OperatorOverride(node, True, disabled_at))
         for volume, figures, shard, limit_share in state.get("plans", ()):
@@ -275,24 +280,24 @@
             self._step(now, SiblingSend("", "", 1, node, units))
 
     def accepts_work(self, node: str) -> bool:
-        """Whether new work may go to a node at this moment."""
+        """Whether new work may now go to a node."""
         known = self._scheduler.state.nodes.get(node)
         return known is not None and known.open
 
     def attempts_at(self, node: str) -> int:
-        """How many attempts are in flight at a node."""
+        """Number of attempts in flight at a node."""
         known = self._scheduler.state.nodes.get(node)
         return len(known.in_flight) if known is not None else 0
 
     def tick(self, now: float) -> Orders:
-        """Let time pass; does nothing before `wake_at`, as the scheduler counts on its own last timer."""
+        """Fire the timer; does nothing before `wake_at`, as the scheduler relies on its last timer."""
         if now < self.wake_at:
             return Orders()
         self.wake_at = NEVER
         return self._step(now, TimerFired(0))
 
     def _step(self, now: float, event: Event) -> Orders:
-        """Feed one event, and return what the scheduler wants done."""
+        """Feed one event, and translate the scheduler's actions."""
         orders = Orders()
         for action in self._scheduler.step(now, [event]):
             match action:
@@ -312,5 +317,5 @@
                 case WatchNodes(active):
                     orders.watch_nodes = active
                 case _:
-                    raise TypeError(f"the scheduler asked for what no socket offers: {action}")
+                    raise TypeError(f"the gateway does not support this action: {action}")
         return orders
--- a/mallowbeam/storage_gateway/scheduler/host_context.py
+++ b/mallowbeam/storage_gateway/scheduler/host_context.py
@@ -1,15 +1,15 @@
-"""What every node of a host needs to know of it: settings, clock, cycle, and latency over all nodes."""
+"""The host state that every node reads: settings, clock, cycle, and latency over all nodes."""
 
 from __future__ import annotations
 
 from mallowbeam.storage_gateway.scheduler.interface import Settings
 
 LATENCY_MEMORY = 1.0  # seconds in which an answer's weight falls to 1/e
-FIRST_SLOT_FRACTION = 1 / 20  # of the cycle: a unit's latency, before anything was measured
-FIRST_REQUEST_FRACTION = 0.3  # of the cycle: the same of a typical request, at most
-FLOOR_CREEP = 0.01  # a second: how fast the lowest measured latency may be forgotten, for a slower day
-MIN_SURVEYED_NODES = 3  # below that the latencies of nodes say nothing of each other
-DEFAULT_CYCLE = 0.3  # seconds, where there are no classes
+FIRST_SLOT_FRACTION = 1 / 20  # of the cycle: a unit's latency before any measurement
+FIRST_REQUEST_FRACTION = 0.3  # of the cycle: maximum of a typical request's latency before any measurement
+FLOOR_CREEP = 0.01  # a second: how fast the lowest measured latency may rise, to follow slower nodes
+MIN_SURVEYED_NODES = 3  # with fewer nodes, latencies say nothing about each other
+DEFAULT_CYCLE = 0.3  # seconds, where the settings have no classes
 
 
 class LatencyBaseline:
@@ -20,13 +20,13 @@
     def __init__(self, typical_units: float, cycle: float) -> None:
         self.typical_units = typical_units
         self.cycle = cycle
-        # The latency of a typical request: the usual one, and the lowest.
+        # The median and the lowest latency of a typical request.
         self.prior = self.floor = cycle * min(2 * typical_units * FIRST_SLOT_FRACTION, FIRST_REQUEST_FRACTION)
-        self.slope = self.floor / typical_units / 2  # that a further unit of a request costs, at any node
+        self.slope = self.floor / typical_units / 2  # added by each further unit of a request, at any node
 
     def survey(self, node_latencies: list[float], passed: float) -> None:
-        """Take in the latencies of nodes with recent answers, `passed` seconds after the last survey."""
-        # With few answers the median fades to the lowest: one that stood would shut every node for good.
+        """Add the latencies of nodes with recent answers, `passed` seconds after the previous call."""
+        # Without new answers the median decays to the lowest: a high one that stayed would block every node.
         self.prior += min(1.0, passed / LATENCY_MEMORY / 2) * (self.floor - self.prior)
         if len(node_latencies) >= MIN_SURVEYED_NODES:
             node_latencies.sort()
--- a/mallowbeam/storage_gateway/scheduler/interface.py
+++ b/mallowbeam/storage_gateway/scheduler/interface.py
@@ -1,11 +1,11 @@
-"""Settings, events and actions: everything that passes between a host and the scheduler.
+"""Settings, events and actions: the whole interface between a host and the scheduler.
 
 A *host* is the program around the scheduler (`gateway_host`, `simulator_host`).  It feeds events into
 `Scheduler.step` and carries out the actions that are returned.  One host is one gateway instance.
 
-Units: every time and duration is in seconds; sizes of requests are in *units of work*, as the client declares
-them (design page, "The unit of work").  `None` for a setting means that the rule or feature does not exist in
-this deployment.
+Units: every time and duration is in seconds; request sizes are in *units of work*, as the client declares
+them (design page, "The unit of work").  A setting of `None` means that this deployment does not have the rule
+or feature.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 
 class Idempotency(Enum):
-    """What running a request a second time would do; the values are the settings' words."""
+    """The effect of running a request a second time; the values are those of the settings."""
 
-    SAFE = "safe"  # no effect: it may be run any number of times
+    SAFE = "safe"  # none: it may be run any number of times
     KEYED = "keyed"  # nodes drop duplicates by the request's key, within a window and a scope
     UNSAFE = "unsafe"  # it would take effect twice
 
@@ -36,7 +36,7 @@
     OK = "ok"
     ERROR = "error"
     REJECTED = "rejected"
-    MISDIRECTED = "astray"  # rejected before it ran, by a node that will not accept it later either
+    MISDIRECTED = "astray"  # rejected before it ran, by a node that never accepts it
     TIMEOUT = "timeout"
     NO_CONNECTION = "no connection"
     RESET = "reset"
@@ -45,7 +45,7 @@
 
 
 class DiscoveryUpdateKind(Enum):
-    """How the entries of a `DiscoveryUpdate` are to be read."""
+    """How to interpret the entries of a `DiscoveryUpdate`."""
 
     DELTA = "changes"
     FULL = "full"
@@ -70,7 +70,7 @@
     value: float = 1.0  # of one unit that is answered within `latency_target`
     latency_target: float = 1.0  # seconds from the first attempt of the client
     deadline: float = 1.0  # seconds after which an answer is worthless
-    late_value: float = 0.0  # fraction of `value` that is left between the target and the deadline
+    late_value: float = 0.0  # fraction of `value` that an answer between target and deadline earns
     idempotency: Idempotency = Idempotency.UNSAFE
     dedup_scope: DeduplicationScope = DeduplicationScope.ALL
     dedup_window: float = 0.0  # seconds for which nodes recognise a duplicate of a keyed request
@@ -81,24 +81,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """What a volume on this plan is entitled to; rates hold over all hosts and nodes.
+    """Entitlements of a volume on this plan; rates apply over all hosts and nodes together.
 
     The field names are a stored format: a process hands its plans to its successor as `asdict(plan)`.
     """
 
     name: str
-    rate: float = 0.0  # nominal use, units a second
-    reserve: float = 0.0  # guaranteed, units a second
+    rate: float = 0.0  # nominal use, units per second
+    reserve: float = 0.0  # guaranteed, units per second
     weight: float = 1.0  # fair-share weight beyond the reserve
     price: float = 1.0  # factor on the value of each unit
-    limit: float = 0.0  # rate limit, units a second; 0: none
+    limit: float = 0.0  # rate limit, units per second; 0: none
     limit_burst: float = 0.0  # size of the limit's token bucket, units
     limit_slack: float = 0.0  # units by which the bucket may be overdrawn
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything that a host is given when it starts."""
+    """A host's settings, fixed at its start."""
 
     seed: int = 0
     host_index: int = 0
@@ -121,20 +121,20 @@
     retry_after: bool = False  # whether a rejection may carry a Retry-After
     max_retry_after: float = 0.0
     discovery_on_request: bool = False  # the host watches discovery itself; else lists are pushed to it
-    max_list_age: float | None = None  # age of the list by which a host without a watch counts as informed
+    max_list_age: float | None = None  # age of its list at which a host without a watch counts as informed
     drain_grace: float | None = None
-    slow_start_units: float | None = None  # units per `overload_window` that a node bears as it starts
+    slow_start_units: float | None = None  # units per `overload_window` that a node sustains at its start
     slow_start_capacity: float = 1.0  # fraction of full capacity at start
-    slow_start_time: float | None = None  # until a started node has full capacity
+    slow_start_time: float | None = None  # seconds until a started node has full capacity
     overload_multiple: float | None = None  # load over capacity at which a warming node collapses
-    overload_window: float | None = None  # over which that load is measured
-    order_settle_time: float = 0.0  # rest of an ordered key after an attempt that may still be running
+    overload_window: float | None = None  # seconds over which that load is measured
+    order_settle_time: float = 0.0  # pause of an ordered key after an attempt that may still be running
     retry_budget_floor: float | None = None  # retries per `retry_budget_window` that are always allowed
     retry_budget_ratio: float = 0.0  # further retries per request received in that window
     retry_budget_window: float = 0.0
-    # When a request's units are charged to its volume's limit: at its first attempt that was sent (the
-    # simulator's rule, False), or when its last byte first reaches a node (PROTOCOL, on sockets, True), so
-    # that an attempt whose connection never came up is charged nothing.
+    # When a request's units are charged to its volume's limit.  False (the simulator's rule): when its first
+    # attempt is sent.  True (PROTOCOL, on sockets): when its last byte first reaches a node, so that an
+    # attempt whose connection was never established is not charged.
     limit_at_arrival: bool = False
 
 
@@ -148,12 +148,12 @@
     request: str
     request_class: str
     expires_in: float  # seconds until its deadline
-    shard: int | None = None  # None: a new object, which any node may store
+    shard: int | None = None  # None: a new object, which may go to any node
     units: int = 1
     volume: str = ""
     plan: str = ""
-    volume_hosts: int | None = None  # hosts through which the volume's requests come
-    key: str | None = None  # of its data: ordering, deduplication and affinity follow it
+    volume_hosts: int | None = None  # number of hosts that receive the volume's requests
+    key: str | None = None  # of its data: for ordering, deduplication and affinity
     is_retry: bool = False
     is_write: bool = False
 
@@ -182,19 +182,19 @@
 
 @dataclass(slots=True)
 class OperatorOverride:
-    """An operator disables a node, or enables it again."""
+    """An operator disabled a node, or enabled it again."""
 
     node: str
     disabled: bool
-    disabled_at: float | None = None  # where that was not just now
+    disabled_at: float | None = None  # time; None: now
 
 
 @dataclass(slots=True)
 class SiblingSend:
     """Another process of this host sent `units` to a node and charged `charged_units` to the volume's limit.
 
-    During a hand-over nothing need have been sent: then it transfers `limit_level`, or the load of a warming
-    node.
+    In a hand-over between processes it also transfers state: `limit_level`, or the load of a node that is
+    warming up; then nothing need have been sent.
     """
 
     volume: str
@@ -208,20 +208,21 @@
 
 @dataclass(slots=True)
 class PlanChanged:
-    """A plan takes effect: for all volumes on it, for one volume, or for one volume's work at one shard.
+    """A plan takes effect for all volumes on it, for one volume, or for one volume's requests to one shard.
 
-    An allotment of a volume is revoked by the plan's own figures without a `limit_share`.
+    The plan of a single volume or shard is an *allotment*.  It is revoked by an event that repeats the
+    general plan without a `limit_share`.
     """
 
     plan: Plan
-    volume: str = ""  # empty: all volumes on the plan of this name, and those to come
-    shard: int | None = None  # with a volume: only its requests for this shard, metered separately
-    limit_share: float | None = None  # this host's share of limit and slack, 0 to 1; None: an equal share
+    volume: str = ""  # empty: all volumes on the plan of this name, later ones included
+    shard: int | None = None  # with a volume: only its requests for this shard, which are metered separately
+    limit_share: float | None = None  # this host's share of limit, burst and slack, 0 to 1; None: equal
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The single outcome of an attempt."""
+    """An attempt ended; reported once for each attempt."""
 
     request: str
     attempt: int
@@ -230,13 +231,13 @@
     latency: float
     finished: bool  # the client has its answer
     usage_ratio: float | None = None  # the volume's recent use over its plan's rate; None: not reported
-    remote_units: int = 0  # units that the shard served the volume through other hosts since the last answer
+    remote_units: int = 0  # units that the shard served the volume through other hosts since its last answer
     load: dict[str, float] | None = None
 
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A streamed answer has begun; what is left of its attempt belongs to the client."""
+    """A streamed answer has begun: the request counts as answered, its attempt is still in flight."""
 
     request: str
     attempt: int
@@ -246,23 +247,23 @@
 
 @dataclass(slots=True)
 class UploadProgress:
-    """A large body is being forwarded: it can't be sent again, and its node has no work yet."""
+    """A large body is being forwarded: it cannot be sent again, and its node has no work yet."""
 
     request: str
     attempt: int
-    time_left: float | None = None  # set with the last byte: seconds that the request has from then on
+    time_left: float | None = None  # with the last byte: seconds from then to the deadline
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client no longer waits: no answer is to be sent."""
+    """The client no longer waits: no answer must be sent."""
 
     request: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that was set earlier is due."""
+    """A timer set by `SetTimer` is due."""
 
     token: int
 
@@ -315,7 +316,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     request: str
     attempt: int
@@ -338,7 +339,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` at or after a time."""
+    """Request a `TimerFired` at or after a time."""
 
     at: float
     token: int
@@ -353,7 +354,7 @@
 
 @dataclass(slots=True)
 class FetchNodes:
-    """Ask discovery once for the full list."""
+    """Fetch the full list from discovery once."""
 
 
 @dataclass(slots=True)
--- a/mallowbeam/storage_gateway/scheduler/key_order.py
+++ b/mallowbeam/storage_gateway/scheduler/key_order.py
@@ -1,4 +1,4 @@
-"""Ordered requests: those of one key run one after the other, in the order of arrival."""
+"""Ordered requests: those of one key run one at a time, in the order of arrival."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class KeyOrder:
-    """Owns the queues of ordered keys, and how long each key rests."""
+    """Owns the queues of ordered keys, and each key's pause after an attempt that may still be running."""
 
     def __init__(self, state: SchedulerState, book: Callable[[Request], None]) -> None:
         self._state = state
         self._book = book
         self.queues: dict[str, deque[Request]] = {}  # in the order of arrival
-        self.rests_until: dict[str, float] = {}  # after an attempt that may still be running
+        self.rests_until: dict[str, float] = {}  # time before which no next request of a key may be sent
 
     def add(self, key: str, request: Request) -> None:
         """Queue a request behind the others of its key; book it if it is the only one."""
@@ -24,11 +24,11 @@
         self.advance(key)
 
     def rest(self, key: str) -> None:
-        """Let a key rest: an attempt of its first request may still be running."""
+        """Pause a key: an attempt of its first request may still be running."""
         self.rests_until[key] = self._state.now + self._state.settings.order_settle_time
 
     def is_next(self, request: Request) -> bool:
-        """Whether a request may be sent: it is its key's oldest, and the key has rested."""
+        """Whether a request may be sent: it is its key's oldest, and the key's pause has ended."""
         key = request.order_key
         queue = self.queues.get(key) if key is not None else None
         if not queue:
@@ -38,7 +38,7 @@
         return request.attempt_count > 0 or self.rests_until.get(key or "", 0.0) <= self._state.now
 
     def advance(self, key: str) -> None:
-        """Give the turn to the oldest request of a key that is not over."""
+        """Book the oldest unfinished request of a key, or set a timer for the end of the key's pause."""
         queue = self.queues.get(key)
         if queue is None:
             return
@@ -51,13 +51,13 @@
         if first.budgeted or first.done:
             return
         until = self.rests_until.get(key, 0.0)
-        # One that is due within the clock's slack goes now: its timer would be set again, for ever.
+        # A pause that ends within the clock's slack counts as over: its timer would fire at once, for ever.
         if until > self._state.now + CLOCK_SLACK:
             self._state.schedule(until, key)
         else:
             self._book(first)
 
     def forget_old(self) -> None:
-        """Drop keys that have rested: they may never come back."""
+        """Drop the pauses that have ended, so that memory is bounded."""
         for key in [key for key, until in self.rests_until.items() if until <= self._state.now]:
             del self.rests_until[key]
--- a/mallowbeam/storage_gateway/scheduler/node_health.py
+++ b/mallowbeam/storage_gateway/scheduler/node_health.py
@@ -1,4 +1,4 @@
-"""Which nodes take new work: by discovery's lists, an operator's word, and how attempts end there."""
+"""Decides which nodes accept new work, by discovery's lists, operator overrides and attempt outcomes."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 from mallowbeam.storage_gateway.scheduler.slow_start import SlowStart
 from mallowbeam.storage_gateway.scheduler.state import DISCOVERY, SchedulerState
 
-WATCH_RETRY = 1.0  # seconds to the retry of a failed call to discovery, at most in a small fleet
-MAX_WATCH_RETRY = 2.2  # the same, at most in any fleet (`server/discovery.py`)
-FLEET_CALL_RATE = 5.0  # retries a second by all hosts
-LATER_SPREAD = 0.2  # fraction of the wait that is drawn, after the first failure
-AGENT_RETRY = 0.05  # seconds to the retry at the host's own agent, which pushes the lists
-LIST_DELAY = 3.0  # seconds by which lists run late: so long a node that was not reached counts as warming up
-MAX_CONNECTION_FAULTS = 6  # in a row, after which a node has gone
+WATCH_RETRY = 1.0  # maximum seconds to the retry of a failed call to discovery in a small fleet
+MAX_WATCH_RETRY = 2.2  # the same in a fleet of any size (`server/discovery.py`)
+FLEET_CALL_RATE = 5.0  # retries per second by all hosts together
+LATER_SPREAD = 0.2  # jitter as a fraction of the wait, after the first failure
+AGENT_RETRY = 0.05  # seconds to the retry at the host's local agent, which pushes the lists
+LIST_DELAY = 3.0  # seconds by which lists may lag: so long an unreachable node counts as warming up
+MAX_CONNECTION_FAULTS = 6  # weighted, without an answer between, after which a node is suspect
 CONNECTION_FAULT_WEIGHTS = {Outcome.NO_CONNECTION: 3, Outcome.RESET: 1}
 ERROR_SMOOTHING = 0.1  # weight of one answer in a node's error rate
-FAILING_RATE = 0.3  # of its answers that are errors, from which on a node is failing
+FAILING_RATE = 0.3  # error rate above which a node is failing
 
 
 class NodeHealth:
-    """Opens and closes nodes; it owns the count of failed calls to discovery."""
+    """Opens and closes nodes for new work; it owns the count of failed calls to discovery."""
 
     def __init__(self, state: SchedulerState, booking: CycleBooking, slow_start: SlowStart) -> None:
         self._state = state
         self._booking = booking
         self._slow_start = slow_start
-        self.watch_failures = 0  # in a row
+        self.watch_failures = 0  # consecutive
 
     def on_discovery_update(self, event: DiscoveryUpdate) -> None:
-        """Take in a list, or plan another call where there is none."""
+        """Apply a list of nodes, or schedule the next call if there is none."""
         if event.kind in (DiscoveryUpdateKind.FAILED, DiscoveryUpdateKind.TIMED_OUT):
             self._retry_watch(event.kind)
             return
         self.watch_failures = 0
         entries = event.entries
-        if event.kind is not DiscoveryUpdateKind.DELTA:  # what a full list leaves out is gone
+        if event.kind is not DiscoveryUpdateKind.DELTA:  # nodes that a full list omits are removed
             named = {entry.node for entry in entries}
             left_out = [name for name in self._state.nodes if name not in named]
             entries = [NodeEntry(name, NodeState.REMOVED) for name in left_out] + entries
@@ -51,7 +51,10 @@
             self._update(entry, event.kind)
 
     def on_operator_override(self, event: OperatorOverride) -> None:
-        """Disable a node, or enable it: one call lifts all others, and the node was restarted meanwhile."""
+        """Disable a node, or enable it.
+
+        One call to enable cancels all calls to disable; the node is assumed to have restarted in between.
+        """
         state = self._state
         disabled_at = state.disabled_nodes.pop(event.node, None)
         if event.disabled:
@@ -60,14 +63,15 @@
         if node is None:
             return
         if disabled_at is not None and not event.disabled:
-            if (node.started_at or 0.0) < disabled_at:  # no list has named a start: the latest is presumed
+            # Without a start from a list since then, assume the latest possible: now.
+            if (node.started_at or 0.0) < disabled_at:
                 self._slow_start.begin(node, state.now)
-            node.suspect = True  # what was known of it is forgotten, as with a first answer
+            node.suspect = True  # makes the next line reset its measurements
             self.answered(node)
         self._admit(node)
 
     def answered(self, node: Node) -> None:
-        """A node has answered: what the silence before seemed to say is forgotten."""
+        """Record that a node answered; for a suspect node, discard the latency measured in its silence."""
         node.last_answer_at = self._state.now
         node.connection_faults = 0
         if node.suspect:
@@ -78,34 +82,37 @@
 
     @staticmethod
     def count_answer(node: Node, attempt: Attempt, is_error: bool) -> None:
-        """Count an answer in a node's error rate."""
+        """Add an answer to a node's error rate."""
         node.answered_up_to = max(node.answered_up_to, attempt.sent_at)
         node.error_rate += ERROR_SMOOTHING * (is_error - node.error_rate)
         node.failing = node.error_rate > FAILING_RATE
         if is_error and node.failing and attempt.sent_at >= node.cycle_started_at:
-            node.cycle_units -= attempt.request.units  # no slot: what is sent again must not use up the cycle
+            # Errors take no slot: retries must not fill the cycle.
+            node.cycle_units -= attempt.request.units
 
     def connection_failed(self, node: Node, outcome: Outcome) -> None:
-        """A connection was refused or broke: a node that goes breaks all of them, one that lives answers."""
+        """Count a failed connection; a node is suspect after several without an answer in between."""
         node.connection_faults += CONNECTION_FAULT_WEIGHTS[outcome]
         if node.connection_faults >= MAX_CONNECTION_FAULTS:
             self.suspect(node)
             now = self._state.now
-            if node.slow_start_until < now + LIST_DELAY:  # it may be back, and cold, before a list says so
+            # It may restart, and be cold, before a list reports it.
+            if node.slow_start_until < now + LIST_DELAY:
                 self._slow_start.begin(node, now, LIST_DELAY)
 
     def suspect(self, node: Node) -> None:
-        """A node does not answer, or is not reached: it gets one request a cycle until it answers."""
+        """Mark a node as silent or unreachable: it gets one trial request a cycle until it answers."""
         if not node.suspect:
             node.suspect = True
             self._booking.rebook(node, lambda request: request.shard is None)
             self._state.touched[node.id] = node
 
     def _retry_watch(self, kind: DiscoveryUpdateKind) -> None:
-        """Plan the next call to discovery.
+        """Schedule the next call to discovery.
 
-        Guards discovery at its return: calls are drawn apart, the first over all of the time for which what
-        it has may stay unknown, later ones near its end.  Where a watch timed out it is called at once.
+        Jitter protects discovery from all hosts calling at once when it recovers: the first retry is spread
+        over the whole wait, later ones near its end.  The wait is at most `max_list_age`, after which a host
+        counts as informed of a change.  After the first time-out of a watch the retry is immediate.
         """
         state = self._state
         self.watch_failures += 1
@@ -120,7 +127,7 @@
         state.schedule(state.now + wait, DISCOVERY)
 
     def _update(self, entry: NodeEntry, kind: DiscoveryUpdateKind) -> None:
-        """Take in one entry of a list."""
+        """Apply one entry of a list."""
         node = self._state.nodes.get(entry.node)
         is_new = node is None
         if node is None:
@@ -131,15 +138,16 @@
         if node.state is NodeState.READY:
             started_at = entry.started_at
             if is_new and started_at is None and kind is DiscoveryUpdateKind.DELTA:
-                started_at = self._state.now  # a machine that joins unexplained is a replacement, so cold
+                # A node that joins without a start time is a replacement, so cold.
+                started_at = self._state.now
             if started_at is not None and (is_new or started_at != node.started_at):
                 self._slow_start.begin(node, started_at)
-                self.answered(node)  # it runs: what fell silent did so before
+                self.answered(node)  # it runs: any silence was before the restart
             node.started_at = started_at
         self._admit(node)
 
     def _admit(self, node: Node) -> None:
-        """Open or close a node for new work; what is booked at a closed one is booked elsewhere."""
+        """Open or close a node for new work; requests booked at a closed node are booked elsewhere."""
         state = self._state
         node.open = node.state is NodeState.READY and node.id not in state.disabled_nodes
         state.open = [known for known in state.nodes.values() if known.open]
--- a/mallowbeam/storage_gateway/scheduler/queue_layout.py
+++ b/mallowbeam/storage_gateway/scheduler/queue_layout.py
@@ -1,8 +1,8 @@
-"""In which order a node's queue is sent: by value where it can't all be served within its latency targets.
+"""Orders a node's queue, by value where not all of it can meet its latency targets.
 
-Units inside the reserve of their volume are worth most, then those inside its fair share by weight, then
-spare ones.  Where a node's time is short, the least valued give way (design page, "every read is worth the
-same").
+Units within their volume's reserve are worth most, then those within its fair share by weight, then spare
+ones.  Where a node lacks the time for all, the least valuable requests lose their slots (design page, "every
+read is worth the same").
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from mallowbeam.storage_gateway.scheduler.volume_table import VolumeTable
 from mallowbeam.storage_gateway.scheduler.volumes import Volume
 
-ACTIVE_TIME = 2.0  # seconds for which a volume counts in the sharing of a node after its last request
-CAPACITY_SHARED = 0.9  # of a node's capacity is shared out by weight (the platform's terms)
-CONGESTION_VALUE = 0.3  # of the dearest unit: what one must be worth where waiting takes up the target
+ACTIVE_TIME = 2.0  # seconds after its last request for which a volume takes part in sharing a node
+CAPACITY_SHARED = 0.9  # of a node's capacity is shared by weight (the platform's rule)
+CONGESTION_VALUE = 0.3  # of the highest unit value: the price where waiting takes up the whole target
 
 
 class Pace(NamedTuple):
-    """How fast a node takes units."""
+    """The rate at which a node accepts units."""
 
     slot_time: float  # seconds per unit
-    free_units: float  # that can be sent at once
+    free_units: float  # that can be sent now
 
 
 class QueueLayout:
-    """Values the queues of nodes and puts them in order."""
+    """Values and orders the queues of nodes."""
 
     def __init__(self, state: SchedulerState, volumes: VolumeTable, slow_start: SlowStart) -> None:
         self._state = state
@@ -41,13 +41,13 @@
         self._tier_values = (1.0, settings.share_value, settings.spare_value)
 
     def arrange(self, node: Node) -> tuple[list[Request], list[Request]]:
-        """The order of a node's queue: what meets its target, then what is late; and what has no slot."""
+        """The requests of a node's queue to send, on-time ones before late ones; and those without a slot."""
         self._value(node)
         rejected: list[Request] = []
         queue: list[Request] = []
         for _, _, request in node.queue:
             (rejected if self._slow_start.bars(node, request) else queue).append(request)
-        # Taken before latencies fade: the whole layout is by one slot time.
+        # Read once, before latencies decay, so that the whole layout uses one slot time.
         pace = Pace(node.slot_time(), node.window - node.units_in_flight)
         units = self._choose_on_time(node, queue, pace)
         order = [request for request in queue if not request.late]
@@ -56,7 +56,8 @@
         served, unserved = self._split_late(node, late, units, price, pace)
         order += served
         rejected += unserved
-        if node.suspect and not order:  # one is sent on trial: the least harmful, the smallest
+        # One is sent as a trial: prefer requests that are safe to repeat, then small ones.
+        if node.suspect and not order:
             order = sorted(
                 rejected,
                 key=lambda request: (
@@ -68,9 +69,10 @@
         return order, rejected
 
     def price(self, node: Node) -> float:
-        """What a unit must be worth to go to a node now.
+        """The minimum value of a unit to be sent to a node now.
 
-        Rejected bids raise it, and so does latency above the lowest measured: it is others' work there.
+        Requests without a slot raise it, and so does latency above the lowest measured, which shows load from
+        other hosts.
         """
         state = self._state
         node.refresh()
@@ -92,7 +94,7 @@
             node.total_weight = sum(volume.plan.weight for volume in node.fair_shares)
         capacity = CAPACITY_SHARED * node.window / max(node.smoothed_latency, 1e-3)
         capacity_by_weight = capacity / max(node.total_weight, 1e-9)
-        # Counted anew each time: the classes worth most take what is due first.
+        # Assigned from scratch each time, so that the most valuable classes get reserve and fair share first.
         levels_of: dict[Volume, list[float]] = {}
         requests = sorted((entry[2] for entry in node.queue), key=_negative_class_value)
         for request in requests:
@@ -112,7 +114,7 @@
             request.unit_value = request.request_class.value * volume.plan.price * self._tier_values[tier]
 
     def _levels(self, node: Node, volume: Volume, capacity_by_weight: float) -> list[float]:
-        """The units that a volume may use now, by tier."""
+        """The units that a volume may use at a node now, by tier."""
         now = self._state.now
         volume.refill(now)
         rate = capacity_by_weight * volume.plan.weight
@@ -123,16 +125,16 @@
         return [volume.reserve_level, share.level, NEVER]
 
     def _choose_on_time(self, node: Node, queue: list[Request], pace: Pace) -> int:
-        """Mark as late what can't meet its target; where requests compete, the least valued give way.
+        """Mark requests that cannot meet their target as late, the least valuable ones first.
 
-        Returns the units that meet their targets.  `queue` is in the order of targets: at each request, those
-        before it are given up from the least valued on until it is in time.
+        Returns the units that meet their targets.  `queue` is in the order of targets: while a request would
+        miss its target, the least valuable of those up to it is marked late.
         """
         now = self._state.now
         slot_time, free_units = pace
         base = node.base_latency()
         slope = self._state.baseline.slope
-        on_time: list[tuple[float, int, Request]] = []  # a heap, the least valued first
+        on_time: list[tuple[float, int, Request]] = []  # a heap, the least valuable first
         units = 0
         for request in queue:
             request.late = False
@@ -143,9 +145,8 @@
                 victim = heappop(on_time)[2]
                 victim.late = True
                 units -= victim.units
-                if (
-                    now + latency < victim.target_at and not victim.outbid
-                ):  # others took its slot, not its size
+                # Other requests took its slot; it is not too large.
+                if now + latency < victim.target_at and not victim.outbid:
                     victim.outbid = True
                     node.bid(victim.unit_value)
                 if victim is request:
@@ -155,7 +156,7 @@
     def _split_late(
         self, node: Node, late: list[Request], units: int, price: float, pace: Pace
     ) -> tuple[list[Request], list[Request]]:
-        """Late requests that follow `units` in time and are worth the price, by value; and the others."""
+        """Late requests worth the price that meet their deadline after `units`, by value; and the others."""
         now = self._state.now
         slot_time, free_units = pace
         served: list[Request] = []
--- a/mallowbeam/storage_gateway/scheduler/request_endings.py
+++ b/mallowbeam/storage_gateway/scheduler/request_endings.py
@@ -1,4 +1,4 @@
-"""The one way in which a request ends."""
+"""Ends requests: every final answer is given here."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class RequestEndings:
-    """Ends requests, and forgets them once nothing of them is in flight."""
+    """Ends requests, and drops them once none of their attempts is in flight."""
 
     def __init__(self, state: SchedulerState) -> None:
         self._state = state
         self.on_forgotten: Callable[[str], None]
-        """Called with the key of an ordered request that is over; set by `Scheduler`."""
+        """Called with the key of an ordered request that was dropped; set by `Scheduler`."""
 
     def end(self, request: Request, answered: bool = False, retry_after: float | None = None) -> None:
-        """Give a request its final answer, unless it has one (`answered`) or had one before.
+        """End a request, with a final answer unless the client has one (`answered`); done only once.
 
-        It is rejected where a retry by the client is harmless for certain, else it has failed.
+        The answer is a rejection where a retry by the client is certainly harmless, else a failure.
         """
         if request.done:
             return
@@ -49,7 +49,7 @@
             self._state.actions.append(Fail(request.id))
 
     def forget(self, request: Request) -> None:
-        """Forget a request that is over, and has no attempt in flight."""
+        """Drop a request that has ended and has no attempt in flight."""
         if request.done and not request.in_flight:
             self._state.requests.pop(request.id, None)
             if request.order_key:
@@ -57,7 +57,7 @@
 
 
 def is_idempotent_everywhere(request: Request) -> bool:
-    """Whether any node may run a request a second time without a second effect, at any time."""
+    """Whether a second run has no second effect, at any node and at any time."""
     request_class = request.request_class
     if request_class.idempotency is Idempotency.KEYED:
         return request_class.dedup_scope is DeduplicationScope.ALL
--- a/mallowbeam/storage_gateway/scheduler/scheduler.py
+++ b/mallowbeam/storage_gateway/scheduler/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of one host: it wires the parts, hands them the events, and returns their actions."""
+"""The scheduler of one host: it wires the components, passes events to them, and returns their actions."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 from mallowbeam.storage_gateway.scheduler.state import CLOCK_SLACK, DISCOVERY, SchedulerState
 from mallowbeam.storage_gateway.scheduler.volume_table import VolumeTable
 
-SURVEY_INTERVAL = 1.0  # seconds between looks at what can be forgotten, and at all nodes' latencies
+SURVEY_INTERVAL = 1.0  # seconds between sweeps of old state and updates of the latency over all nodes
 
 
 class Scheduler:
-    """The decisions of one host; nothing is shared between hosts."""
+    """One host's scheduler; hosts share nothing."""
 
     def __init__(self, settings: Settings, now: float) -> None:
         self.state = state = SchedulerState(settings, now)
@@ -57,7 +57,8 @@
         layout = QueueLayout(state, self.volumes, self.slow_start)
         self.dispatcher = Dispatcher(state, self.health, layout, self.sender, self.tracker)
         self._surveyed_at = now
-        # A retry by the client has less time left: the longest that a class had dates the first attempt.
+        # The longest time to the deadline seen in each class.  A client's retry has less time left: the
+        # difference tells how long ago its first attempt was.
         self._longest_expiry: dict[str, float] = {}
         self._handlers: dict[type, Callable[[Any], None]] = {
             RequestArrived: self._on_request,
@@ -73,7 +74,7 @@
         }
 
     def step(self, now: float, events: list[Event]) -> list[Action]:
-        """Take in what happened up to `now` (seconds), and return what to do."""
+        """Process the events up to `now` (seconds), and return the actions to carry out."""
         state = self.state
         state.now = now
         if now - self._surveyed_at >= SURVEY_INTERVAL:
@@ -88,16 +89,16 @@
         return state.take_actions()
 
     def may_begin(self, now: float, request: str, attempt: int) -> bool:
-        """Whether an attempt may send its first byte, its connection being up; asked once, just before."""
+        """Whether an attempt may send its first byte; to be asked once, when its connection is up."""
         self.state.now = now
         return self.sender.may_begin(request, attempt)
 
     def _survey(self) -> None:
-        """Forget what is old, so that memory is bounded, and take in the latencies of all nodes."""
+        """Drop old state, so that memory is bounded, and update the latency over all nodes."""
         state = self.state
         passed = state.now - self._surveyed_at
         self._surveyed_at = state.now
-        self.retries.has_budget_left()  # drops what is past its window
+        self.retries.has_budget_left()  # drops the times past its window
         self.key_order.forget_old()
         self.volumes.forget_old()
         state.forget_old()
@@ -108,12 +109,11 @@
         state = self.state
         for due in state.due_timers():
             if isinstance(due, Node):
-                if state.nodes.get(due.id) is due:  # else it was forgotten meanwhile
+                if state.nodes.get(due.id) is due:  # else it was dropped in the meantime
                     state.touched[due.id] = due
             elif isinstance(due, Request):
-                if (
-                    due.deadline - state.settings.tick <= state.now + CLOCK_SLACK
-                ):  # else it was given more time
+                # A request whose deadline was moved has another timer.
+                if due.deadline - state.settings.tick <= state.now + CLOCK_SLACK:
                     self.endings.end(due)
             elif due == DISCOVERY:
                 state.actions.append(WatchNodes(True))
@@ -130,7 +130,8 @@
         volume = self.volumes.get(event.volume, event.plan, hosts, event.shard)
         state.sequence += 1
         request = Request(event, request_class, volume, state.sequence)
-        expires_in = min(event.expires_in, request_class.deadline)  # none waits longer than its class
+        # No request waits longer than its class allows.
+        expires_in = min(event.expires_in, request_class.deadline)
         longest = max(self._longest_expiry.get(request_class.name, 0.0), expires_in)
         self._longest_expiry[request_class.name] = longest
         request.set_times(state.now, event.expires_in, elapsed=longest - expires_in)
--- a/mallowbeam/storage_gateway/scheduler/sending.py
+++ b/mallowbeam/storage_gateway/scheduler/sending.py
@@ -1,4 +1,4 @@
-"""The one way out to a node: every rule on sending is checked here."""
+"""Starts attempts: every rule on sending is checked here."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from mallowbeam.storage_gateway.scheduler.slow_start import SlowStart
 from mallowbeam.storage_gateway.scheduler.state import SchedulerState
 
-SMOOTHING = 0.1  # weight of one attempt in a node's mean of units in flight
+SMOOTHING = 0.1  # weight of one attempt in a node's mean units in flight
 
 
 class Sender:
-    """Starts attempts."""
+    """Starts attempts; it owns no state of its own."""
 
     def __init__(
         self, state: SchedulerState, retries: RetryPolicy, slow_start: SlowStart, key_order: KeyOrder
@@ -24,7 +24,7 @@
         self._key_order = key_order
 
     def send(self, request: Request, node: Node) -> bool:
-        """Start an attempt, if every rule allows it; False where one does not."""
+        """Start an attempt if every rule allows it; False where one does not."""
         if not self._may_send(request, node):
             return False
         now = self._state.now
@@ -38,13 +38,14 @@
             self._retries.count_retry()
         else:
             self._charge_tier(request, node)
-        # Charged by the limit at its last byte: kept from filling a full bucket, and given back if not sent.
+        # The limit counts them at the last byte: until then these units lower the bucket's maximum, and they
+        # are refunded if the attempt is not sent.
         is_uploading = self._state.settings.limit_at_arrival and not request.charged
         self._start(request, node, request.units if is_uploading else 0)
         return True
 
     def may_begin(self, request_id: str, number: int) -> bool:
-        """Whether an attempt may send its first byte now that its connection is up: the last look."""
+        """Repeat the checks when an attempt's connection is up; True if it may send its first byte."""
         request = self._state.requests.get(request_id)
         attempt = request.in_flight.get(number) if request else None
         if request is None or attempt is None:
@@ -60,7 +61,7 @@
         return True
 
     def _may_send(self, request: Request, node: Node) -> bool:
-        """Every rule but the limit, in the order of their cost."""
+        """Check every rule but the limit, cheapest first."""
         if self._retries.is_forbidden(request, node) or request.in_flight:
             return False
         if request.shard not in (None, node.shard) or request.attempt_count >= self._state.max_attempts:
@@ -71,7 +72,7 @@
 
     @staticmethod
     def _charge_tier(request: Request, node: Node) -> None:
-        """Take a first attempt's units off what they count to."""
+        """Deduct a first attempt's units from the reserve or fair share that they count against."""
         volume = request.volume
         if request.tier is Tier.RESERVED:
             volume.reserve_level -= request.units
@@ -93,6 +94,7 @@
         if now < node.slow_start_until:
             node.slow_start_sends.append(attempt.slow_start_send)
         node.mean_units_in_flight += SMOOTHING * (node.units_in_flight - node.mean_units_in_flight)
-        # Guards against queues and large work: past its target it gives way.  Harm: a late answer is lost.
+        # An attempt ends at its target, so that late work does not add to the node's queue.  The cost: an
+        # answer that would come later is lost.
         attempt.expires_at = request.target_at if now < request.target_at else request.deadline
         self._state.actions.append(Send(request.id, node.id, attempt.expires_at - now))
--- a/mallowbeam/storage_gateway/scheduler/settings.py
+++ b/mallowbeam/storage_gateway/scheduler/settings.py
@@ -1,4 +1,4 @@
-"""Decodes a host's settings; with `simulator_host` the only place that knows the simulator's words.
+"""Decodes a host's settings; only this module and `simulator_host` know the simulator's names.
 
 The simulator sends `path=value` pairs; the platform's configuration holds the same names as nested JSON,
 which is flattened to the same paths, so that one decoder serves both.
@@ -19,17 +19,17 @@
 
 T = TypeVar("T")
 
-ABSENT = "-"  # how the wire marks a value that is not there
+ABSENT = "-"  # marks an absent value in the simulator's protocol
 SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.SHARD}
 
 
 def opt(text: str, convert: Callable[[str], T]) -> T | None:
-    """A value, or None where the wire marks it absent; errors are those of `convert`."""
+    """A converted value, or None where it is marked absent; raises the errors of `convert`."""
     return None if text == ABSENT else convert(text)
 
 
 def flag(text: str) -> bool:
-    """A bool as message fields (1, 0) and settings (true, false) write it; `ValueError` for anything else."""
+    """A bool from a message field (1, 0) or a setting (true, false); `ValueError` for anything else."""
     if text in ("1", "true"):
         return True
     if text in ("0", "false", ABSENT):
@@ -38,7 +38,7 @@
 
 
 def read_pairs(pairs: list[str]) -> dict[str, str]:
-    """The simulator's start-up pairs by path; `ValueError` for what is no pair."""
+    """The simulator's start-up settings by path; `ValueError` for text without an equals sign."""
     values: dict[str, str] = {}
     for pair in pairs:
         path, separator, value = pair.partition("=")
@@ -49,7 +49,7 @@
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Nested JSON by path, written as the simulator's pairs write it."""
+    """Nested JSON by path, with values in the notation of the simulator's pairs."""
     if isinstance(value, dict):
         items = {str(name): item for name, item in value.items()}
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
@@ -65,20 +65,20 @@
 
 
 def spell(value: object) -> str:
-    """A plain JSON value as the pairs write it."""
+    """A scalar JSON value in the notation of the simulator's pairs."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return ABSENT if value is None else str(value)
 
 
 class SettingsReader:
-    """Values by path, converted; absent and empty ones have defaults."""
+    """Converts values by path; absent and empty ones get defaults."""
 
     def __init__(self, values: dict[str, str]) -> None:
         self._values = values
 
     def optional(self, path: str, convert: Callable[[str], T]) -> T | None:
-        """A value, or None where there is none."""
+        """A converted value, or None where it is absent or empty."""
         value = self._values.get(path, ABSENT)
         return None if value in (ABSENT, "") else convert(value)
 
@@ -106,10 +106,10 @@
 
 
 def read_settings(seed: int, values: dict[str, str]) -> Settings:
-    """Settings given by path; unknown paths are skipped.
+    """Settings from values by path; unknown paths are ignored.
 
     Raises:
-        ValueError: a value can't be converted.
+        ValueError: a value cannot be converted.
         KeyError: a deduplication scope is unknown.
     """
     reader = SettingsReader(values)
@@ -165,7 +165,7 @@
 
 
 def _read_family(reader: SettingsReader) -> dict[str, Any]:
-    """Fields of `Settings` on the family of nodes."""
+    """Fields of `Settings` that describe the family of nodes."""
     return {
         "typical_units": reader.number("FamilyInfo.UsualUnits", 1.0),
         "max_units": reader.integer("FamilyInfo.UnitsTop", 1),
@@ -179,7 +179,7 @@
 
 
 def _read_ceilings(reader: SettingsReader) -> dict[str, Any]:
-    """Fields of `Settings` on what a host may do."""
+    """Fields of `Settings` that limit what a host may do."""
     return {
         "may_cancel": reader.flag("Ceilings.Cancel"),
         "may_check_health": reader.flag("Ceilings.MayProbe"),
@@ -191,7 +191,7 @@
 
 
 def _read_guarantees(reader: SettingsReader) -> dict[str, Any]:
-    """Fields of `Settings` on the platform's rules."""
+    """Fields of `Settings` that hold the platform's rules."""
     return {
         "max_list_age": reader.optional("Guarantees.AskEvery", float),
         "drain_grace": reader.optional("Guarantees.DrainGrace", float),
--- a/mallowbeam/storage_gateway/scheduler/simulator_host.py
+++ b/mallowbeam/storage_gateway/scheduler/simulator_host.py
@@ -1,9 +1,9 @@
-"""The scheduler on the simulator's wire: lines on standard input and output.
+"""Runs schedulers for the simulator: a line protocol on standard input and output.
 
 `python -m mallowbeam.storage_gateway.scheduler.simulator_host` holds many instances, each a `Scheduler` of
-its own with nothing shared between them.  Nothing is decided here: every line is translated, one for one.
-The wire's words are in this module and in `settings` alone (WIRE-mallowbeam.md); times are seconds with six
-decimals.
+its own; they share nothing.  This module takes no decisions: it translates each line to one event and each
+action to one line.  The protocol's names appear only here and in `settings` (WIRE-mallowbeam.md); times are
+seconds with six decimals.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
 
 
 class WireError(MallowbeamError):
-    """A line that does not follow the wire."""
+    """A line that violates the simulator's protocol."""
 
     error_name = "Malformed"
     remedy = "run the simulator that this version was made for"
@@ -92,7 +92,7 @@
 
 
 def read_request(fields: list[str]) -> RequestArrived:
-    """A `NEW_REQUEST` line; a shard below 0 is none."""
+    """A `NEW_REQUEST` line; a negative shard means none."""
     shard = opt(fields[3], int)
     flags = opt(fields[4], int) or 0
     return RequestArrived(
@@ -111,7 +111,7 @@
 
 
 def read_attempt_ended(fields: list[str]) -> AttemptEnded:
-    """A `SETTLED` line; its use of the plan's rate is in percent and 1 more, 0 where it is not reported."""
+    """A `SETTLED` line; the use of the plan's rate is given as percent plus 1, or 0 if not reported."""
     usage = opt(fields[8], int) or 0
     return AttemptEnded(
         request=fields[2],
@@ -155,7 +155,7 @@
 
 
 def seconds(value: float | None) -> str:
-    """A time or a duration; microseconds are as fine as the simulator counts."""
+    """A time or a duration, in the simulator's resolution of a microsecond."""
     return "-" if value is None else f"{value:.6f}"
 
 
@@ -174,40 +174,40 @@
 
 
 def write_action(host: str, action: Action) -> str:
-    """One line of a reply."""
+    """The line of a reply for an action."""
     return WRITERS[type(action)](host, action)
 
 
 class Batch:
-    """What one batch says: new instances, ended ones, and events by instance in the order of their lines."""
+    """One batch: new and ended instances, and events by instance in the order of their lines."""
 
     def __init__(self) -> None:
         self.events: dict[str, list[Event]] = {}
         self.new: dict[str, Settings] = {}
 
     def add(self, host: str, event: Event) -> None:
-        """One event of an instance."""
+        """Add an event of an instance."""
         self.events.setdefault(host, []).append(event)
 
     def start(self, host: str, settings: Settings) -> None:
-        """A new instance; what the batch said of one of this name before is void."""
+        """Add a new instance; earlier events of an instance of this name in the batch are dropped."""
         self.new[host] = settings
         self.events[host] = []
 
     def stop(self, host: str) -> None:
-        """The end of an instance."""
+        """Remove an instance."""
         self.new.pop(host, None)
         self.events.pop(host, None)
 
 
 class Wire:
-    """Reads batches, steps the instances they name, and writes one reply a batch.  It owns the instances."""
+    """Reads batches, steps their instances, and writes one reply per batch.  It owns the instances."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source = source
         self.sink = sink
         self.hosts: dict[str, Scheduler] = {}
-        self._line = ""  # the last one read, for the text of an error
+        self._line = ""  # the last one read, for error messages
 
     def run(self) -> None:
         """Answer batch after batch until the input ends.
@@ -243,7 +243,7 @@
                     self.hosts[host] = Scheduler(batch.new[host], now)
                 scheduler = self.hosts.get(host)
                 actions = scheduler.step(now, events) if scheduler else []
-            except Exception as error:  # the wire wants every failure of the scheduler reported as such
+            except Exception as error:  # the protocol reports every failure of a scheduler to the simulator
                 reply.append(f"BROKEN {host} {type(error).__name__}: {' '.join(str(error).split())}")
                 continue
             reply.extend(write_action(host, action) for action in actions)
@@ -251,7 +251,7 @@
         return reply
 
     def _read_batch(self) -> Batch:
-        """The rest of a batch, to its end."""
+        """Read the rest of a batch, up to its end line."""
         batch = Batch()
         while (fields := self._next_line())[0] != "EOF_BATCH":
             kind = fields[0]
@@ -269,14 +269,14 @@
         return batch
 
     def _read_update(self, fields: list[str]) -> DiscoveryUpdate:
-        """A `PEERS_KNOWN` line and the `NODE` lines that it announces."""
+        """A `PEERS_KNOWN` line and the `NODE` lines that follow it."""
         kind = UPDATE_KINDS[fields[2]]
         version = opt(fields[3], int) or 0
         count = opt(fields[4], int) or 0
         return DiscoveryUpdate(kind, version, [read_entry(self._next_line()) for _ in range(count)])
 
     def _next_line(self) -> list[str]:
-        """The next line in its fields; the end of the input is an error."""
+        """The fields of the next line; the end of the input is an error."""
         text = self.source.readline()
         if not text:
             raise WireError("input ended inside a batch")
--- a/mallowbeam/storage_gateway/scheduler/slow_start.py
+++ b/mallowbeam/storage_gateway/scheduler/slow_start.py
@@ -1,8 +1,9 @@
-"""Slow start: how much work a node gets while it warms up after a start.
+"""Slow start: limits the work that a node gets while it warms up after a start.
 
-A node that gets more than a multiple of its growing capacity within a window collapses.  Hosts don't talk to
-each other, so each sends its even share of half of what the node always bears, and beyond that a share of its
-requests, drawn by key (design page, "A cold node gets from each host"; `docs/fleet.md` has the sums).
+A node that gets more than a multiple of its growing capacity within a window collapses.  Hosts do not
+communicate with each other, so each sends its even share of half of the node's budget (the units that it
+certainly sustains), and beyond that a sample of its requests, chosen by a hash of the key (design page, "A
+cold node gets from each host"; `docs/fleet.md` has the calculation).
 """
 
 from __future__ import annotations
@@ -13,17 +14,17 @@
 from mallowbeam.storage_gateway.scheduler.model import Attempt, Node, Request, Tier
 from mallowbeam.storage_gateway.scheduler.state import SchedulerState
 
-EVEN_SHARE = 0.5  # of what a warming node bears: divided evenly over the hosts
-LOAD_SHARE = 0.7  # of what it bears: divided by what the hosts are asked for
-TIER_SHARES = (0.35, 0.04, 0.04)  # of what is asked for, times the load that tips the node: by tier
-MAX_SHARE = 0.5  # the same, at most
-SURGE_SHARE = 0.2  # of what it bears: through one host, at most
+EVEN_SHARE = 0.5  # of the node's budget: divided evenly among the hosts
+LOAD_SHARE = 0.7  # of the budget: divided by the demand of all hosts, it gives a sampling rate
+TIER_SHARES = (0.35, 0.04, 0.04)  # sampling rate by tier, to be multiplied by the overload factor
+MAX_SHARE = 0.5  # maximum sampling rate, to be multiplied by the overload factor
+SURGE_SHARE = 0.2  # of the budget: maximum through one host
 HASH_RANGE = 2**32
-DEFAULT_DEMAND_MEMORY = 1.0  # seconds, where no node warms up
+DEFAULT_DEMAND_MEMORY = 1.0  # seconds, where the settings have no overload window
 
 
 class SlowStart:
-    """Decides what goes to nodes that warm up; it owns the measured demand of this host."""
+    """Decides which requests go to nodes that are warming up; it owns the measured demand of this host."""
 
     def __init__(self, state: SchedulerState) -> None:
         settings = state.settings
@@ -31,36 +32,36 @@
         self._window = settings.overload_window or 0.0
         self._duration = settings.slow_start_time or 0.0
         self._demand_memory = settings.overload_window or DEFAULT_DEMAND_MEMORY
-        self._demand = 0.0  # units booked here within about one window
+        self._demand = 0.0  # units booked here, decaying over about one window
         self._demand_at = 0.0
 
     def begin(self, node: Node, started_at: float, duration: float | None = None) -> None:
-        """Let a node count as started at a time, and as warming up for so many seconds."""
+        """Mark a node as started at a time, and as warming up for `duration` seconds (None: as set)."""
         if self._window and self._duration:
             node.slow_start_from = started_at
             node.slow_start_until = started_at + (duration or self._duration)
 
     def count_demand(self, units: int) -> None:
-        """Units were booked here for the first time."""
+        """Count units that are booked for the first time."""
         now = self._state.now
         faded = exp((self._demand_at - now) / self._demand_memory)
         self._demand = self._demand * faded + units
         self._demand_at = now
 
     def count_begin(self, attempt: Attempt) -> None:
-        """An attempt begins: what counts at a warming node is when its units arrive there."""
+        """Move an attempt's units to the time at which it begins: the node counts them when they arrive."""
         now = self._state.now
         if now < attempt.node.slow_start_until:
             attempt.slow_start_send.units = 0
             attempt.slow_start_send = attempt.node.count_slow_start_send(now, attempt.request.units)
 
     def bars(self, node: Node, request: Request) -> bool:
-        """Whether a node is warming up and can't take a request from this host now."""
+        """Whether a node is warming up and must not get a request from this host now."""
         now = self._state.now
         if now >= node.slow_start_until:
             return False
         settings = self._state.settings
-        # The capacity is that of the middle of the window.
+        # The capacity in the middle of the window stands for the whole window.
         age = max(0.0, now - node.slow_start_from - self._window / 2)
         start = settings.slow_start_capacity
         capacity = min(1.0, start + (1.0 - start) * age / self._duration)
@@ -71,13 +72,13 @@
         even = EVEN_SHARE * bears / max(1, settings.hosts)
         if sent <= even:
             return False
-        # An attempt after the first is never drawn: retries must not add up to more chances.
+        # Only first attempts are sampled: retries must not raise a request's chance.
         if request.attempt_count > 0 or not self._is_drawn(request, capacity, bears, even):
             return True
         return sent > max(SURGE_SHARE * bears, min(request.units, bears))
 
     def _is_drawn(self, request: Request, capacity: float, bears: float, even: float) -> bool:
-        """Whether a request is among the share, by key, that goes beyond this host's even share."""
+        """Whether a request is in the sample, by key hash, that may exceed this host's even share."""
         settings = self._state.settings
         tips = (settings.overload_multiple or 0.0) * capacity
         hosts = request.volume.hosts if request.tier is Tier.RESERVED else 1
--- a/mallowbeam/storage_gateway/scheduler/state.py
+++ b/mallowbeam/storage_gateway/scheduler/state.py
@@ -1,4 +1,4 @@
-"""What all parts of the scheduler share: settings, clock, nodes, requests, timers and actions."""
+"""State shared by the scheduler's components: settings, clock, nodes, requests, timers and actions."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from mallowbeam.storage_gateway.scheduler.interface import Action, NodeState, SetTimer, Settings, WatchNodes
 from mallowbeam.storage_gateway.scheduler.model import Node, Request
 
-CLOCK_SLACK = 2e-6  # seconds: a clock that counts in microseconds may round a timer down
-MAX_STALE_TIMERS = 1000  # of requests that are over, before they are swept out
+CLOCK_SLACK = 2e-6  # seconds; a clock with microsecond resolution may fire a timer early by rounding
+MAX_STALE_TIMERS = 1000  # of ended requests, before they are swept
 NEVER = float("inf")
-UNLIMITED = 2**31  # attempts, where the settings give no limit
-DISCOVERY = ""  # the timer for a call to discovery
+UNLIMITED = 2**31  # number of attempts where the settings give no limit
+DISCOVERY = ""  # timer target: a call to discovery
 
-Due = Node | Request | str  # what a timer is for: a node, a request, an ordered key, or `DISCOVERY`
+Due = Node | Request | str  # a node, a request, an ordered key, or `DISCOVERY`
 
 
 class SchedulerState(HostContext):
-    """The state of one host's scheduler that has no narrower owner."""
+    """The state of one host's scheduler that no single component owns."""
 
     __slots__ = (
         "actions",
@@ -42,23 +42,23 @@
         self.started_at = now
         self.random = random.Random(settings.seed)
         self.nodes: dict[str, Node] = {}
-        self.open: list[Node] = []  # where new work may go
-        self.disabled_nodes: dict[str, float] = {}  # by an operator, and since when
+        self.open: list[Node] = []  # nodes that accept new work
+        self.disabled_nodes: dict[str, float] = {}  # by an operator; the time since when
         self.touched: dict[str, Node] = {}  # nodes to poll before the step ends
         self.requests: dict[str, Request] = {}
         self.max_attempts = settings.max_attempts or UNLIMITED
         self.sequence = 0  # of requests and timers, so that ties are broken by order
         self.timers: list[tuple[float, int, Due]] = []  # a heap
-        self.timer_set_for = NEVER  # the host's own timer
+        self.timer_set_for = NEVER  # time of the host's pending timer
         self.actions: list[Action] = [WatchNodes(True)] if settings.discovery_on_request else []
 
     def schedule(self, when: float, due: Due) -> None:
-        """Come back to something at a time."""
+        """Set a timer for a node, a request, an ordered key or discovery."""
         self.sequence += 1
         heappush(self.timers, (when, self.sequence, due))
 
     def due_timers(self) -> Iterator[Due]:
-        """What is due now; nothing at a host's timer that a later one has replaced."""
+        """Remove and return the targets due now; none if a later timer has replaced the one that fired."""
         until = self.now + CLOCK_SLACK
         if until < self.timer_set_for:
             return
@@ -67,20 +67,20 @@
             yield heappop(self.timers)[2]
 
     def set_host_timer(self) -> None:
-        """Ask the host for a timer, where something is due before the one that it has."""
+        """Request a timer of the host if something is due before its pending one."""
         if self.timers and self.timers[0][0] < self.timer_set_for:
             self.timer_set_for = self.timers[0][0]
             self.sequence += 1
             self.actions.append(SetTimer(max(self.timer_set_for, self.now), self.sequence))
 
     def take_actions(self) -> list[Action]:
-        """The actions of this step, once."""
+        """Return and clear the actions of this step."""
         actions = self.actions
         self.actions = []
         return actions
 
     def forget_old(self) -> None:
-        """Drop nodes that are listed no more, and timers of requests that are over: memory is bounded."""
+        """Drop nodes that are no longer listed, and timers of ended requests, so that memory is bounded."""
         for name, node in list(self.nodes.items()):
             is_warming = self.now <= node.slow_start_until
             if node.state is NodeState.REMOVED and not node.in_flight and not is_warming:
--- a/mallowbeam/storage_gateway/scheduler/volume_table.py
+++ b/mallowbeam/storage_gateway/scheduler/volume_table.py
@@ -1,4 +1,4 @@
-"""All volumes of a host, the plans in force and the allotments of single volumes."""
+"""All volumes of a host, the current plans, and the allotments of single volumes."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 from mallowbeam.storage_gateway.scheduler.state import SchedulerState
 from mallowbeam.storage_gateway.scheduler.volumes import Volume, VolumeKey
 
-FORGET_AFTER = 30.0  # seconds without a request after which a volume's levels say nothing any more
+FORGET_AFTER = 30.0  # seconds without a request after which a volume's levels are no longer meaningful
 
 
 class VolumeTable:
-    """The volumes that requests count to; it owns them, and the plans."""
+    """Owns the volumes that requests are charged to, and the plans."""
 
     def __init__(self, state: SchedulerState) -> None:
         self._state = state
         self._top_class_value = max((c.value for c in state.settings.classes.values()), default=1.0)
         self.by_key: dict[VolumeKey, Volume] = {}
-        # Plans by ("", name), allotments by volume and plan, and shard; each with this host's share.
+        # Plans by ("", name), allotments by volume, plan and the shard if for one; with this host's share.
         self.plans: dict[VolumeKey, tuple[Plan, float | None]] = {
             ("", name): (plan, None) for name, plan in state.settings.plans.items()
         }
-        self.changed_at: dict[VolumeKey, float] = {}  # of plans, as long as it matters
+        self.changed_at: dict[VolumeKey, float] = {}  # of plans and allotments, for `FORGET_AFTER`
         self.max_unit_value = self._top_class_value * max(
             (plan.price for plan in state.settings.plans.values()), default=1.0
         )
 
     def get(self, name: str, plan: str, hosts: int, shard: int | None = None) -> Volume:
-        """The volume that a request's units count to: its separate allotment at the shard, if it has one."""
+        """The volume to charge a request to: the separate allotment for its shard, if there is one."""
         separate = (name, plan, shard)
         key: VolumeKey = separate if separate in self.plans else (name, plan)
         volume = self.by_key.get(key)
         if volume is None:
             volume = self._add(key, hosts)
-        # Guards the limit against one client that names another plan or fewer hosts for the same volume.
+        # One client that names another plan or fewer hosts for the same volume must not raise the limit.
         volume.hosts = max(volume.hosts, hosts)
         return volume
 
     def _add(self, key: VolumeKey, hosts: int) -> Volume:
-        """A volume that was idle as long as can matter: its buckets have filled all that time."""
+        """Add a volume; its buckets refilled since the last change of plan, at most for `FORGET_AFTER`."""
         state = self._state
         plan_key = ("", key[1])
         changes = (self.changed_at.get(each, state.started_at) for each in (key, plan_key))
@@ -49,7 +49,7 @@
         return volume
 
     def on_plan_changed(self, event: PlanChanged) -> None:
-        """Put a plan in force; an allotment with its plan's figures and no share is revoked."""
+        """Apply a plan; an allotment that equals its general plan and has no share is revoked."""
         name = event.plan.name
         key: VolumeKey = (event.volume, name)
         if event.shard is not None:
@@ -66,7 +66,7 @@
         self._move_requests(event.volume, name, event.shard)
 
     def _put(self, key: VolumeKey, event: PlanChanged) -> tuple[Plan, float | None]:
-        """Keep a plan or an allotment, or drop one that is revoked; what holds from now on."""
+        """Store a plan or an allotment, or drop a revoked one; returns the plan that applies from now on."""
         plan_key = ("", event.plan.name)
         self.plans[key] = (event.plan, event.limit_share)
         if not event.volume or event.limit_share is not None:
@@ -77,21 +77,21 @@
         return self.plans[key]
 
     def _affected(self, key: VolumeKey) -> list[VolumeKey]:
-        """The volumes that are present, and whose plan a change at a key changes."""
+        """The known volumes that a change of the plan under a key affects."""
         volume, plan = key[:2]
         if volume:
             return [key] if key in self.by_key else []
         return [each for each in self.by_key if each[1] == plan and (each == key or each not in self.plans)]
 
     def _merge_separate(self, key: VolumeKey) -> None:
-        """End the separate bucket of a revoked allotment; what it owes stays owed."""
+        """Drop the separate bucket of a revoked allotment; its debt moves to the volume's common bucket."""
         separate = self.by_key.pop(key, None)
         if separate is not None:
             separate.refill(self._state.now)
             self.get(key[0], key[1], separate.hosts).limit_level += min(0.0, separate.limit_level)
 
     def _move_requests(self, name: str, plan: str, shard: int | None) -> None:
-        """Count the waiting requests of a volume for a shard to where they belong now."""
+        """Move the uncharged requests of a volume for a shard to the volume that now applies to them."""
         for request in self._state.requests.values():
             old = request.volume
             if old.key[:2] == (name, plan) and request.shard == shard and not request.charged:
@@ -101,7 +101,7 @@
                 request.volume.pending_units += units
 
     def on_sibling_send(self, event: SiblingSend) -> None:
-        """Count what another process of this host sent, from the level that it handed over."""
+        """Count units that another process of this host sent, from the limit level that it handed over."""
         now = self._state.now
         node = self._state.nodes.get(event.node)
         volume = self.get(event.volume, event.plan, event.host_count, node.shard if node else None)
@@ -112,7 +112,7 @@
             node.count_slow_start_send(now, event.units)
 
     def forget_old(self) -> None:
-        """Drop what says nothing any more, so that memory is bounded."""
+        """Drop volumes and times of change past `FORGET_AFTER`, so that memory is bounded."""
         now = self._state.now
         for key in [key for key, at in self.changed_at.items() if now - at > FORGET_AFTER]:
             del self.changed_at[key]
--- a/mallowbeam/storage_gateway/scheduler/volumes.py
+++ b/mallowbeam/storage_gateway/scheduler/volumes.py
@@ -1,29 +1,28 @@
-"""Admission limits of one volume: what its plan reserves for it and limits it to.
+"""Admission limits of one volume: the reserve and the limit of its plan.
 
-A volume's limit and reserve are token buckets in units of work.  The limit holds over all hosts: each host
-enforces its share of rate, burst and slack.  The reserve counts in full at every host, less what the shards
-report of other hosts (design page, "A limit is a price as well" and "Plans in service").
+A volume's limit and reserve are token buckets in units of work.  The limit applies over all hosts: each host
+enforces its share of rate, burst and slack.  The reserve applies in full at every host, less the use through
+other hosts that the shards report (design page, "A limit is a price as well" and "Plans in service").
 """
 
 from __future__ import annotations
 
 from mallowbeam.storage_gateway.scheduler.interface import Plan
 
-VALUE_MEMORY = 2.0  # seconds: surges come and go within seconds, and so must what they make units worth
-RESERVED_BURST = (
-    0.5  # fraction of the burst that is kept for units as dear as those that the limit rejected last
-)
-VolumeKey = tuple[str, str] | tuple[str, str, int]  # volume, plan, and the shard of a separate allotment
+VALUE_MEMORY = 2.0  # seconds; surges come and go within seconds, and so must their effect on prices
+RESERVED_BURST = 0.5  # fraction of the burst kept for units as valuable as those that the limit rejected last
+# Volume, plan, and the shard of a separate allotment.
+VolumeKey = tuple[str, str] | tuple[str, str, int]
 
 
 def shard_of(key: VolumeKey) -> int | None:
-    """The shard of a separate allotment; None for a plan, or for the rest of a volume."""
+    """The shard of a separate allotment; None for a plan, or for a volume's other requests."""
     _, _, *shard = key
     return shard[0] if shard else None
 
 
 class Volume:
-    """What one volume has used through this host, against its reserve and its limit."""
+    """One volume's use of its reserve and its limit through this host."""
 
     __slots__ = (
         "hosts",
@@ -43,30 +42,31 @@
 
     def __init__(self, key: VolumeKey, hosts: int, max_units: int, since: float) -> None:
         self.key = key
-        self.hosts = hosts  # through which its requests come
+        self.hosts = hosts  # number of hosts that receive its requests
         self.max_units = max_units
         self.refilled_at = since
         self.plan = Plan("")
-        self.limit_share: float | None = None  # of this host; None: one of `hosts`
+        self.limit_share: float | None = None  # of this host; None: 1 / `hosts`
         self.limit_level = 0.0
         self.reserve_level = self.reserve_cap = 0.0
-        self.rejected_value = 0.0  # of a unit that the limit rejected, the highest of late
+        # Highest recent unit value that the limit rejected.
+        self.rejected_value = 0.0
         self.rejected_at = since
-        self.pending_units = 0  # booked and not sent
-        self.uploading_units = 0  # charged, while their body is still on its way
+        self.pending_units = 0  # booked, not yet sent
+        self.uploading_units = 0  # charged, while the body is still being sent
 
     def shares(self) -> float:
-        """How many shares as large as this host's the limit has."""
+        """The limit divided by this host's share of it."""
         return self.hosts if self.limit_share is None else 1.0 / max(self.limit_share, 1e-9)
 
     def change(self, plan: Plan, limit_share: float | None, now: float) -> None:
-        """Put the volume on a plan: debts under the plan before stay, and what has grown fills up."""
+        """Apply a plan: debts under the previous plan remain, and added capacity fills at the plan's rate."""
         self.refill(now)
         slack_before = self.plan.limit_slack / self.shares()
         was_limited = self.plan.limit > 0
         self.plan = plan
         self.limit_share = limit_share
-        # Guards the limit: others may just have spent what this share gains, so it starts at the bottom.
+        # Slack that this share gains starts empty: the host that lost it may just have spent it.
         bottom = -plan.limit_slack / self.shares()
         level = self.limit_level + min(0.0, bottom + slack_before)
         self.limit_level = level if was_limited else bottom - self.uploading_units
@@ -74,7 +74,7 @@
         self.refill(now)
 
     def refill(self, now: float) -> None:
-        """Let both buckets fill up to now."""
+        """Refill both buckets up to now."""
         passed = now - self.refilled_at
         self.refilled_at = now
         shares = self.shares()
@@ -85,10 +85,11 @@
         self.reserve_level = min(self.reserve_cap, self.reserve_level + passed * plan.reserve)
 
     def limit_wait(self, now: float, units: int, unit_value: float = 0.0) -> float:
-        """Seconds until the limit allows so many more units; cheap units leave part of the burst.
+        """Seconds until the limit admits so many more units; less valuable units leave part of the burst.
 
-        First come, first served would spend what is scarce on cheap units: while dearer ones were rejected of
-        late, `unit_value` (0: not considered) decides.  Harm: the dear may not come, and some is left unused.
+        In order of arrival, a scarce limit would be spent on less valuable units.  So while more valuable
+        units were rejected recently, units of a lower `unit_value` (0: not considered) leave part of the
+        burst to them.  The cost: if no such units follow, that part stays unused.
         """
         self.refill(now)
         plan = self.plan
@@ -105,5 +106,5 @@
         return max(0.0, missing * shares / plan.limit)
 
     def report_remote_units(self, units: int) -> None:
-        """Take what other hosts used off the reserve, down to as much below zero as it may hold."""
+        """Deduct units used through other hosts from the reserve, down to minus its maximum."""
         self.reserve_level = max(-self.reserve_cap, self.reserve_level - units)
