--- a/mallowbeam/router/consensus/persistence.py
+++ b/mallowbeam/router/consensus/persistence.py
@@ -1,4 +1,4 @@
-"""Writes to storage: what is submitted, what is durable, and the messages that wait for durability."""
+"""Writes to storage: submitted and durable state, and the messages that wait for durability."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     """A write that was submitted to storage and is not known to be durable."""
 
     ticket: int
-    since: float  # time of submission, in seconds of the monotonic clock
+    submitted_at: float  # in seconds of the monotonic clock
     last_index: int  # becomes durable with it; lowered when entries are truncated
     hard_state: HardState
 
 
 class Persistence:
-    """Owner of the hard state and of the outgoing messages, some of which wait for writes."""
+    """Owns the hard state and the outgoing messages, some of which wait for writes."""
 
     def __init__(self, hard_state: HardState, log: RaftLog) -> None:
         self._log = log
@@ -60,7 +60,7 @@
             self.send_after_write(recipient, message)
 
     def entries_truncated(self, first: int) -> None:
-        """Record that entries from `first` on were dropped: writes in flight do not make them durable."""
+        """Record that entries from `first` on were truncated: writes in flight do not make them durable."""
         self.durable_index = min(self.durable_index, first - 1)
         for write in self._inflight:
             write.last_index = min(write.last_index, first - 1)
@@ -110,6 +110,6 @@
             self.durable_index = max(self.durable_index, write.last_index)
             self.durable_state = write.hard_state
 
-    def oldest_inflight_since(self) -> float | None:
+    def oldest_inflight_submitted_at(self) -> float | None:
         """Return the submission time of the oldest write in flight, or None without one."""
-        return self._inflight[0].since if self._inflight else None
+        return self._inflight[0].submitted_at if self._inflight else None
--- a/mallowbeam/router/consensus/storage/batch.py
+++ b/mallowbeam/router/consensus/storage/batch.py
@@ -14,8 +14,8 @@
 ENTRY_OVERHEAD_BYTES = 32  # header, key and lmdb node of an entry's first chunk
 
 
-def apply_first(transaction: Any, identity: int, snapshot: Snapshot) -> None:
-    """Write the first state: format version and identity, empty hard state, snapshot."""
+def apply_initial_state(transaction: Any, identity: int, snapshot: Snapshot) -> None:
+    """Write the initial state: format version and identity, empty hard state, snapshot."""
     payload = records.IDENTITY_PAYLOAD.pack(records.FORMAT_VERSION, identity)
     _put(transaction, RecordKind.IDENTITY, 0, payload)
     _put_hard_state(transaction, HardState())
@@ -29,11 +29,11 @@
         StoreOrderError: a write does not fit the stored state.
     """
     for write in writes:
-        _apply_one(transaction, write)
+        _apply_write(transaction, write)
 
 
-def _apply_one(transaction: Any, write: Write) -> None:
-    """Entries that start at or before the snapshot's index are applied before it, others after it."""
+def _apply_write(transaction: Any, write: Write) -> None:
+    """Apply one write: entries that start at or before the snapshot's index before it, others after it."""
     snapshot = write.snapshot
     entries_first = bool(write.entries) and (snapshot is None or write.entries[0].index <= snapshot.index)
     if entries_first:
@@ -60,7 +60,7 @@
         _delete(transaction, RecordKind.ENTRY, first, last)
     for position, entry in enumerate(entries):
         if entry.index != first + position:
-            raise StoreOrderError(f"entry {entry.index} where {first + position} is due", step="put")
+            raise StoreOrderError(f"entry {entry.index} found, {first + position} expected", step="put")
         _put(transaction, RecordKind.ENTRY, entry.index, entry.SerializeToString())
 
 
--- a/mallowbeam/router/control_plane/member_builder.py
+++ b/mallowbeam/router/control_plane/member_builder.py
@@ -1,7 +1,7 @@
-"""Composition root of a member: makes all parts and connects them. It starts nothing.
+"""Composition root of a member: builds all parts and connects them. It starts nothing.
 
-Parts refer to each other in circles (storage reports to consensus, which writes to storage), so callbacks go
-through :class:`_Wiring`, whose parts are set last. Nothing calls back before that.
+Some parts depend on each other (storage reports to consensus, which writes to storage), so their callbacks go
+through :class:`_Wiring`, which gets the parts last. No part calls back before that.
 """
 
 from __future__ import annotations
@@ -57,14 +57,14 @@
     RetireInstance,
 )
 
-TRAILING_ENTRIES = 64  # kept in memory behind a snapshot; entries may be large
+TRAILING_ENTRIES = 64  # compacted ones kept in memory for lagging members; entries may be large
 MAX_API_CONNECTIONS = 1024
 
 
 def build_member(
     settings: NodeSettings, opened: OpenedStore, run_job: JobRunner = run_in_thread
 ) -> ControlMember:
-    """Make a member on an opened store; `run_job` runs what large bodies take beside the event loop."""
+    """Build a member on an opened store; `run_job` runs work on large bodies outside the event loop."""
     wiring = _Wiring()
     replication = _build_replication(settings, opened, wiring)
     instances = _build_instances(settings, replication, wiring)
@@ -74,13 +74,13 @@
         own=replication.own,
         links=replication.links,
         dispatcher=FrameDispatcher(replication.links, wiring.peer_requests, serving.feeds),
-        machine=replication.machine,
+        state_machine=replication.state_machine,
         storage=replication.storage,
         driver=replication.driver,
         commands=replication.commands,
         membership=membership.manager,
-        joining=membership.joining,
-        leaving=membership.leaving,
+        cluster_join=membership.cluster_join,
+        graceful_leave=membership.graceful_leave,
         instances=instances.service,
         stages=instances.stages,
         attempts=instances.attempts,
@@ -90,19 +90,19 @@
         metrics_server=serving.metrics_server,
     )
     member = wiring.connect(parts)
-    parts.machine.restore(opened.restored.snapshot.state)
+    parts.state_machine.restore(opened.restored.snapshot.state)
     return member
 
 
 class _Wiring:
-    """Callbacks between parts that are made before those that they call."""
+    """Callbacks into parts that are built after their callers."""
 
     def __init__(self) -> None:
         self.peer_requests = PeerRequests()
         self._loop = asyncio.get_running_loop()
 
     def connect(self, parts: MemberParts) -> ControlMember:
-        """Set the parts that the callbacks lead to."""
+        """Set the parts that the callbacks call, and build the member."""
         self._parts = parts
         self._cycle = MemberCycle(parts)
         self._member = ControlMember(parts, self._cycle)
@@ -114,33 +114,33 @@
         self._parts.dispatcher.received(connection, body)
 
     def instance_retired(self, retirement: RetireInstance) -> None:
-        """A retirement from the log."""
+        """A retirement was applied from the log or a snapshot."""
         self._parts.instances.retired(retirement)
 
     def gateways_outdated(self) -> None:
-        """Gateways or members must be sent a change."""
+        """A change must be sent to gateways or members."""
         self._cycle.flush_soon()
 
     def count_feeds(self) -> int:
-        """Gateways that follow this member."""
+        """Number of gateways that subscribe to this member's feed."""
         return len(self._parts.feeds)
 
     def writes_durable(self, writes: Sequence[Write]) -> None:
-        """Storage has synced writes; in the event loop."""
-        self._parts.driver.durable(writes)
+        """Storage has made writes durable; called in the event loop."""
+        self._parts.driver.writes_durable(writes)
 
     def store_damaged(self, error: MallowbeamError) -> None:
-        """A write met damage; in the writer's thread."""
+        """A write found the store damaged; called in the writer's thread."""
         self._loop.call_soon_threadsafe(self.store_unusable, error)
 
     def send_raft(self, recipient: int, message: RaftMessage) -> None:
-        """Send a message of consensus."""
+        """Send a Raft message."""
         self._parts.links.send(recipient, PeerFrame(raft=message))
 
     def answer_leave(self, member: int, response: LeaveResponse) -> None:
-        """Answer a member that leaves, which may be this one."""
+        """Send a response to a leaving member, which may be this one."""
         if member == self._parts.own.id:
-            self._parts.leaving.receive_response(response)
+            self._parts.graceful_leave.receive_response(response)
         else:
             self._parts.links.send(member, PeerFrame(leave_response=response))
 
@@ -151,27 +151,27 @@
         self._member.entries_applied()
 
     def membership_changed(self, membership: Membership) -> None:
-        """Another membership is in force."""
+        """Another membership is in effect."""
         self._member.membership_changed(membership)
 
     def store_unusable(self, error: MallowbeamError) -> None:
-        """The store can't be used any more."""
+        """The store is unusable."""
         self._member.store_unusable(error)
 
     def program_outdated(self, error: MallowbeamError) -> None:
-        """A newer program version is needed for what is committed."""
+        """A newer program version is needed to apply committed data."""
         self._member.program_outdated(error)
 
 
 @dataclass(frozen=True, slots=True)
 class _Replication:
-    """Consensus, the state that it replicates, and what asks it."""
+    """Consensus, the replicated state, and the parts that use them directly."""
 
     own: Member
     parser: ConfigurationParser
     links: PeerLinks
     table: InstanceTable
-    machine: ReplicatedStateMachine
+    state_machine: ReplicatedStateMachine
     storage: StorageWriter
     driver: RaftDriver
     gate: ResponseGate
@@ -184,17 +184,17 @@
     links = PeerLinks(own, wiring.frame_received)
     parser = ConfigurationParser()
     table = InstanceTable(settings.heartbeat_ms / 1000, now)
-    machine = ReplicatedStateMachine(parser, wiring.instance_retired)
+    state_machine = ReplicatedStateMachine(parser, wiring.instance_retired)
     storage = StorageWriter(DamageReportingStore(opened.store, wiring.store_damaged), wiring.writes_durable)
     raft_settings = RaftSettings(opened.identity, trailing_entries=TRAILING_ENTRIES)
     node = RaftNode(raft_settings, opened.restored, now, random.Random())
-    driver = RaftDriver(node, machine, storage.submit, wiring.send_raft, wiring)
+    driver = RaftDriver(node, state_machine, storage.submit, wiring.send_raft, wiring)
     return _Replication(
         own=own,
         parser=parser,
         links=links,
         table=table,
-        machine=machine,
+        state_machine=state_machine,
         storage=storage,
         driver=driver,
         gate=ResponseGate(time.monotonic, driver.staleness, lambda: driver.is_leader),
@@ -203,7 +203,7 @@
 
 
 def _own_member(settings: NodeSettings, identity: int) -> Member:
-    """This member as others know it."""
+    """This member's entry in the membership."""
     assert settings.bind_addresses.control is not None
     return Member(
         id=identity,
@@ -215,7 +215,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _InstanceParts:
-    """What keeps and orders instances."""
+    """The parts that track instances and assign them to stages."""
 
     service: InstanceService
     stages: StageController
@@ -226,7 +226,7 @@
     service = InstanceService(
         RegistryParts(
             table=replication.table,
-            retirements=replication.machine.retirements,
+            retirements=replication.state_machine.retirements,
             commands=replication.commands,
             links=replication.links,
             gate=replication.gate,
@@ -241,7 +241,7 @@
     stages = StageController(
         StageOrderClient(lease),
         replication.table,
-        replication.machine.configurations,
+        replication.state_machine.configurations,
         wiring.gateways_outdated,
         apply_overrides(StageBalancerSettings(), read_overrides(), "stages"),
     )
@@ -250,7 +250,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ServingParts:
-    """What answers operators, instances and gateways."""
+    """The parts that serve operators, instances and gateways."""
 
     status: StatusPage
     feeds: FeedServer
@@ -265,7 +265,7 @@
     wiring: _Wiring,
     run_job: JobRunner,
 ) -> _ServingParts:
-    versions = replication.machine.configurations
+    versions = replication.state_machine.configurations
     status = StatusPage(replication.driver, replication.links, replication.table, versions, replication.gate)
     publisher = FeedPublisher(ConfigurationFeed(versions), replication.table, instances.attempts.for_gateways)
     feeds = FeedServer(
@@ -289,17 +289,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _MembershipParts:
-    """What changes the group."""
+    """The parts that change the membership."""
 
     manager: MembershipManager
-    joining: ClusterJoin
-    leaving: GracefulLeave
+    cluster_join: ClusterJoin
+    graceful_leave: GracefulLeave
 
 
 def _build_membership(settings: NodeSettings, replication: _Replication, wiring: _Wiring) -> _MembershipParts:
     manager = MembershipManager(replication.driver, replication.own.id, wiring.answer_leave)
-    joining = ClusterJoin(
+    cluster_join = ClusterJoin(
         replication.driver, replication.own, settings.bootstrap, seed_link_addresses(settings)
     )
-    leaving = GracefulLeave(replication.driver, replication.links, manager.leave)
-    return _MembershipParts(manager, joining, leaving)
+    graceful_leave = GracefulLeave(replication.driver, replication.links, manager.leave)
+    return _MembershipParts(manager, cluster_join, graceful_leave)
--- a/mallowbeam/router/data_plane/feed_link.py
+++ b/mallowbeam/router/data_plane/feed_link.py
@@ -1,4 +1,4 @@
-"""The gateway's connection to the member that it follows: does what `FeedSubscriber` decides."""
+"""The gateway's connection to the member it follows; carries out the decisions of `FeedSubscriber`."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 from mallowbeam.router.rpc.connection import FrameConnection, connect
 from mallowbeam.router.rpc.messages_pb2 import FeedFrame, GatewayFrame, LinkFrame
 
-LEAST_WAIT_S = 0.01  # between two questions to the subscriber
-POLL_S = 0.25  # while a feed is open, its silence is looked at in steps of this
+MIN_WAIT_S = 0.01  # minimum delay between two queries of the subscriber
+POLL_PERIOD_S = 0.25  # while a feed is open, minimum delay between two checks for silence
 
 log = get_logger("mallowbeam.feed")
 
 
 class FeedLink:
-    """Follows one member at a time; `changed` is called with what each frame changed."""
+    """Follows one member at a time; calls `on_changes` with the changes of each frame."""
 
     def __init__(
         self,
         subscriber: FeedSubscriber[Configuration],
-        changed: Callable[[FeedEvents[Configuration], float], None],
+        on_changes: Callable[[FeedEvents[Configuration], float], None],
     ) -> None:
         self._subscriber = subscriber
-        self._changed = changed
+        self._on_changes = on_changes
         self._connection: FrameConnection | None = None
         self._address = ""
         self._ended = asyncio.Event()  # the connection in use has ended
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow members until cancelled."""
         try:
             while True:
                 await self._step()
@@ -44,7 +44,7 @@
             self._close()
 
     def send(self, frame: GatewayFrame) -> bool:
-        """Send a frame to the member that is followed; False where none is."""
+        """Send a frame to the member that is followed; False if there is none."""
         connection = self._connection
         return connection is not None and connection.send(LinkFrame(gateway=frame))
 
@@ -54,28 +54,28 @@
         if isinstance(action, Connect):
             await self._connect(action.address)
         elif isinstance(action, Close):
-            log.info("feed given up: %s", action.address)
+            log.info("feed closed: %s", action.address)
             self._close()
         else:
-            await self._wait(max(LEAST_WAIT_S, action.until - now))
+            await self._wait(max(MIN_WAIT_S, action.until - now))
 
     async def _wait(self, seconds: float) -> None:
-        """Wait, or until the connection ends."""
+        """Wait for a number of seconds or until the connection ends."""
         if self._connection is not None:
-            seconds = max(seconds, POLL_S)
+            seconds = max(seconds, POLL_PERIOD_S)
         self._ended.clear()
         if self._connection is not None and not self._connection.open:
-            self._lost()
+            self._handle_disconnect()
             return
         try:
             async with asyncio.timeout(seconds):
                 await self._ended.wait()
         except TimeoutError:
             return
-        self._lost()
+        self._handle_disconnect()
 
     async def _connect(self, address: str) -> None:
-        """Open a feed, or report that it does not open."""
+        """Open a feed; report a failure to the subscriber."""
         self._close()
         try:
             connection = await connect(address, self._received, self._closed, CONNECT_TIMEOUT_S)
@@ -97,14 +97,14 @@
             connection.abort()
             return
         now = time.monotonic()
-        self._changed(self._subscriber.received(frame, now), now)
+        self._on_changes(self._subscriber.received(frame, now), now)
 
     def _closed(self, connection: FrameConnection) -> None:
         if connection is self._connection:
             self._ended.set()
 
-    def _lost(self) -> None:
-        """The member ended the connection."""
+    def _handle_disconnect(self) -> None:
+        """Report that the member ended the connection."""
         address = self._address
         self._close()
         log.info("feed lost: %s", address)
--- a/mallowbeam/router/data_plane/link_pool.py
+++ b/mallowbeam/router/data_plane/link_pool.py
@@ -1,8 +1,8 @@
-"""Connections to instances, by instance id: kept while idle, within bounds for each instance and in all.
+"""A pool of connections to instances, with limits per instance and in total.
 
-A connection belongs to one instance, not to an address: addresses pass on to other instances.  It is used
-again after a short rest, in which a surplus answer of the instance shows, and only well before the instance
-closes it.
+A connection belongs to one instance, not to an address, because another instance may take over the address.
+It is reused only after a short delay, in which a surplus answer of the instance would arrive, and only well
+before the instance closes it.
 """
 
 from __future__ import annotations
@@ -16,50 +16,56 @@
 from mallowbeam.http.framing import Message
 
 CONNECT_TIMEOUT_S = 1.0
-REST_S = 0.02  # after an answer, before the next request, where there is a choice
-IDLE_TIMEOUT_FRACTION = 0.8  # of the idle time that an instance states
-UNSTATED_IDLE_S = 0.5  # where it states none
-MOST_IDLE_S = 60.0
-MOST_DIGITS = 8  # of a Keep-Alive time-out; a longer one is not read
-MOST_IDLE_EACH = 256  # idle connections kept to one instance
-MOST_ANSWER_BYTES = 1 << 20  # of an answer that are buffered at once
-SILENT_NETWORK_MS = 1500  # sent and not acknowledged for this long ends a connection
-KEEPALIVE = ((socket.TCP_KEEPIDLE, 1), (socket.TCP_KEEPINTVL, 1), (socket.TCP_KEEPCNT, 2))
+REUSE_DELAY_S = 0.02  # delay between an answer and the next request, unless the connection limit is reached
+IDLE_TIMEOUT_FRACTION = 0.8  # of the idle time-out that an instance announces
+DEFAULT_IDLE_S = 0.5  # assumed if it announces none
+MAX_IDLE_S = 60.0
+MAX_DIGITS = 8  # of a Keep-Alive time-out; a longer number is ignored
+MAX_IDLE_PER_INSTANCE = 256  # idle connections kept per instance
+MAX_ANSWER_BYTES = 1 << 20  # of an answer that are buffered at a time
+USER_TIMEOUT_MS = 1500  # a connection ends if sent data stays unacknowledged for this long
+KEEPALIVE_OPTIONS = ((socket.TCP_KEEPIDLE, 1), (socket.TCP_KEEPINTVL, 1), (socket.TCP_KEEPCNT, 2))
 
 
 @dataclass(slots=True)
 class _Idle:
     link: Link
     since: float
-    until: float
+    expires_at: float
 
 
 class LinkPool:
     """All connections to instances."""
 
-    def __init__(self, most: int, budget: BodyBudget | None = None) -> None:
-        self._most = most  # connections in all
+    def __init__(self, limit: int, budget: BodyBudget | None = None) -> None:
+        self._limit = limit  # total number of connections
         self._budget = budget
         self._idle: dict[str, list[_Idle]] = {}
-        self._open: dict[str, int] = {}  # open or being opened, idle ones included
+        self._open_by_instance: dict[str, int] = {}  # connections by instance: in use, idle and being opened
         self._count = 0
-        self.opened = 0  # since the start
+        self.opened = 0  # connections opened since the start
 
-    async def take(self, instance: str, address: str, most: int) -> Link:
-        """An idle connection that still stands, or a new one; `most` bounds those to this instance.
+    async def take(self, instance: str, address: str, limit: int) -> Link:
+        """Return an idle connection that is still open, or a new one.
 
-        Raises `ConnectionLimitError` at a bound, `RequestNotSentError` where no connection comes up.  An idle
-        one is returned without a wait.
+        An idle connection is returned without waiting.
+
+        Args:
+            instance: the id of the instance.
+            address: its host and port.
+            limit: the limit for connections to this instance.
+
+        Raises:
+            ConnectionLimitError: a connection limit is reached.
+            RequestNotSentError: the connection could not be opened.
         """
-        link = self._reusable(instance, address, self._open.get(instance, 0) >= most)
+        link = self._reusable(instance, address, self._open_by_instance.get(instance, 0) >= limit)
         if link is not None:
             return link
-        if self._open.get(instance, 0) >= most:
-            raise ConnectionLimitError(
-                "as many connections to this instance are open as are allowed", instance
-            )
-        if self._count >= self._most and not self._evict():
-            raise ConnectionLimitError("as many connections are open as are allowed")
+        if self._open_by_instance.get(instance, 0) >= limit:
+            raise ConnectionLimitError("the limit of connections to this instance is reached", instance)
+        if self._count >= self._limit and not self._evict():
+            raise ConnectionLimitError("the total limit of connections is reached")
         self._add(instance, 1)
         try:
             link = await self._connect(address)
@@ -67,15 +73,15 @@
             self._add(instance, -1)
             raise
         self.opened += 1
-        watch_network(link.channel.sock)
+        enable_keepalive(link.channel.sock)
         return link
 
     def give_back(self, instance: str, link: Link, answer: Message | None) -> None:
-        """Keep a connection whose answer was read completely; close any other."""
+        """Return a connection to the pool; it is closed unless its answer was read completely."""
         if answer is None or not link.reusable(answer):
             return self.drop(instance, link)
         idle = self._idle.setdefault(instance, [])
-        if len(idle) >= MOST_IDLE_EACH:
+        if len(idle) >= MAX_IDLE_PER_INSTANCE:
             return self.drop(instance, link)
         now = time.monotonic()
         link.channel.framer.release()
@@ -85,23 +91,23 @@
         return None
 
     def drop(self, instance: str, link: Link) -> None:
-        """Close a connection that was taken."""
+        """Close a connection that is in use."""
         self._add(instance, -1)
         link.channel.framer.release()
         link.close()
 
     def forget(self, instance: str) -> None:
-        """Close the idle connections to an instance that is gone."""
+        """Close the idle connections to an instance that has ended."""
         for idle in self._idle.pop(instance, ()):
             self.drop(instance, idle.link)
 
     def sweep(self) -> None:
-        """Close what has been idle for too long."""
+        """Close connections that have been idle for too long."""
         now = time.monotonic()
         for instance, idle in list(self._idle.items()):
-            over = [one for one in idle if now >= one.until]
-            idle[:] = [one for one in idle if now < one.until]
-            for one in over:
+            expired = [one for one in idle if now >= one.expires_at]
+            idle[:] = [one for one in idle if now < one.expires_at]
+            for one in expired:
                 self.drop(instance, one.link)
             if not idle:
                 self._idle.pop(instance, None)
@@ -112,30 +118,37 @@
             self.forget(instance)
 
     async def _connect(self, address: str) -> Link:
-        """A new connection; one that ended, or on which something came unasked, is of no use."""
-        link = await connect(address, CONNECT_TIMEOUT_S, MOST_ANSWER_BYTES, self._budget)
+        """Open a connection.
+
+        Raises:
+            RequestNotSentError: the connection failed, was closed by the instance or already received data.
+        """
+        link = await connect(address, CONNECT_TIMEOUT_S, MAX_ANSWER_BYTES, self._budget)
         if link.channel.stale():
             link.close()
-            raise RequestNotSentError("the connection was ended, or something came on it, before the request")
+            raise RequestNotSentError("the connection was closed or received data before the request")
         return link
 
-    def _reusable(self, instance: str, address: str, none_free: bool) -> Link | None:
-        """The idle connection used last, of those that have rested; one that has not, only if `none_free`."""
+    def _reusable(self, instance: str, address: str, limit_reached: bool) -> Link | None:
+        """Return the most recently used idle connection whose reuse delay has passed, or None.
+
+        If `limit_reached`, no new connection may be opened, and the delay is ignored.
+        """
         idle = self._idle.get(instance)
         if not idle:
             return None
         now = time.monotonic()
         for position in range(len(idle) - 1, -1, -1):
-            if now - idle[position].since < REST_S and not none_free:
+            if now - idle[position].since < REUSE_DELAY_S and not limit_reached:
                 continue
             one = idle.pop(position)
-            if now < one.until and one.link.address == address and not one.link.channel.stale():
+            if now < one.expires_at and one.link.address == address and not one.link.channel.stale():
                 return one.link
             self.drop(instance, one.link)
         return None
 
     def _evict(self) -> bool:
-        """Close one idle connection to make room."""
+        """Close one idle connection so that another can be opened; False if there is none."""
         for instance, idle in self._idle.items():
             if idle:
                 self.drop(instance, idle.pop(0).link)
@@ -144,25 +157,25 @@
 
     def _add(self, instance: str, count: int) -> None:
         self._count += count
-        left = self._open.get(instance, 0) + count
-        if left > 0:
-            self._open[instance] = left
+        remaining = self._open_by_instance.get(instance, 0) + count
+        if remaining > 0:
+            self._open_by_instance[instance] = remaining
         else:
-            self._open.pop(instance, None)
+            self._open_by_instance.pop(instance, None)
 
 
 def idle_time_s(answer: Message) -> float:
-    """How long a connection may be used again after an answer, by its Keep-Alive header."""
+    """Return for how long a connection may stay idle after an answer, by the answer's Keep-Alive header."""
     for parameter in (answer.get(b"keep-alive") or b"").split(b","):
         name, _, value = parameter.strip().partition(b"=")
-        if name.lower() == b"timeout" and value.isdigit() and len(value) <= MOST_DIGITS:
-            return min(int(value), MOST_IDLE_S) * IDLE_TIMEOUT_FRACTION
-    return UNSTATED_IDLE_S * IDLE_TIMEOUT_FRACTION
+        if name.lower() == b"timeout" and value.isdigit() and len(value) <= MAX_DIGITS:
+            return min(int(value), MAX_IDLE_S) * IDLE_TIMEOUT_FRACTION
+    return DEFAULT_IDLE_S * IDLE_TIMEOUT_FRACTION
 
 
-def watch_network(sock: socket.socket) -> None:
-    """Have the kernel end a connection whose other side is cut off or without power."""
+def enable_keepalive(sock: socket.socket) -> None:
+    """Let the kernel end a connection whose peer is unreachable or has lost power."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    for option, value in KEEPALIVE:
+    for option, value in KEEPALIVE_OPTIONS:
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_NETWORK_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/mallowbeam/router/data_plane/readiness.py
+++ b/mallowbeam/router/data_plane/readiness.py
@@ -1,4 +1,4 @@
-"""The readiness endpoint: whether this gateway takes new connections."""
+"""The readiness endpoint: reports whether this gateway accepts new connections."""
 
 from __future__ import annotations
 
@@ -7,34 +7,36 @@
 from mallowbeam.http.budget import BodyBudget
 from mallowbeam.http.framing import Message
 from mallowbeam.http.handler import Response
-from mallowbeam.router.data_plane.answers import own_answer
+from mallowbeam.router.data_plane.answers import gateway_answer
 
-PATH = b"/mallowbeam/readyz"
-MOST_BODY = 1024
+READINESS_PATH = b"/mallowbeam/readyz"
+MAX_BODY_BYTES = 1024
 
 
 class ReadinessFrontend:
     """Answers 200 while the gateway is ready, 503 otherwise."""
 
-    max_body = max_buffered_body = MOST_BODY
+    max_body = max_buffered_body = MAX_BODY_BYTES
     budget: BodyBudget | None = None
-    idle = 30.0  # seconds that a caller's connection may rest
+    idle = 30.0  # seconds that a caller's connection may be idle
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         self._ready = ready
 
     async def handle(self, request: Message, closing: Callable[[], bool]) -> Response:
-        """One question to its answer."""
-        if request.target.partition(b"?")[0] != PATH:
-            return own_answer(404, b"", closing(), text=b"no such page\n")
+        """Answer one readiness check."""
+        if request.target.partition(b"?")[0] != READINESS_PATH:
+            return gateway_answer(404, b"", closing(), text=b"no such page\n")
         if request.method not in (b"GET", b"HEAD"):
-            return own_answer(405, b"", closing(), text=b"GET only\n")
+            return gateway_answer(405, b"", closing(), text=b"GET only\n")
         ready = self._ready()
-        return own_answer(200 if ready else 503, b"", closing(), text=b"ready\n" if ready else b"not ready\n")
+        return gateway_answer(
+            200 if ready else 503, b"", closing(), text=b"ready\n" if ready else b"not ready\n"
+        )
 
     def error_response(self, status: int, text: str) -> Response:
-        """The answer to what breaks HTTP."""
-        return own_answer(status, b"", True, text=text.encode() + b"\n")
+        """Return the answer to a request that violates HTTP."""
+        return gateway_answer(status, b"", True, text=text.encode() + b"\n")
 
     def finished(self, request: Message, status: int, whole: bool) -> None:
-        """Nothing is counted here."""
+        """Do nothing: readiness checks are not counted."""
--- a/mallowbeam/router/pairing/prompt.py
+++ b/mallowbeam/router/pairing/prompt.py
@@ -1,4 +1,4 @@
-"""What pairing needs to know of a request."""
+"""The facts of a request that pairing depends on."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     target_latency_s: float
     zone: str
     excluded: frozenset[str]
-    read_at: str = ""
+    kv_cache_source: str = ""
 
     @property
     def affinity(self) -> str:
--- a/mallowbeam/storage_gateway/scheduler/host_context.py
+++ b/mallowbeam/storage_gateway/scheduler/host_context.py
@@ -1,15 +1,15 @@
-"""What every node of a host needs to know of it: settings, clock, cycle, and latency over all nodes."""
+"""The host state that every node reads: settings, clock, cycle, and latency over all nodes."""
 
 from __future__ import annotations
 
 from mallowbeam.storage_gateway.scheduler.interface import Settings
 
-LATENCY_MEMORY = 1.0  # seconds in which an answer's weight falls to 1/e
-FIRST_SLOT_FRACTION = 1 / 20  # of the cycle: a unit's latency, before anything was measured
-FIRST_REQUEST_FRACTION = 0.3  # of the cycle: the same of a typical request, at most
-FLOOR_CREEP = 0.01  # a second: how fast the lowest measured latency may be forgotten, for a slower day
-MIN_SURVEYED_NODES = 3  # below that the latencies of nodes say nothing of each other
-DEFAULT_CYCLE = 0.3  # seconds, where there are no classes
+LATENCY_MEMORY_S = 1.0  # seconds in which an answer's weight falls to 1/e
+FIRST_SLOT_FRACTION = 1 / 20  # of the cycle: a unit's latency before any measurement
+FIRST_REQUEST_FRACTION = 0.3  # of the cycle: maximum of a typical request's latency before any measurement
+FLOOR_GROWTH_PER_S = 0.01  # relative rise of the lowest measured latency, at most, to follow slower nodes
+MIN_SAMPLED_NODES = 3  # with fewer nodes, latencies say nothing about each other
+DEFAULT_CYCLE_S = 0.3  # seconds, where the settings have no classes
 
 
 class LatencyBaseline:
@@ -20,19 +20,19 @@
     def __init__(self, typical_units: float, cycle: float) -> None:
         self.typical_units = typical_units
         self.cycle = cycle
-        # The latency of a typical request: the usual one, and the lowest.
+        # The median and the lowest latency of a typical request.
         self.prior = self.floor = cycle * min(2 * typical_units * FIRST_SLOT_FRACTION, FIRST_REQUEST_FRACTION)
-        self.slope = self.floor / typical_units / 2  # that a further unit of a request costs, at any node
+        self.slope = self.floor / typical_units / 2  # added by each further unit of a request, at any node
 
-    def survey(self, node_latencies: list[float], passed: float) -> None:
-        """Take in the latencies of nodes with recent answers, `passed` seconds after the last survey."""
-        # With few answers the median fades to the lowest: one that stood would shut every node for good.
-        self.prior += min(1.0, passed / LATENCY_MEMORY / 2) * (self.floor - self.prior)
-        if len(node_latencies) >= MIN_SURVEYED_NODES:
+    def update(self, node_latencies: list[float], passed: float) -> None:
+        """Add the latencies of nodes with recent answers, `passed` seconds after the previous call."""
+        # Without new answers the median decays to the lowest: a high one that stayed would block every node.
+        self.prior += min(1.0, passed / LATENCY_MEMORY_S / 2) * (self.floor - self.prior)
+        if len(node_latencies) >= MIN_SAMPLED_NODES:
             node_latencies.sort()
             self.prior = node_latencies[len(node_latencies) // 2]
             lowest = node_latencies[len(node_latencies) // 4]
-            self.floor = min(self.floor * (1.0 + FLOOR_CREEP * passed), lowest)
+            self.floor = min(self.floor * (1.0 + FLOOR_GROWTH_PER_S * passed), lowest)
             self.slope = self.floor / self.typical_units
 
 
@@ -46,5 +46,5 @@
         self.now = now
         # A cycle is as long as the tightest latency target: units in flight at a node return within one.
         targets = (request_class.latency_target for request_class in settings.classes.values())
-        self.cycle = min(targets, default=DEFAULT_CYCLE)
+        self.cycle = min(targets, default=DEFAULT_CYCLE_S)
         self.baseline = LatencyBaseline(settings.typical_units, self.cycle)
--- a/mallowbeam/storage_gateway/scheduler/simulator_host.py
+++ b/mallowbeam/storage_gateway/scheduler/simulator_host.py
@@ -1,9 +1,9 @@
-"""The scheduler on the simulator's wire: lines on standard input and output.
+"""Runs schedulers for the simulator: a line protocol on standard input and output.
 
 `python -m mallowbeam.storage_gateway.scheduler.simulator_host` holds many instances, each a `Scheduler` of
-its own with nothing shared between them.  Nothing is decided here: every line is translated, one for one.
-The wire's words are in this module and in `settings` alone (WIRE-mallowbeam.md); times are seconds with six
-decimals.
+its own; they share nothing.  This module takes no decisions: it translates each line to one event and each
+action to one line.  The protocol's names appear only here and in `settings` (WIRE-mallowbeam.md); times are
+seconds with six decimals.
 """
 
 from __future__ import annotations
@@ -41,7 +41,12 @@
     TimerFired,
     WatchNodes,
 )
-from mallowbeam.storage_gateway.scheduler.settings import flag, opt, read_pairs, read_settings
+from mallowbeam.storage_gateway.scheduler.settings import (
+    parse_flag,
+    parse_optional,
+    read_pairs,
+    read_settings,
+)
 
 OUTCOMES = {
     "S": Outcome.OK,
@@ -67,7 +72,7 @@
 
 
 class WireError(MallowbeamError):
-    """A line that does not follow the wire."""
+    """A line that violates the simulator's protocol."""
 
     error_name = "Malformed"
     remedy = "run the simulator that this version was made for"
@@ -82,62 +87,62 @@
         raise ValueError("expected a NODE line")
     return NodeEntry(
         state=NODE_STATES[fields[1]],
-        shard=opt(fields[2], int) or 0,
-        zone=opt(fields[3], str) or "",
-        started_at=opt(fields[4], float) or None,
-        machine=opt(fields[5], str) or "",
-        weight=opt(fields[6], float) or 0.0,
+        shard=parse_optional(fields[2], int) or 0,
+        zone=parse_optional(fields[3], str) or "",
+        started_at=parse_optional(fields[4], float) or None,
+        machine=parse_optional(fields[5], str) or "",
+        weight=parse_optional(fields[6], float) or 0.0,
         node=fields[7],
     )
 
 
 def read_request(fields: list[str]) -> RequestArrived:
-    """A `NEW_REQUEST` line; a shard below 0 is none."""
-    shard = opt(fields[3], int)
-    flags = opt(fields[4], int) or 0
+    """A `NEW_REQUEST` line; a negative shard means none."""
+    shard = parse_optional(fields[3], int)
+    flags = parse_optional(fields[4], int) or 0
     return RequestArrived(
         request=fields[2],
         shard=None if shard is None or shard < 0 else shard,
         is_retry=bool(flags & FLAG_RETRY),
         is_write=bool(flags & FLAG_WRITE),
         request_class=fields[5],
-        volume_hosts=opt(fields[6], int),
-        units=opt(fields[7], int) or 1,
-        volume=opt(fields[8], str) or "",
+        volume_hosts=parse_optional(fields[6], int),
+        units=parse_optional(fields[7], int) or 1,
+        volume=parse_optional(fields[8], str) or "",
         expires_in=float(fields[9]),
-        key=opt(fields[10], str),
-        plan=opt(fields[11], str) or "",
+        key=parse_optional(fields[10], str),
+        plan=parse_optional(fields[11], str) or "",
     )
 
 
 def read_attempt_ended(fields: list[str]) -> AttemptEnded:
-    """A `SETTLED` line; its use of the plan's rate is in percent and 1 more, 0 where it is not reported."""
-    usage = opt(fields[8], int) or 0
+    """A `SETTLED` line; the use of the plan's rate is given as percent plus 1, or 0 if not reported."""
+    usage = parse_optional(fields[8], int) or 0
     return AttemptEnded(
         request=fields[2],
         attempt=int(fields[3]),
         node=fields[4],
         outcome=OUTCOMES[fields[5]],
-        latency=opt(fields[6], float) or 0.0,
-        finished=flag(fields[7]),
+        latency=parse_optional(fields[6], float) or 0.0,
+        finished=parse_flag(fields[7]),
         usage_ratio=(usage - 1) / PERCENT if usage > 0 else None,
-        remote_units=opt(fields[9], int) or 0,
+        remote_units=parse_optional(fields[9], int) or 0,
     )
 
 
 def read_stream_started(fields: list[str]) -> StreamStarted:
     """A `HEADERS` line."""
-    return StreamStarted(fields[2], int(fields[5]), fields[3], opt(fields[4], float) or 0.0)
+    return StreamStarted(fields[2], int(fields[5]), fields[3], parse_optional(fields[4], float) or 0.0)
 
 
 def read_health_check(fields: list[str]) -> HealthCheckEnded:
     """A `PING_RESULT` line."""
-    return HealthCheckEnded(fields[2], opt(fields[3], float) or 0.0, OUTCOMES[fields[4]])
+    return HealthCheckEnded(fields[2], parse_optional(fields[3], float) or 0.0, OUTCOMES[fields[4]])
 
 
 def read_peer_message(fields: list[str]) -> PeerMessage:
     """An `INBOX` line."""
-    return PeerMessage(int(fields[2]), bytes.fromhex(opt(fields[3], str) or ""))
+    return PeerMessage(int(fields[2]), bytes.fromhex(parse_optional(fields[3], str) or ""))
 
 
 READERS: dict[str, Callable[[list[str]], Event]] = {
@@ -154,17 +159,17 @@
 # --- to the wire ------------------------------------------------------------------------------
 
 
-def seconds(value: float | None) -> str:
-    """A time or a duration; microseconds are as fine as the simulator counts."""
+def format_time(value: float | None) -> str:
+    """A time or a duration, in the simulator's resolution of a microsecond."""
     return "-" if value is None else f"{value:.6f}"
 
 
 WRITERS: dict[type, Callable[[str, Any], str]] = {
-    Send: lambda host, action: f"PLACE {host} {action.request} {action.node} {seconds(action.timeout)}",
+    Send: lambda host, action: f"PLACE {host} {action.request} {action.node} {format_time(action.timeout)}",
     Cancel: lambda host, action: f"DROP_ATTEMPT {host} {action.request} {action.attempt}",
-    Reject: lambda host, action: f"SAY_NO {host} {action.request} {seconds(action.retry_after)}",
+    Reject: lambda host, action: f"SAY_NO {host} {action.request} {format_time(action.retry_after)}",
     Fail: lambda host, action: f"REPORT_FAILURE {host} {action.request}",
-    SetTimer: lambda host, action: f"DEFER {host} {seconds(action.at)} {action.token}",
+    SetTimer: lambda host, action: f"DEFER {host} {format_time(action.at)} {action.token}",
     WatchNodes: lambda host, action: f"TRACK {host} {int(action.active)}",
     FetchNodes: lambda host, _: f"SNAPSHOT {host}",
     HealthCheck: lambda host, action: f"PROBE {host} {action.node}",
@@ -174,40 +179,40 @@
 
 
 def write_action(host: str, action: Action) -> str:
-    """One line of a reply."""
+    """The line of a reply for an action."""
     return WRITERS[type(action)](host, action)
 
 
 class Batch:
-    """What one batch says: new instances, ended ones, and events by instance in the order of their lines."""
+    """One batch: new and ended instances, and events by instance in the order of their lines."""
 
     def __init__(self) -> None:
         self.events: dict[str, list[Event]] = {}
         self.new: dict[str, Settings] = {}
 
     def add(self, host: str, event: Event) -> None:
-        """One event of an instance."""
+        """Add an event of an instance."""
         self.events.setdefault(host, []).append(event)
 
     def start(self, host: str, settings: Settings) -> None:
-        """A new instance; what the batch said of one of this name before is void."""
+        """Add a new instance; earlier events of an instance of this name in the batch are dropped."""
         self.new[host] = settings
         self.events[host] = []
 
     def stop(self, host: str) -> None:
-        """The end of an instance."""
+        """Remove an instance."""
         self.new.pop(host, None)
         self.events.pop(host, None)
 
 
 class Wire:
-    """Reads batches, steps the instances they name, and writes one reply a batch.  It owns the instances."""
+    """Reads batches, steps their instances, and writes one reply per batch.  It owns the instances."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source = source
         self.sink = sink
         self.hosts: dict[str, Scheduler] = {}
-        self._line = ""  # the last one read, for the text of an error
+        self._line = ""  # the last one read, for error messages
 
     def run(self) -> None:
         """Answer batch after batch until the input ends.
@@ -243,7 +248,7 @@
                     self.hosts[host] = Scheduler(batch.new[host], now)
                 scheduler = self.hosts.get(host)
                 actions = scheduler.step(now, events) if scheduler else []
-            except Exception as error:  # the wire wants every failure of the scheduler reported as such
+            except Exception as error:  # the protocol reports every failure of a scheduler to the simulator
                 reply.append(f"BROKEN {host} {type(error).__name__}: {' '.join(str(error).split())}")
                 continue
             reply.extend(write_action(host, action) for action in actions)
@@ -251,7 +256,7 @@
         return reply
 
     def _read_batch(self) -> Batch:
-        """The rest of a batch, to its end."""
+        """Read the rest of a batch, up to its end line."""
         batch = Batch()
         while (fields := self._next_line())[0] != "EOF_BATCH":
             kind = fields[0]
@@ -269,14 +274,14 @@
         return batch
 
     def _read_update(self, fields: list[str]) -> DiscoveryUpdate:
-        """A `PEERS_KNOWN` line and the `NODE` lines that it announces."""
+        """A `PEERS_KNOWN` line and the `NODE` lines that follow it."""
         kind = UPDATE_KINDS[fields[2]]
-        version = opt(fields[3], int) or 0
-        count = opt(fields[4], int) or 0
+        version = parse_optional(fields[3], int) or 0
+        count = parse_optional(fields[4], int) or 0
         return DiscoveryUpdate(kind, version, [read_entry(self._next_line()) for _ in range(count)])
 
     def _next_line(self) -> list[str]:
-        """The next line in its fields; the end of the input is an error."""
+        """The fields of the next line; the end of the input is an error."""
         text = self.source.readline()
         if not text:
             raise WireError("input ended inside a batch")
